--- a/internal/bundle/httproutes_test.go
+++ b/internal/bundle/httproutes_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"math"
+	"strconv"
 	"testing"
 
 	"google.golang.org/protobuf/encoding/protowire"
@@ -148,7 +149,7 @@
 		routes := map[string]*protocol.HttpRoute{}
 		for i := range rapid.IntRange(0, 12).Draw(t, "routes") {
 			prefix := drawPath("prefix") + "/"
-			routes[prefix] = httpRoute(fmt.Sprint(i), "h", prefix)
+			routes[prefix] = httpRoute(strconv.Itoa(i), "h", prefix)
 		}
 		all := withHTTPRoutes(1)
 		for _, route := range routes {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sort"
 	"testing"
 	"time"
@@ -118,7 +119,7 @@
 	for id := range c.members {
 		ids = append(ids, id)
 	}
-	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
+	slices.Sort(ids)
 	return ids
 }
 
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -1,6 +1,8 @@
 package consensus
 
 import (
+	"slices"
+
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -80,7 +82,7 @@
 	}
 	kept := l.entries[:index-l.baseIndex-1]
 	// The capacity ends with the length, so that what was handed out is never overwritten.
-	l.entries = kept[:len(kept):len(kept)]
+	l.entries = slices.Clip(kept)
 	l.stable = min(l.stable, index-1)
 }
 
@@ -98,7 +100,7 @@
 			return all[:position:position]
 		}
 	}
-	return all[:len(all):len(all)]
+	return slices.Clip(all)
 }
 
 // compact drops entries below a durable snapshot, but for the newest retained ones.
--- a/internal/controlstate/bundles.go
+++ b/internal/controlstate/bundles.go
@@ -116,9 +116,9 @@
 }
 
 func (s *State) newestNotWithdrawn() uint64 {
-	for i := len(s.held) - 1; i >= 0; i-- {
-		if s.record(s.held[i]).Status.GetState() != protocol.BundleState_WITHDRAWN {
-			return s.held[i]
+	for _, v := range slices.Backward(s.held) {
+		if s.record(v).Status.GetState() != protocol.BundleState_WITHDRAWN {
+			return v
 		}
 	}
 	return s.newest
--- a/internal/controlstate/bundles_test.go
+++ b/internal/controlstate/bundles_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -150,12 +151,10 @@
 				"put-2":  put(queued(2, 10)),
 			}
 			w.accepted("put-2", orders["put-2"])
-			for id, order := range map[string]*protocol.Command{
+			maps.Copy(orders, map[string]*protocol.Command{
 				"sign-2": w.sign(2, &protocol.Rollout{ShareBasisPoints: 100}),
 				"drain":  drain("model-1", 5), "empty": emptyStore("store-3"), "retire": retireStore("store-3"),
-			} {
-				orders[id] = order
-			}
+			})
 			results := map[string]*protocol.CommandResult{}
 			for _, id := range []string{"first", "sign-1", "put-2", "sign-2", "drain", "empty", "retire"} {
 				results[id] = proto.CloneOf(w.accepted(id, orders[id]))
--- a/internal/controlstate/fleet_test.go
+++ b/internal/controlstate/fleet_test.go
@@ -122,12 +122,7 @@
 }
 
 func contains(list []string, wanted string) bool {
-	for _, entry := range list {
-		if entry == wanted {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(list, wanted)
 }
 
 func copied(name, storage string, shard uint32, epoch uint64) *protocol.Command {
--- a/internal/controlstate/property_test.go
+++ b/internal/controlstate/property_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"strconv"
 	"testing"
 
 	. "github.com/onsi/gomega"
@@ -28,7 +29,7 @@
 		return release(submitted, expected)
 	case 16:
 		return announce(&protocol.BackEnd{
-			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: fmt.Sprint(number.Draw(t, "address")),
+			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: strconv.Itoa(number.Draw(t, "address")),
 			Incarnation: uint64(rapid.IntRange(0, 1).Draw(t, "incarnation")), State: protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
 		}, uint64(number.Draw(t, "sequence")))
 	case 17:
@@ -74,7 +75,7 @@
 		return retireStore(fmt.Sprintf("store-%d", number.Draw(t, "store")))
 	default:
 		return upsert(&protocol.BackEnd{
-			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: fmt.Sprint(number.Draw(t, "address")),
+			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: strconv.Itoa(number.Draw(t, "address")),
 			Incarnation: uint64(number.Draw(t, "incarnation")), State: protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
 		})
 	}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -6,6 +6,7 @@
 
 import (
 	"encoding/binary"
+	"slices"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
@@ -156,7 +157,7 @@
 		FirstKeys:     s.firstKeys,
 		Orders:        len(s.orders),
 		bundles:       s.bundles,
-		steps:         s.steps[:len(s.steps):len(s.steps)],
+		steps:         slices.Clip(s.steps),
 
 		nodeHistory:    s.nodeHistory.Copy(),
 		backEndHistory: s.backEndHistory.Copy(),
--- a/internal/controlstate/storespread_test.go
+++ b/internal/controlstate/storespread_test.go
@@ -6,7 +6,6 @@
 	"testing"
 
 	. "github.com/onsi/gomega"
-	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
 	"github.com/rosestand/rosestand/internal/controlstate"
@@ -16,7 +15,7 @@
 // emptyKeepingSpread is the order as operators and adapters give it.
 func emptyKeepingSpread(name string) *protocol.Command {
 	return &protocol.Command{Body: &protocol.Command_EmptyStore{
-		EmptyStore: &protocol.EmptyStoreCommand{Store: name, StoresToKeep: 3, KeepSpread: proto.Bool(true)},
+		EmptyStore: &protocol.EmptyStoreCommand{Store: name, StoresToKeep: 3, KeepSpread: new(true)},
 	}}
 }
 
--- a/internal/core/control_test.go
+++ b/internal/core/control_test.go
@@ -365,7 +365,7 @@
 			Expect(send(leader, "GET", "/v1/stores/s0", "").Body.String()).To(ContainSubstring(`"state":"ready"`))
 			Expect(send(leader, "GET", "/v1/stores/s9", "").Code).To(Equal(http.StatusNotFound))
 			Expect(send(leader, "POST", "/v1/stores/s0/empty", `{"stores_to_keep":3}`).Code).To(Equal(http.StatusBadRequest), "an order id is needed")
-			ordered := httptest.NewRequest("POST", "/v1/stores/s0/empty", strings.NewReader(`{"stores_to_keep":3}`))
+			ordered := httptest.NewRequest(http.MethodPost, "/v1/stores/s0/empty", strings.NewReader(`{"stores_to_keep":3}`))
 			ordered.Header.Set("Rosestand-Order", "e1")
 			refused := httptest.NewRecorder()
 			leader.service.ServeHTTP(refused, ordered)
--- a/internal/core/heartbeataddress_test.go
+++ b/internal/core/heartbeataddress_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -55,11 +56,11 @@
 	It("is in the back end's zone, else in its region, while a member there is up", func() {
 		f.members[3].core.Region = "south"
 		for number := range 100 {
-			near := &protocol.BackEnd{Id: fmt.Sprint(number), Zone: "zone-c"}
+			near := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-c"}
 			Expect(leader.service.HeartbeatAddress(near)).To(Equal(httpAddress(2)))
-			sameRegion := &protocol.BackEnd{Id: fmt.Sprint(number), Zone: "elsewhere", Region: "south"}
+			sameRegion := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "elsewhere", Region: "south"}
 			Expect(leader.service.HeartbeatAddress(sameRegion)).To(Equal(httpAddress(3)))
-			leaders := &protocol.BackEnd{Id: fmt.Sprint(number), Zone: "zone-a"}
+			leaders := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-a"}
 			Expect(leader.service.HeartbeatAddress(leaders)).NotTo(Equal(httpAddress(0)))
 		}
 	})
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -291,12 +292,12 @@
 			addresses[m.core.GetHttpAddress()] = m
 		}
 		for number := range backEnds {
-			Expect(leader.announce(modelServer(fmt.Sprint(number)), 1)).To(Succeed())
+			Expect(leader.announce(modelServer(strconv.Itoa(number)), 1)).To(Succeed())
 		}
 		f.advance(interval)
 		net.arrivedAt(leader)
 		for number := range backEnds {
-			server := modelServer(fmt.Sprint(number))
+			server := modelServer(strconv.Itoa(number))
 			target := addresses[leader.service.HeartbeatAddress(server)]
 			if target == leader {
 				direct++
--- a/internal/core/http_test.go
+++ b/internal/core/http_test.go
@@ -166,7 +166,7 @@
 
 	It("needs a token of an operator", func() {
 		for _, header := range []string{"", "Bearer ", "Bearer wrong", operatorToken} {
-			request := httptest.NewRequest("GET", "/v1/nodes", nil)
+			request := httptest.NewRequest(http.MethodGet, "/v1/nodes", nil)
 			request.Header.Set("Authorization", header)
 			recorder := httptest.NewRecorder()
 			leader.service.ServeHTTP(recorder, request)
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -151,7 +151,7 @@
 	}
 	command.Store = request.arguments[0]
 	if command.KeepSpread == nil {
-		command.KeepSpread = proto.Bool(true)
+		command.KeepSpread = new(true)
 	}
 	return s.order(ctx, "empty_store", request, &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: command}})
 }
--- a/internal/core/reads.go
+++ b/internal/core/reads.go
@@ -99,7 +99,7 @@
 	}
 	record := view.Bundle(version)
 	if record == nil {
-		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, fmt.Sprintf("there is no bundle %s", text), failure.WithPath("version"))
+		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "there is no bundle "+text, failure.WithPath("version"))
 	}
 	return record, nil
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -95,12 +96,14 @@
 func (r *reconciler) observeStores(view *controlstate.View, now time.Time) {
 	set := ""
 	present := map[string]bool{}
+	var setSb98 strings.Builder
 	for _, node := range view.Membership.GetNodes() {
 		if node.GetKind() == protocol.NodeKind_STORE {
 			present[node.GetName()] = true
-			set += node.GetName() + "\n"
+			setSb98.WriteString(node.GetName() + "\n")
 		}
 	}
+	set += setSb98.String()
 	if set != r.stores || r.storesSince.IsZero() {
 		r.stores, r.storesSince = set, now
 	}
--- a/internal/core/replica/baddays_test.go
+++ b/internal/core/replica/baddays_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -279,7 +280,7 @@
 		id := lagging.replica.ID()
 		lagging.crash()
 		for number := range commands {
-			if err := leader.propose(fmt.Sprint(number)); err != nil {
+			if err := leader.propose(strconv.Itoa(number)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/replica/disk_test.go
+++ b/internal/core/replica/disk_test.go
@@ -94,8 +94,7 @@
 		f.pass(5 * time.Second)
 
 		err := leader.propose("refused")
-		var refused *NotLeaderError
-		if !errors.As(err, &refused) {
+		if _, ok := errors.AsType[*NotLeaderError](err); !ok {
 			t.Errorf("a replica without room answers %v", err)
 		}
 		admission := &protocol.Request{Body: &protocol.Request_JoinCore{JoinCore: &protocol.JoinCoreRequest{Member: leader.replica.self}}}
@@ -208,8 +207,7 @@
 		abandoned, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
 		_, _, err := leader.replica.Propose(abandoned, []byte("stalled"))
-		var unknown *UnknownOutcomeError
-		if !errors.As(err, &unknown) {
+		if _, ok := errors.AsType[*UnknownOutcomeError](err); !ok {
 			t.Errorf("a command on a stalled disk: %v", err)
 		}
 		f.eventually("another one leads", func() bool { return f.leader() != nil && f.leader() != leader })
--- a/internal/core/replica/membership.go
+++ b/internal/core/replica/membership.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strconv"
 	"time"
 
@@ -237,8 +238,7 @@
 
 // findMember looks a member up by name, the newest first, or by its id.
 func findMember(members []*protocol.CoreMember, name string) *protocol.CoreMember {
-	for position := len(members) - 1; position >= 0; position-- {
-		member := members[position]
+	for _, member := range slices.Backward(members) {
 		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
 			return member
 		}
--- a/internal/core/replica/plan_test.go
+++ b/internal/core/replica/plan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -146,9 +147,11 @@
 				}
 			}
 			got := fmt.Sprintf("%d:", state.baseIndex)
+			var gotSb149 strings.Builder
 			for _, kept := range state.entries {
-				got += fmt.Sprintf(" %d/%d", kept.GetIndex(), kept.GetTerm())
+				gotSb149.WriteString(fmt.Sprintf(" %d/%d", kept.GetIndex(), kept.GetTerm()))
 			}
+			got += gotSb149.String()
 			if got != tt.want {
 				t.Errorf("recovered %q, want %q", got, tt.want)
 			}
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -142,7 +143,7 @@
 	story(t, func(f *fleet) {
 		leader := f.found(3)
 		for number := range 10 {
-			if err := leader.propose(fmt.Sprint(number)); err != nil {
+			if err := leader.propose(strconv.Itoa(number)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/replica/slowdisk_test.go
+++ b/internal/core/replica/slowdisk_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"strconv"
 	"testing"
 	"time"
 )
@@ -40,7 +40,7 @@
 	f.t.Helper()
 	began := time.Now()
 	for command := range count {
-		for f.waitForLeader().propose(fmt.Sprint(command)) != nil {
+		for f.waitForLeader().propose(strconv.Itoa(command)) != nil {
 			f.pass(10 * time.Millisecond)
 		}
 	}
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"maps"
 	"sort"
 	"sync"
 )
@@ -53,9 +54,7 @@
 func (r *Readiness) Reasons() []Reason {
 	r.mutex.Lock()
 	checks := make(map[string]func() string, len(r.checks))
-	for condition, check := range r.checks {
-		checks[condition] = check
-	}
+	maps.Copy(checks, r.checks)
 	reasons := make([]Reason, 0, len(r.reasons))
 	for condition, reason := range r.reasons {
 		reasons = append(reasons, Reason{Condition: condition, Reason: reason})
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -65,11 +65,9 @@
 	}
 	ending := make(chan struct{})
 	var running sync.WaitGroup
-	running.Add(1)
-	go func() {
-		defer running.Done()
+	running.Go(func() {
 		i.followSettings(reload, ending)
-	}()
+	})
 	return func() {
 		close(ending)
 		running.Wait()
--- a/internal/directory/stats.go
+++ b/internal/directory/stats.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"maps"
 	"slices"
 
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -34,9 +35,7 @@
 func (d *Directory) Stats() Stats {
 	copied := d.stats
 	copied.Yields = make(map[YieldReason]uint64, len(d.stats.Yields))
-	for reason, count := range d.stats.Yields {
-		copied.Yields[reason] = count
-	}
+	maps.Copy(copied.Yields, d.stats.Yields)
 	return copied
 }
 
--- a/internal/front/ledgeroperations.go
+++ b/internal/front/ledgeroperations.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
@@ -82,8 +83,8 @@
 		next = page[len(page)-1].GetPreviousTurn()
 	}
 	oldestFirst := make([]*protocol.Turn, 0, len(newestFirst))
-	for at := len(newestFirst) - 1; at >= 0; at-- {
-		oldestFirst = append(oldestFirst, newestFirst[at])
+	for _, n := range slices.Backward(newestFirst) {
+		oldestFirst = append(oldestFirst, n)
 	}
 	return oldestFirst, protocol.LedgerStatus_LEDGER_OK
 }
--- a/internal/front/routeturns_test.go
+++ b/internal/front/routeturns_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strconv"
+	"strings"
 	"sync"
 	"sync/atomic"
 
@@ -37,7 +39,7 @@
 		set.Set(words.PreviousTurn, t.previous)
 	}
 	if t.budget > 0 {
-		set.Set(words.TokenBudget, fmt.Sprint(t.budget))
+		set.Set(words.TokenBudget, strconv.Itoa(t.budget))
 	}
 	if t.most > 0 {
 		set.Set(words.TokenUsage, fmt.Sprintf("10,%d", t.most))
@@ -109,11 +111,13 @@
 		It("over more turns than the ledger gives at once", func() {
 			const turns = 300
 			whole := before
+			var wholeSb112 strings.Builder
 			for number := 3; number <= turns; number++ {
 				id := fmt.Sprint("t", number)
 				f1.take(routedTurn{id: id, previous: fmt.Sprint("t", number-1), input: "+"})
-				whole += "+" + output(id)
+				wholeSb112.WriteString("+" + output(id))
 			}
+			whole += wholeSb112.String()
 			r.front("f2").take(routedTurn{id: "last", previous: fmt.Sprint("t", turns), input: third})
 			Expect(server.bodyOf("last")).To(Equal(whole + third))
 		})
--- a/internal/front/stepbalance_test.go
+++ b/internal/front/stepbalance_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -35,7 +36,7 @@
 		if server.holdLive.Load() || request.Header.Get(words.ExpectedWeights) != "" {
 			<-server.hold()
 		}
-		writer.Header().Set(words.WeightVersions, fmt.Sprint(version))
+		writer.Header().Set(words.WeightVersions, strconv.FormatUint(version, 10))
 		turnServer(writer, request)
 	})
 	DeferCleanup(server.openUp)
--- a/internal/lab/command/scale.go
+++ b/internal/lab/command/scale.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"slices"
+	"strconv"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -237,15 +238,15 @@
 			over = append(over, name)
 		}
 	}
-	row("bytes between node and core, per second", fmt.Sprintf("%.0f", coreBytes), fmt.Sprint(limitBytesPerSecond), coreBytes <= limitBytesPerSecond)
-	row("with bytes between nodes' directories", fmt.Sprintf("%.0f", coreBytes+peerBytes), fmt.Sprint(limitBytesPerSecond), coreBytes+peerBytes <= limitBytesPerSecond)
+	row("bytes between node and core, per second", fmt.Sprintf("%.0f", coreBytes), strconv.Itoa(limitBytesPerSecond), coreBytes <= limitBytesPerSecond)
+	row("with bytes between nodes' directories", fmt.Sprintf("%.0f", coreBytes+peerBytes), strconv.Itoa(limitBytesPerSecond), coreBytes+peerBytes <= limitBytesPerSecond)
 	row("processor, share of a core", fmt.Sprintf("%.3f %%", 100*processor), fmt.Sprintf("%.1f %%", 100*limitProcessorShare), processor <= limitProcessorShare)
-	row("memory of its part of the process, MB", fmt.Sprintf("%.2f", memory/(1<<20)), fmt.Sprint(limitMemoryBytes>>20), memory <= limitMemoryBytes)
+	row("memory of its part of the process, MB", fmt.Sprintf("%.2f", memory/(1<<20)), strconv.Itoa(limitMemoryBytes>>20), memory <= limitMemoryBytes)
 	longest := at(result.inForce, 1)
 	row("change in force, p50 ms", report.Millis(at(result.inForce, 0.5)), "", true)
 	row("change in force, p99 ms", report.Millis(at(result.inForce, 0.99)), "", true)
 	row("change in force everywhere, longest ms", report.Millis(longest), report.Millis(limitInForce), longest <= limitInForce && result.missing == 0)
-	row("changes not in force when the next one came", fmt.Sprint(result.missing), "0", result.missing == 0)
+	row("changes not in force when the next one came", strconv.Itoa(result.missing), "0", result.missing == 0)
 	rows.Render()
 	e.printCores(result, took)
 	if len(over) > 0 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -262,7 +261,7 @@
 type MissingBinaryError struct{ Path string }
 
 func (e *MissingBinaryError) Error() string {
-	return fmt.Sprintf("%s is missing; run make build", e.Path)
+	return e.Path + " is missing; run make build"
 }
 
 // CheckBinaries looks for the programs that a fleet is made of.
--- a/internal/lab/modelserver/batch.go
+++ b/internal/lab/modelserver/batch.go
@@ -1,6 +1,7 @@
 package modelserver
 
 import (
+	"slices"
 	"time"
 )
 
@@ -145,7 +146,7 @@
 	for i, running := range b.running {
 		if running == s {
 			b.running = append(b.running[:i:i], b.running[i+1:]...)
-			whole := chain(nil, append(s.tokens[:len(s.tokens):len(s.tokens)], output...), b.rates.BlockTokens)
+			whole := chain(nil, append(slices.Clip(s.tokens), output...), b.rates.BlockTokens)
 			b.cache.release(s.hashes, s.private, whole)
 			return true
 		}
--- a/internal/lab/modelserver/batch_test.go
+++ b/internal/lab/modelserver/batch_test.go
@@ -1,6 +1,7 @@
 package modelserver
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -114,7 +115,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if len(holders) > 0 && rapid.Bool().Draw(t, "release") {
 				i := rapid.IntRange(0, len(holders)-1).Draw(t, "holder")
-				c.release(holders[i].hashes, holders[i].private, append(holders[i].hashes[:len(holders[i].hashes):len(holders[i].hashes)], 100+uint64(i)))
+				c.release(holders[i].hashes, holders[i].private, append(slices.Clip(holders[i].hashes), 100+uint64(i)))
 				holders = append(holders[:i], holders[i+1:]...)
 			} else {
 				length := rapid.IntRange(0, 5).Draw(t, "length")
--- a/internal/lab/modelserver/server_test.go
+++ b/internal/lab/modelserver/server_test.go
@@ -4,9 +4,9 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -95,7 +95,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set(standin.HeaderRequestID, id)
 		request.Header.Set(standin.HeaderSession, "s1")
-		request.Header.Set(standin.HeaderEpoch, fmt.Sprint(epoch))
+		request.Header.Set(standin.HeaderEpoch, strconv.Itoa(epoch))
 		request.Header.Set(standin.HeaderNonce, "n1")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
--- a/internal/lab/simcommand/simcommand_test.go
+++ b/internal/lab/simcommand/simcommand_test.go
@@ -52,16 +52,14 @@
 
 func TestUnknownSuiteIsRefused(t *testing.T) {
 	_, _, err := execute("--suite", "nothing")
-	var unknown *simcommand.UnknownSuiteError
-	if !errors.As(err, &unknown) {
+	if _, ok := errors.AsType[*simcommand.UnknownSuiteError](err); !ok {
 		t.Fatal(err)
 	}
 }
 
 func TestUnknownMutationIsRefused(t *testing.T) {
 	_, _, err := execute("--suite", "state", "--seeds", "1", "--mutation", "nothing")
-	var unknown *simcommand.UnknownMutationError
-	if !errors.As(err, &unknown) {
+	if _, ok := errors.AsType[*simcommand.UnknownMutationError](err); !ok {
 		t.Fatal(err)
 	}
 }
@@ -82,8 +80,7 @@
 
 func TestUnknownShapeIsRefused(t *testing.T) {
 	_, _, err := execute("--suite", "state", "--shape", "nothing")
-	var unknown *simcommand.UnknownShapeError
-	if !errors.As(err, &unknown) {
+	if _, ok := errors.AsType[*simcommand.UnknownShapeError](err); !ok {
 		t.Fatal(err)
 	}
 }
--- a/internal/ledger/packed_test.go
+++ b/internal/ledger/packed_test.go
@@ -181,7 +181,7 @@
 	whole := record.GetFinishedPacked()
 	first := len(whole) - ledger.LastPackedSize(record)
 	var damaged *ledger.DamagedRecordError
-	for size := range len(whole) {
+	for size := range whole {
 		record.FinishedPacked = whole[:size]
 		if err := ledger.CheckRecord(record); (err == nil) != (size == 0 || size == first) || err != nil && !errors.As(err, &damaged) {
 			t.Errorf("cut to %d of %d bytes: %v", size, len(whole), err)
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -6,6 +6,7 @@
 	"io"
 	"math"
 	"net/http"
+	"slices"
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
@@ -42,12 +43,7 @@
 
 // used reports whether any flag of the roll-out was given.
 func (r *rolloutFlags) used(flags *pflag.FlagSet) bool {
-	for _, name := range rolloutFlagNames {
-		if flags.Changed(name) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(rolloutFlagNames, flags.Changed)
 }
 
 func (r *rolloutFlags) build(version uint64) (*protocol.Rollout, error) {
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net/url"
+	"strconv"
 	"strings"
 	"time"
 
@@ -133,5 +134,5 @@
 	if version == ledger.UnknownWeightVersion {
 		return "unknown"
 	}
-	return fmt.Sprint(version)
+	return strconv.FormatUint(version, 10)
 }
--- a/internal/promptcache/model.go
+++ b/internal/promptcache/model.go
@@ -1,6 +1,9 @@
 package promptcache
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // DefaultRoom is the number of tokens that a server is taken to keep as long as nothing is known of its memory.
 const DefaultRoom = 100_000
@@ -58,8 +61,8 @@
 	m.note(prompt, now)
 	cache := m.cache(server)
 	// The last part first, so that no part outlives one before it.
-	for at := len(prompt) - 1; at >= 0; at-- {
-		m.keep(cache, prompt[at], true)
+	for _, p := range slices.Backward(prompt) {
+		m.keep(cache, p, true)
 	}
 	m.evict(cache)
 }
--- a/internal/promptcache/promptcache_test.go
+++ b/internal/promptcache/promptcache_test.go
@@ -1,7 +1,7 @@
 package promptcache_test
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 	"time"
 
@@ -141,8 +141,8 @@
 	model := promptcache.New()
 	for at := range 50 {
 		now := start.Add(time.Duration(at) * time.Second)
-		model.Sent("s1", prompt(fmt.Sprint(at), "a"), now)
-		model.Sent("s1", prompt(fmt.Sprint(at), "b"), now)
+		model.Sent("s1", prompt(strconv.Itoa(at), "a"), now)
+		model.Sent("s1", prompt(strconv.Itoa(at), "b"), now)
 	}
 	digest := model.Digest(start)
 	if len(digest.Prefixes) != promptcache.DigestSize || digest.Prefixes[0].Prefix != prompt("49").First() {
--- a/internal/register/linearizable_test.go
+++ b/internal/register/linearizable_test.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -86,7 +87,7 @@
 	for step := range rapid.IntRange(0, 7).Draw(t, "operations") {
 		input := operationInput{read: rapid.Bool().Draw(t, "read")}
 		if !input.read {
-			input.append = fmt.Sprint(step)
+			input.append = strconv.Itoa(step)
 			list += input.append + " "
 		}
 		// The operation takes effect at 10*step.
--- a/internal/register/simulation_test.go
+++ b/internal/register/simulation_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -181,7 +182,7 @@
 	c.read = w.random.IntN(3) == 0
 	if !c.read {
 		w.appended++
-		c.value = fmt.Sprintf("%d", w.appended)
+		c.value = strconv.Itoa(w.appended)
 	}
 	w.beginChange(c)
 }
--- a/internal/schedule/schedulesim/engine.go
+++ b/internal/schedule/schedulesim/engine.go
@@ -153,8 +153,8 @@
 func (e *engine) preempt() {
 	for len(e.batch) > 1 && e.used() > e.spec.CacheTokens {
 		victim := len(e.batch) - 1
-		for at := len(e.batch) - 1; at >= 0; at-- {
-			if e.batch[at].rank > e.batch[victim].rank {
+		for at, v := range slices.Backward(e.batch) {
+			if v.rank > e.batch[victim].rank {
 				victim = at
 			}
 		}
--- a/internal/serverconn/answers_test.go
+++ b/internal/serverconn/answers_test.go
@@ -34,8 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(t, serverconn.Options{})
 			_, err := pool.Do(context.Background(), once(t, answer).address(), post("a"))
-			var broken *serverconn.BrokenError
-			if !errors.As(err, &broken) {
+			if _, ok := errors.AsType[*serverconn.BrokenError](err); !ok {
 				t.Fatalf("gave %v", err)
 			}
 		})
@@ -170,8 +169,7 @@
 	for range 40 {
 		response, err := pool.Do(context.Background(), resetting.address(), post(strings.Repeat("x", 1<<20)))
 		if err != nil {
-			var broken *serverconn.BrokenError
-			if !errors.As(err, &broken) {
+			if _, ok := errors.AsType[*serverconn.BrokenError](err); !ok {
 				t.Fatalf("gave %v", err)
 			}
 			continue
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/netip"
 	"regexp"
+	"slices"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -82,10 +83,8 @@
 }
 
 func (c *checker) oneOf(path, value string, allowed ...string) {
-	for _, candidate := range allowed {
-		if value == candidate {
-			return
-		}
+	if slices.Contains(allowed, value) {
+		return
 	}
 	c.add(path, "is %q, must be one of %v", value, allowed)
 }
--- a/internal/sim/servingsuite/days.go
+++ b/internal/sim/servingsuite/days.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/sim"
@@ -107,12 +108,7 @@
 }
 
 func (s *suite) isFront(address sim.Address) bool {
-	for _, candidate := range s.fronts {
-		if candidate == address {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(s.fronts, address)
 }
 
 // stoodStill says whether a machine was frozen at any time between two moments.
--- a/internal/sim/servingsuite/front.go
+++ b/internal/sim/servingsuite/front.go
@@ -1,6 +1,7 @@
 package servingsuite
 
 import (
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
@@ -149,12 +150,7 @@
 	if route == "" {
 		return true
 	}
-	for _, known := range f.inForce.routes {
-		if known == route {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(f.inForce.routes, route)
 }
 
 // joins has the request read the turn of its session that is under way, or refuses it for that.
--- a/internal/sim/statesuite/operatorbundles.go
+++ b/internal/sim/statesuite/operatorbundles.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/ed25519"
+	"encoding/hex"
 	"fmt"
 
 	"github.com/rosestand/rosestand/internal/bundle"
@@ -31,7 +32,7 @@
 	var keys []*protocol.SignOffKey
 	for _, key := range s.signOffKeys {
 		public := key.private.Public().(ed25519.PublicKey)
-		keys = append(keys, &protocol.SignOffKey{Name: key.name, PublicKey: fmt.Sprintf("%x", []byte(public))})
+		keys = append(keys, &protocol.SignOffKey{Name: key.name, PublicKey: hex.EncodeToString([]byte(public))})
 	}
 	return keys
 }
--- a/internal/sim/statesuite/operatorstores.go
+++ b/internal/sim/statesuite/operatorstores.go
@@ -4,8 +4,6 @@
 	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"github.com/rosestand/rosestand/internal/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
@@ -33,7 +31,7 @@
 		store := stores[o.environment.Random().IntN(len(stores))]
 		empty := &protocol.EmptyStoreCommand{Store: store}
 		if len(o.suite.shape.regions) > 0 {
-			empty.KeepSpread = proto.Bool(!o.suite.options.GiveUpSpread)
+			empty.KeepSpread = new(!o.suite.options.GiveUpSpread)
 		}
 		o.order("empty", &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: empty}}, next)
 	})
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -91,8 +91,7 @@
 
 func openFuzzed(t *testing.T, disk *simdisk.Disk, options storage.LogOptions, records [][]byte) (int, bool) {
 	log, err := storage.OpenLog(disk, folder, options)
-	var corrupt *storage.CorruptError
-	if errors.As(err, &corrupt) {
+	if _, ok := errors.AsType[*storage.CorruptError](err); ok {
 		return 0, false
 	}
 	if err != nil {
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -53,7 +53,7 @@
 			return !f.serving("a")
 		})
 		_, refused := f.answerOf("a", p.reserve())
-		Expect(refused).NotTo(BeNil())
+		Expect(refused).To(HaveOccurred())
 		Expect(refused.Code()).To(Equal(failure.Unavailable))
 		Expect(refused.Failure.GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
 		for range 20 {
--- a/internal/store/hashtree_test.go
+++ b/internal/store/hashtree_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -78,7 +79,7 @@
 		key := registerKey{program: fmt.Sprintf("program-%d", number/2), call: []string{"", "call"}[number%2]}
 		held := table.entry(key)
 		held.state.Accepted.Counter = 1
-		table.turns.put(turnKeyOf("p", fmt.Sprint(number)), turnEntry{offset: uint32(number)})
+		table.turns.put(turnKeyOf("p", strconv.Itoa(number)), turnEntry{offset: uint32(number)})
 	}
 	for name, filter := range map[string]bucketFilter{
 		"all":        {},
@@ -129,7 +130,7 @@
 func TestAScanByLeavesSeesEveryEntryThatStays(t *testing.T) {
 	const stays, comes = 5_000, 20_000
 	var tree hashTree[registerKey, int]
-	keyOfNumber := func(number int) registerKey { return registerKey{program: fmt.Sprint(number)} }
+	keyOfNumber := func(number int) registerKey { return registerKey{program: strconv.Itoa(number)} }
 	for number := range stays {
 		tree.put(keyOfNumber(number), number)
 	}
--- a/internal/store/pages_bench_test.go
+++ b/internal/store/pages_bench_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"runtime"
+	"strconv"
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -24,7 +25,7 @@
 		held.state.Accepted.Counter = 1
 		held.state.Value = make([]byte, 1000)
 		for turn := range benchTurns {
-			table.turns.put(turnKeyOf(program, fmt.Sprint(turn)), turnEntry{segment: 1})
+			table.turns.put(turnKeyOf(program, strconv.Itoa(turn)), turnEntry{segment: 1})
 		}
 	}
 	return table
@@ -69,7 +70,7 @@
 		turns, size := heapOf(func() any {
 			table := newShardTable(0)
 			for number := range benchPrograms * benchTurns {
-				table.turns.put(turnKeyOf("program", fmt.Sprint(number)), turnEntry{segment: 1})
+				table.turns.put(turnKeyOf("program", strconv.Itoa(number)), turnEntry{segment: 1})
 			}
 			return table
 		})
--- a/internal/store/peers_test.go
+++ b/internal/store/peers_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"strconv"
 	"testing"
 	"time"
 
@@ -64,7 +64,7 @@
 	const count = callsOfPeer + largestPeerBatch + 5
 	answers := make(chan error, count)
 	send := func(number int) {
-		program := fmt.Sprint(number)
+		program := strconv.Itoa(number)
 		p.send("b", prepareOf(program), func(response *protocol.Response, err error) {
 			if got := string(response.GetPrepare().GetValue()); err == nil && got != program {
 				err = errors.Newf("%s was answered as %s", program, got)
@@ -135,7 +135,7 @@
 	p, _ := peersOf(t, time.Nanosecond)
 	failed := make(chan error, defaultPeerCalls)
 	for number := range defaultPeerCalls {
-		p.send("b", prepareOf(fmt.Sprint(number)), func(_ *protocol.Response, err error) { failed <- err })
+		p.send("b", prepareOf(strconv.Itoa(number)), func(_ *protocol.Response, err error) { failed <- err })
 	}
 	for range defaultPeerCalls {
 		if err := <-failed; !errors.Is(err, context.DeadlineExceeded) {
--- a/internal/store/restart_bench_test.go
+++ b/internal/store/restart_bench_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -47,7 +48,7 @@
 		g := opened.group(uint32(number/benchTurns) % 64)
 		g.mailbox.post(func() {
 			g.keepTurn(uint32(number/benchTurns)%64, &protocol.Turn{
-				Id: fmt.Sprintf("turn_%032d", number), Program: program, Session: program, RequestId: fmt.Sprint(number),
+				Id: fmt.Sprintf("turn_%032d", number), Program: program, Session: program, RequestId: strconv.Itoa(number),
 				KeptAtMillis: time.Now().UnixMilli(), Output: []*protocol.Item{{Role: "assistant", Text: text}},
 			}, func() { done <- struct{}{} })
 		})
--- a/internal/store/stepmembers_test.go
+++ b/internal/store/stepmembers_test.go
@@ -93,7 +93,7 @@
 	if !isMember(value, "17") || isMember(value, "1") || isMember(value, "") || isMember(nil, "17") {
 		t.Error("the step of a record was misread")
 	}
-	for size := range len(value) {
+	for size := range value {
 		if isMember(value[:size], "17") {
 			t.Errorf("a record cut to %d of %d bytes is a member", size, len(value))
 		}
--- a/internal/turn/toolcall_test.go
+++ b/internal/turn/toolcall_test.go
@@ -1,6 +1,7 @@
 package turn_test
 
 import (
+	"maps"
 	"testing"
 	"time"
 
@@ -21,9 +22,7 @@
 		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}}, "refuse": {turn.CallRefused{Result: ok}},
 		"issue": {ran}, "retry": {turn.RetryDecided{Granted: true}}, "pause": {turn.Waited{}},
 	}
-	for name, events := range answers {
-		defaults[name] = events
-	}
+	maps.Copy(defaults, answers)
 	counts := map[string]int{}
 	var response *protocol.ToolCallResponse
 	now := start
--- a/internal/views/history.go
+++ b/internal/views/history.go
@@ -1,5 +1,7 @@
 package views
 
+import "slices"
+
 // KeptChanges is how many changes of names a history remembers at least: some
 // days of restarts at the size of 330 nodes, and a return of all of them.
 const KeptChanges = 2048
@@ -45,7 +47,7 @@
 
 // Copy returns the history as it is now; adding to the original leaves it alone.
 func (h *History) Copy() History {
-	return History{floor: h.floor, changes: h.changes[:len(h.changes):len(h.changes)]}
+	return History{floor: h.floor, changes: slices.Clip(h.changes)}
 }
 
 // Since lists the names that changed after a version, each once, and reports
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -65,9 +65,7 @@
 
 // Start accepts connections in the background until Close.
 func (s *Server) Start() {
-	s.routines.Add(1)
-	go func() {
-		defer s.routines.Done()
+	s.routines.Go(func() {
 		for {
 			connection, err := s.listener.Accept()
 			if err != nil {
@@ -81,7 +79,7 @@
 			}
 			go s.serveConnection(connection)
 		}
-	}()
+	})
 }
 
 // pauseAfter waits a moment after a failed accept, as when file descriptors have
@@ -175,14 +173,12 @@
 		cancel:     cancel,
 		cancels:    make(map[uint64]context.CancelFunc),
 	}
-	served.routines.Add(1)
-	go func() {
-		defer served.routines.Done()
+	served.routines.Go(func() {
 		if err := served.writer.run(ctx.Done()); err != nil {
 			served.writer.fail(err)
 			_ = connection.Close()
 		}
-	}()
+	})
 	return served
 }
 
