--- a/cmd/rosestand-core/main.go
+++ b/cmd/rosestand-core/main.go
@@ -2,7 +2,7 @@
 package main
 
 import (
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/settings"
 )
--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/bundle/deep_test.go
+++ b/internal/controlplane/bundle/deep_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
 func TestParseRefusesDeepNesting(t *testing.T) {
--- a/internal/bundle/httproutes_test.go
+++ b/internal/controlplane/bundle/httproutes_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/benchmark_test.go
+++ b/internal/controlplane/controlstate/benchmark_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/deltas.go
+++ b/internal/controlplane/controlstate/deltas.go
@@ -1,8 +1,8 @@
 package controlstate
 
 import (
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // MembershipDelta gives what a holder of the known version lacks; nil when it
--- a/internal/controlstate/deltas_test.go
+++ b/internal/controlplane/controlstate/deltas_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // held is what a node may hold: the sections of some earlier view.
--- a/internal/controlstate/fleet_test.go
+++ b/internal/controlplane/controlstate/fleet_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/keys_test.go
+++ b/internal/controlplane/controlstate/keys_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -3,7 +3,7 @@
 import (
 	"crypto/sha256"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/controlstate/property_test.go
+++ b/internal/controlplane/controlstate/property_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/controlstate/rollout.go
+++ b/internal/controlplane/controlstate/rollout.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -7,9 +7,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // Snapshot writes the whole state into one message. Merged bundles are written
--- a/internal/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -10,9 +10,9 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // State is what the commands applied so far have made. Every message it hands
--- a/internal/controlstate/storespread_test.go
+++ b/internal/controlplane/controlstate/storespread_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/answers.go
+++ b/internal/controlplane/core/answers.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/coalesce_test.go
+++ b/internal/controlplane/core/coalesce_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 var _ = Describe("a burst of changes", func() {
--- a/internal/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/ginkgo/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/core/control.go
+++ b/internal/controlplane/core/control.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/control_test.go
+++ b/internal/controlplane/core/control_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -14,12 +14,12 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // Sizes of the fleet that delivery is measured with.
--- a/internal/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/core"
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/heartbeatbatches.go
+++ b/internal/controlplane/core/heartbeatbatches.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/machine.go
+++ b/internal/controlplane/core/machine.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
--- a/internal/core/orders.go
+++ b/internal/controlplane/core/orders.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -8,7 +8,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/serverhealth"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/poll.go
+++ b/internal/controlplane/core/poll.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/reconcile.go
+++ b/internal/controlplane/core/reconcile.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/releases.go
+++ b/internal/controlplane/core/releases.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/http"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/sections.go
+++ b/internal/controlplane/core/sections.go
@@ -5,10 +5,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // maxCachedAnswers bounds the answers kept for one version of a section; most nodes hold the same few versions.
--- a/internal/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,7 +10,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/corelink/apply.go
+++ b/internal/controlplane/corelink/apply.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // DigestError says that a whole configuration does not have the digest that was promised with it.
--- a/internal/corelink/delta_test.go
+++ b/internal/controlplane/corelink/delta_test.go
@@ -7,9 +7,9 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 func members(version uint64, numbers ...int) *protocol.MembershipView {
--- a/internal/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -16,7 +16,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/lease"
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 	"google.golang.org/protobuf/proto"
--- a/internal/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -10,8 +10,8 @@
 	"github.com/charmbracelet/log"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/corelink/owner.go
+++ b/internal/controlplane/corelink/owner.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/corelink/refusal_test.go
+++ b/internal/controlplane/corelink/refusal_test.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/lease/holder_test.go
+++ b/internal/controlplane/lease/holder_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/lease"
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 )
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/core/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/replica/metrics.go
+++ b/internal/controlplane/replica/metrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 )
 
 type metrics struct {
--- a/internal/core/replica/plan_test.go
+++ b/internal/controlplane/replica/plan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -5,7 +5,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 )
 
 // MaxCommandBytes bounds one command; it leaves room for the frame of a message.
--- a/internal/core/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 )
--- a/internal/core/replica/service.go
+++ b/internal/controlplane/replica/service.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/core/replica/slowdisk.go
+++ b/internal/controlplane/replica/slowdisk.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/core/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 )
--- a/internal/core/replica/waiters.go
+++ b/internal/controlplane/replica/waiters.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/views/benchmark_test.go
+++ b/internal/controlplane/views/benchmark_test.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // backEndsOfAFleet gives a view of 600 back ends and the one after it, with one changed.
--- a/internal/views/views_test.go
+++ b/internal/controlplane/views/views_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // filled sets every field of a message to something that is not zero.
--- a/internal/front/api_test.go
+++ b/internal/front/api_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/ledger"
--- a/internal/front/arms.go
+++ b/internal/front/arms.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/front/backends.go
+++ b/internal/front/backends.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dialect"
 	"github.com/rosestand/rosestand/internal/promptcache"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/gin-gonic/gin"
 	"golang.org/x/sys/unix"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/front/dependencies.go
+++ b/internal/front/dependencies.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/directory"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/front/fakes_test.go
+++ b/internal/front/fakes_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/directory"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/gin-gonic/gin"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/dialect"
 	"github.com/rosestand/rosestand/internal/ledgerclient"
--- a/internal/front/owner.go
+++ b/internal/front/owner.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/schedule"
--- a/internal/front/policies.go
+++ b/internal/front/policies.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/front/routeapi.go
+++ b/internal/front/routeapi.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dialect"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/ledger"
--- a/internal/front/routes_test.go
+++ b/internal/front/routes_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/startwait.go
+++ b/internal/front/startwait.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
 const (
--- a/internal/front/startwait_test.go
+++ b/internal/front/startwait_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/lab/chaos/operators.go
+++ b/internal/lab/chaos/operators.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/lab/audit"
 	"github.com/rosestand/rosestand/internal/lab/wait"
 	"github.com/rosestand/rosestand/internal/operator"
--- a/internal/lab/fleet/bundle.go
+++ b/internal/lab/fleet/bundle.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/pflag"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/lab/backends"
 	"github.com/rosestand/rosestand/internal/lab/fleet"
 	"github.com/rosestand/rosestand/internal/lab/site"
--- a/internal/lab/fleet/operator.go
+++ b/internal/lab/fleet/operator.go
@@ -15,7 +15,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/lab/audit"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/lab/fleet/secrets.go
+++ b/internal/lab/fleet/secrets.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
 const (
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
 // Name is the name of a site.
--- a/internal/ledgerclient/client.go
+++ b/internal/ledgerclient/client.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/ledgerclient/race_test.go
+++ b/internal/ledgerclient/race_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/ledgerclient/targets.go
+++ b/internal/ledgerclient/targets.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
 )
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,7 +19,7 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/operator/releases.go
+++ b/internal/operator/releases.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
 const releasesPath = "/v1/releases/"
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/pflag"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/operator/signing.go
+++ b/internal/operator/signing.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/operator/stores.go
+++ b/internal/operator/stores.go
@@ -12,7 +12,7 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 )
 
 const (
--- a/internal/ownership/fleet_test.go
+++ b/internal/ownership/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -14,7 +14,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"strings"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/sim/ownershipsuite/frontlease.go
+++ b/internal/sim/ownershipsuite/frontlease.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/ring"
 )
--- a/internal/sim/servingsuite/front.go
+++ b/internal/sim/servingsuite/front.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lease"
 	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
--- a/internal/sim/statesuite/coremembers.go
+++ b/internal/sim/statesuite/coremembers.go
@@ -6,12 +6,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
 )
 
-// Messages about members of the core. Orders are carried out as internal/core does: written to the log with the member
+// Messages about members of the core. Orders are carried out as internal/controlplane/core does: written to the log with the member
 // that they mean, then carried out unless a later order about that member was given.
 type (
 	memberOrder struct {
--- a/internal/sim/statesuite/coremembership.go
+++ b/internal/sim/statesuite/coremembership.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/sim/statesuite/coresnapshot.go
+++ b/internal/sim/statesuite/coresnapshot.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/sim/statesuite/inforce.go
+++ b/internal/sim/statesuite/inforce.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
 )
--- a/internal/sim/statesuite/operatorstores.go
+++ b/internal/sim/statesuite/operatorstores.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
 )
--- a/internal/sim/statesuite/suite.go
+++ b/internal/sim/statesuite/suite.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
--- a/internal/sim/statesuite/zonefault.go
+++ b/internal/sim/statesuite/zonefault.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -16,7 +16,7 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
--- a/internal/store/fx.go
+++ b/internal/store/fx.go
@@ -9,7 +9,7 @@
 	"go.uber.org/fx"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
--- a/internal/store/network_test.go
+++ b/internal/store/network_test.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/store"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/store/placement.go
+++ b/internal/store/placement.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync/atomic"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/register"
 )
--- a/internal/store/restart_bench_test.go
+++ b/internal/store/restart_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/register"
 	"github.com/rosestand/rosestand/internal/storage"
--- a/internal/store/storebench/move.go
+++ b/internal/store/storebench/move.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/store/storebench/rebuild.go
+++ b/internal/store/storebench/rebuild.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
