--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/store"
 	"github.com/rosestand/rosestand/platform"
 )
 
--- a/cmd/rosestand-store/main.go
+++ b/cmd/rosestand-store/main.go
@@ -4,7 +4,7 @@
 import (
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/store"
 )
 
 func main() {
--- a/internal/front/api_test.go
+++ b/internal/front/api_test.go
@@ -13,8 +13,8 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var _ = Describe("the HTTP surface", func() {
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -13,9 +13,9 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/dialect"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/front/httpread.go
+++ b/internal/front/httpread.go
@@ -10,8 +10,8 @@
 	"github.com/gin-gonic/gin"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/turn"
 )
 
--- a/internal/front/httpsteps.go
+++ b/internal/front/httpsteps.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // stepTraceTimeout bounds a trace, which reads every program of the step.
--- a/internal/front/httpsteps_test.go
+++ b/internal/front/httpsteps_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var _ = Describe("a front node asked for a training step", func() {
--- a/internal/front/requests.go
+++ b/internal/front/requests.go
@@ -12,8 +12,8 @@
 	"strings"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/front/routeapi.go
+++ b/internal/front/routeapi.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dialect"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/front/routeingress_test.go
+++ b/internal/front/routeingress_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // Requests of session c1 of program p1, one of each kind.
--- a/internal/front/steppins.go
+++ b/internal/front/steppins.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
--- a/internal/front/steps_test.go
+++ b/internal/front/steps_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var _ = Describe("a generation of a training step", func() {
--- a/internal/front/stepscheduleaudit_test.go
+++ b/internal/front/stepscheduleaudit_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/front/turns_test.go
+++ b/internal/front/turns_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const modelServer = protocol.BackEndKind_MODEL_SERVER
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const trainingStepsPath = "/v1/training-steps/"
--- a/internal/operator/steps_test.go
+++ b/internal/operator/steps_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/operator"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const stepPin = `"pin":{"step":"run 3/17","model":"m","weight_version":"4","pinned_by":"front-2","pinned_at_millis":"1800000000000"}`
--- a/internal/purity/purity.go
+++ b/internal/purity/purity.go
@@ -16,7 +16,7 @@
 // Packages lists the decision packages, relative to the module's root.
 var Packages = []string{
 	"internal/ring", "internal/directory", "internal/controlplane/lease", "internal/turn", "internal/schedule", "internal/promptcache", "internal/limit",
-	"internal/ledger", "internal/register", "internal/controlplane/consensus", "internal/controlplane/controlstate", "internal/controlplane/bundle", "internal/controlplane/views", "internal/trainingstep", "internal/serverhealth",
+	"internal/state/ledger", "internal/state/register", "internal/controlplane/consensus", "internal/controlplane/controlstate", "internal/controlplane/bundle", "internal/controlplane/views", "internal/trainingstep", "internal/serverhealth",
 }
 
 var forbiddenImports = []string{"net", "os", "syscall", "context", "sync", "runtime", "unsafe"}
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 )
 
 // Process is the code of one life of a process. Timers are set through the Environment given to the Builder.
--- a/internal/sim/ownershipsuite/ledger.go
+++ b/internal/sim/ownershipsuite/ledger.go
@@ -1,9 +1,9 @@
 package ownershipsuite
 
 import (
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // ledgerState is what the stores would hold on a majority.
--- a/internal/sim/servingsuite/doc.go
+++ b/internal/sim/servingsuite/doc.go
@@ -1,6 +1,6 @@
 // Package servingsuite runs the decision code of the data plane in the simulator: turns and tool calls
 // (internal/turn), the choice of a server with the ejection of outliers (internal/schedule), admission
-// (internal/limit), the lease of a front node (internal/controlplane/lease) and the ledger's decisions (internal/ledger),
+// (internal/limit), the lease of a front node (internal/controlplane/lease) and the ledger's decisions (internal/state/ledger),
 // under five kinds of bad days, alone and together, all drawn from the seed.
 //
 // What is real: the packages named above. What is a model: the core (one machine that grants leases and delivers
--- a/internal/sim/statesuite/committer.go
+++ b/internal/sim/statesuite/committer.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // Syncs take between these times.
--- a/internal/sim/statesuite/doc.go
+++ b/internal/sim/statesuite/doc.go
@@ -5,6 +5,6 @@
 // deltas, claim sessions, spend budgets, keep turns, refuse requests and issue calls that may not be repeated, while processes are killed, frozen and cut off, machines lose power, lose their disks and are replaced.
 //
 // The processes here are adapters without goroutines round the pure packages, in place of the drivers of
-// internal/controlplane/replica and internal/store: they keep the order of write, sync, send and apply that these packages
+// internal/controlplane/replica and internal/state/store: they keep the order of write, sync, send and apply that these packages
 // ask for. A Mutation breaks one of these rules on purpose, to show that the checkers notice.
 package statesuite
--- a/internal/sim/statesuite/suite.go
+++ b/internal/sim/statesuite/suite.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // The machines of a run.
--- a/internal/sim/statesuite/zonefault.go
+++ b/internal/sim/statesuite/zonefault.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/ledger/change_bench_test.go
+++ b/internal/state/ledger/change_bench_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const benchProgram = "program-5d1c0a3e-6a3f-4a52-8f0e-0d8a6f1f9b11"
--- a/internal/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var now = time.Unix(1_000_000, 0)
--- a/internal/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // twin keeps a record in both forms: packed as the ledger writes it, and with
--- a/internal/ledger/property_test.go
+++ b/internal/state/ledger/property_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/ledgerclient/attempt.go
+++ b/internal/state/ledgerclient/attempt.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ledgerclient/client_test.go
+++ b/internal/state/ledgerclient/client_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ledgerclient/outage_test.go
+++ b/internal/state/ledgerclient/outage_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ledgerclient/race.go
+++ b/internal/state/ledgerclient/race.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // race is one operation on its way: usually one attempt after the other, with
--- a/internal/ledgerclient/race_test.go
+++ b/internal/state/ledgerclient/race_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ledgerclient/targets.go
+++ b/internal/state/ledgerclient/targets.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // target is one replica to try, or another front node that tries them.
--- a/internal/ledgerclient/watch.go
+++ b/internal/state/ledgerclient/watch.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -11,7 +11,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // faults chooses what happens in a run beside delays, losses and late duplicates.
--- a/internal/store/chain.go
+++ b/internal/state/store/chain.go
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // keepWithChain keeps a turn and calls done on the group's goroutine. A replica that
--- a/internal/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/store"
 )
 
 // answerOf asks one store only, while time passes, and gives its result or why it has surely not begun.
--- a/internal/store/expiry.go
+++ b/internal/state/store/expiry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/ledger"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // forgottenSlack is how much later than the end of its keeping time a register is removed, so that
--- a/internal/store/failedhead_test.go
+++ b/internal/state/store/failedhead_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // askDirectly sends an operation to a store past the cuts.
--- a/internal/store/findturn.go
+++ b/internal/state/store/findturn.go
@@ -5,8 +5,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // heldTurns is what one group knows of a turn whose program is not known.
--- a/internal/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -17,12 +17,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/storage/simdisk"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/store"
 )
 
 const (
--- a/internal/store/follow.go
+++ b/internal/state/store/follow.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // wait returns after the time has passed, or false when the store stops.
--- a/internal/store/group.go
+++ b/internal/state/store/group.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // group owns the tables of some shards. All fields are used by its one
--- a/internal/store/keep.go
+++ b/internal/state/store/keep.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // keep brings one turn onto a majority of the replicas before it may be charged.
--- a/internal/store/latekeep_test.go
+++ b/internal/state/store/latekeep_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // heldDisk holds back the syncs of turn segments while it is closed.
--- a/internal/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -8,9 +8,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // retryAfter is what callers are told when the store cannot serve them now.
--- a/internal/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -5,8 +5,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // maintain writes snapshots, collects what need not be kept and keeps the gauges, once in a while.
--- a/internal/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/store"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/store/pages_bench_test.go
+++ b/internal/state/store/pages_bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // One shard of 64 with 130,000 programs of 55 turns.
--- a/internal/store/placement.go
+++ b/internal/state/store/placement.go
@@ -6,7 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // topology is an immutable digest of the view in force.
--- a/internal/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -5,9 +5,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // operation is one ledger operation that waits for its register.
--- a/internal/store/readturns.go
+++ b/internal/state/store/readturns.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 const (
--- a/internal/store/records.go
+++ b/internal/state/store/records.go
@@ -4,8 +4,8 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // encodeRecord makes a log record. Encoding a message that the store made
--- a/internal/store/registers.go
+++ b/internal/state/store/registers.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // registerKey names one register; call is empty for the program's own.
--- a/internal/store/replica.go
+++ b/internal/state/store/replica.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
--- a/internal/store/scrub.go
+++ b/internal/state/store/scrub.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // scrubBuckets divides a shard so that only what differs is fetched.
--- a/internal/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -10,8 +10,8 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 )
 
 const (
--- a/internal/store/stepmembers_test.go
+++ b/internal/state/store/stepmembers_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // memberGroup owns shard 0 with so many programs, each tenth of step 17, each eleventh of step 18.
--- a/internal/store/steptrace.go
+++ b/internal/state/store/steptrace.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 const (
--- a/internal/store/steptrace_test.go
+++ b/internal/state/store/steptrace_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/store/store.go
+++ b/internal/state/store/store.go
@@ -10,10 +10,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // Store is one store process: replicas of some shards, and the proposer for their programs.
--- a/internal/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -12,9 +12,9 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/store"
 )
 
 const (
--- a/internal/store/storebench/bench.go
+++ b/internal/state/store/storebench/bench.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/store/storebench/bench_test.go
+++ b/internal/state/store/storebench/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/store/storebench"
+	"github.com/rosestand/rosestand/internal/state/store/storebench"
 )
 
 // BenchmarkLedger reports register changes on three stores with real syncs.
--- a/internal/store/storebench/costs.go
+++ b/internal/state/store/storebench/costs.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // Cost is what one operation of a kind takes when nothing else is under way.
--- a/internal/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -16,10 +16,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/store/storebench/steps.go
+++ b/internal/state/store/storebench/steps.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
--- a/internal/store/turnindex.go
+++ b/internal/state/store/turnindex.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // turnKey is a hash of the turn id and one of program and turn id; the record on disk has both in
--- a/internal/store/turnsnapshot.go
+++ b/internal/state/store/turnsnapshot.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // The turn index is written beside the log anew when a start would have to read so many segments
--- a/internal/turn/emit.go
+++ b/internal/turn/emit.go
@@ -4,8 +4,8 @@
 	"strings"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // ID gives the id of the turn that answers a request. It follows from the
--- a/internal/turn/trainingstep.go
+++ b/internal/turn/trainingstep.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // A turn of a training step runs on one version of the weights only, the one
--- a/internal/turn/trainingstep_test.go
+++ b/internal/turn/trainingstep_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/turn"
 )
 
