--- a/cmd/rosestand-front/main.go
+++ b/cmd/rosestand-front/main.go
@@ -3,7 +3,7 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/settings"
 )
 
--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/store"
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverhealth"
 )
 
 // maxOutcomes bounds one report; a front node uses a part of the servers only.
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -9,8 +9,8 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
+	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverhealth"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/dialect/dialect_test.go
+++ b/internal/dataplane/dialect/dialect_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 )
 
 func TestDecodeLoad(t *testing.T) {
--- a/internal/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -18,8 +18,8 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // Starting values of Options.
--- a/internal/directory/fleet_test.go
+++ b/internal/dataplane/directory/fleet_test.go
@@ -9,9 +9,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 const (
--- a/internal/directory/holder.go
+++ b/internal/dataplane/directory/holder.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // entry is one registration held.
--- a/internal/directory/lookup.go
+++ b/internal/dataplane/directory/lookup.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // Relay is the holder to which a lookup is to be passed on, with Relayed set,
--- a/internal/directory/ordinary_test.go
+++ b/internal/dataplane/directory/ordinary_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/directory/owner.go
+++ b/internal/dataplane/directory/owner.go
@@ -1,9 +1,9 @@
 package directory
 
 import (
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // ownedSession is a session that this node owns.
--- a/internal/directory/resolve.go
+++ b/internal/dataplane/directory/resolve.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // resolve is one session whose owner is being found out, for any number of tickets.
--- a/internal/directory/suspect.go
+++ b/internal/dataplane/directory/suspect.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // CallFailure says why a call to a peer had no answer.
--- a/internal/directory/view.go
+++ b/internal/dataplane/directory/view.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // Front is one front node of a view. A draining one holds no partition and
--- a/internal/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
--- a/internal/front/backendclient.go
+++ b/internal/dataplane/front/backendclient.go
@@ -15,9 +15,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
--- a/internal/front/backends.go
+++ b/internal/dataplane/front/backends.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/dialect"
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // loadReportLife is how long a reported load is believed.
--- a/internal/front/bench_test.go
+++ b/internal/dataplane/front/bench_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/blame_test.go
+++ b/internal/dataplane/front/blame_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
 func TestAnExpiredDeadlineTellsNothingOfTheServer(t *testing.T) {
--- a/internal/front/clock_test.go
+++ b/internal/dataplane/front/clock_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
 // firstLedgerPause and longestLedgerPause are what a turn waits until it asks the ledger again.
--- a/internal/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/drainrig_test.go
+++ b/internal/dataplane/front/drainrig_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
 // drainingListener is a front node's own listener for callers of HTTP routes.
--- a/internal/front/errors.go
+++ b/internal/dataplane/front/errors.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 )
 
 // stopError is the cause with which a turn's context is cancelled.
--- a/internal/front/explanations.go
+++ b/internal/dataplane/front/explanations.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // explanationCount is the number of requests whose path a front node remembers.
--- a/internal/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -10,9 +10,9 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // NewRouteHandler serves the callers of HTTP routes at a service.
--- a/internal/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/gin-gonic/gin"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/fuzzroutes_test.go
+++ b/internal/dataplane/front/fuzzroutes_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"testing/iotest"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
 // FuzzStreamEvents reads streams: what is passed on is the stream itself, in
--- a/internal/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -12,8 +12,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/dialect"
-	"github.com/rosestand/rosestand/internal/ownership"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/front/groupmodels.go
+++ b/internal/dataplane/front/groupmodels.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // groupModels hold what this front node learned of the servers of each group:
--- a/internal/front/httpissue.go
+++ b/internal/dataplane/front/httpissue.go
@@ -9,10 +9,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/serverconn"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // routeClient sends requests of HTTP routes to servers in the words of a dialect.
--- a/internal/front/httpread.go
+++ b/internal/dataplane/front/httpread.go
@@ -9,10 +9,10 @@
 
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // resumeDeadline bounds how long a resumed stream may last.
--- a/internal/front/httpstream.go
+++ b/internal/dataplane/front/httpstream.go
@@ -9,10 +9,10 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/serverconn"
-	"github.com/rosestand/rosestand/internal/trainingstep"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
--- a/internal/front/httpturn.go
+++ b/internal/dataplane/front/httpturn.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // routedSends bounds how often one request of an HTTP route is sent to servers
--- a/internal/front/ingresscall.go
+++ b/internal/dataplane/front/ingresscall.go
@@ -7,10 +7,10 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/front/ingresscopy_test.go
+++ b/internal/dataplane/front/ingresscopy_test.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/lane.go
+++ b/internal/dataplane/front/lane.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/ledgeroperations.go
+++ b/internal/dataplane/front/ledgeroperations.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
--- a/internal/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // beginTurn starts a turn as its owner, or finds the one of the same request
--- a/internal/front/rig_test.go
+++ b/internal/dataplane/front/rig_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/front/routeapi.go
+++ b/internal/dataplane/front/routeapi.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
--- a/internal/front/routestreams_test.go
+++ b/internal/dataplane/front/routestreams_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/serveroutcomes.go
+++ b/internal/dataplane/front/serveroutcomes.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // serverOutcomes is what this front node saw of one server since it last told the other front nodes, and what they told.
--- a/internal/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/front/shareoutcomes_test.go
+++ b/internal/dataplane/front/shareoutcomes_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
+	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverhealth"
 )
 
 // sharedBoard is what the core's leader does with reports of several front nodes.
--- a/internal/front/stepbalance_test.go
+++ b/internal/dataplane/front/stepbalance_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 // longTimeoutMillis is the time-out of routes in stories in which something waits.
--- a/internal/front/stepgates.go
+++ b/internal/dataplane/front/stepgates.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 // stepGateKey names the servers of one version in a group.
--- a/internal/front/stepload.go
+++ b/internal/dataplane/front/stepload.go
@@ -3,10 +3,10 @@
 import (
 	"sync/atomic"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 // stepLoad is what this front node's generations of training steps are at one server.
--- a/internal/front/steppins.go
+++ b/internal/dataplane/front/steppins.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 const (
--- a/internal/front/stepschedule_test.go
+++ b/internal/dataplane/front/stepschedule_test.go
@@ -14,8 +14,8 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 const (
--- a/internal/front/stepturn.go
+++ b/internal/dataplane/front/stepturn.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/promptcache"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/trainingstep"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
--- a/internal/front/ticket_test.go
+++ b/internal/dataplane/front/ticket_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/toolrun.go
+++ b/internal/dataplane/front/toolrun.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // callRun carries out the commands of one tool call's machine at the owner.
--- a/internal/front/turnrun.go
+++ b/internal/dataplane/front/turnrun.go
@@ -6,10 +6,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // turnRun carries out the commands of one turn's machine at the owner.
--- a/internal/front/turnsteps.go
+++ b/internal/dataplane/front/turnsteps.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const chatPath = "/v1/chat/completions"
--- a/internal/front/watchload.go
+++ b/internal/dataplane/front/watchload.go
@@ -10,9 +10,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 	"github.com/rosestand/rosestand/internal/serverconn"
 )
 
--- a/internal/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/limit/spare_test.go
+++ b/internal/dataplane/limit/spare_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/ownership/benchmark_test.go
+++ b/internal/dataplane/ownership/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ownership"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/ownership/evidence.go
+++ b/internal/dataplane/ownership/evidence.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/ownership/evidence_test.go
+++ b/internal/dataplane/ownership/evidence_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
--- a/internal/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/ownership"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 )
 
--- a/internal/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -15,10 +15,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 	"github.com/rosestand/rosestand/internal/wire"
 )
 
--- a/internal/ownership/manager_test.go
+++ b/internal/dataplane/ownership/manager_test.go
@@ -7,8 +7,8 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 )
 
 // metrics shows what the directory did; names begin with rosestand_directory_.
--- a/internal/ownership/serve.go
+++ b/internal/dataplane/ownership/serve.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // shell holds the directory; only the owner goroutine touches it.
--- a/internal/promptcache/promptcache_test.go
+++ b/internal/dataplane/promptcache/promptcache_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 )
 
 var start = time.Unix(1000, 0)
--- a/internal/ring/next_test.go
+++ b/internal/dataplane/ring/next_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/ring"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 )
 
 // TestNextIsTheRingThatNewBuilds lets members join, leave and come back under other incarnations.
--- a/internal/ring/ring_test.go
+++ b/internal/dataplane/ring/ring_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/ring"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 )
 
 func members(count int) []ring.Member {
--- a/internal/schedule/estimators_test.go
+++ b/internal/dataplane/schedule/estimators_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
 func TestTheProfileIsLearnedFromAnswers(t *testing.T) {
--- a/internal/schedule/firsttoken.go
+++ b/internal/dataplane/schedule/firsttoken.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The constants were chosen by the comparison in internal/schedule/schedulesim; see docs/POLICIES.md.
+// The constants were chosen by the comparison in internal/dataplane/schedule/schedulesim; see docs/POLICIES.md.
 const (
 	// delayShare is the part of the time that a prompt takes to read which each other request at the server is
 	// charged for: all of them stand still meanwhile, but few are so near their objective that it matters.
--- a/internal/schedule/firsttoken_test.go
+++ b/internal/dataplane/schedule/firsttoken_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // engines are idle servers of 24 slots in one zone.
--- a/internal/schedule/outlier_test.go
+++ b/internal/dataplane/schedule/outlier_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 func TestRefusalsTellNothingOfHealth(t *testing.T) {
--- a/internal/schedule/outstanding_test.go
+++ b/internal/dataplane/schedule/outstanding_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"testing"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // A step keeps a number of programs busy: each begins its next generation when
--- a/internal/schedule/recent_test.go
+++ b/internal/dataplane/schedule/recent_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // serviceTime is how long a call takes: at one each 1.2 ms, a third of the slots of 40 servers are taken.
--- a/internal/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/schedule/schedulesim/admission_test.go
+++ b/internal/dataplane/schedule/schedulesim/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 )
 
 // admissionCase is one load on the queues of ten front nodes before sixty slots.
--- a/internal/schedule/schedulesim/compare_test.go
+++ b/internal/dataplane/schedule/schedulesim/compare_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
 )
 
 // standard is a fleet of twelve servers under a hundred turns a second from ten front nodes.
--- a/internal/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 )
 
 // EngineSpec is what all model servers of a fleet have in common.
--- a/internal/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
-	"github.com/rosestand/rosestand/internal/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
 const (
--- a/internal/schedule/schedulesim/mechanism.go
+++ b/internal/dataplane/schedule/schedulesim/mechanism.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"github.com/rosestand/rosestand/internal/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
 // Mechanism is a part of the placement of turns that can be switched off, to see what it is worth.
--- a/internal/schedule/schedulesim/sim_test.go
+++ b/internal/dataplane/schedule/schedulesim/sim_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
 )
 
 func named(t *testing.T, name string) scenario {
--- a/internal/schedule/schedulesim/tools.go
+++ b/internal/dataplane/schedule/schedulesim/tools.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 // ToolOptions say what is played with tool servers.
--- a/internal/trainingstep/gate_test.go
+++ b/internal/dataplane/trainingstep/gate_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 )
 
 var start = time.Unix(1000, 0)
--- a/internal/trainingstep/version_test.go
+++ b/internal/dataplane/trainingstep/version_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 )
 
 const (
--- a/internal/turn/httpturn_test.go
+++ b/internal/dataplane/turn/httpturn_test.go
@@ -7,9 +7,9 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const routedInput = "new input"
--- a/internal/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const ceiling = 10
--- a/internal/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 func drawResult(t *rapid.T) *protocol.LedgerResult {
--- a/internal/turn/replay_test.go
+++ b/internal/dataplane/turn/replay_test.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 func TestAnAnswerReadFromTheLedgerIsTheOneGivenBefore(t *testing.T) {
--- a/internal/turn/toolcall_test.go
+++ b/internal/dataplane/turn/toolcall_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 var ran = turn.CallDone{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
--- a/internal/turn/trainingstep_test.go
+++ b/internal/dataplane/turn/trainingstep_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
--- a/internal/lab/ablation/file.go
+++ b/internal/lab/ablation/file.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
 )
 
 // File describes what is played. Unknown fields are refused.
--- a/internal/lab/ablation/run.go
+++ b/internal/lab/ablation/run.go
@@ -9,8 +9,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
 )
 
 // allMechanisms is the name of the plays without any switched off.
--- a/internal/lab/command/killone.go
+++ b/internal/lab/command/killone.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/lab/audit"
 	"github.com/rosestand/rosestand/internal/lab/caller"
 	"github.com/rosestand/rosestand/internal/lab/deployment"
@@ -20,7 +21,6 @@
 	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/lab/wait"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 const (
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -14,8 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/wire"
 )
--- a/internal/lab/killone/killone.go
+++ b/internal/lab/killone/killone.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // Kill is the loss of one front node.
--- a/internal/lab/killone/killone_test.go
+++ b/internal/lab/killone/killone_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/lab/caller"
 	"github.com/rosestand/rosestand/internal/lab/killone"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // sessionHeldBy finds a session id whose partition a member holds.
--- a/internal/sim/ownershipsuite/atsize.go
+++ b/internal/sim/ownershipsuite/atsize.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/ring"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/sim"
 )
 
--- a/internal/sim/ownershipsuite/frontdirectory.go
+++ b/internal/sim/ownershipsuite/frontdirectory.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
 )
--- a/internal/sim/ownershipsuite/frontdrain.go
+++ b/internal/sim/ownershipsuite/frontdrain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/sim/ownershipsuite/frontlease.go
+++ b/internal/sim/ownershipsuite/frontlease.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/lease"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 const (
--- a/internal/sim/ownershipsuite/node.go
+++ b/internal/sim/ownershipsuite/node.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/sim"
 )
 
--- a/internal/sim/ownershipsuite/suite.go
+++ b/internal/sim/ownershipsuite/suite.go
@@ -16,8 +16,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/ring"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/sim"
 )
 
--- a/internal/sim/ownershipsuite/suite_test.go
+++ b/internal/sim/ownershipsuite/suite_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/sim/ownershipsuite"
 )
--- a/internal/sim/ownershipsuite/turns.go
+++ b/internal/sim/ownershipsuite/turns.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
--- a/internal/sim/servingsuite/admission.go
+++ b/internal/sim/servingsuite/admission.go
@@ -4,9 +4,9 @@
 	"math"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 )
 
 const (
--- a/internal/sim/servingsuite/commands.go
+++ b/internal/sim/servingsuite/commands.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // execute carries one command out. It returns the event that answers it at once, or nil when there is none or when
--- a/internal/sim/servingsuite/exchange.go
+++ b/internal/sim/servingsuite/exchange.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // connectTimeout bounds how long a connection may take to be made.
--- a/internal/sim/servingsuite/front.go
+++ b/internal/sim/servingsuite/front.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/lease"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/sim"
 )
--- a/internal/sim/servingsuite/rules.go
+++ b/internal/sim/servingsuite/rules.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
 	"github.com/rosestand/rosestand/internal/sim"
 )
 
--- a/internal/sim/servingsuite/run.go
+++ b/internal/sim/servingsuite/run.go
@@ -5,10 +5,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
