--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/store"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 var errCut = errors.New("the link is cut")
--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -18,8 +18,8 @@
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/controlplane/views"
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 // Sizes of the fleet that delivery is measured with.
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -15,7 +15,7 @@
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // dataSubfolder holds the control log and its snapshots inside the data folder.
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/controlplane/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 // pollBytes reads the bytes counted for a kind of section.
--- a/internal/controlplane/core/sections.go
+++ b/internal/controlplane/core/sections.go
@@ -7,8 +7,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/views"
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 // maxCachedAnswers bounds the answers kept for one version of a section; most nodes hold the same few versions.
--- a/internal/controlplane/corelink/apply.go
+++ b/internal/controlplane/corelink/apply.go
@@ -8,8 +8,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/views"
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 // DigestError says that a whole configuration does not have the digest that was promised with it.
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -18,7 +18,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 	"google.golang.org/protobuf/proto"
 )
 
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 // packedAs publishes a configuration with the bytes given as its packed form.
--- a/internal/controlplane/replica/api.go
+++ b/internal/controlplane/replica/api.go
@@ -12,7 +12,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // StateMachine is what the log's commands are applied to. All calls come from the replica's
--- a/internal/controlplane/replica/harness_test.go
+++ b/internal/controlplane/replica/harness_test.go
@@ -21,7 +21,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // maxMachines bounds the numbers of machines.
--- a/internal/controlplane/replica/transport.go
+++ b/internal/controlplane/replica/transport.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 var _ = Describe("a daemon", func() {
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const clusterKey = "0123456789abcdef-test-cluster-key"
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -19,8 +19,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/httpdrain"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
 const (
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -5,8 +5,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 	"github.com/rosestand/rosestand/internal/version"
-	"github.com/rosestand/rosestand/internal/wire"
 )
 
 // newRegistry gives the metrics of the process itself; planes add theirs.
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // startTimeout bounds the start of a plane, which may read a large data folder.
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -16,7 +16,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // readyCondition is the name under which a front node's readiness is shown.
--- a/internal/dataplane/front/httpissue.go
+++ b/internal/dataplane/front/httpissue.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 // routeClient sends requests of HTTP routes to servers in the words of a dialect.
--- a/internal/dataplane/front/httpstream.go
+++ b/internal/dataplane/front/httpstream.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 const (
--- a/internal/dataplane/front/rig_test.go
+++ b/internal/dataplane/front/rig_test.go
@@ -20,7 +20,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 func TestFront(t *testing.T) {
--- a/internal/dataplane/front/routelistener.go
+++ b/internal/dataplane/front/routelistener.go
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/httpdrain"
+	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
 const (
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/dataplane/front/stepscheduleaudit_test.go
+++ b/internal/dataplane/front/stepscheduleaudit_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // scheduleSeeds is the number of schedules, from seed 1.
--- a/internal/dataplane/front/watchload.go
+++ b/internal/dataplane/front/watchload.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 const (
--- a/internal/dataplane/ownership/evidence.go
+++ b/internal/dataplane/ownership/evidence.go
@@ -10,7 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // stallFactor is how much longer than its time-out a call may have lasted for
--- a/internal/dataplane/ownership/evidence_test.go
+++ b/internal/dataplane/ownership/evidence_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 func TestWhatTheErrorOfACallShows(t *testing.T) {
--- a/internal/dataplane/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // fakeLink stands in for the connection to the core.
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -19,7 +19,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of Options.
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/state/ledgerclient/attempt.go
+++ b/internal/state/ledgerclient/attempt.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 type attemptOutcome int
--- a/internal/state/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of Options.
--- a/internal/state/ledgerclient/client_test.go
+++ b/internal/state/ledgerclient/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // scripted answers each call with the next of its answers and remembers the calls.
--- a/internal/state/ledgerclient/outage_test.go
+++ b/internal/state/ledgerclient/outage_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
--- a/internal/state/ledgerclient/steps_test.go
+++ b/internal/state/ledgerclient/steps_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const mismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // ledgerFolder lies in the data folder of the process and holds all that a store keeps.
--- a/internal/state/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/store"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // network passes requests to the stores in this process.
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -9,7 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Core is what a store needs of its link to the core.
--- a/internal/state/store/peers_test.go
+++ b/internal/state/store/peers_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // heldCaller hands each call to the test and waits for its answer or the context.
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -20,7 +20,7 @@
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // shardCount is the number of shards of a cluster by default.
--- a/internal/httpdrain/loopback_test.go
+++ b/internal/transport/httpdrain/loopback_test.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/httpdrain"
+	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
 // newLoopbackServer serves echo on a port of loopback.
--- a/internal/httpdrain/server_test.go
+++ b/internal/transport/httpdrain/server_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/httpdrain"
+	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
 // atOnce is the time that a drain takes for its last looks when nothing is left to wait for.
--- a/internal/packing/pack_test.go
+++ b/internal/transport/packing/pack_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/packing"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
 func packable(routes int) *protocol.Configuration {
--- a/internal/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 // once answers the first request of each connection with these bytes and closes it.
--- a/internal/serverconn/memory_test.go
+++ b/internal/transport/serverconn/memory_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/lab/memnet"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 // answerOnce answers one request and closes the connection, which it had not announced.
--- a/internal/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/rosestand/rosestand/internal/lab/closedport"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 // server answers each connection by a script.
--- a/internal/wire/benchmark_test.go
+++ b/internal/transport/wire/benchmark_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // BenchmarkCall is one lookup of a session over loopback, both sides together.
--- a/internal/wire/purposebytes_test.go
+++ b/internal/transport/wire/purposebytes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // echoPoll answers polls and lookups with empty answers of their kind.
--- a/internal/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
