--- a/cmd/rosestand-core/main.go
+++ b/cmd/rosestand-core/main.go
@@ -3,8 +3,8 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/controlplane/core"
-	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
 func main() {
--- a/cmd/rosestand-front/main.go
+++ b/cmd/rosestand-front/main.go
@@ -2,9 +2,9 @@
 package main
 
 import (
-	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/dataplane/front"
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
 func main() {
--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -10,10 +10,10 @@
 	"go.uber.org/fx"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
-	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/dataplane/front"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/store"
 	"github.com/rosestand/rosestand/platform"
 )
--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/store"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
--- a/cmd/rosestand-store/main.go
+++ b/cmd/rosestand-store/main.go
@@ -2,8 +2,8 @@
 package main
 
 import (
-	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/state/store"
 )
 
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -11,9 +11,9 @@
 	"go.uber.org/fx"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/ownership"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/transport/wire"
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
-	"github.com/rosestand/rosestand/internal/daemon"
 	"github.com/rosestand/rosestand/internal/failure"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -22,8 +22,8 @@
 	"github.com/rosestand/rosestand/internal/lab/modelserver"
 	"github.com/rosestand/rosestand/internal/lab/report"
 	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/process/version"
 	"github.com/rosestand/rosestand/internal/state/store/storebench"
-	"github.com/rosestand/rosestand/internal/version"
 )
 
 const (
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/lab/backends"
 	"github.com/rosestand/rosestand/internal/lab/fleet"
 	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 func newFleet(t *testing.T, relays bool) *fleet.Fleet {
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 const (
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"github.com/rosestand/rosestand/internal/version"
+	"github.com/rosestand/rosestand/internal/process/version"
 )
 
 const (
--- a/internal/daemon/files.go
+++ b/internal/process/daemon/files.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 const (
--- a/internal/daemon/harness_test.go
+++ b/internal/process/daemon/harness_test.go
@@ -14,9 +14,9 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/daemon/main.go
+++ b/internal/process/daemon/main.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/version"
+	"github.com/rosestand/rosestand/internal/process/settings"
+	"github.com/rosestand/rosestand/internal/process/version"
 )
 
 // Exit codes of every daemon.
--- a/internal/daemon/metrics.go
+++ b/internal/process/daemon/metrics.go
@@ -4,9 +4,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
+	"github.com/rosestand/rosestand/internal/process/version"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
-	"github.com/rosestand/rosestand/internal/version"
 )
 
 // newRegistry gives the metrics of the process itself; planes add theirs.
--- a/internal/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
 // settingsPollInterval is how often the settings file is looked at for a change that no signal told of.
--- a/internal/daemon/reload_test.go
+++ b/internal/process/daemon/reload_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -15,8 +15,8 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
--- a/internal/settings/decode_fuzz_test.go
+++ b/internal/process/settings/decode_fuzz_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 // FuzzDecode holds that no document makes the reader panic, that a refusal
--- a/internal/settings/deploy_test.go
+++ b/internal/process/settings/deploy_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 // siteLayout is what the example settings of one site say.
--- a/internal/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/pflag"
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 const testKey = "alice:00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
--- a/internal/version/version.go
+++ b/internal/process/version/version.go
@@ -7,7 +7,7 @@
 )
 
 // Number is the release; a release build sets it with the linker flag
-// -X github.com/rosestand/rosestand/internal/version.Number=....
+// -X github.com/rosestand/rosestand/internal/process/version.Number=....
 var Number = "0.1.0-dev"
 
 // String gives the release, the Go version and the platform.
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
