--- a/cmd/rosestand-lab/main.go
+++ b/cmd/rosestand-lab/main.go
@@ -1,6 +1,6 @@
 // Command rosestand-lab is the laboratory of rosestand; see docs/LAB.md.
 package main
 
-import "github.com/rosestand/rosestand/internal/lab/command"
+import "github.com/rosestand/rosestand/internal/testing/lab/command"
 
 func main() { command.Main() }
--- a/internal/dataplane/front/routefaults_test.go
+++ b/internal/dataplane/front/routefaults_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/lab/closedport"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/closedport"
 )
 
 // badAnswer is what a server sends on a connection in place of the answer to a request; then it closes.
--- a/internal/lab/modelserver/fixedseed_test.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package modelserver
-
-import _ "github.com/rosestand/rosestand/internal/lab/fixedseed" // Property tests draw the same cases on every run.
--- a/internal/state/register/linearizable_test.go
+++ b/internal/state/register/linearizable_test.go
@@ -11,7 +11,7 @@
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	_ "github.com/rosestand/rosestand/internal/lab/fixedseed"
+	_ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed"
 )
 
 // linearizable decides whether a history of appendModel is linearizable, in steps bounded by n log n for n operations.
--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
-	"github.com/rosestand/rosestand/internal/lab/ablation"
+	"github.com/rosestand/rosestand/internal/testing/lab/ablation"
 )
 
 const small = `{"name":"small","seeds":[1,2],"servers":6,"fronts":4,"zones":2,"load_on_answers":true,"length_seconds":4,
--- a/internal/lab/ablation/run.go
+++ b/internal/testing/lab/ablation/run.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
-	"github.com/rosestand/rosestand/internal/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 // allMechanisms is the name of the plays without any switched off.
--- a/internal/lab/audit/audit.go
+++ b/internal/testing/lab/audit/audit.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Check names one promise.
--- a/internal/lab/audit/audit_test.go
+++ b/internal/testing/lab/audit/audit_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/mark"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 var epoch = time.UnixMicro(1_700_000_000_000_000)
--- a/internal/lab/audit/casefile.go
+++ b/internal/testing/lab/audit/casefile.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // casefile is the evidence, ordered for the checks.
--- a/internal/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/mark"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // checkRanTwice looks for a second run of a call that may not be repeated, by
--- a/internal/lab/audit/streams.go
+++ b/internal/testing/lab/audit/streams.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
 )
 
 // checkStreams follows each stream of a turn, resumptions included.
--- a/internal/lab/backends/run.go
+++ b/internal/testing/lab/backends/run.go
@@ -11,9 +11,9 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/standin"
-	"github.com/rosestand/rosestand/internal/lab/toolserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/toolserver"
 )
 
 const toolServerCapacity = 64
--- a/internal/lab/backends/settings.go
+++ b/internal/testing/lab/backends/settings.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Settings describe the stand-ins of one process.
--- a/internal/lab/benchmark/disk.go
+++ b/internal/testing/lab/benchmark/disk.go
@@ -7,8 +7,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/report"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 // SyncTimes writes records to a log of the project's own and syncs each; the
--- a/internal/lab/benchmark/latency.go
+++ b/internal/testing/lab/benchmark/latency.go
@@ -15,10 +15,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 const (
--- a/internal/lab/benchmark/page_test.go
+++ b/internal/testing/lab/benchmark/page_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/benchmark"
+	"github.com/rosestand/rosestand/internal/testing/lab/benchmark"
 )
 
 func TestOnlyTheGeneratedSectionChanges(t *testing.T) {
--- a/internal/lab/benchmark/throughput.go
+++ b/internal/testing/lab/benchmark/throughput.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/process"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const turnsPerProgram = 5
--- a/internal/lab/burst/burst_test.go
+++ b/internal/testing/lab/burst/burst_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
 func testPlan() Plan {
--- a/internal/lab/burst/direct.go
+++ b/internal/testing/lab/burst/direct.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Direct measures answers a second of the model servers themselves, each with
--- a/internal/lab/burst/plan.go
+++ b/internal/testing/lab/burst/plan.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
 // Plan describes the load of one run.
--- a/internal/lab/burst/result.go
+++ b/internal/testing/lab/burst/result.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 // LateRefusal is the time within which a refusal should come.
--- a/internal/lab/burst/run.go
+++ b/internal/testing/lab/burst/run.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
--- a/internal/lab/caller/arrivals.go
+++ b/internal/testing/lab/caller/arrivals.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 // Load sets how conversations arrive: without waiting for earlier ones to end.
--- a/internal/lab/caller/caller_test.go
+++ b/internal/testing/lab/caller/caller_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 func TestCaller(t *testing.T) {
--- a/internal/lab/caller/conversation.go
+++ b/internal/testing/lab/caller/conversation.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
--- a/internal/lab/caller/run.go
+++ b/internal/testing/lab/caller/run.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 // Options describe a run of callers.
--- a/internal/lab/caller/script.go
+++ b/internal/testing/lab/caller/script.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 // Priorities of requests.
--- a/internal/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/wait"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
--- a/internal/lab/chaos/plan.go
+++ b/internal/testing/lab/chaos/plan.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 )
 
 // Action is one kind of fault.
--- a/internal/lab/chaos/plan_test.go
+++ b/internal/testing/lab/chaos/plan_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/chaos"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/chaos"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 )
 
 var counts = chaos.Counts{Cores: 4, Stores: 4, Fronts: 10, BackEnds: 19}
--- a/internal/lab/chaos/run.go
+++ b/internal/testing/lab/chaos/run.go
@@ -11,9 +11,9 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
--- a/internal/lab/closedport/closedport_test.go
+++ b/internal/testing/lab/closedport/closedport_test.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/closedport"
+	"github.com/rosestand/rosestand/internal/testing/lab/closedport"
 )
 
 func TestAHeldPortRefusesConnectionsAndIsGivenToNobodyElse(t *testing.T) {
--- a/internal/lab/command/ablate.go
+++ b/internal/testing/lab/command/ablate.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/ablation"
+	"github.com/rosestand/rosestand/internal/testing/lab/ablation"
 )
 
 // newAblate plays a deployment of the scheduling model without each mechanism.
--- a/internal/lab/command/audit.go
+++ b/internal/testing/lab/command/audit.go
@@ -8,10 +8,10 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // audit reads the journals, holds them against the evidence, prints and keeps the report.
--- a/internal/lab/command/backends.go
+++ b/internal/testing/lab/command/backends.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/backends"
+	"github.com/rosestand/rosestand/internal/testing/lab/backends"
 )
 
 const backEndStopGrace = 6 * time.Second
--- a/internal/lab/command/bench.go
+++ b/internal/testing/lab/command/bench.go
@@ -15,15 +15,15 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/benchmark"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/process/version"
 	"github.com/rosestand/rosestand/internal/state/store/storebench"
+	"github.com/rosestand/rosestand/internal/testing/lab/benchmark"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 const (
--- a/internal/lab/command/chaos.go
+++ b/internal/testing/lab/command/chaos.go
@@ -11,13 +11,13 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/chaos"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/chaos"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // chaosRate is the rate of conversations under which fleets are broken.
--- a/internal/lab/command/command.go
+++ b/internal/testing/lab/command/command.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/simcommand"
+	"github.com/rosestand/rosestand/internal/testing/lab/simcommand"
 )
 
 // Exit codes of the laboratory.
--- a/internal/lab/command/deployment.go
+++ b/internal/testing/lab/command/deployment.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/spf13/pflag"
 
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 const rateFlag = "rate"
--- a/internal/lab/command/fleet.go
+++ b/internal/testing/lab/command/fleet.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 const (
--- a/internal/lab/command/lifecycle.go
+++ b/internal/testing/lab/command/lifecycle.go
@@ -7,11 +7,11 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 )
 
 const (
--- a/internal/lab/command/load.go
+++ b/internal/testing/lab/command/load.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/schollz/progressbar/v3"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 )
 
 const (
--- a/internal/lab/command/report.go
+++ b/internal/testing/lab/command/report.go
@@ -10,7 +10,7 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/dayreport"
+	"github.com/rosestand/rosestand/internal/testing/lab/dayreport"
 )
 
 const leastChartWidth = 20
--- a/internal/lab/command/run.go
+++ b/internal/testing/lab/command/run.go
@@ -7,14 +7,14 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const serverStopGrace = 8 * time.Second
--- a/internal/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/hollow"
-	"github.com/rosestand/rosestand/internal/lab/process"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/hollow"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 // Limits of the control plane for one node, and for the spread of a change.
--- a/internal/lab/dayreport/account.go
+++ b/internal/testing/lab/dayreport/account.go
@@ -9,7 +9,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/rosestand/rosestand/internal/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 // machinesPrice is the price that no decision of the system changes: each machine carries a role that a deployment
--- a/internal/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/dayreport"
+	"github.com/rosestand/rosestand/internal/testing/lab/dayreport"
 )
 
 func TestAccountAddsUpToTheDistanceFromTheCeiling(t *testing.T) {
--- a/internal/lab/dayreport/report_test.go
+++ b/internal/testing/lab/dayreport/report_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/dayreport"
+	"github.com/rosestand/rosestand/internal/testing/lab/dayreport"
 )
 
 const (
--- a/internal/lab/dayreport/terminal.go
+++ b/internal/testing/lab/dayreport/terminal.go
@@ -12,7 +12,7 @@
 	"github.com/guptarohit/asciigraph"
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/rosestand/rosestand/internal/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 const (
--- a/internal/lab/deployment/deployment.go
+++ b/internal/testing/lab/deployment/deployment.go
@@ -9,10 +9,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 // Deployment is a fleet with its callers.
--- a/internal/lab/deployment/deployment_test.go
+++ b/internal/testing/lab/deployment/deployment_test.go
@@ -7,10 +7,10 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 const soundSizes = `"sizes":{"voters":1,"stores":1,"fronts":2,"zones":2,"model_servers":1,"tool_servers":1}`
--- a/internal/lab/experiment/experiment.go
+++ b/internal/testing/lab/experiment/experiment.go
@@ -13,11 +13,11 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Mode says how the arms are served.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/experiment"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/experiment"
 )
 
 func TestShippedExperimentsAreSound(t *testing.T) {
--- a/internal/lab/experiment/statistics.go
+++ b/internal/testing/lab/experiment/statistics.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
 // Estimate is a figure with the interval that holds it with 95% confidence.
--- a/internal/lab/fixedseed/fixedseed_test.go
+++ b/internal/testing/lab/fixedseed/fixedseed_test.go
@@ -4,7 +4,7 @@
 	"flag"
 	"testing"
 
-	_ "github.com/rosestand/rosestand/internal/lab/fixedseed" // What is tested.
+	_ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed" // What is tested.
 )
 
 func TestThePropertyTestsHaveASeed(t *testing.T) {
--- a/internal/lab/fleet/bundle.go
+++ b/internal/testing/lab/fleet/bundle.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 // Bundle makes a whole bundle for the stand-ins of the laboratory: the default
--- a/internal/lab/fleet/example.go
+++ b/internal/testing/lab/fleet/example.go
@@ -1,8 +1,8 @@
 package fleet
 
 import (
-	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 // ExampleTenant has no credential, so that the examples of the pages work as they stand.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -15,12 +15,12 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/process"
-	"github.com/rosestand/rosestand/internal/lab/relay"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/lab/relay"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Options describe a fleet.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/testing/lab/fleet/fleet_test.go
@@ -8,11 +8,11 @@
 	"github.com/spf13/pflag"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/lab/backends"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/site"
 	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/backends"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 func newFleet(t *testing.T, relays bool) *fleet.Fleet {
--- a/internal/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -16,9 +16,9 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/lab/audit"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
 )
 
 // OperatorToken is the bearer token of the laboratory's operator.
--- a/internal/lab/fleet/probe.go
+++ b/internal/testing/lab/fleet/probe.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 const probeInterval = 100 * time.Millisecond
--- a/internal/lab/fleet/relays.go
+++ b/internal/testing/lab/fleet/relays.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/relay"
+	"github.com/rosestand/rosestand/internal/testing/lab/relay"
 )
 
 // addRelays puts relays before the daemons among the members, when the options ask for them.
--- a/internal/lab/fleet/settings.go
+++ b/internal/testing/lab/fleet/settings.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/lab/backends"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/backends"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 const (
--- a/internal/lab/hollow/herd.go
+++ b/internal/testing/lab/hollow/herd.go
@@ -16,8 +16,8 @@
 	"github.com/shirou/gopsutil/v4/mem"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/process"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
 )
 
 // Options describe a herd of hollow nodes and back ends.
--- a/internal/lab/killone/killone.go
+++ b/internal/testing/lab/killone/killone.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
-	"github.com/rosestand/rosestand/internal/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
 // Kill is the loss of one front node.
--- a/internal/lab/killone/killone_test.go
+++ b/internal/testing/lab/killone/killone_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/killone"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/killone"
 )
 
 // sessionHeldBy finds a session id whose partition a member holds.
--- a/internal/lab/killone/watch.go
+++ b/internal/testing/lab/killone/watch.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/scrape"
+	"github.com/rosestand/rosestand/internal/testing/lab/scrape"
 )
 
 const (
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/testing/lab/memnet/memnet_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/lab/memnet"
+	"github.com/rosestand/rosestand/internal/testing/lab/memnet"
 )
 
 const (
--- a/internal/lab/modelserver/engine.go
+++ b/internal/testing/lab/modelserver/engine.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/mark"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // engine owns all state of one server: the batch, the fences and the counts of
--- /dev/null
+++ b/internal/testing/lab/modelserver/fixedseed_test.go
@@ -0,0 +1,3 @@
+package modelserver
+
+import _ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed" // Property tests draw the same cases on every run.
--- a/internal/lab/modelserver/server.go
+++ b/internal/testing/lab/modelserver/server.go
@@ -11,7 +11,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 const (
--- a/internal/lab/modelserver/server_test.go
+++ b/internal/testing/lab/modelserver/server_test.go
@@ -17,9 +17,9 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/mark"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 func TestModelServer(t *testing.T) {
--- a/internal/lab/process/process_test.go
+++ b/internal/testing/lab/process/process_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
 )
 
 // readyText is what a stubborn process writes once it ignores SIGTERM.
--- a/internal/lab/relay/relay_test.go
+++ b/internal/testing/lab/relay/relay_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/relay"
+	"github.com/rosestand/rosestand/internal/testing/lab/relay"
 )
 
 func listen(t *testing.T) net.Listener {
--- a/internal/lab/report/summary.go
+++ b/internal/testing/lab/report/summary.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
 const (
--- a/internal/lab/report/table.go
+++ b/internal/testing/lab/report/table.go
@@ -7,8 +7,8 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
 // NewTable begins a table that is written to the output by Render.
--- a/internal/lab/scrape/scrape_test.go
+++ b/internal/testing/lab/scrape/scrape_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/scrape"
+	"github.com/rosestand/rosestand/internal/testing/lab/scrape"
 )
 
 const exposition = `# HELP calls Calls.
--- a/internal/lab/simclock/simclock_test.go
+++ b/internal/testing/lab/simclock/simclock_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/simclock"
+	"github.com/rosestand/rosestand/internal/testing/lab/simclock"
 )
 
 func TestAFrozenClockAnswersWhenItWakes(t *testing.T) {
--- a/internal/lab/simcommand/rest.go
+++ b/internal/testing/lab/simcommand/rest.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim/statesuite"
+	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
 // UnhealthyError says that a fleet at rest did not stay whole, so that its speed means nothing.
--- a/internal/lab/simcommand/simcommand.go
+++ b/internal/testing/lab/simcommand/simcommand.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/ownershipsuite"
-	"github.com/rosestand/rosestand/internal/sim/servingsuite"
-	"github.com/rosestand/rosestand/internal/sim/statesuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/ownershipsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim/servingsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
 // Defaults of the flags.
--- a/internal/lab/simcommand/simcommand_test.go
+++ b/internal/testing/lab/simcommand/simcommand_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/simcommand"
+	"github.com/rosestand/rosestand/internal/testing/lab/simcommand"
 )
 
 func execute(arguments ...string) (output, trace string, err error) {
--- a/internal/lab/site/site_test.go
+++ b/internal/testing/lab/site/site_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
 func zonesOf(sizes site.Sizes, count int) []int {
--- a/internal/lab/standin/fault_test.go
+++ b/internal/testing/lab/standin/fault_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 func TestFaultsFollowSeedAndProbabilities(t *testing.T) {
--- a/internal/lab/toolserver/server.go
+++ b/internal/testing/lab/toolserver/server.go
@@ -15,8 +15,8 @@
 
 	"github.com/gin-gonic/gin"
 
-	"github.com/rosestand/rosestand/internal/lab/standin"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
--- a/internal/lab/toolserver/server_test.go
+++ b/internal/testing/lab/toolserver/server_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/gin-gonic/gin"
 
-	"github.com/rosestand/rosestand/internal/lab/standin"
-	"github.com/rosestand/rosestand/internal/lab/toolserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/toolserver"
 )
 
 type harness struct {
--- a/internal/lab/wait/wait_test.go
+++ b/internal/testing/lab/wait/wait_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 func TestFor(t *testing.T) {
--- a/internal/purity/purity_test.go
+++ b/internal/testing/purity/purity_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/purity"
+	"github.com/rosestand/rosestand/internal/testing/purity"
 )
 
 func TestDecisionPackagesReachNothingOutside(t *testing.T) {
--- a/internal/sim/ownershipsuite/atsize.go
+++ b/internal/testing/sim/ownershipsuite/atsize.go
@@ -8,7 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // SizeOptions say how large the fleet of a measurement is; zero values stand for the size that capacity is planned for.
--- a/internal/sim/ownershipsuite/atsize_test.go
+++ b/internal/testing/sim/ownershipsuite/atsize_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/sim/ownershipsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim/ownershipsuite"
 )
 
 // A small fleet keeps every session under salvage and ends those of the lost partitions under end-sessions.
--- a/internal/sim/ownershipsuite/backend.go
+++ b/internal/testing/sim/ownershipsuite/backend.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // issue is a turn or call sent to a back end, with the epoch as its fence.
--- a/internal/sim/ownershipsuite/callers.go
+++ b/internal/testing/sim/ownershipsuite/callers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/ownershipsuite/core.go
+++ b/internal/testing/sim/ownershipsuite/core.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/ownershipsuite/ledger.go
+++ b/internal/testing/sim/ownershipsuite/ledger.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // ledgerState is what the stores would hold on a majority.
--- a/internal/sim/ownershipsuite/node.go
+++ b/internal/testing/sim/ownershipsuite/node.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // packet is a request or its answer. Bodies are never changed once sent.
--- a/internal/sim/ownershipsuite/suite.go
+++ b/internal/testing/sim/ownershipsuite/suite.go
@@ -18,7 +18,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Spans of a run.
--- a/internal/sim/ownershipsuite/suite_test.go
+++ b/internal/testing/sim/ownershipsuite/suite_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/ownershipsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/ownershipsuite"
 )
 
 const fixedSeeds = 10
@@ -63,7 +63,7 @@
 
 // BenchmarkSeeds runs as many seeds as it has iterations under every policy and prints a line a rule:
 //
-//	go test ./internal/sim/ownershipsuite -run XXX -bench Seeds -benchtime 200x -v
+//	go test ./internal/testing/sim/ownershipsuite -run XXX -bench Seeds -benchtime 200x -v
 func BenchmarkSeeds(b *testing.B) {
 	for _, policy := range []directory.Policy{{}, {HigherViewVersion: true}, {EndSessions: true}} {
 		search := sim.SearchOptions{First: 1, Count: b.N, Workers: 3}
--- a/internal/sim/ownershipsuite/takeover_test.go
+++ b/internal/testing/sim/ownershipsuite/takeover_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/ownershipsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/ownershipsuite"
 )
 
 // losses are what may happen to front nodes and how long an owner may take to be found then.
--- a/internal/sim/servingsuite/callers.go
+++ b/internal/testing/sim/servingsuite/callers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/servingsuite/core.go
+++ b/internal/testing/sim/servingsuite/core.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/servingsuite/days.go
+++ b/internal/testing/sim/servingsuite/days.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Sizes of bad days.
--- a/internal/sim/servingsuite/exchange.go
+++ b/internal/testing/sim/servingsuite/exchange.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // connectTimeout bounds how long a connection may take to be made.
--- a/internal/sim/servingsuite/ledger.go
+++ b/internal/testing/sim/servingsuite/ledger.go
@@ -4,8 +4,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // ledgerState is what the stores would hold on a majority.
--- a/internal/sim/servingsuite/options.go
+++ b/internal/testing/sim/servingsuite/options.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Kind is one of the five kinds of bad days.
--- a/internal/sim/servingsuite/rules.go
+++ b/internal/testing/sim/servingsuite/rules.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Names of the rules.
--- a/internal/sim/servingsuite/servingsuite_test.go
+++ b/internal/testing/sim/servingsuite/servingsuite_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/servingsuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/servingsuite"
 )
 
 // Seeds of the tests: few, so that they take under 20 s of one core.
--- a/internal/sim/servingsuite/suite.go
+++ b/internal/testing/sim/servingsuite/suite.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Spans of a run.
--- a/internal/sim/statesuite/committer.go
+++ b/internal/testing/sim/statesuite/committer.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Syncs take between these times.
--- a/internal/sim/statesuite/coremembers.go
+++ b/internal/testing/sim/statesuite/coremembers.go
@@ -8,7 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Messages about members of the core. Orders are carried out as internal/controlplane/core does: written to the log with the member
--- a/internal/sim/statesuite/coreservice.go
+++ b/internal/testing/sim/statesuite/coreservice.go
@@ -9,7 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K {
--- a/internal/sim/statesuite/endpoint.go
+++ b/internal/testing/sim/statesuite/endpoint.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // request and answer are what processes send each other; bodies are never changed after they were sent.
--- a/internal/sim/statesuite/guard.go
+++ b/internal/testing/sim/statesuite/guard.go
@@ -5,7 +5,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // mayApply bounds what is lost for ever to one disk at a time within the core and within the stores: a disk may be lost
--- a/internal/sim/statesuite/history.go
+++ b/internal/testing/sim/statesuite/history.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // checkPatience bounds the search for a linear order of one object's operations.
--- a/internal/sim/statesuite/mutation_test.go
+++ b/internal/testing/sim/statesuite/mutation_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/statesuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
 // seedsToNotice bounds the search for a run that shows a mutation, from the seed that is known to.
--- a/internal/sim/statesuite/operatorstores.go
+++ b/internal/testing/sim/statesuite/operatorstores.go
@@ -6,7 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // newMachineAfter is when a machine is added in the place of one that an operator took away.
--- a/internal/sim/statesuite/options.go
+++ b/internal/testing/sim/statesuite/options.go
@@ -4,7 +4,7 @@
 	"io"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Mutation is a fault put into the adapters on purpose.
--- a/internal/sim/statesuite/regions_test.go
+++ b/internal/testing/sim/statesuite/regions_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/sim/statesuite"
+	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
 // regionSeeds of CI; `rosestand-lab sim --suite state --shape regions` runs many more.
--- a/internal/sim/statesuite/regionspread.go
+++ b/internal/testing/sim/statesuite/regionspread.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // partWithin is the time in which the planner must have spread each shard once stores that may hold shards stand in as
--- a/internal/sim/statesuite/rest.go
+++ b/internal/testing/sim/statesuite/rest.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // The fleet of Caroni, and how often its processes speak at rest.
--- a/internal/sim/statesuite/rest_test.go
+++ b/internal/testing/sim/statesuite/rest_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim/statesuite"
+	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
 func TestAFleetAtRestStaysWhole(t *testing.T) {
--- a/internal/sim/statesuite/storeledger.go
+++ b/internal/testing/sim/statesuite/storeledger.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // listOperation appends an id to a list in a register, or reads the list when id is empty. Appending twice
--- a/internal/sim/statesuite/storeproposal.go
+++ b/internal/testing/sim/statesuite/storeproposal.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/statesuite/storereplica.go
+++ b/internal/testing/sim/statesuite/storereplica.go
@@ -4,8 +4,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 func (p *storeProcess) serve(_ sim.Address, body any, reply func(any)) {
--- a/internal/sim/statesuite/zonefault.go
+++ b/internal/testing/sim/statesuite/zonefault.go
@@ -8,8 +8,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/world_test.go
+++ b/internal/testing/sim/world_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // echo answers each message to its sender and keeps what it heard.
--- a/internal/sim/zone_test.go
+++ b/internal/testing/sim/zone_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // twoZones makes a world in which the machines "a" and "b" send "tick" to each other every 10 ms from zones of their own.
--- a/internal/transport/serverconn/memory_test.go
+++ b/internal/transport/serverconn/memory_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/memnet"
+	"github.com/rosestand/rosestand/internal/testing/lab/memnet"
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -16,8 +16,8 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/closedport"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/closedport"
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
