--- a/internal/process/settings/decode_fuzz_test.go
+++ b/internal/process/settings/decode_fuzz_test.go
@@ -14,7 +14,7 @@
 // FuzzDecode holds that no document makes the reader panic, that a refusal
 // always has a fault, and that what was accepted survives printing.
 func FuzzDecode(f *testing.F) {
-	examples, err := filepath.Glob("../../deploy/*/*.json")
+	examples, err := filepath.Glob("../../../deploy/*/*.json")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/process/settings/deploy_test.go
+++ b/internal/process/settings/deploy_test.go
@@ -36,7 +36,7 @@
 // readSite checks every example of a site as --check-config does, but for the files they name.
 func readSite(t *testing.T, site string) *siteLayout {
 	t.Helper()
-	paths, err := filepath.Glob(filepath.Join("../../deploy", site, "*.json"))
+	paths, err := filepath.Glob(filepath.Join("../../../deploy", site, "*.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -88,7 +88,7 @@
 }
 
 func TestShippedFilesAreSound(t *testing.T) {
-	paths, err := filepath.Glob("../../../experiments/ablation/*.json")
+	paths, err := filepath.Glob("../../../../experiments/ablation/*.json")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("files %v, %v", paths, err)
 	}
--- a/internal/testing/lab/deployment/days_test.go
+++ b/internal/testing/lab/deployment/days_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestShippedDaysAreWellFormed(t *testing.T) {
-	for _, path := range filesOf(t, "../../../lab/days/*.toml") {
+	for _, path := range filesOf(t, "../../../../lab/days/*.toml") {
 		day := &benchDay{}
 		readTOML(t, path, day)
 		day.check(t, path)
@@ -66,7 +66,7 @@
 }
 
 func TestShippedBenchSitesHaveDays(t *testing.T) {
-	for _, path := range filesOf(t, "../../../lab/sites/*.bench.toml") {
+	for _, path := range filesOf(t, "../../../../lab/sites/*.bench.toml") {
 		described := &benchSite{}
 		readTOML(t, path, described)
 		if described.Name == "" || len(described.Days) == 0 {
--- a/internal/testing/lab/deployment/deployment_test.go
+++ b/internal/testing/lab/deployment/deployment_test.go
@@ -16,7 +16,7 @@
 const soundSizes = `"sizes":{"voters":1,"stores":1,"fronts":2,"zones":2,"model_servers":1,"tool_servers":1}`
 
 func TestShippedDeploymentsAreSound(t *testing.T) {
-	files, err := filepath.Glob("../../../lab/sites/*.json")
+	files, err := filepath.Glob("../../../../lab/sites/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
--- a/internal/testing/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestShippedExperimentsAreSound(t *testing.T) {
-	files, err := filepath.Glob("../../../experiments/*.json")
+	files, err := filepath.Glob("../../../../experiments/*.json")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
--- a/internal/testing/purity/purity_test.go
+++ b/internal/testing/purity/purity_test.go
@@ -11,7 +11,7 @@
 
 func TestDecisionPackagesReachNothingOutside(t *testing.T) {
 	for _, folder := range purity.Packages {
-		files, err := filepath.Glob(filepath.Join("..", "..", folder, "*.go"))
+		files, err := filepath.Glob(filepath.Join("..", "..", "..", folder, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
