--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -18,7 +18,7 @@
 	codeBadSignature    = failure.BadSignature
 	codeNotSigned       = failure.NotSigned
 	codeChangeUnderWay  = failure.ChangeUnderWay
-	codeLeaseRefused    = failure.LeaseRefused
+	codeLeaseRefused    = failure.LeaseRejected
 	codeStoreNotEmptied = failure.StoreNotEmptied
 )
 
--- a/internal/controlplane/core/lease_test.go
+++ b/internal/controlplane/core/lease_test.go
@@ -117,7 +117,7 @@
 		answer, err := leader.call(&protocol.Request{Body: &protocol.Request_RenewLease{RenewLease: &protocol.RenewLeaseRequest{Node: frontNode("f1", 3)}}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.GetRenewLease().GetGranted()).To(BeFalse())
-		Expect(answer.GetRenewLease().GetRefusal().GetCode()).To(Equal(string(failure.LeaseRefused)))
+		Expect(answer.GetRenewLease().GetRefusal().GetCode()).To(Equal(string(failure.LeaseRejected)))
 		Expect(answer.GetRenewLease().GetRefusal().GetMessage()).To(ContainSubstring("later incarnation"))
 	})
 
--- a/internal/controlplane/corelink/owner.go
+++ b/internal/controlplane/corelink/owner.go
@@ -173,7 +173,7 @@
 	switch {
 	case o.released:
 		return
-	case failure.Is(err, failure.LeaseRefused), err == nil && !answer.GetGranted():
+	case failure.Is(err, failure.LeaseRejected), err == nil && !answer.GetGranted():
 		o.refused(now, renewal, answer.GetRefusal(), err)
 	case err != nil:
 		o.link.metrics.renewals.WithLabelValues("failed").Inc()
@@ -222,7 +222,7 @@
 // changes, so the node asks ever more seldom; one without a reason is over soon.
 func (o *owner) refused(now time.Time, renewal lease.Renewal, refusal *protocol.Refusal, err error) {
 	o.link.metrics.renewals.WithLabelValues("refused").Inc()
-	o.holder.Refused(now, renewal)
+	o.holder.Rejected(now, renewal)
 	o.lapsed()
 	o.wasRefused = true
 	if o.succeed() {
--- a/internal/controlplane/lease/holder.go
+++ b/internal/controlplane/lease/holder.go
@@ -110,7 +110,7 @@
 }
 
 // Refused ends authority at once: the granter knows of a newer incarnation or refuses the node.
-func (h *Holder) Refused(now time.Time, renewal Renewal) {
+func (h *Holder) Rejected(now time.Time, renewal Renewal) {
 	if renewal.Incarnation == h.incarnation {
 		h.lapse(now)
 	}
--- a/internal/controlplane/lease/holder_test.go
+++ b/internal/controlplane/lease/holder_test.go
@@ -81,7 +81,7 @@
 	holder := newHolder()
 	renewal, _ := holder.Send(at(0))
 	holder.Granted(at(1), renewal, duration, 0)
-	holder.Refused(at(2), renewal)
+	holder.Rejected(at(2), renewal)
 	if holder.Held(at(3)) || holder.Incarnation() <= 1 {
 		t.Fatal("refused and still held")
 	}
--- a/internal/dataplane/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -239,7 +239,7 @@
 	switch decision.Verdict {
 	case limit.Run:
 		return nil
-	case limit.RefuseLate:
+	case limit.RejectLate:
 		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "no slot became free in time",
 			failure.WithRetryAfter(decision.RetryAfter)).Failure
 	default:
--- a/internal/dataplane/front/backendclient.go
+++ b/internal/dataplane/front/backendclient.go
@@ -175,7 +175,7 @@
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return &backEndError{
-			fault: turn.FaultRefused, retryAfter: retryAfter(response),
+			fault: turn.FaultUnavailable, retryAfter: retryAfter(response),
 			detail: "the back end refused with status " + strconv.Itoa(response.StatusCode),
 		}
 	case http.StatusConflict:
--- a/internal/dataplane/front/backends.go
+++ b/internal/dataplane/front/backends.go
@@ -66,7 +66,7 @@
 		return schedule.OutcomeUnreachable
 	case turn.FaultBroken, turn.FaultMismatch:
 		return schedule.OutcomeFault
-	case turn.FaultRefused, turn.FaultFenced, turn.FaultRejected, turn.FaultWrongVersion:
+	case turn.FaultUnavailable, turn.FaultFenced, turn.FaultRejected, turn.FaultWrongVersion:
 	}
 	return schedule.OutcomeNotExecuted
 }
--- a/internal/dataplane/front/httpissue.go
+++ b/internal/dataplane/front/httpissue.go
@@ -59,11 +59,11 @@
 		return nil, &backEndError{fault: fault, detail: err.Error(), blameless: fault == turn.FaultNotSent && ctx.Err() != nil}
 	}
 	fault := c.faultOf(response, request.requestID)
-	if fault == nil || fault.fault == turn.FaultRefused {
+	if fault == nil || fault.fault == turn.FaultUnavailable {
 		c.noteLoad(request.server, response.Header)
 	}
 	if fault != nil {
-		if request.pin != nil && response.Status == http.StatusMisdirectedRequest && fault.fault == turn.FaultRefused {
+		if request.pin != nil && response.Status == http.StatusMisdirectedRequest && fault.fault == turn.FaultUnavailable {
 			fault.fault = turn.FaultWrongVersion
 		}
 		return nil, fault
@@ -144,7 +144,7 @@
 		detail := "the server refused with status " + strconv.Itoa(response.Status)
 		_, _ = response.ReadAll(maxFaultAnswerBytes)
 		response.Close()
-		return &backEndError{fault: turn.FaultRefused, retryAfter: retryAfterOf(header), detail: detail}
+		return &backEndError{fault: turn.FaultUnavailable, retryAfter: retryAfterOf(header), detail: detail}
 	}
 	if header.Get(c.dialect.Signature) == "" {
 		response.Discard()
--- a/internal/dataplane/front/stepgates.go
+++ b/internal/dataplane/front/stepgates.go
@@ -157,9 +157,9 @@
 	switch decision.Verdict {
 	case trainingstep.Run:
 		return nil
-	case trainingstep.RefuseFull:
+	case trainingstep.RejectFull:
 		message = "too many generations of the training step wait"
-	case trainingstep.RefuseLate:
+	case trainingstep.RejectLate:
 	}
-	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message, failure.WithRetryAfter(trainingstep.RefusedRetry)).Failure
+	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message, failure.WithRetryAfter(trainingstep.RejectedRetryAfter)).Failure
 }
--- a/internal/dataplane/front/toolrun.go
+++ b/internal/dataplane/front/toolrun.go
@@ -169,8 +169,8 @@
 		return turn.CallFinished{Result: r.ledger("outcome", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation},
 		})}
-	case turn.RefuseCall:
-		return turn.CallRefused{Result: r.ledger("refuse", &protocol.LedgerOperation{
+	case turn.RejectCall:
+		return turn.CallRejected{Result: r.ledger("refuse", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_RefuseCall{RefuseCall: command.Operation},
 		})}
 	case turn.IssueCall:
--- a/internal/dataplane/front/turnrun.go
+++ b/internal/dataplane/front/turnrun.go
@@ -182,8 +182,8 @@
 	if fault.fault == turn.FaultWrongVersion {
 		r.server.refuseVersion(r.pin.version, r.now())
 	}
-	if fault.fault == turn.FaultRefused && !r.isOfStep() {
-		r.service.admission.record(r.route.GetGroup(), limit.Sample{Refused: true})
+	if fault.fault == turn.FaultUnavailable && !r.isOfStep() {
+		r.service.admission.record(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
 	r.explanation.step("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
@@ -238,8 +238,8 @@
 		return r.settle(command)
 	case turn.Release:
 		return r.release(command)
-	case turn.Refuse:
-		return turn.Refused{Result: r.refuse(command)}
+	case turn.Reject:
+		return turn.Rejected{Result: r.refuse(command)}
 	case turn.ReadKept:
 		kept, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
 		return turn.KeptRead{Turn: kept, Status: status}
--- a/internal/dataplane/front/turnsteps.go
+++ b/internal/dataplane/front/turnsteps.go
@@ -176,7 +176,7 @@
 // refuse puts the request's tombstone. One that is refused at once hears that
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
-func (r *turnRun) refuse(command turn.Refuse) *protocol.LedgerResult {
+func (r *turnRun) refuse(command turn.Reject) *protocol.LedgerResult {
 	if !command.AtOnce {
 		return r.service.refuseRequest(r.ctx, r.key.program, command.Operation)
 	}
--- a/internal/dataplane/limit/concurrency.go
+++ b/internal/dataplane/limit/concurrency.go
@@ -59,12 +59,12 @@
 	// Latency is the time from issue to the first token; zero is not measured.
 	Latency time.Duration
 	// Refused is true when a back end answered that it is overloaded.
-	Refused bool
+	Rejected bool
 }
 
 // Record takes one sample, measured with inFlight requests under way.
 func (c *Concurrency) Record(sample Sample, inFlight int, now time.Time) {
-	slow := sample.Refused
+	slow := sample.Rejected
 	if sample.Latency > 0 {
 		slow = slow || c.baseline > 0 && sample.Latency > slowFactor*c.baseline+slowMargin
 		c.learn(sample.Latency)
--- a/internal/dataplane/limit/expectation.go
+++ b/internal/dataplane/limit/expectation.go
@@ -138,7 +138,7 @@
 		return true
 	}
 	share := waitShare
-	if class.held(ticket.Tenant) == 0 || ticket.Refusals > 0 {
+	if class.held(ticket.Tenant) == 0 || ticket.Rejections > 0 {
 		share = firstWaitShare
 	}
 	return wait > time.Duration(share*float64(q.maxWait)) || exceeds(wait, ticket.MaxWait) || exceeds(wait, ticket.MaxExpectedWait)
--- a/internal/dataplane/limit/limit_test.go
+++ b/internal/dataplane/limit/limit_test.go
@@ -87,7 +87,7 @@
 func TestRefusalsOfBackEndsLowerTheLimitAtMostOnceInAWhile(t *testing.T) {
 	concurrency := limit.NewConcurrency(100)
 	for range 50 {
-		concurrency.Record(limit.Sample{Refused: true}, 100, start)
+		concurrency.Record(limit.Sample{Rejected: true}, 100, start)
 	}
 	if concurrency.Limit() != 85 {
 		t.Fatalf("limit is %d", concurrency.Limit())
@@ -188,7 +188,7 @@
 		s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))
 	}
 	refused := s.verdicts[s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))]
-	if refused.Verdict != limit.RefuseFull {
+	if refused.Verdict != limit.RejectFull {
 		t.Fatalf("verdict %+v", refused)
 	}
 	// Ten a second drain, five are ahead or equal: about half a second.
@@ -204,11 +204,11 @@
 		last = s.enter(protocol.Priority_PROBE, "greedy", 1, start)
 	}
 	modest := s.enter(protocol.Priority_PROBE, "modest", 1, start)
-	if s.verdicts[last].Verdict != limit.RefuseFull || s.verdicts[modest].Verdict != 0 {
+	if s.verdicts[last].Verdict != limit.RejectFull || s.verdicts[modest].Verdict != 0 {
 		t.Fatalf("verdicts %+v", s.verdicts)
 	}
 	again := s.enter(protocol.Priority_PROBE, "greedy", 1, start)
-	if s.verdicts[again].Verdict != limit.RefuseFull {
+	if s.verdicts[again].Verdict != limit.RejectFull {
 		t.Fatal("the greedy tenant took the place back")
 	}
 }
@@ -221,11 +221,11 @@
 		t.Fatalf("next expiry %v", next)
 	}
 	s.note(s.queue.Expire(at(300 * time.Millisecond)))
-	if s.verdicts[77].Verdict != limit.RefuseLate || s.verdicts[waits].Verdict != 0 {
+	if s.verdicts[77].Verdict != limit.RejectLate || s.verdicts[waits].Verdict != 0 {
 		t.Fatalf("verdicts %+v", s.verdicts)
 	}
 	s.note(s.queue.Expire(at(time.Second)))
-	if s.verdicts[waits].Verdict != limit.RefuseLate || !s.queue.NextExpiry().IsZero() {
+	if s.verdicts[waits].Verdict != limit.RejectLate || !s.queue.NextExpiry().IsZero() {
 		t.Fatalf("verdicts %+v", s.verdicts)
 	}
 }
--- a/internal/dataplane/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, decision := range s.verdicts {
-		if decision.Verdict == limit.RefuseLate {
+		if decision.Verdict == limit.RejectLate {
 			late++
 		}
 	}
@@ -55,7 +55,7 @@
 	for range 100 {
 		burst = append(burst, s.enter(protocol.Priority_INTERACTIVE, "a", 1, now))
 	}
-	refused := s.count(burst, limit.RefuseFull)
+	refused := s.count(burst, limit.RejectFull)
 	if refused < 90 || refused > 96 {
 		t.Fatalf("%d of 100 refused at once; four a second run, so that two to eight may wait", refused)
 	}
@@ -98,7 +98,7 @@
 func TestAQueueThatKnowsNoServiceTimeTakesWhatItHolds(t *testing.T) {
 	s := newTickets(50, 2*time.Second, 2)
 	for range 52 {
-		if id := s.enter(protocol.Priority_PROBE, "a", 1, start); s.verdicts[id].Verdict == limit.RefuseFull {
+		if id := s.enter(protocol.Priority_PROBE, "a", 1, start); s.verdicts[id].Verdict == limit.RejectFull {
 			t.Fatalf("ticket %d refused", id)
 		}
 	}
@@ -109,13 +109,13 @@
 	now := start
 	for range 5 {
 		now = now.Add(500 * time.Millisecond)
-		concurrency.Record(limit.Sample{Refused: true}, 50, now)
+		concurrency.Record(limit.Sample{Rejected: true}, 50, now)
 	}
 	if concurrency.Limit() > 50 || concurrency.Limit() < 8 {
 		t.Fatalf("after five refusals half a second apart, with 50 under way, the limit is %d", concurrency.Limit())
 	}
 	single := limit.NewConcurrency(1024)
-	single.Record(limit.Sample{Refused: true}, 1, start)
+	single.Record(limit.Sample{Rejected: true}, 1, start)
 	if single.Limit() < 400 {
 		t.Fatalf("one refusal cut the limit to %d", single.Limit())
 	}
@@ -187,8 +187,8 @@
 				classes[s.classOf[id].Class]++
 			}
 		}
-		refused := counts[limit.RefuseFull] + counts[limit.RefuseLate]
-		if late := counts[limit.RefuseLate]; late*200 > refused {
+		refused := counts[limit.RejectFull] + counts[limit.RejectLate]
+		if late := counts[limit.RejectLate]; late*200 > refused {
 			t.Errorf("seed %d: %d of %d refusals came late", seed, late, refused)
 		}
 		// Twenty a second for six seconds, and what ran before.
@@ -210,7 +210,7 @@
 	for range 100 {
 		burst = append(burst, s.enter(protocol.Priority_INTERACTIVE, "a", 1, now))
 	}
-	if ran, refused := s.count(burst, limit.Run), s.count(burst, limit.RefuseFull); ran != 20 || refused < 72 || refused > 78 {
+	if ran, refused := s.count(burst, limit.Run), s.count(burst, limit.RejectFull); ran != 20 || refused < 72 || refused > 78 {
 		t.Fatalf("%d ran and %d of 100 were refused at once: 20 run now, but only two slots stay", ran, refused)
 	}
 }
--- a/internal/dataplane/limit/queue.go
+++ b/internal/dataplane/limit/queue.go
@@ -49,7 +49,7 @@
 	ProgramDeadline time.Time
 	ExpectedWork    time.Duration
 	// Refusals counts how often the same request was refused before, as far as is known.
-	Refusals uint32
+	Rejections uint32
 }
 
 // Verdict says what became of a ticket.
@@ -60,9 +60,9 @@
 	// Run gives the ticket a slot, which Leave gives back.
 	Run Verdict = iota + 1
 	// RefuseFull means that the class's queue is full, or so long that the ticket would wait too long.
-	RefuseFull
+	RejectFull
 	// RefuseLate means that the ticket waited too long or its deadline passed.
-	RefuseLate
+	RejectLate
 )
 
 // Decision is the verdict on one ticket. A refusal is final.
@@ -183,14 +183,14 @@
 	class := q.class(ticket.Class)
 	class.ask(ticket, now)
 	if wait := q.expectedWait(class, ticket, now); q.tooLate(class, ticket, wait, now) {
-		return append(decisions, q.refuse(class, ticket, RefuseFull, boundRetry(wait), now)...)
+		return append(decisions, q.refuse(class, ticket, RejectFull, boundRetry(wait), now)...)
 	}
 	if class.count >= q.maxQueued {
 		refused, made := class.makeRoom(ticket)
 		if !made {
 			refused = ticket
 		}
-		decisions = append(decisions, q.refuse(class, refused, RefuseFull, q.retryAfter(class.count), now)...)
+		decisions = append(decisions, q.refuse(class, refused, RejectFull, q.retryAfter(class.count), now)...)
 		if !made {
 			return decisions
 		}
@@ -279,7 +279,7 @@
 				late := !now.Before(w.expires)
 				if late {
 					class.count--
-					decisions = append(decisions, q.refuse(class, w.ticket, RefuseLate, q.retryAfter(class.count), now)...)
+					decisions = append(decisions, q.refuse(class, w.ticket, RejectLate, q.retryAfter(class.count), now)...)
 				}
 				return late
 			})
--- a/internal/dataplane/limit/urgency.go
+++ b/internal/dataplane/limit/urgency.go
@@ -30,5 +30,5 @@
 	} else if !latest.IsZero() {
 		urgency = now.Add(lateSlack)
 	}
-	return urgency.Add(-time.Duration(t.Refusals) * refusalCredit)
+	return urgency.Add(-time.Duration(t.Rejections) * refusalCredit)
 }
--- a/internal/dataplane/limit/urgency_test.go
+++ b/internal/dataplane/limit/urgency_test.go
@@ -39,7 +39,7 @@
 func TestATicketThatWasRefusedBeforeComesForward(t *testing.T) {
 	s := newTickets(100, time.Minute, 0)
 	first := s.put(limit.Ticket{Class: interactive}, start)
-	again := s.put(limit.Ticket{Class: interactive, Refusals: 1}, at(100*time.Millisecond))
+	again := s.put(limit.Ticket{Class: interactive, Rejections: 1}, at(100*time.Millisecond))
 	s.note(s.queue.SetSlots(2))
 	if s.ran[0] != again || s.ran[1] != first {
 		t.Fatalf("ran %v", s.ran)
@@ -71,10 +71,10 @@
 		t.Fatalf("next expiry %v", next)
 	}
 	s.note(s.queue.Expire(at(50 * time.Millisecond)))
-	if s.verdicts[short].Verdict != limit.RefuseLate || s.verdicts[long].Verdict != 0 {
+	if s.verdicts[short].Verdict != limit.RejectLate || s.verdicts[long].Verdict != 0 {
 		t.Fatalf("%+v", s.verdicts)
 	}
-	if s.note(s.queue.Expire(at(2 * time.Second))); s.verdicts[long].Verdict != limit.RefuseLate {
+	if s.note(s.queue.Expire(at(2 * time.Second))); s.verdicts[long].Verdict != limit.RejectLate {
 		t.Fatal("a ticket waits longer than the queue allows")
 	}
 }
@@ -86,7 +86,7 @@
 		s.enter(interactive, "a", 1, now)
 	}
 	short := s.put(limit.Ticket{Class: interactive, Tenant: "a", MaxWait: 50 * time.Millisecond}, now)
-	if s.verdicts[short].Verdict != limit.RefuseFull || s.verdicts[short].RetryAfter < 500*time.Millisecond {
+	if s.verdicts[short].Verdict != limit.RejectFull || s.verdicts[short].RetryAfter < 500*time.Millisecond {
 		t.Fatalf("%+v", s.verdicts[short])
 	}
 }
@@ -98,10 +98,10 @@
 		s.enter(interactive, "a", 1, now)
 	}
 	// Four wait, four a second run: a new one would wait for 1.25 s.
-	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a"}, now); s.verdicts[id].Verdict != limit.RefuseFull {
+	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a"}, now); s.verdicts[id].Verdict != limit.RejectFull {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
-	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a", Refusals: 1}, now); s.verdicts[id].Verdict != 0 {
+	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a", Rejections: 1}, now); s.verdicts[id].Verdict != 0 {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
 }
@@ -116,7 +116,7 @@
 	for range 8 {
 		s.enter(interactive, "a", 1, now)
 	}
-	if id := s.put(hopeless, now); s.verdicts[id].Verdict != limit.RefuseFull {
+	if id := s.put(hopeless, now); s.verdicts[id].Verdict != limit.RejectFull {
 		t.Fatalf("waits two seconds with half a second to spare: %+v", s.verdicts[id])
 	}
 	hopeless.ExpectedWork = 100 * time.Millisecond
@@ -133,7 +133,7 @@
 		ids = append(ids, s.enter(interactive, "a", 1, start))
 	}
 	// One slot, two that wait, six to spare, and then refusals.
-	if ran, refused := s.count(ids, limit.Run), s.count(ids, limit.RefuseFull); ran != 7 || refused != 3 {
+	if ran, refused := s.count(ids, limit.Run), s.count(ids, limit.RejectFull); ran != 7 || refused != 3 {
 		t.Fatalf("%d ran, %d were refused", ran, refused)
 	}
 	if s.queue.InFlight() != 7 {
@@ -141,7 +141,7 @@
 	}
 	s.queue.SetSpare(1)
 	s.note(s.queue.Expire(at(time.Second)))
-	if ran, late := s.count(ids, limit.Run), s.count(ids, limit.RefuseLate); ran != 8 || late != 1 {
+	if ran, late := s.count(ids, limit.Run), s.count(ids, limit.RejectLate); ran != 8 || late != 1 {
 		t.Fatalf("%d ran, %d were refused late", ran, late)
 	}
 }
@@ -151,7 +151,7 @@
 	s.queue.SetSpare(100)
 	id := s.put(limit.Ticket{Class: interactive, Deadline: at(100 * time.Millisecond)}, start)
 	s.note(s.queue.Expire(at(100 * time.Millisecond)))
-	if s.verdicts[id].Verdict != limit.RefuseLate {
+	if s.verdicts[id].Verdict != limit.RejectLate {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
 }
@@ -239,7 +239,7 @@
 	if s.verdicts[first].Verdict != 0 {
 		t.Fatalf("one that expects a wait of 250 ms: %+v", s.verdicts[first])
 	}
-	if refused := s.verdicts[second]; refused.Verdict != limit.RefuseFull || refused.RetryAfter == 0 {
+	if refused := s.verdicts[second]; refused.Verdict != limit.RejectFull || refused.RetryAfter == 0 {
 		t.Fatalf("one that expects a wait of 500 ms: %+v", refused)
 	}
 	s.note(s.queue.Expire(now.Add(time.Second)))
--- a/internal/dataplane/trainingstep/gate.go
+++ b/internal/dataplane/trainingstep/gate.go
@@ -14,7 +14,7 @@
 	// one is let in all the same, so that a step goes on however busy the fleet is.
 	Patience = 2 * time.Second
 	// RefusedRetry is told to a generation that found no place.
-	RefusedRetry = time.Second
+	RejectedRetryAfter = time.Second
 )
 
 // Room is what the servers of a version can take of this front node's generations.
@@ -40,9 +40,9 @@
 	// Run gives a place, which Leave gives back.
 	Run Verdict = iota + 1
 	// RefuseFull means that too many wait.
-	RefuseFull
+	RejectFull
 	// RefuseLate means that the ticket waited too long.
-	RefuseLate
+	RejectLate
 )
 
 // Decision is the verdict on one ticket.
@@ -73,7 +73,7 @@
 // Enter takes a ticket in.
 func (g *Gate) Enter(ticket Ticket, room Room, now time.Time) []Decision {
 	if len(g.waiting) >= MaxWaiting {
-		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RefuseFull})
+		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RejectFull})
 	}
 	expires := now.Add(MaxWait)
 	if !ticket.Deadline.IsZero() && ticket.Deadline.Before(expires) {
@@ -102,7 +102,7 @@
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool {
 		late := !now.Before(w.expires)
 		if late {
-			decisions = append(decisions, Decision{ID: w.id, Verdict: RefuseLate})
+			decisions = append(decisions, Decision{ID: w.id, Verdict: RejectLate})
 		}
 		return late
 	})
--- a/internal/dataplane/trainingstep/gate_test.go
+++ b/internal/dataplane/trainingstep/gate_test.go
@@ -57,7 +57,7 @@
 	if ran := idsOf(gate.Leave(busy, now.Add(time.Second)), trainingstep.Run); !slices.Equal(ran, []uint64{1}) {
 		t.Fatalf("then %v", ran)
 	}
-	late := idsOf(gate.Dispatch(busy, start.Add(trainingstep.MaxWait)), trainingstep.RefuseLate)
+	late := idsOf(gate.Dispatch(busy, start.Add(trainingstep.MaxWait)), trainingstep.RejectLate)
 	if !slices.Equal(late, []uint64{2}) {
 		t.Fatalf("late %v", late)
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	full := gate.Enter(trainingstep.Ticket{ID: trainingstep.MaxWaiting}, none, start)
-	if !slices.Equal(idsOf(full, trainingstep.RefuseFull), []uint64{trainingstep.MaxWaiting}) {
+	if !slices.Equal(idsOf(full, trainingstep.RejectFull), []uint64{trainingstep.MaxWaiting}) {
 		t.Fatalf("decided %v", full)
 	}
 	if !gate.Cancel(0) || gate.Cancel(0) || gate.Waiting() != trainingstep.MaxWaiting-1 {
--- a/internal/dataplane/turn/command.go
+++ b/internal/dataplane/turn/command.go
@@ -66,7 +66,7 @@
 type Release struct{ Operation *protocol.ReleaseTurn }
 
 // Refuse marks the request as never to be run; answered by Refused.
-type Refuse struct {
+type Reject struct {
 	Operation *protocol.RefuseRequest
 	// AtOnce is set for what is refused because there is too much to do: its
 	// answer does not wait long for the ledger's word.
@@ -104,7 +104,7 @@
 func (Emit) command()          {}
 func (Settle) command()        {}
 func (Release) command()       {}
-func (Refuse) command()        {}
+func (Reject) command()        {}
 func (ReadKept) command()      {}
 func (Pause) command()         {}
 func (Remember) command()      {}
--- a/internal/dataplane/turn/ending.go
+++ b/internal/dataplane/turn/ending.go
@@ -17,13 +17,13 @@
 	m.failure = f
 	m.state = stateRefusing
 	request := m.parameters.Request
-	return append(m.leave(), Refuse{Operation: &protocol.RefuseRequest{
+	return append(m.leave(), Reject{Operation: &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	}, AtOnce: failure.Code(f.GetCode()) == failure.Overloaded})
 }
 
 func (m *Machine) refusing(event Event, now time.Time) []Command {
-	refused, matches := event.(Refused)
+	refused, matches := event.(Rejected)
 	if !matches {
 		return nil
 	}
@@ -53,7 +53,7 @@
 			m.failure.Outcome = protocol.Outcome_NOT_RUN
 			return m.end(m.failure)
 		}
-		return m.end(failure.New(failure.RequestRefused, protocol.Outcome_NOT_RUN,
+		return m.end(failure.New(failure.RequestRejected, protocol.Outcome_NOT_RUN,
 			"this request was refused before; send it again under a new idempotency key").Failure)
 	default:
 		return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
--- a/internal/dataplane/turn/event.go
+++ b/internal/dataplane/turn/event.go
@@ -90,7 +90,7 @@
 	// FaultNotSent is a failed connect: the back end never saw the request.
 	FaultNotSent BackEndFault = iota + 1
 	// FaultRefused is a 429 or 503: the back end did not run the request.
-	FaultRefused
+	FaultUnavailable
 	// FaultBroken is a broken or garbled answer: it may have run.
 	FaultBroken
 	// FaultMismatch is an answer that belongs to another request.
@@ -105,7 +105,7 @@
 
 // SurelyDidNotRun reports whether an attempt that failed so was not run.
 func (f BackEndFault) SurelyDidNotRun() bool {
-	return f == FaultNotSent || f == FaultRefused || f == FaultWrongVersion
+	return f == FaultNotSent || f == FaultUnavailable || f == FaultWrongVersion
 }
 
 // String names the fault for explanations.
@@ -134,7 +134,7 @@
 type Released struct{ Result *protocol.LedgerResult }
 
 // Refused carries the ledger's answer to Refuse.
-type Refused struct{ Result *protocol.LedgerResult }
+type Rejected struct{ Result *protocol.LedgerResult }
 
 // KeptRead carries a kept turn, or nil with the reason.
 type KeptRead struct {
@@ -187,7 +187,7 @@
 func (RetryDecided) event()    {}
 func (Settled) event()         {}
 func (Released) event()        {}
-func (Refused) event()         {}
+func (Rejected) event()        {}
 func (KeptRead) event()        {}
 func (Waited) event()          {}
 func (Stopped) event()         {}
--- a/internal/dataplane/turn/httpturn_test.go
+++ b/internal/dataplane/turn/httpturn_test.go
@@ -145,7 +145,7 @@
 		o.released = command.Operation
 	case turn.Emit:
 		o.emit(command.Event)
-	case turn.Reserve, turn.Settle, turn.Refuse:
+	case turn.Reserve, turn.Settle, turn.Reject:
 		if !o.ledgered {
 			o.t.Fatalf("%T asked of the ledger", command)
 		}
@@ -175,7 +175,7 @@
 		o.settled = o.settled || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.BackEndFailed:
-		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultRefused
+		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
 		o.mayHaveRun = o.mayHaveRun || o.issuedNow && !surelyNot
 		o.issuedNow = false
 	case turn.Head, turn.Token, turn.AnsweredWhole, turn.BackEndDone:
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -35,7 +35,7 @@
 	}), answers: map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "history": {turn.HistoryRead{Status: ok.GetStatus()}}, "admit": {turn.Admitted{}},
 		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}}, "retry": {turn.RetryDecided{Granted: true}},
-		"settle": {turn.Settled{Result: ok}}, "release": {turn.Released{Result: ok}}, "refuse": {turn.Refused{Result: ok}},
+		"settle": {turn.Settled{Result: ok}}, "release": {turn.Released{Result: ok}}, "refuse": {turn.Rejected{Result: ok}},
 		"pause": {turn.Waited{}}, "issue": {},
 	}}
 }
@@ -79,7 +79,7 @@
 		return "settle"
 	case turn.Release:
 		return "release"
-	case turn.Refuse:
+	case turn.Reject:
 		return "refuse"
 	case turn.ReadKept:
 		return "kept"
@@ -148,7 +148,7 @@
 	token  = turn.Token{Text: "a", Tokens: 1}
 	done   = turn.BackEndDone{InputTokens: 5, OutputTokens: 2, CachedTokens: 1, Nonce: "n1"}
 	broken = turn.BackEndFailed{Fault: turn.FaultBroken, Detail: "broke"}
-	busy   = turn.BackEndFailed{Fault: turn.FaultRefused, RetryAfter: 3 * time.Second, Detail: "429"}
+	busy   = turn.BackEndFailed{Fault: turn.FaultUnavailable, RetryAfter: 3 * time.Second, Detail: "429"}
 )
 
 func TestATurnIsReservedIssuedSettledAndOnlyThenCompleted(t *testing.T) {
@@ -207,7 +207,7 @@
 func TestARefusalThatTheLedgerDoesNotConfirmIsUnknown(t *testing.T) {
 	full := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "full").Failure
 	s := newScript(&protocol.TurnRequest{}).on("admit", turn.NotAdmitted{Failure: full}).
-		on("refuse", turn.Refused{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
+		on("refuse", turn.Rejected{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_UNKNOWN)
 }
 
@@ -226,7 +226,7 @@
 		t.Fatalf("answered %v", s.last())
 	}
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
-	wantFailure(t, s, failure.RequestRefused, protocol.Outcome_NOT_RUN)
+	wantFailure(t, s, failure.RequestRejected, protocol.Outcome_NOT_RUN)
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_CHARGED)}).run()
 	wantFailure(t, s, failure.OutcomeUnknown, protocol.Outcome_UNKNOWN)
 }
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -62,16 +62,16 @@
 		return turn.Settled{Result: drawResult(t)}
 	case turn.Release:
 		return turn.Released{Result: drawResult(t)}
-	case turn.Refuse:
-		return turn.Refused{Result: drawResult(t)}
+	case turn.Reject:
+		return turn.Rejected{Result: drawResult(t)}
 	case turn.ReadKept:
 		return turn.KeptRead{Turn: &protocol.Turn{Id: "turn_1"}, Status: protocol.LedgerStatus_LEDGER_OK}
 	case turn.BeginCall:
 		return turn.CallBegun{Result: drawResult(t)}
 	case turn.FinishCall:
 		return turn.CallFinished{Result: drawResult(t)}
-	case turn.RefuseCall:
-		return turn.CallRefused{Result: drawResult(t)}
+	case turn.RejectCall:
+		return turn.CallRejected{Result: drawResult(t)}
 	case turn.IssueCall:
 		if rapid.Bool().Draw(t, "done") {
 			return turn.CallDone{Status: 200, Body: []byte("{}"), ContentType: "application/json"}
@@ -154,7 +154,7 @@
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.Released:
 		o.prove(event.Result)
-	case turn.Refused:
+	case turn.Rejected:
 		o.prove(event.Result)
 	}
 }
@@ -245,7 +245,7 @@
 			t.Fatalf("called not run although it may have run: %v", f)
 		}
 		takenElsewhere := f.GetCode() == string(failure.Fenced) || f.GetCode() == string(failure.NoAuthority) ||
-			f.GetCode() == string(failure.RequestRefused)
+			f.GetCode() == string(failure.RequestRejected)
 		if !firstSend && !o.proved && !takenElsewhere {
 			t.Fatalf("called not run without the ledger's word: %v", f)
 		}
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -110,7 +110,7 @@
 		if m.passed > m.parameters.Ceiling/restartShare {
 			return m.giveUp(now)
 		}
-	case FaultNotSent, FaultRefused, FaultWrongVersion:
+	case FaultNotSent, FaultUnavailable, FaultWrongVersion:
 	}
 	if m.tries >= m.parameters.Attempts {
 		return m.giveUp(now)
@@ -134,7 +134,7 @@
 	m.markRun(fault.Fault)
 	code, wait := failure.BackEndFailed, time.Duration(0)
 	switch fault.Fault {
-	case FaultRefused:
+	case FaultUnavailable:
 		code, wait = failure.Overloaded, max(fault.RetryAfter, busyRetry)
 	case FaultNotSent:
 		code, wait = failure.NoBackEnd, busyRetry
--- a/internal/dataplane/turn/toolcall.go
+++ b/internal/dataplane/turn/toolcall.go
@@ -107,7 +107,7 @@
 		return m.retry(event, now)
 	case CallFinished:
 		return m.finished(event, now)
-	case CallRefused:
+	case CallRejected:
 		return m.refused(event)
 	case Waited:
 		return m.waited()
@@ -229,7 +229,7 @@
 func (m *CallMachine) recorded(record *protocol.CallRecord) []Command {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
-		return m.fail(failure.New(failure.RequestRefused, protocol.Outcome_NOT_RUN,
+		return m.fail(failure.New(failure.RequestRejected, protocol.Outcome_NOT_RUN,
 			"this call was refused before; send it again under a new idempotency key").Failure)
 	case record.GetState() != protocol.CallState_CALL_DONE:
 		return m.fail(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
--- a/internal/dataplane/turn/toolcall_test.go
+++ b/internal/dataplane/turn/toolcall_test.go
@@ -19,7 +19,7 @@
 	})
 	defaults := map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
-		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}}, "refuse": {turn.CallRefused{Result: ok}},
+		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}}, "refuse": {turn.CallRejected{Result: ok}},
 		"issue": {ran}, "retry": {turn.RetryDecided{Granted: true}}, "pause": {turn.Waited{}},
 	}
 	maps.Copy(defaults, answers)
@@ -54,7 +54,7 @@
 		return "begin"
 	case turn.FinishCall:
 		return "finish"
-	case turn.RefuseCall:
+	case turn.RejectCall:
 		return "refuse"
 	case turn.IssueCall:
 		return "issue"
@@ -121,7 +121,7 @@
 		},
 		"is refused by an earlier tombstone": {
 			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}}},
-			code:    failure.RequestRefused, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
+			code:    failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
 		"writes the same intent again after no answer": {
 			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: unavailable}, turn.CallBegun{Result: ok}}},
--- a/internal/dataplane/turn/toolcommand.go
+++ b/internal/dataplane/turn/toolcommand.go
@@ -9,7 +9,7 @@
 type FinishCall struct{ Operation *protocol.FinishCall }
 
 // RefuseCall marks a non-repeatable call as never to be run; answered by CallRefused.
-type RefuseCall struct{ Operation *protocol.RefuseCall }
+type RejectCall struct{ Operation *protocol.RefuseCall }
 
 // IssueCall sends the call to a back end; answered by CallDone or BackEndFailed.
 type IssueCall struct {
@@ -27,7 +27,7 @@
 type CallFinished struct{ Result *protocol.LedgerResult }
 
 // CallRefused carries the ledger's answer to RefuseCall.
-type CallRefused struct{ Result *protocol.LedgerResult }
+type CallRejected struct{ Result *protocol.LedgerResult }
 
 // CallDone is the tool server's answer.
 type CallDone struct {
@@ -40,10 +40,10 @@
 
 func (BeginCall) command()  {}
 func (FinishCall) command() {}
-func (RefuseCall) command() {}
+func (RejectCall) command() {}
 func (IssueCall) command()  {}
 func (Answer) command()     {}
 func (CallBegun) event()    {}
 func (CallFinished) event() {}
-func (CallRefused) event()  {}
+func (CallRejected) event() {}
 func (CallDone) event()     {}
--- a/internal/dataplane/turn/toolending.go
+++ b/internal/dataplane/turn/toolending.go
@@ -38,7 +38,7 @@
 
 func callFailure(event BackEndFailed) *protocol.Failure {
 	switch event.Fault {
-	case FaultRefused:
+	case FaultUnavailable:
 		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, event.Detail,
 			failure.WithRetryAfter(max(event.RetryAfter, busyRetry))).Failure
 	case FaultNotSent:
@@ -100,10 +100,10 @@
 	}
 	m.failure = f
 	m.state = callRefusing
-	return append(m.leave(), RefuseCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}})
+	return append(m.leave(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}})
 }
 
-func (m *CallMachine) refused(event CallRefused) []Command {
+func (m *CallMachine) refused(event CallRejected) []Command {
 	if m.state != callRefusing {
 		return nil
 	}
--- a/internal/failure/codes.go
+++ b/internal/failure/codes.go
@@ -41,7 +41,7 @@
 	BudgetSpent       Code = "budget_spent"
 	BudgetHeld        Code = "budget_held"
 	SessionBusy       Code = "session_busy"
-	RequestRefused    Code = "request_refused"
+	RequestRejected   Code = "request_refused"
 	Overloaded        Code = "overloaded"
 	RateLimited       Code = "rate_limited"
 	NoBackEnd         Code = "no_back_end"
@@ -73,7 +73,7 @@
 	InvalidOrder    Code = "invalid_order"
 	BadSignature    Code = "bad_signature"
 	NotSigned       Code = "not_signed"
-	LeaseRefused    Code = "lease_refused"
+	LeaseRejected   Code = "lease_refused"
 	WrongCluster    Code = "wrong_cluster"
 	ChangeUnderWay  Code = "change_under_way"
 	StoreNotEmptied Code = "store_not_emptied"
@@ -92,7 +92,7 @@
 	UnknownProgram: http.StatusNotFound, WrongContinuation: http.StatusConflict,
 	TurnMissing: http.StatusNotFound, BudgetSpent: http.StatusPaymentRequired,
 	BudgetHeld: http.StatusTooManyRequests, SessionBusy: http.StatusConflict,
-	RequestRefused: http.StatusConflict, Overloaded: http.StatusServiceUnavailable,
+	RequestRejected: http.StatusConflict, Overloaded: http.StatusServiceUnavailable,
 	RateLimited: http.StatusTooManyRequests, NoBackEnd: http.StatusServiceUnavailable,
 	BackEndFailed: http.StatusBadGateway, OutcomeUnknown: http.StatusBadGateway,
 	CallUnderWay: http.StatusConflict, NotOwner: http.StatusMisdirectedRequest,
@@ -104,7 +104,7 @@
 	VersionTaken: http.StatusConflict, WrongBase: http.StatusConflict,
 	InvalidBundle: http.StatusUnprocessableEntity, InvalidOrder: http.StatusUnprocessableEntity,
 	BadSignature: http.StatusForbidden, NotSigned: http.StatusConflict,
-	LeaseRefused: http.StatusConflict, WrongCluster: http.StatusConflict,
+	LeaseRejected: http.StatusConflict, WrongCluster: http.StatusConflict,
 	ChangeUnderWay: http.StatusConflict, StoreNotEmptied: http.StatusConflict,
 }
 
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -244,14 +244,14 @@
 }
 
 // refusalOf reads the body of a failure; one that is not of the API's form leaves the outcome open.
-func refusalOf(status int, body []byte) *RefusedError {
+func refusalOf(status int, body []byte) *RejectedError {
 	var document struct {
 		Error ErrorDetail `json:"error"`
 	}
 	if err := json.Unmarshal(body, &document); err != nil || document.Error.Code == "" {
 		document.Error = ErrorDetail{Code: http.StatusText(status), Message: "the answer is not of the core's API"}
 	}
-	return &RefusedError{Status: status, Detail: document.Error}
+	return &RejectedError{Status: status, Detail: document.Error}
 }
 
 // retryCodes are refusals that say nothing about the order itself.
@@ -266,7 +266,7 @@
 	if errors.As(err, &lost) {
 		return true, 0
 	}
-	var refused *RefusedError
+	var refused *RejectedError
 	if !errors.As(err, &refused) {
 		return false, 0
 	}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -19,7 +19,7 @@
 	// ExitUsage says that the command line or a document given is wrong; nothing was sent.
 	ExitUsage = 2
 	// ExitRefused says that the core refused the order; it was not run and never will be.
-	ExitRefused = 3
+	ExitRejected = 3
 	// ExitUnauthorized says that the token is missing, wrong or not enough.
 	ExitUnauthorized = 4
 	// ExitUnreachable says that no core process took the request in time; it was not run.
@@ -36,7 +36,7 @@
 func ExitCode(err error) int {
 	var usage *UsageError
 	var malformed *DocumentError
-	var refused *RefusedError
+	var refused *RejectedError
 	var unreachable *UnreachableError
 	var unknown *UnknownOutcomeError
 	var missing *NotFoundError
@@ -96,13 +96,13 @@
 func (e *FileError) Unwrap() error { return e.Cause }
 
 // RefusedError is the answer of a process that did not do what it was asked.
-type RefusedError struct {
+type RejectedError struct {
 	Status int
 	Detail ErrorDetail
 }
 
 // Error gives the code, the message, every fault with its path and the winner of a taken version.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, "%s: %s", e.Detail.Code, e.Detail.Message)
 	if e.Detail.Path != "" && len(e.Detail.Faults) == 0 {
@@ -117,12 +117,12 @@
 	return text.String()
 }
 
-func (e *RefusedError) exitCode() int {
+func (e *RejectedError) exitCode() int {
 	switch e.Status {
 	case 401, 403:
 		// A signature that does not fit is an order refused for its content.
 		if e.Detail.Code == "bad_signature" {
-			return ExitRefused
+			return ExitRejected
 		}
 		return ExitUnauthorized
 	case 404:
@@ -131,7 +131,7 @@
 		if e.Status >= 500 {
 			return ExitFailure
 		}
-		return ExitRefused
+		return ExitRejected
 	}
 }
 
--- a/internal/operator/fronts.go
+++ b/internal/operator/fronts.go
@@ -66,7 +66,7 @@
 	missing := false
 	for _, address := range fronts[:min(len(fronts), maxFrontsAsked)] {
 		answer, err := s.askFront(ctx, address, question.path)
-		var refused *RefusedError
+		var refused *RejectedError
 		switch {
 		case err == nil:
 			return answer, nil
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -290,9 +290,9 @@
 				Expect(run([]string{leader.address}, "stores", "retire", "store-1")).To(Equal(want), faults.String())
 				Expect(leader.saw()).To(HaveLen(1))
 			},
-			Entry("a taken version", http.StatusConflict, failureBody("version_taken", "not_run"), operator.ExitRefused),
-			Entry("an invalid order", http.StatusUnprocessableEntity, failureBody("invalid_order", "not_run"), operator.ExitRefused),
-			Entry("a bad signature", http.StatusForbidden, failureBody("bad_signature", "not_run"), operator.ExitRefused),
+			Entry("a taken version", http.StatusConflict, failureBody("version_taken", "not_run"), operator.ExitRejected),
+			Entry("an invalid order", http.StatusUnprocessableEntity, failureBody("invalid_order", "not_run"), operator.ExitRejected),
+			Entry("a bad signature", http.StatusForbidden, failureBody("bad_signature", "not_run"), operator.ExitRejected),
 			Entry("no token", http.StatusUnauthorized, failureBody("unauthorized", "not_run"), operator.ExitUnauthorized),
 			Entry("not found", http.StatusNotFound, failureBody("not_found", "not_run"), operator.ExitNotFound),
 		)
@@ -300,7 +300,7 @@
 		It("lists every fault with its path, and the winner", func() {
 			leader.always(http.StatusConflict, `{"error":{"code":"version_taken","message":"taken","outcome":"not_run",
 				"faults":[{"path":"routes[2].group","message":"is missing"}],"winner":{"version":"4"}}}`)
-			Expect(run([]string{leader.address}, "bundle", "put", file("b.json", `{"version":4}`))).To(Equal(operator.ExitRefused))
+			Expect(run([]string{leader.address}, "bundle", "put", file("b.json", `{"version":4}`))).To(Equal(operator.ExitRejected))
 			Expect(faults.String()).To(And(ContainSubstring("routes[2].group: is missing"), ContainSubstring(`{"version":"4"}`)))
 		})
 	})
--- a/internal/process/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -143,7 +143,7 @@
 		return &StageError{Stage: "assemble", Cause: err}
 	}
 	i.server = wire.NewServer(i.listeners.internal, i.handler, wire.ServerOptions{
-		Key: i.key, OnRefused: i.countRefused(), OnPanic: i.reportPanic,
+		Key: i.key, OnRejected: i.countRefused(), OnPanic: i.reportPanic,
 	})
 	if err := registerWire(i.registry, "server", i.server.Counters()); err != nil {
 		return &StageError{Stage: "metrics", Cause: err}
--- a/internal/state/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -224,7 +224,7 @@
 func (w *world) arrive(c *caller, change *register.Change, message register.Message) {
 	r := w.replicas[message.Store]
 	if message.Prepare != nil {
-		answer := &protocol.PrepareResponse{Refusal: r.view.Refusal(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
+		answer := &protocol.PrepareResponse{Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 		if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
 			r.state, answer, _ = r.state.Prepare(register.BallotOf(message.Prepare.GetBallot()))
 		}
@@ -232,7 +232,7 @@
 		return
 	}
 	request := message.Accept
-	answer := &protocol.AcceptResponse{Refusal: r.view.Refusal(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
+	answer := &protocol.AcceptResponse{Refusal: r.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 	if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
 		r.state, answer, _ = r.state.Accept(register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
 	}
--- a/internal/state/register/view.go
+++ b/internal/state/register/view.go
@@ -32,7 +32,7 @@
 
 // Refusal tells why a replica may not answer a request that names an epoch;
 // REPLICA_REFUSAL_UNSPECIFIED when it may.
-func (v ShardView) Refusal(epoch uint64) protocol.ReplicaRefusal {
+func (v ShardView) Rejection(epoch uint64) protocol.ReplicaRefusal {
 	switch {
 	case v.Epoch == 0:
 		return protocol.ReplicaRefusal_REPLICA_NOT_READY
@@ -49,7 +49,7 @@
 // complete one under the same epoch counts: it has stopped to vote under older
 // placements before it shows what it holds.
 func (v ShardView) CopyRefusal(epoch uint64) protocol.ReplicaRefusal {
-	if refusal := v.Refusal(epoch); refusal != notRefused {
+	if refusal := v.Rejection(epoch); refusal != notRefused {
 		return refusal
 	}
 	if v.Role != RoleActive {
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -68,7 +68,7 @@
 
 func (s *Store) serveFetchTurns(request *protocol.FetchTurnsRequest) (*protocol.Response, error) {
 	view := s.shardView(request.GetShard())
-	answer := &protocol.FetchTurnsResponse{Refusal: view.Refusal(request.GetPlacementEpoch()), PlacementEpoch: view.Epoch}
+	answer := &protocol.FetchTurnsResponse{Refusal: view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: view.Epoch}
 	if answer.GetRefusal() == notRefused {
 		turns, err := s.localChain(request.GetShard(), request.GetProgram(), request.GetLastTurn(), request.GetLimit())
 		if err != nil {
--- a/internal/state/store/replica.go
+++ b/internal/state/store/replica.go
@@ -10,7 +10,7 @@
 // prepare answers a prepare request through reply, on the group's goroutine.
 func (g *group) prepare(request *protocol.PrepareRequest, reply func(*protocol.PrepareResponse)) {
 	table := g.table(request.GetShard())
-	if refusal := table.view.Refusal(request.GetPlacementEpoch()); refusal != notRefused {
+	if refusal := table.view.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
 		reply(&protocol.PrepareResponse{Refusal: refusal, PlacementEpoch: table.view.Epoch})
 		return
 	}
@@ -35,7 +35,7 @@
 // accept answers an accept request through reply, on the group's goroutine.
 func (g *group) accept(request *protocol.AcceptRequest, reply func(*protocol.AcceptResponse)) {
 	table := g.table(request.GetShard())
-	if refusal := table.view.Refusal(request.GetPlacementEpoch()); refusal != notRefused {
+	if refusal := table.view.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
 		reply(&protocol.AcceptResponse{Refusal: refusal, PlacementEpoch: table.view.Epoch})
 		return
 	}
--- a/internal/state/store/replicahandler.go
+++ b/internal/state/store/replicahandler.go
@@ -82,7 +82,7 @@
 func (g *group) keepForPeer(request *protocol.KeepTurnRequest, reply func(*protocol.KeepTurnResponse)) {
 	table := g.table(request.GetShard())
 	answer := func() *protocol.KeepTurnResponse {
-		return &protocol.KeepTurnResponse{Refusal: table.view.Refusal(request.GetPlacementEpoch()), PlacementEpoch: table.view.Epoch}
+		return &protocol.KeepTurnResponse{Refusal: table.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: table.view.Epoch}
 	}
 	if refused := answer(); refused.GetRefusal() != notRefused {
 		reply(refused)
--- a/internal/testing/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -123,7 +123,7 @@
 	var err error
 	sent.answer, err = client.Do(ctx, sent.request)
 	sent.order.AnsweredAt = time.Now()
-	var refused *operator.RefusedError
+	var refused *operator.RejectedError
 	switch {
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
--- a/internal/testing/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -126,7 +126,7 @@
 	switch {
 	case err == nil:
 		return audit.OrderAcknowledged
-	case errors.As(err, &failed) && errors.As(failed.Result, &exit) && exit.ExitCode() == operator.ExitRefused:
+	case errors.As(err, &failed) && errors.As(failed.Result, &exit) && exit.ExitCode() == operator.ExitRejected:
 		return audit.OrderRefused
 	default:
 		return audit.OrderUnknown
--- a/internal/testing/sim/ownershipsuite/callers.go
+++ b/internal/testing/sim/ownershipsuite/callers.go
@@ -79,7 +79,7 @@
 		switch {
 		case answered && answer.code == "":
 			c.after(time.Second, func() { c.next(session) })
-		case answered && answer.code == failure.RequestRefused:
+		case answered && answer.code == failure.RequestRejected:
 			c.suite.report.Refused++
 			c.after(400*time.Millisecond, func() { c.next(session) })
 		case tries > 0:
--- a/internal/testing/sim/ownershipsuite/frontlease.go
+++ b/internal/testing/sim/ownershipsuite/frontlease.go
@@ -60,7 +60,7 @@
 	switch {
 	case answer == nil:
 	case !answer.GetGranted():
-		f.holder.Refused(f.now(), renewal)
+		f.holder.Rejected(f.now(), renewal)
 	default:
 		duration := time.Duration(answer.GetDurationMillis()) * time.Millisecond
 		latest := answer.GetLatest().GetMembership()
--- a/internal/testing/sim/ownershipsuite/turns.go
+++ b/internal/testing/sim/ownershipsuite/turns.go
@@ -218,7 +218,7 @@
 	case protocol.RequestOutcome_OUTCOME_SETTLED:
 		return turnAnswer{}
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
-		return refusal(failure.RequestRefused)
+		return refusal(failure.RequestRejected)
 	default:
 		return unknownAnswer
 	}
--- a/internal/testing/sim/servingsuite/commands.go
+++ b/internal/testing/sim/servingsuite/commands.go
@@ -68,11 +68,11 @@
 	case turn.FinishCall:
 		operation.Body = &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.CallFinished{Result: result} }
-	case turn.RefuseCall:
-		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRefused{Result: result} })
+	case turn.RejectCall:
+		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
 		return nil
-	case turn.Refuse:
-		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Refused{Result: result} })
+	case turn.Reject:
+		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
 		return nil
 	default:
 		return nil
--- a/internal/testing/sim/servingsuite/exchange.go
+++ b/internal/testing/sim/servingsuite/exchange.go
@@ -81,7 +81,7 @@
 	case misdirected:
 		e.fail(turn.FaultNotSent, 0, "another server has this address")
 	case refused:
-		e.fail(turn.FaultRefused, body.retryAfter, "the server is full")
+		e.fail(turn.FaultUnavailable, body.retryAfter, "the server is full")
 	case fencedOff:
 		e.fail(turn.FaultFenced, 0, "the server has seen a newer epoch")
 	case token:
@@ -189,8 +189,8 @@
 // fail ends the attempt.
 func (e *exchange) fail(fault turn.BackEndFault, retryAfter time.Duration, detail string) {
 	e.observe(outcomeOf(fault))
-	if fault == turn.FaultRefused {
-		e.run.front.admission.record(e.run.group(), limit.Sample{Refused: true})
+	if fault == turn.FaultUnavailable {
+		e.run.front.admission.record(e.run.group(), limit.Sample{Rejected: true})
 	}
 	r := e.run
 	r.closeExchange()
--- a/internal/testing/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -83,7 +83,7 @@
 		switch {
 		case !answered:
 		case !answer.granted:
-			f.holder.Refused(f.now(), renewal)
+			f.holder.Rejected(f.now(), renewal)
 		default:
 			f.granted(renewal, answer)
 			wait = renewInterval
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -27,7 +27,7 @@
 	// Key is the cluster key.
 	Key []byte
 	// OnRefused is told of each connection whose handshake failed.
-	OnRefused func(remote net.Addr, err error)
+	OnRejected func(remote net.Addr, err error)
 	// OnPanic is told of each handler that panicked, with its stack.
 	OnPanic func(recovered any, stack []byte)
 }
@@ -140,8 +140,8 @@
 	}
 	reader := bufio.NewReaderSize(&countingReader{connection: connection, counters: &s.counters}, readBufferBytes)
 	if _, err := shakeAsServer(connection, reader, s.options.Key); err != nil {
-		if s.options.OnRefused != nil {
-			s.options.OnRefused(connection.RemoteAddr(), err)
+		if s.options.OnRejected != nil {
+			s.options.OnRejected(connection.RemoteAddr(), err)
 		}
 		return
 	}
