--- a/internal/dataplane/front/errors.go
+++ b/internal/dataplane/front/errors.go
@@ -27,7 +27,7 @@
 }
 
 var (
-	errCallerGone = &stopError{reason: turn.StopCallerGone}
+	errCallerGone = &stopError{reason: turn.StopCallerDisconnected}
 	errDeadline   = &stopError{reason: turn.StopDeadline}
 	errAuthority  = &stopError{reason: turn.StopAuthority}
 )
--- a/internal/dataplane/front/httpstream.go
+++ b/internal/dataplane/front/httpstream.go
@@ -80,7 +80,7 @@
 		return nil, &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
 	answer.Body = body
-	return turn.AnsweredWhole{Answer: answer, WeightVersions: s.headVersions()}, nil
+	return turn.AnswerCompleted{Answer: answer, WeightVersions: s.headVersions()}, nil
 }
 
 // headVersions are the versions of the weights that the answer's head names.
--- a/internal/dataplane/front/httpturn.go
+++ b/internal/dataplane/front/httpturn.go
@@ -59,8 +59,8 @@
 	run.freed = true
 	run.machine = turn.New(turn.Parameters{
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-		Budget: routedBudget(request), Ceiling: routedCeiling(request),
-		KeepFor:       time.Duration(routed.GetKeepMillis()) * time.Millisecond,
+		Budget: routedBudget(request), ReservationLimit: routedCeiling(request),
+		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
 		BundleVersion: routed.GetBundleVersion(), Attempts: routedSends,
 	})
 	s.startRun(run, cancel)
--- a/internal/dataplane/front/ownedturns_test.go
+++ b/internal/dataplane/front/ownedturns_test.go
@@ -103,7 +103,7 @@
 	It("is refused with the ledger's word once a copy of it may have arrived", func() {
 		answered := make(chan answer, 1)
 		r.network.cut["f2"] = 0
-		f2.ownership.refuse = failure.New(failure.BudgetHeld, protocol.Outcome_NOT_RUN, "later")
+		f2.ownership.refuse = failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "later")
 		r.network.unreachable["f3"] = true
 		go func() {
 			defer GinkgoRecover()
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -82,8 +82,8 @@
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), Ceiling: arm.ceiling(request.GetMaxOutputTokens()),
-			KeepFor: time.Duration(arm.keepSeconds()) * time.Second, BundleVersion: arm.version(),
+			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: arm.ceiling(request.GetMaxOutputTokens()),
+			Retention: time.Duration(arm.keepSeconds()) * time.Second, BundleVersion: arm.version(),
 		}),
 	}
 }
--- a/internal/dataplane/front/toolrun.go
+++ b/internal/dataplane/front/toolrun.go
@@ -175,13 +175,13 @@
 		})}
 	case turn.IssueCall:
 		return r.issue(command)
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		granted := r.service.admission.retry()
 		r.explanation.step("retry", fmt.Sprintf("granted %t", granted))
 		return turn.RetryDecided{Granted: granted}
 	case turn.Answer:
 		r.answer(command.Response)
-	case turn.Pause:
+	case turn.Backoff:
 		return pause(r.service, r.grant, command.For)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
--- a/internal/dataplane/front/turnrun.go
+++ b/internal/dataplane/front/turnrun.go
@@ -97,7 +97,7 @@
 	if errors.As(context.Cause(ctx), &stopped) {
 		return stopped.reason
 	}
-	return turn.StopCallerGone
+	return turn.StopCallerDisconnected
 }
 
 // receive waits for the next piece of the back end's answer. Authority is
@@ -115,7 +115,7 @@
 	case turn.Token:
 		r.noteFirstToken()
 		r.noteTokens(event)
-	case turn.AnsweredWhole:
+	case turn.AnswerCompleted:
 		r.server.record(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
 		r.server.record(schedule.OutcomeAnswered, r.now())
@@ -230,20 +230,20 @@
 		return r.issue(command)
 	case turn.StopBackEnd:
 		r.closeGeneration()
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return r.askRetry()
 	case turn.Emit:
 		r.emit(command.Event)
-	case turn.Settle:
+	case turn.Commit:
 		return r.settle(command)
 	case turn.Release:
 		return r.release(command)
 	case turn.Reject:
 		return turn.Rejected{Result: r.refuse(command)}
-	case turn.ReadKept:
+	case turn.ReadRetainedTurn:
 		kept, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
-		return turn.KeptRead{Turn: kept, Status: status}
-	case turn.Pause:
+		return turn.RetainedTurnRead{Turn: kept, Status: status}
+	case turn.Backoff:
 		return pause(r.service, r.grant, command.For)
 	case turn.Remember:
 		r.service.sessions.settled(r.key, command.Turn, r.history)
--- a/internal/dataplane/front/turnsteps.go
+++ b/internal/dataplane/front/turnsteps.go
@@ -106,8 +106,8 @@
 	return result
 }
 
-func (r *turnRun) settle(command turn.Settle) turn.Event {
-	return turn.Settled{Result: r.ledger("settle", &protocol.LedgerOperation{
+func (r *turnRun) settle(command turn.Commit) turn.Event {
+	return turn.Committed{Result: r.ledger("settle", &protocol.LedgerOperation{
 		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation},
 	})}
 }
--- a/internal/dataplane/turn/command.go
+++ b/internal/dataplane/turn/command.go
@@ -13,7 +13,7 @@
 // begin something. The other commands end or report something and are carried out.
 func Interruptible(command Command) bool {
 	switch command.(type) {
-	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, AskRetry, BeginCall, IssueCall:
+	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, RequestRetry, BeginCall, IssueCall:
 		return true
 	default:
 		return false
@@ -54,13 +54,13 @@
 type StopBackEnd struct{}
 
 // AskRetry asks the retry budget; answered by RetryDecided.
-type AskRetry struct{}
+type RequestRetry struct{}
 
 // Emit passes an event on to the readers.
 type Emit struct{ Event *protocol.TurnEvent }
 
 // Settle keeps and charges the turn; answered by Settled.
-type Settle struct{ Operation *protocol.SettleTurn }
+type Commit struct{ Operation *protocol.SettleTurn }
 
 // Release ends the reservation; answered by Released.
 type Release struct{ Operation *protocol.ReleaseTurn }
@@ -74,10 +74,10 @@
 }
 
 // ReadKept asks for a kept turn; answered by KeptRead.
-type ReadKept struct{ TurnID string }
+type ReadRetainedTurn struct{ TurnID string }
 
 // Pause asks for Waited after a while.
-type Pause struct{ For time.Duration }
+type Backoff struct{ For time.Duration }
 
 // Remember tells the owner's cache that the turn is the session's last one.
 type Remember struct{ Turn *protocol.Turn }
@@ -91,22 +91,22 @@
 // Finish ends the machine.
 type Finish struct{}
 
-func (ResolveStep) command()   {}
-func (Claim) command()         {}
-func (ReadHistory) command()   {}
-func (Admit) command()         {}
-func (Leave) command()         {}
-func (Reserve) command()       {}
-func (Choose) command()        {}
-func (Issue) command()         {}
-func (StopBackEnd) command()   {}
-func (AskRetry) command()      {}
-func (Emit) command()          {}
-func (Settle) command()        {}
-func (Release) command()       {}
-func (Reject) command()        {}
-func (ReadKept) command()      {}
-func (Pause) command()         {}
-func (Remember) command()      {}
-func (ForgetSession) command() {}
-func (Finish) command()        {}
+func (ResolveStep) command()      {}
+func (Claim) command()            {}
+func (ReadHistory) command()      {}
+func (Admit) command()            {}
+func (Leave) command()            {}
+func (Reserve) command()          {}
+func (Choose) command()           {}
+func (Issue) command()            {}
+func (StopBackEnd) command()      {}
+func (RequestRetry) command()     {}
+func (Emit) command()             {}
+func (Commit) command()           {}
+func (Release) command()          {}
+func (Reject) command()           {}
+func (ReadRetainedTurn) command() {}
+func (Backoff) command()          {}
+func (Remember) command()         {}
+func (ForgetSession) command()    {}
+func (Finish) command()           {}
--- a/internal/dataplane/turn/emit.go
+++ b/internal/dataplane/turn/emit.go
@@ -84,7 +84,7 @@
 	case protocol.LedgerStatus_LEDGER_BUDGET_SPENT:
 		return failure.New(failure.BudgetSpent, notRun, "the program's token budget is spent", failure.WithPath("program")).Failure
 	case protocol.LedgerStatus_LEDGER_BUDGET_HELD:
-		return failure.New(failure.BudgetHeld, notRun, "turns under way hold the rest of the program's budget",
+		return failure.New(failure.BudgetReserved, notRun, "turns under way hold the rest of the program's budget",
 			failure.WithPath("program"), failure.WithRetryAfter(heldRetry)).Failure
 	case protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:
 		return failure.New(failure.UnknownProgram, notRun, "the program is not known", failure.WithPath("program")).Failure
--- a/internal/dataplane/turn/ending.go
+++ b/internal/dataplane/turn/ending.go
@@ -47,7 +47,7 @@
 			return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure)
 		}
 		m.state = stateReadingKept
-		return append(m.leave(), ReadKept{TurnID: finished.GetTurnId()})
+		return append(m.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
 		if m.failure != nil {
 			m.failure.Outcome = protocol.Outcome_NOT_RUN
@@ -62,7 +62,7 @@
 }
 
 func (m *Machine) keptRead(event Event, now time.Time) []Command {
-	read, matches := event.(KeptRead)
+	read, matches := event.(RetainedTurnRead)
 	if !matches {
 		return nil
 	}
@@ -83,8 +83,8 @@
 func (m *Machine) settling(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Waited:
-		return []Command{Settle{Operation: m.settle}}
-	case Settled:
+		return []Command{Commit{Operation: m.settle}}
+	case Committed:
 		return m.settleAnswered(answer.Result, now)
 	}
 	return nil
@@ -210,7 +210,7 @@
 func (m *Machine) pauseAgain() []Command {
 	wait := m.pause
 	m.pause = min(2*m.pause, longestPause)
-	return []Command{Pause{For: wait}}
+	return []Command{Backoff{For: wait}}
 }
 
 // endHere answers that this front node may not run the turn. It says nothing
--- a/internal/dataplane/turn/event.go
+++ b/internal/dataplane/turn/event.go
@@ -68,7 +68,7 @@
 }
 
 // AnsweredWhole says that a server answered a turn of an HTTP route with something else than a stream.
-type AnsweredWhole struct {
+type AnswerCompleted struct {
 	Answer *protocol.HttpAnswer
 	// WeightVersions are as in Head.
 	WeightVersions []uint64
@@ -128,7 +128,7 @@
 type RetryDecided struct{ Granted bool }
 
 // Settled carries the ledger's answer to Settle.
-type Settled struct{ Result *protocol.LedgerResult }
+type Committed struct{ Result *protocol.LedgerResult }
 
 // Released carries the ledger's answer to Release.
 type Released struct{ Result *protocol.LedgerResult }
@@ -137,7 +137,7 @@
 type Rejected struct{ Result *protocol.LedgerResult }
 
 // KeptRead carries a kept turn, or nil with the reason.
-type KeptRead struct {
+type RetainedTurnRead struct {
 	Turn   *protocol.Turn
 	Status protocol.LedgerStatus
 }
@@ -151,7 +151,7 @@
 // Reasons to stop a turn.
 const (
 	// StopCallerGone means that nobody reads the answer any more.
-	StopCallerGone StopReason = iota + 1
+	StopCallerDisconnected StopReason = iota + 1
 	// StopDeadline means that the caller's time is up.
 	StopDeadline
 	// StopAuthority means that the front node may no longer act as owner.
@@ -169,25 +169,25 @@
 // StopBefore is the stop that goes before a command, which is not carried out then.
 func StopBefore(reason StopReason) Stopped { return Stopped{Reason: reason, WithoutEffect: true} }
 
-func (Begun) event()           {}
-func (StepResolved) event()    {}
-func (StepNotResolved) event() {}
-func (Claimed) event()         {}
-func (HistoryRead) event()     {}
-func (Admitted) event()        {}
-func (NotAdmitted) event()     {}
-func (Reserved) event()        {}
-func (Chosen) event()          {}
-func (NotChosen) event()       {}
-func (Token) event()           {}
-func (Head) event()            {}
-func (AnsweredWhole) event()   {}
-func (BackEndDone) event()     {}
-func (BackEndFailed) event()   {}
-func (RetryDecided) event()    {}
-func (Settled) event()         {}
-func (Released) event()        {}
-func (Rejected) event()        {}
-func (KeptRead) event()        {}
-func (Waited) event()          {}
-func (Stopped) event()         {}
+func (Begun) event()            {}
+func (StepResolved) event()     {}
+func (StepNotResolved) event()  {}
+func (Claimed) event()          {}
+func (HistoryRead) event()      {}
+func (Admitted) event()         {}
+func (NotAdmitted) event()      {}
+func (Reserved) event()         {}
+func (Chosen) event()           {}
+func (NotChosen) event()        {}
+func (Token) event()            {}
+func (Head) event()             {}
+func (AnswerCompleted) event()  {}
+func (BackEndDone) event()      {}
+func (BackEndFailed) event()    {}
+func (RetryDecided) event()     {}
+func (Committed) event()        {}
+func (Released) event()         {}
+func (Rejected) event()         {}
+func (RetainedTurnRead) event() {}
+func (Waited) event()           {}
+func (Stopped) event()          {}
--- a/internal/dataplane/turn/httpturn.go
+++ b/internal/dataplane/turn/httpturn.go
@@ -57,12 +57,12 @@
 func (m *Machine) reserveHTTP() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
-		RequestId: request.GetRequestId(), Session: request.GetSession(), Ceiling: m.parameters.Ceiling,
+		RequestId: request.GetRequestId(), Session: request.GetSession(), Ceiling: m.parameters.ReservationLimit,
 		PreviousTurn: request.GetPreviousTurn(), Fork: true, TrainingStep: m.stepReference(),
 		Claim: &protocol.ClaimSession{
 			Session: request.GetSession(), Owner: m.parameters.Owner, OwnerIncarnation: m.parameters.Incarnation,
 			Tenant: request.GetTenant(), Budget: m.parameters.Budget,
-			KeepingMillis: (keptTimes * max(m.parameters.KeepFor, leastKept)).Milliseconds(),
+			KeepingMillis: (keptTimes * max(m.parameters.Retention, leastKept)).Milliseconds(),
 		},
 	}}
 }
@@ -81,7 +81,7 @@
 }
 
 // answeredWhole ends a turn that the server answered with a status of its own. It may have run.
-func (m *Machine) answeredWhole(answer AnsweredWhole, now time.Time) []Command {
+func (m *Machine) answeredWhole(answer AnswerCompleted, now time.Time) []Command {
 	m.ranEver = true
 	if m.isOfStep() && !m.takesWhole(answer) {
 		return m.versionChanged(now)
@@ -111,7 +111,7 @@
 		Id: m.parameters.TurnID, Program: request.GetProgram(), Session: request.GetSession(),
 		PreviousTurn: request.GetPreviousTurn(), PreviousProgram: m.previousProgram, RequestId: request.GetRequestId(),
 		Input: request.GetInput(), Output: []*protocol.Item{{Data: m.output}}, OutputTokens: m.tokens,
-		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.KeepFor).UnixMilli(),
+		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.Retention).UnixMilli(),
 		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: m.historyTokens + m.tokens,
 	}
 }
--- a/internal/dataplane/turn/httpturn_test.go
+++ b/internal/dataplane/turn/httpturn_test.go
@@ -29,7 +29,7 @@
 var (
 	routedHead = turn.Head{Answer: &protocol.HttpAnswer{Status: 200}}
 	routedDone = turn.BackEndDone{}
-	routedBusy = turn.AnsweredWhole{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
+	routedBusy = turn.AnswerCompleted{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
 )
 
 func TestAnHTTPTurnIsKeptWithItsDataBeforeItCompletes(t *testing.T) {
@@ -52,7 +52,7 @@
 			if len(command.Items) != 2 || string(command.Items[0].GetData()) != "old" || string(command.Items[1].GetData()) != routedInput {
 				t.Fatalf("issued %v", command.Items)
 			}
-		case turn.Settle:
+		case turn.Commit:
 			settled = true
 			kept := command.Operation.GetTurn()
 			if string(kept.GetOutput()[0].GetData()) != "a\n\n" || kept.GetPreviousProgram() != "p0" || kept.GetOutputTokens() != 2 {
@@ -145,7 +145,7 @@
 		o.released = command.Operation
 	case turn.Emit:
 		o.emit(command.Event)
-	case turn.Reserve, turn.Settle, turn.Reject:
+	case turn.Reserve, turn.Commit, turn.Reject:
 		if !o.ledgered {
 			o.t.Fatalf("%T asked of the ledger", command)
 		}
@@ -171,14 +171,14 @@
 		o.slots++
 	case turn.Reserved:
 		o.reserved = event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
-	case turn.Settled:
+	case turn.Committed:
 		o.settled = o.settled || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.BackEndFailed:
 		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
 		o.mayHaveRun = o.mayHaveRun || o.issuedNow && !surelyNot
 		o.issuedNow = false
-	case turn.Head, turn.Token, turn.AnsweredWhole, turn.BackEndDone:
+	case turn.Head, turn.Token, turn.AnswerCompleted, turn.BackEndDone:
 		o.mayHaveRun = true
 	case turn.Stopped:
 		o.mayHaveRun = o.mayHaveRun || o.issuedNow
@@ -270,7 +270,7 @@
 				continue
 			}
 			o.answer(event)
-			if _, whole := event.(turn.AnsweredWhole); whole || isEnd(event) {
+			if _, whole := event.(turn.AnswerCompleted); whole || isEnd(event) {
 				streaming = false
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -37,9 +37,9 @@
 	// Budget is used when the turn opens its program.
 	Budget uint64
 	// Ceiling is the most output tokens the turn may pass on.
-	Ceiling       uint64
-	KeepFor       time.Duration
-	BundleVersion uint64
+	ReservationLimit uint64
+	Retention        time.Duration
+	BundleVersion    uint64
 	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
 	Attempts uint32
 }
@@ -237,7 +237,7 @@
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch,
-		Ceiling: m.parameters.Ceiling, PreviousTurn: request.GetPreviousTurn(),
+		Ceiling: m.parameters.ReservationLimit, PreviousTurn: request.GetPreviousTurn(),
 	}}
 }
 
@@ -303,7 +303,7 @@
 	m.sequence, m.tokens = 0, 0
 	m.text.Reset()
 	m.output = nil
-	m.maxTokens = m.parameters.Ceiling - m.passed
+	m.maxTokens = m.parameters.ReservationLimit - m.passed
 	items := make([]*protocol.Item, 0, len(m.history)+len(m.parameters.Request.GetInput()))
 	items = append(append(items, m.history...), m.parameters.Request.GetInput()...)
 	return []Command{Issue{
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -31,11 +31,11 @@
 func newScript(request *protocol.TurnRequest) *script {
 	request.RequestId, request.Session, request.Program, request.Nonce = "r1", "s1", "p1", "n1"
 	return &script{now: start, machine: turn.New(turn.Parameters{
-		Request: request, TurnID: "turn_1", Owner: "f1", Incarnation: 7, Budget: 100, Ceiling: ceiling, KeepFor: time.Hour, BundleVersion: 4,
+		Request: request, TurnID: "turn_1", Owner: "f1", Incarnation: 7, Budget: 100, ReservationLimit: ceiling, Retention: time.Hour, BundleVersion: 4,
 	}), answers: map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "history": {turn.HistoryRead{Status: ok.GetStatus()}}, "admit": {turn.Admitted{}},
 		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}}, "retry": {turn.RetryDecided{Granted: true}},
-		"settle": {turn.Settled{Result: ok}}, "release": {turn.Released{Result: ok}}, "refuse": {turn.Rejected{Result: ok}},
+		"settle": {turn.Committed{Result: ok}}, "release": {turn.Released{Result: ok}}, "refuse": {turn.Rejected{Result: ok}},
 		"pause": {turn.Waited{}}, "issue": {},
 	}}
 }
@@ -73,17 +73,17 @@
 		return "choose"
 	case turn.Issue:
 		return "issue"
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return "retry"
-	case turn.Settle:
+	case turn.Commit:
 		return "settle"
 	case turn.Release:
 		return "release"
 	case turn.Reject:
 		return "refuse"
-	case turn.ReadKept:
+	case turn.ReadRetainedTurn:
 		return "kept"
-	case turn.Pause:
+	case turn.Backoff:
 		return "pause"
 	default:
 		return ""
@@ -100,7 +100,7 @@
 		if emit, isEmit := command.(turn.Emit); isEmit {
 			s.events = append(s.events, emit.Event)
 		}
-		if pause, isPause := command.(turn.Pause); isPause {
+		if pause, isPause := command.(turn.Backoff); isPause {
 			s.now = s.now.Add(pause.For)
 		}
 		if name := commandName(command); name != "" {
@@ -182,7 +182,7 @@
 func TestRefusalsOfTheLedgerAreNotRunAndLeaveATombstone(t *testing.T) {
 	cases := map[protocol.LedgerStatus]failure.Code{
 		protocol.LedgerStatus_LEDGER_BUDGET_SPENT:       failure.BudgetSpent,
-		protocol.LedgerStatus_LEDGER_BUDGET_HELD:        failure.BudgetHeld,
+		protocol.LedgerStatus_LEDGER_BUDGET_HELD:        failure.BudgetReserved,
 		protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION: failure.WrongContinuation,
 		protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:    failure.UnknownProgram,
 	}
@@ -221,7 +221,7 @@
 func TestARepeatHearsTheAnswerOfTheFirstSend(t *testing.T) {
 	kept := &protocol.Turn{Id: "turn_1", RequestId: "r1", Output: []*protocol.Item{{Text: "kept"}}, OutputTokens: 4}
 	s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_SETTLED)}).
-		on("kept", turn.KeptRead{Turn: kept}).run()
+		on("kept", turn.RetainedTurnRead{Turn: kept}).run()
 	if s.last().GetCompleted().GetText() != "kept" || s.count("issue") != 0 {
 		t.Fatalf("answered %v", s.last())
 	}
@@ -272,7 +272,7 @@
 		t.Fatalf("second attempt begins with %v", created)
 	}
 	commands := s.machine.Apply(turn.BackEndDone{Nonce: "n1", OutputTokens: 1}, s.now)
-	if settle := commands[len(commands)-1].(turn.Settle).Operation; settle.GetTokens() != 2 || settle.GetTurn().GetOutputTokens() != 1 {
+	if settle := commands[len(commands)-1].(turn.Commit).Operation; settle.GetTokens() != 2 || settle.GetTurn().GetOutputTokens() != 1 {
 		t.Fatalf("settled %v", settle)
 	}
 }
@@ -302,7 +302,7 @@
 func TestStopsByWhereTheTurnStands(t *testing.T) {
 	waiting := newScript(&protocol.TurnRequest{}).on("admit", turn.Stopped{Reason: turn.StopDeadline}).run()
 	wantFailure(t, waiting, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
-	issued := newScript(&protocol.TurnRequest{}).on("issue", turn.Stopped{Reason: turn.StopCallerGone}).run()
+	issued := newScript(&protocol.TurnRequest{}).on("issue", turn.Stopped{Reason: turn.StopCallerDisconnected}).run()
 	wantFailure(t, issued, failure.Cancelled, protocol.Outcome_UNKNOWN)
 	streaming := newScript(&protocol.TurnRequest{}).on("issue", token, turn.Stopped{Reason: turn.StopAuthority}, token).run()
 	wantFailure(t, streaming, failure.NoAuthority, protocol.Outcome_RAN)
@@ -336,17 +336,17 @@
 }
 
 func TestSettleIsTriedAgainAndTheCallerIsAnsweredMeanwhile(t *testing.T) {
-	unavailable := turn.Settled{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
+	unavailable := turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	answers := []turn.Event{}
 	for range 15 {
 		answers = append(answers, unavailable)
 	}
-	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", append(answers, turn.Settled{Result: ok})...).run()
+	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", append(answers, turn.Committed{Result: ok})...).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_RAN)
 	if s.count("settle") != 16 {
 		t.Fatalf("settled %d times", s.count("settle"))
 	}
-	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", unavailable, turn.Settled{Result: ok}).run()
+	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", unavailable, turn.Committed{Result: ok}).run()
 	if few.last().GetCompleted() == nil {
 		t.Fatalf("ended with %v", few.last())
 	}
@@ -364,7 +364,7 @@
 	if !forgotten || s.count("refuse") != 0 {
 		t.Fatalf("commands %v", s.commands)
 	}
-	settled := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", turn.Settled{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
+	settled := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
 	wantFailure(t, settled, failure.Fenced, protocol.Outcome_RAN)
 }
 
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -56,16 +56,16 @@
 			return turn.Chosen{BackEnd: "b"}
 		}
 		return turn.NotChosen{Failure: refused}
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return turn.RetryDecided{Granted: yes}
-	case turn.Settle:
-		return turn.Settled{Result: drawResult(t)}
+	case turn.Commit:
+		return turn.Committed{Result: drawResult(t)}
 	case turn.Release:
 		return turn.Released{Result: drawResult(t)}
 	case turn.Reject:
 		return turn.Rejected{Result: drawResult(t)}
-	case turn.ReadKept:
-		return turn.KeptRead{Turn: &protocol.Turn{Id: "turn_1"}, Status: protocol.LedgerStatus_LEDGER_OK}
+	case turn.ReadRetainedTurn:
+		return turn.RetainedTurnRead{Turn: &protocol.Turn{Id: "turn_1"}, Status: protocol.LedgerStatus_LEDGER_OK}
 	case turn.BeginCall:
 		return turn.CallBegun{Result: drawResult(t)}
 	case turn.FinishCall:
@@ -77,7 +77,7 @@
 			return turn.CallDone{Status: 200, Body: []byte("{}"), ContentType: "application/json"}
 		}
 		return drawFault(t)
-	case turn.Pause:
+	case turn.Backoff:
 		if yes {
 			return turn.Waited{}
 		}
@@ -149,7 +149,7 @@
 		o.mayHaveRun = true
 	case turn.BackEndFailed:
 		o.mayHaveRun = o.mayHaveRun || event.Fault == turn.FaultBroken || event.Fault == turn.FaultMismatch
-	case turn.Settled:
+	case turn.Committed:
 		o.settled = o.settled || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.Released:
--- a/internal/dataplane/turn/replay_test.go
+++ b/internal/dataplane/turn/replay_test.go
@@ -17,7 +17,7 @@
 	}
 	var kept *protocol.Turn
 	for _, command := range s.commands {
-		if settle, is := command.(turn.Settle); is {
+		if settle, is := command.(turn.Commit); is {
 			kept = settle.Operation.GetTurn()
 		}
 	}
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -11,7 +11,7 @@
 	switch answer := event.(type) {
 	case Head:
 		return m.head(answer, now)
-	case AnsweredWhole:
+	case AnswerCompleted:
 		return m.answeredWhole(answer, now)
 	case Token:
 		return m.token(answer, now)
@@ -52,7 +52,7 @@
 	if done.Nonce != "" && request.GetNonce() != "" && done.Nonce != request.GetNonce() {
 		return m.failed(BackEndFailed{Fault: FaultMismatch, Detail: "the answer carries another request's nonce"}, now)
 	}
-	if m.maxTokens < m.parameters.Ceiling && m.tokens >= m.maxTokens {
+	if m.maxTokens < m.parameters.ReservationLimit && m.tokens >= m.maxTokens {
 		// A later attempt has less room than the caller asked for; its cut answer is not a whole one.
 		f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the turn was begun anew and ran out of its reservation").Failure
 		return m.charge(f, now)
@@ -68,7 +68,7 @@
 	}
 	m.state = stateSettling
 	m.operationBegan, m.pause = now, firstPause
-	return append(m.leave(), Settle{Operation: m.settle})
+	return append(m.leave(), Commit{Operation: m.settle})
 }
 
 // countUnseen charges output tokens that the back end counts beyond the pieces it sent.
@@ -89,7 +89,7 @@
 		PreviousTurn: request.GetPreviousTurn(), RequestId: request.GetRequestId(), Model: request.GetModel(),
 		Input: request.GetInput(), Output: []*protocol.Item{{Role: "assistant", Text: m.text.String()}},
 		InputTokens: m.done.InputTokens, OutputTokens: m.tokens,
-		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.KeepFor).UnixMilli(),
+		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.Retention).UnixMilli(),
 		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: max(m.historyTokens, m.done.InputTokens) + m.tokens,
 		Nonce: m.done.Nonce, CachedTokens: m.done.CachedTokens,
 	}
@@ -107,7 +107,7 @@
 			// The server may have run it, and it may run at one server only.
 			return m.giveUp(now)
 		}
-		if m.passed > m.parameters.Ceiling/restartShare {
+		if m.passed > m.parameters.ReservationLimit/restartShare {
 			return m.giveUp(now)
 		}
 	case FaultNotSent, FaultUnavailable, FaultWrongVersion:
@@ -119,7 +119,7 @@
 		return m.chooseAnother()
 	}
 	m.state = stateAskingRetry
-	return []Command{AskRetry{}}
+	return []Command{RequestRetry{}}
 }
 
 // faultFailure words the failure that the caller hears unless another attempt succeeds.
@@ -250,7 +250,7 @@
 	case StopAuthority:
 		return failure.New(failure.NoAuthority, protocol.Outcome_NOT_RUN, "the front node may no longer act as owner",
 			failure.WithRetryAfter(busyRetry)).Failure
-	case StopCallerGone:
+	case StopCallerDisconnected:
 	}
 	return failure.New(failure.Cancelled, protocol.Outcome_NOT_RUN, "the caller went away").Failure
 }
--- a/internal/dataplane/turn/toolending.go
+++ b/internal/dataplane/turn/toolending.go
@@ -28,7 +28,7 @@
 		return m.giveUp(now)
 	}
 	m.state = callAskingRetry
-	return []Command{AskRetry{}}
+	return []Command{RequestRetry{}}
 }
 
 // mayRunAgain reports whether the call may be issued again after tries that may have run it.
@@ -195,7 +195,7 @@
 func (m *CallMachine) pauseAgain() []Command {
 	wait := m.pause
 	m.pause = min(2*m.pause, longestPause)
-	return []Command{Pause{For: wait}}
+	return []Command{Backoff{For: wait}}
 }
 
 func (m *CallMachine) fail(f *protocol.Failure) []Command {
--- a/internal/dataplane/turn/trainingstep.go
+++ b/internal/dataplane/turn/trainingstep.go
@@ -85,7 +85,7 @@
 
 // takesWhole reports whether an answer that is no stream may be passed on. One
 // that reports an error is no generation, whatever it names.
-func (m *Machine) takesWhole(answer AnsweredWhole) bool {
+func (m *Machine) takesWhole(answer AnswerCompleted) bool {
 	if answer.Answer.GetStatus() != statusOK {
 		m.noteVersions(answer.WeightVersions)
 		return true
--- a/internal/dataplane/turn/trainingstep_test.go
+++ b/internal/dataplane/turn/trainingstep_test.go
@@ -91,7 +91,7 @@
 func TestAKeptTurnOfAStepIsSettledWithItsVersions(t *testing.T) {
 	s := newStepScript(true).on("issue", headOf(pinnedVersion), eventOf("a"), routedDone).run()
 	for _, command := range s.commands {
-		if settle, isSettle := command.(turn.Settle); isSettle {
+		if settle, isSettle := command.(turn.Commit); isSettle {
 			if !slices.Equal(settle.Operation.GetWeightVersions(), []uint64{pinnedVersion}) {
 				t.Fatalf("settled %v", settle.Operation)
 			}
@@ -143,7 +143,7 @@
 			[]turn.Event{headOf(pinnedVersion), eventOf("a"), eventOf("b", otherVersion)}, 1, []uint64{pinnedVersion, otherVersion},
 		},
 		"in a whole answer": {
-			[]turn.Event{turn.AnsweredWhole{Answer: &protocol.HttpAnswer{Status: 200}, WeightVersions: []uint64{otherVersion}}}, 0, []uint64{otherVersion},
+			[]turn.Event{turn.AnswerCompleted{Answer: &protocol.HttpAnswer{Status: 200}, WeightVersions: []uint64{otherVersion}}}, 0, []uint64{otherVersion},
 		},
 	} {
 		for _, stateful := range []bool{true, false} {
@@ -240,7 +240,7 @@
 		if command.Event.GetCompleted() != nil || command.Event.GetFailed() != nil {
 			o.terminal = command.Event
 		}
-	case turn.Settle:
+	case turn.Commit:
 		o.traced(command.Operation.GetWeightVersions())
 	case turn.Release:
 		if command.Operation.GetTokens() > 0 {
@@ -301,7 +301,7 @@
 				continue
 			}
 			switch event := event.(type) {
-			case turn.Settled:
+			case turn.Committed:
 				o.recorded = o.recorded || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 					event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 			case turn.Released:
--- a/internal/failure/codes.go
+++ b/internal/failure/codes.go
@@ -39,7 +39,7 @@
 	WrongContinuation Code = "wrong_continuation"
 	TurnMissing       Code = "turn_missing"
 	BudgetSpent       Code = "budget_spent"
-	BudgetHeld        Code = "budget_held"
+	BudgetReserved    Code = "budget_held"
 	SessionBusy       Code = "session_busy"
 	RequestRejected   Code = "request_refused"
 	Overloaded        Code = "overloaded"
@@ -91,7 +91,7 @@
 	UnknownModel: http.StatusNotFound, UnknownTool: http.StatusNotFound,
 	UnknownProgram: http.StatusNotFound, WrongContinuation: http.StatusConflict,
 	TurnMissing: http.StatusNotFound, BudgetSpent: http.StatusPaymentRequired,
-	BudgetHeld: http.StatusTooManyRequests, SessionBusy: http.StatusConflict,
+	BudgetReserved: http.StatusTooManyRequests, SessionBusy: http.StatusConflict,
 	RequestRejected: http.StatusConflict, Overloaded: http.StatusServiceUnavailable,
 	RateLimited: http.StatusTooManyRequests, NoBackEnd: http.StatusServiceUnavailable,
 	BackEndFailed: http.StatusBadGateway, OutcomeUnknown: http.StatusBadGateway,
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFromKeepsTypedFailuresThroughWrapping(t *testing.T) {
-	typed := failure.New(failure.BudgetHeld, protocol.Outcome_NOT_RUN, "reservations are open",
+	typed := failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "reservations are open",
 		failure.WithPath("program"), failure.WithRetryAfter(1500*time.Microsecond))
 	got := failure.From(errors.Wrap(typed, "reserve"))
 	if got.GetCode() != "budget_held" || got.GetOutcome() != protocol.Outcome_NOT_RUN {
--- a/internal/state/ledger/call.go
+++ b/internal/state/ledger/call.go
@@ -17,7 +17,7 @@
 // the permission to issue the call precedes every later claim of the session.
 // A record whose keeping time has ended is taken for none.
 func ApplyCall(record *protocol.CallRecord, operation *protocol.LedgerOperation, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
-	if CallKeptUntil(record) < now.UnixMilli() {
+	if CallRetainedUntil(record) < now.UnixMilli() {
 		record = nil
 	}
 	switch body := operation.GetBody().(type) {
--- a/internal/state/ledger/change_bench_test.go
+++ b/internal/state/ledger/change_bench_test.go
@@ -50,7 +50,7 @@
 	request := benchRequest(turn)
 	reserved = benchChange(b, value, reserve(request, session, 1, 1000, previous))
 	settle := settle(request, session, 1, 500, ledger.TurnID(benchProgram, request), previous)
-	settle.GetSettleTurn().Turn.KeepUntilMillis = now.Add(ledger.KeepingTime).UnixMilli()
+	settle.GetSettleTurn().Turn.KeepUntilMillis = now.Add(ledger.DefaultRetention).UnixMilli()
 	return reserved, benchChange(b, reserved, settle)
 }
 
--- a/internal/state/ledger/finished.go
+++ b/internal/state/ledger/finished.go
@@ -114,7 +114,7 @@
 	}
 	entry.tokens = reader.number()
 	entry.finishedAt = int64(reader.number())
-	entry.keepUntilMillis = entry.finishedAt + KeepingTime.Milliseconds() + reader.difference()
+	entry.keepUntilMillis = entry.finishedAt + DefaultRetention.Milliseconds() + reader.difference()
 	if reader.failed {
 		return entry, 0
 	}
@@ -163,7 +163,7 @@
 	}
 	packed = binary.AppendUvarint(packed, finished.GetTokens())
 	packed = binary.AppendUvarint(packed, uint64(finished.GetFinishedAtMillis()))
-	return binary.AppendVarint(packed, finished.GetKeepUntilMillis()-finished.GetFinishedAtMillis()-KeepingTime.Milliseconds())
+	return binary.AppendVarint(packed, finished.GetKeepUntilMillis()-finished.GetFinishedAtMillis()-DefaultRetention.Milliseconds())
 }
 
 func appendText(packed []byte, text string) []byte {
--- a/internal/state/ledger/keeping.go
+++ b/internal/state/ledger/keeping.go
@@ -10,9 +10,9 @@
 	// KeepingTime is how long a finished request, a program after its last change and a call are
 	// remembered at least, unless the program names another time. A turn that is
 	// kept for longer prolongs it for its request and program.
-	KeepingTime = 24 * time.Hour
+	DefaultRetention = 24 * time.Hour
 	// ShortestKeepingTime bounds what a program may name: far above the time for which a message can be late.
-	ShortestKeepingTime = 2 * time.Minute
+	MinRetention = 2 * time.Minute
 	// ShortestProgramTime bounds how early an idle program's record is forgotten, and its budget with it. One that was
 	// stopped may come again, far sooner than that.
 	ShortestProgramTime = 10 * time.Minute
@@ -21,14 +21,14 @@
 // keepingMillis gives the keeping time in force for the one that a record names.
 func keepingMillis(named int64) int64 {
 	if named <= 0 {
-		return KeepingTime.Milliseconds()
+		return DefaultRetention.Milliseconds()
 	}
-	return max(named, ShortestKeepingTime.Milliseconds())
+	return max(named, MinRetention.Milliseconds())
 }
 
 // ProgramKeptUntil tells in Unix milliseconds when a program's record may be
 // forgotten: nothing changed it for its keeping time, and none of its finished requests is kept for longer.
-func ProgramKeptUntil(record *protocol.ProgramRecord) int64 {
+func ProgramRetainedUntil(record *protocol.ProgramRecord) int64 {
 	until := record.GetUpdatedAtMillis() + max(keepingMillis(record.GetKeepingMillis()), ShortestProgramTime.Milliseconds())
 	for _, finished := range record.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
@@ -40,6 +40,6 @@
 }
 
 // CallKeptUntil tells in Unix milliseconds when a call's record may be forgotten.
-func CallKeptUntil(record *protocol.CallRecord) int64 {
+func CallRetainedUntil(record *protocol.CallRecord) int64 {
 	return record.GetUpdatedAtMillis() + keepingMillis(record.GetKeepingMillis())
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -60,7 +60,7 @@
 	unknownSession   = protocol.LedgerStatus_LEDGER_UNKNOWN_SESSION
 	budgetHeld       = protocol.LedgerStatus_LEDGER_BUDGET_HELD
 	budgetSpent      = protocol.LedgerStatus_LEDGER_BUDGET_SPENT
-	longAfterKeeping = ledger.KeepingTime + time.Hour
+	longAfterKeeping = ledger.DefaultRetention + time.Hour
 )
 
 func TestProgramRules(t *testing.T) {
@@ -205,24 +205,24 @@
 			{do: claim("s", "a", 1), want: ok},
 			{do: reserve("r", "s", 1, propertyBudget, ""), want: ok},
 			{do: settle("r", "s", 1, propertyBudget, "t1", ""), want: ok},
-			{do: reserve("r2", "s", 1, 1, "t1"), want: budgetSpent, after: ledger.KeepingTime},
+			{do: reserve("r2", "s", 1, 1, "t1"), want: budgetSpent, after: ledger.DefaultRetention},
 			{do: reserve("r2", "s", 1, 1, "t1"), want: unknownProgram, after: longAfterKeeping},
 			{do: claim("s", "a", 1), want: ok, after: longAfterKeeping, check: settled(0)},
 		},
 		"a program may name a shorter keeping time, within reason": {
 			{do: keeping(time.Minute, claim("s", "a", 1)), want: ok},
 			{do: refuse("r", "s"), want: ok},
-			{do: claim("s2", "a", 1), want: ok, after: ledger.ShortestKeepingTime},
-			{do: reserve("r", "s", 1, 1, ""), want: alreadyFinished, after: ledger.ShortestKeepingTime},
-			{do: claim("s3", "a", 1), want: ok, after: ledger.ShortestKeepingTime + time.Second},
-			{do: reserve("r", "s", 1, 1, ""), want: ok, after: ledger.ShortestKeepingTime + time.Second},
-			{do: release("r", "s", 1, 0), want: ok, after: ledger.ShortestKeepingTime + ledger.ShortestProgramTime},
-			{do: reserve("r", "s", 1, 1, ""), want: unknownProgram, after: 2 * (ledger.ShortestKeepingTime + ledger.ShortestProgramTime)},
+			{do: claim("s2", "a", 1), want: ok, after: ledger.MinRetention},
+			{do: reserve("r", "s", 1, 1, ""), want: alreadyFinished, after: ledger.MinRetention},
+			{do: claim("s3", "a", 1), want: ok, after: ledger.MinRetention + time.Second},
+			{do: reserve("r", "s", 1, 1, ""), want: ok, after: ledger.MinRetention + time.Second},
+			{do: release("r", "s", 1, 0), want: ok, after: ledger.MinRetention + ledger.ShortestProgramTime},
+			{do: reserve("r", "s", 1, 1, ""), want: unknownProgram, after: 2 * (ledger.MinRetention + ledger.ShortestProgramTime)},
 		},
 		"an outcome is forgotten after its keeping time only": {
 			{do: claim("s", "a", 1), want: ok},
 			{do: refuse("r", "s"), want: ok},
-			{do: claim("s2", "a", 1), want: ok, after: ledger.KeepingTime - time.Hour},
+			{do: claim("s2", "a", 1), want: ok, after: ledger.DefaultRetention - time.Hour},
 			{do: reserve("r", "s", 1, 10, ""), want: alreadyFinished},
 			{do: claim("s3", "a", 1), want: ok, after: longAfterKeeping},
 			{do: reserve("r", "s", 1, 10, ""), want: ok},
@@ -289,7 +289,7 @@
 		},
 		"a call is forgotten after its keeping time": {
 			{do: begin("r", "a1", 1), want: ok},
-			{do: begin("r", "a2", 1), want: callUnderWay, after: ledger.KeepingTime},
+			{do: begin("r", "a2", 1), want: callUnderWay, after: ledger.DefaultRetention},
 			{do: begin("r", "a2", 1), want: ok, after: longAfterKeeping},
 		},
 	}
--- a/internal/state/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -53,7 +53,7 @@
 
 // isForgotten tells from the plain form whether the record's keeping time has ended.
 func (w *twin) isForgotten() bool {
-	until := w.plain.GetUpdatedAtMillis() + ledger.KeepingTime.Milliseconds()
+	until := w.plain.GetUpdatedAtMillis() + ledger.DefaultRetention.Milliseconds()
 	for _, finished := range w.plain.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
 	}
@@ -96,7 +96,7 @@
 		if claim != nil && open.GetSession() == claim.GetSession() {
 			plain.Finished = append(plain.Finished, &protocol.FinishedRequest{
 				RequestId: open.GetRequestId(), Session: open.GetSession(), Outcome: outcomeCharged, Tokens: open.GetCeiling(),
-				FinishedAtMillis: w.now.UnixMilli(), KeepUntilMillis: w.now.Add(ledger.KeepingTime).UnixMilli(),
+				FinishedAtMillis: w.now.UnixMilli(), KeepUntilMillis: w.now.Add(ledger.DefaultRetention).UnixMilli(),
 			})
 		}
 	}
--- a/internal/state/ledger/program.go
+++ b/internal/state/ledger/program.go
@@ -12,7 +12,7 @@
 // decided here and answer LEDGER_STATUS_UNSPECIFIED. A record whose keeping time
 // has ended is taken for none.
 func Apply(record *protocol.ProgramRecord, operation *protocol.LedgerOperation, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	if ProgramKeptUntil(record) < now.UnixMilli() {
+	if ProgramRetainedUntil(record) < now.UnixMilli() {
 		record = nil
 	}
 	switch body := operation.GetBody().(type) {
--- a/internal/state/ledger/trainingstep.go
+++ b/internal/state/ledger/trainingstep.go
@@ -25,7 +25,7 @@
 	// that its keeping time counts from there. An owner that remembers a pin must ask again before PinKeepingTime less PinRenewal is over.
 	PinRenewal = time.Hour
 	// PinKeepingTime is how long a pin is kept at least after an owner asked for it, also when the step names a shorter time.
-	PinKeepingTime = KeepingTime
+	PinKeepingTime = DefaultRetention
 )
 
 // TrainingStepProgram gives the reserved program name under which the register of a training step is kept.
--- a/internal/state/store/expiry.go
+++ b/internal/state/store/expiry.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return 0, err
 	}
-	promised := int64(e.state.Promised.Counter) + ledger.ShortestKeepingTime.Milliseconds()
+	promised := int64(e.state.Promised.Counter) + ledger.MinRetention.Milliseconds()
 	e.keptUntil = secondsOf(max(until, promised))
 	return e.keptUntil, nil
 }
@@ -31,10 +31,10 @@
 	}
 	if key.call != "" {
 		record, err := decodeCall(e.state.Value)
-		return ledger.CallKeptUntil(record), err
+		return ledger.CallRetainedUntil(record), err
 	}
 	record, err := decodeProgram(e.state.Value)
-	return ledger.ProgramKeptUntil(record), err
+	return ledger.ProgramRetainedUntil(record), err
 }
 
 // secondsOf rounds a time in Unix milliseconds up to seconds.
@@ -44,7 +44,7 @@
 
 // mayBeForgotten spares the decoding of values that changed a short time ago.
 func (e *entry) mayBeForgotten(now time.Time) bool {
-	return int64(e.state.Promised.Counter) < now.Add(-ledger.ShortestKeepingTime).UnixMilli()
+	return int64(e.state.Promised.Counter) < now.Add(-ledger.MinRetention).UnixMilli()
 }
 
 // isForgotten reports whether the keeping time has ended. A value that cannot be read is not forgotten.
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -221,7 +221,7 @@
 		}
 		segments := func() int { return len(segmentsOf(f.members["a"].disk.Files("data/turns"))) }
 		Expect(segments()).To(BeNumerically(">", 2))
-		f.clock.advance(ledger.KeepingTime + 10*time.Minute)
+		f.clock.advance(ledger.DefaultRetention + 10*time.Minute)
 		f.until(func() bool { return segments() == 1 })
 		f.until(func() bool { return f.do(p.readTurns(p.last())).GetStatus() == missing })
 	})
--- a/internal/state/store/storebench/bench_test.go
+++ b/internal/state/store/storebench/bench_test.go
@@ -83,7 +83,7 @@
 func BenchmarkSteady(b *testing.B) {
 	for b.Loop() {
 		steady, err := storebench.MeasureSteady(b.Context(), b.TempDir(), storebench.SteadyOptions{
-			TurnsPerSecond: 75, TurnBytes: 10_000, KeepFor: time.Minute, Duration: 4 * time.Minute, TurnsOfProgram: 5,
+			TurnsPerSecond: 75, TurnBytes: 10_000, Retention: time.Minute, Duration: 4 * time.Minute, TurnsOfProgram: 5,
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -13,7 +13,7 @@
 // SteadyOptions describe a load that goes on for several keeping times.
 type SteadyOptions struct {
 	TurnsPerSecond, TurnBytes int
-	KeepFor, Duration         time.Duration
+	Retention, Duration       time.Duration
 	// TurnsOfProgram is how many turns a program has before the next one begins.
 	TurnsOfProgram int
 }
@@ -92,7 +92,7 @@
 		go func() {
 			one := &caller{
 				fleet: f, recorder: newRecorder(), begins: ends, text: strings.Repeat("x", options.TurnBytes),
-				turns: options.TurnsOfProgram, keepFor: options.KeepFor,
+				turns: options.TurnsOfProgram, keepFor: options.Retention,
 			}
 			one.runProgram(ctx, fmt.Sprintf("steady-%d", number), ends.Add(time.Minute))
 			done <- &recorder{failed: one.recorder.failed}
--- a/internal/state/store/turnindex.go
+++ b/internal/state/store/turnindex.go
@@ -69,7 +69,7 @@
 func keepUntil(turn *protocol.Turn) uint32 {
 	millis := turn.GetKeepUntilMillis()
 	if millis == 0 {
-		millis = turn.GetKeptAtMillis() + ledger.KeepingTime.Milliseconds()
+		millis = turn.GetKeptAtMillis() + ledger.DefaultRetention.Milliseconds()
 	}
 	return secondsOf(millis)
 }
--- a/internal/testing/sim/servingsuite/answers.go
+++ b/internal/testing/sim/servingsuite/answers.go
@@ -120,7 +120,7 @@
 		ended.outcome = outcomeNotRun
 		a.suite.rules.refused(a.request.id(), failed)
 		code := failure.Code(failed.GetCode())
-		if code == failure.BudgetSpent || code == failure.BudgetHeld || code == failure.WrongContinuation {
+		if code == failure.BudgetSpent || code == failure.BudgetReserved || code == failure.WrongContinuation {
 			ended.outcome = outcomeSpent
 		}
 	case protocol.Outcome_RAN:
--- a/internal/testing/sim/servingsuite/commands.go
+++ b/internal/testing/sim/servingsuite/commands.go
@@ -20,7 +20,7 @@
 		return turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_OK}
 	case turn.Choose:
 		return r.choose(command.Avoid)
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return turn.RetryDecided{Granted: r.front.retries.Retry()}
 	case turn.Issue:
 		r.issue(command.Epoch)
@@ -32,9 +32,9 @@
 		r.emit(command.Event)
 	case turn.Answer:
 		r.emit(command.Response)
-	case turn.Pause:
+	case turn.Backoff:
 		r.pause(command.For)
-	case turn.ReadKept:
+	case turn.ReadRetainedTurn:
 		r.readKept(command.TurnID)
 	default:
 		return r.operate(command)
@@ -56,9 +56,9 @@
 		}
 		operation.Body = &protocol.LedgerOperation_ReserveTurn{ReserveTurn: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Reserved{Result: result} }
-	case turn.Settle:
+	case turn.Commit:
 		operation.Body = &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation}
-		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Settled{Result: result} }
+		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Committed{Result: result} }
 	case turn.Release:
 		operation.Body = &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Released{Result: result} }
@@ -124,7 +124,7 @@
 		case answer.turn == nil:
 			status = protocol.LedgerStatus_LEDGER_TURN_MISSING
 		}
-		r.feed(turn.KeptRead{Turn: answer.turn, Status: status})
+		r.feed(turn.RetainedTurnRead{Turn: answer.turn, Status: status})
 	})
 }
 
--- a/internal/testing/sim/servingsuite/run.go
+++ b/internal/testing/sim/servingsuite/run.go
@@ -60,7 +60,7 @@
 		}
 		created.machine = turn.New(turn.Parameters{
 			Request: asked, TurnID: turn.ID(request.turn.GetProgram(), request.turn.GetRequestId()), Owner: f.name,
-			Incarnation: created.incarnation, Budget: programBudget, Ceiling: turnCeiling, KeepFor: keepTurnsFor,
+			Incarnation: created.incarnation, Budget: programBudget, ReservationLimit: turnCeiling, Retention: keepTurnsFor,
 		})
 		return created
 	}
