--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -54,7 +54,7 @@
 	logger *log.Logger, registerer prometheus.Registerer,
 ) *ownership.Manager {
 	manager := ownership.New(ownership.Options{
-		Link: link, Caller: pool, VirtualPlaces: int(settings.GetVirtualPlaces()), Logger: logger, Registerer: registerer,
+		Link: link, Caller: pool, VirtualNodes: int(settings.GetVirtualPlaces()), Logger: logger, Registerer: registerer,
 	})
 	pool.OnBroken(manager.PeerBroken)
 	return manager
--- a/internal/dataplane/front/lane.go
+++ b/internal/dataplane/front/lane.go
@@ -29,21 +29,21 @@
 func newLane(limits *protocol.LimitPolicy, most ceiling) *lane {
 	l := &lane{concurrency: limit.NewConcurrency(limits.GetMaxConcurrent()), ceiling: most}
 	l.queue = limit.NewQueue(limits.GetMaxQueued(), millis(limits.GetMaxQueueMillis()), 0)
-	l.queue.SetSureSlots(most.fair)
+	l.queue.SetGuaranteedSlots(most.fair)
 	l.queue.SetSlots(l.slots())
 	return l
 }
 
 func (l *lane) configure(limits *protocol.LimitPolicy) []limit.Decision {
-	l.concurrency.SetMost(limits.GetMaxConcurrent())
+	l.concurrency.SetLimit(limits.GetMaxConcurrent())
 	l.queue.SetBounds(limits.GetMaxQueued(), millis(limits.GetMaxQueueMillis()))
 	return l.queue.SetSlots(l.slots())
 }
 
 func (l *lane) bound(most ceiling) []limit.Decision {
 	l.ceiling = most
-	l.queue.SetSureSlots(most.fair)
-	l.queue.SetSpare(most.spare)
+	l.queue.SetGuaranteedSlots(most.fair)
+	l.queue.SetSurplusSlots(most.spare)
 	return l.queue.SetSlots(l.slots())
 }
 
--- a/internal/dataplane/front/stepgates.go
+++ b/internal/dataplane/front/stepgates.go
@@ -63,10 +63,10 @@
 }
 
 // stepRoom asks for the places only when something waits or comes.
-func (a *admission) stepRoom(key stepGateKey) trainingstep.Room {
+func (a *admission) stepRoom(key stepGateKey) trainingstep.Capacity {
 	held := a.lanes[key.group]
 	liveWaits := held != nil && held.queue.WaitingInAll() > 0
-	return trainingstep.Room{Places: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
+	return trainingstep.Capacity{Slots: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
 }
 
 func (s *stepGates) deliver(decisions []trainingstep.Decision) {
--- a/internal/dataplane/front/stepload.go
+++ b/internal/dataplane/front/stepload.go
@@ -70,13 +70,13 @@
 		found[at].Steps = uint32(max(server.steps.count.Load(), 0))
 		found[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
 		found[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
-		found[at].StepPlaces = uint32(trainingstep.Places(placesOf(&found[at]), fronts, false))
+		found[at].StepSlots = uint32(trainingstep.Slots(placesOf(&found[at]), fronts, false))
 	}
 }
 
 // placesOf is what is known of the slots of a candidate whose Steps are set.
-func placesOf(candidate *schedule.Candidate) trainingstep.ServerPlaces {
-	return trainingstep.ServerPlaces{
+func placesOf(candidate *schedule.Candidate) trainingstep.ServerSlots {
+	return trainingstep.ServerSlots{
 		Slots: candidate.Capacity, Others: candidate.Others(),
 		Live: candidate.InFlight - min(candidate.InFlight, candidate.Steps),
 	}
@@ -101,7 +101,7 @@
 	servers.completeSteps(used, fronts)
 	places, ejectedPlaces := 0, 0
 	for at := range used {
-		open := trainingstep.Places(placesOf(&used[at]), fronts, liveWaits)
+		open := trainingstep.Slots(placesOf(&used[at]), fronts, liveWaits)
 		switch {
 		case isUsable(used[at]):
 			places += open
--- a/internal/dataplane/front/watchload.go
+++ b/internal/dataplane/front/watchload.go
@@ -143,7 +143,7 @@
 			taken += int(max(candidate.InFlight, candidate.Running+candidate.Queued))
 		}
 	}
-	return limit.Spare(places, taken, int(math.Round(1/share)))
+	return limit.SurplusSlots(places, taken, int(math.Round(1/share)))
 }
 
 func isUsable(candidate schedule.Candidate) bool { return !candidate.Draining && !candidate.Ejected }
--- a/internal/dataplane/limit/concurrency.go
+++ b/internal/dataplane/limit/concurrency.go
@@ -34,13 +34,13 @@
 // NewConcurrency makes a limit that begins at its maximum; zero means DefaultMaxConcurrent.
 func NewConcurrency(most uint32) *Concurrency {
 	c := &Concurrency{}
-	c.SetMost(most)
+	c.SetLimit(most)
 	c.limit = c.most
 	return c
 }
 
 // SetMost changes the maximum.
-func (c *Concurrency) SetMost(most uint32) {
+func (c *Concurrency) SetLimit(most uint32) {
 	if most == 0 {
 		most = DefaultMaxConcurrent
 	}
--- a/internal/dataplane/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -204,7 +204,7 @@
 func TestOnlySlotsThatStayAreCountedOn(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
 	now := atEase(s)
-	s.queue.SetSureSlots(2)
+	s.queue.SetGuaranteedSlots(2)
 	s.note(s.queue.SetSlots(20))
 	var burst []uint64
 	for range 100 {
--- a/internal/dataplane/limit/queue.go
+++ b/internal/dataplane/limit/queue.go
@@ -146,11 +146,11 @@
 
 // SetSureSlots tells how many of the slots stay when others take theirs of a
 // shared capacity; zero is all of them. Expected waits count on no more.
-func (q *Queue) SetSureSlots(slots int) { q.sureSlots = slots }
+func (q *Queue) SetGuaranteedSlots(slots int) { q.sureSlots = slots }
 
 // SetSpare tells how many tickets may run beyond the slots, as long as the servers are known to be less than half
 // taken: a refusal would then be for nothing. See Spare.
-func (q *Queue) SetSpare(tickets int) { q.spare = tickets }
+func (q *Queue) SetSurplusSlots(tickets int) { q.spare = tickets }
 
 // InFlight is the number of slots taken.
 func (q *Queue) InFlight() int { return q.inFlight }
--- a/internal/dataplane/limit/spare.go
+++ b/internal/dataplane/limit/spare.go
@@ -4,7 +4,7 @@
 
 // Spare is how many requests one of so many front nodes may send beyond its slots rather than refuse them: its share of
 // what is missing until half of the servers' places are taken, as of the last reports.
-func Spare(places, taken, fronts int) int {
+func SurplusSlots(places, taken, fronts int) int {
 	return max(places/2-taken, 0) / max(fronts, 1)
 }
 
--- a/internal/dataplane/limit/spare_test.go
+++ b/internal/dataplane/limit/spare_test.go
@@ -42,7 +42,7 @@
 func spendOnProbes(s *tickets, places int) (urgentRan, probesRan int) {
 	urgentBefore, probesBefore := s.ranOf(urgent), s.ranOf(probe)
 	for range places {
-		s.queue.SetSpare(1)
+		s.queue.SetSurplusSlots(1)
 		s.enter(probe, "a", 1, start)
 	}
 	return s.ranOf(urgent) - urgentBefore, s.ranOf(probe) - probesBefore
@@ -64,7 +64,7 @@
 
 func TestASparePlaceGoesToTheTicketAtHandWhenNoneMoreUrgentWaits(t *testing.T) {
 	s := stuckQueue(4)
-	s.queue.SetSpare(1)
+	s.queue.SetSurplusSlots(1)
 	if id := s.enter(urgent, "a", 1, start); s.verdicts[id].Verdict != limit.Run {
 		t.Fatalf("an urgent ticket with only probes and its like waiting: %+v", s.verdicts[id])
 	}
--- a/internal/dataplane/limit/urgency_test.go
+++ b/internal/dataplane/limit/urgency_test.go
@@ -127,7 +127,7 @@
 
 func TestNothingIsRefusedWhileHalfOfTheServersPlacesAreFree(t *testing.T) {
 	s := newTickets(2, time.Second, 1)
-	s.queue.SetSpare(limit.Spare(288, 84, 10))
+	s.queue.SetSurplusSlots(limit.SurplusSlots(288, 84, 10))
 	var ids []uint64
 	for range 12 {
 		ids = append(ids, s.enter(interactive, "a", 1, start))
@@ -139,7 +139,7 @@
 	if s.queue.InFlight() != 7 {
 		t.Fatalf("%d in flight", s.queue.InFlight())
 	}
-	s.queue.SetSpare(1)
+	s.queue.SetSurplusSlots(1)
 	s.note(s.queue.Expire(at(time.Second)))
 	if ran, late := s.count(ids, limit.Run), s.count(ids, limit.RejectLate); ran != 8 || late != 1 {
 		t.Fatalf("%d ran, %d were refused late", ran, late)
@@ -148,7 +148,7 @@
 
 func TestATicketPastItsDeadlineIsRefusedWhateverThereIsToSpare(t *testing.T) {
 	s := newTickets(10, time.Second, 0)
-	s.queue.SetSpare(100)
+	s.queue.SetSurplusSlots(100)
 	id := s.put(limit.Ticket{Class: interactive, Deadline: at(100 * time.Millisecond)}, start)
 	s.note(s.queue.Expire(at(100 * time.Millisecond)))
 	if s.verdicts[id].Verdict != limit.RejectLate {
@@ -163,7 +163,7 @@
 		{288, 250, 10, 0},
 		{10, 1, 0, 4},
 	} {
-		if got := limit.Spare(tt.places, tt.taken, tt.fronts); got != tt.want {
+		if got := limit.SurplusSlots(tt.places, tt.taken, tt.fronts); got != tt.want {
 			t.Errorf("%+v: %d", tt, got)
 		}
 	}
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -47,7 +47,7 @@
 	Link   Link
 	Caller wire.Caller
 	// VirtualPlaces must be the same on every front node.
-	VirtualPlaces int
+	VirtualNodes int
 	// ResolveWait bounds how long Resolve may wait for an owner.
 	ResolveWait time.Duration
 	// SilenceLimit is how long a front node may be silent before it is suspected.
@@ -95,8 +95,8 @@
 }
 
 func withDefaults(options Options) Options {
-	if options.VirtualPlaces == 0 {
-		options.VirtualPlaces = ring.DefaultVirtualPlaces
+	if options.VirtualNodes == 0 {
+		options.VirtualNodes = ring.DefaultVirtualNodes
 	}
 	if options.ResolveWait == 0 {
 		options.ResolveWait = DefaultResolveWait
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -116,7 +116,7 @@
 		s.handle(directory.PolicyChanged{Policy: directory.PolicyOf(recovery)})
 	}
 	if view.Membership.GetVersion() > s.directory.ViewVersion() {
-		s.handle(directory.ViewChanged{View: s.directory.Membership().NextOf(view.Membership, s.manager.options.VirtualPlaces)})
+		s.handle(directory.ViewChanged{View: s.directory.Membership().NextOf(view.Membership, s.manager.options.VirtualNodes)})
 	}
 }
 
--- a/internal/dataplane/promptcache/digest.go
+++ b/internal/dataplane/promptcache/digest.go
@@ -100,8 +100,8 @@
 				continue
 			}
 			if cache := m.servers[digest.Servers[index]]; cache != nil {
-				m.prefix(Part{Prefix: named.Prefix, Tokens: named.Tokens}, named.Parent).shared = true
-				m.keep(cache, Part{Prefix: named.Prefix, Tokens: named.Tokens}, false)
+				m.prefix(Segment{Prefix: named.Prefix, Tokens: named.Tokens}, named.Parent).shared = true
+				m.keep(cache, Segment{Prefix: named.Prefix, Tokens: named.Tokens}, false)
 				m.evict(cache)
 			}
 		}
--- a/internal/dataplane/promptcache/model.go
+++ b/internal/dataplane/promptcache/model.go
@@ -155,7 +155,7 @@
 	p.shared = p.shared || p.successor != successor
 }
 
-func (m *Model) prefix(part Part, parent uint64) *prefix {
+func (m *Model) prefix(part Segment, parent uint64) *prefix {
 	known := m.prefixes[part.Prefix]
 	if known == nil {
 		known = &prefix{parent: parent, tokens: part.Tokens}
@@ -165,7 +165,7 @@
 }
 
 // keep makes a part the most recently used one of a server.
-func (m *Model) keep(cache *serverCache, part Part, own bool) {
+func (m *Model) keep(cache *serverCache, part Segment, own bool) {
 	kept := cache.entries[part.Prefix]
 	if kept == nil {
 		kept = cache.add(part)
@@ -181,7 +181,7 @@
 }
 
 // weight is the room that a part takes, with what other front nodes are taken to send meanwhile.
-func (m *Model) weight(part Part) uint64 {
+func (m *Model) weight(part Segment) uint64 {
 	if m.prefixes[part.Prefix].shared {
 		return uint64(part.Tokens)
 	}
--- a/internal/dataplane/promptcache/prompt.go
+++ b/internal/dataplane/promptcache/prompt.go
@@ -8,7 +8,7 @@
 import "github.com/cespare/xxhash/v2"
 
 // Part is one part of a prompt.
-type Part struct {
+type Segment struct {
 	// Prefix is the hash of the model, this part and all parts before it.
 	Prefix uint64
 	// Tokens is the length of this part alone.
@@ -16,7 +16,7 @@
 }
 
 // Prompt is the parts of a prompt in order.
-type Prompt []Part
+type Prompt []Segment
 
 // Chain builds a Prompt part by part.
 type Chain struct {
@@ -32,7 +32,7 @@
 // Add appends a part, named by its identifier.
 func (c *Chain) Add(id string, tokens uint32) {
 	c.prefix = mix(c.prefix, xxhash.Sum64String(id))
-	c.parts = append(c.parts, Part{Prefix: c.prefix, Tokens: tokens})
+	c.parts = append(c.parts, Segment{Prefix: c.prefix, Tokens: tokens})
 }
 
 // Prompt gives the parts added so far.
--- a/internal/dataplane/promptcache/servercache.go
+++ b/internal/dataplane/promptcache/servercache.go
@@ -2,7 +2,7 @@
 
 // entry is a part that a server keeps, linked from the most to the least recently used one.
 type entry struct {
-	part Part
+	part Segment
 	// weight is the room that the part is counted with among all servers.
 	weight uint64
 	// usedAt is the number of the part's last use.
@@ -35,7 +35,7 @@
 	return c.ends.newer
 }
 
-func (c *serverCache) add(part Part) *entry {
+func (c *serverCache) add(part Segment) *entry {
 	added := &entry{part: part}
 	c.entries[part.Prefix] = added
 	c.held += uint64(part.Tokens)
--- a/internal/dataplane/ring/next_test.go
+++ b/internal/dataplane/ring/next_test.go
@@ -38,15 +38,15 @@
 // BenchmarkOneOfManyLeaves builds the ring of 330 members without one of them.
 func BenchmarkOneOfManyLeaves(b *testing.B) {
 	all := members(330)
-	full := ring.New(all, ring.DefaultVirtualPlaces)
+	full := ring.New(all, ring.DefaultVirtualNodes)
 	b.Run("New", func(b *testing.B) {
 		for b.Loop() {
-			ring.Changes(full, ring.New(all[1:], ring.DefaultVirtualPlaces))
+			ring.Changes(full, ring.New(all[1:], ring.DefaultVirtualNodes))
 		}
 	})
 	b.Run("Next", func(b *testing.B) {
 		for b.Loop() {
-			ring.Changes(full, ring.Next(full, all[1:], ring.DefaultVirtualPlaces))
+			ring.Changes(full, ring.Next(full, all[1:], ring.DefaultVirtualNodes))
 		}
 	})
 }
--- a/internal/dataplane/ring/ring.go
+++ b/internal/dataplane/ring/ring.go
@@ -22,7 +22,7 @@
 )
 
 // DefaultVirtualPlaces is the number of places of a member where settings name none.
-const DefaultVirtualPlaces = 16
+const DefaultVirtualNodes = 16
 
 // Member is one front node on the ring. An incarnation is one unbroken stretch
 // of authority: a member that lost its partition comes back under another one.
@@ -55,7 +55,7 @@
 // have are hashed and sorted, so that a change of one member among many costs one pass over the places.
 func Next(former *Ring, members []Member, virtualPlaces int) *Ring {
 	if virtualPlaces <= 0 {
-		virtualPlaces = DefaultVirtualPlaces
+		virtualPlaces = DefaultVirtualNodes
 	}
 	next := &Ring{members: slices.Clone(members), virtualPlaces: virtualPlaces}
 	slices.SortFunc(next.members, compareAddresses)
--- a/internal/dataplane/schedule/outstanding.go
+++ b/internal/dataplane/schedule/outstanding.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *Candidate) hasNoStepPlace() bool { return c.Steps >= c.StepPlaces }
+func (c *Candidate) hasNoStepPlace() bool { return c.Steps >= c.StepSlots }
 
 // tokensOfRequest is what a request of which nothing is known counts for: the
 // mean of the generations under way, or the request at hand when there is none.
--- a/internal/dataplane/schedule/outstanding_test.go
+++ b/internal/dataplane/schedule/outstanding_test.go
@@ -94,7 +94,7 @@
 		count := uint32(len(f.servers[at].generations))
 		candidates = append(candidates, schedule.Candidate{
 			ID: fmt.Sprint("s", at), Capacity: spreadSlots, Weight: 1, InFlight: count,
-			Steps: count, StepPlaces: spreadSlots, StepTokens: uint64(f.servers[at].outstanding()),
+			Steps: count, StepSlots: spreadSlots, StepTokens: uint64(f.servers[at].outstanding()),
 		})
 	}
 	chosen := schedule.Choose(request, candidates, f.random).Chosen
@@ -158,7 +158,7 @@
 func TestAGenerationGoesWhereTheLeastWorkIsOutstanding(t *testing.T) {
 	work := &schedule.StepWork{PromptTokens: 1000, OutputTokens: 100}
 	server := func(id string, change func(*schedule.Candidate)) schedule.Candidate {
-		candidate := schedule.Candidate{ID: id, Capacity: 16, Weight: 1, StepPlaces: 12}
+		candidate := schedule.Candidate{ID: id, Capacity: 16, Weight: 1, StepSlots: 12}
 		change(&candidate)
 		return candidate
 	}
@@ -187,7 +187,7 @@
 			func(c *schedule.Candidate) { c.Capacity, c.InFlight, c.Steps, c.StepTokens = 64, 1, 1, 2000 }, "s2",
 		},
 		"no place for a step": {
-			func(c *schedule.Candidate) { c.StepPlaces = 0 },
+			func(c *schedule.Candidate) { c.StepSlots = 0 },
 			func(c *schedule.Candidate) { c.InFlight, c.Steps, c.StepTokens = 2, 2, 5000 }, "s2",
 		},
 		"draining": {
--- a/internal/dataplane/schedule/schedule.go
+++ b/internal/dataplane/schedule/schedule.go
@@ -73,8 +73,8 @@
 	// The rest matters to generations of training steps alone.
 
 	// Steps counts this front node's own generations of steps at the server, and StepPlaces how many it may have there.
-	Steps      uint32
-	StepPlaces uint32
+	Steps     uint32
+	StepSlots uint32
 	// StepsAtReport is Steps as it was when the load was reported.
 	StepsAtReport uint32
 	// StepTokens is what those have still to read of their prompts and may still generate.
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -56,7 +56,7 @@
 	// read counts all prompt tokens that were read.
 	read       uint64
 	preempted  int
-	onReadPart func(promptcache.Part)
+	onReadPart func(promptcache.Segment)
 }
 
 const cacheKey = ""
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -135,7 +135,7 @@
 	return added
 }
 
-func (f *fleet) readPart(part promptcache.Part) {
+func (f *fleet) readPart(part promptcache.Segment) {
 	f.result.Read += uint64(part.Tokens)
 	if f.result.readBefore[part.Prefix] {
 		f.result.ReadTwice += uint64(part.Tokens)
--- a/internal/dataplane/trainingstep/gate.go
+++ b/internal/dataplane/trainingstep/gate.go
@@ -18,9 +18,9 @@
 )
 
 // Room is what the servers of a version can take of this front node's generations.
-type Room struct {
+type Capacity struct {
 	// Places is the number of generations that may run at a time.
-	Places int
+	Slots int
 	// LiveWaits is true while a live request waits for a slot of the servers' group.
 	LiveWaits bool
 }
@@ -71,7 +71,7 @@
 func (g *Gate) Waiting() int { return len(g.waiting) }
 
 // Enter takes a ticket in.
-func (g *Gate) Enter(ticket Ticket, room Room, now time.Time) []Decision {
+func (g *Gate) Enter(ticket Ticket, room Capacity, now time.Time) []Decision {
 	if len(g.waiting) >= MaxWaiting {
 		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RejectFull})
 	}
@@ -84,7 +84,7 @@
 }
 
 // Leave gives a place back.
-func (g *Gate) Leave(room Room, now time.Time) []Decision {
+func (g *Gate) Leave(room Capacity, now time.Time) []Decision {
 	g.running--
 	return g.Dispatch(room, now)
 }
@@ -97,7 +97,7 @@
 }
 
 // Dispatch refuses who waited too long and lets in who may run now.
-func (g *Gate) Dispatch(room Room, now time.Time) []Decision {
+func (g *Gate) Dispatch(room Capacity, now time.Time) []Decision {
 	var decisions []Decision
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool {
 		late := !now.Before(w.expires)
@@ -114,11 +114,11 @@
 	return decisions
 }
 
-func (g *Gate) admits(next waitingTicket, room Room, now time.Time) bool {
+func (g *Gate) admits(next waitingTicket, room Capacity, now time.Time) bool {
 	if g.running == 0 && now.Sub(next.entered) >= Patience {
 		return true
 	}
-	return !room.LiveWaits && g.running < room.Places
+	return !room.LiveWaits && g.running < room.Slots
 }
 
 // NextWake is when Dispatch may have something to do without any other event; zero when nothing waits.
--- a/internal/dataplane/trainingstep/gate_test.go
+++ b/internal/dataplane/trainingstep/gate_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestAGateLetsInWhatTheServersTakeInOrder(t *testing.T) {
-	gate, room := &trainingstep.Gate{}, trainingstep.Room{Places: 2}
+	gate, room := &trainingstep.Gate{}, trainingstep.Capacity{Slots: 2}
 	var ran []uint64
 	for id := range uint64(4) {
 		ran = append(ran, idsOf(gate.Enter(trainingstep.Ticket{ID: id}, room, start), trainingstep.Run)...)
@@ -38,7 +38,7 @@
 }
 
 func TestLiveRequestsGoFirstAndAStepGoesOnAllTheSame(t *testing.T) {
-	gate, busy := &trainingstep.Gate{}, trainingstep.Room{Places: 8, LiveWaits: true}
+	gate, busy := &trainingstep.Gate{}, trainingstep.Capacity{Slots: 8, LiveWaits: true}
 	for id := range uint64(3) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, busy, start); len(decisions) > 0 {
 			t.Fatalf("%v before a live request that waits", decisions)
@@ -64,7 +64,7 @@
 }
 
 func TestAGateRefusesWhatItCannotHold(t *testing.T) {
-	gate, none := &trainingstep.Gate{}, trainingstep.Room{}
+	gate, none := &trainingstep.Gate{}, trainingstep.Capacity{}
 	for id := range uint64(trainingstep.MaxWaiting) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, none, start); len(decisions) > 0 {
 			t.Fatalf("decided %v", decisions)
@@ -95,7 +95,7 @@
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			room := trainingstep.Room{Places: rapid.IntRange(0, 3).Draw(t, "places"), LiveWaits: rapid.Bool().Draw(t, "live")}
+			room := trainingstep.Capacity{Slots: rapid.IntRange(0, 3).Draw(t, "places"), LiveWaits: rapid.Bool().Draw(t, "live")}
 			before := running
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
@@ -112,14 +112,14 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "passed")) * time.Millisecond)
 				take(gate.Dispatch(room, now))
 			}
-			if most := max(before, room.Places, 1); running > most {
+			if most := max(before, room.Slots, 1); running > most {
 				t.Fatalf("%d run where %d may", running, most)
 			}
 			if room.LiveWaits && running > max(before, 1) {
 				t.Fatalf("%d let in while live requests wait", running-before)
 			}
 		}
-		take(gate.Dispatch(trainingstep.Room{}, now.Add(trainingstep.MaxWait)))
+		take(gate.Dispatch(trainingstep.Capacity{}, now.Add(trainingstep.MaxWait)))
 		if len(decided) != len(entered) {
 			t.Fatalf("%d of %d decided", len(decided), len(entered))
 		}
@@ -128,23 +128,23 @@
 
 func TestPlacesLeaveLiveRequestsTheirSlots(t *testing.T) {
 	cases := map[string]struct {
-		server trainingstep.ServerPlaces
+		server trainingstep.ServerSlots
 		fronts int
 		waits  bool
 		want   int
 	}{
-		"an idle server":                   {trainingstep.ServerPlaces{Slots: 16}, 1, false, 12},
-		"live requests run there":          {trainingstep.ServerPlaces{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
-		"live requests wait":               {trainingstep.ServerPlaces{Slots: 16}, 1, true, 4},
-		"other front nodes":                {trainingstep.ServerPlaces{Slots: 16}, 3, false, 4},
-		"many other front nodes":           {trainingstep.ServerPlaces{Slots: 16}, 330, false, 1},
-		"others fill it":                   {trainingstep.ServerPlaces{Slots: 16, Others: 12}, 330, false, 0},
-		"others leave one place":           {trainingstep.ServerPlaces{Slots: 16, Others: 11}, 1, false, 1},
-		"unknown slots stand for 8":        {trainingstep.ServerPlaces{}, 1, false, 6},
-		"a small server still takes a one": {trainingstep.ServerPlaces{Slots: 2}, 1, true, 1},
+		"an idle server":                   {trainingstep.ServerSlots{Slots: 16}, 1, false, 12},
+		"live requests run there":          {trainingstep.ServerSlots{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
+		"live requests wait":               {trainingstep.ServerSlots{Slots: 16}, 1, true, 4},
+		"other front nodes":                {trainingstep.ServerSlots{Slots: 16}, 3, false, 4},
+		"many other front nodes":           {trainingstep.ServerSlots{Slots: 16}, 330, false, 1},
+		"others fill it":                   {trainingstep.ServerSlots{Slots: 16, Others: 12}, 330, false, 0},
+		"others leave one place":           {trainingstep.ServerSlots{Slots: 16, Others: 11}, 1, false, 1},
+		"unknown slots stand for 8":        {trainingstep.ServerSlots{}, 1, false, 6},
+		"a small server still takes a one": {trainingstep.ServerSlots{Slots: 2}, 1, true, 1},
 	}
 	for name, c := range cases {
-		if got := trainingstep.Places(c.server, c.fronts, c.waits); got != c.want {
+		if got := trainingstep.Slots(c.server, c.fronts, c.waits); got != c.want {
 			t.Errorf("%s: %d, not %d", name, got, c.want)
 		}
 	}
--- a/internal/dataplane/trainingstep/places.go
+++ b/internal/dataplane/trainingstep/places.go
@@ -13,7 +13,7 @@
 )
 
 // ServerPlaces is what is known of the slots of one server.
-type ServerPlaces struct {
+type ServerSlots struct {
 	// Slots is the number of requests that the server runs at once; zero is unknown.
 	Slots uint32
 	// Others counts what is at the server, as far as is known, beside the generations of this front node.
@@ -25,7 +25,7 @@
 // Places is how many generations of training steps one of several front nodes
 // may have at a server. Each front node takes its part of the share, at least
 // one, and what others have at the server leaves room for no more than IdleShare in all.
-func Places(server ServerPlaces, frontNodes int, liveWaits bool) int {
+func Slots(server ServerSlots, frontNodes int, liveWaits bool) int {
 	slots := float64(server.Slots)
 	if server.Slots == 0 {
 		slots = defaultSlots
--- a/internal/testing/lab/command/killone.go
+++ b/internal/testing/lab/command/killone.go
@@ -156,7 +156,7 @@
 
 func (a *killArm) count(book *caller.Book) {
 	for _, loss := range a.kills {
-		a.Cost.Add(killone.Measure(loss, ring.DefaultVirtualPlaces, book.Records))
+		a.Cost.Add(killone.Measure(loss, ring.DefaultVirtualNodes, book.Records))
 		a.Salvaged += loss.Salvaged
 		if loss.Reregistered >= 0 {
 			a.times.Add(loss.Reregistered)
--- a/internal/testing/sim/servingsuite/admission.go
+++ b/internal/testing/sim/servingsuite/admission.go
@@ -109,11 +109,11 @@
 			others := candidate.Running - min(candidate.Running, candidate.InFlight)
 			room += max(0, overCommit*float64(candidate.Capacity)-float64(others))
 		}
-		held.queue.SetSpare(limit.Spare(places, taken, fronts))
+		held.queue.SetSurplusSlots(limit.SurplusSlots(places, taken, fronts))
 		slots := held.concurrency.Limit()
 		if places > 0 {
 			fair := int(math.Ceil(float64(places) * overCommit / float64(fronts)))
-			held.queue.SetSureSlots(fair)
+			held.queue.SetGuaranteedSlots(fair)
 			slots = min(slots, max(fair, int(roomShare*room)))
 		}
 		a.deliver(held.queue.SetSlots(slots))
