--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -30,7 +30,7 @@
 	Match uint64
 	Voter bool
 	// Heard is when it last answered, or when it was first sent to.
-	Heard time.Time
+	LastContact time.Time
 }
 
 // Status describes the node.
@@ -46,7 +46,7 @@
 	}
 	for _, peer := range n.peers {
 		status.Contacts = append(status.Contacts, Contact{
-			ID: peer.id, Match: peer.match, Voter: peer.voter, Heard: peer.heard,
+			ID: peer.id, Match: peer.match, Voter: peer.voter, LastContact: peer.heard,
 		})
 	}
 	return status
--- a/internal/controlplane/controlstate/announcements.go
+++ b/internal/controlplane/controlstate/announcements.go
@@ -79,7 +79,7 @@
 }
 
 // Departed reports whether a back end has left and is not in the view.
-func (v *View) Departed(id string) bool {
+func (v *View) Removed(id string) bool {
 	return v.BackEnd(id) == nil && v.announced.find(id).GetDeparted()
 }
 
--- a/internal/controlplane/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -197,7 +197,7 @@
 		w.accepted("", announce(server(ready, 4), 14))
 		w.accepted("", upsert(server(ready, 4)))
 		Expect(held()).To(BeNil())
-		Expect(w.state.View().Departed("s1")).To(BeTrue())
+		Expect(w.state.View().Removed("s1")).To(BeTrue())
 		next := server(ready, 4)
 		next.Incarnation = 2
 		w.accepted("", announce(next, 1))
@@ -233,9 +233,9 @@
 		}
 		at(1_000, depart("s1", 0))
 		at(1_000+3_600_000, depart("s3", 0))
-		Expect(w.state.View().Departed("s1")).To(BeTrue())
+		Expect(w.state.View().Removed("s1")).To(BeTrue())
 		at(1_001+3_600_000, depart("s4", 0))
-		Expect(w.state.View().Departed("s1")).To(BeFalse())
+		Expect(w.state.View().Removed("s1")).To(BeFalse())
 		Expect(w.state.Snapshot().GetAnnouncements()).To(HaveLen(2))
 	})
 })
--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -131,7 +131,7 @@
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
-	if !s.machine.View().Departed(id) {
+	if !s.machine.View().Removed(id) {
 		_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
 			RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Departed: true, Sequence: sequence},
 		}})
--- a/internal/controlplane/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -122,9 +122,9 @@
 
 // rolloutAnswer is the roll-out under way, if any, and what its arms measured so far.
 type rolloutAnswer struct {
-	Active  uint64            `json:"active"`
-	Rollout json.RawMessage   `json:"rollout,omitempty"`
-	Arms    []json.RawMessage `json:"arms"`
+	Active   uint64            `json:"active"`
+	Rollout  json.RawMessage   `json:"rollout,omitempty"`
+	Variants []json.RawMessage `json:"arms"`
 }
 
 func (s *Service) showRollout(ctx context.Context, _ *operatorRequest) (*answer, error) {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Arms: arms}
+	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: arms}
 	if configuration.GetRollout() != nil {
 		if document.Rollout, err = encode(configuration.GetRollout()); err != nil {
 			return nil, err
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -87,7 +87,7 @@
 }
 
 // Held reports whether the node has authority now.
-func (a *Authority) Held() bool {
+func (a *Authority) Valid() bool {
 	return lease.Before(time.Now(), a.Ends)
 }
 
@@ -236,7 +236,7 @@
 
 // HasAuthority reports whether the node may act as owner or holder now.
 func (l *Link) HasAuthority() bool {
-	return l.Authority().Held()
+	return l.Authority().Valid()
 }
 
 // Ready reports whether the lease is held and a linearizable view was read under it.
--- a/internal/controlplane/corelink/owner.go
+++ b/internal/controlplane/corelink/owner.go
@@ -169,7 +169,7 @@
 	o.renewing = false
 	o.deliverRelease()
 	now := time.Now()
-	o.contacted = err == nil || o.holder.Held(now)
+	o.contacted = err == nil || o.holder.Valid(now)
 	switch {
 	case o.released:
 		return
@@ -249,7 +249,7 @@
 // of was set back. It asks for the lease at once then.
 func (o *owner) succeed() bool {
 	now := time.Now()
-	if !o.wasRefused || o.holder.Held(now) {
+	if !o.wasRefused || o.holder.Valid(now) {
 		return false
 	}
 	for _, node := range o.link.View().Membership.GetNodes() {
--- a/internal/controlplane/lease/holder.go
+++ b/internal/controlplane/lease/holder.go
@@ -77,7 +77,7 @@
 // ended reports whether the incarnation had authority that is over. One that
 // never had any, because its first view was not read, has lost nothing.
 func (h *Holder) ended(now time.Time) bool {
-	return h.granted && !h.currentAt.IsZero() && !h.Held(now)
+	return h.granted && !h.currentAt.IsZero() && !h.Valid(now)
 }
 
 // lapse ends the incarnation; the next one is larger and close to Unix milliseconds.
@@ -184,7 +184,7 @@
 }
 
 // Held reports whether the holder has authority at the time given.
-func (h *Holder) Held(now time.Time) bool {
+func (h *Holder) Valid(now time.Time) bool {
 	return Before(now, h.Ends())
 }
 
--- a/internal/controlplane/lease/holder_test.go
+++ b/internal/controlplane/lease/holder_test.go
@@ -22,7 +22,7 @@
 
 func TestAuthorityIsCountedFromWhenTheRenewalWasSent(t *testing.T) {
 	holder := newHolder()
-	if holder.Held(start) {
+	if holder.Valid(start) {
 		t.Fatal("held without a grant")
 	}
 	renewal, _ := holder.Send(at(0))
@@ -30,7 +30,7 @@
 	if want := at(4500); !holder.Ends().Equal(want) {
 		t.Fatalf("ends at %v, want %v", holder.Ends(), want)
 	}
-	if !holder.Held(at(4499)) || holder.Held(at(4500)) {
+	if !holder.Valid(at(4499)) || holder.Valid(at(4500)) {
 		t.Fatal("does not end exactly at its end")
 	}
 }
@@ -39,14 +39,14 @@
 	holder := newHolder()
 	renewal, _ := holder.Send(at(0))
 	holder.Granted(at(1), renewal, duration, 0)
-	if holder.Held(at(20_000)) {
+	if holder.Valid(at(20_000)) {
 		t.Fatal("a frozen process woke with authority")
 	}
 	renewal, lapsed := holder.Send(at(20_000))
 	if !lapsed || renewal.Incarnation <= 1 {
 		t.Fatalf("lapsed %v, incarnation %d", lapsed, renewal.Incarnation)
 	}
-	if !holder.Granted(at(20_010), renewal, duration, 0) || !holder.Held(at(20_011)) {
+	if !holder.Granted(at(20_010), renewal, duration, 0) || !holder.Valid(at(20_011)) {
 		t.Fatal("the new incarnation did not get authority")
 	}
 }
@@ -57,7 +57,7 @@
 	holder.Granted(at(1), first, duration, 0)
 	second, _ := holder.Send(at(1000))
 	// The granter may have ended the lease and begun another one before it received the second renewal.
-	if holder.Granted(at(4600), second, duration, 0) || holder.Held(at(4601)) {
+	if holder.Granted(at(4600), second, duration, 0) || holder.Valid(at(4601)) {
 		t.Fatal("authority was mended across a gap")
 	}
 	third, lapsed := holder.Send(at(4601))
@@ -82,13 +82,13 @@
 	renewal, _ := holder.Send(at(0))
 	holder.Granted(at(1), renewal, duration, 0)
 	holder.Rejected(at(2), renewal)
-	if holder.Held(at(3)) || holder.Incarnation() <= 1 {
+	if holder.Valid(at(3)) || holder.Incarnation() <= 1 {
 		t.Fatal("refused and still held")
 	}
 	renewal, _ = holder.Send(at(10))
 	holder.Granted(at(11), renewal, duration, 0)
 	holder.Released()
-	if holder.Held(at(12)) || holder.Granted(at(13), renewal, duration, 0) || holder.Held(at(14)) {
+	if holder.Valid(at(12)) || holder.Granted(at(13), renewal, duration, 0) || holder.Valid(at(14)) {
 		t.Fatal("held after the release")
 	}
 }
@@ -126,12 +126,12 @@
 		if incarnation := renew(millis); incarnation != 1 {
 			t.Fatalf("incarnation %d without ever having had authority", incarnation)
 		}
-		if holder.Held(at(millis + 20)) {
+		if holder.Valid(at(millis + 20)) {
 			t.Fatalf("held after %d ms without a view", millis)
 		}
 	}
 	holder.ViewRead(9)
-	if !holder.Held(at(12_100)) {
+	if !holder.Valid(at(12_100)) {
 		t.Fatal("no authority with a grant and a current view")
 	}
 }
@@ -199,7 +199,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause")) * time.Millisecond)
 			renewal, _ := holder.Send(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "there")) * time.Millisecond)
-			if holder.Held(now) && !now.Before(granter.expires) {
+			if holder.Valid(now) && !now.Before(granter.expires) {
 				t.Fatalf("held at %v, lease ended at %v", now, granter.expires)
 			}
 			granted := rapid.Bool().Draw(t, "arrives") && granter.receive(now, renewal)
@@ -207,7 +207,7 @@
 			if granted && rapid.Bool().Draw(t, "answered") {
 				holder.Granted(now, renewal, duration, 0)
 			}
-			if holder.Held(now) && !now.Before(granter.expires) {
+			if holder.Valid(now) && !now.Before(granter.expires) {
 				t.Fatalf("held at %v, lease ended at %v", now, granter.expires)
 			}
 		}
--- a/internal/controlplane/replica/plan.go
+++ b/internal/controlplane/replica/plan.go
@@ -56,7 +56,7 @@
 	if id == v.self {
 		return 0
 	}
-	return v.now.Sub(v.contacts[id].Heard)
+	return v.now.Sub(v.contacts[id].LastContact)
 }
 
 func (v *membershipView) alive(id uint64) bool { return v.silence(id) < v.aliveWithin }
--- a/internal/controlplane/replica/plan_test.go
+++ b/internal/controlplane/replica/plan_test.go
@@ -63,7 +63,7 @@
 					Id: id, Name: member.name, Zone: member.zone, Voter: member.voter,
 				})
 				if id != view.self {
-					view.contacts[id] = consensus.Contact{ID: id, Match: last - member.lag, Heard: now.Add(-time.Duration(member.silent) * time.Second)}
+					view.contacts[id] = consensus.Contact{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.silent) * time.Second)}
 				}
 			}
 			reason := ""
@@ -89,7 +89,7 @@
 			view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 				Id: id, Name: fmt.Sprint("member-", id), Voter: id <= uint64(voters),
 			})
-			view.contacts[id] = consensus.Contact{ID: id, Match: 10, Heard: now}
+			view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
 		}
 		return view
 	}
@@ -181,7 +181,7 @@
 		view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 			Id: id, Name: fmt.Sprint("m", id), Region: member.region, Zone: member.zone, Voter: member.voter,
 		})
-		view.contacts[id] = consensus.Contact{ID: id, Match: 10, Heard: now}
+		view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
 	}
 	return view
 }
--- a/internal/controlplane/replica/reopen.go
+++ b/internal/controlplane/replica/reopen.go
@@ -94,7 +94,7 @@
 	if err := r.disk.close(); err != nil {
 		r.logWarning("the failed log was closed with an error", "error", err)
 	}
-	if err := storage.ProbeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
+	if err := storage.CheckFreeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
 		return err
 	}
 	disk, err := openDisk(r.options.Filesystem, r.options.Folder)
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -62,7 +62,7 @@
 	}
 	for _, contact := range view.status.Contacts {
 		status.Contacts = append(status.Contacts, &protocol.CoreMemberContact{
-			Id: contact.ID, Match: contact.Match, SilentMillis: uint64(now.Sub(contact.Heard) / time.Millisecond),
+			Id: contact.ID, Match: contact.Match, SilentMillis: uint64(now.Sub(contact.LastContact) / time.Millisecond),
 		})
 	}
 	return status
--- a/internal/dataplane/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -43,7 +43,7 @@
 	// ResendDelay is how long a holder waits for a node to say complete before it asks.
 	ResendDelay time.Duration
 	// SilenceLimit is how long a peer may be silent before it is suspected.
-	SilenceLimit time.Duration
+	FailureDetectionTimeout time.Duration
 	// SuspicionBound is how long a holder may answer that a range taken from a suspect is settling.
 	SuspicionBound time.Duration
 	// CacheSize bounds the cached lookups.
@@ -107,8 +107,8 @@
 	if options.ResendDelay == 0 {
 		options.ResendDelay = DefaultResendDelay
 	}
-	if options.SilenceLimit == 0 {
-		options.SilenceLimit = DefaultSilenceLimit
+	if options.FailureDetectionTimeout == 0 {
+		options.FailureDetectionTimeout = DefaultSilenceLimit
 	}
 	if options.SuspicionBound == 0 {
 		options.SuspicionBound = DefaultSuspicionBound
--- a/internal/dataplane/directory/resolve.go
+++ b/internal/dataplane/directory/resolve.go
@@ -173,7 +173,7 @@
 	case protocol.DirectoryStatus_DIRECTORY_NOT_FOUND:
 		d.registerHere(running)
 	default:
-		d.stats.Settling++
+		d.stats.Transferring++
 		d.retry(running)
 	}
 }
@@ -261,7 +261,7 @@
 	case protocol.DirectoryStatus_INCORRECT_PARTITION:
 		d.stats.IncorrectPartition++
 	case protocol.DirectoryStatus_DIRECTORY_SETTLING:
-		d.stats.Settling++
+		d.stats.Transferring++
 	}
 }
 
--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -15,7 +15,7 @@
 	// Refusals that this node got as a client or owner.
 	IncorrectPartition uint64
 	Duplicates         uint64
-	Settling           uint64
+	Transferring       uint64
 	// Registrations accepted by a new holder from the salvage list.
 	Salvaged uint64
 	// Registrations passed on to the new holder of a range.
@@ -84,7 +84,7 @@
 func (d *Directory) Suspects() int { return len(d.suspects) }
 
 // SettlingRanges is the number of ranges gained that are not complete.
-func (d *Directory) SettlingRanges() int { return len(d.gains) }
+func (d *Directory) TransferringRanges() int { return len(d.gains) }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
--- a/internal/dataplane/directory/suspect.go
+++ b/internal/dataplane/directory/suspect.go
@@ -151,7 +151,7 @@
 		again := peer.notBefore
 		d.doubt(peer.member)
 		peer.notBefore = again
-	case d.at.Now.Sub(peer.doubtedAt) >= d.options.SilenceLimit:
+	case d.at.Now.Sub(peer.doubtedAt) >= d.options.FailureDetectionTimeout:
 		d.suspect(peer)
 	}
 }
@@ -318,10 +318,10 @@
 // answers take of late, since on busy machines a late answer shows no loss, and for
 // a peer that was suspected in vain.
 func (d *Directory) lookupTimeout(to *peer) time.Duration {
-	usual := d.options.SilenceLimit / 2
+	usual := d.options.FailureDetectionTimeout / 2
 	adapted := min(max(usual, latelyFactor*d.lately), usual<<mostFalseSuspicions)
 	return max(adapted, usual<<min(to.falseSuspicions, mostFalseSuspicions))
 }
 
 // relayTimeout is shorter than what the node that asked waits.
-func (d *Directory) relayTimeout() time.Duration { return d.options.SilenceLimit / 4 }
+func (d *Directory) relayTimeout() time.Duration { return d.options.FailureDetectionTimeout / 4 }
--- a/internal/dataplane/directory/takeover_test.go
+++ b/internal/dataplane/directory/takeover_test.go
@@ -184,7 +184,7 @@
 		fleet.settle()
 		for _, name := range trio {
 			Expect(fleet.nodes[name].directory.Suspects()).To(BeZero())
-			Expect(fleet.nodes[name].directory.SettlingRanges()).To(BeZero())
+			Expect(fleet.nodes[name].directory.TransferringRanges()).To(BeZero())
 		}
 		Expect(frozen.registeredOwner(fresh)).To(Equal("a"))
 		Expect(frozen.registeredOwner(doubled)).To(Equal("a"))
--- a/internal/dataplane/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -29,7 +29,7 @@
 	// Unreachable reports whether operations on a program have gone unanswered for a while.
 	Unreachable(program string) bool
 	// CutOff reports whether the ledger is out of reach for this front node, but not for most others.
-	CutOff() bool
+	Isolated() bool
 }
 
 // Grant is the permission to act as owner of a session for one turn or call.
--- a/internal/dataplane/front/ledgeroperations.go
+++ b/internal/dataplane/front/ledgeroperations.go
@@ -45,7 +45,7 @@
 // refuseCutOff refuses a turn that needs the ledger while this front node is cut off from it and from the others: a
 // look-up of the turn's owner would find nobody either.
 func (s *Service) refuseCutOff(request *protocol.TurnRequest) *protocol.Failure {
-	if !s.ledger.CutOff() || !turn.IsLedgered(request) {
+	if !s.ledger.Isolated() || !turn.IsLedgered(request) {
 		return nil
 	}
 	return unreachableFailure()
--- a/internal/dataplane/front/memoryledger_test.go
+++ b/internal/dataplane/front/memoryledger_test.go
@@ -81,7 +81,7 @@
 func (l *memoryLedger) Unreachable(string) bool { return l.unreachable.Load() }
 
 // CutOff reports what the story says.
-func (l *memoryLedger) CutOff() bool { return l.cutOff.Load() }
+func (l *memoryLedger) Isolated() bool { return l.cutOff.Load() }
 
 // read follows a chain within one program, as stores do.
 func (l *memoryLedger) read(program string, read *protocol.ReadTurns) *protocol.LedgerResult {
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -220,7 +220,7 @@
 		return "no lease or no fresh view yet"
 	case s.policies.Load().active.Bundle() == nil:
 		return "no bundle is in force"
-	case s.ledger.CutOff():
+	case s.ledger.Isolated():
 		return "cut off from the ledger and from the front nodes that reach it"
 	default:
 		return ""
--- a/internal/dataplane/front/stepbalance_test.go
+++ b/internal/dataplane/front/stepbalance_test.go
@@ -162,7 +162,7 @@
 		r.changeServer("s1", func(server *protocol.BackEnd) { server.State = protocol.BackEndState_READY })
 		flood(5)
 		Consistently(server.steps, "20ms").Should(BeZero(), "a live turn waits")
-		r.clock.advance(trainingstep.Patience)
+		r.clock.advance(trainingstep.AdmissionTimeout)
 		Eventually(server.steps).Should(Equal(1), "a step goes on")
 		Consistently(server.steps, "20ms").Should(Equal(1))
 		letLiveGo()
--- a/internal/dataplane/ownership/evidence.go
+++ b/internal/dataplane/ownership/evidence.go
@@ -20,7 +20,7 @@
 // evidenceOf says what the error of a call shows about the peer. A call that
 // ran out of its own time counts as silence when silenceCounts.
 func evidenceOf(err error, silenceCounts bool) directory.CallFailure {
-	var silent *wire.SilentPeerError
+	var silent *wire.UnresponsivePeerError
 	var broken *wire.BrokenError
 	var notSent *wire.NotSentError
 	switch {
--- a/internal/dataplane/ownership/evidence_test.go
+++ b/internal/dataplane/ownership/evidence_test.go
@@ -29,7 +29,7 @@
 		"reset under way":                {&wire.BrokenError{Cause: reset}, true, directory.CallBroken},
 		"closed under way":               {&wire.BrokenError{Cause: io.EOF}, true, directory.CallBroken},
 		"reset in the handshake":         {&wire.NotSentError{Cause: reset}, true, directory.CallBroken},
-		"pings unanswered":               {&wire.BrokenError{Cause: &wire.SilentPeerError{Limit: time.Second}}, false, directory.CallRefused},
+		"pings unanswered":               {&wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}, false, directory.CallRefused},
 		"no answer in time":              {context.DeadlineExceeded, true, directory.CallSilent},
 		"no connection in time":          {&wire.NotSentError{Cause: dialTimeout}, true, directory.CallSilent},
 		"a deadline of another's":        {context.DeadlineExceeded, false, directory.CallUnanswered},
--- a/internal/dataplane/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -39,7 +39,7 @@
 // ends, also in silence, and stays false when authority comes back.
 func (g *Grant) Valid() bool {
 	authority := g.manager.options.Link.Authority()
-	return !g.ended.Load() && authority.Self.GetIncarnation() == g.incarnation && authority.Held()
+	return !g.ended.Load() && authority.Self.GetIncarnation() == g.incarnation && authority.Valid()
 }
 
 // Incarnation is this node's incarnation under which the grant was given; name it when claiming an epoch.
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -51,7 +51,7 @@
 	// ResolveWait bounds how long Resolve may wait for an owner.
 	ResolveWait time.Duration
 	// SilenceLimit is how long a front node may be silent before it is suspected.
-	SilenceLimit time.Duration
+	FailureDetectionTimeout time.Duration
 	// DrainWait bounds how long a drain whose sessions are given up waits to hand
 	// the partition off, as while no view comes that shows the drain.
 	DrainWait time.Duration
@@ -277,7 +277,7 @@
 		case <-drained:
 			return nil
 		case <-watch.C:
-			if !m.options.Link.Authority().Held() {
+			if !m.options.Link.Authority().Valid() {
 				return nil
 			}
 		case <-ctx.Done():
--- a/internal/dataplane/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -59,7 +59,7 @@
 	refusals := "Refusals of other directories by status."
 	counter("refusals_total", refusals, prometheus.Labels{"status": "incorrect_partition"}, func(s *snapshot) uint64 { return s.IncorrectPartition })
 	counter("refusals_total", refusals, prometheus.Labels{"status": "duplicate_activation"}, func(s *snapshot) uint64 { return s.Duplicates })
-	counter("refusals_total", refusals, prometheus.Labels{"status": "settling"}, func(s *snapshot) uint64 { return s.Settling })
+	counter("refusals_total", refusals, prometheus.Labels{"status": "settling"}, func(s *snapshot) uint64 { return s.Transferring })
 	counter("salvaged_total", "Sessions registered again with a new holder.", nil, func(s *snapshot) uint64 { return s.Salvaged })
 	counter("handed_off_total", "Registrations passed on to the new holder of a range.", nil, func(s *snapshot) uint64 { return s.HandedOff })
 	counter("void_registrations_total", "Registrations void because authority was lost.", nil, func(s *snapshot) uint64 { return s.AuthorityLost })
@@ -93,7 +93,7 @@
 func (m *metrics) publish(d *directory.Directory) {
 	m.snapshot.Store(&snapshot{
 		Stats: d.Stats(), owned: d.OwnedCount(), partition: d.PartitionSize(), salvage: d.SalvageLength(),
-		handOff: d.HandOffLength(), settling: d.SettlingRanges(), viewVersion: d.ViewVersion(),
+		handOff: d.HandOffLength(), settling: d.TransferringRanges(), viewVersion: d.ViewVersion(),
 		suspects: d.Suspects(),
 	})
 }
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -40,8 +40,8 @@
 			Self: ring.Member{
 				Name: self.GetName(), Address: self.GetAddress(), Incarnation: self.GetIncarnation(),
 			},
-			Random:       manager.options.Random,
-			SilenceLimit: manager.options.SilenceLimit,
+			Random:                  manager.options.Random,
+			FailureDetectionTimeout: manager.options.FailureDetectionTimeout,
 		}),
 		waiting: make(map[uint64]chan<- directory.Resolved),
 		timer:   time.NewTimer(longestTick),
@@ -88,7 +88,7 @@
 // this node is told to the directory before anything else is.
 func (s *shell) moment() (directory.Moment, *corelink.Authority) {
 	authority := s.manager.options.Link.Authority()
-	at := directory.Moment{Now: time.Now(), Authority: authority.Held()}
+	at := directory.Moment{Now: time.Now(), Authority: authority.Valid()}
 	if incarnation := authority.Self.GetIncarnation(); incarnation != s.directory.Self().Incarnation {
 		s.manager.logger.Warn("authority was lost; sessions are registered again", "sessions", s.directory.OwnedCount())
 		s.execute(s.directory.Handle(at, directory.Reincarnated{Incarnation: incarnation}))
--- a/internal/dataplane/trainingstep/gate.go
+++ b/internal/dataplane/trainingstep/gate.go
@@ -12,7 +12,7 @@
 	MaxWait = 10 * time.Second
 	// Patience is how long a generation waits behind live requests while none of its version runs from here. Then
 	// one is let in all the same, so that a step goes on however busy the fleet is.
-	Patience = 2 * time.Second
+	AdmissionTimeout = 2 * time.Second
 	// RefusedRetry is told to a generation that found no place.
 	RejectedRetryAfter = time.Second
 )
@@ -115,7 +115,7 @@
 }
 
 func (g *Gate) admits(next waitingTicket, room Capacity, now time.Time) bool {
-	if g.running == 0 && now.Sub(next.entered) >= Patience {
+	if g.running == 0 && now.Sub(next.entered) >= AdmissionTimeout {
 		return true
 	}
 	return !room.LiveWaits && g.running < room.Slots
@@ -126,7 +126,7 @@
 	var next time.Time
 	for at, w := range g.waiting {
 		wake := w.expires
-		if patient := w.entered.Add(Patience); at == 0 && g.running == 0 && patient.Before(wake) {
+		if patient := w.entered.Add(AdmissionTimeout); at == 0 && g.running == 0 && patient.Before(wake) {
 			wake = patient
 		}
 		if next.IsZero() || wake.Before(next) {
--- a/internal/dataplane/trainingstep/gate_test.go
+++ b/internal/dataplane/trainingstep/gate_test.go
@@ -44,10 +44,10 @@
 			t.Fatalf("%v before a live request that waits", decisions)
 		}
 	}
-	if wake := gate.NextWake(); !wake.Equal(start.Add(trainingstep.Patience)) {
+	if wake := gate.NextWake(); !wake.Equal(start.Add(trainingstep.AdmissionTimeout)) {
 		t.Fatalf("wakes at %v", wake)
 	}
-	now := start.Add(trainingstep.Patience)
+	now := start.Add(trainingstep.AdmissionTimeout)
 	if ran := idsOf(gate.Dispatch(busy, now), trainingstep.Run); !slices.Equal(ran, []uint64{0}) {
 		t.Fatalf("ran %v", ran)
 	}
--- a/internal/operator/answers.go
+++ b/internal/operator/answers.go
@@ -37,9 +37,9 @@
 
 // rolloutAnswer is the roll-out under way with what its arms measured.
 type rolloutAnswer struct {
-	Active  uint64            `json:"active"`
-	Rollout json.RawMessage   `json:"rollout"`
-	Arms    []json.RawMessage `json:"arms"`
+	Active   uint64            `json:"active"`
+	Rollout  json.RawMessage   `json:"rollout"`
+	Variants []json.RawMessage `json:"arms"`
 }
 
 type nodesAnswer struct {
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -147,7 +147,7 @@
 	if err := decodeProto(shown.Rollout, rollout); err != nil {
 		return err
 	}
-	arms, err := decodeList[protocol.ArmSample](shown.Arms)
+	arms, err := decodeList[protocol.ArmSample](shown.Variants)
 	if err != nil {
 		return err
 	}
--- a/internal/process/daemon/space.go
+++ b/internal/process/daemon/space.go
@@ -21,7 +21,7 @@
 func waitForSpace(filesystem storage.Filesystem, folder string, logger *log.Logger, signals <-chan os.Signal) bool {
 	told := false
 	for {
-		err := storage.ProbeSpace(filesystem, folder, startSpaceBytes)
+		err := storage.CheckFreeSpace(filesystem, folder, startSpaceBytes)
 		if !storage.IsDiskFull(err) {
 			return true
 		}
--- a/internal/state/ledgerclient/outage_test.go
+++ b/internal/state/ledgerclient/outage_test.go
@@ -121,8 +121,8 @@
 func (f *frontFleet) expectState(t *testing.T, name string, unreachable, cutOff bool) {
 	t.Helper()
 	client := f.clients[name]
-	if client.Unreachable("p") != unreachable || client.CutOff() != cutOff {
-		t.Errorf("%s: unreachable %t, cut off %t, wanted %t and %t", name, client.Unreachable("p"), client.CutOff(), unreachable, cutOff)
+	if client.Unreachable("p") != unreachable || client.Isolated() != cutOff {
+		t.Errorf("%s: unreachable %t, cut off %t, wanted %t and %t", name, client.Unreachable("p"), client.Isolated(), unreachable, cutOff)
 	}
 }
 
@@ -202,7 +202,7 @@
 		fleet.expect(t, "f1", unavailable, knownWithin)
 		for range 40 {
 			for _, name := range names {
-				if fleet.clients[name].CutOff() {
+				if fleet.clients[name].Isolated() {
 					t.Fatalf("%s counts as cut off", name)
 				}
 			}
--- a/internal/state/ledgerclient/watch.go
+++ b/internal/state/ledgerclient/watch.go
@@ -50,7 +50,7 @@
 
 // CutOff reports whether this front node alone, or a smaller part of them, cannot reach the ledger. When most of the
 // front nodes that it asks answer that they cannot either, the stores are at fault and not this node.
-func (c *Client) CutOff() bool {
+func (c *Client) Isolated() bool {
 	now := time.Now()
 	if !c.watched.Load() || c.shards.silentFor(now) < shardOutageAfter || !c.shards.anyOut(c.shardCount(), now) {
 		return false
--- a/internal/state/storage/space.go
+++ b/internal/state/storage/space.go
@@ -15,7 +15,7 @@
 
 // ProbeSpace checks that the disk takes so many bytes more and syncs them: it writes a file in the folder and removes it
 // again. The error tells a lack of room by IsDiskFull.
-func ProbeSpace(filesystem Filesystem, folder string, bytes int64) error {
+func CheckFreeSpace(filesystem Filesystem, folder string, bytes int64) error {
 	path := filepath.Join(folder, probeName)
 	file, err := filesystem.Create(path)
 	if err != nil {
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -170,7 +170,7 @@
 
 // reopen reads the folder as after a crash and serves from it.
 func (s *Supervisor) reopen() error {
-	if err := storage.ProbeSpace(s.filesystem, s.path, reopenSpaceBytes); err != nil {
+	if err := storage.CheckFreeSpace(s.filesystem, s.path, reopenSpaceBytes); err != nil {
 		return err
 	}
 	folder, err := s.open()
--- a/internal/testing/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -112,7 +112,7 @@
 	if f.suite.options.Mutation == MutationKeepAuthority || f.suite.options.Mutation == MutationSilentAuthority {
 		return !f.released && !f.holder.Ends().IsZero()
 	}
-	return f.holder.Held(f.now())
+	return f.holder.Valid(f.now())
 }
 
 func (f *front) self() *protocol.Node {
--- a/internal/testing/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -65,7 +65,7 @@
 
 func (f *front) now() time.Time { return f.environment.Now() }
 
-func (f *front) held() bool { return f.holder.Held(f.now()) }
+func (f *front) held() bool { return f.holder.Valid(f.now()) }
 
 func (f *front) renew() {
 	if f.stayOut {
--- a/internal/testing/sim/statesuite/coremembers.go
+++ b/internal/testing/sim/statesuite/coremembers.go
@@ -155,7 +155,7 @@
 	alive := 1
 	for _, contact := range status.Contacts {
 		isOther := contact.ID != id && contact.ID != status.ID && slices.Contains(voters, contact.ID)
-		if isOther && p.environment.Now().Sub(contact.Heard) < aliveWithin {
+		if isOther && p.environment.Now().Sub(contact.LastContact) < aliveWithin {
 			alive++
 		}
 	}
--- a/internal/testing/sim/statesuite/coremembership.go
+++ b/internal/testing/sim/statesuite/coremembership.go
@@ -94,7 +94,7 @@
 		if id == status.ID {
 			return 0
 		}
-		return now.Sub(contacts[id].Heard)
+		return now.Sub(contacts[id].LastContact)
 	}
 	var kept, lost, learners []*protocol.CoreMember
 	for _, member := range status.Configuration.GetMembers() {
--- a/internal/transport/wire/silence.go
+++ b/internal/transport/wire/silence.go
@@ -96,7 +96,7 @@
 	c.mutex.Unlock()
 	switch {
 	case silentFor > 0:
-		c.breakWith(&SilentPeerError{Limit: silentFor})
+		c.breakWith(&UnresponsivePeerError{Limit: silentFor})
 	case unused:
 		c.breakWith(&IdleError{})
 	case ping:
--- a/internal/transport/wire/silence_test.go
+++ b/internal/transport/wire/silence_test.go
@@ -131,7 +131,7 @@
 		}()
 		began := time.Now()
 		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
-		var silent *wire.SilentPeerError
+		var silent *wire.UnresponsivePeerError
 		if !errors.As(err, &silent) || time.Since(began) > time.Second {
 			t.Fatalf("after %s: %v", time.Since(began), err)
 		}
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -116,11 +116,11 @@
 func (e *ClosedError) Error() string { return "closed" }
 
 // SilentPeerError says that a peer answered neither requests nor pings for the limit.
-type SilentPeerError struct {
+type UnresponsivePeerError struct {
 	Limit time.Duration
 }
 
-func (e *SilentPeerError) Error() string { return "peer was silent for " + e.Limit.String() }
+func (e *UnresponsivePeerError) Error() string { return "peer was silent for " + e.Limit.String() }
 
 // IdleError says that a connection was closed because nobody used it.
 type IdleError struct{}
