--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -10,16 +10,16 @@
 )
 
 // announcement is what the leader makes of a back end's announcement.
-type announcement int
+type announcementOutcome int
 
 const (
-	announcementNotLeader announcement = iota
+	announcementNotLeader announcementOutcome = iota
 	// announcementLate came after a later one and changes nothing.
-	announcementLate
+	announcementOutdated
 	// announcementHeld says what the view holds already; the lease was renewed.
-	announcementHeld
+	announcementUnchanged
 	// announcementNews says something that must be written to the log.
-	announcementNews
+	announcementChanged
 )
 
 // AnnounceBackEnd takes in a back end's own word about itself and renews its lease; the log is written only when something
@@ -29,87 +29,87 @@
 //
 // Any member takes it. One that does not lead acknowledges by itself what changes nothing and gives the leader the rest; it
 // fails with Unavailable while it does not reach the leader.
-func (s *Service) AnnounceBackEnd(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	if announced.GetId() == "" {
+func (s *Service) AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	if backEnd.GetId() == "" {
 		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
 	}
-	if s.caller == nil || s.owner.leads() {
-		return s.announceAtLeader(ctx, announced, sequence)
+	if s.caller == nil || s.owner.isLeader() {
+		return s.announceAtLeader(ctx, backEnd, sequence)
 	}
-	return s.announceAtMember(ctx, announced, sequence)
+	return s.announceAtMember(ctx, backEnd, sequence)
 }
 
 // announceAtLeader takes an announcement in, whichever member it came by; it fails with NotLeader at another one.
-func (s *Service) announceAtLeader(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	outcome, err := s.noteAnnouncement(ctx, announced, sequence)
+func (s *Service) announceAtLeader(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	outcome, err := s.observeAnnouncement(ctx, backEnd, sequence)
 	if err != nil {
 		return err
 	}
-	if outcome == announcementNews {
-		if err := s.writeAnnouncement(ctx, announced, sequence); err != nil {
+	if outcome == announcementChanged {
+		if err := s.writeAnnouncement(ctx, backEnd, sequence); err != nil {
 			return err
 		}
 	}
-	if announced.GetState() != protocol.BackEndState_DRAINING {
+	if backEnd.GetState() != protocol.BackEndState_DRAINING {
 		return nil
 	}
-	return s.awaitDrained(ctx, announced.GetId())
+	return s.awaitDrained(ctx, backEnd.GetId())
 }
 
 // noteAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that says nothing new.
-func (s *Service) noteAnnouncement(ctx context.Context, announced *protocol.BackEnd, sequence uint64) (announcement, error) {
+func (s *Service) observeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) (announcementOutcome, error) {
 	outcome := announcementNotLeader
-	id, incarnation := announced.GetId(), announced.GetIncarnation()
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		switch {
-		case !s.owner.leads():
-		case s.owner.late(id, incarnation, sequence, now):
-			outcome = announcementLate
-		case s.machine.View().Holds(announced) && s.owner.backEnds.renew(id, incarnation, now):
-			outcome = announcementHeld
+		case !s.owner.isLeader():
+		case s.owner.isOutdated(id, incarnation, sequence, now):
+			outcome = announcementOutdated
+		case s.machine.View().Holds(backEnd) && s.owner.backEnds.renew(id, incarnation, now):
+			outcome = announcementUnchanged
 		default:
-			outcome = announcementNews
+			outcome = announcementChanged
 		}
 	})
-	if !asked {
+	if !executed {
 		return outcome, contextFailure(ctx)
 	}
 	switch outcome {
 	case announcementNotLeader:
 		return outcome, notLeaderFailure()
-	case announcementLate:
+	case announcementOutdated:
 		s.metrics.backEndLeases.WithLabelValues("late").Inc()
-	case announcementHeld:
+	case announcementUnchanged:
 		s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
 	}
 	return outcome, nil
 }
 
 // late notes the sequence of an announcement and reports whether it came after a later one, or after the back end left.
-func (o *owner) late(id string, incarnation, sequence uint64, now time.Time) bool {
+func (o *owner) isOutdated(id string, incarnation, sequence uint64, now time.Time) bool {
 	if o.machine.View().Outdated(id, incarnation, sequence) {
 		return true
 	}
-	return sequence != 0 && !o.announced.note(id, incarnation, sequence, now)
+	return sequence != 0 && !o.sequences.observe(id, incarnation, sequence, now)
 }
 
 // writeAnnouncement writes an announcement to the log and begins the lease of what is new in the view.
-func (s *Service) writeAnnouncement(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
-		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: announced, Sequence: sequence},
+func (s *Service) writeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
+		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence},
 	}})
 	if err != nil {
 		return err
 	}
 	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
-	_, err = s.noteAnnouncement(ctx, announced, sequence)
+	_, err = s.observeAnnouncement(ctx, backEnd, sequence)
 	return err
 }
 
 // awaitDrained returns once no front node sends to a back end any more; it fails when the back end is still ready.
 func (s *Service) awaitDrained(ctx context.Context, id string) error {
 	view := s.machine.View()
-	if held := view.BackEnd(id); held != nil && held.GetState() != protocol.BackEndState_DRAINING {
+	if current := view.BackEnd(id); current != nil && current.GetState() != protocol.BackEndState_DRAINING {
 		return failure.New(failure.InvalidOrder, protocol.Outcome_NOT_RUN, "a later announcement says that the back end is ready", failure.WithPath("sequence"))
 	}
 	return s.awaitBackEnds(ctx, view)
@@ -132,7 +132,7 @@
 		return err
 	}
 	if !s.machine.View().Removed(id) {
-		_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
+		_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
 			RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Departed: true, Sequence: sequence},
 		}})
 		if err != nil {
--- a/internal/controlplane/core/announced_sequences.go
+++ b/internal/controlplane/core/announced_sequences.go
@@ -4,7 +4,7 @@
 
 const (
 	// keptSequence is how long the last sequence of a silent back end is remembered.
-	keptSequence = 10 * time.Minute
+	sequenceTTL = 10 * time.Minute
 	// sequenceSweepInterval is the time between two looks for sequences to forget.
 	sequenceSweepInterval = time.Minute
 )
@@ -13,40 +13,40 @@
 // with to this leader. It belongs to the owner. The control log holds the
 // sequences of announcements that changed something; this table knows those
 // that only renewed a lease.
-type announcedTable struct {
-	last      map[string]announcedSequence
+type sequenceTable struct {
+	last      map[string]sequenceEntry
 	nextSweep time.Time
 }
 
-type announcedSequence struct {
+type sequenceEntry struct {
 	incarnation, sequence uint64
-	heard                 time.Time
+	lastContact                 time.Time
 }
 
-func newAnnouncedTable() *announcedTable {
-	return &announcedTable{last: map[string]announcedSequence{}}
+func newSequenceTable() *sequenceTable {
+	return &sequenceTable{last: map[string]sequenceEntry{}}
 }
 
-func (t *announcedTable) reset() { t.last = map[string]announcedSequence{} }
+func (t *sequenceTable) reset() { t.last = map[string]sequenceEntry{} }
 
 // note takes in a sequence; it reports false when a later one was seen before.
-func (t *announcedTable) note(id string, incarnation, sequence uint64, now time.Time) bool {
+func (t *sequenceTable) observe(id string, incarnation, sequence uint64, now time.Time) bool {
 	last, known := t.last[id]
 	if known && (incarnation < last.incarnation || incarnation == last.incarnation && sequence < last.sequence) {
 		return false
 	}
-	t.last[id] = announcedSequence{incarnation: incarnation, sequence: sequence, heard: now}
+	t.last[id] = sequenceEntry{incarnation: incarnation, sequence: sequence, lastContact: now}
 	return true
 }
 
 // sweep forgets back ends that have been silent for long.
-func (t *announcedTable) sweep(now time.Time) {
+func (t *sequenceTable) sweep(now time.Time) {
 	if now.Before(t.nextSweep) {
 		return
 	}
 	t.nextSweep = now.Add(sequenceSweepInterval)
 	for id, last := range t.last {
-		if now.Sub(last.heard) > keptSequence {
+		if now.Sub(last.lastContact) > sequenceTTL {
 			delete(t.last, id)
 		}
 	}
--- a/internal/controlplane/core/answers.go
+++ b/internal/controlplane/core/answers.go
@@ -18,11 +18,11 @@
 )
 
 // refusedError is a refused order on its way to the operator.
-type refusedError struct {
+type rejectedError struct {
 	refusal *protocol.Refusal
 }
 
-func (e *refusedError) Error() string { return e.refusal.GetCode() + ": " + e.refusal.GetMessage() }
+func (e *rejectedError) Error() string { return e.refusal.GetCode() + ": " + e.refusal.GetMessage() }
 
 // errorBody is the JSON body of every failure.
 type errorBody struct {
@@ -87,7 +87,7 @@
 func (s *Service) writeError(writer http.ResponseWriter, request *http.Request, err error) {
 	detail, status := describe(err)
 	if detail.Code == string(failure.NotLeader) {
-		detail, status = s.sendOn(writer, request)
+		detail, status = s.redirectToLeader(writer, request)
 	}
 	s.metrics.requests.WithLabelValues(detail.Code).Inc()
 	if detail.RetryAfterMillis > 0 {
@@ -97,18 +97,18 @@
 }
 
 // sendOn sets the leader's address, or says that there is no leader.
-func (s *Service) sendOn(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
+func (s *Service) redirectToLeader(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
 	leader := s.consensus.Leader()
 	own := s.consensus.Status().GetId()
 	if leader.GetHttpAddress() == "" || leader.GetId() == own {
 		return describe(failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present", failure.WithRetryAfter(retryWait)))
 	}
-	writer.Header().Set("Location", "http://"+hostOf(leader.GetHttpAddress())+request.URL.RequestURI())
+	writer.Header().Set("Location", "http://"+normalizeHost(leader.GetHttpAddress())+request.URL.RequestURI())
 	detail, _ := describe(failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "the leader is "+leader.GetName()))
 	return detail, http.StatusTemporaryRedirect
 }
 
-func hostOf(address string) string {
+func normalizeHost(address string) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
@@ -118,9 +118,9 @@
 
 // describe gives the body and the HTTP status of an error.
 func describe(err error) (errorDetail, int) {
-	var refused *refusedError
-	if errors.As(err, &refused) {
-		return describeRefusal(refused.refusal)
+	var rejected *rejectedError
+	if errors.As(err, &rejected) {
+		return describeRejection(rejected.refusal)
 	}
 	var malformed *bundle.ParseError
 	if errors.As(err, &malformed) {
@@ -130,20 +130,20 @@
 	return errorDetail{Detail: failure.DetailOf(problem)}, int(problem.GetStatus())
 }
 
-func describeRefusal(refusal *protocol.Refusal) (errorDetail, int) {
+func describeRejection(rejection *protocol.Refusal) (errorDetail, int) {
 	detail := errorDetail{
-		Detail: failure.Detail{Code: refusal.GetCode(), Message: refusal.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
-		Faults: faultBodies(refusal.GetFaults()),
+		Detail: failure.Detail{Code: rejection.GetCode(), Message: rejection.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
+		Faults: faultBodies(rejection.GetFaults()),
 	}
 	if len(detail.Faults) > 0 {
 		detail.Path = detail.Faults[0].Path
 	}
-	if refusal.GetWinner() != nil {
-		if winner, err := encode(refusal.GetWinner()); err == nil {
+	if rejection.GetWinner() != nil {
+		if winner, err := encode(rejection.GetWinner()); err == nil {
 			detail.Winner = winner
 		}
 	}
-	return detail, statusOf(failure.Code(refusal.GetCode()))
+	return detail, httpStatus(failure.Code(rejection.GetCode()))
 }
 
 func describeMalformed(malformed *bundle.ParseError) (errorDetail, int) {
@@ -162,8 +162,8 @@
 
 func faultBodies(faults []*protocol.Fault) []faultBody {
 	bodies := make([]faultBody, len(faults))
-	for i, found := range faults {
-		bodies[i] = faultBody{Path: found.GetPath(), Message: found.GetMessage()}
+	for i, fault := range faults {
+		bodies[i] = faultBody{Path: fault.GetPath(), Message: fault.GetMessage()}
 	}
 	return bodies
 }
--- a/internal/controlplane/core/coalesce_test.go
+++ b/internal/controlplane/core/coalesce_test.go
@@ -135,7 +135,7 @@
 			GinkgoHelper()
 			Eventually(f.clock.waiting).Should(Equal(3))
 			Expect(outcome).NotTo(Receive())
-			f.advance(core.DefaultCoalesce)
+			f.advance(core.DefaultCoalesceInterval)
 			take(answered(outcome))
 		}
 
--- a/internal/controlplane/core/control.go
+++ b/internal/controlplane/core/control.go
@@ -61,7 +61,7 @@
 	if !s.trustOperators {
 		return untrustedFailure()
 	}
-	_, err := s.accepted(ctx, releaseCommand(bundle, expectedVersion))
+	_, err := s.proposeAccepted(ctx, releaseCommand(bundle, expectedVersion))
 	return err
 }
 
@@ -72,13 +72,13 @@
 }
 
 // accepted proposes a command and turns a refusal into a failure.
-func (s *Service) accepted(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
+func (s *Service) proposeAccepted(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
 	result, err := s.proposer.propose(ctx, command)
 	if err != nil {
 		return nil, err
 	}
 	if !result.GetAccepted() {
-		return nil, refusalFailure(result.GetRefusal())
+		return nil, rejectionFailure(result.GetRefusal())
 	}
 	return result, nil
 }
@@ -105,7 +105,7 @@
 // of the replicas, as the operators' interface does: who gives the order by an adapter decides about its machines, and has no word to
 // give the spread up with.
 func (s *Service) EmptyStore(ctx context.Context, store string) error {
-	_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
+	_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: store, StoresToKeep: s.replicaCount},
 	}})
 	return err
--- a/internal/controlplane/core/control_test.go
+++ b/internal/controlplane/core/control_test.go
@@ -138,7 +138,7 @@
 			front, held := frontNode("f1", 1), &protocol.Configuration{}
 			for version := uint64(1); version <= 300; version++ {
 				Expect(leader.service.ReleaseBundle(ctx, manyRoutes(version, int(version)), version-1)).To(Succeed())
-				f.advance(core.DefaultCoalesce)
+				f.advance(core.DefaultCoalesceInterval)
 				// The clock stands still: a poll that is held back does not come back before the deadline.
 				waiting, cancel := context.WithTimeout(ctx, 30*time.Second)
 				answer, err := leader.pollDeltas(waiting, front, held.GetVersion())
--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -156,7 +156,7 @@
 	d.fleet = newFleet(1, func(options *core.Options) {
 		options.Lease = 24 * time.Hour
 		if before {
-			options.Coalesce = -1
+			options.CoalesceInterval = -1
 		}
 		if snapshot != nil {
 			Expect(options.Machine.Restore(bytes.NewReader(snapshot))).To(Succeed())
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -32,31 +32,31 @@
 
 func (o *owner) awaitDrain(ctx context.Context, version uint64) error {
 	waiting := &drain{version: version, result: make(chan error, 1)}
-	asked := o.ask(ctx, func(now time.Time) {
-		if !o.leads() {
+	executed := o.execute(ctx, func(now time.Time) {
+		if !o.isLeader() {
 			waiting.result <- notLeaderFailure()
 			return
 		}
 		o.drains = append(o.drains, waiting)
 		o.checkDrains(now)
 	})
-	if !asked {
+	if !executed {
 		return contextFailure(ctx)
 	}
 	select {
 	case err := <-waiting.result:
 		return err
 	case <-ctx.Done():
-		o.ask(o.ctx, func(time.Time) { o.dropDrain(waiting) })
+		o.execute(o.ctx, func(time.Time) { o.removeDrain(waiting) })
 		return contextFailure(ctx)
 	case <-o.ctx.Done():
 		return notLeaderFailure()
 	}
 }
 
-func (o *owner) dropDrain(gone *drain) {
+func (o *owner) removeDrain(removed *drain) {
 	for at, waiting := range o.drains {
-		if waiting == gone {
+		if waiting == removed {
 			o.drains = append(o.drains[:at], o.drains[at+1:]...)
 			return
 		}
@@ -65,21 +65,21 @@
 
 // checkDrains answers the drains that nobody stands in the way of any more.
 func (o *owner) checkDrains(now time.Time) {
-	if len(o.drains) == 0 || !o.leads() {
+	if len(o.drains) == 0 || !o.isLeader() {
 		return
 	}
 	confirmed := o.confirmedBackEnds(now)
-	left := o.drains[:0]
+	remaining := o.drains[:0]
 	for _, waiting := range o.drains {
 		if confirmed < waiting.version {
-			left = append(left, waiting)
+			remaining = append(remaining, waiting)
 			continue
 		}
 		waiting.result <- nil
 		o.metrics.drains.WithLabelValues("acknowledged").Inc()
 	}
-	clear(o.drains[len(left):])
-	o.drains = left
+	clear(o.drains[len(remaining):])
+	o.drains = remaining
 }
 
 // confirmedBackEnds is the oldest back-end view that a front node under a lease may act on.
@@ -89,11 +89,11 @@
 		if node.GetKind() != protocol.NodeKind_FRONT || !now.Before(o.nodes.expiry(node.GetName(), node.GetIncarnation())) {
 			continue
 		}
-		held := o.nodes.find(node.GetName(), node.GetIncarnation())
-		if held == nil {
+		lease := o.nodes.find(node.GetName(), node.GetIncarnation())
+		if lease == nil {
 			return 0
 		}
-		oldest = min(oldest, held.backEnds)
+		oldest = min(oldest, lease.backEnds)
 	}
 	return oldest
 }
--- a/internal/controlplane/core/export_test.go
+++ b/internal/controlplane/core/export_test.go
@@ -8,8 +8,8 @@
 // Settled reports that the owner has worked through the tick at now and that nothing it began is under way.
 func (s *Service) Settled(now time.Time) bool {
 	settled := false
-	s.owner.ask(context.Background(), func(time.Time) {
-		settled = s.owner.lastTick.Equal(now) && s.owner.underWay == 0
+	s.owner.execute(context.Background(), func(time.Time) {
+		settled = s.owner.lastTick.Equal(now) && s.owner.runningTasks == 0
 	})
 	return settled
 }
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -14,8 +14,8 @@
 const (
 	heartbeatIntervalSeconds = 1
 	// relayConcurrency bounds the changes of one relayed batch that are proposed at a time.
-	relayConcurrency = 16
-	maxHeartbeats    = 4096
+	maxConcurrentUpserts = 16
+	maxHeartbeatBatch    = 4096
 )
 
 // Serve answers one request of a node or of another core process.
@@ -58,7 +58,7 @@
 		err := s.shardCopied(ctx, body.ShardCopied)
 		return &protocol.Response{Body: &protocol.Response_ShardCopied{ShardCopied: &protocol.ShardCopiedResponse{}}}, err
 	case *protocol.Request_ReportArms:
-		err := s.reportArms(ctx, body.ReportArms)
+		err := s.reportVariants(ctx, body.ReportArms)
 		return &protocol.Response{Body: &protocol.Response_ReportArms{ReportArms: &protocol.ReportArmsResponse{}}}, err
 	case *protocol.Request_ShareOutcomes:
 		shared, err := s.shareOutcomes(ctx, body.ShareOutcomes)
@@ -82,7 +82,7 @@
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
-	if len(heartbeats) > maxHeartbeats {
+	if len(heartbeats) > maxHeartbeatBatch {
 		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heartbeats"))
 	}
 	changes, err := s.touchBackEnds(ctx, heartbeats)
@@ -90,7 +90,7 @@
 		return err
 	}
 	group, grouped := errgroup.WithContext(ctx)
-	group.SetLimit(relayConcurrency)
+	group.SetLimit(maxConcurrentUpserts)
 	for _, heartbeat := range changes {
 		group.Go(func() error { return s.upsertBackEnd(grouped, heartbeat.GetBackEnd()) })
 	}
@@ -107,7 +107,7 @@
 	if len(heartbeats) == 0 {
 		return nil, nil
 	}
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		view := s.machine.View()
 		for _, heartbeat := range heartbeats {
 			backEnd := heartbeat.GetBackEnd()
@@ -118,7 +118,7 @@
 			s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
 		}
 	})
-	if !asked {
+	if !executed {
 		return nil, contextFailure(ctx)
 	}
 	return changes, nil
@@ -162,25 +162,25 @@
 		return err
 	}
 	if !result.GetAccepted() {
-		return refusalFailure(result.GetRefusal())
+		return rejectionFailure(result.GetRefusal())
 	}
 	return nil
 }
 
 // reportArms sums samples and withdraws the candidate when its guard's limits are crossed.
-func (s *Service) reportArms(ctx context.Context, request *protocol.ReportArmsRequest) error {
+func (s *Service) reportVariants(ctx context.Context, request *protocol.ReportArmsRequest) error {
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
 	var crossed string
 	var rollout *protocol.Rollout
-	asked := s.owner.ask(ctx, func(time.Time) {
+	executed := s.owner.execute(ctx, func(time.Time) {
 		configuration := s.machine.View().Configuration
-		s.owner.arms.add(configuration, request.GetSamples())
+		s.owner.variants.add(configuration, request.GetSamples())
 		rollout = configuration.GetRollout()
-		crossed = s.owner.arms.crossed(rollout)
+		crossed = s.owner.variants.crossedLimit(rollout)
 	})
-	if !asked {
+	if !executed {
 		return contextFailure(ctx)
 	}
 	if crossed == "" {
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -10,21 +10,21 @@
 )
 
 // relayingTable is what the leader knows of the members that send it batches of heartbeats. It is part of the owner.
-type relayingTable struct {
+type relayingMembers struct {
 	// heard is when the last batch of a member came.
-	heard map[uint64]time.Time
+	lastBatch map[uint64]time.Time
 }
 
-func newRelayingTable() *relayingTable { return &relayingTable{heard: map[uint64]time.Time{}} }
+func newRelayingMembers() *relayingMembers { return &relayingMembers{lastBatch: map[uint64]time.Time{}} }
 
-func (t *relayingTable) reset() { clear(t.heard) }
+func (t *relayingMembers) reset() { clear(t.lastBatch) }
 
 // up lists those of the members that sent a batch a short while ago and have an address that back ends can be told.
-func (t *relayingTable) up(members []*protocol.CoreMember, now time.Time) []*protocol.CoreMember {
+func (t *relayingMembers) up(members []*protocol.CoreMember, now time.Time) []*protocol.CoreMember {
 	var up []*protocol.CoreMember
 	for _, member := range members {
-		heard, known := t.heard[member.GetId()]
-		if known && now.Sub(heard) <= maxRelayAge && member.GetHttpAddress() != "" {
+		lastBatch, known := t.lastBatch[member.GetId()]
+		if known && now.Sub(lastBatch) <= maxRelayAge && member.GetHttpAddress() != "" {
 			up = append(up, member)
 		}
 	}
@@ -33,37 +33,37 @@
 
 // renewBackEnds renews the leases of back ends whose heartbeats another member acknowledged.
 func (s *Service) renewBackEnds(ctx context.Context, request *protocol.RenewBackEndsRequest) (*protocol.RenewBackEndsResponse, error) {
-	if len(request.GetHeard()) > maxHeartbeats {
+	if len(request.GetHeard()) > maxHeartbeatBatch {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heard"))
 	}
 	var answer *protocol.RenewBackEndsResponse
-	refused := notLeaderFailure()
-	asked := s.owner.ask(ctx, func(now time.Time) {
-		if s.owner.leads() {
-			answer, refused = s.owner.takeBatch(request, now)
+	err := notLeaderFailure()
+	executed := s.owner.execute(ctx, func(now time.Time) {
+		if s.owner.isLeader() {
+			answer, err = s.owner.mergeBatch(request, now)
 		}
 	})
-	if !asked {
+	if !executed {
 		return nil, contextFailure(ctx)
 	}
-	return answer, refused
+	return answer, err
 }
 
 // takeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
 // acknowledging heartbeats by a view that it gets no more news of.
-func (o *owner) takeBatch(request *protocol.RenewBackEndsRequest, now time.Time) (*protocol.RenewBackEndsResponse, error) {
+func (o *owner) mergeBatch(request *protocol.RenewBackEndsRequest, now time.Time) (*protocol.RenewBackEndsResponse, error) {
 	members := o.consensus.Status().GetConfiguration().GetMembers()
 	if !hasMember(members, request.GetMember()) {
 		o.metrics.heartbeatBatches.WithLabelValues("refused").Inc()
 		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the sender is no member of the core", failure.WithPath("member"))
 	}
 	o.metrics.heartbeatBatches.WithLabelValues("received").Inc()
-	o.relaying.heard[request.GetMember()] = now
-	answer := &protocol.RenewBackEndsResponse{Members: o.observeRelaying(now)}
+	o.relayingMembers.lastBatch[request.GetMember()] = now
+	answer := &protocol.RenewBackEndsResponse{Members: o.updateHeartbeatMembers(now)}
 	changes := &backEndChanges{view: o.machine.View()}
-	for _, heard := range request.GetHeard() {
-		if !o.takeHeard(heard, changes, now) {
-			answer.Unknown = append(answer.Unknown, heard.GetId())
+	for _, heartbeat := range request.GetHeard() {
+		if !o.mergeHeartbeat(heartbeat, changes, now) {
+			answer.Unknown = append(answer.Unknown, heartbeat.GetId())
 		}
 	}
 	return answer, nil
@@ -81,27 +81,27 @@
 // takeHeard renews the lease of a back end, counted from when the member heard it. It reports false when the member must
 // bring its next announcement to the leader: the back end is not there, is being removed, or was changed since the view that
 // the member compared it with.
-func (o *owner) takeHeard(heard *protocol.HeardBackEnd, changes *backEndChanges, now time.Time) bool {
-	id, incarnation := heard.GetId(), heard.GetIncarnation()
-	if o.late(id, incarnation, heard.GetSequence(), now) {
+func (o *owner) mergeHeartbeat(heartbeat *protocol.HeardBackEnd, changes *backEndChanges, now time.Time) bool {
+	id, incarnation := heartbeat.GetId(), heartbeat.GetIncarnation()
+	if o.isOutdated(id, incarnation, heartbeat.GetSequence(), now) {
 		o.metrics.backEndLeases.WithLabelValues("late").Inc()
 		return true
 	}
-	held := changes.view.BackEnd(id)
-	if held == nil || held.GetIncarnation() != incarnation {
+	current := changes.view.BackEnd(id)
+	if current == nil || current.GetIncarnation() != incarnation {
 		return false
 	}
-	if !o.backEnds.renew(id, incarnation, now.Add(-time.Duration(heard.GetAgeMillis())*time.Millisecond)) {
+	if !o.backEnds.renew(id, incarnation, now.Add(-time.Duration(heartbeat.GetAgeMillis())*time.Millisecond)) {
 		return false
 	}
 	o.metrics.backEndLeases.WithLabelValues("renewed").Inc()
-	return !changes.since(heard.GetBackEndsVersion(), id)
+	return !changes.changedSince(heartbeat.GetBackEndsVersion(), id)
 }
 
 // observeRelaying brings up to date which members can be named to back ends.
-func (o *owner) observeRelaying(now time.Time) []*protocol.CoreMember {
-	up := o.relaying.up(o.consensus.Status().GetConfiguration().GetMembers(), now)
-	o.nameMembers(up)
+func (o *owner) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
+	up := o.relayingMembers.up(o.consensus.Status().GetConfiguration().GetMembers(), now)
+	o.setHeartbeatMembers(up)
 	return up
 }
 
@@ -114,17 +114,17 @@
 // changedBackEnds are the back ends that changed after a version, all of them when that is not remembered any more.
 type changedBackEnds struct {
 	ids        map[string]bool
-	remembered bool
+	inHistory bool
 }
 
-func (c *backEndChanges) since(version uint64, id string) bool {
+func (c *backEndChanges) changedSince(version uint64, id string) bool {
 	changed, known := c.byVersion[version]
 	if !known {
-		changed.ids, changed.remembered = c.view.BackEndsChangedSince(version)
+		changed.ids, changed.inHistory = c.view.BackEndsChangedSince(version)
 		if c.byVersion == nil {
 			c.byVersion = map[uint64]changedBackEnds{}
 		}
 		c.byVersion[version] = changed
 	}
-	return !changed.remembered || changed.ids[id]
+	return !changed.inHistory || changed.ids[id]
 }
--- a/internal/controlplane/core/heartbeat_relay.go
+++ b/internal/controlplane/core/heartbeat_relay.go
@@ -26,25 +26,25 @@
 	lease  time.Duration
 	maxAge time.Duration
 	// waiting are the newest heartbeats, by back end, that no batch carried yet.
-	waiting map[string]heardBackEnd
+	pending map[string]receivedHeartbeat
 	// escalated are the back ends whose next heartbeat goes to the leader, which does not hold them as this member does.
 	escalated map[string]bool
 	// leader is the member that batches go to, zero while none is known.
 	leader uint64
 	// confirmed is when the last batch that this leader answered was sent.
-	confirmed time.Time
+	lastConfirmed time.Time
 	nextBatch time.Time
 	// sending is true while a batch is on its way to this leader.
-	sending bool
+	batchInFlight bool
 }
 
 // heardBackEnd is one heartbeat that this member acknowledged.
-type heardBackEnd struct {
+type receivedHeartbeat struct {
 	id                    string
 	incarnation, sequence uint64
 	// viewVersion is that of the back-end view that the heartbeat was compared with.
 	viewVersion uint64
-	heard       time.Time
+	receivedAt       time.Time
 }
 
 func newHeartbeatRelay(lease time.Duration) *heartbeatRelay {
@@ -55,58 +55,58 @@
 
 // reset forgets everything, as at the beginning of this member's own leadership, which gives all back ends a whole lease.
 func (r *heartbeatRelay) reset() {
-	r.waiting, r.escalated = map[string]heardBackEnd{}, map[string]bool{}
+	r.pending, r.escalated = map[string]receivedHeartbeat{}, map[string]bool{}
 	r.observeLeader(0)
 }
 
 // observeLeader notes which member leads; what another one confirmed does not count, and a new one gets a batch at once.
 func (r *heartbeatRelay) observeLeader(leader uint64) {
 	if r.leader != leader {
-		r.leader, r.confirmed, r.nextBatch, r.sending = leader, time.Time{}, time.Time{}, false
+		r.leader, r.lastConfirmed, r.nextBatch, r.batchInFlight = leader, time.Time{}, time.Time{}, false
 	}
 }
 
 // reaches reports whether the leader answered a batch that was sent a short while ago.
-func (r *heartbeatRelay) reaches(leader uint64, now time.Time) bool {
-	return leader == r.leader && !r.confirmed.IsZero() && now.Sub(r.confirmed) <= r.maxAge
+func (r *heartbeatRelay) reachesLeader(leader uint64, now time.Time) bool {
+	return leader == r.leader && !r.lastConfirmed.IsZero() && now.Sub(r.lastConfirmed) <= r.maxAge
 }
 
 // hear keeps a heartbeat for the next batch unless a later one of the back end waits already.
-func (r *heartbeatRelay) hear(heartbeat heardBackEnd) {
-	if last, known := r.waiting[heartbeat.id]; known && !heartbeat.follows(last) {
+func (r *heartbeatRelay) add(heartbeat receivedHeartbeat) {
+	if last, known := r.pending[heartbeat.id]; known && !heartbeat.follows(last) {
 		return
 	}
-	r.waiting[heartbeat.id] = heartbeat
+	r.pending[heartbeat.id] = heartbeat
 }
 
 // follows reports whether a heartbeat takes the place of another one of its back end.
-func (h heardBackEnd) follows(other heardBackEnd) bool {
+func (h receivedHeartbeat) follows(other receivedHeartbeat) bool {
 	if h.incarnation != other.incarnation {
 		return h.incarnation > other.incarnation
 	}
-	return h.sequence >= other.sequence && !h.heard.Before(other.heard)
+	return h.sequence >= other.sequence && !h.receivedAt.Before(other.receivedAt)
 }
 
 // beginBatch takes out the heartbeats of the next batch, oldest first; due is false while none is to be sent.
-func (r *heartbeatRelay) beginBatch(now time.Time) (batch []heardBackEnd, due bool) {
-	if r.sending || now.Before(r.nextBatch) {
+func (r *heartbeatRelay) beginBatch(now time.Time) (batch []receivedHeartbeat, due bool) {
+	if r.batchInFlight || now.Before(r.nextBatch) {
 		return nil, false
 	}
-	for id, heartbeat := range r.waiting {
-		if now.Sub(heartbeat.heard) >= r.lease {
-			delete(r.waiting, id)
+	for id, heartbeat := range r.pending {
+		if now.Sub(heartbeat.receivedAt) >= r.lease {
+			delete(r.pending, id)
 			continue
 		}
 		batch = append(batch, heartbeat)
 	}
-	slices.SortFunc(batch, func(a, b heardBackEnd) int {
-		return cmp.Or(a.heard.Compare(b.heard), cmp.Compare(a.id, b.id))
+	slices.SortFunc(batch, func(a, b receivedHeartbeat) int {
+		return cmp.Or(a.receivedAt.Compare(b.receivedAt), cmp.Compare(a.id, b.id))
 	})
-	batch = batch[:min(len(batch), maxHeartbeats)]
+	batch = batch[:min(len(batch), maxHeartbeatBatch)]
 	for _, heartbeat := range batch {
-		delete(r.waiting, heartbeat.id)
+		delete(r.pending, heartbeat.id)
 	}
-	r.sending, r.nextBatch = true, now.Add(relayInterval)
+	r.batchInFlight, r.nextBatch = true, now.Add(relayInterval)
 	return batch, true
 }
 
@@ -114,7 +114,7 @@
 func (r *heartbeatRelay) confirm(leader uint64, sent time.Time, unknown []string) {
 	r.endBatch(leader)
 	if leader == r.leader {
-		r.confirmed = sent
+		r.lastConfirmed = sent
 	}
 	for _, id := range unknown {
 		r.escalated[id] = true
@@ -124,15 +124,15 @@
 // endBatch lets the next batch go once the one to the present leader has ended; one to a former leader holds nothing up.
 func (r *heartbeatRelay) endBatch(leader uint64) {
 	if leader == r.leader {
-		r.sending = false
+		r.batchInFlight = false
 	}
 }
 
 // putBack keeps the heartbeats of a batch that a leader did not answer for the next one.
-func (r *heartbeatRelay) putBack(leader uint64, batch []heardBackEnd) {
+func (r *heartbeatRelay) requeue(leader uint64, batch []receivedHeartbeat) {
 	r.endBatch(leader)
 	for _, heartbeat := range batch {
-		r.hear(heartbeat)
+		r.add(heartbeat)
 	}
 }
 
@@ -146,12 +146,12 @@
 }
 
 // encodeBatch writes a batch with the age that each heartbeat has at a time.
-func encodeBatch(member uint64, batch []heardBackEnd, now time.Time) *protocol.RenewBackEndsRequest {
+func encodeBatch(member uint64, batch []receivedHeartbeat, now time.Time) *protocol.RenewBackEndsRequest {
 	encoded := &protocol.RenewBackEndsRequest{Member: member, Heard: make([]*protocol.HeardBackEnd, len(batch))}
 	for i, heartbeat := range batch {
 		encoded.Heard[i] = &protocol.HeardBackEnd{
 			Id: heartbeat.id, Incarnation: heartbeat.incarnation, Sequence: heartbeat.sequence,
-			AgeMillis: uint32(ageMillis(now.Sub(heartbeat.heard))), BackEndsVersion: heartbeat.viewVersion,
+			AgeMillis: uint32(ageMillis(now.Sub(heartbeat.receivedAt))), BackEndsVersion: heartbeat.viewVersion,
 		}
 	}
 	return encoded
--- a/internal/controlplane/core/http.go
+++ b/internal/controlplane/core/http.go
@@ -44,17 +44,17 @@
 	segments []string
 	handle   operatorHandler
 	// repeatable is true for a change that may be made again without an order id.
-	repeatable bool
+	idempotent bool
 }
 
 func (s *Service) routes() []operatorRoute {
 	route := func(method, path string, handle operatorHandler) operatorRoute {
 		return operatorRoute{method: method, segments: strings.Split(path, "/"), handle: handle}
 	}
-	repeatable := func(method, path string, handle operatorHandler) operatorRoute {
-		made := route(method, path, handle)
-		made.repeatable = true
-		return made
+	idempotent := func(method, path string, handle operatorHandler) operatorRoute {
+		idempotentRoute := route(method, path, handle)
+		idempotentRoute.idempotent = true
+		return idempotentRoute
 	}
 	return []operatorRoute{
 		route(http.MethodGet, "v1/bundles", s.listBundles),
@@ -62,7 +62,7 @@
 		route(http.MethodPut, "v1/bundles/*", s.putBundle),
 		route(http.MethodPost, "v1/bundles/*/sign", s.signBundle),
 		route(http.MethodGet, "v1/bundles/*/diff/*", s.diffBundles),
-		repeatable(http.MethodPut, "v1/releases/*", s.releaseBundle),
+		idempotent(http.MethodPut, "v1/releases/*", s.releaseBundle),
 		route(http.MethodGet, "v1/releases/active", s.showRelease),
 		route(http.MethodGet, "v1/rollout", s.showRollout),
 		route(http.MethodPut, "v1/rollout", s.setRollout),
@@ -70,9 +70,9 @@
 		route(http.MethodPost, "v1/rollout/withdraw", s.withdrawRollout),
 		route(http.MethodGet, "v1/nodes", s.listNodes),
 		route(http.MethodGet, "v1/backends", s.listBackEnds),
-		repeatable(http.MethodPut, "v1/backends/*", s.announceBackEnd),
-		repeatable(http.MethodDelete, "v1/backends/*", s.removeBackEnd),
-		route(http.MethodPost, "v1/backends/*/drain", s.orderDrain),
+		idempotent(http.MethodPut, "v1/backends/*", s.announceBackEnd),
+		idempotent(http.MethodDelete, "v1/backends/*", s.removeBackEnd),
+		route(http.MethodPost, "v1/backends/*/drain", s.drainBackEndOrder),
 		route(http.MethodGet, "v1/stores", s.listStores),
 		route(http.MethodGet, "v1/stores/*", s.showStore),
 		route(http.MethodPost, "v1/stores/*/empty", s.emptyStore),
@@ -90,13 +90,13 @@
 		s.writeError(writer, request, err)
 		return
 	}
-	operator, known := s.operatorOf(request)
+	operator, known := s.authenticate(request)
 	if !known {
 		writer.Header().Set("WWW-Authenticate", "Bearer")
 		s.writeError(writer, request, failure.New(failure.Unauthorized, protocol.Outcome_NOT_RUN, "an operator's bearer token is needed"))
 		return
 	}
-	order, err := orderOf(route, request)
+	order, err := readOrderID(route, request)
 	if err != nil {
 		s.writeError(writer, request, err)
 		return
@@ -112,7 +112,7 @@
 }
 
 // operatorOf names the operator of a request; without a token it is known only where operators are trusted.
-func (s *Service) operatorOf(request *http.Request) (name string, known bool) {
+func (s *Service) authenticate(request *http.Request) (name string, known bool) {
 	name, known = s.tokens.operator(request.Header.Get("Authorization"))
 	if !known && s.trustOperators {
 		return trustedOperator, true
@@ -132,7 +132,7 @@
 
 // dispatch finds the route of a request and the segments it leaves open.
 func (s *Service) dispatch(request *http.Request) (*operatorRoute, []string, error) {
-	segments, err := segmentsOf(request.URL)
+	segments, err := pathSegments(request.URL)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -154,7 +154,7 @@
 	return nil, nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "no such route", failure.WithPath(request.URL.Path))
 }
 
-func segmentsOf(location *url.URL) ([]string, error) {
+func pathSegments(location *url.URL) ([]string, error) {
 	segments := strings.Split(strings.TrimPrefix(location.EscapedPath(), "/"), "/")
 	for i, segment := range segments {
 		plain, err := url.PathUnescape(segment)
@@ -183,10 +183,10 @@
 }
 
 // orderOf reads the order id that every change must carry unless it may be made again without one.
-func orderOf(route *operatorRoute, request *http.Request) (string, error) {
+func readOrderID(route *operatorRoute, request *http.Request) (string, error) {
 	id := request.Header.Get(orderHeader)
 	switch {
-	case request.Method == http.MethodGet, id == "" && route.repeatable:
+	case request.Method == http.MethodGet, id == "" && route.idempotent:
 		return "", nil
 	case id == "":
 		return "", failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "every order needs an id of its own", failure.WithPath(orderHeader))
--- a/internal/controlplane/core/leases.go
+++ b/internal/controlplane/core/leases.go
@@ -6,7 +6,7 @@
 // only: a new leader knows none of them and so ends nobody's lease before one
 // whole length has passed. It is part of the owner and knows no clock.
 type leaseTable struct {
-	length time.Duration
+	duration time.Duration
 	// floor is the earliest time at which any lease may end.
 	floor   time.Time
 	entries map[string]*lease
@@ -14,12 +14,12 @@
 
 type lease struct {
 	incarnation uint64
-	expires     time.Time
+	expiresAt     time.Time
 	// ending is true once the removal was proposed; the lease is not renewed any more.
-	ending bool
+	removing bool
 	// proposing is true while the proposal of the removal has not returned.
-	proposing bool
-	retryAt   time.Time
+	proposalInFlight bool
+	nextAttempt   time.Time
 	// backEnds is the version of the back-end view that the node has in force.
 	backEnds uint64
 	// inForce is what the node last said to have in force, for operators.
@@ -32,91 +32,91 @@
 }
 
 func newLeaseTable(length time.Duration) *leaseTable {
-	return &leaseTable{length: length, entries: map[string]*lease{}}
+	return &leaseTable{duration: length, entries: map[string]*lease{}}
 }
 
 // reset forgets all leases and gives everyone a whole length from now.
 func (t *leaseTable) reset(now time.Time) {
 	t.entries = map[string]*lease{}
-	t.floor = now.Add(t.length)
+	t.floor = now.Add(t.duration)
 }
 
 // extend gives everyone a whole length from now, after this process itself was stalled.
-func (t *leaseTable) extend(now time.Time) { t.floor = now.Add(t.length) }
+func (t *leaseTable) extend(now time.Time) { t.floor = now.Add(t.duration) }
 
 // renew counts a lease from the time at which its holder was heard, and never shortens it; it reports false when the lease is
 // being ended.
-func (t *leaseTable) renew(key string, incarnation uint64, heard time.Time) bool {
+func (t *leaseTable) renew(key string, incarnation uint64, renewedAt time.Time) bool {
 	entry := t.entry(key, incarnation)
-	if entry.ending {
+	if entry.removing {
 		return false
 	}
-	if ends := heard.Add(t.length); ends.After(entry.expires) {
-		entry.expires = ends
+	if expiresAt := renewedAt.Add(t.duration); expiresAt.After(entry.expiresAt) {
+		entry.expiresAt = expiresAt
 	}
 	return true
 }
 
 // entry finds or makes the entry of an incarnation.
 func (t *leaseTable) entry(key string, incarnation uint64) *lease {
-	held := t.entries[key]
-	if held == nil || held.incarnation != incarnation {
-		held = &lease{incarnation: incarnation}
-		t.entries[key] = held
+	entry := t.entries[key]
+	if entry == nil || entry.incarnation != incarnation {
+		entry = &lease{incarnation: incarnation}
+		t.entries[key] = entry
 	}
-	return held
+	return entry
 }
 
 // find returns the entry of an incarnation or nil.
 func (t *leaseTable) find(key string, incarnation uint64) *lease {
-	if held := t.entries[key]; held != nil && held.incarnation == incarnation {
-		return held
+	if entry := t.entries[key]; entry != nil && entry.incarnation == incarnation {
+		return entry
 	}
 	return nil
 }
 
 // expiry is when the lease of an incarnation ends unless it is renewed.
 func (t *leaseTable) expiry(key string, incarnation uint64) time.Time {
-	if held := t.find(key, incarnation); held != nil && held.expires.After(t.floor) {
-		return held.expires
+	if entry := t.find(key, incarnation); entry != nil && entry.expiresAt.After(t.floor) {
+		return entry.expiresAt
 	}
 	return t.floor
 }
 
 // beginEnding reports whether the removal of an expired lease is to be proposed now.
-func (t *leaseTable) beginEnding(key string, incarnation uint64, now time.Time) bool {
+func (t *leaseTable) beginRemoval(key string, incarnation uint64, now time.Time) bool {
 	if now.Before(t.expiry(key, incarnation)) {
 		return false
 	}
 	entry := t.entry(key, incarnation)
-	if entry.proposing || (entry.ending && now.Before(entry.retryAt)) {
+	if entry.proposalInFlight || (entry.removing && now.Before(entry.nextAttempt)) {
 		return false
 	}
-	entry.ending, entry.proposing = true, true
-	entry.retryAt = now.Add(endingRetry)
+	entry.removing, entry.proposalInFlight = true, true
+	entry.nextAttempt = now.Add(removalRetryInterval)
 	return true
 }
 
 // proposed notes that the proposal of a removal has returned, with whatever result.
-func (t *leaseTable) proposed(key string, incarnation uint64) {
-	if held := t.find(key, incarnation); held != nil {
-		held.proposing = false
+func (t *leaseTable) endProposal(key string, incarnation uint64) {
+	if entry := t.find(key, incarnation); entry != nil {
+		entry.proposalInFlight = false
 	}
 }
 
 // sweep forgets leases whose holder is not in the view any more. One whose
 // removal is being proposed stays: a later join must not come before it.
-func (t *leaseTable) sweep(present func(key string) (incarnation uint64, found bool)) {
-	for key, held := range t.entries {
-		incarnation, found := present(key)
-		if !held.proposing && (!found || incarnation != held.incarnation) {
+func (t *leaseTable) sweep(present func(key string) (incarnation uint64, exists bool)) {
+	for key, entry := range t.entries {
+		incarnation, exists := present(key)
+		if !entry.proposalInFlight && (!exists || incarnation != entry.incarnation) {
 			delete(t.entries, key)
 		}
 	}
 }
 
 // ended forgets the lease of an incarnation.
-func (t *leaseTable) ended(key string, incarnation uint64) {
+func (t *leaseTable) remove(key string, incarnation uint64) {
 	if t.find(key, incarnation) != nil {
 		delete(t.entries, key)
 	}
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -15,9 +15,9 @@
 
 const (
 	// heartbeatWithoutLeader came while no leader is known.
-	heartbeatWithoutLeader heartbeatOutcome = iota
+	heartbeatNoLeader heartbeatOutcome = iota
 	// heartbeatCutOff came while the leader does not answer this member.
-	heartbeatCutOff
+	heartbeatLeaderUnreachable
 	// heartbeatAcknowledged changes nothing; the leader learns of it with the next batch.
 	heartbeatAcknowledged
 	// heartbeatForwarded must be acknowledged by the leader.
@@ -25,15 +25,15 @@
 )
 
 // announceAtMember takes an announcement in at a member that does not lead.
-func (s *Service) announceAtMember(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	outcome := heartbeatWithoutLeader
+func (s *Service) announceAtMember(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	outcome := heartbeatNoLeader
 	leaderAddress := ""
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		leader := s.owner.otherLeader()
 		leaderAddress = leader.GetAddress()
-		outcome = s.owner.takeHeartbeat(leader, announced, sequence, now)
+		outcome = s.owner.classifyHeartbeat(leader, backEnd, sequence, now)
 	})
-	if !asked {
+	if !executed {
 		return contextFailure(ctx)
 	}
 	retry := failure.WithRetryAfter(retryWait)
@@ -42,8 +42,8 @@
 		s.metrics.backEndLeases.WithLabelValues("relayed").Inc()
 		return nil
 	case heartbeatForwarded:
-		return s.forwardAnnouncement(ctx, leaderAddress, announced, sequence)
-	case heartbeatCutOff:
+		return s.forwardAnnouncement(ctx, leaderAddress, backEnd, sequence)
+	case heartbeatLeaderUnreachable:
 		s.metrics.backEndLeases.WithLabelValues("cut_off").Inc()
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader", retry)
 	default:
@@ -62,48 +62,48 @@
 
 // takeHeartbeat decides about a heartbeat and keeps it for the next batch when it changes nothing. A drain is acknowledged by
 // the leader alone, which knows what front nodes have in force.
-func (o *owner) takeHeartbeat(leader *protocol.CoreMember, announced *protocol.BackEnd, sequence uint64, now time.Time) heartbeatOutcome {
+func (o *owner) classifyHeartbeat(leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time) heartbeatOutcome {
 	view := o.machine.View()
-	id, incarnation := announced.GetId(), announced.GetIncarnation()
+	id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
 	switch {
 	case leader == nil:
-		return heartbeatWithoutLeader
-	case !o.relay.reaches(leader.GetId(), now):
-		return heartbeatCutOff
-	case announced.GetState() == protocol.BackEndState_DRAINING:
+		return heartbeatNoLeader
+	case !o.relay.reachesLeader(leader.GetId(), now):
+		return heartbeatLeaderUnreachable
+	case backEnd.GetState() == protocol.BackEndState_DRAINING:
 		return heartbeatForwarded
 	case view.Outdated(id, incarnation, sequence):
 		return heartbeatAcknowledged
-	case o.relay.escalated[id] || !view.Holds(announced):
+	case o.relay.escalated[id] || !view.Holds(backEnd):
 		return heartbeatForwarded
 	}
-	o.relay.hear(heardBackEnd{
-		id: id, incarnation: incarnation, sequence: sequence, viewVersion: view.BackEnds.GetVersion(), heard: now,
+	o.relay.add(receivedHeartbeat{
+		id: id, incarnation: incarnation, sequence: sequence, viewVersion: view.BackEnds.GetVersion(), receivedAt: now,
 	})
 	return heartbeatAcknowledged
 }
 
 // forwardAnnouncement has the leader acknowledge an announcement.
-func (s *Service) forwardAnnouncement(ctx context.Context, leaderAddress string, announced *protocol.BackEnd, sequence uint64) error {
+func (s *Service) forwardAnnouncement(ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin+proposeTimeout)
 	defer cancel()
 	_, err := s.caller.Call(bounded, leaderAddress, &protocol.Request{Body: &protocol.Request_AnnounceBackEnd{
-		AnnounceBackEnd: &protocol.AnnounceBackEndRequest{BackEnd: announced, Sequence: sequence},
+		AnnounceBackEnd: &protocol.AnnounceBackEndRequest{BackEnd: backEnd, Sequence: sequence},
 	}})
 	if err != nil {
 		s.metrics.backEndLeases.WithLabelValues("forward_failed").Inc()
 		return forwardFailure(err)
 	}
 	s.metrics.backEndLeases.WithLabelValues("forwarded").Inc()
-	s.owner.ask(ctx, func(time.Time) { delete(s.owner.relay.escalated, announced.GetId()) })
+	s.owner.execute(ctx, func(time.Time) { delete(s.owner.relay.escalated, backEnd.GetId()) })
 	return nil
 }
 
 // forwardFailure keeps the leader's own refusal; anything else leaves open whether the leader took the announcement in.
 func forwardFailure(err error) error {
-	var refused *failure.Error
-	if errors.As(err, &refused) {
-		return refused
+	var rejected *failure.Error
+	if errors.As(err, &rejected) {
+		return rejected
 	}
 	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(retryWait))
 }
@@ -124,7 +124,7 @@
 	}
 	request := encodeBatch(o.consensus.Status().GetId(), batch, now)
 	var answer *protocol.RenewBackEndsResponse
-	o.work(func(ctx context.Context) error {
+	o.runTask(func(ctx context.Context) error {
 		bounded, cancel := context.WithTimeout(ctx, relayTimeout)
 		defer cancel()
 		response, err := o.caller.Call(bounded, leader.GetAddress(), &protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: request}})
@@ -133,12 +133,12 @@
 	}, func(_ time.Time, err error) {
 		if err != nil {
 			o.metrics.heartbeatBatches.WithLabelValues("failed").Inc()
-			o.relay.putBack(leader.GetId(), batch)
+			o.relay.requeue(leader.GetId(), batch)
 			return
 		}
 		o.metrics.heartbeatBatches.WithLabelValues("confirmed").Inc()
 		o.relay.confirm(leader.GetId(), now, answer.GetUnknown())
 		o.relay.sweep(func(id string) bool { return o.machine.View().BackEnd(id) != nil })
-		o.nameMembers(answer.GetMembers())
+		o.setHeartbeatMembers(answer.GetMembers())
 	})
 }
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -18,34 +18,34 @@
 
 // addMember admits the core process at an address.
 func (s *Service) addMember(ctx context.Context, request *operatorRequest) (*answer, error) {
-	named := &protocol.CoreMember{}
-	if err := readBody(request, named); err != nil {
+	requested := &protocol.CoreMember{}
+	if err := readBody(request, requested); err != nil {
 		return nil, err
 	}
-	if named.GetAddress() == "" {
+	if requested.GetAddress() == "" {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("address"))
 	}
 	if err := s.consensus.Barrier(ctx); err != nil {
 		return nil, consensusFailure(err)
 	}
 	member := s.machine.View().MemberAdded(request.orderID)
-	again := member != nil
-	if !again {
+	repeated := member != nil
+	if !repeated {
 		var err error
-		if member, err = s.consensus.Identify(ctx, named.GetAddress()); err != nil {
+		if member, err = s.consensus.Identify(ctx, requested.GetAddress()); err != nil {
 			return nil, consensusFailure(err)
 		}
 	}
-	meant, err := s.pinMember(ctx, "add_member", request, &protocol.ChangeMemberCommand{Subject: named.GetAddress(), Member: member})
+	recorded, err := s.recordMember(ctx, "add_member", request, &protocol.ChangeMemberCommand{Subject: requested.GetAddress(), Member: member})
 	if err != nil {
 		return nil, err
 	}
-	if s.isLastOrder(request, meant) && (!again || !s.isMember(meant)) {
-		if err := s.consensus.Admit(ctx, meant); err != nil {
+	if s.isLatestOrder(request, recorded) && (!repeated || !s.isMember(recorded)) {
+		if err := s.consensus.Admit(ctx, recorded); err != nil {
 			return nil, consensusFailure(err)
 		}
 	}
-	return protoAnswer(meant)
+	return protoAnswer(recorded)
 }
 
 // removeAnswer says that a core member is gone; Removed is false when there was none of that name.
@@ -60,13 +60,13 @@
 		return nil, consensusFailure(err)
 	}
 	name := request.arguments[0]
-	meant, err := s.pinMember(ctx, "remove_member", request, &protocol.ChangeMemberCommand{Remove: true, Subject: name, Member: s.findMember(name)})
+	recorded, err := s.recordMember(ctx, "remove_member", request, &protocol.ChangeMemberCommand{Remove: true, Subject: name, Member: s.findMember(name)})
 	if err != nil {
 		return nil, err
 	}
-	removed := meant.GetId() != 0
-	if removed && s.isLastOrder(request, meant) {
-		err := consensusFailure(s.consensus.RemoveMember(ctx, strconv.FormatUint(meant.GetId(), 10)))
+	removed := recorded.GetId() != 0
+	if removed && s.isLatestOrder(request, recorded) {
+		err := consensusFailure(s.consensus.RemoveMember(ctx, strconv.FormatUint(recorded.GetId(), 10)))
 		if err != nil && !failure.Is(err, failure.NotFound) {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 }
 
 // pinMember writes the order to the log and returns the member that it meant when it was first given.
-func (s *Service) pinMember(ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand) (*protocol.CoreMember, error) {
+func (s *Service) recordMember(ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand) (*protocol.CoreMember, error) {
 	result, err := s.proposer.propose(ctx, &protocol.Command{
 		OrderId: request.orderID, Body: &protocol.Command_ChangeMember{ChangeMember: command},
 	})
@@ -90,7 +90,7 @@
 }
 
 // isLastOrder reports that no later order was given about the member.
-func (s *Service) isLastOrder(request *operatorRequest, member *protocol.CoreMember) bool {
+func (s *Service) isLatestOrder(request *operatorRequest, member *protocol.CoreMember) bool {
 	return s.machine.View().MemberOrder(member.GetId()) == request.orderID
 }
 
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -92,7 +92,7 @@
 		Lease:        millis(settings.GetLeaseMillis()),
 		ShardCount:   settings.GetShardCount(),
 		ReplicaCount: settings.GetReplicaCount(),
-		Coalesce:     millis(settings.GetCoalesceMillis()),
+		CoalesceInterval:     millis(settings.GetCoalesceMillis()),
 		FirstKeys:    keys,
 		Tokens:       tokens,
 
--- a/internal/controlplane/core/orders.go
+++ b/internal/controlplane/core/orders.go
@@ -33,7 +33,7 @@
 func (s *Service) orderResult(kind string, request *operatorRequest, result *protocol.CommandResult) error {
 	if !result.GetAccepted() {
 		s.metrics.orders.WithLabelValues(kind, result.GetRefusal().GetCode()).Inc()
-		return &refusedError{refusal: result.GetRefusal()}
+		return &rejectedError{refusal: result.GetRefusal()}
 	}
 	s.metrics.orders.WithLabelValues(kind, "accepted").Inc()
 	s.logger.Info("order accepted", "kind", kind, "operator", request.operator, "order", request.orderID, "index", result.GetIndex())
@@ -55,7 +55,7 @@
 	return bundle.ParseMessage(content, message)
 }
 
-func versionOf(text string) (uint64, error) {
+func parseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
 		return 0, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a version is a number from 1", failure.WithPath("version"))
@@ -65,7 +65,7 @@
 
 // readBundle reads a bundle from the body. Its version is that of the path, which the body may repeat.
 func readBundle(request *operatorRequest) (*protocol.Bundle, error) {
-	version, err := versionOf(request.arguments[0])
+	version, err := parseVersion(request.arguments[0])
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 }
 
 func (s *Service) signBundle(ctx context.Context, request *operatorRequest) (*answer, error) {
-	version, err := versionOf(request.arguments[0])
+	version, err := parseVersion(request.arguments[0])
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 	ViewVersion uint64 `json:"view_version"`
 }
 
-func (s *Service) orderDrain(ctx context.Context, request *operatorRequest) (*answer, error) {
+func (s *Service) drainBackEndOrder(ctx context.Context, request *operatorRequest) (*answer, error) {
 	command := &protocol.DrainBackEndCommand{}
 	if err := readBody(request, command); err != nil {
 		return nil, err
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -22,26 +22,26 @@
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many outcomes at once", failure.WithPath("outcomes"))
 	}
 	report := serverhealth.Report{Node: request.GetNode(), Zone: request.GetZone()}
-	for _, seen := range request.GetOutcomes() {
+	for _, outcome := range request.GetOutcomes() {
 		report.Outcomes = append(report.Outcomes, serverhealth.Outcomes{
-			Server: seen.GetId(), Incarnation: seen.GetIncarnation(),
-			Answered: seen.GetAnswered(), Faults: seen.GetFaults(), Overdue: seen.GetOverdue(),
-			Heard: seen.SignAgeMillis != nil, SignAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
+			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
+			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
+			Heard: outcome.SignAgeMillis != nil, SignAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
 	var suspects []serverhealth.Suspect
-	asked := s.owner.ask(ctx, func(now time.Time) {
-		s.owner.takeOutcomes(report, now)
+	executed := s.owner.execute(ctx, func(now time.Time) {
+		s.owner.mergeOutcomes(report, now)
 		suspects = s.owner.serverHealth.Suspects(request.GetZone(), now)
 	})
-	if !asked {
+	if !executed {
 		return nil, contextFailure(ctx)
 	}
 	return &protocol.ShareOutcomesResponse{Suspects: describeSuspects(suspects)}, nil
 }
 
 // takeOutcomes adds a report and wakes those who watch for suspects when it made one.
-func (o *owner) takeOutcomes(report serverhealth.Report, now time.Time) {
+func (o *owner) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	former := o.serverHealth.Version()
 	o.serverHealth.Take(report, now)
 	if o.serverHealth.Version() == former {
@@ -54,7 +54,7 @@
 // watchSuspects answers as soon as there are suspects of another version than the one known, or without any when the time
 // asked for is over.
 func (s *Service) watchSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
-	leadership := s.owner.leading.Load()
+	leadership := s.owner.leadership.Load()
 	if leadership == nil || !s.consensus.IsLeader() {
 		return nil, notLeaderFailure()
 	}
@@ -81,14 +81,14 @@
 func (s *Service) newSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, <-chan struct{}, error) {
 	var answer *protocol.WatchSuspectsResponse
 	var changed <-chan struct{}
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		changed = s.owner.suspectsChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
 			suspects := s.owner.serverHealth.Suspects(request.GetZone(), now)
 			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeSuspects(suspects)}
 		}
 	})
-	if !asked {
+	if !executed {
 		return nil, nil, contextFailure(ctx)
 	}
 	return answer, changed, nil
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -17,12 +17,12 @@
 const (
 	tickInterval = 50 * time.Millisecond
 	// stallLimit is how late a tick may be before the owner takes itself for stalled.
-	stallLimit = time.Second
+	stallThreshold = time.Second
 	// leaseMargin is added to each lease at the leader, so that it outlives the holder's own count.
 	leaseMargin = 250 * time.Millisecond
 	// endingRetry is the wait before a removal is proposed again.
-	endingRetry  = time.Second
-	commandQueue = 1024
+	removalRetryInterval  = time.Second
+	commandQueueLength = 1024
 )
 
 // leadership is one unbroken time in which this process leads.
@@ -50,17 +50,17 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 	workers sync.WaitGroup
-	leading atomic.Pointer[leadership]
+	leadership atomic.Pointer[leadership]
 
 	lastTick    time.Time
 	leaderSince time.Time
 	nodes       *leaseTable
 	backEnds    *leaseTable
-	announced   *announcedTable
+	sequences   *sequenceTable
 	relay       *heartbeatRelay
-	relaying    *relayingTable
+	relayingMembers    *relayingMembers
 	drains      []*drain
-	arms        *armTable
+	variants        *variantTable
 	reconciler  *reconciler
 	// serverHealth is what front nodes saw of back ends; a new leader begins without it.
 	serverHealth serverhealth.Board
@@ -69,7 +69,7 @@
 	// heartbeatMembers are the members that can be named to back ends.
 	heartbeatMembers atomic.Pointer[[]*protocol.CoreMember]
 	// underWay counts the tasks that work began and whose end the owner has not seen.
-	underWay int
+	runningTasks int
 }
 
 func (o *owner) start() {
@@ -103,7 +103,7 @@
 }
 
 // ask runs a command on the owner and waits for it; it reports false when the context or the owner ended first.
-func (o *owner) ask(ctx context.Context, command func(now time.Time)) bool {
+func (o *owner) execute(ctx context.Context, command func(now time.Time)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
 		command(now)
@@ -127,14 +127,14 @@
 }
 
 // work runs a task beside the owner; after, if any, runs on the owner with what the task returned.
-func (o *owner) work(task func(ctx context.Context) error, after func(now time.Time, err error)) {
-	o.underWay++
+func (o *owner) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
+	o.runningTasks++
 	o.workers.Go(func() {
 		ctx, cancel := context.WithTimeout(o.ctx, proposeTimeout)
 		defer cancel()
 		err := task(ctx)
 		ended := func(now time.Time) {
-			o.underWay--
+			o.runningTasks--
 			after(now, err)
 		}
 		select {
@@ -148,12 +148,12 @@
 // between. Each beginning gives every lease a whole length.
 func (o *owner) observeLeadership(now time.Time) {
 	leads, since := o.consensus.IsLeader(), o.consensus.LeaderSince()
-	held := o.leading.Load()
-	if held != nil && (!leads || !since.Equal(o.leaderSince)) {
+	current := o.leadership.Load()
+	if current != nil && (!leads || !since.Equal(o.leaderSince)) {
 		o.endLeadership()
-		held = nil
+		current = nil
 	}
-	if held == nil && leads {
+	if current == nil && leads {
 		o.beginLeadership(now, since)
 	}
 }
@@ -162,24 +162,24 @@
 	o.leaderSince = since
 	o.nodes.reset(now)
 	o.backEnds.reset(now)
-	o.announced.reset()
+	o.sequences.reset()
 	o.relay.reset()
-	o.relaying.reset()
+	o.relayingMembers.reset()
 	o.heartbeatMembers.Store(nil)
-	o.arms.reset()
+	o.variants.reset()
 	o.reconciler.reset()
-	o.leading.Store(&leadership{since: now, lost: make(chan struct{})})
+	o.leadership.Store(&leadership{since: now, lost: make(chan struct{})})
 	o.machine.leading.Store(true)
 	o.metrics.leading.Set(1)
 	o.logger.Info("leading", "term", o.consensus.Status().GetTerm())
 }
 
 func (o *owner) endLeadership() {
-	held := o.leading.Swap(nil)
-	if held == nil {
+	ended := o.leadership.Swap(nil)
+	if ended == nil {
 		return
 	}
-	close(held.lost)
+	close(ended.lost)
 	o.failDrains()
 	o.machine.leading.Store(false)
 	o.metrics.leading.Set(0)
@@ -187,13 +187,13 @@
 }
 
 // leads reports whether this process leads at this moment, as the owner and the replica both see it.
-func (o *owner) leads() bool { return o.leading.Load() != nil && o.consensus.IsLeader() }
+func (o *owner) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
 
 func (o *owner) tick(now time.Time) {
 	o.observeLeadership(now)
-	stalled := now.Sub(o.lastTick) > stallLimit
+	stalled := now.Sub(o.lastTick) > stallThreshold
 	o.lastTick = now
-	if !o.leads() {
+	if !o.isLeader() {
 		o.relayHeartbeats(now)
 		return
 	}
@@ -201,18 +201,18 @@
 		o.nodes.extend(now)
 		o.backEnds.extend(now)
 	}
-	o.sweepLeases()
-	o.announced.sweep(now)
-	o.observeRelaying(now)
-	o.endNodeLeases(now)
-	o.endBackEndLeases(now)
+	o.dropAbsentLeases()
+	o.sequences.sweep(now)
+	o.updateHeartbeatMembers(now)
+	o.expireNodeLeases(now)
+	o.expireBackEndLeases(now)
 	o.checkDrains(now)
 	o.reconcile(now)
-	o.observeView()
+	o.recordViewMetrics()
 }
 
 // sweepLeases forgets the leases of what is not in the view any more.
-func (o *owner) sweepLeases() {
+func (o *owner) dropAbsentLeases() {
 	view := o.machine.View()
 	o.nodes.sweep(func(name string) (uint64, bool) {
 		node := view.Node(name)
@@ -225,50 +225,50 @@
 }
 
 // endNodeLeases proposes the removal of nodes whose lease ran out.
-func (o *owner) endNodeLeases(now time.Time) {
+func (o *owner) expireNodeLeases(now time.Time) {
 	for _, node := range o.machine.View().Membership.GetNodes() {
 		name, incarnation := node.GetName(), node.GetIncarnation()
-		if !o.nodes.beginEnding(name, incarnation, now) {
+		if !o.nodes.beginRemoval(name, incarnation, now) {
 			continue
 		}
 		o.metrics.leases.WithLabelValues("expired").Inc()
 		remove := &protocol.RemoveNodeCommand{Name: name, Incarnation: incarnation, Reason: "lease ran out"}
-		o.work(func(ctx context.Context) error {
+		o.runTask(func(ctx context.Context) error {
 			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.nodes.proposed(name, incarnation)
-			o.sweepLeases()
+			o.nodes.endProposal(name, incarnation)
+			o.dropAbsentLeases()
 		})
 	}
 }
 
 // endBackEndLeases proposes the removal of back ends whose heartbeats stopped.
-func (o *owner) endBackEndLeases(now time.Time) {
+func (o *owner) expireBackEndLeases(now time.Time) {
 	for _, backEnd := range o.machine.View().BackEnds.GetBackEnds() {
 		id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
-		if !o.backEnds.beginEnding(id, incarnation, now) {
+		if !o.backEnds.beginRemoval(id, incarnation, now) {
 			continue
 		}
 		o.metrics.backEndLeases.WithLabelValues("expired").Inc()
 		remove := &protocol.RemoveBackEndCommand{Id: id, Incarnation: incarnation}
-		o.work(func(ctx context.Context) error {
+		o.runTask(func(ctx context.Context) error {
 			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.backEnds.proposed(id, incarnation)
-			o.sweepLeases()
+			o.backEnds.endProposal(id, incarnation)
+			o.dropAbsentLeases()
 		})
 	}
 }
 
-func (o *owner) observeView() {
+func (o *owner) recordViewMetrics() {
 	view := o.machine.View()
 	o.metrics.versions.WithLabelValues("configuration").Set(float64(view.Configuration.GetVersion()))
 	o.metrics.versions.WithLabelValues("membership").Set(float64(view.Membership.GetVersion()))
 	o.metrics.versions.WithLabelValues("back_ends").Set(float64(view.BackEnds.GetVersion()))
 	o.metrics.versions.WithLabelValues("placement").Set(float64(view.Placement.GetEpoch()))
-	o.metrics.ordersKept.Set(float64(view.Orders))
+	o.metrics.ordersRetained.Set(float64(view.Orders))
 	o.metrics.nodes.Set(float64(len(view.Membership.GetNodes())))
 	o.metrics.backEnds.Set(float64(len(view.BackEnds.GetBackEnds())))
 }
--- a/internal/controlplane/core/pacing.go
+++ b/internal/controlplane/core/pacing.go
@@ -18,7 +18,7 @@
 	mutex sync.Mutex
 	sent  map[string]sentAnswer
 	// sweepAt is the size at which old entries are dropped next.
-	sweepAt int
+	sweepSize int
 }
 
 type sentAnswer struct {
@@ -26,15 +26,15 @@
 	versions *protocol.ControlVersions
 }
 
-const firstPacingSweep = 1024
+const minPacingSweepSize = 1024
 
 func newPacing(interval time.Duration) *pacing {
-	return &pacing{interval: interval, sent: map[string]sentAnswer{}, sweepAt: firstPacingSweep}
+	return &pacing{interval: interval, sent: map[string]sentAnswer{}, sweepSize: minPacingSweepSize}
 }
 
 // wait is how long the answer to a node is held back. A node that asks again for
 // what it was sent already, as after a lost answer, is not held back.
-func (p *pacing) wait(node string, versions *protocol.ControlVersions, now time.Time) time.Duration {
+func (p *pacing) remainingWait(node string, versions *protocol.ControlVersions, now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	last, found := p.sent[node]
@@ -45,14 +45,14 @@
 }
 
 // note remembers an answer that carries news.
-func (p *pacing) note(node string, versions *protocol.ControlVersions, now time.Time) {
+func (p *pacing) recordAnswer(node string, versions *protocol.ControlVersions, now time.Time) {
 	if node == "" || p.interval <= 0 {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.sent[node] = sentAnswer{at: now, versions: versions}
-	if len(p.sent) < p.sweepAt {
+	if len(p.sent) < p.sweepSize {
 		return
 	}
 	for name, last := range p.sent {
@@ -60,5 +60,5 @@
 			delete(p.sent, name)
 		}
 	}
-	p.sweepAt = max(firstPacingSweep, 2*len(p.sent))
+	p.sweepSize = max(minPacingSweepSize, 2*len(p.sent))
 }
--- a/internal/controlplane/core/poll.go
+++ b/internal/controlplane/core/poll.go
@@ -24,7 +24,7 @@
 		s.metrics.polls.WithLabelValues("fresh").Inc()
 		return s.answerPoll(s.machine.current.Load(), request), nil
 	}
-	leadership := s.owner.leading.Load()
+	leadership := s.owner.leadership.Load()
 	if leadership == nil || !s.consensus.IsLeader() {
 		return nil, notLeaderFailure()
 	}
@@ -33,24 +33,24 @@
 	defer timer.Stop()
 	for {
 		current := s.machine.current.Load()
-		var held replica.Timer
+		var paceTimer replica.Timer
 		var changed <-chan struct{}
 		var due <-chan time.Time
 		if current.newerThan(request.GetKnown()) {
-			wait := s.pacing.wait(request.GetNode(), current.view.Versions(), s.clock.Now())
+			wait := s.pacing.remainingWait(request.GetNode(), current.view.Versions(), s.clock.Now())
 			if wait <= 0 {
 				s.metrics.polls.WithLabelValues("changed").Inc()
 				return s.answerPoll(current, request), nil
 			}
 			s.metrics.coalesced.Inc()
-			held = s.clock.NewTimer(wait)
-			due = held.C()
+			paceTimer = s.clock.NewTimer(wait)
+			due = paceTimer.C()
 		} else {
 			changed = current.changed
 		}
 		ended, err := s.awaitPoll(ctx, changed, due, timer.C(), leadership)
-		if held != nil {
-			held.Stop()
+		if paceTimer != nil {
+			paceTimer.Stop()
 		}
 		if ended != nil || err != nil {
 			return ended, err
@@ -85,7 +85,7 @@
 	}
 	name, incarnation, known := request.GetNode(), request.GetIncarnation(), request.GetKnown()
 	select {
-	case s.owner.queue <- func(now time.Time) { s.owner.confirm(name, incarnation, known, now) }:
+	case s.owner.queue <- func(now time.Time) { s.owner.confirmVersions(name, incarnation, known, now) }:
 	default:
 	}
 }
@@ -103,18 +103,18 @@
 		if section.version <= version {
 			return
 		}
-		part := section.answer(sectionRequest{
-			known: version, deltas: request.GetAcceptsDeltas(), packed: request.GetAcceptsPackedConfiguration(),
-			packedViews: request.GetAcceptsPackedViews(),
+		sectionAnswer := section.answer(sectionRequest{
+			known: version, acceptsDeltas: request.GetAcceptsDeltas(), acceptsPackedConfiguration: request.GetAcceptsPackedConfiguration(),
+			acceptsPackedViews: request.GetAcceptsPackedViews(),
 		})
-		part.set(answer)
-		s.metrics.pollSections.WithLabelValues(part.kind).Inc()
-		s.metrics.pollBytes.WithLabelValues(part.kind).Add(float64(part.bytes))
+		sectionAnswer.set(answer)
+		s.metrics.pollSections.WithLabelValues(sectionAnswer.kind).Inc()
+		s.metrics.pollBytes.WithLabelValues(sectionAnswer.kind).Add(float64(sectionAnswer.bytes))
 	}
 	add(current.sections.configuration, known.GetConfiguration())
 	add(current.sections.membership, known.GetMembership())
 	add(current.sections.backEnds, known.GetBackEnds())
 	add(current.sections.placement, known.GetPlacement())
-	s.pacing.note(request.GetNode(), current.view.Versions(), s.clock.Now())
+	s.pacing.recordAnswer(request.GetNode(), current.view.Versions(), s.clock.Now())
 	return answer
 }
--- a/internal/controlplane/core/propose.go
+++ b/internal/controlplane/core/propose.go
@@ -84,7 +84,7 @@
 }
 
 // statusOf gives the HTTP status of a code, also of those that the control state adds.
-func statusOf(code failure.Code) int {
+func httpStatus(code failure.Code) int {
 	if code == controlstate.TooFewStores {
 		return http.StatusConflict
 	}
@@ -92,10 +92,10 @@
 }
 
 // refusalFailure turns a refused order into a failure; its request was surely not run.
-func refusalFailure(refusal *protocol.Refusal) error {
-	options := []failure.Option{func(made *protocol.Failure) { made.Status = uint32(statusOf(failure.Code(refusal.GetCode()))) }}
-	if len(refusal.GetFaults()) > 0 {
-		options = append(options, failure.WithPath(refusal.GetFaults()[0].GetPath()))
+func rejectionFailure(rejection *protocol.Refusal) error {
+	options := []failure.Option{func(made *protocol.Failure) { made.Status = uint32(httpStatus(failure.Code(rejection.GetCode()))) }}
+	if len(rejection.GetFaults()) > 0 {
+		options = append(options, failure.WithPath(rejection.GetFaults()[0].GetPath()))
 	}
-	return failure.New(failure.Code(refusal.GetCode()), protocol.Outcome_NOT_RUN, refusal.GetMessage(), options...)
+	return failure.New(failure.Code(rejection.GetCode()), protocol.Outcome_NOT_RUN, rejection.GetMessage(), options...)
 }
--- a/internal/controlplane/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -25,11 +25,11 @@
 }
 
 func (s *Service) listBundles(_ context.Context, request *operatorRequest) (*answer, error) {
-	limit, err := numberOf(request, "limit", defaultBundlePage)
+	limit, err := queryNumber(request, "limit", defaultBundlePage)
 	if err != nil {
 		return nil, err
 	}
-	before, err := numberOf(request, "before", 0)
+	before, err := queryNumber(request, "before", 0)
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 	}}, nil
 }
 
-func numberOf(request *operatorRequest, name string, fallback uint64) (uint64, error) {
+func queryNumber(request *operatorRequest, name string, fallback uint64) (uint64, error) {
 	text := request.http.URL.Query().Get(name)
 	if text == "" {
 		return fallback, nil
@@ -91,7 +91,7 @@
 	case "candidate":
 		version = view.Configuration.GetCandidate().GetVersion()
 	default:
-		number, err := versionOf(text)
+		number, err := parseVersion(text)
 		if err != nil {
 			return nil, err
 		}
@@ -132,16 +132,16 @@
 	var samples []*protocol.ArmSample
 	if configuration.GetRollout() != nil {
 		var listed []*protocol.ArmSample
-		if !s.owner.ask(ctx, func(time.Time) { listed = s.owner.arms.list() }) {
+		if !s.owner.execute(ctx, func(time.Time) { listed = s.owner.variants.list() }) {
 			return nil, contextFailure(ctx)
 		}
 		samples = listed
 	}
-	arms, err := encodeList(samples)
+	variants, err := encodeList(samples)
 	if err != nil {
 		return nil, err
 	}
-	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: arms}
+	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: variants}
 	if configuration.GetRollout() != nil {
 		if document.Rollout, err = encode(configuration.GetRollout()); err != nil {
 			return nil, err
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	var leases []leaseAnswer
-	if !s.owner.ask(ctx, func(now time.Time) { leases = s.owner.describeLeases(membership, now) }) {
+	if !s.owner.execute(ctx, func(now time.Time) { leases = s.owner.describeLeases(membership, now) }) {
 		return nil, contextFailure(ctx)
 	}
 	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: leases}}, nil
@@ -191,10 +191,10 @@
 			Name: node.GetName(), Incarnation: node.GetIncarnation(),
 			MillisLeft: o.nodes.expiry(node.GetName(), node.GetIncarnation()).Sub(now).Milliseconds(),
 		}
-		if held := o.nodes.find(node.GetName(), node.GetIncarnation()); held != nil {
+		if lease := o.nodes.find(node.GetName(), node.GetIncarnation()); lease != nil {
 			described.InForce = versionsAnswer{
-				Configuration: held.inForce.configuration, Membership: held.inForce.membership,
-				BackEnds: held.inForce.backEnds, Placement: held.inForce.placement,
+				Configuration: lease.inForce.configuration, Membership: lease.inForce.membership,
+				BackEnds: lease.inForce.backEnds, Placement: lease.inForce.placement,
 			}
 		}
 		leases = append(leases, described)
--- a/internal/controlplane/core/reconcile.go
+++ b/internal/controlplane/core/reconcile.go
@@ -13,22 +13,22 @@
 
 const (
 	// storeSettle is how long the set of stores must be unchanged before the first placement.
-	storeSettle = time.Second
+	storesUnchangedInterval = time.Second
 	// sharedZonesSettle is the same where there are fewer zones with stores than replicas: a store of another zone may
 	// yet come. A deployment with few zones, or few stores, is served all the same.
-	sharedZonesSettle = 4 * time.Second
+	sharedZonesUnchangedInterval = 4 * time.Second
 	// replaceStoreAfter is how long a store may be without a lease before its shards are placed elsewhere.
 	replaceStoreAfter = 20 * time.Second
 	// replaceSilentAfter is how long a store may be silent before its shards are placed on a store that has none: a new
 	// store beside a silent one is its successor. It is above two renewals of a lease.
-	replaceSilentAfter = 2500 * time.Millisecond
+	replaceUnresponsiveAfter = 2500 * time.Millisecond
 	// successorWindow is how long a store that joined counts as the successor of one that falls silent.
 	successorWindow = 15 * time.Second
 	// maxMoves bounds the shards that move at one time. A store that is lost, or that is to be emptied, is replaced in
 	// seconds, since the next one may be lost then.
-	maxMoves = 24
+	maxConcurrentMoves = 24
 	// reconcileRetry is the wait after a proposal of the reconciler failed or was refused.
-	reconcileRetry = time.Second
+	reconcileRetryInterval = time.Second
 )
 
 // reconciler brings the state towards what settings and stores ask for, a few commands at a time.
@@ -37,10 +37,10 @@
 	shardCount   uint32
 	replicaCount uint32
 
-	busy    bool
-	waitTil time.Time
+	proposalInFlight    bool
+	nextAttempt time.Time
 	// stores is the set of stores seen last and since when it is unchanged.
-	stores       string
+	storeSet       string
 	storesSince  time.Time
 	absentStores map[string]time.Time
 	// replaced are the silent stores whose shards go to a successor.
@@ -50,11 +50,11 @@
 }
 
 func (r *reconciler) reset() {
-	r.stores, r.storesSince = "", time.Time{}
+	r.storeSet, r.storesSince = "", time.Time{}
 	r.absentStores = map[string]time.Time{}
 	r.replaced = map[string]bool{}
 	r.joined = nil
-	r.waitTil = time.Time{}
+	r.nextAttempt = time.Time{}
 }
 
 // reconcile proposes the next commands that are due, if any, one after the other.
@@ -62,16 +62,16 @@
 	r := o.reconciler
 	view := o.machine.View()
 	r.observeStores(view, now)
-	if r.busy || now.Before(r.waitTil) || !o.leads() {
+	if r.proposalInFlight || now.Before(r.nextAttempt) || !o.isLeader() {
 		return
 	}
-	commands := r.next(view, o.lostStores(view, now), now)
+	commands := r.nextCommands(view, o.lostStores(view, now), now)
 	if len(commands) == 0 {
 		return
 	}
-	r.busy = true
+	r.proposalInFlight = true
 	var result *protocol.CommandResult
-	o.work(func(ctx context.Context) error {
+	o.runTask(func(ctx context.Context) error {
 		for _, command := range commands {
 			var err error
 			if result, err = o.proposer.propose(ctx, command); err != nil || !result.GetAccepted() {
@@ -80,11 +80,11 @@
 		}
 		return nil
 	}, func(now time.Time, err error) {
-		r.busy = false
+		r.proposalInFlight = false
 		if err != nil || !result.GetAccepted() {
 			o.logger.Debug("reconciler's command not accepted", "error", err, "refusal", result.GetRefusal().GetMessage())
 			o.metrics.reconciled.WithLabelValues("failed").Inc()
-			r.waitTil = now.Add(reconcileRetry)
+			r.nextAttempt = now.Add(reconcileRetryInterval)
 			return
 		}
 		o.metrics.reconciled.WithLabelValues("done").Inc()
@@ -104,8 +104,8 @@
 		}
 	}
 	set += setSb98.String()
-	if set != r.stores || r.storesSince.IsZero() {
-		r.stores, r.storesSince = set, now
+	if set != r.storeSet || r.storesSince.IsZero() {
+		r.storeSet, r.storesSince = set, now
 	}
 	absent := map[string]time.Time{}
 	for _, shard := range view.Placement.GetShards() {
@@ -128,8 +128,8 @@
 // lostStores names the stores whose shards are to be placed elsewhere: those without a
 // lease for long, and those that are silent while a store that joined lately is there to take over.
 func (o *owner) lostStores(view *controlstate.View, now time.Time) map[string]bool {
-	o.observeSilence(view, now)
-	lost := o.reconciler.lost(now)
+	o.observeUnresponsiveStores(view, now)
+	lost := o.reconciler.storesAbsentTooLong(now)
 	for store := range o.reconciler.replaced {
 		lost[store] = true
 	}
@@ -138,42 +138,42 @@
 
 // observeSilence brings the set of stores that are being replaced up to date. A
 // store stays in it until it is heard of again, so that the move to its successor is not left half done.
-func (o *owner) observeSilence(view *controlstate.View, now time.Time) {
+func (o *owner) observeUnresponsiveStores(view *controlstate.View, now time.Time) {
 	r := o.reconciler
 	r.observeJoins(view, now)
-	silent := map[string]bool{}
+	unresponsive := map[string]bool{}
 	for store := range r.absentStores {
-		silent[store] = true
+		unresponsive[store] = true
 	}
 	for _, node := range view.Membership.GetNodes() {
-		if node.GetKind() == protocol.NodeKind_STORE && o.silence(node, now) >= replaceSilentAfter {
-			silent[node.GetName()] = true
+		if node.GetKind() == protocol.NodeKind_STORE && o.timeSinceRenewal(node, now) >= replaceUnresponsiveAfter {
+			unresponsive[node.GetName()] = true
 		}
 	}
-	successor := len(silent) > 0 && r.hasSuccessor(view, silent, now)
-	for store := range silent {
+	successor := len(unresponsive) > 0 && r.hasSuccessor(view, unresponsive, now)
+	for store := range unresponsive {
 		if successor {
 			r.replaced[store] = true
 		}
 	}
 	for store := range r.replaced {
-		if !silent[store] {
+		if !unresponsive[store] {
 			delete(r.replaced, store)
 		}
 	}
 }
 
 // silence is how long a node has not renewed its lease, as far as this leader knows.
-func (o *owner) silence(node *protocol.Node, now time.Time) time.Duration {
-	heard := o.nodes.expiry(node.GetName(), node.GetIncarnation()).Add(-o.nodes.length)
-	return now.Sub(heard)
+func (o *owner) timeSinceRenewal(node *protocol.Node, now time.Time) time.Duration {
+	lastRenewal := o.nodes.expiry(node.GetName(), node.GetIncarnation()).Add(-o.nodes.duration)
+	return now.Sub(lastRenewal)
 }
 
 // hasSuccessor reports whether a store that joined lately is there to take shards over.
-func (r *reconciler) hasSuccessor(view *controlstate.View, silent map[string]bool, now time.Time) bool {
+func (r *reconciler) hasSuccessor(view *controlstate.View, unresponsive map[string]bool, now time.Time) bool {
 	for _, node := range controlstate.UsableStores(view.Placement, view.Membership.GetNodes()) {
 		joined, known := r.joined[node.GetName()]
-		if known && !silent[node.GetName()] && now.Sub(joined) < successorWindow {
+		if known && !unresponsive[node.GetName()] && now.Sub(joined) < successorWindow {
 			return true
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 }
 
-func (r *reconciler) lost(now time.Time) map[string]bool {
+func (r *reconciler) storesAbsentTooLong(now time.Time) map[string]bool {
 	lost := map[string]bool{}
 	for store, since := range r.absentStores {
 		if now.Sub(since) >= replaceStoreAfter {
@@ -208,17 +208,17 @@
 	return lost
 }
 
-func (r *reconciler) next(view *controlstate.View, lost map[string]bool, now time.Time) []*protocol.Command {
-	if r.wantsKeys(view) {
+func (r *reconciler) nextCommands(view *controlstate.View, lost map[string]bool, now time.Time) []*protocol.Command {
+	if r.firstKeysDiffer(view) {
 		return []*protocol.Command{{Body: &protocol.Command_SeedSignOffKeys{
 			SeedSignOffKeys: &protocol.SeedSignOffKeysCommand{Keys: r.firstKeys},
 		}}}
 	}
 	if len(view.Placement.GetShards()) == 0 {
-		return r.firstPlacement(view, now)
+		return r.firstPlacementCommands(view, now)
 	}
 	steps := controlstate.Plan(controlstate.PlanInput{
-		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: maxMoves,
+		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: maxConcurrentMoves,
 	})
 	commands := make([]*protocol.Command, 0, len(steps))
 	for _, step := range steps {
@@ -228,7 +228,7 @@
 }
 
 // wantsKeys reports that the settings of this leader name other first keys than the state, and that they still count.
-func (r *reconciler) wantsKeys(view *controlstate.View) bool {
+func (r *reconciler) firstKeysDiffer(view *controlstate.View) bool {
 	if len(r.firstKeys) == 0 || (view.Configuration.GetActive() != nil && len(view.FirstKeys) > 0) {
 		return false
 	}
@@ -243,15 +243,15 @@
 	return false
 }
 
-func (r *reconciler) firstPlacement(view *controlstate.View, now time.Time) []*protocol.Command {
+func (r *reconciler) firstPlacementCommands(view *controlstate.View, now time.Time) []*protocol.Command {
 	unchanged := now.Sub(r.storesSince)
 	zones := controlstate.CountStoreZones(view.Placement, view.Membership.GetNodes())
 	placement := &protocol.InitializePlacementCommand{ShardCount: r.shardCount, ReplicaCount: r.replicaCount, OverRegions: true}
 	switch {
-	case zones >= int(r.replicaCount) && unchanged >= storeSettle:
-	case unchanged >= sharedZonesSettle:
+	case zones >= int(r.replicaCount) && unchanged >= storesUnchangedInterval:
+	case unchanged >= sharedZonesUnchangedInterval:
 		stores := controlstate.UsableStores(view.Placement, view.Membership.GetNodes())
-		placement.ReplicaCount, placement.SharedZones = replicasFor(len(stores), r.replicaCount), true
+		placement.ReplicaCount, placement.SharedZones = maxOddReplicas(len(stores), r.replicaCount), true
 	default:
 		return nil
 	}
@@ -262,7 +262,7 @@
 }
 
 // replicasFor is the largest odd number of replicas that so many stores can hold, at most the number wanted.
-func replicasFor(stores int, wanted uint32) uint32 {
+func maxOddReplicas(stores int, wanted uint32) uint32 {
 	possible := min(uint32(stores), wanted)
 	if possible > 0 && possible%2 == 0 {
 		possible--
--- a/internal/controlplane/core/releases.go
+++ b/internal/controlplane/core/releases.go
@@ -22,7 +22,7 @@
 	if !s.trustOperators {
 		return nil, untrustedFailure()
 	}
-	expected, err := numberOf(request, baseParameter, 0)
+	expected, err := queryNumber(request, baseParameter, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -48,26 +48,26 @@
 }
 
 func (s *Service) announceBackEnd(ctx context.Context, request *operatorRequest) (*answer, error) {
-	sequence, err := numberOf(request, sequenceParameter, 0)
+	sequence, err := queryNumber(request, sequenceParameter, 0)
 	if err != nil {
 		return nil, err
 	}
-	announced := &protocol.BackEnd{}
-	if err := readBody(request, announced); err != nil {
+	backEnd := &protocol.BackEnd{}
+	if err := readBody(request, backEnd); err != nil {
 		return nil, err
 	}
-	if named := announced.GetId(); named != "" && named != request.arguments[0] {
+	if named := backEnd.GetId(); named != "" && named != request.arguments[0] {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "the body names another back end than the path", failure.WithPath("id"))
 	}
-	announced.Id = request.arguments[0]
-	if err := s.AnnounceBackEnd(ctx, announced, sequence); err != nil {
+	backEnd.Id = request.arguments[0]
+	if err := s.AnnounceBackEnd(ctx, backEnd, sequence); err != nil {
 		return nil, err
 	}
-	return &answer{status: http.StatusOK, document: announcedAnswer{ID: announced.GetId()}}, nil
+	return &answer{status: http.StatusOK, document: announcedAnswer{ID: backEnd.GetId()}}, nil
 }
 
 func (s *Service) removeBackEnd(ctx context.Context, request *operatorRequest) (*answer, error) {
-	sequence, err := numberOf(request, sequenceParameter, 0)
+	sequence, err := queryNumber(request, sequenceParameter, 0)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/core/renew.go
+++ b/internal/controlplane/core/renew.go
@@ -11,15 +11,15 @@
 )
 
 // renewal is what the owner makes of a request to renew.
-type renewal int
+type renewalOutcome int
 
 const (
-	renewalNotLeader renewal = iota
+	renewalNotLeader renewalOutcome = iota
 	renewalGranted
 	// renewalJoin says that the node must be written to the log first.
-	renewalJoin
+	renewalNeedsJoin
 	// renewalEnding says that the removal of the lease is under way; the node may join again after it.
-	renewalEnding
+	renewalRemoving
 )
 
 // renewLease grants or ends a lease. Renewals stay in the leader's memory;
@@ -35,8 +35,8 @@
 	if request.GetRelease() {
 		return s.releaseLease(ctx, node)
 	}
-	outcome := s.owner.renew(ctx, node, request.GetInForce())
-	if outcome == renewalJoin {
+	outcome := s.owner.renewNodeLease(ctx, node, request.GetInForce())
+	if outcome == renewalNeedsJoin {
 		result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: &protocol.JoinNodeCommand{Node: node}}})
 		if err != nil {
 			return nil, err
@@ -44,11 +44,11 @@
 		if !result.GetAccepted() {
 			s.metrics.leases.WithLabelValues("refused").Inc()
 			s.logger.Debug("lease refused", "node", node.GetName(), "reason", result.GetRefusal().GetMessage())
-			refused := s.leaseAnswer(false)
-			refused.Refusal = result.GetRefusal()
-			return refused, nil
+			answer := s.leaseAnswer(false)
+			answer.Refusal = result.GetRefusal()
+			return answer, nil
 		}
-		outcome = s.owner.renew(ctx, node, request.GetInForce())
+		outcome = s.owner.renewNodeLease(ctx, node, request.GetInForce())
 	}
 	switch outcome {
 	case renewalGranted:
@@ -80,8 +80,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.owner.ask(ctx, func(now time.Time) {
-		s.owner.nodes.ended(node.GetName(), node.GetIncarnation())
+	s.owner.execute(ctx, func(now time.Time) {
+		s.owner.nodes.remove(node.GetName(), node.GetIncarnation())
 		s.owner.checkDrains(now)
 	})
 	s.metrics.leases.WithLabelValues("released").Inc()
@@ -90,48 +90,48 @@
 
 // renew counts the lease from the moment at which the owner works on it, and
 // grants it only while the leader lease runs.
-func (o *owner) renew(ctx context.Context, node *protocol.Node, inForce *protocol.ControlVersions) renewal {
+func (o *owner) renewNodeLease(ctx context.Context, node *protocol.Node, inForce *protocol.ControlVersions) renewalOutcome {
 	outcome := renewalNotLeader
-	asked := o.ask(ctx, func(now time.Time) {
-		if !o.leads() {
+	executed := o.execute(ctx, func(now time.Time) {
+		if !o.isLeader() {
 			return
 		}
-		if held := o.nodes.find(node.GetName(), node.GetIncarnation()); held != nil && held.ending {
-			outcome = renewalEnding
+		if lease := o.nodes.find(node.GetName(), node.GetIncarnation()); lease != nil && lease.removing {
+			outcome = renewalRemoving
 			return
 		}
 		if !proto.Equal(o.machine.View().Node(node.GetName()), node) {
-			outcome = renewalJoin
+			outcome = renewalNeedsJoin
 			return
 		}
 		o.nodes.renew(node.GetName(), node.GetIncarnation(), now)
-		if !o.leads() {
+		if !o.isLeader() {
 			return
 		}
 		outcome = renewalGranted
 		o.metrics.leases.WithLabelValues("renewed").Inc()
-		o.confirm(node.GetName(), node.GetIncarnation(), inForce, now)
+		o.confirmVersions(node.GetName(), node.GetIncarnation(), inForce, now)
 	})
-	if !asked {
+	if !executed {
 		return renewalNotLeader
 	}
 	return outcome
 }
 
 // confirm notes what a node has in force; it never steps back.
-func (o *owner) confirm(name string, incarnation uint64, inForce *protocol.ControlVersions, now time.Time) {
-	held := o.nodes.find(name, incarnation)
-	if held == nil || inForce == nil {
+func (o *owner) confirmVersions(name string, incarnation uint64, inForce *protocol.ControlVersions, now time.Time) {
+	lease := o.nodes.find(name, incarnation)
+	if lease == nil || inForce == nil {
 		return
 	}
-	held.inForce = versions{
-		configuration: max(held.inForce.configuration, inForce.GetConfiguration()),
-		membership:    max(held.inForce.membership, inForce.GetMembership()),
-		backEnds:      max(held.inForce.backEnds, inForce.GetBackEnds()),
-		placement:     max(held.inForce.placement, inForce.GetPlacement()),
+	lease.inForce = versions{
+		configuration: max(lease.inForce.configuration, inForce.GetConfiguration()),
+		membership:    max(lease.inForce.membership, inForce.GetMembership()),
+		backEnds:      max(lease.inForce.backEnds, inForce.GetBackEnds()),
+		placement:     max(lease.inForce.placement, inForce.GetPlacement()),
 	}
-	if inForce.GetBackEnds() > held.backEnds {
-		held.backEnds = inForce.GetBackEnds()
+	if inForce.GetBackEnds() > lease.backEnds {
+		lease.backEnds = inForce.GetBackEnds()
 		o.checkDrains(now)
 	}
 }
--- a/internal/controlplane/core/sections.go
+++ b/internal/controlplane/core/sections.go
@@ -26,7 +26,7 @@
 // version known. Whoever asks first makes it, the others wait for it.
 type section struct {
 	version uint64
-	make    func(request sectionRequest) sectionAnswer
+	produce    func(request sectionRequest) sectionAnswer
 
 	mutex   sync.Mutex
 	answers map[sectionRequest]sectionAnswer
@@ -35,28 +35,28 @@
 // sectionRequest is the version known and the forms that the node takes.
 type sectionRequest struct {
 	known  uint64
-	deltas bool
-	packed bool
+	acceptsDeltas bool
+	acceptsPackedConfiguration bool
 	// packedViews says so of the other sections than the configuration.
-	packedViews bool
+	acceptsPackedViews bool
 }
 
 func newSection(version uint64, produce func(request sectionRequest) sectionAnswer) *section {
-	return &section{version: version, make: produce, answers: map[sectionRequest]sectionAnswer{}}
+	return &section{version: version, produce: produce, answers: map[sectionRequest]sectionAnswer{}}
 }
 
 func (s *section) answer(request sectionRequest) sectionAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made, kept := s.answers[request]
-	if !kept {
-		made = s.make(request)
+	answer, cached := s.answers[request]
+	if !cached {
+		answer = s.produce(request)
 		if len(s.answers) >= maxCachedAnswers {
 			clear(s.answers)
 		}
-		s.answers[request] = made
+		s.answers[request] = answer
 	}
-	return made
+	return answer
 }
 
 // sections are the sections of one published view.
@@ -71,14 +71,14 @@
 	}
 	versions := view.Versions()
 	return &sections{
-		configuration: keptOr(former.configuration, versions.GetConfiguration(), func() *section { return configurationSection(view) }),
-		membership:    keptOr(former.membership, versions.GetMembership(), func() *section { return membershipSection(view) }),
-		backEnds:      keptOr(former.backEnds, versions.GetBackEnds(), func() *section { return backEndSection(view) }),
-		placement:     keptOr(former.placement, versions.GetPlacement(), func() *section { return placementSection(view) }),
+		configuration: reuseOr(former.configuration, versions.GetConfiguration(), func() *section { return configurationSection(view) }),
+		membership:    reuseOr(former.membership, versions.GetMembership(), func() *section { return membershipSection(view) }),
+		backEnds:      reuseOr(former.backEnds, versions.GetBackEnds(), func() *section { return backEndSection(view) }),
+		placement:     reuseOr(former.placement, versions.GetPlacement(), func() *section { return placementSection(view) }),
 	}
 }
 
-func keptOr(former *section, version uint64, fresh func() *section) *section {
+func reuseOr(former *section, version uint64, fresh func() *section) *section {
 	if former != nil && former.version == version {
 		return former
 	}
@@ -99,29 +99,29 @@
 func configurationSection(view *controlstate.View) *section {
 	packed := packOnce(view.Configuration)
 	return newSection(view.Configuration.GetVersion(), func(request sectionRequest) sectionAnswer {
-		whole, delta := view.ConfigurationSince(request.known)
+		snapshot, delta := view.ConfigurationSince(request.known)
 		if delta != nil {
 			return sectionAnswer{kind: "configuration_delta", bytes: proto.Size(delta), set: func(answer *protocol.PollControlResponse) {
 				answer.ConfigurationDelta = delta
 			}}
 		}
-		if request.packed && packed() != nil {
+		if request.acceptsPackedConfiguration && packed() != nil {
 			return sectionAnswer{kind: "configuration_packed", bytes: len(packed()), set: func(answer *protocol.PollControlResponse) {
 				answer.PackedConfiguration = packed()
 			}}
 		}
-		return sectionAnswer{kind: "configuration", bytes: proto.Size(whole), set: func(answer *protocol.PollControlResponse) {
-			answer.Configuration = whole
+		return sectionAnswer{kind: "configuration", bytes: proto.Size(snapshot), set: func(answer *protocol.PollControlResponse) {
+			answer.Configuration = snapshot
 		}}
 	})
 }
 
 func membershipSection(view *controlstate.View) *section {
-	whole := view.Membership
-	checksum := sync.OnceValue(func() uint64 { return views.MembershipChecksum(whole.GetNodes()) })
-	return newDeltaSection(whole.GetVersion(), "membership", whole,
+	snapshot := view.Membership
+	checksum := sync.OnceValue(func() uint64 { return views.MembershipChecksum(snapshot.GetNodes()) })
+	return newDeltaSection(snapshot.GetVersion(), "membership", snapshot,
 		func(known uint64) *protocol.MembershipDelta { return view.MembershipDelta(known, checksum()) },
-		func(answer *protocol.PollControlResponse) { answer.Membership = whole },
+		func(answer *protocol.PollControlResponse) { answer.Membership = snapshot },
 		func(answer *protocol.PollControlResponse, packed []byte) { answer.PackedMembership = packed },
 		func(answer *protocol.PollControlResponse, delta *protocol.MembershipDelta) {
 			answer.MembershipDelta = delta
@@ -129,21 +129,21 @@
 }
 
 func backEndSection(view *controlstate.View) *section {
-	whole := view.BackEnds
-	checksum := sync.OnceValue(func() uint64 { return views.BackEndsChecksum(whole.GetBackEnds()) })
-	return newDeltaSection(whole.GetVersion(), "back_ends", whole,
+	snapshot := view.BackEnds
+	checksum := sync.OnceValue(func() uint64 { return views.BackEndsChecksum(snapshot.GetBackEnds()) })
+	return newDeltaSection(snapshot.GetVersion(), "back_ends", snapshot,
 		func(known uint64) *protocol.BackEndDelta { return view.BackEndDelta(known, checksum()) },
-		func(answer *protocol.PollControlResponse) { answer.BackEnds = whole },
+		func(answer *protocol.PollControlResponse) { answer.BackEnds = snapshot },
 		func(answer *protocol.PollControlResponse, packed []byte) { answer.PackedBackEnds = packed },
 		func(answer *protocol.PollControlResponse, delta *protocol.BackEndDelta) { answer.BackEndsDelta = delta })
 }
 
 func placementSection(view *controlstate.View) *section {
-	whole := view.Placement
-	checksum := sync.OnceValue(func() uint64 { return views.PlacementChecksum(whole) })
-	return newDeltaSection(whole.GetEpoch(), "placement", whole,
+	snapshot := view.Placement
+	checksum := sync.OnceValue(func() uint64 { return views.PlacementChecksum(snapshot) })
+	return newDeltaSection(snapshot.GetEpoch(), "placement", snapshot,
 		func(known uint64) *protocol.PlacementDelta { return view.PlacementDelta(known, checksum()) },
-		func(answer *protocol.PollControlResponse) { answer.Placement = whole },
+		func(answer *protocol.PollControlResponse) { answer.Placement = snapshot },
 		func(answer *protocol.PollControlResponse, packed []byte) { answer.PackedPlacement = packed },
 		func(answer *protocol.PollControlResponse, delta *protocol.PlacementDelta) {
 			answer.PlacementDelta = delta
@@ -156,23 +156,23 @@
 	*T
 	proto.Message
 }](
-	version uint64, kind string, whole proto.Message, since func(known uint64) D,
-	setWhole func(*protocol.PollControlResponse), setPacked func(*protocol.PollControlResponse, []byte), setDelta func(*protocol.PollControlResponse, D),
+	version uint64, kind string, snapshot proto.Message, since func(known uint64) D,
+	setSnapshot func(*protocol.PollControlResponse), setPacked func(*protocol.PollControlResponse, []byte), setDelta func(*protocol.PollControlResponse, D),
 ) *section {
-	packed := packOnce(whole)
+	packed := packOnce(snapshot)
 	return newSection(version, func(request sectionRequest) sectionAnswer {
-		if request.deltas {
+		if request.acceptsDeltas {
 			if delta := since(request.known); delta != nil {
 				return sectionAnswer{kind: kind + "_delta", bytes: proto.Size(delta), set: func(answer *protocol.PollControlResponse) {
 					setDelta(answer, delta)
 				}}
 			}
 		}
-		if request.packedViews && packed() != nil {
+		if request.acceptsPackedViews && packed() != nil {
 			return sectionAnswer{kind: kind + "_packed", bytes: len(packed()), set: func(answer *protocol.PollControlResponse) {
 				setPacked(answer, packed())
 			}}
 		}
-		return sectionAnswer{kind: kind, bytes: proto.Size(whole), set: setWhole}
+		return sectionAnswer{kind: kind, bytes: proto.Size(snapshot), set: setSnapshot}
 	})
 }
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -21,7 +21,7 @@
 	DefaultLease        = 5 * time.Second
 	DefaultShardCount   = 64
 	DefaultReplicaCount = 3
-	DefaultCoalesce     = 100 * time.Millisecond
+	DefaultCoalesceInterval     = 100 * time.Millisecond
 	DefaultBackEndLease = 5 * time.Second
 )
 
@@ -37,7 +37,7 @@
 	ShardCount   uint32
 	ReplicaCount uint32
 	// Coalesce is the shortest time between two answers with news to the same node; negative turns it off.
-	Coalesce time.Duration
+	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
@@ -83,8 +83,8 @@
 	if options.ReplicaCount == 0 {
 		options.ReplicaCount = DefaultReplicaCount
 	}
-	if options.Coalesce == 0 {
-		options.Coalesce = DefaultCoalesce
+	if options.CoalesceInterval == 0 {
+		options.CoalesceInterval = DefaultCoalesceInterval
 	}
 	if options.BackEndLease == 0 {
 		options.BackEndLease = DefaultBackEndLease
@@ -99,7 +99,7 @@
 		caller:    options.Caller,
 		lease:     options.Lease,
 		proposer:  &proposer{consensus: options.Consensus, clock: options.Clock},
-		pacing:    newPacing(options.Coalesce),
+		pacing:    newPacing(options.CoalesceInterval),
 		tokens:    options.Tokens,
 
 		trustOperators: options.TrustOperators,
@@ -117,13 +117,13 @@
 		proposer:        service.proposer,
 		logger:          service.logger,
 		metrics:         service.metrics,
-		queue:           make(chan func(time.Time), commandQueue),
+		queue:           make(chan func(time.Time), commandQueueLength),
 		nodes:           newLeaseTable(options.Lease + leaseMargin),
 		backEnds:        newLeaseTable(options.BackEndLease),
-		announced:       newAnnouncedTable(),
+		sequences:       newSequenceTable(),
 		relay:           newHeartbeatRelay(options.BackEndLease),
-		relaying:        newRelayingTable(),
-		arms:            newArmTable(),
+		relayingMembers:        newRelayingMembers(),
+		variants:            newVariantTable(),
 		suspectsChanged: make(chan struct{}),
 		reconciler: &reconciler{
 			firstKeys:    options.FirstKeys,
@@ -144,7 +144,7 @@
 
 // requireLeader fails unless this process leads at this moment.
 func (s *Service) requireLeader() error {
-	if !s.owner.leads() {
+	if !s.owner.isLeader() {
 		return notLeaderFailure()
 	}
 	return nil
--- a/internal/controlplane/core/tokens.go
+++ b/internal/controlplane/core/tokens.go
@@ -66,13 +66,13 @@
 func (t *Tokens) operator(header string) (string, bool) {
 	credential, bearer := strings.CutPrefix(header, bearerPrefix)
 	sum := sha256.Sum256([]byte(credential))
-	name, found := "", 0
+	name, matches := "", 0
 	for _, entry := range t.entries {
 		same := subtle.ConstantTimeCompare(sum[:], entry.sum[:])
 		if same == 1 {
 			name = entry.name
 		}
-		found |= same
+		matches |= same
 	}
-	return name, bearer && found == 1
+	return name, bearer && matches == 1
 }
--- a/internal/controlplane/core/variants.go
+++ b/internal/controlplane/core/variants.go
@@ -10,27 +10,27 @@
 )
 
 // armKey tells the arms of a roll-out apart.
-type armKey struct {
+type variantKey struct {
 	version   uint64
 	candidate bool
 }
 
 // armTable sums what front nodes measured of each arm. It begins anew with
 // each leader and each change of candidate.
-type armTable struct {
+type variantTable struct {
 	candidate uint64
-	sums      map[armKey]*protocol.ArmSample
+	sums      map[variantKey]*protocol.ArmSample
 }
 
-func newArmTable() *armTable { return &armTable{sums: map[armKey]*protocol.ArmSample{}} }
+func newVariantTable() *variantTable { return &variantTable{sums: map[variantKey]*protocol.ArmSample{}} }
 
-func (t *armTable) reset() {
+func (t *variantTable) reset() {
 	t.candidate = 0
-	t.sums = map[armKey]*protocol.ArmSample{}
+	t.sums = map[variantKey]*protocol.ArmSample{}
 }
 
 // add sums samples of the roll-out in force; others are passed over.
-func (t *armTable) add(configuration *protocol.Configuration, samples []*protocol.ArmSample) {
+func (t *variantTable) add(configuration *protocol.Configuration, samples []*protocol.ArmSample) {
 	if candidate := configuration.GetRollout().GetCandidateVersion(); candidate != t.candidate {
 		t.reset()
 		t.candidate = candidate
@@ -47,8 +47,8 @@
 	}
 }
 
-func (t *armTable) sum(sample *protocol.ArmSample) {
-	key := armKey{version: sample.GetBundleVersion(), candidate: sample.GetCandidate()}
+func (t *variantTable) sum(sample *protocol.ArmSample) {
+	key := variantKey{version: sample.GetBundleVersion(), candidate: sample.GetCandidate()}
 	total := t.sums[key]
 	if total == nil {
 		total = &protocol.ArmSample{
@@ -66,31 +66,31 @@
 }
 
 // list gives copies of the sums, the active arm first.
-func (t *armTable) list() []*protocol.ArmSample {
-	arms := make([]*protocol.ArmSample, 0, len(t.sums))
+func (t *variantTable) list() []*protocol.ArmSample {
+	variants := make([]*protocol.ArmSample, 0, len(t.sums))
 	for _, total := range t.sums {
-		arms = append(arms, &protocol.ArmSample{
+		variants = append(variants, &protocol.ArmSample{
 			BundleVersion: total.GetBundleVersion(), Candidate: total.GetCandidate(),
 			Requests: total.GetRequests(), Errors: total.GetErrors(), Tokens: total.GetTokens(),
 			FirstTokenBuckets: slices.Clone(total.GetFirstTokenBuckets()),
 		})
 	}
-	slices.SortFunc(arms, func(a, b *protocol.ArmSample) int { return cmp.Compare(a.GetBundleVersion(), b.GetBundleVersion()) })
-	return arms
+	slices.SortFunc(variants, func(a, b *protocol.ArmSample) int { return cmp.Compare(a.GetBundleVersion(), b.GetBundleVersion()) })
+	return variants
 }
 
 // crossed says which limit of the guard the candidate's arm has crossed; empty when none.
-func (t *armTable) crossed(rollout *protocol.Rollout) string {
+func (t *variantTable) crossedLimit(rollout *protocol.Rollout) string {
 	guard := rollout.GetGuard()
-	arm := t.sums[armKey{version: rollout.GetCandidateVersion(), candidate: true}]
-	if guard == nil || arm.GetRequests() == 0 || arm.GetRequests() < uint64(guard.GetMinimumSamples()) {
+	variant := t.sums[variantKey{version: rollout.GetCandidateVersion(), candidate: true}]
+	if guard == nil || variant.GetRequests() == 0 || variant.GetRequests() < uint64(guard.GetMinimumSamples()) {
 		return ""
 	}
-	ratio := float64(arm.GetErrors()) / float64(arm.GetRequests())
+	ratio := float64(variant.GetErrors()) / float64(variant.GetRequests())
 	if limit := guard.GetMaxErrorRatio(); limit > 0 && ratio > limit {
-		return fmt.Sprintf("guard: error ratio %.4f of %d requests is over %.4f", ratio, arm.GetRequests(), limit)
+		return fmt.Sprintf("guard: error ratio %.4f of %d requests is over %.4f", ratio, variant.GetRequests(), limit)
 	}
-	p95 := bundle.FirstTokenQuantile(arm.GetFirstTokenBuckets(), 0.95)
+	p95 := bundle.FirstTokenQuantile(variant.GetFirstTokenBuckets(), 0.95)
 	if limit := guard.GetMaxFirstTokenP95Millis(); limit > 0 && p95 > float64(limit) {
 		return fmt.Sprintf("guard: first token p95 %.0f ms is over %d ms", p95, limit)
 	}
