--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -72,11 +73,11 @@
 		}
 	})
 	if !executed {
-		return outcome, contextFailure(ctx)
+		return outcome, controllog.Interrupted(ctx)
 	}
 	switch outcome {
 	case announcementNotLeader:
-		return outcome, notLeaderFailure()
+		return outcome, controllog.NotLeader()
 	case announcementOutdated:
 		s.metrics.backEndLeases.WithLabelValues("late").Inc()
 	case announcementUnchanged:
@@ -95,7 +96,7 @@
 
 // writeAnnouncement writes an announcement to the log and begins the lease of what is new in the view.
 func (s *Service) writeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
-	_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
+	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
 		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence},
 	}})
 	if err != nil {
@@ -132,7 +133,7 @@
 		return err
 	}
 	if !s.machine.View().Removed(id) {
-		_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
+		_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
 			RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Departed: true, Sequence: sequence},
 		}})
 		if err != nil {
--- a/internal/controlplane/core/announced_sequences.go
+++ b/internal/controlplane/core/announced_sequences.go
@@ -20,7 +20,7 @@
 
 type sequenceEntry struct {
 	incarnation, sequence uint64
-	lastContact                 time.Time
+	lastContact           time.Time
 }
 
 func newSequenceTable() *sequenceTable {
--- a/internal/controlplane/core/answers.go
+++ b/internal/controlplane/core/answers.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -101,7 +102,7 @@
 	leader := s.consensus.Leader()
 	own := s.consensus.Status().GetId()
 	if leader.GetHttpAddress() == "" || leader.GetId() == own {
-		return describe(failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present", failure.WithRetryAfter(retryWait)))
+		return describe(controllog.NoLeader())
 	}
 	writer.Header().Set("Location", "http://"+normalizeHost(leader.GetHttpAddress())+request.URL.RequestURI())
 	detail, _ := describe(failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "the leader is "+leader.GetName()))
@@ -143,7 +144,7 @@
 			detail.Winner = winner
 		}
 	}
-	return detail, httpStatus(failure.Code(rejection.GetCode()))
+	return detail, controllog.HTTPStatus(failure.Code(rejection.GetCode()))
 }
 
 func describeMalformed(malformed *bundle.ParseError) (errorDetail, int) {
--- a/internal/controlplane/core/control.go
+++ b/internal/controlplane/core/control.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -61,7 +62,7 @@
 	if !s.trustOperators {
 		return untrustedFailure()
 	}
-	_, err := s.proposeAccepted(ctx, releaseCommand(bundle, expectedVersion))
+	_, err := s.proposer.ProposeAccepted(ctx, releaseCommand(bundle, expectedVersion))
 	return err
 }
 
@@ -71,18 +72,6 @@
 	}}
 }
 
-// accepted proposes a command and turns a refusal into a failure.
-func (s *Service) proposeAccepted(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
-	result, err := s.proposer.propose(ctx, command)
-	if err != nil {
-		return nil, err
-	}
-	if !result.GetAccepted() {
-		return nil, rejectionFailure(result.GetRefusal())
-	}
-	return result, nil
-}
-
 // ActiveBundle is the bundle in force, nil when there is none. The read is linearizable; the bundle must not be changed.
 func (s *Service) ActiveBundle(ctx context.Context) (*protocol.Bundle, error) {
 	view, err := s.freshView(ctx)
@@ -95,7 +84,7 @@
 // freshView is a view that holds all that was committed when it was called.
 func (s *Service) freshView(ctx context.Context) (*controlstate.View, error) {
 	if err := s.consensus.Barrier(ctx); err != nil {
-		return nil, consensusFailure(err)
+		return nil, controllog.Failure(err)
 	}
 	return s.machine.View(), nil
 }
@@ -105,7 +94,7 @@
 // of the replicas, as the operators' interface does: who gives the order by an adapter decides about its machines, and has no word to
 // give the spread up with.
 func (s *Service) EmptyStore(ctx context.Context, store string) error {
-	_, err := s.proposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
+	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: store, StoresToKeep: s.replicaCount},
 	}})
 	return err
--- a/internal/controlplane/core/propose.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -1,4 +1,4 @@
-package core
+package controllog
 
 import (
 	"context"
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
@@ -15,38 +14,14 @@
 )
 
 const (
-	proposeTimeout = 5 * time.Second
-	retryWait      = time.Second
-	// wallClockStep is the unit of a command's time.
-	wallClockStep = time.Millisecond
+	// RetryAfter is the wait that a failure asks its caller for while the log is not available.
+	RetryAfter = time.Second
+	// notLeaderRetryAfter is the wait that a caller is asked for at a member that does not lead.
+	notLeaderRetryAfter = 100 * time.Millisecond
 )
 
-// proposer writes commands to the control log.
-type proposer struct {
-	consensus Consensus
-	clock     replica.Clock
-}
-
-// propose returns the result of a command; errors are failures.
-func (p *proposer) propose(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
-	command.ProposedAtMillis = p.clock.Now().UnixNano() / int64(wallClockStep)
-	encoded, err := proto.Marshal(command)
-	if err != nil {
-		return nil, errors.Wrap(err, "encode command")
-	}
-	answer, _, err := p.consensus.Propose(ctx, encoded)
-	if err != nil {
-		return nil, consensusFailure(err)
-	}
-	result := &protocol.CommandResult{}
-	if err := proto.Unmarshal(answer, result); err != nil {
-		return nil, errors.Wrap(err, "decode result")
-	}
-	return result, nil
-}
-
-// consensusFailure types an error of the replica and says what became of the request.
-func consensusFailure(err error) error {
+// Failure gives an error of the replica its code, and says whether the request was run; it is nil for nil.
+func Failure(err error) error {
 	var notLeader *replica.NotLeaderError
 	var overloaded *replica.OverloadedError
 	var stopped *replica.StoppedError
@@ -56,7 +31,7 @@
 	var unreachable *replica.MemberUnreachableError
 	var mismatch *replica.ClusterMismatchError
 	var unsafe *replica.UnsafeChangeError
-	retry := failure.WithRetryAfter(retryWait)
+	retry := failure.WithRetryAfter(RetryAfter)
 	switch {
 	case err == nil:
 		return nil
@@ -65,7 +40,7 @@
 	case errors.As(err, &unknown):
 		return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, err.Error()+"; send the same order again", retry)
 	case errors.As(err, &notLeader):
-		return notLeaderFailure()
+		return NotLeader()
 	case errors.As(err, &overloaded), errors.As(err, &stopped):
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(), retry)
 	case errors.As(err, &memberUnknown):
@@ -79,23 +54,40 @@
 	}
 }
 
-func notLeaderFailure() error {
-	return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "this core process does not lead", failure.WithRetryAfter(100*time.Millisecond))
+// NotLeader is the failure of a request that only the leader serves.
+func NotLeader() error {
+	return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "this core process does not lead",
+		failure.WithRetryAfter(notLeaderRetryAfter))
 }
 
-// statusOf gives the HTTP status of a code, also of those that the control state adds.
-func httpStatus(code failure.Code) int {
-	if code == controlstate.TooFewStores {
-		return http.StatusConflict
+// NoLeader is the failure of a request while the core has no leader that this process knows.
+func NoLeader() error {
+	return failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present",
+		failure.WithRetryAfter(RetryAfter))
+}
+
+// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process stops.
+func Interrupted(ctx context.Context) error {
+	if err := ctx.Err(); err != nil {
+		return &failure.Error{Failure: failure.From(err)}
 	}
-	return code.Status()
+	return NotLeader()
 }
 
-// refusalFailure turns a refused order into a failure; its request was surely not run.
-func rejectionFailure(rejection *protocol.Refusal) error {
-	options := []failure.Option{func(made *protocol.Failure) { made.Status = uint32(httpStatus(failure.Code(rejection.GetCode()))) }}
+// Rejection turns a rejected command into a failure; its request was surely not run.
+func Rejection(rejection *protocol.Refusal) error {
+	code := failure.Code(rejection.GetCode())
+	options := []failure.Option{func(made *protocol.Failure) { made.Status = uint32(HTTPStatus(code)) }}
 	if len(rejection.GetFaults()) > 0 {
 		options = append(options, failure.WithPath(rejection.GetFaults()[0].GetPath()))
 	}
-	return failure.New(failure.Code(rejection.GetCode()), protocol.Outcome_NOT_RUN, rejection.GetMessage(), options...)
+	return failure.New(code, protocol.Outcome_NOT_RUN, rejection.GetMessage(), options...)
+}
+
+// HTTPStatus is the HTTP status of a code, including those that the control state adds.
+func HTTPStatus(code failure.Code) int {
+	if code == controlstate.TooFewStores {
+		return http.StatusConflict
+	}
+	return code.Status()
 }
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -17,7 +18,7 @@
 // whose lease runs has confirmed a view that says so. The result is the first
 // one of the order; its index is a view version with the back end draining or gone.
 func (s *Service) drainBackEnd(ctx context.Context, orderID string, command *protocol.DrainBackEndCommand) (*protocol.CommandResult, error) {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		OrderId: orderID,
 		Body:    &protocol.Command_DrainBackEnd{DrainBackEnd: command},
 	})
@@ -34,23 +35,23 @@
 	waiting := &drain{version: version, result: make(chan error, 1)}
 	executed := o.execute(ctx, func(now time.Time) {
 		if !o.isLeader() {
-			waiting.result <- notLeaderFailure()
+			waiting.result <- controllog.NotLeader()
 			return
 		}
 		o.drains = append(o.drains, waiting)
 		o.checkDrains(now)
 	})
 	if !executed {
-		return contextFailure(ctx)
+		return controllog.Interrupted(ctx)
 	}
 	select {
 	case err := <-waiting.result:
 		return err
 	case <-ctx.Done():
 		o.execute(o.ctx, func(time.Time) { o.removeDrain(waiting) })
-		return contextFailure(ctx)
+		return controllog.Interrupted(ctx)
 	case <-o.ctx.Done():
-		return notLeaderFailure()
+		return controllog.NotLeader()
 	}
 }
 
@@ -100,7 +101,7 @@
 
 func (o *owner) failDrains() {
 	for _, waiting := range o.drains {
-		waiting.result <- notLeaderFailure()
+		waiting.result <- controllog.NotLeader()
 		o.metrics.drains.WithLabelValues("interrupted").Inc()
 	}
 	o.drains = nil
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -32,7 +33,7 @@
 	case *protocol.Request_Consensus, *protocol.Request_JoinCore, *protocol.Request_CoreStatus, *protocol.Request_LocateCore:
 		response, err := s.consensus.ServeWire(ctx, request)
 		if err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		return response, nil
 	case *protocol.Request_RenewLease:
@@ -69,7 +70,7 @@
 	case *protocol.Request_Propose:
 		result, _, err := s.consensus.Propose(ctx, body.Propose.GetCommand())
 		if err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		return &protocol.Response{Body: &protocol.Response_Propose{Propose: &protocol.ProposeResponse{Result: result}}}, nil
 	default:
@@ -119,7 +120,7 @@
 		}
 	})
 	if !executed {
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 	return changes, nil
 }
@@ -127,7 +128,7 @@
 // upsertBackEnd writes a change to the log. A refused announcement, as of an
 // older incarnation, is counted and passed over so that it does not fail the batch.
 func (s *Service) upsertBackEnd(ctx context.Context, backEnd *protocol.BackEnd) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}},
 	})
 	if err != nil {
@@ -153,18 +154,12 @@
 }
 
 func (s *Service) shardCopied(ctx context.Context, request *protocol.ShardCopiedRequest) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_ShardCopied{
+	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_ShardCopied{
 		ShardCopied: &protocol.ShardCopiedCommand{
 			Store: request.GetStore(), StorageId: request.GetStorageId(), Shard: request.GetShard(), Epoch: request.GetEpoch(),
 		},
 	}})
-	if err != nil {
-		return err
-	}
-	if !result.GetAccepted() {
-		return rejectionFailure(result.GetRefusal())
-	}
-	return nil
+	return err
 }
 
 // reportArms sums samples and withdraws the candidate when its guard's limits are crossed.
@@ -181,7 +176,7 @@
 		crossed = s.owner.variants.crossedLimit(rollout)
 	})
 	if !executed {
-		return contextFailure(ctx)
+		return controllog.Interrupted(ctx)
 	}
 	if crossed == "" {
 		return nil
@@ -190,7 +185,7 @@
 }
 
 func (s *Service) withdrawByGuard(ctx context.Context, rollout *protocol.Rollout, reason string) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_SetRollout{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_SetRollout{
 		SetRollout: &protocol.SetRolloutCommand{
 			Action:  protocol.RolloutAction_ROLLOUT_WITHDRAW,
 			Rollout: &protocol.Rollout{CandidateVersion: rollout.GetCandidateVersion()},
--- a/internal/controlplane/core/heartbeat_address.go
+++ b/internal/controlplane/core/heartbeat_address.go
@@ -19,7 +19,9 @@
 }
 
 // nameMembers sets the members that back ends are told of.
-func (o *owner) setHeartbeatMembers(members []*protocol.CoreMember) { o.heartbeatMembers.Store(&members) }
+func (o *owner) setHeartbeatMembers(members []*protocol.CoreMember) {
+	o.heartbeatMembers.Store(&members)
+}
 
 // nearestMembers are the members in a back end's zone, else those in its region, else all.
 func nearestMembers(members []*protocol.CoreMember, backEnd *protocol.BackEnd) []*protocol.CoreMember {
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -15,7 +16,9 @@
 	lastBatch map[uint64]time.Time
 }
 
-func newRelayingMembers() *relayingMembers { return &relayingMembers{lastBatch: map[uint64]time.Time{}} }
+func newRelayingMembers() *relayingMembers {
+	return &relayingMembers{lastBatch: map[uint64]time.Time{}}
+}
 
 func (t *relayingMembers) reset() { clear(t.lastBatch) }
 
@@ -37,14 +40,14 @@
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heard"))
 	}
 	var answer *protocol.RenewBackEndsResponse
-	err := notLeaderFailure()
+	err := controllog.NotLeader()
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		if s.owner.isLeader() {
 			answer, err = s.owner.mergeBatch(request, now)
 		}
 	})
 	if !executed {
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 	return answer, err
 }
@@ -113,7 +116,7 @@
 
 // changedBackEnds are the back ends that changed after a version, all of them when that is not remembered any more.
 type changedBackEnds struct {
-	ids        map[string]bool
+	ids       map[string]bool
 	inHistory bool
 }
 
--- a/internal/controlplane/core/heartbeat_relay.go
+++ b/internal/controlplane/core/heartbeat_relay.go
@@ -33,7 +33,7 @@
 	leader uint64
 	// confirmed is when the last batch that this leader answered was sent.
 	lastConfirmed time.Time
-	nextBatch time.Time
+	nextBatch     time.Time
 	// sending is true while a batch is on its way to this leader.
 	batchInFlight bool
 }
@@ -44,7 +44,7 @@
 	incarnation, sequence uint64
 	// viewVersion is that of the back-end view that the heartbeat was compared with.
 	viewVersion uint64
-	receivedAt       time.Time
+	receivedAt  time.Time
 }
 
 func newHeartbeatRelay(lease time.Duration) *heartbeatRelay {
--- a/internal/controlplane/core/http.go
+++ b/internal/controlplane/core/http.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -124,7 +125,7 @@
 func (s *Service) serveOperator(ctx context.Context, route *operatorRoute, request *operatorRequest) (*answer, error) {
 	if route.method == http.MethodGet && request.http.URL.Query().Get("local") != "true" {
 		if err := s.consensus.Barrier(ctx); err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 	}
 	return route.handle(ctx, request)
--- a/internal/controlplane/core/leases.go
+++ b/internal/controlplane/core/leases.go
@@ -14,12 +14,12 @@
 
 type lease struct {
 	incarnation uint64
-	expiresAt     time.Time
+	expiresAt   time.Time
 	// ending is true once the removal was proposed; the lease is not renewed any more.
 	removing bool
 	// proposing is true while the proposal of the removal has not returned.
 	proposalInFlight bool
-	nextAttempt   time.Time
+	nextAttempt      time.Time
 	// backEnds is the version of the back-end view that the node has in force.
 	backEnds uint64
 	// inForce is what the node last said to have in force, for operators.
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -6,6 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -34,9 +35,9 @@
 		outcome = s.owner.classifyHeartbeat(leader, backEnd, sequence, now)
 	})
 	if !executed {
-		return contextFailure(ctx)
+		return controllog.Interrupted(ctx)
 	}
-	retry := failure.WithRetryAfter(retryWait)
+	retry := failure.WithRetryAfter(controllog.RetryAfter)
 	switch outcome {
 	case heartbeatAcknowledged:
 		s.metrics.backEndLeases.WithLabelValues("relayed").Inc()
@@ -47,7 +48,7 @@
 		s.metrics.backEndLeases.WithLabelValues("cut_off").Inc()
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader", retry)
 	default:
-		return failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present", retry)
+		return controllog.NoLeader()
 	}
 }
 
@@ -85,7 +86,7 @@
 
 // forwardAnnouncement has the leader acknowledge an announcement.
 func (s *Service) forwardAnnouncement(ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64) error {
-	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin+proposeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin+controllog.ProposeTimeout)
 	defer cancel()
 	_, err := s.caller.Call(bounded, leaderAddress, &protocol.Request{Body: &protocol.Request_AnnounceBackEnd{
 		AnnounceBackEnd: &protocol.AnnounceBackEndRequest{BackEnd: backEnd, Sequence: sequence},
@@ -105,7 +106,7 @@
 	if errors.As(err, &rejected) {
 		return rejected
 	}
-	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(retryWait))
+	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(controllog.RetryAfter))
 }
 
 // relayHeartbeats sends the leader the next batch when it is due, also an empty one: it shows that the leader is reached.
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strconv"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -26,14 +27,14 @@
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("address"))
 	}
 	if err := s.consensus.Barrier(ctx); err != nil {
-		return nil, consensusFailure(err)
+		return nil, controllog.Failure(err)
 	}
 	member := s.machine.View().MemberAdded(request.orderID)
 	repeated := member != nil
 	if !repeated {
 		var err error
 		if member, err = s.consensus.Identify(ctx, requested.GetAddress()); err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 	}
 	recorded, err := s.recordMember(ctx, "add_member", request, &protocol.ChangeMemberCommand{Subject: requested.GetAddress(), Member: member})
@@ -42,7 +43,7 @@
 	}
 	if s.isLatestOrder(request, recorded) && (!repeated || !s.isMember(recorded)) {
 		if err := s.consensus.Admit(ctx, recorded); err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 	}
 	return protoAnswer(recorded)
@@ -57,7 +58,7 @@
 // removeMember removes a core member for good. One that is gone already is acknowledged.
 func (s *Service) removeMember(ctx context.Context, request *operatorRequest) (*answer, error) {
 	if err := s.consensus.Barrier(ctx); err != nil {
-		return nil, consensusFailure(err)
+		return nil, controllog.Failure(err)
 	}
 	name := request.arguments[0]
 	recorded, err := s.recordMember(ctx, "remove_member", request, &protocol.ChangeMemberCommand{Remove: true, Subject: name, Member: s.findMember(name)})
@@ -66,7 +67,7 @@
 	}
 	removed := recorded.GetId() != 0
 	if removed && s.isLatestOrder(request, recorded) {
-		err := consensusFailure(s.consensus.RemoveMember(ctx, strconv.FormatUint(recorded.GetId(), 10)))
+		err := controllog.Failure(s.consensus.RemoveMember(ctx, strconv.FormatUint(recorded.GetId(), 10)))
 		if err != nil && !failure.Is(err, failure.NotFound) {
 			return nil, err
 		}
@@ -76,7 +77,7 @@
 
 // pinMember writes the order to the log and returns the member that it meant when it was first given.
 func (s *Service) recordMember(ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand) (*protocol.CoreMember, error) {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		OrderId: request.orderID, Body: &protocol.Command_ChangeMember{ChangeMember: command},
 	})
 	if err != nil {
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -19,7 +19,7 @@
 	guards           prometheus.Counter
 	requests         *prometheus.CounterVec
 	versions         *prometheus.GaugeVec
-	ordersRetained       prometheus.Gauge
+	ordersRetained   prometheus.Gauge
 	nodes            prometheus.Gauge
 	backEnds         prometheus.Gauge
 	leading          prometheus.Gauge
@@ -41,7 +41,7 @@
 		requests:         counters("http_requests_total", "Requests of operators by result code.", "result"),
 		guards:           prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "guard_withdrawals_total", Help: "Candidates withdrawn by the guard of their roll-out."}),
 		versions:         prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: "section_version", Help: "Version of each section at the leader."}, []string{"section"}),
-		ordersRetained:       gauge("orders_remembered", "Orders whose first result is remembered."),
+		ordersRetained:   gauge("orders_remembered", "Orders whose first result is remembered."),
 		nodes:            gauge("nodes", "Nodes in the membership view."),
 		backEnds:         gauge("back_ends", "Back ends in the view."),
 		leading:          gauge("leading", "1 while this process leads."),
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -85,16 +85,16 @@
 		}
 	}
 	return New(Options{
-		Consensus:    consensus,
-		Machine:      machine,
-		Clock:        clock,
-		Caller:       caller,
-		Lease:        millis(settings.GetLeaseMillis()),
-		ShardCount:   settings.GetShardCount(),
-		ReplicaCount: settings.GetReplicaCount(),
-		CoalesceInterval:     millis(settings.GetCoalesceMillis()),
-		FirstKeys:    keys,
-		Tokens:       tokens,
+		Consensus:        consensus,
+		Machine:          machine,
+		Clock:            clock,
+		Caller:           caller,
+		Lease:            millis(settings.GetLeaseMillis()),
+		ShardCount:       settings.GetShardCount(),
+		ReplicaCount:     settings.GetReplicaCount(),
+		CoalesceInterval: millis(settings.GetCoalesceMillis()),
+		FirstKeys:        keys,
+		Tokens:           tokens,
 
 		TrustOperators: settings.GetTrustOperators(),
 		BackEndLease:   millis(settings.GetBackEndLeaseMillis()),
--- a/internal/controlplane/core/orders.go
+++ b/internal/controlplane/core/orders.go
@@ -19,7 +19,7 @@
 // order proposes an operator's command under its order id and answers with the CommandResult.
 func (s *Service) order(ctx context.Context, kind string, request *operatorRequest, command *protocol.Command) (*answer, error) {
 	command.OrderId = request.orderID
-	result, err := s.proposer.propose(ctx, command)
+	result, err := s.proposer.Propose(ctx, command)
 	if err != nil {
 		s.metrics.orders.WithLabelValues(kind, failure.From(err).GetCode()).Inc()
 		return nil, err
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -35,7 +36,7 @@
 		suspects = s.owner.serverHealth.Suspects(request.GetZone(), now)
 	})
 	if !executed {
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 	return &protocol.ShareOutcomesResponse{Suspects: describeSuspects(suspects)}, nil
 }
@@ -56,7 +57,7 @@
 func (s *Service) watchSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
 	leadership := s.owner.leadership.Load()
 	if leadership == nil || !s.consensus.IsLeader() {
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	}
 	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxPollWait))
 	defer timer.Stop()
@@ -70,9 +71,9 @@
 		case <-timer.C():
 			return &protocol.WatchSuspectsResponse{Version: request.GetKnown()}, nil
 		case <-leadership.lost:
-			return nil, notLeaderFailure()
+			return nil, controllog.NotLeader()
 		case <-ctx.Done():
-			return nil, contextFailure(ctx)
+			return nil, controllog.Interrupted(ctx)
 		}
 	}
 }
@@ -89,7 +90,7 @@
 		}
 	})
 	if !executed {
-		return nil, nil, contextFailure(ctx)
+		return nil, nil, controllog.Interrupted(ctx)
 	}
 	return answer, changed, nil
 }
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -8,6 +8,7 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -21,8 +22,8 @@
 	// leaseMargin is added to each lease at the leader, so that it outlives the holder's own count.
 	leaseMargin = 250 * time.Millisecond
 	// endingRetry is the wait before a removal is proposed again.
-	removalRetryInterval  = time.Second
-	commandQueueLength = 1024
+	removalRetryInterval = time.Second
+	commandQueueLength   = 1024
 )
 
 // leadership is one unbroken time in which this process leads.
@@ -42,26 +43,26 @@
 	// caller reaches the other core members; it may be nil.
 	caller   wire.Caller
 	machine  *Machine
-	proposer *proposer
+	proposer *controllog.Proposer
 	logger   *log.Logger
 	metrics  *metrics
 
-	queue   chan func(now time.Time)
-	ctx     context.Context
-	stop    context.CancelFunc
-	workers sync.WaitGroup
+	queue      chan func(now time.Time)
+	ctx        context.Context
+	stop       context.CancelFunc
+	workers    sync.WaitGroup
 	leadership atomic.Pointer[leadership]
 
-	lastTick    time.Time
-	leaderSince time.Time
-	nodes       *leaseTable
-	backEnds    *leaseTable
-	sequences   *sequenceTable
-	relay       *heartbeatRelay
-	relayingMembers    *relayingMembers
-	drains      []*drain
+	lastTick        time.Time
+	leaderSince     time.Time
+	nodes           *leaseTable
+	backEnds        *leaseTable
+	sequences       *sequenceTable
+	relay           *heartbeatRelay
+	relayingMembers *relayingMembers
+	drains          []*drain
 	variants        *variantTable
-	reconciler  *reconciler
+	reconciler      *reconciler
 	// serverHealth is what front nodes saw of back ends; a new leader begins without it.
 	serverHealth serverhealth.Board
 	// suspectsChanged is closed and replaced when another back end became suspect.
@@ -130,7 +131,7 @@
 func (o *owner) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
 	o.runningTasks++
 	o.workers.Go(func() {
-		ctx, cancel := context.WithTimeout(o.ctx, proposeTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, controllog.ProposeTimeout)
 		defer cancel()
 		err := task(ctx)
 		ended := func(now time.Time) {
@@ -234,7 +235,7 @@
 		o.metrics.leases.WithLabelValues("expired").Inc()
 		remove := &protocol.RemoveNodeCommand{Name: name, Incarnation: incarnation, Reason: "lease ran out"}
 		o.runTask(func(ctx context.Context) error {
-			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
+			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
 			return err
 		}, func(time.Time, error) {
 			o.nodes.endProposal(name, incarnation)
@@ -253,7 +254,7 @@
 		o.metrics.backEndLeases.WithLabelValues("expired").Inc()
 		remove := &protocol.RemoveBackEndCommand{Id: id, Incarnation: incarnation}
 		o.runTask(func(ctx context.Context) error {
-			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
+			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
 			return err
 		}, func(time.Time, error) {
 			o.backEnds.endProposal(id, incarnation)
--- a/internal/controlplane/core/poll.go
+++ b/internal/controlplane/core/poll.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -19,14 +20,14 @@
 func (s *Service) pollControl(ctx context.Context, request *protocol.PollControlRequest) (*protocol.PollControlResponse, error) {
 	if request.GetFresh() {
 		if err := s.consensus.Barrier(ctx); err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		s.metrics.polls.WithLabelValues("fresh").Inc()
 		return s.answerPoll(s.machine.current.Load(), request), nil
 	}
 	leadership := s.owner.leadership.Load()
 	if leadership == nil || !s.consensus.IsLeader() {
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	}
 	s.confirmPoll(request)
 	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxPollWait))
@@ -71,10 +72,10 @@
 		return &protocol.PollControlResponse{}, nil
 	case <-leadership.lost:
 		s.metrics.polls.WithLabelValues("not_leader").Inc()
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	case <-ctx.Done():
 		s.metrics.polls.WithLabelValues("cancelled").Inc()
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 }
 
--- a/internal/controlplane/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -10,6 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -133,7 +134,7 @@
 	if configuration.GetRollout() != nil {
 		var listed []*protocol.ArmSample
 		if !s.owner.execute(ctx, func(time.Time) { listed = s.owner.variants.list() }) {
-			return nil, contextFailure(ctx)
+			return nil, controllog.Interrupted(ctx)
 		}
 		samples = listed
 	}
@@ -179,7 +180,7 @@
 	}
 	var leases []leaseAnswer
 	if !s.owner.execute(ctx, func(now time.Time) { leases = s.owner.describeLeases(membership, now) }) {
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: leases}}, nil
 }
--- a/internal/controlplane/core/reconcile.go
+++ b/internal/controlplane/core/reconcile.go
@@ -37,10 +37,10 @@
 	shardCount   uint32
 	replicaCount uint32
 
-	proposalInFlight    bool
-	nextAttempt time.Time
+	proposalInFlight bool
+	nextAttempt      time.Time
 	// stores is the set of stores seen last and since when it is unchanged.
-	storeSet       string
+	storeSet     string
 	storesSince  time.Time
 	absentStores map[string]time.Time
 	// replaced are the silent stores whose shards go to a successor.
@@ -74,7 +74,7 @@
 	o.runTask(func(ctx context.Context) error {
 		for _, command := range commands {
 			var err error
-			if result, err = o.proposer.propose(ctx, command); err != nil || !result.GetAccepted() {
+			if result, err = o.proposer.Propose(ctx, command); err != nil || !result.GetAccepted() {
 				return err
 			}
 		}
--- a/internal/controlplane/core/renew.go
+++ b/internal/controlplane/core/renew.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -37,7 +38,7 @@
 	}
 	outcome := s.owner.renewNodeLease(ctx, node, request.GetInForce())
 	if outcome == renewalNeedsJoin {
-		result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: &protocol.JoinNodeCommand{Node: node}}})
+		result, err := s.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: &protocol.JoinNodeCommand{Node: node}}})
 		if err != nil {
 			return nil, err
 		}
@@ -55,9 +56,9 @@
 		return s.leaseAnswer(true), nil
 	case renewalNotLeader:
 		if ctx.Err() != nil {
-			return nil, contextFailure(ctx)
+			return nil, controllog.Interrupted(ctx)
 		}
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	default:
 		s.metrics.leases.WithLabelValues("refused").Inc()
 		return s.leaseAnswer(false), nil
@@ -74,7 +75,7 @@
 
 // releaseLease ends a lease at once, as a node asks for after it drained.
 func (s *Service) releaseLease(ctx context.Context, node *protocol.Node) (*protocol.RenewLeaseResponse, error) {
-	_, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
+	_, err := s.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
 		Name: node.GetName(), Incarnation: node.GetIncarnation(), Reason: "released",
 	}}})
 	if err != nil {
--- a/internal/controlplane/core/sections.go
+++ b/internal/controlplane/core/sections.go
@@ -26,7 +26,7 @@
 // version known. Whoever asks first makes it, the others wait for it.
 type section struct {
 	version uint64
-	produce    func(request sectionRequest) sectionAnswer
+	produce func(request sectionRequest) sectionAnswer
 
 	mutex   sync.Mutex
 	answers map[sectionRequest]sectionAnswer
@@ -34,8 +34,8 @@
 
 // sectionRequest is the version known and the forms that the node takes.
 type sectionRequest struct {
-	known  uint64
-	acceptsDeltas bool
+	known                      uint64
+	acceptsDeltas              bool
 	acceptsPackedConfiguration bool
 	// packedViews says so of the other sections than the configuration.
 	acceptsPackedViews bool
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -4,25 +4,24 @@
 package core
 
 import (
-	"context"
 	"time"
 
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
-	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of the options.
 const (
-	DefaultLease        = 5 * time.Second
-	DefaultShardCount   = 64
-	DefaultReplicaCount = 3
-	DefaultCoalesceInterval     = 100 * time.Millisecond
-	DefaultBackEndLease = 5 * time.Second
+	DefaultLease            = 5 * time.Second
+	DefaultShardCount       = 64
+	DefaultReplicaCount     = 3
+	DefaultCoalesceInterval = 100 * time.Millisecond
+	DefaultBackEndLease     = 5 * time.Second
 )
 
 // Options of a Service. Zero numbers take the defaults.
@@ -59,7 +58,7 @@
 	clock     replica.Clock
 	caller    wire.Caller
 	lease     time.Duration
-	proposer  *proposer
+	proposer  *controllog.Proposer
 	owner     *owner
 	pacing    *pacing
 	tokens    *Tokens
@@ -98,7 +97,7 @@
 		clock:     options.Clock,
 		caller:    options.Caller,
 		lease:     options.Lease,
-		proposer:  &proposer{consensus: options.Consensus, clock: options.Clock},
+		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
 		pacing:    newPacing(options.CoalesceInterval),
 		tokens:    options.Tokens,
 
@@ -122,8 +121,8 @@
 		backEnds:        newLeaseTable(options.BackEndLease),
 		sequences:       newSequenceTable(),
 		relay:           newHeartbeatRelay(options.BackEndLease),
-		relayingMembers:        newRelayingMembers(),
-		variants:            newVariantTable(),
+		relayingMembers: newRelayingMembers(),
+		variants:        newVariantTable(),
 		suspectsChanged: make(chan struct{}),
 		reconciler: &reconciler{
 			firstKeys:    options.FirstKeys,
@@ -145,15 +144,7 @@
 // requireLeader fails unless this process leads at this moment.
 func (s *Service) requireLeader() error {
 	if !s.owner.isLeader() {
-		return notLeaderFailure()
+		return controllog.NotLeader()
 	}
 	return nil
 }
-
-// contextFailure says why an exchange with the owner ended early.
-func contextFailure(ctx context.Context) error {
-	if err := ctx.Err(); err != nil {
-		return &failure.Error{Failure: failure.From(err)}
-	}
-	return notLeaderFailure()
-}
--- a/internal/controlplane/core/variants.go
+++ b/internal/controlplane/core/variants.go
@@ -22,7 +22,9 @@
 	sums      map[variantKey]*protocol.ArmSample
 }
 
-func newVariantTable() *variantTable { return &variantTable{sums: map[variantKey]*protocol.ArmSample{}} }
+func newVariantTable() *variantTable {
+	return &variantTable{sums: map[variantKey]*protocol.ArmSample{}}
+}
 
 func (t *variantTable) reset() {
 	t.candidate = 0
