--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -66,7 +67,7 @@
 		case !s.owner.isLeader():
 		case s.owner.isOutdated(id, incarnation, sequence, now):
 			outcome = announcementOutdated
-		case s.machine.View().Holds(backEnd) && s.owner.backEnds.renew(id, incarnation, now):
+		case s.machine.View().Holds(backEnd) && s.owner.backEnds.Renew(leases.BackEndHolder(backEnd), now):
 			outcome = announcementUnchanged
 		default:
 			outcome = announcementChanged
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -87,14 +88,15 @@
 func (o *owner) confirmedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
-		if node.GetKind() != protocol.NodeKind_FRONT || !now.Before(o.nodes.expiry(node.GetName(), node.GetIncarnation())) {
+		holder := leases.NodeHolder(node)
+		if node.GetKind() != protocol.NodeKind_FRONT || !now.Before(o.nodes.Expiry(holder)) {
 			continue
 		}
-		lease := o.nodes.find(node.GetName(), node.GetIncarnation())
+		lease := o.nodes.Find(holder)
 		if lease == nil {
 			return 0
 		}
-		oldest = min(oldest, lease.backEnds)
+		oldest = min(oldest, lease.InForce().BackEnds)
 	}
 	return oldest
 }
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -112,7 +113,7 @@
 		view := s.machine.View()
 		for _, heartbeat := range heartbeats {
 			backEnd := heartbeat.GetBackEnd()
-			if !view.Holds(backEnd) || !s.owner.backEnds.renew(backEnd.GetId(), backEnd.GetIncarnation(), now) {
+			if !view.Holds(backEnd) || !s.owner.backEnds.Renew(leases.BackEndHolder(backEnd), now) {
 				changes = append(changes, heartbeat)
 				continue
 			}
@@ -171,9 +172,9 @@
 	var rollout *protocol.Rollout
 	executed := s.owner.execute(ctx, func(time.Time) {
 		configuration := s.machine.View().Configuration
-		s.owner.variants.add(configuration, request.GetSamples())
+		s.owner.variants.Add(configuration, request.GetSamples())
 		rollout = configuration.GetRollout()
-		crossed = s.owner.variants.crossedLimit(rollout)
+		crossed = s.owner.variants.CrossedLimit(rollout)
 	})
 	if !executed {
 		return controllog.Interrupted(ctx)
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -94,7 +95,7 @@
 	if current == nil || current.GetIncarnation() != incarnation {
 		return false
 	}
-	if !o.backEnds.renew(id, incarnation, now.Add(-time.Duration(heartbeat.GetAgeMillis())*time.Millisecond)) {
+	if !o.backEnds.Renew(leases.BackEndHolder(current), now.Add(-time.Duration(heartbeat.GetAgeMillis())*time.Millisecond)) {
 		return false
 	}
 	o.metrics.backEndLeases.WithLabelValues("renewed").Inc()
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -9,6 +9,9 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
+	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -20,10 +23,8 @@
 	// stallLimit is how late a tick may be before the owner takes itself for stalled.
 	stallThreshold = time.Second
 	// leaseMargin is added to each lease at the leader, so that it outlives the holder's own count.
-	leaseMargin = 250 * time.Millisecond
-	// endingRetry is the wait before a removal is proposed again.
-	removalRetryInterval = time.Second
-	commandQueueLength   = 1024
+	leaseMargin        = 250 * time.Millisecond
+	commandQueueLength = 1024
 )
 
 // leadership is one unbroken time in which this process leads.
@@ -55,14 +56,14 @@
 
 	lastTick        time.Time
 	leaderSince     time.Time
-	nodes           *leaseTable
-	backEnds        *leaseTable
+	nodes           *leases.Table
+	backEnds        *leases.Table
 	sequences       *sequenceTable
 	relay           *heartbeatRelay
 	relayingMembers *relayingMembers
 	drains          []*drain
-	variants        *variantTable
-	reconciler      *reconciler
+	variants        *rollout.VariantTable
+	reconciler      *reconcile.Reconciler
 	// serverHealth is what front nodes saw of back ends; a new leader begins without it.
 	serverHealth serverhealth.Board
 	// suspectsChanged is closed and replaced when another back end became suspect.
@@ -161,14 +162,14 @@
 
 func (o *owner) beginLeadership(now, since time.Time) {
 	o.leaderSince = since
-	o.nodes.reset(now)
-	o.backEnds.reset(now)
+	o.nodes.Reset(now)
+	o.backEnds.Reset(now)
 	o.sequences.reset()
 	o.relay.reset()
 	o.relayingMembers.reset()
 	o.heartbeatMembers.Store(nil)
-	o.variants.reset()
-	o.reconciler.reset()
+	o.variants.Reset()
+	o.reconciler.Reset()
 	o.leadership.Store(&leadership{since: now, lost: make(chan struct{})})
 	o.machine.leading.Store(true)
 	o.metrics.leading.Set(1)
@@ -199,8 +200,8 @@
 		return
 	}
 	if stalled {
-		o.nodes.extend(now)
-		o.backEnds.extend(now)
+		o.nodes.Extend(now)
+		o.backEnds.Extend(now)
 	}
 	o.dropAbsentLeases()
 	o.sequences.sweep(now)
@@ -215,11 +216,11 @@
 // sweepLeases forgets the leases of what is not in the view any more.
 func (o *owner) dropAbsentLeases() {
 	view := o.machine.View()
-	o.nodes.sweep(func(name string) (uint64, bool) {
+	o.nodes.DropAbsent(func(name string) (uint64, bool) {
 		node := view.Node(name)
 		return node.GetIncarnation(), node != nil
 	})
-	o.backEnds.sweep(func(id string) (uint64, bool) {
+	o.backEnds.DropAbsent(func(id string) (uint64, bool) {
 		backEnd := view.BackEnd(id)
 		return backEnd.GetIncarnation(), backEnd != nil
 	})
@@ -228,17 +229,17 @@
 // endNodeLeases proposes the removal of nodes whose lease ran out.
 func (o *owner) expireNodeLeases(now time.Time) {
 	for _, node := range o.machine.View().Membership.GetNodes() {
-		name, incarnation := node.GetName(), node.GetIncarnation()
-		if !o.nodes.beginRemoval(name, incarnation, now) {
+		holder := leases.NodeHolder(node)
+		if !o.nodes.BeginRemoval(holder, now) {
 			continue
 		}
 		o.metrics.leases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveNodeCommand{Name: name, Incarnation: incarnation, Reason: "lease ran out"}
+		remove := &protocol.RemoveNodeCommand{Name: holder.Name, Incarnation: holder.Incarnation, Reason: "lease ran out"}
 		o.runTask(func(ctx context.Context) error {
 			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.nodes.endProposal(name, incarnation)
+			o.nodes.EndProposal(holder)
 			o.dropAbsentLeases()
 		})
 	}
@@ -247,22 +248,57 @@
 // endBackEndLeases proposes the removal of back ends whose heartbeats stopped.
 func (o *owner) expireBackEndLeases(now time.Time) {
 	for _, backEnd := range o.machine.View().BackEnds.GetBackEnds() {
-		id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
-		if !o.backEnds.beginRemoval(id, incarnation, now) {
+		holder := leases.BackEndHolder(backEnd)
+		if !o.backEnds.BeginRemoval(holder, now) {
 			continue
 		}
 		o.metrics.backEndLeases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveBackEndCommand{Id: id, Incarnation: incarnation}
+		remove := &protocol.RemoveBackEndCommand{Id: holder.Name, Incarnation: holder.Incarnation}
 		o.runTask(func(ctx context.Context) error {
 			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.backEnds.endProposal(id, incarnation)
+			o.backEnds.EndProposal(holder)
 			o.dropAbsentLeases()
 		})
 	}
 }
 
+// reconcile proposes the next commands that are due, if any, one after the other.
+func (o *owner) reconcile(now time.Time) {
+	view := o.machine.View()
+	o.reconciler.ObserveStores(view, now)
+	if !o.reconciler.Due(now) || !o.isLeader() {
+		return
+	}
+	lastRenewal := func(node *protocol.Node) time.Time { return o.nodes.LastRenewal(leases.NodeHolder(node)) }
+	commands := o.reconciler.NextCommands(view, lastRenewal, now)
+	if len(commands) == 0 {
+		return
+	}
+	o.reconciler.BeginProposal()
+	var result *protocol.CommandResult
+	o.runTask(func(ctx context.Context) error {
+		for _, command := range commands {
+			var err error
+			if result, err = o.proposer.Propose(ctx, command); err != nil || !result.GetAccepted() {
+				return err
+			}
+		}
+		return nil
+	}, func(now time.Time, err error) {
+		accepted := err == nil && result.GetAccepted()
+		o.reconciler.EndProposal(now, accepted)
+		if !accepted {
+			o.logger.Debug("reconciler command rejected", "error", err, "rejection", result.GetRefusal().GetMessage())
+			o.metrics.reconciled.WithLabelValues("failed").Inc()
+			return
+		}
+		o.metrics.reconciled.WithLabelValues("done").Inc()
+		o.reconcile(now)
+	})
+}
+
 func (o *owner) recordViewMetrics() {
 	view := o.machine.View()
 	o.metrics.versions.WithLabelValues("configuration").Set(float64(view.Configuration.GetVersion()))
--- a/internal/controlplane/core/poll.go
+++ b/internal/controlplane/core/poll.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -84,9 +85,9 @@
 	if request.GetNode() == "" || request.GetIncarnation() == 0 {
 		return
 	}
-	name, incarnation, known := request.GetNode(), request.GetIncarnation(), request.GetKnown()
+	holder, known := leases.Holder{Name: request.GetNode(), Incarnation: request.GetIncarnation()}, request.GetKnown()
 	select {
-	case s.owner.queue <- func(now time.Time) { s.owner.confirmVersions(name, incarnation, known, now) }:
+	case s.owner.queue <- func(now time.Time) { s.owner.confirmVersions(holder, known, now) }:
 	default:
 	}
 }
--- a/internal/controlplane/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -11,6 +11,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -133,7 +134,7 @@
 	var samples []*protocol.ArmSample
 	if configuration.GetRollout() != nil {
 		var listed []*protocol.ArmSample
-		if !s.owner.execute(ctx, func(time.Time) { listed = s.owner.variants.list() }) {
+		if !s.owner.execute(ctx, func(time.Time) { listed = s.owner.variants.Sums() }) {
 			return nil, controllog.Interrupted(ctx)
 		}
 		samples = listed
@@ -178,29 +179,29 @@
 	if err != nil {
 		return nil, err
 	}
-	var leases []leaseAnswer
-	if !s.owner.execute(ctx, func(now time.Time) { leases = s.owner.describeLeases(membership, now) }) {
+	var statuses []leaseAnswer
+	if !s.owner.execute(ctx, func(now time.Time) { statuses = s.owner.describeLeases(membership, now) }) {
 		return nil, controllog.Interrupted(ctx)
 	}
-	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: leases}}, nil
+	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: statuses}}, nil
 }
 
 func (o *owner) describeLeases(membership *protocol.MembershipView, now time.Time) []leaseAnswer {
-	leases := make([]leaseAnswer, 0, len(membership.GetNodes()))
+	statuses := make([]leaseAnswer, 0, len(membership.GetNodes()))
 	for _, node := range membership.GetNodes() {
 		described := leaseAnswer{
 			Name: node.GetName(), Incarnation: node.GetIncarnation(),
-			MillisLeft: o.nodes.expiry(node.GetName(), node.GetIncarnation()).Sub(now).Milliseconds(),
+			MillisLeft: o.nodes.Expiry(leases.NodeHolder(node)).Sub(now).Milliseconds(),
 		}
-		if lease := o.nodes.find(node.GetName(), node.GetIncarnation()); lease != nil {
+		if lease := o.nodes.Find(leases.NodeHolder(node)); lease != nil {
 			described.InForce = versionsAnswer{
-				Configuration: lease.inForce.configuration, Membership: lease.inForce.membership,
-				BackEnds: lease.inForce.backEnds, Placement: lease.inForce.placement,
+				Configuration: lease.InForce().Configuration, Membership: lease.InForce().Membership,
+				BackEnds: lease.InForce().BackEnds, Placement: lease.InForce().Placement,
 			}
 		}
-		leases = append(leases, described)
+		statuses = append(statuses, described)
 	}
-	return leases
+	return statuses
 }
 
 func (s *Service) listBackEnds(context.Context, *operatorRequest) (*answer, error) {
--- a/internal/controlplane/core/renew.go
+++ b/internal/controlplane/core/renew.go
@@ -7,6 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -82,7 +83,7 @@
 		return nil, err
 	}
 	s.owner.execute(ctx, func(now time.Time) {
-		s.owner.nodes.remove(node.GetName(), node.GetIncarnation())
+		s.owner.nodes.Remove(leases.NodeHolder(node))
 		s.owner.checkDrains(now)
 	})
 	s.metrics.leases.WithLabelValues("released").Inc()
@@ -97,7 +98,8 @@
 		if !o.isLeader() {
 			return
 		}
-		if lease := o.nodes.find(node.GetName(), node.GetIncarnation()); lease != nil && lease.removing {
+		holder := leases.NodeHolder(node)
+		if lease := o.nodes.Find(holder); lease != nil && lease.Removing() {
 			outcome = renewalRemoving
 			return
 		}
@@ -105,13 +107,13 @@
 			outcome = renewalNeedsJoin
 			return
 		}
-		o.nodes.renew(node.GetName(), node.GetIncarnation(), now)
+		o.nodes.Renew(holder, now)
 		if !o.isLeader() {
 			return
 		}
 		outcome = renewalGranted
 		o.metrics.leases.WithLabelValues("renewed").Inc()
-		o.confirmVersions(node.GetName(), node.GetIncarnation(), inForce, now)
+		o.confirmVersions(holder, inForce, now)
 	})
 	if !executed {
 		return renewalNotLeader
@@ -119,20 +121,15 @@
 	return outcome
 }
 
-// confirm notes what a node has in force; it never steps back.
-func (o *owner) confirmVersions(name string, incarnation uint64, inForce *protocol.ControlVersions, now time.Time) {
-	lease := o.nodes.find(name, incarnation)
+// confirmVersions records what a node has in force, and checks the drains when that is a newer view of the back ends.
+func (o *owner) confirmVersions(holder leases.Holder, inForce *protocol.ControlVersions, now time.Time) {
+	lease := o.nodes.Find(holder)
 	if lease == nil || inForce == nil {
 		return
 	}
-	lease.inForce = versions{
-		configuration: max(lease.inForce.configuration, inForce.GetConfiguration()),
-		membership:    max(lease.inForce.membership, inForce.GetMembership()),
-		backEnds:      max(lease.inForce.backEnds, inForce.GetBackEnds()),
-		placement:     max(lease.inForce.placement, inForce.GetPlacement()),
-	}
-	if inForce.GetBackEnds() > lease.backEnds {
-		lease.backEnds = inForce.GetBackEnds()
+	former := lease.InForce().BackEnds
+	lease.Confirm(inForce)
+	if lease.InForce().BackEnds > former {
 		o.checkDrains(now)
 	}
 }
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,6 +10,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
+	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
@@ -117,20 +120,16 @@
 		logger:          service.logger,
 		metrics:         service.metrics,
 		queue:           make(chan func(time.Time), commandQueueLength),
-		nodes:           newLeaseTable(options.Lease + leaseMargin),
-		backEnds:        newLeaseTable(options.BackEndLease),
+		nodes:           leases.NewTable(options.Lease + leaseMargin),
+		backEnds:        leases.NewTable(options.BackEndLease),
 		sequences:       newSequenceTable(),
 		relay:           newHeartbeatRelay(options.BackEndLease),
 		relayingMembers: newRelayingMembers(),
-		variants:        newVariantTable(),
+		variants:        rollout.NewVariantTable(),
 		suspectsChanged: make(chan struct{}),
-		reconciler: &reconciler{
-			firstKeys:    options.FirstKeys,
-			shardCount:   options.ShardCount,
-			replicaCount: options.ReplicaCount,
-			absentStores: map[string]time.Time{},
-			replaced:     map[string]bool{},
-		},
+		reconciler: reconcile.New(reconcile.Settings{
+			FirstKeys: options.FirstKeys, ShardCount: options.ShardCount, ReplicaCount: options.ReplicaCount,
+		}),
 	}
 	return service
 }
