--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -11,25 +11,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// announcement is what the leader makes of a back end's announcement.
+// announcementOutcome is what the leader makes of a back end's announcement.
 type announcementOutcome int
 
 const (
 	announcementNotLeader announcementOutcome = iota
-	// announcementLate came after a later one and changes nothing.
+	// announcementOutdated came after a later one and changes nothing.
 	announcementOutdated
-	// announcementHeld says what the view holds already; the lease was renewed.
+	// announcementUnchanged is what the view holds already; the lease was renewed.
 	announcementUnchanged
-	// announcementNews says something that must be written to the log.
+	// announcementChanged must be written to the log.
 	announcementChanged
 )
 
-// AnnounceBackEnd takes in a back end's own word about itself and renews its lease; the log is written only when something
+// AnnounceBackEnd applies what a back end announces of itself and renews its lease; the log is written only when something
 // changed. The sequence rises with every call of an incarnation: a call with a lower one than was seen before changes nothing,
 // nor does one of a back end that was removed. A back end that was draining stays so. With the state DRAINING it returns nil
 // only once every front node whose lease runs has a view in force that says so, which takes a lease of a front node at most.
 //
-// Any member takes it. One that does not lead acknowledges by itself what changes nothing and gives the leader the rest; it
+// Any member takes it. One that does not lead acknowledges what changes nothing and forwards the rest to the leader; it
 // fails with Unavailable while it does not reach the leader.
 func (s *Service) AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	if backEnd.GetId() == "" {
@@ -41,7 +41,7 @@
 	return s.announceAtMember(ctx, backEnd, sequence)
 }
 
-// announceAtLeader takes an announcement in, whichever member it came by; it fails with NotLeader at another one.
+// announceAtLeader handles an announcement, whichever member it came by; it fails with NotLeader at another one.
 func (s *Service) announceAtLeader(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	outcome, err := s.observeAnnouncement(ctx, backEnd, sequence)
 	if err != nil {
@@ -58,16 +58,16 @@
 	return s.awaitDrained(ctx, backEnd.GetId())
 }
 
-// noteAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that says nothing new.
+// observeAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that is unchanged.
 func (s *Service) observeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) (announcementOutcome, error) {
 	outcome := announcementNotLeader
-	id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
+	holder := leases.BackEndHolder(backEnd)
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		switch {
 		case !s.owner.isLeader():
-		case s.owner.isOutdated(id, incarnation, sequence, now):
+		case s.owner.isOutdated(holder, sequence, now):
 			outcome = announcementOutdated
-		case s.machine.View().Holds(backEnd) && s.owner.backEnds.Renew(leases.BackEndHolder(backEnd), now):
+		case s.machine.View().Holds(backEnd) && s.owner.backEnds.Renew(holder, now):
 			outcome = announcementUnchanged
 		default:
 			outcome = announcementChanged
@@ -87,12 +87,12 @@
 	return outcome, nil
 }
 
-// late notes the sequence of an announcement and reports whether it came after a later one, or after the back end left.
-func (o *owner) isOutdated(id string, incarnation, sequence uint64, now time.Time) bool {
-	if o.machine.View().Outdated(id, incarnation, sequence) {
+// isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back end left.
+func (o *owner) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
+	if o.machine.View().Outdated(backEnd.Name, backEnd.Incarnation, sequence) {
 		return true
 	}
-	return sequence != 0 && !o.sequences.observe(id, incarnation, sequence, now)
+	return sequence != 0 && !o.sequences.Observe(backEnd, sequence, now)
 }
 
 // writeAnnouncement writes an announcement to the log and begins the lease of what is new in the view.
@@ -124,8 +124,8 @@
 	return s.owner.awaitDrain(bounded, view.BackEnds.GetVersion())
 }
 
-// RemoveBackEnd takes out a back end that says that it left: its incarnation is not taken in again. It returns nil once every
-// front node whose lease runs has a view without it in force. Removing one that is gone is acknowledged.
+// RemoveBackEnd removes a back end that reports that it left: its incarnation is not accepted again. It returns nil once every
+// front node whose lease runs has a view without it in force. Removing one that was removed before is acknowledged.
 func (s *Service) RemoveBackEnd(ctx context.Context, id string, sequence uint64) error {
 	if id == "" {
 		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -5,20 +5,14 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-	"golang.org/x/sync/errgroup"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
-	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-const (
-	heartbeatIntervalSeconds = 1
-	// relayConcurrency bounds the changes of one relayed batch that are proposed at a time.
-	maxConcurrentUpserts = 16
-	maxHeartbeatBatch    = 4096
-)
+// heartbeatIntervalSeconds is the time between two heartbeats that back ends are asked to keep to.
+const heartbeatIntervalSeconds = 1
 
 // Serve answers one request of a node or of another core process.
 func (s *Service) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
@@ -44,7 +38,7 @@
 		polled, err := s.pollControl(ctx, body.PollControl)
 		return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: polled}}, err
 	case *protocol.Request_RelayHeartbeats:
-		err := s.relayHeartbeats(ctx, body.RelayHeartbeats.GetHeartbeats())
+		err := s.mergeRelayedHeartbeats(ctx, body.RelayHeartbeats.GetHeartbeats())
 		relayed := &protocol.RelayHeartbeatsResponse{IntervalSeconds: heartbeatIntervalSeconds}
 		return &protocol.Response{Body: &protocol.Response_RelayHeartbeats{RelayHeartbeats: relayed}}, err
 	case *protocol.Request_AnnounceBackEnd:
@@ -79,70 +73,6 @@
 	}
 }
 
-// relayHeartbeats renews back ends that say nothing new and writes changes to the log.
-func (s *Service) relayHeartbeats(ctx context.Context, heartbeats []*protocol.BackEndHeartbeat) error {
-	if err := s.requireLeader(); err != nil {
-		return err
-	}
-	if len(heartbeats) > maxHeartbeatBatch {
-		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heartbeats"))
-	}
-	changes, err := s.touchBackEnds(ctx, heartbeats)
-	if err != nil {
-		return err
-	}
-	group, grouped := errgroup.WithContext(ctx)
-	group.SetLimit(maxConcurrentUpserts)
-	for _, heartbeat := range changes {
-		group.Go(func() error { return s.upsertBackEnd(grouped, heartbeat.GetBackEnd()) })
-	}
-	if err := group.Wait(); err != nil {
-		return err
-	}
-	_, err = s.touchBackEnds(ctx, changes)
-	return err
-}
-
-// touchBackEnds renews the back ends that the view already holds as announced and returns the others.
-func (s *Service) touchBackEnds(ctx context.Context, heartbeats []*protocol.BackEndHeartbeat) ([]*protocol.BackEndHeartbeat, error) {
-	var changes []*protocol.BackEndHeartbeat
-	if len(heartbeats) == 0 {
-		return nil, nil
-	}
-	executed := s.owner.execute(ctx, func(now time.Time) {
-		view := s.machine.View()
-		for _, heartbeat := range heartbeats {
-			backEnd := heartbeat.GetBackEnd()
-			if !view.Holds(backEnd) || !s.owner.backEnds.Renew(leases.BackEndHolder(backEnd), now) {
-				changes = append(changes, heartbeat)
-				continue
-			}
-			s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
-		}
-	})
-	if !executed {
-		return nil, controllog.Interrupted(ctx)
-	}
-	return changes, nil
-}
-
-// upsertBackEnd writes a change to the log. A refused announcement, as of an
-// older incarnation, is counted and passed over so that it does not fail the batch.
-func (s *Service) upsertBackEnd(ctx context.Context, backEnd *protocol.BackEnd) error {
-	result, err := s.proposer.Propose(ctx, &protocol.Command{
-		Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}},
-	})
-	if err != nil {
-		return err
-	}
-	if !result.GetAccepted() {
-		s.metrics.backEndLeases.WithLabelValues("refused").Inc()
-		return nil
-	}
-	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
-	return nil
-}
-
 func (s *Service) serveDrain(ctx context.Context, request *protocol.DrainBackEndRequest) (*protocol.DrainBackEndResponse, error) {
 	if request.GetId() == "" {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -2,42 +2,24 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"golang.org/x/sync/errgroup"
 )
 
-// relayingTable is what the leader knows of the members that send it batches of heartbeats. It is part of the owner.
-type relayingMembers struct {
-	// heard is when the last batch of a member came.
-	lastBatch map[uint64]time.Time
-}
-
-func newRelayingMembers() *relayingMembers {
-	return &relayingMembers{lastBatch: map[uint64]time.Time{}}
-}
-
-func (t *relayingMembers) reset() { clear(t.lastBatch) }
-
-// up lists those of the members that sent a batch a short while ago and have an address that back ends can be told.
-func (t *relayingMembers) up(members []*protocol.CoreMember, now time.Time) []*protocol.CoreMember {
-	var up []*protocol.CoreMember
-	for _, member := range members {
-		lastBatch, known := t.lastBatch[member.GetId()]
-		if known && now.Sub(lastBatch) <= maxRelayAge && member.GetHttpAddress() != "" {
-			up = append(up, member)
-		}
-	}
-	return up
-}
+// maxConcurrentUpserts bounds the changes of one relayed batch that are proposed at a time.
+const maxConcurrentUpserts = 16
 
 // renewBackEnds renews the leases of back ends whose heartbeats another member acknowledged.
 func (s *Service) renewBackEnds(ctx context.Context, request *protocol.RenewBackEndsRequest) (*protocol.RenewBackEndsResponse, error) {
-	if len(request.GetHeard()) > maxHeartbeatBatch {
+	if len(request.GetHeard()) > heartbeats.MaxBatch {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heard"))
 	}
 	var answer *protocol.RenewBackEndsResponse
@@ -53,82 +35,138 @@
 	return answer, err
 }
 
-// takeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
-// acknowledging heartbeats by a view that it gets no more news of.
+// mergeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
+// acknowledging heartbeats by a view that is not updated any more.
 func (o *owner) mergeBatch(request *protocol.RenewBackEndsRequest, now time.Time) (*protocol.RenewBackEndsResponse, error) {
-	members := o.consensus.Status().GetConfiguration().GetMembers()
-	if !hasMember(members, request.GetMember()) {
+	if !o.isMember(request.GetMember()) {
 		o.metrics.heartbeatBatches.WithLabelValues("refused").Inc()
 		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the sender is no member of the core", failure.WithPath("member"))
 	}
 	o.metrics.heartbeatBatches.WithLabelValues("received").Inc()
-	o.relayingMembers.lastBatch[request.GetMember()] = now
+	o.relayingMembers.ObserveBatch(request.GetMember(), now)
 	answer := &protocol.RenewBackEndsResponse{Members: o.updateHeartbeatMembers(now)}
-	changes := &backEndChanges{view: o.machine.View()}
+	view := o.machine.View()
+	changes := heartbeats.NewChanges(view)
 	for _, heartbeat := range request.GetHeard() {
-		if !o.mergeHeartbeat(heartbeat, changes, now) {
+		if !o.mergeHeartbeat(heartbeat, view, changes, now) {
 			answer.Unknown = append(answer.Unknown, heartbeat.GetId())
 		}
 	}
 	return answer, nil
 }
 
-func hasMember(members []*protocol.CoreMember, id uint64) bool {
-	for _, member := range members {
-		if member.GetId() == id {
-			return true
-		}
-	}
-	return false
-}
-
-// takeHeard renews the lease of a back end, counted from when the member heard it. It reports false when the member must
-// bring its next announcement to the leader: the back end is not there, is being removed, or was changed since the view that
-// the member compared it with.
-func (o *owner) mergeHeartbeat(heartbeat *protocol.HeardBackEnd, changes *backEndChanges, now time.Time) bool {
-	id, incarnation := heartbeat.GetId(), heartbeat.GetIncarnation()
-	if o.isOutdated(id, incarnation, heartbeat.GetSequence(), now) {
+// mergeHeartbeat renews the lease of a back end, counted from when the member received its heartbeat. It reports false when the
+// member must forward the next announcement to the leader: the back end is not in the view, is being removed, or was changed
+// since the view that the member compared it with.
+func (o *owner) mergeHeartbeat(
+	heartbeat *protocol.HeardBackEnd, view *controlstate.View, changes *heartbeats.Changes, now time.Time,
+) bool {
+	backEnd := leases.Holder{Name: heartbeat.GetId(), Incarnation: heartbeat.GetIncarnation()}
+	if o.isOutdated(backEnd, heartbeat.GetSequence(), now) {
 		o.metrics.backEndLeases.WithLabelValues("late").Inc()
 		return true
 	}
-	current := changes.view.BackEnd(id)
-	if current == nil || current.GetIncarnation() != incarnation {
+	current := view.BackEnd(backEnd.Name)
+	if current == nil || current.GetIncarnation() != backEnd.Incarnation {
 		return false
 	}
-	if !o.backEnds.Renew(leases.BackEndHolder(current), now.Add(-time.Duration(heartbeat.GetAgeMillis())*time.Millisecond)) {
+	age := time.Duration(heartbeat.GetAgeMillis()) * time.Millisecond
+	if !o.backEnds.Renew(backEnd, now.Add(-age)) {
 		return false
 	}
 	o.metrics.backEndLeases.WithLabelValues("renewed").Inc()
-	return !changes.changedSince(heartbeat.GetBackEndsVersion(), id)
+	return !changes.Since(heartbeat.GetBackEndsVersion(), backEnd.Name)
 }
 
-// observeRelaying brings up to date which members can be named to back ends.
-func (o *owner) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
-	up := o.relayingMembers.up(o.consensus.Status().GetConfiguration().GetMembers(), now)
-	o.setHeartbeatMembers(up)
-	return up
+// isMember reports whether the id is that of a present member of the core.
+func (o *owner) isMember(id uint64) bool {
+	return slices.ContainsFunc(o.consensus.Status().GetConfiguration().GetMembers(), func(member *protocol.CoreMember) bool {
+		return member.GetId() == id
+	})
 }
 
-// backEndChanges answers for one batch which back ends changed after a version, looking each version up once.
-type backEndChanges struct {
-	view      *controlstate.View
-	byVersion map[uint64]changedBackEnds
+// updateHeartbeatMembers determines anew which members back ends may be given the address of.
+func (o *owner) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
+	members := o.relayingMembers.Reachable(o.consensus.Status().GetConfiguration().GetMembers(), now)
+	o.setHeartbeatMembers(members)
+	return members
 }
 
-// changedBackEnds are the back ends that changed after a version, all of them when that is not remembered any more.
-type changedBackEnds struct {
-	ids       map[string]bool
-	inHistory bool
+// mergeRelayedHeartbeats renews the leases of back ends that announce nothing new and writes changes to the log.
+func (s *Service) mergeRelayedHeartbeats(ctx context.Context, relayed []*protocol.BackEndHeartbeat) error {
+	if err := s.requireLeader(); err != nil {
+		return err
+	}
+	if len(relayed) > heartbeats.MaxBatch {
+		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heartbeats"))
+	}
+	changes, err := s.renewUnchanged(ctx, relayed)
+	if err != nil {
+		return err
+	}
+	group, grouped := errgroup.WithContext(ctx)
+	group.SetLimit(maxConcurrentUpserts)
+	for _, heartbeat := range changes {
+		group.Go(func() error { return s.upsertBackEnd(grouped, heartbeat.GetBackEnd()) })
+	}
+	if err := group.Wait(); err != nil {
+		return err
+	}
+	_, err = s.renewUnchanged(ctx, changes)
+	return err
 }
 
-func (c *backEndChanges) changedSince(version uint64, id string) bool {
-	changed, known := c.byVersion[version]
-	if !known {
-		changed.ids, changed.inHistory = c.view.BackEndsChangedSince(version)
-		if c.byVersion == nil {
-			c.byVersion = map[uint64]changedBackEnds{}
+// renewUnchanged renews the leases of back ends that the view holds as they were announced, and returns the others.
+func (s *Service) renewUnchanged(ctx context.Context, relayed []*protocol.BackEndHeartbeat) ([]*protocol.BackEndHeartbeat, error) {
+	var changes []*protocol.BackEndHeartbeat
+	if len(relayed) == 0 {
+		return nil, nil
+	}
+	executed := s.owner.execute(ctx, func(now time.Time) {
+		view := s.machine.View()
+		for _, heartbeat := range relayed {
+			backEnd := heartbeat.GetBackEnd()
+			if !view.Holds(backEnd) || !s.owner.backEnds.Renew(leases.BackEndHolder(backEnd), now) {
+				changes = append(changes, heartbeat)
+				continue
+			}
+			s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
 		}
-		c.byVersion[version] = changed
+	})
+	if !executed {
+		return nil, controllog.Interrupted(ctx)
 	}
-	return !changed.inHistory || changed.ids[id]
+	return changes, nil
+}
+
+// upsertBackEnd writes a change to the log. A rejected announcement, as of an
+// older incarnation, is counted and skipped so that it does not fail the batch.
+func (s *Service) upsertBackEnd(ctx context.Context, backEnd *protocol.BackEnd) error {
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
+		Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}},
+	})
+	if err != nil {
+		return err
+	}
+	if !result.GetAccepted() {
+		s.metrics.backEndLeases.WithLabelValues("refused").Inc()
+		return nil
+	}
+	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
+	return nil
+}
+
+// HeartbeatAddress is the HTTP address (ip:port) of the core member that a back end should send its heartbeats to: always the
+// same while the same members are reachable. It is empty while no member but the leader is known to take them.
+func (s *Service) HeartbeatAddress(backEnd *protocol.BackEnd) string {
+	members := s.owner.heartbeatMembers.Load()
+	if members == nil {
+		return ""
+	}
+	return heartbeats.ChooseMember(*members, backEnd).GetHttpAddress()
+}
+
+// setHeartbeatMembers sets the members that back ends may be given the address of.
+func (o *owner) setHeartbeatMembers(members []*protocol.CoreMember) {
+	o.heartbeatMembers.Store(&members)
 }
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -7,6 +7,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -15,17 +17,17 @@
 type heartbeatOutcome int
 
 const (
-	// heartbeatWithoutLeader came while no leader is known.
+	// heartbeatNoLeader came while no leader is known.
 	heartbeatNoLeader heartbeatOutcome = iota
-	// heartbeatCutOff came while the leader does not answer this member.
+	// heartbeatLeaderUnreachable came while the leader does not answer this member.
 	heartbeatLeaderUnreachable
-	// heartbeatAcknowledged changes nothing; the leader learns of it with the next batch.
+	// heartbeatAcknowledged changes nothing; the leader receives it with the next batch.
 	heartbeatAcknowledged
 	// heartbeatForwarded must be acknowledged by the leader.
 	heartbeatForwarded
 )
 
-// announceAtMember takes an announcement in at a member that does not lead.
+// announceAtMember handles an announcement at a member that does not lead.
 func (s *Service) announceAtMember(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	outcome := heartbeatNoLeader
 	leaderAddress := ""
@@ -61,25 +63,25 @@
 	return leader
 }
 
-// takeHeartbeat decides about a heartbeat and keeps it for the next batch when it changes nothing. A drain is acknowledged by
+// classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is acknowledged by
 // the leader alone, which knows what front nodes have in force.
 func (o *owner) classifyHeartbeat(leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time) heartbeatOutcome {
 	view := o.machine.View()
-	id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
+	holder := leases.BackEndHolder(backEnd)
 	switch {
 	case leader == nil:
 		return heartbeatNoLeader
-	case !o.relay.reachesLeader(leader.GetId(), now):
+	case !o.relay.ReachesLeader(leader.GetId(), now):
 		return heartbeatLeaderUnreachable
 	case backEnd.GetState() == protocol.BackEndState_DRAINING:
 		return heartbeatForwarded
-	case view.Outdated(id, incarnation, sequence):
+	case view.Outdated(holder.Name, holder.Incarnation, sequence):
 		return heartbeatAcknowledged
-	case o.relay.escalated[id] || !view.Holds(backEnd):
+	case o.relay.Escalated(holder.Name) || !view.Holds(backEnd):
 		return heartbeatForwarded
 	}
-	o.relay.add(receivedHeartbeat{
-		id: id, incarnation: incarnation, sequence: sequence, viewVersion: view.BackEnds.GetVersion(), receivedAt: now,
+	o.relay.Add(heartbeats.Heartbeat{
+		BackEnd: holder, Sequence: sequence, ViewVersion: view.BackEnds.GetVersion(), ReceivedAt: now,
 	})
 	return heartbeatAcknowledged
 }
@@ -96,11 +98,12 @@
 		return forwardFailure(err)
 	}
 	s.metrics.backEndLeases.WithLabelValues("forwarded").Inc()
-	s.owner.execute(ctx, func(time.Time) { delete(s.owner.relay.escalated, backEnd.GetId()) })
+	s.owner.execute(ctx, func(time.Time) { s.owner.relay.EndEscalation(backEnd.GetId()) })
 	return nil
 }
 
-// forwardFailure keeps the leader's own refusal; anything else leaves open whether the leader took the announcement in.
+// forwardFailure keeps the leader's own rejection; after anything else it is not known whether the leader applied the
+// announcement.
 func forwardFailure(err error) error {
 	var rejected *failure.Error
 	if errors.As(err, &rejected) {
@@ -109,24 +112,24 @@
 	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(controllog.RetryAfter))
 }
 
-// relayHeartbeats sends the leader the next batch when it is due, also an empty one: it shows that the leader is reached.
-func (o *owner) relayHeartbeats(now time.Time) {
+// sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is reached.
+func (o *owner) sendHeartbeatBatch(now time.Time) {
 	if o.caller == nil {
 		return
 	}
 	leader := o.otherLeader()
-	o.relay.observeLeader(leader.GetId())
+	o.relay.ObserveLeader(leader.GetId())
 	if leader == nil {
 		return
 	}
-	batch, due := o.relay.beginBatch(now)
+	batch, due := o.relay.BeginBatch(now)
 	if !due {
 		return
 	}
-	request := encodeBatch(o.consensus.Status().GetId(), batch, now)
+	request := heartbeats.EncodeBatch(o.consensus.Status().GetId(), batch, now)
 	var answer *protocol.RenewBackEndsResponse
 	o.runTask(func(ctx context.Context) error {
-		bounded, cancel := context.WithTimeout(ctx, relayTimeout)
+		bounded, cancel := context.WithTimeout(ctx, heartbeats.RelayTimeout)
 		defer cancel()
 		response, err := o.caller.Call(bounded, leader.GetAddress(), &protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: request}})
 		answer = response.GetRenewBackEnds()
@@ -134,12 +137,12 @@
 	}, func(_ time.Time, err error) {
 		if err != nil {
 			o.metrics.heartbeatBatches.WithLabelValues("failed").Inc()
-			o.relay.requeue(leader.GetId(), batch)
+			o.relay.Requeue(leader.GetId(), batch)
 			return
 		}
 		o.metrics.heartbeatBatches.WithLabelValues("confirmed").Inc()
-		o.relay.confirm(leader.GetId(), now, answer.GetUnknown())
-		o.relay.sweep(func(id string) bool { return o.machine.View().BackEnd(id) != nil })
+		o.relay.Confirm(leader.GetId(), now, answer.GetUnknown())
+		o.relay.DropAbsent(func(id string) bool { return o.machine.View().BackEnd(id) != nil })
 		o.setHeartbeatMembers(answer.GetMembers())
 	})
 }
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -9,6 +9,7 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
@@ -58,9 +59,9 @@
 	leaderSince     time.Time
 	nodes           *leases.Table
 	backEnds        *leases.Table
-	sequences       *sequenceTable
-	relay           *heartbeatRelay
-	relayingMembers *relayingMembers
+	sequences       *heartbeats.SequenceTable
+	relay           *heartbeats.Relay
+	relayingMembers *heartbeats.RelayingMembers
 	drains          []*drain
 	variants        *rollout.VariantTable
 	reconciler      *reconcile.Reconciler
@@ -164,9 +165,9 @@
 	o.leaderSince = since
 	o.nodes.Reset(now)
 	o.backEnds.Reset(now)
-	o.sequences.reset()
-	o.relay.reset()
-	o.relayingMembers.reset()
+	o.sequences.Reset()
+	o.relay.Reset()
+	o.relayingMembers.Reset()
 	o.heartbeatMembers.Store(nil)
 	o.variants.Reset()
 	o.reconciler.Reset()
@@ -196,7 +197,7 @@
 	stalled := now.Sub(o.lastTick) > stallThreshold
 	o.lastTick = now
 	if !o.isLeader() {
-		o.relayHeartbeats(now)
+		o.sendHeartbeatBatch(now)
 		return
 	}
 	if stalled {
@@ -204,7 +205,7 @@
 		o.backEnds.Extend(now)
 	}
 	o.dropAbsentLeases()
-	o.sequences.sweep(now)
+	o.sequences.Sweep(now)
 	o.updateHeartbeatMembers(now)
 	o.expireNodeLeases(now)
 	o.expireBackEndLeases(now)
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,6 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
@@ -122,9 +123,9 @@
 		queue:           make(chan func(time.Time), commandQueueLength),
 		nodes:           leases.NewTable(options.Lease + leaseMargin),
 		backEnds:        leases.NewTable(options.BackEndLease),
-		sequences:       newSequenceTable(),
-		relay:           newHeartbeatRelay(options.BackEndLease),
-		relayingMembers: newRelayingMembers(),
+		sequences:       heartbeats.NewSequenceTable(),
+		relay:           heartbeats.NewRelay(options.BackEndLease),
+		relayingMembers: heartbeats.NewRelayingMembers(),
 		variants:        rollout.NewVariantTable(),
 		suspectsChanged: make(chan struct{}),
 		reconciler: reconcile.New(reconcile.Settings{
