--- a/internal/controlplane/controlstate/report.go
+++ b/internal/controlplane/controlstate/report.go
@@ -1,9 +1,11 @@
 package controlstate
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 
+	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -67,6 +69,17 @@
 	return listed
 }
 
+// ReportStore reports on one store; the failure of an unknown one is NotFound.
+func (v *View) ReportStore(name string) (StoreReport, error) {
+	for _, report := range v.ReportStores() {
+		if report.Name == name {
+			return report, nil
+		}
+	}
+	return StoreReport{}, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN,
+		fmt.Sprintf("there is no store %q", name), failure.WithPath("store"))
+}
+
 func countShard(shard *protocol.ShardPlacement, find func(string) *StoreReport) {
 	for _, replica := range shard.GetCurrent() {
 		report := find(replica.GetStore())
--- a/internal/controlplane/core/control.go
+++ b/internal/controlplane/core/control.go
@@ -60,18 +60,12 @@
 // acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the settings trust operators.
 func (s *Service) ReleaseBundle(ctx context.Context, bundle *protocol.Bundle, expectedVersion uint64) error {
 	if !s.trustOperators {
-		return untrustedFailure()
+		return controllog.Untrusted()
 	}
-	_, err := s.proposer.ProposeAccepted(ctx, releaseCommand(bundle, expectedVersion))
+	_, err := s.proposer.ProposeAccepted(ctx, controllog.ReleaseBundle(bundle, expectedVersion))
 	return err
 }
 
-func releaseCommand(bundle *protocol.Bundle, expectedVersion uint64) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_ReleaseBundle{
-		ReleaseBundle: &protocol.ReleaseBundleCommand{Bundle: bundle, ExpectedVersion: expectedVersion},
-	}}
-}
-
 // ActiveBundle is the bundle in force, nil when there is none. The read is linearizable; the bundle must not be changed.
 func (s *Service) ActiveBundle(ctx context.Context) (*protocol.Bundle, error) {
 	view, err := s.freshView(ctx)
@@ -119,7 +113,7 @@
 	if err != nil {
 		return 0, err
 	}
-	report, err := findStore(view, store)
+	report, err := view.ReportStore(store)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controlplane/core/http_test.go
+++ b/internal/controlplane/core/http_test.go
@@ -18,6 +18,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -42,7 +43,7 @@
 		private = key
 		keys, err := bundle.ParseKeys([]string{"ann:" + hex.EncodeToString(public)})
 		Expect(err).NotTo(HaveOccurred())
-		tokens, err := core.ParseTokens([]byte("# operators\nann " + strings.ReplaceAll(operatorToken, " ", "-") + "\n"))
+		tokens, err := operators.ParseTokens([]byte("# operators\nann " + strings.ReplaceAll(operatorToken, " ", "-") + "\n"))
 		Expect(err).NotTo(HaveOccurred())
 		f = newFleet(2, func(options *core.Options) { options.FirstKeys, options.Tokens = keys, tokens })
 		leader = f.lead(f.members[0])
--- a/internal/controlplane/core/leases/table.go
+++ b/internal/controlplane/core/leases/table.go
@@ -165,3 +165,20 @@
 		delete(t.entries, holder.Name)
 	}
 }
+
+// Status is what a leader knows of one lease at a time.
+type Status struct {
+	Holder Holder
+	// Remaining is how long the lease lasts unless it is renewed; negative once it expired.
+	Remaining time.Duration
+	InForce   Versions
+}
+
+// Status describes the lease of a holder, also of one that this leader has not heard from.
+func (t *Table) Status(holder Holder, now time.Time) Status {
+	status := Status{Holder: holder, Remaining: t.Expiry(holder).Sub(now)}
+	if lease := t.Find(holder); lease != nil {
+		status.InForce = lease.inForce
+	}
+	return status
+}
--- a/internal/controlplane/core/members_test.go
+++ b/internal/controlplane/core/members_test.go
@@ -10,6 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -18,7 +19,7 @@
 	var leader *member
 	const address = "10.0.0.7:7000"
 	BeforeEach(func() {
-		tokens, err := core.ParseTokens([]byte("ann " + strings.Repeat("t", 32) + "\n"))
+		tokens, err := operators.ParseTokens([]byte("ann " + strings.Repeat("t", 32) + "\n"))
 		Expect(err).NotTo(HaveOccurred())
 		f = newFleet(1, func(options *core.Options) { options.Tokens = tokens })
 		leader = f.lead(f.members[0])
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -5,7 +5,6 @@
 const metricsNamespace = "rosestand_core"
 
 type metrics struct {
-	orders        *prometheus.CounterVec
 	leases        *prometheus.CounterVec
 	backEndLeases *prometheus.CounterVec
 	// heartbeatBatches counts at both ends.
@@ -17,7 +16,6 @@
 	drains           *prometheus.CounterVec
 	reconciled       *prometheus.CounterVec
 	guards           prometheus.Counter
-	requests         *prometheus.CounterVec
 	versions         *prometheus.GaugeVec
 	ordersRetained   prometheus.Gauge
 	nodes            prometheus.Gauge
@@ -28,7 +26,6 @@
 // newMetrics makes the metrics and registers them where a registerer is given.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
-		orders:           counters("orders_total", "Orders of operators by kind and result code.", "kind", "result"),
 		leases:           counters("leases_total", "Leases of nodes by event.", "event"),
 		backEndLeases:    counters("back_end_leases_total", "Heartbeats and expiries of back ends by event.", "event"),
 		heartbeatBatches: counters("heartbeat_batches_total", "Batches of heartbeats between core members by what became of them.", "result"),
@@ -38,7 +35,6 @@
 		coalesced:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "polls_coalesced_total", Help: "Answers held back for the coalescing interval."}),
 		drains:           counters("drains_total", "Drains of back ends by how they ended.", "result"),
 		reconciled:       counters("reconciled_total", "Commands of the reconciler by result.", "result"),
-		requests:         counters("http_requests_total", "Requests of operators by result code.", "result"),
 		guards:           prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "guard_withdrawals_total", Help: "Candidates withdrawn by the guard of their roll-out."}),
 		versions:         prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: "section_version", Help: "Version of each section at the leader."}, []string{"section"}),
 		ordersRetained:   gauge("orders_remembered", "Orders whose first result is remembered."),
@@ -47,8 +43,8 @@
 		leading:          gauge("leading", "1 while this process leads."),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.orders, m.leases, m.backEndLeases, m.heartbeatBatches, m.polls, m.pollSections, m.pollBytes, m.coalesced, m.drains,
-			m.reconciled, m.requests, m.guards, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
+		registerer.MustRegister(m.leases, m.backEndLeases, m.heartbeatBatches, m.polls, m.pollSections, m.pollBytes, m.coalesced, m.drains,
+			m.reconciled, m.guards, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
 	}
 	return m
 }
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -11,6 +11,7 @@
 	"go.uber.org/fx"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -78,9 +79,9 @@
 	if err != nil {
 		return nil, err
 	}
-	tokens := &Tokens{}
+	tokens := &operators.Tokens{}
 	if path := settings.GetOperatorTokenFile(); path != "" {
-		if tokens, err = LoadTokens(path); err != nil {
+		if tokens, err = operators.LoadTokens(path); err != nil {
 			return nil, err
 		}
 	}
--- /dev/null
+++ b/internal/controlplane/core/operators/orders.go
@@ -0,0 +1,90 @@
+package operators
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/cockroachdb/errors"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/failure"
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// order proposes an operator's command under its order id and answers with the CommandResult. The kind labels its metrics.
+func (h *Handler) order(ctx context.Context, kind string, request *operatorRequest, command *protocol.Command) (*response, error) {
+	command.OrderId = request.orderID
+	result, err := h.proposer.Propose(ctx, command)
+	if err := h.recordResult(kind, request, result, err); err != nil {
+		return nil, err
+	}
+	return protoResponse(result)
+}
+
+// recordResult counts and logs how an order ended; it returns the error of the proposal, or a *rejectedError.
+func (h *Handler) recordResult(kind string, request *operatorRequest, result *protocol.CommandResult, err error) error {
+	if err != nil {
+		h.metrics.orders.WithLabelValues(kind, failure.From(err).GetCode()).Inc()
+		return err
+	}
+	if !result.GetAccepted() {
+		h.metrics.orders.WithLabelValues(kind, result.GetRefusal().GetCode()).Inc()
+		return &rejectedError{rejection: result.GetRefusal()}
+	}
+	h.metrics.orders.WithLabelValues(kind, "accepted").Inc()
+	h.logger.Info("order accepted", "kind", kind, "operator", request.operator, "order", request.orderID, "index", result.GetIndex())
+	return nil
+}
+
+// readBody parses the JSON body into a message; an empty body leaves it as it is.
+func readBody(request *operatorRequest, message proto.Message) error {
+	content, err := io.ReadAll(request.http.Body)
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		return failure.New(failure.BodyTooLarge, protocol.Outcome_NOT_RUN, fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit))
+	case err != nil:
+		return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "the body cannot be read: "+err.Error())
+	case len(bytes.TrimSpace(content)) == 0:
+		return nil
+	}
+	return bundle.ParseMessage(content, message)
+}
+
+// checkNamed rejects a body that names another object than the path; an empty name is none.
+func checkNamed(named, inPath, kind, field string) error {
+	if named == "" || named == inPath {
+		return nil
+	}
+	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "the body names another "+kind+" than the path", failure.WithPath(field))
+}
+
+func parseVersion(text string) (uint64, error) {
+	version, err := strconv.ParseUint(text, 10, 64)
+	if err != nil || version == 0 {
+		return 0, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a version is a number from 1", failure.WithPath("version"))
+	}
+	return version, nil
+}
+
+// queryNumber reads a number from the query, or the fallback where it is not set.
+func queryNumber(request *operatorRequest, name string, fallback uint64) (uint64, error) {
+	text := request.http.URL.Query().Get(name)
+	if text == "" {
+		return fallback, nil
+	}
+	number, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "must be a number", failure.WithPath(name))
+	}
+	return number, nil
+}
+
+func missingField(path string) error {
+	return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath(path))
+}
--- a/internal/controlplane/core/answers.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -1,4 +1,4 @@
-package core
+package operators
 
 import (
 	"encoding/json"
@@ -18,12 +18,14 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// refusedError is a refused order on its way to the operator.
+// rejectedError is an order that the control state rejected.
 type rejectedError struct {
-	refusal *protocol.Refusal
+	rejection *protocol.Refusal
 }
 
-func (e *rejectedError) Error() string { return e.refusal.GetCode() + ": " + e.refusal.GetMessage() }
+func (e *rejectedError) Error() string {
+	return e.rejection.GetCode() + ": " + e.rejection.GetMessage()
+}
 
 // errorBody is the JSON body of every failure.
 type errorBody struct {
@@ -44,16 +46,16 @@
 // encode writes a protobuf message as JSON with the field names of the .proto files.
 func encode(message proto.Message) (json.RawMessage, error) {
 	encoded, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(message)
-	return encoded, errors.Wrap(err, "encode answer")
+	return encoded, errors.Wrap(err, "encode response")
 }
 
-// protoAnswer answers with one protobuf message.
-func protoAnswer(message proto.Message) (*answer, error) {
+// protoResponse answers with one protobuf message.
+func protoResponse(message proto.Message) (*response, error) {
 	document, err := encode(message)
 	if err != nil {
 		return nil, err
 	}
-	return &answer{status: http.StatusOK, document: document}, nil
+	return okResponse(document), nil
 }
 
 func encodeList[T proto.Message](messages []T) ([]json.RawMessage, error) {
@@ -68,8 +70,8 @@
 	return encoded, nil
 }
 
-func (s *Service) writeAnswer(writer http.ResponseWriter, result *answer) {
-	s.metrics.requests.WithLabelValues("ok").Inc()
+func (h *Handler) writeResponse(writer http.ResponseWriter, result *response) {
+	h.metrics.requests.WithLabelValues("ok").Inc()
 	writeJSON(writer, result.status, result.document)
 }
 
@@ -84,23 +86,23 @@
 	_, _ = writer.Write(append(encoded, '\n'))
 }
 
-// writeError answers with a typed failure; a follower sends the operator on to the leader.
-func (s *Service) writeError(writer http.ResponseWriter, request *http.Request, err error) {
+// writeError answers with a typed failure; a follower redirects the operator to the leader.
+func (h *Handler) writeError(writer http.ResponseWriter, request *http.Request, err error) {
 	detail, status := describe(err)
 	if detail.Code == string(failure.NotLeader) {
-		detail, status = s.redirectToLeader(writer, request)
+		detail, status = h.redirectToLeader(writer, request)
 	}
-	s.metrics.requests.WithLabelValues(detail.Code).Inc()
+	h.metrics.requests.WithLabelValues(detail.Code).Inc()
 	if detail.RetryAfterMillis > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(detail.RetryAfterMillis)/1000))))
 	}
 	writeJSON(writer, status, errorBody{Error: detail})
 }
 
-// sendOn sets the leader's address, or says that there is no leader.
-func (s *Service) redirectToLeader(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
-	leader := s.consensus.Leader()
-	own := s.consensus.Status().GetId()
+// redirectToLeader sets the leader's address, or reports that there is no leader.
+func (h *Handler) redirectToLeader(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
+	leader := h.consensus.Leader()
+	own := h.consensus.Status().GetId()
 	if leader.GetHttpAddress() == "" || leader.GetId() == own {
 		return describe(controllog.NoLeader())
 	}
@@ -121,7 +123,7 @@
 func describe(err error) (errorDetail, int) {
 	var rejected *rejectedError
 	if errors.As(err, &rejected) {
-		return describeRejection(rejected.refusal)
+		return describeRejection(rejected.rejection)
 	}
 	var malformed *bundle.ParseError
 	if errors.As(err, &malformed) {
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -12,6 +12,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
@@ -44,7 +45,7 @@
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
-	Tokens *Tokens
+	Tokens *operators.Tokens
 	// TrustOperators takes orders without a token and lets the core sign off what is released.
 	TrustOperators bool
 	// BackEndLease is how long a back end stays in the view without a heartbeat.
@@ -65,14 +66,12 @@
 	proposer  *controllog.Proposer
 	owner     *owner
 	pacing    *pacing
-	tokens    *Tokens
-	// trustOperators takes orders without a token and releases without a signature.
+	operators *operators.Handler
+	// trustOperators lets ReleaseBundle sign off what it puts in force.
 	trustOperators bool
 	replicaCount   uint32
 	metrics        *metrics
 	logger         *log.Logger
-	// dispatchTable lists the routes of operators.
-	dispatchTable []operatorRoute
 }
 
 // New makes a service; Start sets it to work.
@@ -93,7 +92,7 @@
 		options.BackEndLease = DefaultBackEndLease
 	}
 	if options.Tokens == nil {
-		options.Tokens = &Tokens{}
+		options.Tokens = &operators.Tokens{}
 	}
 	service := &Service{
 		consensus: options.Consensus,
@@ -103,7 +102,6 @@
 		lease:     options.Lease,
 		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
 		pacing:    newPacing(options.CoalesceInterval),
-		tokens:    options.Tokens,
 
 		trustOperators: options.TrustOperators,
 		replicaCount:   options.ReplicaCount,
@@ -111,7 +109,15 @@
 		metrics: newMetrics(options.Registerer),
 		logger:  orDiscard(options.Logger),
 	}
-	service.dispatchTable = service.routes()
+	service.operators = operators.New(operators.Options{
+		ControlPlane:   operatorAccess{service},
+		Consensus:      options.Consensus,
+		Proposer:       service.proposer,
+		Tokens:         options.Tokens,
+		TrustOperators: options.TrustOperators,
+		Logger:         service.logger,
+		Registerer:     options.Registerer,
+	})
 	service.owner = &owner{
 		clock:           options.Clock,
 		consensus:       options.Consensus,
