--- /dev/null
+++ b/internal/controlplane/core/delivery.go
@@ -0,0 +1,32 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// pollAccess is the service as the delivery of views needs it.
+type pollAccess struct{ *Service }
+
+var _ delivery.ControlPlane = pollAccess{}
+
+// Barrier implements delivery.ControlPlane.
+func (a pollAccess) Barrier(ctx context.Context) error { return a.consensus.Barrier(ctx) }
+
+// Leadership implements delivery.ControlPlane.
+func (a pollAccess) Leadership() (lost <-chan struct{}, isLeader bool) {
+	return a.owner.currentLeadership()
+}
+
+// ConfirmVersions implements delivery.ControlPlane. It drops the update while the queue of the owner is full: the
+// next renewal of the lease confirms the same versions.
+func (a pollAccess) ConfirmVersions(holder leases.Holder, inForce *protocol.ControlVersions) {
+	select {
+	case a.owner.queue <- func(now time.Time) { a.owner.confirmVersions(holder, inForce, now) }:
+	default:
+	}
+}
--- a/internal/controlplane/core/pacing.go
+++ b/internal/controlplane/core/delivery/pacing.go
@@ -1,4 +1,4 @@
-package core
+package delivery
 
 import (
 	"sync"
@@ -9,15 +9,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// pacing remembers when each node was last sent something and what, so that a
-// burst of changes becomes few answers. Polls of all nodes ask it on their own
-// goroutines and hold it for a map access; it decides nothing that must be ordered.
+// minPacingSweepSize is the number of entries below which none are dropped.
+const minPacingSweepSize = 1024
+
+// pacing remembers when each node was last sent an update and which, so that a
+// burst of changes becomes few answers. Its mutex guards the fields below it and is
+// held for a map access only; nothing here needs an order between polls.
 type pacing struct {
 	interval time.Duration
 
 	mutex sync.Mutex
 	sent  map[string]sentAnswer
-	// sweepAt is the size at which old entries are dropped next.
+	// sweepSize is the size at which old entries are dropped next.
 	sweepSize int
 }
 
@@ -26,25 +29,23 @@
 	versions *protocol.ControlVersions
 }
 
-const minPacingSweepSize = 1024
-
 func newPacing(interval time.Duration) *pacing {
 	return &pacing{interval: interval, sent: map[string]sentAnswer{}, sweepSize: minPacingSweepSize}
 }
 
-// wait is how long the answer to a node is held back. A node that asks again for
-// what it was sent already, as after a lost answer, is not held back.
+// remainingWait is how long the answer to a node is delayed. A node that requests again
+// what it was sent already, as after a lost answer, does not wait.
 func (p *pacing) remainingWait(node string, versions *protocol.ControlVersions, now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	last, found := p.sent[node]
-	if !found || proto.Equal(last.versions, versions) {
+	last, known := p.sent[node]
+	if !known || proto.Equal(last.versions, versions) {
 		return 0
 	}
 	return max(0, min(p.interval, last.at.Add(p.interval).Sub(now)))
 }
 
-// note remembers an answer that carries news.
+// recordAnswer remembers an answer with an update.
 func (p *pacing) recordAnswer(node string, versions *protocol.ControlVersions, now time.Time) {
 	if node == "" || p.interval <= 0 {
 		return
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -35,7 +35,7 @@
 		renewed, err := s.renewLease(ctx, body.RenewLease)
 		return &protocol.Response{Body: &protocol.Response_RenewLease{RenewLease: renewed}}, err
 	case *protocol.Request_PollControl:
-		polled, err := s.pollControl(ctx, body.PollControl)
+		polled, err := s.poller.Poll(ctx, body.PollControl)
 		return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: polled}}, err
 	case *protocol.Request_RelayHeartbeats:
 		err := s.mergeRelayedHeartbeats(ctx, body.RelayHeartbeats.GetHeartbeats())
--- a/internal/controlplane/core/machine.go
+++ b/internal/controlplane/core/machine.go
@@ -9,35 +9,26 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 // Machine applies the control log to the control state and publishes an
 // immutable view after each command. Apply, Snapshot and Restore are called by
-// the replica's one owner goroutine; Current may be called from any.
+// the replica's owner goroutine alone; View may be called by any.
 type Machine struct {
-	state   *controlstate.State
-	current atomic.Pointer[published]
+	state     *controlstate.State
+	publisher *delivery.Publisher
 	// leading is true while this process leads; only the leader logs what changed.
 	leading atomic.Bool
 	logger  *log.Logger
 }
 
-// published is a view together with the signal that a newer one took its place.
-type published struct {
-	view *controlstate.View
-	// changed is closed when a section of the view has changed.
-	changed  chan struct{}
-	sections *sections
-}
-
 // NewMachine makes a machine with an empty state; logger may be nil.
 func NewMachine(logger *log.Logger) *Machine {
-	machine := &Machine{state: controlstate.New(), logger: orDiscard(logger)}
-	view := machine.state.View()
-	machine.current.Store(&published{view: view, changed: make(chan struct{}), sections: newSections(view, nil)})
-	return machine
+	state := controlstate.New()
+	return &Machine{state: state, publisher: delivery.NewPublisher(state.View()), logger: orDiscard(logger)}
 }
 
 // Apply carries out one committed command and returns its encoded CommandResult.
@@ -48,7 +39,7 @@
 		result = &protocol.CommandResult{Refusal: &protocol.Refusal{Code: string(failure.InvalidOrder), Message: "the command cannot be decoded"}}
 	} else {
 		result = m.state.Apply(index, decoded)
-		m.publish()
+		m.publisher.Publish(m.state.View())
 		if m.leading.Load() {
 			m.logChange(decoded, result)
 		}
@@ -60,20 +51,8 @@
 	return encoded
 }
 
-// publish puts the new view in place and wakes whoever waits for a change of a section.
-func (m *Machine) publish() {
-	former := m.current.Load()
-	view := m.state.View()
-	if proto.Equal(former.view.Versions(), view.Versions()) {
-		m.current.Store(&published{view: view, changed: former.changed, sections: former.sections})
-		return
-	}
-	m.current.Store(&published{view: view, changed: make(chan struct{}), sections: newSections(view, former.sections)})
-	close(former.changed)
-}
-
 // View returns the newest view.
-func (m *Machine) View() *controlstate.View { return m.current.Load().view }
+func (m *Machine) View() *controlstate.View { return m.publisher.View() }
 
 // Snapshot writes the whole state.
 func (m *Machine) Snapshot(writer io.Writer) error {
@@ -100,14 +79,14 @@
 		return err
 	}
 	m.state = state
-	m.publish()
+	m.publisher.Publish(m.state.View())
 	return nil
 }
 
 // logChange writes a line for each change that operators care about.
 func (m *Machine) logChange(command *protocol.Command, result *protocol.CommandResult) {
 	if !result.GetAccepted() {
-		m.logger.Debug("order refused", "code", result.GetRefusal().GetCode(), "message", result.GetRefusal().GetMessage())
+		m.logger.Debug("order rejected", "code", result.GetRefusal().GetCode(), "message", result.GetRefusal().GetMessage())
 		return
 	}
 	switch body := command.GetBody().(type) {
@@ -130,7 +109,7 @@
 	case *protocol.Command_InitializePlacement:
 		m.logger.Info("placement initialized", "shards", body.InitializePlacement.GetShardCount())
 	case *protocol.Command_EmptyStore:
-		m.logger.Info("store is being emptied", "store", body.EmptyStore.GetStore())
+		m.logger.Info("store emptying started", "store", body.EmptyStore.GetStore())
 	case *protocol.Command_RetireStore:
 		m.logger.Info("store retired", "store", body.RetireStore.GetStore())
 	}
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -9,10 +9,6 @@
 	backEndLeases *prometheus.CounterVec
 	// heartbeatBatches counts at both ends.
 	heartbeatBatches *prometheus.CounterVec
-	polls            *prometheus.CounterVec
-	pollSections     *prometheus.CounterVec
-	pollBytes        *prometheus.CounterVec
-	coalesced        prometheus.Counter
 	drains           *prometheus.CounterVec
 	reconciled       *prometheus.CounterVec
 	guards           prometheus.Counter
@@ -29,10 +25,6 @@
 		leases:           counters("leases_total", "Leases of nodes by event.", "event"),
 		backEndLeases:    counters("back_end_leases_total", "Heartbeats and expiries of back ends by event.", "event"),
 		heartbeatBatches: counters("heartbeat_batches_total", "Batches of heartbeats between core members by what became of them.", "result"),
-		polls:            counters("polls_total", "Polls of nodes by how they ended.", "result"),
-		pollSections:     counters("poll_sections_total", "Sections sent to nodes by kind.", "section"),
-		pollBytes:        counters("poll_bytes_total", "Bytes of the sections sent to nodes by kind, before framing.", "section"),
-		coalesced:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "polls_coalesced_total", Help: "Answers held back for the coalescing interval."}),
 		drains:           counters("drains_total", "Drains of back ends by how they ended.", "result"),
 		reconciled:       counters("reconciled_total", "Commands of the reconciler by result.", "result"),
 		guards:           prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "guard_withdrawals_total", Help: "Candidates withdrawn by the guard of their roll-out."}),
@@ -43,7 +35,7 @@
 		leading:          gauge("leading", "1 while this process leads."),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.leases, m.backEndLeases, m.heartbeatBatches, m.polls, m.pollSections, m.pollBytes, m.coalesced, m.drains,
+		registerer.MustRegister(m.leases, m.backEndLeases, m.heartbeatBatches, m.drains,
 			m.reconciled, m.guards, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
 	}
 	return m
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
 	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -55,11 +56,11 @@
 // watchSuspects answers as soon as there are suspects of another version than the one known, or without any when the time
 // asked for is over.
 func (s *Service) watchSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
-	leadership := s.owner.leadership.Load()
-	if leadership == nil || !s.consensus.IsLeader() {
+	leadershipLost, isLeader := s.owner.currentLeadership()
+	if !isLeader {
 		return nil, controllog.NotLeader()
 	}
-	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxPollWait))
+	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, delivery.MaxPollWait))
 	defer timer.Stop()
 	for {
 		answer, changed, err := s.newSuspects(ctx, request)
@@ -70,7 +71,7 @@
 		case <-changed:
 		case <-timer.C():
 			return &protocol.WatchSuspectsResponse{Version: request.GetKnown()}, nil
-		case <-leadership.lost:
+		case <-leadershipLost:
 			return nil, controllog.NotLeader()
 		case <-ctx.Done():
 			return nil, controllog.Interrupted(ctx)
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -189,7 +189,16 @@
 	o.logger.Info("no longer leading")
 }
 
-// leads reports whether this process leads at this moment, as the owner and the replica both see it.
+// currentLeadership returns the channel that is closed at the end of the present leadership, if this process leads.
+func (o *owner) currentLeadership() (lost <-chan struct{}, isLeader bool) {
+	current := o.leadership.Load()
+	if current == nil || !o.consensus.IsLeader() {
+		return nil, false
+	}
+	return current.lost, true
+}
+
+// isLeader reports whether this process leads at this moment, as the owner and the replica both see it.
 func (o *owner) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
 
 func (o *owner) tick(now time.Time) {
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,6 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
 	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
@@ -40,7 +41,7 @@
 	Lease        time.Duration
 	ShardCount   uint32
 	ReplicaCount uint32
-	// Coalesce is the shortest time between two answers with news to the same node; negative turns it off.
+	// Coalesce is the shortest time between two answers with an update to the same node; negative turns it off.
 	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
@@ -65,7 +66,7 @@
 	lease     time.Duration
 	proposer  *controllog.Proposer
 	owner     *owner
-	pacing    *pacing
+	poller    *delivery.Poller
 	operators *operators.Handler
 	// trustOperators lets ReleaseBundle sign off what it puts in force.
 	trustOperators bool
@@ -101,7 +102,6 @@
 		caller:    options.Caller,
 		lease:     options.Lease,
 		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
-		pacing:    newPacing(options.CoalesceInterval),
 
 		trustOperators: options.TrustOperators,
 		replicaCount:   options.ReplicaCount,
@@ -109,6 +109,13 @@
 		metrics: newMetrics(options.Registerer),
 		logger:  orDiscard(options.Logger),
 	}
+	service.poller = delivery.NewPoller(delivery.Options{
+		ControlPlane:     pollAccess{service},
+		Publisher:        options.Machine.publisher,
+		Clock:            options.Clock,
+		CoalesceInterval: options.CoalesceInterval,
+		Registerer:       options.Registerer,
+	})
 	service.operators = operators.New(operators.Options{
 		ControlPlane:   operatorAccess{service},
 		Consensus:      options.Consensus,
