--- a/internal/state/register/acceptor.go
+++ b/internal/state/register/acceptor.go
@@ -15,21 +15,21 @@
 }
 
 // StateOf reads a state from its message.
-func StateOf(message *protocol.RegisterState) State {
+func StateFromProto(message *protocol.RegisterState) State {
 	return State{
-		Promised: BallotOf(message.GetPromised()),
-		Accepted: BallotOf(message.GetAccepted()),
+		Promised: BallotFromProto(message.GetPromised()),
+		Accepted: BallotFromProto(message.GetAccepted()),
 		Value:    message.GetValue(),
 		Learned:  message.GetLearned(),
 	}
 }
 
 // Message gives the state of a key as a message.
-func (s State) Message(key *protocol.RegisterKey) *protocol.RegisterState {
+func (s State) ToProto(key *protocol.RegisterKey) *protocol.RegisterState {
 	return &protocol.RegisterState{
 		Key:      key,
-		Promised: s.Promised.Message(),
-		Accepted: s.Accepted.Message(),
+		Promised: s.Promised.ToProto(),
+		Accepted: s.Accepted.ToProto(),
 		Value:    s.Value,
 		Learned:  s.Learned,
 	}
@@ -41,12 +41,12 @@
 // and promises nothing.
 func (s State) Prepare(ballot Ballot) (next State, answer *protocol.PrepareResponse, changed bool) {
 	answer = &protocol.PrepareResponse{
-		Accepted: s.Accepted.Message(),
+		Accepted: s.Accepted.ToProto(),
 		Value:    s.Value,
 		Learned:  s.Learned,
 	}
 	if ballot.IsZero() || ballot.Less(s.Promised) {
-		answer.Seen = s.Promised.Message()
+		answer.Seen = s.Promised.ToProto()
 		return s, answer, false
 	}
 	answer.Promised = true
@@ -64,7 +64,7 @@
 		return s, &protocol.AcceptResponse{Accepted: true}, false
 	}
 	if ballot.IsZero() || ballot.Less(s.Promised) {
-		return s, &protocol.AcceptResponse{Seen: s.Promised.Message()}, false
+		return s, &protocol.AcceptResponse{Seen: s.Promised.ToProto()}, false
 	}
 	accepted := State{Promised: maxBallot(ballot, nextBallot), Accepted: ballot, Value: value}
 	return accepted, &protocol.AcceptResponse{Accepted: true}, true
--- a/internal/state/register/ballot.go
+++ b/internal/state/register/ballot.go
@@ -23,12 +23,12 @@
 }
 
 // BallotOf reads a ballot from a message; nil is the zero ballot.
-func BallotOf(message *protocol.Ballot) Ballot {
+func BallotFromProto(message *protocol.Ballot) Ballot {
 	return Ballot{Counter: message.GetCounter(), Proposer: message.GetProposer()}
 }
 
 // Message gives the ballot as a message; the zero ballot is nil.
-func (b Ballot) Message() *protocol.Ballot {
+func (b Ballot) ToProto() *protocol.Ballot {
 	if b.IsZero() {
 		return nil
 	}
@@ -56,27 +56,27 @@
 }
 
 // Ballots hands out the ballots of one proposer, each larger than any before on any key.
-type Ballots struct {
+type BallotGenerator struct {
 	proposer string
 	counter  uint64
 }
 
 // NewBallots begins with the first ballot of a proposer whose name no process used before.
-func NewBallots(proposer string) *Ballots {
-	return &Ballots{proposer: proposer}
+func NewBallotGenerator(proposer string) *BallotGenerator {
+	return &BallotGenerator{proposer: proposer}
 }
 
 // Advance makes the next ballot larger than any that was given before a time in Unix
 // milliseconds by proposers whose clocks agree. Replicas forget registers that nobody wrote
 // for long; one that missed the end still holds the old value, and every later ballot must be above it.
-func (b *Ballots) Advance(unixMillis int64) {
+func (b *BallotGenerator) Advance(unixMillis int64) {
 	if unixMillis > 0 {
 		b.counter = max(b.counter, uint64(unixMillis))
 	}
 }
 
 // Next gives a ballot larger than the ones seen and than all given before.
-func (b *Ballots) Next(seen ...Ballot) Ballot {
+func (b *BallotGenerator) Next(seen ...Ballot) Ballot {
 	for _, ballot := range seen {
 		b.counter = max(b.counter, ballot.Counter)
 	}
--- a/internal/state/register/change.go
+++ b/internal/state/register/change.go
@@ -9,12 +9,12 @@
 // Function gives the new value for the newest one, nil for a register never
 // written. Returning changed false leaves the value as it is. It may be called
 // again with another value after a lost race, so it must be idempotent.
-type Function func(current []byte) (next []byte, changed bool)
+type UpdateFunc func(current []byte) (next []byte, changed bool)
 
 // Head is what a proposer knows of a register after its own change was chosen:
 // a majority promised Ballot along with Value under the placement epoch, so the
 // next change may skip its prepare round.
-type Head struct {
+type PreparedProposal struct {
 	Epoch  uint64
 	Ballot Ballot
 	Value  []byte
@@ -25,7 +25,7 @@
 
 const (
 	// StatusUnderWay waits for answers.
-	StatusUnderWay Status = iota
+	StatusInProgress Status = iota
 	// StatusPreempted lost against a higher ballot and waits for Retry.
 	StatusPreempted
 	// StatusUnavailable found no majority; it waits for Retry.
@@ -40,10 +40,10 @@
 // Message is a request to one replica; exactly one of Prepare and Accept is set.
 // Round tells late answers apart.
 type Message struct {
-	Store   string
-	Round   uint64
-	Prepare *protocol.PrepareRequest
-	Accept  *protocol.AcceptRequest
+	Store       string
+	PhaseNumber uint64
+	Prepare     *protocol.PrepareRequest
+	Accept      *protocol.AcceptRequest
 }
 
 type phase int
@@ -60,31 +60,31 @@
 	Shard   uint32
 	Epoch   uint64
 	Quorum  Quorum
-	Ballots *Ballots
+	Ballots *BallotGenerator
 	// Function is applied to the newest value. When nil the change is a read.
-	Function Function
+	Update UpdateFunc
 	// Head, when of the same epoch, skips the prepare round.
-	Head Head
+	PreparedProposal PreparedProposal
 }
 
 // Change takes one register through prepare and accept. It is driven by its
 // owner: Start and Retry return messages to send, the answers come back through
 // Prepared, Accepted and Failed.
 type Change struct {
-	options   ChangeOptions
-	members   []string
-	round     uint64
-	phase     phase
-	status    Status
-	ballot    Ballot
-	next      Ballot
-	value     []byte
-	seen      Ballot
-	seenEpoch uint64
-	votes     []string
-	failed    []string
-	newest    Ballot
-	unanimous bool
+	options        ChangeOptions
+	members        []string
+	phaseNumber    uint64
+	phase          phase
+	status         Status
+	ballot         Ballot
+	nextBallot     Ballot
+	value          []byte
+	seenBallot     Ballot
+	seenEpoch      uint64
+	votes          []string
+	failed         []string
+	newestAccepted Ballot
+	unanimous      bool
 }
 
 // NewChange makes a change that has not begun.
@@ -102,21 +102,21 @@
 func (c *Change) SeenEpoch() uint64 { return c.seenEpoch }
 
 // Head lets the next change skip its prepare round. Its ballot is zero when it cannot.
-func (c *Change) Head() Head {
+func (c *Change) PreparedProposal() PreparedProposal {
 	if c.status != StatusChosen || c.phase != phaseAccepting {
-		return Head{}
+		return PreparedProposal{}
 	}
-	return Head{Epoch: c.options.Epoch, Ballot: c.next, Value: c.value}
+	return PreparedProposal{Epoch: c.options.Epoch, Ballot: c.nextBallot, Value: c.value}
 }
 
 // Start gives the first messages. It is called once.
 func (c *Change) Start() []Message {
-	if c.options.Function == nil {
+	if c.options.Update == nil {
 		return c.read()
 	}
-	if head := c.options.Head; !head.Ballot.IsZero() && head.Epoch == c.options.Epoch {
-		c.ballot = head.Ballot
-		return c.accept(head.Value)
+	if prepared := c.options.PreparedProposal; !prepared.Ballot.IsZero() && prepared.Epoch == c.options.Epoch {
+		c.ballot = prepared.Ballot
+		return c.accept(prepared.Value)
 	}
 	return c.prepare()
 }
@@ -129,10 +129,10 @@
 	return c.prepare()
 }
 
-func (c *Change) beginRound(phase phase) {
-	c.round++
+func (c *Change) beginPhase(phase phase) {
+	c.phaseNumber++
 	c.phase = phase
-	c.status = StatusUnderWay
+	c.status = StatusInProgress
 	c.votes = c.votes[:0]
 	c.failed = c.failed[:0]
 }
@@ -141,9 +141,9 @@
 // value is chosen, and no later one was when the read began. Otherwise the read
 // goes on as a change that leaves the value as it is, and so repairs it.
 func (c *Change) read() []Message {
-	c.beginRound(phaseReading)
+	c.beginPhase(phaseReading)
 	c.resetNewest()
-	return c.toAll(func(message *Message) {
+	return c.broadcast(func(message *Message) {
 		message.Prepare = &protocol.PrepareRequest{
 			Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
 		}
@@ -151,36 +151,36 @@
 }
 
 func (c *Change) prepare() []Message {
-	c.beginRound(phasePreparing)
+	c.beginPhase(phasePreparing)
 	c.resetNewest()
-	c.ballot = c.options.Ballots.Next(c.seen, c.ballot, c.next)
+	c.ballot = c.options.Ballots.Next(c.seenBallot, c.ballot, c.nextBallot)
 	request := &protocol.PrepareRequest{
-		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key, Ballot: c.ballot.Message(),
+		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key, Ballot: c.ballot.ToProto(),
 	}
-	return c.toAll(func(message *Message) { message.Prepare = request })
+	return c.broadcast(func(message *Message) { message.Prepare = request })
 }
 
 // accept proposes the function's value of current under the ballot at hand.
 func (c *Change) accept(current []byte) []Message {
-	c.beginRound(phaseAccepting)
+	c.beginPhase(phaseAccepting)
 	c.value = current
-	if c.options.Function != nil {
-		if next, changed := c.options.Function(current); changed {
+	if c.options.Update != nil {
+		if next, changed := c.options.Update(current); changed {
 			c.value = next
 		}
 	}
-	c.next = c.options.Ballots.Next(c.ballot)
+	c.nextBallot = c.options.Ballots.Next(c.ballot)
 	request := &protocol.AcceptRequest{
 		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
-		Ballot: c.ballot.Message(), Value: c.value, NextBallot: c.next.Message(),
+		Ballot: c.ballot.ToProto(), Value: c.value, NextBallot: c.nextBallot.ToProto(),
 	}
-	return c.toAll(func(message *Message) { message.Accept = request })
+	return c.broadcast(func(message *Message) { message.Accept = request })
 }
 
-func (c *Change) toAll(fill func(*Message)) []Message {
+func (c *Change) broadcast(fill func(*Message)) []Message {
 	messages := make([]Message, 0, len(c.members))
 	for _, store := range c.members {
-		message := Message{Store: store, Round: c.round}
+		message := Message{Store: store, PhaseNumber: c.phaseNumber}
 		fill(&message)
 		messages = append(messages, message)
 	}
@@ -188,45 +188,45 @@
 }
 
 func (c *Change) resetNewest() {
-	c.newest = Ballot{}
+	c.newestAccepted = Ballot{}
 	c.value = nil
 	c.unanimous = true
 }
 
 // Prepared takes the answer to a prepare message of the round.
-func (c *Change) Prepared(store string, round uint64, answer *protocol.PrepareResponse) []Message {
-	if !c.expects(store, round) || c.phase == phaseAccepting {
+func (c *Change) HandlePrepareResponse(store string, phaseNumber uint64, answer *protocol.PrepareResponse) []Message {
+	if !c.expectsAnswer(store, phaseNumber) || c.phase == phaseAccepting {
 		return nil
 	}
 	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.refused(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
 	}
-	c.seen = maxBallot(c.seen, BallotOf(answer.GetSeen()))
+	c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
 	if c.phase == phasePreparing && !answer.GetPromised() {
-		c.fail(store, StatusPreempted)
+		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
-	c.takeValue(answer)
+	c.mergeValue(answer)
 	c.votes = append(c.votes, store)
-	if !c.options.Quorum.Reached(c.voted) {
+	if !c.options.Quorum.Reached(c.hasVoted) {
 		return nil
 	}
-	return c.prepared()
+	return c.finishPrepare()
 }
 
 // takeValue keeps the value of the highest ballot and whether all votes agree on it.
-func (c *Change) takeValue(answer *protocol.PrepareResponse) {
-	accepted := BallotOf(answer.GetAccepted())
-	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newest) {
+func (c *Change) mergeValue(answer *protocol.PrepareResponse) {
+	accepted := BallotFromProto(answer.GetAccepted())
+	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newestAccepted) {
 		c.unanimous = false
 	}
-	if len(c.votes) == 0 || c.newest.Less(accepted) {
-		c.newest = accepted
+	if len(c.votes) == 0 || c.newestAccepted.Less(accepted) {
+		c.newestAccepted = accepted
 		c.value = answer.GetValue()
 	}
 }
 
-func (c *Change) prepared() []Message {
+func (c *Change) finishPrepare() []Message {
 	if c.phase == phaseReading {
 		if c.unanimous {
 			c.status = StatusChosen
@@ -234,7 +234,7 @@
 		}
 		return c.prepare()
 	}
-	if c.unanimous && !c.changes(c.value) {
+	if c.unanimous && !c.wouldChange(c.value) {
 		c.status = StatusChosen
 		return nil
 	}
@@ -243,53 +243,53 @@
 
 // changes asks the function about a value that is known to be chosen, since
 // nothing needs to be written when it stays as it is.
-func (c *Change) changes(current []byte) bool {
-	if c.options.Function == nil {
+func (c *Change) wouldChange(current []byte) bool {
+	if c.options.Update == nil {
 		return false
 	}
-	_, changed := c.options.Function(current)
+	_, changed := c.options.Update(current)
 	return changed
 }
 
 // Accepted takes the answer to an accept message of the round.
-func (c *Change) Accepted(store string, round uint64, answer *protocol.AcceptResponse) []Message {
-	if !c.expects(store, round) || c.phase != phaseAccepting {
+func (c *Change) HandleAcceptResponse(store string, phaseNumber uint64, answer *protocol.AcceptResponse) []Message {
+	if !c.expectsAnswer(store, phaseNumber) || c.phase != phaseAccepting {
 		return nil
 	}
 	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.refused(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
 	}
 	if !answer.GetAccepted() {
-		c.seen = maxBallot(c.seen, BallotOf(answer.GetSeen()))
-		c.fail(store, StatusPreempted)
+		c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
+		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
 	c.votes = append(c.votes, store)
-	if c.options.Quorum.Reached(c.voted) {
+	if c.options.Quorum.Reached(c.hasVoted) {
 		c.status = StatusChosen
 	}
 	return nil
 }
 
 // Failed says that no answer to the round will come from the store.
-func (c *Change) Failed(store string, round uint64) {
-	if c.expects(store, round) {
-		c.fail(store, StatusUnavailable)
+func (c *Change) HandleFailure(store string, phaseNumber uint64) {
+	if c.expectsAnswer(store, phaseNumber) {
+		c.recordFailure(store, StatusUnavailable)
 	}
 }
 
-func (c *Change) refused(store string, refusal protocol.ReplicaRefusal, epoch uint64) []Message {
-	if refusal == protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT && epoch > c.options.Epoch {
+func (c *Change) handleRejection(store string, rejection protocol.ReplicaRefusal, epoch uint64) []Message {
+	if rejection == protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT && epoch > c.options.Epoch {
 		c.seenEpoch = max(c.seenEpoch, epoch)
-		c.fail(store, StatusWrongPlacement)
+		c.recordFailure(store, StatusWrongPlacement)
 		return nil
 	}
-	c.fail(store, StatusUnavailable)
+	c.recordFailure(store, StatusUnavailable)
 	return nil
 }
 
 // fail counts a store out; the change stops when no majority is left.
-func (c *Change) fail(store string, status Status) {
+func (c *Change) recordFailure(store string, status Status) {
 	c.failed = append(c.failed, store)
 	if !c.options.Quorum.Lost(func(s string) bool { return slices.Contains(c.failed, s) }) {
 		return
@@ -300,9 +300,9 @@
 	}
 }
 
-func (c *Change) voted(store string) bool { return slices.Contains(c.votes, store) }
+func (c *Change) hasVoted(store string) bool { return slices.Contains(c.votes, store) }
 
-func (c *Change) expects(store string, round uint64) bool {
-	return c.status == StatusUnderWay && round == c.round &&
+func (c *Change) expectsAnswer(store string, phaseNumber uint64) bool {
+	return c.status == StatusInProgress && phaseNumber == c.phaseNumber &&
 		!slices.Contains(c.votes, store) && !slices.Contains(c.failed, store) && slices.Contains(c.members, store)
 }
--- a/internal/state/register/quorum.go
+++ b/internal/state/register/quorum.go
@@ -15,11 +15,11 @@
 }
 
 // QuorumOf names the stores of a shard.
-func QuorumOf(placement *protocol.ShardPlacement) Quorum {
-	return Quorum{Current: storesOf(placement.GetCurrent()), Next: storesOf(placement.GetNext())}
+func NewQuorum(placement *protocol.ShardPlacement) Quorum {
+	return Quorum{Current: storeNames(placement.GetCurrent()), Next: storeNames(placement.GetNext())}
 }
 
-func storesOf(replicas []*protocol.Replica) []string {
+func storeNames(replicas []*protocol.Replica) []string {
 	var stores []string
 	for _, replica := range replicas {
 		stores = append(stores, replica.GetStore())
@@ -40,7 +40,7 @@
 
 // Reached reports whether the stores that hold give a majority of each set.
 func (q Quorum) Reached(holds func(store string) bool) bool {
-	return majority(q.Current, holds) && (len(q.Next) == 0 || majority(q.Next, holds))
+	return hasMajority(q.Current, holds) && (len(q.Next) == 0 || hasMajority(q.Next, holds))
 }
 
 // Lost reports whether no majority is possible any more once these stores failed.
@@ -48,7 +48,7 @@
 	return !q.Reached(func(store string) bool { return !failed(store) })
 }
 
-func majority(stores []string, holds func(string) bool) bool {
+func hasMajority(stores []string, holds func(string) bool) bool {
 	count := 0
 	for _, store := range stores {
 		if holds(store) {
--- a/internal/state/register/role.go
+++ b/internal/state/register/role.go
@@ -19,7 +19,7 @@
 
 // RoleOf tells the role of a store in a shard. A store that is named with
 // another storage id has lost the data that the placement speaks of.
-func RoleOf(placement *protocol.ShardPlacement, store, storageID string) Role {
+func ShardRole(placement *protocol.ShardPlacement, store, storageID string) Role {
 	if replica := findReplica(placement.GetCurrent(), store); replica != nil {
 		if replica.GetStorageId() != storageID || replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING {
 			return RoleRebuilding
@@ -42,7 +42,7 @@
 }
 
 // EpochOf gives the epoch that requests about the shard must name.
-func EpochOf(placement *protocol.Placement, shard *protocol.ShardPlacement) uint64 {
+func ShardEpoch(placement *protocol.Placement, shard *protocol.ShardPlacement) uint64 {
 	if shard.GetEpoch() != 0 {
 		return shard.GetEpoch()
 	}
--- a/internal/state/register/shard_view.go
+++ b/internal/state/register/shard_view.go
@@ -14,21 +14,21 @@
 	Role   Role
 	Quorum Quorum
 	// Placed is the entry of the placement. It is not changed.
-	Placed *protocol.ShardPlacement
+	Placement *protocol.ShardPlacement
 }
 
 // ViewOf reads an entry of the placement as the named store must.
-func ViewOf(placement *protocol.Placement, placed *protocol.ShardPlacement, store, storageID string) ShardView {
+func NewShardView(placement *protocol.Placement, placed *protocol.ShardPlacement, store, storageID string) ShardView {
 	return ShardView{
-		Shard:  placed.GetShard(),
-		Epoch:  EpochOf(placement, placed),
-		Role:   RoleOf(placed, store, storageID),
-		Quorum: QuorumOf(placed),
-		Placed: placed,
+		Shard:     placed.GetShard(),
+		Epoch:     ShardEpoch(placement, placed),
+		Role:      ShardRole(placed, store, storageID),
+		Quorum:    NewQuorum(placed),
+		Placement: placed,
 	}
 }
 
-const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
+const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
 // Refusal tells why a replica may not answer a request that names an epoch;
 // REPLICA_REFUSAL_UNSPECIFIED when it may.
@@ -41,26 +41,26 @@
 	case !v.Role.Votes():
 		return protocol.ReplicaRefusal_REPLICA_NOT_READY
 	default:
-		return notRefused
+		return notRejected
 	}
 }
 
 // CopyRefusal tells why a shard may not be copied from this replica. Only a
 // complete one under the same epoch counts: it has stopped to vote under older
 // placements before it shows what it holds.
-func (v ShardView) CopyRefusal(epoch uint64) protocol.ReplicaRefusal {
-	if refusal := v.Rejection(epoch); refusal != notRefused {
-		return refusal
+func (v ShardView) CopyRejection(epoch uint64) protocol.ReplicaRefusal {
+	if rejection := v.Rejection(epoch); rejection != notRejected {
+		return rejection
 	}
 	if v.Role != RoleActive {
 		return protocol.ReplicaRefusal_REPLICA_NOT_READY
 	}
-	return notRefused
+	return notRejected
 }
 
 // SourcesNeeded is how many other replicas of the current set must be read in
 // full so that everything ever chosen is among what they hold.
-func (v ShardView) SourcesNeeded() int {
+func (v ShardView) RequiredSources() int {
 	replicas := len(v.Quorum.Current)
 	majority := replicas/2 + 1
 	if v.Role == RoleRebuilding {
@@ -74,7 +74,7 @@
 // when this view follows the one before. What is left of an earlier membership
 // may hold proposals that the replicas of today never promised away. The view
 // before is the zero view at the start of a process.
-func (v ShardView) StartsEmpty(before ShardView) bool {
+func (v ShardView) RequiresReset(before ShardView) bool {
 	switch v.Role {
 	case RoleActive:
 		return false
@@ -84,25 +84,25 @@
 	if before.Role != v.Role {
 		return true
 	}
-	if v.Role == RoleJoining && v.Placed.GetEpoch() != 0 {
+	if v.Role == RoleJoining && v.Placement.GetEpoch() != 0 {
 		return before.Epoch != v.Epoch
 	}
-	return replicasOf(before.Placed) != replicasOf(v.Placed)
+	return replicaIdentities(before.Placement) != replicaIdentities(v.Placement)
 }
 
 // WaitsForCopy reports whether the placement waits for the store to copy the shard.
-func (v ShardView) WaitsForCopy(store, storageID string) bool {
+func (v ShardView) NeedsCopy(store, storageID string) bool {
 	switch v.Role {
 	case RoleJoining:
 		return true
 	case RoleRebuilding:
-		return findReplica(v.Placed.GetCurrent(), store).GetStorageId() == storageID
+		return findReplica(v.Placement.GetCurrent(), store).GetStorageId() == storageID
 	default:
 		return false
 	}
 }
 
-func replicasOf(placed *protocol.ShardPlacement) string {
+func replicaIdentities(placed *protocol.ShardPlacement) string {
 	var text strings.Builder
 	for _, replicas := range [][]*protocol.Replica{placed.GetCurrent(), placed.GetNext()} {
 		for _, replica := range replicas {
--- a/internal/state/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -54,12 +54,12 @@
 // caller makes one operation after the other through a proposer of its own.
 type caller struct {
 	id      int
-	ballots *register.Ballots
+	ballots *register.BallotGenerator
 	change  *register.Change
 	value   string
 	read    bool
 	began   int64
-	head    register.Head
+	head    register.PreparedProposal
 }
 
 func newWorld(seed uint64, chosen faults) *world {
@@ -81,7 +81,7 @@
 	}
 	w.placement = &protocol.Placement{Epoch: 1, Shards: []*protocol.ShardPlacement{placed}}
 	for id := range 3 {
-		w.callers = append(w.callers, &caller{id: id, ballots: register.NewBallots(fmt.Sprintf("p%d", id))})
+		w.callers = append(w.callers, &caller{id: id, ballots: register.NewBallotGenerator(fmt.Sprintf("p%d", id))})
 	}
 	for _, each := range w.replicas {
 		w.adopt(each)
@@ -93,11 +93,11 @@
 
 // adopt makes a replica act under the placement in force.
 func (w *world) adopt(r *replica) {
-	next := register.ViewOf(w.placement, w.shard(), r.name, r.storageID)
+	next := register.NewShardView(w.placement, w.shard(), r.name, r.storageID)
 	if next.Epoch == r.view.Epoch {
 		return
 	}
-	if next.StartsEmpty(r.view) {
+	if next.RequiresReset(r.view) {
 		r.state, r.sources = register.State{}, nil
 	}
 	r.view = next
@@ -170,7 +170,7 @@
 		w.send(c, c.change.Retry())
 	case register.StatusWrongPlacement:
 		w.beginChange(c)
-	case register.StatusUnderWay:
+	case register.StatusInProgress:
 		if w.random.IntN(30) == 0 {
 			w.beginChange(c)
 		}
@@ -190,16 +190,16 @@
 func (w *world) beginChange(c *caller) {
 	value := c.value
 	options := register.ChangeOptions{
-		Key:     &protocol.RegisterKey{Program: "p"},
-		Epoch:   register.EpochOf(w.placement, w.shard()),
-		Quorum:  register.QuorumOf(w.shard()),
-		Ballots: c.ballots,
-		Head:    c.head,
+		Key:              &protocol.RegisterKey{Program: "p"},
+		Epoch:            register.ShardEpoch(w.placement, w.shard()),
+		Quorum:           register.NewQuorum(w.shard()),
+		Ballots:          c.ballots,
+		PreparedProposal: c.head,
 	}
 	if !c.read {
-		options.Function = func(current []byte) ([]byte, bool) { return appendOnce(current, value) }
+		options.Update = func(current []byte) ([]byte, bool) { return appendOnce(current, value) }
 	}
-	c.head = register.Head{}
+	c.head = register.PreparedProposal{}
 	c.change = register.NewChange(options)
 	w.send(c, c.change.Start())
 }
@@ -226,17 +226,21 @@
 	if message.Prepare != nil {
 		answer := &protocol.PrepareResponse{Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 		if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-			r.state, answer, _ = r.state.Prepare(register.BallotOf(message.Prepare.GetBallot()))
+			r.state, answer, _ = r.state.Prepare(register.BallotFromProto(message.Prepare.GetBallot()))
 		}
-		w.answer(c, change, func() []register.Message { return change.Prepared(message.Store, message.Round, answer) })
+		w.answer(c, change, func() []register.Message {
+			return change.HandlePrepareResponse(message.Store, message.PhaseNumber, answer)
+		})
 		return
 	}
 	request := message.Accept
 	answer := &protocol.AcceptResponse{Refusal: r.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 	if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		r.state, answer, _ = r.state.Accept(register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
+		r.state, answer, _ = r.state.Accept(register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	}
-	w.answer(c, change, func() []register.Message { return change.Accepted(message.Store, message.Round, answer) })
+	w.answer(c, change, func() []register.Message {
+		return change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer)
+	})
 }
 
 func (w *world) answer(c *caller, change *register.Change, deliver func() []register.Message) {
@@ -260,7 +264,7 @@
 	w.history = append(w.history, porcupine.Operation{
 		ClientId: c.id, Input: input, Call: c.began, Output: output, Return: w.now,
 	})
-	c.head = c.change.Head()
+	c.head = c.change.PreparedProposal()
 	c.change = nil
 	w.counts["chosen"]++
 }
@@ -315,7 +319,7 @@
 	}
 	leaves := w.random.IntN(3)
 	joins := slices.IndexFunc(w.names, func(name string) bool {
-		return !slices.Contains(register.QuorumOf(w.shard()).Current, name)
+		return !slices.Contains(register.NewQuorum(w.shard()).Current, name)
 	})
 	joining := w.replicas[w.names[joins]]
 	w.place(func(placed *protocol.ShardPlacement) {
@@ -329,19 +333,19 @@
 
 // copyOne reads one more source for a replica that is copied, and reports it once enough were read.
 func (w *world) copyOne(r *replica) {
-	if !r.view.WaitsForCopy(r.name, r.storageID) {
+	if !r.view.NeedsCopy(r.name, r.storageID) {
 		return
 	}
 	source := w.replicas[r.view.Quorum.Current[w.random.IntN(3)]]
 	if source == r || slices.Contains(r.sources, source.name) ||
-		source.view.CopyRefusal(r.view.Epoch) != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
+		source.view.CopyRejection(r.view.Epoch) != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
 		return
 	}
 	if !source.state.Accepted.IsZero() {
 		r.state, _ = r.state.Learn(source.state.Accepted, source.state.Value)
 	}
 	r.sources = append(r.sources, source.name)
-	if len(r.sources) < r.view.SourcesNeeded() || w.placement.GetEpoch() != r.view.Epoch {
+	if len(r.sources) < r.view.RequiredSources() || w.placement.GetEpoch() != r.view.Epoch {
 		return
 	}
 	w.counts["copied"]++
--- a/internal/state/store/copy.go
+++ b/internal/state/store/copy.go
@@ -75,7 +75,7 @@
 	for {
 		pause := copyCheck
 		for _, view := range s.watch.current.Load().shards {
-			if !view.WaitsForCopy(s.options.Self.GetName(), s.options.Self.GetStorageId()) {
+			if !view.NeedsCopy(s.options.Self.GetName(), s.options.Self.GetStorageId()) {
 				continue
 			}
 			pause = copyRetry
@@ -109,7 +109,7 @@
 	if err != nil || begun.copied {
 		return err
 	}
-	left := view.SourcesNeeded()
+	left := view.RequiredSources()
 	var failed error
 	for _, source := range view.Quorum.Current {
 		if left == 0 {
@@ -119,7 +119,7 @@
 			continue
 		}
 		copyFrom := s.copyDifference
-		if left == view.SourcesNeeded() {
+		if left == view.RequiredSources() {
 			copyFrom = s.copyFrom
 		}
 		if err := copyFrom(view.Shard, source, begun.generation); err != nil {
--- a/internal/state/store/follow.go
+++ b/internal/state/store/follow.go
@@ -61,7 +61,7 @@
 	if view.Role == register.RoleActive {
 		table.copied = false
 	}
-	if view.StartsEmpty(before) && (view.Role != register.RoleNone || !table.isEmpty()) {
+	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.isEmpty()) {
 		g.dropShard(table, func() {})
 	}
 }
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -16,7 +16,7 @@
 	shards    map[uint32]*shardTable
 	unsynced  map[*entry]*unsynced
 	proposals map[registerKey]*proposal
-	ballots   *register.Ballots
+	ballots   *register.BallotGenerator
 	random    *rand.Rand
 	// proposers holds one copy of each proposer's name, since every register names two.
 	proposers map[string]string
@@ -30,7 +30,7 @@
 		shards:    map[uint32]*shardTable{},
 		unsynced:  map[*entry]*unsynced{},
 		proposals: map[registerKey]*proposal{},
-		ballots:   register.NewBallots(store.proposerName),
+		ballots:   register.NewBallotGenerator(store.proposerName),
 		random:    rand.New(rand.NewPCG(store.options.Seed, uint64(number))),
 		proposers: map[string]string{},
 		keeping:   map[turnKey][]func(){},
@@ -66,7 +66,7 @@
 	table := g.table(record.GetShard())
 	switch body := record.GetBody().(type) {
 	case *protocol.StoreRecord_Register:
-		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateOf(body.Register))
+		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateFromProto(body.Register))
 	case *protocol.StoreRecord_Drop:
 		table.registers = hashTree[registerKey, *entry]{}
 	}
@@ -102,7 +102,7 @@
 func registerRecord(shard uint32, key registerKey, state register.State) *protocol.StoreRecord {
 	return &protocol.StoreRecord{
 		Shard: shard,
-		Body:  &protocol.StoreRecord_Register{Register: state.Message(key.message())},
+		Body:  &protocol.StoreRecord_Register{Register: state.ToProto(key.message())},
 	}
 }
 
--- a/internal/state/store/pages.go
+++ b/internal/state/store/pages.go
@@ -94,7 +94,7 @@
 		if held.state.Accepted.IsZero() || !filter.keeps(key.hash()) {
 			continue
 		}
-		state := held.state.Message(key.message())
+		state := held.state.ToProto(key.message())
 		page = append(page, state)
 		size += len(state.GetValue())
 	}
@@ -150,7 +150,7 @@
 // page gives the registers after the cursor, or the places of the turns after it.
 func (t *shardTable) page(request *protocol.FetchShardRequest, after cursor) shardPage {
 	answer := &protocol.FetchShardResponse{
-		Refusal: t.view.CopyRefusal(request.GetPlacementEpoch()), PlacementEpoch: t.view.Epoch,
+		Refusal: t.view.CopyRejection(request.GetPlacementEpoch()), PlacementEpoch: t.view.Epoch,
 	}
 	if answer.GetRefusal() != notRefused {
 		return shardPage{answer: answer}
@@ -206,7 +206,7 @@
 	g := s.group(request.GetShard())
 	answer, err := ask(g, func() *protocol.ShardDigestResponse {
 		view := g.table(request.GetShard()).view
-		if refusal := view.CopyRefusal(request.GetPlacementEpoch()); refusal != notRefused {
+		if refusal := view.CopyRejection(request.GetPlacementEpoch()); refusal != notRefused {
 			return &protocol.ShardDigestResponse{Refusal: refusal, PlacementEpoch: view.Epoch}
 		}
 		return g.table(request.GetShard()).digest(request.GetBuckets(), s.options.Clock.Now())
--- a/internal/state/store/placement.go
+++ b/internal/state/store/placement.go
@@ -34,7 +34,7 @@
 		if int(placed.GetShard()) >= len(made.shards) {
 			continue
 		}
-		made.shards[placed.GetShard()] = register.ViewOf(view.Placement, placed, self.GetName(), self.GetStorageId())
+		made.shards[placed.GetShard()] = register.NewShardView(view.Placement, placed, self.GetName(), self.GetStorageId())
 	}
 	return made
 }
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -69,13 +69,13 @@
 	p.group.store.metrics.changes.Inc()
 	p.group.store.metrics.batched.Add(float64(len(p.active)))
 	p.change = register.NewChange(register.ChangeOptions{
-		Key:      p.key.message(),
-		Shard:    p.shard.Shard,
-		Epoch:    p.shard.Epoch,
-		Quorum:   p.shard.Quorum,
-		Ballots:  p.group.ballots,
-		Function: p.function(),
-		Head:     p.head(),
+		Key:              p.key.message(),
+		Shard:            p.shard.Shard,
+		Epoch:            p.shard.Epoch,
+		Quorum:           p.shard.Quorum,
+		Ballots:          p.group.ballots,
+		Update:           p.function(),
+		PreparedProposal: p.head(),
 	})
 	p.send(p.change.Start())
 }
@@ -101,10 +101,10 @@
 
 // head lets the change skip its prepare round when this store made the last
 // change and its own replica still holds it.
-func (p *proposal) head() register.Head {
+func (p *proposal) head() register.PreparedProposal {
 	held, found := p.group.table(p.shard.Shard).registers.get(p.key)
 	if !found {
-		return register.Head{}
+		return register.PreparedProposal{}
 	}
 	// A head serves one change: when that one fails, this replica may hold a value that is not chosen.
 	epoch := held.headEpoch
@@ -112,13 +112,13 @@
 	if epoch != p.shard.Epoch || held.state.Learned ||
 		held.state.Promised.Proposer != p.group.store.proposerName ||
 		held.state.Accepted.Proposer != p.group.store.proposerName {
-		return register.Head{}
+		return register.PreparedProposal{}
 	}
-	return register.Head{Epoch: epoch, Ballot: held.state.Promised, Value: held.state.Value}
+	return register.PreparedProposal{Epoch: epoch, Ballot: held.state.Promised, Value: held.state.Value}
 }
 
 // function applies the batch to a value, or is nil when the batch only reads.
-func (p *proposal) function() register.Function {
+func (p *proposal) function() register.UpdateFunc {
 	reads := true
 	for _, op := range p.active {
 		reads = reads && ledger.IsRead(op.message)
@@ -211,7 +211,7 @@
 			case err == nil && response.GetAccept() != nil:
 				p.accepted(change, message, response.GetAccept())
 			default:
-				change.Failed(message.Store, message.Round)
+				change.HandleFailure(message.Store, message.PhaseNumber)
 				p.advance(change)
 			}
 		})
@@ -222,14 +222,14 @@
 	if p.change != change {
 		return
 	}
-	p.send(change.Prepared(message.Store, message.Round, answer))
+	p.send(change.HandlePrepareResponse(message.Store, message.PhaseNumber, answer))
 }
 
 func (p *proposal) accepted(change *register.Change, message register.Message, answer *protocol.AcceptResponse) {
 	if p.change != change {
 		return
 	}
-	p.send(change.Accepted(message.Store, message.Round, answer))
+	p.send(change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer))
 }
 
 // advance acts on how far the change has come.
@@ -259,7 +259,7 @@
 func (p *proposal) chosen() {
 	if held, found := p.group.table(p.shard.Shard).registers.get(p.key); found {
 		held.headEpoch = 0
-		if head := p.change.Head(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
+		if head := p.change.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
 			held.headEpoch = head.Epoch
 		}
 	}
--- a/internal/state/store/replica.go
+++ b/internal/state/store/replica.go
@@ -15,7 +15,7 @@
 		return
 	}
 	key := keyOf(request.GetKey())
-	ballot := register.BallotOf(request.GetBallot())
+	ballot := register.BallotFromProto(request.GetBallot())
 	held, found := table.registers.get(key)
 	if !found {
 		if ballot.IsZero() {
@@ -42,7 +42,7 @@
 	key := keyOf(request.GetKey())
 	held := table.entry(key)
 	next, answer, changed := held.state.Accept(
-		register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
+		register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	if !changed {
 		g.whenDurable(held, func() { reply(answer) })
 		return
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, message := range states {
-		state := register.StateOf(message)
+		state := register.StateFromProto(message)
 		if state.Accepted.IsZero() {
 			continue
 		}
--- a/internal/testing/sim/statesuite/storeprocess.go
+++ b/internal/testing/sim/statesuite/storeprocess.go
@@ -35,7 +35,7 @@
 	placement   *protocol.Placement
 	shards      map[uint32]*shardTable
 	proposals   map[registerKey]*proposal
-	ballots     *register.Ballots
+	ballots     *register.BallotGenerator
 	proposer    string
 }
 
@@ -115,7 +115,7 @@
 		p.self.Region = p.suite.shape.regions[p.environment.Zone()]
 	}
 	p.proposer = fmt.Sprintf("%s/%d", name, p.environment.Life())
-	p.ballots = register.NewBallots(p.proposer)
+	p.ballots = register.NewBallotGenerator(p.proposer)
 	p.suite.noteStart(p.environment)
 	p.link.renewLater(p.self, 0, renewInterval)
 	p.copyLater()
@@ -179,12 +179,12 @@
 	for _, placed := range view.Placement.GetShards() {
 		table := p.table(placed.GetShard())
 		former := table.role
-		table.epoch = register.EpochOf(view.Placement, placed)
-		table.role = register.RoleOf(placed, p.self.GetName(), p.self.GetStorageId())
+		table.epoch = register.ShardEpoch(view.Placement, placed)
+		table.role = register.ShardRole(placed, p.self.GetName(), p.self.GetStorageId())
 		if table.role == register.RoleRebuilding && p.suite.options.Mutation == StoreVotesAfterLostDisk {
 			table.role = register.RoleActive
 		}
-		table.quorum, table.placed = register.QuorumOf(placed), placed
+		table.quorum, table.placed = register.NewQuorum(placed), placed
 		if table.role == register.RoleNone && former != register.RoleNone {
 			p.dropShard(table)
 		}
@@ -246,7 +246,7 @@
 	table := p.table(record.GetShard())
 	switch body := record.GetBody().(type) {
 	case *protocol.StoreRecord_Register:
-		table.entry(keyOf(body.Register.GetKey())).state = register.StateOf(body.Register)
+		table.entry(keyOf(body.Register.GetKey())).state = register.StateFromProto(body.Register)
 	case *protocol.StoreRecord_Turn:
 		table.turns[turnKey(body.Turn.GetProgram(), body.Turn.GetId())] = &keptTurn{turn: body.Turn, durable: true}
 	case *protocol.StoreRecord_Drop:
@@ -324,7 +324,7 @@
 	}
 	for _, name := range sortedKeys(keys) {
 		key := keys[name]
-		page.Registers = append(page.Registers, table.registers[key].state.Message(key.message()))
+		page.Registers = append(page.Registers, table.registers[key].state.ToProto(key.message()))
 	}
 	for _, key := range sortedKeys(table.turns) {
 		page.Turns = append(page.Turns, table.turns[key].turn)
--- a/internal/testing/sim/statesuite/storeproposal.go
+++ b/internal/testing/sim/statesuite/storeproposal.go
@@ -27,7 +27,7 @@
 
 // change is one function to apply, or a read when function is nil.
 type change struct {
-	function register.Function
+	function register.UpdateFunc
 	deadline time.Time
 	// done gets the chosen value, or the status that says why there is none.
 	done func(value []byte, status protocol.LedgerStatus, epoch uint64)
@@ -59,17 +59,17 @@
 	}
 	p.running = register.NewChange(register.ChangeOptions{
 		Key: p.key.message(), Shard: p.shard, Epoch: table.epoch, Quorum: table.quorum,
-		Ballots: p.store.ballots, Function: p.active.function, Head: p.head(table),
+		Ballots: p.store.ballots, Update: p.active.function, PreparedProposal: p.head(table),
 	})
 	p.send(p.running.Start())
 }
 
 // head lets a change skip its prepare round. A head serves one change only: when that one fails, the replica here may
 // have accepted a value that is not chosen, and nobody else promised its ballot.
-func (p *proposal) head(table *shardTable) register.Head {
+func (p *proposal) head(table *shardTable) register.PreparedProposal {
 	held := table.registers[p.key]
 	if held == nil {
-		return register.Head{}
+		return register.PreparedProposal{}
 	}
 	headEpoch := held.headEpoch
 	if p.store.suite.options.Mutation != StoreReusesFailedHead {
@@ -77,9 +77,9 @@
 	}
 	if headEpoch != table.epoch || held.state.Learned ||
 		held.state.Promised.Proposer != p.store.proposer || held.state.Accepted.Proposer != p.store.proposer {
-		return register.Head{}
+		return register.PreparedProposal{}
 	}
-	return register.Head{Epoch: headEpoch, Ballot: held.state.Promised, Value: held.state.Value}
+	return register.PreparedProposal{Epoch: headEpoch, Ballot: held.state.Promised, Value: held.state.Value}
 }
 
 func (p *proposal) send(messages []register.Message) {
@@ -116,11 +116,11 @@
 	}
 	switch answer := body.(type) {
 	case *protocol.PrepareResponse:
-		p.send(running.Prepared(message.Store, message.Round, answer))
+		p.send(running.HandlePrepareResponse(message.Store, message.PhaseNumber, answer))
 	case *protocol.AcceptResponse:
-		p.send(running.Accepted(message.Store, message.Round, answer))
+		p.send(running.HandleAcceptResponse(message.Store, message.PhaseNumber, answer))
 	default:
-		running.Failed(message.Store, message.Round)
+		running.HandleFailure(message.Store, message.PhaseNumber)
 		p.advance(running)
 	}
 }
@@ -143,7 +143,7 @@
 	table := p.store.table(p.shard)
 	if held := table.registers[p.key]; held != nil {
 		held.headEpoch = 0
-		if head := p.running.Head(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
+		if head := p.running.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
 			held.headEpoch = head.Epoch
 		}
 	}
--- a/internal/testing/sim/statesuite/storereplica.go
+++ b/internal/testing/sim/statesuite/storereplica.go
@@ -36,7 +36,7 @@
 	}
 	key := keyOf(request.GetKey())
 	held := table.entry(key)
-	next, answer, changed := held.state.Prepare(register.BallotOf(request.GetBallot()))
+	next, answer, changed := held.state.Prepare(register.BallotFromProto(request.GetBallot()))
 	if !changed {
 		p.whenDurable(held, func() { reply(answer) })
 		return
@@ -53,7 +53,7 @@
 	key := keyOf(request.GetKey())
 	held := table.entry(key)
 	next, answer, changed := held.state.Accept(
-		register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
+		register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	if !changed {
 		p.whenDurable(held, func() { reply(answer) })
 		return
@@ -66,7 +66,7 @@
 	held.state = state
 	held.unsynced++
 	p.committer.append(&protocol.StoreRecord{
-		Shard: table.shard, Body: &protocol.StoreRecord_Register{Register: state.Message(key.message())},
+		Shard: table.shard, Body: &protocol.StoreRecord_Register{Register: state.ToProto(key.message())},
 	}, func() {
 		held.unsynced--
 		done()
@@ -216,7 +216,7 @@
 
 func (p *storeProcess) learn(table *shardTable, page *protocol.FetchShardResponse) {
 	for _, message := range page.GetRegisters() {
-		state := register.StateOf(message)
+		state := register.StateFromProto(message)
 		if state.Accepted.IsZero() {
 			continue
 		}
