--- a/internal/dataplane/front/httpsteps_test.go
+++ b/internal/dataplane/front/httpsteps_test.go
@@ -51,14 +51,14 @@
 	})
 
 	It("says so when the step is not known", func() {
-		answered = ledger.Answer(protocol.LedgerStatus_LEDGER_STEP_UNKNOWN)
+		answered = ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_STEP_UNKNOWN)
 		got := f1.do(http.MethodGet, "/v1/training-steps/17", "", nil)
 		Expect(got.status).To(Equal(http.StatusNotFound))
 		Expect(got.errorCode()).To(BeEquivalentTo(failure.NotFound))
 	})
 
 	It("answers that the ledger is unavailable rather than a part", func() {
-		answered = ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+		answered = ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 		got := f1.do(http.MethodGet, "/v1/training-steps/17", "", nil)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.errorCode()).To(BeEquivalentTo(failure.LedgerUnavailable))
--- a/internal/dataplane/front/memoryledger_test.go
+++ b/internal/dataplane/front/memoryledger_test.go
@@ -45,7 +45,7 @@
 	defer l.mutex.Unlock()
 	l.seen[strings.TrimPrefix(fmt.Sprintf("%T", operation.GetBody()), "*protocol.LedgerOperation_")]++
 	if l.down {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 	operation = proto.CloneOf(operation)
 	if read := operation.GetReadTurns(); read != nil {
@@ -54,7 +54,7 @@
 	if find := operation.GetFindTurn(); find != nil {
 		return l.find(find.GetTurnId()), nil
 	}
-	if call := ledger.CallOf(operation); call != "" {
+	if call := ledger.CallRequestID(operation); call != "" {
 		key := operation.GetProgram() + "/" + call
 		changed, result := ledger.ApplyCall(l.calls[key], operation, l.clock.Now())
 		if changed != nil {
@@ -85,11 +85,11 @@
 
 // read follows a chain within one program, as stores do.
 func (l *memoryLedger) read(program string, read *protocol.ReadTurns) *protocol.LedgerResult {
-	result := ledger.Answer(protocol.LedgerStatus_LEDGER_OK)
+	result := ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_OK)
 	for next := read.GetLastTurn(); next != "" && len(result.Turns) < int(read.GetLimit()); {
 		kept := l.turns[next]
 		if kept == nil || kept.GetProgram() != program {
-			return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
+			return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 		}
 		result.Turns = append(result.Turns, kept)
 		next = kept.GetPreviousTurn()
@@ -104,9 +104,9 @@
 func (l *memoryLedger) find(id string) *protocol.LedgerResult {
 	kept := l.turns[id]
 	if kept == nil {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 	}
-	result := ledger.Answer(protocol.LedgerStatus_LEDGER_OK)
+	result := ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_OK)
 	result.Turns = []*protocol.Turn{kept}
 	return result
 }
--- a/internal/dataplane/front/routeingress_test.go
+++ b/internal/dataplane/front/routeingress_test.go
@@ -213,7 +213,7 @@
 
 		It("is answered 502 when the ledger gives no word", func() {
 			got := loseBeforeReserving(func(*protocol.LedgerOperation) *protocol.LedgerResult {
-				return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+				return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 			})
 			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
 			Expect(got.header).NotTo(HaveKey("Retry-After"))
--- a/internal/dataplane/front/routeturns_test.go
+++ b/internal/dataplane/front/routeturns_test.go
@@ -230,7 +230,7 @@
 			f1.take(routedTurn{id: "t1", input: "one"})
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetFindTurn() != nil {
-					return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+					return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 				}
 				return nil
 			}
@@ -347,7 +347,7 @@
 			r.server("s1", turnServer)
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetSettleTurn() != nil {
-					return ledger.Answer(protocol.LedgerStatus_LEDGER_FENCED)
+					return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)
 				}
 				return nil
 			}
--- a/internal/dataplane/front/stepscheduleaudit_test.go
+++ b/internal/dataplane/front/stepscheduleaudit_test.go
@@ -140,7 +140,7 @@
 	if pin.GetWeightVersion() == 0 {
 		return nil
 	}
-	result := ledger.Answer(protocol.LedgerStatus_LEDGER_OK)
+	result := ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_OK)
 	result.TrainingStepPin = &protocol.TrainingStepPin{Step: pin.GetStep(), Model: pin.GetModel(), WeightVersion: pin.GetWeightVersion()}
 	return result
 }
--- a/internal/dataplane/turn/trainingstep.go
+++ b/internal/dataplane/turn/trainingstep.go
@@ -77,7 +77,7 @@
 func (m *Machine) noteVersions(named []uint64) {
 	for _, version := range named {
 		count := len(m.step.seen)
-		if count < ledger.MaximumWeightVersions && (count == 0 || m.step.seen[count-1] != version) {
+		if count < ledger.MaxWeightVersions && (count == 0 || m.step.seen[count-1] != version) {
 			m.step.seen = append(m.step.seen, version)
 		}
 	}
--- a/internal/dataplane/turn/trainingstep_test.go
+++ b/internal/dataplane/turn/trainingstep_test.go
@@ -174,7 +174,7 @@
 	}
 	s := newStepScript(false).on("issue", headOf(named...)).run()
 	wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
-	if heard := s.released().GetWeightVersions(); len(heard) != ledger.MaximumWeightVersions || !slices.Contains(heard, 100) {
+	if heard := s.released().GetWeightVersions(); len(heard) != ledger.MaxWeightVersions || !slices.Contains(heard, 100) {
 		t.Fatalf("heard %v", heard)
 	}
 }
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -30,8 +30,8 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			step := arguments[0]
-			if step == "" || len(step) > ledger.MaximumTrainingStepBytes {
-				return &UsageError{Reason: fmt.Sprintf("STEP must have 1 to %d bytes", ledger.MaximumTrainingStepBytes)}
+			if step == "" || len(step) > ledger.MaxTrainingStepBytes {
+				return &UsageError{Reason: fmt.Sprintf("STEP must have 1 to %d bytes", ledger.MaxTrainingStepBytes)}
 			}
 			answer, err := s.askFronts(command.Context(), frontQuestion{
 				path:    trainingStepsPath + url.PathEscape(step),
--- a/internal/operator/steps_test.go
+++ b/internal/operator/steps_test.go
@@ -112,7 +112,7 @@
 
 	It("refuses names that no step has before it asks", func() {
 		Expect(trace("")).To(Equal(operator.ExitUsage))
-		Expect(trace(strings.Repeat("x", ledger.MaximumTrainingStepBytes+1))).To(Equal(operator.ExitUsage))
+		Expect(trace(strings.Repeat("x", ledger.MaxTrainingStepBytes+1))).To(Equal(operator.ExitUsage))
 		Expect(front.saw()).To(BeEmpty())
 	})
 })
--- a/internal/state/ledger/call.go
+++ b/internal/state/ledger/call.go
@@ -28,7 +28,7 @@
 	case *protocol.LedgerOperation_RefuseCall:
 		return refuseCall(record, operation.GetProgram(), body.RefuseCall, now)
 	default:
-		return nil, Answer(protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED)
 	}
 }
 
@@ -65,7 +65,7 @@
 func finishCall(record *protocol.CallRecord, finish *protocol.FinishCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_STATE_UNSPECIFIED:
-		return nil, Answer(protocol.LedgerStatus_LEDGER_NOT_RESERVED)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_NOT_RESERVED)
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
 		return nil, callResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, record)
 	case record.GetAttempt() != finish.GetAttempt():
@@ -83,14 +83,14 @@
 
 // refuseCall marks a call as not run. It loses against an intent, unless the
 // attempt that wrote the intent takes it back.
-func refuseCall(record *protocol.CallRecord, program string, refuse *protocol.RefuseCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
+func refuseCall(record *protocol.CallRecord, program string, reject *protocol.RefuseCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
 	switch record.GetState() {
 	case protocol.CallState_CALL_NOT_RUN:
 		return nil, callResult(protocol.LedgerStatus_LEDGER_OK, record)
 	case protocol.CallState_CALL_DONE:
 		return nil, callResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, record)
 	case protocol.CallState_CALL_INTENT:
-		if refuse.GetAttempt() == "" || refuse.GetAttempt() != record.GetAttempt() {
+		if reject.GetAttempt() == "" || reject.GetAttempt() != record.GetAttempt() {
 			return nil, callResult(protocol.LedgerStatus_LEDGER_CALL_UNDER_WAY, record)
 		}
 		changed := copyCall(record, now)
@@ -99,10 +99,10 @@
 	}
 	changed := &protocol.CallRecord{
 		Program:         program,
-		RequestId:       refuse.GetRequestId(),
+		RequestId:       reject.GetRequestId(),
 		State:           protocol.CallState_CALL_NOT_RUN,
 		UpdatedAtMillis: now.UnixMilli(),
-		KeepingMillis:   refuse.GetKeepingMillis(),
+		KeepingMillis:   reject.GetKeepingMillis(),
 	}
 	return changed, callResult(protocol.LedgerStatus_LEDGER_OK, changed)
 }
--- a/internal/state/ledger/finished_requests.go
+++ b/internal/state/ledger/finished_requests.go
@@ -20,7 +20,7 @@
 	namedTurn    = 0b1_0000
 	knownFlags   = outcomeBits | namedSession | derivedTurn | namedTurn
 	// usualPackedBytes is room for one request that follows the usual forms.
-	usualPackedBytes = 32
+	typicalPackedBytes = 32
 )
 
 // DamagedRecordError says that a program's record cannot be read.
@@ -48,15 +48,15 @@
 
 // packedRequest is one finished request; its texts share the record's memory.
 type packedRequest struct {
-	key             requestKey
-	flags           byte
-	session         uint64
-	sessionName     []byte
-	turnName        []byte
-	tokens          uint64
-	finishedAt      int64
-	keepUntilMillis int64
-	encoded         []byte
+	key               requestKey
+	flags             byte
+	session           uint64
+	sessionName       []byte
+	turnName          []byte
+	tokens            uint64
+	finishedAtMillis  int64
+	retainUntilMillis int64
+	encoded           []byte
 }
 
 // packReader reads fields one after the other; failed stays set once one did not fit.
@@ -65,7 +65,7 @@
 	failed bool
 }
 
-func (r *packReader) number() uint64 {
+func (r *packReader) uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.failed = true
@@ -75,7 +75,7 @@
 	return value
 }
 
-func (r *packReader) difference() int64 {
+func (r *packReader) varint() int64 {
 	value, size := binary.Varint(r.rest)
 	if size <= 0 {
 		r.failed = true
@@ -86,7 +86,7 @@
 }
 
 func (r *packReader) text() []byte {
-	size := r.number()
+	size := r.uvarint()
 	if r.failed || size > uint64(len(r.rest)) {
 		r.failed = true
 		return nil
@@ -107,14 +107,14 @@
 	if entry.flags&namedSession != 0 {
 		entry.sessionName = reader.text()
 	} else {
-		entry.session = reader.number()
+		entry.session = reader.uvarint()
 	}
 	if entry.flags&namedTurn != 0 {
 		entry.turnName = reader.text()
 	}
-	entry.tokens = reader.number()
-	entry.finishedAt = int64(reader.number())
-	entry.keepUntilMillis = entry.finishedAt + DefaultRetention.Milliseconds() + reader.difference()
+	entry.tokens = reader.uvarint()
+	entry.finishedAtMillis = int64(reader.uvarint())
+	entry.retainUntilMillis = entry.finishedAtMillis + DefaultRetention.Milliseconds() + reader.varint()
 	if reader.failed {
 		return entry, 0
 	}
@@ -138,13 +138,13 @@
 
 // appendPacked adds a finished request of the program.
 func appendPacked(packed []byte, program string, sessions []*protocol.SessionRecord, finished *protocol.FinishedRequest) []byte {
-	key := requestKeyOf(program, finished.GetRequestId())
+	key := newRequestKey(program, finished.GetRequestId())
 	flags := byte(finished.GetOutcome()) & outcomeBits
-	place := placeOfSession(sessions, finished.GetSession())
-	if place < 0 {
+	index := sessionIndex(sessions, finished.GetSession())
+	if index < 0 {
 		flags |= namedSession
 	}
-	turnKey, derived := requestKeyOfTurn(finished.GetTurnId())
+	turnKey, derived := parseTurnID(finished.GetTurnId())
 	switch {
 	case finished.GetTurnId() == "":
 	case derived && turnKey == key:
@@ -153,10 +153,10 @@
 		flags |= namedTurn
 	}
 	packed = append(append(packed, key[:]...), flags)
-	if place < 0 {
+	if index < 0 {
 		packed = appendText(packed, finished.GetSession())
 	} else {
-		packed = binary.AppendUvarint(packed, uint64(place))
+		packed = binary.AppendUvarint(packed, uint64(index))
 	}
 	if flags&namedTurn != 0 {
 		packed = appendText(packed, finished.GetTurnId())
@@ -170,25 +170,25 @@
 	return append(binary.AppendUvarint(packed, uint64(len(text))), text...)
 }
 
-func placeOfSession(sessions []*protocol.SessionRecord, session string) int {
-	for place, known := range sessions {
-		if known.GetSession() == session {
-			return place
+func sessionIndex(sessions []*protocol.SessionRecord, session string) int {
+	for index, candidate := range sessions {
+		if candidate.GetSession() == session {
+			return index
 		}
 	}
 	return -1
 }
 
 // message gives the request in full; its id is not packed, so the caller names it.
-func (e *packedRequest) message(requestID string, sessions []*protocol.SessionRecord) *protocol.FinishedRequest {
+func (e *packedRequest) toProto(requestID string, sessions []*protocol.SessionRecord) *protocol.FinishedRequest {
 	finished := &protocol.FinishedRequest{
 		RequestId:        requestID,
 		Outcome:          protocol.RequestOutcome(e.flags & outcomeBits),
 		Session:          string(e.sessionName),
 		TurnId:           string(e.turnName),
 		Tokens:           e.tokens,
-		FinishedAtMillis: e.finishedAt,
-		KeepUntilMillis:  e.keepUntilMillis,
+		FinishedAtMillis: e.finishedAtMillis,
+		KeepUntilMillis:  e.retainUntilMillis,
 	}
 	if e.flags&namedSession == 0 {
 		finished.Session = sessions[e.session].GetSession()
@@ -200,7 +200,7 @@
 }
 
 // Finished gives how a request of the program ended, or nil when the record does not know it.
-func Finished(record *protocol.ProgramRecord, requestID string) *protocol.FinishedRequest {
+func FindFinished(record *protocol.ProgramRecord, requestID string) *protocol.FinishedRequest {
 	for _, finished := range record.GetFinished() {
 		if finished.GetRequestId() == requestID {
 			return finished
@@ -209,10 +209,10 @@
 	if len(record.GetFinishedPacked()) == 0 {
 		return nil
 	}
-	key := requestKeyOf(record.GetProgram(), requestID)
+	key := newRequestKey(record.GetProgram(), requestID)
 	for entry := range packedRequests(record.GetFinishedPacked()) {
 		if entry.key == key {
-			return entry.message(requestID, record.GetSessions())
+			return entry.toProto(requestID, record.GetSessions())
 		}
 	}
 	return nil
@@ -234,13 +234,13 @@
 }
 
 // keepsFinishedTurn reports whether a finished request of the record has the turn.
-func keepsFinishedTurn(record *protocol.ProgramRecord, turn string) bool {
+func retainsFinishedTurn(record *protocol.ProgramRecord, turn string) bool {
 	for _, finished := range record.GetFinished() {
 		if finished.GetTurnId() == turn {
 			return true
 		}
 	}
-	key, derived := requestKeyOfTurn(turn)
+	key, derived := parseTurnID(turn)
 	for entry := range packedRequests(record.GetFinishedPacked()) {
 		if entry.flags&derivedTurn != 0 && derived && entry.key == key ||
 			entry.flags&namedTurn != 0 && string(entry.turnName) == turn {
@@ -251,18 +251,18 @@
 }
 
 // keptPacked copies the finished requests whose keeping time has not ended, with room for one more.
-func keptPacked(record *protocol.ProgramRecord, nowMillis int64) []byte {
+func retainedPacked(record *protocol.ProgramRecord, nowMillis int64) []byte {
 	packed := record.GetFinishedPacked()
-	kept := make([]byte, 0, len(packed)+usualPackedBytes*(1+len(record.GetFinished())))
+	retained := make([]byte, 0, len(packed)+typicalPackedBytes*(1+len(record.GetFinished())))
 	for _, finished := range record.GetFinished() {
 		if finished.GetKeepUntilMillis() >= nowMillis {
-			kept = appendPacked(kept, record.GetProgram(), record.GetSessions(), finished)
+			retained = appendPacked(retained, record.GetProgram(), record.GetSessions(), finished)
 		}
 	}
 	for entry := range packedRequests(packed) {
-		if entry.keepUntilMillis >= nowMillis {
-			kept = append(kept, entry.encoded...)
+		if entry.retainUntilMillis >= nowMillis {
+			retained = append(retained, entry.encoded...)
 		}
 	}
-	return kept
+	return retained
 }
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -38,7 +38,7 @@
 }
 
 // Answer is a result without details.
-func Answer(status protocol.LedgerStatus) *protocol.LedgerResult {
+func ResultWithStatus(status protocol.LedgerStatus) *protocol.LedgerResult {
 	return &protocol.LedgerResult{Status: status}
 }
 
@@ -57,7 +57,7 @@
 
 // CallOf gives the request id of the call that the operation is about, or an
 // empty text when it is about the program.
-func CallOf(operation *protocol.LedgerOperation) string {
+func CallRequestID(operation *protocol.LedgerOperation) string {
 	switch body := operation.GetBody().(type) {
 	case *protocol.LedgerOperation_BeginCall:
 		return body.BeginCall.GetRequestId()
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -47,7 +47,7 @@
 
 const (
 	ok               = protocol.LedgerStatus_LEDGER_OK
-	fenced           = protocol.LedgerStatus_LEDGER_FENCED
+	fencedResult     = protocol.LedgerStatus_LEDGER_FENCED
 	alreadyFinished  = protocol.LedgerStatus_LEDGER_ALREADY_FINISHED
 	alreadyReserved  = protocol.LedgerStatus_LEDGER_ALREADY_RESERVED
 	unknownProgram   = protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM
@@ -99,8 +99,8 @@
 			{do: reserve("r", "s", 1, 10, ""), want: ok},
 			{do: claim("s", "b", 1), want: ok, check: settled(10)},
 			{do: settle("r", "s", 1, 4, "t1", ""), want: alreadyFinished, check: finishedAs(outcomeCharged, 10)},
-			{do: reserve("r2", "s", 1, 10, ""), want: fenced, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool { return r.GetEpoch() == 2 }},
-			{do: release("r3", "s", 1, 0), want: fenced},
+			{do: reserve("r2", "s", 1, 10, ""), want: fencedResult, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool { return r.GetEpoch() == 2 }},
+			{do: release("r3", "s", 1, 0), want: fencedResult},
 			{do: reserve("r2", "s", 2, 10, ""), want: ok},
 		},
 		"a claim leaves the reservations of other sessions alone": {
@@ -112,7 +112,7 @@
 		},
 		"a later incarnation fences the former one of the same name": {
 			{do: claim("s", "a", 2), want: ok},
-			{do: claim("s", "a", 1), want: fenced},
+			{do: claim("s", "a", 1), want: fencedResult},
 			{do: claim("s", "a", 3), want: ok, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool { return r.GetEpoch() == 2 }},
 		},
 		"a tombstone wins only over a request that never began": {
@@ -175,7 +175,7 @@
 		},
 		"a claim of a replaced process is refused with its turn": {
 			{do: claim("s", "a", 2), want: ok},
-			{do: claiming(reserve("r", "s", 0, 10, ""), "a", 1), want: fenced},
+			{do: claiming(reserve("r", "s", 0, 10, ""), "a", 1), want: fencedResult},
 		},
 		"turns of one session fork from one turn side by side": {
 			{do: claim("s", "a", 1), want: ok},
@@ -216,8 +216,8 @@
 			{do: reserve("r", "s", 1, 1, ""), want: alreadyFinished, after: ledger.MinRetention},
 			{do: claim("s3", "a", 1), want: ok, after: ledger.MinRetention + time.Second},
 			{do: reserve("r", "s", 1, 1, ""), want: ok, after: ledger.MinRetention + time.Second},
-			{do: release("r", "s", 1, 0), want: ok, after: ledger.MinRetention + ledger.ShortestProgramTime},
-			{do: reserve("r", "s", 1, 1, ""), want: unknownProgram, after: 2 * (ledger.MinRetention + ledger.ShortestProgramTime)},
+			{do: release("r", "s", 1, 0), want: ok, after: ledger.MinRetention + ledger.MinProgramRetention},
+			{do: reserve("r", "s", 1, 1, ""), want: unknownProgram, after: 2 * (ledger.MinRetention + ledger.MinProgramRetention)},
 		},
 		"an outcome is forgotten after its keeping time only": {
 			{do: claim("s", "a", 1), want: ok},
@@ -255,7 +255,7 @@
 	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_FinishCall{FinishCall: &protocol.FinishCall{RequestId: request, Attempt: attempt, Status: status, Body: []byte("done")}}}
 }
 
-func refuseCall(request, attempt string) *protocol.LedgerOperation {
+func rejectCall(request, attempt string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_RefuseCall{RefuseCall: &protocol.RefuseCall{RequestId: request, Attempt: attempt}}}
 }
 
@@ -265,26 +265,26 @@
 			{do: begin("r", "a1", 1), want: ok},
 			{do: begin("r", "a1", 1), want: ok},
 			{do: begin("r", "a2", 2), want: callUnderWay},
-			{do: finish("r", "a2", 200), want: fenced},
+			{do: finish("r", "a2", 200), want: fencedResult},
 			{do: finish("r", "a1", 200), want: ok},
 			{do: finish("r", "a1", 500), want: ok, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool { return r.GetCall().GetStatus() == 200 }},
 			{do: begin("r", "a2", 2), want: alreadyFinished, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool {
 				return string(r.GetCall().GetBody()) == "done"
 			}},
-			{do: refuseCall("r", ""), want: alreadyFinished},
+			{do: rejectCall("r", ""), want: alreadyFinished},
 		},
 		"a tombstone loses against an intent of another attempt": {
 			{do: begin("r", "a1", 1), want: ok},
-			{do: refuseCall("r", ""), want: callUnderWay},
-			{do: refuseCall("r", "a2"), want: callUnderWay},
-			{do: refuseCall("r", "a1"), want: ok},
+			{do: rejectCall("r", ""), want: callUnderWay},
+			{do: rejectCall("r", "a2"), want: callUnderWay},
+			{do: rejectCall("r", "a1"), want: ok},
 			{do: begin("r", "a1", 1), want: alreadyFinished},
 			{do: finish("r", "a1", 200), want: alreadyFinished},
 		},
 		"a refused call is never begun": {
 			{do: finish("r", "a1", 200), want: notReserved},
-			{do: refuseCall("r", ""), want: ok},
-			{do: refuseCall("r", ""), want: ok},
+			{do: rejectCall("r", ""), want: ok},
+			{do: rejectCall("r", ""), want: ok},
 			{do: begin("r", "a1", 1), want: alreadyFinished},
 		},
 		"a call is forgotten after its keeping time": {
--- a/internal/state/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -65,7 +65,7 @@
 func compareRecords(t *rapid.T, operation *protocol.LedgerOperation, packed, plain *protocol.ProgramRecord) {
 	for number := range propertyRequests {
 		request := fmt.Sprintf("r%d", number)
-		if got, wanted := ledger.Finished(packed, request), ledger.Finished(plain, request); !proto.Equal(got, wanted) {
+		if got, wanted := ledger.FindFinished(packed, request), ledger.FindFinished(plain, request); !proto.Equal(got, wanted) {
 			t.Fatalf("%v left %v of %s packed and %v plain", operation, got, request, wanted)
 		}
 	}
--- a/internal/state/ledger/program.go
+++ b/internal/state/ledger/program.go
@@ -23,23 +23,23 @@
 	case *protocol.LedgerOperation_ReserveTurn:
 		return reserveTurn(record, operation.GetProgram(), body.ReserveTurn, now)
 	case *protocol.LedgerOperation_SettleTurn:
-		return settleTurn(record, body.SettleTurn, now)
+		return commitTurn(record, body.SettleTurn, now)
 	case *protocol.LedgerOperation_ReleaseTurn:
 		return releaseTurn(record, body.ReleaseTurn, now)
 	case *protocol.LedgerOperation_RefuseRequest:
-		return refuseRequest(record, operation.GetProgram(), body.RefuseRequest, now)
+		return rejectRequest(record, operation.GetProgram(), body.RefuseRequest, now)
 	case *protocol.LedgerOperation_ReadProgram:
 		return nil, readProgram(record)
 	case *protocol.LedgerOperation_PinTrainingStep:
 		return pinTrainingStep(record, operation.GetProgram(), body.PinTrainingStep, now)
 	default:
-		return nil, Answer(protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED)
 	}
 }
 
 func readProgram(record *protocol.ProgramRecord) *protocol.LedgerResult {
 	if !isOpen(record) {
-		return Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
+		return ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
 	return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Program: record}
 }
@@ -47,7 +47,7 @@
 func openProgram(record *protocol.ProgramRecord, program string, open *protocol.OpenProgram, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if isOpen(record) {
 		if record.GetTenant() != open.GetTenant() {
-			return nil, Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
+			return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 		}
 		return nil, readProgram(record)
 	}
@@ -62,10 +62,10 @@
 // replaced by a later incarnation of itself may not claim.
 func claimSession(record *protocol.ProgramRecord, program string, claim *protocol.ClaimSession, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if isOpen(record) && claim.GetTenant() != "" && claim.GetTenant() != record.GetTenant() {
-		return nil, Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
 	if !isOpen(record) && claim.GetTenant() == "" {
-		return nil, Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
 	session := findSession(record, claim.GetSession())
 	if session != nil && session.GetOwner() == claim.GetOwner() {
@@ -135,23 +135,23 @@
 // checkEpoch returns the session when the epoch named is in force, or else the refusal.
 func checkEpoch(record *protocol.ProgramRecord, session string, epoch uint64) (*protocol.SessionRecord, *protocol.LedgerResult) {
 	if !isOpen(record) {
-		return nil, Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
-	known := findSession(record, session)
-	if known == nil {
-		return nil, Answer(protocol.LedgerStatus_LEDGER_UNKNOWN_SESSION)
+	current := findSession(record, session)
+	if current == nil {
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_SESSION)
 	}
-	if known.GetEpoch() != epoch {
-		return nil, fenced(known)
+	if current.GetEpoch() != epoch {
+		return nil, fenced(current)
 	}
-	return known, nil
+	return current, nil
 }
 
 // CheckEpoch tells whether an owner may act for a session: LEDGER_OK, or the refusal.
 func CheckEpoch(record *protocol.ProgramRecord, session string, epoch uint64) *protocol.LedgerResult {
-	known, refusal := checkEpoch(record, session, epoch)
-	if refusal != nil {
-		return refusal
+	current, rejection := checkEpoch(record, session, epoch)
+	if rejection != nil {
+		return rejection
 	}
-	return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: known.GetEpoch()}
+	return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.GetEpoch()}
 }
--- a/internal/state/ledger/property_test.go
+++ b/internal/state/ledger/property_test.go
@@ -53,7 +53,7 @@
 	known := 0
 	for number := range propertyRequests {
 		request := fmt.Sprintf("r%d", number)
-		finished := ledger.Finished(m.record, request)
+		finished := ledger.FindFinished(m.record, request)
 		if before := m.outcomes[request]; before != nil && !proto.Equal(before, finished) {
 			t.Fatalf("outcome changed from %v to %v", before, finished)
 		}
--- a/internal/state/ledger/record.go
+++ b/internal/state/ledger/record.go
@@ -24,7 +24,7 @@
 		KeepingMillis:   record.GetKeepingMillis(),
 		Sessions:        slices.Clone(record.GetSessions()),
 		Reservations:    slices.Clone(record.GetReservations()),
-		FinishedPacked:  keptPacked(record, now.UnixMilli()),
+		FinishedPacked:  retainedPacked(record, now.UnixMilli()),
 		UpdatedAtMillis: now.UnixMilli(),
 		TrainingStepPin: record.GetTrainingStepPin(),
 		TrainingStep:    record.GetTrainingStep(),
@@ -34,8 +34,8 @@
 
 // putSession replaces the session's record, or adds it.
 func (d *draft) putSession(session *protocol.SessionRecord) {
-	for i, known := range d.Sessions {
-		if known.GetSession() == session.GetSession() {
+	for i, existing := range d.Sessions {
+		if existing.GetSession() == session.GetSession() {
 			d.Sessions[i] = session
 			return
 		}
@@ -44,12 +44,12 @@
 }
 
 // finish ends a request: its reservation is closed and its tokens are charged.
-func (d *draft) finish(finished *protocol.FinishedRequest, keepUntilMillis int64) *protocol.FinishedRequest {
+func (d *draft) finish(finished *protocol.FinishedRequest, retainUntilMillis int64) *protocol.FinishedRequest {
 	finished.FinishedAtMillis = d.now.UnixMilli()
-	finished.KeepUntilMillis = max(d.now.UnixMilli()+keepingMillis(d.KeepingMillis), keepUntilMillis)
+	finished.KeepUntilMillis = max(d.now.UnixMilli()+effectiveRetentionMillis(d.KeepingMillis), retainUntilMillis)
 	d.Settled = addWithoutOverflow(d.Settled, finished.GetTokens())
-	d.Reservations = slices.DeleteFunc(d.Reservations, func(open *protocol.Reservation) bool {
-		return open.GetRequestId() == finished.GetRequestId()
+	d.Reservations = slices.DeleteFunc(d.Reservations, func(reservation *protocol.Reservation) bool {
+		return reservation.GetRequestId() == finished.GetRequestId()
 	})
 	d.FinishedPacked = appendPacked(d.FinishedPacked, d.Program, d.Sessions, finished)
 	return finished
@@ -62,38 +62,38 @@
 }
 
 func findSession(record *protocol.ProgramRecord, session string) *protocol.SessionRecord {
-	for _, known := range record.GetSessions() {
-		if known.GetSession() == session {
-			return known
+	for _, candidate := range record.GetSessions() {
+		if candidate.GetSession() == session {
+			return candidate
 		}
 	}
 	return nil
 }
 
 func findReservation(record *protocol.ProgramRecord, requestID string) *protocol.Reservation {
-	for _, open := range record.GetReservations() {
-		if open.GetRequestId() == requestID {
-			return open
+	for _, reservation := range record.GetReservations() {
+		if reservation.GetRequestId() == requestID {
+			return reservation
 		}
 	}
 	return nil
 }
 
 // heldBudget sums the ceilings of the open reservations.
-func heldBudget(record *protocol.ProgramRecord) uint64 {
-	var held uint64
-	for _, open := range record.GetReservations() {
-		held = addWithoutOverflow(held, open.GetCeiling())
+func reservedTokens(record *protocol.ProgramRecord) uint64 {
+	var total uint64
+	for _, reservation := range record.GetReservations() {
+		total = addWithoutOverflow(total, reservation.GetCeiling())
 	}
-	return held
+	return total
 }
 
 // keepsTurn reports whether a session of the program settled the turn and it is still kept.
-func keepsTurn(record *protocol.ProgramRecord, turn string) bool {
+func retainsTurn(record *protocol.ProgramRecord, turn string) bool {
 	for _, session := range record.GetSessions() {
 		if session.GetLastTurn() == turn {
 			return true
 		}
 	}
-	return keepsFinishedTurn(record, turn)
+	return retainsFinishedTurn(record, turn)
 }
--- a/internal/state/ledger/retention.go
+++ b/internal/state/ledger/retention.go
@@ -15,11 +15,11 @@
 	MinRetention = 2 * time.Minute
 	// ShortestProgramTime bounds how early an idle program's record is forgotten, and its budget with it. One that was
 	// stopped may come again, far sooner than that.
-	ShortestProgramTime = 10 * time.Minute
+	MinProgramRetention = 10 * time.Minute
 )
 
 // keepingMillis gives the keeping time in force for the one that a record names.
-func keepingMillis(named int64) int64 {
+func effectiveRetentionMillis(named int64) int64 {
 	if named <= 0 {
 		return DefaultRetention.Milliseconds()
 	}
@@ -29,17 +29,17 @@
 // ProgramKeptUntil tells in Unix milliseconds when a program's record may be
 // forgotten: nothing changed it for its keeping time, and none of its finished requests is kept for longer.
 func ProgramRetainedUntil(record *protocol.ProgramRecord) int64 {
-	until := record.GetUpdatedAtMillis() + max(keepingMillis(record.GetKeepingMillis()), ShortestProgramTime.Milliseconds())
+	until := record.GetUpdatedAtMillis() + max(effectiveRetentionMillis(record.GetKeepingMillis()), MinProgramRetention.Milliseconds())
 	for _, finished := range record.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
 	}
 	for entry := range packedRequests(record.GetFinishedPacked()) {
-		until = max(until, entry.keepUntilMillis)
+		until = max(until, entry.retainUntilMillis)
 	}
 	return until
 }
 
 // CallKeptUntil tells in Unix milliseconds when a call's record may be forgotten.
 func CallRetainedUntil(record *protocol.CallRecord) int64 {
-	return record.GetUpdatedAtMillis() + keepingMillis(record.GetKeepingMillis())
+	return record.GetUpdatedAtMillis() + effectiveRetentionMillis(record.GetKeepingMillis())
 }
--- a/internal/state/ledger/training_step.go
+++ b/internal/state/ledger/training_step.go
@@ -13,19 +13,19 @@
 	// trainingStepPrefix begins the program names that are reserved for the registers of training steps.
 	trainingStepPrefix = "rosestand/training-step/"
 	// MaximumTrainingStepBytes bounds the name of a training step.
-	MaximumTrainingStepBytes = 256
+	MaxTrainingStepBytes = 256
 	// MaximumWeightVersions bounds the weight versions that one settled or released turn names.
-	MaximumWeightVersions = 16
+	MaxWeightVersions = 16
 	// maximumGenerationCounts bounds the versions that a membership counts apart, so that servers that name
 	// ever new versions cannot grow the record. Generations on further versions are counted under UnknownWeightVersion.
-	maximumGenerationCounts = 32
+	maxGenerationCounts = 32
 	// UnknownWeightVersion is the version under which generations are counted whose server named none.
 	UnknownWeightVersion = 0
 	// PinRenewal is how old a pin's record is at most when an owner asks for it. An older one is written anew, so
 	// that its keeping time counts from there. An owner that remembers a pin must ask again before PinKeepingTime less PinRenewal is over.
-	PinRenewal = time.Hour
+	PinRenewalInterval = time.Hour
 	// PinKeepingTime is how long a pin is kept at least after an owner asked for it, also when the step names a shorter time.
-	PinKeepingTime = DefaultRetention
+	MinPinRetention = DefaultRetention
 )
 
 // TrainingStepProgram gives the reserved program name under which the register of a training step is kept.
@@ -36,26 +36,26 @@
 
 // pinTrainingStep fixes the weight version of a step. The first version proposed wins and never changes.
 func pinTrainingStep(record *protocol.ProgramRecord, program string, pin *protocol.PinTrainingStep, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	pinned := record.GetTrainingStepPin()
+	current := record.GetTrainingStepPin()
 	switch {
-	case pinned == nil && pin.GetWeightVersion() == 0:
-		return nil, Answer(protocol.LedgerStatus_LEDGER_STEP_UNKNOWN)
-	case pinned == nil:
-		return firstPin(program, pin, now)
-	case pin.GetModel() != "" && pin.GetModel() != pinned.GetModel():
-		return nil, pinResult(protocol.LedgerStatus_LEDGER_STEP_MISMATCH, pinned)
+	case current == nil && pin.GetWeightVersion() == 0:
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_STEP_UNKNOWN)
+	case current == nil:
+		return createPin(program, pin, now)
+	case pin.GetModel() != "" && pin.GetModel() != current.GetModel():
+		return nil, pinResult(protocol.LedgerStatus_LEDGER_STEP_MISMATCH, current)
 	default:
-		return renewedPin(record, pin, now), pinResult(protocol.LedgerStatus_LEDGER_OK, pinned)
+		return renewPin(record, pin, now), pinResult(protocol.LedgerStatus_LEDGER_OK, current)
 	}
 }
 
-func pinResult(status protocol.LedgerStatus, pinned *protocol.TrainingStepPin) *protocol.LedgerResult {
-	return &protocol.LedgerResult{Status: status, TrainingStepPin: pinned}
+func pinResult(status protocol.LedgerStatus, pin *protocol.TrainingStepPin) *protocol.LedgerResult {
+	return &protocol.LedgerResult{Status: status, TrainingStepPin: pin}
 }
 
-func firstPin(program string, pin *protocol.PinTrainingStep, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+func createPin(program string, pin *protocol.PinTrainingStep, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	changed := newDraft(program, nil, now)
-	changed.KeepingMillis = pinKeepingMillis(pin)
+	changed.KeepingMillis = pinRetentionMillis(pin)
 	changed.TrainingStepPin = &protocol.TrainingStepPin{
 		Step:           pin.GetStep(),
 		Model:          pin.GetModel(),
@@ -68,23 +68,23 @@
 
 // renewedPin gives the record with a later end of its keeping time, or nil when
 // it was renewed lately. A request without an owner only looks and renews nothing.
-func renewedPin(record *protocol.ProgramRecord, pin *protocol.PinTrainingStep, now time.Time) *protocol.ProgramRecord {
+func renewPin(record *protocol.ProgramRecord, pin *protocol.PinTrainingStep, now time.Time) *protocol.ProgramRecord {
 	if pin.GetOwner() == "" {
 		return nil
 	}
-	isFresh := now.UnixMilli() < record.GetUpdatedAtMillis()+PinRenewal.Milliseconds()
-	if isFresh && pinKeepingMillis(pin) <= record.GetKeepingMillis() {
+	isFresh := now.UnixMilli() < record.GetUpdatedAtMillis()+PinRenewalInterval.Milliseconds()
+	if isFresh && pinRetentionMillis(pin) <= record.GetKeepingMillis() {
 		return nil
 	}
 	changed := newDraft(record.GetProgram(), record, now)
-	changed.KeepingMillis = max(record.GetKeepingMillis(), pinKeepingMillis(pin))
+	changed.KeepingMillis = max(record.GetKeepingMillis(), pinRetentionMillis(pin))
 	return changed.ProgramRecord
 }
 
 // pinKeepingMillis gives the keeping time of a pin. It is never a short one: a pin that was forgotten
 // while its step still generates could be set again, to another version.
-func pinKeepingMillis(pin *protocol.PinTrainingStep) int64 {
-	return max(pin.GetKeepingMillis(), PinKeepingTime.Milliseconds())
+func pinRetentionMillis(pin *protocol.PinTrainingStep) int64 {
+	return max(pin.GetKeepingMillis(), MinPinRetention.Milliseconds())
 }
 
 // isPinRead reports whether the request can change nothing, not even the keeping time of the pin.
@@ -143,26 +143,26 @@
 	if d.TrainingStep == nil {
 		return
 	}
-	pinned := d.TrainingStep.GetWeightVersion()
+	pinnedVersion := d.TrainingStep.GetWeightVersion()
 	if len(versions) == 0 {
 		versions = []uint64{UnknownWeightVersion}
 	}
-	differing := differingVersions(versions, pinned)
+	differing := differingVersions(versions, pinnedVersion)
 	switch {
 	case len(differing) > 0:
 		for _, version := range differing {
 			d.addToCount(version, func(count *protocol.GenerationCount) { count.Discarded++ })
 		}
 	case completed:
-		d.addToCount(pinned, func(count *protocol.GenerationCount) { count.Completed++ })
+		d.addToCount(pinnedVersion, func(count *protocol.GenerationCount) { count.Completed++ })
 	default:
-		d.addToCount(pinned, func(count *protocol.GenerationCount) { count.Discarded++ })
+		d.addToCount(pinnedVersion, func(count *protocol.GenerationCount) { count.Discarded++ })
 	}
 }
 
 // differingVersions gives each version but the pinned one once, lowest first.
-func differingVersions(versions []uint64, pinned uint64) []uint64 {
-	differing := slices.DeleteFunc(slices.Clone(versions), func(version uint64) bool { return version == pinned })
+func differingVersions(versions []uint64, pinnedVersion uint64) []uint64 {
+	differing := slices.DeleteFunc(slices.Clone(versions), func(version uint64) bool { return version == pinnedVersion })
 	slices.Sort(differing)
 	return slices.Compact(differing)
 }
@@ -170,18 +170,18 @@
 // addToCount changes a copy of the count of one version; the membership of the record before stays as it is.
 func (d *draft) addToCount(version uint64, add func(*protocol.GenerationCount)) {
 	counts := slices.Clone(d.TrainingStep.GetGenerations())
-	place, found := findCount(counts, version)
-	if !found && len(counts) >= maximumGenerationCounts && version != d.TrainingStep.GetWeightVersion() {
+	index, found := findCount(counts, version)
+	if !found && len(counts) >= maxGenerationCounts && version != d.TrainingStep.GetWeightVersion() {
 		version = UnknownWeightVersion
-		place, found = findCount(counts, version)
+		index, found = findCount(counts, version)
 	}
 	changed := &protocol.GenerationCount{WeightVersion: version}
 	if found {
-		changed.Completed = counts[place].GetCompleted()
-		changed.Discarded = counts[place].GetDiscarded()
-		counts[place] = changed
+		changed.Completed = counts[index].GetCompleted()
+		changed.Discarded = counts[index].GetDiscarded()
+		counts[index] = changed
 	} else {
-		counts = slices.Insert(counts, place, changed)
+		counts = slices.Insert(counts, index, changed)
 	}
 	add(changed)
 	d.TrainingStep = &protocol.TrainingStepMembership{
@@ -192,7 +192,7 @@
 }
 
 // findCount gives the place of a version, or the place where it belongs.
-func findCount(counts []*protocol.GenerationCount, version uint64) (place int, found bool) {
+func findCount(counts []*protocol.GenerationCount, version uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(counts, version, func(count *protocol.GenerationCount, version uint64) int {
 		return cmp.Compare(count.GetWeightVersion(), version)
 	})
@@ -200,7 +200,7 @@
 
 // CountedGenerations gives how many generations a membership counts. It never falls, and rises
 // with each change of the counts, so of two records of one program the higher one is the later.
-func CountedGenerations(membership *protocol.TrainingStepMembership) uint64 {
+func TotalGenerations(membership *protocol.TrainingStepMembership) uint64 {
 	var counted uint64
 	for _, count := range membership.GetGenerations() {
 		counted = addWithoutOverflow(counted, addWithoutOverflow(count.GetCompleted(), count.GetDiscarded()))
--- a/internal/state/ledger/training_step_property_test.go
+++ b/internal/state/ledger/training_step_property_test.go
@@ -114,7 +114,7 @@
 			t.Fatalf("%v lowered a count from %v to %v", operation, old, count)
 		}
 	}
-	changed := ledger.CountedGenerations(is) != ledger.CountedGenerations(was)
+	changed := ledger.TotalGenerations(is) != ledger.TotalGenerations(was)
 	if ran := ranRequests(after) != ranRequests(before); ran != changed {
 		t.Fatalf("%v: requests that ran %d before and %d after, counts %v before and %v after", operation, ranRequests(before), ranRequests(after), was, is)
 	}
@@ -133,7 +133,7 @@
 func ranRequests(record *protocol.ProgramRecord) int {
 	count := 0
 	for number := range propertyRequests {
-		finished := ledger.Finished(record, fmt.Sprintf("r%d", number))
+		finished := ledger.FindFinished(record, fmt.Sprintf("r%d", number))
 		if finished != nil && finished.GetOutcome() != outcomeNotRun {
 			count++
 		}
--- a/internal/state/ledger/training_step_test.go
+++ b/internal/state/ledger/training_step_test.go
@@ -151,10 +151,10 @@
 
 func TestAPinIsWrittenAgainOnlyWhenItIsOld(t *testing.T) {
 	record, _ := ledger.Apply(nil, pin("17", "m", 4, "a"), now)
-	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewal-time.Second)); again != nil {
+	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewalInterval-time.Second)); again != nil {
 		t.Errorf("a fresh pin was written again: %v", again)
 	}
-	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewal)); again == nil {
+	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewalInterval)); again == nil {
 		t.Error("an old pin was not written again")
 	}
 }
@@ -209,7 +209,7 @@
 		"a refused reservation makes no member": {
 			{do: claim("s", "a", 1), want: ok},
 			{do: generating("17", 4, reserve("r", "s", 1, 10, "t9")), want: wrongContinued, check: noMember},
-			{do: generating("17", 4, reserve("r", "s", 2, 10, "")), want: fenced, check: noMember},
+			{do: generating("17", 4, reserve("r", "s", 2, 10, "")), want: fencedResult, check: noMember},
 		},
 		"a forgotten program may join another step": {
 			{do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok},
@@ -323,7 +323,7 @@
 	if len(counts) > 40 {
 		t.Errorf("%d versions are counted apart", len(counts))
 	}
-	if counted := ledger.CountedGenerations(record.GetTrainingStep()); counted != turns+1 {
+	if counted := ledger.TotalGenerations(record.GetTrainingStep()); counted != turns+1 {
 		t.Errorf("counted %d generations of %d", counted, turns+1)
 	}
 	if last := counts[len(counts)-1]; last.GetWeightVersion() != 1000 || last.GetCompleted() != 1 {
@@ -333,13 +333,13 @@
 
 func TestOperationsOfTrainingStepsAreValidated(t *testing.T) {
 	reserved := ledger.TrainingStepProgram("17")
-	longStep := strings.Repeat("x", ledger.MaximumTrainingStepBytes+1)
+	longStep := strings.Repeat("x", ledger.MaxTrainingStepBytes+1)
 	foreign, foreignTrace := pin("17", "m", 4, "a"), trace("17")
 	foreign.Program, foreignTrace.Program = "p", ledger.TrainingStepProgram("18")
 	settledHere, calledHere := settle("r", "s", 1, 1, "t1", ""), begin("r", "a", 1)
 	settledHere.Program, calledHere.Program = reserved, reserved
 	settledHere.GetSettleTurn().Turn.Program = reserved
-	manyVersions := make([]uint64, ledger.MaximumWeightVersions+1)
+	manyVersions := make([]uint64, ledger.MaxWeightVersions+1)
 	for _, fault := range []struct {
 		path      string
 		operation *protocol.LedgerOperation
--- a/internal/state/ledger/turn.go
+++ b/internal/state/ledger/turn.go
@@ -11,14 +11,14 @@
 // the session is claimed first; the claim stands also when the turn is refused,
 // unless the program does not belong to the turn's training step.
 func reserveTurn(record *protocol.ProgramRecord, program string, reserve *protocol.ReserveTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	if finished := Finished(record, reserve.GetRequestId()); finished != nil {
+	if finished := FindFinished(record, reserve.GetRequestId()); finished != nil {
 		if !belongsToStep(record, reserve.GetTrainingStep()) {
 			return nil, stepMismatch(record)
 		}
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
 	if reserve.GetClaim() == nil {
-		return reserveUnder(record, reserve, reserve.GetEpoch(), now)
+		return reserveUnderEpoch(record, reserve, reserve.GetEpoch(), now)
 	}
 	claimed, claim := claimSession(record, program, reserve.GetClaim(), now)
 	if claim.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
@@ -28,9 +28,9 @@
 		return nil, stepMismatch(record)
 	}
 	if claimed == nil {
-		return reserveUnder(record, reserve, claim.GetEpoch(), now)
+		return reserveUnderEpoch(record, reserve, claim.GetEpoch(), now)
 	}
-	reserved, result := reserveUnder(claimed, reserve, claim.GetEpoch(), now)
+	reserved, result := reserveUnderEpoch(claimed, reserve, claim.GetEpoch(), now)
 	if reserved == nil {
 		reserved = claimed
 	}
@@ -38,43 +38,43 @@
 }
 
 // reserveUnder reserves under an epoch of the session. The request may have been ended by the claim before.
-func reserveUnder(record *protocol.ProgramRecord, reserve *protocol.ReserveTurn, epoch uint64, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	if finished := Finished(record, reserve.GetRequestId()); finished != nil {
+func reserveUnderEpoch(record *protocol.ProgramRecord, reserve *protocol.ReserveTurn, epoch uint64, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+	if finished := FindFinished(record, reserve.GetRequestId()); finished != nil {
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
-	session, refusal := checkEpoch(record, reserve.GetSession(), epoch)
-	if refusal != nil {
-		return nil, refusal
+	session, rejection := checkEpoch(record, reserve.GetSession(), epoch)
+	if rejection != nil {
+		return nil, rejection
 	}
 	if !belongsToStep(record, reserve.GetTrainingStep()) {
 		return nil, stepMismatch(record)
 	}
-	wanted := &protocol.Reservation{
+	reservation := &protocol.Reservation{
 		RequestId:    reserve.GetRequestId(),
 		Session:      reserve.GetSession(),
 		Epoch:        epoch,
 		Ceiling:      reserve.GetCeiling(),
 		PreviousTurn: reserve.GetPreviousTurn(),
 	}
-	if open := findReservation(record, reserve.GetRequestId()); open != nil {
-		if isSameReservation(open, wanted) {
+	if existing := findReservation(record, reserve.GetRequestId()); existing != nil {
+		if isSameReservation(existing, reservation) {
 			return nil, reservedResult(session)
 		}
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED, record, session)
 	}
 	if !reserve.GetFork() {
 		if status := checkOrder(record, session, reserve.GetPreviousTurn()); status != protocol.LedgerStatus_LEDGER_OK {
-			return nil, withProgram(status, shownWith(status, record), session)
+			return nil, withProgram(status, recordShownWith(status, record), session)
 		}
 	}
 	if record.GetSettled() >= record.GetBudget() {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_BUDGET_SPENT, record, session)
 	}
-	if addWithoutOverflow(record.GetSettled(), heldBudget(record)) >= record.GetBudget() {
+	if addWithoutOverflow(record.GetSettled(), reservedTokens(record)) >= record.GetBudget() {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_BUDGET_HELD, record, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
-	changed.Reservations = append(changed.Reservations, wanted)
+	changed.Reservations = append(changed.Reservations, reservation)
 	changed.join(reserve.GetTrainingStep())
 	return changed.ProgramRecord, reservedResult(session)
 }
@@ -83,8 +83,8 @@
 // after the other, each behind the last. Forks are not asked for it, since they
 // may follow a turn of another program too; whoever issues one reads its chain first.
 func checkOrder(record *protocol.ProgramRecord, session *protocol.SessionRecord, previous string) protocol.LedgerStatus {
-	for _, open := range record.GetReservations() {
-		if open.GetSession() == session.GetSession() {
+	for _, reservation := range record.GetReservations() {
+		if reservation.GetSession() == session.GetSession() {
 			return protocol.LedgerStatus_LEDGER_ALREADY_RESERVED
 		}
 	}
@@ -95,18 +95,18 @@
 }
 
 // shownWith gives the record to the answers that are explained by it.
-func shownWith(status protocol.LedgerStatus, record *protocol.ProgramRecord) *protocol.ProgramRecord {
+func recordShownWith(status protocol.LedgerStatus, record *protocol.ProgramRecord) *protocol.ProgramRecord {
 	if status == protocol.LedgerStatus_LEDGER_ALREADY_RESERVED {
 		return record
 	}
 	return nil
 }
 
-func isSameReservation(open, wanted *protocol.Reservation) bool {
-	return open.GetSession() == wanted.GetSession() &&
-		open.GetEpoch() == wanted.GetEpoch() &&
-		open.GetCeiling() == wanted.GetCeiling() &&
-		open.GetPreviousTurn() == wanted.GetPreviousTurn()
+func isSameReservation(a, b *protocol.Reservation) bool {
+	return a.GetSession() == b.GetSession() &&
+		a.GetEpoch() == b.GetEpoch() &&
+		a.GetCeiling() == b.GetCeiling() &&
+		a.GetPreviousTurn() == b.GetPreviousTurn()
 }
 
 // continues tells whether a turn of the session may follow previous. The first
@@ -115,7 +115,7 @@
 	if session.GetLastTurn() != "" {
 		return session.GetLastTurn() == previous
 	}
-	return previous == "" || keepsTurn(record, previous)
+	return previous == "" || retainsTurn(record, previous)
 }
 
 func reservedResult(session *protocol.SessionRecord) *protocol.LedgerResult {
@@ -136,34 +136,34 @@
 }
 
 // settleTurn charges the tokens of a kept turn, never more than were reserved.
-func settleTurn(record *protocol.ProgramRecord, settle *protocol.SettleTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	turn := settle.GetTurn()
-	if finished := Finished(record, settle.GetRequestId()); finished != nil {
+func commitTurn(record *protocol.ProgramRecord, commit *protocol.SettleTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+	turn := commit.GetTurn()
+	if finished := FindFinished(record, commit.GetRequestId()); finished != nil {
 		if finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED && finished.GetTurnId() == turn.GetId() {
 			return nil, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 		}
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
-	session, refusal := checkEpoch(record, settle.GetSession(), settle.GetEpoch())
-	if refusal != nil {
-		return nil, refusal
+	session, rejection := checkEpoch(record, commit.GetSession(), commit.GetEpoch())
+	if rejection != nil {
+		return nil, rejection
 	}
-	open := findReservation(record, settle.GetRequestId())
-	if open == nil || open.GetSession() != settle.GetSession() {
+	reservation := findReservation(record, commit.GetRequestId())
+	if reservation == nil || reservation.GetSession() != commit.GetSession() {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
-	if turn.GetPreviousTurn() != open.GetPreviousTurn() {
+	if turn.GetPreviousTurn() != reservation.GetPreviousTurn() {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION, nil, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
 	finished := changed.finish(&protocol.FinishedRequest{
-		RequestId: settle.GetRequestId(),
-		Session:   settle.GetSession(),
+		RequestId: commit.GetRequestId(),
+		Session:   commit.GetSession(),
 		Outcome:   protocol.RequestOutcome_OUTCOME_SETTLED,
 		TurnId:    turn.GetId(),
-		Tokens:    min(settle.GetTokens(), open.GetCeiling()),
+		Tokens:    min(commit.GetTokens(), reservation.GetCeiling()),
 	}, turn.GetKeepUntilMillis())
-	changed.countGeneration(settle.GetWeightVersions(), true)
+	changed.countGeneration(commit.GetWeightVersions(), true)
 	changed.putSession(&protocol.SessionRecord{
 		Session:          session.GetSession(),
 		Epoch:            session.GetEpoch(),
@@ -184,21 +184,21 @@
 	if ran {
 		outcome = protocol.RequestOutcome_OUTCOME_CHARGED
 	}
-	if finished := Finished(record, release.GetRequestId()); finished != nil {
-		if finished.GetOutcome() == outcome && !lostCompletion(record, finished, release) {
+	if finished := FindFinished(record, release.GetRequestId()); finished != nil {
+		if finished.GetOutcome() == outcome && !mayHaveLostCompletion(record, finished, release) {
 			return nil, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 		}
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
-	session, refusal := checkEpoch(record, release.GetSession(), release.GetEpoch())
-	if refusal != nil {
-		return nil, refusal
+	session, rejection := checkEpoch(record, release.GetSession(), release.GetEpoch())
+	if rejection != nil {
+		return nil, rejection
 	}
-	open := findReservation(record, release.GetRequestId())
-	if open != nil && open.GetSession() != release.GetSession() {
+	reservation := findReservation(record, release.GetRequestId())
+	if reservation != nil && reservation.GetSession() != release.GetSession() {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
-	if open == nil && ran {
+	if reservation == nil && ran {
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
@@ -206,7 +206,7 @@
 		RequestId: release.GetRequestId(),
 		Session:   release.GetSession(),
 		Outcome:   outcome,
-		Tokens:    min(release.GetTokens(), open.GetCeiling()),
+		Tokens:    min(release.GetTokens(), reservation.GetCeiling()),
 	}, 0)
 	if ran {
 		changed.countGeneration(release.GetWeightVersions(), release.GetCompleted())
@@ -217,7 +217,7 @@
 // lostCompletion tells whether a finished generation may have been counted as discarded, though its owner
 // says that it is complete: its session was claimed anew since then, and a claim charges and counts what it finds open. The owner must not
 // take it for counted, or its caller would have a generation whole that no trace shows.
-func lostCompletion(record *protocol.ProgramRecord, finished *protocol.FinishedRequest, release *protocol.ReleaseTurn) bool {
+func mayHaveLostCompletion(record *protocol.ProgramRecord, finished *protocol.FinishedRequest, release *protocol.ReleaseTurn) bool {
 	if record.GetTrainingStep() == nil || !release.GetCompleted() {
 		return false
 	}
@@ -236,20 +236,20 @@
 // refuseRequest writes the tombstone that must stand before a request is
 // refused by someone who does not know whether it ran. A program need not be
 // open for it: a first turn can be refused too.
-func refuseRequest(record *protocol.ProgramRecord, program string, refuse *protocol.RefuseRequest, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
-	if finished := Finished(record, refuse.GetRequestId()); finished != nil {
+func rejectRequest(record *protocol.ProgramRecord, program string, reject *protocol.RefuseRequest, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+	if finished := FindFinished(record, reject.GetRequestId()); finished != nil {
 		if finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_NOT_RUN {
 			return nil, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 		}
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
-	if findReservation(record, refuse.GetRequestId()) != nil {
-		return nil, Answer(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED)
+	if findReservation(record, reject.GetRequestId()) != nil {
+		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED)
 	}
 	changed := newDraft(program, record, now)
 	finished := changed.finish(&protocol.FinishedRequest{
-		RequestId: refuse.GetRequestId(),
-		Session:   refuse.GetSession(),
+		RequestId: reject.GetRequestId(),
+		Session:   reject.GetSession(),
 		Outcome:   protocol.RequestOutcome_OUTCOME_NOT_RUN,
 	}, 0)
 	return changed.ProgramRecord, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
--- a/internal/state/ledger/turn_id.go
+++ b/internal/state/ledger/turn_id.go
@@ -15,7 +15,7 @@
 // the program's record and names the request's turn.
 type requestKey [requestKeyBytes]byte
 
-func requestKeyOf(program, requestID string) requestKey {
+func newRequestKey(program, requestID string) requestKey {
 	sum := sha256.Sum256([]byte(program + "\x00" + requestID))
 	return requestKey(sum[:requestKeyBytes])
 }
@@ -25,11 +25,11 @@
 // TurnID gives the id of the turn that answers a request. It follows from the
 // program and the request id, so every send of one request has the same turn.
 func TurnID(program, requestID string) string {
-	return requestKeyOf(program, requestID).turnID()
+	return newRequestKey(program, requestID).turnID()
 }
 
 // requestKeyOfTurn reads the key back from a turn id; false when the id was not made by TurnID.
-func requestKeyOfTurn(turnID string) (key requestKey, derived bool) {
+func parseTurnID(turnID string) (key requestKey, derived bool) {
 	digits, found := strings.CutPrefix(turnID, turnIDPrefix)
 	if !found || len(digits) != 2*requestKeyBytes {
 		return key, false
--- a/internal/state/ledger/validate.go
+++ b/internal/state/ledger/validate.go
@@ -30,7 +30,7 @@
 	case *protocol.LedgerOperation_ReserveTurn:
 		return validateReserve(body.ReserveTurn)
 	case *protocol.LedgerOperation_SettleTurn:
-		return validateSettle(operation.GetProgram(), body.SettleTurn)
+		return validateCommit(operation.GetProgram(), body.SettleTurn)
 	case *protocol.LedgerOperation_ReleaseTurn:
 		return validateRelease(body.ReleaseTurn)
 	case *protocol.LedgerOperation_RefuseRequest:
@@ -78,24 +78,24 @@
 	}
 }
 
-func validateSettle(program string, settle *protocol.SettleTurn) error {
+func validateCommit(program string, commit *protocol.SettleTurn) error {
 	if err := checkIdentifiers(
-		"settle_turn.request_id", settle.GetRequestId(),
-		"settle_turn.session", settle.GetSession(),
-		"settle_turn.turn.id", settle.GetTurn().GetId(),
+		"settle_turn.request_id", commit.GetRequestId(),
+		"settle_turn.session", commit.GetSession(),
+		"settle_turn.turn.id", commit.GetTurn().GetId(),
 	); err != nil {
 		return err
 	}
-	turn := settle.GetTurn()
+	turn := commit.GetTurn()
 	switch {
 	case turn.GetProgram() != program:
 		return &InvalidOperationError{Path: "settle_turn.turn.program", Reason: "is of another program"}
-	case turn.GetSession() != settle.GetSession():
+	case turn.GetSession() != commit.GetSession():
 		return &InvalidOperationError{Path: "settle_turn.turn.session", Reason: "is of another session"}
-	case turn.GetRequestId() != settle.GetRequestId():
+	case turn.GetRequestId() != commit.GetRequestId():
 		return &InvalidOperationError{Path: "settle_turn.turn.request_id", Reason: "is of another request"}
 	default:
-		return checkWeightVersions("settle_turn.weight_versions", settle.GetWeightVersions())
+		return checkWeightVersions("settle_turn.weight_versions", commit.GetWeightVersions())
 	}
 }
 
--- a/internal/state/ledger/validate_training_step.go
+++ b/internal/state/ledger/validate_training_step.go
@@ -48,14 +48,14 @@
 	if step == "" {
 		return &InvalidOperationError{Path: path, Reason: "missing"}
 	}
-	if len(step) > MaximumTrainingStepBytes {
+	if len(step) > MaxTrainingStepBytes {
 		return &InvalidOperationError{Path: path, Reason: "longer than the name of a training step may be"}
 	}
 	return nil
 }
 
 func checkWeightVersions(path string, versions []uint64) error {
-	if len(versions) > MaximumWeightVersions {
+	if len(versions) > MaxWeightVersions {
 		return &InvalidOperationError{Path: path, Reason: "more versions than a turn may name"}
 	}
 	return nil
--- a/internal/state/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -133,7 +133,7 @@
 		ctx = limited
 	}
 	if status, err := c.prolongForeignChain(ctx, operation, options); status != protocol.LedgerStatus_LEDGER_OK {
-		return ledger.Answer(status), err
+		return ledger.ResultWithStatus(status), err
 	}
 	result, doubtful, err := c.run(ctx, operation, options)
 	if err != nil || !doubtful || !isRefusedReservation(operation.GetReserveTurn(), result) {
--- a/internal/state/ledgerclient/race.go
+++ b/internal/state/ledgerclient/race.go
@@ -82,7 +82,7 @@
 			return answer.result, r.doubtful || r.inFlight > 0, answer.err
 		}
 	}
-	return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), r.doubtful || r.inFlight > 0, nil
+	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), r.doubtful || r.inFlight > 0, nil
 }
 
 func (r *race) begin() {
@@ -185,7 +185,7 @@
 		return stepNext, answer
 	case attemptOutOfTime:
 		r.doubtful = true
-		return stepFinal, attemptAnswer{result: ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
+		return stepFinal, attemptAnswer{result: ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	default:
 		r.doubtful = true
 		return stepRest, answer
--- a/internal/state/store/chain.go
+++ b/internal/state/store/chain.go
@@ -103,7 +103,7 @@
 			return page, err
 		}
 		if status := s.prolongPage(ctx, shard, page.GetTurns(), prolong.GetKeepUntilMillis()); status != protocol.LedgerStatus_LEDGER_OK {
-			return ledger.Answer(status), nil
+			return ledger.ResultWithStatus(status), nil
 		}
 		oldest := page.GetTurns()[len(page.GetTurns())-1]
 		result.Turns = []*protocol.Turn{{
--- a/internal/state/store/findturn.go
+++ b/internal/state/store/findturn.go
@@ -76,7 +76,7 @@
 func (s *Store) findTurn(ctx context.Context, find *protocol.FindTurn) (*protocol.LedgerResult, error) {
 	current := s.watch.current.Load()
 	if len(current.shards) == 0 {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 	here, err := s.findHere(find.GetTurnId(), current)
 	if err != nil {
@@ -113,9 +113,9 @@
 		return foundTurn(turn)
 	}
 	if lacking.isComplete() && s.watch.current.Load().epoch == lacking.topology.epoch {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 	}
-	return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 }
 
 // hear takes answers in until one has the turn, all are there or the time is over.
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -69,9 +69,9 @@
 		s.metrics.results.WithLabelValues(result.GetStatus().String()).Inc()
 		return result, nil
 	case <-ctx.Done():
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	case <-s.stopped:
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 }
 
@@ -96,13 +96,13 @@
 			case protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
 				op.reply(wrongPlacement(g.store.shardView(shard.Shard).Epoch))
 			default:
-				op.reply(ledger.Answer(status))
+				op.reply(ledger.ResultWithStatus(status))
 			}
 		})
 	case *protocol.LedgerOperation_BeginCall:
 		g.beginCall(shard, op, body.BeginCall)
 	default:
-		g.propose(shard, registerKey{program: op.message.GetProgram(), call: ledger.CallOf(op.message)}, op)
+		g.propose(shard, registerKey{program: op.message.GetProgram(), call: ledger.CallRequestID(op.message)}, op)
 	}
 }
 
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -94,7 +94,7 @@
 			p.active = append(p.active, op)
 			continue
 		}
-		op.reply(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+		op.reply(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 	}
 	p.waiting = append(p.waiting[:0], p.waiting[taken:]...)
 }
@@ -281,7 +281,7 @@
 	record, err := decodeProgram(value)
 	if err != nil {
 		p.group.store.fail(err)
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	}
 	_, result := ledger.Apply(record, op.message, p.group.store.options.Clock.Now())
 	return result
@@ -313,7 +313,7 @@
 	}
 	p.resting = false
 	if p.allExpired() {
-		p.answerAll(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+		p.answerAll(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 		p.startNext()
 		return
 	}
--- a/internal/state/store/steptrace.go
+++ b/internal/state/store/steptrace.go
@@ -57,11 +57,11 @@
 		return nil, err
 	}
 	if !complete {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 	programs, read := s.readMembers(ctx, step, names)
 	if !read {
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 	pinned, err := s.propose(ctx, shard, &protocol.LedgerOperation{
 		Program: message.GetProgram(),
@@ -217,7 +217,7 @@
 	defer cancel()
 	if replica == r.store.options.Self.GetName() {
 		if !shard.Role.Votes() {
-			return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+			return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 		}
 		return r.store.propose(ctx, shard, operation)
 	}
--- a/internal/testing/sim/ownershipsuite/ledger.go
+++ b/internal/testing/sim/ownershipsuite/ledger.go
@@ -46,7 +46,7 @@
 }
 
 func (l *ledgerProcess) apply(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	if ledger.CallOf(operation) != "" {
+	if ledger.CallRequestID(operation) != "" {
 		return l.applyCall(operation)
 	}
 	state := l.suite.ledger
@@ -90,7 +90,7 @@
 // applyCall decides on the call's register and then, as a store does, checks the epoch.
 func (l *ledgerProcess) applyCall(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	state := l.suite.ledger
-	id := operation.GetProgram() + "/" + ledger.CallOf(operation)
+	id := operation.GetProgram() + "/" + ledger.CallRequestID(operation)
 	changed, result := ledger.ApplyCall(state.calls[id], operation, l.environment.Now())
 	if changed != nil {
 		state.calls[id] = changed
--- a/internal/testing/sim/servingsuite/ledger.go
+++ b/internal/testing/sim/servingsuite/ledger.go
@@ -57,7 +57,7 @@
 }
 
 func (l *ledgerProcess) apply(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	if ledger.CallOf(operation) != "" {
+	if ledger.CallRequestID(operation) != "" {
 		return l.applyCall(operation)
 	}
 	changed, result := ledger.Apply(l.state.programs[operation.GetProgram()], operation, l.environment.Now())
@@ -72,7 +72,7 @@
 
 // applyCall decides on the call's register and then, as a store does, checks the epoch.
 func (l *ledgerProcess) applyCall(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	id := operation.GetProgram() + "/" + ledger.CallOf(operation)
+	id := operation.GetProgram() + "/" + ledger.CallRequestID(operation)
 	changed, result := ledger.ApplyCall(l.state.calls[id], operation, l.environment.Now())
 	if changed != nil {
 		l.state.calls[id] = changed
--- a/internal/testing/sim/statesuite/storeledger.go
+++ b/internal/testing/sim/statesuite/storeledger.go
@@ -84,7 +84,7 @@
 
 // applyLedger applies an operation to the register of its program or call.
 func (p *storeProcess) applyLedger(shard uint32, operation *protocol.LedgerOperation, reply func(*protocol.LedgerResult)) {
-	key := registerKey{program: operation.GetProgram(), call: ledger.CallOf(operation)}
+	key := registerKey{program: operation.GetProgram(), call: ledger.CallRequestID(operation)}
 	var result *protocol.LedgerResult
 	wanted := &change{
 		deadline: p.environment.Now().Add(storeOperation),
@@ -209,7 +209,7 @@
 				end(missing)
 				return
 			}
-			end(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+			end(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 		})
 	}
 }
@@ -226,7 +226,7 @@
 		}
 		p.applyLedger(shard, read, func(current *protocol.LedgerResult) {
 			if current.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
-				reply(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+				reply(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 				return
 			}
 			check := ledger.CheckEpoch(current.GetProgram(), begin.GetSession(), begin.GetEpoch())
