--- a/internal/controlplane/replica/disk.go
+++ b/internal/controlplane/replica/disk.go
@@ -27,7 +27,7 @@
 
 func openDisk(filesystem storage.Filesystem, folder string) (*disk, error) {
 	path := filepath.Join(folder, logFolder)
-	if err := filesystem.MakeFolder(path); err != nil {
+	if err := filesystem.MkdirAll(path); err != nil {
 		return nil, err
 	}
 	snapshots := filepath.Join(folder, snapshotFolder)
--- a/internal/process/daemon/daemon_test.go
+++ b/internal/process/daemon/daemon_test.go
@@ -221,7 +221,7 @@
 		})
 
 		It("exits at once when another process holds the data folder", func() {
-			lock, err := storage.LockFolder(filepath.Join(folder, "data"))
+			lock, err := storage.LockDir(filepath.Join(folder, "data"))
 			Expect(err).NotTo(HaveOccurred())
 			defer lock.Close()
 			refused := launch(&fakePlane{}, arguments()...)
--- a/internal/process/daemon/folder.go
+++ b/internal/process/daemon/folder.go
@@ -31,7 +31,7 @@
 	if path == "" {
 		return &dataFolder{}, nil
 	}
-	lock, err := storage.LockFolder(path)
+	lock, err := storage.LockDir(path)
 	if err != nil {
 		return nil, &DataFolderError{Path: path, Cause: err}
 	}
@@ -99,5 +99,5 @@
 	if err := os.Rename(temporary, path); err != nil {
 		return errors.Wrap(err, "write incarnation")
 	}
-	return (storage.OSFilesystem{}).SyncFolder(folder)
+	return (storage.OSFilesystem{}).SyncDir(folder)
 }
--- a/internal/process/daemon/space_test.go
+++ b/internal/process/daemon/space_test.go
@@ -20,7 +20,7 @@
 func waiting(t *testing.T) (disk *simdisk.Disk, signals chan os.Signal, goesOn chan bool) {
 	t.Helper()
 	disk = simdisk.New(rand.New(rand.NewPCG(1, 1)))
-	if err := disk.MakeFolder("data"); err != nil {
+	if err := disk.MkdirAll("data"); err != nil {
 		t.Fatal(err)
 	}
 	disk.SetCapacity(startSpaceBytes - 1)
--- a/internal/state/storage/directory_lock.go
+++ b/internal/state/storage/directory_lock.go
@@ -12,10 +12,10 @@
 // LockFileName is the name of the lock file in a data folder.
 const LockFileName = "lock"
 
-// LockFolder takes the data folder at path, made if absent, for this process. The lock ends
-// with Close or with the process. It returns *FolderLockedError when another process holds it.
-func LockFolder(path string) (io.Closer, error) {
-	if err := (OSFilesystem{}).MakeFolder(path); err != nil {
+// LockDir takes the data folder at path, made if absent, for this process. The lock ends
+// with Close or with the process. It returns *DirLockedError when another process holds it.
+func LockDir(path string) (io.Closer, error) {
+	if err := (OSFilesystem{}).MkdirAll(path); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(filepath.Join(path, LockFileName), os.O_RDWR|os.O_CREATE, fileMode)
@@ -28,7 +28,7 @@
 	}
 	closeErr := file.Close()
 	if errors.Is(err, unix.EWOULDBLOCK) {
-		return nil, &FolderLockedError{Path: path}
+		return nil, &DirLockedError{Path: path}
 	}
 	return nil, errors.WithStack(errors.CombineErrors(err, closeErr))
 }
--- a/internal/state/storage/errors.go
+++ b/internal/state/storage/errors.go
@@ -43,14 +43,14 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// RecordSizeError reports a record that is empty or over LogOptions.MaximumRecordBytes. Nothing was written.
+// RecordSizeError reports a record that is empty or over LogOptions.MaxRecordBytes. Nothing was written.
 type RecordSizeError struct {
-	Size    int
-	Maximum int
+	Size int
+	Max  int
 }
 
 func (e *RecordSizeError) Error() string {
-	return fmt.Sprintf("storage: record of %d bytes, 1 to %d allowed", e.Size, e.Maximum)
+	return fmt.Sprintf("storage: record of %d bytes, 1 to %d allowed", e.Size, e.Max)
 }
 
 // PositionError reports a position that names no record of the log.
@@ -70,18 +70,18 @@
 // QueueFullError reports that too many bytes wait for a sync. Nothing was written.
 type QueueFullError struct {
 	PendingBytes int
-	Maximum      int
+	Max          int
 }
 
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("storage: %d bytes wait for a sync, limit %d", e.PendingBytes, e.Maximum)
+	return fmt.Sprintf("storage: %d bytes wait for a sync, limit %d", e.PendingBytes, e.Max)
 }
 
-// FolderLockedError reports that another process uses the data folder.
-type FolderLockedError struct {
+// DirLockedError reports that another process uses the data folder.
+type DirLockedError struct {
 	Path string
 }
 
-func (e *FolderLockedError) Error() string {
+func (e *DirLockedError) Error() string {
 	return fmt.Sprintf("storage: folder %s is used by another process", e.Path)
 }
--- a/internal/state/storage/filesystem.go
+++ b/internal/state/storage/filesystem.go
@@ -3,14 +3,14 @@
 import "io"
 
 // Filesystem is what the storage code needs of a file system. A name that was
-// created, renamed or removed is durable only after SyncFolder of its folder,
+// created, renamed or removed is durable only after SyncDir of its folder,
 // and content only after Sync of its file. Errors for absent files match
 // fs.ErrNotExist and a full disk matches syscall.ENOSPC.
 type Filesystem interface {
-	// MakeFolder creates a folder and its missing parents durably; an existing folder is no error.
-	MakeFolder(path string) error
+	// MkdirAll creates a folder and its missing parents durably; an existing folder is no error.
+	MkdirAll(path string) error
 	// List returns the entries of a folder sorted by name.
-	List(folder string) ([]Entry, error)
+	List(dir string) ([]Entry, error)
 	// Create makes an empty file for reading and writing and cuts an existing one to nothing.
 	Create(path string) (File, error)
 	// Open opens an existing file for reading and writing.
@@ -19,8 +19,8 @@
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncFolder makes the names in a folder durable.
-	SyncFolder(path string) error
+	// SyncDir makes the names in a folder durable.
+	SyncDir(path string) error
 }
 
 // File is an open file.
@@ -38,6 +38,6 @@
 
 // Entry is one name in a folder.
 type Entry struct {
-	Name   string
-	Folder bool
+	Name  string
+	IsDir bool
 }
--- a/internal/state/storage/fuzz_test.go
+++ b/internal/state/storage/fuzz_test.go
@@ -14,7 +14,7 @@
 // file and opens the log: it must give a prefix of the records or a typed error, and take a new record behind the prefix.
 func FuzzDamagedLog(f *testing.F) {
 	f.Fuzz(func(t *testing.T, content []byte, segmentBytes uint16, file uint8, offset uint32, mask byte) {
-		options := storage.LogOptions{SegmentBytes: 100 + int64(segmentBytes), MaximumRecordBytes: 300}
+		options := storage.LogOptions{SegmentBytes: 100 + int64(segmentBytes), MaxRecordBytes: 300}
 		disk := newDisk(1)
 		log, err := storage.OpenLog(disk, folder, options)
 		if err != nil {
--- a/internal/state/storage/group_commit.go
+++ b/internal/state/storage/group_commit.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// DefaultMaximumPendingBytes bounds the records that wait for a sync.
-const DefaultMaximumPendingBytes = 256 << 20
+// DefaultMaxPendingBytes bounds the records that wait for a sync.
+const DefaultMaxPendingBytes = 256 << 20
 
 // GroupCommitterOptions are the settings of a group committer; zero values stand for the defaults.
 type GroupCommitterOptions struct {
-	MaximumPendingBytes int
+	MaxPendingBytes int
 	// OnSync, when set, is called after each sync with the number of requests that shared it.
 	OnSync func(requests int)
 }
@@ -22,11 +22,11 @@
 	options GroupCommitterOptions
 	stopped chan struct{}
 
-	mutex   sync.Mutex
-	work    *sync.Cond
-	waiting []commitRequest
-	pending int
-	closed  bool
+	mutex        sync.Mutex
+	notEmpty     *sync.Cond
+	queue        []commitRequest
+	pendingBytes int
+	closed       bool
 }
 
 type commitRequest struct {
@@ -38,11 +38,11 @@
 
 // NewGroupCommitter starts the goroutine that appends to the log. Close stops it; the log stays open.
 func NewGroupCommitter(log *Log, options GroupCommitterOptions) *GroupCommitter {
-	if options.MaximumPendingBytes <= 0 {
-		options.MaximumPendingBytes = DefaultMaximumPendingBytes
+	if options.MaxPendingBytes <= 0 {
+		options.MaxPendingBytes = DefaultMaxPendingBytes
 	}
 	committer := &GroupCommitter{log: log, options: options, stopped: make(chan struct{})}
-	committer.work = sync.NewCond(&committer.mutex)
+	committer.notEmpty = sync.NewCond(&committer.mutex)
 	go committer.run()
 	return committer
 }
@@ -86,12 +86,12 @@
 	if c.closed {
 		return &ClosedError{}
 	}
-	if c.pending > 0 && c.pending+request.bytes > c.options.MaximumPendingBytes {
-		return &QueueFullError{PendingBytes: c.pending, Maximum: c.options.MaximumPendingBytes}
+	if c.pendingBytes > 0 && c.pendingBytes+request.bytes > c.options.MaxPendingBytes {
+		return &QueueFullError{PendingBytes: c.pendingBytes, Max: c.options.MaxPendingBytes}
 	}
-	c.waiting = append(c.waiting, request)
-	c.pending += request.bytes
-	c.work.Signal()
+	c.queue = append(c.queue, request)
+	c.pendingBytes += request.bytes
+	c.notEmpty.Signal()
 	return nil
 }
 
@@ -99,49 +99,49 @@
 func (c *GroupCommitter) Close() {
 	c.mutex.Lock()
 	c.closed = true
-	c.work.Signal()
+	c.notEmpty.Signal()
 	c.mutex.Unlock()
 	<-c.stopped
 }
 
 func (c *GroupCommitter) run() {
 	defer close(c.stopped)
-	var spare []commitRequest
+	var reusable []commitRequest
 	for {
-		requests := c.take(spare)
+		requests := c.takeQueue(reusable)
 		if len(requests) == 0 {
 			return
 		}
 		c.commit(requests)
 		clear(requests)
-		spare = requests[:0]
+		reusable = requests[:0]
 	}
 }
 
 // take waits for requests and returns none once the committer is closed and empty.
-func (c *GroupCommitter) take(spare []commitRequest) []commitRequest {
+func (c *GroupCommitter) takeQueue(reusable []commitRequest) []commitRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.waiting) == 0 && !c.closed {
-		c.work.Wait()
+	for len(c.queue) == 0 && !c.closed {
+		c.notEmpty.Wait()
 	}
-	requests := c.waiting
-	c.waiting = spare
-	c.pending = 0
+	requests := c.queue
+	c.queue = reusable
+	c.pendingBytes = 0
 	return requests
 }
 
 func (c *GroupCommitter) commit(requests []commitRequest) {
 	errs := make([]error, len(requests))
-	for place := range requests {
-		errs[place] = c.write(&requests[place])
+	for index := range requests {
+		errs[index] = c.write(&requests[index])
 	}
 	syncErr := c.log.Sync()
 	if c.options.OnSync != nil {
 		c.options.OnSync(len(requests))
 	}
-	for place, request := range requests {
-		err := errs[place]
+	for index, request := range requests {
+		err := errs[index]
 		if err == nil {
 			err = syncErr
 		}
@@ -155,10 +155,10 @@
 
 // write adds the records of one request, or none of them when one has a wrong size.
 func (c *GroupCommitter) write(request *commitRequest) error {
-	maximum := c.log.options.MaximumRecordBytes
+	maximum := c.log.options.MaxRecordBytes
 	for _, record := range request.records {
 		if len(record) == 0 || len(record) > maximum {
-			return &RecordSizeError{Size: len(record), Maximum: maximum}
+			return &RecordSizeError{Size: len(record), Max: maximum}
 		}
 	}
 	request.positions = make([]Position, 0, len(request.records))
--- a/internal/state/storage/group_commit_test.go
+++ b/internal/state/storage/group_commit_test.go
@@ -93,8 +93,8 @@
 		release := make(chan struct{})
 		entered := make(chan struct{}, 8)
 		committer := storage.NewGroupCommitter(open(disk, storage.LogOptions{}), storage.GroupCommitterOptions{
-			MaximumPendingBytes: 10,
-			OnSync:              func(int) { entered <- struct{}{}; <-release },
+			MaxPendingBytes: 10,
+			OnSync:          func(int) { entered <- struct{}{}; <-release },
 		})
 		ignore := func([]storage.Position, error) {}
 		committer.AppendAsync([][]byte{[]byte("held")}, ignore)
--- a/internal/state/storage/identity.go
+++ b/internal/state/storage/identity.go
@@ -11,7 +11,7 @@
 
 const (
 	identityName      = "identity"
-	maximumIdentity   = 1 << 10
+	maxIdentityBytes  = 1 << 10
 	identityBodyStart = "rosestand-identity 1\nid %s\nstarts %d\n"
 	identityFormat    = identityBodyStart + "crc %08x\n"
 )
@@ -29,39 +29,39 @@
 // OpenIdentity reads the identity of a data folder, or makes one with a random StorageID for a folder without log and
 // snapshots, and counts the start. It returns *CorruptError when the identity is damaged, or
 // absent although data is there.
-func OpenIdentity(filesystem Filesystem, folder string) (Identity, error) {
-	return OpenIdentityWith(filesystem, folder, uuid.NewString)
+func OpenIdentity(filesystem Filesystem, dir string) (Identity, error) {
+	return OpenIdentityWith(filesystem, dir, uuid.NewString)
 }
 
 // OpenIdentityWith is OpenIdentity with a given source of StorageIDs, for repeatable simulations.
-func OpenIdentityWith(filesystem Filesystem, folder string, newStorageID func() string) (Identity, error) {
-	if err := filesystem.MakeFolder(folder); err != nil {
+func OpenIdentityWith(filesystem Filesystem, dir string, newStorageID func() string) (Identity, error) {
+	if err := filesystem.MkdirAll(dir); err != nil {
 		return Identity{}, err
 	}
-	identity, found, err := readIdentity(filesystem, folder)
+	identity, found, err := readIdentity(filesystem, dir)
 	if err != nil {
 		return Identity{}, err
 	}
 	if !found {
-		if err := requireNoData(filesystem, folder, true); err != nil {
+		if err := requireNoData(filesystem, dir, true); err != nil {
 			return Identity{}, err
 		}
 		identity = Identity{StorageID: newStorageID(), Fresh: true}
 	}
 	identity.Starts++
-	return identity, writeIdentity(filesystem, folder, identity)
+	return identity, writeIdentity(filesystem, dir, identity)
 }
 
-func readIdentity(filesystem Filesystem, folder string) (Identity, bool, error) {
-	path := filepath.Join(folder, identityName)
+func readIdentity(filesystem Filesystem, dir string) (Identity, bool, error) {
+	path := filepath.Join(dir, identityName)
 	file, err := filesystem.Open(path)
-	if isAbsent(err) {
+	if isNotExist(err) {
 		return Identity{}, false, nil
 	}
 	if err != nil {
 		return Identity{}, false, err
 	}
-	content, err := readWhole(file, maximumIdentity)
+	content, err := readUpTo(file, maxIdentityBytes)
 	if err := errors.CombineErrors(err, file.Close()); err != nil {
 		return Identity{}, false, err
 	}
@@ -72,7 +72,7 @@
 	return identity, true, nil
 }
 
-func readWhole(file File, maximum int64) ([]byte, error) {
+func readUpTo(file File, maximum int64) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, err
@@ -99,8 +99,8 @@
 	return body + fmt.Sprintf("crc %08x\n", checksum([]byte(body)))
 }
 
-func writeIdentity(filesystem Filesystem, folder string, identity Identity) error {
-	path := filepath.Join(folder, identityName)
+func writeIdentity(filesystem Filesystem, dir string, identity Identity) error {
+	path := filepath.Join(dir, identityName)
 	temporary := path + temporarySuffix
 	file, err := filesystem.Create(temporary)
 	if err != nil {
@@ -115,7 +115,7 @@
 		err = filesystem.Rename(temporary, path)
 	}
 	if err == nil {
-		err = filesystem.SyncFolder(folder)
+		err = filesystem.SyncDir(dir)
 	}
 	if err != nil {
 		return &FailedError{Operation: "write", Path: path, Cause: err}
@@ -124,14 +124,14 @@
 }
 
 // requireNoData returns *CorruptError when the folder, or one right under it, holds segments or snapshots.
-func requireNoData(filesystem Filesystem, folder string, descend bool) error {
-	entries, err := filesystem.List(folder)
+func requireNoData(filesystem Filesystem, dir string, descend bool) error {
+	entries, err := filesystem.List(dir)
 	if err != nil {
 		return err
 	}
 	for _, entry := range entries {
-		path := filepath.Join(folder, entry.Name)
-		if entry.Folder && descend {
+		path := filepath.Join(dir, entry.Name)
+		if entry.IsDir && descend {
 			if err := requireNoData(filesystem, path, false); err != nil {
 				return err
 			}
--- a/internal/state/storage/log.go
+++ b/internal/state/storage/log.go
@@ -8,9 +8,9 @@
 
 // Defaults of LogOptions.
 const (
-	DefaultSegmentBytes       = 64 << 20
-	DefaultMaximumRecordBytes = 64 << 20
-	flushBytes                = 1 << 20
+	DefaultSegmentBytes   = 64 << 20
+	DefaultMaxRecordBytes = 64 << 20
+	maxBufferBytes        = 1 << 20
 )
 
 // Position names a record: the segment and the byte offset of the record in it.
@@ -32,19 +32,19 @@
 type LogOptions struct {
 	// SegmentBytes is the size from which Write begins a new segment by itself.
 	SegmentBytes int64
-	// MaximumRecordBytes bounds one record.
-	MaximumRecordBytes int
-	// CheckedBefore names a segment; finished ones before it were read in full once and have been synced. OpenLog
+	// MaxRecordBytes bounds one record.
+	MaxRecordBytes int
+	// VerifiedBefore names a segment; finished ones before it were read in full once and have been synced. OpenLog
 	// looks only at their headers and lengths, so that it need not read the whole log. Read still checks each record.
-	CheckedBefore uint64
+	VerifiedBefore uint64
 }
 
 func (o LogOptions) withDefaults() LogOptions {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = DefaultSegmentBytes
 	}
-	if o.MaximumRecordBytes <= 0 {
-		o.MaximumRecordBytes = DefaultMaximumRecordBytes
+	if o.MaxRecordBytes <= 0 {
+		o.MaxRecordBytes = DefaultMaxRecordBytes
 	}
 	return o
 }
@@ -53,7 +53,7 @@
 // reads go on while a Sync runs.
 type Log struct {
 	filesystem Filesystem
-	folder     string
+	dir        string
 	options    LogOptions
 
 	// syncing is held by whoever syncs or changes the set of segments, and taken before mutex.
@@ -64,9 +64,9 @@
 	// buffer holds the end of the newest segment that is not yet given to the file.
 	buffer []byte
 	// cut is the number of bytes that OpenLog dropped as a torn tail.
-	cut    int64
-	failed error
-	closed bool
+	truncated int64
+	err       error
+	closed    bool
 	// sealing is true while the newest segment is finished and the next one created, which may wait for the disk. Writers
 	// wait for sealed meanwhile; readers need not.
 	sealing bool
@@ -87,8 +87,8 @@
 // It may begin a new segment, which syncs all before. A failure other than
 // *RecordSizeError is fatal for the log.
 func (l *Log) Write(record []byte) (Position, error) {
-	if len(record) == 0 || len(record) > l.options.MaximumRecordBytes {
-		return Position{}, &RecordSizeError{Size: len(record), Maximum: l.options.MaximumRecordBytes}
+	if len(record) == 0 || len(record) > l.options.MaxRecordBytes {
+		return Position{}, &RecordSizeError{Size: len(record), Max: l.options.MaxRecordBytes}
 	}
 	for {
 		position, full, err := l.writeToNewest(record)
@@ -107,7 +107,7 @@
 	for l.sealing {
 		l.sealed.Wait()
 	}
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return Position{}, false, err
 	}
 	newest := l.newest()
@@ -117,7 +117,7 @@
 	}
 	l.buffer = appendRecord(l.buffer, position, newest.durable, record)
 	newest.size += recordHeaderBytes + int64(len(record))
-	if len(l.buffer) < flushBytes {
+	if len(l.buffer) < maxBufferBytes {
 		return position, false, nil
 	}
 	return position, false, l.flush()
@@ -127,7 +127,7 @@
 func (l *Log) Flush() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	return l.flush()
@@ -140,7 +140,7 @@
 		return nil
 	}
 	if _, err := newest.file.WriteAt(l.buffer, newest.written); err != nil {
-		return l.fail("write", newest.path, err)
+		return l.recordFailure("write", newest.path, err)
 	}
 	newest.written += int64(len(l.buffer))
 	l.buffer = l.buffer[:0]
@@ -158,7 +158,7 @@
 // syncNewest needs the syncing lock.
 func (l *Log) syncNewest() error {
 	l.mutex.Lock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		l.mutex.Unlock()
 		return err
 	}
@@ -175,10 +175,10 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if err != nil {
-		return l.fail("sync", newest.path, err)
+		return l.recordFailure("sync", newest.path, err)
 	}
-	if l.failed != nil {
-		return l.failed
+	if l.err != nil {
+		return l.err
 	}
 	newest.durable = written
 	return nil
@@ -210,14 +210,14 @@
 	return total
 }
 
-// CutBytes returns how many bytes of a torn tail OpenLog dropped.
-func (l *Log) CutBytes() int64 { return l.cut }
+// TruncatedBytes returns how many bytes of a torn tail OpenLog dropped.
+func (l *Log) TruncatedBytes() int64 { return l.truncated }
 
 // Failed returns the error that ended the log, or nil.
-func (l *Log) Failed() error {
+func (l *Log) Err() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.failed
+	return l.err
 }
 
 // Close closes the files without a sync.
@@ -239,24 +239,24 @@
 
 func (l *Log) newest() *segmentFile { return l.segments[len(l.segments)-1] }
 
-func (l *Log) usable() error {
+func (l *Log) checkUsable() error {
 	if l.closed {
 		return &ClosedError{}
 	}
-	return l.failed
+	return l.err
 }
 
 // failUnlocked is fail for callers that do not hold the mutex.
-func (l *Log) failUnlocked(operation, path string, cause error) error {
+func (l *Log) lockAndRecordFailure(operation, path string, cause error) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.fail(operation, path, cause)
+	return l.recordFailure(operation, path, cause)
 }
 
 // fail keeps the first failure. The mutex is held.
-func (l *Log) fail(operation, path string, cause error) error {
-	if l.failed == nil {
-		l.failed = &FailedError{Operation: operation, Path: path, Cause: cause}
+func (l *Log) recordFailure(operation, path string, cause error) error {
+	if l.err == nil {
+		l.err = &FailedError{Operation: operation, Path: path, Cause: cause}
 	}
-	return l.failed
+	return l.err
 }
--- a/internal/state/storage/log_reader.go
+++ b/internal/state/storage/log_reader.go
@@ -10,18 +10,18 @@
 
 // recordReader reads records of one segment through a window that moves forward.
 type recordReader struct {
-	file               io.ReaderAt
-	number             uint64
-	size               int64
-	maximumRecordBytes int
-	window             []byte
-	windowStart        int64
+	file           io.ReaderAt
+	number         uint64
+	size           int64
+	maxRecordBytes int
+	window         []byte
+	windowStart    int64
 	// durableOffset is what the last valid record says of the bytes before it.
 	durableOffset int64
 }
 
 func newRecordReader(file io.ReaderAt, number uint64, size int64, maximumRecordBytes int) *recordReader {
-	return &recordReader{file: file, number: number, size: size, maximumRecordBytes: maximumRecordBytes}
+	return &recordReader{file: file, number: number, size: size, maxRecordBytes: maximumRecordBytes}
 }
 
 // bytes returns up to length bytes at offset, fewer at the end of the segment. They are valid until the next call.
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	header, valid := parseHeader(Position{Segment: r.number, Offset: offset}, data)
-	if !valid || int64(header.length) > int64(r.maximumRecordBytes) {
+	if !valid || int64(header.length) > int64(r.maxRecordBytes) {
 		return nil, nil
 	}
 	if offset+recordHeaderBytes+int64(header.length) > r.size {
@@ -117,7 +117,7 @@
 		return nil, 0, &PositionError{Position: position}
 	}
 	if position.Offset >= segment.written {
-		if err := l.usable(); err != nil {
+		if err := l.checkUsable(); err != nil {
 			return nil, 0, err
 		}
 		if err := l.flush(); err != nil {
@@ -155,7 +155,7 @@
 func (l *Log) views(from uint64) ([]segmentView, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, err
 	}
 	if err := l.flush(); err != nil {
@@ -172,7 +172,7 @@
 
 func (l *Log) replaySegment(view segmentView, offset int64, visit func(Position, []byte) error) error {
 	number := view.segment.number
-	reader := newRecordReader(view.segment.file, number, view.size, l.options.MaximumRecordBytes)
+	reader := newRecordReader(view.segment.file, number, view.size, l.options.MaxRecordBytes)
 	for offset < view.size {
 		payload, err := reader.record(offset)
 		if err != nil {
--- a/internal/state/storage/log_recovery.go
+++ b/internal/state/storage/log_recovery.go
@@ -19,13 +19,13 @@
 // OpenLog opens the log in a folder, made if absent. It cuts a torn tail, which only records that were
 // never synced can be part of, and returns *CorruptError when a durable record is damaged or
 // a segment is absent. What it leaves is synced, so a record once replayed stays.
-func OpenLog(filesystem Filesystem, folder string, options LogOptions) (*Log, error) {
-	log := &Log{filesystem: filesystem, folder: folder, options: options.withDefaults()}
+func OpenLog(filesystem Filesystem, dir string, options LogOptions) (*Log, error) {
+	log := &Log{filesystem: filesystem, dir: dir, options: options.withDefaults()}
 	log.sealed = sync.NewCond(&log.mutex)
-	if err := filesystem.MakeFolder(folder); err != nil {
+	if err := filesystem.MkdirAll(dir); err != nil {
 		return nil, err
 	}
-	numbers, err := listNumbered(filesystem, folder, segmentSuffix)
+	numbers, err := listNumbered(filesystem, dir, segmentSuffix)
 	if err != nil {
 		return nil, err
 	}
@@ -36,15 +36,15 @@
 }
 
 // listNumbered returns the ascending numbers of the files named by a number and the suffix.
-func listNumbered(filesystem Filesystem, folder, suffix string) ([]uint64, error) {
-	entries, err := filesystem.List(folder)
+func listNumbered(filesystem Filesystem, dir, suffix string) ([]uint64, error) {
+	entries, err := filesystem.List(dir)
 	if err != nil {
 		return nil, err
 	}
 	var numbers []uint64
 	for _, entry := range entries {
 		digits, found := strings.CutSuffix(entry.Name, suffix)
-		if !found || entry.Folder || len(digits) != 16 {
+		if !found || entry.IsDir || len(digits) != 16 {
 			continue
 		}
 		number, err := strconv.ParseUint(digits, 16, 64)
@@ -57,12 +57,12 @@
 }
 
 func (l *Log) openSegments(numbers []uint64) error {
-	for place, number := range numbers {
-		if place > 0 && number != numbers[place-1]+1 {
-			missing := filepath.Join(l.folder, segmentName(numbers[place-1]+1))
+	for index, number := range numbers {
+		if index > 0 && number != numbers[index-1]+1 {
+			missing := filepath.Join(l.dir, segmentName(numbers[index-1]+1))
 			return &CorruptError{Path: missing, Reason: "segment is absent"}
 		}
-		if err := l.openSegment(number, place == len(numbers)-1); err != nil {
+		if err := l.openSegment(number, index == len(numbers)-1); err != nil {
 			return err
 		}
 	}
@@ -75,16 +75,16 @@
 	}
 	newest := l.newest()
 	if err := newest.file.Sync(); err != nil {
-		return l.fail("sync", newest.path, err)
+		return l.recordFailure("sync", newest.path, err)
 	}
-	if err := l.filesystem.SyncFolder(l.folder); err != nil {
-		return l.fail("sync folder of", newest.path, err)
+	if err := l.filesystem.SyncDir(l.dir); err != nil {
+		return l.recordFailure("sync folder of", newest.path, err)
 	}
 	return nil
 }
 
 func (l *Log) openSegment(number uint64, last bool) error {
-	path := filepath.Join(l.folder, segmentName(number))
+	path := filepath.Join(l.dir, segmentName(number))
 	file, err := l.filesystem.Open(path)
 	if err != nil {
 		return err
@@ -106,19 +106,19 @@
 	if previous != nil && scan.end > 0 && scan.previousLength != previous.size {
 		return &CorruptError{Path: previous.path, Offset: previous.size, Reason: "finished segment has another length"}
 	}
-	whole := scan.end == size && scan.end >= segmentHeaderBytes
-	if whole && !last {
+	complete := scan.end == size && scan.end >= segmentHeaderBytes
+	if complete && !last {
 		opened.written, opened.size, opened.durable = size, size, size
 		return nil
 	}
 	if !last {
 		return &CorruptError{Path: path, Offset: scan.end, Reason: "damaged record in a finished segment"}
 	}
-	if scan.durableBehind {
+	if scan.damagesDurable {
 		return &CorruptError{Path: path, Offset: scan.end, Reason: "damaged record that had been synced"}
 	}
-	l.cut += size - scan.end
-	if err := l.cutTail(opened, scan.end, previous); err != nil {
+	l.truncated += size - scan.end
+	if err := l.truncateTail(opened, scan.end, previous); err != nil {
 		return err
 	}
 	return l.rewriteTail(opened, scan.knownDurable)
@@ -126,8 +126,8 @@
 
 // scan reads a segment in full unless it was checked before.
 func (l *Log) scan(file File, number uint64, size int64, last bool) (segmentScan, error) {
-	if last || number >= l.options.CheckedBefore || size < segmentHeaderBytes {
-		return scanSegment(file, number, size, l.options.MaximumRecordBytes)
+	if last || number >= l.options.VerifiedBefore || size < segmentHeaderBytes {
+		return scanSegment(file, number, size, l.options.MaxRecordBytes)
 	}
 	header := make([]byte, segmentHeaderBytes)
 	if _, err := file.ReadAt(header, 0); err != nil {
@@ -151,19 +151,19 @@
 		return errors.Wrapf(err, "read %s", opened.path)
 	}
 	if _, err := opened.file.WriteAt(tail, start); err != nil {
-		return l.fail("write", opened.path, err)
+		return l.recordFailure("write", opened.path, err)
 	}
 	return nil
 }
 
 // cutTail drops what is behind end and makes that durable, so that no record of the old tail can follow a new one.
-func (l *Log) cutTail(opened *segmentFile, end int64, previous *segmentFile) error {
+func (l *Log) truncateTail(opened *segmentFile, end int64, previous *segmentFile) error {
 	if size, err := opened.file.Size(); err != nil || size == end && end >= segmentHeaderBytes {
 		opened.written, opened.size, opened.durable = end, end, end
 		return err
 	}
 	if err := opened.file.Truncate(end); err != nil {
-		return l.fail("cut", opened.path, err)
+		return l.recordFailure("cut", opened.path, err)
 	}
 	if end < segmentHeaderBytes {
 		var previousLength int64
@@ -171,12 +171,12 @@
 			previousLength = previous.size
 		}
 		if _, err := opened.file.WriteAt(segmentHeader(opened.number, previousLength), 0); err != nil {
-			return l.fail("write", opened.path, err)
+			return l.recordFailure("write", opened.path, err)
 		}
 		end = segmentHeaderBytes
 	}
 	if err := opened.file.Sync(); err != nil {
-		return l.fail("sync", opened.path, err)
+		return l.recordFailure("sync", opened.path, err)
 	}
 	opened.written, opened.size, opened.durable = end, end, end
 	return nil
@@ -190,7 +190,7 @@
 	// previousLength is what the segment header says of the segment before.
 	previousLength int64
 	// durableBehind says that a record behind end knew the bytes at end to be durable.
-	durableBehind bool
+	damagesDurable bool
 }
 
 func scanSegment(file File, number uint64, size int64, maximumRecordBytes int) (segmentScan, error) {
@@ -212,7 +212,7 @@
 	if scan.end == size {
 		return scan, nil
 	}
-	scan.durableBehind, err = reader.knownDurable(scan.end)
+	scan.damagesDurable, err = reader.provesDurable(scan.end)
 	return scan, err
 }
 
@@ -229,7 +229,7 @@
 }
 
 // knownDurable looks at each byte behind offset for a record header that was written after offset had been synced.
-func (r *recordReader) knownDurable(offset int64) (bool, error) {
+func (r *recordReader) provesDurable(offset int64) (bool, error) {
 	for candidate := max(offset, segmentHeaderBytes); candidate+recordHeaderBytes <= r.size; candidate++ {
 		data, err := r.bytes(candidate, recordHeaderBytes)
 		if err != nil {
@@ -247,4 +247,4 @@
 	return false, nil
 }
 
-func isAbsent(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/state/storage/log_segments.go
+++ b/internal/state/storage/log_segments.go
@@ -52,7 +52,7 @@
 func (l *Log) seal() (*segmentFile, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, err
 	}
 	// Writers may have come between the sync and the lock.
@@ -68,7 +68,7 @@
 func (l *Log) finishAndCreate(newest *segmentFile) (*segmentFile, error) {
 	if newest.written != newest.durable {
 		if err := newest.file.Sync(); err != nil {
-			return nil, l.failUnlocked("sync", newest.path, err)
+			return nil, l.lockAndRecordFailure("sync", newest.path, err)
 		}
 		l.mutex.Lock()
 		newest.durable = newest.written
@@ -79,13 +79,13 @@
 
 // createSegment creates a segment with a durable header and name.
 func (l *Log) createSegment(number uint64, previousLength int64) (*segmentFile, error) {
-	path := filepath.Join(l.folder, segmentName(number))
+	path := filepath.Join(l.dir, segmentName(number))
 	file, err := l.filesystem.Create(path)
 	if err != nil {
-		return nil, l.failUnlocked("create", path, err)
+		return nil, l.lockAndRecordFailure("create", path, err)
 	}
 	if operation, err := l.beginSegment(file, number, previousLength); err != nil {
-		return nil, errors.CombineErrors(l.failUnlocked(operation, path, err), file.Close())
+		return nil, errors.CombineErrors(l.lockAndRecordFailure(operation, path, err), file.Close())
 	}
 	return &segmentFile{
 		number: number, path: path, file: file,
@@ -101,7 +101,7 @@
 	if err := file.Sync(); err != nil {
 		return "sync", err
 	}
-	return "sync folder of", l.filesystem.SyncFolder(l.folder)
+	return "sync folder of", l.filesystem.SyncDir(l.dir)
 }
 
 // RemoveBefore deletes the segments with numbers below segment; the newest one stays in any case. The
@@ -111,7 +111,7 @@
 	defer l.syncing.Unlock()
 	for {
 		l.mutex.Lock()
-		if err := l.usable(); err != nil {
+		if err := l.checkUsable(); err != nil {
 			l.mutex.Unlock()
 			return err
 		}
@@ -135,12 +135,12 @@
 		err = l.filesystem.Remove(oldest.path)
 	}
 	if err == nil {
-		err = l.filesystem.SyncFolder(l.folder)
+		err = l.filesystem.SyncDir(l.dir)
 	}
 	if err == nil {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.fail("remove", oldest.path, err)
+	return l.recordFailure("remove", oldest.path, err)
 }
--- a/internal/state/storage/log_test.go
+++ b/internal/state/storage/log_test.go
@@ -15,7 +15,7 @@
 
 var _ = Describe("Log", func() {
 	var disk *simdisk.Disk
-	small := storage.LogOptions{SegmentBytes: 2000, MaximumRecordBytes: 1000}
+	small := storage.LogOptions{SegmentBytes: 2000, MaxRecordBytes: 1000}
 
 	BeforeEach(func() { disk = newDisk(1) })
 
@@ -170,7 +170,7 @@
 		files := disk.Files(folder)
 		Expect(disk.Damage(files[1], 100, 1)).To(BeTrue())
 		checked := small
-		checked.CheckedBefore = newest
+		checked.VerifiedBefore = newest
 		log, err := storage.OpenLog(disk, folder, checked)
 		Expect(err).NotTo(HaveOccurred())
 		damaged := 0
@@ -183,11 +183,11 @@
 		}
 		Expect(damaged).To(Equal(1))
 
-		checked.CheckedBefore = 2
+		checked.VerifiedBefore = 2
 		_, err = storage.OpenLog(disk, folder, checked)
 		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the damage is behind what was checked")
 
-		checked.CheckedBefore = newest
+		checked.VerifiedBefore = newest
 		Expect(disk.Damage(files[2], 10, 1)).To(BeTrue())
 		_, err = storage.OpenLog(disk, folder, checked)
 		Expect(errors.As(err, &corrupt)).To(BeTrue(), "a header is damaged")
@@ -207,7 +207,7 @@
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		_, err = log.Rotate()
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(log.Failed()).To(HaveOccurred())
+		Expect(log.Err()).To(HaveOccurred())
 		disk.LosePower()
 		Expect(replayed(open(disk, small))[:2]).To(Equal(kept))
 	})
@@ -245,7 +245,7 @@
 		Expect(log.Sync()).To(MatchError(failed))
 		log = open(disk, small)
 		Expect(replayed(log)).To(Equal(kept))
-		Expect(log.CutBytes()).To(BeNumerically("==", 30))
+		Expect(log.TruncatedBytes()).To(BeNumerically("==", 30))
 	})
 
 	It("given a lost disk, when opened, then is empty", func() {
--- a/internal/state/storage/os_filesystem.go
+++ b/internal/state/storage/os_filesystem.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	folderMode = 0o750
-	fileMode   = 0o640
+	dirMode  = 0o750
+	fileMode = 0o640
 )
 
 // OSFilesystem is the file system of the operating system.
@@ -18,32 +18,32 @@
 
 var _ Filesystem = OSFilesystem{}
 
-// MakeFolder creates a folder and its parents and syncs the folder above each one it made.
-func (f OSFilesystem) MakeFolder(path string) error {
+// MkdirAll creates a folder and its parents and syncs the folder above each one it made.
+func (f OSFilesystem) MkdirAll(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
 	}
 	parent := filepath.Dir(path)
 	if parent != path {
-		if err := f.MakeFolder(parent); err != nil {
+		if err := f.MkdirAll(parent); err != nil {
 			return err
 		}
 	}
-	if err := os.Mkdir(path, folderMode); err != nil && !errors.Is(err, os.ErrExist) {
+	if err := os.Mkdir(path, dirMode); err != nil && !errors.Is(err, os.ErrExist) {
 		return errors.WithStack(err)
 	}
-	return f.SyncFolder(parent)
+	return f.SyncDir(parent)
 }
 
 // List returns the entries of a folder sorted by name.
-func (OSFilesystem) List(folder string) ([]Entry, error) {
-	found, err := os.ReadDir(folder)
+func (OSFilesystem) List(dir string) ([]Entry, error) {
+	names, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	entries := make([]Entry, 0, len(found))
-	for _, entry := range found {
-		entries = append(entries, Entry{Name: entry.Name(), Folder: entry.IsDir()})
+	entries := make([]Entry, 0, len(names))
+	for _, entry := range names {
+		entries = append(entries, Entry{Name: entry.Name(), IsDir: entry.IsDir()})
 	}
 	return entries, nil
 }
@@ -68,14 +68,14 @@
 	return errors.WithStack(os.Remove(path))
 }
 
-// SyncFolder syncs the names of a folder.
-func (OSFilesystem) SyncFolder(path string) error {
-	folder, err := os.Open(path)
+// SyncDir syncs the names of a folder.
+func (OSFilesystem) SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	err = folder.Sync()
-	return errors.WithStack(errors.CombineErrors(err, folder.Close()))
+	err = dir.Sync()
+	return errors.WithStack(errors.CombineErrors(err, dir.Close()))
 }
 
 type osFile struct {
--- a/internal/state/storage/record.go
+++ b/internal/state/storage/record.go
@@ -59,10 +59,10 @@
 }
 
 func headerSum(position Position, fields []byte) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:8], position.Segment)
-	binary.LittleEndian.PutUint64(place[8:], uint64(position.Offset))
-	return crc32.Update(checksum(place[:]), castagnoli, fields)
+	var encoded [16]byte
+	binary.LittleEndian.PutUint64(encoded[:8], position.Segment)
+	binary.LittleEndian.PutUint64(encoded[8:], uint64(position.Offset))
+	return crc32.Update(checksum(encoded[:]), castagnoli, fields)
 }
 
 // parseHeader returns false for bytes that are no record header written at this position.
--- a/internal/state/storage/simdisk/disk.go
+++ b/internal/state/storage/simdisk/disk.go
@@ -44,8 +44,8 @@
 	mutex  sync.Mutex
 	random *rand.Rand
 
-	folders map[string]bool
-	names   map[string]*inode
+	dirs  map[string]bool
+	names map[string]*inode
 	// durableNames are the names after the last folder sync, and nameChanges what came since, in order.
 	durableNames map[string]*inode
 	nameChanges  []nameChange
@@ -62,9 +62,9 @@
 
 // nameChange binds a name to a file, or to none, and frees the former name of a renamed file.
 type nameChange struct {
-	path   string
-	node   *inode
-	former string
+	path    string
+	node    *inode
+	oldPath string
 }
 
 var _ storage.Filesystem = (*Disk)(nil)
@@ -77,7 +77,7 @@
 }
 
 func (d *Disk) erase() {
-	d.folders = map[string]bool{"/": true, ".": true}
+	d.dirs = map[string]bool{"/": true, ".": true}
 	d.names = map[string]*inode{}
 	d.durableNames = map[string]*inode{}
 	d.nameChanges = nil
@@ -92,33 +92,33 @@
 	return fmt.Sprintf("disk-%016x-%d", d.random.Uint64(), d.storageIDs)
 }
 
-// MakeFolder creates a folder and its parents durably.
-func (d *Disk) MakeFolder(path string) error {
+// MkdirAll creates a folder and its parents durably.
+func (d *Disk) MkdirAll(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for path = filepath.Clean(path); !d.folders[path]; path = filepath.Dir(path) {
-		d.folders[path] = true
+	for path = filepath.Clean(path); !d.dirs[path]; path = filepath.Dir(path) {
+		d.dirs[path] = true
 	}
 	return nil
 }
 
 // List returns the entries of a folder sorted by name.
-func (d *Disk) List(folder string) ([]storage.Entry, error) {
+func (d *Disk) List(dir string) ([]storage.Entry, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	folder = filepath.Clean(folder)
-	if !d.folders[folder] {
-		return nil, absent("list", folder)
+	dir = filepath.Clean(dir)
+	if !d.dirs[dir] {
+		return nil, notExist("list", dir)
 	}
 	var entries []storage.Entry
 	for path := range d.names {
-		if filepath.Dir(path) == folder {
+		if filepath.Dir(path) == dir {
 			entries = append(entries, storage.Entry{Name: filepath.Base(path)})
 		}
 	}
-	for path := range d.folders {
-		if filepath.Dir(path) == folder && path != folder {
-			entries = append(entries, storage.Entry{Name: filepath.Base(path), Folder: true})
+	for path := range d.dirs {
+		if filepath.Dir(path) == dir && path != dir {
+			entries = append(entries, storage.Entry{Name: filepath.Base(path), IsDir: true})
 		}
 	}
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Name < entries[j].Name })
@@ -130,8 +130,8 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	path = filepath.Clean(path)
-	if !d.folders[filepath.Dir(path)] {
-		return nil, absent("create", path)
+	if !d.dirs[filepath.Dir(path)] {
+		return nil, notExist("create", path)
 	}
 	node, found := d.names[path]
 	if found {
@@ -150,21 +150,21 @@
 	path = filepath.Clean(path)
 	node, found := d.names[path]
 	if !found {
-		return nil, absent("open", path)
+		return nil, notExist("open", path)
 	}
 	return d.handle(path, node), nil
 }
 
-// Rename replaces the file at the new path. A loss of power before SyncFolder keeps either both changes of name or none.
+// Rename replaces the file at the new path. A loss of power before SyncDir keeps either both changes of name or none.
 func (d *Disk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	from, to = filepath.Clean(from), filepath.Clean(to)
 	node, found := d.names[from]
 	if !found {
-		return absent("rename", from)
+		return notExist("rename", from)
 	}
-	d.change(nameChange{path: to, node: node, former: from})
+	d.change(nameChange{path: to, node: node, oldPath: from})
 	return nil
 }
 
@@ -174,20 +174,20 @@
 	defer d.mutex.Unlock()
 	path = filepath.Clean(path)
 	if _, found := d.names[path]; !found {
-		return absent("remove", path)
+		return notExist("remove", path)
 	}
 	d.change(nameChange{path: path})
 	return nil
 }
 
-// SyncFolder makes the names in a folder durable.
-func (d *Disk) SyncFolder(path string) error {
+// SyncDir makes the names in a folder durable.
+func (d *Disk) SyncDir(path string) error {
 	d.waitWhileStalled()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	path = filepath.Clean(path)
-	if !d.folders[path] {
-		return absent("sync", path)
+	if !d.dirs[path] {
+		return notExist("sync", path)
 	}
 	if d.syncFails() {
 		return &SyncFailedError{Path: path}
@@ -195,7 +195,7 @@
 	var later []nameChange
 	for _, change := range d.nameChanges {
 		if filepath.Dir(change.path) == path {
-			d.keepName(change)
+			d.persistName(change)
 		} else {
 			later = append(later, change)
 		}
@@ -209,11 +209,11 @@
 	d.nameChanges = append(d.nameChanges, change)
 }
 
-func (d *Disk) keepName(change nameChange) { apply(d.durableNames, change) }
+func (d *Disk) persistName(change nameChange) { apply(d.durableNames, change) }
 
 func apply(names map[string]*inode, change nameChange) {
-	if change.former != "" {
-		delete(names, change.former)
+	if change.oldPath != "" {
+		delete(names, change.oldPath)
 	}
 	if change.node == nil {
 		delete(names, change.path)
@@ -249,15 +249,15 @@
 	return total
 }
 
-func absent(operation, path string) error {
+func notExist(operation, path string) error {
 	return &fs.PathError{Op: operation, Path: path, Err: syscall.ENOENT}
 }
 
 // Files returns the paths of all files under a folder, sorted.
-func (d *Disk) Files(folder string) []string {
+func (d *Disk) Files(dir string) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	prefix := strings.TrimSuffix(filepath.Clean(folder), "/") + "/"
+	prefix := strings.TrimSuffix(filepath.Clean(dir), "/") + "/"
 	var paths []string
 	for path := range d.names {
 		if strings.HasPrefix(path, prefix) {
--- a/internal/state/storage/simdisk/faults.go
+++ b/internal/state/storage/simdisk/faults.go
@@ -19,25 +19,25 @@
 	defer d.mutex.Unlock()
 	d.generation++
 	d.counters.PowerLosses++
-	kept := d.random.IntN(len(d.nameChanges) + 1)
-	for _, change := range d.nameChanges[:kept] {
-		d.keepName(change)
+	persisted := d.random.IntN(len(d.nameChanges) + 1)
+	for _, change := range d.nameChanges[:persisted] {
+		d.persistName(change)
 	}
 	d.nameChanges = nil
 	d.names = map[string]*inode{}
-	settled := map[*inode]bool{}
+	reverted := map[*inode]bool{}
 	for _, path := range sortedNames(d.durableNames) {
 		node := d.durableNames[path]
 		d.names[path] = node
-		if !settled[node] {
-			settled[node] = true
-			d.settle(node)
+		if !reverted[node] {
+			reverted[node] = true
+			d.revertToDurable(node)
 		}
 	}
 }
 
 // settle makes a file what the disk has of it after a loss of power.
-func (d *Disk) settle(node *inode) {
+func (d *Disk) revertToDurable(node *inode) {
 	if len(node.dirty) > 0 {
 		d.counters.TornFiles++
 		before := len(node.content)
@@ -56,11 +56,11 @@
 	}
 	sort.Ints(sectors)
 	size := d.tornSize(len(node.durable), len(node.content))
-	keepOneIn := 1 + d.random.IntN(4)
+	persistOneIn := 1 + d.random.IntN(4)
 	resize(node, size)
 	for _, sector := range sectors {
 		start := sector * SectorBytes
-		if start >= size || start >= len(node.content) || d.random.IntN(keepOneIn) != 0 {
+		if start >= size || start >= len(node.content) || d.random.IntN(persistOneIn) != 0 {
 			continue
 		}
 		end := min(start+SectorBytes, size, len(node.content))
--- a/internal/state/storage/simdisk/file.go
+++ b/internal/state/storage/simdisk/file.go
@@ -103,8 +103,8 @@
 	}
 	growth := offset + int64(len(data)) - int64(len(h.node.content))
 	if h.disk.capacity > 0 && growth > 0 && h.disk.used()+growth > h.disk.capacity {
-		room := max(h.disk.capacity-h.disk.used(), 0)
-		fits := max(int64(len(data))-growth+room, 0)
+		freeBytes := max(h.disk.capacity-h.disk.used(), 0)
+		fits := max(int64(len(data))-growth+freeBytes, 0)
 		h.node.write(data[:fits], offset)
 		h.disk.counters.FullWrites++
 		return int(fits), syscall.ENOSPC
--- a/internal/state/storage/snapshot.go
+++ b/internal/state/storage/snapshot.go
@@ -28,11 +28,11 @@
 // SaveSnapshot writes a snapshot under a temporary name, syncs and renames it, and syncs the folder. After it
 // returns nil the snapshot is durable; after an error the one before is still the newest, or this
 // one is whole.
-func SaveSnapshot(filesystem Filesystem, folder string, number uint64, write func(io.Writer) error) error {
-	if err := filesystem.MakeFolder(folder); err != nil {
+func SaveSnapshot(filesystem Filesystem, dir string, number uint64, write func(io.Writer) error) error {
+	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
 	}
-	path := filepath.Join(folder, snapshotName(number))
+	path := filepath.Join(dir, snapshotName(number))
 	temporary := path + temporarySuffix
 	if err := writeSnapshotFile(filesystem, temporary, number, write); err != nil {
 		return errors.CombineErrors(err, removeIfPresent(filesystem, temporary))
@@ -40,14 +40,14 @@
 	if err := filesystem.Rename(temporary, path); err != nil {
 		return &FailedError{Operation: "rename", Path: temporary, Cause: err}
 	}
-	if err := filesystem.SyncFolder(folder); err != nil {
+	if err := filesystem.SyncDir(dir); err != nil {
 		return &FailedError{Operation: "sync folder of", Path: path, Cause: err}
 	}
 	return nil
 }
 
 func removeIfPresent(filesystem Filesystem, path string) error {
-	if err := filesystem.Remove(path); err != nil && !isAbsent(err) {
+	if err := filesystem.Remove(path); err != nil && !isNotExist(err) {
 		return err
 	}
 	return nil
@@ -107,29 +107,29 @@
 // LoadNewestSnapshot checks the snapshot with the highest number and hands its content to read. It
 // returns *CorruptError when that snapshot is damaged: older ones may lack the log that followed them. A folder without
 // snapshots gives found false. It changes no file, so another goroutine may save a snapshot meanwhile.
-func LoadNewestSnapshot(filesystem Filesystem, folder string, read func(number uint64, content io.Reader) error) (number uint64, found bool, err error) {
-	if err := filesystem.MakeFolder(folder); err != nil {
+func LoadNewestSnapshot(filesystem Filesystem, dir string, read func(number uint64, content io.Reader) error) (number uint64, found bool, err error) {
+	if err := filesystem.MkdirAll(dir); err != nil {
 		return 0, false, err
 	}
-	numbers, err := listNumbered(filesystem, folder, snapshotSuffix)
+	numbers, err := listNumbered(filesystem, dir, snapshotSuffix)
 	if err != nil || len(numbers) == 0 {
 		return 0, false, err
 	}
 	// A rename seen here may not be durable yet when the process alone was restarted.
-	if err := filesystem.SyncFolder(folder); err != nil {
+	if err := filesystem.SyncDir(dir); err != nil {
 		return 0, false, err
 	}
 	number = numbers[len(numbers)-1]
-	return number, true, loadSnapshot(filesystem, filepath.Join(folder, snapshotName(number)), number, read)
+	return number, true, loadSnapshot(filesystem, filepath.Join(dir, snapshotName(number)), number, read)
 }
 
 // RemoveUnfinishedSnapshots deletes the temporary files that a crash left. It must run before the first snapshot is saved: one
 // that is being written would be deleted as well.
-func RemoveUnfinishedSnapshots(filesystem Filesystem, folder string) error {
-	if err := filesystem.MakeFolder(folder); err != nil {
+func RemoveUnfinishedSnapshots(filesystem Filesystem, dir string) error {
+	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
 	}
-	entries, err := filesystem.List(folder)
+	entries, err := filesystem.List(dir)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 		if !strings.HasSuffix(entry.Name, snapshotSuffix+temporarySuffix) {
 			continue
 		}
-		if err := filesystem.Remove(filepath.Join(folder, entry.Name)); err != nil {
+		if err := filesystem.Remove(filepath.Join(dir, entry.Name)); err != nil {
 			return err
 		}
 	}
@@ -189,8 +189,8 @@
 }
 
 // RemoveSnapshotsBefore deletes the snapshots with numbers below number.
-func RemoveSnapshotsBefore(filesystem Filesystem, folder string, number uint64) error {
-	numbers, err := listNumbered(filesystem, folder, snapshotSuffix)
+func RemoveSnapshotsBefore(filesystem Filesystem, dir string, number uint64) error {
+	numbers, err := listNumbered(filesystem, dir, snapshotSuffix)
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 		if old >= number {
 			continue
 		}
-		if err := filesystem.Remove(filepath.Join(folder, snapshotName(old))); err != nil {
+		if err := filesystem.Remove(filepath.Join(dir, snapshotName(old))); err != nil {
 			return err
 		}
 		removed = true
@@ -207,5 +207,5 @@
 	if !removed {
 		return nil
 	}
-	return filesystem.SyncFolder(folder)
+	return filesystem.SyncDir(dir)
 }
--- a/internal/state/storage/snapshot_test.go
+++ b/internal/state/storage/snapshot_test.go
@@ -170,15 +170,15 @@
 	})
 })
 
-var _ = Describe("LockFolder", func() {
+var _ = Describe("LockDir", func() {
 	It("given a held lock, then refuses a second until it is released", func() {
 		path := GinkgoT().TempDir()
-		lock, err := storage.LockFolder(path)
+		lock, err := storage.LockDir(path)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = storage.LockFolder(path)
-		Expect(err).To(BeAssignableToTypeOf(&storage.FolderLockedError{}))
+		_, err = storage.LockDir(path)
+		Expect(err).To(BeAssignableToTypeOf(&storage.DirLockedError{}))
 		Expect(lock.Close()).To(Succeed())
-		lock, err = storage.LockFolder(path)
+		lock, err = storage.LockDir(path)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lock.Close()).To(Succeed())
 	})
--- a/internal/state/storage/space.go
+++ b/internal/state/storage/space.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// probeName is the file that ProbeSpace writes; no other file of a data folder has its name.
-	probeName = "space" + temporarySuffix
-	// probeChunkBytes is what ProbeSpace writes at once.
-	probeChunkBytes = 64 << 10
+	// spaceCheckName is the file that CheckFreeSpace writes; no other file of a data folder has its name.
+	spaceCheckName = "space" + temporarySuffix
+	// spaceCheckChunkBytes is what CheckFreeSpace writes at once.
+	spaceCheckChunkBytes = 64 << 10
 )
 
-// ProbeSpace checks that the disk takes so many bytes more and syncs them: it writes a file in the folder and removes it
+// CheckFreeSpace checks that the disk takes so many bytes more and syncs them: it writes a file in the folder and removes it
 // again. The error tells a lack of room by IsDiskFull.
-func CheckFreeSpace(filesystem Filesystem, folder string, bytes int64) error {
-	path := filepath.Join(folder, probeName)
+func CheckFreeSpace(filesystem Filesystem, dir string, bytes int64) error {
+	path := filepath.Join(dir, spaceCheckName)
 	file, err := filesystem.Create(path)
 	if err != nil {
 		return &FailedError{Operation: "create", Path: path, Cause: err}
@@ -35,9 +35,9 @@
 
 // fillFile writes bytes that no file system stores as a hole.
 func fillFile(file File, bytes int64) error {
-	chunk := make([]byte, probeChunkBytes)
-	for place := range chunk {
-		chunk[place] = byte(place) | 1
+	chunk := make([]byte, spaceCheckChunkBytes)
+	for index := range chunk {
+		chunk[index] = byte(index) | 1
 	}
 	for offset := int64(0); offset < bytes; offset += int64(len(chunk)) {
 		if _, err := file.WriteAt(chunk[:min(int64(len(chunk)), bytes-offset)], offset); err != nil {
--- a/internal/state/storage/stall_test.go
+++ b/internal/state/storage/stall_test.go
@@ -69,7 +69,7 @@
 
 	It("given room or none, when the room is probed, then it says so and leaves no file", func() {
 		disk := newDisk(23)
-		Expect(disk.MakeFolder(folder)).To(Succeed())
+		Expect(disk.MkdirAll(folder)).To(Succeed())
 		disk.SetCapacity(100 << 10)
 		Expect(storage.CheckFreeSpace(disk, folder, 90<<10)).To(Succeed())
 		err := storage.CheckFreeSpace(disk, folder, 110<<10)
--- a/internal/state/storage/storagebench/bench.go
+++ b/internal/state/storage/storagebench/bench.go
@@ -19,14 +19,14 @@
 var WriterCounts = []int{1, 16, 256}
 
 const (
-	highestMicros     = 60_000_000
+	maxMicros         = 60_000_000
 	significantDigits = 3
 )
 
 // Options say what to measure.
 type Options struct {
 	// Folder is where a log is made and removed again; it decides which disk is measured.
-	Folder      string
+	Dir         string
 	Writers     int
 	RecordBytes int
 	Duration    time.Duration
@@ -47,7 +47,7 @@
 
 // Run appends from Options.Writers goroutines, each waiting for its record to be durable, for Options.Duration.
 func Run(options Options) (result Result, err error) {
-	folder, err := os.MkdirTemp(options.Folder, "storagebench-")
+	folder, err := os.MkdirTemp(options.Dir, "storagebench-")
 	if err != nil {
 		return Result{}, errors.WithStack(err)
 	}
@@ -57,7 +57,7 @@
 		return Result{}, err
 	}
 	defer func() { err = errors.CombineErrors(err, log.Close()) }()
-	measured := &measurement{options: options, histogram: hdrhistogram.New(1, highestMicros, significantDigits)}
+	measured := &measurement{options: options, histogram: hdrhistogram.New(1, maxMicros, significantDigits)}
 	appendOne, stop := measured.appender(log)
 	started := time.Now()
 	measured.runWriters(appendOne, started.Add(options.Duration))
@@ -99,7 +99,7 @@
 	var writers sync.WaitGroup
 	for range m.options.Writers {
 		writers.Go(func() {
-			histogram := hdrhistogram.New(1, highestMicros, significantDigits)
+			histogram := hdrhistogram.New(1, maxMicros, significantDigits)
 			err := m.writeUntil(end, appendOne, histogram)
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
--- a/internal/state/storage/storagebench/bench_test.go
+++ b/internal/state/storage/storagebench/bench_test.go
@@ -13,7 +13,7 @@
 func TestRunCountsEveryAppend(t *testing.T) {
 	for _, syncEach := range []bool{true, false} {
 		result, err := storagebench.Run(storagebench.Options{
-			Folder: t.TempDir(), Writers: 4, RecordBytes: recordBytes, Duration: 20 * time.Millisecond, SyncEach: syncEach,
+			Dir: t.TempDir(), Writers: 4, RecordBytes: recordBytes, Duration: 20 * time.Millisecond, SyncEach: syncEach,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 			b.Run(fmt.Sprintf("syncEach=%v/writers=%d", syncEach, writers), func(b *testing.B) {
 				for b.Loop() {
 					result, err := storagebench.Run(storagebench.Options{
-						Folder: b.TempDir(), Writers: writers, RecordBytes: recordBytes, Duration: time.Second, SyncEach: syncEach,
+						Dir: b.TempDir(), Writers: writers, RecordBytes: recordBytes, Duration: time.Second, SyncEach: syncEach,
 					})
 					if err != nil {
 						b.Fatal(err)
--- a/internal/state/store/folder.go
+++ b/internal/state/store/folder.go
@@ -71,7 +71,7 @@
 	if err := folder.requireSnapshot(); err != nil {
 		return nil, errors.CombineErrors(err, folder.registers.Close())
 	}
-	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, CheckedBefore: folder.indexedBefore()}
+	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, VerifiedBefore: folder.indexedBefore()}
 	folder.turns, err = storage.OpenLog(filesystem, folder.turnPath(), turnOptions)
 	if err != nil {
 		return nil, errors.CombineErrors(err, folder.registers.Close())
@@ -81,7 +81,7 @@
 
 // requireFiles returns *storage.CorruptError when a folder that was in use has no files any more.
 func requireFiles(filesystem storage.Filesystem, path string, fresh bool) error {
-	if err := filesystem.MakeFolder(path); err != nil {
+	if err := filesystem.MkdirAll(path); err != nil {
 		return err
 	}
 	entries, err := filesystem.List(path)
@@ -138,7 +138,7 @@
 			return errors.Wrapf(err, "list %s", folder)
 		}
 		for _, entry := range entries {
-			if entry.Folder || filepath.Ext(entry.Name) == corruptSuffix {
+			if entry.IsDir || filepath.Ext(entry.Name) == corruptSuffix {
 				continue
 			}
 			file := filepath.Join(folder, entry.Name)
@@ -146,7 +146,7 @@
 				return errors.Wrapf(err, "put aside %s", file)
 			}
 		}
-		if err := filesystem.SyncFolder(folder); err != nil {
+		if err := filesystem.SyncDir(folder); err != nil {
 			return errors.Wrapf(err, "sync %s", folder)
 		}
 	}
--- a/internal/state/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -71,7 +71,7 @@
 
 // logFailed reports whether one of the logs takes no records any more.
 func (s *Store) logFailed() bool {
-	return s.folder.registers.Failed() != nil || s.folder.turns.Failed() != nil
+	return s.folder.registers.Err() != nil || s.folder.turns.Err() != nil
 }
 
 // failUnlessStopped ends the store unless the error only says that it stops already.
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -118,7 +118,7 @@
 	syncs := s.metrics.syncs.WithLabelValues(name)
 	shared := s.metrics.synced.WithLabelValues(name)
 	return storage.GroupCommitterOptions{
-		MaximumPendingBytes: maximumPendingBytes,
+		MaxPendingBytes: maximumPendingBytes,
 		OnSync: func(requests int) {
 			syncs.Inc()
 			shared.Add(float64(requests))
--- a/internal/testing/sim/world_test.go
+++ b/internal/testing/sim/world_test.go
@@ -197,7 +197,7 @@
 		}
 		file, _ := disk.Create("/file")
 		_, _ = file.WriteAt([]byte("synced"), 0)
-		Expect(errors.Join(file.Sync(), disk.SyncFolder("/"))).To(Succeed())
+		Expect(errors.Join(file.Sync(), disk.SyncDir("/"))).To(Succeed())
 		_, _ = file.WriteAt([]byte(" and not"), 6)
 		return &echo{environment: environment, heard: &[]string{}}, nil
 	})
