--- a/internal/lab/simcommand/simcommand.go
+++ b/internal/lab/simcommand/simcommand.go
@@ -59,6 +59,8 @@
 	rest     time.Duration
 	// keepSchedules leaves failed schedules as long as they are.
 	keepSchedules bool
+	// fingerprints prints a line for each seed.
+	fingerprints bool
 }
 
 type suite struct {
@@ -116,6 +118,7 @@
 	flags.BoolVar(&chosen.trace, "trace", false, "print what happens to standard error; runs one seed at a time, without shortening its schedule")
 	flags.StringVar(&chosen.mutation, "mutation", "", "break the code in a named way, to see which rule notices")
 	flags.BoolVar(&chosen.keepSchedules, "keep-schedules", false, "leave out the shortening of failed schedules, which runs a seed up to 60 times more")
+	flags.BoolVar(&chosen.fingerprints, "fingerprints", false, "print a line for each suite and seed with a sum of all that its run counted, to find the first seed that a change touches")
 	flags.DurationVar(&chosen.rest, "rest", 0, "simulate a site's fleet at rest for this long, without faults, and print how much faster than real time that is")
 	return command
 }
@@ -127,7 +130,8 @@
 	}
 	failed := 0
 	for _, candidate := range selected {
-		summary := chosen.searchSuite(candidate, trace)
+		digests := make([]uint64, max(chosen.seeds, 0))
+		summary := chosen.searchSuite(candidate, trace, digests)
 		failed += len(summary.Failed)
 		if _, err := fmt.Fprintf(output, "suite %s: ", candidate.name); err != nil {
 			return err
@@ -136,6 +140,9 @@
 		if err := summary.Write(output, replay); err != nil {
 			return err
 		}
+		if err := chosen.writeFingerprints(output, candidate.name, digests); err != nil {
+			return err
+		}
 	}
 	if failed > 0 {
 		return &ViolatedError{Runs: failed}
@@ -168,8 +175,23 @@
 	}
 }
 
-func (o options) searchSuite(candidate suite, trace io.Writer) sim.Summary {
+// writeFingerprints prints the digests by ascending seed, whatever order the runs ended in.
+func (o options) writeFingerprints(output io.Writer, suite string, digests []uint64) error {
+	if !o.fingerprints {
+		return nil
+	}
+	for place, digest := range digests {
+		if _, err := fmt.Fprintf(output, "fingerprint %s seed %d: %016x\n", suite, o.first+int64(place), digest); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// searchSuite runs the seeds of a suite and puts the digest of each run in its place.
+func (o options) searchSuite(candidate suite, trace io.Writer, digests []uint64) sim.Summary {
 	settings := sim.SearchOptions{First: o.first, Count: o.seeds, Workers: o.workers, KeepSchedules: o.keepSchedules}
+	settings.OnReport = func(report sim.Report) { digests[report.Seed-o.first] = report.Digest() }
 	if !o.trace {
 		return sim.Search(settings, func(seed int64, faults []sim.Fault) sim.Report {
 			return candidate.run(seed, faults, o, nil)
--- a/internal/lab/simcommand/simcommand_test.go
+++ b/internal/lab/simcommand/simcommand_test.go
@@ -80,6 +80,68 @@
 	}
 }
 
+func fingerprints(output string) []string {
+	var lines []string
+	for line := range strings.Lines(output) {
+		if strings.HasPrefix(line, "fingerprint ") {
+			lines = append(lines, strings.TrimSuffix(line, "\n"))
+		}
+	}
+	return lines
+}
+
+func TestFingerprintsAreTheSameInEachRun(t *testing.T) {
+	arguments := []string{"--suite", "all", "--seed", "3", "--seeds", "2"}
+	plain, _, err := execute(append(arguments, "--workers", "2")...)
+	if err != nil || len(fingerprints(plain)) != 0 {
+		t.Fatalf("%v\n%s", err, plain)
+	}
+	alone, _, err := execute(append(arguments, "--workers", "1", "--fingerprints")...)
+	if err != nil {
+		t.Fatalf("%v\n%s", err, alone)
+	}
+	atOnce, _, err := execute(append(arguments, "--workers", "2", "--fingerprints")...)
+	if err != nil || atOnce != alone {
+		t.Fatalf("%v\n%s\n%s", err, alone, atOnce)
+	}
+	found, place := fingerprints(alone), 0
+	if len(found) != 6 {
+		t.Fatal(alone)
+	}
+	sums, rest := map[string]bool{}, alone
+	for _, suite := range []string{"state", "ownership", "serving"} {
+		for _, seed := range []string{"3", "4"} {
+			sum, is := strings.CutPrefix(found[place], "fingerprint "+suite+" seed "+seed+": ")
+			if !is || len(sum) != 16 || sums[sum] {
+				t.Fatal(alone)
+			}
+			sums[sum] = true
+			rest = strings.Replace(rest, found[place]+"\n", "", 1)
+			place++
+		}
+	}
+	if rest != plain {
+		t.Fatalf("more than fingerprints was added:\n%s\n%s", plain, alone)
+	}
+}
+
+func TestChangedDecisionChangesFingerprints(t *testing.T) {
+	arguments := []string{"--suite", "state", "--seeds", "1", "--keep-schedules", "--fingerprints"}
+	whole, _, err := execute(arguments...)
+	if err != nil {
+		t.Fatalf("%v\n%s", err, whole)
+	}
+	broken, _, err := execute(append(arguments, "--mutation", "front-skips-tombstone")...)
+	var violated *simcommand.ViolatedError
+	if !errors.As(err, &violated) {
+		t.Fatalf("%v\n%s", err, broken)
+	}
+	one, other := fingerprints(whole), fingerprints(broken)
+	if len(one) != 1 || len(other) != 1 || one[0] == other[0] {
+		t.Fatalf("%v and %v", one, other)
+	}
+}
+
 func TestUnknownShapeIsRefused(t *testing.T) {
 	_, _, err := execute("--suite", "state", "--shape", "nothing")
 	var unknown *simcommand.UnknownShapeError
--- a/internal/sim/rule.go
+++ b/internal/sim/rule.go
@@ -1,7 +1,9 @@
 package sim
 
 import (
+	"encoding/binary"
 	"fmt"
+	"hash/fnv"
 	"time"
 )
 
@@ -107,6 +109,26 @@
 	return report
 }
 
+// Digest sums what the run counted: its events and their order, messages, faults, and for each rule, by its
+// place, how often it was provoked and violated. It is equal for equal runs, and leaves names and wording out.
+func (r Report) Digest() uint64 {
+	sum := fnv.New64a()
+	add := func(count uint64) { _ = binary.Write(sum, binary.LittleEndian, count) }
+	add(uint64(r.Steps))
+	add(uint64(r.Elapsed))
+	add(r.Fingerprint)
+	add(uint64(r.MessagesSent))
+	add(uint64(r.MessagesLost))
+	for _, faults := range [][]Fault{r.Schedule, r.Applied, r.Skipped} {
+		add(uint64(len(faults)))
+	}
+	for _, rule := range r.Rules {
+		add(uint64(rule.Provoked))
+		add(uint64(len(rule.Violations)))
+	}
+	return sum.Sum64()
+}
+
 // sharesViolation says whether another run violated a rule that this one did.
 func (r Report) sharesViolation(other Report) bool {
 	violated := map[string]bool{}
