--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 
 export CGO_ENABLED = 1
 
-.PHONY: build run run-platform fleet test lint bench chaos scale fuzz generate tools clean
+.PHONY: build run run-platform fleet test lint bench chaos scale fuzz generate tools gopls clean
 
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
@@ -57,5 +57,10 @@
 	cd tools && $(GO) build -o $(TOOLS)/ tool
 	test -x $(TOOLS)/golangci-lint || GOBIN=$(TOOLS) $(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_LINT_VERSION)
 
+# gopls renames identifiers over the whole module, type-checked and tests included; neither build nor lint needs it.
+gopls:
+	mkdir -p $(TOOLS)
+	cd tools/gopls && $(GO) build -o $(TOOLS)/ tool
+
 clean:
 	rm -rf $(BIN)
