--- a/internal/controlstate/fleet_test.go
+++ b/internal/controlplane/controlstate/fleet_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -122,12 +122,7 @@
 }
 
 func contains(list []string, wanted string) bool {
-	for _, entry := range list {
-		if entry == wanted {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(list, wanted)
 }
 
 func copied(name, storage string, shard uint32, epoch uint64) *protocol.Command {
--- a/internal/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -3,7 +3,7 @@
 import (
 	"crypto/sha256"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -18,7 +18,7 @@
 	codeBadSignature    = failure.BadSignature
 	codeNotSigned       = failure.NotSigned
 	codeChangeUnderWay  = failure.ChangeUnderWay
-	codeLeaseRefused    = failure.LeaseRefused
+	codeLeaseRefused    = failure.LeaseRejected
 	codeStoreNotEmptied = failure.StoreNotEmptied
 )
 
--- a/internal/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -6,12 +6,13 @@
 
 import (
 	"encoding/binary"
+	"slices"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/views"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/views"
 )
 
 // State is what the commands applied so far have made. Every message it hands
@@ -156,7 +157,7 @@
 		FirstKeys:     s.firstKeys,
 		Orders:        len(s.orders),
 		bundles:       s.bundles,
-		steps:         s.steps[:len(s.steps):len(s.steps)],
+		steps:         slices.Clip(s.steps),
 
 		nodeHistory:    s.nodeHistory.Copy(),
 		backEndHistory: s.backEndHistory.Copy(),
--- a/internal/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -131,7 +131,7 @@
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
-	if !s.machine.View().Departed(id) {
+	if !s.machine.View().Removed(id) {
 		_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
 			RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Departed: true, Sequence: sequence},
 		}})
--- a/internal/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -9,9 +9,9 @@
 	"github.com/onsi/ginkgo/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/core"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 var errCut = errors.New("the link is cut")
--- a/internal/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -10,12 +10,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/core/replica"
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // dataSubfolder holds the control log and its snapshots inside the data folder.
--- a/internal/core/orders.go
+++ b/internal/controlplane/core/orders.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -151,7 +151,7 @@
 	}
 	command.Store = request.arguments[0]
 	if command.KeepSpread == nil {
-		command.KeepSpread = proto.Bool(true)
+		command.KeepSpread = new(true)
 	}
 	return s.order(ctx, "empty_store", request, &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: command}})
 }
--- a/internal/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -99,7 +99,7 @@
 	}
 	record := view.Bundle(version)
 	if record == nil {
-		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, fmt.Sprintf("there is no bundle %s", text), failure.WithPath("version"))
+		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "there is no bundle "+text, failure.WithPath("version"))
 	}
 	return record, nil
 }
@@ -122,9 +122,9 @@
 
 // rolloutAnswer is the roll-out under way, if any, and what its arms measured so far.
 type rolloutAnswer struct {
-	Active  uint64            `json:"active"`
-	Rollout json.RawMessage   `json:"rollout,omitempty"`
-	Arms    []json.RawMessage `json:"arms"`
+	Active   uint64            `json:"active"`
+	Rollout  json.RawMessage   `json:"rollout,omitempty"`
+	Variants []json.RawMessage `json:"arms"`
 }
 
 func (s *Service) showRollout(ctx context.Context, _ *operatorRequest) (*answer, error) {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Arms: arms}
+	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: arms}
 	if configuration.GetRollout() != nil {
 		if document.Rollout, err = encode(configuration.GetRollout()); err != nil {
 			return nil, err
--- a/internal/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,10 +10,10 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/core/replica"
+	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of the options.
--- a/internal/corelink/owner.go
+++ b/internal/controlplane/corelink/owner.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -169,11 +169,11 @@
 	o.renewing = false
 	o.deliverRelease()
 	now := time.Now()
-	o.contacted = err == nil || o.holder.Held(now)
+	o.contacted = err == nil || o.holder.Valid(now)
 	switch {
 	case o.released:
 		return
-	case failure.Is(err, failure.LeaseRefused), err == nil && !answer.GetGranted():
+	case failure.Is(err, failure.LeaseRejected), err == nil && !answer.GetGranted():
 		o.refused(now, renewal, answer.GetRefusal(), err)
 	case err != nil:
 		o.link.metrics.renewals.WithLabelValues("failed").Inc()
@@ -222,7 +222,7 @@
 // changes, so the node asks ever more seldom; one without a reason is over soon.
 func (o *owner) refused(now time.Time, renewal lease.Renewal, refusal *protocol.Refusal, err error) {
 	o.link.metrics.renewals.WithLabelValues("refused").Inc()
-	o.holder.Refused(now, renewal)
+	o.holder.Rejected(now, renewal)
 	o.lapsed()
 	o.wasRefused = true
 	if o.succeed() {
@@ -249,7 +249,7 @@
 // of was set back. It asks for the lease at once then.
 func (o *owner) succeed() bool {
 	now := time.Now()
-	if !o.wasRefused || o.holder.Held(now) {
+	if !o.wasRefused || o.holder.Valid(now) {
 		return false
 	}
 	for _, node := range o.link.View().Membership.GetNodes() {
--- a/internal/core/replica/baddays_test.go
+++ b/internal/controlplane/replica/baddays_test.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // The stories of this file play days on which machines of a small core are lost one after another, each as soon as the one
@@ -279,7 +280,7 @@
 		id := lagging.replica.ID()
 		lagging.crash()
 		for number := range commands {
-			if err := leader.propose(fmt.Sprint(number)); err != nil {
+			if err := leader.propose(strconv.Itoa(number)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/replica/plan_test.go
+++ b/internal/controlplane/replica/plan_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -62,7 +63,7 @@
 					Id: id, Name: member.name, Zone: member.zone, Voter: member.voter,
 				})
 				if id != view.self {
-					view.contacts[id] = consensus.Contact{ID: id, Match: last - member.lag, Heard: now.Add(-time.Duration(member.silent) * time.Second)}
+					view.contacts[id] = consensus.Contact{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.silent) * time.Second)}
 				}
 			}
 			reason := ""
@@ -88,7 +89,7 @@
 			view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 				Id: id, Name: fmt.Sprint("member-", id), Voter: id <= uint64(voters),
 			})
-			view.contacts[id] = consensus.Contact{ID: id, Match: 10, Heard: now}
+			view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
 		}
 		return view
 	}
@@ -146,9 +147,11 @@
 				}
 			}
 			got := fmt.Sprintf("%d:", state.baseIndex)
+			var gotSb149 strings.Builder
 			for _, kept := range state.entries {
-				got += fmt.Sprintf(" %d/%d", kept.GetIndex(), kept.GetTerm())
+				gotSb149.WriteString(fmt.Sprintf(" %d/%d", kept.GetIndex(), kept.GetTerm()))
 			}
+			got += gotSb149.String()
 			if got != tt.want {
 				t.Errorf("recovered %q, want %q", got, tt.want)
 			}
@@ -178,7 +181,7 @@
 		view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 			Id: id, Name: fmt.Sprint("m", id), Region: member.region, Zone: member.zone, Voter: member.voter,
 		})
-		view.contacts[id] = consensus.Contact{ID: id, Match: 10, Heard: now}
+		view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
 	}
 	return view
 }
--- a/internal/core/replica/recovery.go
+++ b/internal/controlplane/replica/recovery.go
@@ -3,9 +3,9 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // founding terms: the founder's configuration is the first entry, committed in the first term.
--- a/internal/core/replica/reopen.go
+++ b/internal/controlplane/replica/reopen.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 const (
@@ -94,7 +94,7 @@
 	if err := r.disk.close(); err != nil {
 		r.logWarning("the failed log was closed with an error", "error", err)
 	}
-	if err := storage.ProbeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
+	if err := storage.CheckFreeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
 		return err
 	}
 	disk, err := openDisk(r.options.Filesystem, r.options.Folder)
--- a/internal/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -239,7 +239,7 @@
 	switch decision.Verdict {
 	case limit.Run:
 		return nil
-	case limit.RefuseLate:
+	case limit.RejectLate:
 		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "no slot became free in time",
 			failure.WithRetryAfter(decision.RetryAfter)).Failure
 	default:
--- a/internal/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var _ = Describe("the HTTP surface", func() {
--- a/internal/front/backends.go
+++ b/internal/dataplane/front/backends.go
@@ -8,12 +8,12 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/dialect"
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // loadReportLife is how long a reported load is believed.
@@ -66,7 +66,7 @@
 		return schedule.OutcomeUnreachable
 	case turn.FaultBroken, turn.FaultMismatch:
 		return schedule.OutcomeFault
-	case turn.FaultRefused, turn.FaultFenced, turn.FaultRejected, turn.FaultWrongVersion:
+	case turn.FaultUnavailable, turn.FaultFenced, turn.FaultRejected, turn.FaultWrongVersion:
 	}
 	return schedule.OutcomeNotExecuted
 }
--- a/internal/front/errors.go
+++ b/internal/dataplane/front/errors.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 )
 
 // stopError is the cause with which a turn's context is cancelled.
@@ -27,7 +27,7 @@
 }
 
 var (
-	errCallerGone = &stopError{reason: turn.StopCallerGone}
+	errCallerGone = &stopError{reason: turn.StopCallerDisconnected}
 	errDeadline   = &stopError{reason: turn.StopDeadline}
 	errAuthority  = &stopError{reason: turn.StopAuthority}
 )
--- a/internal/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -5,9 +5,9 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/front"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -10,13 +10,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/daemon"
-	"github.com/rosestand/rosestand/internal/dialect"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
-	"github.com/rosestand/rosestand/internal/ownership"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // readyCondition is the name under which a front node's readiness is shown.
@@ -54,7 +54,7 @@
 	logger *log.Logger, registerer prometheus.Registerer,
 ) *ownership.Manager {
 	manager := ownership.New(ownership.Options{
-		Link: link, Caller: pool, VirtualPlaces: int(settings.GetVirtualPlaces()), Logger: logger, Registerer: registerer,
+		Link: link, Caller: pool, VirtualNodes: int(settings.GetVirtualPlaces()), Logger: logger, Registerer: registerer,
 	})
 	pool.OnBroken(manager.PeerBroken)
 	return manager
--- a/internal/front/httpread.go
+++ b/internal/dataplane/front/httpread.go
@@ -9,10 +9,10 @@
 
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // resumeDeadline bounds how long a resumed stream may last.
--- a/internal/front/httpstream.go
+++ b/internal/dataplane/front/httpstream.go
@@ -9,10 +9,10 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
-	"github.com/rosestand/rosestand/internal/trainingstep"
-	"github.com/rosestand/rosestand/internal/turn"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 const (
@@ -80,7 +80,7 @@
 		return nil, &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
 	answer.Body = body
-	return turn.AnsweredWhole{Answer: answer, WeightVersions: s.headVersions()}, nil
+	return turn.AnswerCompleted{Answer: answer, WeightVersions: s.headVersions()}, nil
 }
 
 // headVersions are the versions of the weights that the answer's head names.
--- a/internal/front/httpturn.go
+++ b/internal/dataplane/front/httpturn.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // routedSends bounds how often one request of an HTTP route is sent to servers
@@ -59,8 +59,8 @@
 	run.freed = true
 	run.machine = turn.New(turn.Parameters{
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-		Budget: routedBudget(request), Ceiling: routedCeiling(request),
-		KeepFor:       time.Duration(routed.GetKeepMillis()) * time.Millisecond,
+		Budget: routedBudget(request), ReservationLimit: routedCeiling(request),
+		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
 		BundleVersion: routed.GetBundleVersion(), Attempts: routedSends,
 	})
 	s.startRun(run, cancel)
--- a/internal/front/ledgeroperations.go
+++ b/internal/dataplane/front/ledgeroperations.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
@@ -44,7 +45,7 @@
 // refuseCutOff refuses a turn that needs the ledger while this front node is cut off from it and from the others: a
 // look-up of the turn's owner would find nobody either.
 func (s *Service) refuseCutOff(request *protocol.TurnRequest) *protocol.Failure {
-	if !s.ledger.CutOff() || !turn.IsLedgered(request) {
+	if !s.ledger.Isolated() || !turn.IsLedgered(request) {
 		return nil
 	}
 	return unreachableFailure()
@@ -82,8 +83,8 @@
 		next = page[len(page)-1].GetPreviousTurn()
 	}
 	oldestFirst := make([]*protocol.Turn, 0, len(newestFirst))
-	for at := len(newestFirst) - 1; at >= 0; at-- {
-		oldestFirst = append(oldestFirst, newestFirst[at])
+	for _, n := range slices.Backward(newestFirst) {
+		oldestFirst = append(oldestFirst, n)
 	}
 	return oldestFirst, protocol.LedgerStatus_LEDGER_OK
 }
--- a/internal/front/memoryledger_test.go
+++ b/internal/dataplane/front/memoryledger_test.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // memoryLedger decides by the real rules over records in memory.
@@ -81,7 +81,7 @@
 func (l *memoryLedger) Unreachable(string) bool { return l.unreachable.Load() }
 
 // CutOff reports what the story says.
-func (l *memoryLedger) CutOff() bool { return l.cutOff.Load() }
+func (l *memoryLedger) Isolated() bool { return l.cutOff.Load() }
 
 // read follows a chain within one program, as stores do.
 func (l *memoryLedger) read(program string, read *protocol.ReadTurns) *protocol.LedgerResult {
--- a/internal/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // beginTurn starts a turn as its owner, or finds the one of the same request
@@ -82,8 +82,8 @@
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), Ceiling: arm.ceiling(request.GetMaxOutputTokens()),
-			KeepFor: time.Duration(arm.keepSeconds()) * time.Second, BundleVersion: arm.version(),
+			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: arm.ceiling(request.GetMaxOutputTokens()),
+			Retention: time.Duration(arm.keepSeconds()) * time.Second, BundleVersion: arm.version(),
 		}),
 	}
 }
--- a/internal/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -11,10 +11,10 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/dialect"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const (
@@ -220,7 +220,7 @@
 		return "no lease or no fresh view yet"
 	case s.policies.Load().active.Bundle() == nil:
 		return "no bundle is in force"
-	case s.ledger.CutOff():
+	case s.ledger.Isolated():
 		return "cut off from the ledger and from the front nodes that reach it"
 	default:
 		return ""
--- a/internal/front/stepbalance_test.go
+++ b/internal/dataplane/front/stepbalance_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -10,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 // longTimeoutMillis is the time-out of routes in stories in which something waits.
@@ -35,7 +36,7 @@
 		if server.holdLive.Load() || request.Header.Get(words.ExpectedWeights) != "" {
 			<-server.hold()
 		}
-		writer.Header().Set(words.WeightVersions, fmt.Sprint(version))
+		writer.Header().Set(words.WeightVersions, strconv.FormatUint(version, 10))
 		turnServer(writer, request)
 	})
 	DeferCleanup(server.openUp)
@@ -161,7 +162,7 @@
 		r.changeServer("s1", func(server *protocol.BackEnd) { server.State = protocol.BackEndState_READY })
 		flood(5)
 		Consistently(server.steps, "20ms").Should(BeZero(), "a live turn waits")
-		r.clock.advance(trainingstep.Patience)
+		r.clock.advance(trainingstep.AdmissionTimeout)
 		Eventually(server.steps).Should(Equal(1), "a step goes on")
 		Consistently(server.steps, "20ms").Should(Equal(1))
 		letLiveGo()
--- a/internal/front/stepgates.go
+++ b/internal/dataplane/front/stepgates.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/trainingstep"
 )
 
 // stepGateKey names the servers of one version in a group.
@@ -63,10 +63,10 @@
 }
 
 // stepRoom asks for the places only when something waits or comes.
-func (a *admission) stepRoom(key stepGateKey) trainingstep.Room {
+func (a *admission) stepRoom(key stepGateKey) trainingstep.Capacity {
 	held := a.lanes[key.group]
 	liveWaits := held != nil && held.queue.WaitingInAll() > 0
-	return trainingstep.Room{Places: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
+	return trainingstep.Capacity{Slots: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
 }
 
 func (s *stepGates) deliver(decisions []trainingstep.Decision) {
@@ -157,9 +157,9 @@
 	switch decision.Verdict {
 	case trainingstep.Run:
 		return nil
-	case trainingstep.RefuseFull:
+	case trainingstep.RejectFull:
 		message = "too many generations of the training step wait"
-	case trainingstep.RefuseLate:
+	case trainingstep.RejectLate:
 	}
-	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message, failure.WithRetryAfter(trainingstep.RefusedRetry)).Failure
+	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message, failure.WithRetryAfter(trainingstep.RejectedRetryAfter)).Failure
 }
--- a/internal/front/steps_test.go
+++ b/internal/dataplane/front/steps_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/ledger"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 var _ = Describe("a generation of a training step", func() {
--- a/internal/front/stepscheduleaudit_test.go
+++ b/internal/dataplane/front/stepscheduleaudit_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // scheduleSeeds is the number of schedules, from seed 1.
--- a/internal/front/toolrun.go
+++ b/internal/dataplane/front/toolrun.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // callRun carries out the commands of one tool call's machine at the owner.
@@ -169,19 +169,19 @@
 		return turn.CallFinished{Result: r.ledger("outcome", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation},
 		})}
-	case turn.RefuseCall:
-		return turn.CallRefused{Result: r.ledger("refuse", &protocol.LedgerOperation{
+	case turn.RejectCall:
+		return turn.CallRejected{Result: r.ledger("refuse", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_RefuseCall{RefuseCall: command.Operation},
 		})}
 	case turn.IssueCall:
 		return r.issue(command)
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		granted := r.service.admission.retry()
 		r.explanation.step("retry", fmt.Sprintf("granted %t", granted))
 		return turn.RetryDecided{Granted: granted}
 	case turn.Answer:
 		r.answer(command.Response)
-	case turn.Pause:
+	case turn.Backoff:
 		return pause(r.service, r.grant, command.For)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
--- a/internal/front/turnrun.go
+++ b/internal/dataplane/front/turnrun.go
@@ -6,10 +6,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/schedule"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // turnRun carries out the commands of one turn's machine at the owner.
@@ -97,7 +97,7 @@
 	if errors.As(context.Cause(ctx), &stopped) {
 		return stopped.reason
 	}
-	return turn.StopCallerGone
+	return turn.StopCallerDisconnected
 }
 
 // receive waits for the next piece of the back end's answer. Authority is
@@ -115,7 +115,7 @@
 	case turn.Token:
 		r.noteFirstToken()
 		r.noteTokens(event)
-	case turn.AnsweredWhole:
+	case turn.AnswerCompleted:
 		r.server.record(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
 		r.server.record(schedule.OutcomeAnswered, r.now())
@@ -182,8 +182,8 @@
 	if fault.fault == turn.FaultWrongVersion {
 		r.server.refuseVersion(r.pin.version, r.now())
 	}
-	if fault.fault == turn.FaultRefused && !r.isOfStep() {
-		r.service.admission.record(r.route.GetGroup(), limit.Sample{Refused: true})
+	if fault.fault == turn.FaultUnavailable && !r.isOfStep() {
+		r.service.admission.record(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
 	r.explanation.step("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
@@ -230,20 +230,20 @@
 		return r.issue(command)
 	case turn.StopBackEnd:
 		r.closeGeneration()
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return r.askRetry()
 	case turn.Emit:
 		r.emit(command.Event)
-	case turn.Settle:
+	case turn.Commit:
 		return r.settle(command)
 	case turn.Release:
 		return r.release(command)
-	case turn.Refuse:
-		return turn.Refused{Result: r.refuse(command)}
-	case turn.ReadKept:
+	case turn.Reject:
+		return turn.Rejected{Result: r.refuse(command)}
+	case turn.ReadRetainedTurn:
 		kept, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
-		return turn.KeptRead{Turn: kept, Status: status}
-	case turn.Pause:
+		return turn.RetainedTurnRead{Turn: kept, Status: status}
+	case turn.Backoff:
 		return pause(r.service, r.grant, command.For)
 	case turn.Remember:
 		r.service.sessions.settled(r.key, command.Turn, r.history)
--- a/internal/front/turnsteps.go
+++ b/internal/dataplane/front/turnsteps.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const chatPath = "/v1/chat/completions"
@@ -106,8 +106,8 @@
 	return result
 }
 
-func (r *turnRun) settle(command turn.Settle) turn.Event {
-	return turn.Settled{Result: r.ledger("settle", &protocol.LedgerOperation{
+func (r *turnRun) settle(command turn.Commit) turn.Event {
+	return turn.Committed{Result: r.ledger("settle", &protocol.LedgerOperation{
 		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation},
 	})}
 }
@@ -176,7 +176,7 @@
 // refuse puts the request's tombstone. One that is refused at once hears that
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
-func (r *turnRun) refuse(command turn.Refuse) *protocol.LedgerResult {
+func (r *turnRun) refuse(command turn.Reject) *protocol.LedgerResult {
 	if !command.AtOnce {
 		return r.service.refuseRequest(r.ctx, r.key.program, command.Operation)
 	}
--- a/internal/ownership/evidence.go
+++ b/internal/dataplane/ownership/evidence.go
@@ -8,9 +8,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // stallFactor is how much longer than its time-out a call may have lasted for
@@ -20,7 +20,7 @@
 // evidenceOf says what the error of a call shows about the peer. A call that
 // ran out of its own time counts as silence when silenceCounts.
 func evidenceOf(err error, silenceCounts bool) directory.CallFailure {
-	var silent *wire.SilentPeerError
+	var silent *wire.UnresponsivePeerError
 	var broken *wire.BrokenError
 	var notSent *wire.NotSentError
 	switch {
--- a/internal/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -15,10 +15,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/ownership"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/ownership"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // fakeLink stands in for the connection to the core.
--- a/internal/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -14,12 +14,12 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of Options.
@@ -47,11 +47,11 @@
 	Link   Link
 	Caller wire.Caller
 	// VirtualPlaces must be the same on every front node.
-	VirtualPlaces int
+	VirtualNodes int
 	// ResolveWait bounds how long Resolve may wait for an owner.
 	ResolveWait time.Duration
 	// SilenceLimit is how long a front node may be silent before it is suspected.
-	SilenceLimit time.Duration
+	FailureDetectionTimeout time.Duration
 	// DrainWait bounds how long a drain whose sessions are given up waits to hand
 	// the partition off, as while no view comes that shows the drain.
 	DrainWait time.Duration
@@ -95,8 +95,8 @@
 }
 
 func withDefaults(options Options) Options {
-	if options.VirtualPlaces == 0 {
-		options.VirtualPlaces = ring.DefaultVirtualPlaces
+	if options.VirtualNodes == 0 {
+		options.VirtualNodes = ring.DefaultVirtualNodes
 	}
 	if options.ResolveWait == 0 {
 		options.ResolveWait = DefaultResolveWait
@@ -277,7 +277,7 @@
 		case <-drained:
 			return nil
 		case <-watch.C:
-			if !m.options.Link.Authority().Held() {
+			if !m.options.Link.Authority().Valid() {
 				return nil
 			}
 		case <-ctx.Done():
--- a/internal/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 // shell holds the directory; only the owner goroutine touches it.
@@ -40,8 +40,8 @@
 			Self: ring.Member{
 				Name: self.GetName(), Address: self.GetAddress(), Incarnation: self.GetIncarnation(),
 			},
-			Random:       manager.options.Random,
-			SilenceLimit: manager.options.SilenceLimit,
+			Random:                  manager.options.Random,
+			FailureDetectionTimeout: manager.options.FailureDetectionTimeout,
 		}),
 		waiting: make(map[uint64]chan<- directory.Resolved),
 		timer:   time.NewTimer(longestTick),
@@ -88,7 +88,7 @@
 // this node is told to the directory before anything else is.
 func (s *shell) moment() (directory.Moment, *corelink.Authority) {
 	authority := s.manager.options.Link.Authority()
-	at := directory.Moment{Now: time.Now(), Authority: authority.Held()}
+	at := directory.Moment{Now: time.Now(), Authority: authority.Valid()}
 	if incarnation := authority.Self.GetIncarnation(); incarnation != s.directory.Self().Incarnation {
 		s.manager.logger.Warn("authority was lost; sessions are registered again", "sessions", s.directory.OwnedCount())
 		s.execute(s.directory.Handle(at, directory.Reincarnated{Incarnation: incarnation}))
@@ -116,7 +116,7 @@
 		s.handle(directory.PolicyChanged{Policy: directory.PolicyOf(recovery)})
 	}
 	if view.Membership.GetVersion() > s.directory.ViewVersion() {
-		s.handle(directory.ViewChanged{View: s.directory.Membership().NextOf(view.Membership, s.manager.options.VirtualPlaces)})
+		s.handle(directory.ViewChanged{View: s.directory.Membership().NextOf(view.Membership, s.manager.options.VirtualNodes)})
 	}
 }
 
--- a/internal/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/promptcache"
+	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 )
 
 // EngineSpec is what all model servers of a fleet have in common.
@@ -56,7 +56,7 @@
 	// read counts all prompt tokens that were read.
 	read       uint64
 	preempted  int
-	onReadPart func(promptcache.Part)
+	onReadPart func(promptcache.Segment)
 }
 
 const cacheKey = ""
@@ -153,8 +153,8 @@
 func (e *engine) preempt() {
 	for len(e.batch) > 1 && e.used() > e.spec.CacheTokens {
 		victim := len(e.batch) - 1
-		for at := len(e.batch) - 1; at >= 0; at-- {
-			if e.batch[at].rank > e.batch[victim].rank {
+		for at, v := range slices.Backward(e.batch) {
+			if v.rank > e.batch[victim].rank {
 				victim = at
 			}
 		}
--- a/internal/trainingstep/gate.go
+++ b/internal/dataplane/trainingstep/gate.go
@@ -12,15 +12,15 @@
 	MaxWait = 10 * time.Second
 	// Patience is how long a generation waits behind live requests while none of its version runs from here. Then
 	// one is let in all the same, so that a step goes on however busy the fleet is.
-	Patience = 2 * time.Second
+	AdmissionTimeout = 2 * time.Second
 	// RefusedRetry is told to a generation that found no place.
-	RefusedRetry = time.Second
+	RejectedRetryAfter = time.Second
 )
 
 // Room is what the servers of a version can take of this front node's generations.
-type Room struct {
+type Capacity struct {
 	// Places is the number of generations that may run at a time.
-	Places int
+	Slots int
 	// LiveWaits is true while a live request waits for a slot of the servers' group.
 	LiveWaits bool
 }
@@ -40,9 +40,9 @@
 	// Run gives a place, which Leave gives back.
 	Run Verdict = iota + 1
 	// RefuseFull means that too many wait.
-	RefuseFull
+	RejectFull
 	// RefuseLate means that the ticket waited too long.
-	RefuseLate
+	RejectLate
 )
 
 // Decision is the verdict on one ticket.
@@ -71,9 +71,9 @@
 func (g *Gate) Waiting() int { return len(g.waiting) }
 
 // Enter takes a ticket in.
-func (g *Gate) Enter(ticket Ticket, room Room, now time.Time) []Decision {
+func (g *Gate) Enter(ticket Ticket, room Capacity, now time.Time) []Decision {
 	if len(g.waiting) >= MaxWaiting {
-		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RefuseFull})
+		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RejectFull})
 	}
 	expires := now.Add(MaxWait)
 	if !ticket.Deadline.IsZero() && ticket.Deadline.Before(expires) {
@@ -84,7 +84,7 @@
 }
 
 // Leave gives a place back.
-func (g *Gate) Leave(room Room, now time.Time) []Decision {
+func (g *Gate) Leave(room Capacity, now time.Time) []Decision {
 	g.running--
 	return g.Dispatch(room, now)
 }
@@ -97,12 +97,12 @@
 }
 
 // Dispatch refuses who waited too long and lets in who may run now.
-func (g *Gate) Dispatch(room Room, now time.Time) []Decision {
+func (g *Gate) Dispatch(room Capacity, now time.Time) []Decision {
 	var decisions []Decision
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool {
 		late := !now.Before(w.expires)
 		if late {
-			decisions = append(decisions, Decision{ID: w.id, Verdict: RefuseLate})
+			decisions = append(decisions, Decision{ID: w.id, Verdict: RejectLate})
 		}
 		return late
 	})
@@ -114,11 +114,11 @@
 	return decisions
 }
 
-func (g *Gate) admits(next waitingTicket, room Room, now time.Time) bool {
-	if g.running == 0 && now.Sub(next.entered) >= Patience {
+func (g *Gate) admits(next waitingTicket, room Capacity, now time.Time) bool {
+	if g.running == 0 && now.Sub(next.entered) >= AdmissionTimeout {
 		return true
 	}
-	return !room.LiveWaits && g.running < room.Places
+	return !room.LiveWaits && g.running < room.Slots
 }
 
 // NextWake is when Dispatch may have something to do without any other event; zero when nothing waits.
@@ -126,7 +126,7 @@
 	var next time.Time
 	for at, w := range g.waiting {
 		wake := w.expires
-		if patient := w.entered.Add(Patience); at == 0 && g.running == 0 && patient.Before(wake) {
+		if patient := w.entered.Add(AdmissionTimeout); at == 0 && g.running == 0 && patient.Before(wake) {
 			wake = patient
 		}
 		if next.IsZero() || wake.Before(next) {
--- a/internal/turn/ending.go
+++ b/internal/dataplane/turn/ending.go
@@ -17,13 +17,13 @@
 	m.failure = f
 	m.state = stateRefusing
 	request := m.parameters.Request
-	return append(m.leave(), Refuse{Operation: &protocol.RefuseRequest{
+	return append(m.leave(), Reject{Operation: &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	}, AtOnce: failure.Code(f.GetCode()) == failure.Overloaded})
 }
 
 func (m *Machine) refusing(event Event, now time.Time) []Command {
-	refused, matches := event.(Refused)
+	refused, matches := event.(Rejected)
 	if !matches {
 		return nil
 	}
@@ -47,13 +47,13 @@
 			return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure)
 		}
 		m.state = stateReadingKept
-		return append(m.leave(), ReadKept{TurnID: finished.GetTurnId()})
+		return append(m.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
 		if m.failure != nil {
 			m.failure.Outcome = protocol.Outcome_NOT_RUN
 			return m.end(m.failure)
 		}
-		return m.end(failure.New(failure.RequestRefused, protocol.Outcome_NOT_RUN,
+		return m.end(failure.New(failure.RequestRejected, protocol.Outcome_NOT_RUN,
 			"this request was refused before; send it again under a new idempotency key").Failure)
 	default:
 		return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
@@ -62,7 +62,7 @@
 }
 
 func (m *Machine) keptRead(event Event, now time.Time) []Command {
-	read, matches := event.(KeptRead)
+	read, matches := event.(RetainedTurnRead)
 	if !matches {
 		return nil
 	}
@@ -83,8 +83,8 @@
 func (m *Machine) settling(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Waited:
-		return []Command{Settle{Operation: m.settle}}
-	case Settled:
+		return []Command{Commit{Operation: m.settle}}
+	case Committed:
 		return m.settleAnswered(answer.Result, now)
 	}
 	return nil
@@ -210,7 +210,7 @@
 func (m *Machine) pauseAgain() []Command {
 	wait := m.pause
 	m.pause = min(2*m.pause, longestPause)
-	return []Command{Pause{For: wait}}
+	return []Command{Backoff{For: wait}}
 }
 
 // endHere answers that this front node may not run the turn. It says nothing
--- a/internal/turn/replay_test.go
+++ b/internal/dataplane/turn/replay_test.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 func TestAnAnswerReadFromTheLedgerIsTheOneGivenBefore(t *testing.T) {
@@ -17,7 +17,7 @@
 	}
 	var kept *protocol.Turn
 	for _, command := range s.commands {
-		if settle, is := command.(turn.Settle); is {
+		if settle, is := command.(turn.Commit); is {
 			kept = settle.Operation.GetTurn()
 		}
 	}
--- a/internal/turn/trainingstep.go
+++ b/internal/dataplane/turn/trainingstep.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // A turn of a training step runs on one version of the weights only, the one
@@ -85,7 +85,7 @@
 
 // takesWhole reports whether an answer that is no stream may be passed on. One
 // that reports an error is no generation, whatever it names.
-func (m *Machine) takesWhole(answer AnsweredWhole) bool {
+func (m *Machine) takesWhole(answer AnswerCompleted) bool {
 	if answer.Answer.GetStatus() != statusOK {
 		m.noteVersions(answer.WeightVersions)
 		return true
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 const (
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -6,12 +6,13 @@
 	"io"
 	"math"
 	"net/http"
+	"slices"
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -42,12 +43,7 @@
 
 // used reports whether any flag of the roll-out was given.
 func (r *rolloutFlags) used(flags *pflag.FlagSet) bool {
-	for _, name := range rolloutFlagNames {
-		if flags.Changed(name) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(rolloutFlagNames, flags.Changed)
 }
 
 func (r *rolloutFlags) build(version uint64) (*protocol.Rollout, error) {
@@ -151,7 +147,7 @@
 	if err := decodeProto(shown.Rollout, rollout); err != nil {
 		return err
 	}
-	arms, err := decodeList[protocol.ArmSample](shown.Arms)
+	arms, err := decodeList[protocol.ArmSample](shown.Variants)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"io"
 	"net/url"
+	"strconv"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const trainingStepsPath = "/v1/training-steps/"
@@ -133,5 +134,5 @@
 	if version == ledger.UnknownWeightVersion {
 		return "unknown"
 	}
-	return fmt.Sprint(version)
+	return strconv.FormatUint(version, 10)
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/process/daemon/harness_test.go
@@ -14,10 +14,10 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const clusterKey = "0123456789abcdef-test-cluster-key"
--- a/internal/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
 // settingsPollInterval is how often the settings file is looked at for a change that no signal told of.
@@ -65,11 +65,9 @@
 	}
 	ending := make(chan struct{})
 	var running sync.WaitGroup
-	running.Add(1)
-	go func() {
-		defer running.Done()
+	running.Go(func() {
 		i.followSettings(reload, ending)
-	}()
+	})
 	return func() {
 		close(ending)
 		running.Wait()
--- a/internal/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -15,10 +15,10 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // startTimeout bounds the start of a plane, which may read a large data folder.
@@ -143,7 +143,7 @@
 		return &StageError{Stage: "assemble", Cause: err}
 	}
 	i.server = wire.NewServer(i.listeners.internal, i.handler, wire.ServerOptions{
-		Key: i.key, OnRefused: i.countRefused(), OnPanic: i.reportPanic,
+		Key: i.key, OnRejected: i.countRefused(), OnPanic: i.reportPanic,
 	})
 	if err := registerWire(i.registry, "server", i.server.Counters()); err != nil {
 		return &StageError{Stage: "metrics", Cause: err}
--- a/internal/daemon/space.go
+++ b/internal/process/daemon/space.go
@@ -6,7 +6,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 const (
@@ -21,7 +21,7 @@
 func waitForSpace(filesystem storage.Filesystem, folder string, logger *log.Logger, signals <-chan os.Signal) bool {
 	told := false
 	for {
-		err := storage.ProbeSpace(filesystem, folder, startSpaceBytes)
+		err := storage.CheckFreeSpace(filesystem, folder, startSpaceBytes)
 		if !storage.IsDiskFull(err) {
 			return true
 		}
--- a/internal/settings/decode_fuzz_test.go
+++ b/internal/process/settings/decode_fuzz_test.go
@@ -7,14 +7,14 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
 )
 
 // FuzzDecode holds that no document makes the reader panic, that a refusal
 // always has a fault, and that what was accepted survives printing.
 func FuzzDecode(f *testing.F) {
-	examples, err := filepath.Glob("../../deploy/*/*.json")
+	examples, err := filepath.Glob("../../../deploy/*/*.json")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/ledger/change_bench_test.go
+++ b/internal/state/ledger/change_bench_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const benchProgram = "program-5d1c0a3e-6a3f-4a52-8f0e-0d8a6f1f9b11"
@@ -50,7 +50,7 @@
 	request := benchRequest(turn)
 	reserved = benchChange(b, value, reserve(request, session, 1, 1000, previous))
 	settle := settle(request, session, 1, 500, ledger.TurnID(benchProgram, request), previous)
-	settle.GetSettleTurn().Turn.KeepUntilMillis = now.Add(ledger.KeepingTime).UnixMilli()
+	settle.GetSettleTurn().Turn.KeepUntilMillis = now.Add(ledger.DefaultRetention).UnixMilli()
 	return reserved, benchChange(b, reserved, settle)
 }
 
--- a/internal/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/ledger"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 // twin keeps a record in both forms: packed as the ledger writes it, and with
@@ -53,7 +53,7 @@
 
 // isForgotten tells from the plain form whether the record's keeping time has ended.
 func (w *twin) isForgotten() bool {
-	until := w.plain.GetUpdatedAtMillis() + ledger.KeepingTime.Milliseconds()
+	until := w.plain.GetUpdatedAtMillis() + ledger.DefaultRetention.Milliseconds()
 	for _, finished := range w.plain.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
 	}
@@ -96,7 +96,7 @@
 		if claim != nil && open.GetSession() == claim.GetSession() {
 			plain.Finished = append(plain.Finished, &protocol.FinishedRequest{
 				RequestId: open.GetRequestId(), Session: open.GetSession(), Outcome: outcomeCharged, Tokens: open.GetCeiling(),
-				FinishedAtMillis: w.now.UnixMilli(), KeepUntilMillis: w.now.Add(ledger.KeepingTime).UnixMilli(),
+				FinishedAtMillis: w.now.UnixMilli(), KeepUntilMillis: w.now.Add(ledger.DefaultRetention).UnixMilli(),
 			})
 		}
 	}
@@ -181,7 +181,7 @@
 	whole := record.GetFinishedPacked()
 	first := len(whole) - ledger.LastPackedSize(record)
 	var damaged *ledger.DamagedRecordError
-	for size := range len(whole) {
+	for size := range whole {
 		record.FinishedPacked = whole[:size]
 		if err := ledger.CheckRecord(record); (err == nil) != (size == 0 || size == first) || err != nil && !errors.As(err, &damaged) {
 			t.Errorf("cut to %d of %d bytes: %v", size, len(whole), err)
--- a/internal/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of Options.
--- a/internal/ledgerclient/steps_test.go
+++ b/internal/state/ledgerclient/steps_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/ledger"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 const mismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
--- a/internal/register/linearizable_test.go
+++ b/internal/state/register/linearizable_test.go
@@ -4,13 +4,14 @@
 	"cmp"
 	"fmt"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	_ "github.com/rosestand/rosestand/internal/lab/fixedseed"
+	_ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed"
 )
 
 // linearizable decides whether a history of appendModel is linearizable, in steps bounded by n log n for n operations.
@@ -86,7 +87,7 @@
 	for step := range rapid.IntRange(0, 7).Draw(t, "operations") {
 		input := operationInput{read: rapid.Bool().Draw(t, "read")}
 		if !input.read {
-			input.append = fmt.Sprint(step)
+			input.append = strconv.Itoa(step)
 			list += input.append + " "
 		}
 		// The operation takes effect at 10*step.
--- a/internal/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
 	"github.com/anishathalye/porcupine"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // faults chooses what happens in a run beside delays, losses and late duplicates.
@@ -181,7 +182,7 @@
 	c.read = w.random.IntN(3) == 0
 	if !c.read {
 		w.appended++
-		c.value = fmt.Sprintf("%d", w.appended)
+		c.value = strconv.Itoa(w.appended)
 	}
 	w.beginChange(c)
 }
@@ -223,7 +224,7 @@
 func (w *world) arrive(c *caller, change *register.Change, message register.Message) {
 	r := w.replicas[message.Store]
 	if message.Prepare != nil {
-		answer := &protocol.PrepareResponse{Refusal: r.view.Refusal(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
+		answer := &protocol.PrepareResponse{Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 		if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
 			r.state, answer, _ = r.state.Prepare(register.BallotOf(message.Prepare.GetBallot()))
 		}
@@ -231,7 +232,7 @@
 		return
 	}
 	request := message.Accept
-	answer := &protocol.AcceptResponse{Refusal: r.view.Refusal(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
+	answer := &protocol.AcceptResponse{Refusal: r.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
 	if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
 		r.state, answer, _ = r.state.Accept(register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
 	}
--- a/internal/storage/fuzz_test.go
+++ b/internal/state/storage/fuzz_test.go
@@ -6,8 +6,8 @@
 	"io"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 )
 
 // FuzzDamagedLog writes records cut from content with a sync after some, cuts or flips one byte of one segment
@@ -91,8 +91,7 @@
 
 func openFuzzed(t *testing.T, disk *simdisk.Disk, options storage.LogOptions, records [][]byte) (int, bool) {
 	log, err := storage.OpenLog(disk, folder, options)
-	var corrupt *storage.CorruptError
-	if errors.As(err, &corrupt) {
+	if _, ok := errors.AsType[*storage.CorruptError](err); ok {
 		return 0, false
 	}
 	if err != nil {
--- a/internal/storage/stall_test.go
+++ b/internal/state/storage/stall_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 // neverWithin bounds the wait for what must come on a machine of any speed.
@@ -71,11 +71,11 @@
 		disk := newDisk(23)
 		Expect(disk.MakeFolder(folder)).To(Succeed())
 		disk.SetCapacity(100 << 10)
-		Expect(storage.ProbeSpace(disk, folder, 90<<10)).To(Succeed())
-		err := storage.ProbeSpace(disk, folder, 110<<10)
+		Expect(storage.CheckFreeSpace(disk, folder, 90<<10)).To(Succeed())
+		err := storage.CheckFreeSpace(disk, folder, 110<<10)
 		Expect(storage.IsDiskFull(err)).To(BeTrue())
 		Expect(disk.Files(folder)).To(BeEmpty())
 		disk.SetCapacity(0)
-		Expect(storage.ProbeSpace(disk, folder, 110<<10)).To(Succeed())
+		Expect(storage.CheckFreeSpace(disk, folder, 110<<10)).To(Succeed())
 	})
 })
--- a/internal/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/state/store"
 )
 
 // answerOf asks one store only, while time passes, and gives its result or why it has surely not begun.
@@ -53,7 +53,7 @@
 			return !f.serving("a")
 		})
 		_, refused := f.answerOf("a", p.reserve())
-		Expect(refused).NotTo(BeNil())
+		Expect(refused).To(HaveOccurred())
 		Expect(refused.Code()).To(Equal(failure.Unavailable))
 		Expect(refused.Failure.GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
 		for range 20 {
--- a/internal/store/fx.go
+++ b/internal/state/store/fx.go
@@ -9,11 +9,11 @@
 	"go.uber.org/fx"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // ledgerFolder lies in the data folder of the process and holds all that a store keeps.
--- a/internal/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/store"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // network passes requests to the stores in this process.
--- a/internal/store/options.go
+++ b/internal/state/store/options.go
@@ -7,9 +7,9 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Core is what a store needs of its link to the core.
--- a/internal/store/stepmembers_test.go
+++ b/internal/state/store/stepmembers_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
 // memberGroup owns shard 0 with so many programs, each tenth of step 17, each eleventh of step 18.
@@ -93,7 +93,7 @@
 	if !isMember(value, "17") || isMember(value, "1") || isMember(value, "") || isMember(nil, "17") {
 		t.Error("the step of a record was misread")
 	}
-	for size := range len(value) {
+	for size := range value {
 		if isMember(value[:size], "17") {
 			t.Errorf("a record cut to %d of %d bytes is a member", size, len(value))
 		}
--- a/internal/store/storebench/bench_test.go
+++ b/internal/state/store/storebench/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/store/storebench"
+	"github.com/rosestand/rosestand/internal/state/store/storebench"
 )
 
 // BenchmarkLedger reports register changes on three stores with real syncs.
@@ -83,7 +83,7 @@
 func BenchmarkSteady(b *testing.B) {
 	for b.Loop() {
 		steady, err := storebench.MeasureSteady(b.Context(), b.TempDir(), storebench.SteadyOptions{
-			TurnsPerSecond: 75, TurnBytes: 10_000, KeepFor: time.Minute, Duration: 4 * time.Minute, TurnsOfProgram: 5,
+			TurnsPerSecond: 75, TurnBytes: 10_000, Retention: time.Minute, Duration: 4 * time.Minute, TurnsOfProgram: 5,
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -15,12 +15,12 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/rosestand/rosestand/internal/corelink"
-	"github.com/rosestand/rosestand/internal/ledgerclient"
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/store"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/ledgerclient"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // shardCount is the number of shards of a cluster by default.
--- a/internal/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -11,7 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
 const (
@@ -170,7 +170,7 @@
 
 // reopen reads the folder as after a crash and serves from it.
 func (s *Supervisor) reopen() error {
-	if err := storage.ProbeSpace(s.filesystem, s.path, reopenSpaceBytes); err != nil {
+	if err := storage.CheckFreeSpace(s.filesystem, s.path, reopenSpaceBytes); err != nil {
 		return err
 	}
 	folder, err := s.open()
--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/lab/ablation"
-	"github.com/rosestand/rosestand/internal/schedule/schedulesim"
+	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
+	"github.com/rosestand/rosestand/internal/testing/lab/ablation"
 )
 
 const small = `{"name":"small","seeds":[1,2],"servers":6,"fronts":4,"zones":2,"load_on_answers":true,"length_seconds":4,
@@ -88,7 +88,7 @@
 }
 
 func TestShippedFilesAreSound(t *testing.T) {
-	paths, err := filepath.Glob("../../../experiments/ablation/*.json")
+	paths, err := filepath.Glob("../../../../experiments/ablation/*.json")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("files %v, %v", paths, err)
 	}
--- a/internal/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -14,11 +14,11 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
@@ -123,7 +123,7 @@
 	var err error
 	sent.answer, err = client.Do(ctx, sent.request)
 	sent.order.AnsweredAt = time.Now()
-	var refused *operator.RefusedError
+	var refused *operator.RejectedError
 	switch {
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
--- a/internal/lab/command/killone.go
+++ b/internal/testing/lab/command/killone.go
@@ -11,16 +11,16 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/lab/audit"
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/deployment"
-	"github.com/rosestand/rosestand/internal/lab/fleet"
-	"github.com/rosestand/rosestand/internal/lab/killone"
-	"github.com/rosestand/rosestand/internal/lab/report"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/wait"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
+	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
+	"github.com/rosestand/rosestand/internal/testing/lab/killone"
+	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 )
 
 const (
@@ -156,7 +156,7 @@
 
 func (a *killArm) count(book *caller.Book) {
 	for _, loss := range a.kills {
-		a.Cost.Add(killone.Measure(loss, ring.DefaultVirtualPlaces, book.Records))
+		a.Cost.Add(killone.Measure(loss, ring.DefaultVirtualNodes, book.Records))
 		a.Salvaged += loss.Salvaged
 		if loss.Reregistered >= 0 {
 			a.times.Add(loss.Reregistered)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/experiment"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/experiment"
 )
 
 func TestShippedExperimentsAreSound(t *testing.T) {
-	files, err := filepath.Glob("../../../experiments/*.json")
+	files, err := filepath.Glob("../../../../experiments/*.json")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -16,12 +15,12 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/rosestand/rosestand/internal/lab/caller"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/process"
-	"github.com/rosestand/rosestand/internal/lab/relay"
-	"github.com/rosestand/rosestand/internal/lab/site"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/caller"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/lab/relay"
+	"github.com/rosestand/rosestand/internal/testing/lab/site"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // Options describe a fleet.
@@ -262,7 +261,7 @@
 type MissingBinaryError struct{ Path string }
 
 func (e *MissingBinaryError) Error() string {
-	return fmt.Sprintf("%s is missing; run make build", e.Path)
+	return e.Path + " is missing; run make build"
 }
 
 // CheckBinaries looks for the programs that a fleet is made of.
--- a/internal/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -15,10 +15,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/bundle"
-	"github.com/rosestand/rosestand/internal/lab/audit"
+	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/testing/lab/audit"
 )
 
 // OperatorToken is the bearer token of the laboratory's operator.
@@ -126,7 +126,7 @@
 	switch {
 	case err == nil:
 		return audit.OrderAcknowledged
-	case errors.As(err, &failed) && errors.As(failed.Result, &exit) && exit.ExitCode() == operator.ExitRefused:
+	case errors.As(err, &failed) && errors.As(failed.Result, &exit) && exit.ExitCode() == operator.ExitRejected:
 		return audit.OrderRefused
 	default:
 		return audit.OrderUnknown
--- a/internal/lab/modelserver/server_test.go
+++ b/internal/testing/lab/modelserver/server_test.go
@@ -4,9 +4,9 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -17,9 +17,9 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/mark"
-	"github.com/rosestand/rosestand/internal/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 func TestModelServer(t *testing.T) {
@@ -95,7 +95,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set(standin.HeaderRequestID, id)
 		request.Header.Set(standin.HeaderSession, "s1")
-		request.Header.Set(standin.HeaderEpoch, fmt.Sprint(epoch))
+		request.Header.Set(standin.HeaderEpoch, strconv.Itoa(epoch))
 		request.Header.Set(standin.HeaderNonce, "n1")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
--- a/internal/purity/purity_test.go
+++ b/internal/testing/purity/purity_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/purity"
+	"github.com/rosestand/rosestand/internal/testing/purity"
 )
 
 func TestDecisionPackagesReachNothingOutside(t *testing.T) {
 	for _, folder := range purity.Packages {
-		files, err := filepath.Glob(filepath.Join("..", "..", folder, "*.go"))
+		files, err := filepath.Glob(filepath.Join("..", "..", "..", folder, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/lease"
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
@@ -112,7 +112,7 @@
 	if f.suite.options.Mutation == MutationKeepAuthority || f.suite.options.Mutation == MutationSilentAuthority {
 		return !f.released && !f.holder.Ends().IsZero()
 	}
-	return f.holder.Held(f.now())
+	return f.holder.Valid(f.now())
 }
 
 func (f *front) self() *protocol.Node {
--- a/internal/sim/ownershipsuite/frontdirectory.go
+++ b/internal/testing/sim/ownershipsuite/frontdirectory.go
@@ -3,9 +3,9 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 func (f *front) send(command directory.Send) {
--- a/internal/sim/ownershipsuite/frontlease.go
+++ b/internal/testing/sim/ownershipsuite/frontlease.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/lease"
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/ring"
 )
 
 const (
@@ -60,7 +60,7 @@
 	switch {
 	case answer == nil:
 	case !answer.GetGranted():
-		f.holder.Refused(f.now(), renewal)
+		f.holder.Rejected(f.now(), renewal)
 	default:
 		duration := time.Duration(answer.GetDurationMillis()) * time.Millisecond
 		latest := answer.GetLatest().GetMembership()
@@ -124,7 +124,7 @@
 func (s *suite) viewOfMembership(membership *protocol.MembershipView) directory.View {
 	view, known := s.views[membership.GetVersion()]
 	if !known {
-		view = directory.ViewOf(membership, ring.DefaultVirtualPlaces)
+		view = directory.ViewOf(membership, ring.DefaultVirtualNodes)
 		s.views[membership.GetVersion()] = view
 	}
 	return view
--- a/internal/sim/ownershipsuite/suite.go
+++ b/internal/testing/sim/ownershipsuite/suite.go
@@ -16,9 +16,9 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
-	"github.com/rosestand/rosestand/internal/ring"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Spans of a run.
@@ -260,7 +260,7 @@
 func (s *suite) viewOf(version uint64) directory.View {
 	view, known := s.views[version]
 	if !known {
-		view = directory.ViewOf(s.core.membership(), ring.DefaultVirtualPlaces)
+		view = directory.ViewOf(s.core.membership(), ring.DefaultVirtualNodes)
 		s.views[version] = view
 	}
 	return view
--- a/internal/sim/ownershipsuite/turns.go
+++ b/internal/testing/sim/ownershipsuite/turns.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
@@ -218,7 +218,7 @@
 	case protocol.RequestOutcome_OUTCOME_SETTLED:
 		return turnAnswer{}
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
-		return refusal(failure.RequestRefused)
+		return refusal(failure.RequestRejected)
 	default:
 		return unknownAnswer
 	}
--- a/internal/sim/servingsuite/commands.go
+++ b/internal/testing/sim/servingsuite/commands.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 // execute carries one command out. It returns the event that answers it at once, or nil when there is none or when
@@ -20,7 +20,7 @@
 		return turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_OK}
 	case turn.Choose:
 		return r.choose(command.Avoid)
-	case turn.AskRetry:
+	case turn.RequestRetry:
 		return turn.RetryDecided{Granted: r.front.retries.Retry()}
 	case turn.Issue:
 		r.issue(command.Epoch)
@@ -32,9 +32,9 @@
 		r.emit(command.Event)
 	case turn.Answer:
 		r.emit(command.Response)
-	case turn.Pause:
+	case turn.Backoff:
 		r.pause(command.For)
-	case turn.ReadKept:
+	case turn.ReadRetainedTurn:
 		r.readKept(command.TurnID)
 	default:
 		return r.operate(command)
@@ -56,9 +56,9 @@
 		}
 		operation.Body = &protocol.LedgerOperation_ReserveTurn{ReserveTurn: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Reserved{Result: result} }
-	case turn.Settle:
+	case turn.Commit:
 		operation.Body = &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation}
-		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Settled{Result: result} }
+		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Committed{Result: result} }
 	case turn.Release:
 		operation.Body = &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Released{Result: result} }
@@ -68,11 +68,11 @@
 	case turn.FinishCall:
 		operation.Body = &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.CallFinished{Result: result} }
-	case turn.RefuseCall:
-		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRefused{Result: result} })
+	case turn.RejectCall:
+		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
 		return nil
-	case turn.Refuse:
-		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Refused{Result: result} })
+	case turn.Reject:
+		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
 		return nil
 	default:
 		return nil
@@ -124,7 +124,7 @@
 		case answer.turn == nil:
 			status = protocol.LedgerStatus_LEDGER_TURN_MISSING
 		}
-		r.feed(turn.KeptRead{Turn: answer.turn, Status: status})
+		r.feed(turn.RetainedTurnRead{Turn: answer.turn, Status: status})
 	})
 }
 
--- a/internal/sim/servingsuite/days.go
+++ b/internal/testing/sim/servingsuite/days.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // Sizes of bad days.
@@ -107,12 +108,7 @@
 }
 
 func (s *suite) isFront(address sim.Address) bool {
-	for _, candidate := range s.fronts {
-		if candidate == address {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(s.fronts, address)
 }
 
 // stoodStill says whether a machine was frozen at any time between two moments.
--- a/internal/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -1,13 +1,14 @@
 package servingsuite
 
 import (
+	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/lease"
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/lease"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
@@ -64,7 +65,7 @@
 
 func (f *front) now() time.Time { return f.environment.Now() }
 
-func (f *front) held() bool { return f.holder.Held(f.now()) }
+func (f *front) held() bool { return f.holder.Valid(f.now()) }
 
 func (f *front) renew() {
 	if f.stayOut {
@@ -82,7 +83,7 @@
 		switch {
 		case !answered:
 		case !answer.granted:
-			f.holder.Refused(f.now(), renewal)
+			f.holder.Rejected(f.now(), renewal)
 		default:
 			f.granted(renewal, answer)
 			wait = renewInterval
@@ -149,12 +150,7 @@
 	if route == "" {
 		return true
 	}
-	for _, known := range f.inForce.routes {
-		if known == route {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(f.inForce.routes, route)
 }
 
 // joins has the request read the turn of its session that is under way, or refuses it for that.
--- a/internal/sim/servingsuite/run.go
+++ b/internal/testing/sim/servingsuite/run.go
@@ -5,10 +5,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/dataplane/limit"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
-	"github.com/rosestand/rosestand/internal/limit"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/turn"
 )
 
 const (
@@ -60,7 +60,7 @@
 		}
 		created.machine = turn.New(turn.Parameters{
 			Request: asked, TurnID: turn.ID(request.turn.GetProgram(), request.turn.GetRequestId()), Owner: f.name,
-			Incarnation: created.incarnation, Budget: programBudget, Ceiling: turnCeiling, KeepFor: keepTurnsFor,
+			Incarnation: created.incarnation, Budget: programBudget, ReservationLimit: turnCeiling, Retention: keepTurnsFor,
 		})
 		return created
 	}
--- a/internal/sim/statesuite/front.go
+++ b/internal/testing/sim/statesuite/front.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
-	"github.com/rosestand/rosestand/internal/ledger"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/statesuite/guard.go
+++ b/internal/testing/sim/statesuite/guard.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 // mayApply bounds what is lost for ever to one disk at a time within the core and within the stores: a disk may be lost
--- a/internal/sim/statesuite/rules.go
+++ b/internal/testing/sim/statesuite/rules.go
@@ -3,10 +3,10 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 
 	"github.com/cockroachdb/errors"
 )
--- a/internal/sim/statesuite/storeprocess.go
+++ b/internal/testing/sim/statesuite/storeprocess.go
@@ -7,11 +7,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/register"
-	"github.com/rosestand/rosestand/internal/sim"
-	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/sim/statesuite/zonefault.go
+++ b/internal/testing/sim/statesuite/zonefault.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/consensus"
-	"github.com/rosestand/rosestand/internal/ledger"
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 const (
--- a/internal/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -16,9 +16,9 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/lab/closedport"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/serverconn"
+	"github.com/rosestand/rosestand/internal/testing/lab/closedport"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 // server answers each connection by a script.
--- a/internal/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -27,7 +27,7 @@
 	// Key is the cluster key.
 	Key []byte
 	// OnRefused is told of each connection whose handshake failed.
-	OnRefused func(remote net.Addr, err error)
+	OnRejected func(remote net.Addr, err error)
 	// OnPanic is told of each handler that panicked, with its stack.
 	OnPanic func(recovered any, stack []byte)
 }
@@ -65,9 +65,7 @@
 
 // Start accepts connections in the background until Close.
 func (s *Server) Start() {
-	s.routines.Add(1)
-	go func() {
-		defer s.routines.Done()
+	s.routines.Go(func() {
 		for {
 			connection, err := s.listener.Accept()
 			if err != nil {
@@ -81,7 +79,7 @@
 			}
 			go s.serveConnection(connection)
 		}
-	}()
+	})
 }
 
 // pauseAfter waits a moment after a failed accept, as when file descriptors have
@@ -142,8 +140,8 @@
 	}
 	reader := bufio.NewReaderSize(&countingReader{connection: connection, counters: &s.counters}, readBufferBytes)
 	if _, err := shakeAsServer(connection, reader, s.options.Key); err != nil {
-		if s.options.OnRefused != nil {
-			s.options.OnRefused(connection.RemoteAddr(), err)
+		if s.options.OnRejected != nil {
+			s.options.OnRejected(connection.RemoteAddr(), err)
 		}
 		return
 	}
@@ -175,14 +173,12 @@
 		cancel:     cancel,
 		cancels:    make(map[uint64]context.CancelFunc),
 	}
-	served.routines.Add(1)
-	go func() {
-		defer served.routines.Done()
+	served.routines.Go(func() {
 		if err := served.writer.run(ctx.Done()); err != nil {
 			served.writer.fail(err)
 			_ = connection.Close()
 		}
-	}()
+	})
 	return served
 }
 
