--- a/internal/testing/sim/digest_test.go
+++ b/internal/testing/sim/digest_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
 func TestDigestSumsEveryCountAndNoNames(t *testing.T) {
--- a/internal/surface/commands_test.go
+++ b/internal/testing/surface/commands_test.go
@@ -13,13 +13,13 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	"github.com/rosestand/rosestand/internal/core"
-	"github.com/rosestand/rosestand/internal/daemon"
+	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/lab/command"
+	"github.com/rosestand/rosestand/internal/testing/lab/command"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/settings"
+	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/store"
 )
 
