--- /dev/null
+++ b/internal/store/stored_data_test.go
@@ -0,0 +1,403 @@
+package store
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"io/fs"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/charmbracelet/log"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/register"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
+)
+
+// The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
+// snapshot of registers and an index of turns with two segments after each, and a segment of turns that only the index
+// covers. A new form gets a folder of its own beside it; -update-stored is for the time before a form was released only.
+const (
+	storedData      = "testdata/stored"
+	storedStorageID = "stored-storage-id"
+	// storedMillis is the time of stoppedClock.
+	storedMillis = 1_800_000_000_000
+	storedDay    = 24 * 60 * 60 * 1000
+)
+
+var updateStored = flag.Bool("update-stored", false, "write the folder under testdata/stored anew")
+
+func must(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func marshaled(t *testing.T, message proto.Message) []byte {
+	t.Helper()
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	must(t, err)
+	return encoded
+}
+
+// storedRegister is a register with its shard. A snapshot has the registers of one owner in no fixed order, so those that it
+// holds are of shards of different owners.
+type storedRegister struct {
+	shard uint32
+	key   registerKey
+	state register.State
+}
+
+func ballotOf(counter uint64) register.Ballot {
+	return register.Ballot{Counter: storedMillis + counter, Proposer: "store-1/stored-storage-id/2"}
+}
+
+func storedProgram(t *testing.T, name string, budget uint64) []byte {
+	return marshaled(t, &protocol.ProgramRecord{
+		Program: name, Tenant: "tenant", Budget: budget, Settled: 17,
+		Sessions: []*protocol.SessionRecord{
+			{Session: "session", Epoch: 3, Owner: "front-1", OwnerIncarnation: 8, LastTurn: "turn-2", Turns: 2},
+			{Session: "other", Epoch: 1, Owner: "front-2", OwnerIncarnation: 9},
+		},
+		Reservations: []*protocol.Reservation{{RequestId: "request-3", Session: "session", Epoch: 3, Ceiling: 50, PreviousTurn: "turn-2"}},
+		Finished: []*protocol.FinishedRequest{{
+			RequestId: "request-1", Session: "session", Outcome: protocol.RequestOutcome_OUTCOME_SETTLED, TurnId: "turn-1",
+			Tokens: 7, FinishedAtMillis: storedMillis - 9, KeepUntilMillis: storedMillis + storedDay,
+		}},
+		UpdatedAtMillis: storedMillis, KeepingMillis: 2 * storedDay,
+		TrainingStep: &protocol.TrainingStepMembership{
+			Step: "step-7", WeightVersion: 4, Generations: []*protocol.GenerationCount{{WeightVersion: 4, Completed: 2, Discarded: 1}},
+		},
+	})
+}
+
+// storedRegisters are written in three parts: what the snapshot holds, and what two segments after it hold. A later
+// state of a register stands for the earlier one.
+func storedRegisters(t *testing.T) (covered, finished, newest []storedRegister) {
+	state := func(counter uint64, value []byte) register.State {
+		return register.State{Promised: ballotOf(counter + 1), Accepted: ballotOf(counter), Value: value}
+	}
+	call := marshaled(t, &protocol.CallRecord{
+		Program: "program-7", RequestId: "call-1", Session: "session", Epoch: 3, Tool: "tool", State: protocol.CallState_CALL_DONE,
+		Status: 201, Body: []byte("answer\x00"), UpdatedAtMillis: storedMillis, Attempt: "attempt-1", ContentType: "text/plain", KeepingMillis: storedDay,
+	})
+	pin := marshaled(t, &protocol.ProgramRecord{Program: "step", UpdatedAtMillis: storedMillis, TrainingStepPin: &protocol.TrainingStepPin{
+		Step: "step-7", Model: "model", WeightVersion: 4, PinnedBy: "front-1", PinnedAtMillis: storedMillis,
+	}})
+	learned := state(5, storedProgram(t, "program-5", 500))
+	learned.Learned = true
+	covered = []storedRegister{
+		{1, registerKey{program: "program-1"}, state(1, storedProgram(t, "program-1", 100))},
+		{2, registerKey{program: "program-2"}, state(2, storedProgram(t, "program-2", 200))},
+		{7, registerKey{program: "program-7", call: "call-1"}, state(3, call)},
+		{3, registerKey{program: "dropped"}, state(4, storedProgram(t, "dropped", 300))},
+	}
+	finished = []storedRegister{
+		{1, registerKey{program: "program-1"}, state(10, storedProgram(t, "program-1", 111))},
+		{4, registerKey{program: "program-4"}, register.State{Promised: ballotOf(11)}},
+	}
+	newest = []storedRegister{
+		{3, registerKey{program: "step"}, state(12, pin)},
+		{5, registerKey{program: "program-5"}, learned},
+		{6, registerKey{program: "last"}, state(13, []byte("any value"))},
+	}
+	return covered, finished, newest
+}
+
+// storedTurn is a turn with its shard.
+type storedTurn struct {
+	shard uint32
+	turn  *protocol.Turn
+}
+
+func storedTurnOf(shard uint32, id, previous string, keptDays int64) storedTurn {
+	program := fmt.Sprintf("program-%d", shard)
+	return storedTurn{shard, &protocol.Turn{
+		Id: id, Program: program, Session: "session", PreviousTurn: previous, RequestId: "request of " + id, Model: "model",
+		Input: []*protocol.Item{
+			{Role: "user", Text: "question of " + id},
+			{Role: "tool", Text: "found", ToolCallId: "call", ToolName: "search", Data: []byte{0, 1, 0xff}},
+		},
+		Output: []*protocol.Item{{Role: "assistant", Text: "answer of " + id}}, InputTokens: 11, OutputTokens: 7, KeptAtMillis: storedMillis,
+		KeepUntilMillis: storedMillis + keptDays*storedDay, BackEnd: "back-end", Epoch: 3, HistoryTokens: 18, Nonce: "nonce", CachedTokens: 5,
+	}}
+}
+
+// storedTurns are written in three parts: what the index covers, and what two segments after it hold.
+func storedTurns() (covered, finished, newest []storedTurn) {
+	elsewhere := storedTurnOf(5, "turn-5", "turn-1", 1)
+	elsewhere.turn.PreviousProgram = "program-1"
+	covered = []storedTurn{storedTurnOf(1, "turn-1", "", 1), storedTurnOf(2, "turn-2", "", 4)}
+	finished = []storedTurn{storedTurnOf(1, "turn-3", "turn-1", 3), elsewhere}
+	newest = []storedTurn{storedTurnOf(2, "turn-4", "turn-2", 1), storedTurnOf(6, "turn-6", "", 2)}
+	return covered, finished, newest
+}
+
+// newStored opens a store whose clock stands still; it is not started.
+func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *Folder) {
+	t.Helper()
+	folder, err := OpenFolder(filesystem, path, DefaultSegmentBytes)
+	must(t, err)
+	opened, err := New(Options{
+		Self: &protocol.Node{Name: "store-1"}, Core: idleCore{}, Clock: stoppedClock{}, Logger: log.New(io.Discard),
+		Fatal: func(err error) { t.Errorf("the store failed: %v", err) },
+	}, folder)
+	must(t, err)
+	return opened, folder
+}
+
+// writeStored fills a folder with the code of today, one durable record after the other.
+func writeStored(t *testing.T, path string) {
+	t.Helper()
+	filesystem := storage.OSFilesystem{}
+	_, err := storage.OpenIdentityWith(filesystem, path, func() string { return storedStorageID })
+	must(t, err)
+	// A folder that was begun before must have its logs.
+	for _, name := range []string{registerFolder, turnFolder} {
+		begun, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
+		must(t, err)
+		must(t, begun.Close())
+	}
+	opened, folder := newStored(t, filesystem, path)
+	opened.Start()
+	wait := func(shard uint32, write func(g *group, done func())) {
+		done := make(chan struct{})
+		g := opened.group(shard)
+		g.mailbox.post(func() { write(g, func() { close(done) }) })
+		<-done
+	}
+	put := func(registers []storedRegister) {
+		for _, stored := range registers {
+			wait(stored.shard, func(g *group, done func()) {
+				table := g.table(stored.shard)
+				table.view.Shard = stored.shard
+				g.put(table, stored.key, table.entry(stored.key), stored.state, done)
+			})
+		}
+	}
+	keep := func(turns []storedTurn) {
+		for _, stored := range turns {
+			wait(stored.shard, func(g *group, done func()) { g.keepTurn(stored.shard, stored.turn, done) })
+		}
+	}
+	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
+	coveredTurns, finishedTurns, newestTurns := storedTurns()
+	put(coveredRegisters)
+	keep(coveredTurns)
+	must(t, opened.saveRegisters())
+	must(t, opened.saveTurnIndex())
+	put(finishedRegisters)
+	wait(3, func(g *group, done func()) { g.dropShard(g.table(3), done) })
+	keep(finishedTurns)
+	_, err = folder.registers.Rotate()
+	must(t, err)
+	_, err = folder.turns.Rotate()
+	must(t, err)
+	put(newestRegisters)
+	keep(newestTurns)
+	must(t, opened.Stop())
+}
+
+// storedFiles gives the content of all files by their path under root.
+func storedFiles(t *testing.T, root string) map[string]string {
+	t.Helper()
+	files := map[string]string{}
+	must(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		content, err := os.ReadFile(path)
+		must(t, err)
+		relative, err := filepath.Rel(root, path)
+		files[filepath.ToSlash(relative)] = string(content)
+		return err
+	}))
+	return files
+}
+
+// A form that an older program cannot read would make a way back impossible, so what is written stays the same as well.
+func TestAStoreIsStoredByteForByteAsBefore(t *testing.T) {
+	if *updateStored {
+		must(t, os.RemoveAll(storedData))
+		writeStored(t, storedData)
+	}
+	root := t.TempDir()
+	writeStored(t, root)
+	written, stored := storedFiles(t, root), storedFiles(t, storedData)
+	for path, content := range stored {
+		if written[path] != content {
+			t.Errorf("%s holds %q\nin place of %q", path, written[path], content)
+		}
+	}
+	if len(written) != len(stored) {
+		t.Errorf("%d files in place of %d", len(written), len(stored))
+	}
+}
+
+// copyOfStored gives a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
+func copyOfStored(t *testing.T, files map[string]string, damaged string, offset int) *simdisk.Disk {
+	t.Helper()
+	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
+	for path, text := range files {
+		content, copied := []byte(text), filepath.Join("data", path)
+		if path == damaged {
+			content[offset] ^= 0xff
+		}
+		must(t, disk.MakeFolder(filepath.Dir(copied)))
+		file, err := disk.Create(copied)
+		must(t, err)
+		_, err = file.WriteAt(content, 0)
+		must(t, err)
+		must(t, file.Sync())
+		must(t, file.Close())
+		must(t, disk.SyncFolder(filepath.Dir(copied)))
+	}
+	return disk
+}
+
+// expectStored asks an opened store for all that was written, and for nothing else.
+func expectStored(t *testing.T, opened *Store) {
+	t.Helper()
+	opened.Start()
+	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
+	expected := map[registerKey]storedRegister{}
+	for _, part := range [][]storedRegister{coveredRegisters, finishedRegisters, newestRegisters} {
+		for _, stored := range part {
+			expected[stored.key] = stored
+		}
+	}
+	delete(expected, registerKey{program: "dropped"})
+	for key, stored := range expected {
+		g := opened.group(stored.shard)
+		held, err := ask(g, func() *protocol.RegisterState {
+			entry, found := g.table(stored.shard).registers.get(key)
+			if !found {
+				return nil
+			}
+			return entry.state.Message(key.message())
+		})
+		must(t, err)
+		if !proto.Equal(held, stored.state.Message(key.message())) {
+			t.Errorf("register %v holds %v", key, held)
+		}
+	}
+	coveredTurns, finishedTurns, newestTurns := storedTurns()
+	turns := 0
+	for _, part := range [][]storedTurn{coveredTurns, finishedTurns, newestTurns} {
+		for _, stored := range part {
+			turns++
+			wanted := proto.Clone(stored.turn).(*protocol.Turn)
+			if wanted.GetId() == "turn-1" {
+				// turn-3 continues it and is kept for longer.
+				wanted.KeepUntilMillis = storedMillis + 3*storedDay
+			}
+			read, err := opened.localTurn(stored.shard, wanted.GetProgram(), wanted.GetId())
+			must(t, err)
+			if !proto.Equal(read, wanted) {
+				t.Errorf("%s is read as %v", wanted.GetId(), read)
+			}
+		}
+	}
+	if held := opened.counts(); held.registers != uint64(len(expected)) || held.turns != uint64(turns) {
+		t.Errorf("it holds %d registers and %d turns", held.registers, held.turns)
+	}
+	chain, err := opened.localChain(1, "program-1", "turn-3", 0)
+	must(t, err)
+	if len(chain) != 2 || chain[0].GetId() != "turn-3" || chain[1].GetId() != "turn-1" {
+		t.Errorf("the conversation is %v", chain)
+	}
+	must(t, opened.Stop())
+}
+
+func TestAStoredStoreIsReadBack(t *testing.T) {
+	files := storedFiles(t, storedData)
+	opened, folder := newStored(t, copyOfStored(t, files, "", 0), "data")
+	if folder.Lost != nil || folder.StorageID != storedStorageID || folder.Starts != 3 {
+		t.Errorf("start %d of %q, with %v lost", folder.Starts, folder.StorageID, folder.Lost)
+	}
+	if opened.indexedSegment != 2 {
+		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
+	}
+	if cut := folder.registers.CutBytes() + folder.turns.CutBytes(); cut != 0 {
+		t.Errorf("%d bytes were cut off", cut)
+	}
+	expectStored(t, opened)
+}
+
+// Each byte of each file is damaged by itself.
+func TestDamageToAStoredStoreIsFound(t *testing.T) {
+	files := storedFiles(t, storedData)
+	for _, stored := range []struct {
+		file string
+		size int
+		// refusedTo is where the part ends of which any damage makes the store give the folder up.
+		refusedTo int
+	}{
+		{"identity", 64, 64},
+		{"registers/0000000000000002.snapshot", 1093, 1093},
+		{"registers/0000000000000002.log", 437, 437},
+		// The last record of a newest segment may be one that a crash tore: it is cut off.
+		{"registers/0000000000000003.log", 619, 500},
+		// The index covers this segment, so only its header is read at the start.
+		{"turns/0000000000000001.log", 458, 28},
+		{"turns/0000000000000002.log", 486, 486},
+		{"turns/0000000000000003.log", 466, 251},
+		// The log has all that a damaged index had.
+		{"turns/0000000000000002.snapshot", 132, 0},
+	} {
+		t.Run(stored.file, func(t *testing.T) {
+			if size := len(files[stored.file]); size != stored.size {
+				t.Errorf("the file has %d bytes", size)
+			}
+			for offset := range files[stored.file] {
+				folder, err := OpenFolder(copyOfStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
+				must(t, err)
+				var corrupt *storage.CorruptError
+				refused := errors.As(folder.Lost, &corrupt)
+				if refused != (offset < stored.refusedTo) || refused == (folder.StorageID == storedStorageID) {
+					t.Errorf("with byte %d damaged it opens as %q with %v lost", offset, folder.StorageID, folder.Lost)
+				}
+				must(t, folder.Close())
+			}
+		})
+	}
+}
+
+func TestADamagedIndexOfAStoredStoreIsNotMissed(t *testing.T) {
+	const index = "turns/0000000000000002.snapshot"
+	files := storedFiles(t, storedData)
+	for offset := range files[index] {
+		opened, _ := newStored(t, copyOfStored(t, files, index, offset), "data")
+		expectStored(t, opened)
+	}
+}
+
+// A turn that only the index was read for is checked when it is asked for.
+func TestADamagedTurnOfAStoredStoreIsNotShown(t *testing.T) {
+	const segment, header = "turns/0000000000000001.log", 28
+	files := storedFiles(t, storedData)
+	covered, _, _ := storedTurns()
+	for offset := header; offset < len(files[segment]); offset++ {
+		opened, _ := newStored(t, copyOfStored(t, files, segment, offset), "data")
+		opened.Start()
+		refused := 0
+		for _, stored := range covered {
+			_, err := opened.localTurn(stored.shard, stored.turn.GetProgram(), stored.turn.GetId())
+			var corrupt *storage.CorruptError
+			if errors.As(err, &corrupt) {
+				refused++
+			}
+		}
+		if refused != 1 {
+			t.Errorf("with byte %d damaged %d turns are refused", offset, refused)
+		}
+		must(t, opened.Stop())
+	}
+}
