--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/storage"
-	"github.com/rosestand/rosestand/internal/storage/simdisk"
-	"github.com/rosestand/rosestand/internal/wire"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // The folders under testdata/stored were written once, by the code of the day. A core must read them for ever: "founded" is
--- a/internal/testing/surface/commands_test.go
+++ b/internal/testing/surface/commands_test.go
@@ -14,13 +14,13 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
-	"github.com/rosestand/rosestand/internal/process/daemon"
-	"github.com/rosestand/rosestand/internal/front"
-	"github.com/rosestand/rosestand/internal/testing/lab/command"
+	"github.com/rosestand/rosestand/internal/dataplane/front"
 	"github.com/rosestand/rosestand/internal/operator"
-	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/process/settings"
-	"github.com/rosestand/rosestand/internal/store"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/testing/lab/command"
 )
 
 // program runs a program's command line and returns what it prints and its exit code.
@@ -130,7 +130,7 @@
 	add("order done", operator.ExitDone)
 	add("order failed", operator.ExitFailure)
 	add("order's command line is wrong", operator.ExitUsage)
-	add("order refused", operator.ExitRefused)
+	add("order refused", operator.ExitRejected)
 	add("order unauthorized", operator.ExitUnauthorized)
 	add("order reached no process", operator.ExitUnreachable)
 	add("order's outcome unknown", operator.ExitUnknown)
