--- a/internal/controlplane/consensus/configuration.go
+++ b/internal/controlplane/consensus/configuration.go
@@ -76,7 +76,7 @@
 	configuration *protocol.CoreConfiguration
 }
 
-func (h *configurationHistory) reset(snapshot *protocol.SnapshotMetadata) {
+func (h *configurationHistory) restore(snapshot *protocol.SnapshotMetadata) {
 	configuration := snapshot.GetConfiguration()
 	if configuration == nil {
 		configuration = &protocol.CoreConfiguration{}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return 0, &InvalidChangeError{Reason: err.Error()}
 	}
-	index = n.appendOwn(protocol.EntryKind_ENTRY_CONFIGURATION, data)
+	index = n.appendEntry(protocol.EntryKind_ENTRY_CONFIGURATION, data)
 	n.syncPeers(now)
 	n.broadcastAppend(now)
 	return index, nil
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -8,10 +8,10 @@
 )
 
 // stage delivers what is held and holds all that comes of it.
-func (s *script) stage() {
-	s.pass = passNone
-	held := s.held
-	s.held = nil
+func (s *scriptedCluster) deliverOneStep() {
+	s.delivers = deliverNone
+	held := s.undelivered
+	s.undelivered = nil
 	for _, message := range held {
 		s.deliver(message)
 	}
@@ -19,23 +19,23 @@
 }
 
 func TestTwoWhoStandAtOnceDoNotSplitTheVotes(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	lostMember := func(message *protocol.ConsensusMessage) bool { return message.GetTo() == 3 || message.GetFrom() == 3 }
-	s.pass = passNone
+	s.delivers = deliverNone
 	s.now = s.now.Add(10 * DefaultElectionTimeout)
 	s.nodes[1].Tick(s.now)
 	s.nodes[2].Tick(s.now)
 	s.run()
 	// Questions and answers of the two cross each other on the way, step by step.
 	for range 10 {
-		kept := s.held[:0]
-		for _, message := range s.held {
+		kept := s.undelivered[:0]
+		for _, message := range s.undelivered {
 			if !lostMember(message) {
 				kept = append(kept, message)
 			}
 		}
-		s.held = kept
-		s.stage()
+		s.undelivered = kept
+		s.deliverOneStep()
 	}
 	if s.nodes[1].Role() == Leader || s.nodes[2].Role() != Leader {
 		t.Fatalf("the two are %v and %v", s.nodes[1].Role(), s.nodes[2].Role())
@@ -43,27 +43,27 @@
 }
 
 func TestAFailedElectionIsTriedAgainSoonButNotForEver(t *testing.T) {
-	s := newScript(t, 3, 0)
-	s.pass = passNone
+	s := newScriptedCluster(t, 3, 0)
+	s.delivers = deliverNone
 	var stood []time.Time
 	const step = 10 * time.Millisecond
 	for range 3000 {
 		s.now = s.now.Add(step)
 		s.nodes[1].Tick(s.now)
-		s.held = nil
+		s.undelivered = nil
 		s.run()
-		for _, message := range s.held {
+		for _, message := range s.undelivered {
 			if message.GetKind() == protocol.ConsensusMessageKind_PRE_VOTE && message.GetTo() == 2 {
 				stood = append(stood, s.now)
 			}
 		}
 	}
-	if len(stood) < quickRetries+2 {
+	if len(stood) < maxQuickRetries+2 {
 		t.Fatalf("stood %d times", len(stood))
 	}
 	for at := 1; at < len(stood); at++ {
 		waited := stood[at].Sub(stood[at-1])
-		if quick := at <= quickRetries; quick && waited >= DefaultElectionTimeout || !quick && waited < DefaultElectionTimeout {
+		if quick := at <= maxQuickRetries; quick && waited >= DefaultElectionTimeout || !quick && waited < DefaultElectionTimeout {
 			t.Errorf("try %d came after %v", at, waited)
 		}
 	}
--- a/internal/controlplane/consensus/errors.go
+++ b/internal/controlplane/consensus/errors.go
@@ -22,19 +22,19 @@
 }
 
 // OverloadedError says that too many entries wait to be committed.
-type OverloadedError struct{ Waiting uint64 }
+type OverloadedError struct{ Uncommitted uint64 }
 
 // Error implements error.
 func (e *OverloadedError) Error() string {
-	return fmt.Sprintf("%d entries wait to be committed", e.Waiting)
+	return fmt.Sprintf("%d entries wait to be committed", e.Uncommitted)
 }
 
 // CommandSizeError refuses a command that is too large for one message.
-type CommandSizeError struct{ Size, Maximum int }
+type CommandSizeError struct{ Size, Limit int }
 
 // Error implements error.
 func (e *CommandSizeError) Error() string {
-	return fmt.Sprintf("a command of %d bytes exceeds the bound of %d", e.Size, e.Maximum)
+	return fmt.Sprintf("a command of %d bytes exceeds the bound of %d", e.Size, e.Limit)
 }
 
 // TransferringError says that leadership is being handed over.
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -22,7 +22,7 @@
 		f.Add(data, data, uint8(3), true)
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte, wait uint8, lead bool) {
-		s := newScript(t, 3, 0)
+		s := newScriptedCluster(t, 3, 0)
 		if lead {
 			s.elect(1)
 		}
--- a/internal/controlplane/consensus/leadership_transfer.go
+++ b/internal/controlplane/consensus/leadership_transfer.go
@@ -12,7 +12,7 @@
 type transferState struct {
 	target   uint64
 	deadline time.Time
-	sent     bool
+	timeoutNowSent     bool
 }
 
 // Transfer hands leadership to a voter: proposals are refused until it has every entry and is
@@ -33,7 +33,7 @@
 }
 
 func (n *Node) continueTransfer(now time.Time) {
-	if n.transfer.target == 0 || n.transfer.sent {
+	if n.transfer.target == 0 || n.transfer.timeoutNowSent {
 		return
 	}
 	peer := n.peer(n.transfer.target)
@@ -42,10 +42,10 @@
 		return
 	}
 	if peer.match < n.log.lastIndex() {
-		n.sendAppend(peer, now)
+		n.maybeSendAppend(peer, now)
 		return
 	}
-	n.transfer.sent = true
+	n.transfer.timeoutNowSent = true
 	n.send(&protocol.ConsensusMessage{Kind: protocol.ConsensusMessageKind_TIMEOUT_NOW, To: peer.id})
 }
 
@@ -55,7 +55,7 @@
 	if n.transfer.target == 0 || now.Before(n.transfer.deadline) {
 		return false
 	}
-	if n.transfer.sent {
+	if n.transfer.timeoutNowSent {
 		return true
 	}
 	n.transfer = transferState{}
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -6,17 +6,17 @@
 )
 
 // heartbeatRound is a round of heartbeats and the time at which its first one was sent.
-type heartbeatRound struct {
-	number uint64
-	sent   time.Time
+type heartbeatBroadcast struct {
+	sequence uint64
+	sentAt   time.Time
 }
 
 // broadcastHeartbeat begins a round.
 func (n *Node) broadcastHeartbeat(now time.Time) {
-	n.round++
-	n.rounds = append(n.rounds, heartbeatRound{number: n.round, sent: now})
-	for len(n.rounds) > 1 && now.Sub(n.rounds[0].sent) > n.config.ElectionTimeout {
-		n.rounds = n.rounds[1:]
+	n.heartbeatSequence++
+	n.recentHeartbeats = append(n.recentHeartbeats, heartbeatBroadcast{sequence: n.heartbeatSequence, sentAt: now})
+	for len(n.recentHeartbeats) > 1 && now.Sub(n.recentHeartbeats[0].sentAt) > n.config.ElectionTimeout {
+		n.recentHeartbeats = n.recentHeartbeats[1:]
 	}
 	n.nextHeartbeat = now.Add(n.config.HeartbeatInterval)
 	for _, peer := range n.peers {
@@ -26,14 +26,14 @@
 }
 
 // noteAnswer takes a member's answer to a round.
-func (n *Node) noteAnswer(peer *progress, round uint64, now time.Time) {
-	peer.heard = now
-	if round <= peer.ackRound {
+func (n *Node) recordContact(peer *progress, round uint64, now time.Time) {
+	peer.lastContact = now
+	if round <= peer.ackedHeartbeat {
 		return
 	}
-	for _, sent := range n.rounds {
-		if sent.number == round {
-			peer.ackRound, peer.ackSent = round, sent.sent
+	for _, sent := range n.recentHeartbeats {
+		if sent.sequence == round {
+			peer.ackedHeartbeat, peer.ackedHeartbeatSentAt = round, sent.sentAt
 		}
 	}
 	n.confirmReads()
@@ -43,10 +43,10 @@
 // this node has no lease. It counts from the sending of the newest heartbeat round that a
 // majority answered, since each of them refuses to vote for a whole election timeout from its receipt.
 func (n *Node) LeaseEnds(now time.Time) time.Time {
-	if n.role != Leader || n.transfer.sent {
+	if n.role != Leader || n.transfer.timeoutNowSent {
 		return time.Time{}
 	}
-	start, found := n.quorumRoundSent(now)
+	start, found := n.quorumAckedHeartbeatSentAt(now)
 	if !found {
 		return time.Time{}
 	}
@@ -55,14 +55,14 @@
 
 // quorumRoundSent is when the newest round was sent that a majority answered. The leader
 // itself answers at once.
-func (n *Node) quorumRoundSent(now time.Time) (time.Time, bool) {
+func (n *Node) quorumAckedHeartbeatSentAt(now time.Time) (time.Time, bool) {
 	var sent []time.Time
 	if n.isVoter() {
 		sent = append(sent, now)
 	}
 	for _, peer := range n.peers {
 		if peer.voter {
-			sent = append(sent, peer.ackSent)
+			sent = append(sent, peer.ackedHeartbeatSentAt)
 		}
 	}
 	if len(sent) == 0 {
@@ -74,14 +74,14 @@
 }
 
 // quorumRound is the newest round that a majority answered.
-func (n *Node) quorumRound() uint64 {
+func (n *Node) quorumAckedHeartbeat() uint64 {
 	var answered []uint64
 	if n.isVoter() {
-		answered = append(answered, n.round)
+		answered = append(answered, n.heartbeatSequence)
 	}
 	for _, peer := range n.peers {
 		if peer.voter {
-			answered = append(answered, peer.ackRound)
+			answered = append(answered, peer.ackedHeartbeat)
 		}
 	}
 	if len(answered) == 0 {
--- a/internal/controlplane/consensus/log.go
+++ b/internal/controlplane/consensus/log.go
@@ -22,7 +22,7 @@
 }
 
 // reset starts the log anew at a snapshot.
-func (l *entryLog) reset(snapshot *protocol.SnapshotMetadata) {
+func (l *entryLog) restore(snapshot *protocol.SnapshotMetadata) {
 	index, term := snapshot.GetIndex(), snapshot.GetTerm()
 	*l = entryLog{
 		baseIndex: index, baseTerm: term, stable: index, commit: index, applied: index, snapshot: snapshot,
@@ -39,7 +39,7 @@
 }
 
 // termAt returns the term of an entry, or false when the log does not hold it.
-func (l *entryLog) termAt(index uint64) (uint64, bool) {
+func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
 		return l.baseTerm, true
@@ -51,13 +51,13 @@
 }
 
 func (l *entryLog) matches(index, term uint64) bool {
-	own, found := l.termAt(index)
+	own, found := l.term(index)
 	return found && own == term
 }
 
 // upToDate reports whether a log that ends with the given entry holds all that this one may
 // have committed.
-func (l *entryLog) upToDate(index, term uint64) bool {
+func (l *entryLog) isUpToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
@@ -87,7 +87,7 @@
 }
 
 // from returns entries from index on, at least one when there is any, up to about maxBytes.
-func (l *entryLog) from(index, through uint64, maxBytes int) []*protocol.Entry {
+func (l *entryLog) slice(index, through uint64, maxBytes int) []*protocol.Entry {
 	through = min(through, l.lastIndex())
 	if index > through {
 		return nil
@@ -116,7 +116,7 @@
 	if index <= l.baseIndex {
 		return
 	}
-	term, _ := l.termAt(index)
+	term, _ := l.term(index)
 	kept := l.entries[index-l.baseIndex:]
 	l.entries = append(make([]*protocol.Entry, 0, len(kept)), kept...)
 	l.baseIndex, l.baseTerm = index, term
@@ -127,10 +127,10 @@
 	if index > l.lastIndex() {
 		return l.lastIndex()
 	}
-	term, found := l.termAt(index)
+	term, found := l.term(index)
 	for found && index > l.commit {
 		index--
-		before, ok := l.termAt(index)
+		before, ok := l.term(index)
 		if !ok || before != term {
 			break
 		}
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -43,10 +43,10 @@
 	defaultRetainedEntries    = 1024
 	defaultRetainedBytes      = 4 << 20
 	defaultMaxSnapshotBytes   = 256 << 20
-	defaultCommittedBytes     = 4 << 20
+	maxCommittedBytes     = 4 << 20
 	// One part in driftShare of the election timeout is kept back from the lease for clocks
 	// that run at different speeds.
-	driftShare = 8
+	clockDriftDivisor = 8
 )
 
 // Config of a Node. Zero numbers take defaults.
@@ -101,7 +101,7 @@
 	leader uint64
 	// promisedTo is the last leader whose lease may rest on this member's promise not to vote; durable, since the
 	// promise outlives a restart.
-	promisedTo uint64
+	leaseLeader uint64
 
 	log            entryLog
 	configurations configurationHistory
@@ -109,7 +109,7 @@
 	electionDeadline time.Time
 	// failedElections counts those that this member began since it last heard a leader.
 	failedElections  int
-	refuseVotesUntil time.Time
+	rejectVotesUntil time.Time
 	votes            map[uint64]bool
 	transferCampaign bool
 
@@ -117,16 +117,16 @@
 	termStart uint64
 	// uncommittedBytes is the size of the own entries that are not committed.
 	uncommittedBytes int
-	round            uint64
-	rounds           []heartbeatRound
+	heartbeatSequence            uint64
+	recentHeartbeats           []heartbeatBroadcast
 	nextHeartbeat    time.Time
 	transfer         transferState
-	reads            []pendingRead
+	pendingReads            []pendingRead
 
-	incoming incomingSnapshot
+	incomingSnapshot incomingSnapshot
 
-	saved       *protocol.HardState
-	received    *ReceivedSnapshot
+	savedHardState       *protocol.HardState
+	receivedSnapshot    *ReceivedSnapshot
 	messages    []*protocol.ConsensusMessage
 	readResults []ReadResult
 }
@@ -140,9 +140,9 @@
 	if err := node.restore(initial); err != nil {
 		return nil, err
 	}
-	node.refuseVotesUntil = now.Add(node.config.ElectionTimeout)
+	node.rejectVotesUntil = now.Add(node.config.ElectionTimeout)
 	node.resetElectionDeadline(now)
-	if node.promisedTo == node.config.ID {
+	if node.leaseLeader == node.config.ID {
 		node.electionDeadline = now
 	}
 	return node, nil
@@ -156,7 +156,7 @@
 		c.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	if c.ClockDrift <= 0 {
-		c.ClockDrift = c.ElectionTimeout / driftShare
+		c.ClockDrift = c.ElectionTimeout / clockDriftDivisor
 	}
 	if c.MaxAppendBytes <= 0 {
 		c.MaxAppendBytes = defaultMaxAppendBytes
@@ -192,8 +192,8 @@
 	if n.config.ID == 0 || n.config.Random == nil {
 		return &StateError{Reason: "a node needs an id and a source of randomness"}
 	}
-	n.log.reset(initial.Snapshot)
-	n.configurations.reset(initial.Snapshot)
+	n.log.restore(initial.Snapshot)
+	n.configurations.restore(initial.Snapshot)
 	for _, entry := range initial.Entries {
 		if entry.GetIndex() != n.log.lastIndex()+1 || entry.GetTerm() < n.log.lastTerm() {
 			return &StateError{Reason: "the entries have a gap or a falling term", Index: entry.GetIndex()}
@@ -210,8 +210,8 @@
 	}
 	n.log.commit = max(n.log.commit, hardState.GetCommit())
 	n.term, n.vote = hardState.GetTerm(), hardState.GetVotedFor()
-	n.promisedTo = hardState.GetPromisedTo()
-	n.saved = n.hardState()
+	n.leaseLeader = hardState.GetPromisedTo()
+	n.savedHardState = n.hardState()
 	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
 		n.term, n.vote = lastTerm, 0
 	}
@@ -240,7 +240,7 @@
 }
 
 func (n *Node) tickLeader(now time.Time) {
-	if !n.heardQuorum(now) || n.transferExpired(now) {
+	if !n.quorumActive(now) || n.transferExpired(now) {
 		n.becomeFollower(n.term, 0, now)
 		return
 	}
@@ -258,5 +258,5 @@
 }
 
 func (n *Node) hardState() *protocol.HardState {
-	return &protocol.HardState{Term: n.term, VotedFor: n.vote, Commit: n.log.commit, PromisedTo: n.promisedTo}
+	return &protocol.HardState{Term: n.term, VotedFor: n.vote, Commit: n.log.commit, PromisedTo: n.leaseLeader}
 }
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -12,18 +12,18 @@
 )
 
 // script runs members by hand: the test moves the time and decides which messages arrive.
-type script struct {
+type scriptedCluster struct {
 	t       *testing.T
 	now     time.Time
 	nodes   map[uint64]*Node
 	durable map[uint64]*InitialState
 	// held keeps the messages that pass is false for.
-	pass func(*protocol.ConsensusMessage) bool
-	held []*protocol.ConsensusMessage
+	delivers func(*protocol.ConsensusMessage) bool
+	undelivered []*protocol.ConsensusMessage
 }
 
-func newScript(t *testing.T, voters, learners int) *script {
-	s := &script{t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, pass: passAll}
+func newScriptedCluster(t *testing.T, voters, learners int) *scriptedCluster {
+	s := &scriptedCluster{t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, delivers: deliverAll}
 	configuration := &protocol.CoreConfiguration{}
 	for id := 1; id <= voters+learners; id++ {
 		configuration.Members = append(configuration.Members, &protocol.CoreMember{Id: uint64(id), Voter: id <= voters})
@@ -39,11 +39,11 @@
 	return s
 }
 
-func passAll(*protocol.ConsensusMessage) bool { return true }
+func deliverAll(*protocol.ConsensusMessage) bool { return true }
 
-func passNone(*protocol.ConsensusMessage) bool { return false }
+func deliverNone(*protocol.ConsensusMessage) bool { return false }
 
-func (s *script) restart(id uint64) {
+func (s *scriptedCluster) restart(id uint64) {
 	node, err := New(Config{ID: id, Random: rand.New(rand.NewPCG(id, 1))}, *s.durable[id], s.now)
 	if err != nil {
 		s.t.Fatal(err)
@@ -52,7 +52,7 @@
 }
 
 // run carries out all output and delivers what passes until nothing is left.
-func (s *script) run() {
+func (s *scriptedCluster) run() {
 	for moved := true; moved; {
 		moved = false
 		for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *script) carryOut(id uint64) Ready {
+func (s *scriptedCluster) carryOut(id uint64) Ready {
 	ready, disk := s.nodes[id].Ready(), s.durable[id]
 	for _, entry := range ready.Entries {
 		disk.Entries = append(disk.Entries[:entry.GetIndex()-1:entry.GetIndex()-1], entry)
@@ -74,26 +74,26 @@
 	}
 	s.nodes[id].Advance(ready, s.now)
 	for _, message := range ready.Messages {
-		if s.pass(message) {
+		if s.delivers(message) {
 			s.deliver(message)
 		} else {
-			s.held = append(s.held, message)
+			s.undelivered = append(s.undelivered, message)
 		}
 	}
 	return ready
 }
 
-func (s *script) deliver(message *protocol.ConsensusMessage) {
+func (s *scriptedCluster) deliver(message *protocol.ConsensusMessage) {
 	if err := s.nodes[message.GetTo()].Step(message, s.now); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 // release delivers what was held, and everything from now on.
-func (s *script) release() {
-	s.pass = passAll
-	held := s.held
-	s.held = nil
+func (s *scriptedCluster) release() {
+	s.delivers = deliverAll
+	held := s.undelivered
+	s.undelivered = nil
 	for _, message := range held {
 		s.deliver(message)
 	}
@@ -101,7 +101,7 @@
 }
 
 // elect makes a member leader, long after the others heard of any.
-func (s *script) elect(id uint64) *Node {
+func (s *scriptedCluster) elect(id uint64) *Node {
 	s.t.Helper()
 	// A leader without answers steps down first.
 	for range 2 {
@@ -115,7 +115,7 @@
 	return s.nodes[id]
 }
 
-func (s *script) vote(kind protocol.ConsensusMessageKind, from, to uint64, term uint64) *protocol.ConsensusMessage {
+func (s *scriptedCluster) voteRequest(kind protocol.ConsensusMessageKind, from, to uint64, term uint64) *protocol.ConsensusMessage {
 	last := s.nodes[from].log
 	return &protocol.ConsensusMessage{
 		Kind: kind, From: from, To: to, Term: term, LogIndex: last.lastIndex(), LogTerm: last.lastTerm(),
@@ -124,26 +124,26 @@
 
 func TestMemberRefusesToVote(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(*script)
+		prepare func(*scriptedCluster)
 		wait    time.Duration
 		granted bool
 	}{
-		"right after hearing the leader":            {func(*script) {}, 0, false},
-		"just before the election timeout":          {func(*script) {}, DefaultElectionTimeout - time.Millisecond, false},
-		"after the election timeout":                {func(*script) {}, DefaultElectionTimeout, true},
-		"right after a restart":                     {func(s *script) { s.restart(2) }, 0, false},
-		"one election timeout after a restart":      {func(s *script) { s.restart(2) }, DefaultElectionTimeout, true},
-		"restarted just before its promise ran out": {func(s *script) { s.now = s.now.Add(900 * time.Millisecond); s.restart(2) }, 200 * time.Millisecond, false},
+		"right after hearing the leader":            {func(*scriptedCluster) {}, 0, false},
+		"just before the election timeout":          {func(*scriptedCluster) {}, DefaultElectionTimeout - time.Millisecond, false},
+		"after the election timeout":                {func(*scriptedCluster) {}, DefaultElectionTimeout, true},
+		"right after a restart":                     {func(s *scriptedCluster) { s.restart(2) }, 0, false},
+		"one election timeout after a restart":      {func(s *scriptedCluster) { s.restart(2) }, DefaultElectionTimeout, true},
+		"restarted just before its promise ran out": {func(s *scriptedCluster) { s.now = s.now.Add(900 * time.Millisecond); s.restart(2) }, 200 * time.Millisecond, false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := newScript(t, 3, 0)
+			s := newScriptedCluster(t, 3, 0)
 			s.elect(1)
 			tt.prepare(s)
 			s.now = s.now.Add(tt.wait)
 			term := s.nodes[2].Term()
 			for _, kind := range []protocol.ConsensusMessageKind{protocol.ConsensusMessageKind_PRE_VOTE, protocol.ConsensusMessageKind_VOTE} {
-				s.deliver(s.vote(kind, 3, 2, term+1))
+				s.deliver(s.voteRequest(kind, 3, 2, term+1))
 				granted := false
 				for _, answer := range s.nodes[2].Ready().Messages {
 					granted = granted || !answer.GetReject()
@@ -160,30 +160,30 @@
 }
 
 func TestVoteIsDurableBeforeItIsSent(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	s.now = s.now.Add(2 * DefaultElectionTimeout)
-	s.pass = passNone
+	s.delivers = deliverNone
 	// The term is known and durable before the vote is asked for.
 	s.deliver(&protocol.ConsensusMessage{Kind: protocol.ConsensusMessageKind_VOTE_RESPONSE, From: 1, To: 2, Term: 2, Reject: true})
 	s.carryOut(2)
-	s.deliver(s.vote(protocol.ConsensusMessageKind_VOTE, 3, 2, 2))
+	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 3, 2, 2))
 	ready := s.carryOut(2)
 	if !ready.MustSync || ready.HardState.GetVotedFor() != 3 || len(ready.Messages) != 1 || ready.Messages[0].GetReject() {
 		t.Fatalf("the vote is not saved with its answer: %+v", ready)
 	}
 	s.restart(2)
 	s.now = s.now.Add(2 * DefaultElectionTimeout)
-	s.deliver(s.vote(protocol.ConsensusMessageKind_VOTE, 1, 2, 2))
+	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, 2, 2))
 	if answer := s.nodes[2].Ready().Messages[0]; !answer.GetReject() {
 		t.Error("two votes in one term")
 	}
 }
 
 func TestLeaseCountsFromSending(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
-	length := DefaultElectionTimeout - DefaultElectionTimeout/driftShare
-	s.pass = func(m *protocol.ConsensusMessage) bool { return m.GetFrom() == 1 }
+	length := DefaultElectionTimeout - DefaultElectionTimeout/clockDriftDivisor
+	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetFrom() == 1 }
 	s.now = s.now.Add(500 * time.Millisecond)
 	sent := s.now
 	leader.Tick(s.now)
@@ -199,9 +199,9 @@
 }
 
 func TestLeaderWithoutMajorityStepsDown(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
-	s.pass = passNone
+	s.delivers = deliverNone
 	s.now = s.now.Add(DefaultElectionTimeout)
 	leader.Tick(s.now)
 	if leader.Role() != Follower {
@@ -210,9 +210,9 @@
 }
 
 func TestTransferGivesUpTheLeaseForTheTerm(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
-	s.pass = func(m *protocol.ConsensusMessage) bool {
+	s.delivers = func(m *protocol.ConsensusMessage) bool {
 		return m.GetKind() != protocol.ConsensusMessageKind_TIMEOUT_NOW
 	}
 	if err := leader.Transfer(2, s.now); err != nil {
@@ -238,17 +238,17 @@
 }
 
 func TestEntriesOfEarlierTermsCommitWithTheLeadersOwn(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
-	s.pass = passNone
+	s.delivers = deliverNone
 	if _, _, err := leader.Propose([][]byte{[]byte("old")}, s.now); err != nil {
 		t.Fatal(err)
 	}
 	s.run()
-	s.held, s.pass = nil, passAll
+	s.undelivered, s.delivers = nil, deliverAll
 	old := leader.log.lastIndex()
 	// The same member leads again; its own first entry reaches nobody yet.
-	s.pass = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
+	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
 	leader = s.elect(1)
 	term := leader.Term()
 	leader.Step(&protocol.ConsensusMessage{Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, From: 2, To: 1, Term: term, LogIndex: old}, s.now)
@@ -264,8 +264,8 @@
 }
 
 func TestMembershipChangesOneAtATime(t *testing.T) {
-	s := newScript(t, 3, 1)
-	s.pass = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
+	s := newScriptedCluster(t, 3, 1)
+	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
 	leader := s.elect(1)
 	before, _ := leader.Configuration()
 	change := func(edit func(*protocol.CoreConfiguration)) error {
@@ -293,7 +293,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	s.pass = passNone
+	s.delivers = deliverNone
 	if err := change(promote); err != nil {
 		t.Fatal(err)
 	}
@@ -308,7 +308,7 @@
 }
 
 func TestLeaderLeavesWhenItsRemovalIsCommitted(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
 	configuration, _ := leader.Configuration()
 	next := proto.Clone(configuration).(*protocol.CoreConfiguration)
@@ -344,10 +344,10 @@
 
 // A transfer may take longer than the leader takes to compact past the snapshot that was begun.
 func TestAMemberThatInstalledAnOldSnapshotGetsTheNewest(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	leader := s.elect(1)
 	leader.config.RetainedEntries = 1
-	s.pass = func(message *protocol.ConsensusMessage) bool { return message.GetTo() != 3 && message.GetFrom() != 3 }
+	s.delivers = func(message *protocol.ConsensusMessage) bool { return message.GetTo() != 3 && message.GetFrom() != 3 }
 	compact := func() uint64 {
 		for range 5 {
 			if _, _, err := leader.Propose([][]byte{[]byte("x")}, s.now); err != nil {
@@ -361,22 +361,22 @@
 	}
 	first := compact()
 	// What was sent ahead is lost, so that the member is asked where it stands.
-	leader.peer(3).probe(leader.peer(3).match + 1)
+	leader.peer(3).becomeProbe(leader.peer(3).match + 1)
 	s.now = s.now.Add(DefaultHeartbeatInterval)
 	leader.Tick(s.now)
 	s.run()
-	if peer := leader.peer(3); peer.state != installing || peer.snapshot.GetIndex() != first {
+	if peer := leader.peer(3); peer.state != stateSnapshot || peer.pendingSnapshot.GetIndex() != first {
 		t.Fatalf("the transfer of snapshot %d did not begin: %+v", first, peer)
 	}
 	newest := compact()
-	s.held = nil
+	s.undelivered = nil
 	if err := leader.Step(&protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, From: 3, To: 1, Term: leader.Term(), LogIndex: first,
 	}, s.now); err != nil {
 		t.Fatal(err)
 	}
 	s.run()
-	for _, message := range s.held {
+	for _, message := range s.undelivered {
 		if message.GetKind() == protocol.ConsensusMessageKind_SNAPSHOT_CHUNK && message.GetSnapshot().GetIndex() == newest {
 			return
 		}
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -11,11 +11,11 @@
 
 const (
 	// probing sends one append at a time until one matches.
-	probing progressState = iota
+	stateProbe progressState = iota
 	// replicating sends ahead of acknowledgements.
-	replicating
+	stateReplicate
 	// installing sends a snapshot, piece by piece.
-	installing
+	stateSnapshot
 )
 
 // progress is what a leader knows of another member.
@@ -26,18 +26,18 @@
 	// match is the last index known to be durable there; next is the first to send.
 	match, next uint64
 	// waiting is set while a probe is unanswered; a heartbeat sends it again.
-	waiting bool
+	probeSent bool
 	// heard is when the member last answered; ackSent when the newest round it answered was sent.
-	heard, ackSent time.Time
-	ackRound       uint64
-	snapshot       *protocol.SnapshotMetadata
-	snapshotOffset uint64
-	chunkSent      time.Time
+	lastContact, ackedHeartbeatSentAt time.Time
+	ackedHeartbeat       uint64
+	pendingSnapshot       *protocol.SnapshotMetadata
+	pendingSnapshotOffset uint64
+	lastChunkSentAt      time.Time
 }
 
 // probe falls back to finding the last match, beginning at next.
-func (p *progress) probe(next uint64) {
-	p.state, p.waiting, p.snapshot = probing, false, nil
+func (p *progress) becomeProbe(next uint64) {
+	p.state, p.probeSent, p.pendingSnapshot = stateProbe, false, nil
 	p.next = max(next, p.match+1)
 }
 
@@ -51,8 +51,8 @@
 
 // installed reports whether the member needs no more of the snapshot that is sent to it: it holds
 // that snapshot, or all that the log does not.
-func (p *progress) installed(baseIndex uint64) bool {
-	return p.state == installing && (p.match >= baseIndex || p.match >= p.snapshot.GetIndex())
+func (p *progress) snapshotDone(baseIndex uint64) bool {
+	return p.state == stateSnapshot && (p.match >= baseIndex || p.match >= p.pendingSnapshot.GetIndex())
 }
 
 func (n *Node) peer(id uint64) *progress {
@@ -73,7 +73,7 @@
 		}
 		peer := n.peer(member.GetId())
 		if peer == nil {
-			peer = &progress{id: member.GetId(), next: n.log.lastIndex() + 1, heard: now}
+			peer = &progress{id: member.GetId(), next: n.log.lastIndex() + 1, lastContact: now}
 		}
 		peer.voter = member.GetVoter()
 		peers = append(peers, peer)
@@ -88,7 +88,7 @@
 }
 
 // heardQuorum reports whether a majority, this node among it, answered within the election timeout.
-func (n *Node) heardQuorum(now time.Time) bool {
+func (n *Node) quorumActive(now time.Time) bool {
 	voters, heard := 0, 0
 	if n.isVoter() {
 		voters, heard = 1, 1
@@ -98,7 +98,7 @@
 			continue
 		}
 		voters++
-		if now.Sub(peer.heard) < n.config.ElectionTimeout {
+		if now.Sub(peer.lastContact) < n.config.ElectionTimeout {
 			heard++
 		}
 	}
--- a/internal/controlplane/consensus/random_faults_test.go
+++ b/internal/controlplane/consensus/random_faults_test.go
@@ -19,7 +19,7 @@
 		}
 		now := member.clock(c.now)
 		c.nextRead++
-		c.reads[c.nextRead] = c.highest
+		c.reads[c.nextRead] = c.highestApplied
 		_ = member.node.Read(c.nextRead, now)
 		c.command++
 		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.command)}, now)
@@ -49,7 +49,7 @@
 }
 
 // disturb brings about one random fault, or mends some. Half of the faults go for a leader.
-func (c *simulatedCluster) disturb() {
+func (c *simulatedCluster) injectFault() {
 	ids := c.ids()
 	member, other := c.members[ids[c.random.IntN(len(ids))]], ids[c.random.IntN(len(ids))]
 	if c.random.IntN(2) == 0 {
@@ -61,10 +61,10 @@
 	case 1:
 		member.frozen = true
 	case 2, 3:
-		c.cut[[2]uint64{member.id, other}] = true
+		c.partitioned[[2]uint64{member.id, other}] = true
 	case 4:
 		for _, id := range ids {
-			c.cut[[2]uint64{member.id, id}] = true
+			c.partitioned[[2]uint64{member.id, id}] = true
 		}
 	case 5:
 		c.slowUntil = c.now + c.random.Int64N(2000)
@@ -76,9 +76,9 @@
 			}
 		}
 	case 7:
-		c.cut = map[[2]uint64]bool{}
+		c.partitioned = map[[2]uint64]bool{}
 	default:
-		c.wakeAll()
+		c.resumeAll()
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // wakeAll restarts who is down and lets who is frozen go on; a frozen one serves requests before
 // it looks at its clock.
-func (c *simulatedCluster) wakeAll() {
+func (c *simulatedCluster) resumeAll() {
 	for _, id := range c.ids() {
 		member := c.members[id]
 		if member.down {
@@ -108,7 +108,7 @@
 }
 
 func (c *simulatedCluster) heal() {
-	c.loss, c.cut = 0, map[[2]uint64]bool{}
+	c.loss, c.partitioned = 0, map[[2]uint64]bool{}
 	for _, id := range c.ids() {
 		member := c.members[id]
 		member.frozen = false
@@ -119,9 +119,9 @@
 }
 
 // settle runs until all members applied the same and a new command besides.
-func (c *simulatedCluster) settle() {
+func (c *simulatedCluster) awaitConvergence() {
 	c.heal()
-	target := c.highest + 1
+	target := c.highestApplied + 1
 	for range 4000 {
 		c.step()
 		if c.now%50 == 0 {
@@ -158,23 +158,23 @@
 				cluster.propose(round%100 == 0)
 			}
 			if round%150 == 0 {
-				cluster.disturb()
+				cluster.injectFault()
 			}
 		}
-		cluster.settle()
+		cluster.awaitConvergence()
 		total.elections += cluster.elections
 		total.installs += cluster.installs
-		total.leased += cluster.leased
-		total.served += cluster.served
+		total.leaseSteps += cluster.leaseSteps
+		total.confirmedReads += cluster.confirmedReads
 		total.changes += cluster.changes
 		total.restarts += cluster.restarts
-		total.highest += cluster.highest
+		total.highestApplied += cluster.highestApplied
 	}
 	t.Logf("elections %d, installs %d, steps with a lease %d, reads %d, changes %d, restarts %d, entries %d",
-		total.elections, total.installs, total.leased, total.served, total.changes, total.restarts, total.highest)
+		total.elections, total.installs, total.leaseSteps, total.confirmedReads, total.changes, total.restarts, total.highestApplied)
 	for name, count := range map[string]int{
-		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leased,
-		"reads": total.served, "membership changes": total.changes, "restarts": total.restarts,
+		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leaseSteps,
+		"reads": total.confirmedReads, "membership changes": total.changes, "restarts": total.restarts,
 	} {
 		if count < 60 {
 			t.Errorf("the run provoked only %d %s", count, name)
--- a/internal/controlplane/consensus/read_only.go
+++ b/internal/controlplane/consensus/read_only.go
@@ -13,7 +13,7 @@
 }
 
 type pendingRead struct {
-	id, index, round uint64
+	id, index, heartbeatSequence uint64
 }
 
 // Read asks for a linearizable read: under the lease it is confirmed at once, else by a
@@ -28,26 +28,26 @@
 		n.readResults = append(n.readResults, ReadResult{ID: id, Index: index})
 		return nil
 	}
-	n.reads = append(n.reads, pendingRead{id: id, index: index, round: n.round + 1})
+	n.pendingReads = append(n.pendingReads, pendingRead{id: id, index: index, heartbeatSequence: n.heartbeatSequence + 1})
 	n.broadcastHeartbeat(now)
 	return nil
 }
 
 // confirmReads answers the reads whose round a majority has answered.
 func (n *Node) confirmReads() {
-	if len(n.reads) == 0 {
+	if len(n.pendingReads) == 0 {
 		return
 	}
-	confirmed := n.quorumRound()
-	for len(n.reads) > 0 && n.reads[0].round <= confirmed {
-		n.readResults = append(n.readResults, ReadResult{ID: n.reads[0].id, Index: n.reads[0].index})
-		n.reads = n.reads[1:]
+	confirmed := n.quorumAckedHeartbeat()
+	for len(n.pendingReads) > 0 && n.pendingReads[0].heartbeatSequence <= confirmed {
+		n.readResults = append(n.readResults, ReadResult{ID: n.pendingReads[0].id, Index: n.pendingReads[0].index})
+		n.pendingReads = n.pendingReads[1:]
 	}
 }
 
 func (n *Node) failReads() {
-	for _, read := range n.reads {
+	for _, read := range n.pendingReads {
 		n.readResults = append(n.readResults, ReadResult{ID: read.id, Failed: true})
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -28,29 +28,29 @@
 
 // HasReady reports whether Ready has anything to do.
 func (n *Node) HasReady() bool {
-	return n.received != nil || n.log.stable < n.log.lastIndex() || n.hardStateChanged() ||
+	return n.receivedSnapshot != nil || n.log.stable < n.log.lastIndex() || n.hardStateChanged() ||
 		len(n.messages) > 0 || n.log.applied < n.applicable() || len(n.readResults) > 0
 }
 
 // Ready hands out what is to be done; the node forgets the messages and results in it.
 func (n *Node) Ready() Ready {
 	ready := Ready{
-		Snapshot: n.received, Messages: n.messages, Reads: n.readResults,
-		Entries: n.log.from(n.log.stable+1, n.log.lastIndex(), int(^uint(0)>>1)),
+		Snapshot: n.receivedSnapshot, Messages: n.messages, Reads: n.readResults,
+		Entries: n.log.slice(n.log.stable+1, n.log.lastIndex(), int(^uint(0)>>1)),
 	}
 	if n.hardStateChanged() {
 		ready.HardState = n.hardState()
 	}
-	ready.MustSync = ready.Snapshot != nil || len(ready.Entries) > 0 || n.promiseChanged()
-	ready.Committed = n.log.from(n.log.applied+1, n.applicable(), defaultCommittedBytes)
-	n.received, n.messages, n.readResults = nil, nil, nil
+	ready.MustSync = ready.Snapshot != nil || len(ready.Entries) > 0 || n.voteStateChanged()
+	ready.Committed = n.log.slice(n.log.applied+1, n.applicable(), maxCommittedBytes)
+	n.receivedSnapshot, n.messages, n.readResults = nil, nil, nil
 	return ready
 }
 
 // Advance tells the node that everything in ready was done.
 func (n *Node) Advance(ready Ready, now time.Time) {
 	if ready.HardState != nil {
-		n.saved = ready.HardState
+		n.savedHardState = ready.HardState
 	}
 	if count := len(ready.Entries); count > 0 {
 		last := ready.Entries[count-1]
@@ -70,10 +70,10 @@
 func (n *Node) applicable() uint64 { return min(n.log.commit, n.log.stable) }
 
 func (n *Node) hardStateChanged() bool {
-	return n.promiseChanged() || n.saved.GetCommit() != n.log.commit
+	return n.voteStateChanged() || n.savedHardState.GetCommit() != n.log.commit
 }
 
 // promiseChanged reports whether the term, the vote or the leader promised to is not durable yet.
-func (n *Node) promiseChanged() bool {
-	return n.saved.GetTerm() != n.term || n.saved.GetVotedFor() != n.vote || n.saved.GetPromisedTo() != n.promisedTo
+func (n *Node) voteStateChanged() bool {
+	return n.savedHardState.GetTerm() != n.term || n.savedHardState.GetVotedFor() != n.vote || n.savedHardState.GetPromisedTo() != n.leaseLeader
 }
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -23,35 +23,35 @@
 	if err := n.canPropose(); err != nil {
 		return 0, 0, err
 	}
-	if err := n.checkRoom(commands); err != nil {
+	if err := n.checkUncommittedLimits(commands); err != nil {
 		return 0, 0, err
 	}
 	index = n.log.lastIndex() + 1
 	for _, command := range commands {
-		n.appendOwn(protocol.EntryKind_ENTRY_COMMAND, command)
+		n.appendEntry(protocol.EntryKind_ENTRY_COMMAND, command)
 	}
 	n.broadcastAppend(now)
 	return index, n.term, nil
 }
 
-func (n *Node) checkRoom(commands [][]byte) error {
+func (n *Node) checkUncommittedLimits(commands [][]byte) error {
 	size := n.uncommittedBytes
 	for _, command := range commands {
 		if len(command) > n.config.MaxCommandBytes {
-			return &CommandSizeError{Size: len(command), Maximum: n.config.MaxCommandBytes}
+			return &CommandSizeError{Size: len(command), Limit: n.config.MaxCommandBytes}
 		}
 		size += len(command)
 	}
 	waiting := n.log.lastIndex() - n.log.commit
 	if waiting+uint64(len(commands)) > n.config.MaxUncommitted || size > n.config.MaxUncommittedBytes {
-		return &OverloadedError{Waiting: waiting}
+		return &OverloadedError{Uncommitted: waiting}
 	}
 	return nil
 }
 
 // commitTo moves the leader's commit and frees the room that the entries took.
 func (n *Node) commitTo(index uint64) {
-	for _, entry := range n.log.from(n.log.commit+1, index, int(^uint(0)>>1)) {
+	for _, entry := range n.log.slice(n.log.commit+1, index, int(^uint(0)>>1)) {
 		if entry.GetTerm() == n.term {
 			n.uncommittedBytes -= len(entry.GetData())
 		}
@@ -60,7 +60,7 @@
 }
 
 // appendOwn appends an entry of this leader. It counts for the commit once it is durable here.
-func (n *Node) appendOwn(kind protocol.EntryKind, data []byte) uint64 {
+func (n *Node) appendEntry(kind protocol.EntryKind, data []byte) uint64 {
 	entry := &protocol.Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.entries = append(n.log.entries, entry)
 	n.uncommittedBytes += len(data)
@@ -71,13 +71,13 @@
 
 func (n *Node) broadcastAppend(now time.Time) {
 	for _, peer := range n.peers {
-		n.sendAppend(peer, now)
+		n.maybeSendAppend(peer, now)
 	}
 }
 
 // sendAppend sends what the member still needs and may be sent now.
-func (n *Node) sendAppend(peer *progress, now time.Time) {
-	if peer.state == installing || peer.state == probing && peer.waiting {
+func (n *Node) maybeSendAppend(peer *progress, now time.Time) {
+	if peer.state == stateSnapshot || peer.state == stateProbe && peer.probeSent {
 		return
 	}
 	if peer.next-1 < n.log.baseIndex {
@@ -85,48 +85,48 @@
 		return
 	}
 	if entries := n.entriesFor(peer); len(entries) > 0 {
-		n.emitAppend(peer, entries)
+		n.sendAppend(peer, entries)
 	}
 }
 
 func (n *Node) entriesFor(peer *progress) []*protocol.Entry {
-	return n.log.from(peer.next, peer.match+n.config.MaxInflight, n.config.MaxAppendBytes)
+	return n.log.slice(peer.next, peer.match+n.config.MaxInflight, n.config.MaxAppendBytes)
 }
 
-func (n *Node) emitAppend(peer *progress, entries []*protocol.Entry) {
+func (n *Node) sendAppend(peer *progress, entries []*protocol.Entry) {
 	previous := peer.next - 1
-	term, _ := n.log.termAt(previous)
+	term, _ := n.log.term(previous)
 	n.send(&protocol.ConsensusMessage{
-		Kind: protocol.ConsensusMessageKind_APPEND, To: peer.id, Round: n.round,
+		Kind: protocol.ConsensusMessageKind_APPEND, To: peer.id, Round: n.heartbeatSequence,
 		LogIndex: previous, LogTerm: term, Entries: entries, Commit: n.log.commit,
 	})
-	if peer.state == replicating {
+	if peer.state == stateReplicate {
 		peer.next += uint64(len(entries))
 		return
 	}
-	peer.waiting = true
+	peer.probeSent = true
 }
 
 // sendHeartbeat sends an append in every case; it carries entries where some
 // wait and the member is alive.
 func (n *Node) sendHeartbeat(peer *progress, now time.Time) {
-	if peer.state != installing && peer.next-1 < n.log.baseIndex {
+	if peer.state != stateSnapshot && peer.next-1 < n.log.baseIndex {
 		n.startSnapshot(peer, now)
 	}
-	if peer.state == installing {
+	if peer.state == stateSnapshot {
 		// Index zero matches any log.
 		n.send(&protocol.ConsensusMessage{
-			Kind: protocol.ConsensusMessageKind_APPEND, To: peer.id, Round: n.round,
+			Kind: protocol.ConsensusMessageKind_APPEND, To: peer.id, Round: n.heartbeatSequence,
 		})
 		n.resendChunk(peer, now)
 		return
 	}
 	var entries []*protocol.Entry
-	if now.Sub(peer.heard) < n.config.ElectionTimeout {
+	if now.Sub(peer.lastContact) < n.config.ElectionTimeout {
 		// A silent member gets entries once it answers: they would pile up on the way to it.
 		entries = n.entriesFor(peer)
 	}
-	n.emitAppend(peer, entries)
+	n.sendAppend(peer, entries)
 }
 
 func (n *Node) stepAppend(message *protocol.ConsensusMessage, now time.Time) error {
@@ -136,7 +136,7 @@
 	if n.role != Follower {
 		n.becomeFollower(n.term, message.GetFrom(), now)
 	}
-	n.hearLeader(message.GetFrom(), now)
+	n.observeLeader(message.GetFrom(), now)
 	previous, previousTerm, entries := n.skipCommitted(message)
 	answer := &protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, To: message.GetFrom(), Round: message.GetRound(),
@@ -162,7 +162,7 @@
 		return index, term, entries
 	}
 	skipped := min(n.log.commit-index, uint64(len(entries)))
-	term, _ = n.log.termAt(n.log.commit)
+	term, _ = n.log.term(n.log.commit)
 	return n.log.commit, term, entries[skipped:]
 }
 
@@ -189,43 +189,43 @@
 		// No correct member acknowledges what this leader never had.
 		return
 	}
-	n.noteAnswer(peer, message.GetRound(), now)
+	n.recordContact(peer, message.GetRound(), now)
 	if message.GetReject() {
 		n.handleRejection(peer, message, now)
 		return
 	}
 	news := peer.acknowledge(message.GetLogIndex())
 	switch {
-	case peer.installed(n.log.baseIndex):
+	case peer.snapshotDone(n.log.baseIndex):
 		// When the log begins later by now, the next append begins the newest snapshot.
-		peer.probe(peer.match + 1)
-		n.sendAppend(peer, now)
-	case peer.state == probing && peer.next-1 == message.GetLogIndex():
-		peer.state, peer.waiting = replicating, false
+		peer.becomeProbe(peer.match + 1)
+		n.maybeSendAppend(peer, now)
+	case peer.state == stateProbe && peer.next-1 == message.GetLogIndex():
+		peer.state, peer.probeSent = stateReplicate, false
 	}
 	if news && n.advanceCommit(now) {
 		return
 	}
-	n.sendAppend(peer, now)
+	n.maybeSendAppend(peer, now)
 	n.continueTransfer(now)
 }
 
 func (n *Node) handleRejection(peer *progress, message *protocol.ConsensusMessage, now time.Time) {
 	rejected := message.GetLogIndex()
-	stale := rejected <= peer.match || peer.state == installing ||
-		peer.state == probing && rejected != peer.next-1
+	stale := rejected <= peer.match || peer.state == stateSnapshot ||
+		peer.state == stateProbe && rejected != peer.next-1
 	if stale {
 		return
 	}
-	peer.probe(min(rejected, message.GetRejectHint()+1))
-	n.sendAppend(peer, now)
+	peer.becomeProbe(min(rejected, message.GetRejectHint()+1))
+	n.maybeSendAppend(peer, now)
 }
 
 // advanceCommit commits what a majority holds, as far as the entry there is of this term. It
 // reports whether the node stopped being leader, since it committed its own removal.
 func (n *Node) advanceCommit(now time.Time) bool {
 	index := n.quorumMatch()
-	if term, _ := n.log.termAt(index); index <= n.log.commit || term != n.term {
+	if term, _ := n.log.term(index); index <= n.log.commit || term != n.term {
 		return false
 	}
 	n.commitTo(index)
--- a/internal/controlplane/consensus/restart_test.go
+++ b/internal/controlplane/consensus/restart_test.go
@@ -8,14 +8,14 @@
 )
 
 // restartAll starts all members anew from what they made durable.
-func (s *script) restartAll() {
+func (s *scriptedCluster) restartAll() {
 	for id := range s.nodes {
 		s.restart(id)
 	}
 }
 
 // tickAll lets every member look at its clock, lowest id first.
-func (s *script) tickAll() {
+func (s *scriptedCluster) tickAll() {
 	for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 		s.nodes[id].Tick(s.now)
 	}
@@ -23,7 +23,7 @@
 }
 
 func TestALeaderThatRestartsWithAllOthersLeadsAgainAtOnce(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	term := s.elect(2).Status().Term
 	s.restartAll()
 	s.now = s.now.Add(time.Millisecond)
@@ -37,7 +37,7 @@
 }
 
 func TestALeaderThatRestartsAloneLeadsAgainAtOnce(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	s.elect(2)
 	s.restart(2)
 	s.now = s.now.Add(time.Millisecond)
@@ -50,18 +50,18 @@
 func TestMembersThatRestartedPromiseNothingToOthersWhileTheLeaderLives(t *testing.T) {
 	for name, preVote := range map[string]bool{"vote": false, "pre-vote": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newScript(t, 3, 0)
+			s := newScriptedCluster(t, 3, 0)
 			leader := s.elect(1)
 			s.restart(2)
 			s.restart(3)
-			s.pass = passNone
+			s.delivers = deliverNone
 			kind := protocol.ConsensusMessageKind_VOTE
 			if preVote {
 				kind = protocol.ConsensusMessageKind_PRE_VOTE
 			}
-			s.deliver(s.vote(kind, 3, 2, leader.Status().Term+1))
+			s.deliver(s.voteRequest(kind, 3, 2, leader.Status().Term+1))
 			s.run()
-			for _, answer := range s.held {
+			for _, answer := range s.undelivered {
 				if !answer.GetReject() {
 					t.Fatalf("a member that restarted under the lease of %d said %v", 1, answer)
 				}
@@ -74,12 +74,12 @@
 }
 
 func TestThePromiseToALeaderIsDurableBeforeItIsAnswered(t *testing.T) {
-	s := newScript(t, 3, 0)
-	s.pass = func(message *protocol.ConsensusMessage) bool {
+	s := newScriptedCluster(t, 3, 0)
+	s.delivers = func(message *protocol.ConsensusMessage) bool {
 		return message.GetKind() != protocol.ConsensusMessageKind_APPEND
 	}
 	s.elect(1)
-	for _, message := range s.held {
+	for _, message := range s.undelivered {
 		if message.GetTo() == 2 {
 			s.deliver(message)
 			break
@@ -95,14 +95,14 @@
 }
 
 func TestALeaderThatAnotherReplacedHasNoPromiseLeft(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	s.elect(1)
 	s.elect(3)
 	s.restart(2)
-	s.pass = passNone
-	s.deliver(s.vote(protocol.ConsensusMessageKind_VOTE, 1, 2, s.nodes[3].Status().Term+1))
+	s.delivers = deliverNone
+	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, 2, s.nodes[3].Status().Term+1))
 	s.run()
-	for _, answer := range s.held {
+	for _, answer := range s.undelivered {
 		if !answer.GetReject() {
 			t.Fatalf("a former leader got %v while another one leads", answer)
 		}
@@ -110,13 +110,13 @@
 }
 
 func TestALeaderThatRestartsBeforeTheOthersAsksThemAgainSoon(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	s.elect(2)
 	s.restartAll()
-	s.pass = passNone
+	s.delivers = deliverNone
 	s.now = s.now.Add(time.Millisecond)
 	s.tickAll()
-	s.held, s.pass = nil, passAll
+	s.undelivered, s.delivers = nil, deliverAll
 	const step = DefaultElectionTimeout / 100
 	for waited := time.Duration(0); s.nodes[2].Role() != Leader; waited += step {
 		if waited > DefaultElectionTimeout/4 {
@@ -128,17 +128,17 @@
 }
 
 func TestALeaderThatRestartsAloneInACutOffPlaceAsksWithoutEnd(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 3, 0)
 	s.elect(2)
 	s.restart(2)
-	s.pass = passNone
+	s.delivers = deliverNone
 	asked := 0
 	for elapsed := time.Duration(0); elapsed < 10*DefaultElectionTimeout; elapsed += 10 * time.Millisecond {
 		s.now = s.now.Add(10 * time.Millisecond)
 		s.nodes[2].Tick(s.now)
-		s.held = nil
+		s.undelivered = nil
 		s.run()
-		asked += len(s.held)
+		asked += len(s.undelivered)
 	}
 	// Both others are asked: some nine times while they may be bound to it, four times soon after, then once in a time-out.
 	const least, most = 2 * 15, 2 * 30
--- a/internal/controlplane/consensus/simulated_cluster_test.go
+++ b/internal/controlplane/consensus/simulated_cluster_test.go
@@ -48,19 +48,19 @@
 	members map[uint64]*simulatedMember
 	network []delivery
 	loss    float64
-	cut     map[[2]uint64]bool
+	partitioned     map[[2]uint64]bool
 
 	leaders   map[uint64]uint64
 	committed map[uint64]committedEntry
 	logged    map[[2]uint64]committedEntry
-	highest   uint64
+	highestApplied   uint64
 	reads     map[uint64]uint64
 	nextRead  uint64
 	command   uint64
 	elections int
 	installs  int
-	leased    int
-	served    int
+	leaseSteps    int
+	confirmedReads    int
 	changes   int
 	slowUntil int64
 	restarts  int
@@ -73,7 +73,7 @@
 func newSimulatedCluster(t *testing.T, seed uint64, voters, learners int) *simulatedCluster {
 	cluster := &simulatedCluster{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), members: map[uint64]*simulatedMember{},
-		cut: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, committed: map[uint64]committedEntry{},
+		partitioned: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, committed: map[uint64]committedEntry{},
 		reads: map[uint64]uint64{}, logged: map[[2]uint64]committedEntry{},
 	}
 	configuration := &protocol.CoreConfiguration{}
@@ -148,7 +148,7 @@
 			c.network = append(c.network, sent)
 			continue
 		}
-		if member == nil || member.down || c.cut[[2]uint64{sent.message.GetFrom(), sent.message.GetTo()}] {
+		if member == nil || member.down || c.partitioned[[2]uint64{sent.message.GetFrom(), sent.message.GetTo()}] {
 			continue
 		}
 		if err := member.node.Step(sent.message, member.clock(c.now)); err != nil {
@@ -281,7 +281,7 @@
 		c.fail("member %d applies another entry at %d", member.id, entry.GetIndex())
 	}
 	c.committed[entry.GetIndex()] = got
-	c.highest = max(c.highest, entry.GetIndex())
+	c.highestApplied = max(c.highestApplied, entry.GetIndex())
 	if entry.GetKind() == protocol.EntryKind_ENTRY_COMMAND {
 		member.applied = append(member.applied, binary.BigEndian.Uint64(entry.GetData()))
 	}
@@ -291,7 +291,7 @@
 // logs, which holds when each follows an entry of the same term.
 func (c *simulatedCluster) checkMatching(member *simulatedMember, entries []*protocol.Entry) {
 	for _, entry := range entries {
-		before, held := member.node.log.termAt(entry.GetIndex() - 1)
+		before, held := member.node.log.term(entry.GetIndex() - 1)
 		if !held {
 			continue
 		}
@@ -320,7 +320,7 @@
 	c.leaders[term] = member.id
 	c.elections++
 	for index, entry := range c.committed {
-		own, held := member.node.log.termAt(index)
+		own, held := member.node.log.term(index)
 		if entry.term < term && index > member.node.log.baseIndex && (!held || own != entry.term) {
 			c.fail("leader %d of term %d lacks committed entry %d", member.id, term, index)
 		}
@@ -342,7 +342,7 @@
 		holder = id
 	}
 	if holder != 0 {
-		c.leased++
+		c.leaseSteps++
 	}
 }
 
@@ -350,7 +350,7 @@
 	if read.Failed {
 		return
 	}
-	c.served++
+	c.confirmedReads++
 	if read.Index < c.reads[read.ID] {
 		c.fail("a read at member %d sees %d, but %d was applied before it", member.id, read.Index, c.reads[read.ID])
 	}
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -32,7 +32,7 @@
 
 // SnapshotMetadata describes a snapshot taken now, of all entries that are applied.
 func (n *Node) SnapshotMetadata() *protocol.SnapshotMetadata {
-	term, _ := n.log.termAt(n.log.applied)
+	term, _ := n.log.term(n.log.applied)
 	return &protocol.SnapshotMetadata{
 		Index: n.log.applied, Term: term, Configuration: n.configurations.at(n.log.applied),
 	}
@@ -40,20 +40,20 @@
 
 // startSnapshot begins to send the newest snapshot. The driver fills in the pieces.
 func (n *Node) startSnapshot(peer *progress, now time.Time) {
-	peer.state, peer.snapshot, peer.snapshotOffset = installing, n.log.snapshot, 0
+	peer.state, peer.pendingSnapshot, peer.pendingSnapshotOffset = stateSnapshot, n.log.snapshot, 0
 	n.sendChunk(peer, now)
 }
 
 func (n *Node) sendChunk(peer *progress, now time.Time) {
-	peer.chunkSent = now
+	peer.lastChunkSentAt = now
 	n.send(&protocol.ConsensusMessage{
-		Kind: protocol.ConsensusMessageKind_SNAPSHOT_CHUNK, To: peer.id, Round: n.round,
-		Snapshot: peer.snapshot, ChunkOffset: peer.snapshotOffset,
+		Kind: protocol.ConsensusMessageKind_SNAPSHOT_CHUNK, To: peer.id, Round: n.heartbeatSequence,
+		Snapshot: peer.pendingSnapshot, ChunkOffset: peer.pendingSnapshotOffset,
 	})
 }
 
 func (n *Node) resendChunk(peer *progress, now time.Time) {
-	if now.Sub(peer.chunkSent) >= n.config.ElectionTimeout {
+	if now.Sub(peer.lastChunkSentAt) >= n.config.ElectionTimeout {
 		n.sendChunk(peer, now)
 	}
 }
@@ -61,7 +61,7 @@
 // RestartSnapshot begins anew, with the newest snapshot, what is sent to a member. The driver
 // calls it when it can no longer read the snapshot that was begun.
 func (n *Node) RestartSnapshot(member uint64, now time.Time) {
-	if peer := n.peer(member); n.role == Leader && peer != nil && peer.state == installing {
+	if peer := n.peer(member); n.role == Leader && peer != nil && peer.state == stateSnapshot {
 		n.startSnapshot(peer, now)
 	}
 }
@@ -73,7 +73,7 @@
 	if n.role != Follower {
 		n.becomeFollower(n.term, message.GetFrom(), now)
 	}
-	n.hearLeader(message.GetFrom(), now)
+	n.observeLeader(message.GetFrom(), now)
 	metadata := message.GetSnapshot()
 	if metadata.GetIndex() <= n.log.commit || n.log.matches(metadata.GetIndex(), metadata.GetTerm()) {
 		n.log.commit = max(n.log.commit, metadata.GetIndex())
@@ -83,13 +83,13 @@
 	if message.GetChunkOffset()+uint64(len(message.GetChunk())) > uint64(n.config.MaxSnapshotBytes) {
 		return &StateError{Reason: "a snapshot is larger than this member takes", Index: metadata.GetIndex()}
 	}
-	n.gather(message)
+	n.appendChunk(message)
 	return nil
 }
 
 // gather adds a piece and answers with the offset of the piece that is wanted next.
-func (n *Node) gather(message *protocol.ConsensusMessage) {
-	metadata, incoming := message.GetSnapshot(), &n.incoming
+func (n *Node) appendChunk(message *protocol.ConsensusMessage) {
+	metadata, incoming := message.GetSnapshot(), &n.incomingSnapshot
 	same := incoming.from == message.GetFrom() && incoming.term == n.term &&
 		incoming.metadata.GetIndex() == metadata.GetIndex() && incoming.metadata.GetTerm() == metadata.GetTerm()
 	if !same {
@@ -100,7 +100,7 @@
 		incoming.data = append(incoming.data, message.GetChunk()...)
 	}
 	if fits && message.GetChunkLast() {
-		n.install(message)
+		n.installSnapshot(message)
 		return
 	}
 	n.send(&protocol.ConsensusMessage{
@@ -109,11 +109,11 @@
 	})
 }
 
-func (n *Node) install(message *protocol.ConsensusMessage) {
-	n.received = &ReceivedSnapshot{Metadata: n.incoming.metadata, Data: n.incoming.data}
-	n.log.reset(n.incoming.metadata)
-	n.configurations.reset(n.incoming.metadata)
-	n.incoming = incomingSnapshot{}
+func (n *Node) installSnapshot(message *protocol.ConsensusMessage) {
+	n.receivedSnapshot = &ReceivedSnapshot{Metadata: n.incomingSnapshot.metadata, Data: n.incomingSnapshot.data}
+	n.log.restore(n.incomingSnapshot.metadata)
+	n.configurations.restore(n.incomingSnapshot.metadata)
+	n.incomingSnapshot = incomingSnapshot{}
 	n.acknowledgeSnapshot(message, n.log.commit)
 }
 
@@ -129,14 +129,14 @@
 	if n.role != Leader || peer == nil {
 		return
 	}
-	n.noteAnswer(peer, message.GetRound(), now)
-	if peer.state != installing || message.GetLogIndex() != peer.snapshot.GetIndex() {
+	n.recordContact(peer, message.GetRound(), now)
+	if peer.state != stateSnapshot || message.GetLogIndex() != peer.pendingSnapshot.GetIndex() {
 		return
 	}
-	if message.GetChunkOffset() == peer.snapshotOffset {
+	if message.GetChunkOffset() == peer.pendingSnapshotOffset {
 		// An answer that came twice; the resend on heartbeats covers a refused piece.
 		return
 	}
-	peer.snapshotOffset = message.GetChunkOffset()
+	peer.pendingSnapshotOffset = message.GetChunkOffset()
 	n.sendChunk(peer, now)
 }
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -21,11 +21,11 @@
 	Configuration *protocol.CoreConfiguration
 	// ConfigurationIndex is where Configuration stands in the log; it may be uncommitted.
 	ConfigurationIndex uint64
-	Contacts           []Contact
+	Peers           []PeerStatus
 }
 
 // Contact is what the leader knows of another member.
-type Contact struct {
+type PeerStatus struct {
 	ID    uint64
 	Match uint64
 	Voter bool
@@ -45,8 +45,8 @@
 		ConfigurationIndex: latest.index,
 	}
 	for _, peer := range n.peers {
-		status.Contacts = append(status.Contacts, Contact{
-			ID: peer.id, Match: peer.match, Voter: peer.voter, LastContact: peer.heard,
+		status.Peers = append(status.Peers, PeerStatus{
+			ID: peer.id, Match: peer.match, Voter: peer.voter, LastContact: peer.lastContact,
 		})
 	}
 	return status
@@ -66,7 +66,7 @@
 
 // Entries returns the entries in memory from index on; they must not be changed.
 func (n *Node) Entries(index uint64) []*protocol.Entry {
-	return n.log.from(max(index, n.log.baseIndex+1), n.log.lastIndex(), int(^uint(0)>>1))
+	return n.log.slice(max(index, n.log.baseIndex+1), n.log.lastIndex(), int(^uint(0)>>1))
 }
 
 // Applied returns the last applied index.
--- a/internal/controlplane/consensus/step.go
+++ b/internal/controlplane/consensus/step.go
@@ -17,7 +17,7 @@
 	}
 	switch {
 	case message.GetTerm() < n.term:
-		n.answerStale(message)
+		n.rejectStaleTerm(message)
 		return nil
 	case !n.enterTerm(message, now):
 		return nil
@@ -41,11 +41,11 @@
 	case protocol.ConsensusMessageKind_VOTE:
 		// The promise to the leader holds against new terms too, or a removed or
 		// cut-off member could end a lease.
-		if n.refusesVotesTo(message.GetFrom(), now) && !message.GetTransfer() {
+		if n.rejectsVotesFrom(message.GetFrom(), now) && !message.GetTransfer() {
 			return false
 		}
 	case protocol.ConsensusMessageKind_TIMEOUT_NOW:
-		return !newer && n.dispatchable()
+		return !newer && n.promotable()
 	}
 	if newer {
 		n.becomeFollower(message.GetTerm(), 0, now)
@@ -53,7 +53,7 @@
 	return true
 }
 
-func (n *Node) dispatchable() bool { return n.role == Follower && n.isVoter() }
+func (n *Node) promotable() bool { return n.role == Follower && n.isVoter() }
 
 func (n *Node) dispatch(message *protocol.ConsensusMessage, now time.Time) error {
 	switch message.GetKind() {
@@ -81,7 +81,7 @@
 }
 
 // answerStale tells the sender of an old term which term is in force.
-func (n *Node) answerStale(message *protocol.ConsensusMessage) {
+func (n *Node) rejectStaleTerm(message *protocol.ConsensusMessage) {
 	answer := &protocol.ConsensusMessage{To: message.GetFrom(), Reject: true}
 	switch message.GetKind() {
 	case protocol.ConsensusMessageKind_PRE_VOTE:
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -283,8 +283,8 @@
 		return member.GetId(), nil
 	}
 	view := o.membershipView()
-	var best consensus.Contact
-	for _, contact := range status.Contacts {
+	var best consensus.PeerStatus
+	for _, contact := range status.Peers {
 		if contact.Voter && view.alive(contact.ID) && (best.ID == 0 || contact.Match > best.Match) {
 			best = contact
 		}
@@ -313,8 +313,8 @@
 
 func (o *owner) membershipView() *membershipView {
 	status, options := o.node.Status(), o.replica.options
-	contacts := map[uint64]consensus.Contact{}
-	for _, contact := range status.Contacts {
+	contacts := map[uint64]consensus.PeerStatus{}
+	for _, contact := range status.Peers {
 		contacts[contact.ID] = contact
 	}
 	return &membershipView{
--- a/internal/controlplane/replica/plan.go
+++ b/internal/controlplane/replica/plan.go
@@ -21,7 +21,7 @@
 	configuration *protocol.CoreConfiguration
 	self          uint64
 	lastIndex     uint64
-	contacts      map[uint64]consensus.Contact
+	contacts      map[uint64]consensus.PeerStatus
 	now           time.Time
 	targetVoters  int
 	// aliveWithin is the silence below which a member counts as alive, goneAfter the one from
--- a/internal/controlplane/replica/plan_test.go
+++ b/internal/controlplane/replica/plan_test.go
@@ -54,7 +54,7 @@
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			view := &membershipView{
 				configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: last, now: now,
-				contacts: map[uint64]consensus.Contact{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
+				contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
 				freshWithin: time.Second,
 			}
 			for position, member := range tt.members {
@@ -63,7 +63,7 @@
 					Id: id, Name: member.name, Zone: member.zone, Voter: member.voter,
 				})
 				if id != view.self {
-					view.contacts[id] = consensus.Contact{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.silent) * time.Second)}
+					view.contacts[id] = consensus.PeerStatus{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.silent) * time.Second)}
 				}
 			}
 			reason := ""
@@ -82,14 +82,14 @@
 	viewOf := func(voters, learners int) *membershipView {
 		view := &membershipView{
 			configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: 10, now: now,
-			contacts: map[uint64]consensus.Contact{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
+			contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
 			freshWithin: time.Second,
 		}
 		for id := uint64(1); id <= uint64(voters+learners); id++ {
 			view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 				Id: id, Name: fmt.Sprint("member-", id), Voter: id <= uint64(voters),
 			})
-			view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
+			view.contacts[id] = consensus.PeerStatus{ID: id, Match: 10, LastContact: now}
 		}
 		return view
 	}
@@ -173,7 +173,7 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	view := &membershipView{
 		configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: 10, now: now,
-		contacts: map[uint64]consensus.Contact{}, targetVoters: targetVoters, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
+		contacts: map[uint64]consensus.PeerStatus{}, targetVoters: targetVoters, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
 		freshWithin: time.Second,
 	}
 	for position, member := range members {
@@ -181,7 +181,7 @@
 		view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
 			Id: id, Name: fmt.Sprint("m", id), Region: member.region, Zone: member.zone, Voter: member.voter,
 		})
-		view.contacts[id] = consensus.Contact{ID: id, Match: 10, LastContact: now}
+		view.contacts[id] = consensus.PeerStatus{ID: id, Match: 10, LastContact: now}
 	}
 	return view
 }
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -31,7 +31,7 @@
 		return nil, 0, r.notLeader()
 	}
 	if len(command) > MaxCommandBytes {
-		return nil, 0, &consensus.CommandSizeError{Size: len(command), Maximum: MaxCommandBytes}
+		return nil, 0, &consensus.CommandSizeError{Size: len(command), Limit: MaxCommandBytes}
 	}
 	proposal := &proposal{command: command, done: make(chan proposalResult, 1)}
 	select {
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -60,7 +60,7 @@
 		Configuration: view.status.Configuration, ClusterId: view.clusterID,
 		Empty: view.clusterID == "", LeaderLease: r.IsLeader(),
 	}
-	for _, contact := range view.status.Contacts {
+	for _, contact := range view.status.Peers {
 		status.Contacts = append(status.Contacts, &protocol.CoreMemberContact{
 			Id: contact.ID, Match: contact.Match, SilentMillis: uint64(now.Sub(contact.LastContact) / time.Millisecond),
 		})
--- a/internal/testing/sim/statesuite/coremembers.go
+++ b/internal/testing/sim/statesuite/coremembers.go
@@ -153,7 +153,7 @@
 		return true
 	}
 	alive := 1
-	for _, contact := range status.Contacts {
+	for _, contact := range status.Peers {
 		isOther := contact.ID != id && contact.ID != status.ID && slices.Contains(voters, contact.ID)
 		if isOther && p.environment.Now().Sub(contact.LastContact) < aliveWithin {
 			alive++
@@ -165,7 +165,7 @@
 func (p *coreProcess) handLeadershipOver() {
 	status := p.node.Status()
 	best, match := uint64(0), uint64(0)
-	for _, contact := range status.Contacts {
+	for _, contact := range status.Peers {
 		isVoter := slices.Contains(consensus.Voters(status.Configuration), contact.ID)
 		if isVoter && contact.ID != status.ID && contact.Match >= match {
 			best, match = contact.ID, contact.Match
--- a/internal/testing/sim/statesuite/coremembership.go
+++ b/internal/testing/sim/statesuite/coremembership.go
@@ -86,8 +86,8 @@
 
 // planMembers promotes learners while voters are lacking and removes lost members once there are enough.
 func (p *coreProcess) planMembers(status consensus.Status, now time.Time) {
-	contacts := map[uint64]consensus.Contact{}
-	for _, contact := range status.Contacts {
+	contacts := map[uint64]consensus.PeerStatus{}
+	for _, contact := range status.Peers {
 		contacts[contact.ID] = contact
 	}
 	silence := func(id uint64) time.Duration {
