--- a/internal/controlplane/consensus/faults_test.go
+++ b/internal/controlplane/consensus/random_faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// propose lets every member that thinks it leads take a command, a read and at times a change.
+// propose submits a command, a read and, if wanted, a change to every member that acts as leader.
 func (c *simulatedCluster) propose(membership bool) {
 	for _, id := range c.ids() {
 		member := c.members[id]
@@ -19,7 +19,7 @@
 		}
 		now := member.clock(c.now)
 		c.nextRead++
-		c.reads[c.nextRead] = c.highest
+		c.reads[c.nextRead] = c.highestApplied
 		_ = member.node.Read(c.nextRead, now)
 		c.command++
 		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.command)}, now)
@@ -30,7 +30,7 @@
 	}
 }
 
-// changeMembership flips the vote of a random member, or hands leadership over.
+// changeMembership flips the voter flag of a random member, or transfers leadership.
 func (c *simulatedCluster) changeMembership(leader *simulatedMember, now time.Time) {
 	configuration, _ := leader.node.Configuration()
 	target := configuration.GetMembers()[c.random.IntN(len(configuration.GetMembers()))]
@@ -48,8 +48,8 @@
 	}
 }
 
-// disturb brings about one random fault, or mends some. Half of the faults go for a leader.
-func (c *simulatedCluster) disturb() {
+// injectFault injects one random fault, or repairs some. Half of the faults hit a leader.
+func (c *simulatedCluster) injectFault() {
 	ids := c.ids()
 	member, other := c.members[ids[c.random.IntN(len(ids))]], ids[c.random.IntN(len(ids))]
 	if c.random.IntN(2) == 0 {
@@ -61,10 +61,10 @@
 	case 1:
 		member.frozen = true
 	case 2, 3:
-		c.cut[[2]uint64{member.id, other}] = true
+		c.partitioned[[2]uint64{member.id, other}] = true
 	case 4:
 		for _, id := range ids {
-			c.cut[[2]uint64{member.id, id}] = true
+			c.partitioned[[2]uint64{member.id, id}] = true
 		}
 	case 5:
 		c.slowUntil = c.now + c.random.Int64N(2000)
@@ -76,9 +76,9 @@
 			}
 		}
 	case 7:
-		c.cut = map[[2]uint64]bool{}
+		c.partitioned = map[[2]uint64]bool{}
 	default:
-		c.wakeAll()
+		c.resumeAll()
 	}
 }
 
@@ -91,9 +91,9 @@
 	return member
 }
 
-// wakeAll restarts who is down and lets who is frozen go on; a frozen one serves requests before
-// it looks at its clock.
-func (c *simulatedCluster) wakeAll() {
+// resumeAll restarts the members that are down and resumes the frozen ones; those serve requests
+// before they see how much time has passed.
+func (c *simulatedCluster) resumeAll() {
 	for _, id := range c.ids() {
 		member := c.members[id]
 		if member.down {
@@ -108,7 +108,7 @@
 }
 
 func (c *simulatedCluster) heal() {
-	c.loss, c.cut = 0, map[[2]uint64]bool{}
+	c.loss, c.partitioned = 0, map[[2]uint64]bool{}
 	for _, id := range c.ids() {
 		member := c.members[id]
 		member.frozen = false
@@ -118,10 +118,10 @@
 	}
 }
 
-// settle runs until all members applied the same and a new command besides.
-func (c *simulatedCluster) settle() {
+// awaitConvergence runs until all members have applied the same entries and a new command besides.
+func (c *simulatedCluster) awaitConvergence() {
 	c.heal()
-	target := c.highest + 1
+	target := c.highestApplied + 1
 	for range 4000 {
 		c.step()
 		if c.now%50 == 0 {
@@ -151,33 +151,34 @@
 	for seed := uint64(1); seed <= 60; seed++ {
 		cluster := newSimulatedCluster(t, seed, 3+int(seed%2)*2, 2)
 		cluster.loss = 0.05 * float64(seed%4)
-		for round := 1; round <= 8000 && !t.Failed(); round++ {
+		for step := 1; step <= 8000 && !t.Failed(); step++ {
 			cluster.step()
-			// A quiet time lets every log be up to date, so that anybody might win an election.
-			if quiet := round/500%2 == 1; round%4 == 0 && !quiet || round%200 == 0 {
-				cluster.propose(round%100 == 0)
+			// A quiet period brings every log up to date, so that any member could be elected.
+			if quiet := step/500%2 == 1; step%4 == 0 && !quiet || step%200 == 0 {
+				cluster.propose(step%100 == 0)
 			}
-			if round%150 == 0 {
-				cluster.disturb()
+			if step%150 == 0 {
+				cluster.injectFault()
 			}
 		}
-		cluster.settle()
+		cluster.awaitConvergence()
 		total.elections += cluster.elections
 		total.installs += cluster.installs
-		total.leased += cluster.leased
-		total.served += cluster.served
+		total.leaseSteps += cluster.leaseSteps
+		total.confirmedReads += cluster.confirmedReads
 		total.changes += cluster.changes
 		total.restarts += cluster.restarts
-		total.highest += cluster.highest
+		total.highestApplied += cluster.highestApplied
 	}
 	t.Logf("elections %d, installs %d, steps with a lease %d, reads %d, changes %d, restarts %d, entries %d",
-		total.elections, total.installs, total.leased, total.served, total.changes, total.restarts, total.highest)
+		total.elections, total.installs, total.leaseSteps, total.confirmedReads,
+		total.changes, total.restarts, total.highestApplied)
 	for name, count := range map[string]int{
-		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leased,
-		"reads": total.served, "membership changes": total.changes, "restarts": total.restarts,
+		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leaseSteps,
+		"reads": total.confirmedReads, "membership changes": total.changes, "restarts": total.restarts,
 	} {
 		if count < 60 {
-			t.Errorf("the run provoked only %d %s", count, name)
+			t.Errorf("the run covered only %d %s", count, name)
 		}
 	}
 }
