--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -202,7 +202,7 @@
 		must(t, err)
 		copied := filepath.Join("core", relative)
 		if entry.IsDir() {
-			return disk.MakeFolder(copied)
+			return disk.MkdirAll(copied)
 		}
 		content, err := os.ReadFile(path)
 		must(t, err)
@@ -215,7 +215,7 @@
 		must(t, err)
 		must(t, file.Sync())
 		must(t, file.Close())
-		return disk.SyncFolder(filepath.Dir(copied))
+		return disk.SyncDir(filepath.Dir(copied))
 	}))
 	return disk
 }
@@ -257,8 +257,8 @@
 			if !slices.EqualFunc(read, expected, func(one, other *protocol.CoreRecord) bool { return proto.Equal(one, other) }) {
 				t.Errorf("read %v\nin place of %v", read, expected)
 			}
-			if opened.log.CutBytes() != 0 {
-				t.Errorf("%d bytes were cut off", opened.log.CutBytes())
+			if opened.log.TruncatedBytes() != 0 {
+				t.Errorf("%d bytes were cut off", opened.log.TruncatedBytes())
 			}
 			must(t, opened.close())
 		})
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -250,14 +250,14 @@
 		if path == damaged {
 			content[offset] ^= 0xff
 		}
-		must(t, disk.MakeFolder(filepath.Dir(copied)))
+		must(t, disk.MkdirAll(filepath.Dir(copied)))
 		file, err := disk.Create(copied)
 		must(t, err)
 		_, err = file.WriteAt(content, 0)
 		must(t, err)
 		must(t, file.Sync())
 		must(t, file.Close())
-		must(t, disk.SyncFolder(filepath.Dir(copied)))
+		must(t, disk.SyncDir(filepath.Dir(copied)))
 	}
 	return disk
 }
@@ -281,10 +281,10 @@
 			if !found {
 				return nil
 			}
-			return entry.state.Message(key.message())
+			return entry.state.ToProto(key.message())
 		})
 		must(t, err)
-		if !proto.Equal(held, stored.state.Message(key.message())) {
+		if !proto.Equal(held, stored.state.ToProto(key.message())) {
 			t.Errorf("register %v holds %v", key, held)
 		}
 	}
@@ -325,7 +325,7 @@
 	if opened.indexedSegment != 2 {
 		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
 	}
-	if cut := folder.registers.CutBytes() + folder.turns.CutBytes(); cut != 0 {
+	if cut := folder.registers.TruncatedBytes() + folder.turns.TruncatedBytes(); cut != 0 {
 		t.Errorf("%d bytes were cut off", cut)
 	}
 	expectStored(t, opened)
