--- a/internal/state/register/acceptor.go
+++ b/internal/state/register/acceptor.go
@@ -2,19 +2,20 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// State is what one replica holds of one register.
+// State is one register on one replica, the acceptor of the protocol. Its methods leave it unchanged and return the
+// next state. It is not synchronized: the goroutine that owns the replica owns its states.
 type State struct {
 	// Promised is the lowest ballot that may still be accepted.
 	Promised Ballot
 	// Accepted is the ballot of Value; zero when nothing was accepted.
 	Accepted Ballot
 	Value    []byte
-	// Learned says that the value was copied from another replica. It counts
-	// when a new proposer looks for the newest value, but it is no vote for it.
+	// Learned says that the value was copied from another replica. It counts when a new proposer looks for the newest
+	// value, but it is no vote for that value.
 	Learned bool
 }
 
-// StateOf reads a state from its message.
+// StateFromProto reads a state from its message.
 func StateFromProto(message *protocol.RegisterState) State {
 	return State{
 		Promised: BallotFromProto(message.GetPromised()),
@@ -24,7 +25,7 @@
 	}
 }
 
-// Message gives the state of a key as a message.
+// ToProto returns the state of a key as a message.
 func (s State) ToProto(key *protocol.RegisterKey) *protocol.RegisterState {
 	return &protocol.RegisterState{
 		Key:      key,
@@ -35,10 +36,9 @@
 	}
 }
 
-// Prepare decides a prepare request. When changed, the new state must be
-// durable before the answer leaves; an answer must also never leave before an
-// earlier state of the register that it shows is durable. A zero ballot reads
-// and promises nothing.
+// Prepare decides a prepare request: it promises to reject lower ballots and reports what was accepted. When changed,
+// the next state must be durable before the answer leaves; nor may an answer leave before an earlier state of the
+// register that it shows is durable. A zero ballot reads without promising anything.
 func (s State) Prepare(ballot Ballot) (next State, answer *protocol.PrepareResponse, changed bool) {
 	answer = &protocol.PrepareResponse{
 		Accepted: s.Accepted.ToProto(),
@@ -57,9 +57,11 @@
 	return s, answer, true
 }
 
-// Accept decides an accept request; nextBallot, when not zero, is promised
-// along with the value. The rules for durability are those of Prepare.
-func (s State) Accept(ballot Ballot, value []byte, nextBallot Ballot) (next State, answer *protocol.AcceptResponse, changed bool) {
+// Accept decides an accept request; nextBallot, when not zero, is promised along with the value. A repeated request is
+// accepted again without a change. The rules for durability are those of Prepare.
+func (s State) Accept(
+	ballot Ballot, value []byte, nextBallot Ballot,
+) (next State, answer *protocol.AcceptResponse, changed bool) {
 	if ballot == s.Accepted && !s.Learned {
 		return s, &protocol.AcceptResponse{Accepted: true}, false
 	}
@@ -70,9 +72,8 @@
 	return accepted, &protocol.AcceptResponse{Accepted: true}, true
 }
 
-// Learn takes over what another replica accepted, for rebuilds, moves and
-// repairs. A learned value is no vote, but the promise rises to its ballot: a
-// proposer below it would build on a value that is newer than its own proposal.
+// Learn copies what another replica accepted, for rebuilds, moves and scrubs. A learned value is no vote, but the
+// promised ballot rises to its ballot: a proposer below it would build on a value newer than its own proposal.
 func (s State) Learn(accepted Ballot, value []byte) (next State, changed bool) {
 	if !s.Accepted.Less(accepted) {
 		return s, false
--- a/internal/state/register/ballot.go
+++ b/internal/state/register/ballot.go
@@ -1,11 +1,3 @@
-// Package register is a compare-and-set register for every key, replicated over
-// the stores of a shard. It follows the published CASPaxos idea: a change is a
-// function of the newest value, proposed under a ballot in two rounds over a
-// majority of the replicas, with no leader and no log. The package does no I/O:
-// acceptors say what must be durable before an answer leaves, proposers say
-// which messages to send.
-//
-// Source: design page, program ledger.
 package register
 
 import (
@@ -14,20 +6,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Ballot orders proposals on one register. The zero ballot is below all others.
-// A proposer never uses a ballot for two values; its name is therefore new at
-// every start of its process.
+// Ballot is the number of a proposal; it orders the proposals on one register. The zero ballot is below all others.
+// A proposer never uses a ballot for two values, so its name must be new at every start of its process.
 type Ballot struct {
-	Counter  uint64
+	Counter uint64
+	// Proposer is unique among all proposers of the cluster and orders ballots of the same Counter.
 	Proposer string
 }
 
-// BallotOf reads a ballot from a message; nil is the zero ballot.
+// BallotFromProto reads a ballot from a message; nil is the zero ballot.
 func BallotFromProto(message *protocol.Ballot) Ballot {
 	return Ballot{Counter: message.GetCounter(), Proposer: message.GetProposer()}
 }
 
-// Message gives the ballot as a message; the zero ballot is nil.
+// ToProto returns the ballot as a message; nil for the zero ballot.
 func (b Ballot) ToProto() *protocol.Ballot {
 	if b.IsZero() {
 		return nil
@@ -46,6 +38,7 @@
 	return b.Proposer < other.Proposer
 }
 
+// String returns the ballot as counter@proposer, for logs.
 func (b Ballot) String() string { return fmt.Sprintf("%d@%s", b.Counter, b.Proposer) }
 
 func maxBallot(a, b Ballot) Ballot {
@@ -55,31 +48,32 @@
 	return a
 }
 
-// Ballots hands out the ballots of one proposer, each larger than any before on any key.
+// BallotGenerator issues the ballots of one proposer, each larger than any that it issued before on any key.
+// It is not safe for concurrent use.
 type BallotGenerator struct {
 	proposer string
 	counter  uint64
 }
 
-// NewBallots begins with the first ballot of a proposer whose name no process used before.
+// NewBallotGenerator returns a generator for a proposer whose name no process used before.
 func NewBallotGenerator(proposer string) *BallotGenerator {
 	return &BallotGenerator{proposer: proposer}
 }
 
-// Advance makes the next ballot larger than any that was given before a time in Unix
-// milliseconds by proposers whose clocks agree. Replicas forget registers that nobody wrote
-// for long; one that missed the end still holds the old value, and every later ballot must be above it.
-func (b *BallotGenerator) Advance(unixMillis int64) {
+// Advance makes the next ballot larger than any that was issued before a time in Unix milliseconds by proposers whose
+// clocks agree. Replicas expire registers that were not written for long; a replica that missed the expiry still
+// stores the old value, and every later ballot must be above it.
+func (g *BallotGenerator) Advance(unixMillis int64) {
 	if unixMillis > 0 {
-		b.counter = max(b.counter, uint64(unixMillis))
+		g.counter = max(g.counter, uint64(unixMillis))
 	}
 }
 
-// Next gives a ballot larger than the ones seen and than all given before.
-func (b *BallotGenerator) Next(seen ...Ballot) Ballot {
+// Next returns a ballot larger than the ones seen and than all issued before.
+func (g *BallotGenerator) Next(seen ...Ballot) Ballot {
 	for _, ballot := range seen {
-		b.counter = max(b.counter, ballot.Counter)
+		g.counter = max(g.counter, ballot.Counter)
 	}
-	b.counter++
-	return Ballot{Counter: b.counter, Proposer: b.proposer}
+	g.counter++
+	return Ballot{Counter: g.counter, Proposer: g.proposer}
 }
--- a/internal/state/register/change.go
+++ b/internal/state/register/change.go
@@ -6,102 +6,116 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Function gives the new value for the newest one, nil for a register never
-// written. Returning changed false leaves the value as it is. It may be called
-// again with another value after a lost race, so it must be idempotent.
+// UpdateFunc computes the next value from the current one, which is nil for a register never written. Returning changed
+// false leaves the value as it is. It is called again with a newer value when another proposer wins, so it must be
+// idempotent.
 type UpdateFunc func(current []byte) (next []byte, changed bool)
 
-// Head is what a proposer knows of a register after its own change was chosen:
-// a majority promised Ballot along with Value under the placement epoch, so the
-// next change may skip its prepare round.
+// PreparedProposal is what a proposer knows of a register after its own change was chosen: a majority promised Ballot
+// along with Value under the placement epoch, so the next change may skip its prepare phase.
 type PreparedProposal struct {
+	// Epoch is the placement epoch under which the ballot was promised.
 	Epoch  uint64
 	Ballot Ballot
 	Value  []byte
 }
 
-// Status says how far a change has come.
+// Status is the progress of a change; the package comment has a table of the transitions.
 type Status int
 
 const (
-	// StatusUnderWay waits for answers.
+	// StatusInProgress waits for answers.
 	StatusInProgress Status = iota
 	// StatusPreempted lost against a higher ballot and waits for Retry.
 	StatusPreempted
-	// StatusUnavailable found no majority; it waits for Retry.
+	// StatusUnavailable cannot reach a majority any more; it waits for Retry.
 	StatusUnavailable
-	// StatusWrongPlacement met a replica under another placement epoch; begin
-	// anew once the placement that SeenEpoch names is known.
+	// StatusWrongPlacement was rejected under a newer placement epoch; a new Change is needed once the placement that
+	// SeenEpoch names is known.
 	StatusWrongPlacement
-	// StatusChosen ended: the value is chosen.
+	// StatusChosen is final: the value is chosen.
 	StatusChosen
 )
 
 // Message is a request to one replica; exactly one of Prepare and Accept is set.
-// Round tells late answers apart.
 type Message struct {
-	Store       string
+	Store string
+	// PhaseNumber is handed back with the answer, so that late answers to an earlier phase are ignored.
 	PhaseNumber uint64
 	Prepare     *protocol.PrepareRequest
 	Accept      *protocol.AcceptRequest
 }
 
+// phase is the step of the protocol that a change is in.
 type phase int
 
 const (
+	// phaseReading requests the accepted values without a ballot.
 	phaseReading phase = iota
+	// phasePreparing requests promises for a ballot, with the accepted values.
 	phasePreparing
+	// phaseAccepting requests that the value be stored under the promised ballot.
 	phaseAccepting
 )
 
-// ChangeOptions describe one change.
+// ChangeOptions describe one change or read.
 type ChangeOptions struct {
-	Key     *protocol.RegisterKey
-	Shard   uint32
+	Key   *protocol.RegisterKey
+	Shard uint32
+	// Epoch is the placement epoch that Quorum was taken from; every message names it.
 	Epoch   uint64
 	Quorum  Quorum
 	Ballots *BallotGenerator
-	// Function is applied to the newest value. When nil the change is a read.
+	// Update is applied to the newest value. When nil the change is a read.
 	Update UpdateFunc
-	// Head, when of the same epoch, skips the prepare round.
+	// PreparedProposal, when of the same epoch, lets the change skip its prepare phase.
 	PreparedProposal PreparedProposal
 }
 
-// Change takes one register through prepare and accept. It is driven by its
-// owner: Start and Retry return messages to send, the answers come back through
-// Prepared, Accepted and Failed.
+// Change is the proposer of one change or read of a register. Its owner sends the messages that Start, Retry and the
+// handlers return, and passes each answer to HandlePrepareResponse or HandleAcceptResponse, or the lack of one to
+// HandleFailure. It is not safe for concurrent use.
 type Change struct {
-	options        ChangeOptions
-	members        []string
-	phaseNumber    uint64
-	phase          phase
-	status         Status
-	ballot         Ballot
-	nextBallot     Ballot
-	value          []byte
-	seenBallot     Ballot
-	seenEpoch      uint64
-	votes          []string
-	failed         []string
+	options ChangeOptions
+	members []string
+
+	phase       phase
+	phaseNumber uint64
+	status      Status
+
+	// ballot is that of the proposal, nextBallot the one that it has promised for the change after it.
+	ballot     Ballot
+	nextBallot Ballot
+	value      []byte
+
+	// seenBallot and seenEpoch are the highest ones that a rejection named.
+	seenBallot Ballot
+	seenEpoch  uint64
+
+	// votes and failed name the stores that answered the phase, and those that will not.
+	votes  []string
+	failed []string
+
+	// newestAccepted is the highest accepted ballot among the votes; unanimous says that all of them accepted it.
 	newestAccepted Ballot
 	unanimous      bool
 }
 
-// NewChange makes a change that has not begun.
+// NewChange returns a change that has not been started.
 func NewChange(options ChangeOptions) *Change {
 	return &Change{options: options, members: options.Quorum.Members()}
 }
 
-// Status says how far the change has come.
+// Status returns the progress of the change.
 func (c *Change) Status() Status { return c.status }
 
-// Value is the chosen value; nil for a register never written. Valid with StatusChosen.
+// Value returns the chosen value; nil for a register never written. Valid with StatusChosen.
 func (c *Change) Value() []byte { return c.value }
 
-// SeenEpoch is the placement epoch that a replica named. Valid with StatusWrongPlacement.
+// SeenEpoch returns the newest placement epoch that a replica named. Valid with StatusWrongPlacement.
 func (c *Change) SeenEpoch() uint64 { return c.seenEpoch }
 
-// Head lets the next change skip its prepare round. Its ballot is zero when it cannot.
+// PreparedProposal lets the next change skip its prepare phase. Its ballot is zero when that is not possible.
 func (c *Change) PreparedProposal() PreparedProposal {
 	if c.status != StatusChosen || c.phase != phaseAccepting {
 		return PreparedProposal{}
@@ -109,7 +123,7 @@
 	return PreparedProposal{Epoch: c.options.Epoch, Ballot: c.nextBallot, Value: c.value}
 }
 
-// Start gives the first messages. It is called once.
+// Start returns the first messages. It is called once.
 func (c *Change) Start() []Message {
 	if c.options.Update == nil {
 		return c.read()
@@ -121,7 +135,7 @@
 	return c.prepare()
 }
 
-// Retry begins anew with a higher ballot after StatusPreempted or StatusUnavailable.
+// Retry starts the prepare phase again with a higher ballot after StatusPreempted or StatusUnavailable.
 func (c *Change) Retry() []Message {
 	if c.status != StatusPreempted && c.status != StatusUnavailable {
 		return nil
@@ -137,30 +151,26 @@
 	c.failed = c.failed[:0]
 }
 
-// read asks for the values only. When a majority voted for the same ballot that
-// value is chosen, and no later one was when the read began. Otherwise the read
-// goes on as a change that leaves the value as it is, and so repairs it.
+// read requests the values only. When a majority voted for the same ballot, that value is chosen, and no later one was
+// when the read began. Otherwise the read continues as a change that leaves the value as it is, and so repairs it.
 func (c *Change) read() []Message {
 	c.beginPhase(phaseReading)
 	c.resetNewest()
-	return c.broadcast(func(message *Message) {
-		message.Prepare = &protocol.PrepareRequest{
-			Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
-		}
-	})
+	return c.broadcast(Message{Prepare: &protocol.PrepareRequest{
+		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
+	}})
 }
 
 func (c *Change) prepare() []Message {
 	c.beginPhase(phasePreparing)
 	c.resetNewest()
 	c.ballot = c.options.Ballots.Next(c.seenBallot, c.ballot, c.nextBallot)
-	request := &protocol.PrepareRequest{
+	return c.broadcast(Message{Prepare: &protocol.PrepareRequest{
 		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key, Ballot: c.ballot.ToProto(),
-	}
-	return c.broadcast(func(message *Message) { message.Prepare = request })
+	}})
 }
 
-// accept proposes the function's value of current under the ballot at hand.
+// accept proposes the updated value under the ballot that a majority promised.
 func (c *Change) accept(current []byte) []Message {
 	c.beginPhase(phaseAccepting)
 	c.value = current
@@ -170,18 +180,18 @@
 		}
 	}
 	c.nextBallot = c.options.Ballots.Next(c.ballot)
-	request := &protocol.AcceptRequest{
+	return c.broadcast(Message{Accept: &protocol.AcceptRequest{
 		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
 		Ballot: c.ballot.ToProto(), Value: c.value, NextBallot: c.nextBallot.ToProto(),
-	}
-	return c.broadcast(func(message *Message) { message.Accept = request })
+	}})
 }
 
-func (c *Change) broadcast(fill func(*Message)) []Message {
+// broadcast addresses a message of the phase to every member. The request is shared and read-only from here on.
+func (c *Change) broadcast(message Message) []Message {
+	message.PhaseNumber = c.phaseNumber
 	messages := make([]Message, 0, len(c.members))
 	for _, store := range c.members {
-		message := Message{Store: store, PhaseNumber: c.phaseNumber}
-		fill(&message)
+		message.Store = store
 		messages = append(messages, message)
 	}
 	return messages
@@ -193,13 +203,14 @@
 	c.unanimous = true
 }
 
-// Prepared takes the answer to a prepare message of the round.
+// HandlePrepareResponse takes in a store's answer to a prepare message and returns the messages to send next.
 func (c *Change) HandlePrepareResponse(store string, phaseNumber uint64, answer *protocol.PrepareResponse) []Message {
 	if !c.expectsAnswer(store, phaseNumber) || c.phase == phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if answer.GetRefusal() != notRejected {
+		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return nil
 	}
 	c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
 	if c.phase == phasePreparing && !answer.GetPromised() {
@@ -214,7 +225,7 @@
 	return c.finishPrepare()
 }
 
-// takeValue keeps the value of the highest ballot and whether all votes agree on it.
+// mergeValue keeps the value of the highest ballot and whether all votes agree on it.
 func (c *Change) mergeValue(answer *protocol.PrepareResponse) {
 	accepted := BallotFromProto(answer.GetAccepted())
 	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newestAccepted) {
@@ -241,8 +252,8 @@
 	return c.accept(c.value)
 }
 
-// changes asks the function about a value that is known to be chosen, since
-// nothing needs to be written when it stays as it is.
+// wouldChange reports whether the update changes a value that is known to be chosen. Otherwise nothing needs to be
+// written.
 func (c *Change) wouldChange(current []byte) bool {
 	if c.options.Update == nil {
 		return false
@@ -251,13 +262,15 @@
 	return changed
 }
 
-// Accepted takes the answer to an accept message of the round.
+// HandleAcceptResponse takes in a store's answer to an accept message. It has the form of HandlePrepareResponse but
+// returns no messages, since no phase follows the accept phase.
 func (c *Change) HandleAcceptResponse(store string, phaseNumber uint64, answer *protocol.AcceptResponse) []Message {
 	if !c.expectsAnswer(store, phaseNumber) || c.phase != phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if answer.GetRefusal() != notRejected {
+		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return nil
 	}
 	if !answer.GetAccepted() {
 		c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
@@ -271,27 +284,26 @@
 	return nil
 }
 
-// Failed says that no answer to the round will come from the store.
+// HandleFailure records that the store will not answer the phase.
 func (c *Change) HandleFailure(store string, phaseNumber uint64) {
 	if c.expectsAnswer(store, phaseNumber) {
 		c.recordFailure(store, StatusUnavailable)
 	}
 }
 
-func (c *Change) handleRejection(store string, rejection protocol.ReplicaRefusal, epoch uint64) []Message {
+func (c *Change) handleRejection(store string, rejection protocol.ReplicaRefusal, epoch uint64) {
+	status := StatusUnavailable
 	if rejection == protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT && epoch > c.options.Epoch {
 		c.seenEpoch = max(c.seenEpoch, epoch)
-		c.recordFailure(store, StatusWrongPlacement)
-		return nil
+		status = StatusWrongPlacement
 	}
-	c.recordFailure(store, StatusUnavailable)
-	return nil
+	c.recordFailure(store, status)
 }
 
-// fail counts a store out; the change stops when no majority is left.
+// recordFailure excludes a store from the phase; the change stops with the status when no majority is left.
 func (c *Change) recordFailure(store string, status Status) {
 	c.failed = append(c.failed, store)
-	if !c.options.Quorum.Lost(func(s string) bool { return slices.Contains(c.failed, s) }) {
+	if !c.options.Quorum.Lost(c.hasFailed) {
 		return
 	}
 	c.status = status
@@ -302,7 +314,10 @@
 
 func (c *Change) hasVoted(store string) bool { return slices.Contains(c.votes, store) }
 
+func (c *Change) hasFailed(store string) bool { return slices.Contains(c.failed, store) }
+
+// expectsAnswer reports whether an answer of the store to the numbered phase still counts.
 func (c *Change) expectsAnswer(store string, phaseNumber uint64) bool {
 	return c.status == StatusInProgress && phaseNumber == c.phaseNumber &&
-		!slices.Contains(c.votes, store) && !slices.Contains(c.failed, store) && slices.Contains(c.members, store)
+		!c.hasVoted(store) && !c.hasFailed(store) && slices.Contains(c.members, store)
 }
--- a/internal/state/register/linearizable_test.go
+++ b/internal/state/register/linearizable_test.go
@@ -14,19 +14,19 @@
 	_ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed"
 )
 
-// linearizable decides whether a history of appendModel is linearizable, in steps bounded by n log n for n operations.
+// linearizable decides whether a history of appendModel is linearizable, in O(n log n) steps for n operations.
 //
-// Each value is appended by at most one operation, and each operation names the list right after it. So the lists must be
-// prefixes of each other, and they give the order of the operations: each append comes right before the reads of its list.
-// Reads of the same list stand in the order in which they began, which suits real time whenever any order does. The
-// history is linearizable if, and only if, that one order fits. The error says why it doesn't.
+// Each value is appended by at most one operation, and each operation returns the list right after it. So the lists
+// must be prefixes of each other, and they give the order of the operations: each append comes right before the reads
+// of its list. Reads of the same list are ordered by their start, which fits real time whenever any order does. The
+// history is linearizable if, and only if, that one order fits. The error says why it does not.
 func linearizable(history []porcupine.Operation) error {
 	ranked := make([]rankedOperation, 0, len(history))
 	for _, operation := range history {
 		ranked = append(ranked, rank(operation))
 	}
 	slices.SortStableFunc(ranked, func(a, b rankedOperation) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.Call, b.Call))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.Call, b.Call))
 	})
 	if err := checkChain(ranked); err != nil {
 		return err
@@ -34,25 +34,25 @@
 	return checkRealTime(ranked)
 }
 
-// rankedOperation is an operation with its place in the only order that its list allows.
+// rankedOperation is an operation with its rank in the only order that its list allows.
 type rankedOperation struct {
 	porcupine.Operation
 	input operationInput
 	list  string
-	// place is twice the length of the list, and one more for reads.
-	place int
+	// rank is twice the length of the list, and one more for reads.
+	rank int
 }
 
 func rank(operation porcupine.Operation) rankedOperation {
 	input, list := operation.Input.(operationInput), operation.Output.(string)
-	place := 2 * len(strings.Fields(list))
+	order := 2 * len(strings.Fields(list))
 	if input.read {
-		place++
+		order++
 	}
-	return rankedOperation{Operation: operation, input: input, list: list, place: place}
+	return rankedOperation{Operation: operation, input: input, list: list, rank: order}
 }
 
-// checkChain sees to it that each list is made of the one before by the append that comes between them.
+// checkChain reports a list that does not follow from the one before by the append between them.
 func checkChain(ranked []rankedOperation) error {
 	list := ""
 	for _, operation := range ranked {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// checkRealTime sees to it that no operation ended before one began that comes earlier in the order.
+// checkRealTime reports an operation that ended before one began that comes earlier in the order.
 func checkRealTime(ranked []rankedOperation) error {
 	var latest rankedOperation
 	for _, operation := range ranked {
--- a/internal/state/register/quorum.go
+++ b/internal/state/register/quorum.go
@@ -6,15 +6,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Quorum tells when enough replicas have answered. While a shard moves, the
-// current and the next replicas must each give a majority, so that no change of
-// placement splits a quorum.
+// Quorum decides when enough replicas have answered. While a shard moves, the current and the next replicas must each
+// give a majority (joint consensus), so that no change of placement splits a quorum.
 type Quorum struct {
+	// Current and Next are names of stores; Next is empty unless the shard moves.
 	Current []string
 	Next    []string
 }
 
-// QuorumOf names the stores of a shard.
+// NewQuorum returns the quorum over the stores of a shard.
 func NewQuorum(placement *protocol.ShardPlacement) Quorum {
 	return Quorum{Current: storeNames(placement.GetCurrent()), Next: storeNames(placement.GetNext())}
 }
@@ -27,7 +27,7 @@
 	return stores
 }
 
-// Members names every store once: the current ones, then those that join.
+// Members returns each store once: the current ones, then those that join.
 func (q Quorum) Members() []string {
 	members := slices.Clone(q.Current)
 	for _, store := range q.Next {
@@ -38,22 +38,22 @@
 	return members
 }
 
-// Reached reports whether the stores that hold give a majority of each set.
-func (q Quorum) Reached(holds func(store string) bool) bool {
-	return hasMajority(q.Current, holds) && (len(q.Next) == 0 || hasMajority(q.Next, holds))
+// Reached reports whether the stores for which voted is true are a majority of each set.
+func (q Quorum) Reached(voted func(store string) bool) bool {
+	return hasMajority(q.Current, voted) && (len(q.Next) == 0 || hasMajority(q.Next, voted))
 }
 
-// Lost reports whether no majority is possible any more once these stores failed.
+// Lost reports whether no majority is possible any more without the stores that failed.
 func (q Quorum) Lost(failed func(store string) bool) bool {
 	return !q.Reached(func(store string) bool { return !failed(store) })
 }
 
-func hasMajority(stores []string, holds func(string) bool) bool {
-	count := 0
+func hasMajority(stores []string, voted func(string) bool) bool {
+	votes := 0
 	for _, store := range stores {
-		if holds(store) {
-			count++
+		if voted(store) {
+			votes++
 		}
 	}
-	return count > len(stores)/2
+	return votes > len(stores)/2
 }
--- a/internal/state/register/role.go
+++ b/internal/state/register/role.go
@@ -6,19 +6,19 @@
 type Role int
 
 const (
-	// RoleNone holds no replica of the shard.
+	// RoleNone has no replica of the shard.
 	RoleNone Role = iota
-	// RoleRebuilding lost its data and votes for nothing until it is copied anew.
+	// RoleRebuilding lost its data and does not vote until it is copied again.
 	RoleRebuilding
-	// RoleJoining votes from the beginning, beside the full majority of the
-	// replicas that it will replace, but cannot say yet what does not exist.
+	// RoleJoining votes from the start, beside a majority of the current replicas, but cannot prove yet that a value
+	// does not exist.
 	RoleJoining
 	// RoleActive votes and serves.
 	RoleActive
 )
 
-// RoleOf tells the role of a store in a shard. A store that is named with
-// another storage id has lost the data that the placement speaks of.
+// ShardRole returns the role of a store in a shard. A store that the placement names with another storage id has lost
+// the data that the placement counts on.
 func ShardRole(placement *protocol.ShardPlacement, store, storageID string) Role {
 	if replica := findReplica(placement.GetCurrent(), store); replica != nil {
 		if replica.GetStorageId() != storageID || replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING {
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// EpochOf gives the epoch that requests about the shard must name.
+// ShardEpoch returns the epoch that requests about the shard must name: the shard's own one, or that of the placement
+// for shards without one.
 func ShardEpoch(placement *protocol.Placement, shard *protocol.ShardPlacement) uint64 {
 	if shard.GetEpoch() != 0 {
 		return shard.GetEpoch()
--- a/internal/state/register/shard_view.go
+++ b/internal/state/register/shard_view.go
@@ -6,18 +6,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ShardView is what the placement in force says to one store about one shard.
+// ShardView is one shard as the placement in force assigns it to one store. It is immutable.
 type ShardView struct {
 	Shard uint32
 	// Epoch must be named by every request about the shard; zero before a placement is known.
 	Epoch  uint64
 	Role   Role
 	Quorum Quorum
-	// Placed is the entry of the placement. It is not changed.
+	// Placement is the entry of the placement; read-only.
 	Placement *protocol.ShardPlacement
 }
 
-// ViewOf reads an entry of the placement as the named store must.
+// NewShardView returns a shard of the placement as the named store must see it.
 func NewShardView(placement *protocol.Placement, placed *protocol.ShardPlacement, store, storageID string) ShardView {
 	return ShardView{
 		Shard:     placed.GetShard(),
@@ -28,10 +28,11 @@
 	}
 }
 
+// notRejected is the zero value of a rejection: the request is served.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// Refusal tells why a replica may not answer a request that names an epoch;
-// REPLICA_REFUSAL_UNSPECIFIED when it may.
+// Rejection returns why the replica must not serve a request that names an epoch; REPLICA_REFUSAL_UNSPECIFIED when it
+// may serve it.
 func (v ShardView) Rejection(epoch uint64) protocol.ReplicaRefusal {
 	switch {
 	case v.Epoch == 0:
@@ -45,9 +46,9 @@
 	}
 }
 
-// CopyRefusal tells why a shard may not be copied from this replica. Only a
-// complete one under the same epoch counts: it has stopped to vote under older
-// placements before it shows what it holds.
+// CopyRejection returns why a shard must not be copied from this replica; REPLICA_REFUSAL_UNSPECIFIED when it may be.
+// Only a complete replica under the same epoch is a source: it stopped voting under older placements before it shows
+// its state.
 func (v ShardView) CopyRejection(epoch uint64) protocol.ReplicaRefusal {
 	if rejection := v.Rejection(epoch); rejection != notRejected {
 		return rejection
@@ -58,39 +59,38 @@
 	return notRejected
 }
 
-// SourcesNeeded is how many other replicas of the current set must be read in
-// full so that everything ever chosen is among what they hold.
+// RequiredSources is how many other replicas of the current set must be read completely so that every chosen value is
+// on one of them.
 func (v ShardView) RequiredSources() int {
 	replicas := len(v.Quorum.Current)
 	majority := replicas/2 + 1
 	if v.Role == RoleRebuilding {
-		// A majority may have included this store, which forgot.
+		// A majority may have included this store, which lost its data.
 		return replicas - majority + 1
 	}
 	return majority
 }
 
-// StartsEmpty reports whether a store must forget what it holds of the shard
-// when this view follows the one before. What is left of an earlier membership
-// may hold proposals that the replicas of today never promised away. The view
-// before is the zero view at the start of a process.
-func (v ShardView) RequiresReset(before ShardView) bool {
+// RequiresReset reports whether a store must discard its state of the shard when this view follows the previous one,
+// which is the zero view at the start of a process. State of an earlier membership may contain proposals that the
+// replicas of this one never promised to reject.
+func (v ShardView) RequiresReset(previous ShardView) bool {
 	switch v.Role {
 	case RoleActive:
 		return false
 	case RoleNone:
 		return true
 	}
-	if before.Role != v.Role {
+	if previous.Role != v.Role {
 		return true
 	}
 	if v.Role == RoleJoining && v.Placement.GetEpoch() != 0 {
-		return before.Epoch != v.Epoch
+		return previous.Epoch != v.Epoch
 	}
-	return replicaIdentities(before.Placement) != replicaIdentities(v.Placement)
+	return replicaIdentities(previous.Placement) != replicaIdentities(v.Placement)
 }
 
-// WaitsForCopy reports whether the placement waits for the store to copy the shard.
+// NeedsCopy reports whether the placement waits for the store to copy the shard.
 func (v ShardView) NeedsCopy(store, storageID string) bool {
 	switch v.Role {
 	case RoleJoining:
@@ -102,6 +102,7 @@
 	}
 }
 
+// replicaIdentities returns the members of a shard with their storage ids as one comparable text.
 func replicaIdentities(placed *protocol.ShardPlacement) string {
 	var text strings.Builder
 	for _, replicas := range [][]*protocol.Replica{placed.GetCurrent(), placed.GetNext()} {
--- a/internal/state/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -14,6 +14,8 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
+const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
+
 // faults chooses what happens in a run beside delays, losses and late duplicates.
 type faults struct {
 	learn, loseDisks, move bool
@@ -116,7 +118,9 @@
 func cloneReplicas(replicas []*protocol.Replica) []*protocol.Replica {
 	var cloned []*protocol.Replica
 	for _, each := range replicas {
-		cloned = append(cloned, &protocol.Replica{Store: each.GetStore(), StorageId: each.GetStorageId(), State: each.GetState()})
+		cloned = append(cloned, &protocol.Replica{
+			Store: each.GetStore(), StorageId: each.GetStorageId(), State: each.GetState(),
+		})
 	}
 	return cloned
 }
@@ -145,21 +149,21 @@
 	if len(w.messages) == 0 {
 		return
 	}
-	place := w.random.IntN(len(w.messages))
-	message := w.messages[place]
+	index := w.random.IntN(len(w.messages))
+	message := w.messages[index]
 	switch roll := w.random.IntN(20); {
 	case roll == 0:
-		w.messages = slices.Delete(w.messages, place, place+1)
+		w.messages = slices.Delete(w.messages, index, index+1)
 		return
 	case roll == 1 && message.copies < 2:
-		w.messages[place].copies++
+		w.messages[index].copies++
 	default:
-		w.messages = slices.Delete(w.messages, place, place+1)
+		w.messages = slices.Delete(w.messages, index, index+1)
 	}
 	message.deliver()
 }
 
-// act begins an operation, goes on with one that rests, or gives one up.
+// act begins an operation, retries a stopped one, or abandons one.
 func (w *world) act(c *caller) {
 	if c.change == nil {
 		w.beginOperation(c)
@@ -220,12 +224,14 @@
 	w.conclude(c)
 }
 
-// arrive serves a message at its replica; what must be durable is so at once here.
+// arrive serves a message at its replica, whose writes are durable at once in this simulation.
 func (w *world) arrive(c *caller, change *register.Change, message register.Message) {
 	r := w.replicas[message.Store]
 	if message.Prepare != nil {
-		answer := &protocol.PrepareResponse{Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
-		if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
+		answer := &protocol.PrepareResponse{
+			Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch,
+		}
+		if answer.GetRefusal() == notRejected {
 			r.state, answer, _ = r.state.Prepare(register.BallotFromProto(message.Prepare.GetBallot()))
 		}
 		w.answer(c, change, func() []register.Message {
@@ -234,9 +240,12 @@
 		return
 	}
 	request := message.Accept
-	answer := &protocol.AcceptResponse{Refusal: r.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch}
-	if answer.GetRefusal() == protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		r.state, answer, _ = r.state.Accept(register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
+	answer := &protocol.AcceptResponse{
+		Refusal: r.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch,
+	}
+	if answer.GetRefusal() == notRejected {
+		ballot, nextBallot := register.BallotFromProto(request.GetBallot()), register.BallotFromProto(request.GetNextBallot())
+		r.state, answer, _ = r.state.Accept(ballot, request.GetValue(), nextBallot)
 	}
 	w.answer(c, change, func() []register.Message {
 		return change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer)
@@ -269,7 +278,7 @@
 	w.counts["chosen"]++
 }
 
-// learnOne lets one replica take over the value of another, as a scrub does.
+// learnOne lets one replica learn the value of another, as a scrub does.
 func (w *world) learnOne() {
 	from := w.replicas[w.names[w.random.IntN(len(w.names))]]
 	to := w.replicas[w.names[w.random.IntN(len(w.names))]]
@@ -286,7 +295,7 @@
 	}
 }
 
-// loseDisk empties one replica when all others are whole; the core hears of it at once or later.
+// loseDisk empties one replica while all are complete; the placement changes at once, the stores adopt it later.
 func (w *world) loseDisk() {
 	if len(w.shard().GetNext()) > 0 || !allActive(w.shard().GetCurrent()) {
 		return
@@ -338,7 +347,7 @@
 	}
 	source := w.replicas[r.view.Quorum.Current[w.random.IntN(3)]]
 	if source == r || slices.Contains(r.sources, source.name) ||
-		source.view.CopyRejection(r.view.Epoch) != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
+		source.view.CopyRejection(r.view.Epoch) != notRejected {
 		return
 	}
 	if !source.state.Accepted.IsZero() {
@@ -362,7 +371,7 @@
 }
 
 // upTo gives the list as it was right after the value was appended. An append
-// that was tried again may see what others appended since.
+// that was retried may see what others appended since.
 func upTo(list, value string) string {
 	fields := strings.Fields(list)
 	until := slices.Index(fields, value)
@@ -378,10 +387,10 @@
 var appendModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		asked := input.(operationInput)
+		operation := input.(operationInput)
 		list := state.(string)
-		if !asked.read {
-			list += asked.append + " "
+		if !operation.read {
+			list += operation.append + " "
 		}
 		return output.(string) == list, list
 	},
@@ -405,12 +414,14 @@
 				for kind, count := range w.counts {
 					counts[kind] += count
 				}
-				if err := linearizable(w.pendingToo()); err != nil {
+				if err := linearizable(w.historyWithPending()); err != nil {
 					t.Fatalf("seed %d: not linearizable: %v", seed, err)
 				}
 			}
 			t.Log(counts)
-			for fault, wanted := range map[string]bool{"lost disks": chosen.loseDisks, "moves": chosen.move, "learned": chosen.learn} {
+			for fault, wanted := range map[string]bool{
+				"lost disks": chosen.loseDisks, "moves": chosen.move, "learned": chosen.learn,
+			} {
 				if wanted && counts[fault] == 0 {
 					t.Errorf("%s never happened", fault)
 				}
@@ -422,9 +433,9 @@
 	}
 }
 
-// pendingToo adds the appends that may have taken effect without an answer: any
+// historyWithPending adds the appends that may have taken effect without an answer: any
 // list that a later operation returned may hold them.
-func (w *world) pendingToo() []porcupine.Operation {
+func (w *world) historyWithPending() []porcupine.Operation {
 	history := slices.Clone(w.history)
 	last := ""
 	for _, done := range history {
@@ -437,7 +448,8 @@
 			continue
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: c.id, Input: operationInput{append: c.value}, Call: c.began, Output: upTo(last, c.value), Return: w.now + 1,
+			ClientId: c.id, Input: operationInput{append: c.value}, Output: upTo(last, c.value),
+			Call: c.began, Return: w.now + 1,
 		})
 	}
 	return history
