--- a/internal/state/ledger/call.go
+++ b/internal/state/ledger/call.go
@@ -6,17 +6,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ApplyCall decides an operation on the record of a call that may not be
-// repeated; record is nil while there is none. It returns the changed record, or
-// nil when nothing changes.
+// ApplyCall decides an operation on the record of a call that may not be repeated; record is nil while there is none.
+// It returns the changed record, or nil when nothing changes.
 //
-// BeginCall is decided on the call's register only. The register lets one
-// attempt win, whatever its epoch, so a call never runs twice. The epoch is
-// checked apart: the store reads the program's register after the intent is
-// chosen and answers LEDGER_OK only when the epoch was in force at that read, so
-// the permission to issue the call precedes every later claim of the session.
-// A record whose keeping time has ended is taken for none.
-func ApplyCall(record *protocol.CallRecord, operation *protocol.LedgerOperation, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
+// BeginCall is decided on the call's register only. The register lets one attempt win, whatever its epoch, so a call
+// never runs twice. The epoch is checked separately: the store reads the program's register after the intent is chosen
+// and answers LEDGER_OK only when the epoch was in force at that read, so the permission to issue the call precedes
+// every later claim of the session. A record whose retention has ended counts as absent.
+func ApplyCall(
+	record *protocol.CallRecord, operation *protocol.LedgerOperation, now time.Time,
+) (*protocol.CallRecord, *protocol.LedgerResult) {
 	if CallRetainedUntil(record) < now.UnixMilli() {
 		record = nil
 	}
@@ -26,7 +25,7 @@
 	case *protocol.LedgerOperation_FinishCall:
 		return finishCall(record, body.FinishCall, now)
 	case *protocol.LedgerOperation_RefuseCall:
-		return refuseCall(record, operation.GetProgram(), body.RefuseCall, now)
+		return rejectCall(record, operation.GetProgram(), body.RefuseCall, now)
 	default:
 		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED)
 	}
@@ -36,7 +35,9 @@
 	return &protocol.LedgerResult{Status: status, Call: record, Epoch: record.GetEpoch()}
 }
 
-func beginCall(record *protocol.CallRecord, program string, begin *protocol.BeginCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
+func beginCall(
+	record *protocol.CallRecord, program string, begin *protocol.BeginCall, now time.Time,
+) (*protocol.CallRecord, *protocol.LedgerResult) {
 	switch record.GetState() {
 	case protocol.CallState_CALL_DONE, protocol.CallState_CALL_NOT_RUN:
 		return nil, callResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, record)
@@ -60,9 +61,11 @@
 	return changed, callResult(protocol.LedgerStatus_LEDGER_OK, changed)
 }
 
-// finishCall records what became of a call. No epoch is asked for: the call
-// ran, and a later owner is better off with its outcome than without.
-func finishCall(record *protocol.CallRecord, finish *protocol.FinishCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
+// finishCall records the outcome of a call. The epoch is not checked: the call ran, and a later owner needs its
+// outcome.
+func finishCall(
+	record *protocol.CallRecord, finish *protocol.FinishCall, now time.Time,
+) (*protocol.CallRecord, *protocol.LedgerResult) {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_STATE_UNSPECIFIED:
 		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_NOT_RESERVED)
@@ -81,9 +84,11 @@
 	return changed, callResult(protocol.LedgerStatus_LEDGER_OK, changed)
 }
 
-// refuseCall marks a call as not run. It loses against an intent, unless the
-// attempt that wrote the intent takes it back.
-func refuseCall(record *protocol.CallRecord, program string, reject *protocol.RefuseCall, now time.Time) (*protocol.CallRecord, *protocol.LedgerResult) {
+// rejectCall marks a call as not run. It fails against an intent, unless the attempt that wrote the intent withdraws
+// it.
+func rejectCall(
+	record *protocol.CallRecord, program string, reject *protocol.RefuseCall, now time.Time,
+) (*protocol.CallRecord, *protocol.LedgerResult) {
 	switch record.GetState() {
 	case protocol.CallState_CALL_NOT_RUN:
 		return nil, callResult(protocol.LedgerStatus_LEDGER_OK, record)
--- a/internal/state/ledger/golden_test.go
+++ b/internal/state/ledger/golden_test.go
@@ -14,9 +14,22 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// goldenRecord is what these operations left in the register before programs knew training steps.
+// goldenRecord is the record that goldenOperations left in the register before training steps existed.
 const goldenRecord = "programwithoutstep.hex"
 
+func readGolden(t *testing.T) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", goldenRecord))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return golden
+}
+
 func goldenOperations() []*protocol.LedgerOperation {
 	return []*protocol.LedgerOperation{
 		refuse("r0", "elsewhere"),
@@ -32,14 +45,7 @@
 }
 
 func TestAProgramWithoutAStepIsWrittenAsBefore(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", goldenRecord))
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	golden := readGolden(t)
 	var record *protocol.ProgramRecord
 	for _, operation := range goldenOperations() {
 		after, result := ledger.Apply(record, operation, now)
@@ -58,14 +64,7 @@
 }
 
 func TestARecordFromBeforeTrainingStepsIsReadAndGoesOn(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", goldenRecord))
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	golden := readGolden(t)
 	record := &protocol.ProgramRecord{}
 	if err := proto.Unmarshal(golden, record); err != nil {
 		t.Fatal(err)
@@ -73,7 +72,8 @@
 	if err := ledger.CheckRecord(record); err != nil {
 		t.Fatal(err)
 	}
-	if _, result := ledger.Apply(record, generating("17", 4, fork(reserve("r5", "s", 1, 1, ""))), now); result.GetStatus() != stepMismatch {
+	if _, result := ledger.Apply(record, generating("17", 4, fork(reserve("r5", "s", 1, 1, ""))),
+		now); result.GetStatus() != stepMismatch {
 		t.Errorf("a step was taken in by a program that ran without: %v", result)
 	}
 	after, result := ledger.Apply(record, settle("r4", "s2", 2, 7, "t4", ""), now.Add(time.Minute))
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -1,35 +1,32 @@
-// Package ledger decides every change of a program's record and of a call's
-// record. It does no I/O: a record and an operation go in, the changed record
-// and the answer come out. Stores replicate the records as compare-and-set
-// registers; since an operation may be applied again after a lost answer, every
-// change is idempotent under its identifiers.
-//
-// Source: design page, program ledger.
 package ledger
 
 import (
 	"fmt"
+	"math"
 
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxIdentifierBytes bounds every identifier of an operation.
+// maxIdentifierBytes bounds every identifier of an operation; identifiers are repeated in records, which stores
+// replicate as a whole.
 const maxIdentifierBytes = 512
 
-// InvalidOperationError names the field of an operation that no store may apply.
+// InvalidOperationError reports an operation that no store may apply.
 type InvalidOperationError struct {
+	// Path is the field at fault, as in the message's JSON form.
 	Path   string
 	Reason string
 }
 
+// Error names the field and the reason.
 func (e *InvalidOperationError) Error() string {
 	return fmt.Sprintf("invalid ledger operation: %s: %s", e.Path, e.Reason)
 }
 
-// ShardOf gives the shard of a program among count shards. Registers of calls
-// and kept turns lie in the shard of their program.
+// ShardOf returns the shard of a program among count shards. Registers of calls and retained turns are in the shard of
+// their program.
 func ShardOf(program string, count int) uint32 {
 	if count <= 0 {
 		return 0
@@ -37,7 +34,7 @@
 	return uint32(xxhash.Sum64String(program) % uint64(count))
 }
 
-// Answer is a result without details.
+// ResultWithStatus returns a result without details.
 func ResultWithStatus(status protocol.LedgerStatus) *protocol.LedgerResult {
 	return &protocol.LedgerResult{Status: status}
 }
@@ -55,8 +52,8 @@
 	}
 }
 
-// CallOf gives the request id of the call that the operation is about, or an
-// empty text when it is about the program.
+// CallRequestID returns the request id of the call that the operation concerns, or an empty text when it concerns the
+// program.
 func CallRequestID(operation *protocol.LedgerOperation) string {
 	switch body := operation.GetBody().(type) {
 	case *protocol.LedgerOperation_BeginCall:
@@ -70,10 +67,11 @@
 	}
 }
 
+// addWithoutOverflow adds and stops at the largest number, so that no sum of tokens wraps round to a small one.
 func addWithoutOverflow(a, b uint64) uint64 {
 	sum := a + b
 	if sum < a {
-		return ^uint64(0)
+		return math.MaxUint64
 	}
 	return sum
 }
--- a/internal/state/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -23,12 +23,13 @@
 // apply decides an operation on both forms and compares all that can be seen.
 func (w *twin) apply(t *rapid.T, operation *protocol.LedgerOperation) {
 	operation.Program = "p"
-	if w.isForgotten() {
+	if w.isExpired() {
 		w.packed, w.plain = nil, nil
 	}
 	packed, result := ledger.Apply(w.packed, operation, w.now)
 	plain, wanted := ledger.Apply(w.plain, operation, w.now)
-	if (packed == nil) != (plain == nil) || result.GetStatus() != wanted.GetStatus() || result.GetEpoch() != wanted.GetEpoch() ||
+	if (packed == nil) != (plain == nil) || result.GetStatus() != wanted.GetStatus() ||
+		result.GetEpoch() != wanted.GetEpoch() ||
 		result.GetLastTurn() != wanted.GetLastTurn() || !proto.Equal(result.GetFinished(), wanted.GetFinished()) ||
 		(result.GetProgram() == nil) != (wanted.GetProgram() == nil) {
 		t.Fatalf("%v answered %v packed and %v plain", operation, result, wanted)
@@ -51,8 +52,8 @@
 	w.plain = w.remember(t, operation, result)
 }
 
-// isForgotten tells from the plain form whether the record's keeping time has ended.
-func (w *twin) isForgotten() bool {
+// isExpired reports by the plain form whether the record's retention has ended.
+func (w *twin) isExpired() bool {
 	until := w.plain.GetUpdatedAtMillis() + ledger.DefaultRetention.Milliseconds()
 	for _, finished := range w.plain.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
@@ -65,7 +66,8 @@
 func compareRecords(t *rapid.T, operation *protocol.LedgerOperation, packed, plain *protocol.ProgramRecord) {
 	for number := range propertyRequests {
 		request := fmt.Sprintf("r%d", number)
-		if got, wanted := ledger.FindFinished(packed, request), ledger.FindFinished(plain, request); !proto.Equal(got, wanted) {
+		if got, wanted := ledger.FindFinished(packed, request),
+			ledger.FindFinished(plain, request); !proto.Equal(got, wanted) {
 			t.Fatalf("%v left %v of %s packed and %v plain", operation, got, request, wanted)
 		}
 	}
@@ -77,8 +79,10 @@
 }
 
 // remember makes the plain form from the plain form before, without using what was packed:
-// what is past its keeping time goes, and what the operation ended comes.
-func (w *twin) remember(t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult) *protocol.ProgramRecord {
+// what expired is removed, and what the operation ended is added.
+func (w *twin) remember(
+	t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult,
+) *protocol.ProgramRecord {
 	plain := proto.CloneOf(w.packed)
 	plain.FinishedPacked = nil
 	known := map[string]bool{}
@@ -143,14 +147,14 @@
 				w.apply(t, reserve(request.Draw(t, "request"), of, epoch, tokens.Draw(t, "ceiling"), last))
 			},
 			"settle": func(t *rapid.T) {
-				of, asked := session.Draw(t, "session"), request.Draw(t, "request")
+				of, ended := session.Draw(t, "session"), request.Draw(t, "request")
 				epoch, previous := state(of)
 				for _, open := range w.packed.GetReservations() {
 					if open.GetSession() == of && rapid.IntRange(0, 3).Draw(t, "the open one") > 0 {
-						asked, previous = open.GetRequestId(), open.GetPreviousTurn()
+						ended, previous = open.GetRequestId(), open.GetPreviousTurn()
 					}
 				}
-				operation := settle(asked, of, epoch, tokens.Draw(t, "tokens"), turnOf(t, asked), previous)
+				operation := settle(ended, of, epoch, tokens.Draw(t, "tokens"), turnOf(t, ended), previous)
 				keep := time.Duration(rapid.IntRange(0, 72).Draw(t, "keep hours")) * time.Hour
 				operation.GetSettleTurn().Turn.KeepUntilMillis = w.now.Add(keep).UnixMilli()
 				w.apply(t, operation)
@@ -170,7 +174,7 @@
 	})
 }
 
-func TestDamagedRequestsAreRefused(t *testing.T) {
+func TestDamagedRequestsAreRejected(t *testing.T) {
 	record, _ := ledger.Apply(nil, claim("s", "a", 1), now)
 	record, _ = ledger.Apply(record, reserve("r", "s", 1, 10, ""), now)
 	record, _ = ledger.Apply(record, settle("r", "s", 1, 4, "t1", ""), now)
@@ -178,16 +182,17 @@
 	if err := ledger.CheckRecord(record); err != nil {
 		t.Fatal(err)
 	}
-	whole := record.GetFinishedPacked()
-	first := len(whole) - ledger.LastPackedSize(record)
+	complete := record.GetFinishedPacked()
+	first := len(complete) - ledger.LastPackedSize(record)
 	var damaged *ledger.DamagedRecordError
-	for size := range whole {
-		record.FinishedPacked = whole[:size]
-		if err := ledger.CheckRecord(record); (err == nil) != (size == 0 || size == first) || err != nil && !errors.As(err, &damaged) {
-			t.Errorf("cut to %d of %d bytes: %v", size, len(whole), err)
+	for size := range complete {
+		record.FinishedPacked = complete[:size]
+		if err := ledger.CheckRecord(record); (err == nil) != (size == 0 || size == first) || err != nil &&
+			!errors.As(err, &damaged) {
+			t.Errorf("truncated to %d of %d bytes: %v", size, len(complete), err)
 		}
 	}
-	record.FinishedPacked = whole
+	record.FinishedPacked = complete
 	record.Sessions = nil
 	if err := ledger.CheckRecord(record); !errors.As(err, &damaged) {
 		t.Errorf("a request of an unknown session: %v", err)
--- a/internal/state/ledger/program.go
+++ b/internal/state/ledger/program.go
@@ -1,17 +1,18 @@
 package ledger
 
 import (
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Apply decides an operation on a program's record; record is nil while the
-// program has none. It returns the changed record, or nil when nothing changes.
-// The record given is not written to. Operations on calls and turns are not
-// decided here and answer LEDGER_STATUS_UNSPECIFIED. A record whose keeping time
-// has ended is taken for none.
-func Apply(record *protocol.ProgramRecord, operation *protocol.LedgerOperation, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// Apply decides an operation on a program's record, which is nil while the program has none. It returns the changed
+// record, or nil when nothing changes, and never writes to the given one. Operations on calls and turns are not decided
+// here and result in LEDGER_STATUS_UNSPECIFIED. A record whose retention has ended counts as absent.
+func Apply(
+	record *protocol.ProgramRecord, operation *protocol.LedgerOperation, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if ProgramRetainedUntil(record) < now.UnixMilli() {
 		record = nil
 	}
@@ -44,7 +45,9 @@
 	return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Program: record}
 }
 
-func openProgram(record *protocol.ProgramRecord, program string, open *protocol.OpenProgram, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+func openProgram(
+	record *protocol.ProgramRecord, program string, open *protocol.OpenProgram, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if isOpen(record) {
 		if record.GetTenant() != open.GetTenant() {
 			return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
@@ -58,9 +61,11 @@
 	return changed.ProgramRecord, readProgram(changed.ProgramRecord)
 }
 
-// claimSession fences every former owner of the session. A process that was
-// replaced by a later incarnation of itself may not claim.
-func claimSession(record *protocol.ProgramRecord, program string, claim *protocol.ClaimSession, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// claimSession raises the session's epoch, which fences every former owner. A process that was replaced by a later
+// incarnation of itself may not claim; a repeated claim of the owner changes nothing.
+func claimSession(
+	record *protocol.ProgramRecord, program string, claim *protocol.ClaimSession, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if isOpen(record) && claim.GetTenant() != "" && claim.GetTenant() != record.GetTenant() {
 		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
@@ -95,16 +100,11 @@
 	return changed.ProgramRecord, claimResult(changed.ProgramRecord, claimed)
 }
 
-// chargeOpenReservations charges what a lost owner may have passed on: the whole
-// ceiling. A generation for a training step counts as discarded, since nobody knows what became of it.
+// chargeOpenReservations charges the full limit of each reservation that a lost owner left open, since its turn may
+// have run. A generation for a training step counts as discarded: its outcome is unknown.
 func chargeOpenReservations(changed *draft, session string) {
-	var open []*protocol.Reservation
-	for _, reservation := range changed.Reservations {
-		if reservation.GetSession() == session {
-			open = append(open, reservation)
-		}
-	}
-	for _, reservation := range open {
+	isOther := func(reservation *protocol.Reservation) bool { return reservation.GetSession() != session }
+	for _, reservation := range slices.DeleteFunc(slices.Clone(changed.Reservations), isOther) {
 		changed.finish(&protocol.FinishedRequest{
 			RequestId: reservation.GetRequestId(),
 			Session:   session,
@@ -132,8 +132,10 @@
 	}
 }
 
-// checkEpoch returns the session when the epoch named is in force, or else the refusal.
-func checkEpoch(record *protocol.ProgramRecord, session string, epoch uint64) (*protocol.SessionRecord, *protocol.LedgerResult) {
+// checkEpoch returns the session when the named epoch is in force, and a rejection otherwise.
+func checkEpoch(
+	record *protocol.ProgramRecord, session string, epoch uint64,
+) (*protocol.SessionRecord, *protocol.LedgerResult) {
 	if !isOpen(record) {
 		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM)
 	}
@@ -147,7 +149,7 @@
 	return current, nil
 }
 
-// CheckEpoch tells whether an owner may act for a session: LEDGER_OK, or the refusal.
+// CheckEpoch returns LEDGER_OK when an owner under the epoch may act for the session, and a rejection otherwise.
 func CheckEpoch(record *protocol.ProgramRecord, session string, epoch uint64) *protocol.LedgerResult {
 	current, rejection := checkEpoch(record, session, epoch)
 	if rejection != nil {
--- a/internal/state/ledger/property_test.go
+++ b/internal/state/ledger/property_test.go
@@ -25,7 +25,7 @@
 	epochs   map[string]uint64
 	largest  uint64
 	turns    int
-	// forked holds the requests that asked for a fork.
+	// forked are the requests that were reserved as forks.
 	forked map[string]bool
 }
 
@@ -65,15 +65,16 @@
 		m.outcomes[request] = finished
 	}
 	if count := ledger.FinishedCount(m.record); count != known || len(m.record.GetFinished()) > 0 {
-		t.Fatalf("the record holds %d outcomes and %d unpacked ones of %d requests", count, len(m.record.GetFinished()), known)
+		t.Fatalf("the record holds %d outcomes and %d unpacked ones of %d requests", count, len(m.record.GetFinished()),
+			known)
 	}
 	if charged != m.record.GetSettled() {
 		t.Fatalf("settled %d but outcomes sum up to %d", m.record.GetSettled(), charged)
 	}
-	held := m.record.GetSettled()
+	used := m.record.GetSettled()
 	open := map[string]bool{}
 	for _, reservation := range m.record.GetReservations() {
-		held += reservation.GetCeiling()
+		used += reservation.GetCeiling()
 		if open[reservation.GetSession()] && !m.forked[reservation.GetRequestId()] {
 			t.Fatalf("two reservations of %s", reservation.GetSession())
 		}
@@ -85,8 +86,8 @@
 			t.Fatalf("%s is reserved and finished", reservation.GetRequestId())
 		}
 	}
-	if held >= propertyBudget+m.largest && m.largest > 0 {
-		t.Fatalf("%d tokens settled or held with a budget of %d and turns of at most %d", held, propertyBudget, m.largest)
+	if used >= propertyBudget+m.largest && m.largest > 0 {
+		t.Fatalf("%d tokens charged or reserved with a budget of %d and turns of at most %d", used, propertyBudget, m.largest)
 	}
 	for _, session := range m.record.GetSessions() {
 		if session.GetEpoch() < m.epochs[session.GetSession()] {
@@ -140,20 +141,21 @@
 				}
 			},
 			"reserve": func(t *rapid.T) {
-				of, ceiling := session.Draw(t, "session"), tokens.Draw(t, "ceiling")
+				of, limit := session.Draw(t, "session"), tokens.Draw(t, "ceiling")
 				before := m.record.GetSettled()
-				m.largest = max(m.largest, ceiling)
-				result := m.apply(t, reserve(request.Draw(t, "request"), of, epoch(t, of), ceiling, last(of)))
+				m.largest = max(m.largest, limit)
+				result := m.apply(t, reserve(request.Draw(t, "request"), of, epoch(t, of), limit, last(of)))
 				if result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_SPENT && before < propertyBudget {
 					t.Fatalf("said to be spent with %d of %d", before, propertyBudget)
 				}
 			},
 			"fork": func(t *rapid.T) {
-				of, asked, ceiling := session.Draw(t, "session"), request.Draw(t, "request"), tokens.Draw(t, "ceiling")
+				of, forked, limit := session.Draw(t, "session"), request.Draw(t, "request"), tokens.Draw(t, "ceiling")
 				before := m.record.GetSettled()
-				m.largest = max(m.largest, ceiling)
-				m.forked[asked] = true
-				operation := fork(reserve(asked, of, epoch(t, of), ceiling, fmt.Sprintf("t%d", rapid.IntRange(0, m.turns).Draw(t, "previous"))))
+				m.largest = max(m.largest, limit)
+				m.forked[forked] = true
+				operation := fork(reserve(forked, of, epoch(t, of), limit,
+					fmt.Sprintf("t%d", rapid.IntRange(0, m.turns).Draw(t, "previous"))))
 				if rapid.Bool().Draw(t, "claims") {
 					operation = claiming(operation, owner.Draw(t, "owner"), rapid.Uint64Range(1, 3).Draw(t, "incarnation"))
 				}
@@ -178,7 +180,8 @@
 				open := rapid.SampledFrom(m.record.GetReservations()).Draw(t, "open")
 				m.turns++
 				result := m.apply(t, settle(
-					open.GetRequestId(), open.GetSession(), open.GetEpoch(), tokens.Draw(t, "tokens"), fmt.Sprintf("t%d", m.turns), open.GetPreviousTurn()))
+					open.GetRequestId(), open.GetSession(), open.GetEpoch(), tokens.Draw(t, "tokens"), fmt.Sprintf("t%d", m.turns),
+					open.GetPreviousTurn()))
 				if result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
 					t.Fatalf("an open reservation was not settled: %v", result)
 				}
@@ -186,18 +189,20 @@
 			"settle": func(t *rapid.T) {
 				of := session.Draw(t, "session")
 				m.turns++
-				m.apply(t, settle(request.Draw(t, "request"), of, epoch(t, of), tokens.Draw(t, "tokens"), fmt.Sprintf("t%d", m.turns), last(of)))
+				m.apply(t, settle(request.Draw(t, "request"), of, epoch(t, of), tokens.Draw(t, "tokens"),
+					fmt.Sprintf("t%d", m.turns), last(of)))
 			},
 			"release": func(t *rapid.T) {
 				of := session.Draw(t, "session")
 				m.apply(t, release(request.Draw(t, "request"), of, epoch(t, of), tokens.Draw(t, "tokens")))
 			},
 			"refuse": func(t *rapid.T) {
-				asked := request.Draw(t, "request")
-				was := m.outcomes[asked]
-				result := m.apply(t, refuse(asked, session.Draw(t, "session")))
-				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && was != nil && was.GetOutcome() != protocol.RequestOutcome_OUTCOME_NOT_RUN {
-					t.Fatalf("refused %s, which had ended as %v", asked, was.GetOutcome())
+				rejected := request.Draw(t, "request")
+				was := m.outcomes[rejected]
+				result := m.apply(t, refuse(rejected, session.Draw(t, "session")))
+				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && was != nil &&
+					was.GetOutcome() != protocol.RequestOutcome_OUTCOME_NOT_RUN {
+					t.Fatalf("rejected %s, which had ended as %v", rejected, was.GetOutcome())
 				}
 			},
 		})
@@ -205,15 +210,21 @@
 }
 
 func claim(session, owner string, incarnation uint64) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-		Session: session, Owner: owner, OwnerIncarnation: incarnation, Tenant: "t", Budget: propertyBudget,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: "p",
+		Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+			Session: session, Owner: owner, OwnerIncarnation: incarnation, Tenant: "t", Budget: propertyBudget,
+		}},
+	}
 }
 
-func reserve(request, session string, epoch, ceiling uint64, previous string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: request, Session: session, Epoch: epoch, Ceiling: ceiling, PreviousTurn: previous,
-	}}}
+func reserve(request, session string, epoch, limit uint64, previous string) *protocol.LedgerOperation {
+	return &protocol.LedgerOperation{
+		Program: "p",
+		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+			RequestId: request, Session: session, Epoch: epoch, Ceiling: limit, PreviousTurn: previous,
+		}},
+	}
 }
 
 // fork lets a reservation follow any turn.
@@ -230,20 +241,29 @@
 }
 
 func settle(request, session string, epoch, tokens uint64, turn, previous string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-		RequestId: request, Session: session, Epoch: epoch, Tokens: tokens,
-		Turn: &protocol.Turn{Id: turn, Program: "p", Session: session, RequestId: request, PreviousTurn: previous},
-	}}}
+	return &protocol.LedgerOperation{
+		Program: "p",
+		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+			RequestId: request, Session: session, Epoch: epoch, Tokens: tokens,
+			Turn: &protocol.Turn{Id: turn, Program: "p", Session: session, RequestId: request, PreviousTurn: previous},
+		}},
+	}
 }
 
 func release(request, session string, epoch, tokens uint64) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
-		RequestId: request, Session: session, Epoch: epoch, Tokens: tokens,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: "p",
+		Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
+			RequestId: request, Session: session, Epoch: epoch, Tokens: tokens,
+		}},
+	}
 }
 
 func refuse(request, session string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
-		RequestId: request, Session: session,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: "p",
+		Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
+			RequestId: request, Session: session,
+		}},
+	}
 }
--- a/internal/state/ledger/record.go
+++ b/internal/state/ledger/record.go
@@ -7,14 +7,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// draft is a record under change. The record given is never written to: the
-// draft shares its elements and replaces the ones that change.
+// draft is the next state of a record. The record that it begins from is never written to: the draft shares its
+// elements and replaces the ones that change.
 type draft struct {
 	*protocol.ProgramRecord
 	now time.Time
 }
 
-// newDraft copies the record, or begins one that is not open yet when record is nil.
+// newDraft copies the record without the finished requests that expired; it begins one that is not open yet when record
+// is nil.
 func newDraft(program string, record *protocol.ProgramRecord, now time.Time) *draft {
 	copied := &protocol.ProgramRecord{
 		Program:         program,
@@ -43,10 +44,12 @@
 	d.Sessions = append(d.Sessions, session)
 }
 
-// finish ends a request: its reservation is closed and its tokens are charged.
+// finish ends a request: its reservation is closed and its tokens are charged. It is retained until retainUntilMillis,
+// and for the program's retention at least.
 func (d *draft) finish(finished *protocol.FinishedRequest, retainUntilMillis int64) *protocol.FinishedRequest {
-	finished.FinishedAtMillis = d.now.UnixMilli()
-	finished.KeepUntilMillis = max(d.now.UnixMilli()+effectiveRetentionMillis(d.KeepingMillis), retainUntilMillis)
+	nowMillis := d.now.UnixMilli()
+	finished.FinishedAtMillis = nowMillis
+	finished.KeepUntilMillis = max(nowMillis+effectiveRetentionMillis(d.KeepingMillis), retainUntilMillis)
 	d.Settled = addWithoutOverflow(d.Settled, finished.GetTokens())
 	d.Reservations = slices.DeleteFunc(d.Reservations, func(reservation *protocol.Reservation) bool {
 		return reservation.GetRequestId() == finished.GetRequestId()
@@ -55,8 +58,7 @@
 	return finished
 }
 
-// isOpen reports whether the program was opened. A tombstone may stand in the
-// record of a program before it is opened.
+// isOpen reports whether the program was opened. Before that, its record may already contain tombstones.
 func isOpen(record *protocol.ProgramRecord) bool {
 	return record.GetTenant() != ""
 }
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// heldBudget sums the ceilings of the open reservations.
+// reservedTokens sums the limits of the open reservations.
 func reservedTokens(record *protocol.ProgramRecord) uint64 {
 	var total uint64
 	for _, reservation := range record.GetReservations() {
@@ -88,7 +90,7 @@
 	return total
 }
 
-// keepsTurn reports whether a session of the program settled the turn and it is still kept.
+// retainsTurn reports whether a session of the program committed the turn and the record still knows it.
 func retainsTurn(record *protocol.ProgramRecord, turn string) bool {
 	for _, session := range record.GetSessions() {
 		if session.GetLastTurn() == turn {
--- a/internal/state/ledger/retention.go
+++ b/internal/state/ledger/retention.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// KeepingTime is how long a finished request, a program after its last change and a call are
-	// remembered at least, unless the program names another time. A turn that is
-	// kept for longer prolongs it for its request and program.
+	// DefaultRetention is how long a finished request, a call, and a program after its last change are stored at least,
+	// unless the program names another time. A turn with a longer retention prolongs that of its request and program.
+	// A day covers callers that repeat a request after an outage.
 	DefaultRetention = 24 * time.Hour
-	// ShortestKeepingTime bounds what a program may name: far above the time for which a message can be late.
+	// MinRetention bounds what a program may name: far above the time by which a message can be late.
 	MinRetention = 2 * time.Minute
-	// ShortestProgramTime bounds how early an idle program's record is forgotten, and its budget with it. One that was
-	// stopped may come again, far sooner than that.
+	// MinProgramRetention bounds how early an idle program's record expires, and its budget with it. A program that was
+	// stopped commonly returns far sooner.
 	MinProgramRetention = 10 * time.Minute
 )
 
-// keepingMillis gives the keeping time in force for the one that a record names.
+// effectiveRetentionMillis returns the retention in force for the one that a record names; 0 names the default.
 func effectiveRetentionMillis(named int64) int64 {
 	if named <= 0 {
 		return DefaultRetention.Milliseconds()
@@ -26,10 +26,11 @@
 	return max(named, MinRetention.Milliseconds())
 }
 
-// ProgramKeptUntil tells in Unix milliseconds when a program's record may be
-// forgotten: nothing changed it for its keeping time, and none of its finished requests is kept for longer.
+// ProgramRetainedUntil returns the time in Unix milliseconds after which a program's record expires: nothing changed it
+// during its retention, and no finished request is retained for longer.
 func ProgramRetainedUntil(record *protocol.ProgramRecord) int64 {
-	until := record.GetUpdatedAtMillis() + max(effectiveRetentionMillis(record.GetKeepingMillis()), MinProgramRetention.Milliseconds())
+	retention := max(effectiveRetentionMillis(record.GetKeepingMillis()), MinProgramRetention.Milliseconds())
+	until := record.GetUpdatedAtMillis() + retention
 	for _, finished := range record.GetFinished() {
 		until = max(until, finished.GetKeepUntilMillis())
 	}
@@ -39,7 +40,7 @@
 	return until
 }
 
-// CallKeptUntil tells in Unix milliseconds when a call's record may be forgotten.
+// CallRetainedUntil returns the time in Unix milliseconds after which a call's record expires.
 func CallRetainedUntil(record *protocol.CallRecord) int64 {
 	return record.GetUpdatedAtMillis() + effectiveRetentionMillis(record.GetKeepingMillis())
 }
--- a/internal/state/ledger/training_step.go
+++ b/internal/state/ledger/training_step.go
@@ -12,30 +12,34 @@
 const (
 	// trainingStepPrefix begins the program names that are reserved for the registers of training steps.
 	trainingStepPrefix = "rosestand/training-step/"
-	// MaximumTrainingStepBytes bounds the name of a training step.
+	// MaxTrainingStepBytes bounds the name of a training step, so that with the prefix it remains a valid identifier.
 	MaxTrainingStepBytes = 256
-	// MaximumWeightVersions bounds the weight versions that one settled or released turn names.
+	// MaxWeightVersions bounds the weight versions that one committed or released turn names.
 	MaxWeightVersions = 16
-	// maximumGenerationCounts bounds the versions that a membership counts apart, so that servers that name
-	// ever new versions cannot grow the record. Generations on further versions are counted under UnknownWeightVersion.
+	// maxGenerationCounts bounds the versions that a membership counts separately, so that servers that name ever new
+	// versions cannot grow the record. Generations on further versions are counted under UnknownWeightVersion.
 	maxGenerationCounts = 32
 	// UnknownWeightVersion is the version under which generations are counted whose server named none.
 	UnknownWeightVersion = 0
-	// PinRenewal is how old a pin's record is at most when an owner asks for it. An older one is written anew, so
-	// that its keeping time counts from there. An owner that remembers a pin must ask again before PinKeepingTime less PinRenewal is over.
+	// PinRenewalInterval is the age from which a pin's record is written again when an owner requests the pin, so that
+	// its retention restarts. An owner that caches a pin must request it again before MinPinRetention less
+	// PinRenewalInterval is over.
 	PinRenewalInterval = time.Hour
-	// PinKeepingTime is how long a pin is kept at least after an owner asked for it, also when the step names a shorter time.
+	// MinPinRetention is how long a pin is retained at least after an owner requested it, also when the step names a
+	// shorter time.
 	MinPinRetention = DefaultRetention
 )
 
-// TrainingStepProgram gives the reserved program name under which the register of a training step is kept.
+// TrainingStepProgram returns the reserved program name under which the register of a training step is stored.
 func TrainingStepProgram(step string) string { return trainingStepPrefix + step }
 
 // IsReservedProgram reports whether the name may be used for registers of training steps only.
 func IsReservedProgram(program string) bool { return strings.HasPrefix(program, trainingStepPrefix) }
 
-// pinTrainingStep fixes the weight version of a step. The first version proposed wins and never changes.
-func pinTrainingStep(record *protocol.ProgramRecord, program string, pin *protocol.PinTrainingStep, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// pinTrainingStep pins the weight version of a step. The first version proposed wins and never changes.
+func pinTrainingStep(
+	record *protocol.ProgramRecord, program string, pin *protocol.PinTrainingStep, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	current := record.GetTrainingStepPin()
 	switch {
 	case current == nil && pin.GetWeightVersion() == 0:
@@ -53,7 +57,9 @@
 	return &protocol.LedgerResult{Status: status, TrainingStepPin: pin}
 }
 
-func createPin(program string, pin *protocol.PinTrainingStep, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+func createPin(
+	program string, pin *protocol.PinTrainingStep, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	changed := newDraft(program, nil, now)
 	changed.KeepingMillis = pinRetentionMillis(pin)
 	changed.TrainingStepPin = &protocol.TrainingStepPin{
@@ -66,8 +72,8 @@
 	return changed.ProgramRecord, pinResult(protocol.LedgerStatus_LEDGER_OK, changed.TrainingStepPin)
 }
 
-// renewedPin gives the record with a later end of its keeping time, or nil when
-// it was renewed lately. A request without an owner only looks and renews nothing.
+// renewPin returns the record with a later end of its retention, or nil when it was renewed recently. A request without
+// an owner only reads and renews nothing.
 func renewPin(record *protocol.ProgramRecord, pin *protocol.PinTrainingStep, now time.Time) *protocol.ProgramRecord {
 	if pin.GetOwner() == "" {
 		return nil
@@ -81,20 +87,19 @@
 	return changed.ProgramRecord
 }
 
-// pinKeepingMillis gives the keeping time of a pin. It is never a short one: a pin that was forgotten
-// while its step still generates could be set again, to another version.
+// pinRetentionMillis returns the retention of a pin. It is never short: a pin that expired while its step still
+// generates could be set again, to another version.
 func pinRetentionMillis(pin *protocol.PinTrainingStep) int64 {
 	return max(pin.GetKeepingMillis(), MinPinRetention.Milliseconds())
 }
 
-// isPinRead reports whether the request can change nothing, not even the keeping time of the pin.
+// isPinRead reports whether the request can change nothing, not even the retention of the pin.
 func isPinRead(pin *protocol.PinTrainingStep) bool {
 	return pin.GetWeightVersion() == 0 && pin.GetOwner() == ""
 }
 
-// belongsToStep tells whether a program may generate for the step named, or for
-// none when reference is nil. A member generates for its step alone; a program
-// that ran turns without a step is of none.
+// belongsToStep reports whether a program may generate for the named step, or for none when reference is nil. A member
+// generates for its step only; a program that ran turns without a step cannot join one.
 func belongsToStep(record *protocol.ProgramRecord, reference *protocol.TrainingStepReference) bool {
 	membership := record.GetTrainingStep()
 	switch {
@@ -120,7 +125,7 @@
 	return hasRunRequest(record)
 }
 
-// stepMismatch refuses a turn. Of the program it shows only for which step it generates.
+// stepMismatch rejects a turn. It shows nothing of the program but the step for which it generates.
 func stepMismatch(record *protocol.ProgramRecord) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
 		Status:  protocol.LedgerStatus_LEDGER_STEP_MISMATCH,
@@ -128,17 +133,20 @@
 	}
 }
 
-// join makes the program a member of the step unless it is one.
+// join makes the program a member of the step unless it is already one.
 func (d *draft) join(reference *protocol.TrainingStepReference) {
 	if reference == nil || d.TrainingStep != nil {
 		return
 	}
-	d.TrainingStep = &protocol.TrainingStepMembership{Step: reference.GetStep(), WeightVersion: reference.GetWeightVersion()}
+	d.TrainingStep = &protocol.TrainingStepMembership{
+		Step:          reference.GetStep(),
+		WeightVersion: reference.GetWeightVersion(),
+	}
 }
 
-// countGeneration counts a generation of a member by the versions that its
-// server named: as completed when it reached its caller whole and all of them are
-// the one pinned, else as discarded under each version that differs, or under the pinned one when none does.
+// countGeneration counts a generation of a member by the versions that its server named: as completed when it reached
+// its caller complete and all of them are the pinned one, otherwise as discarded under each version that differs, or
+// under the pinned one when none does.
 func (d *draft) countGeneration(versions []uint64, completed bool) {
 	if d.TrainingStep == nil {
 		return
@@ -160,14 +168,14 @@
 	}
 }
 
-// differingVersions gives each version but the pinned one once, lowest first.
+// differingVersions returns each version other than the pinned one once, lowest first.
 func differingVersions(versions []uint64, pinnedVersion uint64) []uint64 {
 	differing := slices.DeleteFunc(slices.Clone(versions), func(version uint64) bool { return version == pinnedVersion })
 	slices.Sort(differing)
 	return slices.Compact(differing)
 }
 
-// addToCount changes a copy of the count of one version; the membership of the record before stays as it is.
+// addToCount changes a copy of the count of one version; the membership of the previous record stays unchanged.
 func (d *draft) addToCount(version uint64, add func(*protocol.GenerationCount)) {
 	counts := slices.Clone(d.TrainingStep.GetGenerations())
 	index, found := findCount(counts, version)
@@ -191,15 +199,15 @@
 	}
 }
 
-// findCount gives the place of a version, or the place where it belongs.
+// findCount returns the index of a version, or the index at which to insert it.
 func findCount(counts []*protocol.GenerationCount, version uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(counts, version, func(count *protocol.GenerationCount, version uint64) int {
 		return cmp.Compare(count.GetWeightVersion(), version)
 	})
 }
 
-// CountedGenerations gives how many generations a membership counts. It never falls, and rises
-// with each change of the counts, so of two records of one program the higher one is the later.
+// TotalGenerations returns how many generations a membership counts. It grows with each change of the counts and never
+// falls, so of two records of one program the one with the higher total is the later.
 func TotalGenerations(membership *protocol.TrainingStepMembership) uint64 {
 	var counted uint64
 	for _, count := range membership.GetGenerations() {
--- a/internal/state/ledger/training_step_property_test.go
+++ b/internal/state/ledger/training_step_property_test.go
@@ -21,11 +21,11 @@
 	now     time.Time
 	// sent are operations that may arrive again, as after a lost answer.
 	sent []*protocol.LedgerOperation
-	// known is the pin that each owner heard of for a step; an owner that heard of none may not reserve.
+	// known is the pin that each owner was answered for a step; an owner without one may not reserve.
 	known map[string]*protocol.TrainingStepPin
 	pins  map[string]*protocol.TrainingStepPin
 	turns int
-	// completions are the requests whose owner heard that their generation was counted as completed.
+	// completions are the requests whose owner was answered that their generation was counted as completed.
 	completions map[string]map[string]bool
 	// differently are those that were also released in another way, so that it is open what was counted.
 	differently map[string]bool
@@ -50,15 +50,15 @@
 			t.Fatalf("%v was not idempotent: %v then %v", operation, result, repeated)
 		}
 	}
-	f.noteCompletion(t, operation, result)
+	f.recordCompletion(t, operation, result)
 	if f.sent = append(f.sent, operation); len(f.sent) > 30 {
 		f.sent = f.sent[1:]
 	}
 	return result
 }
 
-// noteCompletion fails when an owner hears that a generation was completed which the ledger did not count as that.
-func (f *stepFleet) noteCompletion(t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult) {
+// recordCompletion fails when an owner is answered that a generation was completed which the ledger did not count so.
+func (f *stepFleet) recordCompletion(t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult) {
 	released, program := operation.GetReleaseTurn(), operation.GetProgram()
 	member := f.records[program].GetTrainingStep()
 	if released == nil || member == nil {
@@ -67,7 +67,8 @@
 	pinned := member.GetWeightVersion()
 	isOther := func(version uint64) bool { return version != pinned }
 	request := program + "/" + released.GetRequestId()
-	if !released.GetCompleted() || len(released.GetWeightVersions()) == 0 || slices.ContainsFunc(released.GetWeightVersions(), isOther) {
+	if !released.GetCompleted() || len(released.GetWeightVersions()) == 0 ||
+		slices.ContainsFunc(released.GetWeightVersions(), isOther) {
 		f.differently[request] = true
 		delete(f.completions[program], request)
 		return
@@ -102,11 +103,11 @@
 	if is.GetWeightVersion() != pinned {
 		t.Fatalf("%v made a member of version %d, pinned is %d", operation, is.GetWeightVersion(), pinned)
 	}
-	for place, count := range is.GetGenerations() {
+	for index, count := range is.GetGenerations() {
 		if count.GetCompleted() > 0 && count.GetWeightVersion() != pinned {
 			t.Fatalf("%v completed a generation on %d, pinned is %d", operation, count.GetWeightVersion(), pinned)
 		}
-		if place > 0 && is.GetGenerations()[place-1].GetWeightVersion() >= count.GetWeightVersion() {
+		if index > 0 && is.GetGenerations()[index-1].GetWeightVersion() >= count.GetWeightVersion() {
 			t.Fatalf("versions are not in order: %v", is)
 		}
 		old := countOf(was, count.GetWeightVersion())
@@ -116,7 +117,8 @@
 	}
 	changed := ledger.TotalGenerations(is) != ledger.TotalGenerations(was)
 	if ran := ranRequests(after) != ranRequests(before); ran != changed {
-		t.Fatalf("%v: requests that ran %d before and %d after, counts %v before and %v after", operation, ranRequests(before), ranRequests(after), was, is)
+		t.Fatalf("%v: requests that ran %d before and %d after, counts %v before and %v after", operation,
+			ranRequests(before), ranRequests(after), was, is)
 	}
 }
 
@@ -192,8 +194,8 @@
 				if pinned == nil {
 					return
 				}
-				place := session.Draw(t, "session")
-				operation := fork(reserve(request.Draw(t, "request"), place, 0, rapid.Uint64Range(0, 5).Draw(t, "ceiling"), ""))
+				sessionID := session.Draw(t, "session")
+				operation := fork(reserve(request.Draw(t, "request"), sessionID, 0, rapid.Uint64Range(0, 5).Draw(t, "ceiling"), ""))
 				operation = generating(of, pinned.GetWeightVersion(), claiming(operation, by, 1))
 				operation.GetReserveTurn().Claim.Budget = propertyBudgetOfSteps
 				operation.Program = within
@@ -204,8 +206,8 @@
 				}
 			},
 			"reserve without a step": func(t *rapid.T) {
-				within, place := program.Draw(t, "program"), session.Draw(t, "session")
-				operation := claiming(fork(reserve(request.Draw(t, "request"), place, 0, 5, "")), owner.Draw(t, "owner"), 1)
+				within, sessionID := program.Draw(t, "program"), session.Draw(t, "session")
+				operation := claiming(fork(reserve(request.Draw(t, "request"), sessionID, 0, 5, "")), owner.Draw(t, "owner"), 1)
 				operation.GetReserveTurn().Claim.Budget = propertyBudgetOfSteps
 				operation.Program = within
 				member := f.records[within].GetTrainingStep() != nil
@@ -214,13 +216,14 @@
 				}
 			},
 			"reserve on a guessed version": func(t *rapid.T) {
-				within, of, place := program.Draw(t, "program"), steps.Draw(t, "step"), session.Draw(t, "session")
+				within, of, sessionID := program.Draw(t, "program"), steps.Draw(t, "step"), session.Draw(t, "session")
 				guessed := version.Draw(t, "version")
 				member := f.records[within].GetTrainingStep()
 				if member == nil || member.GetStep() == of && member.GetWeightVersion() == guessed {
 					return
 				}
-				operation := generating(of, guessed, fork(reserve(request.Draw(t, "request"), place, sessionOf(f.records[within], place).GetEpoch(), 5, "")))
+				operation := generating(of, guessed,
+					fork(reserve(request.Draw(t, "request"), sessionID, sessionOf(f.records[within], sessionID).GetEpoch(), 5, "")))
 				operation.Program = within
 				if result := f.apply(t, operation); result.GetStatus() == ok {
 					t.Fatalf("%v was given a turn of %s on %d", member, of, guessed)
@@ -230,7 +233,8 @@
 				within := program.Draw(t, "program")
 				open := openOf(t, within)
 				f.turns++
-				operation := ranOn(settle(open.GetRequestId(), open.GetSession(), open.GetEpoch(), 2, fmt.Sprintf("t%d", f.turns), ""), versions.Draw(t, "versions")...)
+				operation := ranOn(settle(open.GetRequestId(), open.GetSession(), open.GetEpoch(), 2, fmt.Sprintf("t%d", f.turns),
+					""), versions.Draw(t, "versions")...)
 				operation.Program = within
 				operation.GetSettleTurn().Turn.Program = within
 				f.apply(t, operation)
@@ -238,7 +242,8 @@
 			"release": func(t *rapid.T) {
 				within := program.Draw(t, "program")
 				open := openOf(t, within)
-				operation := release(open.GetRequestId(), open.GetSession(), open.GetEpoch(), rapid.Uint64Range(0, 2).Draw(t, "tokens"))
+				operation := release(open.GetRequestId(), open.GetSession(), open.GetEpoch(),
+					rapid.Uint64Range(0, 2).Draw(t, "tokens"))
 				operation = releasedFrom(operation, rapid.Bool().Draw(t, "completed"), versions.Draw(t, "versions")...)
 				operation.Program = within
 				f.apply(t, operation)
--- a/internal/state/ledger/training_step_test.go
+++ b/internal/state/ledger/training_step_test.go
@@ -53,15 +53,19 @@
 	return operation
 }
 
-// pinnedTo looks at the version that an answer names.
-func pinnedTo(version uint64, by string) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
+// pinnedVersion is the weight version that the first pin of each story names.
+const pinnedVersion = 4
+
+// pinnedBy checks that a result and its record name the pin that an owner set.
+func pinnedBy(owner string) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
 	return func(record *protocol.ProgramRecord, result *protocol.LedgerResult) bool {
-		return result.GetTrainingStepPin().GetWeightVersion() == version && result.GetTrainingStepPin().GetPinnedBy() == by &&
-			proto.Equal(record.GetTrainingStepPin(), result.GetTrainingStepPin())
+		pin := result.GetTrainingStepPin()
+		return pin.GetWeightVersion() == pinnedVersion && pin.GetPinnedBy() == owner &&
+			proto.Equal(record.GetTrainingStepPin(), pin)
 	}
 }
 
-// counted compares the membership with one in text form.
+// counted checks the membership against one in text form.
 func counted(t *testing.T, membership string) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
 	t.Helper()
 	wanted := &protocol.TrainingStepMembership{}
@@ -73,7 +77,7 @@
 	}
 }
 
-// noMember looks for a program that generates for no step.
+// noMember checks for a program that generates for no step.
 func noMember(record *protocol.ProgramRecord, _ *protocol.LedgerResult) bool {
 	return record.GetTrainingStep() == nil
 }
@@ -102,56 +106,60 @@
 func TestTheFirstPinOfATrainingStepWins(t *testing.T) {
 	runStories(t, map[string][]step{
 		"the same and other versions get the one in force": {
-			{do: pin("17", "m", 4, "a"), want: ok, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 4, "a"), want: ok, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 5, "b"), want: ok, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 3, "a"), want: ok, check: pinnedTo(4, "a")},
+			{do: pin("17", "m", 4, "a"), want: ok, check: pinnedBy("a")},
+			{do: pin("17", "m", 4, "a"), want: ok, check: pinnedBy("a")},
+			{do: pin("17", "m", 5, "b"), want: ok, check: pinnedBy("a")},
+			{do: pin("17", "m", 3, "a"), want: ok, check: pinnedBy("a")},
 		},
 		"version zero only reads": {
-			{do: pin("17", "m", 0, "a"), want: stepUnknown, check: func(r *protocol.ProgramRecord, _ *protocol.LedgerResult) bool { return r == nil }},
-			{do: pin("17", "m", 4, "b"), want: ok, check: pinnedTo(4, "b")},
-			{do: pin("17", "m", 0, "a"), want: ok, check: pinnedTo(4, "b")},
-			{do: pin("17", "", 0, ""), want: ok, check: pinnedTo(4, "b")},
+			{
+				do: pin("17", "m", 0, "a"), want: stepUnknown,
+				check: func(r *protocol.ProgramRecord, _ *protocol.LedgerResult) bool { return r == nil },
+			},
+			{do: pin("17", "m", 4, "b"), want: ok, check: pinnedBy("b")},
+			{do: pin("17", "m", 0, "a"), want: ok, check: pinnedBy("b")},
+			{do: pin("17", "", 0, ""), want: ok, check: pinnedBy("b")},
 		},
-		"another model is refused and shown the pin": {
+		"another model is rejected and shown the pin": {
 			{do: pin("17", "m", 4, "a"), want: ok},
-			{do: pin("17", "other", 4, "a"), want: stepMismatch, check: pinnedTo(4, "a")},
-			{do: pin("17", "other", 0, "a"), want: stepMismatch, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 0, "a"), want: ok, check: pinnedTo(4, "a")},
+			{do: pin("17", "other", 4, "a"), want: stepMismatch, check: pinnedBy("a")},
+			{do: pin("17", "other", 0, "a"), want: stepMismatch, check: pinnedBy("a")},
+			{do: pin("17", "m", 0, "a"), want: ok, check: pinnedBy("a")},
 		},
 		"each owner that asks prolongs the pin": {
 			{do: pin("17", "m", 4, "a"), want: ok},
-			{do: pin("17", "m", 5, "b"), want: ok, after: 20 * time.Hour, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 0, "b"), want: ok, after: 40 * time.Hour, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 5, "b"), want: ok, after: 63 * time.Hour, check: pinnedTo(4, "a")},
+			{do: pin("17", "m", 5, "b"), want: ok, after: 20 * time.Hour, check: pinnedBy("a")},
+			{do: pin("17", "m", 0, "b"), want: ok, after: 40 * time.Hour, check: pinnedBy("a")},
+			{do: pin("17", "m", 5, "b"), want: ok, after: 63 * time.Hour, check: pinnedBy("a")},
 		},
 		"a look without an owner prolongs nothing": {
 			{do: pin("17", "m", 4, "a"), want: ok},
-			{do: pin("17", "", 0, ""), want: ok, after: 20 * time.Hour, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 0, "b"), want: stepUnknown, after: longAfterKeeping},
+			{do: pin("17", "", 0, ""), want: ok, after: 20 * time.Hour, check: pinnedBy("a")},
+			{do: pin("17", "m", 0, "b"), want: stepUnknown, after: longAfterRetention},
 		},
-		"a short keeping time does not shorten that of the pin": {
-			{do: pinKept("17", 4, time.Minute), want: ok},
-			{do: pin("17", "m", 5, "b"), want: ok, after: 23 * time.Hour, check: pinnedTo(4, "a")},
+		"a short retention does not shorten that of the pin": {
+			{do: pinRetained("17", 4, time.Minute), want: ok},
+			{do: pin("17", "m", 5, "b"), want: ok, after: 23 * time.Hour, check: pinnedBy("a")},
 		},
-		"the longest keeping time that was named counts": {
+		"the longest retention that was named counts": {
 			{do: pin("17", "m", 4, "a"), want: ok},
-			{do: pinKept("17", 5, 72*time.Hour), want: ok, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 5, "b"), want: ok, after: 71 * time.Hour, check: pinnedTo(4, "a")},
-			{do: pin("17", "m", 5, "b"), want: ok, after: 142 * time.Hour, check: pinnedTo(4, "a")},
+			{do: pinRetained("17", 5, 72*time.Hour), want: ok, check: pinnedBy("a")},
+			{do: pin("17", "m", 5, "b"), want: ok, after: 71 * time.Hour, check: pinnedBy("a")},
+			{do: pin("17", "m", 5, "b"), want: ok, after: 142 * time.Hour, check: pinnedBy("a")},
 		},
 	})
 }
 
-func pinKept(step string, version uint64, keeping time.Duration) *protocol.LedgerOperation {
+func pinRetained(step string, version uint64, retention time.Duration) *protocol.LedgerOperation {
 	operation := pin(step, "m", version, "a")
-	operation.GetPinTrainingStep().KeepingMillis = keeping.Milliseconds()
+	operation.GetPinTrainingStep().KeepingMillis = retention.Milliseconds()
 	return operation
 }
 
 func TestAPinIsWrittenAgainOnlyWhenItIsOld(t *testing.T) {
 	record, _ := ledger.Apply(nil, pin("17", "m", 4, "a"), now)
-	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewalInterval-time.Second)); again != nil {
+	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"),
+		now.Add(ledger.PinRenewalInterval-time.Second)); again != nil {
 		t.Errorf("a fresh pin was written again: %v", again)
 	}
 	if again, _ := ledger.Apply(record, pin("17", "m", 5, "b"), now.Add(ledger.PinRenewalInterval)); again == nil {
@@ -165,27 +173,40 @@
 			{do: claim("s", "a", 1), want: ok, check: noMember},
 			{do: generating("17", 4, reserve("r", "s", 1, 10, "")), want: ok, check: counted(t, `step: "17" weight_version: 4`)},
 			{do: generating("17", 4, reserve("r", "s", 1, 10, "")), want: ok},
-			{do: generating("17", 4, claiming(fork(reserve("r2", "s2", 0, 10, "")), "a", 1)), want: ok, check: counted(t, `step: "17" weight_version: 4`)},
+			{
+				do: generating("17", 4, claiming(fork(reserve("r2", "s2", 0, 10, "")), "a", 1)), want: ok,
+				check: counted(t, `step: "17" weight_version: 4`),
+			},
 		},
-		"another step, another version and none are refused, and no session is claimed": {
+		"another step, another version and none are rejected, and no session is claimed": {
 			{do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok},
-			{do: generating("18", 4, reserve("r2", "s", 1, 10, "")), want: stepMismatch, check: counted(t, `step: "17" weight_version: 4`)},
+			{
+				do: generating("18", 4, reserve("r2", "s", 1, 10, "")), want: stepMismatch,
+				check: counted(t, `step: "17" weight_version: 4`),
+			},
 			{do: generating("17", 5, fork(reserve("r2", "s", 1, 10, ""))), want: stepMismatch},
 			{do: reserve("r2", "s", 1, 10, ""), want: stepMismatch},
 			{do: claiming(reserve("r2", "s", 0, 10, ""), "b", 1), want: stepMismatch},
 			{do: generating("18", 4, claiming(reserve("r2", "s", 0, 10, ""), "b", 1)), want: stepMismatch},
 			{do: generating("18", 4, reserve("r", "s", 1, 10, "")), want: stepMismatch},
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4), want: ok, check: counted(t, `step: "17" weight_version: 4 generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4), want: ok,
+				check: counted(t, `step: "17" weight_version: 4 generations { weight_version: 4 completed: 1 }`),
+			},
 			{do: generating("18", 4, reserve("r", "s", 1, 10, "")), want: stepMismatch},
 			{do: generating("17", 4, reserve("r", "s", 1, 10, "")), want: alreadyFinished},
 		},
-		"the refusal names the step in force and nothing else of the program": {
+		"the rejection names the step in force and nothing else of the program": {
 			{do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok},
-			{do: reserve("r2", "s", 1, 10, ""), want: stepMismatch, check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool {
-				return r.GetProgram().GetTrainingStep().GetStep() == "17" && r.GetProgram().GetTenant() == "" && len(r.GetProgram().GetSessions()) == 0
-			}},
+			{
+				do: reserve("r2", "s", 1, 10, ""), want: stepMismatch,
+				check: func(_ *protocol.ProgramRecord, r *protocol.LedgerResult) bool {
+					return r.GetProgram().GetTrainingStep().GetStep() == "17" && r.GetProgram().GetTenant() == "" &&
+						len(r.GetProgram().GetSessions()) == 0
+				},
+			},
 		},
-		"a program with a turn under way, settled or charged before is of no step": {
+		"a program with a turn reserved, settled or charged before is of no step": {
 			{do: claim("s", "a", 1), want: ok},
 			{do: reserve("r", "s", 1, 10, ""), want: ok},
 			{do: generating("17", 4, fork(reserve("r2", "s", 1, 10, ""))), want: stepMismatch, check: noMember},
@@ -193,7 +214,7 @@
 			{do: generating("17", 4, reserve("r2", "s", 1, 10, "t1")), want: stepMismatch, check: noMember},
 			{do: reserve("r2", "s", 1, 10, "t1"), want: ok, check: noMember},
 		},
-		"a program whose lost turn had no ceiling has run": {
+		"a program whose lost turn had a limit of zero has run": {
 			{do: claim("s", "a", 1), want: ok},
 			{do: reserve("r", "s", 1, 0, ""), want: ok},
 			{do: claim("s", "b", 1), want: ok},
@@ -204,34 +225,59 @@
 			{do: claim("s", "a", 1), want: ok},
 			{do: reserve("r", "s", 1, 10, ""), want: ok},
 			{do: release("r", "s", 1, 0), want: ok, check: noMember},
-			{do: generating("17", 4, reserve("r2", "s", 1, 10, "")), want: ok, check: counted(t, `step: "17" weight_version: 4`)},
+			{
+				do: generating("17", 4, reserve("r2", "s", 1, 10, "")), want: ok,
+				check: counted(t, `step: "17" weight_version: 4`),
+			},
 		},
-		"a refused reservation makes no member": {
+		"a rejected reservation makes no member": {
 			{do: claim("s", "a", 1), want: ok},
 			{do: generating("17", 4, reserve("r", "s", 1, 10, "t9")), want: wrongContinued, check: noMember},
 			{do: generating("17", 4, reserve("r", "s", 2, 10, "")), want: fencedResult, check: noMember},
 		},
-		"a forgotten program may join another step": {
+		"an expired program may join another step": {
 			{do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok},
-			{do: generating("18", 5, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok, after: longAfterKeeping, check: counted(t, `step: "18" weight_version: 5`)},
+			{
+				do: generating("18", 5, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok, after: longAfterRetention,
+				check: counted(t, `step: "18" weight_version: 5`),
+			},
 		},
 	})
 }
 
 func TestGenerationsAreCountedByTheVersionsThatServersNamed(t *testing.T) {
 	const member = `step: "17" weight_version: 4 `
-	reserved := step{do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok, check: counted(t, member)}
+	reserved := step{
+		do: generating("17", 4, claiming(reserve("r", "s", 0, 10, ""), "a", 1)), want: ok,
+		check: counted(t, member),
+	}
 	runStories(t, map[string][]step{
 		"settled on the pinned version, and repeated": {
 			reserved,
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 5), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
-			{do: releasedFrom(release("r", "s", 1, 4), true, 5), want: alreadyFinished, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 5), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
+			{
+				do: releasedFrom(release("r", "s", 1, 4), true, 5), want: alreadyFinished,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
 		},
 		"settled on other versions": {
 			reserved,
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 6, 3, 6), want: ok, check: counted(t, member+`generations { weight_version: 3 discarded: 1 } generations { weight_version: 6 discarded: 1 }`)},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 6, 3, 6), want: ok,
+				check: counted(t, member+
+					`generations { weight_version: 3 discarded: 1 } generations { weight_version: 6 discarded: 1 }`),
+			},
 		},
 		"settled on no version": {
 			reserved,
@@ -239,27 +285,48 @@
 		},
 		"settled on a version that the server left empty once": {
 			reserved,
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 0), want: ok, check: counted(t, member+`generations { discarded: 1 }`)},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4, 0), want: ok,
+				check: counted(t, member+`generations { discarded: 1 }`),
+			},
 		},
 		"released whole, without tokens": {
 			reserved,
-			{do: releasedFrom(release("r", "s", 1, 0), true, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 0), true, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
 			{do: releasedFrom(release("r", "s", 1, 0), true, 4), want: ok, check: finishedAs(outcomeCharged, 0)},
-			{do: refuse("r", "s"), want: alreadyFinished, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: refuse("r", "s"), want: alreadyFinished,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
 		},
 		"released whole, of another version": {
 			reserved,
-			{do: releasedFrom(release("r", "s", 1, 3), true, 5), want: ok, check: counted(t, member+`generations { weight_version: 5 discarded: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 3), true, 5), want: ok,
+				check: counted(t, member+`generations { weight_version: 5 discarded: 1 }`),
+			},
 		},
 		"released whole, of no version": {
 			reserved,
-			{do: releasedFrom(release("r", "s", 1, 0), true), want: ok, check: counted(t, member+`generations { discarded: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 0), true), want: ok,
+				check: counted(t, member+`generations { discarded: 1 }`),
+			},
 		},
 		"broken off on the pinned version": {
 			reserved,
-			{do: releasedFrom(release("r", "s", 1, 3), false, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 discarded: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 3), false, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 discarded: 1 }`),
+			},
 			{do: generating("17", 4, reserve("r2", "s", 1, 10, "")), want: ok},
-			{do: releasedFrom(release("r2", "s", 1, 0), false, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 discarded: 2 }`)},
+			{
+				do: releasedFrom(release("r2", "s", 1, 0), false, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 discarded: 2 }`),
+			},
 		},
 		"not run": {
 			reserved,
@@ -273,24 +340,42 @@
 		"released whole after its session was claimed": {
 			reserved,
 			{do: claim("s", "b", 1), want: ok, check: counted(t, member+`generations { discarded: 1 }`)},
-			{do: releasedFrom(release("r", "s", 1, 4), true, 4), want: alreadyFinished, check: counted(t, member+`generations { discarded: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 4), true, 4), want: alreadyFinished,
+				check: counted(t, member+`generations { discarded: 1 }`),
+			},
 			{do: releasedFrom(release("r", "s", 1, 4), false, 4), want: ok, check: finishedAs(outcomeCharged, 10)},
 		},
 		"released whole, and again after its session was claimed": {
 			reserved,
-			{do: releasedFrom(release("r", "s", 1, 4), true, 4), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 4), true, 4), want: ok,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
 			{do: releasedFrom(release("r", "s", 1, 4), true, 4), want: ok, check: finishedAs(outcomeCharged, 4)},
 			{do: claim("s", "b", 1), want: ok, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
-			{do: releasedFrom(release("r", "s", 1, 4), true, 4), want: alreadyFinished, check: counted(t, member+`generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: releasedFrom(release("r", "s", 1, 4), true, 4), want: alreadyFinished,
+				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
+			},
 		},
 		"left open by a lost owner": {
 			reserved,
 			{do: generating("17", 4, fork(reserve("r2", "s", 1, 10, ""))), want: ok},
 			{do: claim("s", "b", 1), want: ok, check: counted(t, member+`generations { discarded: 2 }`)},
-			{do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4), want: alreadyFinished, check: counted(t, member+`generations { discarded: 2 }`)},
+			{
+				do: ranOn(settle("r", "s", 1, 4, "t1", ""), 4), want: alreadyFinished,
+				check: counted(t, member+`generations { discarded: 2 }`),
+			},
 			{do: generating("17", 4, reserve("r3", "s", 2, 10, "")), want: ok},
-			{do: generating("17", 4, claiming(reserve("r4", "s", 0, 10, ""), "a", 2)), want: ok, check: counted(t, member+`generations { discarded: 3 }`)},
-			{do: ranOn(settle("r4", "s", 3, 4, "t1", ""), 4), want: ok, check: counted(t, member+`generations { discarded: 3 } generations { weight_version: 4 completed: 1 }`)},
+			{
+				do: generating("17", 4, claiming(reserve("r4", "s", 0, 10, ""), "a", 2)), want: ok,
+				check: counted(t, member+`generations { discarded: 3 }`),
+			},
+			{
+				do: ranOn(settle("r4", "s", 3, 4, "t1", ""), 4), want: ok,
+				check: counted(t, member+`generations { discarded: 3 } generations { weight_version: 4 completed: 1 }`),
+			},
 		},
 	})
 }
@@ -336,7 +421,7 @@
 	longStep := strings.Repeat("x", ledger.MaxTrainingStepBytes+1)
 	foreign, foreignTrace := pin("17", "m", 4, "a"), trace("17")
 	foreign.Program, foreignTrace.Program = "p", ledger.TrainingStepProgram("18")
-	settledHere, calledHere := settle("r", "s", 1, 1, "t1", ""), begin("r", "a", 1)
+	settledHere, calledHere := settle("r", "s", 1, 1, "t1", ""), begin("a", 1)
 	settledHere.Program, calledHere.Program = reserved, reserved
 	settledHere.GetSettleTurn().Turn.Program = reserved
 	manyVersions := make([]uint64, ledger.MaxWeightVersions+1)
@@ -352,7 +437,10 @@
 		{"trace_training_step.step", trace("")},
 		{"program", foreignTrace},
 		{"program", &protocol.LedgerOperation{Program: reserved, Body: &protocol.LedgerOperation_ReadProgram{}}},
-		{"program", &protocol.LedgerOperation{Program: reserved, Body: &protocol.LedgerOperation_OpenProgram{OpenProgram: &protocol.OpenProgram{Tenant: "t"}}}},
+		{"program", &protocol.LedgerOperation{
+			Program: reserved,
+			Body:    &protocol.LedgerOperation_OpenProgram{OpenProgram: &protocol.OpenProgram{Tenant: "t"}},
+		}},
 		{"program", settledHere},
 		{"program", calledHere},
 		{"reserve_turn.training_step.step", generating("", 4, reserve("r", "s", 1, 1, ""))},
@@ -372,7 +460,7 @@
 		ranOn(settle("r", "s", 1, 1, "t1", ""), manyVersions[1:]...),
 	} {
 		if err := ledger.Validate(good); err != nil {
-			t.Errorf("refused a good operation: %v", err)
+			t.Errorf("rejected a valid operation: %v", err)
 		}
 	}
 }
--- a/internal/state/ledger/turn.go
+++ b/internal/state/ledger/turn.go
@@ -6,11 +6,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// reserveTurn admits a turn while settled tokens and held ceilings are below
-// the budget, so a program exceeds its budget by one turn at most. With a claim
-// the session is claimed first; the claim stands also when the turn is refused,
+// reserveTurn admits a turn while charged and reserved tokens are below the budget, so a program exceeds its budget by
+// one turn at most. With a claim the session is claimed first; the claim takes effect also when the turn is rejected,
 // unless the program does not belong to the turn's training step.
-func reserveTurn(record *protocol.ProgramRecord, program string, reserve *protocol.ReserveTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+func reserveTurn(
+	record *protocol.ProgramRecord, program string, reserve *protocol.ReserveTurn, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if finished := FindFinished(record, reserve.GetRequestId()); finished != nil {
 		if !belongsToStep(record, reserve.GetTrainingStep()) {
 			return nil, stepMismatch(record)
@@ -37,8 +38,10 @@
 	return reserved, result
 }
 
-// reserveUnder reserves under an epoch of the session. The request may have been ended by the claim before.
-func reserveUnderEpoch(record *protocol.ProgramRecord, reserve *protocol.ReserveTurn, epoch uint64, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// reserveUnderEpoch reserves under an epoch of the session. The claim before it may have ended the request.
+func reserveUnderEpoch(
+	record *protocol.ProgramRecord, reserve *protocol.ReserveTurn, epoch uint64, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if finished := FindFinished(record, reserve.GetRequestId()); finished != nil {
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
@@ -62,16 +65,11 @@
 		}
 		return nil, withProgram(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED, record, session)
 	}
-	if !reserve.GetFork() {
-		if status := checkOrder(record, session, reserve.GetPreviousTurn()); status != protocol.LedgerStatus_LEDGER_OK {
-			return nil, withProgram(status, recordShownWith(status, record), session)
-		}
-	}
-	if record.GetSettled() >= record.GetBudget() {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_BUDGET_SPENT, record, session)
+	if status := checkOrder(record, session, reserve); status != protocol.LedgerStatus_LEDGER_OK {
+		return nil, withProgram(status, recordShownWith(status, record), session)
 	}
-	if addWithoutOverflow(record.GetSettled(), reservedTokens(record)) >= record.GetBudget() {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_BUDGET_HELD, record, session)
+	if status := checkBudget(record); status != protocol.LedgerStatus_LEDGER_OK {
+		return nil, withProgram(status, record, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
 	changed.Reservations = append(changed.Reservations, reservation)
@@ -79,22 +77,38 @@
 	return changed.ProgramRecord, reservedResult(session)
 }
 
-// checkOrder tells whether a turn of the session may begin after previous: one
-// after the other, each behind the last. Forks are not asked for it, since they
-// may follow a turn of another program too; whoever issues one reads its chain first.
-func checkOrder(record *protocol.ProgramRecord, session *protocol.SessionRecord, previous string) protocol.LedgerStatus {
+// checkBudget rejects a turn of a program whose budget is spent, or would be if every open turn reached its limit.
+func checkBudget(record *protocol.ProgramRecord) protocol.LedgerStatus {
+	switch {
+	case record.GetSettled() >= record.GetBudget():
+		return protocol.LedgerStatus_LEDGER_BUDGET_SPENT
+	case addWithoutOverflow(record.GetSettled(), reservedTokens(record)) >= record.GetBudget():
+		return protocol.LedgerStatus_LEDGER_BUDGET_HELD
+	default:
+		return protocol.LedgerStatus_LEDGER_OK
+	}
+}
+
+// checkOrder rejects a turn that does not follow the last one of its session, or that would run beside another one.
+// Forks are exempt, since they may follow a turn of another program too; whoever issues one reads its chain first.
+func checkOrder(
+	record *protocol.ProgramRecord, session *protocol.SessionRecord, reserve *protocol.ReserveTurn,
+) protocol.LedgerStatus {
+	if reserve.GetFork() {
+		return protocol.LedgerStatus_LEDGER_OK
+	}
 	for _, reservation := range record.GetReservations() {
 		if reservation.GetSession() == session.GetSession() {
 			return protocol.LedgerStatus_LEDGER_ALREADY_RESERVED
 		}
 	}
-	if !continues(record, session, previous) {
+	if !continues(record, session, reserve.GetPreviousTurn()) {
 		return protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION
 	}
 	return protocol.LedgerStatus_LEDGER_OK
 }
 
-// shownWith gives the record to the answers that are explained by it.
+// recordShownWith returns the record for the rejections that it explains, and nil for the others.
 func recordShownWith(status protocol.LedgerStatus, record *protocol.ProgramRecord) *protocol.ProgramRecord {
 	if status == protocol.LedgerStatus_LEDGER_ALREADY_RESERVED {
 		return record
@@ -109,8 +123,8 @@
 		a.GetPreviousTurn() == b.GetPreviousTurn()
 }
 
-// continues tells whether a turn of the session may follow previous. The first
-// turn of a session may begin anew or follow any kept turn of the program.
+// continues reports whether a turn of the session may follow the previous one. The first turn of a session may start a
+// new chain or follow any retained turn of the program.
 func continues(record *protocol.ProgramRecord, session *protocol.SessionRecord, previous string) bool {
 	if session.GetLastTurn() != "" {
 		return session.GetLastTurn() == previous
@@ -122,7 +136,9 @@
 	return withProgram(protocol.LedgerStatus_LEDGER_OK, nil, session)
 }
 
-func withProgram(status protocol.LedgerStatus, record *protocol.ProgramRecord, session *protocol.SessionRecord) *protocol.LedgerResult {
+func withProgram(
+	status protocol.LedgerStatus, record *protocol.ProgramRecord, session *protocol.SessionRecord,
+) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
 		Status:   status,
 		Epoch:    session.GetEpoch(),
@@ -135,8 +151,10 @@
 	return &protocol.LedgerResult{Status: status, Finished: finished, LastTurn: finished.GetTurnId()}
 }
 
-// settleTurn charges the tokens of a kept turn, never more than were reserved.
-func commitTurn(record *protocol.ProgramRecord, commit *protocol.SettleTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// commitTurn charges the tokens of a turn that is stored durably, never more than were reserved.
+func commitTurn(
+	record *protocol.ProgramRecord, commit *protocol.SettleTurn, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	turn := commit.GetTurn()
 	if finished := FindFinished(record, commit.GetRequestId()); finished != nil {
 		if finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED && finished.GetTurnId() == turn.GetId() {
@@ -175,10 +193,11 @@
 	return changed.ProgramRecord, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 }
 
-// releaseTurn ends a request without a kept turn. Released as not run, the
-// request is marked as not run even when its reservation has not arrived, so
-// that a late copy of the reservation is refused.
-func releaseTurn(record *protocol.ProgramRecord, release *protocol.ReleaseTurn, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// releaseTurn ends a request without a turn to retain. A request that did not run is marked as not run even when its
+// reservation has not arrived, so that a late copy of the reservation is rejected.
+func releaseTurn(
+	record *protocol.ProgramRecord, release *protocol.ReleaseTurn, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	outcome := protocol.RequestOutcome_OUTCOME_NOT_RUN
 	ran := hasRunBefore(record, release)
 	if ran {
@@ -214,18 +233,21 @@
 	return changed.ProgramRecord, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 }
 
-// lostCompletion tells whether a finished generation may have been counted as discarded, though its owner
-// says that it is complete: its session was claimed anew since then, and a claim charges and counts what it finds open. The owner must not
-// take it for counted, or its caller would have a generation whole that no trace shows.
-func mayHaveLostCompletion(record *protocol.ProgramRecord, finished *protocol.FinishedRequest, release *protocol.ReleaseTurn) bool {
+// mayHaveLostCompletion reports whether a finished generation may have been counted as discarded although its owner
+// reports it as complete: its session was claimed since, and a claim charges and counts open reservations. The owner
+// must not consider it counted, or its caller would have a complete generation that no trace shows.
+func mayHaveLostCompletion(
+	record *protocol.ProgramRecord, finished *protocol.FinishedRequest, release *protocol.ReleaseTurn,
+) bool {
 	if record.GetTrainingStep() == nil || !release.GetCompleted() {
 		return false
 	}
-	return finished.GetSession() != release.GetSession() || findSession(record, release.GetSession()).GetEpoch() != release.GetEpoch()
+	return finished.GetSession() != release.GetSession() ||
+		findSession(record, release.GetSession()).GetEpoch() != release.GetEpoch()
 }
 
-// hasRunBefore tells whether a turn ran before it was released. Tokens show it;
-// a generation for a training step is also shown by the versions that its server named, and by its end.
+// hasRunBefore reports whether a turn ran before it was released. Tokens prove it; for a generation of a training step,
+// the versions that its server named and its completion prove it too.
 func hasRunBefore(record *protocol.ProgramRecord, release *protocol.ReleaseTurn) bool {
 	if release.GetTokens() > 0 {
 		return true
@@ -233,10 +255,11 @@
 	return record.GetTrainingStep() != nil && (release.GetCompleted() || len(release.GetWeightVersions()) > 0)
 }
 
-// refuseRequest writes the tombstone that must stand before a request is
-// refused by someone who does not know whether it ran. A program need not be
-// open for it: a first turn can be refused too.
-func rejectRequest(record *protocol.ProgramRecord, program string, reject *protocol.RefuseRequest, now time.Time) (*protocol.ProgramRecord, *protocol.LedgerResult) {
+// rejectRequest writes the tombstone that must exist before a request is rejected by a process that does not know
+// whether it ran. The program need not be open: a first turn can be rejected too.
+func rejectRequest(
+	record *protocol.ProgramRecord, program string, reject *protocol.RefuseRequest, now time.Time,
+) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if finished := FindFinished(record, reject.GetRequestId()); finished != nil {
 		if finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_NOT_RUN {
 			return nil, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
--- a/internal/state/ledger/turn_id.go
+++ b/internal/state/ledger/turn_id.go
@@ -7,12 +7,12 @@
 )
 
 const (
+	// requestKeyBytes is short for small records and long enough that no two requests share a key.
 	requestKeyBytes = 16
 	turnIDPrefix    = "turn_"
 )
 
-// requestKey is a hash of program and request id. It stands for the request in
-// the program's record and names the request's turn.
+// requestKey is a hash of program and request id. It identifies the request in the program's record and its turn.
 type requestKey [requestKeyBytes]byte
 
 func newRequestKey(program, requestID string) requestKey {
@@ -22,13 +22,13 @@
 
 func (k requestKey) turnID() string { return turnIDPrefix + hex.EncodeToString(k[:]) }
 
-// TurnID gives the id of the turn that answers a request. It follows from the
-// program and the request id, so every send of one request has the same turn.
+// TurnID returns the id of the turn that answers a request. It is derived from the program and the request id, so every
+// attempt of one request has the same turn.
 func TurnID(program, requestID string) string {
 	return newRequestKey(program, requestID).turnID()
 }
 
-// requestKeyOfTurn reads the key back from a turn id; false when the id was not made by TurnID.
+// parseTurnID returns the key of a turn id; derived is false when the id was not made by TurnID.
 func parseTurnID(turnID string) (key requestKey, derived bool) {
 	digits, found := strings.CutPrefix(turnID, turnIDPrefix)
 	if !found || len(digits) != 2*requestKeyBytes {
