--- a/internal/dataplane/ring/change.go
+++ b/internal/dataplane/ring/change.go
@@ -1,7 +1,7 @@
 package ring
 
-// Range is the keys after After up to and with Through. It wraps round when
-// Through is not larger than After, and is the whole ring when they are equal.
+// Range is the keys above After up to and including Through. It wraps around the end of the key space when
+// Through is not larger than After, and is the complete ring when they are equal.
 type Range struct {
 	After   uint64
 	Through uint64
@@ -44,25 +44,25 @@
 // walk finds the holders of rising keys in one pass over a ring.
 type walk struct {
 	ring *Ring
-	// below counts the places whose hash is below the last key.
+	// below counts the virtual nodes whose hash is below the last key.
 	below int
 }
 
 // holder is the holder of a key not smaller than the one before; the zero Member on an empty ring.
 func (w *walk) holder(key uint64) Member {
-	if w.ring == nil || len(w.ring.places) == 0 {
+	vnodes := w.ring.virtualNodes()
+	if len(vnodes) == 0 {
 		return Member{}
 	}
-	places := w.ring.places
-	for w.below < len(places) && places[w.below].hash < key {
+	for w.below < len(vnodes) && vnodes[w.below].hash < key {
 		w.below++
 	}
-	return w.ring.members[places[(w.below+len(places)-1)%len(places)].member]
+	return w.ring.members[vnodes[(w.below+len(vnodes)-1)%len(vnodes)].member]
 }
 
-// boundsOf lists the hashes of the places of both rings in their order, each once.
+// boundsOf lists the hashes of the virtual nodes of both rings in their order, each once.
 func boundsOf(former, later *Ring) []uint64 {
-	one, other := former.placesInOrder(), later.placesInOrder()
+	one, other := former.virtualNodes(), later.virtualNodes()
 	bounds := make([]uint64, 0, len(one)+len(other))
 	for len(one) > 0 || len(other) > 0 {
 		var next uint64
@@ -78,14 +78,15 @@
 	return bounds
 }
 
-// placesInOrder are the places of the ring, none for a nil one.
-func (r *Ring) placesInOrder() []place {
+// virtualNodes are the virtual nodes of the ring in their order, none for a nil ring.
+func (r *Ring) virtualNodes() []virtualNode {
 	if r == nil {
 		return nil
 	}
-	return r.places
+	return r.vnodes
 }
 
+// appendChange extends the last change where the next one continues it.
 func appendChange(changes []Change, next Change) []Change {
 	if last := len(changes) - 1; last >= 0 && joins(changes[last], next) {
 		changes[last].Through = next.Through
--- a/internal/dataplane/ring/next_test.go
+++ b/internal/dataplane/ring/next_test.go
@@ -22,8 +22,8 @@
 					present = append(present, member)
 				}
 			}
-			places := rapid.IntRange(1, 3).Draw(t, "virtual places")
-			later, wanted := ring.Next(former, present, places), ring.New(present, places)
+			virtualNodes := rapid.IntRange(1, 3).Draw(t, "virtual nodes")
+			later, wanted := ring.Next(former, present, virtualNodes), ring.New(present, virtualNodes)
 			if changes := ring.Changes(wanted, later); len(changes) > 0 {
 				t.Fatalf("differs from the ring of %v in %v", present, changes)
 			}
--- a/internal/dataplane/ring/ring_test.go
+++ b/internal/dataplane/ring/ring_test.go
@@ -13,16 +13,18 @@
 func members(count int) []ring.Member {
 	list := make([]ring.Member, count)
 	for i := range list {
-		list[i] = ring.Member{Name: fmt.Sprintf("front-%03d", i), Address: fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250), Incarnation: 1}
+		list[i] = ring.Member{
+			Name: fmt.Sprintf("front-%03d", i), Address: fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250), Incarnation: 1,
+		}
 	}
 	return list
 }
 
-func TestHolderIsThePlaceWithTheLargestHashStrictlyBelow(t *testing.T) {
+func TestHolderHasTheVirtualNodeWithTheLargestHashStrictlyBelow(t *testing.T) {
 	pair := members(2)
 	assigned := ring.New(pair, 1)
 	low, high := pair[0], pair[1]
-	lowHash, highHash := ring.PlaceHash(low.Address, 0), ring.PlaceHash(high.Address, 0)
+	lowHash, highHash := ring.VirtualNodeHash(low.Address, 0), ring.VirtualNodeHash(high.Address, 0)
 	if lowHash > highHash {
 		low, high, lowHash, highHash = high, low, highHash, lowHash
 	}
@@ -31,22 +33,22 @@
 		key  uint64
 		want ring.Member
 	}{
-		{"just above the lower place", lowHash + 1, low},
+		{"just above the lower virtual node", lowHash + 1, low},
 		{"between", lowHash + (highHash-lowHash)/2, low},
-		{"equal to the higher place is not above it", highHash, low},
-		{"just above the higher place", highHash + 1, high},
+		{"equal to the higher virtual node is not above it", highHash, low},
+		{"just above the higher virtual node", highHash + 1, high},
 		{"the largest key", math.MaxUint64, high},
-		{"wraps round below all places", 0, high},
-		{"equal to the lowest place wraps round", lowHash, high},
+		{"wraps round below all virtual nodes", 0, high},
+		{"equal to the lowest virtual node wraps round", lowHash, high},
 	} {
-		if got, found := assigned.Holder(example.key); !found || got != example.want {
+		if got, ok := assigned.Holder(example.key); !ok || got != example.want {
 			t.Errorf("%s: got %v, want %v", example.name, got, example.want)
 		}
 	}
 }
 
 func TestEmptyRingHasNoHolder(t *testing.T) {
-	if holder, found := ring.New(nil, 16).Holder(7); found {
+	if holder, ok := ring.New(nil, 16).Holder(7); ok {
 		t.Fatalf("got %v", holder)
 	}
 }
@@ -67,7 +69,7 @@
 	}
 }
 
-// Places with equal hashes: the last of them by address holds the range.
+// Virtual nodes with equal hashes: the last of them by address holds the range.
 func TestTiesGoToTheLargerAddress(t *testing.T) {
 	same := []ring.Member{{Name: "a", Address: "same"}, {Name: "b", Address: "same"}}
 	distinct := ring.New([]ring.Member{{Name: "b", Address: "10.0.0.2:1"}, {Name: "a", Address: "10.0.0.1:1"}}, 4)
@@ -77,7 +79,7 @@
 	tied := ring.New(same, 1)
 	for _, key := range []uint64{0, 1 << 40, math.MaxUint64} {
 		if holder, _ := tied.Holder(key); holder.Name != "b" {
-			t.Fatalf("key %d is held by %v", key, holder)
+			t.Fatalf("key %d has holder %v", key, holder)
 		}
 	}
 }
@@ -86,8 +88,8 @@
 	if got := ring.Key("session-1"); got != 0xb098057f22ed07c3 {
 		t.Errorf("key of session-1 is %#x", got)
 	}
-	if got := ring.PlaceHash("127.0.0.1:7000", 3); got != 0x49c929ac9267d27c {
-		t.Errorf("place hash is %#x", got)
+	if got := ring.VirtualNodeHash("127.0.0.1:7000", 3); got != 0x49c929ac9267d27c {
+		t.Errorf("virtual node hash is %#x", got)
 	}
 }
 
@@ -107,7 +109,7 @@
 		t.Fatalf("one member holds %.2f times its share", largest*330)
 	}
 	if only := ring.New(fleet[:1], 1).Share(fleet[0].Name); only != 1 {
-		t.Fatalf("a ring of one place has share %f", only)
+		t.Fatalf("a ring of one virtual node has share %f", only)
 	}
 }
 
@@ -125,9 +127,9 @@
 
 func TestChangesAreExactlyTheKeysThatChangedHands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(1, 4).Draw(t, "places")
-		former := ring.New(drawMembers(t, "former"), places)
-		later := ring.New(drawMembers(t, "later"), places)
+		virtualNodes := rapid.IntRange(1, 4).Draw(t, "virtual nodes")
+		former := ring.New(drawMembers(t, "former"), virtualNodes)
+		later := ring.New(drawMembers(t, "later"), virtualNodes)
 		changes := ring.Changes(former, later)
 		keys := []uint64{0, math.MaxUint64, rapid.Uint64().Draw(t, "key")}
 		for _, change := range changes {
@@ -158,9 +160,10 @@
 	}
 }
 
-func TestChangesFromNoRingCoverTheWholeRing(t *testing.T) {
+func TestChangesFromNoRingCoverTheCompleteRing(t *testing.T) {
 	changes := ring.Changes(nil, ring.New(members(1), 16))
-	if len(changes) != 1 || !changes[0].Contains(0) || !changes[0].Contains(math.MaxUint64) || changes[0].From != (ring.Member{}) {
+	if len(changes) != 1 || changes[0].From != (ring.Member{}) ||
+		!changes[0].Contains(0) || !changes[0].Contains(math.MaxUint64) {
 		t.Fatalf("got %v", changes)
 	}
 	if none := ring.Changes(nil, nil); len(none) != 0 {
