--- a/internal/dataplane/directory/call_answers.go
+++ b/internal/dataplane/directory/call_answers.go
@@ -16,39 +16,39 @@
 	delete(d.calls, event.Call)
 	if done.peer.call == event.Call {
 		done.peer.call = 0
-		d.wake(done.peer)
+		d.schedule(done.peer)
 	}
-	if done.peer.probe == event.Call {
-		done.peer.probe = 0
-		d.wake(done.peer)
+	if done.peer.pingCall == event.Call {
+		done.peer.pingCall = 0
+		d.schedule(done.peer)
 	}
 	if event.Response != nil {
-		d.noteDuration(d.at.Now.Sub(done.sentAt))
+		d.recordDuration(d.at.Now.Sub(done.sentAt))
 	}
 	incarnation := incarnationOf(event.Response)
 	switch {
 	case event.Response == nil:
-		defer d.notePeer(done.peer, event.Failure, done.kind == callProbe)
+		defer d.observeFailure(done.peer, event.Failure, done.kind == callPing)
 	case incarnation > done.peer.member.Incarnation:
 		// The one that the view has is gone, and a view with the next one is on its way.
-		defer d.notePeer(done.peer, CallRefused, done.kind == callProbe)
+		defer d.observeFailure(done.peer, CallConnectionRefused, done.kind == callPing)
 	case incarnation == 0 || incarnation == done.peer.member.Incarnation:
-		d.trust(done.peer, done.kind == callProbe)
+		d.trust(done.peer, done.kind == callPing)
 	default:
-		d.notePeer(done.peer, CallUnanswered, false)
+		d.observeFailure(done.peer, CallInconclusive, false)
 	}
 	switch done.kind {
 	case callLookup:
 		d.lookupAnswered(done, event.Response.GetLookupSession())
-	case callNew:
-		d.newAnswered(done, event.Response.GetRegisterSessions())
+	case callFirstRegistration:
+		d.firstRegistrationAnswered(done, event.Response.GetRegisterSessions())
 	case callRegister:
 		d.registerAnswered(done, event)
 	case callUnregister:
 		d.unregisterAnswered(done, event)
 	case callDisplaced:
 		d.displacedAnswered(done, event)
-	case callAsk, callProbe:
+	case callReregistrationRequest, callPing:
 		// To a question the peer answers with a registration of its own; the gain asks again until it comes.
 	}
 }
@@ -94,22 +94,22 @@
 	}
 	var waits []time.Duration
 	for _, waiting := range done.items {
-		if waiting.call != event.Call || !d.live(waiting, done.peer) {
+		if waiting.call != event.Call || !d.isCurrent(waiting, done.peer) {
 			continue
 		}
-		if wait, settled := d.settleItem(waiting, results[waiting.session]); settled {
+		if wait, settled := d.completeItem(waiting, results[waiting.session]); settled {
 			waits = append(waits, wait)
 		}
 	}
-	d.noteView(done.peer, refusedAny(answer.GetResults()))
+	d.backOffWhileViewDiffers(done.peer, anyIncorrectPartition(answer.GetResults()))
 	if len(waits) > 0 {
 		d.emit(Reregistered{Waits: waits})
 	}
-	d.noteCompletion(done, answer.GetViewVersion())
+	d.completionAcknowledged(done, answer.GetViewVersion())
 }
 
 // settleItem applies the result of one item. It returns how long a session of the salvage list waited when it was accepted.
-func (d *Directory) settleItem(waiting *item, result *protocol.RegistrationResult) (time.Duration, bool) {
+func (d *Directory) completeItem(waiting *item, result *protocol.RegistrationResult) (time.Duration, bool) {
 	status := result.GetStatus()
 	if status != protocol.DirectoryStatus_DIRECTORY_OK && status != protocol.DirectoryStatus_DUPLICATE_ACTIVATION {
 		d.stats.IncorrectPartition++
@@ -121,12 +121,12 @@
 		delete(d.handOff, waiting.session)
 		return 0, false
 	}
-	accepted := d.settleSalvage(waiting, result)
+	accepted := d.completeSalvage(waiting, result)
 	return d.at.Now.Sub(waiting.since), accepted
 }
 
 // settleSalvage takes a session off the salvage list on success or refusal.
-func (d *Directory) settleSalvage(waiting *item, result *protocol.RegistrationResult) bool {
+func (d *Directory) completeSalvage(waiting *item, result *protocol.RegistrationResult) bool {
 	delete(d.salvage, waiting.session)
 	session := d.owned[waiting.session]
 	if session == nil {
@@ -134,8 +134,8 @@
 	}
 	if result.GetStatus() == protocol.DirectoryStatus_DUPLICATE_ACTIVATION {
 		d.stats.Duplicates++
-		d.remember(result.GetCurrent())
-		d.giveUp(session, YieldDuplicate, false)
+		d.cacheOwner(result.GetCurrent())
+		d.yield(session, YieldDuplicate, false)
 		return false
 	}
 	d.stats.Salvaged++
@@ -145,40 +145,40 @@
 }
 
 // refusedAny reports whether an answer shows that the peer does not take itself for the holder.
-func refusedAny(results []*protocol.RegistrationResult) bool {
+func anyIncorrectPartition(results []*protocol.RegistrationResult) bool {
 	return slices.ContainsFunc(results, func(result *protocol.RegistrationResult) bool {
 		return result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
 	})
 }
 
 // noteView keeps a peer whose view differs from being asked again at once.
-func (d *Directory) noteView(peer *peer, differs bool) {
+func (d *Directory) backOffWhileViewDiffers(peer *peer, differs bool) {
 	if !differs {
-		peer.refusals = 0
+		peer.viewMismatches = 0
 		return
 	}
-	peer.refusals++
-	peer.notBefore = d.at.Now.Add(d.backoff(peer.refusals, longestViewBackoff))
+	peer.viewMismatches++
+	peer.notBefore = d.at.Now.Add(d.backoff(peer.viewMismatches, maxViewBackoff))
 }
 
 // noteCompletion ends the debt of a completion once the peer's view is the one that it was said for.
 // A peer that is behind does not know yet what it gained and is told again; one that is ahead
 // may have gained more, for which completion is owed under its view.
-func (d *Directory) noteCompletion(done *call, peerVersion uint64) {
-	if !done.complete || done.peer.due == 0 || done.peer.due > done.view || done.peer.dueSince > done.inForce {
+func (d *Directory) completionAcknowledged(done *call, peerVersion uint64) {
+	if !done.complete || done.peer.pendingCompletion == 0 || done.peer.pendingCompletion > done.view || done.peer.pendingCompletionGeneration > done.viewGeneration {
 		return
 	}
 	switch {
-	case peerVersion < done.peer.due:
-		d.noteView(done.peer, true)
+	case peerVersion < done.peer.pendingCompletion:
+		d.backOffWhileViewDiffers(done.peer, true)
 		if len(done.items) == 0 {
 			// No session waits for it; a holder that is behind is not to be asked by all nodes in quick turns.
-			done.peer.notBefore = d.at.Now.Add(d.jitter(longestViewBackoff))
+			done.peer.notBefore = d.at.Now.Add(d.jitter(maxViewBackoff))
 		}
 	case peerVersion > d.view.Version:
-		done.peer.due = peerVersion
+		done.peer.pendingCompletion = peerVersion
 	default:
-		done.peer.due = 0
+		done.peer.pendingCompletion = 0
 		done.peer.partialKnowledge = false
 	}
 }
@@ -186,7 +186,7 @@
 // requeue puts the items of a call back that got no answer.
 func (d *Directory) requeue(done *call) {
 	for _, waiting := range done.items {
-		if d.live(waiting, done.peer) {
+		if d.isCurrent(waiting, done.peer) {
 			d.target(waiting)
 		}
 	}
@@ -203,7 +203,7 @@
 		refused[result.GetSession()] = result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
 	}
 	for _, waiting := range done.items {
-		if waiting.call != event.Call || !d.live(waiting, done.peer) {
+		if waiting.call != event.Call || !d.isCurrent(waiting, done.peer) {
 			continue
 		}
 		if refused[waiting.session] {
@@ -211,13 +211,13 @@
 			d.target(waiting)
 			continue
 		}
-		d.settleWithdrawal(waiting)
+		d.completeWithdrawal(waiting)
 	}
-	d.noteView(done.peer, refusedAny(answer.GetResults()))
+	d.backOffWhileViewDiffers(done.peer, anyIncorrectPartition(answer.GetResults()))
 }
 
-func (d *Directory) settleWithdrawal(waiting *item) {
-	delete(d.leaving, waiting.session)
+func (d *Directory) completeWithdrawal(waiting *item) {
+	delete(d.withdrawals, waiting.session)
 	d.continueResolve(waiting.session)
 }
 
--- a/internal/dataplane/directory/command.go
+++ b/internal/dataplane/directory/command.go
@@ -39,13 +39,13 @@
 type Reregistered struct{ Waits []time.Duration }
 
 // Settled says that a range gained is complete, and how long that took.
-type Settled struct{ Took time.Duration }
+type TransferCompleted struct{ Took time.Duration }
 
 func (Send) command()         {}
 func (Resolved) command()     {}
 func (Yielded) command()      {}
 func (Reregistered) command() {}
-func (Settled) command()      {}
+func (TransferCompleted) command()      {}
 
 // Owner is the front node that owns a session.
 type Owner struct {
--- a/internal/dataplane/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -24,28 +24,28 @@
 
 // Starting values of Options.
 const (
-	DefaultSettleBound = 1500 * time.Millisecond
-	DefaultResendDelay = 300 * time.Millisecond
+	DefaultTransferTimeout = 1500 * time.Millisecond
+	DefaultReregistrationDelay = 300 * time.Millisecond
 	DefaultCacheSize   = 1 << 16
-	longestBackoff     = time.Second
-	longestViewBackoff = 250 * time.Millisecond
-	longestResendDelay = 5 * time.Second
-	settleRetryDelay   = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	maxViewBackoff = 250 * time.Millisecond
+	maxReregistrationDelay = 5 * time.Second
+	resolveRetryDelay   = 20 * time.Millisecond
 	// mostSettleDoublings bounds the delay of a lookup that is tried again.
-	mostSettleDoublings = 2
+	maxResolveRetryDoublings = 2
 )
 
 // Options configure a Directory. Self and Random are required.
 type Options struct {
 	Self ring.Member
 	// SettleBound is how long a holder may answer that a range gained is settling.
-	SettleBound time.Duration
+	TransferTimeout time.Duration
 	// ResendDelay is how long a holder waits for a node to say complete before it asks.
-	ResendDelay time.Duration
+	ReregistrationDelay time.Duration
 	// SilenceLimit is how long a peer may be silent before it is suspected.
 	FailureDetectionTimeout time.Duration
 	// SuspicionBound is how long a holder may answer that a range taken from a suspect is settling.
-	SuspicionBound time.Duration
+	SuspectTransferTimeout time.Duration
 	// CacheSize bounds the cached lookups.
 	CacheSize int
 	Policy    Policy
@@ -59,17 +59,17 @@
 	self    ring.Member
 	policy  Policy
 	// base is the membership as the core orders it; view is base without the suspects.
-	base, view View
+	membership, view View
 	// inForce counts the views put in force.
-	inForce uint64
+	viewGeneration uint64
 	// suspects are the incarnations of the members that this node could not reach, by name.
 	suspects map[string]uint64
 
 	// As holder.
 	partition map[string]*entry
-	gains     []*gain
+	transfers     []*transfer
 	// untold are displacements whose owner the view does not have yet.
-	untold []displacement
+	pendingDisplacements []displacement
 
 	// As owner.
 	owned map[string]*ownedSession
@@ -77,22 +77,22 @@
 	hasOwned bool
 	salvage  map[string]*item
 	handOff  map[string]*item
-	leaving  map[string]*item
+	withdrawals  map[string]*item
 	sequence uint64
 	draining bool
 
 	// As client.
 	cache    *simplelru.LRU[string, *protocol.Registration]
-	resolves map[string]*resolve
-	tickets  map[uint64]*resolve
+	resolutions map[string]*resolution
+	resolutionsByTicket  map[uint64]*resolution
 
 	peers    map[string]*peer
 	calls    map[uint64]*call
 	lastCall uint64
 	// lately is how long answers to this node's calls take of late.
-	lately time.Duration
+	recentCallDuration time.Duration
 	// working are the peers, by name, that may have something to be told.
-	working map[string]*peer
+	peersWithWork map[string]*peer
 	stats   Stats
 
 	at       Moment
@@ -101,23 +101,23 @@
 
 // New returns the directory of a node that has seen no view.
 func New(options Options) *Directory {
-	if options.SettleBound == 0 {
-		options.SettleBound = DefaultSettleBound
+	if options.TransferTimeout == 0 {
+		options.TransferTimeout = DefaultTransferTimeout
 	}
-	if options.ResendDelay == 0 {
-		options.ResendDelay = DefaultResendDelay
+	if options.ReregistrationDelay == 0 {
+		options.ReregistrationDelay = DefaultReregistrationDelay
 	}
 	if options.FailureDetectionTimeout == 0 {
-		options.FailureDetectionTimeout = DefaultSilenceLimit
+		options.FailureDetectionTimeout = DefaultFailureDetectionTimeout
 	}
-	if options.SuspicionBound == 0 {
-		options.SuspicionBound = DefaultSuspicionBound
+	if options.SuspectTransferTimeout == 0 {
+		options.SuspectTransferTimeout = DefaultSuspectTransferTimeout
 	}
 	if options.CacheSize == 0 {
 		options.CacheSize = DefaultCacheSize
 	}
 	if options.Policy.BatchSize == 0 {
-		options.Policy = PolicyOf(nil)
+		options.Policy = NewPolicy(nil)
 	}
 	// The only error is a size that is not positive.
 	cache, _ := simplelru.NewLRU[string, *protocol.Registration](max(1, options.CacheSize), nil)
@@ -125,9 +125,9 @@
 		options: options, self: options.Self, policy: options.Policy,
 		suspects:  make(map[string]uint64),
 		partition: make(map[string]*entry), owned: make(map[string]*ownedSession),
-		salvage: make(map[string]*item), handOff: make(map[string]*item), leaving: make(map[string]*item),
-		cache: cache, resolves: make(map[string]*resolve), tickets: make(map[uint64]*resolve),
-		peers: make(map[string]*peer), calls: make(map[uint64]*call), working: make(map[string]*peer),
+		salvage: make(map[string]*item), handOff: make(map[string]*item), withdrawals: make(map[string]*item),
+		cache: cache, resolutions: make(map[string]*resolution), resolutionsByTicket: make(map[uint64]*resolution),
+		peers: make(map[string]*peer), calls: make(map[uint64]*call), peersWithWork: make(map[string]*peer),
 	}
 }
 
@@ -135,7 +135,7 @@
 func (d *Directory) Handle(at Moment, event Event) []Command {
 	d.at = at
 	d.apply(event)
-	d.pump()
+	d.dispatch()
 	return d.takeCommands()
 }
 
@@ -151,7 +151,7 @@
 		d.resolveRequested(event)
 	case ResolveCancelled:
 		d.resolveCancelled(event.Ticket)
-	case Forgotten:
+	case OwnerInvalidated:
 		d.cache.Remove(event.Session)
 	case Answered:
 		d.answered(event)
@@ -186,7 +186,7 @@
 
 // ticked asks again where answers are overdue and goes on with what waited.
 func (d *Directory) ticked() {
-	d.askForCompletion()
+	d.requestReregistrations()
 	d.expireResolves()
 	d.continueResolves()
 }
@@ -198,14 +198,14 @@
 	d.self.Incarnation = incarnation
 	clear(d.partition)
 	clear(d.handOff)
-	clear(d.leaving)
-	d.gains = nil
+	clear(d.withdrawals)
+	d.transfers = nil
 	for _, name := range sortedKeys(d.owned) {
 		session := d.owned[name]
 		session.confirmed = false
 		d.stats.AuthorityLost++
-		if d.policy.EndSessions || session.leaving != "" {
-			d.giveUp(session, YieldEnded, false)
+		if d.policy.EndSessions || session.yieldReason != "" {
+			d.yield(session, YieldEnded, false)
 			continue
 		}
 		delete(d.salvage, name)
@@ -221,33 +221,33 @@
 			next = at
 		}
 	}
-	for _, each := range d.resolves {
+	for _, each := range d.resolutions {
 		consider(each.deadline)
 		if each.call == 0 && !each.notBefore.IsZero() {
 			consider(each.notBefore)
 		}
 	}
-	for _, each := range d.working {
+	for _, each := range d.peersWithWork {
 		if d.at.Authority && each.call == 0 && d.hasWork(each) {
 			consider(each.notBefore)
 		}
 	}
-	for _, each := range d.gains {
-		consider(each.askAt)
+	for _, each := range d.transfers {
+		consider(each.nextRequestAt)
 	}
 	return next, !next.IsZero()
 }
 
 // Pending reports whether anything waits for an answer or for time to pass.
 func (d *Directory) Pending() bool {
-	return len(d.working) > 0 || len(d.resolves) > 0 || len(d.gains) > 0
+	return len(d.peersWithWork) > 0 || len(d.resolutions) > 0 || len(d.transfers) > 0
 }
 
 // ViewVersion is the version of the view in force.
 func (d *Directory) ViewVersion() uint64 { return d.view.Version }
 
 // Membership is the newest view as the core orders it, the suspects of this node included.
-func (d *Directory) Membership() View { return d.base }
+func (d *Directory) Membership() View { return d.membership }
 
 // Self is this node under its present incarnation.
 func (d *Directory) Self() ring.Member { return d.self }
--- a/internal/dataplane/directory/event.go
+++ b/internal/dataplane/directory/event.go
@@ -36,7 +36,7 @@
 type ResolveCancelled struct{ Ticket uint64 }
 
 // Forgotten drops the cached owner of a session, after that node denied it or could not be reached.
-type Forgotten struct{ Session string }
+type OwnerInvalidated struct{ Session string }
 
 // Answered brings the answer to a Send command. Response is nil when the call
 // failed; the request may have been served all the same.
@@ -73,7 +73,7 @@
 func (Reincarnated) event()     {}
 func (ResolveRequested) event() {}
 func (ResolveCancelled) event() {}
-func (Forgotten) event()        {}
+func (OwnerInvalidated) event()        {}
 func (Answered) event()         {}
 func (PeerBroken) event()       {}
 func (PeerFailed) event()       {}
--- a/internal/dataplane/directory/fleet_test.go
+++ b/internal/dataplane/directory/fleet_test.go
@@ -81,7 +81,7 @@
 	var fronts []directory.Front
 	for _, name := range f.names {
 		if node := f.nodes[name]; !node.gone {
-			fronts = append(fronts, directory.Front{Member: node.self, Draining: node.draining, OwnedNothing: node.nothing})
+			fronts = append(fronts, directory.Front{Member: node.self, Draining: node.draining, FreshStart: node.nothing})
 		}
 	}
 	return directory.NewView(f.version, fronts, places)
--- a/internal/dataplane/directory/hand_off_test.go
+++ b/internal/dataplane/directory/hand_off_test.go
@@ -48,13 +48,13 @@
 		fleet.nodes["c"].gone = true
 		fleet.nodes["d"].authority = false
 		fleet.publish("a", "b")
-		fleet.advance(directory.DefaultSettleBound - 100*time.Millisecond)
+		fleet.advance(directory.DefaultTransferTimeout - 100*time.Millisecond)
 		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 		fleet.advance(200 * time.Millisecond)
 		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
-		asked := fleet.nodes["b"].directory.Stats().ResendRequests
+		asked := fleet.nodes["b"].directory.Stats().ReregistrationRequests
 		fleet.advance(10 * time.Second)
-		Expect(fleet.nodes["b"].directory.Stats().ResendRequests).To(BeNumerically(">", asked))
+		Expect(fleet.nodes["b"].directory.Stats().ReregistrationRequests).To(BeNumerically(">", asked))
 	})
 
 	It("asks a node that skipped the view to register again", func() {
--- a/internal/dataplane/directory/holder.go
+++ b/internal/dataplane/directory/holder.go
@@ -13,24 +13,24 @@
 	registration *protocol.Registration
 	key          uint64
 	// seen is the highest view version named with it; a view older than that cannot tell that the owner is gone.
-	seen uint64
+	viewVersion uint64
 }
 
 // gain is what this node gained with one view and whose registrations are not complete.
-type gain struct {
+type transfer struct {
 	ranges  []ring.Range
 	version uint64
 	since   time.Time
-	askAt   time.Time
-	askWait time.Duration
+	nextRequestAt   time.Time
+	requestInterval time.Duration
 	// waiting holds the incarnation of each front node whose word is needed and has not come.
-	waiting map[string]uint64
+	awaiting map[string]uint64
 	// said holds the front nodes that have said complete.
-	said map[string]bool
+	completed map[string]bool
 	// everyone is true once the word of every front node is needed.
-	everyone bool
+	awaitsAll bool
 	// bound is how long the ranges may settle.
-	bound time.Duration
+	timeout time.Duration
 	// suspects are the former holders that are only suspected, by name.
 	suspects map[string]uint64
 }
@@ -42,16 +42,16 @@
 }
 
 // settling reports whether the key is in a range gained whose registrations may still be on their way.
-func (d *Directory) settling(key uint64) bool {
-	for _, each := range d.gains {
-		if d.at.Now.Before(each.since.Add(each.bound)) && each.contains(key) {
+func (d *Directory) isTransferring(key uint64) bool {
+	for _, each := range d.transfers {
+		if d.at.Now.Before(each.since.Add(each.timeout)) && each.contains(key) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *gain) contains(key uint64) bool {
+func (g *transfer) contains(key uint64) bool {
 	return slices.ContainsFunc(g.ranges, func(each ring.Range) bool { return each.Contains(key) })
 }
 
@@ -59,19 +59,19 @@
 func (d *Directory) ServeRegister(at Moment, request *protocol.RegisterSessionsRequest) (*protocol.RegisterSessionsResponse, []Command) {
 	d.at = at
 	response := &protocol.RegisterSessionsResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
-	d.hearsay(request.GetSuspects())
-	d.heard(request.GetFrom())
+	d.applyIndirectSuspicions(request.GetSuspects())
+	d.contactReceived(request.GetFrom())
 	for _, registration := range request.GetRegistrations() {
 		result := d.register(registration, request.GetCause(), request.GetViewVersion())
 		response.Results = append(response.Results, result)
 	}
 	if request.GetComplete() {
-		d.completed(request)
+		d.completionReceived(request)
 	}
 	if request.GetResend() {
-		d.resend(request.GetFrom(), request.GetViewVersion(), request.GetSuspects())
+		d.reregister(request.GetFrom(), request.GetViewVersion(), request.GetSuspects())
 	}
-	d.pump()
+	d.dispatch()
 	return response, d.takeCommands()
 }
 
@@ -82,8 +82,8 @@
 	switch {
 	case !d.holds(key):
 		result.Status = protocol.DirectoryStatus_INCORRECT_PARTITION
-	case senderVersion <= d.view.Version && !d.ownerInBase(registration):
-		result.Status = goneOwnerStatus(cause)
+	case senderVersion <= d.view.Version && !d.ownerIsMember(registration):
+		result.Status = removedOwnerStatus(cause)
 	default:
 		result.Status, result.Current = d.decide(registration, cause, key, senderVersion)
 	}
@@ -92,7 +92,7 @@
 
 // goneOwnerStatus answers for an owner that the view no longer has: the former
 // holder may forget it, the owner itself has to come back under a new incarnation.
-func goneOwnerStatus(cause protocol.RegistrationCause) protocol.DirectoryStatus {
+func removedOwnerStatus(cause protocol.RegistrationCause) protocol.DirectoryStatus {
 	if cause == protocol.RegistrationCause_CAUSE_HAND_OFF {
 		return protocol.DirectoryStatus_DIRECTORY_OK
 	}
@@ -103,13 +103,13 @@
 	held := d.partition[registration.GetSession()]
 	if held == nil {
 		first := cause == protocol.RegistrationCause_CAUSE_NEW
-		if first && (d.settling(key) || senderVersion > d.view.Version) {
+		if first && (d.isTransferring(key) || senderVersion > d.view.Version) {
 			return protocol.DirectoryStatus_DIRECTORY_SETTLING, nil
 		}
-		d.partition[registration.GetSession()] = &entry{registration: registration, key: key, seen: senderVersion}
+		d.partition[registration.GetSession()] = &entry{registration: registration, key: key, viewVersion: senderVersion}
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
-	held.seen = max(held.seen, senderVersion)
+	held.viewVersion = max(held.viewVersion, senderVersion)
 	if held.registration.GetOwner() == registration.GetOwner() {
 		if isNewer(registration, held.registration) {
 			held.registration = registration
@@ -117,12 +117,12 @@
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
 	if d.outranks(registration, held.registration) {
-		d.displace(displacement{registration: held.registration, seen: held.seen})
+		d.displace(displacement{registration: held.registration, viewVersion: held.viewVersion})
 		held.registration = registration
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
 	if d.policy.HigherViewVersion && registration.GetViewVersion() > held.registration.GetViewVersion() {
-		d.displace(displacement{registration: held.registration, seen: held.seen})
+		d.displace(displacement{registration: held.registration, viewVersion: held.viewVersion})
 		held.registration = registration
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
@@ -148,14 +148,14 @@
 }
 
 // ownerInBase reports whether the owner is in the membership, suspect or not.
-func (d *Directory) ownerInBase(registration *protocol.Registration) bool {
-	return d.base.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
+func (d *Directory) ownerIsMember(registration *protocol.Registration) bool {
+	return d.membership.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
 }
 
 // displacement is a registration that lost a tie on the view version.
 type displacement struct {
 	registration *protocol.Registration
-	seen         uint64
+	viewVersion         uint64
 }
 
 // displace tells an owner that it lost a tie on the view version. An owner that
@@ -164,20 +164,20 @@
 	owner := lost.registration.GetOwner()
 	switch {
 	case owner == d.self.Name:
-		d.displaced(lost.registration)
-	case d.ownerInBase(lost.registration):
-		peer := d.peer(d.base.byName[owner].Member)
+		d.displacementReceived(lost.registration)
+	case d.ownerIsMember(lost.registration):
+		peer := d.peer(d.membership.byName[owner].Member)
 		peer.displaced = append(peer.displaced, lost.registration)
-		d.wake(peer)
-	case lost.seen > d.view.Version:
-		d.untold = append(d.untold, lost)
+		d.schedule(peer)
+	case lost.viewVersion > d.view.Version:
+		d.pendingDisplacements = append(d.pendingDisplacements, lost)
 	}
 }
 
 // tellDisplaced tries again to tell owners that the view did not have.
-func (d *Directory) tellDisplaced() {
-	untold := d.untold
-	d.untold = nil
+func (d *Directory) notifyDisplaced() {
+	untold := d.pendingDisplacements
+	d.pendingDisplacements = nil
 	for _, lost := range untold {
 		d.displace(lost)
 	}
@@ -190,14 +190,14 @@
 	for _, registration := range request.GetRegistrations() {
 		response.Results = append(response.Results, d.unregister(registration))
 	}
-	d.pump()
+	d.dispatch()
 	return response, d.takeCommands()
 }
 
 func (d *Directory) unregister(registration *protocol.Registration) *protocol.RegistrationResult {
 	result := &protocol.RegistrationResult{Session: registration.GetSession(), Status: protocol.DirectoryStatus_DIRECTORY_OK}
 	if registration.GetOwner() == d.self.Name {
-		d.displaced(registration)
+		d.displacementReceived(registration)
 		return result
 	}
 	if !d.holds(ring.Key(registration.GetSession())) {
@@ -220,28 +220,28 @@
 }
 
 // dropGoneOwners removes registrations of nodes that the view no longer has.
-func (d *Directory) dropGoneOwners() {
+func (d *Directory) dropRemovedOwners() {
 	for name, held := range d.partition {
-		if held.seen <= d.view.Version && !d.ownerInBase(held.registration) {
+		if held.viewVersion <= d.view.Version && !d.ownerIsMember(held.registration) {
 			delete(d.partition, name)
 		}
 	}
 }
 
 // updateGains begins to settle what this node gained, and stops waiting for nodes that left.
-func (d *Directory) updateGains(changes []ring.Change) {
-	d.dropTrustedGains()
-	for _, each := range d.gains {
+func (d *Directory) updateTransfers(changes []ring.Change) {
+	d.dropUnsuspectedTransfers()
+	for _, each := range d.transfers {
 		left := false
-		for name, incarnation := range each.waiting {
+		for name, incarnation := range each.awaiting {
 			if !d.view.Has(name, incarnation) {
-				delete(each.waiting, name)
+				delete(each.awaiting, name)
 				left = true
 			}
 		}
 		if left {
 			// A former holder may have gone before it handed everything off.
-			d.waitForEveryone(each)
+			d.awaitAll(each)
 		}
 	}
 	var gained []ring.Change
@@ -251,47 +251,47 @@
 		}
 	}
 	if len(gained) > 0 {
-		d.gains = append(d.gains, d.newGain(gained))
+		d.transfers = append(d.transfers, d.newTransfer(gained))
 	}
-	d.dropCompleteGains()
+	d.finishCompleteTransfers()
 }
 
 // newGain waits for the former holders as long as they live, since each hands
 // off all that it held; for a range whose holder was lost it waits for every owner.
-func (d *Directory) newGain(gained []ring.Change) *gain {
-	made := &gain{
-		version: d.view.Version, since: d.at.Now, waiting: make(map[string]uint64), said: make(map[string]bool),
-		askAt: d.at.Now.Add(d.options.ResendDelay), askWait: d.options.ResendDelay,
-		bound: d.options.SettleBound, suspects: make(map[string]uint64),
+func (d *Directory) newTransfer(gained []ring.Change) *transfer {
+	made := &transfer{
+		version: d.view.Version, since: d.at.Now, awaiting: make(map[string]uint64), completed: make(map[string]bool),
+		nextRequestAt: d.at.Now.Add(d.options.ReregistrationDelay), requestInterval: d.options.ReregistrationDelay,
+		timeout: d.options.TransferTimeout, suspects: make(map[string]uint64),
 	}
 	onlySuspected := true
 	for _, change := range gained {
 		made.ranges = append(made.ranges, change.Range)
 		if d.alive(change.From) {
-			made.waiting[change.From.Name] = change.From.Incarnation
+			made.awaiting[change.From.Name] = change.From.Incarnation
 			continue
 		}
-		d.waitForEveryone(made)
+		d.awaitAll(made)
 		if d.isSuspect(change.From.Name, change.From.Incarnation) {
 			made.suspects[change.From.Name] = change.From.Incarnation
 			// The others may not know yet that the holder cannot be reached.
-			made.askAt = d.at.Now
+			made.nextRequestAt = d.at.Now
 		} else {
 			onlySuspected = false
 		}
 	}
 	if onlySuspected && len(made.suspects) > 0 {
-		made.bound = d.options.SuspicionBound
+		made.timeout = d.options.SuspectTransferTimeout
 	}
 	return made
 }
 
 // dropTrustedGains ends the gains from suspects that turned out to be there.
-func (d *Directory) dropTrustedGains() {
-	d.gains = slices.DeleteFunc(d.gains, func(each *gain) bool {
+func (d *Directory) dropUnsuspectedTransfers() {
+	d.transfers = slices.DeleteFunc(d.transfers, func(each *transfer) bool {
 		trusted := false
 		for name, incarnation := range each.suspects {
-			if d.base.Has(name, incarnation) && !d.isSuspect(name, incarnation) {
+			if d.membership.Has(name, incarnation) && !d.isSuspect(name, incarnation) {
 				delete(each.suspects, name)
 				trusted = true
 			}
@@ -301,9 +301,9 @@
 }
 
 // covers reports whether a node that says complete knows that the suspects of a gain cannot be reached.
-func (d *Directory) covers(request *protocol.RegisterSessionsRequest, each *gain) bool {
+func (d *Directory) covers(request *protocol.RegisterSessionsRequest, each *transfer) bool {
 	for name, incarnation := range each.suspects {
-		if d.base.Has(name, incarnation) && !names(request.GetSuspects(), name, incarnation) {
+		if d.membership.Has(name, incarnation) && !containsSuspect(request.GetSuspects(), name, incarnation) {
 			return false
 		}
 	}
@@ -312,62 +312,62 @@
 
 // waitForEveryone widens a gain to all front nodes of the view that have not said complete. Those that have owned
 // nothing have nothing to say: when a whole fleet returns, no node waits for each other one.
-func (d *Directory) waitForEveryone(each *gain) {
-	if each.everyone {
+func (d *Directory) awaitAll(each *transfer) {
+	if each.awaitsAll {
 		return
 	}
-	each.everyone = true
+	each.awaitsAll = true
 	for _, front := range d.view.fronts {
-		if front.Name != d.self.Name && !front.OwnedNothing && !each.said[front.Name] {
-			each.waiting[front.Name] = front.Incarnation
+		if front.Name != d.self.Name && !front.FreshStart && !each.completed[front.Name] {
+			each.awaiting[front.Name] = front.Incarnation
 		}
 	}
 }
 
 // completed notes that a node has nothing more to register for the view version.
-func (d *Directory) completed(request *protocol.RegisterSessionsRequest) {
-	for _, each := range d.gains {
+func (d *Directory) completionReceived(request *protocol.RegisterSessionsRequest) {
+	for _, each := range d.transfers {
 		if each.version > request.GetViewVersion() || !d.covers(request, each) {
 			continue
 		}
-		delete(each.waiting, request.GetFrom())
-		each.said[request.GetFrom()] = true
-		if request.GetPartialKnowledge() && !each.everyone {
-			d.waitForEveryone(each)
-			each.askAt = d.at.Now
+		delete(each.awaiting, request.GetFrom())
+		each.completed[request.GetFrom()] = true
+		if request.GetPartialKnowledge() && !each.awaitsAll {
+			d.awaitAll(each)
+			each.nextRequestAt = d.at.Now
 		}
 	}
-	d.dropCompleteGains()
+	d.finishCompleteTransfers()
 }
 
-func (d *Directory) dropCompleteGains() {
-	kept := d.gains[:0]
-	for _, each := range d.gains {
-		if len(each.waiting) > 0 {
+func (d *Directory) finishCompleteTransfers() {
+	kept := d.transfers[:0]
+	for _, each := range d.transfers {
+		if len(each.awaiting) > 0 {
 			kept = append(kept, each)
 			continue
 		}
-		d.emit(Settled{Took: d.at.Now.Sub(each.since)})
+		d.emit(TransferCompleted{Took: d.at.Now.Sub(each.since)})
 	}
-	clear(d.gains[len(kept):])
-	d.gains = kept
+	clear(d.transfers[len(kept):])
+	d.transfers = kept
 }
 
 // askForCompletion asks the nodes that a gain still waits for to register again
 // what they own here. It covers a node that saw no change of hands because it
 // skipped a view, and goes on after the bound until each has answered or left.
-func (d *Directory) askForCompletion() {
-	for _, each := range d.gains {
-		if d.at.Now.Before(each.askAt) {
+func (d *Directory) requestReregistrations() {
+	for _, each := range d.transfers {
+		if d.at.Now.Before(each.nextRequestAt) {
 			continue
 		}
-		each.askWait = min(2*each.askWait, longestResendDelay)
-		each.askAt = d.at.Now.Add(d.jitter(each.askWait))
-		for _, name := range sortedKeys(each.waiting) {
+		each.requestInterval = min(2*each.requestInterval, maxReregistrationDelay)
+		each.nextRequestAt = d.at.Now.Add(d.jitter(each.requestInterval))
+		for _, name := range sortedKeys(each.awaiting) {
 			if front, found := d.view.byName[name]; found {
 				waitedFor := d.peer(front.Member)
-				waitedFor.ask = true
-				d.wake(waitedFor)
+				waitedFor.needsReregistrationRequest = true
+				d.schedule(waitedFor)
 			}
 		}
 	}
--- a/internal/dataplane/directory/lookup.go
+++ b/internal/dataplane/directory/lookup.go
@@ -22,13 +22,13 @@
 	d.at = at
 	key := ring.Key(request.GetSession())
 	holder, relays := d.relayTo(key, request.GetSuspects())
-	if relays && !request.GetRelayed() && !d.isDoubted(holder.Name) {
+	if relays && !request.GetRelayed() && !d.isUnconfirmed(holder.Name) {
 		return nil, &Relay{Address: holder.Address, Timeout: d.relayTimeout()}, nil
 	}
-	d.hearsay(request.GetSuspects())
+	d.applyIndirectSuspicions(request.GetSuspects())
 	response := &protocol.LookupSessionResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
 	response.Status, response.Registration = d.lookupFor(request, key)
-	d.pump()
+	d.dispatch()
 	return response, nil, d.takeCommands()
 }
 
@@ -39,37 +39,37 @@
 	if status != protocol.DirectoryStatus_DIRECTORY_NOT_FOUND || wanted == nil || wanted.GetSession() != request.GetSession() {
 		return status, found
 	}
-	if request.GetViewVersion() <= d.base.Version && !d.ownerInBase(wanted) {
+	if request.GetViewVersion() <= d.membership.Version && !d.ownerIsMember(wanted) {
 		return protocol.DirectoryStatus_INCORRECT_PARTITION, nil
 	}
 	if wanted.GetOwner() == d.self.Name {
-		return d.takeInHere(wanted, key)
+		return d.ownForDrainingNode(wanted, key)
 	}
-	return protocol.DirectoryStatus_DIRECTORY_OK, d.takeIn(wanted, key, request.GetViewVersion())
+	return protocol.DirectoryStatus_DIRECTORY_OK, d.registerOwner(wanted, key, request.GetViewVersion())
 }
 
 // takeInHere owns a session for a draining node that has a request for it.
-func (d *Directory) takeInHere(wanted *protocol.Registration, key uint64) (protocol.DirectoryStatus, *protocol.Registration) {
+func (d *Directory) ownForDrainingNode(wanted *protocol.Registration, key uint64) (protocol.DirectoryStatus, *protocol.Registration) {
 	if d.draining || wanted.GetOwnerIncarnation() != d.self.Incarnation {
 		return protocol.DirectoryStatus_INCORRECT_PARTITION, nil
 	}
 	session := d.own(wanted.GetSession(), wanted.GetProgram(), d.nextSequence(), true)
-	taken := d.takeIn(d.registrationOf(session), key, d.view.Version)
+	taken := d.registerOwner(d.registrationOf(session), key, d.view.Version)
 	session.claim = taken.GetClaim()
 	d.continueResolve(session.name)
 	return protocol.DirectoryStatus_DIRECTORY_OK, taken
 }
 
 // takeIn registers an owner in place of none, or of one that is lost.
-func (d *Directory) takeIn(wanted *protocol.Registration, key, senderVersion uint64) *protocol.Registration {
+func (d *Directory) registerOwner(wanted *protocol.Registration, key, senderVersion uint64) *protocol.Registration {
 	var former *protocol.Registration
 	if held := d.partition[wanted.GetSession()]; held != nil {
 		former = held.registration
 		d.stats.Takeovers++
-		d.displace(displacement{registration: former, seen: held.seen})
+		d.displace(displacement{registration: former, viewVersion: held.viewVersion})
 	}
 	taken := withClaim(wanted, d.claimFor(key, former))
-	d.partition[wanted.GetSession()] = &entry{registration: taken, key: key, seen: senderVersion}
+	d.partition[wanted.GetSession()] = &entry{registration: taken, key: key, viewVersion: senderVersion}
 	return taken
 }
 
@@ -93,7 +93,7 @@
 	if found := d.partition[session]; found != nil && !d.isClaimable(found.registration, suspects) {
 		return protocol.DirectoryStatus_DIRECTORY_OK, found.registration
 	}
-	if d.settling(key) || clientVersion > d.view.Version {
+	if d.isTransferring(key) || clientVersion > d.view.Version {
 		// A client that is ahead may know of changes of hands that this node has not seen.
 		return protocol.DirectoryStatus_DIRECTORY_SETTLING, nil
 	}
--- a/internal/dataplane/directory/owner.go
+++ b/internal/dataplane/directory/owner.go
@@ -15,7 +15,7 @@
 	confirmed bool
 	grants    int
 	// leaving is why the session is being given up; empty while it is not.
-	leaving    YieldReason
+	yieldReason    YieldReason
 	unregister bool
 	// version is the view version under which the session was taken in.
 	version  uint64
@@ -64,12 +64,12 @@
 	case !at.Authority:
 		return failure.NoAuthority, nil
 	case found == nil:
-		if d.resolves[session] == nil && d.leaving[session] == nil {
+		if d.resolutions[session] == nil && d.withdrawals[session] == nil {
 			d.withdrawOwn(session, "")
-			d.pump()
+			d.dispatch()
 		}
 		return failure.NotOwner, d.takeCommands()
-	case found.leaving != "":
+	case found.yieldReason != "":
 		return failure.NotOwner, nil
 	case !found.confirmed:
 		return failure.NoAuthority, nil
@@ -85,32 +85,32 @@
 		return
 	}
 	found.grants--
-	if found.grants == 0 && found.leaving != "" {
-		d.gaveUp(found)
+	if found.grants == 0 && found.yieldReason != "" {
+		d.finishYield(found)
 	}
 }
 
 // giveUp ends ownership of a session, after its last turn is settled.
-func (d *Directory) giveUp(session *ownedSession, reason YieldReason, unregister bool) {
-	if session.leaving == "" {
-		session.leaving = reason
+func (d *Directory) yield(session *ownedSession, reason YieldReason, unregister bool) {
+	if session.yieldReason == "" {
+		session.yieldReason = reason
 		session.unregister = unregister
 	}
 	session.unregister = session.unregister && unregister
 	delete(d.salvage, session.name)
 	if session.grants == 0 {
-		d.gaveUp(session)
+		d.finishYield(session)
 	}
 }
 
-func (d *Directory) gaveUp(session *ownedSession) {
+func (d *Directory) finishYield(session *ownedSession) {
 	delete(d.owned, session.name)
 	delete(d.salvage, session.name)
 	if d.stats.Yields == nil {
 		d.stats.Yields = make(map[YieldReason]uint64)
 	}
-	d.stats.Yields[session.leaving]++
-	d.emit(Yielded{Session: session.name, Reason: session.leaving})
+	d.stats.Yields[session.yieldReason]++
+	d.emit(Yielded{Session: session.name, Reason: session.yieldReason})
 	if session.unregister {
 		d.withdrawOwn(session.name, session.program)
 	}
@@ -118,18 +118,18 @@
 }
 
 // displaced follows a notice that another node took this one's place as the owner.
-func (d *Directory) displaced(registration *protocol.Registration) {
+func (d *Directory) displacementReceived(registration *protocol.Registration) {
 	found := d.owned[registration.GetSession()]
 	if found == nil || registration.GetOwnerIncarnation() != d.self.Incarnation || registration.GetSequence() < found.sequence {
 		return
 	}
-	d.giveUp(found, YieldDisplaced, false)
+	d.yield(found, YieldDisplaced, false)
 }
 
 // ownershipLost gives a session up that the ledger fenced; its registration, if there is one, is withdrawn.
 func (d *Directory) ownershipLost(session string) {
 	if found := d.owned[session]; found != nil {
-		d.giveUp(found, YieldFenced, true)
+		d.yield(found, YieldFenced, true)
 	}
 }
 
@@ -140,14 +140,14 @@
 		OwnerIncarnation: d.self.Incarnation, ViewVersion: d.view.Version, Sequence: d.nextSequence(),
 	}
 	withdrawal := &item{session: session, key: ring.Key(session), registration: registration, since: d.at.Now}
-	d.leaving[session] = withdrawal
+	d.withdrawals[session] = withdrawal
 	d.target(withdrawal)
 }
 
 func (d *Directory) drainBegun() {
 	d.draining = true
 	for _, name := range sortedKeys(d.owned) {
-		d.giveUp(d.owned[name], YieldDrain, true)
+		d.yield(d.owned[name], YieldDrain, true)
 	}
 }
 
@@ -160,11 +160,11 @@
 		// Nobody is left to hand anything to.
 		return true
 	}
-	if len(d.handOff)+len(d.leaving)+len(d.partition) > 0 {
+	if len(d.handOff)+len(d.withdrawals)+len(d.partition) > 0 {
 		return false
 	}
 	for _, peer := range d.peers {
-		if peer.due > 0 {
+		if peer.pendingCompletion > 0 {
 			return false
 		}
 	}
--- a/internal/dataplane/directory/resolution.go
+++ b/internal/dataplane/directory/resolution.go
@@ -10,7 +10,7 @@
 )
 
 // resolve is one session whose owner is being found out, for any number of tickets.
-type resolve struct {
+type resolution struct {
 	session  string
 	program  string
 	key      uint64
@@ -28,107 +28,107 @@
 }
 
 func (d *Directory) resolveRequested(event ResolveRequested) {
-	if running := d.resolves[event.Session]; running != nil {
-		running.tickets = append(running.tickets, event.Ticket)
-		if event.Deadline.After(running.deadline) {
-			running.deadline = event.Deadline
+	if resolution := d.resolutions[event.Session]; resolution != nil {
+		resolution.tickets = append(resolution.tickets, event.Ticket)
+		if event.Deadline.After(resolution.deadline) {
+			resolution.deadline = event.Deadline
 		}
-		d.tickets[event.Ticket] = running
+		d.resolutionsByTicket[event.Ticket] = resolution
 		return
 	}
-	started := &resolve{
+	resolution := &resolution{
 		session: event.Session, program: event.Program, key: ring.Key(event.Session),
 		tickets: []uint64{event.Ticket}, deadline: event.Deadline,
 	}
-	d.resolves[event.Session] = started
-	d.tickets[event.Ticket] = started
-	d.step(started)
+	d.resolutions[event.Session] = resolution
+	d.resolutionsByTicket[event.Ticket] = resolution
+	d.advance(resolution)
 }
 
 func (d *Directory) resolveCancelled(ticket uint64) {
-	running := d.tickets[ticket]
-	if running == nil {
+	resolution := d.resolutionsByTicket[ticket]
+	if resolution == nil {
 		return
 	}
-	delete(d.tickets, ticket)
-	running.tickets = slices.DeleteFunc(running.tickets, func(each uint64) bool { return each == ticket })
-	if len(running.tickets) == 0 {
-		d.abandon(running)
+	delete(d.resolutionsByTicket, ticket)
+	resolution.tickets = slices.DeleteFunc(resolution.tickets, func(each uint64) bool { return each == ticket })
+	if len(resolution.tickets) == 0 {
+		d.abandon(resolution)
 	}
 }
 
 // abandon ends a resolve that nobody waits for. A first registration whose
 // answer is not known may have been taken, so it is seen through on the salvage list.
-func (d *Directory) abandon(running *resolve) {
-	delete(d.resolves, running.session)
-	registering := d.calls[running.call]
-	underWay := running.call != 0 && registering != nil && registering.registers
-	if (underWay || running.ambiguous) && d.owned[running.session] == nil {
-		d.salvageSession(d.own(running.session, running.program, running.sequence, false))
+func (d *Directory) abandon(resolution *resolution) {
+	delete(d.resolutions, resolution.session)
+	registering := d.calls[resolution.call]
+	underWay := resolution.call != 0 && registering != nil && registering.registers
+	if (underWay || resolution.ambiguous) && d.owned[resolution.session] == nil {
+		d.salvageSession(d.own(resolution.session, resolution.program, resolution.sequence, false))
 	}
 }
 
 // continueResolves goes on with every resolve whose delay has passed.
 func (d *Directory) continueResolves() {
-	for _, session := range sortedKeys(d.resolves) {
-		running := d.resolves[session]
-		if running != nil && running.call == 0 && !d.at.Now.Before(running.notBefore) {
-			d.step(running)
+	for _, session := range sortedKeys(d.resolutions) {
+		resolution := d.resolutions[session]
+		if resolution != nil && resolution.call == 0 && !d.at.Now.Before(resolution.notBefore) {
+			d.advance(resolution)
 		}
 	}
 }
 
 // restartResolves goes on with every resolve that waits for no answer, since who holds and owns what has changed.
 func (d *Directory) restartResolves() {
-	for _, session := range sortedKeys(d.resolves) {
+	for _, session := range sortedKeys(d.resolutions) {
 		d.continueResolve(session)
 	}
 }
 
 // continueResolve goes on with the resolve of a session after its state changed here.
 func (d *Directory) continueResolve(session string) {
-	if running := d.resolves[session]; running != nil && running.call == 0 {
-		d.step(running)
+	if resolution := d.resolutions[session]; resolution != nil && resolution.call == 0 {
+		d.advance(resolution)
 	}
 }
 
 func (d *Directory) expireResolves() {
-	for _, session := range sortedKeys(d.resolves) {
-		if running := d.resolves[session]; !d.at.Now.Before(running.deadline) {
-			d.fail(running, failure.Unavailable)
+	for _, session := range sortedKeys(d.resolutions) {
+		if resolution := d.resolutions[session]; !d.at.Now.Before(resolution.deadline) {
+			d.failResolution(resolution, failure.Unavailable)
 		}
 	}
 }
 
 // step decides what a resolve does next.
-func (d *Directory) step(running *resolve) {
-	running.notBefore = time.Time{}
-	if session := d.owned[running.session]; session != nil {
+func (d *Directory) advance(resolution *resolution) {
+	resolution.notBefore = time.Time{}
+	if session := d.owned[resolution.session]; session != nil {
 		// A session that is being given up is looked up once its last turn is settled.
-		if session.confirmed && session.leaving == "" {
-			d.finish(running, d.ownerHere(running))
+		if session.confirmed && session.yieldReason == "" {
+			d.finish(resolution, d.localOwner(resolution))
 		}
 		return
 	}
-	if d.awaitsWithdrawal(running.session) {
+	if d.awaitsWithdrawal(resolution.session) {
 		return
 	}
-	if owner, found := d.cached(running); found {
+	if owner, found := d.cachedOwner(resolution); found {
 		d.stats.CacheHits++
-		d.finish(running, owner)
+		d.finish(resolution, owner)
 		return
 	}
-	holder, found := d.view.holder(running.key)
+	holder, found := d.view.holder(resolution.key)
 	switch {
 	case !found:
-		d.retry(running)
+		d.retry(resolution)
 	case d.isSelf(holder):
-		d.lookupHere(running)
+		d.lookupLocally(resolution)
 	case holder.Name == d.self.Name:
 		// The view has an earlier incarnation of this node; the next one decides.
-		d.retry(running)
+		d.retry(resolution)
 	default:
-		d.lookupThere(running, holder)
+		d.lookupRemotely(resolution, holder)
 	}
 }
 
@@ -136,127 +136,127 @@
 // cannot be reached is not waited for: whoever holds the range meanwhile cannot take the withdrawal, and a registration that
 // follows has a higher sequence than the withdrawal, which comes late then.
 func (d *Directory) awaitsWithdrawal(session string) bool {
-	withdrawal := d.leaving[session]
+	withdrawal := d.withdrawals[session]
 	return withdrawal != nil && !d.hasSuspectHolder(withdrawal.key)
 }
 
 // hasSuspectHolder reports whether the holder of a key in the membership is suspect, so that another node stands in for it.
 func (d *Directory) hasSuspectHolder(key uint64) bool {
-	holder, found := d.base.holder(key)
+	holder, found := d.membership.holder(key)
 	return found && d.isSuspect(holder.Name, holder.Incarnation)
 }
 
 // cached returns the owner in the cache while the view still has it.
-func (d *Directory) cached(running *resolve) (Owner, bool) {
-	registration, found := d.cache.Get(running.session)
+func (d *Directory) cachedOwner(resolution *resolution) (Owner, bool) {
+	registration, found := d.cache.Get(resolution.session)
 	if !found {
 		return Owner{}, false
 	}
-	if !d.ownerInView(registration) || d.isDoubted(registration.GetOwner()) {
-		d.cache.Remove(running.session)
+	if !d.ownerInView(registration) || d.isUnconfirmed(registration.GetOwner()) {
+		d.cache.Remove(resolution.session)
 		return Owner{}, false
 	}
-	running.cacheHit = true
-	return d.ownerOf(running, registration), true
+	resolution.cacheHit = true
+	return d.toOwner(resolution, registration), true
 }
 
-func (d *Directory) lookupHere(running *resolve) {
+func (d *Directory) lookupLocally(resolution *resolution) {
 	if !d.at.Authority {
-		d.fail(running, failure.NoAuthority)
+		d.failResolution(resolution, failure.NoAuthority)
 		return
 	}
 	d.stats.LocalLookups++
-	status, registration := d.lookup(running.session, running.key, d.view.Version, nil)
+	status, registration := d.lookup(resolution.session, resolution.key, d.view.Version, nil)
 	switch status {
 	case protocol.DirectoryStatus_DIRECTORY_OK:
-		d.found(running, registration)
+		d.applyRegistration(resolution, registration)
 	case protocol.DirectoryStatus_DIRECTORY_NOT_FOUND:
-		d.registerHere(running)
+		d.registerLocally(resolution)
 	default:
 		d.stats.Transferring++
-		d.retry(running)
+		d.retry(resolution)
 	}
 }
 
 // lookupThere asks the holder, which registers this node when it knows no owner;
 // while the holder is suspect the resolve waits.
-func (d *Directory) lookupThere(running *resolve, holder ring.Member) {
+func (d *Directory) lookupRemotely(resolution *resolution, holder ring.Member) {
 	to := d.peer(holder)
 	switch {
-	case to.doubted:
+	case to.unconfirmed:
 		// What the probe shows lets it go on.
-		running.notBefore = d.at.Now.Add(d.lookupTimeout(to))
+		resolution.notBefore = d.at.Now.Add(d.lookupTimeout(to))
 		return
 	case to.failures > 0 && d.at.Now.Before(to.notBefore):
-		running.notBefore = to.notBefore
+		resolution.notBefore = to.notBefore
 		return
 	}
 	d.stats.RemoteLookups++
 	request := &protocol.LookupSessionRequest{
-		Session: running.session, ViewVersion: d.view.Version, Suspects: d.namedSuspects(),
+		Session: resolution.session, ViewVersion: d.view.Version, Suspects: d.namedSuspects(),
 	}
 	registers := !d.draining && d.at.Authority
 	switch {
 	case registers:
-		request.Registration = d.firstRegistration(running)
+		request.Registration = d.firstRegistration(resolution)
 	case d.draining && d.at.Authority:
-		request.Registration = d.registrationFor(running, holder)
+		request.Registration = d.registrationFor(resolution, holder)
 	}
-	running.call = d.emitCall(&call{kind: callLookup, peer: to, resolve: running, registers: registers}, &protocol.Request{
+	resolution.call = d.emitCall(&call{kind: callLookup, peer: to, resolution: resolution, registers: registers}, &protocol.Request{
 		Body: &protocol.Request_LookupSession{LookupSession: request},
 	})
 }
 
 func (d *Directory) lookupAnswered(done *call, answer *protocol.LookupSessionResponse) {
-	running := done.resolve
-	if d.resolves[running.session] != running || running.call != done.number {
+	resolution := done.resolution
+	if d.resolutions[resolution.session] != resolution || resolution.call != done.number {
 		return
 	}
-	running.call = 0
+	resolution.call = 0
 	if answer == nil {
-		running.ambiguous = running.ambiguous || done.registers
+		resolution.ambiguous = resolution.ambiguous || done.registers
 	}
 	switch answer.GetStatus() {
 	case protocol.DirectoryStatus_DIRECTORY_OK:
-		if d.isFirstRegistration(running, done, answer.GetRegistration()) {
-			d.registered(running, done.peer, answer.GetRegistration().GetClaim())
+		if d.isFirstRegistration(resolution, done, answer.GetRegistration()) {
+			d.registered(resolution, done.peer, answer.GetRegistration().GetClaim())
 			return
 		}
-		d.found(running, answer.GetRegistration())
+		d.applyRegistration(resolution, answer.GetRegistration())
 	case protocol.DirectoryStatus_DIRECTORY_NOT_FOUND:
-		d.registerThere(running, done.peer)
+		d.registerRemotely(resolution, done.peer)
 	default:
-		d.countRefusal(answer.GetStatus())
-		d.retry(running)
+		d.countRejection(answer.GetStatus())
+		d.retry(resolution)
 	}
 }
 
 // found takes a registration in that a holder knows.
-func (d *Directory) found(running *resolve, registration *protocol.Registration) {
+func (d *Directory) applyRegistration(resolution *resolution, registration *protocol.Registration) {
 	if registration.GetOwner() == d.self.Name && registration.GetOwnerIncarnation() == d.self.Incarnation {
-		d.adopt(running)
+		d.adopt(resolution)
 		return
 	}
-	if !d.ownerInView(registration) || d.isDoubted(registration.GetOwner()) {
+	if !d.ownerInView(registration) || d.isUnconfirmed(registration.GetOwner()) {
 		// Either view is behind, and the next one decides, or the owner cannot be reached, which the next try says.
-		d.retry(running)
+		d.retry(resolution)
 		return
 	}
-	d.remember(registration)
-	d.finish(running, d.ownerOf(running, registration))
+	d.cacheOwner(registration)
+	d.finish(resolution, d.toOwner(resolution, registration))
 }
 
 // adopt owns a session that a holder has registered for this node, as after a lost answer.
-func (d *Directory) adopt(running *resolve) {
+func (d *Directory) adopt(resolution *resolution) {
 	if d.draining {
-		d.withdrawOwn(running.session, running.program)
+		d.withdrawOwn(resolution.session, resolution.program)
 		return
 	}
-	d.salvageSession(d.own(running.session, running.program, d.nextSequence(), false))
-	d.continueResolve(running.session)
+	d.salvageSession(d.own(resolution.session, resolution.program, d.nextSequence(), false))
+	d.continueResolve(resolution.session)
 }
 
-func (d *Directory) countRefusal(status protocol.DirectoryStatus) {
+func (d *Directory) countRejection(status protocol.DirectoryStatus) {
 	switch status {
 	case protocol.DirectoryStatus_INCORRECT_PARTITION:
 		d.stats.IncorrectPartition++
@@ -266,62 +266,62 @@
 }
 
 // retry tries again after a delay with jitter.
-func (d *Directory) retry(running *resolve) {
-	running.attempts++
-	wait := settleRetryDelay
-	for range min(running.attempts-1, mostSettleDoublings) {
+func (d *Directory) retry(resolution *resolution) {
+	resolution.attempts++
+	wait := resolveRetryDelay
+	for range min(resolution.attempts-1, maxResolveRetryDoublings) {
 		wait *= 2
 	}
-	running.notBefore = d.at.Now.Add(d.jitter(wait))
+	resolution.notBefore = d.at.Now.Add(d.jitter(wait))
 }
 
 // remember caches an owner.
-func (d *Directory) remember(registration *protocol.Registration) {
+func (d *Directory) cacheOwner(registration *protocol.Registration) {
 	if registration.GetOwner() != "" && registration.GetOwner() != d.self.Name {
 		d.cache.Add(registration.GetSession(), registration)
 	}
 }
 
-func (d *Directory) ownerHere(running *resolve) Owner {
-	return d.ownerOf(running, &protocol.Registration{Owner: d.self.Name, OwnerIncarnation: d.self.Incarnation})
+func (d *Directory) localOwner(resolution *resolution) Owner {
+	return d.toOwner(resolution, &protocol.Registration{Owner: d.self.Name, OwnerIncarnation: d.self.Incarnation})
 }
 
-func (d *Directory) ownerOf(running *resolve, registration *protocol.Registration) Owner {
+func (d *Directory) toOwner(resolution *resolution, registration *protocol.Registration) Owner {
 	owner := Owner{
 		Name: registration.GetOwner(), Incarnation: registration.GetOwnerIncarnation(),
 		Address: d.view.byName[registration.GetOwner()].Address,
-		Local:   registration.GetOwner() == d.self.Name, ViewVersion: d.view.Version, CacheHit: running.cacheHit,
+		Local:   registration.GetOwner() == d.self.Name, ViewVersion: d.view.Version, CacheHit: resolution.cacheHit,
 	}
 	if owner.Local {
 		owner.Address = d.self.Address
 	}
-	if holder, found := d.view.holder(running.key); found {
+	if holder, found := d.view.holder(resolution.key); found {
 		owner.PartitionHolder = holder.Name
 	}
 	return owner
 }
 
-func (d *Directory) finish(running *resolve, owner Owner) {
-	delete(d.resolves, running.session)
-	for _, ticket := range running.tickets {
-		delete(d.tickets, ticket)
+func (d *Directory) finish(resolution *resolution, owner Owner) {
+	delete(d.resolutions, resolution.session)
+	for _, ticket := range resolution.tickets {
+		delete(d.resolutionsByTicket, ticket)
 		d.emit(Resolved{Ticket: ticket, Owner: owner})
 	}
 }
 
-func (d *Directory) failDraining(running *resolve) {
+func (d *Directory) failDraining(resolution *resolution) {
 	if d.draining {
-		d.fail(running, failure.Draining)
+		d.failResolution(resolution, failure.Draining)
 		return
 	}
-	d.retry(running)
+	d.retry(resolution)
 }
 
 // fail gives a resolve up. Nothing was run; the caller is told when to come back.
-func (d *Directory) fail(running *resolve, code failure.Code) {
-	d.abandon(running)
-	for _, ticket := range running.tickets {
-		delete(d.tickets, ticket)
+func (d *Directory) failResolution(resolution *resolution, code failure.Code) {
+	d.abandon(resolution)
+	for _, ticket := range resolution.tickets {
+		delete(d.resolutionsByTicket, ticket)
 		d.emit(Resolved{Ticket: ticket, Code: code, RetryAfter: failRetryAfter})
 	}
 }
--- a/internal/dataplane/directory/salvage.go
+++ b/internal/dataplane/directory/salvage.go
@@ -26,64 +26,64 @@
 	queue     []*item
 	displaced []*protocol.Registration
 	// due is the view version for which completion is owed; zero when it is not.
-	due uint64
+	pendingCompletion uint64
 	// dueSince counts the views put in force when completion was last owed.
-	dueSince uint64
+	pendingCompletionGeneration uint64
 	// partialKnowledge goes with the completion owed: other nodes may have registrations in what the peer gained.
 	partialKnowledge bool
 	// gainedFrom are the suspects that the peer named last as the former holders of what it gained.
-	gainedFrom []*protocol.Suspect
+	transferSuspects []*protocol.Suspect
 	// ask is true while the peer is to be asked to register again.
-	ask bool
+	needsReregistrationRequest bool
 	// doubted is true while the peer is asked whether it is there.
-	doubted   bool
-	doubtedAt time.Time
+	unconfirmed   bool
+	unconfirmedSince time.Time
 	// heardAt is when the peer last answered; falseSuspicions counts those that an answer ended.
-	heardAt         time.Time
+	lastContact         time.Time
 	suspectedAt     time.Time
-	hearsayAt       time.Time
+	indirectSuspicionAt       time.Time
 	falseSuspicions int
 	call            uint64
 	// probe is the call under way that only asks whether the peer is there.
-	probe uint64
+	pingCall uint64
 	// failures counts calls without an answer in a row; while it is not zero the peer is suspect.
 	failures int
 	// refusals counts answers in a row that showed another view than this node's.
-	refusals  int
+	viewMismatches  int
 	notBefore time.Time
 }
 
 // hasWork reports whether a peer is to be told something. A suspect is only asked whether it is there.
 func (d *Directory) hasWork(to *peer) bool {
 	if d.isSuspect(to.member.Name, to.member.Incarnation) {
-		return d.isToBeProbed(to)
+		return d.needsPing(to)
 	}
-	return len(to.queue) > 0 || len(to.displaced) > 0 || to.owes(d.view.Version) || to.ask || d.isToBeProbed(to)
+	return len(to.queue) > 0 || len(to.displaced) > 0 || to.hasPendingCompletion(d.view.Version) || to.needsReregistrationRequest || d.needsPing(to)
 }
 
 // isToBeProbed reports whether a probe is to be sent to a peer.
-func (d *Directory) isToBeProbed(to *peer) bool {
-	if to.probe != 0 {
+func (d *Directory) needsPing(to *peer) bool {
+	if to.pingCall != 0 {
 		return false
 	}
-	return to.doubted || d.isSuspect(to.member.Name, to.member.Incarnation)
+	return to.unconfirmed || d.isSuspect(to.member.Name, to.member.Incarnation)
 }
 
 // owes reports whether completion is owed under a view that this node has.
-func (p *peer) owes(viewVersion uint64) bool {
-	return p.due > 0 && p.due <= viewVersion
+func (p *peer) hasPendingCompletion(viewVersion uint64) bool {
+	return p.pendingCompletion > 0 && p.pendingCompletion <= viewVersion
 }
 
 type callKind int
 
 const (
 	callLookup callKind = iota
-	callNew
+	callFirstRegistration
 	callRegister
 	callUnregister
 	callDisplaced
-	callAsk
-	callProbe
+	callReregistrationRequest
+	callPing
 )
 
 // call is one request under way.
@@ -93,11 +93,11 @@
 	peer   *peer
 	// view is the version named in the request, inForce how many views were put in force before it.
 	view      uint64
-	inForce   uint64
+	viewGeneration   uint64
 	items     []*item
 	displaced []*protocol.Registration
 	complete  bool
-	resolve   *resolve
+	resolution   *resolution
 	// registers is true when the call may have registered this node as the owner.
 	registers bool
 	sentAt    time.Time
@@ -116,17 +116,17 @@
 
 // salvageMoved puts own sessions whose holder changed on the salvage list. Under
 // the end-sessions policy those whose holder was lost are given up instead.
-func (d *Directory) salvageMoved(former View) {
+func (d *Directory) salvageReassigned(former View) {
 	for _, name := range sortedKeys(d.owned) {
 		session := d.owned[name]
 		before, had := former.holder(session.key)
 		after, _ := d.view.holder(session.key)
-		if session.leaving != "" || before == after {
+		if session.yieldReason != "" || before == after {
 			continue
 		}
 		lost := had && !d.view.Has(before.Name, before.Incarnation)
 		if d.policy.EndSessions && lost {
-			d.giveUp(session, YieldEnded, false)
+			d.yield(session, YieldEnded, false)
 			continue
 		}
 		d.salvageSession(session)
@@ -144,7 +144,7 @@
 
 // retarget sends items on whose holder changed.
 func (d *Directory) retarget() {
-	for _, list := range []map[string]*item{d.salvage, d.handOff, d.leaving} {
+	for _, list := range []map[string]*item{d.salvage, d.handOff, d.withdrawals} {
 		for _, name := range sortedKeys(list) {
 			waiting := list[name]
 			if waiting == nil {
@@ -167,7 +167,7 @@
 		return
 	}
 	if d.isSelf(holder) {
-		d.settleHere(waiting)
+		d.completeLocally(waiting)
 		return
 	}
 	if holder.Name == d.self.Name {
@@ -176,22 +176,22 @@
 	}
 	waiting.target = d.peer(holder)
 	waiting.target.queue = append(waiting.target.queue, waiting)
-	d.wake(waiting.target)
+	d.schedule(waiting.target)
 }
 
 // settleHere takes an item as holder.
-func (d *Directory) settleHere(waiting *item) {
+func (d *Directory) completeLocally(waiting *item) {
 	switch {
-	case d.leaving[waiting.session] == waiting:
+	case d.withdrawals[waiting.session] == waiting:
 		d.withdraw(waiting.registration)
-		d.settleWithdrawal(waiting)
+		d.completeWithdrawal(waiting)
 	case d.salvage[waiting.session] == waiting:
 		result := d.register(waiting.registration, protocol.RegistrationCause_CAUSE_SALVAGE, d.view.Version)
 		if result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION {
 			// The view does not have this node's incarnation yet; a later one will.
 			return
 		}
-		d.settleSalvage(waiting, result)
+		d.completeSalvage(waiting, result)
 	case d.handOff[waiting.session] == waiting:
 		d.register(waiting.registration, protocol.RegistrationCause_CAUSE_HAND_OFF, d.view.Version)
 		delete(d.handOff, waiting.session)
@@ -199,31 +199,31 @@
 }
 
 // live reports whether the item is still on its list and meant for the peer.
-func (d *Directory) live(waiting *item, to *peer) bool {
+func (d *Directory) isCurrent(waiting *item, to *peer) bool {
 	if waiting.target != to {
 		return false
 	}
 	session := waiting.session
-	return d.salvage[session] == waiting || d.handOff[session] == waiting || d.leaving[session] == waiting
+	return d.salvage[session] == waiting || d.handOff[session] == waiting || d.withdrawals[session] == waiting
 }
 
 // pump begins the next call to each peer that has work, no call under way and no delay to keep.
-func (d *Directory) pump() {
-	if len(d.working) == 0 || !d.at.Authority {
+func (d *Directory) dispatch() {
+	if len(d.peersWithWork) == 0 || !d.at.Authority {
 		return
 	}
-	for _, name := range sortedKeys(d.working) {
-		to := d.working[name]
+	for _, name := range sortedKeys(d.peersWithWork) {
+		to := d.peersWithWork[name]
 		if d.peers[name] != to {
-			delete(d.working, name)
+			delete(d.peersWithWork, name)
 			continue
 		}
 		ready := !d.at.Now.Before(to.notBefore)
-		if ready && d.isToBeProbed(to) {
-			d.sendProbe(to)
+		if ready && d.needsPing(to) {
+			d.ping(to)
 		}
 		if to.call != 0 || !d.hasWork(to) {
-			delete(d.working, name)
+			delete(d.peersWithWork, name)
 			continue
 		}
 		if ready && !d.isSuspect(to.member.Name, to.member.Incarnation) {
@@ -234,26 +234,26 @@
 
 // wake has the next pump look at a peer. An answer to an earlier incarnation
 // must not take the place of the one that is known now.
-func (d *Directory) wake(to *peer) {
+func (d *Directory) schedule(to *peer) {
 	if d.peers[to.member.Name] == to {
-		d.working[to.member.Name] = to
+		d.peersWithWork[to.member.Name] = to
 	}
 }
 
 // sendNext sends withdrawals first, then registrations, notices and questions.
 func (d *Directory) sendNext(to *peer) {
 	to.queue = slices.DeleteFunc(to.queue, func(waiting *item) bool {
-		return waiting.call != 0 || !d.live(waiting, to)
+		return waiting.call != 0 || !d.isCurrent(waiting, to)
 	})
-	if batch := d.take(to, d.leaving); len(batch) > 0 {
+	if batch := d.dequeue(to, d.withdrawals); len(batch) > 0 {
 		d.sendUnregister(to, batch)
 		return
 	}
-	if batch := d.take(to, d.handOff); len(batch) > 0 {
+	if batch := d.dequeue(to, d.handOff); len(batch) > 0 {
 		d.sendRegister(to, batch, protocol.RegistrationCause_CAUSE_HAND_OFF)
 		return
 	}
-	if batch := d.take(to, d.salvage); len(batch) > 0 || to.owes(d.view.Version) {
+	if batch := d.dequeue(to, d.salvage); len(batch) > 0 || to.hasPendingCompletion(d.view.Version) {
 		d.sendRegister(to, batch, protocol.RegistrationCause_CAUSE_SALVAGE)
 		return
 	}
@@ -261,13 +261,13 @@
 		d.sendDisplaced(to)
 		return
 	}
-	if to.ask {
-		d.sendAsk(to)
+	if to.needsReregistrationRequest {
+		d.requestReregistration(to)
 	}
 }
 
 // take removes up to a batch of one list's items from the queue.
-func (d *Directory) take(to *peer, list map[string]*item) []*item {
+func (d *Directory) dequeue(to *peer, list map[string]*item) []*item {
 	var batch []*item
 	to.queue = slices.DeleteFunc(to.queue, func(waiting *item) bool {
 		if len(batch) == d.policy.BatchSize || list[waiting.session] != waiting {
@@ -288,7 +288,7 @@
 }
 
 func (d *Directory) sendRegister(to *peer, batch []*item, cause protocol.RegistrationCause) {
-	complete := to.owes(d.view.Version) && len(to.queue) == 0
+	complete := to.hasPendingCompletion(d.view.Version) && len(to.queue) == 0
 	request := &protocol.RegisterSessionsRequest{
 		ViewVersion: d.view.Version, Cause: cause, Registrations: registrationsOf(batch),
 		From: d.self.Name, Complete: complete, PartialKnowledge: complete && to.partialKnowledge,
@@ -314,19 +314,19 @@
 	to.displaced = nil
 }
 
-func (d *Directory) sendAsk(to *peer) {
-	to.ask = false
-	d.stats.ResendRequests++
-	request := &protocol.RegisterSessionsRequest{ViewVersion: d.view.Version, From: d.self.Name, Resend: true, Suspects: d.gainedFrom()}
-	d.send(&call{kind: callAsk, peer: to}, &protocol.Request{
+func (d *Directory) requestReregistration(to *peer) {
+	to.needsReregistrationRequest = false
+	d.stats.ReregistrationRequests++
+	request := &protocol.RegisterSessionsRequest{ViewVersion: d.view.Version, From: d.self.Name, Resend: true, Suspects: d.transferSuspects()}
+	d.send(&call{kind: callReregistrationRequest, peer: to}, &protocol.Request{
 		Body: &protocol.Request_RegisterSessions{RegisterSessions: request},
 	})
 }
 
 // sendProbe asks a peer only whether it is there.
-func (d *Directory) sendProbe(to *peer) {
+func (d *Directory) ping(to *peer) {
 	request := &protocol.RegisterSessionsRequest{ViewVersion: d.view.Version, From: d.self.Name}
-	to.probe = d.emitCall(&call{kind: callProbe, peer: to}, &protocol.Request{
+	to.pingCall = d.emitCall(&call{kind: callPing, peer: to}, &protocol.Request{
 		Body: &protocol.Request_RegisterSessions{RegisterSessions: request},
 	})
 }
@@ -343,7 +343,7 @@
 func (d *Directory) emitCall(sent *call, request *protocol.Request) uint64 {
 	d.lastCall++
 	sent.view = d.view.Version
-	sent.inForce = d.inForce
+	sent.viewGeneration = d.viewGeneration
 	sent.incarnation = d.self.Incarnation
 	sent.number = d.lastCall
 	sent.sentAt = d.at.Now
@@ -358,7 +358,7 @@
 
 // resend answers a holder that waits for this node: everything owned there is registered again. The suspects are those that
 // the holder has gained ranges from.
-func (d *Directory) resend(from string, version uint64, suspects []*protocol.Suspect) {
+func (d *Directory) reregister(from string, version uint64, suspects []*protocol.Suspect) {
 	front, found := d.view.byName[from]
 	if !found || d.view.Version < version {
 		return
@@ -366,22 +366,22 @@
 	for _, name := range sortedKeys(d.owned) {
 		session := d.owned[name]
 		holder, _ := d.view.holder(session.key)
-		if holder == front.Member && session.leaving == "" && d.salvage[name] == nil {
+		if holder == front.Member && session.yieldReason == "" && d.salvage[name] == nil {
 			d.salvageSession(session)
 		}
 	}
 	holder := d.peer(front.Member)
-	holder.gainedFrom = suspects
+	holder.transferSuspects = suspects
 	if !d.suspectsAll(suspects) {
 		// The holder waits for a word that says that they cannot be reached; it comes once this node has found so.
 		return
 	}
-	d.owe(holder)
+	d.markCompletionPending(holder)
 }
 
 // owe notes that completion is owed to a peer under the view in force.
-func (d *Directory) owe(to *peer) {
-	to.due = max(to.due, d.view.Version)
-	to.dueSince = d.inForce
-	d.wake(to)
+func (d *Directory) markCompletionPending(to *peer) {
+	to.pendingCompletion = max(to.pendingCompletion, d.view.Version)
+	to.pendingCompletionGeneration = d.viewGeneration
+	d.schedule(to)
 }
--- a/internal/dataplane/directory/salvage_test.go
+++ b/internal/dataplane/directory/salvage_test.go
@@ -95,7 +95,7 @@
 	It("ends the sessions registered there under the end-sessions policy, after their turns", func() {
 		fleet := newFleet(trio...)
 		owner := fleet.nodes["a"]
-		owner.handle(directory.PolicyChanged{Policy: directory.PolicyOf(&protocol.RecoveryPolicy{SalvageMode: protocol.SalvageMode_END_SESSIONS})})
+		owner.handle(directory.PolicyChanged{Policy: directory.NewPolicy(&protocol.RecoveryPolicy{SalvageMode: protocol.SalvageMode_END_SESSIONS})})
 		idle, busy := heldBy(trio, "c", "b"), heldBy(trio, "c", "a")
 		kept := heldBy(trio, "b", "")
 		for _, session := range []string{idle, busy, kept} {
@@ -128,14 +128,14 @@
 		}
 		fleet.nodes["c"].gone = true
 		fleet.publish("a", "b")
-		fleet.advance(directory.DefaultSettleBound + time.Second)
+		fleet.advance(directory.DefaultTransferTimeout + time.Second)
 		Expect(fleet.nodes["b"].resolve(session).Owner.Local).To(BeTrue())
 		muted = false
 		return fleet, session
 	}
 
 	It("are one after the second registrant settled its turn and yielded", func() {
-		fleet, session := twoOwners(directory.PolicyOf(nil))
+		fleet, session := twoOwners(directory.NewPolicy(nil))
 		late := fleet.nodes["a"]
 		code, _ := late.directory.Begin(late.at(), session)
 		Expect(code).To(BeEmpty())
--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -23,7 +23,7 @@
 	// Sessions whose registration became void because authority was lost.
 	AuthorityLost uint64
 	// Completions that had to be asked for.
-	ResendRequests uint64
+	ReregistrationRequests uint64
 	// Suspicions counts members that could not be reached, FalseSuspicions those that answered after all.
 	Suspicions, FalseSuspicions uint64
 	// Takeovers counts sessions registered here in place of a lost owner.
@@ -61,7 +61,7 @@
 func (d *Directory) OwnedSessions() []string {
 	var names []string
 	for _, name := range sortedKeys(d.owned) {
-		if d.owned[name].leaving == "" {
+		if d.owned[name].yieldReason == "" {
 			names = append(names, name)
 		}
 	}
@@ -84,7 +84,7 @@
 func (d *Directory) Suspects() int { return len(d.suspects) }
 
 // SettlingRanges is the number of ranges gained that are not complete.
-func (d *Directory) TransferringRanges() int { return len(d.gains) }
+func (d *Directory) TransferringRanges() int { return len(d.transfers) }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
--- a/internal/dataplane/directory/steady_state_test.go
+++ b/internal/dataplane/directory/steady_state_test.go
@@ -27,7 +27,7 @@
 		Expect(fleet.nodes["b"].resolve(session).Owner.CacheHit).To(BeTrue())
 
 		By("being looked up again after it was forgotten")
-		fleet.nodes["b"].handle(directory.Forgotten{Session: session})
+		fleet.nodes["b"].handle(directory.OwnerInvalidated{Session: session})
 		Expect(fleet.nodes["b"].resolve(session).Owner.CacheHit).To(BeFalse())
 	})
 
@@ -130,7 +130,7 @@
 		Expect(code).To(Equal(failure.NotOwner))
 		node.execute(commands)
 		Expect(holder.registeredOwner(session)).To(BeEmpty())
-		fleet.nodes["b"].handle(directory.Forgotten{Session: session})
+		fleet.nodes["b"].handle(directory.OwnerInvalidated{Session: session})
 		Expect(fleet.nodes["b"].resolve(session).Owner.Local).To(BeTrue())
 	})
 
--- a/internal/dataplane/directory/takeover_test.go
+++ b/internal/dataplane/directory/takeover_test.go
@@ -19,7 +19,7 @@
 // refusing is a fleet in which calls to a lost node are refused, without a new view.
 func refusing(names ...string) *fleet {
 	made := newFleet(names...)
-	made.failure = directory.CallRefused
+	made.failure = directory.CallConnectionRefused
 	return made
 }
 
@@ -59,7 +59,7 @@
 		fleet.nodes["a"].resolve(session)
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
 		fleet.nodes["a"].gone = true
-		fleet.nodes["b"].handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallRefused})
+		fleet.nodes["b"].handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallConnectionRefused})
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 		Expect(fleet.nodes["c"].registeredOwner(session)).To(Equal("b"))
 		Expect(fleet.nodes["c"].claimOf(session)).NotTo(BeZero())
@@ -85,7 +85,7 @@
 		code, _ := owner.directory.Begin(owner.at(), session)
 		Expect(code).To(BeEmpty())
 		heal := fleet.cut("a", "b")
-		other.handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallSilent})
+		other.handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallTimedOut})
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 		heal()
 		fleet.settle()
@@ -130,7 +130,7 @@
 		fleet.nodes["c"].resolve(session)
 		Expect(fleet.nodes["a"].resolve(session).Owner.Name).To(Equal("c"))
 		fleet.nodes["c"].gone = true
-		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallRefused})
+		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallConnectionRefused})
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Local).To(BeTrue())
 	})
 
@@ -151,7 +151,7 @@
 var _ = Describe("a holder that one node alone cannot reach", func() {
 	It("is asked through the next one, which takes nothing over", func() {
 		fleet := refusing(trio...)
-		fleet.failure = directory.CallSilent
+		fleet.failure = directory.CallTimedOut
 		fleet.cut("a", "c")
 		session := heldBy(trio, "c", "b")
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Local).To(BeTrue())
@@ -164,7 +164,7 @@
 var _ = Describe("a suspect that is there after all", func() {
 	It("gets its partition back, and the later claim stays where two own a session", func() {
 		fleet := refusing(trio...)
-		fleet.failure = directory.CallSilent
+		fleet.failure = directory.CallTimedOut
 		doubled, fresh := heldBy(trio, "c", "b"), ""
 		for i := range 1000 {
 			if name := "fresh-" + time.Duration(i).String(); fleet.holderOf(name) == "c" {
@@ -176,7 +176,7 @@
 		frozen.resolve(doubled)
 		Expect(fleet.nodes["a"].resolve(doubled).Owner.Name).To(Equal("c"))
 		frozen.gone = true
-		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallSilent})
+		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallTimedOut})
 		Expect(fleet.resolveWithin(2*soon, "a", doubled).Owner.Local).To(BeTrue())
 		Expect(fleet.resolveWithin(2*soon, "a", fresh).Owner.Local).To(BeTrue())
 
@@ -196,11 +196,11 @@
 	It("is not suspected by a call that shows nothing, nor by another incarnation's answer trusted", func() {
 		fleet := newFleet(trio...)
 		node := fleet.nodes["a"]
-		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallUnanswered})
+		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallInconclusive})
 		fleet.settle()
 		Expect(node.directory.Suspects()).To(BeZero())
 
-		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallRefused})
+		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallConnectionRefused})
 		fleet.nodes["c"].reincarnate()
 		fleet.settle()
 		Expect(node.directory.Suspects()).To(Equal(1))
@@ -291,7 +291,7 @@
 	It("grows with what answers take of late, up to four times, and shrinks again", func() {
 		fleet := newFleet(trio...)
 		usual := timeout(fleet)
-		Expect(usual).To(Equal(directory.DefaultSilenceLimit / 2))
+		Expect(usual).To(Equal(directory.DefaultFailureDetectionTimeout / 2))
 		slow := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})[0].(directory.Send)
 		fleet.now = fleet.now.Add(100 * time.Millisecond)
 		fleet.nodes["a"].handle(directory.Answered{Call: slow.Call, Response: fleet.nodes["c"].serve(slow.Request)})
@@ -385,7 +385,7 @@
 		}
 		for _, name := range left {
 			for _, away := range lost {
-				fleet.nodes[name].handle(directory.PeerFailed{Address: away + ":1", Failure: directory.CallRefused})
+				fleet.nodes[name].handle(directory.PeerFailed{Address: away + ":1", Failure: directory.CallConnectionRefused})
 			}
 		}
 		fleet.settle()
--- a/internal/dataplane/directory/view.go
+++ b/internal/dataplane/directory/view.go
@@ -15,7 +15,7 @@
 	ring.Member
 	Draining bool
 	// OwnedNothing says that the process had owned no session when it last described itself.
-	OwnedNothing bool
+	FreshStart bool
 }
 
 // View is one version of the membership as far as the directory needs it. It
@@ -26,7 +26,7 @@
 	byName  map[string]Front
 	ring    *ring.Ring
 	// virtualPlaces is the number of places of each member on the ring.
-	virtualPlaces int
+	virtualNodes int
 }
 
 // NewView builds a view of front nodes; their order does not matter.
@@ -36,7 +36,7 @@
 
 // next builds the same view as NewView from this one, whose ring it takes over where it does not change.
 func (v View) next(version uint64, fronts []Front, virtualPlaces int) View {
-	view := View{Version: version, fronts: slices.Clone(fronts), byName: make(map[string]Front, len(fronts)), virtualPlaces: virtualPlaces}
+	view := View{Version: version, fronts: slices.Clone(fronts), byName: make(map[string]Front, len(fronts)), virtualNodes: virtualPlaces}
 	slices.SortFunc(view.fronts, func(a, b Front) int { return cmp.Compare(a.Name, b.Name) })
 	members := make([]ring.Member, 0, len(fronts))
 	for _, front := range view.fronts {
@@ -50,19 +50,19 @@
 }
 
 // ViewOf builds a view of the front nodes of a membership view.
-func ViewOf(membership *protocol.MembershipView, virtualPlaces int) View {
-	return View{}.NextOf(membership, virtualPlaces)
+func ViewFromMembership(membership *protocol.MembershipView, virtualPlaces int) View {
+	return View{}.NextFromMembership(membership, virtualPlaces)
 }
 
 // NextOf builds the same view as ViewOf from an earlier one, at a cost that the members that did not change have little part in.
-func (v View) NextOf(membership *protocol.MembershipView, virtualPlaces int) View {
+func (v View) NextFromMembership(membership *protocol.MembershipView, virtualPlaces int) View {
 	var fronts []Front
 	for _, node := range membership.GetNodes() {
 		if node.GetKind() != protocol.NodeKind_FRONT {
 			continue
 		}
 		member := ring.Member{Name: node.GetName(), Address: node.GetAddress(), Incarnation: node.GetIncarnation()}
-		fronts = append(fronts, Front{Member: member, Draining: node.GetDraining(), OwnedNothing: node.GetOwnedNothing()})
+		fronts = append(fronts, Front{Member: member, Draining: node.GetDraining(), FreshStart: node.GetOwnedNothing()})
 	}
 	return v.next(membership.GetVersion(), fronts, virtualPlaces)
 }
@@ -94,7 +94,7 @@
 		incarnation, found := suspects[front.Name]
 		return found && incarnation == front.Incarnation
 	})
-	return v.next(v.Version, fronts, v.virtualPlaces)
+	return v.next(v.Version, fronts, v.virtualNodes)
 }
 
 // holder is the member that holds a key; false on an empty ring.
@@ -120,7 +120,7 @@
 )
 
 // PolicyOf reads the policy of a bundle; nil gives the starting values.
-func PolicyOf(recovery *protocol.RecoveryPolicy) Policy {
+func NewPolicy(recovery *protocol.RecoveryPolicy) Policy {
 	policy := Policy{
 		EndSessions:       recovery.GetSalvageMode() == protocol.SalvageMode_END_SESSIONS,
 		HigherViewVersion: recovery.GetDuplicateResolution() == protocol.DuplicateResolution_HIGHER_VIEW_VERSION,
@@ -138,42 +138,42 @@
 
 // viewChanged adopts a newer view; what was suspected of a member that left or came back is void.
 func (d *Directory) viewChanged(next View) {
-	if next.Version <= d.base.Version {
+	if next.Version <= d.membership.Version {
 		return
 	}
-	d.base = next
+	d.membership = next
 	for name, incarnation := range d.suspects {
 		if !next.Has(name, incarnation) {
 			delete(d.suspects, name)
 		}
 	}
-	d.putInForce()
+	d.applyView()
 }
 
 // putInForce puts the view without the suspects in force: what this node gained begins to settle, what
 // it lost is handed off, and its own sessions whose holder changed are salvaged.
-func (d *Directory) putInForce() {
-	former, next := d.view, d.base.without(d.suspects)
+func (d *Directory) applyView() {
+	former, next := d.view, d.membership.without(d.suspects)
 	d.view = next
-	d.inForce++
-	changes := ring.Changes(d.ringBefore(former), next.ring)
-	d.dropGonePeers()
-	d.dropGoneOwners()
-	d.tellDisplaced()
-	d.updateGains(changes)
+	d.viewGeneration++
+	changes := ring.Changes(d.previousRing(former), next.ring)
+	d.dropRemovedPeers()
+	d.dropRemovedOwners()
+	d.notifyDisplaced()
+	d.updateTransfers(changes)
 	d.handOffLost()
-	d.salvageMoved(former)
-	d.becomeAwaited(former)
-	d.oweCompletion(changes)
+	d.salvageReassigned(former)
+	d.reregisterAfterFreshStart(former)
+	d.markPendingCompletions(changes)
 	d.retarget()
-	d.wakeDebtors()
+	d.schedulePendingCompletions()
 	d.restartResolves()
 }
 
 // ringBefore is the ring that a view is compared with. A node that had no view
 // yet takes the others' ring for it, since that is what it joins; a former
 // holder that knows of more changes says so with its completion.
-func (d *Directory) ringBefore(former View) *ring.Ring {
+func (d *Directory) previousRing(former View) *ring.Ring {
 	if former.Version > 0 {
 		return former.ring
 	}
@@ -183,18 +183,18 @@
 			others = append(others, front.Member)
 		}
 	}
-	return ring.Next(d.view.ring, others, d.view.virtualPlaces)
+	return ring.Next(d.view.ring, others, d.view.virtualNodes)
 }
 
 // dropGonePeers ends the state kept for nodes that left or came back under
 // another incarnation, and begins anew what waits for an answer of theirs or of a suspect.
-func (d *Directory) dropGonePeers() {
+func (d *Directory) dropRemovedPeers() {
 	for name, peer := range d.peers {
-		if !d.base.Has(name, peer.member.Incarnation) {
+		if !d.membership.Has(name, peer.member.Incarnation) {
 			delete(d.peers, name)
 		}
 	}
-	for _, running := range d.resolves {
+	for _, running := range d.resolutions {
 		asked := d.calls[running.call]
 		if asked == nil {
 			continue
@@ -209,10 +209,10 @@
 }
 
 // wakeDebtors looks at the peers to which completion is owed under the view just adopted.
-func (d *Directory) wakeDebtors() {
+func (d *Directory) schedulePendingCompletions() {
 	for _, each := range d.peers {
-		if each.due > 0 {
-			d.wake(each)
+		if each.pendingCompletion > 0 {
+			d.schedule(each)
 		}
 	}
 }
@@ -220,35 +220,35 @@
 // oweCompletion notes each member that waits for this node before it calls a
 // gained range complete. A range that a living holder gave up is complete with
 // that holder's word; one whose holder was lost needs the word of every node that may own sessions.
-func (d *Directory) oweCompletion(changes []ring.Change) {
+func (d *Directory) markPendingCompletions(changes []ring.Change) {
 	for _, change := range changes {
 		if change.To.Name == "" || change.To.Name == d.self.Name {
 			continue
 		}
 		lost := !d.alive(change.From)
-		if !d.isSelf(change.From) && (!lost || d.ownedNothing()) {
+		if !d.isSelf(change.From) && (!lost || d.isFreshStart()) {
 			continue
 		}
 		gainer := d.peer(change.To)
-		gainer.partialKnowledge = gainer.partialKnowledge || lost || d.settlingPartOf(change.Range)
-		d.owe(gainer)
+		gainer.partialKnowledge = gainer.partialKnowledge || lost || d.isTransferringPartOf(change.Range)
+		d.markCompletionPending(gainer)
 	}
 }
 
 // ownedNothing reports whether this process has owned no session and the view says so, so that nobody waits for its word.
-func (d *Directory) ownedNothing() bool {
-	return !d.hasOwned && d.view.byName[d.self.Name].OwnedNothing
+func (d *Directory) isFreshStart() bool {
+	return !d.hasOwned && d.view.byName[d.self.Name].FreshStart
 }
 
 // becomeAwaited registers this node's sessions anew with the first view that shows that it owns any: who gained a range
 // under an earlier view did not wait for its word.
-func (d *Directory) becomeAwaited(former View) {
+func (d *Directory) reregisterAfterFreshStart(former View) {
 	before, now := former.byName[d.self.Name], d.view.byName[d.self.Name]
-	if !before.OwnedNothing || now.OwnedNothing {
+	if !before.FreshStart || now.FreshStart {
 		return
 	}
 	for _, name := range sortedKeys(d.owned) {
-		if session := d.owned[name]; session.leaving == "" {
+		if session := d.owned[name]; session.yieldReason == "" {
 			d.salvageSession(session)
 		}
 	}
@@ -260,8 +260,8 @@
 }
 
 // settlingPartOf reports whether this node itself still waits for registrations in a part of the range.
-func (d *Directory) settlingPartOf(moved ring.Range) bool {
-	for _, each := range d.gains {
+func (d *Directory) isTransferringPartOf(moved ring.Range) bool {
+	for _, each := range d.transfers {
 		for _, gained := range each.ranges {
 			if gained.Contains(moved.Through) || moved.Contains(gained.Through) {
 				return true
--- a/internal/dataplane/directory/withdrawal_test.go
+++ b/internal/dataplane/directory/withdrawal_test.go
@@ -15,7 +15,7 @@
 		session := heldBy(members, "c", "b")
 		owner := fleet.nodes["a"]
 		Expect(owner.resolve(session).Owner.Local).To(BeTrue())
-		fleet.failure = directory.CallRefused
+		fleet.failure = directory.CallConnectionRefused
 		fleet.intercept = func(from, to string, request *protocol.Request) (*protocol.Response, bool) {
 			// a and c do not reach each other; the stand-in takes itself for no holder, since it reaches c.
 			return nil, from == "a" && to == "c" || from == "c" && to == "a"
--- a/internal/dataplane/ownership/evidence.go
+++ b/internal/dataplane/ownership/evidence.go
@@ -25,23 +25,23 @@
 	var notSent *wire.NotSentError
 	switch {
 	case failure.Is(err, failure.NoAuthority), failure.Is(err, failure.NotReady):
-		return directory.CallPowerless
+		return directory.CallNoAuthority
 	case isOwnDoing(err):
-		return directory.CallUnanswered
+		return directory.CallInconclusive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return directory.CallRefused
+		return directory.CallConnectionRefused
 	case errors.As(err, &silent):
 		// Pings were unanswered for longer than a probe would be waited for.
-		return directory.CallRefused
+		return directory.CallConnectionRefused
 	case isTimeout(err):
 		if silenceCounts {
-			return directory.CallSilent
+			return directory.CallTimedOut
 		}
-		return directory.CallUnanswered
+		return directory.CallInconclusive
 	case errors.As(err, &broken), errors.As(err, &notSent):
 		return directory.CallBroken
 	default:
-		return directory.CallUnanswered
+		return directory.CallInconclusive
 	}
 }
 
--- a/internal/dataplane/ownership/evidence_test.go
+++ b/internal/dataplane/ownership/evidence_test.go
@@ -25,20 +25,20 @@
 		silent bool
 		want   directory.CallFailure
 	}{
-		"refused":                        {&wire.NotSentError{Cause: refused}, true, directory.CallRefused},
+		"refused":                        {&wire.NotSentError{Cause: refused}, true, directory.CallConnectionRefused},
 		"reset under way":                {&wire.BrokenError{Cause: reset}, true, directory.CallBroken},
 		"closed under way":               {&wire.BrokenError{Cause: io.EOF}, true, directory.CallBroken},
 		"reset in the handshake":         {&wire.NotSentError{Cause: reset}, true, directory.CallBroken},
-		"pings unanswered":               {&wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}, false, directory.CallRefused},
-		"no answer in time":              {context.DeadlineExceeded, true, directory.CallSilent},
-		"no connection in time":          {&wire.NotSentError{Cause: dialTimeout}, true, directory.CallSilent},
-		"a deadline of another's":        {context.DeadlineExceeded, false, directory.CallUnanswered},
-		"no lease":                       {notRun(failure.NoAuthority), true, directory.CallPowerless},
-		"not ready":                      {notRun(failure.NotReady), true, directory.CallPowerless},
-		"another refusal":                {notRun(failure.Overloaded), true, directory.CallUnanswered},
-		"cancelled":                      {&wire.NotSentError{Cause: context.Canceled}, true, directory.CallUnanswered},
-		"closed by this process":         {&wire.BrokenError{Cause: &wire.ClosedError{}}, true, directory.CallUnanswered},
-		"closed by this process, unused": {&wire.BrokenError{Cause: &wire.IdleError{}}, true, directory.CallUnanswered},
+		"pings unanswered":               {&wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}, false, directory.CallConnectionRefused},
+		"no answer in time":              {context.DeadlineExceeded, true, directory.CallTimedOut},
+		"no connection in time":          {&wire.NotSentError{Cause: dialTimeout}, true, directory.CallTimedOut},
+		"a deadline of another's":        {context.DeadlineExceeded, false, directory.CallInconclusive},
+		"no lease":                       {notRun(failure.NoAuthority), true, directory.CallNoAuthority},
+		"not ready":                      {notRun(failure.NotReady), true, directory.CallNoAuthority},
+		"another refusal":                {notRun(failure.Overloaded), true, directory.CallInconclusive},
+		"cancelled":                      {&wire.NotSentError{Cause: context.Canceled}, true, directory.CallInconclusive},
+		"closed by this process":         {&wire.BrokenError{Cause: &wire.ClosedError{}}, true, directory.CallInconclusive},
+		"closed by this process, unused": {&wire.BrokenError{Cause: &wire.IdleError{}}, true, directory.CallInconclusive},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := evidenceOf(example.err, example.silent); got != example.want {
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -233,7 +233,7 @@
 // Forget drops the cached owner of a session, after that node answered
 // `not_owner` or could not be reached.
 func (m *Manager) Forget(session string) {
-	m.post(func(s *shell) { s.handle(directory.Forgotten{Session: session}) })
+	m.post(func(s *shell) { s.handle(directory.OwnerInvalidated{Session: session}) })
 }
 
 // OwnerLost says that a request could not be passed on to the owner at an
@@ -246,7 +246,7 @@
 func (m *Manager) OwnerLost(session, address string, cause error) {
 	evidence := evidenceOf(cause, false)
 	m.post(func(s *shell) {
-		s.handle(directory.Forgotten{Session: session})
+		s.handle(directory.OwnerInvalidated{Session: session})
 		s.handle(directory.PeerFailed{Address: address, Failure: evidence})
 	})
 }
--- a/internal/dataplane/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -63,7 +63,7 @@
 	counter("salvaged_total", "Sessions registered again with a new holder.", nil, func(s *snapshot) uint64 { return s.Salvaged })
 	counter("handed_off_total", "Registrations passed on to the new holder of a range.", nil, func(s *snapshot) uint64 { return s.HandedOff })
 	counter("void_registrations_total", "Registrations void because authority was lost.", nil, func(s *snapshot) uint64 { return s.AuthorityLost })
-	counter("resend_requests_total", "Completions that had to be asked for.", nil, func(s *snapshot) uint64 { return s.ResendRequests })
+	counter("resend_requests_total", "Completions that had to be asked for.", nil, func(s *snapshot) uint64 { return s.ReregistrationRequests })
 	counter("suspicions_total", "Front nodes of the view that could not be reached.", nil, func(s *snapshot) uint64 { return s.Suspicions })
 	counter("false_suspicions_total", "Suspects that answered after all.", nil, func(s *snapshot) uint64 { return s.FalseSuspicions })
 	counter("takeovers_total", "Sessions registered here in place of a lost owner.", nil, func(s *snapshot) uint64 { return s.Takeovers })
--- a/internal/dataplane/ownership/serve.go
+++ b/internal/dataplane/ownership/serve.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, evidenceOf(err, !stalled(time.Since(began), to.Timeout))
 	}
-	return response, directory.CallUnanswered
+	return response, directory.CallInconclusive
 }
 
 // serve answers as holder, which this node may do only with authority.
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -113,10 +113,10 @@
 func (s *shell) viewChanged(view *corelink.View) {
 	if recovery := view.Configuration.GetActive().GetRecovery(); recovery != s.policy {
 		s.policy = recovery
-		s.handle(directory.PolicyChanged{Policy: directory.PolicyOf(recovery)})
+		s.handle(directory.PolicyChanged{Policy: directory.NewPolicy(recovery)})
 	}
 	if view.Membership.GetVersion() > s.directory.ViewVersion() {
-		s.handle(directory.ViewChanged{View: s.directory.Membership().NextOf(view.Membership, s.manager.options.VirtualNodes)})
+		s.handle(directory.ViewChanged{View: s.directory.Membership().NextFromMembership(view.Membership, s.manager.options.VirtualNodes)})
 	}
 }
 
@@ -181,7 +181,7 @@
 			}
 		case directory.Reregistered:
 			s.manager.metrics.reregistered(command.Waits)
-		case directory.Settled:
+		case directory.TransferCompleted:
 			s.manager.metrics.settled.Observe(command.Took.Seconds())
 		}
 	}
--- a/internal/testing/sim/ownershipsuite/atsize.go
+++ b/internal/testing/sim/ownershipsuite/atsize.go
@@ -111,7 +111,7 @@
 
 // newSizeRun builds the fleet and plans the loading of its sessions.
 func newSizeRun(options SizeOptions, ends bool) *suite {
-	policy := directory.PolicyOf(nil)
+	policy := directory.NewPolicy(nil)
 	policy.EndSessions = ends
 	world := sim.NewWorld(options.Seed, sim.Options{
 		MaximumSteps: 1 << 40,
--- a/internal/testing/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -171,7 +171,7 @@
 			f.environment.Tracef("yields %s: %s", command.Session, command.Reason)
 		case directory.Reregistered:
 			f.suite.meter.reregistered(f.suite.world.Elapsed(), command.Waits)
-		case directory.Settled:
+		case directory.TransferCompleted:
 			f.suite.meter.settled(f.suite.world.Elapsed())
 		}
 	}
--- a/internal/testing/sim/ownershipsuite/frontdirectory.go
+++ b/internal/testing/sim/ownershipsuite/frontdirectory.go
@@ -53,7 +53,7 @@
 func (f *front) responseOf(body any) *protocol.Response {
 	response, answered := body.(*protocol.Response)
 	if answered && response == nil {
-		f.failure = directory.CallPowerless
+		f.failure = directory.CallNoAuthority
 	}
 	return response
 }
@@ -61,7 +61,7 @@
 // evidence is what the call that is being finished without an answer shows.
 func (f *front) evidence() directory.CallFailure {
 	if f.suite.options.Mutation == MutationAwaitLeases {
-		return directory.CallUnanswered
+		return directory.CallInconclusive
 	}
 	return f.failure
 }
--- a/internal/testing/sim/ownershipsuite/frontlease.go
+++ b/internal/testing/sim/ownershipsuite/frontlease.go
@@ -124,7 +124,7 @@
 func (s *suite) viewOfMembership(membership *protocol.MembershipView) directory.View {
 	view, known := s.views[membership.GetVersion()]
 	if !known {
-		view = directory.ViewOf(membership, ring.DefaultVirtualNodes)
+		view = directory.ViewFromMembership(membership, ring.DefaultVirtualNodes)
 		s.views[membership.GetVersion()] = view
 	}
 	return view
--- a/internal/testing/sim/ownershipsuite/node.go
+++ b/internal/testing/sim/ownershipsuite/node.go
@@ -104,9 +104,9 @@
 	if pending == nil {
 		return
 	}
-	n.failure = directory.CallSilent
+	n.failure = directory.CallTimedOut
 	if n.environment.Now().Sub(pending.sentAt) > time.Duration(stallFactor*float64(pending.timeout)) {
-		n.failure = directory.CallUnanswered
+		n.failure = directory.CallInconclusive
 	}
 	n.finish(id, nil)
 }
--- a/internal/testing/sim/ownershipsuite/suite.go
+++ b/internal/testing/sim/ownershipsuite/suite.go
@@ -260,7 +260,7 @@
 func (s *suite) viewOf(version uint64) directory.View {
 	view, known := s.views[version]
 	if !known {
-		view = directory.ViewOf(s.core.membership(), ring.DefaultVirtualNodes)
+		view = directory.ViewFromMembership(s.core.membership(), ring.DefaultVirtualNodes)
 		s.views[version] = view
 	}
 	return view
--- a/internal/testing/sim/ownershipsuite/turns.go
+++ b/internal/testing/sim/ownershipsuite/turns.go
@@ -86,7 +86,7 @@
 				result = unknownAnswer
 			}
 			if !answered || result.code == failure.NotOwner {
-				f.handle(directory.Forgotten{Session: request.session})
+				f.handle(directory.OwnerInvalidated{Session: request.session})
 			}
 			if !answered {
 				f.handle(directory.PeerFailed{Address: resolved.Owner.Address, Failure: directory.CallBroken})
