--- a/internal/state/store/catch_up.go
+++ b/internal/state/store/catch_up.go
@@ -288,7 +288,7 @@
 		}
 	}
 	for _, turn := range page.GetTurns() {
-		held, known := table.turns.get(turnKeyOf(turn.GetProgram(), turn.GetId()))
+		held, known := table.turns.Get(turnKeyOf(turn.GetProgram(), turn.GetId()))
 		if known && held.keepUntil >= keepUntil(turn) || (turnEntry{keepUntil: keepUntil(turn)}).expired(now) {
 			continue
 		}
--- a/internal/state/store/expiry.go
+++ b/internal/state/store/expiry.go
@@ -60,7 +60,7 @@
 func (g *group) collectRegisters(now time.Time) error {
 	before := now.Add(-forgottenSlack).Unix()
 	for _, table := range g.shards {
-		for key, held := range table.registers.all() {
+		for key, held := range table.registers.All() {
 			if !held.mayBeForgotten(now) || g.unsynced[held] != nil || g.proposals[key] != nil {
 				continue
 			}
@@ -69,7 +69,7 @@
 				return err
 			}
 			if int64(until) < before {
-				table.registers.remove(key)
+				table.registers.Delete(key)
 			}
 		}
 	}
--- a/internal/state/store/find_turn.go
+++ b/internal/state/store/find_turn.go
@@ -20,7 +20,7 @@
 func (t *shardTable) entriesOf(id string) []turnEntry {
 	var entries []turnEntry
 	high := xxhash.Sum64String(id)
-	for key, entry := range t.turns.after(turnKey{high: high}) {
+	for key, entry := range t.turns.After(turnKey{high: high}) {
 		if key.high != high {
 			break
 		}
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -6,6 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 // group owns the tables of some shards. All fields are used by its one
@@ -68,7 +69,7 @@
 	case *protocol.StoreRecord_Register:
 		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateOf(body.Register))
 	case *protocol.StoreRecord_Drop:
-		table.registers = hashTree[registerKey, *entry]{}
+		table.registers = hashtree.Tree[registerKey, *entry]{}
 	}
 }
 
@@ -92,7 +93,7 @@
 func (g *group) copyRegisters() []*protocol.StoreRecord {
 	var records []*protocol.StoreRecord
 	for shard, table := range g.shards {
-		for key, held := range table.registers.all() {
+		for key, held := range table.registers.All() {
 			records = append(records, registerRecord(shard, key, held.state))
 		}
 	}
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -122,7 +122,7 @@
 
 // programHere gives a program's record as this replica holds it, which may be old; nil without any.
 func (g *group) programHere(shard register.ShardView, program string) *protocol.ProgramRecord {
-	held, found := g.table(shard.Shard).registers.get(registerKey{program: program})
+	held, found := g.table(shard.Shard).registers.Get(registerKey{program: program})
 	if !found {
 		return nil
 	}
--- a/internal/state/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -138,9 +138,9 @@
 func (g *group) counts() counts {
 	held := counts{proposals: len(g.proposals)}
 	for _, table := range g.shards {
-		held.registers += uint64(table.registers.size())
-		held.turns += uint64(table.turns.size())
-		for key, entry := range table.registers.all() {
+		held.registers += uint64(table.registers.Len())
+		held.turns += uint64(table.turns.Len())
+		for key, entry := range table.registers.All() {
 			held.registerBytes += int64(len(entry.state.Value) + len(key.program) + len(key.call))
 		}
 		switch table.view.Role {
--- a/internal/state/store/pages.go
+++ b/internal/state/store/pages.go
@@ -78,20 +78,20 @@
 	return f.buckets == 0 || f.only[uint32(hash%uint64(f.buckets))]
 }
 
-func (k registerKey) hash() uint64 {
+func (k registerKey) bucketHash() uint64 {
 	return xxhash.Sum64String(k.program) ^ xxhash.Sum64String("\x00"+k.call)
 }
 
 // registersAfter gives the next registers in order, and the place that the page reaches to.
 func (t *shardTable) registersAfter(after registerKey, limit int, filter bucketFilter) (page []*protocol.RegisterState, reached registerKey, last bool) {
 	size, seen := 0, 0
-	for key, held := range t.registers.after(after) {
+	for key, held := range t.registers.After(after) {
 		if len(page) == limit || size > maximumPageBytes || seen == maximumPageScan {
 			return page, reached, false
 		}
 		seen++
 		reached = key
-		if held.state.Accepted.IsZero() || !filter.keeps(key.hash()) {
+		if held.state.Accepted.IsZero() || !filter.keeps(key.bucketHash()) {
 			continue
 		}
 		state := held.state.Message(key.message())
@@ -104,7 +104,7 @@
 // turnsAfter gives the places of the next turns in order, and the place that the page reaches to.
 func (t *shardTable) turnsAfter(after turnKey, limit int, filter bucketFilter) (keys []turnKey, entries []turnEntry, reached turnKey, last bool) {
 	seen := 0
-	for key, entry := range t.turns.after(after) {
+	for key, entry := range t.turns.After(after) {
 		if len(keys) == limit || seen == maximumPageScan {
 			return keys, entries, reached, false
 		}
@@ -221,12 +221,12 @@
 // is past its keeping time is left out, since replicas collect them at different times.
 func (t *shardTable) digest(buckets uint32, now time.Time) *protocol.ShardDigestResponse {
 	answer := &protocol.ShardDigestResponse{RegisterDigests: make([]uint64, buckets), TurnDigests: make([]uint64, buckets)}
-	for key, held := range t.registers.all() {
+	for key, held := range t.registers.All() {
 		if accepted := held.state.Accepted; !accepted.IsZero() && !held.isForgotten(key, now) {
-			answer.RegisterDigests[key.hash()%uint64(buckets)] += xxhash.Sum64String(key.program + "\x00" + key.call + "\x00" + accepted.String())
+			answer.RegisterDigests[key.bucketHash()%uint64(buckets)] += xxhash.Sum64String(key.program + "\x00" + key.call + "\x00" + accepted.String())
 		}
 	}
-	for key, entry := range t.turns.all() {
+	for key, entry := range t.turns.All() {
 		if int64(entry.keepUntil) >= now.Unix() {
 			answer.TurnDigests[key.low%uint64(buckets)] += key.high
 		}
--- a/internal/state/store/pages_bench_test.go
+++ b/internal/state/store/pages_bench_test.go
@@ -25,7 +25,7 @@
 		held.state.Accepted.Counter = 1
 		held.state.Value = make([]byte, 1000)
 		for turn := range benchTurns {
-			table.turns.put(turnKeyOf(program, strconv.Itoa(turn)), turnEntry{segment: 1})
+			table.turns.Put(turnKeyOf(program, strconv.Itoa(turn)), turnEntry{segment: 1})
 		}
 	}
 	return table
@@ -70,7 +70,7 @@
 		turns, size := heapOf(func() any {
 			table := newShardTable(0)
 			for number := range benchPrograms * benchTurns {
-				table.turns.put(turnKeyOf("program", strconv.Itoa(number)), turnEntry{segment: 1})
+				table.turns.Put(turnKeyOf("program", strconv.Itoa(number)), turnEntry{segment: 1})
 			}
 			return table
 		})
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -102,7 +102,7 @@
 // head lets the change skip its prepare round when this store made the last
 // change and its own replica still holds it.
 func (p *proposal) head() register.Head {
-	held, found := p.group.table(p.shard.Shard).registers.get(p.key)
+	held, found := p.group.table(p.shard.Shard).registers.Get(p.key)
 	if !found {
 		return register.Head{}
 	}
@@ -257,7 +257,7 @@
 
 // chosen answers the batch and remembers whether the next change may skip a round.
 func (p *proposal) chosen() {
-	if held, found := p.group.table(p.shard.Shard).registers.get(p.key); found {
+	if held, found := p.group.table(p.shard.Shard).registers.Get(p.key); found {
 		held.headEpoch = 0
 		if head := p.change.Head(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
 			held.headEpoch = head.Epoch
--- a/internal/state/store/read_turns.go
+++ b/internal/state/store/read_turns.go
@@ -25,7 +25,7 @@
 func (s *Store) localTurn(shard uint32, program, id string) (*protocol.Turn, error) {
 	g := s.group(shard)
 	key := turnKeyOf(program, id)
-	found, err := ask(g, func() turnEntry { held, _ := g.table(shard).turns.get(key); return held })
+	found, err := ask(g, func() turnEntry { held, _ := g.table(shard).turns.Get(key); return held })
 	if err != nil || found == (turnEntry{}) {
 		return nil, err
 	}
--- a/internal/state/store/registers.go
+++ b/internal/state/store/registers.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 // registerKey names one register; call is empty for the program's own.
@@ -20,14 +21,14 @@
 }
 
 // place implements treeKey; the zero key is before all others.
-func (k registerKey) place() uint64 {
+func (k registerKey) Hash() uint64 {
 	if k == (registerKey{}) {
 		return 0
 	}
-	return k.hash()
+	return k.bucketHash()
 }
 
-func (k registerKey) less(other registerKey) bool {
+func (k registerKey) Less(other registerKey) bool {
 	if k.program != other.program {
 		return k.program < other.program
 	}
@@ -55,8 +56,8 @@
 // shardTable holds what this replica has of one shard.
 type shardTable struct {
 	view      register.ShardView
-	registers hashTree[registerKey, *entry]
-	turns     hashTree[turnKey, turnEntry]
+	registers hashtree.Tree[registerKey, *entry]
+	turns     hashtree.Tree[turnKey, turnEntry]
 	// copied says that a joining or rebuilding replica holds everything and waits for the core to say so.
 	copied bool
 	// generation rises whenever the table is emptied, so that a copy under way is given up.
@@ -67,13 +68,13 @@
 	return &shardTable{view: register.ShardView{Shard: shard}}
 }
 
-func (t *shardTable) isEmpty() bool { return t.registers.size() == 0 && t.turns.size() == 0 }
+func (t *shardTable) isEmpty() bool { return t.registers.Len() == 0 && t.turns.Len() == 0 }
 
 func (t *shardTable) entry(key registerKey) *entry {
-	known, found := t.registers.get(key)
+	known, found := t.registers.Get(key)
 	if !found {
 		known = &entry{}
-		t.registers.put(key, known)
+		t.registers.Put(key, known)
 	}
 	return known
 }
--- a/internal/state/store/replica.go
+++ b/internal/state/store/replica.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
@@ -16,7 +17,7 @@
 	}
 	key := keyOf(request.GetKey())
 	ballot := register.BallotOf(request.GetBallot())
-	held, found := table.registers.get(key)
+	held, found := table.registers.Get(key)
 	if !found {
 		if ballot.IsZero() {
 			reply(&protocol.PrepareResponse{})
@@ -78,8 +79,8 @@
 
 // dropShard forgets a shard durably, before the store may join it anew.
 func (g *group) dropShard(table *shardTable, done func()) {
-	table.registers = hashTree[registerKey, *entry]{}
-	table.turns = hashTree[turnKey, turnEntry]{}
+	table.registers = hashtree.Tree[registerKey, *entry]{}
+	table.turns = hashtree.Tree[turnKey, turnEntry]{}
 	table.copied = false
 	table.generation++
 	g.appendRegister(&protocol.StoreRecord{
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -57,7 +57,7 @@
 	damaged := 0
 	for _, group := range opened.groups {
 		for _, table := range group.shards {
-			for _, entry := range table.turns.all() {
+			for _, entry := range table.turns.All() {
 				if _, err := opened.readTurn(entry, "", ""); err != nil {
 					damaged++
 					_ = opened.readFailed(err)
--- a/internal/state/store/training_step_members.go
+++ b/internal/state/store/training_step_members.go
@@ -96,7 +96,7 @@
 		return page
 	}
 	for seen := 0; seen < membersPageRegisters && !page.last; {
-		leaf, next := table.registers.leafAt(page.next)
+		leaf, next := table.registers.Leaf(page.next)
 		seen += len(leaf)
 		for key, held := range leaf {
 			if key.call == "" && isMember(held.state.Value, step) {
--- a/internal/state/store/training_step_members_test.go
+++ b/internal/state/store/training_step_members_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 // memberGroup owns shard 0 with so many programs, each tenth of step 17, each eleventh of step 18.
@@ -58,7 +59,7 @@
 	if !slices.Equal(found, members) {
 		t.Errorf("found %d of %d members", len(found), len(members))
 	}
-	if least := 2 * programs / (membersPageRegisters + largestLeaf); pages < least {
+	if least := 2 * programs / (membersPageRegisters + hashtree.MaxLeafEntries); pages < least {
 		t.Errorf("%d registers were looked at in %d pages", 2*programs, pages)
 	}
 	if found, _ := scanMembers(g, current, "19"); len(found) > 0 {
--- a/internal/state/store/turn_chain.go
+++ b/internal/state/store/turn_chain.go
@@ -18,7 +18,7 @@
 func (g *group) keepWithChain(shard uint32, turn *protocol.Turn, done func(kept bool)) {
 	table := g.table(shard)
 	previous := previousKeyOf(turn)
-	_, found := table.turns.get(previous)
+	_, found := table.turns.Get(previous)
 	// What is written before this turn is durable before it.
 	_, underWay := g.keeping[previous]
 	if found || underWay || previous == (turnKey{}) || table.view.Role != register.RoleActive {
@@ -83,7 +83,7 @@
 		until    uint32
 	}
 	var endings []ending
-	for _, entry := range table.turns.all() {
+	for _, entry := range table.turns.All() {
 		if entry.previous != (turnKey{}) {
 			endings = append(endings, ending{previous: entry.previous, until: entry.keepUntil})
 		}
--- a/internal/state/store/turn_index.go
+++ b/internal/state/store/turn_index.go
@@ -39,9 +39,9 @@
 }
 
 // place implements treeKey.
-func (k turnKey) place() uint64 { return k.high }
+func (k turnKey) Hash() uint64 { return k.high }
 
-func (k turnKey) less(other turnKey) bool {
+func (k turnKey) Less(other turnKey) bool {
 	if k.high != other.high {
 		return k.high < other.high
 	}
@@ -154,7 +154,7 @@
 func (g *group) keepTurn(shard uint32, turn *protocol.Turn, done func()) {
 	table := g.table(shard)
 	key := turnKeyOf(turn.GetProgram(), turn.GetId())
-	if held, kept := table.turns.get(key); kept && held.keepUntil >= keepUntil(turn) {
+	if held, kept := table.turns.Get(key); kept && held.keepUntil >= keepUntil(turn) {
 		done()
 		return
 	}
@@ -182,10 +182,10 @@
 }
 
 func (g *group) turnKept(table *shardTable, key turnKey, entry turnEntry) {
-	if held, kept := table.turns.get(key); kept {
+	if held, kept := table.turns.Get(key); kept {
 		entry.keepUntil = max(entry.keepUntil, held.keepUntil)
 	}
-	table.turns.put(key, entry)
+	table.turns.Put(key, entry)
 	g.store.turnSegments.note(entry)
 	g.prolong(table, entry.previous, entry.keepUntil)
 	waiting := g.keeping[key]
@@ -198,13 +198,13 @@
 // prolong keeps a turn, and those that lead up to it, as long as one that continues it.
 func (g *group) prolong(table *shardTable, key turnKey, until uint32) {
 	for key != (turnKey{}) {
-		entry, found := table.turns.get(key)
+		entry, found := table.turns.Get(key)
 		if !found {
 			return
 		}
 		if entry.keepUntil < until {
 			entry.keepUntil = until
-			table.turns.put(key, entry)
+			table.turns.Put(key, entry)
 			g.store.turnSegments.note(entry)
 		}
 		key = entry.previous
@@ -214,9 +214,9 @@
 // collectTurns drops the entries of segments before first, and expired ones.
 func (g *group) collectTurns(first uint64, now time.Time) {
 	for _, table := range g.shards {
-		for key, entry := range table.turns.all() {
+		for key, entry := range table.turns.All() {
 			if uint64(entry.segment) < first || entry.expired(now) {
-				table.turns.remove(key)
+				table.turns.Delete(key)
 			}
 		}
 	}
--- a/internal/state/store/turn_index_snapshot.go
+++ b/internal/state/store/turn_index_snapshot.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 // The turn index is written beside the log anew when a start would have to read so many segments
@@ -79,8 +80,8 @@
 }
 
 func (t *shardTable) encodeIndex() []byte {
-	encoded := make([]byte, 0, t.turns.size()*indexRecordBytes)
-	for key, entry := range t.turns.all() {
+	encoded := make([]byte, 0, t.turns.Len()*indexRecordBytes)
+	for key, entry := range t.turns.All() {
 		encoded = binary.BigEndian.AppendUint32(encoded, t.view.Shard)
 		encoded = binary.BigEndian.AppendUint64(encoded, key.high)
 		encoded = binary.BigEndian.AppendUint64(encoded, key.low)
@@ -109,7 +110,7 @@
 func (s *Store) forgetTurns() {
 	for _, group := range s.groups {
 		for _, table := range group.shards {
-			table.turns = hashTree[turnKey, turnEntry]{}
+			table.turns = hashtree.Tree[turnKey, turnEntry]{}
 		}
 	}
 }
@@ -144,6 +145,6 @@
 
 // restoreTurn fills the index at the start, while no goroutine runs. An expired turn stays until it is known that none continues it.
 func (s *Store) restoreTurn(shard uint32, key turnKey, entry turnEntry) {
-	s.group(shard).table(shard).turns.put(key, entry)
+	s.group(shard).table(shard).turns.Put(key, entry)
 	s.turnSegments.note(entry)
 }
