--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -277,14 +277,14 @@
 	for key, stored := range expected {
 		g := opened.group(stored.shard)
 		held, err := ask(g, func() *protocol.RegisterState {
-			entry, found := g.table(stored.shard).registers.get(key)
+			entry, found := g.table(stored.shard).registers.Get(key)
 			if !found {
 				return nil
 			}
-			return entry.state.Message(key.message())
+			return entry.state.ToProto(key.message())
 		})
 		must(t, err)
-		if !proto.Equal(held, stored.state.Message(key.message())) {
+		if !proto.Equal(held, stored.state.ToProto(key.message())) {
 			t.Errorf("register %v holds %v", key, held)
 		}
 	}
