--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -83,12 +83,12 @@
 	// Self describes this process under its present incarnation.
 	Self *protocol.Node
 	// Ends is when authority ends on the monotonic clock; zero without a lease.
-	Ends time.Time
+	ExpiresAt time.Time
 }
 
 // Held reports whether the node has authority now.
 func (a *Authority) Valid() bool {
-	return lease.Before(time.Now(), a.Ends)
+	return lease.ValidAt(time.Now(), a.ExpiresAt)
 }
 
 // Link is the connection to the core.
@@ -230,8 +230,8 @@
 }
 
 // AuthorityEnds is when authority ends on the monotonic clock; zero without a lease.
-func (l *Link) AuthorityEnds() time.Time {
-	return l.Authority().Ends
+func (l *Link) AuthorityExpiresAt() time.Time {
+	return l.Authority().ExpiresAt
 }
 
 // HasAuthority reports whether the node may act as owner or holder now.
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -73,7 +73,7 @@
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 800 * time.Millisecond })
 		pass(5 * time.Second)
-		g.Expect(time.Until(link.AuthorityEnds())).To(BeNumerically("<=", 3700*time.Millisecond))
+		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically("<=", 3700*time.Millisecond))
 		g.Expect(link.HasAuthority()).To(BeTrue())
 	})
 }
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -82,7 +82,7 @@
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
 		pass(readyAfter)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "renewed at once")
-		g.Expect(time.Until(link.AuthorityEnds())).To(BeNumerically(">", 4*time.Second))
+		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically(">", 4*time.Second))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
 	})
 }
--- a/internal/controlplane/corelink/owner.go
+++ b/internal/controlplane/corelink/owner.go
@@ -103,8 +103,8 @@
 		o.renewAgain = true
 		return
 	}
-	renewal, lapsed := o.holder.Send(time.Now())
-	if lapsed {
+	renewal, expired := o.holder.BeginRenewal(time.Now())
+	if expired {
 		o.lapsed()
 	}
 	if !o.contacted {
@@ -257,7 +257,7 @@
 		if node.GetName() != o.self.GetName() || node.GetAddress() != o.self.GetAddress() || former < o.holder.Incarnation() {
 			continue
 		}
-		o.holder.Succeed(now, former)
+		o.holder.Supersede(now, former)
 		o.lapsed()
 		o.renewTimer.Reset(0)
 		return true
@@ -316,7 +316,7 @@
 }
 
 func (o *owner) publishAuthority() {
-	o.link.authority.Store(&Authority{Self: o.self, Ends: o.holder.Ends()})
+	o.link.authority.Store(&Authority{Self: o.self, ExpiresAt: o.holder.ExpiresAt()})
 }
 
 func renewRequest(self *protocol.Node, inForce *View, release bool) *protocol.Request {
--- a/internal/controlplane/corelink/polling.go
+++ b/internal/controlplane/corelink/polling.go
@@ -88,7 +88,7 @@
 // inForce is called when all subscribers have seen the view.
 func (o *owner) inForce(view *View) {
 	o.link.inForce.Store(view)
-	o.holder.ViewRead(view.Membership.GetVersion())
+	o.holder.ViewApplied(view.Membership.GetVersion())
 	o.publishAuthority()
 	o.finishPoll()
 }
--- a/internal/controlplane/lease/holder.go
+++ b/internal/controlplane/lease/holder.go
@@ -1,202 +1,217 @@
-// Package lease holds the holder's side of a lease. It decides, without I/O,
-// until when a node may act on a lease that it keeps renewing.
+// Package lease is the holder's side of a lease: it decides until when a node
+// may act (its authority) under a lease that it renews periodically.
 //
-// Authority is counted from the moment a renewal was sent, so it ends before
-// the granter, which counts from the moment it received it, can end the lease.
-// It ends in silence: nothing has to fire for it to be over. An unbroken
-// stretch of authority is one incarnation; whoever was without authority for a
-// moment comes back under a new one (source: design page, which leaves open how
-// a front node that cannot refresh its view stops acting as owner).
+// Authority is counted from the moment at which a renewal was sent. The granter
+// counts from when it received the renewal, so authority ends before the lease
+// can. No timer has to fire for that: authority is a comparison with the clock.
+// An unbroken period of authority is one incarnation; a node that was without
+// authority, however briefly, continues under a new one.
+//
+// The package is a pure decision package: it takes the time as an argument, does
+// no I/O, and a Holder is not safe for concurrent use. Its source is the design
+// page, which leaves open how a front node that cannot refresh its view stops
+// acting as owner.
 package lease
 
 import "time"
 
-// Options are the times that a holder works with.
+// Options are the limits that a Holder applies.
 type Options struct {
-	// Margin is taken off the end of every grant. It covers the drift between
-	// the clocks of holder and granter over one lease.
+	// Margin is subtracted from the end of every grant. It covers the drift
+	// between the clocks of holder and granter over one lease.
 	Margin time.Duration
 	// ViewLimit is how long authority lasts after the last moment at which the
 	// holder's membership view was known to be current. Zero means no limit.
 	ViewLimit time.Duration
-	// MaxPending bounds the renewals remembered while the view is behind.
-	MaxPending int
+	// MaxPendingViews bounds the renewals remembered while the applied view is
+	// behind. Zero means 16.
+	MaxPendingViews int
 }
 
-const defaultMaxPending = 16
+const defaultMaxPendingViews = 16
 
-// Renewal identifies one renewal under way.
+// Renewal identifies one renewal in flight.
 type Renewal struct {
 	Incarnation uint64
 	SentAt      time.Time
 }
 
-// sighting is a view version that the granter named in answer to a renewal.
-type sighting struct {
+// advertisedView is a view version that the granter named in answer to a
+// renewal; sentAt is when that renewal was sent.
+type advertisedView struct {
 	version uint64
 	sentAt  time.Time
 }
 
-// Holder is the state of one lease. It has one owner and is not safe for concurrent use.
+// Holder is the state of one lease. It belongs to one goroutine and is not safe for concurrent use.
 type Holder struct {
-	options     Options
-	incarnation uint64
-	granted     bool
-	released    bool
-	leaseEnds   time.Time
-	viewVersion uint64
-	// currentAt is when the newest renewal was sent whose answer named no view
-	// newer than the one held; zero while there is none under this incarnation.
-	currentAt time.Time
-	pending   []sighting
+	options        Options
+	incarnation    uint64
+	granted        bool
+	released       bool
+	leaseExpiresAt time.Time
+	viewVersion    uint64
+	// viewCurrentAt is when the latest renewal was sent whose answer named no
+	// view newer than the one applied; zero while this incarnation has none.
+	viewCurrentAt time.Time
+	pendingViews  []advertisedView
 }
 
 // NewHolder returns a holder without a lease.
 func NewHolder(incarnation uint64, options Options) *Holder {
-	if options.MaxPending == 0 {
-		options.MaxPending = defaultMaxPending
+	if options.MaxPendingViews == 0 {
+		options.MaxPendingViews = defaultMaxPendingViews
 	}
 	return &Holder{options: options, incarnation: incarnation}
 }
 
-// Incarnation is the stretch of authority that the holder is in or asks for.
+// Incarnation numbers the period of authority that the holder has or requests.
 func (h *Holder) Incarnation() uint64 {
 	return h.incarnation
 }
 
-// Send begins a renewal. When the stretch of authority has ended it begins a
-// new incarnation first; lapsed tells so.
-func (h *Holder) Send(now time.Time) (renewal Renewal, lapsed bool) {
-	if h.ended(now) {
-		h.lapse(now)
-		lapsed = true
+// BeginRenewal returns the renewal to send now. If authority has expired since
+// the last one, it begins a new incarnation first and reports expired.
+func (h *Holder) BeginRenewal(now time.Time) (renewal Renewal, expired bool) {
+	if h.authorityExpired(now) {
+		h.advanceIncarnation(now)
+		expired = true
 	}
-	return Renewal{Incarnation: h.incarnation, SentAt: now}, lapsed
+	return Renewal{Incarnation: h.incarnation, SentAt: now}, expired
 }
 
-// ended reports whether the incarnation had authority that is over. One that
-// never had any, because its first view was not read, has lost nothing.
-func (h *Holder) ended(now time.Time) bool {
-	return h.granted && !h.currentAt.IsZero() && !h.Valid(now)
+// authorityExpired reports whether the incarnation had authority that is over.
+// One that never had any, because no view was applied yet, has nothing to lose.
+func (h *Holder) authorityExpired(now time.Time) bool {
+	return h.granted && !h.viewCurrentAt.IsZero() && !h.Valid(now)
 }
 
-// lapse ends the incarnation; the next one is larger and close to Unix milliseconds.
-func (h *Holder) lapse(now time.Time) {
+// advanceIncarnation ends the incarnation. The next one is larger, and close to
+// the Unix time in milliseconds so that it also exceeds those of earlier processes.
+func (h *Holder) advanceIncarnation(now time.Time) {
 	h.incarnation = max(h.incarnation+1, uint64(max(now.UnixMilli(), 0)))
 	h.granted = false
-	h.leaseEnds = time.Time{}
-	h.currentAt = time.Time{}
-	h.pending = nil
+	h.leaseExpiresAt = time.Time{}
+	h.viewCurrentAt = time.Time{}
+	h.pendingViews = nil
 }
 
-// Granted takes the answer to a renewal in. Authority begins when a view as new
-// as the one named by the granter is read, too. Granted reports whether the grant
-// counts: an answer that comes after authority ended, or belongs to an earlier
-// incarnation, does not, because the granter may have ended the lease between.
+// Granted applies the granter's answer to a renewal: a lease of the given
+// duration, and the latest version of the view. Authority begins once a view of
+// at least that version is applied, too. Granted reports whether the grant
+// counts. One that arrives after authority ended, or that belongs to an earlier
+// incarnation, does not: the granter may have ended the lease in between.
 func (h *Holder) Granted(now time.Time, renewal Renewal, duration time.Duration, latestView uint64) bool {
 	if h.released || renewal.Incarnation != h.incarnation {
 		return false
 	}
-	if h.ended(now) {
+	if h.authorityExpired(now) {
 		return false
 	}
-	ends := renewal.SentAt.Add(duration - h.options.Margin)
-	if ends.After(h.leaseEnds) {
-		h.leaseEnds = ends
+	expiresAt := renewal.SentAt.Add(duration - h.options.Margin)
+	if expiresAt.After(h.leaseExpiresAt) {
+		h.leaseExpiresAt = expiresAt
 	}
 	h.granted = true
-	h.saw(sighting{version: latestView, sentAt: renewal.SentAt})
+	h.observeView(advertisedView{version: latestView, sentAt: renewal.SentAt})
 	return true
 }
 
-// Refused ends authority at once: the granter knows of a newer incarnation or refuses the node.
+// Rejected ends authority immediately: the granter knows a newer incarnation of
+// the node, or rejects the node itself. Answers to renewals of earlier
+// incarnations are ignored.
 func (h *Holder) Rejected(now time.Time, renewal Renewal) {
 	if renewal.Incarnation == h.incarnation {
-		h.lapse(now)
+		h.advanceIncarnation(now)
 	}
 }
 
-// Succeed makes the next incarnation larger than one that a former life of the
-// node had, as after its clock was set back. It does nothing while a lease is held.
-func (h *Holder) Succeed(now time.Time, former uint64) {
-	if h.granted || h.released || former < h.incarnation {
+// Supersede raises the incarnation above that of an earlier process of the same
+// node, which can be the larger one after a clock was set back. It does nothing
+// while a lease is held or after it was released.
+func (h *Holder) Supersede(now time.Time, previous uint64) {
+	if h.granted || h.released || previous < h.incarnation {
 		return
 	}
-	h.incarnation = former
-	h.lapse(now)
+	h.incarnation = previous
+	h.advanceIncarnation(now)
 }
 
-// Released ends authority for good.
+// Released ends authority permanently; later grants are ignored.
 func (h *Holder) Released() {
 	h.released = true
 	h.granted = false
-	h.leaseEnds = time.Time{}
+	h.leaseExpiresAt = time.Time{}
 }
 
-// ViewRead says that the holder put a membership view in force.
-func (h *Holder) ViewRead(version uint64) {
+// ViewApplied records that the node put a version of the membership view in
+// force. Older versions than the one applied are ignored.
+func (h *Holder) ViewApplied(version uint64) {
 	if version <= h.viewVersion {
 		return
 	}
 	h.viewVersion = version
-	kept := h.pending[:0]
-	for _, seen := range h.pending {
-		if !h.catchUp(seen) {
-			kept = append(kept, seen)
+	stillPending := h.pendingViews[:0]
+	for _, view := range h.pendingViews {
+		if !h.confirmView(view) {
+			stillPending = append(stillPending, view)
 		}
 	}
-	h.pending = kept
+	h.pendingViews = stillPending
 }
 
-func (h *Holder) saw(seen sighting) {
-	if h.catchUp(seen) {
+func (h *Holder) observeView(view advertisedView) {
+	if h.confirmView(view) {
 		return
 	}
-	if len(h.pending) == h.options.MaxPending {
+	if len(h.pendingViews) == h.options.MaxPendingViews {
 		// Dropping the newest keeps the oldest unanswered one, which is the safe side.
 		return
 	}
-	h.pending = append(h.pending, seen)
+	h.pendingViews = append(h.pendingViews, view)
 }
 
-// catchUp moves currentAt to the sighting when the view held is as new, or when no limit is set on its age.
-func (h *Holder) catchUp(seen sighting) bool {
-	if h.options.ViewLimit > 0 && h.viewVersion < seen.version {
+// confirmView advances viewCurrentAt when the applied view is at least as new as
+// the advertised one, or when its age is not limited; it reports whether it was.
+func (h *Holder) confirmView(view advertisedView) bool {
+	if h.options.ViewLimit > 0 && h.viewVersion < view.version {
 		return false
 	}
-	if seen.sentAt.After(h.currentAt) {
-		h.currentAt = seen.sentAt
+	if view.sentAt.After(h.viewCurrentAt) {
+		h.viewCurrentAt = view.sentAt
 	}
 	return true
 }
 
-// Ends is when authority ends by the lease and by the age of the view; zero without a lease.
-func (h *Holder) Ends() time.Time {
-	if !h.granted || h.currentAt.IsZero() {
+// ExpiresAt is when authority ends, by the lease or by the age of the view,
+// whichever is first; zero without authority.
+func (h *Holder) ExpiresAt() time.Time {
+	if !h.granted || h.viewCurrentAt.IsZero() {
 		return time.Time{}
 	}
 	if h.options.ViewLimit > 0 {
-		if limit := h.currentAt.Add(h.options.ViewLimit); limit.Before(h.leaseEnds) {
+		if limit := h.viewCurrentAt.Add(h.options.ViewLimit); limit.Before(h.leaseExpiresAt) {
 			return limit
 		}
 	}
-	return h.leaseEnds
+	return h.leaseExpiresAt
 }
 
-// Held reports whether the holder has authority at the time given.
+// Valid reports whether the holder has authority at the given time.
 func (h *Holder) Valid(now time.Time) bool {
-	return Before(now, h.Ends())
+	return ValidAt(now, h.ExpiresAt())
 }
 
-// wallTolerance is how far the wall clock may be ahead of what the monotonic
-// clock says before it counts as a sign of suspension.
-const wallTolerance = 6 * time.Second
+// wallClockTolerance is how far the wall clock may run ahead of the monotonic
+// clock before the difference counts as a suspension of the machine.
+const wallClockTolerance = 6 * time.Second
 
-// Before reports whether now is before ends by the monotonic clock, and by the
-// wall clock with a tolerance. The monotonic clock stands still while a machine is
-// suspended; the wall clock may be set forward by some seconds while it runs,
-// which must not cost the turns under way. A suspension that is shorter than the
-// tolerance is not seen; the epochs of the ledger fence what is done after it.
-func Before(now, ends time.Time) bool {
-	return !ends.IsZero() && now.Before(ends) && now.Round(0).Before(ends.Round(0).Add(wallTolerance))
+// ValidAt reports whether now is before expiresAt by the monotonic clock, and by
+// the wall clock within a tolerance of six seconds. The monotonic clock does not
+// advance while a machine is suspended; the wall clock may be set forward by some
+// seconds in operation, which must not end the turns in flight. A suspension
+// shorter than the tolerance is not detected; the ledger's epochs fence off what
+// is done after it. The zero time is never valid.
+func ValidAt(now, expiresAt time.Time) bool {
+	return !expiresAt.IsZero() && now.Before(expiresAt) && now.Round(0).Before(expiresAt.Round(0).Add(wallClockTolerance))
 }
--- a/internal/controlplane/lease/holder_test.go
+++ b/internal/controlplane/lease/holder_test.go
@@ -23,94 +23,94 @@
 func TestAuthorityIsCountedFromWhenTheRenewalWasSent(t *testing.T) {
 	holder := newHolder()
 	if holder.Valid(start) {
-		t.Fatal("held without a grant")
+		t.Fatal("authority without a grant")
 	}
-	renewal, _ := holder.Send(at(0))
+	renewal, _ := holder.BeginRenewal(at(0))
 	holder.Granted(at(900), renewal, duration, 0)
-	if want := at(4500); !holder.Ends().Equal(want) {
-		t.Fatalf("ends at %v, want %v", holder.Ends(), want)
+	if want := at(4500); !holder.ExpiresAt().Equal(want) {
+		t.Fatalf("ends at %v, want %v", holder.ExpiresAt(), want)
 	}
 	if !holder.Valid(at(4499)) || holder.Valid(at(4500)) {
 		t.Fatal("does not end exactly at its end")
 	}
 }
 
-func TestAuthorityEndsInSilenceAndComesBackUnderANewIncarnation(t *testing.T) {
+func TestAuthorityExpiresWithoutAnEventAndResumesUnderANewIncarnation(t *testing.T) {
 	holder := newHolder()
-	renewal, _ := holder.Send(at(0))
+	renewal, _ := holder.BeginRenewal(at(0))
 	holder.Granted(at(1), renewal, duration, 0)
 	if holder.Valid(at(20_000)) {
-		t.Fatal("a frozen process woke with authority")
+		t.Fatal("a process that was frozen has authority")
 	}
-	renewal, lapsed := holder.Send(at(20_000))
-	if !lapsed || renewal.Incarnation <= 1 {
-		t.Fatalf("lapsed %v, incarnation %d", lapsed, renewal.Incarnation)
+	renewal, expired := holder.BeginRenewal(at(20_000))
+	if !expired || renewal.Incarnation <= 1 {
+		t.Fatalf("expired %v, incarnation %d", expired, renewal.Incarnation)
 	}
 	if !holder.Granted(at(20_010), renewal, duration, 0) || !holder.Valid(at(20_011)) {
 		t.Fatal("the new incarnation did not get authority")
 	}
 }
 
-func TestAnswersThatCameTooLateDoNotCount(t *testing.T) {
+func TestGrantsThatArriveAfterTheExpiryAreIgnored(t *testing.T) {
 	holder := newHolder()
-	first, _ := holder.Send(at(0))
+	first, _ := holder.BeginRenewal(at(0))
 	holder.Granted(at(1), first, duration, 0)
-	second, _ := holder.Send(at(1000))
+	second, _ := holder.BeginRenewal(at(1000))
 	// The granter may have ended the lease and begun another one before it received the second renewal.
 	if holder.Granted(at(4600), second, duration, 0) || holder.Valid(at(4601)) {
-		t.Fatal("authority was mended across a gap")
+		t.Fatal("an answer after the expiry restored authority")
 	}
-	third, lapsed := holder.Send(at(4601))
-	if !lapsed || holder.Granted(at(4700), second, duration, 0) || !holder.Granted(at(4700), third, duration, 0) {
+	third, expired := holder.BeginRenewal(at(4601))
+	if !expired || holder.Granted(at(4700), second, duration, 0) || !holder.Granted(at(4700), third, duration, 0) {
 		t.Fatal("an answer to an earlier incarnation counted, or the new one did not")
 	}
 }
 
 func TestOlderAnswersNeverShortenAuthority(t *testing.T) {
 	holder := newHolder()
-	first, _ := holder.Send(at(0))
-	second, _ := holder.Send(at(1000))
+	first, _ := holder.BeginRenewal(at(0))
+	second, _ := holder.BeginRenewal(at(1000))
 	holder.Granted(at(1100), second, duration, 0)
 	holder.Granted(at(1200), first, duration, 0)
-	if want := at(5500); !holder.Ends().Equal(want) {
-		t.Fatalf("ends at %v, want %v", holder.Ends(), want)
+	if want := at(5500); !holder.ExpiresAt().Equal(want) {
+		t.Fatalf("ends at %v, want %v", holder.ExpiresAt(), want)
 	}
 }
 
-func TestRefusalAndReleaseEndAuthorityAtOnce(t *testing.T) {
+func TestRejectionAndReleaseEndAuthorityImmediately(t *testing.T) {
 	holder := newHolder()
-	renewal, _ := holder.Send(at(0))
+	renewal, _ := holder.BeginRenewal(at(0))
 	holder.Granted(at(1), renewal, duration, 0)
 	holder.Rejected(at(2), renewal)
 	if holder.Valid(at(3)) || holder.Incarnation() <= 1 {
-		t.Fatal("refused and still held")
+		t.Fatal("authority after the rejection")
 	}
-	renewal, _ = holder.Send(at(10))
+	renewal, _ = holder.BeginRenewal(at(10))
 	holder.Granted(at(11), renewal, duration, 0)
 	holder.Released()
 	if holder.Valid(at(12)) || holder.Granted(at(13), renewal, duration, 0) || holder.Valid(at(14)) {
-		t.Fatal("held after the release")
+		t.Fatal("authority after the release")
 	}
 }
 
-func TestAuthorityEndsWhenTheNewestViewCannotBeRead(t *testing.T) {
+func TestAuthorityExpiresWhileTheLatestViewIsNotApplied(t *testing.T) {
 	holder := newHolder()
-	holder.ViewRead(7)
+	holder.ViewApplied(7)
 	renew := func(millis int, latest uint64) {
-		renewal, _ := holder.Send(at(millis))
+		renewal, _ := holder.BeginRenewal(at(millis))
 		holder.Granted(at(millis+10), renewal, duration, latest)
 	}
 	renew(0, 7)
-	// From here on the granter names a view that the node cannot read.
+	// From here on the granter names a view that the node does not apply.
 	for millis := 1000; millis <= 4000; millis += 1000 {
 		renew(millis, 9)
 	}
-	if want := at(5000); !holder.Ends().Equal(want) {
-		t.Fatalf("ends at %v, want %v", holder.Ends(), want)
+	if want := at(5000); !holder.ExpiresAt().Equal(want) {
+		t.Fatalf("ends at %v, want %v", holder.ExpiresAt(), want)
 	}
-	holder.ViewRead(9)
-	if want := at(8500); !holder.Ends().Equal(want) {
-		t.Fatalf("after the view was read it ends at %v, want %v", holder.Ends(), want)
+	holder.ViewApplied(9)
+	if want := at(8500); !holder.ExpiresAt().Equal(want) {
+		t.Fatalf("after the view was applied it expires at %v, want %v", holder.ExpiresAt(), want)
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestAuthorityBeginsWithACurrentView(t *testing.T) {
 	holder := newHolder()
 	renew := func(millis int) uint64 {
-		renewal, _ := holder.Send(at(millis))
+		renewal, _ := holder.BeginRenewal(at(millis))
 		holder.Granted(at(millis+10), renewal, duration, 9)
 		return renewal.Incarnation
 	}
@@ -127,25 +127,25 @@
 			t.Fatalf("incarnation %d without ever having had authority", incarnation)
 		}
 		if holder.Valid(at(millis + 20)) {
-			t.Fatalf("held after %d ms without a view", millis)
+			t.Fatalf("authority after %d ms without a view", millis)
 		}
 	}
-	holder.ViewRead(9)
+	holder.ViewApplied(9)
 	if !holder.Valid(at(12_100)) {
 		t.Fatal("no authority with a grant and a current view")
 	}
 }
 
-// An ever newer view does not end authority as long as each is read soon.
-func TestAViewThatIsOftenBehindIsNoLoss(t *testing.T) {
+// A view that changes with each renewal does not end authority as long as each version is applied soon.
+func TestAuthorityContinuesWhileEachNewViewIsAppliedSoon(t *testing.T) {
 	holder := newHolder()
 	for second := range 30 {
-		renewal, lapsed := holder.Send(at(second * 1000))
-		if lapsed {
-			t.Fatalf("lapsed after %d s", second)
+		renewal, expired := holder.BeginRenewal(at(second * 1000))
+		if expired {
+			t.Fatalf("expired after %d s", second)
 		}
 		holder.Granted(at(second*1000+5), renewal, duration, uint64(second+2))
-		holder.ViewRead(uint64(second + 1))
+		holder.ViewApplied(uint64(second + 1))
 	}
 }
 
@@ -161,17 +161,17 @@
 func TestASuspendedMachineLosesAuthorityByTheWallClock(t *testing.T) {
 	now := time.Now()
 	ends := now.Add(2 * time.Second)
-	woken := suspended(now, 10)
-	if woken.Sub(now) != 0 || woken.Round(0).Sub(now.Round(0)) != 10*time.Second {
+	resumed := suspended(now, 10)
+	if resumed.Sub(now) != 0 || resumed.Round(0).Sub(now.Round(0)) != 10*time.Second {
 		t.Fatal("the clocks of the example are not what they should be")
 	}
-	if lease.Before(woken, ends) {
-		t.Fatal("held after a suspension")
+	if lease.ValidAt(resumed, ends) {
+		t.Fatal("authority after a suspension")
 	}
-	if !lease.Before(suspended(now, 5), ends) {
+	if !lease.ValidAt(suspended(now, 5), ends) {
 		t.Fatal("a wall clock set forward by 5 s ended it")
 	}
-	if !lease.Before(now, ends) || lease.Before(now, time.Time{}) {
+	if !lease.ValidAt(now, ends) || lease.ValidAt(now, time.Time{}) {
 		t.Fatal("the ordinary cases are wrong")
 	}
 }
@@ -191,16 +191,16 @@
 }
 
 // Whatever the delays and losses, the holder has no authority once the granter may give the lease to another.
-func TestTheHolderIsNeverTheLastToKnow(t *testing.T) {
+func TestAuthorityNeverOutlastsTheGrantersLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holder, granter := newHolder(), &granter{}
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "renewals") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause")) * time.Millisecond)
-			renewal, _ := holder.Send(now)
+			now = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "interval")) * time.Millisecond)
+			renewal, _ := holder.BeginRenewal(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "there")) * time.Millisecond)
 			if holder.Valid(now) && !now.Before(granter.expires) {
-				t.Fatalf("held at %v, lease ended at %v", now, granter.expires)
+				t.Fatalf("authority at %v, the lease expired at %v", now, granter.expires)
 			}
 			granted := rapid.Bool().Draw(t, "arrives") && granter.receive(now, renewal)
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "back")) * time.Millisecond)
@@ -208,29 +208,29 @@
 				holder.Granted(now, renewal, duration, 0)
 			}
 			if holder.Valid(now) && !now.Before(granter.expires) {
-				t.Fatalf("held at %v, lease ended at %v", now, granter.expires)
+				t.Fatalf("authority at %v, the lease expired at %v", now, granter.expires)
 			}
 		}
 	})
 }
 
-func TestANodeWhoseClockWasSetBackSucceedsItsFormerLife(t *testing.T) {
+func TestANodeWhoseClockWasSetBackSupersedesItsPreviousIncarnation(t *testing.T) {
 	holder := newHolder()
 	before := holder.Incarnation()
-	holder.Succeed(start, before-1)
+	holder.Supersede(start, before-1)
 	if holder.Incarnation() != before {
 		t.Fatal("a smaller incarnation changed it")
 	}
-	former := before + 1<<50
-	holder.Succeed(start, former)
-	if holder.Incarnation() <= former {
-		t.Fatalf("%d does not succeed %d", holder.Incarnation(), former)
+	previous := before + 1<<50
+	holder.Supersede(start, previous)
+	if holder.Incarnation() <= previous {
+		t.Fatalf("%d does not supersede %d", holder.Incarnation(), previous)
 	}
-	renewal, _ := holder.Send(start)
+	renewal, _ := holder.BeginRenewal(start)
 	holder.Granted(start, renewal, duration, 0)
-	held := holder.Incarnation()
-	holder.Succeed(start, held+5)
-	if holder.Incarnation() != held {
-		t.Fatal("it gave a lease up that it holds")
+	current := holder.Incarnation()
+	holder.Supersede(start, current+5)
+	if holder.Incarnation() != current {
+		t.Fatal("it gave up the lease that it holds")
 	}
 }
--- a/internal/dataplane/ownership/benchmark_test.go
+++ b/internal/dataplane/ownership/benchmark_test.go
@@ -18,7 +18,7 @@
 	self := &protocol.Node{Name: "a", Address: "a", Kind: protocol.NodeKind_FRONT, Incarnation: 1}
 	link := &fakeLink{
 		view:      &corelink.View{Membership: &protocol.MembershipView{Version: 1, Nodes: []*protocol.Node{self}}},
-		authority: &corelink.Authority{Self: self, Ends: time.Now().Add(time.Hour)},
+		authority: &corelink.Authority{Self: self, ExpiresAt: time.Now().Add(time.Hour)},
 	}
 	manager := ownership.New(ownership.Options{Link: link, Caller: &fleet{}, Logger: log.New(io.Discard)})
 	if err := manager.Start(context.Background()); err != nil {
--- a/internal/dataplane/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -54,8 +54,8 @@
 func (l *fakeLink) change(change func(self *protocol.Node, ends *time.Time)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	next := &corelink.Authority{Self: proto.CloneOf(l.authority.Self), Ends: l.authority.Ends}
-	change(next.Self, &next.Ends)
+	next := &corelink.Authority{Self: proto.CloneOf(l.authority.Self), ExpiresAt: l.authority.ExpiresAt}
+	change(next.Self, &next.ExpiresAt)
 	l.authority = next
 }
 
@@ -160,7 +160,7 @@
 	self := &protocol.Node{Name: name, Address: name, Kind: protocol.NodeKind_FRONT, Incarnation: 1}
 	added := &node{name: name, registry: prometheus.NewRegistry(), link: &fakeLink{
 		view:      &corelink.View{},
-		authority: &corelink.Authority{Self: self, Ends: time.Now().Add(time.Hour)},
+		authority: &corelink.Authority{Self: self, ExpiresAt: time.Now().Add(time.Hour)},
 	}}
 	added.manager = ownership.New(ownership.Options{
 		Link: added.link, Caller: callerOf{fleet: f, name: name}, Random: rand.New(rand.NewPCG(1, 2)),
--- a/internal/testing/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -110,7 +110,7 @@
 // held is whether this node may act as owner and holder now.
 func (f *front) held() bool {
 	if f.suite.options.Mutation == MutationKeepAuthority || f.suite.options.Mutation == MutationSilentAuthority {
-		return !f.released && !f.holder.Ends().IsZero()
+		return !f.released && !f.holder.ExpiresAt().IsZero()
 	}
 	return f.holder.Valid(f.now())
 }
--- a/internal/testing/sim/ownershipsuite/frontlease.go
+++ b/internal/testing/sim/ownershipsuite/frontlease.go
@@ -18,13 +18,13 @@
 	if f.released || f.stayOut {
 		return
 	}
-	renewal, lapsed := f.holder.Send(f.now())
-	if lapsed && f.suite.options.Mutation == MutationStayOut {
+	renewal, expired := f.holder.BeginRenewal(f.now())
+	if expired && f.suite.options.Mutation == MutationStayOut {
 		f.stayOut = true
 		return
 	}
 	f.syncIncarnation()
-	f.contacted = f.contacted && !lapsed
+	f.contacted = f.contacted && !expired
 	if !f.contacted && f.suite.options.Mutation != MutationNoContact {
 		f.contact()
 		return
@@ -111,7 +111,7 @@
 		return
 	}
 	f.handle(directory.ViewChanged{View: f.suite.viewOfMembership(membership)})
-	f.holder.ViewRead(membership.GetVersion())
+	f.holder.ViewApplied(membership.GetVersion())
 }
 
 // deaf is true for the front node that ignores views under a mutation.
--- a/internal/testing/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -71,8 +71,8 @@
 	if f.stayOut {
 		return
 	}
-	renewal, lapsed := f.holder.Send(f.now())
-	if lapsed {
+	renewal, expired := f.holder.BeginRenewal(f.now())
+	if expired {
 		f.suite.count(LostAuthority)
 		f.stayOut = f.suite.options.Mutation == MutationStayOut
 	}
@@ -112,7 +112,7 @@
 		known[description.id] = kept
 	}
 	f.servers = known
-	f.holder.ViewRead(fresh.version)
+	f.holder.ViewApplied(fresh.version)
 	f.admission.bound()
 }
 
