--- a/internal/controlplane/views/apply.go
+++ b/internal/controlplane/views/apply.go
@@ -8,94 +8,114 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MismatchError says that a delta does not fit the view it was applied to; the
-// receiver must ask for the whole section, with known version zero.
+// MismatchError reports that a delta does not lead from the current view to the
+// one it was made for. The receiver must request a full snapshot of the section,
+// which it does by naming version zero as the one it knows.
 type MismatchError struct {
+	// Section is membership, back_ends or placement.
 	Section string
 	Reason  string
 }
 
+// Error names the section and the reason.
 func (e *MismatchError) Error() string {
 	return fmt.Sprintf("delta of the section %s does not apply: %s", e.Section, e.Reason)
 }
 
-// ApplyMembership gives the view that a delta leads to. The error is a *MismatchError.
-func ApplyMembership(held *protocol.MembershipView, delta *protocol.MembershipDelta) (*protocol.MembershipView, error) {
-	nodes := merge(held.GetNodes(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.Node).GetName)
-	outcome := &comparison{
-		section: "membership", held: held.GetVersion(), base: delta.GetBaseVersion(),
-		count: len(nodes), wantedCount: delta.GetCount(), checksum: MembershipChecksum(nodes), wantedChecksum: delta.GetChecksum(),
+// ApplyMembership returns the view that a delta leads to from the current one,
+// which stays unchanged. The error is a *MismatchError.
+func ApplyMembership(
+	current *protocol.MembershipView, delta *protocol.MembershipDelta,
+) (*protocol.MembershipView, error) {
+	nodes := mergeSorted(current.GetNodes(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.Node).GetName)
+	outcome := &deltaVerification{
+		section: "membership", currentVersion: current.GetVersion(), baseVersion: delta.GetBaseVersion(),
+		count: len(nodes), expectedCount: delta.GetCount(), checksum: MembershipChecksum(nodes),
+		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.check(); err != nil {
+	if err := outcome.verify(); err != nil {
 		return nil, err
 	}
 	return &protocol.MembershipView{Version: delta.GetVersion(), Nodes: nodes}, nil
 }
 
-// ApplyBackEnds gives the view that a delta leads to. The error is a *MismatchError.
-func ApplyBackEnds(held *protocol.BackEndView, delta *protocol.BackEndDelta) (*protocol.BackEndView, error) {
-	backEnds := merge(held.GetBackEnds(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.BackEnd).GetId)
-	outcome := &comparison{
-		section: "back_ends", held: held.GetVersion(), base: delta.GetBaseVersion(),
-		count: len(backEnds), wantedCount: delta.GetCount(), checksum: BackEndsChecksum(backEnds), wantedChecksum: delta.GetChecksum(),
+// ApplyBackEnds returns the view that a delta leads to from the current one,
+// which stays unchanged. The error is a *MismatchError.
+func ApplyBackEnds(current *protocol.BackEndView, delta *protocol.BackEndDelta) (*protocol.BackEndView, error) {
+	backEnds := mergeSorted(current.GetBackEnds(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.BackEnd).GetId)
+	outcome := &deltaVerification{
+		section: "back_ends", currentVersion: current.GetVersion(), baseVersion: delta.GetBaseVersion(),
+		count: len(backEnds), expectedCount: delta.GetCount(), checksum: BackEndsChecksum(backEnds),
+		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.check(); err != nil {
+	if err := outcome.verify(); err != nil {
 		return nil, err
 	}
 	return &protocol.BackEndView{Version: delta.GetVersion(), BackEnds: backEnds}, nil
 }
 
-// ApplyPlacement gives the placement that a delta leads to. The error is a *MismatchError.
-func ApplyPlacement(held *protocol.Placement, delta *protocol.PlacementDelta) (*protocol.Placement, error) {
+// ApplyPlacement returns the placement that a delta leads to from the current
+// one, which stays unchanged. The error is a *MismatchError.
+func ApplyPlacement(current *protocol.Placement, delta *protocol.PlacementDelta) (*protocol.Placement, error) {
 	placement := &protocol.Placement{
-		Epoch: delta.GetEpoch(), Shards: slices.Clone(held.GetShards()),
+		Epoch: delta.GetEpoch(), Shards: slices.Clone(current.GetShards()),
 		Emptying: delta.GetEmptying(), Emptied: delta.GetEmptied(), Retired: delta.GetRetired(),
 	}
 	for _, shard := range delta.GetShards() {
 		if int(shard.GetShard()) >= len(placement.GetShards()) {
-			return nil, &MismatchError{Section: "placement", Reason: fmt.Sprintf("shard %d is not in the base", shard.GetShard())}
+			return nil, &MismatchError{
+				Section: "placement", Reason: fmt.Sprintf("shard %d is not in the base", shard.GetShard()),
+			}
 		}
 		placement.Shards[shard.GetShard()] = shard
 	}
-	outcome := &comparison{
-		section: "placement", held: held.GetEpoch(), base: delta.GetBaseEpoch(),
-		count: len(placement.GetShards()), wantedCount: delta.GetCount(), checksum: PlacementChecksum(placement), wantedChecksum: delta.GetChecksum(),
+	outcome := &deltaVerification{
+		section: "placement", currentVersion: current.GetEpoch(), baseVersion: delta.GetBaseEpoch(),
+		count: len(placement.GetShards()), expectedCount: delta.GetCount(), checksum: PlacementChecksum(placement),
+		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.check(); err != nil {
+	if err := outcome.verify(); err != nil {
 		return nil, err
 	}
 	return placement, nil
 }
 
-// comparison is what a delta promises beside what came of it.
-type comparison struct {
-	section                  string
-	held, base               uint64
-	count                    int
-	wantedCount              uint32
-	checksum, wantedChecksum uint64
+// deltaVerification compares what a delta states about its result with the
+// result of applying it.
+type deltaVerification struct {
+	section                     string
+	currentVersion, baseVersion uint64
+	count                       int
+	expectedCount               uint32
+	checksum, expectedChecksum  uint64
 }
 
-func (c *comparison) check() error {
+func (c *deltaVerification) verify() error {
 	switch {
-	case c.held != c.base:
-		return &MismatchError{Section: c.section, Reason: fmt.Sprintf("it is made on version %d, version %d is held", c.base, c.held)}
-	case c.count != int(c.wantedCount):
-		return &MismatchError{Section: c.section, Reason: fmt.Sprintf("%d entries result in place of %d", c.count, c.wantedCount)}
-	case c.checksum != c.wantedChecksum:
+	case c.currentVersion != c.baseVersion:
+		return &MismatchError{
+			Section: c.section,
+			Reason:  fmt.Sprintf("it is based on version %d, the current version is %d", c.baseVersion, c.currentVersion),
+		}
+	case c.count != int(c.expectedCount):
+		return &MismatchError{
+			Section: c.section, Reason: fmt.Sprintf("%d entries result, %d are expected", c.count, c.expectedCount),
+		}
+	case c.checksum != c.expectedChecksum:
 		return &MismatchError{Section: c.section, Reason: "the checksum differs"}
 	default:
 		return nil
 	}
 }
 
-// merge takes out the entries that are removed or upserted and puts the
-// upserted ones in their places. The base is sorted by name.
-func merge[T any](base, upserted []T, removed []string, name func(T) string) []T {
+// mergeSorted returns the base, which is sorted by name, without the removed
+// entries and with the upserted ones inserted or replaced in order. One pass
+// keeps it linear in the size of the fleet.
+func mergeSorted[T any](base, upserted []T, removed []string, name func(T) string) []T {
 	upserted = slices.SortedFunc(slices.Values(upserted), func(a, b T) int { return strings.Compare(name(a), name(b)) })
-	gone := make(map[string]bool, len(removed))
+	removedNames := make(map[string]bool, len(removed))
 	for _, entry := range removed {
-		gone[entry] = true
+		removedNames[entry] = true
 	}
 	merged := make([]T, 0, len(base)+len(upserted))
 	for _, entry := range base {
@@ -105,7 +125,7 @@
 		switch {
 		case len(upserted) > 0 && name(upserted[0]) == name(entry):
 			merged, upserted = append(merged, upserted[0]), upserted[1:]
-		case !gone[name(entry)]:
+		case !removedNames[name(entry)]:
 			merged = append(merged, entry)
 		}
 	}
--- a/internal/controlplane/views/benchmark_test.go
+++ b/internal/controlplane/views/benchmark_test.go
@@ -15,8 +15,10 @@
 	base = &protocol.BackEndView{Version: 1}
 	for number := range 600 {
 		base.BackEnds = append(base.BackEnds, &protocol.BackEnd{
-			Id: fmt.Sprintf("model-server-%03d", number), Address: fmt.Sprintf("10.0.1.%d:9000", number), Zone: "zone-1", Region: "region-1",
-			Group: "assistants", Models: []string{"booking-assistant", "climate-advisor"}, Incarnation: 1_764_650_000_000, Capacity: 64,
+			Id: fmt.Sprintf("model-server-%03d", number), Address: fmt.Sprintf("10.0.1.%d:9000", number), Zone: "zone-1",
+			Region: "region-1",
+			Group:  "assistants", Models: []string{"booking-assistant", "climate-advisor"}, Incarnation: 1_764_650_000_000,
+			Capacity: 64,
 		})
 	}
 	next = proto.CloneOf(base)
--- a/internal/controlplane/views/checksum.go
+++ b/internal/controlplane/views/checksum.go
@@ -10,57 +10,66 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// hasher sums up fields in a fixed order, each with its length, so that no two
-// lists of fields give the same bytes.
-type hasher struct {
+// fieldHasher encodes fields in a fixed order, each text with its length, so that
+// no two lists of fields give the same bytes to hash.
+type fieldHasher struct {
 	buffer []byte
 }
 
-func (h *hasher) text(values ...string) {
+func (h *fieldHasher) text(values ...string) {
 	for _, value := range values {
 		h.number(uint64(len(value)))
 		h.buffer = append(h.buffer, value...)
 	}
 }
 
-func (h *hasher) number(values ...uint64) {
+func (h *fieldHasher) number(values ...uint64) {
 	for _, value := range values {
 		h.buffer = binary.AppendUvarint(h.buffer, value)
 	}
 }
 
-func (h *hasher) list(values []string) {
+func (h *fieldHasher) list(values []string) {
 	h.number(uint64(len(values)))
 	h.text(values...)
 }
 
-func (h *hasher) sum() uint64 { return xxhash.Sum64(h.buffer) }
+func (h *fieldHasher) sum() uint64 { return xxhash.Sum64(h.buffer) }
 
-// MembershipChecksum covers every field of every node, in the order of the view.
+// MembershipChecksum returns the xxHash of every field of every node, in the order of the view.
 func MembershipChecksum(nodes []*protocol.Node) uint64 {
-	h := &hasher{}
+	h := &fieldHasher{}
 	for _, node := range nodes {
-		h.text(node.GetName(), node.GetAddress(), node.GetHttpAddress(), node.GetZone(), node.GetRegion(), node.GetStorageId())
-		h.number(uint64(node.GetKind()), node.GetIncarnation(), flag(node.GetDraining()), flag(node.GetOwnedNothing()))
+		h.text(
+			node.GetName(), node.GetAddress(), node.GetHttpAddress(), node.GetZone(), node.GetRegion(), node.GetStorageId(),
+		)
+		h.number(
+			uint64(node.GetKind()), node.GetIncarnation(), boolNumber(node.GetDraining()), boolNumber(node.GetOwnedNothing()),
+		)
 	}
 	return h.sum()
 }
 
-// BackEndsChecksum covers every field of every back end, in the order of the view.
+// BackEndsChecksum returns the xxHash of every field of every back end, in the order of the view.
 func BackEndsChecksum(backEnds []*protocol.BackEnd) uint64 {
-	h := &hasher{}
+	h := &fieldHasher{}
 	for _, backEnd := range backEnds {
-		h.text(backEnd.GetId(), backEnd.GetAddress(), backEnd.GetZone(), backEnd.GetRegion(), backEnd.GetGroup(), backEnd.GetSoftwareVersion())
+		h.text(
+			backEnd.GetId(), backEnd.GetAddress(), backEnd.GetZone(), backEnd.GetRegion(), backEnd.GetGroup(),
+			backEnd.GetSoftwareVersion(),
+		)
 		h.list(backEnd.GetModels())
 		h.list(backEnd.GetTools())
-		h.number(uint64(backEnd.GetKind()), uint64(backEnd.GetState()), backEnd.GetIncarnation(), uint64(backEnd.GetCapacity()))
+		h.number(
+			uint64(backEnd.GetKind()), uint64(backEnd.GetState()), backEnd.GetIncarnation(), uint64(backEnd.GetCapacity()),
+		)
 		h.versions(backEnd.GetModelVersions())
 	}
 	return h.sum()
 }
 
-// versions takes a map in the order of its keys.
-func (h *hasher) versions(versions map[string]uint64) {
+// versions adds a map in the order of its keys.
+func (h *fieldHasher) versions(versions map[string]uint64) {
 	h.number(uint64(len(versions)))
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
 		h.text(name)
@@ -68,9 +77,9 @@
 	}
 }
 
-// PlacementChecksum covers every field of the placement but its epoch.
+// PlacementChecksum returns the xxHash of every field of the placement except its epoch.
 func PlacementChecksum(placement *protocol.Placement) uint64 {
-	h := &hasher{}
+	h := &fieldHasher{}
 	for _, shard := range placement.GetShards() {
 		h.number(uint64(shard.GetShard()), shard.GetEpoch())
 		h.replicas(shard.GetCurrent())
@@ -82,7 +91,7 @@
 	return h.sum()
 }
 
-func (h *hasher) replicas(replicas []*protocol.Replica) {
+func (h *fieldHasher) replicas(replicas []*protocol.Replica) {
 	h.number(uint64(len(replicas)))
 	for _, replica := range replicas {
 		h.text(replica.GetStore(), replica.GetStorageId())
@@ -90,7 +99,7 @@
 	}
 }
 
-func flag(set bool) uint64 {
+func boolNumber(set bool) uint64 {
 	if set {
 		return 1
 	}
--- a/internal/controlplane/views/delta.go
+++ b/internal/controlplane/views/delta.go
@@ -8,32 +8,41 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MembershipDelta leads from the known version to the view; checksum is that of
-// the view. It is nil when the history does not reach back or the whole is no larger.
-func MembershipDelta(view *protocol.MembershipView, history *History, known, checksum uint64) *protocol.MembershipDelta {
-	names, reaches := history.Since(known)
-	if !reaches || known == 0 || known >= view.GetVersion() {
+// MembershipDelta returns the changes from the known version to the view, whose
+// checksum the caller supplies. It is nil if the history does not cover the known
+// version, or if a full snapshot takes no more bytes.
+func MembershipDelta(
+	view *protocol.MembershipView, history *History, known, checksum uint64,
+) *protocol.MembershipDelta {
+	names, covered := history.Since(known)
+	if !covered || known == 0 || known >= view.GetVersion() {
 		return nil
 	}
-	delta := &protocol.MembershipDelta{BaseVersion: known, Version: view.GetVersion(), Count: uint32(len(view.GetNodes())), Checksum: checksum}
-	delta.Upserted, delta.Removed = split(view.GetNodes(), names, (*protocol.Node).GetName)
-	return smaller(delta, view)
+	delta := &protocol.MembershipDelta{
+		BaseVersion: known, Version: view.GetVersion(), Count: uint32(len(view.GetNodes())), Checksum: checksum,
+	}
+	delta.Upserted, delta.Removed = splitChanges(view.GetNodes(), names, (*protocol.Node).GetName)
+	return deltaIfSmaller(delta, view)
 }
 
-// BackEndDelta is what MembershipDelta is, of back ends.
+// BackEndDelta returns the changes from the known version to the view, as
+// MembershipDelta does.
 func BackEndDelta(view *protocol.BackEndView, history *History, known, checksum uint64) *protocol.BackEndDelta {
-	names, reaches := history.Since(known)
-	if !reaches || known == 0 || known >= view.GetVersion() {
+	names, covered := history.Since(known)
+	if !covered || known == 0 || known >= view.GetVersion() {
 		return nil
 	}
-	delta := &protocol.BackEndDelta{BaseVersion: known, Version: view.GetVersion(), Count: uint32(len(view.GetBackEnds())), Checksum: checksum}
-	delta.Upserted, delta.Removed = split(view.GetBackEnds(), names, (*protocol.BackEnd).GetId)
-	return smaller(delta, view)
+	delta := &protocol.BackEndDelta{
+		BaseVersion: known, Version: view.GetVersion(), Count: uint32(len(view.GetBackEnds())), Checksum: checksum,
+	}
+	delta.Upserted, delta.Removed = splitChanges(view.GetBackEnds(), names, (*protocol.BackEnd).GetId)
+	return deltaIfSmaller(delta, view)
 }
 
-// PlacementDelta leads from the known epoch to the placement. Each shard names
-// the epoch of its last change, so no history is needed. It is nil when the
-// known epoch is older than the first table or the whole is no larger.
+// PlacementDelta returns the changes from the known epoch to the placement, whose
+// checksum the caller supplies. Each shard names the epoch of its last change, so
+// no history is needed. It is nil if the known epoch is zero or not older than the
+// placement, or if a full snapshot takes no more bytes.
 func PlacementDelta(placement *protocol.Placement, known, checksum uint64) *protocol.PlacementDelta {
 	if known == 0 || known >= placement.GetEpoch() {
 		return nil
@@ -47,11 +56,12 @@
 			delta.Shards = append(delta.Shards, shard)
 		}
 	}
-	return smaller(delta, placement)
+	return deltaIfSmaller(delta, placement)
 }
 
-// split gives the entries of the view that have one of the names, and the names that the view has no more.
-func split[T any](entries []T, names map[string]bool, name func(T) string) (upserted []T, removed []string) {
+// splitChanges returns the entries of the view that have one of the changed names,
+// and the names that are no longer in the view.
+func splitChanges[T any](entries []T, names map[string]bool, name func(T) string) (upserted []T, removed []string) {
 	present := make(map[string]bool, len(names))
 	for _, entry := range entries {
 		if names[name(entry)] {
@@ -59,21 +69,21 @@
 			present[name(entry)] = true
 		}
 	}
-	for gone := range names {
-		if !present[gone] {
-			removed = append(removed, gone)
+	for changedName := range names {
+		if !present[changedName] {
+			removed = append(removed, changedName)
 		}
 	}
 	slices.Sort(removed)
 	return upserted, removed
 }
 
-// smaller returns the delta when it takes fewer bytes than the whole, else nil.
-func smaller[T any, Delta interface {
+// deltaIfSmaller returns the delta if it takes fewer bytes than a full snapshot, otherwise nil.
+func deltaIfSmaller[T any, Delta interface {
 	*T
 	proto.Message
-}](delta Delta, whole proto.Message) Delta {
-	if proto.Size(delta) >= proto.Size(whole) {
+}](delta Delta, snapshot proto.Message) Delta {
+	if proto.Size(delta) >= proto.Size(snapshot) {
 		return nil
 	}
 	return delta
--- a/internal/controlplane/views/delta_test.go
+++ b/internal/controlplane/views/delta_test.go
@@ -58,42 +58,47 @@
 
 // A field added to a message later must be added to its checksum too.
 func TestChecksumsCoverEveryField(t *testing.T) {
+	membershipSum := func(m proto.Message) uint64 {
+		return views.MembershipChecksum(m.(*protocol.MembershipView).GetNodes())
+	}
+	backEndsSum := func(m proto.Message) uint64 { return views.BackEndsChecksum(m.(*protocol.BackEndView).GetBackEnds()) }
+	placementSum := func(m proto.Message) uint64 { return views.PlacementChecksum(m.(*protocol.Placement)) }
 	for _, sample := range []struct {
-		whole   proto.Message
-		part    func(whole proto.Message) proto.Message
-		sum     func(whole proto.Message) uint64
+		view    proto.Message
+		part    func(proto.Message) proto.Message
+		sum     func(proto.Message) uint64
 		without protoreflect.Name
 	}{
 		{
-			whole: &protocol.MembershipView{}, sum: func(m proto.Message) uint64 { return views.MembershipChecksum(m.(*protocol.MembershipView).GetNodes()) },
+			view: &protocol.MembershipView{}, sum: membershipSum,
 			part: func(m proto.Message) proto.Message { return m.(*protocol.MembershipView).GetNodes()[0] },
 		},
 		{
-			whole: &protocol.BackEndView{}, sum: func(m proto.Message) uint64 { return views.BackEndsChecksum(m.(*protocol.BackEndView).GetBackEnds()) },
+			view: &protocol.BackEndView{}, sum: backEndsSum,
 			part: func(m proto.Message) proto.Message { return m.(*protocol.BackEndView).GetBackEnds()[0] },
 		},
 		{
-			whole: &protocol.Placement{}, sum: func(m proto.Message) uint64 { return views.PlacementChecksum(m.(*protocol.Placement)) },
+			view: &protocol.Placement{}, sum: placementSum,
 			part: func(m proto.Message) proto.Message { return m }, without: "epoch",
 		},
 		{
-			whole: &protocol.Placement{}, sum: func(m proto.Message) uint64 { return views.PlacementChecksum(m.(*protocol.Placement)) },
+			view: &protocol.Placement{}, sum: placementSum,
 			part: func(m proto.Message) proto.Message { return m.(*protocol.Placement).GetShards()[0] },
 		},
 		{
-			whole: &protocol.Placement{}, sum: func(m proto.Message) uint64 { return views.PlacementChecksum(m.(*protocol.Placement)) },
+			view: &protocol.Placement{}, sum: placementSum,
 			part: func(m proto.Message) proto.Message { return m.(*protocol.Placement).GetShards()[0].GetNext()[0] },
 		},
 	} {
-		filled(sample.whole.ProtoReflect(), 7)
-		fields := sample.part(sample.whole).ProtoReflect().Descriptor().Fields()
+		filled(sample.view.ProtoReflect(), 7)
+		fields := sample.part(sample.view).ProtoReflect().Descriptor().Fields()
 		for i := range fields.Len() {
 			if fields.Get(i).Name() == sample.without {
 				continue
 			}
-			changed := proto.Clone(sample.whole)
+			changed := proto.Clone(sample.view)
 			sample.part(changed).ProtoReflect().Clear(fields.Get(i))
-			if sample.sum(changed) == sample.sum(sample.whole) {
+			if sample.sum(changed) == sample.sum(sample.view) {
 				t.Errorf("%s is not in the checksum", fields.Get(i).FullName())
 			}
 		}
@@ -101,7 +106,10 @@
 }
 
 func node(number int, incarnation uint64) *protocol.Node {
-	return &protocol.Node{Name: fmt.Sprintf("node-%03d", number), Incarnation: incarnation, Address: "10.0.0.1:1", HttpAddress: "10.0.0.1:2", Zone: "z1", Region: "r1"}
+	return &protocol.Node{
+		Name: fmt.Sprintf("node-%03d", number), Incarnation: incarnation, Address: "10.0.0.1:1", HttpAddress: "10.0.0.1:2",
+		Zone: "z1", Region: "r1",
+	}
 }
 
 func viewOf(version uint64, incarnations map[int]uint64) *protocol.MembershipView {
@@ -114,13 +122,13 @@
 	return view
 }
 
-// From each version that was ever held, the delta leads to what the whole says, or there is none.
-func TestDeltasLeadFromAnyVersionToTheWhole(t *testing.T) {
+// From each earlier version, the delta leads to the latest view, or there is none.
+func TestDeltasLeadFromAnyVersionToTheLatestView(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	incarnations := map[int]uint64{}
 	history := views.NewHistory(0)
-	var held []*protocol.MembershipView
-	deltas, wholes := 0, 0
+	var versions []*protocol.MembershipView
+	deltas, snapshots := 0, 0
 	for version := uint64(1); version <= 6000; version++ {
 		number := random.IntN(60)
 		if incarnations[number] > 0 && random.IntN(3) == 0 {
@@ -133,13 +141,13 @@
 			continue
 		}
 		view := viewOf(version, incarnations)
-		held = append(held, view)
+		versions = append(versions, view)
 		checksum := views.MembershipChecksum(view.GetNodes())
-		for _, base := range held {
+		for _, base := range versions {
 			copied := history.Copy()
 			delta := views.MembershipDelta(view, &copied, base.GetVersion(), checksum)
 			if delta == nil {
-				wholes++
+				snapshots++
 				continue
 			}
 			deltas++
@@ -149,12 +157,12 @@
 			}
 		}
 	}
-	if deltas == 0 || wholes == 0 {
-		t.Errorf("%d deltas, %d wholes: both must occur", deltas, wholes)
+	if deltas == 0 || snapshots == 0 {
+		t.Errorf("%d deltas, %d snapshots: both must occur", deltas, snapshots)
 	}
 }
 
-func TestAHistoryThatForgotGivesNoDelta(t *testing.T) {
+func TestAHistoryGivesNoDeltaFromAVersionThatItDoesNotCover(t *testing.T) {
 	history := views.NewHistory(10)
 	view := viewOf(20_000, map[int]uint64{1: 1, 2: 1, 3: 1})
 	if views.MembershipDelta(view, &history, 9, 0) != nil {
@@ -166,12 +174,14 @@
 		history.Add(version, "node-002")
 	}
 	if views.MembershipDelta(view, &history, 11, 0) != nil {
-		t.Error("a delta from a version that was forgotten")
+		t.Error("a delta from a version that was discarded")
 	}
 	if views.MembershipDelta(view, &history, 19_000, 0) == nil {
-		t.Error("no delta from a version that is remembered")
+		t.Error("no delta from a version that is retained")
 	}
-	if delta := views.MembershipDelta(viewOf(11, map[int]uint64{1: 1, 2: 1, 3: 1}), &early, 10, 0); len(delta.GetUpserted()) != 1 {
+	if delta := views.MembershipDelta(
+		viewOf(11, map[int]uint64{1: 1, 2: 1, 3: 1}), &early, 10, 0,
+	); len(delta.GetUpserted()) != 1 {
 		t.Errorf("a copy of the history changed: %v", delta)
 	}
 }
@@ -179,7 +189,10 @@
 func TestDeltasOfThePlacementCarryTheShardsThatChanged(t *testing.T) {
 	base := &protocol.Placement{Epoch: 5}
 	for number := range uint32(64) {
-		base.Shards = append(base.Shards, &protocol.ShardPlacement{Shard: number, Epoch: 5, Current: []*protocol.Replica{{Store: "s1", StorageId: "d1"}}})
+		base.Shards = append(
+			base.Shards,
+			&protocol.ShardPlacement{Shard: number, Epoch: 5, Current: []*protocol.Replica{{Store: "s1", StorageId: "d1"}}},
+		)
 	}
 	next := proto.CloneOf(base)
 	next.Epoch, next.Emptying = 9, []string{"s1"}
@@ -206,11 +219,13 @@
 	}
 }
 
-func TestADeltaOfBackEndsIsRefusedOnAnotherBase(t *testing.T) {
+func TestADeltaOfBackEndsIsRejectedOnAnotherBase(t *testing.T) {
 	history := views.NewHistory(1)
 	view := &protocol.BackEndView{Version: 2}
 	for number := range 20 {
-		view.BackEnds = append(view.BackEnds, &protocol.BackEnd{Id: fmt.Sprintf("b%02d", number), Models: []string{"m"}, Address: "10.0.0.1:1"})
+		view.BackEnds = append(
+			view.BackEnds, &protocol.BackEnd{Id: fmt.Sprintf("b%02d", number), Models: []string{"m"}, Address: "10.0.0.1:1"},
+		)
 	}
 	base := proto.CloneOf(view)
 	base.Version, base.BackEnds[4].Capacity = 1, 9
@@ -219,15 +234,15 @@
 	if applied, err := views.ApplyBackEnds(base, delta); err != nil || !proto.Equal(applied, view) {
 		t.Fatalf("got %v, %v", applied, err)
 	}
-	for name, spoil := range map[string]func(*protocol.BackEndView){
+	for name, damage := range map[string]func(*protocol.BackEndView){
 		"another version":  func(v *protocol.BackEndView) { v.Version = 3 },
 		"one entry less":   func(v *protocol.BackEndView) { v.BackEnds = v.BackEnds[:19] },
 		"another capacity": func(v *protocol.BackEndView) { v.BackEnds[7].Capacity = 3 },
 	} {
-		spoiled := proto.CloneOf(base)
-		spoil(spoiled)
+		damagedView := proto.CloneOf(base)
+		damage(damagedView)
 		var mismatch *views.MismatchError
-		if _, err := views.ApplyBackEnds(spoiled, delta); !errors.As(err, &mismatch) {
+		if _, err := views.ApplyBackEnds(damagedView, delta); !errors.As(err, &mismatch) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/controlplane/views/history.go
+++ b/internal/controlplane/views/history.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// KeptChanges is how many changes of names a history remembers at least: some
-// days of restarts at the size of 330 nodes, and a return of all of them.
-const KeptChanges = 2048
+// MinRetainedChanges is how many changes of names a history retains at least:
+// some days of restarts in a fleet of 330 nodes, and one restart of all of them.
+const MinRetainedChanges = 2048
 
-// History remembers which names changed at which version, so that a delta can
-// be made from any version it reaches back to. It is a value: a copy stays as it
-// is when the original is added to.
+// History records which names changed at which version, so that a delta can be
+// made from any version that it covers. It has one owner; Copy returns one that
+// other goroutines may read.
 type History struct {
-	// floor is the oldest version that deltas can be made from.
-	floor   uint64
-	changes []change
+	// oldestVersion is the oldest version that deltas can be made from.
+	oldestVersion uint64
+	changes       []change
 }
 
 type change struct {
@@ -20,40 +20,42 @@
 	name    string
 }
 
-// NewHistory begins a history with a view of the version given; nothing before it is known.
-func NewHistory(version uint64) History { return History{floor: version} }
+// NewHistory returns a history that covers no version before the given one.
+func NewHistory(version uint64) History { return History{oldestVersion: version} }
 
-// Add notes that names changed at a version, which must not be lower than any before.
+// Add records that names changed at a version, which must not be lower than that of any earlier call.
 func (h *History) Add(version uint64, names ...string) {
-	if len(h.changes)+len(names) > 2*KeptChanges {
-		h.forget(len(h.changes) - KeptChanges)
+	if len(h.changes)+len(names) > 2*MinRetainedChanges {
+		h.discardOldest(len(h.changes) - MinRetainedChanges)
 	}
 	for _, name := range names {
 		h.changes = append(h.changes, change{version: version, name: name})
 	}
 }
 
-// forget drops the oldest changes, and with them the rest of the last version dropped.
-func (h *History) forget(count int) {
+// discardOldest discards at least count changes: all those of a version or none,
+// since deltas from a version that is covered in part would be incomplete.
+func (h *History) discardOldest(count int) {
 	if count <= 0 {
 		return
 	}
-	h.floor = h.changes[count-1].version
-	for count < len(h.changes) && h.changes[count].version == h.floor {
+	h.oldestVersion = h.changes[count-1].version
+	for count < len(h.changes) && h.changes[count].version == h.oldestVersion {
 		count++
 	}
-	h.changes = append(make([]change, 0, 2*KeptChanges), h.changes[count:]...)
+	h.changes = append(make([]change, 0, 2*MinRetainedChanges), h.changes[count:]...)
 }
 
-// Copy returns the history as it is now; adding to the original leaves it alone.
+// Copy returns the history at this moment. It shares memory with the original, but
+// later additions to that do not show in it.
 func (h *History) Copy() History {
-	return History{floor: h.floor, changes: slices.Clip(h.changes)}
+	return History{oldestVersion: h.oldestVersion, changes: slices.Clip(h.changes)}
 }
 
-// Since lists the names that changed after a version, each once, and reports
-// false when the history does not reach back so far.
+// Since returns the set of names that changed after a version, and reports false
+// if the history does not cover that version.
 func (h *History) Since(version uint64) (map[string]bool, bool) {
-	if version < h.floor {
+	if version < h.oldestVersion {
 		return nil, false
 	}
 	names := map[string]bool{}
