--- a/internal/testing/lab/benchmark/throughput.go
+++ b/internal/testing/lab/benchmark/throughput.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -68,7 +68,7 @@
 	used := map[string]time.Duration{}
 	for group, ids := range w {
 		for _, id := range ids {
-			usage, err := process.UsageOf(id)
+			usage, err := subprocess.UsageOf(id)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 	"github.com/rosestand/rosestand/internal/testing/lab/hollow"
-	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -112,7 +112,7 @@
 	if _, err := f.DeliverBundle(ctx, f.Bundle(firstBundle)); err != nil {
 		return err
 	}
-	idle, err := process.UsageOf(os.Getpid())
+	idle, err := subprocess.UsageOf(os.Getpid())
 	if err != nil {
 		return err
 	}
@@ -209,8 +209,8 @@
 	return nil
 }
 
-func coreUsage(f *fleet.Fleet) (map[string]process.Usage, error) {
-	used := map[string]process.Usage{}
+func coreUsage(f *fleet.Fleet) (map[string]subprocess.Usage, error) {
+	used := map[string]subprocess.Usage{}
 	for _, member := range f.Members(fleet.KindCore, fleet.KindStore) {
 		usage, err := f.Process(member).Usage()
 		if err != nil {
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -17,7 +17,7 @@
 
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/relay"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
@@ -48,9 +48,9 @@
 type Fleet struct {
 	options   Options
 	secrets   *secrets
-	spawner   *process.Spawner
+	spawner   *subprocess.Spawner
 	members   []*Member
-	processes map[string]*process.Process
+	processes map[string]*subprocess.Process
 	// network is nil without relays; names tells it which process has which id.
 	network *relay.Network
 	names   atomic.Pointer[map[int]string]
@@ -77,7 +77,7 @@
 			return nil, errors.Wrap(err, "make run folder")
 		}
 	}
-	f := &Fleet{options: options, processes: map[string]*process.Process{}}
+	f := &Fleet{options: options, processes: map[string]*subprocess.Process{}}
 	if f.secrets, err = makeSecrets(filepath.Join(folder, "secrets")); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 	}
-	f.spawner = process.NewSpawner()
+	f.spawner = subprocess.NewSpawner()
 	return f, nil
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Process is the process of a member as of its last start, nil before the first.
-func (f *Fleet) Process(member *Member) *process.Process { return f.processes[member.Name] }
+func (f *Fleet) Process(member *Member) *subprocess.Process { return f.processes[member.Name] }
 
 // FrontAddresses lists the HTTP addresses of the front nodes.
 func (f *Fleet) FrontAddresses() []string {
@@ -164,7 +164,7 @@
 		binary = "rosestand-lab"
 		arguments = append([]string{"backends"}, arguments...)
 	}
-	started, err := f.spawner.Start(process.Spec{
+	started, err := f.spawner.Start(subprocess.Spec{
 		Name: member.Name, Binary: filepath.Join(f.options.Binaries, binary), Args: arguments,
 		LogFile: f.LogFile(member), Folder: f.options.Folder, Environment: f.options.Environment[member.Kind],
 	})
--- a/internal/testing/lab/hollow/herd.go
+++ b/internal/testing/lab/hollow/herd.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
 // Options describe a herd of hollow nodes and back ends.
@@ -101,7 +101,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read the machine's memory")
 	}
-	usage, err := process.UsageOf(os.Getpid())
+	usage, err := subprocess.UsageOf(os.Getpid())
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 // Footprint reads what the herd has used until now, after giving memory that is no longer used back.
 func (h *Herd) Footprint() (Footprint, error) {
 	debug.FreeOSMemory()
-	usage, err := process.UsageOf(os.Getpid())
+	usage, err := subprocess.UsageOf(os.Getpid())
 	f := Footprint{
 		At: time.Now(), Processor: usage.Processor, ResidentBytes: usage.ResidentBytes,
 		Heartbeats: h.sent.Load(), Goroutines: runtime.NumGoroutine(),
--- a/internal/testing/lab/process/export_test.go
+++ b/internal/testing/subprocess/export_test.go
@@ -1,4 +1,4 @@
-package process
+package subprocess
 
 import "time"
 
--- a/internal/testing/lab/process/process.go
+++ b/internal/testing/subprocess/process.go
@@ -1,7 +1,7 @@
-// Package process starts, signals and measures the processes of a rig. It is
+// Package subprocess starts, signals and measures the processes of a rig. It is
 // the only place of the project that starts processes, and it signals those
 // alone that it started.
-package process
+package subprocess
 
 import (
 	"fmt"
--- a/internal/testing/lab/process/process_test.go
+++ b/internal/testing/subprocess/process_test.go
@@ -1,4 +1,4 @@
-package process_test
+package subprocess_test
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/process"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
 // readyText is what a stubborn process writes once it ignores SIGTERM.
@@ -35,10 +35,10 @@
 	os.Exit(m.Run())
 }
 
-func start(t *testing.T, role string) *process.Process {
+func start(t *testing.T, role string) *subprocess.Process {
 	t.Helper()
-	spawner := process.NewSpawner()
-	started, err := spawner.Start(process.Spec{
+	spawner := subprocess.NewSpawner()
+	started, err := spawner.Start(subprocess.Spec{
 		Name: role, Binary: os.Args[0], LogFile: filepath.Join(t.TempDir(), "log"), Environment: []string{"PROCESS_TEST_ROLE=" + role},
 	})
 	if err != nil {
@@ -114,7 +114,7 @@
 func TestEndUnaskedIsAnError(t *testing.T) {
 	p := start(t, "fail")
 	<-p.Exited()
-	var exited *process.ExitedError
+	var exited *subprocess.ExitedError
 	if !errors.As(p.Gone(), &exited) || exited.Result == nil {
 		t.Fatalf("gone: %v", p.Gone())
 	}
