--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkPropose(b *testing.B) {
 	for _, proposers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
-			f := &fleet{machines: map[string]*machine{}, cut: map[string]bool{}, options: Options{}}
+			f := &fleet{machines: map[string]*machine{}, partitioned: map[string]bool{}, options: Options{}}
 			folder := b.TempDir()
 			for number := 1; number <= 3; number++ {
 				f.founders = append(f.founders, f.machine(number).address)
--- a/internal/controlplane/replica/disk_failure_test.go
+++ b/internal/controlplane/replica/disk_failure_test.go
@@ -12,7 +12,7 @@
 )
 
 // stallLimit is the longest time without a leader after the disk of the leader has stalled.
-const stallLimit = 2 * time.Second
+const maxLeaderlessStall = 2 * time.Second
 
 // others lists the running machines but one.
 func (f *fleet) others(without *machine) (others []*machine) {
@@ -39,7 +39,7 @@
 }
 
 // provokeFailure proposes to a machine until its disk has failed; what it does not acknowledge may be kept all the same.
-func (f *fleet) provokeFailure(leader *machine) {
+func (f *fleet) triggerDiskFailure(leader *machine) {
 	f.t.Helper()
 	f.eventually("the disk fails", func() bool {
 		if !leader.replica.IsLeader() {
@@ -52,7 +52,7 @@
 	})
 }
 
-func (m *machine) toldToEnd() bool {
+func (m *machine) fatalReported() bool {
 	select {
 	case err := <-m.fatal:
 		m.fleet.t.Logf("%s was told to end: %v", m.name, err)
@@ -63,7 +63,7 @@
 }
 
 // consistent waits until all running machines have the same commands, those that were acknowledged among them and in their order.
-func (f *fleet) consistent(acknowledged []string) {
+func (f *fleet) awaitConsistent(acknowledged []string) {
 	f.t.Helper()
 	f.eventually("all have the same", func() bool {
 		running := f.running()
@@ -84,14 +84,14 @@
 }
 
 func TestALeaderWithAFullDiskGoesOnWhenThereIsRoom(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		acknowledged := f.commit(nil, 20)
 		leader.disk.SetCapacity(leader.disk.Used())
-		f.provokeFailure(leader)
+		f.triggerDiskFailure(leader)
 		f.eventually("another one leads", func() bool { return f.leader() != nil && f.leader() != leader })
 		acknowledged = f.commit(acknowledged, 20)
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 
 		err := leader.propose("refused")
 		if _, ok := errors.AsType[*NotLeaderError](err); !ok {
@@ -101,31 +101,31 @@
 		if _, err := leader.replica.ServeWire(context.Background(), admission); err == nil {
 			t.Error("a replica without room admits a member")
 		}
-		if leader.toldToEnd() {
+		if leader.fatalReported() {
 			t.Error("a full disk ended the process")
 		}
 
 		leader.disk.SetCapacity(0)
-		f.consistent(acknowledged)
+		f.awaitConsistent(acknowledged)
 		others := f.others(leader)
-		others[0].halt()
+		others[0].kill()
 		acknowledged = f.commit(acknowledged, 20)
-		f.consistent(acknowledged)
-		if leader.toldToEnd() {
+		f.awaitConsistent(acknowledged)
+		if leader.fatalReported() {
 			t.Error("the process was told to end after there was room")
 		}
 	})
 }
 
 func TestACoreWhoseDisksAreAllFullComesBack(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		acknowledged := f.commit(nil, 60)
 		for _, m := range f.running() {
 			m.disk.SetCapacity(m.disk.Used())
 		}
-		f.provokeFailure(f.waitForLeader())
-		f.pass(10 * time.Second)
+		f.triggerDiskFailure(f.waitForLeader())
+		f.advance(10 * time.Second)
 		for _, m := range f.running() {
 			if m.propose("refused") == nil {
 				t.Errorf("%s acknowledged a command without room", m.name)
@@ -135,9 +135,9 @@
 			m.disk.SetCapacity(0)
 		}
 		acknowledged = f.commit(acknowledged, 60)
-		f.consistent(acknowledged)
+		f.awaitConsistent(acknowledged)
 		for _, m := range f.running() {
-			if m.toldToEnd() {
+			if m.fatalReported() {
 				t.Errorf("%s was told to end", m.name)
 			}
 		}
@@ -145,24 +145,24 @@
 }
 
 func TestAFollowerWithAFullDiskFollowsAgainWhenThereIsRoom(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		follower := f.others(leader)[0]
 		acknowledged := f.commit(nil, 20)
 		follower.disk.SetCapacity(follower.disk.Used())
 		// So many that the follower needs a snapshot.
 		acknowledged = f.commit(acknowledged, 200)
 		follower.disk.SetCapacity(0)
-		f.agree(acknowledged)
-		if follower.toldToEnd() {
+		f.awaitCommands(acknowledged)
+		if follower.fatalReported() {
 			t.Error("a full disk ended the process")
 		}
 	})
 }
 
 func TestOneFailedSyncIsOutlivedAndTheNextOneIsNot(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		acknowledged := f.commit(nil, 20)
 		leader.disk.FailSyncs(0, 1)
 		if err := leader.propose("not durable here"); err == nil {
@@ -172,8 +172,8 @@
 			t.Error("it leads after a failed sync")
 		}
 		acknowledged = f.commit(acknowledged, 20)
-		f.consistent(acknowledged)
-		if leader.toldToEnd() {
+		f.awaitConsistent(acknowledged)
+		if leader.fatalReported() {
 			f.t.Fatal("one failed sync ended the process")
 		}
 
@@ -188,7 +188,7 @@
 		if err := leader.propose("not durable here either"); err == nil {
 			t.Error("a command was acknowledged after the second failed sync")
 		}
-		f.eventually("it is told to end", leader.toldToEnd)
+		f.eventually("it is told to end", leader.fatalReported)
 		if leader.replica.IsLeader() {
 			t.Error("it leads after the second failed sync")
 		}
@@ -199,8 +199,8 @@
 }
 
 func TestALeaderWhoseDiskStallsIsReplacedAndAnswers(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		acknowledged := f.commit(nil, 20)
 		leader.disk.StallSyncs()
 		began := time.Now()
@@ -211,7 +211,7 @@
 			t.Errorf("a command on a stalled disk: %v", err)
 		}
 		f.eventually("another one leads", func() bool { return f.leader() != nil && f.leader() != leader })
-		if waited := time.Since(began); waited > stallLimit {
+		if waited := time.Since(began); waited > maxLeaderlessStall {
 			t.Errorf("without a leader for %v", waited)
 		}
 		asked := time.Now()
@@ -222,10 +222,10 @@
 			t.Error("it waited for its disk to say so")
 		}
 		acknowledged = f.commit(acknowledged, 20)
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 		leader.disk.ResumeSyncs()
-		f.consistent(acknowledged)
-		if leader.toldToEnd() {
+		f.awaitConsistent(acknowledged)
+		if leader.fatalReported() {
 			t.Error("a stall ended the process")
 		}
 	})
--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -10,53 +10,53 @@
 	// reopenSpaceBytes is the room that a full disk must have again before its log is opened.
 	reopenSpaceBytes = 1 << 20
 	// otherFailuresOutlived is how many failures of the disk that are no lack of room a process outlives.
-	otherFailuresOutlived = 1
+	maxNonSpaceFailures = 1
 )
 
 // run serves until the replica stops. When its disk was full, or once when a write failed otherwise, it opens the log again
 // as after a crash: what was not synced was neither acknowledged nor promised, and the state machine keeps its state.
 func (r *Replica) run() {
-	defer r.end()
+	defer r.finish()
 	for {
 		r.owner.run()
 		failed := r.owner.failure
 		if failed == nil {
 			return
 		}
-		r.owner.retire(&DiskUnavailableError{Cause: failed})
-		if !r.recoverFrom(failed) {
+		r.owner.close(&DiskUnavailableError{Cause: failed})
+		if !r.recoverDisk(failed) {
 			return
 		}
 	}
 }
 
 // end answers whoever waits when the replica has stopped.
-func (r *Replica) end() {
+func (r *Replica) finish() {
 	close(r.stopped)
 	if r.owner.failure == nil {
-		r.owner.retire(&StoppedError{})
+		r.owner.close(&StoppedError{})
 	}
 }
 
 // recoverFrom opens the log again after a failure; it reports false when the replica stops.
-func (r *Replica) recoverFrom(failed error) bool {
+func (r *Replica) recoverDisk(failed error) bool {
 	for failed != nil {
 		r.logWarning("the disk failed", "error", failed)
-		if !r.outlives(failed) {
+		if !r.recoverable(failed) {
 			r.reportFatal(failed)
 			return false
 		}
-		if !r.refuseForAWhile(failed) {
+		if !r.rejectRequests(failed) {
 			return false
 		}
-		failed = r.reopen()
+		failed = r.reopenDisk()
 	}
 	r.logInfo("the log is open again")
 	return true
 }
 
 // outlives decides whether the log is opened again after an error.
-func (r *Replica) outlives(err error) bool {
+func (r *Replica) recoverable(err error) bool {
 	if storage.IsDiskFull(err) {
 		return true
 	}
@@ -64,12 +64,12 @@
 	if !errors.As(err, &failed) {
 		return false
 	}
-	r.otherFailures++
-	return r.otherFailures <= otherFailuresOutlived
+	r.nonSpaceFailures++
+	return r.nonSpaceFailures <= maxNonSpaceFailures
 }
 
 // refuseForAWhile refuses all requests for an election timeout; it reports false when the replica stops.
-func (r *Replica) refuseForAWhile(cause error) bool {
+func (r *Replica) rejectRequests(cause error) bool {
 	refusal := &DiskUnavailableError{Cause: cause}
 	timer := r.options.Clock.NewTimer(r.options.ElectionTimeout)
 	defer timer.Stop()
@@ -84,13 +84,13 @@
 		case refused := <-r.proposals:
 			refused.done <- proposalResult{err: refusal}
 		case refused := <-r.requests:
-			refused.refuse(refusal)
+			refused.reject(refusal)
 		}
 	}
 }
 
 // reopen reads the folder as after a crash.
-func (r *Replica) reopen() error {
+func (r *Replica) reopenDisk() error {
 	if err := r.disk.close(); err != nil {
 		r.logWarning("the failed log was closed with an error", "error", err)
 	}
@@ -104,7 +104,7 @@
 	r.disk = disk
 	former := r.owner.failure
 	r.owner = owner{}
-	if err := r.open(); err != nil {
+	if err := r.recoverState(); err != nil {
 		r.owner.failure = former
 		return err
 	}
--- a/internal/controlplane/replica/double_faults_test.go
+++ b/internal/controlplane/replica/double_faults_test.go
@@ -13,71 +13,71 @@
 
 const (
 	// twoLossesCatchUp is the time that two machines have after their return before the next two may go.
-	twoLossesCatchUp = 6 * time.Second
+	doubleFaultCatchUp = 6 * time.Second
 	// twoLossesLeaderless is the longest time without a leader after two machines were lost at once.
-	twoLossesLeaderless = 1200 * time.Millisecond
+	maxLeaderlessDouble = 1200 * time.Millisecond
 )
 
 // loss is a way to lose a machine and to bring it, or its successor, back.
 type loss struct {
 	name  string
-	begin func(d *badDay, m *machine)
-	end   func(d *badDay, place int)
+	begin func(d *sequentialFaults, m *machine)
+	end   func(d *sequentialFaults, place int)
 }
 
-func startAgain(d *badDay, place int) { d.start(d.machine(d.at[place])) }
+func restartSame(d *sequentialFaults, place int) { d.start(d.machine(d.numbers[place])) }
 
-func startSuccessor(d *badDay, place int) {
-	d.at[place] = d.next
+func startSuccessor(d *sequentialFaults, place int) {
+	d.numbers[place] = d.next
 	d.next++
-	startAgain(d, place)
+	restartSame(d, place)
 }
 
 var losses = []loss{
-	{"power lost", func(_ *badDay, m *machine) { m.crash() }, startAgain},
-	{"disk lost", func(_ *badDay, m *machine) { m.crash(); m.disk.Lose() }, startAgain},
-	{"replaced", func(_ *badDay, m *machine) { m.crash() }, startSuccessor},
-	{"frozen", func(_ *badDay, m *machine) { m.freeze() }, func(d *badDay, place int) { d.machine(d.at[place]).wake() }},
+	{"power lost", func(_ *sequentialFaults, m *machine) { m.crash() }, restartSame},
+	{"disk lost", func(_ *sequentialFaults, m *machine) { m.crash(); m.disk.Lose() }, restartSame},
+	{"replaced", func(_ *sequentialFaults, m *machine) { m.crash() }, startSuccessor},
+	{"frozen", func(_ *sequentialFaults, m *machine) { m.freeze() }, func(d *sequentialFaults, place int) { d.machine(d.numbers[place]).resume() }},
 	{
-		"cut off", func(d *badDay, m *machine) { d.setCut(m.address, true) },
-		func(d *badDay, place int) { d.setCut(d.machine(d.at[place]).address, false) },
+		"cut off", func(d *sequentialFaults, m *machine) { d.setPartitioned(m.address, true) },
+		func(d *sequentialFaults, place int) { d.setPartitioned(d.machine(d.numbers[place]).address, false) },
 	},
 }
 
-func newDayOfTwoLosses(f *fleet, seed uint64) *badDay {
+func newDoubleFaults(f *fleet, seed uint64) *sequentialFaults {
 	f.options.TargetVoters = 5
-	d := &badDay{
-		chaos: newChaos(f, rand.New(rand.NewPCG(seed, 29)), map[string]int{}),
-		at:    []int{1, 2, 3, 4, 5}, next: 6, listed: []int{1, 2, 3, 4, 5},
+	d := &sequentialFaults{
+		faultInjector: newFaultInjector(f, rand.New(rand.NewPCG(seed, 29)), map[string]int{}),
+		numbers:       []int{1, 2, 3, 4, 5}, next: 6, seedNumbers: []int{1, 2, 3, 4, 5},
 	}
 	d.members, d.voters = 5, 5
-	d.found(3)
+	d.foundCluster(3)
 	f.founders = nil
 	f.seeds = []string{f.machine(1).address, f.machine(2).address, f.machine(3).address}
 	f.machine(4).start()
 	f.machine(5).start()
-	d.eventually("five voters stand", d.whole)
+	d.eventually("five voters stand", d.isHealthy)
 	return d
 }
 
 // loseTwo brings about two losses at once; now and then all others are killed meanwhile, which keep their disks.
-func (d *badDay) loseTwo() {
-	places := d.random.Perm(len(d.at))[:2]
+func (d *sequentialFaults) injectTwoLosses() {
+	places := d.random.Perm(len(d.numbers))[:2]
 	if leader := d.leader(); leader != nil && d.random.IntN(2) == 0 {
-		places[0] = slices.IndexFunc(d.at, func(number int) bool { return d.machine(number) == leader })
-		places[1] = (places[0] + 1 + d.random.IntN(len(d.at)-1)) % len(d.at)
+		places[0] = slices.IndexFunc(d.numbers, func(number int) bool { return d.machine(number) == leader })
+		places[1] = (places[0] + 1 + d.random.IntN(len(d.numbers)-1)) % len(d.numbers)
 	}
 	chosen := []loss{losses[d.random.IntN(len(losses))], losses[d.random.IntN(len(losses))]}
 	lost := make([]*machine, len(places))
 	for each, place := range places {
-		lost[each] = d.machine(d.at[place])
-		d.provoked[chosen[each].name]++
+		lost[each] = d.machine(d.numbers[place])
+		d.faultCounts[chosen[each].name]++
 		chosen[each].begin(d, lost[each])
 	}
-	d.live(d.duration(100*time.Millisecond, 4*time.Second), twoLossesLeaderless)
+	d.runFor(d.duration(100*time.Millisecond, 4*time.Second), maxLeaderlessDouble)
 	if d.random.IntN(4) == 0 {
-		d.provoked["the others killed"]++
-		d.killOthers(lost)
+		d.faultCounts["the others killed"]++
+		d.killAllBut(lost)
 	}
 	for each, place := range places {
 		chosen[each].end(d, place)
@@ -85,15 +85,15 @@
 }
 
 // killOthers ends the processes of all machines that stand and starts them again with their disks.
-func (d *badDay) killOthers(lost []*machine) {
+func (d *sequentialFaults) killAllBut(lost []*machine) {
 	var killed []*machine
 	for _, m := range d.running() {
 		if !slices.Contains(lost, m) {
-			m.halt()
+			m.kill()
 			killed = append(killed, m)
 		}
 	}
-	d.pass(d.duration(50*time.Millisecond, time.Second))
+	d.advance(d.duration(50*time.Millisecond, time.Second))
 	for _, m := range killed {
 		d.start(m)
 	}
@@ -104,18 +104,18 @@
 	provoked, longest := map[string]int{}, time.Duration(0)
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			story(t, func(f *fleet) {
-				quickOptions(f)
-				d := newDayOfTwoLosses(f, seed)
+			runScenario(t, func(f *fleet) {
+				useShortTimeouts(f)
+				d := newDoubleFaults(f, seed)
 				for range 8 {
-					d.loseTwo()
-					d.live(twoLossesCatchUp+d.duration(0, 300*time.Millisecond), twoLossesLeaderless)
-					d.listed = slices.Clone(d.at)
+					d.injectTwoLosses()
+					d.runFor(doubleFaultCatchUp+d.duration(0, 300*time.Millisecond), maxLeaderlessDouble)
+					d.seedNumbers = slices.Clone(d.numbers)
 				}
-				d.finalFaultOfTwo()
+				d.losePowerAndTwoDisks()
 				d.checkAcknowledged()
-				longest = max(longest, d.longest)
-				for kind, count := range d.provoked {
+				longest = max(longest, d.maxLeaderless)
+				for kind, count := range d.faultCounts {
 					provoked[kind] += count
 				}
 				provoked["acknowledged"] += len(d.acknowledged)
@@ -131,14 +131,14 @@
 }
 
 // finalFaultOfTwo takes the power of all machines and the disks of two, right after an acknowledgement.
-func (d *badDay) finalFaultOfTwo() {
+func (d *sequentialFaults) losePowerAndTwoDisks() {
 	d.t.Helper()
 	d.propose()
 	for _, m := range d.running() {
 		m.crash()
 	}
-	for _, place := range d.random.Perm(len(d.at))[:2] {
-		d.machine(d.at[place]).disk.Lose()
+	for _, place := range d.random.Perm(len(d.numbers))[:2] {
+		d.machine(d.numbers[place]).disk.Lose()
 	}
 	d.startAll(nil)
 }
--- a/internal/controlplane/replica/fleet_test.go
+++ b/internal/controlplane/replica/fleet_test.go
@@ -30,19 +30,19 @@
 var errUnreachable = errors.New("unreachable")
 
 // journal is a state machine that keeps its commands.
-type journal struct {
+type commandLog struct {
 	mutex    sync.Mutex
 	commands []string
 }
 
-func (j *journal) Apply(_ uint64, command []byte) []byte {
+func (j *commandLog) Apply(_ uint64, command []byte) []byte {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.commands = append(j.commands, string(command))
 	return fmt.Appendf(nil, "%d", len(j.commands))
 }
 
-func (j *journal) Snapshot(writer io.Writer) error {
+func (j *commandLog) Snapshot(writer io.Writer) error {
 	for _, command := range j.all() {
 		if _, err := fmt.Fprintln(writer, command); err != nil {
 			return err
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (j *journal) Restore(reader io.Reader) error {
+func (j *commandLog) Restore(reader io.Reader) error {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.commands = nil
@@ -62,7 +62,7 @@
 	return lines.Err()
 }
 
-func (j *journal) all() []string {
+func (j *commandLog) all() []string {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return append([]string(nil), j.commands...)
@@ -76,7 +76,7 @@
 	address string
 	disk    *simdisk.Disk
 	replica *Replica
-	state   *journal
+	state   *commandLog
 	fatal   chan error
 	clock   freezableClock
 	// syncTime is the time that the sync of a file takes from the next start on; zero stands for that of the fleet.
@@ -92,11 +92,11 @@
 // freeze stops a machine; nothing reaches it or leaves it until it wakes.
 func (m *machine) freeze() {
 	m.clock.Freeze()
-	m.fleet.setCut(m.address, true)
+	m.fleet.setPartitioned(m.address, true)
 }
 
-func (m *machine) wake() {
-	m.fleet.setCut(m.address, false)
+func (m *machine) resume() {
+	m.fleet.setPartitioned(m.address, false)
 	m.clock.Wake()
 }
 
@@ -107,13 +107,13 @@
 	seeds    []string
 	founders []string
 
-	mutex    sync.Mutex
-	machines map[string]*machine
-	cut      map[string]bool
+	mutex       sync.Mutex
+	machines    map[string]*machine
+	partitioned map[string]bool
 	// deaf machines get nothing, mute ones send nothing that arrives.
-	deaf, mute map[string]bool
+	inboundPartitioned, outboundPartitioned map[string]bool
 	// dark addresses are those of machines without power: who asks them hears nothing, not even a refusal.
-	dark map[string]bool
+	unpowered map[string]bool
 	// latency is the time that a message takes one way.
 	latency time.Duration
 	// syncTime is the time that the sync of a file takes.
@@ -122,12 +122,12 @@
 }
 
 // story runs a test in a bubble of virtual time that ends when all goroutines have ended.
-func story(t *testing.T, run func(f *fleet)) {
+func runScenario(t *testing.T, run func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
-			t: t, machines: map[string]*machine{}, cut: map[string]bool{},
-			deaf: map[string]bool{}, mute: map[string]bool{}, dark: map[string]bool{},
+			t: t, machines: map[string]*machine{}, partitioned: map[string]bool{},
+			inboundPartitioned: map[string]bool{}, outboundPartitioned: map[string]bool{}, unpowered: map[string]bool{},
 			options: Options{SnapshotEntries: 50, SnapshotChunkBytes: 512},
 		}
 		defer f.stopAll()
@@ -149,7 +149,7 @@
 }
 
 // found starts machines 1 to count as founders and waits until all are voters.
-func (f *fleet) found(count int) *machine {
+func (f *fleet) foundCluster(count int) *machine {
 	f.t.Helper()
 	for number := 1; number <= count; number++ {
 		f.founders = append(f.founders, f.machine(number).address)
@@ -181,7 +181,7 @@
 		options.Folder, options.Filesystem = "core", slowFilesystem{Filesystem: m.disk, syncTime: cmp.Or(m.syncTime, f.syncTime)}
 	}
 	options.Caller = &caller{fleet: f, from: m.address}
-	state, fatal, clock := &journal{}, make(chan error, 1), freezableClock{&simclock.Clock{}}
+	state, fatal, clock := &commandLog{}, make(chan error, 1), freezableClock{&simclock.Clock{}}
 	options.Clock = clock
 	options.Machine = state
 	options.Random = rand.New(rand.NewPCG(f.started, 11))
@@ -232,14 +232,14 @@
 
 // crash ends the process at once and loses what was not synced.
 func (m *machine) crash() {
-	m.fleet.setCut(m.address, true)
+	m.fleet.setPartitioned(m.address, true)
 	m.disk.LosePower()
-	m.halt()
-	m.fleet.setCut(m.address, false)
+	m.kill()
+	m.fleet.setPartitioned(m.address, false)
 }
 
 // halt ends the process without handing anything over.
-func (m *machine) halt() {
+func (m *machine) kill() {
 	m.fleet.mutex.Lock()
 	replica := m.replica
 	m.replica = nil
@@ -278,22 +278,22 @@
 	return err
 }
 
-func (f *fleet) setCut(address string, cut bool) {
+func (f *fleet) setPartitioned(address string, cut bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.cut[address] = cut
+	f.partitioned[address] = cut
 }
 
 // setOneWay cuts off one direction of a machine's links.
-func (f *fleet) setOneWay(address string, deaf, mute bool) {
+func (f *fleet) setOneWayPartition(address string, deaf, mute bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.deaf[address], f.mute[address] = deaf, mute
+	f.inboundPartitioned[address], f.outboundPartitioned[address] = deaf, mute
 }
 
 // arrives reports whether what is sent from one address to another arrives; the fleet's lock is held.
-func (f *fleet) arrives(from, to string) bool {
-	return !f.cut[from] && !f.cut[to] && !f.mute[from] && !f.deaf[to]
+func (f *fleet) reachable(from, to string) bool {
+	return !f.partitioned[from] && !f.partitioned[to] && !f.outboundPartitioned[from] && !f.inboundPartitioned[to]
 }
 
 func (f *fleet) running() (running []*machine) {
@@ -331,7 +331,7 @@
 }
 
 // pass lets virtual time go on, checking at each step that not two lead.
-func (f *fleet) pass(duration time.Duration) {
+func (f *fleet) advance(duration time.Duration) {
 	f.t.Helper()
 	const step = 10 * time.Millisecond
 	for ; duration > 0; duration -= step {
@@ -348,7 +348,7 @@
 		if condition() {
 			return
 		}
-		f.pass(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 	}
 	f.describe()
 	f.t.Fatalf("not in a minute: %s", what)
@@ -365,7 +365,7 @@
 }
 
 // agree waits until all running machines have applied exactly these commands.
-func (f *fleet) agree(commands []string) {
+func (f *fleet) awaitCommands(commands []string) {
 	f.t.Helper()
 	f.eventually(fmt.Sprintf("all have %d commands", len(commands)), func() bool {
 		for _, m := range f.running() {
@@ -380,9 +380,9 @@
 func (f *fleet) stopAll() {
 	for _, m := range f.running() {
 		if m.clock.IsFrozen() {
-			m.wake()
+			m.resume()
 		}
-		m.halt()
+		m.kill()
 	}
 }
 
@@ -396,10 +396,10 @@
 	c.fleet.mutex.Lock()
 	m := c.fleet.machines[address]
 	var target *Replica
-	if m != nil && c.fleet.arrives(c.from, address) {
+	if m != nil && c.fleet.reachable(c.from, address) {
 		target = m.replica
 	}
-	answered, dark := c.fleet.arrives(address, c.from), c.fleet.dark[address]
+	answered, dark := c.fleet.reachable(address, c.from), c.fleet.unpowered[address]
 	c.fleet.mutex.Unlock()
 	if dark {
 		<-ctx.Done()
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -12,14 +12,14 @@
 )
 
 // silentElectionTimeouts is how long a member hears no leader before it asks others where it stands.
-const silentElectionTimeouts = 5
+const leaderContactTimeouts = 5
 
 // keepJoined joins or founds a cluster while this member has none, and joins again when the
 // others no longer know this member or know it at another address.
-func (r *Replica) keepJoined(ctx context.Context) {
+func (r *Replica) joinLoop(ctx context.Context) {
 	interval := r.options.ElectionTimeout / 2
 	for {
-		r.joinOnce(ctx, interval)
+		r.ensureJoined(ctx, interval)
 		timer := r.options.Clock.NewTimer(interval)
 		select {
 		case <-ctx.Done():
@@ -39,46 +39,46 @@
 	r.seeds.Store(&own)
 }
 
-func (r *Replica) joinOnce(ctx context.Context, patience time.Duration) {
+func (r *Replica) ensureJoined(ctx context.Context, patience time.Duration) {
 	view := r.view.Load()
-	silent := r.options.Clock.Now().Sub(view.heardLeader) >= silentElectionTimeouts*r.options.ElectionTimeout
+	silent := r.options.Clock.Now().Sub(view.lastLeaderContact) >= leaderContactTimeouts*r.options.ElectionTimeout
 	known := consensus.Member(view.status.Configuration, r.self.GetId())
 	moved := known != nil && !sameMember(known, r.self)
 	if view.clusterID != "" && !silent && !moved {
 		return
 	}
 	if moved && view.status.Role == consensus.Leader {
-		_ = r.do(ctx, func() { r.owner.admit(r.self, false, make(chan proposalResult, 1)) })
+		_ = r.runOnOwner(ctx, func() { r.owner.admit(r.self, false, make(chan proposalResult, 1)) })
 		return
 	}
 	survey := r.survey(ctx, view, patience)
-	r.learnAddresses(ctx, survey, view.clusterID)
+	r.updateAddresses(ctx, survey, view.clusterID)
 	address, found := survey.clusterMember(view.clusterID, r.self)
 	switch {
 	case found:
-		r.join(ctx, address, patience)
-	case view.clusterID == "" && r.mayFound(survey):
-		_ = r.do(ctx, r.owner.found)
+		r.requestJoin(ctx, address, patience)
+	case view.clusterID == "" && r.canFoundCluster(survey):
+		_ = r.runOnOwner(ctx, r.owner.foundCluster)
 	}
 }
 
 // learnAddresses notes where the members of this cluster are now: after a change of all
 // addresses no leader could tell.
-func (r *Replica) learnAddresses(ctx context.Context, survey *survey, clusterID string) {
+func (r *Replica) updateAddresses(ctx context.Context, survey *survey, clusterID string) {
 	if clusterID == "" {
 		return
 	}
-	_ = r.do(ctx, func() {
+	_ = r.runOnOwner(ctx, func() {
 		for address, status := range survey.statuses {
 			if status.GetClusterId() == clusterID {
-				r.owner.transport.learn(status.GetId(), address)
+				r.owner.transport.observeAddress(status.GetId(), address)
 			}
 		}
 	})
 }
 
 // join asks a member to be let in; the leader then sends the log.
-func (r *Replica) join(ctx context.Context, address string, patience time.Duration) {
+func (r *Replica) requestJoin(ctx context.Context, address string, patience time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	request := &protocol.Request{Body: &protocol.Request_JoinCore{JoinCore: &protocol.JoinCoreRequest{Member: r.self}}}
@@ -90,7 +90,7 @@
 // mayFound decides whether this empty member founds a cluster: it must be the founder with the
 // lowest address, every other founder must have said that it is empty, and nobody may have named a
 // cluster. So a founder that lost its disk never founds a second one.
-func (r *Replica) mayFound(survey *survey) bool {
+func (r *Replica) canFoundCluster(survey *survey) bool {
 	own := r.self.GetAddress()
 	if !slices.Contains(r.options.Founders, own) || survey.clusterNamed() {
 		return false
--- a/internal/controlplane/replica/leader_restart_test.go
+++ b/internal/controlplane/replica/leader_restart_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestTheLeaderOfBeforeLeadsAgainSoonAfterARestartOfAll(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		for range 5 {
 			former := f.waitForLeader()
 			for _, m := range f.running() {
@@ -43,8 +43,8 @@
 }
 
 func TestWhoeverLooksForTheLeaderIsToldOnceThereIsOne(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		f.waitForLeader()
 		for _, m := range f.running() {
 			m.crash()
--- a/internal/controlplane/replica/log_recovery.go
+++ b/internal/controlplane/replica/log_recovery.go
@@ -15,7 +15,7 @@
 )
 
 // recovered is what the log and the snapshots hold.
-type recovered struct {
+type recoveredState struct {
 	clusterID string
 	hardState *protocol.HardState
 	entries   []*protocol.Entry
@@ -24,13 +24,13 @@
 }
 
 func (d *disk) recover(snapshot *protocol.SnapshotMetadata) (string, consensus.InitialState, error) {
-	state := &recovered{}
+	state := &recoveredState{}
 	err := d.log.Replay(storage.Position{}, func(_ storage.Position, data []byte) error {
 		record := &protocol.CoreRecord{}
 		if err := proto.Unmarshal(data, record); err != nil {
 			return err
 		}
-		return state.take(record)
+		return state.applyRecord(record)
 	})
 	if err != nil {
 		return "", consensus.InitialState{}, err
@@ -39,36 +39,36 @@
 		return "", consensus.InitialState{}, &CorruptStateError{Reason: "the snapshot under the log is missing"}
 	}
 	if snapshot != nil {
-		state.compact(snapshot)
+		state.applyCompacted(snapshot)
 	}
 	return state.clusterID, consensus.InitialState{
 		HardState: state.hardState, Snapshot: snapshot, Entries: state.entries,
 	}, nil
 }
 
-func (s *recovered) take(record *protocol.CoreRecord) error {
+func (s *recoveredState) applyRecord(record *protocol.CoreRecord) error {
 	switch body := record.GetBody().(type) {
 	case *protocol.CoreRecord_Entry:
-		return s.takeEntry(body.Entry)
+		return s.applyEntry(body.Entry)
 	case *protocol.CoreRecord_HardState:
 		s.hardState = body.HardState
 	case *protocol.CoreRecord_ClusterId:
 		s.clusterID = body.ClusterId
 	case *protocol.CoreRecord_Compacted:
-		s.compact(body.Compacted)
+		s.applyCompacted(body.Compacted)
 	case *protocol.CoreRecord_Founding:
-		return s.found(body.Founding)
+		return s.applyFounding(body.Founding)
 	default:
 		return &CorruptStateError{Reason: "a record of unknown kind"}
 	}
 	return nil
 }
 
-func (s *recovered) lastIndex() uint64 { return s.baseIndex + uint64(len(s.entries)) }
+func (s *recoveredState) lastIndex() uint64 { return s.baseIndex + uint64(len(s.entries)) }
 
 // takeEntry puts an entry in place of any at its index and above. One that is there already is
 // a copy, made when a segment was begun, and replaces nothing.
-func (s *recovered) takeEntry(entry *protocol.Entry) error {
+func (s *recoveredState) applyEntry(entry *protocol.Entry) error {
 	index := entry.GetIndex()
 	switch {
 	case index <= s.baseIndex:
@@ -84,7 +84,7 @@
 
 // compact drops the entries that a snapshot covers. Those after it stay only when the log
 // held the snapshot's last entry; else they belong to another history.
-func (s *recovered) compact(snapshot *protocol.SnapshotMetadata) {
+func (s *recoveredState) applyCompacted(snapshot *protocol.SnapshotMetadata) {
 	index := snapshot.GetIndex()
 	switch {
 	case index == s.baseIndex && snapshot.GetTerm() == s.baseTerm || index < s.baseIndex:
@@ -97,7 +97,7 @@
 	s.baseIndex, s.baseTerm = index, snapshot.GetTerm()
 }
 
-func (s *recovered) found(founding *protocol.Founding) error {
+func (s *recoveredState) applyFounding(founding *protocol.Founding) error {
 	entry, err := foundingEntry(founding.GetFounder())
 	if err != nil {
 		return err
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -16,9 +16,9 @@
 	// aliveElectionTimeouts is the silence, in election timeouts, below which a member is alive.
 	aliveElectionTimeouts = 2
 	// freshHeartbeats is the silence, in heartbeat intervals, below which a standby may become a voter.
-	freshHeartbeats = 3
-	maxMembers      = 64
-	maxRetired      = 64
+	promotableHeartbeats = 3
+	maxMembers           = 64
+	maxRetired           = 64
 )
 
 // MemberRetiredError refuses a member that an operator removed; its folder must be emptied first.
@@ -71,7 +71,7 @@
 // *InvalidMemberError, *consensus.ChangePendingError.
 func (r *Replica) Admit(ctx context.Context, member *protocol.CoreMember) error {
 	done := make(chan proposalResult, 1)
-	if err := r.do(ctx, func() { r.owner.admit(member, true, done) }); err != nil {
+	if err := r.runOnOwner(ctx, func() { r.owner.admit(member, true, done) }); err != nil {
 		return err
 	}
 	answer, err := r.await(ctx, done)
@@ -90,7 +90,7 @@
 	for {
 		promoted := false
 		done := make(chan proposalResult, 1)
-		if err := r.do(ctx, func() { promoted = r.owner.promoteOrRemove(name, done) }); err != nil {
+		if err := r.runOnOwner(ctx, func() { promoted = r.owner.promoteOrRemove(name, done) }); err != nil {
 			return err
 		}
 		answer, err := r.await(ctx, done)
@@ -108,7 +108,7 @@
 // *MemberUnknownError, *UnsafeChangeError when it did not come about in an election timeout.
 func (r *Replica) TransferLeadership(ctx context.Context, name string) error {
 	done := make(chan error, 1)
-	if err := r.do(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
+	if err := r.runOnOwner(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
 		return err
 	}
 	select {
@@ -125,12 +125,12 @@
 func (o *owner) proposeChange(next *protocol.CoreConfiguration, reason string, done chan proposalResult) {
 	index, err := o.node.ProposeConfiguration(next, o.now())
 	if err != nil {
-		done <- proposalResult{err: o.refusal(err)}
+		done <- proposalResult{err: o.rejection(err)}
 		return
 	}
 	o.replica.metrics.membershipChanges.Inc()
 	o.replica.logInfo("membership change", "reason", reason, "index", index)
-	o.waiters.expect(o.node.Term(), index, done)
+	o.waiters.register(o.node.Term(), index, done)
 }
 
 // admit adds a member as a learner, or brings its addresses up to date.
@@ -186,7 +186,7 @@
 	configuration, _ := o.node.Configuration()
 	member := findMember(configuration.GetMembers(), name)
 	if o.node.Role() == consensus.Leader && member != nil && member.GetId() != o.replica.self.GetId() {
-		if first := promotionBefore(o.membershipView(), member); first != nil {
+		if first := promotionBeforeRemoval(o.membershipView(), member); first != nil {
 			o.proposeChange(first.configuration, first.reason, done)
 			return true
 		}
@@ -260,7 +260,7 @@
 	if err == nil {
 		err = o.node.Transfer(target, o.now())
 		if err != nil {
-			err = o.refusal(err)
+			err = o.rejection(err)
 		}
 	}
 	if err != nil {
@@ -320,8 +320,8 @@
 	return &membershipView{
 		configuration: status.Configuration, self: status.ID, lastIndex: status.LastIndex,
 		contacts: contacts, now: o.now(), targetVoters: options.TargetVoters,
-		aliveWithin: aliveElectionTimeouts * options.ElectionTimeout, goneAfter: options.ReplaceVoterAfter,
-		freshWithin: freshHeartbeats * options.HeartbeatInterval,
+		aliveWithin: aliveElectionTimeouts * options.ElectionTimeout, replaceAfter: options.ReplaceVoterAfter,
+		promotableWithin: promotableHeartbeats * options.HeartbeatInterval,
 	}
 }
 
--- a/internal/controlplane/replica/metrics.go
+++ b/internal/controlplane/replica/metrics.go
@@ -7,12 +7,12 @@
 )
 
 type metrics struct {
-	sent, sendFailures, dropped       prometheus.Counter
-	proposals, batches, snapshots     prometheus.Counter
-	installed, leaderships, overloads prometheus.Counter
-	joinFailures, membershipChanges   prometheus.Counter
-	term, commit, applied, firstIndex prometheus.Gauge
-	leading, members, snapshotBytes   prometheus.Gauge
+	messagesSent, sendFailures, messagesDropped prometheus.Counter
+	proposals, batches, snapshots               prometheus.Counter
+	snapshotsInstalled, leaderships, overloads  prometheus.Counter
+	joinFailures, membershipChanges             prometheus.Counter
+	term, commit, applied, firstIndex           prometheus.Gauge
+	leader, members, snapshotBytes              prometheus.Gauge
 }
 
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
@@ -28,24 +28,24 @@
 		return collector
 	}
 	built := &metrics{
-		sent:              counter("consensus_messages_sent_total", "Consensus messages that a member took."),
-		sendFailures:      counter("consensus_send_failures_total", "Consensus messages that could not be delivered."),
-		dropped:           counter("consensus_messages_dropped_total", "Consensus messages dropped from a full queue."),
-		proposals:         counter("consensus_proposals_total", "Commands appended as leader."),
-		batches:           counter("consensus_log_batches_total", "Batches written to the log with one sync."),
-		snapshots:         counter("consensus_snapshots_total", "Snapshots made durable."),
-		installed:         counter("consensus_snapshots_installed_total", "Snapshots received from a leader."),
-		leaderships:       counter("consensus_leaderships_total", "Times this member became leader."),
-		overloads:         counter("consensus_overloads_total", "Requests refused because a queue was full."),
-		membershipChanges: counter("consensus_membership_changes_total", "Membership changes proposed by this leader."),
-		joinFailures:      counter("consensus_join_failures_total", "Attempts to join a cluster that were refused or not answered."),
-		term:              gauge("consensus_term", "Current term."),
-		commit:            gauge("consensus_commit_index", "Last committed entry known here."),
-		applied:           gauge("consensus_applied_index", "Last applied entry."),
-		firstIndex:        gauge("consensus_first_index", "First entry kept in memory."),
-		leading:           gauge("consensus_leader", "1 while this member leads."),
-		members:           gauge("consensus_members", "Members of the newest configuration."),
-		snapshotBytes:     gauge("consensus_snapshot_bytes", "Size of the newest snapshot taken here."),
+		messagesSent:       counter("consensus_messages_sent_total", "Consensus messages that a member took."),
+		sendFailures:       counter("consensus_send_failures_total", "Consensus messages that could not be delivered."),
+		messagesDropped:    counter("consensus_messages_dropped_total", "Consensus messages dropped from a full queue."),
+		proposals:          counter("consensus_proposals_total", "Commands appended as leader."),
+		batches:            counter("consensus_log_batches_total", "Batches written to the log with one sync."),
+		snapshots:          counter("consensus_snapshots_total", "Snapshots made durable."),
+		snapshotsInstalled: counter("consensus_snapshots_installed_total", "Snapshots received from a leader."),
+		leaderships:        counter("consensus_leaderships_total", "Times this member became leader."),
+		overloads:          counter("consensus_overloads_total", "Requests refused because a queue was full."),
+		membershipChanges:  counter("consensus_membership_changes_total", "Membership changes proposed by this leader."),
+		joinFailures:       counter("consensus_join_failures_total", "Attempts to join a cluster that were refused or not answered."),
+		term:               gauge("consensus_term", "Current term."),
+		commit:             gauge("consensus_commit_index", "Last committed entry known here."),
+		applied:            gauge("consensus_applied_index", "Last applied entry."),
+		firstIndex:         gauge("consensus_first_index", "First entry kept in memory."),
+		leader:             gauge("consensus_leader", "1 while this member leads."),
+		members:            gauge("consensus_members", "Members of the newest configuration."),
+		snapshotBytes:      gauge("consensus_snapshot_bytes", "Size of the newest snapshot taken here."),
 	}
 	if registerer == nil {
 		return built, nil
@@ -64,8 +64,8 @@
 	m.applied.Set(float64(status.Applied))
 	m.firstIndex.Set(float64(status.FirstIndex))
 	m.members.Set(float64(len(status.Configuration.GetMembers())))
-	m.leading.Set(0)
+	m.leader.Set(0)
 	if status.Role == consensus.Leader {
-		m.leading.Set(1)
+		m.leader.Set(1)
 	}
 }
--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner.go
@@ -26,14 +26,14 @@
 	transport *transport
 	waiters   waiters
 	snapshots snapshots
-	slowDisk  slowDisk
+	slowDisk  slowDiskDetector
 
 	configurationIndex uint64
 	leadingTerm        uint64
 	leadingSince       time.Time
 	wasLeader          bool
-	heardLeader        time.Time
-	leaderKnown        leaderSignal
+	lastLeaderContact  time.Time
+	leaderSignal       leaderSignal
 	nextPlan           time.Time
 	transferWaiters    []chan error
 	failure            error
@@ -58,9 +58,9 @@
 		return err
 	}
 	o.node = node
-	o.heardLeader = o.now()
+	o.lastLeaderContact = o.now()
 	// The node may have messages to send at its first tick.
-	o.fitConfiguration()
+	o.applyConfiguration()
 	o.publish()
 	return nil
 }
@@ -87,7 +87,7 @@
 		case <-timer.C():
 			timer = o.replica.options.Clock.NewTimer(interval)
 		}
-		o.takeWaiting()
+		o.drainQueues()
 		o.node.Tick(o.now())
 		o.advance()
 		o.planMembership()
@@ -97,7 +97,7 @@
 }
 
 // takeWaiting takes what else waits in the queues, so that one sync serves all of it.
-func (o *owner) takeWaiting() {
+func (o *owner) drainQueues() {
 	for range maxBatch {
 		select {
 		case arrived := <-o.replica.inbound:
@@ -114,27 +114,27 @@
 
 // step hands a message to the node. The time is taken after the message was received: a
 // promise that counts from an earlier time would end too soon.
-func (o *owner) step(arrived arrivedMessage) {
+func (o *owner) step(arrived inboundMessage) {
 	message := arrived.message
 	if message.GetTo() != o.replica.self.GetId() {
 		return
 	}
 	if o.clusterID == "" {
-		o.adopt(message.GetClusterId())
+		o.adoptCluster(message.GetClusterId())
 	}
 	if message.GetClusterId() != o.clusterID {
 		return
 	}
-	o.transport.learn(message.GetFrom(), message.GetFromAddress())
+	o.transport.observeAddress(message.GetFrom(), message.GetFromAddress())
 	if err := o.node.Step(message, o.now()); err != nil {
 		o.replica.logWarning("consensus message refused", "from", message.GetFrom(), "error", err)
 		return
 	}
-	o.handOverIfSlow(arrived)
+	o.transferIfDiskSlow(arrived)
 }
 
 // adopt joins a cluster whose leader addressed this empty member by its random id.
-func (o *owner) adopt(clusterID string) {
+func (o *owner) adoptCluster(clusterID string) {
 	if clusterID == "" {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // advance carries out the node's output until there is none, and takes a snapshot when one is due.
 func (o *owner) advance() {
-	o.carryOut()
+	o.processReady()
 	if o.failure == nil {
 		o.maybeSnapshot()
 	}
@@ -159,13 +159,13 @@
 // output. It does so once a turn of the owner: while a newer snapshot is on the disk that the node does not know of yet, the
 // node goes on to name the one before it, which cannot be read any more.
 func (o *owner) restartTransfers() {
-	for _, member := range o.snapshots.stale {
+	for _, member := range o.snapshots.staleTransfers {
 		o.node.RestartSnapshot(member, o.now())
 	}
-	o.snapshots.stale = nil
+	o.snapshots.staleTransfers = nil
 }
 
-func (o *owner) carryOut() {
+func (o *owner) processReady() {
 	for o.failure == nil && o.node.HasReady() {
 		ready := o.node.Ready()
 		began := o.now()
@@ -175,13 +175,13 @@
 		}
 		written := o.now()
 		o.sendAll(ready.Messages)
-		o.compareSync(ready, began, written)
-		o.apply(ready.Committed)
-		o.waiters.confirm(ready.Reads)
+		o.trackSync(ready, began, written)
+		o.applyCommitted(ready.Committed)
+		o.waiters.confirmReads(ready.Reads)
 		o.node.Advance(ready, o.now())
-		o.waiters.applied(o.node.Applied())
+		o.waiters.resolveReads(o.node.Applied())
 	}
-	o.fitConfiguration()
+	o.applyConfiguration()
 }
 
 func (o *owner) persist(ready consensus.Ready) error {
@@ -202,7 +202,7 @@
 func (o *owner) sendAll(messages []*protocol.ConsensusMessage) {
 	for _, message := range messages {
 		if message.GetKind() == protocol.ConsensusMessageKind_SNAPSHOT_CHUNK && !o.fillChunk(message) {
-			o.snapshots.stale = append(o.snapshots.stale, message.GetTo())
+			o.snapshots.staleTransfers = append(o.snapshots.staleTransfers, message.GetTo())
 			continue
 		}
 		message.ClusterId, message.FromAddress = o.clusterID, o.replica.self.GetAddress()
@@ -210,19 +210,19 @@
 	}
 }
 
-func (o *owner) apply(entries []*protocol.Entry) {
+func (o *owner) applyCommitted(entries []*protocol.Entry) {
 	for _, entry := range entries {
 		o.snapshots.appliedBytes += len(entry.GetData())
-		o.waiters.resolve(entry, o.replica.applyToMachine(entry))
+		o.waiters.resolveEntry(entry, o.replica.applyToMachine(entry))
 	}
 }
 
 // fitConfiguration lets the transport follow the membership.
-func (o *owner) fitConfiguration() {
+func (o *owner) applyConfiguration() {
 	configuration, index := o.node.Configuration()
 	if index != o.configurationIndex {
 		o.configurationIndex = index
-		o.transport.fit(configuration)
+		o.transport.setMembers(configuration)
 	}
 }
 
@@ -244,14 +244,14 @@
 		o.leadingSince = now
 	}
 	if status.Leader != 0 {
-		o.heardLeader = now
+		o.lastLeaderContact = now
 	}
 	o.finishTransfers(&status)
 	o.replica.metrics.observe(&status)
 	o.replica.view.Store(&view{
 		clusterID: o.clusterID, status: status, leaseEnds: leaseEnds,
-		leadingSince: o.leadingSince, heardLeader: o.heardLeader,
-		leaderAddress: o.leaderAddress(&status), leaderKnown: o.leaderKnown.observe(status.Leader != 0),
+		leadingSince: o.leadingSince, lastLeaderContact: o.lastLeaderContact,
+		leaderAddress: o.leaderAddress(&status), leaderKnown: o.leaderSignal.observe(status.Leader != 0),
 	})
 }
 
@@ -273,7 +273,7 @@
 }
 
 // found makes this member the first voter of a new cluster.
-func (o *owner) found() {
+func (o *owner) foundCluster() {
 	if o.clusterID != "" {
 		return
 	}
@@ -306,13 +306,13 @@
 }
 
 // retire answers whoever waits with the cause and ends the senders.
-func (o *owner) retire(cause error) {
+func (o *owner) close(cause error) {
 	o.leadingSince = time.Time{}
 	shown := *o.replica.view.Load()
 	shown.leaseEnds, shown.leadingSince = time.Time{}, time.Time{}
 	shown.status.Role, shown.status.Leader = consensus.Follower, 0
 	o.replica.view.Store(&shown)
-	o.waiters.stop(cause)
+	o.waiters.failAll(cause)
 	for _, waiter := range o.transferWaiters {
 		waiter <- cause
 	}
--- a/internal/controlplane/replica/plan.go
+++ b/internal/controlplane/replica/plan.go
@@ -11,7 +11,7 @@
 )
 
 // goneLearnerFactor is how many times longer than a voter a standby may be silent before it is removed.
-const goneLearnerFactor = 10
+const removeStandbyFactor = 10
 
 // caughtUpEntries is how many entries a learner may lag and still count as caught up.
 const caughtUpEntries = 64
@@ -26,10 +26,10 @@
 	targetVoters  int
 	// aliveWithin is the silence below which a member counts as alive, goneAfter the one from
 	// which it is to be replaced.
-	aliveWithin, goneAfter time.Duration
+	aliveWithin, replaceAfter time.Duration
 	// freshWithin is the silence below which a standby may become a voter: one that has just been lost must not, since a
 	// majority of the voters might then be gone.
-	freshWithin time.Duration
+	promotableWithin time.Duration
 }
 
 // change is one step of membership and why it is taken.
@@ -42,7 +42,7 @@
 // replace are removed, and none is removed unless a majority of the rest is alive.
 func planChange(view *membershipView) *change {
 	decisions := []func(*membershipView) *change{
-		promoteStandby, removeReplacedVoter, removeSupersededLearner, demoteSurplusVoter, removeGoneLearner,
+		promoteStandby, removeReplacedVoter, removeSupersededStandby, demoteSurplusVoter, removeUnresponsiveStandby,
 	}
 	for _, decide := range decisions {
 		if found := decide(view); found != nil {
@@ -52,14 +52,14 @@
 	return nil
 }
 
-func (v *membershipView) silence(id uint64) time.Duration {
+func (v *membershipView) sinceContact(id uint64) time.Duration {
 	if id == v.self {
 		return 0
 	}
 	return v.now.Sub(v.contacts[id].LastContact)
 }
 
-func (v *membershipView) alive(id uint64) bool { return v.silence(id) < v.aliveWithin }
+func (v *membershipView) alive(id uint64) bool { return v.sinceContact(id) < v.aliveWithin }
 
 // superseded reports whether a later member has the same name: the machine lost its disk and
 // came back as a new member.
@@ -78,7 +78,7 @@
 }
 
 func (v *membershipView) lost(member *protocol.CoreMember) bool {
-	return v.superseded(member) && !v.alive(member.GetId()) || v.silence(member.GetId()) >= v.goneAfter
+	return v.superseded(member) && !v.alive(member.GetId()) || v.sinceContact(member.GetId()) >= v.replaceAfter
 }
 
 func (v *membershipView) voters() (voters []*protocol.CoreMember) {
@@ -91,34 +91,34 @@
 }
 
 // votersBy counts the voters that are not lost in each region and each zone of it.
-type votersBy struct {
+type voterSpread struct {
 	regions map[string]int
-	zones   map[place]int
+	zones   map[failureDomain]int
 }
 
 // place is a zone within its region.
-type place struct{ region, zone string }
+type failureDomain struct{ region, zone string }
 
-func placeOf(member *protocol.CoreMember) place {
-	return place{region: member.GetRegion(), zone: member.GetZone()}
+func failureDomainOf(member *protocol.CoreMember) failureDomain {
+	return failureDomain{region: member.GetRegion(), zone: member.GetZone()}
 }
 
-func (v *membershipView) votersBy() votersBy {
-	counted := votersBy{regions: map[string]int{}, zones: map[place]int{}}
+func (v *membershipView) voterSpread() voterSpread {
+	counted := voterSpread{regions: map[string]int{}, zones: map[failureDomain]int{}}
 	for _, voter := range v.voters() {
 		if !v.lost(voter) {
 			counted.regions[voter.GetRegion()]++
-			counted.zones[placeOf(voter)]++
+			counted.zones[failureDomainOf(voter)]++
 		}
 	}
 	return counted
 }
 
 // compare orders members by the voters of their region, then by those of their zone.
-func (c votersBy) compare(a, b *protocol.CoreMember) int {
+func (c voterSpread) compare(a, b *protocol.CoreMember) int {
 	return cmp.Or(
 		cmp.Compare(c.regions[a.GetRegion()], c.regions[b.GetRegion()]),
-		cmp.Compare(c.zones[placeOf(a)], c.zones[placeOf(b)]),
+		cmp.Compare(c.zones[failureDomainOf(a)], c.zones[failureDomainOf(b)]),
 	)
 }
 
@@ -139,7 +139,7 @@
 
 // promotion makes the best caught-up learner a voter, one in the region with fewest voters first, then in the zone with fewest; nil when there is none.
 func promotion(view *membershipView) *change {
-	counted := view.votersBy()
+	counted := view.voterSpread()
 	var best *protocol.CoreMember
 	for _, member := range view.configuration.GetMembers() {
 		if member.GetVoter() || !view.caughtUp(member.GetId()) {
@@ -158,7 +158,7 @@
 // promotionBefore is what has to come before a voter is removed: a standby takes
 // its place first, so that there are never fewer voters than wanted while one is
 // at hand. Two voters could not bear the loss of either.
-func promotionBefore(view *membershipView, member *protocol.CoreMember) *change {
+func promotionBeforeRemoval(view *membershipView, member *protocol.CoreMember) *change {
 	if !member.GetVoter() || len(view.voters()) > view.targetVoters {
 		return nil
 	}
@@ -167,7 +167,7 @@
 
 func (v *membershipView) caughtUp(id uint64) bool {
 	contact, known := v.contacts[id]
-	return known && v.silence(id) < v.freshWithin && contact.Match > 0 && contact.Match+caughtUpEntries >= v.lastIndex
+	return known && v.sinceContact(id) < v.promotableWithin && contact.Match > 0 && contact.Match+caughtUpEntries >= v.lastIndex
 }
 
 // removeReplacedVoter removes a lost voter once there are voters enough without it.
@@ -199,7 +199,7 @@
 	return stay > 0 && alive >= consensus.Quorum(stay)
 }
 
-func removeSupersededLearner(view *membershipView) *change {
+func removeSupersededStandby(view *membershipView) *change {
 	for _, member := range view.configuration.GetMembers() {
 		if !member.GetVoter() && view.superseded(member) && !view.alive(member.GetId()) {
 			return &change{configuration: withoutMember(view.configuration, member.GetId()), reason: "remove former " + member.GetName()}
@@ -210,9 +210,9 @@
 
 // removeGoneLearner removes a standby that has been silent for very long, as one whose machine was replaced by another; if it
 // comes back it joins again.
-func removeGoneLearner(view *membershipView) *change {
+func removeUnresponsiveStandby(view *membershipView) *change {
 	for _, member := range view.configuration.GetMembers() {
-		if !member.GetVoter() && view.silence(member.GetId()) >= goneLearnerFactor*view.goneAfter {
+		if !member.GetVoter() && view.sinceContact(member.GetId()) >= removeStandbyFactor*view.replaceAfter {
 			return &change{configuration: withoutMember(view.configuration, member.GetId()), reason: "remove gone standby " + member.GetName()}
 		}
 	}
@@ -227,7 +227,7 @@
 	if len(voters) <= view.targetVoters {
 		return nil
 	}
-	counted := view.votersBy()
+	counted := view.voterSpread()
 	var best *protocol.CoreMember
 	for _, voter := range voters {
 		if !view.alive(voter.GetId()) {
--- a/internal/controlplane/replica/plan_test.go
+++ b/internal/controlplane/replica/plan_test.go
@@ -11,51 +11,51 @@
 )
 
 // planned describes one member of a table: its name, zone, vote, silence in seconds and lag.
-type planned struct {
-	name, zone string
-	voter      bool
-	silent     int
-	lag        uint64
+type plannedMember struct {
+	name, zone          string
+	voter               bool
+	sinceContactSeconds int
+	lag                 uint64
 }
 
 func TestPlanChange(t *testing.T) {
 	const last = 1000
-	a, b, c := planned{name: "a", zone: "1", voter: true}, planned{name: "b", zone: "2", voter: true}, planned{name: "c", zone: "3", voter: true}
-	deadC := planned{name: "c", zone: "3", voter: true, silent: 11}
+	a, b, c := plannedMember{name: "a", zone: "1", voter: true}, plannedMember{name: "b", zone: "2", voter: true}, plannedMember{name: "c", zone: "3", voter: true}
+	deadC := plannedMember{name: "c", zone: "3", voter: true, sinceContactSeconds: 11}
 	cases := []struct {
 		name    string
-		members []planned
+		members []plannedMember
 		want    string
 	}{
-		{"nothing to do", []planned{a, b, c}, ""},
-		{"a founder alone keeps itself", []planned{a}, ""},
-		{"too few voters", []planned{a, {name: "d", zone: "1"}}, "promote d"},
-		{"a learner that lags waits", []planned{a, {name: "d", zone: "1", lag: 500}}, ""},
-		{"a silent learner waits", []planned{a, {name: "d", zone: "1", silent: 3}}, ""},
-		{"a learner that was not heard for a moment waits", []planned{a, {name: "d", zone: "1", silent: 1}}, ""},
-		{"a zone without a voter goes first", []planned{a, b, {name: "d", zone: "1"}, {name: "e", zone: "3"}}, "promote e"},
-		{"standbys stay when there are voters enough", []planned{a, b, c, {name: "d", zone: "3"}}, ""},
-		{"a silent voter is waited for", []planned{a, b, {name: "c", zone: "3", voter: true, silent: 9}, {name: "d", zone: "3"}}, ""},
-		{"a lost voter without standby stays", []planned{a, b, deadC}, ""},
-		{"the standby is added first", []planned{a, b, deadC, {name: "d", zone: "3"}}, "promote d"},
-		{"then the lost voter is removed", []planned{a, b, deadC, {name: "d", zone: "3", voter: true}}, "remove lost voter c"},
-		{"but not without a live majority of the rest", []planned{a, {name: "b", voter: true, silent: 5}, deadC, {name: "d", voter: true, silent: 5}}, ""},
-		{"a replaced machine need not be waited for", []planned{a, b, {name: "c", zone: "3", voter: true, silent: 3}, {name: "c", zone: "3"}}, "promote c"},
-		{"a replaced voter goes when its successor votes", []planned{a, b, {name: "c", zone: "3", voter: true, silent: 3}, {name: "c", zone: "3", voter: true}}, "remove lost voter c"},
-		{"a replaced learner goes", []planned{a, b, c, {name: "d", silent: 3}, {name: "d"}}, "remove former d"},
-		{"a standby that was silent for very long goes", []planned{a, b, c, {name: "d", silent: 101}}, "remove gone standby d"},
-		{"but stays for as long as it may come back", []planned{a, b, c, {name: "d", silent: 99}}, ""},
-		{"a live member is never taken for replaced", []planned{a, b, c, {name: "d"}, {name: "d"}}, ""},
-		{"one too many is demoted, from a shared zone", []planned{a, b, c, {name: "d", zone: "2", voter: true}}, "demote d"},
-		{"nobody is demoted while one is silent", []planned{a, b, {name: "c", zone: "3", voter: true, silent: 3}, {name: "d", zone: "2", voter: true}}, ""},
+		{"nothing to do", []plannedMember{a, b, c}, ""},
+		{"a founder alone keeps itself", []plannedMember{a}, ""},
+		{"too few voters", []plannedMember{a, {name: "d", zone: "1"}}, "promote d"},
+		{"a learner that lags waits", []plannedMember{a, {name: "d", zone: "1", lag: 500}}, ""},
+		{"a silent learner waits", []plannedMember{a, {name: "d", zone: "1", sinceContactSeconds: 3}}, ""},
+		{"a learner that was not heard for a moment waits", []plannedMember{a, {name: "d", zone: "1", sinceContactSeconds: 1}}, ""},
+		{"a zone without a voter goes first", []plannedMember{a, b, {name: "d", zone: "1"}, {name: "e", zone: "3"}}, "promote e"},
+		{"standbys stay when there are voters enough", []plannedMember{a, b, c, {name: "d", zone: "3"}}, ""},
+		{"a silent voter is waited for", []plannedMember{a, b, {name: "c", zone: "3", voter: true, sinceContactSeconds: 9}, {name: "d", zone: "3"}}, ""},
+		{"a lost voter without standby stays", []plannedMember{a, b, deadC}, ""},
+		{"the standby is added first", []plannedMember{a, b, deadC, {name: "d", zone: "3"}}, "promote d"},
+		{"then the lost voter is removed", []plannedMember{a, b, deadC, {name: "d", zone: "3", voter: true}}, "remove lost voter c"},
+		{"but not without a live majority of the rest", []plannedMember{a, {name: "b", voter: true, sinceContactSeconds: 5}, deadC, {name: "d", voter: true, sinceContactSeconds: 5}}, ""},
+		{"a replaced machine need not be waited for", []plannedMember{a, b, {name: "c", zone: "3", voter: true, sinceContactSeconds: 3}, {name: "c", zone: "3"}}, "promote c"},
+		{"a replaced voter goes when its successor votes", []plannedMember{a, b, {name: "c", zone: "3", voter: true, sinceContactSeconds: 3}, {name: "c", zone: "3", voter: true}}, "remove lost voter c"},
+		{"a replaced learner goes", []plannedMember{a, b, c, {name: "d", sinceContactSeconds: 3}, {name: "d"}}, "remove former d"},
+		{"a standby that was silent for very long goes", []plannedMember{a, b, c, {name: "d", sinceContactSeconds: 101}}, "remove gone standby d"},
+		{"but stays for as long as it may come back", []plannedMember{a, b, c, {name: "d", sinceContactSeconds: 99}}, ""},
+		{"a live member is never taken for replaced", []plannedMember{a, b, c, {name: "d"}, {name: "d"}}, ""},
+		{"one too many is demoted, from a shared zone", []plannedMember{a, b, c, {name: "d", zone: "2", voter: true}}, "demote d"},
+		{"nobody is demoted while one is silent", []plannedMember{a, b, {name: "c", zone: "3", voter: true, sinceContactSeconds: 3}, {name: "d", zone: "2", voter: true}}, ""},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			view := &membershipView{
 				configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: last, now: now,
-				contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
-				freshWithin: time.Second,
+				contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, replaceAfter: 10 * time.Second,
+				promotableWithin: time.Second,
 			}
 			for position, member := range tt.members {
 				id := uint64(position + 1)
@@ -63,7 +63,7 @@
 					Id: id, Name: member.name, Zone: member.zone, Voter: member.voter,
 				})
 				if id != view.self {
-					view.contacts[id] = consensus.PeerStatus{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.silent) * time.Second)}
+					view.contacts[id] = consensus.PeerStatus{ID: id, Match: last - member.lag, LastContact: now.Add(-time.Duration(member.sinceContactSeconds) * time.Second)}
 				}
 			}
 			reason := ""
@@ -82,8 +82,8 @@
 	viewOf := func(voters, learners int) *membershipView {
 		view := &membershipView{
 			configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: 10, now: now,
-			contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
-			freshWithin: time.Second,
+			contacts: map[uint64]consensus.PeerStatus{}, targetVoters: 3, aliveWithin: 2 * time.Second, replaceAfter: 10 * time.Second,
+			promotableWithin: time.Second,
 		}
 		for id := uint64(1); id <= uint64(voters+learners); id++ {
 			view.configuration.Members = append(view.configuration.Members, &protocol.CoreMember{
@@ -108,7 +108,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			view := viewOf(tt.voters, tt.learners)
 			reason := ""
-			if first := promotionBefore(view, view.configuration.GetMembers()[tt.remove-1]); first != nil {
+			if first := promotionBeforeRemoval(view, view.configuration.GetMembers()[tt.remove-1]); first != nil {
 				reason = first.reason
 			}
 			if reason != tt.want {
@@ -140,9 +140,9 @@
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			state := &recovered{}
+			state := &recoveredState{}
 			for _, record := range tt.records {
-				if err := state.take(record); err != nil {
+				if err := state.applyRecord(record); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -157,24 +157,24 @@
 			}
 		})
 	}
-	state := &recovered{}
-	if err := state.take(entry(2, 1)); err == nil {
+	state := &recoveredState{}
+	if err := state.applyRecord(entry(2, 1)); err == nil {
 		t.Error("a gap is taken for a log")
 	}
 }
 
 // standing describes one member of a table that has regions: its region, zone and vote.
-type standing struct {
+type regionalMember struct {
 	region, zone string
 	voter        bool
 }
 
-func regionalView(members []standing, targetVoters int) *membershipView {
+func regionalView(members []regionalMember, targetVoters int) *membershipView {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	view := &membershipView{
 		configuration: &protocol.CoreConfiguration{}, self: 1, lastIndex: 10, now: now,
-		contacts: map[uint64]consensus.PeerStatus{}, targetVoters: targetVoters, aliveWithin: 2 * time.Second, goneAfter: 10 * time.Second,
-		freshWithin: time.Second,
+		contacts: map[uint64]consensus.PeerStatus{}, targetVoters: targetVoters, aliveWithin: 2 * time.Second, replaceAfter: 10 * time.Second,
+		promotableWithin: time.Second,
 	}
 	for position, member := range members {
 		id := uint64(position + 1)
@@ -190,17 +190,17 @@
 	cases := []struct {
 		name    string
 		target  int
-		members []standing
+		members []regionalMember
 		want    string
 	}{
-		{"a region without a voter goes before a zone without one", 3, []standing{{"r1", "a", true}, {"r2", "c", true}, {"r1", "b", false}, {"r3", "e", false}}, "promote m4"},
-		{"also when its zone has the name of a taken one", 3, []standing{{"r1", "a", true}, {"r2", "c", true}, {"r1", "b", false}, {"r3", "a", false}}, "promote m4"},
-		{"then the region with fewest voters", 5, []standing{{"r1", "a", true}, {"r1", "b", true}, {"r2", "c", true}, {"r1", "g", false}, {"r2", "c", false}}, "promote m5"},
-		{"then a zone without one", 4, []standing{{"r1", "a", true}, {"r2", "c", true}, {"r1", "a", false}, {"r1", "b", false}}, "promote m4"},
-		{"empty regions leave it to the zones", 3, []standing{{"", "a", true}, {"", "b", true}, {"", "a", false}, {"", "c", false}}, "promote m4"},
-		{"one too many goes from the region with most", 3, []standing{{"r1", "a", true}, {"r2", "c", true}, {"r2", "d", true}, {"r3", "c", true}}, "demote m3"},
-		{"of that region from the zone with most", 4, []standing{{"r2", "d", true}, {"r1", "a", true}, {"r1", "a", true}, {"r1", "b", true}, {"r3", "e", true}}, "demote m3"},
-		{"never the leader", 2, []standing{{"r1", "a", true}, {"r1", "b", true}, {"r2", "c", true}}, "demote m2"},
+		{"a region without a voter goes before a zone without one", 3, []regionalMember{{"r1", "a", true}, {"r2", "c", true}, {"r1", "b", false}, {"r3", "e", false}}, "promote m4"},
+		{"also when its zone has the name of a taken one", 3, []regionalMember{{"r1", "a", true}, {"r2", "c", true}, {"r1", "b", false}, {"r3", "a", false}}, "promote m4"},
+		{"then the region with fewest voters", 5, []regionalMember{{"r1", "a", true}, {"r1", "b", true}, {"r2", "c", true}, {"r1", "g", false}, {"r2", "c", false}}, "promote m5"},
+		{"then a zone without one", 4, []regionalMember{{"r1", "a", true}, {"r2", "c", true}, {"r1", "a", false}, {"r1", "b", false}}, "promote m4"},
+		{"empty regions leave it to the zones", 3, []regionalMember{{"", "a", true}, {"", "b", true}, {"", "a", false}, {"", "c", false}}, "promote m4"},
+		{"one too many goes from the region with most", 3, []regionalMember{{"r1", "a", true}, {"r2", "c", true}, {"r2", "d", true}, {"r3", "c", true}}, "demote m3"},
+		{"of that region from the zone with most", 4, []regionalMember{{"r2", "d", true}, {"r1", "a", true}, {"r1", "a", true}, {"r1", "b", true}, {"r3", "e", true}}, "demote m3"},
+		{"never the leader", 2, []regionalMember{{"r1", "a", true}, {"r1", "b", true}, {"r2", "c", true}}, "demote m2"},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -216,7 +216,7 @@
 }
 
 func TestFiveVotersOverThreeRegionsLeaveAMajorityWithoutAnyRegion(t *testing.T) {
-	members := []standing{
+	members := []regionalMember{
 		{"r1", "a", true}, {"r1", "b", false}, {"r1", "a", false}, {"r2", "c", false}, {"r2", "d", false}, {"r3", "e", false}, {"r3", "f", false},
 	}
 	view := regionalView(members, 5)
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -87,18 +87,18 @@
 	index, term, err := o.node.Propose(commands, o.now())
 	if err != nil {
 		for _, refused := range batch {
-			refused.done <- proposalResult{err: o.refusal(err)}
+			refused.done <- proposalResult{err: o.rejection(err)}
 		}
 		return
 	}
 	o.replica.metrics.proposals.Add(float64(len(batch)))
 	for position, appended := range batch {
-		o.waiters.expect(term, index+uint64(position), appended.done)
+		o.waiters.register(term, index+uint64(position), appended.done)
 	}
 }
 
 // refusal turns an error of the node into one of this package; nothing was appended.
-func (o *owner) refusal(err error) error {
+func (o *owner) rejection(err error) error {
 	var overloaded *consensus.OverloadedError
 	var pending *consensus.ChangePendingError
 	var invalid *consensus.InvalidChangeError
--- a/internal/controlplane/replica/random_faults_test.go
+++ b/internal/controlplane/replica/random_faults_test.go
@@ -8,23 +8,23 @@
 )
 
 // chaos drives one fleet through random faults and remembers what was acknowledged.
-type chaos struct {
+type faultInjector struct {
 	*fleet
-	random       *rand.Rand
-	acknowledged []string
-	unsure       map[string]bool
-	commands     int
-	provoked     map[string]int
+	random         *rand.Rand
+	acknowledged   []string
+	unknownOutcome map[string]bool
+	commands       int
+	faultCounts    map[string]int
 	// members and voters are how many stand when all is well.
 	members, voters int
 }
 
 // newChaos drives a core of three voters and a standby.
-func newChaos(f *fleet, random *rand.Rand, provoked map[string]int) *chaos {
-	return &chaos{fleet: f, random: random, unsure: map[string]bool{}, provoked: provoked, members: 4, voters: 3}
+func newFaultInjector(f *fleet, random *rand.Rand, provoked map[string]int) *faultInjector {
+	return &faultInjector{fleet: f, random: random, unknownOutcome: map[string]bool{}, faultCounts: provoked, members: 4, voters: 3}
 }
 
-func (c *chaos) propose() {
+func (c *faultInjector) propose() {
 	leader := c.leader()
 	if leader == nil {
 		return
@@ -32,7 +32,7 @@
 	c.commands++
 	command := fmt.Sprint("command ", c.commands)
 	if err := leader.propose(command); err != nil {
-		c.unsure[command] = true
+		c.unknownOutcome[command] = true
 		return
 	}
 	c.acknowledged = append(c.acknowledged, command)
@@ -40,31 +40,31 @@
 
 // disturb brings about one fault. A disk is lost only when every machine
 // runs and is up to date, and again right after that is so.
-func (c *chaos) disturb() {
+func (c *faultInjector) injectRandomFault() {
 	m := c.machine(1 + c.random.IntN(4))
 	switch c.random.IntN(6) {
 	case 0:
-		c.provoked["loss of power"]++
+		c.faultCounts["loss of power"]++
 		m.crash()
 	case 1:
-		c.provoked["loss of power everywhere"]++
+		c.faultCounts["loss of power everywhere"]++
 		for _, other := range c.running() {
 			other.crash()
 		}
 		c.restartAll()
 	case 2:
-		c.provoked["cut"]++
-		c.setCut(m.address, true)
+		c.faultCounts["cut"]++
+		c.setPartitioned(m.address, true)
 	case 3:
 		c.restartAll()
-		c.eventually("all is whole before a disk is lost", c.whole)
-		c.provoked["lost disk"]++
+		c.eventually("all is whole before a disk is lost", c.isHealthy)
+		c.faultCounts["lost disk"]++
 		m.crash()
 		m.disk.Lose()
 		m.start()
 	case 4:
 		if leader := c.leader(); leader != nil && leader.replica.Status().GetFirstIndex() > 0 {
-			c.provoked["failed sync"]++
+			c.faultCounts["failed sync"]++
 			leader.disk.FailSyncs(c.random.IntN(3), 1)
 			c.propose()
 			leader.crash()
@@ -75,10 +75,10 @@
 	}
 }
 
-func (c *chaos) restartAll() {
+func (c *faultInjector) restartAll() {
 	for number := 1; number <= 4; number++ {
 		m := c.machine(number)
-		c.setCut(m.address, false)
+		c.setPartitioned(m.address, false)
 		if m.replica == nil {
 			m.start()
 		}
@@ -86,7 +86,7 @@
 }
 
 // whole reports whether all voters and standbys stand and every member is up to date.
-func (c *chaos) whole() bool {
+func (c *faultInjector) isHealthy() bool {
 	leader := c.leader()
 	if leader == nil || len(c.running()) != c.members || len(leader.voters()) != c.voters {
 		return false
@@ -102,7 +102,7 @@
 
 // audit checks that every machine holds each acknowledged command once, in the order of
 // acknowledgement, and nothing that was never proposed.
-func (c *chaos) audit(m *machine) {
+func (c *faultInjector) checkCommands(m *machine) {
 	c.t.Helper()
 	held, seen := m.state.all(), map[string]bool{}
 	next := 0
@@ -113,7 +113,7 @@
 		seen[command] = true
 		if next < len(c.acknowledged) && c.acknowledged[next] == command {
 			next++
-		} else if !c.unsure[command] {
+		} else if !c.unknownOutcome[command] {
 			c.t.Fatalf("%s applied %q out of order", m.name, command)
 		}
 	}
@@ -126,9 +126,9 @@
 	provoked := map[string]int{}
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			story(t, func(f *fleet) {
-				c := newChaos(f, rand.New(rand.NewPCG(seed, 5)), provoked)
-				c.found(3)
+			runScenario(t, func(f *fleet) {
+				c := newFaultInjector(f, rand.New(rand.NewPCG(seed, 5)), provoked)
+				c.foundCluster(3)
 				f.seeds = []string{f.machine(1).address, f.machine(2).address, f.machine(3).address}
 				f.machine(4).start()
 				for range 150 {
@@ -136,13 +136,13 @@
 						c.propose()
 					}
 					if c.random.IntN(3) == 0 {
-						c.disturb()
+						c.injectRandomFault()
 					}
-					c.pass(time.Duration(c.random.IntN(3000)) * time.Millisecond)
+					c.advance(time.Duration(c.random.IntN(3000)) * time.Millisecond)
 				}
 				c.restartAll()
 				c.waitForLeader()
-				c.eventually("everybody caught up", c.whole)
+				c.eventually("everybody caught up", c.isHealthy)
 				c.eventually("everybody applied the same", func() bool {
 					leader := c.leader()
 					for _, m := range c.running() {
@@ -153,7 +153,7 @@
 					return true
 				})
 				for _, m := range c.running() {
-					c.audit(m)
+					c.checkCommands(m)
 				}
 				provoked["acknowledged command"] += len(c.acknowledged)
 			})
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -36,7 +36,7 @@
 	disk    *disk
 	self    *protocol.CoreMember
 
-	inbound   chan arrivedMessage
+	inbound   chan inboundMessage
 	proposals chan *proposal
 	requests  chan request
 	stop      chan struct{}
@@ -56,7 +56,7 @@
 	// applied when the log was opened again: the machine keeps its state then.
 	machineIndex uint64
 	// otherFailures counts the failures of the disk that were no lack of room.
-	otherFailures int
+	nonSpaceFailures int
 }
 
 // New opens the data folder and restores the state machine from the newest snapshot. An error
@@ -81,7 +81,7 @@
 	replica := &Replica{
 		options: options, metrics: metrics, disk: disk,
 		self:      proto.Clone(options.Self).(*protocol.CoreMember),
-		inbound:   make(chan arrivedMessage, inboundQueue),
+		inbound:   make(chan inboundMessage, inboundQueue),
 		proposals: make(chan *proposal, proposalQueue),
 		requests:  make(chan request, requestQueue),
 		stop:      make(chan struct{}),
@@ -89,7 +89,7 @@
 	}
 	replica.SetSeeds(options.Seeds)
 	replica.self.Id, replica.self.Voter = memberID(identity.StorageID), false
-	if err := replica.open(); err != nil {
+	if err := replica.recoverState(); err != nil {
 		_ = disk.close()
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 }
 
 // open recovers the node and the state machine.
-func (r *Replica) open() error {
+func (r *Replica) recoverState() error {
 	snapshot, state, err := r.disk.loadSnapshot()
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	}()
 	go func() {
 		defer r.running.Done()
-		r.keepJoined(r.background)
+		r.joinLoop(r.background)
 	}()
 	return nil
 }
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestFoundersFormOneCluster(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		var commands []string
 		for number := range 20 {
 			command := fmt.Sprint("set ", number)
@@ -24,7 +24,7 @@
 			}
 			commands = append(commands, command)
 		}
-		f.agree(commands)
+		f.awaitCommands(commands)
 		for _, m := range f.running() {
 			if m.replica.Status().GetClusterId() != leader.replica.Status().GetClusterId() {
 				t.Errorf("%s is in another cluster", m.name)
@@ -38,11 +38,11 @@
 }
 
 func TestFounderWaitsForEveryOtherFounder(t *testing.T) {
-	story(t, func(f *fleet) {
+	runScenario(t, func(f *fleet) {
 		f.founders = []string{f.machine(1).address, f.machine(2).address, f.machine(3).address}
 		f.machine(1).start()
 		f.machine(2).start()
-		f.pass(20 * time.Second)
+		f.advance(20 * time.Second)
 		if !f.machine(1).replica.Status().GetEmpty() {
 			t.Error("a founder founded without hearing all others")
 		}
@@ -52,8 +52,8 @@
 }
 
 func TestFounderWithoutItsDiskFoundsNoSecondCluster(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		cluster, lost := f.leader().replica.Status().GetClusterId(), f.machine(1)
 		former := lost.replica.ID()
 		lost.crash()
@@ -61,7 +61,7 @@
 		f.machine(2).crash()
 		f.machine(3).crash()
 		lost.start()
-		f.pass(20 * time.Second)
+		f.advance(20 * time.Second)
 		if !lost.replica.Status().GetEmpty() {
 			t.Fatal("the founder founded again while the others were away")
 		}
@@ -85,8 +85,8 @@
 }
 
 func TestAcknowledgedCommandsSurviveLossOfPowerEverywhere(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		var acknowledged []string
 		for round := range 6 {
 			leader := f.waitForLeader()
@@ -105,7 +105,7 @@
 			}
 		}
 		f.waitForLeader()
-		f.agree(acknowledged)
+		f.awaitCommands(acknowledged)
 		status := f.leader().replica.Status()
 		if status.GetFirstIndex() < 200 {
 			t.Errorf("the log still begins at %d", status.GetFirstIndex())
@@ -114,12 +114,12 @@
 }
 
 func TestCutOffLeaderStopsBeforeTheNextOne(t *testing.T) {
-	story(t, func(f *fleet) {
-		old := f.found(3)
+	runScenario(t, func(f *fleet) {
+		old := f.foundCluster(3)
 		if err := old.propose("before"); err != nil {
 			t.Fatal(err)
 		}
-		f.setCut(old.address, true)
+		f.setPartitioned(old.address, true)
 		var unknown *UnknownOutcomeError
 		if err := old.propose("into the cut"); !errors.As(err, &unknown) {
 			t.Errorf("a proposal into the cut gives %v", err)
@@ -134,14 +134,14 @@
 		if err := next.propose("after"); err != nil {
 			t.Fatal(err)
 		}
-		f.setCut(old.address, false)
-		f.agree([]string{"before", "after"})
+		f.setPartitioned(old.address, false)
+		f.awaitCommands([]string{"before", "after"})
 	})
 }
 
 func TestBarrierShowsWhatWasCommitted(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		for number := range 10 {
 			if err := leader.propose(strconv.Itoa(number)); err != nil {
 				t.Fatal(err)
@@ -164,8 +164,8 @@
 }
 
 func TestStandbyTakesThePlaceOfALostVoter(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		f.seeds = []string{f.machine(2).address}
 		f.machine(4).start()
 		f.eventually("the standby is a learner", func() bool { return len(f.leader().replica.Status().GetConfiguration().GetMembers()) == 4 })
@@ -191,8 +191,8 @@
 }
 
 func TestNewMemberTakesASnapshotInPieces(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		var commands []string
 		for number := range 1500 {
 			command := fmt.Sprintf("a command with some length to it, number %d", number)
@@ -203,10 +203,10 @@
 		}
 		f.seeds = []string{leader.address}
 		f.machine(4).start()
-		f.agree(commands)
+		f.awaitCommands(commands)
 		f.machine(4).crash()
 		f.machine(4).start()
-		f.agree(commands)
+		f.awaitCommands(commands)
 		if leader.replica.Status().GetFirstIndex() == 1 {
 			t.Error("the log was never shortened")
 		}
@@ -214,8 +214,8 @@
 }
 
 func TestOperatorAddsAndRemovesMembers(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		ctx := context.Background()
 		f.machine(4).start()
 		added, err := f.leader().replica.AddMember(ctx, f.machine(4).address)
@@ -240,7 +240,7 @@
 		if err := f.leader().replica.RemoveMember(ctx, "nobody"); !errors.As(err, &unknown) {
 			t.Errorf("removing nobody: %v", err)
 		}
-		f.pass(30 * time.Second)
+		f.advance(30 * time.Second)
 		if members := f.leader().replica.Status().GetConfiguration().GetMembers(); len(members) != 3 || len(f.leader().voters()) != 3 {
 			t.Errorf("members are %v", members)
 		}
@@ -251,8 +251,8 @@
 }
 
 func TestRemovalThatLeavesNoLiveMajorityIsRefused(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		dead, alive := f.machine(1), f.machine(2)
 		if dead == leader {
 			dead = f.machine(3)
@@ -261,7 +261,7 @@
 			alive = f.machine(3)
 		}
 		dead.crash()
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		var unsafe *UnsafeChangeError
 		if err := leader.replica.RemoveMember(context.Background(), alive.name); !errors.As(err, &unsafe) {
 			t.Errorf("removing the last live follower: %v", err)
@@ -270,8 +270,8 @@
 }
 
 func TestNothingIsAcknowledgedBeforeAMajorityIsDurable(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		for _, m := range f.running() {
 			if m != leader {
 				m.disk.FailSyncs(0, 1)
@@ -285,8 +285,8 @@
 }
 
 func TestOtherClustersAreRefused(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(1)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(1)
 		for cluster, refused := range map[string]bool{"another": true, leader.replica.Status().GetClusterId(): false} {
 			message := &protocol.ConsensusMessage{
 				Kind: protocol.ConsensusMessageKind_VOTE, From: 99, To: leader.replica.ID(), Term: 1000, ClusterId: cluster,
@@ -300,8 +300,8 @@
 }
 
 func TestMemberAtANewAddressIsFound(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		moved := f.machine(1)
 		if moved == leader {
 			moved = f.machine(2)
@@ -316,13 +316,13 @@
 		if err := f.leader().propose("x"); err != nil {
 			t.Fatal(err)
 		}
-		f.agree([]string{"x"})
+		f.awaitCommands([]string{"x"})
 	})
 }
 
 func TestClusterSurvivesNewAddressesEverywhere(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		if err := f.leader().propose("x"); err != nil {
 			t.Fatal(err)
 		}
@@ -348,13 +348,13 @@
 			}
 			return true
 		})
-		f.agree([]string{"x"})
+		f.awaitCommands([]string{"x"})
 	})
 }
 
 func TestServiceIsBackSoonAfterARestartOfAll(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		for range 5 {
 			for _, m := range f.running() {
 				m.crash()
@@ -372,9 +372,9 @@
 }
 
 func TestLargeCommands(t *testing.T) {
-	story(t, func(f *fleet) {
+	runScenario(t, func(f *fleet) {
 		f.options.SnapshotBytes = 1 << 20
-		leader := f.found(1)
+		leader := f.foundCluster(1)
 		var size *consensus.CommandSizeError
 		if err := leader.propose(string(make([]byte, MaxCommandBytes+1))); !errors.As(err, &size) {
 			t.Errorf("a command beyond the bound: %v", err)
@@ -389,13 +389,13 @@
 }
 
 func TestSeedsThatAreReplacedWhileAReplicaWaitsToJoinAreAsked(t *testing.T) {
-	story(t, func(f *fleet) {
-		f.found(3)
+	runScenario(t, func(f *fleet) {
+		f.foundCluster(3)
 		f.founders = nil
 		f.seeds = []string{f.machine(11).address, f.machine(12).address}
 		joining := f.machine(4)
 		joining.start()
-		f.pass(10 * time.Second)
+		f.advance(10 * time.Second)
 		if !joining.replica.Status().GetEmpty() {
 			f.t.Fatal("it joined by seeds at which nobody is")
 		}
--- a/internal/controlplane/replica/requests.go
+++ b/internal/controlplane/replica/requests.go
@@ -6,15 +6,15 @@
 type request struct {
 	run func()
 	// refuse is called in place of run while the replica waits for its disk.
-	refuse func(err error)
+	reject func(err error)
 }
 
 // do runs a function on the owner goroutine and waits for it.
-func (r *Replica) do(ctx context.Context, run func()) error {
+func (r *Replica) runOnOwner(ctx context.Context, run func()) error {
 	done := make(chan error, 1)
 	err := r.enqueue(request{
 		run:    func() { run(); done <- nil },
-		refuse: func(err error) { done <- err },
+		reject: func(err error) { done <- err },
 	})
 	if err != nil {
 		return err
--- a/internal/controlplane/replica/sequential_faults_test.go
+++ b/internal/controlplane/replica/sequential_faults_test.go
@@ -18,17 +18,17 @@
 
 const (
 	// catchUp is the time that a machine has after its return, or its successor after its start, before the next one may go.
-	catchUp = 4200 * time.Millisecond
+	catchUpTime = 4200 * time.Millisecond
 	// leaderlessLimit is the longest time without a leader after the loss of one machine.
-	leaderlessLimit = 800 * time.Millisecond
+	maxLeaderlessTime = 800 * time.Millisecond
 	// oneWayLimit is that of a machine that sends and hears nothing: a leader that is one gives up first.
-	oneWayLimit = 1200 * time.Millisecond
+	maxLeaderlessOneWay = 1200 * time.Millisecond
 	// restartLimit is the longest time without a leader after all processes have started again.
-	restartLimit = time.Second
+	maxLeaderlessRestart = time.Second
 )
 
 // quickOptions are those of a core that must repair itself within catchUp.
-func quickOptions(f *fleet) {
+func useShortTimeouts(f *fleet) {
 	f.options.ElectionTimeout = 400 * time.Millisecond
 	f.options.HeartbeatInterval = 80 * time.Millisecond
 	f.options.ReplaceVoterAfter = 1500 * time.Millisecond
@@ -36,34 +36,34 @@
 }
 
 // badDay is a core of three voters and a standby under losses, with commands all along.
-type badDay struct {
-	*chaos
+type sequentialFaults struct {
+	*faultInjector
 	// at holds the machines that stand, by number; a replaced one has a number of its own.
-	at   []int
-	next int
+	numbers []int
+	next    int
 	// listed holds the machines that processes are told as seeds at their start; a replaced one stays in it for a while.
-	listed []int
+	seedNumbers []int
 	// longest is the longest time without a leader.
-	longest time.Duration
+	maxLeaderless time.Duration
 	// longestRestart is the longest time without a leader after all processes were started again.
-	longestRestart time.Duration
+	maxRestartLeaderless time.Duration
 }
 
-func newBadDay(f *fleet, seed uint64) *badDay {
-	d := &badDay{
-		chaos: newChaos(f, rand.New(rand.NewPCG(seed, 23)), map[string]int{}),
-		at:    []int{1, 2, 3, 4}, next: 5, listed: []int{1, 2, 3, 4},
+func newSequentialFaults(f *fleet, seed uint64) *sequentialFaults {
+	d := &sequentialFaults{
+		faultInjector: newFaultInjector(f, rand.New(rand.NewPCG(seed, 23)), map[string]int{}),
+		numbers:       []int{1, 2, 3, 4}, next: 5, seedNumbers: []int{1, 2, 3, 4},
 	}
-	d.found(3)
+	d.foundCluster(3)
 	f.founders = nil
 	f.seeds = []string{f.machine(1).address, f.machine(2).address, f.machine(3).address}
 	f.machine(4).start()
-	d.eventually("the standby is there", d.whole)
+	d.eventually("the standby is there", d.isHealthy)
 	return d
 }
 
 // live passes time with commands every 40 ms and fails when the core is without a leader for too long.
-func (d *badDay) live(duration time.Duration, limit time.Duration) {
+func (d *sequentialFaults) runFor(duration time.Duration, limit time.Duration) {
 	d.t.Helper()
 	without := time.Duration(0)
 	const step = 40 * time.Millisecond
@@ -74,124 +74,124 @@
 			without = 0
 			d.propose()
 		}
-		d.longest = max(d.longest, without)
+		d.maxLeaderless = max(d.maxLeaderless, without)
 		if without > limit {
 			d.describe()
-			d.t.Fatalf("without a leader for more than %v; so far %v", limit, d.provoked)
+			d.t.Fatalf("without a leader for more than %v; so far %v", limit, d.faultCounts)
 		}
-		d.pass(step)
+		d.advance(step)
 	}
 }
 
 // start starts a machine with three of the listed ones as its seeds, itself perhaps among them.
-func (d *badDay) start(m *machine) {
+func (d *sequentialFaults) start(m *machine) {
 	d.t.Helper()
 	d.seeds = nil
-	for _, place := range d.random.Perm(len(d.listed))[:3] {
-		d.seeds = append(d.seeds, d.machine(d.listed[place]).address)
+	for _, place := range d.random.Perm(len(d.seedNumbers))[:3] {
+		d.seeds = append(d.seeds, d.machine(d.seedNumbers[place]).address)
 	}
 	m.start()
 }
 
 // someone picks a machine that stands: the leader, a follower or the standby.
-func (d *badDay) someone() int { return d.random.IntN(len(d.at)) }
+func (d *sequentialFaults) randomPosition() int { return d.random.IntN(len(d.numbers)) }
 
-func (d *badDay) duration(from, to time.Duration) time.Duration {
+func (d *sequentialFaults) duration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.random.Int64N(int64(to-from)))
 }
 
 // lose brings about one loss and returns when the machine, or its successor, runs again.
-func (d *badDay) lose() {
-	place := d.someone()
-	m := d.machine(d.at[place])
+func (d *sequentialFaults) injectLoss() {
+	place := d.randomPosition()
+	m := d.machine(d.numbers[place])
 	down := d.duration(100*time.Millisecond, 6*time.Second)
 	switch d.random.IntN(9) {
 	case 0:
-		d.provoked["power lost"]++
+		d.faultCounts["power lost"]++
 		m.crash()
-		d.live(down, leaderlessLimit)
+		d.runFor(down, maxLeaderlessTime)
 		d.start(m)
 	case 1, 2:
-		d.provoked["disk lost"]++
+		d.faultCounts["disk lost"]++
 		m.crash()
 		m.disk.Lose()
-		d.live(down, leaderlessLimit)
+		d.runFor(down, maxLeaderlessTime)
 		d.start(m)
 	case 3:
-		d.provoked["cut off"]++
-		d.setCut(m.address, true)
-		d.live(down, leaderlessLimit)
-		d.setCut(m.address, false)
+		d.faultCounts["cut off"]++
+		d.setPartitioned(m.address, true)
+		d.runFor(down, maxLeaderlessTime)
+		d.setPartitioned(m.address, false)
 	case 4:
-		d.provoked["replaced"]++
+		d.faultCounts["replaced"]++
 		m.crash()
-		d.live(d.duration(time.Second, 2500*time.Millisecond), leaderlessLimit)
-		d.at[place] = d.next
+		d.runFor(d.duration(time.Second, 2500*time.Millisecond), maxLeaderlessTime)
+		d.numbers[place] = d.next
 		d.start(d.machine(d.next))
 		d.next++
 	case 8:
-		d.provoked["frozen"]++
+		d.faultCounts["frozen"]++
 		m.freeze()
-		d.live(down, leaderlessLimit)
-		m.wake()
+		d.runFor(down, maxLeaderlessTime)
+		m.resume()
 	case 5:
-		d.provoked["deaf or mute"]++
+		d.faultCounts["deaf or mute"]++
 		deaf := d.random.IntN(2) == 0
-		d.setOneWay(m.address, deaf, !deaf)
-		d.live(down, oneWayLimit)
-		d.setOneWay(m.address, false, false)
+		d.setOneWayPartition(m.address, deaf, !deaf)
+		d.runFor(down, maxLeaderlessOneWay)
+		d.setOneWayPartition(m.address, false, false)
 	case 6:
-		d.provoked["all killed while one is down"]++
+		d.faultCounts["all killed while one is down"]++
 		m.crash()
 		if d.random.IntN(2) == 0 {
 			m.disk.Lose()
 		}
-		d.live(d.duration(0, 3*time.Second), leaderlessLimit)
+		d.runFor(d.duration(0, 3*time.Second), maxLeaderlessTime)
 		d.killAll(m)
-		d.live(d.duration(0, 2*time.Second), leaderlessLimit)
+		d.runFor(d.duration(0, 2*time.Second), maxLeaderlessTime)
 		d.start(m)
 	default:
-		d.provoked["all killed"]++
+		d.faultCounts["all killed"]++
 		d.killAll(nil)
 	}
 }
 
 // killAll ends all processes and starts them again with their disks, but for one that is down.
-func (d *badDay) killAll(down *machine) {
+func (d *sequentialFaults) killAll(down *machine) {
 	d.t.Helper()
 	for _, other := range d.running() {
-		other.halt()
+		other.kill()
 	}
-	d.pass(d.duration(50*time.Millisecond, time.Second))
+	d.advance(d.duration(50*time.Millisecond, time.Second))
 	d.startAll(down)
 }
 
-func (d *badDay) startAll(down *machine) {
+func (d *sequentialFaults) startAll(down *machine) {
 	d.t.Helper()
-	for _, number := range d.at {
+	for _, number := range d.numbers {
 		if m := d.machine(number); m != down {
 			d.start(m)
 		}
 	}
 	began := time.Now()
 	d.eventually("somebody leads after the restart of all", func() bool { return d.leader() != nil })
-	d.longestRestart = max(d.longestRestart, time.Since(began))
+	d.maxRestartLeaderless = max(d.maxRestartLeaderless, time.Since(began))
 }
 
 // finalFault takes the power of all machines and the disk of one, right after an acknowledgement.
-func (d *badDay) finalFault() {
+func (d *sequentialFaults) losePowerAndOneDisk() {
 	d.t.Helper()
 	d.propose()
 	for _, m := range d.running() {
 		m.crash()
 	}
-	d.machine(d.at[d.someone()]).disk.Lose()
+	d.machine(d.numbers[d.randomPosition()]).disk.Lose()
 	d.startAll(nil)
 }
 
-func (d *badDay) checkAcknowledged() {
+func (d *sequentialFaults) checkAcknowledged() {
 	d.t.Helper()
-	d.eventually("all voters and standbys stand, and no member that is gone", d.whole)
+	d.eventually("all voters and standbys stand, and no member that is gone", d.isHealthy)
 	d.eventually("all that stand have the same", func() bool {
 		leader := d.leader()
 		for _, m := range d.running() {
@@ -199,10 +199,10 @@
 				return false
 			}
 		}
-		return len(d.running()) == len(d.at)
+		return len(d.running()) == len(d.numbers)
 	})
 	for _, m := range d.running() {
-		d.audit(m)
+		d.checkCommands(m)
 	}
 }
 
@@ -210,18 +210,18 @@
 	provoked, longest, longestRestart := map[string]int{}, time.Duration(0), time.Duration(0)
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			story(t, func(f *fleet) {
-				quickOptions(f)
-				d := newBadDay(f, seed)
+			runScenario(t, func(f *fleet) {
+				useShortTimeouts(f)
+				d := newSequentialFaults(f, seed)
 				for range 12 {
-					d.lose()
-					d.live(catchUp+d.duration(0, 300*time.Millisecond), leaderlessLimit)
-					d.listed = slices.Clone(d.at)
+					d.injectLoss()
+					d.runFor(catchUpTime+d.duration(0, 300*time.Millisecond), maxLeaderlessTime)
+					d.seedNumbers = slices.Clone(d.numbers)
 				}
-				d.finalFault()
+				d.losePowerAndOneDisk()
 				d.checkAcknowledged()
-				longest, longestRestart = max(longest, d.longest), max(longestRestart, d.longestRestart)
-				for kind, count := range d.provoked {
+				longest, longestRestart = max(longest, d.maxLeaderless), max(longestRestart, d.maxRestartLeaderless)
+				for kind, count := range d.faultCounts {
 					provoked[kind] += count
 				}
 				provoked["acknowledged"] += len(d.acknowledged)
@@ -229,7 +229,7 @@
 		})
 	}
 	t.Logf("provoked: %v; at most %v without a leader, %v after a restart of all", provoked, longest, longestRestart)
-	if longestRestart > restartLimit {
+	if longestRestart > maxLeaderlessRestart {
 		t.Errorf("without a leader for %v after a restart of all", longestRestart)
 	}
 	for _, kind := range []string{"power lost", "disk lost", "cut off", "replaced", "deaf or mute", "frozen", "all killed while one is down", "all killed", "acknowledged"} {
@@ -240,13 +240,13 @@
 }
 
 func TestADeafLeaderDoesNotHoldBackTheNextOne(t *testing.T) {
-	story(t, func(f *fleet) {
-		quickOptions(f)
-		former := f.found(3)
-		f.setOneWay(former.address, true, false)
+	runScenario(t, func(f *fleet) {
+		useShortTimeouts(f)
+		former := f.foundCluster(3)
+		f.setOneWayPartition(former.address, true, false)
 		began := time.Now()
 		f.eventually("another one leads", func() bool { next := f.leader(); return next != nil && next != former })
-		if waited := time.Since(began); waited > oneWayLimit {
+		if waited := time.Since(began); waited > maxLeaderlessOneWay {
 			t.Errorf("its heartbeats held the next leader back for %v", waited)
 		}
 	})
@@ -270,9 +270,9 @@
 func TestALeaderGoesOnWhileASnapshotIsSavedThatItHasNotNoticed(t *testing.T) {
 	// More than may be on the way to a member and is retained below a snapshot.
 	const commands = 5400
-	story(t, func(f *fleet) {
-		quickOptions(f)
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		useShortTimeouts(f)
+		leader := f.foundCluster(3)
 		lagging := f.machine(1)
 		if lagging == leader {
 			lagging = f.machine(2)
@@ -284,11 +284,11 @@
 				t.Fatal(err)
 			}
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 		owner := &leader.replica.owner
-		err := leader.replica.do(context.Background(), func() {
+		err := leader.replica.runOnOwner(context.Background(), func() {
 			owner.replica.disk.filesystem = countingFilesystem{Filesystem: owner.replica.disk.filesystem, opened: &atomic.Int64{}}
-			owner.snapshots.cached, owner.snapshots.data = nil, nil
+			owner.snapshots.cachedMetadata, owner.snapshots.cachedData = nil, nil
 			owner.snapshots.appliedBytes = owner.replica.options.SnapshotBytes
 			owner.maybeSnapshot()
 			for len(owner.snapshots.saved) == 0 {
@@ -309,7 +309,7 @@
 }
 
 // stopGently ends the process as a SIGTERM does.
-func (m *machine) stopGently(grace time.Duration) {
+func (m *machine) stopGracefully(grace time.Duration) {
 	m.fleet.mutex.Lock()
 	replica := m.replica
 	m.fleet.mutex.Unlock()
@@ -322,21 +322,21 @@
 }
 
 func TestRestartsInTurnLeaveNoGapWithoutALeader(t *testing.T) {
-	story(t, func(f *fleet) {
-		quickOptions(f)
-		d := newBadDay(f, 1)
+	runScenario(t, func(f *fleet) {
+		useShortTimeouts(f)
+		d := newSequentialFaults(f, 1)
 		for round := range 12 {
-			m := d.machine(d.at[round%len(d.at)])
+			m := d.machine(d.numbers[round%len(d.numbers)])
 			if leader := d.leader(); leader != nil && round%3 == 0 {
 				m = leader
 			}
-			m.stopGently(time.Second)
-			d.live(300*time.Millisecond, leaderlessLimit)
+			m.stopGracefully(time.Second)
+			d.runFor(300*time.Millisecond, maxLeaderlessTime)
 			d.start(m)
-			d.live(700*time.Millisecond, leaderlessLimit)
+			d.runFor(700*time.Millisecond, maxLeaderlessTime)
 		}
-		if d.longest > 200*time.Millisecond {
-			t.Errorf("without a leader for %v", d.longest)
+		if d.maxLeaderless > 200*time.Millisecond {
+			t.Errorf("without a leader for %v", d.maxLeaderless)
 		}
 		d.checkAcknowledged()
 	})
--- a/internal/controlplane/replica/service.go
+++ b/internal/controlplane/replica/service.go
@@ -47,7 +47,7 @@
 	default:
 	}
 	select {
-	case r.inbound <- arrivedMessage{message: message, at: r.options.Clock.Now()}:
+	case r.inbound <- inboundMessage{message: message, receivedAt: r.options.Clock.Now()}:
 		return nil
 	default:
 		r.metrics.overloads.Inc()
@@ -61,7 +61,7 @@
 		return r.forwardJoin(ctx, join)
 	}
 	done := make(chan proposalResult, 1)
-	if err := r.do(ctx, func() { r.owner.admit(join.GetMember(), false, done) }); err != nil {
+	if err := r.runOnOwner(ctx, func() { r.owner.admit(join.GetMember(), false, done) }); err != nil {
 		return nil, Failure(err)
 	}
 	answer, err := r.await(ctx, done)
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -11,23 +11,23 @@
 	// slowSyncFactor is how many times longer than the answer of the quickest voter a sync of the leader must take to be slow.
 	slowSyncFactor = 2
 	// shortestSlowSync is the shortest sync that counts as slow: handing over would save too little below it.
-	shortestSlowSync = 5 * time.Millisecond
+	minSlowSync = 5 * time.Millisecond
 	// comparedSyncs is how many syncs are compared before the leader judges, and slowSyncs how many of them must be slow.
-	comparedSyncs = 32
-	slowSyncs     = 24
+	syncWindow   = 32
+	minSlowSyncs = 24
 	// handOverPause is the shortest time between two hand-overs by one member.
-	handOverPause = time.Minute
+	minTransferInterval = time.Minute
 )
 
 // arrivedMessage is a message and when it reached this process.
-type arrivedMessage struct {
-	message *protocol.ConsensusMessage
-	at      time.Time
+type inboundMessage struct {
+	message    *protocol.ConsensusMessage
+	receivedAt time.Time
 }
 
 // slowDisk compares the syncs of a leader with the answers of the others, which contain their syncs. A leader writes before it
 // sends, so that its own disk holds up every command. One slow sync means nothing; most of a window do.
-type slowDisk struct {
+type slowDiskDetector struct {
 	compared, slow int
 	// ownSync is how long the entries up to index took to be written here; they were sent at sentAt. The index is zero
 	// when no answer is awaited.
@@ -35,11 +35,11 @@
 	index   uint64
 	sentAt  time.Time
 	// nextHandOver is when leadership may be handed over again.
-	nextHandOver time.Time
+	nextTransfer time.Time
 }
 
 // sent begins a comparison, unless one is under way.
-func (s *slowDisk) sent(index uint64, ownSync time.Duration, now time.Time) {
+func (s *slowDiskDetector) begin(index uint64, ownSync time.Duration, now time.Time) {
 	if s.index != 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 }
 
 // answered ends the comparison at the first answer of a voter, and reports whether the disk of this leader is slow.
-func (s *slowDisk) answered(arrived arrivedMessage) bool {
+func (s *slowDiskDetector) observeAnswer(arrived inboundMessage) bool {
 	answer := arrived.message
 	awaited := s.index != 0 && answer.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
 		!answer.GetReject() && answer.GetLogIndex() >= s.index
@@ -56,44 +56,44 @@
 	}
 	s.index = 0
 	s.compared++
-	if s.ownSync >= shortestSlowSync && s.ownSync > slowSyncFactor*arrived.at.Sub(s.sentAt) {
+	if s.ownSync >= minSlowSync && s.ownSync > slowSyncFactor*arrived.receivedAt.Sub(s.sentAt) {
 		s.slow++
 	}
-	if s.compared < comparedSyncs {
+	if s.compared < syncWindow {
 		return false
 	}
-	isSlow := s.slow >= slowSyncs
+	isSlow := s.slow >= minSlowSyncs
 	s.compared, s.slow = 0, 0
 	return isSlow
 }
 
 // reset forgets what was compared, as when leadership has ended.
-func (s *slowDisk) reset() { *s = slowDisk{nextHandOver: s.nextHandOver} }
+func (s *slowDiskDetector) reset() { *s = slowDiskDetector{nextTransfer: s.nextTransfer} }
 
 // compareSync notes how long the leader's write of new entries took; they are on their way now.
-func (o *owner) compareSync(ready consensus.Ready, began, written time.Time) {
+func (o *owner) trackSync(ready consensus.Ready, began, written time.Time) {
 	if len(ready.Entries) == 0 || o.node.Role() != consensus.Leader {
 		return
 	}
 	last := ready.Entries[len(ready.Entries)-1].GetIndex()
-	o.slowDisk.sent(last, written.Sub(began), o.now())
+	o.slowDisk.begin(last, written.Sub(began), o.now())
 }
 
 // handOverIfSlow hands leadership to the voter that answered when the disk here is much slower than others.
-func (o *owner) handOverIfSlow(arrived arrivedMessage) {
+func (o *owner) transferIfDiskSlow(arrived inboundMessage) {
 	if o.node.Role() != consensus.Leader {
 		o.slowDisk.reset()
 		return
 	}
 	from := arrived.message.GetFrom()
-	if !o.isVoter(from) || !o.slowDisk.answered(arrived) {
+	if !o.isVoter(from) || !o.slowDisk.observeAnswer(arrived) {
 		return
 	}
 	now := o.now()
-	if now.Before(o.slowDisk.nextHandOver) {
+	if now.Before(o.slowDisk.nextTransfer) {
 		return
 	}
-	o.slowDisk.nextHandOver = now.Add(handOverPause)
+	o.slowDisk.nextTransfer = now.Add(minTransferInterval)
 	if err := o.node.Transfer(from, now); err != nil {
 		o.replica.logWarning("leadership was not handed over", "error", err)
 		return
--- a/internal/controlplane/replica/slow_disk_test.go
+++ b/internal/controlplane/replica/slow_disk_test.go
@@ -11,20 +11,20 @@
 	usualSync = 5 * time.Millisecond
 	slowSync  = 5 * usualSync
 	// usualCommand is the longest mean time of a command under a leader whose disk is as quick as others.
-	usualCommand = 20 * time.Millisecond
+	maxMeanCommandTime = 20 * time.Millisecond
 )
 
 // unequalDisks founds a core and gives one machine, which leads then, a slow disk.
-func unequalDisks(f *fleet) *machine {
+func leaderWithSlowDisk(f *fleet) *machine {
 	f.t.Helper()
 	f.latency, f.syncTime = 2*time.Millisecond, usualSync
-	slow := f.found(3)
-	f.pass(2 * time.Second)
-	slow.halt()
+	slow := f.foundCluster(3)
+	f.advance(2 * time.Second)
+	slow.kill()
 	slow.syncTime = slowSync
 	f.waitForLeader()
 	slow.start()
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.eventually("the slow one leads", func() bool {
 		leader := f.leader()
 		if leader != nil && leader != slow {
@@ -36,12 +36,12 @@
 }
 
 // timedCommands has commands acknowledged one after another and returns the mean time of one.
-func (f *fleet) timedCommands(count int) time.Duration {
+func (f *fleet) meanCommandTime(count int) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	for command := range count {
 		for f.waitForLeader().propose(strconv.Itoa(command)) != nil {
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
 	}
 	return time.Since(began) / time.Duration(count)
@@ -50,21 +50,21 @@
 func (f *fleet) term() uint64 { return f.waitForLeader().replica.Status().GetTerm() }
 
 func TestALeaderWithASlowDiskHandsOverOnce(t *testing.T) {
-	story(t, func(f *fleet) {
-		slow := unequalDisks(f)
-		before := f.timedCommands(comparedSyncs / 2)
-		f.timedCommands(2 * comparedSyncs)
+	runScenario(t, func(f *fleet) {
+		slow := leaderWithSlowDisk(f)
+		before := f.meanCommandTime(syncWindow / 2)
+		f.meanCommandTime(2 * syncWindow)
 		if f.waitForLeader() == slow {
 			f.t.Fatal("the slow one still leads")
 		}
-		after, term := f.timedCommands(100), f.term()
+		after, term := f.meanCommandTime(100), f.term()
 		t.Logf("%v a command under the slow leader, %v after", before, after)
-		if after > usualCommand {
+		if after > maxMeanCommandTime {
 			t.Errorf("%v a command after it handed over", after)
 		}
 		for range 300 {
-			f.timedCommands(10)
-			f.pass(time.Second)
+			f.meanCommandTime(10)
+			f.advance(time.Second)
 		}
 		if f.term() != term {
 			t.Errorf("leadership went on to change: term %d became %d", term, f.term())
@@ -73,12 +73,12 @@
 }
 
 func TestDisksThatAreAllSlowKeepTheirLeader(t *testing.T) {
-	story(t, func(f *fleet) {
+	runScenario(t, func(f *fleet) {
 		f.latency, f.syncTime = 2*time.Millisecond, slowSync
-		f.found(3)
-		f.pass(2 * time.Second)
+		f.foundCluster(3)
+		f.advance(2 * time.Second)
 		term := f.term()
-		f.timedCommands(20 * comparedSyncs)
+		f.meanCommandTime(20 * syncWindow)
 		if f.term() != term {
 			t.Errorf("term %d became %d", term, f.term())
 		}
@@ -86,15 +86,15 @@
 }
 
 func TestADiskThatStallsForMomentsKeepsItsLeader(t *testing.T) {
-	story(t, func(f *fleet) {
+	runScenario(t, func(f *fleet) {
 		f.latency, f.syncTime = 2*time.Millisecond, usualSync
-		leader := f.found(3)
-		f.pass(2 * time.Second)
+		leader := f.foundCluster(3)
+		f.advance(2 * time.Second)
 		term := f.term()
 		for range 100 {
 			leader.disk.StallSyncs()
 			time.AfterFunc(100*time.Millisecond, leader.disk.ResumeSyncs)
-			f.timedCommands(8)
+			f.meanCommandTime(8)
 		}
 		if f.term() != term {
 			t.Errorf("term %d became %d", term, f.term())
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -11,24 +11,24 @@
 
 // cachedSnapshotFor is how long a snapshot that is being transferred stays in memory after the
 // last piece was read from it.
-const cachedSnapshotFor = 30 * time.Second
+const snapshotCacheTTL = 30 * time.Second
 
 // snapshotRetry is the pause before a snapshot is tried again for which there was no room.
-const snapshotRetry = 10 * time.Second
+const snapshotRetryInterval = 10 * time.Second
 
 // snapshots is the owner's view of snapshots being taken and transferred.
 type snapshots struct {
-	saving bool
-	saved  chan savedSnapshot
-	cached *protocol.SnapshotMetadata
-	data   []byte
-	used   time.Time
+	saving         bool
+	saved          chan savedSnapshot
+	cachedMetadata *protocol.SnapshotMetadata
+	cachedData     []byte
+	lastUsed       time.Time
 	// retryAt is when a snapshot is tried again for which there was no room.
 	retryAt time.Time
 	// appliedBytes is the size of the entries applied since the last snapshot was taken.
 	appliedBytes int
 	// stale are the members whose transfer named a snapshot that was not there any more.
-	stale []uint64
+	staleTransfers []uint64
 }
 
 type savedSnapshot struct {
@@ -78,7 +78,7 @@
 	o.snapshots.saving = false
 	if storage.IsDiskFull(saved.err) {
 		// The log still takes records, and holds all that the snapshot would.
-		o.snapshots.retryAt = o.now().Add(snapshotRetry)
+		o.snapshots.retryAt = o.now().Add(snapshotRetryInterval)
 		o.snapshots.appliedBytes += saved.appliedBytes
 		o.replica.logWarning("no room for a snapshot", "error", saved.err)
 		return
@@ -92,7 +92,7 @@
 		return
 	}
 	// Everything the node holds must be durable before it is copied into the new segment.
-	o.carryOut()
+	o.processReady()
 	if o.failure != nil {
 		return
 	}
@@ -114,7 +114,7 @@
 	if err := o.replica.disk.saveSnapshot(received.Metadata, received.Data); err != nil {
 		return err
 	}
-	o.replica.metrics.installed.Inc()
+	o.replica.metrics.snapshotsInstalled.Inc()
 	o.snapshots.appliedBytes = 0
 	hardState := ready.HardState
 	if hardState == nil {
@@ -127,14 +127,14 @@
 // that the message names is no longer there.
 func (o *owner) fillChunk(message *protocol.ConsensusMessage) bool {
 	cache := &o.snapshots
-	if cache.cached.GetIndex() != message.GetSnapshot().GetIndex() && !o.loadSnapshot(message.GetSnapshot()) {
+	if cache.cachedMetadata.GetIndex() != message.GetSnapshot().GetIndex() && !o.loadSnapshot(message.GetSnapshot()) {
 		return false
 	}
-	cache.used = o.now()
-	size := uint64(len(cache.data))
+	cache.lastUsed = o.now()
+	size := uint64(len(cache.cachedData))
 	start := min(message.GetChunkOffset(), size)
 	end := min(start+uint64(o.replica.options.SnapshotChunkBytes), size)
-	message.Chunk, message.ChunkLast = cache.data[start:end], end == size
+	message.Chunk, message.ChunkLast = cache.cachedData[start:end], end == size
 	return true
 }
 
@@ -147,12 +147,12 @@
 	if metadata.GetIndex() != wanted.GetIndex() {
 		return false
 	}
-	o.snapshots.cached, o.snapshots.data = metadata, data
+	o.snapshots.cachedMetadata, o.snapshots.cachedData = metadata, data
 	return true
 }
 
 func (o *owner) dropCachedSnapshot() {
-	if o.snapshots.cached != nil && o.now().Sub(o.snapshots.used) > cachedSnapshotFor {
-		o.snapshots.cached, o.snapshots.data = nil, nil
+	if o.snapshots.cachedMetadata != nil && o.now().Sub(o.snapshots.lastUsed) > snapshotCacheTTL {
+		o.snapshots.cachedMetadata, o.snapshots.cachedData = nil, nil
 	}
 }
--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -75,11 +75,11 @@
 
 const storedSnapshotState = "first\nsecond\n"
 
-func ofEntry(entry *protocol.Entry) *protocol.CoreRecord {
+func entryRecord(entry *protocol.Entry) *protocol.CoreRecord {
 	return &protocol.CoreRecord{Body: &protocol.CoreRecord_Entry{Entry: entry}}
 }
 
-func ofHardState(state *protocol.HardState) *protocol.CoreRecord {
+func storedHardStateRecord(state *protocol.HardState) *protocol.CoreRecord {
 	return &protocol.CoreRecord{Body: &protocol.CoreRecord_HardState{HardState: state}}
 }
 
@@ -87,13 +87,13 @@
 func foundedRecords(t *testing.T) []*protocol.CoreRecord {
 	return []*protocol.CoreRecord{
 		{Body: &protocol.CoreRecord_Founding{Founding: &protocol.Founding{ClusterId: storedClusterID, Founder: storedMember()}}},
-		ofHardState(storedHardState(2, 1)),
-		ofEntry(storedEntry(t, 2, 2, nil)),
-		ofEntry(storedEntry(t, 2, 3, "first")),
-		ofEntry(storedEntry(t, 2, 4, "replaced")),
-		ofEntry(storedEntry(t, 3, 4, nil)),
-		ofEntry(storedEntry(t, 3, 5, "second")),
-		ofHardState(storedHardState(3, 5)),
+		storedHardStateRecord(storedHardState(2, 1)),
+		entryRecord(storedEntry(t, 2, 2, nil)),
+		entryRecord(storedEntry(t, 2, 3, "first")),
+		entryRecord(storedEntry(t, 2, 4, "replaced")),
+		entryRecord(storedEntry(t, 3, 4, nil)),
+		entryRecord(storedEntry(t, 3, 5, "second")),
+		storedHardStateRecord(storedHardState(3, 5)),
 	}
 }
 
@@ -102,14 +102,14 @@
 	finished = []*protocol.CoreRecord{
 		{Body: &protocol.CoreRecord_ClusterId{ClusterId: storedClusterID}},
 		{Body: &protocol.CoreRecord_Compacted{Compacted: &protocol.SnapshotMetadata{Index: 5, Term: 3}}},
-		ofEntry(storedEntry(t, 3, 6, "third")),
-		ofHardState(storedHardState(3, 6)),
+		entryRecord(storedEntry(t, 3, 6, "third")),
+		storedHardStateRecord(storedHardState(3, 6)),
 	}
 	newest = []*protocol.CoreRecord{
-		ofEntry(storedEntry(t, 3, 7, storedConfiguration())),
-		ofEntry(storedEntry(t, 4, 8, "fourth")),
-		ofHardState(storedHardState(4, 8)),
-		ofEntry(storedEntry(t, 4, 9, "fifth")),
+		entryRecord(storedEntry(t, 3, 7, storedConfiguration())),
+		entryRecord(storedEntry(t, 4, 8, "fourth")),
+		storedHardStateRecord(storedHardState(4, 8)),
+		entryRecord(storedEntry(t, 4, 9, "fifth")),
 	}
 	return finished, newest
 }
@@ -221,13 +221,13 @@
 }
 
 // deafCaller reaches nobody: the member is alone.
-type deafCaller struct{}
+type unreachableCaller struct{}
 
-func (deafCaller) Call(_ context.Context, address string, _ *protocol.Request) (*protocol.Response, error) {
+func (unreachableCaller) Call(_ context.Context, address string, _ *protocol.Request) (*protocol.Response, error) {
 	return nil, &wire.NotSentError{Address: address, Cause: errUnreachable}
 }
 
-func (deafCaller) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
+func (unreachableCaller) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
 	return nil, errUnreachable
 }
 
@@ -235,7 +235,7 @@
 	self := storedMember()
 	self.Id, self.Voter = 0, false
 	return New(Options{
-		Self: self, Folder: "core", Filesystem: filesystem, Machine: machine, Caller: deafCaller{},
+		Self: self, Folder: "core", Filesystem: filesystem, Machine: machine, Caller: unreachableCaller{},
 		Random: rand.New(rand.NewPCG(5, 5)),
 	})
 }
@@ -315,7 +315,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				state := &journal{}
+				state := &commandLog{}
 				built, err := openStored(copyOfStored(t, name, nil), state)
 				must(t, err)
 				if built.ID() != storedMember().GetId() {
@@ -368,7 +368,7 @@
 						content[offset] ^= 0xff
 					}
 				})
-				built, err := openStored(damaged, &journal{})
+				built, err := openStored(damaged, &commandLog{})
 				var corrupt *storage.CorruptError
 				refused := errors.As(err, &corrupt)
 				if torn := stored.cutFrom > 0 && offset >= stored.cutFrom; refused == torn || torn && err != nil {
--- a/internal/controlplane/replica/transport.go
+++ b/internal/controlplane/replica/transport.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	sendQueue = 128
+	queueCapacity = 128
 	// waitShare is the part of the election timeout after which a message is too old to be sent.
-	waitShare = 2
+	queueTimeDivisor = 2
 )
 
 // transport sends messages to members, one goroutine for each address. A full queue loses its
@@ -23,8 +23,8 @@
 	clock   Clock
 	timeout time.Duration
 	// longestWait is how long a message may wait in its queue.
-	longestWait time.Duration
-	metrics     *metrics
+	maxQueueTime time.Duration
+	metrics      *metrics
 
 	context context.Context
 	cancel  context.CancelFunc
@@ -38,29 +38,29 @@
 
 // queuedMessage is a message on its way and when it was queued.
 type queuedMessage struct {
-	message *protocol.ConsensusMessage
-	since   time.Time
+	message  *protocol.ConsensusMessage
+	queuedAt time.Time
 }
 
 func newTransport(options Options, metrics *metrics) *transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &transport{
 		caller: options.Caller, clock: options.Clock, metrics: metrics, context: ctx, cancel: cancel,
-		timeout: options.ElectionTimeout, longestWait: options.ElectionTimeout / waitShare,
+		timeout: options.ElectionTimeout, maxQueueTime: options.ElectionTimeout / queueTimeDivisor,
 		queues: map[string]chan queuedMessage{}, addresses: map[uint64]string{},
 		configured: map[uint64]string{},
 	}
 }
 
 // learn notes where a member sent from; that is newer than what the configuration says.
-func (t *transport) learn(member uint64, address string) {
+func (t *transport) observeAddress(member uint64, address string) {
 	if address != "" {
 		t.addresses[member] = address
 	}
 }
 
 // fit forgets addresses and ends senders that no member of the configuration needs.
-func (t *transport) fit(configuration *protocol.CoreConfiguration) {
+func (t *transport) setMembers(configuration *protocol.CoreConfiguration) {
 	for _, member := range configuration.GetMembers() {
 		id, address := member.GetId(), member.GetAddress()
 		if t.addresses[id] == "" || t.configured[id] != address {
@@ -94,12 +94,12 @@
 	}
 	queue := t.queues[address]
 	if queue == nil {
-		queue = make(chan queuedMessage, sendQueue)
+		queue = make(chan queuedMessage, queueCapacity)
 		t.queues[address] = queue
 		t.running.Add(1)
-		go t.deliver(address, queue)
+		go t.sendLoop(address, queue)
 	}
-	queued := queuedMessage{message: message, since: t.clock.Now()}
+	queued := queuedMessage{message: message, queuedAt: t.clock.Now()}
 	for {
 		select {
 		case queue <- queued:
@@ -108,7 +108,7 @@
 		}
 		select {
 		case <-queue:
-			t.metrics.dropped.Inc()
+			t.metrics.messagesDropped.Inc()
 		default:
 		}
 	}
@@ -120,14 +120,14 @@
 		for waiting := len(queue); waiting > 0; waiting-- {
 			select {
 			case <-queue:
-				t.metrics.dropped.Inc()
+				t.metrics.messagesDropped.Inc()
 			default:
 			}
 		}
 	}
 }
 
-func (t *transport) deliver(address string, queue <-chan queuedMessage) {
+func (t *transport) sendLoop(address string, queue <-chan queuedMessage) {
 	defer t.running.Done()
 	for {
 		select {
@@ -137,8 +137,8 @@
 			if !open {
 				return
 			}
-			if t.clock.Now().Sub(queued.since) > t.longestWait {
-				t.metrics.dropped.Inc()
+			if t.clock.Now().Sub(queued.queuedAt) > t.maxQueueTime {
+				t.metrics.messagesDropped.Inc()
 				continue
 			}
 			t.call(address, queued.message)
@@ -154,7 +154,7 @@
 		t.metrics.sendFailures.Inc()
 		return
 	}
-	t.metrics.sent.Inc()
+	t.metrics.messagesSent.Inc()
 }
 
 func (t *transport) close() {
--- a/internal/controlplane/replica/unreachable_member_test.go
+++ b/internal/controlplane/replica/unreachable_member_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestAdditionOfAnAddressWithoutACoreProcessIsRefusedAsSuch(t *testing.T) {
-	story(t, func(f *fleet) {
-		leader := f.found(3)
+	runScenario(t, func(f *fleet) {
+		leader := f.foundCluster(3)
 		var unreachable *MemberUnreachableError
 		if _, err := leader.replica.AddMember(context.Background(), "127.0.0.1:9"); !errors.As(err, &unreachable) || unreachable.Address != "127.0.0.1:9" {
 			t.Errorf("adding an address where nobody listens: %v", err)
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -22,7 +22,7 @@
 	// leaderAddress is where the leader was last heard, if anywhere.
 	leaderAddress string
 	// heardLeader is when this member last followed a leader or led.
-	heardLeader time.Time
+	lastLeaderContact time.Time
 	// leaderKnown is closed once a leader is known; a view without one has a channel that its successors close.
 	leaderKnown <-chan struct{}
 }
--- a/internal/controlplane/replica/waiters.go
+++ b/internal/controlplane/replica/waiters.go
@@ -35,7 +35,7 @@
 	done := make(chan error, 1)
 	err := r.enqueue(request{
 		run:    func() { r.owner.read(done) },
-		refuse: func(err error) { done <- err },
+		reject: func(err error) { done <- err },
 	})
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 }
 
 // confirm takes the node's answers to reads.
-func (w *waiters) confirm(results []consensus.ReadResult) {
+func (w *waiters) confirmReads(results []consensus.ReadResult) {
 	for _, result := range results {
 		done := w.reads[result.ID]
 		delete(w.reads, result.ID)
@@ -77,7 +77,7 @@
 }
 
 // applied answers the confirmed reads up to index.
-func (w *waiters) applied(index uint64) {
+func (w *waiters) resolveReads(index uint64) {
 	kept := w.confirmed[:0]
 	for _, read := range w.confirmed {
 		if read.index > index {
@@ -91,7 +91,7 @@
 
 // resolve answers the proposal that became this entry. An entry of another term at its index
 // means that the proposal was replaced and will never be committed.
-func (w *waiters) resolve(entry *protocol.Entry, result []byte) {
+func (w *waiters) resolveEntry(entry *protocol.Entry, result []byte) {
 	index := entry.GetIndex()
 	done := w.proposals[index]
 	if done == nil {
@@ -106,7 +106,7 @@
 }
 
 // expect notes that an entry of the term answers done. Waiters of an earlier term are answered first.
-func (w *waiters) expect(term, index uint64, done chan proposalResult) {
+func (w *waiters) register(term, index uint64, done chan proposalResult) {
 	if term != w.term {
 		w.leadershipLost(w.term, &NotLeaderError{})
 		w.term = term
@@ -128,7 +128,7 @@
 }
 
 // stop answers all that wait when the owner ends for a cause.
-func (w *waiters) stop(cause error) {
+func (w *waiters) failAll(cause error) {
 	for _, done := range w.proposals {
 		done <- proposalResult{err: &UnknownOutcomeError{Cause: cause}}
 	}
