--- a/internal/dataplane/directory/call_answers.go
+++ b/internal/dataplane/directory/call_answers.go
@@ -7,36 +7,61 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// answered takes the answer to a call in, or its failure.
+// answered applies the answer to a call, or its failure.
 func (d *Directory) answered(event Answered) {
 	done := d.calls[event.Call]
 	if done == nil {
 		return
 	}
-	delete(d.calls, event.Call)
-	if done.peer.call == event.Call {
+	d.endCall(done)
+	if event.Response != nil {
+		d.recordDuration(d.at.Now.Sub(done.sentAt))
+	}
+	incarnation := incarnationOf(event.Response)
+	loss, isLost := done.lossShownBy(event, incarnation)
+	if !isLost {
+		d.observeContact(done, incarnation)
+	}
+	d.applyAnswer(done, event)
+	if isLost {
+		// Last, since a suspicion puts a view in force, which moves what the answer has just changed.
+		d.observeFailure(done.peer, loss, done.kind == callPing)
+	}
+}
+
+// endCall removes a call, so that the next one to its peer may begin.
+func (d *Directory) endCall(done *call) {
+	delete(d.calls, done.number)
+	if done.peer.call == done.number {
 		done.peer.call = 0
 		d.schedule(done.peer)
 	}
-	if done.peer.pingCall == event.Call {
+	if done.peer.pingCall == done.number {
 		done.peer.pingCall = 0
 		d.schedule(done.peer)
 	}
-	if event.Response != nil {
-		d.recordDuration(d.at.Now.Sub(done.sentAt))
+}
+
+// lossShownBy is the failure that the end of a call shows of the incarnation that was called; false when that one
+// answered.
+func (c *call) lossShownBy(event Answered, incarnation uint64) (CallFailure, bool) {
+	if event.Response == nil {
+		return event.Failure, true
 	}
-	incarnation := incarnationOf(event.Response)
-	switch {
-	case event.Response == nil:
-		defer d.observeFailure(done.peer, event.Failure, done.kind == callPing)
-	case incarnation > done.peer.member.Incarnation:
-		// The one that the view has is gone, and a view with the next one is on its way.
-		defer d.observeFailure(done.peer, CallConnectionRefused, done.kind == callPing)
-	case incarnation == 0 || incarnation == done.peer.member.Incarnation:
+	// A later incarnation answers: the one that was called has ended, and a view with the next one will follow.
+	return CallConnectionRefused, incarnation > c.peer.member.Incarnation
+}
+
+// observeContact trusts the peer if the incarnation that was called answered, or one that the answer does not name.
+func (d *Directory) observeContact(done *call, incarnation uint64) {
+	if incarnation == 0 || incarnation == done.peer.member.Incarnation {
 		d.trust(done.peer, done.kind == callPing)
-	default:
-		d.observeFailure(done.peer, CallInconclusive, false)
+		return
 	}
+	d.observeFailure(done.peer, CallInconclusive, false)
+}
+
+func (d *Directory) applyAnswer(done *call, event Answered) {
 	switch done.kind {
 	case callLookup:
 		d.lookupAnswered(done, event.Response.GetLookupSession())
@@ -49,11 +74,11 @@
 	case callDisplaced:
 		d.displacedAnswered(done, event)
 	case callReregistrationRequest, callPing:
-		// To a question the peer answers with a registration of its own; the gain asks again until it comes.
+		// A peer answers a request for reregistration with a request of its own; the transfer repeats it until that comes.
 	}
 }
 
-// incarnationOf is the incarnation that answered; zero when the answer does not name it.
+// incarnationOf is the incarnation that answered; 0 when the answer does not name it.
 func incarnationOf(response *protocol.Response) uint64 {
 	switch body := response.GetBody().(type) {
 	case *protocol.Response_LookupSession:
@@ -68,15 +93,15 @@
 }
 
 // backoff doubles the policy's retry delay with each failure up to a limit, with jitter.
-func (d *Directory) backoff(failures int, longest time.Duration) time.Duration {
+func (d *Directory) backoff(failures int, limit time.Duration) time.Duration {
 	wait := d.policy.RetryDelay
 	for range min(failures-1, 10) {
 		wait *= 2
 	}
-	return d.jitter(min(wait, longest))
+	return d.jitter(min(wait, limit))
 }
 
-// jitter returns between half and the whole of a duration.
+// jitter returns between half and all of a duration.
 func (d *Directory) jitter(wait time.Duration) time.Duration {
 	half := wait / 2
 	return half + time.Duration(d.options.Random.Int64N(int64(half)+1))
@@ -93,11 +118,11 @@
 		results[result.GetSession()] = result
 	}
 	var waits []time.Duration
-	for _, waiting := range done.items {
-		if waiting.call != event.Call || !d.isCurrent(waiting, done.peer) {
+	for _, pending := range done.items {
+		if pending.call != event.Call || !d.isCurrent(pending, done.peer) {
 			continue
 		}
-		if wait, settled := d.completeItem(waiting, results[waiting.session]); settled {
+		if wait, accepted := d.completeItem(pending, results[pending.session]); accepted {
 			waits = append(waits, wait)
 		}
 	}
@@ -108,27 +133,28 @@
 	d.completionAcknowledged(done, answer.GetViewVersion())
 }
 
-// settleItem applies the result of one item. It returns how long a session of the salvage list waited when it was accepted.
-func (d *Directory) completeItem(waiting *item, result *protocol.RegistrationResult) (time.Duration, bool) {
+// completeItem applies the result of one item. For a session of the salvage list that was accepted it returns how long
+// it waited, and true.
+func (d *Directory) completeItem(pending *item, result *protocol.RegistrationResult) (time.Duration, bool) {
 	status := result.GetStatus()
 	if status != protocol.DirectoryStatus_DIRECTORY_OK && status != protocol.DirectoryStatus_DUPLICATE_ACTIVATION {
 		d.stats.IncorrectPartition++
-		d.target(waiting)
+		d.target(pending)
 		return 0, false
 	}
-	if d.handOff[waiting.session] == waiting {
+	if d.handOff[pending.session] == pending {
 		d.stats.HandedOff++
-		delete(d.handOff, waiting.session)
+		delete(d.handOff, pending.session)
 		return 0, false
 	}
-	accepted := d.completeSalvage(waiting, result)
-	return d.at.Now.Sub(waiting.since), accepted
+	accepted := d.completeSalvage(pending, result)
+	return d.at.Now.Sub(pending.since), accepted
 }
 
-// settleSalvage takes a session off the salvage list on success or refusal.
-func (d *Directory) completeSalvage(waiting *item, result *protocol.RegistrationResult) bool {
-	delete(d.salvage, waiting.session)
-	session := d.owned[waiting.session]
+// completeSalvage removes a session from the salvage list and reports whether the registration was accepted.
+func (d *Directory) completeSalvage(pending *item, result *protocol.RegistrationResult) bool {
+	delete(d.salvage, pending.session)
+	session := d.owned[pending.session]
 	if session == nil {
 		return false
 	}
@@ -140,18 +166,18 @@
 	}
 	d.stats.Salvaged++
 	session.confirmed = true
-	d.continueResolve(waiting.session)
+	d.continueResolve(pending.session)
 	return true
 }
 
-// refusedAny reports whether an answer shows that the peer does not take itself for the holder.
+// anyIncorrectPartition reports whether an answer shows that the peer does not consider itself the holder.
 func anyIncorrectPartition(results []*protocol.RegistrationResult) bool {
 	return slices.ContainsFunc(results, func(result *protocol.RegistrationResult) bool {
 		return result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
 	})
 }
 
-// noteView keeps a peer whose view differs from being asked again at once.
+// backOffWhileViewDiffers delays the next call to a peer whose view differs from this node's.
 func (d *Directory) backOffWhileViewDiffers(peer *peer, differs bool) {
 	if !differs {
 		peer.viewMismatches = 0
@@ -161,18 +187,18 @@
 	peer.notBefore = d.at.Now.Add(d.backoff(peer.viewMismatches, maxViewBackoff))
 }
 
-// noteCompletion ends the debt of a completion once the peer's view is the one that it was said for.
-// A peer that is behind does not know yet what it gained and is told again; one that is ahead
-// may have gained more, for which completion is owed under its view.
+// completionAcknowledged ends a pending completion once the peer's view is the one that it was sent for.
+// A peer that is behind does not know yet what it gained, and gets it again; one that is ahead
+// may have gained more, for which a completion is pending under its view.
 func (d *Directory) completionAcknowledged(done *call, peerVersion uint64) {
-	if !done.complete || done.peer.pendingCompletion == 0 || done.peer.pendingCompletion > done.view || done.peer.pendingCompletionGeneration > done.viewGeneration {
+	if !done.complete || !done.peer.pendingCompletionCoveredBy(done) {
 		return
 	}
 	switch {
 	case peerVersion < done.peer.pendingCompletion:
 		d.backOffWhileViewDiffers(done.peer, true)
 		if len(done.items) == 0 {
-			// No session waits for it; a holder that is behind is not to be asked by all nodes in quick turns.
+			// No session waits for it, and all nodes would call a holder that is behind in rapid succession.
 			done.peer.notBefore = d.at.Now.Add(d.jitter(maxViewBackoff))
 		}
 	case peerVersion > d.view.Version:
@@ -183,11 +209,17 @@
 	}
 }
 
-// requeue puts the items of a call back that got no answer.
+// pendingCompletionCoveredBy reports whether a completion is pending and became so before the call was sent.
+func (p *peer) pendingCompletionCoveredBy(done *call) bool {
+	return p.pendingCompletion > 0 && p.pendingCompletion <= done.view &&
+		p.pendingCompletionGeneration <= done.viewGeneration
+}
+
+// requeue queues the items of a call without an answer again.
 func (d *Directory) requeue(done *call) {
-	for _, waiting := range done.items {
-		if d.isCurrent(waiting, done.peer) {
-			d.target(waiting)
+	for _, pending := range done.items {
+		if d.isCurrent(pending, done.peer) {
+			d.target(pending)
 		}
 	}
 }
@@ -198,27 +230,27 @@
 		d.requeue(done)
 		return
 	}
-	refused := make(map[string]bool)
+	incorrectPartition := make(map[string]bool)
 	for _, result := range answer.GetResults() {
-		refused[result.GetSession()] = result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
+		incorrectPartition[result.GetSession()] = result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
 	}
-	for _, waiting := range done.items {
-		if waiting.call != event.Call || !d.isCurrent(waiting, done.peer) {
+	for _, pending := range done.items {
+		if pending.call != event.Call || !d.isCurrent(pending, done.peer) {
 			continue
 		}
-		if refused[waiting.session] {
+		if incorrectPartition[pending.session] {
 			d.stats.IncorrectPartition++
-			d.target(waiting)
+			d.target(pending)
 			continue
 		}
-		d.completeWithdrawal(waiting)
+		d.completeWithdrawal(pending)
 	}
 	d.backOffWhileViewDiffers(done.peer, anyIncorrectPartition(answer.GetResults()))
 }
 
-func (d *Directory) completeWithdrawal(waiting *item) {
-	delete(d.withdrawals, waiting.session)
-	d.continueResolve(waiting.session)
+func (d *Directory) completeWithdrawal(pending *item) {
+	delete(d.withdrawals, pending.session)
+	d.continueResolve(pending.session)
 }
 
 func (d *Directory) displacedAnswered(done *call, event Answered) {
--- a/internal/dataplane/directory/command.go
+++ b/internal/dataplane/directory/command.go
@@ -7,11 +7,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Command is something that the shell round the directory has to do.
+// Command is an effect that the shell around the directory has to carry out.
 type Command interface{ command() }
 
 // Send calls a peer once; the shell answers with Answered under the same number.
-// No answer within Timeout is a failure by silence.
+// No answer within Timeout is the failure CallTimedOut.
 type Send struct {
 	Timeout time.Duration
 	Call    uint64
@@ -21,7 +21,7 @@
 }
 
 // Resolved answers a ResolveRequested. Code is empty when Owner is known;
-// otherwise the request was not run and may be tried again after RetryAfter.
+// otherwise nothing was run, and the caller may retry after RetryAfter.
 type Resolved struct {
 	Ticket     uint64
 	Owner      Owner
@@ -29,38 +29,38 @@
 	RetryAfter time.Duration
 }
 
-// Yielded says that this node gave a session up and must drop what it keeps of it.
+// Yielded reports that this node gave up a session, whose cached state the shell must drop.
 type Yielded struct {
 	Session string
 	Reason  YieldReason
 }
 
-// Reregistered says how long each session of one answer had been on the salvage list.
+// Reregistered reports how long each session that one answer accepted had been on the salvage list.
 type Reregistered struct{ Waits []time.Duration }
 
-// Settled says that a range gained is complete, and how long that took.
+// TransferCompleted reports that the ranges gained with one view are complete, and how long that took.
 type TransferCompleted struct{ Took time.Duration }
 
-func (Send) command()         {}
-func (Resolved) command()     {}
-func (Yielded) command()      {}
-func (Reregistered) command() {}
-func (TransferCompleted) command()      {}
+func (Send) command()              {}
+func (Resolved) command()          {}
+func (Yielded) command()           {}
+func (Reregistered) command()      {}
+func (TransferCompleted) command() {}
 
 // Owner is the front node that owns a session.
 type Owner struct {
 	Name        string
 	Address     string
 	Incarnation uint64
-	// Local is true when it is the asking node itself.
+	// Local is true when the owner is this node itself.
 	Local bool
-	// PartitionHolder names the node that holds the session's partition.
+	// PartitionHolder names the node that holds the session's partition; empty on an empty ring.
 	PartitionHolder string
 	ViewVersion     uint64
 	CacheHit        bool
 }
 
-// YieldReason says why a session was given up.
+// YieldReason is why a session was given up. Its values are labels of a metric.
 type YieldReason string
 
 // Reasons for giving a session up.
@@ -73,7 +73,7 @@
 	YieldDrain YieldReason = "drain"
 	// YieldEnded: its partition holder was lost under the end-sessions policy.
 	YieldEnded YieldReason = "ended"
-	// YieldFenced: the ledger refused this node's epoch.
+	// YieldFenced: the ledger rejected this node's epoch.
 	YieldFenced YieldReason = "fenced"
 )
 
--- a/internal/dataplane/directory/event.go
+++ b/internal/dataplane/directory/event.go
@@ -12,7 +12,7 @@
 	Authority bool
 }
 
-// Event is something that the directory of a front node reacts to.
+// Event is an input of a Directory.
 type Event interface{ event() }
 
 // ViewChanged brings a newer membership view.
@@ -21,10 +21,11 @@
 // PolicyChanged brings the recovery policy of the bundle in force.
 type PolicyChanged struct{ Policy Policy }
 
-// Reincarnated says that authority was lost and this node goes on under a new incarnation.
+// Reincarnated reports that authority was lost and that this node continues under a new incarnation.
 type Reincarnated struct{ Incarnation uint64 }
 
-// ResolveRequested asks who owns a session. It is answered with one Resolved command.
+// ResolveRequested queries the owner of a session. One Resolved command answers it, by Deadline at the latest, unless
+// it is cancelled.
 type ResolveRequested struct {
 	Ticket   uint64
 	Session  string
@@ -32,14 +33,15 @@
 	Deadline time.Time
 }
 
-// ResolveCancelled says that nobody waits for the ticket any more.
+// ResolveCancelled withdraws the request with that ticket.
 type ResolveCancelled struct{ Ticket uint64 }
 
-// Forgotten drops the cached owner of a session, after that node denied it or could not be reached.
+// OwnerInvalidated drops the cached owner of a session, after that node rejected a request for it or could not be
+// reached.
 type OwnerInvalidated struct{ Session string }
 
 // Answered brings the answer to a Send command. Response is nil when the call
-// failed; the request may have been served all the same.
+// failed; the peer may have served the request nevertheless.
 type Answered struct {
 	Call     uint64
 	Response *protocol.Response
@@ -47,25 +49,25 @@
 	Failure CallFailure
 }
 
-// PeerBroken says that the connection to an address broke.
+// PeerBroken reports that the connection to an address broke.
 type PeerBroken struct{ Address string }
 
-// PeerFailed brings the failure of a call that was not the directory's own, such as of a turn passed on.
+// PeerFailed reports the failure of a call that the directory did not make itself, such as a forwarded turn.
 type PeerFailed struct {
 	Address string
 	Failure CallFailure
 }
 
-// GrantEnded says that a turn or call begun with Begin is settled.
+// GrantEnded reports that a turn or call admitted by Begin is committed.
 type GrantEnded struct{ Session string }
 
-// OwnershipLost says that the ledger refused this node's epoch of a session although no refusal of the directory is known.
+// OwnershipLost reports that the ledger rejected this node's epoch of a session, whatever the directory knows of it.
 type OwnershipLost struct{ Session string }
 
-// DrainBegun makes the node give up its sessions and hand off its partition.
+// DrainBegun makes the node yield its sessions and hand off its partition.
 type DrainBegun struct{}
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed; see Directory.NextTick.
 type Ticked struct{}
 
 func (ViewChanged) event()      {}
@@ -73,7 +75,7 @@
 func (Reincarnated) event()     {}
 func (ResolveRequested) event() {}
 func (ResolveCancelled) event() {}
-func (OwnerInvalidated) event()        {}
+func (OwnerInvalidated) event() {}
 func (Answered) event()         {}
 func (PeerBroken) event()       {}
 func (PeerFailed) event()       {}
--- a/internal/dataplane/directory/fleet_test.go
+++ b/internal/dataplane/directory/fleet_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	places  = 4
-	step    = 5 * time.Millisecond
-	quiet   = 3 * time.Second
-	waiting = 2 * time.Second
+	virtualNodes   = 4
+	step           = 5 * time.Millisecond
+	settleTime     = 3 * time.Second
+	resolveTimeout = 2 * time.Second
 )
 
 // fleet is a number of directories in memory, on a virtual clock, that call each other at once.
@@ -30,7 +30,7 @@
 	// intercept may answer a call in place of its target; handled false lets it through.
 	intercept func(from, to string, request *protocol.Request) (response *protocol.Response, handled bool)
 	sent      []*protocol.Request
-	// failure is what a call that gets no answer shows; nothing at first, so that the lease alone decides.
+	// failure is what a call without an answer shows; inconclusive at first, so that the lease alone decides.
 	failure directory.CallFailure
 }
 
@@ -41,12 +41,12 @@
 	directory *directory.Directory
 	authority bool
 	draining  bool
-	// nothing is what the view says of the node: that it has owned no session.
-	nothing  bool
-	gone     bool
-	resolved map[uint64]directory.Resolved
-	yielded  []directory.Yielded
-	ticket   uint64
+	// freshStart is what the view says of the node: that it has owned no session.
+	freshStart bool
+	down       bool
+	resolved   map[uint64]directory.Resolved
+	yielded    []directory.Yielded
+	ticket     uint64
 }
 
 func newFleet(names ...string) *fleet {
@@ -80,14 +80,14 @@
 	f.version++
 	var fronts []directory.Front
 	for _, name := range f.names {
-		if node := f.nodes[name]; !node.gone {
-			fronts = append(fronts, directory.Front{Member: node.self, Draining: node.draining, FreshStart: node.nothing})
+		if node := f.nodes[name]; !node.down {
+			fronts = append(fronts, directory.Front{Member: node.self, Draining: node.draining, FreshStart: node.freshStart})
 		}
 	}
-	return directory.NewView(f.version, fronts, places)
+	return directory.NewView(f.version, fronts, virtualNodes)
 }
 
-// publish brings the present membership to some nodes; the others see it with a later one or never.
+// publish brings the present membership to some nodes; the others receive it with a later one or never.
 func (f *fleet) publish(names ...string) directory.View {
 	view := f.view()
 	f.deliver(view, names...)
@@ -100,14 +100,14 @@
 	}
 }
 
-// settle lets time pass until everything that was under way has come to an end.
-func (f *fleet) settle() { f.advance(quiet) }
+// settle lets time pass until everything that was in flight has ended.
+func (f *fleet) settle() { f.advance(settleTime) }
 
 func (f *fleet) advance(time time.Duration) {
 	for range int(time / step) {
 		f.now = f.now.Add(step)
 		for _, name := range f.names {
-			if node := f.nodes[name]; !node.gone {
+			if node := f.nodes[name]; !node.down {
 				node.handle(directory.Ticked{})
 			}
 		}
@@ -115,7 +115,7 @@
 }
 
 func (m *member) at() directory.Moment {
-	return directory.Moment{Now: m.fleet.now, Authority: m.authority && !m.gone}
+	return directory.Moment{Now: m.fleet.now, Authority: m.authority && !m.down}
 }
 
 func (m *member) handle(event directory.Event) { m.execute(m.directory.Handle(m.at(), event)) }
@@ -142,7 +142,7 @@
 		}
 	}
 	target := f.nodes[command.Name]
-	if target == nil || target.gone || !target.authority {
+	if target == nil || target.down || !target.authority {
 		return nil, f.failure
 	}
 	return target.serve(command.Request), f.failure
@@ -184,17 +184,21 @@
 	return m.serveLookup(passedOn)
 }
 
-// ask begins to resolve a session.
-func (m *member) ask(session string) uint64 {
+// request begins to resolve a session and returns its ticket.
+func (m *member) request(session string) uint64 {
 	m.ticket++
-	m.handle(directory.ResolveRequested{Ticket: m.ticket, Session: session, Program: "program", Deadline: m.fleet.now.Add(waiting)})
+	m.handle(
+		directory.ResolveRequested{
+			Ticket: m.ticket, Session: session, Program: "program", Deadline: m.fleet.now.Add(resolveTimeout),
+		},
+	)
 	return m.ticket
 }
 
-// resolve asks and lets time pass until there is an answer.
+// resolve requests a session and lets time pass until there is an answer.
 func (m *member) resolve(session string) directory.Resolved {
-	ticket := m.ask(session)
-	for range int(2 * waiting / step) {
+	ticket := m.request(session)
+	for range int(2 * resolveTimeout / step) {
 		if answer, found := m.resolved[ticket]; found {
 			return answer
 		}
@@ -230,11 +234,12 @@
 	for _, name := range f.names {
 		fronts = append(fronts, directory.Front{Member: f.nodes[name].self})
 	}
-	return directory.NewView(1, fronts, places).Holder(session)
+	return directory.NewView(1, fronts, virtualNodes).Holder(session)
 }
 
-// heldBy finds a session whose holder among the members is the one named, and, with successor, whose next holder is that one.
-func heldBy(members []string, holder, successor string) string {
+// sessionHeldBy finds a session whose holder among the members is the one named, and, with successor, whose next
+// holder is that one.
+func sessionHeldBy(members []string, holder, successor string) string {
 	find := func(without string) *ring.Ring {
 		var list []ring.Member
 		for _, name := range members {
@@ -242,7 +247,7 @@
 				list = append(list, ring.Member{Name: name, Address: name + ":1"})
 			}
 		}
-		return ring.New(list, places)
+		return ring.New(list, virtualNodes)
 	}
 	all, rest := find(""), find(holder)
 	for i := range 100_000 {
--- a/internal/dataplane/directory/fresh_start_test.go
+++ b/internal/dataplane/directory/fresh_start_test.go
@@ -7,25 +7,27 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a front node that has owned nothing", func() {
+var _ = Describe("a front node with a fresh start", func() {
 	members := []string{"a", "b", "c", "d"}
 	var fleet *fleet
 
 	BeforeEach(func() { fleet = newFleet(members...) })
 
-	It("is not waited for by a holder that gained a range", func() {
-		session := heldBy(members, "c", "b")
-		fleet.nodes["c"].gone = true
-		fleet.nodes["d"].nothing = true
+	It("is not awaited by a holder that gained a range", func() {
+		session := sessionHeldBy(members, "c", "b")
+		fleet.nodes["c"].down = true
+		fleet.nodes["d"].freshStart = true
 		fleet.publish("b", "a")
 		node := fleet.nodes["b"]
 		answer, _, _ := node.directory.ServeLookup(node.at(), &protocol.LookupSessionRequest{Session: session})
-		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND), "a has said complete, and d owes no word")
+		Expect(answer.GetStatus()).To(
+			Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND), "a has sent its completion, and that of d is not needed",
+		)
 	})
 
-	It("tells nobody so when the whole fleet has returned", func() {
+	It("sends no completion after a mass restart", func() {
 		for _, name := range members {
-			fleet.nodes[name].nothing = true
+			fleet.nodes[name].freshStart = true
 			fleet.nodes[name].reincarnate()
 		}
 		fleet.sent = nil
@@ -34,18 +36,18 @@
 		Expect(fleet.sent).To(BeEmpty())
 	})
 
-	It("registers what it owns anew with the first view that shows that it owns any", func() {
+	It("registers its sessions again with the first view that shows that it owns any", func() {
 		owner := fleet.nodes["a"]
-		owner.nothing = true
+		owner.freshStart = true
 		fleet.publish(members...)
-		session := heldBy(members, "c", "b")
+		session := sessionHeldBy(members, "c", "b")
 		owner.resolve(session)
-		fleet.nodes["c"].gone = true
-		// b gains the range and does not wait for a, which has not seen the view.
+		fleet.nodes["c"].down = true
+		// b gains the range and does not await a, which has not received the view.
 		fleet.publish("b", "d")
 		Expect(fleet.nodes["b"].registeredOwner(session)).To(BeEmpty())
-		fleet.nodes["c"].gone = false
-		owner.nothing = false
+		fleet.nodes["c"].down = false
+		owner.freshStart = false
 		fleet.sent = nil
 		fleet.publish("a")
 		Expect(fleet.sent).To(ContainElement(HaveField("GetRegisterSessions()", HaveField("Registrations", HaveLen(1)))))
--- a/internal/dataplane/directory/hand_off_test.go
+++ b/internal/dataplane/directory/hand_off_test.go
@@ -12,9 +12,8 @@
 )
 
 var _ = Describe("a holder that gained a range", func() {
-	lookup := func(fleet *fleet, holder, session string) protocol.DirectoryStatus {
-		node := fleet.nodes[holder]
-		answer, _, _ := node.directory.ServeLookup(node.at(), &protocol.LookupSessionRequest{Session: session})
+	lookup := func(holder *member, session string) protocol.DirectoryStatus {
+		answer, _, _ := holder.directory.ServeLookup(holder.at(), &protocol.LookupSessionRequest{Session: session})
 		return answer.GetStatus()
 	}
 	registerNew := func(fleet *fleet, holder, from, session string) protocol.DirectoryStatus {
@@ -28,43 +27,43 @@
 		return answer.GetResults()[0].GetStatus()
 	}
 
-	It("answers that it settles until every front node said complete", func() {
+	It("answers that it is transferring until every front node sent its completion", func() {
 		members := []string{"a", "b", "c", "d"}
 		fleet := newFleet(members...)
-		session := heldBy(members, "c", "b")
-		fleet.nodes["c"].gone = true
+		session := sessionHeldBy(members, "c", "b")
+		fleet.nodes["c"].down = true
 		view := fleet.publish("b", "a")
-		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
+		Expect(lookup(fleet.nodes["b"], session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 		Expect(registerNew(fleet, "b", "a", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 		fleet.deliver(view, "d")
-		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
+		Expect(lookup(fleet.nodes["b"], session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
 		Expect(registerNew(fleet, "b", "a", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_OK))
 	})
 
-	It("settles no longer than the bound when a node stays silent, and goes on asking it", func() {
+	It("is transferring no longer than the timeout when a node is unresponsive, and repeats its requests", func() {
 		members := []string{"a", "b", "c", "d"}
 		fleet := newFleet(members...)
-		session := heldBy(members, "c", "b")
-		fleet.nodes["c"].gone = true
+		session := sessionHeldBy(members, "c", "b")
+		fleet.nodes["c"].down = true
 		fleet.nodes["d"].authority = false
 		fleet.publish("a", "b")
 		fleet.advance(directory.DefaultTransferTimeout - 100*time.Millisecond)
-		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
+		Expect(lookup(fleet.nodes["b"], session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 		fleet.advance(200 * time.Millisecond)
-		Expect(lookup(fleet, "b", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
-		asked := fleet.nodes["b"].directory.Stats().ReregistrationRequests
+		Expect(lookup(fleet.nodes["b"], session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
+		requestsBefore := fleet.nodes["b"].directory.Stats().ReregistrationRequests
 		fleet.advance(10 * time.Second)
-		Expect(fleet.nodes["b"].directory.Stats().ReregistrationRequests).To(BeNumerically(">", asked))
+		Expect(fleet.nodes["b"].directory.Stats().ReregistrationRequests).To(BeNumerically(">", requestsBefore))
 	})
 
-	It("asks a node that skipped the view to register again", func() {
+	It("requests reregistration of a node that skipped the view", func() {
 		fleet := newFleet(trio...)
-		session := heldBy(trio, "c", "b")
+		session := sessionHeldBy(trio, "c", "b")
 		owner := fleet.nodes["a"]
 		owner.resolve(session)
 		// c goes and comes back under the same incarnation as far as a can see: a saw neither view, b both.
 		before := fleet.nodes["c"].self
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		fleet.publish("b")
 		fleet.nodes["c"] = nil
 		fleet.names = []string{"a", "b"}
@@ -74,14 +73,14 @@
 		fleet.publish("b", "c")
 		view := fleet.view()
 		fleet.deliver(view, "b", "c", "a")
-		Expect(owner.directory.OnSalvageList(session)).To(BeFalse(), "a saw no change of hands")
+		Expect(owner.directory.OnSalvageList(session)).To(BeFalse(), "a saw no change of holder")
 		fleet.settle()
 		Expect(fresh.registeredOwner(session)).To(Equal("a"))
 	})
 
 	It("gets what moved from the former holder when it joins", func() {
 		fleet := newFleet("a", "b")
-		session := heldBy(trio, "c", "b")
+		session := sessionHeldBy(trio, "c", "b")
 		fleet.nodes["a"].resolve(session)
 		former := fleet.nodes["a"]
 		if fleet.nodes["b"].registeredOwner(session) != "" {
@@ -98,10 +97,10 @@
 		Expect(handedOff).To(BeNumerically(">", 0))
 	})
 
-	It("takes no registration of an owner that its view no longer has", func() {
+	It("accepts no registration of an owner that its view no longer has", func() {
 		fleet := newFleet(trio...)
-		session := heldBy(trio, "c", "")
-		fleet.nodes["a"].gone = true
+		session := sessionHeldBy(trio, "c", "")
+		fleet.nodes["a"].down = true
 		fleet.publish("b", "c")
 		fleet.settle()
 		Expect(registerNew(fleet, "c", "a", session)).To(Equal(protocol.DirectoryStatus_INCORRECT_PARTITION))
@@ -109,12 +108,12 @@
 })
 
 var _ = Describe("a drain", func() {
-	It("hands the partition off, gives up sessions after their turns and takes no new ones", func() {
+	It("hands the partition off, yields sessions after their turns and accepts no new ones", func() {
 		fleet := newFleet(trio...)
 		node := fleet.nodes["c"]
-		inPartition := heldBy(trio, "c", "b")
+		inPartition := sessionHeldBy(trio, "c", "b")
 		fleet.nodes["a"].resolve(inPartition)
-		idle, busy := heldBy(trio, "a", ""), heldBy(trio, "b", "")
+		idle, busy := sessionHeldBy(trio, "a", ""), sessionHeldBy(trio, "b", "")
 		node.resolve(idle)
 		node.resolve(busy)
 		code, _ := node.directory.Begin(node.at(), busy)
@@ -124,7 +123,7 @@
 		node.handle(directory.DrainBegun{})
 		fleet.publish(trio...)
 		fleet.settle()
-		Expect(node.directory.Drained()).To(BeFalse(), "a turn is under way")
+		Expect(node.directory.Drained()).To(BeFalse(), "a turn is in flight")
 		Expect(fleet.nodes["a"].registeredOwner(idle)).To(BeEmpty())
 		Expect(fleet.nodes["b"].registeredOwner(inPartition)).To(Equal("a"))
 		passedOn := node.resolve("never seen")
@@ -139,7 +138,7 @@
 		Expect(fleet.nodes["a"].resolve(busy).Owner.Local).To(BeTrue())
 	})
 
-	It("ends at once when nobody is left to hand over to", func() {
+	It("ends immediately when no other node is left", func() {
 		fleet := newFleet("a")
 		node := fleet.nodes["a"]
 		node.resolve("session")
--- a/internal/dataplane/directory/holder.go
+++ b/internal/dataplane/directory/holder.go
@@ -1,62 +1,29 @@
 package directory
 
 import (
-	"slices"
-	"time"
-
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// entry is one registration held.
+// entry is one registration of this node's partition.
 type entry struct {
 	registration *protocol.Registration
 	key          uint64
-	// seen is the highest view version named with it; a view older than that cannot tell that the owner is gone.
+	// viewVersion is the highest view version that was named with it; an older view cannot show that the owner was
+	// removed.
 	viewVersion uint64
 }
 
-// gain is what this node gained with one view and whose registrations are not complete.
-type transfer struct {
-	ranges  []ring.Range
-	version uint64
-	since   time.Time
-	nextRequestAt   time.Time
-	requestInterval time.Duration
-	// waiting holds the incarnation of each front node whose word is needed and has not come.
-	awaiting map[string]uint64
-	// said holds the front nodes that have said complete.
-	completed map[string]bool
-	// everyone is true once the word of every front node is needed.
-	awaitsAll bool
-	// bound is how long the ranges may settle.
-	timeout time.Duration
-	// suspects are the former holders that are only suspected, by name.
-	suspects map[string]uint64
-}
-
-// holds reports whether this node is the holder of the key by its view.
+// holds reports whether this node is the holder of the key in its view.
 func (d *Directory) holds(key uint64) bool {
 	holder, found := d.view.holder(key)
 	return found && d.isSelf(holder)
 }
 
-// settling reports whether the key is in a range gained whose registrations may still be on their way.
-func (d *Directory) isTransferring(key uint64) bool {
-	for _, each := range d.transfers {
-		if d.at.Now.Before(each.since.Add(each.timeout)) && each.contains(key) {
-			return true
-		}
-	}
-	return false
-}
-
-func (g *transfer) contains(key uint64) bool {
-	return slices.ContainsFunc(g.ranges, func(each ring.Range) bool { return each.Contains(key) })
-}
-
-// ServeRegister takes registrations as holder. It must be called only with authority.
-func (d *Directory) ServeRegister(at Moment, request *protocol.RegisterSessionsRequest) (*protocol.RegisterSessionsResponse, []Command) {
+// ServeRegister decides on registrations as holder. It must be called only with authority.
+func (d *Directory) ServeRegister(
+	at Moment, request *protocol.RegisterSessionsRequest,
+) (*protocol.RegisterSessionsResponse, []Command) {
 	d.at = at
 	response := &protocol.RegisterSessionsResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
 	d.applyIndirectSuspicions(request.GetSuspects())
@@ -75,8 +42,10 @@
 	return response, d.takeCommands()
 }
 
-// register decides on one registration.
-func (d *Directory) register(registration *protocol.Registration, cause protocol.RegistrationCause, senderVersion uint64) *protocol.RegistrationResult {
+// register checks that this node may decide on a registration, and decides.
+func (d *Directory) register(
+	registration *protocol.Registration, cause protocol.RegistrationCause, senderVersion uint64,
+) *protocol.RegistrationResult {
 	key := ring.Key(registration.GetSession())
 	result := &protocol.RegistrationResult{Session: registration.GetSession()}
 	switch {
@@ -90,8 +59,8 @@
 	return result
 }
 
-// goneOwnerStatus answers for an owner that the view no longer has: the former
-// holder may forget it, the owner itself has to come back under a new incarnation.
+// removedOwnerStatus answers for an owner that was removed from the view: the former
+// holder may drop the registration, and the owner itself must return under a new incarnation.
 func removedOwnerStatus(cause protocol.RegistrationCause) protocol.DirectoryStatus {
 	if cause == protocol.RegistrationCause_CAUSE_HAND_OFF {
 		return protocol.DirectoryStatus_DIRECTORY_OK
@@ -99,9 +68,12 @@
 	return protocol.DirectoryStatus_INCORRECT_PARTITION
 }
 
-func (d *Directory) decide(registration *protocol.Registration, cause protocol.RegistrationCause, key, senderVersion uint64) (protocol.DirectoryStatus, *protocol.Registration) {
-	held := d.partition[registration.GetSession()]
-	if held == nil {
+// decide accepts a registration, or answers DUPLICATE_ACTIVATION with the current one of another owner.
+func (d *Directory) decide(
+	registration *protocol.Registration, cause protocol.RegistrationCause, key, senderVersion uint64,
+) (protocol.DirectoryStatus, *protocol.Registration) {
+	current := d.partition[registration.GetSession()]
+	if current == nil {
 		first := cause == protocol.RegistrationCause_CAUSE_NEW
 		if first && (d.isTransferring(key) || senderVersion > d.view.Version) {
 			return protocol.DirectoryStatus_DIRECTORY_SETTLING, nil
@@ -109,45 +81,43 @@
 		d.partition[registration.GetSession()] = &entry{registration: registration, key: key, viewVersion: senderVersion}
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
-	held.viewVersion = max(held.viewVersion, senderVersion)
-	if held.registration.GetOwner() == registration.GetOwner() {
-		if isNewer(registration, held.registration) {
-			held.registration = registration
+	current.viewVersion = max(current.viewVersion, senderVersion)
+	if current.registration.GetOwner() == registration.GetOwner() {
+		if isNewer(registration, current.registration) {
+			current.registration = registration
 		}
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
-	if d.outranks(registration, held.registration) {
-		d.displace(displacement{registration: held.registration, viewVersion: held.viewVersion})
-		held.registration = registration
-		return protocol.DirectoryStatus_DIRECTORY_OK, nil
-	}
-	if d.policy.HigherViewVersion && registration.GetViewVersion() > held.registration.GetViewVersion() {
-		d.displace(displacement{registration: held.registration, viewVersion: held.viewVersion})
-		held.registration = registration
+	if d.outranks(registration, current.registration) {
+		d.displace(displacement{registration: current.registration, viewVersion: current.viewVersion})
+		current.registration = registration
 		return protocol.DirectoryStatus_DIRECTORY_OK, nil
 	}
-	return protocol.DirectoryStatus_DUPLICATE_ACTIVATION, held.registration
+	return protocol.DirectoryStatus_DUPLICATE_ACTIVATION, current.registration
 }
 
-// outranks reports whether a registration stays against one held of another
-// owner: because that one is lost, or because this one took the session over later.
-func (d *Directory) outranks(registration, held *protocol.Registration) bool {
-	return d.isClaimable(held, nil) || registration.GetClaim() > held.GetClaim()
+// outranks reports whether a registration replaces the current one of another
+// owner: because that owner is lost, because this one took the session over later, or by the policy's view versions.
+func (d *Directory) outranks(registration, current *protocol.Registration) bool {
+	if d.isClaimable(current, nil) || registration.GetClaim() > current.GetClaim() {
+		return true
+	}
+	return d.policy.HigherViewVersion && registration.GetViewVersion() > current.GetViewVersion()
 }
 
-// isNewer orders registrations of one owner.
-func isNewer(registration, held *protocol.Registration) bool {
-	if registration.GetOwnerIncarnation() != held.GetOwnerIncarnation() {
-		return registration.GetOwnerIncarnation() > held.GetOwnerIncarnation()
+// isNewer orders registrations of one owner; an equal one counts as newer.
+func isNewer(registration, current *protocol.Registration) bool {
+	if registration.GetOwnerIncarnation() != current.GetOwnerIncarnation() {
+		return registration.GetOwnerIncarnation() > current.GetOwnerIncarnation()
 	}
-	return registration.GetSequence() >= held.GetSequence()
+	return registration.GetSequence() >= current.GetSequence()
 }
 
 func (d *Directory) ownerInView(registration *protocol.Registration) bool {
 	return d.view.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
 }
 
-// ownerInBase reports whether the owner is in the membership, suspect or not.
+// ownerIsMember reports whether the owner is in the membership, suspected or not.
 func (d *Directory) ownerIsMember(registration *protocol.Registration) bool {
 	return d.membership.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
 }
@@ -155,11 +125,11 @@
 // displacement is a registration that lost a tie on the view version.
 type displacement struct {
 	registration *protocol.Registration
-	viewVersion         uint64
+	viewVersion  uint64
 }
 
-// displace tells an owner that it lost a tie on the view version. An owner that
-// is ahead of this node's view is told once the view has it.
+// displace notifies an owner that it lost a tie on the view version. An owner that
+// is ahead of this node's view is notified once the view has it.
 func (d *Directory) displace(lost displacement) {
 	owner := lost.registration.GetOwner()
 	switch {
@@ -174,17 +144,20 @@
 	}
 }
 
-// tellDisplaced tries again to tell owners that the view did not have.
+// notifyDisplaced retries to notify owners that the membership did not have.
 func (d *Directory) notifyDisplaced() {
-	untold := d.pendingDisplacements
+	pending := d.pendingDisplacements
 	d.pendingDisplacements = nil
-	for _, lost := range untold {
+	for _, lost := range pending {
 		d.displace(lost)
 	}
 }
 
-// ServeUnregister withdraws registrations as holder, and gives sessions up that name this node as their owner.
-func (d *Directory) ServeUnregister(at Moment, request *protocol.UnregisterSessionsRequest) (*protocol.UnregisterSessionsResponse, []Command) {
+// ServeUnregister withdraws registrations as holder, and yields sessions whose registrations name this node as the
+// owner.
+func (d *Directory) ServeUnregister(
+	at Moment, request *protocol.UnregisterSessionsRequest,
+) (*protocol.UnregisterSessionsResponse, []Command) {
 	d.at = at
 	response := &protocol.UnregisterSessionsResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
 	for _, registration := range request.GetRegistrations() {
@@ -195,7 +168,9 @@
 }
 
 func (d *Directory) unregister(registration *protocol.Registration) *protocol.RegistrationResult {
-	result := &protocol.RegistrationResult{Session: registration.GetSession(), Status: protocol.DirectoryStatus_DIRECTORY_OK}
+	result := &protocol.RegistrationResult{
+		Session: registration.GetSession(), Status: protocol.DirectoryStatus_DIRECTORY_OK,
+	}
 	if registration.GetOwner() == d.self.Name {
 		d.displacementReceived(registration)
 		return result
@@ -210,179 +185,20 @@
 
 // withdraw removes a registration of the same owner and incarnation that is not newer than the withdrawal.
 func (d *Directory) withdraw(registration *protocol.Registration) {
-	held := d.partition[registration.GetSession()]
-	if held == nil || held.registration.GetOwner() != registration.GetOwner() {
+	current := d.partition[registration.GetSession()]
+	if current == nil || current.registration.GetOwner() != registration.GetOwner() {
 		return
 	}
-	if isNewer(registration, held.registration) {
+	if isNewer(registration, current.registration) {
 		delete(d.partition, registration.GetSession())
 	}
 }
 
-// dropGoneOwners removes registrations of nodes that the view no longer has.
+// dropRemovedOwners removes registrations of nodes that the membership no longer has.
 func (d *Directory) dropRemovedOwners() {
-	for name, held := range d.partition {
-		if held.viewVersion <= d.view.Version && !d.ownerIsMember(held.registration) {
+	for name, current := range d.partition {
+		if current.viewVersion <= d.view.Version && !d.ownerIsMember(current.registration) {
 			delete(d.partition, name)
 		}
 	}
 }
-
-// updateGains begins to settle what this node gained, and stops waiting for nodes that left.
-func (d *Directory) updateTransfers(changes []ring.Change) {
-	d.dropUnsuspectedTransfers()
-	for _, each := range d.transfers {
-		left := false
-		for name, incarnation := range each.awaiting {
-			if !d.view.Has(name, incarnation) {
-				delete(each.awaiting, name)
-				left = true
-			}
-		}
-		if left {
-			// A former holder may have gone before it handed everything off.
-			d.awaitAll(each)
-		}
-	}
-	var gained []ring.Change
-	for _, change := range changes {
-		if change.To.Name != "" && d.isSelf(change.To) {
-			gained = append(gained, change)
-		}
-	}
-	if len(gained) > 0 {
-		d.transfers = append(d.transfers, d.newTransfer(gained))
-	}
-	d.finishCompleteTransfers()
-}
-
-// newGain waits for the former holders as long as they live, since each hands
-// off all that it held; for a range whose holder was lost it waits for every owner.
-func (d *Directory) newTransfer(gained []ring.Change) *transfer {
-	made := &transfer{
-		version: d.view.Version, since: d.at.Now, awaiting: make(map[string]uint64), completed: make(map[string]bool),
-		nextRequestAt: d.at.Now.Add(d.options.ReregistrationDelay), requestInterval: d.options.ReregistrationDelay,
-		timeout: d.options.TransferTimeout, suspects: make(map[string]uint64),
-	}
-	onlySuspected := true
-	for _, change := range gained {
-		made.ranges = append(made.ranges, change.Range)
-		if d.alive(change.From) {
-			made.awaiting[change.From.Name] = change.From.Incarnation
-			continue
-		}
-		d.awaitAll(made)
-		if d.isSuspect(change.From.Name, change.From.Incarnation) {
-			made.suspects[change.From.Name] = change.From.Incarnation
-			// The others may not know yet that the holder cannot be reached.
-			made.nextRequestAt = d.at.Now
-		} else {
-			onlySuspected = false
-		}
-	}
-	if onlySuspected && len(made.suspects) > 0 {
-		made.timeout = d.options.SuspectTransferTimeout
-	}
-	return made
-}
-
-// dropTrustedGains ends the gains from suspects that turned out to be there.
-func (d *Directory) dropUnsuspectedTransfers() {
-	d.transfers = slices.DeleteFunc(d.transfers, func(each *transfer) bool {
-		trusted := false
-		for name, incarnation := range each.suspects {
-			if d.membership.Has(name, incarnation) && !d.isSuspect(name, incarnation) {
-				delete(each.suspects, name)
-				trusted = true
-			}
-		}
-		return trusted && len(each.suspects) == 0
-	})
-}
-
-// covers reports whether a node that says complete knows that the suspects of a gain cannot be reached.
-func (d *Directory) covers(request *protocol.RegisterSessionsRequest, each *transfer) bool {
-	for name, incarnation := range each.suspects {
-		if d.membership.Has(name, incarnation) && !containsSuspect(request.GetSuspects(), name, incarnation) {
-			return false
-		}
-	}
-	return true
-}
-
-// waitForEveryone widens a gain to all front nodes of the view that have not said complete. Those that have owned
-// nothing have nothing to say: when a whole fleet returns, no node waits for each other one.
-func (d *Directory) awaitAll(each *transfer) {
-	if each.awaitsAll {
-		return
-	}
-	each.awaitsAll = true
-	for _, front := range d.view.fronts {
-		if front.Name != d.self.Name && !front.FreshStart && !each.completed[front.Name] {
-			each.awaiting[front.Name] = front.Incarnation
-		}
-	}
-}
-
-// completed notes that a node has nothing more to register for the view version.
-func (d *Directory) completionReceived(request *protocol.RegisterSessionsRequest) {
-	for _, each := range d.transfers {
-		if each.version > request.GetViewVersion() || !d.covers(request, each) {
-			continue
-		}
-		delete(each.awaiting, request.GetFrom())
-		each.completed[request.GetFrom()] = true
-		if request.GetPartialKnowledge() && !each.awaitsAll {
-			d.awaitAll(each)
-			each.nextRequestAt = d.at.Now
-		}
-	}
-	d.finishCompleteTransfers()
-}
-
-func (d *Directory) finishCompleteTransfers() {
-	kept := d.transfers[:0]
-	for _, each := range d.transfers {
-		if len(each.awaiting) > 0 {
-			kept = append(kept, each)
-			continue
-		}
-		d.emit(TransferCompleted{Took: d.at.Now.Sub(each.since)})
-	}
-	clear(d.transfers[len(kept):])
-	d.transfers = kept
-}
-
-// askForCompletion asks the nodes that a gain still waits for to register again
-// what they own here. It covers a node that saw no change of hands because it
-// skipped a view, and goes on after the bound until each has answered or left.
-func (d *Directory) requestReregistrations() {
-	for _, each := range d.transfers {
-		if d.at.Now.Before(each.nextRequestAt) {
-			continue
-		}
-		each.requestInterval = min(2*each.requestInterval, maxReregistrationDelay)
-		each.nextRequestAt = d.at.Now.Add(d.jitter(each.requestInterval))
-		for _, name := range sortedKeys(each.awaiting) {
-			if front, found := d.view.byName[name]; found {
-				waitedFor := d.peer(front.Member)
-				waitedFor.needsReregistrationRequest = true
-				d.schedule(waitedFor)
-			}
-		}
-	}
-}
-
-// handOffLost passes registrations on that this node no longer holds.
-func (d *Directory) handOffLost() {
-	for _, name := range sortedKeys(d.partition) {
-		held := d.partition[name]
-		if d.holds(held.key) {
-			continue
-		}
-		delete(d.partition, name)
-		if held.registration.GetOwner() != d.self.Name {
-			d.handOff[name] = &item{session: name, key: held.key, registration: held.registration, since: d.at.Now}
-		}
-	}
-}
--- a/internal/dataplane/directory/join_test.go
+++ b/internal/dataplane/directory/join_test.go
@@ -29,20 +29,20 @@
 		joiner = fleet.add("joiner")
 		for i := 0; session == ""; i++ {
 			candidate := fmt.Sprintf("candidate-%d", i)
-			if directory.NewView(1, fleet.fronts(), places).Holder(candidate) == "joiner" {
+			if directory.NewView(1, fleet.fronts(), virtualNodes).Holder(candidate) == "joiner" {
 				session = candidate
 			}
 		}
 		return joiner, session
 	}
 
-	It("needs the word of the former holders alone, however many nodes there are", func() {
+	It("awaits the completions of the former holders alone, however many nodes there are", func() {
 		fleet := newFleet(names...)
 		fleet.sent = nil
 		joiner, session := join(fleet)
 		fleet.publish(fleet.names...)
 		fleet.settle()
-		Expect(completions(fleet)).To(BeNumerically("<=", 2*places), "one from each former holder")
+		Expect(completions(fleet)).To(BeNumerically("<=", 2*virtualNodes), "one from each former holder")
 		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
 	})
@@ -51,19 +51,19 @@
 		fleet := newFleet("a", "b", "c", "d")
 		joiner, session := join(fleet)
 		// The former holder of what the joiner gains is lost at once with the join.
-		holder := directory.NewView(1, fleet.frontsWithout("joiner"), places).Holder(session)
+		holder := directory.NewView(1, fleet.frontsWithout("joiner"), virtualNodes).Holder(session)
 		var others []string
 		for _, name := range []string{"a", "b", "c", "d"} {
 			if name != holder {
 				others = append(others, name)
 			}
 		}
-		owner, silent := fleet.nodes[others[0]], others[1]
+		owner, other := fleet.nodes[others[0]], others[1]
 		Expect(owner.resolve(session).Owner.Local).To(BeTrue())
-		fleet.nodes[holder].gone = true
+		fleet.nodes[holder].down = true
 		view := fleet.view()
-		// One owner sees the view late; nothing may be called unknown until it has spoken.
-		for _, name := range append([]string{"joiner", silent}, others[2:]...) {
+		// One owner sees the view late; no session may be answered as unknown until its completion.
+		for _, name := range append([]string{"joiner", other}, others[2:]...) {
 			fleet.deliver(view, name)
 		}
 		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
@@ -73,10 +73,10 @@
 		Expect(joiner.registeredOwner(session)).To(Equal(owner.self.Name))
 	})
 
-	It("waits for every owner when the former holder goes before its word", func() {
+	It("waits for every owner when the former holder leaves before its completion", func() {
 		fleet := newFleet("a", "b", "c", "d")
 		joiner, session := join(fleet)
-		holder := directory.NewView(1, fleet.frontsWithout("joiner"), places).Holder(session)
+		holder := directory.NewView(1, fleet.frontsWithout("joiner"), virtualNodes).Holder(session)
 		var owner *member
 		for _, name := range []string{"a", "b", "c", "d"} {
 			if name != holder {
@@ -85,7 +85,7 @@
 		}
 		owner.resolve(session)
 		fleet.publish("joiner")
-		fleet.nodes[holder].gone = true
+		fleet.nodes[holder].down = true
 		fleet.publish("joiner")
 		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
@@ -98,7 +98,7 @@
 func (f *fleet) living() []string {
 	var names []string
 	for _, name := range f.names {
-		if !f.nodes[name].gone {
+		if !f.nodes[name].down {
 			names = append(names, name)
 		}
 	}
--- a/internal/dataplane/directory/lookup.go
+++ b/internal/dataplane/directory/lookup.go
@@ -1,24 +1,16 @@
 package directory
 
 import (
-	"time"
-
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Relay is the holder to which a lookup is to be passed on, with Relayed set,
-// because the asking node could not reach it. Its answer goes back as it is; when
-// there is none, the failure is told with PeerFailed and the lookup served anew.
-type Relay struct {
-	Address string
-	Timeout time.Duration
-}
-
-// ServeLookup answers a lookup as holder, and registers the asking node when it
-// asked for that and no other owner is known. It must be called only with
+// ServeLookup answers a lookup as holder, and registers the requesting node when it
+// sent a registration and no other owner is known. It must be called only with
 // authority. The response is nil when there is a relay.
-func (d *Directory) ServeLookup(at Moment, request *protocol.LookupSessionRequest) (*protocol.LookupSessionResponse, *Relay, []Command) {
+func (d *Directory) ServeLookup(
+	at Moment, request *protocol.LookupSessionRequest,
+) (*protocol.LookupSessionResponse, *Relay, []Command) {
 	d.at = at
 	key := ring.Key(request.GetSession())
 	holder, relays := d.relayTo(key, request.GetSuspects())
@@ -32,11 +24,14 @@
 	return response, nil, d.takeCommands()
 }
 
-// lookupFor answers for another node, which may want to be registered.
-func (d *Directory) lookupFor(request *protocol.LookupSessionRequest, key uint64) (protocol.DirectoryStatus, *protocol.Registration) {
+// lookupFor answers another node, whose request may carry a registration.
+func (d *Directory) lookupFor(
+	request *protocol.LookupSessionRequest, key uint64,
+) (protocol.DirectoryStatus, *protocol.Registration) {
 	status, found := d.lookup(request.GetSession(), key, request.GetViewVersion(), request.GetSuspects())
 	wanted := request.GetRegistration()
-	if status != protocol.DirectoryStatus_DIRECTORY_NOT_FOUND || wanted == nil || wanted.GetSession() != request.GetSession() {
+	registers := wanted != nil && wanted.GetSession() == request.GetSession()
+	if status != protocol.DirectoryStatus_DIRECTORY_NOT_FOUND || !registers {
 		return status, found
 	}
 	if request.GetViewVersion() <= d.membership.Version && !d.ownerIsMember(wanted) {
@@ -48,32 +43,34 @@
 	return protocol.DirectoryStatus_DIRECTORY_OK, d.registerOwner(wanted, key, request.GetViewVersion())
 }
 
-// takeInHere owns a session for a draining node that has a request for it.
-func (d *Directory) ownForDrainingNode(wanted *protocol.Registration, key uint64) (protocol.DirectoryStatus, *protocol.Registration) {
+// ownForDrainingNode owns a session for which a draining node has a request.
+func (d *Directory) ownForDrainingNode(
+	wanted *protocol.Registration, key uint64,
+) (protocol.DirectoryStatus, *protocol.Registration) {
 	if d.draining || wanted.GetOwnerIncarnation() != d.self.Incarnation {
 		return protocol.DirectoryStatus_INCORRECT_PARTITION, nil
 	}
 	session := d.own(wanted.GetSession(), wanted.GetProgram(), d.nextSequence(), true)
-	taken := d.registerOwner(d.registrationOf(session), key, d.view.Version)
-	session.claim = taken.GetClaim()
+	registered := d.registerOwner(d.registrationOf(session), key, d.view.Version)
+	session.claim = registered.GetClaim()
 	d.continueResolve(session.name)
-	return protocol.DirectoryStatus_DIRECTORY_OK, taken
+	return protocol.DirectoryStatus_DIRECTORY_OK, registered
 }
 
-// takeIn registers an owner in place of none, or of one that is lost.
+// registerOwner registers the owner of a session that has none or whose owner is lost.
 func (d *Directory) registerOwner(wanted *protocol.Registration, key, senderVersion uint64) *protocol.Registration {
 	var former *protocol.Registration
-	if held := d.partition[wanted.GetSession()]; held != nil {
-		former = held.registration
+	if current := d.partition[wanted.GetSession()]; current != nil {
+		former = current.registration
 		d.stats.Takeovers++
-		d.displace(displacement{registration: former, viewVersion: held.viewVersion})
+		d.displace(displacement{registration: former, viewVersion: current.viewVersion})
 	}
-	taken := withClaim(wanted, d.claimFor(key, former))
-	d.partition[wanted.GetSession()] = &entry{registration: taken, key: key, viewVersion: senderVersion}
-	return taken
+	registered := withClaim(wanted, d.claimFor(key, former))
+	d.partition[wanted.GetSession()] = &entry{registration: registered, key: key, viewVersion: senderVersion}
+	return registered
 }
 
-// withClaim is a registration under a claim. The one given is not changed, since it belongs to a message.
+// withClaim is a registration with a claim. The one given is not changed, since it belongs to a message.
 func withClaim(wanted *protocol.Registration, claim uint64) *protocol.Registration {
 	if claim == 0 {
 		return wanted
@@ -85,16 +82,18 @@
 	}
 }
 
-// lookup finds the owner registered; one that is lost by the word of this node or of the asking one counts as none.
-func (d *Directory) lookup(session string, key, clientVersion uint64, suspects []*protocol.Suspect) (protocol.DirectoryStatus, *protocol.Registration) {
+// lookup finds the registered owner; one that this node or the requesting one suspects counts as none.
+func (d *Directory) lookup(
+	session string, key, clientVersion uint64, suspects []*protocol.Suspect,
+) (protocol.DirectoryStatus, *protocol.Registration) {
 	if !d.holds(key) {
 		return protocol.DirectoryStatus_INCORRECT_PARTITION, nil
 	}
-	if found := d.partition[session]; found != nil && !d.isClaimable(found.registration, suspects) {
-		return protocol.DirectoryStatus_DIRECTORY_OK, found.registration
+	if current := d.partition[session]; current != nil && !d.isClaimable(current.registration, suspects) {
+		return protocol.DirectoryStatus_DIRECTORY_OK, current.registration
 	}
 	if d.isTransferring(key) || clientVersion > d.view.Version {
-		// A client that is ahead may know of changes of hands that this node has not seen.
+		// A client that is ahead may know of changes of holders that this node has not received.
 		return protocol.DirectoryStatus_DIRECTORY_SETTLING, nil
 	}
 	return protocol.DirectoryStatus_DIRECTORY_NOT_FOUND, nil
--- a/internal/dataplane/directory/owner.go
+++ b/internal/dataplane/directory/owner.go
@@ -11,34 +11,36 @@
 	name    string
 	program string
 	key     uint64
-	// confirmed is true once a holder took the registration under the present incarnation.
+	// confirmed is true once a holder accepted the registration under the current incarnation.
 	confirmed bool
-	grants    int
-	// leaving is why the session is being given up; empty while it is not.
-	yieldReason    YieldReason
+	// grants counts the turns and calls in flight.
+	grants int
+	// yieldReason is why the session is being yielded; empty while it is not.
+	yieldReason YieldReason
+	// unregister is true when the registration is to be withdrawn with the yield.
 	unregister bool
-	// version is the view version under which the session was taken in.
+	// version is the view version under which the session became owned.
 	version  uint64
 	sequence uint64
-	// claim is that of the registration; zero when the session was not taken over.
+	// claim is that of the registration; 0 when the session was not taken over.
 	claim uint64
 }
 
-// own takes a session in that was or is being registered under the sequence
-// given. It is usable at once when its present holder confirmed the registration.
+// own adds a session that was or is being registered under the sequence
+// given. Turns may begin at once when its current holder confirmed the registration.
 func (d *Directory) own(session, program string, sequence uint64, confirmed bool) *ownedSession {
-	found := d.owned[session]
-	if found == nil {
-		found = &ownedSession{
+	owned := d.owned[session]
+	if owned == nil {
+		owned = &ownedSession{
 			name: session, program: program, key: ring.Key(session),
 			version: d.view.Version, sequence: sequence,
 		}
-		d.owned[session] = found
+		d.owned[session] = owned
 		d.hasOwned = true
 	}
-	found.confirmed = found.confirmed || confirmed
+	owned.confirmed = owned.confirmed || confirmed
 	d.cache.Remove(session)
-	return found
+	return owned
 }
 
 func (d *Directory) nextSequence() uint64 {
@@ -55,42 +57,42 @@
 }
 
 // Begin admits a turn or call of an owned session. The code is empty when it is
-// admitted; GrantEnded must follow then. A session that somebody takes to be
-// owned here although it is not has a stale registration, which is withdrawn.
+// admitted, and GrantEnded must follow; otherwise it is NotOwner or NoAuthority. A session that a
+// caller believes to be owned here although it is not has a stale registration, which is withdrawn.
 func (d *Directory) Begin(at Moment, session string) (failure.Code, []Command) {
 	d.at = at
-	found := d.owned[session]
+	owned := d.owned[session]
 	switch {
 	case !at.Authority:
 		return failure.NoAuthority, nil
-	case found == nil:
+	case owned == nil:
 		if d.resolutions[session] == nil && d.withdrawals[session] == nil {
 			d.withdrawOwn(session, "")
 			d.dispatch()
 		}
 		return failure.NotOwner, d.takeCommands()
-	case found.yieldReason != "":
+	case owned.yieldReason != "":
 		return failure.NotOwner, nil
-	case !found.confirmed:
+	case !owned.confirmed:
 		return failure.NoAuthority, nil
 	default:
-		found.grants++
+		owned.grants++
 		return "", nil
 	}
 }
 
 func (d *Directory) grantEnded(session string) {
-	found := d.owned[session]
-	if found == nil || found.grants == 0 {
+	owned := d.owned[session]
+	if owned == nil || owned.grants == 0 {
 		return
 	}
-	found.grants--
-	if found.grants == 0 && found.yieldReason != "" {
-		d.finishYield(found)
+	owned.grants--
+	if owned.grants == 0 && owned.yieldReason != "" {
+		d.finishYield(owned)
 	}
 }
 
-// giveUp ends ownership of a session, after its last turn is settled.
+// yield ends ownership of a session once its last turn is committed (settle, then yield).
 func (d *Directory) yield(session *ownedSession, reason YieldReason, unregister bool) {
 	if session.yieldReason == "" {
 		session.yieldReason = reason
@@ -117,19 +119,22 @@
 	d.continueResolve(session.name)
 }
 
-// displaced follows a notice that another node took this one's place as the owner.
+// displacementReceived yields a session that another node now owns, unless it was registered again since.
 func (d *Directory) displacementReceived(registration *protocol.Registration) {
-	found := d.owned[registration.GetSession()]
-	if found == nil || registration.GetOwnerIncarnation() != d.self.Incarnation || registration.GetSequence() < found.sequence {
+	owned := d.owned[registration.GetSession()]
+	if owned == nil || registration.GetOwnerIncarnation() != d.self.Incarnation {
 		return
 	}
-	d.yield(found, YieldDisplaced, false)
+	if registration.GetSequence() < owned.sequence {
+		return
+	}
+	d.yield(owned, YieldDisplaced, false)
 }
 
-// ownershipLost gives a session up that the ledger fenced; its registration, if there is one, is withdrawn.
+// ownershipLost yields a session that the ledger fenced; its registration, if there is one, is withdrawn.
 func (d *Directory) ownershipLost(session string) {
-	if found := d.owned[session]; found != nil {
-		d.yield(found, YieldFenced, true)
+	if owned := d.owned[session]; owned != nil {
+		d.yield(owned, YieldFenced, true)
 	}
 }
 
@@ -151,13 +156,13 @@
 	}
 }
 
-// Drained reports whether a draining node has given up its sessions and handed off its partition.
+// Drained reports whether a draining node has yielded its sessions and handed off its partition.
 func (d *Directory) Drained() bool {
 	if !d.draining || len(d.owned) > 0 {
 		return false
 	}
 	if d.view.ring == nil || len(d.view.ring.Members()) == 0 {
-		// Nobody is left to hand anything to.
+		// There is no other node to hand anything off to.
 		return true
 	}
 	if len(d.handOff)+len(d.withdrawals)+len(d.partition) > 0 {
@@ -168,6 +173,6 @@
 			return false
 		}
 	}
-	front, found := d.view.byName[d.self.Name]
-	return !found || front.Draining
+	front, owned := d.view.byName[d.self.Name]
+	return !owned || front.Draining
 }
--- a/internal/dataplane/directory/registration.go
+++ b/internal/dataplane/directory/registration.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// registerHere takes a session in whose partition this node holds itself.
+// registerLocally owns a session whose partition this node holds itself.
 func (d *Directory) registerLocally(resolution *resolution) {
 	if d.draining && len(d.view.ring.Members()) == 1 {
 		d.failResolution(resolution, failure.Draining)
@@ -22,7 +22,7 @@
 	d.finish(resolution, d.localOwner(resolution))
 }
 
-// firstRegistration is a registration of this node for a session that nobody may own.
+// firstRegistration is a registration of this node for a session that may have no owner yet.
 func (d *Directory) firstRegistration(resolution *resolution) *protocol.Registration {
 	resolution.sequence = d.nextSequence()
 	return &protocol.Registration{
@@ -31,8 +31,8 @@
 	}
 }
 
-// registrationFor has the holder take a session in itself, so that a draining
-// node, which owns nothing any more, can pass on the requests that it has read.
+// registrationFor makes the holder the owner of a session, so that a draining
+// node, which owns no sessions, can forward the requests that it has read.
 func (d *Directory) registrationFor(resolution *resolution, holder ring.Member) *protocol.Registration {
 	return &protocol.Registration{
 		Session: resolution.session, Program: resolution.program, Owner: holder.Name, OwnerIncarnation: holder.Incarnation,
@@ -40,13 +40,13 @@
 	}
 }
 
-// isFirstRegistration reports whether a holder has taken the registration that went with a lookup.
+// isFirstRegistration reports whether a holder accepted the registration that was sent with a lookup.
 func (d *Directory) isFirstRegistration(resolution *resolution, done *call, registration *protocol.Registration) bool {
 	return done.registers && done.incarnation == d.self.Incarnation && registration.GetOwner() == d.self.Name &&
 		registration.GetOwnerIncarnation() == d.self.Incarnation && registration.GetSequence() == resolution.sequence
 }
 
-// registerThere asks the holder, which knows no owner, to register this node.
+// registerRemotely requests that the holder, which knows no owner, registers this node.
 func (d *Directory) registerRemotely(resolution *resolution, to *peer) {
 	if d.draining {
 		d.failDraining(resolution)
@@ -60,7 +60,8 @@
 		ViewVersion: d.view.Version, Cause: protocol.RegistrationCause_CAUSE_NEW, From: d.self.Name,
 		Registrations: []*protocol.Registration{d.firstRegistration(resolution)}, Suspects: d.namedSuspects(),
 	}
-	resolution.call = d.emitCall(&call{kind: callFirstRegistration, peer: to, resolution: resolution, registers: true}, &protocol.Request{
+	registering := &call{kind: callFirstRegistration, peer: to, resolution: resolution, registers: true}
+	resolution.call = d.emitCall(registering, &protocol.Request{
 		Body: &protocol.Request_RegisterSessions{RegisterSessions: request},
 	})
 }
@@ -92,7 +93,7 @@
 	}
 }
 
-// registered owns the session, at once when the answer came from its present holder.
+// registered owns the session; it is confirmed when the answer came from the current holder.
 func (d *Directory) registered(resolution *resolution, by *peer, claim uint64) {
 	holder, _ := d.view.holder(resolution.key)
 	if holder == by.member && d.peers[holder.Name] == by && !d.draining {
--- a/internal/dataplane/directory/resolution.go
+++ b/internal/dataplane/directory/resolution.go
@@ -9,18 +9,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// resolve is one session whose owner is being found out, for any number of tickets.
+// resolution is a session whose owner is being determined, for any number of tickets.
 type resolution struct {
 	session  string
 	program  string
 	key      uint64
 	tickets  []uint64
 	deadline time.Time
-	// notBefore is when to try again; zero while an answer or a confirmation is awaited.
+	// notBefore is when to retry; zero while an answer or a confirmation is pending.
 	notBefore time.Time
 	attempts  int
 	call      uint64
-	// sequence is that of the registration last sent.
+	// sequence is that of the last registration sent.
 	sequence uint64
 	// ambiguous is true after a first registration whose answer was lost.
 	ambiguous bool
@@ -57,8 +57,8 @@
 	}
 }
 
-// abandon ends a resolve that nobody waits for. A first registration whose
-// answer is not known may have been taken, so it is seen through on the salvage list.
+// abandon ends a resolution that nobody waits for. A first registration whose
+// answer is not known may have been accepted, so it is completed by way of the salvage list.
 func (d *Directory) abandon(resolution *resolution) {
 	delete(d.resolutions, resolution.session)
 	registering := d.calls[resolution.call]
@@ -68,7 +68,7 @@
 	}
 }
 
-// continueResolves goes on with every resolve whose delay has passed.
+// continueResolves continues every resolution whose delay has passed.
 func (d *Directory) continueResolves() {
 	for _, session := range sortedKeys(d.resolutions) {
 		resolution := d.resolutions[session]
@@ -78,14 +78,14 @@
 	}
 }
 
-// restartResolves goes on with every resolve that waits for no answer, since who holds and owns what has changed.
+// restartResolves continues every resolution without a call in flight, since holders or owners have changed.
 func (d *Directory) restartResolves() {
 	for _, session := range sortedKeys(d.resolutions) {
 		d.continueResolve(session)
 	}
 }
 
-// continueResolve goes on with the resolve of a session after its state changed here.
+// continueResolve continues the resolution of a session after its state changed on this node.
 func (d *Directory) continueResolve(session string) {
 	if resolution := d.resolutions[session]; resolution != nil && resolution.call == 0 {
 		d.advance(resolution)
@@ -100,11 +100,11 @@
 	}
 }
 
-// step decides what a resolve does next.
+// advance decides the next step of a resolution.
 func (d *Directory) advance(resolution *resolution) {
 	resolution.notBefore = time.Time{}
 	if session := d.owned[resolution.session]; session != nil {
-		// A session that is being given up is looked up once its last turn is settled.
+		// A session that is being yielded is looked up once its last turn is committed.
 		if session.confirmed && session.yieldReason == "" {
 			d.finish(resolution, d.localOwner(resolution))
 		}
@@ -132,21 +132,22 @@
 	}
 }
 
-// awaitsWithdrawal reports whether the holder is still to be told that this node does not own a session any more. A holder that
-// cannot be reached is not waited for: whoever holds the range meanwhile cannot take the withdrawal, and a registration that
-// follows has a higher sequence than the withdrawal, which comes late then.
+// awaitsWithdrawal reports whether the withdrawal of this node's registration of a session is still pending. A holder
+// that cannot be reached is not waited for: the node that holds the range instead cannot apply the withdrawal, and a
+// later registration has a higher sequence than the withdrawal.
 func (d *Directory) awaitsWithdrawal(session string) bool {
 	withdrawal := d.withdrawals[session]
 	return withdrawal != nil && !d.hasSuspectHolder(withdrawal.key)
 }
 
-// hasSuspectHolder reports whether the holder of a key in the membership is suspect, so that another node stands in for it.
+// hasSuspectHolder reports whether the holder of a key in the membership is suspected, so that another node holds the
+// key for it.
 func (d *Directory) hasSuspectHolder(key uint64) bool {
 	holder, found := d.membership.holder(key)
 	return found && d.isSuspect(holder.Name, holder.Incarnation)
 }
 
-// cached returns the owner in the cache while the view still has it.
+// cachedOwner returns the owner in the cache while the view has it; one that the view lacks is dropped.
 func (d *Directory) cachedOwner(resolution *resolution) (Owner, bool) {
 	registration, found := d.cache.Get(resolution.session)
 	if !found {
@@ -178,13 +179,13 @@
 	}
 }
 
-// lookupThere asks the holder, which registers this node when it knows no owner;
-// while the holder is suspect the resolve waits.
+// lookupRemotely queries the holder, which registers this node when it knows no owner;
+// while the holder is unconfirmed the resolution waits.
 func (d *Directory) lookupRemotely(resolution *resolution, holder ring.Member) {
 	to := d.peer(holder)
 	switch {
 	case to.unconfirmed:
-		// What the probe shows lets it go on.
+		// The outcome of the ping continues the resolution.
 		resolution.notBefore = d.at.Now.Add(d.lookupTimeout(to))
 		return
 	case to.failures > 0 && d.at.Now.Before(to.notBefore):
@@ -202,7 +203,8 @@
 	case d.draining && d.at.Authority:
 		request.Registration = d.registrationFor(resolution, holder)
 	}
-	resolution.call = d.emitCall(&call{kind: callLookup, peer: to, resolution: resolution, registers: registers}, &protocol.Request{
+	lookup := &call{kind: callLookup, peer: to, resolution: resolution, registers: registers}
+	resolution.call = d.emitCall(lookup, &protocol.Request{
 		Body: &protocol.Request_LookupSession{LookupSession: request},
 	})
 }
@@ -231,14 +233,14 @@
 	}
 }
 
-// found takes a registration in that a holder knows.
+// applyRegistration ends a resolution with the registration that a holder reported, if this node can rely on it.
 func (d *Directory) applyRegistration(resolution *resolution, registration *protocol.Registration) {
 	if registration.GetOwner() == d.self.Name && registration.GetOwnerIncarnation() == d.self.Incarnation {
 		d.adopt(resolution)
 		return
 	}
 	if !d.ownerInView(registration) || d.isUnconfirmed(registration.GetOwner()) {
-		// Either view is behind, and the next one decides, or the owner cannot be reached, which the next try says.
+		// Either view is behind, and the next one decides; or the owner cannot be reached, which the next attempt reports.
 		d.retry(resolution)
 		return
 	}
@@ -246,7 +248,7 @@
 	d.finish(resolution, d.toOwner(resolution, registration))
 }
 
-// adopt owns a session that a holder has registered for this node, as after a lost answer.
+// adopt owns a session that a holder has already registered for this node, as after a lost answer.
 func (d *Directory) adopt(resolution *resolution) {
 	if d.draining {
 		d.withdrawOwn(resolution.session, resolution.program)
@@ -265,7 +267,7 @@
 	}
 }
 
-// retry tries again after a delay with jitter.
+// retry schedules the next attempt after a backoff with jitter.
 func (d *Directory) retry(resolution *resolution) {
 	resolution.attempts++
 	wait := resolveRetryDelay
@@ -275,7 +277,7 @@
 	resolution.notBefore = d.at.Now.Add(d.jitter(wait))
 }
 
-// remember caches an owner.
+// cacheOwner caches the owner that a registration names, unless that is this node.
 func (d *Directory) cacheOwner(registration *protocol.Registration) {
 	if registration.GetOwner() != "" && registration.GetOwner() != d.self.Name {
 		d.cache.Add(registration.GetSession(), registration)
@@ -317,7 +319,7 @@
 	d.retry(resolution)
 }
 
-// fail gives a resolve up. Nothing was run; the caller is told when to come back.
+// failResolution ends a resolution without an owner. Nothing was run; callers get a time after which to retry.
 func (d *Directory) failResolution(resolution *resolution, code failure.Code) {
 	d.abandon(resolution)
 	for _, ticket := range resolution.tickets {
@@ -326,5 +328,6 @@
 	}
 }
 
-// failRetryAfter is what callers are told when an owner could not be found: about the time a view takes to change.
+// failRetryAfter is after how long callers may retry when no owner was found: about the time that a change of view
+// takes.
 const failRetryAfter = time.Second
--- a/internal/dataplane/directory/salvage_test.go
+++ b/internal/dataplane/directory/salvage_test.go
@@ -12,16 +12,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// takeIn lets a node own sessions of which the holder named holds at least one.
-func takeIn(fleet *fleet, owner, holder string, count int) []string {
-	var held []string
-	for i := 0; len(held) < count; i++ {
+// ownSessions makes a node the owner of sessions that the holder named holds.
+func ownSessions(fleet *fleet, owner, holder string, count int) []string {
+	var sessions []string
+	for i := 0; len(sessions) < count; i++ {
 		session := fmt.Sprintf("taken-%s-%d", owner, i)
 		if fleet.nodes[owner].resolve(session).Owner.PartitionHolder == holder {
-			held = append(held, session)
+			sessions = append(sessions, session)
 		}
 	}
-	return held
+	return sessions
 }
 
 func registrations(fleet *fleet, cause protocol.RegistrationCause) (requests, sessions int) {
@@ -37,8 +37,8 @@
 var _ = Describe("the loss of a partition holder", func() {
 	It("ends no session: the owners register them again with the new holders, in batches", func() {
 		fleet := newFleet(trio...)
-		sessions := takeIn(fleet, "a", "c", 40)
-		fleet.nodes["c"].gone = true
+		sessions := ownSessions(fleet, "a", "c", 40)
+		fleet.nodes["c"].down = true
 		fleet.sent = nil
 		fleet.publish("a", "b")
 		fleet.settle()
@@ -54,17 +54,17 @@
 
 	It("keeps a session on the list, and usable, until the new holder knows that it holds the range", func() {
 		fleet := newFleet(trio...)
-		session := heldBy(trio, "c", "b")
+		session := sessionHeldBy(trio, "c", "b")
 		owner := fleet.nodes["a"]
 		owner.resolve(session)
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		view := fleet.publish("a")
 		fleet.advance(500 * time.Millisecond)
 		Expect(owner.directory.OnSalvageList(session)).To(BeTrue())
 		code, _ := owner.directory.Begin(owner.at(), session)
 		Expect(code).To(BeEmpty())
-		refusals := owner.directory.Stats().IncorrectPartition
-		Expect(refusals).To(And(BeNumerically(">=", 3), BeNumerically("<=", 9)), "the delay between tries grows")
+		rejections := owner.directory.Stats().IncorrectPartition
+		Expect(rejections).To(And(BeNumerically(">=", 3), BeNumerically("<=", 9)), "the delay between attempts grows")
 
 		fleet.deliver(view, "b")
 		fleet.settle()
@@ -72,17 +72,19 @@
 		Expect(fleet.nodes["b"].registeredOwner(session)).To(Equal("a"))
 	})
 
-	It("leaves a session on the list through lost calls and further changes of hands", func() {
+	It("leaves a session on the list through lost calls and further changes of holder", func() {
 		members := []string{"a", "b", "c", "d"}
 		fleet := newFleet(members...)
-		session := heldBy(members, "c", "b")
+		session := sessionHeldBy(members, "c", "b")
 		fleet.nodes["a"].resolve(session)
 		lost := true
-		fleet.intercept = func(from, _ string, _ *protocol.Request) (*protocol.Response, bool) { return nil, lost && from == "a" }
-		fleet.nodes["c"].gone = true
+		fleet.intercept = func(from, _ string, _ *protocol.Request) (*protocol.Response, bool) {
+			return nil, lost && from == "a"
+		}
+		fleet.nodes["c"].down = true
 		fleet.publish("a", "b", "d")
 		fleet.advance(time.Second)
-		fleet.nodes["b"].gone = true
+		fleet.nodes["b"].down = true
 		fleet.publish("a", "d")
 		fleet.advance(time.Second)
 		Expect(fleet.nodes["a"].directory.OnSalvageList(session)).To(BeTrue())
@@ -95,53 +97,57 @@
 	It("ends the sessions registered there under the end-sessions policy, after their turns", func() {
 		fleet := newFleet(trio...)
 		owner := fleet.nodes["a"]
-		owner.handle(directory.PolicyChanged{Policy: directory.NewPolicy(&protocol.RecoveryPolicy{SalvageMode: protocol.SalvageMode_END_SESSIONS})})
-		idle, busy := heldBy(trio, "c", "b"), heldBy(trio, "c", "a")
-		kept := heldBy(trio, "b", "")
-		for _, session := range []string{idle, busy, kept} {
+		owner.handle(
+			directory.PolicyChanged{
+				Policy: directory.NewPolicy(&protocol.RecoveryPolicy{SalvageMode: protocol.SalvageMode_END_SESSIONS}),
+			},
+		)
+		idle, busy := sessionHeldBy(trio, "c", "b"), sessionHeldBy(trio, "c", "a")
+		unaffected := sessionHeldBy(trio, "b", "")
+		for _, session := range []string{idle, busy, unaffected} {
 			owner.resolve(session)
 		}
 		code, _ := owner.directory.Begin(owner.at(), busy)
 		Expect(code).To(BeEmpty())
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		fleet.publish("a", "b")
 		fleet.settle()
 		Expect(owner.yielded).To(ConsistOf(directory.Yielded{Session: idle, Reason: directory.YieldEnded}))
 		owner.handle(directory.GrantEnded{Session: busy})
 		Expect(owner.yielded).To(ContainElement(directory.Yielded{Session: busy, Reason: directory.YieldEnded}))
-		Expect(owner.owns(kept)).To(BeTrue())
+		Expect(owner.owns(unaffected)).To(BeTrue())
 	})
 })
 
 var _ = Describe("two owners of one session", func() {
-	// twoOwners has a and b own a session whose holder c is lost: b took it in while a could not be heard.
+	// twoOwners has a and b own a session whose holder c is lost: b registered it while a was partitioned.
 	twoOwners := func(policy directory.Policy) (*fleet, string) {
 		fleet := newFleet(trio...)
 		for _, name := range trio {
 			fleet.nodes[name].handle(directory.PolicyChanged{Policy: policy})
 		}
-		session := heldBy(trio, "c", "b")
+		session := sessionHeldBy(trio, "c", "b")
 		fleet.nodes["a"].resolve(session)
-		muted := true
+		partitioned := true
 		fleet.intercept = func(from, to string, _ *protocol.Request) (*protocol.Response, bool) {
-			return nil, muted && (from == "a" || to == "a")
+			return nil, partitioned && (from == "a" || to == "a")
 		}
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		fleet.publish("a", "b")
 		fleet.advance(directory.DefaultTransferTimeout + time.Second)
 		Expect(fleet.nodes["b"].resolve(session).Owner.Local).To(BeTrue())
-		muted = false
+		partitioned = false
 		return fleet, session
 	}
 
-	It("are one after the second registrant settled its turn and yielded", func() {
+	It("are one after the second registrant committed its turn and yielded", func() {
 		fleet, session := twoOwners(directory.NewPolicy(nil))
 		late := fleet.nodes["a"]
 		code, _ := late.directory.Begin(late.at(), session)
 		Expect(code).To(BeEmpty())
 		fleet.settle()
-		Expect(late.directory.OnSalvageList(session)).To(BeFalse(), "a refusal takes it off the list")
-		Expect(late.owns(session)).To(BeTrue(), "the turn under way is finished first")
+		Expect(late.directory.OnSalvageList(session)).To(BeFalse(), "a rejection takes it off the list")
+		Expect(late.owns(session)).To(BeTrue(), "the turn in flight is finished first")
 		code, _ = late.directory.Begin(late.at(), session)
 		Expect(code).To(Equal(failure.NotOwner), "no further turn is begun")
 		late.handle(directory.GrantEnded{Session: session})
@@ -156,12 +162,12 @@
 		Expect(fleet.nodes["b"].owns(session)).To(BeTrue())
 	})
 
-	It("are told of a lost tie also when the loser is ahead of the holder's view", func() {
+	It("are notified of a lost tie also when the loser is ahead of the holder's view", func() {
 		fleet := newFleet(trio...)
 		policy := directory.Policy{HigherViewVersion: true, BatchSize: 10, RetryDelay: time.Millisecond}
 		holder, loser, winner := fleet.nodes["c"], fleet.nodes["a"], fleet.nodes["b"]
 		holder.handle(directory.PolicyChanged{Policy: policy})
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		loser.resolve(session)
 		// The loser comes back under a new incarnation, which all but the holder see.
 		loser.reincarnate()
@@ -186,7 +192,7 @@
 var _ = Describe("a node that lost its authority", func() {
 	It("comes back with its sessions, which it may use only once they are registered again", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "c", "")
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
 		node.resolve(session)
 		blocked := true
 		fleet.intercept = func(from, _ string, _ *protocol.Request) (*protocol.Response, bool) {
@@ -204,15 +210,15 @@
 		Expect(fleet.nodes["b"].resolve(session).Owner.Incarnation).To(Equal(node.self.Incarnation))
 	})
 
-	It("gives up what another node took over meanwhile", func() {
+	It("yields what another node took over meanwhile", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "c", "")
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
 		node.resolve(session)
-		node.gone = true
+		node.down = true
 		fleet.publish("b", "c")
 		fleet.settle()
 		Expect(fleet.nodes["b"].resolve(session).Owner.Local).To(BeTrue())
-		node.gone = false
+		node.down = false
 		node.reincarnate()
 		fleet.publish(trio...)
 		fleet.settle()
--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -12,17 +12,17 @@
 	CacheHits     uint64
 	LocalLookups  uint64
 	RemoteLookups uint64
-	// Refusals that this node got as a client or owner.
+	// IncorrectPartition, Duplicates and Transferring count the rejections that this node received as client or owner.
 	IncorrectPartition uint64
 	Duplicates         uint64
 	Transferring       uint64
-	// Registrations accepted by a new holder from the salvage list.
+	// Salvaged counts registrations of the salvage list that a new holder accepted.
 	Salvaged uint64
-	// Registrations passed on to the new holder of a range.
+	// HandedOff counts registrations handed off to the new holder of a range.
 	HandedOff uint64
-	// Sessions whose registration became void because authority was lost.
+	// AuthorityLost counts sessions whose registration became void because authority was lost.
 	AuthorityLost uint64
-	// Completions that had to be asked for.
+	// ReregistrationRequests counts the requests for reregistration sent.
 	ReregistrationRequests uint64
 	// Suspicions counts members that could not be reached, FalseSuspicions those that answered after all.
 	Suspicions, FalseSuspicions uint64
@@ -42,22 +42,22 @@
 // SalvageLength is the number of own sessions that wait to be registered again.
 func (d *Directory) SalvageLength() int { return len(d.salvage) }
 
-// HandOffLength is the number of registrations that wait to be passed on.
+// HandOffLength is the number of registrations that wait to be handed off.
 func (d *Directory) HandOffLength() int { return len(d.handOff) }
 
 // OwnedCount is the number of sessions owned.
 func (d *Directory) OwnedCount() int { return len(d.owned) }
 
-// PartitionSize is the number of registrations held.
+// PartitionSize is the number of registrations in this node's partition.
 func (d *Directory) PartitionSize() int { return len(d.partition) }
 
-// Owns reports whether the session is owned, and whether it is registered under the present incarnation.
+// Owns reports whether the session is owned, and whether it is registered under the current incarnation.
 func (d *Directory) Owns(session string) (owned, confirmed bool) {
-	found := d.owned[session]
-	return found != nil, found != nil && found.confirmed
+	current := d.owned[session]
+	return current != nil, current != nil && current.confirmed
 }
 
-// OwnedSessions lists the sessions owned that are not being given up, sorted.
+// OwnedSessions lists the sessions owned that are not being yielded, sorted.
 func (d *Directory) OwnedSessions() []string {
 	var names []string
 	for _, name := range sortedKeys(d.owned) {
@@ -71,7 +71,7 @@
 // OnSalvageList reports whether a session waits to be registered again.
 func (d *Directory) OnSalvageList(session string) bool { return d.salvage[session] != nil }
 
-// Registrations lists what the partition holds, sorted by session.
+// Registrations lists this node's partition, sorted by session.
 func (d *Directory) Registrations() []*protocol.Registration {
 	list := make([]*protocol.Registration, 0, len(d.partition))
 	for _, name := range sortedKeys(d.partition) {
@@ -83,7 +83,7 @@
 // Suspects is the number of members of the view that this node could not reach.
 func (d *Directory) Suspects() int { return len(d.suspects) }
 
-// SettlingRanges is the number of ranges gained that are not complete.
+// TransferringRanges is the number of views whose ranges gained are not complete.
 func (d *Directory) TransferringRanges() int { return len(d.transfers) }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/dataplane/directory/steady_state_test.go
+++ b/internal/dataplane/directory/steady_state_test.go
@@ -12,9 +12,9 @@
 var trio = []string{"a", "b", "c"}
 
 var _ = Describe("a session's owner", func() {
-	It("is the node that first took it in, and others find it, the second time in their cache", func() {
+	It("is the node that first registered it, and others find it, the second time in their cache", func() {
 		fleet := newFleet(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		first := fleet.nodes["a"].resolve(session)
 		Expect(first.Owner.Local).To(BeTrue())
 		Expect(first.Owner.PartitionHolder).To(Equal("c"))
@@ -34,14 +34,14 @@
 	It("can be the holder itself, without a message", func() {
 		fleet := newFleet(trio...)
 		fleet.sent = nil
-		Expect(fleet.nodes["c"].resolve(heldBy(trio, "c", "")).Owner.Local).To(BeTrue())
+		Expect(fleet.nodes["c"].resolve(sessionHeldBy(trio, "c", "")).Owner.Local).To(BeTrue())
 		Expect(fleet.sent).To(BeEmpty())
 	})
 
 	It("begins turns only with authority, only of sessions it owns, and gives no answer as owner without a lease", func() {
 		fleet := newFleet(trio...)
 		node := fleet.nodes["a"]
-		session := heldBy(trio, "b", "")
+		session := sessionHeldBy(trio, "b", "")
 		node.resolve(session)
 		code, _ := node.directory.Begin(node.at(), session)
 		Expect(code).To(BeEmpty())
@@ -50,17 +50,17 @@
 		node.authority = false
 		code, _ = node.directory.Begin(node.at(), session)
 		Expect(code).To(Equal(failure.NoAuthority))
-		Expect(node.resolve(heldBy(trio, "a", "")).Code).To(Equal(failure.NoAuthority))
+		Expect(node.resolve(sessionHeldBy(trio, "a", "")).Code).To(Equal(failure.NoAuthority))
 	})
 
-	It("is asked for once when several turns wait for it", func() {
+	It("is looked up once when several turns wait for it", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "b", "")
-		held := true
-		fleet.intercept = func(string, string, *protocol.Request) (*protocol.Response, bool) { return nil, held }
-		one, other := node.ask(session), node.ask(session)
-		held = false
-		fleet.advance(waiting / 2)
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "b", "")
+		blocked := true
+		fleet.intercept = func(string, string, *protocol.Request) (*protocol.Response, bool) { return nil, blocked }
+		one, other := node.request(session), node.request(session)
+		blocked = false
+		fleet.advance(resolveTimeout / 2)
 		Expect(node.resolved[one].Owner.Local).To(BeTrue())
 		Expect(node.resolved[other].Owner.Local).To(BeTrue())
 		Expect(node.directory.Stats().RemoteLookups).To(BeNumerically("<=", 4))
@@ -68,15 +68,15 @@
 })
 
 var _ = Describe("a lookup", func() {
-	It("goes round a suspect holder for a moment and fails in time, with nothing run", func() {
+	It("waits for a suspected holder, and fails in time with nothing run", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "c", "")
-		fleet.nodes["c"].gone = true
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
+		fleet.nodes["c"].down = true
 		node.handle(directory.PeerBroken{Address: "c:1"})
 		fleet.sent = nil
-		ticket := node.ask(session)
+		ticket := node.request(session)
 		Expect(fleet.sent).To(BeEmpty())
-		fleet.advance(waiting + step)
+		fleet.advance(resolveTimeout + step)
 		Expect(node.resolved[ticket].Code).To(Equal(failure.Unavailable))
 		Expect(node.resolved[ticket].RetryAfter).To(BeNumerically(">", 0))
 
@@ -85,18 +85,18 @@
 		Expect(node.resolve(session).Owner.Local).To(BeTrue())
 	})
 
-	It("is answered as settling by a holder that is behind the asking node's view", func() {
+	It("is answered as transferring by a holder that is behind the requesting node's view", func() {
 		fleet := newFleet(trio...)
-		request := &protocol.LookupSessionRequest{Session: heldBy(trio, "c", ""), ViewVersion: fleet.version + 1}
+		request := &protocol.LookupSessionRequest{Session: sessionHeldBy(trio, "c", ""), ViewVersion: fleet.version + 1}
 		answer, _, _ := fleet.nodes["c"].directory.ServeLookup(fleet.nodes["c"].at(), request)
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 	})
 })
 
 var _ = Describe("a first registration whose answer is lost", func() {
-	It("is seen through although the asking turn gave up", func() {
+	It("is completed although the requesting turn gave up", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "c", "")
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
 		lose := true
 		fleet.intercept = func(_, to string, request *protocol.Request) (*protocol.Response, bool) {
 			if lose && request.GetLookupSession().GetRegistration() != nil {
@@ -105,7 +105,7 @@
 			}
 			return nil, lose
 		}
-		ticket := node.ask(session)
+		ticket := node.request(session)
 		node.handle(directory.ResolveCancelled{Ticket: ticket})
 		Expect(node.directory.OnSalvageList(session)).To(BeTrue())
 		lose = false
@@ -118,13 +118,14 @@
 })
 
 var _ = Describe("a stale registration", func() {
-	It("is withdrawn by the node that it names when a turn reaches it in vain", func() {
+	It("is withdrawn by the node that it names when a turn is forwarded to it", func() {
 		fleet := newFleet(trio...)
-		node, holder, session := fleet.nodes["a"], fleet.nodes["c"], heldBy(trio, "c", "")
-		holder.serve(&protocol.Request{Body: &protocol.Request_RegisterSessions{RegisterSessions: &protocol.RegisterSessionsRequest{
+		node, holder, session := fleet.nodes["a"], fleet.nodes["c"], sessionHeldBy(trio, "c", "")
+		stale := &protocol.RegisterSessionsRequest{
 			ViewVersion: fleet.version, Cause: protocol.RegistrationCause_CAUSE_HAND_OFF, From: "b",
 			Registrations: []*protocol.Registration{{Session: session, Owner: "a", OwnerIncarnation: node.self.Incarnation}},
-		}}})
+		}
+		holder.serve(&protocol.Request{Body: &protocol.Request_RegisterSessions{RegisterSessions: stale}})
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
 		code, commands := node.directory.Begin(node.at(), session)
 		Expect(code).To(Equal(failure.NotOwner))
@@ -136,19 +137,20 @@
 
 	It("cannot be made by a late withdrawal of an earlier registration", func() {
 		fleet := newFleet(trio...)
-		holder, session := fleet.nodes["c"], heldBy(trio, "c", "")
+		holder, session := fleet.nodes["c"], sessionHeldBy(trio, "c", "")
 		fleet.nodes["a"].resolve(session)
-		held := holder.directory.Registrations()[0]
+		registered := holder.directory.Registrations()[0]
 		withdraw := func(sequence uint64) {
-			holder.serve(&protocol.Request{Body: &protocol.Request_UnregisterSessions{UnregisterSessions: &protocol.UnregisterSessionsRequest{
+			request := &protocol.UnregisterSessionsRequest{
 				Registrations: []*protocol.Registration{{
-					Session: session, Owner: "a", OwnerIncarnation: held.GetOwnerIncarnation(), Sequence: sequence,
+					Session: session, Owner: "a", OwnerIncarnation: registered.GetOwnerIncarnation(), Sequence: sequence,
 				}},
-			}}})
+			}
+			holder.serve(&protocol.Request{Body: &protocol.Request_UnregisterSessions{UnregisterSessions: request}})
 		}
-		withdraw(held.GetSequence() - 1)
+		withdraw(registered.GetSequence() - 1)
 		Expect(holder.registeredOwner(session)).To(Equal("a"))
-		withdraw(held.GetSequence() + 1)
+		withdraw(registered.GetSequence() + 1)
 		Expect(holder.registeredOwner(session)).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/directory/takeover_test.go
+++ b/internal/dataplane/directory/takeover_test.go
@@ -16,15 +16,15 @@
 // soon bounds a takeover after a refused connection, in virtual time without the time that calls take.
 const soon = 100 * time.Millisecond
 
-// refusing is a fleet in which calls to a lost node are refused, without a new view.
+// refusing is a fleet in which a lost node refuses connections, without a new view.
 func refusing(names ...string) *fleet {
 	made := newFleet(names...)
 	made.failure = directory.CallConnectionRefused
 	return made
 }
 
-// cut lets calls between two nodes fail by silence; the function returned heals it.
-func (f *fleet) cut(one, other string) (heal func()) {
+// partition lets calls between two nodes time out; the function returned ends that.
+func (f *fleet) partition(one, other string) (heal func()) {
 	severed := true
 	f.intercept = func(from, to string, _ *protocol.Request) (*protocol.Response, bool) {
 		between := from == one && to == other || from == other && to == one
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// resolveWithin asks and expects an answer within a bound.
+// resolveWithin resolves a session and expects an answer within a bound.
 func (f *fleet) resolveWithin(bound time.Duration, name, session string) directory.Resolved {
 	GinkgoHelper()
 	before := f.now
@@ -53,43 +53,43 @@
 }
 
 var _ = Describe("the takeover of a lost owner's session", func() {
-	It("is at once after a refused connection, with no new view", func() {
+	It("is immediate after a refused connection, with no new view", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		fleet.nodes["a"].resolve(session)
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
-		fleet.nodes["a"].gone = true
+		fleet.nodes["a"].down = true
 		fleet.nodes["b"].handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallConnectionRefused})
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 		Expect(fleet.nodes["c"].registeredOwner(session)).To(Equal("b"))
 		Expect(fleet.nodes["c"].claimOf(session)).NotTo(BeZero())
 	})
 
-	It("asks the owner once more after a broken connection", func() {
+	It("pings the owner after a broken connection", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		fleet.nodes["a"].resolve(session)
 		fleet.nodes["b"].resolve(session)
 		fleet.nodes["b"].handle(directory.PeerBroken{Address: "a:1"})
-		Expect(fleet.resolveWithin(soon, "b", session).Owner.Name).To(Equal("a"), "it is there")
-		fleet.nodes["a"].gone = true
+		Expect(fleet.resolveWithin(soon, "b", session).Owner.Name).To(Equal("a"), "it is alive")
+		fleet.nodes["a"].down = true
 		fleet.nodes["b"].handle(directory.PeerBroken{Address: "a:1"})
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 	})
 
-	It("is told to an owner that is there after all, which settles its turn first", func() {
+	It("notifies an owner that is alive after all, which commits its turn first", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		owner, other := fleet.nodes["a"], fleet.nodes["b"]
 		owner.resolve(session)
 		code, _ := owner.directory.Begin(owner.at(), session)
 		Expect(code).To(BeEmpty())
-		heal := fleet.cut("a", "b")
+		heal := fleet.partition("a", "b")
 		other.handle(directory.PeerFailed{Address: "a:1", Failure: directory.CallTimedOut})
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 		heal()
 		fleet.settle()
-		Expect(owner.owns(session)).To(BeTrue(), "its turn is under way")
+		Expect(owner.owns(session)).To(BeTrue(), "its turn is in flight")
 		Expect(owner.yielded).To(BeEmpty())
 		owner.handle(directory.GrantEnded{Session: session})
 		Expect(owner.yielded).To(ConsistOf(directory.Yielded{Session: session, Reason: directory.YieldDisplaced}))
@@ -101,23 +101,23 @@
 var _ = Describe("the loss of a partition holder before its lease ends", func() {
 	It("lets new sessions go to the next holder at once", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "b")
-		fleet.nodes["c"].gone = true
+		session := sessionHeldBy(trio, "c", "b")
+		fleet.nodes["c"].down = true
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Local).To(BeTrue())
 		Expect(fleet.nodes["b"].registeredOwner(session)).To(Equal("a"))
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Name).To(Equal("a"))
 	})
 
-	It("lets the next holder know of the sessions that their owners kept", func() {
+	It("lets the next holder know of the sessions that their owners still have", func() {
 		fleet := refusing("a", "b", "c", "d")
-		session := heldBy(fleet.names, "c", "b")
+		session := sessionHeldBy(fleet.names, "c", "b")
 		fleet.nodes["a"].resolve(session)
 		fleet.advance(2 * step)
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		Expect(fleet.resolveWithin(soon, "d", session).Owner.Name).To(Equal("a"))
 		Expect(fleet.nodes["a"].yielded).To(BeEmpty())
 
-		By("keeping all as it is once the lease has run out")
+		By("changing nothing once the lease has expired")
 		fleet.publish("a", "b", "d")
 		fleet.settle()
 		Expect(fleet.nodes["b"].registeredOwner(session)).To(Equal("a"))
@@ -126,20 +126,22 @@
 
 	It("takes over sessions that the lost holder owned", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "b")
+		session := sessionHeldBy(trio, "c", "b")
 		fleet.nodes["c"].resolve(session)
 		Expect(fleet.nodes["a"].resolve(session).Owner.Name).To(Equal("c"))
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallConnectionRefused})
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Local).To(BeTrue())
 	})
 
 	It("ends the sessions registered there at once under the end-sessions policy", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "b")
-		fleet.nodes["a"].handle(directory.PolicyChanged{Policy: directory.Policy{EndSessions: true, BatchSize: 16, RetryDelay: step}})
+		session := sessionHeldBy(trio, "c", "b")
+		fleet.nodes["a"].handle(
+			directory.PolicyChanged{Policy: directory.Policy{EndSessions: true, BatchSize: 16, RetryDelay: step}},
+		)
 		fleet.nodes["a"].resolve(session)
-		fleet.nodes["c"].gone = true
+		fleet.nodes["c"].down = true
 		fleet.nodes["a"].handle(directory.PeerBroken{Address: "c:1"})
 		fleet.advance(soon)
 		Expect(fleet.nodes["a"].owns(session)).To(BeFalse())
@@ -149,11 +151,11 @@
 })
 
 var _ = Describe("a holder that one node alone cannot reach", func() {
-	It("is asked through the next one, which takes nothing over", func() {
+	It("is queried through the next one, which takes nothing over", func() {
 		fleet := refusing(trio...)
 		fleet.failure = directory.CallTimedOut
-		fleet.cut("a", "c")
-		session := heldBy(trio, "c", "b")
+		fleet.partition("a", "c")
+		session := sessionHeldBy(trio, "c", "b")
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Local).To(BeTrue())
 		Expect(fleet.nodes["c"].registeredOwner(session)).To(Equal("a"))
 		Expect(fleet.nodes["b"].registeredOwner(session)).To(BeEmpty())
@@ -161,11 +163,11 @@
 	})
 })
 
-var _ = Describe("a suspect that is there after all", func() {
+var _ = Describe("a suspect that is alive after all", func() {
 	It("gets its partition back, and the later claim stays where two own a session", func() {
 		fleet := refusing(trio...)
 		fleet.failure = directory.CallTimedOut
-		doubled, fresh := heldBy(trio, "c", "b"), ""
+		doubled, fresh := sessionHeldBy(trio, "c", "b"), ""
 		for i := range 1000 {
 			if name := "fresh-" + time.Duration(i).String(); fleet.holderOf(name) == "c" {
 				fresh = name
@@ -175,12 +177,12 @@
 		frozen := fleet.nodes["c"]
 		frozen.resolve(doubled)
 		Expect(fleet.nodes["a"].resolve(doubled).Owner.Name).To(Equal("c"))
-		frozen.gone = true
+		frozen.down = true
 		fleet.nodes["a"].handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallTimedOut})
 		Expect(fleet.resolveWithin(2*soon, "a", doubled).Owner.Local).To(BeTrue())
 		Expect(fleet.resolveWithin(2*soon, "a", fresh).Owner.Local).To(BeTrue())
 
-		frozen.gone = false
+		frozen.down = false
 		fleet.settle()
 		for _, name := range trio {
 			Expect(fleet.nodes[name].directory.Suspects()).To(BeZero())
@@ -193,7 +195,7 @@
 		Expect(fleet.nodes["b"].resolve(doubled).Owner.Name).To(Equal("a"))
 	})
 
-	It("is not suspected by a call that shows nothing, nor by another incarnation's answer trusted", func() {
+	It("is not suspected after an inconclusive call, nor trusted by the answer of another incarnation", func() {
 		fleet := newFleet(trio...)
 		node := fleet.nodes["a"]
 		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallInconclusive})
@@ -213,10 +215,10 @@
 var _ = Describe("an answer to a call to an earlier incarnation", func() {
 	It("does not keep the sessions that wait for the present one from being sent", func() {
 		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], heldBy(trio, "c", "b")
+		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "b")
 		node.resolve(session)
 		late := node.directory.Handle(node.at(), directory.PeerBroken{Address: "c:1"})
-		Expect(late).To(HaveLen(1), "a probe that is answered late")
+		Expect(late).To(HaveLen(1), "a ping that is answered late")
 		fleet.intercept = func(from, to string, _ *protocol.Request) (*protocol.Response, bool) {
 			return nil, from == "c" && to == "a"
 		}
@@ -233,9 +235,9 @@
 })
 
 var _ = Describe("a draining node that has read a request", func() {
-	It("passes it on to the holder, which takes the session in", func() {
+	It("forwards it to the holder, which becomes the owner", func() {
 		fleet := newFleet(trio...)
-		leaving, session := fleet.nodes["a"], heldBy(trio, "c", "")
+		leaving, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
 		leaving.draining = true
 		leaving.handle(directory.DrainBegun{})
 		Expect(fleet.resolveWithin(soon, "a", session).Owner.Name).To(Equal("c"))
@@ -246,11 +248,11 @@
 
 	It("finds an owner for a session of its own partition as soon as the view shows the drain", func() {
 		fleet := newFleet(trio...)
-		leaving, session := fleet.nodes["a"], heldBy(trio, "a", "c")
+		leaving, session := fleet.nodes["a"], sessionHeldBy(trio, "a", "c")
 		leaving.resolve(session)
 		leaving.draining = true
 		leaving.handle(directory.DrainBegun{})
-		ticket := leaving.ask(session)
+		ticket := leaving.request(session)
 		fleet.advance(soon)
 		fleet.publish(trio...)
 		fleet.advance(3 * soon)
@@ -261,9 +263,9 @@
 })
 
 var _ = Describe("an owner that was started again at once", func() {
-	It("is taken over as soon as its next life has answered, before a view shows it", func() {
+	It("is taken over as soon as its next incarnation has answered, before a view shows it", func() {
 		fleet := refusing(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		fleet.nodes["a"].resolve(session)
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
 		fleet.names = fleet.names[1:]
@@ -279,7 +281,7 @@
 	})
 })
 
-var _ = Describe("the patience with a silent member", func() {
+var _ = Describe("the timeout of calls to an unresponsive member", func() {
 	timeout := func(fleet *fleet) time.Duration {
 		commands := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})
 		Expect(commands).To(HaveLen(1))
@@ -288,11 +290,12 @@
 		return sent.Timeout
 	}
 
-	It("grows with what answers take of late, up to four times, and shrinks again", func() {
+	It("grows with the duration of recent answers, up to four times, and shrinks again", func() {
 		fleet := newFleet(trio...)
 		usual := timeout(fleet)
 		Expect(usual).To(Equal(directory.DefaultFailureDetectionTimeout / 2))
-		slow := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})[0].(directory.Send)
+		commands := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})
+		slow := commands[0].(directory.Send)
 		fleet.now = fleet.now.Add(100 * time.Millisecond)
 		fleet.nodes["a"].handle(directory.Answered{Call: slow.Call, Response: fleet.nodes["c"].serve(slow.Request)})
 		Expect(timeout(fleet)).To(And(BeNumerically(">", 350*time.Millisecond), BeNumerically("<=", 4*usual)))
@@ -306,7 +309,7 @@
 var _ = Describe("a new session", func() {
 	It("costs one round trip to its holder, and nothing afterwards", func() {
 		fleet := newFleet(trio...)
-		session := heldBy(trio, "c", "")
+		session := sessionHeldBy(trio, "c", "")
 		fleet.sent = nil
 		Expect(fleet.nodes["a"].resolve(session).Owner.Local).To(BeTrue())
 		Expect(fleet.nodes["a"].resolve(session).Owner.Local).To(BeTrue())
@@ -317,8 +320,8 @@
 	})
 })
 
-var _ = Describe("hearsay about a member that is there", func() {
-	It("makes a node ask it at most four times a second", func() {
+var _ = Describe("an indirect suspicion of a member that is alive", func() {
+	It("makes a node ping it at most four times a second", func() {
 		fleet := newFleet(trio...)
 		holder := fleet.nodes["b"]
 		suspect := &protocol.Suspect{Name: "c", Incarnation: fleet.nodes["c"].self.Incarnation}
@@ -326,7 +329,7 @@
 		for range 200 {
 			fleet.now = fleet.now.Add(step)
 			holder.serve(&protocol.Request{Body: &protocol.Request_LookupSession{LookupSession: &protocol.LookupSessionRequest{
-				Session: heldBy(trio, "b", ""), ViewVersion: fleet.version, Suspects: []*protocol.Suspect{suspect},
+				Session: sessionHeldBy(trio, "b", ""), ViewVersion: fleet.version, Suspects: []*protocol.Suspect{suspect},
 			}}})
 		}
 		Expect(len(fleet.sent)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 5)))
@@ -337,10 +340,11 @@
 // route is who sends to whom.
 type route struct{ from, to string }
 
-// namedByRegistrations notes the most suspects that one registration names beyond those that its holder said it had gained from.
-func (f *fleet) namedByRegistrations() (mostOthers *int, gainedNamed *int) {
-	asked := map[route][]string{}
-	mostOthers, gainedNamed = new(int), new(int)
+// namedByRegistrations records the maximum of suspects that one registration names beyond those that its holder said
+// it had gained from.
+func (f *fleet) namedByRegistrations() (maxOthers *int, gainedNamed *int) {
+	transferSuspects := map[route][]string{}
+	maxOthers, gainedNamed = new(int), new(int)
 	f.intercept = func(from, to string, request *protocol.Request) (*protocol.Response, bool) {
 		register := request.GetRegisterSessions()
 		var suspects []string
@@ -350,21 +354,21 @@
 		switch {
 		case register == nil || register.GetCause() == protocol.RegistrationCause_CAUSE_NEW:
 		case register.GetResend():
-			asked[route{from: to, to: from}] = suspects
+			transferSuspects[route{from: to, to: from}] = suspects
 		default:
 			others := 0
 			for _, name := range suspects {
-				if slices.Contains(asked[route{from: from, to: to}], name) {
+				if slices.Contains(transferSuspects[route{from: from, to: to}], name) {
 					*gainedNamed++
 				} else {
 					others++
 				}
 			}
-			*mostOthers = max(*mostOthers, others)
+			*maxOthers = max(*maxOthers, others)
 		}
 		return nil, false
 	}
-	return mostOthers, gainedNamed
+	return maxOthers, gainedNamed
 }
 
 var _ = Describe("the loss of many front nodes at once", func() {
@@ -379,9 +383,9 @@
 			fleet.nodes[everyone[number%len(everyone)]].resolve(fmt.Sprint("session", number))
 		}
 		fleet.settle()
-		mostOthers, gainedNamed := fleet.namedByRegistrations()
+		maxOthers, gainedNamed := fleet.namedByRegistrations()
 		for _, name := range lost {
-			fleet.nodes[name].gone = true
+			fleet.nodes[name].down = true
 		}
 		for _, name := range left {
 			for _, away := range lost {
@@ -390,7 +394,7 @@
 		}
 		fleet.settle()
 		Expect(*gainedNamed).To(BeNumerically(">", 100))
-		Expect(*mostOthers).To(BeNumerically("<=", 8))
+		Expect(*maxOthers).To(BeNumerically("<=", 8))
 		for _, name := range left {
 			Expect(fleet.nodes[name].directory.Suspects()).To(Equal(len(lost)))
 			Expect(fleet.nodes[name].directory.SalvageLength()).To(BeZero())
--- a/internal/dataplane/directory/view.go
+++ b/internal/dataplane/directory/view.go
@@ -3,40 +3,42 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 // Front is one front node of a view. A draining one holds no partition and
-// takes no session in, but still owns what it has not given up.
+// accepts no new sessions, but still owns what it has not yielded.
 type Front struct {
 	ring.Member
 	Draining bool
-	// OwnedNothing says that the process had owned no session when it last described itself.
+	// FreshStart is true while the process has reported that it has owned no session since its start.
 	FreshStart bool
 }
 
 // View is one version of the membership as far as the directory needs it. It
-// is immutable and may be shared between directories.
+// is immutable, so that directories and goroutines may share it.
 type View struct {
 	Version uint64
 	fronts  []Front
 	byName  map[string]Front
 	ring    *ring.Ring
-	// virtualPlaces is the number of places of each member on the ring.
+	// virtualNodes is the number of virtual nodes of each member on the ring.
 	virtualNodes int
 }
 
 // NewView builds a view of front nodes; their order does not matter.
-func NewView(version uint64, fronts []Front, virtualPlaces int) View {
-	return View{}.next(version, fronts, virtualPlaces)
+func NewView(version uint64, fronts []Front, virtualNodes int) View {
+	return View{}.next(version, fronts, virtualNodes)
 }
 
-// next builds the same view as NewView from this one, whose ring it takes over where it does not change.
-func (v View) next(version uint64, fronts []Front, virtualPlaces int) View {
-	view := View{Version: version, fronts: slices.Clone(fronts), byName: make(map[string]Front, len(fronts)), virtualNodes: virtualPlaces}
+// next builds the same view as NewView from this one, reusing its ring where that does not change.
+func (v View) next(version uint64, fronts []Front, virtualNodes int) View {
+	view := View{
+		Version: version, fronts: slices.Clone(fronts), byName: make(map[string]Front, len(fronts)),
+		virtualNodes: virtualNodes,
+	}
 	slices.SortFunc(view.fronts, func(a, b Front) int { return cmp.Compare(a.Name, b.Name) })
 	members := make([]ring.Member, 0, len(fronts))
 	for _, front := range view.fronts {
@@ -45,17 +47,18 @@
 			members = append(members, front.Member)
 		}
 	}
-	view.ring = ring.Next(v.ring, members, virtualPlaces)
+	view.ring = ring.Next(v.ring, members, virtualNodes)
 	return view
 }
 
-// ViewOf builds a view of the front nodes of a membership view.
-func ViewFromMembership(membership *protocol.MembershipView, virtualPlaces int) View {
-	return View{}.NextFromMembership(membership, virtualPlaces)
+// ViewFromMembership builds a view of the front nodes of a membership view.
+func ViewFromMembership(membership *protocol.MembershipView, virtualNodes int) View {
+	return View{}.NextFromMembership(membership, virtualNodes)
 }
 
-// NextOf builds the same view as ViewOf from an earlier one, at a cost that the members that did not change have little part in.
-func (v View) NextFromMembership(membership *protocol.MembershipView, virtualPlaces int) View {
+// NextFromMembership builds the same view as ViewFromMembership from an earlier one; members that did not change cost
+// little.
+func (v View) NextFromMembership(membership *protocol.MembershipView, virtualNodes int) View {
 	var fronts []Front
 	for _, node := range membership.GetNodes() {
 		if node.GetKind() != protocol.NodeKind_FRONT {
@@ -64,7 +67,7 @@
 		member := ring.Member{Name: node.GetName(), Address: node.GetAddress(), Incarnation: node.GetIncarnation()}
 		fronts = append(fronts, Front{Member: member, Draining: node.GetDraining(), FreshStart: node.GetOwnedNothing()})
 	}
-	return v.next(membership.GetVersion(), fronts, virtualPlaces)
+	return v.next(membership.GetVersion(), fronts, virtualNodes)
 }
 
 // Ring is the partition ring of the view.
@@ -79,13 +82,13 @@
 	return found && front.Incarnation == incarnation
 }
 
-// Holder is the name of the front node that holds a session's registration, empty on an empty ring.
+// Holder is the name of the front node that holds a session's registration; empty on an empty ring.
 func (v View) Holder(session string) string {
 	member, _ := v.holder(ring.Key(session))
 	return member.Name
 }
 
-// without is the view without the members that are suspect, under the incarnations given.
+// without is the view without the suspects, given as incarnations by name.
 func (v View) without(suspects map[string]uint64) View {
 	if len(suspects) == 0 {
 		return v
@@ -104,169 +107,3 @@
 	}
 	return v.ring.Holder(key)
 }
-
-// Policy is how the directory recovers, as the bundle in force says.
-type Policy struct {
-	EndSessions       bool
-	HigherViewVersion bool
-	BatchSize         int
-	RetryDelay        time.Duration
-}
-
-// Starting values of a policy.
-const (
-	DefaultBatchSize  = 256
-	DefaultRetryDelay = 25 * time.Millisecond
-)
-
-// PolicyOf reads the policy of a bundle; nil gives the starting values.
-func NewPolicy(recovery *protocol.RecoveryPolicy) Policy {
-	policy := Policy{
-		EndSessions:       recovery.GetSalvageMode() == protocol.SalvageMode_END_SESSIONS,
-		HigherViewVersion: recovery.GetDuplicateResolution() == protocol.DuplicateResolution_HIGHER_VIEW_VERSION,
-		BatchSize:         int(recovery.GetSalvageBatchSize()),
-		RetryDelay:        time.Duration(recovery.GetSalvageRetryMillis()) * time.Millisecond,
-	}
-	if policy.BatchSize == 0 {
-		policy.BatchSize = DefaultBatchSize
-	}
-	if policy.RetryDelay == 0 {
-		policy.RetryDelay = DefaultRetryDelay
-	}
-	return policy
-}
-
-// viewChanged adopts a newer view; what was suspected of a member that left or came back is void.
-func (d *Directory) viewChanged(next View) {
-	if next.Version <= d.membership.Version {
-		return
-	}
-	d.membership = next
-	for name, incarnation := range d.suspects {
-		if !next.Has(name, incarnation) {
-			delete(d.suspects, name)
-		}
-	}
-	d.applyView()
-}
-
-// putInForce puts the view without the suspects in force: what this node gained begins to settle, what
-// it lost is handed off, and its own sessions whose holder changed are salvaged.
-func (d *Directory) applyView() {
-	former, next := d.view, d.membership.without(d.suspects)
-	d.view = next
-	d.viewGeneration++
-	changes := ring.Changes(d.previousRing(former), next.ring)
-	d.dropRemovedPeers()
-	d.dropRemovedOwners()
-	d.notifyDisplaced()
-	d.updateTransfers(changes)
-	d.handOffLost()
-	d.salvageReassigned(former)
-	d.reregisterAfterFreshStart(former)
-	d.markPendingCompletions(changes)
-	d.retarget()
-	d.schedulePendingCompletions()
-	d.restartResolves()
-}
-
-// ringBefore is the ring that a view is compared with. A node that had no view
-// yet takes the others' ring for it, since that is what it joins; a former
-// holder that knows of more changes says so with its completion.
-func (d *Directory) previousRing(former View) *ring.Ring {
-	if former.Version > 0 {
-		return former.ring
-	}
-	var others []ring.Member
-	for _, front := range d.view.fronts {
-		if !front.Draining && front.Name != d.self.Name {
-			others = append(others, front.Member)
-		}
-	}
-	return ring.Next(d.view.ring, others, d.view.virtualNodes)
-}
-
-// dropGonePeers ends the state kept for nodes that left or came back under
-// another incarnation, and begins anew what waits for an answer of theirs or of a suspect.
-func (d *Directory) dropRemovedPeers() {
-	for name, peer := range d.peers {
-		if !d.membership.Has(name, peer.member.Incarnation) {
-			delete(d.peers, name)
-		}
-	}
-	for _, running := range d.resolutions {
-		asked := d.calls[running.call]
-		if asked == nil {
-			continue
-		}
-		member := asked.peer.member
-		if d.peers[member.Name] != asked.peer || d.isSuspect(member.Name, member.Incarnation) {
-			running.ambiguous = running.ambiguous || asked.registers
-			delete(d.calls, running.call)
-			running.call = 0
-		}
-	}
-}
-
-// wakeDebtors looks at the peers to which completion is owed under the view just adopted.
-func (d *Directory) schedulePendingCompletions() {
-	for _, each := range d.peers {
-		if each.pendingCompletion > 0 {
-			d.schedule(each)
-		}
-	}
-}
-
-// oweCompletion notes each member that waits for this node before it calls a
-// gained range complete. A range that a living holder gave up is complete with
-// that holder's word; one whose holder was lost needs the word of every node that may own sessions.
-func (d *Directory) markPendingCompletions(changes []ring.Change) {
-	for _, change := range changes {
-		if change.To.Name == "" || change.To.Name == d.self.Name {
-			continue
-		}
-		lost := !d.alive(change.From)
-		if !d.isSelf(change.From) && (!lost || d.isFreshStart()) {
-			continue
-		}
-		gainer := d.peer(change.To)
-		gainer.partialKnowledge = gainer.partialKnowledge || lost || d.isTransferringPartOf(change.Range)
-		d.markCompletionPending(gainer)
-	}
-}
-
-// ownedNothing reports whether this process has owned no session and the view says so, so that nobody waits for its word.
-func (d *Directory) isFreshStart() bool {
-	return !d.hasOwned && d.view.byName[d.self.Name].FreshStart
-}
-
-// becomeAwaited registers this node's sessions anew with the first view that shows that it owns any: who gained a range
-// under an earlier view did not wait for its word.
-func (d *Directory) reregisterAfterFreshStart(former View) {
-	before, now := former.byName[d.self.Name], d.view.byName[d.self.Name]
-	if !before.FreshStart || now.FreshStart {
-		return
-	}
-	for _, name := range sortedKeys(d.owned) {
-		if session := d.owned[name]; session.yieldReason == "" {
-			d.salvageSession(session)
-		}
-	}
-}
-
-// alive reports whether a member is in the view under the same incarnation.
-func (d *Directory) alive(member ring.Member) bool {
-	return member.Name != "" && d.view.Has(member.Name, member.Incarnation)
-}
-
-// settlingPartOf reports whether this node itself still waits for registrations in a part of the range.
-func (d *Directory) isTransferringPartOf(moved ring.Range) bool {
-	for _, each := range d.transfers {
-		for _, gained := range each.ranges {
-			if gained.Contains(moved.Through) || moved.Contains(gained.Through) {
-				return true
-			}
-		}
-	}
-	return false
-}
--- a/internal/dataplane/directory/withdrawal_test.go
+++ b/internal/dataplane/directory/withdrawal_test.go
@@ -12,24 +12,26 @@
 	It("does not keep the session from being looked up", func() {
 		members := []string{"a", "b", "c"}
 		fleet := newFleet(members...)
-		session := heldBy(members, "c", "b")
+		session := sessionHeldBy(members, "c", "b")
 		owner := fleet.nodes["a"]
 		Expect(owner.resolve(session).Owner.Local).To(BeTrue())
 		fleet.failure = directory.CallConnectionRefused
 		fleet.intercept = func(from, to string, request *protocol.Request) (*protocol.Response, bool) {
-			// a and c do not reach each other; the stand-in takes itself for no holder, since it reaches c.
+			// a and c do not reach each other; b does not consider itself the holder, since it reaches c.
 			return nil, from == "a" && to == "c" || from == "c" && to == "a"
 		}
 		holder := fleet.nodes["c"]
-		taken := &protocol.Registration{Session: session, Owner: "b", OwnerIncarnation: fleet.nodes["b"].self.Incarnation, Claim: 1 << 60}
+		takeover := &protocol.Registration{
+			Session: session, Owner: "b", OwnerIncarnation: fleet.nodes["b"].self.Incarnation, Claim: 1 << 60,
+		}
 		_, commands := holder.directory.ServeRegister(holder.at(), &protocol.RegisterSessionsRequest{
 			ViewVersion: holder.directory.ViewVersion(), Cause: protocol.RegistrationCause_CAUSE_SALVAGE, From: "b",
-			Registrations: []*protocol.Registration{taken},
+			Registrations: []*protocol.Registration{takeover},
 		})
 		holder.execute(commands)
 		owner.handle(directory.OwnershipLost{Session: session})
-		found := owner.resolve(session)
-		Expect(found.Code).To(BeEmpty(), "an owner is found before the cut is over")
-		Expect(found.Owner.Name).To(Equal("b"))
+		resolved := owner.resolve(session)
+		Expect(resolved.Code).To(BeEmpty(), "an owner is found before the partition ends")
+		Expect(resolved.Owner.Name).To(Equal("b"))
 	})
 })
