--- a/internal/state/store/catch_up.go
+++ b/internal/state/store/catch_up.go
@@ -10,6 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/peers"
 )
 
 const (
@@ -74,7 +75,7 @@
 	under := newCopies()
 	for {
 		pause := copyCheck
-		for _, view := range s.watch.current.Load().shards {
+		for _, view := range s.watch.Current().Shards {
 			if !view.WaitsForCopy(s.options.Self.GetName(), s.options.Self.GetStorageId()) {
 				continue
 			}
@@ -233,7 +234,7 @@
 	for attempt := range pageAttempts {
 		request.PlacementEpoch = s.shardView(shard).Epoch
 		ctx, cancel := context.WithTimeout(s.ctx, s.options.PeerTimeout)
-		response, err := s.peers.call(ctx, source, &protocol.Request{Body: &protocol.Request_FetchShard{FetchShard: request}})
+		response, err := s.peers.Call(ctx, source, &protocol.Request{Body: &protocol.Request_FetchShard{FetchShard: request}})
 		cancel()
 		page := response.GetFetchShard()
 		switch {
@@ -243,7 +244,7 @@
 				return nil, last
 			}
 		case page == nil:
-			return nil, &AnswerError{Store: source}
+			return nil, &peers.AnswerError{Store: source}
 		case page.GetRefusal() != notRefused:
 			last = &CopyError{Shard: shard, Source: source, Reason: page.GetRefusal().String()}
 		default:
@@ -260,7 +261,7 @@
 func (s *Store) takePage(shard uint32, generation uint64, page *protocol.FetchShardResponse) error {
 	g := s.group(shard)
 	durable := make(chan error, 1)
-	g.mailbox.post(func() {
+	g.mailbox.Post(func() {
 		table := g.table(shard)
 		if table.generation != generation {
 			durable <- &CopyError{Shard: shard, Reason: "the placement changed meanwhile"}
--- a/internal/state/store/errors.go
+++ b/internal/state/store/errors.go
@@ -47,20 +47,6 @@
 	return fmt.Sprintf("copy of shard %d from %s: %s", e.Shard, e.Source, e.Reason)
 }
 
-// AnswerError says that a peer answered with a message of another kind than asked for.
-type AnswerError struct {
-	Store string
-}
-
-func (e *AnswerError) Error() string { return "answer of another kind from store " + e.Store }
-
-// PeerNotLiveError says that a store has no lease, or that too many requests to it are under way.
-type PeerNotLiveError struct {
-	Store string
-}
-
-func (e *PeerNotLiveError) Error() string { return "store not reachable now: " + e.Store }
-
 // UnreadProgramError says that no replica of a program's shard could read its record from a majority.
 type UnreadProgramError struct {
 	Program string
--- a/internal/state/store/find_turn.go
+++ b/internal/state/store/find_turn.go
@@ -7,6 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 // heldTurns is what one group knows of a turn whose program is not known.
@@ -29,11 +30,11 @@
 	return entries
 }
 
-func (g *group) findTurns(id string, current *topology) heldTurns {
+func (g *group) findTurns(id string, current *placement.Topology) heldTurns {
 	var held heldTurns
 	for shard, table := range g.shards {
 		held.entries = append(held.entries, table.entriesOf(id)...)
-		if table.view.Epoch == current.shard(shard).Epoch && table.view.Role.Votes() {
+		if table.view.Epoch == current.Shard(shard).Epoch && table.view.Role.Votes() {
 			held.shards = append(held.shards, shard)
 		}
 	}
@@ -41,8 +42,8 @@
 }
 
 // findHere looks for a turn in all shards of this store, under the placement given.
-func (s *Store) findHere(id string, current *topology) (*protocol.FindTurnResponse, error) {
-	answer := &protocol.FindTurnResponse{PlacementEpoch: current.epoch}
+func (s *Store) findHere(id string, current *placement.Topology) (*protocol.FindTurnResponse, error) {
+	answer := &protocol.FindTurnResponse{PlacementEpoch: current.Epoch}
 	for _, g := range s.groups {
 		held, err := ask(g, func() heldTurns { return g.findTurns(id, current) })
 		if err != nil {
@@ -64,7 +65,7 @@
 }
 
 func (s *Store) serveFindTurn(request *protocol.FindTurnRequest) (*protocol.Response, error) {
-	answer, err := s.findHere(request.GetTurnId(), s.watch.current.Load())
+	answer, err := s.findHere(request.GetTurnId(), s.watch.Current())
 	if err != nil {
 		return nil, err
 	}
@@ -74,8 +75,8 @@
 // findTurn looks for a turn on all stores. It is missing when in each shard a
 // majority that acts under the placement in force does not have it.
 func (s *Store) findTurn(ctx context.Context, find *protocol.FindTurn) (*protocol.LedgerResult, error) {
-	current := s.watch.current.Load()
-	if len(current.shards) == 0 {
+	current := s.watch.Current()
+	if len(current.Shards) == 0 {
 		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 	here, err := s.findHere(find.GetTurnId(), current)
@@ -85,8 +86,8 @@
 	if here.GetTurn() != nil {
 		return foundTurn(here.GetTurn()), nil
 	}
-	lacking := newCoverage(current)
-	lacking.add(s.options.Self.GetName(), here.GetShards(), here.GetPlacementEpoch())
+	lacking := placement.NewCoverage(current)
+	lacking.Add(s.options.Self.GetName(), here.GetShards(), here.GetPlacementEpoch())
 	return s.askAll(ctx, find, lacking), nil
 }
 
@@ -100,30 +101,30 @@
 }
 
 // askAll asks the other stores at once. The first that has the turn is believed.
-func (s *Store) askAll(ctx context.Context, find *protocol.FindTurn, lacking *coverage) *protocol.LedgerResult {
+func (s *Store) askAll(ctx context.Context, find *protocol.FindTurn, lacking *placement.Coverage) *protocol.LedgerResult {
 	request := &protocol.Request{Body: &protocol.Request_FindTurn{FindTurn: &protocol.FindTurnRequest{TurnId: find.GetTurnId()}}}
-	others := lacking.topology.members(s.options.Self.GetName())
+	others := lacking.Topology.Stores(s.options.Self.GetName())
 	answers := make(chan findAnswer, len(others))
 	for _, store := range others {
-		s.peers.send(store, request, func(response *protocol.Response, _ error) {
+		s.peers.Send(store, request, func(response *protocol.Response, _ error) {
 			answers <- findAnswer{store: store, answer: response.GetFindTurn()}
 		})
 	}
 	if turn := s.hear(ctx, lacking, answers, len(others)); turn != nil {
 		return foundTurn(turn)
 	}
-	if lacking.isComplete() && s.watch.current.Load().epoch == lacking.topology.epoch {
+	if lacking.IsComplete() && s.watch.Current().Epoch == lacking.Topology.Epoch {
 		return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 	}
 	return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 }
 
 // hear takes answers in until one has the turn, all are there or the time is over.
-func (s *Store) hear(ctx context.Context, lacking *coverage, answers <-chan findAnswer, count int) *protocol.Turn {
+func (s *Store) hear(ctx context.Context, lacking *placement.Coverage, answers <-chan findAnswer, count int) *protocol.Turn {
 	var late lateAnswers
 	defer late.end()
 	for range count {
-		if lacking.isComplete() {
+		if lacking.IsComplete() {
 			late.begin(s.options.Clock)
 		}
 		select {
@@ -131,7 +132,7 @@
 			if turn := heard.answer.GetTurn(); turn != nil {
 				return turn
 			}
-			lacking.add(heard.store, heard.answer.GetShards(), heard.answer.GetPlacementEpoch())
+			lacking.Add(heard.store, heard.answer.GetShards(), heard.answer.GetPlacementEpoch())
 		case <-late.over:
 			return nil
 		case <-ctx.Done():
--- a/internal/state/store/follow_placement.go
+++ b/internal/state/store/follow_placement.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 // wait returns after the time has passed, or false when the store stops.
@@ -30,10 +31,10 @@
 // followPlacement hands every new placement to the groups.
 func (s *Store) followPlacement() {
 	for {
-		if current, changed := s.watch.refresh(); changed {
-			s.options.Logger.Info("placement in force", "epoch", current.epoch)
+		if current, changed := s.watch.Refresh(); changed {
+			s.options.Logger.Info("placement in force", "epoch", current.Epoch)
 			for _, group := range s.groups {
-				group.mailbox.post(func() { group.applyPlacement(current) })
+				group.mailbox.Post(func() { group.applyPlacement(current) })
 			}
 			signal(s.copyPoke)
 		}
@@ -46,8 +47,8 @@
 }
 
 // applyPlacement brings the tables of the group's shards under a new placement.
-func (g *group) applyPlacement(current *topology) {
-	for _, view := range current.shards {
+func (g *group) applyPlacement(current *placement.Topology) {
+	for _, view := range current.Shards {
 		if g.store.group(view.Shard) != g {
 			continue
 		}
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -7,13 +7,14 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
+	"github.com/rosestand/rosestand/internal/state/store/mailbox"
 )
 
 // group owns the tables of some shards. All fields are used by its one
 // goroutine only; others post commands to its mailbox.
 type group struct {
 	store     *Store
-	mailbox   *mailbox
+	mailbox   *mailbox.Mailbox
 	shards    map[uint32]*shardTable
 	unsynced  map[*entry]*unsynced
 	proposals map[registerKey]*proposal
@@ -27,7 +28,7 @@
 func newGroup(store *Store, number int) *group {
 	return &group{
 		store:     store,
-		mailbox:   newMailbox(),
+		mailbox:   mailbox.New(),
 		shards:    map[uint32]*shardTable{},
 		unsynced:  map[*entry]*unsynced{},
 		proposals: map[registerKey]*proposal{},
@@ -42,7 +43,7 @@
 // must not be called by that goroutine. The error is a *StoppedError.
 func ask[A any](g *group, command func() A) (A, error) {
 	answers := make(chan A, 1)
-	g.mailbox.post(func() { answers <- command() })
+	g.mailbox.Post(func() { answers <- command() })
 	select {
 	case answer := <-answers:
 		return answer, nil
@@ -165,6 +166,6 @@
 			g.store.fail(&LogError{Log: registerFolder, Cause: err})
 			return
 		}
-		g.mailbox.post(done)
+		g.mailbox.Post(done)
 	})
 }
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -85,7 +85,7 @@
 	return &protocol.StoreStatusResponse{
 		Name:           s.options.Self.GetName(),
 		StorageId:      s.options.Self.GetStorageId(),
-		PlacementEpoch: s.watch.current.Load().epoch,
+		PlacementEpoch: s.watch.Current().Epoch,
 		Registers:      held.registers,
 		Turns:          held.turns,
 		Bytes:          uint64(s.folder.registers.Size() + s.folder.turns.Size()),
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -63,7 +63,7 @@
 		reply:    func(result *protocol.LedgerResult) { answer <- result },
 	}
 	g := s.group(shard.Shard)
-	g.mailbox.post(func() { g.begin(shard, op) })
+	g.mailbox.Post(func() { g.begin(shard, op) })
 	select {
 	case result := <-answer:
 		s.metrics.results.WithLabelValues(result.GetStatus().String()).Inc()
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -39,7 +39,6 @@
 	DefaultScrubInterval = 10 * time.Minute
 	DefaultPeerTimeout   = time.Second
 	DefaultOperationTime = 10 * time.Second
-	defaultPeerCalls     = 2048
 	maintenanceInterval  = time.Second
 	firstRetryWait       = 2 * time.Millisecond
 	longestRetryWait     = 250 * time.Millisecond
--- a/internal/state/store/peers_test.go
+++ b/internal/state/store/peers/client_test.go
@@ -1,4 +1,4 @@
-package store
+package peers
 
 import (
 	"context"
@@ -9,21 +9,20 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// heldCaller hands each call to the test and waits for its answer or the context.
-type heldCaller struct {
-	calls chan heldCall
+// blockingCaller passes each call to the test and waits for its answer or the context.
+type blockingCaller struct {
+	calls chan blockedCall
 }
 
-type heldCall struct {
+type blockedCall struct {
 	request *protocol.Request
 	answer  chan *protocol.Response
 }
 
-func (c *heldCaller) Call(ctx context.Context, _ string, request *protocol.Request) (*protocol.Response, error) {
-	call := heldCall{request: request, answer: make(chan *protocol.Response, 1)}
+func (c *blockingCaller) Call(ctx context.Context, _ string, request *protocol.Request) (*protocol.Response, error) {
+	call := blockedCall{request: request, answer: make(chan *protocol.Response, 1)}
 	c.calls <- call
 	select {
 	case response := <-call.answer:
@@ -33,17 +32,13 @@
 	}
 }
 
-func (c *heldCaller) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
-	return nil, &PeerNotLiveError{}
-}
-
-func peersOf(t *testing.T, timeout time.Duration) (*peers, *heldCaller) {
-	caller := &heldCaller{calls: make(chan heldCall, 2*defaultPeerCalls)}
-	s := &Store{ctx: t.Context(), watch: newPlacementWatch(idleCore{}, &protocol.Node{Name: "a"})}
-	s.options = Options{Caller: caller, PeerTimeout: timeout}
-	s.watch.current.Store(&topology{addresses: map[string]string{"b": "address"}})
-	s.peers = newPeers(s)
-	return s.peers, caller
+func newTestClient(t *testing.T, timeout time.Duration) (*Client, *blockingCaller) {
+	caller := &blockingCaller{calls: make(chan blockedCall, 2*maxInFlight)}
+	return New(t.Context(), Options{
+		Caller:  caller,
+		Address: func(store string) string { return map[string]string{"b": "address"}[store] },
+		Timeout: timeout,
+	}), caller
 }
 
 func prepareOf(program string) *protocol.Request {
@@ -59,32 +54,32 @@
 	}}}
 }
 
-func TestRequestsThatWaitLeaveTogetherAndAreAnsweredInOrder(t *testing.T) {
-	p, caller := peersOf(t, time.Minute)
-	const count = callsOfPeer + largestPeerBatch + 5
+func TestWaitingRequestsShareABatchAndAreAnsweredInOrder(t *testing.T) {
+	p, caller := newTestClient(t, time.Minute)
+	const count = maxConcurrentBatches + maxBatchRequests + 5
 	answers := make(chan error, count)
 	send := func(number int) {
 		program := strconv.Itoa(number)
-		p.send("b", prepareOf(program), func(response *protocol.Response, err error) {
+		p.Send("b", prepareOf(program), func(response *protocol.Response, err error) {
 			if got := string(response.GetPrepare().GetValue()); err == nil && got != program {
 				err = errors.Newf("%s was answered as %s", program, got)
 			}
 			answers <- err
 		})
 	}
-	var alone []heldCall
-	for number := range callsOfPeer {
+	var alone []blockedCall
+	for number := range maxConcurrentBatches {
 		send(number)
 		alone = append(alone, <-caller.calls)
 	}
-	for number := callsOfPeer; number < count; number++ {
+	for number := maxConcurrentBatches; number < count; number++ {
 		send(number)
 	}
 	if len(caller.calls) > 0 {
-		t.Fatalf("more than %d calls under way", callsOfPeer)
+		t.Fatalf("more than %d calls in flight", maxConcurrentBatches)
 	}
 	alone[0].answer <- echo(alone[0].request)
-	for _, wanted := range []int{largestPeerBatch, 5} {
+	for _, wanted := range []int{maxBatchRequests, 5} {
 		call := <-caller.calls
 		batch := call.request.GetStoreBatch().GetRequests()
 		if len(batch) != wanted {
@@ -104,20 +99,20 @@
 			t.Fatal(err)
 		}
 	}
-	p.wait()
-	if held := p.lanes["b"].held; held != 0 {
-		t.Fatalf("%d requests still held", held)
+	p.Close()
+	if inFlight := p.queues["b"].inFlight; inFlight != 0 {
+		t.Fatalf("%d requests still in flight", inFlight)
 	}
 }
 
-func TestABatchWithTooFewAnswersFailsInFull(t *testing.T) {
-	p, caller := peersOf(t, time.Minute)
+func TestEveryRequestOfABatchWithTooFewAnswersFails(t *testing.T) {
+	p, caller := newTestClient(t, time.Minute)
 	failed := make(chan error, 2)
 	done := func(_ *protocol.Response, err error) { failed <- err }
-	p.lanes["b"] = &lane{calls: callsOfPeer}
-	p.send("b", prepareOf("first"), done)
-	p.send("b", prepareOf("second"), done)
-	p.routines.Go(func() { p.run("b", p.lanes["b"]) })
+	p.queues["b"] = &queue{senders: maxConcurrentBatches}
+	p.Send("b", prepareOf("first"), done)
+	p.Send("b", prepareOf("second"), done)
+	p.routines.Go(func() { p.sendBatches("b", p.queues["b"]) })
 	call := <-caller.calls
 	call.answer <- &protocol.Response{Body: &protocol.Response_StoreBatch{StoreBatch: &protocol.ResponseBatch{
 		Responses: []*protocol.Response{echo(prepareOf("first"))},
@@ -128,27 +123,27 @@
 			t.Fatalf("ended with %v", err)
 		}
 	}
-	p.wait()
+	p.Close()
 }
 
-func TestAStoreThatDoesNotAnswerHoldsUpNothingForLong(t *testing.T) {
-	p, _ := peersOf(t, time.Nanosecond)
-	failed := make(chan error, defaultPeerCalls)
-	for number := range defaultPeerCalls {
-		p.send("b", prepareOf(strconv.Itoa(number)), func(_ *protocol.Response, err error) { failed <- err })
+func TestRequestsToAnUnresponsiveStoreFailAfterTheTimeout(t *testing.T) {
+	p, _ := newTestClient(t, time.Nanosecond)
+	failed := make(chan error, maxInFlight)
+	for number := range maxInFlight {
+		p.Send("b", prepareOf(strconv.Itoa(number)), func(_ *protocol.Response, err error) { failed <- err })
 	}
-	for range defaultPeerCalls {
+	for range maxInFlight {
 		if err := <-failed; !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatalf("ended with %v", err)
 		}
 	}
-	p.wait()
-	if held := p.lanes["b"]; held.held != 0 || held.calls != 0 || len(held.waiting) != 0 {
-		t.Fatalf("left %+v", held)
+	p.Close()
+	if q := p.queues["b"]; q.inFlight != 0 || q.senders != 0 || len(q.waiting) != 0 {
+		t.Fatalf("left %+v", q)
 	}
-	p.send("b", prepareOf("late"), func(_ *protocol.Response, err error) { failed <- err })
-	var closed *PeerNotLiveError
+	p.Send("b", prepareOf("late"), func(_ *protocol.Response, err error) { failed <- err })
+	var closed *NotLiveError
 	if err := <-failed; !errors.As(err, &closed) {
-		t.Fatalf("sent after the end: %v", err)
+		t.Fatalf("sent after Close: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/state/store/placement/topology.go
@@ -0,0 +1,64 @@
+package placement
+
+import (
+	"slices"
+
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/register"
+)
+
+// Topology is an immutable summary of a view: which stores serve which shards, and where stores are.
+type Topology struct {
+	// Epoch is that of the placement; zero while none is known to be in force.
+	Epoch uint64
+	// Shards are indexed by shard number.
+	Shards []register.ShardView
+	// Addresses of the live stores, by name.
+	Addresses map[string]string
+}
+
+// newTopology reads the placement and the stores' addresses from a view. As long as the view
+// is not fresh, that is read since the start, the topology has no shards: the placement may
+// be superseded.
+func newTopology(view *corelink.View, self *protocol.Node, fresh bool) *Topology {
+	topology := &Topology{Addresses: map[string]string{}}
+	for _, node := range view.Membership.GetNodes() {
+		if node.GetKind() == protocol.NodeKind_STORE {
+			topology.Addresses[node.GetName()] = node.GetAddress()
+		}
+	}
+	if !fresh || view.Placement == nil {
+		return topology
+	}
+	topology.Epoch = view.Placement.GetEpoch()
+	topology.Shards = make([]register.ShardView, len(view.Placement.GetShards()))
+	for _, placed := range view.Placement.GetShards() {
+		if int(placed.GetShard()) >= len(topology.Shards) {
+			continue
+		}
+		topology.Shards[placed.GetShard()] = register.ViewOf(view.Placement, placed, self.GetName(), self.GetStorageId())
+	}
+	return topology
+}
+
+// Shard returns the view of a shard; one without replicas when there is no such shard.
+func (t *Topology) Shard(shard uint32) register.ShardView {
+	if int(shard) < len(t.Shards) {
+		return t.Shards[shard]
+	}
+	return register.ShardView{Shard: shard}
+}
+
+// Stores names every store that has a replica, except one, in a fixed order.
+func (t *Topology) Stores(except string) []string {
+	var stores []string
+	for _, view := range t.Shards {
+		for _, store := range view.Quorum.Members() {
+			if store != except && !slices.Contains(stores, store) {
+				stores = append(stores, store)
+			}
+		}
+	}
+	return stores
+}
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -189,12 +189,12 @@
 func (p *proposal) sendLocally(change *register.Change, message register.Message) {
 	if message.Prepare != nil {
 		p.group.prepare(message.Prepare, func(answer *protocol.PrepareResponse) {
-			p.group.mailbox.post(func() { p.prepared(change, message, answer) })
+			p.group.mailbox.Post(func() { p.prepared(change, message, answer) })
 		})
 		return
 	}
 	p.group.accept(message.Accept, func(answer *protocol.AcceptResponse) {
-		p.group.mailbox.post(func() { p.accepted(change, message, answer) })
+		p.group.mailbox.Post(func() { p.accepted(change, message, answer) })
 	})
 }
 
@@ -203,8 +203,8 @@
 	if message.Prepare != nil {
 		request.Body = &protocol.Request_Prepare{Prepare: message.Prepare}
 	}
-	p.group.store.peers.send(message.Store, request, func(response *protocol.Response, err error) {
-		p.group.mailbox.post(func() {
+	p.group.store.peers.Send(message.Store, request, func(response *protocol.Response, err error) {
+		p.group.mailbox.Post(func() {
 			switch {
 			case err == nil && response.GetPrepare() != nil:
 				p.prepared(change, message, response.GetPrepare())
@@ -303,7 +303,7 @@
 	wait := p.group.backoff(p.retries)
 	p.retries++
 	p.group.store.options.Clock.AfterFunc(wait, func() {
-		p.group.mailbox.post(func() { p.retry(change) })
+		p.group.mailbox.Post(func() { p.retry(change) })
 	})
 }
 
--- a/internal/state/store/read_turns.go
+++ b/internal/state/store/read_turns.go
@@ -172,7 +172,7 @@
 			continue
 		}
 		asked++
-		s.peers.send(store, request, func(response *protocol.Response, err error) {
+		s.peers.Send(store, request, func(response *protocol.Response, err error) {
 			answer := fetchAnswer{store: store}
 			if fetched := response.GetFetchTurns(); err == nil && fetched != nil && fetched.GetRefusal() == notRefused {
 				answer.turns, answer.answered = fetched.GetTurns(), true
@@ -216,7 +216,7 @@
 // repairTurns keeps turns here that were found on another replica.
 func (s *Store) repairTurns(shard register.ShardView, turns []*protocol.Turn) {
 	g := s.group(shard.Shard)
-	g.mailbox.post(func() {
+	g.mailbox.Post(func() {
 		for _, turn := range turns {
 			g.keepTurn(shard.Shard, turn, func() { s.metrics.countRepaired(0, 1) })
 		}
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -48,14 +48,14 @@
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_Prepare:
 		g := s.group(body.Prepare.GetShard())
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.prepare(body.Prepare, func(answer *protocol.PrepareResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_Prepare{Prepare: answer}})
 			})
 		})
 	case *protocol.Request_Accept:
 		g := s.group(body.Accept.GetShard())
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.accept(body.Accept, func(answer *protocol.AcceptResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_Accept{Accept: answer}})
 			})
@@ -66,7 +66,7 @@
 			return
 		}
 		g := s.group(body.KeepTurn.GetShard())
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.keepForPeer(body.KeepTurn, func(answer *protocol.KeepTurnResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_KeepTurn{KeepTurn: answer}})
 			})
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -46,7 +46,7 @@
 	for number := range count {
 		program := fmt.Sprintf("program-%d", number/benchTurns)
 		g := opened.group(uint32(number/benchTurns) % 64)
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.keepTurn(uint32(number/benchTurns)%64, &protocol.Turn{
 				Id: fmt.Sprintf("turn_%032d", number), Program: program, Session: program, RequestId: strconv.Itoa(number),
 				KeptAtMillis: time.Now().UnixMilli(), Output: []*protocol.Item{{Role: "assistant", Text: text}},
@@ -98,7 +98,7 @@
 		for number := range programs {
 			shard := uint32(number % 64)
 			g := opened.group(shard)
-			g.mailbox.post(func() {
+			g.mailbox.Post(func() {
 				table := g.table(shard)
 				key := registerKey{program: fmt.Sprintf("program-%d", number)}
 				held := table.entry(key)
--- a/internal/state/store/retain_turn.go
+++ b/internal/state/store/retain_turn.go
@@ -56,9 +56,9 @@
 	request := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
 		Shard: k.shard.Shard, PlacementEpoch: k.shard.Epoch, Turn: k.turn,
 	}}}
-	k.group.store.peers.send(store, request, func(response *protocol.Response, err error) {
+	k.group.store.peers.Send(store, request, func(response *protocol.Response, err error) {
 		kept := err == nil && response.GetKeepTurn() != nil && response.GetKeepTurn().GetRefusal() == notRefused
-		k.group.mailbox.post(func() { k.answered(store, round, kept) })
+		k.group.mailbox.Post(func() { k.answered(store, round, kept) })
 	})
 }
 
@@ -84,7 +84,7 @@
 	k.resting = true
 	clock := k.group.store.options.Clock
 	clock.AfterFunc(k.group.backoff(k.round), func() {
-		k.group.mailbox.post(k.retry)
+		k.group.mailbox.Post(k.retry)
 	})
 }
 
--- a/internal/state/store/scrub.go
+++ b/internal/state/store/scrub.go
@@ -8,6 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/peers"
 )
 
 // scrubBuckets divides a shard so that only what differs is fetched.
@@ -23,7 +24,7 @@
 
 // ScrubOnce compares all shards once.
 func (s *Store) ScrubOnce() {
-	for _, view := range s.watch.current.Load().shards {
+	for _, view := range s.watch.Current().Shards {
 		if view.Role != register.RoleActive {
 			continue
 		}
@@ -59,7 +60,7 @@
 func (s *Store) fetchDigest(shard uint32, peer string) (*protocol.ShardDigestResponse, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.PeerTimeout)
 	defer cancel()
-	response, err := s.peers.call(ctx, peer, &protocol.Request{Body: &protocol.Request_ShardDigest{ShardDigest: &protocol.ShardDigestRequest{
+	response, err := s.peers.Call(ctx, peer, &protocol.Request{Body: &protocol.Request_ShardDigest{ShardDigest: &protocol.ShardDigestRequest{
 		Shard: shard, PlacementEpoch: s.shardView(shard).Epoch, Buckets: scrubBuckets,
 	}}})
 	if err != nil {
@@ -68,11 +69,11 @@
 	theirs := response.GetShardDigest()
 	switch {
 	case theirs == nil:
-		return nil, &AnswerError{Store: peer}
+		return nil, &peers.AnswerError{Store: peer}
 	case theirs.GetRefusal() != notRefused:
 		return nil, &CopyError{Shard: shard, Source: peer, Reason: theirs.GetRefusal().String()}
 	case len(theirs.GetRegisterDigests()) != scrubBuckets || len(theirs.GetTurnDigests()) != scrubBuckets:
-		return nil, &AnswerError{Store: peer}
+		return nil, &peers.AnswerError{Store: peer}
 	default:
 		return theirs, nil
 	}
@@ -108,7 +109,7 @@
 			return err
 		}
 		g := s.group(shard)
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			if g.table(shard).view.Role != register.RoleActive {
 				return
 			}
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -38,7 +38,7 @@
 	for change := range changesASecond {
 		key := registerKey{program: fmt.Sprintf("program-%d", change%changedRegisters)}
 		group := s.group(0)
-		group.mailbox.post(func() {
+		group.mailbox.Post(func() {
 			table := group.table(0)
 			state := register.State{Value: make([]byte, valueBytes)}
 			state.Accepted.Counter = uint64(second*changesASecond + change)
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -14,6 +14,8 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/peers"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 // Store is one store process: replicas of some shards, and the proposer for their programs.
@@ -23,8 +25,8 @@
 	registerCommits *storage.GroupCommitter
 	turnCommits     *storage.GroupCommitter
 	groups          []*group
-	watch           *placementWatch
-	peers           *peers
+	watch           *placement.Watch
+	peers           *peers.Client
 	metrics         *metrics
 	proposerName    string
 	turnSegments    segmentExpiry
@@ -59,7 +61,7 @@
 	s := &Store{
 		options:      options,
 		folder:       folder,
-		watch:        newPlacementWatch(options.Core, options.Self),
+		watch:        placement.NewWatch(options.Core, options.Self),
 		metrics:      options.metrics,
 		proposerName: proposerName(options.Self.GetName(), folder),
 		ctx:          ctx,
@@ -68,7 +70,11 @@
 		poke:         make(chan struct{}, 1),
 		copyPoke:     make(chan struct{}, 1),
 	}
-	s.peers = newPeers(s)
+	s.peers = peers.New(ctx, peers.Options{
+		Caller:  options.Caller,
+		Address: s.addressOf,
+		Timeout: options.PeerTimeout,
+	})
 	for number := range options.Groups {
 		s.groups = append(s.groups, newGroup(s, number))
 	}
@@ -106,7 +112,7 @@
 	s.registerCommits = storage.NewGroupCommitter(s.folder.registers, s.committerOptions(registerFolder))
 	s.turnCommits = storage.NewGroupCommitter(s.folder.turns, s.committerOptions(turnFolder))
 	for _, group := range s.groups {
-		s.owners.Go(group.mailbox.run)
+		s.owners.Go(group.mailbox.Run)
 	}
 	s.routines.Go(s.followPlacement)
 	s.routines.Go(s.maintain)
@@ -133,11 +139,11 @@
 		s.cancel()
 		close(s.stopped)
 		for _, group := range s.groups {
-			group.mailbox.close()
+			group.mailbox.Close()
 		}
 		s.owners.Wait()
 		s.routines.Wait()
-		s.peers.wait()
+		s.peers.Close()
 		if s.registerCommits != nil {
 			s.registerCommits.Close()
 			s.turnCommits.Close()
@@ -158,15 +164,18 @@
 
 // shardOf gives the view of the shard of a program.
 func (s *Store) shardOf(program string) register.ShardView {
-	current := s.watch.current.Load()
-	return current.shard(ledger.ShardOf(program, len(current.shards)))
+	current := s.watch.Current()
+	return current.Shard(ledger.ShardOf(program, len(current.Shards)))
 }
 
 // shardView gives the view of a shard in force.
 func (s *Store) shardView(shard uint32) register.ShardView {
-	return s.watch.current.Load().shard(shard)
+	return s.watch.Current().Shard(shard)
 }
 
+// addressOf returns the address of a store; an empty one when it has no lease.
+func (s *Store) addressOf(store string) string { return s.watch.Current().Addresses[store] }
+
 // ViewChanged takes a new view of the core in; it does not wait.
 func (s *Store) ViewChanged() {
 	signal(s.poke)
--- a/internal/state/store/training_step_members.go
+++ b/internal/state/store/training_step_members.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 const (
@@ -36,10 +37,10 @@
 }
 
 // listMembersHere names the programs of a step in all shards for which the word of this store counts.
-func (s *Store) listMembersHere(step string, current *topology) (*protocol.ListTrainingStepResponse, error) {
-	answer := &protocol.ListTrainingStepResponse{PlacementEpoch: current.epoch}
+func (s *Store) listMembersHere(step string, current *placement.Topology) (*protocol.ListTrainingStepResponse, error) {
+	answer := &protocol.ListTrainingStepResponse{PlacementEpoch: current.Epoch}
 	bytes := 0
-	for _, view := range current.shards {
+	for _, view := range current.Shards {
 		if !view.Role.Votes() {
 			continue
 		}
@@ -63,7 +64,7 @@
 }
 
 // listMembersOf scans one shard. counts is false when the placement changed meanwhile.
-func (s *Store) listMembersOf(shard uint32, step string, current *topology) (programs []string, counts bool, err error) {
+func (s *Store) listMembersOf(shard uint32, step string, current *placement.Topology) (programs []string, counts bool, err error) {
 	g := s.group(shard)
 	var page membersPage
 	var generation uint64
@@ -85,11 +86,11 @@
 }
 
 // membersFrom looks at the next registers of a shard.
-func (g *group) membersFrom(shard uint32, step string, from uint64, current *topology) membersPage {
+func (g *group) membersFrom(shard uint32, step string, from uint64, current *placement.Topology) membersPage {
 	table := g.table(shard)
 	page := membersPage{
 		next:       from,
-		counts:     table.view.Epoch == current.shard(shard).Epoch && table.view.Role.Votes(),
+		counts:     table.view.Epoch == current.Shard(shard).Epoch && table.view.Role.Votes(),
 		generation: table.generation,
 	}
 	if !page.counts {
@@ -133,7 +134,7 @@
 }
 
 func (s *Store) serveListTrainingStep(request *protocol.ListTrainingStepRequest) (*protocol.Response, error) {
-	answer, err := s.listMembersHere(request.GetStep(), s.watch.current.Load())
+	answer, err := s.listMembersHere(request.GetStep(), s.watch.Current())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/state/store/training_step_members_test.go
+++ b/internal/state/store/training_step_members_test.go
@@ -10,10 +10,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 // memberGroup owns shard 0 with so many programs, each tenth of step 17, each eleventh of step 18.
-func memberGroup(t testing.TB, programs int) (*group, *topology, []string) {
+func memberGroup(t testing.TB, programs int) (*group, *placement.Topology, []string) {
 	table := newShardTable(0)
 	table.view.Role, table.view.Epoch = register.RoleActive, 1
 	var members []string
@@ -39,11 +40,11 @@
 	}
 	slices.Sort(members)
 	g := &group{shards: map[uint32]*shardTable{0: table}}
-	return g, &topology{epoch: 1, shards: []register.ShardView{table.view}}, members
+	return g, &placement.Topology{Epoch: 1, Shards: []register.ShardView{table.view}}, members
 }
 
 // scanMembers gives all members and how many pages that took.
-func scanMembers(g *group, current *topology, step string) (found []string, pages int) {
+func scanMembers(g *group, current *placement.Topology, step string) (found []string, pages int) {
 	for page := (membersPage{}); !page.last; pages++ {
 		page = g.membersFrom(0, step, page.next, current)
 		found = append(found, page.programs...)
--- a/internal/state/store/training_step_trace.go
+++ b/internal/state/store/training_step_trace.go
@@ -14,6 +14,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
 const (
@@ -92,20 +93,20 @@
 // listMembers asks all stores for the programs of a step. complete is false
 // unless a majority of each shard answered under the placement in force.
 func (s *Store) listMembers(ctx context.Context, step string) (names []string, complete bool, err error) {
-	current := s.watch.current.Load()
-	if len(current.shards) == 0 {
+	current := s.watch.Current()
+	if len(current.Shards) == 0 {
 		return nil, false, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, listMembersTime)
 	var asked sync.WaitGroup
 	defer asked.Wait()
 	defer cancel()
-	others := current.members(s.options.Self.GetName())
+	others := current.Stores(s.options.Self.GetName())
 	answers := make(chan membersAnswer, len(others))
 	request := &protocol.Request{Body: &protocol.Request_ListTrainingStep{ListTrainingStep: &protocol.ListTrainingStepRequest{Step: step}}}
 	for _, store := range others {
 		asked.Go(func() {
-			response, _ := s.peers.call(ctx, store, request)
+			response, _ := s.peers.Call(ctx, store, request)
 			answers <- membersAnswer{store: store, answer: response.GetListTrainingStep()}
 		})
 	}
@@ -113,26 +114,26 @@
 	if err != nil {
 		return nil, false, err
 	}
-	named, heard := map[string]bool{}, newCoverage(current)
-	heard.addMembers(s.options.Self.GetName(), here, named)
+	named, listed := map[string]bool{}, placement.NewCoverage(current)
+	mergeMembers(listed, s.options.Self.GetName(), here, named)
 	for range others {
-		if heard.isComplete() {
+		if listed.IsComplete() {
 			break
 		}
 		select {
 		case next := <-answers:
-			heard.addMembers(next.store, next.answer, named)
+			mergeMembers(listed, next.store, next.answer, named)
 		case <-ctx.Done():
 			return nil, false, nil
 		}
 	}
-	complete = heard.isComplete() && s.watch.current.Load().epoch == current.epoch
+	complete = listed.IsComplete() && s.watch.Current().Epoch == current.Epoch
 	return slices.Sorted(maps.Keys(named)), complete, nil
 }
 
-// addMembers takes the answer of one store in; nil is no answer.
-func (c *coverage) addMembers(store string, answer *protocol.ListTrainingStepResponse, named map[string]bool) {
-	c.add(store, answer.GetShards(), answer.GetPlacementEpoch())
+// mergeMembers adds the programs that one store listed; nil is no answer.
+func mergeMembers(listed *placement.Coverage, store string, answer *protocol.ListTrainingStepResponse, named map[string]bool) {
+	listed.Add(store, answer.GetShards(), answer.GetPlacementEpoch())
 	for _, program := range answer.GetPrograms() {
 		named[program.GetProgram()] = true
 	}
@@ -221,6 +222,6 @@
 		}
 		return r.store.propose(ctx, shard, operation)
 	}
-	response, err := r.store.peers.call(ctx, replica, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+	response, err := r.store.peers.Call(ctx, replica, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 	return response.GetLedger(), err
 }
--- a/internal/state/store/turn_chain.go
+++ b/internal/state/store/turn_chain.go
@@ -28,7 +28,7 @@
 	view := table.view
 	g.store.routines.Go(func() {
 		whole := g.store.fetchChain(view, turn)
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			if !whole {
 				done(false)
 				return
@@ -60,7 +60,7 @@
 func (s *Store) keepHere(shard uint32, turns []*protocol.Turn) bool {
 	g := s.group(shard)
 	durable := make(chan struct{}, len(turns))
-	g.mailbox.post(func() {
+	g.mailbox.Post(func() {
 		for _, turn := range slices.Backward(turns) {
 			g.keepTurn(shard, turn, func() { durable <- struct{}{} })
 		}
@@ -127,7 +127,7 @@
 		// The page's own turn may be on its way to a replica that lacks it.
 		prolonged := proto.CloneOf(turn)
 		prolonged.KeepUntilMillis = untilMillis
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.keepOnMajority(shard, prolonged, deadline, func(status protocol.LedgerStatus) { statuses <- status })
 		})
 	}
--- a/internal/state/store/turn_index.go
+++ b/internal/state/store/turn_index.go
@@ -177,7 +177,7 @@
 			g.store.fail(&LogError{Log: turnFolder, Cause: err})
 			return
 		}
-		g.mailbox.post(func() { g.turnKept(table, key, turnEntryAt(positions[0], turn)) })
+		g.mailbox.Post(func() { g.turnKept(table, key, turnEntryAt(positions[0], turn)) })
 	})
 }
 
