--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -1,70 +1,57 @@
 package consensus
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// stage delivers what is held and holds all that comes of it.
-func (s *script) stage() {
-	s.pass = passNone
-	held := s.held
-	s.held = nil
-	for _, message := range held {
-		s.deliver(message)
+func TestTwoConcurrentCampaignsDoNotSplitTheVotes(t *testing.T) {
+	s := newScriptedCluster(t, 0)
+	lostMember := func(message *protocol.ConsensusMessage) bool {
+		return message.GetTo() == 3 || message.GetFrom() == 3
 	}
-	s.run()
-}
-
-func TestTwoWhoStandAtOnceDoNotSplitTheVotes(t *testing.T) {
-	s := newScript(t, 3, 0)
-	lostMember := func(message *protocol.ConsensusMessage) bool { return message.GetTo() == 3 || message.GetFrom() == 3 }
-	s.pass = passNone
+	s.delivers = deliverNone
 	s.now = s.now.Add(10 * DefaultElectionTimeout)
 	s.nodes[1].Tick(s.now)
 	s.nodes[2].Tick(s.now)
 	s.run()
-	// Questions and answers of the two cross each other on the way, step by step.
+	// The requests and answers of the two cross each other on the way, step by step.
 	for range 10 {
-		kept := s.held[:0]
-		for _, message := range s.held {
-			if !lostMember(message) {
-				kept = append(kept, message)
-			}
-		}
-		s.held = kept
-		s.stage()
+		s.undelivered = slices.DeleteFunc(s.undelivered, lostMember)
+		s.deliverOneStep()
 	}
 	if s.nodes[1].Role() == Leader || s.nodes[2].Role() != Leader {
 		t.Fatalf("the two are %v and %v", s.nodes[1].Role(), s.nodes[2].Role())
 	}
 }
 
-func TestAFailedElectionIsTriedAgainSoonButNotForEver(t *testing.T) {
-	s := newScript(t, 3, 0)
-	s.pass = passNone
-	var stood []time.Time
+func TestAFailedElectionIsRetriedQuicklyALimitedNumberOfTimes(t *testing.T) {
+	s := newScriptedCluster(t, 0)
+	s.delivers = deliverNone
+	var campaigns []time.Time
 	const step = 10 * time.Millisecond
 	for range 3000 {
 		s.now = s.now.Add(step)
 		s.nodes[1].Tick(s.now)
-		s.held = nil
+		s.undelivered = nil
 		s.run()
-		for _, message := range s.held {
+		for _, message := range s.undelivered {
 			if message.GetKind() == protocol.ConsensusMessageKind_PRE_VOTE && message.GetTo() == 2 {
-				stood = append(stood, s.now)
+				campaigns = append(campaigns, s.now)
 			}
 		}
 	}
-	if len(stood) < quickRetries+2 {
-		t.Fatalf("stood %d times", len(stood))
+	if len(campaigns) < maxQuickRetries+2 {
+		t.Fatalf("campaigned %d times", len(campaigns))
 	}
-	for at := 1; at < len(stood); at++ {
-		waited := stood[at].Sub(stood[at-1])
-		if quick := at <= quickRetries; quick && waited >= DefaultElectionTimeout || !quick && waited < DefaultElectionTimeout {
-			t.Errorf("try %d came after %v", at, waited)
+	for attempt := 1; attempt < len(campaigns); attempt++ {
+		waited := campaigns[attempt].Sub(campaigns[attempt-1])
+		wantQuick := attempt <= maxQuickRetries
+		if quick := waited < DefaultElectionTimeout; quick != wantQuick {
+			t.Errorf("attempt %d came after %v", attempt, waited)
 		}
 	}
 }
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -14,8 +15,8 @@
 const (
 	heartbeatIntervalSeconds = 1
 	// relayConcurrency bounds the changes of one relayed batch that are proposed at a time.
-	relayConcurrency = 16
-	maxHeartbeats    = 4096
+	maxConcurrentUpserts = 16
+	maxHeartbeatBatch    = 4096
 )
 
 // Serve answers one request of a node or of another core process.
@@ -32,7 +33,7 @@
 	case *protocol.Request_Consensus, *protocol.Request_JoinCore, *protocol.Request_CoreStatus, *protocol.Request_LocateCore:
 		response, err := s.consensus.ServeWire(ctx, request)
 		if err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		return response, nil
 	case *protocol.Request_RenewLease:
@@ -58,7 +59,7 @@
 		err := s.shardCopied(ctx, body.ShardCopied)
 		return &protocol.Response{Body: &protocol.Response_ShardCopied{ShardCopied: &protocol.ShardCopiedResponse{}}}, err
 	case *protocol.Request_ReportArms:
-		err := s.reportArms(ctx, body.ReportArms)
+		err := s.reportVariants(ctx, body.ReportArms)
 		return &protocol.Response{Body: &protocol.Response_ReportArms{ReportArms: &protocol.ReportArmsResponse{}}}, err
 	case *protocol.Request_ShareOutcomes:
 		shared, err := s.shareOutcomes(ctx, body.ShareOutcomes)
@@ -69,7 +70,7 @@
 	case *protocol.Request_Propose:
 		result, _, err := s.consensus.Propose(ctx, body.Propose.GetCommand())
 		if err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		return &protocol.Response{Body: &protocol.Response_Propose{Propose: &protocol.ProposeResponse{Result: result}}}, nil
 	default:
@@ -82,7 +83,7 @@
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
-	if len(heartbeats) > maxHeartbeats {
+	if len(heartbeats) > maxHeartbeatBatch {
 		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heartbeats"))
 	}
 	changes, err := s.touchBackEnds(ctx, heartbeats)
@@ -90,7 +91,7 @@
 		return err
 	}
 	group, grouped := errgroup.WithContext(ctx)
-	group.SetLimit(relayConcurrency)
+	group.SetLimit(maxConcurrentUpserts)
 	for _, heartbeat := range changes {
 		group.Go(func() error { return s.upsertBackEnd(grouped, heartbeat.GetBackEnd()) })
 	}
@@ -107,7 +108,7 @@
 	if len(heartbeats) == 0 {
 		return nil, nil
 	}
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		view := s.machine.View()
 		for _, heartbeat := range heartbeats {
 			backEnd := heartbeat.GetBackEnd()
@@ -118,8 +119,8 @@
 			s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
 		}
 	})
-	if !asked {
-		return nil, contextFailure(ctx)
+	if !executed {
+		return nil, controllog.Interrupted(ctx)
 	}
 	return changes, nil
 }
@@ -127,7 +128,7 @@
 // upsertBackEnd writes a change to the log. A refused announcement, as of an
 // older incarnation, is counted and passed over so that it does not fail the batch.
 func (s *Service) upsertBackEnd(ctx context.Context, backEnd *protocol.BackEnd) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}},
 	})
 	if err != nil {
@@ -153,35 +154,29 @@
 }
 
 func (s *Service) shardCopied(ctx context.Context, request *protocol.ShardCopiedRequest) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_ShardCopied{
+	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_ShardCopied{
 		ShardCopied: &protocol.ShardCopiedCommand{
 			Store: request.GetStore(), StorageId: request.GetStorageId(), Shard: request.GetShard(), Epoch: request.GetEpoch(),
 		},
 	}})
-	if err != nil {
-		return err
-	}
-	if !result.GetAccepted() {
-		return refusalFailure(result.GetRefusal())
-	}
-	return nil
+	return err
 }
 
 // reportArms sums samples and withdraws the candidate when its guard's limits are crossed.
-func (s *Service) reportArms(ctx context.Context, request *protocol.ReportArmsRequest) error {
+func (s *Service) reportVariants(ctx context.Context, request *protocol.ReportArmsRequest) error {
 	if err := s.requireLeader(); err != nil {
 		return err
 	}
 	var crossed string
 	var rollout *protocol.Rollout
-	asked := s.owner.ask(ctx, func(time.Time) {
+	executed := s.owner.execute(ctx, func(time.Time) {
 		configuration := s.machine.View().Configuration
-		s.owner.arms.add(configuration, request.GetSamples())
+		s.owner.variants.add(configuration, request.GetSamples())
 		rollout = configuration.GetRollout()
-		crossed = s.owner.arms.crossed(rollout)
+		crossed = s.owner.variants.crossedLimit(rollout)
 	})
-	if !asked {
-		return contextFailure(ctx)
+	if !executed {
+		return controllog.Interrupted(ctx)
 	}
 	if crossed == "" {
 		return nil
@@ -190,7 +185,7 @@
 }
 
 func (s *Service) withdrawByGuard(ctx context.Context, rollout *protocol.Rollout, reason string) error {
-	result, err := s.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_SetRollout{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_SetRollout{
 		SetRollout: &protocol.SetRolloutCommand{
 			Action:  protocol.RolloutAction_ROLLOUT_WITHDRAW,
 			Rollout: &protocol.Rollout{CandidateVersion: rollout.GetCandidateVersion()},
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strconv"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -18,34 +19,34 @@
 
 // addMember admits the core process at an address.
 func (s *Service) addMember(ctx context.Context, request *operatorRequest) (*answer, error) {
-	named := &protocol.CoreMember{}
-	if err := readBody(request, named); err != nil {
+	requested := &protocol.CoreMember{}
+	if err := readBody(request, requested); err != nil {
 		return nil, err
 	}
-	if named.GetAddress() == "" {
+	if requested.GetAddress() == "" {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("address"))
 	}
 	if err := s.consensus.Barrier(ctx); err != nil {
-		return nil, consensusFailure(err)
+		return nil, controllog.Failure(err)
 	}
 	member := s.machine.View().MemberAdded(request.orderID)
-	again := member != nil
-	if !again {
+	repeated := member != nil
+	if !repeated {
 		var err error
-		if member, err = s.consensus.Identify(ctx, named.GetAddress()); err != nil {
-			return nil, consensusFailure(err)
+		if member, err = s.consensus.Identify(ctx, requested.GetAddress()); err != nil {
+			return nil, controllog.Failure(err)
 		}
 	}
-	meant, err := s.pinMember(ctx, "add_member", request, &protocol.ChangeMemberCommand{Subject: named.GetAddress(), Member: member})
+	recorded, err := s.recordMember(ctx, "add_member", request, &protocol.ChangeMemberCommand{Subject: requested.GetAddress(), Member: member})
 	if err != nil {
 		return nil, err
 	}
-	if s.isLastOrder(request, meant) && (!again || !s.isMember(meant)) {
-		if err := s.consensus.Admit(ctx, meant); err != nil {
-			return nil, consensusFailure(err)
+	if s.isLatestOrder(request, recorded) && (!repeated || !s.isMember(recorded)) {
+		if err := s.consensus.Admit(ctx, recorded); err != nil {
+			return nil, controllog.Failure(err)
 		}
 	}
-	return protoAnswer(meant)
+	return protoAnswer(recorded)
 }
 
 // removeAnswer says that a core member is gone; Removed is false when there was none of that name.
@@ -57,16 +58,16 @@
 // removeMember removes a core member for good. One that is gone already is acknowledged.
 func (s *Service) removeMember(ctx context.Context, request *operatorRequest) (*answer, error) {
 	if err := s.consensus.Barrier(ctx); err != nil {
-		return nil, consensusFailure(err)
+		return nil, controllog.Failure(err)
 	}
 	name := request.arguments[0]
-	meant, err := s.pinMember(ctx, "remove_member", request, &protocol.ChangeMemberCommand{Remove: true, Subject: name, Member: s.findMember(name)})
+	recorded, err := s.recordMember(ctx, "remove_member", request, &protocol.ChangeMemberCommand{Remove: true, Subject: name, Member: s.findMember(name)})
 	if err != nil {
 		return nil, err
 	}
-	removed := meant.GetId() != 0
-	if removed && s.isLastOrder(request, meant) {
-		err := consensusFailure(s.consensus.RemoveMember(ctx, strconv.FormatUint(meant.GetId(), 10)))
+	removed := recorded.GetId() != 0
+	if removed && s.isLatestOrder(request, recorded) {
+		err := controllog.Failure(s.consensus.RemoveMember(ctx, strconv.FormatUint(recorded.GetId(), 10)))
 		if err != nil && !failure.Is(err, failure.NotFound) {
 			return nil, err
 		}
@@ -75,8 +76,8 @@
 }
 
 // pinMember writes the order to the log and returns the member that it meant when it was first given.
-func (s *Service) pinMember(ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand) (*protocol.CoreMember, error) {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+func (s *Service) recordMember(ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand) (*protocol.CoreMember, error) {
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		OrderId: request.orderID, Body: &protocol.Command_ChangeMember{ChangeMember: command},
 	})
 	if err != nil {
@@ -90,7 +91,7 @@
 }
 
 // isLastOrder reports that no later order was given about the member.
-func (s *Service) isLastOrder(request *operatorRequest, member *protocol.CoreMember) bool {
+func (s *Service) isLatestOrder(request *operatorRequest, member *protocol.CoreMember) bool {
 	return s.machine.View().MemberOrder(member.GetId()) == request.orderID
 }
 
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -4,25 +4,24 @@
 package core
 
 import (
-	"context"
 	"time"
 
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
-	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of the options.
 const (
-	DefaultLease        = 5 * time.Second
-	DefaultShardCount   = 64
-	DefaultReplicaCount = 3
-	DefaultCoalesce     = 100 * time.Millisecond
-	DefaultBackEndLease = 5 * time.Second
+	DefaultLease            = 5 * time.Second
+	DefaultShardCount       = 64
+	DefaultReplicaCount     = 3
+	DefaultCoalesceInterval = 100 * time.Millisecond
+	DefaultBackEndLease     = 5 * time.Second
 )
 
 // Options of a Service. Zero numbers take the defaults.
@@ -37,7 +36,7 @@
 	ShardCount   uint32
 	ReplicaCount uint32
 	// Coalesce is the shortest time between two answers with news to the same node; negative turns it off.
-	Coalesce time.Duration
+	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
@@ -59,7 +58,7 @@
 	clock     replica.Clock
 	caller    wire.Caller
 	lease     time.Duration
-	proposer  *proposer
+	proposer  *controllog.Proposer
 	owner     *owner
 	pacing    *pacing
 	tokens    *Tokens
@@ -83,8 +82,8 @@
 	if options.ReplicaCount == 0 {
 		options.ReplicaCount = DefaultReplicaCount
 	}
-	if options.Coalesce == 0 {
-		options.Coalesce = DefaultCoalesce
+	if options.CoalesceInterval == 0 {
+		options.CoalesceInterval = DefaultCoalesceInterval
 	}
 	if options.BackEndLease == 0 {
 		options.BackEndLease = DefaultBackEndLease
@@ -98,8 +97,8 @@
 		clock:     options.Clock,
 		caller:    options.Caller,
 		lease:     options.Lease,
-		proposer:  &proposer{consensus: options.Consensus, clock: options.Clock},
-		pacing:    newPacing(options.Coalesce),
+		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
+		pacing:    newPacing(options.CoalesceInterval),
 		tokens:    options.Tokens,
 
 		trustOperators: options.TrustOperators,
@@ -117,13 +116,13 @@
 		proposer:        service.proposer,
 		logger:          service.logger,
 		metrics:         service.metrics,
-		queue:           make(chan func(time.Time), commandQueue),
+		queue:           make(chan func(time.Time), commandQueueLength),
 		nodes:           newLeaseTable(options.Lease + leaseMargin),
 		backEnds:        newLeaseTable(options.BackEndLease),
-		announced:       newAnnouncedTable(),
+		sequences:       newSequenceTable(),
 		relay:           newHeartbeatRelay(options.BackEndLease),
-		relaying:        newRelayingTable(),
-		arms:            newArmTable(),
+		relayingMembers: newRelayingMembers(),
+		variants:        newVariantTable(),
 		suspectsChanged: make(chan struct{}),
 		reconciler: &reconciler{
 			firstKeys:    options.FirstKeys,
@@ -144,16 +143,8 @@
 
 // requireLeader fails unless this process leads at this moment.
 func (s *Service) requireLeader() error {
-	if !s.owner.leads() {
-		return notLeaderFailure()
+	if !s.owner.isLeader() {
+		return controllog.NotLeader()
 	}
 	return nil
 }
-
-// contextFailure says why an exchange with the owner ended early.
-func contextFailure(ctx context.Context) error {
-	if err := ctx.Err(); err != nil {
-		return &failure.Error{Failure: failure.From(err)}
-	}
-	return notLeaderFailure()
-}
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -18,7 +18,7 @@
 	shards    map[uint32]*shardTable
 	unsynced  map[*entry]*unsynced
 	proposals map[registerKey]*proposal
-	ballots   *register.Ballots
+	ballots   *register.BallotGenerator
 	random    *rand.Rand
 	// proposers holds one copy of each proposer's name, since every register names two.
 	proposers map[string]string
@@ -32,7 +32,7 @@
 		shards:    map[uint32]*shardTable{},
 		unsynced:  map[*entry]*unsynced{},
 		proposals: map[registerKey]*proposal{},
-		ballots:   register.NewBallots(store.proposerName),
+		ballots:   register.NewBallotGenerator(store.proposerName),
 		random:    rand.New(rand.NewPCG(store.options.Seed, uint64(number))),
 		proposers: map[string]string{},
 		keeping:   map[turnKey][]func(){},
@@ -68,7 +68,7 @@
 	table := g.table(record.GetShard())
 	switch body := record.GetBody().(type) {
 	case *protocol.StoreRecord_Register:
-		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateOf(body.Register))
+		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateFromProto(body.Register))
 	case *protocol.StoreRecord_Drop:
 		table.registers = hashtree.Tree[registerKey, *entry]{}
 	}
@@ -104,7 +104,7 @@
 func registerRecord(shard uint32, key registerKey, state register.State) *protocol.StoreRecord {
 	return &protocol.StoreRecord{
 		Shard: shard,
-		Body:  &protocol.StoreRecord_Register{Register: state.Message(key.message())},
+		Body:  &protocol.StoreRecord_Register{Register: state.ToProto(key.message())},
 	}
 }
 
