--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -170,7 +170,7 @@
 	wait := func(shard uint32, write func(g *group, done func())) {
 		done := make(chan struct{})
 		g := opened.group(shard)
-		g.mailbox.post(func() { write(g, func() { close(done) }) })
+		g.mailbox.Post(func() { write(g, func() { close(done) }) })
 		<-done
 	}
 	put := func(registers []storedRegister) {
