--- a/internal/controlplane/corelink/apply.go
+++ b/internal/controlplane/corelink/apply.go
@@ -12,158 +12,187 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// DigestError says that a whole configuration does not have the digest that was promised with it.
+// DigestError reports that a bundle in a full snapshot of the configuration does
+// not have the digest that the snapshot states for it.
 type DigestError struct {
+	// Version is that of the configuration.
 	Version uint64
+	// Section is active or candidate.
 	Section string
 }
 
+// Error names the version of the configuration and the bundle.
 func (e *DigestError) Error() string {
 	return fmt.Sprintf("configuration version %d: %s bundle has another digest", e.Version, e.Section)
 }
 
-// wholes names the sections to be asked for whole.
-type wholes struct {
+// snapshotRequest names the sections that the next poll requests as full snapshots.
+type snapshotRequest struct {
 	configuration, membership, backEnds, placement bool
-	// plain asks for all sections without packing, after a packed one did not fit.
-	plain bool
+	// unpacked requests all sections unpacked, after a packed one could not be applied.
+	unpacked bool
 }
 
-// forget makes a poll ask for the sections as if none of them were known.
-func (w wholes) forget(known *protocol.ControlVersions) {
-	if w.configuration {
+// resetKnown resets the known versions of these sections, so that a poll with
+// them is answered with full snapshots.
+func (r snapshotRequest) resetKnown(known *protocol.ControlVersions) {
+	if r.configuration {
 		known.Configuration = 0
 	}
-	if w.membership {
+	if r.membership {
 		known.Membership = 0
 	}
-	if w.backEnds {
+	if r.backEnds {
 		known.BackEnds = 0
 	}
-	if w.placement {
+	if r.placement {
 		known.Placement = 0
 	}
 }
 
-// applyPoll makes the view that follows from an answer. No section ever steps
-// back in its version. A section that does not fit, or does not have its digest
-// or checksum, leaves the one held in force, is named in whole and returned as
-// mismatch; the other sections are applied all the same.
-func applyPoll(held *View, answer *protocol.PollControlResponse) (next *View, changed bool, whole wholes, mismatch error) {
-	view := *held
-	configuration, configurationError := newerConfiguration(held.Configuration, answer)
-	membership, membershipError := newerMembership(held.Membership, answer)
-	backEnds, backEndsError := newerBackEnds(held.BackEnds, answer)
-	placement, placementError := newerPlacement(held.Placement, answer)
+// pollResult is what follows from the answer to a poll.
+type pollResult struct {
+	view    *View
+	changed bool
+	// snapshots names the sections that could not be applied.
+	snapshots snapshotRequest
+	// mismatch joins the errors of these sections; nil if there are none.
+	mismatch error
+}
+
+// applyPoll applies the answer to a poll to the current view. The version of a
+// section never decreases. A section that does not apply, or does not have its
+// digest or checksum, keeps its current state; the other sections are applied
+// all the same.
+func applyPoll(current *View, answer *protocol.PollControlResponse) pollResult {
+	next := *current
+	changed := false
+	configuration, configurationError := configurationUpdate(answer).next(current.Configuration)
 	if configuration != nil {
-		view.Configuration, changed = configuration, true
+		next.Configuration, changed = configuration, true
 	}
+	membership, membershipError := membershipUpdate(answer).next(current.Membership)
 	if membership != nil {
-		view.Membership, changed = membership, true
+		next.Membership, changed = membership, true
 	}
+	backEnds, backEndsError := backEndUpdate(answer).next(current.BackEnds)
 	if backEnds != nil {
-		view.BackEnds, changed = backEnds, true
+		next.BackEnds, changed = backEnds, true
 	}
+	placement, placementError := placementUpdate(answer).next(current.Placement)
 	if placement != nil {
-		view.Placement, changed = placement, true
-	}
-	whole = wholes{
-		configuration: configurationError != nil, membership: membershipError != nil,
-		backEnds: backEndsError != nil, placement: placementError != nil,
-		plain: configurationError != nil && len(answer.GetPackedConfiguration()) > 0 ||
-			membershipError != nil && len(answer.GetPackedMembership()) > 0 ||
-			backEndsError != nil && len(answer.GetPackedBackEnds()) > 0 ||
-			placementError != nil && len(answer.GetPackedPlacement()) > 0,
+		next.Placement, changed = placement, true
+	}
+	return pollResult{
+		view:    &next,
+		changed: changed,
+		snapshots: snapshotRequest{
+			configuration: configurationError != nil,
+			membership:    membershipError != nil,
+			backEnds:      backEndsError != nil,
+			placement:     placementError != nil,
+			unpacked: configurationError != nil && len(answer.GetPackedConfiguration()) > 0 ||
+				membershipError != nil && len(answer.GetPackedMembership()) > 0 ||
+				backEndsError != nil && len(answer.GetPackedBackEnds()) > 0 ||
+				placementError != nil && len(answer.GetPackedPlacement()) > 0,
+		},
+		mismatch: errors.Join(configurationError, membershipError, backEndsError, placementError),
 	}
-	return &view, changed, whole, errors.Join(configurationError, membershipError, backEndsError, placementError)
 }
 
-// unpackedOr gives the view that came packed, read into an empty one, or else the one that came plain.
-func unpackedOr[V proto.Message](plain V, packed []byte, empty V) (V, error) {
-	if len(packed) == 0 {
-		return plain, nil
-	}
-	return empty, packing.Unpack(packed, empty)
+// sectionUpdate is what an answer carries for one section: a full snapshot,
+// packed or not, or a delta, or neither.
+type sectionUpdate[Section, Delta proto.Message] struct {
+	snapshot Section
+	packed   []byte
+	// unpacked is an empty message to unpack into.
+	unpacked Section
+	delta    Delta
+
+	version      func(Section) uint64
+	deltaVersion func(Delta) uint64
+	// verify checks a full snapshot; nil if there is nothing to check.
+	verify func(Section) error
+	apply  func(current Section, delta Delta) (Section, error)
 }
 
-// newerMembership returns the newer view in the answer; nil when there is none.
-func newerMembership(held *protocol.MembershipView, answer *protocol.PollControlResponse) (*protocol.MembershipView, error) {
-	whole, err := unpackedOr(answer.GetMembership(), answer.GetPackedMembership(), &protocol.MembershipView{})
+// next returns the section that is newer than the current one; nil without error if there is none.
+func (u sectionUpdate[Section, Delta]) next(current Section) (Section, error) {
+	var none Section
+	snapshot, err := u.unpack()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	if whole.GetVersion() > held.GetVersion() {
-		return whole, nil
+	if u.version(snapshot) > u.version(current) {
+		if u.verify != nil {
+			if err := u.verify(snapshot); err != nil {
+				return none, err
+			}
+		}
+		return snapshot, nil
 	}
-	if delta := answer.GetMembershipDelta(); delta.GetVersion() > held.GetVersion() {
-		return views.ApplyMembership(held, delta)
+	if u.deltaVersion(u.delta) > u.version(current) {
+		return u.apply(current, u.delta)
 	}
-	return nil, nil
+	return none, nil
 }
 
-// newerBackEnds returns the newer view in the answer; nil when there is none.
-func newerBackEnds(held *protocol.BackEndView, answer *protocol.PollControlResponse) (*protocol.BackEndView, error) {
-	whole, err := unpackedOr(answer.GetBackEnds(), answer.GetPackedBackEnds(), &protocol.BackEndView{})
-	if err != nil {
-		return nil, err
-	}
-	if whole.GetVersion() > held.GetVersion() {
-		return whole, nil
-	}
-	if delta := answer.GetBackEndsDelta(); delta.GetVersion() > held.GetVersion() {
-		return views.ApplyBackEnds(held, delta)
+func (u sectionUpdate[Section, Delta]) unpack() (Section, error) {
+	if len(u.packed) == 0 {
+		return u.snapshot, nil
 	}
-	return nil, nil
+	return u.unpacked, packing.Unpack(u.packed, u.unpacked)
 }
 
-// newerPlacement returns the newer placement in the answer; nil when there is none.
-func newerPlacement(held *protocol.Placement, answer *protocol.PollControlResponse) (*protocol.Placement, error) {
-	whole, err := unpackedOr(answer.GetPlacement(), answer.GetPackedPlacement(), &protocol.Placement{})
-	if err != nil {
-		return nil, err
-	}
-	if whole.GetEpoch() > held.GetEpoch() {
-		return whole, nil
+func configurationUpdate(
+	answer *protocol.PollControlResponse,
+) sectionUpdate[*protocol.Configuration, *protocol.ConfigurationDelta] {
+	return sectionUpdate[*protocol.Configuration, *protocol.ConfigurationDelta]{
+		snapshot: answer.GetConfiguration(), packed: answer.GetPackedConfiguration(), unpacked: &protocol.Configuration{},
+		delta:   answer.GetConfigurationDelta(),
+		version: (*protocol.Configuration).GetVersion, deltaVersion: (*protocol.ConfigurationDelta).GetVersion,
+		verify: verifyDigests, apply: bundle.ApplyDelta,
 	}
-	if delta := answer.GetPlacementDelta(); delta.GetEpoch() > held.GetEpoch() {
-		return views.ApplyPlacement(held, delta)
-	}
-	return nil, nil
 }
 
-// newerConfiguration returns the newer configuration in the answer; nil when there is none.
-func newerConfiguration(held *protocol.Configuration, answer *protocol.PollControlResponse) (*protocol.Configuration, error) {
-	whole, err := wholeConfiguration(answer)
-	if err != nil {
-		return nil, err
+func membershipUpdate(
+	answer *protocol.PollControlResponse,
+) sectionUpdate[*protocol.MembershipView, *protocol.MembershipDelta] {
+	return sectionUpdate[*protocol.MembershipView, *protocol.MembershipDelta]{
+		snapshot: answer.GetMembership(), packed: answer.GetPackedMembership(), unpacked: &protocol.MembershipView{},
+		delta:   answer.GetMembershipDelta(),
+		version: (*protocol.MembershipView).GetVersion, deltaVersion: (*protocol.MembershipDelta).GetVersion,
+		apply: views.ApplyMembership,
 	}
-	if whole.GetVersion() > held.GetVersion() {
-		if err := checkDigests(whole); err != nil {
-			return nil, err
-		}
-		return whole, nil
-	}
-	delta := answer.GetConfigurationDelta()
-	if delta.GetVersion() <= held.GetVersion() {
-		return nil, nil
+}
+
+func backEndUpdate(answer *protocol.PollControlResponse) sectionUpdate[*protocol.BackEndView, *protocol.BackEndDelta] {
+	return sectionUpdate[*protocol.BackEndView, *protocol.BackEndDelta]{
+		snapshot: answer.GetBackEnds(), packed: answer.GetPackedBackEnds(), unpacked: &protocol.BackEndView{},
+		delta:   answer.GetBackEndsDelta(),
+		version: (*protocol.BackEndView).GetVersion, deltaVersion: (*protocol.BackEndDelta).GetVersion,
+		apply: views.ApplyBackEnds,
 	}
-	return bundle.ApplyDelta(held, delta)
 }
 
-// wholeConfiguration returns the whole configuration in the answer, plain or packed; nil when there is none.
-func wholeConfiguration(answer *protocol.PollControlResponse) (*protocol.Configuration, error) {
-	if packed := answer.GetPackedConfiguration(); len(packed) > 0 {
-		return packing.UnpackConfiguration(packed)
+func placementUpdate(
+	answer *protocol.PollControlResponse,
+) sectionUpdate[*protocol.Placement, *protocol.PlacementDelta] {
+	return sectionUpdate[*protocol.Placement, *protocol.PlacementDelta]{
+		snapshot: answer.GetPlacement(), packed: answer.GetPackedPlacement(), unpacked: &protocol.Placement{},
+		delta:   answer.GetPlacementDelta(),
+		version: (*protocol.Placement).GetEpoch, deltaVersion: (*protocol.PlacementDelta).GetEpoch,
+		apply: views.ApplyPlacement,
 	}
-	return answer.GetConfiguration(), nil
 }
 
-// checkDigests compares the bundles with the digests that operators signed.
-func checkDigests(configuration *protocol.Configuration) error {
-	if active := configuration.GetActive(); active != nil && bundle.Digest(active) != configuration.GetActiveDigest() {
+// verifyDigests compares the bundles with the digests that operators signed.
+func verifyDigests(configuration *protocol.Configuration) error {
+	active, candidate := configuration.GetActive(), configuration.GetCandidate()
+	if active != nil && bundle.Digest(active) != configuration.GetActiveDigest() {
 		return &DigestError{Version: configuration.GetVersion(), Section: "active"}
 	}
-	if candidate := configuration.GetCandidate(); candidate != nil && bundle.Digest(candidate) != configuration.GetCandidateDigest() {
+	if candidate != nil && bundle.Digest(candidate) != configuration.GetCandidateDigest() {
 		return &DigestError{Version: configuration.GetVersion(), Section: "candidate"}
 	}
 	return nil
--- a/internal/controlplane/corelink/delta_test.go
+++ b/internal/controlplane/corelink/delta_test.go
@@ -37,7 +37,7 @@
 		})
 		pass(100 * time.Millisecond)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9))
-		g.Expect(core.wholes()).To(BeZero())
+		g.Expect(core.snapshotPolls()).To(BeZero())
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Membership, state.MembershipDelta = members(8, 1), &protocol.MembershipDelta{BaseVersion: 9, Version: 8}
 		})
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestGivenADeltaThatDoesNotFitThenTheWholeIsAskedFor(t *testing.T) {
+func TestGivenADeltaThatDoesNotFitThenAFullSnapshotIsRequested(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		next := members(9, 2, 3)
 		core.publish(func(state *protocol.PollControlResponse) {
@@ -54,13 +54,13 @@
 		})
 		pass(time.Second)
 		g.Expect(link.View().Membership.GetNodes()).To(HaveLen(2))
-		g.Expect(core.wholes()).To(Equal(1))
+		g.Expect(core.snapshotPolls()).To(Equal(1))
 		g.Expect(link.HasAuthority()).To(BeTrue())
 	})
 }
 
-// wholes counts the polls that asked for a whole membership after the first.
-func (c *fakeCore) wholes() int {
+// snapshotPolls counts the polls after the first that requested a full snapshot of the membership.
+func (c *fakeCore) snapshotPolls() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
--- a/internal/controlplane/corelink/fake_core_test.go
+++ b/internal/controlplane/corelink/fake_core_test.go
@@ -19,26 +19,26 @@
 	leaseMillis  = 5000
 )
 
-// fakeCore is a core in memory. It holds polls back in virtual time.
+// fakeCore is a core in memory. Polls stay pending in virtual time.
 type fakeCore struct {
 	mutex  sync.Mutex
 	leader string
 	term   uint64
 	down   map[string]bool
-	// silent addresses answer nothing.
-	silent map[string]bool
-	delay  time.Duration
-	refuse bool
-	// refusesBelow refuses renewals of smaller incarnations.
-	refusesBelow uint64
-	// refusal is the reason given when refuse is set.
-	refusal *protocol.Refusal
-	latest  *protocol.PollControlResponse
-	changed chan struct{}
-	// deadPolls lets polls that are held back never be answered.
-	deadPolls bool
-	// broken breaks the connection of that many calls after they were served.
-	broken int
+	// unresponsive addresses do not answer.
+	unresponsive   map[string]bool
+	delay          time.Duration
+	rejectRenewals bool
+	// rejectBelow rejects renewals of smaller incarnations.
+	rejectBelow uint64
+	// rejection is the reason given while rejectRenewals is set.
+	rejection *protocol.Refusal
+	latest    *protocol.PollControlResponse
+	changed   chan struct{}
+	// hangPolls leaves pending polls without an answer.
+	hangPolls bool
+	// breakConnections is how many calls lose their connection after they were served.
+	breakConnections int
 
 	renewals []*protocol.RenewLeaseRequest
 	polls    []*protocol.PollControlRequest
@@ -58,9 +58,9 @@
 
 func (c *fakeCore) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
 	c.mutex.Lock()
-	down, silent, delay := c.down[address], c.silent[address], c.delay
+	down, unresponsive, delay := c.down[address], c.unresponsive[address], c.delay
 	c.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -76,7 +76,7 @@
 				// What was sent arrives, whatever became of its sender.
 				go func() {
 					<-arrives
-					_, _ = c.serve(context.Background(), address, request)
+					_, _ = c.serve(context.WithoutCancel(ctx), address, request)
 				}()
 			}
 			return nil, ctx.Err()
@@ -106,8 +106,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	response := c.answer(request)
-	if c.broken > 0 {
-		c.broken--
+	if c.breakConnections > 0 {
+		c.breakConnections--
 		return nil, &wire.BrokenError{Address: address, Cause: context.Canceled}
 	}
 	return response, nil
@@ -118,7 +118,8 @@
 	case *protocol.Request_RenewLease:
 		c.renewals = append(c.renewals, proto.CloneOf(body.RenewLease))
 		return &protocol.Response{Body: &protocol.Response_RenewLease{RenewLease: &protocol.RenewLeaseResponse{
-			Granted: !c.refuse && body.RenewLease.GetNode().GetIncarnation() >= c.refusesBelow, DurationMillis: leaseMillis, Refusal: c.refusal,
+			Granted:        !c.rejectRenewals && body.RenewLease.GetNode().GetIncarnation() >= c.rejectBelow,
+			DurationMillis: leaseMillis, Refusal: c.rejection,
 			Latest: &protocol.ControlVersions{
 				Membership: c.latest.GetMembership().GetVersion(), Configuration: c.latest.GetConfiguration().GetVersion(),
 			},
@@ -135,61 +136,61 @@
 func (c *fakeCore) poll(ctx context.Context, poll *protocol.PollControlRequest) (*protocol.Response, error) {
 	c.mutex.Lock()
 	c.polls = append(c.polls, proto.CloneOf(poll))
-	news, changed, dead := c.newer(poll), c.changed, c.deadPolls
+	update, changed, hang := c.newer(poll), c.changed, c.hangPolls
 	c.mutex.Unlock()
 	wait := time.NewTimer(time.Duration(poll.GetWaitMillis()) * time.Millisecond)
 	defer wait.Stop()
-	for news == nil && !poll.GetFresh() {
+	for update == nil && !poll.GetFresh() {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-wait.C:
-			news = &protocol.PollControlResponse{}
+			update = &protocol.PollControlResponse{}
 		case <-changed:
-			if dead {
+			if hang {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 			c.mutex.Lock()
-			news, changed = c.newer(poll), c.changed
+			update, changed = c.newer(poll), c.changed
 			c.mutex.Unlock()
 		}
 	}
-	if news == nil {
-		news = &protocol.PollControlResponse{}
+	if update == nil {
+		update = &protocol.PollControlResponse{}
 	}
-	return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: news}}, nil
+	return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: update}}, nil
 }
 
 // newer is what a node that polls so does not have; nil when there is nothing.
 func (c *fakeCore) newer(poll *protocol.PollControlRequest) *protocol.PollControlResponse {
-	known, news, found := poll.GetKnown(), &protocol.PollControlResponse{}, false
+	known, update, newer := poll.GetKnown(), &protocol.PollControlResponse{}, false
 	if membership := c.latest.GetMembership(); membership.GetVersion() > known.GetMembership() {
 		if delta := c.latest.GetMembershipDelta(); delta != nil && delta.GetBaseVersion() == known.GetMembership() {
-			news.MembershipDelta, found = delta, true
+			update.MembershipDelta, newer = delta, true
 		} else if packed := c.latest.GetPackedMembership(); packed != nil && poll.GetAcceptsPackedViews() {
-			news.PackedMembership, found = packed, true
+			update.PackedMembership, newer = packed, true
 		} else {
-			news.Membership, found = membership, true
+			update.Membership, newer = membership, true
 		}
 	}
 	if configuration := c.latest.GetConfiguration(); configuration.GetVersion() > known.GetConfiguration() {
 		if delta := c.latest.GetConfigurationDelta(); delta.GetBaseVersion() == known.GetConfiguration() && delta != nil {
-			news.ConfigurationDelta = delta
+			update.ConfigurationDelta = delta
 		} else if packed := c.latest.GetPackedConfiguration(); packed != nil && poll.GetAcceptsPackedConfiguration() {
-			news.PackedConfiguration = packed
+			update.PackedConfiguration = packed
 		} else {
-			news.Configuration = configuration
+			update.Configuration = configuration
 		}
-		found = true
+		newer = true
 	}
-	if !found {
+	if !newer {
 		return nil
 	}
-	return news
+	return update
 }
 
-// publish makes a new state known to the polls that are held back.
+// publish makes a new state known to the pending polls.
 func (c *fakeCore) publish(change func(*protocol.PollControlResponse)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -1,25 +1,27 @@
-// Package corelink connects a front node or a store to the core. It finds the
-// core through seed addresses, keeps the node's membership lease, and long-polls
-// for configuration, membership, back ends and placement, which it publishes as
-// immutable views that never step back.
+// Package corelink is the connection of a front node or a store to the core. It
+// finds the core's leader through seed addresses, renews the node's lease, and
+// long-polls for configuration, membership, back ends and placement, which it
+// publishes as immutable views whose versions never decrease.
 //
-// One owner goroutine holds all state; calls run beside it and report back to it.
+// One goroutine owns the state (owner); calls to the core run in goroutines of
+// their own and post their results to it. A further goroutine calls the
+// subscribers. What other goroutines read is published through atomic pointers to
+// immutable values, so all methods of a Link are safe for concurrent use, except
+// Subscribe, Start and Stop. Package lease decides until when the node may act.
 package corelink
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
+	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlplane/lease"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
-	"google.golang.org/protobuf/proto"
 )
 
 // Defaults of Options.
@@ -28,86 +30,62 @@
 	DefaultLeaseMargin   = 500 * time.Millisecond
 	DefaultViewLimit     = 5 * time.Second
 	DefaultPollWait      = 10 * time.Second
-	defaultCallTimeout   = 2 * time.Second
-	shortestRenewTimeout = 500 * time.Millisecond
-	// longestRetry is the longest wait after a renewal or poll that had no answer.
-	longestRetry = 200 * time.Millisecond
-	pollSlack    = 5 * time.Second
-	// releaseTimeout bounds what Stop spends on the release; a lease that was not released runs out by itself.
+)
+
+const (
+	minRenewTimeout = 500 * time.Millisecond
+	// freshPollTimeout bounds a linearizable poll, which the core answers immediately.
+	freshPollTimeout = 2 * time.Second
+	// pollTimeoutMargin is added to PollWait before a long poll counts as lost.
+	pollTimeoutMargin = 5 * time.Second
+	// minPollInterval keeps a core that answers immediately from being polled in a tight loop.
+	minPollInterval = 20 * time.Millisecond
+	// releaseTimeout bounds the release in Stop; a lease that was not released expires.
 	releaseTimeout = time.Second
-	// longestRefusedWait bounds the wait of a node that the core refuses with a reason.
-	longestRefusedWait = 30 * time.Second
+	commandBacklog = 64
 )
 
-// Options configure a Link. Self, Seeds and Caller are required.
+// Options configure a Link. Self, Seeds and Caller are required; a duration of zero
+// means its default.
 type Options struct {
-	// Self describes this process; the link owns the copy it makes, and raises
-	// its incarnation whenever authority was lost.
-	Self   *protocol.Node
+	// Self describes this process. The link clones it, and raises the incarnation
+	// of its clone whenever authority was lost.
+	Self *protocol.Node
+	// Seeds are addresses (host:port) that are asked where the core's leader is.
 	Seeds  []string
 	Caller wire.Caller
 
-	// RenewInterval is the time between renewals of the lease.
+	// RenewInterval is the interval between renewals of the lease.
 	RenewInterval time.Duration
-	// LeaseMargin is taken off the end of each lease granted.
+	// LeaseMargin is subtracted from the end of each lease granted.
 	LeaseMargin time.Duration
-	// ViewLimit is how long the node acts while it cannot read the newest membership view.
+	// ViewLimit is how long the node may act while it cannot apply the latest membership view.
 	ViewLimit time.Duration
-	// PollWait is how long the core may hold a poll back.
+	// PollWait is how long the core may keep a poll pending.
 	PollWait time.Duration
 
+	// Logger and Registerer default to the standard logger and a registry that nobody reads.
 	Logger     *log.Logger
 	Registerer prometheus.Registerer
 }
 
-// View is what a node has in force. It is immutable; a section is nil until it was first read.
-type View struct {
-	Configuration *protocol.Configuration
-	Membership    *protocol.MembershipView
-	BackEnds      *protocol.BackEndView
-	Placement     *protocol.Placement
-}
-
-// Versions returns the version of each section; zero for one never read.
-func (v *View) Versions() *protocol.ControlVersions {
-	return &protocol.ControlVersions{
-		Configuration: v.Configuration.GetVersion(),
-		Membership:    v.Membership.GetVersion(),
-		BackEnds:      v.BackEnds.GetVersion(),
-		Placement:     v.Placement.GetEpoch(),
-	}
-}
-
-// Authority is an immutable copy of the state of the lease.
-type Authority struct {
-	// Self describes this process under its present incarnation.
-	Self *protocol.Node
-	// Ends is when authority ends on the monotonic clock; zero without a lease.
-	ExpiresAt time.Time
-}
-
-// Held reports whether the node has authority now.
-func (a *Authority) Valid() bool {
-	return lease.ValidAt(time.Now(), a.ExpiresAt)
-}
-
-// Link is the connection to the core.
+// Link is the connection to the core. It is used once: New, Subscribe, Start, Stop.
 type Link struct {
 	options Options
 	locator *locator
 	metrics *metrics
 	logger  *log.Logger
 
-	view      atomic.Pointer[View]
-	authority atomic.Pointer[Authority]
-	fresh     atomic.Bool
-	// inForce is the newest view that all subscribers have seen.
-	inForce atomic.Pointer[View]
+	view         atomic.Pointer[View]
+	authority    atomic.Pointer[Authority]
+	hasFreshView atomic.Bool
+	// appliedView is the latest view that all subscribers have returned from.
+	appliedView atomic.Pointer[View]
 
 	subscribers []func(*View)
-	changed     chan *View
+	newViews    chan *View
 
-	commands chan func(*owner)
+	commands chan command
 	cancel   context.CancelFunc
 	workers  sync.WaitGroup
 	done     chan struct{}
@@ -122,13 +100,13 @@
 		options:  options,
 		metrics:  newMetrics(options.Registerer),
 		logger:   options.Logger,
-		changed:  make(chan *View, 1),
-		commands: make(chan func(*owner), 64),
+		newViews: make(chan *View, 1),
+		commands: make(chan command, commandBacklog),
 		done:     make(chan struct{}),
 	}
 	link.locator = newLocator(options.Caller, options.Self, options.Seeds, link.metrics)
 	link.view.Store(&View{})
-	link.inForce.Store(&View{})
+	link.appliedView.Store(&View{})
 	link.authority.Store(&Authority{Self: proto.CloneOf(options.Self)})
 	return link
 }
@@ -153,15 +131,17 @@
 	}
 }
 
-// Subscribe registers a function that is called with every view, in order, from
-// one goroutine, first with the view at hand. A view counts as in force, and is
-// confirmed to the core, when all functions have returned. Call it before Start.
+// Subscribe registers a function that is called with every view in order, from
+// one goroutine; Start calls it with the view at that moment. A view is in force,
+// and confirmed to the core, once all subscribers have returned. Call it before
+// Start.
 func (l *Link) Subscribe(subscriber func(*View)) {
 	l.subscribers = append(l.subscribers, subscriber)
 }
 
-// Start begins to find the core, to renew the lease and to poll. It does not
-// wait for them; Ready tells when they have succeeded.
+// Start starts to find the core, to renew the lease and to poll. It does not wait
+// for any of these; Ready reports when they have succeeded. The link runs until
+// Stop, also when ctx ends before.
 func (l *Link) Start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -172,7 +152,7 @@
 		subscriber(l.View())
 	}
 	owner := newOwner(l)
-	l.workers.Go(func() { l.notify(running) })
+	l.workers.Go(func() { l.runNotifier(running) })
 	l.workers.Go(func() {
 		defer close(l.done)
 		owner.run(running)
@@ -180,9 +160,9 @@
 	return nil
 }
 
-// Stop ends authority, releases the lease at the core so that others need not
-// wait for it to run out, and stops all goroutines. It spends a second at most
-// on the release, also while no core answers.
+// Stop ends authority, releases the lease at the core so that others need not wait
+// for its expiry, and stops all goroutines. The release takes at most a second,
+// even if no core process answers; the error is always nil.
 func (l *Link) Stop(ctx context.Context) error {
 	if l.cancel == nil {
 		return nil
@@ -191,7 +171,7 @@
 	defer cancel()
 	released := make(chan *protocol.Request, 1)
 	select {
-	case l.commands <- func(o *owner) { o.release(released) }:
+	case l.commands <- func(_ context.Context, o *owner) { o.release(released) }:
 	case <-l.done:
 	case <-release.Done():
 	}
@@ -200,7 +180,7 @@
 		l.sendRelease(release, request)
 	case <-l.done:
 	case <-release.Done():
-		l.logger.Warn("lease not released; it runs out by itself", "error", release.Err())
+		l.logger.Warn("lease release failed", "error", release.Err())
 	}
 	l.cancel()
 	l.workers.Wait()
@@ -209,27 +189,27 @@
 
 func (l *Link) sendRelease(ctx context.Context, request *protocol.Request) {
 	if _, err := l.CallCore(ctx, request); err != nil {
-		l.logger.Warn("lease not released; it runs out by itself", "error", err.Error())
+		l.logger.Warn("lease release failed", "error", err.Error())
 	}
 }
 
-// View returns what is at hand; never nil.
+// View returns the latest view that was received; never nil. Subscribers may not have seen it yet.
 func (l *Link) View() *View {
 	return l.view.Load()
 }
 
-// Authority returns the present state of the lease, with the node's present incarnation.
+// Authority returns the current state of the lease, with the node's current incarnation.
 func (l *Link) Authority() *Authority {
 	return l.authority.Load()
 }
 
-// Self describes this process under its present incarnation, which is raised
+// Self describes this process under its current incarnation, which is raised
 // whenever authority was lost. The caller must not change it.
 func (l *Link) Self() *protocol.Node {
 	return l.Authority().Self
 }
 
-// AuthorityEnds is when authority ends on the monotonic clock; zero without a lease.
+// AuthorityExpiresAt is when authority ends on the monotonic clock; zero without a lease.
 func (l *Link) AuthorityExpiresAt() time.Time {
 	return l.Authority().ExpiresAt
 }
@@ -239,57 +219,55 @@
 	return l.Authority().Valid()
 }
 
-// Ready reports whether the lease is held and a linearizable view was read under it.
+// Ready reports whether the lease is held and a linearizable view was received under it.
 func (l *Link) Ready() bool {
-	return l.fresh.Load() && l.HasAuthority()
+	return l.hasFreshView.Load() && l.HasAuthority()
 }
 
-// LocateCore is what this process answers to a LocateCoreRequest.
+// LocateCore returns what is known about the core: the answer of this process to a LocateCoreRequest.
 func (l *Link) LocateCore() *protocol.LocateCoreResponse {
 	return l.locator.known()
 }
 
-// SetSeeds replaces the addresses at which the core is looked for. Core processes
-// known from answers are still asked, too.
+// SetSeeds replaces the seed addresses. Core processes known from answers are
+// still queried, too.
 func (l *Link) SetSeeds(seeds []string) {
 	l.locator.setSeeds(seeds)
 }
 
-// SetDraining says so to the core with the next renewal, which is sent at once.
+// SetDraining reports to the core, with a renewal that is sent immediately, whether
+// the process drains.
 func (l *Link) SetDraining(draining bool) {
 	select {
-	case l.commands <- func(o *owner) { o.setDraining(draining) }:
+	case l.commands <- func(ctx context.Context, o *owner) { o.setDraining(ctx, draining) }:
 	case <-l.done:
 	}
 }
 
-// SetOwning says so to the core with a later renewal, once the process owns a session for the first time.
+// SetOwning reports to the core, with the next regular renewal, that the process
+// has owned a session. Call it once it first does.
 func (l *Link) SetOwning() {
 	select {
-	case l.commands <- (*owner).setOwning:
+	case l.commands <- func(_ context.Context, o *owner) { o.clearOwnedNothing() }:
 	case <-l.done:
 	}
 }
 
-// notify calls the subscribers with the newest view and tells the owner once it is in force.
-func (l *Link) notify(ctx context.Context) {
+// runNotifier calls the subscribers with each new view, and then has the owner record it as in force.
+func (l *Link) runNotifier(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case view := <-l.changed:
+		case view := <-l.newViews:
 			for _, subscriber := range l.subscribers {
 				subscriber(view)
 			}
 			select {
-			case l.commands <- func(o *owner) { o.inForce(view) }:
+			case l.commands <- func(_ context.Context, o *owner) { o.viewApplied(view) }:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}
 }
-
-func jitter(wait time.Duration) time.Duration {
-	return wait/2 + rand.N(wait/2+1)
-}
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// pass lets virtual time go by.
+// pass advances virtual time.
 func pass(duration time.Duration) {
 	<-time.After(duration)
 	synctest.Wait()
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestGivenASilentCoreThenAuthorityEndsAndComesBackUnderANewIncarnation(t *testing.T) {
+func TestGivenAnUnresponsiveCoreThenAuthorityEndsAndComesBackUnderANewIncarnation(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.down = map[string]bool{firstLeader: true, secondLeader: true} })
 		pass(4900 * time.Millisecond)
@@ -92,24 +92,24 @@
 	})
 }
 
-// A node that is heard but hears nothing must not keep its ranges of the ring.
-func TestGivenAnswersThatNeverArriveThenItStopsAskingForALease(t *testing.T) {
+// A node whose messages arrive, but not the answers to them, must not keep its ranges of the ring.
+func TestGivenAnswersThatNeverArriveThenItStopsRequestingALease(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		core.set(func() { core.broken = 1 << 30 })
+		core.set(func() { core.breakConnections = 1 << 30 })
 		pass(7 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
-		heard := core.renewalCount()
+		renewals := core.renewalCount()
 		pass(20 * time.Second)
-		g.Expect(core.renewalCount()).To(Equal(heard))
-		core.set(func() { core.broken = 0 })
+		g.Expect(core.renewalCount()).To(Equal(renewals))
+		core.set(func() { core.breakConnections = 0 })
 		pass(3 * time.Second)
 		g.Expect(link.Ready()).To(BeTrue())
 	})
 }
 
-func TestGivenARefusedLeaseThenAuthorityEndsAtOnce(t *testing.T) {
+func TestGivenARejectedLeaseThenAuthorityEndsImmediately(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		core.set(func() { core.refuse = true })
+		core.set(func() { core.rejectRenewals = true })
 		pass(1100 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", 5))
@@ -137,11 +137,11 @@
 	})
 }
 
-// A poll whose connection went dead is given up when a renewal shows that there is something new.
-func TestGivenADeadPollThenTheNewViewIsReadAllTheSame(t *testing.T) {
+// A poll whose connection is dead is cancelled when a renewal shows that there is a newer view.
+func TestGivenAPollOnADeadConnectionThenTheNewViewIsStillReceived(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		core.set(func() { core.deadPolls = true })
-		// The poll under way began before; one more change makes the next one a dead one.
+		core.set(func() { core.hangPolls = true })
+		// The pending poll began before; one more change makes the next one hang.
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
 		pass(100 * time.Millisecond)
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 10} })
@@ -181,7 +181,7 @@
 	return &protocol.Configuration{Version: version, Active: active, ActiveDigest: bundle.Digest(active)}
 }
 
-func TestGivenADeltaThenItIsAppliedAndAWrongOneIsAskedForAsAWhole(t *testing.T) {
+func TestGivenADeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Configuration = configuration(10, "one") })
 		pass(100 * time.Millisecond)
@@ -202,7 +202,9 @@
 		last := configuration(12, "three")
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = last
-			state.ConfigurationDelta = &protocol.ConfigurationDelta{BaseVersion: 11, Version: 12, ActiveDigest: last.GetActiveDigest(), ActiveSteps: []*protocol.Bundle{step}}
+			state.ConfigurationDelta = &protocol.ConfigurationDelta{
+				BaseVersion: 11, Version: 12, ActiveDigest: last.GetActiveDigest(), ActiveSteps: []*protocol.Bundle{step},
+			}
 		})
 		pass(time.Second)
 		g.Expect(link.View().Configuration.GetVersion()).To(BeEquivalentTo(12))
@@ -210,7 +212,7 @@
 	})
 }
 
-func TestGivenAWholeConfigurationWithAnotherDigestThenItIsNotPutInForce(t *testing.T) {
+func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotPutInForce(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = configuration(10, "one")
@@ -246,7 +248,7 @@
 	})
 }
 
-func TestGivenADrainThenItIsTold(t *testing.T) {
+func TestGivenADrainThenItIsReported(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		link.SetDraining(true)
 		pass(10 * time.Millisecond)
@@ -286,12 +288,16 @@
 		link := newLink(core)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		core.set(func() { core.broken = 1 })
-		_, err := link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_ReportArms{ReportArms: &protocol.ReportArmsRequest{}}})
+		core.set(func() { core.breakConnections = 1 })
+		_, err := link.CallCore(
+			ctx, &protocol.Request{Body: &protocol.Request_ReportArms{ReportArms: &protocol.ReportArmsRequest{}}},
+		)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(core.count("report_arms")).To(Equal(1))
-		core.set(func() { core.broken = 1 })
-		_, err = link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}})
+		core.set(func() { core.breakConnections = 1 })
+		_, err = link.CallCore(
+			ctx, &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}},
+		)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(core.count("other")).To(Equal(2))
 		synctest.Wait()
--- a/internal/controlplane/corelink/metrics.go
+++ b/internal/controlplane/corelink/metrics.go
@@ -8,12 +8,12 @@
 
 // metrics counts what the link does; names begin with rosestand_link_.
 type metrics struct {
-	renewals   *prometheus.CounterVec
-	polls      *prometheus.CounterVec
-	lapses     prometheus.Counter
-	locates    prometheus.Counter
-	mismatches prometheus.Counter
-	versions   *prometheus.GaugeVec
+	renewals        *prometheus.CounterVec
+	polls           *prometheus.CounterVec
+	authorityLosses prometheus.Counter
+	leaderSearches  prometheus.Counter
+	mismatches      prometheus.Counter
+	versions        *prometheus.GaugeVec
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -24,20 +24,21 @@
 		polls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "rosestand_link_polls_total", Help: "Polls of the core by result.",
 		}, []string{"result"}),
-		lapses: prometheus.NewCounter(prometheus.CounterOpts{
+		authorityLosses: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "rosestand_link_authority_lost_total", Help: "Times that authority ended before it was renewed.",
 		}),
-		locates: prometheus.NewCounter(prometheus.CounterOpts{
+		leaderSearches: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "rosestand_link_locates_total", Help: "Searches for the leader of the core.",
 		}),
 		mismatches: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "rosestand_link_delta_mismatches_total", Help: "Answers with a delta that did not fit, or a configuration that was damaged, too large or without its digest.",
+			Name: "rosestand_link_delta_mismatches_total",
+			Help: "Answers with a delta that did not fit, or a configuration that was damaged, too large or without its digest.",
 		}),
 		versions: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "rosestand_link_version", Help: "Version read, by section.",
 		}, []string{"section"}),
 	}
-	registerer.MustRegister(m.renewals, m.polls, m.lapses, m.locates, m.mismatches, m.versions)
+	registerer.MustRegister(m.renewals, m.polls, m.authorityLosses, m.leaderSearches, m.mismatches, m.versions)
 	return m
 }
 
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -15,7 +15,7 @@
 // readyAfter bounds the time from when a leader is there until the node is ready.
 const readyAfter = 200 * time.Millisecond
 
-// untilReady lets virtual time go by until the link is ready, and says how long that took.
+// untilReady advances virtual time until the link is ready, and returns how long that took.
 func untilReady(g *WithT, link *corelink.Link) time.Duration {
 	began := time.Now()
 	for !link.Ready() {
@@ -25,7 +25,7 @@
 	return time.Since(began)
 }
 
-// started runs a test with a link that was just started, before it asked anything.
+// started runs a test with a link that was just started, before it sent anything.
 func started(t *testing.T, core *fakeCore, then func(g *WithT, link *corelink.Link)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestGivenALeaderWhenStartedThenANodeIsReadyAtOnce(t *testing.T) {
+func TestGivenALeaderWhenStartedThenANodeIsReadyImmediately(t *testing.T) {
 	started(t, newFakeCore(), func(g *WithT, link *corelink.Link) {
 		g.Expect(untilReady(g, link)).To(BeNumerically("<=", 50*time.Millisecond))
 	})
@@ -59,11 +59,11 @@
 	}
 }
 
-// One seed is dead and says nothing; the others know no leader yet.
-func TestGivenASilentSeedWhenALeaderIsElectedThenItIsNotWaitedFor(t *testing.T) {
+// One seed does not answer; the others know no leader yet.
+func TestGivenAnUnresponsiveSeedWhenALeaderIsElectedThenItDelaysNothing(t *testing.T) {
 	core := newFakeCore()
 	core.leader = ""
-	core.silent = map[string]bool{seedAddress: true}
+	core.unresponsive = map[string]bool{seedAddress: true}
 	started(t, core, func(g *WithT, link *corelink.Link) {
 		pass(time.Second)
 		core.set(func() { core.leader = firstLeader })
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestGivenALeaseWhenTheWholeCoreIsDownThenItServesOnAndRenewsAtOnceAfterwards(t *testing.T) {
+func TestGivenALeaseWhenAllOfTheCoreIsDownThenAuthorityContinuesAndIsRenewedImmediatelyAfterwards(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		all := map[string]bool{firstLeader: true, secondLeader: true, seedAddress: true, "10.0.0.8:1": true}
 		core.set(func() { core.down = all })
@@ -127,32 +127,40 @@
 		before := core.count("locates")
 		for range 20 {
 			go func() {
-				_, _ = link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}})
+				_, _ = link.CallCore(
+					ctx, &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}},
+				)
 			}()
 		}
 		pass(time.Second)
-		g.Expect(core.count("locates")-before).To(BeNumerically("<=", 20*4), "twenty searches a second of four processes, whoever asks")
+		g.Expect(core.count("locates")-before).To(
+			BeNumerically("<=", 20*4), "twenty searches a second of four processes, over all callers",
+		)
 	})
 }
 
-// The clock was set back while the node was down, so its former life has the larger incarnation.
-func TestGivenAFormerLifeWithALargerIncarnationThenTheNodeSucceedsItAtOnce(t *testing.T) {
+// The clock was set back while the node was down, so its earlier process has the larger incarnation.
+func TestGivenAnEarlierProcessWithALargerIncarnationThenTheNodeSupersedesItImmediately(t *testing.T) {
 	core := newFakeCore()
-	former := &protocol.Node{Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 1 << 50, Address: "10.0.0.5:1"}
-	core.latest = &protocol.PollControlResponse{Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{former}}}
-	core.refusesBelow = former.GetIncarnation() + 1
+	previous := &protocol.Node{Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 1 << 50, Address: "10.0.0.5:1"}
+	core.latest = &protocol.PollControlResponse{
+		Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{previous}},
+	}
+	core.rejectBelow = previous.GetIncarnation() + 1
 	started(t, core, func(g *WithT, link *corelink.Link) {
 		g.Expect(untilReady(g, link)).To(BeNumerically("<=", readyAfter))
-		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", former.GetIncarnation()))
+		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", previous.GetIncarnation()))
 	})
 }
 
-// Another machine uses the name: they must not take the lease from each other in turn.
-func TestGivenTheNameAtAnotherAddressThenTheNodeDoesNotSucceedIt(t *testing.T) {
+// Another machine uses the name: the two must not take the lease from each other in turn.
+func TestGivenTheNameAtAnotherAddressThenTheNodeDoesNotSupersedeIt(t *testing.T) {
 	core := newFakeCore()
 	other := &protocol.Node{Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 1 << 50, Address: "10.0.0.6:1"}
-	core.latest = &protocol.PollControlResponse{Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{other}}}
-	core.refusesBelow = other.GetIncarnation() + 1
+	core.latest = &protocol.PollControlResponse{
+		Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{other}},
+	}
+	core.rejectBelow = other.GetIncarnation() + 1
 	started(t, core, func(g *WithT, link *corelink.Link) {
 		pass(10 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -15,14 +15,14 @@
 )
 
 // packedAs publishes a configuration with the bytes given as its packed form.
-func (c *fakeCore) packedAs(whole *protocol.Configuration, packed []byte) {
+func (c *fakeCore) packedAs(full *protocol.Configuration, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
-		state.Configuration, state.PackedConfiguration = whole, packed
+		state.Configuration, state.PackedConfiguration = full, packed
 	})
 }
 
-// plainPolls counts the polls that asked for a configuration that is not packed.
-func (c *fakeCore) plainPolls() int {
+// unpackedPolls counts the polls that requested an unpacked configuration.
+func (c *fakeCore) unpackedPolls() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
@@ -36,37 +36,39 @@
 
 func TestGivenAPackedConfigurationThenItIsPutInForce(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		whole := configuration(10, "one")
-		packed, err := packing.PackConfiguration(whole)
+		full := configuration(10, "one")
+		packed, err := packing.PackConfiguration(full)
 		g.Expect(err).NotTo(HaveOccurred())
-		core.packedAs(whole, packed)
+		core.packedAs(full, packed)
 		pass(100 * time.Millisecond)
-		g.Expect(proto.Equal(link.View().Configuration, whole)).To(BeTrue())
-		g.Expect(core.plainPolls()).To(BeZero())
+		g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
+		g.Expect(core.unpackedPolls()).To(BeZero())
 	})
 }
 
-func TestGivenAPackedConfigurationThatDoesNotFitThenThePlainOneIsAskedFor(t *testing.T) {
-	whole := configuration(10, "one")
-	good, err := packing.PackConfiguration(whole)
+func TestGivenAPackedConfigurationThatDoesNotFitThenAnUnpackedOneIsRequested(t *testing.T) {
+	full := configuration(10, "one")
+	good, err := packing.PackConfiguration(full)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	wrong := proto.CloneOf(whole)
+	wrong := proto.CloneOf(full)
 	wrong.ActiveDigest = "00"
 	otherDigest, err := packing.PackConfiguration(wrong)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for name, packed := range map[string][]byte{
-		"damaged": bytes.Repeat([]byte{7}, 40), "cut": good[:len(good)-1], "another digest": otherDigest,
+		"damaged": bytes.Repeat([]byte{7}, 40), "truncated": good[:len(good)-1], "another digest": otherDigest,
 		"oversized": encoder.EncodeAll(make([]byte, packing.MaxUnpackedBytes+1), nil),
 	} {
 		t.Run(name, func(t *testing.T) {
 			given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-				core.packedAs(whole, packed)
+				core.packedAs(full, packed)
 				pass(time.Second)
-				g.Expect(proto.Equal(link.View().Configuration, whole)).To(BeTrue())
-				g.Expect(core.plainPolls()).To(Equal(1))
-				g.Expect(core.lastPoll().GetAcceptsPackedConfiguration()).To(BeTrue(), "only the one poll asks for the plain form")
+				g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
+				g.Expect(core.unpackedPolls()).To(Equal(1))
+				g.Expect(core.lastPoll().GetAcceptsPackedConfiguration()).To(
+					BeTrue(), "only that one poll requests the unpacked form",
+				)
 				g.Expect(link.HasAuthority()).To(BeTrue())
 			})
 		})
@@ -74,34 +76,34 @@
 }
 
 // membersPackedAs publishes a membership with the bytes given as its packed form.
-func (c *fakeCore) membersPackedAs(whole *protocol.MembershipView, packed []byte) {
+func (c *fakeCore) membersPackedAs(full *protocol.MembershipView, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
-		state.Membership, state.PackedMembership = whole, packed
+		state.Membership, state.PackedMembership = full, packed
 	})
 }
 
-func TestGivenAPackedViewThenItIsPutInForceAndADamagedOneIsAskedForPlain(t *testing.T) {
-	whole := &protocol.MembershipView{Version: 50, Nodes: []*protocol.Node{{
+func TestGivenAPackedViewThenItIsPutInForceAndADamagedOneIsRequestedUnpacked(t *testing.T) {
+	full := &protocol.MembershipView{Version: 50, Nodes: []*protocol.Node{{
 		Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 5, Address: "10.0.0.5:1",
 	}}}
-	good, err := packing.Pack(whole)
+	good, err := packing.Pack(full)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for name, given := range map[string]struct {
-		packed []byte
-		plain  int
-	}{"whole": {good, 0}, "cut": {good[:len(good)-1], 1}, "damaged": {bytes.Repeat([]byte{7}, 40), 1}} {
+		packed        []byte
+		unpackedPolls int
+	}{"intact": {good, 0}, "truncated": {good[:len(good)-1], 1}, "damaged": {bytes.Repeat([]byte{7}, 40), 1}} {
 		t.Run(name, func(t *testing.T) {
-			givenPackedMembers(t, whole, given.packed, given.plain)
+			givenPackedMembers(t, full, given.packed, given.unpackedPolls)
 		})
 	}
 }
 
-func givenPackedMembers(t *testing.T, whole *protocol.MembershipView, packed []byte, plainPolls int) {
+func givenPackedMembers(t *testing.T, full *protocol.MembershipView, packed []byte, unpackedPolls int) {
 	t.Helper()
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		core.membersPackedAs(whole, packed)
+		core.membersPackedAs(full, packed)
 		pass(time.Second)
-		g.Expect(proto.Equal(link.View().Membership, whole)).To(BeTrue())
-		g.Expect(core.plainPolls()).To(Equal(plainPolls))
+		g.Expect(proto.Equal(link.View().Membership, full)).To(BeTrue())
+		g.Expect(core.unpackedPolls()).To(Equal(unpackedPolls))
 	})
 }
--- a/internal/controlplane/corelink/polling.go
+++ b/internal/controlplane/corelink/polling.go
@@ -7,38 +7,37 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// minimumPollGap keeps a core that answers at once from being polled in a tight loop.
-const minimumPollGap = 20 * time.Millisecond
-
-// poll sends one poll; the answer comes back as polled. The next one is sent
-// when the view of this one is in force, so that what a poll says it knows is
-// what the node acts on.
-func (o *owner) poll() {
+// poll starts one long poll, unless one is in flight; its answer arrives at
+// pollCompleted. The next one starts once the view that this one led to is in
+// force, so that the versions that a poll names are those that the node acts on.
+func (o *owner) poll(ctx context.Context) {
 	if o.polling {
 		return
 	}
 	o.polling = true
-	fresh, whole := o.wantFresh, o.wantWhole
-	request := o.pollRequest(fresh, whole)
-	wait := o.link.options.PollWait + pollSlack
+	fresh := o.needsFreshView
+	request := o.pollRequest(fresh)
+	timeout := o.link.options.PollWait + pollTimeoutMargin
 	if fresh {
-		wait = defaultCallTimeout
+		timeout = freshPollTimeout
 	}
 	incarnation := o.self.GetIncarnation()
-	ctx, link := o.ctx, o.link
-	call, cancel := context.WithTimeout(ctx, wait)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	o.cancelPoll = cancel
-	o.pollStarted = time.Now()
+	o.pollStartedAt = time.Now()
+	link := o.link
 	link.workers.Go(func() {
 		defer cancel()
-		response, err := link.CallCore(call, request)
-		link.post(ctx, func(o *owner) { o.polled(response.GetPollControl(), err, fresh, incarnation) })
+		response, err := link.CallCore(callCtx, request)
+		link.post(ctx, func(_ context.Context, o *owner) {
+			o.pollCompleted(response.GetPollControl(), err, fresh, incarnation)
+		})
 	})
 }
 
-func (o *owner) pollRequest(fresh bool, whole wholes) *protocol.Request {
+func (o *owner) pollRequest(fresh bool) *protocol.Request {
 	known := o.link.View().Versions()
-	whole.forget(known)
+	o.pendingSnapshots.resetKnown(known)
 	poll := &protocol.PollControlRequest{
 		Node:          o.self.GetName(),
 		Known:         known,
@@ -47,8 +46,8 @@
 		AcceptsDeltas: true,
 		Incarnation:   o.self.GetIncarnation(),
 
-		AcceptsPackedConfiguration: !whole.plain,
-		AcceptsPackedViews:         !whole.plain,
+		AcceptsPackedConfiguration: !o.pendingSnapshots.unpacked,
+		AcceptsPackedViews:         !o.pendingSnapshots.unpacked,
 	}
 	if fresh {
 		poll.WaitMillis = 0
@@ -56,60 +55,64 @@
 	return &protocol.Request{Body: &protocol.Request_PollControl{PollControl: poll}}
 }
 
-func (o *owner) polled(answer *protocol.PollControlResponse, err error, fresh bool, incarnation uint64) {
+// pollCompleted applies the answer to a poll. A fresh answer counts only if
+// authority was not lost since the poll was sent.
+func (o *owner) pollCompleted(answer *protocol.PollControlResponse, err error, fresh bool, incarnation uint64) {
 	if err != nil || answer == nil {
 		o.link.metrics.polls.WithLabelValues("failed").Inc()
 		o.retryPoll()
 		return
 	}
 	o.link.metrics.polls.WithLabelValues("answered").Inc()
-	o.pollWait = 0
-	next, changed, whole, mismatch := applyPoll(o.link.View(), answer)
-	if mismatch != nil {
+	o.pollBackoff = 0
+	result := applyPoll(o.link.View(), answer)
+	if result.mismatch != nil {
 		o.link.metrics.mismatches.Inc()
-		o.link.logger.Warn("a section does not fit; asking for the whole", "error", mismatch)
+		o.link.logger.Warn("view update rejected", "error", result.mismatch)
 	}
-	o.wantWhole = whole
-	if fresh && mismatch == nil && incarnation == o.self.GetIncarnation() {
-		o.wantFresh = false
-		defer o.link.fresh.Store(true)
+	o.pendingSnapshots = result.snapshots
+	if fresh && result.mismatch == nil && incarnation == o.self.GetIncarnation() {
+		o.needsFreshView = false
+		defer o.link.hasFreshView.Store(true)
 	}
-	if !changed {
+	if !result.changed {
 		o.finishPoll()
 		return
 	}
-	o.link.view.Store(next)
-	o.succeed()
-	o.link.metrics.observe(next.Versions())
-	// The notifier takes the view before the next poll is sent, so the channel has room.
-	o.link.changed <- next
+	o.link.view.Store(result.view)
+	o.supersedePreviousIncarnation()
+	o.link.metrics.observe(result.view.Versions())
+	// The notifier takes each view before the next poll is sent, so the channel has capacity.
+	o.link.newViews <- result.view
 }
 
-// inForce is called when all subscribers have seen the view.
-func (o *owner) inForce(view *View) {
-	o.link.inForce.Store(view)
+// viewApplied runs when all subscribers have returned from a view.
+func (o *owner) viewApplied(view *View) {
+	o.link.appliedView.Store(view)
 	o.holder.ViewApplied(view.Membership.GetVersion())
 	o.publishAuthority()
 	o.finishPoll()
 }
 
-// finishPoll sends the next poll, soon but not in a tight loop when the core answers without holding back.
+// finishPoll schedules the next poll, but not in a tight loop when the core
+// answers immediately.
 func (o *owner) finishPoll() {
 	o.polling = false
-	if o.wantWhole != (wholes{}) {
+	if o.pendingSnapshots != (snapshotRequest{}) {
 		o.retryPoll()
 		return
 	}
-	o.pollTimer.Reset(max(0, minimumPollGap-time.Since(o.pollStarted)))
+	o.pollTimer.Reset(max(0, minPollInterval-time.Since(o.pollStartedAt)))
 }
 
 func (o *owner) retryPoll() {
 	o.polling = false
-	o.pollWait = nextWait(o.pollWait, longestRetry)
-	o.pollTimer.Reset(jitter(o.pollWait))
+	o.pollBackoff = nextBackoff(o.pollBackoff, maxRetryBackoff)
+	o.pollTimer.Reset(jitter(o.pollBackoff))
 }
 
-// pollFresh sends a linearizable poll now, in place of one that is being held back.
+// pollFresh requests a linearizable answer now. A long poll in flight is
+// cancelled; its retry is the fresh one.
 func (o *owner) pollFresh() {
 	if o.polling && o.cancelPoll != nil {
 		o.cancelPoll()
--- a/internal/controlplane/corelink/rejection_test.go
+++ b/internal/controlplane/corelink/rejection_test.go
@@ -15,37 +15,42 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestGivenARefusalWithAReasonThenItAsksEverMoreSeldomAndLogsItOnce(t *testing.T) {
+func TestGivenARejectionWithAReasonThenItBacksOffAndLogsItOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
-		core.refuse, core.refusal = true, &protocol.Refusal{Code: "lease_refused", Message: "store \"store-1\" was retired"}
+		core.rejectRenewals, core.rejection = true, &protocol.Refusal{
+			Code: "lease_refused", Message: "store \"store-1\" was retired",
+		}
 		var lines bytes.Buffer
 		link := corelink.New(corelink.Options{
-			Self: &protocol.Node{Name: "store-1", Kind: protocol.NodeKind_STORE, Incarnation: 5, Address: "10.0.0.5:1"}, Seeds: []string{seedAddress},
+			Self:   &protocol.Node{Name: "store-1", Kind: protocol.NodeKind_STORE, Incarnation: 5, Address: "10.0.0.5:1"},
+			Seeds:  []string{seedAddress},
 			Caller: core, Logger: log.New(&lines),
 		})
 		g.Expect(link.Start(context.Background())).To(Succeed())
 		pass(2 * time.Minute)
 		before := core.renewalCount()
 		pass(5 * time.Minute)
-		g.Expect(core.renewalCount()-before).To(And(BeNumerically(">=", 10), BeNumerically("<=", 21)), "every 15 to 30 seconds")
-		core.set(func() { core.refuse, core.refusal = false, nil })
+		g.Expect(core.renewalCount()-before).To(
+			And(BeNumerically(">=", 10), BeNumerically("<=", 21)), "every 15 to 30 seconds",
+		)
+		core.set(func() { core.rejectRenewals, core.rejection = false, nil })
 		pass(31 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeTrue())
 		core.set(func() {
-			core.refuse, core.refusal = true, &protocol.Refusal{Code: "lease_refused", Message: "refused anew"}
+			core.rejectRenewals, core.rejection = true, &protocol.Refusal{Code: "lease_refused", Message: "rejected again"}
 		})
 		pass(2 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Stop(context.Background())).To(Succeed())
 		g.Expect(strings.Count(lines.String(), "was retired")).To(Equal(1), lines.String())
-		g.Expect(strings.Count(lines.String(), "refused anew")).To(Equal(1), lines.String())
+		g.Expect(strings.Count(lines.String(), "rejected again")).To(Equal(1), lines.String())
 		g.Expect(strings.Count(lines.String(), "\n")).To(BeNumerically("<=", 5), lines.String())
 	})
 }
 
 func TestGivenNoCoreThatAnswersWhenStoppedThenItDoesNotWaitForOne(t *testing.T) {
-	for name, silence := range map[string]func(*fakeCore){
+	for name, disable := range map[string]func(*fakeCore){
 		"no process listens": func(core *fakeCore) {
 			core.down = map[string]bool{firstLeader: true, secondLeader: true, seedAddress: true, "10.0.0.8:1": true}
 		},
@@ -53,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-				core.set(func() { silence(core) })
+				core.set(func() { disable(core) })
 				pass(300 * time.Millisecond)
 				began := time.Now()
 				g.Expect(link.Stop(context.Background())).To(Succeed())
--- a/internal/controlplane/corelink/search_test.go
+++ b/internal/controlplane/corelink/search_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestGivenASeedWithoutPowerWhenTheOtherStartsLateThenTheSilentOneIsNotWaitedFor(t *testing.T) {
+func TestGivenAnUnresponsiveSeedWhenTheOtherStartsLateThenItDelaysNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		core := newFakeCore()
-		core.silent = map[string]bool{"10.0.0.8:1": true}
+		core.unresponsive = map[string]bool{"10.0.0.8:1": true}
 		core.down[seedAddress] = true
 		link := newLink(core)
 		g.Expect(link.Start(context.Background())).To(Succeed())
@@ -27,6 +27,6 @@
 		core.down[seedAddress] = false
 		core.mutex.Unlock()
 		pass(200 * time.Millisecond)
-		g.Expect(link.Ready()).To(BeTrue(), "the seed that answers is asked again")
+		g.Expect(link.Ready()).To(BeTrue(), "the seed that answers is queried again")
 	})
 }
