--- a/internal/testing/lab/simcommand/simcommand.go
+++ b/internal/testing/lab/simcommand/simcommand.go
@@ -190,14 +190,14 @@
 
 // searchSuite runs the seeds of a suite and puts the digest of each run in its place.
 func (o options) searchSuite(candidate suite, trace io.Writer, digests []uint64) sim.Summary {
-	settings := sim.SearchOptions{First: o.first, Count: o.seeds, Workers: o.workers, KeepSchedules: o.keepSchedules}
+	settings := sim.SearchOptions{First: o.first, Count: o.seeds, Workers: o.workers, SkipShrinking: o.keepSchedules}
 	settings.OnReport = func(report sim.Report) { digests[report.Seed-o.first] = report.Digest() }
 	if !o.trace {
 		return sim.Search(settings, func(seed int64, faults []sim.Fault) sim.Report {
 			return candidate.run(seed, faults, o, nil)
 		})
 	}
-	settings.Workers, settings.KeepSchedules = 1, true
+	settings.Workers, settings.SkipShrinking = 1, true
 	return sim.Search(settings, func(seed int64, faults []sim.Fault) sim.Report {
 		return candidate.run(seed, faults, o, trace)
 	})
--- a/internal/testing/sim/digest_test.go
+++ b/internal/testing/sim/digest_test.go
@@ -9,7 +9,10 @@
 
 func TestDigestSumsEveryCountAndNoNames(t *testing.T) {
 	made := func() sim.Report {
-		return sim.Report{Seed: 1, Steps: 5, Elapsed: time.Second, Fingerprint: 7, Rules: []sim.RuleResult{{Name: "one", Provoked: 2}, {Name: "two"}}}
+		return sim.Report{
+			Seed: 1, Steps: 5, Elapsed: time.Second, Fingerprint: 7,
+			Rules: []sim.RuleResult{{Name: "one", Provoked: 2}, {Name: "two"}},
+		}
 	}
 	named := made()
 	named.Rules[0].Name = "another name"
--- a/internal/testing/sim/fault.go
+++ b/internal/testing/sim/fault.go
@@ -11,55 +11,61 @@
 
 // Kinds of faults. Targets are machines; the ones that end a process start it again after Duration.
 const (
-	// FaultKill ends the processes at once.
-	FaultKill FaultKind = "kill"
+	// FaultCrash ends the processes at once.
+	FaultCrash FaultKind = "kill"
 	// FaultFreeze stops the processes for Duration.
 	FaultFreeze FaultKind = "freeze"
 	// FaultPowerLoss ends the processes and loses what they did not sync.
 	FaultPowerLoss FaultKind = "power-loss"
-	// FaultLostDisk ends the processes and empties their disks.
-	FaultLostDisk FaultKind = "lost-disk"
-	// FaultReplace takes the machines away; Options.Replace adds others in their place after Duration.
+	// FaultDiskLoss ends the processes and empties their disks.
+	FaultDiskLoss FaultKind = "lost-disk"
+	// FaultReplace removes the machines; Options.Replace adds others in their place after Duration.
 	FaultReplace FaultKind = "replace"
-	// FaultCut stops messages between Targets and all other machines, both ways.
-	FaultCut FaultKind = "cut"
-	// FaultCutFrom stops messages from Targets to Peers, or to all other machines without Peers.
-	FaultCutFrom FaultKind = "cut-from"
-	// FaultCutTo stops messages to Targets from Peers, or from all other machines without Peers.
-	FaultCutTo FaultKind = "cut-to"
-	// FaultCutZones, FaultCutZonesFrom and FaultCutZonesTo cut the zones that Targets name with InZone from those of Peers, or from all others.
-	FaultCutZones     FaultKind = "cut-zones"
-	FaultCutZonesFrom FaultKind = "cut-zones-from"
-	FaultCutZonesTo   FaultKind = "cut-zones-to"
-	// FaultLostZones takes the power from the zones that Targets name; no process starts there before Duration has passed.
-	FaultLostZones FaultKind = "lost-zones"
-	// FaultLoss loses one message in five everywhere.
-	FaultLoss FaultKind = "loss"
-	// FaultFailSync lets the next sync on each target fail, once.
-	FaultFailSync FaultKind = "fail-sync"
-	// FaultFullDisk leaves no room on the targets' disks.
+	// FaultPartition drops messages between Targets and all other machines, in both directions.
+	FaultPartition FaultKind = "cut"
+	// FaultOutboundPartition drops messages from Targets to Peers, or to all other machines without Peers.
+	FaultOutboundPartition FaultKind = "cut-from"
+	// FaultInboundPartition drops messages to Targets from Peers, or from all other machines without Peers.
+	FaultInboundPartition FaultKind = "cut-to"
+	// FaultZonePartition, FaultZoneOutboundPartition and FaultZoneInboundPartition do so between the zones that
+	// Targets name with InZone and those of Peers, or all other zones.
+	FaultZonePartition         FaultKind = "cut-zones"
+	FaultZoneOutboundPartition FaultKind = "cut-zones-from"
+	FaultZoneInboundPartition  FaultKind = "cut-zones-to"
+	// FaultZonePowerLoss cuts the power of the zones that Targets name; no process starts there before Duration has
+	// passed.
+	FaultZonePowerLoss FaultKind = "lost-zones"
+	// FaultMessageLoss loses one message in five everywhere.
+	FaultMessageLoss FaultKind = "loss"
+	// FaultSyncFailure lets the next sync on each target fail, once.
+	FaultSyncFailure FaultKind = "fail-sync"
+	// FaultFullDisk leaves no free space on the targets' disks.
 	FaultFullDisk FaultKind = "full-disk"
 )
 
-const burstLossPerMille = 200
+// lossPerMille is the extra loss of FaultMessageLoss.
+const lossPerMille = 200
 
-// wildcard at the end of a target stands for all machines there at the time whose addresses begin with the rest.
+// wildcard at the end of a target stands for all machines present at the time whose addresses begin with the rest.
 const wildcard = "*"
 
-// AllWith is the target that stands for all machines whose addresses begin with prefix when the fault comes.
-func AllWith(prefix string) Address { return Address(prefix + wildcard) }
+// AllWithPrefix is the target that stands for all machines whose addresses begin with prefix when the fault is applied.
+func AllWithPrefix(prefix string) Address { return Address(prefix + wildcard) }
 
 // Fault is one planned fault.
 type Fault struct {
+	// At is the true time since the start of the run.
 	At   time.Duration
 	Kind FaultKind
-	// Targets are addresses of machines, or what AllWith gives.
-	Targets  []Address
-	Peers    []Address
+	// Targets are addresses of machines, or what AllWithPrefix or InZone returns.
+	Targets []Address
+	// Peers narrow partitions to messages between Targets and them.
+	Peers []Address
+	// Duration is the time until the fault is undone, or the process is started again.
 	Duration time.Duration
 }
 
-// String gives the fault in one line.
+// String returns the fault in one line.
 func (f Fault) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%.3fs %s %s", f.At.Seconds(), f.Kind, joined(f.Targets))
@@ -78,15 +84,15 @@
 	return strings.Join(names, ",")
 }
 
-// Schedule plans faults. It is called before the run.
+// Schedule plans faults; it must be called before the run.
 func (w *World) Schedule(faults []Fault) {
 	w.faults = append(w.faults, faults...)
 	for _, fault := range faults {
-		w.After(fault.At, func() { w.tryFault(fault, w.elapsed+FaultPatience) })
+		w.After(fault.At, func() { w.attemptFault(fault, w.elapsed+FaultTimeout) })
 	}
 }
 
-func (w *World) tryFault(fault Fault, deadline time.Duration) {
+func (w *World) attemptFault(fault Fault, deadline time.Duration) {
 	if w.options.MayApply == nil || w.options.MayApply(fault) {
 		w.applied = append(w.applied, fault)
 		w.Tracef("FAULT %s", fault)
@@ -97,19 +103,19 @@
 		w.skipped = append(w.skipped, fault)
 		return
 	}
-	w.After(FaultRetry, func() { w.tryFault(fault, deadline) })
+	w.After(FaultRetryInterval, func() { w.attemptFault(fault, deadline) })
 }
 
 func (w *World) apply(fault Fault) {
 	switch fault.Kind {
-	case FaultCut, FaultCutFrom, FaultCutTo:
-		w.applyCut(fault)
-	case FaultCutZones, FaultCutZonesFrom, FaultCutZonesTo:
-		w.applyZoneCut(fault)
-	case FaultLostZones:
-		w.loseZones(fault)
-	case FaultLoss:
-		w.SetExtraLoss(burstLossPerMille)
+	case FaultPartition, FaultOutboundPartition, FaultInboundPartition:
+		w.applyPartition(fault)
+	case FaultZonePartition, FaultZoneOutboundPartition, FaultZoneInboundPartition:
+		w.applyZonePartition(fault)
+	case FaultZonePowerLoss:
+		w.losePowerOfZones(fault)
+	case FaultMessageLoss:
+		w.SetExtraLoss(lossPerMille)
 		w.After(fault.Duration, func() { w.SetExtraLoss(0) })
 	default:
 		for _, target := range w.expand(fault.Targets) {
@@ -120,7 +126,7 @@
 	}
 }
 
-// expand replaces what AllWith gave by the machines that are there.
+// expand replaces targets of AllWithPrefix by the machines that are present.
 func (w *World) expand(targets []Address) []Address {
 	var expanded []Address
 	for _, target := range targets {
@@ -140,20 +146,20 @@
 
 func (m *Machine) applyFault(fault Fault) {
 	switch fault.Kind {
-	case FaultKill:
-		m.Kill()
+	case FaultCrash:
+		m.Crash()
 		m.startAfter(fault.Duration)
 	case FaultFreeze:
 		m.freezeFor(fault.Duration)
 	case FaultPowerLoss:
 		m.LosePower()
 		m.startAfter(fault.Duration)
-	case FaultLostDisk:
+	case FaultDiskLoss:
 		m.LoseDisk()
 		m.startAfter(fault.Duration)
 	case FaultReplace:
 		m.replaceAfter(fault.Duration)
-	case FaultFailSync:
+	case FaultSyncFailure:
 		m.disk.FailSyncs(0, 1)
 	case FaultFullDisk:
 		m.disk.SetCapacity(max(m.disk.Used(), 1))
@@ -163,9 +169,9 @@
 
 func (m *Machine) freezeFor(duration time.Duration) {
 	m.Freeze()
-	life := m.life
+	frozen := m.environment
 	m.world.After(duration, func() {
-		if m.life == life {
+		if m.environment == frozen {
 			m.Thaw()
 		}
 	})
@@ -180,30 +186,37 @@
 	})
 }
 
-func (w *World) applyCut(fault Fault) {
+func (w *World) applyPartition(fault Fault) {
 	fault.Targets, fault.Peers = w.expand(fault.Targets), w.expand(fault.Peers)
-	var ways []direction
-	for _, target := range fault.Targets {
-		for _, peer := range w.cutPeers(fault) {
-			if fault.Kind != FaultCutTo {
-				ways = append(ways, direction{from: target, to: peer})
-			}
-			if fault.Kind != FaultCutFrom {
-				ways = append(ways, direction{from: peer, to: target})
-			}
-		}
-	}
-	for _, way := range ways {
-		w.Cut(way.from, way.to)
+	paths := directedLinks(fault.Targets, w.partitionPeers(fault),
+		fault.Kind != FaultInboundPartition, fault.Kind != FaultOutboundPartition)
+	for _, path := range paths {
+		w.Partition(path.from, path.to)
 	}
 	w.After(fault.Duration, func() {
-		for _, way := range ways {
+		for _, way := range paths {
 			w.Heal(way.from, way.to)
 		}
 	})
 }
 
-func (w *World) cutPeers(fault Fault) []Address {
+// directedLinks returns the links from targets to peers and back, as far as each direction is asked for.
+func directedLinks[T any](targets, peers []T, outbound, inbound bool) []directed[T] {
+	var links []directed[T]
+	for _, target := range targets {
+		for _, peer := range peers {
+			if outbound {
+				links = append(links, directed[T]{from: target, to: peer})
+			}
+			if inbound {
+				links = append(links, directed[T]{from: peer, to: target})
+			}
+		}
+	}
+	return links
+}
+
+func (w *World) partitionPeers(fault Fault) []Address {
 	if len(fault.Peers) > 0 {
 		return fault.Peers
 	}
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -2,26 +2,26 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 )
 
-// Process is the code of one life of a process. Timers are set through the Environment given to the Builder.
+// Process is the code of one incarnation of a process. Timers are set through the Environment given to the Builder.
 type Process interface {
 	// Receive handles a message from the network.
 	Receive(from Address, message any)
 }
 
-// ConnectionObserver is a Process that hears when a peer's process ended, or was not
-// there when a message arrived, as TCP tells by a reset. Cuts and losses of power are silent.
+// ConnectionObserver is a Process that is notified when a peer's process ended, or was not
+// running when a message arrived, as TCP does by a reset. Partitions and losses of power reset nothing.
 type ConnectionObserver interface {
+	// ConnectionBroken is called once for each reset.
 	ConnectionBroken(peer Address)
 }
 
-// Builder makes the code of one process life from what its disk holds. An error ends the
-// life; the machine starts it again after Options.RestartDelay.
+// Builder makes the code of one incarnation of a process from what its disk holds. An error ends the
+// incarnation; the machine starts the next one after Options.RestartDelay.
 type Builder func(*Environment) (Process, error)
 
 // Machine is a computer with one disk that runs one process.
@@ -36,17 +36,17 @@
 	clockOffset time.Duration
 	drift       int64
 
-	life    *Environment
-	process Process
-	lives   int
-	frozen  bool
-	removed bool
+	environment  *Environment
+	process      Process
+	incarnations int
+	frozen       bool
+	removed      bool
 	// unpoweredUntil is when the machine's zone has power again.
 	unpoweredUntil time.Duration
-	// held are the events that wait for a frozen process.
-	held []func()
-	// starting counts planned starts, so that only the newest counts.
-	starting int
+	// deferred are the events that wait for a frozen process.
+	deferred []func()
+	// plannedStarts counts planned starts; only the newest takes place.
+	plannedStarts int
 }
 
 // AddMachine adds a machine with an empty disk and starts its process at once.
@@ -68,7 +68,7 @@
 	return machine
 }
 
-// Machines returns the machines that are not gone for ever, in the order of their adding.
+// Machines returns the machines that were not removed, in the order in which they were added.
 func (w *World) Machines() []*Machine {
 	var present []*Machine
 	for _, machine := range w.machines {
@@ -91,13 +91,13 @@
 // Disk returns the machine's disk.
 func (m *Machine) Disk() *simdisk.Disk { return m.disk }
 
-// Lives returns how many processes were started on the machine.
-func (m *Machine) Lives() int { return m.lives }
+// Incarnations returns how many processes were started on the machine.
+func (m *Machine) Incarnations() int { return m.incarnations }
 
 // Process returns the running process, frozen or not, or nil.
 func (m *Machine) Process() Process { return m.process }
 
-// Frozen says whether the process is stopped for a while.
+// Frozen reports whether the process is stopped until Thaw.
 func (m *Machine) Frozen() bool { return m.frozen }
 
 func (m *Machine) localTime() time.Time {
@@ -107,44 +107,44 @@
 }
 
 func (m *Machine) startAfter(delay time.Duration) {
-	m.starting++
-	planned := m.starting
+	m.plannedStarts++
+	planned := m.plannedStarts
 	delay = max(delay, m.unpoweredUntil-m.world.elapsed)
 	m.world.After(delay, func() {
-		if planned == m.starting && m.life == nil && !m.removed {
+		if planned == m.plannedStarts && m.environment == nil && !m.removed {
 			m.start()
 		}
 	})
 }
 
 func (m *Machine) start() {
-	m.lives++
-	environment := &Environment{machine: m, life: m.lives}
-	m.life = environment
-	m.world.Tracef("%s starts, life %d", m.address, m.lives)
+	m.incarnations++
+	environment := &Environment{machine: m, incarnation: m.incarnations}
+	m.environment = environment
+	m.world.Tracef("%s starts, life %d", m.address, m.incarnations)
 	process, err := m.build(environment)
 	if err != nil {
 		environment.Exit(err)
 	}
-	if m.life == environment {
+	if m.environment == environment {
 		m.process = process
 	}
 }
 
-// Kill ends the process; what it wrote stays in the page cache.
-func (m *Machine) Kill() {
-	if m.life == nil {
+// Crash ends the process; what it wrote stays in the page cache.
+func (m *Machine) Crash() {
+	if m.environment == nil {
 		return
 	}
-	peers := m.life.peers
+	peers := m.environment.peers
 	m.end()
 	m.disk.Kill()
 	for _, peer := range peers {
-		m.world.network.breakConnection(m.address, peer)
+		m.world.network.resetConnection(m.address, peer)
 	}
 }
 
-// LosePower ends the process and loses what was not synced; peers hear nothing.
+// LosePower ends the process and loses what was not synced; peers are not notified.
 func (m *Machine) LosePower() {
 	m.end()
 	m.disk.LosePower()
@@ -156,110 +156,43 @@
 	m.disk.Lose()
 }
 
-// Remove takes the machine away for ever.
+// Remove takes the machine out of the run.
 func (m *Machine) Remove() {
 	m.end()
 	m.removed = true
 }
 
-// Freeze stops the process without ending it: timers and messages wait.
+// Freeze stops the process without ending it: timers and messages are deferred.
 func (m *Machine) Freeze() {
-	m.frozen = m.life != nil
+	m.frozen = m.environment != nil
 }
 
-// Thaw lets a frozen process go on with all that waited, in order.
+// Thaw resumes a frozen process and runs the deferred events in order.
 func (m *Machine) Thaw() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	held := m.held
-	m.held = nil
-	for _, run := range held {
+	deferred := m.deferred
+	m.deferred = nil
+	for _, run := range deferred {
 		run()
 	}
 }
 
 func (m *Machine) end() {
-	m.life, m.process, m.held, m.frozen = nil, nil, nil, false
-	m.starting++
+	m.environment, m.process, m.deferred, m.frozen = nil, nil, nil, false
+	m.plannedStarts++
 }
 
-// deliver runs an event for one life, later when it is frozen and never when it ended.
-func (m *Machine) deliver(life *Environment, run func()) {
-	if m.life != life {
+// deliver runs an event for one incarnation: after Thaw while it is frozen, never once it ended.
+func (m *Machine) deliver(environment *Environment, run func()) {
+	if m.environment != environment {
 		return
 	}
 	if m.frozen {
-		m.held = append(m.held, func() { m.deliver(life, run) })
+		m.deferred = append(m.deferred, func() { m.deliver(environment, run) })
 		return
 	}
 	run()
 }
-
-// Environment is what one life of a process sees of the world.
-type Environment struct {
-	machine *Machine
-	life    int
-	peers   []Address
-}
-
-// Address returns the address of the process.
-func (e *Environment) Address() Address { return e.machine.address }
-
-// Zone returns the zone of the machine.
-func (e *Environment) Zone() string { return e.machine.zone }
-
-// Life counts the processes on this machine, from one.
-func (e *Environment) Life() int { return e.life }
-
-// Disk returns the machine's disk as this life found it.
-func (e *Environment) Disk() *simdisk.Disk { return e.machine.disk }
-
-// Random returns the machine's random source.
-func (e *Environment) Random() *rand.Rand { return e.machine.random }
-
-// Now returns the machine's own time, which is off and drifts.
-func (e *Environment) Now() time.Time { return e.machine.localTime() }
-
-// World returns the world, for traces and for rules; decisions of a process must not depend on it.
-func (e *Environment) World() *World { return e.machine.world }
-
-// Alive says whether this life is still the running one.
-func (e *Environment) Alive() bool { return e.machine.life == e }
-
-// After runs a function later unless this life has ended.
-func (e *Environment) After(delay time.Duration, run func()) {
-	e.machine.world.After(delay, func() { e.machine.deliver(e, run) })
-}
-
-// Send gives a message to the network. Protobuf messages are copied; others must never be changed after.
-func (e *Environment) Send(to Address, message any) {
-	if e.Alive() {
-		e.addPeer(to)
-		e.machine.world.network.send(e.machine, to, message)
-	}
-}
-
-func (e *Environment) addPeer(peer Address) {
-	if place, found := slices.BinarySearch(e.peers, peer); !found {
-		e.peers = slices.Insert(e.peers, place, peer)
-	}
-}
-
-// Exit ends this life, as a process does that finds its disk failed; the machine starts another one.
-func (e *Environment) Exit(cause error) {
-	if !e.Alive() {
-		return
-	}
-	e.machine.world.Tracef("%s exits: %v", e.machine.address, cause)
-	e.machine.Kill()
-	e.machine.startAfter(e.machine.world.options.RestartDelay)
-}
-
-// Tracef adds a line with the address to the trace.
-func (e *Environment) Tracef(format string, arguments ...any) {
-	if e.machine.world.Tracing() {
-		e.machine.world.Tracef(string(e.machine.address)+" "+format, arguments...)
-	}
-}
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -7,19 +7,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// NetworkOptions say how messages travel; zero values stand for the defaults. Messages may pass one another.
+// NetworkOptions set delays and losses of messages; zero values stand for the defaults. Messages may overtake one
+// another.
 type NetworkOptions struct {
 	// MinimumDelay and MaximumDelay bound most delays; defaults 100 µs and 3 ms.
 	MinimumDelay, MaximumDelay time.Duration
-	// SlowOneIn sends one message in so many with a delay of up to SlowDelay; defaults 100 and 200 ms, negative for none.
+	// SlowOneIn delays one message in so many by up to SlowDelay more; defaults 100 and 200 ms, negative for none.
 	SlowOneIn int
 	SlowDelay time.Duration
-	// LostOneIn and RepeatedOneIn lose or repeat one message in so many, a repeat coming up
-	// to RepeatDelay late; defaults 200, 200 and 2 s, negative for none.
+	// LostOneIn and RepeatedOneIn lose or duplicate one message in so many, a duplicate being delayed by up
+	// to RepeatDelay; defaults 200, 200 and 2 s, negative for none.
 	LostOneIn, RepeatedOneIn int
 	RepeatDelay              time.Duration
-	// Distance, when set, bounds the delay that comes on top between two zones.
-	Distance func(fromZone, toZone string) (least, most time.Duration)
+	// Distance, when set, bounds the additional delay between two zones, one way.
+	Distance func(fromZone, toZone string) (minimum, maximum time.Duration)
 }
 
 func (o NetworkOptions) withDefaults() NetworkOptions {
@@ -40,34 +41,49 @@
 	}
 }
 
+// perMille is the denominator of extra losses.
+const perMille = 1000
+
+// network carries the messages of one world and counts them.
 type network struct {
 	world   *World
 	options NetworkOptions
 	random  *rand.Rand
-	// cuts counts the cuts in force for each direction of a pair.
-	cuts map[direction]int
-	// zoneCuts does so for pairs of zones, machines added later included.
-	zoneCuts map[zoneDirection]int
-	// extraLoss loses messages in addition, in parts of 1000.
+	// partitions counts the partitions in force for each directed pair of machines.
+	partitions map[link]int
+	// zonePartitions does so for pairs of zones, including machines that are added later.
+	zonePartitions map[zoneLink]int
+	// extraLoss is the additional loss, in messages of 1000.
 	extraLoss int
 	sent      int
 	dropped   int
 }
 
-type direction struct{ from, to Address }
+// directed is one direction between two machines or two zones.
+type directed[T any] struct{ from, to T }
+
+// link is one direction between two machines.
+type link = directed[Address]
 
-type zoneDirection struct{ from, to string }
+// zoneLink is one direction between two zones.
+type zoneLink = directed[string]
 
-func (n *network) isCut(way direction) bool {
-	if n.cuts[way] > 0 {
+func (n *network) partitioned(path link) bool {
+	if n.partitions[path] > 0 {
 		return true
 	}
-	from, to := n.world.byName[way.from], n.world.byName[way.to]
-	return len(n.zoneCuts) > 0 && from != nil && to != nil && n.zoneCuts[zoneDirection{from: from.zone, to: to.zone}] > 0
+	from, to := n.world.byName[path.from], n.world.byName[path.to]
+	if from == nil || to == nil {
+		return false
+	}
+	return n.zonePartitions[zoneLink{from: from.zone, to: to.zone}] > 0
 }
 
 func newNetwork(world *World, options NetworkOptions) *network {
-	return &network{world: world, options: options, random: world.Random("network"), cuts: map[direction]int{}, zoneCuts: map[zoneDirection]int{}}
+	return &network{
+		world: world, options: options, random: world.Random("network"),
+		partitions: map[link]int{}, zonePartitions: map[zoneLink]int{},
+	}
 }
 
 func (n *network) send(from *Machine, to Address, message any) {
@@ -76,7 +92,7 @@
 		message = proto.Clone(original)
 	}
 	copies := 1
-	if n.oneIn(n.options.LostOneIn) || n.random.IntN(1000) < n.extraLoss {
+	if n.oneIn(n.options.LostOneIn) || n.random.IntN(perMille) < n.extraLoss {
 		n.dropped++
 		copies--
 	}
@@ -108,54 +124,54 @@
 	if n.options.Distance == nil || target == nil {
 		return 0
 	}
-	least, most := n.options.Distance(from.zone, target.zone)
-	if most <= least {
-		return least
+	minimum, maximum := n.options.Distance(from.zone, target.zone)
+	if maximum <= minimum {
+		return minimum
 	}
-	return least + time.Duration(n.random.Int64N(int64(most-least)+1))
+	return minimum + time.Duration(n.random.Int64N(int64(maximum-minimum)+1))
 }
 
-// deliverAfter loses the message when the way is cut at its sending or its arrival.
+// deliverAfter loses the message when the path is partitioned when it is sent or when it arrives.
 func (n *network) deliverAfter(delay time.Duration, from *Machine, to Address, message any) {
-	way := direction{from: from.address, to: to}
-	if n.isCut(way) {
+	path := link{from: from.address, to: to}
+	if n.partitioned(path) {
 		n.dropped++
 		return
 	}
-	sender := from.life
+	sender := from.environment
 	n.world.After(delay, func() {
 		target := n.world.byName[to]
-		if n.isCut(way) || target == nil || target.removed {
+		if n.partitioned(path) || target == nil || target.removed {
 			n.dropped++
 			return
 		}
-		if target.life == nil {
+		if target.environment == nil {
 			n.dropped++
-			n.notifyBroken(from, sender, to)
+			n.notifyReset(from, sender, to)
 			return
 		}
-		target.life.addPeer(way.from)
-		life := target.life
-		target.deliver(life, func() { target.process.Receive(way.from, message) })
+		target.environment.addPeer(path.from)
+		receiver := target.environment
+		target.deliver(receiver, func() { target.process.Receive(path.from, message) })
 	})
 }
 
-// breakConnection tells a peer that the process at lost ended.
-func (n *network) breakConnection(lost, peer Address) {
+// resetConnection notifies a peer that the process at lost ended.
+func (n *network) resetConnection(lost, peer Address) {
 	machine := n.world.byName[peer]
-	if machine != nil && machine.life != nil {
-		n.notifyBroken(machine, machine.life, lost)
+	if machine != nil && machine.environment != nil {
+		n.notifyReset(machine, machine.environment, lost)
 	}
 }
 
-// notifyBroken brings a reset from lost to a life of a machine.
-func (n *network) notifyBroken(machine *Machine, life *Environment, lost Address) {
-	back := direction{from: lost, to: machine.address}
+// notifyReset delivers a reset from lost to one incarnation of a machine.
+func (n *network) notifyReset(machine *Machine, receiver *Environment, lost Address) {
+	path := link{from: lost, to: machine.address}
 	n.world.After(n.delay(machine, lost), func() {
-		if n.isCut(back) {
+		if n.partitioned(path) {
 			return
 		}
-		machine.deliver(life, func() {
+		machine.deliver(receiver, func() {
 			if observer, observes := machine.process.(ConnectionObserver); observes {
 				observer.ConnectionBroken(lost)
 			}
@@ -163,23 +179,23 @@
 	})
 }
 
-// Cut stops messages in one direction until as many Heal calls follow.
-func (w *World) Cut(from, to Address) {
-	w.network.cuts[direction{from: from, to: to}]++
+// Partition drops messages in one direction until as many Heal calls follow.
+func (w *World) Partition(from, to Address) {
+	w.network.partitions[link{from: from, to: to}]++
 }
 
-// Heal takes back one Cut.
+// Heal undoes one call of Partition.
 func (w *World) Heal(from, to Address) {
-	way := direction{from: from, to: to}
-	if w.network.cuts[way] > 0 {
-		w.network.cuts[way]--
+	path := link{from: from, to: to}
+	if w.network.partitions[path] > 0 {
+		w.network.partitions[path]--
 	}
 }
 
-// Reachable says whether messages pass in one direction.
+// Reachable reports whether messages pass in one direction.
 func (w *World) Reachable(from, to Address) bool {
-	return !w.network.isCut(direction{from: from, to: to})
+	return !w.network.partitioned(link{from: from, to: to})
 }
 
-// SetExtraLoss loses so many messages in 1000 on top of the options.
-func (w *World) SetExtraLoss(perMille int) { w.network.extraLoss = perMille }
+// SetExtraLoss loses so many messages in 1000 in addition to NetworkOptions.LostOneIn.
+func (w *World) SetExtraLoss(lost int) { w.network.extraLoss = lost }
--- a/internal/testing/sim/ownershipsuite/node.go
+++ b/internal/testing/sim/ownershipsuite/node.go
@@ -69,7 +69,7 @@
 
 func newNode(environment *sim.Environment) node {
 	// A late answer to a former life of the machine must not be taken for one to this life.
-	return node{environment: environment, calls: make(map[uint64]*pendingCall), lastCall: uint64(environment.Life()) << 32}
+	return node{environment: environment, calls: make(map[uint64]*pendingCall), lastCall: uint64(environment.Incarnation()) << 32}
 }
 
 // call sends a request; answer gets nil when none came in time or the connection broke.
--- a/internal/testing/sim/ownershipsuite/suite.go
+++ b/internal/testing/sim/ownershipsuite/suite.go
@@ -174,8 +174,8 @@
 	random := s.world.Random("faults")
 	plan := sim.Plan{
 		Kinds: []sim.FaultKind{
-			sim.FaultKill, sim.FaultKill, sim.FaultPowerLoss, sim.FaultFreeze, sim.FaultFreeze,
-			sim.FaultCut, sim.FaultCutFrom, sim.FaultCutTo, sim.FaultLoss,
+			sim.FaultCrash, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze, sim.FaultFreeze,
+			sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition, sim.FaultMessageLoss,
 		},
 		Groups: [][]sim.Address{s.fronts},
 		Count:  s.options.FaultCount,
@@ -184,7 +184,7 @@
 	}
 	faults := sim.GenerateSchedule(random, plan)
 	shared := sim.Plan{
-		Kinds:  []sim.FaultKind{sim.FaultFreeze, sim.FaultCut, sim.FaultCutTo, sim.FaultCutFrom},
+		Kinds:  []sim.FaultKind{sim.FaultFreeze, sim.FaultPartition, sim.FaultInboundPartition, sim.FaultOutboundPartition},
 		Groups: [][]sim.Address{{coreAddress}, {ledgerAddress}},
 		Count:  2,
 		Begin:  faultsBegin, End: faultsEnd - 10*time.Second,
--- a/internal/testing/sim/ownershipsuite/takeover_test.go
+++ b/internal/testing/sim/ownershipsuite/takeover_test.go
@@ -14,16 +14,16 @@
 	fault sim.Fault
 	bound time.Duration
 }{
-	"one killed":          {sim.Fault{Kind: sim.FaultKill, Targets: fronts(1), Duration: 3500 * time.Millisecond}, 200 * time.Millisecond},
-	"five of nine killed": {sim.Fault{Kind: sim.FaultKill, Targets: fronts(5), Duration: 3500 * time.Millisecond}, 400 * time.Millisecond},
+	"one killed":          {sim.Fault{Kind: sim.FaultCrash, Targets: fronts(1), Duration: 3500 * time.Millisecond}, 200 * time.Millisecond},
+	"five of nine killed": {sim.Fault{Kind: sim.FaultCrash, Targets: fronts(5), Duration: 3500 * time.Millisecond}, 400 * time.Millisecond},
 	"one without power":   {sim.Fault{Kind: sim.FaultFreeze, Targets: fronts(1), Duration: 20 * time.Second}, 800 * time.Millisecond},
 	"one frozen for 3 s":  {sim.Fault{Kind: sim.FaultFreeze, Targets: fronts(1), Duration: 3 * time.Second}, 800 * time.Millisecond},
 	"two cut from each other": {
-		sim.Fault{Kind: sim.FaultCut, Targets: fronts(1), Peers: []sim.Address{"front-2"}, Duration: 10 * time.Second},
+		sim.Fault{Kind: sim.FaultPartition, Targets: fronts(1), Peers: []sim.Address{"front-2"}, Duration: 10 * time.Second},
 		800 * time.Millisecond,
 	},
 	"two cut from each other in one direction": {
-		sim.Fault{Kind: sim.FaultCutFrom, Targets: fronts(1), Peers: []sim.Address{"front-2"}, Duration: 10 * time.Second},
+		sim.Fault{Kind: sim.FaultOutboundPartition, Targets: fronts(1), Peers: []sim.Address{"front-2"}, Duration: 10 * time.Second},
 		800 * time.Millisecond,
 	},
 }
@@ -122,7 +122,7 @@
 	}
 	report := ownershipsuite.Run(1, ownershipsuite.Options{
 		Fronts: 76, Sessions: 300, FaultCount: -1, QuietNetwork: true, ResolveBound: 800 * time.Millisecond,
-		Faults: []sim.Fault{{At: 14 * time.Second, Kind: sim.FaultKill, Targets: killed, Duration: 3500 * time.Millisecond}},
+		Faults: []sim.Fault{{At: 14 * time.Second, Kind: sim.FaultCrash, Targets: killed, Duration: 3500 * time.Millisecond}},
 	})
 	checkRun(t, report)
 	logResolves(t, report)
--- a/internal/testing/sim/rule.go
+++ b/internal/testing/sim/rule.go
@@ -7,15 +7,17 @@
 	"time"
 )
 
-// Checker watches one invariant.
+// Checker checks one invariant.
 type Checker interface {
+	// Name returns the invariant in words.
 	Name() string
 	// Provoked counts how often the run gave the invariant a chance to fail.
 	Provoked() int
+	// Violations describes each time that the invariant failed.
 	Violations() []string
 }
 
-// Rule is a Checker that suites feed by hand.
+// Rule is a Checker that a suite drives with Check, Provoke and Violatef.
 type Rule struct {
 	world      *World
 	name       string
@@ -41,7 +43,7 @@
 // Provoked returns the count of Provoke.
 func (r *Rule) Provoked() int { return r.provoked }
 
-// Violations returns what was seen against the invariant.
+// Violations describes each time that the invariant failed.
 func (r *Rule) Violations() []string { return r.violations }
 
 // Violatef reports that the invariant failed.
@@ -59,7 +61,7 @@
 	}
 }
 
-// Violated says whether any rule failed.
+// Violated reports whether any rule failed.
 func (w *World) Violated() bool {
 	for _, rule := range w.rules {
 		if len(rule.violations) > 0 {
@@ -69,14 +71,14 @@
 	return false
 }
 
-// RuleResult is what a run says of one rule.
+// RuleResult is the result of one rule in one or more runs.
 type RuleResult struct {
 	Name       string
 	Provoked   int
 	Violations []string
 }
 
-// Report is what one run found.
+// Report is the result of one run.
 type Report struct {
 	Seed    int64
 	Rules   []RuleResult
@@ -84,13 +86,13 @@
 	Steps   int
 	// Fingerprint is equal for equal runs.
 	Fingerprint uint64
-	// Schedule is what was planned; Applied and Skipped divide it by what MayApply allowed in time.
+	// Schedule is what was planned; Applied and Skipped partition it by what Options.MayApply allowed in time.
 	Schedule, Applied, Skipped []Fault
 	MessagesSent, MessagesLost int
-	// Exhausted says that the bound on steps ended the run.
+	// Exhausted is set when Options.MaximumSteps ended the run.
 	Exhausted bool
-	// Shortened is the least schedule found that still violates a rule.
-	Shortened []Fault
+	// Shrunk is the smallest schedule found that still violates one of the rules, nil when none was searched.
+	Shrunk []Fault
 }
 
 // Report returns the state of the run.
@@ -109,8 +111,8 @@
 	return report
 }
 
-// Digest sums what the run counted: its events and their order, messages, faults, and for each rule, by its
-// place, how often it was provoked and violated. It is equal for equal runs, and leaves names and wording out.
+// Digest hashes what the run counted: its events and their order, messages, faults, and for each rule, by its
+// index, how often it was provoked and violated. It is equal for equal runs, and leaves names and wording out.
 func (r Report) Digest() uint64 {
 	sum := fnv.New64a()
 	add := func(count uint64) { _ = binary.Write(sum, binary.LittleEndian, count) }
@@ -129,7 +131,7 @@
 	return sum.Sum64()
 }
 
-// sharesViolation says whether another run violated a rule that this one did.
+// sharesViolation reports whether another run violated a rule that this one did.
 func (r Report) sharesViolation(other Report) bool {
 	violated := map[string]bool{}
 	for _, rule := range r.Rules {
@@ -143,7 +145,7 @@
 	return false
 }
 
-// Violated says whether any rule failed.
+// Violated reports whether any rule failed.
 func (r Report) Violated() bool {
 	for _, rule := range r.Rules {
 		if len(rule.Violations) > 0 {
--- a/internal/testing/sim/schedule.go
+++ b/internal/testing/sim/schedule.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Plan says which faults a schedule draws from. Kinds may name a kind several times to make it likelier.
+// Plan is what a schedule is drawn from.
 type Plan struct {
+	// Kinds may name a kind several times to make it likelier.
 	Kinds []FaultKind
-	// Groups are the machines that act together (a core, the stores). Each fault strikes within one of them.
+	// Groups are the machines that act together (a core, the stores). The targets of a fault are of one group.
 	Groups [][]Address
 	// Count is the number of faults between Begin and End.
 	Count      int
@@ -18,8 +19,8 @@
 	MinimumDuration, MaximumDuration time.Duration
 }
 
-// herdOneIn is how rarely a fault strikes more than one machine of a group at once.
-const herdOneIn = 4
+// multipleTargetsOneIn: one fault in so many strikes more than one machine of a group at once.
+const multipleTargetsOneIn = 4
 
 // GenerateSchedule draws a schedule, ordered by time.
 func GenerateSchedule(random *rand.Rand, plan Plan) []Fault {
@@ -40,28 +41,28 @@
 		Kind:     p.Kinds[random.IntN(len(p.Kinds))],
 		Duration: p.MinimumDuration + time.Duration(random.Int64N(int64(p.MaximumDuration-p.MinimumDuration)+1)),
 	}
-	struck := 1
-	if random.IntN(herdOneIn) == 0 {
-		struck = 1 + random.IntN(len(shuffled))
+	targetCount := 1
+	if random.IntN(multipleTargetsOneIn) == 0 {
+		targetCount = 1 + random.IntN(len(shuffled))
 	}
 	switch fault.Kind {
-	case FaultLostDisk, FaultReplace, FaultFailSync, FaultFullDisk:
-		// One at a time; MayApply of a suite may still refuse it.
-		struck = 1
-	case FaultCutFrom, FaultCutTo:
-		struck = 1
+	case FaultDiskLoss, FaultReplace, FaultSyncFailure, FaultFullDisk:
+		// One at a time; MayApply of a suite may still reject it.
+		targetCount = 1
+	case FaultOutboundPartition, FaultInboundPartition:
+		targetCount = 1
 		if random.IntN(2) == 0 && len(shuffled) > 1 {
 			fault.Peers = shuffled[1 : 2+random.IntN(len(shuffled)-1)]
 		}
-	case FaultLoss:
-		struck = 0
+	case FaultMessageLoss:
+		targetCount = 0
 	}
-	fault.Targets = shuffled[:struck]
+	fault.Targets = shuffled[:targetCount]
 	return fault
 }
 
-// Shrink returns a short part of a schedule for which fails still says true, leaving out halves,
-// quarters and single faults in turn. It calls fails at most attempts times; the schedule itself is taken to fail.
+// Shrink returns a small subset of a schedule for which fails still returns true, leaving out halves,
+// quarters and single faults in turn. It calls fails at most attempts times; the schedule itself is assumed to fail.
 func Shrink(faults []Fault, attempts int, fails func([]Fault) bool) []Fault {
 	for size := max(len(faults)/2, 1); len(faults) > 0; {
 		shorter, shrunk := dropOneChunk(faults, size, &attempts, fails)
--- a/internal/testing/sim/search.go
+++ b/internal/testing/sim/search.go
@@ -9,31 +9,32 @@
 // Run is one run of a suite with a given schedule, or with the one generated from the seed when faults is nil.
 type Run func(seed int64, faults []Fault) Report
 
-// shrinkAttempts bounds the runs that Search spends on one failing seed.
+// shrinkAttempts bounds the runs with which Search shrinks the schedule of one failing seed.
 const shrinkAttempts = 60
 
-// SearchOptions say which seeds to run.
+// SearchOptions select the seeds: Count of them, from First on.
 type SearchOptions struct {
 	First int64
 	Count int
-	// Workers is how many runs go on at a time, each in a goroutine of its own; default 1.
+	// Workers is the number of concurrent runs, each in a goroutine of its own; default 1.
 	Workers int
-	// KeepSchedules leaves out the shortening of failed schedules, which runs a seed many times.
-	KeepSchedules bool
-	// OnReport, when set, is called for each finished run, one at a time in any order.
+	// SkipShrinking leaves failed schedules as they are; shrinking one runs its seed up to 60 times.
+	SkipShrinking bool
+	// OnReport, when set, is called for each finished run, in any order but not concurrently.
 	OnReport func(Report)
 }
 
-// Summary adds up the runs of a search.
+// Summary aggregates the runs of a search.
 type Summary struct {
 	Runs  int
 	Steps int
 	Rules []RuleResult
-	// Failed holds the reports of runs that violated a rule or were exhausted, by ascending seed.
+	// Failed are the reports of runs that violated a rule or were exhausted, by ascending seed.
 	Failed []Report
 }
 
-// Search runs a suite for many seeds and shrinks the schedule of each that fails.
+// Search runs a suite for many seeds and shrinks the schedule of each that fails. It returns when all workers have
+// ended.
 func Search(options SearchOptions, run Run) Summary {
 	reports := make([]Report, options.Count)
 	seeds := make(chan int)
@@ -41,11 +42,11 @@
 	var reporting sync.Mutex
 	for range max(options.Workers, 1) {
 		workers.Go(func() {
-			for place := range seeds {
-				reports[place] = options.runSeed(options.First+int64(place), run)
+			for index := range seeds {
+				reports[index] = options.runSeed(options.First+int64(index), run)
 				if options.OnReport != nil {
 					reporting.Lock()
-					options.OnReport(reports[place])
+					options.OnReport(reports[index])
 					reporting.Unlock()
 				}
 			}
@@ -61,39 +62,40 @@
 
 func (o SearchOptions) runSeed(seed int64, run Run) Report {
 	report := run(seed, nil)
-	if report.Violated() && !o.KeepSchedules {
-		shortened := Shrink(report.Schedule, shrinkAttempts, func(faults []Fault) bool {
-			// An empty schedule must not be taken for "generate one".
+	if report.Violated() && !o.SkipShrinking {
+		shrunk := Shrink(report.Schedule, shrinkAttempts, func(faults []Fault) bool {
+			// The suite would generate a schedule in place of a nil one.
 			return report.sharesViolation(run(seed, append([]Fault{}, faults...)))
 		})
-		report.Shortened = append([]Fault{}, shortened...)
+		report.Shrunk = append([]Fault{}, shrunk...)
 	}
 	return report
 }
 
 func summarize(reports []Report) Summary {
 	summary := Summary{Runs: len(reports)}
-	places := map[string]int{}
+	indexes := map[string]int{}
 	for _, report := range reports {
 		summary.Steps += report.Steps
 		if report.Violated() || report.Exhausted {
 			summary.Failed = append(summary.Failed, report)
 		}
 		for _, rule := range report.Rules {
-			place, found := places[rule.Name]
-			if !found {
-				place = len(summary.Rules)
-				places[rule.Name] = place
+			index, known := indexes[rule.Name]
+			if !known {
+				index = len(summary.Rules)
+				indexes[rule.Name] = index
 				summary.Rules = append(summary.Rules, RuleResult{Name: rule.Name})
 			}
-			summary.Rules[place].Provoked += rule.Provoked
-			summary.Rules[place].Violations = append(summary.Rules[place].Violations, rule.Violations...)
+			summary.Rules[index].Provoked += rule.Provoked
+			summary.Rules[index].Violations = append(summary.Rules[index].Violations, rule.Violations...)
 		}
 	}
 	return summary
 }
 
-// Write prints a line for each rule, and for each failed run its violations, the short schedule and the command that replays it.
+// Write prints a line for each rule, and for each failed run its violations, the shrunk schedule and the command that
+// replays it.
 func (s Summary) Write(writer io.Writer, replayCommand func(seed int64) string) error {
 	text := &textWriter{writer: writer}
 	text.printf("%d runs, %d events\n", s.Runs, s.Steps)
@@ -110,10 +112,10 @@
 				text.printf("  %s: %s\n", rule.Name, violation)
 			}
 		}
-		if report.Shortened != nil {
-			text.printf("  shortest schedule found (%d of %d faults):\n", len(report.Shortened), len(report.Schedule))
+		if report.Shrunk != nil {
+			text.printf("  shortest schedule found (%d of %d faults):\n", len(report.Shrunk), len(report.Schedule))
 		}
-		for _, fault := range report.Shortened {
+		for _, fault := range report.Shrunk {
 			text.printf("    %s\n", fault)
 		}
 		text.printf("  replay: %s\n", replayCommand(report.Seed))
--- a/internal/testing/sim/servingsuite/fault_plan.go
+++ b/internal/testing/sim/servingsuite/fault_plan.go
@@ -61,18 +61,18 @@
 	plan := func(count int, group []sim.Address, kinds ...sim.FaultKind) {
 		planUpTo(longestFault, count, group, kinds...)
 	}
-	cuts := []sim.FaultKind{sim.FaultCut, sim.FaultCutFrom, sim.FaultCutTo}
+	cuts := []sim.FaultKind{sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition}
 	if s.has(KindServers) {
-		plan(serverFaults, s.models, sim.FaultKill, sim.FaultPowerLoss, sim.FaultFreeze)
-		planUpTo(shortestRestart, quickRestarts, s.models, sim.FaultKill)
-		plan(1, s.tools, sim.FaultKill, sim.FaultFreeze)
+		plan(serverFaults, s.models, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze)
+		planUpTo(shortestRestart, quickRestarts, s.models, sim.FaultCrash)
+		plan(1, s.tools, sim.FaultCrash, sim.FaultFreeze)
 	}
 	if s.has(KindProcesses) {
-		plan(processFaults, s.fronts, append(cuts, sim.FaultKill, sim.FaultPowerLoss, sim.FaultFreeze, sim.FaultFreeze)...)
-		plan(coreFaults, []sim.Address{coreAddress}, append(cuts, sim.FaultKill, sim.FaultFreeze)...)
+		plan(processFaults, s.fronts, append(cuts, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze, sim.FaultFreeze)...)
+		plan(coreFaults, []sim.Address{coreAddress}, append(cuts, sim.FaultCrash, sim.FaultFreeze)...)
 	}
 	if s.has(KindStores) {
-		plan(storeFaults, []sim.Address{ledgerAddress}, append(cuts, sim.FaultKill, sim.FaultFreeze)...)
+		plan(storeFaults, []sim.Address{ledgerAddress}, append(cuts, sim.FaultCrash, sim.FaultFreeze)...)
 	}
 	return faults
 }
--- a/internal/testing/sim/servingsuite/rules.go
+++ b/internal/testing/sim/servingsuite/rules.go
@@ -198,7 +198,7 @@
 	if request.route != "" {
 		r.route.Provoke()
 	}
-	key := pendingKey{front: f.name, life: f.environment.Life(), id: request.id()}
+	key := pendingKey{front: f.name, life: f.environment.Incarnation(), id: request.id()}
 	began := r.elapsed()
 	r.pending[key] = began
 	bound := request.timeLeft + answerSlack + deadlineTolerance
@@ -212,7 +212,7 @@
 
 // answered ends it.
 func (r *rules) answered(f *front, request callerRequest, failed *protocol.Failure) {
-	delete(r.pending, pendingKey{front: f.name, life: f.environment.Life(), id: request.id()})
+	delete(r.pending, pendingKey{front: f.name, life: f.environment.Incarnation(), id: request.id()})
 	r.deadline.Provoke()
 	if failure.Code(failed.GetCode()) == failure.Overloaded && failed.GetOutcome() == protocol.Outcome_NOT_RUN {
 		r.retry.Check(failed.GetRetryAfterMillis() > 0, "%s was refused for load without a time to come back", request.id())
--- a/internal/testing/sim/servingsuite/server.go
+++ b/internal/testing/sim/servingsuite/server.go
@@ -77,12 +77,12 @@
 		created := &server{
 			suite: s, environment: environment, epochs: make(map[string]uint64),
 			description: serverDescription{
-				id: fmt.Sprintf("%s.%d", address, environment.Life()), address: address, group: group,
+				id: fmt.Sprintf("%s.%d", address, environment.Incarnation()), address: address, group: group,
 				zone: environment.Zone(), capacity: capacity,
 			},
 		}
 		created.transport = newTransport(environment, created.accept)
-		if environment.Life() > 1 {
+		if environment.Incarnation() > 1 {
 			s.count(AddressesTakenOver)
 		}
 		created.beat()
--- a/internal/testing/sim/servingsuite/stream.go
+++ b/internal/testing/sim/servingsuite/stream.go
@@ -53,7 +53,7 @@
 func newTransport(environment *sim.Environment, accept func(*stream, any)) *transport {
 	return &transport{
 		environment: environment, bornAt: environment.World().Elapsed(), streams: make(map[streamKey]*stream), accept: accept,
-		next: uint64(environment.Life()) << 32,
+		next: uint64(environment.Incarnation()) << 32,
 	}
 }
 
--- a/internal/testing/sim/servingsuite/suite.go
+++ b/internal/testing/sim/servingsuite/suite.go
@@ -140,7 +140,7 @@
 
 // attemptID names one machine of a call, unlike all others of the run.
 func (s *suite) attemptID(f *front) string {
-	return fmt.Sprintf("%s.%d.%d", f.name, f.environment.Life(), f.attempts)
+	return fmt.Sprintf("%s.%d.%d", f.name, f.environment.Incarnation(), f.attempts)
 }
 
 // tokensOf is how many tokens the answer to a request has, the same at every server.
--- a/internal/testing/sim/statesuite/core_process.go
+++ b/internal/testing/sim/statesuite/core_process.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return p.suite.noteStartFailure(p.environment, err)
 	}
-	if founder && p.environment.Life() == 1 {
+	if founder && p.environment.Incarnation() == 1 {
 		initial = foundingState(p.self)
 		if err := p.persistFounding(initial); err != nil {
 			return err
--- a/internal/testing/sim/statesuite/endpoint.go
+++ b/internal/testing/sim/statesuite/endpoint.go
@@ -37,7 +37,7 @@
 	return &endpoint{
 		environment: environment,
 		// Answers to a former life must not be taken for answers to this one.
-		next:    uint64(environment.Life()) << 32,
+		next:    uint64(environment.Incarnation()) << 32,
 		pending: map[uint64]*pendingCall{},
 		serve:   serve,
 	}
--- a/internal/testing/sim/statesuite/fault_guard.go
+++ b/internal/testing/sim/statesuite/fault_guard.go
@@ -47,13 +47,13 @@
 	return true
 }
 
-func isLoss(kind sim.FaultKind) bool { return kind == sim.FaultLostDisk || kind == sim.FaultReplace }
+func isLoss(kind sim.FaultKind) bool { return kind == sim.FaultDiskLoss || kind == sim.FaultReplace }
 
 func (s *suite) noteFault(fault sim.Fault) {
-	if fault.Kind == sim.FaultLoss {
+	if fault.Kind == sim.FaultMessageLoss {
 		s.lossyUntil = max(s.lossyUntil, s.world.Elapsed()+fault.Duration)
 	}
-	if slices.Contains(fault.Targets, sim.AllWith(string(RoleCore))) {
+	if slices.Contains(fault.Targets, sim.AllWithPrefix(string(RoleCore))) {
 		s.restarted = true
 		s.counts.changes = s.oracle.changes
 		if s.oracle.changes >= hundredsOfChanges && s.told.version > 0 {
--- a/internal/testing/sim/statesuite/front.go
+++ b/internal/testing/sim/statesuite/front.go
@@ -114,7 +114,7 @@
 // name makes an identifier that no other process uses.
 func (f *front) name(kind string) string {
 	f.numbers++
-	return fmt.Sprintf("%s-%s-%d-%d", kind, f.environment.Address(), f.environment.Life(), f.numbers)
+	return fmt.Sprintf("%s-%s-%d-%d", kind, f.environment.Address(), f.environment.Incarnation(), f.numbers)
 }
 
 // otherFront picks the address of another front node.
--- a/internal/testing/sim/statesuite/idle_fleet.go
+++ b/internal/testing/sim/statesuite/idle_fleet.go
@@ -64,7 +64,7 @@
 	f.link = &coreLink{suite: s, environment: environment, endpoint: f.endpoint}
 	name := string(environment.Address())
 	self := &protocol.Node{
-		Name: name, Kind: protocol.NodeKind_FRONT, Address: name, Zone: environment.Zone(), Incarnation: uint64(environment.Life()),
+		Name: name, Kind: protocol.NodeKind_FRONT, Address: name, Zone: environment.Zone(), Incarnation: uint64(environment.Incarnation()),
 	}
 	f.link.renewLater(self, 0, restRenew)
 	f.link.follow(f.takeConfiguration)
--- a/internal/testing/sim/statesuite/mutation_test.go
+++ b/internal/testing/sim/statesuite/mutation_test.go
@@ -23,47 +23,47 @@
 // Faults that bring some mutations about sooner than the usual mixture.
 var (
 	electionStorm = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultKill, sim.FaultKill, sim.FaultLoss},
+		Kinds: []sim.FaultKind{sim.FaultCrash, sim.FaultCrash, sim.FaultMessageLoss},
 		Roles: []statesuite.Role{statesuite.RoleCore}, FaultCount: 100, LongestFault: 800 * time.Millisecond, Plain: true,
 	}
 	cutStores = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultCutFrom, sim.FaultCutTo},
+		Kinds: []sim.FaultKind{sim.FaultOutboundPartition, sim.FaultInboundPartition},
 		Roles: []statesuite.Role{statesuite.RoleStore}, FaultCount: 40, LongestFault: 2500 * time.Millisecond, Plain: true,
 	}
 	lostStores = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultLostDisk, sim.FaultCutFrom, sim.FaultCutTo, sim.FaultKill},
+		Kinds: []sim.FaultKind{sim.FaultDiskLoss, sim.FaultOutboundPartition, sim.FaultInboundPartition, sim.FaultCrash},
 		Roles: []statesuite.Role{statesuite.RoleStore}, FaultCount: 60, LongestFault: 1500 * time.Millisecond, Plain: true,
 	}
 	regions = statesuite.Options{Shape: statesuite.ShapeRegions}
 	// onlyZoneFaults cuts and takes away regions and zones of a fleet that has met no more than the restart of everything.
 	// Its operators give the spread of replicas up, as they did when its seeds were found.
 	onlyZoneFaults = statesuite.Options{
-		Shape: statesuite.ShapeRegions, Kinds: []sim.FaultKind{sim.FaultLoss}, FaultCount: 1, LongestFault: 300 * time.Millisecond, GiveUpSpread: true,
+		Shape: statesuite.ShapeRegions, Kinds: []sim.FaultKind{sim.FaultMessageLoss}, FaultCount: 1, LongestFault: 300 * time.Millisecond, GiveUpSpread: true,
 	}
 	// onlyRestart has nothing but the restart of everything beside one harmless fault.
-	onlyRestart = statesuite.Options{Kinds: []sim.FaultKind{sim.FaultLoss}, FaultCount: 1, LongestFault: 300 * time.Millisecond}
+	onlyRestart = statesuite.Options{Kinds: []sim.FaultKind{sim.FaultMessageLoss}, FaultCount: 1, LongestFault: 300 * time.Millisecond}
 	// secondCoreLosses lets a member that lags be all that is left of the log.
 	secondCoreLosses = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultLostDisk, sim.FaultLostDisk, sim.FaultFreeze, sim.FaultCutTo},
+		Kinds: []sim.FaultKind{sim.FaultDiskLoss, sim.FaultDiskLoss, sim.FaultFreeze, sim.FaultInboundPartition},
 		Roles: []statesuite.Role{statesuite.RoleCore}, FaultCount: 40, LongestFault: 1500 * time.Millisecond,
 	}
 	// staleStore keeps a store and a front node from the core until the store's shards have moved, then keeps another
 	// store from the ones that took them: two majorities, of the former and of the new placement, that share no store.
 	staleStore = statesuite.Options{Faults: []sim.Fault{
 		{
-			At: 6 * time.Second, Kind: sim.FaultCut, Duration: 20 * time.Second,
-			Targets: []sim.Address{"store-1", "front-1"}, Peers: []sim.Address{sim.AllWith("core-")},
+			At: 6 * time.Second, Kind: sim.FaultPartition, Duration: 20 * time.Second,
+			Targets: []sim.Address{"store-1", "front-1"}, Peers: []sim.Address{sim.AllWithPrefix("core-")},
 		},
 		{
-			At: 14 * time.Second, Kind: sim.FaultCut, Duration: 9 * time.Second,
+			At: 14 * time.Second, Kind: sim.FaultPartition, Duration: 9 * time.Second,
 			Targets: []sim.Address{"store-2"}, Peers: []sim.Address{"store-3", "store-4", "store-5", "store-6", "store-7", "store-8"},
 		},
 	}}
 	lostCoreDisks = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultLostDisk}, Roles: []statesuite.Role{statesuite.RoleCore}, FaultCount: 12, LongestFault: 800 * time.Millisecond,
+		Kinds: []sim.FaultKind{sim.FaultDiskLoss}, Roles: []statesuite.Role{statesuite.RoleCore}, FaultCount: 12, LongestFault: 800 * time.Millisecond,
 	}
 	lostStoreDisks = statesuite.Options{
-		Kinds: []sim.FaultKind{sim.FaultLostDisk}, Roles: []statesuite.Role{statesuite.RoleStore}, FaultCount: 12, LongestFault: 800 * time.Millisecond,
+		Kinds: []sim.FaultKind{sim.FaultDiskLoss}, Roles: []statesuite.Role{statesuite.RoleStore}, FaultCount: 12, LongestFault: 800 * time.Millisecond,
 	}
 )
 
--- a/internal/testing/sim/statesuite/operator_bundles.go
+++ b/internal/testing/sim/statesuite/operator_bundles.go
@@ -94,7 +94,7 @@
 // name makes an identifier that no other process uses.
 func (o *operator) name(kind string) string {
 	o.orders++
-	return fmt.Sprintf("%s-%s-%d-%d", kind, o.environment.Address(), o.environment.Life(), o.orders)
+	return fmt.Sprintf("%s-%s-%d-%d", kind, o.environment.Address(), o.environment.Incarnation(), o.orders)
 }
 
 // withView reads the newest view, or goes on with next.
--- a/internal/testing/sim/statesuite/options.go
+++ b/internal/testing/sim/statesuite/options.go
@@ -142,8 +142,8 @@
 	}
 	if len(o.Kinds) == 0 {
 		o.Kinds = []sim.FaultKind{
-			sim.FaultKill, sim.FaultFreeze, sim.FaultPowerLoss, sim.FaultPowerLoss, sim.FaultLostDisk, sim.FaultLostDisk,
-			sim.FaultReplace, sim.FaultCut, sim.FaultCutFrom, sim.FaultCutTo, sim.FaultLoss, sim.FaultFailSync, sim.FaultFullDisk,
+			sim.FaultCrash, sim.FaultFreeze, sim.FaultPowerLoss, sim.FaultPowerLoss, sim.FaultDiskLoss, sim.FaultDiskLoss,
+			sim.FaultReplace, sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition, sim.FaultMessageLoss, sim.FaultSyncFailure, sim.FaultFullDisk,
 		}
 	}
 	if len(o.Roles) == 0 {
--- a/internal/testing/sim/statesuite/regions_test.go
+++ b/internal/testing/sim/statesuite/regions_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestNoRuleIsViolatedInRegions(t *testing.T) {
-	summary := sim.Search(sim.SearchOptions{First: firstSeed, Count: regionSeeds, Workers: workers, KeepSchedules: true}, runRegions)
+	summary := sim.Search(sim.SearchOptions{First: firstSeed, Count: regionSeeds, Workers: workers, SkipShrinking: true}, runRegions)
 	var text strings.Builder
 	replay := func(seed int64) string { return statesuite.ReplayCommand(seed) + " --shape regions" }
 	if err := summary.Write(&text, replay); err != nil {
--- a/internal/testing/sim/statesuite/rules.go
+++ b/internal/testing/sim/statesuite/rules.go
@@ -80,7 +80,7 @@
 
 // noteStart counts a start on a disk that was used before.
 func (s *suite) noteStart(environment *sim.Environment) {
-	if environment.Life() > 1 {
+	if environment.Incarnation() > 1 {
 		s.rules.noFalseDamage.Provoke()
 	}
 }
--- a/internal/testing/sim/statesuite/store_process.go
+++ b/internal/testing/sim/statesuite/store_process.go
@@ -109,12 +109,12 @@
 	name := string(p.environment.Address())
 	p.self = &protocol.Node{
 		Name: name, Kind: protocol.NodeKind_STORE, Address: name, Zone: p.environment.Zone(),
-		Incarnation: uint64(p.environment.Life()), StorageId: identity.StorageID,
+		Incarnation: uint64(p.environment.Incarnation()), StorageId: identity.StorageID,
 	}
 	if p.suite.options.Mutation != CoreIgnoresRegions {
 		p.self.Region = p.suite.shape.regions[p.environment.Zone()]
 	}
-	p.proposer = fmt.Sprintf("%s/%d", name, p.environment.Life())
+	p.proposer = fmt.Sprintf("%s/%d", name, p.environment.Incarnation())
 	p.ballots = register.NewBallots(p.proposer)
 	p.suite.noteStart(p.environment)
 	p.link.renewLater(p.self, 0, renewInterval)
@@ -130,7 +130,7 @@
 
 // mutateStart carries out the mutations of stores that start again.
 func (s *suite) mutateStart(environment *sim.Environment) error {
-	if environment.Life() == 1 {
+	if environment.Incarnation() == 1 {
 		return nil
 	}
 	switch s.options.Mutation {
--- a/internal/testing/sim/statesuite/suite.go
+++ b/internal/testing/sim/statesuite/suite.go
@@ -190,7 +190,7 @@
 		}
 		others := slices.DeleteFunc(s.addresses(role), func(address sim.Address) bool { return address == first.Targets[0] })
 		second = append(second, sim.Fault{
-			At: first.At + secondLossAfter, Kind: sim.FaultLostDisk, Targets: others[random.IntN(len(others)):][:1], Duration: minimumFault,
+			At: first.At + secondLossAfter, Kind: sim.FaultDiskLoss, Targets: others[random.IntN(len(others)):][:1], Duration: minimumFault,
 		})
 	}
 	return second
@@ -198,10 +198,10 @@
 
 // restartOfEverything plans that all processes end at one moment, with or without what they did not sync.
 func restartOfEverything(random *rand.Rand) sim.Fault {
-	kinds := []sim.FaultKind{sim.FaultKill, sim.FaultPowerLoss}
+	kinds := []sim.FaultKind{sim.FaultCrash, sim.FaultPowerLoss}
 	return sim.Fault{
 		At: restartAt, Kind: kinds[random.IntN(len(kinds))], Duration: minimumFault,
-		Targets: []sim.Address{sim.AllWith(string(RoleCore)), sim.AllWith(string(RoleStore)), sim.AllWith(string(RoleFront))},
+		Targets: []sim.Address{sim.AllWithPrefix(string(RoleCore)), sim.AllWithPrefix(string(RoleStore)), sim.AllWithPrefix(string(RoleFront))},
 	}
 }
 
--- a/internal/testing/sim/statesuite/zone_fault.go
+++ b/internal/testing/sim/statesuite/zone_fault.go
@@ -30,7 +30,7 @@
 }
 
 func isZoneFault(kind sim.FaultKind) bool {
-	return slices.Contains([]sim.FaultKind{sim.FaultCutZones, sim.FaultCutZonesFrom, sim.FaultCutZonesTo, sim.FaultLostZones}, kind)
+	return slices.Contains([]sim.FaultKind{sim.FaultZonePartition, sim.FaultZoneOutboundPartition, sim.FaultZoneInboundPartition, sim.FaultZonePowerLoss}, kind)
 }
 
 // pause lengthens the pauses of the load once the ordinary faults of a fleet with regions have ended.
@@ -49,7 +49,7 @@
 	first := s.drawZoneFault(random)
 	first.At = 8*time.Second + time.Duration(random.Int64N(int64(8*time.Second)))
 	second := s.drawZoneFault(random)
-	second.At = first.At + first.Duration + sim.FaultPatience + comeBack + settleWithin
+	second.At = first.At + first.Duration + sim.FaultTimeout + comeBack + settleWithin
 	return []sim.Fault{first, second}
 }
 
@@ -58,7 +58,7 @@
 	random.Shuffle(len(regions), func(i, j int) { regions[i], regions[j] = regions[j], regions[i] })
 	fault := sim.Fault{Duration: shortestZoneFault + time.Duration(random.Int64N(int64(longestZoneFault-shortestZoneFault)))}
 	fault.Targets = targetsOf(s.shape.zonesIn(regions[0]))
-	cuts := []sim.FaultKind{sim.FaultCutZones, sim.FaultCutZonesFrom, sim.FaultCutZonesTo}
+	cuts := []sim.FaultKind{sim.FaultZonePartition, sim.FaultZoneOutboundPartition, sim.FaultZoneInboundPartition}
 	switch random.IntN(6) {
 	case 0, 1, 2:
 		fault.Kind = cuts[random.IntN(len(cuts))]
@@ -66,9 +66,9 @@
 		fault.Kind = cuts[random.IntN(len(cuts))]
 		fault.Peers = targetsOf(s.shape.zonesIn(regions[1]))
 	case 4:
-		fault.Kind = sim.FaultLostZones
+		fault.Kind = sim.FaultZonePowerLoss
 	case 5:
-		fault.Kind, fault.Targets = sim.FaultLostZones, fault.Targets[:1]
+		fault.Kind, fault.Targets = sim.FaultZonePowerLoss, fault.Targets[:1]
 	}
 	return fault
 }
@@ -110,8 +110,8 @@
 		if !isZoneFault(planned.Kind) {
 			continue
 		}
-		for s.zoneFault.fault.At != planned.At && s.world.Elapsed() < planned.At+sim.FaultPatience {
-			if !s.world.RunUntil(s.world.Elapsed() + sim.FaultRetry) {
+		for s.zoneFault.fault.At != planned.At && s.world.Elapsed() < planned.At+sim.FaultTimeout {
+			if !s.world.RunUntil(s.world.Elapsed() + sim.FaultRetryInterval) {
 				return
 			}
 		}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -19,25 +19,25 @@
 	Network NetworkOptions
 	// MaximumClockOffset bounds how far the wall clocks of machines differ from true time; default 1 h, negative for none.
 	MaximumClockOffset time.Duration
-	// MaximumDriftPerMillion bounds how fast clocks run apart; default 100, negative for none.
+	// MaximumDriftPerMillion bounds the drift of clocks from true time; default 100, negative for none.
 	MaximumDriftPerMillion int64
-	// RestartDelay is how long a process that exits by itself stays down; default 500 ms.
+	// RestartDelay is the time between Environment.Exit and the next start; default 500 ms.
 	RestartDelay time.Duration
-	// MaximumSteps ends a run that makes no progress in time; default 5,000,000.
+	// MaximumSteps bounds the events of a run; default 5,000,000.
 	MaximumSteps int
-	// Trace, when set, receives a line for each event of note.
+	// Trace, when set, receives a line for each call of Tracef.
 	Trace io.Writer
-	// MayApply, when set, is asked before each fault; a refused fault is tried again every FaultRetry
-	// until FaultPatience has passed. A suite uses it to bound what is lost at once.
+	// MayApply, when set, decides on each fault; a rejected fault is attempted again every FaultRetryInterval
+	// until FaultTimeout has passed. A suite uses it to bound what is lost at once.
 	MayApply func(Fault) bool
-	// Replace, when set, is told of a machine that is gone for ever and adds the one in its place.
+	// Replace, when set, is called for a machine removed by FaultReplace and adds the one in its place.
 	Replace func(*Machine)
 }
 
-// Spans of Options.MayApply.
+// Retry of faults that Options.MayApply rejects.
 const (
-	FaultRetry    = 50 * time.Millisecond
-	FaultPatience = 20 * time.Second
+	FaultRetryInterval = 50 * time.Millisecond
+	FaultTimeout       = 20 * time.Second
 )
 
 const (
@@ -64,7 +64,7 @@
 	return o
 }
 
-// World is one simulated run. It is used from one goroutine.
+// World is one simulated run. It is owned by one goroutine.
 type World struct {
 	seed     int64
 	options  Options
@@ -72,7 +72,7 @@
 	events   eventHeap
 	sequence uint64
 	steps    int
-	// fingerprint sums every event, to show that runs are repeatable.
+	// fingerprint hashes the times and order of all events, to show that runs are deterministic.
 	fingerprint uint64
 
 	machines []*Machine
@@ -84,64 +84,6 @@
 	skipped  []Fault
 }
 
-type event struct {
-	at       time.Duration
-	sequence uint64
-	run      func()
-}
-
-// eventHeap is a binary heap, the next event first. It is typed, unlike container/heap, so that events are not boxed.
-type eventHeap []event
-
-func (h eventHeap) before(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
-	}
-	return h[i].sequence < h[j].sequence
-}
-
-func (h *eventHeap) push(added event) {
-	*h = append(*h, added)
-	heap := *h
-	for child := len(heap) - 1; child > 0; {
-		parent := (child - 1) / 2
-		if !heap.before(child, parent) {
-			return
-		}
-		heap[child], heap[parent] = heap[parent], heap[child]
-		child = parent
-	}
-}
-
-func (h *eventHeap) pop() event {
-	heap := *h
-	first, last := heap[0], len(heap)-1
-	heap[0] = heap[last]
-	heap[last] = event{}
-	*h = heap[:last]
-	h.sink()
-	return first
-}
-
-// sink moves the first event down to its place.
-func (h *eventHeap) sink() {
-	heap := *h
-	for parent := 0; ; {
-		child := 2*parent + 1
-		if child >= len(heap) {
-			return
-		}
-		if child+1 < len(heap) && heap.before(child+1, child) {
-			child++
-		}
-		if !heap.before(child, parent) {
-			return
-		}
-		heap[child], heap[parent] = heap[parent], heap[child]
-		parent = child
-	}
-}
-
 // NewWorld makes a world without machines.
 func NewWorld(seed int64, options Options) *World {
 	world := &World{seed: seed, options: options.withDefaults(), byName: map[Address]*Machine{}}
@@ -152,8 +94,8 @@
 // Seed returns the seed of the run.
 func (w *World) Seed() int64 { return w.seed }
 
-// Random makes a random source of its own for a named purpose, so that one
-// purpose drawing more numbers does not change what another one draws.
+// Random returns a random source for a named purpose, seeded with the seed of the run and the purpose, so that
+// one purpose drawing more numbers does not change what another one draws.
 func (w *World) Random(purpose string) *rand.Rand {
 	return RandomFor(w.seed, purpose)
 }
@@ -174,17 +116,17 @@
 // Steps returns the number of events so far.
 func (w *World) Steps() int { return w.steps }
 
-// Fingerprint sums all events so far.
+// Fingerprint returns a hash of the times and order of all events so far.
 func (w *World) Fingerprint() uint64 { return w.fingerprint }
 
-// After runs a function of the suite itself, whatever happens to machines.
+// After runs a function of the suite after a delay, whatever happens to machines.
 func (w *World) After(delay time.Duration, run func()) {
 	w.sequence++
 	w.events.push(event{at: w.elapsed + max(delay, 0), sequence: w.sequence, run: run})
 }
 
-// RunUntil runs the events up to a time since the start, or until a rule is violated. It returns false when it
-// ended early for a violation or the bound on steps.
+// RunUntil runs the events up to a time since the start, or until a rule is violated. It returns false when a
+// rule is violated or the bound on steps was reached.
 func (w *World) RunUntil(end time.Duration) bool {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		if w.Violated() || w.steps >= w.options.MaximumSteps {
@@ -200,12 +142,12 @@
 	next := w.events.pop()
 	w.elapsed = next.at
 	w.steps++
-	w.note(uint64(next.at), next.sequence)
+	w.mixIntoFingerprint(uint64(next.at), next.sequence)
 	next.run()
 }
 
-// note mixes values into the fingerprint (FNV-1a by words).
-func (w *World) note(values ...uint64) {
+// mixIntoFingerprint hashes values into the fingerprint (FNV-1a over words).
+func (w *World) mixIntoFingerprint(values ...uint64) {
 	const prime = 1099511628211
 	for _, value := range values {
 		w.fingerprint = (w.fingerprint ^ value) * prime
@@ -222,5 +164,5 @@
 	_, _ = fmt.Fprintln(w.options.Trace)
 }
 
-// Tracing says whether there is a trace, for callers whose arguments cost much.
+// Tracing reports whether there is a trace, for callers whose arguments are expensive.
 func (w *World) Tracing() bool { return w.options.Trace != nil }
--- a/internal/testing/sim/world_test.go
+++ b/internal/testing/sim/world_test.go
@@ -11,18 +11,18 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// echo answers each message to its sender and keeps what it heard.
+// echo answers each message to its sender and keeps what it received.
 type echo struct {
 	environment *sim.Environment
-	heard       *[]string
+	received    *[]string
 }
 
 func (e *echo) Receive(_ sim.Address, message any) {
-	*e.heard = append(*e.heard, message.(string))
+	*e.received = append(*e.received, message.(string))
 }
 
 func (e *echo) ConnectionBroken(peer sim.Address) {
-	*e.heard = append(*e.heard, "broken "+string(peer))
+	*e.received = append(*e.received, "broken "+string(peer))
 }
 
 func reliable() sim.NetworkOptions {
@@ -30,8 +30,8 @@
 }
 
 // pair makes a world in which "a" sends a numbered message to "b" every 10 ms.
-func pair(seed int64, options sim.Options) (world *sim.World, heard *[]string) {
-	world, heard = sim.NewWorld(seed, options), &[]string{}
+func pair(seed int64, options sim.Options) (world *sim.World, received *[]string) {
+	world, received = sim.NewWorld(seed, options), &[]string{}
 	world.AddMachine("a", "zone", func(environment *sim.Environment) (sim.Process, error) {
 		var tick func()
 		tick = func() {
@@ -39,12 +39,12 @@
 			environment.After(10*time.Millisecond, tick)
 		}
 		tick()
-		return &echo{environment: environment, heard: &[]string{}}, nil
+		return &echo{environment: environment, received: &[]string{}}, nil
 	})
 	world.AddMachine("b", "zone", func(environment *sim.Environment) (sim.Process, error) {
-		return &echo{environment: environment, heard: heard}, nil
+		return &echo{environment: environment, received: received}, nil
 	})
-	return world, heard
+	return world, received
 }
 
 var _ = Describe("World", func() {
@@ -60,62 +60,64 @@
 
 	It("given a lossy network, then loses and repeats some messages", func() {
 		options := sim.Options{Network: sim.NetworkOptions{LostOneIn: 10, RepeatedOneIn: 10}}
-		world, heard := pair(1, options)
+		world, received := pair(1, options)
 		world.RunUntil(10 * time.Second)
 		report := world.Report()
 		Expect(report.MessagesLost).To(BeNumerically("~", report.MessagesSent/10, report.MessagesSent/20))
-		Expect(len(*heard)).To(BeNumerically(">", report.MessagesSent-report.MessagesLost))
+		Expect(len(*received)).To(BeNumerically(">", report.MessagesSent-report.MessagesLost))
 	})
 
-	It("given a cut in one direction, then messages stop until it ends", func() {
-		world, heard := pair(1, sim.Options{Network: reliable()})
-		world.Schedule([]sim.Fault{{At: time.Second, Kind: sim.FaultCutFrom, Targets: []sim.Address{"a"}, Duration: time.Second}})
+	It("given an outbound partition, then messages stop until it heals", func() {
+		world, received := pair(1, sim.Options{Network: reliable()})
+		world.Schedule([]sim.Fault{{
+			At: time.Second, Kind: sim.FaultOutboundPartition, Targets: []sim.Address{"a"}, Duration: time.Second,
+		}})
 		world.RunUntil(1100 * time.Millisecond)
-		during := len(*heard)
+		during := len(*received)
 		Expect(world.Reachable("a", "b")).To(BeFalse())
 		Expect(world.Reachable("b", "a")).To(BeTrue())
 		world.RunUntil(1900 * time.Millisecond)
-		Expect(*heard).To(HaveLen(during))
+		Expect(*received).To(HaveLen(during))
 		world.RunUntil(3 * time.Second)
-		Expect(len(*heard)).To(BeNumerically(">", during+90))
+		Expect(len(*received)).To(BeNumerically(">", during+90))
 	})
 
-	It("given a frozen process, then its messages wait and its time goes on", func() {
-		world, heard := pair(1, sim.Options{Network: reliable()})
+	It("given a frozen process, then its messages are deferred and its clock goes on", func() {
+		world, received := pair(1, sim.Options{Network: reliable()})
 		world.RunUntil(time.Second)
-		before := len(*heard)
+		before := len(*received)
 		world.Machine("b").Freeze()
 		world.RunUntil(2 * time.Second)
-		Expect(*heard).To(HaveLen(before))
+		Expect(*received).To(HaveLen(before))
 		world.Machine("b").Thaw()
-		Expect(len(*heard)).To(BeNumerically(">=", before+99))
+		Expect(len(*received)).To(BeNumerically(">=", before+99))
 	})
 
-	It("given a killed process, then its timers end and its peers hear of it; a cut hides it", func() {
-		world, heard := pair(1, sim.Options{Network: reliable()})
+	It("given a crashed process, then its timers end and its peers are notified unless partitioned", func() {
+		world, received := pair(1, sim.Options{Network: reliable()})
 		world.RunUntil(time.Second)
-		world.Machine("a").Kill()
+		world.Machine("a").Crash()
 		world.RunUntil(2 * time.Second)
-		Expect(*heard).To(ContainElement("broken a"))
+		Expect(*received).To(ContainElement("broken a"))
 
-		world, heard = pair(1, sim.Options{Network: reliable()})
+		world, received = pair(1, sim.Options{Network: reliable()})
 		world.RunUntil(time.Second)
-		world.Cut("a", "b")
-		world.Machine("a").Kill()
+		world.Partition("a", "b")
+		world.Machine("a").Crash()
 		world.RunUntil(2 * time.Second)
-		Expect(*heard).NotTo(ContainElement("broken a"))
+		Expect(*received).NotTo(ContainElement("broken a"))
 	})
 
-	It("given a kill, a loss of power and a lost disk, then keeps the page cache, the synced content and nothing", func() {
-		for kind, kept := range map[sim.FaultKind]string{
-			sim.FaultKill: "synced and not", sim.FaultPowerLoss: "synced", sim.FaultLostDisk: "",
+	It("given a crash, power loss or disk loss, then the page cache, the synced content or nothing survives", func() {
+		for kind, want := range map[sim.FaultKind]string{
+			sim.FaultCrash: "synced and not", sim.FaultPowerLoss: "synced", sim.FaultDiskLoss: "",
 		} {
-			found := readBack(kind)
+			content := readBack(kind)
 			if kind == sim.FaultPowerLoss {
-				Expect(found).To(HavePrefix(kept))
+				Expect(content).To(HavePrefix(want))
 				continue
 			}
-			Expect(found).To(Equal(kept), string(kind))
+			Expect(content).To(Equal(want), string(kind))
 		}
 	})
 
@@ -126,7 +128,7 @@
 			if attempts++; attempts < 3 {
 				return nil, errors.New("disk is full")
 			}
-			return &echo{environment: environment, heard: &[]string{}}, nil
+			return &echo{environment: environment, received: &[]string{}}, nil
 		})
 		world.RunUntil(5 * time.Second)
 		Expect(attempts).To(Equal(3))
@@ -135,14 +137,16 @@
 
 	It("given a replaced machine, then the old address is gone and a new one is added", func() {
 		var world *sim.World
-		world, heard := pair(1, sim.Options{Network: reliable(), Replace: func(gone *sim.Machine) {
+		world, received := pair(1, sim.Options{Network: reliable(), Replace: func(gone *sim.Machine) {
 			world.AddMachine("c", gone.Zone(), func(environment *sim.Environment) (sim.Process, error) {
-				return &echo{environment: environment, heard: &[]string{}}, nil
+				return &echo{environment: environment, received: &[]string{}}, nil
 			})
 		}})
-		world.Schedule([]sim.Fault{{At: time.Second, Kind: sim.FaultReplace, Targets: []sim.Address{"b"}, Duration: time.Second}})
+		world.Schedule([]sim.Fault{{
+			At: time.Second, Kind: sim.FaultReplace, Targets: []sim.Address{"b"}, Duration: time.Second,
+		}})
 		world.RunUntil(3 * time.Second)
-		Expect(len(*heard)).To(BeNumerically("<", 102))
+		Expect(len(*received)).To(BeNumerically("<", 102))
 		Expect(world.Machines()).To(HaveLen(2))
 		Expect(world.Machine("c").Disk().Files("/")).To(BeEmpty())
 	})
@@ -154,7 +158,7 @@
 		for _, name := range []sim.Address{"a", "b"} {
 			world.AddMachine(name, "zone", func(environment *sim.Environment) (sim.Process, error) {
 				environments = append(environments, environment)
-				return &echo{environment: environment, heard: &[]string{}}, nil
+				return &echo{environment: environment, received: &[]string{}}, nil
 			})
 		}
 		world.RunUntil(0)
@@ -179,13 +183,13 @@
 	})
 })
 
-// readBack writes a synced and an unsynced part, lets a fault happen and reads the file in the next life.
+// readBack writes a synced and an unsynced part, lets a fault happen and reads the file in the next incarnation.
 func readBack(kind sim.FaultKind) string {
 	world := sim.NewWorld(1, sim.Options{})
 	found := "never started again"
 	world.AddMachine("a", "zone", func(environment *sim.Environment) (sim.Process, error) {
 		disk := environment.Disk()
-		if environment.Life() > 1 {
+		if environment.Incarnation() > 1 {
 			found = ""
 			if file, err := disk.Open("/file"); err == nil {
 				size, _ := file.Size()
@@ -193,13 +197,13 @@
 				_, _ = file.ReadAt(content, 0)
 				found = string(content)
 			}
-			return &echo{environment: environment, heard: &[]string{}}, nil
+			return &echo{environment: environment, received: &[]string{}}, nil
 		}
 		file, _ := disk.Create("/file")
 		_, _ = file.WriteAt([]byte("synced"), 0)
 		Expect(errors.Join(file.Sync(), disk.SyncFolder("/"))).To(Succeed())
 		_, _ = file.WriteAt([]byte(" and not"), 6)
-		return &echo{environment: environment, heard: &[]string{}}, nil
+		return &echo{environment: environment, received: &[]string{}}, nil
 	})
 	world.Schedule([]sim.Fault{{At: time.Second, Kind: kind, Targets: []sim.Address{"a"}, Duration: time.Second}})
 	world.RunUntil(3 * time.Second)
@@ -208,7 +212,7 @@
 
 var _ = Describe("Schedule", func() {
 	plan := sim.Plan{
-		Kinds:  []sim.FaultKind{sim.FaultKill, sim.FaultCutTo, sim.FaultLostDisk},
+		Kinds:  []sim.FaultKind{sim.FaultCrash, sim.FaultInboundPartition, sim.FaultDiskLoss},
 		Groups: [][]sim.Address{{"a", "b", "c"}, {"d"}},
 		Count:  50, Begin: time.Second, End: 10 * time.Second, MinimumDuration: time.Second, MaximumDuration: 2 * time.Second,
 	}
@@ -221,7 +225,7 @@
 		for _, fault := range faults {
 			Expect(fault.At).To(And(BeNumerically(">=", previous), BeNumerically("<=", plan.End)))
 			Expect(fault.Duration).To(And(BeNumerically(">=", plan.MinimumDuration), BeNumerically("<=", plan.MaximumDuration)))
-			if fault.Kind == sim.FaultLostDisk {
+			if fault.Kind == sim.FaultDiskLoss {
 				Expect(fault.Targets).To(HaveLen(1))
 			}
 			previous = fault.At
@@ -250,7 +254,7 @@
 		}
 		summary := sim.Search(sim.SearchOptions{First: 10, Count: 5, Workers: 3}, run)
 		Expect(summary.Failed).To(HaveLen(1))
-		Expect(summary.Failed[0].Shortened).To(HaveLen(4))
+		Expect(summary.Failed[0].Shrunk).To(HaveLen(4))
 		var text strings.Builder
 		Expect(summary.Write(&text, func(int64) string { return "replay it" })).To(Succeed())
 		Expect(text.String()).To(ContainSubstring("a rule: provoked 5 times, violated 1"))
--- a/internal/testing/sim/zone.go
+++ b/internal/testing/sim/zone.go
@@ -7,10 +7,10 @@
 
 const zonePrefix = "zone="
 
-// InZone is the target that names a whole zone.
+// InZone is the target that stands for all machines of a zone.
 func InZone(zone string) Address { return Address(zonePrefix + zone) }
 
-// ZonesOf gives the zones that targets name with InZone.
+// ZonesOf returns the zones that targets name with InZone.
 func ZonesOf(targets []Address) []string {
 	var zones []string
 	for _, target := range targets {
@@ -21,34 +21,25 @@
 	return zones
 }
 
-func (w *World) applyZoneCut(fault Fault) {
+func (w *World) applyZonePartition(fault Fault) {
 	targets, peers := ZonesOf(fault.Targets), ZonesOf(fault.Peers)
 	if len(peers) == 0 {
-		peers = w.zonesBut(targets)
+		peers = w.zonesExcept(targets)
 	}
-	var ways []zoneDirection
-	for _, target := range targets {
-		for _, peer := range peers {
-			if fault.Kind != FaultCutZonesTo {
-				ways = append(ways, zoneDirection{from: target, to: peer})
-			}
-			if fault.Kind != FaultCutZonesFrom {
-				ways = append(ways, zoneDirection{from: peer, to: target})
-			}
-		}
-	}
-	for _, way := range ways {
-		w.network.zoneCuts[way]++
+	paths := directedLinks(targets, peers,
+		fault.Kind != FaultZoneInboundPartition, fault.Kind != FaultZoneOutboundPartition)
+	for _, path := range paths {
+		w.network.zonePartitions[path]++
 	}
 	w.After(fault.Duration, func() {
-		for _, way := range ways {
-			w.network.zoneCuts[way]--
+		for _, way := range paths {
+			w.network.zonePartitions[way]--
 		}
 	})
 }
 
-// zonesBut lists the zones of all machines without some.
-func (w *World) zonesBut(excluded []string) []string {
+// zonesExcept returns the zones of all machines, except the excluded ones, in the order of the machines.
+func (w *World) zonesExcept(excluded []string) []string {
 	var zones []string
 	for _, machine := range w.machines {
 		if !slices.Contains(excluded, machine.zone) && !slices.Contains(zones, machine.zone) {
@@ -58,7 +49,7 @@
 	return zones
 }
 
-func (w *World) loseZones(fault Fault) {
+func (w *World) losePowerOfZones(fault Fault) {
 	zones := ZonesOf(fault.Targets)
 	for _, machine := range w.Machines() {
 		if slices.Contains(zones, machine.zone) {
--- a/internal/testing/sim/zone_test.go
+++ b/internal/testing/sim/zone_test.go
@@ -9,10 +9,11 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// twoZones makes a world in which the machines "a" and "b" send "tick" to each other every 10 ms from zones of their own.
-func twoZones(options sim.NetworkOptions, faults ...sim.Fault) (world *sim.World, heard map[sim.Address]*[]string) {
+// twoZones makes a world in which the machines "a" and "b" send "tick" to each other every 10 ms from zones of their
+// own.
+func twoZones(options sim.NetworkOptions, faults ...sim.Fault) (world *sim.World, received map[sim.Address]*[]string) {
 	world = sim.NewWorld(1, sim.Options{Network: options})
-	heard = map[sim.Address]*[]string{"a": {}, "b": {}}
+	received = map[sim.Address]*[]string{"a": {}, "b": {}}
 	peers := map[sim.Address]sim.Address{"a": "b", "b": "a"}
 	for _, address := range []sim.Address{"a", "b"} {
 		peer := peers[address]
@@ -23,40 +24,41 @@
 				environment.After(10*time.Millisecond, tick)
 			}
 			tick()
-			return &echo{environment: environment, heard: heard[address]}, nil
+			return &echo{environment: environment, received: received[address]}, nil
 		})
 	}
 	world.Schedule(faults)
-	return world, heard
+	return world, received
 }
 
 var _ = Describe("Zones", func() {
 	zoneA := []sim.Address{sim.InZone("zone-a")}
 
-	DescribeTable("given a zone cut from the others, then messages stop that way only and come again after it",
-		func(kind sim.FaultKind, aHears, bHears bool) {
-			world, heard := twoZones(reliable(), sim.Fault{At: time.Second, Kind: kind, Targets: zoneA, Duration: time.Second})
+	DescribeTable("given a partitioned zone, then messages stop in that direction only until it heals",
+		func(kind sim.FaultKind, aReceives, bReceives bool) {
+			world, received := twoZones(reliable(), sim.Fault{At: time.Second, Kind: kind, Targets: zoneA, Duration: time.Second})
 			world.RunUntil(1100 * time.Millisecond)
-			atA, atB := len(*heard["a"]), len(*heard["b"])
+			atA, atB := len(*received["a"]), len(*received["b"])
 			world.RunUntil(1900 * time.Millisecond)
-			Expect(len(*heard["a"]) > atA).To(Equal(aHears))
-			Expect(len(*heard["b"]) > atB).To(Equal(bHears))
-			Expect(world.Reachable("a", "b")).To(Equal(bHears))
-			atA, atB = len(*heard["a"]), len(*heard["b"])
+			Expect(len(*received["a"]) > atA).To(Equal(aReceives))
+			Expect(len(*received["b"]) > atB).To(Equal(bReceives))
+			Expect(world.Reachable("a", "b")).To(Equal(bReceives))
+			atA, atB = len(*received["a"]), len(*received["b"])
 			world.RunUntil(3 * time.Second)
-			Expect(len(*heard["a"])).To(BeNumerically(">", atA+50))
-			Expect(len(*heard["b"])).To(BeNumerically(">", atB+50))
+			Expect(len(*received["a"])).To(BeNumerically(">", atA+50))
+			Expect(len(*received["b"])).To(BeNumerically(">", atB+50))
 		},
-		Entry("both ways", sim.FaultCutZones, false, false),
-		Entry("what it sends", sim.FaultCutZonesFrom, true, false),
-		Entry("what it is sent", sim.FaultCutZonesTo, false, true),
+		Entry("both directions", sim.FaultZonePartition, false, false),
+		Entry("outbound", sim.FaultZoneOutboundPartition, true, false),
+		Entry("inbound", sim.FaultZoneInboundPartition, false, true),
 	)
 
-	It("given a zone cut, then a machine added there later is cut off too", func() {
-		world, _ := twoZones(reliable(), sim.Fault{At: time.Second, Kind: sim.FaultCutZones, Targets: zoneA, Duration: time.Second})
+	It("given a partitioned zone, then a machine added there later is partitioned too", func() {
+		world, _ := twoZones(reliable(),
+			sim.Fault{At: time.Second, Kind: sim.FaultZonePartition, Targets: zoneA, Duration: time.Second})
 		world.RunUntil(1500 * time.Millisecond)
 		world.AddMachine("late", "zone-a", func(environment *sim.Environment) (sim.Process, error) {
-			return &echo{environment: environment, heard: &[]string{}}, nil
+			return &echo{environment: environment, received: &[]string{}}, nil
 		})
 		Expect(world.Reachable("late", "b")).To(BeFalse())
 		Expect(world.Reachable("late", "a")).To(BeTrue())
@@ -64,26 +66,26 @@
 
 	It("given a lost zone, then another fault there does not bring its machines back early", func() {
 		world, _ := twoZones(reliable(),
-			sim.Fault{At: time.Second, Kind: sim.FaultLostZones, Targets: zoneA, Duration: 10 * time.Second},
-			sim.Fault{At: 2 * time.Second, Kind: sim.FaultKill, Targets: []sim.Address{"a"}, Duration: time.Second})
+			sim.Fault{At: time.Second, Kind: sim.FaultZonePowerLoss, Targets: zoneA, Duration: 10 * time.Second},
+			sim.Fault{At: 2 * time.Second, Kind: sim.FaultCrash, Targets: []sim.Address{"a"}, Duration: time.Second})
 		world.RunUntil(10900 * time.Millisecond)
 		Expect(world.Machine("a").Process()).To(BeNil())
-		Expect(world.Machine("b").Lives()).To(Equal(1))
+		Expect(world.Machine("b").Incarnations()).To(Equal(1))
 		world.RunUntil(11100 * time.Millisecond)
-		Expect(world.Machine("a").Lives()).To(Equal(2))
+		Expect(world.Machine("a").Incarnations()).To(Equal(2))
 		Expect(world.Machine("a").Process()).NotTo(BeNil())
 	})
 
 	It("given a distance between zones, then messages take at least that long", func() {
 		options := reliable()
-		options.Distance = func(from, to string) (least, most time.Duration) {
+		options.Distance = func(from, to string) (minimum, maximum time.Duration) {
 			Expect(from).NotTo(Equal(to))
 			return 20 * time.Millisecond, 40 * time.Millisecond
 		}
-		world, heard := twoZones(options)
+		world, received := twoZones(options)
 		world.RunUntil(20 * time.Millisecond)
-		Expect(*heard["b"]).To(BeEmpty())
+		Expect(*received["b"]).To(BeEmpty())
 		world.RunUntil(44 * time.Millisecond)
-		Expect(*heard["b"]).NotTo(BeEmpty())
+		Expect(*received["b"]).NotTo(BeEmpty())
 	})
 })
