--- a/internal/dataplane/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -25,64 +25,64 @@
 
 // admission owns the lanes, the retry budget and the tenants' rates.
 type admission struct {
-	*table
+	*commandLoop
 	clock    Clock
-	limits   *protocol.LimitPolicy
-	lanes    map[string]*lane
-	ceilings map[string]ceiling
+	policy   *protocol.LimitPolicy
+	limiters map[string]*groupLimiter
+	limits   map[string]concurrencyLimit
 	retries  *limit.RetryBudget
 	tenants  map[string]*tenantBuckets
 	waiting  map[uint64]chan limit.Decision
 	nextID   uint64
 	alarmSet time.Time
-	// steps lets generations of training steps in, behind the requests of the lanes.
-	steps *stepGates
+	// gates lets generations of training steps in, behind the requests of the lanes.
+	gates *admissionGates
 }
 
 func newAdmission(clock Clock) *admission {
 	return &admission{
-		table: newTable(), clock: clock, limits: &protocol.LimitPolicy{},
-		lanes:    make(map[string]*lane),
-		ceilings: make(map[string]ceiling),
+		commandLoop: newCommandLoop(), clock: clock, policy: &protocol.LimitPolicy{},
+		limiters: make(map[string]*groupLimiter),
+		limits:   make(map[string]concurrencyLimit),
 		retries:  limit.NewRetryBudget(0),
 		tenants:  make(map[string]*tenantBuckets),
 		waiting:  make(map[uint64]chan limit.Decision),
-		steps:    newStepGates(),
+		gates:    newAdmissionGates(),
 	}
 }
 
 // configure puts the bounds of a bundle in force.
 func (a *admission) configure(limits *protocol.LimitPolicy) {
 	a.post(func() {
-		a.limits = limits
+		a.policy = limits
 		a.retries.SetPercent(limits.GetRetryPercent())
 		for _, group := range a.groups() {
-			a.deliver(a.lanes[group].configure(limits))
+			a.deliver(a.limiters[group].configure(limits))
 		}
 	})
 }
 
-// bound puts new ceilings in force; a group that is not named has none.
-func (a *admission) bound(ceilings map[string]ceiling) {
+// setConcurrencyLimits puts new ceilings in force; a group that is not named has none.
+func (a *admission) setConcurrencyLimits(limits map[string]concurrencyLimit) {
 	a.post(func() {
-		a.ceilings = ceilings
+		a.limits = limits
 		for _, group := range a.groups() {
-			a.deliver(a.lanes[group].bound(ceilings[group]))
+			a.deliver(a.limiters[group].setLimit(limits[group]))
 		}
 		a.dispatchSteps("")
 	})
 }
 
-func (a *admission) lane(group string) *lane {
-	held := a.lanes[group]
-	if held == nil {
-		held = newLane(a.limits, a.ceilings[group])
-		a.lanes[group] = held
+func (a *admission) limiter(group string) *groupLimiter {
+	existing := a.limiters[group]
+	if existing == nil {
+		existing = newGroupLimiter(a.policy, a.limits[group])
+		a.limiters[group] = existing
 	}
-	return held
+	return existing
 }
 
-func (a *admission) groups() []string { return slices.Sorted(maps.Keys(a.lanes)) }
+func (a *admission) groups() []string { return slices.Sorted(maps.Keys(a.limiters)) }
 
 // enter waits for a slot of a server group; the failure says why there is none.
 func (a *admission) enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
@@ -92,7 +92,7 @@
 		ticket.ID = a.nextID
 		a.waiting[ticket.ID] = decided
 		a.retries.Request()
-		a.deliver(a.lane(group).queue.Enter(ticket, a.clock.Now()))
+		a.deliver(a.limiter(group).queue.Enter(ticket, a.clock.Now()))
 		a.setAlarm()
 	})
 	if !running {
@@ -113,12 +113,12 @@
 func (a *admission) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
 	a.post(func() {
 		if a.waiting[ticket.ID] != nil {
-			a.lane(group).queue.Cancel(ticket.ID)
+			a.limiter(group).queue.Cancel(ticket.ID)
 			delete(a.waiting, ticket.ID)
 			return
 		}
 		if decision := <-decided; decision.Verdict == limit.Run {
-			a.deliver(a.lane(group).queue.Leave(a.clock.Now()))
+			a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		}
 	})
 }
@@ -126,20 +126,20 @@
 // leave gives a slot back.
 func (a *admission) leave(group string) {
 	a.post(func() {
-		a.deliver(a.lane(group).queue.Leave(a.clock.Now()))
+		a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		a.dispatchSteps(group)
 	})
 }
 
-// record tells the concurrency limit of a group what one attempt measured.
-func (a *admission) record(group string, sample limit.Sample) {
-	a.post(func() { a.deliver(a.lane(group).record(sample, a.clock.Now())) })
+// recordSample tells the concurrency limit of a group what one attempt measured.
+func (a *admission) recordSample(group string, sample limit.Sample) {
+	a.post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
 }
 
 // retry takes one retry out of the budget.
 func (a *admission) retry() bool {
 	granted := false
-	answered := a.ask(func() { granted = a.retries.Retry() })
+	answered := a.do(func() { granted = a.retries.Retry() })
 	return answered && granted
 }
 
@@ -150,9 +150,9 @@
 	}
 	var wait time.Duration
 	allowed := true
-	a.ask(func() {
+	a.do(func() {
 		now := a.clock.Now()
-		buckets := a.bucketsOf(policy, share, now)
+		buckets := a.bucketsFor(policy, share, now)
 		if allowed, wait = buckets.tokens.Take(0, now); allowed {
 			allowed, wait = buckets.requests.Take(1, now)
 		}
@@ -171,11 +171,11 @@
 	}
 	a.post(func() {
 		now := a.clock.Now()
-		a.bucketsOf(policy, share, now).tokens.Charge(float64(tokens), now)
+		a.bucketsFor(policy, share, now).tokens.Charge(float64(tokens), now)
 	})
 }
 
-func (a *admission) bucketsOf(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
+func (a *admission) bucketsFor(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
 	requests, tokens := policy.GetRequestsPerSecond()*share, policy.GetTokensPerSecond()*share
 	buckets := a.tenants[policy.GetName()]
 	if buckets == nil {
@@ -218,8 +218,8 @@
 
 func (a *admission) nextExpiry() time.Time {
 	next := a.nextStepWake()
-	for _, held := range a.lanes {
-		if expiry := held.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
+	for _, limiter := range a.limiters {
+		if expiry := limiter.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
 			next = expiry
 		}
 	}
@@ -229,7 +229,7 @@
 func (a *admission) alarm() {
 	a.alarmSet = time.Time{}
 	for _, group := range a.groups() {
-		a.deliver(a.lanes[group].queue.Expire(a.clock.Now()))
+		a.deliver(a.limiters[group].queue.Expire(a.clock.Now()))
 	}
 	a.dispatchSteps("")
 	a.setAlarm()
--- a/internal/dataplane/front/answer_load_test.go
+++ b/internal/dataplane/front/answer_load_test.go
@@ -11,17 +11,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// loadTeller tells its load with each answer.
-func loadTeller(load string) http.HandlerFunc {
+// loadReporter tells its load with each answer.
+func loadReporter(load string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set(words.ServerLoad, load)
+		writer.Header().Set(testDialect.ServerLoad, load)
 		answerWith(http.StatusOK, "ok")(writer, request)
 	}
 }
 
 var _ = Describe("the load that a server tells with its answers", func() {
 	call := func(program string) routed {
-		return routed{target: nonRepeatablePath, headers: with(words.Program, program)}
+		return routed{target: nonRepeatablePath, headers: with(testDialect.Program, program)}
 	}
 
 	It("keeps calls away from a server that others keep busy, until it is old", func() {
@@ -30,9 +30,9 @@
 			active.Scheduling.Algorithm = protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN
 		})
 		node := r.front("f1")
-		busy := r.server("s1", loadTeller("running=6,queued=4,capacity=6"))
+		busy := r.server("s1", loadReporter("running=6,queued=4,capacity=6"))
 		Expect(node.route(call("first")).status).To(Equal(http.StatusOK))
-		idle := r.server("s2", loadTeller("running=0,queued=0,capacity=6"))
+		idle := r.server("s2", loadReporter("running=0,queued=0,capacity=6"))
 		for _, program := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			Expect(node.route(call(program)).status).To(Equal(http.StatusOK))
 		}
@@ -40,8 +40,8 @@
 		Expect(idle.requests()).To(HaveLen(8))
 	})
 
-	DescribeTable("is asked for only when what is known is old", func(tellsLoad bool, heardAgo, sampledAgo time.Duration, isFresh bool) {
-		Expect(front.IsFresh(tellsLoad, heardAgo, sampledAgo)).To(Equal(isFresh))
+	DescribeTable("is asked for only when what is known is old", func(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration, isFresh bool) {
+		Expect(front.IsFresh(answersCarryLoad, reportedAgo, sampledAgo)).To(Equal(isFresh))
 	},
 		Entry("a sample of a moment ago", false, 200*time.Millisecond, 200*time.Millisecond, true),
 		Entry("an older sample", false, 300*time.Millisecond, 300*time.Millisecond, false),
--- a/internal/dataplane/front/answers.go
+++ b/internal/dataplane/front/answers.go
@@ -114,17 +114,17 @@
 	}
 }
 
-// keptObject is a turn as the ledger keeps it.
-func keptObject(kept *protocol.Turn) responseObject {
+// retainedObject is a turn as the ledger keeps it.
+func retainedObject(retained *protocol.Turn) responseObject {
 	var text strings.Builder
-	for _, item := range kept.GetOutput() {
+	for _, item := range retained.GetOutput() {
 		text.WriteString(item.GetText())
 	}
 	return responseObject{
-		ID: kept.GetId(), Object: responseKind, Status: statusCompleted, Model: kept.GetModel(), Conversation: kept.GetSession(),
-		Program: kept.GetProgram(), PreviousResponseID: kept.GetPreviousTurn(), Output: message(text.String()),
-		Usage:     usageOf(kept.GetInputTokens(), 0, kept.GetOutputTokens()),
-		Rosestand: provenance{RequestID: kept.GetRequestId(), BackEnd: kept.GetBackEnd(), Epoch: kept.GetEpoch()},
+		ID: retained.GetId(), Object: responseKind, Status: statusCompleted, Model: retained.GetModel(), Conversation: retained.GetSession(),
+		Program: retained.GetProgram(), PreviousResponseID: retained.GetPreviousTurn(), Output: message(text.String()),
+		Usage:     usageOf(retained.GetInputTokens(), 0, retained.GetOutputTokens()),
+		Rosestand: provenance{RequestID: retained.GetRequestId(), BackEnd: retained.GetBackEnd(), Epoch: retained.GetEpoch()},
 	}
 }
 
--- a/internal/dataplane/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -104,11 +104,11 @@
 			}()
 		}
 		for range 15 {
-			var refused answer
-			Eventually(answered).Should(Receive(&refused))
-			Expect(refused.errorCode()).To(Equal("overloaded"))
-			Expect(refused.outcome()).To(Equal("not_run"))
-			Expect(refused.header.Get("Retry-After")).NotTo(BeEmpty())
+			var rejection answer
+			Eventually(answered).Should(Receive(&rejection))
+			Expect(rejection.errorCode()).To(Equal("overloaded"))
+			Expect(rejection.outcome()).To(Equal("not_run"))
+			Expect(rejection.header.Get("Retry-After")).NotTo(BeEmpty())
 		}
 		close(release)
 		for range 5 {
@@ -138,8 +138,8 @@
 		}
 		Expect(versions["5"]).To(BeNumerically(">", 8))
 		Expect(versions["6"]).To(BeNumerically(">", 8))
-		Eventually(r.clock.isSet).WithArguments(front.ArmReportInterval).Should(BeTrue())
-		r.clock.advance(front.ArmReportInterval)
+		Eventually(r.clock.isSet).WithArguments(front.VariantReportInterval).Should(BeTrue())
+		r.clock.advance(front.VariantReportInterval)
 		var report *protocol.ReportArmsRequest
 		Eventually(reported).Should(Receive(&report))
 		total := uint64(0)
@@ -234,8 +234,8 @@
 		r.backEnd("m1", modelServer, modelAnswer("in"))
 		f1.ownership.setOwner("s1", "f2")
 		f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
-		for _, asked := range []*node{f1, f2} {
-			got := asked.do(http.MethodGet, "/v1/explain/k1", "", nil)
+		for _, peer := range []*node{f1, f2} {
+			got := peer.do(http.MethodGet, "/v1/explain/k1", "", nil)
 			Expect(got.text).To(ContainSubstring(`"node":"f2"`))
 		}
 		Expect(f1.do(http.MethodGet, "/v1/explain/k1", "", nil).text).To(ContainSubstring(`"node":"f1"`))
--- a/internal/dataplane/front/backend_client.go
+++ b/internal/dataplane/front/backend_client.go
@@ -32,16 +32,16 @@
 	// DefaultStallTimeout is how long a model server may be silent while a turn runs.
 	DefaultStallTimeout = 30 * time.Second
 
-	dialTimeout         = 2 * time.Second
-	keepAlive           = 15 * time.Second
-	idleConnections     = 4096
-	idlePerServer       = 512
-	idleConnectionLife  = 30 * time.Second
-	maxChunkBytes       = 1 << 20
-	maxToolAnswerBytes  = 8 << 20
-	maxFaultAnswerBytes = 64 << 10
-	streamBufferBytes   = 4 << 10
-	drainTimeout        = time.Second
+	dialTimeout           = 2 * time.Second
+	keepAlive             = 15 * time.Second
+	idleConnections       = 4096
+	idlePerServer         = 512
+	idleConnectionTimeout = 30 * time.Second
+	maxChunkBytes         = 1 << 20
+	maxToolAnswerBytes    = 8 << 20
+	maxFaultAnswerBytes   = 64 << 10
+	streamBufferBytes     = 4 << 10
+	drainTimeout          = time.Second
 )
 
 // backEndClient speaks HTTP to model and tool servers.
@@ -78,7 +78,7 @@
 				return &stallGuard{Conn: connection, limit: stallTimeout}, nil
 			},
 			MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idlePerServer,
-			IdleConnTimeout: idleConnectionLife, DisableCompression: true,
+			IdleConnTimeout: idleConnectionTimeout, DisableCompression: true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
@@ -160,8 +160,8 @@
 		}
 		return nil, &backEndError{fault: fault, detail: err.Error()}
 	}
-	if load, told := dialect.DecodeLoad(response.Header.Get(headerLoad)); told {
-		request.server.takeLoad(load, c.clock.Now())
+	if load, reported := dialect.DecodeLoad(response.Header.Get(headerLoad)); reported {
+		request.server.applyLoad(load, c.clock.Now())
 	}
 	if echoed := response.Header.Get(headerNonce); echoed != "" && echoed != request.nonce {
 		_ = response.Body.Close()
@@ -170,8 +170,8 @@
 	return response, nil
 }
 
-// refusal reads the answers that say that the request was not run; nil for any other.
-func refusal(response *http.Response) *backEndError {
+// rejectionFault reads the answers that say that the request was not run; nil for any other.
+func rejectionFault(response *http.Response) *backEndError {
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return &backEndError{
@@ -221,7 +221,7 @@
 		cancel()
 		return nil, err
 	}
-	fault := refusal(response)
+	fault := rejectionFault(response)
 	switch status := response.StatusCode; {
 	case fault != nil:
 	case status >= 400 && status < 500:
@@ -329,15 +329,15 @@
 	if err == nil {
 		return line, nil
 	}
-	whole := bytes.Clone(line)
-	for errors.Is(err, bufio.ErrBufferFull) && len(whole) < maxChunkBytes {
+	complete := bytes.Clone(line)
+	for errors.Is(err, bufio.ErrBufferFull) && len(complete) < maxChunkBytes {
 		line, err = g.reader.ReadSlice('\n')
-		whole = append(whole, line...)
+		complete = append(complete, line...)
 	}
 	if err != nil {
 		return nil, &backEndError{fault: turn.FaultBroken, detail: fmt.Sprintf("the answer broke off: %v", err)}
 	}
-	return whole, nil
+	return complete, nil
 }
 
 // close gives the answer up; the back end sees the connection end unless the
@@ -359,7 +359,7 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if fault := refusal(response); fault != nil {
+	if fault := rejectionFault(response); fault != nil {
 		return nil, fault
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxToolAnswerBytes+1))
--- a/internal/dataplane/front/backends.go
+++ b/internal/dataplane/front/backends.go
@@ -16,8 +16,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// loadReportLife is how long a reported load is believed.
-const loadReportLife = 2 * time.Second
+// loadReportTTL is how long a reported load is believed.
+const loadReportTTL = 2 * time.Second
 
 // backEnd is one server with what this front node knows of its load. It
 // outlives views as long as the server's incarnation does not change.
@@ -35,19 +35,19 @@
 	sampledAt  atomic.Int64
 	// ownAtReport is inFlight as it was when the load was last reported.
 	ownAtReport atomic.Int32
-	// tellsLoad is true once an answer told the server's load.
-	tellsLoad atomic.Bool
+	// answersCarryLoad is true once an answer told the server's load.
+	answersCarryLoad atomic.Bool
 
 	// steps is what generations of training steps are there.
 	steps stepLoad
 
 	mutex   sync.Mutex
 	outlier schedule.Outlier
-	// calls are those sent of late.
-	calls schedule.RecentRequests
-	// refusedVersion is the version of the weights that the server last said it has not, believed until refusedUntil.
-	refusedVersion uint64
-	refusedUntil   time.Time
+	// recentCalls are those sent of late.
+	recentCalls schedule.RecentRequests
+	// rejectedVersion is the version of the weights that the server last said it has not, believed until rejectedUntil.
+	rejectedVersion uint64
+	rejectedUntil   time.Time
 
 	// outcomes is what is shared with other front nodes.
 	outcomes serverOutcomes
@@ -59,8 +59,8 @@
 	return "http://" + b.description.Load().GetAddress() + path
 }
 
-// outcomeOf says what a fault of an attempt tells of the server's health.
-func outcomeOf(fault turn.BackEndFault) schedule.Outcome {
+// healthOutcome says what a fault of an attempt tells of the server's health.
+func healthOutcome(fault turn.BackEndFault) schedule.Outcome {
 	switch fault {
 	case turn.FaultNotSent:
 		return schedule.OutcomeUnreachable
@@ -71,19 +71,19 @@
 	return schedule.OutcomeNotExecuted
 }
 
-// record takes the outcome of one attempt for outlier ejection.
-func (b *backEnd) record(outcome schedule.Outcome, now time.Time) {
+// recordOutcome takes the outcome of one attempt for outlier ejection.
+func (b *backEnd) recordOutcome(outcome schedule.Outcome, now time.Time) {
 	b.mutex.Lock()
 	b.outlier.Observe(outcome, now)
 	b.mutex.Unlock()
-	b.outcomes.count(outcome, now)
+	b.outcomes.record(outcome, now)
 }
 
-// called counts a call that is sent.
-func (b *backEnd) called(now time.Time) {
+// recordCall counts a call that is sent.
+func (b *backEnd) recordCall(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.calls.Add(now)
+	b.recentCalls.Add(now)
 }
 
 // health is what is known of a server's faults, and of the calls that it got of late.
@@ -96,11 +96,11 @@
 }
 
 func (b *backEnd) health(now time.Time) health {
-	suspectUntil := b.outcomes.suspected()
+	suspectUntil := b.outcomes.suspectedUntil()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := health{
-		recent:  b.calls.Count(now),
+		recent:  b.recentCalls.Count(now),
 		ejected: b.outlier.Ejected(now), share: b.outlier.Share(now),
 		until: b.outlier.Until(), unreachable: b.outlier.Unreachable() && b.outlier.Ejected(now),
 	}
@@ -118,8 +118,8 @@
 	return b
 }
 
-// takeLoad takes in the load that rides on an answer.
-func (b *backEnd) takeLoad(load dialect.Load, now time.Time) {
+// applyLoad takes in the load that rides on an answer.
+func (b *backEnd) applyLoad(load dialect.Load, now time.Time) {
 	b.steps.atReport.Store(b.steps.count.Load())
 	b.ownAtReport.Store(b.inFlight.Load())
 	b.running.Store(load.Running)
@@ -130,28 +130,28 @@
 	b.reportedAt.Store(now.UnixNano())
 }
 
-// take takes in a load that was asked for.
-func (b *backEnd) take(report dialect.Report, now time.Time) {
+// applyReport takes in a load that was asked for.
+func (b *backEnd) applyReport(report dialect.Report, now time.Time) {
 	b.cacheUsed.Store(report.CacheUsed)
 	b.cacheTotal.Store(report.CacheTotal)
 	b.sampledAt.Store(now.UnixNano())
-	b.takeLoad(report.Load, now)
+	b.applyLoad(report.Load, now)
 }
 
 // isFresh reports whether a sample of the server would tell little: it told its load a moment ago. One that tells it
 // with its answers is believed for longer, and asked for the state of its memory now and then.
 func (b *backEnd) isFresh(now time.Time) bool {
 	age, sampleAge := now.UnixNano()-b.reportedAt.Load(), now.UnixNano()-b.sampledAt.Load()
-	if !b.tellsLoad.Load() {
+	if !b.answersCarryLoad.Load() {
 		return age < int64(freshReport)
 	}
-	return age < int64(freshAnswer) && sampleAge < int64(freshMemory)
+	return age < int64(freshAnswerLoad) && sampleAge < int64(freshCacheReport)
 }
 
-// reported is the load that the server last told. An old report counts for
+// reportedLoad is the load that the server last told. An old report counts for
 // nothing: without traffic of its own a front node would never see it fall.
-func (b *backEnd) reported(now time.Time) (running, queued uint32) {
-	if now.UnixNano()-b.reportedAt.Load() > int64(loadReportLife) {
+func (b *backEnd) reportedLoad(now time.Time) (running, queued uint32) {
+	if now.UnixNano()-b.reportedAt.Load() > int64(loadReportTTL) {
 		return 0, 0
 	}
 	return b.running.Load(), b.queued.Load()
@@ -182,7 +182,7 @@
 		byGroup: make(map[string][]*backEnd),
 	}
 	for _, description := range view.GetBackEnds() {
-		server := b.keep(description)
+		server := b.reuseOrCreate(description)
 		updated.byID[description.GetId()] = server
 		updated.byGroup[description.GetGroup()] = append(updated.byGroup[description.GetGroup()], server)
 		for _, model := range description.GetModels() {
@@ -200,7 +200,7 @@
 	return updated
 }
 
-func (b *backEnds) keep(description *protocol.BackEnd) *backEnd {
+func (b *backEnds) reuseOrCreate(description *protocol.BackEnd) *backEnd {
 	server := b.byID[description.GetId()]
 	if server == nil || server.description.Load().GetIncarnation() != description.GetIncarnation() {
 		server = &backEnd{}
@@ -220,7 +220,7 @@
 		if reported := server.capacity.Load(); reported > 0 {
 			capacity = reported
 		}
-		running, queued := server.reported(now)
+		running, queued := server.reportedLoad(now)
 		age := time.Duration(0)
 		if at := server.reportedAt.Load(); at > 0 {
 			age = time.Duration(now.UnixNano() - at)
@@ -255,9 +255,9 @@
 	zone     string
 	region   string
 	front    string
-	// fronts is the number of front nodes of the fleet.
-	fronts   int
-	sequence uint64
+	// frontNodes is the number of front nodes of the fleet.
+	frontNodes int
+	sequence   uint64
 	// prompt and output are those of a turn of an HTTP route.
 	prompt promptcache.Prompt
 	output uint64
@@ -265,16 +265,16 @@
 	step *stepPlacement
 }
 
-// serversOf finds the servers of a group that serve a model or tool, or all of them when none is named.
-func (b *backEnds) serversOf(key groupKey) []*backEnd {
+// serving finds the servers of a group that serve a model or tool, or all of them when none is named.
+func (b *backEnds) serving(key groupKey) []*backEnd {
 	if key.name == "" {
 		return b.byGroup[key.group]
 	}
 	return b.groups[key]
 }
 
-// place runs the scheduling policy of a bundle.
-func (b *backEnds) place(p placement, models *groupModels, now time.Time) schedule.Decision {
+// choose runs the scheduling policy of a bundle.
+func (b *backEnds) choose(p placement, models *groupModels, now time.Time) schedule.Decision {
 	group := p.index.Group(p.key.group)
 	policy := p.index.Bundle().GetScheduling()
 	request := schedule.Request{
@@ -282,22 +282,22 @@
 		Front: p.front, Zone: p.zone, Region: p.region, ZoneLocalFirst: group.GetZoneLocalFirst(),
 		AffinityKey: p.affinity, Last: p.last, Avoid: p.avoid, Sequence: p.sequence,
 	}
-	servers := b.serversOf(p.key)
+	servers := b.serving(p.key)
 	var others []*backEnd
 	if p.step != nil {
-		servers, others = p.step.pin.divide(servers, now)
+		servers, others = p.step.pin.split(servers, now)
 	}
-	found := candidates(servers, group, now)
-	models.complete(&request, p.key.group, p.prompt, found, now)
+	snapshot := candidates(servers, group, now)
+	models.annotate(&request, p.key.group, p.prompt, snapshot, now)
 	request.OutputTokens = p.output
-	request.FrontsAtServer = float64(frontsAt(p.fronts, min(schedule.SubsetSize(policy.GetSubsetSize()), len(found)), len(found)))
+	request.FrontsAtServer = float64(frontNodesPerServer(p.frontNodes, min(schedule.SubsetSize(policy.GetSubsetSize()), len(snapshot)), len(snapshot)))
 	if p.step != nil {
 		request.Step = &p.step.work
-		used := schedule.Subset(p.front, p.zone, policy.GetSubsetSize(), found)
-		b.completeSteps(found, frontsAt(p.step.fronts, len(used), len(found)))
+		used := schedule.Subset(p.front, p.zone, policy.GetSubsetSize(), snapshot)
+		b.addStepLoad(snapshot, frontNodesPerServer(p.step.frontNodes, len(used), len(snapshot)))
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	decision := schedule.Choose(request, found, random)
+	decision := schedule.Choose(request, snapshot, random)
 	for _, server := range others {
 		decision.Scores = append(decision.Scores, schedule.Score{ID: server.id(), Reason: schedule.ReasonOtherVersion})
 	}
--- a/internal/dataplane/front/blame_test.go
+++ b/internal/dataplane/front/blame_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-func TestAnExpiredDeadlineTellsNothingOfTheServer(t *testing.T) {
+func TestExpiredDeadlineIsNoServerOutcome(t *testing.T) {
 	if got := front.OutcomeOfExpired(&manualClock{now: time.Unix(1_000_000, 0)}); got != schedule.OutcomeNotExecuted {
 		t.Fatalf("the server is blamed with outcome %d", got)
 	}
--- a/internal/dataplane/front/chain.go
+++ b/internal/dataplane/front/chain.go
@@ -18,7 +18,7 @@
 // where a turn continues one of another program. A turn that the program at
 // hand does not have is looked for in all others.
 func (s *Service) readChain(ctx context.Context, program, lastTurn string) chain {
-	found := chain{program: program, status: protocol.LedgerStatus_LEDGER_OK}
+	conversation := chain{program: program, status: protocol.LedgerStatus_LEDGER_OK}
 	for next := lastTurn; next != ""; {
 		page, status := s.readPage(ctx, program, next)
 		if status == protocol.LedgerStatus_LEDGER_TURN_MISSING || status == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM {
@@ -27,18 +27,18 @@
 		if status != protocol.LedgerStatus_LEDGER_OK {
 			return chain{status: status}
 		}
-		if len(found.turns) == 0 {
-			found.program = page[0].GetProgram()
+		if len(conversation.turns) == 0 {
+			conversation.program = page[0].GetProgram()
 		}
-		found.turns = append(found.turns, page...)
+		conversation.turns = append(conversation.turns, page...)
 		oldest := page[len(page)-1]
 		next, program = oldest.GetPreviousTurn(), oldest.GetProgram()
 		if oldest.GetPreviousProgram() != "" {
 			program = oldest.GetPreviousProgram()
 		}
 	}
-	slices.Reverse(found.turns)
-	return found
+	slices.Reverse(conversation.turns)
+	return conversation
 }
 
 // readPage reads turns newest first; an empty answer is a missing turn.
--- a/internal/dataplane/front/clock_test.go
+++ b/internal/dataplane/front/clock_test.go
@@ -9,10 +9,10 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
-// firstLedgerPause and longestLedgerPause are what a turn waits until it asks the ledger again.
+// minLedgerBackoff and maxLedgerBackoff are what a turn waits until it asks the ledger again.
 const (
-	firstLedgerPause   = 50 * time.Millisecond
-	longestLedgerPause = 2 * time.Second
+	minLedgerBackoff = 50 * time.Millisecond
+	maxLedgerBackoff = 2 * time.Second
 )
 
 // manualClock moves only when a story says so.
@@ -97,15 +97,15 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.now = c.now.Add(by)
-	kept := make([]*alarm, 0, len(c.alarms))
+	pending := make([]*alarm, 0, len(c.alarms))
 	for _, set := range c.alarms {
 		if set.at.After(c.now) {
-			kept = append(kept, set)
+			pending = append(pending, set)
 			continue
 		}
 		set.ring(c.now)
 	}
-	c.alarms = kept
+	c.alarms = pending
 }
 
 // isSet reports whether somebody waits for an alarm that was set to ring after just that time.
@@ -117,8 +117,8 @@
 func (c *manualClock) countSet(wait time.Duration) (set int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, held := range c.alarms {
-		if held.wait == wait {
+	for _, pending := range c.alarms {
+		if pending.wait == wait {
 			set++
 		}
 	}
@@ -141,26 +141,26 @@
 // passBackoff lets the time pass for which a request waits until it looks for an owner again. No time passes while none
 // waits, so that a busy machine takes nothing from the time in which a request is answered.
 func (c *manualClock) passBackoff() {
-	for wait := front.FirstBackoff; ; wait = min(2*wait, front.MostBackoff) {
+	for wait := front.FirstBackoff; ; wait = min(2*wait, front.MaxBackoff) {
 		if c.isSet(wait) {
 			c.advance(wait)
 			return
 		}
-		if wait == front.MostBackoff {
+		if wait == front.MaxBackoff {
 			return
 		}
 	}
 }
 
-// passPauses lets the time pass for which a turn waits until it asks the ledger again. No time passes while none waits.
-func (c *manualClock) passPauses() {
-	for wait := firstLedgerPause; wait < longestLedgerPause; wait *= 2 {
+// passBackoffs lets the time pass for which a turn waits until it asks the ledger again. No time passes while none waits.
+func (c *manualClock) passBackoffs() {
+	for wait := minLedgerBackoff; wait < maxLedgerBackoff; wait *= 2 {
 		if c.isSet(wait) {
 			c.advance(wait)
 			return
 		}
 	}
-	if c.isSet(longestLedgerPause) {
-		c.advance(longestLedgerPause)
+	if c.isSet(maxLedgerBackoff) {
+		c.advance(maxLedgerBackoff)
 	}
 }
--- a/internal/dataplane/front/decode.go
+++ b/internal/dataplane/front/decode.go
@@ -18,12 +18,12 @@
 const DefaultMaxBodyBytes = 8 << 20
 
 // readBody reads a bounded body.
-func readBody(request *http.Request, most int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(request.Body, most+1))
+func readBody(request *http.Request, maxBytes int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBytes+1))
 	var tooLarge *http.MaxBytesError
-	if errors.As(err, &tooLarge) || int64(len(body)) > most {
+	if errors.As(err, &tooLarge) || int64(len(body)) > maxBytes {
 		return nil, failure.New(failure.BodyTooLarge, protocol.Outcome_NOT_RUN,
-			"the body is larger than "+strconv.FormatInt(most, 10)+" bytes")
+			"the body is larger than "+strconv.FormatInt(maxBytes, 10)+" bytes")
 	}
 	if err != nil {
 		return nil, failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "the body cannot be read")
--- a/internal/dataplane/front/drain_rig_test.go
+++ b/internal/dataplane/front/drain_rig_test.go
@@ -17,20 +17,20 @@
 type drainingListener struct{ *front.RouteListener }
 
 func newDrainingListener(r *rig, n *node) *drainingListener {
-	listener := front.NewRouteListener("127.0.0.1:0", front.NewRouteHandler(n.service, words), r.clock)
+	listener := front.NewRouteListener("127.0.0.1:0", front.NewRouteHandler(n.service, testDialect), r.clock)
 	Expect(listener.Start()).To(Succeed())
 	DeferCleanup(listener.Stop)
 	return &drainingListener{listener}
 }
 
-// kept is an answer's body and whether its connection closes after it.
-type kept struct {
+// connectionAnswer is an answer's body and whether its connection closes after it.
+type connectionAnswer struct {
 	body    string
 	closing bool
 }
 
 // call sends a request over a connection that may be kept.
-func (l *drainingListener) call(target string) kept {
+func (l *drainingListener) call(target string) connectionAnswer {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	request, err := http.NewRequest(http.MethodGet, "http://"+l.Address()+target, nil)
@@ -38,35 +38,35 @@
 	request.Host = routeHost
 	response, err := transport.RoundTrip(request)
 	Expect(err).NotTo(HaveOccurred())
-	return kept{body: readRouted(response).body, closing: response.Close}
+	return connectionAnswer{body: readRouted(response).body, closing: response.Close}
 }
 
-// keptConnection is one connection of a caller, which stays open between requests.
-type keptConnection struct {
+// openConnection is one connection of a caller, which stays open between requests.
+type openConnection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (l *drainingListener) connect() *keptConnection {
+func (l *drainingListener) connect() *openConnection {
 	connection, err := net.Dial("tcp", l.Address())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(connection.Close)
-	return &keptConnection{Conn: connection, reader: bufio.NewReader(connection)}
+	return &openConnection{Conn: connection, reader: bufio.NewReader(connection)}
 }
 
 // call sends a request and reads its answer.
-func (c *keptConnection) call(target string) kept {
+func (c *openConnection) call(target string) connectionAnswer {
 	GinkgoHelper()
 	request, err := http.NewRequest(http.MethodGet, "http://"+routeHost+target, nil)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(request.Write(c)).To(Succeed())
 	response, err := http.ReadResponse(c.reader, request)
 	Expect(err).NotTo(HaveOccurred())
-	return kept{body: readRouted(response).body, closing: response.Close}
+	return connectionAnswer{body: readRouted(response).body, closing: response.Close}
 }
 
 // ended reports whether the front node has closed the connection; it waits until something comes.
-func (c *keptConnection) ended() bool {
+func (c *openConnection) ended() bool {
 	_, err := c.reader.ReadByte()
 	return errors.Is(err, io.EOF)
 }
--- a/internal/dataplane/front/errors.go
+++ b/internal/dataplane/front/errors.go
@@ -27,9 +27,9 @@
 }
 
 var (
-	errCallerGone = &stopError{reason: turn.StopCallerDisconnected}
-	errDeadline   = &stopError{reason: turn.StopDeadline}
-	errAuthority  = &stopError{reason: turn.StopAuthority}
+	errCallerDisconnected = &stopError{reason: turn.StopCallerDisconnected}
+	errDeadline           = &stopError{reason: turn.StopDeadline}
+	errAuthority          = &stopError{reason: turn.StopAuthority}
 )
 
 // backEndError is a failed attempt at a back end.
@@ -52,7 +52,7 @@
 	if e.blameless {
 		return schedule.OutcomeNotExecuted
 	}
-	return outcomeOf(e.fault)
+	return healthOutcome(e.fault)
 }
 
 func (e *backEndError) Error() string { return fmt.Sprintf("%s: %s", e.fault, e.detail) }
--- a/internal/dataplane/front/explanations.go
+++ b/internal/dataplane/front/explanations.go
@@ -13,7 +13,7 @@
 
 // explanations owns the newest explanations of this front node.
 type explanations struct {
-	*table
+	*commandLoop
 	ring  []*explanation
 	next  int
 	byID  map[string][]*explanation
@@ -23,7 +23,7 @@
 
 func newExplanations(clock Clock, node string) *explanations {
 	return &explanations{
-		table: newTable(), ring: make([]*explanation, explanationCount), byID: make(map[string][]*explanation),
+		commandLoop: newCommandLoop(), ring: make([]*explanation, explanationCount), byID: make(map[string][]*explanation),
 		clock: clock, node: node,
 	}
 }
@@ -65,39 +65,39 @@
 	e.byID[former.id] = append([]*explanation(nil), entries[1:]...)
 }
 
-// of returns what this front node knows of a request, oldest first.
-func (e *explanations) of(requestID string) []*protocol.Explanation {
+// find returns what this front node knows of a request, oldest first.
+func (e *explanations) find(requestID string) []*protocol.Explanation {
 	var entries []*explanation
-	e.ask(func() { entries = append(entries, e.byID[requestID]...) })
-	found := make([]*protocol.Explanation, 0, len(entries))
+	e.do(func() { entries = append(entries, e.byID[requestID]...) })
+	snapshots := make([]*protocol.Explanation, 0, len(entries))
 	for _, entry := range entries {
-		found = append(found, entry.snapshot())
+		snapshots = append(snapshots, entry.snapshot())
 	}
-	return found
+	return snapshots
 }
 
-// step notes that something happened.
-func (x *explanation) step(what, detail string) {
+// recordStep notes that something happened.
+func (x *explanation) recordStep(what, detail string) {
 	at := x.clock.Now().Sub(x.began).Microseconds()
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.record.Steps = append(x.record.Steps, &protocol.ExplanationStep{AtMicros: at, What: what, Detail: detail})
 }
 
-// note changes the explanation's fields.
-func (x *explanation) note(change func(record *protocol.Explanation)) {
+// update changes the explanation's fields.
+func (x *explanation) update(change func(record *protocol.Explanation)) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	change(&x.record)
 }
 
-// decided notes the candidates of a scheduling decision.
-func (x *explanation) decided(decision schedule.Decision) {
+// recordDecision notes the candidates of a scheduling decision.
+func (x *explanation) recordDecision(decision schedule.Decision) {
 	scores := make([]*protocol.CandidateScore, 0, len(decision.Scores))
 	for _, score := range decision.Scores {
 		scores = append(scores, &protocol.CandidateScore{BackEnd: score.ID, Score: score.Score, Reason: score.Reason})
 	}
-	x.note(func(record *protocol.Explanation) {
+	x.update(func(record *protocol.Explanation) {
 		record.Candidates, record.Chosen = scores, decision.Chosen
 	})
 }
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -16,8 +16,8 @@
 )
 
 // NewRouteHandler serves the callers of HTTP routes at a service.
-func NewRouteHandler(service *Service, words dialect.Dialect) http.Handler {
-	return &routeAPI{service: service, dialect: words}
+func NewRouteHandler(service *Service, routeDialect dialect.Dialect) http.Handler {
+	return &routeAPI{service: service, dialect: routeDialect}
 }
 
 // RouteListener is a listener for callers of HTTP routes on a port of loopback.
@@ -67,7 +67,7 @@
 }
 
 // TokenUsage reads the header that tells the tokens of a turn.
-func TokenUsage(text string) (prompt, most uint32) { return tokenUsage(text) }
+func TokenUsage(text string) (prompt, maxOutput uint32) { return tokenUsage(text) }
 
 // PromptParts reads the header that names the parts of a prompt.
 func PromptParts(text string) []*protocol.PromptPart { return promptParts(text) }
@@ -77,7 +77,7 @@
 
 // OutcomeOfExpired is what a send whose deadline has passed tells of its server's health.
 func OutcomeOfExpired(clock Clock) schedule.Outcome {
-	server := (&backEnds{}).keep(&protocol.BackEnd{Id: "s1", Address: "127.0.0.1:1"})
+	server := (&backEnds{}).reuseOrCreate(&protocol.BackEnd{Id: "s1", Address: "127.0.0.1:1"})
 	client := newRouteClient(dialect.Default(), clock, newGroupModels(), nil)
 	defer client.close()
 	_, err := client.send(context.Background(), routedRequest{
@@ -99,10 +99,10 @@
 }
 
 // IsFresh tells whether a server that was heard and sampled some time ago is not asked for its load.
-func IsFresh(tellsLoad bool, heardAgo, sampledAgo time.Duration) bool {
+func IsFresh(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration) bool {
 	server, now := &backEnd{}, time.Unix(1000, 0)
-	server.tellsLoad.Store(tellsLoad)
-	server.reportedAt.Store(now.Add(-heardAgo).UnixNano())
+	server.answersCarryLoad.Store(answersCarryLoad)
+	server.reportedAt.Store(now.Add(-reportedAgo).UnixNano())
 	server.sampledAt.Store(now.Add(-sampledAgo).UnixNano())
 	return server.isFresh(now)
 }
@@ -111,37 +111,37 @@
 func (s *Service) StartWaiters() int { return int(s.startWaiters.Load()) }
 
 // UnderWay is how many turns and calls a service works on.
-func (s *Service) UnderWay() int64 { return s.underWay.Load() }
+func (s *Service) UnderWay() int64 { return s.inProgress.Load() }
 
 // Waits of a service that stories let pass.
 const (
-	FirstBackoff        = firstBackoff
-	MostBackoff         = mostBackoff
-	KeyedRefusalTimeout = keyedRefusalTimeout
-	HeartbeatWindow     = heartbeatWindow
-	ArmReportInterval   = armReportInterval
-	SampleInterval      = sampleInterval
-	SampleTimeout       = sampleTimeout
-	ShareTick           = shareTick
-	ShareInterval       = shareInterval
+	FirstBackoff          = firstBackoff
+	MaxBackoff            = maxBackoff
+	KeyedRejectionTimeout = keyedRejectionTimeout
+	HeartbeatWindow       = heartbeatWindow
+	VariantReportInterval = variantReportInterval
+	SampleInterval        = sampleInterval
+	SampleTimeout         = sampleTimeout
+	ShareTick             = shareTick
+	ShareInterval         = shareInterval
 	// AnswerWithin is far above the time in which the rig's routes should be answered.
 	AnswerWithin = time.Second
 )
 
-// RefusedVersionLife is how long a server's word that it has not a version goes before its announcement.
-const RefusedVersionLife = refusedVersionLife
+// RejectedVersionTTL is how long a server's word that it has not a version goes before its announcement.
+const RejectedVersionTTL = rejectedVersionTTL
 
 // ShallowCopy gives a request whose own fields may be changed.
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
 func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.ask(func() { waiting = service.admission.lane(group).queue.WaitingInAll() })
+	service.admission.do(func() { waiting = service.admission.limiter(group).queue.WaitingInAll() })
 	return waiting
 }
 
 // WaitingSteps is how many generations of training steps wait for a place.
 func WaitingSteps(service *Service) (waiting int) {
-	service.admission.ask(func() { waiting = len(service.admission.steps.waiting) })
+	service.admission.do(func() { waiting = len(service.admission.gates.waiting) })
 	return waiting
 }
--- a/internal/dataplane/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -82,7 +82,7 @@
 	forgotten   map[string]int
 	incarnation uint64
 	revoked     atomic.Bool
-	refuse      error
+	beginError  error
 	// resolving, when set, is called while an owner is looked up.
 	resolving func()
 }
@@ -103,8 +103,8 @@
 func (o *fakeOwnership) Begin(string, string) (front.Grant, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.refuse != nil {
-		return nil, o.refuse
+	if o.beginError != nil {
+		return nil, o.beginError
 	}
 	return &fakeGrant{ownership: o, incarnation: o.incarnation}, nil
 }
--- a/internal/dataplane/front/fuzz_routes_test.go
+++ b/internal/dataplane/front/fuzz_routes_test.go
@@ -30,12 +30,12 @@
 		if !bytes.HasPrefix(stream, passed) {
 			t.Fatalf("%q was passed on of %q", passed, stream)
 		}
-		whole := errors.Is(err, io.EOF)
-		if whole && len(passed) != len(stream) {
+		complete := errors.Is(err, io.EOF)
+		if complete && len(passed) != len(stream) {
 			t.Fatalf("%q looks whole although %q is missing", passed, stream[len(passed):])
 		}
 		for at, event := range events {
-			last := whole && at == len(events)-1
+			last := complete && at == len(events)-1
 			if !bytes.HasSuffix(event, []byte("\n")) || len(bytes.TrimRight(event, "\r\n")) == 0 && !last {
 				t.Fatalf("event %d is %q", at, event)
 			}
@@ -45,7 +45,7 @@
 		}
 		// How the bytes arrive makes no difference.
 		again, _, err := front.ReadStreamEvents(iotest.OneByteReader(bytes.NewReader(stream)))
-		if len(stream) < 4*front.StreamBufferBytes && (!bytes.Equal(bytes.Join(again, []byte("|")), bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != whole) {
+		if len(stream) < 4*front.StreamBufferBytes && (!bytes.Equal(bytes.Join(again, []byte("|")), bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != complete) {
 			t.Fatalf("byte by byte %q gave %q, in one piece %q", stream, again, events)
 		}
 	})
@@ -69,12 +69,12 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		prompt, most := front.TokenUsage(text)
-		if prompt > 1<<31-1 || most > 1<<31-1 {
-			t.Fatalf("%q gave %d, %d", text, prompt, most)
+		prompt, maxOutput := front.TokenUsage(text)
+		if prompt > 1<<31-1 || maxOutput > 1<<31-1 {
+			t.Fatalf("%q gave %d, %d", text, prompt, maxOutput)
 		}
-		if againPrompt, againMost := front.TokenUsage(fmt.Sprintf("%d,%d", prompt, most)); againPrompt != prompt || againMost != most {
-			t.Fatalf("%d,%d was read as %d,%d", prompt, most, againPrompt, againMost)
+		if againPrompt, againMaxOutput := front.TokenUsage(fmt.Sprintf("%d,%d", prompt, maxOutput)); againPrompt != prompt || againMaxOutput != maxOutput {
+			t.Fatalf("%d,%d was read as %d,%d", prompt, maxOutput, againPrompt, againMaxOutput)
 		}
 	})
 }
--- a/internal/dataplane/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -23,7 +23,7 @@
 	link := &fakeLink{view: r.view, core: func(*protocol.Request) (*protocol.Response, error) {
 		return nil, failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "none")
 	}}
-	ownership := &fakeOwnership{self: "f1", refuse: failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "busy")}
+	ownership := &fakeOwnership{self: "f1", beginError: failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "busy")}
 	service := front.New(front.Options{
 		Self: &protocol.Node{Name: "f1"}, Link: link, Ledger: r.ledger, Ownership: ownership,
 		Caller: r.network, Logger: log.New(io.Discard),
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -63,15 +63,15 @@
 func provideLedger(lifecycle fx.Lifecycle, process *daemon.Process, caller wire.Caller, link *corelink.Link) *ledgerclient.Client {
 	client := ledgerclient.New(caller, link.View, ledgerclient.Options{Self: process.Self})
 	ctx, cancel := context.WithCancel(context.Background())
-	var probes sync.WaitGroup
+	var running sync.WaitGroup
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			probes.Go(func() { client.Run(ctx) })
+			running.Go(func() { client.Run(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
 			cancel()
-			probes.Wait()
+			running.Wait()
 			return nil
 		},
 	})
@@ -79,11 +79,11 @@
 }
 
 func provideService(process *daemon.Process, link *corelink.Link, ledger *ledgerclient.Client, manager *ownership.Manager,
-	caller wire.Caller, words dialect.Dialect, sockets Sockets, logger *log.Logger, registerer prometheus.Registerer,
+	caller wire.Caller, routeDialect dialect.Dialect, sockets Sockets, logger *log.Logger, registerer prometheus.Registerer,
 ) *Service {
 	return New(Options{
 		Self: process.Self, Link: link, Ledger: ledger, Ownership: grantingManager{manager}, Caller: caller,
-		Dialect: words, DialBackEnd: sockets.Dial,
+		Dialect: routeDialect, DialBackEnd: sockets.Dial,
 		Logger: logger, Registerer: registerer,
 	})
 }
@@ -101,15 +101,15 @@
 }
 
 func run(lifecycle fx.Lifecycle, settings *protocol.FrontSettings, service *Service, manager *ownership.Manager,
-	link *corelink.Link, process *daemon.Process, engine *gin.Engine, words dialect.Dialect, sockets Sockets, logger *log.Logger,
+	link *corelink.Link, process *daemon.Process, engine *gin.Engine, routeDialect dialect.Dialect, sockets Sockets, logger *log.Logger,
 ) {
 	service.Register(engine, settings.GetMaxBodyBytes())
 	process.Readiness.AddCheck(readyCondition, service.notReady)
-	listener := newRouteListener(settings.GetTrafficAddress(), &routeAPI{service: service, dialect: words}, sockets, logger)
+	listener := newRouteListener(settings.GetTrafficAddress(), &routeAPI{service: service, dialect: routeDialect}, sockets, logger)
 	process.OnDrain("front", func(ctx context.Context) error {
-		taken := listener.beginDrain(service.clock)
+		noticed := listener.beginDrain(service.clock)
 		drained := service.Drain(ctx)
-		return errors.CombineErrors(drained, listener.drain(ctx, taken))
+		return errors.CombineErrors(drained, listener.drain(ctx, noticed))
 	})
 	lifecycle.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
--- a/internal/dataplane/front/group_models.go
+++ b/internal/dataplane/front/group_models.go
@@ -12,9 +12,9 @@
 // groupModels hold what this front node learned of the servers of each group:
 // what they keep in their caches, what they have still to read, and how fast they are.
 type groupModels struct {
-	mutex  sync.Mutex
-	fronts int
-	groups map[string]*groupModel
+	mutex      sync.Mutex
+	frontNodes int
+	groups     map[string]*groupModel
 }
 
 // groupModel is the part of one group; it belongs to the mutex of groupModels.
@@ -35,33 +35,33 @@
 }
 
 func newGroupModels() *groupModels {
-	return &groupModels{fronts: 1, groups: make(map[string]*groupModel)}
+	return &groupModels{frontNodes: 1, groups: make(map[string]*groupModel)}
 }
 
 func (m *groupModels) group(name string) *groupModel {
-	held := m.groups[name]
-	if held == nil {
-		held = &groupModel{cache: promptcache.New(), servers: make(map[string]*serverModel)}
-		held.cache.SetFronts(m.fronts)
-		m.groups[name] = held
+	model := m.groups[name]
+	if model == nil {
+		model = &groupModel{cache: promptcache.New(), servers: make(map[string]*serverModel)}
+		model.cache.SetFronts(m.frontNodes)
+		m.groups[name] = model
 	}
-	return held
+	return model
 }
 
 func (g *groupModel) server(id string) *serverModel {
-	held := g.servers[id]
-	if held == nil {
-		held = &serverModel{}
-		g.servers[id] = held
+	model := g.servers[id]
+	if model == nil {
+		model = &serverModel{}
+		g.servers[id] = model
 	}
-	return held
+	return model
 }
 
 // update brings the models into line with the servers that there are.
 func (m *groupModels) update(servers *backEnds, fronts int, cacheTokens func(group string) uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.fronts = fronts
+	m.frontNodes = fronts
 	for name, model := range m.groups {
 		model.cache.SetFronts(fronts)
 		model.cache.Retain(func(server string) bool { return servers.byID[server] != nil })
@@ -75,88 +75,88 @@
 		}
 	}
 	for name, members := range servers.byGroup {
-		room := cacheTokens(name)
-		if room == 0 {
+		capacity := cacheTokens(name)
+		if capacity == 0 {
 			continue
 		}
 		model := m.group(name)
 		for _, server := range members {
 			if model.servers[server.id()] == nil {
 				model.server(server.id())
-				model.cache.Resize(server.id(), room)
+				model.cache.Resize(server.id(), capacity)
 			}
 		}
 	}
 }
 
-// reported takes a server's own word on its memory in.
-func (m *groupModels) reported(group, server string, used, total uint64) {
+// recordReport takes a server's own word on its memory in.
+func (m *groupModels) recordReport(group, server string, used, total uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
-	held := model.server(server)
-	held.waitingAtReport = held.waiting
+	load := model.server(server)
+	load.waitingAtReport = load.waiting
 	if total > 0 {
 		model.cache.Resize(server, total-min(total, used))
 	}
 }
 
-// toldLoad notes that a server told its load with an answer.
-func (m *groupModels) toldLoad(group, server string) {
+// recordAnswerLoad notes that a server told its load with an answer.
+func (m *groupModels) recordAnswerLoad(group, server string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.group(group).server(server)
-	held.waitingAtReport = held.waiting
+	load := m.group(group).server(server)
+	load.waitingAtReport = load.waiting
 }
 
-// complete adds to a decision what is known of its prompt and of the candidates.
-func (m *groupModels) complete(request *schedule.Request, group string, prompt promptcache.Prompt, candidates []schedule.Candidate, now time.Time) {
+// annotate adds to a decision what is known of its prompt and of the candidates.
+func (m *groupModels) annotate(request *schedule.Request, group string, prompt promptcache.Prompt, candidates []schedule.Candidate, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
 	for at := range candidates {
 		candidate := &candidates[at]
-		held := model.server(candidate.ID)
-		candidate.Waiting, candidate.PendingTokens = held.waiting, held.pendingTokens
-		candidate.WaitingAtReport = held.waitingAtReport
+		load := model.server(candidate.ID)
+		candidate.Waiting, candidate.PendingTokens = load.waiting, load.pendingTokens
+		candidate.WaitingAtReport = load.waitingAtReport
 		candidate.CachedTokens = model.cache.Cached(candidate.ID, prompt)
-		candidate.Slowness = held.slowness.Factor(now)
+		candidate.Slowness = load.slowness.Factor(now)
 	}
 	request.Profile = model.profile.Profile()
 	request.PromptTokens, request.SharedTokens = prompt.Tokens(), model.cache.Shared(prompt)
 }
 
-// sentTurn is a turn on its way at a server.
-type sentTurn struct {
-	models   *groupModels
-	group    string
-	server   string
-	own      uint64
-	ahead    uint64
-	issuedAt time.Time
-	firstAt  time.Time
-	tokens   uint64
-	waiting  bool
+// issuedTurn is a turn on its way at a server.
+type issuedTurn struct {
+	models         *groupModels
+	group          string
+	server         string
+	uncachedTokens uint64
+	tokensAhead    uint64
+	issuedAt       time.Time
+	firstAt        time.Time
+	tokens         uint64
+	waiting        bool
 }
 
-// sent notes that a turn goes to a server.
-func (m *groupModels) sent(group, server string, prompt promptcache.Prompt, now time.Time) *sentTurn {
+// recordSent notes that a turn goes to a server.
+func (m *groupModels) recordSent(group, server string, prompt promptcache.Prompt, now time.Time) *issuedTurn {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
-	held := model.server(server)
+	load := model.server(server)
 	own := prompt.Tokens() - model.cache.Cached(server, prompt)
-	issued := &sentTurn{
-		models: m, group: group, server: server, own: own, ahead: held.pendingTokens, issuedAt: now, waiting: true,
+	issued := &issuedTurn{
+		models: m, group: group, server: server, uncachedTokens: own, tokensAhead: load.pendingTokens, issuedAt: now, waiting: true,
 	}
 	model.cache.Sent(server, prompt, now)
-	held.waiting++
-	held.pendingTokens += own
+	load.waiting++
+	load.pendingTokens += own
 	return issued
 }
 
-// sentStep notes that the prompt of a generation of a training step goes to a server, and gives how much of it is cached there.
-func (m *groupModels) sentStep(group, server string, prompt promptcache.Prompt, now time.Time) (cached uint64) {
+// recordStepSent notes that the prompt of a generation of a training step goes to a server, and gives how much of it is cached there.
+func (m *groupModels) recordStepSent(group, server string, prompt promptcache.Prompt, now time.Time) (cached uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -165,8 +165,8 @@
 	return cached
 }
 
-// firstToken notes that the server has begun to generate.
-func (t *sentTurn) firstToken(now time.Time) {
+// recordFirstToken notes that the server has begun to generate.
+func (t *issuedTurn) recordFirstToken(now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -174,28 +174,28 @@
 	t.firstAt = now
 	model := m.group(t.group)
 	took := now.Sub(t.issuedAt)
-	model.server(t.server).slowness.Observe(model.profile.Profile().FirstToken(t.own+t.ahead), took, now)
-	model.profile.ObserveFirstToken(t.own, t.ahead, took)
+	model.server(t.server).slowness.Observe(model.profile.Profile().FirstToken(t.uncachedTokens+t.tokensAhead), took, now)
+	model.profile.ObserveFirstToken(t.uncachedTokens, t.tokensAhead, took)
 }
 
 // stopWaiting needs the models' mutex.
-func (t *sentTurn) stopWaiting() {
+func (t *issuedTurn) stopWaiting() {
 	if !t.waiting {
 		return
 	}
 	t.waiting = false
-	held := t.models.group(t.group).server(t.server)
-	held.waiting -= min(held.waiting, 1)
-	held.pendingTokens -= min(held.pendingTokens, t.own)
+	load := t.models.group(t.group).server(t.server)
+	load.waiting -= min(load.waiting, 1)
+	load.pendingTokens -= min(load.pendingTokens, t.uncachedTokens)
 }
 
-// ended notes the end of the turn at the server; whole says that all of its output came.
-func (t *sentTurn) ended(whole bool, now time.Time) {
+// finish notes the end of the turn at the server; whole says that all of its output came.
+func (t *issuedTurn) finish(complete bool, now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	t.stopWaiting()
-	if !whole || t.firstAt.IsZero() {
+	if !complete || t.firstAt.IsZero() {
 		return
 	}
 	model := m.group(t.group)
@@ -204,8 +204,8 @@
 	model.profile.ObserveOutput(t.tokens, passed)
 }
 
-// called notes how long a call without a prompt took at a server.
-func (m *groupModels) called(group, server string, took time.Duration, now time.Time) {
+// recordCall notes how long a call without a prompt took at a server.
+func (m *groupModels) recordCall(group, server string, took time.Duration, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -213,8 +213,8 @@
 	model.profile.ObserveService(took)
 }
 
-// promptOf gives the parts of a request's prompt as servers cache them.
-func promptOf(routed *protocol.HttpRequest) promptcache.Prompt {
+// requestPrompt gives the parts of a request's prompt as servers cache them.
+func requestPrompt(routed *protocol.HttpRequest) promptcache.Prompt {
 	parts := routed.GetPromptParts()
 	if len(parts) == 0 {
 		return nil
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -13,9 +13,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// keyedRefusalTimeout bounds the ledger's part in the refusal of a request that
+// keyedRejectionTimeout bounds the ledger's part in the refusal of a request that
 // was not taken in or found no room: a final answer does not wait longer for its proof.
-const keyedRefusalTimeout = 40 * time.Millisecond
+const keyedRejectionTimeout = 40 * time.Millisecond
 
 // api is the HTTP surface towards callers and back ends.
 type api struct {
@@ -66,7 +66,7 @@
 		return nil, false, nil, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().armOf(request.GetProgram())
+	decided := a.service.policies.Load().variantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, nil, err
@@ -78,8 +78,8 @@
 	if err := a.findConversation(c, request); err != nil {
 		return nil, false, nil, err
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.share.Load()); limited != nil {
-		return nil, false, nil, a.refuseEarly(c, request, limited)
+	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+		return nil, false, nil, a.rejectEarly(c, request, limited)
 	}
 	return request, stream, policy, nil
 }
@@ -99,35 +99,35 @@
 		return failure.New(failure.TurnMissing, protocol.Outcome_NOT_RUN, "the turn is not kept",
 			failure.WithPath("previous_response_id"))
 	default:
-		return a.refuseEarly(c, request, failure.From(ledgerUnavailable()))
+		return a.rejectEarly(c, request, failure.From(ledgerUnavailable()))
 	}
 }
 
-func (a *api) tenant(c *gin.Context, decided arm) (*protocol.TenantPolicy, error) {
+func (a *api) tenant(c *gin.Context, decided variant) (*protocol.TenantPolicy, error) {
 	if decided.Bundle() == nil {
 		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(time.Second))
 	}
 	return tenantOf(c.Request.Header, decided)
 }
 
-// refuseEarly refuses a turn before an owner has seen it. A request that may be
+// rejectEarly refuses a turn before an owner has seen it. A request that may be
 // a repeat of one that ran is refused as not run only with the ledger's word.
-func (a *api) refuseEarly(c *gin.Context, request *protocol.TurnRequest, f *protocol.Failure) error {
+func (a *api) rejectEarly(c *gin.Context, request *protocol.TurnRequest, f *protocol.Failure) error {
 	if request.GetFirstSend() {
 		return &failure.Error{Failure: f}
 	}
 	decided := make(chan error, 1)
 	a.service.runs.Go(func() {
-		decided <- a.service.refuseTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
-			kept := failure.New(failure.RateLimited, protocol.Outcome_RAN, "the request ran before; read its turn",
+		decided <- a.service.rejectTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
+			alreadyRan := failure.New(failure.RateLimited, protocol.Outcome_RAN, "the request ran before; read its turn",
 				failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
-			return kept
+			return alreadyRan
 		})
 	})
 	select {
 	case err := <-decided:
 		return err
-	case <-a.service.clock.After(keyedRefusalTimeout):
+	case <-a.service.clock.After(keyedRejectionTimeout):
 		return failure.New(failure.Code(f.GetCode()), protocol.Outcome_UNKNOWN, f.GetMessage(),
 			failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
 	}
@@ -140,7 +140,7 @@
 		tokens += uint64(event.GetDelta().GetTokens())
 		return stream.send(event)
 	})
-	a.service.admission.chargeTenant(policy, *a.service.share.Load(), tokens)
+	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	endStream(c, stream, err)
 }
 
@@ -165,7 +165,7 @@
 		last = event
 		return nil
 	})
-	a.service.admission.chargeTenant(policy, *a.service.share.Load(), tokens)
+	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	switch {
 	case err != nil:
 		writeError(c, err)
@@ -213,7 +213,7 @@
 		return nil, false, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().armOf(request.GetProgram())
+	decided := a.service.policies.Load().variantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, err
@@ -226,8 +226,8 @@
 	if route.GetNonRepeatable() && c.GetHeader(headerIdempotency) == "" {
 		return nil, false, missingField(headerIdempotency)
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.share.Load()); limited != nil {
-		_, err := a.service.refuseCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
+	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
 		return nil, false, err
 	}
 	return request, route.GetNonRepeatable(), nil
--- a/internal/dataplane/front/http_backends.go
+++ b/internal/dataplane/front/http_backends.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxBackEndNames = 1024
-	drainTimeoutAll = 30 * time.Second
-	explainTimeout  = time.Second
-	explainFanOut   = 16
-	coreRetry       = time.Second
+	maxBackEndNames      = 1024
+	drainTimeoutAll      = 30 * time.Second
+	explainTimeout       = time.Second
+	maxConcurrentQueries = 16
+	coreRetry            = time.Second
 )
 
 // heartbeatBody is the body of POST /v1/backends/heartbeat.
@@ -114,7 +114,7 @@
 
 // coreFailure words an error of the way to the core; such requests may be sent again.
 func coreFailure(err error) error {
-	f := failureOf(err)
+	f := forwardingFailure(err)
 	if f.GetOutcome() == protocol.Outcome_NOT_RUN {
 		return &failure.Error{Failure: f}
 	}
@@ -153,15 +153,15 @@
 // getExplanation gathers what the front nodes know of a request.
 func (a *api) getExplanation(c *gin.Context) {
 	id := c.Param("id")
-	found := a.service.explanations.of(id)
+	explanations := a.service.explanations.find(id)
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), explainTimeout)
 	defer cancel()
-	found = append(found, a.service.askPeers(ctx, id, found)...)
-	if len(found) == 0 {
+	explanations = append(explanations, a.service.queryPeers(ctx, id, explanations)...)
+	if len(explanations) == 0 {
 		writeError(c, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "no front node remembers the request", failure.WithPath("request_id")))
 		return
 	}
-	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(&protocol.ExplainResponse{Explanations: found})
+	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(&protocol.ExplainResponse{Explanations: explanations})
 	if err != nil {
 		writeError(c, err)
 		return
@@ -169,14 +169,14 @@
 	c.Data(http.StatusOK, "application/json", text)
 }
 
-// askPeers asks the owners named by what is known here, or every front node when nothing is.
-func (s *Service) askPeers(ctx context.Context, id string, known []*protocol.Explanation) []*protocol.Explanation {
+// queryPeers asks the owners named by what is known here, or every front node when nothing is.
+func (s *Service) queryPeers(ctx context.Context, id string, known []*protocol.Explanation) []*protocol.Explanation {
 	peers := s.peersFor(known)
 	answers := make([][]*protocol.Explanation, len(peers))
-	slots := make(chan struct{}, explainFanOut)
-	var asked sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentQueries)
+	var queries sync.WaitGroup
 	for at, address := range peers {
-		asked.Go(func() {
+		queries.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			response, err := s.caller.Call(ctx, address, &protocol.Request{Body: &protocol.Request_Explain{
@@ -187,7 +187,7 @@
 			}
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 	return slices.Concat(answers...)
 }
 
--- a/internal/dataplane/front/http_issue.go
+++ b/internal/dataplane/front/http_issue.go
@@ -25,8 +25,8 @@
 }
 
 // newRouteClient makes a client that connects by dial; nil stands for TCP.
-func newRouteClient(words dialect.Dialect, clock Clock, models *groupModels, dial dialFunc) *routeClient {
-	return &routeClient{dialect: words, clock: clock, models: models, pool: serverconn.New(serverconn.Options{Now: clock.Now, Dial: dial})}
+func newRouteClient(routeDialect dialect.Dialect, clock Clock, models *groupModels, dial dialFunc) *routeClient {
+	return &routeClient{dialect: routeDialect, clock: clock, models: models, pool: serverconn.New(serverconn.Options{Now: clock.Now, Dial: dial})}
 }
 
 // routedRequest is one send of a request to one server.
@@ -37,7 +37,7 @@
 	body      []byte
 	deadline  time.Time
 	// pin is set for a turn of a training step: the server must have that version.
-	pin *stepPin
+	pin *versionPin
 }
 
 // send issues a request once. The answer is one that the server gave to this very request.
@@ -58,9 +58,9 @@
 		}
 		return nil, &backEndError{fault: fault, detail: err.Error(), blameless: fault == turn.FaultNotSent && ctx.Err() != nil}
 	}
-	fault := c.faultOf(response, request.requestID)
+	fault := c.checkAnswer(response, request.requestID)
 	if fault == nil || fault.fault == turn.FaultUnavailable {
-		c.noteLoad(request.server, response.Header)
+		c.applyAnswerLoad(request.server, response.Header)
 	}
 	if fault != nil {
 		if request.pin != nil && response.Status == http.StatusMisdirectedRequest && fault.fault == turn.FaultUnavailable {
@@ -71,18 +71,18 @@
 	return response, nil
 }
 
-// noteLoad takes in the load that a server tells with an answer to a request of ours.
-func (c *routeClient) noteLoad(server *backEnd, header http.Header) {
+// applyAnswerLoad takes in the load that a server tells with an answer to a request of ours.
+func (c *routeClient) applyAnswerLoad(server *backEnd, header http.Header) {
 	if c.dialect.ServerLoad == "" {
 		return
 	}
-	load, told := dialect.DecodeLoad(header.Get(c.dialect.ServerLoad))
-	if !told {
+	load, reported := dialect.DecodeLoad(header.Get(c.dialect.ServerLoad))
+	if !reported {
 		return
 	}
-	server.tellsLoad.Store(true)
-	server.takeLoad(load, c.clock.Now())
-	c.models.toldLoad(server.description.Load().GetGroup(), server.id())
+	server.answersCarryLoad.Store(true)
+	server.applyLoad(load, c.clock.Now())
+	c.models.recordAnswerLoad(server.description.Load().GetGroup(), server.id())
 }
 
 // headers are those of the caller with those of the front node, whose words stand in place of the caller's.
@@ -129,18 +129,18 @@
 	return strconv.Itoa(int(min(firstServerRank+rankStep*rank, lastServerRank)))
 }
 
-// faultOf reads the answers by which a server says that it did not run the
+// checkAnswer reads the answers by which a server says that it did not run the
 // request, and finds those that are no answer to it. The exchange is ended then.
-func (c *routeClient) faultOf(response *serverconn.Response, requestID string) *backEndError {
+func (c *routeClient) checkAnswer(response *serverconn.Response, requestID string) *backEndError {
 	header := response.Header
-	refused := response.Status == http.StatusMisdirectedRequest || header.Get(c.dialect.NotExecuted) != ""
+	rejected := response.Status == http.StatusMisdirectedRequest || header.Get(c.dialect.NotExecuted) != ""
 	echoed := header.Get(c.dialect.RequestID)
 	// A refusal may carry no id; one with another id speaks of another request.
-	if echoed != requestID && (echoed != "" || !refused) {
+	if echoed != requestID && (echoed != "" || !rejected) {
 		response.Discard()
 		return &backEndError{fault: turn.FaultMismatch, detail: "the answer belongs to request " + strconv.Quote(echoed)}
 	}
-	if refused {
+	if rejected {
 		detail := "the server refused with status " + strconv.Itoa(response.Status)
 		_, _ = response.ReadAll(maxFaultAnswerBytes)
 		response.Close()
@@ -192,8 +192,8 @@
 	return turn.CallDone{Status: status, Body: body, Headers: headers}, nil
 }
 
-// forgetGone closes the resting connections to servers that are in the view no more.
-func (c *routeClient) forgetGone(former, current *backEnds) {
+// forgetRemoved closes the resting connections to servers that are in the view no more.
+func (c *routeClient) forgetRemoved(former, current *backEnds) {
 	for id, server := range former.byID {
 		if current.byID[id] == nil {
 			c.pool.Forget(server.description.Load().GetAddress())
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -16,7 +16,7 @@
 )
 
 // resumeDeadline bounds how long a resumed stream may last.
-const resumeDeadline = longestDeadline
+const resumeDeadline = maxDeadline
 
 // readQuery is what GET /v1/responses/{id} asks for.
 type readQuery struct {
@@ -74,65 +74,65 @@
 		writeError(c, err)
 		return
 	}
-	policy, err := a.tenant(c, a.service.policies.Load().armOf(query.program))
+	policy, err := a.tenant(c, a.service.policies.Load().variantFor(query.program))
 	if err != nil {
 		writeError(c, err)
 		return
 	}
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), resumeDeadline)
 	defer cancel()
-	found, err := a.service.findTurn(ctx, query, policy.GetName())
+	current, err := a.service.findTurn(ctx, query, policy.GetName())
 	if err != nil {
 		writeError(c, err)
 		return
 	}
 	if query.stream {
-		a.resume(ctx, c, query, found)
+		a.resume(ctx, c, query, current)
 		return
 	}
-	if found.kept == nil {
+	if current.retained == nil {
 		c.JSON(http.StatusOK, responseObject{
-			ID: query.id, Object: responseKind, Status: statusInProgress, Conversation: found.session, Program: query.program,
-			Output: []outputMessage{}, Rosestand: provenance{RequestID: found.requestID},
+			ID: query.id, Object: responseKind, Status: statusInProgress, Conversation: current.session, Program: query.program,
+			Output: []outputMessage{}, Rosestand: provenance{RequestID: current.requestID},
 		})
 		return
 	}
-	c.JSON(http.StatusOK, keptObject(found.kept))
+	c.JSON(http.StatusOK, retainedObject(current.retained))
 }
 
-// foundTurn is a turn as the ledger knows it: kept, or under way in a session.
-type foundTurn struct {
-	kept      *protocol.Turn
+// ledgerTurn is a turn as the ledger knows it: kept, or under way in a session.
+type ledgerTurn struct {
+	retained  *protocol.Turn
 	session   string
 	requestID string
 }
 
 // findTurn looks a turn up in the ledger. It is missing only when the ledger's
 // majority says so after the program's record was read.
-func (s *Service) findTurn(ctx context.Context, query readQuery, tenant string) (foundTurn, error) {
+func (s *Service) findTurn(ctx context.Context, query readQuery, tenant string) (ledgerTurn, error) {
 	result := s.ledgerDo(ctx, &protocol.LedgerOperation{
 		Program: query.program, Body: &protocol.LedgerOperation_ReadProgram{ReadProgram: &protocol.ReadProgram{}},
 	})
 	switch {
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM,
 		result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && result.GetProgram().GetTenant() != tenant:
-		return foundTurn{}, failure.New(failure.UnknownProgram, protocol.Outcome_NOT_RUN, "the program is not known", failure.WithPath("program"))
+		return ledgerTurn{}, failure.New(failure.UnknownProgram, protocol.Outcome_NOT_RUN, "the program is not known", failure.WithPath("program"))
 	case result.GetStatus() != protocol.LedgerStatus_LEDGER_OK:
-		return foundTurn{}, ledgerUnavailable()
+		return ledgerTurn{}, ledgerUnavailable()
 	}
 	for _, open := range result.GetProgram().GetReservations() {
 		if turn.ID(query.program, open.GetRequestId()) == query.id {
-			return foundTurn{session: open.GetSession(), requestID: open.GetRequestId()}, nil
+			return ledgerTurn{session: open.GetSession(), requestID: open.GetRequestId()}, nil
 		}
 	}
-	kept, status := s.readTurn(ctx, query.program, query.id)
+	retained, status := s.readTurn(ctx, query.program, query.id)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
-		return foundTurn{kept: kept, session: kept.GetSession(), requestID: kept.GetRequestId()}, nil
+		return ledgerTurn{retained: retained, session: retained.GetSession(), requestID: retained.GetRequestId()}, nil
 	case protocol.LedgerStatus_LEDGER_TURN_MISSING:
-		return foundTurn{}, failure.New(failure.TurnMissing, protocol.Outcome_NOT_RUN, "the turn is not kept", failure.WithPath("id"))
+		return ledgerTurn{}, failure.New(failure.TurnMissing, protocol.Outcome_NOT_RUN, "the turn is not kept", failure.WithPath("id"))
 	default:
-		return foundTurn{}, ledgerUnavailable()
+		return ledgerTurn{}, ledgerUnavailable()
 	}
 }
 
@@ -143,31 +143,31 @@
 
 // resume streams a turn after the caller's last event: from its owner with the
 // numbers it had, or from the ledger as an attempt of its own.
-func (a *api) resume(ctx context.Context, c *gin.Context, query readQuery, found foundTurn) {
-	request := &protocol.TurnRequest{RequestId: found.requestID, Session: found.session, Program: query.program}
-	if found.kept != nil {
-		request.Model, request.PreviousTurn = found.kept.GetModel(), found.kept.GetPreviousTurn()
+func (a *api) resume(ctx context.Context, c *gin.Context, query readQuery, current ledgerTurn) {
+	request := &protocol.TurnRequest{RequestId: current.requestID, Session: current.session, Program: query.program}
+	if current.retained != nil {
+		request.Model, request.PreviousTurn = current.retained.GetModel(), current.retained.GetPreviousTurn()
 	}
 	stream := newEventStream(c.Writer, request)
 	stream.last = query.after
 	stream.view.created = &protocol.TurnCreated{
-		TurnId: query.id, RequestId: found.requestID, BackEnd: found.kept.GetBackEnd(), Epoch: found.kept.GetEpoch(),
+		TurnId: query.id, RequestId: current.requestID, BackEnd: current.retained.GetBackEnd(), Epoch: current.retained.GetEpoch(),
 	}
 	stream.begin()
 	if err := stream.controller.Flush(); err != nil {
 		return
 	}
 	relayed := &relay{
-		service: a.service, request: request, deliver: stream.send, at: query.after,
-		explanation: a.service.explanations.begin(found.requestID, found.session, query.program),
+		service: a.service, request: request, deliver: stream.send, position: query.after,
+		explanation: a.service.explanations.begin(current.requestID, current.session, query.program),
 	}
-	relayed.explanation.step("resumed", fmtCursor(query.after))
-	err := a.service.resumeFromOwner(ctx, relayed, query, found)
-	if err == nil || relayed.gone != nil || ctx.Err() != nil {
+	relayed.explanation.recordStep("resumed", fmtCursor(query.after))
+	err := a.service.resumeFromOwner(ctx, relayed, query, current)
+	if err == nil || relayed.deliveryError != nil || ctx.Err() != nil {
 		endStream(c, stream, err)
 		return
 	}
-	endStream(c, stream, a.resumeFromLedger(ctx, relayed, query, found, err))
+	endStream(c, stream, a.resumeFromLedger(ctx, relayed, query, current, err))
 }
 
 func fmtCursor(at cursor) string {
@@ -175,21 +175,21 @@
 }
 
 // resumeFromOwner follows the turn at the front node that owns its session.
-func (s *Service) resumeFromOwner(ctx context.Context, r *relay, query readQuery, found foundTurn) error {
-	owner, err := s.ownership.Resolve(ctx, found.session, query.program)
+func (s *Service) resumeFromOwner(ctx context.Context, r *relay, query readQuery, current ledgerTurn) error {
+	owner, err := s.ownership.Resolve(ctx, current.session, query.program)
 	if err != nil {
 		return err
 	}
 	if owner.Local {
-		live := s.sessions.turnOf(sessionKey{session: found.session, program: query.program}, query.id)
+		live := s.sessions.findTurn(sessionKey{session: current.session, program: query.program}, query.id)
 		if live == nil {
 			return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 		}
-		return live.follow(ctx, query.after, r.pass)
+		return live.follow(ctx, query.after, r.forward)
 	}
 	stream, err := s.caller.Open(ctx, owner.Address, &protocol.Request{Body: &protocol.Request_ResumeTurn{
 		ResumeTurn: &protocol.ResumeTurnRequest{
-			TurnId: query.id, Program: query.program, Session: found.session,
+			TurnId: query.id, Program: query.program, Session: current.session,
 			LastAttempt: query.after.attempt, StartingAfter: query.after.sequence,
 		},
 	}})
@@ -202,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.pass(response.GetTurnEvent()); err != nil || r.done {
+		if err := r.forward(response.GetTurnEvent()); err != nil || r.done {
 			return err
 		}
 	}
@@ -210,16 +210,16 @@
 
 // resumeFromLedger replays a kept turn. A turn that is still open in the ledger
 // but unknown to its owner is about to end; the caller is told to come back.
-func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, found foundTurn, cause error) error {
-	kept := found.kept
-	if kept == nil {
+func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, current ledgerTurn, cause error) error {
+	retained := current.retained
+	if retained == nil {
 		read, status := a.service.readTurn(ctx, query.program, query.id)
 		if status != protocol.LedgerStatus_LEDGER_OK {
-			f := failureOf(cause)
+			f := forwardingFailure(cause)
 			return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the turn cannot be followed now: "+f.GetMessage(),
 				failure.WithRetryAfter(time.Second))
 		}
-		kept = read
+		retained = read
 	}
-	return r.deliverKept(kept)
+	return r.deliverRetained(retained)
 }
--- a/internal/dataplane/front/http_steps_test.go
+++ b/internal/dataplane/front/http_steps_test.go
@@ -13,21 +13,21 @@
 
 var _ = Describe("a front node asked for a training step", func() {
 	var (
-		r        *rig
-		f1       *node
-		answered *protocol.LedgerResult
-		asked    []*protocol.LedgerOperation
+		r          *rig
+		f1         *node
+		answered   *protocol.LedgerResult
+		operations []*protocol.LedgerOperation
 	)
 
 	BeforeEach(func() {
 		r = newRig()
 		f1 = r.front("f1")
-		asked = nil
+		operations = nil
 		r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 			if operation.GetTraceTrainingStep() == nil {
 				return nil
 			}
-			asked = append(asked, operation)
+			operations = append(operations, operation)
 			return answered
 		}
 	})
@@ -45,9 +45,9 @@
 			"pin":{"step":"run 3/17","model":"m","weight_version":"4","pinned_by":"f2","pinned_at_millis":"1800000000000"},
 			"programs":[{"program":"p","tenant":"t","membership":{"step":"run 3/17","weight_version":"4",
 				"generations":[{"weight_version":"4","completed":"2"},{"weight_version":"5","discarded":"1"}]}}]}`))
-		Expect(asked).To(HaveLen(1))
-		Expect(asked[0].GetTraceTrainingStep().GetStep()).To(Equal("run 3/17"))
-		Expect(ledger.Validate(asked[0])).To(Succeed())
+		Expect(operations).To(HaveLen(1))
+		Expect(operations[0].GetTraceTrainingStep().GetStep()).To(Equal("run 3/17"))
+		Expect(ledger.Validate(operations[0])).To(Succeed())
 	})
 
 	It("says so when the step is not known", func() {
--- a/internal/dataplane/front/http_stream.go
+++ b/internal/dataplane/front/http_stream.go
@@ -107,8 +107,8 @@
 	var event []byte
 	lineStart, filled := 0, false
 	for {
-		piece, err := s.reader.ReadSlice('\n')
-		event = append(event, piece...)
+		chunk, err := s.reader.ReadSlice('\n')
+		event = append(event, chunk...)
 		switch {
 		case len(event) > maxEventBytes:
 			return nil, &largeEventError{}
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -50,16 +50,16 @@
 		return nil, err
 	}
 	routed := request.GetHttp()
-	arm := s.policies.Load().armOf(request.GetProgram())
+	decided := s.policies.Load().variantFor(request.GetProgram())
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
 	live := newLiveTurn(request, request.GetRequestId(), cancel)
-	run := s.newTurnRun(ctx, request, live, grant, key, arm, route, deadline)
-	run.freed = true
+	run := s.newTurnRun(ctx, request, live, grant, key, decided, route, deadline)
+	run.sessionFreed = true
 	run.machine = turn.New(turn.Parameters{
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-		Budget: routedBudget(request), ReservationLimit: routedCeiling(request),
+		Budget: routedBudget(request), ReservationLimit: routedReservationLimit(request),
 		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
 		BundleVersion: routed.GetBundleVersion(), Attempts: routedSends,
 	})
@@ -67,21 +67,21 @@
 	return live, nil
 }
 
-// routedCeiling is the most tokens that a turn may pass on, in whole events.
-func routedCeiling(request *protocol.TurnRequest) uint64 {
-	most := uint64(request.GetMaxOutputTokens())
-	if most == 0 {
-		most = defaultMaxOutputTokens
+// routedReservationLimit is the most tokens that a turn may pass on, in whole events.
+func routedReservationLimit(request *protocol.TurnRequest) uint64 {
+	maxTokens := uint64(request.GetMaxOutputTokens())
+	if maxTokens == 0 {
+		maxTokens = defaultMaxOutputTokens
 	}
 	event := uint64(max(request.GetHttp().GetEventTokens(), 1))
-	return (most + event - 1) / event * event
+	return (maxTokens + event - 1) / event * event
 }
 
 // issueHTTP sends a turn of an HTTP route to the server chosen; its answer is read by receive.
 func (r *turnRun) issueHTTP(command turn.Issue) turn.Event {
 	r.issuedAt = r.now()
-	r.explanation.step("issued", command.BackEnd)
-	r.noteSent(command.MaxTokens)
+	r.explanation.recordStep("issued", command.BackEnd)
+	r.recordSent(command.MaxTokens)
 	response, err := r.service.routes.send(r.ctx, routedRequest{
 		server: r.server, requestID: r.request.GetRequestId(), http: r.request.GetHttp(),
 		body: joinItems(command.Items), deadline: r.deadline, pin: r.pin,
@@ -98,18 +98,18 @@
 	return nil
 }
 
-// noteSent tells the group's model that the turn goes to its server. A generation of a step counts by itself.
-func (r *turnRun) noteSent(mostTokens uint64) {
-	group, prompt := r.route.GetGroup(), promptOf(r.request.GetHttp())
+// recordSent tells the group's model that the turn goes to its server. A generation of a step counts by itself.
+func (r *turnRun) recordSent(maxTokens uint64) {
+	group, prompt := r.route.GetGroup(), requestPrompt(r.request.GetHttp())
 	if r.pin == nil {
 		r.server.inFlight.Add(1)
-		r.awaited = r.server.outcomes.await(answerWithin(r.request.GetHttp(), turnPatienceFactor), r.issuedAt)
-		r.sent = r.service.models.sent(group, r.server.id(), prompt, r.issuedAt)
+		r.expected = r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), firstEventTimeoutFactor), r.issuedAt)
+		r.issued = r.service.models.recordSent(group, r.server.id(), prompt, r.issuedAt)
 		return
 	}
-	cached := r.service.models.sentStep(group, r.server.id(), prompt, r.issuedAt)
+	cached := r.service.models.recordStepSent(group, r.server.id(), prompt, r.issuedAt)
 	toRead := promptTokens(r.request.GetHttp(), prompt)
-	r.work = r.server.beginStep(toRead-min(toRead, cached), mostTokens)
+	r.work = r.server.beginStep(toRead-min(toRead, cached), maxTokens)
 }
 
 // joinItems puts the bytes of a conversation together, oldest first.
@@ -128,22 +128,22 @@
 // readHTTPHistory reads the conversation that a turn of an HTTP route continues:
 // from the owner's cache, from the program's part of the ledger, or from another program's.
 func (r *turnRun) readHTTPHistory(lastTurn string) turn.Event {
-	if held := r.service.sessions.historyOf(r.key, lastTurn); held.known {
-		r.history = held.items
-		return turn.HistoryRead{Items: held.items, Tokens: held.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
+	if history := r.service.sessions.findHistory(r.key, lastTurn); history.known {
+		r.history = history.items
+		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	found := r.service.readChain(r.ctx, r.key.program, lastTurn)
-	r.explanation.step("history read", found.status.String())
-	if found.status != protocol.LedgerStatus_LEDGER_OK {
-		return turn.HistoryRead{Status: found.status}
+	conversation := r.service.readChain(r.ctx, r.key.program, lastTurn)
+	r.explanation.recordStep("history read", conversation.status.String())
+	if conversation.status != protocol.LedgerStatus_LEDGER_OK {
+		return turn.HistoryRead{Status: conversation.status}
 	}
-	r.history = historyItems(found.turns)
-	foreign := found.program
+	r.history = historyItems(conversation.turns)
+	foreign := conversation.program
 	if foreign == r.key.program {
 		foreign = ""
 	}
 	return turn.HistoryRead{
-		Items: r.history, Tokens: found.turns[len(found.turns)-1].GetHistoryTokens(), Program: foreign, Status: found.status,
+		Items: r.history, Tokens: conversation.turns[len(conversation.turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.status,
 	}
 }
 
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -22,7 +22,7 @@
 	// routedWindow is the same for requests of HTTP routes, whose callers retry by themselves.
 	routedWindow = 1500 * time.Millisecond
 	firstBackoff = 20 * time.Millisecond
-	mostBackoff  = 500 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
 	// answerSlack is how much longer than the deadline an ingress waits to hear what became of a turn.
 	answerSlack = 3 * time.Second
 )
@@ -34,28 +34,28 @@
 	deadline    time.Time
 	deliver     func(*protocol.TurnEvent) error
 	explanation *explanation
-	at          cursor
+	position    cursor
 	// owner is the one tried last; empty when none was found.
 	owner directory.Owner
 	done  bool
-	// gone is set when the caller can take no more events.
-	gone error
+	// deliveryError is set when the caller can take no more events.
+	deliveryError error
 }
 
 // outOfOrderError says that a stream skipped, repeated or spliced events.
 type outOfOrderError struct {
-	at    cursor
-	event *protocol.TurnEvent
+	position cursor
+	event    *protocol.TurnEvent
 }
 
 func (e *outOfOrderError) Error() string {
-	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(), e.at.attempt, e.at.sequence)
+	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(), e.position.attempt, e.position.sequence)
 }
 
-// cutStreamError says that a stream ended before the turn did.
-type cutStreamError struct{}
+// truncatedStreamError says that a stream ended before the turn did.
+type truncatedStreamError struct{}
 
-func (e *cutStreamError) Error() string { return "the stream ended before the turn did" }
+func (e *truncatedStreamError) Error() string { return "the stream ended before the turn did" }
 
 // relayTurn serves a turn for a caller. Unless an error is returned, deliver
 // was given the turn's last event.
@@ -65,7 +65,7 @@
 		service: s, request: request, deliver: deliver, deadline: s.clock.Now().Add(left),
 		explanation: s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram()),
 	}
-	r.explanation.step("taken in", request.GetPriority().String())
+	r.explanation.recordStep("taken in", request.GetPriority().String())
 	err := r.run(ctx)
 	code := "ok"
 	if err != nil {
@@ -75,9 +75,9 @@
 	return err
 }
 
-// noteLost tells the directory why a session's owner could not be used.
-func (s *Service) noteLost(session string, owner directory.Owner, cause error) {
-	if owner.Local || owner.Address == "" || isNotTaken(cause) {
+// reportOwnerLost tells the directory why a session's owner could not be used.
+func (s *Service) reportOwnerLost(session string, owner directory.Owner, cause error) {
+	if owner.Local || owner.Address == "" || isNotAccepted(cause) {
 		s.ownership.Forget(session)
 		return
 	}
@@ -95,59 +95,59 @@
 // run tries owners until one answers. A request that is sent again carries the
 // same id, so that an owner or the ledger knows it.
 func (r *relay) run(ctx context.Context) error {
-	if refused := r.service.refuseCutOff(r.request); refused != nil {
-		r.explanation.step("not taken in", refused.GetMessage())
-		return r.service.refuseTurn(ctx, r.request, refused, r.deliverKept)
+	if rejection := r.service.rejectIsolated(r.request); rejection != nil {
+		r.explanation.recordStep("not taken in", rejection.GetMessage())
+		return r.service.rejectTurn(ctx, r.request, rejection, r.deliverRetained)
 	}
-	lastTry := r.service.clock.Now().Add(windowFor(r.request.GetHttp()))
-	if lastTry.After(r.deadline) {
-		lastTry = r.deadline
+	lastAttempt := r.service.clock.Now().Add(windowFor(r.request.GetHttp()))
+	if lastAttempt.After(r.deadline) {
+		lastAttempt = r.deadline
 	}
 	backoff := firstBackoff
 	for {
-		err := r.try(ctx)
+		err := r.attempt(ctx)
 		if r.done {
 			return nil
 		}
 		if err == nil {
-			err = &cutStreamError{}
+			err = &truncatedStreamError{}
 		}
-		if r.gone != nil || ctx.Err() != nil {
-			return errors.CombineErrors(r.gone, err)
+		if r.deliveryError != nil || ctx.Err() != nil {
+			return errors.CombineErrors(r.deliveryError, err)
 		}
-		r.explanation.step("not answered", err.Error())
-		if !r.mayTryAgain(err) || !r.service.clock.Now().Add(backoff).Before(lastTry) {
+		r.explanation.recordStep("not answered", err.Error())
+		if !r.isRetryable(err) || !r.service.clock.Now().Add(backoff).Before(lastAttempt) {
 			return r.giveUp(ctx, err)
 		}
-		r.service.noteLost(r.request.GetSession(), r.owner, err)
+		r.service.reportOwnerLost(r.request.GetSession(), r.owner, err)
 		select {
 		case <-r.service.clock.After(backoff):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		backoff = min(2*backoff, mostBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// try brings the turn to the owner of the moment.
-func (r *relay) try(ctx context.Context) error {
+// attempt brings the turn to the owner of the moment.
+func (r *relay) attempt(ctx context.Context) error {
 	r.owner = directory.Owner{}
 	owner, err := r.service.ownerOf(ctx, r.request.GetSession(), r.request.GetProgram())
 	if err != nil {
 		return err
 	}
 	r.owner = owner
-	r.noteOwner(owner)
+	r.recordOwner(owner)
 	left, err := r.service.millisUntil(r.deadline)
 	if err != nil {
 		return err
 	}
 	request := shallowCopy(r.request)
 	request.TimeLeftMillis = left
-	request.LastAttempt = r.at.attempt
+	request.LastAttempt = r.position.attempt
 	request.LookupViewVersion = owner.ViewVersion
 	err = r.serveBy(ctx, owner, request)
-	if isNotTaken(err) {
+	if isNotAccepted(err) {
 		// This owner's copy of the request never runs.
 		r.request.FirstSend = request.GetFirstSend()
 	}
@@ -182,11 +182,11 @@
 	}
 }
 
-func (r *relay) noteOwner(owner directory.Owner) {
-	r.explanation.note(func(record *protocol.Explanation) {
+func (r *relay) recordOwner(owner directory.Owner) {
+	r.explanation.update(func(record *protocol.Explanation) {
 		record.Owner, record.PartitionHolder = owner.Name, owner.PartitionHolder
 	})
-	r.explanation.step("owner found", fmt.Sprintf("%s, partition holder %s, view %d, cached %t",
+	r.explanation.recordStep("owner found", fmt.Sprintf("%s, partition holder %s, view %d, cached %t",
 		owner.Name, owner.PartitionHolder, owner.ViewVersion, owner.CacheHit))
 }
 
@@ -196,90 +196,90 @@
 		return err
 	}
 	r.request.FirstSend = false
-	return live.follow(ctx, r.at, r.pass)
+	return live.follow(ctx, r.position, r.forward)
 }
 
 func (r *relay) serveRemote(ctx context.Context, address string, request *protocol.TurnRequest) error {
 	r.service.metrics.forwarded.Inc()
 	stream, err := r.service.caller.Open(ctx, address, &protocol.Request{Body: &protocol.Request_Turn{Turn: request}})
 	if err != nil {
-		r.sent(err)
+		r.markPossiblySent(err)
 		return err
 	}
 	defer stream.Close()
 	for {
 		response, err := stream.Receive()
 		if errors.Is(err, io.EOF) {
-			err = &cutStreamError{}
+			err = &truncatedStreamError{}
 		}
 		if err != nil {
-			r.sent(err)
+			r.markPossiblySent(err)
 			return err
 		}
 		r.request.FirstSend = false
-		if err := r.pass(response.GetTurnEvent()); err != nil || r.done {
+		if err := r.forward(response.GetTurnEvent()); err != nil || r.done {
 			return err
 		}
 	}
 }
 
-// sent notes that another copy of the request may exist, unless the error shows that none does.
-func (r *relay) sent(err error) {
+// markPossiblySent notes that another copy of the request may exist, unless the error shows that none does.
+func (r *relay) markPossiblySent(err error) {
 	var notSent *wire.NotSentError
-	if errors.As(err, &notSent) || isNotTaken(err) {
+	if errors.As(err, &notSent) || isNotAccepted(err) {
 		return
 	}
 	r.request.FirstSend = false
 }
 
-// pass gives one event to the caller, unless it was given before.
-func (r *relay) pass(event *protocol.TurnEvent) error {
-	if r.at.seen(event) {
+// forward gives one event to the caller, unless it was given before.
+func (r *relay) forward(event *protocol.TurnEvent) error {
+	if r.position.seen(event) {
 		return nil
 	}
-	if !r.at.follows(event) {
-		return &outOfOrderError{at: r.at, event: event}
+	if !r.position.follows(event) {
+		return &outOfOrderError{position: r.position, event: event}
 	}
-	if f := event.GetFailed(); f != nil && isNotTakenFailure(f) && r.at == (cursor{}) {
+	if f := event.GetFailed(); f != nil && isNotAcceptedFailure(f) && r.position == (cursor{}) {
 		return &failure.Error{Failure: f}
 	}
 	if err := r.deliver(event); err != nil {
-		r.gone = err
+		r.deliveryError = err
 		return err
 	}
 	r.service.metrics.events.Inc()
-	r.at = cursor{attempt: event.GetAttempt(), sequence: event.GetSequence()}
+	r.position = cursor{attempt: event.GetAttempt(), sequence: event.GetSequence()}
 	r.done = isTerminal(event)
 	return nil
 }
 
-// mayTryAgain reports whether the turn may be brought to an owner again. One of
+// isRetryable reports whether the turn may be brought to an owner again. One of
 // an HTTP route goes again only when nobody took it.
-func (r *relay) mayTryAgain(err error) bool {
+func (r *relay) isRetryable(err error) bool {
 	if r.request.GetHttp() != nil {
 		var notSent *wire.NotSentError
-		return errors.As(err, &notSent) || isNotTaken(err)
+		return errors.As(err, &notSent) || isNotAccepted(err)
 	}
-	return mayTryAgain(err)
+	return isRetryable(err)
 }
 
-// mayTryAgain reports whether another owner, or the same one, may be asked.
+// isRetryable reports whether another owner, or the same one, may be asked.
 // The request's id keeps it from being run twice.
-func mayTryAgain(err error) bool {
+func isRetryable(err error) bool {
 	var notSent *wire.NotSentError
 	var broken *wire.BrokenError
-	var cut *cutStreamError
+	var truncated *truncatedStreamError
 	var order *outOfOrderError
-	return errors.As(err, &notSent) || errors.As(err, &broken) || errors.As(err, &cut) || errors.As(err, &order) || isNotTaken(err)
+	return errors.As(err, &notSent) || errors.As(err, &broken) || errors.As(err, &truncated) || errors.As(err, &order) || isNotAccepted(err)
 }
 
-// isNotTaken reports whether a front node answered that it did not take the request as owner.
-func isNotTaken(err error) bool {
+// isNotAccepted reports whether a front node answered that it did not take the request as owner.
+func isNotAccepted(err error) bool {
 	var typed *failure.Error
-	return errors.As(err, &typed) && isNotTakenFailure(typed.Failure)
+	return errors.As(err, &typed) && isNotAcceptedFailure(typed.Failure)
 }
 
-func isNotTakenFailure(f *protocol.Failure) bool {
+func isNotAcceptedFailure(f *protocol.Failure) bool {
 	if f.GetOutcome() != protocol.Outcome_NOT_RUN {
 		return false
 	}
@@ -293,25 +293,25 @@
 
 // giveUp ends the caller's request with the truth about it.
 func (r *relay) giveUp(ctx context.Context, cause error) error {
-	f := proto.CloneOf(failureOf(cause))
-	if r.at != (cursor{}) {
+	f := proto.CloneOf(forwardingFailure(cause))
+	if r.position != (cursor{}) {
 		f.Outcome = protocol.Outcome_RAN
 		return &failure.Error{Failure: f}
 	}
-	return r.service.refuseTurn(ctx, r.request, f, r.deliverKept)
+	return r.service.rejectTurn(ctx, r.request, f, r.deliverRetained)
 }
 
-func (r *relay) deliverKept(kept *protocol.Turn) error {
-	for _, event := range turn.Replay(kept, r.at.attempt+1, r.service.name, 0) {
-		if err := r.pass(event); err != nil {
+func (r *relay) deliverRetained(retained *protocol.Turn) error {
+	for _, event := range turn.Replay(retained, r.position.attempt+1, r.service.name, 0) {
+		if err := r.forward(event); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// failureOf words an error of the way to the owner.
-func failureOf(err error) *protocol.Failure {
+// forwardingFailure words an error of the way to the owner.
+func forwardingFailure(err error) *protocol.Failure {
 	var typed *failure.Error
 	if errors.As(err, &typed) {
 		return typed.Failure
@@ -323,10 +323,10 @@
 		failure.WithRetryAfter(time.Second)).Failure
 }
 
-// refuseTurn refuses a request truthfully: as not run when no other copy can
+// rejectTurn refuses a request truthfully: as not run when no other copy can
 // exist or the ledger took its tombstone, with the kept answer when the request
 // was settled before, and as unknown otherwise.
-func (s *Service) refuseTurn(ctx context.Context, request *protocol.TurnRequest, f *protocol.Failure, answer func(*protocol.Turn) error) error {
+func (s *Service) rejectTurn(ctx context.Context, request *protocol.TurnRequest, f *protocol.Failure, answer func(*protocol.Turn) error) error {
 	if request.GetFirstSend() {
 		f.Outcome = protocol.Outcome_NOT_RUN
 		return &failure.Error{Failure: f}
@@ -336,7 +336,7 @@
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return &failure.Error{Failure: f}
 	}
-	result := s.refuseRequest(ctx, request.GetProgram(), &protocol.RefuseRequest{
+	result := s.rejectRequest(ctx, request.GetProgram(), &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	})
 	finished := result.GetFinished()
@@ -345,9 +345,9 @@
 		f.Outcome = protocol.Outcome_NOT_RUN
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED &&
 		finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED:
-		kept, status := s.readTurn(ctx, request.GetProgram(), finished.GetTurnId())
+		retained, status := s.readTurn(ctx, request.GetProgram(), finished.GetTurnId())
 		if status == protocol.LedgerStatus_LEDGER_OK && request.GetHttp() == nil {
-			return answer(kept)
+			return answer(retained)
 		}
 		f.Outcome = protocol.Outcome_RAN
 	default:
--- a/internal/dataplane/front/ingress_call.go
+++ b/internal/dataplane/front/ingress_call.go
@@ -17,8 +17,8 @@
 // relayCall brings a tool call to the owner of its session and returns the answer.
 func (s *Service) relayCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool) (*protocol.ToolCallResponse, error) {
 	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.step("taken in", request.GetTool())
-	response, err := s.tryCall(ctx, request, nonRepeatable, explanation)
+	explanation.recordStep("taken in", request.GetTool())
+	response, err := s.routeCall(ctx, request, nonRepeatable, explanation)
 	code := "ok"
 	if err != nil {
 		code = failure.From(err).GetCode()
@@ -29,18 +29,18 @@
 	return response, err
 }
 
-func (s *Service) tryCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explanation) (*protocol.ToolCallResponse, error) {
+func (s *Service) routeCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explanation) (*protocol.ToolCallResponse, error) {
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
-	lastTry := s.clock.Now().Add(windowFor(request.GetHttp()))
-	if lastTry.After(deadline) {
-		lastTry = deadline
+	lastAttempt := s.clock.Now().Add(windowFor(request.GetHttp()))
+	if lastAttempt.After(deadline) {
+		lastAttempt = deadline
 	}
 	backoff := firstBackoff
-	runs := newRunAllowance(request)
+	runs := newRunQuota(request)
 	for {
 		owner, response, err := s.callOwner(ctx, request, runs, deadline, explanation)
 		if err == nil {
-			if f := response.GetFailure(); f == nil || !isNotTakenFailure(f) {
+			if f := response.GetFailure(); f == nil || !isNotAcceptedFailure(f) {
 				return response, nil
 			}
 			err = &failure.Error{Failure: response.GetFailure()}
@@ -48,41 +48,41 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		explanation.step("not answered", err.Error())
-		if runs.isSpent() || !callMayTryAgain(err, nonRepeatable) || !s.clock.Now().Add(backoff).Before(lastTry) {
-			return s.refuseCall(ctx, request, nonRepeatable, proto.CloneOf(failureOf(err)))
+		explanation.recordStep("not answered", err.Error())
+		if runs.isExhausted() || !isCallRetryable(err, nonRepeatable) || !s.clock.Now().Add(backoff).Before(lastAttempt) {
+			return s.rejectCall(ctx, request, nonRepeatable, proto.CloneOf(forwardingFailure(err)))
 		}
-		s.noteLost(request.GetSession(), owner, err)
+		s.reportOwnerLost(request.GetSession(), owner, err)
 		select {
 		case <-s.clock.After(backoff):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		backoff = min(2*backoff, mostBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// callMayTryAgain reports whether the call may be brought to an owner again. A
+// isCallRetryable reports whether the call may be brought to an owner again. A
 // call that may not be repeated goes again only when nobody took it.
-func callMayTryAgain(err error, nonRepeatable bool) bool {
+func isCallRetryable(err error, nonRepeatable bool) bool {
 	var notSent *wire.NotSentError
-	if errors.As(err, &notSent) || isNotTaken(err) {
+	if errors.As(err, &notSent) || isNotAccepted(err) {
 		return true
 	}
-	return !nonRepeatable && mayTryAgain(err)
+	return !nonRepeatable && isRetryable(err)
 }
 
 func (s *Service) callOwner(
-	ctx context.Context, request *protocol.ToolCallRequest, runs *runAllowance, deadline time.Time, explanation *explanation,
+	ctx context.Context, request *protocol.ToolCallRequest, runs *runQuota, deadline time.Time, explanation *explanation,
 ) (directory.Owner, *protocol.ToolCallResponse, error) {
 	owner, err := s.ownerOf(ctx, request.GetSession(), request.GetProgram())
 	if err != nil {
 		return owner, nil, err
 	}
-	explanation.note(func(record *protocol.Explanation) {
+	explanation.update(func(record *protocol.Explanation) {
 		record.Owner, record.PartitionHolder = owner.Name, owner.PartitionHolder
 	})
-	explanation.step("owner found", owner.Name)
+	explanation.recordStep("owner found", owner.Name)
 	left, err := s.millisUntil(deadline)
 	if err != nil {
 		return owner, nil, err
@@ -97,30 +97,30 @@
 		response, err := s.runCall(ctx, sent)
 		if err != nil && failure.From(err).GetOutcome() != protocol.Outcome_NOT_RUN {
 			request.FirstSend = false
-			runs.spend(sent.GetRunsAllowed())
+			runs.consume(sent.GetRunsAllowed())
 		}
 		return owner, response, err
 	}
 	s.metrics.forwarded.Inc()
 	response, err := s.caller.Call(ctx, owner.Address, &protocol.Request{Body: &protocol.Request_ToolCall{ToolCall: sent}})
-	if !isUntaken(response.GetToolCall(), err) {
+	if !isCallNotAccepted(response.GetToolCall(), err) {
 		request.FirstSend = false
-		runs.spend(sent.GetRunsAllowed())
+		runs.consume(sent.GetRunsAllowed())
 	}
 	return owner, response.GetToolCall(), err
 }
 
-// isUntaken reports whether an owner surely does not run the copy of a call that was sent to it.
-func isUntaken(response *protocol.ToolCallResponse, err error) bool {
+// isCallNotAccepted reports whether an owner surely does not run the copy of a call that was sent to it.
+func isCallNotAccepted(response *protocol.ToolCallResponse, err error) bool {
 	var notSent *wire.NotSentError
 	if err != nil {
-		return errors.As(err, &notSent) || isNotTaken(err)
+		return errors.As(err, &notSent) || isNotAccepted(err)
 	}
-	return response.GetFailure() != nil && isNotTakenFailure(response.GetFailure())
+	return response.GetFailure() != nil && isNotAcceptedFailure(response.GetFailure())
 }
 
-// refuseCall refuses a call truthfully, as refuseTurn does for turns.
-func (s *Service) refuseCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, f *protocol.Failure) (*protocol.ToolCallResponse, error) {
+// rejectCall refuses a call truthfully, as rejectTurn does for turns.
+func (s *Service) rejectCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, f *protocol.Failure) (*protocol.ToolCallResponse, error) {
 	if request.GetFirstSend() {
 		f.Outcome = protocol.Outcome_NOT_RUN
 		return nil, &failure.Error{Failure: f}
--- a/internal/dataplane/front/ledger_operations.go
+++ b/internal/dataplane/front/ledger_operations.go
@@ -23,8 +23,8 @@
 	return s.ledgerWithin(ctx, ledgerTimeout, operation)
 }
 
-func (s *Service) ledgerWithin(ctx context.Context, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
+func (s *Service) ledgerWithin(ctx context.Context, timeout time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 	result, err := s.ledger.Do(ctx, operation)
 	if err != nil || result == nil {
@@ -33,18 +33,18 @@
 	return result
 }
 
-// refuseUnreachable refuses what needs the ledger while that is out of reach: nothing has been sent anywhere, and
+// rejectUnreachable refuses what needs the ledger while that is out of reach: nothing has been sent anywhere, and
 // the caller hears at once when to come back. It is nil while the ledger answers.
-func (s *Service) refuseUnreachable(program string) *protocol.Failure {
+func (s *Service) rejectUnreachable(program string) *protocol.Failure {
 	if !s.ledger.Unreachable(program) {
 		return nil
 	}
 	return unreachableFailure()
 }
 
-// refuseCutOff refuses a turn that needs the ledger while this front node is cut off from it and from the others: a
+// rejectIsolated refuses a turn that needs the ledger while this front node is cut off from it and from the others: a
 // look-up of the turn's owner would find nobody either.
-func (s *Service) refuseCutOff(request *protocol.TurnRequest) *protocol.Failure {
+func (s *Service) rejectIsolated(request *protocol.TurnRequest) *protocol.Failure {
 	if !s.ledger.Isolated() || !turn.IsLedgered(request) {
 		return nil
 	}
@@ -53,7 +53,7 @@
 
 func unreachableFailure() *protocol.Failure {
 	return failure.New(failure.LedgerUnavailable, protocol.Outcome_NOT_RUN, "the ledger is out of reach",
-		failure.WithRetryAfter(repairRetry)).Failure
+		failure.WithRetryAfter(ledgerRepairRetryAfter)).Failure
 }
 
 // serveLedger carries an operation out for another front node.
@@ -103,16 +103,16 @@
 	return result.GetTurns()[0], protocol.LedgerStatus_LEDGER_OK
 }
 
-// refuseRequest puts the tombstone of a request.
-func (s *Service) refuseRequest(ctx context.Context, program string, refuse *protocol.RefuseRequest) *protocol.LedgerResult {
-	return s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: refuse}})
+// rejectRequest puts the tombstone of a request.
+func (s *Service) rejectRequest(ctx context.Context, program string, operation *protocol.RefuseRequest) *protocol.LedgerResult {
+	return s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: operation}})
 }
 
 // historyItems joins the items of a conversation, oldest first.
 func historyItems(turns []*protocol.Turn) []*protocol.Item {
 	var items []*protocol.Item
-	for _, kept := range turns {
-		items = append(append(items, kept.GetInput()...), kept.GetOutput()...)
+	for _, conversationTurn := range turns {
+		items = append(append(items, conversationTurn.GetInput()...), conversationTurn.GetOutput()...)
 	}
 	return items
 }
--- a/internal/dataplane/front/live_turn.go
+++ b/internal/dataplane/front/live_turn.go
@@ -34,8 +34,8 @@
 type reader struct {
 	// position is the number of events that it has passed on, or that were there when it came.
 	position int
-	// slow is set when it has fallen too far behind; it gets no more events.
-	slow bool
+	// tooSlow is set when it has fallen too far behind; it gets no more events.
+	tooSlow bool
 }
 
 func newLiveTurn(request *protocol.TurnRequest, turnID string, cancel context.CancelCauseFunc) *liveTurn {
@@ -57,12 +57,12 @@
 	}
 	l.events = append(l.events, event)
 	l.ended = isTerminal(event)
-	abandoned := l.markSlow() && l.unread()
+	abandoned := l.markSlow() && l.isAbandoned()
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mutex.Unlock()
 	if abandoned {
-		l.cancel(errCallerGone)
+		l.cancel(errCallerDisconnected)
 	}
 }
 
@@ -70,17 +70,17 @@
 func (l *liveTurn) markSlow() bool {
 	marked := false
 	for reader := range l.readers {
-		if !reader.slow && len(l.events)-reader.position > maxReaderLag {
-			reader.slow, marked = true, true
+		if !reader.tooSlow && len(l.events)-reader.position > maxReaderLag {
+			reader.tooSlow, marked = true, true
 		}
 	}
 	return marked
 }
 
-// unread reports whether a turn goes on for nobody.
-func (l *liveTurn) unread() bool {
+// isAbandoned reports whether a turn goes on for nobody.
+func (l *liveTurn) isAbandoned() bool {
 	for reader := range l.readers {
-		if !reader.slow {
+		if !reader.tooSlow {
 			return false
 		}
 	}
@@ -132,23 +132,23 @@
 func (l *liveTurn) detach(left *reader) {
 	l.mutex.Lock()
 	delete(l.readers, left)
-	alone := l.unread()
+	alone := l.isAbandoned()
 	l.mutex.Unlock()
 	if alone {
-		l.cancel(errCallerGone)
+		l.cancel(errCallerDisconnected)
 	}
 }
 
-// passed notes that a reader has passed on the events up to a position; it reports false for one that is too slow.
-func (l *liveTurn) passed(by *reader, position int) bool {
+// advance notes that a reader has passed on the events up to a position; it reports false for one that is too slow.
+func (l *liveTurn) advance(by *reader, position int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	by.position = max(by.position, position)
-	return !by.slow
+	return !by.tooSlow
 }
 
-// from returns the events from a position on and what tells of more.
-func (l *liveTurn) from(position int) (events []*protocol.TurnEvent, ended bool, changed <-chan struct{}) {
+// eventsFrom returns the events from a position on and what tells of more.
+func (l *liveTurn) eventsFrom(position int) (events []*protocol.TurnEvent, ended bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.events[position:len(l.events):len(l.events)], l.ended, l.changed
@@ -167,7 +167,7 @@
 	defer l.detach(self)
 	position := 0
 	for {
-		events, ended, changed := l.from(position)
+		events, ended, changed := l.eventsFrom(position)
 		for _, event := range events {
 			if !after.seen(event) {
 				if err := send(event); err != nil {
@@ -175,7 +175,7 @@
 				}
 			}
 			position++
-			if !l.passed(self, position) {
+			if !l.advance(self, position) {
 				return failure.New(failure.SlowReader, protocol.Outcome_RAN, "events were not read in time")
 			}
 		}
--- a/internal/dataplane/front/lost_reservations.go
+++ b/internal/dataplane/front/lost_reservations.go
@@ -13,10 +13,10 @@
 	})
 }
 
-// chargeLost ends the open reservations of a program whose owners are gone: it
+// chargeLostReservations ends the open reservations of a program whose owners are gone: it
 // claims their sessions, at which the ledger charges what was reserved under
 // the former epoch. It reports whether there were any.
-func (s *Service) chargeLost(ctx context.Context, record *protocol.ProgramRecord, incarnation uint64) bool {
+func (s *Service) chargeLostReservations(ctx context.Context, record *protocol.ProgramRecord, incarnation uint64) bool {
 	charged := false
 	for _, session := range lostSessions(record, s.link.View().Membership) {
 		result := s.ledgerDo(ctx, &protocol.LedgerOperation{
@@ -31,13 +31,13 @@
 
 // lostSessions names the sessions that hold reservations and whose owner is no member any more.
 func lostSessions(record *protocol.ProgramRecord, members *protocol.MembershipView) []string {
-	held := make(map[string]bool)
+	reserving := make(map[string]bool)
 	for _, open := range record.GetReservations() {
-		held[open.GetSession()] = true
+		reserving[open.GetSession()] = true
 	}
 	var lost []string
 	for _, session := range record.GetSessions() {
-		if held[session.GetSession()] && !isMember(members, session.GetOwner(), session.GetOwnerIncarnation()) {
+		if reserving[session.GetSession()] && !isMember(members, session.GetOwner(), session.GetOwnerIncarnation()) {
 			lost = append(lost, session.GetSession())
 		}
 	}
--- a/internal/dataplane/front/lost_reservations_test.go
+++ b/internal/dataplane/front/lost_reservations_test.go
@@ -13,8 +13,8 @@
 
 var _ = Describe("a budget held by the reservations of another front node", func() {
 	const (
-		budget  = 100
-		ceiling = 90
+		budget           = 100
+		reservationLimit = 90
 	)
 	var r *rig
 	var n *node
@@ -26,7 +26,7 @@
 			session := fmt.Sprintf("other-%d", number)
 			result, err := r.ledger.Do(context.Background(), &protocol.LedgerOperation{
 				Program: "p1", Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-					RequestId: "lost-" + session, Session: session, Ceiling: ceiling, Fork: true,
+					RequestId: "lost-" + session, Session: session, Ceiling: reservationLimit, Fork: true,
 					Claim: &protocol.ClaimSession{Session: session, Owner: "f2", OwnerIncarnation: 7, Tenant: tenant, Budget: budget},
 				}},
 			})
@@ -55,6 +55,6 @@
 		given(8)
 		Expect(n.turn(turnBody("c1", ""), nil).errorCode()).To(Equal("budget_spent"))
 		Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
-		Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(2 * ceiling))
+		Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(2 * reservationLimit))
 	})
 })
--- a/internal/dataplane/front/memory_ledger_test.go
+++ b/internal/dataplane/front/memory_ledger_test.go
@@ -20,10 +20,10 @@
 	mutex sync.Mutex
 	// down makes every operation unavailable; seen counts them by kind.
 	down bool
-	// unreachable is what the client says of every program, and cutOff of its front node.
-	unreachable, cutOff atomic.Bool
-	// holdRefusals, when set, keeps tombstones back until it is closed.
-	holdRefusals chan struct{}
+	// unreachable is what the client says of every program, and isolated of its front node.
+	unreachable, isolated atomic.Bool
+	// holdRejections, when set, keeps tombstones back until it is closed.
+	holdRejections chan struct{}
 	// intercept, when set, may answer an operation in the ledger's place; nil lets it through.
 	intercept func(operation *protocol.LedgerOperation) *protocol.LedgerResult
 	seen      map[string]int
@@ -33,8 +33,8 @@
 }
 
 func (l *memoryLedger) Do(_ context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
-	if l.holdRefusals != nil && operation.GetRefuseRequest() != nil {
-		<-l.holdRefusals
+	if l.holdRejections != nil && operation.GetRefuseRequest() != nil {
+		<-l.holdRejections
 	}
 	if l.intercept != nil {
 		if result := l.intercept(operation); result != nil {
@@ -62,8 +62,8 @@
 		}
 		return result, nil
 	}
-	if settle := operation.GetSettleTurn(); settle != nil {
-		l.turns[settle.GetTurn().GetId()] = settle.GetTurn()
+	if commit := operation.GetSettleTurn(); commit != nil {
+		l.turns[commit.GetTurn().GetId()] = commit.GetTurn()
 	}
 	changed, result := ledger.Apply(l.programs[operation.GetProgram()], operation, l.clock.Now())
 	if changed != nil {
@@ -81,19 +81,19 @@
 func (l *memoryLedger) Unreachable(string) bool { return l.unreachable.Load() }
 
 // CutOff reports what the story says.
-func (l *memoryLedger) Isolated() bool { return l.cutOff.Load() }
+func (l *memoryLedger) Isolated() bool { return l.isolated.Load() }
 
 // read follows a chain within one program, as stores do.
 func (l *memoryLedger) read(program string, read *protocol.ReadTurns) *protocol.LedgerResult {
 	result := ledger.Answer(protocol.LedgerStatus_LEDGER_OK)
 	for next := read.GetLastTurn(); next != "" && len(result.Turns) < int(read.GetLimit()); {
-		kept := l.turns[next]
-		if kept == nil || kept.GetProgram() != program {
+		retained := l.turns[next]
+		if retained == nil || retained.GetProgram() != program {
 			return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 		}
-		result.Turns = append(result.Turns, kept)
-		next = kept.GetPreviousTurn()
-		if kept.GetPreviousProgram() != "" {
+		result.Turns = append(result.Turns, retained)
+		next = retained.GetPreviousTurn()
+		if retained.GetPreviousProgram() != "" {
 			next = ""
 		}
 	}
@@ -102,12 +102,12 @@
 
 // find looks a turn up in all programs.
 func (l *memoryLedger) find(id string) *protocol.LedgerResult {
-	kept := l.turns[id]
-	if kept == nil {
+	retained := l.turns[id]
+	if retained == nil {
 		return ledger.Answer(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 	}
 	result := ledger.Answer(protocol.LedgerStatus_LEDGER_OK)
-	result.Turns = []*protocol.Turn{kept}
+	result.Turns = []*protocol.Turn{retained}
 	return result
 }
 
--- a/internal/dataplane/front/metrics.go
+++ b/internal/dataplane/front/metrics.go
@@ -19,7 +19,7 @@
 	loadSamples    *prometheus.CounterVec
 	// Counters of training steps.
 	stepPins        prometheus.Counter
-	stepRefusals    *prometheus.CounterVec
+	stepRejections  *prometheus.CounterVec
 	stepGenerations *prometheus.CounterVec
 }
 
@@ -46,13 +46,13 @@
 	}
 	m.loadSamples = prometheus.NewCounterVec(counter("load_samples_total", "Load reports asked of back ends, by result."), []string{"result"})
 	m.stepPins = prometheus.NewCounter(counter("training_step_pins_total", "Pins of training steps that the ledger gave."))
-	m.stepRefusals = prometheus.NewCounterVec(counter("training_step_refusals_total",
+	m.stepRejections = prometheus.NewCounterVec(counter("training_step_refusals_total",
 		"Generations of training steps that were refused as owner and not run, by code."), []string{"code"})
 	m.stepGenerations = prometheus.NewCounterVec(counter("training_step_generations_total",
 		"Generations of training steps that ran or may have run as owner: completed, or by code of the failure."), []string{"outcome"})
 	m.sharedSuspects = prometheus.NewCounter(counter("shared_suspects_total", "Servers avoided for a while by what all front nodes saw together."))
 	registerer.MustRegister(m.sharedSuspects)
-	registerer.MustRegister(m.stepPins, m.stepRefusals, m.stepGenerations)
+	registerer.MustRegister(m.stepPins, m.stepRejections, m.stepGenerations)
 	registerer.MustRegister(m.turns, m.calls, m.events, m.forwarded, m.retries, m.attemptFaults, m.firstToken,
 		m.inProgress, m.heartbeats, m.shadowDiffers, m.loadSamples)
 	return m
--- a/internal/dataplane/front/network_test.go
+++ b/internal/dataplane/front/network_test.go
@@ -16,10 +16,10 @@
 type network struct {
 	mutex sync.Mutex
 	peers map[string]wire.Handler
-	// cut breaks the stream to an address after so many answers.
-	cut map[string]int
-	// cutWhen delays the break until it is closed.
-	cutWhen map[string]chan struct{}
+	// partitioned breaks the stream to an address after so many answers.
+	partitioned map[string]int
+	// partitionWhen delays the break until it is closed.
+	partitionWhen map[string]chan struct{}
 	// unreachable addresses take nothing.
 	unreachable map[string]bool
 }
@@ -41,9 +41,9 @@
 		return nil, &wire.NotSentError{Address: address, Cause: io.ErrClosedPipe}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	left, limited := n.cut[address]
-	delete(n.cut, address)
-	stream := &memoryStream{address: address, answers: make(chan *protocol.Response, 4096), cancel: cancel, limited: limited, left: left, when: n.cutWhen[address]}
+	left, limited := n.partitioned[address]
+	delete(n.partitioned, address)
+	stream := &memoryStream{address: address, answers: make(chan *protocol.Response, 4096), cancel: cancel, limited: limited, left: left, when: n.partitionWhen[address]}
 	go func() {
 		stream.err = peer.Serve(ctx, proto.CloneOf(request), func(response *protocol.Response) error {
 			stream.answers <- proto.CloneOf(response)
--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -49,14 +49,14 @@
 		})
 		capacity(2)
 		answered := make(chan answer, 64)
-		ask := func(session, priority string) {
+		submit := func(session, priority string) {
 			go func() {
 				defer GinkgoRecover()
 				answered <- f1.turn(turnBody(session, `,"priority":"`+priority+`"`), nil)
 			}()
 		}
 		for at := range 10 {
-			ask(fmt.Sprint("probe", at), "probe")
+			submit(fmt.Sprint("probe", at), "probe")
 		}
 		for range 3 {
 			Eventually(arrived).Should(Receive())
@@ -83,12 +83,12 @@
 			members.Nodes = append(members.Nodes, &protocol.Node{Name: name, Kind: protocol.NodeKind_FRONT})
 		}
 		r.put(&corelink.View{Configuration: r.view.Configuration, Membership: members, BackEnds: r.view.BackEnds})
-		r.tellLoad("m1", `{"running":8,"queued":4,"capacity":8}`)
+		r.setLoad("m1", `{"running":8,"queued":4,"capacity":8}`)
 		Eventually(func() int {
 			if r.clock.awaitsSample() {
 				r.clock.advance(200 * time.Millisecond)
 			}
-			return r.asked("m1")
+			return r.loadRequestCount("m1")
 		}).Should(BeNumerically(">=", 2), "the load of a server without answers is asked for")
 		Eventually(r.clock.awaitsSample).Should(BeTrue(), "the answer was taken")
 		ctx, leave := context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 		}
 		total, servers := 0, 0
 		for at := range 40 {
-			if count := r.asked(fmt.Sprint("m", at)); count > 0 {
+			if count := r.loadRequestCount(fmt.Sprint("m", at)); count > 0 {
 				total, servers = total+count, servers+1
 			}
 		}
@@ -150,13 +150,13 @@
 				answered <- f1.turn(turnBody(session, ""), nil)
 			}()
 		}
-		var refusedFirst answer
-		Eventually(answered).Should(Receive(&refusedFirst))
-		Expect(refusedFirst.errorCode()).To(Equal("overloaded"))
+		var firstRejection answer
+		Eventually(answered).Should(Receive(&firstRejection))
+		Expect(firstRejection.errorCode()).To(Equal("overloaded"))
 		claims := r.ledger.count("ClaimSession")
-		refused := f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
-		Expect(refused.outcome()).To(Equal("not_run"))
-		Expect(refused.header.Get("Retry-After")).NotTo(BeEmpty())
+		rejection := f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
+		Expect(rejection.outcome()).To(Equal("not_run"))
+		Expect(rejection.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
 		Expect(f1.turn(turnBody("s2", ""), nil).outcome()).To(Equal("not_run"))
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
@@ -164,8 +164,8 @@
 	})
 
 	It("does not hold a refusal back for a slow ledger, and claims no more than it knows", func() {
-		r.ledger.holdRefusals = make(chan struct{})
-		defer close(r.ledger.holdRefusals)
+		r.ledger.holdRejections = make(chan struct{})
+		defer close(r.ledger.holdRejections)
 		arrived := make(chan struct{}, 8)
 		over := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
@@ -192,13 +192,13 @@
 				answered <- f1.turn(turnBody(key, ""), headers{"Idempotency-Key": key})
 			}()
 		}
-		Eventually(r.clock.isSet).WithArguments(front.KeyedRefusalTimeout).Should(BeTrue())
-		r.clock.advance(front.KeyedRefusalTimeout)
-		var refused answer
-		Eventually(answered).Should(Receive(&refused))
-		Expect(refused.errorCode()).To(Equal("overloaded"))
-		Expect(refused.outcome()).To(Equal("unknown"))
-		Expect(refused.header.Get("Retry-After")).NotTo(BeEmpty())
+		Eventually(r.clock.isSet).WithArguments(front.KeyedRejectionTimeout).Should(BeTrue())
+		r.clock.advance(front.KeyedRejectionTimeout)
+		var rejection answer
+		Eventually(answered).Should(Receive(&rejection))
+		Expect(rejection.errorCode()).To(Equal("overloaded"))
+		Expect(rejection.outcome()).To(Equal("unknown"))
+		Expect(rejection.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
 	It("frees the servers of all callers that leave", func() {
@@ -217,8 +217,8 @@
 		for at := range 60 {
 			go f1.leaveWith(ctx, turnBody(fmt.Sprint("s", at), `,"stream":true,"max_output_tokens":8`))
 		}
-		const most = 24
-		Eventually(started.Load).Should(BeEquivalentTo(most))
+		const maxConcurrent = 24
+		Eventually(started.Load).Should(BeEquivalentTo(maxConcurrent))
 		leave()
 		// One that waited may begin in a slot given back before its own caller was seen to leave.
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeZero())
--- a/internal/dataplane/front/owned_turns_test.go
+++ b/internal/dataplane/front/owned_turns_test.go
@@ -36,7 +36,7 @@
 	})
 
 	It("is followed again after the stream between the nodes broke, without a gap or a repeat", func() {
-		r.network.cut["f2"] = 2
+		r.network.partitioned["f2"] = 2
 		response := f1.open(context.Background(), http.MethodPost, "/v1/responses", turnBody("s1", `,"stream":true,"background":true`), nil)
 		defer func() { _ = response.Body.Close() }()
 		done := make(chan []sseEvent)
@@ -102,8 +102,8 @@
 
 	It("is refused with the ledger's word once a copy of it may have arrived", func() {
 		answered := make(chan answer, 1)
-		r.network.cut["f2"] = 0
-		f2.ownership.refuse = failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "later")
+		r.network.partitioned["f2"] = 0
+		f2.ownership.beginError = failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "later")
 		r.network.unreachable["f3"] = true
 		go func() {
 			defer GinkgoRecover()
@@ -124,7 +124,7 @@
 	})
 
 	It("looks for the new owner when the old one gave the session up", func() {
-		f2.ownership.refuse = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "given up")
+		f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "given up")
 		answered := make(chan answer)
 		go func() {
 			defer GinkgoRecover()
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -18,8 +18,8 @@
 		return s.beginHTTPTurn(request)
 	}
 	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	arm := s.policies.Load().armOf(request.GetProgram())
-	route := arm.Model(request.GetTenant(), request.GetModel())
+	decided := s.policies.Load().variantFor(request.GetProgram())
+	route := decided.Model(request.GetTenant(), request.GetModel())
 	if route == nil {
 		return nil, unknownModel()
 	}
@@ -36,7 +36,7 @@
 		grant.End()
 		return s.joinTurn(current, request)
 	}
-	run := s.newTurnRun(ctx, request, live, grant, key, arm, route, deadline)
+	run := s.newTurnRun(ctx, request, live, grant, key, decided, route, deadline)
 	s.startRun(run, cancel)
 	return live, nil
 }
@@ -63,27 +63,27 @@
 	if millis == 0 {
 		return defaultDeadline
 	}
-	return min(time.Duration(millis)*time.Millisecond, longestDeadline)
+	return min(time.Duration(millis)*time.Millisecond, maxDeadline)
 }
 
 func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *liveTurn, grant Grant,
-	key sessionKey, arm arm, route *protocol.Route, deadline time.Time,
+	key sessionKey, decided variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
 	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.note(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, arm.version(), arm.candidate
+	explanation.update(func(record *protocol.Explanation) {
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
-		record.Algorithm = arm.Bundle().GetScheduling().GetAlgorithm().String()
+		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
-	explanation.step("taken by the owner", "from "+request.GetIngress())
+	explanation.recordStep("taken by the owner", "from "+request.GetIngress())
 	return &turnRun{
-		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, arm: arm, route: route,
-		counters: s.arms.Load().of(arm.candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
+		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, variant: decided, route: route,
+		counters: s.variants.Load().counters(decided.candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: arm.ceiling(request.GetMaxOutputTokens()),
-			Retention: time.Duration(arm.keepSeconds()) * time.Second, BundleVersion: arm.version(),
+			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.reservationLimit(request.GetMaxOutputTokens()),
+			Retention: time.Duration(decided.retentionSeconds()) * time.Second, BundleVersion: decided.version(),
 		}),
 	}
 }
@@ -100,9 +100,9 @@
 	end func()
 	// left is the time after which it is ended.
 	left time.Duration
-	// callerGone is closed when its caller has left; nil goes on without the caller.
-	callerGone <-chan struct{}
-	cancel     context.CancelCauseFunc
+	// callerDisconnected is closed when its caller has left; nil goes on without the caller.
+	callerDisconnected <-chan struct{}
+	cancel             context.CancelCauseFunc
 }
 
 // drive runs it on a goroutine of its own and cancels it when it may not go on.
@@ -113,8 +113,8 @@
 		select {
 		case <-expired:
 			driven.cancel(errDeadline)
-		case <-driven.callerGone:
-			driven.cancel(errCallerGone)
+		case <-driven.callerDisconnected:
+			driven.cancel(errCallerDisconnected)
 		case <-s.stopped:
 			driven.cancel(errAuthority)
 		case <-finished:
@@ -132,31 +132,31 @@
 
 // claim returns a session's epoch; the ledger is asked only when this process does not hold it.
 func (s *Service) claim(ctx context.Context, key sessionKey, operation *protocol.ClaimSession) *protocol.LedgerResult {
-	held := s.sessions.claimOf(key, operation.GetTenant(), operation.GetOwnerIncarnation())
-	if held.known {
-		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: held.epoch}
+	current := s.sessions.findClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation())
+	if current.known {
+		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.epoch}
 	}
 	result := s.ledgerDo(ctx, &protocol.LedgerOperation{
 		Program: key.program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
 	})
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-		s.sessions.claimed(key, operation.GetTenant(), operation.GetOwnerIncarnation(), result.GetEpoch())
+		s.sessions.recordClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation(), result.GetEpoch())
 	}
 	return result
 }
 
-// placementOf gathers what a decision needs.
-func (s *Service) placementOf(index *bundle.Index, wanted groupKey, key sessionKey, avoid []string) placement {
+// newPlacement gathers what a decision needs.
+func (s *Service) newPlacement(index *bundle.Index, wanted groupKey, key sessionKey, avoid []string) placement {
 	return placement{
-		key: wanted, index: index, affinity: key.program, last: s.sessions.lastBackEndOf(key), avoid: avoid,
-		zone: s.zone, region: s.region, front: s.name, fronts: s.frontNodes(), sequence: s.sequence.Add(1),
+		key: wanted, index: index, affinity: key.program, last: s.sessions.lastBackEnd(key), avoid: avoid,
+		zone: s.zone, region: s.region, front: s.name, frontNodes: s.frontNodes(), sequence: s.sequence.Add(1),
 	}
 }
 
 // choose runs the policy and returns the server chosen, or nil.
 func (s *Service) choose(wanted placement) (*backEnd, schedule.Decision) {
 	servers := s.backEnds.Load()
-	decision := servers.place(wanted, s.models, s.clock.Now())
+	decision := servers.choose(wanted, s.models, s.clock.Now())
 	return servers.byID[decision.Chosen], decision
 }
 
@@ -168,7 +168,7 @@
 	}
 	wanted.index, wanted.key.group = shadow, other.GetGroup()
 	_, decision := s.choose(wanted)
-	explanation.note(func(record *protocol.Explanation) {
+	explanation.update(func(record *protocol.Explanation) {
 		record.ShadowChosen = decision.Chosen
 		if decision.Chosen != record.GetChosen() {
 			s.metrics.shadowDiffers.Inc()
@@ -187,11 +187,11 @@
 }
 
 func (s *Service) beginRun() {
-	s.underWay.Add(1)
+	s.inProgress.Add(1)
 	s.metrics.inProgress.Inc()
 }
 
 func (s *Service) endRun() {
-	s.underWay.Add(-1)
+	s.inProgress.Add(-1)
 	s.metrics.inProgress.Dec()
 }
--- a/internal/dataplane/front/policies.go
+++ b/internal/dataplane/front/policies.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	basisPoints            = 10_000
-	defaultMaxOutputTokens = 4096
-	defaultTurnKeepSeconds = 86_400
-	defaultProgramBudget   = 1_000_000
+	basisPoints                 = 10_000
+	defaultMaxOutputTokens      = 4096
+	defaultTurnRetentionSeconds = 86_400
+	defaultProgramBudget        = 1_000_000
 )
 
 // policies is the configuration in force, indexed; it is immutable.
@@ -36,54 +36,54 @@
 	return p
 }
 
-// arm is the bundle that decides for one program.
-type arm struct {
+// variant is the bundle that decides for one program.
+type variant struct {
 	*bundle.Index
 	candidate bool
 	// shadow decides beside the arm without running anything; nil without one.
 	shadow *bundle.Index
 }
 
-// armOf picks the bundle of a program: the same one as long as the roll-out lasts.
-func (p *policies) armOf(program string) arm {
+// variantFor picks the bundle of a program: the same one as long as the roll-out lasts.
+func (p *policies) variantFor(program string) variant {
 	if p.candidate == nil {
-		return arm{Index: p.active}
+		return variant{Index: p.active}
 	}
 	if p.rollout.GetShadow() {
-		return arm{Index: p.active, shadow: p.candidate}
+		return variant{Index: p.active, shadow: p.candidate}
 	}
 	salt := strconv.FormatUint(p.candidate.Bundle().GetVersion(), 10)
 	if xxhash.Sum64String(program+"\x00"+salt)%basisPoints < uint64(p.rollout.GetShareBasisPoints()) {
-		return arm{Index: p.candidate, candidate: true}
+		return variant{Index: p.candidate, candidate: true}
 	}
-	return arm{Index: p.active}
+	return variant{Index: p.active}
 }
 
-func (a arm) version() uint64 { return a.Bundle().GetVersion() }
+func (a variant) version() uint64 { return a.Bundle().GetVersion() }
 
-// ceiling is the most output tokens of a turn that asked for some number, zero for as many as allowed.
-func (a arm) ceiling(asked uint32) uint64 {
-	most := a.Bundle().GetLimits().GetMaxOutputTokens()
-	if most == 0 {
-		most = defaultMaxOutputTokens
+// reservationLimit is the most output tokens of a turn that asked for some number, zero for as many as allowed.
+func (a variant) reservationLimit(requested uint32) uint64 {
+	maxTokens := a.Bundle().GetLimits().GetMaxOutputTokens()
+	if maxTokens == 0 {
+		maxTokens = defaultMaxOutputTokens
 	}
-	if asked == 0 || asked > most {
-		return uint64(most)
+	if requested == 0 || requested > maxTokens {
+		return uint64(maxTokens)
 	}
-	return uint64(asked)
+	return uint64(requested)
 }
 
-func (a arm) keepSeconds() uint64 {
+func (a variant) retentionSeconds() uint64 {
 	if seconds := a.Bundle().GetLimits().GetTurnKeepSeconds(); seconds > 0 {
 		return seconds
 	}
-	return defaultTurnKeepSeconds
+	return defaultTurnRetentionSeconds
 }
 
 // budget is the token budget with which a program is opened.
-func (a arm) budget(asked uint64, tenant string) uint64 {
-	if asked > 0 {
-		return asked
+func (a variant) budget(requested uint64, tenant string) uint64 {
+	if requested > 0 {
+		return requested
 	}
 	if budget := a.Tenant(tenant).GetDefaultProgramBudget(); budget > 0 {
 		return budget
--- a/internal/dataplane/front/requests.go
+++ b/internal/dataplane/front/requests.go
@@ -19,7 +19,7 @@
 const (
 	maxIdentifierBytes = 128
 	generatedIDBytes   = 16
-	mostTimeoutMillis  = 600_000
+	maxTimeoutMillis   = 600_000
 )
 
 // responsesBody is the body of POST /v1/responses.
@@ -108,8 +108,8 @@
 		return reservedProgram()
 	case len(conversation) > maxIdentifierBytes:
 		return tooLong("conversation")
-	case timeoutMillis > mostTimeoutMillis:
-		return invalidField("timeout_millis", fmt.Sprintf("must be at most %d", mostTimeoutMillis))
+	case timeoutMillis > maxTimeoutMillis:
+		return invalidField("timeout_millis", fmt.Sprintf("must be at most %d", maxTimeoutMillis))
 	}
 	if _, known := priorities[priority]; !known {
 		return invalidField("priority", "must be urgent, interactive or probe")
@@ -238,7 +238,7 @@
 }
 
 // tenantOf checks who calls: a tenant of the bundle, with its credential when it has one.
-func tenantOf(header http.Header, decided arm) (*protocol.TenantPolicy, error) {
+func tenantOf(header http.Header, decided variant) (*protocol.TenantPolicy, error) {
 	name := header.Get(headerTenant)
 	if name == "" {
 		return nil, missingField(headerTenant)
--- a/internal/dataplane/front/rig_test.go
+++ b/internal/dataplane/front/rig_test.go
@@ -40,9 +40,9 @@
 	stall   time.Duration
 
 	loadMutex sync.Mutex
-	// loads are the reports that servers give; loadAsked counts how often they were asked.
-	loads     map[string]string
-	loadAsked map[string]int
+	// loads are the reports that servers give; loadRequests counts how often they were asked.
+	loads        map[string]string
+	loadRequests map[string]int
 	// watched, if any, answers front nodes added later that watch for suspects.
 	watched func(context.Context, *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error)
 }
@@ -65,12 +65,12 @@
 	clock := &manualClock{now: time.Unix(1_000_000, 0)}
 	configuration := &protocol.Configuration{Version: 1, Active: bundle.Default(5)}
 	return &rig{
-		clock: clock, nodes: map[string]*node{}, loads: map[string]string{}, loadAsked: map[string]int{},
+		clock: clock, nodes: map[string]*node{}, loads: map[string]string{}, loadRequests: map[string]int{},
 		ledger: &memoryLedger{
 			clock: clock, seen: map[string]int{}, programs: map[string]*protocol.ProgramRecord{},
 			calls: map[string]*protocol.CallRecord{}, turns: map[string]*protocol.Turn{},
 		},
-		network: &network{peers: map[string]wire.Handler{}, cut: map[string]int{}, cutWhen: map[string]chan struct{}{}, unreachable: map[string]bool{}},
+		network: &network{peers: map[string]wire.Handler{}, partitioned: map[string]int{}, partitionWhen: map[string]chan struct{}{}, unreachable: map[string]bool{}},
 		view: &corelink.View{
 			Configuration: configuration, Membership: &protocol.MembershipView{}, BackEnds: &protocol.BackEndView{Version: 1},
 		},
@@ -134,24 +134,24 @@
 func (r *rig) loadReport(writer http.ResponseWriter, id string) {
 	r.loadMutex.Lock()
 	defer r.loadMutex.Unlock()
-	r.loadAsked[id]++
-	report, told := r.loads[id]
-	if !told {
+	r.loadRequests[id]++
+	report, reported := r.loads[id]
+	if !reported {
 		report = `{"running":0,"queued":0,"capacity":16}`
 	}
 	_, _ = io.WriteString(writer, report)
 }
 
-func (r *rig) tellLoad(id, report string) {
+func (r *rig) setLoad(id, report string) {
 	r.loadMutex.Lock()
 	defer r.loadMutex.Unlock()
 	r.loads[id] = report
 }
 
-func (r *rig) asked(id string) int {
+func (r *rig) loadRequestCount(id string) int {
 	r.loadMutex.Lock()
 	defer r.loadMutex.Unlock()
-	return r.loadAsked[id]
+	return r.loadRequests[id]
 }
 
 func (r *rig) put(view *corelink.View) {
--- a/internal/dataplane/front/route_affinity_test.go
+++ b/internal/dataplane/front/route_affinity_test.go
@@ -16,8 +16,8 @@
 		calls   = 24
 	)
 
-	// serversAsked counts the servers that calls of as many programs go to; object names what each call is about.
-	serversAsked := func(isSticky bool, object func(call int) string) int {
+	// serversUsed counts the servers that calls of as many programs go to; object names what each call is about.
+	serversUsed := func(isSticky bool, object func(call int) string) int {
 		r := newRouteRig()
 		node := r.front("f1")
 		r.changeBundle(func(active *protocol.Bundle) {
@@ -31,27 +31,27 @@
 			stands = append(stands, r.server(fmt.Sprintf("s%d", number), answerWith(http.StatusOK, "ok")))
 		}
 		for call := range calls {
-			headers := with(words.Program, fmt.Sprintf("p%d", call), words.Affinity, object(call))
+			headers := with(testDialect.Program, fmt.Sprintf("p%d", call), testDialect.Affinity, object(call))
 			Expect(node.route(routed{target: nonRepeatablePath, headers: headers}).status).To(Equal(http.StatusOK))
 		}
-		asked := 0
+		requests := 0
 		for _, stand := range stands {
 			if len(stand.requests()) > 0 {
-				asked++
+				requests++
 			}
 		}
-		return asked
+		return requests
 	}
 
 	It("given a sticky route, then they go to one server, whichever program they belong to", func() {
-		Expect(serversAsked(true, func(int) string { return "meter-7" })).To(Equal(1))
+		Expect(serversUsed(true, func(int) string { return "meter-7" })).To(Equal(1))
 	})
 
 	It("given a sticky route and many objects, then they spread over the servers", func() {
-		Expect(serversAsked(true, func(call int) string { return fmt.Sprintf("meter-%d", call) })).To(BeNumerically(">", servers/2))
+		Expect(serversUsed(true, func(call int) string { return fmt.Sprintf("meter-%d", call) })).To(BeNumerically(">", servers/2))
 	})
 
 	It("given a route that is not sticky, then programs spread over the servers", func() {
-		Expect(serversAsked(false, func(int) string { return "meter-7" })).To(BeNumerically(">", servers/2))
+		Expect(serversUsed(false, func(int) string { return "meter-7" })).To(BeNumerically(">", servers/2))
 	})
 })
--- a/internal/dataplane/front/route_api.go
+++ b/internal/dataplane/front/route_api.go
@@ -32,25 +32,25 @@
 // ServeHTTP implements http.Handler: it brings one request to its session's
 // owner and a server's answer back, both unchanged.
 func (a *routeAPI) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	taken, err := a.takeIn(request)
+	accepted, err := a.accept(request)
 	if err != nil {
 		writeRoutedFailure(writer, failure.From(err))
 		return
 	}
-	ctx, cancel := a.service.clock.WithTimeout(request.Context(), taken.left+routedAnswerSlack)
+	ctx, cancel := a.service.clock.WithTimeout(request.Context(), accepted.timeLeft+routedAnswerSlack)
 	defer cancel()
-	if taken.http.GetKind() == protocol.HttpRouteKind_HTTP_STREAMING {
-		a.serveStream(ctx, writer, taken)
+	if accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_STREAMING {
+		a.serveStream(ctx, writer, accepted)
 		return
 	}
-	a.serveCall(ctx, writer, taken)
+	a.serveCall(ctx, writer, accepted)
 }
 
 // routedAnswerSlack is how much longer than the request's time an ingress waits for the owner's word on it.
 const routedAnswerSlack = 100 * time.Millisecond
 
-// takenRequest is a request of an HTTP route with what its headers say.
-type takenRequest struct {
+// acceptedRequest is a request of an HTTP route with what its headers say.
+type acceptedRequest struct {
 	http    *protocol.HttpRequest
 	id      string
 	program string
@@ -60,17 +60,17 @@
 	// step is the training step that a turn generates for.
 	step string
 	// model is the model that the step is named with; empty leaves the choice to the group.
-	model  string
-	budget uint64
-	most   uint32
-	left   time.Duration
+	model           string
+	budget          uint64
+	maxOutputTokens uint32
+	timeLeft        time.Duration
 }
 
-// takeIn finds the route and reads the request within the bounds of the bundle in force.
-func (a *routeAPI) takeIn(request *http.Request) (*takenRequest, error) {
-	index, waited := a.bundleInForce(request)
+// accept finds the route and reads the request within the bounds of the bundle in force.
+func (a *routeAPI) accept(request *http.Request) (*acceptedRequest, error) {
+	index, waited := a.awaitBundle(request)
 	if index.Bundle() == nil {
-		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(a.service.startLeft()))
+		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(a.service.remainingStartup()))
 	}
 	route := index.HTTPRoute(request.Host, request.URL.EscapedPath())
 	if route == nil {
@@ -107,58 +107,58 @@
 // read takes what the headers say. What the request waited already is gone from its time.
 func (a *routeAPI) read(
 	request *http.Request, index *bundle.Index, route *protocol.HttpRoute, body []byte, waited time.Duration,
-) (*takenRequest, error) {
+) (*acceptedRequest, error) {
 	header := request.Header
-	taken := &takenRequest{
+	accepted := &acceptedRequest{
 		id: header.Get(a.dialect.RequestID), program: header.Get(a.dialect.Program), session: header.Get(a.dialect.Session),
 		previous: header.Get(a.dialect.PreviousTurn),
 	}
-	if len(taken.id) > maxIdentifierBytes || len(taken.program) > maxIdentifierBytes ||
-		len(taken.session) > maxIdentifierBytes || len(taken.previous) > maxIdentifierBytes {
+	if len(accepted.id) > maxIdentifierBytes || len(accepted.program) > maxIdentifierBytes ||
+		len(accepted.session) > maxIdentifierBytes || len(accepted.previous) > maxIdentifierBytes {
 		return nil, tooLong("header")
 	}
-	if taken.id == "" {
-		taken.id = "req_" + randomID()
-		header.Set(a.dialect.RequestID, taken.id)
+	if accepted.id == "" {
+		accepted.id = "req_" + randomID()
+		header.Set(a.dialect.RequestID, accepted.id)
 	}
-	if taken.session == "" {
-		taken.session = taken.program
+	if accepted.session == "" {
+		accepted.session = accepted.program
 	}
-	if taken.program == "" {
-		taken.program = taken.session
+	if accepted.program == "" {
+		accepted.program = accepted.session
 	}
-	if ledger.IsReservedProgram(taken.program) {
+	if ledger.IsReservedProgram(accepted.program) {
 		return nil, reservedProgram()
 	}
-	if route.GetStateful() && taken.program == "" {
+	if route.GetStateful() && accepted.program == "" {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of this route must name its program", failure.WithPath("program"))
 	}
-	if err := a.readStep(taken, header, route); err != nil {
+	if err := a.readStep(accepted, header, route); err != nil {
 		return nil, err
 	}
-	taken.left = a.timeFor(header, route) - waited
-	if taken.left <= 0 {
+	accepted.timeLeft = a.requestTimeout(header, route) - waited
+	if accepted.timeLeft <= 0 {
 		return nil, failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the caller's time is over")
 	}
-	taken.budget = headerNumber(header, a.dialect.TokenBudget)
-	prompt, most := tokenUsage(header.Get(a.dialect.TokenUsage))
-	taken.most = most
-	group := bundle.PickTarget(route, xxhash.Sum64String(firstOf(taken.program, taken.id)))
-	taken.http = &protocol.HttpRequest{
-		Route: route.GetName(), Group: group, Kind: route.GetKind(), Method: request.Method, Target: targetOf(request),
+	accepted.budget = headerNumber(header, a.dialect.TokenBudget)
+	prompt, maxOutputTokens := tokenUsage(header.Get(a.dialect.TokenUsage))
+	accepted.maxOutputTokens = maxOutputTokens
+	group := bundle.PickTarget(route, xxhash.Sum64String(firstOf(accepted.program, accepted.id)))
+	accepted.http = &protocol.HttpRequest{
+		Route: route.GetName(), Group: group, Kind: route.GetKind(), Method: request.Method, Target: requestTarget(request),
 		Host: request.Host, Headers: endToEndHeaders(header, a.dialect.TimeLeft, a.dialect.TargetServer), Body: body,
 		MaxAttempts: max(route.GetMaxAttempts(), 1), Rank: route.GetRank(), LatencyObjectiveMillis: route.GetLatencyObjectiveMillis(),
 		Stateful: route.GetStateful(), Resumable: route.GetResumable(), KeepMillis: route.GetKeepMillis(),
-		BundleVersion: index.Bundle().GetVersion(), Affinity: a.objectOf(header, route),
+		BundleVersion: index.Bundle().GetVersion(), Affinity: a.affinityKey(header, route),
 		PromptParts: promptParts(header.Get(a.dialect.PromptParts)), PromptTokens: prompt,
-		ProgramTimeLeftMillis: uint32(min(headerNumber(header, a.dialect.ProgramTimeLeft), mostTimeoutMillis)),
+		ProgramTimeLeftMillis: uint32(min(headerNumber(header, a.dialect.ProgramTimeLeft), maxTimeoutMillis)),
 		EventTokens:           index.Group(group).GetEngine().GetEventTokens(),
 	}
-	return taken, nil
+	return accepted, nil
 }
 
-// objectOf names the object that a request concerns, where servers of the route work faster for one that they have seen.
-func (a *routeAPI) objectOf(header http.Header, route *protocol.HttpRoute) string {
+// affinityKey names the object that a request concerns, where servers of the route work faster for one that they have seen.
+func (a *routeAPI) affinityKey(header http.Header, route *protocol.HttpRoute) string {
 	if !route.GetSticky() {
 		return ""
 	}
@@ -172,46 +172,46 @@
 	return other
 }
 
-// targetOf gives path and query as they came.
-func targetOf(request *http.Request) string {
+// requestTarget gives path and query as they came.
+func requestTarget(request *http.Request) string {
 	if strings.HasPrefix(request.RequestURI, "/") {
 		return request.RequestURI
 	}
 	return request.URL.RequestURI()
 }
 
-// timeFor is how long a request may take: as long as its caller waits and its route allows.
-func (a *routeAPI) timeFor(header http.Header, route *protocol.HttpRoute) time.Duration {
+// requestTimeout is how long a request may take: as long as its caller waits and its route allows.
+func (a *routeAPI) requestTimeout(header http.Header, route *protocol.HttpRoute) time.Duration {
 	allowed := time.Duration(route.GetTimeoutMillis()) * time.Millisecond
-	asked, told := wholeNumber(header.Get(a.dialect.TimeLeft))
-	if !told {
+	requested, given := parseInteger(header.Get(a.dialect.TimeLeft))
+	if !given {
 		return allowed
 	}
-	return min(allowed, time.Duration(min(asked, mostTimeoutMillis))*time.Millisecond)
+	return min(allowed, time.Duration(min(requested, maxTimeoutMillis))*time.Millisecond)
 }
 
-// wholeNumber reads a whole number, or one with a fraction that is cut off; false when there is none.
-func wholeNumber(text string) (uint64, bool) {
-	whole, _, _ := strings.Cut(text, ".")
-	number, err := strconv.ParseInt(whole, 10, 64)
+// parseInteger reads a whole number, or one with a fraction that is cut off; false when there is none.
+func parseInteger(text string) (uint64, bool) {
+	integer, _, _ := strings.Cut(text, ".")
+	number, err := strconv.ParseInt(integer, 10, 64)
 	return uint64(max(number, 0)), err == nil
 }
 
-// headerNumber reads a header as wholeNumber does; zero when there is none.
+// headerNumber reads a header as parseInteger does; zero when there is none.
 func headerNumber(header http.Header, name string) uint64 {
-	number, told := wholeNumber(header.Get(name))
-	if !told {
+	number, given := parseInteger(header.Get(name))
+	if !given {
 		return 0
 	}
 	return number
 }
 
 // tokenUsage reads "PROMPT,MOST".
-func tokenUsage(text string) (prompt, most uint32) {
+func tokenUsage(text string) (prompt, maxOutput uint32) {
 	first, second, _ := strings.Cut(text, ",")
 	promptTokens, _ := strconv.ParseUint(strings.TrimSpace(first), 10, 31)
-	mostTokens, _ := strconv.ParseUint(strings.TrimSpace(second), 10, 31)
-	return uint32(promptTokens), uint32(mostTokens)
+	maxTokens, _ := strconv.ParseUint(strings.TrimSpace(second), 10, 31)
+	return uint32(promptTokens), uint32(maxTokens)
 }
 
 const maxPromptParts = 256
--- a/internal/dataplane/front/route_faults_test.go
+++ b/internal/dataplane/front/route_faults_test.go
@@ -33,22 +33,22 @@
 		return rawHead(seen, "Transfer-Encoding: chunked\r\n") + "zz\r\nshort\r\n0\r\n\r\n"
 	},
 	"one without proof": func(seen seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse", words.RequestID, seen.id())
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, seen.id())
 	},
 	"one of another request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", words.RequestID, words.Signature)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, testDialect.Signature)
 	},
 	"one of no request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", words.Signature)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.Signature)
 	},
 	"a refusal of another request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", words.RequestID, words.NotExecuted)
+		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID, testDialect.NotExecuted)
 	},
 	"a wrong address for another request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 421 Misdirected\r\n%s: other\r\nContent-Length: 0\r\n\r\n", words.RequestID)
+		return fmt.Sprintf("HTTP/1.1 421 Misdirected\r\n%s: other\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID)
 	},
 	"a 503 that does not say that it was not run": func(seen seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", words.RequestID, seen.id(), words.Signature)
+		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", testDialect.RequestID, seen.id(), testDialect.Signature)
 	},
 }
 
@@ -106,30 +106,30 @@
 		}
 		return servers
 	}
-	whole := func(seen seenRequest) string { return rawHead(seen, "Content-Length: 4\r\n") + "true" }
+	complete := func(seen seenRequest) string { return rawHead(seen, "Content-Length: 4\r\n") + "true" }
 
 	for name, bad := range badAnswers {
 		It("that gives "+name+" ends a request that may not be repeated, with no promise and no further send", func() {
-			servers := badOnce(bad, whole)
-			got := f1.route(routed{target: nonRepeatablePath, headers: with(words.RequestID, "r1")})
+			servers := badOnce(bad, complete)
+			got := f1.route(routed{target: nonRepeatablePath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
-			Expect(got.header).NotTo(HaveKey(words.Signature))
+			Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 			Expect(got.header).NotTo(HaveKey("Retry-After"))
 			Expect(got.body).NotTo(ContainSubstring("false"))
 			Expect(count(servers[0], servers[1])).To(Equal(1))
 		})
 
 		It("that gives "+name+" ends a stream, with no promise and no further send", func() {
-			servers := badOnce(bad, whole)
-			got := f1.route(routed{target: streamPath, headers: with(words.RequestID, "r1")})
+			servers := badOnce(bad, complete)
+			got := f1.route(routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
-			Expect(got.header).NotTo(HaveKey(words.Signature))
+			Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 			Expect(count(servers[0], servers[1])).To(Equal(1))
 		})
 
 		It("that gives "+name+" is followed by another one for a request that may be repeated", func() {
-			servers := badOnce(bad, whole)
-			got := f1.route(routed{target: repeatablePath, headers: with(words.RequestID, "r1")})
+			servers := badOnce(bad, complete)
+			got := f1.route(routed{target: repeatablePath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			Expect(got.body).To(Equal("true"))
 			Expect(servers[0].requests()).To(HaveLen(1))
@@ -153,12 +153,12 @@
 		Entry("four times", uint32(4), 4),
 	)
 
-	for name, refusal := range map[string]http.HandlerFunc{
-		"503":               refuseWith(http.StatusServiceUnavailable, ""),
-		"429":               refuseWith(http.StatusTooManyRequests, "1"),
+	for name, rejection := range map[string]http.HandlerFunc{
+		"503":               rejectWith(http.StatusServiceUnavailable, ""),
+		"429":               rejectWith(http.StatusTooManyRequests, "1"),
 		"another one's 421": answerWith(http.StatusMisdirectedRequest, ""),
 		"400 without an id": func(writer http.ResponseWriter, _ *http.Request) {
-			writer.Header().Set(words.NotExecuted, "1")
+			writer.Header().Set(testDialect.NotExecuted, "1")
 			writer.WriteHeader(http.StatusBadRequest)
 		},
 	} {
@@ -167,13 +167,13 @@
 			for at := range 3 {
 				servers = append(servers, r.server(fmt.Sprintf("s%d", at), func(writer http.ResponseWriter, request *http.Request) {
 					if arrivals.Add(1) < 3 {
-						refusal(writer, request)
+						rejection(writer, request)
 						return
 					}
 					answer(writer, request)
 				}))
 			}
-			got := f1.route(routed{target: path, headers: with(words.RequestID, "r1"), body: "b"})
+			got := f1.route(routed{target: path, headers: with(testDialect.RequestID, "r1"), body: "b"})
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			Expect(got.body).To(Equal(wanted))
 			for _, server := range servers {
@@ -189,12 +189,12 @@
 	DescribeTable("may refuse so often that the caller is refused with the time to come back", func(path string) {
 		var servers []*standIn
 		for at := range 6 {
-			servers = append(servers, r.server(fmt.Sprintf("s%d", at), refuseWith(http.StatusServiceUnavailable, "1.5")))
+			servers = append(servers, r.server(fmt.Sprintf("s%d", at), rejectWith(http.StatusServiceUnavailable, "1.5")))
 		}
 		got := f1.route(routed{target: path})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("1.500"))
-		Expect(got.header).NotTo(HaveKey(words.Signature))
+		Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 		Expect(count(servers...)).To(Equal(3), "sends are bounded")
 	},
 		Entry("for a repeatable request", repeatablePath),
@@ -206,10 +206,10 @@
 		got := f1.route(routed{target: path})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header).To(HaveKey("Retry-After"))
-		gone, err := closedport.Hold()
+		closed, err := closedport.Hold()
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(gone.Release)
-		r.announce("gone", routeGroup, gone.Address())
+		DeferCleanup(closed.Release)
+		r.announce("gone", routeGroup, closed.Address())
 		got = f1.route(routed{target: path})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable), "nothing was sent")
 		Expect(got.header).To(HaveKey("Retry-After"))
@@ -225,7 +225,7 @@
 				if arrivals.Add(1) == 1 {
 					breakOff(writer, request)
 				}
-				refuseWith(http.StatusServiceUnavailable, "")(writer, request)
+				rejectWith(http.StatusServiceUnavailable, "")(writer, request)
 			}))
 		}
 		Expect(f1.route(routed{target: repeatablePath}).status).To(Equal(http.StatusBadGateway))
@@ -254,12 +254,12 @@
 				return
 			}
 			surplus := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: r%d\r\n%s: proof\r\nContent-Length: 5\r\n\r\nwrong",
-				words.RequestID, len(server.requests())+1, words.Signature)
-			_, _ = io.WriteString(connection, whole(seen)+surplus)
+				testDialect.RequestID, len(server.requests())+1, testDialect.Signature)
+			_, _ = io.WriteString(connection, complete(seen)+surplus)
 			_, _ = reader.ReadByte()
 		})
 		for number := 1; number <= 5; number++ {
-			got := f1.route(routed{target: path, headers: with(words.RequestID, fmt.Sprintf("r%d", number))})
+			got := f1.route(routed{target: path, headers: with(testDialect.RequestID, fmt.Sprintf("r%d", number))})
 			Expect(got.status).To(Equal(http.StatusOK))
 			Expect(got.body).To(Equal("true"))
 		}
@@ -293,7 +293,7 @@
 		leave()
 		Expect(<-left).To(MatchError(context.Canceled))
 		<-ended
-		r.settled(f1)
+		r.waitUntilIdle(f1)
 		Expect(count(servers...)).To(Equal(1))
 	},
 		Entry("a repeatable call", repeatablePath, func(http.ResponseWriter, *http.Request) {}),
--- a/internal/dataplane/front/route_ingress_test.go
+++ b/internal/dataplane/front/route_ingress_test.go
@@ -19,7 +19,7 @@
 // Requests of session c1 of program p1, one of each kind.
 var (
 	ownedTurn  = routedTurn{id: "r1", input: "in"}.sent()
-	ownedTalk  = routed{target: streamPath, body: "in", headers: with(words.RequestID, "r1", words.Session, "c1", words.Program, "p1")}
+	ownedTalk  = routed{target: streamPath, body: "in", headers: with(testDialect.RequestID, "r1", testDialect.Session, "c1", testDialect.Program, "p1")}
 	ownedWrite = routed{target: nonRepeatablePath, body: "in", headers: ownedTalk.headers}
 	ownedRead  = routed{target: repeatablePath, body: "in", headers: ownedTalk.headers}
 )
@@ -58,7 +58,7 @@
 
 	DescribeTable("is brought there and its answer back", func(sent routed, wanted string) {
 		server := r.server("s1", bothKinds)
-		f1.ownership.refuse = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
+		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		got := f1.route(sent)
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
 		Expect(got.body).To(Equal(wanted))
@@ -89,13 +89,13 @@
 		Entry("a stream to an unreachable one", ownedTalk, func() { r.network.unreachable["f2"] = true }),
 		Entry("a call to an unreachable one", ownedWrite, func() { r.network.unreachable["f2"] = true }),
 		Entry("a turn to one that is no owner", ownedTurn, func() {
-			f2.ownership.refuse = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
+			f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		}),
 		Entry("a stream to one that is no owner", ownedTalk, func() {
-			f2.ownership.refuse = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
+			f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		}),
 		Entry("a call to one that drains", ownedWrite, func() {
-			f2.ownership.refuse = failure.New(failure.Draining, protocol.Outcome_NOT_RUN, "draining")
+			f2.ownership.beginError = failure.New(failure.Draining, protocol.Outcome_NOT_RUN, "draining")
 		}),
 	)
 
@@ -120,12 +120,12 @@
 			<-release
 			bothKinds(writer, request)
 		})
-		r.network.cut["f2"], r.network.cutWhen["f2"] = 0, arrived
+		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, arrived
 		got := f1.route(sent)
 		close(release)
 		Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
 		Expect(got.header).NotTo(HaveKey("Retry-After"))
-		r.settled(f2)
+		r.waitUntilIdle(f2)
 		Expect(server.requests()).To(HaveLen(1))
 	},
 		Entry("a turn", ownedTurn),
@@ -140,7 +140,7 @@
 			bothKinds(writer, request)
 		})
 		lost := make(chan struct{})
-		r.network.cut["f2"], r.network.cutWhen["f2"] = 0, lost
+		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, lost
 		answered := f1.routeAside(ownedRead)
 		<-arrived
 		close(lost)
@@ -163,13 +163,13 @@
 			servers = append(servers, r.server(fmt.Sprintf("s%d", at), answersLost))
 		}
 		lost := make(chan struct{})
-		r.network.cut["f2"], r.network.cutWhen["f2"] = 0, lost
+		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, lost
 		answered := f1.routeAside(ownedRead)
 		<-arrived
 		close(lost)
 		Expect(answerOf(answered).status).To(Equal(status))
-		r.settled(f1)
-		r.settled(f2)
+		r.waitUntilIdle(f1)
+		r.waitUntilIdle(f2)
 		Expect(count(servers...)).To(BeNumerically("<=", int(allowed)))
 	},
 		Entry("one: nobody else may run it", uint32(1), http.StatusBadGateway),
@@ -180,26 +180,26 @@
 
 	Describe("and is lost after taking it", func() {
 		var server *standIn
-		var reserving, refused chan struct{}
+		var reserving, rejected chan struct{}
 
 		// loseBeforeReserving breaks the owner's stream off while its reservation is held up until the ingress
 		// has asked for the tombstone.
 		loseBeforeReserving := func(tombstone func(*protocol.LedgerOperation) *protocol.LedgerResult) routedAnswer {
-			reserving, refused = make(chan struct{}), make(chan struct{})
+			reserving, rejected = make(chan struct{}), make(chan struct{})
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetReserveTurn() != nil {
 					close(reserving)
-					<-refused
+					<-rejected
 				}
 				if operation.GetRefuseRequest() != nil {
 					return tombstone(operation)
 				}
 				return nil
 			}
-			r.network.cut["f2"], r.network.cutWhen["f2"] = 0, reserving
+			r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, reserving
 			got := f1.route(ownedTurn)
-			close(refused)
-			r.settled(f2)
+			close(rejected)
+			r.waitUntilIdle(f2)
 			return got
 		}
 
@@ -223,7 +223,7 @@
 	DescribeTable("is answered 503 when its server refuses it while the owner loses its authority", func(sent routed) {
 		server := r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			f2.ownership.revoked.Store(true)
-			refuseWith(http.StatusServiceUnavailable, "")(writer, request)
+			rejectWith(http.StatusServiceUnavailable, "")(writer, request)
 		})
 		got := answerOf(f1.routeAside(sent))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
@@ -238,7 +238,7 @@
 
 	It("breaks off when the owner is lost in the midst of a stream", func() {
 		r.server("s1", streamOf("one", "two", "three"))
-		r.network.cut["f2"] = 3
+		r.network.partitioned["f2"] = 3
 		got := f1.route(ownedTalk)
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal(event(1, "one") + event(2, "two")))
@@ -303,11 +303,11 @@
 			<-release
 			answerWith(http.StatusOK, "slow")(writer, request)
 		})
-		let := sync.OnceFunc(func() { close(release) })
-		DeferCleanup(let)
+		releaseAll := sync.OnceFunc(func() { close(release) })
+		DeferCleanup(releaseAll)
 		listener := newDrainingListener(r, f1)
-		Expect(listener.call(repeatablePath)).To(Equal(kept{body: "quick"}))
-		slow := make(chan kept, 1)
+		Expect(listener.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick"}))
+		slow := make(chan connectionAnswer, 1)
 		go func() {
 			defer GinkgoRecover()
 			slow <- listener.call(nonRepeatablePath)
@@ -317,11 +317,11 @@
 		listener.BeginDrain()
 		drained := make(chan error, 1)
 		go func() { drained <- listener.Drain(context.Background()) }()
-		Expect(listener.call(repeatablePath)).To(Equal(kept{body: "quick", closing: true}), "those who hand connections out have not noticed yet")
+		Expect(listener.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}), "those who hand connections out have not noticed yet")
 		r.clock.advance(10 * time.Second)
 		Consistently(drained, "20ms").ShouldNot(Receive(), "a request is under way")
-		let()
-		Expect(<-slow).To(Equal(kept{body: "slow", closing: true}))
+		releaseAll()
+		Expect(<-slow).To(Equal(connectionAnswer{body: "slow", closing: true}))
 		Expect(<-drained).To(Succeed())
 		_, err := http.Get("http://" + listener.Address() + repeatablePath)
 		Expect(err).To(HaveOccurred())
@@ -333,10 +333,10 @@
 		r.server("s1", answerWith(http.StatusOK, "quick"))
 		listener := newDrainingListener(r, f1)
 		connection := listener.connect()
-		Expect(connection.call(repeatablePath)).To(Equal(kept{body: "quick"}))
+		Expect(connection.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick"}))
 
 		listener.BeginDrain()
-		Expect(connection.call(repeatablePath)).To(Equal(kept{body: "quick", closing: true}), "it was sent before its caller could know")
+		Expect(connection.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}), "it was sent before its caller could know")
 		Expect(connection.ended()).To(BeTrue())
 	})
 })
--- a/internal/dataplane/front/route_rig_test.go
+++ b/internal/dataplane/front/route_rig_test.go
@@ -36,8 +36,8 @@
 	turnPath          = "/agent/"
 )
 
-// words are the header names of the product's own dialect.
-var words = dialect.Default()
+// testDialect are the header names of the product's own dialect.
+var testDialect = dialect.Default()
 
 // standardRoutes gives one route of each kind, all to one group.
 func standardRoutes() []*protocol.HttpRoute {
@@ -112,7 +112,7 @@
 	header                     http.Header
 }
 
-func (s *standIn) note(request seenRequest) {
+func (s *standIn) record(request seenRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.seen = append(s.seen, request)
@@ -150,12 +150,12 @@
 func (r *rig) serverOf(group, id string, handler http.HandlerFunc) *standIn {
 	stand := &standIn{id: id}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if request.URL.Path == words.ReportPath {
+		if request.URL.Path == testDialect.ReportPath {
 			r.loadReport(writer, id)
 			return
 		}
 		body, _ := io.ReadAll(request.Body)
-		stand.note(seenRequest{
+		stand.record(seenRequest{
 			method: request.Method, target: request.RequestURI, host: request.Host, body: string(body), header: request.Header.Clone(),
 		})
 		request.Body = io.NopCloser(bytes.NewReader(body))
@@ -205,22 +205,22 @@
 	}
 	body, _ := io.ReadAll(request.Body)
 	seen := seenRequest{method: request.Method, target: request.RequestURI, host: request.Host, body: string(body), header: request.Header}
-	s.note(seen)
+	s.record(seen)
 	return seen, true
 }
 
 // id is the request id that a request carries.
-func (s seenRequest) id() string { return s.header.Get(words.RequestID) }
+func (s seenRequest) id() string { return s.header.Get(testDialect.RequestID) }
 
 // rawHead is the head of a server's proper answer to a request, with more header lines.
 func rawHead(request seenRequest, lines string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: proof\r\n%s\r\n", words.RequestID, request.id(), words.Signature, lines)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: proof\r\n%s\r\n", testDialect.RequestID, request.id(), testDialect.Signature, lines)
 }
 
 // prove puts on an answer what a server puts on each that it gives itself.
 func prove(writer http.ResponseWriter, request *http.Request) {
-	writer.Header().Set(words.RequestID, request.Header.Get(words.RequestID))
-	writer.Header().Set(words.Signature, "proof")
+	writer.Header().Set(testDialect.RequestID, request.Header.Get(testDialect.RequestID))
+	writer.Header().Set(testDialect.Signature, "proof")
 }
 
 // answerWith gives a whole answer.
@@ -232,11 +232,11 @@
 	}
 }
 
-// refuseWith says that the request was not run.
-func refuseWith(status int, retryAfter string) http.HandlerFunc {
+// rejectWith says that the request was not run.
+func rejectWith(status int, retryAfter string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		prove(writer, request)
-		writer.Header().Set(words.NotExecuted, "1")
+		writer.Header().Set(testDialect.NotExecuted, "1")
 		if retryAfter != "" {
 			writer.Header().Set("Retry-After", retryAfter)
 		}
@@ -295,7 +295,7 @@
 // routeServer is the address at which a front node takes requests of HTTP routes.
 func (n *node) routeServer() *httptest.Server {
 	if n.routes == nil {
-		n.routes = httptest.NewServer(front.NewRouteHandler(n.service, words))
+		n.routes = httptest.NewServer(front.NewRouteHandler(n.service, testDialect))
 		DeferCleanup(n.routes.Close)
 	}
 	return n.routes
@@ -366,8 +366,8 @@
 	return header
 }
 
-// settled returns when nothing is under way at a front node any more.
-func (r *rig) settled(n *node) {
+// waitUntilIdle returns when nothing is under way at a front node any more.
+func (r *rig) waitUntilIdle(n *node) {
 	Eventually(n.service.UnderWay).Should(BeZero())
 	Expect(n.service.Drain(context.Background())).To(Succeed())
 }
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -15,25 +15,25 @@
 	routedTenant = "routes"
 	// defaultRetryAfter is told with a refusal that has no better word.
 	defaultRetryAfter = 100 * time.Millisecond
-	// repairRetry is told while the ledger is being repaired, which takes about that long.
-	repairRetry = time.Second
+	// ledgerRepairRetryAfter is told while the ledger is being repaired, which takes about that long.
+	ledgerRepairRetryAfter = time.Second
 	// routedWriteTimeout is how long one piece of an answer may take to be written to a slow caller.
 	routedWriteTimeout = 10 * time.Second
 )
 
 // serveStream serves a request that is answered by a stream.
-func (a *routeAPI) serveStream(ctx context.Context, writer http.ResponseWriter, taken *takenRequest) {
+func (a *routeAPI) serveStream(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
 	request := &protocol.TurnRequest{
-		RequestId: taken.id, Tenant: routedTenant, Program: taken.program, Session: taken.session, MaxOutputTokens: taken.most,
-		TimeLeftMillis: uint32(taken.left.Milliseconds()), ProgramBudget: taken.budget, Ingress: a.service.name,
-		FirstSend: true, Http: taken.http, TrainingStep: taken.step, Model: taken.model,
+		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session, MaxOutputTokens: accepted.maxOutputTokens,
+		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), ProgramBudget: accepted.budget, Ingress: a.service.name,
+		FirstSend: true, Http: accepted.http, TrainingStep: accepted.step, Model: accepted.model,
 	}
-	request.Input = []*protocol.Item{{Data: taken.http.GetBody()}}
-	taken.http.Body = nil
-	if taken.http.GetStateful() {
-		request.PreviousTurn = taken.previous
+	request.Input = []*protocol.Item{{Data: accepted.http.GetBody()}}
+	accepted.http.Body = nil
+	if accepted.http.GetStateful() {
+		request.PreviousTurn = accepted.previous
 	}
-	stream := &routedStream{writer: writer, method: taken.http.GetMethod(), controller: http.NewResponseController(writer)}
+	stream := &routedStream{writer: writer, method: accepted.http.GetMethod(), controller: http.NewResponseController(writer)}
 	if err := a.service.relayTurn(ctx, request, stream.send); err != nil {
 		stream.fail(failure.From(err))
 	}
@@ -99,11 +99,11 @@
 }
 
 // serveCall serves a request that is answered whole.
-func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, taken *takenRequest) {
-	repeatable := taken.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
+func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
+	repeatable := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
 	answer, err := a.service.relayCall(ctx, &protocol.ToolCallRequest{
-		RequestId: taken.id, Tenant: routedTenant, Program: taken.program, Session: taken.session, Tool: taken.http.GetRoute(),
-		TimeLeftMillis: uint32(taken.left.Milliseconds()), Ingress: a.service.name, FirstSend: true, Http: taken.http,
+		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session, Tool: accepted.http.GetRoute(),
+		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true, Http: accepted.http,
 	}, !repeatable)
 	switch {
 	case err != nil:
@@ -111,7 +111,7 @@
 	case answer.GetFailure() != nil:
 		writeRoutedFailure(writer, answer.GetFailure())
 	default:
-		writeAnswer(writer, taken.http.GetMethod(), &protocol.HttpAnswer{Status: answer.GetStatus(), Headers: answer.GetHeaders(), Body: answer.GetBody()})
+		writeAnswer(writer, accepted.http.GetMethod(), &protocol.HttpAnswer{Status: answer.GetStatus(), Headers: answer.GetHeaders(), Body: answer.GetBody()})
 	}
 }
 
@@ -158,7 +158,7 @@
 func retryWait(f *protocol.Failure) time.Duration {
 	switch failure.Code(f.GetCode()) {
 	case failure.LedgerUnavailable:
-		return repairRetry
+		return ledgerRepairRetryAfter
 	case failure.Draining, failure.NoAuthority, failure.NotOwner, failure.Fenced:
 		return defaultRetryAfter
 	}
--- a/internal/dataplane/front/route_streams_test.go
+++ b/internal/dataplane/front/route_streams_test.go
@@ -45,11 +45,11 @@
 			}
 			<-next
 		})
-		response, err := f1.begin(context.Background(), routed{target: streamPath, headers: with(words.RequestID, "r1")})
+		response, err := f1.begin(context.Background(), routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = response.Body.Close() }()
 		Expect(response.Header).To(HaveKeyWithValue("X-Own", []string{"kept"}), "the head does not wait for an event")
-		Expect(response.Header).To(HaveKeyWithValue(words.Signature, []string{"proof"}))
+		Expect(response.Header).To(HaveKeyWithValue(testDialect.Signature, []string{"proof"}))
 		Expect(response.Header).To(HaveKeyWithValue("Content-Type", []string{"text/event-stream"}))
 		reader := bufio.NewReader(response.Body)
 		for number := 1; number <= 4; number++ {
@@ -89,7 +89,7 @@
 					_, _ = io.WriteString(connection, bad(seen))
 				}
 			})
-			got := f1.route(routed{target: streamPath, headers: with(words.RequestID, "r1")})
+			got := f1.route(routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusOK))
 			Expect(got.broken).To(HaveOccurred(), "it must not look whole")
 			Expect(got.body).To(Equal(event(1, "one")))
@@ -143,7 +143,7 @@
 			<-request.Context().Done()
 			close(ended)
 		})
-		got := f1.route(routed{target: streamPath, headers: with(words.TokenUsage, "10,3")})
+		got := f1.route(routed{target: streamPath, headers: with(testDialect.TokenUsage, "10,3")})
 		Expect(got.broken).To(HaveOccurred())
 		Expect(got.body).To(Equal(event(1, "one")+event(2, "two")), "3 tokens are two events of 2")
 		<-ended
@@ -152,7 +152,7 @@
 	It("needs no ledger when it has no budget and keeps nothing", func() {
 		r.ledger.setDown(true)
 		r.server("s1", streamOf("one"))
-		got := f1.route(routed{target: streamPath, headers: with(words.Program, "p1", words.Session, "s1")})
+		got := f1.route(routed{target: streamPath, headers: with(testDialect.Program, "p1", testDialect.Session, "s1")})
 		Expect(got.body).To(Equal(event(1, "one")))
 	})
 })
--- a/internal/dataplane/front/route_turns_test.go
+++ b/internal/dataplane/front/route_turns_test.go
@@ -23,33 +23,33 @@
 	// program and session are p1 and c1 unless told otherwise.
 	program, session string
 	budget           int
-	most             int
+	maxOutput        int
 }
 
 func (t routedTurn) sent() routed {
-	set := with(words.RequestID, t.id, words.Program, "p1", words.Session, "c1",
-		words.TokenBudget, "1000", words.TokenUsage, "10,8")
+	set := with(testDialect.RequestID, t.id, testDialect.Program, "p1", testDialect.Session, "c1",
+		testDialect.TokenBudget, "1000", testDialect.TokenUsage, "10,8")
 	if t.program != "" {
-		set.Set(words.Program, t.program)
+		set.Set(testDialect.Program, t.program)
 	}
 	if t.session != "" {
-		set.Set(words.Session, t.session)
+		set.Set(testDialect.Session, t.session)
 	}
 	if t.previous != "" {
-		set.Set(words.PreviousTurn, t.previous)
+		set.Set(testDialect.PreviousTurn, t.previous)
 	}
 	if t.budget > 0 {
-		set.Set(words.TokenBudget, strconv.Itoa(t.budget))
+		set.Set(testDialect.TokenBudget, strconv.Itoa(t.budget))
 	}
-	if t.most > 0 {
-		set.Set(words.TokenUsage, fmt.Sprintf("10,%d", t.most))
+	if t.maxOutput > 0 {
+		set.Set(testDialect.TokenUsage, fmt.Sprintf("10,%d", t.maxOutput))
 	}
 	return routed{target: turnPath, body: t.input, headers: set}
 }
 
 // turnServer answers each turn with two events whose data names it.
 func turnServer(writer http.ResponseWriter, request *http.Request) {
-	id := request.Header.Get(words.RequestID)
+	id := request.Header.Get(testDialect.RequestID)
 	streamOf("a-"+id, "b-"+id)(writer, request)
 }
 
@@ -110,16 +110,16 @@
 
 		It("over more turns than the ledger gives at once", func() {
 			const turns = 300
-			whole := before
-			var wholeSb112 strings.Builder
+			conversation := before
+			var appended strings.Builder
 			for number := 3; number <= turns; number++ {
 				id := fmt.Sprint("t", number)
 				f1.take(routedTurn{id: id, previous: fmt.Sprint("t", number-1), input: "+"})
-				wholeSb112.WriteString("+" + output(id))
+				appended.WriteString("+" + output(id))
 			}
-			whole += wholeSb112.String()
+			conversation += appended.String()
 			r.front("f2").take(routedTurn{id: "last", previous: fmt.Sprint("t", turns), input: third})
-			Expect(server.bodyOf("last")).To(Equal(whole + third))
+			Expect(server.bodyOf("last")).To(Equal(conversation + third))
 		})
 
 		DescribeTable("over a turn of another program, and on from there", func(lost bool) {
@@ -163,9 +163,9 @@
 
 		It("when it is sent anew after its answer was lost", func() {
 			r.drainServer("s1")
-			var asked atomic.Int32
+			var requests atomic.Int32
 			breaking := r.server("s2", func(writer http.ResponseWriter, request *http.Request) {
-				if asked.Add(1) == 1 {
+				if requests.Add(1) == 1 {
 					streamOf("lost")(writer, request)
 					panic(http.ErrAbortHandler)
 				}
@@ -241,8 +241,8 @@
 
 		It("names its program, or is refused", func() {
 			sent := routedTurn{id: "t1", previous: "t0", input: "one"}.sent()
-			sent.headers.Del(words.Program)
-			sent.headers.Del(words.Session)
+			sent.headers.Del(testDialect.Program)
+			sent.headers.Del(testDialect.Session)
 			Expect(f1.route(sent).status).To(Equal(http.StatusBadRequest))
 			Expect(server.requests()).To(BeEmpty())
 		})
@@ -256,7 +256,7 @@
 			for at, n := range []*node{f1, r.front("f2")} {
 				got := n.route(routedTurn{id: fmt.Sprint("spent", at), previous: "t2", input: "x", session: fmt.Sprint("c", at)}.sent())
 				Expect(got.status).To(Equal(http.StatusPaymentRequired))
-				Expect(got.header).NotTo(HaveKey(words.Signature))
+				Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 			}
 			Expect(server.requests()).To(HaveLen(2))
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(4))
@@ -269,7 +269,7 @@
 			})
 			got := f1.route(routedTurn{id: "t1", input: "one", budget: 3}.sent())
 			Expect(got.body).To(Equal(event(1, "a") + event(2, "b") + event(3, "c")))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(3))
 			Expect(f1.route(routedTurn{id: "t2", input: "x"}.sent()).status).To(Equal(http.StatusPaymentRequired))
 		})
@@ -283,19 +283,19 @@
 				return nil
 			}
 			r.server("s1", streamOf("a", "b", "c", "d", "e"))
-			got := f1.route(routedTurn{id: "t1", input: "one", most: 3}.sent())
+			got := f1.route(routedTurn{id: "t1", input: "one", maxOutput: 3}.sent())
 			Expect(got.broken).To(HaveOccurred())
 			Expect(got.body).To(Equal(event(1, "a") + event(2, "b") + event(3, "c")))
 			Expect(reserved.Load()).To(BeEquivalentTo(3))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(3))
 			Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
 		})
 
 		It("is given its reservation back when nothing ran", func() {
-			r.server("s1", refuseWith(http.StatusServiceUnavailable, ""))
+			r.server("s1", rejectWith(http.StatusServiceUnavailable, ""))
 			Expect(f1.route(routedTurn{id: "t1", input: "one", budget: 5}.sent()).status).To(Equal(http.StatusServiceUnavailable))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p1").GetSettled()).To(BeZero())
 			Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
 		})
@@ -303,13 +303,13 @@
 
 	Describe("and the ledger", func() {
 		It("has its reservation before a server gets it", func() {
-			held := make(chan []*protocol.Reservation, 1)
+			reserved := make(chan []*protocol.Reservation, 1)
 			r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
-				held <- r.ledger.program("p1").GetReservations()
+				reserved <- r.ledger.program("p1").GetReservations()
 				turnServer(writer, request)
 			})
 			f1.take(routedTurn{id: "t1", input: "one"})
-			reservations := <-held
+			reservations := <-reserved
 			Expect(reservations).To(HaveLen(1))
 			Expect(reservations[0].GetRequestId()).To(Equal("t1"))
 			Expect(reservations[0].GetCeiling()).To(BeEquivalentTo(8))
@@ -372,7 +372,7 @@
 			leave()
 			<-ended
 			_ = response.Body.Close()
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(1))
 			Expect(r.ledger.turn("t1")).To(BeNil())
 		})
--- a/internal/dataplane/front/routes_test.go
+++ b/internal/dataplane/front/routes_test.go
@@ -32,7 +32,7 @@
 		const target = "/write/a%2Fb/%E2%82%AC/..;v=1/?q=a+b&&r=%41&s"
 		got := f1.route(routed{
 			method: method, target: target, host: "SHOP.example:8080", body: body, chunked: chunked,
-			headers: with(words.RequestID, "r1", "X-Many", "one", "X-Many", "two", "Content-Type", "a/b", "Cookie", "c=d; e",
+			headers: with(testDialect.RequestID, "r1", "X-Many", "one", "X-Many", "two", "Content-Type", "a/b", "Cookie", "c=d; e",
 				"Connection", "X-Hop", "X-Hop", "here", "Te", "gzip", "Proxy-Authorization", "secret", "Accept-Encoding", "identity"),
 		})
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
@@ -43,10 +43,10 @@
 		Expect(seen.host).To(Equal("SHOP.example:8080"))
 		Expect(seen.body).To(Equal(body))
 		wanted := http.Header{
-			http.CanonicalHeaderKey(words.RequestID): {"r1"}, "X-Many": {"one", "two"}, "Content-Type": {"a/b"},
-			"Cookie": {"c=d; e"}, "Accept-Encoding": {"identity"}, words.TimeLeft: {"2000"}, words.TargetServer: {"s1"},
+			http.CanonicalHeaderKey(testDialect.RequestID): {"r1"}, "X-Many": {"one", "two"}, "Content-Type": {"a/b"},
+			"Cookie": {"c=d; e"}, "Accept-Encoding": {"identity"}, testDialect.TimeLeft: {"2000"}, testDialect.TargetServer: {"s1"},
 		}
-		if length, told := seen.header["Content-Length"]; told {
+		if length, given := seen.header["Content-Length"]; given {
 			wanted["Content-Length"] = length
 		}
 		Expect(seen.header).To(Equal(wanted))
@@ -59,16 +59,16 @@
 
 	DescribeTable("carries the front node's words in place of its caller's", func(path string, names []string) {
 		server := r.server("s1", answerWith(http.StatusOK, "ok"))
-		told := with(words.TimeLeft, "700", words.TargetServer, "other", words.ServerRank, "0")
-		Expect(f1.route(routed{target: path, headers: told}).status).To(Equal(http.StatusOK))
+		given := with(testDialect.TimeLeft, "700", testDialect.TargetServer, "other", testDialect.ServerRank, "0")
+		Expect(f1.route(routed{target: path, headers: given}).status).To(Equal(http.StatusOK))
 		seen := server.requests()[0].header
 		for _, name := range names {
 			Expect(seen[name]).To(HaveLen(1), name)
 		}
-		Expect(seen.Get(words.TargetServer)).To(Equal("s1"))
+		Expect(seen.Get(testDialect.TargetServer)).To(Equal("s1"))
 	},
-		Entry("on a call", nonRepeatablePath, []string{words.TimeLeft, words.TargetServer}),
-		Entry("on a stream", streamPath, []string{words.TimeLeft, words.TargetServer, words.ServerRank}),
+		Entry("on a call", nonRepeatablePath, []string{testDialect.TimeLeft, testDialect.TargetServer}),
+		Entry("on a stream", streamPath, []string{testDialect.TimeLeft, testDialect.TargetServer, testDialect.ServerRank}),
 	)
 
 	It("is made an id when it brings none, which the server's answer must carry", func() {
@@ -112,7 +112,7 @@
 		DescribeTable("is answered 404 without one", func(host, target string) {
 			got := f1.route(routed{target: target, host: host})
 			Expect(got.status).To(Equal(http.StatusNotFound))
-			Expect(got.header).NotTo(HaveKey(words.Signature))
+			Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 		},
 			Entry("an unknown path", routeHost, "/b/"),
 			Entry("a prefix without its slash", routeHost, "/a"),
@@ -174,22 +174,22 @@
 	})
 
 	Describe("time left", func() {
-		DescribeTable("is passed on, never more than its caller's or the route's", func(told http.Header, wanted string) {
+		DescribeTable("is passed on, never more than its caller's or the route's", func(given http.Header, wanted string) {
 			server := r.server("s1", answerWith(http.StatusOK, "ok"))
-			Expect(f1.route(routed{target: "/write/", headers: told}).status).To(Equal(http.StatusOK))
-			Expect(server.requests()[0].header[words.TimeLeft]).To(Equal([]string{wanted}))
+			Expect(f1.route(routed{target: "/write/", headers: given}).status).To(Equal(http.StatusOK))
+			Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{wanted}))
 		},
-			Entry("the caller's when it is shorter", with(words.TimeLeft, "700"), "700"),
-			Entry("a fraction is cut off", with(words.TimeLeft, "700.9"), "700"),
-			Entry("the route's when the caller's is longer", with(words.TimeLeft, "70000"), "2000"),
-			Entry("the route's when the caller's is beyond every number", with(words.TimeLeft, "99999999999999999999"), "2000"),
+			Entry("the caller's when it is shorter", with(testDialect.TimeLeft, "700"), "700"),
+			Entry("a fraction is cut off", with(testDialect.TimeLeft, "700.9"), "700"),
+			Entry("the route's when the caller's is longer", with(testDialect.TimeLeft, "70000"), "2000"),
+			Entry("the route's when the caller's is beyond every number", with(testDialect.TimeLeft, "99999999999999999999"), "2000"),
 			Entry("the route's when the caller tells none", nil, "2000"),
 		)
 
 		DescribeTable("that is over lets nothing reach a server", func(path string) {
 			server := r.server("s1", answerWith(http.StatusOK, "ok"))
-			for _, told := range []string{"0", "0.4"} {
-				got := f1.route(routed{target: path, headers: with(words.TimeLeft, told)})
+			for _, timeLeft := range []string{"0", "0.4"} {
+				got := f1.route(routed{target: path, headers: with(testDialect.TimeLeft, timeLeft)})
 				Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 			}
 			Expect(server.requests()).To(BeEmpty())
@@ -201,7 +201,7 @@
 		DescribeTable("shrinks by what was spent before a further send", func(path string, answer http.HandlerFunc) {
 			slow := func(writer http.ResponseWriter, request *http.Request) {
 				r.clock.advance(300 * time.Millisecond)
-				refuseWith(http.StatusServiceUnavailable, "")(writer, request)
+				rejectWith(http.StatusServiceUnavailable, "")(writer, request)
 			}
 			first := true
 			handler := func(writer http.ResponseWriter, request *http.Request) {
@@ -213,12 +213,12 @@
 				answer(writer, request)
 			}
 			s1, s2 := r.server("s1", handler), r.server("s2", handler)
-			Expect(f1.route(routed{target: path, headers: with(words.TimeLeft, "1000")}).status).To(Equal(http.StatusOK))
-			var told []string
+			Expect(f1.route(routed{target: path, headers: with(testDialect.TimeLeft, "1000")}).status).To(Equal(http.StatusOK))
+			var given []string
 			for _, seen := range append(s1.requests(), s2.requests()...) {
-				told = append(told, seen.header.Get(words.TimeLeft))
+				given = append(given, seen.header.Get(testDialect.TimeLeft))
 			}
-			Expect(told).To(ConsistOf("1000", "700"))
+			Expect(given).To(ConsistOf("1000", "700"))
 		},
 			Entry("a call", nonRepeatablePath, answerWith(http.StatusOK, "ok")),
 			Entry("a stream", streamPath, streamOf("a")),
@@ -226,9 +226,9 @@
 
 		It("asks another server for a repeatable call whose answer does not come", func() {
 			arrived, left := make(chan struct{}), make(chan struct{})
-			var asked atomic.Int32
+			var requests atomic.Int32
 			handler := func(writer http.ResponseWriter, request *http.Request) {
-				if asked.Add(1) > 1 {
+				if requests.Add(1) > 1 {
 					answerWith(http.StatusOK, "ok")(writer, request)
 					return
 				}
@@ -243,7 +243,7 @@
 			r.clock.advance(routeTimeoutMillis / 4 * time.Millisecond)
 			Expect((<-answered).status).To(Equal(http.StatusOK))
 			<-left
-			Expect(asked.Load()).To(BeEquivalentTo(2))
+			Expect(requests.Load()).To(BeEquivalentTo(2))
 		})
 
 		DescribeTable("ends what a silent server was given, with no promise", func(path string) {
@@ -272,7 +272,7 @@
 		connection, err := net.Dial("tcp", n.routeServer().Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = connection.Close() }()
-		_, err = fmt.Fprintf(connection, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: r1\r\nConnection: close\r\n\r\n", method, target, routeHost, words.RequestID)
+		_, err = fmt.Fprintf(connection, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: r1\r\nConnection: close\r\n\r\n", method, target, routeHost, testDialect.RequestID)
 		Expect(err).NotTo(HaveOccurred())
 		answer, err := io.ReadAll(connection)
 		Expect(err).NotTo(HaveOccurred())
@@ -299,12 +299,12 @@
 				if _, more := server.take(reader); !more {
 					return
 				}
-				_, _ = fmt.Fprintf(connection, "HTTP/1.1 %s\r\n%s: r1\r\n%s: proof\r\n%s\r\n%s", status, words.RequestID, words.Signature, lines, body)
+				_, _ = fmt.Fprintf(connection, "HTTP/1.1 %s\r\n%s: r1\r\n%s: proof\r\n%s\r\n%s", status, testDialect.RequestID, testDialect.Signature, lines, body)
 			}
 		})
 		gotStatus, gotLines, gotBody := parts(exchange(f1, method, path))
 		Expect(gotStatus).To(Equal("HTTP/1.1 " + status))
-		wanted := []string{words.RequestID + ": r1", words.Signature + ": proof"}
+		wanted := []string{testDialect.RequestID + ": r1", testDialect.Signature + ": proof"}
 		for line := range strings.SplitSeq(strings.TrimSuffix(lines, "\r\n"), "\r\n") {
 			if line != "" && !strings.HasPrefix(line, "Keep-Alive") {
 				wanted = append(wanted, line)
