--- a/internal/dataplane/front/server_outcomes.go
+++ b/internal/dataplane/front/server_outcomes.go
@@ -14,37 +14,37 @@
 	answered uint32
 	faults   uint32
 	// waiting are the requests without a first sign of an answer.
-	waiting map[*awaitedAnswer]struct{}
-	// heard is set when a sign of an answer came since the last report, the newest one at heardAt.
-	heard   bool
-	heardAt time.Time
+	waiting map[*expectedAnswer]struct{}
+	// signReceived is set when a sign of an answer came since the last report, the newest one at lastSignAt.
+	signReceived bool
+	lastSignAt   time.Time
 	// suspectUntil is until when all front nodes together take the server for faulty.
 	suspectUntil time.Time
 }
 
-// awaitedAnswer is one request that waits for the first sign of its answer. A nil one waits for nothing.
-type awaitedAnswer struct {
+// expectedAnswer is one request that waits for the first sign of its answer. A nil one waits for nothing.
+type expectedAnswer struct {
 	outcomes *serverOutcomes
 	dueAt    time.Time
 }
 
-// await notes a request that should be answered within some time; zero means that nothing is known of that.
-func (o *serverOutcomes) await(within time.Duration, now time.Time) *awaitedAnswer {
+// expectAnswer notes a request that should be answered within some time; zero means that nothing is known of that.
+func (o *serverOutcomes) expectAnswer(within time.Duration, now time.Time) *expectedAnswer {
 	if within <= 0 {
 		return nil
 	}
-	awaited := &awaitedAnswer{outcomes: o, dueAt: now.Add(within)}
+	awaited := &expectedAnswer{outcomes: o, dueAt: now.Add(within)}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.waiting == nil {
-		o.waiting = map[*awaitedAnswer]struct{}{}
+		o.waiting = map[*expectedAnswer]struct{}{}
 	}
 	o.waiting[awaited] = struct{}{}
 	return awaited
 }
 
 // end notes that the wait is over. One that took too long and ended without an answer counts as a fault.
-func (a *awaitedAnswer) end(answered bool, now time.Time) {
+func (a *expectedAnswer) end(answered bool, now time.Time) {
 	if a == nil {
 		return
 	}
@@ -56,20 +56,20 @@
 	delete(a.outcomes.waiting, a)
 	switch {
 	case answered:
-		a.outcomes.heard, a.outcomes.heardAt = true, now
+		a.outcomes.signReceived, a.outcomes.lastSignAt = true, now
 	case now.After(a.dueAt):
 		a.outcomes.faults++
 	}
 }
 
-// count takes the outcome of one attempt.
-func (o *serverOutcomes) count(outcome schedule.Outcome, now time.Time) {
+// record takes the outcome of one attempt.
+func (o *serverOutcomes) record(outcome schedule.Outcome, now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	switch outcome {
 	case schedule.OutcomeAnswered:
 		o.answered++
-		o.heard, o.heardAt = true, now
+		o.signReceived, o.lastSignAt = true, now
 	case schedule.OutcomeFault, schedule.OutcomeUnreachable:
 		o.faults++
 	case schedule.OutcomeNotExecuted:
@@ -79,8 +79,8 @@
 // outcomeCounts are the numbers of one report.
 type outcomeCounts struct {
 	answered, faults, overdue uint32
-	// heardAt is when the newest sign of an answer came since the last report; zero when none did.
-	heardAt time.Time
+	// lastSignAt is when the newest sign of an answer came since the last report; zero when none did.
+	lastSignAt time.Time
 }
 
 func (c outcomeCounts) isEmpty() bool { return c == outcomeCounts{} }
@@ -90,23 +90,23 @@
 	outcomes := &protocol.BackEndOutcomes{
 		Id: id, Incarnation: incarnation, Answered: c.answered, Faults: c.faults, Overdue: c.overdue,
 	}
-	if !c.heardAt.IsZero() {
-		age := uint32(max(now.Sub(c.heardAt), 0) / time.Millisecond)
+	if !c.lastSignAt.IsZero() {
+		age := uint32(max(now.Sub(c.lastSignAt), 0) / time.Millisecond)
 		outcomes.SignAgeMillis = &age
 	}
 	return outcomes
 }
 
-// isBad reports whether there is something that the others should hear at once.
-func (c outcomeCounts) isBad() bool { return c.faults > 0 || c.overdue > 0 }
+// hasFailures reports whether there is something that the others should hear at once.
+func (c outcomeCounts) hasFailures() bool { return c.faults > 0 || c.overdue > 0 }
 
-// look gives the numbers as they stand.
-func (o *serverOutcomes) look(now time.Time) outcomeCounts {
+// snapshot gives the numbers as they stand.
+func (o *serverOutcomes) snapshot(now time.Time) outcomeCounts {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	counts := outcomeCounts{answered: o.answered, faults: o.faults}
-	if o.heard {
-		counts.heardAt = o.heardAt
+	if o.signReceived {
+		counts.lastSignAt = o.lastSignAt
 	}
 	for awaited := range o.waiting {
 		if now.After(awaited.dueAt) {
@@ -116,26 +116,26 @@
 	return counts
 }
 
-// told takes off what was reported.
-func (o *serverOutcomes) told(counts outcomeCounts) {
+// markReported takes off what was reported.
+func (o *serverOutcomes) markReported(counts outcomeCounts) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.answered -= counts.answered
 	o.faults -= counts.faults
-	if o.heardAt.Equal(counts.heardAt) {
-		o.heard = false
+	if o.lastSignAt.Equal(counts.lastSignAt) {
+		o.signReceived = false
 	}
 }
 
-// suspect has the server avoided until a time.
-func (o *serverOutcomes) suspect(until time.Time) {
+// markSuspect has the server avoided until a time.
+func (o *serverOutcomes) markSuspect(until time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.suspectUntil = until
 }
 
-// suspected is until when the server is avoided by what all front nodes saw.
-func (o *serverOutcomes) suspected() time.Time {
+// suspectedUntil is until when the server is avoided by what all front nodes saw.
+func (o *serverOutcomes) suspectedUntil() time.Time {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.suspectUntil
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -19,7 +19,7 @@
 
 const (
 	defaultDeadline = 2 * time.Minute
-	longestDeadline = 10 * time.Minute
+	maxDeadline     = 10 * time.Minute
 	noBackEndRetry  = time.Second
 	drainPoll       = 50 * time.Millisecond
 )
@@ -55,11 +55,11 @@
 	logger    *log.Logger
 	metrics   *metrics
 
-	policies atomic.Pointer[policies]
-	backEnds atomic.Pointer[backEnds]
-	arms     atomic.Pointer[armSet]
-	share    atomic.Pointer[float64]
-	sequence atomic.Uint64
+	policies   atomic.Pointer[policies]
+	backEnds   atomic.Pointer[backEnds]
+	variants   atomic.Pointer[variantSet]
+	fleetShare atomic.Pointer[float64]
+	sequence   atomic.Uint64
 	// startedAt is when this front node was made.
 	startedAt time.Time
 	// hasBundle is closed by startOnce when the first bundle is in force.
@@ -67,13 +67,13 @@
 	startOnce sync.Once
 	// startWaiters is how many requests wait for the first bundle.
 	startWaiters atomic.Int32
-	// underWay counts the turns and calls run as owner.
-	underWay atomic.Int64
+	// inProgress counts the turns and calls run as owner.
+	inProgress atomic.Int64
 
 	client       *backEndClient
 	routes       *routeClient
 	models       *groupModels
-	pins         *stepPins
+	versionPins  *versionPins
 	admission    *admission
 	sessions     *sessions
 	explanations *explanations
@@ -106,16 +106,16 @@
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
 		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:    newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
-		models:    models,
-		pins:      newStepPins(options.Clock),
-		admission: newAdmission(options.Clock), sessions: newSessions(options.Clock),
+		routes:      newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		models:      models,
+		versionPins: newVersionPins(options.Clock),
+		admission:   newAdmission(options.Clock), sessions: newSessions(options.Clock),
 		explanations: newExplanations(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
 		hasBundle:    make(chan struct{}),
 	}
-	s.admission.steps.places = s.stepPlaces
+	s.admission.gates.slots = s.stepSlots
 	s.heartbeats = newHeartbeats(options.Link, options.Clock, s.metrics)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
@@ -125,29 +125,29 @@
 
 // viewChanged puts a view in force as one whole before it returns.
 func (s *Service) viewChanged(view *corelink.View) {
-	if held := s.policies.Load(); held == nil || held.version != view.Configuration.GetVersion() {
+	if current := s.policies.Load(); current == nil || current.version != view.Configuration.GetVersion() {
 		next := newPolicies(view.Configuration)
-		s.arms.Store(nextArms(s.arms.Load(), next))
+		s.variants.Store(nextVariants(s.variants.Load(), next))
 		s.policies.Store(next)
 		if next.active.Bundle() != nil {
-			s.startEnded()
+			s.markStarted()
 		}
 		s.admission.configure(next.active.Bundle().GetLimits())
 	}
-	held := s.backEnds.Load()
-	if held == nil {
-		held = &backEnds{}
+	former := s.backEnds.Load()
+	if former == nil {
+		former = &backEnds{}
 	}
-	if s.backEnds.Load() == nil || held.version != view.BackEnds.GetVersion() {
-		next := held.next(view.BackEnds)
+	if s.backEnds.Load() == nil || former.version != view.BackEnds.GetVersion() {
+		next := former.next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.forgetGone(held, next)
+		s.routes.forgetRemoved(former, next)
 	}
-	fronts := max(countFronts(view.Membership), 1)
+	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
-	s.share.Store(&share)
+	s.fleetShare.Store(&share)
 	s.models.update(s.backEnds.Load(), fronts, s.cacheTokensOf)
-	s.boundAdmission()
+	s.updateConcurrencyLimits()
 }
 
 // cacheTokensOf is the size of the KV cache of a group's servers; zero for servers without one.
@@ -156,11 +156,11 @@
 }
 
 // frontNodes is the number of front nodes of the fleet.
-func (s *Service) frontNodes() int { return int(math.Round(1 / *s.share.Load())) }
+func (s *Service) frontNodes() int { return int(math.Round(1 / *s.fleetShare.Load())) }
 
 func millis(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func countFronts(view *protocol.MembershipView) int {
+func countFrontNodes(view *protocol.MembershipView) int {
 	count := 0
 	for _, node := range view.GetNodes() {
 		if node.GetKind() == protocol.NodeKind_FRONT {
@@ -173,7 +173,7 @@
 // Start begins the background work.
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	s.workers.Go(func() { s.reportArms(ctx) })
+	s.workers.Go(func() { s.reportVariants(ctx) })
 	s.workers.Go(func() { s.heartbeats.run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
 	s.workers.Go(func() { s.shareOutcomes(ctx) })
@@ -185,9 +185,9 @@
 // nothing is under way or the context ends.
 func (s *Service) Drain(ctx context.Context) error {
 	s.link.SetDraining(true)
-	s.logger.Info("draining", "under_way", s.underWay.Load())
+	s.logger.Info("drain started", "in_progress", s.inProgress.Load())
 	drained := s.ownership.Drain(ctx)
-	for s.underWay.Load() > 0 {
+	for s.inProgress.Load() > 0 {
 		select {
 		case <-s.clock.After(drainPoll):
 		case <-ctx.Done():
--- a/internal/dataplane/front/sessions.go
+++ b/internal/dataplane/front/sessions.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// historyCacheBytes bounds the conversations that one owner keeps in memory.
-	historyCacheBytes = 64 << 20
-	// recentEvents bounds the events kept of turns that ended, for readers that come back.
-	recentEvents = 100_000
-	recentLife   = time.Minute
-	sessionBytes = 512
+	// maxHistoryBytes bounds the conversations that one owner keeps in memory.
+	maxHistoryBytes = 64 << 20
+	// maxRecentEvents bounds the events kept of turns that ended, for readers that come back.
+	maxRecentEvents = 100_000
+	recentTurnTTL   = time.Minute
+	sessionBytes    = 512
 )
 
 type sessionKey struct {
@@ -47,7 +47,7 @@
 
 // sessions owns the owner's caches.
 type sessions struct {
-	*table
+	*commandLoop
 	clock      Clock
 	bySession  map[string]map[string]*sessionState
 	recency    *list.List
@@ -65,7 +65,7 @@
 
 func newSessions(clock Clock) *sessions {
 	return &sessions{
-		table: newTable(), clock: clock,
+		commandLoop: newCommandLoop(), clock: clock,
 		bySession: make(map[string]map[string]*sessionState), recency: list.New(),
 		recent: make(map[string]*list.Element), ended: list.New(),
 	}
@@ -95,7 +95,7 @@
 // begin puts a turn under way in its session. It returns another turn instead
 // when one is under way already, or when this one was completed lately.
 func (s *sessions) begin(key sessionKey, turn *liveTurn) (current *liveTurn, begun bool) {
-	s.ask(func() {
+	s.do(func() {
 		state := s.state(key)
 		if state.live != nil {
 			current = state.live
@@ -116,62 +116,62 @@
 		if state := s.find(key); state != nil && state.live == turn {
 			state.live = nil
 		}
-		s.remember(turn)
+		s.retainEnded(turn)
 		s.evict()
 	})
 }
 
-func (s *sessions) remember(turn *liveTurn) {
+func (s *sessions) retainEnded(turn *liveTurn) {
 	entry := &endedTurn{turn: turn, events: turn.size(), at: s.clock.Now()}
 	if former := s.recent[turn.turnID]; former != nil {
-		s.forgetEnded(former)
+		s.evictEnded(former)
 	}
 	s.recent[turn.turnID] = s.ended.PushBack(entry)
 	s.endedTotal += entry.events
 	for s.ended.Len() > 0 {
 		oldest := s.ended.Front()
-		held := oldest.Value.(*endedTurn)
-		if s.endedTotal <= recentEvents && s.clock.Now().Sub(held.at) <= recentLife {
+		entry := oldest.Value.(*endedTurn)
+		if s.endedTotal <= maxRecentEvents && s.clock.Now().Sub(entry.at) <= recentTurnTTL {
 			return
 		}
-		s.forgetEnded(oldest)
+		s.evictEnded(oldest)
 	}
 }
 
-func (s *sessions) forgetEnded(element *list.Element) {
-	held := element.Value.(*endedTurn)
+func (s *sessions) evictEnded(element *list.Element) {
+	entry := element.Value.(*endedTurn)
 	s.ended.Remove(element)
-	s.endedTotal -= held.events
-	delete(s.recent, held.turn.turnID)
+	s.endedTotal -= entry.events
+	delete(s.recent, entry.turn.turnID)
 }
 
-// turnOf finds a turn under way or lately ended by its id.
-func (s *sessions) turnOf(key sessionKey, turnID string) (found *liveTurn) {
-	s.ask(func() {
+// findTurn finds a turn under way or lately ended by its id.
+func (s *sessions) findTurn(key sessionKey, turnID string) (live *liveTurn) {
+	s.do(func() {
 		if state := s.find(key); state != nil && state.live != nil && state.live.turnID == turnID {
-			found = state.live
+			live = state.live
 			return
 		}
 		if element := s.recent[turnID]; element != nil {
-			found = element.Value.(*endedTurn).turn
+			live = element.Value.(*endedTurn).turn
 		}
 	})
-	return found
+	return live
 }
 
-// claimOf returns the epoch claimed for a session under this incarnation.
-func (s *sessions) claimOf(key sessionKey, tenant string, incarnation uint64) (held claim) {
-	s.ask(func() {
+// findClaim returns the epoch claimed for a session under this incarnation.
+func (s *sessions) findClaim(key sessionKey, tenant string, incarnation uint64) (current claim) {
+	s.do(func() {
 		state := s.find(key)
 		if state != nil && state.epoch > 0 && state.tenant == tenant && state.incarnation == incarnation {
-			held = claim{epoch: state.epoch, known: true}
+			current = claim{epoch: state.epoch, known: true}
 		}
 	})
-	return held
+	return current
 }
 
-// claimed remembers an epoch.
-func (s *sessions) claimed(key sessionKey, tenant string, incarnation, epoch uint64) {
+// recordClaim remembers an epoch.
+func (s *sessions) recordClaim(key sessionKey, tenant string, incarnation, epoch uint64) {
 	s.post(func() {
 		state := s.state(key)
 		state.tenant, state.incarnation, state.epoch = tenant, incarnation, epoch
@@ -185,27 +185,27 @@
 	known  bool
 }
 
-func (s *sessions) historyOf(key sessionKey, lastTurn string) (held cachedHistory) {
-	s.ask(func() {
+func (s *sessions) findHistory(key sessionKey, lastTurn string) (history cachedHistory) {
+	s.do(func() {
 		state := s.find(key)
 		if state != nil && state.lastTurn == lastTurn && lastTurn != "" {
-			held = cachedHistory{items: state.history, tokens: state.historyTokens, known: true}
+			history = cachedHistory{items: state.history, tokens: state.historyTokens, known: true}
 		}
 	})
-	return held
+	return history
 }
 
-// settled moves a session's history on by one kept turn.
-func (s *sessions) settled(key sessionKey, kept *protocol.Turn, before []*protocol.Item) {
+// recordCommit moves a session's history on by one kept turn.
+func (s *sessions) recordCommit(key sessionKey, retained *protocol.Turn, before []*protocol.Item) {
 	s.post(func() {
 		state := s.state(key)
-		items := make([]*protocol.Item, 0, len(before)+len(kept.GetInput())+len(kept.GetOutput()))
-		items = append(append(append(items, before...), kept.GetInput()...), kept.GetOutput()...)
+		items := make([]*protocol.Item, 0, len(before)+len(retained.GetInput())+len(retained.GetOutput()))
+		items = append(append(append(items, before...), retained.GetInput()...), retained.GetOutput()...)
 		s.bytes -= state.historyBytes
-		state.history, state.historyTokens = items, kept.GetHistoryTokens()
+		state.history, state.historyTokens = items, retained.GetHistoryTokens()
 		state.historyBytes = itemBytes(items)
 		s.bytes += state.historyBytes
-		state.lastTurn, state.lastBackEnd = kept.GetId(), kept.GetBackEnd()
+		state.lastTurn, state.lastBackEnd = retained.GetId(), retained.GetBackEnd()
 		s.evict()
 	})
 }
@@ -218,9 +218,9 @@
 	return total
 }
 
-// lastBackEndOf names the server of the session's last turn, if it is known.
-func (s *sessions) lastBackEndOf(key sessionKey) (last string) {
-	s.ask(func() {
+// lastBackEnd names the server of the session's last turn, if it is known.
+func (s *sessions) lastBackEnd(key sessionKey) (last string) {
+	s.do(func() {
 		if state := s.find(key); state != nil {
 			last = state.lastBackEnd
 		}
@@ -262,7 +262,7 @@
 
 // evict drops the sessions used longest ago while the cache is over its bound.
 func (s *sessions) evict() {
-	for element := s.recency.Back(); element != nil && s.bytes > historyCacheBytes; {
+	for element := s.recency.Back(); element != nil && s.bytes > maxHistoryBytes; {
 		state := element.Value.(*sessionState)
 		element = element.Prev()
 		if state.live == nil {
--- a/internal/dataplane/front/share_outcomes.go
+++ b/internal/dataplane/front/share_outcomes.go
@@ -13,11 +13,11 @@
 	// shareInterval is the time between reports while nothing bad was seen.
 	shareInterval = time.Second
 	shareTimeout  = time.Second
-	// suspectsWait is how long the leader may hold the question for new suspects back, suspectsSlack what the front node
-	// waits beyond that, and suspectsRetry the time until it asks again after a failure.
-	suspectsWait  = 10 * time.Second
-	suspectsSlack = time.Second
-	suspectsRetry = 500 * time.Millisecond
+	// suspectsPollTimeout is how long the leader may hold the question for new suspects back, suspectsPollSlack what the front node
+	// waits beyond that, and suspectsRetryInterval the time until it asks again after a failure.
+	suspectsPollTimeout   = 10 * time.Second
+	suspectsPollSlack     = time.Second
+	suspectsRetryInterval = 500 * time.Millisecond
 )
 
 // outcomeSharing tells the core's leader what this front node sees of servers and avoids those that all front nodes
@@ -47,11 +47,11 @@
 	counted := map[*backEnd]outcomeCounts{}
 	bad := false
 	for id, server := range servers.byID {
-		counts := server.outcomes.look(now)
+		counts := server.outcomes.snapshot(now)
 		if counts.isEmpty() {
 			continue
 		}
-		bad = bad || counts.isBad()
+		bad = bad || counts.hasFailures()
 		counted[server] = counts
 		report.Outcomes = append(report.Outcomes, counts.describe(id, server.description.Load().GetIncarnation(), now))
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	for server, counts := range counted {
-		server.outcomes.told(counts)
+		server.outcomes.markReported(counts)
 	}
 	o.service.avoidSuspects(response.GetShareOutcomes().GetSuspects())
 }
@@ -86,24 +86,24 @@
 func (s *Service) watchSuspects(ctx context.Context) {
 	known := uint64(0)
 	for ctx.Err() == nil {
-		answer, err := s.askSuspects(ctx, known)
+		answer, err := s.requestSuspects(ctx, known)
 		if err == nil {
 			known = answer.GetVersion()
 			s.avoidSuspects(answer.GetSuspects())
 			continue
 		}
 		select {
-		case <-s.clock.After(suspectsRetry):
+		case <-s.clock.After(suspectsRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (s *Service) askSuspects(ctx context.Context, known uint64) (*protocol.WatchSuspectsResponse, error) {
-	ctx, cancel := s.clock.WithTimeout(ctx, suspectsWait+suspectsSlack)
+func (s *Service) requestSuspects(ctx context.Context, known uint64) (*protocol.WatchSuspectsResponse, error) {
+	ctx, cancel := s.clock.WithTimeout(ctx, suspectsPollTimeout+suspectsPollSlack)
 	defer cancel()
 	response, err := s.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_WatchSuspects{WatchSuspects: &protocol.WatchSuspectsRequest{
-		Zone: s.zone, Known: known, WaitMillis: uint32(suspectsWait / time.Millisecond),
+		Zone: s.zone, Known: known, WaitMillis: uint32(suspectsPollTimeout / time.Millisecond),
 	}}})
 	return response.GetWatchSuspects(), err
 }
@@ -116,9 +116,9 @@
 		if server == nil || server.description.Load().GetIncarnation() != suspect.GetIncarnation() {
 			continue
 		}
-		if !now.Before(server.outcomes.suspected()) {
+		if !now.Before(server.outcomes.suspectedUntil()) {
 			s.metrics.sharedSuspects.Inc()
 		}
-		server.outcomes.suspect(now.Add(millis(suspect.GetLeftMillis())))
+		server.outcomes.markSuspect(now.Add(millis(suspect.GetLeftMillis())))
 	}
 }
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -35,16 +35,16 @@
 	if s.lost {
 		return nil, errAnswerLost
 	}
-	taken := serverhealth.Report{Node: report.GetNode(), Zone: report.GetZone()}
+	observed := serverhealth.Report{Node: report.GetNode(), Zone: report.GetZone()}
 	for _, seen := range report.GetOutcomes() {
 		s.reported[report.GetNode()] += seen.GetAnswered() + seen.GetFaults()
-		taken.Outcomes = append(taken.Outcomes, serverhealth.Outcomes{
+		observed.Outcomes = append(observed.Outcomes, serverhealth.Outcomes{
 			Server: seen.GetId(), Incarnation: seen.GetIncarnation(),
 			Answered: seen.GetAnswered(), Faults: seen.GetFaults(), Overdue: seen.GetOverdue(),
 			Heard: seen.SignAgeMillis != nil, SignAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
-	s.board.Take(taken, s.clock.Now())
+	s.board.Take(observed, s.clock.Now())
 	answer := &protocol.ShareOutcomesResponse{}
 	for _, suspect := range s.board.Suspects(report.GetZone(), s.clock.Now()) {
 		answer.Suspects = append(answer.Suspects, &protocol.SuspectBackEnd{
@@ -54,7 +54,7 @@
 	return answer, nil
 }
 
-func (s *sharedBoard) told(node string) uint32 {
+func (s *sharedBoard) reports(node string) uint32 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reported[node]
@@ -74,8 +74,8 @@
 		f.link.mutex.Unlock()
 		return f
 	}
-	// tell lets all front nodes report once.
-	tell := func(nodes ...*node) {
+	// share lets all front nodes report once.
+	share := func(nodes ...*node) {
 		GinkgoHelper()
 		for range 2 {
 			Eventually(r.clock.countSet).WithArguments(front.ShareTick).Should(Equal(len(nodes)))
@@ -92,12 +92,12 @@
 			f2.route(routed{target: nonRepeatablePath})
 		}
 		Expect(count(broken)).To(Equal(4))
-		tell(f1, f2, f3)
+		share(f1, f2, f3)
 		// f3 learns of it with its own first report.
 		good := r.server("good", answerWith(http.StatusOK, "ok"))
 		Expect(f3.route(routed{target: repeatablePath}).status).To(Equal(http.StatusOK))
 		r.clock.advance(front.ShareInterval)
-		tell(f1, f2, f3)
+		share(f1, f2, f3)
 		before := count(broken)
 		for range 20 {
 			Expect(f3.route(routed{target: nonRepeatablePath}).status).To(Equal(http.StatusOK))
@@ -109,27 +109,27 @@
 	It("avoids at once a server that the leader takes for suspect, without traffic of its own", func() {
 		suspect := r.server("suspect", answerWith(http.StatusOK, "ok"))
 		good := r.server("good", answerWith(http.StatusOK, "ok"))
-		told := make(chan *protocol.WatchSuspectsResponse)
-		asked := make(chan uint64)
+		response := make(chan *protocol.WatchSuspectsResponse)
+		requests := make(chan uint64)
 		r.watched = func(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
 			select {
-			case asked <- request.GetKnown():
+			case requests <- request.GetKnown():
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 			select {
-			case answer := <-told:
+			case answer := <-response:
 				return answer, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
 		f1 := r.front("f1")
-		Eventually(asked).Should(Receive(BeZero()))
-		told <- &protocol.WatchSuspectsResponse{Version: 7, Suspects: []*protocol.SuspectBackEnd{{
+		Eventually(requests).Should(Receive(BeZero()))
+		response <- &protocol.WatchSuspectsResponse{Version: 7, Suspects: []*protocol.SuspectBackEnd{{
 			Id: "suspect", Incarnation: 1, LeftMillis: 3000,
 		}}}
-		Eventually(asked).Should(Receive(BeEquivalentTo(7)), "it watches on from the version told")
+		Eventually(requests).Should(Receive(BeEquivalentTo(7)), "it watches on from the version told")
 		for range 20 {
 			Expect(f1.route(routed{target: nonRepeatablePath}).status).To(Equal(http.StatusOK))
 		}
@@ -147,7 +147,7 @@
 		Eventually(func() int64 { return f1.service.UnderWay() + f2.service.UnderWay() }).Should(BeEquivalentTo(4))
 		r.server("good", answerWith(http.StatusOK, "ok"))
 		r.clock.advance(front.AnswerWithin)
-		tell(f1, f2)
+		share(f1, f2)
 		for range 20 {
 			Expect(f1.route(routed{target: nonRepeatablePath}).status).To(Equal(http.StatusOK))
 		}
@@ -167,30 +167,30 @@
 			Expect(f1.route(routed{target: nonRepeatablePath}).status).To(Equal(http.StatusOK))
 		}
 		r.clock.advance(front.ShareInterval)
-		tell(f1)
-		Expect(board.told("f1")).To(BeZero())
+		share(f1)
+		Expect(board.reports("f1")).To(BeZero())
 		board.mutex.Lock()
 		board.lost = false
 		board.mutex.Unlock()
 		r.clock.advance(front.ShareInterval)
-		tell(f1)
-		Expect(board.told("f1")).To(BeEquivalentTo(3))
+		share(f1)
+		Expect(board.reports("f1")).To(BeEquivalentTo(3))
 	})
 
 	It("tells nothing without traffic", func() {
 		r.server("good", answerWith(http.StatusOK, "ok"))
 		f1 := sharing("f1")
-		asked := atomic.Int32{}
+		requests := atomic.Int32{}
 		f1.link.mutex.Lock()
 		f1.link.shared = func(*protocol.ShareOutcomesRequest) (*protocol.ShareOutcomesResponse, error) {
-			asked.Add(1)
+			requests.Add(1)
 			return &protocol.ShareOutcomesResponse{}, nil
 		}
 		f1.link.mutex.Unlock()
 		for range 10 {
 			r.clock.advance(front.ShareInterval)
-			tell(f1)
+			share(f1)
 		}
-		Expect(asked.Load()).To(BeZero())
+		Expect(requests.Load()).To(BeZero())
 	})
 })
--- a/internal/dataplane/front/start_wait_test.go
+++ b/internal/dataplane/front/start_wait_test.go
@@ -33,7 +33,7 @@
 	}
 
 	It("is served as soon as a bundle is in force, with what is left of its time", func() {
-		answers := sendAndWait(routed{target: "/read/", headers: with(words.TimeLeft, "2000")})
+		answers := sendAndWait(routed{target: "/read/", headers: with(testDialect.TimeLeft, "2000")})
 		r.clock.advance(450 * time.Millisecond)
 		Expect(answers).NotTo(Receive())
 		r.put(inForce)
@@ -41,7 +41,7 @@
 		Eventually(answers).Should(Receive(&got))
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
 		Expect(server.requests()).To(HaveLen(1))
-		Expect(server.requests()[0].header[words.TimeLeft]).To(Equal([]string{"1550"}))
+		Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{"1550"}))
 	})
 
 	It("is told when to come back once it has waited half a second, and the next one that the start takes longer", func() {
@@ -59,7 +59,7 @@
 	})
 
 	It("waits no longer than a quarter of its caller's time", func() {
-		answers := sendAndWait(routed{target: "/read/", headers: with(words.TimeLeft, "400")})
+		answers := sendAndWait(routed{target: "/read/", headers: with(testDialect.TimeLeft, "400")})
 		r.clock.advance(99 * time.Millisecond)
 		Expect(answers).NotTo(Receive())
 		r.clock.advance(time.Millisecond)
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -18,32 +18,32 @@
 // longTimeoutMillis is the time-out of routes in stories in which something waits.
 const longTimeoutMillis = 60_000
 
-// heldServer answers live turns at once and holds generations of steps until the story lets them go.
-type heldServer struct {
+// blockingServer answers live turns at once and holds generations of steps until the story lets them go.
+type blockingServer struct {
 	*weightsServer
-	// holdLive is set to hold live turns too.
-	holdLive atomic.Bool
+	// blockLive is set to hold live turns too.
+	blockLive atomic.Bool
 
-	mutex sync.Mutex
-	held  []chan struct{}
+	mutex   sync.Mutex
+	blocked []chan struct{}
 	// open lets all go that come.
 	open bool
 }
 
-func (r *rig) heldServer(id string, version uint64) *heldServer {
-	server := &heldServer{}
+func (r *rig) blockingServer(id string, version uint64) *blockingServer {
+	server := &blockingServer{}
 	server.weightsServer = r.weightsServerWith(id, version, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
-		if server.holdLive.Load() || request.Header.Get(words.ExpectedWeights) != "" {
-			<-server.hold()
+		if server.blockLive.Load() || request.Header.Get(testDialect.ExpectedWeights) != "" {
+			<-server.block()
 		}
-		writer.Header().Set(words.WeightVersions, strconv.FormatUint(version, 10))
+		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(version, 10))
 		turnServer(writer, request)
 	})
 	DeferCleanup(server.openUp)
 	return server
 }
 
-func (s *heldServer) hold() <-chan struct{} {
+func (s *blockingServer) block() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	until := make(chan struct{})
@@ -51,19 +51,19 @@
 		close(until)
 		return until
 	}
-	s.held = append(s.held, until)
+	s.blocked = append(s.blocked, until)
 	return until
 }
 
 // steps counts the generations that are held.
-func (s *heldServer) steps() int {
+func (s *blockingServer) steps() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.held)
+	return len(s.blocked)
 }
 
 // openUp lets all go, also those that come later.
-func (s *heldServer) openUp() {
+func (s *blockingServer) openUp() {
 	s.mutex.Lock()
 	s.open = true
 	s.mutex.Unlock()
@@ -71,12 +71,12 @@
 }
 
 // release lets some generations go, the oldest first.
-func (s *heldServer) release(count int) {
+func (s *blockingServer) release(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for range count {
-		close(s.held[0])
-		s.held = s.held[1:]
+		close(s.blocked[0])
+		s.blocked = s.blocked[1:]
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 
 	It("share a server so that live turns find a slot at once, and all generations run in the end", func() {
-		server := r.heldServer("s1", 4)
+		server := r.blockingServer("s1", 4)
 		answers := flood(40)
 		Eventually(server.steps).Should(Equal(12), "three quarters of 16 slots")
 		Consistently(server.steps, "20ms").Should(Equal(12))
@@ -125,8 +125,8 @@
 	})
 
 	It("share it so that a quarter is left to generations while live turns run", func() {
-		server := r.heldServer("s1", 4)
-		server.holdLive.Store(true)
+		server := r.blockingServer("s1", 4)
+		server.blockLive.Store(true)
 		live := f1.routeAside(routedTurn{id: "live", input: "x"}.sent())
 		Eventually(server.steps).Should(Equal(1))
 		flood(20)
@@ -142,19 +142,19 @@
 	})
 
 	It("that wait for a slot go first, and a step goes on all the same", func() {
-		server := r.heldServer("s1", 4)
+		server := r.blockingServer("s1", 4)
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Limits = &protocol.LimitPolicy{MaxConcurrent: 1, MaxQueued: 8, MaxQueueMillis: longTimeoutMillis}
 		})
 		begun, end := make(chan string, 2), make(chan struct{})
 		r.drainServer("s1")
 		r.server("s2", func(writer http.ResponseWriter, request *http.Request) {
-			begun <- request.Header.Get(words.RequestID)
+			begun <- request.Header.Get(testDialect.RequestID)
 			<-end
 			turnServer(writer, request)
 		})
-		letLiveGo := sync.OnceFunc(func() { close(end) })
-		DeferCleanup(letLiveGo)
+		releaseLive := sync.OnceFunc(func() { close(end) })
+		DeferCleanup(releaseLive)
 		first := f1.routeAside(routedTurn{id: "live1", program: "p1", session: "c1", input: "x"}.sent())
 		Eventually(begun).Should(Receive(Equal("live1")))
 		second := f1.routeAside(routedTurn{id: "live2", program: "p2", session: "c2", input: "x"}.sent())
@@ -165,14 +165,14 @@
 		r.clock.advance(trainingstep.AdmissionTimeout)
 		Eventually(server.steps).Should(Equal(1), "a step goes on")
 		Consistently(server.steps, "20ms").Should(Equal(1))
-		letLiveGo()
+		releaseLive()
 		Expect((<-first).broken).NotTo(HaveOccurred())
 		Expect((<-second).broken).NotTo(HaveOccurred())
 		Eventually(server.steps).Should(Equal(5))
 	})
 
 	It("are refused with the time to come back when no place becomes free", func() {
-		server := r.heldServer("s1", 4)
+		server := r.blockingServer("s1", 4)
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		late := f1.routeAside(stepTurn("late"))
@@ -185,11 +185,11 @@
 	})
 
 	It("of which a caller leaves hold no place", func() {
-		server := r.heldServer("s1", 4)
+		server := r.blockingServer("s1", 4)
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		sent := stepTurn("short")
-		sent.headers.Set(words.TimeLeft, "500")
+		sent.headers.Set(testDialect.TimeLeft, "500")
 		left := f1.routeAside(sent)
 		Eventually(func() int { return f1.waitingSteps() }).Should(Equal(1))
 		r.clock.advance(500 * time.Millisecond)
@@ -200,9 +200,9 @@
 	})
 
 	It("are spread by the work that is outstanding, not by count", func() {
-		servers := []*heldServer{r.heldServer("s1", 4), r.heldServer("s2", 4)}
+		servers := []*blockingServer{r.blockingServer("s1", 4), r.blockingServer("s2", 4)}
 		long := stepTurn("long")
-		long.headers.Set(words.TokenUsage, "6000,4000")
+		long.headers.Set(testDialect.TokenUsage, "6000,4000")
 		f1.routeAside(long)
 		Eventually(func() int { return servers[0].steps() + servers[1].steps() }).Should(Equal(1))
 		with, without := servers[0], servers[1]
--- a/internal/dataplane/front/step_gates.go
+++ b/internal/dataplane/front/step_gates.go
@@ -11,65 +11,65 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// stepGateKey names the servers of one version in a group.
-type stepGateKey struct {
+// admissionGateKey names the servers of one version in a group.
+type admissionGateKey struct {
 	group   string
 	model   string
 	version uint64
 }
 
-func (k stepGateKey) pin() *stepPin { return &stepPin{model: k.model, version: k.version} }
+func (k admissionGateKey) pin() *versionPin { return &versionPin{model: k.model, version: k.version} }
 
-// stepGates are the gates of the versions that training steps generate on here.
+// admissionGates are the gates of the versions that training steps generate on here.
 // They belong to the admission's owner, which asks them anew whenever a live request leaves its slot.
-type stepGates struct {
-	gates   map[stepGateKey]*trainingstep.Gate
+type admissionGates struct {
+	gates   map[admissionGateKey]*trainingstep.Gate
 	waiting map[uint64]chan trainingstep.Decision
-	// places gives how many generations of a version may run.
-	places func(key stepGateKey, liveWaits bool) int
+	// slots gives how many generations of a version may run.
+	slots func(key admissionGateKey, liveWaits bool) int
 }
 
-func newStepGates() *stepGates {
-	return &stepGates{
-		gates: make(map[stepGateKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
-		places: func(stepGateKey, bool) int { return 0 },
+func newAdmissionGates() *admissionGates {
+	return &admissionGates{
+		gates: make(map[admissionGateKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
+		slots: func(admissionGateKey, bool) int { return 0 },
 	}
 }
 
-func (s *stepGates) gate(key stepGateKey) *trainingstep.Gate {
-	held := s.gates[key]
-	if held == nil {
-		held = &trainingstep.Gate{}
-		s.gates[key] = held
+func (s *admissionGates) gate(key admissionGateKey) *trainingstep.Gate {
+	gate := s.gates[key]
+	if gate == nil {
+		gate = &trainingstep.Gate{}
+		s.gates[key] = gate
 	}
-	return held
+	return gate
 }
 
 // keys names the gates of a group in order; a group of "" means all.
-func (s *stepGates) keys(group string) []stepGateKey {
+func (s *admissionGates) keys(group string) []admissionGateKey {
 	if len(s.gates) == 0 {
 		return nil
 	}
-	var keys []stepGateKey
+	var keys []admissionGateKey
 	for key := range s.gates {
 		if group == "" || key.group == group {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b stepGateKey) int {
+	slices.SortFunc(keys, func(a, b admissionGateKey) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.model, b.model), cmp.Compare(a.version, b.version))
 	})
 	return keys
 }
 
-// stepRoom asks for the places only when something waits or comes.
-func (a *admission) stepRoom(key stepGateKey) trainingstep.Capacity {
-	held := a.lanes[key.group]
-	liveWaits := held != nil && held.queue.WaitingInAll() > 0
-	return trainingstep.Capacity{Slots: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
+// stepCapacity asks for the places only when something waits or comes.
+func (a *admission) stepCapacity(key admissionGateKey) trainingstep.Capacity {
+	limiter := a.limiters[key.group]
+	liveWaits := limiter != nil && limiter.queue.WaitingInAll() > 0
+	return trainingstep.Capacity{Slots: a.gates.slots(key, liveWaits), LiveWaits: liveWaits}
 }
 
-func (s *stepGates) deliver(decisions []trainingstep.Decision) {
+func (s *admissionGates) deliver(decisions []trainingstep.Decision) {
 	for _, decision := range decisions {
 		if decided := s.waiting[decision.ID]; decided != nil {
 			delete(s.waiting, decision.ID)
@@ -80,13 +80,13 @@
 
 // dispatchSteps lets in who may run now; a group of "" means all.
 func (a *admission) dispatchSteps(group string) {
-	for _, key := range a.steps.keys(group) {
-		gate := a.steps.gates[key]
+	for _, key := range a.gates.keys(group) {
+		gate := a.gates.gates[key]
 		if gate.Waiting() > 0 {
-			a.steps.deliver(gate.Dispatch(a.stepRoom(key), a.clock.Now()))
+			a.gates.deliver(gate.Dispatch(a.stepCapacity(key), a.clock.Now()))
 		}
 		if gate.Idle() {
-			delete(a.steps.gates, key)
+			delete(a.gates.gates, key)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 // nextStepWake is when a gate has something to do by itself; zero when none has.
 func (a *admission) nextStepWake() time.Time {
 	var next time.Time
-	for _, gate := range a.steps.gates {
+	for _, gate := range a.gates.gates {
 		if wake := gate.NextWake(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
 			next = wake
 		}
@@ -103,14 +103,14 @@
 }
 
 // enterStep waits for a place of a generation; the failure says why there is none.
-func (a *admission) enterStep(ctx context.Context, key stepGateKey, deadline time.Time) *protocol.Failure {
+func (a *admission) enterStep(ctx context.Context, key admissionGateKey, deadline time.Time) *protocol.Failure {
 	decided := make(chan trainingstep.Decision, 1)
 	ticket := &trainingstep.Ticket{Deadline: deadline}
 	running := a.post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
-		a.steps.waiting[ticket.ID] = decided
-		a.steps.deliver(a.steps.gate(key).Enter(*ticket, a.stepRoom(key), a.clock.Now()))
+		a.gates.waiting[ticket.ID] = decided
+		a.gates.deliver(a.gates.gate(key).Enter(*ticket, a.stepCapacity(key), a.clock.Now()))
 		a.setAlarm()
 	})
 	if !running {
@@ -128,27 +128,27 @@
 }
 
 // withdrawStep takes a ticket out whose caller no longer waits.
-func (a *admission) withdrawStep(key stepGateKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
+func (a *admission) withdrawStep(key admissionGateKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
 	a.post(func() {
-		if a.steps.waiting[ticket.ID] != nil {
-			delete(a.steps.waiting, ticket.ID)
-			a.steps.gate(key).Cancel(ticket.ID)
+		if a.gates.waiting[ticket.ID] != nil {
+			delete(a.gates.waiting, ticket.ID)
+			a.gates.gate(key).Cancel(ticket.ID)
 			a.dispatchSteps(key.group)
 			return
 		}
 		if decision := <-decided; decision.Verdict == trainingstep.Run {
-			a.giveStepBack(key)
+			a.releaseStep(key)
 		}
 	})
 }
 
 // leaveStep gives a place back.
-func (a *admission) leaveStep(key stepGateKey) {
-	a.post(func() { a.giveStepBack(key) })
+func (a *admission) leaveStep(key admissionGateKey) {
+	a.post(func() { a.releaseStep(key) })
 }
 
-func (a *admission) giveStepBack(key stepGateKey) {
-	a.steps.deliver(a.steps.gate(key).Leave(a.stepRoom(key), a.clock.Now()))
+func (a *admission) releaseStep(key admissionGateKey) {
+	a.gates.deliver(a.gates.gate(key).Leave(a.stepCapacity(key), a.clock.Now()))
 	a.dispatchSteps(key.group)
 }
 
--- a/internal/dataplane/front/step_load.go
+++ b/internal/dataplane/front/step_load.go
@@ -52,10 +52,10 @@
 
 // stepPlacement is what the placement of a generation of a step needs beside that of other turns.
 type stepPlacement struct {
-	pin  *stepPin
+	pin  *versionPin
 	work schedule.StepWork
-	// fronts is the number of front nodes.
-	fronts int
+	// frontNodes is the number of front nodes.
+	frontNodes int
 }
 
 // promptTokens is the length of a request's prompt: by its parts, or as told when it names none.
@@ -63,55 +63,55 @@
 	return max(prompt.Tokens(), uint64(routed.GetPromptTokens()))
 }
 
-// completeSteps adds what generations of steps have at the candidates, which so many front nodes share.
-func (b *backEnds) completeSteps(found []schedule.Candidate, fronts int) {
-	for at := range found {
-		server := b.byID[found[at].ID]
-		found[at].Steps = uint32(max(server.steps.count.Load(), 0))
-		found[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
-		found[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
-		found[at].StepSlots = uint32(trainingstep.Slots(placesOf(&found[at]), fronts, false))
+// addStepLoad adds what generations of steps have at the candidates, which so many front nodes share.
+func (b *backEnds) addStepLoad(candidates []schedule.Candidate, fronts int) {
+	for at := range candidates {
+		server := b.byID[candidates[at].ID]
+		candidates[at].Steps = uint32(max(server.steps.count.Load(), 0))
+		candidates[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
+		candidates[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
+		candidates[at].StepSlots = uint32(trainingstep.Slots(candidateSlots(&candidates[at]), fronts, false))
 	}
 }
 
-// placesOf is what is known of the slots of a candidate whose Steps are set.
-func placesOf(candidate *schedule.Candidate) trainingstep.ServerSlots {
+// candidateSlots is what is known of the slots of a candidate whose Steps are set.
+func candidateSlots(candidate *schedule.Candidate) trainingstep.ServerSlots {
 	return trainingstep.ServerSlots{
 		Slots: candidate.Capacity, Others: candidate.Others(),
 		Live: candidate.InFlight - min(candidate.InFlight, candidate.Steps),
 	}
 }
 
-// frontsAt is how many front nodes share one of a group's servers when each uses a subset of them.
-func frontsAt(fronts, used, all int) int {
+// frontNodesPerServer is how many front nodes share one of a group's servers when each uses a subset of them.
+func frontNodesPerServer(fronts, used, all int) int {
 	if all == 0 {
 		return fronts
 	}
 	return max(1, fronts*used/all)
 }
 
-// stepPlaces is how many generations of a version this front node may have under way.
-func (s *Service) stepPlaces(key stepGateKey, liveWaits bool) int {
+// stepSlots is how many generations of a version this front node may have under way.
+func (s *Service) stepSlots(key admissionGateKey, liveWaits bool) int {
 	now := s.clock.Now()
 	servers, index := s.backEnds.Load(), s.policies.Load().active
-	having, _ := key.pin().divide(servers.byGroup[key.group], now)
+	having, _ := key.pin().split(servers.byGroup[key.group], now)
 	all := candidates(having, index.Group(key.group), now)
 	used := schedule.Subset(s.name, s.zone, index.Bundle().GetScheduling().GetSubsetSize(), all)
-	fronts := frontsAt(s.frontNodes(), len(used), len(all))
-	servers.completeSteps(used, fronts)
-	places, ejectedPlaces := 0, 0
+	fronts := frontNodesPerServer(s.frontNodes(), len(used), len(all))
+	servers.addStepLoad(used, fronts)
+	slots, ejectedSlots := 0, 0
 	for at := range used {
-		open := trainingstep.Slots(placesOf(&used[at]), fronts, liveWaits)
+		open := trainingstep.Slots(candidateSlots(&used[at]), fronts, liveWaits)
 		switch {
 		case isUsable(used[at]):
-			places += open
+			slots += open
 		case !used[at].Draining:
-			ejectedPlaces += open
+			ejectedSlots += open
 		}
 	}
-	if places == 0 {
+	if slots == 0 {
 		// Ejected servers are used when there is nothing else, so that a generation hears at once what became of it.
-		return ejectedPlaces
+		return ejectedSlots
 	}
-	return places
+	return slots
 }
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// pinCacheSteps bounds the pins that a front node remembers, and pinCacheLife how long it does without asking again.
-	pinCacheSteps = 1024
-	pinCacheLife  = 10 * time.Minute
-	// pinKeeping is how long the ledger remembers the pin of a step that nobody asks for.
-	pinKeeping = 7 * 24 * time.Hour
-	// versionRetry is told when no server has the version of a step: a server is started or given its weights in some seconds.
-	versionRetry = time.Second
+	// maxCachedPins bounds the pins that a front node remembers, and pinCacheTTL how long it does without asking again.
+	maxCachedPins = 1024
+	pinCacheTTL   = 10 * time.Minute
+	// pinRetention is how long the ledger remembers the pin of a step that nobody asks for.
+	pinRetention = 7 * 24 * time.Hour
+	// versionRetryAfter is told when no server has the version of a step: a server is started or given its weights in some seconds.
+	versionRetryAfter = time.Second
 )
 
-// stepPin is the version of a model's weights that is pinned for a training step.
-type stepPin struct {
+// versionPin is the version of a model's weights that is pinned for a training step.
+type versionPin struct {
 	step    string
 	model   string
 	version uint64
@@ -39,16 +39,16 @@
 
 // pinEntry is a pin in the cache, or one that is being asked for.
 type pinEntry struct {
-	// known is closed once pin or refused is set.
-	known   chan struct{}
-	pin     *stepPin
-	refused *protocol.Failure
-	askedAt time.Time
+	// resolved is closed once pin or refused is set.
+	resolved    chan struct{}
+	pin         *versionPin
+	rejection   *protocol.Failure
+	requestedAt time.Time
 }
 
-// stepPins remembers the pins of the steps at work. The ledger's register of a
+// versionPins remembers the pins of the steps at work. The ledger's register of a
 // step is the truth; it never changes, so that what is remembered stays true.
-type stepPins struct {
+type versionPins struct {
 	clock   Clock
 	mutex   sync.Mutex
 	entries map[stepChoice]*pinEntry
@@ -56,33 +56,33 @@
 	order []stepChoice
 }
 
-func newStepPins(clock Clock) *stepPins {
-	return &stepPins{clock: clock, entries: make(map[stepChoice]*pinEntry)}
+func newVersionPins(clock Clock) *versionPins {
+	return &versionPins{clock: clock, entries: make(map[stepChoice]*pinEntry)}
 }
 
 // entry finds the entry of a step, or makes one, which the caller must then resolve.
-func (p *stepPins) entry(step stepChoice) (found *pinEntry, made bool) {
+func (p *versionPins) entry(step stepChoice) (current *pinEntry, made bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.clock.Now()
-	if held := p.entries[step]; held != nil && now.Sub(held.askedAt) < pinCacheLife {
-		return held, false
+	if existing := p.entries[step]; existing != nil && now.Sub(existing.requestedAt) < pinCacheTTL {
+		return existing, false
 	}
 	p.remove(step)
-	entry := &pinEntry{known: make(chan struct{}), askedAt: now}
+	entry := &pinEntry{resolved: make(chan struct{}), requestedAt: now}
 	p.entries[step] = entry
 	p.order = append(p.order, step)
-	if len(p.order) > pinCacheSteps {
+	if len(p.order) > maxCachedPins {
 		p.remove(p.order[0])
 	}
 	return entry, true
 }
 
-// resolved gives all who wait the outcome. A refusal is not remembered.
-func (p *stepPins) resolved(step stepChoice, entry *pinEntry, pin *stepPin, refused *protocol.Failure) {
-	entry.pin, entry.refused = pin, refused
-	close(entry.known)
-	if refused == nil {
+// resolve gives all who wait the outcome. A refusal is not remembered.
+func (p *versionPins) resolve(step stepChoice, entry *pinEntry, pin *versionPin, rejection *protocol.Failure) {
+	entry.pin, entry.rejection = pin, rejection
+	close(entry.resolved)
+	if rejection == nil {
 		return
 	}
 	p.mutex.Lock()
@@ -93,7 +93,7 @@
 }
 
 // remove needs the mutex.
-func (p *stepPins) remove(step stepChoice) {
+func (p *versionPins) remove(step stepChoice) {
 	if p.entries[step] == nil {
 		return
 	}
@@ -104,25 +104,25 @@
 
 // resolveStep finds the version that is pinned for a step, or pins one. The
 // servers of the group say which version is proposed.
-func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*stepPin, *protocol.Failure) {
-	entry, made := s.pins.entry(step)
+func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
+	entry, made := s.versionPins.entry(step)
 	if made {
-		pin, refused := s.pinStep(ctx, step, group)
-		s.pins.resolved(step, entry, pin, refused)
+		pin, rejection := s.pinStep(ctx, step, group)
+		s.versionPins.resolve(step, entry, pin, rejection)
 	}
 	select {
-	case <-entry.known:
+	case <-entry.resolved:
 	case <-ctx.Done():
 		return nil, failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the request ended before its training step had a version").Failure
 	}
-	if entry.refused != nil {
-		return nil, copyFailure(entry.refused)
+	if entry.rejection != nil {
+		return nil, copyFailure(entry.rejection)
 	}
 	return entry.pin, s.checkGroup(entry.pin, group)
 }
 
 // pinStep asks the ledger for the pin of a step and proposes one.
-func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*stepPin, *protocol.Failure) {
+func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
 	announcements := s.backEnds.Load().announcements(group)
 	model := cmp.Or(step.model, trainingstep.ModelOf(announcements))
 	proposed := trainingstep.Propose(model, announcements)
@@ -130,12 +130,12 @@
 		return nil, versionUnavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 	}
 	program := ledger.TrainingStepProgram(step.step)
-	if refused := s.refuseUnreachable(program); refused != nil {
-		return nil, refused
+	if rejection := s.rejectUnreachable(program); rejection != nil {
+		return nil, rejection
 	}
 	result := s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
 		PinTrainingStep: &protocol.PinTrainingStep{
-			Step: step.step, Model: model, WeightVersion: proposed, Owner: s.name, KeepingMillis: pinKeeping.Milliseconds(),
+			Step: step.step, Model: model, WeightVersion: proposed, Owner: s.name, KeepingMillis: pinRetention.Milliseconds(),
 		},
 	}})
 	switch result.GetStatus() {
@@ -146,14 +146,14 @@
 			return nil, stepMismatch()
 		}
 		s.metrics.stepPins.Inc()
-		return &stepPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
+		return &versionPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
 	default:
 		return nil, unreachableFailure()
 	}
 }
 
 // checkGroup refuses a step in a group that has other models only.
-func (s *Service) checkGroup(pin *stepPin, group string) *protocol.Failure {
+func (s *Service) checkGroup(pin *versionPin, group string) *protocol.Failure {
 	announcements := s.backEnds.Load().announcements(group)
 	for _, announced := range announcements {
 		if announced[pin.model] > 0 {
@@ -178,5 +178,5 @@
 
 func versionUnavailable(message string) *protocol.Failure {
 	return failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, message, failure.WithPath(trainingStepPath),
-		failure.WithRetryAfter(versionRetry)).Failure
+		failure.WithRetryAfter(versionRetryAfter)).Failure
 }
--- a/internal/dataplane/front/step_rig_test.go
+++ b/internal/dataplane/front/step_rig_test.go
@@ -29,7 +29,7 @@
 // weightsServer adds a server that announces and has a version. It refuses requests that expect another one.
 func (r *rig) weightsServer(id string, version uint64) *weightsServer {
 	return r.weightsServerWith(id, version, func(server *weightsServer, writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set(words.WeightVersions, strconv.FormatUint(server.weights.Load(), 10))
+		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(server.weights.Load(), 10))
 		turnServer(writer, request)
 	})
 }
@@ -39,9 +39,9 @@
 	server := &weightsServer{}
 	server.weights.Store(version)
 	server.standIn = r.server(id, func(writer http.ResponseWriter, request *http.Request) {
-		expected := request.Header.Get(words.ExpectedWeights)
+		expected := request.Header.Get(testDialect.ExpectedWeights)
 		if expected != "" && expected != strconv.FormatUint(server.weights.Load(), 10) {
-			refuseWith(http.StatusMisdirectedRequest, "")(writer, request)
+			rejectWith(http.StatusMisdirectedRequest, "")(writer, request)
 			return
 		}
 		server.ran.Add(1)
@@ -65,8 +65,8 @@
 }
 
 func stepTurnOf(step, id string) routed {
-	return routed{target: turnPath, body: "input", headers: with(words.RequestID, id, words.Program, "p-"+id,
-		words.TokenUsage, "10,8", words.TrainingStep, step)}
+	return routed{target: turnPath, body: "input", headers: with(testDialect.RequestID, id, testDialect.Program, "p-"+id,
+		testDialect.TokenUsage, "10,8", testDialect.TrainingStep, step)}
 }
 
 // onStream makes a turn one of the route that keeps nothing.
@@ -77,7 +77,7 @@
 
 // onModel names the model of a generation.
 func onModel(model string, sent routed) routed {
-	sent.headers.Set(words.TrainingModel, model)
+	sent.headers.Set(testDialect.TrainingModel, model)
 	return sent
 }
 
@@ -128,8 +128,8 @@
 	return func(id string) tracedRequest {
 		for len(operations) > 0 {
 			operation := <-operations
-			if settle := operation.GetSettleTurn(); settle != nil {
-				traced[settle.GetRequestId()] = tracedRequest{versions: settle.GetWeightVersions(), completed: true, tokens: settle.GetTokens()}
+			if commit := operation.GetSettleTurn(); commit != nil {
+				traced[commit.GetRequestId()] = tracedRequest{versions: commit.GetWeightVersions(), completed: true, tokens: commit.GetTokens()}
 			}
 			if release := operation.GetReleaseTurn(); release != nil {
 				traced[release.GetRequestId()] = tracedRequest{
@@ -144,7 +144,7 @@
 // streamNaming streams a head that names a version, then these blocks.
 func streamNaming(writer http.ResponseWriter, request *http.Request, version string, blocks ...string) {
 	if version != "" {
-		writer.Header().Set(words.WeightVersions, version)
+		writer.Header().Set(testDialect.WeightVersions, version)
 	}
 	streamHead(writer, request)
 	for _, block := range blocks {
--- a/internal/dataplane/front/step_schedule_audit_test.go
+++ b/internal/dataplane/front/step_schedule_audit_test.go
@@ -33,19 +33,19 @@
 
 // violations are the ways in which the steps of a schedule do not trace to a single version.
 func (s *stepSchedule) violations() []string {
-	var found []string
-	byStep := map[string][]wholeGeneration{}
-	for _, generation := range s.whole {
+	var violations []string
+	byStep := map[string][]completeGeneration{}
+	for _, generation := range s.complete {
 		byStep[generation.step] = append(byStep[generation.step], generation)
 	}
 	for _, step := range slices.Sorted(maps.Keys(byStep)) {
 		pinned := s.pinned(step)
 		if versions := s.versionsOf(byStep[step]); !slices.Equal(versions, []uint64{pinned}) {
-			found = append(found, fmt.Sprintf("%s ran on versions %v, pinned is %d", step, versions, pinned))
+			violations = append(violations, fmt.Sprintf("%s ran on versions %v, pinned is %d", step, versions, pinned))
 		}
-		found = append(found, s.untraced(step, byStep[step], pinned)...)
+		violations = append(violations, s.untraced(step, byStep[step], pinned)...)
 	}
-	return found
+	return violations
 }
 
 // pinned is the version that the ledger has pinned for a step.
@@ -59,7 +59,7 @@
 }
 
 // versionsOf are the versions of generations, as their answers named them and as servers ran them.
-func (s *stepSchedule) versionsOf(generations []wholeGeneration) []uint64 {
+func (s *stepSchedule) versionsOf(generations []completeGeneration) []uint64 {
 	seen := map[uint64]bool{}
 	for _, generation := range generations {
 		for _, version := range generation.versions {
@@ -75,30 +75,30 @@
 }
 
 // untraced are the programs of which the ledger does not say that they completed what callers have, on the pinned version alone.
-func (s *stepSchedule) untraced(step string, generations []wholeGeneration, pinned uint64) []string {
+func (s *stepSchedule) untraced(step string, generations []completeGeneration, pinned uint64) []string {
 	got := map[string]uint64{}
 	for _, generation := range generations {
 		got[generation.program]++
 	}
-	var found []string
+	var missing []string
 	for _, program := range slices.Sorted(maps.Keys(got)) {
 		member := s.rig.ledger.program(program).GetTrainingStep()
 		if member.GetStep() != step || member.GetWeightVersion() != pinned {
-			found = append(found, fmt.Sprintf("%s is of step %q on version %d, must be %q on %d", program, member.GetStep(), member.GetWeightVersion(), step, pinned))
+			missing = append(missing, fmt.Sprintf("%s is of step %q on version %d, must be %q on %d", program, member.GetStep(), member.GetWeightVersion(), step, pinned))
 		}
 		var completed uint64
 		for _, count := range s.rig.ledger.generations(program) {
 			if count.version == pinned {
 				completed = count.completed
 			} else if count.completed > 0 {
-				found = append(found, fmt.Sprintf("%s completed %d on version %d, pinned is %d", program, count.completed, count.version, pinned))
+				missing = append(missing, fmt.Sprintf("%s completed %d on version %d, pinned is %d", program, count.completed, count.version, pinned))
 			}
 		}
 		if completed < got[program] {
-			found = append(found, fmt.Sprintf("%s completed %d, callers have %d", program, completed, got[program]))
+			missing = append(missing, fmt.Sprintf("%s completed %d, callers have %d", program, completed, got[program]))
 		}
 	}
-	return found
+	return missing
 }
 
 var _ = Describe("training steps in schedules from seeds", func() {
@@ -111,7 +111,7 @@
 			total.add(schedule.counts)
 		}
 		_, _ = fmt.Fprintf(GinkgoWriter, "%d schedules: %+v\n", scheduleSeeds, total)
-		Expect(total.whole).To(BeNumerically(">", 0))
+		Expect(total.complete).To(BeNumerically(">", 0))
 		Expect(total.unavailable).To(BeNumerically(">", 0))
 		Expect(total.broken).To(BeNumerically(">", 0))
 		Expect(total.crashes).To(BeNumerically(">", 0))
--- a/internal/dataplane/front/step_schedule_test.go
+++ b/internal/dataplane/front/step_schedule_test.go
@@ -24,8 +24,8 @@
 	scheduleRounds  = 60
 	// schedulePrograms is the number of programs of each step; a program's front node is always the same.
 	schedulePrograms = 12
-	// mostUnavailable is how often in a row the version of a step may be gone before the next step begins.
-	mostUnavailable = 3
+	// maxUnavailable is how often in a row the version of a step may be gone before the next step begins.
+	maxUnavailable = 3
 )
 
 // scheduledServer is a model server whose weights change between streams and within them.
@@ -37,31 +37,31 @@
 	mutex sync.Mutex
 	// ran has the versions of each request that the server ran.
 	ran map[string][]uint64
-	// holding, when set, holds the next stream after its first event.
-	holding *heldStream
+	// blocked, when set, holds the next stream after its first event.
+	blocked *blockedStream
 }
 
-// heldStream is a stream that stands still between two events.
-type heldStream struct {
+// blockedStream is a stream that stands still between two events.
+type blockedStream struct {
 	reached, resume chan struct{}
 }
 
-func (s *scheduledServer) takeHold() *heldStream {
+func (s *scheduledServer) takeHold() *blockedStream {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.holding
-	s.holding = nil
-	return held
+	stream := s.blocked
+	s.blocked = nil
+	return stream
 }
 
-func (s *scheduledServer) hold() *heldStream {
+func (s *scheduledServer) block() *blockedStream {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.holding = &heldStream{reached: make(chan struct{}), resume: make(chan struct{})}
-	return s.holding
+	s.blocked = &blockedStream{reached: make(chan struct{}), resume: make(chan struct{})}
+	return s.blocked
 }
 
-func (s *scheduledServer) note(id string, version uint64) {
+func (s *scheduledServer) record(id string, version uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ran[id] = append(s.ran[id], version)
@@ -75,20 +75,20 @@
 
 // stream gives two events, and the second one names the version when that has changed.
 func (s *scheduledServer) stream(writer http.ResponseWriter, request *http.Request) {
-	id, version := request.Header.Get(words.RequestID), s.weights.Load()
-	s.note(id, version)
+	id, version := request.Header.Get(testDialect.RequestID), s.weights.Load()
+	s.record(id, version)
 	streamNaming(writer, request, strconv.FormatUint(version, 10), event(1, "a-"+id))
-	if held := s.takeHold(); held != nil {
-		close(held.reached)
-		<-held.resume
+	if blocked := s.takeHold(); blocked != nil {
+		close(blocked.reached)
+		<-blocked.resume
 	}
 	if next := s.midway.Swap(0); next != 0 {
 		s.weights.Store(next)
 	}
 	line := ""
 	if current := s.weights.Load(); current != version {
-		s.note(id, current)
-		line = strings.ToLower(words.WeightVersions) + ": " + strconv.FormatUint(current, 10) + "\n"
+		s.record(id, current)
+		line = strings.ToLower(testDialect.WeightVersions) + ": " + strconv.FormatUint(current, 10) + "\n"
 	}
 	_, _ = io.WriteString(writer, line+event(2, "b-"+id))
 	writer.(http.Flusher).Flush()
@@ -105,25 +105,25 @@
 	weights  uint64
 	requests int
 	step     int
-	// gone counts in a row the generations for which the step's version was gone.
-	gone   int
-	whole  []wholeGeneration
-	counts scheduleCounts
+	// consecutiveUnavailable counts in a row the generations for which the step's version was gone.
+	consecutiveUnavailable int
+	complete               []completeGeneration
+	counts                 scheduleCounts
 }
 
-// wholeGeneration is one that its caller has whole, with the versions that its answer named.
-type wholeGeneration struct {
+// completeGeneration is one that its caller has whole, with the versions that its answer named.
+type completeGeneration struct {
 	step, program, id string
 	versions          []uint64
 }
 
 // scheduleCounts says how often a schedule brought about what could break a step.
 type scheduleCounts struct {
-	whole, unavailable, broken, mismatched, crashes, outages, steps int
+	complete, unavailable, broken, mismatched, crashes, outages, steps int
 }
 
 func (c *scheduleCounts) add(other scheduleCounts) {
-	c.whole += other.whole
+	c.complete += other.complete
 	c.unavailable += other.unavailable
 	c.broken += other.broken
 	c.mismatched += other.mismatched
@@ -177,9 +177,9 @@
 			s.weights++
 			s.servers[s.random.IntN(scheduleServers)].midway.Store(s.weights)
 		case draw < 93:
-			s.whileHeld(s.crash)
+			s.whileBlocked(s.crash)
 		default:
-			s.whileHeld(s.outage)
+			s.whileBlocked(s.outage)
 		}
 	}
 	s.counts.steps = s.step
@@ -202,7 +202,7 @@
 
 // scheduled is one generation on its way.
 type scheduled struct {
-	wholeGeneration
+	completeGeneration
 	answered <-chan routedAnswer
 }
 
@@ -210,12 +210,12 @@
 func (s *stepSchedule) send(number int) scheduled {
 	s.requests++
 	program := number + scheduleFronts*s.random.IntN(schedulePrograms/scheduleFronts)
-	sent := scheduled{wholeGeneration: wholeGeneration{
+	sent := scheduled{completeGeneration: completeGeneration{
 		step: fmt.Sprint("run-1/step-", s.step), program: fmt.Sprintf("step%d-p%d", s.step, program), id: fmt.Sprint("r", s.requests),
 	}}
 	request := stepTurnOf(sent.step, sent.id)
-	request.headers.Set(words.Program, sent.program)
-	request.headers.Set(words.Session, sent.program)
+	request.headers.Set(testDialect.Program, sent.program)
+	request.headers.Set(testDialect.Session, sent.program)
 	if s.random.IntN(2) == 0 {
 		request = onStream(request)
 	}
@@ -232,9 +232,9 @@
 	for _, sent := range all {
 		s.take(sent)
 	}
-	if s.gone >= mostUnavailable {
+	if s.consecutiveUnavailable >= maxUnavailable {
 		s.step++
-		s.gone = 0
+		s.consecutiveUnavailable = 0
 	}
 }
 
@@ -251,18 +251,18 @@
 	})
 	switch {
 	case got.status == http.StatusOK && got.broken == nil:
-		sent.versions = trainingstep.ParseVersions(got.header.Values(words.WeightVersions))
+		sent.versions = trainingstep.ParseVersions(got.header.Values(testDialect.WeightVersions))
 		for block := range strings.SplitSeq(got.body, "\n\n") {
-			if version, named := trainingstep.VersionOfEvent([]byte(block), words.WeightVersions); named {
+			if version, named := trainingstep.VersionOfEvent([]byte(block), testDialect.WeightVersions); named {
 				sent.versions = append(sent.versions, version)
 			}
 		}
-		s.whole = append(s.whole, sent.wholeGeneration)
-		s.counts.whole++
-		s.gone = 0
+		s.complete = append(s.complete, sent.completeGeneration)
+		s.counts.complete++
+		s.consecutiveUnavailable = 0
 	case strings.HasPrefix(got.body, "step_version_unavailable: "):
 		s.counts.unavailable++
-		s.gone++
+		s.consecutiveUnavailable++
 	case strings.HasPrefix(got.body, "step_mismatch: "):
 		s.counts.mismatched++
 	case got.status == http.StatusOK:
@@ -270,20 +270,20 @@
 	}
 }
 
-// whileHeld lets something happen while a generation stands still in mid-stream, when one gets so far.
-func (s *stepSchedule) whileHeld(happen func(number int)) {
+// whileBlocked lets something happen while a generation stands still in mid-stream, when one gets so far.
+func (s *stepSchedule) whileBlocked(happen func(number int)) {
 	number := s.random.IntN(scheduleFronts)
-	held := make([]*heldStream, scheduleServers)
+	streams := make([]*blockedStream, scheduleServers)
 	for at, server := range s.servers {
-		held[at] = server.hold()
+		streams[at] = server.block()
 	}
 	sent := s.send(number)
-	s.await(func() bool { return len(sent.answered) > 0 || isAnyReached(held) })
+	s.await(func() bool { return len(sent.answered) > 0 || isAnyReached(streams) })
 	for _, server := range s.servers {
 		server.takeHold()
 	}
 	happen(number)
-	for _, each := range held {
+	for _, each := range streams {
 		close(each.resume)
 	}
 	s.take(sent)
@@ -295,13 +295,13 @@
 		if come() {
 			return true
 		}
-		s.rig.clock.passPauses()
+		s.rig.clock.passBackoffs()
 		return false
 	}).WithPolling(time.Millisecond).Should(BeTrue())
 }
 
-func isAnyReached(held []*heldStream) bool {
-	return slices.ContainsFunc(held, func(each *heldStream) bool {
+func isAnyReached(streams []*blockedStream) bool {
+	return slices.ContainsFunc(streams, func(each *blockedStream) bool {
 		select {
 		case <-each.reached:
 			return true
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -18,15 +18,15 @@
 const (
 	trainingStepPath  = "training_step"
 	trainingModelPath = "training_model"
-	// refusedVersionLife is how long a server's word that it has not a version goes before its announcement, which
+	// rejectedVersionTTL is how long a server's word that it has not a version goes before its announcement, which
 	// may be older than the word.
-	refusedVersionLife = 5 * time.Second
+	rejectedVersionTTL = 5 * time.Second
 	// unboundedBudget stands for the budget of a program of a training step that is told none.
 	unboundedBudget = math.MaxInt64
 )
 
 // readStep reads the training step of a turn. Calls belong to none, whatever their headers say.
-func (a *routeAPI) readStep(taken *takenRequest, header http.Header, route *protocol.HttpRoute) error {
+func (a *routeAPI) readStep(accepted *acceptedRequest, header http.Header, route *protocol.HttpRoute) error {
 	if a.dialect.TrainingStep == "" || route.GetKind() != protocol.HttpRouteKind_HTTP_STREAMING {
 		return nil
 	}
@@ -38,10 +38,10 @@
 	if err != nil {
 		return err
 	}
-	if taken.program == "" {
+	if accepted.program == "" {
 		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of a training step must name its program", failure.WithPath("program"))
 	}
-	taken.step, taken.model = step, model
+	accepted.step, accepted.model = step, model
 	return nil
 }
 
@@ -70,13 +70,13 @@
 
 // resolveStep finds the version of the turn's step, and ends the turn at once when no server has it.
 func (r *turnRun) resolveStep(step string) turn.Event {
-	pin, refused := r.service.resolveStep(r.ctx, stepChoice{step: step, model: r.request.GetModel()}, r.route.GetGroup())
-	if refused != nil {
-		r.explanation.step("training step refused", step+": "+refused.GetMessage())
-		return turn.StepNotResolved{Failure: refused}
+	pin, rejection := r.service.resolveStep(r.ctx, stepChoice{step: step, model: r.request.GetModel()}, r.route.GetGroup())
+	if rejection != nil {
+		r.explanation.recordStep("training step refused", step+": "+rejection.GetMessage())
+		return turn.StepNotResolved{Failure: rejection}
 	}
 	r.pin = pin
-	r.explanation.step("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
+	r.explanation.recordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
 	if !r.service.backEnds.Load().hasVersion(r.route.GetGroup(), pin, r.now()) {
 		return turn.StepNotResolved{Failure: r.versionUnavailable().Failure}
 	}
@@ -84,16 +84,16 @@
 }
 
 func (r *turnRun) versionUnavailable() turn.NotChosen {
-	r.explanation.step("no back end", fmt.Sprintf("version %d", r.pin.version))
+	r.explanation.recordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
 	return turn.NotChosen{Failure: versionUnavailable(
 		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.version, r.pin.model))}
 }
 
-func (r *turnRun) isOfStep() bool { return r.request.GetTrainingStep() != "" }
+func (r *turnRun) isTrainingStep() bool { return r.request.GetTrainingStep() != "" }
 
 // stepGate names the servers that the turn may run at.
-func (r *turnRun) stepGate() stepGateKey {
-	return stepGateKey{group: r.route.GetGroup(), model: r.pin.model, version: r.pin.version}
+func (r *turnRun) stepGate() admissionGateKey {
+	return admissionGateKey{group: r.route.GetGroup(), model: r.pin.model, version: r.pin.version}
 }
 
 // stepPlacement is what the choice of a server needs to know of a generation of a step; nil for other turns.
@@ -102,15 +102,15 @@
 		return nil
 	}
 	return &stepPlacement{
-		pin: r.pin, fronts: r.service.frontNodes(),
-		work: schedule.StepWork{PromptTokens: promptTokens(r.request.GetHttp(), prompt), OutputTokens: routedCeiling(r.request)},
+		pin: r.pin, frontNodes: r.service.frontNodes(),
+		work: schedule.StepWork{PromptTokens: promptTokens(r.request.GetHttp(), prompt), OutputTokens: routedReservationLimit(r.request)},
 	}
 }
 
 // countEnd counts the last event of a turn.
 func (r *turnRun) countEnd(event *protocol.TurnEvent) {
-	if !r.isOfStep() {
-		r.counters.finished(r.tokens, event.GetFailed())
+	if !r.isTrainingStep() {
+		r.counters.recordEnd(r.tokens, event.GetFailed())
 		return
 	}
 	f := event.GetFailed()
@@ -118,7 +118,7 @@
 	case f == nil:
 		r.service.metrics.stepGenerations.WithLabelValues("completed").Inc()
 	case f.GetOutcome() == protocol.Outcome_NOT_RUN:
-		r.service.metrics.stepRefusals.WithLabelValues(f.GetCode()).Inc()
+		r.service.metrics.stepRejections.WithLabelValues(f.GetCode()).Inc()
 	default:
 		r.service.metrics.stepGenerations.WithLabelValues(f.GetCode()).Inc()
 	}
@@ -136,21 +136,21 @@
 }
 
 // hasVersion reports whether a ready server of a group has the version of a pin.
-func (b *backEnds) hasVersion(group string, pin *stepPin, now time.Time) bool {
+func (b *backEnds) hasVersion(group string, pin *versionPin, now time.Time) bool {
 	return slices.ContainsFunc(b.byGroup[group], func(server *backEnd) bool {
-		return !server.draining.Load() && pin.isAt(server, now)
+		return !server.draining.Load() && pin.isServedBy(server, now)
 	})
 }
 
-// isAt reports whether a server has the pinned version, as far as is known.
-func (p *stepPin) isAt(server *backEnd, now time.Time) bool {
-	return server.description.Load().GetModelVersions()[p.model] == p.version && !server.hasRefused(p.version, now)
+// isServedBy reports whether a server has the pinned version, as far as is known.
+func (p *versionPin) isServedBy(server *backEnd, now time.Time) bool {
+	return server.description.Load().GetModelVersions()[p.model] == p.version && !server.hasRejected(p.version, now)
 }
 
-// divide parts the servers that have the pinned version from the others.
-func (p *stepPin) divide(servers []*backEnd, now time.Time) (having, others []*backEnd) {
+// split parts the servers that have the pinned version from the others.
+func (p *versionPin) split(servers []*backEnd, now time.Time) (having, others []*backEnd) {
 	for _, server := range servers {
-		if p.isAt(server, now) {
+		if p.isServedBy(server, now) {
 			having = append(having, server)
 		} else {
 			others = append(others, server)
@@ -159,15 +159,15 @@
 	return having, others
 }
 
-// refuseVersion notes that the server said that it has not a version.
-func (b *backEnd) refuseVersion(version uint64, now time.Time) {
+// markVersionRejected notes that the server said that it has not a version.
+func (b *backEnd) markVersionRejected(version uint64, now time.Time) {
 	b.mutex.Lock()
-	b.refusedVersion, b.refusedUntil = version, now.Add(refusedVersionLife)
+	b.rejectedVersion, b.rejectedUntil = version, now.Add(rejectedVersionTTL)
 	b.mutex.Unlock()
 }
 
-func (b *backEnd) hasRefused(version uint64, now time.Time) bool {
+func (b *backEnd) hasRejected(version uint64, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.refusedVersion == version && now.Before(b.refusedUntil)
+	return b.rejectedVersion == version && now.Before(b.rejectedUntil)
 }
--- a/internal/dataplane/front/steps_test.go
+++ b/internal/dataplane/front/steps_test.go
@@ -43,8 +43,8 @@
 			Expect(count(newer[0].standIn, newer[1].standIn)).To(Equal(60))
 			Expect(r.ledger.count("PinTrainingStep")).To(Equal(2), "each front node asks once")
 			for _, seen := range newer[0].requests() {
-				Expect(seen.header.Get(words.ExpectedWeights)).To(Equal("5"))
-				Expect(seen.header.Get(words.ServerRank)).To(Equal("9"))
+				Expect(seen.header.Get(testDialect.ExpectedWeights)).To(Equal("5"))
+				Expect(seen.header.Get(testDialect.ServerRank)).To(Equal("9"))
 			}
 		})
 
@@ -90,7 +90,7 @@
 			r.announceWeights("s4", 6)
 			expectUnavailable(f1.route(stepTurn("c")))
 			expectUnavailable(r.front("f3").route(stepTurn("d")))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p-b").GetReservations()).To(BeEmpty())
 			Expect(r.ledger.program("p-b").GetSettled()).To(BeZero())
 		})
@@ -150,11 +150,11 @@
 		It("that has the program in another step refuses it", func() {
 			f1.generate(stepTurn("a"))
 			another := stepTurnOf("run-1/step-8", "b")
-			another.headers.Set(words.Program, "p-a")
+			another.headers.Set(testDialect.Program, "p-a")
 			without := stepTurn("c")
-			without.headers.Set(words.Program, "p-a")
-			without.headers.Set(words.TokenBudget, "100")
-			without.headers.Del(words.TrainingStep)
+			without.headers.Set(testDialect.Program, "p-a")
+			without.headers.Set(testDialect.TokenBudget, "100")
+			without.headers.Del(testDialect.TrainingStep)
 			for _, sent := range []routed{another, without} {
 				got := f1.route(sent)
 				Expect(got.status).To(Equal(http.StatusConflict), got.body)
@@ -225,7 +225,7 @@
 			got := f1.route(sent)
 			Expect(got.status).To(Equal(http.StatusBadGateway))
 			Expect(got.body).To(HavePrefix("step_version_changed: "))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{seen}, tokens: 1}))
 			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: seen, discarded: 1}}))
 		},
@@ -235,7 +235,7 @@
 		)
 
 		DescribeTable("in mid-stream is broken off and counts as discarded", func(target string) {
-			change := strings.ToLower(words.WeightVersions) + ": 5\n" + event(2, "b")
+			change := strings.ToLower(testDialect.WeightVersions) + ": 5\n" + event(2, "b")
 			r.weightsServerWith("s1", 4, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 				streamNaming(writer, request, "4", event(1, "a"), change, event(3, "c"))
 			})
@@ -244,7 +244,7 @@
 			got := f1.route(sent)
 			Expect(got.broken).To(HaveOccurred(), "it must not look whole")
 			Expect(got.body).To(Equal(event(1, "a")))
-			r.settled(f1)
+			r.waitUntilIdle(f1)
 			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{4, 5}, tokens: 1}))
 			Expect(r.ledger.turn("a")).To(BeNil())
 			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: 5, discarded: 1}}))
@@ -270,7 +270,7 @@
 		}
 		got := f1.route(onStream(stepTurn("a")))
 		Expect(got.broken).To(HaveOccurred())
-		r.settled(f1)
+		r.waitUntilIdle(f1)
 		Expect(r.ledger.generations("p-a")).To(Equal([]generations{{discarded: 1}}))
 	})
 
@@ -280,13 +280,13 @@
 			Expect(f1.route(stepTurnOf(name, "a")).status).To(Equal(http.StatusBadRequest), name)
 		}
 		twice := stepTurn("a")
-		twice.headers.Add(words.TrainingStep, "another")
+		twice.headers.Add(testDialect.TrainingStep, "another")
 		Expect(f1.route(twice).status).To(Equal(http.StatusBadRequest))
 		alone := onStream(stepTurn("a"))
-		alone.headers.Del(words.Program)
+		alone.headers.Del(testDialect.Program)
 		Expect(f1.route(alone).status).To(Equal(http.StatusBadRequest))
 		register := stepTurn("a")
-		register.headers.Set(words.Program, ledger.TrainingStepProgram(stepName))
+		register.headers.Set(testDialect.Program, ledger.TrainingStepProgram(stepName))
 		Expect(f1.route(register).status).To(Equal(http.StatusBadRequest), "the register of a step is no program")
 		Expect(server.requests()).To(BeEmpty())
 	})
@@ -303,7 +303,7 @@
 		server.weights.Store(5)
 		for number := range 10 {
 			expectUnavailable(f1.route(stepTurn(fmt.Sprint("b", number))))
-			r.clock.advance(front.RefusedVersionLife)
+			r.clock.advance(front.RejectedVersionTTL)
 		}
 		f1.take(routedTurn{id: "live", input: "x"})
 	})
@@ -325,7 +325,7 @@
 		sent := plain.requests()[0].header
 		for _, server := range versioned {
 			for _, seen := range server.requests() {
-				Expect(seen.header.Get(words.ServerRank)).To(Equal(sent.Get(words.ServerRank)))
+				Expect(seen.header.Get(testDialect.ServerRank)).To(Equal(sent.Get(testDialect.ServerRank)))
 				Expect(seen.header).To(HaveLen(len(sent)))
 			}
 		}
@@ -345,7 +345,7 @@
 	It("is passed on whatever versions its server names", func() {
 		r := newRouteRig()
 		f1 := r.front("f1")
-		change := strings.ToLower(words.WeightVersions) + ": 5\n" + event(2, "b")
+		change := strings.ToLower(testDialect.WeightVersions) + ": 5\n" + event(2, "b")
 		r.weightsServerWith("s1", 4, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 			streamNaming(writer, request, "3", event(1, "a"), change)
 		})
--- a/internal/dataplane/front/table.go
+++ b/internal/dataplane/front/table.go
@@ -2,24 +2,24 @@
 
 import "sync"
 
-// table is the queue of commands of one owner goroutine. What the commands
+// commandLoop is the queue of commands of one owner goroutine. What the commands
 // touch belongs to that goroutine alone.
-type table struct {
+type commandLoop struct {
 	commands chan func()
 	quit     chan struct{}
 	stopOnce sync.Once
 	done     chan struct{}
 }
 
-const commandQueue = 1024
+const commandQueueCapacity = 1024
 
-func newTable() *table {
-	t := &table{commands: make(chan func(), commandQueue), quit: make(chan struct{}), done: make(chan struct{})}
+func newCommandLoop() *commandLoop {
+	t := &commandLoop{commands: make(chan func(), commandQueueCapacity), quit: make(chan struct{}), done: make(chan struct{})}
 	go t.run()
 	return t
 }
 
-func (t *table) run() {
+func (t *commandLoop) run() {
 	defer close(t.done)
 	for {
 		select {
@@ -32,7 +32,7 @@
 }
 
 // post queues a command without waiting for it; it reports false once the table is stopped.
-func (t *table) post(command func()) bool {
+func (t *commandLoop) post(command func()) bool {
 	select {
 	case t.commands <- command:
 		return true
@@ -41,8 +41,8 @@
 	}
 }
 
-// ask runs a command and waits for it; it reports false once the table is stopped.
-func (t *table) ask(command func()) bool {
+// do runs a command and waits for it; it reports false once the table is stopped.
+func (t *commandLoop) do(command func()) bool {
 	finished := make(chan struct{})
 	if !t.post(func() { command(); close(finished) }) {
 		return false
@@ -55,7 +55,7 @@
 	}
 }
 
-func (t *table) stop() {
+func (t *commandLoop) stop() {
 	t.stopOnce.Do(func() { close(t.quit) })
 	<-t.done
 }
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -23,7 +23,7 @@
 	request     *protocol.ToolCallRequest
 	grant       Grant
 	key         sessionKey
-	arm         arm
+	variant     variant
 	route       *protocol.Route
 	deadline    time.Time
 	machine     *turn.CallMachine
@@ -35,18 +35,18 @@
 }
 
 const (
-	// patienceFactor is the multiple of its latency objective that an attempt of a repeatable call may take.
-	patienceFactor = 2
-	leastPatience  = 200 * time.Millisecond
-	// turnPatienceFactor is the multiple of its latency objective in which the first event of a turn should come.
-	turnPatienceFactor = 4
+	// callTimeoutFactor is the multiple of its latency objective that an attempt of a repeatable call may take.
+	callTimeoutFactor = 2
+	minAnswerTimeout  = 200 * time.Millisecond
+	// firstEventTimeoutFactor is the multiple of its latency objective in which the first event of a turn should come.
+	firstEventTimeoutFactor = 4
 )
 
 // runCall runs a tool call as owner of its session and returns its answer. The
 // outcome goes on being recorded when the caller leaves.
 func (s *Service) runCall(ctx context.Context, request *protocol.ToolCallRequest) (*protocol.ToolCallResponse, error) {
-	arm := s.policies.Load().armOf(request.GetProgram())
-	route := callRoute(arm, request)
+	decided := s.policies.Load().variantFor(request.GetProgram())
+	route := callRoute(decided, request)
 	if route == nil {
 		return nil, unknownTool()
 	}
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	left := timeLeft(request.GetTimeLeftMillis())
-	run := s.newCallRun(request, grant, arm, route, s.clock.Now().Add(left))
+	run := s.newCallRun(request, grant, decided, route, s.clock.Now().Add(left))
 	runContext, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	run.ctx = runContext
 	s.startCall(run, ctx, left, cancel)
@@ -68,34 +68,34 @@
 }
 
 // callRoute is the route of a call: the bundle's one of a tool, or the HTTP route that the ingress decided on.
-func callRoute(arm arm, request *protocol.ToolCallRequest) *protocol.Route {
+func callRoute(decided variant, request *protocol.ToolCallRequest) *protocol.Route {
 	if routed := request.GetHttp(); routed != nil {
 		return &protocol.Route{
 			Name: routed.GetRoute(), Group: routed.GetGroup(), NonRepeatable: routed.GetKind() != protocol.HttpRouteKind_HTTP_REPEATABLE,
 		}
 	}
-	return arm.Tool(request.GetTenant(), request.GetTool())
+	return decided.Tool(request.GetTenant(), request.GetTool())
 }
 
 func unknownTool() error {
 	return failure.New(failure.UnknownTool, protocol.Outcome_NOT_RUN, "no route serves the tool", failure.WithPath("tool"))
 }
 
-func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, arm arm, route *protocol.Route, deadline time.Time) *callRun {
+func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided variant, route *protocol.Route, deadline time.Time) *callRun {
 	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.note(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, arm.version(), arm.candidate
+	explanation.update(func(record *protocol.Explanation) {
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
-		record.Algorithm = arm.Bundle().GetScheduling().GetAlgorithm().String()
+		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
-	explanation.step("taken by the owner", "from "+request.GetIngress())
+	explanation.recordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
-		service: s, request: request, grant: grant, arm: arm, route: route, deadline: deadline, explanation: explanation,
+		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
 		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Repeatable: !route.GetNonRepeatable(),
-			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: arm.version(),
+			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.version(),
 			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, Attempts: callAttempts(request), Runs: callRuns(request),
 		}),
 	}
@@ -121,7 +121,7 @@
 }
 
 func (s *Service) startCall(run *callRun, caller context.Context, left time.Duration, cancel context.CancelCauseFunc) {
-	s.drive(drivenRun{run: run.run, end: run.grant.End, left: left, callerGone: caller.Done(), cancel: cancel})
+	s.drive(drivenRun{run: run.run, end: run.grant.End, left: left, callerDisconnected: caller.Done(), cancel: cancel})
 }
 
 func (r *callRun) run() {
@@ -177,12 +177,12 @@
 		return r.issue(command)
 	case turn.RequestRetry:
 		granted := r.service.admission.retry()
-		r.explanation.step("retry", fmt.Sprintf("granted %t", granted))
+		r.explanation.recordStep("retry", fmt.Sprintf("granted %t", granted))
 		return turn.RetryDecided{Granted: granted}
 	case turn.Answer:
 		r.answer(command.Response)
 	case turn.Backoff:
-		return pause(r.service, r.grant, command.For)
+		return waitBackoff(r.service, r.grant, command.For)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
@@ -191,38 +191,38 @@
 
 func (r *callRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
 	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.note(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.step("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
+	r.explanation.update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
+	r.explanation.recordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
 	return result
 }
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
 	result := r.service.ledgerDo(r.ctx, operation)
-	r.explanation.step("ledger "+name, result.GetStatus().String())
+	r.explanation.recordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
 
 func (r *callRun) admit() turn.Event {
-	if refused := r.refuseUnreachable(); refused != nil {
-		r.explanation.step("not admitted", refused.GetMessage())
-		return turn.NotAdmitted{Failure: refused}
+	if rejection := r.rejectUnreachable(); rejection != nil {
+		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		return turn.NotAdmitted{Failure: rejection}
 	}
-	refused := r.service.admission.enter(r.ctx, r.route.GetGroup(), r.ticket())
-	if refused != nil {
-		r.explanation.step("not admitted", refused.GetMessage())
-		return turn.NotAdmitted{Failure: refused}
+	rejection := r.service.admission.enter(r.ctx, r.route.GetGroup(), r.ticket())
+	if rejection != nil {
+		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		return turn.NotAdmitted{Failure: rejection}
 	}
 	return turn.Admitted{}
 }
 
-// refuseUnreachable refuses a call that needs the ledger while that is out of reach.
-func (r *callRun) refuseUnreachable() *protocol.Failure {
-	refused := r.service.refuseUnreachable(r.key.program)
-	if refused == nil || !r.needsLedger() {
+// rejectUnreachable refuses a call that needs the ledger while that is out of reach.
+func (r *callRun) rejectUnreachable() *protocol.Failure {
+	rejection := r.service.rejectUnreachable(r.key.program)
+	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
-	return refused
+	return rejection
 }
 
 // needsLedger reports whether the call is recorded in the ledger, or its session's epoch is not held yet.
@@ -230,8 +230,8 @@
 	if r.request.GetHttp() != nil {
 		return false
 	}
-	held := r.service.sessions.claimOf(r.key, r.request.GetTenant(), r.grant.Incarnation())
-	return r.route.GetNonRepeatable() || !held.known
+	current := r.service.sessions.findClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
+	return r.route.GetNonRepeatable() || !current.known
 }
 
 func (r *callRun) ticket() limit.Ticket {
@@ -240,18 +240,18 @@
 	}
 	return limit.Ticket{
 		Class: r.request.GetPriority(), Tenant: r.request.GetTenant(),
-		Weight: r.arm.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
+		Weight: r.variant.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
 	}
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.placementOf(r.arm.Index, groupKey{group: r.route.GetGroup(), tool: true, name: r.route.GetTool()}, r.key, avoid)
+	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), tool: true, name: r.route.GetTool()}, r.key, avoid)
 	// A server works faster for an object that it has seen, whichever program asks.
 	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
 	server, decision := r.service.choose(wanted)
-	r.explanation.decided(decision)
-	if r.arm.shadow != nil && r.request.GetHttp() == nil {
-		r.service.chooseShadow(r.arm.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
+	r.explanation.recordDecision(decision)
+	if r.variant.shadow != nil && r.request.GetHttp() == nil {
+		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
 		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
@@ -262,18 +262,18 @@
 }
 
 func (r *callRun) issue(command turn.IssueCall) turn.Event {
-	r.explanation.step("issued", command.BackEnd)
+	r.explanation.recordStep("issued", command.BackEnd)
 	issuedAt := r.now()
 	r.server.inFlight.Add(1)
-	r.server.called(issuedAt)
-	awaited := r.server.outcomes.await(answerWithin(r.request.GetHttp(), patienceFactor), issuedAt)
+	r.server.recordCall(issuedAt)
+	awaited := r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
 	event, err := r.send(command)
 	awaited.end(err == nil, r.now())
 	r.server.inFlight.Add(-1)
 	if err == nil {
-		r.server.record(schedule.OutcomeAnswered, r.now())
-		r.service.models.called(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
-		r.explanation.step("back end finished", command.BackEnd)
+		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
+		r.service.models.recordCall(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
+		r.explanation.recordStep("back end finished", command.BackEnd)
 		return event
 	}
 	return r.sendFailed(command, err)
@@ -282,7 +282,7 @@
 func (r *callRun) send(command turn.IssueCall) (turn.Event, error) {
 	if routed := r.request.GetHttp(); routed != nil {
 		r.sends++
-		ctx, cancel := r.patience(routed)
+		ctx, cancel := r.attemptContext(routed)
 		defer cancel()
 		return r.service.routes.call(ctx, routedRequest{
 			server: r.server, requestID: r.request.GetRequestId(), http: routed, body: routed.GetBody(), deadline: r.deadline,
@@ -295,15 +295,15 @@
 	})
 }
 
-// patience bounds one attempt of a call that may be repeated and that may go to
+// attemptContext bounds one attempt of a call that may be repeated and that may go to
 // another server: its answer may be lost, and then nothing would ever come.
-func (r *callRun) patience(routed *protocol.HttpRequest) (context.Context, context.CancelFunc) {
+func (r *callRun) attemptContext(routed *protocol.HttpRequest) (context.Context, context.CancelFunc) {
 	repeatable := routed.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
 	if !repeatable || r.sends >= callRuns(r.request) || !r.hasAlternative() {
 		return r.ctx, func() {}
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	limit := answerWithin(routed, patienceFactor)
+	limit := answerTimeout(routed, callTimeoutFactor)
 	expired := r.service.clock.After(limit)
 	go func() {
 		select {
@@ -315,13 +315,13 @@
 	return ctx, cancel
 }
 
-// answerWithin is the time in which a request of an HTTP route should show a sign of its answer: a multiple of the
+// answerTimeout is the time in which a request of an HTTP route should show a sign of its answer: a multiple of the
 // route's latency objective. It is zero where no objective is known.
-func answerWithin(routed *protocol.HttpRequest, factor time.Duration) time.Duration {
+func answerTimeout(routed *protocol.HttpRequest, factor time.Duration) time.Duration {
 	if routed == nil {
 		return 0
 	}
-	return max(factor*millis(routed.GetLatencyObjectiveMillis()), leastPatience)
+	return max(factor*millis(routed.GetLatencyObjectiveMillis()), minAnswerTimeout)
 }
 
 // hasAlternative reports whether the group has a server that was not asked yet.
@@ -343,17 +343,17 @@
 	if !errors.As(err, &fault) {
 		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	r.server.record(fault.outcome(), r.now())
+	r.server.recordOutcome(fault.outcome(), r.now())
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.step("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
+	r.explanation.recordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
 	return fault.event()
 }
 
 func (r *callRun) answer(response *protocol.ToolCallResponse) {
 	if f := response.GetFailure(); f != nil {
-		r.explanation.step("failed", f.GetCode()+": "+f.GetMessage())
+		r.explanation.recordStep("failed", f.GetCode()+": "+f.GetMessage())
 	} else {
-		r.explanation.step("completed", fmt.Sprintf("status %d", response.GetStatus()))
+		r.explanation.recordStep("completed", fmt.Sprintf("status %d", response.GetStatus()))
 	}
 	r.answers <- response
 }
--- a/internal/dataplane/front/tools_test.go
+++ b/internal/dataplane/front/tools_test.go
@@ -94,12 +94,12 @@
 	})
 
 	It("goes to another server when it surely was not run", func() {
-		refuse := func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) }
-		r.backEnd("t1", toolServer, refuse)
-		r.backEnd("t2", toolServer, refuse)
-		refused := call(valve, "k1")
-		Expect(refused.errorCode()).To(Equal("overloaded"))
-		Expect(refused.outcome()).To(Equal("not_run"))
+		reject := func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) }
+		r.backEnd("t1", toolServer, reject)
+		r.backEnd("t2", toolServer, reject)
+		rejection := call(valve, "k1")
+		Expect(rejection.errorCode()).To(Equal("overloaded"))
+		Expect(rejection.outcome()).To(Equal("not_run"))
 		r.backEnd("t3", toolServer, run)
 		Expect(call(valve, "k1").outcome()).To(Equal("not_run"), "a refusal holds for every later send of the key")
 		Expect(runs.Load()).To(BeZero())
@@ -156,7 +156,7 @@
 			<-release
 			run(writer, request)
 		})
-		r.network.cut["f2"], r.network.cutWhen["f2"] = 0, arrived
+		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, arrived
 		lost := call(valve, "k1")
 		Expect(lost.outcome()).To(Equal("unknown"), lost.text)
 		close(release)
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -20,30 +20,30 @@
 	live        *liveTurn
 	grant       Grant
 	key         sessionKey
-	arm         arm
-	counters    *armCounters
+	variant     variant
+	counters    *variantCounters
 	route       *protocol.Route
 	incarnation uint64
 	deadline    time.Time
 	machine     *turn.Machine
 	// pin is the version that a turn of a training step keeps to; nil for other turns.
-	pin         *stepPin
+	pin         *versionPin
 	explanation *explanation
 
 	began      time.Time
 	history    []*protocol.Item
 	generation answerStream
-	// sent is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
-	sent *sentTurn
+	// issued is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
+	issued *issuedTurn
 	// work is a generation of a training step at its server; nil for other turns.
 	work *stepWork
-	// awaited is the wait for the first event of a live turn of an HTTP route.
-	awaited    *awaitedAnswer
-	server     *backEnd
-	issuedAt   time.Time
-	firstToken bool
-	tokens     uint64
-	freed      bool
+	// expected is the wait for the first event of a live turn of an HTTP route.
+	expected     *expectedAnswer
+	server       *backEnd
+	issuedAt     time.Time
+	firstToken   bool
+	tokens       uint64
+	sessionFreed bool
 }
 
 // run drives the machine to its end. It may outlive the readers: a turn is not
@@ -110,23 +110,23 @@
 	if err != nil {
 		return r.attemptFailed(err)
 	}
-	r.awaited.end(true, r.now())
+	r.expected.end(true, r.now())
 	switch event.(type) {
 	case turn.Token:
-		r.noteFirstToken()
-		r.noteTokens(event)
+		r.recordFirstToken()
+		r.recordTokens(event)
 	case turn.AnswerCompleted:
-		r.server.record(schedule.OutcomeAnswered, r.now())
+		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
-		r.server.record(schedule.OutcomeAnswered, r.now())
+		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
 		r.endSent(true)
-		r.explanation.step("back end finished", r.server.id())
+		r.explanation.recordStep("back end finished", r.server.id())
 	}
 	return event
 }
 
-// noteTokens tells the group's model of the output that came.
-func (r *turnRun) noteTokens(event turn.Event) {
+// recordTokens tells the group's model of the output that came.
+func (r *turnRun) recordTokens(event turn.Event) {
 	token, isToken := event.(turn.Token)
 	if !isToken {
 		return
@@ -134,43 +134,43 @@
 	if r.work != nil {
 		r.work.generated(token.Tokens)
 	}
-	if r.sent == nil {
+	if r.issued == nil {
 		return
 	}
-	if r.sent.tokens == 0 {
-		r.sent.firstToken(r.now())
+	if r.issued.tokens == 0 {
+		r.issued.recordFirstToken(r.now())
 	}
-	r.sent.tokens += uint64(token.Tokens)
+	r.issued.tokens += uint64(token.Tokens)
 }
 
 // endSent tells the group's model that the attempt is over.
-func (r *turnRun) endSent(whole bool) {
+func (r *turnRun) endSent(complete bool) {
 	if r.work != nil {
 		r.work.end()
 		r.work = nil
 	}
-	if r.sent == nil {
+	if r.issued == nil {
 		return
 	}
-	r.sent.ended(whole, r.now())
-	r.sent = nil
+	r.issued.finish(complete, r.now())
+	r.issued = nil
 }
 
-func (r *turnRun) noteFirstToken() {
+func (r *turnRun) recordFirstToken() {
 	r.tokens++
 	if r.firstToken {
 		return
 	}
 	r.firstToken = true
-	r.explanation.step("first token", r.server.id())
-	if r.isOfStep() {
+	r.explanation.recordStep("first token", r.server.id())
+	if r.isTrainingStep() {
 		// Steps wait behind live requests: their latency says nothing of how those are served.
 		return
 	}
 	now := r.now()
-	r.counters.firstToken(now.Sub(r.began))
+	r.counters.recordFirstToken(now.Sub(r.began))
 	r.service.metrics.firstToken.Observe(now.Sub(r.began).Seconds())
-	r.service.admission.record(r.route.GetGroup(), limit.Sample{Latency: now.Sub(r.issuedAt)})
+	r.service.admission.recordSample(r.route.GetGroup(), limit.Sample{Latency: now.Sub(r.issuedAt)})
 }
 
 func (r *turnRun) attemptFailed(err error) turn.Event {
@@ -178,15 +178,15 @@
 	if !errors.As(err, &fault) {
 		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	r.server.record(fault.outcome(), r.now())
+	r.server.recordOutcome(fault.outcome(), r.now())
 	if fault.fault == turn.FaultWrongVersion {
-		r.server.refuseVersion(r.pin.version, r.now())
+		r.server.markVersionRejected(r.pin.version, r.now())
 	}
-	if fault.fault == turn.FaultUnavailable && !r.isOfStep() {
-		r.service.admission.record(r.route.GetGroup(), limit.Sample{Rejected: true})
+	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
+		r.service.admission.recordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.step("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
+	r.explanation.recordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
 	r.closeGeneration()
 	return fault.event()
 }
@@ -203,7 +203,7 @@
 
 // leaveServer notes that the attempt holds no slot of its server any more. A generation of a step left with its work.
 func (r *turnRun) leaveServer() {
-	r.awaited.end(false, r.now())
+	r.expected.end(false, r.now())
 	r.endSent(false)
 	if r.pin == nil {
 		r.server.inFlight.Add(-1)
@@ -231,22 +231,22 @@
 	case turn.StopBackEnd:
 		r.closeGeneration()
 	case turn.RequestRetry:
-		return r.askRetry()
+		return r.requestRetry()
 	case turn.Emit:
 		r.emit(command.Event)
 	case turn.Commit:
-		return r.settle(command)
+		return r.commit(command)
 	case turn.Release:
 		return r.release(command)
 	case turn.Reject:
-		return turn.Rejected{Result: r.refuse(command)}
+		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		kept, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
-		return turn.RetainedTurnRead{Turn: kept, Status: status}
+		retained, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
+		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
-		return pause(r.service, r.grant, command.For)
+		return waitBackoff(r.service, r.grant, command.For)
 	case turn.Remember:
-		r.service.sessions.settled(r.key, command.Turn, r.history)
+		r.service.sessions.recordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
@@ -255,10 +255,10 @@
 
 func (r *turnRun) emit(event *protocol.TurnEvent) {
 	if f := event.GetFailed(); f != nil {
-		r.explanation.step("failed", f.GetCode()+": "+f.GetMessage())
+		r.explanation.recordStep("failed", f.GetCode()+": "+f.GetMessage())
 	}
 	if event.GetCompleted() != nil {
-		r.explanation.step("completed", event.GetCompleted().GetTurnId())
+		r.explanation.recordStep("completed", event.GetCompleted().GetTurnId())
 	}
 	if isTerminal(event) {
 		r.countEnd(event)
@@ -273,16 +273,16 @@
 // event, because a caller may continue as soon as it has that. A turn whose end
 // the ledger has not confirmed keeps its session.
 func (r *turnRun) freeSession() {
-	if r.freed {
+	if r.sessionFreed {
 		return
 	}
-	r.freed = true
+	r.sessionFreed = true
 	r.service.sessions.finish(r.key, r.live)
 }
 
-// pause waits before the ledger is asked again. Lost authority ends the wait
+// waitBackoff waits before the ledger is asked again. Lost authority ends the wait
 // for good: the next epoch charges the reservation.
-func pause(s *Service, grant Grant, wait time.Duration) turn.Event {
+func waitBackoff(s *Service, grant Grant, wait time.Duration) turn.Event {
 	select {
 	case <-s.clock.After(wait):
 	case <-s.stopped:
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -14,8 +14,8 @@
 // claim returns the session's epoch, from the ledger only once per owned session.
 func (r *turnRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
 	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.note(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.step("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
+	r.explanation.update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
+	r.explanation.recordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
 	return result
 }
 
@@ -26,12 +26,12 @@
 	if r.request.GetHttp() != nil {
 		return r.readHTTPHistory(lastTurn)
 	}
-	if held := r.service.sessions.historyOf(r.key, lastTurn); held.known {
-		r.history = held.items
-		return turn.HistoryRead{Items: held.items, Tokens: held.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
+	if history := r.service.sessions.findHistory(r.key, lastTurn); history.known {
+		r.history = history.items
+		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
 	turns, status := r.service.readTurns(r.ctx, r.key.program, lastTurn)
-	r.explanation.step("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
+	r.explanation.recordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
 	}
@@ -40,16 +40,16 @@
 }
 
 func (r *turnRun) admit() turn.Event {
-	if refused := r.refuseUnreachable(); refused != nil {
-		r.explanation.step("not admitted", refused.GetMessage())
-		return turn.NotAdmitted{Failure: refused}
+	if rejection := r.rejectUnreachable(); rejection != nil {
+		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		return turn.NotAdmitted{Failure: rejection}
 	}
-	refused := r.enter()
-	if refused != nil {
-		r.explanation.step("not admitted", refused.GetMessage())
-		return turn.NotAdmitted{Failure: refused}
+	rejection := r.enter()
+	if rejection != nil {
+		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		return turn.NotAdmitted{Failure: rejection}
 	}
-	r.explanation.step("admitted", r.request.GetPriority().String())
+	r.explanation.recordStep("admitted", r.request.GetPriority().String())
 	return turn.Admitted{}
 }
 
@@ -70,12 +70,12 @@
 	r.service.admission.leave(r.route.GetGroup())
 }
 
-// refuseUnreachable refuses a turn that needs the ledger while that is out of reach.
-func (r *turnRun) refuseUnreachable() *protocol.Failure {
+// rejectUnreachable refuses a turn that needs the ledger while that is out of reach.
+func (r *turnRun) rejectUnreachable() *protocol.Failure {
 	if !r.machine.IsLedgered() {
 		return nil
 	}
-	return r.service.refuseUnreachable(r.key.program)
+	return r.service.rejectUnreachable(r.key.program)
 }
 
 func (r *turnRun) ticket() limit.Ticket {
@@ -84,15 +84,15 @@
 	}
 	return limit.Ticket{
 		Class: r.request.GetPriority(), Tenant: r.request.GetTenant(),
-		Weight: r.arm.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
+		Weight: r.variant.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
 	}
 }
 
 func (r *turnRun) reserve(command turn.Reserve) turn.Event {
 	result := r.reserveOnce(command.Operation)
-	held := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
+	budgetHeld := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
 	// Reservations of owners that are gone may hold the budget: nothing would ever settle them.
-	if held && r.service.chargeLost(r.ctx, result.GetProgram(), r.incarnation) {
+	if budgetHeld && r.service.chargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
 		result = r.reserveOnce(command.Operation)
 	}
 	return turn.Reserved{Result: result}
@@ -102,11 +102,11 @@
 func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
 	result := r.service.ledgerDo(r.ctx, operation)
-	r.explanation.step("ledger "+name, result.GetStatus().String())
+	r.explanation.recordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
 
-func (r *turnRun) settle(command turn.Commit) turn.Event {
+func (r *turnRun) commit(command turn.Commit) turn.Event {
 	return turn.Committed{Result: r.ledger("settle", &protocol.LedgerOperation{
 		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation},
 	})}
@@ -119,19 +119,19 @@
 }
 
 func (r *turnRun) choose(avoid []string) turn.Event {
-	wanted := r.service.placementOf(r.arm.Index, groupKey{group: r.route.GetGroup(), name: r.route.GetModel()}, r.key, avoid)
-	wanted.prompt, wanted.output = promptOf(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
+	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), name: r.route.GetModel()}, r.key, avoid)
+	wanted.prompt, wanted.output = requestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
 	wanted.step = r.stepPlacement(wanted.prompt)
 	server, decision := r.service.choose(wanted)
-	r.explanation.decided(decision)
+	r.explanation.recordDecision(decision)
 	if server == nil && r.pin != nil {
 		return r.versionUnavailable()
 	}
-	if r.arm.shadow != nil && r.request.GetHttp() == nil {
-		r.service.chooseShadow(r.arm.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
+	if r.variant.shadow != nil && r.request.GetHttp() == nil {
+		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
-		r.explanation.step("no back end", r.route.GetGroup())
+		r.explanation.recordStep("no back end", r.route.GetGroup())
 		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
 			"no back end of group "+r.route.GetGroup()+" can take the turn", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
@@ -149,7 +149,7 @@
 		return turn.BackEndFailed{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
 	r.issuedAt = r.now()
-	r.explanation.step("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
+	r.explanation.recordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
 	r.server.inFlight.Add(1)
 	generation, err := r.service.client.generate(r.ctx, backEndRequest{
 		server: r.server, path: chatPath, body: body, requestID: r.request.GetRequestId(),
@@ -163,31 +163,31 @@
 	return nil
 }
 
-func (r *turnRun) askRetry() turn.Event {
+func (r *turnRun) requestRetry() turn.Event {
 	// Steps take nothing out of the budget of live requests; how often they are sent is bounded for each turn.
 	granted := r.pin != nil || r.service.admission.retry()
 	if granted {
 		r.service.metrics.retries.Inc()
 	}
-	r.explanation.step("retry", fmt.Sprintf("granted %t", granted))
+	r.explanation.recordStep("retry", fmt.Sprintf("granted %t", granted))
 	return turn.RetryDecided{Granted: granted}
 }
 
-// refuse puts the request's tombstone. One that is refused at once hears that
+// reject puts the request's tombstone. One that is refused at once hears that
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
-func (r *turnRun) refuse(command turn.Reject) *protocol.LedgerResult {
+func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
 	if !command.AtOnce {
-		return r.service.refuseRequest(r.ctx, r.key.program, command.Operation)
+		return r.service.rejectRequest(r.ctx, r.key.program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
 	r.service.runs.Go(func() {
-		answered <- r.service.refuseRequest(r.ctx, r.key.program, command.Operation)
+		answered <- r.service.rejectRequest(r.ctx, r.key.program, command.Operation)
 	})
 	select {
 	case result := <-answered:
 		return result
-	case <-r.service.clock.After(keyedRefusalTimeout):
+	case <-r.service.clock.After(keyedRejectionTimeout):
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE}
 	}
 }
--- a/internal/dataplane/front/turns_test.go
+++ b/internal/dataplane/front/turns_test.go
@@ -157,9 +157,9 @@
 
 	When("the first server breaks", func() {
 		It("begins anew under a higher number and never splices", func() {
-			var asked atomic.Int32
+			var requests atomic.Int32
 			breaking := func(writer http.ResponseWriter, request *http.Request) {
-				if asked.Add(1) == 1 {
+				if requests.Add(1) == 1 {
 					writeWords(writer, "lost")
 					panic(http.ErrAbortHandler)
 				}
@@ -182,11 +182,11 @@
 				writer.WriteHeader(http.StatusServiceUnavailable)
 			}
 			r.backEnd("m1", modelServer, busy)
-			refused := f1.turn(turnBody("s1", ""), nil)
-			Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
-			Expect(refused.errorCode()).To(Equal("overloaded"))
-			Expect(refused.outcome()).To(Equal("not_run"))
-			Expect(refused.header.Get("Retry-After")).To(Equal("4"))
+			rejection := f1.turn(turnBody("s1", ""), nil)
+			Expect(rejection.status).To(Equal(http.StatusServiceUnavailable))
+			Expect(rejection.errorCode()).To(Equal("overloaded"))
+			Expect(rejection.outcome()).To(Equal("not_run"))
+			Expect(rejection.header.Get("Retry-After")).To(Equal("4"))
 			r.backEnd("m2", modelServer, modelAnswer("yes"))
 			Expect(f1.turn(turnBody("s2", ""), nil).status).To(Equal(http.StatusOK))
 		})
@@ -203,9 +203,9 @@
 		// The sockets take the time of the wall clock: far above what the server that is not silent needs.
 		r.stall = 2 * time.Second
 		f3 := r.front("f3")
-		var asked atomic.Int32
+		var requests atomic.Int32
 		silentOnce := func(writer http.ResponseWriter, request *http.Request) {
-			if asked.Add(1) == 1 {
+			if requests.Add(1) == 1 {
 				<-request.Context().Done()
 				return
 			}
--- a/internal/dataplane/front/unreachable_test.go
+++ b/internal/dataplane/front/unreachable_test.go
@@ -51,7 +51,7 @@
 			Entry("a turn", routedTurn{id: "r1", input: "in"}.sent()),
 			Entry("a turn that goes on from another", routedTurn{id: "r2", previous: "r1", input: "in"}.sent()),
 			Entry("a stream with a budget", routed{
-				target: streamPath, headers: with(words.RequestID, "r1", words.Program, "p1", words.TokenBudget, "100"),
+				target: streamPath, headers: with(testDialect.RequestID, "r1", testDialect.Program, "p1", testDialect.TokenBudget, "100"),
 			}),
 		)
 
@@ -77,7 +77,7 @@
 		It("refuses what others own at once while it is cut off from them as well", func() {
 			f1.ownership.setOwner("c1", "f2")
 			r.network.unreachable["f2"] = true
-			r.ledger.cutOff.Store(true)
+			r.ledger.isolated.Store(true)
 			got := f1.route(ownedTurn)
 			Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
 			Expect(got.header.Get("Retry-After")).To(Equal("1.000"))
@@ -125,9 +125,9 @@
 	It("is ready unless it alone is cut off", func() {
 		loseLedger()
 		Expect(front.NotReady(f1.service)).To(BeEmpty(), "all front nodes are in the same position")
-		r.ledger.cutOff.Store(true)
+		r.ledger.isolated.Store(true)
 		Expect(front.NotReady(f1.service)).To(ContainSubstring("cut off"))
-		r.ledger.cutOff.Store(false)
+		r.ledger.isolated.Store(false)
 		Expect(front.NotReady(f1.service)).To(BeEmpty())
 	})
 
--- a/internal/dataplane/front/variants.go
+++ b/internal/dataplane/front/variants.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	armReportInterval = time.Second
-	armReportTimeout  = 2 * time.Second
+	variantReportInterval = time.Second
+	variantReportTimeout  = 2 * time.Second
 )
 
-// armCounters count what one arm did since the last report.
-type armCounters struct {
+// variantCounters count what one arm did since the last report.
+type variantCounters struct {
 	version   uint64
 	candidate bool
 	requests  atomic.Uint64
@@ -25,58 +25,58 @@
 	buckets   []atomic.Uint64
 }
 
-func newArmCounters(version uint64, candidate bool) *armCounters {
-	return &armCounters{version: version, candidate: candidate, buckets: make([]atomic.Uint64, bundle.FirstTokenBuckets())}
+func newVariantCounters(version uint64, candidate bool) *variantCounters {
+	return &variantCounters{version: version, candidate: candidate, buckets: make([]atomic.Uint64, bundle.FirstTokenBuckets())}
 }
 
-// armSet is the pair of arms in force; it is replaced when a version changes.
-type armSet struct {
-	active    *armCounters
-	candidate *armCounters
+// variantSet is the pair of arms in force; it is replaced when a version changes.
+type variantSet struct {
+	active    *variantCounters
+	candidate *variantCounters
 }
 
-func (s *armSet) of(candidate bool) *armCounters {
+func (s *variantSet) counters(candidate bool) *variantCounters {
 	if candidate && s.candidate != nil {
 		return s.candidate
 	}
 	return s.active
 }
 
-// nextArms keeps the counters of versions that stay in force.
-func nextArms(former *armSet, p *policies) *armSet {
-	next := &armSet{active: keepArm(former, p.active.Bundle().GetVersion(), false)}
+// nextVariants keeps the counters of versions that stay in force.
+func nextVariants(former *variantSet, p *policies) *variantSet {
+	next := &variantSet{active: reuseVariantCounters(former, p.active.Bundle().GetVersion(), false)}
 	if p.candidate != nil {
-		next.candidate = keepArm(former, p.candidate.Bundle().GetVersion(), true)
+		next.candidate = reuseVariantCounters(former, p.candidate.Bundle().GetVersion(), true)
 	}
 	return next
 }
 
-func keepArm(former *armSet, version uint64, candidate bool) *armCounters {
+func reuseVariantCounters(former *variantSet, version uint64, candidate bool) *variantCounters {
 	if former != nil {
-		for _, counters := range []*armCounters{former.active, former.candidate} {
+		for _, counters := range []*variantCounters{former.active, former.candidate} {
 			if counters != nil && counters.version == version && counters.candidate == candidate {
 				return counters
 			}
 		}
 	}
-	return newArmCounters(version, candidate)
+	return newVariantCounters(version, candidate)
 }
 
-func (c *armCounters) firstToken(after time.Duration) {
+func (c *variantCounters) recordFirstToken(after time.Duration) {
 	c.buckets[bundle.FirstTokenBucket(uint32(max(after, 0)/time.Millisecond))].Add(1)
 }
 
-// finished counts one request by its last event.
-func (c *armCounters) finished(tokens uint64, f *protocol.Failure) {
+// recordEnd counts one request by its last event.
+func (c *variantCounters) recordEnd(tokens uint64, f *protocol.Failure) {
 	c.requests.Add(1)
 	c.tokens.Add(tokens)
-	if f != nil && isArmError(failure.Code(f.GetCode())) {
+	if f != nil && isPolicyError(failure.Code(f.GetCode())) {
 		c.errors.Add(1)
 	}
 }
 
-// isArmError tells failures that a policy may cause from those of the caller or the ledger.
-func isArmError(code failure.Code) bool {
+// isPolicyError tells failures that a policy may cause from those of the caller or the ledger.
+func isPolicyError(code failure.Code) bool {
 	switch code {
 	case failure.BackEndFailed, failure.NoBackEnd, failure.Overloaded, failure.DeadlineExceeded,
 		failure.AnswerMismatch, failure.OutcomeUnknown, failure.InternalError:
@@ -86,8 +86,8 @@
 	}
 }
 
-// take returns the counts since the last call, nil when there are none.
-func (c *armCounters) take() *protocol.ArmSample {
+// drain returns the counts since the last call, nil when there are none.
+func (c *variantCounters) drain() *protocol.ArmSample {
 	sample := &protocol.ArmSample{
 		BundleVersion: c.version, Candidate: c.candidate, Requests: c.requests.Swap(0),
 		Errors: c.errors.Swap(0), Tokens: c.tokens.Swap(0), FirstTokenBuckets: make([]uint64, len(c.buckets)),
@@ -103,8 +103,8 @@
 	return sample
 }
 
-// put adds a sample back that could not be reported.
-func (c *armCounters) put(sample *protocol.ArmSample) {
+// restore adds a sample back that could not be reported.
+func (c *variantCounters) restore(sample *protocol.ArmSample) {
 	c.requests.Add(sample.GetRequests())
 	c.errors.Add(sample.GetErrors())
 	c.tokens.Add(sample.GetTokens())
@@ -113,42 +113,42 @@
 	}
 }
 
-// reportArms sends the counts to the core once a second while a roll-out runs.
-func (s *Service) reportArms(ctx context.Context) {
+// reportVariants sends the counts to the core once a second while a roll-out runs.
+func (s *Service) reportVariants(ctx context.Context) {
 	for {
 		select {
-		case <-s.clock.After(armReportInterval):
+		case <-s.clock.After(variantReportInterval):
 		case <-ctx.Done():
 			return
 		}
 		if s.policies.Load().candidate != nil {
-			s.reportArmsOnce(ctx)
+			s.reportVariantsOnce(ctx)
 		}
 	}
 }
 
-func (s *Service) reportArmsOnce(ctx context.Context) {
-	arms := s.arms.Load()
+func (s *Service) reportVariantsOnce(ctx context.Context) {
+	variants := s.variants.Load()
 	report := &protocol.ReportArmsRequest{Node: s.name}
-	taken := make(map[*protocol.ArmSample]*armCounters)
-	for _, counters := range []*armCounters{arms.active, arms.candidate} {
+	drained := make(map[*protocol.ArmSample]*variantCounters)
+	for _, counters := range []*variantCounters{variants.active, variants.candidate} {
 		if counters == nil {
 			continue
 		}
-		if sample := counters.take(); sample != nil {
-			taken[sample] = counters
+		if sample := counters.drain(); sample != nil {
+			drained[sample] = counters
 			report.Samples = append(report.Samples, sample)
 		}
 	}
 	if len(report.GetSamples()) == 0 {
 		return
 	}
-	ctx, cancel := s.clock.WithTimeout(ctx, armReportTimeout)
+	ctx, cancel := s.clock.WithTimeout(ctx, variantReportTimeout)
 	defer cancel()
 	_, err := s.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_ReportArms{ReportArms: report}})
 	if err != nil {
-		for sample, counters := range taken {
-			counters.put(sample)
+		for sample, counters := range drained {
+			counters.restore(sample)
 		}
 	}
 }
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -22,22 +22,22 @@
 	// fleetSampleInterval bounds the samples of all front nodes together: it is the least mean time between two.
 	fleetSampleInterval = 50 * time.Millisecond
 	sampleTimeout       = 500 * time.Millisecond
-	// freshReport is how old a report must be to be worth a sample. freshAnswer and freshMemory stand in its place for
+	// freshReport is how old a report must be to be worth a sample. freshAnswerLoad and freshCacheReport stand in its place for
 	// servers that tell their load with their answers: for the load, and for what only a sample tells.
-	freshReport    = 250 * time.Millisecond
-	freshAnswer    = time.Second
-	freshMemory    = 5 * time.Second
-	maxSampleBytes = 4 << 10
-	// overCommit is how many requests may be under way for one that the servers
+	freshReport      = 250 * time.Millisecond
+	freshAnswerLoad  = time.Second
+	freshCacheReport = 5 * time.Second
+	maxSampleBytes   = 4 << 10
+	// overcommitFactor is how many requests may be under way for one that the servers
 	// work on: the rest are on their way, at the ledger or next in line.
-	overCommit = 1.5
+	overcommitFactor = 1.5
 )
 
 // watchLoad samples the load of the servers in this front node's subset and
 // keeps the ceilings up to date.
 func (s *Service) watchLoad(ctx context.Context) {
 	for {
-		mean := max(sampleInterval, time.Duration(float64(fleetSampleInterval) / *s.share.Load()))
+		mean := max(sampleInterval, time.Duration(float64(fleetSampleInterval) / *s.fleetShare.Load()))
 		wait := mean/2 + rand.N(mean)
 		select {
 		case <-s.clock.After(wait):
@@ -45,7 +45,7 @@
 			return
 		}
 		s.sampleOne(ctx)
-		s.boundAdmission()
+		s.updateConcurrencyLimits()
 	}
 }
 
@@ -76,7 +76,7 @@
 	var used []*backEnd
 	for _, candidates := range s.subsets(s.clock.Now()) {
 		for _, candidate := range candidates {
-			if server := servers.byID[candidate.ID]; server != nil && s.routes.reports(server) {
+			if server := servers.byID[candidate.ID]; server != nil && s.routes.canSample(server) {
 				used = append(used, server)
 			}
 		}
@@ -84,8 +84,8 @@
 	return used
 }
 
-// reports tells whether a server can be asked for its load.
-func (c *routeClient) reports(server *backEnd) bool {
+// canSample tells whether a server can be asked for its load.
+func (c *routeClient) canSample(server *backEnd) bool {
 	if c.dialect.DecodeReport == nil {
 		return false
 	}
@@ -103,53 +103,53 @@
 	return subsets
 }
 
-// boundAdmission bounds what is under way by what the servers can take.
-func (s *Service) boundAdmission() {
+// updateConcurrencyLimits bounds what is under way by what the servers can take.
+func (s *Service) updateConcurrencyLimits() {
 	now := s.clock.Now()
 	index := s.policies.Load().active
-	ceilings := make(map[string]ceiling)
+	limits := make(map[string]concurrencyLimit)
 	subsets := s.subsets(now)
 	for group, servers := range s.backEnds.Load().byGroup {
 		all := candidates(servers, index.Group(group), now)
-		bounds := ceilingOf(all, subsets[group], *s.share.Load())
-		bounds.spare = spareOf(all, *s.share.Load())
-		ceilings[group] = bounds
+		bounds := limitOf(all, subsets[group], *s.fleetShare.Load())
+		bounds.surplusSlots = surplusSlots(all, *s.fleetShare.Load())
+		limits[group] = bounds
 	}
-	s.admission.bound(ceilings)
+	s.admission.setConcurrencyLimits(limits)
 }
 
-func ceilingOf(all, used []schedule.Candidate, share float64) ceiling {
-	total, known := capacityOf(all)
+func limitOf(all, used []schedule.Candidate, share float64) concurrencyLimit {
+	total, known := totalCapacity(all)
 	if !known {
-		return ceiling{}
+		return concurrencyLimit{}
 	}
-	room := 0.0
+	headroom := 0.0
 	for _, candidate := range used {
 		if isUsable(candidate) {
 			reported := candidate.Running + candidate.Queued
 			others := reported - min(reported, candidate.InFlight)
-			room += max(0, overCommit*float64(candidate.Capacity)-float64(others))
+			headroom += max(0, overcommitFactor*float64(candidate.Capacity)-float64(others))
 		}
 	}
-	return ceiling{known: true, fair: int(math.Ceil(total * overCommit * share)), room: int(room)}
+	return concurrencyLimit{known: true, guaranteedSlots: int(math.Ceil(total * overcommitFactor * share)), headroom: int(headroom)}
 }
 
-// spareOf is how many requests may go beyond the slots while the servers are under half taken, as far as is known.
-func spareOf(all []schedule.Candidate, share float64) int {
-	places, taken := 0, 0
+// surplusSlots is how many requests may go beyond the slots while the servers are under half taken, as far as is known.
+func surplusSlots(all []schedule.Candidate, share float64) int {
+	slots, used := 0, 0
 	for _, candidate := range all {
 		if isUsable(candidate) {
-			places += int(candidate.Capacity)
-			taken += int(max(candidate.InFlight, candidate.Running+candidate.Queued))
+			slots += int(candidate.Capacity)
+			used += int(max(candidate.InFlight, candidate.Running+candidate.Queued))
 		}
 	}
-	return limit.SurplusSlots(places, taken, int(math.Round(1/share)))
+	return limit.SurplusSlots(slots, used, int(math.Round(1/share)))
 }
 
 func isUsable(candidate schedule.Candidate) bool { return !candidate.Draining && !candidate.Ejected }
 
-// capacityOf adds the capacities up; it is not known when a server tells none.
-func capacityOf(candidates []schedule.Candidate) (total float64, known bool) {
+// totalCapacity adds the capacities up; it is not known when a server tells none.
+func totalCapacity(candidates []schedule.Candidate) (total float64, known bool) {
 	for _, candidate := range candidates {
 		if !isUsable(candidate) {
 			continue
@@ -190,7 +190,7 @@
 	if err != nil {
 		return errors.Wrap(err, "decode load report")
 	}
-	server.take(report, c.clock.Now())
-	models.reported(server.description.Load().GetGroup(), server.id(), report.CacheUsed, report.CacheTotal)
+	server.applyReport(report, c.clock.Now())
+	models.recordReport(server.description.Load().GetGroup(), server.id(), report.CacheUsed, report.CacheTotal)
 	return nil
 }
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -22,7 +22,7 @@
 		return s.serveLedger(ctx, body.Ledger, send)
 	case *protocol.Request_Explain:
 		return send(&protocol.Response{Body: &protocol.Response_Explain{Explain: &protocol.ExplainResponse{
-			Explanations: s.explanations.of(body.Explain.GetRequestId()),
+			Explanations: s.explanations.find(body.Explain.GetRequestId()),
 		}}})
 	case *protocol.Request_LocateCore:
 		return send(&protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: s.link.LocateCore()}})
@@ -47,7 +47,7 @@
 
 func (s *Service) serveResume(ctx context.Context, request *protocol.ResumeTurnRequest, send func(*protocol.Response) error) error {
 	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	live := s.sessions.turnOf(key, request.GetTurnId())
+	live := s.sessions.findTurn(key, request.GetTurnId())
 	if live == nil {
 		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 	}
