--- a/internal/dataplane/front/backend_client.go
+++ b/internal/dataplane/front/backend_client.go
@@ -216,7 +216,7 @@
 // generate begins a turn at a model server.
 func (c *backEndClient) generate(ctx context.Context, request backEndRequest) (*generation, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	response, err := c.send(ctx, request)
+	response, err := c.send(ctx, request) //nolint:bodyclose // drainBody or generation.close closes it
 	if err != nil {
 		cancel()
 		return nil, err
--- a/internal/dataplane/front/bench_test.go
+++ b/internal/dataplane/front/bench_test.go
@@ -88,7 +88,7 @@
 	b.RunParallel(func(each *testing.PB) {
 		for each.Next() {
 			body := fmt.Sprintf(`{"model":%q,"program":"p%d","input":"hello","stream":true}`, bundle.ModelClimateAdvisor, program.Add(1))
-			request, err := http.NewRequest(http.MethodPost, server.URL+"/v1/responses", strings.NewReader(body))
+			request, err := http.NewRequestWithContext(b.Context(), http.MethodPost, server.URL+"/v1/responses", strings.NewReader(body))
 			if err != nil {
 				b.Error(err)
 				return
--- a/internal/dataplane/front/drain_rig_test.go
+++ b/internal/dataplane/front/drain_rig_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -33,10 +34,10 @@
 func (l *drainingListener) call(target string) connectionAnswer {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	request, err := http.NewRequest(http.MethodGet, "http://"+l.Address()+target, nil)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+l.Address()+target, nil)
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = routeHost
-	response, err := transport.RoundTrip(request)
+	response, err := transport.RoundTrip(request) //nolint:bodyclose // readRouted closes it
 	Expect(err).NotTo(HaveOccurred())
 	return connectionAnswer{body: readRouted(response).body, closing: response.Close}
 }
@@ -48,7 +49,7 @@
 }
 
 func (l *drainingListener) connect() *openConnection {
-	connection, err := net.Dial("tcp", l.Address())
+	connection, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", l.Address())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(connection.Close)
 	return &openConnection{Conn: connection, reader: bufio.NewReader(connection)}
@@ -57,10 +58,10 @@
 // call sends a request and reads its answer.
 func (c *openConnection) call(target string) connectionAnswer {
 	GinkgoHelper()
-	request, err := http.NewRequest(http.MethodGet, "http://"+routeHost+target, nil)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+routeHost+target, nil)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(request.Write(c)).To(Succeed())
-	response, err := http.ReadResponse(c.reader, request)
+	response, err := http.ReadResponse(c.reader, request) //nolint:bodyclose // readRouted closes it
 	Expect(err).NotTo(HaveOccurred())
 	return connectionAnswer{body: readRouted(response).body, closing: response.Close}
 }
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -33,7 +33,7 @@
 }
 
 // Start opens the listener.
-func (l *RouteListener) Start() error { return l.listener.start() }
+func (l *RouteListener) Start() error { return l.listener.start(context.Background()) }
 
 // Address is where callers find it.
 func (l *RouteListener) Address() string { return l.listener.bound.String() }
--- a/internal/dataplane/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -46,7 +46,7 @@
 		if !strings.HasPrefix(path, "/v1/") || strings.ContainsAny(path, " \x00\r\n%?#") || path == "/v1/backends/heartbeat" {
 			return
 		}
-		request := httptest.NewRequest(http.MethodPost, "http://front/", strings.NewReader(body))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://front/", strings.NewReader(body))
 		request.URL.Path = path
 		request.Header.Set("Rosestand-Tenant", tenant)
 		request.Header.Set("Idempotency-Key", "k")
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -122,7 +122,7 @@
 			if err := link.Start(ctx); err != nil {
 				return err
 			}
-			return listener.start()
+			return listener.start(ctx)
 		},
 		OnStop: func(ctx context.Context) error {
 			err := listener.stop()
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -191,7 +191,7 @@
 }
 
 func (r *relay) serveLocal(ctx context.Context, request *protocol.TurnRequest) error {
-	live, err := r.service.beginTurn(request)
+	live, err := r.service.beginTurn(request) //nolint:contextcheck // a turn outlives the caller that began it
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/front/route_listener.go
+++ b/internal/dataplane/front/route_listener.go
@@ -43,12 +43,12 @@
 }
 
 // start opens the listener; without an address there is nothing to do.
-func (l *routeListener) start() error {
+func (l *routeListener) start(ctx context.Context) error {
 	if l.address == "" {
 		l.done <- nil
 		return nil
 	}
-	listener, err := l.sockets.listen(l.address)
+	listener, err := l.sockets.listen(ctx, l.address)
 	if err != nil {
 		return errors.Wrap(err, "listen for callers of HTTP routes")
 	}
--- a/internal/dataplane/front/route_rig_test.go
+++ b/internal/dataplane/front/route_rig_test.go
@@ -169,7 +169,7 @@
 // rawServer adds a server that works on connections by itself.
 func (r *rig) rawServer(id string, serve func(stand *standIn, connection net.Conn, reader *bufio.Reader)) *standIn {
 	stand := &standIn{id: id}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	var connections sync.WaitGroup
 	var opened []net.Conn
@@ -335,7 +335,7 @@
 
 // route sends a request and reads the whole answer.
 func (n *node) route(sent routed) routedAnswer {
-	response, err := n.begin(context.Background(), sent)
+	response, err := n.begin(context.Background(), sent) //nolint:bodyclose // readRouted closes it
 	Expect(err).NotTo(HaveOccurred())
 	return readRouted(response)
 }
--- a/internal/dataplane/front/sockets.go
+++ b/internal/dataplane/front/sockets.go
@@ -16,9 +16,9 @@
 	Listen func(address string) (net.Listener, error)
 }
 
-func (s Sockets) listen(address string) (net.Listener, error) {
+func (s Sockets) listen(ctx context.Context, address string) (net.Listener, error) {
 	if s.Listen == nil {
-		return net.Listen("tcp", address)
+		return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	}
 	return s.Listen(address)
 }
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -18,6 +18,9 @@
 // longTimeoutMillis is the time-out of routes in stories in which something waits.
 const longTimeoutMillis = 60_000
 
+// blockingServerVersion is the version of the weights of all blocking servers.
+const blockingServerVersion = 4
+
 // blockingServer answers live turns at once and holds generations of steps until the story lets them go.
 type blockingServer struct {
 	*weightsServer
@@ -30,13 +33,13 @@
 	open bool
 }
 
-func (r *rig) blockingServer(id string, version uint64) *blockingServer {
+func (r *rig) blockingServer(id string) *blockingServer {
 	server := &blockingServer{}
-	server.weightsServer = r.weightsServerWith(id, version, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
+	server.weightsServer = r.weightsServerWith(id, blockingServerVersion, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 		if server.blockLive.Load() || request.Header.Get(testDialect.ExpectedWeights) != "" {
 			<-server.block()
 		}
-		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(version, 10))
+		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(blockingServerVersion, 10))
 		turnServer(writer, request)
 	})
 	DeferCleanup(server.openUp)
@@ -106,7 +109,7 @@
 	}
 
 	It("share a server so that live turns find a slot at once, and all generations run in the end", func() {
-		server := r.blockingServer("s1", 4)
+		server := r.blockingServer("s1")
 		answers := flood(40)
 		Eventually(server.steps).Should(Equal(12), "three quarters of 16 slots")
 		Consistently(server.steps, "20ms").Should(Equal(12))
@@ -125,7 +128,7 @@
 	})
 
 	It("share it so that a quarter is left to generations while live turns run", func() {
-		server := r.blockingServer("s1", 4)
+		server := r.blockingServer("s1")
 		server.blockLive.Store(true)
 		live := f1.routeAside(routedTurn{id: "live", input: "x"}.sent())
 		Eventually(server.steps).Should(Equal(1))
@@ -142,7 +145,7 @@
 	})
 
 	It("that wait for a slot go first, and a step goes on all the same", func() {
-		server := r.blockingServer("s1", 4)
+		server := r.blockingServer("s1")
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Limits = &protocol.LimitPolicy{MaxConcurrent: 1, MaxQueued: 8, MaxQueueMillis: longTimeoutMillis}
 		})
@@ -172,7 +175,7 @@
 	})
 
 	It("are refused with the time to come back when no place becomes free", func() {
-		server := r.blockingServer("s1", 4)
+		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		late := f1.routeAside(stepTurn("late"))
@@ -185,7 +188,7 @@
 	})
 
 	It("of which a caller leaves hold no place", func() {
-		server := r.blockingServer("s1", 4)
+		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		sent := stepTurn("short")
@@ -200,7 +203,7 @@
 	})
 
 	It("are spread by the work that is outstanding, not by count", func() {
-		servers := []*blockingServer{r.blockingServer("s1", 4), r.blockingServer("s2", 4)}
+		servers := []*blockingServer{r.blockingServer("s1"), r.blockingServer("s2")}
 		long := stepTurn("long")
 		long.headers.Set(testDialect.TokenUsage, "6000,4000")
 		f1.routeAside(long)
--- a/internal/dataplane/front/step_rig_test.go
+++ b/internal/dataplane/front/step_rig_test.go
@@ -82,12 +82,11 @@
 }
 
 // generate sends a generation that must be answered whole.
-func (n *node) generate(sent routed) routedAnswer {
+func (n *node) generate(sent routed) {
 	GinkgoHelper()
 	got := n.route(sent)
 	Expect(got.status).To(Equal(http.StatusOK), got.body)
 	Expect(got.broken).NotTo(HaveOccurred())
-	return got
 }
 
 // expectUnavailable checks an answer that says that the step's version is nowhere.
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -38,7 +38,7 @@
 }
 
 func (s *Service) serveTurn(ctx context.Context, request *protocol.TurnRequest, send func(*protocol.Response) error) error {
-	live, err := s.beginTurn(request)
+	live, err := s.beginTurn(request) //nolint:contextcheck // a turn outlives the caller that began it
 	if err != nil {
 		return err
 	}
