--- a/internal/dataplane/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/commandloop"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -25,7 +26,7 @@
 
 // admission owns the lanes, the retry budget and the tenants' rates.
 type admission struct {
-	*commandLoop
+	*commandloop.Loop
 	clock    Clock
 	policy   *protocol.LimitPolicy
 	limiters map[string]*groupLimiter
@@ -41,7 +42,7 @@
 
 func newAdmission(clock Clock) *admission {
 	return &admission{
-		commandLoop: newCommandLoop(), clock: clock, policy: &protocol.LimitPolicy{},
+		Loop: commandloop.New(), clock: clock, policy: &protocol.LimitPolicy{},
 		limiters: make(map[string]*groupLimiter),
 		limits:   make(map[string]concurrencyLimit),
 		retries:  limit.NewRetryBudget(0),
@@ -53,7 +54,7 @@
 
 // configure puts the bounds of a bundle in force.
 func (a *admission) configure(limits *protocol.LimitPolicy) {
-	a.post(func() {
+	a.Post(func() {
 		a.policy = limits
 		a.retries.SetPercent(limits.GetRetryPercent())
 		for _, group := range a.groups() {
@@ -64,7 +65,7 @@
 
 // setConcurrencyLimits puts new ceilings in force; a group that is not named has none.
 func (a *admission) setConcurrencyLimits(limits map[string]concurrencyLimit) {
-	a.post(func() {
+	a.Post(func() {
 		a.limits = limits
 		for _, group := range a.groups() {
 			a.deliver(a.limiters[group].setLimit(limits[group]))
@@ -87,7 +88,7 @@
 // enter waits for a slot of a server group; the failure says why there is none.
 func (a *admission) enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
 	decided := make(chan limit.Decision, 1)
-	running := a.post(func() {
+	running := a.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
 		a.waiting[ticket.ID] = decided
@@ -101,7 +102,7 @@
 	select {
 	case decision := <-decided:
 		return admissionFailure(decision)
-	case <-a.done:
+	case <-a.Stopped():
 		return stoppingFailure()
 	case <-ctx.Done():
 	}
@@ -111,7 +112,7 @@
 
 // withdraw takes a ticket out whose caller no longer waits.
 func (a *admission) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
-	a.post(func() {
+	a.Post(func() {
 		if a.waiting[ticket.ID] != nil {
 			a.limiter(group).queue.Cancel(ticket.ID)
 			delete(a.waiting, ticket.ID)
@@ -125,7 +126,7 @@
 
 // leave gives a slot back.
 func (a *admission) leave(group string) {
-	a.post(func() {
+	a.Post(func() {
 		a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		a.dispatchSteps(group)
 	})
@@ -133,13 +134,13 @@
 
 // recordSample tells the concurrency limit of a group what one attempt measured.
 func (a *admission) recordSample(group string, sample limit.Sample) {
-	a.post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
+	a.Post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
 }
 
 // retry takes one retry out of the budget.
 func (a *admission) retry() bool {
 	granted := false
-	answered := a.do(func() { granted = a.retries.Retry() })
+	answered := a.Do(func() { granted = a.retries.Retry() })
 	return answered && granted
 }
 
@@ -150,7 +151,7 @@
 	}
 	var wait time.Duration
 	allowed := true
-	a.do(func() {
+	a.Do(func() {
 		now := a.clock.Now()
 		buckets := a.bucketsFor(policy, share, now)
 		if allowed, wait = buckets.tokens.Take(0, now); allowed {
@@ -169,7 +170,7 @@
 	if policy.GetTokensPerSecond() <= 0 || tokens == 0 {
 		return
 	}
-	a.post(func() {
+	a.Post(func() {
 		now := a.clock.Now()
 		a.bucketsFor(policy, share, now).tokens.Charge(float64(tokens), now)
 	})
@@ -210,8 +211,8 @@
 	go func() {
 		select {
 		case <-ring:
-			a.post(a.alarm)
-		case <-a.quit:
+			a.Post(a.alarm)
+		case <-a.Stopping():
 		}
 	}()
 }
--- a/internal/dataplane/front/explanations.go
+++ b/internal/dataplane/front/explanations.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/commandloop"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -13,7 +14,7 @@
 
 // explanations owns the newest explanations of this front node.
 type explanations struct {
-	*commandLoop
+	*commandloop.Loop
 	ring  []*explanation
 	next  int
 	byID  map[string][]*explanation
@@ -23,7 +24,7 @@
 
 func newExplanations(clock Clock, node string) *explanations {
 	return &explanations{
-		commandLoop: newCommandLoop(), ring: make([]*explanation, explanationCount), byID: make(map[string][]*explanation),
+		Loop: commandloop.New(), ring: make([]*explanation, explanationCount), byID: make(map[string][]*explanation),
 		clock: clock, node: node,
 	}
 }
@@ -43,7 +44,7 @@
 	entry := &explanation{clock: e.clock, began: e.clock.Now(), id: requestID}
 	entry.record.RequestId, entry.record.Node = requestID, e.node
 	entry.record.Session, entry.record.Program = session, program
-	e.post(func() { e.put(entry) })
+	e.Post(func() { e.put(entry) })
 	return entry
 }
 
@@ -68,7 +69,7 @@
 // find returns what this front node knows of a request, oldest first.
 func (e *explanations) find(requestID string) []*protocol.Explanation {
 	var entries []*explanation
-	e.do(func() { entries = append(entries, e.byID[requestID]...) })
+	e.Do(func() { entries = append(entries, e.byID[requestID]...) })
 	snapshots := make([]*protocol.Explanation, 0, len(entries))
 	for _, entry := range entries {
 		snapshots = append(snapshots, entry.snapshot())
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -136,12 +136,12 @@
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
 func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.do(func() { waiting = service.admission.limiter(group).queue.WaitingInAll() })
+	service.admission.Do(func() { waiting = service.admission.limiter(group).queue.WaitingInAll() })
 	return waiting
 }
 
 // WaitingSteps is how many generations of training steps wait for a place.
 func WaitingSteps(service *Service) (waiting int) {
-	service.admission.do(func() { waiting = len(service.admission.gates.waiting) })
+	service.admission.Do(func() { waiting = len(service.admission.gates.waiting) })
 	return waiting
 }
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -205,9 +205,9 @@
 	}
 	s.workers.Wait()
 	s.runs.Wait()
-	s.admission.stop()
-	s.sessions.stop()
-	s.explanations.stop()
+	s.admission.Stop()
+	s.sessions.Stop()
+	s.explanations.Stop()
 	s.client.close()
 	s.routes.close()
 	return nil
--- a/internal/dataplane/front/sessions.go
+++ b/internal/dataplane/front/sessions.go
@@ -4,6 +4,7 @@
 	"container/list"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/commandloop"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -47,7 +48,7 @@
 
 // sessions owns the owner's caches.
 type sessions struct {
-	*commandLoop
+	*commandloop.Loop
 	clock      Clock
 	bySession  map[string]map[string]*sessionState
 	recency    *list.List
@@ -65,7 +66,7 @@
 
 func newSessions(clock Clock) *sessions {
 	return &sessions{
-		commandLoop: newCommandLoop(), clock: clock,
+		Loop: commandloop.New(), clock: clock,
 		bySession: make(map[string]map[string]*sessionState), recency: list.New(),
 		recent: make(map[string]*list.Element), ended: list.New(),
 	}
@@ -95,7 +96,7 @@
 // begin puts a turn under way in its session. It returns another turn instead
 // when one is under way already, or when this one was completed lately.
 func (s *sessions) begin(key sessionKey, turn *liveTurn) (current *liveTurn, begun bool) {
-	s.do(func() {
+	s.Do(func() {
 		state := s.state(key)
 		if state.live != nil {
 			current = state.live
@@ -112,7 +113,7 @@
 
 // finish takes a turn out of its session and keeps its events for a while.
 func (s *sessions) finish(key sessionKey, turn *liveTurn) {
-	s.post(func() {
+	s.Post(func() {
 		if state := s.find(key); state != nil && state.live == turn {
 			state.live = nil
 		}
@@ -147,7 +148,7 @@
 
 // findTurn finds a turn under way or lately ended by its id.
 func (s *sessions) findTurn(key sessionKey, turnID string) (live *liveTurn) {
-	s.do(func() {
+	s.Do(func() {
 		if state := s.find(key); state != nil && state.live != nil && state.live.turnID == turnID {
 			live = state.live
 			return
@@ -161,7 +162,7 @@
 
 // findClaim returns the epoch claimed for a session under this incarnation.
 func (s *sessions) findClaim(key sessionKey, tenant string, incarnation uint64) (current claim) {
-	s.do(func() {
+	s.Do(func() {
 		state := s.find(key)
 		if state != nil && state.epoch > 0 && state.tenant == tenant && state.incarnation == incarnation {
 			current = claim{epoch: state.epoch, known: true}
@@ -172,7 +173,7 @@
 
 // recordClaim remembers an epoch.
 func (s *sessions) recordClaim(key sessionKey, tenant string, incarnation, epoch uint64) {
-	s.post(func() {
+	s.Post(func() {
 		state := s.state(key)
 		state.tenant, state.incarnation, state.epoch = tenant, incarnation, epoch
 	})
@@ -186,7 +187,7 @@
 }
 
 func (s *sessions) findHistory(key sessionKey, lastTurn string) (history cachedHistory) {
-	s.do(func() {
+	s.Do(func() {
 		state := s.find(key)
 		if state != nil && state.lastTurn == lastTurn && lastTurn != "" {
 			history = cachedHistory{items: state.history, tokens: state.historyTokens, known: true}
@@ -197,7 +198,7 @@
 
 // recordCommit moves a session's history on by one kept turn.
 func (s *sessions) recordCommit(key sessionKey, retained *protocol.Turn, before []*protocol.Item) {
-	s.post(func() {
+	s.Post(func() {
 		state := s.state(key)
 		items := make([]*protocol.Item, 0, len(before)+len(retained.GetInput())+len(retained.GetOutput()))
 		items = append(append(append(items, before...), retained.GetInput()...), retained.GetOutput()...)
@@ -220,7 +221,7 @@
 
 // lastBackEnd names the server of the session's last turn, if it is known.
 func (s *sessions) lastBackEnd(key sessionKey) (last string) {
-	s.do(func() {
+	s.Do(func() {
 		if state := s.find(key); state != nil {
 			last = state.lastBackEnd
 		}
@@ -230,12 +231,12 @@
 
 // forget drops what is held of a session of one program, except a turn under way.
 func (s *sessions) forget(key sessionKey) {
-	s.post(func() { s.drop(s.find(key)) })
+	s.Post(func() { s.drop(s.find(key)) })
 }
 
 // yielded drops a session that this front node gave up.
 func (s *sessions) yielded(session string) {
-	s.post(func() {
+	s.Post(func() {
 		for _, state := range s.bySession[session] {
 			s.drop(state)
 		}
--- a/internal/dataplane/front/step_gates.go
+++ b/internal/dataplane/front/step_gates.go
@@ -106,7 +106,7 @@
 func (a *admission) enterStep(ctx context.Context, key admissionGateKey, deadline time.Time) *protocol.Failure {
 	decided := make(chan trainingstep.Decision, 1)
 	ticket := &trainingstep.Ticket{Deadline: deadline}
-	running := a.post(func() {
+	running := a.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
 		a.gates.waiting[ticket.ID] = decided
@@ -119,7 +119,7 @@
 	select {
 	case decision := <-decided:
 		return stepDecisionFailure(decision)
-	case <-a.done:
+	case <-a.Stopped():
 		return stoppingFailure()
 	case <-ctx.Done():
 	}
@@ -129,7 +129,7 @@
 
 // withdrawStep takes a ticket out whose caller no longer waits.
 func (a *admission) withdrawStep(key admissionGateKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
-	a.post(func() {
+	a.Post(func() {
 		if a.gates.waiting[ticket.ID] != nil {
 			delete(a.gates.waiting, ticket.ID)
 			a.gates.gate(key).Cancel(ticket.ID)
@@ -144,7 +144,7 @@
 
 // leaveStep gives a place back.
 func (a *admission) leaveStep(key admissionGateKey) {
-	a.post(func() { a.releaseStep(key) })
+	a.Post(func() { a.releaseStep(key) })
 }
 
 func (a *admission) releaseStep(key admissionGateKey) {
