--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/dataplane/front"
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
--- a/internal/testing/lab/benchmark/throughput.go
+++ b/internal/testing/lab/benchmark/throughput.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
 const turnsPerProgram = 5
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -14,10 +14,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 	"github.com/rosestand/rosestand/internal/testing/lab/hollow"
-	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
 // Limits of the control plane for one node, and for the spread of a change.
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -17,10 +17,10 @@
 
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
-	"github.com/rosestand/rosestand/internal/testing/subprocess"
 	"github.com/rosestand/rosestand/internal/testing/lab/relay"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
+	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
 // Options describe a fleet.
