--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // BenchmarkPropose measures commands committed by three members with real files and syncs, on
--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/controlplane/replica/disk_space_test.go
+++ b/internal/controlplane/replica/disk_space_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const (
--- a/internal/controlplane/replica/log_recovery.go
+++ b/internal/controlplane/replica/log_recovery.go
@@ -5,7 +5,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // founding terms: the founder's configuration is the first entry, committed in the first term.
--- a/internal/controlplane/replica/options.go
+++ b/internal/controlplane/replica/options.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -14,7 +14,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Defaults of Options.
--- a/internal/controlplane/replica/sequential_faults_test.go
+++ b/internal/controlplane/replica/sequential_faults_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // The stories of this file play days on which machines of a small core are lost one after another, each as soon as the one
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -6,7 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // cachedSnapshotFor is how long a snapshot that is being transferred stays in memory after the
--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/process/daemon/folder.go
+++ b/internal/process/daemon/folder.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/process/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -17,7 +17,7 @@
 
 	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/process/daemon/space.go
+++ b/internal/process/daemon/space.go
@@ -6,7 +6,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/process/daemon/space_test.go
+++ b/internal/process/daemon/space_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const longWait = time.Hour
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -20,9 +20,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const (
--- a/internal/state/store/folder.go
+++ b/internal/state/store/folder.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // corruptSuffix marks files of a folder that was found damaged and given up.
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -5,9 +5,9 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 	"github.com/rosestand/rosestand/internal/state/store/mailbox"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // group owns the tables of some shards. All fields are used by its one
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // heldDisk holds back the syncs of turn segments while it is closed.
--- a/internal/state/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // maintain writes snapshots, collects what need not be kept and keeps the gauges, once in a while.
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // idleCore has no placement, so that a store under measurement only starts and stops.
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // damageFirstTurn flips a byte of the first record of the log of turns.
--- a/internal/state/store/snapshot.go
+++ b/internal/state/store/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // maximumSnapshotRecord bounds one record of a snapshot when it is read.
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const (
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -13,9 +13,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/peers"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Store is one store process: replicas of some shards, and the proposer for their programs.
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -18,8 +18,8 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -11,7 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/state/store/turn_index.go
+++ b/internal/state/store/turn_index.go
@@ -8,7 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // turnKey is a hash of the turn id and one of program and turn id; the record on disk has both in
--- a/internal/state/store/turn_index_snapshot.go
+++ b/internal/state/store/turn_index_snapshot.go
@@ -7,8 +7,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // The turn index is written beside the log anew when a start would have to read so many segments
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/state/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -6,8 +6,8 @@
 	"io"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // FuzzDamagedLog writes records cut from content with a sync after some, cuts or flips one byte of one segment
--- a/internal/state/storage/group_commit_test.go
+++ b/internal/storage/group_commit_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 var _ = Describe("GroupCommitter", func() {
--- a/internal/state/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 var _ = Describe("Log", func() {
--- a/internal/state/storage/simdisk/disk.go
+++ b/internal/storage/simdisk/disk.go
@@ -10,7 +10,7 @@
 	"sync"
 	"syscall"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // SectorBytes is the unit that a loss of power keeps or drops as one.
--- a/internal/state/storage/stall_test.go
+++ b/internal/storage/stall_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // neverWithin bounds the wait for what must come on a machine of any speed.
--- a/internal/state/storage/storage_suite_test.go
+++ b/internal/storage/storage_suite_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const folder = "/data/log"
--- a/internal/state/storage/storagebench/bench.go
+++ b/internal/storage/storagebench/bench.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // WriterCounts are the numbers of waiting writers that the project reports.
--- a/internal/state/storage/storagebench/bench_test.go
+++ b/internal/storage/storagebench/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/state/storage/storagebench"
+	"github.com/rosestand/rosestand/internal/storage/storagebench"
 )
 
 const recordBytes = 512
--- a/internal/testing/lab/benchmark/disk.go
+++ b/internal/testing/lab/benchmark/disk.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
--- a/internal/testing/sim/environment.go
+++ b/internal/testing/sim/environment.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // Environment is what one incarnation of a process sees of the world.
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // Process is the code of one incarnation of a process. Timers are set through the Environment given to the Builder.
--- a/internal/testing/sim/statesuite/committer.go
+++ b/internal/testing/sim/statesuite/committer.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
--- a/internal/testing/sim/statesuite/core_disk.go
+++ b/internal/testing/sim/statesuite/core_disk.go
@@ -9,8 +9,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const (
--- a/internal/testing/sim/statesuite/store_process.go
+++ b/internal/testing/sim/statesuite/store_process.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
