--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -85,16 +85,16 @@
 		}
 	}
 	return New(Options{
-		Consensus:    consensus,
-		Machine:      machine,
-		Clock:        clock,
-		Caller:       caller,
-		Lease:        millis(settings.GetLeaseMillis()),
-		ShardCount:   settings.GetShardCount(),
-		ReplicaCount: settings.GetReplicaCount(),
-		Coalesce:     millis(settings.GetCoalesceMillis()),
-		FirstKeys:    keys,
-		Tokens:       tokens,
+		Consensus:        consensus,
+		Machine:          machine,
+		Clock:            clock,
+		Caller:           caller,
+		Lease:            millis(settings.GetLeaseMillis()),
+		ShardCount:       settings.GetShardCount(),
+		ReplicaCount:     settings.GetReplicaCount(),
+		CoalesceInterval: millis(settings.GetCoalesceMillis()),
+		FirstKeys:        keys,
+		Tokens:           tokens,
 
 		TrustOperators: settings.GetTrustOperators(),
 		BackEndLease:   millis(settings.GetBackEndLeaseMillis()),
--- a/internal/controlplane/core/poll.go
+++ b/internal/controlplane/core/poll.go
@@ -4,6 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -19,38 +21,38 @@
 func (s *Service) pollControl(ctx context.Context, request *protocol.PollControlRequest) (*protocol.PollControlResponse, error) {
 	if request.GetFresh() {
 		if err := s.consensus.Barrier(ctx); err != nil {
-			return nil, consensusFailure(err)
+			return nil, controllog.Failure(err)
 		}
 		s.metrics.polls.WithLabelValues("fresh").Inc()
 		return s.answerPoll(s.machine.current.Load(), request), nil
 	}
-	leadership := s.owner.leading.Load()
+	leadership := s.owner.leadership.Load()
 	if leadership == nil || !s.consensus.IsLeader() {
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	}
 	s.confirmPoll(request)
 	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxPollWait))
 	defer timer.Stop()
 	for {
 		current := s.machine.current.Load()
-		var held replica.Timer
+		var paceTimer replica.Timer
 		var changed <-chan struct{}
 		var due <-chan time.Time
 		if current.newerThan(request.GetKnown()) {
-			wait := s.pacing.wait(request.GetNode(), current.view.Versions(), s.clock.Now())
+			wait := s.pacing.remainingWait(request.GetNode(), current.view.Versions(), s.clock.Now())
 			if wait <= 0 {
 				s.metrics.polls.WithLabelValues("changed").Inc()
 				return s.answerPoll(current, request), nil
 			}
 			s.metrics.coalesced.Inc()
-			held = s.clock.NewTimer(wait)
-			due = held.C()
+			paceTimer = s.clock.NewTimer(wait)
+			due = paceTimer.C()
 		} else {
 			changed = current.changed
 		}
 		ended, err := s.awaitPoll(ctx, changed, due, timer.C(), leadership)
-		if held != nil {
-			held.Stop()
+		if paceTimer != nil {
+			paceTimer.Stop()
 		}
 		if ended != nil || err != nil {
 			return ended, err
@@ -71,10 +73,10 @@
 		return &protocol.PollControlResponse{}, nil
 	case <-leadership.lost:
 		s.metrics.polls.WithLabelValues("not_leader").Inc()
-		return nil, notLeaderFailure()
+		return nil, controllog.NotLeader()
 	case <-ctx.Done():
 		s.metrics.polls.WithLabelValues("cancelled").Inc()
-		return nil, contextFailure(ctx)
+		return nil, controllog.Interrupted(ctx)
 	}
 }
 
@@ -83,9 +85,9 @@
 	if request.GetNode() == "" || request.GetIncarnation() == 0 {
 		return
 	}
-	name, incarnation, known := request.GetNode(), request.GetIncarnation(), request.GetKnown()
+	holder, known := leases.Holder{Name: request.GetNode(), Incarnation: request.GetIncarnation()}, request.GetKnown()
 	select {
-	case s.owner.queue <- func(now time.Time) { s.owner.confirm(name, incarnation, known, now) }:
+	case s.owner.queue <- func(now time.Time) { s.owner.confirmVersions(holder, known, now) }:
 	default:
 	}
 }
@@ -103,18 +105,18 @@
 		if section.version <= version {
 			return
 		}
-		part := section.answer(sectionRequest{
-			known: version, deltas: request.GetAcceptsDeltas(), packed: request.GetAcceptsPackedConfiguration(),
-			packedViews: request.GetAcceptsPackedViews(),
+		sectionAnswer := section.answer(sectionRequest{
+			known: version, acceptsDeltas: request.GetAcceptsDeltas(), acceptsPackedConfiguration: request.GetAcceptsPackedConfiguration(),
+			acceptsPackedViews: request.GetAcceptsPackedViews(),
 		})
-		part.set(answer)
-		s.metrics.pollSections.WithLabelValues(part.kind).Inc()
-		s.metrics.pollBytes.WithLabelValues(part.kind).Add(float64(part.bytes))
+		sectionAnswer.set(answer)
+		s.metrics.pollSections.WithLabelValues(sectionAnswer.kind).Inc()
+		s.metrics.pollBytes.WithLabelValues(sectionAnswer.kind).Add(float64(sectionAnswer.bytes))
 	}
 	add(current.sections.configuration, known.GetConfiguration())
 	add(current.sections.membership, known.GetMembership())
 	add(current.sections.backEnds, known.GetBackEnds())
 	add(current.sections.placement, known.GetPlacement())
-	s.pacing.note(request.GetNode(), current.view.Versions(), s.clock.Now())
+	s.pacing.recordAnswer(request.GetNode(), current.view.Versions(), s.clock.Now())
 	return answer
 }
--- a/internal/controlplane/core/reads.go
+++ b/internal/controlplane/core/reads.go
@@ -10,6 +10,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -25,11 +27,11 @@
 }
 
 func (s *Service) listBundles(_ context.Context, request *operatorRequest) (*answer, error) {
-	limit, err := numberOf(request, "limit", defaultBundlePage)
+	limit, err := queryNumber(request, "limit", defaultBundlePage)
 	if err != nil {
 		return nil, err
 	}
-	before, err := numberOf(request, "before", 0)
+	before, err := queryNumber(request, "before", 0)
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +46,7 @@
 	}}, nil
 }
 
-func numberOf(request *operatorRequest, name string, fallback uint64) (uint64, error) {
+func queryNumber(request *operatorRequest, name string, fallback uint64) (uint64, error) {
 	text := request.http.URL.Query().Get(name)
 	if text == "" {
 		return fallback, nil
@@ -91,7 +93,7 @@
 	case "candidate":
 		version = view.Configuration.GetCandidate().GetVersion()
 	default:
-		number, err := versionOf(text)
+		number, err := parseVersion(text)
 		if err != nil {
 			return nil, err
 		}
@@ -132,16 +134,16 @@
 	var samples []*protocol.ArmSample
 	if configuration.GetRollout() != nil {
 		var listed []*protocol.ArmSample
-		if !s.owner.ask(ctx, func(time.Time) { listed = s.owner.arms.list() }) {
-			return nil, contextFailure(ctx)
+		if !s.owner.execute(ctx, func(time.Time) { listed = s.owner.variants.Sums() }) {
+			return nil, controllog.Interrupted(ctx)
 		}
 		samples = listed
 	}
-	arms, err := encodeList(samples)
+	variants, err := encodeList(samples)
 	if err != nil {
 		return nil, err
 	}
-	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: arms}
+	document := rolloutAnswer{Active: configuration.GetActive().GetVersion(), Variants: variants}
 	if configuration.GetRollout() != nil {
 		if document.Rollout, err = encode(configuration.GetRollout()); err != nil {
 			return nil, err
@@ -177,29 +179,29 @@
 	if err != nil {
 		return nil, err
 	}
-	var leases []leaseAnswer
-	if !s.owner.ask(ctx, func(now time.Time) { leases = s.owner.describeLeases(membership, now) }) {
-		return nil, contextFailure(ctx)
+	var statuses []leaseAnswer
+	if !s.owner.execute(ctx, func(now time.Time) { statuses = s.owner.describeLeases(membership, now) }) {
+		return nil, controllog.Interrupted(ctx)
 	}
-	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: leases}}, nil
+	return &answer{status: http.StatusOK, document: nodesAnswer{Version: membership.GetVersion(), Nodes: nodes, Leases: statuses}}, nil
 }
 
 func (o *owner) describeLeases(membership *protocol.MembershipView, now time.Time) []leaseAnswer {
-	leases := make([]leaseAnswer, 0, len(membership.GetNodes()))
+	statuses := make([]leaseAnswer, 0, len(membership.GetNodes()))
 	for _, node := range membership.GetNodes() {
 		described := leaseAnswer{
 			Name: node.GetName(), Incarnation: node.GetIncarnation(),
-			MillisLeft: o.nodes.expiry(node.GetName(), node.GetIncarnation()).Sub(now).Milliseconds(),
+			MillisLeft: o.nodes.Expiry(leases.NodeHolder(node)).Sub(now).Milliseconds(),
 		}
-		if held := o.nodes.find(node.GetName(), node.GetIncarnation()); held != nil {
+		if lease := o.nodes.Find(leases.NodeHolder(node)); lease != nil {
 			described.InForce = versionsAnswer{
-				Configuration: held.inForce.configuration, Membership: held.inForce.membership,
-				BackEnds: held.inForce.backEnds, Placement: held.inForce.placement,
+				Configuration: lease.InForce().Configuration, Membership: lease.InForce().Membership,
+				BackEnds: lease.InForce().BackEnds, Placement: lease.InForce().Placement,
 			}
 		}
-		leases = append(leases, described)
+		statuses = append(statuses, described)
 	}
-	return leases
+	return statuses
 }
 
 func (s *Service) listBackEnds(context.Context, *operatorRequest) (*answer, error) {
--- a/internal/dataplane/front/admission.go
+++ b/internal/dataplane/front/admission.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/commandloop"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -25,74 +26,74 @@
 
 // admission owns the lanes, the retry budget and the tenants' rates.
 type admission struct {
-	*table
+	*commandloop.Loop
 	clock    Clock
-	limits   *protocol.LimitPolicy
-	lanes    map[string]*lane
-	ceilings map[string]ceiling
+	policy   *protocol.LimitPolicy
+	limiters map[string]*groupLimiter
+	limits   map[string]concurrencyLimit
 	retries  *limit.RetryBudget
 	tenants  map[string]*tenantBuckets
 	waiting  map[uint64]chan limit.Decision
 	nextID   uint64
 	alarmSet time.Time
-	// steps lets generations of training steps in, behind the requests of the lanes.
-	steps *stepGates
+	// gates lets generations of training steps in, behind the requests of the lanes.
+	gates *admissionGates
 }
 
 func newAdmission(clock Clock) *admission {
 	return &admission{
-		table: newTable(), clock: clock, limits: &protocol.LimitPolicy{},
-		lanes:    make(map[string]*lane),
-		ceilings: make(map[string]ceiling),
+		Loop: commandloop.New(), clock: clock, policy: &protocol.LimitPolicy{},
+		limiters: make(map[string]*groupLimiter),
+		limits:   make(map[string]concurrencyLimit),
 		retries:  limit.NewRetryBudget(0),
 		tenants:  make(map[string]*tenantBuckets),
 		waiting:  make(map[uint64]chan limit.Decision),
-		steps:    newStepGates(),
+		gates:    newAdmissionGates(),
 	}
 }
 
 // configure puts the bounds of a bundle in force.
 func (a *admission) configure(limits *protocol.LimitPolicy) {
-	a.post(func() {
-		a.limits = limits
+	a.Post(func() {
+		a.policy = limits
 		a.retries.SetPercent(limits.GetRetryPercent())
 		for _, group := range a.groups() {
-			a.deliver(a.lanes[group].configure(limits))
+			a.deliver(a.limiters[group].configure(limits))
 		}
 	})
 }
 
-// bound puts new ceilings in force; a group that is not named has none.
-func (a *admission) bound(ceilings map[string]ceiling) {
-	a.post(func() {
-		a.ceilings = ceilings
+// setConcurrencyLimits puts new ceilings in force; a group that is not named has none.
+func (a *admission) setConcurrencyLimits(limits map[string]concurrencyLimit) {
+	a.Post(func() {
+		a.limits = limits
 		for _, group := range a.groups() {
-			a.deliver(a.lanes[group].bound(ceilings[group]))
+			a.deliver(a.limiters[group].setLimit(limits[group]))
 		}
 		a.dispatchSteps("")
 	})
 }
 
-func (a *admission) lane(group string) *lane {
-	held := a.lanes[group]
-	if held == nil {
-		held = newLane(a.limits, a.ceilings[group])
-		a.lanes[group] = held
+func (a *admission) limiter(group string) *groupLimiter {
+	existing := a.limiters[group]
+	if existing == nil {
+		existing = newGroupLimiter(a.policy, a.limits[group])
+		a.limiters[group] = existing
 	}
-	return held
+	return existing
 }
 
-func (a *admission) groups() []string { return slices.Sorted(maps.Keys(a.lanes)) }
+func (a *admission) groups() []string { return slices.Sorted(maps.Keys(a.limiters)) }
 
 // enter waits for a slot of a server group; the failure says why there is none.
 func (a *admission) enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
 	decided := make(chan limit.Decision, 1)
-	running := a.post(func() {
+	running := a.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
 		a.waiting[ticket.ID] = decided
 		a.retries.Request()
-		a.deliver(a.lane(group).queue.Enter(ticket, a.clock.Now()))
+		a.deliver(a.limiter(group).queue.Enter(ticket, a.clock.Now()))
 		a.setAlarm()
 	})
 	if !running {
@@ -101,7 +102,7 @@
 	select {
 	case decision := <-decided:
 		return admissionFailure(decision)
-	case <-a.done:
+	case <-a.Stopped():
 		return stoppingFailure()
 	case <-ctx.Done():
 	}
@@ -111,35 +112,35 @@
 
 // withdraw takes a ticket out whose caller no longer waits.
 func (a *admission) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
-	a.post(func() {
+	a.Post(func() {
 		if a.waiting[ticket.ID] != nil {
-			a.lane(group).queue.Cancel(ticket.ID)
+			a.limiter(group).queue.Cancel(ticket.ID)
 			delete(a.waiting, ticket.ID)
 			return
 		}
 		if decision := <-decided; decision.Verdict == limit.Run {
-			a.deliver(a.lane(group).queue.Leave(a.clock.Now()))
+			a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		}
 	})
 }
 
 // leave gives a slot back.
 func (a *admission) leave(group string) {
-	a.post(func() {
-		a.deliver(a.lane(group).queue.Leave(a.clock.Now()))
+	a.Post(func() {
+		a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		a.dispatchSteps(group)
 	})
 }
 
-// record tells the concurrency limit of a group what one attempt measured.
-func (a *admission) record(group string, sample limit.Sample) {
-	a.post(func() { a.deliver(a.lane(group).record(sample, a.clock.Now())) })
+// recordSample tells the concurrency limit of a group what one attempt measured.
+func (a *admission) recordSample(group string, sample limit.Sample) {
+	a.Post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
 }
 
 // retry takes one retry out of the budget.
 func (a *admission) retry() bool {
 	granted := false
-	answered := a.ask(func() { granted = a.retries.Retry() })
+	answered := a.Do(func() { granted = a.retries.Retry() })
 	return answered && granted
 }
 
@@ -150,9 +151,9 @@
 	}
 	var wait time.Duration
 	allowed := true
-	a.ask(func() {
+	a.Do(func() {
 		now := a.clock.Now()
-		buckets := a.bucketsOf(policy, share, now)
+		buckets := a.bucketsFor(policy, share, now)
 		if allowed, wait = buckets.tokens.Take(0, now); allowed {
 			allowed, wait = buckets.requests.Take(1, now)
 		}
@@ -169,13 +170,13 @@
 	if policy.GetTokensPerSecond() <= 0 || tokens == 0 {
 		return
 	}
-	a.post(func() {
+	a.Post(func() {
 		now := a.clock.Now()
-		a.bucketsOf(policy, share, now).tokens.Charge(float64(tokens), now)
+		a.bucketsFor(policy, share, now).tokens.Charge(float64(tokens), now)
 	})
 }
 
-func (a *admission) bucketsOf(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
+func (a *admission) bucketsFor(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
 	requests, tokens := policy.GetRequestsPerSecond()*share, policy.GetTokensPerSecond()*share
 	buckets := a.tenants[policy.GetName()]
 	if buckets == nil {
@@ -210,16 +211,16 @@
 	go func() {
 		select {
 		case <-ring:
-			a.post(a.alarm)
-		case <-a.quit:
+			a.Post(a.alarm)
+		case <-a.Stopping():
 		}
 	}()
 }
 
 func (a *admission) nextExpiry() time.Time {
 	next := a.nextStepWake()
-	for _, held := range a.lanes {
-		if expiry := held.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
+	for _, limiter := range a.limiters {
+		if expiry := limiter.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
 			next = expiry
 		}
 	}
@@ -229,7 +230,7 @@
 func (a *admission) alarm() {
 	a.alarmSet = time.Time{}
 	for _, group := range a.groups() {
-		a.deliver(a.lanes[group].queue.Expire(a.clock.Now()))
+		a.deliver(a.limiters[group].queue.Expire(a.clock.Now()))
 	}
 	a.dispatchSteps("")
 	a.setAlarm()
--- a/internal/state/store/readturns.go
+++ b/internal/state/store/read_turns.go
@@ -9,7 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
@@ -25,7 +25,7 @@
 func (s *Store) localTurn(shard uint32, program, id string) (*protocol.Turn, error) {
 	g := s.group(shard)
 	key := turnKeyOf(program, id)
-	found, err := ask(g, func() turnEntry { held, _ := g.table(shard).turns.get(key); return held })
+	found, err := ask(g, func() turnEntry { held, _ := g.table(shard).turns.Get(key); return held })
 	if err != nil || found == (turnEntry{}) {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 			continue
 		}
 		asked++
-		s.peers.send(store, request, func(response *protocol.Response, err error) {
+		s.peers.Send(store, request, func(response *protocol.Response, err error) {
 			answer := fetchAnswer{store: store}
 			if fetched := response.GetFetchTurns(); err == nil && fetched != nil && fetched.GetRefusal() == notRefused {
 				answer.turns, answer.answered = fetched.GetTurns(), true
@@ -216,7 +216,7 @@
 // repairTurns keeps turns here that were found on another replica.
 func (s *Store) repairTurns(shard register.ShardView, turns []*protocol.Turn) {
 	g := s.group(shard.Shard)
-	g.mailbox.post(func() {
+	g.mailbox.Post(func() {
 		for _, turn := range turns {
 			g.keepTurn(shard.Shard, turn, func() { s.metrics.countRepaired(0, 1) })
 		}
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
@@ -170,7 +170,7 @@
 	wait := func(shard uint32, write func(g *group, done func())) {
 		done := make(chan struct{})
 		g := opened.group(shard)
-		g.mailbox.post(func() { write(g, func() { close(done) }) })
+		g.mailbox.Post(func() { write(g, func() { close(done) }) })
 		<-done
 	}
 	put := func(registers []storedRegister) {
@@ -277,7 +277,7 @@
 	for key, stored := range expected {
 		g := opened.group(stored.shard)
 		held, err := ask(g, func() *protocol.RegisterState {
-			entry, found := g.table(stored.shard).registers.get(key)
+			entry, found := g.table(stored.shard).registers.Get(key)
 			if !found {
 				return nil
 			}
