--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -26,11 +27,11 @@
 	var overloaded *replica.OverloadedError
 	var stopped *replica.StoppedError
 	var unknown *replica.UnknownOutcomeError
-	var memberUnknown *replica.MemberUnknownError
-	var memberInUse *replica.MemberInUseError
+	var memberUnknown *coremembership.MemberUnknownError
+	var memberInUse *coremembership.MemberInUseError
 	var unreachable *replica.MemberUnreachableError
 	var mismatch *replica.ClusterMismatchError
-	var unsafe *replica.UnsafeChangeError
+	var unsafe *coremembership.UnsafeChangeError
 	retry := failure.WithRetryAfter(RetryAfter)
 	switch {
 	case err == nil:
--- a/internal/controlplane/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -15,6 +15,7 @@
 	"go.uber.org/goleak"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -296,7 +297,7 @@
 			return nil
 		}
 	}
-	return &replica.MemberUnknownError{Member: name}
+	return &coremembership.MemberUnknownError{Member: name}
 }
 
 // call makes one request of a node; err is what the peer would get.
--- a/internal/controlplane/replica/errors.go
+++ b/internal/controlplane/replica/errors.go
@@ -61,12 +61,6 @@
 // Unwrap returns the failure of the disk.
 func (e *DiskUnavailableError) Unwrap() error { return e.Cause }
 
-// MemberUnknownError says that the configuration has no such member.
-type MemberUnknownError struct{ Member string }
-
-// Error implements error.
-func (e *MemberUnknownError) Error() string { return "no core member " + e.Member }
-
 // MemberUnreachableError says that no core process answered at the address of a member to add;
 // nothing was changed.
 type MemberUnreachableError struct {
@@ -82,14 +76,6 @@
 // Unwrap returns the cause.
 func (e *MemberUnreachableError) Unwrap() error { return e.Cause }
 
-// MemberInUseError refuses to join under the name of a member that is alive under another id.
-type MemberInUseError struct{ Name string }
-
-// Error implements error.
-func (e *MemberInUseError) Error() string {
-	return "core member " + e.Name + " is alive under another id"
-}
-
 // ClusterMismatchError refuses a message or a member of another cluster.
 type ClusterMismatchError struct{ Own, Other string }
 
@@ -98,12 +84,6 @@
 	return fmt.Sprintf("cluster %s is not this cluster %s", e.Other, e.Own)
 }
 
-// UnsafeChangeError refuses a membership change that would leave no live majority.
-type UnsafeChangeError struct{ Reason string }
-
-// Error implements error.
-func (e *UnsafeChangeError) Error() string { return "unsafe membership change: " + e.Reason }
-
 // CorruptStateError says that the log and the snapshots do not fit together: data was lost.
 type CorruptStateError struct{ Reason string }
 
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -2,43 +2,25 @@
 
 import (
 	"context"
-	"slices"
-	"strconv"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 const (
-	// aliveElectionTimeouts is the silence, in election timeouts, below which a member is alive.
+	// aliveElectionTimeouts: a member counts as alive for this many election timeouts after a contact.
 	aliveElectionTimeouts = 2
-	// freshHeartbeats is the silence, in heartbeat intervals, below which a standby may become a voter.
+	// promotableHeartbeats: a standby may become a voter for this many heartbeat intervals after a contact.
 	promotableHeartbeats = 3
-	maxMembers           = 64
-	maxRetired           = 64
+	// identifyTimeout bounds the request to a process for its identity.
+	identifyTimeout = 2 * time.Second
 )
 
-// MemberRetiredError refuses a member that an operator removed; its folder must be emptied first.
-type MemberRetiredError struct{ Name string }
-
-// Error implements error.
-func (e *MemberRetiredError) Error() string {
-	return "core member " + e.Name + " was removed by an operator; empty its data folder to join anew"
-}
-
-// InvalidMemberError refuses a member without an id, a name or an address.
-type InvalidMemberError struct{ Field string }
-
-// Error implements error.
-func (e *InvalidMemberError) Error() string { return "a core member needs its " + e.Field }
-
-// identifyTimeout bounds the question to a process who it is.
-const identifyTimeout = 2 * time.Second
-
-// AddMember asks the core process at the internal address who it is and adds it. Errors: those of
+// AddMember requests the identity of the core process at the internal address and admits it. Errors: those of
 // Identify and Admit.
 func (r *Replica) AddMember(ctx context.Context, address string) (*protocol.CoreMember, error) {
 	member, err := r.Identify(ctx, address)
@@ -48,7 +30,7 @@
 	return member, r.Admit(ctx, member)
 }
 
-// Identify asks the core process at the internal address who it is; nothing is changed. Errors:
+// Identify requests the identity of the core process at the internal address; nothing is changed. Errors:
 // *MemberUnreachableError, *ClusterMismatchError.
 func (r *Replica) Identify(ctx context.Context, address string) (*protocol.CoreMember, error) {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout)
@@ -65,13 +47,23 @@
 	return proto.CloneOf(status.GetSelf()), nil
 }
 
-// Admit adds a member as a learner; the leader promotes it when it has caught up and a voter is
-// wanted. It is done when the change is committed; adding a member that is there succeeds. A
-// member that was removed before is taken back. Errors: those of Propose, *MemberInUseError,
-// *InvalidMemberError, *consensus.ChangePendingError.
+// Admit adds a member as a standby; the leader promotes it when it has caught up and a voter is
+// wanted. It returns when the change is committed; admitting a member that is there succeeds. A
+// member that was removed before is admitted again. Errors: those of Propose,
+// *coremembership.MemberInUseError, *coremembership.InvalidMemberError,
+// *coremembership.UnsafeChangeError, *consensus.ChangePendingError.
 func (r *Replica) Admit(ctx context.Context, member *protocol.CoreMember) error {
+	return r.admit(ctx, member, true)
+}
+
+func (r *Replica) admit(ctx context.Context, member *protocol.CoreMember, byOperator bool) error {
+	return r.runProposal(ctx, func(done chan proposalResult) { r.owner.admit(member, byOperator, done) })
+}
+
+// runProposal runs a function on the owner goroutine that proposes a change, and waits for its outcome.
+func (r *Replica) runProposal(ctx context.Context, propose func(done chan proposalResult)) error {
 	done := make(chan proposalResult, 1)
-	if err := r.runOnOwner(ctx, func() { r.owner.admit(member, true, done) }); err != nil {
+	if err := r.runOnOwner(ctx, func() { propose(done) }); err != nil {
 		return err
 	}
 	answer, err := r.await(ctx, done)
@@ -81,31 +73,26 @@
 	return answer.err
 }
 
-// RemoveMember removes the member of that name or id for good: its id may not join again by itself.
-// It is done when the change is committed, and succeeds for one that was removed before. A standby
-// that has caught up takes a voter's place first. The leader hands leadership over when it is the one to go, and answers *NotLeaderError: ask the
-// new leader then. Errors besides: those of Propose, *MemberUnknownError, *UnsafeChangeError,
+// RemoveMember removes the member of that name or id for good: it may not join again by itself. It
+// returns when the change is committed, and succeeds for a member that was removed before. A
+// caught-up standby is promoted in place of a voter first. A leader that is to be removed itself
+// transfers leadership and returns *NotLeaderError: the next leader serves the request then. Errors
+// besides: those of Propose, *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError,
 // *consensus.ChangePendingError.
 func (r *Replica) RemoveMember(ctx context.Context, name string) error {
 	for {
 		promoted := false
-		done := make(chan proposalResult, 1)
-		if err := r.runOnOwner(ctx, func() { promoted = r.owner.promoteOrRemove(name, done) }); err != nil {
-			return err
-		}
-		answer, err := r.await(ctx, done)
-		if err != nil {
+		err := r.runProposal(ctx, func(done chan proposalResult) { promoted = r.owner.removeMember(name, done) })
+		if err != nil || !promoted {
 			return err
 		}
-		if answer.err != nil || !promoted {
-			return answer.err
-		}
 	}
 }
 
-// TransferLeadership hands leadership to the voter of that name, or to the most advanced voter
-// when name is empty, and returns when this member no longer leads. Errors: *NotLeaderError,
-// *MemberUnknownError, *UnsafeChangeError when it did not come about in an election timeout.
+// TransferLeadership hands leadership to the voter of that name, or to the live voter with the
+// longest log when name is empty, and returns when this member no longer leads. Errors:
+// *NotLeaderError, *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError when
+// no voter took over within an election timeout, *UnknownOutcomeError.
 func (r *Replica) TransferLeadership(ctx context.Context, name string) error {
 	done := make(chan error, 1)
 	if err := r.runOnOwner(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
@@ -121,111 +108,53 @@
 	}
 }
 
-// proposeChange appends a configuration; done hears when it is committed.
-func (o *owner) proposeChange(next *protocol.CoreConfiguration, reason string, done chan proposalResult) {
-	index, err := o.node.ProposeConfiguration(next, o.now())
+// proposeChange appends a configuration; done receives the outcome.
+func (o *owner) proposeChange(change *coremembership.Change, done chan proposalResult) {
+	index, err := o.node.ProposeConfiguration(change.Configuration, o.now())
 	if err != nil {
 		done <- proposalResult{err: o.rejection(err)}
 		return
 	}
 	o.replica.metrics.membershipChanges.Inc()
-	o.replica.logInfo("membership change", "reason", reason, "index", index)
+	o.replica.logInfo("membership change proposed", "reason", change.Reason, "index", index)
 	o.waiters.register(o.node.Term(), index, done)
 }
 
-// admit adds a member as a learner, or brings its addresses up to date.
-func (o *owner) admit(member *protocol.CoreMember, operator bool, done chan proposalResult) {
+// admit adds a member as a standby, or updates its addresses.
+func (o *owner) admit(member *protocol.CoreMember, byOperator bool, done chan proposalResult) {
 	if o.node.Role() != consensus.Leader {
 		done <- proposalResult{err: o.replica.notLeader()}
 		return
 	}
-	configuration, _ := o.node.Configuration()
-	if err := o.checkAdmission(configuration, member, operator); err != nil {
+	change, err := coremembership.Admit(o.membershipView(), member, byOperator)
+	if err != nil || change == nil {
 		done <- proposalResult{err: err}
 		return
 	}
-	next := withMember(configuration, member)
-	next.Retired = withoutID(next.GetRetired(), member.GetId())
-	if proto.Equal(next, configuration) {
-		done <- proposalResult{}
-		return
-	}
-	o.proposeChange(next, "admit "+member.GetName(), done)
-}
-
-func (o *owner) checkAdmission(configuration *protocol.CoreConfiguration, member *protocol.CoreMember, operator bool) error {
-	switch {
-	case member.GetId() == 0:
-		return &InvalidMemberError{Field: "id"}
-	case member.GetName() == "":
-		return &InvalidMemberError{Field: "name"}
-	case member.GetAddress() == "":
-		return &InvalidMemberError{Field: "address"}
-	case consensus.Member(configuration, member.GetId()) != nil:
-		return nil
-	case len(configuration.GetMembers()) >= maxMembers:
-		return &UnsafeChangeError{Reason: "there are " + strconv.Itoa(maxMembers) + " members already"}
-	}
-	for _, retired := range configuration.GetRetired() {
-		if retired.GetId() == member.GetId() && !operator {
-			return &MemberRetiredError{Name: member.GetName()}
-		}
-	}
-	view := o.membershipView()
-	for _, other := range configuration.GetMembers() {
-		if other.GetName() == member.GetName() && view.alive(other.GetId()) {
-			return &MemberInUseError{Name: member.GetName()}
-		}
-	}
-	return nil
-}
-
-// promoteOrRemove begins the next step of a removal; it reports whether that step
-// is a standby's promotion, after which the removal is still to come.
-func (o *owner) promoteOrRemove(name string, done chan proposalResult) (promoted bool) {
-	configuration, _ := o.node.Configuration()
-	member := findMember(configuration.GetMembers(), name)
-	if o.node.Role() == consensus.Leader && member != nil && member.GetId() != o.replica.self.GetId() {
-		if first := promotionBeforeRemoval(o.membershipView(), member); first != nil {
-			o.proposeChange(first.configuration, first.reason, done)
-			return true
-		}
-	}
-	o.remove(name, done)
-	return false
+	o.proposeChange(change, done)
 }
 
-func (o *owner) remove(name string, done chan proposalResult) {
+// removeMember takes the next step of a removal. It reports whether that step is the promotion of a
+// standby, after which the removal is still to be done.
+func (o *owner) removeMember(name string, done chan proposalResult) (promoted bool) {
 	if o.node.Role() != consensus.Leader {
 		done <- proposalResult{err: o.replica.notLeader()}
-		return
-	}
-	configuration, _ := o.node.Configuration()
-	member := findMember(configuration.GetMembers(), name)
-	if member == nil {
-		if findMember(configuration.GetRetired(), name) == nil {
-			done <- proposalResult{err: &MemberUnknownError{Member: name}}
-			return
-		}
-		done <- proposalResult{}
-		return
+		return false
 	}
-	if member.GetId() == o.replica.self.GetId() {
-		o.removeSelf(done)
-		return
-	}
-	if member.GetVoter() && !o.membershipView().safeWithout(member.GetId()) {
-		done <- proposalResult{err: &UnsafeChangeError{Reason: "no live majority would be left"}}
-		return
+	step, change, err := coremembership.Remove(o.membershipView(), name)
+	switch {
+	case err != nil || step == coremembership.AlreadyRemoved:
+		done <- proposalResult{err: err}
+	case step == coremembership.TransferFirst:
+		o.transferBeforeRemoval(done)
+	default:
+		o.proposeChange(change, done)
 	}
-	next := withoutMember(configuration, member.GetId())
-	next.Retired = append(withoutID(next.GetRetired(), member.GetId()), member)
-	next.Retired = next.GetRetired()[max(0, len(next.GetRetired())-maxRetired):]
-	o.proposeChange(next, "remove "+member.GetName(), done)
+	return err == nil && step == coremembership.PromoteFirst
 }
 
-// removeSelf hands leadership over, so that the next leader can remove this member.
-func (o *owner) removeSelf(done chan proposalResult) {
+// transferBeforeRemoval transfers leadership, so that the next leader can remove this member.
+func (o *owner) transferBeforeRemoval(done chan proposalResult) {
 	transferred := make(chan error, 1)
 	o.transferTo("", transferred)
 	select {
@@ -236,65 +165,30 @@
 	}
 }
 
-// findMember looks a member up by name, the newest first, or by its id.
-func findMember(members []*protocol.CoreMember, name string) *protocol.CoreMember {
-	for _, member := range slices.Backward(members) {
-		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
-			return member
-		}
-	}
-	return nil
-}
-
-func withoutID(members []*protocol.CoreMember, id uint64) (kept []*protocol.CoreMember) {
-	for _, member := range members {
-		if member.GetId() != id {
-			kept = append(kept, member)
-		}
-	}
-	return kept
-}
-
+// transferTo starts a transfer of leadership; done receives an error now, or the outcome from finishTransfers.
 func (o *owner) transferTo(name string, done chan error) {
-	target, err := o.transferTarget(name)
-	if err == nil {
-		err = o.node.Transfer(target, o.now())
-		if err != nil {
-			err = o.rejection(err)
-		}
-	}
-	if err != nil {
+	if err := o.startTransfer(name); err != nil {
 		done <- err
 		return
 	}
 	o.transferWaiters = append(o.transferWaiters, done)
 }
 
-func (o *owner) transferTarget(name string) (uint64, error) {
+func (o *owner) startTransfer(name string) error {
 	if o.node.Role() != consensus.Leader {
-		return 0, o.replica.notLeader()
-	}
-	status := o.node.Status()
-	if name != "" {
-		member := findMember(status.Configuration.GetMembers(), name)
-		if member == nil {
-			return 0, &MemberUnknownError{Member: name}
-		}
-		return member.GetId(), nil
+		return o.replica.notLeader()
 	}
-	view := o.membershipView()
-	var best consensus.PeerStatus
-	for _, contact := range status.Peers {
-		if contact.Voter && view.alive(contact.ID) && (best.ID == 0 || contact.Match > best.Match) {
-			best = contact
-		}
+	target, err := coremembership.TransferTarget(o.membershipView(), name)
+	if err != nil {
+		return err
 	}
-	if best.ID == 0 {
-		return 0, &UnsafeChangeError{Reason: "no other voter is alive"}
+	if err := o.node.Transfer(target, o.now()); err != nil {
+		return o.rejection(err)
 	}
-	return best.ID, nil
+	return nil
 }
 
+// finishTransfers reports the outcome of a transfer to those that wait for it.
 func (o *owner) finishTransfers(status *consensus.Status) {
 	var result error
 	switch {
@@ -303,7 +197,7 @@
 	case status.Role == consensus.Leader && status.Transferring:
 		return
 	case status.Role == consensus.Leader:
-		result = &UnsafeChangeError{Reason: "the other voter did not take over in time"}
+		result = &coremembership.UnsafeChangeError{Reason: "the other voter did not take over in time"}
 	}
 	for _, waiter := range o.transferWaiters {
 		waiter <- result
@@ -311,35 +205,37 @@
 	o.transferWaiters = nil
 }
 
-func (o *owner) membershipView() *membershipView {
+func (o *owner) membershipView() *coremembership.View {
 	status, options := o.node.Status(), o.replica.options
-	contacts := map[uint64]consensus.PeerStatus{}
-	for _, contact := range status.Peers {
-		contacts[contact.ID] = contact
+	peers := map[uint64]consensus.PeerStatus{}
+	for _, peer := range status.Peers {
+		peers[peer.ID] = peer
 	}
-	return &membershipView{
-		configuration: status.Configuration, self: status.ID, lastIndex: status.LastIndex,
-		contacts: contacts, now: o.now(), targetVoters: options.TargetVoters,
-		aliveWithin: aliveElectionTimeouts * options.ElectionTimeout, replaceAfter: options.ReplaceVoterAfter,
-		promotableWithin: promotableHeartbeats * options.HeartbeatInterval,
+	return &coremembership.View{
+		Configuration: status.Configuration, Self: status.ID, LastIndex: status.LastIndex, Peers: peers,
+		Now: o.now(), TargetVoters: options.TargetVoters,
+		AliveWithin:      aliveElectionTimeouts * options.ElectionTimeout,
+		ReplaceAfter:     options.ReplaceVoterAfter,
+		PromotableWithin: promotableHeartbeats * options.HeartbeatInterval,
 	}
 }
 
-// planMembership lets the leader take the next step towards the wanted membership.
+// planMembership proposes the next change that the leader makes of its own accord.
 func (o *owner) planMembership() {
 	now := o.now()
-	if o.failure != nil || now.Before(o.nextPlan) || o.leadingSince.IsZero() || !now.Before(o.node.LeaseEnds(now)) {
+	isActive := o.failure == nil && !o.leadingSince.IsZero() && now.Before(o.node.LeaseEnds(now))
+	if !isActive || now.Before(o.nextPlan) {
 		return
 	}
 	o.nextPlan = now.Add(o.planInterval())
-	next := planChange(o.membershipView())
-	if next == nil {
+	change := coremembership.Plan(o.membershipView())
+	if change == nil {
 		return
 	}
-	// The step after this one is due as soon as this one is committed: between a promotion and the removal that it is for,
-	// there is one voter too many that is lost.
+	// The next step is due as soon as this one is committed: between a promotion and the removal
+	// that follows it, there is one lost voter too many.
 	o.nextPlan = now.Add(o.replica.options.HeartbeatInterval / ticksPerHeartbeat)
-	o.proposeChange(next.configuration, next.reason, make(chan proposalResult, 1))
+	o.proposeChange(change, make(chan proposalResult, 1))
 }
 
 func (o *owner) planInterval() time.Duration { return 2 * o.replica.options.HeartbeatInterval }
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -6,6 +6,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 )
 
 // MaxCommandBytes bounds one command; it leaves room for the frame of a message.
@@ -110,7 +111,7 @@
 	case errors.As(err, &pending), errors.As(err, &size):
 		return err
 	case errors.As(err, &invalid):
-		return &UnsafeChangeError{Reason: invalid.Reason}
+		return &coremembership.UnsafeChangeError{Reason: invalid.Reason}
 	default:
 		return o.replica.notLeader()
 	}
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -236,7 +237,7 @@
 				t.Fatal(err)
 			}
 		}
-		var unknown *MemberUnknownError
+		var unknown *coremembership.MemberUnknownError
 		if err := f.leader().replica.RemoveMember(ctx, "nobody"); !errors.As(err, &unknown) {
 			t.Errorf("removing nobody: %v", err)
 		}
@@ -262,7 +263,7 @@
 		}
 		dead.crash()
 		f.advance(3 * time.Second)
-		var unsafe *UnsafeChangeError
+		var unsafe *coremembership.UnsafeChangeError
 		if err := leader.replica.RemoveMember(context.Background(), alive.name); !errors.As(err, &unsafe) {
 			t.Errorf("removing the last live follower: %v", err)
 		}
--- a/internal/controlplane/replica/service.go
+++ b/internal/controlplane/replica/service.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -60,15 +61,7 @@
 	if view.status.Role != consensus.Leader {
 		return r.forwardJoin(ctx, join)
 	}
-	done := make(chan proposalResult, 1)
-	if err := r.runOnOwner(ctx, func() { r.owner.admit(join.GetMember(), false, done) }); err != nil {
-		return nil, Failure(err)
-	}
-	answer, err := r.await(ctx, done)
-	if err == nil {
-		err = answer.err
-	}
-	if err != nil {
+	if err := r.admit(ctx, join.GetMember(), false); err != nil {
 		return nil, Failure(err)
 	}
 	return &protocol.Response{Body: &protocol.Response_JoinCore{JoinCore: &protocol.JoinCoreResponse{
@@ -127,11 +120,11 @@
 func membershipFailure(err error) *failure.Error {
 	var pending *consensus.ChangePendingError
 	var mismatch *ClusterMismatchError
-	var unsafe *UnsafeChangeError
-	var inUse *MemberInUseError
-	var retired *MemberRetiredError
-	var unknown *MemberUnknownError
-	var invalid *InvalidMemberError
+	var unsafe *coremembership.UnsafeChangeError
+	var inUse *coremembership.MemberInUseError
+	var retired *coremembership.MemberRetiredError
+	var unknown *coremembership.MemberUnknownError
+	var invalid *coremembership.InvalidMemberError
 	var unreachable *MemberUnreachableError
 	wait := failure.WithRetryAfter(retryAfter)
 	switch {
--- a/internal/testing/purity/purity.go
+++ b/internal/testing/purity/purity.go
@@ -16,7 +16,7 @@
 // Packages lists the decision packages, relative to the module's root.
 var Packages = []string{
 	"internal/dataplane/ring", "internal/dataplane/directory", "internal/controlplane/lease", "internal/dataplane/turn", "internal/dataplane/schedule", "internal/dataplane/promptcache", "internal/dataplane/limit",
-	"internal/state/ledger", "internal/state/register", "internal/controlplane/consensus", "internal/controlplane/controlstate", "internal/controlplane/bundle", "internal/controlplane/views", "internal/dataplane/trainingstep", "internal/dataplane/serverhealth",
+	"internal/state/ledger", "internal/state/register", "internal/controlplane/consensus", "internal/controlplane/coremembership", "internal/controlplane/controlstate", "internal/controlplane/bundle", "internal/controlplane/views", "internal/dataplane/trainingstep", "internal/dataplane/serverhealth",
 }
 
 var forbiddenImports = []string{"net", "os", "syscall", "context", "sync", "runtime", "unsafe"}
