--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -6,7 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
--- a/internal/state/store/group.go
+++ b/internal/state/store/group.go
@@ -5,18 +5,20 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
+	"github.com/rosestand/rosestand/internal/state/store/mailbox"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // group owns the tables of some shards. All fields are used by its one
 // goroutine only; others post commands to its mailbox.
 type group struct {
 	store     *Store
-	mailbox   *mailbox
+	mailbox   *mailbox.Mailbox
 	shards    map[uint32]*shardTable
 	unsynced  map[*entry]*unsynced
 	proposals map[registerKey]*proposal
-	ballots   *register.Ballots
+	ballots   *register.BallotGenerator
 	random    *rand.Rand
 	// proposers holds one copy of each proposer's name, since every register names two.
 	proposers map[string]string
@@ -26,11 +28,11 @@
 func newGroup(store *Store, number int) *group {
 	return &group{
 		store:     store,
-		mailbox:   newMailbox(),
+		mailbox:   mailbox.New(),
 		shards:    map[uint32]*shardTable{},
 		unsynced:  map[*entry]*unsynced{},
 		proposals: map[registerKey]*proposal{},
-		ballots:   register.NewBallots(store.proposerName),
+		ballots:   register.NewBallotGenerator(store.proposerName),
 		random:    rand.New(rand.NewPCG(store.options.Seed, uint64(number))),
 		proposers: map[string]string{},
 		keeping:   map[turnKey][]func(){},
@@ -41,7 +43,7 @@
 // must not be called by that goroutine. The error is a *StoppedError.
 func ask[A any](g *group, command func() A) (A, error) {
 	answers := make(chan A, 1)
-	g.mailbox.post(func() { answers <- command() })
+	g.mailbox.Post(func() { answers <- command() })
 	select {
 	case answer := <-answers:
 		return answer, nil
@@ -66,9 +68,9 @@
 	table := g.table(record.GetShard())
 	switch body := record.GetBody().(type) {
 	case *protocol.StoreRecord_Register:
-		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateOf(body.Register))
+		table.entry(keyOf(body.Register.GetKey())).state = g.intern(register.StateFromProto(body.Register))
 	case *protocol.StoreRecord_Drop:
-		table.registers = hashTree[registerKey, *entry]{}
+		table.registers = hashtree.Tree[registerKey, *entry]{}
 	}
 }
 
@@ -92,7 +94,7 @@
 func (g *group) copyRegisters() []*protocol.StoreRecord {
 	var records []*protocol.StoreRecord
 	for shard, table := range g.shards {
-		for key, held := range table.registers.all() {
+		for key, held := range table.registers.All() {
 			records = append(records, registerRecord(shard, key, held.state))
 		}
 	}
@@ -102,7 +104,7 @@
 func registerRecord(shard uint32, key registerKey, state register.State) *protocol.StoreRecord {
 	return &protocol.StoreRecord{
 		Shard: shard,
-		Body:  &protocol.StoreRecord_Register{Register: state.Message(key.message())},
+		Body:  &protocol.StoreRecord_Register{Register: state.ToProto(key.message())},
 	}
 }
 
@@ -164,6 +166,6 @@
 			g.store.fail(&LogError{Log: registerFolder, Cause: err})
 			return
 		}
-		g.mailbox.post(done)
+		g.mailbox.Post(done)
 	})
 }
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -63,15 +63,15 @@
 		reply:    func(result *protocol.LedgerResult) { answer <- result },
 	}
 	g := s.group(shard.Shard)
-	g.mailbox.post(func() { g.begin(shard, op) })
+	g.mailbox.Post(func() { g.begin(shard, op) })
 	select {
 	case result := <-answer:
 		s.metrics.results.WithLabelValues(result.GetStatus().String()).Inc()
 		return result, nil
 	case <-ctx.Done():
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	case <-s.stopped:
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
 }
 
@@ -96,13 +96,13 @@
 			case protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
 				op.reply(wrongPlacement(g.store.shardView(shard.Shard).Epoch))
 			default:
-				op.reply(ledger.Answer(status))
+				op.reply(ledger.ResultWithStatus(status))
 			}
 		})
 	case *protocol.LedgerOperation_BeginCall:
 		g.beginCall(shard, op, body.BeginCall)
 	default:
-		g.propose(shard, registerKey{program: op.message.GetProgram(), call: ledger.CallOf(op.message)}, op)
+		g.propose(shard, registerKey{program: op.message.GetProgram(), call: ledger.CallRequestID(op.message)}, op)
 	}
 }
 
@@ -122,7 +122,7 @@
 
 // programHere gives a program's record as this replica holds it, which may be old; nil without any.
 func (g *group) programHere(shard register.ShardView, program string) *protocol.ProgramRecord {
-	held, found := g.table(shard.Shard).registers.get(registerKey{program: program})
+	held, found := g.table(shard.Shard).registers.Get(registerKey{program: program})
 	if !found {
 		return nil
 	}
--- a/internal/state/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // maintain writes snapshots, collects what need not be kept and keeps the gauges, once in a while.
@@ -71,7 +71,7 @@
 
 // logFailed reports whether one of the logs takes no records any more.
 func (s *Store) logFailed() bool {
-	return s.folder.registers.Failed() != nil || s.folder.turns.Failed() != nil
+	return s.folder.registers.Err() != nil || s.folder.turns.Err() != nil
 }
 
 // failUnlessStopped ends the store unless the error only says that it stops already.
@@ -138,9 +138,9 @@
 func (g *group) counts() counts {
 	held := counts{proposals: len(g.proposals)}
 	for _, table := range g.shards {
-		held.registers += uint64(table.registers.size())
-		held.turns += uint64(table.turns.size())
-		for key, entry := range table.registers.all() {
+		held.registers += uint64(table.registers.Len())
+		held.turns += uint64(table.turns.Len())
+		for key, entry := range table.registers.All() {
 			held.registerBytes += int64(len(entry.state.Value) + len(key.program) + len(key.call))
 		}
 		switch table.view.Role {
--- a/internal/state/store/replica.go
+++ b/internal/state/store/replica.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
 const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
@@ -15,8 +16,8 @@
 		return
 	}
 	key := keyOf(request.GetKey())
-	ballot := register.BallotOf(request.GetBallot())
-	held, found := table.registers.get(key)
+	ballot := register.BallotFromProto(request.GetBallot())
+	held, found := table.registers.Get(key)
 	if !found {
 		if ballot.IsZero() {
 			reply(&protocol.PrepareResponse{})
@@ -42,7 +43,7 @@
 	key := keyOf(request.GetKey())
 	held := table.entry(key)
 	next, answer, changed := held.state.Accept(
-		register.BallotOf(request.GetBallot()), request.GetValue(), register.BallotOf(request.GetNextBallot()))
+		register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	if !changed {
 		g.whenDurable(held, func() { reply(answer) })
 		return
@@ -60,7 +61,7 @@
 		}
 	}
 	for _, message := range states {
-		state := register.StateOf(message)
+		state := register.StateFromProto(message)
 		if state.Accepted.IsZero() {
 			continue
 		}
@@ -78,8 +79,8 @@
 
 // dropShard forgets a shard durably, before the store may join it anew.
 func (g *group) dropShard(table *shardTable, done func()) {
-	table.registers = hashTree[registerKey, *entry]{}
-	table.turns = hashTree[turnKey, turnEntry]{}
+	table.registers = hashtree.Tree[registerKey, *entry]{}
+	table.turns = hashtree.Tree[turnKey, turnEntry]{}
 	table.copied = false
 	table.generation++
 	g.appendRegister(&protocol.StoreRecord{
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // damageFirstTurn flips a byte of the first record of the log of turns.
@@ -57,7 +57,7 @@
 	damaged := 0
 	for _, group := range opened.groups {
 		for _, table := range group.shards {
-			for _, entry := range table.turns.all() {
+			for _, entry := range table.turns.All() {
 				if _, err := opened.readTurn(entry, "", ""); err != nil {
 					damaged++
 					_ = opened.readFailed(err)
--- a/internal/state/store/chain.go
+++ b/internal/state/store/turn_chain.go
@@ -18,7 +18,7 @@
 func (g *group) keepWithChain(shard uint32, turn *protocol.Turn, done func(kept bool)) {
 	table := g.table(shard)
 	previous := previousKeyOf(turn)
-	_, found := table.turns.get(previous)
+	_, found := table.turns.Get(previous)
 	// What is written before this turn is durable before it.
 	_, underWay := g.keeping[previous]
 	if found || underWay || previous == (turnKey{}) || table.view.Role != register.RoleActive {
@@ -28,7 +28,7 @@
 	view := table.view
 	g.store.routines.Go(func() {
 		whole := g.store.fetchChain(view, turn)
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			if !whole {
 				done(false)
 				return
@@ -60,7 +60,7 @@
 func (s *Store) keepHere(shard uint32, turns []*protocol.Turn) bool {
 	g := s.group(shard)
 	durable := make(chan struct{}, len(turns))
-	g.mailbox.post(func() {
+	g.mailbox.Post(func() {
 		for _, turn := range slices.Backward(turns) {
 			g.keepTurn(shard, turn, func() { durable <- struct{}{} })
 		}
@@ -83,7 +83,7 @@
 		until    uint32
 	}
 	var endings []ending
-	for _, entry := range table.turns.all() {
+	for _, entry := range table.turns.All() {
 		if entry.previous != (turnKey{}) {
 			endings = append(endings, ending{previous: entry.previous, until: entry.keepUntil})
 		}
@@ -103,7 +103,7 @@
 			return page, err
 		}
 		if status := s.prolongPage(ctx, shard, page.GetTurns(), prolong.GetKeepUntilMillis()); status != protocol.LedgerStatus_LEDGER_OK {
-			return ledger.Answer(status), nil
+			return ledger.ResultWithStatus(status), nil
 		}
 		oldest := page.GetTurns()[len(page.GetTurns())-1]
 		result.Turns = []*protocol.Turn{{
@@ -127,7 +127,7 @@
 		// The page's own turn may be on its way to a replica that lacks it.
 		prolonged := proto.CloneOf(turn)
 		prolonged.KeepUntilMillis = untilMillis
-		g.mailbox.post(func() {
+		g.mailbox.Post(func() {
 			g.keepOnMajority(shard, prolonged, deadline, func(status protocol.LedgerStatus) { statuses <- status })
 		})
 	}
--- a/internal/testing/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -110,7 +110,7 @@
 // held is whether this node may act as owner and holder now.
 func (f *front) held() bool {
 	if f.suite.options.Mutation == MutationKeepAuthority || f.suite.options.Mutation == MutationSilentAuthority {
-		return !f.released && !f.holder.Ends().IsZero()
+		return !f.released && !f.holder.ExpiresAt().IsZero()
 	}
 	return f.holder.Valid(f.now())
 }
@@ -171,7 +171,7 @@
 			f.environment.Tracef("yields %s: %s", command.Session, command.Reason)
 		case directory.Reregistered:
 			f.suite.meter.reregistered(f.suite.world.Elapsed(), command.Waits)
-		case directory.Settled:
+		case directory.TransferCompleted:
 			f.suite.meter.settled(f.suite.world.Elapsed())
 		}
 	}
