--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -24,16 +24,17 @@
 	announcementChanged
 )
 
-// AnnounceBackEnd applies what a back end announces of itself and renews its lease; the log is written only when something
-// changed. The sequence rises with every call of an incarnation: a call with a lower one than was seen before changes nothing,
-// nor does one of a back end that was removed. A back end that was draining stays so. With the state DRAINING it returns nil
-// only once every front node whose lease runs has a view in force that says so, which takes a lease of a front node at most.
+// AnnounceBackEnd applies what a back end announces of itself and renews its lease; the log is written only when
+// something changed. The sequence rises with every call of an incarnation: a call with a lower one than was seen
+// before changes nothing, nor does one of a back end that was removed. A back end that was draining stays so. With
+// the state DRAINING it returns nil only once every front node whose lease runs has a view in force that says so,
+// which takes a lease of a front node at most.
 //
 // Any member takes it. One that does not lead acknowledges what changes nothing and forwards the rest to the leader; it
 // fails with Unavailable while it does not reach the leader.
 func (s *Service) AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	if backEnd.GetId() == "" {
-		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
+		return missingField("id")
 	}
 	if s.caller == nil || s.owner.isLeader() {
 		return s.announceAtLeader(ctx, backEnd, sequence)
@@ -58,8 +59,11 @@
 	return s.awaitDrained(ctx, backEnd.GetId())
 }
 
-// observeAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that is unchanged.
-func (s *Service) observeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) (announcementOutcome, error) {
+// observeAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that is
+// unchanged.
+func (s *Service) observeAnnouncement(
+	ctx context.Context, backEnd *protocol.BackEnd, sequence uint64,
+) (announcementOutcome, error) {
 	outcome := announcementNotLeader
 	holder := leases.BackEndHolder(backEnd)
 	executed := s.owner.execute(ctx, func(now time.Time) {
@@ -80,14 +84,15 @@
 	case announcementNotLeader:
 		return outcome, controllog.NotLeader()
 	case announcementOutdated:
-		s.metrics.backEndLeases.WithLabelValues("late").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventOutdated).Inc()
 	case announcementUnchanged:
-		s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventRenewed).Inc()
 	}
 	return outcome, nil
 }
 
-// isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back end left.
+// isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back
+// end left.
 func (o *owner) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
 	if o.machine.View().Outdated(backEnd.Name, backEnd.Incarnation, sequence) {
 		return true
@@ -103,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
+	s.metrics.backEndLeases.WithLabelValues(eventChanged).Inc()
 	_, err = s.observeAnnouncement(ctx, backEnd, sequence)
 	return err
 }
@@ -112,23 +117,26 @@
 func (s *Service) awaitDrained(ctx context.Context, id string) error {
 	view := s.machine.View()
 	if current := view.BackEnd(id); current != nil && current.GetState() != protocol.BackEndState_DRAINING {
-		return failure.New(failure.InvalidOrder, protocol.Outcome_NOT_RUN, "a later announcement says that the back end is ready", failure.WithPath("sequence"))
+		return failure.New(failure.InvalidOrder, protocol.Outcome_NOT_RUN,
+			"a later announcement says that the back end is ready", failure.WithPath("sequence"))
 	}
 	return s.awaitBackEnds(ctx, view)
 }
 
-// awaitBackEnds waits until every front node under a lease has the back ends of the view in force, at most as long as a lease lasts.
+// awaitBackEnds waits until every front node under a lease has the back ends of the view in force, at most as long as
+// a lease lasts.
 func (s *Service) awaitBackEnds(ctx context.Context, view *controlstate.View) error {
 	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin)
 	defer cancel()
 	return s.owner.awaitDrain(bounded, view.BackEnds.GetVersion())
 }
 
-// RemoveBackEnd removes a back end that reports that it left: its incarnation is not accepted again. It returns nil once every
-// front node whose lease runs has a view without it in force. Removing one that was removed before is acknowledged.
+// RemoveBackEnd removes a back end that reports that it left: its incarnation is not accepted again. It returns nil
+// once every front node whose lease runs has a view without it in force. Removing one that was removed before is
+// acknowledged.
 func (s *Service) RemoveBackEnd(ctx context.Context, id string, sequence uint64) error {
 	if id == "" {
-		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
+		return missingField("id")
 	}
 	if err := s.requireLeader(); err != nil {
 		return err
@@ -140,7 +148,7 @@
 		if err != nil {
 			return err
 		}
-		s.metrics.backEndLeases.WithLabelValues("departed").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventLeft).Inc()
 	}
 	return s.awaitBackEnds(ctx, s.machine.View())
 }
--- a/internal/controlplane/core/control.go
+++ b/internal/controlplane/core/control.go
@@ -56,8 +56,9 @@
 }
 
 // ReleaseBundle puts a bundle, whole or partial, in force if the version in force is expectedVersion (zero: none). It
-// returns nil only when the release is on the disks of a majority of the core and applied. The same release made again is
-// acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the settings trust operators.
+// returns nil only when the release is on the disks of a majority of the core and applied. The same release made
+// again is acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the
+// settings trust operators.
 func (s *Service) ReleaseBundle(ctx context.Context, bundle *protocol.Bundle, expectedVersion uint64) error {
 	if !s.trustOperators {
 		return controllog.Untrusted()
@@ -66,7 +67,8 @@
 	return err
 }
 
-// ActiveBundle is the bundle in force, nil when there is none. The read is linearizable; the bundle must not be changed.
+// ActiveBundle is the bundle in force, nil when there is none. The read is linearizable; the bundle must not be
+// changed.
 func (s *Service) ActiveBundle(ctx context.Context) (*protocol.Bundle, error) {
 	view, err := s.freshView(ctx)
 	if err != nil {
@@ -84,9 +86,9 @@
 }
 
 // EmptyStore orders that all shards leave a store. An order given again changes nothing. Failures: IsUnknownStore,
-// IsTooFewStores when fewer stores would be left than a shard has replicas, IsNotLeader. It does not insist on the spread
-// of the replicas, as the operators' interface does: who gives the order by an adapter decides about its machines, and has no word to
-// give the spread up with.
+// IsTooFewStores when fewer stores would be left than a shard has replicas, IsNotLeader. It does not insist on the
+// spread of the replicas, as the operators' interface does: who gives the order by an adapter decides about its
+// machines, and has no word to give the spread up with.
 func (s *Service) EmptyStore(ctx context.Context, store string) error {
 	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: store, StoresToKeep: s.replicaCount},
--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -67,7 +67,8 @@
 		failure.WithRetryAfter(RetryAfter))
 }
 
-// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process stops.
+// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process
+// stops.
 func Interrupted(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return &failure.Error{Failure: failure.From(err)}
--- a/internal/controlplane/core/delivery/metrics.go
+++ b/internal/controlplane/core/delivery/metrics.go
@@ -14,7 +14,8 @@
 // newMetrics makes the metrics and registers them where a registerer is given.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	counters := func(name, help, label string) *prometheus.CounterVec {
-		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help}, []string{label})
+		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help},
+			[]string{label})
 	}
 	m := &metrics{
 		polls:    counters("polls_total", "Polls of nodes by how they ended.", "result"),
--- a/internal/controlplane/core/delivery/poller.go
+++ b/internal/controlplane/core/delivery/poller.go
@@ -57,9 +57,12 @@
 }
 
 // Poll answers with the sections that are newer than those known. With nothing newer it waits for a change, the time
-// requested or the end of this leadership. An update is delayed while the answer before it to the same node is younger than
-// the coalescing interval. A fresh poll is answered at once, from a linearizable read. Errors are failures.
-func (p *Poller) Poll(ctx context.Context, request *protocol.PollControlRequest) (*protocol.PollControlResponse, error) {
+// requested or the end of this leadership. An update is delayed while the answer before it to the same node is
+// younger than the coalescing interval. A fresh poll is answered at once, from a linearizable read. Errors are
+// failures.
+func (p *Poller) Poll(
+	ctx context.Context, request *protocol.PollControlRequest,
+) (*protocol.PollControlResponse, error) {
 	if request.GetFresh() {
 		if err := p.control.Barrier(ctx); err != nil {
 			return nil, controllog.Failure(err)
--- a/internal/controlplane/core/delivery/sections.go
+++ b/internal/controlplane/core/delivery/sections.go
@@ -11,7 +11,8 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// maxCachedAnswers bounds the answers cached for one version of a section; most nodes have one of the same few versions.
+// maxCachedAnswers bounds the answers cached for one version of a section; most nodes have one of the same few
+// versions.
 const maxCachedAnswers = 64
 
 // sectionAnswer is what one section adds to a response: it sets its field, is
@@ -71,18 +72,20 @@
 	}
 	versions := view.Versions()
 	return &sections{
-		configuration: reuseOr(former.configuration, versions.GetConfiguration(), func() *section { return configurationSection(view) }),
-		membership:    reuseOr(former.membership, versions.GetMembership(), func() *section { return membershipSection(view) }),
-		backEnds:      reuseOr(former.backEnds, versions.GetBackEnds(), func() *section { return backEndSection(view) }),
-		placement:     reuseOr(former.placement, versions.GetPlacement(), func() *section { return placementSection(view) }),
+		configuration: reuseOr(former.configuration, versions.GetConfiguration(), configurationSection, view),
+		membership:    reuseOr(former.membership, versions.GetMembership(), membershipSection, view),
+		backEnds:      reuseOr(former.backEnds, versions.GetBackEnds(), backEndSection, view),
+		placement:     reuseOr(former.placement, versions.GetPlacement(), placementSection, view),
 	}
 }
 
-func reuseOr(former *section, version uint64, fresh func() *section) *section {
+func reuseOr(
+	former *section, version uint64, newSection func(*controlstate.View) *section, view *controlstate.View,
+) *section {
 	if former != nil && former.version == version {
 		return former
 	}
-	return fresh()
+	return newSection(view)
 }
 
 // packOnce packs a message at the first call. It gives nil when the message cannot be packed; then it is sent plain.
@@ -101,18 +104,27 @@
 	return newSection(view.Configuration.GetVersion(), func(request sectionRequest) sectionAnswer {
 		snapshot, delta := view.ConfigurationSince(request.known)
 		if delta != nil {
-			return sectionAnswer{kind: "configuration_delta", bytes: proto.Size(delta), set: func(response *protocol.PollControlResponse) {
-				response.ConfigurationDelta = delta
-			}}
+			return sectionAnswer{
+				kind: "configuration_delta", bytes: proto.Size(delta),
+				set: func(response *protocol.PollControlResponse) {
+					response.ConfigurationDelta = delta
+				},
+			}
 		}
 		if request.acceptsPackedConfiguration && packed() != nil {
-			return sectionAnswer{kind: "configuration_packed", bytes: len(packed()), set: func(response *protocol.PollControlResponse) {
-				response.PackedConfiguration = packed()
-			}}
+			return sectionAnswer{
+				kind: "configuration_packed", bytes: len(packed()),
+				set: func(response *protocol.PollControlResponse) {
+					response.PackedConfiguration = packed()
+				},
+			}
+		}
+		return sectionAnswer{
+			kind: "configuration", bytes: proto.Size(snapshot),
+			set: func(response *protocol.PollControlResponse) {
+				response.Configuration = snapshot
+			},
 		}
-		return sectionAnswer{kind: "configuration", bytes: proto.Size(snapshot), set: func(response *protocol.PollControlResponse) {
-			response.Configuration = snapshot
-		}}
 	})
 }
 
@@ -180,22 +192,28 @@
 	setDelta    func(*protocol.PollControlResponse, D)
 }
 
-// newDeltaSection makes a section that answers with the delta to a node that accepts deltas, while there is one from the
-// version it knows, else with the full snapshot, packed if the node accepts that.
+// newDeltaSection makes a section that answers with the delta to a node that accepts deltas, while there is one from
+// the version it knows, else with the full snapshot, packed if the node accepts that.
 func newDeltaSection[D proto.Message](described deltaSection[D]) *section {
 	packed := packOnce(described.snapshot)
 	return newSection(described.version, func(request sectionRequest) sectionAnswer {
 		if request.acceptsDeltas {
 			if delta, exists := described.since(request.known); exists {
-				return sectionAnswer{kind: described.kind + "_delta", bytes: proto.Size(delta), set: func(response *protocol.PollControlResponse) {
-					described.setDelta(response, delta)
-				}}
+				return sectionAnswer{
+					kind: described.kind + "_delta", bytes: proto.Size(delta),
+					set: func(response *protocol.PollControlResponse) {
+						described.setDelta(response, delta)
+					},
+				}
 			}
 		}
 		if request.acceptsPackedViews && packed() != nil {
-			return sectionAnswer{kind: described.kind + "_packed", bytes: len(packed()), set: func(response *protocol.PollControlResponse) {
-				described.setPacked(response, packed())
-			}}
+			return sectionAnswer{
+				kind: described.kind + "_packed", bytes: len(packed()),
+				set: func(response *protocol.PollControlResponse) {
+					described.setPacked(response, packed())
+				},
+			}
 		}
 		return sectionAnswer{kind: described.kind, bytes: proto.Size(described.snapshot), set: described.setSnapshot}
 	})
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
@@ -9,16 +10,19 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drain waits until no front node under a lease may still send to a back end.
+// drain waits until no front node with a lease may still send to a back end.
 type drain struct {
+	// version is that of the back-end view that must be in force.
 	version uint64
 	result  chan error
 }
 
 // drainBackEnd marks a back end as draining and returns once every front node
 // whose lease runs has confirmed a view that says so. The result is the first
-// one of the order; its index is a view version with the back end draining or gone.
-func (s *Service) drainBackEnd(ctx context.Context, orderID string, command *protocol.DrainBackEndCommand) (*protocol.CommandResult, error) {
+// one of the order; its index is a view version with the back end draining or removed.
+func (s *Service) drainBackEnd(
+	ctx context.Context, orderID string, command *protocol.DrainBackEndCommand,
+) (*protocol.CommandResult, error) {
 	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		OrderId: orderID,
 		Body:    &protocol.Command_DrainBackEnd{DrainBackEnd: command},
@@ -33,23 +37,23 @@
 }
 
 func (o *owner) awaitDrain(ctx context.Context, version uint64) error {
-	waiting := &drain{version: version, result: make(chan error, 1)}
+	pending := &drain{version: version, result: make(chan error, 1)}
 	executed := o.execute(ctx, func(now time.Time) {
 		if !o.isLeader() {
-			waiting.result <- controllog.NotLeader()
+			pending.result <- controllog.NotLeader()
 			return
 		}
-		o.drains = append(o.drains, waiting)
+		o.drains = append(o.drains, pending)
 		o.checkDrains(now)
 	})
 	if !executed {
 		return controllog.Interrupted(ctx)
 	}
 	select {
-	case err := <-waiting.result:
+	case err := <-pending.result:
 		return err
 	case <-ctx.Done():
-		o.execute(o.ctx, func(time.Time) { o.removeDrain(waiting) })
+		o.execute(context.WithoutCancel(ctx), func(time.Time) { o.removeDrain(pending) })
 		return controllog.Interrupted(ctx)
 	case <-o.ctx.Done():
 		return controllog.NotLeader()
@@ -57,34 +61,26 @@
 }
 
 func (o *owner) removeDrain(removed *drain) {
-	for at, waiting := range o.drains {
-		if waiting == removed {
-			o.drains = append(o.drains[:at], o.drains[at+1:]...)
-			return
-		}
-	}
+	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool { return pending == removed })
 }
 
-// checkDrains answers the drains that nobody stands in the way of any more.
+// checkDrains ends the drains whose view every front node with a lease has in force.
 func (o *owner) checkDrains(now time.Time) {
 	if len(o.drains) == 0 || !o.isLeader() {
 		return
 	}
 	confirmed := o.confirmedBackEnds(now)
-	remaining := o.drains[:0]
-	for _, waiting := range o.drains {
-		if confirmed < waiting.version {
-			remaining = append(remaining, waiting)
-			continue
+	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool {
+		if confirmed < pending.version {
+			return false
 		}
-		waiting.result <- nil
+		pending.result <- nil
 		o.metrics.drains.WithLabelValues("acknowledged").Inc()
-	}
-	clear(o.drains[len(remaining):])
-	o.drains = remaining
+		return true
+	})
 }
 
-// confirmedBackEnds is the oldest back-end view that a front node under a lease may act on.
+// confirmedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
 func (o *owner) confirmedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
@@ -101,9 +97,10 @@
 	return oldest
 }
 
+// failDrains ends all drains at the end of a leadership.
 func (o *owner) failDrains() {
-	for _, waiting := range o.drains {
-		waiting.result <- controllog.NotLeader()
+	for _, pending := range o.drains {
+		pending.result <- controllog.NotLeader()
 		o.metrics.drains.WithLabelValues("interrupted").Inc()
 	}
 	o.drains = nil
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/handler.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"time"
-
-	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -25,7 +22,8 @@
 
 func (s *Service) answer(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	switch body := request.GetBody().(type) {
-	case *protocol.Request_Consensus, *protocol.Request_JoinCore, *protocol.Request_CoreStatus, *protocol.Request_LocateCore:
+	case *protocol.Request_Consensus, *protocol.Request_JoinCore,
+		*protocol.Request_CoreStatus, *protocol.Request_LocateCore:
 		response, err := s.consensus.ServeWire(ctx, request)
 		if err != nil {
 			return nil, controllog.Failure(err)
@@ -43,7 +41,8 @@
 		return &protocol.Response{Body: &protocol.Response_RelayHeartbeats{RelayHeartbeats: relayed}}, err
 	case *protocol.Request_AnnounceBackEnd:
 		err := s.announceAtLeader(ctx, body.AnnounceBackEnd.GetBackEnd(), body.AnnounceBackEnd.GetSequence())
-		return &protocol.Response{Body: &protocol.Response_AnnounceBackEnd{AnnounceBackEnd: &protocol.AnnounceBackEndResponse{}}}, err
+		announced := &protocol.AnnounceBackEndResponse{}
+		return &protocol.Response{Body: &protocol.Response_AnnounceBackEnd{AnnounceBackEnd: announced}}, err
 	case *protocol.Request_RenewBackEnds:
 		renewed, err := s.renewBackEnds(ctx, body.RenewBackEnds)
 		return &protocol.Response{Body: &protocol.Response_RenewBackEnds{RenewBackEnds: renewed}}, err
@@ -69,15 +68,20 @@
 		}
 		return &protocol.Response{Body: &protocol.Response_Propose{Propose: &protocol.ProposeResponse{Result: result}}}, nil
 	default:
-		return nil, failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN, "a core process does not serve this request")
+		return nil, failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN,
+			"a core process does not serve this request")
 	}
 }
 
-func (s *Service) serveDrain(ctx context.Context, request *protocol.DrainBackEndRequest) (*protocol.DrainBackEndResponse, error) {
+func (s *Service) serveDrain(
+	ctx context.Context, request *protocol.DrainBackEndRequest,
+) (*protocol.DrainBackEndResponse, error) {
 	if request.GetId() == "" {
-		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
+		return nil, missingField("id")
 	}
-	result, err := s.drainBackEnd(ctx, "", &protocol.DrainBackEndCommand{Id: request.GetId(), Incarnation: request.GetIncarnation()})
+	result, err := s.drainBackEnd(ctx, "", &protocol.DrainBackEndCommand{
+		Id: request.GetId(), Incarnation: request.GetIncarnation(),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -93,42 +97,10 @@
 	return err
 }
 
-// reportArms sums samples and withdraws the candidate when its guard's limits are crossed.
-func (s *Service) reportVariants(ctx context.Context, request *protocol.ReportArmsRequest) error {
-	if err := s.requireLeader(); err != nil {
-		return err
-	}
-	var crossed string
-	var rollout *protocol.Rollout
-	executed := s.owner.execute(ctx, func(time.Time) {
-		configuration := s.machine.View().Configuration
-		s.owner.variants.Add(configuration, request.GetSamples())
-		rollout = configuration.GetRollout()
-		crossed = s.owner.variants.CrossedLimit(rollout)
-	})
-	if !executed {
-		return controllog.Interrupted(ctx)
-	}
-	if crossed == "" {
-		return nil
-	}
-	return s.withdrawByGuard(ctx, rollout, crossed)
+func missingField(path string) error {
+	return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath(path))
 }
 
-func (s *Service) withdrawByGuard(ctx context.Context, rollout *protocol.Rollout, reason string) error {
-	result, err := s.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_SetRollout{
-		SetRollout: &protocol.SetRolloutCommand{
-			Action:  protocol.RolloutAction_ROLLOUT_WITHDRAW,
-			Rollout: &protocol.Rollout{CandidateVersion: rollout.GetCandidateVersion()},
-			Reason:  reason,
-		},
-	}})
-	if err != nil {
-		return errors.Wrap(err, "withdraw by guard")
-	}
-	if result.GetAccepted() {
-		s.metrics.guards.Inc()
-		s.logger.Warn("candidate withdrawn", "version", rollout.GetCandidateVersion(), "reason", reason)
-	}
-	return nil
+func invalidField(path, message string) error {
+	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
 }
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -18,9 +18,11 @@
 const maxConcurrentUpserts = 16
 
 // renewBackEnds renews the leases of back ends whose heartbeats another member acknowledged.
-func (s *Service) renewBackEnds(ctx context.Context, request *protocol.RenewBackEndsRequest) (*protocol.RenewBackEndsResponse, error) {
+func (s *Service) renewBackEnds(
+	ctx context.Context, request *protocol.RenewBackEndsRequest,
+) (*protocol.RenewBackEndsResponse, error) {
 	if len(request.GetHeard()) > heartbeats.MaxBatch {
-		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heard"))
+		return nil, invalidField("heard", "too many heartbeats at once")
 	}
 	var answer *protocol.RenewBackEndsResponse
 	err := controllog.NotLeader()
@@ -37,12 +39,15 @@
 
 // mergeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
 // acknowledging heartbeats by a view that is not updated any more.
-func (o *owner) mergeBatch(request *protocol.RenewBackEndsRequest, now time.Time) (*protocol.RenewBackEndsResponse, error) {
+func (o *owner) mergeBatch(
+	request *protocol.RenewBackEndsRequest, now time.Time,
+) (*protocol.RenewBackEndsResponse, error) {
 	if !o.isMember(request.GetMember()) {
-		o.metrics.heartbeatBatches.WithLabelValues("refused").Inc()
-		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the sender is no member of the core", failure.WithPath("member"))
+		o.metrics.heartbeatBatches.WithLabelValues(batchRejected).Inc()
+		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the sender is no member of the core",
+			failure.WithPath("member"))
 	}
-	o.metrics.heartbeatBatches.WithLabelValues("received").Inc()
+	o.metrics.heartbeatBatches.WithLabelValues(batchReceived).Inc()
 	o.relayingMembers.ObserveBatch(request.GetMember(), now)
 	answer := &protocol.RenewBackEndsResponse{Members: o.updateHeartbeatMembers(now)}
 	view := o.machine.View()
@@ -55,15 +60,15 @@
 	return answer, nil
 }
 
-// mergeHeartbeat renews the lease of a back end, counted from when the member received its heartbeat. It reports false when the
-// member must forward the next announcement to the leader: the back end is not in the view, is being removed, or was changed
-// since the view that the member compared it with.
+// mergeHeartbeat renews the lease of a back end, counted from when the member received its heartbeat. It reports
+// false when the member must forward the next announcement to the leader: the back end is not in the view, is being
+// removed, or was changed since the view that the member compared it with.
 func (o *owner) mergeHeartbeat(
 	heartbeat *protocol.HeardBackEnd, view *controlstate.View, changes *heartbeats.Changes, now time.Time,
 ) bool {
 	backEnd := leases.Holder{Name: heartbeat.GetId(), Incarnation: heartbeat.GetIncarnation()}
 	if o.isOutdated(backEnd, heartbeat.GetSequence(), now) {
-		o.metrics.backEndLeases.WithLabelValues("late").Inc()
+		o.metrics.backEndLeases.WithLabelValues(eventOutdated).Inc()
 		return true
 	}
 	current := view.BackEnd(backEnd.Name)
@@ -74,15 +79,16 @@
 	if !o.backEnds.Renew(backEnd, now.Add(-age)) {
 		return false
 	}
-	o.metrics.backEndLeases.WithLabelValues("renewed").Inc()
+	o.metrics.backEndLeases.WithLabelValues(eventRenewed).Inc()
 	return !changes.Since(heartbeat.GetBackEndsVersion(), backEnd.Name)
 }
 
 // isMember reports whether the id is that of a present member of the core.
 func (o *owner) isMember(id uint64) bool {
-	return slices.ContainsFunc(o.consensus.Status().GetConfiguration().GetMembers(), func(member *protocol.CoreMember) bool {
-		return member.GetId() == id
-	})
+	return slices.ContainsFunc(o.consensus.Status().GetConfiguration().GetMembers(),
+		func(member *protocol.CoreMember) bool {
+			return member.GetId() == id
+		})
 }
 
 // updateHeartbeatMembers determines anew which members back ends may be given the address of.
@@ -98,7 +104,7 @@
 		return err
 	}
 	if len(relayed) > heartbeats.MaxBatch {
-		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many heartbeats at once", failure.WithPath("heartbeats"))
+		return invalidField("heartbeats", "too many heartbeats at once")
 	}
 	changes, err := s.renewUnchanged(ctx, relayed)
 	if err != nil {
@@ -117,7 +123,9 @@
 }
 
 // renewUnchanged renews the leases of back ends that the view holds as they were announced, and returns the others.
-func (s *Service) renewUnchanged(ctx context.Context, relayed []*protocol.BackEndHeartbeat) ([]*protocol.BackEndHeartbeat, error) {
+func (s *Service) renewUnchanged(
+	ctx context.Context, relayed []*protocol.BackEndHeartbeat,
+) ([]*protocol.BackEndHeartbeat, error) {
 	var changes []*protocol.BackEndHeartbeat
 	if len(relayed) == 0 {
 		return nil, nil
@@ -130,7 +138,7 @@
 				changes = append(changes, heartbeat)
 				continue
 			}
-			s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
+			s.metrics.backEndLeases.WithLabelValues(eventRenewed).Inc()
 		}
 	})
 	if !executed {
@@ -149,15 +157,16 @@
 		return err
 	}
 	if !result.GetAccepted() {
-		s.metrics.backEndLeases.WithLabelValues("refused").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventRejected).Inc()
 		return nil
 	}
-	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
+	s.metrics.backEndLeases.WithLabelValues(eventChanged).Inc()
 	return nil
 }
 
-// HeartbeatAddress is the HTTP address (ip:port) of the core member that a back end should send its heartbeats to: always the
-// same while the same members are reachable. It is empty while no member but the leader is known to take them.
+// HeartbeatAddress is the HTTP address (ip:port) of the core member that a back end should send its heartbeats to:
+// always the same while the same members are reachable. It is empty while no member but the leader is known to take
+// them.
 func (s *Service) HeartbeatAddress(backEnd *protocol.BackEnd) string {
 	members := s.owner.heartbeatMembers.Load()
 	if members == nil {
--- a/internal/controlplane/core/heartbeats/changes.go
+++ b/internal/controlplane/core/heartbeats/changes.go
@@ -9,7 +9,8 @@
 	byVersion map[uint64]changedBackEnds
 }
 
-// changedBackEnds are the back ends that changed after a version; all of them when the version is not in the history any more.
+// changedBackEnds are the back ends that changed after a version; all of them when the version is not in the history
+// any more.
 type changedBackEnds struct {
 	ids       map[string]bool
 	inHistory bool
--- a/internal/controlplane/core/heartbeats/members.go
+++ b/internal/controlplane/core/heartbeats/members.go
@@ -9,7 +9,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// RelayingMembers is what the leader knows of the members that send it batches of heartbeats. It belongs to one goroutine.
+// RelayingMembers is what the leader knows of the members that send it batches of heartbeats. It belongs to one
+// goroutine.
 type RelayingMembers struct {
 	// lastBatch is when the last batch of a member was received, by the member's id.
 	lastBatch map[uint64]time.Time
@@ -38,8 +39,8 @@
 	return reachable
 }
 
-// ChooseMember picks the member that a back end should send its heartbeats to, one near it if there is any: always the same
-// for the same members; nil when there are none.
+// ChooseMember picks the member that a back end should send its heartbeats to, one near it if there is any: always
+// the same for the same members; nil when there are none.
 func ChooseMember(members []*protocol.CoreMember, backEnd *protocol.BackEnd) *protocol.CoreMember {
 	return highestWeight(nearestMembers(members, backEnd), backEnd.GetId())
 }
@@ -65,8 +66,8 @@
 	}
 }
 
-// highestWeight picks by the highest hash of member and back end (rendezvous hashing), so that a member that joins or leaves
-// moves only the back ends that it takes or had.
+// highestWeight picks by the highest hash of member and back end (rendezvous hashing), so that a member that joins or
+// leaves moves only the back ends that it takes or had.
 func highestWeight(members []*protocol.CoreMember, backEndID string) *protocol.CoreMember {
 	var chosen *protocol.CoreMember
 	var highest uint64
--- a/internal/controlplane/core/heartbeats/relay.go
+++ b/internal/controlplane/core/heartbeats/relay.go
@@ -65,14 +65,15 @@
 	return relay
 }
 
-// Reset forgets everything, as at the beginning of this member's own leadership, which gives all back ends a full lease.
+// Reset forgets everything, as at the beginning of this member's own leadership, which gives all back ends a full
+// lease.
 func (r *Relay) Reset() {
 	r.pending, r.escalated = map[string]Heartbeat{}, map[string]bool{}
 	r.ObserveLeader(0)
 }
 
-// ObserveLeader records which member leads, by id. What another one confirmed does not count, and a new one gets a batch at
-// once.
+// ObserveLeader records which member leads, by id. What another one confirmed does not count, and a new one gets a
+// batch at once.
 func (r *Relay) ObserveLeader(leader uint64) {
 	if r.leader != leader {
 		r.leader, r.lastConfirmed, r.nextBatch, r.batchInFlight = leader, time.Time{}, time.Time{}, false
@@ -100,8 +101,8 @@
 	return h.Sequence >= other.Sequence && !h.ReceivedAt.Before(other.ReceivedAt)
 }
 
-// BeginBatch takes the heartbeats of the next batch, oldest first; due is false while none is to be sent. A batch may be
-// empty: its answer shows that the leader is reached.
+// BeginBatch takes the heartbeats of the next batch, oldest first; due is false while none is to be sent. A batch may
+// be empty: its answer shows that the leader is reached.
 func (r *Relay) BeginBatch(now time.Time) (batch []Heartbeat, due bool) {
 	if r.batchInFlight || now.Before(r.nextBatch) {
 		return nil, false
@@ -124,8 +125,8 @@
 	return batch, true
 }
 
-// Confirm records a leader's answer to a batch: when that was sent, and the back ends that the leader does not know as this
-// member does.
+// Confirm records a leader's answer to a batch: when that was sent, and the back ends that the leader does not know
+// as this member does.
 func (r *Relay) Confirm(leader uint64, sentAt time.Time, unknown []string) {
 	r.endBatch(leader)
 	if leader == r.leader {
--- a/internal/controlplane/core/heartbeats/sequences.go
+++ b/internal/controlplane/core/heartbeats/sequences.go
@@ -13,9 +13,9 @@
 	sequenceSweepInterval = time.Minute
 )
 
-// SequenceTable holds the highest sequence that each back end announced itself with to this leader. The control log holds
-// the sequences of announcements that changed something; this table those that only renewed a lease. It belongs to one
-// goroutine.
+// SequenceTable holds the highest sequence that each back end announced itself with to this leader. The control log
+// holds the sequences of announcements that changed something; this table those that only renewed a lease. It belongs
+// to one goroutine.
 type SequenceTable struct {
 	last      map[string]lastSequence
 	nextSweep time.Time
@@ -26,6 +26,13 @@
 	receivedAt            time.Time
 }
 
+func (l lastSequence) isAfter(incarnation, sequence uint64) bool {
+	if incarnation != l.incarnation {
+		return incarnation < l.incarnation
+	}
+	return sequence < l.sequence
+}
+
 // NewSequenceTable makes an empty table.
 func NewSequenceTable() *SequenceTable {
 	return &SequenceTable{last: map[string]lastSequence{}}
@@ -36,8 +43,7 @@
 
 // Observe records a sequence; it reports false, and records nothing, when a later one was observed before.
 func (t *SequenceTable) Observe(backEnd leases.Holder, sequence uint64, now time.Time) bool {
-	last, known := t.last[backEnd.Name]
-	if known && (backEnd.Incarnation < last.incarnation || backEnd.Incarnation == last.incarnation && sequence < last.sequence) {
+	if last, known := t.last[backEnd.Name]; known && last.isAfter(backEnd.Incarnation, sequence) {
 		return false
 	}
 	t.last[backEnd.Name] = lastSequence{incarnation: backEnd.Incarnation, sequence: sequence, receivedAt: now}
--- a/internal/controlplane/core/machine.go
+++ b/internal/controlplane/core/machine.go
@@ -36,7 +36,9 @@
 	decoded := &protocol.Command{}
 	var result *protocol.CommandResult
 	if err := proto.Unmarshal(command, decoded); err != nil {
-		result = &protocol.CommandResult{Refusal: &protocol.Refusal{Code: string(failure.InvalidOrder), Message: "the command cannot be decoded"}}
+		result = &protocol.CommandResult{Refusal: &protocol.Refusal{
+			Code: string(failure.InvalidOrder), Message: "the command cannot be decoded",
+		}}
 	} else {
 		result = m.state.Apply(index, decoded)
 		m.publisher.Publish(m.state.View())
@@ -46,7 +48,7 @@
 	}
 	encoded, err := proto.Marshal(result)
 	if err != nil {
-		m.logger.Error("encode result", "index", index, "error", err)
+		m.logger.Error("result encoding failed", "index", index, "error", err)
 	}
 	return encoded
 }
@@ -54,7 +56,7 @@
 // View returns the newest view.
 func (m *Machine) View() *controlstate.View { return m.publisher.View() }
 
-// Snapshot writes the whole state.
+// Snapshot writes the complete state.
 func (m *Machine) Snapshot(writer io.Writer) error {
 	encoded, err := proto.Marshal(m.state.Snapshot())
 	if err != nil {
@@ -95,21 +97,24 @@
 	case *protocol.Command_SignBundle:
 		m.logger.Info("bundle signed off", "version", result.GetBundle().GetVersion(), "key", body.SignBundle.GetKeyName())
 	case *protocol.Command_ReleaseBundle:
-		m.logger.Info("bundle released", "version", result.GetBundle().GetVersion(), "base", body.ReleaseBundle.GetExpectedVersion())
+		m.logger.Info("bundle released", "version", result.GetBundle().GetVersion(),
+			"base", body.ReleaseBundle.GetExpectedVersion())
 	case *protocol.Command_SetRollout:
-		m.logger.Info("roll-out changed", "action", body.SetRollout.GetAction(), "version", result.GetBundle().GetVersion(), "reason", body.SetRollout.GetReason())
+		m.logger.Info("roll-out changed", "action", body.SetRollout.GetAction(),
+			"version", result.GetBundle().GetVersion(), "reason", body.SetRollout.GetReason())
 	case *protocol.Command_JoinNode:
-		m.logger.Info("node joined", "name", body.JoinNode.GetNode().GetName(), "incarnation", body.JoinNode.GetNode().GetIncarnation())
+		m.logger.Info("node joined", "name", body.JoinNode.GetNode().GetName(),
+			"incarnation", body.JoinNode.GetNode().GetIncarnation())
 	case *protocol.Command_RemoveNode:
 		m.logger.Info("node removed", "name", body.RemoveNode.GetName(), "reason", body.RemoveNode.GetReason())
 	case *protocol.Command_RemoveBackEnd:
 		m.logger.Info("back end removed", "id", body.RemoveBackEnd.GetId())
 	case *protocol.Command_DrainBackEnd:
-		m.logger.Info("back end draining", "id", body.DrainBackEnd.GetId())
+		m.logger.Info("back end drain began", "id", body.DrainBackEnd.GetId())
 	case *protocol.Command_InitializePlacement:
 		m.logger.Info("placement initialized", "shards", body.InitializePlacement.GetShardCount())
 	case *protocol.Command_EmptyStore:
-		m.logger.Info("store emptying started", "store", body.EmptyStore.GetStore())
+		m.logger.Info("store emptying began", "store", body.EmptyStore.GetStore())
 	case *protocol.Command_RetireStore:
 		m.logger.Info("store retired", "store", body.RetireStore.GetStore())
 	}
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -42,30 +42,24 @@
 	retry := failure.WithRetryAfter(controllog.RetryAfter)
 	switch outcome {
 	case heartbeatAcknowledged:
-		s.metrics.backEndLeases.WithLabelValues("relayed").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventRelayed).Inc()
 		return nil
 	case heartbeatForwarded:
 		return s.forwardAnnouncement(ctx, leaderAddress, backEnd, sequence)
 	case heartbeatLeaderUnreachable:
-		s.metrics.backEndLeases.WithLabelValues("cut_off").Inc()
-		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader", retry)
+		s.metrics.backEndLeases.WithLabelValues(eventLeaderUnreachable).Inc()
+		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader",
+			retry)
 	default:
 		return controllog.NoLeader()
 	}
 }
 
-// otherLeader is the leader as far as this member knows; nil when there is none, or this member is it.
-func (o *owner) otherLeader() *protocol.CoreMember {
-	leader := o.consensus.Leader()
-	if leader == nil || leader.GetAddress() == "" || leader.GetId() == o.consensus.Status().GetId() {
-		return nil
-	}
-	return leader
-}
-
-// classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is acknowledged by
-// the leader alone, which knows what front nodes have in force.
-func (o *owner) classifyHeartbeat(leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time) heartbeatOutcome {
+// classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is
+// acknowledged by the leader alone, which knows what front nodes have in force.
+func (o *owner) classifyHeartbeat(
+	leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time,
+) heartbeatOutcome {
 	view := o.machine.View()
 	holder := leases.BackEndHolder(backEnd)
 	switch {
@@ -87,17 +81,19 @@
 }
 
 // forwardAnnouncement has the leader acknowledge an announcement.
-func (s *Service) forwardAnnouncement(ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64) error {
+func (s *Service) forwardAnnouncement(
+	ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64,
+) error {
 	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin+controllog.ProposeTimeout)
 	defer cancel()
 	_, err := s.caller.Call(bounded, leaderAddress, &protocol.Request{Body: &protocol.Request_AnnounceBackEnd{
 		AnnounceBackEnd: &protocol.AnnounceBackEndRequest{BackEnd: backEnd, Sequence: sequence},
 	}})
 	if err != nil {
-		s.metrics.backEndLeases.WithLabelValues("forward_failed").Inc()
+		s.metrics.backEndLeases.WithLabelValues(eventForwardFailed).Inc()
 		return forwardFailure(err)
 	}
-	s.metrics.backEndLeases.WithLabelValues("forwarded").Inc()
+	s.metrics.backEndLeases.WithLabelValues(eventForwarded).Inc()
 	s.owner.execute(ctx, func(time.Time) { s.owner.relay.EndEscalation(backEnd.GetId()) })
 	return nil
 }
@@ -109,10 +105,12 @@
 	if errors.As(err, &rejected) {
 		return rejected
 	}
-	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(controllog.RetryAfter))
+	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(),
+		failure.WithRetryAfter(controllog.RetryAfter))
 }
 
-// sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is reached.
+// sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is
+// reached.
 func (o *owner) sendHeartbeatBatch(now time.Time) {
 	if o.caller == nil {
 		return
@@ -131,16 +129,17 @@
 	o.runTask(func(ctx context.Context) error {
 		bounded, cancel := context.WithTimeout(ctx, heartbeats.RelayTimeout)
 		defer cancel()
-		response, err := o.caller.Call(bounded, leader.GetAddress(), &protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: request}})
+		response, err := o.caller.Call(bounded, leader.GetAddress(),
+			&protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: request}})
 		answer = response.GetRenewBackEnds()
 		return err
 	}, func(_ time.Time, err error) {
 		if err != nil {
-			o.metrics.heartbeatBatches.WithLabelValues("failed").Inc()
+			o.metrics.heartbeatBatches.WithLabelValues(batchFailed).Inc()
 			o.relay.Requeue(leader.GetId(), batch)
 			return
 		}
-		o.metrics.heartbeatBatches.WithLabelValues("confirmed").Inc()
+		o.metrics.heartbeatBatches.WithLabelValues(batchConfirmed).Inc()
 		o.relay.Confirm(leader.GetId(), now, answer.GetUnknown())
 		o.relay.DropAbsent(func(id string) bool { return o.machine.View().BackEnd(id) != nil })
 		o.setHeartbeatMembers(answer.GetMembers())
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -45,7 +45,8 @@
 	self := process.Self
 	built, err := replica.New(replica.Options{
 		Self: &protocol.CoreMember{
-			Name: self.GetName(), Address: self.GetAddress(), HttpAddress: self.GetHttpAddress(), Zone: self.GetZone(), Region: self.GetRegion(),
+			Name: self.GetName(), Address: self.GetAddress(), HttpAddress: self.GetHttpAddress(),
+			Zone: self.GetZone(), Region: self.GetRegion(),
 		},
 		Founders:          settings.GetFounders(),
 		Seeds:             settings.GetNode().GetSeeds(),
@@ -72,7 +73,8 @@
 
 func millis(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func newService(settings *protocol.CoreSettings, machine *Machine, consensus *replica.Replica, caller wire.Caller, clock replica.Clock,
+func newService(settings *protocol.CoreSettings, machine *Machine, consensus *replica.Replica, caller wire.Caller,
+	clock replica.Clock,
 	logger *log.Logger, registerer prometheus.Registerer,
 ) (*Service, error) {
 	keys, err := bundle.ParseKeys(settings.GetSignOffKeys())
@@ -124,7 +126,7 @@
 	})
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			service.Start()
+			service.Start() //nolint:contextcheck // the owner outlives the start, which the context bounds
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/controlplane/core/operators/bundles.go
+++ b/internal/controlplane/core/operators/bundles.go
@@ -91,7 +91,7 @@
 	}
 	record := view.Bundle(version)
 	if record == nil {
-		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "there is no bundle "+text, failure.WithPath("version"))
+		return nil, notFound("version", "there is no bundle "+text)
 	}
 	return record, nil
 }
@@ -104,8 +104,7 @@
 			return nil, err
 		}
 		if record.Merged == nil {
-			return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN,
-				fmt.Sprintf("the content of bundle %s is not kept any more", text), failure.WithPath("version"))
+			return nil, notFound("version", fmt.Sprintf("the content of bundle %s is not kept any more", text))
 		}
 		bundles[i] = record.Merged
 	}
--- a/internal/controlplane/core/operators/handler.go
+++ b/internal/controlplane/core/operators/handler.go
@@ -44,7 +44,9 @@
 	AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error
 	RemoveBackEnd(ctx context.Context, id string, sequence uint64) error
 	// DrainBackEnd returns once no front node sends to the back end any more, or with the command rejected.
-	DrainBackEnd(ctx context.Context, orderID string, command *protocol.DrainBackEndCommand) (*protocol.CommandResult, error)
+	DrainBackEnd(
+		ctx context.Context, orderID string, command *protocol.DrainBackEndCommand,
+	) (*protocol.CommandResult, error)
 }
 
 // Consensus is what the handler needs of the replica of its process.
@@ -172,7 +174,8 @@
 	operator, known := h.authenticate(request)
 	if !known {
 		writer.Header().Set("WWW-Authenticate", "Bearer")
-		h.writeError(writer, request, failure.New(failure.Unauthorized, protocol.Outcome_NOT_RUN, "an operator's bearer token is needed"))
+		h.writeError(writer, request, failure.New(failure.Unauthorized, protocol.Outcome_NOT_RUN,
+			"an operator's bearer token is needed"))
 		return
 	}
 	orderID, err := readOrderID(matched, request)
@@ -232,7 +235,8 @@
 		return nil, nil, failure.New(failure.MethodNotAllowed, protocol.Outcome_NOT_RUN,
 			"the route has no method "+request.Method, failure.WithPath(request.URL.Path))
 	}
-	return nil, nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "no such route", failure.WithPath(request.URL.Path))
+	return nil, nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "no such route",
+		failure.WithPath(request.URL.Path))
 }
 
 func pathSegments(location *url.URL) ([]string, error) {
@@ -240,7 +244,8 @@
 	for i, segment := range segments {
 		unescaped, err := url.PathUnescape(segment)
 		if err != nil {
-			return nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "the path is malformed", failure.WithPath(location.Path))
+			return nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "the path is malformed",
+				failure.WithPath(location.Path))
 		}
 		segments[i] = unescaped
 	}
@@ -269,9 +274,10 @@
 	case request.Method == http.MethodGet, id == "" && matched.idempotent:
 		return "", nil
 	case id == "":
-		return "", failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "every order needs an id of its own", failure.WithPath(orderHeader))
+		return "", failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "every order needs an id of its own",
+			failure.WithPath(orderHeader))
 	case len(id) > maxOrderBytes:
-		return "", failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "an order id has at most 128 bytes", failure.WithPath(orderHeader))
+		return "", invalidField(orderHeader, "an order id has at most 128 bytes")
 	default:
 		return id, nil
 	}
--- a/internal/controlplane/core/operators/members.go
+++ b/internal/controlplane/core/operators/members.go
@@ -97,9 +97,10 @@
 }
 
 func (h *Handler) isMember(member *protocol.CoreMember) bool {
-	return slices.ContainsFunc(h.consensus.Status().GetConfiguration().GetMembers(), func(other *protocol.CoreMember) bool {
-		return other.GetId() == member.GetId()
-	})
+	return slices.ContainsFunc(h.consensus.Status().GetConfiguration().GetMembers(),
+		func(other *protocol.CoreMember) bool {
+			return other.GetId() == member.GetId()
+		})
 }
 
 // findMember looks a member up by name, the newest first, or by its id, among
--- a/internal/controlplane/core/operators/orders.go
+++ b/internal/controlplane/core/operators/orders.go
@@ -16,8 +16,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// order proposes an operator's command under its order id and answers with the CommandResult. The kind labels its metrics.
-func (h *Handler) order(ctx context.Context, kind string, request *operatorRequest, command *protocol.Command) (*response, error) {
+// order proposes an operator's command under its order id and answers with the CommandResult. The kind labels its
+// metrics.
+func (h *Handler) order(
+	ctx context.Context, kind string, request *operatorRequest, command *protocol.Command,
+) (*response, error) {
 	command.OrderId = request.orderID
 	result, err := h.proposer.Propose(ctx, command)
 	if err := h.recordResult(kind, request, result, err); err != nil {
@@ -37,7 +40,8 @@
 		return &rejectedError{rejection: result.GetRefusal()}
 	}
 	h.metrics.orders.WithLabelValues(kind, "accepted").Inc()
-	h.logger.Info("order accepted", "kind", kind, "operator", request.operator, "order", request.orderID, "index", result.GetIndex())
+	h.logger.Info("order accepted", "kind", kind, "operator", request.operator,
+		"order", request.orderID, "index", result.GetIndex())
 	return nil
 }
 
@@ -47,7 +51,8 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return failure.New(failure.BodyTooLarge, protocol.Outcome_NOT_RUN, fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit))
+		return failure.New(failure.BodyTooLarge, protocol.Outcome_NOT_RUN,
+			fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit))
 	case err != nil:
 		return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "the body cannot be read: "+err.Error())
 	case len(bytes.TrimSpace(content)) == 0:
@@ -61,13 +66,13 @@
 	if named == "" || named == inPath {
 		return nil
 	}
-	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "the body names another "+kind+" than the path", failure.WithPath(field))
+	return invalidField(field, "the body names another "+kind+" than the path")
 }
 
 func parseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
-		return 0, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a version is a number from 1", failure.WithPath("version"))
+		return 0, invalidField("version", "a version is a number from 1")
 	}
 	return version, nil
 }
@@ -80,7 +85,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "must be a number", failure.WithPath(name))
+		return 0, invalidField(name, "must be a number")
 	}
 	return number, nil
 }
@@ -88,3 +93,12 @@
 func missingField(path string) error {
 	return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath(path))
 }
+
+func invalidField(path, message string) error {
+	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
+}
+
+// notFound is the failure of a field that names nothing that exists.
+func notFound(path, message string) error {
+	return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
+}
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -135,7 +135,10 @@
 
 func describeRejection(rejection *protocol.Refusal) (errorDetail, int) {
 	detail := errorDetail{
-		Detail: failure.Detail{Code: rejection.GetCode(), Message: rejection.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
+		Detail: failure.Detail{
+			Code: rejection.GetCode(), Message: rejection.GetMessage(),
+			Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN),
+		},
 		Faults: faultBodies(rejection.GetFaults()),
 	}
 	if len(detail.Faults) > 0 {
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -7,30 +7,24 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
 	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
-	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxOutcomes bounds one report; a front node uses a part of the servers only.
+// maxOutcomes bounds the servers of one report; a front node uses some of all servers only.
 const maxOutcomes = 4096
 
-// shareOutcomes takes in what a front node saw of back ends and answers with those to be avoided. Nothing of it is
-// written to the log: it is worth a few seconds, and after a change of leader the front nodes tell it again.
-func (s *Service) shareOutcomes(ctx context.Context, request *protocol.ShareOutcomesRequest) (*protocol.ShareOutcomesResponse, error) {
+// shareOutcomes merges what a front node observed of back ends and answers with those to be avoided. Nothing of it is
+// written to the log: it counts for a few seconds only, and the front nodes report anew after a change of leader.
+func (s *Service) shareOutcomes(
+	ctx context.Context, request *protocol.ShareOutcomesRequest,
+) (*protocol.ShareOutcomesResponse, error) {
 	if err := s.requireLeader(); err != nil {
 		return nil, err
 	}
 	if len(request.GetOutcomes()) > maxOutcomes {
-		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many outcomes at once", failure.WithPath("outcomes"))
-	}
-	report := serverhealth.Report{Node: request.GetNode(), Zone: request.GetZone()}
-	for _, outcome := range request.GetOutcomes() {
-		report.Outcomes = append(report.Outcomes, serverhealth.Outcomes{
-			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
-			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
-			Heard: outcome.SignAgeMillis != nil, SignAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
-		})
+		return nil, invalidField("outcomes", "too many outcomes at once")
 	}
+	report := decodeReport(request)
 	var suspects []serverhealth.Suspect
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		s.owner.mergeOutcomes(report, now)
@@ -42,7 +36,19 @@
 	return &protocol.ShareOutcomesResponse{Suspects: describeSuspects(suspects)}, nil
 }
 
-// takeOutcomes adds a report and wakes those who watch for suspects when it made one.
+func decodeReport(request *protocol.ShareOutcomesRequest) serverhealth.Report {
+	report := serverhealth.Report{Node: request.GetNode(), Zone: request.GetZone()}
+	for _, outcome := range request.GetOutcomes() {
+		report.Outcomes = append(report.Outcomes, serverhealth.Outcomes{
+			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
+			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
+			Heard: outcome.SignAgeMillis != nil, SignAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
+		})
+	}
+	return report
+}
+
+// mergeOutcomes adds a report and notifies those who watch for suspects when it changed them.
 func (o *owner) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	former := o.serverHealth.Version()
 	o.serverHealth.Take(report, now)
@@ -53,9 +59,11 @@
 	o.suspectsChanged = make(chan struct{})
 }
 
-// watchSuspects answers as soon as there are suspects of another version than the one known, or without any when the time
-// asked for is over.
-func (s *Service) watchSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
+// watchSuspects answers as soon as there are suspects of another version than the one known, or without any at the
+// end of the time requested.
+func (s *Service) watchSuspects(
+	ctx context.Context, request *protocol.WatchSuspectsRequest,
+) (*protocol.WatchSuspectsResponse, error) {
 	leadershipLost, isLeader := s.owner.currentLeadership()
 	if !isLeader {
 		return nil, controllog.NotLeader()
@@ -79,10 +87,11 @@
 	}
 }
 
-// newSuspects gives the suspects if their version is not the one known, else what is closed at the next change.
-func (s *Service) newSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, <-chan struct{}, error) {
-	var answer *protocol.WatchSuspectsResponse
-	var changed <-chan struct{}
+// newSuspects gives the suspects if their version is not the one known, else the channel that is closed at the next
+// change.
+func (s *Service) newSuspects(
+	ctx context.Context, request *protocol.WatchSuspectsRequest,
+) (answer *protocol.WatchSuspectsResponse, changed <-chan struct{}, err error) {
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		changed = s.owner.suspectsChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -21,24 +21,21 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// stallLimit is how late a tick may be before the owner takes itself for stalled.
+	// stallThreshold is how late a tick may be before the owner regards itself as stalled.
 	stallThreshold = time.Second
-	// leaseMargin is added to each lease at the leader, so that it outlives the holder's own count.
+	// leaseMargin is added to each lease at the leader, so that it outlives the time that its holder counts.
 	leaseMargin        = 250 * time.Millisecond
 	commandQueueLength = 1024
 )
 
-// leadership is one unbroken time in which this process leads.
-type leadership struct {
-	since time.Time
-	// lost is closed when it ends.
-	lost chan struct{}
-}
-
-// owner is the goroutine that owns what a leader keeps in memory: leases of
-// nodes and back ends, drains that wait, sums of roll-out arms and the state of
-// the reconciler; and what another member keeps: heartbeats on their way to the
-// leader. It works through a queue of commands and a tick.
+// owner runs the goroutine that owns what this process keeps in memory only. Of a
+// leader these are the leases of nodes and back ends, pending drains, the sums
+// of a roll-out's variants, the health of back ends and the state of the
+// reconciler; of another member, the heartbeats that the leader does not have
+// yet. The goroutine works through a queue of commands and a tick, and ends with close.
+//
+// Fields without a remark are set before start and not changed. The methods that
+// take the time as now run on the goroutine; the others may be called by any.
 type owner struct {
 	clock     replica.Clock
 	consensus Consensus
@@ -49,11 +46,17 @@
 	logger   *log.Logger
 	metrics  *metrics
 
-	queue      chan func(now time.Time)
-	ctx        context.Context
-	stop       context.CancelFunc
-	workers    sync.WaitGroup
+	queue chan func(now time.Time)
+	ctx   context.Context
+	stop  context.CancelFunc
+	// workers counts the goroutine and the tasks beside it.
+	workers sync.WaitGroup
+	// leadership is that of this process, nil while it does not lead. The goroutine alone stores it.
 	leadership atomic.Pointer[leadership]
+	// heartbeatMembers are the members that back ends may be given the address of. The goroutine alone stores them.
+	heartbeatMembers atomic.Pointer[[]*protocol.CoreMember]
+
+	// The fields below belong to the goroutine.
 
 	lastTick        time.Time
 	leaderSince     time.Time
@@ -65,13 +68,11 @@
 	drains          []*drain
 	variants        *rollout.VariantTable
 	reconciler      *reconcile.Reconciler
-	// serverHealth is what front nodes saw of back ends; a new leader begins without it.
+	// serverHealth is what front nodes observed of back ends; a new leader begins without it.
 	serverHealth serverhealth.Board
-	// suspectsChanged is closed and replaced when another back end became suspect.
+	// suspectsChanged is closed and replaced when the suspected back ends change.
 	suspectsChanged chan struct{}
-	// heartbeatMembers are the members that can be named to back ends.
-	heartbeatMembers atomic.Pointer[[]*protocol.CoreMember]
-	// underWay counts the tasks that work began and whose end the owner has not seen.
+	// runningTasks counts the tasks of runTask whose end has not been handled.
 	runningTasks int
 }
 
@@ -105,7 +106,8 @@
 	}
 }
 
-// ask runs a command on the owner and waits for it; it reports false when the context or the owner ended first.
+// execute runs a command on the goroutine and waits for it; it reports false when the context or the owner ended
+// first. The command may run all the same then.
 func (o *owner) execute(ctx context.Context, command func(now time.Time)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
@@ -129,7 +131,8 @@
 	}
 }
 
-// work runs a task beside the owner; after, if any, runs on the owner with what the task returned.
+// runTask runs a task beside the goroutine, which must call it; after runs on the goroutine with the error that the
+// task returned.
 func (o *owner) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
 	o.runningTasks++
 	o.workers.Go(func() {
@@ -147,60 +150,6 @@
 	})
 }
 
-// observeLeadership notices that leadership began, ended or changed hands in
-// between. Each beginning gives every lease a whole length.
-func (o *owner) observeLeadership(now time.Time) {
-	leads, since := o.consensus.IsLeader(), o.consensus.LeaderSince()
-	current := o.leadership.Load()
-	if current != nil && (!leads || !since.Equal(o.leaderSince)) {
-		o.endLeadership()
-		current = nil
-	}
-	if current == nil && leads {
-		o.beginLeadership(now, since)
-	}
-}
-
-func (o *owner) beginLeadership(now, since time.Time) {
-	o.leaderSince = since
-	o.nodes.Reset(now)
-	o.backEnds.Reset(now)
-	o.sequences.Reset()
-	o.relay.Reset()
-	o.relayingMembers.Reset()
-	o.heartbeatMembers.Store(nil)
-	o.variants.Reset()
-	o.reconciler.Reset()
-	o.leadership.Store(&leadership{since: now, lost: make(chan struct{})})
-	o.machine.leading.Store(true)
-	o.metrics.leading.Set(1)
-	o.logger.Info("leading", "term", o.consensus.Status().GetTerm())
-}
-
-func (o *owner) endLeadership() {
-	ended := o.leadership.Swap(nil)
-	if ended == nil {
-		return
-	}
-	close(ended.lost)
-	o.failDrains()
-	o.machine.leading.Store(false)
-	o.metrics.leading.Set(0)
-	o.logger.Info("no longer leading")
-}
-
-// currentLeadership returns the channel that is closed at the end of the present leadership, if this process leads.
-func (o *owner) currentLeadership() (lost <-chan struct{}, isLeader bool) {
-	current := o.leadership.Load()
-	if current == nil || !o.consensus.IsLeader() {
-		return nil, false
-	}
-	return current.lost, true
-}
-
-// isLeader reports whether this process leads at this moment, as the owner and the replica both see it.
-func (o *owner) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
-
 func (o *owner) tick(now time.Time) {
 	o.observeLeadership(now)
 	stalled := now.Sub(o.lastTick) > stallThreshold
@@ -223,57 +172,6 @@
 	o.recordViewMetrics()
 }
 
-// sweepLeases forgets the leases of what is not in the view any more.
-func (o *owner) dropAbsentLeases() {
-	view := o.machine.View()
-	o.nodes.DropAbsent(func(name string) (uint64, bool) {
-		node := view.Node(name)
-		return node.GetIncarnation(), node != nil
-	})
-	o.backEnds.DropAbsent(func(id string) (uint64, bool) {
-		backEnd := view.BackEnd(id)
-		return backEnd.GetIncarnation(), backEnd != nil
-	})
-}
-
-// endNodeLeases proposes the removal of nodes whose lease ran out.
-func (o *owner) expireNodeLeases(now time.Time) {
-	for _, node := range o.machine.View().Membership.GetNodes() {
-		holder := leases.NodeHolder(node)
-		if !o.nodes.BeginRemoval(holder, now) {
-			continue
-		}
-		o.metrics.leases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveNodeCommand{Name: holder.Name, Incarnation: holder.Incarnation, Reason: "lease ran out"}
-		o.runTask(func(ctx context.Context) error {
-			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
-			return err
-		}, func(time.Time, error) {
-			o.nodes.EndProposal(holder)
-			o.dropAbsentLeases()
-		})
-	}
-}
-
-// endBackEndLeases proposes the removal of back ends whose heartbeats stopped.
-func (o *owner) expireBackEndLeases(now time.Time) {
-	for _, backEnd := range o.machine.View().BackEnds.GetBackEnds() {
-		holder := leases.BackEndHolder(backEnd)
-		if !o.backEnds.BeginRemoval(holder, now) {
-			continue
-		}
-		o.metrics.backEndLeases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveBackEndCommand{Id: holder.Name, Incarnation: holder.Incarnation}
-		o.runTask(func(ctx context.Context) error {
-			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
-			return err
-		}, func(time.Time, error) {
-			o.backEnds.EndProposal(holder)
-			o.dropAbsentLeases()
-		})
-	}
-}
-
 // reconcile proposes the next commands that are due, if any, one after the other.
 func (o *owner) reconcile(now time.Time) {
 	view := o.machine.View()
--- a/internal/controlplane/core/reconcile/reconciler.go
+++ b/internal/controlplane/core/reconcile/reconciler.go
@@ -22,13 +22,13 @@
 	sharedZonesUnchangedInterval = 4 * time.Second
 	// replaceAbsentAfter is how long a store may be without a lease before its shards are placed elsewhere.
 	replaceAbsentAfter = 20 * time.Second
-	// replaceUnresponsiveAfter is how long a store may fail to renew its lease before its shards are placed on a store that
-	// has none: a new store beside an unresponsive one is its successor. It is above two renewals of a lease.
+	// replaceUnresponsiveAfter is how long a store may fail to renew its lease before its shards are placed on a store
+	// that has none: a new store beside an unresponsive one is its successor. It is above two renewals of a lease.
 	replaceUnresponsiveAfter = 2500 * time.Millisecond
 	// successorWindow is how long a store that joined counts as the successor of one that becomes unresponsive.
 	successorWindow = 15 * time.Second
-	// maxConcurrentMoves bounds the shards that move at one time. A store that is lost, or that is to be emptied, is replaced
-	// within seconds, since the next one may be lost then.
+	// maxConcurrentMoves bounds the shards that move at one time. A store that is lost, or that is to be emptied, is
+	// replaced within seconds, since the next one may be lost then.
 	maxConcurrentMoves = 24
 	// retryInterval is the wait after a command failed or was rejected.
 	retryInterval = time.Second
@@ -121,7 +121,8 @@
 	r.absentSince = absentSince
 }
 
-// NextCommands are the commands to propose now, in their order, if any. lastRenewal is when a node last renewed its lease.
+// NextCommands are the commands to propose now, in their order, if any. lastRenewal is when a node last renewed its
+// lease.
 func (r *Reconciler) NextCommands(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
 ) []*protocol.Command {
@@ -144,8 +145,8 @@
 	return commands
 }
 
-// lostStores names the stores whose shards are to be placed elsewhere: those without a lease for long, and those that are
-// unresponsive while a store that joined recently can take over.
+// lostStores names the stores whose shards are to be placed elsewhere: those without a lease for long, and those that
+// are unresponsive while a store that joined recently can take over.
 func (r *Reconciler) lostStores(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
 ) map[string]bool {
@@ -162,8 +163,8 @@
 	return lost
 }
 
-// observeUnresponsive updates the set of stores that are being replaced. A store stays in it until it renews its lease, so
-// that the move to its successor is not left half done.
+// observeUnresponsive updates the set of stores that are being replaced. A store stays in it until it renews its
+// lease, so that the move to its successor is not left half done.
 func (r *Reconciler) observeUnresponsive(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
 ) {
@@ -218,7 +219,8 @@
 	}
 }
 
-// firstKeysDiffer reports that the settings of this leader name other first keys than the state while these still count.
+// firstKeysDiffer reports that the settings of this leader name other first keys than the state while these still
+// count.
 func (r *Reconciler) firstKeysDiffer(view *controlstate.View) bool {
 	keys := r.settings.FirstKeys
 	if len(keys) == 0 || (view.Configuration.GetActive() != nil && len(view.FirstKeys) > 0) {
--- a/internal/controlplane/core/rollout/variants.go
+++ b/internal/controlplane/core/rollout/variants.go
@@ -85,7 +85,10 @@
 			FirstTokenBuckets: slices.Clone(total.GetFirstTokenBuckets()),
 		})
 	}
-	slices.SortFunc(sums, func(a, b *protocol.ArmSample) int { return cmp.Compare(a.GetBundleVersion(), b.GetBundleVersion()) })
+	slices.SortFunc(sums, func(a, b *protocol.ArmSample) int {
+		return cmp.Compare(a.GetBundleVersion(),
+			b.GetBundleVersion())
+	})
 	return sums
 }
 
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -1,6 +1,14 @@
-// Package core is the control plane: it keeps the control state on the
-// replicated log, grants leases to nodes, delivers configuration and views to
-// them, places shards on stores and serves operators over HTTP.
+// Package core is the control plane of one core process: it keeps the control
+// state on the replicated log, grants leases to nodes and back ends, delivers
+// configuration and views, places shards on stores and serves operators over
+// HTTP.
+//
+// One goroutine, the owner, holds what a leader keeps in memory (owner.go); the
+// tables that it decides by are packages of their own: leases, heartbeats,
+// rollout and reconcile. Commands go to the log through controllog, the Machine
+// applies them and publishes views, delivery brings these to nodes, and
+// operators serves the HTTP interface. All but the owner's tables may be used by
+// any goroutine.
 package core
 
 import (
@@ -30,18 +38,18 @@
 	DefaultBackEndLease     = 5 * time.Second
 )
 
-// Options of a Service. Zero numbers take the defaults.
+// Options of a Service. Numbers that are zero take the defaults.
 type Options struct {
 	Consensus Consensus
 	Machine   *Machine
 	Clock     replica.Clock
 	// Caller reaches the other core members; without it a member that does not lead takes no heartbeats.
 	Caller wire.Caller
-	// Lease is the length of a node's lease.
+	// Lease is the duration of a node's lease.
 	Lease        time.Duration
 	ShardCount   uint32
 	ReplicaCount uint32
-	// Coalesce is the shortest time between two answers with an update to the same node; negative turns it off.
+	// CoalesceInterval is the shortest time between two answers with an update to the same node; negative turns it off.
 	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
@@ -75,26 +83,32 @@
 	logger         *log.Logger
 }
 
-// New makes a service; Start sets it to work.
-func New(options Options) *Service {
-	if options.Lease == 0 {
-		options.Lease = DefaultLease
+// withDefaults fills in what is not set.
+func (o Options) withDefaults() Options {
+	if o.Lease == 0 {
+		o.Lease = DefaultLease
 	}
-	if options.ShardCount == 0 {
-		options.ShardCount = DefaultShardCount
+	if o.ShardCount == 0 {
+		o.ShardCount = DefaultShardCount
 	}
-	if options.ReplicaCount == 0 {
-		options.ReplicaCount = DefaultReplicaCount
+	if o.ReplicaCount == 0 {
+		o.ReplicaCount = DefaultReplicaCount
 	}
-	if options.CoalesceInterval == 0 {
-		options.CoalesceInterval = DefaultCoalesceInterval
+	if o.CoalesceInterval == 0 {
+		o.CoalesceInterval = DefaultCoalesceInterval
 	}
-	if options.BackEndLease == 0 {
-		options.BackEndLease = DefaultBackEndLease
+	if o.BackEndLease == 0 {
+		o.BackEndLease = DefaultBackEndLease
 	}
-	if options.Tokens == nil {
-		options.Tokens = &operators.Tokens{}
+	if o.Tokens == nil {
+		o.Tokens = &operators.Tokens{}
 	}
+	return o
+}
+
+// New makes a service; it does nothing before Start.
+func New(options Options) *Service {
+	options = options.withDefaults()
 	service := &Service{
 		consensus: options.Consensus,
 		machine:   options.Machine,
@@ -125,7 +139,12 @@
 		Logger:         service.logger,
 		Registerer:     options.Registerer,
 	})
-	service.owner = &owner{
+	service.owner = newOwner(options, service)
+	return service
+}
+
+func newOwner(options Options, service *Service) *owner {
+	return &owner{
 		clock:           options.Clock,
 		consensus:       options.Consensus,
 		caller:          options.Caller,
@@ -145,19 +164,10 @@
 			FirstKeys: options.FirstKeys, ShardCount: options.ShardCount, ReplicaCount: options.ReplicaCount,
 		}),
 	}
-	return service
 }
 
-// Start sets the owner of the leader's tables to work.
+// Start starts the owner of the leader's tables.
 func (s *Service) Start() { s.owner.start() }
 
-// Stop ends the owner and whatever waits on it.
+// Stop ends the owner and what waits for it.
 func (s *Service) Stop() { s.owner.close() }
-
-// requireLeader fails unless this process leads at this moment.
-func (s *Service) requireLeader() error {
-	if !s.owner.isLeader() {
-		return controllog.NotLeader()
-	}
-	return nil
-}
