--- a/internal/controlplane/core/control.go
+++ b/internal/controlplane/core/api.go
@@ -20,13 +20,13 @@
 	return failure.Is(err, failure.NotLeader) || failure.Is(err, failure.NoLeader)
 }
 
-// IsConflict reports that a release was refused because another version is in
-// force than the one it was built on, or because its number was taken by other content.
+// IsConflict reports that a release was rejected because another version is in
+// force than the one it was built on, or because its number has other content already.
 func IsConflict(err error) bool {
 	return failure.Is(err, failure.WrongBase) || failure.Is(err, failure.VersionTaken)
 }
 
-// IsInvalid reports that what was sent has faults; it is refused whenever it is sent.
+// IsInvalid reports that the request has faults; it is rejected whenever it is sent.
 func IsInvalid(err error) bool {
 	for _, code := range []failure.Code{
 		failure.InvalidBundle, failure.InvalidOrder, failure.InvalidField, failure.MissingField,
@@ -55,7 +55,7 @@
 	return leader.GetHttpAddress()
 }
 
-// ReleaseBundle puts a bundle, whole or partial, in force if the version in force is expectedVersion (zero: none). It
+// ReleaseBundle puts a bundle, complete or partial, in force if the version in force is expectedVersion (zero: none). It
 // returns nil only when the release is on the disks of a majority of the core and applied. The same release made
 // again is acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the
 // settings trust operators.
@@ -87,8 +87,8 @@
 
 // EmptyStore orders that all shards leave a store. An order given again changes nothing. Failures: IsUnknownStore,
 // IsTooFewStores when fewer stores would be left than a shard has replicas, IsNotLeader. It does not insist on the
-// spread of the replicas, as the operators' interface does: who gives the order by an adapter decides about its
-// machines, and has no word to give the spread up with.
+// spread of the replicas, as the operators' interface does: a platform that orders it by an adapter decides about its
+// own machines, and its interface has no field to give the spread up with.
 func (s *Service) EmptyStore(ctx context.Context, store string) error {
 	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: store, StoresToKeep: s.replicaCount},
--- a/internal/controlplane/core/control_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -20,36 +20,38 @@
 
 // limitedBundle is the default bundle with one limit of its own.
 func limitedBundle(version uint64, limit uint32) *protocol.Bundle {
-	made := bundle.Default(version)
-	made.Limits.MaxQueued = limit
-	return made
+	limited := bundle.Default(version)
+	limited.Limits.MaxQueued = limit
+	return limited
 }
 
-// manyRoutes is a whole bundle of HTTP routes of which one has another time-out.
+// manyRoutes is a complete bundle of HTTP routes of which one has another time-out.
 func manyRoutes(version uint64, changed int) *protocol.Bundle {
-	made := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "desk"}}}
+	routes := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "desk"}}}
 	for number := range 350 {
-		made.HttpRoutes = append(made.HttpRoutes, &protocol.HttpRoute{
+		routes.HttpRoutes = append(routes.HttpRoutes, &protocol.HttpRoute{
 			Name: fmt.Sprintf("r%03d", number), Host: "h", Prefix: fmt.Sprintf("/%d/", number), TimeoutMillis: 1000,
 			Kind: protocol.HttpRouteKind_HTTP_REPEATABLE, Targets: []*protocol.WeightedGroup{{Group: "desk", Weight: 1}},
 		})
 	}
-	made.HttpRoutes[changed].TimeoutMillis = 2000
-	return made
+	routes.HttpRoutes[changed].TimeoutMillis = 2000
+	return routes
 }
 
 // pollDeltas polls for what is newer than a version of the configuration.
-func (m *member) pollDeltas(ctx context.Context, node *protocol.Node, configuration uint64) (*protocol.PollControlResponse, error) {
+func (m *member) pollDeltas(
+	ctx context.Context, node *protocol.Node, configuration uint64,
+) (*protocol.PollControlResponse, error) {
 	known := m.machine.View().Versions()
 	known.Configuration = configuration
-	var answered *protocol.PollControlResponse
-	err := m.service.Serve(ctx, &protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
+	var answer *protocol.PollControlResponse
+	err := m.service.Serve(ctx, pollRequest(&protocol.PollControlRequest{
 		Node: node.GetName(), Incarnation: node.GetIncarnation(), Known: known, WaitMillis: 20_000, AcceptsDeltas: true,
-	}}}, func(response *protocol.Response) error {
-		answered = response.GetPollControl()
+	}), func(response *protocol.Response) error {
+		answer = response.GetPollControl()
 		return nil
 	})
-	return answered, err
+	return answer, err
 }
 
 var _ = Describe("the control plane as an adapter sees it", func() {
@@ -79,14 +81,26 @@
 		It("say apart that another version is in force, that the bundle is invalid and that another member leads", func() {
 			Expect(leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
 			conflict := leader.service.ReleaseBundle(ctx, limitedBundle(6, 50), 4)
-			Expect([]bool{core.IsConflict(conflict), core.IsInvalid(conflict), core.IsNotLeader(conflict)}).To(Equal([]bool{true, false, false}))
-			taken := leader.service.ReleaseBundle(ctx, limitedBundle(5, 51), 0)
-			Expect([]bool{core.IsConflict(taken), core.IsInvalid(taken), core.IsNotLeader(taken)}).To(Equal([]bool{true, false, false}))
+			Expect([]bool{
+				core.IsConflict(conflict), core.IsInvalid(conflict),
+				core.IsNotLeader(conflict),
+			}).To(Equal([]bool{true, false, false}))
+			versionTaken := leader.service.ReleaseBundle(ctx, limitedBundle(5, 51), 0)
+			Expect([]bool{
+				core.IsConflict(versionTaken), core.IsInvalid(versionTaken),
+				core.IsNotLeader(versionTaken),
+			}).To(Equal([]bool{true, false, false}))
 			invalid := leader.service.ReleaseBundle(ctx, limitedBundle(3, 50), 5)
-			Expect([]bool{core.IsConflict(invalid), core.IsInvalid(invalid), core.IsNotLeader(invalid)}).To(Equal([]bool{false, true, false}))
+			Expect([]bool{
+				core.IsConflict(invalid), core.IsInvalid(invalid),
+				core.IsNotLeader(invalid),
+			}).To(Equal([]bool{false, true, false}))
 			follower := f.members[1].service
 			elsewhere := follower.ReleaseBundle(ctx, limitedBundle(6, 50), 5)
-			Expect([]bool{core.IsConflict(elsewhere), core.IsInvalid(elsewhere), core.IsNotLeader(elsewhere)}).To(Equal([]bool{false, false, true}))
+			Expect([]bool{
+				core.IsConflict(elsewhere), core.IsInvalid(elsewhere),
+				core.IsNotLeader(elsewhere),
+			}).To(Equal([]bool{false, false, true}))
 			_, err := follower.ActiveBundle(ctx)
 			Expect(core.IsNotLeader(err)).To(BeTrue())
 			Expect(follower.LeaderHTTPAddress()).To(Equal(leader.core.GetHttpAddress()))
@@ -99,7 +113,10 @@
 			f.set(func() { leader.loseAnswers = true })
 			lost := leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)
 			Expect(failure.From(lost).GetOutcome()).To(Equal(protocol.Outcome_UNKNOWN))
-			Expect([]bool{core.IsConflict(lost), core.IsInvalid(lost), core.IsNotLeader(lost)}).To(Equal([]bool{false, false, false}))
+			Expect([]bool{
+				core.IsConflict(lost), core.IsInvalid(lost),
+				core.IsNotLeader(lost),
+			}).To(Equal([]bool{false, false, false}))
 			f.set(func() { leader.loseAnswers = false })
 			Expect(leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
 			for version := uint64(6); version < 306; version++ {
@@ -134,24 +151,24 @@
 			Expect(winners).To(Equal(1))
 		})
 
-		It("reach a polling front node within a coalescing interval of the answer before, over hundreds of changes, as deltas", func() {
-			front, held := frontNode("f1", 1), &protocol.Configuration{}
+		It("reach a polling front node as deltas within a coalescing interval, over hundreds of changes", func() {
+			front, configuration := frontNode("f1", 1), &protocol.Configuration{}
 			for version := uint64(1); version <= 300; version++ {
 				Expect(leader.service.ReleaseBundle(ctx, manyRoutes(version, int(version)), version-1)).To(Succeed())
 				f.advance(core.DefaultCoalesceInterval)
-				// The clock stands still: a poll that is held back does not come back before the deadline.
+				// The clock stands still: a poll that is delayed does not return before the deadline.
 				waiting, cancel := context.WithTimeout(ctx, 30*time.Second)
-				answer, err := leader.pollDeltas(waiting, front, held.GetVersion())
+				answer, err := leader.pollDeltas(waiting, front, configuration.GetVersion())
 				cancel()
 				Expect(err).NotTo(HaveOccurred())
 				if version == 1 {
-					held = answer.GetConfiguration()
+					configuration = answer.GetConfiguration()
 				} else {
 					Expect(answer.GetConfiguration()).To(BeNil())
-					held, err = bundle.ApplyDelta(held, answer.GetConfigurationDelta())
+					configuration, err = bundle.ApplyDelta(configuration, answer.GetConfigurationDelta())
 					Expect(err).NotTo(HaveOccurred())
 				}
-				Expect(held.GetActive().GetVersion()).To(Equal(version))
+				Expect(configuration.GetActive().GetVersion()).To(Equal(version))
 			}
 		})
 
@@ -164,10 +181,13 @@
 
 	Describe("announcements of back ends", func() {
 		server := func(state protocol.BackEndState, capacity uint32) *protocol.BackEnd {
-			return &protocol.BackEnd{Id: "s1", Address: "10.1.0.1:1", Incarnation: 1, Kind: protocol.BackEndKind_MODEL_SERVER, State: state, Capacity: capacity}
+			return &protocol.BackEnd{
+				Id: "s1", Address: "10.1.0.1:1", Incarnation: 1, Kind: protocol.BackEndKind_MODEL_SERVER,
+				State: state, Capacity: capacity,
+			}
 		}
 		ready, draining := protocol.BackEndState_READY, protocol.BackEndState_DRAINING
-		held := func() *protocol.BackEnd { return leader.machine.View().BackEnd("s1") }
+		current := func() *protocol.BackEnd { return leader.machine.View().BackEnd("s1") }
 		BeforeEach(func() {
 			f.advance(6 * time.Second)
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 1)).To(Succeed())
@@ -181,7 +201,7 @@
 			}
 			Expect(logIndex()).To(Equal(before))
 			f.advance(core.DefaultBackEndLease + 100*time.Millisecond)
-			Expect(held()).To(BeNil())
+			Expect(current()).To(BeNil())
 		})
 
 		It("count a lease of the length in the settings", func() {
@@ -195,26 +215,26 @@
 			Expect(leader.machine.View().BackEnd("s1")).To(BeNil())
 		})
 
-		It("change nothing when they are late, although the later ones were not written to the log", func() {
+		It("change nothing when they are outdated, although the later ones were not written to the log", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 6), 2)).To(Succeed())
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 6), 5)).To(Succeed())
 			before := logIndex()
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 4)).To(Succeed())
-			Expect(held().GetCapacity()).To(BeEquivalentTo(6))
-			By("asking a new leader, who knows only the log")
+			Expect(current().GetCapacity()).To(BeEquivalentTo(6))
+			By("announcing to a new leader, which knows only the log")
 			leader = f.lead(f.members[1])
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 1)).To(Succeed())
-			Expect(held().GetCapacity()).To(BeEquivalentTo(6))
+			Expect(current().GetCapacity()).To(BeEquivalentTo(6))
 			Expect(logIndex()).To(Equal(before))
 		})
 
-		It("do not renew the lease when they are late", func() {
+		It("do not renew the lease when they are outdated", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 9)).To(Succeed())
 			for range 6 {
 				f.advance(time.Second)
 				Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 8)).To(Succeed())
 			}
-			Expect(held()).To(BeNil())
+			Expect(current()).To(BeNil())
 		})
 
 		It("of draining are acknowledged only when every front node has the view in force, again without a write", func() {
@@ -226,7 +246,7 @@
 				return outcome
 			}
 			first := announce(2)
-			Eventually(func() protocol.BackEndState { return held().GetState() }).Should(Equal(draining))
+			Eventually(func() protocol.BackEndState { return current().GetState() }).Should(Equal(draining))
 			before := logIndex()
 			second := announce(3)
 			f.advance(time.Second)
@@ -238,25 +258,25 @@
 			Eventually(announce(4)).Should(Receive(BeNil()))
 			Expect(logIndex()).To(Equal(before))
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 5)).To(Succeed())
-			Expect(held().GetState()).To(Equal(draining))
+			Expect(current().GetState()).To(Equal(draining))
 		})
 
-		It("of draining end with the lease of a front node that stays silent", func() {
+		It("of draining end with the lease of a front node that does not renew it", func() {
 			leader.renew(frontNode("f1", 1), leader.machine.View().Versions())
 			outcome := make(chan error, 1)
 			go func() { outcome <- leader.service.AnnounceBackEnd(ctx, server(draining, 4), 2) }()
-			Eventually(func() protocol.BackEndState { return held().GetState() }).Should(Equal(draining))
+			Eventually(func() protocol.BackEndState { return current().GetState() }).Should(Equal(draining))
 			f.advance(core.DefaultLease)
 			Expect(outcome).NotTo(Receive())
 			f.advance(400 * time.Millisecond)
 			Eventually(outcome).Should(Receive(BeNil()))
 		})
 
-		It("of draining that are late are not acknowledged while the back end is ready", func() {
+		It("of draining that are outdated are not acknowledged while the back end is ready", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 7)).To(Succeed())
 			late := leader.service.AnnounceBackEnd(ctx, server(draining, 4), 6)
 			Expect(failure.Is(late, failure.InvalidOrder)).To(BeTrue())
-			Expect(held().GetState()).To(Equal(ready))
+			Expect(current().GetState()).To(Equal(ready))
 		})
 
 		It("do not bring back one that was removed, which waits for the front nodes too", func() {
@@ -264,7 +284,7 @@
 			leader.renew(front, leader.machine.View().Versions())
 			outcome := make(chan error, 1)
 			go func() { outcome <- leader.service.RemoveBackEnd(ctx, "s1", 0) }()
-			Eventually(held).Should(BeNil())
+			Eventually(current).Should(BeNil())
 			f.advance(time.Second)
 			Expect(outcome).NotTo(Receive())
 			leader.renew(front, leader.machine.View().Versions())
@@ -272,11 +292,11 @@
 			before := logIndex()
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 9)).To(Succeed())
 			Expect(leader.service.RemoveBackEnd(ctx, "s1", 0)).To(Succeed())
-			Expect(held()).To(BeNil())
+			Expect(current()).To(BeNil())
 			Expect(logIndex()).To(Equal(before))
 		})
 
-		It("are refused at a follower and without an id or address", func() {
+		It("are rejected at a follower and without an id or address", func() {
 			follower := f.members[1].service
 			Expect(core.IsNotLeader(follower.AnnounceBackEnd(ctx, server(ready, 4), 2))).To(BeTrue())
 			Expect(core.IsNotLeader(follower.RemoveBackEnd(ctx, "s1", 0))).To(BeTrue())
@@ -285,7 +305,7 @@
 			Expect(core.IsInvalid(leader.service.RemoveBackEnd(ctx, "", 1))).To(BeTrue())
 		})
 
-		It("stand beside those that front nodes relay", func() {
+		It("coexist with those that front nodes relay", func() {
 			leader.heartbeat(modelServer("m1"))
 			Expect(leader.service.AnnounceBackEnd(ctx, modelServer("m1"), 3)).To(Succeed())
 			leader.heartbeat(modelServer("m1"))
@@ -296,7 +316,7 @@
 	})
 
 	Describe("the emptying of a store", func() {
-		It("is ordered once for ever and stays known to the next leader", func() {
+		It("needs to be ordered only once and is known to the next leader", func() {
 			for number := range 4 {
 				leader.renew(storeNode(fmt.Sprintf("s%d", number), fmt.Sprintf("z%d", number)), leader.machine.View().Versions())
 			}
@@ -341,9 +361,12 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
-			Expect(send(leader, "PUT", "/v1/releases/9?base=6", `{"partial":true,"limits":{"max_queued":90}}`).Code).To(Equal(http.StatusConflict))
-			Expect(send(leader, "PUT", "/v1/releases/9?base=7", `{"partial":true,"limits":{"max_queued":90}}`).Code).To(Equal(http.StatusOK))
-			Expect(send(leader, "PUT", "/v1/releases/8?base=9", `{"partial":true}`).Code).To(Equal(http.StatusUnprocessableEntity))
+			Expect(send(leader, "PUT", "/v1/releases/9?base=6",
+				`{"partial":true,"limits":{"max_queued":90}}`).Code).To(Equal(http.StatusConflict))
+			Expect(send(leader, "PUT", "/v1/releases/9?base=7",
+				`{"partial":true,"limits":{"max_queued":90}}`).Code).To(Equal(http.StatusOK))
+			Expect(send(leader, "PUT", "/v1/releases/8?base=9",
+				`{"partial":true}`).Code).To(Equal(http.StatusUnprocessableEntity))
 			Expect(send(leader, "PUT", "/v1/releases/11?base=x", `{}`).Code).To(Equal(http.StatusBadRequest))
 			Expect(send(leader, "GET", "/v1/releases/active", "").Body.String()).To(MatchRegexp(`"max_queued":\s*90`))
 			moved := send(f.members[1], "GET", "/v1/releases/active", "")
@@ -351,29 +374,32 @@
 			Expect(moved.Header().Get("Location")).To(HaveSuffix("/v1/releases/active"))
 		})
 
-		It("takes announcements of back ends and their end", func() {
-			Expect(send(leader, "PUT", "/v1/backends/s1?sequence=4", `{"address":"10.1.0.1:1","state":"READY","group":"desk"}`).Code).To(Equal(http.StatusOK))
+		It("accepts announcements and removals of back ends", func() {
+			Expect(send(leader, "PUT", "/v1/backends/s1?sequence=4",
+				`{"address":"10.1.0.1:1","state":"READY","group":"desk"}`).Code).To(Equal(http.StatusOK))
 			Expect(leader.machine.View().BackEnd("s1").GetGroup()).To(Equal("desk"))
 			Expect(send(leader, "PUT", "/v1/backends/s1?sequence=5", `{"id":"s2"}`).Code).To(Equal(http.StatusBadRequest))
 			Expect(send(leader, "DELETE", "/v1/backends/s1", "").Code).To(Equal(http.StatusOK))
-			Expect(send(leader, "PUT", "/v1/backends/s1?sequence=6", `{"address":"10.1.0.1:1","state":"READY"}`).Code).To(Equal(http.StatusOK))
+			Expect(send(leader, "PUT", "/v1/backends/s1?sequence=6",
+				`{"address":"10.1.0.1:1","state":"READY"}`).Code).To(Equal(http.StatusOK))
 			Expect(leader.machine.View().BackEnd("s1")).To(BeNil())
 		})
 
-		It("says what becomes of a store", func() {
+		It("reports the state of a store", func() {
 			leader.renew(storeNode("s0", "z0"), leader.machine.View().Versions())
 			Expect(send(leader, "GET", "/v1/stores/s0", "").Body.String()).To(ContainSubstring(`"state":"ready"`))
 			Expect(send(leader, "GET", "/v1/stores/s9", "").Code).To(Equal(http.StatusNotFound))
-			Expect(send(leader, "POST", "/v1/stores/s0/empty", `{"stores_to_keep":3}`).Code).To(Equal(http.StatusBadRequest), "an order id is needed")
+			Expect(send(leader, "POST", "/v1/stores/s0/empty", `{"stores_to_keep":3}`).Code).To(Equal(http.StatusBadRequest),
+				"an order id is needed")
 			ordered := httptest.NewRequest(http.MethodPost, "/v1/stores/s0/empty", strings.NewReader(`{"stores_to_keep":3}`))
 			ordered.Header.Set("Rosestand-Order", "e1")
-			refused := httptest.NewRecorder()
-			leader.service.ServeHTTP(refused, ordered)
-			Expect(refused.Code).To(Equal(http.StatusConflict))
-			Expect(refused.Body.String()).To(ContainSubstring("too_few_stores"))
+			rejected := httptest.NewRecorder()
+			leader.service.ServeHTTP(rejected, ordered)
+			Expect(rejected.Code).To(Equal(http.StatusConflict))
+			Expect(rejected.Body.String()).To(ContainSubstring("too_few_stores"))
 		})
 
-		It("refuses all of it where the settings do not trust operators", func() {
+		It("rejects all of it where the settings do not trust operators", func() {
 			strict := newFleet(1, nil)
 			leader := strict.lead(strict.members[0])
 			Expect(send(leader, "PUT", "/v1/releases/7", "{}").Code).To(Equal(http.StatusUnauthorized))
--- a/internal/controlplane/core/coalesce_test.go
+++ b/internal/controlplane/core/coalesce_test.go
@@ -27,17 +27,18 @@
 			leader.renew(frontNode(fmt.Sprintf("f%d", i), 1), nil)
 		}
 	})
-	ask := func(known *protocol.ControlVersions, wait uint32, fresh bool) <-chan polled {
+	poll := func(known *protocol.ControlVersions, wait uint32, fresh bool) <-chan polled {
 		outcome := make(chan polled, 1)
 		go func() {
-			answer, err := leader.call(&protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
+			answer, err := leader.call(pollRequest(&protocol.PollControlRequest{
 				Node: watcher.GetName(), Incarnation: 1, Known: known, WaitMillis: wait, AcceptsDeltas: true, Fresh: fresh,
-			}}})
+			}))
 			outcome <- polled{answer: answer.GetPollControl(), err: err}
 		}()
 		return outcome
 	}
-	answered := func(outcome <-chan polled) *protocol.PollControlResponse {
+	//nolint:unparam // the contexts below use the result
+	expectAnswer := func(outcome <-chan polled) *protocol.PollControlResponse {
 		GinkgoHelper()
 		var got polled
 		Eventually(outcome).Should(Receive(&got))
@@ -47,15 +48,15 @@
 	// caughtUp makes the watcher hold all there is, long ago.
 	caughtUp := func() *protocol.ControlVersions {
 		GinkgoHelper()
-		answered(ask(nil, 10_000, false))
+		expectAnswer(poll(nil, 10_000, false))
 		known := leader.machine.View().Versions()
 		f.advance(time.Second)
 		return known
 	}
 
-	It("is told at once when it begins after quiet, and then once in the coalescing interval", func() {
+	It("is sent at once when it begins after an idle time, and then once in the coalescing interval", func() {
 		known := caughtUp()
-		first := ask(known, 10_000, false)
+		first := poll(known, 10_000, false)
 		Eventually(f.clock.waiting).Should(Equal(2))
 		leader.renew(frontNode("f1", 2), nil)
 		var got polled
@@ -64,7 +65,7 @@
 		Expect(got.answer.GetMembershipDelta().GetUpserted()).To(HaveLen(1))
 
 		known.Membership = got.answer.GetMembershipDelta().GetVersion()
-		second := ask(known, 10_000, false)
+		second := poll(known, 10_000, false)
 		Eventually(f.clock.waiting).Should(Equal(2))
 		for i := range 20 {
 			leader.renew(frontNode(fmt.Sprintf("f%d", i), 3), nil)
@@ -76,13 +77,13 @@
 		Expect(got.answer.GetMembershipDelta().GetUpserted()).To(HaveLen(20), "all of them in one answer")
 	})
 
-	Context("of leases that end at one time", func() {
+	Context("of leases that expire at one time", func() {
 		var known *protocol.ControlVersions
-		var held *protocol.MembershipView
+		var membership *protocol.MembershipView
 		BeforeEach(func() {
 			known = caughtUp()
-			held = leader.machine.View().Membership
-			Expect(held.GetNodes()).To(HaveLen(1 + burst))
+			membership = leader.machine.View().Membership
+			Expect(membership.GetNodes()).To(HaveLen(1 + burst))
 		})
 		// approachEnd stops one tick before the leases of all but the watcher end.
 		approachEnd := func() {
@@ -110,70 +111,70 @@
 			gate.let(count)
 			Eventually(leader.names).Should(HaveLen(left))
 		}
-		// take applies an answer, which holds the whole membership or what changed.
+		// take applies an answer, which is the full snapshot of the membership or a delta.
 		take := func(answer *protocol.PollControlResponse) {
 			GinkgoHelper()
 			if delta := answer.GetMembershipDelta(); delta != nil {
 				Expect(answer.GetMembership()).To(BeNil())
-				applied, err := views.ApplyMembership(held, delta)
+				applied, err := views.ApplyMembership(membership, delta)
 				Expect(err).NotTo(HaveOccurred())
-				held = applied
+				membership = applied
 			} else {
 				Expect(answer.GetMembership()).NotTo(BeNil())
-				held = answer.GetMembership()
+				membership = answer.GetMembership()
 			}
-			known.Membership = held.GetVersion()
+			known.Membership = membership.GetVersion()
 		}
 		// expectCurrent checks that the watcher holds the membership that the leader holds, and how many nodes are in it.
 		expectCurrent := func(nodes int) {
 			GinkgoHelper()
-			Expect(held.GetNodes()).To(HaveLen(nodes))
-			Expect(proto.Equal(held, leader.machine.View().Membership)).To(BeTrue())
+			Expect(membership.GetNodes()).To(HaveLen(nodes))
+			Expect(proto.Equal(membership, leader.machine.View().Membership)).To(BeTrue())
 		}
-		// takeHeldBack takes the answer of a poll that is held back until the coalescing interval has passed.
-		takeHeldBack := func(outcome <-chan polled) {
+		// takeDelayed takes the answer of a poll that is delayed until the coalescing interval has passed.
+		takeDelayed := func(outcome <-chan polled) {
 			GinkgoHelper()
 			Eventually(f.clock.waiting).Should(Equal(3))
 			Expect(outcome).NotTo(Receive())
 			f.advance(core.DefaultCoalesceInterval)
-			take(answered(outcome))
+			take(expectAnswer(outcome))
 		}
 
-		It("is told in two answers", func() {
-			first := ask(known, 30_000, false)
+		It("is sent in two answers", func() {
+			first := poll(known, 30_000, false)
 			Eventually(f.clock.waiting).Should(Equal(2))
 			approachEnd()
 			f.advance(100 * time.Millisecond)
 			Expect(leader.names()).To(Equal([]string{"watcher"}))
-			take(answered(first))
-			if len(held.GetNodes()) > 1 {
-				takeHeldBack(ask(known, 30_000, false))
+			take(expectAnswer(first))
+			if len(membership.GetNodes()) > 1 {
+				takeDelayed(poll(known, 30_000, false))
 			}
 			expectCurrent(1)
 		})
 
-		It("wakes a poll at the first of them, and the others are told in one answer", func() {
-			first := ask(known, 30_000, false)
+		It("wakes a poll at the first of them, and the others are sent in one answer", func() {
+			first := poll(known, 30_000, false)
 			Eventually(f.clock.waiting).Should(Equal(2))
 			gate := endBehindGate()
 			Expect(first).NotTo(Receive())
 			letThrough(gate, 1)
-			take(answered(first))
+			take(expectAnswer(first))
 			expectCurrent(burst)
-			second := ask(known, 30_000, false)
+			second := poll(known, 30_000, false)
 			letThrough(gate, burst-1)
-			takeHeldBack(second)
+			takeDelayed(second)
 			expectCurrent(1)
 		})
 
-		DescribeTable("is told in two answers however many of them the first has", func(count int) {
+		DescribeTable("is sent in two answers however many of them the first has", func(count int) {
 			gate := endBehindGate()
 			letThrough(gate, count)
-			take(answered(ask(known, 30_000, false)))
+			take(expectAnswer(poll(known, 30_000, false)))
 			expectCurrent(1 + burst - count)
-			second := ask(known, 30_000, false)
+			second := poll(known, 30_000, false)
 			letThrough(gate, burst-count)
-			takeHeldBack(second)
+			takeDelayed(second)
 			expectCurrent(1)
 		},
 			Entry("one", 1),
@@ -182,40 +183,40 @@
 			Entry("all but one", burst-1),
 		)
 
-		It("is told in one answer that has all of them", func() {
+		It("is sent in one answer that has all of them", func() {
 			letThrough(endBehindGate(), burst)
-			take(answered(ask(known, 30_000, false)))
+			take(expectAnswer(poll(known, 30_000, false)))
 			expectCurrent(1)
-			second := ask(known, 1000, false)
+			second := poll(known, 1000, false)
 			Eventually(f.clock.waiting).Should(Equal(2))
 			f.advance(time.Second)
-			Expect(proto.Equal(answered(second), &protocol.PollControlResponse{})).To(BeTrue())
+			Expect(proto.Equal(expectAnswer(second), &protocol.PollControlResponse{})).To(BeTrue())
 		})
 	})
 
-	It("holds back no fresh poll and none that asks again for what was sent", func() {
+	It("delays no fresh poll and none that requests again what was sent", func() {
 		known := caughtUp()
 		leader.renew(frontNode("f1", 2), nil)
-		answered(ask(known, 10_000, false))
+		expectAnswer(poll(known, 10_000, false))
 		leader.renew(frontNode("f2", 2), nil)
-		answered(ask(known, 10_000, true))
-		answered(ask(known, 10_000, false))
+		expectAnswer(poll(known, 10_000, true))
+		expectAnswer(poll(known, 10_000, false))
 	})
 
-	It("lets go of a poll that is held back when the leadership ends", func() {
+	It("ends a delayed poll when the leadership ends", func() {
 		known := caughtUp()
 		leader.renew(frontNode("f1", 2), nil)
-		answered(ask(known, 10_000, false))
+		expectAnswer(poll(known, 10_000, false))
 		leader.renew(frontNode("f2", 2), nil)
-		held := ask(known, 10_000, false)
+		delayed := poll(known, 10_000, false)
 		Eventually(f.clock.waiting).Should(Equal(3))
 		f.lead(nil)
 		var got polled
-		Eventually(held).Should(Receive(&got))
+		Eventually(delayed).Should(Receive(&got))
 		Expect(got.err).To(HaveOccurred())
 	})
 
-	It("of a node that knows no deltas is told whole", func() {
+	It("is sent as a full snapshot to a node that accepts no deltas", func() {
 		known := caughtUp()
 		leader.renew(frontNode("f1", 2), nil)
 		answer, err := leader.poll(watcher, known, 10_000)
@@ -224,13 +225,13 @@
 		Expect(answer.GetMembership().GetNodes()).To(HaveLen(1 + burst))
 	})
 
-	It("is told whole to a node whose version is older than the leader's history", func() {
+	It("is sent as a full snapshot to a node whose version is older than the leader's history", func() {
 		known := caughtUp()
 		leader.renew(frontNode("f1", 2), nil)
 		leader.restart()
 		leader.renew(frontNode("f2", 2), nil)
 		var got polled
-		Eventually(ask(known, 10_000, false)).Should(Receive(&got))
+		Eventually(poll(known, 10_000, false)).Should(Receive(&got))
 		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(1 + burst))
 	})
 })
--- a/internal/controlplane/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -14,19 +14,19 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-var errCut = errors.New("the link is cut")
+var errPartitioned = errors.New("the network is partitioned")
 
 // network carries requests between the members of a fleet and counts those that arrive.
 type network struct {
 	mutex   sync.Mutex
 	members map[string]*member
-	// cut are the addresses whose requests do not get through.
-	cut map[string]bool
+	// partitioned are the addresses whose requests do not get through.
+	partitioned map[string]bool
 	// loseAnswers are the addresses that send requests but get no answers.
 	loseAnswers map[string]bool
 	arrived     map[string]*traffic
-	// held are the addresses that take requests and say nothing until their channel is closed.
-	held map[string]chan struct{}
+	// unresponsive are the addresses that take requests and do not answer until their channel is closed.
+	unresponsive map[string]chan struct{}
 }
 
 // traffic is what arrived at one address.
@@ -41,34 +41,37 @@
 }
 
 func (l *link) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
-	return nil, errCut
+	return nil, errPartitioned
 }
 
 func (l *link) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
-	target, lost, held := l.network.admit(l.from, address, request)
-	if held != nil {
-		<-held
-		return nil, errCut
+	target, answerLost, unresponsive := l.network.admit(l.from, address, request)
+	if unresponsive != nil {
+		<-unresponsive
+		return nil, errPartitioned
 	}
 	if target == nil {
-		return nil, errCut
+		return nil, errPartitioned
 	}
-	var answered *protocol.Response
+	var answer *protocol.Response
 	err := target.service.Serve(ctx, request, func(response *protocol.Response) error {
-		answered = response
+		answer = response
 		return nil
 	})
-	if lost {
-		return nil, errCut
+	if answerLost {
+		return nil, errPartitioned
 	}
-	return answered, err
+	return answer, err
 }
 
-// admit counts a request and finds who gets it, nil when the link is cut, and whether it is held there.
-func (n *network) admit(from, address string, request *protocol.Request) (target *member, loseAnswer bool, held chan struct{}) {
+// admit counts a request and finds its receiver, nil when the network is partitioned, and the channel that it waits
+// for there.
+func (n *network) admit(
+	from, address string, request *protocol.Request,
+) (target *member, loseAnswer bool, unresponsive chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.cut[from] || n.cut[address] {
+	if n.partitioned[from] || n.partitioned[address] {
 		return nil, false, nil
 	}
 	counted := n.at(address)
@@ -78,7 +81,7 @@
 	if request.GetAnnounceBackEnd() != nil {
 		counted.announcements++
 	}
-	return n.members[address], n.loseAnswers[from], n.held[address]
+	return n.members[address], n.loseAnswers[from], n.unresponsive[address]
 }
 
 func (n *network) at(address string) *traffic {
@@ -97,10 +100,10 @@
 	return counted
 }
 
-func (n *network) setCut(m *member, cut bool) {
+func (n *network) setPartitioned(m *member, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[m.core.GetAddress()] = cut
+	n.partitioned[m.core.GetAddress()] = partitioned
 }
 
 func (n *network) setLoseAnswers(m *member, lose bool) {
@@ -109,18 +112,21 @@
 	n.loseAnswers[m.core.GetAddress()] = lose
 }
 
-// hold makes a member fall silent; release ends that.
-func (n *network) hold(m *member) (release func()) {
+// setUnresponsive makes a member answer nothing; release ends that.
+func (n *network) setUnresponsive(m *member) (release func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	held := make(chan struct{})
-	n.held[m.core.GetAddress()] = held
-	return sync.OnceFunc(func() { close(held) })
+	released := make(chan struct{})
+	n.unresponsive[m.core.GetAddress()] = released
+	return sync.OnceFunc(func() { close(released) })
 }
 
 // newConnectedFleet makes a fleet whose members reach each other; each is in a zone of its own.
-func newConnectedFleet(size int, configure func(*core.Options)) (*fleet, *network) {
-	n := &network{members: map[string]*member{}, cut: map[string]bool{}, loseAnswers: map[string]bool{}, arrived: map[string]*traffic{}, held: map[string]chan struct{}{}}
+func newConnectedFleet(size int) (*fleet, *network) {
+	n := &network{
+		members: map[string]*member{}, partitioned: map[string]bool{}, loseAnswers: map[string]bool{},
+		arrived: map[string]*traffic{}, unresponsive: map[string]chan struct{}{},
+	}
 	var all []*protocol.CoreMember
 	f := newFleet(size, func(options *core.Options) {
 		m := options.Consensus.(*member)
@@ -128,9 +134,6 @@
 		n.members[m.core.GetAddress()] = m
 		all = append(all, m.core)
 		options.Caller = &link{network: n, from: m.core.GetAddress()}
-		if configure != nil {
-			configure(options)
-		}
 		for _, known := range n.members {
 			known.members = all
 		}
@@ -138,7 +141,7 @@
 	return f, n
 }
 
-// catchUp applies what was held back from a lagging member.
+// catchUp applies what a lagging member has not applied.
 func (m *member) catchUp() {
 	m.fleet.set(func() {
 		for _, entry := range m.backlog {
@@ -150,13 +153,15 @@
 
 // announce sends one heartbeat to a member.
 func (m *member) announce(backEnd *protocol.BackEnd, sequence uint64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return m.service.AnnounceBackEnd(ctx, backEnd, sequence)
 }
 
 // announceEverySecond sends heartbeats to a member for a time and returns the last sequence.
-func (f *fleet) announceEverySecond(to *member, backEnd *protocol.BackEnd, sequence uint64, duration time.Duration) (uint64, error) {
+func (f *fleet) announceEverySecond(
+	to *member, backEnd *protocol.BackEnd, sequence uint64, duration time.Duration,
+) (uint64, error) {
 	for ; duration > 0; duration -= time.Second {
 		sequence++
 		if err := to.announce(backEnd, sequence); err != nil {
@@ -169,7 +174,7 @@
 
 // context bounds a call of a spec.
 func (f *fleet) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	ginkgo.DeferCleanup(cancel)
 	return ctx
 }
--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -47,7 +47,7 @@
 	answers    int
 }
 
-// delivery is a core with the whole fleet polling it in virtual time.
+// delivery is a core with the complete fleet polling it in virtual time.
 type delivery struct {
 	fleet    *fleet
 	leader   *member
@@ -86,8 +86,9 @@
 func fleetNode(number int, incarnation uint64) *protocol.Node {
 	node := &protocol.Node{
 		Name: fmt.Sprintf("front-%03d", number), Kind: protocol.NodeKind_FRONT, Incarnation: 1_764_650_000_000 + incarnation,
-		Address: fmt.Sprintf("10.%d.0.%d:7100", number%fleetZones, number), HttpAddress: fmt.Sprintf("10.%d.0.%d:8100", number%fleetZones, number),
-		Zone: fmt.Sprintf("zone-%d", number%fleetZones), Region: fmt.Sprintf("region-%d", number%3),
+		Address:     fmt.Sprintf("10.%d.0.%d:7100", number%fleetZones, number),
+		HttpAddress: fmt.Sprintf("10.%d.0.%d:8100", number%fleetZones, number),
+		Zone:        fmt.Sprintf("zone-%d", number%fleetZones), Region: fmt.Sprintf("region-%d", number%3),
 	}
 	if number >= fleetFronts {
 		node.Name, node.Kind = fmt.Sprintf("store-%03d", number), protocol.NodeKind_STORE
@@ -98,22 +99,28 @@
 
 func fleetBackEnd(number int, incarnation uint64) *protocol.BackEnd {
 	return &protocol.BackEnd{
-		Id: fmt.Sprintf("model-server-%03d", number), Kind: protocol.BackEndKind_MODEL_SERVER, State: protocol.BackEndState_READY,
-		Address: fmt.Sprintf("10.%d.1.%d:9000", number%fleetZones, number), Zone: fmt.Sprintf("zone-%d", number%fleetZones), Region: fmt.Sprintf("region-%d", number%3),
-		Group: "assistants", Models: []string{"booking-assistant", "climate-advisor"}, Incarnation: 1_764_650_000_000 + incarnation, Capacity: 64,
+		Id:   fmt.Sprintf("model-server-%03d", number),
+		Kind: protocol.BackEndKind_MODEL_SERVER, State: protocol.BackEndState_READY,
+		Address: fmt.Sprintf("10.%d.1.%d:9000", number%fleetZones, number),
+		Zone:    fmt.Sprintf("zone-%d", number%fleetZones), Region: fmt.Sprintf("region-%d", number%3),
+		Group: "assistants", Models: []string{"booking-assistant", "climate-advisor"},
+		Incarnation: 1_764_650_000_000 + incarnation, Capacity: 64,
 	}
 }
 
 func fleetBundle() *protocol.Bundle {
-	made := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
+	large := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range fleetTenants {
-		made.Tenants = append(made.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
+		large.Tenants = append(large.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
 	}
 	for i := range fleetRoutes {
 		tenant, model := fmt.Sprintf("tenant-%03d", i%fleetTenants), fmt.Sprintf("model-%02d", i/fleetTenants)
-		made.Routes = append(made.Routes, &protocol.Route{Name: tenant + "-" + model, Tenant: tenant, Model: model, Group: "assistants"})
+		large.Routes = append(large.Routes, &protocol.Route{
+			Name: tenant + "-" + model, Tenant: tenant, Model: model,
+			Group: "assistants",
+		})
 	}
-	return made
+	return large
 }
 
 func joinCommand(node *protocol.Node) *protocol.Command {
@@ -121,11 +128,13 @@
 }
 
 func removeCommand(node *protocol.Node) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{Name: node.GetName(), Incarnation: node.GetIncarnation()}}}
+	command := &protocol.RemoveNodeCommand{Name: node.GetName(), Incarnation: node.GetIncarnation()}
+	return &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: command}}
 }
 
 func upsertCommand(backEnd *protocol.BackEnd) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}}}
+	command := &protocol.UpsertBackEndCommand{BackEnd: backEnd}
+	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: command}}
 }
 
 func (d *delivery) propose(command *protocol.Command) {
@@ -142,7 +151,8 @@
 // putInForce hands a bundle in and signs it.
 func (d *delivery) putInForce(submitted *protocol.Bundle) {
 	GinkgoHelper()
-	d.propose(&protocol.Command{Body: &protocol.Command_PutBundle{PutBundle: &protocol.PutBundleCommand{Bundle: submitted}}})
+	put := &protocol.PutBundleCommand{Bundle: submitted}
+	d.propose(&protocol.Command{Body: &protocol.Command_PutBundle{PutBundle: put}})
 	digest := d.leader.machine.View().Bundle(submitted.GetVersion()).Status.GetMergedDigest()
 	d.propose(&protocol.Command{Body: &protocol.Command_SignBundle{SignBundle: &protocol.SignBundleCommand{
 		Version: submitted.GetVersion(), KeyName: "ann", Signature: bundle.Sign(d.private, digest),
@@ -166,7 +176,10 @@
 	d.leader = d.fleet.lead(d.fleet.members[0])
 	view := d.leader.machine.View()
 	for _, node := range view.Membership.GetNodes() {
-		d.watchers = append(d.watchers, &watcher{node: node, known: view.Versions(), membership: view.Membership, backEnds: view.BackEnds, placement: view.Placement})
+		d.watchers = append(d.watchers, &watcher{
+			node: node, known: view.Versions(), membership: view.Membership,
+			backEnds: view.BackEnds, placement: view.Placement,
+		})
 	}
 	return d
 }
@@ -187,7 +200,8 @@
 	for i := range fleetBackEnds {
 		d.propose(upsertCommand(fleetBackEnd(i, 1)))
 	}
-	d.propose(&protocol.Command{Body: &protocol.Command_InitializePlacement{InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 64, ReplicaCount: 3}}})
+	placement := &protocol.InitializePlacementCommand{ShardCount: 64, ReplicaCount: 3}
+	d.propose(&protocol.Command{Body: &protocol.Command_InitializePlacement{InitializePlacement: placement}})
 	var snapshot bytes.Buffer
 	Expect(d.leader.machine.Snapshot(&snapshot)).To(Succeed())
 	return snapshot.Bytes(), private
@@ -198,14 +212,15 @@
 	GinkgoHelper()
 	view := d.leader.machine.View()
 	for _, w := range d.watchers {
-		// A poll that knows all there is would be held back; nothing would be sent.
+		// A poll that knows the newest versions would wait; nothing would be sent.
 		if w.away || w.holds(view) {
 			continue
 		}
-		answer, err := d.leader.call(&protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
-			Node: w.node.GetName(), Incarnation: w.node.GetIncarnation(), Known: w.known, AcceptsDeltas: d.deltas, AcceptsPackedConfiguration: d.deltas,
-			AcceptsPackedViews: d.deltas,
-		}}})
+		answer, err := d.leader.call(pollRequest(&protocol.PollControlRequest{
+			Node: w.node.GetName(), Incarnation: w.node.GetIncarnation(), Known: w.known, AcceptsDeltas: d.deltas,
+			AcceptsPackedConfiguration: d.deltas,
+			AcceptsPackedViews:         d.deltas,
+		}))
 		Expect(err).NotTo(HaveOccurred())
 		w.take(answer.GetPollControl(), d.sizes)
 	}
@@ -222,7 +237,8 @@
 }
 
 func (w *watcher) holds(view *controlstate.View) bool {
-	return w.known.GetConfiguration() == view.Configuration.GetVersion() && w.known.GetMembership() == view.Membership.GetVersion() &&
+	return w.known.GetConfiguration() == view.Configuration.GetVersion() &&
+		w.known.GetMembership() == view.Membership.GetVersion() &&
 		w.known.GetBackEnds() == view.BackEnds.GetVersion() && w.known.GetPlacement() == view.Placement.GetEpoch()
 }
 
@@ -234,13 +250,14 @@
 	}
 	w.answers++
 	w.bytes += size
-	w.policies += proto.Size(answer.GetConfiguration()) + proto.Size(answer.GetConfigurationDelta()) + len(answer.GetPackedConfiguration())
-	whole, err := answer.GetConfiguration(), error(nil)
+	w.policies += proto.Size(answer.GetConfiguration()) + proto.Size(answer.GetConfigurationDelta())
+	w.policies += len(answer.GetPackedConfiguration())
+	configuration, err := answer.GetConfiguration(), error(nil)
 	if packed := answer.GetPackedConfiguration(); packed != nil {
-		Expect(whole).To(BeNil())
-		whole, err = packing.UnpackConfiguration(packed)
+		Expect(configuration).To(BeNil())
+		configuration, err = packing.UnpackConfiguration(packed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(bundle.Digest(whole.GetActive())).To(Equal(whole.GetActiveDigest()))
+		Expect(bundle.Digest(configuration.GetActive())).To(Equal(configuration.GetActiveDigest()))
 	}
 	switch delta := answer.GetMembershipDelta(); {
 	case delta != nil:
@@ -273,8 +290,9 @@
 	}
 	Expect(err).NotTo(HaveOccurred())
 	w.known = &protocol.ControlVersions{
-		Configuration: max(w.known.GetConfiguration(), whole.GetVersion(), answer.GetConfigurationDelta().GetVersion()),
-		Membership:    w.membership.GetVersion(), BackEnds: w.backEnds.GetVersion(), Placement: w.placement.GetEpoch(),
+		Configuration: max(w.known.GetConfiguration(), configuration.GetVersion(),
+			answer.GetConfigurationDelta().GetVersion()),
+		Membership: w.membership.GetVersion(), BackEnds: w.backEnds.GetVersion(), Placement: w.placement.GetEpoch(),
 	}
 }
 
@@ -300,13 +318,13 @@
 }
 
 func (d *delivery) inZone(zone string) []*watcher {
-	var found []*watcher
+	var watchers []*watcher
 	for _, w := range d.watchers {
 		if w.node.GetZone() == zone {
-			found = append(found, w)
+			watchers = append(watchers, w)
 		}
 	}
-	return found
+	return watchers
 }
 
 // returning brings nodes back evenly over a second, or gives them nothing to do once all are there.
@@ -327,11 +345,13 @@
 func (d *delivery) settled() {
 	GinkgoHelper()
 	view := d.leader.machine.View()
-	membership, backEnds := views.MembershipChecksum(view.Membership.GetNodes()), views.BackEndsChecksum(view.BackEnds.GetBackEnds())
+	membership := views.MembershipChecksum(view.Membership.GetNodes())
+	backEnds := views.BackEndsChecksum(view.BackEnds.GetBackEnds())
 	placement := views.PlacementChecksum(view.Placement)
 	for i, w := range d.watchers {
-		Expect(proto.Equal(w.known, view.Versions())).To(BeTrue(), "%s holds %v of %v", w.node.GetName(), w.known, view.Versions())
-		// The checksums cover every field; they stand for the whole comparison, which takes long for each of 330 nodes.
+		Expect(proto.Equal(w.known, view.Versions())).To(BeTrue(), "%s holds %v of %v", w.node.GetName(), w.known,
+			view.Versions())
+		// The checksums cover every field; they replace the complete comparison, which takes long for each of 330 nodes.
 		Expect(views.MembershipChecksum(w.membership.GetNodes())).To(Equal(membership), w.node.GetName())
 		Expect(views.BackEndsChecksum(w.backEnds.GetBackEnds())).To(Equal(backEnds), w.node.GetName())
 		Expect(views.PlacementChecksum(w.placement)).To(Equal(placement), w.node.GetName())
@@ -358,7 +378,8 @@
 	const oneRouteChanges = 20
 	BeforeAll(func() {
 		snapshot, private = fleetSnapshot()
-		GinkgoWriter.Println("event | mode | bytes at the leader | of it configuration | mean bytes a node | largest node | answers")
+		GinkgoWriter.Println("event | mode | bytes at the leader | of it configuration |",
+			"mean bytes a node | largest node | answers")
 	})
 
 	DescribeTable("is cheap and complete after",
@@ -372,7 +393,8 @@
 				d.settled()
 				total, policies, answers, largest := d.total()
 				sent[mode] = total - policies
-				GinkgoWriter.Printf("%s | %s | %d | %d | %d | %d | %d\n", name, mode, total, policies, total/len(d.watchers), largest, answers)
+				GinkgoWriter.Printf("%s | %s | %d | %d | %d | %d | %d\n", name, mode, total, policies, total/len(d.watchers),
+					largest, answers)
 			}
 			Expect(sent["after"]*factor).To(BeNumerically("<=", sent["before"]), "views, without the configuration")
 		},
@@ -382,20 +404,21 @@
 			d.run(500*time.Millisecond, quiet)
 			d.comeBack(lost[0], true)
 		}),
-		Entry("(b) the loss of a zone", "(b) a zone of 55 lost, 55 processes come back with what they held", 20, func(d *delivery) {
-			lost := d.inZone("zone-1")
-			Expect(lost).To(HaveLen(55))
-			d.lose(lost)
-			d.run(time.Second, quiet)
-			d.run(time.Second, d.returning(lost, false))
-		}),
+		Entry("(b) the loss of a zone", "(b) a zone of 55 lost, 55 processes come back with the views they had", 20,
+			func(d *delivery) {
+				lost := d.inZone("zone-1")
+				Expect(lost).To(HaveLen(55))
+				d.lose(lost)
+				d.run(time.Second, quiet)
+				d.run(time.Second, d.returning(lost, false))
+			}),
 		Entry("(b) the restart of a zone", "(b) a zone of 55 lost, 55 processes started anew", 8, func(d *delivery) {
 			lost := d.inZone("zone-1")
 			d.lose(lost)
 			d.run(time.Second, quiet)
 			d.run(time.Second, d.returning(lost, true))
 		}),
-		Entry("(c) the return of all", "(c) all 330 come back at once with what they held", 4, func(d *delivery) {
+		Entry("(c) the return of all", "(c) all 330 come back at once with the views they had", 4, func(d *delivery) {
 			d.lose(d.watchers)
 			d.run(time.Second, quiet)
 			d.run(time.Second, d.returning(d.watchers, false))
--- a/internal/controlplane/core/drain_test.go
+++ b/internal/controlplane/core/drain_test.go
@@ -19,7 +19,7 @@
 func (m *member) drain(id string) <-chan drained {
 	outcome := make(chan drained, 1)
 	go func() {
-		answer, err := m.call(&protocol.Request{Body: &protocol.Request_DrainBackEnd{DrainBackEnd: &protocol.DrainBackEndRequest{Id: id, Incarnation: 1}}})
+		answer, err := m.call(drainRequest(&protocol.DrainBackEndRequest{Id: id, Incarnation: 1}))
 		outcome <- drained{Version: answer.GetDrainBackEnd().GetViewVersion(), Err: err}
 	}()
 	return outcome
@@ -41,7 +41,8 @@
 	begin := func() <-chan drained {
 		GinkgoHelper()
 		outcome := leader.drain("m1")
-		Eventually(func() protocol.BackEndState { return leader.machine.View().BackEnd("m1").GetState() }).Should(Equal(protocol.BackEndState_DRAINING))
+		state := func() protocol.BackEndState { return leader.machine.View().BackEnd("m1").GetState() }
+		Eventually(state).Should(Equal(protocol.BackEndState_DRAINING))
 		f.advance(50 * time.Millisecond)
 		return outcome
 	}
@@ -59,7 +60,7 @@
 		Expect(got.Version).To(Equal(leader.machine.View().BackEnds.GetVersion()))
 	})
 
-	It("takes a poll of the incarnation under the lease as confirmed, but not that of another", func() {
+	It("is confirmed by a poll of the incarnation with the lease, but not that of another", func() {
 		outcome := begin()
 		leader.renew(f1, leader.machine.View().Versions())
 		_, err := leader.poll(frontNode("f2", 7), leader.machine.View().Versions(), 0)
@@ -71,7 +72,7 @@
 		Eventually(outcome).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("is acknowledged when the lease of a silent front node has run out", func() {
+	It("is acknowledged when the lease of an unresponsive front node has expired", func() {
 		outcome := begin()
 		for range 4 {
 			f.advance(time.Second)
@@ -82,7 +83,7 @@
 		Eventually(outcome).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("waits under a new leader, who knows no confirmations", func() {
+	It("waits under a new leader, which knows no confirmations", func() {
 		outcome := begin()
 		next := f.lead(f.members[1])
 		var got drained
@@ -96,7 +97,7 @@
 		Eventually(again).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("of one that is gone waits for the view without it", func() {
+	It("of one that is removed waits for the view without it", func() {
 		f.advance(5 * time.Second)
 		leader.renew(f1, leader.machine.View().Versions())
 		f.advance(200 * time.Millisecond)
--- a/internal/controlplane/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -21,15 +21,15 @@
 )
 
 // patience bounds the wait for what must come on a machine of any speed.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 func TestCore(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(waitTimeout)
 	RunSpecs(t, "core")
 }
 
-// virtualClock moves only when it is told to.
+// virtualClock moves only by step.
 type virtualClock struct {
 	mutex  sync.Mutex
 	now    time.Time
@@ -110,10 +110,10 @@
 	reachable map[string]*protocol.CoreMember
 	// dropProposals makes Propose lose the command itself.
 	dropProposals bool
-	// lagging holds back what is committed from this member's machine.
+	// lagging keeps what is committed from this member's machine.
 	lagging bool
 	backlog []logEntry
-	// gate, if any, holds back proposals before they reach the log.
+	// gate, if any, stops proposals before they reach the log.
 	gate *proposalGate
 }
 
@@ -167,17 +167,17 @@
 	for by > 0 {
 		by -= 50 * time.Millisecond
 		now := f.clock.step(50 * time.Millisecond)
-		f.settle(now)
+		f.awaitIdle(now)
 	}
 }
 
 // settle waits until every owner has worked through its tick at now and what came of it.
-func (f *fleet) settle(now time.Time) {
+func (f *fleet) awaitIdle(now time.Time) {
 	GinkgoHelper()
-	ends := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for _, m := range f.members {
-		for !m.service.Settled(now) {
-			Expect(time.Now().Before(ends)).To(BeTrue(), "the owner does not settle")
+		for !m.service.Idle(now) {
+			Expect(time.Now().Before(deadline)).To(BeTrue(), "the owner does not settle")
 			runtime.Gosched()
 		}
 	}
@@ -272,11 +272,11 @@
 }
 
 func (m *member) Identify(_ context.Context, address string) (*protocol.CoreMember, error) {
-	found := m.reachable[address]
-	if found == nil {
+	member := m.reachable[address]
+	if member == nil {
 		return nil, &replica.MemberUnreachableError{Address: address, Cause: context.DeadlineExceeded}
 	}
-	return found, nil
+	return member, nil
 }
 
 func (m *member) Admit(_ context.Context, admitted *protocol.CoreMember) error {
@@ -285,15 +285,15 @@
 }
 
 func (m *member) RemoveMember(_ context.Context, name string) error {
-	for at, held := range m.members {
-		if held.GetName() == name || strconv.FormatUint(held.GetId(), 10) == name {
-			m.retired = append(m.retired, held)
+	for at, member := range m.members {
+		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
+			m.retired = append(m.retired, member)
 			m.members = slices.Delete(slices.Clone(m.members), at, at+1)
 			return nil
 		}
 	}
-	for _, held := range m.retired {
-		if held.GetName() == name || strconv.FormatUint(held.GetId(), 10) == name {
+	for _, member := range m.retired {
+		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
 			return nil
 		}
 	}
@@ -302,25 +302,27 @@
 
 // call makes one request of a node; err is what the peer would get.
 func (m *member) call(request *protocol.Request) (*protocol.Response, error) {
-	var answered *protocol.Response
+	var answer *protocol.Response
 	err := m.service.Serve(context.Background(), request, func(response *protocol.Response) error {
-		answered = response
+		answer = response
 		return nil
 	})
-	return answered, err
+	return answer, err
 }
 
 func (m *member) renew(node *protocol.Node, inForce *protocol.ControlVersions) bool {
 	GinkgoHelper()
-	answer, err := m.call(&protocol.Request{Body: &protocol.Request_RenewLease{RenewLease: &protocol.RenewLeaseRequest{Node: node, InForce: inForce}}})
+	answer, err := m.call(renewLeaseRequest(&protocol.RenewLeaseRequest{Node: node, InForce: inForce}))
 	Expect(err).NotTo(HaveOccurred())
 	return answer.GetRenewLease().GetGranted()
 }
 
-func (m *member) poll(node *protocol.Node, known *protocol.ControlVersions, wait uint32) (*protocol.PollControlResponse, error) {
-	answer, err := m.call(&protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
+func (m *member) poll(
+	node *protocol.Node, known *protocol.ControlVersions, wait uint32,
+) (*protocol.PollControlResponse, error) {
+	answer, err := m.call(pollRequest(&protocol.PollControlRequest{
 		Node: node.GetName(), Incarnation: node.GetIncarnation(), Known: known, WaitMillis: wait,
-	}}})
+	}))
 	return answer.GetPollControl(), err
 }
 
@@ -351,13 +353,48 @@
 }
 
 func frontNode(name string, incarnation uint64) *protocol.Node {
-	return &protocol.Node{Name: name, Kind: protocol.NodeKind_FRONT, Incarnation: incarnation, Address: "10.0.0.1:" + name, Zone: "z1"}
+	return &protocol.Node{
+		Name: name, Kind: protocol.NodeKind_FRONT, Incarnation: incarnation,
+		Address: "10.0.0.1:" + name, Zone: "z1",
+	}
 }
 
 func storeNode(name, zone string) *protocol.Node {
-	return &protocol.Node{Name: name, Kind: protocol.NodeKind_STORE, Incarnation: 1, Address: "10.0.1.1:" + name, Zone: zone, StorageId: "disk"}
+	return &protocol.Node{
+		Name: name, Kind: protocol.NodeKind_STORE, Incarnation: 1, Address: "10.0.1.1:" + name,
+		Zone: zone, StorageId: "disk",
+	}
 }
 
 func modelServer(id string) *protocol.BackEnd {
-	return &protocol.BackEnd{Id: id, Address: "10.1.0.1:" + id, Incarnation: 1, State: protocol.BackEndState_READY, Kind: protocol.BackEndKind_MODEL_SERVER}
+	return &protocol.BackEnd{
+		Id: id, Address: "10.1.0.1:" + id, Incarnation: 1, State: protocol.BackEndState_READY,
+		Kind: protocol.BackEndKind_MODEL_SERVER,
+	}
+}
+
+// The functions below make the wire request of a body.
+
+func pollRequest(body *protocol.PollControlRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_PollControl{PollControl: body}}
+}
+
+func renewLeaseRequest(body *protocol.RenewLeaseRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_RenewLease{RenewLease: body}}
+}
+
+func renewBackEndsRequest(body *protocol.RenewBackEndsRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: body}}
+}
+
+func shareOutcomesRequest(body *protocol.ShareOutcomesRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: body}}
+}
+
+func watchSuspectsRequest(body *protocol.WatchSuspectsRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_WatchSuspects{WatchSuspects: body}}
+}
+
+func drainRequest(body *protocol.DrainBackEndRequest) *protocol.Request {
+	return &protocol.Request{Body: &protocol.Request_DrainBackEnd{DrainBackEnd: body}}
 }
--- a/internal/controlplane/core/gate_test.go
+++ b/internal/controlplane/core/gate_test.go
@@ -10,12 +10,12 @@
 // many of those that are made at one time are in the log. It heeds no context:
 // the bound of a proposal is wall-clock time, which must not decide a spec.
 type proposalGate struct {
-	held    atomic.Int64
+	stopped atomic.Int64
 	permits chan struct{}
 	opened  chan struct{}
 }
 
-// shutGate holds back all proposals that a member makes from now on. The gate
+// shutGate stops all proposals that a member makes from now on. The gate
 // opens for good when the spec ends.
 func (m *member) shutGate() *proposalGate {
 	gate := &proposalGate{permits: make(chan struct{}), opened: make(chan struct{})}
@@ -29,20 +29,20 @@
 	if g == nil {
 		return
 	}
-	g.held.Add(1)
-	defer g.held.Add(-1)
+	g.stopped.Add(1)
+	defer g.stopped.Add(-1)
 	select {
 	case <-g.permits:
 	case <-g.opened:
 	}
 }
 
-// let lets that many of the proposals that are held back through.
+// let lets that many of the stopped proposals pass.
 func (g *proposalGate) let(count int) {
 	for range count {
 		g.permits <- struct{}{}
 	}
 }
 
-// waiting counts the proposals that are held back.
-func (g *proposalGate) waiting() int { return int(g.held.Load()) }
+// waiting counts the stopped proposals.
+func (g *proposalGate) waiting() int { return int(g.stopped.Load()) }
--- a/internal/controlplane/core/heartbeat_address_test.go
+++ b/internal/controlplane/core/heartbeat_address_test.go
@@ -11,13 +11,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("the address that a back end is told to send its heartbeats to", func() {
+var _ = Describe("the address that a back end is to send its heartbeats to", func() {
 	const backEnds = 3000
 	var f *fleet
 	var net *network
 	var leader *member
 	BeforeEach(func() {
-		f, net = newConnectedFleet(4, nil)
+		f, net = newConnectedFleet(4)
 		leader = f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
 	})
@@ -65,9 +65,9 @@
 		}
 	})
 
-	It("moves away from a member that is gone, and of the others none moves", func() {
+	It("moves away from a member that is unreachable, and of the others none moves", func() {
 		before := named(leader)
-		net.setCut(f.members[2], true)
+		net.setPartitioned(f.members[2], true)
 		f.advance(relayLapse)
 		for _, by := range []*member{leader, f.members[1], f.members[3]} {
 			after := named(by)
@@ -79,19 +79,19 @@
 			}
 		}
 		By("bringing it back")
-		net.setCut(f.members[2], false)
+		net.setPartitioned(f.members[2], false)
 		f.advance(2 * relayInterval)
 		Expect(named(leader)).To(Equal(before))
 		Expect(named(f.members[1])).To(Equal(before))
 	})
 
 	It("is never that of a member whose address is not known, and none while the leader is alone", func() {
-		f, net = newConnectedFleet(3, nil)
+		f, net = newConnectedFleet(3)
 		f.members[1].core.HttpAddress = ""
 		leader = f.lead(f.members[0])
 		f.advance(time.Second)
 		Expect(counts(named(leader))).To(Equal(map[string]int{httpAddress(2): backEnds}))
-		net.setCut(f.members[2], true)
+		net.setPartitioned(f.members[2], true)
 		f.advance(relayLapse)
 		Expect(counts(named(leader))).To(Equal(map[string]int{"": backEnds}))
 	})
--- a/internal/controlplane/core/heartbeats_test.go
+++ b/internal/controlplane/core/heartbeats_test.go
@@ -40,7 +40,7 @@
 		return f.index
 	}
 	BeforeEach(func() {
-		f, net = newConnectedFleet(3, nil)
+		f, net = newConnectedFleet(3)
 		leader, follower, other = f.lead(f.members[0]), f.members[1], f.members[2]
 		f.advance(6 * time.Second)
 		Expect(follower.announce(server, 1)).To(Succeed())
@@ -59,7 +59,7 @@
 		Expect(arrived.heartbeats).To(Equal(12))
 	})
 
-	It("count for the lease from when the member heard them, neither shorter nor longer", func() {
+	It("count for the lease from when the member received them, neither shorter nor longer", func() {
 		_, err := f.announceEverySecond(follower, server, 1, 3*time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		f.advance(core.DefaultBackEndLease - time.Second - 50*time.Millisecond)
@@ -69,7 +69,7 @@
 	})
 
 	It("reach the leader with their true age when answers or batches were lost on the way", func() {
-		for sequence, lose := range []func(*member, bool){net.setCut, net.setLoseAnswers} {
+		for sequence, lose := range []func(*member, bool){net.setPartitioned, net.setLoseAnswers} {
 			f.advance(time.Second)
 			Expect(follower.announce(server, uint64(2*sequence+2))).To(Succeed())
 			lose(follower, true)
@@ -84,19 +84,19 @@
 	})
 
 	It("do not shorten a lease that the leader counts from a later time", func() {
-		net.setCut(follower, true)
+		net.setPartitioned(follower, true)
 		Expect(follower.announce(server, 0)).To(Succeed())
 		f.advance(900 * time.Millisecond)
 		Expect(leader.announce(server, 0)).To(Succeed())
-		net.setCut(follower, false)
+		net.setPartitioned(follower, false)
 		f.advance(core.DefaultBackEndLease - 50*time.Millisecond)
 		Expect(held()).NotTo(BeNil())
 		f.advance(100 * time.Millisecond)
 		Expect(held()).To(BeNil())
 	})
 
-	It("are refused at once while it does not reach the leader, so that the back end goes to another one", func() {
-		net.setCut(follower, true)
+	It("are rejected at once while it does not reach the leader, so that the back end goes to another one", func() {
+		net.setPartitioned(follower, true)
 		Expect(follower.announce(server, 2)).To(Succeed(), "the last batch was answered just now")
 		f.advance(relayLapse)
 		for _, announced := range []*protocol.BackEnd{server, withCapacity(7), draining} {
@@ -109,12 +109,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held()).NotTo(BeNil())
 		By("healing the link")
-		net.setCut(follower, false)
+		net.setPartitioned(follower, false)
 		f.advance(relayInterval)
 		Expect(follower.announce(server, 20)).To(Succeed())
 	})
 
-	It("are refused while no leader is known, and taken when the next one answered", func() {
+	It("are rejected while no leader is known, and accepted when the next one answered", func() {
 		f.lead(nil)
 		Expect(core.IsNotLeader(follower.announce(server, 2))).To(BeTrue())
 		leader = f.lead(other)
@@ -122,20 +122,20 @@
 		Expect(follower.announce(server, 3)).To(Succeed())
 	})
 
-	It("are refused when a leader was reached just now but its successor is not", func() {
-		net.setCut(other, true)
+	It("are rejected when a leader was reached just now but its successor is not", func() {
+		net.setPartitioned(other, true)
 		f.lead(other)
 		Expect(failure.Is(follower.announce(server, 2), failure.Unavailable)).To(BeTrue())
 	})
 
-	It("are taken after a change of leader while a batch to the former one still hangs", func() {
-		release := net.hold(leader)
+	It("are accepted after a change of leader while a batch to the former one is still in flight", func() {
+		release := net.setUnresponsive(leader)
 		DeferCleanup(release)
-		net.setCut(other, true)
+		net.setPartitioned(other, true)
 		net.arrivedAt(leader)
 		f.clock.step(relayInterval)
 		Eventually(func() int { return net.arrivedAt(leader).requests }).Should(Equal(1), "the follower's batch")
-		net.setCut(other, false)
+		net.setPartitioned(other, false)
 		f.set(func() { f.leader, other.since = other, f.clock.Now() })
 		Eventually(func() error {
 			f.clock.step(50 * time.Millisecond)
@@ -146,11 +146,11 @@
 	It("that change something are in the log before they are acknowledged", func() {
 		Expect(follower.announce(withCapacity(7), 2)).To(Succeed())
 		Expect(held().GetCapacity()).To(BeEquivalentTo(7))
-		net.setCut(leader, true)
+		net.setPartitioned(leader, true)
 		lost := follower.announce(withCapacity(8), 3)
 		Expect(failure.From(lost).GetOutcome()).To(Equal(protocol.Outcome_UNKNOWN))
 		Expect(held().GetCapacity()).To(BeEquivalentTo(7))
-		net.setCut(leader, false)
+		net.setPartitioned(leader, false)
 		invalid := follower.announce(&protocol.BackEnd{Id: "m2"}, 1)
 		Expect(core.IsInvalid(invalid)).To(BeTrue(), "the leader's refusal comes back: %v", invalid)
 	})
@@ -184,7 +184,7 @@
 		Expect(core.IsNotLeader(lost)).To(BeTrue(), "%v", lost)
 	})
 
-	It("do not renew the lease when they are late", func() {
+	It("do not renew the lease when they are outdated", func() {
 		Expect(leader.announce(server, 9)).To(Succeed())
 		for range 6 {
 			Expect(follower.announce(server, 8)).To(Succeed())
@@ -193,7 +193,7 @@
 		Expect(held()).To(BeNil())
 	})
 
-	It("do not bring back one that was removed, also from a member that has not heard of it", func() {
+	It("do not bring back one that was removed, also from a member that does not know of it", func() {
 		f.set(func() { follower.lagging = true })
 		Expect(leader.service.RemoveBackEnd(f.context(), "m1", 0)).To(Succeed())
 		Expect(follower.announce(server, 8)).To(Succeed(), "its view still holds the back end")
@@ -208,7 +208,7 @@
 		Expect(logIndex()).To(Equal(before))
 	})
 
-	It("go to the leader when it holds the back end otherwise than the member", func() {
+	It("go to the leader when its view of the back end differs from the member's", func() {
 		f.set(func() { follower.lagging = true })
 		Expect(other.announce(withCapacity(7), 2)).To(Succeed())
 		Expect(follower.announce(server, 3)).To(Succeed(), "the member cannot know yet")
@@ -222,14 +222,14 @@
 		Expect(net.arrivedAt(leader).announcements).To(BeZero(), "the two agree again")
 	})
 
-	It("go to the leader when the lease ran out", func() {
+	It("go to the leader when the lease expired", func() {
 		f.advance(core.DefaultBackEndLease + 100*time.Millisecond)
 		Expect(held()).To(BeNil())
 		Expect(follower.announce(server, 2)).To(Succeed())
 		Expect(held()).NotTo(BeNil())
 	})
 
-	It("go to the leader when the lease ran out there and the member has not heard of it", func() {
+	It("go to the leader when the lease expired there and the member does not know of it", func() {
 		f.set(func() { follower.lagging = true })
 		f.advance(core.DefaultBackEndLease + 100*time.Millisecond)
 		Expect(held()).To(BeNil())
@@ -239,7 +239,7 @@
 		Expect(held()).NotTo(BeNil())
 	})
 
-	It("are kept alive by a new leader, who gives everyone a whole lease", func() {
+	It("are kept alive by a new leader, which gives every back end a full lease", func() {
 		_, err := f.announceEverySecond(follower, server, 1, 4*time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		leader = f.lead(other)
@@ -255,13 +255,13 @@
 		Expect(held()).NotTo(BeNil())
 	})
 
-	It("are taken from members of the core only", func() {
-		answer, err := leader.call(&protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: &protocol.RenewBackEndsRequest{Member: 77}}})
+	It("are accepted from members of the core only", func() {
+		answer, err := leader.call(renewBackEndsRequest(&protocol.RenewBackEndsRequest{Member: 77}))
 		Expect(failure.Is(err, failure.Forbidden)).To(BeTrue(), "%v %v", answer, err)
-		_, err = follower.call(&protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: &protocol.RenewBackEndsRequest{Member: 3}}})
+		_, err = follower.call(renewBackEndsRequest(&protocol.RenewBackEndsRequest{Member: 3}))
 		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue(), "%v", err)
 		tooMany := &protocol.RenewBackEndsRequest{Member: 2, Heard: make([]*protocol.HeardBackEnd, 4097)}
-		_, err = leader.call(&protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: tooMany}})
+		_, err = leader.call(renewBackEndsRequest(tooMany))
 		Expect(core.IsInvalid(err)).To(BeTrue(), "%v", err)
 	})
 
@@ -284,7 +284,7 @@
 	const interval = time.Second
 	// arrivedIn counts for one interval what arrives at the leader when back ends go where they are told.
 	arrivedIn := func(backEnds int) (direct int, relayed traffic) {
-		f, net := newConnectedFleet(4, nil)
+		f, net := newConnectedFleet(4)
 		leader := f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
 		addresses := map[string]*member{}
--- a/internal/controlplane/core/http_test.go
+++ b/internal/controlplane/core/http_test.go
@@ -83,7 +83,7 @@
 		return send(leader, "POST", fmt.Sprintf("/v1/bundles/%d/sign", version), order, body)
 	}
 
-	It("takes a bundle from hand-in to sign-off and shows it", func() {
+	It("accepts a bundle, its signature, and shows it", func() {
 		Expect(send(leader, "PUT", "/v1/bundles/1", "o1", bundle.Default(1)).Code).To(Equal(http.StatusOK))
 		signed := sign(1, "o2", "")
 		Expect(signed.Code).To(Equal(http.StatusOK), signed.Body.String())
@@ -91,7 +91,8 @@
 		Expect(send(leader, "GET", "/v1/bundles/active", "", nil).Body.String()).To(ContainSubstring("valve-plan"))
 		partial := &protocol.Bundle{BaseVersion: 1, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: 7}}
 		Expect(send(leader, "PUT", "/v1/bundles/2", "o3", partial).Code).To(Equal(http.StatusOK))
-		Expect(send(leader, "GET", "/v1/bundles/1/diff/newest", "", nil).Body.String()).To(ContainSubstring(`"limits_changed":true`))
+		body := send(leader, "GET", "/v1/bundles/1/diff/newest", "", nil).Body.String()
+		Expect(body).To(ContainSubstring(`"limits_changed":true`))
 		Expect(sign(2, "o4", `,"rollout":{"share_basis_points":100}`).Code).To(Equal(http.StatusOK))
 		Expect(send(leader, "GET", "/v1/rollout", "", nil).Body.String()).To(ContainSubstring(`"candidate_version":"2"`))
 		Expect(send(leader, "POST", "/v1/rollout/promote", "o5", nil).Code).To(Equal(http.StatusOK))
@@ -136,7 +137,7 @@
 		Expect(won).To(Equal(1))
 	})
 
-	DescribeTable("refuses bad input with a typed error and changes nothing",
+	DescribeTable("rejects bad input with a typed error and changes nothing",
 		func(method, path, order, body string, status int, code, faultPath string) {
 			index := f.index
 			answer := send(leader, method, path, order, body)
@@ -149,8 +150,10 @@
 		Entry("unknown route", "GET", "/v1/nothing", "", "", 404, "unknown_route", "/v1/nothing"),
 		Entry("unknown method", "DELETE", "/v1/bundles", "o", "", 405, "method_not_allowed", "/v1/bundles"),
 		Entry("no order id", "PUT", "/v1/bundles/1", "", "{}", 400, "missing_field", "Rosestand-Order"),
-		Entry("long order id", "PUT", "/v1/bundles/1", strings.Repeat("x", 129), "{}", 400, "invalid_field", "Rosestand-Order"),
-		Entry("unknown field", "PUT", "/v1/bundles/1", "o", `{"routes":[{"nam":"x"}]}`, 400, "unknown_field", "routes[0].nam"),
+		Entry("long order id", "PUT", "/v1/bundles/1", strings.Repeat("x", 129), "{}", 400, "invalid_field",
+			"Rosestand-Order"),
+		Entry("unknown field", "PUT", "/v1/bundles/1", "o", `{"routes":[{"nam":"x"}]}`, 400, "unknown_field",
+			"routes[0].nam"),
 		Entry("not JSON", "PUT", "/v1/bundles/1", "o", `{"routes":`, 400, "invalid_body", "routes"),
 		Entry("other version", "PUT", "/v1/bundles/1", "o", `{"version":2}`, 400, "invalid_field", "version"),
 		Entry("no number", "PUT", "/v1/bundles/x", "o", `{}`, 400, "invalid_field", "version"),
@@ -159,8 +162,9 @@
 		Entry("member without address", "POST", "/v1/core/members", "o", `{}`, 400, "missing_field", "address"),
 	)
 
-	It("lists all faults of a bundle that the state refuses", func() {
-		answer := send(leader, "PUT", "/v1/bundles/1", "o", `{"routes":[{"name":"a","model":"m","group":"g"}],"limits":{"retry_percent":300}}`)
+	It("lists all faults of a bundle that the state rejects", func() {
+		answer := send(leader, "PUT", "/v1/bundles/1", "o",
+			`{"routes":[{"name":"a","model":"m","group":"g"}],"limits":{"retry_percent":300}}`)
 		Expect(answer.Code).To(Equal(http.StatusUnprocessableEntity))
 		Expect(failed(answer).Error.Faults).To(HaveLen(2))
 	})
@@ -175,7 +179,7 @@
 		}
 	})
 
-	It("sends operators from a follower to the leader, and says when there is none", func() {
+	It("redirects operators from a follower to the leader, and reports when there is none", func() {
 		for _, method := range []string{"GET", "PUT"} {
 			answer := send(f.members[1], method, "/v1/bundles/1?x=y", "o", bundle.Default(1))
 			Expect(answer.Code).To(Equal(http.StatusTemporaryRedirect))
@@ -189,14 +193,14 @@
 		Expect(send(f.members[1], "GET", "/v1/core?local=true", "", nil).Code).To(Equal(http.StatusOK))
 	})
 
-	It("empties the last store of a zone that shards need only when the order gives the spread up", func() {
+	It("empties the last store of a zone that shards need only when the order gives up the spread", func() {
 		for i, zone := range []string{"z0", "z0", "z1", "z2"} {
 			leader.renew(storeNode(fmt.Sprintf("s%d", i), zone), nil)
 		}
 		f.advance(1500 * time.Millisecond)
-		refused := send(leader, "POST", "/v1/stores/s2/empty", "o1", nil)
-		Expect(refused.Code).To(Equal(http.StatusConflict))
-		Expect(refused.Body.String()).To(ContainSubstring("too_few_stores"))
+		rejected := send(leader, "POST", "/v1/stores/s2/empty", "o1", nil)
+		Expect(rejected.Code).To(Equal(http.StatusConflict))
+		Expect(rejected.Body.String()).To(ContainSubstring("too_few_stores"))
 		Expect(send(leader, "POST", "/v1/stores/s2/empty", "o2", `{"keep_spread":false}`).Code).To(Equal(http.StatusOK))
 	})
 
@@ -207,7 +211,8 @@
 			leader.renew(storeNode(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i)), nil)
 		}
 		f.advance(1500 * time.Millisecond)
-		Expect(send(leader, "GET", "/v1/nodes", "", nil).Body.String()).To(ContainSubstring(`"name":"f1","incarnation":1,"millis_left"`))
+		body := send(leader, "GET", "/v1/nodes", "", nil).Body.String()
+		Expect(body).To(ContainSubstring(`"name":"f1","incarnation":1,"millis_left"`))
 		Expect(send(leader, "GET", "/v1/backends", "", nil).Body.String()).To(ContainSubstring(`"m1"`))
 		Expect(leader.machine.View().Placement.GetShards()).To(HaveLen(core.DefaultShardCount))
 		Expect(send(leader, "POST", "/v1/stores/s1/retire", "o1", nil).Code).To(Equal(http.StatusConflict))
@@ -224,7 +229,7 @@
 		Expect(leader.renew(storeNode("s1", "z1"), nil)).To(BeFalse())
 	})
 
-	It("sums the arms and withdraws the candidate when its guard's limit is crossed", func() {
+	It("sums the variants and withdraws the candidate when its guard's limit is crossed", func() {
 		send(leader, "PUT", "/v1/bundles/1", "o1", bundle.Default(1))
 		sign(1, "o2", "")
 		send(leader, "PUT", "/v1/bundles/2", "o3", bundle.Default(2))
@@ -239,7 +244,8 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		report(90, 60)
-		Expect(send(leader, "GET", "/v1/rollout", "", nil).Body.String()).To(And(ContainSubstring(`"requests":"90"`), ContainSubstring(`"requests":"1000"`)))
+		Expect(send(leader, "GET", "/v1/rollout", "", nil).Body.String()).To(And(ContainSubstring(`"requests":"90"`),
+			ContainSubstring(`"requests":"1000"`)))
 		Expect(leader.machine.View().Configuration.GetCandidate()).NotTo(BeNil())
 		report(10, 0)
 		Expect(leader.machine.View().Configuration.GetCandidate()).To(BeNil())
@@ -256,7 +262,8 @@
 				continue
 			}
 			_, err := m.call(&protocol.Request{Body: &protocol.Request_ShardCopied{ShardCopied: &protocol.ShardCopiedRequest{
-				Store: replica.GetStore(), StorageId: replica.GetStorageId(), Shard: shard.GetShard(), Epoch: m.machine.View().Placement.GetEpoch(),
+				Store: replica.GetStore(), StorageId: replica.GetStorageId(), Shard: shard.GetShard(),
+				Epoch: m.machine.View().Placement.GetEpoch(),
 			}}})
 			Expect(err).NotTo(HaveOccurred())
 		}
--- a/internal/controlplane/core/lease_test.go
+++ b/internal/controlplane/core/lease_test.go
@@ -29,7 +29,7 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("outlive the holder's own count and end soon after", func() {
+	It("outlive the time that the holder counts and expire soon after", func() {
 		f.advance(6 * time.Second)
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(5 * time.Second)
@@ -38,7 +38,7 @@
 		Expect(leader.names()).To(BeEmpty())
 	})
 
-	It("are given back by the same incarnation after they ended", func() {
+	It("are granted again to the same incarnation after they expired", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(12 * time.Second)
 		Expect(leader.names()).To(BeEmpty())
@@ -46,7 +46,7 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("are refused to an older incarnation", func() {
+	It("are rejected for an older incarnation", func() {
 		Expect(leader.renew(frontNode("f1", 2), nil)).To(BeTrue())
 		Expect(leader.renew(frontNode("f1", 1), nil)).To(BeFalse())
 		Expect(leader.renew(frontNode("f1", 3), nil)).To(BeTrue())
@@ -61,7 +61,7 @@
 		Expect(leader.names()).To(BeEmpty())
 	})
 
-	It("are not ended by a new leader before a whole length has passed since its beginning", func() {
+	It("are not ended by a new leader before their full duration has passed since its beginning", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(4 * time.Second)
 		next := f.lead(f.members[1])
@@ -71,7 +71,7 @@
 		Expect(next.names()).To(BeEmpty())
 	})
 
-	It("are given a whole length when the same leader leads again after a gap", func() {
+	It("are given their full duration when the same leader leads again after a gap", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.lead(nil)
 		f.advance(20 * time.Second)
@@ -82,14 +82,14 @@
 
 	It("are not ended for the time in which the leader itself was stalled", func() {
 		leader.renew(frontNode("f1", 1), nil)
-		f.settle(f.clock.step(30 * time.Second))
+		f.awaitIdle(f.clock.step(30 * time.Second))
 		f.advance(5 * time.Second)
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 		f.advance(500 * time.Millisecond)
 		Expect(leader.names()).To(BeEmpty())
 	})
 
-	It("are refused while it is unknown whether the removal takes effect", func() {
+	It("are rejected while it is unknown whether the removal takes effect", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.set(func() { leader.dropProposals = true })
 		f.advance(5500 * time.Millisecond)
@@ -101,7 +101,7 @@
 		Expect(leader.renew(frontNode("f1", 1), nil)).To(BeTrue())
 	})
 
-	It("are given back after a removal that took effect although its answer was lost", func() {
+	It("are granted again after a removal that took effect although its answer was lost", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.set(func() { leader.loseAnswers = true })
 		f.advance(5500 * time.Millisecond)
@@ -112,9 +112,9 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("are refused with the reason when a later incarnation holds them", func() {
+	It("are rejected with the reason when a later incarnation holds them", func() {
 		leader.renew(frontNode("f1", 7), nil)
-		answer, err := leader.call(&protocol.Request{Body: &protocol.Request_RenewLease{RenewLease: &protocol.RenewLeaseRequest{Node: frontNode("f1", 3)}}})
+		answer, err := leader.call(renewLeaseRequest(&protocol.RenewLeaseRequest{Node: frontNode("f1", 3)}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.GetRenewLease().GetGranted()).To(BeFalse())
 		Expect(answer.GetRenewLease().GetRefusal().GetCode()).To(Equal(string(failure.LeaseRejected)))
--- a/internal/controlplane/core/members_test.go
+++ b/internal/controlplane/core/members_test.go
@@ -41,11 +41,12 @@
 		return send("DELETE", "/v1/core/members/core-7", order, "")
 	}
 
-	It("are refused as not run and typed where no core process answers", func() {
+	It("are rejected as not run and typed where no core process answers", func() {
 		leader.reachable = nil
 		answer := add("a1")
 		Expect(answer.Code).To(Equal(http.StatusServiceUnavailable), answer.Body.String())
-		Expect(answer.Body.String()).To(And(ContainSubstring(`"code":"unavailable"`), ContainSubstring(`"outcome":"not_run"`), ContainSubstring(`"path":"address"`)))
+		Expect(answer.Body.String()).To(And(ContainSubstring(`"code":"unavailable"`),
+			ContainSubstring(`"outcome":"not_run"`), ContainSubstring(`"path":"address"`)))
 	})
 
 	It("do not remove a member that joined anew under the same name when a removal is sent again", func() {
@@ -72,7 +73,7 @@
 		Expect(leader.members).To(HaveLen(1), "the second addition came after the removal")
 	})
 
-	It("acknowledge an addition again although the process is not there now, and refuse other content", func() {
+	It("acknowledge an addition again although the process is not there now, and reject other content", func() {
 		first := add("a1")
 		leader.reachable = nil
 		Expect(add("a1").Body.String()).To(Equal(first.Body.String()))
@@ -81,7 +82,7 @@
 		Expect(other.Body.String()).To(ContainSubstring(`"code":"invalid_order"`))
 	})
 
-	It("remember a removal that found nobody", func() {
+	It("remember a removal that found no member", func() {
 		Expect(remove("r1").Body.String()).To(ContainSubstring(`"removed":false`))
 		Expect(add("a1").Code).To(Equal(http.StatusOK))
 		Expect(remove("r1").Body.String()).To(ContainSubstring(`"removed":false`))
--- a/internal/controlplane/core/outcomes_test.go
+++ b/internal/controlplane/core/outcomes_test.go
@@ -10,17 +10,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("what front nodes see of back ends", func() {
+var _ = Describe("what front nodes observe of back ends", func() {
 	var f *fleet
 	BeforeEach(func() { f = newFleet(2, nil) })
 	share := func(m *member, node string, faults uint32) (*protocol.ShareOutcomesResponse, error) {
-		answer, err := m.call(&protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: &protocol.ShareOutcomesRequest{
+		answer, err := m.call(shareOutcomesRequest(&protocol.ShareOutcomesRequest{
 			Node: node, Zone: "z1", Outcomes: []*protocol.BackEndOutcomes{{Id: "s1", Incarnation: 3, Faults: faults}},
-		}}})
+		}))
 		return answer.GetShareOutcomes(), err
 	}
 
-	It("is put together by the leader and told to whoever asks next", func() {
+	It("is merged by the leader and shared with each node that reports next", func() {
 		leader := f.lead(f.members[0])
 		answer, err := share(leader, "f1", 2)
 		Expect(err).NotTo(HaveOccurred())
@@ -37,17 +37,17 @@
 		Expect(answer.GetSuspects()).To(BeEmpty(), "it is tried again")
 	})
 
-	It("is refused by a member that does not lead, which promises nothing", func() {
+	It("is rejected by a member that does not lead", func() {
 		f.lead(f.members[0])
 		_, err := share(f.members[1], "f1", 2)
 		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
 	})
 
-	It("is refused when it is too much at once", func() {
+	It("is rejected when it is too much at once", func() {
 		leader := f.lead(f.members[0])
-		_, err := leader.call(&protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: &protocol.ShareOutcomesRequest{
+		_, err := leader.call(shareOutcomesRequest(&protocol.ShareOutcomesRequest{
 			Node: "f1", Outcomes: make([]*protocol.BackEndOutcomes, 5000),
-		}}})
+		}))
 		Expect(failure.Is(err, failure.InvalidField)).To(BeTrue())
 	})
 
@@ -55,16 +55,16 @@
 		answered := make(chan *protocol.WatchSuspectsResponse, 1)
 		go func() {
 			defer GinkgoRecover()
-			answer, err := m.call(&protocol.Request{Body: &protocol.Request_WatchSuspects{WatchSuspects: &protocol.WatchSuspectsRequest{
+			answer, err := m.call(watchSuspectsRequest(&protocol.WatchSuspectsRequest{
 				Zone: "z2", Known: known, WaitMillis: uint32(wait / time.Millisecond),
-			}}})
+			}))
 			Expect(err).NotTo(HaveOccurred())
 			answered <- answer.GetWatchSuspects()
 		}()
 		return answered
 	}
 
-	It("tells those who watch at once when one more is suspect", func() {
+	It("notifies those who watch at once when one more is suspect", func() {
 		leader := f.lead(f.members[0])
 		watched := watch(leader, 0, time.Minute)
 		_, err := share(leader, "f1", 2)
@@ -86,9 +86,9 @@
 		Expect(answer.GetVersion()).To(Equal(known))
 	})
 
-	It("lets nobody watch a member that does not lead", func() {
+	It("is not watched at a member that does not lead", func() {
 		f.lead(f.members[0])
-		_, err := f.members[1].call(&protocol.Request{Body: &protocol.Request_WatchSuspects{WatchSuspects: &protocol.WatchSuspectsRequest{}}})
+		_, err := f.members[1].call(watchSuspectsRequest(&protocol.WatchSuspectsRequest{}))
 		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
 	})
 })
--- a/internal/controlplane/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -35,20 +35,24 @@
 	return 0
 }
 
-var _ = Describe("a whole view", func() {
-	It("comes packed to a node that takes that, and plain to another one", func() {
+var _ = Describe("a full snapshot of a view", func() {
+	It("is sent packed to a node that accepts that, and plain to another one", func() {
 		d := &delivery{fleet: newFleet(1, nil)}
 		d.leader = d.fleet.lead(d.fleet.members[0])
 		for number := range 60 {
-			d.propose(&protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: &protocol.JoinNodeCommand{Node: &protocol.Node{
-				Name: fmt.Sprintf("front-%03d", number), Kind: protocol.NodeKind_FRONT, Incarnation: uint64(1_790_000_000_000 + number*37),
-				Address: fmt.Sprintf("10.0.1.%d:7380", number), HttpAddress: fmt.Sprintf("10.0.1.%d:8149", number), Zone: "z1", Region: "r1",
-			}}}})
+			node := &protocol.Node{
+				Name: fmt.Sprintf("front-%03d", number), Kind: protocol.NodeKind_FRONT,
+				Incarnation: uint64(1_790_000_000_000 + number*37),
+				Address:     fmt.Sprintf("10.0.1.%d:7380", number), HttpAddress: fmt.Sprintf("10.0.1.%d:8149", number),
+				Zone: "z1", Region: "r1",
+			}
+			join := &protocol.JoinNodeCommand{Node: node}
+			d.propose(&protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: join}})
 		}
 		poll := func(name string, packed bool) *protocol.PollControlResponse {
-			answer, err := d.leader.call(&protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
+			answer, err := d.leader.call(pollRequest(&protocol.PollControlRequest{
 				Node: name, Known: &protocol.ControlVersions{}, AcceptsDeltas: true, AcceptsPackedViews: packed,
-			}}})
+			}))
 			Expect(err).NotTo(HaveOccurred())
 			return answer.GetPollControl()
 		}
@@ -62,7 +66,7 @@
 	})
 })
 
-var _ = Describe("a whole configuration", func() {
+var _ = Describe("a full snapshot of the configuration", func() {
 	var d *delivery
 	var registry *prometheus.Registry
 	BeforeEach(func() {
@@ -78,25 +82,27 @@
 	})
 	poll := func(name string, known uint64, packed bool) *protocol.PollControlResponse {
 		GinkgoHelper()
-		answer, err := d.leader.call(&protocol.Request{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{
-			Node: name, Known: &protocol.ControlVersions{Configuration: known}, AcceptsDeltas: true, AcceptsPackedConfiguration: packed,
-		}}})
+		answer, err := d.leader.call(pollRequest(&protocol.PollControlRequest{
+			Node: name, Known: &protocol.ControlVersions{Configuration: known}, AcceptsDeltas: true,
+			AcceptsPackedConfiguration: packed,
+		}))
 		Expect(err).NotTo(HaveOccurred())
 		return answer.GetPollControl()
 	}
 
-	It("is packed once for all nodes that take it, and counted as sent", func() {
+	It("is packed once for all nodes that accept it, and counted as sent", func() {
 		first, second := poll("f1", 0, true), poll("f2", 0, true)
 		Expect(first.GetConfiguration()).To(BeNil())
 		unpacked, err := packing.UnpackConfiguration(first.GetPackedConfiguration())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proto.Equal(unpacked, d.leader.machine.View().Configuration)).To(BeTrue())
-		Expect(unsafe.SliceData(second.GetPackedConfiguration())).To(BeIdenticalTo(unsafe.SliceData(first.GetPackedConfiguration())))
+		firstData := unsafe.SliceData(first.GetPackedConfiguration())
+		Expect(unsafe.SliceData(second.GetPackedConfiguration())).To(BeIdenticalTo(firstData))
 		Expect(pollBytes(registry, "configuration_packed")).To(BeEquivalentTo(2 * len(first.GetPackedConfiguration())))
 		Expect(pollBytes(registry, "configuration")).To(BeZero())
 	})
 
-	It("is sent plain to a node that does not say that it takes it packed", func() {
+	It("is sent plain to a node that does not say that it accepts it packed", func() {
 		Expect(poll("f1", 0, true).GetPackedConfiguration()).NotTo(BeEmpty())
 		plain := poll("f2", 0, false)
 		Expect(plain.GetPackedConfiguration()).To(BeEmpty())
@@ -107,7 +113,10 @@
 	It("is packed anew for a new version, and a change is still sent as a delta", func() {
 		known := d.leader.machine.View().Configuration.GetVersion()
 		former := poll("f1", 0, true).GetPackedConfiguration()
-		d.putInForce(&protocol.Bundle{Version: 2, BaseVersion: 1, Partial: true, Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}}})
+		d.putInForce(&protocol.Bundle{
+			Version: 2, BaseVersion: 1, Partial: true,
+			Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}},
+		})
 		// Another node than before: what f1 was just sent would hold its answer back.
 		delta := poll("f2", known, true)
 		Expect(delta.GetConfigurationDelta()).NotTo(BeNil())
--- a/internal/controlplane/core/poll_test.go
+++ b/internal/controlplane/core/poll_test.go
@@ -48,7 +48,7 @@
 		Expect(answer.GetBackEnds().GetBackEnds()).To(HaveLen(1))
 	})
 
-	It("are held back until something changes", func() {
+	It("wait until something changes", func() {
 		outcome := leader.pollBeside(leader.machine.View().Versions(), 10_000)
 		Consistently(outcome, "20ms").ShouldNot(Receive())
 		leader.renew(frontNode("f2", 1), nil)
@@ -58,7 +58,7 @@
 		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(2))
 	})
 
-	It("are answered without sections when the time asked for has passed", func() {
+	It("are answered without sections when the time requested has passed", func() {
 		f.advance(time.Second)
 		outcome := leader.pollBeside(leader.machine.View().Versions(), 2000)
 		Eventually(f.clock.waiting).Should(Equal(3))
@@ -71,7 +71,7 @@
 		Expect(proto.Equal(got.answer, &protocol.PollControlResponse{})).To(BeTrue())
 	})
 
-	It("are let go when the leadership ends", func() {
+	It("end when the leadership ends", func() {
 		outcome := leader.pollBeside(leader.machine.View().Versions(), 10_000)
 		Eventually(f.clock.waiting).Should(Equal(3))
 		f.lead(f.members[1])
--- a/internal/controlplane/core/successor_test.go
+++ b/internal/controlplane/core/successor_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("the shards of a store that is gone", func() {
+var _ = Describe("the shards of a store that is lost", func() {
 	const step = 50 * time.Millisecond
 	var leader *member
 	var f *fleet
@@ -32,8 +32,8 @@
 		}
 		return nodes
 	}
-	// whole reports whether every shard has three replicas that vote, none of them on a store.
-	whole := func(without string) bool {
+	// complete reports whether every shard has three replicas that vote, none of them on a store.
+	complete := func(without string) bool {
 		for _, shard := range leader.machine.View().Placement.GetShards() {
 			if len(shard.GetNext()) > 0 || len(shard.GetCurrent()) != core.DefaultReplicaCount {
 				return false
@@ -57,19 +57,20 @@
 		pass(time.Second, stores(0, 1, 2)...)
 		successor := storeNode("s4", "z3")
 		pass(4*time.Second, append(stores(0, 1, 2), successor)...)
-		Expect(whole("s3")).To(BeTrue())
+		Expect(complete("s3")).To(BeTrue())
 	})
 
-	It("stay where they are while it is silent for as long as a restart takes, and no other store is there", func() {
-		epoch := leader.machine.View().Placement.GetEpoch()
-		pass(4*time.Second, stores(0, 1, 2)...)
-		pass(time.Second, stores(0, 1, 2, 3)...)
-		Expect(leader.machine.View().Placement.GetEpoch()).To(Equal(epoch))
-	})
+	It("stay where they are while it is unresponsive for as long as a restart takes, and no other store has joined",
+		func() {
+			epoch := leader.machine.View().Placement.GetEpoch()
+			pass(4*time.Second, stores(0, 1, 2)...)
+			pass(time.Second, stores(0, 1, 2, 3)...)
+			Expect(leader.machine.View().Placement.GetEpoch()).To(Equal(epoch))
+		})
 
 	It("are on the other stores when no successor comes", func() {
 		pass(40*time.Second, stores(0, 1, 2)...)
-		Expect(whole("s3")).To(BeTrue())
+		Expect(complete("s3")).To(BeTrue())
 	})
 })
 
