--- a/internal/dataplane/ownership/call_failure.go
+++ b/internal/dataplane/ownership/call_failure.go
@@ -13,28 +13,28 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// stallFactor is how much longer than its time-out a call may have lasted for
-// its silence to count; a process that itself stood still saw nothing.
+// stallFactor is how many times its timeout a call may have lasted for the timeout
+// to count as one of the peer's: after more, this process itself was stalled.
 const stallFactor = 1.5
 
-// evidenceOf says what the error of a call shows about the peer. A call that
-// ran out of its own time counts as silence when silenceCounts.
-func evidenceOf(err error, silenceCounts bool) directory.CallFailure {
-	var silent *wire.UnresponsivePeerError
+// classifyFailure is what the error of a call shows about the peer. A timeout
+// counts against the peer only when timeoutCounts.
+func classifyFailure(err error, timeoutCounts bool) directory.CallFailure {
+	var unresponsive *wire.UnresponsivePeerError
 	var broken *wire.BrokenError
 	var notSent *wire.NotSentError
 	switch {
 	case failure.Is(err, failure.NoAuthority), failure.Is(err, failure.NotReady):
 		return directory.CallNoAuthority
-	case isOwnDoing(err):
+	case isLocalCause(err):
 		return directory.CallInconclusive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return directory.CallConnectionRefused
-	case errors.As(err, &silent):
-		// Pings were unanswered for longer than a probe would be waited for.
+	case errors.As(err, &unresponsive):
+		// The connection's pings were unanswered for longer than the directory waits for one of its own.
 		return directory.CallConnectionRefused
 	case isTimeout(err):
-		if silenceCounts {
+		if timeoutCounts {
 			return directory.CallTimedOut
 		}
 		return directory.CallInconclusive
@@ -45,8 +45,8 @@
 	}
 }
 
-// isOwnDoing reports whether a call ended by this process's doing.
-func isOwnDoing(err error) bool {
+// isLocalCause reports whether this process itself ended the call.
+func isLocalCause(err error) bool {
 	var closed *wire.ClosedError
 	var idle *wire.IdleError
 	return errors.Is(err, context.Canceled) || errors.As(err, &closed) || errors.As(err, &idle)
@@ -57,7 +57,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// stalled reports whether a call lasted so much longer than it was given that this process must have stood still.
+// stalled reports whether a call lasted so much longer than its timeout that this process must have been stalled.
 func stalled(took, timeout time.Duration) bool {
 	return took > time.Duration(stallFactor*float64(timeout))
 }
--- a/internal/dataplane/ownership/call_failure_test.go
+++ b/internal/dataplane/ownership/call_failure_test.go
@@ -15,21 +15,22 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-func TestWhatTheErrorOfACallShows(t *testing.T) {
+func TestClassifyFailure(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	dialTimeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	notRun := func(code failure.Code) error { return failure.New(code, protocol.Outcome_NOT_RUN, "no") }
+	unresponsive := &wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}
 	for name, example := range map[string]struct {
-		err    error
-		silent bool
-		want   directory.CallFailure
+		err           error
+		timeoutCounts bool
+		want          directory.CallFailure
 	}{
 		"refused":                        {&wire.NotSentError{Cause: refused}, true, directory.CallConnectionRefused},
 		"reset under way":                {&wire.BrokenError{Cause: reset}, true, directory.CallBroken},
 		"closed under way":               {&wire.BrokenError{Cause: io.EOF}, true, directory.CallBroken},
 		"reset in the handshake":         {&wire.NotSentError{Cause: reset}, true, directory.CallBroken},
-		"pings unanswered":               {&wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}, false, directory.CallConnectionRefused},
+		"pings unanswered":               {unresponsive, false, directory.CallConnectionRefused},
 		"no answer in time":              {context.DeadlineExceeded, true, directory.CallTimedOut},
 		"no connection in time":          {&wire.NotSentError{Cause: dialTimeout}, true, directory.CallTimedOut},
 		"a deadline of another's":        {context.DeadlineExceeded, false, directory.CallInconclusive},
@@ -41,12 +42,12 @@
 		"closed by this process, unused": {&wire.BrokenError{Cause: &wire.IdleError{}}, true, directory.CallInconclusive},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := evidenceOf(example.err, example.silent); got != example.want {
+			if got := classifyFailure(example.err, example.timeoutCounts); got != example.want {
 				t.Fatalf("%d, want %d", got, example.want)
 			}
 		})
 	}
 	if !stalled(4*time.Second, time.Second) || stalled(time.Second+time.Millisecond, time.Second) {
-		t.Fatal("a process that stood still is not told from one that waited")
+		t.Fatal("a stalled process is not distinguished from one that waited")
 	}
 }
--- a/internal/dataplane/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -68,14 +68,14 @@
 	}
 }
 
-// lostBy is how calls to a lost node fail.
-type lostBy int
+// faultMode is how calls to a node fail.
+type faultMode int
 
 const (
-	notLost lostBy = iota
-	lostBroken
-	lostRefusing
-	lostSilent
+	reachable faultMode = iota
+	connectionsBroken
+	connectionsRefused
+	unresponsive
 )
 
 // fleet is managers in memory that call each other in virtual time.
@@ -83,10 +83,10 @@
 	g       *WithT
 	mutex   sync.Mutex
 	nodes   map[string]*node
-	down    map[string]lostBy
+	down    map[string]faultMode
 	version uint64
 	policy  *protocol.RecoveryPolicy
-	// severed are two nodes that do not hear each other.
+	// severed are two nodes that do not reach each other.
 	severed [2]string
 }
 
@@ -130,12 +130,12 @@
 	target, down := f.nodes[address], f.down[address]
 	f.mutex.Unlock()
 	switch {
-	case down == lostRefusing:
+	case down == connectionsRefused:
 		return nil, &wire.NotSentError{Address: address, Cause: syscall.ECONNREFUSED}
-	case down == lostSilent:
+	case down == unresponsive:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case target == nil || down == lostBroken:
+	case target == nil || down == connectionsBroken:
 		return nil, &wire.BrokenError{Address: address, Cause: io.ErrUnexpectedEOF}
 	}
 	return target.manager.ServeDirectory(ctx, proto.CloneOf(request))
@@ -145,7 +145,7 @@
 func given(t *testing.T, names []string, then func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{g: NewWithT(t), nodes: make(map[string]*node), down: make(map[string]lostBy), version: 1}
+		f := &fleet{g: NewWithT(t), nodes: make(map[string]*node), down: make(map[string]faultMode), version: 1}
 		for _, name := range names {
 			f.add(name)
 		}
@@ -199,18 +199,18 @@
 	}
 }
 
-// lose takes a node off the network.
-func (f *fleet) lose(name string) { f.loseBy(name, lostBroken) }
+// lose breaks all connections of a node.
+func (f *fleet) lose(name string) { f.setFault(name, connectionsBroken) }
 
-// loseBy takes a node off the network, or brings it back.
-func (f *fleet) loseBy(name string, how lostBy) {
+// setFault sets how calls to a node fail.
+func (f *fleet) setFault(name string, how faultMode) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.down[name] = how
 }
 
-// cut takes the connection between two nodes away.
-func (f *fleet) cut(one, other string) {
+// partition separates two nodes.
+func (f *fleet) partition(one, other string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.severed = [2]string{one, other}
@@ -240,19 +240,19 @@
 	return owner
 }
 
-// ownedBy finds sessions that the owner named takes in and whose partition the holder named has.
+// ownedBy finds sessions that the node named owner owns and whose partition the node named holder has.
 func (f *fleet) ownedBy(owner, holder string, count int) []string {
-	var found []string
-	for i := 0; len(found) < count; i++ {
+	var sessions []string
+	for i := 0; len(sessions) < count; i++ {
 		session := owner + "-" + holder + "-" + time.Duration(i).String()
 		if f.resolve(owner, session).PartitionHolder == holder {
-			found = append(found, session)
+			sessions = append(sessions, session)
 		}
 	}
-	return found
+	return sessions
 }
 
-func (n *node) gaveUp() []string {
+func (n *node) yieldedSessions() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return append([]string(nil), n.yielded...)
@@ -267,7 +267,9 @@
 			continue
 		}
 		for _, metric := range family.GetMetric() {
-			sum += metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + float64(metric.GetHistogram().GetSampleCount())
+			sum += metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + float64(
+				metric.GetHistogram().GetSampleCount(),
+			)
 		}
 	}
 	return sum
--- a/internal/dataplane/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -16,12 +16,12 @@
 }
 
 // Begin admits a turn or call. It fails with `not_owner` when this node does not
-// own the session or is giving it up, and with `no_authority` when it may not act
-// as owner at the moment. A grant must be ended.
+// own the session or is yielding it, and with `no_authority` when it may not act
+// as owner at the moment, both with outcome NOT_RUN. The grant must be ended.
 func (m *Manager) Begin(session, _ string) (*Grant, error) {
 	var grant *Grant
 	var code failure.Code
-	worked := m.run(func(s *shell) { grant, code = s.begin(session) })
+	worked := m.runAndWait(func(s *shell) { grant, code = s.begin(session) })
 	switch {
 	case !worked:
 		return nil, notRun(failure.NoAuthority, "the directory is not running")
@@ -34,18 +34,18 @@
 	}
 }
 
-// Valid reports whether the turn may go on. It is to be asked before each request
-// to a back end and before each event passed on. It becomes false when authority
-// ends, also in silence, and stays false when authority comes back.
+// Valid reports whether the turn may continue. Check it before each request
+// to a back end and before each event that is emitted. It becomes false when authority
+// expires, without any notification, and stays false when authority returns.
 func (g *Grant) Valid() bool {
 	authority := g.manager.options.Link.Authority()
 	return !g.ended.Load() && authority.Self.GetIncarnation() == g.incarnation && authority.Valid()
 }
 
-// Incarnation is this node's incarnation under which the grant was given; name it when claiming an epoch.
+// Incarnation is this node's incarnation under which the grant was given; under which an epoch is claimed.
 func (g *Grant) Incarnation() uint64 { return g.incarnation }
 
-// End says that the turn is settled; a session that is being given up goes after
+// End reports that the turn is committed; a session that is being yielded ends with
 // its last grant. Further calls have no effect.
 func (g *Grant) End() {
 	if g.ended.Swap(true) {
--- a/internal/dataplane/ownership/manager_test.go
+++ b/internal/dataplane/ownership/manager_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestGivenManyAtOnceThenOnlyOneBecomesTheOwner(t *testing.T) {
+func TestGivenConcurrentResolvesThenOnlyOneBecomesTheOwner(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		owners := make(chan ownership.Owner, 30)
 		for i := range 30 {
@@ -54,7 +54,7 @@
 
 		owner.link.change(func(_ *protocol.Node, ends *time.Time) { *ends = time.Now().Add(time.Second) })
 		pass(time.Second)
-		f.g.Expect(grant.Valid()).To(BeFalse(), "authority ends in silence")
+		f.g.Expect(grant.Valid()).To(BeFalse(), "authority expires without a notification")
 		_, err = owner.manager.Begin(session, "program")
 		f.g.Expect(failure.Is(err, failure.NoAuthority)).To(BeTrue())
 		f.g.Expect(failure.From(err).GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestGivenALostHolderThenItsSessionsAreKeptAndRegisteredAgain(t *testing.T) {
+func TestGivenALostHolderThenItsSessionsStayAndAreRegisteredAgain(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		sessions := f.ownedBy("a", "c", 20)
 		f.lose("c")
@@ -89,7 +89,7 @@
 		for _, session := range sessions {
 			f.g.Expect(f.resolve("b", session).Name).To(Equal("a"))
 		}
-		f.g.Expect(f.nodes["a"].gaveUp()).To(BeEmpty())
+		f.g.Expect(f.nodes["a"].yieldedSessions()).To(BeEmpty())
 		f.g.Expect(f.nodes["a"].metric("rosestand_directory_salvaged_total")).To(BeNumerically(">=", 20))
 		f.g.Expect(f.nodes["a"].metric("rosestand_directory_salvage_list_length")).To(BeZero())
 		f.g.Expect(f.nodes["a"].metric("rosestand_directory_reregister_seconds")).To(BeNumerically(">=", 1))
@@ -104,7 +104,7 @@
 		f.lose("c")
 		f.publish("a", "b")
 		pass(2 * time.Second)
-		f.g.Expect(f.nodes["a"].gaveUp()).To(ContainElements(sessions))
+		f.g.Expect(f.nodes["a"].yieldedSessions()).To(ContainElements(sessions))
 		f.g.Expect(f.nodes["a"].metric("rosestand_directory_yields_total")).To(BeNumerically(">=", 20))
 		f.g.Expect(f.resolve("b", sessions[0]).Local).To(BeTrue())
 	})
@@ -118,7 +118,7 @@
 		f.g.Expect(failure.Is(err, failure.Unavailable)).To(BeTrue())
 		f.g.Expect(failure.From(err).GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
 		f.g.Expect(failure.From(err).GetRetryAfterMillis()).To(BeNumerically(">", 0))
-		f.g.Expect(time.Since(before)).To(BeNumerically("<=", ownership.DefaultResolveWait+300*time.Millisecond))
+		f.g.Expect(time.Since(before)).To(BeNumerically("<=", ownership.DefaultResolveTimeout+300*time.Millisecond))
 
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestGivenADrainThenItReturnsWhenSessionsAndPartitionAreHandedOver(t *testing.T) {
+func TestGivenADrainThenItReturnsWhenSessionsAndPartitionAreHandedOff(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		idle, busy := f.ownedBy("c", "a", 1)[0], f.ownedBy("c", "b", 1)[0]
 		others := f.ownedBy("a", "c", 5)
@@ -141,7 +141,7 @@
 		pass(3 * time.Second)
 		f.g.Expect(drained).NotTo(Receive(), "a turn is under way")
 		f.g.Expect(grant.Valid()).To(BeTrue())
-		f.g.Expect(f.nodes["c"].gaveUp()).To(ContainElement(idle))
+		f.g.Expect(f.nodes["c"].yieldedSessions()).To(ContainElement(idle))
 		grant.End()
 		pass(time.Second)
 		f.g.Expect(drained).To(Receive(BeNil()))
@@ -184,24 +184,24 @@
 		session := f.ownedBy("c", "a", 1)[0]
 		began := time.Now()
 		f.g.Expect(f.nodes["c"].manager.Drain(context.Background())).To(Succeed())
-		f.g.Expect(time.Since(began)).To(BeNumerically("<=", ownership.DefaultDrainWait+300*time.Millisecond))
+		f.g.Expect(time.Since(began)).To(BeNumerically("<=", ownership.DefaultHandOffTimeout+300*time.Millisecond))
 		f.g.Expect(f.resolve("b", session).Local).To(BeTrue())
 	})
 }
 
-func TestGivenAFencedOwnerThenTheSessionIsGivenUp(t *testing.T) {
+func TestGivenAFencedOwnerThenTheSessionIsYielded(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "b", 1)[0]
 		f.nodes["a"].manager.Fenced(session)
 		pass(100 * time.Millisecond)
-		f.g.Expect(f.nodes["a"].gaveUp()).To(ConsistOf(session))
+		f.g.Expect(f.nodes["a"].yieldedSessions()).To(ConsistOf(session))
 		_, err := f.nodes["a"].manager.Begin(session, "program")
 		f.g.Expect(failure.Is(err, failure.NotOwner)).To(BeTrue())
 		f.g.Expect(f.resolve("c", session).Local).To(BeTrue())
 	})
 }
 
-func TestGivenAForgottenOwnerThenItIsLookedUpAgain(t *testing.T) {
+func TestGivenAnInvalidatedOwnerThenItIsLookedUpAgain(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
--- a/internal/dataplane/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -9,19 +9,20 @@
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 )
 
-// metrics shows what the directory did; names begin with rosestand_directory_.
+// metrics exports what the directory did; names begin with rosestand_directory_. The owner goroutine publishes the
+// snapshot, and the registry reads it.
 type metrics struct {
-	snapshot    atomic.Pointer[snapshot]
-	failedCalls prometheus.Counter
-	waits       prometheus.Histogram
-	settled     prometheus.Histogram
+	snapshot         atomic.Pointer[snapshot]
+	failedCalls      prometheus.Counter
+	salvageDuration  prometheus.Histogram
+	transferDuration prometheus.Histogram
 }
 
 // snapshot is a copy of the directory's counters, taken by its owner.
 type snapshot struct {
 	directory.Stats
-	owned, partition, salvage, handOff, settling, suspects int
-	viewVersion                                            uint64
+	owned, partition, salvage, handOff, transferring, suspects int
+	viewVersion                                                uint64
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -29,22 +30,119 @@
 		failedCalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "rosestand_directory_failed_calls_total", Help: "Requests to other directories without an answer.",
 		}),
-		waits: prometheus.NewHistogram(prometheus.HistogramOpts{
+		salvageDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "rosestand_directory_reregister_seconds", Help: "Time that sessions spent on the salvage list.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 15),
 		}),
-		settled: prometheus.NewHistogram(prometheus.HistogramOpts{
+		transferDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "rosestand_directory_settle_seconds", Help: "Time until a range gained was complete.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 15),
 		}),
 	}
 	m.snapshot.Store(&snapshot{})
-	registerer.MustRegister(m.failedCalls, m.waits, m.settled)
+	registerer.MustRegister(m.failedCalls, m.salvageDuration, m.transferDuration)
 	m.registerCounters(registerer)
 	m.registerGauges(registerer)
 	return m
 }
 
+const (
+	lookupsHelp    = "Session lookups by where they were answered."
+	rejectionsHelp = "Refusals of other directories by status."
+)
+
+// counters are read from the snapshot; yields are beside them, one for each reason.
+var counters = []struct {
+	name, help string
+	labels     prometheus.Labels
+	read       func(*snapshot) uint64
+}{
+	{
+		"lookups_total", lookupsHelp,
+		prometheus.Labels{"by": "cache"},
+		func(s *snapshot) uint64 { return s.CacheHits },
+	},
+	{
+		"lookups_total", lookupsHelp,
+		prometheus.Labels{"by": "own_partition"},
+		func(s *snapshot) uint64 { return s.LocalLookups },
+	},
+	{
+		"lookups_total", lookupsHelp,
+		prometheus.Labels{"by": "holder"},
+		func(s *snapshot) uint64 { return s.RemoteLookups },
+	},
+	{
+		"refusals_total", rejectionsHelp,
+		prometheus.Labels{"status": "incorrect_partition"},
+		func(s *snapshot) uint64 { return s.IncorrectPartition },
+	},
+	{
+		"refusals_total", rejectionsHelp,
+		prometheus.Labels{"status": "duplicate_activation"},
+		func(s *snapshot) uint64 { return s.Duplicates },
+	},
+	{
+		"refusals_total", rejectionsHelp,
+		prometheus.Labels{"status": "settling"},
+		func(s *snapshot) uint64 { return s.Transferring },
+	},
+	{
+		"salvaged_total", "Sessions registered again with a new holder.", nil,
+		func(s *snapshot) uint64 { return s.Salvaged },
+	},
+	{
+		"handed_off_total", "Registrations passed on to the new holder of a range.", nil,
+		func(s *snapshot) uint64 { return s.HandedOff },
+	},
+	{
+		"void_registrations_total", "Registrations void because authority was lost.", nil,
+		func(s *snapshot) uint64 { return s.AuthorityLost },
+	},
+	{
+		"resend_requests_total", "Completions that had to be asked for.", nil,
+		func(s *snapshot) uint64 { return s.ReregistrationRequests },
+	},
+	{
+		"suspicions_total", "Front nodes of the view that could not be reached.", nil,
+		func(s *snapshot) uint64 { return s.Suspicions },
+	},
+	{
+		"false_suspicions_total", "Suspects that answered after all.", nil,
+		func(s *snapshot) uint64 { return s.FalseSuspicions },
+	},
+	{
+		"takeovers_total", "Sessions registered here in place of a lost owner.", nil,
+		func(s *snapshot) uint64 { return s.Takeovers },
+	},
+}
+
+// gauges are read from the snapshot.
+var gauges = []struct {
+	name, help string
+	read       func(*snapshot) float64
+}{
+	{"owned_sessions", "Sessions owned.", func(s *snapshot) float64 { return float64(s.owned) }},
+	{"partition_sessions", "Registrations held.", func(s *snapshot) float64 { return float64(s.partition) }},
+	{
+		"salvage_list_length", "Own sessions that wait to be registered again.",
+		func(s *snapshot) float64 { return float64(s.salvage) },
+	},
+	{
+		"hand_off_length", "Registrations that wait to be passed on.",
+		func(s *snapshot) float64 { return float64(s.handOff) },
+	},
+	{
+		"suspects", "Front nodes of the view that cannot be reached at the moment.",
+		func(s *snapshot) float64 { return float64(s.suspects) },
+	},
+	{
+		"settling_views", "View changes whose ranges gained are not complete.",
+		func(s *snapshot) float64 { return float64(s.transferring) },
+	},
+	{"view_version", "Membership view in force.", func(s *snapshot) float64 { return float64(s.viewVersion) }},
+}
+
 func (m *metrics) registerCounters(registerer prometheus.Registerer) {
 	counter := func(name, help string, labels prometheus.Labels, read func(*snapshot) uint64) {
 		registerer.MustRegister(prometheus.NewCounterFunc(
@@ -52,21 +150,9 @@
 			func() float64 { return float64(read(m.snapshot.Load())) },
 		))
 	}
-	lookups := "Session lookups by where they were answered."
-	counter("lookups_total", lookups, prometheus.Labels{"by": "cache"}, func(s *snapshot) uint64 { return s.CacheHits })
-	counter("lookups_total", lookups, prometheus.Labels{"by": "own_partition"}, func(s *snapshot) uint64 { return s.LocalLookups })
-	counter("lookups_total", lookups, prometheus.Labels{"by": "holder"}, func(s *snapshot) uint64 { return s.RemoteLookups })
-	refusals := "Refusals of other directories by status."
-	counter("refusals_total", refusals, prometheus.Labels{"status": "incorrect_partition"}, func(s *snapshot) uint64 { return s.IncorrectPartition })
-	counter("refusals_total", refusals, prometheus.Labels{"status": "duplicate_activation"}, func(s *snapshot) uint64 { return s.Duplicates })
-	counter("refusals_total", refusals, prometheus.Labels{"status": "settling"}, func(s *snapshot) uint64 { return s.Transferring })
-	counter("salvaged_total", "Sessions registered again with a new holder.", nil, func(s *snapshot) uint64 { return s.Salvaged })
-	counter("handed_off_total", "Registrations passed on to the new holder of a range.", nil, func(s *snapshot) uint64 { return s.HandedOff })
-	counter("void_registrations_total", "Registrations void because authority was lost.", nil, func(s *snapshot) uint64 { return s.AuthorityLost })
-	counter("resend_requests_total", "Completions that had to be asked for.", nil, func(s *snapshot) uint64 { return s.ReregistrationRequests })
-	counter("suspicions_total", "Front nodes of the view that could not be reached.", nil, func(s *snapshot) uint64 { return s.Suspicions })
-	counter("false_suspicions_total", "Suspects that answered after all.", nil, func(s *snapshot) uint64 { return s.FalseSuspicions })
-	counter("takeovers_total", "Sessions registered here in place of a lost owner.", nil, func(s *snapshot) uint64 { return s.Takeovers })
+	for _, each := range counters {
+		counter(each.name, each.help, each.labels, each.read)
+	}
 	for _, reason := range directory.YieldReasons {
 		counter("yields_total", "Sessions given up by reason.", prometheus.Labels{"reason": string(reason)},
 			func(s *snapshot) uint64 { return s.Yields[reason] })
@@ -80,26 +166,22 @@
 			func() float64 { return read(m.snapshot.Load()) },
 		))
 	}
-	gauge("owned_sessions", "Sessions owned.", func(s *snapshot) float64 { return float64(s.owned) })
-	gauge("partition_sessions", "Registrations held.", func(s *snapshot) float64 { return float64(s.partition) })
-	gauge("salvage_list_length", "Own sessions that wait to be registered again.", func(s *snapshot) float64 { return float64(s.salvage) })
-	gauge("hand_off_length", "Registrations that wait to be passed on.", func(s *snapshot) float64 { return float64(s.handOff) })
-	gauge("suspects", "Front nodes of the view that cannot be reached at the moment.", func(s *snapshot) float64 { return float64(s.suspects) })
-	gauge("settling_views", "View changes whose ranges gained are not complete.", func(s *snapshot) float64 { return float64(s.settling) })
-	gauge("view_version", "Membership view in force.", func(s *snapshot) float64 { return float64(s.viewVersion) })
+	for _, each := range gauges {
+		gauge(each.name, each.help, each.read)
+	}
 }
 
 // publish copies the counters; only the directory's owner calls it.
 func (m *metrics) publish(d *directory.Directory) {
 	m.snapshot.Store(&snapshot{
 		Stats: d.Stats(), owned: d.OwnedCount(), partition: d.PartitionSize(), salvage: d.SalvageLength(),
-		handOff: d.HandOffLength(), settling: d.TransferringRanges(), viewVersion: d.ViewVersion(),
+		handOff: d.HandOffLength(), transferring: d.TransferringRanges(), viewVersion: d.ViewVersion(),
 		suspects: d.Suspects(),
 	})
 }
 
 func (m *metrics) reregistered(waits []time.Duration) {
 	for _, wait := range waits {
-		m.waits.Observe(wait.Seconds())
+		m.salvageDuration.Observe(wait.Seconds())
 	}
 }
--- /dev/null
+++ b/internal/dataplane/ownership/options.go
@@ -0,0 +1,78 @@
+package ownership
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/charmbracelet/log"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/rosestand/rosestand/internal/controlplane/corelink"
+	"github.com/rosestand/rosestand/internal/dataplane/ring"
+	"github.com/rosestand/rosestand/internal/transport/wire"
+)
+
+// Defaults of Options.
+const (
+	DefaultResolveTimeout = 2 * time.Second
+	DefaultHandOffTimeout = time.Second
+	// taskQueueLength bounds the tasks that wait for the owner goroutine; who posts a further one waits.
+	taskQueueLength = 1024
+	// minTickInterval and maxTickInterval bound the time between two ticks of the directory: the former bounds the work of
+	// a busy node, the latter how old its published metrics are.
+	minTickInterval = 5 * time.Millisecond
+	maxTickInterval = 250 * time.Millisecond
+	// busyRetryAfter is after how long callers may retry when this node cannot act as owner at the moment.
+	busyRetryAfter = time.Second
+)
+
+// Link is what the manager needs of the connection to the core. Its methods are safe for concurrent use.
+type Link interface {
+	View() *corelink.View
+	Subscribe(func(*corelink.View))
+	Authority() *corelink.Authority
+	SetDraining(bool)
+	SetOwning()
+}
+
+// Options configure a Manager. Link and Caller are required.
+type Options struct {
+	Link   Link
+	Caller wire.Caller
+	// VirtualNodes is the number of virtual nodes of each member on the ring; it must be the same on every front node.
+	VirtualNodes int
+	// ResolveTimeout bounds how long Resolve waits for an owner.
+	ResolveTimeout time.Duration
+	// FailureDetectionTimeout is how long a front node may leave calls unanswered before it is suspected.
+	FailureDetectionTimeout time.Duration
+	// HandOffTimeout bounds how long a drain whose sessions are yielded waits to hand off
+	// the partition, as while no view arrives that shows the drain.
+	HandOffTimeout time.Duration
+	// Random jitters delays; nil seeds one.
+	Random *rand.Rand
+
+	Logger     *log.Logger
+	Registerer prometheus.Registerer
+}
+
+func withDefaults(options Options) Options {
+	if options.VirtualNodes == 0 {
+		options.VirtualNodes = ring.DefaultVirtualNodes
+	}
+	if options.ResolveTimeout == 0 {
+		options.ResolveTimeout = DefaultResolveTimeout
+	}
+	if options.HandOffTimeout == 0 {
+		options.HandOffTimeout = DefaultHandOffTimeout
+	}
+	if options.Random == nil {
+		options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	}
+	if options.Logger == nil {
+		options.Logger = log.Default()
+	}
+	if options.Registerer == nil {
+		options.Registerer = prometheus.NewRegistry()
+	}
+	return options
+}
--- a/internal/dataplane/ownership/serve.go
+++ b/internal/dataplane/ownership/serve.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// served is the answer to a request of another front node, or where it is to be passed on to.
-type served struct {
+// reply is the answer to a request of another front node, or the relay to which it is to be forwarded.
+type reply struct {
 	response *protocol.Response
 	relay    *directory.Relay
 	err      error
@@ -24,73 +24,77 @@
 	if err != nil || answer.relay == nil {
 		return answer.response, err
 	}
-	holder, passedOn := answer.relay, relayed(request)
-	response, failed := m.passOn(ctx, holder, passedOn)
+	holder, forwarded := answer.relay, relayed(request)
+	response, cause := m.forward(ctx, holder, forwarded)
 	if response != nil {
 		return response, nil
 	}
 	m.post(func(s *shell) {
-		s.handle(directory.PeerFailed{Address: holder.Address, Failure: failed})
+		s.handle(directory.PeerFailed{Address: holder.Address, Failure: cause})
 	})
-	second, err := m.serveOnce(ctx, passedOn)
+	second, err := m.serveOnce(ctx, forwarded)
 	return second.response, err
 }
 
-// serveOnce has the owner goroutine work a request through.
-func (m *Manager) serveOnce(ctx context.Context, request *protocol.Request) (served, error) {
-	answer := make(chan served, 1)
+// serveOnce has the owner goroutine serve a request.
+func (m *Manager) serveOnce(ctx context.Context, request *protocol.Request) (reply, error) {
+	answer := make(chan reply, 1)
 	if !m.started.Load() || !m.post(func(s *shell) { answer <- s.serve(request) }) {
-		return served{}, notRun(failure.NotReady, "the directory is not running")
+		return reply{}, notRun(failure.NotReady, "the directory is not running")
 	}
 	select {
 	case result := <-answer:
 		return result, result.err
 	case <-ctx.Done():
-		return served{}, ctx.Err()
+		return reply{}, ctx.Err()
 	case <-m.done:
-		return served{}, notRun(failure.NotReady, "the directory is not running")
+		return reply{}, notRun(failure.NotReady, "the directory is not running")
 	}
 }
 
-// relayed is a lookup that is not to be passed on once more.
+// relayed is the request for a lookup that must not be forwarded a second time.
 func relayed(request *protocol.Request) *protocol.Request {
 	lookup := proto.CloneOf(request.GetLookupSession())
 	lookup.Relayed = true
 	return &protocol.Request{Body: &protocol.Request_LookupSession{LookupSession: lookup}}
 }
 
-// passOn asks the holder in place of a node that cannot reach it.
-func (m *Manager) passOn(ctx context.Context, to *directory.Relay, request *protocol.Request) (*protocol.Response, directory.CallFailure) {
+// forward queries the holder for a node that cannot reach it. The failure counts only without a response.
+func (m *Manager) forward(
+	ctx context.Context, to *directory.Relay, request *protocol.Request,
+) (*protocol.Response, directory.CallFailure) {
 	call, cancel := context.WithTimeout(ctx, to.Timeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	response, err := m.options.Caller.Call(call, to.Address, request)
 	if err != nil {
-		return nil, evidenceOf(err, !stalled(time.Since(began), to.Timeout))
+		return nil, classifyFailure(err, !stalled(time.Since(startedAt), to.Timeout))
 	}
 	return response, directory.CallInconclusive
 }
 
 // serve answers as holder, which this node may do only with authority.
-func (s *shell) serve(request *protocol.Request) served {
+func (s *shell) serve(request *protocol.Request) reply {
 	at, _ := s.moment()
 	if !at.Authority {
-		return served{err: notRun(failure.NoAuthority, "this node holds no lease")}
+		return reply{err: notRun(failure.NoAuthority, "this node holds no lease")}
 	}
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_LookupSession:
 		answer, relay, commands := s.directory.ServeLookup(at, body.LookupSession)
 		s.execute(commands)
-		return served{relay: relay, response: &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: answer}}}
+		return reply{
+			relay: relay, response: &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: answer}},
+		}
 	case *protocol.Request_RegisterSessions:
 		answer, commands := s.directory.ServeRegister(at, body.RegisterSessions)
 		s.execute(commands)
-		return served{response: &protocol.Response{Body: &protocol.Response_RegisterSessions{RegisterSessions: answer}}}
+		return reply{response: &protocol.Response{Body: &protocol.Response_RegisterSessions{RegisterSessions: answer}}}
 	case *protocol.Request_UnregisterSessions:
 		answer, commands := s.directory.ServeUnregister(at, body.UnregisterSessions)
 		s.execute(commands)
-		return served{response: &protocol.Response{Body: &protocol.Response_UnregisterSessions{UnregisterSessions: answer}}}
+		return reply{response: &protocol.Response{Body: &protocol.Response_UnregisterSessions{UnregisterSessions: answer}}}
 	default:
-		return served{err: notRun(failure.UnknownRequest, "not a request to the directory")}
+		return reply{err: notRun(failure.UnknownRequest, "not a request to the directory")}
 	}
 }
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -11,27 +11,27 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// shell holds the directory; only the owner goroutine touches it.
+// shell is the state of the owner goroutine, which alone touches it.
 type shell struct {
-	manager   *Manager
-	ctx       context.Context
-	directory *directory.Directory
-	waiting   map[uint64]chan<- directory.Resolved
-	drained   []chan struct{}
-	// givenUpAt is when a draining node had given its last session up.
-	givenUpAt time.Time
-	policy    *protocol.RecoveryPolicy
+	manager         *Manager
+	ctx             context.Context
+	directory       *directory.Directory
+	pendingResolves map[uint64]chan<- directory.Resolved
+	drainWaiters    []chan struct{}
+	// yieldedAllAt is when a draining node had yielded its last session; zero before.
+	yieldedAllAt time.Time
+	policy       *protocol.RecoveryPolicy
 
 	timer  *time.Timer
 	tickAt time.Time
-	// owning is true once the link was told that this process has owned a session.
-	owning bool
-	// salvaging and suspects are what the log was last told.
-	salvaging bool
-	suspects  int
+	// reportedOwning is true once the link was notified that this process has owned a session.
+	reportedOwning bool
+	// loggedSalvaging and loggedSuspects are the values of the last log lines on them.
+	loggedSalvaging bool
+	loggedSuspects  int
 }
 
-func newShell(manager *Manager, ctx context.Context) *shell {
+func newShell(ctx context.Context, manager *Manager) *shell {
 	self := manager.options.Link.Authority().Self
 	return &shell{
 		manager: manager,
@@ -43,8 +43,8 @@
 			Random:                  manager.options.Random,
 			FailureDetectionTimeout: manager.options.FailureDetectionTimeout,
 		}),
-		waiting: make(map[uint64]chan<- directory.Resolved),
-		timer:   time.NewTimer(longestTick),
+		pendingResolves: make(map[uint64]chan<- directory.Resolved),
+		timer:           time.NewTimer(maxTickInterval),
 	}
 }
 
@@ -54,10 +54,10 @@
 		select {
 		case <-s.ctx.Done():
 			return
-		case command := <-s.manager.commands:
-			command(s)
+		case task := <-s.manager.tasks:
+			task(s)
 			if s.directory.Pending() {
-				s.tickWithin(shortestTick)
+				s.tickWithin(minTickInterval)
 			}
 		case <-s.timer.C:
 			s.handle(directory.Ticked{})
@@ -76,21 +76,21 @@
 }
 
 func (s *shell) scheduleTick() {
-	wait := longestTick
+	wait := maxTickInterval
 	if next, pending := s.directory.NextTick(); pending {
-		wait = min(max(time.Until(next), shortestTick), longestTick)
+		wait = min(max(time.Until(next), minTickInterval), maxTickInterval)
 	}
 	s.tickAt = time.Now().Add(wait)
 	s.timer.Reset(wait)
 }
 
-// moment is the time and whether this node has authority. A new incarnation of
-// this node is told to the directory before anything else is.
+// moment is the time and whether this node has authority. The directory learns of a new incarnation of
+// this node before it handles anything under it.
 func (s *shell) moment() (directory.Moment, *corelink.Authority) {
 	authority := s.manager.options.Link.Authority()
 	at := directory.Moment{Now: time.Now(), Authority: authority.Valid()}
 	if incarnation := authority.Self.GetIncarnation(); incarnation != s.directory.Self().Incarnation {
-		s.manager.logger.Warn("authority was lost; sessions are registered again", "sessions", s.directory.OwnedCount())
+		s.manager.logger.Warn("authority lost", "sessions", s.directory.OwnedCount())
 		s.execute(s.directory.Handle(at, directory.Reincarnated{Incarnation: incarnation}))
 	}
 	return at, authority
@@ -99,13 +99,13 @@
 func (s *shell) handle(event directory.Event) {
 	at, _ := s.moment()
 	s.execute(s.directory.Handle(at, event))
-	s.tellOwning()
+	s.reportOwning()
 }
 
-// tellOwning tells the link once that the process owns a session.
-func (s *shell) tellOwning() {
-	if !s.owning && s.directory.OwnedCount() > 0 {
-		s.owning = true
+// reportOwning notifies the link once that the process has owned a session.
+func (s *shell) reportOwning() {
+	if !s.reportedOwning && s.directory.OwnedCount() > 0 {
+		s.reportedOwning = true
 		s.manager.options.Link.SetOwning()
 	}
 }
@@ -116,17 +116,21 @@
 		s.handle(directory.PolicyChanged{Policy: directory.NewPolicy(recovery)})
 	}
 	if view.Membership.GetVersion() > s.directory.ViewVersion() {
-		s.handle(directory.ViewChanged{View: s.directory.Membership().NextFromMembership(view.Membership, s.manager.options.VirtualNodes)})
+		s.handle(
+			directory.ViewChanged{
+				View: s.directory.Membership().NextFromMembership(view.Membership, s.manager.options.VirtualNodes),
+			},
+		)
 	}
 }
 
 func (s *shell) resolve(request directory.ResolveRequested, answer chan<- directory.Resolved) {
-	s.waiting[request.Ticket] = answer
+	s.pendingResolves[request.Ticket] = answer
 	s.handle(request)
 }
 
 func (s *shell) cancelResolve(ticket uint64) {
-	delete(s.waiting, ticket)
+	delete(s.pendingResolves, ticket)
 	s.handle(directory.ResolveCancelled{Ticket: ticket})
 }
 
@@ -139,91 +143,3 @@
 	}
 	return &Grant{manager: s.manager, session: session, incarnation: authority.Self.GetIncarnation()}, ""
 }
-
-func (s *shell) drain(drained chan struct{}) {
-	s.drained = append(s.drained, drained)
-	s.handle(directory.DrainBegun{})
-	s.checkDrained()
-}
-
-func (s *shell) checkDrained() {
-	if len(s.drained) == 0 || !s.directory.Drained() && !s.waitedLongEnough() {
-		return
-	}
-	for _, drained := range s.drained {
-		close(drained)
-	}
-	s.drained = nil
-}
-
-// waitedLongEnough reports whether the sessions are given up and the partition
-// could not be handed off in time. Its owners register it elsewhere once this process has ended.
-func (s *shell) waitedLongEnough() bool {
-	if s.directory.OwnedCount() > 0 {
-		return false
-	}
-	if s.givenUpAt.IsZero() {
-		s.givenUpAt = time.Now()
-	}
-	return time.Since(s.givenUpAt) >= s.manager.options.DrainWait
-}
-
-func (s *shell) execute(commands []directory.Command) {
-	for _, command := range commands {
-		switch command := command.(type) {
-		case directory.Send:
-			s.send(command)
-		case directory.Resolved:
-			s.resolved(command)
-		case directory.Yielded:
-			for _, notify := range s.manager.onYield {
-				notify(command.Session)
-			}
-		case directory.Reregistered:
-			s.manager.metrics.reregistered(command.Waits)
-		case directory.TransferCompleted:
-			s.manager.metrics.settled.Observe(command.Took.Seconds())
-		}
-	}
-	s.checkDrained()
-}
-
-func (s *shell) resolved(command directory.Resolved) {
-	if answer, found := s.waiting[command.Ticket]; found {
-		delete(s.waiting, command.Ticket)
-		answer <- command
-	}
-}
-
-// send makes the call beside the owner goroutine and queues its answer.
-func (s *shell) send(command directory.Send) {
-	manager, ctx := s.manager, s.ctx
-	manager.workers.Go(func() {
-		call, cancel := context.WithTimeout(ctx, command.Timeout)
-		defer cancel()
-		began := time.Now()
-		answered := directory.Answered{Call: command.Call}
-		response, err := manager.options.Caller.Call(call, command.Address, command.Request)
-		if err != nil {
-			manager.metrics.failedCalls.Inc()
-			answered.Failure = evidenceOf(err, !stalled(time.Since(began), command.Timeout))
-		} else {
-			answered.Response = response
-		}
-		manager.post(func(s *shell) { s.handle(answered) })
-	})
-}
-
-// publish writes the counters out, and a line when the salvage list fills or empties or the suspects change.
-func (s *shell) publish() {
-	s.manager.metrics.publish(s.directory)
-	if suspects := s.directory.Suspects(); suspects != s.suspects {
-		s.suspects = suspects
-		s.manager.logger.Info("suspects changed", "front_nodes", suspects, "view", s.directory.ViewVersion())
-	}
-	if salvaging := s.directory.SalvageLength() > 0; salvaging != s.salvaging {
-		s.salvaging = salvaging
-		s.manager.logger.Info("salvage list changed", "sessions", s.directory.SalvageLength(),
-			"view", s.directory.ViewVersion())
-	}
-}
--- a/internal/dataplane/ownership/takeover_test.go
+++ b/internal/dataplane/ownership/takeover_test.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// takeoverAfterRefusal and takeoverAfterSilence bound a Resolve that has to go round a lost node.
-	takeoverAfterRefusal = 200 * time.Millisecond
-	takeoverAfterSilence = 800 * time.Millisecond
+	// takeoverAfterRefusedConnection and takeoverAfterTimeout bound a Resolve that has to go round a lost node.
+	takeoverAfterRefusedConnection = 200 * time.Millisecond
+	takeoverAfterTimeout           = 800 * time.Millisecond
 )
 
 func TestGivenALostOwnerWhenAForwardWasRefusedThenTheNextResolveTakesOver(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
-		f.loseBy("a", lostRefusing)
+		f.setFault("a", connectionsRefused)
 		refused := &wire.NotSentError{Address: "a", Cause: syscall.ECONNREFUSED}
 		f.nodes["b"].manager.OwnerLost(session, "a", refused)
-		f.within(takeoverAfterRefusal, "b", session).BeLocal()
+		f.within(takeoverAfterRefusedConnection, "b", session).BeLocal()
 	})
 }
 
@@ -35,37 +35,40 @@
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
-		f.loseBy("a", lostRefusing)
+		f.setFault("a", connectionsRefused)
 		f.nodes["b"].manager.OwnerLost(session, "a", &wire.BrokenError{Address: "a", Cause: io.EOF})
-		f.within(takeoverAfterRefusal, "b", session).BeLocal()
+		f.within(takeoverAfterRefusedConnection, "b", session).BeLocal()
 	})
 }
 
-func TestGivenAnOwnerThatIsThereWhenAConnectionBrokeThenItStaysTheOwner(t *testing.T) {
+func TestGivenALiveOwnerWhenAConnectionBrokeThenItStaysTheOwner(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
 		f.nodes["b"].manager.OwnerLost(session, "a", &wire.BrokenError{Address: "a", Cause: syscall.ECONNRESET})
 		f.g.Expect(f.resolve("b", session).Name).To(Equal("a"))
-		f.g.Expect(f.nodes["a"].gaveUp()).To(BeEmpty())
+		f.g.Expect(f.nodes["a"].yieldedSessions()).To(BeEmpty())
 	})
 }
 
 func TestGivenALostHolderAndNoNewViewThenAResolveIsAnsweredSoon(t *testing.T) {
-	for name, how := range map[string]lostBy{"refusing": lostRefusing, "broken": lostBroken, "silent": lostSilent} {
+	faults := map[string]faultMode{
+		"refusing": connectionsRefused, "broken": connectionsBroken, "unresponsive": unresponsive,
+	}
+	for name, how := range faults {
 		t.Run(name, func(t *testing.T) {
 			given(t, trio, func(f *fleet) {
 				known := f.ownedBy("a", "c", 1)[0]
-				f.loseBy("c", how)
-				bound := takeoverAfterRefusal
-				if how == lostSilent {
-					bound = takeoverAfterSilence
+				f.setFault("c", how)
+				bound := takeoverAfterRefusedConnection
+				if how == unresponsive {
+					bound = takeoverAfterTimeout
 				}
 				before := time.Now()
 				owner, err := f.nodes["b"].manager.Resolve(context.Background(), known, "program")
 				f.g.Expect(err).NotTo(HaveOccurred())
 				f.g.Expect(time.Since(before)).To(BeNumerically("<=", bound))
-				if how != lostSilent {
+				if how != unresponsive {
 					f.g.Expect(owner.Name).To(Equal("a"), "its owner has registered it again")
 				}
 				pass(time.Second)
@@ -73,29 +76,31 @@
 					before = time.Now()
 					_, err = f.nodes["b"].manager.Resolve(context.Background(), "new-"+time.Duration(i).String(), "program")
 					f.g.Expect(err).NotTo(HaveOccurred())
-					f.g.Expect(time.Since(before)).To(BeNumerically("<=", 10*time.Millisecond), "nobody waits for it any more")
+					f.g.Expect(time.Since(before)).To(
+						BeNumerically("<=", 10*time.Millisecond), "nothing waits for the lost holder any more",
+					)
 				}
 			})
 		})
 	}
 }
 
-func TestGivenAHolderThatOneNodeCannotReachThenItIsAskedThroughAnother(t *testing.T) {
+func TestGivenAHolderThatOneNodeCannotReachThenItIsQueriedThroughAnother(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
-		f.cut("b", "c")
-		f.within(takeoverAfterSilence, "b", session).BeOf("a")
-		f.g.Expect(f.nodes["a"].gaveUp()).To(BeEmpty())
+		f.partition("b", "c")
+		f.within(takeoverAfterTimeout, "b", session).BeOf("a")
+		f.g.Expect(f.nodes["a"].yieldedSessions()).To(BeEmpty())
 	})
 }
 
-func TestGivenALookupWhoseCallerLeavesWhileItIsPassedOnThenTheNodeGoesOn(t *testing.T) {
+func TestGivenALookupWhoseCallerLeavesWhileItIsForwardedThenTheNodeContinues(t *testing.T) {
 	const fleets = 40
 	left := 0
 	for i := range fleets {
 		given(t, trio, func(f *fleet) {
 			sessions := f.ownedBy("b", "c", i+1)
-			f.cut("a", "c")
+			f.partition("a", "c")
 			if err := f.lookUpBriefly("a", sessions[i], "c"); errors.Is(err, context.DeadlineExceeded) {
 				left++
 			}
@@ -104,18 +109,18 @@
 		})
 	}
 	if left == 0 {
-		t.Error("no lookup was passed on to a holder that did not answer in time")
+		t.Error("no lookup was forwarded to a holder that did not answer in time")
 	}
 }
 
-// lookUpBriefly asks a node, for a millisecond, in place of a holder that the asking node could not reach.
-func (f *fleet) lookUpBriefly(asked, session, suspect string) error {
+// lookUpBriefly queries a node, for a millisecond, in place of a holder that the requesting node could not reach.
+func (f *fleet) lookUpBriefly(node, session, suspect string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	lookup := &protocol.LookupSessionRequest{
 		Session: session, ViewVersion: f.version, Suspects: []*protocol.Suspect{{Name: suspect, Incarnation: 1}},
 	}
-	_, err := f.nodes[asked].manager.ServeDirectory(ctx, &protocol.Request{
+	_, err := f.nodes[node].manager.ServeDirectory(ctx, &protocol.Request{
 		Body: &protocol.Request_LookupSession{LookupSession: lookup},
 	})
 	return err
