--- a/internal/dataplane/ownership/effects.go
+++ b/internal/dataplane/ownership/effects.go
@@ -34,25 +34,28 @@
 	}
 }
 
-// send makes the call in a goroutine of its own and posts its answer.
-//
-//nolint:contextcheck // the call belongs to the owner goroutine, whose context it has, not to the caller that caused it
-func (s *shell) send(command directory.Send) {
-	manager, ctx := s.manager, s.ctx
-	manager.calls.Go(func() {
-		call, cancel := context.WithTimeout(ctx, command.Timeout)
-		defer cancel()
-		startedAt := time.Now()
-		answered := directory.Answered{Call: command.Call}
-		response, err := manager.options.Caller.Call(call, command.Address, command.Request)
-		if err != nil {
-			manager.metrics.failedCalls.Inc()
-			answered.Failure = classifyFailure(err, !stalled(time.Since(startedAt), command.Timeout))
-		} else {
-			answered.Response = response
-		}
-		manager.post(func(s *shell) { s.handle(answered) })
-	})
+// sender returns the function that makes a call in a goroutine of its own, which posts the answer. The calls end with the
+// context, which is the owner goroutine's.
+func (m *Manager) sender(ctx context.Context) func(directory.Send) {
+	return func(command directory.Send) {
+		m.calls.Go(func() {
+			answered := m.call(ctx, command)
+			m.post(func(s *shell) { s.handle(answered) })
+		})
+	}
+}
+
+func (m *Manager) call(ctx context.Context, command directory.Send) directory.Answered {
+	ctx, cancel := context.WithTimeout(ctx, command.Timeout)
+	defer cancel()
+	startedAt := time.Now()
+	response, err := m.options.Caller.Call(ctx, command.Address, command.Request)
+	if err != nil {
+		m.metrics.failedCalls.Inc()
+		cause := classifyFailure(err, !stalled(time.Since(startedAt), command.Timeout))
+		return directory.Answered{Call: command.Call, Failure: cause}
+	}
+	return directory.Answered{Call: command.Call, Response: response}
 }
 
 // publish copies the counters for the metrics, and logs when the salvage list fills or empties or the suspects change.
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -72,7 +72,7 @@
 	m.started.Store(true)
 	go func() {
 		defer close(m.done)
-		shell.run()
+		shell.run(running)
 	}()
 	m.viewChanged(m.options.Link.View())
 	return nil
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -13,9 +13,10 @@
 
 // shell is the state of the owner goroutine, which alone touches it.
 type shell struct {
-	manager         *Manager
-	ctx             context.Context
-	directory       *directory.Directory
+	manager   *Manager
+	directory *directory.Directory
+	// send begins a call to another front node; its answer comes back as a task.
+	send            func(directory.Send)
 	pendingResolves map[uint64]chan<- directory.Resolved
 	drainWaiters    []chan struct{}
 	// yieldedAllAt is when a draining node had yielded its last session; zero before.
@@ -35,7 +36,7 @@
 	self := manager.options.Link.Authority().Self
 	return &shell{
 		manager: manager,
-		ctx:     ctx,
+		send:    manager.sender(ctx),
 		directory: directory.New(directory.Options{
 			Self: ring.Member{
 				Name: self.GetName(), Address: self.GetAddress(), Incarnation: self.GetIncarnation(),
@@ -48,11 +49,12 @@
 	}
 }
 
-func (s *shell) run() {
+// run executes tasks and ticks until the context ends.
+func (s *shell) run(ctx context.Context) {
 	defer s.timer.Stop()
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-ctx.Done():
 			return
 		case task := <-s.manager.tasks:
 			task(s)
