--- a/internal/dataplane/front/httpturn.go
+++ b/internal/dataplane/front/httpturn.go
@@ -61,7 +61,7 @@
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
 		Budget: routedBudget(request), ReservationLimit: routedCeiling(request),
 		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
-		BundleVersion: routed.GetBundleVersion(), Attempts: routedSends,
+		BundleVersion: routed.GetBundleVersion(), MaxAttempts: routedSends,
 	})
 	s.startRun(run, cancel)
 	return live, nil
--- a/internal/dataplane/front/toolrun.go
+++ b/internal/dataplane/front/toolrun.go
@@ -94,9 +94,9 @@
 		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
-			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Repeatable: !route.GetNonRepeatable(),
+			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
 			Budget: arm.budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: arm.version(),
-			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, Attempts: callAttempts(request), Runs: callRuns(request),
+			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request), MaxRuns: callRuns(request),
 		}),
 	}
 }
--- a/internal/dataplane/front/turnsteps.go
+++ b/internal/dataplane/front/turnsteps.go
@@ -177,7 +177,7 @@
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
 func (r *turnRun) refuse(command turn.Reject) *protocol.LedgerResult {
-	if !command.AtOnce {
+	if !command.Overload {
 		return r.service.refuseRequest(r.ctx, r.key.program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
--- a/internal/dataplane/turn/emit.go
+++ b/internal/dataplane/turn/emit.go
@@ -29,10 +29,10 @@
 }
 
 func (m *Machine) emitCompleted() Command {
-	m.ended = true
+	m.answerEnded = true
 	return m.emit(&protocol.TurnEvent{Body: &protocol.TurnEvent_Completed{Completed: &protocol.TurnCompleted{
 		TurnId: m.parameters.TurnID, Text: m.text.String(), InputTokens: m.done.InputTokens,
-		OutputTokens: m.tokens, CachedTokens: m.done.CachedTokens, Nonce: m.done.Nonce,
+		OutputTokens: m.attemptTokens, CachedTokens: m.done.CachedTokens, Nonce: m.done.Nonce,
 	}}})
 }
 
@@ -41,15 +41,15 @@
 	if m.step.recording {
 		return m.emitCompleted()
 	}
-	if m.answered == nil {
+	if m.completeAnswer == nil {
 		return m.emitFailed(f)
 	}
-	m.ended = true
-	return m.emit(&protocol.TurnEvent{Body: &protocol.TurnEvent_Answered{Answered: m.answered}})
+	m.answerEnded = true
+	return m.emit(&protocol.TurnEvent{Body: &protocol.TurnEvent_Answered{Answered: m.completeAnswer}})
 }
 
 func (m *Machine) emitFailed(f *protocol.Failure) Command {
-	m.ended = true
+	m.answerEnded = true
 	if m.attempt == m.parameters.Request.GetLastAttempt() {
 		m.attempt++
 	}
@@ -57,22 +57,22 @@
 }
 
 // Replay gives the events of a kept turn as an attempt of their own.
-func Replay(kept *protocol.Turn, attempt uint32, owner string, bundleVersion uint64) []*protocol.TurnEvent {
+func Replay(retained *protocol.Turn, attempt uint32, owner string, bundleVersion uint64) []*protocol.TurnEvent {
 	var text strings.Builder
-	for _, item := range kept.GetOutput() {
+	for _, item := range retained.GetOutput() {
 		text.WriteString(item.GetText())
 	}
 	return []*protocol.TurnEvent{
 		{Attempt: attempt, Sequence: 1, Body: &protocol.TurnEvent_Created{Created: &protocol.TurnCreated{
-			TurnId: kept.GetId(), RequestId: kept.GetRequestId(), Owner: owner, Epoch: kept.GetEpoch(),
-			BackEnd: kept.GetBackEnd(), BundleVersion: bundleVersion,
+			TurnId: retained.GetId(), RequestId: retained.GetRequestId(), Owner: owner, Epoch: retained.GetEpoch(),
+			BackEnd: retained.GetBackEnd(), BundleVersion: bundleVersion,
 		}}},
 		{Attempt: attempt, Sequence: 2, Body: &protocol.TurnEvent_Delta{Delta: &protocol.TurnDelta{
-			Text: text.String(), Tokens: uint32(kept.GetOutputTokens()),
+			Text: text.String(), Tokens: uint32(retained.GetOutputTokens()),
 		}}},
 		{Attempt: attempt, Sequence: 3, Body: &protocol.TurnEvent_Completed{Completed: &protocol.TurnCompleted{
-			TurnId: kept.GetId(), Text: text.String(), InputTokens: kept.GetInputTokens(), OutputTokens: kept.GetOutputTokens(),
-			CachedTokens: kept.GetCachedTokens(), Nonce: kept.GetNonce(),
+			TurnId: retained.GetId(), Text: text.String(), InputTokens: retained.GetInputTokens(), OutputTokens: retained.GetOutputTokens(),
+			CachedTokens: retained.GetCachedTokens(), Nonce: retained.GetNonce(),
 		}}},
 	}
 }
@@ -85,7 +85,7 @@
 		return failure.New(failure.BudgetSpent, notRun, "the program's token budget is spent", failure.WithPath("program")).Failure
 	case protocol.LedgerStatus_LEDGER_BUDGET_HELD:
 		return failure.New(failure.BudgetReserved, notRun, "turns under way hold the rest of the program's budget",
-			failure.WithPath("program"), failure.WithRetryAfter(heldRetry)).Failure
+			failure.WithPath("program"), failure.WithRetryAfter(reservedRetryAfter)).Failure
 	case protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:
 		return failure.New(failure.UnknownProgram, notRun, "the program is not known", failure.WithPath("program")).Failure
 	case protocol.LedgerStatus_LEDGER_UNKNOWN_SESSION, protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION:
@@ -98,12 +98,12 @@
 			failure.WithPath(stepPath)).Failure
 	case protocol.LedgerStatus_LEDGER_STEP_UNKNOWN:
 		return failure.New(failure.StepVersionUnavailable, notRun, "the training step has no version",
-			failure.WithPath(stepPath), failure.WithRetryAfter(stepRetry)).Failure
+			failure.WithPath(stepPath), failure.WithRetryAfter(stepRetryAfter)).Failure
 	case protocol.LedgerStatus_LEDGER_FENCED:
 		return failure.New(failure.Fenced, notRun, "another front node owns the session",
-			failure.WithRetryAfter(busyRetry)).Failure
+			failure.WithRetryAfter(busyRetryAfter)).Failure
 	default:
 		return failure.New(failure.LedgerUnavailable, notRun, "the ledger did not answer in time",
-			failure.WithRetryAfter(ledgerRetry)).Failure
+			failure.WithRetryAfter(ledgerRetryAfter)).Failure
 	}
 }
--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -15,15 +15,15 @@
 
 // keptTimes is how many keeping times of a turn the ledger keeps what it knows of an idle program: a
 // program that was stopped may come again within one.
-const keptTimes = 3
+const programRetentionFactor = 3
 
 // leastKept stands for the keeping time of a route that names none.
-const leastKept = time.Minute
+const minRetention = time.Minute
 
 func (m *Machine) isHTTP() bool { return m.parameters.Request.GetHttp() != nil }
 
 // isKept reports whether the turn is kept for others to continue.
-func (m *Machine) isKept() bool { return m.parameters.Request.GetHttp().GetStateful() }
+func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
 // IsLedgered reports whether the ledger has a part in the turn.
 func (m *Machine) IsLedgered() bool { return IsLedgered(m.parameters.Request) }
@@ -44,7 +44,7 @@
 	case !m.IsLedgered():
 		m.state = stateChoosing
 		return []Command{Choose{}}
-	case m.isKept() && m.parameters.Request.GetPreviousTurn() != "":
+	case m.isRetained() && m.parameters.Request.GetPreviousTurn() != "":
 		m.state = stateReading
 		return []Command{ReadHistory{LastTurn: m.parameters.Request.GetPreviousTurn()}}
 	default:
@@ -62,7 +62,7 @@
 		Claim: &protocol.ClaimSession{
 			Session: request.GetSession(), Owner: m.parameters.Owner, OwnerIncarnation: m.parameters.Incarnation,
 			Tenant: request.GetTenant(), Budget: m.parameters.Budget,
-			KeepingMillis: (keptTimes * max(m.parameters.Retention, leastKept)).Milliseconds(),
+			KeepingMillis: (programRetentionFactor * max(m.parameters.Retention, minRetention)).Milliseconds(),
 		},
 	}}
 }
@@ -72,7 +72,7 @@
 	if m.sequence > 0 {
 		return nil
 	}
-	if !m.keepsVersion(head.WeightVersions) {
+	if !m.matchesVersionPin(head.WeightVersions) {
 		return m.versionChanged(now)
 	}
 	command := m.emitCreated().(Emit)
@@ -81,18 +81,18 @@
 }
 
 // answeredWhole ends a turn that the server answered with a status of its own. It may have run.
-func (m *Machine) answeredWhole(answer AnswerCompleted, now time.Time) []Command {
-	m.ranEver = true
-	if m.isOfStep() && !m.takesWhole(answer) {
+func (m *Machine) answeredCompletely(answer AnswerCompleted, now time.Time) []Command {
+	m.ranBefore = true
+	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
 		return m.versionChanged(now)
 	}
-	m.answered = answer.Answer
+	m.completeAnswer = answer.Answer
 	f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the server answered without a stream").Failure
 	return m.charge(f, now)
 }
 
 // finishedUnkept ends a turn that nobody continues: its answer does not wait for the charge.
-func (m *Machine) finishedUnkept(now time.Time) []Command {
+func (m *Machine) finishedUnretained(now time.Time) []Command {
 	if m.isOfStep() {
 		return m.recordGeneration(now)
 	}
@@ -102,16 +102,16 @@
 		return append(append(m.leave(), completed), Finish{})
 	}
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the turn was answered").Failure
-	return first(m.charge(f, now), completed)
+	return prepend(m.charge(f, now), completed)
 }
 
-func (m *Machine) keptHTTP(now time.Time) *protocol.Turn {
+func (m *Machine) retainedHTTPTurn(now time.Time) *protocol.Turn {
 	request := m.parameters.Request
 	return &protocol.Turn{
 		Id: m.parameters.TurnID, Program: request.GetProgram(), Session: request.GetSession(),
 		PreviousTurn: request.GetPreviousTurn(), PreviousProgram: m.previousProgram, RequestId: request.GetRequestId(),
-		Input: request.GetInput(), Output: []*protocol.Item{{Data: m.output}}, OutputTokens: m.tokens,
+		Input: request.GetInput(), Output: []*protocol.Item{{Data: m.output}}, OutputTokens: m.attemptTokens,
 		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.Retention).UnixMilli(),
-		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: m.historyTokens + m.tokens,
+		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: m.historyTokens + m.attemptTokens,
 	}
 }
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -15,15 +15,15 @@
 	// answerWindow is how long a caller waits for the ledger to confirm the end of
 	// its turn. The owner goes on trying as long as it has authority: the open
 	// reservation is charged at its ceiling by the next epoch, never run anew.
-	answerWindow  = 2 * time.Second
-	settleAnswer  = 15 * time.Second
-	firstPause    = 50 * time.Millisecond
-	longestPause  = 2 * time.Second
-	heldRetry     = 500 * time.Millisecond
-	ledgerRetry   = time.Second
-	busyRetry     = 500 * time.Millisecond
-	restartShare  = 2
-	chargedAtOnce = 1
+	confirmationTimeout  = 2 * time.Second
+	commitAnswerTimeout  = 15 * time.Second
+	initialBackoff    = 50 * time.Millisecond
+	maxBackoff  = 2 * time.Second
+	reservedRetryAfter     = 500 * time.Millisecond
+	ledgerRetryAfter   = time.Second
+	busyRetryAfter     = 500 * time.Millisecond
+	restartDivisor  = 2
+	minCharge = 1
 )
 
 // Parameters are fixed when a turn begins.
@@ -41,7 +41,7 @@
 	Retention        time.Duration
 	BundleVersion    uint64
 	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
-	Attempts uint32
+	MaxAttempts uint32
 }
 
 type state int
@@ -55,11 +55,11 @@
 	stateReserving
 	stateChoosing
 	stateIssued
-	stateAskingRetry
-	stateSettling
+	stateRequestingRetry
+	stateCommitting
 	stateReleasing
-	stateRefusing
-	stateReadingKept
+	stateRejecting
+	stateReadingRetained
 	stateDone
 )
 
@@ -78,10 +78,10 @@
 	step     stepProgress
 	reserved bool
 	// ranEver is true once an attempt may have run.
-	ranEver bool
+	ranBefore bool
 
 	attempt  uint32
-	tries    uint32
+	attemptCount    uint32
 	sequence uint64
 	backEnd  string
 	avoid    []string
@@ -89,26 +89,26 @@
 	// output is the data of the events of a turn of an HTTP route.
 	output []byte
 	// tokens of this attempt, and passed on over all attempts.
-	tokens    uint64
-	passed    uint64
+	attemptTokens    uint64
+	emittedTokens    uint64
 	maxTokens uint64
 
 	done    BackEndDone
 	failure *protocol.Failure
 	// answered is a server's whole answer in place of a stream.
-	answered *protocol.HttpAnswer
-	ended    bool
+	completeAnswer *protocol.HttpAnswer
+	answerEnded    bool
 
-	operationBegan time.Time
-	pause          time.Duration
-	settle         *protocol.SettleTurn
-	release        *protocol.ReleaseTurn
+	operationStartedAt time.Time
+	backoff          time.Duration
+	commit         *protocol.SettleTurn
+	releaseOperation        *protocol.ReleaseTurn
 }
 
 // New makes the machine of one turn.
 func New(parameters Parameters) *Machine {
-	if parameters.Attempts == 0 {
-		parameters.Attempts = DefaultMaxAttempts
+	if parameters.MaxAttempts == 0 {
+		parameters.MaxAttempts = DefaultMaxAttempts
 	}
 	return &Machine{parameters: parameters, attempt: parameters.Request.GetLastAttempt()}
 }
@@ -117,7 +117,7 @@
 func (m *Machine) Done() bool { return m.state == stateDone }
 
 // Answered reports whether the readers have been given the last event.
-func (m *Machine) Answered() bool { return m.ended }
+func (m *Machine) Answered() bool { return m.answerEnded }
 
 // Apply takes one event and returns what to do next, in order. An event that
 // the current state does not wait for is ignored: it is a late answer.
@@ -142,16 +142,16 @@
 		return m.choice(event, now)
 	case stateIssued:
 		return m.issued(event, now)
-	case stateAskingRetry:
+	case stateRequestingRetry:
 		return m.retry(event, now)
-	case stateSettling:
-		return m.settling(event, now)
+	case stateCommitting:
+		return m.committing(event, now)
 	case stateReleasing:
 		return m.releasing(event, now)
-	case stateRefusing:
-		return m.refusing(event, now)
-	case stateReadingKept:
-		return m.keptRead(event, now)
+	case stateRejecting:
+		return m.rejecting(event, now)
+	case stateReadingRetained:
+		return m.retainedTurnRead(event, now)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 
 // claim asks for the session's epoch once the turn has a slot, so that a turn
 // that is refused costs the ledger no more than its tombstone.
-func (m *Machine) claim() []Command {
+func (m *Machine) claimSession() []Command {
 	m.state = stateClaiming
 	request := m.parameters.Request
 	return []Command{Claim{Operation: &protocol.ClaimSession{
@@ -192,7 +192,7 @@
 		return m.endHere(ledgerFailure(status))
 	}
 	if status != protocol.LedgerStatus_LEDGER_OK {
-		return m.refuse(ledgerFailure(status), now)
+		return m.reject(ledgerFailure(status), now)
 	}
 	m.epoch = claimed.Result.GetEpoch()
 	m.state = stateReading
@@ -209,7 +209,7 @@
 		if read.Status == protocol.LedgerStatus_LEDGER_TURN_MISSING {
 			f.Path = "previous_response_id"
 		}
-		return m.refuse(f, now)
+		return m.reject(f, now)
 	}
 	m.history, m.historyTokens, m.previousProgram = read.Items, read.Tokens, read.Program
 	m.state = stateReserving
@@ -223,9 +223,9 @@
 		if m.isHTTP() {
 			return m.admittedHTTP()
 		}
-		return m.claim()
+		return m.claimSession()
 	case NotAdmitted:
-		return m.refuse(admission.Failure, now)
+		return m.reject(admission.Failure, now)
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 	case protocol.LedgerStatus_LEDGER_FENCED:
 		return m.endHere(ledgerFailure(status))
 	default:
-		return m.refuse(ledgerFailure(status), now)
+		return m.reject(ledgerFailure(status), now)
 	}
 }
 
@@ -272,14 +272,14 @@
 // earlier send of this request, which may have run, or of another request.
 func (m *Machine) reservedBefore(result *protocol.LedgerResult, now time.Time) []Command {
 	f := failure.New(failure.SessionBusy, protocol.Outcome_UNKNOWN, "another turn of the conversation is under way",
-		failure.WithRetryAfter(busyRetry)).Failure
+		failure.WithRetryAfter(busyRetryAfter)).Failure
 	for _, open := range result.GetProgram().GetReservations() {
 		if open.GetRequestId() == m.parameters.Request.GetRequestId() {
 			f.Message = "an earlier send of this request is not settled"
 			return m.end(f)
 		}
 	}
-	return m.refuse(f, now)
+	return m.reject(f, now)
 }
 
 func (m *Machine) choice(event Event, now time.Time) []Command {
@@ -298,12 +298,12 @@
 func (m *Machine) issue(backEnd string) []Command {
 	m.state = stateIssued
 	m.backEnd = backEnd
-	m.tries++
+	m.attemptCount++
 	m.attempt++
-	m.sequence, m.tokens = 0, 0
+	m.sequence, m.attemptTokens = 0, 0
 	m.text.Reset()
 	m.output = nil
-	m.maxTokens = m.parameters.ReservationLimit - m.passed
+	m.maxTokens = m.parameters.ReservationLimit - m.emittedTokens
 	items := make([]*protocol.Item, 0, len(m.history)+len(m.parameters.Request.GetInput()))
 	items = append(append(items, m.history...), m.parameters.Request.GetInput()...)
 	return []Command{Issue{
@@ -312,6 +312,6 @@
 }
 
 // first puts more commands before the ones at hand, which may end with Finish.
-func first(commands []Command, more ...Command) []Command {
+func prepend(commands []Command, more ...Command) []Command {
 	return append(more, commands...)
 }
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -22,13 +22,13 @@
 	// owner only, so that there is no other copy to be kept from running.
 	Unrecorded bool
 	// Repeatable calls need no intent and may be tried again after a broken answer.
-	Repeatable bool
+	Idempotent bool
 	// Attempt is unique to this machine; only the attempt that wrote the intent may issue the call.
 	Attempt string
 	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
-	Attempts uint32
+	MaxAttempts uint32
 	// Runs bounds the back ends that may have run a repeatable call; zero bounds it by Attempts alone.
-	Runs          uint32
+	MaxRuns          uint32
 	BundleVersion uint64
 }
 
@@ -41,9 +41,9 @@
 	callChoosing
 	callBeginning
 	callIssued
-	callAskingRetry
+	callRequestingRetry
 	callFinishing
-	callRefusing
+	callRejecting
 	callDone
 )
 
@@ -55,25 +55,25 @@
 	admitted   bool
 	intent     bool
 	// ranEver is true once an attempt may have run.
-	ranEver  bool
+	ranBefore  bool
 	answered bool
 	backEnd  string
 	avoid    []string
-	tries    uint32
+	attemptCount    uint32
 	// runs counts the tries that may have run the call.
 	runs uint32
 
 	failure        *protocol.Failure
-	operationBegan time.Time
-	pause          time.Duration
+	operationStartedAt time.Time
+	backoff          time.Duration
 	outcome        *protocol.FinishCall
 	response       *protocol.ToolCallResponse
 }
 
 // NewCall makes the machine of one tool call.
 func NewCall(parameters CallParameters) *CallMachine {
-	if parameters.Attempts == 0 {
-		parameters.Attempts = DefaultMaxAttempts
+	if parameters.MaxAttempts == 0 {
+		parameters.MaxAttempts = DefaultMaxAttempts
 	}
 	return &CallMachine{parameters: parameters}
 }
@@ -92,7 +92,7 @@
 	case Admitted:
 		return m.admission()
 	case NotAdmitted:
-		return m.refuse(event.Failure)
+		return m.reject(event.Failure)
 	case Chosen:
 		return m.chosen(event, now)
 	case NotChosen:
@@ -108,7 +108,7 @@
 	case CallFinished:
 		return m.finished(event, now)
 	case CallRejected:
-		return m.refused(event)
+		return m.rejected(event)
 	case Waited:
 		return m.waited()
 	case Stopped:
@@ -126,7 +126,7 @@
 }
 
 // claim asks for the session's epoch once the call has a slot.
-func (m *CallMachine) claim() []Command {
+func (m *CallMachine) claimSession() []Command {
 	m.state = callClaiming
 	request := m.parameters.Request
 	return []Command{Claim{Operation: &protocol.ClaimSession{
@@ -141,9 +141,9 @@
 	}
 	switch status := event.Result.GetStatus(); {
 	case status == protocol.LedgerStatus_LEDGER_FENCED:
-		return first(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
+		return prepend(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
 	case status != protocol.LedgerStatus_LEDGER_OK:
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	}
 	m.epoch = event.Result.GetEpoch()
 	m.state = callChoosing
@@ -159,7 +159,7 @@
 		m.state = callChoosing
 		return []Command{Choose{}}
 	}
-	return m.claim()
+	return m.claimSession()
 }
 
 // chosen writes the intent once, just before the first issue.
@@ -168,11 +168,11 @@
 		return nil
 	}
 	m.backEnd = event.BackEnd
-	if m.parameters.Repeatable || m.parameters.Unrecorded || m.intent {
+	if m.parameters.Idempotent || m.parameters.Unrecorded || m.intent {
 		return m.issue()
 	}
 	m.state = callBeginning
-	m.operationBegan, m.pause = now, firstPause
+	m.operationStartedAt, m.backoff = now, initialBackoff
 	return []Command{m.beginCommand()}
 }
 
@@ -186,7 +186,7 @@
 
 func (m *CallMachine) issue() []Command {
 	m.state = callIssued
-	m.tries++
+	m.attemptCount++
 	return []Command{IssueCall{BackEnd: m.backEnd, Epoch: m.epoch}}
 }
 
@@ -214,14 +214,14 @@
 		return m.fail(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
 			"this call was begun before and has no outcome; it is never issued again").Failure)
 	case protocol.LedgerStatus_LEDGER_FENCED:
-		return first(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
+		return prepend(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		if now.Sub(m.operationBegan) < answerWindow {
-			return m.pauseAgain()
+		if now.Sub(m.operationStartedAt) < confirmationTimeout {
+			return m.backOff()
 		}
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	default:
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	}
 }
 
@@ -246,7 +246,7 @@
 		Status: event.Status, Body: event.Body, ContentType: event.ContentType, BackEnd: m.backEnd, Epoch: m.epoch,
 		Headers: event.Headers,
 	}
-	if m.parameters.Repeatable || m.parameters.Unrecorded {
+	if m.parameters.Idempotent || m.parameters.Unrecorded {
 		return m.answer(m.response)
 	}
 	return m.record(event.Status, event.Body, event.ContentType, now)
@@ -255,7 +255,7 @@
 // record makes the outcome durable before the caller hears it.
 func (m *CallMachine) record(status uint32, body []byte, contentType string, now time.Time) []Command {
 	m.state = callFinishing
-	m.operationBegan, m.pause = now, firstPause
+	m.operationStartedAt, m.backoff = now, initialBackoff
 	m.outcome = &protocol.FinishCall{
 		RequestId: m.parameters.Request.GetRequestId(), Attempt: m.parameters.Attempt,
 		Status: status, Body: body, ContentType: contentType,
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -15,34 +15,34 @@
 	}
 	m.avoid = append(m.avoid, m.backEnd)
 	unsure := event.Fault == FaultBroken || event.Fault == FaultMismatch
-	m.ranEver = m.ranEver || unsure
+	m.ranBefore = m.ranBefore || unsure
 	if unsure {
 		m.runs++
 	}
 	m.failure = callFailure(event)
-	if m.ranEver {
+	if m.ranBefore {
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 	}
 	final := event.Fault == FaultFenced || event.Fault == FaultRejected || unsure && !m.mayRunAgain()
-	if final || m.tries >= m.parameters.Attempts {
+	if final || m.attemptCount >= m.parameters.MaxAttempts {
 		return m.giveUp(now)
 	}
-	m.state = callAskingRetry
+	m.state = callRequestingRetry
 	return []Command{RequestRetry{}}
 }
 
 // mayRunAgain reports whether the call may be issued again after tries that may have run it.
 func (m *CallMachine) mayRunAgain() bool {
-	return m.parameters.Repeatable && (m.parameters.Runs == 0 || m.runs < m.parameters.Runs)
+	return m.parameters.Idempotent && (m.parameters.MaxRuns == 0 || m.runs < m.parameters.MaxRuns)
 }
 
 func callFailure(event BackEndFailed) *protocol.Failure {
 	switch event.Fault {
 	case FaultUnavailable:
 		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, event.Detail,
-			failure.WithRetryAfter(max(event.RetryAfter, busyRetry))).Failure
+			failure.WithRetryAfter(max(event.RetryAfter, busyRetryAfter))).Failure
 	case FaultNotSent:
-		return failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, event.Detail, failure.WithRetryAfter(busyRetry)).Failure
+		return failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, event.Detail, failure.WithRetryAfter(busyRetryAfter)).Failure
 	case FaultFenced:
 		return failure.New(failure.Fenced, protocol.Outcome_NOT_RUN, event.Detail).Failure
 	case FaultMismatch:
@@ -55,7 +55,7 @@
 }
 
 func (m *CallMachine) retry(event RetryDecided, now time.Time) []Command {
-	if m.state != callAskingRetry {
+	if m.state != callRequestingRetry {
 		return nil
 	}
 	if !event.Granted {
@@ -70,7 +70,7 @@
 // holds for every later send.
 func (m *CallMachine) giveUp(now time.Time) []Command {
 	switch {
-	case m.ranEver:
+	case m.ranBefore:
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(m.failure)
 	case m.intent:
@@ -83,28 +83,28 @@
 		m.response = &protocol.ToolCallResponse{Failure: m.failure}
 		return m.record(m.failure.GetStatus(), body, FailureContentType, now)
 	default:
-		return m.refuse(m.failure)
+		return m.reject(m.failure)
 	}
 }
 
 // refuse ends a call that has no intent of this attempt.
-func (m *CallMachine) refuse(f *protocol.Failure) []Command {
+func (m *CallMachine) reject(f *protocol.Failure) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
 	if m.parameters.Request.GetFirstSend() && m.state != callBeginning {
 		return m.fail(f)
 	}
-	if m.parameters.Repeatable {
+	if m.parameters.Idempotent {
 		// No record is kept of a repeatable call, so another send of it may have run.
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(f)
 	}
 	m.failure = f
-	m.state = callRefusing
+	m.state = callRejecting
 	return append(m.leave(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}})
 }
 
-func (m *CallMachine) refused(event CallRejected) []Command {
-	if m.state != callRefusing {
+func (m *CallMachine) rejected(event CallRejected) []Command {
+	if m.state != callRejecting {
 		return nil
 	}
 	switch event.Result.GetStatus() {
@@ -137,12 +137,12 @@
 
 // finishUnavailable answers the caller after a short while and keeps trying to record the outcome.
 func (m *CallMachine) finishUnavailable(now time.Time) []Command {
-	waited := now.Sub(m.operationBegan)
-	if waited >= answerWindow && !m.answered {
+	waited := now.Sub(m.operationStartedAt)
+	if waited >= confirmationTimeout && !m.answered {
 		m.answered = true
-		return first(m.pauseAgain(), Answer{Response: m.unrecorded()})
+		return prepend(m.backOff(), Answer{Response: m.unrecorded()})
 	}
-	return m.pauseAgain()
+	return m.backOff()
 }
 
 // unrecorded is the answer when the outcome may not be durable: a tool's
@@ -170,10 +170,10 @@
 	switch m.state {
 	case callNew, callClaiming, callAdmitting:
 		if event.Reason == StopAuthority {
-			return first(m.fail(f), ForgetSession{})
+			return prepend(m.fail(f), ForgetSession{})
 		}
-		return m.refuse(f)
-	case callBeginning, callChoosing, callAskingRetry:
+		return m.reject(f)
+	case callBeginning, callChoosing, callRequestingRetry:
 		m.failure = f
 		return m.giveUp(now)
 	case callIssued:
@@ -181,20 +181,20 @@
 		if event.WithoutEffect {
 			return m.giveUp(now)
 		}
-		m.ranEver = true
-		return first(m.giveUp(now), StopBackEnd{})
+		m.ranBefore = true
+		return prepend(m.giveUp(now), StopBackEnd{})
 	case callFinishing:
 		if event.Reason == StopAuthority {
 			return m.answer(m.unrecorded())
 		}
-	case callRefusing, callDone:
+	case callRejecting, callDone:
 	}
 	return nil
 }
 
-func (m *CallMachine) pauseAgain() []Command {
-	wait := m.pause
-	m.pause = min(2*m.pause, longestPause)
+func (m *CallMachine) backOff() []Command {
+	wait := m.backoff
+	m.backoff = min(2*m.backoff, maxBackoff)
 	return []Command{Backoff{For: wait}}
 }
 
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -15,7 +15,7 @@
 // runCall answers each command by its kind; the last answer of a kind stays.
 func runCall(repeatable bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
 	machine := turn.NewCall(turn.CallParameters{
-		Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve"}, Owner: "f1", Attempt: "a1", Repeatable: repeatable,
+		Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve"}, Owner: "f1", Attempt: "a1", Idempotent: repeatable,
 	})
 	defaults := map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
--- a/internal/dataplane/turn/turn_commands.go
+++ b/internal/dataplane/turn/turn_commands.go
@@ -70,7 +70,7 @@
 	Operation *protocol.RefuseRequest
 	// AtOnce is set for what is refused because there is too much to do: its
 	// answer does not wait long for the ledger's word.
-	AtOnce bool
+	Overload bool
 }
 
 // ReadKept asks for a kept turn; answered by KeptRead.
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -9,29 +9,29 @@
 
 // refuse ends a turn that holds no reservation. A request of which other
 // copies may exist is refused only after the ledger has taken its tombstone.
-func (m *Machine) refuse(f *protocol.Failure, now time.Time) []Command {
+func (m *Machine) reject(f *protocol.Failure, now time.Time) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
 	if m.parameters.Request.GetFirstSend() {
 		return m.end(f)
 	}
 	m.failure = f
-	m.state = stateRefusing
+	m.state = stateRejecting
 	request := m.parameters.Request
 	return append(m.leave(), Reject{Operation: &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
-	}, AtOnce: failure.Code(f.GetCode()) == failure.Overloaded})
+	}, Overload: failure.Code(f.GetCode()) == failure.Overloaded})
 }
 
-func (m *Machine) refusing(event Event, now time.Time) []Command {
-	refused, matches := event.(Rejected)
+func (m *Machine) rejecting(event Event, now time.Time) []Command {
+	rejected, matches := event.(Rejected)
 	if !matches {
 		return nil
 	}
-	switch refused.Result.GetStatus() {
+	switch rejected.Result.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return m.end(m.failure)
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		return m.answerFinished(refused.Result.GetFinished(), now)
+		return m.answerFinished(rejected.Result.GetFinished(), now)
 	default:
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 		return m.end(m.failure)
@@ -46,7 +46,7 @@
 			// The head of that answer is not kept, and its id was to be used once.
 			return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure)
 		}
-		m.state = stateReadingKept
+		m.state = stateReadingRetained
 		return append(m.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
 		if m.failure != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (m *Machine) keptRead(event Event, now time.Time) []Command {
+func (m *Machine) retainedTurnRead(event Event, now time.Time) []Command {
 	read, matches := event.(RetainedTurnRead)
 	if !matches {
 		return nil
@@ -71,7 +71,7 @@
 		f.Outcome = protocol.Outcome_RAN
 		return m.end(f)
 	}
-	m.ended = true
+	m.answerEnded = true
 	m.state = stateDone
 	commands := m.leave()
 	for _, event := range Replay(read.Turn, m.attempt+1, m.parameters.Owner, m.parameters.BundleVersion) {
@@ -80,17 +80,17 @@
 	return append(commands, Finish{})
 }
 
-func (m *Machine) settling(event Event, now time.Time) []Command {
+func (m *Machine) committing(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Waited:
-		return []Command{Commit{Operation: m.settle}}
+		return []Command{Commit{Operation: m.commit}}
 	case Committed:
-		return m.settleAnswered(answer.Result, now)
+		return m.commitAnswered(answer.Result, now)
 	}
 	return nil
 }
 
-func (m *Machine) settleAnswered(result *protocol.LedgerResult, now time.Time) []Command {
+func (m *Machine) commitAnswered(result *protocol.LedgerResult, now time.Time) []Command {
 	switch status := result.GetStatus(); status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return m.complete()
@@ -98,32 +98,32 @@
 		if result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED {
 			return m.complete()
 		}
-		return m.notKept(failure.Fenced, "the turn ran but another owner ended it")
+		return m.notRetained(failure.Fenced, "the turn ran but another owner ended it")
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return m.settleUnavailable(now)
+		return m.commitUnavailable(now)
 	default:
-		return m.notKept(failure.Fenced, "the turn ran but was not kept: "+status.String())
+		return m.notRetained(failure.Fenced, "the turn ran but was not kept: "+status.String())
 	}
 }
 
 // settleUnavailable answers the caller after a while and keeps trying in the background.
-func (m *Machine) settleUnavailable(now time.Time) []Command {
-	if now.Sub(m.operationBegan) < settleAnswer || m.ended {
-		return m.pauseAgain()
+func (m *Machine) commitUnavailable(now time.Time) []Command {
+	if now.Sub(m.operationStartedAt) < commitAnswerTimeout || m.answerEnded {
+		return m.backOff()
 	}
-	return first(m.pauseAgain(), m.emitFailed(failure.New(failure.LedgerUnavailable, protocol.Outcome_RAN,
+	return prepend(m.backOff(), m.emitFailed(failure.New(failure.LedgerUnavailable, protocol.Outcome_RAN,
 		"the turn ran but the ledger has not confirmed it; send the same request again to read it").Failure))
 }
 
-func (m *Machine) notKept(code failure.Code, message string) []Command {
+func (m *Machine) notRetained(code failure.Code, message string) []Command {
 	f := failure.New(code, protocol.Outcome_RAN, message).Failure
-	return first(m.end(f), forget(f))
+	return prepend(m.end(f), forget(f))
 }
 
 func (m *Machine) complete() []Command {
-	commands := []Command{Remember{Turn: m.settle.GetTurn()}}
+	commands := []Command{Remember{Turn: m.commit.GetTurn()}}
 	m.state = stateDone
-	if m.ended {
+	if m.answerEnded {
 		return append(append(commands, m.leave()...), Finish{})
 	}
 	if m.sequence == 0 {
@@ -140,23 +140,23 @@
 		return m.end(f)
 	}
 	m.state = stateReleasing
-	m.operationBegan, m.pause = now, firstPause
+	m.operationStartedAt, m.backoff = now, initialBackoff
 	request := m.parameters.Request
-	m.release = &protocol.ReleaseTurn{
+	m.releaseOperation = &protocol.ReleaseTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch, Tokens: tokens,
 	}
 	m.traceRelease()
-	if m.isHTTP() && !m.ended && !m.step.recording {
+	if m.isHTTP() && !m.answerEnded && !m.step.recording {
 		// A first send that was given up needs no proof by the ledger: nobody else may run it.
-		return append(m.leave(), m.emitEnd(f), Release{Operation: m.release})
+		return append(m.leave(), m.emitEnd(f), Release{Operation: m.releaseOperation})
 	}
-	return append(m.leave(), Release{Operation: m.release})
+	return append(m.leave(), Release{Operation: m.releaseOperation})
 }
 
 func (m *Machine) releasing(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Waited:
-		return []Command{Release{Operation: m.release}}
+		return []Command{Release{Operation: m.releaseOperation}}
 	case Released:
 		return m.releaseAnswered(answer.Result, now)
 	}
@@ -164,7 +164,7 @@
 }
 
 func (m *Machine) releaseAnswered(result *protocol.LedgerResult, now time.Time) []Command {
-	if isRefused(result.GetStatus()) {
+	if isRejected(result.GetStatus()) {
 		m.step.recording = false
 	}
 	switch result.GetStatus() {
@@ -172,31 +172,31 @@
 		return m.end(m.failure)
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
 		outcome := result.GetFinished().GetOutcome()
-		if m.release.GetTokens() == 0 && outcome != protocol.RequestOutcome_OUTCOME_NOT_RUN {
+		if m.releaseOperation.GetTokens() == 0 && outcome != protocol.RequestOutcome_OUTCOME_NOT_RUN {
 			return m.answerFinished(result.GetFinished(), now)
 		}
 		return m.end(m.failure)
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
 		return m.releaseUnavailable(now)
 	case protocol.LedgerStatus_LEDGER_NOT_RESERVED:
-		if m.release.GetTokens() == 0 && !m.ended {
-			return m.refuse(m.failure, now)
+		if m.releaseOperation.GetTokens() == 0 && !m.answerEnded {
+			return m.reject(m.failure, now)
 		}
 	default:
 	}
 	fenced := result.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED
-	return first(m.end(m.unproved()), ForgetSession{Fenced: fenced})
+	return prepend(m.end(m.unproved()), ForgetSession{Fenced: fenced})
 }
 
 // releaseUnavailable answers the caller after a short while and keeps trying
 // in the background, so that no budget stays held.
 func (m *Machine) releaseUnavailable(now time.Time) []Command {
-	waited := now.Sub(m.operationBegan)
-	if waited >= answerWindow && !m.ended {
+	waited := now.Sub(m.operationStartedAt)
+	if waited >= confirmationTimeout && !m.answerEnded {
 		m.giveUpRecording()
-		return first(m.pauseAgain(), m.emitFailed(m.unproved()))
+		return prepend(m.backOff(), m.emitFailed(m.unproved()))
 	}
-	return m.pauseAgain()
+	return m.backOff()
 }
 
 // unproved is the failure at hand without the claim that nothing ran.
@@ -207,16 +207,16 @@
 	return m.failure
 }
 
-func (m *Machine) pauseAgain() []Command {
-	wait := m.pause
-	m.pause = min(2*m.pause, longestPause)
+func (m *Machine) backOff() []Command {
+	wait := m.backoff
+	m.backoff = min(2*m.backoff, maxBackoff)
 	return []Command{Backoff{For: wait}}
 }
 
 // endHere answers that this front node may not run the turn. It says nothing
 // of other owners, so the ingress may bring the request to one of them.
 func (m *Machine) endHere(f *protocol.Failure) []Command {
-	return first(m.end(f), forget(f))
+	return prepend(m.end(f), forget(f))
 }
 
 func forget(f *protocol.Failure) ForgetSession {
@@ -227,7 +227,7 @@
 func (m *Machine) end(f *protocol.Failure) []Command {
 	m.state = stateDone
 	commands := m.leave()
-	if !m.ended {
+	if !m.answerEnded {
 		commands = append(commands, m.emitEnd(f))
 	}
 	return append(commands, Finish{})
--- a/internal/testing/sim/servingsuite/commands.go
+++ b/internal/testing/sim/servingsuite/commands.go
@@ -72,7 +72,7 @@
 		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
 		return nil
 	case turn.Reject:
-		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
+		r.refuse(command.Overload, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
 		return nil
 	default:
 		return nil
--- a/internal/testing/sim/servingsuite/run.go
+++ b/internal/testing/sim/servingsuite/run.go
@@ -66,7 +66,7 @@
 	}
 	created.machine = turn.NewCall(turn.CallParameters{
 		Request: request.call, Owner: f.name, Incarnation: created.incarnation, Budget: programBudget,
-		Repeatable: request.kind == repeatableCall || f.suite.options.Mutation == MutationReissueCalls,
+		Idempotent: request.kind == repeatableCall || f.suite.options.Mutation == MutationReissueCalls,
 		Attempt:    f.suite.attemptID(f),
 	})
 	return created
