--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -8,27 +8,27 @@
 )
 
 // A turn of an HTTP route differs from other turns in three ways. Its request
-// and answer are bytes that go through unchanged. Its request id is used for
+// and answer are bytes that are forwarded unchanged. Its request id is used for
 // one send only, so that what was not issued here runs nowhere, and the caller
-// hears the end at once while the ledger is told. Any kept turn may be
-// continued by it, by several at the same time.
+// gets the end at once, while the operation at the ledger is still in flight. It may continue any
+// retained turn, which several may do at the same time.
 
-// keptTimes is how many keeping times of a turn the ledger keeps what it knows of an idle program: a
-// program that was stopped may come again within one.
+// programRetentionFactor is how many retentions of a turn the ledger retains the state of an idle program: a
+// program that was stopped may continue within one.
 const programRetentionFactor = 3
 
-// leastKept stands for the keeping time of a route that names none.
+// minRetention is the retention for a route that names a shorter one or none.
 const minRetention = time.Minute
 
 func (m *Machine) isHTTP() bool { return m.parameters.Request.GetHttp() != nil }
 
-// isKept reports whether the turn is kept for others to continue.
+// isRetained reports whether the turn is retained for others to continue.
 func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
-// IsLedgered reports whether the ledger has a part in the turn.
+// IsLedgered reports whether the turn is recorded in the ledger.
 func (m *Machine) IsLedgered() bool { return IsLedgered(m.parameters.Request) }
 
-// IsLedgered reports whether the ledger has a part in the turn of a request.
+// IsLedgered reports whether the turn of a request is recorded in the ledger.
 func IsLedgered(request *protocol.TurnRequest) bool {
 	if request.GetHttp() == nil {
 		return true
@@ -53,7 +53,7 @@
 	}
 }
 
-// reserveHTTP claims the session's epoch and reserves the turn's ceiling in one step.
+// reserveHTTP claims the session's epoch and sets the turn's reservation limit aside in one operation.
 func (m *Machine) reserveHTTP() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
@@ -67,7 +67,7 @@
 	}}
 }
 
-// head passes the head of the answer on before the first event.
+// head emits the head of the answer before the first event.
 func (m *Machine) head(head Head, now time.Time) []Command {
 	if m.sequence > 0 {
 		return nil
@@ -80,7 +80,7 @@
 	return []Command{command}
 }
 
-// answeredWhole ends a turn that the server answered with a status of its own. It may have run.
+// answeredCompletely ends a turn that the server answered without a stream. It may have run.
 func (m *Machine) answeredCompletely(answer AnswerCompleted, now time.Time) []Command {
 	m.ranBefore = true
 	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
@@ -91,7 +91,7 @@
 	return m.charge(f, now)
 }
 
-// finishedUnkept ends a turn that nobody continues: its answer does not wait for the charge.
+// finishedUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
 func (m *Machine) finishedUnretained(now time.Time) []Command {
 	if m.isOfStep() {
 		return m.recordGeneration(now)
@@ -99,7 +99,7 @@
 	completed := m.emitCompleted()
 	if !m.IsLedgered() {
 		m.state = stateDone
-		return append(append(m.leave(), completed), Finish{})
+		return append(append(m.slot.leave(), completed), Finish{})
 	}
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the turn was answered").Failure
 	return prepend(m.charge(f, now), completed)
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -32,76 +32,87 @@
 	routedBusy = turn.AnswerCompleted{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
 )
 
-func TestAnHTTPTurnIsKeptWithItsDataBeforeItCompletes(t *testing.T) {
+func TestHTTPTurnIsRetainedWithItsDataBeforeItCompletes(t *testing.T) {
 	s := newScript(httpRequest(true, 100, "t0")).
 		on("history", turn.HistoryRead{
 			Items: []*protocol.Item{{Data: []byte("old")}}, Tokens: 4, Program: "p0", Status: protocol.LedgerStatus_LEDGER_OK,
 		}).
-		on("issue", routedHead, routedEvent("a"), turn.Token{Event: []byte(": comment\n\n")}, routedEvent(""), routedDone).run()
+		on("issue", routedHead, routedEvent("a"), turn.Token{Event: []byte(": comment\n\n")}, routedEvent(""), routedDone).
+		run()
 	if s.last().GetCompleted() == nil || s.count("issue") != 1 {
 		t.Fatalf("ended with %v", s.last())
 	}
-	settled := false
+	committed := false
 	for _, command := range s.commands {
 		switch command := command.(type) {
 		case turn.Reserve:
-			if !command.Operation.GetFork() || command.Operation.GetClaim() == nil || command.Operation.GetCeiling() != ceiling {
+			if !command.Operation.GetFork() || command.Operation.GetClaim() == nil ||
+				command.Operation.GetCeiling() != reservationLimit {
 				t.Fatalf("reserved by %v", command.Operation)
 			}
 		case turn.Issue:
-			if len(command.Items) != 2 || string(command.Items[0].GetData()) != "old" || string(command.Items[1].GetData()) != routedInput {
+			if len(command.Items) != 2 || string(command.Items[0].GetData()) != "old" ||
+				string(command.Items[1].GetData()) != routedInput {
 				t.Fatalf("issued %v", command.Items)
 			}
 		case turn.Commit:
-			settled = true
-			kept := command.Operation.GetTurn()
-			if string(kept.GetOutput()[0].GetData()) != "a\n\n" || kept.GetPreviousProgram() != "p0" || kept.GetOutputTokens() != 2 {
-				t.Fatalf("kept %v", kept)
+			committed = true
+			retained := command.Operation.GetTurn()
+			if string(retained.GetOutput()[0].GetData()) != "a\n\n" || retained.GetPreviousProgram() != "p0" ||
+				retained.GetOutputTokens() != 2 {
+				t.Fatalf("retained %v", retained)
 			}
 		case turn.Emit:
-			if command.Event.GetCompleted() != nil && !settled {
-				t.Fatal("completed before it was kept")
+			if command.Event.GetCompleted() != nil && !committed {
+				t.Fatal("completed before it was committed")
 			}
 		}
 	}
 }
 
-func TestAnHTTPTurnWithoutALedgerAsksItForNothing(t *testing.T) {
+func TestHTTPTurnWithoutLedgerSendsItNoOperation(t *testing.T) {
 	for name, answer := range map[string][]turn.Event{
-		"a stream":        {routedHead, routedEvent("a"), routedDone},
-		"a whole answer":  {routedBusy},
-		"a broken stream": {routedHead, routedEvent("a"), turn.BackEndFailed{Fault: turn.FaultBroken}},
+		"a stream":          {routedHead, routedEvent("a"), routedDone},
+		"a complete answer": {routedBusy},
+		"a broken stream":   {routedHead, routedEvent("a"), turn.BackEndFailed{Fault: turn.FaultBroken}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(httpRequest(false, 0, "")).on("issue", answer...).run()
-			if !s.machine.Done() || s.count("reserve")+s.count("settle")+s.count("release")+s.count("refuse")+s.count("claim") != 0 {
+			operations := s.count("reserve") + s.count("commit") + s.count("release") + s.count("reject") + s.count("claim")
+			if !s.machine.Done() || operations != 0 {
 				t.Fatalf("commands %v", s.commands)
 			}
 		})
 	}
 }
 
-func TestAWholeAnswerEndsAnHTTPTurnAndIsCharged(t *testing.T) {
+func TestCompleteAnswerEndsHTTPTurnAndIsCharged(t *testing.T) {
 	s := newScript(httpRequest(true, 100, "")).on("issue", routedBusy).run()
-	if string(s.last().GetAnswered().GetBody()) != "busy" || s.released().GetTokens() != 1 || s.count("settle") != 0 {
+	if string(s.last().GetAnswered().GetBody()) != "busy" || s.released().GetTokens() != 1 || s.count("commit") != 0 {
 		t.Fatalf("ended with %v, released %v", s.last(), s.released())
 	}
 }
 
-func TestAnHTTPTurnThatMayHaveRunIsNotIssuedAgain(t *testing.T) {
+func TestHTTPTurnThatMayHaveRunIsNotIssuedAgain(t *testing.T) {
 	for _, fault := range []turn.BackEndFault{turn.FaultBroken, turn.FaultMismatch} {
 		s := newScript(httpRequest(true, 100, "")).on("issue", turn.BackEndFailed{Fault: fault}).run()
-		if s.count("issue") != 1 || s.last().GetFailed().GetOutcome() != protocol.Outcome_UNKNOWN || s.released().GetTokens() != 1 {
+		if s.count("issue") != 1 || s.last().GetFailed().GetOutcome() != protocol.Outcome_UNKNOWN ||
+			s.released().GetTokens() != 1 {
 			t.Fatalf("%v: %d issues, ended with %v, released %v", fault, s.count("issue"), s.last(), s.released())
 		}
 	}
 }
 
-func TestAnHTTPTurnIsRefusedWithTheLedgersReason(t *testing.T) {
+func TestHTTPTurnIsRejectedWithTheLedgersReason(t *testing.T) {
 	missing := turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_TURN_MISSING}
 	away := turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE}
-	wantFailure(t, newScript(httpRequest(true, 9, "t0")).on("history", missing).run(), failure.TurnMissing, protocol.Outcome_NOT_RUN)
-	wantFailure(t, newScript(httpRequest(true, 9, "t0")).on("history", away).run(), failure.LedgerUnavailable, protocol.Outcome_NOT_RUN)
+	wantFailure(
+		t, newScript(httpRequest(true, 9, "t0")).on("history", missing).run(), failure.TurnMissing, protocol.Outcome_NOT_RUN,
+	)
+	wantFailure(
+		t, newScript(httpRequest(true, 9, "t0")).on("history", away).
+			run(), failure.LedgerUnavailable, protocol.Outcome_NOT_RUN,
+	)
 	spent := turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_BUDGET_SPENT)}
 	s := newScript(httpRequest(true, 9, "")).on("reserve", spent).run()
 	wantFailure(t, s, failure.BudgetSpent, protocol.Outcome_NOT_RUN)
@@ -112,17 +123,17 @@
 
 // httpObserver checks what the caller, the servers and the ledger see of one HTTP turn.
 type httpObserver struct {
-	t          *rapid.T
-	ledgered   bool
-	stateful   bool
-	reserved   bool
-	settled    bool
-	mayHaveRun bool
-	issuedNow  bool
-	slots      int
-	passed     uint64
-	released   *protocol.ReleaseTurn
-	terminal   *protocol.TurnEvent
+	t             *rapid.T
+	ledgered      bool
+	stateful      bool
+	reserved      bool
+	committed     bool
+	mayHaveRun    bool
+	issuedNow     bool
+	slots         int
+	emittedTokens uint64
+	released      *protocol.ReleaseTurn
+	terminal      *protocol.TurnEvent
 }
 
 func (o *httpObserver) command(command turn.Command) {
@@ -147,7 +158,7 @@
 		o.emit(command.Event)
 	case turn.Reserve, turn.Commit, turn.Reject:
 		if !o.ledgered {
-			o.t.Fatalf("%T asked of the ledger", command)
+			o.t.Fatalf("%T sent to the ledger", command)
 		}
 	}
 }
@@ -156,12 +167,12 @@
 	if o.terminal != nil {
 		o.t.Fatalf("event %v after the last one", event)
 	}
-	o.passed += uint64(event.GetDelta().GetTokens())
+	o.emittedTokens += uint64(event.GetDelta().GetTokens())
 	if event.GetCompleted() != nil || event.GetFailed() != nil || event.GetAnswered() != nil {
 		o.terminal = event
 	}
-	if event.GetCompleted() != nil && o.stateful && !o.settled {
-		o.t.Fatal("completed before the ledger had the turn")
+	if event.GetCompleted() != nil && o.stateful && !o.committed {
+		o.t.Fatal("completed before the turn was committed")
 	}
 }
 
@@ -172,7 +183,7 @@
 	case turn.Reserved:
 		o.reserved = event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
 	case turn.Committed:
-		o.settled = o.settled || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
+		o.committed = o.committed || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.BackEndFailed:
 		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
@@ -190,14 +201,15 @@
 	switch {
 	case o.terminal == nil:
 		o.t.Fatal("the caller was never answered")
-	case o.passed > ceiling:
-		o.t.Fatalf("%d tokens passed on under a ceiling of %d", o.passed, ceiling)
+	case o.emittedTokens > reservationLimit:
+		o.t.Fatalf("%d tokens emitted under a reservation limit of %d", o.emittedTokens, reservationLimit)
 	case o.slots != 0:
-		o.t.Fatalf("%d slots kept", o.slots)
+		o.t.Fatalf("%d slots not given back", o.slots)
 	case f.GetOutcome() == protocol.Outcome_NOT_RUN && o.mayHaveRun:
-		o.t.Fatalf("called not run although it may have run: %v", f)
-	case o.ledgered && o.mayHaveRun && !o.settled && o.released != nil && o.released.GetTokens() < max(o.passed, 1):
-		o.t.Fatalf("%d tokens passed on, %d charged", o.passed, o.released.GetTokens())
+		o.t.Fatalf("reported as not run although it may have run: %v", f)
+	case o.ledgered && o.mayHaveRun && !o.committed && o.released != nil && o.released.GetTokens() < max(o.emittedTokens,
+		1):
+		o.t.Fatalf("%d tokens emitted, %d charged", o.emittedTokens, o.released.GetTokens())
 	case o.ledgered && !o.mayHaveRun && o.reserved && o.released.GetTokens() != 0:
 		o.t.Fatalf("charged %d tokens although nothing ran", o.released.GetTokens())
 	}
@@ -217,7 +229,7 @@
 	case !begun && drawn == 2:
 		return routedBusy
 	case !begun && drawn < 6:
-		return turn.BackEndFailed{Fault: turn.BackEndFault(rapid.IntRange(1, 2).Draw(t, "refusal")), Detail: "drawn"}
+		return turn.BackEndFailed{Fault: turn.BackEndFault(rapid.IntRange(1, 2).Draw(t, "rejection")), Detail: "drawn"}
 	case !begun:
 		return routedHead
 	case drawn == 2:
@@ -229,7 +241,7 @@
 	}
 }
 
-func TestNoHTTPTurnLiesWhateverHappens(t *testing.T) {
+func TestHTTPTurnAlwaysReportsItsTrueOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stateful, budget := rapid.Bool().Draw(t, "stateful"), rapid.Uint64Range(0, 1).Draw(t, "budget")
 		previous := rapid.SampledFrom([]string{"", "t0"}).Draw(t, "previous")
@@ -270,7 +282,7 @@
 				continue
 			}
 			o.answer(event)
-			if _, whole := event.(turn.AnswerCompleted); whole || isEnd(event) {
+			if _, complete := event.(turn.AnswerCompleted); complete || isEnd(event) {
 				streaming = false
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
@@ -279,7 +291,7 @@
 	})
 }
 
-func TestARepeatableCallRunsAtNoMoreServersThanAllowed(t *testing.T) {
+func TestIdempotentCallRunsAtNoMoreServersThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowed := rapid.Uint32Range(1, 3).Draw(t, "runs")
 		machine := turn.NewCall(turn.CallParameters{
@@ -306,7 +318,7 @@
 			case turn.Answer:
 				answers++
 				if command.Response.GetFailure().GetOutcome() == protocol.Outcome_NOT_RUN && runs > 0 {
-					t.Fatalf("called not run although it may have run: %v", command.Response)
+					t.Fatalf("reported as not run although it may have run: %v", command.Response)
 				}
 			}
 			if event != nil {
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -9,38 +9,45 @@
 )
 
 const (
-	// DefaultMaxAttempts bounds how often one turn is sent to a back end.
+	// DefaultMaxAttempts is the maximum number of times that one turn is issued to a back end.
 	DefaultMaxAttempts = 4
 
-	// answerWindow is how long a caller waits for the ledger to confirm the end of
-	// its turn. The owner goes on trying as long as it has authority: the open
-	// reservation is charged at its ceiling by the next epoch, never run anew.
-	confirmationTimeout  = 2 * time.Second
-	commitAnswerTimeout  = 15 * time.Second
-	initialBackoff    = 50 * time.Millisecond
-	maxBackoff  = 2 * time.Second
-	reservedRetryAfter     = 500 * time.Millisecond
+	// confirmationTimeout is how long a caller waits for the ledger to acknowledge the end of
+	// its turn. The owner continues its attempts as long as it has authority: the next epoch
+	// charges the open reservation at its limit and never runs the turn again.
+	confirmationTimeout = 2 * time.Second
+	// commitAnswerTimeout is the same for a turn that ran: longer, since its caller loses the answer.
+	commitAnswerTimeout = 15 * time.Second
+	// initialBackoff and maxBackoff bound the wait between two attempts of one ledger operation.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// After these, callers may retry: when turns in flight have reserved the budget, when the ledger is unavailable,
+	// and when a session or server is busy.
+	reservedRetryAfter = 500 * time.Millisecond
 	ledgerRetryAfter   = time.Second
 	busyRetryAfter     = 500 * time.Millisecond
-	restartDivisor  = 2
+	// restartDivisor: a turn that has emitted more than the reservation limit divided by it is not restarted, since the
+	// rest is too little for a complete answer.
+	restartDivisor = 2
+	// minCharge is the minimum of tokens charged for a turn that may have run; a release of 0 says that it did not.
 	minCharge = 1
 )
 
 // Parameters are fixed when a turn begins.
 type Parameters struct {
 	Request *protocol.TurnRequest
-	// TurnID is the id under which the turn will be kept.
+	// TurnID is the id under which the turn is retained.
 	TurnID string
 	// Owner and Incarnation name this front node.
 	Owner       string
 	Incarnation uint64
 	// Budget is used when the turn opens its program.
 	Budget uint64
-	// Ceiling is the most output tokens the turn may pass on.
+	// ReservationLimit is the maximum of output tokens that the turn may emit over all attempts.
 	ReservationLimit uint64
 	Retention        time.Duration
 	BundleVersion    uint64
-	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
+	// MaxAttempts bounds the attempts at back ends; 0 means DefaultMaxAttempts.
 	MaxAttempts uint32
 }
 
@@ -63,7 +70,7 @@
 	stateDone
 )
 
-// Machine is the life of one turn at its owner.
+// Machine is the state machine of one turn at its owner. The package comment has its states.
 type Machine struct {
 	parameters Parameters
 	state      state
@@ -71,38 +78,38 @@
 	epoch         uint64
 	history       []*protocol.Item
 	historyTokens uint64
-	// previousProgram is set when the turn continued belongs to another program.
+	// previousProgram is set when the continued turn belongs to another program.
 	previousProgram string
-	admitted        bool
-	// step is what a turn of a training step keeps to.
+	slot            slot
+	// step is the state of a turn of a training step.
 	step     stepProgress
 	reserved bool
-	// ranEver is true once an attempt may have run.
+	// ranBefore is true once an attempt may have run.
 	ranBefore bool
 
-	attempt  uint32
-	attemptCount    uint32
-	sequence uint64
-	backEnd  string
-	avoid    []string
-	text     strings.Builder
-	// output is the data of the events of a turn of an HTTP route.
+	attempt      uint32
+	attemptCount uint32
+	sequence     uint64
+	backEnd      string
+	avoid        []string
+	text         strings.Builder
+	// output is the data of the events of a turn of an HTTP route, a newline behind each.
 	output []byte
-	// tokens of this attempt, and passed on over all attempts.
-	attemptTokens    uint64
-	emittedTokens    uint64
-	maxTokens uint64
+	// attemptTokens are those of this attempt, emittedTokens those of all attempts; maxTokens bounds this attempt.
+	attemptTokens uint64
+	emittedTokens uint64
+	maxTokens     uint64
 
 	done    BackEndDone
 	failure *protocol.Failure
-	// answered is a server's whole answer in place of a stream.
+	// completeAnswer is a server's complete answer in place of a stream.
 	completeAnswer *protocol.HttpAnswer
 	answerEnded    bool
 
-	operationStartedAt time.Time
-	backoff          time.Duration
-	commit         *protocol.SettleTurn
-	releaseOperation        *protocol.ReleaseTurn
+	// operation is that of the ledger in flight.
+	operation        ledgerOperation
+	commitOperation  *protocol.SettleTurn
+	releaseOperation *protocol.ReleaseTurn
 }
 
 // New makes the machine of one turn.
@@ -116,11 +123,11 @@
 // Done reports whether the machine has finished.
 func (m *Machine) Done() bool { return m.state == stateDone }
 
-// Answered reports whether the readers have been given the last event.
+// Answered reports whether the last event was emitted.
 func (m *Machine) Answered() bool { return m.answerEnded }
 
-// Apply takes one event and returns what to do next, in order. An event that
-// the current state does not wait for is ignored: it is a late answer.
+// Apply applies one event and returns the next commands, in order. An event that
+// the current state does not await is ignored: it is a late answer.
 func (m *Machine) Apply(event Event, now time.Time) []Command {
 	if stop, stopped := event.(Stopped); stopped {
 		return m.stop(stop, now)
@@ -129,13 +136,13 @@
 	case stateNew:
 		return m.begin(event)
 	case stateResolving:
-		return m.stepResolved(event, now)
+		return m.stepResolved(event)
 	case stateClaiming:
-		return m.claimed(event, now)
+		return m.claimed(event)
 	case stateReading:
-		return m.historyRead(event, now)
+		return m.historyRead(event)
 	case stateAdmitting:
-		return m.admission(event, now)
+		return m.admission(event)
 	case stateReserving:
 		return m.reservation(event, now)
 	case stateChoosing:
@@ -149,9 +156,9 @@
 	case stateReleasing:
 		return m.releasing(event, now)
 	case stateRejecting:
-		return m.rejecting(event, now)
+		return m.rejecting(event)
 	case stateReadingRetained:
-		return m.retainedTurnRead(event, now)
+		return m.retainedTurnRead(event)
 	}
 	return nil
 }
@@ -171,8 +178,8 @@
 	return []Command{Admit{}}
 }
 
-// claim asks for the session's epoch once the turn has a slot, so that a turn
-// that is refused costs the ledger no more than its tombstone.
+// claimSession requests the session's epoch once the turn has a slot, so that a turn
+// that is rejected costs the ledger no more than its tombstone.
 func (m *Machine) claimSession() []Command {
 	m.state = stateClaiming
 	request := m.parameters.Request
@@ -182,7 +189,7 @@
 	}}}
 }
 
-func (m *Machine) claimed(event Event, now time.Time) []Command {
+func (m *Machine) claimed(event Event) []Command {
 	claimed, matches := event.(Claimed)
 	if !matches {
 		return nil
@@ -192,14 +199,14 @@
 		return m.endHere(ledgerFailure(status))
 	}
 	if status != protocol.LedgerStatus_LEDGER_OK {
-		return m.reject(ledgerFailure(status), now)
+		return m.reject(ledgerFailure(status))
 	}
 	m.epoch = claimed.Result.GetEpoch()
 	m.state = stateReading
 	return []Command{ReadHistory{LastTurn: m.parameters.Request.GetPreviousTurn()}}
 }
 
-func (m *Machine) historyRead(event Event, now time.Time) []Command {
+func (m *Machine) historyRead(event Event) []Command {
 	read, matches := event.(HistoryRead)
 	if !matches {
 		return nil
@@ -209,23 +216,23 @@
 		if read.Status == protocol.LedgerStatus_LEDGER_TURN_MISSING {
 			f.Path = "previous_response_id"
 		}
-		return m.reject(f, now)
+		return m.reject(f)
 	}
 	m.history, m.historyTokens, m.previousProgram = read.Items, read.Tokens, read.Program
 	m.state = stateReserving
 	return []Command{m.reserveCommand()}
 }
 
-func (m *Machine) admission(event Event, now time.Time) []Command {
+func (m *Machine) admission(event Event) []Command {
 	switch admission := event.(type) {
 	case Admitted:
-		m.admitted = true
+		m.slot = true
 		if m.isHTTP() {
 			return m.admittedHTTP()
 		}
 		return m.claimSession()
 	case NotAdmitted:
-		return m.reject(admission.Failure, now)
+		return m.reject(admission.Failure)
 	}
 	return nil
 }
@@ -255,22 +262,22 @@
 		m.state = stateChoosing
 		return []Command{Choose{}}
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		return m.answerFinished(reserved.Result.GetFinished(), now)
+		return m.answerFinished(reserved.Result.GetFinished())
 	case protocol.LedgerStatus_LEDGER_ALREADY_RESERVED:
-		return m.reservedBefore(reserved.Result, now)
+		return m.reservedBefore(reserved.Result)
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE:
-		// The reservation may have been made: it must be taken back, not merely forgotten.
+		// The reservation may have been made: it must be released.
 		return m.releaseWith(ledgerFailure(status), 0, now)
 	case protocol.LedgerStatus_LEDGER_FENCED:
 		return m.endHere(ledgerFailure(status))
 	default:
-		return m.reject(ledgerFailure(status), now)
+		return m.reject(ledgerFailure(status))
 	}
 }
 
 // reservedBefore answers when the session has an open reservation: of an
 // earlier send of this request, which may have run, or of another request.
-func (m *Machine) reservedBefore(result *protocol.LedgerResult, now time.Time) []Command {
+func (m *Machine) reservedBefore(result *protocol.LedgerResult) []Command {
 	f := failure.New(failure.SessionBusy, protocol.Outcome_UNKNOWN, "another turn of the conversation is under way",
 		failure.WithRetryAfter(busyRetryAfter)).Failure
 	for _, open := range result.GetProgram().GetReservations() {
@@ -279,7 +286,7 @@
 			return m.end(f)
 		}
 	}
-	return m.reject(f, now)
+	return m.reject(f)
 }
 
 func (m *Machine) choice(event Event, now time.Time) []Command {
@@ -311,7 +318,7 @@
 	}}
 }
 
-// first puts more commands before the ones at hand, which may end with Finish.
+// prepend puts more commands before the given ones, which may end with Finish.
 func prepend(commands []Command, more ...Command) []Command {
 	return append(more, commands...)
 }
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-const ceiling = 10
+const reservationLimit = 10
 
 var start = time.Unix(1000, 0)
 
@@ -31,12 +31,15 @@
 func newScript(request *protocol.TurnRequest) *script {
 	request.RequestId, request.Session, request.Program, request.Nonce = "r1", "s1", "p1", "n1"
 	return &script{now: start, machine: turn.New(turn.Parameters{
-		Request: request, TurnID: "turn_1", Owner: "f1", Incarnation: 7, Budget: 100, ReservationLimit: ceiling, Retention: time.Hour, BundleVersion: 4,
+		Request: request, TurnID: "turn_1", Owner: "f1", Incarnation: 7, Budget: 100, ReservationLimit: reservationLimit,
+		Retention: time.Hour, BundleVersion: 4,
 	}), answers: map[string][]turn.Event{
-		"claim": {turn.Claimed{Result: ok}}, "history": {turn.HistoryRead{Status: ok.GetStatus()}}, "admit": {turn.Admitted{}},
-		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}}, "retry": {turn.RetryDecided{Granted: true}},
-		"settle": {turn.Committed{Result: ok}}, "release": {turn.Released{Result: ok}}, "refuse": {turn.Rejected{Result: ok}},
-		"pause": {turn.Waited{}}, "issue": {},
+		"claim": {turn.Claimed{Result: ok}}, "history": {turn.HistoryRead{Status: ok.GetStatus()}},
+		"admit":   {turn.Admitted{}},
+		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}},
+		"retry":  {turn.RetryDecided{Granted: true}},
+		"commit": {turn.Committed{Result: ok}}, "release": {turn.Released{Result: ok}}, "reject": {turn.Rejected{Result: ok}},
+		"backoff": {turn.Waited{}}, "issue": {},
 	}}
 }
 
@@ -76,15 +79,15 @@
 	case turn.RequestRetry:
 		return "retry"
 	case turn.Commit:
-		return "settle"
+		return "commit"
 	case turn.Release:
 		return "release"
 	case turn.Reject:
-		return "refuse"
+		return "reject"
 	case turn.ReadRetainedTurn:
-		return "kept"
+		return "retained"
 	case turn.Backoff:
-		return "pause"
+		return "backoff"
 	default:
 		return ""
 	}
@@ -100,8 +103,8 @@
 		if emit, isEmit := command.(turn.Emit); isEmit {
 			s.events = append(s.events, emit.Event)
 		}
-		if pause, isPause := command.(turn.Backoff); isPause {
-			s.now = s.now.Add(pause.For)
+		if backoff, isPause := command.(turn.Backoff); isPause {
+			s.now = s.now.Add(backoff.For)
 		}
 		if name := commandName(command); name != "" {
 			for _, event := range s.take(name) {
@@ -151,13 +154,14 @@
 	busy   = turn.BackEndFailed{Fault: turn.FaultUnavailable, RetryAfter: 3 * time.Second, Detail: "429"}
 )
 
-func TestATurnIsReservedIssuedSettledAndOnlyThenCompleted(t *testing.T) {
+func TestTurnIsReservedIssuedCommittedAndOnlyThenCompleted(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{PreviousTurn: "turn_0"}).on("issue", token, token, done).run()
 	completed := s.last().GetCompleted()
-	if completed.GetText() != "aa" || completed.GetOutputTokens() != 2 || completed.GetCachedTokens() != 1 || completed.GetNonce() != "n1" {
+	if completed.GetText() != "aa" || completed.GetOutputTokens() != 2 || completed.GetCachedTokens() != 1 ||
+		completed.GetNonce() != "n1" {
 		t.Fatalf("completed %v", completed)
 	}
-	want := []string{"admit", "claim", "history", "reserve", "choose", "issue", "settle"}
+	want := []string{"admit", "claim", "history", "reserve", "choose", "issue", "commit"}
 	var got []string
 	for _, command := range s.commands {
 		if name := commandName(command); name != "" {
@@ -179,35 +183,35 @@
 	}
 }
 
-func TestRefusalsOfTheLedgerAreNotRunAndLeaveATombstone(t *testing.T) {
+func TestRejectionsOfTheLedgerAreNotRunAndLeaveATombstone(t *testing.T) {
 	cases := map[protocol.LedgerStatus]failure.Code{
 		protocol.LedgerStatus_LEDGER_BUDGET_SPENT:       failure.BudgetSpent,
 		protocol.LedgerStatus_LEDGER_BUDGET_HELD:        failure.BudgetReserved,
 		protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION: failure.WrongContinuation,
 		protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:    failure.UnknownProgram,
 	}
-	for refusal, code := range cases {
-		s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: status(refusal)}).run()
+	for rejection, code := range cases {
+		s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: status(rejection)}).run()
 		wantFailure(t, s, code, protocol.Outcome_NOT_RUN)
-		if s.count("refuse") != 1 || s.count("issue") != 0 {
-			t.Fatalf("%v: commands %v", refusal, s.commands)
+		if s.count("reject") != 1 || s.count("issue") != 0 {
+			t.Fatalf("%v: commands %v", rejection, s.commands)
 		}
 	}
 }
 
-func TestAFirstSendIsRefusedWithoutTheLedger(t *testing.T) {
+func TestFirstSendIsRejectedWithoutTheLedger(t *testing.T) {
 	full := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "full", failure.WithRetryAfter(time.Second)).Failure
 	s := newScript(&protocol.TurnRequest{FirstSend: true}).on("admit", turn.NotAdmitted{Failure: full}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
-	if s.count("claim")+s.count("refuse")+s.count("release") != 0 || s.last().GetFailed().GetRetryAfterMillis() != 1000 {
+	if s.count("claim")+s.count("reject")+s.count("release") != 0 || s.last().GetFailed().GetRetryAfterMillis() != 1000 {
 		t.Fatalf("commands %v", s.commands)
 	}
 }
 
-func TestARefusalThatTheLedgerDoesNotConfirmIsUnknown(t *testing.T) {
+func TestUnconfirmedRejectionIsUnknown(t *testing.T) {
 	full := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "full").Failure
 	s := newScript(&protocol.TurnRequest{}).on("admit", turn.NotAdmitted{Failure: full}).
-		on("refuse", turn.Rejected{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
+		on("reject", turn.Rejected{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_UNKNOWN)
 }
 
@@ -218,20 +222,25 @@
 	}
 }
 
-func TestARepeatHearsTheAnswerOfTheFirstSend(t *testing.T) {
-	kept := &protocol.Turn{Id: "turn_1", RequestId: "r1", Output: []*protocol.Item{{Text: "kept"}}, OutputTokens: 4}
-	s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_SETTLED)}).
-		on("kept", turn.RetainedTurnRead{Turn: kept}).run()
-	if s.last().GetCompleted().GetText() != "kept" || s.count("issue") != 0 {
+func TestRepeatedRequestGetsTheAnswerOfTheFirstSend(t *testing.T) {
+	retained := &protocol.Turn{
+		Id: "turn_1", RequestId: "r1", Output: []*protocol.Item{{Text: "retained"}}, OutputTokens: 4,
+	}
+	s := newScript(&protocol.TurnRequest{}).
+		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_SETTLED)}).
+		on("retained", turn.RetainedTurnRead{Turn: retained}).run()
+	if s.last().GetCompleted().GetText() != "retained" || s.count("issue") != 0 {
 		t.Fatalf("answered %v", s.last())
 	}
-	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
+	s = newScript(&protocol.TurnRequest{}).
+		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
 	wantFailure(t, s, failure.RequestRejected, protocol.Outcome_NOT_RUN)
-	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_CHARGED)}).run()
+	s = newScript(&protocol.TurnRequest{}).
+		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_CHARGED)}).run()
 	wantFailure(t, s, failure.OutcomeUnknown, protocol.Outcome_UNKNOWN)
 }
 
-func TestOnlyWhatSurelyDidNotRunIsReleased(t *testing.T) {
+func TestOnlyTurnsThatProvablyDidNotRunAreReleased(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{}).on("issue", busy).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
 	if s.released().GetTokens() != 0 || s.last().GetFailed().GetRetryAfterMillis() != 3000 {
@@ -249,18 +258,18 @@
 	}
 }
 
-func TestASureRefusalAfterABrokenAttemptStaysUnknown(t *testing.T) {
+func TestRejectionAfterABrokenAttemptStaysUnknown(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{}).on("issue", broken).on("choose", turn.Chosen{BackEnd: "b1"},
 		turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, "none").Failure}).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_UNKNOWN)
 }
 
-func TestABrokenAttemptIsBegunAnewUnderAHigherNumber(t *testing.T) {
+func TestBrokenAttemptIsRestartedUnderAHigherNumber(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{LastAttempt: 2}).on("issue", token, broken)
 	s.answers["choose"] = []turn.Event{turn.Chosen{BackEnd: "b1"}, turn.Chosen{BackEnd: "b2"}}
 	s.run()
 	second := s.commands[len(s.commands)-1].(turn.Issue)
-	if second.Attempt != 4 || second.MaxTokens != ceiling-1 || second.BackEnd != "b2" {
+	if second.Attempt != 4 || second.MaxTokens != reservationLimit-1 || second.BackEnd != "b2" {
 		t.Fatalf("second issue %+v", second)
 	}
 	if s.machine.Apply(turn.Waited{}, s.now) != nil {
@@ -272,51 +281,53 @@
 		t.Fatalf("second attempt begins with %v", created)
 	}
 	commands := s.machine.Apply(turn.BackEndDone{Nonce: "n1", OutputTokens: 1}, s.now)
-	if settle := commands[len(commands)-1].(turn.Commit).Operation; settle.GetTokens() != 2 || settle.GetTurn().GetOutputTokens() != 1 {
-		t.Fatalf("settled %v", settle)
+	if commit := commands[len(commands)-1].(turn.Commit).Operation; commit.GetTokens() != 2 ||
+		commit.GetTurn().GetOutputTokens() != 1 {
+		t.Fatalf("committed %v", commit)
 	}
 }
 
-func TestNothingBeyondTheCeilingIsPassedOn(t *testing.T) {
-	events := make([]turn.Event, 0, ceiling+1)
-	for range ceiling + 1 {
+func TestNothingBeyondTheReservationLimitIsEmitted(t *testing.T) {
+	events := make([]turn.Event, 0, reservationLimit+1)
+	for range reservationLimit + 1 {
 		events = append(events, token)
 	}
 	s := newScript(&protocol.TurnRequest{}).on("issue", events...).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_RAN)
-	if deltas := len(s.events) - 2; deltas != ceiling || s.released().GetTokens() != ceiling {
-		t.Fatalf("%d tokens passed on, released %v", deltas, s.released())
+	if deltas := len(s.events) - 2; deltas != reservationLimit || s.released().GetTokens() != reservationLimit {
+		t.Fatalf("%d tokens emitted, released %v", deltas, s.released())
 	}
 }
 
-func TestAForeignNonceIsNeverPassedOn(t *testing.T) {
+func TestForeignNonceIsNeverCompleted(t *testing.T) {
 	foreign := done
 	foreign.Nonce = "other"
 	s := newScript(&protocol.TurnRequest{}).on("issue", foreign).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.AnswerMismatch, protocol.Outcome_UNKNOWN)
-	if s.count("settle") != 0 {
-		t.Fatal("a foreign answer was kept")
+	if s.count("commit") != 0 {
+		t.Fatal("a foreign answer was committed")
 	}
 }
 
-func TestStopsByWhereTheTurnStands(t *testing.T) {
+func TestStopsByState(t *testing.T) {
 	waiting := newScript(&protocol.TurnRequest{}).on("admit", turn.Stopped{Reason: turn.StopDeadline}).run()
 	wantFailure(t, waiting, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
 	issued := newScript(&protocol.TurnRequest{}).on("issue", turn.Stopped{Reason: turn.StopCallerDisconnected}).run()
 	wantFailure(t, issued, failure.Cancelled, protocol.Outcome_UNKNOWN)
-	streaming := newScript(&protocol.TurnRequest{}).on("issue", token, turn.Stopped{Reason: turn.StopAuthority}, token).run()
+	streaming := newScript(&protocol.TurnRequest{}).on("issue", token, turn.Stopped{Reason: turn.StopAuthority}, token).
+		run()
 	wantFailure(t, streaming, failure.NoAuthority, protocol.Outcome_RAN)
 	if streaming.released().GetTokens() != 1 {
 		t.Fatalf("released %v", streaming.released())
 	}
 	early := newScript(&protocol.TurnRequest{}).on("history", turn.Stopped{Reason: turn.StopAuthority}).run()
 	wantFailure(t, early, failure.NoAuthority, protocol.Outcome_NOT_RUN)
-	if early.count("refuse") != 0 {
+	if early.count("reject") != 0 {
 		t.Fatal("a turn that another owner may run got a tombstone")
 	}
 }
 
-func TestWhatIsStoppedBeforeItIsIssuedDidNotRun(t *testing.T) {
+func TestTurnStoppedBeforeItIsIssuedDidNotRun(t *testing.T) {
 	stopped := turn.StopBefore(turn.StopDeadline)
 	unsent := newScript(&protocol.TurnRequest{}).on("issue", stopped).run()
 	wantFailure(t, unsent, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
@@ -328,32 +339,36 @@
 	if unreserved.released() != nil {
 		t.Fatalf("released %v although nothing was reserved", unreserved.released())
 	}
-	sentBefore := newScript(&protocol.TurnRequest{}).on("issue", broken).on("choose", turn.Chosen{BackEnd: "b1"}, stopped).run()
+	sentBefore := newScript(&protocol.TurnRequest{}).on("issue", broken).
+		on("choose", turn.Chosen{BackEnd: "b1"}, stopped).run()
 	wantFailure(t, sentBefore, failure.DeadlineExceeded, protocol.Outcome_UNKNOWN)
 	if sentBefore.released().GetTokens() == 0 {
 		t.Fatal("a turn that may have run was released as not run")
 	}
 }
 
-func TestSettleIsTriedAgainAndTheCallerIsAnsweredMeanwhile(t *testing.T) {
+func TestCommitIsRetriedAndTheCallerIsAnsweredMeanwhile(t *testing.T) {
 	unavailable := turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	answers := []turn.Event{}
 	for range 15 {
 		answers = append(answers, unavailable)
 	}
-	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", append(answers, turn.Committed{Result: ok})...).run()
+	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).
+		on("commit", append(answers, turn.Committed{Result: ok})...).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_RAN)
-	if s.count("settle") != 16 {
-		t.Fatalf("settled %d times", s.count("settle"))
+	if s.count("commit") != 16 {
+		t.Fatalf("committed %d times", s.count("commit"))
 	}
-	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", unavailable, turn.Committed{Result: ok}).run()
+	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).
+		on("commit", unavailable, turn.Committed{Result: ok}).run()
 	if few.last().GetCompleted() == nil {
 		t.Fatalf("ended with %v", few.last())
 	}
 }
 
-func TestFencedAtTheLedgerGivesTheSessionUp(t *testing.T) {
-	s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
+func TestFencedTurnForgetsTheSession(t *testing.T) {
+	s := newScript(&protocol.TurnRequest{}).
+		on("reserve", turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
 	wantFailure(t, s, failure.Fenced, protocol.Outcome_NOT_RUN)
 	forgotten := false
 	for _, command := range s.commands {
@@ -361,14 +376,15 @@
 			forgotten = forget.Fenced
 		}
 	}
-	if !forgotten || s.count("refuse") != 0 {
+	if !forgotten || s.count("reject") != 0 {
 		t.Fatalf("commands %v", s.commands)
 	}
-	settled := newScript(&protocol.TurnRequest{}).on("issue", token, done).on("settle", turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
-	wantFailure(t, settled, failure.Fenced, protocol.Outcome_RAN)
+	fenced := newScript(&protocol.TurnRequest{}).on("issue", token, done).
+		on("commit", turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
+	wantFailure(t, fenced, failure.Fenced, protocol.Outcome_RAN)
 }
 
-func TestAnUnansweredReservationIsTakenBack(t *testing.T) {
+func TestUnansweredReservationIsReleased(t *testing.T) {
 	unavailable := status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	s := newScript(&protocol.TurnRequest{FirstSend: true}).on("reserve", turn.Reserved{Result: unavailable}).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_NOT_RUN)
@@ -376,7 +392,7 @@
 		t.Fatal("the reservation was forgotten")
 	}
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: unavailable}).
-		on("release", turn.Released{Result: unavailable}).on("pause", turn.Waited{}, turn.Waited{}, turn.Waited{},
+		on("release", turn.Released{Result: unavailable}).on("backoff", turn.Waited{}, turn.Waited{}, turn.Waited{},
 		turn.Waited{}, turn.Waited{}, turn.Waited{}, turn.Waited{}, turn.Stopped{Reason: turn.StopAuthority}).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_UNKNOWN)
 }
--- /dev/null
+++ b/internal/dataplane/turn/operation.go
@@ -0,0 +1,34 @@
+package turn
+
+import "time"
+
+// ledgerOperation times the attempts of one operation of the ledger, which is repeated while the ledger is unavailable.
+type ledgerOperation struct {
+	startedAt time.Time
+	backoff   time.Duration
+}
+
+func beginOperation(now time.Time) ledgerOperation {
+	return ledgerOperation{startedAt: now, backoff: initialBackoff}
+}
+
+func (o *ledgerOperation) elapsed(now time.Time) time.Duration { return now.Sub(o.startedAt) }
+
+// backOff waits before the next attempt, twice as long each time up to maxBackoff.
+func (o *ledgerOperation) backOff() []Command {
+	wait := o.backoff
+	o.backoff = min(2*o.backoff, maxBackoff)
+	return []Command{Backoff{For: wait}}
+}
+
+// slot is true while a turn or call has a slot of its server group.
+type slot bool
+
+// leave gives the slot back, once.
+func (s *slot) leave() []Command {
+	if !*s {
+		return nil
+	}
+	*s = false
+	return []Command{Leave{}}
+}
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -37,7 +37,7 @@
 
 // drawAnswer answers a command of either machine as a hostile world might.
 func drawAnswer(t *rapid.T, command turn.Command) turn.Event {
-	refused := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "drawn").Failure
+	rejected := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "drawn").Failure
 	yes := rapid.IntRange(0, 3).Draw(t, "yes") > 0
 	switch command.(type) {
 	case turn.Claim:
@@ -48,14 +48,14 @@
 		if yes {
 			return turn.Admitted{}
 		}
-		return turn.NotAdmitted{Failure: refused}
+		return turn.NotAdmitted{Failure: rejected}
 	case turn.Reserve:
 		return turn.Reserved{Result: drawResult(t)}
 	case turn.Choose:
 		if yes {
 			return turn.Chosen{BackEnd: "b"}
 		}
-		return turn.NotChosen{Failure: refused}
+		return turn.NotChosen{Failure: rejected}
 	case turn.RequestRetry:
 		return turn.RetryDecided{Granted: yes}
 	case turn.Commit:
@@ -94,18 +94,18 @@
 
 // observer checks what a turn's readers and the ledger see.
 type observer struct {
-	t          *rapid.T
-	attempt    uint32
-	sequence   uint64
-	terminal   *protocol.TurnEvent
-	passed     uint64
-	slots      int
-	reserved   bool
-	issued     int
-	mayHaveRun bool
-	proved     bool
-	released   *protocol.ReleaseTurn
-	settled    bool
+	t             *rapid.T
+	attempt       uint32
+	sequence      uint64
+	terminal      *protocol.TurnEvent
+	emittedTokens uint64
+	slots         int
+	reserved      bool
+	issued        int
+	mayHaveRun    bool
+	proved        bool
+	released      *protocol.ReleaseTurn
+	committed     bool
 }
 
 func (o *observer) command(command turn.Command) {
@@ -133,7 +133,7 @@
 		o.t.Fatalf("event %d-%d after %d-%d", event.GetAttempt(), event.GetSequence(), o.attempt, o.sequence)
 	}
 	o.attempt, o.sequence = event.GetAttempt(), event.GetSequence()
-	o.passed += uint64(event.GetDelta().GetTokens())
+	o.emittedTokens += uint64(event.GetDelta().GetTokens())
 	if event.GetCompleted() != nil || event.GetFailed() != nil {
 		o.terminal = event
 	}
@@ -150,7 +150,7 @@
 	case turn.BackEndFailed:
 		o.mayHaveRun = o.mayHaveRun || event.Fault == turn.FaultBroken || event.Fault == turn.FaultMismatch
 	case turn.Committed:
-		o.settled = o.settled || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
+		o.committed = o.committed || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.Released:
 		o.prove(event.Result)
@@ -165,10 +165,12 @@
 		result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_NOT_RUN
 }
 
-func TestNoTurnLiesWhateverHappens(t *testing.T) {
+func TestTurnAlwaysReportsItsTrueOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		firstSend := rapid.Bool().Draw(t, "first send")
-		s := newScript(&protocol.TurnRequest{FirstSend: firstSend, LastAttempt: uint32(rapid.IntRange(0, 2).Draw(t, "last attempt"))})
+		s := newScript(
+			&protocol.TurnRequest{FirstSend: firstSend, LastAttempt: uint32(rapid.IntRange(0, 2).Draw(t, "last attempt"))},
+		)
 		o := &observer{t: t}
 		pending := s.machine.Apply(turn.Begun{}, s.now)
 		streaming := false
@@ -233,36 +235,38 @@
 	if o.terminal == nil {
 		t.Fatal("the readers were never answered")
 	}
-	if o.passed > ceiling {
-		t.Fatalf("%d tokens passed on under a ceiling of %d", o.passed, ceiling)
+	if o.emittedTokens > reservationLimit {
+		t.Fatalf("%d tokens emitted under a reservation limit of %d", o.emittedTokens, reservationLimit)
 	}
 	if o.slots != 0 {
-		t.Fatalf("%d slots kept", o.slots)
+		t.Fatalf("%d slots not given back", o.slots)
 	}
 	f := o.terminal.GetFailed()
 	if f.GetOutcome() == protocol.Outcome_NOT_RUN {
-		if o.mayHaveRun || o.passed > 0 {
-			t.Fatalf("called not run although it may have run: %v", f)
+		if o.mayHaveRun || o.emittedTokens > 0 {
+			t.Fatalf("reported as not run although it may have run: %v", f)
 		}
 		takenElsewhere := f.GetCode() == string(failure.Fenced) || f.GetCode() == string(failure.NoAuthority) ||
 			f.GetCode() == string(failure.RequestRejected)
 		if !firstSend && !o.proved && !takenElsewhere {
-			t.Fatalf("called not run without the ledger's word: %v", f)
+			t.Fatalf("reported as not run without proof by the ledger: %v", f)
 		}
 	}
-	if o.passed > 0 && f != nil && f.GetOutcome() != protocol.Outcome_RAN {
-		t.Fatalf("tokens were passed on, yet %v", f)
+	if o.emittedTokens > 0 && f != nil && f.GetOutcome() != protocol.Outcome_RAN {
+		t.Fatalf("tokens were emitted, yet %v", f)
 	}
-	if o.passed > 0 && !o.settled && o.released != nil && o.released.GetTokens() < o.passed {
-		t.Fatalf("%d tokens passed on, %d charged", o.passed, o.released.GetTokens())
+	if o.emittedTokens > 0 && !o.committed && o.released != nil && o.released.GetTokens() < o.emittedTokens {
+		t.Fatalf("%d tokens emitted, %d charged", o.emittedTokens, o.released.GetTokens())
 	}
 }
 
-func TestNoCallThatMayNotBeRepeatedRunsTwice(t *testing.T) {
+func TestNonRepeatableCallNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := turn.NewCall(turn.CallParameters{
-			Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve", FirstSend: rapid.Bool().Draw(t, "first send")},
-			Owner:   "f1", Attempt: "a1",
+			Request: &protocol.ToolCallRequest{
+				RequestId: "r1", Session: "s1", Tool: "valve", FirstSend: rapid.Bool().Draw(t, "first send"),
+			},
+			Owner: "f1", Attempt: "a1",
 		})
 		now := start
 		pending := machine.Apply(turn.Begun{}, now)
@@ -307,10 +311,10 @@
 			t.Fatal("the caller was never answered")
 		}
 		if answer.GetFailure().GetOutcome() == protocol.Outcome_NOT_RUN && mayHaveRun > 0 {
-			t.Fatalf("called not run although it may have run: %v", answer)
+			t.Fatalf("reported as not run although it may have run: %v", answer)
 		}
 		if done && answer.GetFailure() != nil {
-			t.Fatalf("the tool answered, the caller heard %v", answer.GetFailure())
+			t.Fatalf("the tool answered, the caller got %v", answer.GetFailure())
 		}
 	})
 }
--- /dev/null
+++ b/internal/dataplane/turn/release.go
@@ -0,0 +1,81 @@
+package turn
+
+import (
+	"time"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// releaseWith ends the reservation and answers the caller by the result.
+func (m *Machine) releaseWith(f *protocol.Failure, tokens uint64, now time.Time) []Command {
+	m.failure = f
+	if !m.IsLedgered() {
+		return m.end(f)
+	}
+	m.state = stateReleasing
+	m.operation = beginOperation(now)
+	request := m.parameters.Request
+	m.releaseOperation = &protocol.ReleaseTurn{
+		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch, Tokens: tokens,
+	}
+	m.traceRelease()
+	if m.isHTTP() && !m.answerEnded && !m.step.recording {
+		// A first send that was given up needs no proof by the ledger: no other node may run it.
+		return append(m.slot.leave(), m.emitEnd(f), Release{Operation: m.releaseOperation})
+	}
+	return append(m.slot.leave(), Release{Operation: m.releaseOperation})
+}
+
+func (m *Machine) releasing(event Event, now time.Time) []Command {
+	switch answer := event.(type) {
+	case Waited:
+		return []Command{Release{Operation: m.releaseOperation}}
+	case Released:
+		return m.releaseAnswered(answer.Result, now)
+	}
+	return nil
+}
+
+func (m *Machine) releaseAnswered(result *protocol.LedgerResult, now time.Time) []Command {
+	if isRejected(result.GetStatus()) {
+		m.step.recording = false
+	}
+	switch result.GetStatus() {
+	case protocol.LedgerStatus_LEDGER_OK:
+		return m.end(m.failure)
+	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
+		outcome := result.GetFinished().GetOutcome()
+		if m.releaseOperation.GetTokens() == 0 && outcome != protocol.RequestOutcome_OUTCOME_NOT_RUN {
+			return m.answerFinished(result.GetFinished())
+		}
+		return m.end(m.failure)
+	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
+		return m.releaseUnavailable(now)
+	case protocol.LedgerStatus_LEDGER_NOT_RESERVED:
+		if m.releaseOperation.GetTokens() == 0 && !m.answerEnded {
+			return m.reject(m.failure)
+		}
+	default:
+	}
+	fenced := result.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED
+	return prepend(m.end(m.unproved()), ForgetSession{Fenced: fenced})
+}
+
+// releaseUnavailable answers the caller after confirmationTimeout and continues its attempts
+// in the background, so that no budget stays reserved.
+func (m *Machine) releaseUnavailable(now time.Time) []Command {
+	waited := m.operation.elapsed(now)
+	if waited >= confirmationTimeout && !m.answerEnded {
+		m.giveUpRecording()
+		return prepend(m.operation.backOff(), m.emitFailed(m.unproved()))
+	}
+	return m.operation.backOff()
+}
+
+// unproved is the failure without the claim that nothing ran.
+func (m *Machine) unproved() *protocol.Failure {
+	if m.failure.GetOutcome() == protocol.Outcome_NOT_RUN {
+		m.failure.Outcome = protocol.Outcome_UNKNOWN
+	}
+	return m.failure
+}
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -28,8 +28,9 @@
 		return m.versionChanged(now)
 	}
 	if m.attemptTokens+uint64(token.Tokens) > m.maxTokens {
-		// Nothing beyond the reservation is ever passed on.
-		f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the back end sent more tokens than it was allowed").Failure
+		// Nothing beyond the reservation limit is ever emitted.
+		f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN,
+			"the back end sent more tokens than it was allowed").Failure
 		return prepend(m.charge(f, now), StopBackEnd{})
 	}
 	var commands []Command
@@ -53,8 +54,9 @@
 		return m.failed(BackEndFailed{Fault: FaultMismatch, Detail: "the answer carries another request's nonce"}, now)
 	}
 	if m.maxTokens < m.parameters.ReservationLimit && m.attemptTokens >= m.maxTokens {
-		// A later attempt has less room than the caller asked for; its cut answer is not a whole one.
-		f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the turn was begun anew and ran out of its reservation").Failure
+		// A later attempt has fewer tokens left than the caller requested; its truncated answer is not complete.
+		f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN,
+			"the turn was begun anew and ran out of its reservation").Failure
 		return m.charge(f, now)
 	}
 	m.done = done
@@ -62,16 +64,16 @@
 	if m.isHTTP() && !m.isRetained() {
 		return m.finishedUnretained(now)
 	}
-	m.commit = &protocol.SettleTurn{
+	m.commitOperation = &protocol.SettleTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch,
 		Tokens: m.emittedTokens, Turn: m.retainedTurn(now), WeightVersions: m.step.seenVersions,
 	}
 	m.state = stateCommitting
-	m.operationStartedAt, m.backoff = now, initialBackoff
-	return append(m.leave(), Commit{Operation: m.commit})
+	m.operation = beginOperation(now)
+	return append(m.slot.leave(), Commit{Operation: m.commitOperation})
 }
 
-// countUnseen charges output tokens that the back end counts beyond the pieces it sent.
+// chargeUnreported adds output tokens that the back end counts beyond those of the events that it sent.
 func (m *Machine) chargeUnreported(done BackEndDone) {
 	if counted := min(done.OutputTokens, m.maxTokens); counted > m.attemptTokens {
 		m.emittedTokens += counted - m.attemptTokens
@@ -122,34 +124,7 @@
 	return []Command{RequestRetry{}}
 }
 
-// faultFailure words the failure that the caller hears unless another attempt succeeds.
-func (m *Machine) faultFailure(fault BackEndFailed) *protocol.Failure {
-	outcome := protocol.Outcome_NOT_RUN
-	switch {
-	case m.emittedTokens > 0:
-		outcome = protocol.Outcome_RAN
-	case m.mayHaveRun(fault.Fault):
-		outcome = protocol.Outcome_UNKNOWN
-	}
-	m.recordRun(fault.Fault)
-	code, wait := failure.BackEndFailed, time.Duration(0)
-	switch fault.Fault {
-	case FaultUnavailable:
-		code, wait = failure.Overloaded, max(fault.RetryAfter, busyRetryAfter)
-	case FaultNotSent:
-		code, wait = failure.NoBackEnd, busyRetryAfter
-	case FaultMismatch:
-		code = failure.AnswerMismatch
-	case FaultFenced:
-		code = failure.Fenced
-	case FaultWrongVersion:
-		code, wait = failure.StepVersionUnavailable, stepRetryAfter
-	case FaultRejected, FaultBroken:
-	}
-	return failure.New(code, outcome, fault.Detail, failure.WithRetryAfter(wait)).Failure
-}
-
-// mayHaveRun reports whether this fault, or one of an earlier attempt, may have let the turn run.
+// mayHaveRun reports whether the turn may have run in this attempt, which had the fault, or in an earlier one.
 func (m *Machine) mayHaveRun(fault BackEndFault) bool {
 	return m.ranBefore || fault == FaultBroken || fault == FaultMismatch
 }
@@ -169,88 +144,8 @@
 	return m.chooseAnother()
 }
 
-// chooseAnother asks for a back end that has not failed this turn.
+// chooseAnother requests a back end that has not failed this turn.
 func (m *Machine) chooseAnother() []Command {
 	m.state = stateChoosing
 	return []Command{Choose{Avoid: append([]string(nil), m.avoid...)}}
 }
-
-// giveUp ends a reserved turn: released when it surely was not run, charged otherwise.
-func (m *Machine) giveUp(now time.Time) []Command {
-	if m.ranBefore || m.emittedTokens > 0 {
-		return m.charge(m.failure, now)
-	}
-	m.failure.Outcome = protocol.Outcome_NOT_RUN
-	return m.releaseWith(m.failure, 0, now)
-}
-
-// charge ends a reserved turn that ran or may have run. At least one token is
-// charged, because a release of none says that the request was not run.
-func (m *Machine) charge(f *protocol.Failure, now time.Time) []Command {
-	if m.emittedTokens > 0 {
-		f.Outcome = protocol.Outcome_RAN
-	} else {
-		f.Outcome = protocol.Outcome_UNKNOWN
-	}
-	return m.releaseWith(f, max(m.emittedTokens, minCharge), now)
-}
-
-func (m *Machine) stop(event Stopped, now time.Time) []Command {
-	f := stopFailure(event.Reason)
-	switch m.state {
-	case stateNew, stateResolving, stateClaiming, stateReading, stateAdmitting:
-		return m.stopUnreserved(f, event.Reason, now)
-	case stateReserving:
-		if event.WithoutEffect {
-			return m.stopUnreserved(f, event.Reason, now)
-		}
-		return m.releaseWith(f, 0, now)
-	case stateChoosing, stateRequestingRetry:
-		m.failure = f
-		return m.giveUp(now)
-	case stateIssued:
-		return m.stopIssued(f, event, now)
-	case stateCommitting:
-		if event.Reason == StopAuthority {
-			return m.notRetained(failure.NoAuthority, "the turn ran but the front node lost its authority before it was kept")
-		}
-	case stateReleasing:
-		if event.Reason == StopAuthority {
-			m.step.recording = false
-			return prepend(m.end(m.unproved()), ForgetSession{})
-		}
-	case stateRejecting, stateReadingRetained, stateDone:
-		// The ledger's word is awaited and ends the turn by itself.
-	}
-	return nil
-}
-
-// stopUnreserved stops a turn that holds nothing in the ledger.
-func (m *Machine) stopUnreserved(f *protocol.Failure, reason StopReason, now time.Time) []Command {
-	if reason == StopAuthority {
-		return m.endHere(f)
-	}
-	return m.reject(f, now)
-}
-
-// stopIssued stops a turn that was to be issued. When that attempt surely did not run, the ones before it count.
-func (m *Machine) stopIssued(f *protocol.Failure, event Stopped, now time.Time) []Command {
-	if event.WithoutEffect && m.sequence == 0 {
-		m.failure = f
-		return m.giveUp(now)
-	}
-	m.ranBefore = true
-	return prepend(m.charge(f, now), StopBackEnd{})
-}
-
-func stopFailure(reason StopReason) *protocol.Failure {
-	switch reason {
-	case StopDeadline:
-		return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the deadline passed").Failure
-	case StopAuthority:
-		return failure.New(failure.NoAuthority, protocol.Outcome_NOT_RUN, "the front node may no longer act as owner",
-			failure.WithRetryAfter(busyRetryAfter)).Failure
-	case StopCallerDisconnected:
-	}
-	return failure.New(failure.Cancelled, protocol.Outcome_NOT_RUN, "the caller went away").Failure
-}
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -18,17 +18,17 @@
 	Owner       string
 	Incarnation uint64
 	Budget      uint64
-	// Unrecorded calls leave nothing in the ledger: their request id is used for one send to one
-	// owner only, so that there is no other copy to be kept from running.
+	// Unrecorded calls leave no record in the ledger: their request id is used for one send to one
+	// owner only, so that there is no other copy that must not run.
 	Unrecorded bool
-	// Repeatable calls need no intent and may be tried again after a broken answer.
+	// Idempotent calls need no intent and may be retried after a broken answer.
 	Idempotent bool
 	// Attempt is unique to this machine; only the attempt that wrote the intent may issue the call.
 	Attempt string
-	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
+	// MaxAttempts bounds the attempts at back ends; 0 means DefaultMaxAttempts.
 	MaxAttempts uint32
-	// Runs bounds the back ends that may have run a repeatable call; zero bounds it by Attempts alone.
-	MaxRuns          uint32
+	// MaxRuns bounds the back ends that may have run an idempotent call; with 0 only MaxAttempts does.
+	MaxRuns       uint32
 	BundleVersion uint64
 }
 
@@ -47,27 +47,27 @@
 	callDone
 )
 
-// CallMachine is the life of one tool call at the owner of its session.
+// CallMachine is the state machine of one tool call at the owner of its session. The package comment has its states.
 type CallMachine struct {
 	parameters CallParameters
 	state      callState
 	epoch      uint64
-	admitted   bool
+	slot       slot
 	intent     bool
-	// ranEver is true once an attempt may have run.
-	ranBefore  bool
-	answered bool
-	backEnd  string
-	avoid    []string
-	attemptCount    uint32
-	// runs counts the tries that may have run the call.
+	// ranBefore is true once an attempt may have run.
+	ranBefore    bool
+	answered     bool
+	backEnd      string
+	avoid        []string
+	attemptCount uint32
+	// runs counts the attempts that may have run the call.
 	runs uint32
 
-	failure        *protocol.Failure
-	operationStartedAt time.Time
-	backoff          time.Duration
-	outcome        *protocol.FinishCall
-	response       *protocol.ToolCallResponse
+	failure *protocol.Failure
+	// operation is that of the ledger in flight.
+	operation ledgerOperation
+	outcome   *protocol.FinishCall
+	response  *protocol.ToolCallResponse
 }
 
 // NewCall makes the machine of one tool call.
@@ -81,8 +81,8 @@
 // Done reports whether the machine has finished.
 func (m *CallMachine) Done() bool { return m.state == callDone }
 
-// Apply takes one event and returns what to do next, in order. An event that
-// the current state does not wait for is ignored.
+// Apply applies one event and returns the next commands, in order. An event that
+// the current state does not await is ignored.
 func (m *CallMachine) Apply(event Event, now time.Time) []Command {
 	switch event := event.(type) {
 	case Begun:
@@ -125,7 +125,7 @@
 	return []Command{Admit{}}
 }
 
-// claim asks for the session's epoch once the call has a slot.
+// claimSession requests the session's epoch once the call has a slot.
 func (m *CallMachine) claimSession() []Command {
 	m.state = callClaiming
 	request := m.parameters.Request
@@ -154,7 +154,7 @@
 	if m.state != callAdmitting {
 		return nil
 	}
-	m.admitted = true
+	m.slot = true
 	if m.parameters.Unrecorded {
 		m.state = callChoosing
 		return []Command{Choose{}}
@@ -172,7 +172,7 @@
 		return m.issue()
 	}
 	m.state = callBeginning
-	m.operationStartedAt, m.backoff = now, initialBackoff
+	m.operation = beginOperation(now)
 	return []Command{m.beginCommand()}
 }
 
@@ -216,8 +216,8 @@
 	case protocol.LedgerStatus_LEDGER_FENCED:
 		return prepend(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		if now.Sub(m.operationStartedAt) < confirmationTimeout {
-			return m.backOff()
+		if m.operation.elapsed(now) < confirmationTimeout {
+			return m.operation.backOff()
 		}
 		return m.reject(ledgerFailure(status))
 	default:
@@ -225,7 +225,7 @@
 	}
 }
 
-// recorded answers a repeat with what the ledger holds.
+// recorded answers a repeated call with the record in the ledger.
 func (m *CallMachine) recorded(record *protocol.CallRecord) []Command {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
@@ -252,18 +252,19 @@
 	return m.record(event.Status, event.Body, event.ContentType, now)
 }
 
-// record makes the outcome durable before the caller hears it.
+// record makes the outcome durable before the caller gets it.
 func (m *CallMachine) record(status uint32, body []byte, contentType string, now time.Time) []Command {
 	m.state = callFinishing
-	m.operationStartedAt, m.backoff = now, initialBackoff
+	m.operation = beginOperation(now)
 	m.outcome = &protocol.FinishCall{
 		RequestId: m.parameters.Request.GetRequestId(), Attempt: m.parameters.Attempt,
 		Status: status, Body: body, ContentType: contentType,
 	}
-	return append(m.leave(), FinishCall{Operation: m.outcome})
+	return append(m.slot.leave(), FinishCall{Operation: m.outcome})
 }
 
-// RecordedAnswer is the answer that the ledger holds of a finished call.
+// RecordedAnswer is the answer that the ledger has recorded of a finished call; one that cannot be read becomes a
+// failure.
 func RecordedAnswer(record *protocol.CallRecord) *protocol.ToolCallResponse {
 	if record.GetContentType() != FailureContentType {
 		return &protocol.ToolCallResponse{
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -5,7 +5,6 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -31,29 +30,11 @@
 	return []Command{RequestRetry{}}
 }
 
-// mayRunAgain reports whether the call may be issued again after tries that may have run it.
+// mayRunAgain reports whether the call may be issued again after attempts that may have run it.
 func (m *CallMachine) mayRunAgain() bool {
 	return m.parameters.Idempotent && (m.parameters.MaxRuns == 0 || m.runs < m.parameters.MaxRuns)
 }
 
-func callFailure(event BackEndFailed) *protocol.Failure {
-	switch event.Fault {
-	case FaultUnavailable:
-		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, event.Detail,
-			failure.WithRetryAfter(max(event.RetryAfter, busyRetryAfter))).Failure
-	case FaultNotSent:
-		return failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, event.Detail, failure.WithRetryAfter(busyRetryAfter)).Failure
-	case FaultFenced:
-		return failure.New(failure.Fenced, protocol.Outcome_NOT_RUN, event.Detail).Failure
-	case FaultMismatch:
-		return failure.New(failure.AnswerMismatch, protocol.Outcome_UNKNOWN, event.Detail).Failure
-	case FaultBroken:
-		return failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN, event.Detail).Failure
-	default:
-		return failure.New(failure.BackEndFailed, protocol.Outcome_NOT_RUN, event.Detail).Failure
-	}
-}
-
 func (m *CallMachine) retry(event RetryDecided, now time.Time) []Command {
 	if m.state != callRequestingRetry {
 		return nil
@@ -66,8 +47,8 @@
 }
 
 // giveUp ends a call that will not be issued again. With an intent written and
-// nothing run, the failure itself becomes the recorded outcome, so the refusal
-// holds for every later send.
+// nothing run, the failure itself becomes the recorded outcome, so that every
+// later send is rejected with it.
 func (m *CallMachine) giveUp(now time.Time) []Command {
 	switch {
 	case m.ranBefore:
@@ -87,20 +68,22 @@
 	}
 }
 
-// refuse ends a call that has no intent of this attempt.
+// reject ends a call without an intent of this attempt.
 func (m *CallMachine) reject(f *protocol.Failure) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
 	if m.parameters.Request.GetFirstSend() && m.state != callBeginning {
 		return m.fail(f)
 	}
 	if m.parameters.Idempotent {
-		// No record is kept of a repeatable call, so another send of it may have run.
+		// Idempotent calls are not recorded, so that another send of it may have run.
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(f)
 	}
 	m.failure = f
 	m.state = callRejecting
-	return append(m.leave(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}})
+	return append(
+		m.slot.leave(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}},
+	)
 }
 
 func (m *CallMachine) rejected(event CallRejected) []Command {
@@ -135,18 +118,18 @@
 	}
 }
 
-// finishUnavailable answers the caller after a short while and keeps trying to record the outcome.
+// finishUnavailable answers the caller after confirmationTimeout and continues its attempts to record the outcome.
 func (m *CallMachine) finishUnavailable(now time.Time) []Command {
-	waited := now.Sub(m.operationStartedAt)
+	waited := m.operation.elapsed(now)
 	if waited >= confirmationTimeout && !m.answered {
 		m.answered = true
-		return prepend(m.backOff(), Answer{Response: m.unrecorded()})
+		return prepend(m.operation.backOff(), Answer{Response: m.unrecorded()})
 	}
-	return m.backOff()
+	return m.operation.backOff()
 }
 
 // unrecorded is the answer when the outcome may not be durable: a tool's
-// answer still holds, a refusal can no longer be promised.
+// answer is still valid, but a rejection may not hold for later sends.
 func (m *CallMachine) unrecorded() *protocol.ToolCallResponse {
 	if f := m.response.GetFailure(); f.GetOutcome() == protocol.Outcome_NOT_RUN {
 		f.Outcome = protocol.Outcome_UNKNOWN
@@ -165,46 +148,13 @@
 	}
 }
 
-func (m *CallMachine) stop(event Stopped, now time.Time) []Command {
-	f := stopFailure(event.Reason)
-	switch m.state {
-	case callNew, callClaiming, callAdmitting:
-		if event.Reason == StopAuthority {
-			return prepend(m.fail(f), ForgetSession{})
-		}
-		return m.reject(f)
-	case callBeginning, callChoosing, callRequestingRetry:
-		m.failure = f
-		return m.giveUp(now)
-	case callIssued:
-		m.failure = f
-		if event.WithoutEffect {
-			return m.giveUp(now)
-		}
-		m.ranBefore = true
-		return prepend(m.giveUp(now), StopBackEnd{})
-	case callFinishing:
-		if event.Reason == StopAuthority {
-			return m.answer(m.unrecorded())
-		}
-	case callRejecting, callDone:
-	}
-	return nil
-}
-
-func (m *CallMachine) backOff() []Command {
-	wait := m.backoff
-	m.backoff = min(2*m.backoff, maxBackoff)
-	return []Command{Backoff{For: wait}}
-}
-
 func (m *CallMachine) fail(f *protocol.Failure) []Command {
 	return m.answer(&protocol.ToolCallResponse{Failure: f})
 }
 
 func (m *CallMachine) answer(response *protocol.ToolCallResponse) []Command {
 	m.state = callDone
-	commands := m.leave()
+	commands := m.slot.leave()
 	if !m.answered {
 		m.answered = true
 		response.Owner, response.BundleVersion = m.parameters.Owner, m.parameters.BundleVersion
@@ -212,11 +162,3 @@
 	}
 	return append(commands, Finish{})
 }
-
-func (m *CallMachine) leave() []Command {
-	if !m.admitted {
-		return nil
-	}
-	m.admitted = false
-	return []Command{Leave{}}
-}
--- a/internal/dataplane/turn/tool_call_messages.go
+++ b/internal/dataplane/turn/tool_call_messages.go
@@ -8,7 +8,7 @@
 // FinishCall writes the outcome of a non-repeatable call; answered by CallFinished.
 type FinishCall struct{ Operation *protocol.FinishCall }
 
-// RefuseCall marks a non-repeatable call as never to be run; answered by CallRefused.
+// RejectCall marks a non-repeatable call as one that must never run; answered by CallRejected.
 type RejectCall struct{ Operation *protocol.RefuseCall }
 
 // IssueCall sends the call to a back end; answered by CallDone or BackEndFailed.
@@ -17,7 +17,7 @@
 	Epoch   uint64
 }
 
-// Answer gives the caller its answer.
+// Answer answers the caller.
 type Answer struct{ Response *protocol.ToolCallResponse }
 
 // CallBegun carries the ledger's answer to BeginCall.
@@ -26,7 +26,7 @@
 // CallFinished carries the ledger's answer to FinishCall.
 type CallFinished struct{ Result *protocol.LedgerResult }
 
-// CallRefused carries the ledger's answer to RefuseCall.
+// CallRejected carries the ledger's answer to RejectCall.
 type CallRejected struct{ Result *protocol.LedgerResult }
 
 // CallDone is the tool server's answer.
--- /dev/null
+++ b/internal/dataplane/turn/tool_call_stop.go
@@ -0,0 +1,32 @@
+package turn
+
+import (
+	"time"
+)
+
+func (m *CallMachine) stop(event Stopped, now time.Time) []Command {
+	f := stopFailure(event.Reason)
+	switch m.state {
+	case callNew, callClaiming, callAdmitting:
+		if event.Reason == StopAuthority {
+			return prepend(m.fail(f), ForgetSession{})
+		}
+		return m.reject(f)
+	case callBeginning, callChoosing, callRequestingRetry:
+		m.failure = f
+		return m.giveUp(now)
+	case callIssued:
+		m.failure = f
+		if event.WithoutEffect {
+			return m.giveUp(now)
+		}
+		m.ranBefore = true
+		return prepend(m.giveUp(now), StopBackEnd{})
+	case callFinishing:
+		if event.Reason == StopAuthority {
+			return m.answer(m.unrecorded())
+		}
+	case callRejecting, callDone:
+	}
+	return nil
+}
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -13,14 +13,16 @@
 var ran = turn.CallDone{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
 
 // runCall answers each command by its kind; the last answer of a kind stays.
-func runCall(repeatable bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
+func runCall(idempotent bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
 	machine := turn.NewCall(turn.CallParameters{
-		Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve"}, Owner: "f1", Attempt: "a1", Idempotent: repeatable,
+		Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve"}, Owner: "f1", Attempt: "a1",
+		Idempotent: idempotent,
 	})
 	defaults := map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
-		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}}, "refuse": {turn.CallRejected{Result: ok}},
-		"issue": {ran}, "retry": {turn.RetryDecided{Granted: true}}, "pause": {turn.Waited{}},
+		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}},
+		"reject": {turn.CallRejected{Result: ok}},
+		"issue":  {ran}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.Waited{}},
 	}
 	maps.Copy(defaults, answers)
 	counts := map[string]int{}
@@ -55,7 +57,7 @@
 	case turn.FinishCall:
 		return "finish"
 	case turn.RejectCall:
-		return "refuse"
+		return "reject"
 	case turn.IssueCall:
 		return "issue"
 	default:
@@ -63,7 +65,7 @@
 	}
 }
 
-func TestCallsByWhatHappensToThem(t *testing.T) {
+func TestToolCallsByScript(t *testing.T) {
 	unavailable := status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	none := turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, "none").Failure}
 	underWay := status(protocol.LedgerStatus_LEDGER_CALL_UNDER_WAY)
@@ -71,7 +73,7 @@
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, Call: record}
 	}
 	cases := map[string]struct {
-		repeatable bool
+		idempotent bool
 		answers    map[string][]turn.Event
 		code       failure.Code
 		outcome    protocol.Outcome
@@ -82,10 +84,10 @@
 			answers: map[string][]turn.Event{"issue": {broken}}, code: failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN,
 			counts: map[string]int{"issue": 1, "finish": 0},
 		},
-		"is issued again after a sure refusal, under the same intent": {
+		"is issued again after a certain rejection, under the same intent": {
 			answers: map[string][]turn.Event{"issue": {busy, ran}}, counts: map[string]int{"begin": 1, "issue": 2, "finish": 1},
 		},
-		"has its refusal recorded once an intent stands": {
+		"has its rejection recorded once an intent is written": {
 			answers: map[string][]turn.Event{"issue": {busy}, "retry": {turn.RetryDecided{}}},
 			code:    failure.Overloaded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
 		},
@@ -98,50 +100,65 @@
 			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"finish": 0},
 		},
 		"is unknown when it is stopped before it is issued again": {
-			repeatable: true, answers: map[string][]turn.Event{"issue": {broken, turn.StopBefore(turn.StopDeadline)}},
+			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, turn.StopBefore(turn.StopDeadline)}},
 			code: failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 2},
 		},
-		"cannot promise a refusal that was not recorded": {
+		"cannot promise a rejection that was not recorded": {
 			answers: map[string][]turn.Event{
-				"issue": {busy}, "retry": {turn.RetryDecided{}}, "finish": {turn.CallFinished{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}},
+				"issue": {busy}, "retry": {turn.RetryDecided{}},
+				"finish": {turn.CallFinished{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}},
 			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
 		"gets a tombstone without a server": {
 			answers: map[string][]turn.Event{"choose": {none}}, code: failure.NoBackEnd, outcome: protocol.Outcome_NOT_RUN,
-			counts: map[string]int{"begin": 0, "refuse": 1},
+			counts: map[string]int{"begin": 0, "reject": 1},
 		},
 		"is unknown when another attempt holds the intent": {
 			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: underWay}}},
 			code:    failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 0},
 		},
 		"answers from the record": {
-			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})}}},
-			counts:  map[string]int{"issue": 0},
+			answers: map[string][]turn.Event{
+				"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})}},
+			},
+			counts: map[string]int{"issue": 0},
 		},
-		"is refused by an earlier tombstone": {
-			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}}},
-			code:    failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
+		"is rejected by an earlier tombstone": {
+			answers: map[string][]turn.Event{
+				"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}},
+			},
+			code: failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
 		"writes the same intent again after no answer": {
 			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: unavailable}, turn.CallBegun{Result: ok}}},
 			counts:  map[string]int{"begin": 2, "issue": 1},
 		},
-		"tries to record the outcome until the ledger answers": {
-			answers: map[string][]turn.Event{"finish": {turn.CallFinished{Result: unavailable}, turn.CallFinished{Result: unavailable}, turn.CallFinished{Result: ok}}},
-			counts:  map[string]int{"issue": 1, "finish": 3},
+		"retries to record the outcome until the ledger answers": {
+			answers: map[string][]turn.Event{
+				"finish": {
+					turn.CallFinished{Result: unavailable},
+					turn.CallFinished{Result: unavailable},
+					turn.CallFinished{Result: ok},
+				},
+			},
+			counts: map[string]int{"issue": 1, "finish": 3},
 		},
 		"may run again when it is repeatable": {
-			repeatable: true, answers: map[string][]turn.Event{"issue": {broken, ran}}, counts: map[string]int{"begin": 0, "issue": 2},
+			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, ran}}, counts: map[string]int{
+				"begin": 0, "issue": 2,
+			},
 		},
 		"is unknown when a repeatable one may have run": {
-			repeatable: true, answers: map[string][]turn.Event{"issue": {broken, busy}, "retry": {turn.RetryDecided{Granted: true}, turn.RetryDecided{}}},
+			idempotent: true, answers: map[string][]turn.Event{
+				"issue": {broken, busy}, "retry": {turn.RetryDecided{Granted: true}, turn.RetryDecided{}},
+			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			response, counts := runCall(c.repeatable, c.answers)
+			response, counts := runCall(c.idempotent, c.answers)
 			if got := response.GetFailure(); got.GetCode() != string(c.code) || got.GetOutcome() != c.outcome {
 				t.Fatalf("answered %v", response)
 			}
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -9,29 +9,30 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// A turn of a training step runs on one version of the weights only, the one
-// pinned for the step. It learns the version before anything else, tells it to
-// the ledger with its reservation, and compares what the server names with it
-// before a piece of the answer is passed on. The ledger hears on which versions
-// the turn ran before a whole answer ends.
+// A turn of a training step runs on one version of the weights only, the step's
+// version pin. It resolves the pin before anything else, names it to
+// the ledger with its reservation, and compares the versions that the server names with it
+// before an event of the answer is emitted. The ledger records on which versions
+// the turn ran before a complete answer ends.
 
 const (
 	stepPath = "training_step"
 	// statusOK is the HTTP status of an answer that is no error.
 	statusOK = 200
-	// stepRetry is told when no server has the step's version: a server is started or given its weights in some seconds.
+	// stepRetryAfter is after how long callers may retry when no server has the step's version: starting a server or
+	// loading its weights takes seconds.
 	stepRetryAfter = time.Second
 )
 
-// stepProgress is what a turn of a training step keeps to, and what it has seen.
+// stepProgress is the state of a turn of a training step.
 type stepProgress struct {
-	// pinned is the step's version.
+	// versionPin is the version of the weights that the step is pinned to.
 	versionPin uint64
-	// seen are the versions that the server named, without repeats in a row.
+	// seenVersions are the versions that the server named, without consecutive repeats.
 	seenVersions []uint64
-	// recording is true while a whole answer waits for the ledger to count it.
+	// recording is true while a complete answer waits for the ledger to record its generation.
 	recording bool
-	// whole is true when all of the answer goes to the caller.
+	// complete is true when all of the answer goes to the caller.
 	complete bool
 }
 
@@ -42,18 +43,18 @@
 	return []Command{ResolveStep{Step: m.parameters.Request.GetTrainingStep()}}
 }
 
-func (m *Machine) stepResolved(event Event, now time.Time) []Command {
+func (m *Machine) stepResolved(event Event) []Command {
 	switch answer := event.(type) {
 	case StepResolved:
 		m.step.versionPin = answer.WeightVersion
 		return m.admit()
 	case StepNotResolved:
-		return m.reject(answer.Failure, now)
+		return m.reject(answer.Failure)
 	}
 	return nil
 }
 
-// stepReference is what a reservation says of the turn's step; nil for other turns.
+// stepReference names the turn's step and version in a reservation; nil for other turns.
 func (m *Machine) stepReference() *protocol.TrainingStepReference {
 	if !m.isOfStep() {
 		return nil
@@ -61,9 +62,9 @@
 	return &protocol.TrainingStepReference{Step: m.parameters.Request.GetTrainingStep(), WeightVersion: m.step.versionPin}
 }
 
-// keepsVersion notes the versions that a server named and reports whether they
-// are all the pinned one. An answer that names none is not traced to a version,
-// so it does not pass. Turns of no training step always pass.
+// matchesVersionPin records the versions that a server named and reports whether they
+// all equal the version pin. An answer that names none cannot be traced to a version
+// and does not match. Turns of no training step always match.
 func (m *Machine) matchesVersionPin(named []uint64) bool {
 	if !m.isOfStep() {
 		return true
@@ -73,7 +74,7 @@
 	return len(named) > 0 && !slices.ContainsFunc(named, isOther)
 }
 
-// noteVersions remembers what the server named, as much as the ledger takes.
+// recordVersions records the versions that the server named, as many as the ledger accepts.
 func (m *Machine) recordVersions(named []uint64) {
 	for _, version := range named {
 		count := len(m.step.seenVersions)
@@ -83,8 +84,8 @@
 	}
 }
 
-// takesWhole reports whether an answer that is no stream may be passed on. One
-// that reports an error is no generation, whatever it names.
+// acceptsCompleteAnswer reports whether an answer that is not a stream may be emitted. One
+// that reports an error is not a generation, whatever it names.
 func (m *Machine) acceptsCompleteAnswer(answer AnswerCompleted) bool {
 	if answer.Answer.GetStatus() != statusOK {
 		m.recordVersions(answer.WeightVersions)
@@ -94,7 +95,7 @@
 	return m.step.complete
 }
 
-// versionChanged ends a turn whose server has other weights than the step. Nothing more is passed on.
+// versionChanged ends a turn whose server has other weights than the step. Nothing more is emitted.
 func (m *Machine) versionChanged(now time.Time) []Command {
 	m.ranBefore = true
 	f := failure.New(failure.StepVersionChanged, protocol.Outcome_RAN,
@@ -102,14 +103,14 @@
 	return prepend(m.releaseWith(f, max(m.emittedTokens, minCharge), now), StopBackEnd{})
 }
 
-// recordGeneration has the ledger count a whole answer that is not kept. The answer ends after that.
+// recordGeneration has the ledger record a complete answer that is not retained. The answer ends after that.
 func (m *Machine) recordGeneration(now time.Time) []Command {
 	m.step.recording, m.step.complete = true, true
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the ledger did not record the generation").Failure
 	return m.charge(f, now)
 }
 
-// giveUpRecording lets a generation count as discarded whose caller was told that it failed.
+// giveUpRecording makes a generation count as discarded whose caller got a failure.
 func (m *Machine) giveUpRecording() {
 	if !m.step.recording {
 		return
@@ -118,7 +119,7 @@
 	m.releaseOperation.Completed = false
 }
 
-// traceRelease says in a release on which versions the turn ran.
+// traceRelease names in a release the versions on which the turn ran.
 func (m *Machine) traceRelease() {
 	if !m.isOfStep() || m.releaseOperation.GetTokens() == 0 {
 		return
@@ -126,10 +127,11 @@
 	m.releaseOperation.WeightVersions, m.releaseOperation.Completed = m.step.seenVersions, m.step.complete
 }
 
-// isRefused reports whether the ledger decided against an operation.
+// isRejected reports whether the ledger rejected an operation.
 func isRejected(status protocol.LedgerStatus) bool {
 	switch status {
-	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
+	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_UNAVAILABLE,
+		protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
 		return false
 	default:
 		return true
--- a/internal/dataplane/turn/training_step_test.go
+++ b/internal/dataplane/turn/training_step_test.go
@@ -39,15 +39,15 @@
 	return event
 }
 
-// deltas are the events of the server's stream that were passed on.
+// deltas are the events of the server's stream that were emitted.
 func (s *script) deltas() int {
-	passed := 0
+	emittedTokens := 0
 	for _, event := range s.events {
 		if event.GetDelta() != nil {
-			passed++
+			emittedTokens++
 		}
 	}
-	return passed
+	return emittedTokens
 }
 
 func (s *script) reserved() *protocol.ReserveTurn {
@@ -70,8 +70,9 @@
 	return names
 }
 
-func TestATurnOfAStepLearnsItsVersionFirstAndTellsTheLedger(t *testing.T) {
-	s := newStepScript(false).on("issue", headOf(pinnedVersion), eventOf("a"), eventOf("b", pinnedVersion), routedDone).run()
+func TestTurnOfAStepResolvesItsVersionFirstAndNamesItToTheLedger(t *testing.T) {
+	s := newStepScript(false).on("issue", headOf(pinnedVersion), eventOf("a"), eventOf("b", pinnedVersion), routedDone).
+		run()
 	if want := []string{"resolve", "admit", "reserve", "choose", "issue", "release"}; !slices.Equal(s.names(), want) {
 		t.Fatalf("commands %v", s.names())
 	}
@@ -83,25 +84,26 @@
 		t.Fatalf("ended with %v", s.last())
 	}
 	released := s.released()
-	if !released.GetCompleted() || released.GetTokens() != 2 || !slices.Equal(released.GetWeightVersions(), []uint64{pinnedVersion}) {
+	if !released.GetCompleted() || released.GetTokens() != 2 ||
+		!slices.Equal(released.GetWeightVersions(), []uint64{pinnedVersion}) {
 		t.Fatalf("released %v", released)
 	}
 }
 
-func TestAKeptTurnOfAStepIsSettledWithItsVersions(t *testing.T) {
+func TestRetainedTurnOfAStepIsCommittedWithItsVersions(t *testing.T) {
 	s := newStepScript(true).on("issue", headOf(pinnedVersion), eventOf("a"), routedDone).run()
 	for _, command := range s.commands {
-		if settle, isSettle := command.(turn.Commit); isSettle {
-			if !slices.Equal(settle.Operation.GetWeightVersions(), []uint64{pinnedVersion}) {
-				t.Fatalf("settled %v", settle.Operation)
+		if commit, isSettle := command.(turn.Commit); isSettle {
+			if !slices.Equal(commit.Operation.GetWeightVersions(), []uint64{pinnedVersion}) {
+				t.Fatalf("committed %v", commit.Operation)
 			}
 			return
 		}
 	}
-	t.Fatal("never settled")
+	t.Fatal("never committed")
 }
 
-func TestATurnOfNoStepResolvesNothingAndNamesNoVersions(t *testing.T) {
+func TestTurnOfNoStepResolvesNothingAndNamesNoVersions(t *testing.T) {
 	s := newScript(httpRequest(false, 9, "")).on("issue", headOf(), routedEvent("a"), routedDone).run()
 	if s.count("resolve") != 0 || s.reserved().GetTrainingStep() != nil {
 		t.Fatalf("commands %v", s.names())
@@ -111,16 +113,16 @@
 	}
 }
 
-func TestAStepWithoutAVersionEndsItsTurnBeforeAnythingElse(t *testing.T) {
-	refused := failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, "none").Failure
-	s := newStepScript(true).on("resolve", turn.StepNotResolved{Failure: refused}).run()
+func TestStepWithoutAVersionEndsItsTurnFirst(t *testing.T) {
+	rejected := failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, "none").Failure
+	s := newStepScript(true).on("resolve", turn.StepNotResolved{Failure: rejected}).run()
 	wantFailure(t, s, failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN)
 	if want := []string{"resolve"}; !slices.Equal(s.names(), want) {
 		t.Fatalf("commands %v", s.names())
 	}
 }
 
-func TestAProgramOfAnotherStepIsRefused(t *testing.T) {
+func TestProgramOfAnotherStepIsRejected(t *testing.T) {
 	mismatch := turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_STEP_MISMATCH)}
 	s := newStepScript(false).on("reserve", mismatch).run()
 	wantFailure(t, s, failure.StepMismatch, protocol.Outcome_NOT_RUN)
@@ -129,29 +131,38 @@
 	}
 }
 
-func TestAnAnswerOfAnotherVersionIsNotPassedOn(t *testing.T) {
+func TestAnswerOfAnotherVersionIsNotEmitted(t *testing.T) {
 	for name, c := range map[string]struct {
-		pieces []turn.Event
-		passed int
-		seen   []uint64
+		pieces  []turn.Event
+		emitted int
+		seen    []uint64
 	}{
-		"in its head":               {[]turn.Event{headOf(otherVersion)}, 0, []uint64{otherVersion}},
-		"in a head of two":          {[]turn.Event{headOf(pinnedVersion, otherVersion)}, 0, []uint64{pinnedVersion, otherVersion}},
+		"in its head": {[]turn.Event{headOf(otherVersion)}, 0, []uint64{otherVersion}},
+		"in a head of two": {
+			[]turn.Event{headOf(pinnedVersion, otherVersion)},
+			0,
+			[]uint64{pinnedVersion, otherVersion},
+		},
 		"that its head leaves open": {[]turn.Event{headOf()}, 0, nil},
 		"that cannot be read":       {[]turn.Event{headOf(0)}, 0, []uint64{0}},
 		"in its midst": {
-			[]turn.Event{headOf(pinnedVersion), eventOf("a"), eventOf("b", otherVersion)}, 1, []uint64{pinnedVersion, otherVersion},
+			[]turn.Event{headOf(pinnedVersion), eventOf("a"), eventOf("b", otherVersion)}, 1, []uint64{
+				pinnedVersion, otherVersion,
+			},
 		},
-		"in a whole answer": {
-			[]turn.Event{turn.AnswerCompleted{Answer: &protocol.HttpAnswer{Status: 200}, WeightVersions: []uint64{otherVersion}}}, 0, []uint64{otherVersion},
+		"in a complete answer": {
+			[]turn.Event{turn.AnswerCompleted{
+				Answer:         &protocol.HttpAnswer{Status: 200},
+				WeightVersions: []uint64{otherVersion},
+			}}, 0, []uint64{otherVersion},
 		},
 	} {
 		for _, stateful := range []bool{true, false} {
 			s := newStepScript(stateful).on("issue", c.pieces...).run()
 			wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
 			released := s.released()
-			if s.deltas() != c.passed || s.count("settle") != 0 || s.count("issue") != 1 {
-				t.Errorf("%s: passed %d, commands %v", name, s.deltas(), s.names())
+			if s.deltas() != c.emitted || s.count("commit") != 0 || s.count("issue") != 1 {
+				t.Errorf("%s: emitted %d, commands %v", name, s.deltas(), s.names())
 			}
 			if released.GetCompleted() || released.GetTokens() == 0 || !slices.Equal(released.GetWeightVersions(), c.seen) {
 				t.Errorf("%s: released %v", name, released)
@@ -160,26 +171,27 @@
 	}
 }
 
-func TestAnErrorOfAServerIsPassedOnWhateverItNames(t *testing.T) {
+func TestServerErrorIsEmittedWhateverItNames(t *testing.T) {
 	s := newStepScript(false).on("issue", routedBusy).run()
 	if string(s.last().GetAnswered().GetBody()) != "busy" || s.released().GetCompleted() {
 		t.Fatalf("ended with %v, released %v", s.last(), s.released())
 	}
 }
 
-func TestTheLedgerHearsOfNoMoreVersionsThanItTakes(t *testing.T) {
+func TestReleaseNamesNoMoreVersionsThanTheLedgerAccepts(t *testing.T) {
 	var named []uint64
 	for version := range uint64(100) {
 		named = append(named, pinnedVersion, version+100)
 	}
 	s := newStepScript(false).on("issue", headOf(named...)).run()
 	wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
-	if heard := s.released().GetWeightVersions(); len(heard) != ledger.MaximumWeightVersions || !slices.Contains(heard, 100) {
-		t.Fatalf("heard %v", heard)
+	if versions := s.released().GetWeightVersions(); len(versions) != ledger.MaximumWeightVersions ||
+		!slices.Contains(versions, 100) {
+		t.Fatalf("released with %v", versions)
 	}
 }
 
-func TestAServerWithOtherWeightsCostsNoRetry(t *testing.T) {
+func TestServerWithOtherWeightsCostsNoRetry(t *testing.T) {
 	moved := turn.BackEndFailed{Fault: turn.FaultWrongVersion, Detail: "421"}
 	s := newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, turn.Chosen{BackEnd: "b2"}).on("issue", moved).run()
 	if s.count("issue") != 2 || s.count("retry") != 0 || s.count("release") != 0 {
@@ -188,18 +200,20 @@
 	none := turn.NotChosen{Failure: failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, "none").Failure}
 	s = newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, none).on("issue", moved).run()
 	wantFailure(t, s, failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN)
-	if s.released().GetTokens() != 0 || len(s.released().GetWeightVersions()) != 0 || s.last().GetFailed().GetRetryAfterMillis() == 0 {
+	if s.released().GetTokens() != 0 || len(s.released().GetWeightVersions()) != 0 ||
+		s.last().GetFailed().GetRetryAfterMillis() == 0 {
 		t.Fatalf("ended with %v, released %v", s.last(), s.released())
 	}
 }
 
-func TestAGenerationThatTheLedgerDoesNotRecordNeverLooksWhole(t *testing.T) {
-	for _, refusal := range []protocol.LedgerStatus{
-		protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_FENCED, protocol.LedgerStatus_LEDGER_NOT_RESERVED,
+func TestUnrecordedGenerationNeverLooksComplete(t *testing.T) {
+	for _, rejection := range []protocol.LedgerStatus{
+		protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_FENCED,
+		protocol.LedgerStatus_LEDGER_NOT_RESERVED,
 		protocol.LedgerStatus_LEDGER_ALREADY_FINISHED,
 	} {
-		answers := []turn.Event{turn.Released{Result: status(refusal)}}
-		if refusal == protocol.LedgerStatus_LEDGER_UNAVAILABLE {
+		answers := []turn.Event{turn.Released{Result: status(rejection)}}
+		if rejection == protocol.LedgerStatus_LEDGER_UNAVAILABLE {
 			for range 20 {
 				answers = append(answers, answers[0])
 			}
@@ -207,7 +221,7 @@
 		}
 		s := newStepScript(false).on("issue", headOf(pinnedVersion), eventOf("a"), routedDone).on("release", answers...).run()
 		if f := s.last().GetFailed(); f.GetOutcome() != protocol.Outcome_RAN || !s.machine.Done() {
-			t.Errorf("%v: ended with %v", refusal, s.last())
+			t.Errorf("%v: ended with %v", rejection, s.last())
 		}
 	}
 }
@@ -232,7 +246,7 @@
 	switch command := command.(type) {
 	case turn.Emit:
 		if o.foreign && (command.Event.GetDelta() != nil || command.Event.GetCompleted() != nil) {
-			o.t.Fatalf("%v passed on after another version was named", command.Event)
+			o.t.Fatalf("%v emitted after another version was named", command.Event)
 		}
 		if command.Event.GetCompleted() != nil && !o.recorded {
 			o.t.Fatal("completed before the ledger counted it")
@@ -252,10 +266,10 @@
 	}
 }
 
-// traced checks that the ledger hears of each version that was named.
+// traced checks that the ledger gets each version that was named.
 func (o *stepObserver) traced(versions []uint64) {
 	if want := slices.Compact(slices.Clone(o.named)); !slices.Equal(versions, want) {
-		o.t.Fatalf("the ledger heard %v, the server named %v", versions, want)
+		o.t.Fatalf("the ledger got %v, the server named %v", versions, want)
 	}
 }
 
@@ -263,7 +277,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStepScript(rapid.Bool().Draw(t, "stateful"))
 		o := &stepObserver{t: t}
-		versions := rapid.SliceOfN(rapid.SampledFrom([]uint64{pinnedVersion, pinnedVersion, pinnedVersion, otherVersion, 0}), 0, 1)
+		versions := rapid.SliceOfN(
+			rapid.SampledFrom([]uint64{pinnedVersion, pinnedVersion, pinnedVersion, otherVersion, 0}), 0, 1,
+		)
 		pending := s.machine.Apply(turn.Begun{}, s.now)
 		streaming, begun := false, false
 		for step := 0; !s.machine.Done() || len(pending) > 0; step++ {
--- a/internal/dataplane/turn/turn_commands.go
+++ b/internal/dataplane/turn/turn_commands.go
@@ -6,11 +6,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Command is something the front plane must do next.
+// Command is an effect that the shell has to execute.
 type Command interface{ command() }
 
-// Interruptible reports whether a stop goes before the command, which would
-// begin something. The other commands end or report something and are carried out.
+// Interruptible reports whether a stop replaces the command, which would
+// begin something. The other commands end or report something and are always executed.
 func Interruptible(command Command) bool {
 	switch command.(type) {
 	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, RequestRetry, BeginCall, IssueCall:
@@ -20,28 +20,30 @@
 	}
 }
 
-// ResolveStep asks for the version of the weights that is pinned for a training step; answered by StepResolved or StepNotResolved.
+// ResolveStep requests the version of the weights that a training step is pinned to; answered by StepResolved or
+// StepNotResolved.
 type ResolveStep struct{ Step string }
 
-// Claim asks for the session's epoch; answered by Claimed.
+// Claim requests the session's epoch; answered by Claimed.
 type Claim struct{ Operation *protocol.ClaimSession }
 
-// ReadHistory asks for the conversation up to LastTurn; answered by HistoryRead.
+// ReadHistory requests the conversation up to LastTurn; answered by HistoryRead.
 type ReadHistory struct{ LastTurn string }
 
-// Admit asks for a slot; answered by Admitted or NotAdmitted.
+// Admit requests a slot; answered by Admitted or NotAdmitted.
 type Admit struct{}
 
 // Leave gives the slot back.
 type Leave struct{}
 
-// Reserve asks the ledger for the turn's ceiling; answered by Reserved.
+// Reserve sets the turn's reservation limit aside in the ledger; answered by Reserved.
 type Reserve struct{ Operation *protocol.ReserveTurn }
 
-// Choose asks for a back end that is not in Avoid; answered by Chosen or NotChosen.
+// Choose requests a back end that is not in Avoid; answered by Chosen or NotChosen.
 type Choose struct{ Avoid []string }
 
-// Issue sends the turn to a back end; answered by Token events and one of BackEndDone and BackEndFailed.
+// Issue sends the turn to a back end; answered by a Head (HTTP routes) and Token events and then BackEndDone, or by
+// AnswerCompleted, or by BackEndFailed.
 type Issue struct {
 	BackEnd   string
 	Attempt   uint32
@@ -50,45 +52,45 @@
 	MaxTokens uint64
 }
 
-// StopBackEnd gives up the attempt under way.
+// StopBackEnd cancels the attempt in flight.
 type StopBackEnd struct{}
 
-// AskRetry asks the retry budget; answered by RetryDecided.
+// RequestRetry requests a retry of the retry budget; answered by RetryDecided.
 type RequestRetry struct{}
 
-// Emit passes an event on to the readers.
+// Emit sends an event to the turn's readers.
 type Emit struct{ Event *protocol.TurnEvent }
 
-// Settle keeps and charges the turn; answered by Settled.
+// Commit makes the turn durable and charges it; answered by Committed.
 type Commit struct{ Operation *protocol.SettleTurn }
 
 // Release ends the reservation; answered by Released.
 type Release struct{ Operation *protocol.ReleaseTurn }
 
-// Refuse marks the request as never to be run; answered by Refused.
+// Reject marks the request as one that must never run; answered by Rejected.
 type Reject struct {
 	Operation *protocol.RefuseRequest
-	// AtOnce is set for what is refused because there is too much to do: its
-	// answer does not wait long for the ledger's word.
+	// Overload is true for a request that is rejected because of overload: its
+	// answer does not wait long for the ledger.
 	Overload bool
 }
 
-// ReadKept asks for a kept turn; answered by KeptRead.
+// ReadRetainedTurn requests a retained turn; answered by RetainedTurnRead.
 type ReadRetainedTurn struct{ TurnID string }
 
-// Pause asks for Waited after a while.
+// Backoff requests a Waited event after For.
 type Backoff struct{ For time.Duration }
 
-// Remember tells the owner's cache that the turn is the session's last one.
+// Remember has the owner cache the turn as the session's last one.
 type Remember struct{ Turn *protocol.Turn }
 
-// ForgetSession tells the owner's cache that what it holds of the session is no longer true.
+// ForgetSession has the owner drop its cached state of the session, which is no longer valid.
 type ForgetSession struct {
-	// Fenced is true when the ledger refused the epoch: another owner has the session.
+	// Fenced is true when the ledger rejected the epoch: the session has another owner.
 	Fenced bool
 }
 
-// Finish ends the machine.
+// Finish reports that the machine is done.
 type Finish struct{}
 
 func (ResolveStep) command()      {}
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -7,9 +7,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// refuse ends a turn that holds no reservation. A request of which other
-// copies may exist is refused only after the ledger has taken its tombstone.
-func (m *Machine) reject(f *protocol.Failure, now time.Time) []Command {
+// reject ends a turn without a reservation. A request of which other
+// copies may exist is rejected only after the ledger has stored its tombstone.
+func (m *Machine) reject(f *protocol.Failure) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
 	if m.parameters.Request.GetFirstSend() {
 		return m.end(f)
@@ -17,12 +17,12 @@
 	m.failure = f
 	m.state = stateRejecting
 	request := m.parameters.Request
-	return append(m.leave(), Reject{Operation: &protocol.RefuseRequest{
+	return append(m.slot.leave(), Reject{Operation: &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	}, Overload: failure.Code(f.GetCode()) == failure.Overloaded})
 }
 
-func (m *Machine) rejecting(event Event, now time.Time) []Command {
+func (m *Machine) rejecting(event Event) []Command {
 	rejected, matches := event.(Rejected)
 	if !matches {
 		return nil
@@ -31,23 +31,25 @@
 	case protocol.LedgerStatus_LEDGER_OK:
 		return m.end(m.failure)
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		return m.answerFinished(rejected.Result.GetFinished(), now)
+		return m.answerFinished(rejected.Result.GetFinished())
 	default:
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 		return m.end(m.failure)
 	}
 }
 
-// answerFinished gives a request that ended before the answer it had then.
-func (m *Machine) answerFinished(finished *protocol.FinishedRequest, now time.Time) []Command {
+// answerFinished answers a request that ended before as it was answered then.
+func (m *Machine) answerFinished(finished *protocol.FinishedRequest) []Command {
 	switch finished.GetOutcome() {
 	case protocol.RequestOutcome_OUTCOME_SETTLED:
 		if m.isHTTP() {
-			// The head of that answer is not kept, and its id was to be used once.
-			return m.end(failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure)
+			// The head of that answer is not retained, and a caller must use the id only once.
+			return m.end(
+				failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure,
+			)
 		}
 		m.state = stateReadingRetained
-		return append(m.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
+		return append(m.slot.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
 		if m.failure != nil {
 			m.failure.Outcome = protocol.Outcome_NOT_RUN
@@ -61,7 +63,7 @@
 	}
 }
 
-func (m *Machine) retainedTurnRead(event Event, now time.Time) []Command {
+func (m *Machine) retainedTurnRead(event Event) []Command {
 	read, matches := event.(RetainedTurnRead)
 	if !matches {
 		return nil
@@ -73,7 +75,7 @@
 	}
 	m.answerEnded = true
 	m.state = stateDone
-	commands := m.leave()
+	commands := m.slot.leave()
 	for _, event := range Replay(read.Turn, m.attempt+1, m.parameters.Owner, m.parameters.BundleVersion) {
 		commands = append(commands, Emit{Event: event})
 	}
@@ -83,7 +85,7 @@
 func (m *Machine) committing(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Waited:
-		return []Command{Commit{Operation: m.commit}}
+		return []Command{Commit{Operation: m.commitOperation}}
 	case Committed:
 		return m.commitAnswered(answer.Result, now)
 	}
@@ -106,12 +108,12 @@
 	}
 }
 
-// settleUnavailable answers the caller after a while and keeps trying in the background.
+// commitUnavailable answers the caller after a while and continues its attempts in the background.
 func (m *Machine) commitUnavailable(now time.Time) []Command {
-	if now.Sub(m.operationStartedAt) < commitAnswerTimeout || m.answerEnded {
-		return m.backOff()
+	if m.operation.elapsed(now) < commitAnswerTimeout || m.answerEnded {
+		return m.operation.backOff()
 	}
-	return prepend(m.backOff(), m.emitFailed(failure.New(failure.LedgerUnavailable, protocol.Outcome_RAN,
+	return prepend(m.operation.backOff(), m.emitFailed(failure.New(failure.LedgerUnavailable, protocol.Outcome_RAN,
 		"the turn ran but the ledger has not confirmed it; send the same request again to read it").Failure))
 }
 
@@ -121,96 +123,16 @@
 }
 
 func (m *Machine) complete() []Command {
-	commands := []Command{Remember{Turn: m.commit.GetTurn()}}
+	commands := []Command{Remember{Turn: m.commitOperation.GetTurn()}}
 	m.state = stateDone
 	if m.answerEnded {
-		return append(append(commands, m.leave()...), Finish{})
+		return append(append(commands, m.slot.leave()...), Finish{})
 	}
 	if m.sequence == 0 {
 		commands = append(commands, m.emitCreated())
 	}
 	commands = append(commands, m.emitCompleted())
-	return append(append(commands, m.leave()...), Finish{})
-}
-
-// releaseWith ends the reservation and answers the caller by what the ledger says.
-func (m *Machine) releaseWith(f *protocol.Failure, tokens uint64, now time.Time) []Command {
-	m.failure = f
-	if !m.IsLedgered() {
-		return m.end(f)
-	}
-	m.state = stateReleasing
-	m.operationStartedAt, m.backoff = now, initialBackoff
-	request := m.parameters.Request
-	m.releaseOperation = &protocol.ReleaseTurn{
-		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch, Tokens: tokens,
-	}
-	m.traceRelease()
-	if m.isHTTP() && !m.answerEnded && !m.step.recording {
-		// A first send that was given up needs no proof by the ledger: nobody else may run it.
-		return append(m.leave(), m.emitEnd(f), Release{Operation: m.releaseOperation})
-	}
-	return append(m.leave(), Release{Operation: m.releaseOperation})
-}
-
-func (m *Machine) releasing(event Event, now time.Time) []Command {
-	switch answer := event.(type) {
-	case Waited:
-		return []Command{Release{Operation: m.releaseOperation}}
-	case Released:
-		return m.releaseAnswered(answer.Result, now)
-	}
-	return nil
-}
-
-func (m *Machine) releaseAnswered(result *protocol.LedgerResult, now time.Time) []Command {
-	if isRejected(result.GetStatus()) {
-		m.step.recording = false
-	}
-	switch result.GetStatus() {
-	case protocol.LedgerStatus_LEDGER_OK:
-		return m.end(m.failure)
-	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		outcome := result.GetFinished().GetOutcome()
-		if m.releaseOperation.GetTokens() == 0 && outcome != protocol.RequestOutcome_OUTCOME_NOT_RUN {
-			return m.answerFinished(result.GetFinished(), now)
-		}
-		return m.end(m.failure)
-	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return m.releaseUnavailable(now)
-	case protocol.LedgerStatus_LEDGER_NOT_RESERVED:
-		if m.releaseOperation.GetTokens() == 0 && !m.answerEnded {
-			return m.reject(m.failure, now)
-		}
-	default:
-	}
-	fenced := result.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED
-	return prepend(m.end(m.unproved()), ForgetSession{Fenced: fenced})
-}
-
-// releaseUnavailable answers the caller after a short while and keeps trying
-// in the background, so that no budget stays held.
-func (m *Machine) releaseUnavailable(now time.Time) []Command {
-	waited := now.Sub(m.operationStartedAt)
-	if waited >= confirmationTimeout && !m.answerEnded {
-		m.giveUpRecording()
-		return prepend(m.backOff(), m.emitFailed(m.unproved()))
-	}
-	return m.backOff()
-}
-
-// unproved is the failure at hand without the claim that nothing ran.
-func (m *Machine) unproved() *protocol.Failure {
-	if m.failure.GetOutcome() == protocol.Outcome_NOT_RUN {
-		m.failure.Outcome = protocol.Outcome_UNKNOWN
-	}
-	return m.failure
-}
-
-func (m *Machine) backOff() []Command {
-	wait := m.backoff
-	m.backoff = min(2*m.backoff, maxBackoff)
-	return []Command{Backoff{For: wait}}
+	return append(append(commands, m.slot.leave()...), Finish{})
 }
 
 // endHere answers that this front node may not run the turn. It says nothing
@@ -223,20 +145,32 @@
 	return ForgetSession{Fenced: failure.Code(f.GetCode()) == failure.Fenced}
 }
 
-// end gives the readers the failure, once, and finishes.
+// end emits the failure, once, and finishes.
 func (m *Machine) end(f *protocol.Failure) []Command {
 	m.state = stateDone
-	commands := m.leave()
+	commands := m.slot.leave()
 	if !m.answerEnded {
 		commands = append(commands, m.emitEnd(f))
 	}
 	return append(commands, Finish{})
 }
 
-func (m *Machine) leave() []Command {
-	if !m.admitted {
-		return nil
+// giveUp ends a reserved turn: it is released when it provably did not run, and charged otherwise.
+func (m *Machine) giveUp(now time.Time) []Command {
+	if m.ranBefore || m.emittedTokens > 0 {
+		return m.charge(m.failure, now)
+	}
+	m.failure.Outcome = protocol.Outcome_NOT_RUN
+	return m.releaseWith(m.failure, 0, now)
+}
+
+// charge ends a reserved turn that ran or may have run. At least minCharge tokens are
+// charged, because a release of 0 says that the request did not run.
+func (m *Machine) charge(f *protocol.Failure, now time.Time) []Command {
+	if m.emittedTokens > 0 {
+		f.Outcome = protocol.Outcome_RAN
+	} else {
+		f.Outcome = protocol.Outcome_UNKNOWN
 	}
-	m.admitted = false
-	return []Command{Leave{}}
+	return m.releaseWith(f, max(m.emittedTokens, minCharge), now)
 }
--- a/internal/dataplane/turn/turn_events.go
+++ b/internal/dataplane/turn/turn_events.go
@@ -12,10 +12,10 @@
 // Begun starts the machine.
 type Begun struct{}
 
-// StepResolved carries the version of the weights that is pinned for the turn's training step.
+// StepResolved carries the version of the weights that the turn's training step is pinned to.
 type StepResolved struct{ WeightVersion uint64 }
 
-// StepNotResolved says why the turn's training step has no version here.
+// StepNotResolved carries why the turn's training step has no version at this node.
 type StepNotResolved struct{ Failure *protocol.Failure }
 
 // Claimed carries the ledger's answer to Claim.
@@ -25,16 +25,16 @@
 type HistoryRead struct {
 	Items  []*protocol.Item
 	Tokens uint64
-	// Program is the one of the turn continued, where it is another program than this turn's.
+	// Program is that of the continued turn if it differs from this turn's, else empty.
 	Program string
 	// Status is LEDGER_OK, or why there is no history.
 	Status protocol.LedgerStatus
 }
 
-// Admitted says that the turn has a slot.
+// Admitted reports that the turn has a slot.
 type Admitted struct{}
 
-// NotAdmitted says that the turn was refused a slot.
+// NotAdmitted reports that the turn gets no slot.
 type NotAdmitted struct{ Failure *protocol.Failure }
 
 // Reserved carries the ledger's answer to Reserve.
@@ -43,16 +43,16 @@
 // Chosen names the back end for the next attempt.
 type Chosen struct{ BackEnd string }
 
-// NotChosen says that no back end could take the turn.
+// NotChosen reports that no back end can serve the turn.
 type NotChosen struct{ Failure *protocol.Failure }
 
-// Token is one piece of output from the back end.
+// Token is one event of the back end's output.
 type Token struct {
 	Text   string
 	Tokens uint32
 	// NamesVersion is true when the event names WeightVersion, in turns of training steps only.
 	NamesVersion bool
-	// Event and Data are set for a turn of an HTTP route: one whole event of the
+	// Event and Data are set for a turn of an HTTP route: one complete event of the
 	// server's stream, byte for byte, and its data, which is nil when the event has none.
 	Event []byte
 	Data  []byte
@@ -60,21 +60,21 @@
 	WeightVersion uint64
 }
 
-// Head says that a server began to answer a turn of an HTTP route with a stream.
+// Head reports that a server began to answer a turn of an HTTP route with a stream.
 type Head struct {
 	Answer *protocol.HttpAnswer
 	// WeightVersions are the versions that the head names, in turns of training steps only.
 	WeightVersions []uint64
 }
 
-// AnsweredWhole says that a server answered a turn of an HTTP route with something else than a stream.
+// AnswerCompleted reports that a server answered a turn of an HTTP route without a stream.
 type AnswerCompleted struct {
 	Answer *protocol.HttpAnswer
 	// WeightVersions are as in Head.
 	WeightVersions []uint64
 }
 
-// BackEndDone says that the back end finished its answer.
+// BackEndDone reports that the back end completed its answer.
 type BackEndDone struct {
 	InputTokens  uint64
 	OutputTokens uint64
@@ -82,35 +82,37 @@
 	Nonce        string
 }
 
-// BackEndFault says how an attempt at a back end went wrong.
+// BackEndFault is how an attempt at a back end failed.
 type BackEndFault int
 
-// Faults of an attempt. Only the first two and FaultWrongVersion surely did not run.
+// Faults of an attempt. Only with FaultNotSent, FaultUnavailable and FaultWrongVersion did it provably not run.
 const (
-	// FaultNotSent is a failed connect: the back end never saw the request.
+	// FaultNotSent is a failed connect: the back end did not receive the request.
 	FaultNotSent BackEndFault = iota + 1
-	// FaultRefused is a 429 or 503: the back end did not run the request.
+	// FaultUnavailable is a 429 or 503: the back end did not run the request.
 	FaultUnavailable
-	// FaultBroken is a broken or garbled answer: it may have run.
+	// FaultBroken is a broken or malformed answer: the request may have run.
 	FaultBroken
 	// FaultMismatch is an answer that belongs to another request.
 	FaultMismatch
-	// FaultFenced says that the back end has seen a newer epoch of the session.
+	// FaultFenced: the back end has received a newer epoch of the session.
 	FaultFenced
-	// FaultRejected is an answer of the 4xx kind: the back end did not accept the request.
+	// FaultRejected is another 4xx answer: the back end did not accept the request.
 	FaultRejected
-	// FaultWrongVersion says that the back end has other weights than the turn's training step needs: it did not run the request.
+	// FaultWrongVersion: the back end has other weights than the turn's training step needs, and did not run the request.
 	FaultWrongVersion
 )
 
-// SurelyDidNotRun reports whether an attempt that failed so was not run.
+// SurelyDidNotRun reports whether an attempt with this fault provably did not run.
 func (f BackEndFault) SurelyDidNotRun() bool {
 	return f == FaultNotSent || f == FaultUnavailable || f == FaultWrongVersion
 }
 
 // String names the fault for explanations.
 func (f BackEndFault) String() string {
-	names := [...]string{"none", "not sent", "refused", "broken", "mismatched answer", "fenced", "rejected", "other weights"}
+	names := [...]string{
+		"none", "not sent", "refused", "broken", "mismatched answer", "fenced", "rejected", "other weights",
+	}
 	if f < 0 || int(f) >= len(names) {
 		return "unknown"
 	}
@@ -124,49 +126,49 @@
 	Detail     string
 }
 
-// RetryDecided answers AskRetry with the word of the retry budget.
+// RetryDecided carries the retry budget's answer to RequestRetry.
 type RetryDecided struct{ Granted bool }
 
-// Settled carries the ledger's answer to Settle.
+// Committed carries the ledger's answer to Commit.
 type Committed struct{ Result *protocol.LedgerResult }
 
 // Released carries the ledger's answer to Release.
 type Released struct{ Result *protocol.LedgerResult }
 
-// Refused carries the ledger's answer to Refuse.
+// Rejected carries the ledger's answer to Reject.
 type Rejected struct{ Result *protocol.LedgerResult }
 
-// KeptRead carries a kept turn, or nil with the reason.
+// RetainedTurnRead carries a retained turn, or nil with the reason.
 type RetainedTurnRead struct {
 	Turn   *protocol.Turn
 	Status protocol.LedgerStatus
 }
 
-// Waited says that the pause asked for by Pause is over.
+// Waited reports that the wait of a Backoff is over.
 type Waited struct{}
 
-// StopReason says why a turn is ended from outside.
+// StopReason is why a turn or call is stopped from outside.
 type StopReason int
 
 // Reasons to stop a turn.
 const (
-	// StopCallerGone means that nobody reads the answer any more.
+	// StopCallerDisconnected: the caller no longer reads the answer.
 	StopCallerDisconnected StopReason = iota + 1
-	// StopDeadline means that the caller's time is up.
+	// StopDeadline: the caller's deadline passed.
 	StopDeadline
-	// StopAuthority means that the front node may no longer act as owner.
+	// StopAuthority: the front node lost its authority and must not act as owner.
 	StopAuthority
 )
 
-// Stopped ends the turn from outside.
+// Stopped ends a turn or call from outside.
 type Stopped struct {
 	Reason StopReason
-	// WithoutEffect says that the command that is not answered yet surely did nothing: it was not carried out,
-	// nothing was sent for it, or the back end refused it.
+	// WithoutEffect is true when the command that is not answered yet provably had no effect: it was not executed,
+	// nothing was sent for it, or the back end rejected it.
 	WithoutEffect bool
 }
 
-// StopBefore is the stop that goes before a command, which is not carried out then.
+// StopBefore is the stop in place of a command, which is not executed then.
 func StopBefore(reason StopReason) Stopped { return Stopped{Reason: reason, WithoutEffect: true} }
 
 func (Begun) event()            {}
