--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -177,7 +177,7 @@
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
-	if !command.AtOnce {
+	if !command.Overload {
 		return r.service.rejectRequest(r.ctx, r.key.program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
