--- a/internal/state/store/catch_up.go
+++ b/internal/state/store/catch_up.go
@@ -11,6 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/store/peers"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 const (
@@ -145,7 +146,7 @@
 	g := s.group(shard)
 	return ask(g, func() copyState {
 		table := g.table(shard)
-		return copyState{generation: table.generation, copied: table.copied}
+		return copyState{generation: table.Generation, copied: table.CaughtUp}
 	})
 }
 
@@ -154,9 +155,9 @@
 	g := s.group(shard)
 	same, err := ask(g, func() bool {
 		table := g.table(shard)
-		table.copied = table.generation == generation
-		g.prolongChains(table)
-		return table.copied
+		table.CaughtUp = table.Generation == generation
+		table.Turns.ExtendChains(&g.store.turnSegments)
+		return table.CaughtUp
 	})
 	if err != nil {
 		return err
@@ -263,7 +264,7 @@
 	durable := make(chan error, 1)
 	g.mailbox.Post(func() {
 		table := g.table(shard)
-		if table.generation != generation {
+		if table.Generation != generation {
 			durable <- &CopyError{Shard: shard, Reason: "the placement changed meanwhile"}
 			return
 		}
@@ -289,8 +290,8 @@
 		}
 	}
 	for _, turn := range page.GetTurns() {
-		held, known := table.turns.Get(turnKeyOf(turn.GetProgram(), turn.GetId()))
-		if known && held.keepUntil >= keepUntil(turn) || (turnEntry{keepUntil: keepUntil(turn)}).expired(now) {
+		until := turnindex.RetainUntil(turn)
+		if table.Turns.Retains(turnindex.KeyOf(turn), until) || turnindex.IsExpired(until, now) {
 			continue
 		}
 		left++
--- /dev/null
+++ b/internal/state/store/datafolder/errors.go
@@ -0,0 +1,15 @@
+package datafolder
+
+import "fmt"
+
+// LogError says that a log of the store failed, for instance on a full disk; the store must stop.
+type LogError struct {
+	// Log is RegisterLog or TurnLog.
+	Log   string
+	Cause error
+}
+
+func (e *LogError) Error() string { return fmt.Sprintf("log of %s failed: %v", e.Log, e.Cause) }
+
+// Unwrap returns the cause.
+func (e *LogError) Unwrap() error { return e.Cause }
--- /dev/null
+++ b/internal/state/store/datafolder/folder.go
@@ -0,0 +1,173 @@
+package datafolder
+
+import (
+	"io"
+	"path/filepath"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/state/storage"
+)
+
+// The logs of a store, each in a folder of its name.
+const (
+	RegisterLog = "registers"
+	TurnLog     = "turns"
+)
+
+// maxRegisterSegmentBytes bounds the segments of the log of registers, which is rewritten as a
+// snapshot when it has grown by two of them.
+const maxRegisterSegmentBytes = 4 << 20
+
+// RegisterSegmentBytes returns the size of a segment of registers beside segments of turns of a size.
+func RegisterSegmentBytes(turnSegmentBytes int64) int64 {
+	return min(turnSegmentBytes, maxRegisterSegmentBytes)
+}
+
+// corruptSuffix marks files of a folder that was found damaged and given up.
+const corruptSuffix = ".corrupt"
+
+// firstSegment is the number of the first segment of a new log.
+const firstSegment = 1
+
+// Location says where a data folder is.
+type Location struct {
+	filesystem storage.Filesystem
+	path       string
+}
+
+// CheckFreeSpace returns an error when the disk of the folder has less free space than so many bytes.
+func (l Location) CheckFreeSpace(bytes int64) error {
+	return storage.CheckFreeSpace(l.filesystem, l.path, bytes)
+}
+
+// Folder is the opened data folder of a store.
+type Folder struct {
+	Location
+	Registers *storage.Log
+	Turns     *storage.Log
+	// StorageID names this incarnation of the folder, and Starts counts the starts in it.
+	StorageID string
+	Starts    uint64
+	// Lost says that the folder was damaged: its files were moved aside and it begins empty under a new StorageID.
+	Lost error
+}
+
+// Open opens the logs of a store; segmentBytes is the size of a segment of turns. A folder
+// that may have lost votes, by a damaged file or by logs that are absent, is moved aside and
+// begun anew under a new storage id, so that the store votes for nothing until it has caught
+// up with its peers.
+func Open(filesystem storage.Filesystem, path string, segmentBytes int64) (*Folder, error) {
+	opened, err := openIntact(filesystem, path, segmentBytes)
+	var corrupt *storage.CorruptError
+	if !errors.As(err, &corrupt) {
+		return opened, err
+	}
+	if err := moveAside(filesystem, path); err != nil {
+		return nil, err
+	}
+	opened, err = openIntact(filesystem, path, segmentBytes)
+	if err != nil {
+		return nil, err
+	}
+	opened.Lost = corrupt
+	return opened, nil
+}
+
+// openIntact returns a *storage.CorruptError when the folder is damaged.
+func openIntact(filesystem storage.Filesystem, path string, segmentBytes int64) (*Folder, error) {
+	identity, err := storage.OpenIdentity(filesystem, path)
+	if err != nil {
+		return nil, err
+	}
+	folder := &Folder{Location: Location{filesystem: filesystem, path: path}, StorageID: identity.StorageID, Starts: identity.Starts}
+	for _, name := range []string{RegisterLog, TurnLog} {
+		if err := requireFiles(filesystem, filepath.Join(path, name), identity.Fresh); err != nil {
+			return nil, err
+		}
+		if err := storage.RemoveUnfinishedSnapshots(filesystem, filepath.Join(path, name)); err != nil {
+			return nil, err
+		}
+	}
+	registerOptions := storage.LogOptions{SegmentBytes: RegisterSegmentBytes(segmentBytes)}
+	folder.Registers, err = storage.OpenLog(filesystem, filepath.Join(path, RegisterLog), registerOptions)
+	if err != nil {
+		return nil, err
+	}
+	if err := folder.requireSnapshot(); err != nil {
+		return nil, errors.CombineErrors(err, folder.Registers.Close())
+	}
+	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, CheckedBefore: folder.indexedBefore()}
+	folder.Turns, err = storage.OpenLog(filesystem, folder.turnPath(), turnOptions)
+	if err != nil {
+		return nil, errors.CombineErrors(err, folder.Registers.Close())
+	}
+	return folder, nil
+}
+
+// requireFiles returns a *storage.CorruptError when a folder that was in use has no files any more.
+func requireFiles(filesystem storage.Filesystem, path string, fresh bool) error {
+	if err := filesystem.MakeFolder(path); err != nil {
+		return err
+	}
+	entries, err := filesystem.List(path)
+	if err != nil {
+		return err
+	}
+	if len(entries) == 0 && !fresh {
+		return &storage.CorruptError{Path: path, Reason: "the log is absent"}
+	}
+	return nil
+}
+
+// requireSnapshot returns a *storage.CorruptError when the newest snapshot of the
+// registers is damaged, or when the log does not reach back to it.
+func (f *Folder) requireSnapshot() error {
+	number, _, err := storage.LoadNewestSnapshot(f.filesystem, f.registerPath(), func(_ uint64, content io.Reader) error {
+		_, err := io.Copy(io.Discard, content)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if first := f.Registers.FirstSegment(); first > firstSegment && number < first {
+		return &storage.CorruptError{Path: f.registerPath(), Reason: "the snapshot that the log follows is absent"}
+	}
+	return nil
+}
+
+// moveAside renames every file, so that nothing of the lost incarnation is read again and an
+// operator may still look at it.
+func moveAside(filesystem storage.Filesystem, path string) error {
+	for _, folder := range []string{filepath.Join(path, RegisterLog), filepath.Join(path, TurnLog), path} {
+		entries, err := filesystem.List(folder)
+		if err != nil {
+			return errors.Wrapf(err, "list %s", folder)
+		}
+		for _, entry := range entries {
+			if entry.Folder || filepath.Ext(entry.Name) == corruptSuffix {
+				continue
+			}
+			file := filepath.Join(folder, entry.Name)
+			if err := filesystem.Rename(file, file+corruptSuffix); err != nil {
+				return errors.Wrapf(err, "move %s aside", file)
+			}
+		}
+		if err := filesystem.SyncFolder(folder); err != nil {
+			return errors.Wrapf(err, "sync %s", folder)
+		}
+	}
+	return nil
+}
+
+// HasFailedLog reports whether one of the logs takes no records any more.
+func (f *Folder) HasFailedLog() bool { return f.Registers.Failed() != nil || f.Turns.Failed() != nil }
+
+func (f *Folder) registerPath() string { return filepath.Join(f.path, RegisterLog) }
+
+func (f *Folder) turnPath() string { return filepath.Join(f.path, TurnLog) }
+
+// Close closes the logs.
+func (f *Folder) Close() error {
+	return errors.CombineErrors(f.Registers.Close(), f.Turns.Close())
+}
--- /dev/null
+++ b/internal/state/store/datafolder/turn_index.go
@@ -0,0 +1,77 @@
+package datafolder
+
+import (
+	"io"
+	"math"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+)
+
+// indexedBefore returns the segment from which the log of turns must be read, since the
+// index does not cover it; zero without a complete index. What the index covers was intact
+// when it was written; damage done to it since is found when a turn is read.
+func (f *Folder) indexedBefore() uint64 {
+	number, found, err := storage.LoadNewestSnapshot(f.filesystem, f.turnPath(), func(_ uint64, content io.Reader) error {
+		_, err := io.Copy(io.Discard, content)
+		return err
+	})
+	if err != nil || !found {
+		return 0
+	}
+	return number
+}
+
+// SaveTurnIndex writes the index beside the log of turns, so that a start need not read the
+// turns themselves. It returns the first segment that the index does not cover. Indexes
+// before it stay until RemoveTurnIndexesBefore. The error is a *LogError.
+func (f *Folder) SaveTurnIndex(write func(io.Writer) error) (segment uint64, err error) {
+	segment, err = f.Turns.Rotate()
+	if err != nil {
+		return 0, &LogError{Log: TurnLog, Cause: err}
+	}
+	if err := storage.SaveSnapshot(f.filesystem, f.turnPath(), segment, write); err != nil {
+		return 0, &LogError{Log: TurnLog, Cause: err}
+	}
+	return segment, nil
+}
+
+// RemoveTurnIndexesBefore removes indexes older than that of a segment.
+func (f *Folder) RemoveTurnIndexesBefore(segment uint64) error {
+	err := storage.RemoveSnapshotsBefore(f.filesystem, f.turnPath(), segment)
+	return errors.Wrap(err, "remove old turn index")
+}
+
+// RemoveTurnIndex makes the next start read the log of turns in full.
+func (f *Folder) RemoveTurnIndex() error {
+	return storage.RemoveSnapshotsBefore(f.filesystem, f.turnPath(), math.MaxUint64)
+}
+
+// LoadTurnIndex visits the entries of the newest index and returns the first segment that it
+// does not cover; found is false when there is no index that can be read. A damaged index is
+// no loss, since the log has everything; but some of its entries may have been visited.
+func (f *Folder) LoadTurnIndex(visit func(uint32, turnindex.Key, turnindex.Entry)) (segment uint64, found bool, err error) {
+	first := f.Turns.FirstSegment()
+	segment, found, err = storage.LoadNewestSnapshot(f.filesystem, f.turnPath(), func(_ uint64, content io.Reader) error {
+		return f.readTurnIndex(content, func(shard uint32, key turnindex.Key, entry turnindex.Entry) {
+			if uint64(entry.Segment) >= first {
+				visit(shard, key, entry)
+			}
+		})
+	})
+	var corrupt *storage.CorruptError
+	if errors.As(err, &corrupt) {
+		return 0, false, nil
+	}
+	return segment, found, err
+}
+
+func (f *Folder) readTurnIndex(content io.Reader, visit func(uint32, turnindex.Key, turnindex.Entry)) error {
+	err := turnindex.Read(content, visit)
+	if errors.Is(err, turnindex.ErrOtherForm) {
+		return &storage.CorruptError{Path: f.turnPath(), Reason: err.Error()}
+	}
+	return err
+}
--- a/internal/state/store/errors.go
+++ b/internal/state/store/errors.go
@@ -2,16 +2,6 @@
 
 import "fmt"
 
-// RecordError says that stored bytes are no record of this program's format.
-type RecordError struct {
-	Cause error
-}
-
-func (e *RecordError) Error() string { return "unreadable store record: " + e.Cause.Error() }
-
-// Unwrap returns the cause.
-func (e *RecordError) Unwrap() error { return e.Cause }
-
 // StorageReplacedError says that the folder was found damaged when it was opened again, and begins anew under another storage
 // id; the process must stop, since it is known under the former one.
 type StorageReplacedError struct {
@@ -25,17 +15,6 @@
 // Unwrap returns what was found damaged.
 func (e *StorageReplacedError) Unwrap() error { return e.Cause }
 
-// LogError says that a log of the store failed, for instance on a full disk; the store must stop.
-type LogError struct {
-	Log   string
-	Cause error
-}
-
-func (e *LogError) Error() string { return fmt.Sprintf("log of %s failed: %v", e.Log, e.Cause) }
-
-// Unwrap returns the cause.
-func (e *LogError) Unwrap() error { return e.Cause }
-
 // CopyError says that a shard could not be copied now; it is tried again.
 type CopyError struct {
 	Shard  uint32
--- a/internal/state/store/find_turn.go
+++ b/internal/state/store/find_turn.go
@@ -3,38 +3,24 @@
 import (
 	"context"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 // heldTurns is what one group knows of a turn whose program is not known.
 type heldTurns struct {
-	entries []turnEntry
+	entries []turnindex.Entry
 	// shards are those for which the group's word counts.
 	shards []uint32
 }
 
-// entriesOf gives the places of all turns of one id.
-func (t *shardTable) entriesOf(id string) []turnEntry {
-	var entries []turnEntry
-	high := xxhash.Sum64String(id)
-	for key, entry := range t.turns.After(turnKey{high: high}) {
-		if key.high != high {
-			break
-		}
-		entries = append(entries, entry)
-	}
-	return entries
-}
-
 func (g *group) findTurns(id string, current *placement.Topology) heldTurns {
 	var held heldTurns
 	for shard, table := range g.shards {
-		held.entries = append(held.entries, table.entriesOf(id)...)
-		if table.view.Epoch == current.Shard(shard).Epoch && table.view.Role.Votes() {
+		held.entries = append(held.entries, table.Turns.WithID(id)...)
+		if table.View.Epoch == current.Shard(shard).Epoch && table.View.Role.Votes() {
 			held.shards = append(held.shards, shard)
 		}
 	}
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -23,6 +23,7 @@
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
 const (
@@ -198,7 +199,7 @@
 
 func (f *fleet) start(name string) {
 	m := f.members[name]
-	openFolder := func() (*store.Folder, error) { return store.OpenFolder(f.wrap(name, m.disk), "data", segmentBytes) }
+	openFolder := func() (*datafolder.Folder, error) { return datafolder.Open(f.wrap(name, m.disk), "data", segmentBytes) }
 	folder, err := openFolder()
 	Expect(err).NotTo(HaveOccurred())
 	m.starts++
--- a/internal/state/store/follow_placement.go
+++ b/internal/state/store/follow_placement.go
@@ -5,6 +5,7 @@
 
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // wait returns after the time has passed, or false when the store stops.
@@ -56,13 +57,13 @@
 	}
 }
 
-func (g *group) applyView(table *shardTable, view register.ShardView) {
-	before := table.view
-	table.view = view
+func (g *group) applyView(table *shardtable.Table, view register.ShardView) {
+	before := table.View
+	table.View = view
 	if view.Role == register.RoleActive {
-		table.copied = false
+		table.CaughtUp = false
 	}
-	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.isEmpty()) {
+	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.IsEmpty()) {
 		g.dropShard(table, func() {})
 	}
 }
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -13,6 +13,7 @@
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -46,10 +47,12 @@
 func provideOpener(settings *protocol.StoreSettings, node *protocol.NodeSettings) FolderOpener {
 	options := Options{Settings: settings}
 	path := filepath.Join(node.GetDataFolder(), ledgerFolder)
-	return func() (*Folder, error) { return OpenFolder(storage.OSFilesystem{}, path, options.segmentBytes()) }
+	return func() (*datafolder.Folder, error) {
+		return datafolder.Open(storage.OSFilesystem{}, path, options.segmentBytes())
+	}
 }
 
-func provideFolder(open FolderOpener, logger *log.Logger) (*Folder, error) {
+func provideFolder(open FolderOpener, logger *log.Logger) (*datafolder.Folder, error) {
 	folder, err := open()
 	if err != nil {
 		return nil, err
@@ -66,7 +69,7 @@
 	node *protocol.Node
 }
 
-func provideIdentity(process *daemon.Process, folder *Folder) identity {
+func provideIdentity(process *daemon.Process, folder *datafolder.Folder) identity {
 	node := proto.CloneOf(process.Self)
 	node.StorageId = folder.StorageID
 	return identity{node: node}
@@ -87,7 +90,7 @@
 }
 
 func provideStore(
-	settings *protocol.StoreSettings, self identity, folder *Folder, open FolderOpener, caller wire.Caller, link *corelink.Link,
+	settings *protocol.StoreSettings, self identity, folder *datafolder.Folder, open FolderOpener, caller wire.Caller, link *corelink.Link,
 	clock Clock, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
 ) (*Supervisor, error) {
 	return NewSupervisor(Options{
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -88,7 +88,7 @@
 		PlacementEpoch: s.watch.Current().Epoch,
 		Registers:      held.registers,
 		Turns:          held.turns,
-		Bytes:          uint64(s.folder.registers.Size() + s.folder.turns.Size()),
+		Bytes:          uint64(s.folder.Registers.Size() + s.folder.Turns.Size()),
 		ShardsActive:   held.active,
 		ShardsCopying:  held.copying,
 		Repaired:       s.metrics.repairedCount.Load(),
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -11,6 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // retryAfter is what callers are told when the store cannot serve them now.
@@ -86,7 +88,7 @@
 
 // begin starts an operation on the group's goroutine.
 func (g *group) begin(shard register.ShardView, op *operation) {
-	program := registerKey{program: op.message.GetProgram()}
+	program := shardtable.Key{Program: op.message.GetProgram()}
 	switch body := op.message.GetBody().(type) {
 	case *protocol.LedgerOperation_SettleTurn:
 		g.keepOnMajority(shard, body.SettleTurn.GetTurn(), op.deadline, func(status protocol.LedgerStatus) {
@@ -102,7 +104,7 @@
 	case *protocol.LedgerOperation_BeginCall:
 		g.beginCall(shard, op, body.BeginCall)
 	default:
-		g.propose(shard, registerKey{program: op.message.GetProgram(), call: ledger.CallRequestID(op.message)}, op)
+		g.propose(shard, shardtable.Key{Program: op.message.GetProgram(), Call: ledger.CallRequestID(op.message)}, op)
 	}
 }
 
@@ -122,11 +124,11 @@
 
 // programHere gives a program's record as this replica holds it, which may be old; nil without any.
 func (g *group) programHere(shard register.ShardView, program string) *protocol.ProgramRecord {
-	held, found := g.table(shard.Shard).registers.Get(registerKey{program: program})
+	held, found := g.table(shard.Shard).Registers.Get(shardtable.Key{Program: program})
 	if !found {
 		return nil
 	}
-	record, err := decodeProgram(held.state.Value)
+	record, err := records.DecodeProgram(held.State.Value)
 	if err != nil {
 		return nil
 	}
@@ -150,7 +152,7 @@
 		}
 		g.checkEpoch(shard, op, begin, func(*protocol.ProgramRecord) { op.reply(result) })
 	}}
-	g.propose(shard, registerKey{program: op.message.GetProgram(), call: begin.GetRequestId()}, intent)
+	g.propose(shard, shardtable.Key{Program: op.message.GetProgram(), Call: begin.GetRequestId()}, intent)
 }
 
 // checkEpoch reads the program's register from a majority and goes on when the
@@ -175,5 +177,5 @@
 			inForce(result.GetProgram())
 		},
 	}
-	g.propose(shard, registerKey{program: op.message.GetProgram()}, read)
+	g.propose(shard, shardtable.Key{Program: op.message.GetProgram()}, read)
 }
--- a/internal/state/store/maintain.go
+++ b/internal/state/store/maintain.go
@@ -7,6 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
 // maintain writes snapshots, collects what need not be kept and keeps the gauges, once in a while.
@@ -57,7 +58,7 @@
 }
 
 func (s *Store) saveDueSnapshots(held counts) error {
-	if s.folder.registers.Size() > max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*held.registerBytes) {
+	if s.folder.Registers.Size() > max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*held.registerBytes) {
 		if err := s.saveRegisters(); err != nil {
 			return err
 		}
@@ -71,7 +72,7 @@
 
 // logFailed reports whether one of the logs takes no records any more.
 func (s *Store) logFailed() bool {
-	return s.folder.registers.Failed() != nil || s.folder.turns.Failed() != nil
+	return s.folder.Registers.Failed() != nil || s.folder.Turns.Failed() != nil
 }
 
 // failUnlessStopped ends the store unless the error only says that it stops already.
@@ -84,8 +85,8 @@
 
 // collect removes turns whose keeping time has ended, and log segments without any other.
 func (s *Store) collect(now time.Time) error {
-	held := s.folder.turns.FirstSegment()
-	first := s.turnSegments.firstNeeded(held, s.folder.turns.End().Segment, now)
+	held := s.folder.Turns.FirstSegment()
+	first := s.turnSegments.FirstRetained(held, s.folder.Turns.End().Segment, now)
 	if first == held && now.Before(s.collectAllAt) {
 		return nil
 	}
@@ -95,8 +96,8 @@
 			return err
 		}
 	}
-	if err := s.folder.turns.RemoveBefore(first); err != nil {
-		return &LogError{Log: turnFolder, Cause: err}
+	if err := s.folder.Turns.RemoveBefore(first); err != nil {
+		return &datafolder.LogError{Log: datafolder.TurnLog, Cause: err}
 	}
 	return nil
 }
@@ -138,12 +139,10 @@
 func (g *group) counts() counts {
 	held := counts{proposals: len(g.proposals)}
 	for _, table := range g.shards {
-		held.registers += uint64(table.registers.Len())
-		held.turns += uint64(table.turns.Len())
-		for key, entry := range table.registers.All() {
-			held.registerBytes += int64(len(entry.state.Value) + len(key.program) + len(key.call))
-		}
-		switch table.view.Role {
+		held.registers += uint64(table.Registers.Len())
+		held.turns += uint64(table.Turns.Len())
+		held.registerBytes += table.RegisterBytes()
+		switch table.View.Role {
 		case register.RoleActive:
 			held.active++
 		case register.RoleRebuilding, register.RoleJoining:
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -9,6 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -29,12 +30,8 @@
 
 // Defaults of Options.
 const (
-	DefaultGroups       = 8
-	DefaultSegmentBytes = 16 << 20
-	// DefaultRegisterSegmentBytes bounds the segments of the log of registers, which is rewritten as a snapshot when it has
-	// grown by two of them.
-	DefaultRegisterSegmentBytes = 4 << 20
-
+	DefaultGroups        = 8
+	DefaultSegmentBytes  = 16 << 20
 	DefaultCopyBytes     = 64 << 20
 	DefaultScrubInterval = 10 * time.Minute
 	DefaultPeerTimeout   = time.Second
@@ -53,9 +50,6 @@
 	// collectAllInterval bounds how long expired turns stay in the index when no segment can be removed.
 	collectAllInterval = time.Minute
 	forgetInterval     = 30 * time.Second
-	expirySlack        = 10 * time.Second
-	registerFolder     = "registers"
-	turnFolder         = "turns"
 	// maximumPendingBytes is out of reach: what waits for a sync is bounded by the requests under way.
 	maximumPendingBytes = 1 << 40
 )
@@ -118,12 +112,7 @@
 }
 
 func (o *Options) registerSegmentBytes() int64 {
-	return registerSegmentBytes(o.segmentBytes())
-}
-
-// registerSegmentBytes gives the size of a segment of registers beside segments of turns of a size.
-func registerSegmentBytes(turnSegmentBytes int64) int64 {
-	return min(turnSegmentBytes, DefaultRegisterSegmentBytes)
+	return datafolder.RegisterSegmentBytes(o.segmentBytes())
 }
 
 func (o *Options) copyBytesPerSecond() uint64 {
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -8,6 +8,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // operation is one ledger operation that waits for its register.
@@ -22,7 +24,7 @@
 // change is under way goes into the next change together.
 type proposal struct {
 	group   *group
-	key     registerKey
+	key     shardtable.Key
 	shard   register.ShardView
 	waiting []*operation
 	active  []*operation
@@ -34,7 +36,7 @@
 }
 
 // propose queues an operation on its register.
-func (g *group) propose(shard register.ShardView, key registerKey, op *operation) {
+func (g *group) propose(shard register.ShardView, key shardtable.Key, op *operation) {
 	p := g.proposals[key]
 	if p == nil {
 		p = &proposal{group: g, key: key}
@@ -69,7 +71,7 @@
 	p.group.store.metrics.changes.Inc()
 	p.group.store.metrics.batched.Add(float64(len(p.active)))
 	p.change = register.NewChange(register.ChangeOptions{
-		Key:              p.key.message(),
+		Key:              p.key.ToProto(),
 		Shard:            p.shard.Shard,
 		Epoch:            p.shard.Epoch,
 		Quorum:           p.shard.Quorum,
@@ -102,19 +104,19 @@
 // head lets the change skip its prepare round when this store made the last
 // change and its own replica still holds it.
 func (p *proposal) head() register.PreparedProposal {
-	held, found := p.group.table(p.shard.Shard).registers.Get(p.key)
+	held, found := p.group.table(p.shard.Shard).Registers.Get(p.key)
 	if !found {
 		return register.PreparedProposal{}
 	}
 	// A head serves one change: when that one fails, this replica may hold a value that is not chosen.
-	epoch := held.headEpoch
-	held.headEpoch = 0
-	if epoch != p.shard.Epoch || held.state.Learned ||
-		held.state.Promised.Proposer != p.group.store.proposerName ||
-		held.state.Accepted.Proposer != p.group.store.proposerName {
+	epoch := held.PreparedEpoch
+	held.PreparedEpoch = 0
+	if epoch != p.shard.Epoch || held.State.Learned ||
+		held.State.Promised.Proposer != p.group.store.proposerName ||
+		held.State.Accepted.Proposer != p.group.store.proposerName {
 		return register.PreparedProposal{}
 	}
-	return register.PreparedProposal{Epoch: epoch, Ballot: held.state.Promised, Value: held.state.Value}
+	return register.PreparedProposal{Epoch: epoch, Ballot: held.State.Promised, Value: held.State.Value}
 }
 
 // function applies the batch to a value, or is nil when the batch only reads.
@@ -138,10 +140,10 @@
 
 // apply decides each operation of the batch on what the one before left.
 func (p *proposal) apply(current []byte) (next []byte, changed bool, err error) {
-	if p.key.call != "" {
-		return applyBatch(p, current, decodeCall, ledger.ApplyCall)
+	if p.key.Call != "" {
+		return applyBatch(p, current, records.DecodeCall, ledger.ApplyCall)
 	}
-	return applyBatch(p, current, decodeProgram, ledger.Apply)
+	return applyBatch(p, current, records.DecodeProgram, ledger.Apply)
 }
 
 // applyBatch collects the results of the batch and encodes the record that it
@@ -257,10 +259,10 @@
 
 // chosen answers the batch and remembers whether the next change may skip a round.
 func (p *proposal) chosen() {
-	if held, found := p.group.table(p.shard.Shard).registers.Get(p.key); found {
-		held.headEpoch = 0
-		if head := p.change.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
-			held.headEpoch = head.Epoch
+	if held, found := p.group.table(p.shard.Shard).Registers.Get(p.key); found {
+		held.PreparedEpoch = 0
+		if head := p.change.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.State.Promised {
+			held.PreparedEpoch = head.Epoch
 		}
 	}
 	value := p.change.Value()
@@ -278,7 +280,7 @@
 	if !ledger.IsRead(op.message) {
 		return p.results[i]
 	}
-	record, err := decodeProgram(value)
+	record, err := records.DecodeProgram(value)
 	if err != nil {
 		p.group.store.fail(err)
 		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
--- a/internal/state/store/read_turns.go
+++ b/internal/state/store/read_turns.go
@@ -10,6 +10,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 const (
@@ -24,17 +27,17 @@
 // localTurn reads one turn from the log of this store; nil when it is not here.
 func (s *Store) localTurn(shard uint32, program, id string) (*protocol.Turn, error) {
 	g := s.group(shard)
-	key := turnKeyOf(program, id)
-	found, err := ask(g, func() turnEntry { held, _ := g.table(shard).turns.Get(key); return held })
-	if err != nil || found == (turnEntry{}) {
+	key := turnindex.NewKey(program, id)
+	found, err := ask(g, func() turnindex.Entry { held, _ := g.table(shard).Turns.Get(key); return held })
+	if err != nil || found == (turnindex.Entry{}) {
 		return nil, err
 	}
 	return s.readTurn(found, program, id)
 }
 
 // readTurn reads a turn from its position, with the end of its keeping time as it is now. A segment removed meanwhile held expired turns only.
-func (s *Store) readTurn(at turnEntry, program, id string) (*protocol.Turn, error) {
-	encoded, err := s.folder.turns.Read(at.position())
+func (s *Store) readTurn(at turnindex.Entry, program, id string) (*protocol.Turn, error) {
+	encoded, err := s.folder.Turns.Read(at.Position())
 	var removed *storage.PositionError
 	if errors.As(err, &removed) {
 		return nil, nil
@@ -42,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	record, err := decodeRecord(encoded)
+	record, err := records.Decode(encoded)
 	if err != nil {
 		return nil, err
 	}
@@ -50,8 +53,8 @@
 	if program != "" && (turn.GetProgram() != program || turn.GetId() != id) {
 		return nil, nil
 	}
-	if at.keepUntil > keepUntil(turn) {
-		turn.KeepUntilMillis = int64(at.keepUntil) * time.Second.Milliseconds()
+	if at.RetainUntil > turnindex.RetainUntil(turn) {
+		turn.KeepUntilMillis = int64(at.RetainUntil) * time.Second.Milliseconds()
 	}
 	return turn, nil
 }
@@ -70,19 +73,11 @@
 		}
 		turns = append(turns, turn)
 		bytes += proto.Size(turn)
-		last = previousInProgram(turn)
+		last = turnindex.PreviousInProgram(turn)
 	}
 	return turns, nil
 }
 
-// previousInProgram gives the turn before; none when it is of another program, whose chain is read there.
-func previousInProgram(turn *protocol.Turn) string {
-	if continuesOtherProgram(turn) {
-		return ""
-	}
-	return turn.GetPreviousTurn()
-}
-
 // readTurns answers a chain of turns, newest first. A turn that this store
 // lacks is asked of the others and kept here; it is said to be missing only
 // when a majority of the placement in force says so.
@@ -112,7 +107,7 @@
 			bytes += proto.Size(turn)
 		}
 		result.Turns = append(result.Turns, turns...)
-		next = previousInProgram(turns[len(turns)-1])
+		next = turnindex.PreviousInProgram(turns[len(turns)-1])
 	}
 	result.LastTurn = next
 	return result, nil
@@ -124,8 +119,8 @@
 	var corrupt *storage.CorruptError
 	if errors.As(err, &corrupt) {
 		s.turnsDamaged.Store(true)
-		err = errors.CombineErrors(err, s.folder.removeTurnIndex())
-		s.fail(&LogError{Log: turnFolder, Cause: err})
+		err = errors.CombineErrors(err, s.folder.RemoveTurnIndex())
+		s.fail(&datafolder.LogError{Log: datafolder.TurnLog, Cause: err})
 	}
 	return err
 }
--- a/internal/state/store/replica.go
+++ b/internal/state/store/replica.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/store/hashtree"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
@@ -11,21 +11,21 @@
 // prepare answers a prepare request through reply, on the group's goroutine.
 func (g *group) prepare(request *protocol.PrepareRequest, reply func(*protocol.PrepareResponse)) {
 	table := g.table(request.GetShard())
-	if refusal := table.view.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.PrepareResponse{Refusal: refusal, PlacementEpoch: table.view.Epoch})
+	if refusal := table.View.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
+		reply(&protocol.PrepareResponse{Refusal: refusal, PlacementEpoch: table.View.Epoch})
 		return
 	}
-	key := keyOf(request.GetKey())
+	key := shardtable.KeyFromProto(request.GetKey())
 	ballot := register.BallotFromProto(request.GetBallot())
-	held, found := table.registers.Get(key)
+	held, found := table.Registers.Get(key)
 	if !found {
 		if ballot.IsZero() {
 			reply(&protocol.PrepareResponse{})
 			return
 		}
-		held = table.entry(key)
+		held = table.Register(key)
 	}
-	next, answer, changed := held.state.Prepare(ballot)
+	next, answer, changed := held.State.Prepare(ballot)
 	if !changed {
 		g.whenDurable(held, func() { reply(answer) })
 		return
@@ -36,13 +36,13 @@
 // accept answers an accept request through reply, on the group's goroutine.
 func (g *group) accept(request *protocol.AcceptRequest, reply func(*protocol.AcceptResponse)) {
 	table := g.table(request.GetShard())
-	if refusal := table.view.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.AcceptResponse{Refusal: refusal, PlacementEpoch: table.view.Epoch})
+	if refusal := table.View.Rejection(request.GetPlacementEpoch()); refusal != notRefused {
+		reply(&protocol.AcceptResponse{Refusal: refusal, PlacementEpoch: table.View.Epoch})
 		return
 	}
-	key := keyOf(request.GetKey())
-	held := table.entry(key)
-	next, answer, changed := held.state.Accept(
+	key := shardtable.KeyFromProto(request.GetKey())
+	held := table.Register(key)
+	next, answer, changed := held.State.Accept(
 		register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	if !changed {
 		g.whenDurable(held, func() { reply(answer) })
@@ -65,9 +65,9 @@
 		if state.Accepted.IsZero() {
 			continue
 		}
-		key := keyOf(message.GetKey())
-		held := table.entry(key)
-		next, changed := held.state.Learn(state.Accepted, state.Value)
+		key := shardtable.KeyFromProto(message.GetKey())
+		held := table.Register(key)
+		next, changed := held.State.Learn(state.Accepted, state.Value)
 		if changed {
 			learned++
 			left++
@@ -78,13 +78,10 @@
 }
 
 // dropShard forgets a shard durably, before the store may join it anew.
-func (g *group) dropShard(table *shardTable, done func()) {
-	table.registers = hashtree.Tree[registerKey, *entry]{}
-	table.turns = hashtree.Tree[turnKey, turnEntry]{}
-	table.copied = false
-	table.generation++
+func (g *group) dropShard(table *shardtable.Table, done func()) {
+	table.Clear()
 	g.appendRegister(&protocol.StoreRecord{
-		Shard: table.view.Shard,
+		Shard: table.View.Shard,
 		Body:  &protocol.StoreRecord_Drop{Drop: &protocol.DropShard{}},
 	}, done)
 }
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -10,7 +10,7 @@
 
 // serveReplica answers one request of a proposer to this replica.
 func (s *Store) serveReplica(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
-	if keep := request.GetKeepTurn(); keep != nil && !isWhole(keep.GetTurn()) {
+	if keep := request.GetKeepTurn(); keep != nil && !hasIdentity(keep.GetTurn()) {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "a turn needs an id and a program",
 			failure.WithPath("keep_turn.turn"))
 	}
@@ -40,7 +40,7 @@
 	return awaitAnswer(ctx, s, answers)
 }
 
-func isWhole(turn *protocol.Turn) bool { return turn.GetId() != "" && turn.GetProgram() != "" }
+func hasIdentity(turn *protocol.Turn) bool { return turn.GetId() != "" && turn.GetProgram() != "" }
 
 // askReplica hands a request to the owner of its shard. reply is called once,
 // on the owner's goroutine, or at once with an empty answer to what no replica serves.
@@ -61,7 +61,7 @@
 			})
 		})
 	case *protocol.Request_KeepTurn:
-		if !isWhole(body.KeepTurn.GetTurn()) {
+		if !hasIdentity(body.KeepTurn.GetTurn()) {
 			reply(&protocol.Response{})
 			return
 		}
@@ -82,7 +82,7 @@
 func (g *group) keepForPeer(request *protocol.KeepTurnRequest, reply func(*protocol.KeepTurnResponse)) {
 	table := g.table(request.GetShard())
 	answer := func() *protocol.KeepTurnResponse {
-		return &protocol.KeepTurnResponse{Refusal: table.view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: table.view.Epoch}
+		return &protocol.KeepTurnResponse{Refusal: table.View.Rejection(request.GetPlacementEpoch()), PlacementEpoch: table.View.Epoch}
 	}
 	if refused := answer(); refused.GetRefusal() != notRefused {
 		reply(refused)
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -15,8 +15,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
+// benchTurns is how many turns a program has in benchmarks.
+const benchTurns = 55
+
 // idleCore has no placement, so that a store under measurement only starts and stops.
 type idleCore struct{ Core }
 
@@ -24,7 +29,7 @@
 func (idleCore) Ready() bool          { return true }
 
 func openStore(b testing.TB, path string) *Store {
-	folder, err := OpenFolder(storage.OSFilesystem{}, path, DefaultSegmentBytes)
+	folder, err := datafolder.Open(storage.OSFilesystem{}, path, DefaultSegmentBytes)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -100,8 +105,8 @@
 			g := opened.group(shard)
 			g.mailbox.Post(func() {
 				table := g.table(shard)
-				key := registerKey{program: fmt.Sprintf("program-%d", number)}
-				held := table.entry(key)
+				key := shardtable.Key{Program: fmt.Sprintf("program-%d", number)}
+				held := table.Register(key)
 				next := register.State{Accepted: register.Ballot{Counter: uint64(change) + 1, Proposer: "a"}, Value: value}
 				g.put(table, key, held, next, func() { done <- struct{}{} })
 			})
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -11,11 +11,12 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
 // damageFirstTurn flips a byte of the first record of the log of turns.
 func damageFirstTurn(t *testing.T, path string) {
-	files, err := filepath.Glob(filepath.Join(path, turnFolder, "*.log"))
+	files, err := filepath.Glob(filepath.Join(path, datafolder.TurnLog, "*.log"))
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files of turns, %v", len(files), err)
 	}
@@ -29,8 +30,8 @@
 	}
 }
 
-func reopen(t *testing.T, path string) *Folder {
-	folder, err := OpenFolder(storage.OSFilesystem{}, path, DefaultSegmentBytes)
+func reopen(t *testing.T, path string) *datafolder.Folder {
+	folder, err := datafolder.Open(storage.OSFilesystem{}, path, DefaultSegmentBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +58,7 @@
 	damaged := 0
 	for _, group := range opened.groups {
 		for _, table := range group.shards {
-			for _, entry := range table.turns.All() {
+			for _, entry := range table.Turns.All() {
 				if _, err := opened.readTurn(entry, "", ""); err != nil {
 					damaged++
 					_ = opened.readFailed(err)
@@ -87,7 +88,7 @@
 	path := t.TempDir()
 	writeTurns(t, path, 60, 100)
 	damageFirstTurn(t, path)
-	indexes, err := filepath.Glob(filepath.Join(path, turnFolder, "*.snapshot"))
+	indexes, err := filepath.Glob(filepath.Join(path, datafolder.TurnLog, "*.snapshot"))
 	if err != nil || len(indexes) != 1 {
 		t.Fatalf("%d indexes, %v", len(indexes), err)
 	}
--- a/internal/state/store/retain_turn.go
+++ b/internal/state/store/retain_turn.go
@@ -49,7 +49,7 @@
 // inForce reports whether this replica still acts under the placement of the
 // round: a copy of the shard made under a newer one may lack the turn.
 func (k *keep) inForce() bool {
-	return k.group.table(k.shard.Shard).view.Rejection(k.shard.Epoch) == notRefused
+	return k.group.table(k.shard.Shard).View.Rejection(k.shard.Epoch) == notRefused
 }
 
 func (k *keep) ask(store string, round int) {
--- a/internal/state/store/scrub.go
+++ b/internal/state/store/scrub.go
@@ -83,7 +83,7 @@
 func (s *Store) differing(shard uint32, theirs *protocol.ShardDigestResponse) ([]uint32, error) {
 	g := s.group(shard)
 	ours, err := ask(g, func() *protocol.ShardDigestResponse {
-		return g.table(shard).digest(scrubBuckets, s.options.Clock.Now())
+		return g.table(shard).Digest(scrubBuckets, s.options.Clock.Now())
 	})
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		}
 		g := s.group(shard)
 		g.mailbox.Post(func() {
-			if g.table(shard).view.Role != register.RoleActive {
+			if g.table(shard).View.Role != register.RoleActive {
 				return
 			}
 			g.learnPage(shard, page, func(registers, turns int) { s.metrics.countRepaired(registers, turns) })
--- a/internal/state/store/pages_bench_test.go
+++ b/internal/state/store/shardtable/page_bench_test.go
@@ -1,4 +1,4 @@
-package store
+package shardtable
 
 import (
 	"fmt"
@@ -8,6 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 // One shard of 64 with 130,000 programs of 55 turns.
@@ -16,45 +17,45 @@
 	benchTurns    = 55
 )
 
-func benchTable() *shardTable {
-	table := newShardTable(0)
-	table.view.Role, table.view.Epoch = register.RoleActive, 1
+func benchTable() *Table {
+	table := New(0)
+	table.View.Role, table.View.Epoch = register.RoleActive, 1
 	for number := range benchPrograms {
 		program := fmt.Sprintf("program-%d", number)
-		held := table.entry(registerKey{program: program})
-		held.state.Accepted.Counter = 1
-		held.state.Value = make([]byte, 1000)
+		entry := table.Register(Key{Program: program})
+		entry.State.Accepted.Counter = 1
+		entry.State.Value = make([]byte, 1000)
 		for turn := range benchTurns {
-			table.turns.Put(turnKeyOf(program, strconv.Itoa(turn)), turnEntry{segment: 1})
+			table.Turns.Put(turnindex.NewKey(program, strconv.Itoa(turn)), turnindex.Entry{Segment: 1})
 		}
 	}
 	return table
 }
 
-// BenchmarkFetchShard reports how long the owner of a shard is held up by one
-// page, registers and turns alike, over the copy of a whole shard.
+// BenchmarkFetchShard reports how long the owner of a shard is blocked by one
+// page, registers and turns alike, over the copy of a complete shard.
 func BenchmarkFetchShard(b *testing.B) {
 	table := benchTable()
 	pages := 0
 	for b.Loop() {
-		for after := (cursor{}); ; {
-			page := table.page(&protocol.FetchShardRequest{PlacementEpoch: 1}, after)
+		for after := (Cursor{}); ; {
+			page := table.Page(&protocol.FetchShardRequest{PlacementEpoch: 1}, after)
 			pages++
-			if page.last {
+			if page.turns.last {
 				break
 			}
-			next := page.answer.GetNext()
+			next := page.Answer.GetNext()
 			if len(next) == 0 {
-				next = cursor{inTurns: true, turn: page.keys[len(page.keys)-1]}.encode()
+				next = Cursor{InTurns: true, Turn: page.turns.keys[len(page.turns.keys)-1]}.Encode()
 			}
-			after, _ = decodeCursor(next)
+			after, _ = DecodeCursor(next)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(pages), "ns/page")
 	b.ReportMetric(float64(pages)/float64(b.N), "pages/shard")
 }
 
-func heapOf(make func() any) (any, float64) {
+func measureHeap(make func() any) (any, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -67,18 +68,18 @@
 // BenchmarkTableMemory reports the heap of one entry of the turn index and of one register without its value.
 func BenchmarkTableMemory(b *testing.B) {
 	for b.Loop() {
-		turns, size := heapOf(func() any {
-			table := newShardTable(0)
+		turns, size := measureHeap(func() any {
+			table := New(0)
 			for number := range benchPrograms * benchTurns {
-				table.turns.Put(turnKeyOf("program", strconv.Itoa(number)), turnEntry{segment: 1})
+				table.Turns.Put(turnindex.NewKey("program", strconv.Itoa(number)), turnindex.Entry{Segment: 1})
 			}
 			return table
 		})
 		b.ReportMetric(size/benchPrograms/benchTurns, "bytes/turn")
-		registers, size := heapOf(func() any {
-			table := newShardTable(0)
+		registers, size := measureHeap(func() any {
+			table := New(0)
 			for number := range benchPrograms {
-				table.entry(registerKey{program: fmt.Sprintf("program-%036d", number)})
+				table.Register(Key{Program: fmt.Sprintf("program-%036d", number)})
 			}
 			return table
 		})
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -12,6 +12,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 const (
@@ -36,13 +38,13 @@
 	t.Helper()
 	durable := make(chan struct{}, changesASecond)
 	for change := range changesASecond {
-		key := registerKey{program: fmt.Sprintf("program-%d", change%changedRegisters)}
+		key := shardtable.Key{Program: fmt.Sprintf("program-%d", change%changedRegisters)}
 		group := s.group(0)
 		group.mailbox.Post(func() {
 			table := group.table(0)
 			state := register.State{Value: make([]byte, valueBytes)}
 			state.Accepted.Counter = uint64(second*changesASecond + change)
-			group.put(table, key, table.entry(key), state, func() { durable <- struct{}{} })
+			group.put(table, key, table.Register(key), state, func() { durable <- struct{}{} })
 		})
 	}
 	for range changesASecond {
@@ -53,7 +55,7 @@
 func TestRegistersThatChangeForEverFitASmallDisk(t *testing.T) {
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	disk.SetCapacity(smallDiskBytes)
-	folder, err := OpenFolder(disk, "data", DefaultSegmentBytes)
+	folder, err := datafolder.Open(disk, "data", DefaultSegmentBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -14,14 +14,16 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/peers"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 // Store is one store process: replicas of some shards, and the proposer for their programs.
 type Store struct {
 	options         Options
-	folder          *Folder
+	folder          *datafolder.Folder
 	registerCommits *storage.GroupCommitter
 	turnCommits     *storage.GroupCommitter
 	groups          []*group
@@ -29,7 +31,7 @@
 	peers           *peers.Client
 	metrics         *metrics
 	proposerName    string
-	turnSegments    segmentExpiry
+	turnSegments    turnindex.SegmentExpiry
 	copyPace        pace
 	// indexedSegment is the first segment of turns that the index on disk does not cover.
 	indexedSegment uint64
@@ -54,7 +56,7 @@
 }
 
 // New reads what the folder holds. The store takes ownership of the folder.
-func New(options Options, folder *Folder) (*Store, error) {
+func New(options Options, folder *datafolder.Folder) (*Store, error) {
 	options.fill()
 	options.Self.StorageId = folder.StorageID
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,13 +89,13 @@
 
 // proposerName is new at every start, whatever the clock says: ballots must
 // never be used twice.
-func proposerName(name string, folder *Folder) string {
+func proposerName(name string, folder *datafolder.Folder) string {
 	return name + "/" + folder.StorageID + "/" + strconv.FormatUint(folder.Starts, 36)
 }
 
 // load fills the tables. No goroutine runs yet, so it writes to the groups directly.
 func (s *Store) load() error {
-	err := loadRegisters(s.folder, func(record *protocol.StoreRecord) {
+	err := s.folder.LoadRegisters(func(record *protocol.StoreRecord) {
 		s.group(record.GetShard()).restore(record)
 	})
 	if err != nil {
@@ -109,8 +111,8 @@
 
 // Start sets the goroutines going. Subscribe the store's ViewChanged to the core's views before.
 func (s *Store) Start() {
-	s.registerCommits = storage.NewGroupCommitter(s.folder.registers, s.committerOptions(registerFolder))
-	s.turnCommits = storage.NewGroupCommitter(s.folder.turns, s.committerOptions(turnFolder))
+	s.registerCommits = storage.NewGroupCommitter(s.folder.Registers, s.committerOptions(datafolder.RegisterLog))
+	s.turnCommits = storage.NewGroupCommitter(s.folder.Turns, s.committerOptions(datafolder.TurnLog))
 	for _, group := range s.groups {
 		s.owners.Go(group.mailbox.Run)
 	}
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
 const (
@@ -304,7 +304,7 @@
 			}
 			f.stopOne("a", false)
 			harm(m)
-			folder, err := store.OpenFolder(m.disk, "data", segmentBytes)
+			folder, err := datafolder.Open(m.disk, "data", segmentBytes)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(folder.Lost).To(HaveOccurred())
 			Expect(folder.StorageID).NotTo(Equal(before))
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -20,6 +20,7 @@
 	"github.com/rosestand/rosestand/internal/state/ledgerclient"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -74,7 +75,7 @@
 		return nil, errors.Wrap(err, "listen")
 	}
 	name := fmt.Sprintf("store-%d", number+1)
-	opened, err := store.OpenFolder(storage.OSFilesystem{}, filepath.Join(folder, name), store.DefaultSegmentBytes)
+	opened, err := datafolder.Open(storage.OSFilesystem{}, filepath.Join(folder, name), store.DefaultSegmentBytes)
 	if err != nil {
 		return nil, errors.CombineErrors(err, listener.Close())
 	}
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -18,6 +18,8 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
@@ -51,7 +53,7 @@
 // holds are of shards of different owners.
 type storedRegister struct {
 	shard uint32
-	key   registerKey
+	key   shardtable.Key
 	state register.State
 }
 
@@ -94,19 +96,19 @@
 	learned := state(5, storedProgram(t, "program-5", 500))
 	learned.Learned = true
 	covered = []storedRegister{
-		{1, registerKey{program: "program-1"}, state(1, storedProgram(t, "program-1", 100))},
-		{2, registerKey{program: "program-2"}, state(2, storedProgram(t, "program-2", 200))},
-		{7, registerKey{program: "program-7", call: "call-1"}, state(3, call)},
-		{3, registerKey{program: "dropped"}, state(4, storedProgram(t, "dropped", 300))},
+		{1, shardtable.Key{Program: "program-1"}, state(1, storedProgram(t, "program-1", 100))},
+		{2, shardtable.Key{Program: "program-2"}, state(2, storedProgram(t, "program-2", 200))},
+		{7, shardtable.Key{Program: "program-7", Call: "call-1"}, state(3, call)},
+		{3, shardtable.Key{Program: "dropped"}, state(4, storedProgram(t, "dropped", 300))},
 	}
 	finished = []storedRegister{
-		{1, registerKey{program: "program-1"}, state(10, storedProgram(t, "program-1", 111))},
-		{4, registerKey{program: "program-4"}, register.State{Promised: ballotOf(11)}},
+		{1, shardtable.Key{Program: "program-1"}, state(10, storedProgram(t, "program-1", 111))},
+		{4, shardtable.Key{Program: "program-4"}, register.State{Promised: ballotOf(11)}},
 	}
 	newest = []storedRegister{
-		{3, registerKey{program: "step"}, state(12, pin)},
-		{5, registerKey{program: "program-5"}, learned},
-		{6, registerKey{program: "last"}, state(13, []byte("any value"))},
+		{3, shardtable.Key{Program: "step"}, state(12, pin)},
+		{5, shardtable.Key{Program: "program-5"}, learned},
+		{6, shardtable.Key{Program: "last"}, state(13, []byte("any value"))},
 	}
 	return covered, finished, newest
 }
@@ -141,9 +143,9 @@
 }
 
 // newStored opens a store whose clock stands still; it is not started.
-func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *Folder) {
+func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *datafolder.Folder) {
 	t.Helper()
-	folder, err := OpenFolder(filesystem, path, DefaultSegmentBytes)
+	folder, err := datafolder.Open(filesystem, path, DefaultSegmentBytes)
 	must(t, err)
 	opened, err := New(Options{
 		Self: &protocol.Node{Name: "store-1"}, Core: idleCore{}, Clock: stoppedClock{}, Logger: log.New(io.Discard),
@@ -160,7 +162,7 @@
 	_, err := storage.OpenIdentityWith(filesystem, path, func() string { return storedStorageID })
 	must(t, err)
 	// A folder that was begun before must have its logs.
-	for _, name := range []string{registerFolder, turnFolder} {
+	for _, name := range []string{datafolder.RegisterLog, datafolder.TurnLog} {
 		begun, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
 		must(t, err)
 		must(t, begun.Close())
@@ -177,8 +179,8 @@
 		for _, stored := range registers {
 			wait(stored.shard, func(g *group, done func()) {
 				table := g.table(stored.shard)
-				table.view.Shard = stored.shard
-				g.put(table, stored.key, table.entry(stored.key), stored.state, done)
+				table.View.Shard = stored.shard
+				g.put(table, stored.key, table.Register(stored.key), stored.state, done)
 			})
 		}
 	}
@@ -196,9 +198,9 @@
 	put(finishedRegisters)
 	wait(3, func(g *group, done func()) { g.dropShard(g.table(3), done) })
 	keep(finishedTurns)
-	_, err = folder.registers.Rotate()
+	_, err = folder.Registers.Rotate()
 	must(t, err)
-	_, err = folder.turns.Rotate()
+	_, err = folder.Turns.Rotate()
 	must(t, err)
 	put(newestRegisters)
 	keep(newestTurns)
@@ -267,24 +269,24 @@
 	t.Helper()
 	opened.Start()
 	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
-	expected := map[registerKey]storedRegister{}
+	expected := map[shardtable.Key]storedRegister{}
 	for _, part := range [][]storedRegister{coveredRegisters, finishedRegisters, newestRegisters} {
 		for _, stored := range part {
 			expected[stored.key] = stored
 		}
 	}
-	delete(expected, registerKey{program: "dropped"})
+	delete(expected, shardtable.Key{Program: "dropped"})
 	for key, stored := range expected {
 		g := opened.group(stored.shard)
 		held, err := ask(g, func() *protocol.RegisterState {
-			entry, found := g.table(stored.shard).registers.Get(key)
+			entry, found := g.table(stored.shard).Registers.Get(key)
 			if !found {
 				return nil
 			}
-			return entry.state.ToProto(key.message())
+			return entry.State.ToProto(key.ToProto())
 		})
 		must(t, err)
-		if !proto.Equal(held, stored.state.ToProto(key.message())) {
+		if !proto.Equal(held, stored.state.ToProto(key.ToProto())) {
 			t.Errorf("register %v holds %v", key, held)
 		}
 	}
@@ -325,7 +327,7 @@
 	if opened.indexedSegment != 2 {
 		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
 	}
-	if cut := folder.registers.CutBytes() + folder.turns.CutBytes(); cut != 0 {
+	if cut := folder.Registers.CutBytes() + folder.Turns.CutBytes(); cut != 0 {
 		t.Errorf("%d bytes were cut off", cut)
 	}
 	expectStored(t, opened)
@@ -357,7 +359,7 @@
 				t.Errorf("the file has %d bytes", size)
 			}
 			for offset := range files[stored.file] {
-				folder, err := OpenFolder(copyOfStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
+				folder, err := datafolder.Open(copyOfStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
 				must(t, err)
 				var corrupt *storage.CorruptError
 				refused := errors.As(folder.Lost, &corrupt)
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -12,6 +12,7 @@
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
 const (
@@ -24,7 +25,7 @@
 )
 
 // FolderOpener opens the folder of a store: at the start of the process and again after a failure.
-type FolderOpener func() (*Folder, error)
+type FolderOpener func() (*datafolder.Folder, error)
 
 // Supervisor runs a Store and replaces it by a new one, read from the same folder as after a crash, when its disk was full, or
 // once when a write failed otherwise. Meanwhile it answers that the store is unavailable, and the process goes on. What the
@@ -38,9 +39,7 @@
 	// otherFailures counts the failures that were no lack of room; it belongs to the goroutine of run.
 	otherFailures int
 	failures      chan error
-	// filesystem and path are those of the folder.
-	filesystem storage.Filesystem
-	path       string
+	location      datafolder.Location
 
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -50,12 +49,12 @@
 }
 
 // NewSupervisor makes the first store from the opened folder; open opens the folder again after a failure.
-func NewSupervisor(options Options, folder *Folder, open FolderOpener) (*Supervisor, error) {
+func NewSupervisor(options Options, folder *datafolder.Folder, open FolderOpener) (*Supervisor, error) {
 	options.fill()
 	options.Self.StorageId = folder.StorageID
 	s := &Supervisor{
 		options: options, open: open, fatal: options.Fatal, failures: make(chan error, 1),
-		filesystem: folder.filesystem, path: folder.path,
+		location: folder.Location,
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	first, err := s.build(folder)
@@ -67,7 +66,7 @@
 }
 
 // build makes a store that reports its failure here, once.
-func (s *Supervisor) build(folder *Folder) (*Store, error) {
+func (s *Supervisor) build(folder *datafolder.Folder) (*Store, error) {
 	options := s.options
 	options.Self = proto.CloneOf(s.options.Self)
 	var built *Store
@@ -170,7 +169,7 @@
 
 // reopen reads the folder as after a crash and serves from it.
 func (s *Supervisor) reopen() error {
-	if err := storage.CheckFreeSpace(s.filesystem, s.path, reopenSpaceBytes); err != nil {
+	if err := s.location.CheckFreeSpace(reopenSpaceBytes); err != nil {
 		return err
 	}
 	folder, err := s.open()
--- a/internal/state/store/training_step_members.go
+++ b/internal/state/store/training_step_members.go
@@ -1,12 +1,10 @@
 package store
 
 import (
-	"google.golang.org/protobuf/encoding/protowire"
-	"google.golang.org/protobuf/proto"
-
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 const (
@@ -27,10 +25,7 @@
 
 // membersPage is what one look at a shard gave.
 type membersPage struct {
-	programs []string
-	// next is the place in the order of hashes where the following page begins.
-	next uint64
-	last bool
+	shardtable.MembersPage
 	// counts says that the word of this replica counts for the shard, as long as generation stays the same.
 	counts     bool
 	generation uint64
@@ -68,8 +63,8 @@
 	g := s.group(shard)
 	var page membersPage
 	var generation uint64
-	for first := true; !page.last; first = false {
-		from := page.next
+	for first := true; !page.Last; first = false {
+		from := page.Next
 		page, err = ask(g, func() membersPage { return g.membersFrom(shard, step, from, current) })
 		if err != nil {
 			return nil, false, err
@@ -80,7 +75,7 @@
 		if !page.counts || page.generation != generation {
 			return nil, false, nil
 		}
-		programs = append(programs, page.programs...)
+		programs = append(programs, page.Programs...)
 	}
 	return programs, true, nil
 }
@@ -89,50 +84,16 @@
 func (g *group) membersFrom(shard uint32, step string, from uint64, current *placement.Topology) membersPage {
 	table := g.table(shard)
 	page := membersPage{
-		next:       from,
-		counts:     table.view.Epoch == current.Shard(shard).Epoch && table.view.Role.Votes(),
-		generation: table.generation,
+		counts:     table.View.Epoch == current.Shard(shard).Epoch && table.View.Role.Votes(),
+		generation: table.Generation,
 	}
 	if !page.counts {
 		return page
 	}
-	for seen := 0; seen < membersPageRegisters && !page.last; {
-		leaf, next := table.registers.Leaf(page.next)
-		seen += len(leaf)
-		for key, held := range leaf {
-			if key.call == "" && isMember(held.state.Value, step) {
-				page.programs = append(page.programs, key.program)
-			}
-		}
-		page.next, page.last = next, next == 0
-	}
+	page.MembersPage = table.MembersFrom(step, from)
 	return page
 }
 
-// trainingStepField is the number of ProgramRecord.training_step.
-const trainingStepField protowire.Number = 12
-
-// isMember reports whether an encoded program record generates for the step. It skips all other fields unread.
-func isMember(value []byte, step string) bool {
-	for len(value) > 0 {
-		number, kind, size := protowire.ConsumeTag(value)
-		if size < 0 {
-			return false
-		}
-		value = value[size:]
-		if number == trainingStepField && kind == protowire.BytesType {
-			encoded, size := protowire.ConsumeBytes(value)
-			membership := &protocol.TrainingStepMembership{}
-			return size >= 0 && proto.Unmarshal(encoded, membership) == nil && membership.GetStep() == step
-		}
-		if size = protowire.ConsumeFieldValue(number, kind, value); size < 0 {
-			return false
-		}
-		value = value[size:]
-	}
-	return false
-}
-
 func (s *Store) serveListTrainingStep(request *protocol.ListTrainingStepRequest) (*protocol.Response, error) {
 	answer, err := s.listMembersHere(request.GetStep(), s.watch.Current())
 	if err != nil {
--- a/internal/state/store/turn_chain.go
+++ b/internal/state/store/turn_chain.go
@@ -9,6 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
 // keepWithChain keeps a turn and calls done on the group's goroutine. A replica that
@@ -17,15 +18,15 @@
 // which is kept as long. A joining replica is given the chain by the copy of its shard.
 func (g *group) keepWithChain(shard uint32, turn *protocol.Turn, done func(kept bool)) {
 	table := g.table(shard)
-	previous := previousKeyOf(turn)
-	_, found := table.turns.Get(previous)
+	previous := turnindex.PreviousKey(turn)
+	_, found := table.Turns.Get(previous)
 	// What is written before this turn is durable before it.
 	_, underWay := g.keeping[previous]
-	if found || underWay || previous == (turnKey{}) || table.view.Role != register.RoleActive {
+	if found || underWay || previous == (turnindex.Key{}) || table.View.Role != register.RoleActive {
 		g.keepTurn(shard, turn, func() { done(true) })
 		return
 	}
-	view := table.view
+	view := table.View
 	g.store.routines.Go(func() {
 		whole := g.store.fetchChain(view, turn)
 		g.mailbox.Post(func() {
@@ -43,7 +44,7 @@
 func (s *Store) fetchChain(view register.ShardView, turn *protocol.Turn) bool {
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.PeerTimeout)
 	defer cancel()
-	for next := previousInProgram(turn); next != ""; {
+	for next := turnindex.PreviousInProgram(turn); next != ""; {
 		turns, status := s.fetchFromPeers(ctx, view, turn.GetProgram(), next, maximumTurns)
 		if len(turns) == 0 {
 			return status == protocol.LedgerStatus_LEDGER_TURN_MISSING
@@ -51,7 +52,7 @@
 		if !s.keepHere(view.Shard, turns) {
 			return false
 		}
-		next = previousInProgram(turns[len(turns)-1])
+		next = turnindex.PreviousInProgram(turns[len(turns)-1])
 	}
 	return true
 }
@@ -76,23 +77,6 @@
 	return true
 }
 
-// prolongChains makes every chain of a table last as long as its last turn. Turns of a copy come in any order.
-func (g *group) prolongChains(table *shardTable) {
-	type ending struct {
-		previous turnKey
-		until    uint32
-	}
-	var endings []ending
-	for _, entry := range table.turns.All() {
-		if entry.previous != (turnKey{}) {
-			endings = append(endings, ending{previous: entry.previous, until: entry.keepUntil})
-		}
-	}
-	for _, each := range endings {
-		g.prolong(table, each.previous, each.until)
-	}
-}
-
 // prolongTurns keeps a chain longer on a majority. The answer shows the oldest
 // turn of the program without its content, so that the caller sees which program goes on.
 func (s *Store) prolongTurns(ctx context.Context, shard register.ShardView, program string, prolong *protocol.ProlongTurns) (*protocol.LedgerResult, error) {
@@ -109,7 +93,7 @@
 		result.Turns = []*protocol.Turn{{
 			Id: oldest.GetId(), Program: program, PreviousTurn: oldest.GetPreviousTurn(), PreviousProgram: oldest.GetPreviousProgram(),
 		}}
-		next = previousInProgram(oldest)
+		next = turnindex.PreviousInProgram(oldest)
 	}
 	return result, nil
 }
--- a/internal/state/store/turn_index.go
+++ b/internal/state/store/turn_index.go
@@ -1,223 +1,202 @@
 package store
 
 import (
-	"sync"
+	"io"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// turnKey is a hash of the turn id and one of program and turn id; the record on disk has both in
-// full. Turns of one id lie side by side, whatever their programs.
-type turnKey struct {
-	high, low uint64
-}
+// The turn index is written beside the log anew when a start would have to read so many segments
+// of turns, and so many times the bytes that the index itself takes.
+const (
+	turnIndexSegments = 2
+	turnIndexGrowth   = 4
+)
 
-func turnKeyOf(program, id string) turnKey {
-	joined := make([]byte, 0, len(program)+len(id)+1)
-	joined = append(joined, program...)
-	joined = append(joined, 0)
-	joined = append(joined, id...)
-	return turnKey{high: xxhash.Sum64String(id), low: xxhash.Sum64(joined)}
+// loadedTurn is a turn of the log whose chain must be retained as long as it is.
+type loadedTurn struct {
+	shard uint32
+	entry turnindex.Entry
 }
 
-// previousKeyOf gives the key of the turn that this one continues; zero when it begins a
-// conversation or continues one of another program, whose shard is another.
-func previousKeyOf(turn *protocol.Turn) turnKey {
-	if turn.GetPreviousTurn() == "" || continuesOtherProgram(turn) {
-		return turnKey{}
+// loadTurns rebuilds the index of turns from its copy on disk and the log after it.
+func (s *Store) loadTurns() error {
+	segment, err := s.loadTurnIndex()
+	if err != nil {
+		return err
 	}
-	return turnKeyOf(turn.GetProgram(), turn.GetPreviousTurn())
-}
-
-func continuesOtherProgram(turn *protocol.Turn) bool {
-	return turn.GetPreviousProgram() != "" && turn.GetPreviousProgram() != turn.GetProgram()
-}
-
-// place implements treeKey.
-func (k turnKey) Hash() uint64 { return k.high }
-
-func (k turnKey) Less(other turnKey) bool {
-	if k.high != other.high {
-		return k.high < other.high
+	loaded, err := s.loadTurnsFrom(segment)
+	if err != nil {
+		return err
 	}
-	return k.low < other.low
+	for _, turn := range loaded {
+		s.group(turn.shard).table(turn.shard).Turns.Extend(turn.entry.Previous, turn.entry.RetainUntil, &s.turnSegments)
+	}
+	now := s.options.Clock.Now()
+	for _, group := range s.groups {
+		group.collectTurns(0, now)
+	}
+	return nil
 }
 
-// turnEntry says where a turn lies in the log, in few bytes since there are millions.
-type turnEntry struct {
-	segment uint32
-	offset  uint32
-	// keepUntil is in Unix seconds, rounded up. It is no earlier than that of any turn that continues this one.
-	keepUntil uint32
-	previous  turnKey
+// loadTurnIndex reads the newest index and returns the first segment that it does not cover.
+func (s *Store) loadTurnIndex() (segment uint64, err error) {
+	segment, found, err := s.folder.LoadTurnIndex(s.loadTurn)
+	if err != nil {
+		return 0, err
+	}
+	if !found {
+		s.clearTurns()
+		return 0, nil
+	}
+	s.indexedSegment = segment
+	return segment, nil
 }
 
-func (e turnEntry) position() storage.Position {
-	return storage.Position{Segment: uint64(e.segment), Offset: int64(e.offset)}
+// loadTurnsFrom reads the log from a segment on and returns the turns that continue others.
+func (s *Store) loadTurnsFrom(segment uint64) ([]loadedTurn, error) {
+	var continuing []loadedTurn
+	err := s.folder.Turns.Replay(storage.Position{Segment: segment}, func(position storage.Position, encoded []byte) error {
+		record, err := records.Decode(encoded)
+		if err != nil {
+			return err
+		}
+		turn := record.GetTurn()
+		entry := turnindex.NewEntry(position, turn)
+		s.loadTurn(record.GetShard(), turnindex.KeyOf(turn), entry)
+		if !entry.Previous.IsZero() {
+			continuing = append(continuing, loadedTurn{shard: record.GetShard(), entry: entry})
+		}
+		return nil
+	})
+	return continuing, err
 }
 
-func (e turnEntry) expired(now time.Time) bool {
-	return int64(e.keepUntil) < now.Add(-expirySlack).Unix()
+// loadTurn fills the index at the start, while no goroutine runs. An expired turn stays
+// until it is known that no retained turn continues it.
+func (s *Store) loadTurn(shard uint32, key turnindex.Key, entry turnindex.Entry) {
+	s.group(shard).table(shard).Turns.Put(key, entry)
+	s.turnSegments.Record(entry)
 }
 
-// keepUntil gives the end of a turn's keeping time in Unix seconds.
-func keepUntil(turn *protocol.Turn) uint32 {
-	millis := turn.GetKeepUntilMillis()
-	if millis == 0 {
-		millis = turn.GetKeptAtMillis() + ledger.DefaultRetention.Milliseconds()
+func (s *Store) clearTurns() {
+	for _, group := range s.groups {
+		for _, table := range group.shards {
+			table.ClearTurns()
+		}
 	}
-	return secondsOf(millis)
 }
 
-// segmentExpiry remembers for each segment of the turn log when its last turn ends.
-type segmentExpiry struct {
-	mutex sync.Mutex
-	ends  map[uint64]uint32
+// turnIndexIsDue judges by what the index does not cover and by the number of turns.
+func (s *Store) turnIndexIsDue(turns uint64) bool {
+	uncovered := int64(s.folder.Turns.End().Segment-s.indexedSegment) * s.options.segmentBytes()
+	return uncovered >= max(turnIndexSegments*s.options.segmentBytes(), turnIndexGrowth*turnindex.RecordBytes*int64(turns))
 }
 
-func (s *segmentExpiry) note(entry turnEntry) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.ends == nil {
-		s.ends = map[uint64]uint32{}
+// saveTurnIndex writes the positions of all turns, so that a start need not read the turns themselves.
+func (s *Store) saveTurnIndex() error {
+	segment, err := s.folder.SaveTurnIndex(s.writeTurnIndex)
+	if err != nil {
+		return err
 	}
-	s.ends[uint64(entry.segment)] = max(s.ends[uint64(entry.segment)], entry.keepUntil)
-}
-
-// firstNeeded gives the oldest segment from first on, below newest, that holds a turn still kept.
-func (s *segmentExpiry) firstNeeded(first, newest uint64, now time.Time) uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for ; first < newest; first++ {
-		if ends := s.ends[first]; ends != 0 && !(turnEntry{keepUntil: ends}).expired(now) {
-			break
-		}
-		delete(s.ends, first)
+	if s.turnsDamaged.Load() {
+		return s.folder.RemoveTurnIndex()
 	}
-	return first
+	s.indexedSegment = segment
+	return s.folder.RemoveTurnIndexesBefore(segment)
 }
 
-// loadTurns rebuilds the index from its copy on disk and the log after it.
-func (s *Store) loadTurns() error {
-	segment, err := s.loadTurnIndex()
-	if err != nil {
+// writeTurnIndex queries one shard at a time, so that no owner is blocked for long.
+func (s *Store) writeTurnIndex(writer io.Writer) error {
+	if err := turnindex.WriteHeader(writer); err != nil {
 		return err
 	}
-	var prolonging []restoredTurn
-	err = s.folder.turns.Replay(storage.Position{Segment: segment}, func(position storage.Position, encoded []byte) error {
-		record, err := decodeRecord(encoded)
-		if err == nil {
-			turn := record.GetTurn()
-			entry := turnEntryAt(position, turn)
-			s.restoreTurn(record.GetShard(), turnKeyOf(turn.GetProgram(), turn.GetId()), entry)
-			if entry.previous != (turnKey{}) {
-				prolonging = append(prolonging, restoredTurn{shard: record.GetShard(), entry: entry})
+	for _, group := range s.groups {
+		shards, err := ask(group, group.shardNumbers)
+		if err != nil {
+			return err
+		}
+		for _, shard := range shards {
+			encoded, err := ask(group, func() []byte { return group.encodeTurns(shard) })
+			if err != nil {
+				return err
+			}
+			if _, err := writer.Write(encoded); err != nil {
+				return err
 			}
 		}
-		return err
-	})
-	if err != nil {
-		return err
-	}
-	for _, turn := range prolonging {
-		s.group(turn.shard).prolong(s.group(turn.shard).table(turn.shard), turn.entry.previous, turn.entry.keepUntil)
-	}
-	now := s.options.Clock.Now()
-	for _, group := range s.groups {
-		group.collectTurns(0, now)
 	}
 	return nil
 }
 
-// restoredTurn is a turn whose chain has to be kept as long as it is.
-type restoredTurn struct {
-	shard uint32
-	entry turnEntry
+func (g *group) shardNumbers() []uint32 {
+	var shards []uint32
+	for shard := range g.shards {
+		shards = append(shards, shard)
+	}
+	return shards
+}
+
+func (g *group) encodeTurns(shard uint32) []byte {
+	table := g.table(shard)
+	return table.Turns.Encode(table.View.Shard)
 }
 
-func turnEntryAt(position storage.Position, turn *protocol.Turn) turnEntry {
-	return turnEntry{
-		segment:   uint32(position.Segment),
-		offset:    uint32(position.Offset),
-		keepUntil: keepUntil(turn),
-		previous:  previousKeyOf(turn),
+// collectTurns drops the entries of segments before first, and expired ones.
+func (g *group) collectTurns(first uint64, now time.Time) {
+	for _, table := range g.shards {
+		table.Turns.RemoveExpired(first, now)
 	}
 }
 
-// keepTurn writes a turn and calls done on the group's goroutine once it is
-// durable here. A turn that is kept already, and for as long, is not written again.
+// keepTurn writes a turn and calls done on the group's goroutine once it is durable here. A
+// turn that is retained already, and for as long, is not written again.
 func (g *group) keepTurn(shard uint32, turn *protocol.Turn, done func()) {
 	table := g.table(shard)
-	key := turnKeyOf(turn.GetProgram(), turn.GetId())
-	if held, kept := table.turns.Get(key); kept && held.keepUntil >= keepUntil(turn) {
+	key := turnindex.KeyOf(turn)
+	if table.Turns.Retains(key, turnindex.RetainUntil(turn)) {
 		done()
 		return
 	}
-	if _, underWay := g.keeping[key]; underWay {
-		// What is under way may be kept for a shorter time.
+	if _, inFlight := g.keeping[key]; inFlight {
+		// What is in flight may be retained for a shorter time.
 		g.keeping[key] = append(g.keeping[key], func() { g.keepTurn(shard, turn, done) })
 		return
 	}
-	encoded, err := encodeRecord(&protocol.StoreRecord{Shard: shard, Body: &protocol.StoreRecord_Turn{Turn: turn}})
+	encoded, err := records.Encode(&protocol.StoreRecord{Shard: shard, Body: &protocol.StoreRecord_Turn{Turn: turn}})
 	if err != nil {
 		g.store.fail(err)
 		return
 	}
-	g.store.metrics.written.WithLabelValues(turnFolder).Add(float64(len(encoded)))
+	g.store.metrics.written.WithLabelValues(datafolder.TurnLog).Add(float64(len(encoded)))
 	g.keeping[key] = []func(){done}
-	// The chain must not be collected while the write is under way.
-	g.prolong(table, previousKeyOf(turn), keepUntil(turn))
+	// The chain must not be collected while the write is in flight.
+	table.Turns.Extend(turnindex.PreviousKey(turn), turnindex.RetainUntil(turn), &g.store.turnSegments)
 	g.store.turnCommits.AppendAsync([][]byte{encoded}, func(positions []storage.Position, err error) {
 		if err != nil {
-			g.store.fail(&LogError{Log: turnFolder, Cause: err})
+			g.store.fail(&datafolder.LogError{Log: datafolder.TurnLog, Cause: err})
 			return
 		}
-		g.mailbox.Post(func() { g.turnKept(table, key, turnEntryAt(positions[0], turn)) })
+		g.mailbox.Post(func() { g.turnKept(table, key, turnindex.NewEntry(positions[0], turn)) })
 	})
 }
 
-func (g *group) turnKept(table *shardTable, key turnKey, entry turnEntry) {
-	if held, kept := table.turns.Get(key); kept {
-		entry.keepUntil = max(entry.keepUntil, held.keepUntil)
+func (g *group) turnKept(table *shardtable.Table, key turnindex.Key, entry turnindex.Entry) {
+	if known, found := table.Turns.Get(key); found {
+		entry.RetainUntil = max(entry.RetainUntil, known.RetainUntil)
 	}
-	table.turns.Put(key, entry)
-	g.store.turnSegments.note(entry)
-	g.prolong(table, entry.previous, entry.keepUntil)
+	table.Turns.Put(key, entry)
+	g.store.turnSegments.Record(entry)
+	table.Turns.Extend(entry.Previous, entry.RetainUntil, &g.store.turnSegments)
 	waiting := g.keeping[key]
 	delete(g.keeping, key)
 	for _, done := range waiting {
 		done()
 	}
 }
-
-// prolong keeps a turn, and those that lead up to it, as long as one that continues it.
-func (g *group) prolong(table *shardTable, key turnKey, until uint32) {
-	for key != (turnKey{}) {
-		entry, found := table.turns.Get(key)
-		if !found {
-			return
-		}
-		if entry.keepUntil < until {
-			entry.keepUntil = until
-			table.turns.Put(key, entry)
-			g.store.turnSegments.note(entry)
-		}
-		key = entry.previous
-	}
-}
-
-// collectTurns drops the entries of segments before first, and expired ones.
-func (g *group) collectTurns(first uint64, now time.Time) {
-	for _, table := range g.shards {
-		for key, entry := range table.turns.All() {
-			if uint64(entry.segment) < first || entry.expired(now) {
-				table.turns.Delete(key)
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/state/store/turnindex/codec.go
@@ -0,0 +1,78 @@
+package turnindex
+
+import (
+	"bufio"
+	"encoding/binary"
+	"io"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/state/store/records"
+)
+
+// form begins a stored index; an index that begins otherwise is not read.
+const form = "RSTTIX\x00\x02"
+
+// RecordBytes is the size of one stored entry: shard, key, segment, offset, end of the
+// retention and key of the previous turn, big-endian.
+const RecordBytes = 4 + 16 + 12 + 16
+
+// ErrOtherForm says that a stored index is of a form that this program does not read.
+var ErrOtherForm = errors.New("an index of another form")
+
+// WriteHeader begins a stored index; what Encode returns for each shard follows.
+func WriteHeader(writer io.Writer) error {
+	_, err := io.WriteString(writer, form)
+	return err
+}
+
+// Encode returns the stored form of a shard's entries.
+func (x *Index) Encode(shard uint32) []byte {
+	encoded := make([]byte, 0, x.Len()*RecordBytes)
+	for key, entry := range x.All() {
+		encoded = binary.BigEndian.AppendUint32(encoded, shard)
+		encoded = key.AppendTo(encoded)
+		encoded = binary.BigEndian.AppendUint32(encoded, entry.Segment)
+		encoded = binary.BigEndian.AppendUint32(encoded, entry.Offset)
+		encoded = binary.BigEndian.AppendUint32(encoded, entry.RetainUntil)
+		encoded = entry.Previous.AppendTo(encoded)
+	}
+	return encoded
+}
+
+// Read visits the entries of a stored index, with their shards. The error is ErrOtherForm,
+// or a *records.UnreadableError when the index ends within an entry.
+func Read(content io.Reader, visit func(shard uint32, key Key, entry Entry)) error {
+	reader := bufio.NewReader(content)
+	var header [len(form)]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil || string(header[:]) != form {
+		return ErrOtherForm
+	}
+	var record [RecordBytes]byte
+	for {
+		if _, err := io.ReadFull(reader, record[:]); errors.Is(err, io.EOF) {
+			return nil
+		} else if err != nil {
+			return &records.UnreadableError{Cause: err}
+		}
+		visit(binary.BigEndian.Uint32(record[:]), DecodeKey(record[4:]), Entry{
+			Segment:     binary.BigEndian.Uint32(record[20:]),
+			Offset:      binary.BigEndian.Uint32(record[24:]),
+			RetainUntil: binary.BigEndian.Uint32(record[28:]),
+			Previous:    DecodeKey(record[32:]),
+		})
+	}
+}
+
+// KeyBytes is the size of an encoded key.
+const KeyBytes = 16
+
+// AppendTo appends the key's encoded form, big-endian.
+func (k Key) AppendTo(encoded []byte) []byte {
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(encoded, k.IDHash), k.TurnHash)
+}
+
+// DecodeKey reads a key from the first KeyBytes bytes.
+func DecodeKey(encoded []byte) Key {
+	return Key{IDHash: binary.BigEndian.Uint64(encoded), TurnHash: binary.BigEndian.Uint64(encoded[8:])}
+}
--- /dev/null
+++ b/internal/state/store/turnindex/segment_expiry.go
@@ -0,0 +1,39 @@
+package turnindex
+
+import (
+	"sync"
+	"time"
+)
+
+// SegmentExpiry remembers until when each segment of the log of turns is retained. The zero
+// value knows no segment.
+type SegmentExpiry struct {
+	mutex sync.Mutex
+	// retainUntil is the latest end of retention, in Unix seconds, by segment.
+	retainUntil map[uint64]uint32
+}
+
+// Record notes a new or changed entry.
+func (s *SegmentExpiry) Record(entry Entry) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.retainUntil == nil {
+		s.retainUntil = map[uint64]uint32{}
+	}
+	segment := uint64(entry.Segment)
+	s.retainUntil[segment] = max(s.retainUntil[segment], entry.RetainUntil)
+}
+
+// FirstRetained returns the oldest segment from first on, below newest, that has a turn
+// which is still retained; newest when there is none. Older segments are forgotten.
+func (s *SegmentExpiry) FirstRetained(first, newest uint64, now time.Time) uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for ; first < newest; first++ {
+		if until := s.retainUntil[first]; until != 0 && !IsExpired(until, now) {
+			break
+		}
+		delete(s.retainUntil, first)
+	}
+	return first
+}
