--- a/internal/controlplane/bundle/bundle_test.go
+++ b/internal/controlplane/bundle/bundle_test.go
@@ -22,9 +22,15 @@
 		unknown        bool
 		paths          []string
 	}{
-		{"unknown fields", `{"version":1,"routes":[{"name":"a"},{"flavor":"m"}],"shade":2}`, true, []string{"routes[1].flavor", "shade"}},
+		{
+			"unknown fields", `{"version":1,"routes":[{"name":"a"},{"flavor":"m"}],"shade":2}`, true,
+			[]string{"routes[1].flavor", "shade"},
+		},
 		{"unknown in a policy", `{"limits":{"max_qeued":1}}`, true, []string{"limits.max_qeued"}},
-		{"wrong type", "{\n \"version\": 1,\n \"scheduling\": {\"subset_size\": \"many\"}}", false, []string{"scheduling.subset_size"}},
+		{
+			"wrong type", "{\n \"version\": 1,\n \"scheduling\": {\"subset_size\": \"many\"}}", false,
+			[]string{"scheduling.subset_size"},
+		},
 		{"wrong enum", `{"scheduling":{"algorithm":"BEST"}}`, false, []string{"scheduling.algorithm"}},
 		{"field twice", `{"routes":[{"name":"a","name":"b"}]}`, false, []string{"routes[0].name"}},
 		{"field twice under both names", `{"base_version":1,"baseVersion":2}`, false, []string{"baseVersion"}},
@@ -71,12 +77,13 @@
 	if route := index.Tool(bundle.TenantCaroni, bundle.ToolValvePlan); !route.GetNonRepeatable() {
 		t.Fatalf("valve plans must not be repeatable: %v", route)
 	}
-	if index.Model(bundle.TenantMenon, bundle.ModelClimateAdvisor) != nil || !index.KnownModel(bundle.ModelClimateAdvisor) {
+	if index.Model(bundle.TenantMenon, bundle.ModelClimateAdvisor) != nil ||
+		!index.KnownModel(bundle.ModelClimateAdvisor) {
 		t.Fatal("a tenant's own route must not serve another tenant")
 	}
 }
 
-func TestCheckListsAllFaultsAtOnce(t *testing.T) {
+func TestCheckListsAllFaultsTogether(t *testing.T) {
 	faulty := &protocol.Bundle{
 		Routes: []*protocol.Route{
 			{Name: "a", Model: "m", Tool: "t", Group: "g"},
@@ -86,7 +93,9 @@
 			{Name: "d", Model: "m2", Group: "g"},
 			{Name: "e", Model: "m2", Group: "g"},
 		},
-		Groups:        []*protocol.ServerGroup{{Name: "g", ZoneWeights: map[string]uint32{"z": bundle.MaxZoneWeight + 1}}, {}},
+		Groups: []*protocol.ServerGroup{
+			{Name: "g", ZoneWeights: map[string]uint32{"z": bundle.MaxZoneWeight + 1}}, {},
+		},
 		Tenants:       []*protocol.TenantPolicy{{Name: "t", CredentialSha256: "XY", RequestsPerSecond: -1}},
 		Scheduling:    &protocol.SchedulingPolicy{Algorithm: 77, LoadBound: 0.5},
 		Limits:        &protocol.LimitPolicy{RetryPercent: 101},
@@ -97,18 +106,19 @@
 	if merged != nil {
 		t.Fatal("a faulty bundle was merged")
 	}
-	found := map[string]string{}
+	faultByPath := map[string]string{}
 	for _, fault := range faults {
-		found[fault.GetPath()] = fault.GetMessage()
+		faultByPath[fault.GetPath()] = fault.GetMessage()
 	}
 	for _, path := range []string{
-		"version", "routes[0]", "routes[1].name", "routes[1].group", "routes[2]", "routes[2].non_repeatable", "routes[3].tenant",
+		"version", "routes[0]", "routes[1].name", "routes[1].group", "routes[2]", "routes[2].non_repeatable",
+		"routes[3].tenant",
 		"routes[5]", "groups[0].zone_weights[z]", "groups[1].name", "tenants[0].credential_sha256",
 		"tenants[0].requests_per_second", "scheduling.algorithm", "scheduling.load_bound", "limits.retry_percent",
 		"sign_off_keys[0].public_key", "removed_routes",
 	} {
-		if found[path] == "" {
-			t.Errorf("no fault at %s; got %v", path, found)
+		if faultByPath[path] == "" {
+			t.Errorf("no fault at %s; got %v", path, faultByPath)
 		}
 	}
 }
@@ -153,7 +163,7 @@
 	}
 }
 
-func TestSignatures(t *testing.T) {
+func TestVerifyAcceptsOnlySignaturesOfTheNamedKey(t *testing.T) {
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{1}))
 	if err != nil {
 		t.Fatal(err)
@@ -172,21 +182,23 @@
 		"other digest": bundle.Verify(keys, "ann", bundle.Digest(bundle.Default(2)), signature),
 		"malformed":    bundle.Verify(keys, "ann", digest, "zz"),
 	} {
-		var refused *bundle.SignatureError
-		if !errors.As(err, &refused) {
+		var signatureError *bundle.SignatureError
+		if !errors.As(err, &signatureError) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 	for _, text := range []string{"ann", "ann:00", ":" + hex.EncodeToString(public)} {
 		if _, err := bundle.ParseKeys([]string{text}); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
 // drawBundle makes a merged bundle out of a small space, so that steps often meet the same names.
 func drawBundle(t *rapid.T, version uint64, label string) *protocol.Bundle {
-	made := &protocol.Bundle{Version: version, Limits: &protocol.LimitPolicy{MaxQueued: rapid.Uint32Range(0, 2).Draw(t, label+"queued")}}
+	made := &protocol.Bundle{
+		Version: version, Limits: &protocol.LimitPolicy{MaxQueued: rapid.Uint32Range(0, 2).Draw(t, label+"queued")},
+	}
 	for i := range 3 {
 		name := fmt.Sprintf("g%d", i)
 		weight := rapid.Uint32Range(0, 2).Draw(t, label+name)
@@ -198,7 +210,9 @@
 		made.Routes = append(made.Routes, &protocol.Route{Name: name, Model: name, Group: group})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, label+"http routes") {
-		route := httpRoute(fmt.Sprintf("h%d", i+rapid.IntRange(0, 2).Draw(t, label+"http shift")*10), "host", fmt.Sprintf("/%d/", i))
+		route := httpRoute(
+			fmt.Sprintf("h%d", i+rapid.IntRange(0, 2).Draw(t, label+"http shift")*10), "host", fmt.Sprintf("/%d/", i),
+		)
 		route.Targets[0].Weight = rapid.Uint32Range(1, 2).Draw(t, label+"http weight")
 		made.HttpRoutes = append(made.HttpRoutes, route)
 	}
@@ -209,35 +223,40 @@
 	return merged
 }
 
-func TestStepsAndDeltasLeadToTheWhole(t *testing.T) {
+func TestPartialBundlesAndDeltasLeadToTheConfigurationInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawBundle(t, 1, "from"), drawBundle(t, 2, "to")
 		candidate := drawBundle(t, 3, "candidate")
-		step, possible := bundle.Step(from, to)
+		step, possible := bundle.MakePartial(from, to)
 		if !possible {
 			t.Fatal("no step")
 		}
 		if merged := bundle.Merge(from, step); !proto.Equal(merged, to) {
 			t.Fatalf("step leads to %v, not %v", merged, to)
 		}
-		whole := &protocol.Configuration{
-			Version: 20, Active: to, ActiveDigest: bundle.Digest(to), Candidate: candidate, CandidateDigest: bundle.Digest(candidate),
-			Rollout: &protocol.Rollout{CandidateVersion: 3},
+		inForce := &protocol.Configuration{
+			Version: 20, Active: to, ActiveDigest: bundle.Digest(to), Candidate: candidate,
+			CandidateDigest: bundle.Digest(candidate),
+			Rollout:         &protocol.Rollout{CandidateVersion: 3},
 		}
-		delta, _ := bundle.MakeDelta(10, []*protocol.Bundle{step}, whole)
-		applied, err := bundle.ApplyDelta(&protocol.Configuration{Version: 10, Active: from, ActiveDigest: bundle.Digest(from)}, delta)
-		if err != nil || !proto.Equal(applied, whole) {
+		delta, _ := bundle.MakeDelta(10, []*protocol.Bundle{step}, inForce)
+		applied, err := bundle.ApplyDelta(
+			&protocol.Configuration{Version: 10, Active: from, ActiveDigest: bundle.Digest(from)}, delta,
+		)
+		if err != nil || !proto.Equal(applied, inForce) {
 			t.Fatalf("delta leads to %v, %v", applied, err)
 		}
-		if difference := bundle.Compare(from, to); difference.Empty() != (bundle.Digest(bundle.Merge(from, &protocol.Bundle{Partial: true, Version: 2})) == bundle.Digest(to)) {
+		if difference := bundle.Compare(from, to); difference.Empty() != (bundle.Digest(
+			bundle.Merge(from, &protocol.Bundle{Partial: true, Version: 2}),
+		) == bundle.Digest(to)) {
 			t.Fatalf("difference %v", difference)
 		}
 	})
 }
 
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
+func TestDeltaThatDoesNotFitIsRejected(t *testing.T) {
 	active, _ := bundle.Check(nil, bundle.Default(1))
-	held := &protocol.Configuration{Version: 10, Active: active, ActiveDigest: bundle.Digest(active)}
+	current := &protocol.Configuration{Version: 10, Active: active, ActiveDigest: bundle.Digest(active)}
 	step := &protocol.Bundle{Version: 2, BaseVersion: 1, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: 1}}
 	wrongBase := proto.CloneOf(step)
 	wrongBase.BaseVersion = 7
@@ -246,8 +265,8 @@
 		"other bundle": {BaseVersion: 10, Version: 20, ActiveSteps: []*protocol.Bundle{wrongBase}},
 		"other digest": {BaseVersion: 10, Version: 20, ActiveSteps: []*protocol.Bundle{step}, ActiveDigest: "00"},
 	} {
-		var refused *bundle.DeltaError
-		if _, err := bundle.ApplyDelta(held, delta); !errors.As(err, &refused) {
+		var deltaError *bundle.DeltaError
+		if _, err := bundle.ApplyDelta(current, delta); !errors.As(err, &deltaError) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -274,16 +293,19 @@
 
 // manyRoutes is a merged bundle with a given number of routes, in the shape of Menon's.
 func manyRoutes(count int) *protocol.Bundle {
-	whole := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
+	complete := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range count {
 		tenant := fmt.Sprintf("tenant-%03d", i%490)
 		if i < 490 {
-			whole.Tenants = append(whole.Tenants, &protocol.TenantPolicy{Name: tenant})
+			complete.Tenants = append(complete.Tenants, &protocol.TenantPolicy{Name: tenant})
 		}
 		model := fmt.Sprintf("model-%02d", i/490)
-		whole.Routes = append(whole.Routes, &protocol.Route{Name: fmt.Sprintf("%s-%s", tenant, model), Tenant: tenant, Model: model, Group: "assistants"})
+		complete.Routes = append(
+			complete.Routes,
+			&protocol.Route{Name: fmt.Sprintf("%s-%s", tenant, model), Tenant: tenant, Model: model, Group: "assistants"},
+		)
 	}
-	merged, faults := bundle.Check(nil, whole)
+	merged, faults := bundle.Check(nil, complete)
 	if len(faults) > 0 {
 		panic(faults)
 	}
@@ -291,24 +313,27 @@
 }
 
 func BenchmarkTenThousandRoutes(b *testing.B) {
-	whole := manyRoutes(10_000)
-	partial := &protocol.Bundle{Version: 2, BaseVersion: 1, Partial: true, Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}}}
+	complete := manyRoutes(10_000)
+	partial := &protocol.Bundle{
+		Version: 2, BaseVersion: 1, Partial: true,
+		Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}},
+	}
 	b.Run("digest", func(b *testing.B) {
 		for b.Loop() {
-			bundle.Digest(whole)
+			bundle.Digest(complete)
 		}
 	})
 	b.Run("check partial", func(b *testing.B) {
 		for b.Loop() {
-			bundle.Check(whole, partial)
+			bundle.Check(complete, partial)
 		}
 	})
 	b.Run("index", func(b *testing.B) {
 		for b.Loop() {
-			bundle.NewIndex(whole)
+			bundle.NewIndex(complete)
 		}
 	})
-	index := bundle.NewIndex(whole)
+	index := bundle.NewIndex(complete)
 	b.Run("lookup", func(b *testing.B) {
 		for b.Loop() {
 			index.Model("tenant-007", "model-11")
--- a/internal/controlplane/bundle/canonical.go
+++ b/internal/controlplane/bundle/canonical.go
@@ -12,39 +12,40 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Digest is the hex SHA-256 of the canonical encoding. Bundles that differ only
-// in the order of their named lists have the same digest.
+// Digest returns the SHA-256 of the canonical encoding in hex. Bundles that differ
+// only in the order of their named lists have the same digest.
 func Digest(b *protocol.Bundle) string {
 	sum := sha256.Sum256(Encode(b))
 	return hex.EncodeToString(sum[:])
 }
 
-// Encode gives the canonical encoding: the protobuf wire format with fields in
+// Encode returns the canonical encoding: the protobuf wire format with fields in
 // the order of their numbers, map entries sorted by key, named lists sorted by
-// name, and no field at its zero value. Unlike protobuf's own deterministic
-// mode it stays the same over versions of the library.
+// name, and no field at its zero value. Unlike the deterministic mode of the
+// protobuf library, it is the same in all versions of the library, which signed
+// digests depend on.
 func Encode(b *protocol.Bundle) []byte {
-	return appendMessage(make([]byte, 0, 1024), sorted(b).ProtoReflect())
+	return appendMessage(make([]byte, 0, 1024), withSortedLists(b).ProtoReflect())
 }
 
-// EncodeMessage gives the canonical encoding of any message; its lists keep their order.
+// EncodeMessage returns the canonical encoding of any message; its lists are not sorted.
 func EncodeMessage(message protoreflect.ProtoMessage) []byte {
 	return appendMessage(nil, message.ProtoReflect())
 }
 
-// sorted returns the bundle with its named lists in order, without changing the one given.
-func sorted(b *protocol.Bundle) *protocol.Bundle {
+// withSortedLists returns a shallow copy of the bundle with its named lists sorted.
+func withSortedLists(b *protocol.Bundle) *protocol.Bundle {
 	if b == nil {
 		return &protocol.Bundle{}
 	}
 	return &protocol.Bundle{
 		Version: b.GetVersion(), BaseVersion: b.GetBaseVersion(), Partial: b.GetPartial(),
-		Routes: byName(b.GetRoutes()), Groups: byName(b.GetGroups()), Tenants: byName(b.GetTenants()),
+		Routes: sortedByName(b.GetRoutes()), Groups: sortedByName(b.GetGroups()), Tenants: sortedByName(b.GetTenants()),
 		Scheduling: b.GetScheduling(), Recovery: b.GetRecovery(), Limits: b.GetLimits(),
-		SignOffKeys:   byName(b.GetSignOffKeys()),
-		RemovedRoutes: inOrder(b.GetRemovedRoutes()), RemovedGroups: inOrder(b.GetRemovedGroups()),
-		RemovedTenants: inOrder(b.GetRemovedTenants()),
-		HttpRoutes:     byName(b.GetHttpRoutes()), RemovedHttpRoutes: inOrder(b.GetRemovedHttpRoutes()),
+		SignOffKeys:   sortedByName(b.GetSignOffKeys()),
+		RemovedRoutes: sortedNames(b.GetRemovedRoutes()), RemovedGroups: sortedNames(b.GetRemovedGroups()),
+		RemovedTenants: sortedNames(b.GetRemovedTenants()),
+		HttpRoutes:     sortedByName(b.GetHttpRoutes()), RemovedHttpRoutes: sortedNames(b.GetRemovedHttpRoutes()),
 	}
 }
 
@@ -52,7 +53,7 @@
 
 func compareNames[T named](a, b T) int { return cmp.Compare(a.GetName(), b.GetName()) }
 
-func byName[T named](list []T) []T {
+func sortedByName[T named](list []T) []T {
 	if slices.IsSortedFunc(list, compareNames[T]) {
 		return list
 	}
@@ -61,7 +62,7 @@
 	return ordered
 }
 
-func inOrder(names []string) []string {
+func sortedNames(names []string) []string {
 	if slices.IsSorted(names) {
 		return names
 	}
@@ -93,15 +94,15 @@
 	case field.IsList():
 		list := value.List()
 		for i := range list.Len() {
-			buffer = appendSingle(buffer, field, field.Number(), list.Get(i))
+			buffer = appendValue(buffer, field, field.Number(), list.Get(i))
 		}
 		return buffer
 	default:
-		return appendSingle(buffer, field, field.Number(), value)
+		return appendValue(buffer, field, field.Number(), value)
 	}
 }
 
-func encodeEntry(message protoreflect.Message) []byte {
+func encodeNested(message protoreflect.Message) []byte {
 	if route, isRoute := message.Interface().(*protocol.HttpRoute); isRoute {
 		return appendHTTPRoute(make([]byte, 0, 256), route)
 	}
@@ -116,15 +117,17 @@
 	})
 	slices.SortFunc(keys, func(a, b protoreflect.MapKey) int { return cmp.Compare(a.String(), b.String()) })
 	for _, key := range keys {
-		entry := appendSingle(nil, field.MapKey(), 1, key.Value())
-		entry = appendSingle(entry, field.MapValue(), 2, entries.Get(key))
+		entry := appendValue(nil, field.MapKey(), 1, key.Value())
+		entry = appendValue(entry, field.MapValue(), 2, entries.Get(key))
 		buffer = protowire.AppendTag(buffer, field.Number(), protowire.BytesType)
 		buffer = protowire.AppendBytes(buffer, entry)
 	}
 	return buffer
 }
 
-func appendSingle(buffer []byte, field protoreflect.FieldDescriptor, number protowire.Number, value protoreflect.Value) []byte {
+func appendValue(
+	buffer []byte, field protoreflect.FieldDescriptor, number protowire.Number, value protoreflect.Value,
+) []byte {
 	switch field.Kind() {
 	case protoreflect.StringKind:
 		buffer = protowire.AppendTag(buffer, number, protowire.BytesType)
@@ -134,12 +137,12 @@
 		return protowire.AppendBytes(buffer, value.Bytes())
 	case protoreflect.MessageKind:
 		buffer = protowire.AppendTag(buffer, number, protowire.BytesType)
-		return protowire.AppendBytes(buffer, encodeEntry(value.Message()))
+		return protowire.AppendBytes(buffer, encodeNested(value.Message()))
 	case protoreflect.DoubleKind:
 		buffer = protowire.AppendTag(buffer, number, protowire.Fixed64Type)
 		return protowire.AppendFixed64(buffer, doubleBits(value.Float()))
 	default:
 		buffer = protowire.AppendTag(buffer, number, protowire.VarintType)
-		return protowire.AppendVarint(buffer, varint(field.Kind(), value))
+		return protowire.AppendVarint(buffer, varintOf(field.Kind(), value))
 	}
 }
--- a/internal/controlplane/bundle/compare.go
+++ b/internal/controlplane/bundle/compare.go
@@ -2,17 +2,17 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// NamedChanges lists the entries of one list that differ between two bundles.
+// NamedChanges lists the names of entries of one list that differ between two bundles.
 type NamedChanges struct {
 	Added   []string `json:"added,omitempty"`
 	Removed []string `json:"removed,omitempty"`
 	Changed []string `json:"changed,omitempty"`
 }
 
-// Empty reports that nothing differs.
+// Empty reports whether nothing differs.
 func (c NamedChanges) Empty() bool { return len(c.Added)+len(c.Removed)+len(c.Changed) == 0 }
 
-// Difference says how one merged bundle differs from another.
+// Difference is how one merged bundle differs from another. From and To are their versions.
 type Difference struct {
 	From              uint64       `json:"from"`
 	To                uint64       `json:"to"`
@@ -26,36 +26,33 @@
 	LimitsChanged     bool         `json:"limits_changed"`
 }
 
-// Empty reports that the bundles have the same content.
+// Empty reports whether the bundles have the same content, apart from their versions.
 func (d Difference) Empty() bool {
 	return d.Routes.Empty() && d.Groups.Empty() && d.Tenants.Empty() && d.SignOffKeys.Empty() && d.HTTPRoutes.Empty() &&
 		!d.SchedulingChanged && !d.RecoveryChanged && !d.LimitsChanged
 }
 
-// Compare lists what differs between two merged bundles.
+// Compare returns the differences between two merged bundles.
 func Compare(from, to *protocol.Bundle) Difference {
 	return Difference{
 		From: from.GetVersion(), To: to.GetVersion(),
-		Routes:            compareNamed(from.GetRoutes(), to.GetRoutes()),
-		Groups:            compareNamed(from.GetGroups(), to.GetGroups()),
-		Tenants:           compareNamed(from.GetTenants(), to.GetTenants()),
-		SignOffKeys:       compareNamed(from.GetSignOffKeys(), to.GetSignOffKeys()),
-		HTTPRoutes:        compareNamed(from.GetHttpRoutes(), to.GetHttpRoutes()),
+		Routes:            compareByName(from.GetRoutes(), to.GetRoutes()),
+		Groups:            compareByName(from.GetGroups(), to.GetGroups()),
+		Tenants:           compareByName(from.GetTenants(), to.GetTenants()),
+		SignOffKeys:       compareByName(from.GetSignOffKeys(), to.GetSignOffKeys()),
+		HTTPRoutes:        compareByName(from.GetHttpRoutes(), to.GetHttpRoutes()),
 		SchedulingChanged: !equal(from.GetScheduling(), to.GetScheduling()),
 		RecoveryChanged:   !equal(from.GetRecovery(), to.GetRecovery()),
 		LimitsChanged:     !equal(from.GetLimits(), to.GetLimits()),
 	}
 }
 
-func compareNamed[T namedMessage](from, to []T) NamedChanges {
-	held := make(map[string]bool, len(from))
-	for _, entry := range from {
-		held[entry.GetName()] = true
-	}
-	given, removed := stepNamed(from, to)
+func compareByName[T namedMessage](from, to []T) NamedChanges {
+	existing := nameSet(from)
+	upserted, removed := changesByName(from, to)
 	changes := NamedChanges{Removed: removed}
-	for _, entry := range given {
-		if held[entry.GetName()] {
+	for _, entry := range upserted {
+		if existing[entry.GetName()] {
 			changes.Changed = append(changes.Changed, entry.GetName())
 		} else {
 			changes.Added = append(changes.Added, entry.GetName())
--- a/internal/controlplane/bundle/default.go
+++ b/internal/controlplane/bundle/default.go
@@ -23,9 +23,9 @@
 	GroupDesk        = "desk"
 )
 
-// Default gives the bundle that a new cluster may begin with: the models,
-// tools and tenants of both sites, prefix affinity, salvage and the default
-// limits. It has no sign-off keys, so those of the core's settings stay in force.
+// Default returns the bundle that a new cluster may begin with: the models, tools
+// and tenants of both sites, prefix affinity, salvage and the default limits. It
+// has no sign-off keys, so that those of the core's settings stay in force.
 func Default(version uint64) *protocol.Bundle {
 	return &protocol.Bundle{
 		Version: version,
@@ -49,7 +49,9 @@
 			{Name: TenantCaroni, Weight: 1, DefaultProgramBudget: 50_000},
 			{Name: TenantMenon, Weight: 1, DefaultProgramBudget: 50_000},
 		},
-		Scheduling: &protocol.SchedulingPolicy{Algorithm: protocol.SchedulingAlgorithm_PREFIX_AFFINITY, LoadBound: 1.25, SubsetSize: 16},
+		Scheduling: &protocol.SchedulingPolicy{
+			Algorithm: protocol.SchedulingAlgorithm_PREFIX_AFFINITY, LoadBound: 1.25, SubsetSize: 16,
+		},
 		Recovery: &protocol.RecoveryPolicy{
 			SalvageMode:         protocol.SalvageMode_SALVAGE,
 			DuplicateResolution: protocol.DuplicateResolution_SETTLE_THEN_YIELD,
@@ -68,5 +70,7 @@
 }
 
 func toolRoute(tenant, tool, group string, nonRepeatable bool) *protocol.Route {
-	return &protocol.Route{Name: tenant + "-" + tool, Tenant: tenant, Tool: tool, Group: group, NonRepeatable: nonRepeatable}
+	return &protocol.Route{
+		Name: tenant + "-" + tool, Tenant: tenant, Tool: tool, Group: group, NonRepeatable: nonRepeatable,
+	}
 }
--- a/internal/controlplane/bundle/delta.go
+++ b/internal/controlplane/bundle/delta.go
@@ -8,33 +8,34 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Step gives the partial bundle that leads from one merged bundle to another.
-// It reports false when no partial bundle can: sign-off keys cannot be emptied by one.
-func Step(from, to *protocol.Bundle) (*protocol.Bundle, bool) {
+// MakePartial returns the partial bundle that leads from one merged bundle to
+// another. It reports false if there is none: a partial bundle cannot remove all
+// sign-off keys.
+func MakePartial(from, to *protocol.Bundle) (*protocol.Bundle, bool) {
 	if len(to.GetSignOffKeys()) == 0 && len(from.GetSignOffKeys()) > 0 {
 		return nil, false
 	}
-	step := &protocol.Bundle{Version: to.GetVersion(), BaseVersion: from.GetVersion(), Partial: true}
-	step.Routes, step.RemovedRoutes = stepNamed(from.GetRoutes(), to.GetRoutes())
-	step.Groups, step.RemovedGroups = stepNamed(from.GetGroups(), to.GetGroups())
-	step.Tenants, step.RemovedTenants = stepNamed(from.GetTenants(), to.GetTenants())
-	step.HttpRoutes, step.RemovedHttpRoutes = stepNamed(from.GetHttpRoutes(), to.GetHttpRoutes())
+	partial := &protocol.Bundle{Version: to.GetVersion(), BaseVersion: from.GetVersion(), Partial: true}
+	partial.Routes, partial.RemovedRoutes = changesByName(from.GetRoutes(), to.GetRoutes())
+	partial.Groups, partial.RemovedGroups = changesByName(from.GetGroups(), to.GetGroups())
+	partial.Tenants, partial.RemovedTenants = changesByName(from.GetTenants(), to.GetTenants())
+	partial.HttpRoutes, partial.RemovedHttpRoutes = changesByName(from.GetHttpRoutes(), to.GetHttpRoutes())
 	if !equal(from.GetScheduling(), to.GetScheduling()) {
-		step.Scheduling = to.GetScheduling()
+		partial.Scheduling = to.GetScheduling()
 	}
 	if !equal(from.GetRecovery(), to.GetRecovery()) {
-		step.Recovery = to.GetRecovery()
+		partial.Recovery = to.GetRecovery()
 	}
 	if !equal(from.GetLimits(), to.GetLimits()) {
-		step.Limits = to.GetLimits()
+		partial.Limits = to.GetLimits()
 	}
-	if changed, removed := stepNamed(from.GetSignOffKeys(), to.GetSignOffKeys()); len(changed)+len(removed) > 0 {
-		step.SignOffKeys = to.GetSignOffKeys()
+	if changed, removed := changesByName(from.GetSignOffKeys(), to.GetSignOffKeys()); len(changed)+len(removed) > 0 {
+		partial.SignOffKeys = to.GetSignOffKeys()
 	}
-	return step, true
+	return partial, true
 }
 
-// equal compares by identity first, as merged bundles share what did not change.
+// equal compares pointers first, because merged bundles share what did not change.
 func equal[T comparableMessage](a, b T) bool {
 	if a == b {
 		return true
@@ -55,8 +56,9 @@
 	named
 }
 
-// stepNamed walks two lists sorted by name side by side.
-func stepNamed[T namedMessage](from, to []T) (changed []T, removed []string) {
+// changesByName returns the added and changed entries, and the names of removed
+// ones. Both lists must be sorted by name.
+func changesByName[T namedMessage](from, to []T) (changed []T, removed []string) {
 	i, j := 0, 0
 	for i < len(from) || j < len(to) {
 		switch {
@@ -76,32 +78,39 @@
 	return changed, removed
 }
 
-// DeltaError says that a delta does not fit the configuration it was applied
-// to; the receiver must ask for the whole, with known version zero.
+// DeltaError reports that a delta does not apply to the current configuration; the
+// receiver must request a full snapshot, which it does by naming version zero as
+// the one it knows.
 type DeltaError struct {
 	Reason string
 }
 
-func (e *DeltaError) Error() string { return "delta does not apply: " + e.Reason }
+// Error names the reason.
+func (e *DeltaError) Error() string { return "configuration delta does not apply: " + e.Reason }
 
-// ApplyDelta leads a configuration to the version of the delta and checks the
-// digest of each bundle that changed. The configuration given is not changed.
-// A candidate that arrives as a partial bundle is merged onto the new active one.
-func ApplyDelta(held *protocol.Configuration, delta *protocol.ConfigurationDelta) (*protocol.Configuration, error) {
-	if held.GetVersion() != delta.GetBaseVersion() {
-		return nil, &DeltaError{Reason: fmt.Sprintf("held version %d, delta begins at %d", held.GetVersion(), delta.GetBaseVersion())}
-	}
-	active := held.GetActive()
+// ApplyDelta returns the configuration that a delta leads to from the current one,
+// which stays unchanged, and verifies the digest of each bundle that changed. A
+// candidate that arrives as a partial bundle is merged onto the new active one.
+// The error is a *DeltaError.
+func ApplyDelta(current *protocol.Configuration, delta *protocol.ConfigurationDelta) (*protocol.Configuration, error) {
+	if current.GetVersion() != delta.GetBaseVersion() {
+		return nil, &DeltaError{Reason: fmt.Sprintf(
+			"it is based on version %d, the current version is %d", delta.GetBaseVersion(), current.GetVersion(),
+		)}
+	}
+	active := current.GetActive()
 	for _, step := range delta.GetActiveSteps() {
 		if step.GetPartial() && active.GetVersion() != step.GetBaseVersion() {
-			return nil, &DeltaError{Reason: fmt.Sprintf("step from bundle %d found bundle %d", step.GetBaseVersion(), active.GetVersion())}
+			return nil, &DeltaError{Reason: fmt.Sprintf(
+				"a step is based on bundle %d, the active bundle is %d", step.GetBaseVersion(), active.GetVersion(),
+			)}
 		}
 		active = Merge(active, step)
 	}
 	if len(delta.GetActiveSteps()) > 0 && Digest(active) != delta.GetActiveDigest() {
 		return nil, &DeltaError{Reason: "digest of the active bundle differs"}
 	}
-	candidate, err := candidateOf(held, active, delta)
+	candidate, err := nextCandidate(current, active, delta)
 	if err != nil {
 		return nil, err
 	}
@@ -113,12 +122,14 @@
 	}, nil
 }
 
-func candidateOf(held *protocol.Configuration, active *protocol.Bundle, delta *protocol.ConfigurationDelta) (*protocol.Bundle, error) {
+func nextCandidate(
+	current *protocol.Configuration, active *protocol.Bundle, delta *protocol.ConfigurationDelta,
+) (*protocol.Bundle, error) {
 	if delta.GetCandidate() == nil {
 		return nil, nil
 	}
-	if held.GetCandidate() != nil && held.GetCandidateDigest() == delta.GetCandidateDigest() {
-		return held.GetCandidate(), nil
+	if current.GetCandidate() != nil && current.GetCandidateDigest() == delta.GetCandidateDigest() {
+		return current.GetCandidate(), nil
 	}
 	candidate := Merge(active, delta.GetCandidate())
 	if Digest(candidate) != delta.GetCandidateDigest() {
@@ -127,10 +138,12 @@
 	return candidate, nil
 }
 
-// MakeDelta builds the delta from a version held to the configuration in force
-// out of the active steps between them. It reports false when the delta would
-// be no smaller than the whole.
-func MakeDelta(base uint64, steps []*protocol.Bundle, inForce *protocol.Configuration) (*protocol.ConfigurationDelta, bool) {
+// MakeDelta returns the delta from a base version to the configuration in force;
+// steps are the changes of the active bundle between them. It reports false if the
+// delta would take no fewer bytes than a full snapshot.
+func MakeDelta(
+	base uint64, steps []*protocol.Bundle, inForce *protocol.Configuration,
+) (*protocol.ConfigurationDelta, bool) {
 	delta := &protocol.ConfigurationDelta{
 		BaseVersion: base, Version: inForce.GetVersion(),
 		ActiveSteps: steps, ActiveDigest: inForce.GetActiveDigest(),
@@ -138,8 +151,8 @@
 		Rollout: inForce.GetRollout(),
 	}
 	if inForce.GetCandidate() != nil {
-		if step, possible := Step(inForce.GetActive(), inForce.GetCandidate()); possible {
-			delta.Candidate = step
+		if partial, possible := MakePartial(inForce.GetActive(), inForce.GetCandidate()); possible {
+			delta.Candidate = partial
 		}
 	}
 	return delta, proto.Size(delta) < proto.Size(inForce)
--- a/internal/controlplane/bundle/encode_route.go
+++ b/internal/controlplane/bundle/encode_route.go
@@ -10,9 +10,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// A bundle may hold thousands of HTTP routes and is encoded at every change on
-// every node, so their canonical encoding is written out here field by field
-// rather than by reflection. It gives the same bytes as appendMessage.
+// A bundle may have thousands of HTTP routes and is encoded at every change on
+// every node, so their canonical encoding is written field by field here rather
+// than by reflection. It gives the same bytes as appendMessage.
 
 // Field numbers of HttpRoute and WeightedGroup, as in bundle.proto.
 const (
@@ -84,7 +84,8 @@
 	return protowire.AppendVarint(buffer, number)
 }
 
-// appendTexts writes a map of texts by the order of its keys; unlike a field, an entry has its key and value also when they are empty.
+// appendTexts appends a map of texts in the order of its keys. Unlike a field, an
+// entry has its key and its value even if they are empty.
 func appendTexts(buffer []byte, number protowire.Number, texts map[string]string) []byte {
 	if len(texts) == 0 {
 		return buffer
--- a/internal/controlplane/bundle/http_routes_test.go
+++ b/internal/controlplane/bundle/http_routes_test.go
@@ -56,8 +56,12 @@
 		{"no kind", func(route *protocol.HttpRoute) { route.Kind = 0 }, "kind"},
 		{"unknown kind", func(route *protocol.HttpRoute) { route.Kind = 77 }, "kind"},
 		{"no time-out", func(route *protocol.HttpRoute) { route.TimeoutMillis = 0 }, "timeout_millis"},
-		{"too many attempts", func(route *protocol.HttpRoute) { route.MaxAttempts = bundle.MaxRouteAttempts + 1 }, "max_attempts"},
-		{"kept too long", func(route *protocol.HttpRoute) { route.KeepMillis = bundle.MaxKeepMillis + 1 }, "keep_millis"},
+		{"too many attempts", func(route *protocol.HttpRoute) {
+			route.MaxAttempts = bundle.MaxRouteAttempts + 1
+		}, "max_attempts"},
+		{"kept too long", func(route *protocol.HttpRoute) {
+			route.KeepMillis = bundle.MaxRetentionMillis + 1
+		}, "keep_millis"},
 		{"no target", func(route *protocol.HttpRoute) { route.Targets = nil }, "targets"},
 		{"no weight", func(route *protocol.HttpRoute) { route.Targets[0].Weight = 0 }, "targets"},
 		{"unnamed group", func(route *protocol.HttpRoute) { route.Targets[0].Group = "" }, "targets[0].group"},
@@ -75,7 +79,7 @@
 	}
 }
 
-func TestNoTwoHTTPRoutesShareNameOrAddress(t *testing.T) {
+func TestNoTwoHTTPRoutesShareNameOrHostAndPrefix(t *testing.T) {
 	_, faults := bundle.Check(nil, withHTTPRoutes(1,
 		httpRoute("a", "h.example", "/x/"), httpRoute("a", "h.example", "/y/"), httpRoute("c", "H.Example:80", "/x/"),
 	))
@@ -86,7 +90,9 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	partial := &protocol.Bundle{Version: 2, BaseVersion: 1, Partial: true, HttpRoutes: []*protocol.HttpRoute{httpRoute("b", "h.example", "/x/")}}
+	partial := &protocol.Bundle{
+		Version: 2, BaseVersion: 1, Partial: true, HttpRoutes: []*protocol.HttpRoute{httpRoute("b", "h.example", "/x/")},
+	}
 	if _, faults = bundle.Check(base, partial); len(faults) != 1 {
 		t.Fatalf("a route of the base has the address: %v", faults)
 	}
@@ -138,12 +144,12 @@
 		}
 	}
 	if bundle.NewIndex(nil).HTTPRoute("h.example", "/") != nil {
-		t.Error("an index of nothing found a route")
+		t.Error("an empty index returned a route")
 	}
 }
 
-// TestHTTPRouteAgreesWithASearchOfAllRoutes compares the index with the definition.
-func TestHTTPRouteAgreesWithASearchOfAllRoutes(t *testing.T) {
+// TestHTTPRouteAgreesWithALinearSearch compares the index with the definition.
+func TestHTTPRouteAgreesWithALinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawPath := func(label string) string { return rapid.StringMatching(`(/[ab]{0,2}){0,4}`).Draw(t, label) }
 		routes := map[string]*protocol.HttpRoute{}
@@ -191,7 +197,7 @@
 	}
 }
 
-func TestHTTPRoutesInDigestStepAndComparison(t *testing.T) {
+func TestHTTPRoutesInDigestPartialBundleAndComparison(t *testing.T) {
 	first, second := httpRoute("a", "h", "/a/"), httpRoute("b", "h", "/b/")
 	from, _ := bundle.Check(nil, withHTTPRoutes(1, second, first))
 	otherOrder, _ := bundle.Check(nil, withHTTPRoutes(1, first, second))
@@ -204,7 +210,7 @@
 	if bundle.Digest(from) == bundle.Digest(to) {
 		t.Fatal("content did not change the digest")
 	}
-	step, possible := bundle.Step(from, to)
+	step, possible := bundle.MakePartial(from, to)
 	if !possible || len(step.GetHttpRoutes()) != 2 || fmt.Sprint(step.GetRemovedHttpRoutes()) != "[b]" {
 		t.Fatalf("step is %v", step)
 	}
@@ -212,7 +218,9 @@
 		t.Fatalf("step leads to %v", merged)
 	}
 	difference := bundle.Compare(from, to).HTTPRoutes
-	if fmt.Sprint(difference) != fmt.Sprint(bundle.NamedChanges{Added: []string{"c"}, Removed: []string{"b"}, Changed: []string{"a"}}) {
+	if fmt.Sprint(difference) != fmt.Sprint(
+		bundle.NamedChanges{Added: []string{"c"}, Removed: []string{"b"}, Changed: []string{"a"}},
+	) {
 		t.Fatalf("difference is %v", difference)
 	}
 }
@@ -232,7 +240,9 @@
 			Annotations: rapid.MapOfN(text, text, 0, 3).Draw(t, "annotations"), SingleTarget: yes.Draw(t, "single"),
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "targets") {
-			route.Targets = append(route.Targets, &protocol.WeightedGroup{Group: text.Draw(t, "group"), Weight: number.Draw(t, "weight")})
+			route.Targets = append(
+				route.Targets, &protocol.WeightedGroup{Group: text.Draw(t, "group"), Weight: number.Draw(t, "weight")},
+			)
 		}
 		writtenOut := bundle.Encode(&protocol.Bundle{HttpRoutes: []*protocol.HttpRoute{route}})
 		byReflection := protowire.AppendTag(nil, httpRoutesField, protowire.BytesType)
@@ -243,23 +253,24 @@
 	})
 }
 
-// TestReuseSharesWhatIsTheSame checks that a whole bundle sent anew shares the entries that did not change.
-func TestReuseSharesWhatIsTheSame(t *testing.T) {
-	former, _ := bundle.Check(nil, manyHTTPRoutes(1, 100))
+// TestShareUnchangedSharesUnchangedEntries checks that a complete bundle submitted again shares the entries that did
+// not change.
+func TestShareUnchangedSharesUnchangedEntries(t *testing.T) {
+	previous, _ := bundle.Check(nil, manyHTTPRoutes(1, 100))
 	next := manyHTTPRoutes(2, 101)
 	next.HttpRoutes[7].TimeoutMillis++
 	merged, _ := bundle.Check(nil, next)
-	shared := bundle.Reuse(former, merged)
+	shared := bundle.ShareUnchanged(previous, merged)
 	if !proto.Equal(shared, merged) {
 		t.Fatal("sharing changed the bundle")
 	}
 	same := 0
-	for i, route := range former.GetHttpRoutes() {
+	for i, route := range previous.GetHttpRoutes() {
 		if shared.GetHttpRoutes()[i] == route {
 			same++
 		}
 	}
-	if same != 99 || shared.GetGroups()[0] != former.GetGroups()[0] || shared.GetLimits() != former.GetLimits() {
+	if same != 99 || shared.GetGroups()[0] != previous.GetGroups()[0] || shared.GetLimits() != previous.GetLimits() {
 		t.Fatalf("%d HTTP routes are shared", same)
 	}
 }
@@ -268,7 +279,9 @@
 func manyHTTPRoutes(version uint64, count int) *protocol.Bundle {
 	made := withHTTPRoutes(version)
 	for i := range count {
-		route := httpRoute(fmt.Sprintf("route-%05d", i), fmt.Sprintf("host-%d.example", i%7), fmt.Sprintf("/service-%05d/", i))
+		route := httpRoute(
+			fmt.Sprintf("route-%05d", i), fmt.Sprintf("host-%d.example", i%7), fmt.Sprintf("/service-%05d/", i),
+		)
 		route.Annotations = map[string]string{"origin": "operator"}
 		made.HttpRoutes = append(made.HttpRoutes, route)
 	}
@@ -276,17 +289,17 @@
 }
 
 func BenchmarkFiveThousandHTTPRoutes(b *testing.B) {
-	whole := manyHTTPRoutes(1, 5000)
-	merged, faults := bundle.Check(nil, whole)
+	complete := manyHTTPRoutes(1, 5000)
+	merged, faults := bundle.Check(nil, complete)
 	if len(faults) > 0 {
 		b.Fatal(faults)
 	}
 	sentAgain := proto.CloneOf(merged)
 	sentAgain.Version = 2
 	for name, run := range map[string]func(){
-		"check":  func() { bundle.Check(nil, whole) },
+		"check":  func() { bundle.Check(nil, complete) },
 		"digest": func() { bundle.Digest(merged) },
-		"step":   func() { bundle.Step(merged, sentAgain) },
+		"step":   func() { bundle.MakePartial(merged, sentAgain) },
 		"index":  func() { bundle.NewIndex(merged) },
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/controlplane/bundle/merge.go
+++ b/internal/controlplane/bundle/merge.go
@@ -1,16 +1,17 @@
 package bundle
 
 import (
+	"cmp"
 	"slices"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Merge puts a partial bundle onto its base and returns the merged bundle in
-// normal form; a whole bundle replaces everything and needs no base. Named
-// entries replace those of the same name, a policy message replaces the whole
-// policy, and sign-off keys, when any are given, replace the list. The inputs
-// are not changed and neither is checked: see Check.
+// Merge applies a partial bundle to its base and returns the merged bundle in
+// normal form; a complete bundle replaces everything and needs no base. Named
+// entries replace those of the same name, a policy message replaces the policy,
+// and sign-off keys, if there are any, replace the list. The inputs are not
+// changed and not checked: see Check.
 func Merge(base, submitted *protocol.Bundle) *protocol.Bundle {
 	if !submitted.GetPartial() {
 		return normalize(submitted)
@@ -20,9 +21,9 @@
 		Routes:      mergeNamed(base.GetRoutes(), submitted.GetRoutes(), submitted.GetRemovedRoutes()),
 		Groups:      mergeNamed(base.GetGroups(), submitted.GetGroups(), submitted.GetRemovedGroups()),
 		Tenants:     mergeNamed(base.GetTenants(), submitted.GetTenants(), submitted.GetRemovedTenants()),
-		Scheduling:  firstOf(submitted.GetScheduling(), base.GetScheduling()),
-		Recovery:    firstOf(submitted.GetRecovery(), base.GetRecovery()),
-		Limits:      firstOf(submitted.GetLimits(), base.GetLimits()),
+		Scheduling:  cmp.Or(submitted.GetScheduling(), base.GetScheduling()),
+		Recovery:    cmp.Or(submitted.GetRecovery(), base.GetRecovery()),
+		Limits:      cmp.Or(submitted.GetLimits(), base.GetLimits()),
 		SignOffKeys: base.GetSignOffKeys(),
 		HttpRoutes:  mergeNamed(base.GetHttpRoutes(), submitted.GetHttpRoutes(), submitted.GetRemovedHttpRoutes()),
 	}
@@ -32,9 +33,9 @@
 	return normalize(merged)
 }
 
-// normalize sorts the lists, fills absent policies and drops what belongs to a submission only.
+// normalize sorts the lists, adds absent policies and removes what belongs to a submission only.
 func normalize(b *protocol.Bundle) *protocol.Bundle {
-	normal := sorted(b)
+	normal := withSortedLists(b)
 	normal.BaseVersion, normal.Partial = 0, false
 	normal.RemovedRoutes, normal.RemovedGroups, normal.RemovedTenants = nil, nil, nil
 	normal.RemovedHttpRoutes = nil
@@ -50,28 +51,21 @@
 	return normal
 }
 
-func firstOf[T any](first, second *T) *T {
-	if first != nil {
-		return first
-	}
-	return second
-}
-
-// mergeNamed needs the base sorted by name, as in a merged bundle.
+// mergeNamed requires the base to be sorted by name, as in a merged bundle.
 func mergeNamed[T named](base, changed []T, removed []string) []T {
 	if len(changed) == 0 && len(removed) == 0 {
 		return base
 	}
-	gone := make(map[string]bool, len(changed)+len(removed))
+	replaced := make(map[string]bool, len(changed)+len(removed))
 	for _, name := range removed {
-		gone[name] = true
+		replaced[name] = true
 	}
 	for _, entry := range changed {
-		gone[entry.GetName()] = true
+		replaced[entry.GetName()] = true
 	}
 	merged := make([]T, 0, len(base)+len(changed))
 	for _, entry := range base {
-		if !gone[entry.GetName()] {
+		if !replaced[entry.GetName()] {
 			merged = append(merged, entry)
 		}
 	}
--- a/internal/controlplane/bundle/parse.go
+++ b/internal/controlplane/bundle/parse.go
@@ -12,14 +12,14 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ParseError says what is wrong with a JSON document, every fault with the path of its field.
+// ParseError lists the faults of a JSON document, each with the path of its field.
 type ParseError struct {
 	Faults []*protocol.Fault
-	// Unknown is true when the document has fields that the message lacks.
+	// Unknown is true if the document has fields that the message lacks.
 	Unknown bool
 }
 
-// Error gives the first fault and the number of others.
+// Error names the first fault and the number of others.
 func (e *ParseError) Error() string {
 	first := e.Faults[0]
 	text := first.GetMessage()
@@ -32,7 +32,8 @@
 	return text
 }
 
-// Parse reads a bundle from protojson. Unknown and repeated fields are refused; the error is a *ParseError.
+// Parse parses a bundle from protojson. It rejects unknown and repeated fields; the
+// error is a *ParseError.
 func Parse(document []byte) (*protocol.Bundle, error) {
 	parsed := &protocol.Bundle{}
 	if err := ParseMessage(document, parsed); err != nil {
@@ -41,35 +42,37 @@
 	return parsed, nil
 }
 
-// ParseMessage reads any message from protojson under the rules of Parse.
+// ParseMessage parses any message from protojson by the rules of Parse.
 func ParseMessage(document []byte, message proto.Message) error {
 	scan := scanDocument(document, message.ProtoReflect().Descriptor())
 	if len(scan.faults) > 0 {
 		return &ParseError{Faults: scan.faults, Unknown: scan.unknown}
 	}
 	if err := protojson.Unmarshal(document, message); err != nil {
-		fault := &protocol.Fault{Path: scan.pathOf(document, err), Message: withoutPosition(err)}
+		fault := &protocol.Fault{Path: scan.errorPath(document, err), Message: withoutPosition(err)}
 		return &ParseError{Faults: []*protocol.Fault{fault}}
 	}
 	return nil
 }
 
-// Format writes a message as protojson with the field names of the .proto files.
+// Format encodes a message as protojson with the field names of the .proto files.
 func Format(message proto.Message) ([]byte, error) {
 	encoded, err := protojson.MarshalOptions{UseProtoNames: true, Multiline: true, Indent: "  "}.Marshal(message)
 	return encoded, errors.Wrap(err, "encode protojson")
 }
 
-// position is how protojson names the place of an error in its text; the space after "proto:" is an ordinary or a non-breaking one.
-var position = regexp.MustCompile(`^proto:[\s\x{a0}]*(?:syntax error[\s\x{a0}]*)?\(line (\d+):(\d+)\):[\s\x{a0}]*`)
+// errorPosition matches the position in the text of a protojson error, which has no
+// field for it. The space after "proto:" is an ordinary or a non-breaking one,
+// depending on the build.
+var errorPosition = regexp.MustCompile(`^proto:[\s\x{a0}]*(?:syntax error[\s\x{a0}]*)?\(line (\d+):(\d+)\):[\s\x{a0}]*`)
 
 func withoutPosition(err error) string {
-	return position.ReplaceAllString(err.Error(), "")
+	return errorPosition.ReplaceAllString(err.Error(), "")
 }
 
-// pathOf finds the field that encloses the position which protojson reports.
-func (s *documentScan) pathOf(document []byte, err error) string {
-	match := position.FindStringSubmatch(err.Error())
+// errorPath returns the path of the field that encloses the position that protojson reports.
+func (s *documentScan) errorPath(document []byte, err error) string {
+	match := errorPosition.FindStringSubmatch(err.Error())
 	if match == nil {
 		return ""
 	}
@@ -78,10 +81,10 @@
 	if lineErr != nil || columnErr != nil {
 		return ""
 	}
-	return s.pathAt(offsetOf(document, line, column))
+	return s.pathAt(byteOffset(document, line, column))
 }
 
-func offsetOf(document []byte, line, column int) int64 {
+func byteOffset(document []byte, line, column int) int64 {
 	offset := 0
 	for ; line > 1 && offset < len(document); offset++ {
 		if document[offset] == '\n' {
--- a/internal/controlplane/bundle/parse_test.go
+++ b/internal/controlplane/bundle/parse_test.go
@@ -10,24 +10,24 @@
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 )
 
-func TestParseRefusesDeepNesting(t *testing.T) {
+func TestParseRejectsDeepNesting(t *testing.T) {
 	for _, document := range []string{
 		strings.Repeat("[", 1<<20),
 		`{"routes":` + strings.Repeat(`{"a":`, 1<<20),
 		`{"routes":` + strings.Repeat("[", 1000) + strings.Repeat("]", 1000) + "}",
 	} {
 		_, err := bundle.Parse([]byte(document))
-		var refused *bundle.ParseError
-		if !errors.As(err, &refused) {
+		var parseError *bundle.ParseError
+		if !errors.As(err, &parseError) {
 			t.Fatalf("got %v", err)
 		}
-		if last := refused.Faults[len(refused.Faults)-1]; !strings.Contains(last.GetMessage(), "nested too deeply") {
-			t.Fatalf("got %v", refused.Faults)
+		if last := parseError.Faults[len(parseError.Faults)-1]; !strings.Contains(last.GetMessage(), "nested too deeply") {
+			t.Fatalf("got %v", parseError.Faults)
 		}
 	}
 }
 
-// FuzzParse checks that any document is refused or survives a round trip with its digest.
+// FuzzParse checks that any document is rejected or survives a round trip with its digest.
 func FuzzParse(f *testing.F) {
 	seed, err := bundle.Format(bundle.Default(1))
 	if err != nil {
--- a/internal/controlplane/bundle/scan.go
+++ b/internal/controlplane/bundle/scan.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// maxFaults bounds the list of faults that one answer carries.
+	// maxFaults bounds the list of faults in one answer.
 	maxFaults = 100
 	// maxDepth bounds the nesting of a document; messages here need far less.
 	maxDepth = 32
 )
 
-// nestingError says that a document is nested deeper than any message.
+// nestingError reports that a document is nested deeper than any message.
 type nestingError struct{}
 
 func (*nestingError) Error() string { return "nested too deeply" }
 
-// documentScan walks a JSON document beside the descriptor of its message, to
-// find every unknown or repeated field and to know the path at each offset.
+// documentScan walks a JSON document along with the descriptor of its message, to
+// find all unknown and repeated fields, of which protojson reports only the first,
+// and the path at each offset.
 type documentScan struct {
 	decoder *json.Decoder
 	faults  []*protocol.Fault
 	unknown bool
 	depth   int
-	// starts and paths are parallel: a path holds from its start to the next.
+	// starts and paths are parallel: a path is valid from its start offset to the next one.
 	starts []int64
 	paths  []string
 }
@@ -38,17 +39,17 @@
 func scanDocument(document []byte, descriptor protoreflect.MessageDescriptor) *documentScan {
 	scan := &documentScan{decoder: json.NewDecoder(bytes.NewReader(document))}
 	scan.decoder.UseNumber()
-	if err := scan.value("", descriptor, nil); err != nil {
-		scan.add(scan.lastPath(), "not valid JSON: "+err.Error())
+	if err := scan.scanValue("", descriptor, nil); err != nil {
+		scan.addFault(scan.lastPath(), "not valid JSON: "+err.Error())
 		return scan
 	}
 	if _, err := scan.decoder.Token(); err != io.EOF {
-		scan.add("", "not valid JSON: more than one value")
+		scan.addFault("", "not valid JSON: more than one value")
 	}
 	return scan
 }
 
-func (s *documentScan) add(path, message string) {
+func (s *documentScan) addFault(path, message string) {
 	if len(s.faults) < maxFaults {
 		s.faults = append(s.faults, &protocol.Fault{Path: path, Message: message})
 	}
@@ -62,19 +63,21 @@
 }
 
 func (s *documentScan) pathAt(offset int64) string {
-	found := ""
+	path := ""
 	for i, start := range s.starts {
 		if start > offset {
 			break
 		}
-		found = s.paths[i]
+		path = s.paths[i]
 	}
-	return found
+	return path
 }
 
-// value reads one JSON value. The descriptor is that of the message expected
-// there, if any; the field is the one it belongs to, if any.
-func (s *documentScan) value(path string, descriptor protoreflect.MessageDescriptor, field protoreflect.FieldDescriptor) error {
+// scanValue scans one JSON value. The descriptor is that of the message expected
+// there, if any; field is the field that the value belongs to, if any.
+func (s *documentScan) scanValue(
+	path string, descriptor protoreflect.MessageDescriptor, field protoreflect.FieldDescriptor,
+) error {
 	s.depth++
 	defer func() { s.depth-- }()
 	if s.depth > maxDepth {
@@ -89,36 +92,36 @@
 	switch token {
 	case json.Delim('{'):
 		if field != nil && field.IsMap() {
-			return s.mapEntries(path, field)
+			return s.scanMap(path, field)
 		}
-		return s.object(path, descriptor)
+		return s.scanObject(path, descriptor)
 	case json.Delim('['):
-		return s.array(path, descriptor)
+		return s.scanArray(path, descriptor)
 	default:
 		return nil
 	}
 }
 
-func (s *documentScan) object(path string, descriptor protoreflect.MessageDescriptor) error {
+func (s *documentScan) scanObject(path string, descriptor protoreflect.MessageDescriptor) error {
 	seen := map[string]bool{}
 	for s.decoder.More() {
-		name, err := s.key()
+		name, err := s.readKey()
 		if err != nil {
 			return err
 		}
-		inner := join(path, name)
+		inner := joinPath(path, name)
 		field := fieldNamed(descriptor, name)
 		switch {
 		case descriptor != nil && field == nil:
 			s.unknown = true
-			s.add(inner, "unknown field")
+			s.addFault(inner, "unknown field")
 		case field != nil && seen[string(field.Name())]:
-			s.add(inner, "field is given twice")
+			s.addFault(inner, "field is given twice")
 		}
 		if field != nil {
 			seen[string(field.Name())] = true
 		}
-		if err := s.value(inner, messageOf(field), field); err != nil {
+		if err := s.scanValue(inner, messageDescriptor(field), field); err != nil {
 			return err
 		}
 	}
@@ -126,13 +129,13 @@
 	return err
 }
 
-func (s *documentScan) mapEntries(path string, field protoreflect.FieldDescriptor) error {
+func (s *documentScan) scanMap(path string, field protoreflect.FieldDescriptor) error {
 	for s.decoder.More() {
-		name, err := s.key()
+		name, err := s.readKey()
 		if err != nil {
 			return err
 		}
-		if err := s.value(path+"["+name+"]", field.MapValue().Message(), nil); err != nil {
+		if err := s.scanValue(path+"["+name+"]", field.MapValue().Message(), nil); err != nil {
 			return err
 		}
 	}
@@ -140,9 +143,9 @@
 	return err
 }
 
-func (s *documentScan) array(path string, descriptor protoreflect.MessageDescriptor) error {
+func (s *documentScan) scanArray(path string, descriptor protoreflect.MessageDescriptor) error {
 	for i := 0; s.decoder.More(); i++ {
-		if err := s.value(fmt.Sprintf("%s[%d]", path, i), descriptor, nil); err != nil {
+		if err := s.scanValue(fmt.Sprintf("%s[%d]", path, i), descriptor, nil); err != nil {
 			return err
 		}
 	}
@@ -150,7 +153,7 @@
 	return err
 }
 
-func (s *documentScan) key() (string, error) {
+func (s *documentScan) readKey() (string, error) {
 	token, err := s.decoder.Token()
 	if err != nil {
 		return "", err
@@ -169,14 +172,14 @@
 	return descriptor.Fields().ByTextName(name)
 }
 
-func messageOf(field protoreflect.FieldDescriptor) protoreflect.MessageDescriptor {
+func messageDescriptor(field protoreflect.FieldDescriptor) protoreflect.MessageDescriptor {
 	if field == nil || field.IsMap() {
 		return nil
 	}
 	return field.Message()
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/controlplane/bundle/varint.go
+++ b/internal/controlplane/bundle/varint.go
@@ -7,6 +7,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
+// doubleBits encodes negative zero as zero, which is the field's zero value.
 func doubleBits(value float64) uint64 {
 	if value == 0 {
 		return 0
@@ -14,9 +15,9 @@
 	return math.Float64bits(value)
 }
 
-// varint encodes the kinds that the messages of this project use beside
-// strings, bytes, messages and doubles.
-func varint(kind protoreflect.Kind, value protoreflect.Value) uint64 {
+// varintOf encodes the kinds that messages of this project use besides strings,
+// bytes, messages and doubles.
+func varintOf(kind protoreflect.Kind, value protoreflect.Value) uint64 {
 	switch kind {
 	case protoreflect.BoolKind:
 		return protowire.EncodeBool(value.Bool())
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -63,7 +63,7 @@
 
 // take records a bundle without faults under its number, which becomes the newest.
 func (s *State) take(index uint64, submitted, merged *protocol.Bundle, digest string) *protocol.BundleStatus {
-	merged = bundle.Reuse(s.newestMerged(), merged)
+	merged = bundle.ShareUnchanged(s.newestMerged(), merged)
 	status := &protocol.BundleStatus{
 		Version:         submitted.GetVersion(),
 		State:           protocol.BundleState_ACCEPTED,
@@ -219,7 +219,7 @@
 			s.steps = nil
 			return
 		}
-		partial, possible := bundle.Step(former.GetActive(), next.GetActive())
+		partial, possible := bundle.MakePartial(former.GetActive(), next.GetActive())
 		if !possible || proto.Size(partial) > proto.Size(next.GetActive())/2 {
 			s.steps = nil
 			return
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -52,7 +52,7 @@
 		merged := s.record(version).Merged
 		stored := merged
 		if previous != nil {
-			if step, possible := bundle.Step(previous, merged); possible {
+			if step, possible := bundle.MakePartial(previous, merged); possible {
 				stored = step
 			}
 		}
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -188,7 +188,7 @@
 		g.Expect(link.View().Configuration.GetVersion()).To(BeEquivalentTo(10))
 
 		next := configuration(11, "one", "two")
-		step, fits := bundle.Step(configuration(10, "one").GetActive(), next.GetActive())
+		step, fits := bundle.MakePartial(configuration(10, "one").GetActive(), next.GetActive())
 		g.Expect(fits).To(BeTrue())
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = next
