--- a/internal/process/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -118,7 +118,7 @@
 // fieldsWaiting lists the fields that differ and that a running process does not take.
 func fieldsWaiting(before, after settings.Message) []string {
 	var waiting []string
-	settings.EachField(before, after, func(field protoreflect.FieldDescriptor, old, current protoreflect.Value) {
+	settings.ForEachFieldPair(before, after, func(field protoreflect.FieldDescriptor, old, current protoreflect.Value) {
 		if !old.Equal(current) && !slices.Contains(fieldsTaken, field.Name()) {
 			waiting = append(waiting, string(field.Name()))
 		}
--- a/internal/process/settings/seeds.go
+++ b/internal/process/settings/addresses.go
@@ -7,22 +7,22 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// replaceSeedPorts puts node.seed_port in place of the port of each seed and
-// founder, for a deployment that knows the machines of the core but is told
-// another port of them. Addresses that cannot be read stay, so that the check names them.
+// replaceSeedPorts replaces the port of each seed and founder by node.seed_port,
+// for a deployment that knows the machines of the core, but not their internal
+// port. Malformed addresses stay as they are, for the check to name them.
 func replaceSeedPorts(message Message) {
 	node := message.GetNode()
 	if node.GetSeedPort() == 0 {
 		return
 	}
 	port := uint16(node.GetSeedPort())
-	withPort(node.GetSeeds(), port)
+	replacePorts(node.GetSeeds(), port)
 	if core, isCore := any(message).(*protocol.CoreSettings); isCore {
-		withPort(core.GetFounders(), port)
+		replacePorts(core.GetFounders(), port)
 	}
 }
 
-func withPort(addresses []string, port uint16) {
+func replacePorts(addresses []string, port uint16) {
 	for index, text := range addresses {
 		if address, err := netip.ParseAddrPort(text); err == nil {
 			addresses[index] = netip.AddrPortFrom(address.Addr(), port).String()
@@ -30,10 +30,10 @@
 	}
 }
 
-// Region gives the region of a zone by the pairs of zone_regions, or nothing when no pair names the zone.
+// Region returns the region of a zone by the pairs of zone_regions; empty if none names the zone.
 func Region(pairs []string, zone string) string {
 	for _, pair := range pairs {
-		if name, region, found := strings.Cut(pair, "="); found && name == zone {
+		if name, region, isPair := strings.Cut(pair, "="); isPair && name == zone {
 			return region
 		}
 	}
--- a/internal/process/settings/checker.go
+++ b/internal/process/settings/checker.go
@@ -13,12 +13,12 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// checker collects faults.
+// checker collects faults. Its methods each check one value and name its path.
 type checker struct {
 	faults []*protocol.Fault
 }
 
-func (c *checker) add(path, format string, arguments ...any) {
+func (c *checker) addFault(path, format string, arguments ...any) {
 	message := format
 	if len(arguments) > 0 {
 		message = fmt.Sprintf(format, arguments...)
@@ -30,55 +30,66 @@
 func (c *checker) name(path, value string) {
 	switch {
 	case value == "":
-		c.add(path, "is missing")
+		c.addFault(path, "is missing")
 	case len(value) > maxNameBytes:
-		c.add(path, "must have at most %d bytes", maxNameBytes)
+		c.addFault(path, "must have at most %d bytes", maxNameBytes)
 	case !namePattern.MatchString(value):
-		c.add(path, "must begin with a letter or digit and have only letters, digits, '.', '_' and '-'")
+		c.addFault(path, "must begin with a letter or digit and have only letters, digits, '.', '_' and '-'")
 	}
 }
 
-func (c *checker) present(path, value string) {
+func (c *checker) required(path, value string) {
 	if value == "" {
-		c.add(path, "is missing")
+		c.addFault(path, "is missing")
 	}
 }
 
-// listener requires an IP:port to listen on, which peers can reach; port 0 takes any free one.
+// secretFile requires the path of a file, or the explicit statement that there is
+// no secret and its network or users are trusted, but never both.
+func (c *checker) secretFile(path, file, trustPath string, trusted bool) {
+	switch {
+	case !trusted:
+		c.required(path, file)
+	case file != "":
+		c.addFault(path, "must be empty where %s is true", trustPath)
+	}
+}
+
+// listener requires an IP:port to listen on that peers can reach; port 0 chooses a free one.
 func (c *checker) listener(path, value string) netip.AddrPort {
 	if value == "" {
-		c.add(path, "is missing")
+		c.addFault(path, "is missing")
 		return netip.AddrPort{}
 	}
 	address, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
-		c.add(path, "%q is not IP:port; names are not looked up", value)
+		c.addFault(path, "%q is not IP:port; names are not looked up", value)
 	case address.Addr().IsUnspecified():
-		c.add(path, "%q must name the IP that other processes reach this one at", value)
+		c.addFault(path, "%q must name the IP that other processes reach this one at", value)
 	}
 	return address
 }
 
-// peers requires distinct addresses of other processes.
+// peers requires distinct addresses (IP:port) of other processes.
 func (c *checker) peers(path string, values []string) {
 	seen := map[string]bool{}
 	for index, value := range values {
 		elementPath := fmt.Sprintf("%s[%d]", path, index)
 		address := c.listener(elementPath, value)
 		if address.IsValid() && address.Port() == 0 {
-			c.add(elementPath, "%q has no port", value)
+			c.addFault(elementPath, "%q has no port", value)
 		}
 		if seen[value] {
-			c.add(elementPath, "%q is there twice", value)
+			c.addFault(elementPath, "%q is there twice", value)
 		}
 		seen[value] = true
 	}
 }
 
-func (c *checker) between(path string, value, least, most uint64) {
-	if value < least || value > most {
-		c.add(path, "is %d, must be between %d and %d", value, least, most)
+func (c *checker) between(path string, value, minimum, maximum uint64) {
+	if value < minimum || value > maximum {
+		c.addFault(path, "is %d, must be between %d and %d", value, minimum, maximum)
 	}
 }
 
@@ -86,5 +97,5 @@
 	if slices.Contains(allowed, value) {
 		return
 	}
-	c.add(path, "is %q, must be one of %v", value, allowed)
+	c.addFault(path, "is %q, must be one of %v", value, allowed)
 }
--- a/internal/process/settings/decode.go
+++ b/internal/process/settings/decode.go
@@ -12,34 +12,34 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Decode reads a JSON document in the protobuf mapping into message. Unknown
-// and repeated fields are refused. It lists the faults of all fields, sorted by
-// path, and leaves message undefined when there is one.
+// Decode parses a JSON document in the protobuf mapping into message. It rejects
+// unknown and repeated fields. It returns the faults of all fields, sorted by path;
+// if there are any, the content of message is undefined.
 func Decode(document []byte, message proto.Message) []*protocol.Fault {
-	faults := parse(document, message)
+	faults := parseFaults(document, message)
 	if len(faults) == 0 {
 		return nil
 	}
-	// The parser stops at the first value of a wrong type, so each field is also tried alone.
-	faults = append(faults, faultsByField(document, message.ProtoReflect(), "")...)
-	return distinct(faults)
+	// The parser stops at the first value of a wrong type, so each field is parsed alone, too.
+	faults = append(faults, faultsOfFields(document, message.ProtoReflect(), "")...)
+	return sortedDistinct(faults)
 }
 
-func parse(document []byte, message proto.Message) []*protocol.Fault {
+func parseFaults(document []byte, message proto.Message) []*protocol.Fault {
 	err := bundle.ParseMessage(document, message)
-	var refused *bundle.ParseError
+	var parseError *bundle.ParseError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused):
-		return refused.Faults
+	case errors.As(err, &parseError):
+		return parseError.Faults
 	default:
 		return []*protocol.Fault{{Message: err.Error()}}
 	}
 }
 
-// faultsByField parses each field of the object as a document of its own, going into messages.
-func faultsByField(document []byte, reflection protoreflect.Message, path string) []*protocol.Fault {
+// faultsOfFields parses each field of the object, and of messages in it, as a document of its own.
+func faultsOfFields(document []byte, reflection protoreflect.Message, path string) []*protocol.Fault {
 	var object map[string]json.RawMessage
 	if json.Unmarshal(document, &object) != nil {
 		return nil
@@ -48,22 +48,24 @@
 	for name, value := range object {
 		field := fieldNamed(reflection.Descriptor(), name)
 		if field != nil && field.Message() != nil && field.Cardinality() != protoreflect.Repeated {
-			faults = append(faults, faultsByField(value, reflection.NewField(field).Message(), join(path, name))...)
+			faults = append(faults, faultsOfFields(value, reflection.NewField(field).Message(), joinPath(path, name))...)
 			continue
 		}
-		faults = append(faults, faultsOfField(name, value, reflection, path)...)
+		faults = append(faults, parseFieldAlone(name, value, reflection, path)...)
 	}
 	return faults
 }
 
-func faultsOfField(name string, value json.RawMessage, reflection protoreflect.Message, path string) []*protocol.Fault {
+func parseFieldAlone(
+	name string, value json.RawMessage, reflection protoreflect.Message, path string,
+) []*protocol.Fault {
 	document, err := json.Marshal(map[string]json.RawMessage{name: value})
 	if err != nil {
 		return nil
 	}
-	faults := parse(document, reflection.Type().New().Interface())
+	faults := parseFaults(document, reflection.Type().New().Interface())
 	for _, fault := range faults {
-		fault.Path = join(path, fault.GetPath())
+		fault.Path = joinPath(path, fault.GetPath())
 	}
 	return faults
 }
@@ -75,19 +77,19 @@
 	return descriptor.Fields().ByTextName(name)
 }
 
-// distinct sorts faults by path and keeps the first of each path.
-func distinct(faults []*protocol.Fault) []*protocol.Fault {
+// sortedDistinct sorts faults by path and returns the first one of each path.
+func sortedDistinct(faults []*protocol.Fault) []*protocol.Fault {
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].GetPath() < faults[j].GetPath() })
-	kept := faults[:0]
+	unique := faults[:0]
 	for _, fault := range faults {
-		if len(kept) == 0 || kept[len(kept)-1].GetPath() != fault.GetPath() {
-			kept = append(kept, fault)
+		if len(unique) == 0 || unique[len(unique)-1].GetPath() != fault.GetPath() {
+			unique = append(unique, fault)
 		}
 	}
-	return kept
+	return unique
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	switch {
 	case path == "":
 		return name
--- a/internal/process/settings/decode_fuzz_test.go
+++ b/internal/process/settings/decode_fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// FuzzDecode holds that no document makes the reader panic, that a refusal
+// FuzzDecode checks that no document makes the parser panic, that a rejection
 // always has a fault, and that what was accepted survives printing.
 func FuzzDecode(f *testing.F) {
 	examples, err := filepath.Glob("../../../deploy/*/*.json")
@@ -54,7 +54,7 @@
 	}
 	again := message.ProtoReflect().New().Interface()
 	if faults := settings.Decode(printed, again); len(faults) > 0 {
-		t.Fatalf("printed settings are refused: %v", faults)
+		t.Fatalf("printed settings are rejected: %v", faults)
 	}
 	if !proto.Equal(message, again) {
 		t.Fatal("printed settings differ")
--- a/internal/process/settings/deploy_test.go
+++ b/internal/process/settings/deploy_test.go
@@ -93,13 +93,13 @@
 				t.Fatalf("%d cores, %d stores, %d fronts", len(layout.cores), len(layout.stores), len(layout.fronts))
 			}
 			checkAddresses(t, layout)
-			checkReplicasApart(t, layout)
+			checkReplicaSpread(t, layout)
 			checkFounders(t, layout)
 		})
 	}
 }
 
-// checkAddresses holds that names and addresses are used once and that seeds are other processes of the site.
+// checkAddresses checks that names and addresses are used once and that seeds are other processes of the site.
 func checkAddresses(t *testing.T, layout *siteLayout) {
 	t.Helper()
 	seen := map[string]bool{}
@@ -125,9 +125,9 @@
 	}
 }
 
-// checkReplicasApart holds that no machine has two core processes or two stores,
+// checkReplicaSpread checks that no machine has two core processes or two stores,
 // that cores and stores are on different machines, and that each zone has one of each.
-func checkReplicasApart(t *testing.T, layout *siteLayout) {
+func checkReplicaSpread(t *testing.T, layout *siteLayout) {
 	t.Helper()
 	machines := map[netip.Addr]string{}
 	zones := map[string]int{}
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkFounders holds that three core processes found the cluster, agree on it, and that the fourth joins.
+// checkFounders checks that three core processes found the cluster, agree on it, and that the fourth joins.
 func checkFounders(t *testing.T, layout *siteLayout) {
 	t.Helper()
 	founding := 0
--- a/internal/process/settings/errors.go
+++ b/internal/process/settings/errors.go
@@ -7,12 +7,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// InvalidError lists everything that is wrong with a document or with settings.
+// InvalidError lists all faults of a document or of settings.
 type InvalidError struct {
 	Faults []*protocol.Fault
 }
 
-// Error gives one line a fault, each with its path.
+// Error has a line for each fault, with its path.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("%d faults in the settings:", len(e.Faults)))
@@ -25,7 +25,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// FormatFault writes a fault as "path: message".
+// FormatFault formats a fault as "path: message".
 func FormatFault(fault *protocol.Fault) string {
 	if fault.GetPath() == "" {
 		return fault.GetMessage()
--- a/internal/process/settings/flags.go
+++ b/internal/process/settings/flags.go
@@ -10,27 +10,28 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-const nodeField = "node"
+const commonField = "node"
 
-// FlagName gives the flag of a field: max_body_bytes becomes max-body-bytes.
+// FlagName returns the name of the flag for a field: max_body_bytes becomes max-body-bytes.
 func FlagName(field protoreflect.FieldDescriptor) string {
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// ReadError says that a file named by the command line or by the settings could not be read.
+// ReadError reports that a file named by the command line or by the settings could not be read.
 type ReadError struct {
 	Path  string
 	Cause error
 }
 
+// Error names the path and the cause.
 func (e *ReadError) Error() string { return "read " + e.Path + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// AddFlags gives a flag set one flag for each field; fields of the common part come without a prefix.
+// AddFlags adds a flag for each field; those for fields of the common part have no prefix.
 func (k Kind[S]) AddFlags(flags *pflag.FlagSet) {
-	eachField(k.newMessage(), func(field protoreflect.FieldDescriptor, _ protoreflect.Message) {
+	forEachField(k.newMessage(), func(field protoreflect.FieldDescriptor, _ protoreflect.Message) {
 		help := helpTexts[string(field.Name())]
 		switch {
 		case field.IsList():
@@ -47,8 +48,9 @@
 	})
 }
 
-// Load reads the file, when one is given, puts the flags that were set over it,
-// fills the defaults in and checks the whole. The error is a *ReadError or an *InvalidError.
+// Load reads the file, unless its name is empty, overrides it by the flags that
+// were set, sets the defaults and checks all fields. The error is a *ReadError or
+// an *InvalidError.
 func (k Kind[S]) Load(file string, flags *pflag.FlagSet) (S, error) {
 	var document []byte
 	if file != "" {
@@ -72,15 +74,15 @@
 }
 
 func applyFlags(message Message, flags *pflag.FlagSet) error {
-	var failed error
-	eachField(message, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
+	var firstError error
+	forEachField(message, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
 		flag := flags.Lookup(FlagName(field))
-		if flag == nil || !flag.Changed || failed != nil {
+		if flag == nil || !flag.Changed || firstError != nil {
 			return
 		}
-		failed = applyFlag(field, owner, flags)
+		firstError = applyFlag(field, owner, flags)
 	})
-	return failed
+	return firstError
 }
 
 func applyFlag(field protoreflect.FieldDescriptor, owner protoreflect.Message, flags *pflag.FlagSet) error {
@@ -113,11 +115,12 @@
 	}
 }
 
-// eachField visits the fields of the common part and then the plane's own, in the order of their numbers.
-func eachField(message proto.Message, visit func(protoreflect.FieldDescriptor, protoreflect.Message)) {
+// forEachField visits the fields of the common part and then those of the daemon's
+// kind, each in the order of their declaration.
+func forEachField(message proto.Message, visit func(protoreflect.FieldDescriptor, protoreflect.Message)) {
 	reflection := message.ProtoReflect()
 	fields := reflection.Descriptor().Fields()
-	node := fields.ByName(nodeField)
+	node := fields.ByName(commonField)
 	common := reflection.Mutable(node).Message()
 	for index := range common.Descriptor().Fields().Len() {
 		visit(common.Descriptor().Fields().Get(index), common)
@@ -129,13 +132,15 @@
 	}
 }
 
-// EachField visits every field of two settings of the same kind with the values that it has in each.
-func EachField(first, second Message, visit func(field protoreflect.FieldDescriptor, inFirst, inSecond protoreflect.Value)) {
+// ForEachFieldPair visits each field of two settings of the same kind with its values in both.
+func ForEachFieldPair(
+	first, second Message, visit func(field protoreflect.FieldDescriptor, inFirst, inSecond protoreflect.Value),
+) {
 	values := map[protoreflect.FullName]protoreflect.Value{}
-	eachField(first, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
+	forEachField(first, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
 		values[field.FullName()] = owner.Get(field)
 	})
-	eachField(second, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
+	forEachField(second, func(field protoreflect.FieldDescriptor, owner protoreflect.Message) {
 		visit(field, values[field.FullName()], owner.Get(field))
 	})
 }
--- a/internal/process/settings/kind.go
+++ b/internal/process/settings/kind.go
@@ -1,7 +1,10 @@
-// Package settings reads what a process is told at its start: one JSON file in
-// the protobuf mapping, with one command-line flag a field over it. Defaults
-// are filled in one place and everything is checked as a whole before anything
-// starts, so that all faults are listed at once with their paths.
+// Package settings loads and checks the settings of a process: one JSON file in
+// the protobuf mapping, overridden by one command-line flag for each field.
+// Defaults are set in one place, and all fields are checked before anything
+// starts, so that all faults are listed together with their paths.
+//
+// The fields and their JSON names are those of settings.proto. The package has no
+// state; it reads the settings file, and nothing else.
 package settings
 
 import (
@@ -16,11 +19,11 @@
 	GetNode() *protocol.NodeSettings
 }
 
-// Kind tells how the settings of one kind of daemon are made and checked.
+// Kind is how the settings of one kind of daemon are created and checked.
 type Kind[S Message] struct {
 	// Program is the name of the daemon's binary.
 	Program string
-	// Summary says in one line what the daemon does.
+	// Summary is what the daemon does, in one line of its help.
 	Summary string
 	// Node is the kind of node the daemon is.
 	Node protocol.NodeKind
@@ -32,7 +35,7 @@
 // Front is the settings of front nodes.
 var Front = Kind[*protocol.FrontSettings]{
 	Program:    "rosestand-front",
-	Summary:    "front node: takes requests in, owns sessions and issues their turns",
+	Summary:    "front node: accepts requests, owns sessions and issues their turns",
 	Node:       protocol.NodeKind_FRONT,
 	newMessage: func() *protocol.FrontSettings { return &protocol.FrontSettings{Node: &protocol.NodeSettings{}} },
 	check:      checkFront,
@@ -41,7 +44,7 @@
 // Core is the settings of core processes.
 var Core = Kind[*protocol.CoreSettings]{
 	Program:    "rosestand-core",
-	Summary:    "core: keeps the replicated control state and grants leases",
+	Summary:    "core: stores the replicated control state and grants leases",
 	Node:       protocol.NodeKind_CORE,
 	newMessage: func() *protocol.CoreSettings { return &protocol.CoreSettings{Node: &protocol.NodeSettings{}} },
 	check:      checkCore,
@@ -50,13 +53,13 @@
 // Store is the settings of stores.
 var Store = Kind[*protocol.StoreSettings]{
 	Program:    "rosestand-store",
-	Summary:    "store: keeps replicas of the program ledger and of kept turns",
+	Summary:    "store: stores replicas of the program ledger and of retained turns",
 	Node:       protocol.NodeKind_STORE,
 	newMessage: func() *protocol.StoreSettings { return &protocol.StoreSettings{Node: &protocol.NodeSettings{}} },
 	check:      checkStore,
 }
 
-// Parse reads settings from JSON without filling defaults. The error is an *InvalidError.
+// Parse parses settings from JSON without setting defaults. The error is an *InvalidError.
 func (k Kind[S]) Parse(document []byte) (S, error) {
 	message := k.newMessage()
 	if len(document) > 0 {
@@ -68,24 +71,24 @@
 	return message, nil
 }
 
-// Complete fills the defaults in and checks the whole. The error is an *InvalidError.
+// Complete sets the defaults and checks all fields. The error is an *InvalidError.
 func (k Kind[S]) Complete(message S) error {
 	fillDefaults(message)
 	replaceSeedPorts(message)
-	faults := &checker{}
-	k.check(message, faults)
-	if len(faults.faults) > 0 {
-		return &InvalidError{Faults: faults.faults}
+	check := &checker{}
+	k.check(message, check)
+	if len(check.faults) > 0 {
+		return &InvalidError{Faults: check.faults}
 	}
 	return nil
 }
 
-// ensureNode sets the common part when a document leaves it out or gives null.
+// ensureNode sets the common part if a document omits it or has null.
 func ensureNode(message Message) {
 	if message.GetNode() != nil {
 		return
 	}
 	reflection := message.ProtoReflect()
-	field := reflection.Descriptor().Fields().ByName(nodeField)
+	field := reflection.Descriptor().Fields().ByName(commonField)
 	reflection.Set(field, reflection.NewField(field))
 }
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -59,7 +59,7 @@
 	return paths
 }
 
-func TestDefaultsAreFilledInAndGivenValuesKept(t *testing.T) {
+func TestDefaultsAreSetAndGivenValuesStay(t *testing.T) {
 	loaded, err := load(t, strings.Replace(validCore, `"founders"`, `"lease_millis": 700, "founders"`, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,9 @@
 }
 
 func TestFlagsGoOverTheFile(t *testing.T) {
-	loaded, err := load(t, validCore, "--name", "core-9", "--founders", "10.0.0.7:7000", "--max-body-bytes", "4096", "--target-voters", "1")
+	loaded, err := load(
+		t, validCore, "--name", "core-9", "--founders", "10.0.0.7:7000", "--max-body-bytes", "4096", "--target-voters", "1",
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +86,8 @@
 }
 
 func TestFlagsAloneAreEnough(t *testing.T) {
-	_, err := load(t, "", "--name", "core-1", "--zone", "z1", "--internal-address", "127.0.0.1:0", "--http-address", "127.0.0.1:0",
+	_, err := load(t, "", "--name", "core-1", "--zone", "z1",
+		"--internal-address", "127.0.0.1:0", "--http-address", "127.0.0.1:0",
 		"--data-folder", "data", "--cluster-key-file", "key", "--operator-token-file", "tokens", "--seeds", "127.0.0.1:7001")
 	if err != nil {
 		t.Fatal(err)
@@ -106,20 +109,22 @@
 	}
 }
 
-func TestAllFaultsAreListedAtOnce(t *testing.T) {
+func TestAllFaultsAreListedTogether(t *testing.T) {
 	_, err := load(t, `{
 	  "node": {"name": "a b", "internal_address": "host:7000", "http_address": "0.0.0.0:8000",
 	           "seeds": ["10.0.0.1:7000", "10.0.0.1:7000", "10.0.0.2:0"], "log_level": "loud", "log_format": "xml",
 	           "stop_grace_millis": 700000, "debug_address": "10.0.0.1:6060"},
 	  "founders": ["10.0.0.1:7000", "nonsense", "10.0.0.3:1", "10.0.0.4:1"],
 	  "target_voters": 2, "sign_off_keys": ["`+testKey+`", "bob", "`+testKey+`"],
-	  "heartbeat_millis": 500, "election_timeout_millis": 600, "replica_count": 4, "max_body_bytes": 1, "coalesce_millis": 5000
+	  "heartbeat_millis": 500, "election_timeout_millis": 600, "replica_count": 4,
+	  "max_body_bytes": 1, "coalesce_millis": 5000
 	}`)
 	want := []string{
 		"node.name", "node.zone", "node.internal_address", "node.http_address", "node.seeds[1]", "node.seeds[2]",
 		"node.cluster_key_file", "node.log_level", "node.log_format", "node.stop_grace_millis", "node.debug_address",
 		"node.data_folder", "operator_token_file", "founders[1]", "target_voters", "founders",
-		"sign_off_keys[1]", "sign_off_keys[2]", "election_timeout_millis", "replica_count", "max_body_bytes", "coalesce_millis",
+		"sign_off_keys[1]", "sign_off_keys[2]", "election_timeout_millis", "replica_count", "max_body_bytes",
+		"coalesce_millis",
 	}
 	if got := faultPaths(t, err); strings.Join(got, " ") != strings.Join(want, " ") {
 		t.Fatalf("faults at\n%v\nwant\n%v\n%v", got, want, err)
@@ -133,7 +138,10 @@
 		want     []string
 	}{
 		{"unknown fields at all depths", `{"nonsense": 1, "node": {"nam": "x"}}`, []string{"node.nam", "nonsense"}},
-		{"wrong types of several fields", `{"node": {"name": 7, "zone": true}, "shard_count": "many", "founders": "x"}`, []string{"founders", "node.name", "node.zone", "shard_count"}},
+		{
+			"wrong types of several fields", `{"node": {"name": 7, "zone": true}, "shard_count": "many", "founders": "x"}`,
+			[]string{"founders", "node.name", "node.zone", "shard_count"},
+		},
 		{"wrong type within a list", `{"founders": ["10.0.0.1:1", 5]}`, []string{"founders[1]"}},
 		{"a field given twice", `{"shard_count": 1, "shard_count": 2}`, []string{"shard_count"}},
 		{"a number out of range", `{"shard_count": -1}`, []string{"shard_count"}},
@@ -151,7 +159,7 @@
 	}
 }
 
-func TestKindsAskForWhatTheyNeed(t *testing.T) {
+func TestEachKindRequiresItsFields(t *testing.T) {
 	_, err := settings.Front.Parse([]byte(`{"node": null}`))
 	if err != nil {
 		t.Fatal(err)
@@ -200,16 +208,18 @@
 	}
 }
 
-func TestTrustReplacesSecretsOnlyWhenItIsSaid(t *testing.T) {
-	bare := strings.NewReplacer(`, "cluster_key_file": "/etc/rosestand/cluster.key"`, "", "\"cluster_key_file\": \"/etc/rosestand/cluster.key\"", `"log_level": "info"`,
+func TestTrustReplacesSecretsOnlyIfExplicit(t *testing.T) {
+	bare := strings.NewReplacer(
+		`, "cluster_key_file": "/etc/rosestand/cluster.key"`, "",
+		`"cluster_key_file": "/etc/rosestand/cluster.key"`, `"log_level": "info"`,
 		`"operator_token_file": "/etc/rosestand/tokens",`, "").Replace(validCore)
 	_, err := load(t, bare)
 	if got := strings.Join(faultPaths(t, err), " "); got != "node.cluster_key_file operator_token_file" {
-		t.Fatalf("without the words: %s", got)
+		t.Fatalf("without trust: %s", got)
 	}
 	loaded, err := load(t, bare, "--trust-network", "--trust-operators")
 	if err != nil || !loaded.GetNode().GetTrustNetwork() || !loaded.GetTrustOperators() {
-		t.Fatalf("with the words: %v", err)
+		t.Fatalf("with trust: %v", err)
 	}
 	_, err = load(t, validCore, "--trust-network", "--trust-operators=true")
 	if got := strings.Join(faultPaths(t, err), " "); got != "node.cluster_key_file operator_token_file" {
@@ -232,7 +242,8 @@
 		t.Errorf("founders %s", got)
 	}
 	_, err = load(t, validCore, "--seed-port", "70000", "--seeds", "10.0.0.1:1,10.0.0.1:2,nonsense")
-	if got := strings.Join(faultPaths(t, err), " "); !strings.Contains(got, "node.seeds[1] node.seeds[2]") || !strings.Contains(got, "node.seed_port") {
+	if got := strings.Join(faultPaths(t, err), " "); !strings.Contains(got, "node.seeds[1] node.seeds[2]") ||
+		!strings.Contains(got, "node.seed_port") {
 		t.Errorf("faults at %s", got)
 	}
 }
