--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -1,7 +1,6 @@
 package front
 
 import (
-	"bufio"
 	"context"
 	"io"
 	"net/http"
@@ -11,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -47,25 +47,6 @@
 // Stop ends what is left.
 func (l *RouteListener) Stop() error { return l.listener.stop() }
 
-// MaxEventBytes bounds one event of a stream.
-const MaxEventBytes = maxEventBytes
-
-// StreamBufferBytes is what is read of a stream at once.
-const StreamBufferBytes = streamBufferBytes
-
-// ReadStreamEvents reads the events of a stream, each with its data, until the stream ends or breaks off.
-func ReadStreamEvents(stream io.Reader) (events, data [][]byte, err error) {
-	read := &httpStream{reader: bufio.NewReaderSize(stream, streamBufferBytes)}
-	for {
-		event, err := read.readEvent()
-		if err != nil {
-			return events, data, err
-		}
-		events = append(events, event)
-		data = append(data, dataOf(event))
-	}
-}
-
 // TokenUsage reads the header that tells the tokens of a turn.
 func TokenUsage(text string) (prompt, maxOutput uint32) { return tokenUsage(text) }
 
@@ -118,7 +99,7 @@
 	FirstBackoff          = firstBackoff
 	MaxBackoff            = maxBackoff
 	KeyedRejectionTimeout = keyedRejectionTimeout
-	HeartbeatWindow       = heartbeatWindow
+	HeartbeatWindow       = heartbeat.Window
 	VariantReportInterval = variantReportInterval
 	SampleInterval        = sampleInterval
 	SampleTimeout         = sampleTimeout
--- a/internal/dataplane/front/http_backends.go
+++ b/internal/dataplane/front/http_backends.go
@@ -11,6 +11,7 @@
 	"github.com/gin-gonic/gin"
 	"google.golang.org/protobuf/encoding/protojson"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -102,14 +103,14 @@
 		writeError(c, err)
 		return
 	}
-	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), heartbeatTimeout+time.Second)
+	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), heartbeat.Timeout+time.Second)
 	defer cancel()
-	answer := a.service.heartbeats.relay(ctx, backEnd)
-	if answer.err != nil {
-		writeError(c, coreFailure(answer.err))
+	answer := a.service.heartbeats.Relay(ctx, backEnd)
+	if answer.Err != nil {
+		writeError(c, coreFailure(answer.Err))
 		return
 	}
-	c.JSON(http.StatusOK, heartbeatAnswer{IntervalSeconds: answer.intervalSeconds})
+	c.JSON(http.StatusOK, heartbeatAnswer{IntervalSeconds: answer.IntervalSeconds})
 }
 
 // coreFailure words an error of the way to the core; such requests may be sent again.
@@ -153,7 +154,7 @@
 // getExplanation gathers what the front nodes know of a request.
 func (a *api) getExplanation(c *gin.Context) {
 	id := c.Param("id")
-	explanations := a.service.explanations.find(id)
+	explanations := a.service.explanations.Find(id)
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), explainTimeout)
 	defer cancel()
 	explanations = append(explanations, a.service.queryPeers(ctx, id, explanations)...)
--- a/internal/dataplane/front/http_issue.go
+++ b/internal/dataplane/front/http_issue.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/httpheader"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
@@ -186,7 +187,7 @@
 		response.Discard()
 		return nil, &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	headers := answerHeaders(request.http.GetMethod(), response.Header)
+	headers := httpheader.OfAnswer(request.http.GetMethod(), response.Header)
 	status := uint32(response.Status)
 	response.Close()
 	return turn.CallDone{Status: status, Body: body, Headers: headers}, nil
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -159,9 +159,9 @@
 	}
 	relayed := &relay{
 		service: a.service, request: request, deliver: stream.send, position: query.after,
-		explanation: a.service.explanations.begin(current.requestID, current.session, query.program),
+		explanation: a.service.explanations.Begin(current.requestID, current.session, query.program),
 	}
-	relayed.explanation.recordStep("resumed", fmtCursor(query.after))
+	relayed.explanation.RecordStep("resumed", fmtCursor(query.after))
 	err := a.service.resumeFromOwner(ctx, relayed, query, current)
 	if err == nil || relayed.deliveryError != nil || ctx.Err() != nil {
 		endStream(c, stream, err)
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -80,7 +80,7 @@
 // issueHTTP sends a turn of an HTTP route to the server chosen; its answer is read by receive.
 func (r *turnRun) issueHTTP(command turn.Issue) turn.Event {
 	r.issuedAt = r.now()
-	r.explanation.recordStep("issued", command.BackEnd)
+	r.explanation.RecordStep("issued", command.BackEnd)
 	r.recordSent(command.MaxTokens)
 	response, err := r.service.routes.send(r.ctx, routedRequest{
 		server: r.server, requestID: r.request.GetRequestId(), http: r.request.GetHttp(),
@@ -133,7 +133,7 @@
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
 	conversation := r.service.readChain(r.ctx, r.key.program, lastTurn)
-	r.explanation.recordStep("history read", conversation.status.String())
+	r.explanation.RecordStep("history read", conversation.status.String())
 	if conversation.status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: conversation.status}
 	}
--- a/internal/dataplane/front/http_headers.go
+++ b/internal/dataplane/front/httpheader/header.go
@@ -1,4 +1,4 @@
-package front
+package httpheader
 
 import (
 	"net/http"
@@ -11,37 +11,38 @@
 
 const contentLength = "Content-Length"
 
-// connectionHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1).
+// connectionHeaders concern one connection only and are not forwarded (RFC 9110, section 7.6.1).
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	contentLength: true, "Host": true,
 }
 
-// endToEndHeaders gives the headers that are passed on, sorted by name.
-func endToEndHeaders(header http.Header, except ...string) []*protocol.HttpHeader {
+// EndToEnd returns the headers that are forwarded, sorted by name, without those named in except.
+// Names are in their canonical form.
+func EndToEnd(header http.Header, except ...string) []*protocol.HttpHeader {
 	named := namedInConnection(header)
-	passed := make([]*protocol.HttpHeader, 0, len(header))
+	forwarded := make([]*protocol.HttpHeader, 0, len(header))
 	for name, values := range header {
 		if connectionHeaders[name] || named[name] || slices.Contains(except, name) {
 			continue
 		}
 		for _, value := range values {
-			passed = append(passed, &protocol.HttpHeader{Name: name, Value: value})
+			forwarded = append(forwarded, &protocol.HttpHeader{Name: name, Value: value})
 		}
 	}
-	slices.SortStableFunc(passed, func(a, b *protocol.HttpHeader) int { return strings.Compare(a.GetName(), b.GetName()) })
-	return passed
+	slices.SortStableFunc(forwarded, func(a, b *protocol.HttpHeader) int { return strings.Compare(a.GetName(), b.GetName()) })
+	return forwarded
 }
 
-// answerHeaders gives the headers of a whole answer that are passed on. The
-// length stands for no body only in an answer to a HEAD request, and is kept there.
-func answerHeaders(method string, header http.Header) []*protocol.HttpHeader {
-	passed := endToEndHeaders(header)
+// OfAnswer returns the headers of a complete answer that are forwarded. Only in the answer to a HEAD
+// request does the length describe no body that follows, so it is forwarded there.
+func OfAnswer(method string, header http.Header) []*protocol.HttpHeader {
+	forwarded := EndToEnd(header)
 	if length := header.Get(contentLength); method == http.MethodHead && length != "" {
-		passed = append(passed, &protocol.HttpHeader{Name: contentLength, Value: length})
+		forwarded = append(forwarded, &protocol.HttpHeader{Name: contentLength, Value: length})
 	}
-	return passed
+	return forwarded
 }
 
 func namedInConnection(header http.Header) map[string]bool {
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -33,7 +34,7 @@
 	request     *protocol.TurnRequest
 	deadline    time.Time
 	deliver     func(*protocol.TurnEvent) error
-	explanation *explanation
+	explanation *explain.Explanation
 	position    cursor
 	// owner is the one tried last; empty when none was found.
 	owner directory.Owner
@@ -63,9 +64,9 @@
 	left := timeLeft(request.GetTimeLeftMillis())
 	r := &relay{
 		service: s, request: request, deliver: deliver, deadline: s.clock.Now().Add(left),
-		explanation: s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram()),
+		explanation: s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram()),
 	}
-	r.explanation.recordStep("taken in", request.GetPriority().String())
+	r.explanation.RecordStep("taken in", request.GetPriority().String())
 	err := r.run(ctx)
 	code := "ok"
 	if err != nil {
@@ -96,7 +97,7 @@
 // same id, so that an owner or the ledger knows it.
 func (r *relay) run(ctx context.Context) error {
 	if rejection := r.service.rejectIsolated(r.request); rejection != nil {
-		r.explanation.recordStep("not taken in", rejection.GetMessage())
+		r.explanation.RecordStep("not taken in", rejection.GetMessage())
 		return r.service.rejectTurn(ctx, r.request, rejection, r.deliverRetained)
 	}
 	lastAttempt := r.service.clock.Now().Add(windowFor(r.request.GetHttp()))
@@ -115,7 +116,7 @@
 		if r.deliveryError != nil || ctx.Err() != nil {
 			return errors.CombineErrors(r.deliveryError, err)
 		}
-		r.explanation.recordStep("not answered", err.Error())
+		r.explanation.RecordStep("not answered", err.Error())
 		if !r.isRetryable(err) || !r.service.clock.Now().Add(backoff).Before(lastAttempt) {
 			return r.giveUp(ctx, err)
 		}
@@ -183,10 +184,10 @@
 }
 
 func (r *relay) recordOwner(owner directory.Owner) {
-	r.explanation.update(func(record *protocol.Explanation) {
+	r.explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.PartitionHolder = owner.Name, owner.PartitionHolder
 	})
-	r.explanation.recordStep("owner found", fmt.Sprintf("%s, partition holder %s, view %d, cached %t",
+	r.explanation.RecordStep("owner found", fmt.Sprintf("%s, partition holder %s, view %d, cached %t",
 		owner.Name, owner.PartitionHolder, owner.ViewVersion, owner.CacheHit))
 }
 
--- a/internal/dataplane/front/ingress_call.go
+++ b/internal/dataplane/front/ingress_call.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -16,8 +17,8 @@
 
 // relayCall brings a tool call to the owner of its session and returns the answer.
 func (s *Service) relayCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool) (*protocol.ToolCallResponse, error) {
-	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.recordStep("taken in", request.GetTool())
+	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
+	explanation.RecordStep("taken in", request.GetTool())
 	response, err := s.routeCall(ctx, request, nonRepeatable, explanation)
 	code := "ok"
 	if err != nil {
@@ -29,7 +30,7 @@
 	return response, err
 }
 
-func (s *Service) routeCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explanation) (*protocol.ToolCallResponse, error) {
+func (s *Service) routeCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explain.Explanation) (*protocol.ToolCallResponse, error) {
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	lastAttempt := s.clock.Now().Add(windowFor(request.GetHttp()))
 	if lastAttempt.After(deadline) {
@@ -48,7 +49,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		explanation.recordStep("not answered", err.Error())
+		explanation.RecordStep("not answered", err.Error())
 		if runs.isExhausted() || !isCallRetryable(err, nonRepeatable) || !s.clock.Now().Add(backoff).Before(lastAttempt) {
 			return s.rejectCall(ctx, request, nonRepeatable, proto.CloneOf(forwardingFailure(err)))
 		}
@@ -73,16 +74,16 @@
 }
 
 func (s *Service) callOwner(
-	ctx context.Context, request *protocol.ToolCallRequest, runs *runQuota, deadline time.Time, explanation *explanation,
+	ctx context.Context, request *protocol.ToolCallRequest, runs *runQuota, deadline time.Time, explanation *explain.Explanation,
 ) (directory.Owner, *protocol.ToolCallResponse, error) {
 	owner, err := s.ownerOf(ctx, request.GetSession(), request.GetProgram())
 	if err != nil {
 		return owner, nil, err
 	}
-	explanation.update(func(record *protocol.Explanation) {
+	explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.PartitionHolder = owner.Name, owner.PartitionHolder
 	})
-	explanation.recordStep("owner found", owner.Name)
+	explanation.RecordStep("owner found", owner.Name)
 	left, err := s.millisUntil(deadline)
 	if err != nil {
 		return owner, nil, err
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -69,13 +70,13 @@
 func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *liveTurn, grant Grant,
 	key sessionKey, decided variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
-	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.update(func(record *protocol.Explanation) {
+	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
+	explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
-	explanation.recordStep("taken by the owner", "from "+request.GetIngress())
+	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &turnRun{
 		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, variant: decided, route: route,
 		counters: s.variants.Load().counters(decided.candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
@@ -161,14 +162,14 @@
 }
 
 // chooseShadow notes what the shadow bundle would have chosen; nothing is run by it.
-func (s *Service) chooseShadow(shadow *bundle.Index, wanted placement, tenant string, route *protocol.Route, explanation *explanation) {
+func (s *Service) chooseShadow(shadow *bundle.Index, wanted placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
 	other := shadow.Model(tenant, route.GetModel())
 	if wanted.key.tool {
 		other = shadow.Tool(tenant, route.GetTool())
 	}
 	wanted.index, wanted.key.group = shadow, other.GetGroup()
 	_, decision := s.choose(wanted)
-	explanation.update(func(record *protocol.Explanation) {
+	explanation.Update(func(record *protocol.Explanation) {
 		record.ShadowChosen = decision.Chosen
 		if decision.Chosen != record.GetChosen() {
 			s.metrics.shadowDiffers.Inc()
--- a/internal/dataplane/front/route_api.go
+++ b/internal/dataplane/front/route_api.go
@@ -10,6 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/httpheader"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
@@ -146,7 +147,7 @@
 	group := bundle.PickTarget(route, xxhash.Sum64String(firstOf(accepted.program, accepted.id)))
 	accepted.http = &protocol.HttpRequest{
 		Route: route.GetName(), Group: group, Kind: route.GetKind(), Method: request.Method, Target: requestTarget(request),
-		Host: request.Host, Headers: endToEndHeaders(header, a.dialect.TimeLeft, a.dialect.TargetServer), Body: body,
+		Host: request.Host, Headers: httpheader.EndToEnd(header, a.dialect.TimeLeft, a.dialect.TargetServer), Body: body,
 		MaxAttempts: max(route.GetMaxAttempts(), 1), Rank: route.GetRank(), LatencyObjectiveMillis: route.GetLatencyObjectiveMillis(),
 		Stateful: route.GetStateful(), Resumable: route.GetResumable(), KeepMillis: route.GetKeepMillis(),
 		BundleVersion: index.Bundle().GetVersion(), Affinity: a.affinityKey(header, route),
--- a/internal/dataplane/front/route_streams_test.go
+++ b/internal/dataplane/front/route_streams_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/dataplane/front"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sse"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -77,8 +77,8 @@
 		Entry("with carriage returns", "data: a\r\n\r\ndata: b\r\n\r\n"),
 		Entry("with a version before the data", "rosestand-weights: 4\ndata: a\n\n"),
 		Entry("with a large event", "data: "+strings.Repeat("x", 300_000)+"\n\n"),
-		Entry("with a line that fills what is read at once", "data: "+strings.Repeat("x", front.StreamBufferBytes-6)+"\n\ndata: b\n\n"),
-		Entry("that ends with a line that fills what is read at once", "data: "+strings.Repeat("x", front.StreamBufferBytes-6)+"\n\n"),
+		Entry("with a line that fills what is read at once", "data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\ndata: b\n\n"),
+		Entry("that ends with a line that fills what is read at once", "data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\n"),
 		Entry("with a blank line too many at its end", "data: a\n\n\n"),
 	)
 
@@ -102,7 +102,7 @@
 			streamHead(writer, request)
 			_, _ = io.WriteString(writer, event(1, "one"))
 			line := "data: " + strings.Repeat("x", 1000) + "\n"
-			for sent := 0; sent < 2*front.MaxEventBytes; sent += len(line) {
+			for sent := 0; sent < 2*sse.MaxEventBytes; sent += len(line) {
 				if _, err := io.WriteString(writer, line); err != nil {
 					return
 				}
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -13,6 +13,8 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -76,8 +78,8 @@
 	versionPins  *versionPins
 	admission    *admission
 	sessions     *sessions
-	explanations *explanations
-	heartbeats   *heartbeats
+	explanations *explain.Store
+	heartbeats   *heartbeat.Relay
 
 	// stopped is closed when the process gives up what is still under way.
 	stopped  chan struct{}
@@ -110,13 +112,13 @@
 		models:      models,
 		versionPins: newVersionPins(options.Clock),
 		admission:   newAdmission(options.Clock), sessions: newSessions(options.Clock),
-		explanations: newExplanations(options.Clock, options.Self.GetName()),
+		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
 		hasBundle:    make(chan struct{}),
 	}
 	s.admission.gates.slots = s.stepSlots
-	s.heartbeats = newHeartbeats(options.Link, options.Clock, s.metrics)
+	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
 	options.Ownership.OnYield(s.sessions.yielded)
@@ -174,7 +176,7 @@
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	s.workers.Go(func() { s.reportVariants(ctx) })
-	s.workers.Go(func() { s.heartbeats.run(ctx) })
+	s.workers.Go(func() { s.heartbeats.Run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
 	s.workers.Go(func() { s.shareOutcomes(ctx) })
 	s.workers.Go(func() { s.watchSuspects(ctx) })
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -72,11 +72,11 @@
 func (r *turnRun) resolveStep(step string) turn.Event {
 	pin, rejection := r.service.resolveStep(r.ctx, stepChoice{step: step, model: r.request.GetModel()}, r.route.GetGroup())
 	if rejection != nil {
-		r.explanation.recordStep("training step refused", step+": "+rejection.GetMessage())
+		r.explanation.RecordStep("training step refused", step+": "+rejection.GetMessage())
 		return turn.StepNotResolved{Failure: rejection}
 	}
 	r.pin = pin
-	r.explanation.recordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
+	r.explanation.RecordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
 	if !r.service.backEnds.Load().hasVersion(r.route.GetGroup(), pin, r.now()) {
 		return turn.StepNotResolved{Failure: r.versionUnavailable().Failure}
 	}
@@ -84,7 +84,7 @@
 }
 
 func (r *turnRun) versionUnavailable() turn.NotChosen {
-	r.explanation.recordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
+	r.explanation.RecordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
 	return turn.NotChosen{Failure: versionUnavailable(
 		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.version, r.pin.model))}
 }
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -9,6 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -27,7 +28,7 @@
 	route       *protocol.Route
 	deadline    time.Time
 	machine     *turn.CallMachine
-	explanation *explanation
+	explanation *explain.Explanation
 	server      *backEnd
 	answers     chan *protocol.ToolCallResponse
 	// sends counts the attempts at servers.
@@ -82,13 +83,13 @@
 }
 
 func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided variant, route *protocol.Route, deadline time.Time) *callRun {
-	explanation := s.explanations.begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.update(func(record *protocol.Explanation) {
+	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
+	explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
-	explanation.recordStep("taken by the owner", "from "+request.GetIngress())
+	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
 		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
 		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
@@ -177,7 +178,7 @@
 		return r.issue(command)
 	case turn.RequestRetry:
 		granted := r.service.admission.retry()
-		r.explanation.recordStep("retry", fmt.Sprintf("granted %t", granted))
+		r.explanation.RecordStep("retry", fmt.Sprintf("granted %t", granted))
 		return turn.RetryDecided{Granted: granted}
 	case turn.Answer:
 		r.answer(command.Response)
@@ -191,26 +192,26 @@
 
 func (r *callRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
 	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.recordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
+	r.explanation.Update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
+	r.explanation.RecordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
 	return result
 }
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
 	result := r.service.ledgerDo(r.ctx, operation)
-	r.explanation.recordStep("ledger "+name, result.GetStatus().String())
+	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
 
 func (r *callRun) admit() turn.Event {
 	if rejection := r.rejectUnreachable(); rejection != nil {
-		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
 	rejection := r.service.admission.enter(r.ctx, r.route.GetGroup(), r.ticket())
 	if rejection != nil {
-		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
 	return turn.Admitted{}
@@ -249,7 +250,7 @@
 	// A server works faster for an object that it has seen, whichever program asks.
 	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
 	server, decision := r.service.choose(wanted)
-	r.explanation.recordDecision(decision)
+	r.explanation.RecordDecision(decision)
 	if r.variant.shadow != nil && r.request.GetHttp() == nil {
 		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
@@ -262,7 +263,7 @@
 }
 
 func (r *callRun) issue(command turn.IssueCall) turn.Event {
-	r.explanation.recordStep("issued", command.BackEnd)
+	r.explanation.RecordStep("issued", command.BackEnd)
 	issuedAt := r.now()
 	r.server.inFlight.Add(1)
 	r.server.recordCall(issuedAt)
@@ -273,7 +274,7 @@
 	if err == nil {
 		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
 		r.service.models.recordCall(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
-		r.explanation.recordStep("back end finished", command.BackEnd)
+		r.explanation.RecordStep("back end finished", command.BackEnd)
 		return event
 	}
 	return r.sendFailed(command, err)
@@ -345,15 +346,15 @@
 	}
 	r.server.recordOutcome(fault.outcome(), r.now())
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.recordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
+	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
 	return fault.event()
 }
 
 func (r *callRun) answer(response *protocol.ToolCallResponse) {
 	if f := response.GetFailure(); f != nil {
-		r.explanation.recordStep("failed", f.GetCode()+": "+f.GetMessage())
+		r.explanation.RecordStep("failed", f.GetCode()+": "+f.GetMessage())
 	} else {
-		r.explanation.recordStep("completed", fmt.Sprintf("status %d", response.GetStatus()))
+		r.explanation.RecordStep("completed", fmt.Sprintf("status %d", response.GetStatus()))
 	}
 	r.answers <- response
 }
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -6,6 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -28,7 +29,7 @@
 	machine     *turn.Machine
 	// pin is the version that a turn of a training step keeps to; nil for other turns.
 	pin         *versionPin
-	explanation *explanation
+	explanation *explain.Explanation
 
 	began      time.Time
 	history    []*protocol.Item
@@ -120,7 +121,7 @@
 	case turn.BackEndDone:
 		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
 		r.endSent(true)
-		r.explanation.recordStep("back end finished", r.server.id())
+		r.explanation.RecordStep("back end finished", r.server.id())
 	}
 	return event
 }
@@ -162,7 +163,7 @@
 		return
 	}
 	r.firstToken = true
-	r.explanation.recordStep("first token", r.server.id())
+	r.explanation.RecordStep("first token", r.server.id())
 	if r.isTrainingStep() {
 		// Steps wait behind live requests: their latency says nothing of how those are served.
 		return
@@ -186,7 +187,7 @@
 		r.service.admission.recordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.recordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
+	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
 	r.closeGeneration()
 	return fault.event()
 }
@@ -255,10 +256,10 @@
 
 func (r *turnRun) emit(event *protocol.TurnEvent) {
 	if f := event.GetFailed(); f != nil {
-		r.explanation.recordStep("failed", f.GetCode()+": "+f.GetMessage())
+		r.explanation.RecordStep("failed", f.GetCode()+": "+f.GetMessage())
 	}
 	if event.GetCompleted() != nil {
-		r.explanation.recordStep("completed", event.GetCompleted().GetTurnId())
+		r.explanation.RecordStep("completed", event.GetCompleted().GetTurnId())
 	}
 	if isTerminal(event) {
 		r.countEnd(event)
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -14,8 +14,8 @@
 // claim returns the session's epoch, from the ledger only once per owned session.
 func (r *turnRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
 	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.recordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
+	r.explanation.Update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
+	r.explanation.RecordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
 	return result
 }
 
@@ -31,7 +31,7 @@
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
 	turns, status := r.service.readTurns(r.ctx, r.key.program, lastTurn)
-	r.explanation.recordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
+	r.explanation.RecordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
 	}
@@ -41,15 +41,15 @@
 
 func (r *turnRun) admit() turn.Event {
 	if rejection := r.rejectUnreachable(); rejection != nil {
-		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
 	rejection := r.enter()
 	if rejection != nil {
-		r.explanation.recordStep("not admitted", rejection.GetMessage())
+		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
-	r.explanation.recordStep("admitted", r.request.GetPriority().String())
+	r.explanation.RecordStep("admitted", r.request.GetPriority().String())
 	return turn.Admitted{}
 }
 
@@ -102,7 +102,7 @@
 func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
 	result := r.service.ledgerDo(r.ctx, operation)
-	r.explanation.recordStep("ledger "+name, result.GetStatus().String())
+	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
 
@@ -123,7 +123,7 @@
 	wanted.prompt, wanted.output = requestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
 	wanted.step = r.stepPlacement(wanted.prompt)
 	server, decision := r.service.choose(wanted)
-	r.explanation.recordDecision(decision)
+	r.explanation.RecordDecision(decision)
 	if server == nil && r.pin != nil {
 		return r.versionUnavailable()
 	}
@@ -131,7 +131,7 @@
 		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
-		r.explanation.recordStep("no back end", r.route.GetGroup())
+		r.explanation.RecordStep("no back end", r.route.GetGroup())
 		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
 			"no back end of group "+r.route.GetGroup()+" can take the turn", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
@@ -149,7 +149,7 @@
 		return turn.BackEndFailed{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
 	r.issuedAt = r.now()
-	r.explanation.recordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
+	r.explanation.RecordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
 	r.server.inFlight.Add(1)
 	generation, err := r.service.client.generate(r.ctx, backEndRequest{
 		server: r.server, path: chatPath, body: body, requestID: r.request.GetRequestId(),
@@ -169,7 +169,7 @@
 	if granted {
 		r.service.metrics.retries.Inc()
 	}
-	r.explanation.recordStep("retry", fmt.Sprintf("granted %t", granted))
+	r.explanation.RecordStep("retry", fmt.Sprintf("granted %t", granted))
 	return turn.RetryDecided{Granted: granted}
 }
 
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -22,7 +22,7 @@
 		return s.serveLedger(ctx, body.Ledger, send)
 	case *protocol.Request_Explain:
 		return send(&protocol.Response{Body: &protocol.Response_Explain{Explain: &protocol.ExplainResponse{
-			Explanations: s.explanations.find(body.Explain.GetRequestId()),
+			Explanations: s.explanations.Find(body.Explain.GetRequestId()),
 		}}})
 	case *protocol.Request_LocateCore:
 		return send(&protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: s.link.LocateCore()}})
