--- a/internal/state/ledgerclient/attempt_timeouts.go
+++ b/internal/state/ledgerclient/attempt_timeouts.go
@@ -15,16 +15,16 @@
 )
 
 // patience says how long one replica is waited for.
-type patience struct {
-	attempt time.Duration
-	hedge   time.Duration
+type attemptTimeouts struct {
+	attempt    time.Duration
+	hedgeAfter time.Duration
 	// suspect makes a replica a suspect that is silent for longer than until the next one is asked.
-	suspect bool
+	marksSuspect bool
 }
 
-func (c *Client) patienceFor(operation *protocol.LedgerOperation) patience {
+func (c *Client) timeoutsFor(operation *protocol.LedgerOperation) attemptTimeouts {
 	if operation.GetTraceTrainingStep() != nil {
-		return patience{attempt: traceTimeout, hedge: traceHedgeAfter}
+		return attemptTimeouts{attempt: traceTimeout, hedgeAfter: traceHedgeAfter}
 	}
-	return patience{attempt: c.options.AttemptTimeout, hedge: c.options.HedgeAfter, suspect: true}
+	return attemptTimeouts{attempt: c.options.AttemptTimeout, hedgeAfter: c.options.HedgeAfter, marksSuspect: true}
 }
--- a/internal/state/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -25,12 +25,12 @@
 	DefaultAttemptTimeout = time.Second
 	DefaultHedgeAfter     = 80 * time.Millisecond
 	DefaultDeadline       = 10 * time.Second
-	firstWait             = 2 * time.Millisecond
-	longestWait           = 250 * time.Millisecond
+	initialBackoff        = 2 * time.Millisecond
+	maxBackoff            = 250 * time.Millisecond
 	// releaseTime is what the marking of a refused reservation may take beyond the caller's deadline.
-	releaseTime = 2 * time.Second
+	releaseTimeout = 2 * time.Second
 	// relayedTimeout bounds what is done for another front node, which asks elsewhere then.
-	relayedTimeout = 300 * time.Millisecond
+	relayedOperationTimeout = 300 * time.Millisecond
 )
 
 // Options configure a Client; zero values stand for the defaults.
@@ -55,16 +55,16 @@
 	view    func() *corelink.View
 	options Options
 	// suspects are tried last for a while.
-	suspects suspects
-	hedges   *hedges
+	suspects    suspects
+	hedgeBudget *hedgeBudget
 	// replicas knows which shards do not answer to this front node, shards which do not answer by any way.
-	replicas *outages
-	shards   *outages
-	relays   *relays
+	replicaOutages *outageDetector
+	shardOutages   *outageDetector
+	relayAnswers   *relayAnswers
 	// watched is true while Run probes shards.
-	watched atomic.Bool
+	checking atomic.Bool
 	// firstProbed is the first shard of the next round of probes; it belongs to Run.
-	firstProbed uint32
+	nextChecked uint32
 }
 
 // New makes a client that reads placement and addresses from view.
@@ -83,8 +83,8 @@
 	}
 	now := time.Now()
 	return &Client{
-		caller: caller, view: view, options: options, hedges: newHedges(now),
-		replicas: newOutages(replicaOutageAfter, now), shards: newOutages(shardOutageAfter, now), relays: newRelays(),
+		caller: caller, view: view, options: options, hedgeBudget: newHedgeBudget(now),
+		replicaOutages: newOutageDetector(replicaOutageAfter, now), shardOutages: newOutageDetector(shardOutageAfter, now), relayAnswers: newRelayAnswers(),
 	}
 }
 
@@ -105,19 +105,19 @@
 // run before Do returns, so that no late copy of it takes effect. Before a turn
 // is settled that continues one of another program, that one is kept as long.
 func (c *Client) Do(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
-	return c.do(ctx, operation, raceOptions{patient: endsSomething(operation)})
+	return c.do(ctx, operation, callOptions{persistent: concludesWork(operation)})
 }
 
 // DoDirectly carries an operation out for another front node: as Do does, but by asking replicas only. The answer
 // is LEDGER_UNAVAILABLE at once when they do not answer this front node either.
 func (c *Client) DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, relayedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, relayedOperationTimeout)
 	defer cancel()
-	return c.do(ctx, operation, raceOptions{directly: true})
+	return c.do(ctx, operation, callOptions{replicasOnly: true})
 }
 
 // endsSomething reports whether an operation ends what has begun, so that it is worth waiting for the ledger.
-func endsSomething(operation *protocol.LedgerOperation) bool {
+func concludesWork(operation *protocol.LedgerOperation) bool {
 	switch operation.GetBody().(type) {
 	case *protocol.LedgerOperation_SettleTurn, *protocol.LedgerOperation_ReleaseTurn, *protocol.LedgerOperation_FinishCall:
 		return true
@@ -126,7 +126,7 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, operation *protocol.LedgerOperation, options raceOptions) (*protocol.LedgerResult, error) {
+func (c *Client) do(ctx context.Context, operation *protocol.LedgerOperation, options callOptions) (*protocol.LedgerResult, error) {
 	if _, bounded := ctx.Deadline(); !bounded {
 		limited, cancel := context.WithTimeout(ctx, c.options.Deadline)
 		defer cancel()
@@ -135,31 +135,31 @@
 	if status, err := c.prolongForeignChain(ctx, operation, options); status != protocol.LedgerStatus_LEDGER_OK {
 		return ledger.ResultWithStatus(status), err
 	}
-	result, doubtful, err := c.run(ctx, operation, options)
-	if err != nil || !doubtful || !isRefusedReservation(operation.GetReserveTurn(), result) {
+	result, outcomeUnknown, err := c.run(ctx, operation, options)
+	if err != nil || !outcomeUnknown || !isRejectedReservation(operation.GetReserveTurn(), result) {
 		return result, err
 	}
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_STEP_MISMATCH {
 		return c.confirmMismatch(ctx, operation, result, options)
 	}
-	return c.confirmRefusal(ctx, operation, result, options)
+	return c.confirmRejection(ctx, operation, result, options)
 }
 
 // isRefusedReservation reports whether a reservation has not taken effect
 // according to the answer, but a late copy of it might.
-func isRefusedReservation(reserve *protocol.ReserveTurn, result *protocol.LedgerResult) bool {
+func isRejectedReservation(reserve *protocol.ReserveTurn, result *protocol.LedgerResult) bool {
 	switch result.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_BUDGET_SPENT, protocol.LedgerStatus_LEDGER_BUDGET_HELD,
 		protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION, protocol.LedgerStatus_LEDGER_STEP_MISMATCH:
 		return reserve != nil
 	case protocol.LedgerStatus_LEDGER_ALREADY_RESERVED:
-		return reserve != nil && !holdsReservation(result.GetProgram(), reserve.GetRequestId())
+		return reserve != nil && !hasReservation(result.GetProgram(), reserve.GetRequestId())
 	default:
 		return false
 	}
 }
 
-func holdsReservation(program *protocol.ProgramRecord, requestID string) bool {
+func hasReservation(program *protocol.ProgramRecord, requestID string) bool {
 	for _, open := range program.GetReservations() {
 		if open.GetRequestId() == requestID {
 			return true
@@ -170,23 +170,23 @@
 
 // confirmRefusal releases the request, which marks it as not run. When that
 // cannot be done the answer is LEDGER_UNAVAILABLE: nothing may be claimed.
-func (c *Client) confirmRefusal(ctx context.Context, operation *protocol.LedgerOperation, refusal *protocol.LedgerResult,
-	options raceOptions,
+func (c *Client) confirmRejection(ctx context.Context, operation *protocol.LedgerOperation, rejection *protocol.LedgerResult,
+	options callOptions,
 ) (*protocol.LedgerResult, error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	reserve := operation.GetReserveTurn()
-	released, _, err := c.run(ctx, releaseOf(operation.GetProgram(), reserve, refusal.GetEpoch()), options)
+	released, _, err := c.run(ctx, newRelease(operation.GetProgram(), reserve, rejection.GetEpoch()), options)
 	if err == nil && released.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED && reserve.GetClaim() != nil {
 		// A late copy would claim the session once more, so the epoch does not keep it out.
-		released, _, err = c.run(ctx, refusalOf(operation.GetProgram(), reserve), options)
+		released, _, err = c.run(ctx, newTombstone(operation.GetProgram(), reserve), options)
 	}
 	if err != nil {
 		return nil, err
 	}
 	switch released.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_FENCED:
-		return refusal, nil
+		return rejection, nil
 	default:
 		return released, nil
 	}
@@ -194,24 +194,24 @@
 
 // confirmMismatch marks a request as not run that was refused since its program does not belong to the step. The
 // refusal claimed no session, so that no epoch is known. A request that ended before stays refused.
-func (c *Client) confirmMismatch(ctx context.Context, operation *protocol.LedgerOperation, refusal *protocol.LedgerResult,
-	options raceOptions,
+func (c *Client) confirmMismatch(ctx context.Context, operation *protocol.LedgerOperation, rejection *protocol.LedgerResult,
+	options callOptions,
 ) (*protocol.LedgerResult, error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	refused, _, err := c.run(ctx, refusalOf(operation.GetProgram(), operation.GetReserveTurn()), options)
+	tombstone, _, err := c.run(ctx, newTombstone(operation.GetProgram(), operation.GetReserveTurn()), options)
 	switch {
 	case err != nil:
 		return nil, err
-	case refused.GetStatus() == protocol.LedgerStatus_LEDGER_OK, refused.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		return refusal, nil
+	case tombstone.GetStatus() == protocol.LedgerStatus_LEDGER_OK, tombstone.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
+		return rejection, nil
 	default:
-		return refused, nil
+		return tombstone, nil
 	}
 }
 
 // refusalOf marks the request of a reservation as not run, whatever the epoch of its session.
-func refusalOf(program string, reserve *protocol.ReserveTurn) *protocol.LedgerOperation {
+func newTombstone(program string, reserve *protocol.ReserveTurn) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: program,
 		Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
@@ -222,7 +222,7 @@
 
 // prolongForeignChain keeps the turns of other programs that a turn continues as long as the
 // turn itself. That some are gone is no reason not to settle a turn that has run.
-func (c *Client) prolongForeignChain(ctx context.Context, operation *protocol.LedgerOperation, options raceOptions) (protocol.LedgerStatus, error) {
+func (c *Client) prolongForeignChain(ctx context.Context, operation *protocol.LedgerOperation, options callOptions) (protocol.LedgerStatus, error) {
 	turn := operation.GetSettleTurn().GetTurn()
 	until := turn.GetKeepUntilMillis()
 	for turn.GetPreviousProgram() != "" && turn.GetPreviousProgram() != turn.GetProgram() {
@@ -248,7 +248,7 @@
 }
 
 // releaseOf releases a reservation under the epoch that it named or claimed.
-func releaseOf(program string, reserve *protocol.ReserveTurn, claimed uint64) *protocol.LedgerOperation {
+func newRelease(program string, reserve *protocol.ReserveTurn, claimed uint64) *protocol.LedgerOperation {
 	epoch := reserve.GetEpoch()
 	if reserve.GetClaim() != nil {
 		epoch = claimed
--- a/internal/state/ledgerclient/hedge_budget.go
+++ b/internal/state/ledgerclient/hedge_budget.go
@@ -13,38 +13,38 @@
 )
 
 // hedges decides whether a silent replica is reason enough to ask another one.
-type hedges struct {
+type hedgeBudget struct {
 	mutex sync.Mutex
 	// heard is when each replica last carried a change out.
-	heard  map[string]time.Time
-	tokens float64
-	at     time.Time
+	lastChange map[string]time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-func newHedges(now time.Time) *hedges {
-	return &hedges{heard: map[string]time.Time{}, tokens: hedgeBurst, at: now}
+func newHedgeBudget(now time.Time) *hedgeBudget {
+	return &hedgeBudget{lastChange: map[string]time.Time{}, tokens: hedgeBurst, refilledAt: now}
 }
 
 // note remembers that a replica carried a change out.
-func (h *hedges) note(address string, now time.Time) {
+func (h *hedgeBudget) recordChange(address string, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.heard[address] = now
+	h.lastChange[address] = now
 }
 
 // heardSince reports whether a replica carried a change out after a time: it is slow then, and not away.
-func (h *hedges) heardSince(address string, since time.Time) bool {
+func (h *hedgeBudget) changedSince(address string, since time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.heard[address].After(since)
+	return h.lastChange[address].After(since)
 }
 
 // take reports whether one more hedge is in the budget.
-func (h *hedges) take(now time.Time) bool {
+func (h *hedgeBudget) allow(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.tokens = min(hedgeBurst, h.tokens+now.Sub(h.at).Seconds()*hedgesPerSecond)
-	h.at = now
+	h.tokens = min(hedgeBurst, h.tokens+now.Sub(h.refilledAt).Seconds()*hedgesPerSecond)
+	h.refilledAt = now
 	if h.tokens < 1 {
 		return false
 	}
--- a/internal/state/ledgerclient/relays.go
+++ b/internal/state/ledgerclient/relays.go
@@ -13,32 +13,32 @@
 
 const (
 	// relaySample is how many other front nodes are asked to carry operations out.
-	relaySample = 3
+	maxRelays = 3
 	// heardWithin is how old the last word of another front node may be.
-	heardWithin = 2 * time.Second
+	relayAnswerTTL = 2 * time.Second
 )
 
 // relays remembers when other front nodes answered, whatever they said.
-type relays struct {
-	mutex sync.Mutex
-	heard map[string]time.Time
+type relayAnswers struct {
+	mutex      sync.Mutex
+	lastAnswer map[string]time.Time
 }
 
-func newRelays() *relays { return &relays{heard: map[string]time.Time{}} }
+func newRelayAnswers() *relayAnswers { return &relayAnswers{lastAnswer: map[string]time.Time{}} }
 
-func (r *relays) note(address string, now time.Time) {
+func (r *relayAnswers) record(address string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.heard[address] = now
+	r.lastAnswer[address] = now
 }
 
 // countHeard is the number of addresses that answered lately.
-func (r *relays) countHeard(addresses []string, now time.Time) int {
+func (r *relayAnswers) countRecent(addresses []string, now time.Time) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
 	for _, address := range addresses {
-		if at, known := r.heard[address]; known && now.Sub(at) < heardWithin {
+		if at, known := r.lastAnswer[address]; known && now.Sub(at) < relayAnswerTTL {
 			count++
 		}
 	}
@@ -60,19 +60,19 @@
 	}
 	slices.SortFunc(others, func(a, b *protocol.Node) int {
 		if sameZone := a.GetZone() == self.GetZone(); sameZone != (b.GetZone() == self.GetZone()) {
-			return cmp.Compare(boolRank(sameZone), boolRank(!sameZone))
+			return cmp.Compare(falseFirst(sameZone), falseFirst(!sameZone))
 		}
 		return cmp.Compare(relayHash(self, a), relayHash(self, b))
 	})
 	var addresses []string
-	for _, node := range others[:min(len(others), relaySample)] {
+	for _, node := range others[:min(len(others), maxRelays)] {
 		addresses = append(addresses, node.GetAddress())
 	}
 	return addresses
 }
 
 // boolRank puts what is false before what is true.
-func boolRank(value bool) int {
+func falseFirst(value bool) int {
 	if value {
 		return 1
 	}
--- a/internal/state/ledgerclient/suspects.go
+++ b/internal/state/ledgerclient/suspects.go
@@ -7,7 +7,7 @@
 )
 
 // suspectTime is how long a replica that did not answer is tried after the others.
-const suspectTime = 2 * time.Second
+const suspectTTL = 2 * time.Second
 
 // suspects remembers replicas that did not answer, so that one that is frozen
 // costs one operation its time and not all of them.
@@ -22,7 +22,7 @@
 	if s.until == nil {
 		s.until = map[string]time.Time{}
 	}
-	s.until[address] = time.Now().Add(suspectTime)
+	s.until[address] = time.Now().Add(suspectTTL)
 }
 
 func (s *suspects) clear(address string) {
@@ -32,7 +32,7 @@
 }
 
 // last moves suspected addresses behind the others and keeps the order otherwise.
-func (s *suspects) last(addresses []string) []string {
+func (s *suspects) sortLast(addresses []string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.until) == 0 {
--- a/internal/state/ledgerclient/targets.go
+++ b/internal/state/ledgerclient/targets.go
@@ -30,12 +30,12 @@
 		epoch = view.Placement.GetEpoch()
 	}
 	var targets []target
-	if !directly && c.replicas.isOut(c.shardOf(operation), time.Now()) {
-		for _, address := range c.suspects.last(c.relayAddresses()) {
+	if !directly && c.replicaOutages.isOut(c.shardOf(operation), time.Now()) {
+		for _, address := range c.suspects.sortLast(c.relayAddresses()) {
 			targets = append(targets, target{address: address, relay: true})
 		}
 	}
-	for _, address := range c.suspects.last(c.liveReplicas(view, shard)) {
+	for _, address := range c.suspects.sortLast(c.liveReplicas(view, shard)) {
 		targets = append(targets, target{address: address, epoch: epoch})
 	}
 	return targets
@@ -43,11 +43,11 @@
 
 // shardOf is the shard that serves an operation.
 func (c *Client) shardOf(operation *protocol.LedgerOperation) uint32 {
-	return ledger.ShardOf(placedBy(operation), c.shardCount())
+	return ledger.ShardOf(shardKey(operation), c.shardCount())
 }
 
 // placedBy gives the text whose shard serves the operation. Any store can look for a turn whose program is not known.
-func placedBy(operation *protocol.LedgerOperation) string {
+func shardKey(operation *protocol.LedgerOperation) string {
 	if find := operation.GetFindTurn(); find != nil {
 		return find.GetTurnId()
 	}
