--- a/internal/state/ledgerclient/attempt.go
+++ b/internal/state/ledgerclient/attempt.go
@@ -13,54 +13,73 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
+// attemptOutcome is what is known of an attempt's effect; the package comment has a table.
 type attemptOutcome int
 
 const (
-	// attemptFinal has the answer.
+	// attemptAnswered has a final answer, or an error that says that no store applies the operation.
 	attemptAnswered attemptOutcome = iota
-	// attemptNotSent surely has not taken effect.
+	// attemptNotSent certainly has not taken effect.
 	attemptNotSent
-	// attemptBroken may have taken effect, or may do so later; this replica did not say.
+	// attemptUnanswered may have taken effect, or may do so later; this replica did not answer.
 	attemptUnanswered
-	// attemptUndecided may have taken effect, or may do so later; the replica that answers could not decide now.
+	// attemptUndecided may have taken effect, or may do so later; the replica could not decide now.
 	attemptUndecided
-	// attemptOutOfTime may have taken effect, or may do so later, and the caller's time is over.
+	// attemptDeadlineExceeded may have taken effect, or may do so later, and the caller's deadline is over.
 	attemptDeadlineExceeded
 )
 
-// attempt asks one replica, also when its caller has the answer of another one meanwhile. One that is silent for too long is tried last for a while.
+// attempt sends an operation to one target. It goes on when its caller has the answer of another one meanwhile, so that
+// a replica that does not answer in time is suspected.
 func (c *Client) attempt(ctx context.Context, to target, operation *protocol.LedgerOperation) attemptResult {
 	began := time.Now()
 	timeouts := c.timeoutsFor(operation)
-	ends := began.Add(timeouts.attempt)
-	callerEnds, bounded := ctx.Deadline()
-	endsWithCaller := bounded && callerEnds.Before(ends)
+	deadline := began.Add(timeouts.attempt)
+	callerDeadline, bounded := ctx.Deadline()
+	endsWithCaller := bounded && callerDeadline.Before(deadline)
 	if endsWithCaller {
-		ends = callerEnds
+		deadline = callerDeadline
 	}
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), ends)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	suspicion := time.AfterFunc(suspectAfter(timeouts.hedgeAfter), func() {
+	suspicion := time.AfterFunc(timeouts.suspectAfter(), func() {
 		if timeouts.marksSuspect && !c.hedgeBudget.changedSince(to.address, began) {
 			c.suspects.add(to.address)
 		}
 	})
-	planned := proto.CloneOf(operation)
-	planned.PlacementEpoch = to.epoch
-	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: planned}})
+	result, err := c.send(ctx, to, operation)
 	suspicion.Stop()
 	c.recordRelayAnswer(to, err)
+	if err != nil && endsWithCaller && errors.Is(err, context.DeadlineExceeded) {
+		return attemptResult{outcome: attemptDeadlineExceeded, err: err}
+	}
 	if err != nil {
-		if endsWithCaller && errors.Is(err, context.DeadlineExceeded) {
-			return attemptResult{outcome: attemptDeadlineExceeded, err: err}
-		}
-		var answered *failure.Error
-		if !errors.As(err, &answered) {
-			c.suspects.add(to.address)
-		}
-		return attemptResult{outcome: outcomeOf(err), err: err}
+		return c.handleAttemptError(to, err)
 	}
-	result := response.GetLedger()
+	return c.handleAttemptAnswer(to, operation, result)
+}
+
+// send calls the target with a copy of the operation under the target's placement epoch.
+func (c *Client) send(
+	ctx context.Context, to target, operation *protocol.LedgerOperation,
+) (*protocol.LedgerResult, error) {
+	placed := proto.CloneOf(operation)
+	placed.PlacementEpoch = to.epoch
+	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: placed}})
+	return response.GetLedger(), err
+}
+
+// handleAttemptError suspects a target that failed without an answer of its own.
+func (c *Client) handleAttemptError(to target, err error) attemptResult {
+	if !isAnswer(err) {
+		c.suspects.add(to.address)
+	}
+	return attemptResult{outcome: outcomeOf(err), err: err}
+}
+
+func (c *Client) handleAttemptAnswer(
+	to target, operation *protocol.LedgerOperation, result *protocol.LedgerResult,
+) attemptResult {
 	switch result.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE:
 		c.suspects.add(to.address)
@@ -77,15 +96,20 @@
 	}
 }
 
-// noteRelay remembers that another front node answered, be it with a failure.
-func (c *Client) recordRelayAnswer(to target, err error) {
+// isAnswer reports whether an error is a failure that the target answered with.
+func isAnswer(err error) bool {
 	var answered *failure.Error
-	if to.relay && (err == nil || errors.As(err, &answered)) {
+	return errors.As(err, &answered)
+}
+
+// recordRelayAnswer records that another front node answered, with a result or a failure.
+func (c *Client) recordRelayAnswer(to target, err error) {
+	if to.relay && (err == nil || isAnswer(err)) {
 		c.relayAnswers.record(to.address, time.Now())
 	}
 }
 
-// noteAnswer remembers that the shard of an operation answered.
+// recordAnswer records that the shard of an operation answered.
 func (c *Client) recordAnswer(to target, operation *protocol.LedgerOperation) {
 	shard, now := c.shardOf(operation), time.Now()
 	c.shardOutages.observeAnswer(shard, now)
@@ -94,12 +118,8 @@
 	}
 }
 
-// silenceOf is how long a replica may be silent before it is suspected: longer than until the
-// next one is asked, so that a store that is only slow keeps its programs.
-func suspectAfter(hedgeAfter time.Duration) time.Duration { return 2 * hedgeAfter }
-
-// outcomeOf tells what became of a try that has no answer. A failure that says
-// the operation itself is wrong is final.
+// outcomeOf returns what is known of an attempt that failed. A failure that says that the operation itself is invalid
+// is final.
 func outcomeOf(err error) attemptOutcome {
 	var notSent *wire.NotSentError
 	var failed *failure.Error
--- a/internal/state/ledgerclient/attempt_timeouts.go
+++ b/internal/state/ledgerclient/attempt_timeouts.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// traceTimeout bounds one try of a trace, which reads many programs from all stores.
+	// traceTimeout bounds one attempt of a trace, which reads many programs from all stores.
 	traceTimeout = 8 * time.Second
-	// traceHedgeAfter is how long a store may take over a trace before another one is asked too. Silence while it
-	// works does not make the store a suspect, which would move the programs it proposes for elsewhere.
+	// traceHedgeAfter is how long a store may take for a trace before a hedge is sent. A store that works on one is not
+	// suspected, which would move the programs that it proposes for to other stores.
 	traceHedgeAfter = 2 * time.Second
 )
 
-// patience says how long one replica is waited for.
+// attemptTimeouts say how long one replica may take.
 type attemptTimeouts struct {
 	attempt    time.Duration
 	hedgeAfter time.Duration
-	// suspect makes a replica a suspect that is silent for longer than until the next one is asked.
+	// marksSuspect says that a replica is suspected when it does not answer within suspectAfter.
 	marksSuspect bool
 }
 
+// suspectAfter is longer than the time until a hedge is sent, so that a store that is only slow keeps its programs.
+func (t attemptTimeouts) suspectAfter() time.Duration { return 2 * t.hedgeAfter }
+
 func (c *Client) timeoutsFor(operation *protocol.LedgerOperation) attemptTimeouts {
 	if operation.GetTraceTrainingStep() != nil {
 		return attemptTimeouts{attempt: traceTimeout, hedgeAfter: traceHedgeAfter}
--- a/internal/state/ledgerclient/client_test.go
+++ b/internal/state/ledgerclient/client_test.go
@@ -16,9 +16,12 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// scripted answers each call with the next of its answers and remembers the calls.
+// answer is what a scripted call returns.
+type answer func() (*protocol.LedgerResult, error)
+
+// scripted answers each call with the next of its answers and records the calls.
 type scripted struct {
-	answers   []func() (*protocol.LedgerResult, error)
+	answers   []answer
 	addresses []string
 	sent      []*protocol.LedgerOperation
 }
@@ -35,11 +38,11 @@
 	return nil, errors.New("not streamed")
 }
 
-func answers(status protocol.LedgerStatus) func() (*protocol.LedgerResult, error) {
+func answers(status protocol.LedgerStatus) answer {
 	return func() (*protocol.LedgerResult, error) { return &protocol.LedgerResult{Status: status}, nil }
 }
 
-func fails(err error) func() (*protocol.LedgerResult, error) {
+func fails(err error) answer {
 	return func() (*protocol.LedgerResult, error) { return nil, err }
 }
 
@@ -53,27 +56,31 @@
 		Membership: &protocol.MembershipView{},
 	}
 	for _, name := range live {
-		view.Membership.Nodes = append(view.Membership.Nodes, &protocol.Node{Name: name, Kind: protocol.NodeKind_STORE, Address: "at-" + name})
+		view.Membership.Nodes = append(view.Membership.Nodes,
+			&protocol.Node{Name: name, Kind: protocol.NodeKind_STORE, Address: "at-" + name})
 	}
 	return view
 }
 
 const (
-	ok          = protocol.LedgerStatus_LEDGER_OK
-	held        = protocol.LedgerStatus_LEDGER_BUDGET_HELD
-	unavailable = protocol.LedgerStatus_LEDGER_UNAVAILABLE
+	ok             = protocol.LedgerStatus_LEDGER_OK
+	budgetReserved = protocol.LedgerStatus_LEDGER_BUDGET_HELD
+	unavailable    = protocol.LedgerStatus_LEDGER_UNAVAILABLE
 )
 
-var reserve = &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-	RequestId: "r", Session: "s", Epoch: 3, Ceiling: 10,
-}}}
+var reserve = &protocol.LedgerOperation{
+	Program: "p",
+	Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+		RequestId: "r", Session: "s", Epoch: 3, Ceiling: 10,
+	}},
+}
 
-// inVirtualTime runs a test in a bubble of virtual time, so that how fast the machine is decides neither whether
-// another replica is asked as well nor whether an attempt ends.
+// inVirtualTime runs a test in a bubble of virtual time, so that the speed of the machine decides neither whether
+// a hedge is sent nor whether an attempt ends.
 func inVirtualTime(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		// Attempts outlive their operations; they end by themselves.
+		// Attempts outlive their operations; the attempt timeout ends them.
 		defer pass(ledgerclient.DefaultAttemptTimeout)
 		test(t)
 	})
@@ -84,39 +91,43 @@
 	broken := &wire.BrokenError{Cause: errors.New("reset")}
 	for name, story := range map[string]struct {
 		live      []string
-		script    []func() (*protocol.LedgerResult, error)
+		script    []answer
 		want      protocol.LedgerStatus
 		wantError failure.Code
 		addresses []string
 		released  bool
 	}{
 		"the first live replica answers": {
-			live: []string{"a", "b", "c"}, script: []func() (*protocol.LedgerResult, error){answers(ok)}, want: ok,
+			live: []string{"a", "b", "c"}, script: []answer{answers(ok)}, want: ok,
 			addresses: []string{"at-a"},
 		},
-		"a replica without a lease is passed over": {
-			live: []string{"b", "c"}, script: []func() (*protocol.LedgerResult, error){answers(ok)}, want: ok,
+		"a replica without a lease is skipped": {
+			live: []string{"b", "c"}, script: []answer{answers(ok)}, want: ok,
 			addresses: []string{"at-b"},
 		},
-		"the next replica is tried when one is not reached": {
-			live: []string{"a", "b", "c"}, script: []func() (*protocol.LedgerResult, error){fails(notSent), answers(ok)}, want: ok,
+		"the next replica is attempted when one is not reached": {
+			live: []string{"a", "b", "c"}, script: []answer{fails(notSent), answers(ok)}, want: ok,
 			addresses: []string{"at-a", "at-b"},
 		},
-		"a refusal after tries that surely did not arrive stands as it is": {
-			live: []string{"a", "b", "c"}, script: []func() (*protocol.LedgerResult, error){fails(notSent), answers(held)}, want: held,
+		"a rejection after attempts that certainly did not arrive is returned as it is": {
+			live:      []string{"a", "b", "c"},
+			script:    []answer{fails(notSent), answers(budgetReserved)},
+			want:      budgetReserved,
 			addresses: []string{"at-a", "at-b"},
 		},
-		"a refusal after a try with an unknown end is confirmed by a tombstone": {
-			live: []string{"a", "b", "c"}, script: []func() (*protocol.LedgerResult, error){fails(broken), answers(held), answers(ok)}, want: held,
+		"a rejection after an attempt with an unknown outcome is confirmed by a tombstone": {
+			live:      []string{"a", "b", "c"},
+			script:    []answer{fails(broken), answers(budgetReserved), answers(ok)},
+			want:      budgetReserved,
 			addresses: []string{"at-a", "at-b", "at-b"}, released: true,
 		},
-		"an unavailable majority is asked again elsewhere": {
-			live: []string{"a", "b", "c"}, script: []func() (*protocol.LedgerResult, error){answers(unavailable), answers(ok)}, want: ok,
+		"an unavailable majority is retried at another replica": {
+			live: []string{"a", "b", "c"}, script: []answer{answers(unavailable), answers(ok)}, want: ok,
 			addresses: []string{"at-a", "at-b"},
 		},
-		"an operation that no store applies is not tried again": {
+		"an operation that no store applies is not retried": {
 			live: []string{"a", "b", "c"}, wantError: failure.InvalidField,
-			script:    []func() (*protocol.LedgerResult, error){fails(failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "bad"))},
+			script:    []answer{fails(failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "bad"))},
 			addresses: []string{"at-a"},
 		},
 	} {
@@ -136,13 +147,14 @@
 					t.Fatalf("got %v, %v", result, err)
 				}
 				if !slices.Equal(caller.addresses, story.addresses) {
-					t.Errorf("asked %v", caller.addresses)
+					t.Errorf("called %v", caller.addresses)
 				}
 				last := caller.sent[len(caller.sent)-1]
 				if last.GetPlacementEpoch() != 7 {
 					t.Errorf("named placement epoch %d", last.GetPlacementEpoch())
 				}
-				if released := last.GetReleaseTurn(); (released != nil) != story.released || story.released && released.GetRequestId() != "r" {
+				released := last.GetReleaseTurn()
+				if (released != nil) != story.released || story.released && released.GetRequestId() != "r" {
 					t.Errorf("sent %v last", last)
 				}
 				if reserve.GetPlacementEpoch() != 0 {
@@ -153,9 +165,9 @@
 	}
 }
 
-func TestDoTriesAReplicaThatDidNotAnswerLast(t *testing.T) {
+func TestDoAttemptsASuspectedReplicaLast(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &scripted{answers: []func() (*protocol.LedgerResult, error){
+		caller := &scripted{answers: []answer{
 			fails(&wire.BrokenError{Cause: errors.New("reset")}), answers(ok),
 		}}
 		view := viewOf(7, "a", "b", "c")
@@ -168,7 +180,7 @@
 			}
 		}
 		if want := []string{"at-a", "at-b", "at-b"}; !slices.Equal(caller.addresses, want) {
-			t.Fatalf("asked %v, wanted %v", caller.addresses, want)
+			t.Fatalf("called %v, wanted %v", caller.addresses, want)
 		}
 	})
 }
@@ -176,7 +188,7 @@
 func TestDoWaitsForANewerPlacement(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		view := viewOf(7, "a", "b", "c")
-		caller := &scripted{answers: []func() (*protocol.LedgerResult, error){
+		caller := &scripted{answers: []answer{
 			answers(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT), answers(ok),
 		}}
 		client := ledgerclient.New(caller, func() *corelink.View { return view }, ledgerclient.Options{
@@ -186,7 +198,7 @@
 			t.Fatalf("got %v, %v", result, err)
 		}
 		if epoch := caller.sent[1].GetPlacementEpoch(); epoch != 8 {
-			t.Fatalf("tried again under epoch %d", epoch)
+			t.Fatalf("retried under epoch %d", epoch)
 		}
 	})
 }
--- a/internal/state/ledgerclient/health_check.go
+++ b/internal/state/ledgerclient/health_check.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// probeInterval is the time between two rounds of probes.
+	// healthCheckInterval is the time between two rounds of health checks; it bounds how late a client notices that a
+	// shard answers again.
 	healthCheckInterval = 250 * time.Millisecond
-	// probeTimeout bounds one probe. It is longer than another front node takes to say that it has no answer.
+	// healthCheckTimeout bounds one health check. It is longer than relayedOperationTimeout, so that a relay can answer
+	// that it reaches no replica either.
 	healthCheckTimeout = 450 * time.Millisecond
-	// probesAtOnce bounds the shards that are probed in one round.
+	// maxConcurrentHealthChecks bounds the shards that are out and checked in one round.
 	maxConcurrentHealthChecks = 4
-	// idleAfter is how long no shard has answered before one is probed that is not out.
+	// idleCheckAfter is how long no shard has answered before one that is not out is checked.
 	idleCheckAfter = time.Second
-	// probeProgram begins the names of the programs that probes read; none of them exists.
+	// healthCheckProgramPrefix begins the names of the programs that health checks read; none of them exists.
 	healthCheckProgramPrefix = "ledger-probe-"
 )
 
-// Run probes shards until the context ends: those that are out, to find out when they answer again, and one after the
-// other when nothing else is asked of the ledger. Operations end early, and programs are said to be unreachable,
-// only while it runs.
+// Run checks the health of shards until the context ends: of those that are out, to find out when they answer again,
+// and of one shard while no other operation is sent. Operations give up early, and programs are reported as
+// unreachable, only while it runs.
 func (c *Client) Run(ctx context.Context) {
 	c.checking.Store(true)
 	defer c.checking.Store(false)
@@ -41,18 +43,21 @@
 	}
 }
 
-// Unreachable reports whether the shard of a program has answered nothing for a while, neither to this front node
-// nor by way of another one.
+// Unreachable reports whether the shard of a program is out: it has not answered for shardOutageAfter, neither this
+// front node nor a relay.
 func (c *Client) Unreachable(program string) bool {
 	count := c.shardCount()
 	return count > 0 && c.checking.Load() && c.shardOutages.isOut(ledger.ShardOf(program, count), time.Now())
 }
 
-// CutOff reports whether this front node alone, or a smaller part of them, cannot reach the ledger. When most of the
-// front nodes that it asks answer that they cannot either, the stores are at fault and not this node.
+// Isolated reports whether this front node alone, or a minority of them, does not reach the ledger. When most of its
+// relays answer, even if only that they reach no store either, the stores are at fault and not this node.
 func (c *Client) Isolated() bool {
 	now := time.Now()
-	if !c.checking.Load() || c.shardOutages.sinceLastAnswer(now) < shardOutageAfter || !c.shardOutages.anyOut(c.shardCount(), now) {
+	if !c.checking.Load() || c.shardOutages.sinceLastAnswer(now) < shardOutageAfter {
+		return false
+	}
+	if !c.shardOutages.anyOut(c.shardCount(), now) {
 		return false
 	}
 	others := c.relayAddresses()
@@ -61,7 +66,7 @@
 
 func (c *Client) shardCount() int { return len(c.view().Placement.GetShards()) }
 
-// probeDue makes one round of probes.
+// checkDueShards makes one round of health checks.
 func (c *Client) checkDueShards(ctx context.Context) {
 	var checks sync.WaitGroup
 	for _, shard := range c.dueShards() {
@@ -70,22 +75,16 @@
 	checks.Wait()
 }
 
-// dueShards names the shards to probe: some of those that are out, and one more when nothing was heard of the ledger.
+// dueShards returns the shards to check: some of those that are out, in rotation, and one more when no shard has
+// answered recently.
 func (c *Client) dueShards() []uint32 {
 	now := time.Now()
 	count := uint32(c.shardCount())
-	idle := c.replicaOutages.sinceLastAnswer(now) >= idleCheckAfter
-	var due []uint32
-	for step := range count {
-		shard := (c.nextChecked + step) % count
-		if len(due) < maxConcurrentHealthChecks && c.isOut(shard, now) {
-			due = append(due, shard)
-		}
-	}
-	if len(due) > 0 {
-		c.nextChecked = due[len(due)-1] + 1
+	due := c.nextOutShards(count, now)
+	if c.replicaOutages.sinceLastAnswer(now) < idleCheckAfter {
+		return due
 	}
-	for shard := uint32(0); idle && shard < count; shard++ {
+	for shard := range count {
 		if !c.isOut(shard, now) {
 			return append(due, shard)
 		}
@@ -93,11 +92,26 @@
 	return due
 }
 
+// nextOutShards returns shards that are out, starting behind those of the round before.
+func (c *Client) nextOutShards(count uint32, now time.Time) []uint32 {
+	var out []uint32
+	for step := range count {
+		shard := (c.nextChecked + step) % count
+		if len(out) < maxConcurrentHealthChecks && c.isOut(shard, now) {
+			out = append(out, shard)
+		}
+	}
+	if len(out) > 0 {
+		c.nextChecked = out[len(out)-1] + 1
+	}
+	return out
+}
+
 func (c *Client) isOut(shard uint32, now time.Time) bool {
 	return c.replicaOutages.isOut(shard, now) || c.shardOutages.isOut(shard, now)
 }
 
-// probe reads a turn that does not exist: from the replicas, and by way of other front nodes when those are out.
+// checkShard reads a turn that does not exist: from the replicas, and by relays when those are out.
 func (c *Client) checkShard(ctx context.Context, shard uint32) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -112,7 +126,7 @@
 	checks.Wait()
 }
 
-// probeOf reads the last turn of a program of a shard that does not exist.
+// newHealthCheck returns a read of the last turn of a program of the shard that does not exist.
 func newHealthCheck(shard uint32, count int) *protocol.LedgerOperation {
 	for number := 0; ; number++ {
 		name := healthCheckProgramPrefix + strconv.Itoa(number)
--- a/internal/state/ledgerclient/hedge_budget.go
+++ b/internal/state/ledgerclient/hedge_budget.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// hedgeBurst and hedgesPerSecond bound how often a second replica is asked while one is silent. Stores that are
-	// overloaded get no more than that on top; each hedge makes two stores propose for one program.
+	// hedgeBurst and hedgesPerSecond bound the hedges of a client. Overloaded stores get no more than that on top of
+	// their load; each hedge makes two stores propose for one program.
 	hedgeBurst      = 64
 	hedgesPerSecond = 20
 )
 
-// hedges decides whether a silent replica is reason enough to ask another one.
+// hedgeBudget is a token bucket for hedges, with the replicas' last changes, which show a slow one from a frozen one.
 type hedgeBudget struct {
 	mutex sync.Mutex
-	// heard is when each replica last carried a change out.
+	// lastChange is when each replica, by address, last answered that it carried out a change.
 	lastChange map[string]time.Time
 	tokens     float64
 	refilledAt time.Time
@@ -25,29 +25,29 @@
 	return &hedgeBudget{lastChange: map[string]time.Time{}, tokens: hedgeBurst, refilledAt: now}
 }
 
-// note remembers that a replica carried a change out.
-func (h *hedgeBudget) recordChange(address string, now time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.lastChange[address] = now
+// recordChange records that a replica carried out a change.
+func (b *hedgeBudget) recordChange(address string, now time.Time) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.lastChange[address] = now
 }
 
-// heardSince reports whether a replica carried a change out after a time: it is slow then, and not away.
-func (h *hedgeBudget) changedSince(address string, since time.Time) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.lastChange[address].After(since)
+// changedSince reports whether a replica carried out a change after a time.
+func (b *hedgeBudget) changedSince(address string, since time.Time) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.lastChange[address].After(since)
 }
 
-// take reports whether one more hedge is in the budget.
-func (h *hedgeBudget) allow(now time.Time) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.tokens = min(hedgeBurst, h.tokens+now.Sub(h.refilledAt).Seconds()*hedgesPerSecond)
-	h.refilledAt = now
-	if h.tokens < 1 {
+// allow reports whether the budget has a token for one more hedge, and takes it.
+func (b *hedgeBudget) allow(now time.Time) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.tokens = min(hedgeBurst, b.tokens+now.Sub(b.refilledAt).Seconds()*hedgesPerSecond)
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	h.tokens--
+	b.tokens--
 	return true
 }
--- a/internal/state/ledgerclient/hedged_call.go
+++ b/internal/state/ledgerclient/hedged_call.go
@@ -10,162 +10,184 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// race is one operation on its way: usually one attempt after the other, with
-// a further one at another replica while one is silent.
+// maxConcurrentAttempts bounds the attempts in flight for one operation: the first one and one hedge.
+const maxConcurrentAttempts = 2
+
+// hedgedCall is one operation in progress: usually one attempt after another, with a hedge to another replica while one
+// does not answer. It belongs to the goroutine of run; attempts only send to results.
 type hedgedCall struct {
 	callOptions
 	client    *Client
 	operation *protocol.LedgerOperation
 	shard     uint32
-	results   chan attemptResult
-	ended     chan struct{}
-	// inFlight counts attempts without an answer, tried names the replicas of this round.
-	inFlight  int
+
+	results chan attemptResult
+	// ended is closed when the operation returns; attempts that end later drop their result.
+	ended chan struct{}
+	// inFlight counts attempts without a result.
+	inFlight int
+	// attempted are the addresses of the targets that had an attempt since the last backoff.
 	attempted []string
-	// doubtful says that an attempt that ended may have taken effect, or may still do so.
+	// outcomeUnknown says that an attempt that ended may have taken effect, or may still do so.
 	outcomeUnknown bool
-	// relayed says that another front node was asked, beyond the attempts that are under way else.
+	// relayed says that a relay was already requested beside the attempts in flight.
 	relayed bool
+	// backoff is the upper bound of the next random wait.
 	backoff time.Duration
 }
 
-// raceOptions say how far an operation goes for its answer.
+// callOptions say how far an operation goes for its answer.
 type callOptions struct {
-	// directly asks replicas only, not other front nodes.
+	// replicasOnly sends to replicas only, not to other front nodes.
 	replicasOnly bool
-	// patient goes on while the shard is unreachable, until the context ends.
+	// persistent goes on while the shard is unreachable, until the context ends.
 	persistent bool
 }
 
-// attemptAnswer is how one attempt ended.
+// attemptResult is how one attempt ended. Either result or err is set with attemptAnswered.
 type attemptResult struct {
 	result  *protocol.LedgerResult
 	outcome attemptOutcome
 	err     error
 }
 
-// attemptsAtOnce bounds the attempts under way for one operation.
-const maxConcurrentAttempts = 2
-
-// raceStep says what a race does next.
+// callStep is what a hedged call does next.
 type callStep int
 
 const (
-	// stepNext tries the next replica at once.
+	// stepNextTarget attempts the next target at once.
 	stepNextTarget callStep = iota
-	// stepRest waits before the next try.
+	// stepBackOff waits before the next attempt.
 	stepBackOff
-	// stepFinal has the answer.
+	// stepReturn has the final answer.
 	stepReturn
 )
 
-// run sends the operation until an answer is final. doubtful says that an
-// earlier try may have taken effect, or may still do so.
-func (c *Client) run(ctx context.Context, operation *protocol.LedgerOperation, options callOptions) (result *protocol.LedgerResult, outcomeUnknown bool, err error) {
-	r := &hedgedCall{
+// run sends the operation until an answer is final. outcomeUnknown says that an earlier attempt may have taken effect,
+// or may still do so.
+func (c *Client) run(
+	ctx context.Context, operation *protocol.LedgerOperation, options callOptions,
+) (result *protocol.LedgerResult, outcomeUnknown bool, err error) {
+	h := &hedgedCall{
 		callOptions: options, client: c, operation: operation, shard: c.shardOf(operation),
 		results: make(chan attemptResult), ended: make(chan struct{}), backoff: initialBackoff,
 	}
-	r.recordStart()
-	defer r.recordEnd()
-	for ctx.Err() == nil && !r.shouldGiveUp() {
-		next, known := r.nextTarget()
-		step, answer := stepBackOff, attemptResult{}
-		if known {
-			r.startAttempt(ctx, next)
-			step, answer = r.awaitAnswerOrHedge(ctx, next)
-		}
-		if step == stepBackOff {
-			step, answer = r.backOff(ctx)
-		}
-		if step == stepReturn {
-			return answer.result, r.outcomeUnknown || r.inFlight > 0, answer.err
+	h.recordStart()
+	defer h.recordEnd()
+	for ctx.Err() == nil && !h.shouldGiveUp() {
+		if step, answer := h.attemptOnce(ctx); step == stepReturn {
+			return answer.result, h.mayTakeEffect(), answer.err
 		}
 	}
-	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), r.outcomeUnknown || r.inFlight > 0, nil
+	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), h.mayTakeEffect(), nil
 }
 
-func (r *hedgedCall) recordStart() {
+// attemptOnce attempts the next target and waits for an answer, and backs off when there is no target or no decision.
+func (h *hedgedCall) attemptOnce(ctx context.Context) (callStep, attemptResult) {
+	to, exists := h.nextTarget()
+	if !exists {
+		return h.backOff(ctx)
+	}
+	h.startAttempt(ctx, to)
+	step, answer := h.awaitAnswerOrHedge(ctx, to)
+	if step == stepBackOff {
+		return h.backOff(ctx)
+	}
+	return step, answer
+}
+
+// mayTakeEffect reports whether an attempt other than the final one may have taken effect, or may still do so.
+func (h *hedgedCall) mayTakeEffect() bool { return h.outcomeUnknown || h.inFlight > 0 }
+
+func (h *hedgedCall) recordStart() {
 	now := time.Now()
-	r.client.replicaOutages.observeStart(r.shard, now)
-	r.client.shardOutages.observeStart(r.shard, now)
+	h.client.replicaOutages.observeStart(h.shard, now)
+	h.client.shardOutages.observeStart(h.shard, now)
 }
 
-func (r *hedgedCall) recordEnd() {
+func (h *hedgedCall) recordEnd() {
 	now := time.Now()
-	r.client.replicaOutages.observeEnd(r.shard, now)
-	r.client.shardOutages.observeEnd(r.shard, now)
-	close(r.ended)
+	h.client.replicaOutages.observeEnd(h.shard, now)
+	h.client.shardOutages.observeEnd(h.shard, now)
+	close(h.ended)
 }
 
-// isHopeless reports whether there is no use in waiting longer: the shard is unreachable, and what the operation would
-// begin is better begun later.
-func (r *hedgedCall) shouldGiveUp() bool {
-	if r.persistent || !r.client.checking.Load() {
+// shouldGiveUp reports whether waiting longer is useless: the shard is unreachable, and the work that the operation
+// would begin is better begun later. Without health checks nothing would find out when the shard answers again.
+func (h *hedgedCall) shouldGiveUp() bool {
+	if h.persistent || !h.client.checking.Load() {
 		return false
 	}
 	now := time.Now()
-	return r.client.shardOutages.isOut(r.shard, now) || r.replicasOnly && r.client.replicaOutages.isOut(r.shard, now)
+	return h.client.shardOutages.isOut(h.shard, now) ||
+		h.replicasOnly && h.client.replicaOutages.isOut(h.shard, now)
 }
 
-// mayRelay reports whether another front node is worth asking besides the attempts that are under way.
-func (r *hedgedCall) shouldRelay() bool {
-	if r.replicasOnly || r.relayed || !r.client.replicaOutages.isOut(r.shard, time.Now()) {
+// shouldRelay reports, once for an operation, whether a relay is worth a request beside the attempts in flight.
+func (h *hedgedCall) shouldRelay() bool {
+	if h.replicasOnly || h.relayed || !h.client.replicaOutages.isOut(h.shard, time.Now()) {
 		return false
 	}
-	r.relayed = len(r.client.relayAddresses()) > 0
-	return r.relayed
+	h.relayed = len(h.client.relayAddresses()) > 0
+	return h.relayed
 }
 
-// next gives the first replica that was not tried in this round. Without any a
-// new round begins after a rest.
-func (r *hedgedCall) nextTarget() (target, bool) {
-	for _, each := range r.client.targets(r.operation, r.replicasOnly) {
-		if !slices.Contains(r.attempted, each.address) {
-			return each, true
+// nextTarget returns the first target without an attempt since the last backoff. When there is none, the next call
+// starts with the first target again.
+func (h *hedgedCall) nextTarget() (target, bool) {
+	for _, candidate := range h.client.targets(h.operation, h.replicasOnly) {
+		if !slices.Contains(h.attempted, candidate.address) {
+			return candidate, true
 		}
 	}
-	r.attempted = r.attempted[:0]
+	h.attempted = h.attempted[:0]
 	return target{}, false
 }
 
-// start makes an attempt in the background. It outlives the operation, so that
-// a replica that stays silent becomes a suspect also when another one answered.
-func (r *hedgedCall) startAttempt(ctx context.Context, to target) {
-	r.attempted = append(r.attempted, to.address)
-	r.inFlight++
+// startAttempt makes an attempt in a goroutine that outlives the operation, so that a replica that does not answer is
+// suspected even when another one did. The attempt timeout ends it.
+func (h *hedgedCall) startAttempt(ctx context.Context, to target) {
+	h.attempted = append(h.attempted, to.address)
+	h.inFlight++
 	go func() {
-		answer := r.client.attempt(ctx, to, r.operation)
+		answer := h.client.attempt(ctx, to, h.operation)
 		select {
-		case r.results <- answer:
-		case <-r.ended:
+		case h.results <- answer:
+		case <-h.ended:
 		}
 	}()
 }
 
-// listenTo waits for an answer until silence of the replica asked last lets the next one be asked, which
-// needs to be in the budget of hedges. No more than two attempts are under way at a time.
-func (r *hedgedCall) awaitAnswerOrHedge(ctx context.Context, latest target) (callStep, attemptResult) {
+// awaitAnswerOrHedge waits for an answer until the latest target is late enough for a hedge, which the hedge budget
+// must allow.
+func (h *hedgedCall) awaitAnswerOrHedge(ctx context.Context, latest target) (callStep, attemptResult) {
 	began := time.Now()
 	for {
-		inFlight := r.inFlight
-		step, answer := r.awaitAnswer(ctx, r.client.timeoutsFor(r.operation).hedgeAfter)
-		if step != stepNextTarget || r.inFlight < inFlight || ctx.Err() != nil || r.shouldGiveUp() || r.shouldRelay() {
+		inFlight := h.inFlight
+		step, answer := h.awaitAnswer(ctx, h.client.timeoutsFor(h.operation).hedgeAfter)
+		if step != stepNextTarget || h.inFlight < inFlight || ctx.Err() != nil || h.shouldGiveUp() || h.shouldRelay() {
 			return step, answer
 		}
-		if r.inFlight < maxConcurrentAttempts && !r.client.hedgeBudget.changedSince(latest.address, began) && r.client.hedgeBudget.allow(time.Now()) {
+		if h.mayHedge(latest, began) {
 			return stepNextTarget, attemptResult{}
 		}
 	}
 }
 
-// listen waits for an answer for a while. Without one the step is stepNext.
-func (r *hedgedCall) awaitAnswer(ctx context.Context, timeout time.Duration) (callStep, attemptResult) {
+// mayHedge reports whether one more attempt may be in flight. A target that carried out a change since the attempt
+// began is slow and not frozen, so a hedge would only add to its load.
+func (h *hedgedCall) mayHedge(latest target, began time.Time) bool {
+	return h.inFlight < maxConcurrentAttempts && !h.client.hedgeBudget.changedSince(latest.address, began) &&
+		h.client.hedgeBudget.allow(time.Now())
+}
+
+// awaitAnswer waits for the next result. The step is stepNextTarget when none arrives within the timeout.
+func (h *hedgedCall) awaitAnswer(ctx context.Context, timeout time.Duration) (callStep, attemptResult) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case answer := <-r.results:
-		return r.handleResult(answer)
+	case answer := <-h.results:
+		return h.handleResult(answer)
 	case <-timer.C:
 		return stepNextTarget, attemptResult{}
 	case <-ctx.Done():
@@ -173,36 +195,36 @@
 	}
 }
 
-func (r *hedgedCall) handleResult(answer attemptResult) (callStep, attemptResult) {
-	r.inFlight--
+func (h *hedgedCall) handleResult(answer attemptResult) (callStep, attemptResult) {
+	h.inFlight--
 	switch answer.outcome {
 	case attemptAnswered:
 		return stepReturn, answer
 	case attemptNotSent:
 		return stepNextTarget, answer
 	case attemptUnanswered:
-		r.outcomeUnknown = true
+		h.outcomeUnknown = true
 		return stepNextTarget, answer
 	case attemptDeadlineExceeded:
-		r.outcomeUnknown = true
+		h.outcomeUnknown = true
 		return stepReturn, attemptResult{result: ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	default:
-		r.outcomeUnknown = true
+		h.outcomeUnknown = true
 		return stepBackOff, answer
 	}
 }
 
-// rest waits, longer each time, and listens meanwhile.
-func (r *hedgedCall) backOff(ctx context.Context) (callStep, attemptResult) {
-	wait := r.backoff/2 + rand.N(r.backoff/2+1)
-	r.backoff = min(2*r.backoff, maxBackoff)
-	if r.inFlight > 0 {
-		step, answer := r.awaitAnswer(ctx, wait)
+// backOff waits for a random time with a doubling bound, and takes in the result of an attempt in flight meanwhile.
+func (h *hedgedCall) backOff(ctx context.Context) (callStep, attemptResult) {
+	wait := h.backoff/2 + rand.N(h.backoff/2+1)
+	h.backoff = min(2*h.backoff, maxBackoff)
+	if h.inFlight > 0 {
+		step, answer := h.awaitAnswer(ctx, wait)
 		if step == stepBackOff {
 			step = stepNextTarget
 		}
 		return step, answer
 	}
-	r.client.options.Wait(ctx, wait)
+	h.client.options.Wait(ctx, wait)
 	return stepNextTarget, attemptResult{}
 }
--- a/internal/state/ledgerclient/hedged_call_test.go
+++ b/internal/state/ledgerclient/hedged_call_test.go
@@ -12,22 +12,24 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// partlyFrozen never answers at some addresses and answers what it is told at the others.
+// partlyFrozen never answers at some addresses and answers by a function at the others.
 type partlyFrozen struct {
 	frozen map[string]bool
 	answer func(*protocol.LedgerOperation) *protocol.LedgerResult
 
 	mutex sync.Mutex
 	sent  []*protocol.LedgerOperation
-	asked map[string]int
+	calls map[string]int
 }
 
-func (p *partlyFrozen) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
+func (p *partlyFrozen) Call(
+	ctx context.Context, address string, request *protocol.Request,
+) (*protocol.Response, error) {
 	p.mutex.Lock()
-	if p.asked == nil {
-		p.asked = map[string]int{}
+	if p.calls == nil {
+		p.calls = map[string]int{}
 	}
-	p.asked[address]++
+	p.calls[address]++
 	p.sent = append(p.sent, request.GetLedger())
 	p.mutex.Unlock()
 	if p.frozen[address] {
@@ -44,11 +46,11 @@
 func (p *partlyFrozen) count(address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.asked[address]
+	return p.calls[address]
 }
 
-func always(status protocol.LedgerStatus) func(*protocol.LedgerOperation) *protocol.LedgerResult {
-	return func(*protocol.LedgerOperation) *protocol.LedgerResult { return &protocol.LedgerResult{Status: status} }
+func answerOK(*protocol.LedgerOperation) *protocol.LedgerResult {
+	return &protocol.LedgerResult{Status: ok}
 }
 
 func clientOf(caller wire.Caller, hedgeAfter time.Duration) *ledgerclient.Client {
@@ -56,9 +58,9 @@
 	return ledgerclient.New(caller, func() *corelink.View { return view }, ledgerclient.Options{HedgeAfter: hedgeAfter})
 }
 
-func TestASilentReplicaHoldsNothingUp(t *testing.T) {
+func TestAFrozenReplicaIsHedged(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: always(ok)}
+		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
 		const hedgeAfter = time.Millisecond
 		client := clientOf(caller, hedgeAfter)
 		began := time.Now()
@@ -72,9 +74,9 @@
 	})
 }
 
-func TestASilentReplicaBecomesASuspect(t *testing.T) {
+func TestAFrozenReplicaIsSuspected(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: always(ok)}
+		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
 		client := clientOf(caller, time.Millisecond)
 		for ends := time.Now().Add(20 * time.Second); ; {
 			before := caller.count("at-a")
@@ -85,79 +87,96 @@
 				return
 			}
 			if time.Now().After(ends) {
-				t.Fatal("the silent replica is asked first for ever")
+				t.Fatal("the frozen replica is still attempted first")
 			}
 		}
 	})
 }
 
-func TestARefusalBesideASilentReplicaIsConfirmed(t *testing.T) {
+func TestARejectionBesideAFrozenReplicaIsConfirmed(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-			if operation.GetReserveTurn() != nil {
-				return &protocol.LedgerResult{Status: held, Epoch: 4}
-			}
-			return &protocol.LedgerResult{Status: ok}
-		}}
+		caller := &partlyFrozen{
+			frozen: map[string]bool{"at-a": true},
+			answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
+				if operation.GetReserveTurn() != nil {
+					return &protocol.LedgerResult{Status: budgetReserved, Epoch: 4}
+				}
+				return &protocol.LedgerResult{Status: ok}
+			},
+		}
 		result, err := clientOf(caller, time.Millisecond).Do(t.Context(), reserve)
-		if err != nil || result.GetStatus() != held {
+		if err != nil || result.GetStatus() != budgetReserved {
 			t.Fatalf("got %v, %v", result, err)
 		}
 		caller.mutex.Lock()
 		defer caller.mutex.Unlock()
-		if release := caller.sent[len(caller.sent)-1].GetReleaseTurn(); release.GetRequestId() != "r" || release.GetEpoch() != 3 {
+		if release := caller.sent[len(caller.sent)-1].GetReleaseTurn(); release.GetRequestId() != "r" ||
+			release.GetEpoch() != 3 {
 			t.Fatalf("sent %v last", caller.sent[len(caller.sent)-1])
 		}
 	})
 }
 
-var claimingReserve = &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-	RequestId: "r", Session: "s", Ceiling: 10, Fork: true, Claim: &protocol.ClaimSession{Session: "s", Owner: "front", Tenant: "t"},
-}}}
+var claimingReserve = &protocol.LedgerOperation{
+	Program: "p",
+	Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+		RequestId: "r", Session: "s", Ceiling: 10, Fork: true,
+		Claim: &protocol.ClaimSession{Session: "s", Owner: "front", Tenant: "t"},
+	}},
+}
 
-func TestARefusedReservationWithAClaimGetsATombstoneThatNoClaimPasses(t *testing.T) {
+func TestARejectedReservationWithAClaimGetsATombstoneThatNoClaimPasses(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-			switch operation.GetBody().(type) {
-			case *protocol.LedgerOperation_ReserveTurn:
-				return &protocol.LedgerResult{Status: held, Epoch: 4}
-			case *protocol.LedgerOperation_ReleaseTurn:
-				return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_FENCED, Epoch: 5}
-			default:
-				return &protocol.LedgerResult{Status: ok}
-			}
-		}}
+		caller := &partlyFrozen{
+			frozen: map[string]bool{"at-a": true},
+			answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
+				switch operation.GetBody().(type) {
+				case *protocol.LedgerOperation_ReserveTurn:
+					return &protocol.LedgerResult{Status: budgetReserved, Epoch: 4}
+				case *protocol.LedgerOperation_ReleaseTurn:
+					return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_FENCED, Epoch: 5}
+				default:
+					return &protocol.LedgerResult{Status: ok}
+				}
+			},
+		}
 		result, err := clientOf(caller, time.Millisecond).Do(t.Context(), claimingReserve)
-		if err != nil || result.GetStatus() != held {
+		if err != nil || result.GetStatus() != budgetReserved {
 			t.Fatalf("got %v, %v", result, err)
 		}
 		caller.mutex.Lock()
 		defer caller.mutex.Unlock()
-		released, refused := false, false
+		released, tombstone := false, false
 		for _, operation := range caller.sent {
 			released = released || operation.GetReleaseTurn().GetEpoch() == 4
-			refused = refused || operation.GetRefuseRequest().GetRequestId() == "r"
+			tombstone = tombstone || operation.GetRefuseRequest().GetRequestId() == "r"
 		}
-		if !released || !refused {
+		if !released || !tombstone {
 			t.Fatalf("sent %v", caller.sent)
 		}
 	})
 }
 
-func TestTurnsOfOtherProgramsAreKeptAsLongAsOneThatContinuesThem(t *testing.T) {
+func TestTurnsOfOtherProgramsAreRetainedAsLongAsOneThatContinuesThem(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		caller := &partlyFrozen{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 			if operation.GetProlongTurns() != nil && operation.GetProgram() == "older" {
-				return &protocol.LedgerResult{Status: ok, Turns: []*protocol.Turn{{Program: "older", PreviousProgram: "oldest", PreviousTurn: "t0"}}}
+				return &protocol.LedgerResult{
+					Status: ok,
+					Turns:  []*protocol.Turn{{Program: "older", PreviousProgram: "oldest", PreviousTurn: "t0"}},
+				}
 			}
 			if operation.GetProlongTurns() != nil {
 				return &protocol.LedgerResult{Status: ok, Turns: []*protocol.Turn{{Program: operation.GetProgram()}}}
 			}
 			return &protocol.LedgerResult{Status: ok}
 		}}
-		settle := &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-			Turn: &protocol.Turn{Program: "p", PreviousProgram: "older", PreviousTurn: "t1", KeepUntilMillis: 99},
-		}}}
+		settle := &protocol.LedgerOperation{
+			Program: "p",
+			Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+				Turn: &protocol.Turn{Program: "p", PreviousProgram: "older", PreviousTurn: "t1", KeepUntilMillis: 99},
+			}},
+		}
 		if result, err := clientOf(caller, time.Minute).Do(t.Context(), settle); err != nil || result.GetStatus() != ok {
 			t.Fatalf("got %v, %v", result, err)
 		}
@@ -169,14 +188,14 @@
 			}
 		}
 		if len(programs) != 3 || programs[0] != "older" || programs[1] != "oldest" || programs[2] != "p" {
-			t.Fatalf("asked %v", programs)
+			t.Fatalf("sent operations of %v", programs)
 		}
 	})
 }
 
-func TestACallerWithLittleTimeSuspectsNobody(t *testing.T) {
+func TestACallerWithAShortDeadlineSuspectsNobody(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: always(ok)}
+		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
 		client := clientOf(caller, time.Minute)
 		for range 2 {
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -186,16 +205,18 @@
 				t.Fatalf("got %v, %v", result, err)
 			}
 		}
-		if asked := caller.count("at-a"); asked != 2 {
-			t.Fatalf("asked the first replica %d times of 2", asked)
+		if calls := caller.count("at-a"); calls != 2 {
+			t.Fatalf("attempted the first replica %d times of 2", calls)
 		}
 	})
 }
 
-// outOfTime answers at one address that the time is over, a moment before the caller's own timer says so.
-type outOfTime struct{ partlyFrozen }
+// deadlineExceeded reports at one address that the deadline is over, a moment before the caller's own timer does.
+type deadlineExceeded struct{ partlyFrozen }
 
-func (o *outOfTime) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
+func (o *deadlineExceeded) Call(
+	ctx context.Context, address string, request *protocol.Request,
+) (*protocol.Response, error) {
 	response, err := o.partlyFrozen.Call(ctx, address, request)
 	if address == "at-a" {
 		return nil, context.DeadlineExceeded
@@ -203,9 +224,9 @@
 	return response, err
 }
 
-func TestAnAttemptThatEndsWithItsCallerIsTheLastOne(t *testing.T) {
+func TestAnAttemptThatEndsWithItsCallersDeadlineIsTheLastOne(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &outOfTime{partlyFrozen{answer: always(ok)}}
+		caller := &deadlineExceeded{partlyFrozen{answer: answerOK}}
 		client := clientOf(caller, time.Minute)
 		for range 2 {
 			ctx, cancel := context.WithTimeout(t.Context(), ledgerclient.DefaultAttemptTimeout/2)
@@ -215,8 +236,8 @@
 				t.Fatalf("got %v, %v", result, err)
 			}
 		}
-		if asked := caller.count("at-a"); asked != 2 {
-			t.Fatalf("asked the first replica %d times of 2", asked)
+		if calls := caller.count("at-a"); calls != 2 {
+			t.Fatalf("attempted the first replica %d times of 2", calls)
 		}
 	})
 }
--- a/internal/state/ledgerclient/outage_test.go
+++ b/internal/state/ledgerclient/outage_detector_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// knownWithin is how soon a front node has to know of a cut, and of its end.
-	knownWithin = 1500 * time.Millisecond
-	// atOnce is what an answer may take that waits for nobody.
-	atOnce = 20 * time.Millisecond
+	// detectedWithin is how soon a front node must detect a partition, and its end.
+	detectedWithin = 1500 * time.Millisecond
+	// immediately is what an answer may take that waits for no timeout.
+	immediately = 20 * time.Millisecond
 	// callTimeout is how long the front plane waits for one operation.
 	callTimeout = 3 * time.Second
 )
 
-// frontFleet is three front nodes and three stores in memory. Messages over a cut link are lost.
+// frontFleet is three front nodes and three stores in memory. Messages over a partitioned link are lost.
 type frontFleet struct {
 	mutex sync.Mutex
-	// cut names the links that lose messages, as "from>to".
-	cut map[string]bool
+	// partitioned are the links that lose messages, as "from>to".
+	partitioned map[string]bool
 	// sent counts the messages over each link.
 	sent    map[string]int
 	clients map[string]*ledgerclient.Client
@@ -41,10 +41,14 @@
 }
 
 func newFrontFleet(ctx context.Context) *frontFleet {
-	fleet := &frontFleet{cut: map[string]bool{}, sent: map[string]int{}, clients: map[string]*ledgerclient.Client{}}
+	fleet := &frontFleet{
+		partitioned: map[string]bool{}, sent: map[string]int{},
+		clients: map[string]*ledgerclient.Client{},
+	}
 	view := viewOf(7, "a", "b", "c")
 	for _, name := range []string{"f1", "f2", "f3"} {
-		view.Membership.Nodes = append(view.Membership.Nodes, &protocol.Node{Name: name, Kind: protocol.NodeKind_FRONT, Address: name})
+		view.Membership.Nodes = append(view.Membership.Nodes,
+			&protocol.Node{Name: name, Kind: protocol.NodeKind_FRONT, Address: name})
 	}
 	for _, name := range []string{"f1", "f2", "f3"} {
 		fleet.clients[name] = ledgerclient.New(&frontLink{fleet: fleet, from: name}, func() *corelink.View { return view },
@@ -54,22 +58,22 @@
 	return fleet
 }
 
-// change cuts links or mends them.
-func (f *frontFleet) change(isCut bool, from string, to ...string) {
+// change partitions links or heals them.
+func (f *frontFleet) change(isPartitioned bool, from string, to ...string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, each := range to {
-		f.cut[from+">"+each] = isCut
+	for _, receiver := range to {
+		f.partitioned[from+">"+receiver] = isPartitioned
 	}
 }
 
-// sentBy counts the messages that a front node has sent.
-func (f *frontFleet) sentBy(from string, to ...string) int {
+// sentByF1 counts the messages that front node f1 has sent.
+func (f *frontFleet) sentByF1(to ...string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	total := 0
-	for _, each := range to {
-		total += f.sent[from+">"+each]
+	for _, receiver := range to {
+		total += f.sent["f1>"+receiver]
 	}
 	return total
 }
@@ -78,9 +82,9 @@
 	link := l.from + ">" + address
 	l.fleet.mutex.Lock()
 	l.fleet.sent[link]++
-	isCut := l.fleet.cut[link]
+	isPartitioned := l.fleet.partitioned[link]
 	l.fleet.mutex.Unlock()
-	if isCut {
+	if isPartitioned {
 		<-ctx.Done()
 		return nil, &wire.BrokenError{Address: address, Cause: ctx.Err()}
 	}
@@ -98,8 +102,10 @@
 	return nil, errors.New("not streamed")
 }
 
-// do carries an operation out as the front plane does and measures it.
-func (f *frontFleet) do(t *testing.T, name string, operation *protocol.LedgerOperation) (protocol.LedgerStatus, time.Duration) {
+// do carries out an operation as the front plane does and measures it.
+func (f *frontFleet) do(
+	t *testing.T, name string, operation *protocol.LedgerOperation,
+) (protocol.LedgerStatus, time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
@@ -118,11 +124,12 @@
 	}
 }
 
-func (f *frontFleet) expectState(t *testing.T, name string, unreachable, cutOff bool) {
+func (f *frontFleet) expectState(t *testing.T, name string, unreachable, isolated bool) {
 	t.Helper()
 	client := f.clients[name]
-	if client.Unreachable("p") != unreachable || client.Isolated() != cutOff {
-		t.Errorf("%s: unreachable %t, cut off %t, wanted %t and %t", name, client.Unreachable("p"), client.Isolated(), unreachable, cutOff)
+	if client.Unreachable("p") != unreachable || client.Isolated() != isolated {
+		t.Errorf("%s: unreachable %t, isolated %t, wanted %t and %t", name, client.Unreachable("p"), client.Isolated(),
+			unreachable, isolated)
 	}
 }
 
@@ -133,7 +140,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
-			// Attempts outlive their operations; they end by themselves.
+			// Attempts outlive their operations; the attempt timeout ends them.
 			pass(callTimeout)
 		}()
 		story(t, newFrontFleet(ctx))
@@ -142,68 +149,71 @@
 
 var (
 	stores = []string{"at-a", "at-b", "at-c"}
-	settle = &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{RequestId: "r"}}}
+	settle = &protocol.LedgerOperation{
+		Program: "p",
+		Body:    &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{RequestId: "r"}},
+	}
 )
 
-func TestAFrontNodeThatIsCutOffFromTheStoresGoesByWayOfAnotherOne(t *testing.T) {
+func TestAFrontNodeThatIsPartitionedFromTheStoresUsesARelay(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.expect(t, "f1", ok, atOnce)
+		fleet.expect(t, "f1", ok, immediately)
 		fleet.change(true, "f1", stores...)
-		fleet.expect(t, "f1", ok, knownWithin)
-		before := fleet.sentBy("f1", stores...)
+		fleet.expect(t, "f1", ok, detectedWithin)
+		before := fleet.sentByF1(stores...)
 		for range 5 {
-			fleet.expect(t, "f1", ok, atOnce)
+			fleet.expect(t, "f1", ok, immediately)
 			fleet.expectState(t, "f1", false, false)
 		}
-		if more := fleet.sentBy("f1", stores...) - before; more > 0 {
-			t.Errorf("%d more operations were sent over the cut", more)
+		if more := fleet.sentByF1(stores...) - before; more > 0 {
+			t.Errorf("%d more operations were sent over the partition", more)
 		}
 		pass(10 * time.Second)
-		fleet.expect(t, "f1", ok, atOnce)
+		fleet.expect(t, "f1", ok, immediately)
 
 		fleet.change(false, "f1", stores...)
-		pass(knownWithin)
-		before = fleet.sentBy("f1", "f2", "f3")
-		fleet.expect(t, "f1", ok, atOnce)
-		if more := fleet.sentBy("f1", "f2", "f3") - before; more > 0 {
-			t.Error("goes by way of others after the cut was mended")
+		pass(detectedWithin)
+		before = fleet.sentByF1("f2", "f3")
+		fleet.expect(t, "f1", ok, immediately)
+		if more := fleet.sentByF1("f2", "f3") - before; more > 0 {
+			t.Error("relays after the partition was healed")
 		}
 	})
 }
 
-func TestAFrontNodeThatReachesNeitherStoresNorOthersIsCutOff(t *testing.T) {
+func TestAFrontNodeThatReachesNeitherStoresNorRelaysIsIsolated(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.expect(t, "f1", ok, atOnce)
+		fleet.expect(t, "f1", ok, immediately)
 		everybody := append([]string{"f2", "f3"}, stores...)
 		fleet.change(true, "f1", everybody...)
-		fleet.expect(t, "f1", unavailable, knownWithin)
+		fleet.expect(t, "f1", unavailable, detectedWithin)
 		fleet.expectState(t, "f1", true, true)
 		fleet.expect(t, "f1", unavailable, 0)
 		if status, took := fleet.do(t, "f1", settle); status != unavailable || took < callTimeout {
-			t.Errorf("a turn that ran is given up with %v after %v", status, took)
+			t.Errorf("a turn that ran is abandoned with %v after %v", status, took)
 		}
 		pass(20 * time.Second)
 		fleet.expectState(t, "f1", true, true)
 		fleet.expectState(t, "f2", false, false)
 
 		fleet.change(false, "f1", everybody...)
-		pass(knownWithin)
+		pass(detectedWithin)
 		fleet.expectState(t, "f1", false, false)
-		fleet.expect(t, "f1", ok, atOnce)
+		fleet.expect(t, "f1", ok, immediately)
 	})
 }
 
-func TestFrontNodesAreNotCutOffWhenTheStoresAreDown(t *testing.T) {
+func TestFrontNodesAreNotIsolatedWhenTheStoresAreDown(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
 		names := []string{"f1", "f2", "f3"}
 		for _, name := range names {
 			fleet.change(true, name, stores...)
 		}
-		fleet.expect(t, "f1", unavailable, knownWithin)
+		fleet.expect(t, "f1", unavailable, detectedWithin)
 		for range 40 {
 			for _, name := range names {
 				if fleet.clients[name].Isolated() {
-					t.Fatalf("%s counts as cut off", name)
+					t.Fatalf("%s counts as isolated", name)
 				}
 			}
 			pass(100 * time.Millisecond)
@@ -215,70 +225,70 @@
 		for _, name := range names {
 			fleet.change(false, name, stores...)
 		}
-		pass(knownWithin)
+		pass(detectedWithin)
 		for _, name := range names {
 			fleet.expectState(t, name, false, false)
-			fleet.expect(t, name, ok, atOnce)
+			fleet.expect(t, name, ok, immediately)
 		}
 	})
 }
 
-func TestAFrontNodeWithoutTrafficFindsOutByFewProbes(t *testing.T) {
+func TestAFrontNodeWithoutTrafficDetectsIsolationByFewHealthChecks(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
 		everybody := append([]string{"f2", "f3"}, stores...)
 		pass(10 * time.Second)
-		if probes := fleet.sentBy("f1", everybody...); probes < 5 || probes > 10 {
-			t.Errorf("%d probes in 10 s without traffic", probes)
+		if checks := fleet.sentByF1(everybody...); checks < 5 || checks > 10 {
+			t.Errorf("%d health checks in 10 s without traffic", checks)
 		}
 		fleet.change(true, "f1", everybody...)
-		pass(idleKnownWithin)
+		pass(idleDetectedWithin)
 		fleet.expectState(t, "f1", true, true)
-		before := fleet.sentBy("f1", everybody...)
+		before := fleet.sentByF1(everybody...)
 		pass(10 * time.Second)
-		if probes := fleet.sentBy("f1", everybody...) - before; probes > mostProbes {
-			t.Errorf("%d probes in 10 s without traffic while cut off", probes)
+		if checks := fleet.sentByF1(everybody...) - before; checks > maxHealthChecks {
+			t.Errorf("%d health checks in 10 s without traffic while isolated", checks)
 		}
 	})
 }
 
 const (
-	// idleKnownWithin is how soon a front node without traffic has to know of a cut.
-	idleKnownWithin = 4 * time.Second
-	// mostProbes bounds what a front node without traffic sends in 10 s while it is cut off.
-	mostProbes = 200
+	// idleDetectedWithin is how soon a front node without traffic must detect a partition.
+	idleDetectedWithin = 4 * time.Second
+	// maxHealthChecks bounds what a front node without traffic sends in 10 s while it is isolated.
+	maxHealthChecks = 200
 )
 
-func TestTrafficTakesThePlaceOfProbes(t *testing.T) {
+func TestTrafficReplacesHealthChecks(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
 		for range 20 {
-			fleet.expect(t, "f1", ok, atOnce)
+			fleet.expect(t, "f1", ok, immediately)
 			pass(500 * time.Millisecond)
 		}
-		if sent := fleet.sentBy("f1", stores...); sent != 20 {
+		if sent := fleet.sentByF1(stores...); sent != 20 {
 			t.Errorf("%d messages for 20 operations: %v", sent, fleet.sent)
 		}
 	})
 }
 
-func TestOneSilentReplicaSendsNothingByWayOfOthers(t *testing.T) {
+func TestOneUnresponsiveReplicaCausesNoRelays(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
 		fleet.change(true, "f1", "at-a")
 		for range 100 {
-			fleet.expect(t, "f1", ok, knownWithin)
+			fleet.expect(t, "f1", ok, detectedWithin)
 			fleet.expectState(t, "f1", false, false)
 			pass(50 * time.Millisecond)
 		}
-		if relayed := fleet.sentBy("f1", "f2", "f3"); relayed > 0 {
-			t.Errorf("%d operations went by way of others while replicas answered", relayed)
+		if relayed := fleet.sentByF1("f2", "f3"); relayed > 0 {
+			t.Errorf("%d operations were relayed while replicas answered", relayed)
 		}
 	})
 }
 
-func TestAShardOfWhichOneReplicaIsReachedIsServed(t *testing.T) {
+func TestAShardWithOneReachableReplicaIsServed(t *testing.T) {
 	inFleet(t, func(t *testing.T, fleet *frontFleet) {
 		fleet.change(true, "f1", "at-a", "at-b")
 		for range 100 {
-			fleet.expect(t, "f1", ok, knownWithin)
+			fleet.expect(t, "f1", ok, detectedWithin)
 			fleet.expectState(t, "f1", false, false)
 			pass(50 * time.Millisecond)
 		}
--- a/internal/state/ledgerclient/relays.go
+++ b/internal/state/ledgerclient/relays.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// relaySample is how many other front nodes are asked to carry operations out.
+	// maxRelays bounds the other front nodes that relay the operations of this one. Few are enough, since a relay is
+	// needed only while this node does not reach the stores itself.
 	maxRelays = 3
-	// heardWithin is how old the last word of another front node may be.
+	// relayAnswerTTL is how long the last answer of another front node counts: several health checks.
 	relayAnswerTTL = 2 * time.Second
 )
 
-// relays remembers when other front nodes answered, whatever they said.
+// relayAnswers records when other front nodes answered last, whatever they answered. It is safe for concurrent use.
 type relayAnswers struct {
-	mutex      sync.Mutex
+	mutex sync.Mutex
+	// lastAnswer is by address.
 	lastAnswer map[string]time.Time
 }
 
@@ -32,7 +34,7 @@
 	r.lastAnswer[address] = now
 }
 
-// countHeard is the number of addresses that answered lately.
+// countRecent returns how many of the addresses answered within relayAnswerTTL.
 func (r *relayAnswers) countRecent(addresses []string, now time.Time) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -45,8 +47,8 @@
 	return count
 }
 
-// relayAddresses names the front nodes that may carry operations out for this one: always the same few, those of
-// other zones first, because a cut often takes a whole zone. Without a name of its own a client has none.
+// relayAddresses returns the front nodes that may relay operations for this one: always the same few, those of other
+// zones first, because a network partition often isolates a zone. A client without a Self has none.
 func (c *Client) relayAddresses() []string {
 	self := c.options.Self
 	if self.GetName() == "" {
@@ -58,11 +60,16 @@
 			others = append(others, node)
 		}
 	}
+	isLocal := func(node *protocol.Node) bool { return node.GetZone() == self.GetZone() }
 	slices.SortFunc(others, func(a, b *protocol.Node) int {
-		if sameZone := a.GetZone() == self.GetZone(); sameZone != (b.GetZone() == self.GetZone()) {
-			return cmp.Compare(falseFirst(sameZone), falseFirst(!sameZone))
+		switch {
+		case isLocal(a) == isLocal(b):
+			return cmp.Compare(relayHash(self, a), relayHash(self, b))
+		case isLocal(a):
+			return 1
+		default:
+			return -1
 		}
-		return cmp.Compare(relayHash(self, a), relayHash(self, b))
 	})
 	var addresses []string
 	for _, node := range others[:min(len(others), maxRelays)] {
@@ -71,15 +78,7 @@
 	return addresses
 }
 
-// boolRank puts what is false before what is true.
-func falseFirst(value bool) int {
-	if value {
-		return 1
-	}
-	return 0
-}
-
-// relayHash spreads the front nodes that are cut off over those that are not.
+// relayHash spreads the front nodes that need relays over the others.
 func relayHash(self, other *protocol.Node) uint64 {
 	return xxhash.Sum64String(self.GetName() + "\x00" + other.GetName())
 }
--- a/internal/state/ledgerclient/suspects.go
+++ b/internal/state/ledgerclient/suspects.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// suspectTime is how long a replica that did not answer is tried after the others.
+// suspectTTL is how long a replica that did not answer is attempted after the others: short, so that a replica that
+// recovers proposes for its programs again.
 const suspectTTL = 2 * time.Second
 
-// suspects remembers replicas that did not answer, so that one that is frozen
-// costs one operation its time and not all of them.
+// suspects are replicas that did not answer, so that a frozen one costs one operation its time and not all of them. It
+// is safe for concurrent use.
 type suspects struct {
 	mutex sync.Mutex
+	// until is the end of each suspicion, by address.
 	until map[string]time.Time
 }
 
@@ -31,7 +33,7 @@
 	delete(s.until, address)
 }
 
-// last moves suspected addresses behind the others and keeps the order otherwise.
+// sortLast moves suspected addresses behind the others and keeps the order otherwise.
 func (s *suspects) sortLast(addresses []string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/state/ledgerclient/targets.go
+++ b/internal/state/ledgerclient/targets.go
@@ -6,31 +6,30 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/register"
 )
 
-// target is one replica to try, or another front node that tries them.
+// target is the receiver of an attempt: a replica, or another front node that relays to replicas.
 type target struct {
 	address string
-	epoch   uint64
-	relay   bool
+	// epoch is the placement epoch that the operation names; zero for relays, which name their own.
+	epoch uint64
+	relay bool
 }
 
-// targets gives the live replicas for an operation in the order in which they are tried. All
-// fronts agree on the order, so that one store proposes for a program. While none of them answers
-// this front node, other front nodes come first, unless replicas are to be asked directly.
-func (c *Client) targets(operation *protocol.LedgerOperation, directly bool) []target {
+// targets returns the live replicas for an operation in the order of attempts. All front nodes agree on the order, so
+// that one store proposes for a program. While no replica answers this front node, other front nodes come first, unless
+// only replicas are wanted.
+func (c *Client) targets(operation *protocol.LedgerOperation, replicasOnly bool) []target {
 	view := c.view()
 	shards := view.Placement.GetShards()
 	if len(shards) == 0 {
 		return nil
 	}
 	shard := findShard(view.Placement, c.shardOf(operation))
-	epoch := shard.GetEpoch()
-	if epoch == 0 {
-		epoch = view.Placement.GetEpoch()
-	}
+	epoch := register.ShardEpoch(view.Placement, shard)
 	var targets []target
-	if !directly && c.replicaOutages.isOut(c.shardOf(operation), time.Now()) {
+	if !replicasOnly && c.replicaOutages.isOut(c.shardOf(operation), time.Now()) {
 		for _, address := range c.suspects.sortLast(c.relayAddresses()) {
 			targets = append(targets, target{address: address, relay: true})
 		}
@@ -41,12 +40,12 @@
 	return targets
 }
 
-// shardOf is the shard that serves an operation.
+// shardOf returns the shard that serves an operation.
 func (c *Client) shardOf(operation *protocol.LedgerOperation) uint32 {
 	return ledger.ShardOf(shardKey(operation), c.shardCount())
 }
 
-// placedBy gives the text whose shard serves the operation. Any store can look for a turn whose program is not known.
+// shardKey returns the text whose shard serves the operation. Any store can find a turn whose program is unknown.
 func shardKey(operation *protocol.LedgerOperation) string {
 	if find := operation.GetFindTurn(); find != nil {
 		return find.GetTurnId()
@@ -55,16 +54,15 @@
 }
 
 func findShard(placement *protocol.Placement, shard uint32) *protocol.ShardPlacement {
-	for _, placed := range placement.GetShards() {
-		if placed.GetShard() == shard {
-			return placed
+	for _, candidate := range placement.GetShards() {
+		if candidate.GetShard() == shard {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// liveReplicas gives the addresses of the current replicas that have a lease,
-// those that are rebuilt last.
+// liveReplicas returns the addresses of the current replicas whose store has a lease, rebuilding ones last.
 func (c *Client) liveReplicas(view *corelink.View, shard *protocol.ShardPlacement) []string {
 	addresses := map[string]string{}
 	for _, node := range view.Membership.GetNodes() {
--- a/internal/state/ledgerclient/training_step_test.go
+++ b/internal/state/ledgerclient/training_step_test.go
@@ -21,17 +21,23 @@
 	Body:    &protocol.LedgerOperation_TraceTrainingStep{TraceTrainingStep: &protocol.TraceTrainingStep{Step: "17"}},
 }
 
-func TestAMismatchAfterATryWithAnUnknownEndIsConfirmedByATombstone(t *testing.T) {
+func TestAMismatchAfterAnAttemptWithAnUnknownOutcomeIsConfirmedByATombstone(t *testing.T) {
 	for name, story := range map[string]struct {
 		tombstone, want protocol.LedgerStatus
 	}{
-		"the request is marked":                    {tombstone: ok, want: mismatch},
-		"the request ended before":                 {tombstone: protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, want: mismatch},
-		"the earlier try took effect after all":    {tombstone: protocol.LedgerStatus_LEDGER_ALREADY_RESERVED, want: protocol.LedgerStatus_LEDGER_ALREADY_RESERVED},
+		"the request is marked": {tombstone: ok, want: mismatch},
+		"the request ended before": {
+			tombstone: protocol.LedgerStatus_LEDGER_ALREADY_FINISHED,
+			want:      mismatch,
+		},
+		"the earlier attempt took effect after all": {
+			tombstone: protocol.LedgerStatus_LEDGER_ALREADY_RESERVED,
+			want:      protocol.LedgerStatus_LEDGER_ALREADY_RESERVED,
+		},
 		"nothing may be claimed without an answer": {tombstone: unavailable, want: unavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			caller := &scripted{answers: []func() (*protocol.LedgerResult, error){
+			caller := &scripted{answers: []answer{
 				fails(&wire.BrokenError{Cause: errors.New("reset")}), answers(mismatch), answers(story.tombstone),
 			}}
 			view := viewOf(7, "a", "b", "c")
@@ -44,24 +50,25 @@
 			if err != nil || result.GetStatus() != story.want {
 				t.Fatalf("got %v, %v", result, err)
 			}
-			if refused := caller.sent[2].GetRefuseRequest(); refused.GetRequestId() != "r" || refused.GetSession() != "s" {
+			if tombstone := caller.sent[2].GetRefuseRequest(); tombstone.GetRequestId() != "r" || tombstone.GetSession() != "s" {
 				t.Errorf("sent %v", caller.sent[2])
 			}
 		})
 	}
 }
 
-func TestATraceIsAskedForInTheShardOfItsStep(t *testing.T) {
-	caller := &scripted{answers: []func() (*protocol.LedgerResult, error){answers(unavailable), answers(ok)}}
+func TestATraceIsSentToTheShardOfItsStep(t *testing.T) {
+	caller := &scripted{answers: []answer{answers(unavailable), answers(ok)}}
 	view := viewOf(7, "a", "b", "c")
-	client := ledgerclient.New(caller, func() *corelink.View { return view }, ledgerclient.Options{Wait: func(context.Context, time.Duration) {}})
+	client := ledgerclient.New(caller, func() *corelink.View { return view },
+		ledgerclient.Options{Wait: func(context.Context, time.Duration) {}})
 	result, err := client.Do(t.Context(), traceOfStep)
 	if err != nil || result.GetStatus() != ok || len(caller.sent) != 2 || caller.sent[1].GetPlacementEpoch() != 7 {
 		t.Fatalf("got %v, %v after %v", result, err, caller.sent)
 	}
 }
 
-func TestALongTraceIsNotAskedForTwiceAndMakesNoSuspect(t *testing.T) {
+func TestALongTraceIsNotHedgedAndMakesNoSuspect(t *testing.T) {
 	const hedgeAfter = time.Millisecond
 	release := make(chan struct{})
 	caller := &partlyFrozen{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
@@ -76,7 +83,7 @@
 		_, err := client.Do(t.Context(), traceOfStep)
 		done <- err
 	}()
-	// Far longer than a replica may be silent over an ordinary operation.
+	// Far longer than a replica may take for an ordinary operation.
 	timer := time.NewTimer(20 * hedgeAfter)
 	defer timer.Stop()
 	<-timer.C
@@ -88,6 +95,6 @@
 		t.Fatal(err)
 	}
 	if caller.count("at-a") != 2 || caller.count("at-b") != 0 {
-		t.Fatalf("asked %v", caller.asked)
+		t.Fatalf("called %v", caller.calls)
 	}
 }
