--- a/internal/state/ledgerclient/attempt.go
+++ b/internal/state/ledgerclient/attempt.go
@@ -13,93 +13,113 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
+// attemptOutcome is what is known of an attempt's effect; the package comment has a table.
 type attemptOutcome int
 
 const (
-	// attemptFinal has the answer.
-	attemptFinal attemptOutcome = iota
-	// attemptNotSent surely has not taken effect.
+	// attemptAnswered has a final answer, or an error that says that no store applies the operation.
+	attemptAnswered attemptOutcome = iota
+	// attemptNotSent certainly has not taken effect.
 	attemptNotSent
-	// attemptBroken may have taken effect, or may do so later; this replica did not say.
-	attemptBroken
-	// attemptUndecided may have taken effect, or may do so later; the replica that answers could not decide now.
+	// attemptUnanswered may have taken effect, or may do so later; this replica did not answer.
+	attemptUnanswered
+	// attemptUndecided may have taken effect, or may do so later; the replica could not decide now.
 	attemptUndecided
-	// attemptOutOfTime may have taken effect, or may do so later, and the caller's time is over.
-	attemptOutOfTime
+	// attemptDeadlineExceeded may have taken effect, or may do so later, and the caller's deadline is over.
+	attemptDeadlineExceeded
 )
 
-// attempt asks one replica, also when its caller has the answer of another one meanwhile. One that is silent for too long is tried last for a while.
-func (c *Client) attempt(ctx context.Context, to target, operation *protocol.LedgerOperation) attemptAnswer {
+// attempt sends an operation to one target. It goes on when its caller has the answer of another one meanwhile, so that
+// a replica that does not answer in time is suspected.
+func (c *Client) attempt(ctx context.Context, to target, operation *protocol.LedgerOperation) attemptResult {
 	began := time.Now()
-	patience := c.patienceFor(operation)
-	ends := began.Add(patience.attempt)
-	callerEnds, bounded := ctx.Deadline()
-	endsWithCaller := bounded && callerEnds.Before(ends)
+	timeouts := c.timeoutsFor(operation)
+	deadline := began.Add(timeouts.attempt)
+	callerDeadline, bounded := ctx.Deadline()
+	endsWithCaller := bounded && callerDeadline.Before(deadline)
 	if endsWithCaller {
-		ends = callerEnds
+		deadline = callerDeadline
 	}
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), ends)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	silence := time.AfterFunc(silenceOf(patience.hedge), func() {
-		if patience.suspect && !c.hedges.heardSince(to.address, began) {
+	suspicion := time.AfterFunc(timeouts.suspectAfter(), func() {
+		if timeouts.marksSuspect && !c.hedgeBudget.changedSince(to.address, began) {
 			c.suspects.add(to.address)
 		}
 	})
-	planned := proto.CloneOf(operation)
-	planned.PlacementEpoch = to.epoch
-	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: planned}})
-	silence.Stop()
-	c.noteRelay(to, err)
+	result, err := c.send(ctx, to, operation)
+	suspicion.Stop()
+	c.recordRelayAnswer(to, err)
+	if err != nil && endsWithCaller && errors.Is(err, context.DeadlineExceeded) {
+		return attemptResult{outcome: attemptDeadlineExceeded, err: err}
+	}
 	if err != nil {
-		if endsWithCaller && errors.Is(err, context.DeadlineExceeded) {
-			return attemptAnswer{outcome: attemptOutOfTime, err: err}
-		}
-		var answered *failure.Error
-		if !errors.As(err, &answered) {
-			c.suspects.add(to.address)
-		}
-		return attemptAnswer{outcome: outcomeOf(err), err: err}
+		return c.handleAttemptError(to, err)
 	}
-	result := response.GetLedger()
+	return c.handleAttemptAnswer(to, operation, result)
+}
+
+// send calls the target with a copy of the operation under the target's placement epoch.
+func (c *Client) send(
+	ctx context.Context, to target, operation *protocol.LedgerOperation,
+) (*protocol.LedgerResult, error) {
+	placed := proto.CloneOf(operation)
+	placed.PlacementEpoch = to.epoch
+	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: placed}})
+	return response.GetLedger(), err
+}
+
+// handleAttemptError suspects a target that failed without an answer of its own.
+func (c *Client) handleAttemptError(to target, err error) attemptResult {
+	if !isAnswer(err) {
+		c.suspects.add(to.address)
+	}
+	return attemptResult{outcome: outcomeOf(err), err: err}
+}
+
+func (c *Client) handleAttemptAnswer(
+	to target, operation *protocol.LedgerOperation, result *protocol.LedgerResult,
+) attemptResult {
 	switch result.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE:
 		c.suspects.add(to.address)
-		return attemptAnswer{outcome: attemptUndecided}
+		return attemptResult{outcome: attemptUndecided}
 	case protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return attemptAnswer{outcome: attemptUndecided}
+		return attemptResult{outcome: attemptUndecided}
 	default:
 		c.suspects.clear(to.address)
-		c.noteAnswer(to, operation)
+		c.recordAnswer(to, operation)
 		if !ledger.IsRead(operation) {
-			c.hedges.note(to.address, time.Now())
+			c.hedgeBudget.recordChange(to.address, time.Now())
 		}
-		return attemptAnswer{result: result, outcome: attemptFinal}
+		return attemptResult{result: result, outcome: attemptAnswered}
 	}
 }
 
-// noteRelay remembers that another front node answered, be it with a failure.
-func (c *Client) noteRelay(to target, err error) {
+// isAnswer reports whether an error is a failure that the target answered with.
+func isAnswer(err error) bool {
 	var answered *failure.Error
-	if to.relay && (err == nil || errors.As(err, &answered)) {
-		c.relays.note(to.address, time.Now())
+	return errors.As(err, &answered)
+}
+
+// recordRelayAnswer records that another front node answered, with a result or a failure.
+func (c *Client) recordRelayAnswer(to target, err error) {
+	if to.relay && (err == nil || isAnswer(err)) {
+		c.relayAnswers.record(to.address, time.Now())
 	}
 }
 
-// noteAnswer remembers that the shard of an operation answered.
-func (c *Client) noteAnswer(to target, operation *protocol.LedgerOperation) {
+// recordAnswer records that the shard of an operation answered.
+func (c *Client) recordAnswer(to target, operation *protocol.LedgerOperation) {
 	shard, now := c.shardOf(operation), time.Now()
-	c.shards.answered(shard, now)
+	c.shardOutages.observeAnswer(shard, now)
 	if !to.relay {
-		c.replicas.answered(shard, now)
+		c.replicaOutages.observeAnswer(shard, now)
 	}
 }
 
-// silenceOf is how long a replica may be silent before it is suspected: longer than until the
-// next one is asked, so that a store that is only slow keeps its programs.
-func silenceOf(hedgeAfter time.Duration) time.Duration { return 2 * hedgeAfter }
-
-// outcomeOf tells what became of a try that has no answer. A failure that says
-// the operation itself is wrong is final.
+// outcomeOf returns what is known of an attempt that failed. A failure that says that the operation itself is invalid
+// is final.
 func outcomeOf(err error) attemptOutcome {
 	var notSent *wire.NotSentError
 	var failed *failure.Error
@@ -107,9 +127,9 @@
 	case errors.As(err, &notSent):
 		return attemptNotSent
 	case !errors.As(err, &failed):
-		return attemptBroken
+		return attemptUnanswered
 	case failed.Code() == failure.InvalidField || failed.Code() == failure.MissingField:
-		return attemptFinal
+		return attemptAnswered
 	case failed.Failure.GetOutcome() == protocol.Outcome_NOT_RUN:
 		return attemptNotSent
 	default:
