--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
 	"github.com/rosestand/rosestand/internal/state/storage"
 )
 
@@ -91,17 +92,17 @@
 
 // reopen reads the folder as after a crash.
 func (r *Replica) reopenDisk() error {
-	if err := r.disk.close(); err != nil {
+	if err := r.store.Close(); err != nil {
 		r.logWarning("the failed log was closed with an error", "error", err)
 	}
 	if err := storage.CheckFreeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
 		return err
 	}
-	disk, err := openDisk(r.options.Filesystem, r.options.Folder)
+	store, err := logstore.Open(r.options.Filesystem, r.options.Folder)
 	if err != nil {
 		return err
 	}
-	r.disk = disk
+	r.store = store
 	former := r.owner.failure
 	r.owner = owner{}
 	if err := r.recoverState(); err != nil {
--- a/internal/controlplane/replica/errors.go
+++ b/internal/controlplane/replica/errors.go
@@ -83,9 +83,3 @@
 func (e *ClusterMismatchError) Error() string {
 	return fmt.Sprintf("cluster %s is not this cluster %s", e.Other, e.Own)
 }
-
-// CorruptStateError says that the log and the snapshots do not fit together: data was lost.
-type CorruptStateError struct{ Reason string }
-
-// Error implements error.
-func (e *CorruptStateError) Error() string { return "core data folder is damaged: " + e.Reason }
--- a/internal/controlplane/replica/fleet_test.go
+++ b/internal/controlplane/replica/fleet_test.go
@@ -79,6 +79,8 @@
 	state   *commandLog
 	fatal   chan error
 	clock   freezableClock
+	// openLimiter watches the files that the replica opens.
+	openLimiter openLimiter
 	// syncTime is the time that the sync of a file takes from the next start on; zero stands for that of the fleet.
 	syncTime time.Duration
 }
@@ -178,7 +180,8 @@
 	options.Self = &protocol.CoreMember{Name: m.name, Address: m.address, HttpAddress: "http-" + m.address, Zone: m.zone}
 	options.Founders, options.Seeds = f.founders, f.seeds
 	if options.Filesystem == nil {
-		options.Folder, options.Filesystem = "core", slowFilesystem{Filesystem: m.disk, syncTime: cmp.Or(m.syncTime, f.syncTime)}
+		slowDisk := slowFilesystem{Filesystem: m.disk, syncTime: cmp.Or(m.syncTime, f.syncTime)}
+		options.Folder, options.Filesystem = "core", limitedFilesystem{Filesystem: slowDisk, limiter: &m.openLimiter}
 	}
 	options.Caller = &caller{fleet: f, from: m.address}
 	state, fatal, clock := &commandLog{}, make(chan error, 1), freezableClock{&simclock.Clock{}}
--- /dev/null
+++ b/internal/controlplane/replica/logstore/recovery.go
@@ -0,0 +1,126 @@
+package logstore
+
+import (
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/storage"
+)
+
+// Recovered is what a data folder holds.
+type Recovered struct {
+	// ClusterID is empty for a member that has neither founded nor joined a cluster.
+	ClusterID string
+	Initial   consensus.InitialState
+	// SnapshotState is the state of the state machine in Initial.Snapshot, which is nil without one.
+	SnapshotState []byte
+}
+
+// Recover reads the newest snapshot and replays the log. Errors: *CorruptStateError, those of
+// package storage.
+func (s *Store) Recover() (Recovered, error) {
+	snapshot, snapshotState, err := s.LoadSnapshot()
+	if err != nil {
+		return Recovered{}, err
+	}
+	state, err := s.replay()
+	if err != nil {
+		return Recovered{}, err
+	}
+	if state.baseIndex > snapshot.GetIndex() {
+		return Recovered{}, &CorruptStateError{Reason: "the snapshot under the log is missing"}
+	}
+	if snapshot != nil {
+		state.applyCompacted(snapshot)
+	}
+	return Recovered{
+		ClusterID:     state.clusterID,
+		Initial:       consensus.InitialState{HardState: state.hardState, Snapshot: snapshot, Entries: state.entries},
+		SnapshotState: snapshotState,
+	}, nil
+}
+
+func (s *Store) replay() (*replayedLog, error) {
+	state := &replayedLog{}
+	err := s.log.Replay(storage.Position{}, func(_ storage.Position, data []byte) error {
+		record := &protocol.CoreRecord{}
+		if err := proto.Unmarshal(data, record); err != nil {
+			return err
+		}
+		return state.applyRecord(record)
+	})
+	return state, err
+}
+
+// replayedLog is the state after the records that were replayed so far.
+type replayedLog struct {
+	clusterID string
+	hardState *protocol.HardState
+	entries   []*protocol.Entry
+	// baseIndex and baseTerm are of the entry before the first one in entries.
+	baseIndex, baseTerm uint64
+}
+
+func (s *replayedLog) applyRecord(record *protocol.CoreRecord) error {
+	switch body := record.GetBody().(type) {
+	case *protocol.CoreRecord_Entry:
+		return s.applyEntry(body.Entry)
+	case *protocol.CoreRecord_HardState:
+		s.hardState = body.HardState
+	case *protocol.CoreRecord_ClusterId:
+		s.clusterID = body.ClusterId
+	case *protocol.CoreRecord_Compacted:
+		s.applyCompacted(body.Compacted)
+	case *protocol.CoreRecord_Founding:
+		return s.applyFounding(body.Founding)
+	default:
+		return &CorruptStateError{Reason: "a record of unknown kind"}
+	}
+	return nil
+}
+
+func (s *replayedLog) lastIndex() uint64 { return s.baseIndex + uint64(len(s.entries)) }
+
+// applyEntry puts an entry in place of any at its index and above. An entry that is there already
+// is a copy, which Compact wrote, and replaces nothing.
+func (s *replayedLog) applyEntry(entry *protocol.Entry) error {
+	index := entry.GetIndex()
+	switch {
+	case index <= s.baseIndex:
+		return nil
+	case index > s.lastIndex()+1:
+		return &CorruptStateError{Reason: "entries are missing from the log"}
+	case index <= s.lastIndex() && s.entries[index-s.baseIndex-1].GetTerm() == entry.GetTerm():
+		return nil
+	}
+	s.entries = append(s.entries[:index-s.baseIndex-1], entry)
+	return nil
+}
+
+// applyCompacted drops the entries that a snapshot covers. Those after it stay only if the log has
+// the snapshot's last entry; else they were replaced by the history that the snapshot belongs to.
+func (s *replayedLog) applyCompacted(snapshot *protocol.SnapshotMetadata) {
+	index := snapshot.GetIndex()
+	hasEntry := index > s.baseIndex && index <= s.lastIndex()
+	switch {
+	case index == s.baseIndex && snapshot.GetTerm() == s.baseTerm || index < s.baseIndex:
+		return
+	case hasEntry && s.entries[index-s.baseIndex-1].GetTerm() == snapshot.GetTerm():
+		s.entries = slices.Clone(s.entries[index-s.baseIndex:])
+	default:
+		s.entries = nil
+	}
+	s.baseIndex, s.baseTerm = index, snapshot.GetTerm()
+}
+
+func (s *replayedLog) applyFounding(founding *protocol.Founding) error {
+	entry, err := foundingEntry(founding.GetFounder())
+	if err != nil {
+		return err
+	}
+	s.clusterID, s.entries, s.hardState = founding.GetClusterId(), []*protocol.Entry{entry}, foundingHardState()
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/replica/logstore/store.go
@@ -0,0 +1,177 @@
+// Package logstore keeps the durable state of one core process: its replicated log with the hard
+// state of consensus, and the snapshots of the state machine.
+//
+// A data folder has the log in the segments of "log", as protocol.CoreRecord records, and snapshots
+// in "snapshots", each named by the index of its last entry. The order of writes makes every crash
+// recoverable: a snapshot is durable before the log is compacted under it, and the new segment holds
+// copies of all that the older ones are still needed for before they are removed. Recovery
+// (Store.Recover) replays all segments, in which newer records replace older ones.
+//
+// A Store belongs to the owner goroutine of its replica; SaveSnapshot may run beside it.
+package logstore
+
+import (
+	"encoding/binary"
+	"io"
+	"path/filepath"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/storage"
+)
+
+const (
+	logFolder      = "log"
+	snapshotFolder = "snapshots"
+	// maxMetadataBytes bounds the metadata at the beginning of a snapshot, so that a damaged length
+	// is not read as the size of a buffer.
+	maxMetadataBytes = 1 << 20
+)
+
+// Store is the open log and the snapshots of a data folder.
+type Store struct {
+	filesystem storage.Filesystem
+	log        *storage.Log
+	snapshots  string
+}
+
+// Open opens the log in the folder, makes it if there is none, and removes unfinished snapshots.
+// Errors are those of package storage.
+func Open(filesystem storage.Filesystem, folder string) (*Store, error) {
+	path := filepath.Join(folder, logFolder)
+	if err := filesystem.MkdirAll(path); err != nil {
+		return nil, err
+	}
+	snapshots := filepath.Join(folder, snapshotFolder)
+	if err := storage.RemoveUnfinishedSnapshots(filesystem, snapshots); err != nil {
+		return nil, err
+	}
+	log, err := storage.OpenLog(filesystem, path, storage.LogOptions{})
+	if err != nil {
+		return nil, err
+	}
+	return &Store{filesystem: filesystem, log: log, snapshots: snapshots}, nil
+}
+
+// Close closes the log without a sync.
+func (s *Store) Close() error { return s.log.Close() }
+
+// Save writes the entries of a node's output, then its hard state, and syncs both if the node asks
+// for it. After an error nothing more can be written: the store must be opened again.
+func (s *Store) Save(ready consensus.Ready) error {
+	records := entryRecords(ready.Entries)
+	if ready.HardState != nil {
+		records = append(records, hardStateRecord(ready.HardState))
+	}
+	if ready.MustSync {
+		return s.writeAndSync(records...)
+	}
+	return s.write(records...)
+}
+
+// SaveClusterID makes the id of the cluster durable that an empty member has joined.
+func (s *Store) SaveClusterID(clusterID string) error {
+	return s.writeAndSync(clusterRecord(clusterID))
+}
+
+// Found makes a new cluster durable and returns the initial state of its only voter.
+func (s *Store) Found(clusterID string, founder *protocol.CoreMember) (consensus.InitialState, error) {
+	entry, err := foundingEntry(founder)
+	if err != nil {
+		return consensus.InitialState{}, err
+	}
+	if err := s.writeAndSync(foundingRecord(clusterID, founder)); err != nil {
+		return consensus.InitialState{}, err
+	}
+	return consensus.InitialState{HardState: foundingHardState(), Entries: []*protocol.Entry{entry}}, nil
+}
+
+// Compact begins a segment with all that the durable snapshot does not cover, which the caller
+// passes in, and removes the older segments and snapshots.
+func (s *Store) Compact(
+	clusterID string, metadata *protocol.SnapshotMetadata, entries []*protocol.Entry, hardState *protocol.HardState,
+) error {
+	segment, err := s.log.Rotate()
+	if err != nil {
+		return err
+	}
+	records := []*protocol.CoreRecord{clusterRecord(clusterID), compactedRecord(metadata)}
+	records = append(records, entryRecords(entries)...)
+	records = append(records, hardStateRecord(hardState))
+	if err := s.writeAndSync(records...); err != nil {
+		return err
+	}
+	if err := s.log.RemoveBefore(segment); err != nil {
+		return err
+	}
+	return storage.RemoveSnapshotsBefore(s.filesystem, s.snapshots, metadata.GetIndex())
+}
+
+// SaveSnapshot makes a snapshot durable. It may run beside the owner goroutine.
+func (s *Store) SaveSnapshot(metadata *protocol.SnapshotMetadata, state []byte) error {
+	header, err := proto.Marshal(metadata)
+	if err != nil {
+		return err
+	}
+	return storage.SaveSnapshot(s.filesystem, s.snapshots, metadata.GetIndex(), func(writer io.Writer) error {
+		length := binary.LittleEndian.AppendUint32(nil, uint32(len(header)))
+		for _, part := range [][]byte{length, header, state} {
+			if _, err := writer.Write(part); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+// LoadSnapshot reads the newest snapshot; its metadata is nil when there is none. It may be called
+// while a newer one is being saved.
+func (s *Store) LoadSnapshot() (metadata *protocol.SnapshotMetadata, state []byte, err error) {
+	_, _, err = storage.LoadNewestSnapshot(s.filesystem, s.snapshots, func(_ uint64, content io.Reader) error {
+		metadata, err = readMetadata(content)
+		if err != nil {
+			return err
+		}
+		state, err = io.ReadAll(content)
+		return err
+	})
+	return metadata, state, err
+}
+
+func readMetadata(content io.Reader) (*protocol.SnapshotMetadata, error) {
+	var length uint32
+	if err := binary.Read(content, binary.LittleEndian, &length); err != nil {
+		return nil, err
+	}
+	if length > maxMetadataBytes {
+		return nil, &CorruptStateError{Reason: "the metadata of a snapshot is too large"}
+	}
+	header := make([]byte, length)
+	if _, err := io.ReadFull(content, header); err != nil {
+		return nil, err
+	}
+	metadata := &protocol.SnapshotMetadata{}
+	return metadata, proto.Unmarshal(header, metadata)
+}
+
+func (s *Store) write(records ...*protocol.CoreRecord) error {
+	for _, record := range records {
+		data, err := proto.Marshal(record)
+		if err != nil {
+			return err
+		}
+		if _, err := s.log.Write(data); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Store) writeAndSync(records ...*protocol.CoreRecord) error {
+	if err := s.write(records...); err != nil {
+		return err
+	}
+	return s.log.Sync()
+}
--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner.go
@@ -138,7 +138,7 @@
 	if clusterID == "" {
 		return
 	}
-	if err := o.replica.disk.writeAndSync(clusterRecord(clusterID)); err != nil {
+	if err := o.replica.store.SaveClusterID(clusterID); err != nil {
 		o.fail(err)
 		return
 	}
@@ -194,7 +194,7 @@
 		return nil
 	}
 	o.replica.metrics.batches.Inc()
-	return o.replica.disk.save(ready)
+	return o.replica.store.Save(ready)
 }
 
 // sendAll sends messages. A piece of a snapshot that is not there any more is
@@ -277,20 +277,15 @@
 	if o.clusterID != "" {
 		return
 	}
-	founder := proto.Clone(o.replica.self).(*protocol.CoreMember)
+	founder := proto.CloneOf(o.replica.self)
 	founder.Voter = true
-	entry, err := foundingEntry(founder)
-	if err != nil {
-		o.fail(err)
-		return
-	}
 	clusterID := randomName(o.replica.options.Random)
-	if err := o.replica.disk.writeAndSync(foundingRecord(clusterID, founder)); err != nil {
+	initial, err := o.replica.store.Found(clusterID, founder)
+	if err != nil {
 		o.fail(err)
 		return
 	}
 	o.clusterID = clusterID
-	initial := consensus.InitialState{HardState: foundingHardState(), Entries: []*protocol.Entry{entry}}
 	if err := o.buildNode(initial); err != nil {
 		o.fail(err)
 		return
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
 )
@@ -33,7 +34,7 @@
 type Replica struct {
 	options Options
 	metrics *metrics
-	disk    *disk
+	store   *logstore.Store
 	self    *protocol.CoreMember
 
 	inbound   chan inboundMessage
@@ -60,7 +61,7 @@
 }
 
 // New opens the data folder and restores the state machine from the newest snapshot. An error
-// is a *CorruptStateError, a *consensus.StateError or one of package storage. The commands
+// is a *logstore.CorruptStateError, a *consensus.StateError or one of package storage. The commands
 // committed after the snapshot are applied from Start on.
 func New(options Options) (*Replica, error) {
 	options = options.withDefaults()
@@ -74,12 +75,12 @@
 	if err != nil {
 		return nil, err
 	}
-	disk, err := openDisk(options.Filesystem, options.Folder)
+	store, err := logstore.Open(options.Filesystem, options.Folder)
 	if err != nil {
 		return nil, err
 	}
 	replica := &Replica{
-		options: options, metrics: metrics, disk: disk,
+		options: options, metrics: metrics, store: store,
 		self:      proto.Clone(options.Self).(*protocol.CoreMember),
 		inbound:   make(chan inboundMessage, inboundQueue),
 		proposals: make(chan *proposal, proposalQueue),
@@ -90,7 +91,7 @@
 	replica.SetSeeds(options.Seeds)
 	replica.self.Id, replica.self.Voter = memberID(identity.StorageID), false
 	if err := replica.recoverState(); err != nil {
-		_ = disk.close()
+		_ = store.Close()
 		return nil, err
 	}
 	return replica, nil
@@ -129,20 +130,17 @@
 
 // open recovers the node and the state machine.
 func (r *Replica) recoverState() error {
-	snapshot, state, err := r.disk.loadSnapshot()
-	if err != nil {
-		return err
-	}
-	clusterID, initial, err := r.disk.recover(snapshot)
+	recovered, err := r.store.Recover()
 	if err != nil {
 		return err
 	}
+	snapshot := recovered.Initial.Snapshot
 	if snapshot.GetIndex() > r.machineIndex {
-		if err := r.restoreMachine(snapshot, state); err != nil {
+		if err := r.restoreMachine(snapshot, recovered.SnapshotState); err != nil {
 			return err
 		}
 	}
-	return r.owner.init(r, clusterID, initial)
+	return r.owner.init(r, recovered.ClusterID, recovered.Initial)
 }
 
 // Start begins to serve: it joins or founds a cluster when the folder holds none.
@@ -167,7 +165,7 @@
 func (r *Replica) Stop(ctx context.Context) error {
 	if !r.started.Load() {
 		r.stopOnce.Do(func() { close(r.stop); close(r.stopped) })
-		return r.disk.close()
+		return r.store.Close()
 	}
 	if r.view.Load().status.Role == consensus.Leader {
 		// Where no other voter can take over, the others elect one after this one is silent.
@@ -176,7 +174,7 @@
 	r.stopOnce.Do(func() { close(r.stop) })
 	r.cancel()
 	r.running.Wait()
-	return r.disk.close()
+	return r.store.Close()
 }
 
 // IsLeader reports whether this process leads, has applied all that earlier leaders committed,
--- a/internal/controlplane/replica/sequential_faults_test.go
+++ b/internal/controlplane/replica/sequential_faults_test.go
@@ -252,19 +252,26 @@
 	})
 }
 
-// countingFilesystem counts the files opened and panics beyond a bound, so that a replica that reads for ever ends its test.
-type countingFilesystem struct {
-	storage.Filesystem
-	opened *atomic.Int64
+// openLimiter counts the files that are opened while it is enabled and panics beyond maxOpened, so
+// that a replica that reads for ever ends its test.
+type openLimiter struct {
+	enabled atomic.Bool
+	opened  atomic.Int64
 }
 
 const maxOpened = 10_000
 
-func (c countingFilesystem) Open(path string) (storage.File, error) {
-	if c.opened.Add(1) > maxOpened {
+// limitedFilesystem reports each opened file to a limiter.
+type limitedFilesystem struct {
+	storage.Filesystem
+	limiter *openLimiter
+}
+
+func (f limitedFilesystem) Open(path string) (storage.File, error) {
+	if f.limiter.enabled.Load() && f.limiter.opened.Add(1) > maxOpened {
 		panic("files are opened for ever")
 	}
-	return c.Filesystem.Open(path)
+	return f.Filesystem.Open(path)
 }
 
 func TestALeaderGoesOnWhileASnapshotIsSavedThatItHasNotNoticed(t *testing.T) {
@@ -287,7 +294,7 @@
 		f.advance(time.Second)
 		owner := &leader.replica.owner
 		err := leader.replica.runOnOwner(context.Background(), func() {
-			owner.replica.disk.filesystem = countingFilesystem{Filesystem: owner.replica.disk.filesystem, opened: &atomic.Int64{}}
+			leader.openLimiter.enabled.Store(true)
 			owner.snapshots.cachedMetadata, owner.snapshots.cachedData = nil, nil
 			owner.snapshots.appliedBytes = owner.replica.options.SnapshotBytes
 			owner.maybeSnapshot()
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -65,10 +65,10 @@
 	}
 	metadata := o.node.SnapshotMetadata()
 	o.replica.metrics.snapshotBytes.Set(float64(state.Len()))
-	disk, saved, appliedBytes := o.replica.disk, o.snapshots.saved, o.snapshots.appliedBytes
+	store, saved, appliedBytes := o.replica.store, o.snapshots.saved, o.snapshots.appliedBytes
 	o.snapshots.saving, o.snapshots.appliedBytes = true, 0
 	go func() {
-		err := disk.saveSnapshot(metadata, state.Bytes())
+		err := store.SaveSnapshot(metadata, state.Bytes())
 		saved <- savedSnapshot{metadata: metadata, appliedBytes: appliedBytes, err: err}
 	}()
 }
@@ -97,7 +97,7 @@
 		return
 	}
 	entries := o.node.Entries(saved.metadata.GetIndex() + 1)
-	if err := o.replica.disk.compact(o.clusterID, saved.metadata, entries, o.node.HardState()); err != nil {
+	if err := o.replica.store.Compact(o.clusterID, saved.metadata, entries, o.node.HardState()); err != nil {
 		o.fail(err)
 		return
 	}
@@ -111,7 +111,7 @@
 	if err := o.replica.restoreMachine(received.Metadata, received.Data); err != nil {
 		return err
 	}
-	if err := o.replica.disk.saveSnapshot(received.Metadata, received.Data); err != nil {
+	if err := o.replica.store.SaveSnapshot(received.Metadata, received.Data); err != nil {
 		return err
 	}
 	o.replica.metrics.snapshotsInstalled.Inc()
@@ -120,7 +120,7 @@
 	if hardState == nil {
 		hardState = o.node.HardState()
 	}
-	return o.replica.disk.compact(o.clusterID, received.Metadata, nil, hardState)
+	return o.replica.store.Compact(o.clusterID, received.Metadata, nil, hardState)
 }
 
 // fillChunk puts the piece at the message's offset into it. It returns false when the snapshot
@@ -139,7 +139,7 @@
 }
 
 func (o *owner) loadSnapshot(wanted *protocol.SnapshotMetadata) bool {
-	metadata, data, err := o.replica.disk.loadSnapshot()
+	metadata, data, err := o.replica.store.LoadSnapshot()
 	if err != nil {
 		o.fail(err)
 		return false
