--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner.go
@@ -7,6 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/replica/transport"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -16,6 +17,9 @@
 	// maxBatch bounds what is taken from a queue before the log is written.
 	maxBatch      = 512
 	maxBatchBytes = 1 << 20
+	// queueTimeDivisor: a message to another member is not sent after this part of the election
+	// timeout in a queue.
+	queueTimeDivisor = 2
 )
 
 // owner is everything that belongs to the one goroutine that runs the consensus node.
@@ -23,7 +27,7 @@
 	replica   *Replica
 	node      *consensus.Node
 	clusterID string
-	transport *transport
+	transport *transport.Transport
 	waiters   waiters
 	snapshots snapshots
 	slowDisk  slowDiskDetector
@@ -41,12 +45,22 @@
 
 func (o *owner) init(replica *Replica, clusterID string, initial consensus.InitialState) error {
 	o.replica, o.clusterID = replica, clusterID
-	o.transport = newTransport(replica.options, replica.metrics)
+	o.transport = replica.newTransport()
 	o.snapshots = snapshots{saved: make(chan savedSnapshot, 1)}
 	o.waiters = newWaiters()
 	return o.buildNode(initial)
 }
 
+func (r *Replica) newTransport() *transport.Transport {
+	return transport.New(transport.Options{
+		Caller: r.options.Caller, Now: r.options.Clock.Now, CallTimeout: r.options.ElectionTimeout,
+		MaxQueueTime: r.options.ElectionTimeout / queueTimeDivisor,
+		Metrics: transport.Metrics{
+			Sent: r.metrics.messagesSent, SendFailures: r.metrics.sendFailures, Dropped: r.metrics.messagesDropped,
+		},
+	})
+}
+
 func (o *owner) buildNode(initial consensus.InitialState) error {
 	options := o.replica.options
 	node, err := consensus.New(consensus.Config{
@@ -125,7 +139,7 @@
 	if message.GetClusterId() != o.clusterID {
 		return
 	}
-	o.transport.observeAddress(message.GetFrom(), message.GetFromAddress())
+	o.transport.ObserveAddress(message.GetFrom(), message.GetFromAddress())
 	if err := o.node.Step(message, o.now()); err != nil {
 		o.replica.logWarning("consensus message refused", "from", message.GetFrom(), "error", err)
 		return
@@ -206,7 +220,7 @@
 			continue
 		}
 		message.ClusterId, message.FromAddress = o.clusterID, o.replica.self.GetAddress()
-		o.transport.send(message)
+		o.transport.Send(message)
 	}
 }
 
@@ -222,7 +236,7 @@
 	configuration, index := o.node.Configuration()
 	if index != o.configurationIndex {
 		o.configurationIndex = index
-		o.transport.setMembers(configuration)
+		o.transport.SetMembers(configuration)
 	}
 }
 
@@ -260,7 +274,7 @@
 func (o *owner) endLeadership(role consensus.Role) {
 	o.leadingSince = time.Time{}
 	if o.wasLeader && role == consensus.Follower {
-		o.transport.purge()
+		o.transport.Purge()
 	}
 	o.wasLeader = false
 }
@@ -269,7 +283,7 @@
 	if status.Leader == status.ID {
 		return o.replica.self.GetAddress()
 	}
-	return o.transport.addresses[status.Leader]
+	return o.transport.Address(status.Leader)
 }
 
 // found makes this member the first voter of a new cluster.
@@ -311,6 +325,6 @@
 	for _, waiter := range o.transferWaiters {
 		waiter <- cause
 	}
-	o.transport.close()
+	o.transport.Close()
 	o.snapshots.wait()
 }
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -149,15 +149,8 @@
 		return &StoppedError{}
 	}
 	r.background, r.cancel = context.WithCancel(context.Background())
-	r.running.Add(2)
-	go func() {
-		defer r.running.Done()
-		r.run()
-	}()
-	go func() {
-		defer r.running.Done()
-		r.joinLoop(r.background)
-	}()
+	r.running.Go(r.run)
+	r.running.Go(func() { r.joinLoop(r.background) })
 	return nil
 }
 
