--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/controlplane/replica/logstore/recovery.go
+++ b/internal/controlplane/replica/logstore/recovery.go
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Recovered is what a data folder holds.
--- a/internal/controlplane/replica/logstore/stored_data_test.go
+++ b/internal/controlplane/replica/logstore/stored_data_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // The folders under testdata/stored were written once, by the code of that day. A core must be able to
--- a/internal/dataplane/turn/httpturn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -8,27 +8,27 @@
 )
 
 // A turn of an HTTP route differs from other turns in three ways. Its request
-// and answer are bytes that go through unchanged. Its request id is used for
+// and answer are bytes that are forwarded unchanged. Its request id is used for
 // one send only, so that what was not issued here runs nowhere, and the caller
-// hears the end at once while the ledger is told. Any kept turn may be
-// continued by it, by several at the same time.
+// gets the end at once, while the operation at the ledger is still in flight. It may continue any
+// retained turn, which several may do at the same time.
 
-// keptTimes is how many keeping times of a turn the ledger keeps what it knows of an idle program: a
-// program that was stopped may come again within one.
-const keptTimes = 3
+// programRetentionFactor is how many retentions of a turn the ledger retains the state of an idle program: a
+// program that was stopped may continue within one.
+const programRetentionFactor = 3
 
-// leastKept stands for the keeping time of a route that names none.
-const leastKept = time.Minute
+// minRetention is the retention for a route that names a shorter one or none.
+const minRetention = time.Minute
 
 func (m *Machine) isHTTP() bool { return m.parameters.Request.GetHttp() != nil }
 
-// isKept reports whether the turn is kept for others to continue.
-func (m *Machine) isKept() bool { return m.parameters.Request.GetHttp().GetStateful() }
+// isRetained reports whether the turn is retained for others to continue.
+func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
-// IsLedgered reports whether the ledger has a part in the turn.
+// IsLedgered reports whether the turn is recorded in the ledger.
 func (m *Machine) IsLedgered() bool { return IsLedgered(m.parameters.Request) }
 
-// IsLedgered reports whether the ledger has a part in the turn of a request.
+// IsLedgered reports whether the turn of a request is recorded in the ledger.
 func IsLedgered(request *protocol.TurnRequest) bool {
 	if request.GetHttp() == nil {
 		return true
@@ -44,7 +44,7 @@
 	case !m.IsLedgered():
 		m.state = stateChoosing
 		return []Command{Choose{}}
-	case m.isKept() && m.parameters.Request.GetPreviousTurn() != "":
+	case m.isRetained() && m.parameters.Request.GetPreviousTurn() != "":
 		m.state = stateReading
 		return []Command{ReadHistory{LastTurn: m.parameters.Request.GetPreviousTurn()}}
 	default:
@@ -53,7 +53,7 @@
 	}
 }
 
-// reserveHTTP claims the session's epoch and reserves the turn's ceiling in one step.
+// reserveHTTP claims the session's epoch and sets the turn's reservation limit aside in one operation.
 func (m *Machine) reserveHTTP() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
@@ -62,17 +62,17 @@
 		Claim: &protocol.ClaimSession{
 			Session: request.GetSession(), Owner: m.parameters.Owner, OwnerIncarnation: m.parameters.Incarnation,
 			Tenant: request.GetTenant(), Budget: m.parameters.Budget,
-			KeepingMillis: (keptTimes * max(m.parameters.Retention, leastKept)).Milliseconds(),
+			KeepingMillis: (programRetentionFactor * max(m.parameters.Retention, minRetention)).Milliseconds(),
 		},
 	}}
 }
 
-// head passes the head of the answer on before the first event.
+// head emits the head of the answer before the first event.
 func (m *Machine) head(head Head, now time.Time) []Command {
 	if m.sequence > 0 {
 		return nil
 	}
-	if !m.keepsVersion(head.WeightVersions) {
+	if !m.matchesVersionPin(head.WeightVersions) {
 		return m.versionChanged(now)
 	}
 	command := m.emitCreated().(Emit)
@@ -80,38 +80,38 @@
 	return []Command{command}
 }
 
-// answeredWhole ends a turn that the server answered with a status of its own. It may have run.
-func (m *Machine) answeredWhole(answer AnswerCompleted, now time.Time) []Command {
-	m.ranEver = true
-	if m.isOfStep() && !m.takesWhole(answer) {
+// answeredCompletely ends a turn that the server answered without a stream. It may have run.
+func (m *Machine) answeredCompletely(answer AnswerCompleted, now time.Time) []Command {
+	m.ranBefore = true
+	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
 		return m.versionChanged(now)
 	}
-	m.answered = answer.Answer
+	m.completeAnswer = answer.Answer
 	f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the server answered without a stream").Failure
 	return m.charge(f, now)
 }
 
-// finishedUnkept ends a turn that nobody continues: its answer does not wait for the charge.
-func (m *Machine) finishedUnkept(now time.Time) []Command {
+// finishedUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
+func (m *Machine) finishedUnretained(now time.Time) []Command {
 	if m.isOfStep() {
 		return m.recordGeneration(now)
 	}
 	completed := m.emitCompleted()
 	if !m.IsLedgered() {
 		m.state = stateDone
-		return append(append(m.leave(), completed), Finish{})
+		return append(append(m.slot.leave(), completed), Finish{})
 	}
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the turn was answered").Failure
-	return first(m.charge(f, now), completed)
+	return prepend(m.charge(f, now), completed)
 }
 
-func (m *Machine) keptHTTP(now time.Time) *protocol.Turn {
+func (m *Machine) retainedHTTPTurn(now time.Time) *protocol.Turn {
 	request := m.parameters.Request
 	return &protocol.Turn{
 		Id: m.parameters.TurnID, Program: request.GetProgram(), Session: request.GetSession(),
 		PreviousTurn: request.GetPreviousTurn(), PreviousProgram: m.previousProgram, RequestId: request.GetRequestId(),
-		Input: request.GetInput(), Output: []*protocol.Item{{Data: m.output}}, OutputTokens: m.tokens,
+		Input: request.GetInput(), Output: []*protocol.Item{{Data: m.output}}, OutputTokens: m.attemptTokens,
 		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.Retention).UnixMilli(),
-		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: m.historyTokens + m.tokens,
+		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: m.historyTokens + m.attemptTokens,
 	}
 }
