--- a/internal/process/daemon/daemon_test.go
+++ b/internal/process/daemon/daemon_test.go
@@ -43,7 +43,7 @@
 	}
 
 	Describe("given valid settings with free ports", func() {
-		It("resolves its addresses, answers probes, peers and metrics, and stops gently", func() {
+		It("resolves its addresses, answers health checks, peers and metrics, and shuts down gracefully", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			process := running.process()
 			Expect(process.Self.GetAddress()).NotTo(HaveSuffix(":0"))
@@ -71,7 +71,7 @@
 			Expect(running.errors.String()).NotTo(ContainSubstring(clusterKey))
 		})
 
-		It("refuses a peer with another cluster key and counts it", func() {
+		It("rejects a peer with another cluster key and counts it", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			process := running.process()
 			pool := wire.NewPool(wire.PoolOptions{Key: []byte("another key of the same length...")})
@@ -98,7 +98,7 @@
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("outlives a panic of a handler, answers it as a failure and counts it", func() {
+		It("survives a panic of a handler, answers it as a failure and counts it", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			address := running.process().Self.GetHttpAddress()
 			status, body := get(address, "/panic")
@@ -132,7 +132,9 @@
 			status, code = codeOf(http.MethodPost, "/echo", strings.NewReader(strings.Repeat("x", 1<<20)))
 			Expect([]any{status, code}).To(Equal([]any{http.StatusRequestEntityTooLarge, "body_too_large"}))
 
-			answer, err := client.Post("http://"+address+"/echo", "", io.MultiReader(strings.NewReader(strings.Repeat("x", 1<<20))))
+			answer, err := client.Post(
+				"http://"+address+"/echo", "", io.MultiReader(strings.NewReader(strings.Repeat("x", 1<<20))),
+			)
 			Expect(err).NotTo(HaveOccurred())
 			answer.Body.Close()
 			Expect(answer.StatusCode).To(Equal(http.StatusBadRequest), "a chunked body is cut at the bound")
@@ -141,7 +143,7 @@
 	})
 
 	Describe("given a plane that takes long to start", func() {
-		It("is live, is not ready and refuses requests until the plane has started", func() {
+		It("is live, is not ready and rejects requests until the plane has started", func() {
 			entered, release := make(chan struct{}), make(chan struct{})
 			running := launch(&fakePlane{onStart: func(context.Context) error {
 				close(entered)
@@ -187,7 +189,7 @@
 			}
 		}
 
-		It("is unready at once and stops at once at the second signal", func() {
+		It("is unready immediately and stops immediately at the second signal", func() {
 			entered := make(chan struct{})
 			running := launch(&fakePlane{drain: stuck(entered)}, arguments("--stop-grace-millis", "600000")...)
 			process := running.process()
@@ -201,7 +203,7 @@
 			Expect(running.errors.String()).To(ContainSubstring("second signal"))
 		})
 
-		It("is cut short when the grace has passed", func() {
+		It("is interrupted when the grace period has passed", func() {
 			running := launch(&fakePlane{drain: stuck(make(chan struct{}))}, arguments("--stop-grace-millis", "20")...)
 			running.process()
 			Expect(running.terminate()).To(Equal(daemon.ExitFailure))
@@ -209,25 +211,27 @@
 		})
 	})
 
-	Describe("given something in its way", func() {
-		It("exits at once on a port in use and names the address", func() {
+	Describe("given a resource that is in use, or a fault", func() {
+		It("exits immediately on a port in use and names the address", func() {
 			first := launch(&fakePlane{}, arguments()...)
 			used := first.process().Self.GetHttpAddress()
 			second := launch(&fakePlane{}, arguments("--http-address", used, "--data-folder", filepath.Join(folder, "other"))...)
 			Expect(second.exitCode()).To(Equal(daemon.ExitFailure))
-			Expect(second.errors.String()).To(And(ContainSubstring("node.http_address"), ContainSubstring(used), ContainSubstring("in use")))
-			Expect(filepath.Join(folder, "other")).NotTo(BeADirectory(), "nothing is written before the ports are had")
+			Expect(second.errors.String()).To(
+				And(ContainSubstring("node.http_address"), ContainSubstring(used), ContainSubstring("in use")),
+			)
+			Expect(filepath.Join(folder, "other")).NotTo(BeADirectory(), "nothing is written before the ports are open")
 			Expect(first.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("exits at once when another process holds the data folder", func() {
+		It("exits immediately when another process has locked the data folder", func() {
 			lock, err := storage.LockDir(filepath.Join(folder, "data"))
 			Expect(err).NotTo(HaveOccurred())
 			defer lock.Close()
-			refused := launch(&fakePlane{}, arguments()...)
-			Expect(refused.exitCode()).To(Equal(daemon.ExitFailure))
-			Expect(refused.errors.String()).To(ContainSubstring("used by another process"))
-			Expect(refused.plane.recorded()).To(BeEmpty())
+			rejected := launch(&fakePlane{}, arguments()...)
+			Expect(rejected.exitCode()).To(Equal(daemon.ExitFailure))
+			Expect(rejected.errors.String()).To(ContainSubstring("used by another process"))
+			Expect(rejected.plane.recorded()).To(BeEmpty())
 		})
 
 		It("exits with the failure of a plane that cannot start", func() {
@@ -236,7 +240,7 @@
 			Expect(failing.errors.String()).To(ContainSubstring("no log"))
 		})
 
-		It("exits when a running plane reports that it cannot go on", func() {
+		It("exits when a running plane reports that it cannot continue", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			running.process().Fail(errors.New("sync failed"))
 			Expect(running.exitCode()).To(Equal(daemon.ExitFailure))
@@ -264,27 +268,31 @@
 	Describe("given wrong settings", func() {
 		DescribeTable("exits with 2 and starts nothing",
 			func(more []string, text string) {
-				refused := launch(&fakePlane{}, arguments(more...)...)
-				Expect(refused.exitCode()).To(Equal(daemon.ExitSettings))
-				Expect(refused.errors.String()).To(ContainSubstring(text))
-				Expect(refused.plane.recorded()).To(BeEmpty())
+				rejected := launch(&fakePlane{}, arguments(more...)...)
+				Expect(rejected.exitCode()).To(Equal(daemon.ExitSettings))
+				Expect(rejected.errors.String()).To(ContainSubstring(text))
+				Expect(rejected.plane.recorded()).To(BeEmpty())
 			},
 			Entry("a name in place of an IP", []string{"--http-address", "localhost:80"}, "node.http_address"),
 			Entry("an unknown flag", []string{"--nonsense"}, "unknown flag"),
 			Entry("a flag of another type", []string{"--segment-bytes", "many"}, "segment-bytes"),
 			Entry("a positional argument", []string{"now"}, "unknown command"),
-			Entry("a settings file that is not there", []string{"--settings", "/nonexistent/settings.json"}, "read /nonexistent"),
+			Entry(
+				"a settings file that is not there", []string{"--settings", "/nonexistent/settings.json"}, "read /nonexistent",
+			),
 			Entry("a key file that is not there", []string{"--cluster-key-file", "/nonexistent/key"}, "node.cluster_key_file"),
 			Entry("a profiler that others can reach", []string{"--debug-address", "10.0.0.1:6060"}, "node.debug_address"),
 		)
 
 		It("lists the faults of files together with those of the settings", func() {
-			refused := launch(&fakePlane{}, arguments("--cluster-key-file", "/nonexistent/key", "--zone", "a zone")...)
-			Expect(refused.exitCode()).To(Equal(daemon.ExitSettings))
-			Expect(refused.errors.String()).To(And(ContainSubstring("2 faults"), ContainSubstring("node.zone"), ContainSubstring("node.cluster_key_file")))
+			rejected := launch(&fakePlane{}, arguments("--cluster-key-file", "/nonexistent/key", "--zone", "a zone")...)
+			Expect(rejected.exitCode()).To(Equal(daemon.ExitSettings))
+			Expect(rejected.errors.String()).To(
+				And(ContainSubstring("2 faults"), ContainSubstring("node.zone"), ContainSubstring("node.cluster_key_file")),
+			)
 		})
 
-		It("refuses a key that is too short", func() {
+		It("rejects a key that is too short", func() {
 			Expect(os.WriteFile(key, []byte("short"), 0o600)).To(Succeed())
 			Expect(launch(&fakePlane{}, arguments()...).exitCode()).To(Equal(daemon.ExitSettings))
 		})
@@ -313,9 +321,9 @@
 		It("serves it there and nowhere else", func() {
 			running := launch(&fakePlane{}, arguments("--debug-address", "127.0.0.1:0")...)
 			process := running.process()
-			said := regexp.MustCompile(`profiler.* address=(127\.0\.0\.1:\d+)`).FindStringSubmatch(running.errors.String())
-			Expect(said).To(HaveLen(2), running.errors.String)
-			status, _ := get(said[1], "/debug/pprof/cmdline")
+			logged := regexp.MustCompile(`profiler.* address=(127\.0\.0\.1:\d+)`).FindStringSubmatch(running.errors.String())
+			Expect(logged).To(HaveLen(2), running.errors.String)
+			status, _ := get(logged[1], "/debug/pprof/cmdline")
 			Expect(status).To(Equal(http.StatusOK))
 			status, _ = get(process.Self.GetHttpAddress(), "/debug/pprof/cmdline")
 			Expect(status).To(Equal(http.StatusNotFound))
--- a/internal/process/daemon/doc.go
+++ b/internal/process/daemon/doc.go
@@ -1,6 +1,7 @@
-// Package daemon is the shell round every plane: it reads the settings, opens
-// the listeners, locks the data folder, serves the probes and the internal
-// protocol, and stops the process gently when it is asked to.
+// Package daemon runs a process around one plane (front node, core or store): it
+// loads the settings, opens the listeners, locks the data folder, serves the
+// monitoring routes and the internal protocol, and shuts the process down
+// gracefully on a signal.
 //
 // A plane is an fx.Option. These are in its graph: *protocol.NodeSettings,
 // *log.Logger, *prometheus.Registry (also as prometheus.Registerer), *wire.Pool
@@ -11,9 +12,12 @@
 // into Readiness. Requests to its HTTP routes are answered with not_ready until
 // all OnStart hooks have returned.
 //
-// A gentle stop makes the process unready, runs the drain hooks, ends the HTTP
-// requests that are left and runs the OnStop hooks in reverse order. Peers are
+// A graceful shutdown makes the process unready, runs the drain hooks, ends the
+// remaining HTTP requests and runs the OnStop hooks in reverse order. Peers are
 // served until the last OnStop hook has returned, so that leadership or a range
 // can still be handed over there; a handler answers with a failure once what
 // it needs has stopped.
+//
+// An instance is owned by the goroutine of run. Process and Readiness are shared
+// with the plane and safe for concurrent use.
 package daemon
--- a/internal/process/daemon/files.go
+++ b/internal/process/daemon/files.go
@@ -18,25 +18,26 @@
 	maxClusterKeyBytes = 4096
 	othersPermissions  = 0o007
 
-	publicKeyLabel = "rosestand trusted network"
+	trustedNetworkKeyLabel = "rosestand trusted network"
 )
 
-// checkFiles adds the faults of the files that the settings name to those of
-// the settings, and returns the cluster key when there are none.
-func checkFiles(loaded settings.Message, invalid error) ([]byte, error) {
+// checkFiles adds the faults of the files that the settings name to those of the
+// settings in loadError, and returns the cluster key if there are none.
+func checkFiles(loaded settings.Message, loadError error) ([]byte, error) {
 	var faults []*protocol.Fault
-	var found *settings.InvalidError
+	var invalid *settings.InvalidError
 	switch {
-	case errors.As(invalid, &found):
-		faults = found.Faults
-	case invalid != nil:
-		return nil, invalid
+	case errors.As(loadError, &invalid):
+		faults = invalid.Faults
+	case loadError != nil:
+		return nil, loadError
 	}
 	key, reason := clusterKey(loaded.GetNode())
 	if reason != "" {
 		faults = append(faults, &protocol.Fault{Path: "node.cluster_key_file", Message: reason})
 	}
-	if core, is := loaded.(interface{ GetOperatorTokenFile() string }); is && core.GetOperatorTokenFile() != "" {
+	core, isCore := loaded.(interface{ GetOperatorTokenFile() string })
+	if isCore && core.GetOperatorTokenFile() != "" {
 		if _, err := os.ReadFile(core.GetOperatorTokenFile()); err != nil {
 			faults = append(faults, &protocol.Fault{Path: "operator_token_file", Message: err.Error()})
 		}
@@ -47,25 +48,25 @@
 	return key, nil
 }
 
-// clusterKey gives the key of the settings, or the public one where the network is trusted.
+// clusterKey returns the key of the settings, or the well-known one if the network is trusted.
 func clusterKey(node *protocol.NodeSettings) (key []byte, reason string) {
 	if node.GetTrustNetwork() {
-		return publicKey(), ""
+		return trustedNetworkKey(), ""
 	}
 	return loadClusterKey(node.GetClusterKeyFile())
 }
 
-// publicKey is the key of clusters that trust their network. It is no secret:
-// it only keeps such a cluster apart from one that has a key.
-func publicKey() []byte {
+// trustedNetworkKey is the key of clusters that trust their network. It is not a
+// secret: it only separates such a cluster from one that has a key.
+func trustedNetworkKey() []byte {
 	derivation := hmac.New(sha256.New, nil)
-	derivation.Write([]byte(publicKeyLabel))
+	derivation.Write([]byte(trustedNetworkKeyLabel))
 	return derivation.Sum(nil)
 }
 
-// loadClusterKey reads the key that all processes of a cluster share, or says
-// why it cannot be used; white space round the key does not count. A path that
-// is missing is a fault that the settings list by themselves.
+// loadClusterKey loads the key that all processes of a cluster share, or returns
+// why it cannot be used; white space around the key is ignored. The check of the
+// settings reports a missing path.
 func loadClusterKey(path string) (key []byte, reason string) {
 	if path == "" {
 		return nil, ""
@@ -76,7 +77,9 @@
 	}
 	key = bytes.TrimSpace(content)
 	if len(key) < minClusterKeyBytes || len(key) > maxClusterKeyBytes {
-		return nil, fmt.Sprintf("%s has %d bytes, must have between %d and %d", path, len(key), minClusterKeyBytes, maxClusterKeyBytes)
+		return nil, fmt.Sprintf(
+			"%s has %d bytes, must have between %d and %d", path, len(key), minClusterKeyBytes, maxClusterKeyBytes,
+		)
 	}
 	return key, ""
 }
--- a/internal/process/daemon/folder.go
+++ b/internal/process/daemon/folder.go
@@ -19,15 +19,16 @@
 	incarnationMode = 0o600
 )
 
-// dataFolder is the locked data folder of a process, or nothing for a process that has none.
+// dataFolder is the locked data folder of a process; the zero value if it has none.
 type dataFolder struct {
 	lock     io.Closer
 	identity storage.Identity
 }
 
-// openDataFolder locks the folder, waits until it has room and reads its identity. An empty path means that the process
-// keeps nothing. hasRoom returns false when the process is asked to stop.
-func openDataFolder(path string, hasRoom func(path string) bool) (*dataFolder, error) {
+// openDataFolder locks the folder, waits for free space and reads its identity. An
+// empty path means that the process stores nothing. waitForSpace returns false if
+// the process is asked to stop, which is a *stoppedBeforeStartError.
+func openDataFolder(path string, waitForSpace func(path string) bool) (*dataFolder, error) {
 	if path == "" {
 		return &dataFolder{}, nil
 	}
@@ -35,7 +36,7 @@
 	if err != nil {
 		return nil, &DataFolderError{Path: path, Cause: err}
 	}
-	if !hasRoom(path) {
+	if !waitForSpace(path) {
 		return nil, errors.CombineErrors(&stoppedBeforeStartError{}, lock.Close())
 	}
 	identity, err := storage.OpenIdentity(storage.OSFilesystem{}, path)
@@ -52,8 +53,8 @@
 	return f.lock.Close()
 }
 
-// nextIncarnation is the wall clock in Unix milliseconds, made larger than the
-// last incarnation that the folder remembers, and remembered there.
+// nextIncarnation returns the wall clock in Unix milliseconds, raised above the
+// last incarnation that the folder records, and records it there.
 func nextIncarnation(folder string, now time.Time) (uint64, error) {
 	incarnation := uint64(now.UnixMilli())
 	if folder == "" {
--- a/internal/process/daemon/guard.go
+++ b/internal/process/daemon/guard.go
@@ -12,30 +12,31 @@
 
 const (
 	bodyTimeout = 30 * time.Second
-	// A body that was refused is read on within these bounds, because closing
-	// the connection with unread data would lose the answer on its way.
-	lingerTimeout = 2 * time.Second
-	lingerBytes   = 64 << 20
+	// The rest of a rejected body is read and discarded within these bounds, because
+	// closing a connection with unread data resets it and may lose the answer.
+	discardTimeout    = 2 * time.Second
+	maxDiscardedBytes = 64 << 20
 
 	startingRetryAfter = time.Second
 )
 
-// guard stands before the engine: it keeps requests from a plane that has not
+// requestGuard wraps the engine: it rejects requests to a plane that has not
 // started, and bounds the size of bodies and the time that reading them takes.
-type guard struct {
+type requestGuard struct {
 	next     http.Handler
 	started  func() bool
 	maxBytes int64
 }
 
-func (g *guard) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// ServeHTTP implements http.Handler.
+func (g *requestGuard) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Body != nil && request.Body != http.NoBody {
 		body := newTimedBody(request.Body, http.NewResponseController(writer))
-		defer body.linger()
+		defer body.discardRest()
 		request.Body = http.MaxBytesReader(writer, body, g.maxBytes)
 	}
 	switch {
-	case !g.started() && !isProbe(request.URL.Path):
+	case !g.started() && !isMonitoringPath(request.URL.Path):
 		WriteFailure(writer, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "the process is starting",
 			failure.WithRetryAfter(startingRetryAfter)).Failure)
 	case request.ContentLength > g.maxBytes:
@@ -47,16 +48,16 @@
 	}
 }
 
-func isProbe(path string) bool {
+func isMonitoringPath(path string) bool {
 	return path == livePath || path == readyPath || path == metricsPath
 }
 
-// timedBody has a deadline for reading, which it lifts once the whole body was
-// read; without that a long answer would be cancelled when the deadline passes.
+// timedBody has a read deadline, which it clears once the body was read completely;
+// otherwise a long answer would be cancelled when the deadline passes.
 type timedBody struct {
 	io.ReadCloser
 	controller *http.ResponseController
-	ended      bool
+	complete   bool
 }
 
 func newTimedBody(body io.ReadCloser, controller *http.ResponseController) *timedBody {
@@ -64,25 +65,26 @@
 	return &timedBody{ReadCloser: body, controller: controller}
 }
 
+// Read implements io.Reader; the first error, io.EOF included, clears the deadline.
 func (b *timedBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if err != nil {
-		b.ended = true
+		b.complete = true
 		_ = b.controller.SetReadDeadline(time.Time{})
 	}
 	return count, err
 }
 
-// Close leaves closing to the server, so that linger can still read.
+// Close leaves closing to the server, so that discardRest can still read.
 func (b *timedBody) Close() error { return nil }
 
-// linger sends the answer and reads on what the handler left unread.
-func (b *timedBody) linger() {
-	if b.ended {
+// discardRest sends the answer and discards what the handler left unread.
+func (b *timedBody) discardRest() {
+	if b.complete {
 		return
 	}
 	_ = b.controller.Flush()
-	_ = b.controller.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.CopyN(io.Discard, b.ReadCloser, lingerBytes)
+	_ = b.controller.SetReadDeadline(time.Now().Add(discardTimeout))
+	_, _ = io.CopyN(io.Discard, b.ReadCloser, maxDiscardedBytes)
 	_ = b.controller.SetReadDeadline(time.Time{})
 }
--- a/internal/process/daemon/harness_test.go
+++ b/internal/process/daemon/harness_test.go
@@ -155,7 +155,9 @@
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second}
 
 func get(address, path string) (int, string) {
-	answer, err := client.Get("http://" + address + path)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+path, nil)
+	Expect(err).NotTo(HaveOccurred())
+	answer, err := client.Do(request)
 	Expect(err).NotTo(HaveOccurred())
 	defer answer.Body.Close()
 	body, err := io.ReadAll(answer.Body)
--- a/internal/process/daemon/http.go
+++ b/internal/process/daemon/http.go
@@ -38,7 +38,7 @@
 	Error failure.Detail `json:"error"`
 }
 
-// WriteFailure answers a request with a failure, with Retry-After in whole seconds when another try makes sense.
+// WriteFailure answers a request with a failure, with Retry-After in seconds, rounded up, if it has one.
 func WriteFailure(writer http.ResponseWriter, problem *protocol.Failure) {
 	body, err := json.Marshal(errorBody{Error: failure.DetailOf(problem)})
 	if err != nil {
@@ -53,8 +53,8 @@
 	_, _ = writer.Write(append(body, '\n'))
 }
 
-// newEngine gives an engine that answers unknown routes and methods with failures.
-// A panic in a handler ends its request only; it is counted and logged with its place.
+// newEngine returns an engine that answers unknown routes and methods with failures.
+// A panic in a handler ends its request only; it is counted and logged with its stack.
 func newEngine(logger *log.Logger, registry prometheus.Registerer) *gin.Engine {
 	panics := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "rosestand_http_panics_total",
@@ -65,7 +65,7 @@
 	engine := gin.New()
 	engine.Use(gin.CustomRecoveryWithWriter(io.Discard, func(c *gin.Context, cause any) {
 		panics.Inc()
-		logger.Error("an HTTP handler panicked", "path", c.FullPath(), "cause", cause, "stack", string(debug.Stack()))
+		logger.Error("HTTP handler panicked", "path", c.FullPath(), "cause", cause, "stack", string(debug.Stack()))
 		if !c.Writer.Written() {
 			WriteFailure(c.Writer, failure.New(failure.InternalError, protocol.Outcome_UNKNOWN, "the handler failed").Failure)
 		}
@@ -86,23 +86,23 @@
 	return engine
 }
 
-// addProbes registers the routes that every daemon has.
-func addProbes(engine *gin.Engine, process *Process, registry *prometheus.Registry) {
+// addMonitoringRoutes registers the routes that every daemon has.
+func addMonitoringRoutes(engine *gin.Engine, process *Process, registry *prometheus.Registry) {
 	engine.GET(livePath, func(c *gin.Context) {
 		c.JSON(http.StatusOK, gin.H{"status": "live"})
 	})
 	engine.GET(readyPath, func(c *gin.Context) {
 		if reasons := process.Readiness.Reasons(); len(reasons) > 0 {
 			c.Header("Retry-After", "1")
-			c.JSON(http.StatusServiceUnavailable, readyAnswer{Status: "not ready", Reasons: reasons})
+			c.JSON(http.StatusServiceUnavailable, readinessBody{Status: "not ready", Reasons: reasons})
 			return
 		}
-		c.JSON(http.StatusOK, readyAnswer{Status: "ready"})
+		c.JSON(http.StatusOK, readinessBody{Status: "ready"})
 	})
 	engine.GET(metricsPath, gin.WrapH(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})))
 }
 
-type readyAnswer struct {
+type readinessBody struct {
 	Status  string   `json:"status"`
 	Reasons []Reason `json:"reasons,omitempty"`
 }
@@ -128,21 +128,21 @@
 	return newHTTPServer(mux, logger)
 }
 
-// servedHTTP is a server that runs in the background.
-type servedHTTP struct {
+// httpService is an HTTP server that serves in a goroutine of its own until shutDown.
+type httpService struct {
 	server *httpdrain.Server
-	// done gets the result of serving.
+	// done receives the result of serving.
 	done chan error
 }
 
-func serve(server *http.Server, listener net.Listener) *servedHTTP {
-	served := &servedHTTP{server: httpdrain.New(server, listener), done: make(chan error, 1)}
-	go func() { served.done <- served.server.Serve() }()
-	return served
+func startHTTP(server *http.Server, listener net.Listener) *httpService {
+	service := &httpService{server: httpdrain.New(server, listener), done: make(chan error, 1)}
+	go func() { service.done <- service.server.Serve() }()
+	return service
 }
 
-// shutDown ends the server, by force when its requests outlast the context.
-func (s *servedHTTP) shutDown(ctx context.Context) error {
+// shutDown drains the server, and closes it forcibly if requests outlast the context.
+func (s *httpService) shutDown(ctx context.Context) error {
 	err := s.server.Drain(ctx)
 	if err != nil {
 		err = s.server.Close()
--- a/internal/process/daemon/listen.go
+++ b/internal/process/daemon/listen.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"net"
 
 	"github.com/cockroachdb/errors"
@@ -8,15 +9,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// listeners are opened before anything else, so that a used port ends the start at once.
+// listeners are opened before anything else, so that a port in use ends the start
+// immediately. Those without an address are nil.
 type listeners struct {
 	internal net.Listener
 	http     net.Listener
 	debug    net.Listener
 }
 
-func openListeners(settings *protocol.NodeSettings) (*listeners, error) {
+// openListeners opens the listeners; the error is a *ListenError.
+func openListeners(ctx context.Context, settings *protocol.NodeSettings) (*listeners, error) {
 	opened := &listeners{}
+	var config net.ListenConfig
 	wanted := []struct {
 		purpose string
 		address string
@@ -30,25 +34,26 @@
 		if each.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", each.address)
+		listener, err := config.Listen(ctx, "tcp", each.address)
 		if err != nil {
-			return nil, errors.CombineErrors(&ListenError{Purpose: each.purpose, Address: each.address, Cause: err}, opened.close())
+			listenError := &ListenError{Purpose: each.purpose, Address: each.address, Cause: err}
+			return nil, errors.CombineErrors(listenError, opened.close())
 		}
 		*each.target = listener
 	}
 	return opened, nil
 }
 
-// close ends all listeners; those that a server has closed before are passed over.
+// close closes all listeners, including those that a server has closed already.
 func (l *listeners) close() error {
-	var failed error
+	var closeError error
 	for _, listener := range []net.Listener{l.internal, l.http, l.debug} {
 		if listener == nil {
 			continue
 		}
 		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			failed = errors.CombineErrors(failed, err)
+			closeError = errors.CombineErrors(closeError, err)
 		}
 	}
-	return failed
+	return closeError
 }
--- a/internal/process/daemon/logger.go
+++ b/internal/process/daemon/logger.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// newLogger gives the logger of a process; every line carries the node's name.
+// newLogger returns the logger of a process; every line has the node's name.
 func newLogger(writer io.Writer, settings *protocol.NodeSettings) (*log.Logger, error) {
 	level, err := log.ParseLevel(settings.GetLogLevel())
 	if err != nil {
--- a/internal/process/daemon/main.go
+++ b/internal/process/daemon/main.go
@@ -17,40 +17,41 @@
 
 // Exit codes of every daemon.
 const (
-	// ExitStopped says that the process was asked to stop and did so gently.
+	// ExitStopped means that the process was asked to stop and shut down gracefully.
 	ExitStopped = 0
-	// ExitFailure says that the start failed, the process could not go on, or
-	// the stop was cut short by a second signal or by the end of the grace.
+	// ExitFailure means that the start failed, that the process could not continue,
+	// or that the shutdown was interrupted by a second signal or the end of the
+	// grace period.
 	ExitFailure = 1
-	// ExitSettings says that the command line or the settings are wrong; nothing was started.
+	// ExitSettings means that the command line or the settings are invalid; nothing was started.
 	ExitSettings = 2
 )
 
-// Environment is what a daemon has from the system.
+// Environment is what a daemon gets from the operating system.
 type Environment struct {
-	// Arguments are those of the command line, without the program's name.
+	// Arguments are the command line's, without the program's name.
 	Arguments []string
-	// Output is for what was asked for, Errors for faults and the log.
+	// Output is for results, Errors for faults and the log.
 	Output io.Writer
 	Errors io.Writer
-	// Signals asks the process to stop: gently the first time, at once the second time.
+	// Signals stops the process: gracefully the first time, immediately the second time.
 	Signals <-chan os.Signal
-	// Reload asks the process to read its settings file again; nil when nothing asks.
+	// Reload makes the process reload its settings file; it may be nil.
 	Reload <-chan os.Signal
-	// OnRunning, when set, is called once everything is started and served.
+	// OnRunning, if set, is called once the plane has started and is served.
 	OnRunning func(*Process)
 }
 
-// Module makes the fx module of a plane from its settings.
+// Module returns the fx module of a plane for its settings.
 type Module[S settings.Message] func(S) fx.Option
 
-// Main runs a daemon with one plane and ends the program.
+// Main runs a daemon with one plane and exits the program with its exit code.
 func Main[S settings.Message](kind settings.Kind[S], module Module[S]) {
 	os.Exit(Execute(kind, module, SystemEnvironment(os.Args[1:])))
 }
 
-// SystemEnvironment is the environment of a program: standard output and
-// error, SIGTERM and SIGINT to stop, SIGHUP to read the settings again.
+// SystemEnvironment returns the environment of a program: standard output and
+// error, SIGTERM and SIGINT to stop, SIGHUP to reload the settings.
 func SystemEnvironment(arguments []string) Environment {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -65,7 +66,8 @@
 	}
 }
 
-// Execute runs a daemon until it stops and returns its exit code.
+// Execute runs a daemon until it stops and returns its exit code. Errors are
+// written to Environment.Errors.
 func Execute[S settings.Message](kind settings.Kind[S], module Module[S], environment Environment) int {
 	command, code := newCommand(kind, module, environment)
 	if err := command.Execute(); err != nil {
@@ -75,14 +77,17 @@
 	return *code
 }
 
-func newCommand[S settings.Message](kind settings.Kind[S], module Module[S], environment Environment) (*cobra.Command, *int) {
+func newCommand[S settings.Message](
+	kind settings.Kind[S], module Module[S], environment Environment,
+) (*cobra.Command, *int) {
 	var file string
 	var checkOnly, printOnly bool
 	code := ExitSettings
+	const exitCodes = "It exits with 0 when stopped, 1 on failure, 2 for wrong settings."
 	command := &cobra.Command{
 		Use:           kind.Program,
 		Short:         kind.Summary,
-		Long:          kind.Program + " is a " + kind.Summary + ".\nIt exits with 0 when stopped, 1 on failure, 2 for wrong settings.",
+		Long:          kind.Program + " is a " + kind.Summary + ".\n" + exitCodes,
 		Version:       version.String(),
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
@@ -93,13 +98,14 @@
 	command.SetErr(environment.Errors)
 	flags := command.Flags()
 	flags.SortFlags = false
-	flags.StringVar(&file, "settings", "", "JSON file with settings; flags go over it")
+	flags.StringVar(&file, "settings", "", "JSON file with settings; flags override it")
 	flags.BoolVar(&checkOnly, "check-config", false, "check the settings and the files they name, then exit")
-	flags.BoolVar(&printOnly, "print-config", false, "print the settings with defaults filled in, then exit")
+	flags.BoolVar(&printOnly, "print-config", false, "print the settings with their defaults, then exit")
 	kind.AddFlags(flags)
 	command.PreRun = func(*cobra.Command, []string) { code = ExitStopped }
 	command.RunE = func(*cobra.Command, []string) error {
-		stamp := stampOf(file)
+		// The stamp is taken first: a change during Load is then seen by the next check.
+		stamp := statStamp(file)
 		loaded, err := kind.Load(file, flags)
 		if err == nil && printOnly {
 			return printSettings(environment.Output, loaded)
@@ -113,10 +119,10 @@
 			return errors.Wrap(err, "report")
 		default:
 			source := &settingsSource{
-				file:    file,
-				current: loaded,
-				seen:    stamp,
-				load:    func() (settings.Message, error) { return kind.Load(file, flags) },
+				file:      file,
+				current:   loaded,
+				lastStamp: stamp,
+				load:      func() (settings.Message, error) { return kind.Load(file, flags) },
 			}
 			return run(kind.Node, source, key, module(loaded), environment)
 		}
@@ -133,7 +139,8 @@
 	return errors.Wrap(err, "print settings")
 }
 
-// exitCode tells wrong settings from failures; fallback applies while the command line was not yet understood.
+// exitCode distinguishes invalid settings from failures; fallback is ExitSettings
+// until the command line was parsed.
 func exitCode(err error, fallback int) int {
 	var invalid *settings.InvalidError
 	var unreadable *settings.ReadError
@@ -146,12 +153,12 @@
 	return ExitFailure
 }
 
-// probeBodyBytes bounds the bodies sent to a daemon whose only HTTP routes are the probes.
-const probeBodyBytes = 64 << 10
+// defaultMaxBodyBytes bounds the bodies for a daemon that has monitoring routes only.
+const defaultMaxBodyBytes = 64 << 10
 
 func maxBodyBytes(loaded settings.Message) int64 {
 	if bounded, has := loaded.(interface{ GetMaxBodyBytes() uint64 }); has {
 		return int64(bounded.GetMaxBodyBytes())
 	}
-	return probeBodyBytes
+	return defaultMaxBodyBytes
 }
--- a/internal/process/daemon/metrics.go
+++ b/internal/process/daemon/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// newRegistry gives the metrics of the process itself; planes add theirs.
+// newRegistry returns a registry with the metrics of the process itself; planes add theirs.
 func newRegistry(process *Process) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -19,7 +19,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rosestand_ready",
 			Help: "1 while the process answers /readyz with 200.",
-		}, func() float64 { return oneIf(process.Readiness.Ready()) }),
+		}, func() float64 { return boolGauge(process.Readiness.Ready()) }),
 	)
 	return registry
 }
@@ -33,8 +33,8 @@
 	return information
 }
 
-// registerWire exports the traffic of one side of the internal protocol.
-func registerWire(registry prometheus.Registerer, side string, counters *wire.Counters) error {
+// registerWireCounters exports the traffic of one side (client or server) of the internal protocol.
+func registerWireCounters(registry prometheus.Registerer, side string, counters *wire.Counters) error {
 	labels := prometheus.Labels{"side": side}
 	exported := []prometheus.Collector{
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -52,8 +52,14 @@
 	}
 	for _, purpose := range wire.Purposes {
 		exported = append(exported,
-			purposeCounter("rosestand_wire_sent_purpose_bytes_total", "Bytes of frames sent, by what they are for.", side, purpose, &counters.SentFor),
-			purposeCounter("rosestand_wire_received_purpose_bytes_total", "Bytes of frames received, by what they are for.", side, purpose, &counters.ReceivedFor),
+			purposeCounter(
+				"rosestand_wire_sent_purpose_bytes_total", "Bytes of frames sent, by what they are for.", side, purpose,
+				&counters.SentFor,
+			),
+			purposeCounter(
+				"rosestand_wire_received_purpose_bytes_total", "Bytes of frames received, by what they are for.", side, purpose,
+				&counters.ReceivedFor,
+			),
 		)
 	}
 	for _, collector := range exported {
@@ -75,7 +81,7 @@
 	}, func() float64 { return float64(bytes.Of(purpose)) })
 }
 
-func oneIf(condition bool) float64 {
+func boolGauge(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/process/daemon/process.go
+++ b/internal/process/daemon/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -10,39 +11,42 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// DrainHook ends one part of the work of a process before it stops. It returns
-// when nothing of that part is under way any more, or when the context ends.
+// DrainHook drains one part of a process before it stops. It returns when nothing
+// of that part is in flight any more, or when the context ends.
 type DrainHook func(context.Context) error
 
-// Process is what a plane knows of the process it runs in.
+// Process is what a plane knows about the process that it runs in. Its methods may
+// be called from any goroutine; its exported fields are set before the plane is
+// built.
 type Process struct {
-	// Self describes the process to its peers; addresses are resolved, so a
-	// port of zero in the settings is the port in use here.
+	// Self describes the process to its peers. Its addresses are resolved: where
+	// the settings have port zero, it has the port in use.
 	Self *protocol.Node
-	// Readiness decides what /readyz answers.
+	// Readiness is what /readyz answers.
 	Readiness *Readiness
 	// Started is when the process started; it carries a monotonic reading.
 	Started time.Time
-	// FreshFolder is true when the data folder had no identity before this start.
+	// FreshFolder is true if the data folder had no identity before this start.
 	FreshFolder bool
 
-	mutex    sync.Mutex
-	hooks    []namedHook
-	changed  []SettingsHook
-	draining chan struct{}
-	failures chan error
+	// mutex guards both lists of hooks.
+	mutex         sync.Mutex
+	drainHooks    []namedDrainHook
+	settingsHooks []SettingsHook
+	draining      chan struct{}
+	failures      chan error
 }
 
-// SettingsHook hears of settings that were read again while the process runs.
-// It must not block, and must not change what it is given.
+// SettingsHook is called with settings that were reloaded while the process runs.
+// It must not block, and must not change its argument.
 type SettingsHook func(*protocol.NodeSettings)
 
-type namedHook struct {
+type namedDrainHook struct {
 	name  string
 	drain DrainHook
 }
 
-// NewProcess makes the description of a process; tests of planes use it too.
+// NewProcess returns a process that is not draining; tests of planes use it, too.
 func NewProcess(self *protocol.Node, started time.Time) *Process {
 	return &Process{
 		Self:      self,
@@ -53,42 +57,42 @@
 	}
 }
 
-// OnDrain adds a hook that runs when the process is asked to stop gently,
-// before any OnStop hook. Hooks run one after another in the order in which
-// they were added and share the grace of the settings.
+// OnDrain adds a hook that runs at the beginning of a graceful shutdown, before
+// any OnStop hook. Hooks run one after another in the order in which they were
+// added and share the grace period of the settings.
 func (p *Process) OnDrain(name string, drain DrainHook) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.hooks = append(p.hooks, namedHook{name: name, drain: drain})
+	p.drainHooks = append(p.drainHooks, namedDrainHook{name: name, drain: drain})
 }
 
-// OnSettings adds a hook that is called with the common part of the settings
-// each time the settings file was read again and was valid. Seeds and the log
-// level are what may differ; everything else stands as it was at the start.
-// Hooks run one after another on a goroutine of the daemon.
+// OnSettings adds a hook that is called with the common part of the settings each
+// time that changed and valid settings were loaded. Only changes of the seeds and
+// the log level take effect; other changes need a restart. Hooks run one after
+// another on a goroutine of the daemon.
 func (p *Process) OnSettings(changed SettingsHook) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.changed = append(p.changed, changed)
+	p.settingsHooks = append(p.settingsHooks, changed)
 }
 
-// announceSettings calls the hooks that OnSettings added.
-func (p *Process) announceSettings(node *protocol.NodeSettings) {
+// notifySettings calls the hooks of OnSettings.
+func (p *Process) notifySettings(node *protocol.NodeSettings) {
 	p.mutex.Lock()
-	hooks := append([]SettingsHook(nil), p.changed...)
+	hooks := slices.Clone(p.settingsHooks)
 	p.mutex.Unlock()
 	for _, hook := range hooks {
 		hook(node)
 	}
 }
 
-// Draining is closed when a gentle stop begins.
+// Draining is closed when a graceful shutdown begins.
 func (p *Process) Draining() <-chan struct{} {
 	return p.draining
 }
 
-// Fail stops the process with exit code 1 because of an error that it cannot
-// outlive, such as a failed sync. The first error counts; Fail returns at once.
+// Fail stops the process with exit code 1 because of an error after which it cannot
+// continue, such as a failed sync. The first error counts; Fail does not block.
 func (p *Process) Fail(err error) {
 	select {
 	case p.failures <- err:
@@ -96,26 +100,27 @@
 	}
 }
 
-// Failures gives the error that Fail was told first. One receiver gets it.
+// Failures receives the first error that was passed to Fail; only one receiver gets it.
 func (p *Process) Failures() <-chan error { return p.failures }
 
-// Drain makes the process unready and runs the hooks of OnDrain one after another, as long as the context lasts.
+// Drain makes the process unready and runs the hooks of OnDrain one after another
+// until the context ends. The error combines those of the hooks, each a *StageError.
 func (p *Process) Drain(ctx context.Context) error {
-	var failed error
+	var drainError error
 	for _, hook := range p.beginDrain() {
 		if ctx.Err() != nil {
-			return failed
+			return drainError
 		}
-		failed = errors.CombineErrors(failed, staged("drain "+hook.name, hook.drain(ctx)))
+		drainError = errors.CombineErrors(drainError, wrapStage("drain "+hook.name, hook.drain(ctx)))
 	}
-	return failed
+	return drainError
 }
 
 // beginDrain makes the process unready and returns the hooks to run.
-func (p *Process) beginDrain() []namedHook {
+func (p *Process) beginDrain() []namedDrainHook {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.Readiness.Set(conditionDraining, "the process is stopping")
 	close(p.draining)
-	return append([]namedHook(nil), p.hooks...)
+	return slices.Clone(p.drainHooks)
 }
--- a/internal/process/daemon/readiness.go
+++ b/internal/process/daemon/readiness.go
@@ -11,27 +11,27 @@
 	conditionDraining = "draining"
 )
 
-// Reason says why a process is not ready.
+// Reason is why a process is not ready: the condition that is not met, and why.
 type Reason struct {
 	Condition string `json:"condition"`
 	Reason    string `json:"reason"`
 }
 
-// Readiness collects the conditions under which a process may be given work.
-// A process is ready when no condition gives a reason against it. It may be
-// used from any goroutine.
+// Readiness collects the conditions under which a process may be given work. The
+// process is ready if all of them are met. It is safe for concurrent use; its mutex
+// is not held while checks run.
 type Readiness struct {
 	mutex   sync.Mutex
 	reasons map[string]string
 	checks  map[string]func() string
 }
 
-// NewReadiness gives a readiness without conditions.
+// NewReadiness returns a readiness without conditions.
 func NewReadiness() *Readiness {
 	return &Readiness{reasons: map[string]string{}, checks: map[string]func() string{}}
 }
 
-// Set records why the condition is not met; an empty reason says that it is met.
+// Set records why the condition is not met; an empty reason means that it is met.
 func (r *Readiness) Set(condition, reason string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -42,15 +42,15 @@
 	r.reasons[condition] = reason
 }
 
-// AddCheck adds a condition that is asked whenever readiness is: check returns
-// the reason against it, or nothing. It must not block.
+// AddCheck adds a condition that is evaluated on each query: check returns why it is
+// not met, or an empty string. It must not block.
 func (r *Readiness) AddCheck(condition string, check func() string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.checks[condition] = check
 }
 
-// Reasons lists what stands against being ready, sorted by condition; it is empty when ready.
+// Reasons lists the conditions that are not met, sorted by name; it is empty if the process is ready.
 func (r *Readiness) Reasons() []Reason {
 	r.mutex.Lock()
 	checks := make(map[string]func() string, len(r.checks))
@@ -69,7 +69,7 @@
 	return reasons
 }
 
-// Ready reports whether no condition stands against it.
+// Ready reports whether all conditions are met.
 func (r *Readiness) Ready() bool {
 	return len(r.Reasons()) == 0
 }
--- a/internal/process/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -13,33 +13,33 @@
 	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
-// settingsPollInterval is how often the settings file is looked at for a change that no signal told of.
+// settingsPollInterval is the interval between checks of the settings file for a change without a signal.
 const settingsPollInterval = time.Second
 
-// fieldsTaken are the fields whose changes a running process takes. Founders
-// count only where a cluster is founded, so that a change of them asks for nothing.
-var fieldsTaken = []protoreflect.Name{"seeds", "log_level", "founders"}
+// reloadableFields are the fields whose changes a running process applies.
+// Founders matter only when a cluster is founded, so that a change needs nothing.
+var reloadableFields = []protoreflect.Name{"seeds", "log_level", "founders"}
 
-// settingsSource is where the settings of a process came from and may be read again.
+// settingsSource is where the settings of a process are loaded from.
 type settingsSource struct {
-	// file is the settings file; empty when flags say everything.
+	// file is the settings file; empty if all settings are flags.
 	file string
 	// current are the settings in force.
 	current settings.Message
-	// load reads the file and the flags over it again.
+	// load loads the file again, overridden by the flags.
 	load func() (settings.Message, error)
-	// seen is the file as it was when it was last read.
-	seen fileStamp
+	// lastStamp is the state of the file when it was last loaded.
+	lastStamp fileStamp
 }
 
-// fileStamp tells one state of a file from another without reading it.
+// fileStamp distinguishes states of a file without reading it.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 	exists   bool
 }
 
-func stampOf(path string) fileStamp {
+func statStamp(path string) fileStamp {
 	status, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
@@ -47,42 +47,42 @@
 	return fileStamp{modified: status.ModTime(), size: status.Size(), exists: true}
 }
 
-// changed reports whether the file differs from when it was last read, and notes what it saw.
+// changed reports whether the file exists and differs from the last check, and records its state.
 func (s *settingsSource) changed() bool {
-	stamp := stampOf(s.file)
-	if stamp == s.seen {
+	stamp := statStamp(s.file)
+	if stamp == s.lastStamp {
 		return false
 	}
-	s.seen = stamp
+	s.lastStamp = stamp
 	return stamp.exists
 }
 
-// watchSettings reads the settings again when reload asks for it or the file
-// has changed, until the function it returns is called; that one waits for the end.
-func (i *instance) watchSettings(reload <-chan os.Signal) (stop func()) {
+// startSettingsWatch reloads the settings on a signal or when the file has changed,
+// in a goroutine that stop ends and waits for.
+func (i *instance) startSettingsWatch(reload <-chan os.Signal) (stop func()) {
 	if i.source.file == "" {
 		return func() {}
 	}
-	ending := make(chan struct{})
-	var running sync.WaitGroup
-	running.Go(func() {
-		i.followSettings(reload, ending)
+	done := make(chan struct{})
+	var workers sync.WaitGroup
+	workers.Go(func() {
+		i.watchSettingsFile(reload, done)
 	})
 	return func() {
-		close(ending)
-		running.Wait()
+		close(done)
+		workers.Wait()
 	}
 }
 
-func (i *instance) followSettings(reload <-chan os.Signal, ending <-chan struct{}) {
+func (i *instance) watchSettingsFile(reload <-chan os.Signal, done <-chan struct{}) {
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
 	for {
 		select {
-		case <-ending:
+		case <-done:
 			return
 		case <-reload:
-			i.source.seen = stampOf(i.source.file)
+			i.source.lastStamp = statStamp(i.source.file)
 			i.reloadSettings()
 		case <-poll.C:
 			if i.source.changed() {
@@ -92,11 +92,11 @@
 	}
 }
 
-// reloadSettings takes what a running process can take from the settings file. A faulty file changes nothing.
+// reloadSettings applies the reloadable fields of the settings file. An invalid file changes nothing.
 func (i *instance) reloadSettings() {
 	loaded, err := i.source.load()
 	if err != nil {
-		i.logger.Error("the settings file was read again and is not valid; the settings stay as they are", "cause", err)
+		i.logger.Error("settings file rejected", "file", i.source.file, "cause", err)
 		return
 	}
 	before := i.source.current
@@ -104,24 +104,24 @@
 		return
 	}
 	i.source.current = loaded
-	if waiting := fieldsWaiting(before, loaded); len(waiting) > 0 {
-		i.logger.Warn("some settings have changed that count from the next start on", "fields", waiting)
+	if fields := fieldsNeedingRestart(before, loaded); len(fields) > 0 {
+		i.logger.Warn("settings changed that need a restart", "fields", fields)
 	}
 	node := loaded.GetNode()
 	if level, err := log.ParseLevel(node.GetLogLevel()); err == nil {
 		i.logger.SetLevel(level)
 	}
-	i.process.announceSettings(node)
-	i.logger.Info("the settings were read again", "seeds", node.GetSeeds(), "log_level", node.GetLogLevel())
+	i.process.notifySettings(node)
+	i.logger.Info("settings reloaded", "seeds", node.GetSeeds(), "log_level", node.GetLogLevel())
 }
 
-// fieldsWaiting lists the fields that differ and that a running process does not take.
-func fieldsWaiting(before, after settings.Message) []string {
-	var waiting []string
+// fieldsNeedingRestart lists the fields that differ and that a running process does not apply.
+func fieldsNeedingRestart(before, after settings.Message) []string {
+	var fields []string
 	settings.ForEachFieldPair(before, after, func(field protoreflect.FieldDescriptor, old, current protoreflect.Value) {
-		if !old.Equal(current) && !slices.Contains(fieldsTaken, field.Name()) {
-			waiting = append(waiting, string(field.Name()))
+		if !old.Equal(current) && !slices.Contains(reloadableFields, field.Name()) {
+			fields = append(fields, string(field.Name()))
 		}
 	})
-	return waiting
+	return fields
 }
--- a/internal/process/daemon/reload_test.go
+++ b/internal/process/daemon/reload_test.go
@@ -24,52 +24,55 @@
 	})
 
 	write := func(more string) {
-		document := `{"node": {"name": "store-1", "zone": "z1", "internal_address": "127.0.0.1:0", "http_address": "127.0.0.1:0",
-			"trust_network": true, "data_folder": "` + filepath.Join(folder, "data") + `", ` + more + `}}`
-		replaced := file + ".new"
-		Expect(os.WriteFile(replaced, []byte(document), 0o600)).To(Succeed())
-		Expect(os.Rename(replaced, file)).To(Succeed())
+		document := `{"node": {"name": "store-1", "zone": "z1", "internal_address": "127.0.0.1:0",
+			"http_address": "127.0.0.1:0", "trust_network": true,
+			"data_folder": "` + filepath.Join(folder, "data") + `", ` + more + `}}`
+		temporary := file + ".new"
+		Expect(os.WriteFile(temporary, []byte(document), 0o600)).To(Succeed())
+		Expect(os.Rename(temporary, file)).To(Succeed())
 	}
 	start := func() (*runningDaemon, chan *protocol.NodeSettings) {
 		write(`"seeds": ["127.0.0.1:7001"]`)
 		running := launch(&fakePlane{}, "--settings", file)
-		heard := make(chan *protocol.NodeSettings, 4)
-		running.process().OnSettings(func(node *protocol.NodeSettings) { heard <- node })
-		return running, heard
+		received := make(chan *protocol.NodeSettings, 4)
+		running.process().OnSettings(func(node *protocol.NodeSettings) { received <- node })
+		return running, received
 	}
 
-	It("tells the plane of new seeds at SIGHUP, ends nothing, and says what counts from the next start on", func() {
-		running, heard := start()
+	It("notifies the plane of new seeds at SIGHUP, stops nothing, and logs what needs a restart", func() {
+		running, received := start()
 		write(`"seeds": ["127.0.0.2:7002"], "seed_port": 9, "stop_grace_millis": 1000`)
 		running.reload <- syscall.SIGHUP
 		var node *protocol.NodeSettings
-		Eventually(heard).Should(Receive(&node))
+		Eventually(received).Should(Receive(&node))
 		Expect(node.GetSeeds()).To(Equal([]string{"127.0.0.2:9"}))
-		Expect(running.errors.String()).To(And(ContainSubstring("next start"), ContainSubstring("seed_port"), ContainSubstring("stop_grace_millis")))
+		Expect(running.errors.String()).To(
+			And(ContainSubstring("need a restart"), ContainSubstring("seed_port"), ContainSubstring("stop_grace_millis")),
+		)
 		Expect(running.errors.String()).NotTo(ContainSubstring("fields=\"[seeds"))
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 	})
 
-	It("notices a changed file without a signal and takes the log level", func() {
-		running, heard := start()
+	It("detects a changed file without a signal and applies the log level", func() {
+		running, received := start()
 		write(`"seeds": ["127.0.0.1:7001"], "log_level": "error"`)
-		Eventually(heard).Should(Receive())
+		Eventually(received).Should(Receive())
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
-		Expect(running.errors.String()).NotTo(ContainSubstring("stopping"), "a log of errors has no word of a stop")
+		Expect(running.errors.String()).NotTo(ContainSubstring("shutdown"), "a log of errors does not mention a shutdown")
 	})
 
-	It("keeps its settings while the file is broken or gone, and takes the next valid one", func() {
-		running, heard := start()
+	It("keeps its settings while the file is invalid or missing, and applies the next valid one", func() {
+		running, received := start()
 		Expect(os.WriteFile(file, []byte(`{"node": {"name": `), 0o600)).To(Succeed())
 		running.reload <- syscall.SIGHUP
-		Eventually(running.errors.String).Should(ContainSubstring("not valid"))
+		Eventually(running.errors.String).Should(ContainSubstring("settings file rejected"))
 		Expect(os.Remove(file)).To(Succeed())
 		running.reload <- syscall.SIGHUP
 		Eventually(running.errors.String).Should(ContainSubstring("no such file"))
-		Expect(heard).NotTo(Receive())
+		Expect(received).NotTo(Receive())
 		write(`"seeds": ["127.0.0.3:7003"]`)
 		var node *protocol.NodeSettings
-		Eventually(heard).Should(Receive(&node))
+		Eventually(received).Should(Receive(&node))
 		Expect(node.GetSeeds()).To(Equal([]string{"127.0.0.3:7003"}))
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 	})
@@ -78,8 +81,8 @@
 		running, _ := start()
 		Expect(running.errors.String()).To(ContainSubstring("without a cluster key"))
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
-		refused := launch(&fakePlane{}, "--settings", file, "--trust-network=false")
-		Expect(refused.exitCode()).To(Equal(daemon.ExitSettings))
-		Expect(refused.errors.String()).To(ContainSubstring("node.cluster_key_file: is missing"))
+		rejected := launch(&fakePlane{}, "--settings", file, "--trust-network=false")
+		Expect(rejected.exitCode()).To(Equal(daemon.ExitSettings))
+		Expect(rejected.errors.String()).To(ContainSubstring("node.cluster_key_file: is missing"))
 	})
 })
--- a/internal/process/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -24,7 +24,8 @@
 // startTimeout bounds the start of a plane, which may read a large data folder.
 const startTimeout = 10 * time.Minute
 
-// instance is one running daemon.
+// instance is one running daemon. The goroutine of run owns it; the goroutine of
+// startSettingsWatch uses source, logger and process while the plane runs.
 type instance struct {
 	source    *settingsSource
 	settings  *protocol.NodeSettings
@@ -42,86 +43,92 @@
 	started atomic.Bool
 	running bool
 
-	http   *http.Server
-	served *servedHTTP
-	// debug serves the profiler; nil without an address for it.
-	debug  *servedHTTP
-	server *wire.Server
+	httpServer  *http.Server
+	httpService *httpService
+	// debugService serves the profiler; nil without an address for it.
+	debugService *httpService
+	wireServer   *wire.Server
 }
 
-// run opens what the process needs, starts the plane and stops it when asked to.
-func run(kind protocol.NodeKind, source *settingsSource, key []byte, plane fx.Option, environment Environment) (failed error) {
+// run opens what the process needs, starts the plane and runs it until it is stopped.
+func run(
+	kind protocol.NodeKind, source *settingsSource, key []byte, plane fx.Option, environment Environment,
+) (runError error) {
 	node := source.current.GetNode()
 	logger, err := newLogger(environment.Errors, node)
 	if err != nil {
 		return err
 	}
-	if readableByOthers(node.GetClusterKeyFile()) {
-		logger.Warn("every account of this machine may read the cluster key", "file", node.GetClusterKeyFile())
-	}
-	if node.GetTrustNetwork() {
-		logger.Warn("this process runs without a cluster key: whoever reaches the internal port is trusted")
-	}
-	if trustsOperators(source.current) {
-		logger.Warn("orders are taken without an operator's token: whoever reaches the HTTP port may give them")
-	}
-	opened, err := openListeners(node)
+	warnOfTrust(logger, source.current)
+	listeners, err := openListeners(context.Background(), node)
 	if err != nil {
 		return err
 	}
-	defer func() { failed = errors.CombineErrors(failed, opened.close()) }()
+	defer func() { runError = errors.CombineErrors(runError, listeners.close()) }()
 	folder, err := openDataFolder(node.GetDataFolder(), func(path string) bool {
 		return waitForSpace(storage.OSFilesystem{}, path, logger, environment.Signals)
 	})
 	var stopped *stoppedBeforeStartError
 	if errors.As(err, &stopped) {
-		logger.Info("stopped while the start waited for room on the disk")
+		logger.Info("stopped while waiting for disk space")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	defer func() { failed = errors.CombineErrors(failed, folder.close()) }()
-	started := time.Now()
-	incarnation, err := nextIncarnation(node.GetDataFolder(), started)
-	if err != nil {
+	defer func() { runError = errors.CombineErrors(runError, folder.close()) }()
+	i := &instance{source: source, settings: node, key: key, listeners: listeners, folder: folder, logger: logger}
+	if i.process, err = i.newProcess(kind); err != nil {
 		return err
 	}
-	process := NewProcess(describeSelf(kind, node, opened, folder, incarnation), started)
-	process.FreshFolder = folder.identity.Fresh
-	i := &instance{source: source, settings: node, key: key, listeners: opened, folder: folder, logger: logger, process: process}
 	if err := i.assemble(plane, maxBodyBytes(source.current)); err != nil {
 		return err
 	}
-	return i.live(environment)
+	return i.runUntilStopped(environment)
 }
 
-// trustsOperators reports whether the settings of a core say so.
-func trustsOperators(loaded settings.Message) bool {
-	core, is := loaded.(interface{ GetTrustOperators() bool })
-	return is && core.GetTrustOperators()
+// warnOfTrust logs which protections the settings give up.
+func warnOfTrust(logger *log.Logger, loaded settings.Message) {
+	node := loaded.GetNode()
+	if readableByOthers(node.GetClusterKeyFile()) {
+		logger.Warn("cluster key readable by every account", "file", node.GetClusterKeyFile())
+	}
+	if node.GetTrustNetwork() {
+		logger.Warn("internal port trusted without a cluster key", "address", node.GetInternalAddress())
+	}
+	if core, isCore := loaded.(interface{ GetTrustOperators() bool }); isCore && core.GetTrustOperators() {
+		logger.Warn("HTTP port trusted without operators' tokens", "address", node.GetHttpAddress())
+	}
 }
 
-func describeSelf(kind protocol.NodeKind, node *protocol.NodeSettings, opened *listeners, folder *dataFolder, incarnation uint64) *protocol.Node {
-	return &protocol.Node{
-		Name:        node.GetName(),
+// newProcess describes the process under its next incarnation, with resolved addresses.
+func (i *instance) newProcess(kind protocol.NodeKind) (*Process, error) {
+	startedAt := time.Now()
+	incarnation, err := nextIncarnation(i.settings.GetDataFolder(), startedAt)
+	if err != nil {
+		return nil, err
+	}
+	process := NewProcess(&protocol.Node{
+		Name:        i.settings.GetName(),
 		Kind:        kind,
 		Incarnation: incarnation,
-		Address:     cmp.Or(node.GetAdvertisedAddress(), opened.internal.Addr().String()),
-		HttpAddress: opened.http.Addr().String(),
-		Zone:        node.GetZone(),
-		Region:      node.GetRegion(),
-		StorageId:   folder.identity.StorageID,
-	}
+		Address:     cmp.Or(i.settings.GetAdvertisedAddress(), i.listeners.internal.Addr().String()),
+		HttpAddress: i.listeners.http.Addr().String(),
+		Zone:        i.settings.GetZone(),
+		Region:      i.settings.GetRegion(),
+		StorageId:   i.folder.identity.StorageID,
+	}, startedAt)
+	process.FreshFolder = i.folder.identity.Fresh
+	return process, nil
 }
 
-// assemble builds the graph of the plane; nothing runs yet.
+// assemble builds the graph of the plane and the servers; nothing runs yet.
 func (i *instance) assemble(plane fx.Option, maxBytes int64) error {
 	i.registry = newRegistry(i.process)
 	i.engine = newEngine(i.logger, i.registry)
-	addProbes(i.engine, i.process, i.registry)
+	addMonitoringRoutes(i.engine, i.process, i.registry)
 	i.pool = wire.NewPool(wire.PoolOptions{Key: i.key, Node: i.settings.GetName()})
-	if err := registerWire(i.registry, "client", i.pool.Counters()); err != nil {
+	if err := registerWireCounters(i.registry, "client", i.pool.Counters()); err != nil {
 		return &StageError{Stage: "metrics", Cause: err}
 	}
 	i.app = fx.New(
@@ -142,40 +149,41 @@
 		i.pool.Close()
 		return &StageError{Stage: "assemble", Cause: err}
 	}
-	i.server = wire.NewServer(i.listeners.internal, i.handler, wire.ServerOptions{
-		Key: i.key, OnRejected: i.countRefused(), OnPanic: i.reportPanic,
+	i.wireServer = wire.NewServer(i.listeners.internal, i.handler, wire.ServerOptions{
+		Key: i.key, OnRejected: i.countRejectedHandshakes(), OnPanic: i.reportPanic,
 	})
-	if err := registerWire(i.registry, "server", i.server.Counters()); err != nil {
+	if err := registerWireCounters(i.registry, "server", i.wireServer.Counters()); err != nil {
 		return &StageError{Stage: "metrics", Cause: err}
 	}
-	i.http = newHTTPServer(&guard{next: i.engine, started: i.started.Load, maxBytes: maxBytes}, i.logger)
+	i.httpServer = newHTTPServer(&requestGuard{next: i.engine, started: i.started.Load, maxBytes: maxBytes}, i.logger)
 	return nil
 }
 
-// reportPanic logs a handler's panic; the exchange it served ended with an internal error.
+// reportPanic logs a handler's panic; its exchange has ended with an internal error.
 func (i *instance) reportPanic(recovered any, stack []byte) {
 	i.logger.Error("internal handler panicked", "cause", recovered, "stack", string(stack))
 }
 
-func (i *instance) countRefused() func(net.Addr, error) {
-	refused := prometheus.NewCounter(prometheus.CounterOpts{
+func (i *instance) countRejectedHandshakes() func(net.Addr, error) {
+	rejected := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "rosestand_wire_refused_handshakes_total",
 		Help: "Internal connections that did not prove the cluster key.",
 	})
-	i.registry.MustRegister(refused)
+	i.registry.MustRegister(rejected)
 	return func(remote net.Addr, err error) {
-		refused.Inc()
-		i.logger.Debug("internal connection refused", "remote", remote, "cause", err)
+		rejected.Inc()
+		i.logger.Debug("internal connection rejected", "remote", remote, "cause", err)
 	}
 }
 
-// live serves the probes, starts the plane, serves the internal protocol and waits for the end.
-func (i *instance) live(environment Environment) error {
+// runUntilStopped serves the monitoring routes, starts the plane, serves the
+// internal protocol, waits for a stop or a failure, and shuts the process down.
+func (i *instance) runUntilStopped(environment Environment) error {
 	i.process.Readiness.Set(conditionStarted, "the process is starting")
-	i.served = serve(i.http, i.listeners.http)
+	i.httpService = startHTTP(i.httpServer, i.listeners.http)
 	if i.listeners.debug != nil {
-		i.debug = serve(newDebugServer(i.logger), i.listeners.debug)
-		i.logger.Info("the profiler is served", "address", i.listeners.debug.Addr())
+		i.debugService = startHTTP(newDebugServer(i.logger), i.listeners.debug)
+		i.logger.Info("profiler started", "address", i.listeners.debug.Addr())
 	}
 	reason := i.start(environment)
 	if reason == nil {
@@ -184,19 +192,19 @@
 		if environment.OnRunning != nil {
 			environment.OnRunning(i.process)
 		}
-		stopWatching := i.watchSettings(environment.Reload)
-		reason = i.wait(environment)
+		stopWatching := i.startSettingsWatch(environment.Reload)
+		reason = i.waitForStop(environment)
 		stopWatching()
 	}
 	return i.stop(reason, environment)
 }
 
-// stopReason says why the process ends; a nil cause is a stop that was asked for.
+// stopReason is why the process stops; a nil cause is a requested stop.
 type stopReason struct {
 	cause error
 }
 
-// start runs the OnStart hooks; it returns a reason when the process must end instead of running.
+// start runs the OnStart hooks; it returns a reason if the process must stop instead of running.
 func (i *instance) start(environment Environment) *stopReason {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -215,7 +223,7 @@
 		return i.abandonStart(result, environment, &stopReason{cause: err})
 	}
 	i.running = true
-	i.server.Start()
+	i.wireServer.Start()
 	i.started.Store(true)
 	i.process.Readiness.Set(conditionStarted, "")
 	return nil
@@ -227,12 +235,12 @@
 	case err := <-result:
 		i.running = err == nil
 	case <-environment.Signals:
-		reason.cause = errors.CombineErrors(reason.cause, &CutShortError{Reason: "second signal during the start"})
+		reason.cause = errors.CombineErrors(reason.cause, &InterruptedStopError{Reason: "second signal during the start"})
 	}
 	return reason
 }
 
-func (i *instance) wait(environment Environment) *stopReason {
+func (i *instance) waitForStop(environment Environment) *stopReason {
 	select {
 	case <-environment.Signals:
 		return &stopReason{}
@@ -241,8 +249,8 @@
 	}
 }
 
-// shutdowner turns the fx way of ending an application into a failure of the
-// process. Waiting on fx itself would make it take the signals as well.
+// shutdowner turns fx's way of ending an application into a failure of the
+// process. Waiting on fx itself would make it handle the signals as well.
 type shutdowner struct {
 	process *Process
 }
--- a/internal/process/daemon/space.go
+++ b/internal/process/daemon/space.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// startSpaceBytes is the room that a data folder must have before a process starts on it.
-	startSpaceBytes = 1 << 20
-	// spaceProbeInterval is the pause between two looks at a full disk.
-	spaceProbeInterval = time.Second
+	// minStartSpaceBytes is the free space that a data folder needs before a process starts on it.
+	minStartSpaceBytes = 1 << 20
+	// spaceCheckInterval is the interval between checks of a full disk.
+	spaceCheckInterval = time.Second
 )
 
-// waitForSpace returns true once the folder has room, or when something else than room is missing, which opening the folder
-// tells better. It returns false when a signal asks the process to stop.
+// waitForSpace returns true once the folder has enough free space, or if the check
+// fails for another reason, which opening the folder reports better. It returns
+// false if a signal stops the process.
 func waitForSpace(filesystem storage.Filesystem, folder string, logger *log.Logger, signals <-chan os.Signal) bool {
-	told := false
+	logged := false
 	for {
-		err := storage.CheckFreeSpace(filesystem, folder, startSpaceBytes)
+		err := storage.CheckFreeSpace(filesystem, folder, minStartSpaceBytes)
 		if !storage.IsDiskFull(err) {
 			return true
 		}
-		if !told {
-			logger.Warn("the start waits for room on the disk", "folder", folder, "error", err)
-			told = true
+		if !logged {
+			logger.Warn("start delayed by a full disk", "folder", folder, "error", err)
+			logged = true
 		}
-		pause := time.NewTimer(spaceProbeInterval)
+		interval := time.NewTimer(spaceCheckInterval)
 		select {
-		case <-pause.C:
+		case <-interval.C:
 		case <-signals:
-			pause.Stop()
+			interval.Stop()
 			return false
 		}
 	}
--- a/internal/process/daemon/space_test.go
+++ b/internal/process/daemon/space_test.go
@@ -16,31 +16,31 @@
 
 const longWait = time.Hour
 
-// waiting begins a start on a disk without room.
-func waiting(t *testing.T) (disk *simdisk.Disk, signals chan os.Signal, goesOn chan bool) {
+// startOnFullDisk begins a start on a disk without free space.
+func startOnFullDisk(t *testing.T) (disk *simdisk.Disk, signals chan os.Signal, continues chan bool) {
 	t.Helper()
 	disk = simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	if err := disk.MkdirAll("data"); err != nil {
 		t.Fatal(err)
 	}
-	disk.SetCapacity(startSpaceBytes - 1)
-	signals, goesOn = make(chan os.Signal, 1), make(chan bool, 1)
-	go func() { goesOn <- waitForSpace(disk, "data", log.New(io.Discard), signals) }()
+	disk.SetCapacity(minStartSpaceBytes - 1)
+	signals, continues = make(chan os.Signal, 1), make(chan bool, 1)
+	go func() { continues <- waitForSpace(disk, "data", log.New(io.Discard), signals) }()
 	<-time.NewTimer(longWait).C
 	synctest.Wait()
-	if len(goesOn) > 0 {
-		t.Fatal("it did not wait for room")
+	if len(continues) > 0 {
+		t.Fatal("it did not wait for space")
 	}
-	return disk, signals, goesOn
+	return disk, signals, continues
 }
 
-func TestAStartOnAFullDiskGoesOnOnceThereIsRoom(t *testing.T) {
+func TestAStartOnAFullDiskContinuesOnceThereIsSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk, _, goesOn := waiting(t)
-		disk.SetCapacity(startSpaceBytes)
+		disk, _, continues := startOnFullDisk(t)
+		disk.SetCapacity(minStartSpaceBytes)
 		began := time.Now()
-		if !<-goesOn || time.Since(began) > spaceProbeInterval {
-			t.Errorf("it went on after %v, or not at all", time.Since(began))
+		if !<-continues || time.Since(began) > spaceCheckInterval {
+			t.Errorf("it continued after %v, or not at all", time.Since(began))
 		}
 		if files := disk.Files("data"); len(files) > 0 {
 			t.Errorf("it left %v", files)
@@ -50,10 +50,10 @@
 
 func TestAStartOnAFullDiskCanBeStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, signals, goesOn := waiting(t)
+		_, signals, continues := startOnFullDisk(t)
 		signals <- syscall.SIGTERM
-		if <-goesOn {
-			t.Error("it went on after a signal")
+		if <-continues {
+			t.Error("it continued after a signal")
 		}
 	})
 }
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -7,20 +7,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// forcedWait is how long a stop that was cut short may still take to close what is open.
-const forcedWait = 500 * time.Millisecond
+// forcedStopTimeout is how long an interrupted shutdown may still take to close what is open.
+const forcedStopTimeout = 500 * time.Millisecond
 
-// stop ends the process: gently within the grace when it was asked to stop, at
-// once after a failure, after a second signal or when the grace has passed.
+// stop shuts the process down: gracefully within the grace period if it was asked
+// to stop, immediately after a failure, a second signal or the end of the grace
+// period.
 func (i *instance) stop(reason *stopReason, environment Environment) error {
 	grace := time.Duration(i.settings.GetStopGraceMillis()) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if reason.cause != nil {
 		cancel()
-		i.logger.Error("stopping after a failure", "cause", reason.cause)
+		i.logger.Error("process stopError", "cause", reason.cause)
 	} else {
-		i.logger.Info("stopping", "grace", grace)
+		i.logger.Info("graceful shutdown started", "grace", grace)
 	}
 	result := make(chan error, 1)
 	go func() { result <- i.tearDown(ctx) }()
@@ -32,41 +33,43 @@
 	return nil
 }
 
-func (i *instance) awaitTearDown(ctx context.Context, cancel func(), result <-chan error, environment Environment) error {
-	var cut error
+func (i *instance) awaitTearDown(
+	ctx context.Context, cancel func(), result <-chan error, environment Environment,
+) error {
+	var interruption error
 	select {
 	case err := <-result:
 		return err
 	case <-environment.Signals:
-		cut = &CutShortError{Reason: "second signal"}
+		interruption = &InterruptedStopError{Reason: "second signal"}
 	case <-ctx.Done():
-		cut = &CutShortError{Reason: "the grace has passed"}
+		interruption = &InterruptedStopError{Reason: "the grace has passed"}
 	}
 	cancel()
-	limit := time.NewTimer(forcedWait)
+	limit := time.NewTimer(forcedStopTimeout)
 	defer limit.Stop()
 	select {
 	case err := <-result:
-		cut = errors.CombineErrors(cut, err)
+		interruption = errors.CombineErrors(interruption, err)
 	case <-limit.C:
 	}
-	return cut
+	return interruption
 }
 
-// tearDown ends the parts of the process in the order in which they depend on each other.
+// tearDown stops the parts of the process, each before those that it depends on.
 func (i *instance) tearDown(ctx context.Context) error {
-	i.served.server.BeginDrain()
-	failed := i.drain(ctx)
-	failed = errors.CombineErrors(failed, staged("stop HTTP", i.served.shutDown(ctx)))
+	i.httpService.server.BeginDrain()
+	stopError := i.drain(ctx)
+	stopError = errors.CombineErrors(stopError, wrapStage("stop HTTP", i.httpService.shutDown(ctx)))
 	if i.running {
-		failed = errors.CombineErrors(failed, staged("stop plane", i.app.Stop(ctx)))
+		stopError = errors.CombineErrors(stopError, wrapStage("stop plane", i.app.Stop(ctx)))
 	}
-	i.server.Close()
+	i.wireServer.Close()
 	i.pool.Close()
-	if i.debug != nil {
-		failed = errors.CombineErrors(failed, staged("stop profiler", i.debug.shutDown(ctx)))
+	if i.debugService != nil {
+		stopError = errors.CombineErrors(stopError, wrapStage("stop profiler", i.debugService.shutDown(ctx)))
 	}
-	return failed
+	return stopError
 }
 
 func (i *instance) drain(ctx context.Context) error {
@@ -77,7 +80,7 @@
 	return i.process.Drain(ctx)
 }
 
-func staged(stage string, err error) error {
+func wrapStage(stage string, err error) error {
 	if err == nil {
 		return nil
 	}
