--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -136,7 +136,7 @@
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
 func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.ask(func() { waiting = service.admission.lane(group).queue.WaitingInAll() })
+	service.admission.ask(func() { waiting = service.admission.lane(group).queue.WaitingInAllClasses() })
 	return waiting
 }
 
--- a/internal/dataplane/front/stepgates.go
+++ b/internal/dataplane/front/stepgates.go
@@ -65,7 +65,7 @@
 // stepRoom asks for the places only when something waits or comes.
 func (a *admission) stepRoom(key stepGateKey) trainingstep.Capacity {
 	held := a.lanes[key.group]
-	liveWaits := held != nil && held.queue.WaitingInAll() > 0
+	liveWaits := held != nil && held.queue.WaitingInAllClasses() > 0
 	return trainingstep.Capacity{Slots: a.steps.places(key, liveWaits), LiveWaits: liveWaits}
 }
 
--- a/internal/dataplane/limit/bucket.go
+++ b/internal/dataplane/limit/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bucket is a token bucket. A rate of zero or less never limits.
+// Bucket is a token bucket. A rate of 0 or less does not limit.
 type Bucket struct {
 	rate   float64
 	burst  float64
@@ -16,7 +16,7 @@
 	return &Bucket{rate: rate, burst: burst, level: burst, filled: now}
 }
 
-// SetRate changes the rate and keeps the level within the new burst.
+// SetRate changes the rate, in tokens a second, and lowers the level to the new burst if it is above it.
 func (b *Bucket) SetRate(rate, burstSeconds float64, now time.Time) {
 	if rate == b.rate {
 		return
@@ -26,8 +26,8 @@
 	b.level = min(b.level, b.burst)
 }
 
-// Take takes amount out when the bucket is not in debt, which may leave it in
-// debt: a turn's tokens are known only afterwards. It returns how long to wait otherwise.
+// Take takes amount out unless the bucket is in debt, which may leave it in
+// debt: a turn's tokens are known only afterwards. Otherwise it returns how long to wait.
 func (b *Bucket) Take(amount float64, now time.Time) (taken bool, wait time.Duration) {
 	if b.rate <= 0 {
 		return true, 0
--- a/internal/dataplane/limit/concurrency.go
+++ b/internal/dataplane/limit/concurrency.go
@@ -3,82 +3,82 @@
 import "time"
 
 const (
-	// DefaultMaxConcurrent bounds the requests under way on one front node.
+	// DefaultMaxConcurrent is the maximum number of requests in flight on one front node.
 	DefaultMaxConcurrent = 1024
 
-	leastConcurrent = 8
-	// slowFactor and slowMargin say when a latency counts as a sign of overload:
+	minConcurrent = 8
+	// slowFactor and slowMargin define when a latency counts as a sign of overload:
 	// above the baseline times the factor plus the margin.
 	slowFactor = 4
 	slowMargin = 250 * time.Millisecond
-	// cutFactor is applied at most once in cutInterval.
-	cutFactor   = 0.85
-	mostCut     = 0.5
-	cutInterval = 500 * time.Millisecond
-	// baselineGain is the weight of a new sample in the baseline; samples under
-	// load raise it more slowly than samples at ease lower it.
+	// decreaseFactor is applied at most once in minDecreaseInterval, and to no less than minDecreaseBase of the limit.
+	decreaseFactor      = 0.85
+	minDecreaseBase     = 0.5
+	minDecreaseInterval = 500 * time.Millisecond
+	// baselineGain is the weight of a new sample in the baseline; slower samples
+	// raise it with the smaller baselineSlowGain, since they may be caused by load.
 	baselineGain     = 0.05
 	baselineSlowGain = 0.002
 )
 
-// Concurrency is a limit on requests under way that adapts to measured
-// latency: it falls by a factor when answers become slow or are refused, and
+// Concurrency is a limit on requests in flight that adapts to measured
+// latency: it falls by a factor when answers become slow or are rejections, and
 // rises by one for each limit's worth of good answers.
 type Concurrency struct {
-	most     float64
-	limit    float64
-	baseline time.Duration
-	lastCut  time.Time
+	maxLimit     float64
+	limit        float64
+	baseline     time.Duration
+	lastDecrease time.Time
 }
 
 // NewConcurrency makes a limit that begins at its maximum; zero means DefaultMaxConcurrent.
-func NewConcurrency(most uint32) *Concurrency {
+func NewConcurrency(maxLimit uint32) *Concurrency {
 	c := &Concurrency{}
-	c.SetLimit(most)
-	c.limit = c.most
+	c.SetLimit(maxLimit)
+	c.limit = c.maxLimit
 	return c
 }
 
-// SetMost changes the maximum.
-func (c *Concurrency) SetLimit(most uint32) {
-	if most == 0 {
-		most = DefaultMaxConcurrent
+// SetLimit changes the maximum; 0 means DefaultMaxConcurrent.
+func (c *Concurrency) SetLimit(maxLimit uint32) {
+	if maxLimit == 0 {
+		maxLimit = DefaultMaxConcurrent
 	}
-	atMost := c.limit >= c.most
-	c.most = float64(most)
-	if atMost || c.limit > c.most {
-		c.limit = c.most
+	atMax := c.limit >= c.maxLimit
+	c.maxLimit = float64(maxLimit)
+	if atMax || c.limit > c.maxLimit {
+		c.limit = c.maxLimit
 	}
 }
 
-// Limit is the number of requests that may be under way now.
+// Limit is the number of requests that may be in flight now.
 func (c *Concurrency) Limit() int { return int(c.limit) }
 
-// Sample is what one request told of the back ends.
+// Sample is what one request showed of the back ends.
 type Sample struct {
-	// Latency is the time from issue to the first token; zero is not measured.
+	// Latency is the time from issue to the first token; 0 is not measured.
 	Latency time.Duration
-	// Refused is true when a back end answered that it is overloaded.
+	// Rejected is true when a back end answered that it is overloaded.
 	Rejected bool
 }
 
-// Record takes one sample, measured with inFlight requests under way.
+// Record adds one sample, measured with inFlight requests in flight.
 func (c *Concurrency) Record(sample Sample, inFlight int, now time.Time) {
 	slow := sample.Rejected
 	if sample.Latency > 0 {
 		slow = slow || c.baseline > 0 && sample.Latency > slowFactor*c.baseline+slowMargin
-		c.learn(sample.Latency)
+		c.updateBaseline(sample.Latency)
 	}
 	if slow {
-		c.cut(inFlight, now)
+		c.decrease(inFlight, now)
 		return
 	}
 	if sample.Latency > 0 && float64(inFlight) >= c.limit/2 {
-		c.limit = min(c.most, c.limit+1/c.limit)
+		c.limit = min(c.maxLimit, c.limit+1/c.limit)
 	}
 }
 
-func (c *Concurrency) learn(latency time.Duration) {
+func (c *Concurrency) updateBaseline(latency time.Duration) {
 	if c.baseline == 0 {
 		c.baseline = latency
 		return
@@ -90,13 +90,13 @@
 	c.baseline += time.Duration(gain * float64(latency-c.baseline))
 }
 
-// cut lowers the limit from what is under way, since a limit that nothing
-// reaches bounds nothing; one cut takes no more than half before its factor.
-func (c *Concurrency) cut(inFlight int, now time.Time) {
-	if now.Sub(c.lastCut) < cutInterval {
+// decrease lowers the limit from what is in flight, since a limit that nothing
+// reaches has no effect; the base of one decrease is at least minDecreaseBase of the limit.
+func (c *Concurrency) decrease(inFlight int, now time.Time) {
+	if now.Sub(c.lastDecrease) < minDecreaseInterval {
 		return
 	}
-	c.lastCut = now
-	from := min(c.limit, max(float64(inFlight), c.limit*mostCut))
-	c.limit = max(min(leastConcurrent, c.most), from*cutFactor)
+	c.lastDecrease = now
+	from := min(c.limit, max(float64(inFlight), c.limit*minDecreaseBase))
+	c.limit = max(min(minConcurrent, c.maxLimit), from*decreaseFactor)
 }
--- a/internal/dataplane/limit/demand.go
+++ b/internal/dataplane/limit/demand.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// demandMemory is the time constant with which demand is forgotten.
-const demandMemory = 500 * time.Millisecond
+// demandTimeConstant is the time constant with which demand decays.
+const demandTimeConstant = 500 * time.Millisecond
 
-// demand follows how many tickets a second a class or tenant asks for.
+// demand is the rate, in tickets a second, of a class's or tenant's requests for slots.
 type demand struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // add counts one ticket.
 func (d *demand) add(now time.Time) {
-	d.perSecond = d.now(now) + 1/demandMemory.Seconds()
-	d.at = now
+	d.perSecond = d.now(now) + 1/demandTimeConstant.Seconds()
+	d.updatedAt = now
 }
 
 // now is the demand as of now.
 func (d *demand) now(now time.Time) float64 {
-	if d.at.IsZero() {
+	if d.updatedAt.IsZero() {
 		return 0
 	}
-	return d.perSecond * math.Exp(-max(now.Sub(d.at), 0).Seconds()/demandMemory.Seconds())
+	return d.perSecond * math.Exp(-max(now.Sub(d.updatedAt), 0).Seconds()/demandTimeConstant.Seconds())
 }
 
-// rival is a class or tenant that shares a rate with another.
-type rival struct {
+// competitor is a class or tenant that shares a rate with another.
+type competitor struct {
 	weight float64
-	// perSecond is what it asks for: it takes no more, whatever its weight.
+	// perSecond is its demand: it gets no more, whatever its weight.
 	perSecond float64
 }
 
-// fairRate is what a member of the weight gets of a rate when it takes all it can.
-// Rivals that ask for less than their shares leave the rest to the others.
-func fairRate(perSecond, weight float64, rivals []rival) float64 {
+// fairRate is the max-min fair part of a rate for a member of the weight with unbounded demand.
+// Competitors whose demand is below their shares leave the rest to the others.
+func fairRate(perSecond, weight float64, competitors []competitor) float64 {
 	total := weight
-	for _, other := range rivals {
+	for _, other := range competitors {
 		total += other.weight
 	}
-	slices.SortFunc(rivals, func(a, b rival) int {
+	slices.SortFunc(competitors, func(a, b competitor) int {
 		return cmp.Compare(a.perSecond*b.weight, b.perSecond*a.weight)
 	})
-	for _, other := range rivals {
+	for _, other := range competitors {
 		if other.perSecond >= perSecond*other.weight/total {
 			break
 		}
--- a/internal/dataplane/limit/expected_wait.go
+++ b/internal/dataplane/limit/expected_wait.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// waitShare is the part of the longest wait that a request may expect when it
-	// is taken in. The rest is for estimates that were too low, as at the onset of a
-	// burst, so that few requests wait and are then refused.
-	waitShare = 0.25
-	// firstWaitShare is that of a tenant's only request that waits in its class.
-	firstWaitShare = 0.5
-	// leastEnded is how many requests a measurement of the service time needs.
-	leastEnded      = 8
+	// maxExpectedShare is the part of the maximum wait that a request may expect when it
+	// enters. The rest is for estimates that were too low, as at the onset of a
+	// burst, so that few requests wait and are then rejected.
+	maxExpectedShare = 0.25
+	// maxExpectedShareFirst is that of a tenant's only request that waits in its class.
+	maxExpectedShareFirst = 0.5
+	// minSamples is the minimum number of ended requests for a measurement of the service time.
+	minSamples      = 8
 	serviceTimeGain = 0.3
 )
 
-// serviceTime follows how long a request holds its slot: the time spent in all
-// slots together, by the number of requests that ended meanwhile.
+// serviceTime estimates how long a request occupies its slot: the time spent in all
+// slots together, by the number of requests that ended in that time.
 type serviceTime struct {
 	mean  time.Duration
 	spent time.Duration
@@ -27,7 +27,7 @@
 	since time.Time
 }
 
-// advance counts the time up to now, during which inFlight slots were taken.
+// advance adds the time up to now, during which inFlight slots were in use.
 func (s *serviceTime) advance(inFlight int, now time.Time) {
 	if passed := now.Sub(s.since); !s.since.IsZero() && passed > 0 {
 		s.spent += time.Duration(inFlight) * passed
@@ -35,10 +35,10 @@
 	s.since = now
 }
 
-// end counts one request that gave its slot back while inFlight others hold theirs.
+// end counts one request that gave its slot back while inFlight others are in flight.
 func (s *serviceTime) end(inFlight int) {
 	s.ended++
-	if s.ended < max(leastEnded, inFlight) {
+	if s.ended < max(minSamples, inFlight) {
 		return
 	}
 	measured := s.spent / time.Duration(s.ended)
@@ -50,81 +50,81 @@
 }
 
 // expectedWait is how long a ticket that enters now would wait for a slot; zero
-// when it would not wait or when nothing is known yet. It counts on the classes
-// and tenants that ask for slots now to go on doing so.
+// when it would not wait or when no service time is known. It assumes that the demand of
+// classes and tenants stays as it is.
 func (q *Queue) expectedWait(class *classQueue, ticket Ticket, now time.Time) time.Duration {
 	if q.inFlight < q.slots || q.slots == 0 || q.service.mean == 0 {
 		return 0
 	}
-	perSecond := float64(q.lastingSlots()) / q.service.mean.Seconds()
-	perSecond = fairRate(perSecond, q.weight(class, now), q.rivalsOf(class, now))
-	perSecond = fairRate(perSecond, float64(max(ticket.Weight, 1)), class.rivalsOf(ticket.Tenant, now))
-	return secondsOf((class.held(ticket.Tenant) + 1) / perSecond)
+	perSecond := float64(q.dependableSlots()) / q.service.mean.Seconds()
+	perSecond = fairRate(perSecond, q.weight(class, now), q.competitors(class, now))
+	perSecond = fairRate(perSecond, float64(max(ticket.Weight, 1)), class.competitors(ticket.Tenant, now))
+	return secondsOf((class.queuedBy(ticket.Tenant) + 1) / perSecond)
 }
 
-func (q *Queue) lastingSlots() int {
-	if q.sureSlots > 0 {
-		return min(q.slots, q.sureSlots)
+func (q *Queue) dependableSlots() int {
+	if q.guaranteedSlots > 0 {
+		return min(q.slots, q.guaranteedSlots)
 	}
 	return q.slots
 }
 
-// asked is how many slots a second a class asks for: those that wait, within the wait that is allowed, and those that
-// come meanwhile.
-func (q *Queue) asked(class *classQueue, now time.Time) float64 {
-	return class.demand.now(now) + float64(class.count)/(waitShare*q.maxWait.Seconds())
+// demandRate is a class's demand in slots a second: tickets that wait, over the wait that is allowed, and those that
+// arrive.
+func (q *Queue) demandRate(class *classQueue, now time.Time) float64 {
+	return class.demand.now(now) + float64(class.count)/(maxExpectedShare*q.maxWait.Seconds())
 }
 
-// rivalsOf are the other classes with what they ask for.
-func (q *Queue) rivalsOf(class *classQueue, now time.Time) []rival {
-	var rivals []rival
+// competitors are the other classes with their demand.
+func (q *Queue) competitors(class *classQueue, now time.Time) []competitor {
+	var competitors []competitor
 	for _, other := range q.classes {
 		if other != class {
-			rivals = append(rivals, rival{weight: q.weight(other, now), perSecond: q.asked(other, now)})
+			competitors = append(competitors, competitor{weight: q.weight(other, now), perSecond: q.demandRate(other, now)})
 		}
 	}
-	return rivals
+	return competitors
 }
 
-func (c *classQueue) rivalsOf(tenant string, now time.Time) []rival {
-	var rivals []rival
-	for _, name := range slices.Sorted(maps.Keys(c.demands)) {
+func (c *classQueue) competitors(tenant string, now time.Time) []competitor {
+	var competitors []competitor
+	for _, name := range slices.Sorted(maps.Keys(c.tenantDemands)) {
 		if name != tenant {
-			asked := c.demands[name]
-			rivals = append(rivals, rival{weight: asked.weight, perSecond: asked.now(now)})
+			demanded := c.tenantDemands[name]
+			competitors = append(competitors, competitor{weight: demanded.weight, perSecond: demanded.now(now)})
 		}
 	}
-	return rivals
+	return competitors
 }
 
-// tenantDemand is what one tenant asks of a class.
+// tenantDemand is the demand of one tenant in a class.
 type tenantDemand struct {
 	demand
 	weight float64
 }
 
-// leastDemand is the demand, in tickets a second, under which a tenant is forgotten.
-const leastDemand = 0.01
+// minDemand is the demand, in tickets a second, below which a tenant is dropped.
+const minDemand = 0.01
 
-// ask counts a ticket as asked for, whatever becomes of it.
-func (c *classQueue) ask(ticket Ticket, now time.Time) {
+// recordDemand counts a ticket in the demand, whatever its verdict.
+func (c *classQueue) recordDemand(ticket Ticket, now time.Time) {
 	c.demand.add(now)
-	held := c.demands[ticket.Tenant]
-	if held == nil {
-		c.forgetDemands(now)
-		held = &tenantDemand{}
-		c.demands[ticket.Tenant] = held
+	tenant := c.tenantDemands[ticket.Tenant]
+	if tenant == nil {
+		c.dropExpiredDemands(now)
+		tenant = &tenantDemand{}
+		c.tenantDemands[ticket.Tenant] = tenant
 	}
-	held.weight = float64(max(ticket.Weight, 1))
-	held.add(now)
+	tenant.weight = float64(max(ticket.Weight, 1))
+	tenant.add(now)
 }
 
-func (c *classQueue) forgetDemands(now time.Time) {
-	maps.DeleteFunc(c.demands, func(_ string, held *tenantDemand) bool { return held.now(now) < leastDemand })
+func (c *classQueue) dropExpiredDemands(now time.Time) {
+	maps.DeleteFunc(c.tenantDemands, func(_ string, tenant *tenantDemand) bool { return tenant.now(now) < minDemand })
 }
 
-// tooLate reports whether a ticket that waits so long would better be refused at once.
-func (q *Queue) tooLate(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
+// wouldBeLate reports whether a ticket with the expected wait is to be rejected at once.
+func (q *Queue) wouldBeLate(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
 	if wait == 0 {
 		return false
 	}
@@ -137,14 +137,16 @@
 	if latest := ticket.latestStart(); q.hasLongQueue() && latest.After(now) && now.Add(wait).After(latest) {
 		return true
 	}
-	share := waitShare
-	if class.held(ticket.Tenant) == 0 || ticket.Rejections > 0 {
-		share = firstWaitShare
+	share := maxExpectedShare
+	if class.queuedBy(ticket.Tenant) == 0 || ticket.Rejections > 0 {
+		share = maxExpectedShareFirst
 	}
-	return wait > time.Duration(share*float64(q.maxWait)) || exceeds(wait, ticket.MaxWait) || exceeds(wait, ticket.MaxExpectedWait)
+	return wait > time.Duration(share*float64(q.maxWait)) || exceeds(wait, ticket.MaxWait) || exceeds(
+		wait, ticket.MaxExpectedWait,
+	)
 }
 
-// exceeds reports whether a wait is longer than a bound; zero is none.
+// exceeds reports whether a wait is longer than a bound; 0 is none.
 func exceeds(wait, bound time.Duration) bool { return bound > 0 && wait > bound }
 
 // hasLongQueue reports whether more tickets wait than run.
--- a/internal/dataplane/limit/fairness.go
+++ b/internal/dataplane/limit/fairness.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// push adds a ticket. A class or tenant that had nothing to do starts at the
-// present virtual time, so it gains nothing by having been idle.
-func (q *Queue) push(class *classQueue, w waiting) {
+// push adds a ticket. A class or tenant that was idle starts at the
+// current virtual time, so that it gains nothing by having been idle.
+func (q *Queue) push(class *classQueue, w queuedTicket) {
 	if class.count == 0 {
 		class.pass = max(class.pass, q.clock)
 	}
@@ -26,16 +26,16 @@
 	return tenant
 }
 
-// insert keeps the most urgent ticket first, and those of one urgency in the order in which they came.
-func (t *tenantQueue) insert(w waiting) {
-	at := len(t.waiting)
-	for at > 0 && w.urgency.Before(t.waiting[at-1].urgency) {
-		at--
+// insert keeps the most urgent ticket first, and those of equal urgency in the order of arrival.
+func (t *tenantQueue) insert(w queuedTicket) {
+	position := len(t.tickets)
+	for position > 0 && w.urgency.Before(t.tickets[position-1].urgency) {
+		position--
 	}
-	t.waiting = slices.Insert(t.waiting, at, w)
+	t.tickets = slices.Insert(t.tickets, position, w)
 }
 
-// dispatch hands out free slots by weighted turns of classes, then of tenants.
+// dispatch assigns free slots by weighted turns of classes, then of tenants.
 func (q *Queue) dispatch(now time.Time) []Decision {
 	var decisions []Decision
 	for q.inFlight < q.slots {
@@ -52,7 +52,7 @@
 
 // turnCost is the virtual time that one slot costs a class.
 func (q *Queue) turnCost(class *classQueue, now time.Time) float64 {
-	return tenantShareUnit / q.weight(class, now)
+	return turnUnit / q.weight(class, now)
 }
 
 func (q *Queue) nextClass() *classQueue {
@@ -65,7 +65,7 @@
 	return next
 }
 
-func (c *classQueue) pop() waiting {
+func (c *classQueue) pop() queuedTicket {
 	next := c.tenants[0]
 	for _, tenant := range c.tenants[1:] {
 		if tenant.pass < next.pass {
@@ -73,89 +73,91 @@
 		}
 	}
 	c.clock = next.pass
-	next.pass += tenantShareUnit / next.weight
-	head := next.waiting[0]
-	next.waiting = next.waiting[1:]
-	c.taken(next)
+	next.pass += turnUnit / next.weight
+	head := next.tickets[0]
+	next.tickets = next.tickets[1:]
+	c.removed(next)
 	return head
 }
 
-// taken counts one ticket out of the tenant's queue.
-func (c *classQueue) taken(tenant *tenantQueue) {
+// removed updates the class after one ticket left the tenant's queue.
+func (c *classQueue) removed(tenant *tenantQueue) {
 	c.count--
 	c.dropEmpty(tenant)
 }
 
 func (c *classQueue) dropEmpty(tenant *tenantQueue) {
-	if len(tenant.waiting) > 0 {
+	if len(tenant.tickets) > 0 {
 		return
 	}
-	if at := slices.Index(c.tenants, tenant); at >= 0 {
-		c.tenants = slices.Delete(c.tenants, at, at+1)
+	if position := slices.Index(c.tenants, tenant); position >= 0 {
+		c.tenants = slices.Delete(c.tenants, position, position+1)
 	}
 	if len(c.tenants) == 0 {
 		c.clock = 0
 	}
 }
 
-// makeRoom takes the newest ticket from the tenant that is furthest over its
-// fair share, when the new ticket's tenant is under its own.
-func (c *classQueue) makeRoom(ticket Ticket) (Ticket, bool) {
-	mine := (1 + c.held(ticket.Tenant)) / float64(max(ticket.Weight, 1))
-	var most *tenantQueue
+// evictFor evicts the newest ticket of the tenant that is furthest above its
+// fair share, if the new ticket's tenant is below its own; false otherwise.
+func (c *classQueue) evictFor(ticket Ticket) (Ticket, bool) {
+	ownShare := (1 + c.queuedBy(ticket.Tenant)) / float64(max(ticket.Weight, 1))
+	var largest *tenantQueue
 	for _, tenant := range c.tenants {
-		if most == nil || tenant.share() > most.share() {
-			most = tenant
+		if largest == nil || tenant.share() > largest.share() {
+			largest = tenant
 		}
 	}
-	if most == nil || most.name == ticket.Tenant || most.share() <= mine {
+	if largest == nil || largest.name == ticket.Tenant || largest.share() <= ownShare {
 		return Ticket{}, false
 	}
-	last := most.waiting[len(most.waiting)-1]
-	most.waiting = most.waiting[:len(most.waiting)-1]
-	c.taken(most)
-	return last.ticket, true
+	evicted := largest.tickets[len(largest.tickets)-1]
+	largest.tickets = largest.tickets[:len(largest.tickets)-1]
+	c.removed(largest)
+	return evicted.ticket, true
 }
 
-func (c *classQueue) held(name string) float64 {
+// queuedBy is the number of the tenant's tickets that wait in the class.
+func (c *classQueue) queuedBy(name string) float64 {
 	for _, tenant := range c.tenants {
 		if tenant.name == name {
-			return float64(len(tenant.waiting))
+			return float64(len(tenant.tickets))
 		}
 	}
 	return 0
 }
 
+// share is the tenant's waiting tickets by weight.
 func (t *tenantQueue) share() float64 {
-	return float64(len(t.waiting)) / t.weight
+	return float64(len(t.tickets)) / t.weight
 }
 
-// measureDrain follows how many slots a second are given back.
+// measureDrain updates the rate, per second, at which slots are given back.
 func (q *Queue) measureDrain(now time.Time) {
-	if q.drainFrom.IsZero() {
-		q.drainFrom = now
+	if q.drainWindowStart.IsZero() {
+		q.drainWindowStart = now
 		return
 	}
-	passed := now.Sub(q.drainFrom)
+	passed := now.Sub(q.drainWindowStart)
 	if passed < drainWindow {
 		return
 	}
-	rate := float64(q.drained) / passed.Seconds()
+	rate := float64(q.leftInWindow) / passed.Seconds()
 	if q.drainRate == 0 {
 		q.drainRate = rate
 	}
 	q.drainRate += drainGain * (rate - q.drainRate)
-	q.drained, q.drainFrom = 0, now
+	q.leftInWindow, q.drainWindowStart = 0, now
 }
 
-// retryAfter is the time in which the queue at hand drains.
+// retryAfter is the time in which a queue of that length drains.
 func (q *Queue) retryAfter(queued int) time.Duration {
 	if q.drainRate <= 0 {
-		return unknownRetry
+		return defaultRetryAfter
 	}
 	return boundRetry(secondsOf(float64(queued+1) / q.drainRate))
 }
 
 func boundRetry(wait time.Duration) time.Duration {
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/dataplane/limit/limit_test.go
+++ b/internal/dataplane/limit/limit_test.go
@@ -18,7 +18,7 @@
 	bucket := limit.NewBucket(10, 1, start)
 	for request := range 10 {
 		if taken, _ := bucket.Take(1, start); !taken {
-			t.Fatalf("request %d refused within the burst", request)
+			t.Fatalf("request %d rejected within the burst", request)
 		}
 	}
 	taken, wait := bucket.Take(1, start)
@@ -26,18 +26,18 @@
 		t.Fatalf("taken %t, wait %v", taken, wait)
 	}
 	if taken, _ = bucket.Take(1, at(wait)); !taken {
-		t.Fatal("refused after the wait that was told")
+		t.Fatal("rejected after the wait that was told")
 	}
 }
 
-func TestBucketInDebtRefusesUntilItIsPaid(t *testing.T) {
+func TestBucketInDebtRejectsUntilItIsPaid(t *testing.T) {
 	bucket := limit.NewBucket(10, 1, start)
 	bucket.Charge(30, start)
 	if taken, _ := bucket.Take(1, at(time.Second)); taken {
 		t.Fatal("taken while in debt")
 	}
 	if taken, _ := bucket.Take(1, at(2100*time.Millisecond)); !taken {
-		t.Fatal("refused after the debt was paid")
+		t.Fatal("rejected after the debt was paid")
 	}
 	unlimited := limit.NewBucket(0, 1, start)
 	unlimited.Charge(1000, start)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestRefusalsOfBackEndsLowerTheLimitAtMostOnceInAWhile(t *testing.T) {
+func TestRejectionsOfBackEndsLowerTheLimitAtMostOncePerInterval(t *testing.T) {
 	concurrency := limit.NewConcurrency(100)
 	for range 50 {
 		concurrency.Record(limit.Sample{Rejected: true}, 100, start)
@@ -104,10 +104,12 @@
 }
 
 func newTickets(queued uint32, wait time.Duration, slots int) *tickets {
-	return &tickets{queue: limit.NewQueue(queued, wait, slots), classOf: map[uint64]limit.Ticket{}, verdicts: map[uint64]limit.Decision{}}
+	return &tickets{
+		queue: limit.NewQueue(queued, wait, slots), classOf: map[uint64]limit.Ticket{}, verdicts: map[uint64]limit.Decision{},
+	}
 }
 
-func (s *tickets) note(decisions []limit.Decision) {
+func (s *tickets) record(decisions []limit.Decision) {
 	for _, decision := range decisions {
 		if _, twice := s.verdicts[decision.ID]; twice {
 			panic("two verdicts on one ticket")
@@ -123,7 +125,7 @@
 	s.next++
 	ticket := limit.Ticket{ID: s.next, Class: class, Tenant: tenant, Weight: weight}
 	s.classOf[s.next] = ticket
-	s.note(s.queue.Enter(ticket, now))
+	s.record(s.queue.Enter(ticket, now))
 	return s.next
 }
 
@@ -132,7 +134,7 @@
 	before := len(s.ran)
 	for len(s.ran) < before+count {
 		ran := len(s.ran)
-		s.note(s.queue.Leave(now))
+		s.record(s.queue.Leave(now))
 		if len(s.ran) == ran {
 			break
 		}
@@ -155,7 +157,8 @@
 		t.Fatalf("shares %v", counts)
 	}
 	s.enter(protocol.Priority_INTERACTIVE, "a", 1, start)
-	if next := s.drain(2, start); s.classOf[next[0]].Class != protocol.Priority_INTERACTIVE && s.classOf[next[1]].Class != protocol.Priority_INTERACTIVE {
+	if next := s.drain(2, start); s.classOf[next[0]].Class != protocol.Priority_INTERACTIVE &&
+		s.classOf[next[1]].Class != protocol.Priority_INTERACTIVE {
 		t.Fatal("a class that was idle waits behind the others")
 	}
 }
@@ -176,7 +179,7 @@
 	}
 }
 
-func TestAFullQueueRefusesAtOnceAndSaysWhenToComeBack(t *testing.T) {
+func TestFullQueueRejectsAtOnceWithARetryAfter(t *testing.T) {
 	s := newTickets(4, time.Minute, 1)
 	s.enter(protocol.Priority_PROBE, "a", 1, start)
 	for step := range 21 {
@@ -187,17 +190,17 @@
 	for range 4 {
 		s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))
 	}
-	refused := s.verdicts[s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))]
-	if refused.Verdict != limit.RejectFull {
-		t.Fatalf("verdict %+v", refused)
+	rejected := s.verdicts[s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))]
+	if rejected.Verdict != limit.RejectFull {
+		t.Fatalf("verdict %+v", rejected)
 	}
 	// Ten a second drain, five are ahead or equal: about half a second.
-	if refused.RetryAfter < 400*time.Millisecond || refused.RetryAfter > 600*time.Millisecond {
-		t.Fatalf("retry after %v", refused.RetryAfter)
+	if rejected.RetryAfter < 400*time.Millisecond || rejected.RetryAfter > 600*time.Millisecond {
+		t.Fatalf("retry after %v", rejected.RetryAfter)
 	}
 }
 
-func TestAFullQueueMakesRoomForATenantUnderItsShare(t *testing.T) {
+func TestFullQueueEvictsForATenantUnderItsShare(t *testing.T) {
 	s := newTickets(4, time.Minute, 0)
 	var last uint64
 	for range 4 {
@@ -216,15 +219,19 @@
 func TestTicketsExpireByWaitOrDeadline(t *testing.T) {
 	s := newTickets(10, time.Second, 0)
 	waits := s.enter(protocol.Priority_URGENT, "a", 1, start)
-	s.note(s.queue.Enter(limit.Ticket{ID: 77, Class: protocol.Priority_PROBE, Tenant: "a", Deadline: at(300 * time.Millisecond)}, start))
+	s.record(
+		s.queue.Enter(
+			limit.Ticket{ID: 77, Class: protocol.Priority_PROBE, Tenant: "a", Deadline: at(300 * time.Millisecond)}, start,
+		),
+	)
 	if next := s.queue.NextExpiry(); !next.Equal(at(300 * time.Millisecond)) {
 		t.Fatalf("next expiry %v", next)
 	}
-	s.note(s.queue.Expire(at(300 * time.Millisecond)))
+	s.record(s.queue.Expire(at(300 * time.Millisecond)))
 	if s.verdicts[77].Verdict != limit.RejectLate || s.verdicts[waits].Verdict != 0 {
 		t.Fatalf("verdicts %+v", s.verdicts)
 	}
-	s.note(s.queue.Expire(at(time.Second)))
+	s.record(s.queue.Expire(at(time.Second)))
 	if s.verdicts[waits].Verdict != limit.RejectLate || !s.queue.NextExpiry().IsZero() {
 		t.Fatalf("verdicts %+v", s.verdicts)
 	}
@@ -237,7 +244,7 @@
 	if !s.queue.Cancel(gone) || s.queue.Cancel(gone) {
 		t.Fatal("a ticket must be cancelled exactly once")
 	}
-	s.note(s.queue.SetSlots(2))
+	s.record(s.queue.SetSlots(2))
 	if len(s.ran) != 1 || s.ran[0] != stays {
 		t.Fatalf("ran %v", s.ran)
 	}
@@ -253,25 +260,31 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				class := protocol.Priority(rapid.IntRange(0, 3).Draw(t, "class"))
-				s.enter(class, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant"), uint32(rapid.IntRange(0, 3).Draw(t, "weight")), now)
+				s.enter(
+					class, rapid.SampledFrom([]string{"a", "b", "c"}).
+						Draw(t, "tenant"), uint32(rapid.IntRange(0, 3).Draw(t, "weight")), now,
+				)
 			case 2:
 				if len(s.ran) > left {
 					left++
-					s.note(s.queue.Leave(now))
+					s.record(s.queue.Leave(now))
 				}
 			case 3:
 				slots = rapid.IntRange(0, 4).Draw(t, "new slots")
-				s.note(s.queue.SetSlots(slots))
+				s.record(s.queue.SetSlots(slots))
 			}
 			if running := len(s.ran) - left; running != s.queue.InFlight() {
 				t.Fatalf("%d run, %d counted", running, s.queue.InFlight())
 			}
 		}
-		s.note(s.queue.Expire(now.Add(time.Minute)))
+		s.record(s.queue.Expire(now.Add(time.Minute)))
 		if len(s.verdicts) != int(s.next) {
 			t.Fatalf("%d verdicts on %d tickets", len(s.verdicts), s.next)
 		}
-		for _, class := range []protocol.Priority{protocol.Priority_URGENT, protocol.Priority_INTERACTIVE, protocol.Priority_PROBE} {
+		classes := []protocol.Priority{
+			protocol.Priority_URGENT, protocol.Priority_INTERACTIVE, protocol.Priority_PROBE,
+		}
+		for _, class := range classes {
 			if s.queue.Waiting(class) != 0 {
 				t.Fatalf("%d still wait", s.queue.Waiting(class))
 			}
--- a/internal/dataplane/limit/retry_budget.go
+++ b/internal/dataplane/limit/retry_budget.go
@@ -1,20 +1,20 @@
 package limit
 
 const (
-	// DefaultRetryPercent is the share of traffic that retries may add.
+	// DefaultRetryPercent is the share of the traffic, in percent, that retries may add.
 	DefaultRetryPercent = 10
-	// retryReserve lets a front node with little traffic retry at all.
-	retryReserve = 10
-	retryCeiling = 100
+	// retryReserve is the initial balance, so that a front node with little traffic can retry; maxRetryBalance bounds it.
+	retryReserve    = 10
+	maxRetryBalance = 100
 )
 
-// RetryBudget lets retries be a bounded share of the traffic.
+// RetryBudget bounds retries to a share of the traffic.
 type RetryBudget struct {
 	percent float64
 	balance float64
 }
 
-// NewRetryBudget makes a budget; a percentage of zero means DefaultRetryPercent.
+// NewRetryBudget makes a budget; a percentage of 0 means DefaultRetryPercent.
 func NewRetryBudget(percent uint32) *RetryBudget {
 	budget := &RetryBudget{balance: retryReserve}
 	budget.SetPercent(percent)
@@ -31,7 +31,7 @@
 
 // Request counts one request of the traffic.
 func (r *RetryBudget) Request() {
-	r.balance = min(retryCeiling, r.balance+r.percent/100)
+	r.balance = min(maxRetryBalance, r.balance+r.percent/100)
 }
 
 // Retry takes one retry out of the budget and reports whether it was there.
--- a/internal/dataplane/limit/service_share.go
+++ b/internal/dataplane/limit/service_share.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// shareMemory is the time constant with which decisions on tickets are forgotten.
-	shareMemory = 8 * time.Second
-	// leastDecisions is how many decisions, forgotten ones less, a share needs to mean something.
-	leastDecisions = 8
-	// starvingShare is the part of the share of all tickets under which a class starves.
+	// shareTimeConstant is the time constant with which decisions on tickets decay.
+	shareTimeConstant = 8 * time.Second
+	// minDecisions is the minimum number of decisions, after decay, for a share to be significant.
+	minDecisions = 8
+	// starvingShare is the part of the share of all tickets below which a class starves.
 	starvingShare = 0.35
 	// overtakingShare is by how much a class may be served better than a more urgent one.
 	overtakingShare = 0.03
@@ -18,40 +18,40 @@
 	correction = 4
 )
 
-// serviceShare follows which share of the tickets that were decided on got a slot.
+// serviceShare is the share of the decided tickets that got a slot.
 type serviceShare struct {
 	ran     float64
 	decided float64
 	at      time.Time
 }
 
-func (s *serviceShare) count(ran bool, now time.Time) {
-	kept := s.kept(now)
-	s.ran *= kept
-	s.decided = s.decided*kept + 1
+func (s *serviceShare) record(ran bool, now time.Time) {
+	decay := s.decay(now)
+	s.ran *= decay
+	s.decided = s.decided*decay + 1
 	s.at = now
 	if ran {
 		s.ran++
 	}
 }
 
-func (s *serviceShare) kept(now time.Time) float64 {
+func (s *serviceShare) decay(now time.Time) float64 {
 	if s.at.IsZero() {
 		return 0
 	}
-	return math.Exp(-max(now.Sub(s.at), 0).Seconds() / shareMemory.Seconds())
+	return math.Exp(-max(now.Sub(s.at), 0).Seconds() / shareTimeConstant.Seconds())
 }
 
-// share is one when too little is known.
+// share is from 0 to 1, and 1 below minDecisions.
 func (s *serviceShare) share(now time.Time) float64 {
-	if s.decided*s.kept(now) < leastDecisions {
+	if s.decided*s.decay(now) < minDecisions {
 		return 1
 	}
 	return s.ran / s.decided
 }
 
-// weight is the class's share of contended slots: more when it starves, less while it is served better than a more
-// urgent class.
+// weight is the class's relative share of contended slots: raised when it starves, lowered while it is served better
+// than a more urgent class.
 func (q *Queue) weight(class *classQueue, now time.Time) float64 {
 	weight := classWeights[class.class]
 	switch {
@@ -63,24 +63,24 @@
 	return weight
 }
 
-// parity is the weight with which a class gets slots as often, by what it asks for, as the worst served of the more
+// parity is the weight with which a class gets slots as often, by its demand, as the worst served of the more
 // urgent classes. A class that starves gets no more, so that it catches up without passing them in a burst of theirs.
 func (q *Queue) parity(class *classQueue, now time.Time) float64 {
-	own, least := q.asked(class, now), math.Inf(1)
+	own, minWeight := q.demandRate(class, now), math.Inf(1)
 	for _, urgent := range q.classes {
 		if urgent == class {
 			break
 		}
-		if asked := q.asked(urgent, now); asked > 0 {
-			least = min(least, q.weight(urgent, now)*own/asked)
+		if demanded := q.demandRate(urgent, now); demanded > 0 {
+			minWeight = min(minWeight, q.weight(urgent, now)*own/demanded)
 		}
 	}
-	return least
+	return minWeight
 }
 
-// starves reports whether a class gets a slot much more rarely than all do.
+// starves reports whether a class gets slots much more rarely than all classes together.
 func (q *Queue) starves(class *classQueue, now time.Time) bool {
-	return class.service.share(now) < starvingShare*q.all.share(now)
+	return class.service.share(now) < starvingShare*q.allClasses.share(now)
 }
 
 // overtakes reports whether a class is served better than a more urgent one.
--- a/internal/dataplane/limit/starvation_test.go
+++ b/internal/dataplane/limit/starvation_test.go
@@ -24,7 +24,9 @@
 }
 
 func newWorkingQueue(seed uint64) *workingQueue {
-	return &workingQueue{tickets: newTickets(256, 2*time.Second, 4), random: rand.New(rand.NewPCG(seed, 6)), now: start, leave: start}
+	return &workingQueue{
+		tickets: newTickets(256, 2*time.Second, 4), random: rand.New(rand.NewPCG(seed, 6)), now: start, leave: start,
+	}
 }
 
 // offer lets tickets come for a while and returns the first and the last of them.
@@ -34,8 +36,8 @@
 		total += offered[class]
 	}
 	shares := []float64{offered[urgent] / total, offered[interactive] / total, offered[probe] / total}
-	for end := w.now.Add(lasts); w.now.Before(end); w.now = w.now.Add(time.Duration(w.random.ExpFloat64() / total * float64(time.Second))) {
-		w.giveBack()
+	for end := w.now.Add(lasts); w.now.Before(end); w.now = w.now.Add(interArrivalTime(w.random, total)) {
+		w.releaseSlots()
 		last = w.enter(pick(w.random, shares, threeClasses...), "a", 1, w.now)
 		if first == 0 {
 			first = last
@@ -44,17 +46,17 @@
 	return first, last
 }
 
-func (w *workingQueue) giveBack() {
+func (w *workingQueue) releaseSlots() {
 	for ; w.leave.Before(w.now); w.leave = w.leave.Add(25 * time.Millisecond) {
 		if w.queue.InFlight() > 0 {
-			w.note(w.queue.Leave(w.leave))
+			w.record(w.queue.Leave(w.leave))
 		}
 	}
 }
 
-func TestAClassThatStarvedCatchesUpWithTheMoreUrgentAndDoesNotPassThem(t *testing.T) {
+func TestStarvedClassCatchesUpWithoutPassingMoreUrgentOnes(t *testing.T) {
 	const seeds = 20
-	ran, came := arrivals{}, arrivals{}
+	ran, arrived := arrivals{}, arrivals{}
 	for seed := range uint64(seeds) {
 		w := newWorkingQueue(seed)
 		w.offer(20*time.Second, arrivals{urgent: 60, interactive: 20, probe: 100})
@@ -63,14 +65,14 @@
 		first, last := w.offer(2*time.Second, burst)
 		w.offer(3*time.Second, arrivals{urgent: 1})
 		for id := first; id <= last; id++ {
-			came[w.classOf[id].Class]++
+			arrived[w.classOf[id].Class]++
 			if w.verdicts[id].Verdict == limit.Run {
 				ran[w.classOf[id].Class]++
 			}
 		}
 	}
-	lesser, greater := ran[probe]/came[probe], ran[interactive]/came[interactive]
-	all := (ran[urgent] + ran[interactive] + ran[probe]) / (came[urgent] + came[interactive] + came[probe])
+	lesser, greater := ran[probe]/arrived[probe], ran[interactive]/arrived[interactive]
+	all := (ran[urgent] + ran[interactive] + ran[probe]) / (arrived[urgent] + arrived[interactive] + arrived[probe])
 	t.Logf("probes %.3f, interactive %.3f, all %.3f", lesser, greater, all)
 	if lesser > greater+0.03 {
 		t.Errorf("probes that starved are served %.3f, interactive tickets %.3f", lesser, greater)
@@ -79,3 +81,8 @@
 		t.Errorf("probes are served %.3f, all %.3f", lesser, all)
 	}
 }
+
+// interArrivalTime draws the time between two arrivals of a Poisson process.
+func interArrivalTime(random *rand.Rand, perSecond float64) time.Duration {
+	return time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
+}
--- a/internal/dataplane/limit/surplus.go
+++ b/internal/dataplane/limit/surplus.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Spare is how many requests one of so many front nodes may send beyond its slots rather than refuse them: its share of
-// what is missing until half of the servers' places are taken, as of the last reports.
-func SurplusSlots(places, taken, fronts int) int {
-	return max(places/2-taken, 0) / max(fronts, 1)
+// SurplusSlots is how many requests one of so many front nodes may send beyond its slots rather than reject them: its
+// share of what remains until half of the servers' slots are occupied, by their last load reports.
+func SurplusSlots(serverSlots, occupied, fronts int) int {
+	return max(serverSlots/2-occupied, 0) / max(fronts, 1)
 }
 
-// spendSpare spends spare places until one falls to the class, for a ticket of it that would be refused otherwise, and
-// reports whether one did. More urgent classes that wait take weighted turns with it, so that a refused ticket never
-// passes them for having been refused. Without such classes the first spare place is the ticket's.
-func (q *Queue) spendSpare(refused *classQueue, now time.Time) (decisions []Decision, granted bool) {
-	for q.spare > 0 {
-		q.spare--
-		next := q.moreUrgentWaiting(refused)
+// spendSurplus spends surplus slots until the class gets one, for a ticket of it that would be rejected otherwise, and
+// reports whether it did. More urgent classes that wait take weighted turns with it, so that a ticket never
+// passes them because it would be rejected. Without such classes the ticket gets the first surplus slot.
+func (q *Queue) spendSurplus(class *classQueue, now time.Time) (decisions []Decision, isGranted bool) {
+	for q.surplusSlots > 0 {
+		q.surplusSlots--
+		next := q.moreUrgentWaiting(class)
 		if next == nil {
 			return decisions, true
 		}
-		if refused.count == 0 {
-			refused.pass = max(refused.pass, q.clock)
+		if class.count == 0 {
+			class.pass = max(class.pass, q.clock)
 		}
-		if refused.pass < next.pass {
-			refused.pass += q.turnCost(refused, now)
+		if class.pass < next.pass {
+			class.pass += q.turnCost(class, now)
 			return decisions, true
 		}
 		next.pass += q.turnCost(next, now)
@@ -31,7 +31,8 @@
 	return decisions, false
 }
 
-// moreUrgentWaiting is the class with the next turn among those that wait and are more urgent than a class; nil without any.
+// moreUrgentWaiting is the class with the next turn among those with waiting tickets that are more urgent than a class;
+// nil without any.
 func (q *Queue) moreUrgentWaiting(class *classQueue) *classQueue {
 	var next *classQueue
 	for _, other := range q.classes {
--- a/internal/dataplane/limit/surplus_test.go
+++ b/internal/dataplane/limit/surplus_test.go
@@ -13,8 +13,8 @@
 	probe  = protocol.Priority_PROBE
 )
 
-// stuckQueue is a queue whose one slot is never given back, with so many urgent tickets and four probes waiting. It has
-// room for no more probes.
+// stuckQueue is a queue whose one slot is never given back, with so many urgent tickets and four probes waiting. It
+// accepts no more probes.
 func stuckQueue(urgentWaiting int) *tickets {
 	s := newTickets(4, time.Minute, 1)
 	for range 5 {
@@ -37,32 +37,35 @@
 	return ran
 }
 
-// spendOnProbes lets probes come to a full queue with one spare place for each, and returns how many of these places
+// offerProbes lets probes come to a full queue with one surplus slot for each, and returns how many of these slots
 // went to urgent tickets and to probes.
-func spendOnProbes(s *tickets, places int) (urgentRan, probesRan int) {
+func offerProbes(s *tickets, surplus int) (urgentRan, probesRan int) {
 	urgentBefore, probesBefore := s.ranOf(urgent), s.ranOf(probe)
-	for range places {
+	for range surplus {
 		s.queue.SetSurplusSlots(1)
 		s.enter(probe, "a", 1, start)
 	}
 	return s.ranOf(urgent) - urgentBefore, s.ranOf(probe) - probesBefore
 }
 
-func TestASparePlaceGoesToAMoreUrgentTicketThatWaits(t *testing.T) {
-	urgentRan, probesRan := spendOnProbes(stuckQueue(50), 4)
+func TestSurplusSlotGoesToAMoreUrgentTicketThatWaits(t *testing.T) {
+	urgentRan, probesRan := offerProbes(stuckQueue(50), 4)
 	if urgentRan < 3 || urgentRan+probesRan != 4 {
-		t.Fatalf("of four spare places %d went to urgent tickets that waited and %d to probes that came then", urgentRan, probesRan)
+		t.Fatalf(
+			"of four surplus slots %d went to urgent tickets that waited and %d to probes that came then", urgentRan, probesRan,
+		)
 	}
 }
 
-func TestSparePlacesDoNotAllGoToTheMoreUrgent(t *testing.T) {
-	urgentRan, probesRan := spendOnProbes(stuckQueue(200), 102)
+func TestSurplusSlotsDoNotAllGoToTheMoreUrgent(t *testing.T) {
+	urgentRan, probesRan := offerProbes(stuckQueue(200), 102)
 	if probesRan < 6 || urgentRan < 80 || urgentRan+probesRan != 102 {
-		t.Fatalf("of 102 spare places %d went to urgent tickets and %d to probes; turns are 16 to 1, and 4 to 1 while probes starve", urgentRan, probesRan)
+		t.Fatalf("of 102 surplus slots %d went to urgent tickets and %d to probes; "+
+			"turns are 16 to 1, and 4 to 1 while probes starve", urgentRan, probesRan)
 	}
 }
 
-func TestASparePlaceGoesToTheTicketAtHandWhenNoneMoreUrgentWaits(t *testing.T) {
+func TestSurplusSlotGoesToTheNewTicketWhenNoneMoreUrgentWaits(t *testing.T) {
 	s := stuckQueue(4)
 	s.queue.SetSurplusSlots(1)
 	if id := s.enter(urgent, "a", 1, start); s.verdicts[id].Verdict != limit.Run {
--- a/internal/dataplane/limit/urgency.go
+++ b/internal/dataplane/limit/urgency.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// unknownSlack is the time to spare of a ticket that tells no deadline of its program.
+	// unknownSlack is the slack of a ticket without a deadline of its program.
 	unknownSlack = time.Second
-	// lateSlack puts the tickets of programs that are late already behind those that can still be in time.
+	// lateSlack is the slack of tickets whose programs are already late, so that they run after those that can still be in
+	// time; it is the maximum of all.
 	lateSlack = 2 * time.Second
-	// refusalCredit brings a ticket forward for each time that it was refused before.
-	refusalCredit = 250 * time.Millisecond
+	// rejectionCredit is subtracted from a ticket's urgency for each earlier rejection.
+	rejectionCredit = 250 * time.Millisecond
 )
 
-// latestStart is when the ticket has to run for its program to be in time; zero is unknown.
+// latestStart is when the ticket has to run for its program to be in time; zero when it has no deadline.
 func (t Ticket) latestStart() time.Time {
 	if t.ProgramDeadline.IsZero() {
 		return time.Time{}
@@ -19,16 +20,22 @@
 	return t.ProgramDeadline.Add(-t.ExpectedWork)
 }
 
-// urgency is the time by which a ticket that enters now should run. It stays as it is while the ticket waits, so that
-// each ticket is overtaken only by those that come within its slack.
+// urgency is the time by which a ticket that enters now should run. It is constant while the ticket waits, so that
+// a ticket is overtaken only by those that arrive within its slack.
 func (t Ticket) urgency(now time.Time) time.Time {
-	urgency := now.Add(unknownSlack)
-	if latest := t.latestStart(); latest.Before(now) && !latest.IsZero() {
-		urgency = now.Add(lateSlack)
-	} else if !latest.IsZero() && latest.Before(now.Add(lateSlack)) {
-		urgency = latest
-	} else if !latest.IsZero() {
-		urgency = now.Add(lateSlack)
+	urgency := now.Add(t.slack(now))
+	return urgency.Add(-time.Duration(t.Rejections) * rejectionCredit)
+}
+
+// slack is how long the ticket can wait for its program to be in time, at most lateSlack.
+func (t Ticket) slack(now time.Time) time.Duration {
+	latest := t.latestStart()
+	switch {
+	case latest.IsZero():
+		return unknownSlack
+	case latest.Before(now):
+		return lateSlack
+	default:
+		return min(latest.Sub(now), lateSlack)
 	}
-	return urgency.Add(-time.Duration(t.Rejections) * refusalCredit)
 }
--- a/internal/dataplane/limit/urgency_test.go
+++ b/internal/dataplane/limit/urgency_test.go
@@ -13,49 +13,51 @@
 const interactive = protocol.Priority_INTERACTIVE
 
 // put enters a ticket with fields of its own and returns its id.
-func (s *tickets) put(ticket limit.Ticket, now time.Time) uint64 {
+func (s *tickets) enterTicket(ticket limit.Ticket, now time.Time) uint64 {
 	s.next++
 	ticket.ID = s.next
 	s.classOf[s.next] = ticket
-	s.note(s.queue.Enter(ticket, now))
+	s.record(s.queue.Enter(ticket, now))
 	return s.next
 }
 
-func TestProgramsWithTheLeastTimeToSpareGoFirst(t *testing.T) {
+func TestProgramsWithTheLeastSlackGoFirst(t *testing.T) {
 	s := newTickets(100, time.Minute, 0)
 	program := func(ends, work time.Duration) uint64 {
-		return s.put(limit.Ticket{Class: interactive, ProgramDeadline: at(ends), ExpectedWork: work}, start)
+		return s.enterTicket(limit.Ticket{Class: interactive, ProgramDeadline: at(ends), ExpectedWork: work}, start)
 	}
-	unknown := s.put(limit.Ticket{Class: interactive}, start)
+	unknown := s.enterTicket(limit.Ticket{Class: interactive}, start)
 	easy := program(1900*time.Millisecond, 100*time.Millisecond)
 	urgent := program(2*time.Second, 1800*time.Millisecond)
 	late := program(time.Second, 3*time.Second)
-	s.note(s.queue.SetSlots(4))
+	s.record(s.queue.SetSlots(4))
 	if want := []uint64{urgent, unknown, easy, late}; fmt.Sprint(s.ran) != fmt.Sprint(want) {
 		t.Fatalf("ran %v, want %v", s.ran, want)
 	}
 }
 
-func TestATicketThatWasRefusedBeforeComesForward(t *testing.T) {
+func TestTicketThatWasRejectedBeforeMovesForward(t *testing.T) {
 	s := newTickets(100, time.Minute, 0)
-	first := s.put(limit.Ticket{Class: interactive}, start)
-	again := s.put(limit.Ticket{Class: interactive, Rejections: 1}, at(100*time.Millisecond))
-	s.note(s.queue.SetSlots(2))
+	first := s.enterTicket(limit.Ticket{Class: interactive}, start)
+	again := s.enterTicket(limit.Ticket{Class: interactive, Rejections: 1}, at(100*time.Millisecond))
+	s.record(s.queue.SetSlots(2))
 	if s.ran[0] != again || s.ran[1] != first {
 		t.Fatalf("ran %v", s.ran)
 	}
 }
 
-// TestNoTicketIsOvertakenForEver lets a ticket with much time to spare wait under a stream of urgent ones.
+// TestNoTicketIsOvertakenForEver lets a ticket with much slack wait under a stream of urgent ones.
 func TestNoTicketIsOvertakenForEver(t *testing.T) {
 	s := newTickets(1000, time.Minute, 1)
-	s.put(limit.Ticket{Class: interactive}, start)
-	patient := s.put(limit.Ticket{Class: interactive, ProgramDeadline: at(time.Hour)}, start)
+	s.enterTicket(limit.Ticket{Class: interactive}, start)
+	patient := s.enterTicket(limit.Ticket{Class: interactive, ProgramDeadline: at(time.Hour)}, start)
 	for step := range 40 {
 		now := at(time.Duration(step) * 100 * time.Millisecond)
-		urgent := limit.Ticket{Class: interactive, ProgramDeadline: now.Add(time.Second), ExpectedWork: 900 * time.Millisecond}
-		s.put(urgent, now)
-		s.note(s.queue.Leave(now))
+		urgent := limit.Ticket{
+			Class: interactive, ProgramDeadline: now.Add(time.Second), ExpectedWork: 900 * time.Millisecond,
+		}
+		s.enterTicket(urgent, now)
+		s.record(s.queue.Leave(now))
 		if s.verdicts[patient].Verdict == limit.Run {
 			return
 		}
@@ -63,107 +65,111 @@
 	t.Fatal("the patient ticket never ran in four seconds")
 }
 
-func TestATicketIsRefusedWithinItsOwnWait(t *testing.T) {
+func TestTicketIsRejectedWithinItsOwnMaxWait(t *testing.T) {
 	s := newTickets(100, 2*time.Second, 0)
-	short := s.put(limit.Ticket{Class: interactive, MaxWait: 50 * time.Millisecond}, start)
-	long := s.put(limit.Ticket{Class: interactive, MaxWait: time.Hour}, start)
+	short := s.enterTicket(limit.Ticket{Class: interactive, MaxWait: 50 * time.Millisecond}, start)
+	long := s.enterTicket(limit.Ticket{Class: interactive, MaxWait: time.Hour}, start)
 	if next := s.queue.NextExpiry(); !next.Equal(at(50 * time.Millisecond)) {
 		t.Fatalf("next expiry %v", next)
 	}
-	s.note(s.queue.Expire(at(50 * time.Millisecond)))
+	s.record(s.queue.Expire(at(50 * time.Millisecond)))
 	if s.verdicts[short].Verdict != limit.RejectLate || s.verdicts[long].Verdict != 0 {
 		t.Fatalf("%+v", s.verdicts)
 	}
-	if s.note(s.queue.Expire(at(2 * time.Second))); s.verdicts[long].Verdict != limit.RejectLate {
+	if s.record(s.queue.Expire(at(2 * time.Second))); s.verdicts[long].Verdict != limit.RejectLate {
 		t.Fatal("a ticket waits longer than the queue allows")
 	}
 }
 
-func TestATicketThatWouldOutstayItsOwnWaitIsRefusedAtOnce(t *testing.T) {
+func TestTicketThatWouldExceedItsOwnMaxWaitIsRejectedAtOnce(t *testing.T) {
 	s := newTickets(1000, 10*time.Second, 2)
-	now := atEase(s)
+	now := unloaded(s)
 	for range 4 {
 		s.enter(interactive, "a", 1, now)
 	}
-	short := s.put(limit.Ticket{Class: interactive, Tenant: "a", MaxWait: 50 * time.Millisecond}, now)
+	short := s.enterTicket(limit.Ticket{Class: interactive, Tenant: "a", MaxWait: 50 * time.Millisecond}, now)
 	if s.verdicts[short].Verdict != limit.RejectFull || s.verdicts[short].RetryAfter < 500*time.Millisecond {
 		t.Fatalf("%+v", s.verdicts[short])
 	}
 }
 
-func TestATicketThatWasRefusedBeforeMayWaitLonger(t *testing.T) {
+func TestTicketThatWasRejectedBeforeMayWaitLonger(t *testing.T) {
 	s := newTickets(1000, 4*time.Second, 2)
-	now := atEase(s)
+	now := unloaded(s)
 	for range 6 {
 		s.enter(interactive, "a", 1, now)
 	}
 	// Four wait, four a second run: a new one would wait for 1.25 s.
-	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a"}, now); s.verdicts[id].Verdict != limit.RejectFull {
+	id := s.enterTicket(limit.Ticket{Class: interactive, Tenant: "a"}, now)
+	if s.verdicts[id].Verdict != limit.RejectFull {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
-	if id := s.put(limit.Ticket{Class: interactive, Tenant: "a", Rejections: 1}, now); s.verdicts[id].Verdict != 0 {
+	id = s.enterTicket(limit.Ticket{Class: interactive, Tenant: "a", Rejections: 1}, now)
+	if s.verdicts[id].Verdict != 0 {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
 }
 
-func TestAProgramThatCannotBeInTimeIsRefusedAtOnceInALongQueue(t *testing.T) {
+func TestProgramThatCannotBeInTimeIsRejectedAtOnceInALongQueue(t *testing.T) {
 	s := newTickets(1000, time.Minute, 2)
-	now := atEase(s)
-	hopeless := limit.Ticket{Class: interactive, Tenant: "a", ProgramDeadline: now.Add(3 * time.Second), ExpectedWork: 2500 * time.Millisecond}
-	if id := s.put(hopeless, now); s.verdicts[id].Verdict != limit.Run {
-		t.Fatalf("refused with a slot free: %+v", s.verdicts[id])
+	now := unloaded(s)
+	hopeless := limit.Ticket{
+		Class: interactive, Tenant: "a", ProgramDeadline: now.Add(3 * time.Second), ExpectedWork: 2500 * time.Millisecond,
+	}
+	if id := s.enterTicket(hopeless, now); s.verdicts[id].Verdict != limit.Run {
+		t.Fatalf("rejected with a slot free: %+v", s.verdicts[id])
 	}
 	for range 8 {
 		s.enter(interactive, "a", 1, now)
 	}
-	if id := s.put(hopeless, now); s.verdicts[id].Verdict != limit.RejectFull {
-		t.Fatalf("waits two seconds with half a second to spare: %+v", s.verdicts[id])
+	if id := s.enterTicket(hopeless, now); s.verdicts[id].Verdict != limit.RejectFull {
+		t.Fatalf("waits two seconds with half a second of slack: %+v", s.verdicts[id])
 	}
 	hopeless.ExpectedWork = 100 * time.Millisecond
-	if id := s.put(hopeless, now); s.verdicts[id].Verdict != 0 {
-		t.Fatalf("refused although it would be in time: %+v", s.verdicts[id])
+	if id := s.enterTicket(hopeless, now); s.verdicts[id].Verdict != 0 {
+		t.Fatalf("rejected although it would be in time: %+v", s.verdicts[id])
 	}
 }
 
-func TestNothingIsRefusedWhileHalfOfTheServersPlacesAreFree(t *testing.T) {
+func TestNothingIsRejectedWhileHalfOfTheServersSlotsAreFree(t *testing.T) {
 	s := newTickets(2, time.Second, 1)
 	s.queue.SetSurplusSlots(limit.SurplusSlots(288, 84, 10))
 	var ids []uint64
 	for range 12 {
 		ids = append(ids, s.enter(interactive, "a", 1, start))
 	}
-	// One slot, two that wait, six to spare, and then refusals.
-	if ran, refused := s.count(ids, limit.Run), s.count(ids, limit.RejectFull); ran != 7 || refused != 3 {
-		t.Fatalf("%d ran, %d were refused", ran, refused)
+	// One slot, two that wait, six surplus ones, and then rejections.
+	if ran, rejected := s.count(ids, limit.Run), s.count(ids, limit.RejectFull); ran != 7 || rejected != 3 {
+		t.Fatalf("%d ran, %d were rejected", ran, rejected)
 	}
 	if s.queue.InFlight() != 7 {
 		t.Fatalf("%d in flight", s.queue.InFlight())
 	}
 	s.queue.SetSurplusSlots(1)
-	s.note(s.queue.Expire(at(time.Second)))
+	s.record(s.queue.Expire(at(time.Second)))
 	if ran, late := s.count(ids, limit.Run), s.count(ids, limit.RejectLate); ran != 8 || late != 1 {
-		t.Fatalf("%d ran, %d were refused late", ran, late)
+		t.Fatalf("%d ran, %d were rejected late", ran, late)
 	}
 }
 
-func TestATicketPastItsDeadlineIsRefusedWhateverThereIsToSpare(t *testing.T) {
+func TestTicketPastItsDeadlineIsRejectedDespiteSurplusSlots(t *testing.T) {
 	s := newTickets(10, time.Second, 0)
 	s.queue.SetSurplusSlots(100)
-	id := s.put(limit.Ticket{Class: interactive, Deadline: at(100 * time.Millisecond)}, start)
-	s.note(s.queue.Expire(at(100 * time.Millisecond)))
+	id := s.enterTicket(limit.Ticket{Class: interactive, Deadline: at(100 * time.Millisecond)}, start)
+	s.record(s.queue.Expire(at(100 * time.Millisecond)))
 	if s.verdicts[id].Verdict != limit.RejectLate {
 		t.Fatalf("%+v", s.verdicts[id])
 	}
 }
 
-func TestWhatIsToSpareIsSharedAndEndsAtHalf(t *testing.T) {
-	for _, tt := range []struct{ places, taken, fronts, want int }{
+func TestSurplusSlotsAreSharedAndEndAtHalf(t *testing.T) {
+	for _, tt := range []struct{ slots, occupied, fronts, want int }{
 		{288, 0, 10, 14},
 		{288, 144, 10, 0},
 		{288, 250, 10, 0},
 		{10, 1, 0, 4},
 	} {
-		if got := limit.SurplusSlots(tt.places, tt.taken, tt.fronts); got != tt.want {
+		if got := limit.SurplusSlots(tt.slots, tt.occupied, tt.fronts); got != tt.want {
 			t.Errorf("%+v: %d", tt, got)
 		}
 	}
@@ -180,10 +186,10 @@
 	}
 	classes := []protocol.Priority{protocol.Priority_URGENT, protocol.Priority_INTERACTIVE, protocol.Priority_PROBE}
 	leave := start.Add(100 * time.Millisecond)
-	for now := start; now.Before(at(time.Minute)); now = now.Add(time.Duration(random.ExpFloat64() / total * float64(time.Second))) {
+	for now := start; now.Before(at(time.Minute)); now = now.Add(interArrivalTime(random, total)) {
 		for ; leave.Before(now); leave = leave.Add(100 * time.Millisecond) {
 			if s.queue.InFlight() > 0 {
-				s.note(s.queue.Leave(leave))
+				s.record(s.queue.Leave(leave))
 			}
 		}
 		shares := []float64{offered[classes[0]] / total, offered[classes[1]] / total, offered[classes[2]] / total}
@@ -228,21 +234,21 @@
 	}
 }
 
-func TestATicketThatExpectsToMissItsObjectiveIsRefusedAtOnceAndOneThatWaitsIsNot(t *testing.T) {
+func TestTicketThatExpectsToMissItsLatencyTargetIsRejectedAtOnceUnlessItWaits(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
-	now := atEase(s)
+	now := unloaded(s)
 	bounded := limit.Ticket{Class: interactive, Tenant: "a", MaxExpectedWait: 400 * time.Millisecond}
 	for range 2 {
-		s.put(bounded, now)
+		s.enterTicket(bounded, now)
 	}
-	first, second := s.put(bounded, now), s.put(bounded, now)
+	first, second := s.enterTicket(bounded, now), s.enterTicket(bounded, now)
 	if s.verdicts[first].Verdict != 0 {
 		t.Fatalf("one that expects a wait of 250 ms: %+v", s.verdicts[first])
 	}
-	if refused := s.verdicts[second]; refused.Verdict != limit.RejectFull || refused.RetryAfter == 0 {
-		t.Fatalf("one that expects a wait of 500 ms: %+v", refused)
+	if rejected := s.verdicts[second]; rejected.Verdict != limit.RejectFull || rejected.RetryAfter == 0 {
+		t.Fatalf("one that expects a wait of 500 ms: %+v", rejected)
 	}
-	s.note(s.queue.Expire(now.Add(time.Second)))
+	s.record(s.queue.Expire(now.Add(time.Second)))
 	if s.verdicts[first].Verdict != 0 {
 		t.Fatalf("one that has waited for a second: %+v", s.verdicts[first])
 	}
