--- a/internal/controlplane/consensus/restart_test.go
+++ b/internal/controlplane/consensus/restart_test.go
@@ -7,23 +7,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// restartAll starts all members anew from what they made durable.
-func (s *script) restartAll() {
-	for id := range s.nodes {
-		s.restart(id)
-	}
-}
-
-// tickAll lets every member look at its clock, lowest id first.
-func (s *script) tickAll() {
-	for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
-		s.nodes[id].Tick(s.now)
-	}
-	s.run()
-}
-
 func TestALeaderThatRestartsWithAllOthersLeadsAgainAtOnce(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 0)
 	term := s.elect(2).Status().Term
 	s.restartAll()
 	s.now = s.now.Add(time.Millisecond)
@@ -37,7 +22,7 @@
 }
 
 func TestALeaderThatRestartsAloneLeadsAgainAtOnce(t *testing.T) {
-	s := newScript(t, 3, 0)
+	s := newScriptedCluster(t, 0)
 	s.elect(2)
 	s.restart(2)
 	s.now = s.now.Add(time.Millisecond)
@@ -47,39 +32,39 @@
 	}
 }
 
-func TestMembersThatRestartedPromiseNothingToOthersWhileTheLeaderLives(t *testing.T) {
+func TestRestartedMembersRejectVotesDuringTheLeadersLease(t *testing.T) {
 	for name, preVote := range map[string]bool{"vote": false, "pre-vote": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newScript(t, 3, 0)
+			s := newScriptedCluster(t, 0)
 			leader := s.elect(1)
 			s.restart(2)
 			s.restart(3)
-			s.pass = passNone
+			s.delivers = deliverNone
 			kind := protocol.ConsensusMessageKind_VOTE
 			if preVote {
 				kind = protocol.ConsensusMessageKind_PRE_VOTE
 			}
-			s.deliver(s.vote(kind, 3, 2, leader.Status().Term+1))
+			s.deliver(s.voteRequest(kind, 3, leader.Status().Term+1))
 			s.run()
-			for _, answer := range s.held {
+			for _, answer := range s.undelivered {
 				if !answer.GetReject() {
-					t.Fatalf("a member that restarted under the lease of %d said %v", 1, answer)
+					t.Fatalf("a member that restarted during the lease of 1 answered %v", answer)
 				}
 			}
 			if !s.now.Before(leader.LeaseEnds(s.now)) {
-				t.Fatal("the story has no lease to break")
+				t.Fatal("the leader has no lease to protect")
 			}
 		})
 	}
 }
 
-func TestThePromiseToALeaderIsDurableBeforeItIsAnswered(t *testing.T) {
-	s := newScript(t, 3, 0)
-	s.pass = func(message *protocol.ConsensusMessage) bool {
+func TestTheLeaseLeaderIsDurableBeforeItIsAnswered(t *testing.T) {
+	s := newScriptedCluster(t, 0)
+	s.delivers = func(message *protocol.ConsensusMessage) bool {
 		return message.GetKind() != protocol.ConsensusMessageKind_APPEND
 	}
 	s.elect(1)
-	for _, message := range s.held {
+	for _, message := range s.undelivered {
 		if message.GetTo() == 2 {
 			s.deliver(message)
 			break
@@ -94,29 +79,29 @@
 	}
 }
 
-func TestALeaderThatAnotherReplacedHasNoPromiseLeft(t *testing.T) {
-	s := newScript(t, 3, 0)
+func TestALeaderThatWasReplacedIsNoLongerTheLeaseLeader(t *testing.T) {
+	s := newScriptedCluster(t, 0)
 	s.elect(1)
 	s.elect(3)
 	s.restart(2)
-	s.pass = passNone
-	s.deliver(s.vote(protocol.ConsensusMessageKind_VOTE, 1, 2, s.nodes[3].Status().Term+1))
+	s.delivers = deliverNone
+	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, s.nodes[3].Status().Term+1))
 	s.run()
-	for _, answer := range s.held {
+	for _, answer := range s.undelivered {
 		if !answer.GetReject() {
 			t.Fatalf("a former leader got %v while another one leads", answer)
 		}
 	}
 }
 
-func TestALeaderThatRestartsBeforeTheOthersAsksThemAgainSoon(t *testing.T) {
-	s := newScript(t, 3, 0)
+func TestALeaderThatRestartsBeforeTheOthersRetriesSoon(t *testing.T) {
+	s := newScriptedCluster(t, 0)
 	s.elect(2)
 	s.restartAll()
-	s.pass = passNone
+	s.delivers = deliverNone
 	s.now = s.now.Add(time.Millisecond)
 	s.tickAll()
-	s.held, s.pass = nil, passAll
+	s.undelivered, s.delivers = nil, deliverAll
 	const step = DefaultElectionTimeout / 100
 	for waited := time.Duration(0); s.nodes[2].Role() != Leader; waited += step {
 		if waited > DefaultElectionTimeout/4 {
@@ -127,22 +112,23 @@
 	}
 }
 
-func TestALeaderThatRestartsAloneInACutOffPlaceAsksWithoutEnd(t *testing.T) {
-	s := newScript(t, 3, 0)
+func TestALeaderThatRestartsInAPartitionRetriesAtBoundedRate(t *testing.T) {
+	s := newScriptedCluster(t, 0)
 	s.elect(2)
 	s.restart(2)
-	s.pass = passNone
-	asked := 0
+	s.delivers = deliverNone
+	requests := 0
 	for elapsed := time.Duration(0); elapsed < 10*DefaultElectionTimeout; elapsed += 10 * time.Millisecond {
 		s.now = s.now.Add(10 * time.Millisecond)
 		s.nodes[2].Tick(s.now)
-		s.held = nil
+		s.undelivered = nil
 		s.run()
-		asked += len(s.held)
+		requests += len(s.undelivered)
 	}
-	// Both others are asked: some nine times while they may be bound to it, four times soon after, then once in a time-out.
-	const least, most = 2 * 15, 2 * 30
-	if asked < least || asked > most {
-		t.Errorf("asked %d times in ten election timeouts", asked)
+	// Each of the two others gets some nine requests while it may still reject votes for anybody
+	// else, four soon after, then one in an election timeout.
+	const minRequests, maxRequests = 2 * 15, 2 * 30
+	if requests < minRequests || requests > maxRequests {
+		t.Errorf("%d requests in ten election timeouts", requests)
 	}
 }
--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -5,111 +5,113 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// announcement is what the leader makes of a back end's announcement.
-type announcement int
+// announcementOutcome is what the leader makes of a back end's announcement.
+type announcementOutcome int
 
 const (
-	announcementNotLeader announcement = iota
-	// announcementLate came after a later one and changes nothing.
-	announcementLate
-	// announcementHeld says what the view holds already; the lease was renewed.
-	announcementHeld
-	// announcementNews says something that must be written to the log.
-	announcementNews
+	announcementNotLeader announcementOutcome = iota
+	// announcementOutdated came after a later one and changes nothing.
+	announcementOutdated
+	// announcementUnchanged is what the view holds already; the lease was renewed.
+	announcementUnchanged
+	// announcementChanged must be written to the log.
+	announcementChanged
 )
 
-// AnnounceBackEnd takes in a back end's own word about itself and renews its lease; the log is written only when something
+// AnnounceBackEnd applies what a back end announces of itself and renews its lease; the log is written only when something
 // changed. The sequence rises with every call of an incarnation: a call with a lower one than was seen before changes nothing,
 // nor does one of a back end that was removed. A back end that was draining stays so. With the state DRAINING it returns nil
 // only once every front node whose lease runs has a view in force that says so, which takes a lease of a front node at most.
 //
-// Any member takes it. One that does not lead acknowledges by itself what changes nothing and gives the leader the rest; it
+// Any member takes it. One that does not lead acknowledges what changes nothing and forwards the rest to the leader; it
 // fails with Unavailable while it does not reach the leader.
-func (s *Service) AnnounceBackEnd(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	if announced.GetId() == "" {
+func (s *Service) AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	if backEnd.GetId() == "" {
 		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
 	}
-	if s.caller == nil || s.owner.leads() {
-		return s.announceAtLeader(ctx, announced, sequence)
+	if s.caller == nil || s.owner.isLeader() {
+		return s.announceAtLeader(ctx, backEnd, sequence)
 	}
-	return s.announceAtMember(ctx, announced, sequence)
+	return s.announceAtMember(ctx, backEnd, sequence)
 }
 
-// announceAtLeader takes an announcement in, whichever member it came by; it fails with NotLeader at another one.
-func (s *Service) announceAtLeader(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	outcome, err := s.noteAnnouncement(ctx, announced, sequence)
+// announceAtLeader handles an announcement, whichever member it came by; it fails with NotLeader at another one.
+func (s *Service) announceAtLeader(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	outcome, err := s.observeAnnouncement(ctx, backEnd, sequence)
 	if err != nil {
 		return err
 	}
-	if outcome == announcementNews {
-		if err := s.writeAnnouncement(ctx, announced, sequence); err != nil {
+	if outcome == announcementChanged {
+		if err := s.writeAnnouncement(ctx, backEnd, sequence); err != nil {
 			return err
 		}
 	}
-	if announced.GetState() != protocol.BackEndState_DRAINING {
+	if backEnd.GetState() != protocol.BackEndState_DRAINING {
 		return nil
 	}
-	return s.awaitDrained(ctx, announced.GetId())
+	return s.awaitDrained(ctx, backEnd.GetId())
 }
 
-// noteAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that says nothing new.
-func (s *Service) noteAnnouncement(ctx context.Context, announced *protocol.BackEnd, sequence uint64) (announcement, error) {
+// observeAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that is unchanged.
+func (s *Service) observeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) (announcementOutcome, error) {
 	outcome := announcementNotLeader
-	id, incarnation := announced.GetId(), announced.GetIncarnation()
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	holder := leases.BackEndHolder(backEnd)
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		switch {
-		case !s.owner.leads():
-		case s.owner.late(id, incarnation, sequence, now):
-			outcome = announcementLate
-		case s.machine.View().Holds(announced) && s.owner.backEnds.renew(id, incarnation, now):
-			outcome = announcementHeld
+		case !s.owner.isLeader():
+		case s.owner.isOutdated(holder, sequence, now):
+			outcome = announcementOutdated
+		case s.machine.View().Holds(backEnd) && s.owner.backEnds.Renew(holder, now):
+			outcome = announcementUnchanged
 		default:
-			outcome = announcementNews
+			outcome = announcementChanged
 		}
 	})
-	if !asked {
-		return outcome, contextFailure(ctx)
+	if !executed {
+		return outcome, controllog.Interrupted(ctx)
 	}
 	switch outcome {
 	case announcementNotLeader:
-		return outcome, notLeaderFailure()
-	case announcementLate:
+		return outcome, controllog.NotLeader()
+	case announcementOutdated:
 		s.metrics.backEndLeases.WithLabelValues("late").Inc()
-	case announcementHeld:
+	case announcementUnchanged:
 		s.metrics.backEndLeases.WithLabelValues("renewed").Inc()
 	}
 	return outcome, nil
 }
 
-// late notes the sequence of an announcement and reports whether it came after a later one, or after the back end left.
-func (o *owner) late(id string, incarnation, sequence uint64, now time.Time) bool {
-	if o.machine.View().Outdated(id, incarnation, sequence) {
+// isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back end left.
+func (o *owner) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
+	if o.machine.View().Outdated(backEnd.Name, backEnd.Incarnation, sequence) {
 		return true
 	}
-	return sequence != 0 && !o.announced.note(id, incarnation, sequence, now)
+	return sequence != 0 && !o.sequences.Observe(backEnd, sequence, now)
 }
 
 // writeAnnouncement writes an announcement to the log and begins the lease of what is new in the view.
-func (s *Service) writeAnnouncement(ctx context.Context, announced *protocol.BackEnd, sequence uint64) error {
-	_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
-		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: announced, Sequence: sequence},
+func (s *Service) writeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
+		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence},
 	}})
 	if err != nil {
 		return err
 	}
 	s.metrics.backEndLeases.WithLabelValues("changed").Inc()
-	_, err = s.noteAnnouncement(ctx, announced, sequence)
+	_, err = s.observeAnnouncement(ctx, backEnd, sequence)
 	return err
 }
 
 // awaitDrained returns once no front node sends to a back end any more; it fails when the back end is still ready.
 func (s *Service) awaitDrained(ctx context.Context, id string) error {
 	view := s.machine.View()
-	if held := view.BackEnd(id); held != nil && held.GetState() != protocol.BackEndState_DRAINING {
+	if current := view.BackEnd(id); current != nil && current.GetState() != protocol.BackEndState_DRAINING {
 		return failure.New(failure.InvalidOrder, protocol.Outcome_NOT_RUN, "a later announcement says that the back end is ready", failure.WithPath("sequence"))
 	}
 	return s.awaitBackEnds(ctx, view)
@@ -122,8 +124,8 @@
 	return s.owner.awaitDrain(bounded, view.BackEnds.GetVersion())
 }
 
-// RemoveBackEnd takes out a back end that says that it left: its incarnation is not taken in again. It returns nil once every
-// front node whose lease runs has a view without it in force. Removing one that is gone is acknowledged.
+// RemoveBackEnd removes a back end that reports that it left: its incarnation is not accepted again. It returns nil once every
+// front node whose lease runs has a view without it in force. Removing one that was removed before is acknowledged.
 func (s *Service) RemoveBackEnd(ctx context.Context, id string, sequence uint64) error {
 	if id == "" {
 		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "must be set", failure.WithPath("id"))
@@ -132,7 +134,7 @@
 		return err
 	}
 	if !s.machine.View().Removed(id) {
-		_, err := s.accepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
+		_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
 			RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Departed: true, Sequence: sequence},
 		}})
 		if err != nil {
--- /dev/null
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -0,0 +1,148 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/failure"
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// heartbeatOutcome is what a member that does not lead makes of a heartbeat.
+type heartbeatOutcome int
+
+const (
+	// heartbeatNoLeader came while no leader is known.
+	heartbeatNoLeader heartbeatOutcome = iota
+	// heartbeatLeaderUnreachable came while the leader does not answer this member.
+	heartbeatLeaderUnreachable
+	// heartbeatAcknowledged changes nothing; the leader receives it with the next batch.
+	heartbeatAcknowledged
+	// heartbeatForwarded must be acknowledged by the leader.
+	heartbeatForwarded
+)
+
+// announceAtMember handles an announcement at a member that does not lead.
+func (s *Service) announceAtMember(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+	outcome := heartbeatNoLeader
+	leaderAddress := ""
+	executed := s.owner.execute(ctx, func(now time.Time) {
+		leader := s.owner.otherLeader()
+		leaderAddress = leader.GetAddress()
+		outcome = s.owner.classifyHeartbeat(leader, backEnd, sequence, now)
+	})
+	if !executed {
+		return controllog.Interrupted(ctx)
+	}
+	retry := failure.WithRetryAfter(controllog.RetryAfter)
+	switch outcome {
+	case heartbeatAcknowledged:
+		s.metrics.backEndLeases.WithLabelValues("relayed").Inc()
+		return nil
+	case heartbeatForwarded:
+		return s.forwardAnnouncement(ctx, leaderAddress, backEnd, sequence)
+	case heartbeatLeaderUnreachable:
+		s.metrics.backEndLeases.WithLabelValues("cut_off").Inc()
+		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader", retry)
+	default:
+		return controllog.NoLeader()
+	}
+}
+
+// otherLeader is the leader as far as this member knows; nil when there is none, or this member is it.
+func (o *owner) otherLeader() *protocol.CoreMember {
+	leader := o.consensus.Leader()
+	if leader == nil || leader.GetAddress() == "" || leader.GetId() == o.consensus.Status().GetId() {
+		return nil
+	}
+	return leader
+}
+
+// classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is acknowledged by
+// the leader alone, which knows what front nodes have in force.
+func (o *owner) classifyHeartbeat(leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time) heartbeatOutcome {
+	view := o.machine.View()
+	holder := leases.BackEndHolder(backEnd)
+	switch {
+	case leader == nil:
+		return heartbeatNoLeader
+	case !o.relay.ReachesLeader(leader.GetId(), now):
+		return heartbeatLeaderUnreachable
+	case backEnd.GetState() == protocol.BackEndState_DRAINING:
+		return heartbeatForwarded
+	case view.Outdated(holder.Name, holder.Incarnation, sequence):
+		return heartbeatAcknowledged
+	case o.relay.Escalated(holder.Name) || !view.Holds(backEnd):
+		return heartbeatForwarded
+	}
+	o.relay.Add(heartbeats.Heartbeat{
+		BackEnd: holder, Sequence: sequence, ViewVersion: view.BackEnds.GetVersion(), ReceivedAt: now,
+	})
+	return heartbeatAcknowledged
+}
+
+// forwardAnnouncement has the leader acknowledge an announcement.
+func (s *Service) forwardAnnouncement(ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64) error {
+	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin+controllog.ProposeTimeout)
+	defer cancel()
+	_, err := s.caller.Call(bounded, leaderAddress, &protocol.Request{Body: &protocol.Request_AnnounceBackEnd{
+		AnnounceBackEnd: &protocol.AnnounceBackEndRequest{BackEnd: backEnd, Sequence: sequence},
+	}})
+	if err != nil {
+		s.metrics.backEndLeases.WithLabelValues("forward_failed").Inc()
+		return forwardFailure(err)
+	}
+	s.metrics.backEndLeases.WithLabelValues("forwarded").Inc()
+	s.owner.execute(ctx, func(time.Time) { s.owner.relay.EndEscalation(backEnd.GetId()) })
+	return nil
+}
+
+// forwardFailure keeps the leader's own rejection; after anything else it is not known whether the leader applied the
+// announcement.
+func forwardFailure(err error) error {
+	var rejected *failure.Error
+	if errors.As(err, &rejected) {
+		return rejected
+	}
+	return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the leader did not answer: "+err.Error(), failure.WithRetryAfter(controllog.RetryAfter))
+}
+
+// sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is reached.
+func (o *owner) sendHeartbeatBatch(now time.Time) {
+	if o.caller == nil {
+		return
+	}
+	leader := o.otherLeader()
+	o.relay.ObserveLeader(leader.GetId())
+	if leader == nil {
+		return
+	}
+	batch, due := o.relay.BeginBatch(now)
+	if !due {
+		return
+	}
+	request := heartbeats.EncodeBatch(o.consensus.Status().GetId(), batch, now)
+	var answer *protocol.RenewBackEndsResponse
+	o.runTask(func(ctx context.Context) error {
+		bounded, cancel := context.WithTimeout(ctx, heartbeats.RelayTimeout)
+		defer cancel()
+		response, err := o.caller.Call(bounded, leader.GetAddress(), &protocol.Request{Body: &protocol.Request_RenewBackEnds{RenewBackEnds: request}})
+		answer = response.GetRenewBackEnds()
+		return err
+	}, func(_ time.Time, err error) {
+		if err != nil {
+			o.metrics.heartbeatBatches.WithLabelValues("failed").Inc()
+			o.relay.Requeue(leader.GetId(), batch)
+			return
+		}
+		o.metrics.heartbeatBatches.WithLabelValues("confirmed").Inc()
+		o.relay.Confirm(leader.GetId(), now, answer.GetUnknown())
+		o.relay.DropAbsent(func(id string) bool { return o.machine.View().BackEnd(id) != nil })
+		o.setHeartbeatMembers(answer.GetMembers())
+	})
+}
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -4,7 +4,9 @@
 	"context"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -22,26 +24,26 @@
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "too many outcomes at once", failure.WithPath("outcomes"))
 	}
 	report := serverhealth.Report{Node: request.GetNode(), Zone: request.GetZone()}
-	for _, seen := range request.GetOutcomes() {
+	for _, outcome := range request.GetOutcomes() {
 		report.Outcomes = append(report.Outcomes, serverhealth.Outcomes{
-			Server: seen.GetId(), Incarnation: seen.GetIncarnation(),
-			Answered: seen.GetAnswered(), Faults: seen.GetFaults(), Overdue: seen.GetOverdue(),
-			Heard: seen.SignAgeMillis != nil, SignAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
+			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
+			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
+			Heard: outcome.SignAgeMillis != nil, SignAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
 	var suspects []serverhealth.Suspect
-	asked := s.owner.ask(ctx, func(now time.Time) {
-		s.owner.takeOutcomes(report, now)
+	executed := s.owner.execute(ctx, func(now time.Time) {
+		s.owner.mergeOutcomes(report, now)
 		suspects = s.owner.serverHealth.Suspects(request.GetZone(), now)
 	})
-	if !asked {
-		return nil, contextFailure(ctx)
+	if !executed {
+		return nil, controllog.Interrupted(ctx)
 	}
 	return &protocol.ShareOutcomesResponse{Suspects: describeSuspects(suspects)}, nil
 }
 
 // takeOutcomes adds a report and wakes those who watch for suspects when it made one.
-func (o *owner) takeOutcomes(report serverhealth.Report, now time.Time) {
+func (o *owner) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	former := o.serverHealth.Version()
 	o.serverHealth.Take(report, now)
 	if o.serverHealth.Version() == former {
@@ -54,11 +56,11 @@
 // watchSuspects answers as soon as there are suspects of another version than the one known, or without any when the time
 // asked for is over.
 func (s *Service) watchSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
-	leadership := s.owner.leading.Load()
-	if leadership == nil || !s.consensus.IsLeader() {
-		return nil, notLeaderFailure()
+	leadershipLost, isLeader := s.owner.currentLeadership()
+	if !isLeader {
+		return nil, controllog.NotLeader()
 	}
-	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxPollWait))
+	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, delivery.MaxPollWait))
 	defer timer.Stop()
 	for {
 		answer, changed, err := s.newSuspects(ctx, request)
@@ -69,10 +71,10 @@
 		case <-changed:
 		case <-timer.C():
 			return &protocol.WatchSuspectsResponse{Version: request.GetKnown()}, nil
-		case <-leadership.lost:
-			return nil, notLeaderFailure()
+		case <-leadershipLost:
+			return nil, controllog.NotLeader()
 		case <-ctx.Done():
-			return nil, contextFailure(ctx)
+			return nil, controllog.Interrupted(ctx)
 		}
 	}
 }
@@ -81,15 +83,15 @@
 func (s *Service) newSuspects(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, <-chan struct{}, error) {
 	var answer *protocol.WatchSuspectsResponse
 	var changed <-chan struct{}
-	asked := s.owner.ask(ctx, func(now time.Time) {
+	executed := s.owner.execute(ctx, func(now time.Time) {
 		changed = s.owner.suspectsChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
 			suspects := s.owner.serverHealth.Suspects(request.GetZone(), now)
 			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeSuspects(suspects)}
 		}
 	})
-	if !asked {
-		return nil, nil, contextFailure(ctx)
+	if !executed {
+		return nil, nil, controllog.Interrupted(ctx)
 	}
 	return answer, changed, nil
 }
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -4,25 +4,30 @@
 package core
 
 import (
-	"context"
 	"time"
 
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
+	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
+	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
-	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
 // Defaults of the options.
 const (
-	DefaultLease        = 5 * time.Second
-	DefaultShardCount   = 64
-	DefaultReplicaCount = 3
-	DefaultCoalesce     = 100 * time.Millisecond
-	DefaultBackEndLease = 5 * time.Second
+	DefaultLease            = 5 * time.Second
+	DefaultShardCount       = 64
+	DefaultReplicaCount     = 3
+	DefaultCoalesceInterval = 100 * time.Millisecond
+	DefaultBackEndLease     = 5 * time.Second
 )
 
 // Options of a Service. Zero numbers take the defaults.
@@ -36,12 +41,12 @@
 	Lease        time.Duration
 	ShardCount   uint32
 	ReplicaCount uint32
-	// Coalesce is the shortest time between two answers with news to the same node; negative turns it off.
-	Coalesce time.Duration
+	// Coalesce is the shortest time between two answers with an update to the same node; negative turns it off.
+	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
-	Tokens *Tokens
+	Tokens *operators.Tokens
 	// TrustOperators takes orders without a token and lets the core sign off what is released.
 	TrustOperators bool
 	// BackEndLease is how long a back end stays in the view without a heartbeat.
@@ -59,17 +64,15 @@
 	clock     replica.Clock
 	caller    wire.Caller
 	lease     time.Duration
-	proposer  *proposer
+	proposer  *controllog.Proposer
 	owner     *owner
-	pacing    *pacing
-	tokens    *Tokens
-	// trustOperators takes orders without a token and releases without a signature.
+	poller    *delivery.Poller
+	operators *operators.Handler
+	// trustOperators lets ReleaseBundle sign off what it puts in force.
 	trustOperators bool
 	replicaCount   uint32
 	metrics        *metrics
 	logger         *log.Logger
-	// dispatchTable lists the routes of operators.
-	dispatchTable []operatorRoute
 }
 
 // New makes a service; Start sets it to work.
@@ -83,14 +86,14 @@
 	if options.ReplicaCount == 0 {
 		options.ReplicaCount = DefaultReplicaCount
 	}
-	if options.Coalesce == 0 {
-		options.Coalesce = DefaultCoalesce
+	if options.CoalesceInterval == 0 {
+		options.CoalesceInterval = DefaultCoalesceInterval
 	}
 	if options.BackEndLease == 0 {
 		options.BackEndLease = DefaultBackEndLease
 	}
 	if options.Tokens == nil {
-		options.Tokens = &Tokens{}
+		options.Tokens = &operators.Tokens{}
 	}
 	service := &Service{
 		consensus: options.Consensus,
@@ -98,9 +101,7 @@
 		clock:     options.Clock,
 		caller:    options.Caller,
 		lease:     options.Lease,
-		proposer:  &proposer{consensus: options.Consensus, clock: options.Clock},
-		pacing:    newPacing(options.Coalesce),
-		tokens:    options.Tokens,
+		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
 
 		trustOperators: options.TrustOperators,
 		replicaCount:   options.ReplicaCount,
@@ -108,7 +109,22 @@
 		metrics: newMetrics(options.Registerer),
 		logger:  orDiscard(options.Logger),
 	}
-	service.dispatchTable = service.routes()
+	service.poller = delivery.NewPoller(delivery.Options{
+		ControlPlane:     pollAccess{service},
+		Publisher:        options.Machine.publisher,
+		Clock:            options.Clock,
+		CoalesceInterval: options.CoalesceInterval,
+		Registerer:       options.Registerer,
+	})
+	service.operators = operators.New(operators.Options{
+		ControlPlane:   operatorAccess{service},
+		Consensus:      options.Consensus,
+		Proposer:       service.proposer,
+		Tokens:         options.Tokens,
+		TrustOperators: options.TrustOperators,
+		Logger:         service.logger,
+		Registerer:     options.Registerer,
+	})
 	service.owner = &owner{
 		clock:           options.Clock,
 		consensus:       options.Consensus,
@@ -117,21 +133,17 @@
 		proposer:        service.proposer,
 		logger:          service.logger,
 		metrics:         service.metrics,
-		queue:           make(chan func(time.Time), commandQueue),
-		nodes:           newLeaseTable(options.Lease + leaseMargin),
-		backEnds:        newLeaseTable(options.BackEndLease),
-		announced:       newAnnouncedTable(),
-		relay:           newHeartbeatRelay(options.BackEndLease),
-		relaying:        newRelayingTable(),
-		arms:            newArmTable(),
+		queue:           make(chan func(time.Time), commandQueueLength),
+		nodes:           leases.NewTable(options.Lease + leaseMargin),
+		backEnds:        leases.NewTable(options.BackEndLease),
+		sequences:       heartbeats.NewSequenceTable(),
+		relay:           heartbeats.NewRelay(options.BackEndLease),
+		relayingMembers: heartbeats.NewRelayingMembers(),
+		variants:        rollout.NewVariantTable(),
 		suspectsChanged: make(chan struct{}),
-		reconciler: &reconciler{
-			firstKeys:    options.FirstKeys,
-			shardCount:   options.ShardCount,
-			replicaCount: options.ReplicaCount,
-			absentStores: map[string]time.Time{},
-			replaced:     map[string]bool{},
-		},
+		reconciler: reconcile.New(reconcile.Settings{
+			FirstKeys: options.FirstKeys, ShardCount: options.ShardCount, ReplicaCount: options.ReplicaCount,
+		}),
 	}
 	return service
 }
@@ -144,16 +156,8 @@
 
 // requireLeader fails unless this process leads at this moment.
 func (s *Service) requireLeader() error {
-	if !s.owner.leads() {
-		return notLeaderFailure()
+	if !s.owner.isLeader() {
+		return controllog.NotLeader()
 	}
 	return nil
 }
-
-// contextFailure says why an exchange with the owner ended early.
-func contextFailure(ctx context.Context) error {
-	if err := ctx.Err(); err != nil {
-		return &failure.Error{Failure: failure.From(err)}
-	}
-	return notLeaderFailure()
-}
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -22,7 +22,7 @@
 	// leaderAddress is where the leader was last heard, if anywhere.
 	leaderAddress string
 	// heardLeader is when this member last followed a leader or led.
-	heardLeader time.Time
+	lastLeaderContact time.Time
 	// leaderKnown is closed once a leader is known; a view without one has a channel that its successors close.
 	leaderKnown <-chan struct{}
 }
@@ -60,7 +60,7 @@
 		Configuration: view.status.Configuration, ClusterId: view.clusterID,
 		Empty: view.clusterID == "", LeaderLease: r.IsLeader(),
 	}
-	for _, contact := range view.status.Contacts {
+	for _, contact := range view.status.Peers {
 		status.Contacts = append(status.Contacts, &protocol.CoreMemberContact{
 			Id: contact.ID, Match: contact.Match, SilentMillis: uint64(now.Sub(contact.LastContact) / time.Millisecond),
 		})
--- a/internal/dataplane/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -23,7 +23,7 @@
 	link := &fakeLink{view: r.view, core: func(*protocol.Request) (*protocol.Response, error) {
 		return nil, failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "none")
 	}}
-	ownership := &fakeOwnership{self: "f1", refuse: failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "busy")}
+	ownership := &fakeOwnership{self: "f1", beginError: failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "busy")}
 	service := front.New(front.Options{
 		Self: &protocol.Node{Name: "f1"}, Link: link, Ledger: r.ledger, Ownership: ownership,
 		Caller: r.network, Logger: log.New(io.Discard),
@@ -46,7 +46,7 @@
 		if !strings.HasPrefix(path, "/v1/") || strings.ContainsAny(path, " \x00\r\n%?#") || path == "/v1/backends/heartbeat" {
 			return
 		}
-		request := httptest.NewRequest(http.MethodPost, "http://front/", strings.NewReader(body))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://front/", strings.NewReader(body))
 		request.URL.Path = path
 		request.Header.Set("Rosestand-Tenant", tenant)
 		request.Header.Set("Idempotency-Key", "k")
--- /dev/null
+++ b/internal/dataplane/front/http_stream.go
@@ -0,0 +1,90 @@
+package front
+
+import (
+	"io"
+	"net/http"
+	"strings"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/dataplane/front/httpheader"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sse"
+	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
+	"github.com/rosestand/rosestand/internal/dataplane/turn"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/serverconn"
+)
+
+const eventStreamType = "text/event-stream"
+
+// answerStream is the answer of a server to a turn, in parts.
+type answerStream interface {
+	// next waits for the next part; the last one is a turn.BackEndDone or a turn.AnswerCompleted.
+	next() (turn.Event, error)
+	// close abandons the answer, or keeps its connection for the next request when it was read completely.
+	close()
+}
+
+// httpStream is the answer to a turn of an HTTP route.
+type httpStream struct {
+	response    *serverconn.Response
+	events      *sse.Reader
+	eventTokens uint32
+	headGiven   bool
+	// versionHeader names the versions of the weights; it is set where they are read, in turns of training steps.
+	versionHeader string
+	done          turn.BackEndDone
+}
+
+func newHTTPStream(response *serverconn.Response, eventTokens uint32) *httpStream {
+	return &httpStream{
+		response: response, events: sse.NewReader(response.Body), eventTokens: max(eventTokens, 1),
+	}
+}
+
+func (s *httpStream) next() (turn.Event, error) {
+	if !s.headGiven {
+		s.headGiven = true
+		return s.head()
+	}
+	event, err := s.events.Next()
+	switch {
+	case errors.Is(err, io.EOF):
+		return s.done, nil
+	case err != nil:
+		return nil, &backEndError{fault: turn.FaultBroken, detail: "the stream broke off: " + err.Error()}
+	}
+	token := turn.Token{Event: event, Data: sse.Data(event)}
+	if token.Data != nil {
+		// A block of comments alone brings no tokens.
+		token.Tokens = s.eventTokens
+	}
+	if s.versionHeader != "" {
+		token.WeightVersion, token.NamesVersion = trainingstep.VersionOfEvent(event, s.versionHeader)
+	}
+	s.done.OutputTokens += uint64(token.Tokens)
+	return token, nil
+}
+
+func (s *httpStream) head() (turn.Event, error) {
+	answer := &protocol.HttpAnswer{Status: uint32(s.response.Status), Headers: httpheader.EndToEnd(s.response.Header)}
+	if s.response.Status == http.StatusOK && strings.HasPrefix(s.response.Header.Get("Content-Type"), eventStreamType) {
+		return turn.Head{Answer: answer, WeightVersions: s.headVersions()}, nil
+	}
+	body, err := s.response.ReadAll(maxToolAnswerBytes)
+	if err != nil {
+		return nil, &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+	}
+	answer.Body = body
+	return turn.AnswerCompleted{Answer: answer, WeightVersions: s.headVersions()}, nil
+}
+
+// headVersions are the versions of the weights that the answer's head names.
+func (s *httpStream) headVersions() []uint64 {
+	if s.versionHeader == "" {
+		return nil
+	}
+	return trainingstep.ParseVersions(s.response.Header.Values(s.versionHeader))
+}
+
+func (s *httpStream) close() { s.response.Close() }
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -78,7 +78,7 @@
 func (m *Machine) recordVersions(named []uint64) {
 	for _, version := range named {
 		count := len(m.step.seenVersions)
-		if count < ledger.MaximumWeightVersions && (count == 0 || m.step.seenVersions[count-1] != version) {
+		if count < ledger.MaxWeightVersions && (count == 0 || m.step.seenVersions[count-1] != version) {
 			m.step.seenVersions = append(m.step.seenVersions, version)
 		}
 	}
--- a/internal/dataplane/turn/training_step_test.go
+++ b/internal/dataplane/turn/training_step_test.go
@@ -185,7 +185,7 @@
 	}
 	s := newStepScript(false).on("issue", headOf(named...)).run()
 	wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
-	if versions := s.released().GetWeightVersions(); len(versions) != ledger.MaximumWeightVersions ||
+	if versions := s.released().GetWeightVersions(); len(versions) != ledger.MaxWeightVersions ||
 		!slices.Contains(versions, 100) {
 		t.Fatalf("released with %v", versions)
 	}
--- a/internal/process/daemon/daemon_test.go
+++ b/internal/process/daemon/daemon_test.go
@@ -20,7 +20,7 @@
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -221,7 +221,7 @@
 		})
 
 		It("exits at once when another process holds the data folder", func() {
-			lock, err := storage.LockFolder(filepath.Join(folder, "data"))
+			lock, err := storage.LockDir(filepath.Join(folder, "data"))
 			Expect(err).NotTo(HaveOccurred())
 			defer lock.Close()
 			refused := launch(&fakePlane{}, arguments()...)
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -85,10 +85,10 @@
 	return &protocol.StoreStatusResponse{
 		Name:           s.options.Self.GetName(),
 		StorageId:      s.options.Self.GetStorageId(),
-		PlacementEpoch: s.watch.current.Load().epoch,
+		PlacementEpoch: s.watch.Current().Epoch,
 		Registers:      held.registers,
 		Turns:          held.turns,
-		Bytes:          uint64(s.folder.registers.Size() + s.folder.turns.Size()),
+		Bytes:          uint64(s.folder.Registers.Size() + s.folder.Turns.Size()),
 		ShardsActive:   held.active,
 		ShardsCopying:  held.copying,
 		Repaired:       s.metrics.repairedCount.Load(),
--- a/internal/state/store/proposal.go
+++ b/internal/state/store/proposal.go
@@ -8,6 +8,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // operation is one ledger operation that waits for its register.
@@ -22,7 +24,7 @@
 // change is under way goes into the next change together.
 type proposal struct {
 	group   *group
-	key     registerKey
+	key     shardtable.Key
 	shard   register.ShardView
 	waiting []*operation
 	active  []*operation
@@ -34,7 +36,7 @@
 }
 
 // propose queues an operation on its register.
-func (g *group) propose(shard register.ShardView, key registerKey, op *operation) {
+func (g *group) propose(shard register.ShardView, key shardtable.Key, op *operation) {
 	p := g.proposals[key]
 	if p == nil {
 		p = &proposal{group: g, key: key}
@@ -69,13 +71,13 @@
 	p.group.store.metrics.changes.Inc()
 	p.group.store.metrics.batched.Add(float64(len(p.active)))
 	p.change = register.NewChange(register.ChangeOptions{
-		Key:      p.key.message(),
-		Shard:    p.shard.Shard,
-		Epoch:    p.shard.Epoch,
-		Quorum:   p.shard.Quorum,
-		Ballots:  p.group.ballots,
-		Function: p.function(),
-		Head:     p.head(),
+		Key:              p.key.ToProto(),
+		Shard:            p.shard.Shard,
+		Epoch:            p.shard.Epoch,
+		Quorum:           p.shard.Quorum,
+		Ballots:          p.group.ballots,
+		Update:           p.function(),
+		PreparedProposal: p.head(),
 	})
 	p.send(p.change.Start())
 }
@@ -94,31 +96,31 @@
 			p.active = append(p.active, op)
 			continue
 		}
-		op.reply(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+		op.reply(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 	}
 	p.waiting = append(p.waiting[:0], p.waiting[taken:]...)
 }
 
 // head lets the change skip its prepare round when this store made the last
 // change and its own replica still holds it.
-func (p *proposal) head() register.Head {
-	held, found := p.group.table(p.shard.Shard).registers.get(p.key)
+func (p *proposal) head() register.PreparedProposal {
+	held, found := p.group.table(p.shard.Shard).Registers.Get(p.key)
 	if !found {
-		return register.Head{}
+		return register.PreparedProposal{}
 	}
 	// A head serves one change: when that one fails, this replica may hold a value that is not chosen.
-	epoch := held.headEpoch
-	held.headEpoch = 0
-	if epoch != p.shard.Epoch || held.state.Learned ||
-		held.state.Promised.Proposer != p.group.store.proposerName ||
-		held.state.Accepted.Proposer != p.group.store.proposerName {
-		return register.Head{}
+	epoch := held.PreparedEpoch
+	held.PreparedEpoch = 0
+	if epoch != p.shard.Epoch || held.State.Learned ||
+		held.State.Promised.Proposer != p.group.store.proposerName ||
+		held.State.Accepted.Proposer != p.group.store.proposerName {
+		return register.PreparedProposal{}
 	}
-	return register.Head{Epoch: epoch, Ballot: held.state.Promised, Value: held.state.Value}
+	return register.PreparedProposal{Epoch: epoch, Ballot: held.State.Promised, Value: held.State.Value}
 }
 
 // function applies the batch to a value, or is nil when the batch only reads.
-func (p *proposal) function() register.Function {
+func (p *proposal) function() register.UpdateFunc {
 	reads := true
 	for _, op := range p.active {
 		reads = reads && ledger.IsRead(op.message)
@@ -138,10 +140,10 @@
 
 // apply decides each operation of the batch on what the one before left.
 func (p *proposal) apply(current []byte) (next []byte, changed bool, err error) {
-	if p.key.call != "" {
-		return applyBatch(p, current, decodeCall, ledger.ApplyCall)
+	if p.key.Call != "" {
+		return applyBatch(p, current, records.DecodeCall, ledger.ApplyCall)
 	}
-	return applyBatch(p, current, decodeProgram, ledger.Apply)
+	return applyBatch(p, current, records.DecodeProgram, ledger.Apply)
 }
 
 // applyBatch collects the results of the batch and encodes the record that it
@@ -189,12 +191,12 @@
 func (p *proposal) sendLocally(change *register.Change, message register.Message) {
 	if message.Prepare != nil {
 		p.group.prepare(message.Prepare, func(answer *protocol.PrepareResponse) {
-			p.group.mailbox.post(func() { p.prepared(change, message, answer) })
+			p.group.mailbox.Post(func() { p.prepared(change, message, answer) })
 		})
 		return
 	}
 	p.group.accept(message.Accept, func(answer *protocol.AcceptResponse) {
-		p.group.mailbox.post(func() { p.accepted(change, message, answer) })
+		p.group.mailbox.Post(func() { p.accepted(change, message, answer) })
 	})
 }
 
@@ -203,15 +205,15 @@
 	if message.Prepare != nil {
 		request.Body = &protocol.Request_Prepare{Prepare: message.Prepare}
 	}
-	p.group.store.peers.send(message.Store, request, func(response *protocol.Response, err error) {
-		p.group.mailbox.post(func() {
+	p.group.store.peers.Send(message.Store, request, func(response *protocol.Response, err error) {
+		p.group.mailbox.Post(func() {
 			switch {
 			case err == nil && response.GetPrepare() != nil:
 				p.prepared(change, message, response.GetPrepare())
 			case err == nil && response.GetAccept() != nil:
 				p.accepted(change, message, response.GetAccept())
 			default:
-				change.Failed(message.Store, message.Round)
+				change.HandleFailure(message.Store, message.PhaseNumber)
 				p.advance(change)
 			}
 		})
@@ -222,14 +224,14 @@
 	if p.change != change {
 		return
 	}
-	p.send(change.Prepared(message.Store, message.Round, answer))
+	p.send(change.HandlePrepareResponse(message.Store, message.PhaseNumber, answer))
 }
 
 func (p *proposal) accepted(change *register.Change, message register.Message, answer *protocol.AcceptResponse) {
 	if p.change != change {
 		return
 	}
-	p.send(change.Accepted(message.Store, message.Round, answer))
+	p.send(change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer))
 }
 
 // advance acts on how far the change has come.
@@ -257,10 +259,10 @@
 
 // chosen answers the batch and remembers whether the next change may skip a round.
 func (p *proposal) chosen() {
-	if held, found := p.group.table(p.shard.Shard).registers.get(p.key); found {
-		held.headEpoch = 0
-		if head := p.change.Head(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
-			held.headEpoch = head.Epoch
+	if held, found := p.group.table(p.shard.Shard).Registers.Get(p.key); found {
+		held.PreparedEpoch = 0
+		if head := p.change.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.State.Promised {
+			held.PreparedEpoch = head.Epoch
 		}
 	}
 	value := p.change.Value()
@@ -278,10 +280,10 @@
 	if !ledger.IsRead(op.message) {
 		return p.results[i]
 	}
-	record, err := decodeProgram(value)
+	record, err := records.DecodeProgram(value)
 	if err != nil {
 		p.group.store.fail(err)
-		return ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	}
 	_, result := ledger.Apply(record, op.message, p.group.store.options.Clock.Now())
 	return result
@@ -303,7 +305,7 @@
 	wait := p.group.backoff(p.retries)
 	p.retries++
 	p.group.store.options.Clock.AfterFunc(wait, func() {
-		p.group.mailbox.post(func() { p.retry(change) })
+		p.group.mailbox.Post(func() { p.retry(change) })
 	})
 }
 
@@ -313,7 +315,7 @@
 	}
 	p.resting = false
 	if p.allExpired() {
-		p.answerAll(ledger.Answer(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
+		p.answerAll(ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE))
 		p.startNext()
 		return
 	}
--- a/internal/state/store/keep.go
+++ b/internal/state/store/retain_turn.go
@@ -49,16 +49,16 @@
 // inForce reports whether this replica still acts under the placement of the
 // round: a copy of the shard made under a newer one may lack the turn.
 func (k *keep) inForce() bool {
-	return k.group.table(k.shard.Shard).view.Rejection(k.shard.Epoch) == notRefused
+	return k.group.table(k.shard.Shard).View.Rejection(k.shard.Epoch) == notRefused
 }
 
 func (k *keep) ask(store string, round int) {
 	request := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
 		Shard: k.shard.Shard, PlacementEpoch: k.shard.Epoch, Turn: k.turn,
 	}}}
-	k.group.store.peers.send(store, request, func(response *protocol.Response, err error) {
+	k.group.store.peers.Send(store, request, func(response *protocol.Response, err error) {
 		kept := err == nil && response.GetKeepTurn() != nil && response.GetKeepTurn().GetRefusal() == notRefused
-		k.group.mailbox.post(func() { k.answered(store, round, kept) })
+		k.group.mailbox.Post(func() { k.answered(store, round, kept) })
 	})
 }
 
@@ -84,7 +84,7 @@
 	k.resting = true
 	clock := k.group.store.options.Clock
 	clock.AfterFunc(k.group.backoff(k.round), func() {
-		k.group.mailbox.post(k.retry)
+		k.group.mailbox.Post(k.retry)
 	})
 }
 
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -13,21 +13,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/peers"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Store is one store process: replicas of some shards, and the proposer for their programs.
 type Store struct {
 	options         Options
-	folder          *Folder
+	folder          *datafolder.Folder
 	registerCommits *storage.GroupCommitter
 	turnCommits     *storage.GroupCommitter
 	groups          []*group
-	watch           *placementWatch
-	peers           *peers
+	watch           *placement.Watch
+	peers           *peers.Client
 	metrics         *metrics
 	proposerName    string
-	turnSegments    segmentExpiry
+	turnSegments    turnindex.SegmentExpiry
 	copyPace        pace
 	// indexedSegment is the first segment of turns that the index on disk does not cover.
 	indexedSegment uint64
@@ -52,14 +56,14 @@
 }
 
 // New reads what the folder holds. The store takes ownership of the folder.
-func New(options Options, folder *Folder) (*Store, error) {
+func New(options Options, folder *datafolder.Folder) (*Store, error) {
 	options.fill()
 	options.Self.StorageId = folder.StorageID
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Store{
 		options:      options,
 		folder:       folder,
-		watch:        newPlacementWatch(options.Core, options.Self),
+		watch:        placement.NewWatch(options.Core, options.Self),
 		metrics:      options.metrics,
 		proposerName: proposerName(options.Self.GetName(), folder),
 		ctx:          ctx,
@@ -68,7 +72,11 @@
 		poke:         make(chan struct{}, 1),
 		copyPoke:     make(chan struct{}, 1),
 	}
-	s.peers = newPeers(s)
+	s.peers = peers.New(ctx, peers.Options{
+		Caller:  options.Caller,
+		Address: s.addressOf,
+		Timeout: options.PeerTimeout,
+	})
 	for number := range options.Groups {
 		s.groups = append(s.groups, newGroup(s, number))
 	}
@@ -81,13 +89,13 @@
 
 // proposerName is new at every start, whatever the clock says: ballots must
 // never be used twice.
-func proposerName(name string, folder *Folder) string {
+func proposerName(name string, folder *datafolder.Folder) string {
 	return name + "/" + folder.StorageID + "/" + strconv.FormatUint(folder.Starts, 36)
 }
 
 // load fills the tables. No goroutine runs yet, so it writes to the groups directly.
 func (s *Store) load() error {
-	err := loadRegisters(s.folder, func(record *protocol.StoreRecord) {
+	err := s.folder.LoadRegisters(func(record *protocol.StoreRecord) {
 		s.group(record.GetShard()).restore(record)
 	})
 	if err != nil {
@@ -103,10 +111,10 @@
 
 // Start sets the goroutines going. Subscribe the store's ViewChanged to the core's views before.
 func (s *Store) Start() {
-	s.registerCommits = storage.NewGroupCommitter(s.folder.registers, s.committerOptions(registerFolder))
-	s.turnCommits = storage.NewGroupCommitter(s.folder.turns, s.committerOptions(turnFolder))
+	s.registerCommits = storage.NewGroupCommitter(s.folder.Registers, s.committerOptions(datafolder.RegisterLog))
+	s.turnCommits = storage.NewGroupCommitter(s.folder.Turns, s.committerOptions(datafolder.TurnLog))
 	for _, group := range s.groups {
-		s.owners.Go(group.mailbox.run)
+		s.owners.Go(group.mailbox.Run)
 	}
 	s.routines.Go(s.followPlacement)
 	s.routines.Go(s.maintain)
@@ -118,7 +126,7 @@
 	syncs := s.metrics.syncs.WithLabelValues(name)
 	shared := s.metrics.synced.WithLabelValues(name)
 	return storage.GroupCommitterOptions{
-		MaximumPendingBytes: maximumPendingBytes,
+		MaxPendingBytes: maximumPendingBytes,
 		OnSync: func(requests int) {
 			syncs.Inc()
 			shared.Add(float64(requests))
@@ -133,11 +141,11 @@
 		s.cancel()
 		close(s.stopped)
 		for _, group := range s.groups {
-			group.mailbox.close()
+			group.mailbox.Close()
 		}
 		s.owners.Wait()
 		s.routines.Wait()
-		s.peers.wait()
+		s.peers.Close()
 		if s.registerCommits != nil {
 			s.registerCommits.Close()
 			s.turnCommits.Close()
@@ -158,15 +166,18 @@
 
 // shardOf gives the view of the shard of a program.
 func (s *Store) shardOf(program string) register.ShardView {
-	current := s.watch.current.Load()
-	return current.shard(ledger.ShardOf(program, len(current.shards)))
+	current := s.watch.Current()
+	return current.Shard(ledger.ShardOf(program, len(current.Shards)))
 }
 
 // shardView gives the view of a shard in force.
 func (s *Store) shardView(shard uint32) register.ShardView {
-	return s.watch.current.Load().shard(shard)
+	return s.watch.Current().Shard(shard)
 }
 
+// addressOf returns the address of a store; an empty one when it has no lease.
+func (s *Store) addressOf(store string) string { return s.watch.Current().Addresses[store] }
+
 // ViewChanged takes a new view of the core in; it does not wait.
 func (s *Store) ViewChanged() {
 	signal(s.poke)
--- a/internal/testing/purity/purity.go
+++ b/internal/testing/purity/purity.go
@@ -15,8 +15,22 @@
 
 // Packages lists the decision packages, relative to the module's root.
 var Packages = []string{
-	"internal/dataplane/ring", "internal/dataplane/directory", "internal/controlplane/lease", "internal/dataplane/turn", "internal/dataplane/schedule", "internal/dataplane/promptcache", "internal/dataplane/limit",
-	"internal/state/ledger", "internal/state/register", "internal/controlplane/consensus", "internal/controlplane/controlstate", "internal/controlplane/bundle", "internal/controlplane/views", "internal/dataplane/trainingstep", "internal/dataplane/serverhealth",
+	"internal/controlplane/bundle",
+	"internal/controlplane/consensus",
+	"internal/controlplane/controlstate",
+	"internal/controlplane/coremembership",
+	"internal/controlplane/lease",
+	"internal/controlplane/serverhealth",
+	"internal/controlplane/views",
+	"internal/dataplane/directory",
+	"internal/dataplane/limit",
+	"internal/dataplane/promptcache",
+	"internal/dataplane/ring",
+	"internal/dataplane/schedule",
+	"internal/dataplane/trainingstep",
+	"internal/dataplane/turn",
+	"internal/state/ledger",
+	"internal/state/register",
 }
 
 var forbiddenImports = []string{"net", "os", "syscall", "context", "sync", "runtime", "unsafe"}
