--- a/internal/dataplane/schedule/expected_first_token.go
+++ b/internal/dataplane/schedule/expected_first_token.go
@@ -35,7 +35,7 @@
 	callSlownessPower = 2
 	callLoadWeight    = 4
 	// reportMemory is the time constant with which what others had waiting at the time of a report is forgotten.
-	reportMemory = 400 * time.Millisecond
+	reportTimeConstant = 400 * time.Millisecond
 )
 
 // costedCandidate is a candidate with what its choice costs.
@@ -52,13 +52,13 @@
 	slices.SortStableFunc(order, func(a, b costedCandidate) int {
 		return cmp.Or(compareBool(a.isFull(), b.isFull()), cmp.Compare(a.cost, b.cost))
 	})
-	d.take(order[0].Candidate, order[0].cost.Seconds())
+	d.choose(order[0].Candidate, order[0].cost.Seconds())
 	for _, candidate := range order[1:] {
 		reason := ReasonLower
 		if candidate.isFull() && !order[0].isFull() {
 			reason = ReasonFull
 		}
-		d.pass(candidate.Candidate, candidate.cost.Seconds(), reason)
+		d.passOver(candidate.Candidate, candidate.cost.Seconds(), reason)
 	}
 }
 
@@ -80,15 +80,15 @@
 	home := slices.IndexFunc(order, func(c *Candidate) bool { return c.Slowness < homeSlowness })
 	bound := r.callBound(order)
 	costed := make([]costedCandidate, 0, len(order))
-	for place, candidate := range order {
-		cost := time.Duration(place) * orderCost
+	for position, candidate := range order {
+		cost := time.Duration(position) * orderCost
 		if r.Zone != "" && candidate.Zone != r.Zone {
 			cost += otherZoneCost
 		}
 		if r.PromptTokens == 0 {
 			cost += r.callCost(candidate, bound)
 		} else {
-			cost += r.turnCost(candidate, place == home)
+			cost += r.turnCost(candidate, position == home)
 		}
 		costed = append(costed, costedCandidate{candidate, cost})
 	}
@@ -132,7 +132,7 @@
 func (r *Request) callCost(candidate *Candidate, bound float64) time.Duration {
 	slowness := math.Pow(cmp.Or(candidate.Slowness, 1), callSlownessPower)
 	draw := float64(rankHash(r.AffinityKey, candidate)>>11+1) / (1 << 53)
-	return scale(r.Profile.ServiceTime, slowness/candidate.Weight*(callLoadWeight*(candidate.requestsNow()+r.surplus(candidate, bound))-math.Log(draw)))
+	return scale(r.Profile.ServiceTime, slowness/candidate.Weight*(callLoadWeight*(candidate.estimatedRequests()+r.surplus(candidate, bound))-math.Log(draw)))
 }
 
 // expectedWait is the expected time to the first token.
@@ -151,7 +151,7 @@
 }
 
 func (r *Request) work(candidate *Candidate) time.Duration {
-	return r.Profile.Overhead + r.Profile.reading(r.tokensAhead(candidate)+r.uncached(candidate))
+	return r.Profile.Overhead + r.Profile.prefillTime(r.tokensAhead(candidate)+r.uncached(candidate))
 }
 
 func (r *Request) uncached(candidate *Candidate) float64 {
@@ -167,7 +167,7 @@
 // prompts share saves them as much, so that a new server is soon as good as the others.
 func (r *Request) delayOfOthers(candidate *Candidate) time.Duration {
 	own := r.uncached(candidate) - float64(r.SharedTokens-min(r.SharedTokens, candidate.CachedTokens))
-	return scale(r.Profile.reading(max(own, 0)), delayShare*(unseenRequests+float64(candidate.InFlight)))
+	return scale(r.Profile.prefillTime(max(own, 0)), delayShare*(unseenRequests+float64(candidate.InFlight)))
 }
 
 // pressure is charged when a running request would be preempted for want of memory.
--- a/internal/dataplane/schedule/least_outstanding.go
+++ b/internal/dataplane/schedule/least_outstanding.go
@@ -20,41 +20,41 @@
 // known to be there, and the request without what the server has cached. Servers
 // whose places for steps are taken come last; ties go by the request's own order.
 func (d *Decision) leastOutstanding(request Request, candidates []*Candidate) {
-	unit := tokensOfRequest(request.Step, candidates)
+	unit := tokensPerRequest(request.Step, candidates)
 	order := rank(request.AffinityKey, candidates)
 	slices.SortStableFunc(order, func(a, b *Candidate) int {
-		if byPlace := compareFull(a, b); byPlace != 0 {
-			return byPlace
+		if bySlot := compareStepSlots(a, b); bySlot != 0 {
+			return bySlot
 		}
 		return cmp.Compare(a.workWith(request.Step, unit), b.workWith(request.Step, unit))
 	})
-	d.take(order[0], order[0].workWith(request.Step, unit))
+	d.choose(order[0], order[0].workWith(request.Step, unit))
 	for _, candidate := range order[1:] {
 		reason := ReasonLower
-		if candidate.hasNoStepPlace() {
-			reason = ReasonNoStepPlace
+		if candidate.hasNoStepSlot() {
+			reason = ReasonNoStepSlot
 		}
-		d.pass(candidate, candidate.workWith(request.Step, unit), reason)
+		d.passOver(candidate, candidate.workWith(request.Step, unit), reason)
 	}
 }
 
 // compareFull puts servers with a place before those without.
-func compareFull(a, b *Candidate) int {
+func compareStepSlots(a, b *Candidate) int {
 	switch {
-	case a.hasNoStepPlace() == b.hasNoStepPlace():
+	case a.hasNoStepSlot() == b.hasNoStepSlot():
 		return 0
-	case a.hasNoStepPlace():
+	case a.hasNoStepSlot():
 		return 1
 	default:
 		return -1
 	}
 }
 
-func (c *Candidate) hasNoStepPlace() bool { return c.Steps >= c.StepSlots }
+func (c *Candidate) hasNoStepSlot() bool { return c.Steps >= c.StepSlots }
 
 // tokensOfRequest is what a request of which nothing is known counts for: the
 // mean of the generations under way, or the request at hand when there is none.
-func tokensOfRequest(work *StepWork, candidates []*Candidate) float64 {
+func tokensPerRequest(work *StepWork, candidates []*Candidate) float64 {
 	tokens, steps := 0.0, 0.0
 	for _, candidate := range candidates {
 		tokens += float64(candidate.StepTokens)
--- a/internal/dataplane/schedule/outlier.go
+++ b/internal/dataplane/schedule/outlier.go
@@ -19,22 +19,22 @@
 
 const (
 	// ejectAfter is the number of faults in a row that ejects a server.
-	ejectAfter = 5
+	ejectAfterFaults = 5
 	// ejectShare is the share of faults that ejects a server, once there were leastOutcomes.
 	ejectShare    = 0.6
-	leastOutcomes = 10
+	minOutcomes = 10
 	// outcomeGain is the weight of one outcome in the share.
 	outcomeGain = 0.1
 	// firstUnreachable is the first ejection of a server that cannot be reached: long enough to look elsewhere, short
 	// enough for a server that restarts at its address.
-	firstUnreachable = time.Second
+	initialUnreachableEjection = time.Second
 	// firstEjection doubles with each ejection that follows soon, up to longestEjection.
-	firstEjection   = 5 * time.Second
-	longestEjection = 60 * time.Second
+	initialEjection   = 5 * time.Second
+	maxEjection = 60 * time.Second
 	// slowReturn is how long a server takes from the least to its full share after an ejection.
-	slowReturn = 10 * time.Second
+	slowStart = 10 * time.Second
 	// leastShare is the share of traffic at the moment of return.
-	leastShare = 0.1
+	minShare = 0.1
 	// forgiveAfter is the quiet time after which earlier ejections no longer count.
 	forgiveAfter = 2 * time.Minute
 )
@@ -43,11 +43,11 @@
 type Outlier struct {
 	faults int
 	// share is the share of faults of late, over that many outcomes.
-	share    float64
+	faultShare    float64
 	outcomes int
 
 	ejections   int
-	until       time.Time
+	ejectedUntil       time.Time
 	unreachable bool
 }
 
@@ -72,19 +72,19 @@
 		return false
 	case OutcomeUnreachable:
 		o.unreachable = true
-		return o.eject(firstUnreachable, now)
+		return o.eject(initialUnreachableEjection, now)
 	}
 	o.faults++
 	o.count(1)
-	if o.faults < ejectAfter && (o.outcomes < leastOutcomes || o.share < ejectShare) {
+	if o.faults < ejectAfterFaults && (o.outcomes < minOutcomes || o.faultShare < ejectShare) {
 		return false
 	}
-	return o.eject(firstEjection, now)
+	return o.eject(initialEjection, now)
 }
 
 func (o *Outlier) count(fault float64) {
 	o.outcomes++
-	o.share += max(outcomeGain, 1/float64(o.outcomes)) * (fault - o.share)
+	o.faultShare += max(outcomeGain, 1/float64(o.outcomes)) * (fault - o.faultShare)
 }
 
 // eject keeps traffic off for a time that doubles with each ejection; one that is ejected already stays so no longer.
@@ -92,38 +92,38 @@
 	if o.Ejected(now) {
 		return false
 	}
-	if !o.until.IsZero() && now.Sub(o.until) > forgiveAfter {
+	if !o.ejectedUntil.IsZero() && now.Sub(o.ejectedUntil) > forgiveAfter {
 		o.ejections = 0
 	}
 	length := first
 	for range o.ejections {
-		length = min(2*length, longestEjection)
+		length = min(2*length, maxEjection)
 	}
 	o.ejections++
-	o.faults, o.share, o.outcomes = 0, 0, 0
-	o.until = now.Add(length)
+	o.faults, o.faultShare, o.outcomes = 0, 0, 0
+	o.ejectedUntil = now.Add(length)
 	return true
 }
 
 // Until is when the last ejection ends or ended; zero when there was none.
-func (o *Outlier) Until() time.Time { return o.until }
+func (o *Outlier) Until() time.Time { return o.ejectedUntil }
 
 // Unreachable reports whether the last thing known of the server is that no connection to it could be made.
 func (o *Outlier) Unreachable() bool { return o.unreachable }
 
 // Ejected reports whether traffic is kept off the server.
 func (o *Outlier) Ejected(now time.Time) bool {
-	return now.Before(o.until)
+	return now.Before(o.ejectedUntil)
 }
 
 // Share is the part of its weight that the server takes: it rises from a tenth to one after an ejection.
 func (o *Outlier) Share(now time.Time) float64 {
-	if o.until.IsZero() {
+	if o.ejectedUntil.IsZero() {
 		return 1
 	}
-	back := now.Sub(o.until)
-	if back >= slowReturn {
+	back := now.Sub(o.ejectedUntil)
+	if back >= slowStart {
 		return 1
 	}
-	return leastShare + (1-leastShare)*max(0, float64(back)/float64(slowReturn))
+	return minShare + (1-minShare)*max(0, float64(back)/float64(slowStart))
 }
--- a/internal/dataplane/schedule/policies.go
+++ b/internal/dataplane/schedule/policies.go
@@ -13,7 +13,7 @@
 const freeShare = 0.25
 
 // place runs the policy; candidates is never empty.
-func (d *Decision) place(request Request, candidates []*Candidate, random *rand.Rand) {
+func (d *Decision) applyPolicy(request Request, candidates []*Candidate, random *rand.Rand) {
 	if request.Step != nil {
 		d.leastOutstanding(request, candidates)
 		return
@@ -37,9 +37,9 @@
 // over the bound; then the next server in the prefix's order takes it.
 func (d *Decision) prefixAffinity(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
-	if at := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.Last }); at > 0 {
-		last := order[at]
-		order = slices.Insert(slices.Delete(order, at, at+1), 0, last)
+	if position := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.Last }); position > 0 {
+		last := order[position]
+		order = slices.Insert(slices.Delete(order, position, position+1), 0, last)
 	}
 	bound := newLoadBound(request, candidates)
 	chosen := slices.IndexFunc(order, bound.allows)
@@ -47,14 +47,14 @@
 		d.leastLoaded(request, candidates)
 		return
 	}
-	for at, candidate := range order {
+	for position, candidate := range order {
 		switch {
-		case at == chosen:
-			d.take(candidate, candidate.Load())
-		case at < chosen:
-			d.pass(candidate, candidate.Load(), ReasonOverBound)
+		case position == chosen:
+			d.choose(candidate, candidate.Load())
+		case position < chosen:
+			d.passOver(candidate, candidate.Load(), ReasonOverBound)
 		default:
-			d.pass(candidate, candidate.Load(), ReasonLower)
+			d.passOver(candidate, candidate.Load(), ReasonLower)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 
 func (b loadBound) allows(candidate *Candidate) bool {
 	slots := candidateSlots(candidate)
-	most := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
-	return candidate.requests()+1 <= most
+	maxRequests := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
+	return candidate.requests()+1 <= maxRequests
 }
 
 // candidateSlots is the capacity scaled by weight.
@@ -97,9 +97,9 @@
 }
 
 func (d *Decision) firstOf(order []*Candidate) {
-	d.take(order[0], order[0].Load())
+	d.choose(order[0], order[0].Load())
 	for _, candidate := range order[1:] {
-		d.pass(candidate, candidate.Load(), ReasonLower)
+		d.passOver(candidate, candidate.Load(), ReasonLower)
 	}
 }
 
@@ -117,14 +117,14 @@
 	if candidates[two].loadWith(1) < candidates[one].loadWith(1) {
 		one, two = two, one
 	}
-	for at, candidate := range candidates {
-		switch at {
+	for position, candidate := range candidates {
+		switch position {
 		case one:
-			d.take(candidate, candidate.Load())
+			d.choose(candidate, candidate.Load())
 		case two:
-			d.pass(candidate, candidate.Load(), ReasonLower)
+			d.passOver(candidate, candidate.Load(), ReasonLower)
 		default:
-			d.pass(candidate, candidate.Load(), ReasonNotSampled)
+			d.passOver(candidate, candidate.Load(), ReasonNotSampled)
 		}
 	}
 }
@@ -133,6 +133,6 @@
 func (d *Decision) roundRobin(request Request, candidates []*Candidate) {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.ID, b.ID) })
-	at := int(request.Sequence % uint64(len(order)))
-	d.firstOf(slices.Concat(order[at:], order[:at]))
+	position := int(request.Sequence % uint64(len(order)))
+	d.firstOf(slices.Concat(order[position:], order[:position]))
 }
--- a/internal/dataplane/schedule/profile.go
+++ b/internal/dataplane/schedule/profile.go
@@ -38,7 +38,7 @@
 }
 
 // reading is how long a server takes to read so many prompt tokens.
-func (p Profile) reading(tokens float64) time.Duration {
+func (p Profile) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / p.PromptRate * float64(time.Millisecond))
 }
 
@@ -46,14 +46,14 @@
 // ahead of it at the server included.
 func (p Profile) FirstToken(tokens uint64) time.Duration {
 	p = p.withDefaults()
-	return p.Overhead + p.reading(float64(tokens))
+	return p.Overhead + p.prefillTime(float64(tokens))
 }
 
 const (
 	// profileGain is the weight of one observation.
 	profileGain = 0.02
 	// mostFirstTokenFactor bounds what a first token may tell of the prompt rate: one that took much longer waited for something else.
-	mostFirstTokenFactor = 3
+	maxFirstTokenFactor = 3
 )
 
 // ProfileEstimator learns the profile of a group from its answers. Its zero value holds the defaults.
@@ -70,7 +70,7 @@
 	e.profile = e.Profile()
 	e.profile.MeanPrompt += profileGain * (float64(own) - e.profile.MeanPrompt)
 	expected := e.profile.FirstToken(own + ahead)
-	if latency <= 0 || latency > mostFirstTokenFactor*expected {
+	if latency <= 0 || latency > maxFirstTokenFactor*expected {
 		return
 	}
 	// The error is shared between the fixed part and the rate by what each is expected to cause.
--- a/internal/dataplane/schedule/recent_requests.go
+++ b/internal/dataplane/schedule/recent_requests.go
@@ -7,7 +7,7 @@
 
 const (
 	// recentMemory is the time constant with which requests of late are forgotten.
-	recentMemory = 20 * time.Second
+	recentTimeConstant = 20 * time.Second
 	// busyShare is the part of its slots up to which a server is taken to have room, however it compares with others.
 	busyShare = 0.2
 	// unevenShare is the multiple of the mean from which a server counts as busier than others.
@@ -31,13 +31,13 @@
 	if r.count == 0 {
 		return 0
 	}
-	return r.count * math.Exp(-max(now.Sub(r.at), 0).Seconds()/recentMemory.Seconds())
+	return r.count * math.Exp(-max(now.Sub(r.at), 0).Seconds()/recentTimeConstant.Seconds())
 }
 
 // likelyCalls is how many calls other front nodes are taken to have at a server: each of them sends it about what this one
 // sent it of late, since all prefer the same servers for an object.
 func (r *Request) likelyCalls(candidate *Candidate) float64 {
-	perSecond := candidate.Recent / recentMemory.Seconds()
+	perSecond := candidate.Recent / recentTimeConstant.Seconds()
 	return perSecond * r.Profile.ServiceTime.Seconds() * max(r.FrontsAtServer-1, 0)
 }
 
--- a/internal/dataplane/schedule/schedule.go
+++ b/internal/dataplane/schedule/schedule.go
@@ -22,7 +22,7 @@
 
 	defaultCapacity = 8
 	// ownZoneRest is the part of a subset, one in so many, that is left to other zones.
-	ownZoneRest = 4
+	otherZonesDivisor = 4
 	// fullLoad is the relative load at which a server has no free slot.
 	fullLoad = 1.0
 )
@@ -97,13 +97,13 @@
 
 // requestsNow counts what is taken to be at the server by now: this front node's own requests, and of those that others
 // had there at the time of the report what is left of them.
-func (c *Candidate) requestsNow() float64 {
+func (c *Candidate) estimatedRequests() float64 {
 	own, reported := float64(c.InFlight), c.Running+c.Queued
 	if c.ReportAge <= 0 {
 		return own
 	}
 	others := float64(reported - min(reported, c.OwnAtReport))
-	return own + others*math.Exp(-c.ReportAge.Seconds()/reportMemory.Seconds())
+	return own + others*math.Exp(-c.ReportAge.Seconds()/reportTimeConstant.Seconds())
 }
 
 // Others counts the requests at the server that are no generations of this front node's training steps.
@@ -119,7 +119,7 @@
 		return 0
 	}
 	others := float64(c.Queued - min(c.Queued, c.WaitingAtReport))
-	return others * math.Exp(-c.ReportAge.Seconds()/reportMemory.Seconds())
+	return others * math.Exp(-c.ReportAge.Seconds()/reportTimeConstant.Seconds())
 }
 
 // Request says what is to be placed, and by which policy.
@@ -187,7 +187,7 @@
 	ReasonFull       = "no free slot"
 	ReasonNotSampled = "not sampled"
 	// ReasonNoStepPlace and ReasonOtherVersion are for turns of training steps.
-	ReasonNoStepPlace  = "no place for a training step"
+	ReasonNoStepSlot  = "no place for a training step"
 	ReasonOtherVersion = "has not the training step's version of the weights"
 )
 
@@ -200,16 +200,16 @@
 	}
 	usable = decision.subset(request, usable)
 	local := decision.localZone(request, usable)
-	decision.place(request, local, random)
+	decision.applyPolicy(request, local, random)
 	slices.SortFunc(decision.Scores, func(a, b Score) int { return cmp.Compare(a.ID, b.ID) })
 	return decision
 }
 
-func (d *Decision) pass(candidate *Candidate, score float64, reason string) {
+func (d *Decision) passOver(candidate *Candidate, score float64, reason string) {
 	d.Scores = append(d.Scores, Score{ID: candidate.ID, Score: score, Reason: reason})
 }
 
-func (d *Decision) take(candidate *Candidate, score float64) {
+func (d *Decision) choose(candidate *Candidate, score float64) {
 	d.Chosen = candidate.ID
 	d.Scores = append(d.Scores, Score{ID: candidate.ID, Score: score})
 }
@@ -222,11 +222,11 @@
 		candidate := &candidates[index]
 		switch {
 		case candidate.Draining:
-			d.pass(candidate, 0, ReasonDraining)
+			d.passOver(candidate, 0, ReasonDraining)
 		case slices.Contains(request.Avoid, candidate.ID):
-			d.pass(candidate, 0, ReasonAvoided)
+			d.passOver(candidate, 0, ReasonAvoided)
 		case candidate.Weight <= 0:
-			d.pass(candidate, 0, ReasonNoWeight)
+			d.passOver(candidate, 0, ReasonNoWeight)
 		case candidate.Ejected:
 			ejected = append(ejected, candidate)
 		default:
@@ -235,18 +235,18 @@
 	}
 	usable, ejected = readmit(usable, ejected)
 	for _, candidate := range ejected {
-		d.pass(candidate, 0, ReasonEjected)
+		d.passOver(candidate, 0, ReasonEjected)
 	}
 	return usable
 }
 
 // readmit uses ejected servers again until half of the group is used: when most seem faulty, the cause is likely
 // elsewhere. Those that come back first go first. Unreachable ones are used only when there is nothing else.
-func readmit(usable, ejected []*Candidate) (used, left []*Candidate) {
-	least := (len(usable) + len(ejected) + 1) / 2
+func readmit(usable, ejected []*Candidate) (readmitted, stillEjected []*Candidate) {
+	minUsable := (len(usable) + len(ejected) + 1) / 2
 	unreachable, suspected := divide(ejected, func(c *Candidate) bool { return c.Unreachable })
 	slices.SortStableFunc(suspected, func(a, b *Candidate) int { return a.EjectedUntil.Compare(b.EjectedUntil) })
-	back := min(len(suspected), max(least-len(usable), 0))
+	back := min(len(suspected), max(minUsable-len(usable), 0))
 	usable = append(usable, suspected[:back]...)
 	if len(usable) == 0 {
 		return unreachable, nil
@@ -263,14 +263,14 @@
 		return group
 	}
 	pointers := make([]*Candidate, 0, len(group))
-	for at := range group {
-		pointers = append(pointers, &group[at])
+	for index := range group {
+		pointers = append(pointers, &group[index])
 	}
-	kept := make([]Candidate, 0, SubsetSize(size))
+	selected := make([]Candidate, 0, SubsetSize(size))
 	for _, candidate := range rankForFront(front, zone, SubsetSize(size), pointers)[:SubsetSize(size)] {
-		kept = append(kept, *candidate)
+		selected = append(selected, *candidate)
 	}
-	return kept
+	return selected
 }
 
 // rankForFront orders a group for a front node: servers of its own zone come first, whose bytes cross no zone, until
@@ -281,7 +281,7 @@
 		return ranked
 	}
 	own, others := divide(ranked, func(c *Candidate) bool { return c.Zone == zone })
-	first := min(len(own), size-size/ownZoneRest)
+	first := min(len(own), size-size/otherZonesDivisor)
 	return slices.Concat(own[:first], others, own[first:])
 }
 
@@ -293,15 +293,15 @@
 		return usable
 	}
 	ranked := rankForFront(request.Front, request.Zone, size, usable)
-	kept := ranked[:size]
+	selected := ranked[:size]
 	for _, candidate := range ranked[size:] {
 		if candidate.ID == request.Last {
-			kept = append(kept[:size:size], candidate)
+			selected = append(selected[:size:size], candidate)
 			continue
 		}
-		d.pass(candidate, 0, ReasonNotSubset)
+		d.passOver(candidate, 0, ReasonNotSubset)
 	}
-	return kept
+	return selected
 }
 
 // localZone keeps the front node's own zone while one of its servers has a free slot, then its own region while one
@@ -314,21 +314,21 @@
 	ownRegion := func(c *Candidate) bool { return ownZone(c) || request.Region != "" && c.Region == request.Region }
 	zone, otherZones := divide(usable, ownZone)
 	if hasFree(zone) {
-		return d.keep(zone, otherZones, ReasonOtherZone)
+		return d.restrictTo(zone, otherZones, ReasonOtherZone)
 	}
 	d.Spilled = len(zone) > 0 && len(otherZones) > 0
 	region, otherRegions := divide(usable, ownRegion)
 	if hasFree(region) {
-		return d.keep(region, otherRegions, ReasonFarRegion)
+		return d.restrictTo(region, otherRegions, ReasonFarRegion)
 	}
 	return usable
 }
 
-func (d *Decision) keep(kept, others []*Candidate, reason string) []*Candidate {
+func (d *Decision) restrictTo(selected, others []*Candidate, reason string) []*Candidate {
 	for _, candidate := range others {
-		d.pass(candidate, candidate.Load(), reason)
+		d.passOver(candidate, candidate.Load(), reason)
 	}
-	return kept
+	return selected
 }
 
 func divide(candidates []*Candidate, inside func(*Candidate) bool) (in, out []*Candidate) {
--- a/internal/dataplane/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -22,7 +22,7 @@
 	Objective time.Duration
 	Timeout   time.Duration
 	// MostSends is how often a caller sends one call.
-	MostSends int
+	MaxSends int
 	// MaxWaitShare is the part of the objective that a ticket waits at most, MaxExpectedShare the part that it may
 	// expect to wait when it enters; zero leaves it to the queue.
 	MaxWaitShare     float64
@@ -37,20 +37,20 @@
 	InObjective int
 	Served      int
 	// Refusals counts single refusals, LateRefusals those that came after lateRefusal.
-	Refusals     int
-	LateRefusals int
+	Rejections     int
+	LateRejections int
 }
 
 // lateRefusal is the time after which a refusal comes late.
-const lateRefusal = 50 * time.Millisecond
+const lateRejection = 50 * time.Millisecond
 
 // Add counts the result of another play along.
 func (r *AdmissionResult) Add(other *AdmissionResult) {
 	r.Calls += other.Calls
 	r.InObjective += other.InObjective
 	r.Served += other.Served
-	r.Refusals += other.Refusals
-	r.LateRefusals += other.LateRefusals
+	r.Rejections += other.Rejections
+	r.LateRejections += other.LateRejections
 }
 
 // ShareOf is a count as a part of all calls.
@@ -60,7 +60,7 @@
 
 // admissionFront is one front node's queue with the calls that wait in it.
 type admissionFront struct {
-	play    *admissionPlay
+	run    *admissionRun
 	queue   *limit.Queue
 	waiting map[uint64]*admissionCall
 }
@@ -72,7 +72,7 @@
 	sends  int
 }
 
-type admissionPlay struct {
+type admissionRun struct {
 	options  AdmissionOptions
 	timeline *timeline
 	fronts   []*admissionFront
@@ -82,13 +82,13 @@
 }
 
 // PlayAdmission runs calls through the queues of front nodes.
-func PlayAdmission(options AdmissionOptions) *AdmissionResult {
-	p := &admissionPlay{
+func SimulateAdmission(options AdmissionOptions) *AdmissionResult {
+	p := &admissionRun{
 		options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 3)), result: &AdmissionResult{},
 	}
 	for range options.Fronts {
 		p.fronts = append(p.fronts, &admissionFront{
-			play: p, queue: limit.NewQueue(0, 0, options.Slots/options.Fronts), waiting: map[uint64]*admissionCall{},
+			run: p, queue: limit.NewQueue(0, 0, options.Slots/options.Fronts), waiting: map[uint64]*admissionCall{},
 		})
 	}
 	p.nextCall()
@@ -96,7 +96,7 @@
 	return p.result
 }
 
-func (p *admissionPlay) nextCall() {
+func (p *admissionRun) nextCall() {
 	wait := time.Duration(p.random.ExpFloat64() / p.options.PerSecond * float64(time.Second))
 	if p.timeline.now+wait > p.options.Length {
 		return
@@ -110,17 +110,17 @@
 }
 
 // send brings a call to any front node.
-func (p *admissionPlay) send(call *admissionCall) {
+func (p *admissionRun) send(call *admissionCall) {
 	front := p.fronts[p.random.IntN(len(p.fronts))]
 	p.nextID++
 	call.sentAt = p.timeline.now
 	call.sends++
 	front.waiting[p.nextID] = call
 	front.decide(front.queue.Enter(p.ticket(call), p.timeline.clock()))
-	front.setAlarm()
+	front.scheduleExpiry()
 }
 
-func (p *admissionPlay) ticket(call *admissionCall) limit.Ticket {
+func (p *admissionRun) ticket(call *admissionCall) limit.Ticket {
 	begun := p.timeline.clock().Add(call.begun - p.timeline.now)
 	return limit.Ticket{
 		ID: p.nextID, Class: protocol.Priority_INTERACTIVE, Weight: 1, Deadline: begun.Add(p.options.Timeout),
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p *admissionPlay) ofObjective(share float64) time.Duration {
+func (p *admissionRun) ofObjective(share float64) time.Duration {
 	return time.Duration(share * float64(p.options.Objective))
 }
 
@@ -137,39 +137,39 @@
 		call := f.waiting[decision.ID]
 		delete(f.waiting, decision.ID)
 		if decision.Verdict == limit.Run {
-			f.play.timeline.after(call.work, func() { f.ended(call) })
+			f.run.timeline.after(call.work, func() { f.ended(call) })
 			continue
 		}
-		f.play.refused(call, decision.RetryAfter)
+		f.run.rejected(call, decision.RetryAfter)
 	}
 }
 
 func (f *admissionFront) ended(call *admissionCall) {
-	took := f.play.timeline.now - call.begun
-	if took <= f.play.options.Timeout {
-		f.play.result.Served++
+	took := f.run.timeline.now - call.begun
+	if took <= f.run.options.Timeout {
+		f.run.result.Served++
 	}
-	if took <= f.play.options.Objective {
-		f.play.result.InObjective++
+	if took <= f.run.options.Objective {
+		f.run.result.InObjective++
 	}
-	f.decide(f.queue.Leave(f.play.timeline.clock()))
+	f.decide(f.queue.Leave(f.run.timeline.clock()))
 }
 
 // refused lets the caller come back when it was told to.
-func (p *admissionPlay) refused(call *admissionCall, retryAfter time.Duration) {
-	p.result.Refusals++
-	if p.timeline.now-call.sentAt > lateRefusal {
-		p.result.LateRefusals++
+func (p *admissionRun) rejected(call *admissionCall, retryAfter time.Duration) {
+	p.result.Rejections++
+	if p.timeline.now-call.sentAt > lateRejection {
+		p.result.LateRejections++
 	}
-	if call.sends < p.options.MostSends && p.timeline.now+retryAfter < call.begun+p.options.Timeout {
+	if call.sends < p.options.MaxSends && p.timeline.now+retryAfter < call.begun+p.options.Timeout {
 		p.timeline.after(retryAfter, func() { p.send(call) })
 	}
 }
 
-func (f *admissionFront) setAlarm() {
+func (f *admissionFront) scheduleExpiry() {
 	next := f.queue.NextExpiry()
 	if next.IsZero() {
 		return
 	}
-	f.play.timeline.after(next.Sub(f.play.timeline.clock()), func() { f.decide(f.queue.Expire(f.play.timeline.clock())) })
+	f.run.timeline.after(next.Sub(f.run.timeline.clock()), func() { f.decide(f.queue.Expire(f.run.timeline.clock())) })
 }
--- a/internal/dataplane/schedule/schedulesim/admission_test.go
+++ b/internal/dataplane/schedule/schedulesim/admission_test.go
@@ -41,9 +41,9 @@
 	const seeds, slots, work = 5, 60, 100 * time.Millisecond
 	total := &schedulesim.AdmissionResult{}
 	for seed := range uint64(seeds) {
-		total.Add(schedulesim.PlayAdmission(schedulesim.AdmissionOptions{
+		total.Add(schedulesim.SimulateAdmission(schedulesim.AdmissionOptions{
 			Seed: seed, Fronts: 10, Slots: slots, PerSecond: c.load * slots / work.Seconds(), Work: work,
-			Objective: c.objective, Timeout: 2 * time.Second, MostSends: 5,
+			Objective: c.objective, Timeout: 2 * time.Second, MaxSends: 5,
 			MaxWaitShare: variant.waitShare, MaxExpectedShare: variant.entryShare, Length: 12 * time.Second,
 		}))
 	}
@@ -61,8 +61,8 @@
 		if after.ShareOf(after.Served) < before.ShareOf(before.Served)-refusedInstead {
 			t.Errorf("%+v: %.3f served, %.3f without the bound", c, after.ShareOf(after.Served), before.ShareOf(before.Served))
 		}
-		if after.LateRefusals*100 > after.Refusals {
-			t.Errorf("%+v: %d of %d refusals came late", c, after.LateRefusals, after.Refusals)
+		if after.LateRejections*100 > after.Rejections {
+			t.Errorf("%+v: %d of %d refusals came late", c, after.LateRejections, after.Rejections)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 func TestBoundingTheWaitItselfMakesRefusalsLate(t *testing.T) {
 	for _, c := range admissionCases[:3] {
 		got := playAdmission(c, boundedWait)
-		if got.LateRefusals*20 < got.Refusals {
-			t.Errorf("%+v: %d of %d refusals came late: is this bound better now?", c, got.LateRefusals, got.Refusals)
+		if got.LateRejections*20 < got.Rejections {
+			t.Errorf("%+v: %d of %d refusals came late: is this bound better now?", c, got.LateRejections, got.Rejections)
 		}
 	}
 }
@@ -87,8 +87,8 @@
 				}
 				b.ReportMetric(result.ShareOf(result.InObjective), "in_objective")
 				b.ReportMetric(result.ShareOf(result.Served), "served")
-				b.ReportMetric(result.ShareOf(result.Refusals), "refusals/call")
-				b.ReportMetric(result.ShareOf(result.LateRefusals), "late_refusals/call")
+				b.ReportMetric(result.ShareOf(result.Rejections), "refusals/call")
+				b.ReportMetric(result.ShareOf(result.LateRejections), "late_refusals/call")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/dataplane/schedule/schedulesim/compare_test.go
+++ b/internal/dataplane/schedule/schedulesim/compare_test.go
@@ -18,15 +18,15 @@
 		},
 		Programs: []schedulesim.ProgramSpec{
 			{
-				Name: "short", PerSecond: 17.8, Rank: 1, Turns: 3, MostTurns: 6, SharedTokens: 2560, InputTokens: 1030, OutputTokens: 34,
-				Pause: 250 * time.Millisecond, SubAgents: 0.05, SubAgentCount: 3, SubAgentTurns: 2,
+				Name: "short", PerSecond: 17.8, Rank: 1, Turns: 3, MaxTurns: 6, SharedTokens: 2560, InputTokens: 1030, OutputTokens: 34,
+				ThinkTime: 250 * time.Millisecond, SubAgents: 0.05, SubAgentCount: 3, SubAgentTurns: 2,
 			},
 			{
-				Name: "long", PerSecond: 5, Rank: 0, Turns: 7, MostTurns: 14, SharedTokens: 2560, InputTokens: 514, OutputTokens: 34,
-				Pause: 250 * time.Millisecond, SubAgents: 0.25, SubAgentCount: 3, SubAgentTurns: 2,
+				Name: "long", PerSecond: 5, Rank: 0, Turns: 7, MaxTurns: 14, SharedTokens: 2560, InputTokens: 514, OutputTokens: 34,
+				ThinkTime: 250 * time.Millisecond, SubAgents: 0.25, SubAgentCount: 3, SubAgentTurns: 2,
 			},
 		},
-		Length: 24 * time.Second, Rest: 12 * time.Second, SamplesPerSecond: 1,
+		Length: 24 * time.Second, GracePeriod: 12 * time.Second, SamplesPerSecond: 1,
 	}
 }
 
@@ -85,9 +85,9 @@
 		PerThousand: 7 * time.Microsecond, PromptRate: 30.6, Chunk: 1024,
 	}
 	long := &o.Programs[1]
-	long.PerSecond, long.Turns, long.MostTurns, long.SubAgents = 4, 11, 22, 0.15
+	long.PerSecond, long.Turns, long.MaxTurns, long.SubAgents = 4, 11, 22, 0.15
 	for at := range o.Programs {
-		o.Programs[at].Pause = 150 * time.Millisecond
+		o.Programs[at].ThinkTime = 150 * time.Millisecond
 	}
 }
 
@@ -95,7 +95,7 @@
 	options := standard(seed)
 	options.Algorithm, options.Digests = variant.algorithm, variant.digests
 	scenario.change(&options)
-	return schedulesim.Play(options)
+	return schedulesim.Simulate(options)
 }
 
 // BenchmarkPolicies gives the figures of docs/POLICIES.md: the mean of three seeds.
@@ -111,7 +111,7 @@
 						result := play(scenario, variant, seed+1)
 						inTime += result.Share() / seeds
 						first += result.Quantile(0.95).Seconds() * 1000 / seeds
-						twice += float64(result.ReadTwice) / float64(result.Turns) / seeds
+						twice += float64(result.RepeatedTokens) / float64(result.Turns) / seeds
 					}
 				}
 				b.ReportMetric(inTime, "programs_in_time")
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -29,7 +29,7 @@
 	output uint64
 	rank   uint32
 	// unread are the prompt tokens still to read, generated the output tokens so far.
-	unread    uint64
+	pendingPrompt    uint64
 	generated uint64
 
 	onFirst func()
@@ -54,9 +54,9 @@
 	busy    bool
 
 	// read counts all prompt tokens that were read.
-	read       uint64
+	prefilled       uint64
 	preempted  int
-	onReadPart func(promptcache.Segment)
+	onPrefill func(promptcache.Segment)
 }
 
 const cacheKey = ""
@@ -107,11 +107,11 @@
 	e.preempt()
 	decoding := 0
 	for _, request := range e.batch {
-		if request.unread == 0 {
+		if request.pendingPrompt == 0 {
 			decoding++
 		}
 	}
-	read := e.readChunk()
+	read := e.prefillChunk()
 	took := e.stepTime(decoding, read)
 	e.timeline.after(took, e.finishStep)
 }
@@ -132,14 +132,14 @@
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.place(next)
+		e.startRequest(next)
 	}
 }
 
-func (e *engine) place(request *generation) {
-	request.unread = request.context() - e.cache.Cached(cacheKey, request.prompt)
+func (e *engine) startRequest(request *generation) {
+	request.pendingPrompt = request.context() - e.cache.Cached(cacheKey, request.prompt)
 	// The last token is read in any case.
-	request.unread = max(request.unread, 1)
+	request.pendingPrompt = max(request.pendingPrompt, 1)
 	e.batch = append(e.batch, request)
 	e.fit()
 }
@@ -165,27 +165,27 @@
 }
 
 // readChunk reads the next piece of prompts in the order of the batch.
-func (e *engine) readChunk() uint64 {
+func (e *engine) prefillChunk() uint64 {
 	read := uint64(0)
 	for _, request := range e.batch {
-		piece := min(request.unread, e.spec.Chunk-read)
-		request.unread -= piece
-		read += piece
-		if piece > 0 && request.unread == 0 {
-			e.keep(request)
+		chunk := min(request.pendingPrompt, e.spec.Chunk-read)
+		request.pendingPrompt -= chunk
+		read += chunk
+		if chunk > 0 && request.pendingPrompt == 0 {
+			e.cachePrompt(request)
 		}
 	}
-	e.read += read
+	e.prefilled += read
 	return read
 }
 
-func (e *engine) keep(request *generation) {
-	if e.onReadPart != nil {
+func (e *engine) cachePrompt(request *generation) {
+	if e.onPrefill != nil {
 		cached := e.cache.Cached(cacheKey, request.prompt)
 		passed := uint64(0)
-		for _, part := range request.prompt {
-			if passed += uint64(part.Tokens); passed > cached {
-				e.onReadPart(part)
+		for _, segment := range request.prompt {
+			if passed += uint64(segment.Tokens); passed > cached {
+				e.onPrefill(segment)
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 
 func (e *engine) finishStep() {
 	for _, request := range e.batch {
-		if request.unread > 0 {
+		if request.pendingPrompt > 0 {
 			continue
 		}
 		request.generated++
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -23,7 +23,7 @@
 	Load float64
 	// Length is how long programs begin; Rest is how long those begun may go on.
 	Length time.Duration
-	Rest   time.Duration
+	GracePeriod   time.Duration
 	// SubsetSize is how many of the servers each front node uses; zero is all.
 	SubsetSize uint32
 	// SamplesPerSecond is how many load reports one front node asks for.
@@ -64,7 +64,7 @@
 // Result is what came of a play.
 type Result struct {
 	Programs int
-	InAim    int
+	InTarget    int
 	Late     int
 	Failed   int
 	// ByKind is the share of programs of each kind that ended within their aim.
@@ -72,16 +72,16 @@
 	// FirstTokens are the times to the first token, sorted.
 	FirstTokens []time.Duration
 	// Read counts the prompt tokens that servers read, ReadTwice those that some server had read before.
-	Read       uint64
-	ReadTwice  uint64
+	PrefilledTokens       uint64
+	RepeatedTokens  uint64
 	Preempted  int
 	Turns      int
 	kinds      map[string][2]int
-	readBefore map[uint64]bool
+	prefilledBefore map[uint64]bool
 }
 
 // Share is the part of programs that ended within their aim.
-func (r *Result) Share() float64 { return float64(r.InAim) / float64(max(r.Programs, 1)) }
+func (r *Result) Share() float64 { return float64(r.InTarget) / float64(max(r.Programs, 1)) }
 
 // Quantile gives the time to the first token that the share of turns did not exceed.
 func (r *Result) Quantile(share float64) time.Duration {
@@ -101,16 +101,16 @@
 	planned  *rand.Rand
 	started  int
 	replaced int
-	all      []*engine
+	allEngines      []*engine
 }
 
 const defaultZones = 4
 
 // Play runs the fleet.
-func Play(options Options) *Result {
+func Simulate(options Options) *Result {
 	f := &fleet{
 		options: options, timeline: &timeline{}, planned: rand.New(rand.NewPCG(options.Seed, 1)),
-		result: &Result{kinds: make(map[string][2]int), readBefore: make(map[uint64]bool), ByKind: make(map[string]float64)},
+		result: &Result{kinds: make(map[string][2]int), prefilledBefore: make(map[uint64]bool), ByKind: make(map[string]float64)},
 	}
 	zones := cmp.Or(options.Zones, defaultZones)
 	for at := range options.Servers {
@@ -122,30 +122,30 @@
 	}
 	f.updateViews()
 	f.setEvents()
-	f.timeline.runUntil(options.Length + options.Rest)
+	f.timeline.runUntil(options.Length + options.GracePeriod)
 	f.finish()
 	return f.result
 }
 
 func (f *fleet) addEngine(id, zone string) *engine {
 	added := newEngine(f.options.Engine, f.timeline, id, zone)
-	added.onReadPart = f.readPart
+	added.onPrefill = f.recordPrefill
 	f.engines = append(f.engines, added)
-	f.all = append(f.all, added)
+	f.allEngines = append(f.allEngines, added)
 	return added
 }
 
-func (f *fleet) readPart(part promptcache.Segment) {
-	f.result.Read += uint64(part.Tokens)
-	if f.result.readBefore[part.Prefix] {
-		f.result.ReadTwice += uint64(part.Tokens)
+func (f *fleet) recordPrefill(segment promptcache.Segment) {
+	f.result.PrefilledTokens += uint64(segment.Tokens)
+	if f.result.prefilledBefore[segment.Prefix] {
+		f.result.RepeatedTokens += uint64(segment.Tokens)
 	}
-	f.result.readBefore[part.Prefix] = true
+	f.result.prefilledBefore[segment.Prefix] = true
 }
 
 func (f *fleet) updateViews() {
 	for _, front := range f.fronts {
-		front.view()
+		front.updateView()
 	}
 }
 
@@ -170,7 +170,7 @@
 	var again func()
 	again = func() {
 		run()
-		if f.timeline.now < f.options.Length+f.options.Rest {
+		if f.timeline.now < f.options.Length+f.options.GracePeriod {
 			f.timeline.after(interval, again)
 		}
 	}
@@ -201,7 +201,7 @@
 func (f *fleet) setRelease() {
 	count := int(f.options.Release.Share * float64(len(f.engines)))
 	for at := range count {
-		f.timeline.after(f.options.Release.From+time.Duration(at)*f.options.Release.Gap, func() { f.replace(f.all[at]) })
+		f.timeline.after(f.options.Release.From+time.Duration(at)*f.options.Release.Gap, func() { f.replace(f.allEngines[at]) })
 	}
 }
 
@@ -239,13 +239,13 @@
 	f.started++
 	plan := planProgram(spec, f.planned)
 	p := &program{spec: spec, name: fmt.Sprintf("program-%d", f.started), started: f.timeline.now, ideal: plan.ideal(f.options.Engine)}
-	p.deadline = p.started + time.Duration(aimFactor*float64(p.ideal)) + aimMargin
-	l := &line{
+	p.deadline = p.started + time.Duration(targetFactor*float64(p.ideal)) + targetMargin
+	conversation := &conversation{
 		program: p, session: p.name, front: f.fronts[f.planned.IntN(len(f.fronts))],
-		parts: []linePart{sharedPart(spec, f.planned)}, done: func() { f.end(p) },
+		parts: []promptPart{drawSharedPart(spec, f.planned)}, done: func() { f.end(p) },
 	}
 	f.result.Programs++
-	f.run(l, plan, 0)
+	f.run(conversation, plan, 0)
 }
 
 func (f *fleet) end(p *program) {
@@ -255,7 +255,7 @@
 	case p.failed:
 		f.result.Failed++
 	case f.timeline.now <= p.deadline:
-		f.result.InAim++
+		f.result.InTarget++
 		kind[0]++
 	default:
 		f.result.Late++
@@ -264,62 +264,62 @@
 }
 
 // run takes the turns of a line from one on.
-func (f *fleet) run(l *line, plan *linePlan, turn int) {
-	if turn == len(plan.turns) || l.program.failed {
-		l.done()
+func (f *fleet) run(conversation *conversation, plan *conversationPlan, turn int) {
+	if turn == len(plan.turns) || conversation.program.failed {
+		conversation.done()
 		return
 	}
 	next := plan.turns[turn]
-	l.parts = append(slices.Clone(l.parts), linePart{id: fmt.Sprintf("%s/%d", l.session, turn), tokens: next.input})
-	chain := promptcache.NewChain("model", len(l.parts))
-	for _, part := range l.parts {
+	conversation.parts = append(slices.Clone(conversation.parts), promptPart{id: fmt.Sprintf("%s/%d", conversation.session, turn), tokens: next.input})
+	chain := promptcache.NewChain("model", len(conversation.parts))
+	for _, part := range conversation.parts {
 		chain.Add(part.id, part.tokens)
 	}
 	issued := f.timeline.now
 	f.result.Turns++
 	onFirst := func() { f.result.FirstTokens = append(f.result.FirstTokens, f.timeline.now-issued) }
 	onDone := func() {
-		f.timeline.after(way/2, func() {
-			f.subAgents(l, next.subAgents, func() {
-				pause := next.pause
+		f.timeline.after(networkTime/2, func() {
+			f.subAgents(conversation, next.subAgents, func() {
+				thinkTime := next.thinkTime
 				if turn+1 == len(plan.turns) {
-					pause = 0
+					thinkTime = 0
 				}
-				f.timeline.after(pause, func() { f.run(l, plan, turn+1) })
+				f.timeline.after(thinkTime, func() { f.run(conversation, plan, turn+1) })
 			})
 		})
 	}
 	onFail := func() {
-		l.program.failed = true
-		l.done()
+		conversation.program.failed = true
+		conversation.done()
 	}
-	l.front.issue(l, l.program.spec.Rank, chain.Prompt(), next.output, nil, onFirst, onDone, onFail)
+	conversation.front.issue(conversation, conversation.program.spec.Rank, chain.Prompt(), next.output, nil, onFirst, onDone, onFail)
 }
 
 // subAgents runs lines side by side that go on from what was said, and goes on when all are done.
-func (f *fleet) subAgents(parent *line, plans []*linePlan, then func()) {
+func (f *fleet) subAgents(parent *conversation, plans []*conversationPlan, then func()) {
 	if len(plans) == 0 {
 		then()
 		return
 	}
 	left := len(plans)
 	for at, plan := range plans {
-		sub := &line{
+		subConversation := &conversation{
 			program: parent.program, session: fmt.Sprintf("%s.%d.%d", parent.session, len(parent.parts), at),
 			front: f.fronts[(f.started+at)%len(f.fronts)], parts: slices.Clone(parent.parts),
 		}
-		sub.done = func() {
+		subConversation.done = func() {
 			if left--; left == 0 {
 				then()
 			}
 		}
-		f.run(sub, plan, 0)
+		f.run(subConversation, plan, 0)
 	}
 }
 
 func (f *fleet) finish() {
 	slices.Sort(f.result.FirstTokens)
-	for _, engine := range f.all {
+	for _, engine := range f.allEngines {
 		f.result.Preempted += engine.preempted
 	}
 	for name, kind := range f.result.kinds {
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -12,9 +12,9 @@
 
 const (
 	// reportLag is how old a report is when it is given.
-	reportLag = 100 * time.Millisecond
+	reportDelay = 100 * time.Millisecond
 	// reportLife is how long a report is believed.
-	reportLife = 2 * time.Second
+	reportTTL = 2 * time.Second
 )
 
 // serverState is what a front node knows of one server.
@@ -56,7 +56,7 @@
 }
 
 // view brings the servers known into line with those that run.
-func (f *front) view() {
+func (f *front) updateView() {
 	for _, server := range f.fleet.engines {
 		if f.servers[server.id] == nil {
 			f.servers[server.id] = &serverState{engine: server}
@@ -77,14 +77,14 @@
 		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: one.engine.used(),
 		waiting: one.waiting,
 	}
-	f.fleet.timeline.after(reportLag, func() {
+	f.fleet.timeline.after(reportDelay, func() {
 		one.report = taken
 		f.cache.Resize(one.engine.id, one.engine.spec.CacheTokens-min(one.engine.spec.CacheTokens, taken.used))
 	})
 }
 
 // hearLoad takes in the load that a server tells with the head of an answer.
-func (f *front) hearLoad(state *serverState) {
+func (f *front) receiveLoad(state *serverState) {
 	if !f.fleet.options.LoadOnAnswers || f.fleet.options.lacks(AnswerLoads) {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // began notes that a request has its first token or was refused.
-func (s *serverState) began(tokens uint64, at time.Duration) {
+func (s *serverState) firstTokenReceived(tokens uint64, at time.Duration) {
 	s.waiting--
 	s.pendingTokens -= tokens
 	index := slices.Index(s.issued, at)
@@ -128,7 +128,7 @@
 			CachedTokens: f.cache.Cached(server.id, prompt), CacheTokens: server.spec.CacheTokens,
 			Slowness: state.factor(f.profile.Profile(), f.fleet.timeline),
 		}
-		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportLife {
+		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportTTL {
 			candidate.Running, candidate.Queued = uint32(state.report.running), uint32(state.report.queued)
 			candidate.UsedTokens, candidate.ReportAge = state.report.used, age
 			candidate.WaitingAtReport = state.report.waiting
@@ -140,11 +140,11 @@
 }
 
 // choose places one turn.
-func (f *front) choose(l *line, prompt promptcache.Prompt, output uint64, avoid []string) *serverState {
+func (f *front) choose(conversation *conversation, prompt promptcache.Prompt, output uint64, avoid []string) *serverState {
 	f.sequence++
 	request := schedule.Request{
 		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
-		AffinityKey: l.program.name, Last: l.last, Avoid: avoid, Sequence: f.sequence,
+		AffinityKey: conversation.program.name, Last: conversation.last, Avoid: avoid, Sequence: f.sequence,
 		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output, Profile: f.profile.Profile(),
 	}
 	f.fleet.options.switchOff(&request)
@@ -152,8 +152,8 @@
 }
 
 // issue sends a turn to the server that the policy chooses, to another when that one is full.
-func (f *front) issue(l *line, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst, onDone func(), onFail func()) {
-	state := f.choose(l, prompt, output, avoid)
+func (f *front) issue(conversation *conversation, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst, onDone func(), onFail func()) {
+	state := f.choose(conversation, prompt, output, avoid)
 	if state == nil || len(avoid) >= 3 {
 		onFail()
 		return
@@ -167,8 +167,8 @@
 	request := &generation{prompt: prompt, output: output, rank: rank}
 	first := time.Duration(0)
 	firstSeen := func() {
-		state.began(own, issued)
-		f.hearLoad(state)
+		state.firstTokenReceived(own, issued)
+		f.receiveLoad(state)
 		first = timeline.now
 		state.slowness.Observe(f.profile.Profile().FirstToken(own+ahead), first-issued, timeline.clock())
 		f.profile.ObserveFirstToken(own, ahead, first-issued)
@@ -179,15 +179,15 @@
 		state.inFlight--
 		state.slowness.Observe(time.Duration(output)*f.profile.Profile().StepTime, timeline.now-first, timeline.clock())
 		f.profile.ObserveOutput(output, timeline.now-first)
-		l.last = state.engine.id
+		conversation.last = state.engine.id
 		onDone()
 	}
-	timeline.after(way/2, func() {
+	timeline.after(networkTime/2, func() {
 		if state.engine.submit(request) {
 			return
 		}
 		state.inFlight--
-		state.began(own, issued)
-		f.issue(l, rank, prompt, output, append(avoid, state.engine.id), onFirst, onDone, onFail)
+		state.firstTokenReceived(own, issued)
+		f.issue(conversation, rank, prompt, output, append(avoid, state.engine.id), onFirst, onDone, onFail)
 	})
 }
--- a/internal/dataplane/schedule/schedulesim/sim_test.go
+++ b/internal/dataplane/schedule/schedulesim/sim_test.go
@@ -26,7 +26,7 @@
 	if !reflect.DeepEqual(first, second) {
 		t.Fatalf("%+v\n%+v", first, second)
 	}
-	if other := play(short, variants[0], 4); other.Programs == first.Programs && other.Read == first.Read {
+	if other := play(short, variants[0], 4); other.Programs == first.Programs && other.PrefilledTokens == first.PrefilledTokens {
 		t.Fatal("another seed plays the same")
 	}
 }
@@ -49,8 +49,8 @@
 
 func TestDigestsSaveReadingSharedPartsAgain(t *testing.T) {
 	with, without := play(named(t, "quiet"), variants[0], 1), play(named(t, "quiet"), variants[1], 1)
-	if with.ReadTwice*4 > without.ReadTwice*3 {
-		t.Fatalf("%d tokens read twice with digests, %d without", with.ReadTwice, without.ReadTwice)
+	if with.RepeatedTokens*4 > without.RepeatedTokens*3 {
+		t.Fatalf("%d tokens read twice with digests, %d without", with.RepeatedTokens, without.RepeatedTokens)
 	}
 }
 
@@ -58,17 +58,17 @@
 func toolFleet(algorithm protocol.SchedulingAlgorithm, perSecond float64) schedulesim.ToolOptions {
 	return schedulesim.ToolOptions{
 		Seed: 1, Algorithm: algorithm, Fronts: 10, Speeds: []float64{1, 0.7, 6, 1, 0.8, 1.2, 1}, Slots: 6, Queue: 24,
-		PerSecond: perSecond, AtOnce: 3, Work: 60 * time.Millisecond, Length: 20 * time.Second,
+		PerSecond: perSecond, Concurrent: 3, Work: 60 * time.Millisecond, Length: 20 * time.Second,
 	}
 }
 
 func TestCallsOfTenFrontNodesAvoidTheSlowServerWithoutAHerd(t *testing.T) {
-	expected := schedulesim.PlayTools(toolFleet(protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, 160))
-	if expected.Refused > 0 || expected.Failed > 0 {
-		t.Fatalf("%d refusals, %d failures at 70 percent load", expected.Refused, expected.Failed)
+	expected := schedulesim.SimulateTools(toolFleet(protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, 160))
+	if expected.Rejected > 0 || expected.Failed > 0 {
+		t.Fatalf("%d refusals, %d failures at 70 percent load", expected.Rejected, expected.Failed)
 	}
 	for _, variant := range variants[2:] {
-		other := schedulesim.PlayTools(toolFleet(variant.algorithm, 160))
+		other := schedulesim.SimulateTools(toolFleet(variant.algorithm, 160))
 		if other.Quantile(0.99)*2 < expected.Quantile(0.99)*3 {
 			t.Errorf("%s: 99 in 100 calls within %v, expected first token %v", variant.name, other.Quantile(0.99), expected.Quantile(0.99))
 		}
@@ -81,11 +81,11 @@
 		b.Run(variant.name, func(b *testing.B) {
 			var result *schedulesim.ToolResult
 			for range b.N {
-				result = schedulesim.PlayTools(toolFleet(variant.algorithm, 160))
+				result = schedulesim.SimulateTools(toolFleet(variant.algorithm, 160))
 			}
 			b.ReportMetric(result.Quantile(0.5).Seconds()*1000, "p50_ms")
 			b.ReportMetric(result.Quantile(0.99).Seconds()*1000, "p99_ms")
-			b.ReportMetric(float64(result.Refused), "refusals")
+			b.ReportMetric(float64(result.Rejected), "refusals")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/dataplane/schedule/schedulesim/tools.go
+++ b/internal/dataplane/schedule/schedulesim/tools.go
@@ -21,7 +21,7 @@
 	Queue  int
 	// PerSecond is the rate at which programs call, AtOnce how many calls come together.
 	PerSecond float64
-	AtOnce    int
+	Concurrent    int
 	// Work is the mean work of a call on an ordinary server.
 	Work   time.Duration
 	Length time.Duration
@@ -32,7 +32,7 @@
 	Calls int
 	// Failed counts calls that three servers refused, Refused the single refusals.
 	Failed  int
-	Refused int
+	Rejected int
 	// Latencies are the times of calls, sorted.
 	Latencies []time.Duration
 }
@@ -72,7 +72,7 @@
 }
 
 // PlayTools runs calls of tools.
-func PlayTools(options ToolOptions) *ToolResult {
+func SimulateTools(options ToolOptions) *ToolResult {
 	f := &toolFleet{options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 2)), result: &ToolResult{}}
 	for at, speed := range options.Speeds {
 		f.servers = append(f.servers, &toolServer{id: fmt.Sprintf("tool-%02d", at), speed: speed})
@@ -101,7 +101,7 @@
 	f.timeline.after(wait, func() {
 		front := f.fronts[f.random.IntN(len(f.fronts))]
 		key := fmt.Sprint("program-", f.random.IntN(1000))
-		for range f.options.AtOnce {
+		for range f.options.Concurrent {
 			f.result.Calls++
 			work := time.Duration(lognormal(f.random, float64(f.options.Work), 0.8, 5*float64(f.options.Work)))
 			f.call(front, key, work, f.timeline.now, nil)
@@ -128,7 +128,7 @@
 	if f.submit(chosen, work, finish) {
 		return
 	}
-	f.result.Refused++
+	f.result.Rejected++
 	front.inFlight[chosen.id]--
 	f.call(front, key, work, issued, append(avoid, chosen.id))
 }
--- a/internal/dataplane/schedule/schedulesim/workload.go
+++ b/internal/dataplane/schedule/schedulesim/workload.go
@@ -16,14 +16,14 @@
 	Rank uint32
 	// Turns is the mean number of turns and MostTurns the largest.
 	Turns     float64
-	MostTurns int
+	MaxTurns int
 	// SharedTokens is the length of the part that programs share, InputTokens the mean of a turn's own part.
 	SharedTokens uint32
 	InputTokens  float64
 	// OutputTokens is the mean that a turn generates.
 	OutputTokens float64
 	// Pause is the mean time between two turns, tools included.
-	Pause time.Duration
+	ThinkTime time.Duration
 	// SubAgents is the share of programs that once start sub-agents with turns of their own, SubAgentCount how many.
 	SubAgents     float64
 	SubAgentCount int
@@ -36,12 +36,12 @@
 	sharedSkew  = 0.7
 	spread      = 0.7
 	// way is the time that a turn spends outside of servers.
-	way = 26 * time.Millisecond
+	networkTime = 26 * time.Millisecond
 	// noFork is the turn after which a line without sub-agents starts some.
 	noFork = -1
 	// aimFactor and aimMargin say by when a program should be over, from its time on idle servers.
-	aimFactor = 2.5
-	aimMargin = 200 * time.Millisecond
+	targetFactor = 2.5
+	targetMargin = 200 * time.Millisecond
 )
 
 // program is one program under way.
@@ -56,16 +56,16 @@
 }
 
 // line is one line of turns: the program's own or a sub-agent's.
-type line struct {
+type conversation struct {
 	program *program
 	session string
 	front   *front
 	last    string
-	parts   []linePart
+	parts   []promptPart
 	done    func()
 }
 
-type linePart struct {
+type promptPart struct {
 	id     string
 	tokens uint32
 }
@@ -74,26 +74,26 @@
 type turnPlan struct {
 	input     uint32
 	output    uint64
-	pause     time.Duration
-	subAgents []*linePlan
+	thinkTime     time.Duration
+	subAgents []*conversationPlan
 }
 
 // linePlan is the plan of a whole line, so that policies are compared on the same programs.
-type linePlan struct {
+type conversationPlan struct {
 	turns []turnPlan
 }
 
-func planLine(spec *ProgramSpec, random *rand.Rand, turns, forkAfter int) *linePlan {
-	plan := &linePlan{}
+func planConversation(spec *ProgramSpec, random *rand.Rand, turns, forkAfter int) *conversationPlan {
+	plan := &conversationPlan{}
 	for at := range turns {
 		turn := turnPlan{
 			input:  uint32(lognormal(random, spec.InputTokens, spread, 5*spec.InputTokens)),
 			output: uint64(lognormal(random, spec.OutputTokens, 0.8, 4*spec.OutputTokens)),
-			pause:  time.Duration(lognormal(random, float64(spec.Pause), 0.6, 4*float64(spec.Pause))),
+			thinkTime:  time.Duration(lognormal(random, float64(spec.ThinkTime), 0.6, 4*float64(spec.ThinkTime))),
 		}
 		if at == forkAfter {
 			for range spec.SubAgentCount {
-				turn.subAgents = append(turn.subAgents, planLine(spec, random, spec.SubAgentTurns, noFork))
+				turn.subAgents = append(turn.subAgents, planConversation(spec, random, spec.SubAgentTurns, noFork))
 			}
 		}
 		plan.turns = append(plan.turns, turn)
@@ -101,22 +101,22 @@
 	return plan
 }
 
-func planProgram(spec *ProgramSpec, random *rand.Rand) *linePlan {
-	turns := max(int(math.Round(lognormal(random, spec.Turns, 0.4, float64(spec.MostTurns)))), 1)
+func planProgram(spec *ProgramSpec, random *rand.Rand) *conversationPlan {
+	turns := max(int(math.Round(lognormal(random, spec.Turns, 0.4, float64(spec.MaxTurns)))), 1)
 	forkAfter := noFork
 	if random.Float64() < spec.SubAgents {
 		forkAfter = random.IntN(turns)
 	}
-	return planLine(spec, random, turns, forkAfter)
+	return planConversation(spec, random, turns, forkAfter)
 }
 
 // lognormal draws from a distribution of the mean, with the sigma of its logarithm, cut at the most.
-func lognormal(random *rand.Rand, mean, sigma, most float64) float64 {
-	return max(1, min(most, mean*math.Exp(random.NormFloat64()*sigma-sigma*sigma/2)))
+func lognormal(random *rand.Rand, mean, sigma, limit float64) float64 {
+	return max(1, min(limit, mean*math.Exp(random.NormFloat64()*sigma-sigma*sigma/2)))
 }
 
 // sharedPart draws one of the shared parts.
-func sharedPart(spec *ProgramSpec, random *rand.Rand) linePart {
+func drawSharedPart(spec *ProgramSpec, random *rand.Rand) promptPart {
 	weights, total := [sharedParts]float64{}, 0.0
 	for at := range weights {
 		weights[at] = math.Pow(float64(at+1), -sharedSkew)
@@ -125,25 +125,25 @@
 	drawn := random.Float64() * total
 	for at, weight := range weights {
 		if drawn -= weight; drawn < 0 {
-			return linePart{id: spec.Name + strconv.Itoa(at), tokens: spec.SharedTokens}
+			return promptPart{id: spec.Name + strconv.Itoa(at), tokens: spec.SharedTokens}
 		}
 	}
-	return linePart{id: spec.Name + "0", tokens: spec.SharedTokens}
+	return promptPart{id: spec.Name + "0", tokens: spec.SharedTokens}
 }
 
 // ideal is the time of a line on idle servers that have read all that it repeats.
-func (p *linePlan) ideal(engine EngineSpec) time.Duration {
+func (p *conversationPlan) ideal(engine EngineSpec) time.Duration {
 	total := time.Duration(0)
 	for at, turn := range p.turns {
-		total += way + time.Duration(float64(turn.input)/engine.PromptRate*float64(time.Millisecond))
+		total += networkTime + time.Duration(float64(turn.input)/engine.PromptRate*float64(time.Millisecond))
 		total += time.Duration(turn.output) * (engine.StepTime + engine.PerRequest)
-		longest := time.Duration(0)
+		maxSubAgent := time.Duration(0)
 		for _, sub := range turn.subAgents {
-			longest = max(longest, sub.ideal(engine))
+			maxSubAgent = max(maxSubAgent, sub.ideal(engine))
 		}
-		total += longest
+		total += maxSubAgent
 		if at+1 < len(p.turns) {
-			total += turn.pause
+			total += turn.thinkTime
 		}
 	}
 	return total
--- a/internal/dataplane/schedule/slowness.go
+++ b/internal/dataplane/schedule/slowness.go
@@ -9,12 +9,12 @@
 	// slownessGain is the weight of one observation.
 	slownessGain = 0.25
 	// mostSlowness bounds what one observation may tell.
-	mostSlowness = 16.0
+	maxSlowness = 16.0
 	// leastSlowness lets faster servers of a group be preferred.
-	leastSlowness = 0.5
+	minSlowness = 0.5
 	// slownessMemory is the time constant with which a server that gives no answers is taken for an ordinary one
 	// again, so that it is tried.
-	slownessMemory = 10 * time.Second
+	slownessTimeConstant = 10 * time.Second
 )
 
 // Slowness estimates by which factor one server is slower than its group, from what its answers took against what
@@ -30,22 +30,22 @@
 	if expected <= 0 || observed <= 0 {
 		return
 	}
-	ratio := min(max(float64(observed)/float64(expected), leastSlowness), mostSlowness)
-	before := s.faded(now)
+	ratio := min(max(float64(observed)/float64(expected), minSlowness), maxSlowness)
+	before := s.decayed(now)
 	s.logarithm = before + slownessGain*(math.Log(ratio)-before)
 	s.at = now
 }
 
 // Factor is the estimate; 1 is an ordinary server.
 func (s *Slowness) Factor(now time.Time) float64 {
-	return math.Exp(s.faded(now))
+	return math.Exp(s.decayed(now))
 }
 
-func (s *Slowness) faded(now time.Time) float64 {
+func (s *Slowness) decayed(now time.Time) float64 {
 	if s.at.IsZero() {
 		return 0
 	}
-	return s.logarithm * math.Exp(-max(now.Sub(s.at), 0).Seconds()/slownessMemory.Seconds())
+	return s.logarithm * math.Exp(-max(now.Sub(s.at), 0).Seconds()/slownessTimeConstant.Seconds())
 }
 
 // FactorWhileWaiting is the factor when the oldest request without a first token has waited for so long: it tells of
@@ -54,5 +54,5 @@
 	if expected <= 0 {
 		return s.Factor(now)
 	}
-	return max(s.Factor(now), min(float64(waited)/float64(expected), mostSlowness))
+	return max(s.Factor(now), min(float64(waited)/float64(expected), maxSlowness))
 }
--- a/internal/testing/lab/ablation/file.go
+++ b/internal/testing/lab/ablation/file.go
@@ -136,7 +136,7 @@
 	options := schedulesim.Options{
 		Seed: seed, Algorithm: protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, Without: without,
 		Servers: f.Servers, Fronts: f.Fronts, Zones: f.Zones, SubsetSize: f.SubsetSize, LoadOnAnswers: f.LoadOnAnswers,
-		Engine: f.Engine.spec(), Load: day.Load, Length: length, Rest: scaled(length, restShare),
+		Engine: f.Engine.spec(), Load: day.Load, Length: length, GracePeriod: scaled(length, restShare),
 		SamplesPerSecond: samplesPerSecond, Digests: digestInterval,
 	}
 	if options.Load == 0 {
@@ -171,9 +171,9 @@
 
 func (p *Program) spec() schedulesim.ProgramSpec {
 	return schedulesim.ProgramSpec{
-		Name: p.Name, PerSecond: p.PerSecond, Rank: p.Rank, Turns: p.Turns, MostTurns: p.MostTurns,
+		Name: p.Name, PerSecond: p.PerSecond, Rank: p.Rank, Turns: p.Turns, MaxTurns: p.MostTurns,
 		SharedTokens: p.SharedTokens, InputTokens: p.InputTokens, OutputTokens: p.OutputTokens,
-		Pause:     time.Duration(p.PauseMillis) * time.Millisecond,
+		ThinkTime:     time.Duration(p.PauseMillis) * time.Millisecond,
 		SubAgents: p.SubAgents, SubAgentCount: p.SubAgentCount, SubAgentTurns: p.SubAgentTurns,
 	}
 }
--- a/internal/testing/lab/ablation/run.go
+++ b/internal/testing/lab/ablation/run.go
@@ -68,10 +68,10 @@
 func (f *File) play(day Day, without schedulesim.Mechanism) Figures {
 	var inTime, first, twice []float64
 	for _, seed := range f.Seeds {
-		result := schedulesim.Play(f.options(day, seed, without))
+		result := schedulesim.Simulate(f.options(day, seed, without))
 		inTime = append(inTime, result.Share())
 		first = append(first, result.Quantile(0.95).Seconds()*1000)
-		twice = append(twice, float64(result.ReadTwice)/float64(max(result.Turns, 1)))
+		twice = append(twice, float64(result.RepeatedTokens)/float64(max(result.Turns, 1)))
 	}
 	figures := Figures{Without: string(without), InTime: spreadOf(inTime), FirstTokenMillis: spreadOf(first), ReadTwice: spreadOf(twice)}
 	if without == "" {
