--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -117,7 +117,7 @@
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
 func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.Do(func() { waiting = service.admission.limiter(group).queue.WaitingInAll() })
+	service.admission.Do(func() { waiting = service.admission.limiter(group).queue.WaitingInAllClasses() })
 	return waiting
 }
 
--- a/internal/dataplane/front/step_gates.go
+++ b/internal/dataplane/front/step_gates.go
@@ -65,7 +65,7 @@
 // stepCapacity asks for the places only when something waits or comes.
 func (a *admission) stepCapacity(key admissionGateKey) trainingstep.Capacity {
 	limiter := a.limiters[key.group]
-	liveWaits := limiter != nil && limiter.queue.WaitingInAll() > 0
+	liveWaits := limiter != nil && limiter.queue.WaitingInAllClasses() > 0
 	return trainingstep.Capacity{Slots: a.gates.slots(key, liveWaits), LiveWaits: liveWaits}
 }
 
