--- a/internal/testing/sim/servingsuite/admission.go
+++ b/internal/testing/sim/servingsuite/admission.go
@@ -10,52 +10,58 @@
 )
 
 const (
-	// overCommit is how many requests may be under way for one that the servers run.
-	overCommit = 1.5
-	// roomShare is the part of the room left by others that one front node takes.
-	roomShare = 0.75
-	// unboundedWait is the wait of a queue that a mutation leaves without a bound.
+	// overcommitFactor is how many requests may be in flight for each that the servers have capacity for.
+	overcommitFactor = 1.5
+	// headroomShare is the part of the headroom left by other front nodes that one front node uses.
+	headroomShare = 0.75
+	// unboundedWait is the maximum wait in a queue under MutationUnboundedWait.
 	unboundedWait = time.Minute
 )
 
-// lane is the way to one server group.
-type lane struct {
+// groupLimiter admits requests to one server group.
+type groupLimiter struct {
 	queue       *limit.Queue
 	concurrency *limit.Concurrency
 }
 
-// admission decides which requests of a front node may go to the servers.
+// admission decides which requests of a front node are issued to servers.
 type admission struct {
-	front   *front
-	lanes   map[string]*lane
-	waiting map[uint64]func(limit.Decision)
-	next    uint64
-	// alarms counts planned expiries, so that only the newest counts.
-	alarms int
+	front    *front
+	limiters map[string]*groupLimiter
+	waiting  map[uint64]func(limit.Decision)
+	next     uint64
+	// expiryTimers counts timers for expiry; only the newest fires.
+	expiryTimers int
 }
 
 func newAdmission(f *front) *admission {
-	created := &admission{front: f, lanes: make(map[string]*lane), waiting: make(map[uint64]func(limit.Decision))}
+	created := &admission{
+		front: f, limiters: make(map[string]*groupLimiter),
+		waiting: make(map[uint64]func(limit.Decision)),
+	}
 	for _, group := range []string{modelGroup, toolGroup} {
 		maxWait := time.Duration(0)
-		if f.suite.options.Mutation == MutationLongWait {
+		if f.suite.options.Mutation == MutationUnboundedWait {
 			maxWait = unboundedWait
 		}
 		concurrency := limit.NewConcurrency(0)
-		created.lanes[group] = &lane{queue: limit.NewQueue(0, maxWait, concurrency.Limit()), concurrency: concurrency}
+		created.limiters[group] = &groupLimiter{
+			queue:       limit.NewQueue(0, maxWait, concurrency.Limit()),
+			concurrency: concurrency,
+		}
 	}
 	return created
 }
 
-// enter asks for a slot; decided is told once. The ticket's id is returned.
-func (a *admission) enter(group string, ticket limit.Ticket, decided func(limit.Decision)) uint64 {
+// enter requests a slot; onDecision is called once, later. The ticket's id is returned.
+func (a *admission) enter(group string, ticket limit.Ticket, onDecision func(limit.Decision)) uint64 {
 	a.next++
 	ticket.ID = a.next
 	ticket.Class = a.classOf(ticket.Class)
-	a.waiting[ticket.ID] = decided
+	a.waiting[ticket.ID] = onDecision
 	a.front.retries.Request()
-	a.deliver(a.lanes[group].queue.Enter(ticket, a.front.now()))
-	a.setAlarm()
+	a.deliver(a.limiters[group].queue.Enter(ticket, a.front.now()))
+	a.scheduleExpiry()
 	return ticket.ID
 }
 
@@ -73,69 +79,69 @@
 	}
 }
 
-// withdraw takes a ticket out that still waits and reports whether it did.
+// withdraw removes a ticket that is still queued and reports whether it was.
 func (a *admission) withdraw(group string, id uint64) bool {
 	if a.waiting[id] == nil {
 		return false
 	}
 	delete(a.waiting, id)
-	a.lanes[group].queue.Cancel(id)
+	a.limiters[group].queue.Cancel(id)
 	return true
 }
 
 func (a *admission) leave(group string) {
-	a.deliver(a.lanes[group].queue.Leave(a.front.now()))
-	a.setAlarm()
+	a.deliver(a.limiters[group].queue.Leave(a.front.now()))
+	a.scheduleExpiry()
 }
 
 func (a *admission) record(group string, sample limit.Sample) {
-	held := a.lanes[group]
-	held.concurrency.Record(sample, held.queue.InFlight(), a.front.now())
-	a.bound()
+	limiter := a.limiters[group]
+	limiter.concurrency.Record(sample, limiter.queue.InFlight(), a.front.now())
+	a.updateLimits()
 }
 
-// bound sets the slots of each lane by what the servers can take.
-func (a *admission) bound() {
+// updateLimits sets the slots of each group by the capacity of its servers.
+func (a *admission) updateLimits() {
 	fronts := len(a.front.suite.fronts)
 	for _, group := range []string{modelGroup, toolGroup} {
-		held := a.lanes[group]
-		places, taken, room := 0, 0, 0.0
+		limiter := a.limiters[group]
+		capacity, inFlight, headroom := 0, 0, 0.0
 		for _, candidate := range a.front.candidates(group) {
 			if candidate.Draining || candidate.Ejected {
 				continue
 			}
-			places += int(candidate.Capacity)
-			taken += int(max(candidate.InFlight, candidate.Running))
+			capacity += int(candidate.Capacity)
+			inFlight += int(max(candidate.InFlight, candidate.Running))
 			others := candidate.Running - min(candidate.Running, candidate.InFlight)
-			room += max(0, overCommit*float64(candidate.Capacity)-float64(others))
+			headroom += max(0, overcommitFactor*float64(candidate.Capacity)-float64(others))
 		}
-		held.queue.SetSurplusSlots(limit.SurplusSlots(places, taken, fronts))
-		slots := held.concurrency.Limit()
-		if places > 0 {
-			fair := int(math.Ceil(float64(places) * overCommit / float64(fronts)))
-			held.queue.SetGuaranteedSlots(fair)
-			slots = min(slots, max(fair, int(roomShare*room)))
+		limiter.queue.SetSurplusSlots(limit.SurplusSlots(capacity, inFlight, fronts))
+		slots := limiter.concurrency.Limit()
+		if capacity > 0 {
+			fair := int(math.Ceil(float64(capacity) * overcommitFactor / float64(fronts)))
+			limiter.queue.SetGuaranteedSlots(fair)
+			slots = min(slots, max(fair, int(headroomShare*headroom)))
 		}
-		a.deliver(held.queue.SetSlots(slots))
+		a.deliver(limiter.queue.SetSlots(slots))
 	}
 }
 
 func (a *admission) deliver(decisions []limit.Decision) {
 	for _, decision := range decisions {
-		decided := a.waiting[decision.ID]
-		if decided == nil {
+		onDecision := a.waiting[decision.ID]
+		if onDecision == nil {
 			continue
 		}
 		delete(a.waiting, decision.ID)
-		a.front.environment.After(0, func() { decided(decision) })
+		a.front.environment.After(0, func() { onDecision(decision) })
 	}
 }
 
-// setAlarm plans the expiry of tickets that wait too long.
-func (a *admission) setAlarm() {
+// scheduleExpiry plans the expiry of tickets that have waited too long.
+func (a *admission) scheduleExpiry() {
 	var next time.Time
 	for _, group := range []string{modelGroup, toolGroup} {
-		expiry := a.lanes[group].queue.NextExpiry()
+		expiry := a.limiters[group].queue.NextExpiry()
 		if !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
 			next = expiry
 		}
@@ -143,10 +149,10 @@
 	if next.IsZero() {
 		return
 	}
-	a.alarms++
-	planned := a.alarms
+	a.expiryTimers++
+	planned := a.expiryTimers
 	a.front.environment.After(max(next.Sub(a.front.now()), time.Millisecond), func() {
-		if planned == a.alarms {
+		if planned == a.expiryTimers {
 			a.expire()
 		}
 	})
@@ -154,15 +160,15 @@
 
 func (a *admission) expire() {
 	for _, group := range []string{modelGroup, toolGroup} {
-		a.deliver(a.lanes[group].queue.Expire(a.front.now()))
+		a.deliver(a.limiters[group].queue.Expire(a.front.now()))
 	}
-	a.setAlarm()
+	a.scheduleExpiry()
 }
 
-// loadReportLife is how long a reported load is believed.
-const loadReportLife = 2 * time.Second
+// loadReportTTL is how long a reported load is used.
+const loadReportTTL = 2 * time.Second
 
-// knownServer is what a front node knows of one server.
+// knownServer is a front node's state of one server.
 type knownServer struct {
 	description serverDescription
 	outlier     schedule.Outlier
@@ -171,9 +177,9 @@
 	reportedAt  time.Time
 }
 
-// candidates is the snapshot of a group that a choice is made from.
+// candidates returns the snapshot of a group that a choice is made from.
 func (f *front) candidates(group string) []schedule.Candidate {
-	var found []schedule.Candidate
+	var candidates []schedule.Candidate
 	now := f.now()
 	for _, id := range sortedKeys(f.servers) {
 		known := f.servers[id]
@@ -186,15 +192,15 @@
 			Ejected:  known.outlier.Ejected(now), EjectedUntil: known.outlier.Until(), Weight: known.outlier.Share(now),
 		}
 		candidate.Unreachable = candidate.Ejected && known.outlier.Unreachable()
-		if age := now.Sub(known.reportedAt); age <= loadReportLife {
+		if age := now.Sub(known.reportedAt); age <= loadReportTTL {
 			candidate.Running, candidate.ReportAge = known.running, age
 		}
-		found = append(found, candidate)
+		candidates = append(candidates, candidate)
 	}
-	return found
+	return candidates
 }
 
-// choose places one request and tells the rules what the decision left out.
+// choose picks a server for one request and has the rules check what the decision excluded.
 func (f *front) choose(group, affinity, last string, avoid []string) string {
 	f.sequence++
 	all := f.candidates(group)
@@ -211,6 +217,6 @@
 		Algorithm: f.suite.algorithm, Front: f.name, Zone: f.environment.Zone(), AffinityKey: affinity, Last: last,
 		Avoid: avoid, Sequence: f.sequence,
 	}, offered, f.environment.Random())
-	f.suite.rules.chose(f.name, all, avoid, decision)
+	f.suite.rules.checkEjections(f.name, all, avoid, decision)
 	return decision.Chosen
 }
--- a/internal/testing/sim/servingsuite/core.go
+++ b/internal/testing/sim/servingsuite/core.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	leaseDuration = 3 * time.Second
-	leaseMargin   = 500 * time.Millisecond
-	coreCheck     = 50 * time.Millisecond
-	// serverSilence is how long a server may be silent before it leaves the view.
-	serverSilence = 1500 * time.Millisecond
-	// lostAnswerOneIn is how rarely an acknowledgement of an order is lost on bad days of operators.
-	lostAnswerOneIn = 3
+	leaseDuration     = 3 * time.Second
+	leaseMargin       = 500 * time.Millisecond
+	coreCheckInterval = 50 * time.Millisecond
+	// serverHeartbeatTimeout is how long after its last heartbeat a server is removed from the view.
+	serverHeartbeatTimeout = 1500 * time.Millisecond
+	// lostAcknowledgementOneIn: under ScenarioOperatorOrders one acknowledgement in so many is lost.
+	lostAcknowledgementOneIn = 3
 )
 
 type leaseRecord struct {
@@ -24,28 +24,28 @@
 }
 
 type registeredServer struct {
-	description serverDescription
-	heardAt     time.Time
+	description   serverDescription
+	lastHeartbeat time.Time
 }
 
-// coreState is what the core's replicated log would hold.
+// coreState stands for the state that the core's replicated log determines; it outlives the process.
 type coreState struct {
 	view    *view
 	leases  map[string]*leaseRecord
 	servers map[string]*registeredServer
 	routes  []string
-	// drained are the ids that were told to drain; they stay so when they were silent for a while.
-	drained map[string]bool
+	// draining are the ids of servers under a drain order, also while they are not registered.
+	draining map[string]bool
 }
 
 func newCoreState() *coreState {
 	return &coreState{
 		view: &view{version: 1}, leases: make(map[string]*leaseRecord), servers: make(map[string]*registeredServer),
-		drained: make(map[string]bool),
+		draining: make(map[string]bool),
 	}
 }
 
-// publish makes the next view.
+// publish creates the next version of the view.
 func (c *coreState) publish() {
 	next := &view{version: c.view.version + 1, routes: slices.Clone(c.routes)}
 	for _, address := range sortedKeys(c.servers) {
@@ -54,17 +54,17 @@
 	c.view = next
 }
 
-// core is the process that grants leases, delivers views and takes orders.
+// core is the process that grants leases, delivers views and accepts operators' orders.
 type core struct {
 	suite       *suite
 	environment *sim.Environment
 	transport   *transport
 	state       *coreState
-	// waiting are orders that are acknowledged once the view is in force everywhere.
-	waiting []waitingOrder
+	// pendingOrders are acknowledged once the view is in force at every node with a lease.
+	pendingOrders []pendingOrder
 }
 
-type waitingOrder struct {
+type pendingOrder struct {
 	version uint64
 	done    func()
 }
@@ -76,13 +76,13 @@
 		record.expires = environment.Now().Add(leaseDuration)
 	}
 	for _, registered := range c.state.servers {
-		registered.heardAt = environment.Now()
+		registered.lastHeartbeat = environment.Now()
 	}
-	environment.After(coreCheck, c.check)
+	environment.After(coreCheckInterval, c.check)
 	return c, nil
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (c *core) Receive(from sim.Address, message any) { c.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
@@ -103,20 +103,20 @@
 }
 
 func (c *core) renew(request renewLease) leaseGranted {
-	held := c.state.leases[request.name]
-	if held != nil && held.incarnation > request.incarnation {
+	record := c.state.leases[request.name]
+	if record != nil && record.incarnation > request.incarnation {
 		return leaseGranted{}
 	}
-	if held == nil || held.incarnation != request.incarnation {
-		held = &leaseRecord{incarnation: request.incarnation}
-		c.state.leases[request.name] = held
+	if record == nil || record.incarnation != request.incarnation {
+		record = &leaseRecord{incarnation: request.incarnation}
+		c.state.leases[request.name] = record
 	}
-	held.expires = c.environment.Now().Add(leaseDuration)
-	held.inForce = max(held.inForce, request.inForce)
+	record.expires = c.environment.Now().Add(leaseDuration)
+	record.inForce = max(record.inForce, request.inForce)
 	c.acknowledge()
-	answer := leaseGranted{granted: true, version: c.state.view.version}
+	answer := leaseGranted{granted: true, newestVersion: c.state.view.version}
 	if request.inForce < c.state.view.version {
-		answer.fresh = c.state.view
+		answer.newerView = c.state.view
 	}
 	return answer
 }
@@ -124,15 +124,15 @@
 func (c *core) register(server serverDescription) {
 	known := c.state.servers[server.address]
 	if known != nil && known.description.id == server.id {
-		known.heardAt = c.environment.Now()
+		known.lastHeartbeat = c.environment.Now()
 		return
 	}
-	server.draining = c.state.drained[server.id]
-	c.state.servers[server.address] = &registeredServer{description: server, heardAt: c.environment.Now()}
+	server.draining = c.state.draining[server.id]
+	c.state.servers[server.address] = &registeredServer{description: server, lastHeartbeat: c.environment.Now()}
 	c.state.publish()
 }
 
-// drain marks a server; the order is acknowledged when every lease has the view in force.
+// drain marks a server as draining; the order is acknowledged when every node with a lease has the view in force.
 func (c *core) drain(order drainServer, opened *stream) {
 	for _, address := range sortedKeys(c.state.servers) {
 		registered := c.state.servers[address]
@@ -141,11 +141,11 @@
 		}
 		if !registered.description.draining {
 			registered.description.draining = true
-			c.state.drained[order.id] = true
+			c.state.draining[order.id] = true
 			c.state.publish()
 		}
 		c.acknowledgeLater(func() {
-			c.suite.rules.drainAcknowledged(order.id)
+			c.suite.rules.observeDrainAcknowledged(order.id)
 			c.answer(opened, orderAnswer{accepted: true})
 		})
 		return
@@ -154,7 +154,7 @@
 	c.answer(opened, orderAnswer{})
 }
 
-// addRoute puts a route at the place that the order names, if it is the next one.
+// addRoute appends a route if the order names the next index.
 func (c *core) addRoute(order addRoute, opened *stream) {
 	if order.base < len(c.state.routes) && c.state.routes[order.base] == order.name {
 		c.suite.count(RepeatedOrders)
@@ -179,14 +179,14 @@
 
 func (c *core) routeAcknowledged(order addRoute, opened *stream) {
 	c.acknowledgeLater(func() {
-		c.suite.rules.routeAcknowledged(order.name)
+		c.suite.rules.observeRouteAcknowledged(order.name)
 		c.answer(opened, orderAnswer{accepted: true})
 	})
 }
 
-// answer acknowledges an order; on bad days of operators acknowledgements get lost.
+// answer acknowledges an order, unless the acknowledgement is lost.
 func (c *core) answer(opened *stream, body orderAnswer) {
-	if c.suite.has(KindOrders) && c.environment.Random().IntN(lostAnswerOneIn) == 0 {
+	if c.suite.enabled(ScenarioOperatorOrders) && c.environment.Random().IntN(lostAcknowledgementOneIn) == 0 {
 		c.suite.count(LostAcknowledgements)
 		return
 	}
@@ -198,28 +198,28 @@
 		done()
 		return
 	}
-	c.waiting = append(c.waiting, waitingOrder{version: c.state.view.version, done: done})
+	c.pendingOrders = append(c.pendingOrders, pendingOrder{version: c.state.view.version, done: done})
 	c.acknowledge()
 }
 
-// acknowledge ends the orders that are in force at every node with a lease.
+// acknowledge completes the orders that are in force at every node with a lease.
 func (c *core) acknowledge() {
-	least := c.state.view.version
+	minInForce := c.state.view.version
 	for _, record := range c.state.leases {
-		least = min(least, record.inForce)
+		minInForce = min(minInForce, record.inForce)
 	}
-	waiting := c.waiting
-	c.waiting = nil
-	for _, order := range waiting {
-		if order.version <= least {
+	orders := c.pendingOrders
+	c.pendingOrders = nil
+	for _, order := range orders {
+		if order.version <= minInForce {
 			order.done()
 			continue
 		}
-		c.waiting = append(c.waiting, order)
+		c.pendingOrders = append(c.pendingOrders, order)
 	}
 }
 
-// check ends leases and forgets servers that are silent.
+// check expires leases and removes servers without a recent heartbeat.
 func (c *core) check() {
 	now := c.environment.Now()
 	for _, name := range sortedKeys(c.state.leases) {
@@ -228,11 +228,11 @@
 		}
 	}
 	for _, address := range sortedKeys(c.state.servers) {
-		if now.Sub(c.state.servers[address].heardAt) > serverSilence {
+		if now.Sub(c.state.servers[address].lastHeartbeat) > serverHeartbeatTimeout {
 			delete(c.state.servers, address)
 			c.state.publish()
 		}
 	}
 	c.acknowledge()
-	c.environment.After(coreCheck, c.check)
+	c.environment.After(coreCheckInterval, c.check)
 }
--- a/internal/testing/sim/servingsuite/counts.go
+++ b/internal/testing/sim/servingsuite/counts.go
@@ -1,67 +1,68 @@
 package servingsuite
 
-// Count names something that a run brought about; a bad day that is not counted did not come.
+// Count names an effect of a run; tests check that each scenario had all of its effects.
 type Count string
 
-// Counts, by the kind of bad days that brings them about.
+// Counts, by the scenario that causes them.
 const (
-	// Of KindBursts.
-	Bursts      Count = "bursts"
-	UrgentHerds Count = "urgent herds"
+	// Of ScenarioBursts.
+	Bursts       Count = "bursts"
+	UrgentBursts Count = "urgent herds"
 
-	// Of KindServers.
-	ServersReleased    Count = "servers released"
-	AddressesTakenOver Count = "addresses taken over"
-	ServersCrashed     Count = "servers crashed"
-	GreyAnswers        Count = "grey answers"
-	GreyGroups         Count = "grey groups"
-	ExchangedAnswers   Count = "exchanged answers"
-	LostAnswers        Count = "answers lost"
-	LateAnswers        Count = "answers late"
-	Flaps              Count = "flaps"
-	Misdirected        Count = "misdirected connections"
-	Ejections          Count = "ejections"
+	// Of ScenarioServerFaults.
+	ServersReleased      Count = "servers released"
+	AddressesTakenOver   Count = "addresses taken over"
+	ServersCrashed       Count = "servers crashed"
+	GreyAnswers          Count = "grey answers"
+	GreyGroups           Count = "grey groups"
+	ExchangedAnswers     Count = "exchanged answers"
+	LostAnswers          Count = "answers lost"
+	LateAnswers          Count = "answers late"
+	Flaps                Count = "flaps"
+	MisroutedConnections Count = "misdirected connections"
+	Ejections            Count = "ejections"
 
-	// Of KindProcesses.
+	// Of ScenarioProcessFaults.
 	FrontFaults   Count = "front nodes struck"
 	CoreFaults    Count = "core struck"
 	LostAuthority Count = "authority lost"
 
-	// Of KindOrders.
+	// Of ScenarioOperatorOrders.
 	RoutesAdded          Count = "routes added"
 	LostRaces            Count = "races lost"
 	RepeatedOrders       Count = "orders repeated"
 	InvalidOrders        Count = "invalid orders"
 	LostAcknowledgements Count = "acknowledgements lost"
 
-	// Of KindStores.
+	// Of ScenarioStoreFaults.
 	StoreFaults Count = "store struck"
 
 	// Of several.
-	FencedAtServers Count = "fenced at servers"
-	JoinedTurns     Count = "turns joined"
-	KeptTurnsRead   Count = "kept turns read"
-	Requests        Count = "requests"
-	Completed       Count = "completed"
-	Refusals        Count = "refusals"
-	UnknownOutcomes Count = "unknown outcomes"
+	FencedAtServers   Count = "fenced at servers"
+	JoinedTurns       Count = "turns joined"
+	RetainedTurnsRead Count = "kept turns read"
+	Requests          Count = "requests"
+	Completed         Count = "completed"
+	Rejections        Count = "refusals"
+	UnknownOutcomes   Count = "unknown outcomes"
 )
 
-// CountsOf lists the counts that a kind of bad days must bring about.
-func CountsOf(kind Kind) []Count {
-	switch kind {
-	case KindBursts:
-		return []Count{Bursts, UrgentHerds}
-	case KindServers:
+// Counts lists the effects that the scenario must have in its runs.
+func (s Scenario) Counts() []Count {
+	switch s {
+	case ScenarioBursts:
+		return []Count{Bursts, UrgentBursts}
+	case ScenarioServerFaults:
 		return []Count{
-			ServersReleased, AddressesTakenOver, ServersCrashed, GreyAnswers, GreyGroups, ExchangedAnswers, LostAnswers, LateAnswers,
-			Flaps, Misdirected, Ejections,
+			ServersReleased, AddressesTakenOver, ServersCrashed, GreyAnswers, GreyGroups, ExchangedAnswers, LostAnswers,
+			LateAnswers,
+			Flaps, MisroutedConnections, Ejections,
 		}
-	case KindProcesses:
+	case ScenarioProcessFaults:
 		return []Count{FrontFaults, CoreFaults, LostAuthority}
-	case KindOrders:
+	case ScenarioOperatorOrders:
 		return []Count{RoutesAdded, LostRaces, RepeatedOrders, InvalidOrders, LostAcknowledgements}
-	case KindStores:
+	case ScenarioStoreFaults:
 		return []Count{StoreFaults}
 	default:
 		return nil
--- a/internal/testing/sim/servingsuite/exchange.go
+++ b/internal/testing/sim/servingsuite/exchange.go
@@ -14,25 +14,25 @@
 // connectTimeout bounds how long a connection may take to be made.
 const connectTimeout = time.Second
 
-// exchange is one attempt at a server.
+// exchange is one attempt of a request at a server.
 type exchange struct {
 	run    *run
 	server *knownServer
 	stream *stream
 	work   work
 	// sent is set once the request may have reached the server.
-	sent  bool
-	heard bool
-	// skip is how many pieces a mutation leaves out that goes on with another server's stream.
-	skip int
+	sent          bool
+	receivedToken bool
+	// skippedTokens is how many tokens MutationSpliceStreams drops from another server's stream.
+	skippedTokens int
 }
 
-// issue sends the request to the server chosen.
+// issue sends the request to the chosen server.
 func (r *run) issue(epoch uint64) {
 	r.issuedAt = r.now()
 	r.connect(r.server, work{
 		requestID: r.request.id(), nonce: r.nonce(), session: r.session(), epoch: epoch, call: r.request.call != nil,
-		tokens: r.front.suite.tokensOf(r.request.id()),
+		tokens: r.front.suite.expectedTokens(r.request.id()),
 	}, 0)
 }
 
@@ -44,10 +44,11 @@
 }
 
 func (r *run) connect(server *knownServer, sent work, skip int) {
-	attempt := &exchange{run: r, server: server, work: sent, skip: skip}
+	attempt := &exchange{run: r, server: server, work: sent, skippedTokens: skip}
 	r.exchange = attempt
 	server.inFlight++
-	attempt.stream = r.front.transport.open(sim.Address(server.description.address), connect{server: server.description.id}, attempt.receive)
+	attempt.stream = r.front.transport.open(sim.Address(server.description.address),
+		connect{server: server.description.id}, attempt.receive)
 	r.front.environment.After(connectTimeout, func() {
 		if r.exchange == attempt && !attempt.sent {
 			attempt.fail(turn.FaultNotSent, 0, "the connection was not made in time")
@@ -55,7 +56,7 @@
 	})
 }
 
-// closeExchange gives up the attempt under way.
+// closeExchange abandons the current attempt.
 func (r *run) closeExchange() {
 	if r.exchange == nil {
 		return
@@ -65,35 +66,35 @@
 	r.exchange = nil
 }
 
-// receive takes what the server sent. Authority is checked first: nothing that came too late is passed on.
+// receive handles a message of the server. Authority is checked first, so that nothing is passed on after it ended.
 func (e *exchange) receive(body any) {
-	if e.run.exchange != e || e.run.waits {
+	if e.run.exchange != e || e.run.awaiting {
 		return
 	}
 	if reason := e.run.stopReason(); reason != 0 {
-		e.run.feed(turn.Stopped{Reason: reason})
+		e.run.applyEvent(turn.Stopped{Reason: reason})
 		return
 	}
 	switch body := body.(type) {
 	case connected:
 		e.sent = true
 		e.stream.send(e.work)
-	case misdirected:
+	case wrongServer:
 		e.fail(turn.FaultNotSent, 0, "another server has this address")
-	case refused:
+	case rejected:
 		e.fail(turn.FaultUnavailable, body.retryAfter, "the server is full")
-	case fencedOff:
+	case fenced:
 		e.fail(turn.FaultFenced, 0, "the server has seen a newer epoch")
 	case token:
 		e.token(body)
 	case workDone:
 		e.done(body)
 	case broken:
-		e.broke()
+		e.streamBroke()
 	}
 }
 
-func (e *exchange) broke() {
+func (e *exchange) streamBroke() {
 	if !e.sent {
 		e.fail(turn.FaultNotSent, 0, "no connection was made")
 		return
@@ -108,10 +109,10 @@
 	e.fail(turn.FaultBroken, 0, "the answer broke off")
 }
 
-// splices goes on at another server as if the stream had not ended, when a mutation says so.
+// splices continues at another server as if the stream had not ended, under MutationSpliceStreams.
 func (e *exchange) splices() bool {
 	r := e.run
-	if r.front.suite.options.Mutation != MutationSpliceStreams || !e.heard {
+	if r.front.suite.options.Mutation != MutationSpliceStreams || !e.receivedToken {
 		return false
 	}
 	chosen := r.front.choose(r.group(), r.program(), "", []string{e.server.description.id})
@@ -119,36 +120,36 @@
 		return false
 	}
 	r.closeExchange()
-	r.connect(r.front.servers[chosen], e.work, e.skip)
+	r.connect(r.front.servers[chosen], e.work, e.skippedTokens)
 	return true
 }
 
 func (e *exchange) token(body token) {
-	if body.place < e.skip {
+	if body.index < e.skippedTokens {
 		return
 	}
-	e.skip = body.place + 1
-	if !e.heard {
-		e.heard = true
+	e.skippedTokens = body.index + 1
+	if !e.receivedToken {
+		e.receivedToken = true
 		e.run.front.admission.record(e.run.group(), limit.Sample{Latency: e.run.now().Sub(e.run.issuedAt)})
 		if e.run.request.kind == routedTurn {
-			e.run.feed(turn.Head{Answer: &protocol.HttpAnswer{}})
+			e.run.applyEvent(turn.Head{Answer: &protocol.HttpAnswer{}})
 		}
 	}
 	if e.run.exchange != e {
 		return
 	}
-	text := pieceOf(body)
+	text := body.text()
 	event := turn.Token{Text: text, Tokens: 1}
 	if e.run.request.kind == routedTurn {
 		event.Event, event.Data = []byte(text), []byte(text)
 	}
-	e.run.feed(event)
+	e.run.applyEvent(event)
 }
 
-// pieceOf is the text of a token, which names its request, its execution and its place.
-func pieceOf(body token) string {
-	return fmt.Sprintf("%s/%d/%d;", body.requestID, body.run, body.place)
+// text returns the text of a token, which names its request, its execution and its index.
+func (t token) text() string {
+	return fmt.Sprintf("%s/%d/%d;", t.requestID, t.execution, t.index)
 }
 
 func (e *exchange) done(body workDone) {
@@ -164,10 +165,10 @@
 	}
 	r := e.run
 	r.closeExchange()
-	r.feed(turn.BackEndDone{OutputTokens: uint64(body.tokens), Nonce: body.nonce})
+	r.applyEvent(turn.BackEndDone{OutputTokens: uint64(body.tokens), Nonce: body.nonce})
 }
 
-// callDone checks the nonce itself: the machine of a call leaves that to its shell.
+// callDone checks the nonce: the state machine of a call leaves that to its shell.
 func (e *exchange) callDone(body workDone) {
 	ignored := e.run.front.suite.options.Mutation == MutationIgnoreNonces
 	if body.nonce != e.work.nonce && !ignored {
@@ -177,7 +178,7 @@
 	e.observe(schedule.OutcomeAnswered)
 	r := e.run
 	r.closeExchange()
-	r.feed(turn.CallDone{Status: 200, Body: []byte(body.nonce)})
+	r.applyEvent(turn.CallDone{Status: 200, Body: []byte(body.nonce)})
 }
 
 func (e *exchange) observe(outcome schedule.Outcome) {
@@ -194,10 +195,10 @@
 	}
 	r := e.run
 	r.closeExchange()
-	r.feed(turn.BackEndFailed{Fault: fault, RetryAfter: retryAfter, Detail: detail})
+	r.applyEvent(turn.BackEndFailed{Fault: fault, RetryAfter: retryAfter, Detail: detail})
 }
 
-// outcomeOf says what a fault tells of the server's health.
+// outcomeOf returns what a fault shows of the server's health.
 func outcomeOf(fault turn.BackEndFault) schedule.Outcome {
 	switch fault {
 	case turn.FaultNotSent:
--- a/internal/testing/sim/servingsuite/fault_plan.go
+++ b/internal/testing/sim/servingsuite/fault_plan.go
@@ -8,85 +8,86 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Sizes of bad days.
+// Numbers and sizes of faults and bursts.
 const (
-	burstCount      = 3
-	burstRequests   = 220
-	herdCount       = 2
-	herdRequests    = 260
-	moodCount       = 8
-	shortestMood    = time.Second
-	longestMood     = 5 * time.Second
-	releaseInterval = 1500 * time.Millisecond
-	processFaults   = 5
-	coreFaults      = 2
-	serverFaults    = 4
-	storeFaults     = 3
-	quickRestarts   = 4
-	shortestFault   = 100 * time.Millisecond
-	longestFault    = 5 * time.Second
-	// shortestRestart bounds restarts that are over before front nodes know of them.
-	shortestRestart = 150 * time.Millisecond
-	// burstTail is how long a burst keeps the fleet busy.
+	burstCount           = 3
+	burstRequests        = 220
+	urgentBurstCount     = 2
+	urgentBurstRequests  = 260
+	faultModeCount       = 8
+	minFaultModeDuration = time.Second
+	maxFaultModeDuration = 5 * time.Second
+	releaseInterval      = 1500 * time.Millisecond
+	processFaults        = 5
+	coreFaults           = 2
+	serverFaults         = 4
+	storeFaults          = 3
+	quickRestarts        = 4
+	minFaultDuration     = 100 * time.Millisecond
+	maxFaultDuration     = 5 * time.Second
+	// maxQuickRestart bounds restarts that are over before front nodes detect them.
+	maxQuickRestart = 150 * time.Millisecond
+	// burstTail is how long a burst keeps the fleet loaded.
 	burstTail = 4 * time.Second
 )
 
-// planDays plans the run before it begins, so that a failing run can be shrunk to the faults that matter.
-func (s *suite) planDays() {
-	s.healed = daysBegin
+// planRun plans the run before it begins, so that the schedule of a failing run can be shrunk.
+func (s *suite) planRun() {
+	s.faultsOver = faultsBegin
 	faults := s.options.Faults
 	if faults == nil {
 		faults = s.drawFaults()
 	}
-	s.planFaults(faults)
-	if s.has(KindBursts) {
+	s.scheduleFaults(faults)
+	if s.enabled(ScenarioBursts) {
 		s.planBursts()
 	}
-	if s.has(KindServers) {
-		s.planMoods()
+	if s.enabled(ScenarioServerFaults) {
+		s.planFaultModes()
 	}
-	s.world.After(s.healed, s.probe)
-	s.world.After(s.healed+backWithin, func() { s.rules.serviceIsBack() })
+	s.world.After(s.faultsOver, s.probe)
+	s.world.After(s.faultsOver+recoveryBound, func() { s.rules.checkRecovery() })
 }
 
 func (s *suite) drawFaults() []sim.Fault {
 	random := s.world.Random("faults")
 	var faults []sim.Fault
-	planUpTo := func(longest time.Duration, count int, group []sim.Address, kinds ...sim.FaultKind) {
+	drawUpTo := func(maxDuration time.Duration, count int, group []sim.Address, kinds ...sim.FaultKind) {
 		faults = append(faults, sim.GenerateSchedule(random, sim.Plan{
-			Kinds: kinds, Groups: [][]sim.Address{group}, Count: count, Begin: daysBegin, End: daysEnd,
-			MinimumDuration: shortestFault, MaximumDuration: longest,
+			Kinds: kinds, Groups: [][]sim.Address{group}, Count: count, Begin: faultsBegin, End: faultsEnd,
+			MinimumDuration: minFaultDuration, MaximumDuration: maxDuration,
 		})...)
 	}
-	plan := func(count int, group []sim.Address, kinds ...sim.FaultKind) {
-		planUpTo(longestFault, count, group, kinds...)
+	draw := func(count int, group []sim.Address, kinds ...sim.FaultKind) {
+		drawUpTo(maxFaultDuration, count, group, kinds...)
 	}
-	cuts := []sim.FaultKind{sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition}
-	if s.has(KindServers) {
-		plan(serverFaults, s.models, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze)
-		planUpTo(shortestRestart, quickRestarts, s.models, sim.FaultCrash)
-		plan(1, s.tools, sim.FaultCrash, sim.FaultFreeze)
+	partitions := []sim.FaultKind{sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition}
+	if s.enabled(ScenarioServerFaults) {
+		draw(serverFaults, s.models, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze)
+		drawUpTo(maxQuickRestart, quickRestarts, s.models, sim.FaultCrash)
+		draw(1, s.tools, sim.FaultCrash, sim.FaultFreeze)
 	}
-	if s.has(KindProcesses) {
-		plan(processFaults, s.fronts, append(cuts, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze, sim.FaultFreeze)...)
-		plan(coreFaults, []sim.Address{coreAddress}, append(cuts, sim.FaultCrash, sim.FaultFreeze)...)
+	if s.enabled(ScenarioProcessFaults) {
+		draw(processFaults, s.fronts, append(partitions, sim.FaultCrash, sim.FaultPowerLoss, sim.FaultFreeze,
+			sim.FaultFreeze)...)
+		draw(coreFaults, []sim.Address{coreAddress}, append(partitions, sim.FaultCrash, sim.FaultFreeze)...)
 	}
-	if s.has(KindStores) {
-		plan(storeFaults, []sim.Address{ledgerAddress}, append(cuts, sim.FaultCrash, sim.FaultFreeze)...)
+	if s.enabled(ScenarioStoreFaults) {
+		draw(storeFaults, []sim.Address{ledgerAddress}, append(partitions, sim.FaultCrash, sim.FaultFreeze)...)
 	}
 	return faults
 }
 
-// planFaults counts the faults as they come and notes which machines stand still.
-func (s *suite) planFaults(faults []sim.Fault) {
+// scheduleFaults schedules and counts the faults and records when machines are frozen.
+func (s *suite) scheduleFaults(faults []sim.Fault) {
 	for _, fault := range faults {
-		s.healed = max(s.healed, fault.At+fault.Duration)
+		s.faultsOver = max(s.faultsOver, fault.At+fault.Duration)
 		s.world.After(fault.At, func() { s.countFault(fault) })
 		if fault.Kind != sim.FaultFreeze {
 			continue
 		}
 		for _, target := range fault.Targets {
-			s.frozen[target] = append(s.frozen[target], span{from: fault.At, until: fault.At + fault.Duration})
+			s.frozen[target] = append(s.frozen[target], timeRange{from: fault.At, until: fault.At + fault.Duration})
 		}
 	}
 	s.world.Schedule(faults)
@@ -111,8 +112,8 @@
 	return slices.Contains(s.fronts, address)
 }
 
-// stoodStill says whether a machine was frozen at any time between two moments.
-func (s *suite) stoodStill(address sim.Address, from, until time.Duration) bool {
+// wasFrozen reports whether a machine was frozen at any time between two moments.
+func (s *suite) wasFrozen(address sim.Address, from, until time.Duration) bool {
 	for _, frozen := range s.frozen[address] {
 		if frozen.from <= until && frozen.until >= from {
 			return true
@@ -128,55 +129,55 @@
 func (s *suite) planBursts() {
 	random := s.world.Random("bursts")
 	for range burstCount {
-		at := momentBetween(random, daysBegin, daysEnd)
-		s.healed = max(s.healed, at+burstTail)
-		s.world.After(at, func() {
-			s.count(Bursts)
-			s.callers.burst(burstRequests, false)
-		})
-	}
-	for range herdCount {
-		at := momentBetween(random, daysBegin, daysEnd)
-		s.healed = max(s.healed, at+burstTail)
-		s.world.After(at, func() {
-			s.count(UrgentHerds)
-			s.callers.burst(herdRequests, true)
-		})
+		s.planBurst(random, Bursts, burstRequests, false)
 	}
+	for range urgentBurstCount {
+		s.planBurst(random, UrgentBursts, urgentBurstRequests, true)
+	}
+}
+
+func (s *suite) planBurst(random *rand.Rand, effect Count, requests int, urgent bool) {
+	at := momentBetween(random, faultsBegin, faultsEnd)
+	s.faultsOver = max(s.faultsOver, at+burstTail)
+	s.world.After(at, func() {
+		s.count(effect)
+		s.callers.burst(requests, urgent)
+	})
 }
 
-// planMoods has servers misbehave for a while each, and once a whole group at the same time.
-func (s *suite) planMoods() {
+// planFaultModes puts single servers into fault modes for a while, and once all model servers at the same time.
+func (s *suite) planFaultModes() {
 	random := s.world.Random("moods")
 	servers := append(append([]sim.Address(nil), s.models...), s.tools...)
-	moods := []mood{moodGrey, moodForgetful, moodLate, moodFlapping}
-	for place := range moodCount {
+	modes := []faultMode{modeGreyFailure, modeAnswerLoss, modeLateAnswers, modeFlapping}
+	for index := range faultModeCount {
 		target := servers[random.IntN(len(servers))]
-		at := momentBetween(random, daysBegin, daysEnd)
-		s.planMood(target, moods[place%len(moods)], at, momentBetween(random, shortestMood, longestMood))
+		at := momentBetween(random, faultsBegin, faultsEnd)
+		s.planFaultMode(target, modes[index%len(modes)], at,
+			momentBetween(random, minFaultModeDuration, maxFaultModeDuration))
 	}
-	at := momentBetween(random, daysBegin, daysEnd)
+	at := momentBetween(random, faultsBegin, faultsEnd)
 	s.world.After(at, func() { s.count(GreyGroups) })
 	for _, target := range s.models {
-		s.planMood(target, moodGrey, at, shortestMood)
+		s.planFaultMode(target, modeGreyFailure, at, minFaultModeDuration)
 	}
 }
 
-// planMood has one server misbehave from a moment on for a while.
-func (s *suite) planMood(target sim.Address, chosen mood, at, lasts time.Duration) {
-	s.healed = max(s.healed, at+lasts)
-	s.world.After(at, func() { s.moods[target] = chosen })
-	s.world.After(at+lasts, func() {
-		if s.moods[target] == chosen {
-			s.moods[target] = moodGood
+// planFaultMode puts one server into a fault mode for a while.
+func (s *suite) planFaultMode(target sim.Address, mode faultMode, at, duration time.Duration) {
+	s.faultsOver = max(s.faultsOver, at+duration)
+	s.world.After(at, func() { s.faultModes[target] = mode })
+	s.world.After(at+duration, func() {
+		if s.faultModes[target] == mode {
+			s.faultModes[target] = modeHealthy
 		}
 	})
 }
 
-// probe asks every front node for service once the machines are back.
+// probe sends requests to every front node once the last fault is over.
 func (s *suite) probe() {
 	for _, address := range s.fronts {
 		s.callers.probe(address, ledgeredTurn)
-		s.callers.probe(address, recordedCall)
+		s.callers.probe(address, nonIdempotentCall)
 	}
 }
--- a/internal/testing/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	renewInterval  = 300 * time.Millisecond
-	renewTimeout   = time.Second
-	renewRetry     = 100 * time.Millisecond
-	ledgerTimeout  = 3 * time.Second
-	boundInterval  = 200 * time.Millisecond
-	tombstoneBound = 40 * time.Millisecond
-	// answerSlack is how long after its deadline a request may get its final answer, as at a real ingress.
+	renewInterval       = 300 * time.Millisecond
+	renewTimeout        = time.Second
+	renewRetry          = 100 * time.Millisecond
+	ledgerTimeout       = 3 * time.Second
+	limitUpdateInterval = 200 * time.Millisecond
+	tombstoneBound      = 40 * time.Millisecond
+	// answerSlack is how long after its deadline a request may get its final answer, as at the real ingress.
 	answerSlack = 3 * time.Second
 	busyRetry   = 500 * time.Millisecond
 )
 
-// front is one life of a front node: the real lease holder and admission with the machines of its requests.
+// front is one incarnation of a front node: the real lease holder and admission with the state machines of its
+// requests.
 type front struct {
 	suite       *suite
 	environment *sim.Environment
@@ -34,12 +35,12 @@
 	servers     map[string]*knownServer
 	admission   *admission
 	retries     *limit.RetryBudget
-	// live are the turns of conversations under way by session.
-	live     map[string]*run
-	last     map[string]string
-	attempts uint64
-	sequence uint64
-	stayOut  bool
+	// activeTurns are the turns in flight, by session.
+	activeTurns     map[string]*run
+	lastServers     map[string]string
+	attempts        uint64
+	sequence        uint64
+	stoppedRenewing bool
 }
 
 func (s *suite) buildFront(environment *sim.Environment) (sim.Process, error) {
@@ -48,16 +49,16 @@
 		suite: s, environment: environment, name: string(environment.Address()), inForce: &view{},
 		holder:  lease.NewHolder(incarnation, lease.Options{Margin: leaseMargin, ViewLimit: leaseDuration}),
 		servers: make(map[string]*knownServer), retries: limit.NewRetryBudget(0),
-		live: make(map[string]*run), last: make(map[string]string),
+		activeTurns: make(map[string]*run), lastServers: make(map[string]string),
 	}
 	f.transport = newTransport(environment, f.accept)
 	f.admission = newAdmission(f)
 	environment.After(0, f.renew)
-	environment.After(boundInterval, f.bound)
+	environment.After(limitUpdateInterval, f.updateLimitsPeriodically)
 	return f, nil
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (f *front) Receive(from sim.Address, message any) { f.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
@@ -65,16 +66,16 @@
 
 func (f *front) now() time.Time { return f.environment.Now() }
 
-func (f *front) held() bool { return f.holder.Valid(f.now()) }
+func (f *front) hasAuthority() bool { return f.holder.Valid(f.now()) }
 
 func (f *front) renew() {
-	if f.stayOut {
+	if f.stoppedRenewing {
 		return
 	}
-	renewal, lapsed := f.holder.Send(f.now())
-	if lapsed {
+	renewal, expired := f.holder.Send(f.now())
+	if expired {
 		f.suite.count(LostAuthority)
-		f.stayOut = f.suite.options.Mutation == MutationStayOut
+		f.stoppedRenewing = f.suite.options.Mutation == MutationNeverRenew
 	}
 	request := renewLease{name: f.name, incarnation: renewal.Incarnation, inForce: f.inForce.version}
 	f.transport.call(coreAddress, request, renewTimeout, func(body any) {
@@ -93,9 +94,9 @@
 }
 
 func (f *front) granted(renewal lease.Renewal, answer leaseGranted) {
-	f.holder.Granted(f.now(), renewal, leaseDuration, answer.version)
-	if answer.fresh != nil && answer.fresh.version > f.inForce.version {
-		f.apply(answer.fresh)
+	f.holder.Granted(f.now(), renewal, leaseDuration, answer.newestVersion)
+	if answer.newerView != nil && answer.newerView.version > f.inForce.version {
+		f.apply(answer.newerView)
 	}
 }
 
@@ -104,46 +105,46 @@
 	f.inForce = fresh
 	known := make(map[string]*knownServer, len(fresh.servers))
 	for _, description := range fresh.servers {
-		kept := f.servers[description.id]
-		if kept == nil {
-			kept = &knownServer{}
+		server := f.servers[description.id]
+		if server == nil {
+			server = &knownServer{}
 		}
-		kept.description = description
-		known[description.id] = kept
+		server.description = description
+		known[description.id] = server
 	}
 	f.servers = known
 	f.holder.ViewRead(fresh.version)
-	f.admission.bound()
+	f.admission.updateLimits()
 }
 
-func (f *front) bound() {
-	f.admission.bound()
-	f.environment.After(boundInterval, f.bound)
+func (f *front) updateLimitsPeriodically() {
+	f.admission.updateLimits()
+	f.environment.After(limitUpdateInterval, f.updateLimitsPeriodically)
 }
 
-// accept takes a request of a caller in.
+// accept accepts a request of a caller.
 func (f *front) accept(opened *stream, body any) {
 	request, isRequest := body.(callerRequest)
 	if !isRequest {
 		return
 	}
-	f.suite.rules.arrived(f, request)
-	taken := newRun(f, opened, request)
-	opened.handle = func(any) { taken.leave(opened) }
-	if !f.held() {
-		taken.answerFailure(failure.New(failure.NoAuthority, protocol.Outcome_UNKNOWN, "this node may not act as owner",
+	f.suite.rules.watchRequest(f, request)
+	accepted := newRun(f, opened, request)
+	opened.handle = func(any) { accepted.removeReader(opened) }
+	if !f.hasAuthority() {
+		accepted.answerFailure(failure.New(failure.NoAuthority, protocol.Outcome_UNKNOWN, "this node may not act as owner",
 			failure.WithRetryAfter(busyRetry)).Failure)
 		return
 	}
 	if !f.knowsRoute(request.route) {
-		f.suite.rules.routeUnknown(f.name, request.route)
-		taken.refuseUnrouted()
+		f.suite.rules.observeUnknownRoute(f.name, request.route)
+		accepted.rejectUnrouted()
 		return
 	}
-	if request.kind == ledgeredTurn && f.joins(taken, opened) {
+	if request.kind == ledgeredTurn && f.joinOrReject(accepted, opened) {
 		return
 	}
-	taken.begin()
+	accepted.begin()
 }
 
 func (f *front) knowsRoute(route string) bool {
@@ -153,15 +154,16 @@
 	return slices.Contains(f.inForce.routes, route)
 }
 
-// joins has the request read the turn of its session that is under way, or refuses it for that.
-func (f *front) joins(taken *run, opened *stream) bool {
-	current := f.live[taken.session()]
+// joinOrReject joins a repeated request to the active turn of its session, or rejects another request of the session.
+// It reports whether it did either.
+func (f *front) joinOrReject(arriving *run, opened *stream) bool {
+	current := f.activeTurns[arriving.session()]
 	if current == nil {
-		f.live[taken.session()] = taken
+		f.activeTurns[arriving.session()] = arriving
 		return false
 	}
-	if current.request.id() != taken.request.id() {
-		taken.refuseBusy()
+	if current.request.id() != arriving.request.id() {
+		arriving.rejectBusy()
 		return true
 	}
 	f.suite.count(JoinedTurns)
@@ -169,7 +171,7 @@
 	return true
 }
 
-// operate carries out one operation of the ledger.
+// operate sends one operation to the ledger.
 func (f *front) operate(operation *protocol.LedgerOperation, timeout time.Duration, then func(*protocol.LedgerResult)) {
 	f.transport.call(ledgerAddress, operation, timeout, func(body any) {
 		result, answered := body.(*protocol.LedgerResult)
--- a/internal/testing/sim/servingsuite/ledger.go
+++ b/internal/testing/sim/servingsuite/ledger.go
@@ -8,11 +8,11 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// ledgerState is what the stores would hold on a majority.
+// ledgerState stands for the state on a majority of stores; it outlives the process.
 type ledgerState struct {
 	programs map[string]*protocol.ProgramRecord
 	calls    map[string]*protocol.CallRecord
-	// turns are the kept turns by id.
+	// turns are the retained turns by id.
 	turns map[string]*protocol.Turn
 }
 
@@ -23,7 +23,7 @@
 	}
 }
 
-// readTurn asks for a kept turn; the answer is a *protocol.Turn, nil for none.
+// readTurn requests a retained turn; the answer is a turnRead, with a nil turn for none.
 type readTurn struct{ id string }
 
 type turnRead struct{ turn *protocol.Turn }
@@ -41,7 +41,7 @@
 	return l, nil
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (l *ledgerProcess) Receive(from sim.Address, message any) { l.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
@@ -64,13 +64,13 @@
 	if changed != nil {
 		l.state.programs[operation.GetProgram()] = changed
 	}
-	if settled := operation.GetSettleTurn(); settled != nil && result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-		l.state.turns[settled.GetTurn().GetId()] = settled.GetTurn()
+	if committed := operation.GetSettleTurn(); committed != nil && result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
+		l.state.turns[committed.GetTurn().GetId()] = committed.GetTurn()
 	}
 	return result
 }
 
-// applyCall decides on the call's register and then, as a store does, checks the epoch.
+// applyCall applies an operation to the call's register and then, as a store does, checks the epoch.
 func (l *ledgerProcess) applyCall(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	id := operation.GetProgram() + "/" + ledger.CallOf(operation)
 	changed, result := ledger.ApplyCall(l.state.calls[id], operation, l.environment.Now())
--- a/internal/testing/sim/servingsuite/messages.go
+++ b/internal/testing/sim/servingsuite/messages.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serverDescription is what the core tells front nodes of a server.
+// serverDescription is a server as the view lists it.
 type serverDescription struct {
 	id       string
 	address  string
@@ -16,7 +16,7 @@
 	draining bool
 }
 
-// view is what front nodes are sent; it is never changed once published.
+// view is a version of the configuration for front nodes; it is immutable once published.
 type view struct {
 	version uint64
 	servers []serverDescription
@@ -26,7 +26,7 @@
 
 // Messages to the core.
 type (
-	// renewLease asks for a lease and says which view is in force.
+	// renewLease requests or renews a lease and reports the version of the view in force.
 	renewLease struct {
 		name        string
 		incarnation uint64
@@ -34,10 +34,10 @@
 	}
 	leaseGranted struct {
 		granted bool
-		// fresh is set when the node's view is not the newest.
-		fresh *view
-		// version is that of the newest view.
-		version uint64
+		// newerView is set when the node's view is not the newest.
+		newerView *view
+		// newestVersion is the version of the newest view.
+		newestVersion uint64
 	}
 	// heartbeat registers a server and keeps it in the view.
 	heartbeat struct{ server serverDescription }
@@ -49,20 +49,20 @@
 	}
 	orderAnswer struct {
 		accepted bool
-		// winner is the route that took the number which the order asked for.
+		// winner is the route at the index that the order named, if another one has it.
 		winner string
 	}
-	// leave tells a drained server to end.
-	leave struct{}
+	// shutdown tells a drained server to end.
+	shutdown struct{}
 )
 
 // Messages between front nodes and servers.
 type (
-	// connect asks for a connection to the server with an id.
+	// connect requests a connection to the server with an id.
 	connect   struct{ server string }
 	connected struct{}
-	// misdirected is the answer of a server that has another id.
-	misdirected struct{}
+	// wrongServer is the answer of a server that has another id.
+	wrongServer struct{}
 	// work is one attempt of a turn or call.
 	work struct {
 		requestID string
@@ -72,23 +72,23 @@
 		tokens    int
 		call      bool
 	}
-	refused   struct{ retryAfter time.Duration }
-	fencedOff struct{}
-	// token is one piece of output; run names the execution that it is a part of.
+	rejected struct{ retryAfter time.Duration }
+	fenced   struct{}
+	// token is one chunk of output of an execution.
 	token struct {
 		requestID string
-		run       uint64
-		place     int
+		execution uint64
+		index     int
 	}
 	workDone struct {
-		nonce   string
-		run     uint64
-		running uint32
-		tokens  int
+		nonce     string
+		execution uint64
+		running   uint32
+		tokens    int
 	}
 )
 
-// requestKind says how a request may be served.
+// requestKind determines how a request may be served.
 type requestKind int
 
 const (
@@ -96,10 +96,10 @@
 	ledgeredTurn requestKind = iota
 	// routedTurn is a turn of an HTTP route: its id is for one send, and it runs at one server at most.
 	routedTurn
-	// recordedCall is a tool call that may not be repeated.
-	recordedCall
-	// repeatableCall is a tool call that may.
-	repeatableCall
+	// nonIdempotentCall is a tool call that runs at most once.
+	nonIdempotentCall
+	// idempotentCall is a tool call that may run more than once.
+	idempotentCall
 )
 
 // callerRequest is what callers send to a front node. Exactly one of turn and call is set.
@@ -126,5 +126,5 @@
 	return r.call.GetPriority()
 }
 
-// mayRunTwice says whether several servers may run the request.
-func (k requestKind) mayRunTwice() bool { return k == ledgeredTurn || k == repeatableCall }
+// idempotent reports whether the request may run more than once.
+func (k requestKind) idempotent() bool { return k == ledgeredTurn || k == idempotentCall }
--- a/internal/testing/sim/servingsuite/operators.go
+++ b/internal/testing/sim/servingsuite/operators.go
@@ -12,15 +12,15 @@
 	orderTimeout    = time.Second
 	orderInterval   = 700 * time.Millisecond
 	invalidOrderGap = 5
-	leaveTimeout    = 2 * time.Second
+	shutdownTimeout = 2 * time.Second
 )
 
-// operators is all operators: two race for the next route again and again, one releases servers one after another.
+// operators is one process that acts for all operators: two race for the next route, one releases servers in turn.
 type operators struct {
 	suite       *suite
 	environment *sim.Environment
 	transport   *transport
-	// routes is how many routes each operator believes to be in force.
+	// routes is the number of routes that each operator knows of.
 	routes [operatorCount]int
 	orders int
 }
@@ -28,29 +28,29 @@
 func (s *suite) buildOperators(environment *sim.Environment) (sim.Process, error) {
 	o := &operators{suite: s, environment: environment}
 	o.transport = newTransport(environment, func(*stream, any) {})
-	if s.has(KindOrders) {
+	if s.enabled(ScenarioOperatorOrders) {
 		for operator := range operatorCount {
-			environment.After(daysBegin, func() { o.addRoutes(operator) })
+			environment.After(faultsBegin, func() { o.addRoutes(operator) })
 		}
-		environment.After(daysBegin, o.orderInvalid)
+		environment.After(faultsBegin, o.orderInvalid)
 	}
-	if s.has(KindServers) {
-		environment.After(daysBegin, func() { o.release(0) })
+	if s.enabled(ScenarioServerFaults) {
+		environment.After(faultsBegin, func() { o.release(0) })
 	}
 	return o, nil
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (o *operators) Receive(from sim.Address, message any) { o.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
 func (o *operators) ConnectionBroken(peer sim.Address) { o.transport.connectionBroken(peer) }
 
-func (o *operators) over() bool { return o.suite.world.Elapsed() > daysEnd }
+func (o *operators) finished() bool { return o.suite.world.Elapsed() > faultsEnd }
 
-// addRoutes orders the next route; the loser of a race goes on behind the winner.
+// addRoutes orders the next route; the loser of a race continues behind the winner.
 func (o *operators) addRoutes(operator int) {
-	if o.over() {
+	if o.finished() {
 		return
 	}
 	o.orders++
@@ -74,43 +74,45 @@
 	})
 }
 
-// orderInvalid orders what cannot be: a route behind many that do not exist, and the drain of an unknown server.
+// orderInvalid gives invalid orders: a route behind routes that do not exist, and the drain of an unknown server.
 func (o *operators) orderInvalid() {
-	if o.over() {
+	if o.finished() {
 		return
 	}
 	ignore := func(any) {}
-	o.transport.call(coreAddress, addRoute{name: "route-invalid", base: len(o.suite.core.routes) + invalidOrderGap}, orderTimeout, ignore)
+	o.transport.call(coreAddress, addRoute{name: "route-invalid", base: len(o.suite.core.routes) + invalidOrderGap},
+		orderTimeout, ignore)
 	o.transport.call(coreAddress, drainServer{id: "nobody"}, orderTimeout, ignore)
 	o.environment.After(orderInterval, o.orderInvalid)
 }
 
-// release drains the model servers one after another; each leaves once its drain is acknowledged and comes back under another id.
-func (o *operators) release(place int) {
-	if o.over() {
+// release drains the model servers in turn; each shuts down once its drain is acknowledged and restarts under another
+// id.
+func (o *operators) release(index int) {
+	if o.finished() {
 		return
 	}
-	address := o.suite.models[place%len(o.suite.models)]
+	address := o.suite.models[index%len(o.suite.models)]
 	running, runs := o.suite.world.Machine(address).Process().(*server)
 	if !runs {
-		o.environment.After(releaseInterval, func() { o.release(place + 1) })
+		o.environment.After(releaseInterval, func() { o.release(index + 1) })
 		return
 	}
 	o.drain(running.description, func() {
-		o.environment.After(releaseInterval, func() { o.release(place + 1) })
+		o.environment.After(releaseInterval, func() { o.release(index + 1) })
 	})
 }
 
-// drain sends the order until it is answered, then tells the server to leave.
+// drain sends the order until it is answered, then shuts the server down.
 func (o *operators) drain(target serverDescription, then func()) {
 	o.transport.call(coreAddress, drainServer{id: target.id}, orderTimeout, func(body any) {
 		answer, answered := body.(orderAnswer)
 		switch {
-		case !answered && !o.over():
+		case !answered && !o.finished():
 			o.environment.After(orderInterval, func() { o.drain(target, then) })
 		case answer.accepted:
-			o.environment.After(leaveTimeout, func() {
-				o.transport.call(sim.Address(target.address), leave{}, leaveTimeout, func(any) { then() })
+			o.environment.After(shutdownTimeout, func() {
+				o.transport.call(sim.Address(target.address), shutdown{}, shutdownTimeout, func(any) { then() })
 			})
 		default:
 			then()
--- a/internal/testing/sim/servingsuite/options.go
+++ b/internal/testing/sim/servingsuite/options.go
@@ -6,81 +6,86 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Kind is one of the five kinds of bad days.
-type Kind string
+// Scenario is one of five combinations of faults and load.
+type Scenario string
 
-// Kinds of bad days.
+// Scenarios.
 const (
-	// KindBursts has callers come in bursts, and urgent requests all at once.
-	KindBursts Kind = "bursts"
-	// KindServers has servers released one after another, lost, replaced at their addresses, unreachable by turns,
-	// faulty in part, losing answers and answering late.
-	KindServers Kind = "servers"
-	// KindProcesses has front nodes killed, frozen, cut off and restarted, alone and in herds, and the core cut off.
-	KindProcesses Kind = "processes"
-	// KindOrders has operators race, resend, order what is invalid, lose acknowledgements and add routes one by one.
-	KindOrders Kind = "orders"
-	// KindStores has the ledger's store cut off, frozen and restarted.
-	KindStores Kind = "stores"
+	// ScenarioBursts sends bursts of requests, some of them mostly urgent.
+	ScenarioBursts Scenario = "bursts"
+	// ScenarioServerFaults releases servers in turn, crashes them, replaces them at their addresses and puts them into
+	// fault modes: flapping, grey failures, lost and late answers.
+	ScenarioServerFaults Scenario = "servers"
+	// ScenarioProcessFaults crashes, freezes, partitions and restarts front nodes, alone and several at once, and the
+	// core.
+	ScenarioProcessFaults Scenario = "processes"
+	// ScenarioOperatorOrders has operators race, resend, give invalid orders, lose acknowledgements and add routes.
+	ScenarioOperatorOrders Scenario = "orders"
+	// ScenarioStoreFaults partitions, freezes and restarts the ledger's store.
+	ScenarioStoreFaults Scenario = "stores"
 )
 
-// Kinds lists all kinds.
-func Kinds() []Kind {
-	return []Kind{KindBursts, KindServers, KindProcesses, KindOrders, KindStores}
+// Scenarios lists all scenarios.
+func Scenarios() []Scenario {
+	return []Scenario{
+		ScenarioBursts, ScenarioServerFaults, ScenarioProcessFaults, ScenarioOperatorOrders,
+		ScenarioStoreFaults,
+	}
 }
 
-// Mutation names a fault of the code that a run puts in on purpose.
+// Mutation names a defect that a run puts into the code on purpose.
 type Mutation string
 
 // Mutations, each made to break one rule.
 const (
 	MutationNone Mutation = ""
-	// MutationReissueCalls takes calls that may not be repeated for repeatable ones.
+	// MutationReissueCalls treats non-idempotent calls as idempotent.
 	MutationReissueCalls Mutation = "reissue-calls"
-	// MutationReissueTurns takes a broken answer for a connection that was never made.
+	// MutationReissueTurns treats a broken answer as a connection that was never made.
 	MutationReissueTurns Mutation = "reissue-turns"
-	// MutationSkipTombstone refuses without telling the ledger.
+	// MutationSkipTombstone rejects without a tombstone in the ledger.
 	MutationSkipTombstone Mutation = "skip-tombstone"
-	// MutationIgnoreNonces passes on answers whoever they are for.
+	// MutationIgnoreNonces passes on answers without checking which request they answer.
 	MutationIgnoreNonces Mutation = "ignore-nonces"
-	// MutationSpliceStreams goes on with a stream that broke off at another server, as if nothing had happened.
+	// MutationSpliceStreams continues a broken stream with that of another server.
 	MutationSpliceStreams Mutation = "splice-streams"
-	// MutationIgnoreDrains sends to servers that drain.
+	// MutationIgnoreDrains sends to draining servers.
 	MutationIgnoreDrains Mutation = "ignore-drains"
-	// MutationEarlyAcknowledgement has the core acknowledge an order before every front node has it in force.
+	// MutationEarlyAcknowledgement acknowledges an order before every front node has it in force.
 	MutationEarlyAcknowledgement Mutation = "early-acknowledgement"
-	// MutationSkipReservation takes a turn's ceiling for reserved without asking the ledger.
+	// MutationSkipReservation issues turns without a reservation in the ledger.
 	MutationSkipReservation Mutation = "skip-reservation"
-	// MutationNoDeadline lets requests go on beyond their deadlines.
+	// MutationNoDeadline lets requests continue after their deadlines.
 	MutationNoDeadline Mutation = "no-deadline"
-	// MutationLongWait lets requests wait for a slot until their deadlines.
-	MutationLongWait Mutation = "long-wait"
-	// MutationNoRetryAfter refuses without a time to come back.
+	// MutationUnboundedWait lets requests wait for a slot until their deadlines.
+	MutationUnboundedWait Mutation = "long-wait"
+	// MutationNoRetryAfter rejects without a retry-after.
 	MutationNoRetryAfter Mutation = "no-retry-after"
 	// MutationSwapClasses admits urgent requests as probes, and probes as urgent ones.
 	MutationSwapClasses Mutation = "swap-classes"
-	// MutationEjectAll keeps every suspected server out of the choice, however many there are.
+	// MutationEjectAll excludes every ejected server from the choice, without the bound on ejections.
 	MutationEjectAll Mutation = "eject-all"
-	// MutationStayOut has front nodes that lost their authority never ask for it again.
-	MutationStayOut Mutation = "stay-out"
+	// MutationNeverRenew keeps front nodes whose lease expired from renewing it.
+	MutationNeverRenew Mutation = "stay-out"
 )
 
 // Mutations lists all mutations.
 func Mutations() []Mutation {
 	return []Mutation{
 		MutationReissueCalls, MutationReissueTurns, MutationSkipTombstone, MutationIgnoreNonces, MutationSpliceStreams,
-		MutationIgnoreDrains, MutationEarlyAcknowledgement, MutationSkipReservation, MutationNoDeadline, MutationLongWait,
-		MutationNoRetryAfter, MutationSwapClasses, MutationEjectAll, MutationStayOut,
+		MutationIgnoreDrains, MutationEarlyAcknowledgement, MutationSkipReservation, MutationNoDeadline,
+		MutationUnboundedWait,
+		MutationNoRetryAfter, MutationSwapClasses, MutationEjectAll, MutationNeverRenew,
 	}
 }
 
 // Options of one run; zero values stand for the defaults.
 type Options struct {
-	// Kinds are the kinds of bad days that come together; default all.
-	Kinds []Kind
+	// Scenarios are combined in the run; default all.
+	Scenarios []Scenario
 	// Faults replaces the schedule of faults drawn from the seed, when not nil.
 	Faults []sim.Fault
-	// Mutation breaks the code on purpose, to show that a rule bites.
+	// Mutation is the defect to put in, to show that a rule detects it; default none.
 	Mutation Mutation
 	Trace    io.Writer
 }
--- a/internal/testing/sim/servingsuite/request_run.go
+++ b/internal/testing/sim/servingsuite/request_run.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	turnCeiling   = 12
-	programBudget = 60
-	keepTurnsFor  = time.Hour
+	turnReservationLimit = 12
+	programBudget        = 60
+	turnRetention        = time.Hour
 )
 
-// machine is a turn or a tool call.
+// machine is the state machine of a turn or of a tool call.
 type machine interface {
 	Apply(event turn.Event, now time.Time) []turn.Command
 	Done() bool
 }
 
-// run carries out the commands of one request's machine, in order, as the front plane does.
+// run carries out the commands of one request's state machine, in order, as internal/dataplane/front does.
 type run struct {
 	front       *front
 	request     callerRequest
@@ -31,9 +31,9 @@
 	incarnation uint64
 	deadline    time.Time
 	pending     []turn.Command
-	// waits is set while a command's answer is awaited.
-	waits bool
-	// ticket is the place in the queue of admission, while there is one.
+	// awaiting is set while a command's answer is outstanding.
+	awaiting bool
+	// ticket is the id in the admission queue, zero when there is none.
 	ticket uint64
 	// expired is set at the deadline.
 	expired  bool
@@ -43,7 +43,7 @@
 	readers  []*stream
 	events   []any
 	answered bool
-	over     bool
+	ended    bool
 }
 
 func newRun(f *front, opened *stream, request callerRequest) *run {
@@ -53,20 +53,21 @@
 	}
 	f.attempts++
 	if request.turn != nil {
-		asked := request.turn
+		turnRequest := request.turn
 		if f.suite.options.Mutation == MutationIgnoreNonces {
-			asked = proto.CloneOf(asked)
-			asked.Nonce = ""
+			turnRequest = proto.CloneOf(turnRequest)
+			turnRequest.Nonce = ""
 		}
 		created.machine = turn.New(turn.Parameters{
-			Request: asked, TurnID: turn.ID(request.turn.GetProgram(), request.turn.GetRequestId()), Owner: f.name,
-			Incarnation: created.incarnation, Budget: programBudget, ReservationLimit: turnCeiling, Retention: keepTurnsFor,
+			Request: turnRequest, TurnID: turn.ID(request.turn.GetProgram(), request.turn.GetRequestId()), Owner: f.name,
+			Incarnation: created.incarnation, Budget: programBudget, ReservationLimit: turnReservationLimit,
+			Retention: turnRetention,
 		})
 		return created
 	}
 	created.machine = turn.NewCall(turn.CallParameters{
 		Request: request.call, Owner: f.name, Incarnation: created.incarnation, Budget: programBudget,
-		Repeatable: request.kind == repeatableCall || f.suite.options.Mutation == MutationReissueCalls,
+		Repeatable: request.kind == idempotentCall || f.suite.options.Mutation == MutationReissueCalls,
 		Attempt:    f.suite.attemptID(f),
 	})
 	return created
@@ -100,17 +101,17 @@
 		r.front.environment.After(r.request.timeLeft, r.expire)
 		r.front.environment.After(r.request.timeLeft+answerSlack, r.giveUp)
 	}
-	r.feed(turn.Begun{})
+	r.applyEvent(turn.Begun{})
 }
 
-// valid says whether this node may still act for the request.
-func (r *run) valid() bool {
-	return r.front.held() && r.front.holder.Incarnation() == r.incarnation
+// hasAuthority reports whether this node may still act for the request.
+func (r *run) hasAuthority() bool {
+	return r.front.hasAuthority() && r.front.holder.Incarnation() == r.incarnation
 }
 
 func (r *run) stopReason() turn.StopReason {
 	switch {
-	case !r.valid():
+	case !r.hasAuthority():
 		return turn.StopAuthority
 	case r.expired:
 		return turn.StopDeadline
@@ -119,15 +120,15 @@
 	}
 }
 
-// feed gives the machine an event and carries out what follows from it.
-func (r *run) feed(event turn.Event) {
-	r.waits = false
+// applyEvent applies an event to the machine and carries out the commands that follow.
+func (r *run) applyEvent(event turn.Event) {
+	r.awaiting = false
 	r.pending = append(r.pending, r.machine.Apply(event, r.now())...)
 	r.pump()
 }
 
 func (r *run) pump() {
-	for !r.waits && len(r.pending) > 0 {
+	for !r.awaiting && len(r.pending) > 0 {
 		command := r.pending[0]
 		r.pending = r.pending[1:]
 		if reason := r.stopReason(); reason != 0 && turn.Interruptible(command) {
@@ -138,20 +139,20 @@
 			r.pending = append(r.pending, r.machine.Apply(event, r.now())...)
 		}
 	}
-	if r.machine.Done() && !r.waits {
+	if r.machine.Done() && !r.awaiting {
 		r.end()
 	}
 }
 
-// end frees the session for its next turn.
+// end frees the session for the next turn.
 func (r *run) end() {
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
+	r.ended = true
 	r.closeExchange()
-	if r.front.live[r.session()] == r {
-		delete(r.front.live, r.session())
+	if r.front.activeTurns[r.session()] == r {
+		delete(r.front.activeTurns, r.session())
 	}
 }
 
@@ -159,11 +160,11 @@
 func (r *run) expire() {
 	r.expired = true
 	switch {
-	case r.over:
+	case r.ended:
 	case r.ticket != 0:
 		r.withdraw()
-	case r.exchange != nil && !r.waits:
-		r.feed(turn.Stopped{Reason: turn.StopDeadline})
+	case r.exchange != nil && !r.awaiting:
+		r.applyEvent(turn.Stopped{Reason: turn.StopDeadline})
 	}
 }
 
@@ -171,40 +172,40 @@
 	id := r.ticket
 	r.ticket = 0
 	r.front.admission.withdraw(r.group(), id)
-	r.feed(turn.NotAdmitted{Failure: failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
+	r.applyEvent(turn.NotAdmitted{Failure: failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
 		"the request ended while it waited for a slot").Failure})
 }
 
-// giveUp answers in place of an owner that has not ended the request in time.
+// giveUp answers in place of an owner that did not end the request in time.
 func (r *run) giveUp() {
 	if !r.answered {
 		r.answerFailure(failure.New(failure.DeadlineExceeded, protocol.Outcome_UNKNOWN, "the deadline passed").Failure)
 	}
 }
 
-// leave takes a reader away that is gone.
-func (r *run) leave(gone *stream) {
-	for place, reader := range r.readers {
-		if reader == gone {
-			r.readers = append(r.readers[:place:place], r.readers[place+1:]...)
+// removeReader removes a reader that disconnected.
+func (r *run) removeReader(removed *stream) {
+	for index, reader := range r.readers {
+		if reader == removed {
+			r.readers = append(r.readers[:index:index], r.readers[index+1:]...)
 			return
 		}
 	}
 }
 
-// join adds a reader, which gets all events from the first.
+// join adds a reader, which receives all events from the first.
 func (r *run) join(opened *stream) {
-	opened.handle = func(any) { r.leave(opened) }
+	opened.handle = func(any) { r.removeReader(opened) }
 	for _, event := range r.events {
 		opened.send(event)
 	}
 	r.readers = append(r.readers, opened)
 	if r.answered {
-		r.front.suite.rules.answered(r.front, r.request, nil)
+		r.front.suite.rules.observeAnswer(r.front, r.request, nil)
 	}
 }
 
-// emit gives the readers one event.
+// emit sends one event to all readers.
 func (r *run) emit(event proto.Message) {
 	if r.answered {
 		return
@@ -212,8 +213,8 @@
 	copied := proto.Clone(event)
 	if isFinal(copied) {
 		r.answered = true
-		r.reword(failureOf(copied))
-		r.front.suite.rules.answered(r.front, r.request, failureOf(copied))
+		r.maskOwnershipFailure(failureOf(copied))
+		r.front.suite.rules.observeAnswer(r.front, r.request, failureOf(copied))
 	}
 	r.events = append(r.events, copied)
 	for _, reader := range r.readers {
@@ -221,8 +222,9 @@
 	}
 }
 
-// reword keeps a node's word that it is not the owner from being taken for the request's end: other owners may have run it.
-func (r *run) reword(failed *protocol.Failure) {
+// maskOwnershipFailure turns the outcome of a failure for lack of ownership into unknown: another owner may have run
+// the request.
+func (r *run) maskOwnershipFailure(failed *protocol.Failure) {
 	if failed == nil {
 		return
 	}
@@ -246,7 +248,7 @@
 	}
 }
 
-// failureOf is the failure that a final event carries, or nil.
+// failureOf returns the failure in a final event, or nil.
 func failureOf(event proto.Message) *protocol.Failure {
 	switch event := event.(type) {
 	case *protocol.TurnEvent:
@@ -258,7 +260,7 @@
 	}
 }
 
-// answerFailure ends a request that no machine runs, or in place of its machine.
+// answerFailure ends a request without its state machine.
 func (r *run) answerFailure(failed *protocol.Failure) {
 	if r.request.turn == nil {
 		r.emit(&protocol.ToolCallResponse{Failure: failed})
@@ -267,26 +269,28 @@
 	var attempt uint32 = 1
 	var sequence uint64 = 1
 	for _, event := range r.events {
-		if seen, isTurn := event.(*protocol.TurnEvent); isTurn {
-			attempt, sequence = seen.GetAttempt(), seen.GetSequence()+1
+		if previous, isTurn := event.(*protocol.TurnEvent); isTurn {
+			attempt, sequence = previous.GetAttempt(), previous.GetSequence()+1
 		}
 	}
 	r.emit(&protocol.TurnEvent{Attempt: attempt, Sequence: sequence, Body: &protocol.TurnEvent_Failed{Failed: failed}})
 }
 
-// refuseBusy refuses a turn whose session has another one under way.
-func (r *run) refuseBusy() {
-	r.refuseWith(failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "another turn of the conversation is under way",
+// rejectBusy rejects a turn whose session has another one in flight.
+func (r *run) rejectBusy() {
+	r.rejectAfterTombstone(failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN,
+		"another turn of the conversation is under way",
 		failure.WithRetryAfter(busyRetry)).Failure)
 }
 
-// refuseUnrouted refuses a request whose route is not in force here.
-func (r *run) refuseUnrouted() {
-	r.refuseWith(failure.New(failure.UnknownModel, protocol.Outcome_NOT_RUN, "no route serves the model").Failure)
+// rejectUnrouted rejects a request whose route is not in force here.
+func (r *run) rejectUnrouted() {
+	r.rejectAfterTombstone(failure.New(failure.UnknownModel, protocol.Outcome_NOT_RUN,
+		"no route serves the model").Failure)
 }
 
-// refuseWith tells the ledger first that the request is never to run.
-func (r *run) refuseWith(failed *protocol.Failure) {
+// rejectAfterTombstone puts the tombstone in the ledger before it answers.
+func (r *run) rejectAfterTombstone(failed *protocol.Failure) {
 	r.tombstone(ledgerTimeout, func(result *protocol.LedgerResult) {
 		if result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
 			failed.Outcome = protocol.Outcome_UNKNOWN
@@ -295,18 +299,18 @@
 	})
 }
 
-// tombstone marks the request as never to be run.
-func (r *run) tombstone(patience time.Duration, then func(*protocol.LedgerResult)) {
+// tombstone records in the ledger that the request must never run.
+func (r *run) tombstone(timeout time.Duration, then func(*protocol.LedgerResult)) {
 	if r.front.suite.options.Mutation == MutationSkipTombstone {
 		then(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK})
 		return
 	}
-	r.front.operate(r.refusalOperation(), patience, then)
+	r.front.operate(r.rejectionOperation(), timeout, then)
 }
 
-func (r *run) refusalOperation() *protocol.LedgerOperation {
+func (r *run) rejectionOperation() *protocol.LedgerOperation {
 	operation := &protocol.LedgerOperation{Program: r.program()}
-	if r.request.kind == recordedCall {
+	if r.request.kind == nonIdempotentCall {
 		operation.Body = &protocol.LedgerOperation_RefuseCall{RefuseCall: &protocol.RefuseCall{RequestId: r.request.id()}}
 		return operation
 	}
@@ -316,15 +320,15 @@
 	return operation
 }
 
-// admit asks for a slot.
+// admit requests a slot.
 func (r *run) admit() {
-	r.waits = true
-	entered, contest := r.now(), r.front.suite.rules.contest()
+	r.awaiting = true
+	entered, burst := r.now(), r.front.suite.rules.currentBurst()
 	var id uint64
 	id = r.front.admission.enter(r.group(), limit.Ticket{
 		Class: r.request.priority(), Tenant: r.tenant(), Weight: 1, Deadline: r.deadline,
 	}, func(decision limit.Decision) {
-		r.front.suite.rules.admissionDecided(r.front.name, contest, r.request, decision.Verdict == limit.Run)
+		r.front.suite.rules.recordAdmission(r.front.name, burst, r.request, decision.Verdict == limit.Run)
 		r.admitted(id, decision, entered)
 	})
 	r.ticket = id
@@ -346,10 +350,11 @@
 	}
 	r.ticket = 0
 	if decision.Verdict == limit.Run {
-		r.feed(turn.Admitted{})
+		r.applyEvent(turn.Admitted{})
 		return
 	}
-	r.front.suite.rules.refusedSlot(r.front, r.request, r.now().Sub(entered))
-	r.feed(turn.NotAdmitted{Failure: failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "no slot became free in time",
+	r.front.suite.rules.observeSlotRejection(r.front, r.request, r.now().Sub(entered))
+	r.applyEvent(turn.NotAdmitted{Failure: failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN,
+		"no slot became free in time",
 		failure.WithRetryAfter(decision.RetryAfter)).Failure})
 }
--- a/internal/testing/sim/servingsuite/server.go
+++ b/internal/testing/sim/servingsuite/server.go
@@ -11,64 +11,64 @@
 	modelGroup = "models"
 	toolGroup  = "tools"
 
-	heartbeatInterval = 200 * time.Millisecond
-	leastFirstToken   = 20 * time.Millisecond
-	mostFirstToken    = 80 * time.Millisecond
-	leastTokenTime    = 5 * time.Millisecond
-	mostTokenTime     = 25 * time.Millisecond
-	leastLateness     = time.Second
-	mostLateness      = 6 * time.Second
-	refusalRetry      = 200 * time.Millisecond
-	// leaveGrace is how long a server that was told to leave goes on with what it runs.
-	leaveGrace = 500 * time.Millisecond
+	heartbeatInterval   = 200 * time.Millisecond
+	minFirstToken       = 20 * time.Millisecond
+	maxFirstToken       = 80 * time.Millisecond
+	minTokenTime        = 5 * time.Millisecond
+	maxTokenTime        = 25 * time.Millisecond
+	minLateness         = time.Second
+	maxLateness         = 6 * time.Second
+	rejectionRetryAfter = 200 * time.Millisecond
+	// shutdownGrace is how long a server continues its executions after a shutdown request.
+	shutdownGrace = 500 * time.Millisecond
 )
 
-// mood is how a server misbehaves for a while.
-type mood int
+// faultMode is how a server misbehaves for a while.
+type faultMode int
 
 const (
-	moodGood mood = iota
-	// moodGrey breaks off, garbles or exchanges part of the answers.
-	moodGrey
-	// moodForgetful does the work and loses the answer.
-	moodForgetful
-	// moodLate answers when the caller's next request is due.
-	moodLate
-	// moodFlapping refuses connections half of the time.
-	moodFlapping
+	modeHealthy faultMode = iota
+	// modeGreyFailure breaks off or exchanges some of the answers.
+	modeGreyFailure
+	// modeAnswerLoss runs requests and loses some of the answers.
+	modeAnswerLoss
+	// modeLateAnswers delays some answers until the caller's next request is due.
+	modeLateAnswers
+	// modeFlapping rejects connections half of the time.
+	modeFlapping
 )
 
 const (
-	greyOneIn     = 3
-	forgetOneIn   = 2
-	lateOneIn     = 3
-	flapInterval  = 300 * time.Millisecond
-	serverBacklog = 2
+	greyFailureOneIn = 3
+	answerLossOneIn  = 2
+	lateAnswerOneIn  = 3
+	flapInterval     = 300 * time.Millisecond
+	serverBacklog    = 2
 )
 
-// server is one life of a model server or tool server.
+// server is one incarnation of a model server or tool server.
 type server struct {
-	suite       *suite
-	environment *sim.Environment
-	transport   *transport
-	description serverDescription
-	running     uint32
-	queue       []*execution
-	leaving     bool
-	epochs      map[string]uint64
-	// lastNonce is that of the request served before, for answers that are exchanged.
+	suite        *suite
+	environment  *sim.Environment
+	transport    *transport
+	description  serverDescription
+	running      uint32
+	queue        []*execution
+	shuttingDown bool
+	epochs       map[string]uint64
+	// lastNonce is the nonce of the request served before, for exchanged answers.
 	lastNonce string
 }
 
-// execution is one request at a server.
+// execution is one request at a server, queued or running.
 type execution struct {
-	server *server
-	stream *stream
-	work   work
-	run    uint64
-	place  int
-	begun  bool
-	over   bool
+	server     *server
+	stream     *stream
+	work       work
+	id         uint64
+	sentTokens int
+	started    bool
+	ended      bool
 }
 
 func (s *suite) buildServer(group string, capacity uint32) sim.Builder {
@@ -85,143 +85,143 @@
 		if environment.Incarnation() > 1 {
 			s.count(AddressesTakenOver)
 		}
-		created.beat()
+		created.sendHeartbeat()
 		return created, nil
 	}
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (s *server) Receive(from sim.Address, message any) { s.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
 func (s *server) ConnectionBroken(peer sim.Address) { s.transport.connectionBroken(peer) }
 
-func (s *server) mood() mood { return s.suite.moods[s.environment.Address()] }
+func (s *server) faultMode() faultMode { return s.suite.faultModes[s.environment.Address()] }
 
-func (s *server) beat() {
-	if s.leaving {
+func (s *server) sendHeartbeat() {
+	if s.shuttingDown {
 		return
 	}
 	s.transport.call(coreAddress, heartbeat{server: s.description}, heartbeatInterval, func(any) {})
-	s.environment.After(heartbeatInterval, s.beat)
+	s.environment.After(heartbeatInterval, s.sendHeartbeat)
 }
 
 func (s *server) oneIn(count int) bool { return s.environment.Random().IntN(count) == 0 }
 
-func (s *server) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.environment.Random().Int64N(int64(most-least)+1))
+func (s *server) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.environment.Random().Int64N(int64(maximum-minimum)+1))
 }
 
 func (s *server) accept(opened *stream, body any) {
 	switch body := body.(type) {
 	case connect:
 		s.connect(opened, body)
-	case leave:
-		s.leave(opened)
+	case shutdown:
+		s.shutDown(opened)
 	}
 }
 
 func (s *server) connect(opened *stream, request connect) {
 	flapped := s.suite.world.Elapsed()/flapInterval%2 == 0
-	if s.mood() == moodFlapping && flapped {
+	if s.faultMode() == modeFlapping && flapped {
 		s.suite.count(Flaps)
 		opened.close()
 		return
 	}
 	if request.server != s.description.id {
-		s.suite.count(Misdirected)
-		opened.send(misdirected{})
+		s.suite.count(MisroutedConnections)
+		opened.send(wrongServer{})
 		return
 	}
-	taken := &execution{server: s, stream: opened}
-	opened.handle = taken.receive
+	accepted := &execution{server: s, stream: opened}
+	opened.handle = accepted.receive
 	opened.send(connected{})
 }
 
-// leave ends the process gently; the machine starts another one, with another id.
-func (s *server) leave(opened *stream) {
+// shutDown ends the process after a grace period; the machine starts another one, with another id.
+func (s *server) shutDown(opened *stream) {
 	opened.send(orderAnswer{accepted: true})
-	if s.leaving {
+	if s.shuttingDown {
 		return
 	}
-	s.leaving = true
+	s.shuttingDown = true
 	s.suite.count(ServersReleased)
-	s.environment.After(leaveGrace, func() { s.environment.Exit(nil) })
+	s.environment.After(shutdownGrace, func() { s.environment.Exit(nil) })
 }
 
-// receive takes the request of a connection, or its end.
+// receive handles the request of a connection, or its end.
 func (e *execution) receive(body any) {
 	switch body := body.(type) {
 	case work:
 		e.work = body
-		e.server.take(e)
+		e.server.enqueue(e)
 	case broken:
 		e.end()
 	}
 }
 
-func (s *server) take(taken *execution) {
-	s.suite.rules.reached(s.description.id)
-	known := s.epochs[taken.work.session]
-	if taken.work.epoch < known {
+func (s *server) enqueue(arrived *execution) {
+	s.suite.rules.observeArrival(s.description.id)
+	known := s.epochs[arrived.work.session]
+	if arrived.work.epoch < known {
 		s.suite.count(FencedAtServers)
-		taken.stream.send(fencedOff{})
+		arrived.stream.send(fenced{})
 		return
 	}
-	s.epochs[taken.work.session] = taken.work.epoch
+	s.epochs[arrived.work.session] = arrived.work.epoch
 	switch {
-	case s.leaving, len(s.queue) >= int(s.description.capacity)*serverBacklog:
-		taken.stream.send(refused{retryAfter: refusalRetry})
+	case s.shuttingDown, len(s.queue) >= int(s.description.capacity)*serverBacklog:
+		arrived.stream.send(rejected{retryAfter: rejectionRetryAfter})
 	case s.running >= s.description.capacity:
-		s.queue = append(s.queue, taken)
+		s.queue = append(s.queue, arrived)
 	default:
-		taken.start()
+		arrived.start()
 	}
 }
 
 func (e *execution) start() {
 	s := e.server
 	s.running++
-	e.begun = true
-	s.suite.lastRun++
-	e.run = s.suite.lastRun
-	s.suite.rules.ran(e.work.requestID, s.description.id)
-	first := s.between(leastFirstToken, mostFirstToken)
-	if s.mood() == moodLate && s.oneIn(lateOneIn) {
+	e.started = true
+	s.suite.lastExecution++
+	e.id = s.suite.lastExecution
+	s.suite.rules.observeExecution(e.work.requestID, s.description.id)
+	first := s.between(minFirstToken, maxFirstToken)
+	if s.faultMode() == modeLateAnswers && s.oneIn(lateAnswerOneIn) {
 		s.suite.count(LateAnswers)
-		first += s.between(leastLateness, mostLateness)
+		first += s.between(minLateness, maxLateness)
 	}
 	s.environment.After(first, e.step)
 }
 
 // step sends the next token, or the end.
 func (e *execution) step() {
-	if e.over {
+	if e.ended {
 		return
 	}
 	s := e.server
-	if s.mood() == moodGrey && s.oneIn(greyOneIn) {
+	if s.faultMode() == modeGreyFailure && s.oneIn(greyFailureOneIn) {
 		s.suite.count(GreyAnswers)
-		e.misbehave()
+		e.corruptAnswer()
 		return
 	}
-	if e.work.call || e.place == e.work.tokens {
+	if e.work.call || e.sentTokens == e.work.tokens {
 		e.finish()
 		return
 	}
-	e.stream.send(token{requestID: e.work.requestID, run: e.run, place: e.place})
-	e.place++
-	s.environment.After(s.between(leastTokenTime, mostTokenTime), e.step)
+	e.stream.send(token{requestID: e.work.requestID, execution: e.id, index: e.sentTokens})
+	e.sentTokens++
+	s.environment.After(s.between(minTokenTime, maxTokenTime), e.step)
 }
 
-// misbehave breaks the answer off, or ends it as the answer to another request.
-func (e *execution) misbehave() {
+// corruptAnswer breaks the answer off, or ends it with the nonce of another request.
+func (e *execution) corruptAnswer() {
 	s := e.server
 	if s.lastNonce == "" || s.oneIn(2) {
 		e.stream.close()
 	} else {
 		s.suite.count(ExchangedAnswers)
-		e.stream.send(workDone{nonce: s.lastNonce, run: e.run, running: s.running, tokens: e.place})
+		e.stream.send(workDone{nonce: s.lastNonce, execution: e.id, running: s.running, tokens: e.sentTokens})
 	}
 	e.end()
 }
@@ -229,7 +229,7 @@
 func (e *execution) finish() {
 	s := e.server
 	s.lastNonce = e.work.nonce
-	if s.mood() == moodForgetful && s.oneIn(forgetOneIn) {
+	if s.faultMode() == modeAnswerLoss && s.oneIn(answerLossOneIn) {
 		s.suite.count(LostAnswers)
 		if s.oneIn(2) {
 			e.stream.close()
@@ -237,27 +237,27 @@
 		e.end()
 		return
 	}
-	e.stream.send(workDone{nonce: e.work.nonce, run: e.run, running: s.running, tokens: e.place})
+	e.stream.send(workDone{nonce: e.work.nonce, execution: e.id, running: s.running, tokens: e.sentTokens})
 	e.end()
 }
 
-// end frees the slot, or the place in the queue.
+// end frees the slot or leaves the queue.
 func (e *execution) end() {
-	if e.over {
+	if e.ended {
 		return
 	}
-	e.over = true
-	if e.begun {
+	e.ended = true
+	if e.started {
 		e.server.running--
 	}
-	e.server.startWaiting()
+	e.server.startQueued()
 }
 
-func (s *server) startWaiting() {
+func (s *server) startQueued() {
 	for s.running < s.description.capacity && len(s.queue) > 0 {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		if !next.over {
+		if !next.ended {
 			next.start()
 		}
 	}
--- a/internal/testing/sim/servingsuite/stream.go
+++ b/internal/testing/sim/servingsuite/stream.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// frame is one message of a stream. Bodies are never changed once sent.
+// frame is one message of a stream. Bodies are immutable once sent.
 type frame struct {
 	stream   uint64
 	toServer bool
@@ -16,10 +16,10 @@
 	sentAt   time.Duration
 }
 
-// closed is the body of the last frame of a stream that its sender ends.
+// closed is the body of the last frame of a stream that its sender closes.
 type closed struct{}
 
-// broken is what a stream's handler gets when the peer ended the stream or its process ended.
+// broken is passed to a stream's handler when the peer closed the stream or its process ended.
 type broken struct{}
 
 type streamKey struct {
@@ -28,42 +28,43 @@
 	server bool
 }
 
-// stream is one exchange between two processes. What a side sends arrives in order and once, as over TCP; a lost
-// frame stops the direction for good, as a connection does whose peer is not heard any more.
+// stream is one connection between two processes. Frames arrive in order and once, as over TCP; a lost frame stops
+// its direction for good, as when the peer becomes unreachable.
 type stream struct {
-	transport *transport
-	key       streamKey
-	sent      int
-	received  int
-	early     map[int]any
-	handle    func(body any)
-	ended     bool
+	transport  *transport
+	key        streamKey
+	sent       int
+	received   int
+	outOfOrder map[int]any
+	handle     func(body any)
+	ended      bool
 }
 
-// transport holds the streams of one process life.
+// transport holds the streams of one incarnation of a process.
 type transport struct {
 	environment *sim.Environment
-	bornAt      time.Duration
+	startedAt   time.Duration
 	next        uint64
 	streams     map[streamKey]*stream
-	// accept takes the first message of a stream that a peer opened.
+	// accept handles the first message of a stream that a peer opened.
 	accept func(opened *stream, body any)
 }
 
 func newTransport(environment *sim.Environment, accept func(*stream, any)) *transport {
 	return &transport{
-		environment: environment, bornAt: environment.World().Elapsed(), streams: make(map[streamKey]*stream), accept: accept,
-		next: uint64(environment.Incarnation()) << 32,
+		environment: environment, startedAt: environment.World().Elapsed(), streams: make(map[streamKey]*stream),
+		accept: accept,
+		next:   uint64(environment.Incarnation()) << 32,
 	}
 }
 
 func (t *transport) add(key streamKey) *stream {
-	added := &stream{transport: t, key: key, early: make(map[int]any)}
+	added := &stream{transport: t, key: key, outOfOrder: make(map[int]any)}
 	t.streams[key] = added
 	return added
 }
 
-// open begins a stream with its first message; handle gets what comes back.
+// open begins a stream with its first message; handle receives the peer's messages.
 func (t *transport) open(to sim.Address, body any, handle func(body any)) *stream {
 	t.next++
 	opened := t.add(streamKey{peer: to, id: t.next})
@@ -72,7 +73,7 @@
 	return opened
 }
 
-// call opens a stream for one answer; done gets nil when none came in time.
+// call opens a stream for one answer; done is called with nil when none came in time.
 func (t *transport) call(to sim.Address, body any, timeout time.Duration, done func(body any)) {
 	var opened *stream
 	finish := func(answer any) {
@@ -92,7 +93,7 @@
 	})
 }
 
-// send gives a message to the peer.
+// send sends a message to the peer.
 func (s *stream) send(body any) {
 	if s.ended {
 		return
@@ -105,47 +106,47 @@
 	s.transport.environment.Send(s.key.peer, message)
 }
 
-// close ends the stream and tells the peer.
+// close ends the stream and notifies the peer.
 func (s *stream) close() {
 	s.send(closed{})
 	s.abandon()
 }
 
-// abandon ends the stream in silence.
+// abandon ends the stream without notifying the peer.
 func (s *stream) abandon() {
 	s.ended = true
-	s.early = nil
+	s.outOfOrder = nil
 }
 
-// receive takes a frame in.
+// receive handles a frame.
 func (t *transport) receive(from sim.Address, message any) {
 	received, isFrame := message.(frame)
-	if !isFrame || received.sentAt < t.bornAt {
-		// What was sent to a former life of this process reaches no later one.
+	if !isFrame || received.sentAt < t.startedAt {
+		// The frame was sent to an earlier incarnation of this process.
 		return
 	}
 	key := streamKey{peer: from, id: received.stream, server: received.toServer}
-	found := t.streams[key]
-	if found == nil && !received.toServer {
+	target := t.streams[key]
+	if target == nil && !received.toServer {
 		return
 	}
-	if found == nil {
-		found = t.add(key)
+	if target == nil {
+		target = t.add(key)
 	}
-	found.take(received)
+	target.receiveFrame(received)
 }
 
-func (s *stream) take(received frame) {
+func (s *stream) receiveFrame(received frame) {
 	if s.ended || received.sequence < s.received {
 		return
 	}
-	s.early[received.sequence] = received.body
+	s.outOfOrder[received.sequence] = received.body
 	for !s.ended {
-		body, arrived := s.early[s.received]
+		body, arrived := s.outOfOrder[s.received]
 		if !arrived {
 			return
 		}
-		delete(s.early, s.received)
+		delete(s.outOfOrder, s.received)
 		s.received++
 		s.deliver(body)
 	}
@@ -153,7 +154,7 @@
 
 func (s *stream) deliver(body any) {
 	if _, ends := body.(closed); ends {
-		s.breakOff()
+		s.breakConnection()
 		return
 	}
 	if s.handle == nil {
@@ -163,7 +164,7 @@
 	s.handle(body)
 }
 
-func (s *stream) breakOff() {
+func (s *stream) breakConnection() {
 	if s.ended {
 		return
 	}
@@ -183,7 +184,7 @@
 	}
 	slices.SortFunc(lost, func(a, b *stream) int { return compareKeys(a.key, b.key) })
 	for _, candidate := range lost {
-		candidate.breakOff()
+		candidate.breakConnection()
 	}
 }
 
--- a/internal/testing/sim/servingsuite/suite_test.go
+++ b/internal/testing/sim/servingsuite/suite_test.go
@@ -13,17 +13,17 @@
 	seedsTogether = 8
 )
 
-// gather adds up what several runs brought about.
-type gather struct {
+// totals adds up the counts of several runs.
+type totals struct {
 	counts   map[servingsuite.Count]int
 	provoked map[string]int
 }
 
-func newGather() *gather {
-	return &gather{counts: make(map[servingsuite.Count]int), provoked: make(map[string]int)}
+func newTotals() *totals {
+	return &totals{counts: make(map[servingsuite.Count]int), provoked: make(map[string]int)}
 }
 
-func (g *gather) run(t *testing.T, seed int64, options servingsuite.Options) {
+func (g *totals) run(t *testing.T, seed int64, options servingsuite.Options) {
 	t.Helper()
 	report := servingsuite.Run(seed, options)
 	for _, rule := range report.Rules {
@@ -40,55 +40,55 @@
 	}
 }
 
-// checkBrought fails when a kind of bad days did not come.
-func (g *gather) checkBrought(t *testing.T, kind servingsuite.Kind) {
+// checkEffects fails when a scenario had not all of its effects.
+func (g *totals) checkEffects(t *testing.T, scenario servingsuite.Scenario) {
 	t.Helper()
-	for _, name := range servingsuite.CountsOf(kind) {
+	for _, name := range scenario.Counts() {
 		if g.counts[name] == 0 {
-			t.Errorf("no run brought about: %s", name)
+			t.Errorf("no run had the effect: %s", name)
 		}
 	}
 }
 
-func TestEachKindOfBadDaysAloneBreaksNoRule(t *testing.T) {
-	for _, kind := range servingsuite.Kinds() {
-		t.Run(string(kind), func(t *testing.T) {
-			all := newGather()
+func TestEachScenarioAloneBreaksNoRule(t *testing.T) {
+	for _, scenario := range servingsuite.Scenarios() {
+		t.Run(string(scenario), func(t *testing.T) {
+			all := newTotals()
 			for seed := int64(1); seed <= seedsAlone; seed++ {
-				all.run(t, seed, servingsuite.Options{Kinds: []servingsuite.Kind{kind}})
+				all.run(t, seed, servingsuite.Options{Scenarios: []servingsuite.Scenario{scenario}})
 			}
-			all.checkBrought(t, kind)
+			all.checkEffects(t, scenario)
 			t.Logf("%v", all.counts)
 		})
 	}
 }
 
-func TestAllKindsOfBadDaysTogetherBreakNoRule(t *testing.T) {
-	all := newGather()
+func TestAllScenariosTogetherBreakNoRule(t *testing.T) {
+	all := newTotals()
 	for seed := int64(1); seed <= seedsTogether; seed++ {
 		all.run(t, seed, servingsuite.Options{})
 	}
-	for _, kind := range servingsuite.Kinds() {
-		all.checkBrought(t, kind)
+	for _, scenario := range servingsuite.Scenarios() {
+		all.checkEffects(t, scenario)
 	}
 	for name, count := range all.provoked {
 		if count == 0 {
-			t.Errorf("no run gave a chance to fail to: %s", name)
+			t.Errorf("no run provoked: %s", name)
 		}
 	}
 	t.Logf("%v\n%v", all.counts, all.provoked)
 }
 
-// TestSeedsThatBrokeARuleHold runs seeds that violated a rule before what caused it was mended.
-func TestSeedsThatBrokeARuleHold(t *testing.T) {
+// TestFormerlyFailingSeedsBreakNoRule runs seeds that violated a rule before its cause was fixed.
+func TestFormerlyFailingSeedsBreakNoRule(t *testing.T) {
 	for _, seed := range []int64{
-		160, // probes got spare places while urgent turns waited that could not run
+		160, // probes were given surplus slots while urgent turns that could not run were queued
 	} {
-		newGather().run(t, seed, servingsuite.Options{})
+		newTotals().run(t, seed, servingsuite.Options{})
 	}
 }
 
-func TestARunIsRepeatable(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	one := servingsuite.Run(3, servingsuite.Options{})
 	other := servingsuite.Run(3, servingsuite.Options{})
 	if one.Fingerprint != other.Fingerprint || one.MessagesSent != other.MessagesSent {
@@ -96,31 +96,31 @@
 	}
 }
 
-// TestEachMutationBreaksItsRule shows that each checker notices the fault that it is there for.
+// TestEachMutationBreaksItsRule checks that each mutation is detected by the rule that it is made to violate.
 func TestEachMutationBreaksItsRule(t *testing.T) {
-	const mostSeeds = 40
+	const maxSeeds = 40
 	rules := map[servingsuite.Mutation]string{
-		servingsuite.MutationReissueCalls:         servingsuite.RuleOnce,
-		servingsuite.MutationReissueTurns:         servingsuite.RuleOnce,
-		servingsuite.MutationSkipTombstone:        servingsuite.RuleRefused,
-		servingsuite.MutationIgnoreNonces:         servingsuite.RuleOwnAnswer,
-		servingsuite.MutationSpliceStreams:        servingsuite.RuleStream,
-		servingsuite.MutationIgnoreDrains:         servingsuite.RuleDrain,
-		servingsuite.MutationEarlyAcknowledgement: servingsuite.RuleRoute,
-		servingsuite.MutationSkipReservation:      servingsuite.RuleBudget,
-		servingsuite.MutationNoDeadline:           servingsuite.RuleDeadline,
-		servingsuite.MutationLongWait:             servingsuite.RuleEarly,
-		servingsuite.MutationNoRetryAfter:         servingsuite.RuleRetry,
-		servingsuite.MutationSwapClasses:          servingsuite.RuleUrgency,
-		servingsuite.MutationEjectAll:             servingsuite.RuleHalf,
-		servingsuite.MutationStayOut:              servingsuite.RuleBack,
+		servingsuite.MutationReissueCalls:         servingsuite.RuleAtMostOnce,
+		servingsuite.MutationReissueTurns:         servingsuite.RuleAtMostOnce,
+		servingsuite.MutationSkipTombstone:        servingsuite.RuleRejectedNeverRuns,
+		servingsuite.MutationIgnoreNonces:         servingsuite.RuleAnswerMatchesRequest,
+		servingsuite.MutationSpliceStreams:        servingsuite.RuleStreamContiguous,
+		servingsuite.MutationIgnoreDrains:         servingsuite.RuleNothingAfterDrain,
+		servingsuite.MutationEarlyAcknowledgement: servingsuite.RuleRouteInForce,
+		servingsuite.MutationSkipReservation:      servingsuite.RuleWithinBudget,
+		servingsuite.MutationNoDeadline:           servingsuite.RuleAnsweredByDeadline,
+		servingsuite.MutationUnboundedWait:        servingsuite.RuleEarlyRejection,
+		servingsuite.MutationNoRetryAfter:         servingsuite.RuleRetryAfterGiven,
+		servingsuite.MutationSwapClasses:          servingsuite.RulePriorityOrder,
+		servingsuite.MutationEjectAll:             servingsuite.RuleEjectionBound,
+		servingsuite.MutationNeverRenew:           servingsuite.RuleServiceRecovers,
 	}
 	if len(rules) != len(servingsuite.Mutations()) {
-		t.Fatalf("%d of %d mutations are tried", len(rules), len(servingsuite.Mutations()))
+		t.Fatalf("%d of %d mutations have a rule", len(rules), len(servingsuite.Mutations()))
 	}
 	for _, mutation := range servingsuite.Mutations() {
 		t.Run(string(mutation), func(t *testing.T) {
-			for seed := int64(1); seed <= mostSeeds; seed++ {
+			for seed := int64(1); seed <= maxSeeds; seed++ {
 				report := servingsuite.Run(seed, servingsuite.Options{Mutation: mutation})
 				if violates(report.Report, rules[mutation]) {
 					t.Logf("seed %d shows it", seed)
--- a/internal/testing/sim/servingsuite/turn_commands.go
+++ b/internal/testing/sim/servingsuite/turn_commands.go
@@ -8,8 +8,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// execute carries one command out. It returns the event that answers it at once, or nil when there is none or when
-// the answer comes later.
+// execute carries out one command. It returns the event that answers it, or nil when there is none or when it comes
+// later.
 func (r *run) execute(command turn.Command) turn.Event {
 	switch command := command.(type) {
 	case turn.Admit:
@@ -33,9 +33,9 @@
 	case turn.Answer:
 		r.emit(command.Response)
 	case turn.Backoff:
-		r.pause(command.For)
+		r.backOff(command.For)
 	case turn.ReadRetainedTurn:
-		r.readKept(command.TurnID)
+		r.readRetainedTurn(command.TurnID)
 	default:
 		return r.operate(command)
 	}
@@ -69,30 +69,30 @@
 		operation.Body = &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.CallFinished{Result: result} }
 	case turn.RejectCall:
-		r.refuse(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
+		r.reject(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
 		return nil
 	case turn.Reject:
-		r.refuse(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
+		r.reject(command.AtOnce, func(result *protocol.LedgerResult) turn.Event { return turn.Rejected{Result: result} })
 		return nil
 	default:
 		return nil
 	}
-	r.waits = true
-	r.front.operate(operation, ledgerTimeout, func(result *protocol.LedgerResult) { r.feed(answer(result)) })
+	r.awaiting = true
+	r.front.operate(operation, ledgerTimeout, func(result *protocol.LedgerResult) { r.applyEvent(answer(result)) })
 	return nil
 }
 
-// refuse puts the tombstone. One that is refused at once does not wait long for it, but it is put all the same.
-func (r *run) refuse(atOnce bool, answer func(*protocol.LedgerResult) turn.Event) {
-	r.waits = true
-	heard := false
+// reject puts the tombstone. An immediate rejection does not wait long for the ledger's answer.
+func (r *run) reject(immediately bool, answer func(*protocol.LedgerResult) turn.Event) {
+	r.awaiting = true
+	answered := false
 	once := func(result *protocol.LedgerResult) {
-		if !heard {
-			heard = true
-			r.feed(answer(result))
+		if !answered {
+			answered = true
+			r.applyEvent(answer(result))
 		}
 	}
-	if atOnce {
+	if immediately {
 		r.front.environment.After(tombstoneBound, func() {
 			once(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE})
 		})
@@ -100,21 +100,21 @@
 	r.tombstone(ledgerTimeout, once)
 }
 
-// pause waits before the ledger is asked again; lost authority ends the wait for good.
-func (r *run) pause(wait time.Duration) {
-	r.waits = true
+// backOff waits before the ledger is queried again; lost authority ends the wait for good.
+func (r *run) backOff(wait time.Duration) {
+	r.awaiting = true
 	r.front.environment.After(wait, func() {
-		if !r.valid() {
-			r.feed(turn.Stopped{Reason: turn.StopAuthority})
+		if !r.hasAuthority() {
+			r.applyEvent(turn.Stopped{Reason: turn.StopAuthority})
 			return
 		}
-		r.feed(turn.Waited{})
+		r.applyEvent(turn.Waited{})
 	})
 }
 
-func (r *run) readKept(id string) {
-	r.waits = true
-	r.front.suite.count(KeptTurnsRead)
+func (r *run) readRetainedTurn(id string) {
+	r.awaiting = true
+	r.front.suite.count(RetainedTurnsRead)
 	r.front.transport.call(ledgerAddress, readTurn{id: id}, ledgerTimeout, func(body any) {
 		answer, answered := body.(turnRead)
 		status := protocol.LedgerStatus_LEDGER_OK
@@ -124,18 +124,19 @@
 		case answer.turn == nil:
 			status = protocol.LedgerStatus_LEDGER_TURN_MISSING
 		}
-		r.feed(turn.RetainedTurnRead{Turn: answer.turn, Status: status})
+		r.applyEvent(turn.RetainedTurnRead{Turn: answer.turn, Status: status})
 	})
 }
 
 func (r *run) choose(avoid []string) turn.Event {
-	chosen := r.front.choose(r.group(), r.program(), r.front.last[r.session()], avoid)
+	chosen := r.front.choose(r.group(), r.program(), r.front.lastServers[r.session()], avoid)
 	if chosen == "" {
-		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, "no server can take the request",
+		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
+			"no server can take the request",
 			failure.WithRetryAfter(busyRetry)).Failure}
 	}
 	r.server = r.front.servers[chosen]
-	r.front.last[r.session()] = chosen
-	r.front.suite.rules.chosen(chosen)
+	r.front.lastServers[r.session()] = chosen
+	r.front.suite.rules.observeChoice(chosen)
 	return turn.Chosen{BackEnd: chosen}
 }
