--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -4,6 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -17,7 +19,7 @@
 // whose lease runs has confirmed a view that says so. The result is the first
 // one of the order; its index is a view version with the back end draining or gone.
 func (s *Service) drainBackEnd(ctx context.Context, orderID string, command *protocol.DrainBackEndCommand) (*protocol.CommandResult, error) {
-	result, err := s.proposer.propose(ctx, &protocol.Command{
+	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		OrderId: orderID,
 		Body:    &protocol.Command_DrainBackEnd{DrainBackEnd: command},
 	})
@@ -32,31 +34,31 @@
 
 func (o *owner) awaitDrain(ctx context.Context, version uint64) error {
 	waiting := &drain{version: version, result: make(chan error, 1)}
-	asked := o.ask(ctx, func(now time.Time) {
-		if !o.leads() {
-			waiting.result <- notLeaderFailure()
+	executed := o.execute(ctx, func(now time.Time) {
+		if !o.isLeader() {
+			waiting.result <- controllog.NotLeader()
 			return
 		}
 		o.drains = append(o.drains, waiting)
 		o.checkDrains(now)
 	})
-	if !asked {
-		return contextFailure(ctx)
+	if !executed {
+		return controllog.Interrupted(ctx)
 	}
 	select {
 	case err := <-waiting.result:
 		return err
 	case <-ctx.Done():
-		o.ask(o.ctx, func(time.Time) { o.dropDrain(waiting) })
-		return contextFailure(ctx)
+		o.execute(o.ctx, func(time.Time) { o.removeDrain(waiting) })
+		return controllog.Interrupted(ctx)
 	case <-o.ctx.Done():
-		return notLeaderFailure()
+		return controllog.NotLeader()
 	}
 }
 
-func (o *owner) dropDrain(gone *drain) {
+func (o *owner) removeDrain(removed *drain) {
 	for at, waiting := range o.drains {
-		if waiting == gone {
+		if waiting == removed {
 			o.drains = append(o.drains[:at], o.drains[at+1:]...)
 			return
 		}
@@ -65,42 +67,43 @@
 
 // checkDrains answers the drains that nobody stands in the way of any more.
 func (o *owner) checkDrains(now time.Time) {
-	if len(o.drains) == 0 || !o.leads() {
+	if len(o.drains) == 0 || !o.isLeader() {
 		return
 	}
 	confirmed := o.confirmedBackEnds(now)
-	left := o.drains[:0]
+	remaining := o.drains[:0]
 	for _, waiting := range o.drains {
 		if confirmed < waiting.version {
-			left = append(left, waiting)
+			remaining = append(remaining, waiting)
 			continue
 		}
 		waiting.result <- nil
 		o.metrics.drains.WithLabelValues("acknowledged").Inc()
 	}
-	clear(o.drains[len(left):])
-	o.drains = left
+	clear(o.drains[len(remaining):])
+	o.drains = remaining
 }
 
 // confirmedBackEnds is the oldest back-end view that a front node under a lease may act on.
 func (o *owner) confirmedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
-		if node.GetKind() != protocol.NodeKind_FRONT || !now.Before(o.nodes.expiry(node.GetName(), node.GetIncarnation())) {
+		holder := leases.NodeHolder(node)
+		if node.GetKind() != protocol.NodeKind_FRONT || !now.Before(o.nodes.Expiry(holder)) {
 			continue
 		}
-		held := o.nodes.find(node.GetName(), node.GetIncarnation())
-		if held == nil {
+		lease := o.nodes.Find(holder)
+		if lease == nil {
 			return 0
 		}
-		oldest = min(oldest, held.backEnds)
+		oldest = min(oldest, lease.InForce().BackEnds)
 	}
 	return oldest
 }
 
 func (o *owner) failDrains() {
 	for _, waiting := range o.drains {
-		waiting.result <- notLeaderFailure()
+		waiting.result <- controllog.NotLeader()
 		o.metrics.drains.WithLabelValues("interrupted").Inc()
 	}
 	o.drains = nil
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -11,10 +11,11 @@
 	"go.uber.org/fx"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -78,23 +79,23 @@
 	if err != nil {
 		return nil, err
 	}
-	tokens := &Tokens{}
+	tokens := &operators.Tokens{}
 	if path := settings.GetOperatorTokenFile(); path != "" {
-		if tokens, err = LoadTokens(path); err != nil {
+		if tokens, err = operators.LoadTokens(path); err != nil {
 			return nil, err
 		}
 	}
 	return New(Options{
-		Consensus:    consensus,
-		Machine:      machine,
-		Clock:        clock,
-		Caller:       caller,
-		Lease:        millis(settings.GetLeaseMillis()),
-		ShardCount:   settings.GetShardCount(),
-		ReplicaCount: settings.GetReplicaCount(),
-		Coalesce:     millis(settings.GetCoalesceMillis()),
-		FirstKeys:    keys,
-		Tokens:       tokens,
+		Consensus:        consensus,
+		Machine:          machine,
+		Clock:            clock,
+		Caller:           caller,
+		Lease:            millis(settings.GetLeaseMillis()),
+		ShardCount:       settings.GetShardCount(),
+		ReplicaCount:     settings.GetReplicaCount(),
+		CoalesceInterval: millis(settings.GetCoalesceMillis()),
+		FirstKeys:        keys,
+		Tokens:           tokens,
 
 		TrustOperators: settings.GetTrustOperators(),
 		BackEndLease:   millis(settings.GetBackEndLeaseMillis()),
--- a/internal/controlplane/core/answers.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -1,4 +1,4 @@
-package core
+package operators
 
 import (
 	"encoding/json"
@@ -13,16 +13,19 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// refusedError is a refused order on its way to the operator.
-type refusedError struct {
-	refusal *protocol.Refusal
+// rejectedError is an order that the control state rejected.
+type rejectedError struct {
+	rejection *protocol.Refusal
 }
 
-func (e *refusedError) Error() string { return e.refusal.GetCode() + ": " + e.refusal.GetMessage() }
+func (e *rejectedError) Error() string {
+	return e.rejection.GetCode() + ": " + e.rejection.GetMessage()
+}
 
 // errorBody is the JSON body of every failure.
 type errorBody struct {
@@ -43,16 +46,16 @@
 // encode writes a protobuf message as JSON with the field names of the .proto files.
 func encode(message proto.Message) (json.RawMessage, error) {
 	encoded, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(message)
-	return encoded, errors.Wrap(err, "encode answer")
+	return encoded, errors.Wrap(err, "encode response")
 }
 
-// protoAnswer answers with one protobuf message.
-func protoAnswer(message proto.Message) (*answer, error) {
+// protoResponse answers with one protobuf message.
+func protoResponse(message proto.Message) (*response, error) {
 	document, err := encode(message)
 	if err != nil {
 		return nil, err
 	}
-	return &answer{status: http.StatusOK, document: document}, nil
+	return okResponse(document), nil
 }
 
 func encodeList[T proto.Message](messages []T) ([]json.RawMessage, error) {
@@ -67,8 +70,8 @@
 	return encoded, nil
 }
 
-func (s *Service) writeAnswer(writer http.ResponseWriter, result *answer) {
-	s.metrics.requests.WithLabelValues("ok").Inc()
+func (h *Handler) writeResponse(writer http.ResponseWriter, result *response) {
+	h.metrics.requests.WithLabelValues("ok").Inc()
 	writeJSON(writer, result.status, result.document)
 }
 
@@ -83,32 +86,32 @@
 	_, _ = writer.Write(append(encoded, '\n'))
 }
 
-// writeError answers with a typed failure; a follower sends the operator on to the leader.
-func (s *Service) writeError(writer http.ResponseWriter, request *http.Request, err error) {
+// writeError answers with a typed failure; a follower redirects the operator to the leader.
+func (h *Handler) writeError(writer http.ResponseWriter, request *http.Request, err error) {
 	detail, status := describe(err)
 	if detail.Code == string(failure.NotLeader) {
-		detail, status = s.sendOn(writer, request)
+		detail, status = h.redirectToLeader(writer, request)
 	}
-	s.metrics.requests.WithLabelValues(detail.Code).Inc()
+	h.metrics.requests.WithLabelValues(detail.Code).Inc()
 	if detail.RetryAfterMillis > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(detail.RetryAfterMillis)/1000))))
 	}
 	writeJSON(writer, status, errorBody{Error: detail})
 }
 
-// sendOn sets the leader's address, or says that there is no leader.
-func (s *Service) sendOn(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
-	leader := s.consensus.Leader()
-	own := s.consensus.Status().GetId()
+// redirectToLeader sets the leader's address, or reports that there is no leader.
+func (h *Handler) redirectToLeader(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
+	leader := h.consensus.Leader()
+	own := h.consensus.Status().GetId()
 	if leader.GetHttpAddress() == "" || leader.GetId() == own {
-		return describe(failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present", failure.WithRetryAfter(retryWait)))
+		return describe(controllog.NoLeader())
 	}
-	writer.Header().Set("Location", "http://"+hostOf(leader.GetHttpAddress())+request.URL.RequestURI())
+	writer.Header().Set("Location", "http://"+normalizeHost(leader.GetHttpAddress())+request.URL.RequestURI())
 	detail, _ := describe(failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "the leader is "+leader.GetName()))
 	return detail, http.StatusTemporaryRedirect
 }
 
-func hostOf(address string) string {
+func normalizeHost(address string) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
@@ -118,9 +121,9 @@
 
 // describe gives the body and the HTTP status of an error.
 func describe(err error) (errorDetail, int) {
-	var refused *refusedError
-	if errors.As(err, &refused) {
-		return describeRefusal(refused.refusal)
+	var rejected *rejectedError
+	if errors.As(err, &rejected) {
+		return describeRejection(rejected.rejection)
 	}
 	var malformed *bundle.ParseError
 	if errors.As(err, &malformed) {
@@ -130,20 +133,20 @@
 	return errorDetail{Detail: failure.DetailOf(problem)}, int(problem.GetStatus())
 }
 
-func describeRefusal(refusal *protocol.Refusal) (errorDetail, int) {
+func describeRejection(rejection *protocol.Refusal) (errorDetail, int) {
 	detail := errorDetail{
-		Detail: failure.Detail{Code: refusal.GetCode(), Message: refusal.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
-		Faults: faultBodies(refusal.GetFaults()),
+		Detail: failure.Detail{Code: rejection.GetCode(), Message: rejection.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
+		Faults: faultBodies(rejection.GetFaults()),
 	}
 	if len(detail.Faults) > 0 {
 		detail.Path = detail.Faults[0].Path
 	}
-	if refusal.GetWinner() != nil {
-		if winner, err := encode(refusal.GetWinner()); err == nil {
+	if rejection.GetWinner() != nil {
+		if winner, err := encode(rejection.GetWinner()); err == nil {
 			detail.Winner = winner
 		}
 	}
-	return detail, statusOf(failure.Code(refusal.GetCode()))
+	return detail, controllog.HTTPStatus(failure.Code(rejection.GetCode()))
 }
 
 func describeMalformed(malformed *bundle.ParseError) (errorDetail, int) {
@@ -162,8 +165,8 @@
 
 func faultBodies(faults []*protocol.Fault) []faultBody {
 	bodies := make([]faultBody, len(faults))
-	for i, found := range faults {
-		bodies[i] = faultBody{Path: found.GetPath(), Message: found.GetMessage()}
+	for i, fault := range faults {
+		bodies[i] = faultBody{Path: fault.GetPath(), Message: fault.GetMessage()}
 	}
 	return bodies
 }
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -8,8 +8,13 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
+	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
-	"github.com/rosestand/rosestand/internal/dataplane/serverhealth"
+	"github.com/rosestand/rosestand/internal/controlplane/serverhealth"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -17,12 +22,10 @@
 const (
 	tickInterval = 50 * time.Millisecond
 	// stallLimit is how late a tick may be before the owner takes itself for stalled.
-	stallLimit = time.Second
+	stallThreshold = time.Second
 	// leaseMargin is added to each lease at the leader, so that it outlives the holder's own count.
-	leaseMargin = 250 * time.Millisecond
-	// endingRetry is the wait before a removal is proposed again.
-	endingRetry  = time.Second
-	commandQueue = 1024
+	leaseMargin        = 250 * time.Millisecond
+	commandQueueLength = 1024
 )
 
 // leadership is one unbroken time in which this process leads.
@@ -42,26 +45,26 @@
 	// caller reaches the other core members; it may be nil.
 	caller   wire.Caller
 	machine  *Machine
-	proposer *proposer
+	proposer *controllog.Proposer
 	logger   *log.Logger
 	metrics  *metrics
 
-	queue   chan func(now time.Time)
-	ctx     context.Context
-	stop    context.CancelFunc
-	workers sync.WaitGroup
-	leading atomic.Pointer[leadership]
+	queue      chan func(now time.Time)
+	ctx        context.Context
+	stop       context.CancelFunc
+	workers    sync.WaitGroup
+	leadership atomic.Pointer[leadership]
 
-	lastTick    time.Time
-	leaderSince time.Time
-	nodes       *leaseTable
-	backEnds    *leaseTable
-	announced   *announcedTable
-	relay       *heartbeatRelay
-	relaying    *relayingTable
-	drains      []*drain
-	arms        *armTable
-	reconciler  *reconciler
+	lastTick        time.Time
+	leaderSince     time.Time
+	nodes           *leases.Table
+	backEnds        *leases.Table
+	sequences       *heartbeats.SequenceTable
+	relay           *heartbeats.Relay
+	relayingMembers *heartbeats.RelayingMembers
+	drains          []*drain
+	variants        *rollout.VariantTable
+	reconciler      *reconcile.Reconciler
 	// serverHealth is what front nodes saw of back ends; a new leader begins without it.
 	serverHealth serverhealth.Board
 	// suspectsChanged is closed and replaced when another back end became suspect.
@@ -69,7 +72,7 @@
 	// heartbeatMembers are the members that can be named to back ends.
 	heartbeatMembers atomic.Pointer[[]*protocol.CoreMember]
 	// underWay counts the tasks that work began and whose end the owner has not seen.
-	underWay int
+	runningTasks int
 }
 
 func (o *owner) start() {
@@ -103,7 +106,7 @@
 }
 
 // ask runs a command on the owner and waits for it; it reports false when the context or the owner ended first.
-func (o *owner) ask(ctx context.Context, command func(now time.Time)) bool {
+func (o *owner) execute(ctx context.Context, command func(now time.Time)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
 		command(now)
@@ -127,14 +130,14 @@
 }
 
 // work runs a task beside the owner; after, if any, runs on the owner with what the task returned.
-func (o *owner) work(task func(ctx context.Context) error, after func(now time.Time, err error)) {
-	o.underWay++
+func (o *owner) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
+	o.runningTasks++
 	o.workers.Go(func() {
-		ctx, cancel := context.WithTimeout(o.ctx, proposeTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, controllog.ProposeTimeout)
 		defer cancel()
 		err := task(ctx)
 		ended := func(now time.Time) {
-			o.underWay--
+			o.runningTasks--
 			after(now, err)
 		}
 		select {
@@ -148,127 +151,171 @@
 // between. Each beginning gives every lease a whole length.
 func (o *owner) observeLeadership(now time.Time) {
 	leads, since := o.consensus.IsLeader(), o.consensus.LeaderSince()
-	held := o.leading.Load()
-	if held != nil && (!leads || !since.Equal(o.leaderSince)) {
+	current := o.leadership.Load()
+	if current != nil && (!leads || !since.Equal(o.leaderSince)) {
 		o.endLeadership()
-		held = nil
+		current = nil
 	}
-	if held == nil && leads {
+	if current == nil && leads {
 		o.beginLeadership(now, since)
 	}
 }
 
 func (o *owner) beginLeadership(now, since time.Time) {
 	o.leaderSince = since
-	o.nodes.reset(now)
-	o.backEnds.reset(now)
-	o.announced.reset()
-	o.relay.reset()
-	o.relaying.reset()
+	o.nodes.Reset(now)
+	o.backEnds.Reset(now)
+	o.sequences.Reset()
+	o.relay.Reset()
+	o.relayingMembers.Reset()
 	o.heartbeatMembers.Store(nil)
-	o.arms.reset()
-	o.reconciler.reset()
-	o.leading.Store(&leadership{since: now, lost: make(chan struct{})})
+	o.variants.Reset()
+	o.reconciler.Reset()
+	o.leadership.Store(&leadership{since: now, lost: make(chan struct{})})
 	o.machine.leading.Store(true)
 	o.metrics.leading.Set(1)
 	o.logger.Info("leading", "term", o.consensus.Status().GetTerm())
 }
 
 func (o *owner) endLeadership() {
-	held := o.leading.Swap(nil)
-	if held == nil {
+	ended := o.leadership.Swap(nil)
+	if ended == nil {
 		return
 	}
-	close(held.lost)
+	close(ended.lost)
 	o.failDrains()
 	o.machine.leading.Store(false)
 	o.metrics.leading.Set(0)
 	o.logger.Info("no longer leading")
 }
 
-// leads reports whether this process leads at this moment, as the owner and the replica both see it.
-func (o *owner) leads() bool { return o.leading.Load() != nil && o.consensus.IsLeader() }
+// currentLeadership returns the channel that is closed at the end of the present leadership, if this process leads.
+func (o *owner) currentLeadership() (lost <-chan struct{}, isLeader bool) {
+	current := o.leadership.Load()
+	if current == nil || !o.consensus.IsLeader() {
+		return nil, false
+	}
+	return current.lost, true
+}
+
+// isLeader reports whether this process leads at this moment, as the owner and the replica both see it.
+func (o *owner) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
 
 func (o *owner) tick(now time.Time) {
 	o.observeLeadership(now)
-	stalled := now.Sub(o.lastTick) > stallLimit
+	stalled := now.Sub(o.lastTick) > stallThreshold
 	o.lastTick = now
-	if !o.leads() {
-		o.relayHeartbeats(now)
+	if !o.isLeader() {
+		o.sendHeartbeatBatch(now)
 		return
 	}
 	if stalled {
-		o.nodes.extend(now)
-		o.backEnds.extend(now)
+		o.nodes.Extend(now)
+		o.backEnds.Extend(now)
 	}
-	o.sweepLeases()
-	o.announced.sweep(now)
-	o.observeRelaying(now)
-	o.endNodeLeases(now)
-	o.endBackEndLeases(now)
+	o.dropAbsentLeases()
+	o.sequences.Sweep(now)
+	o.updateHeartbeatMembers(now)
+	o.expireNodeLeases(now)
+	o.expireBackEndLeases(now)
 	o.checkDrains(now)
 	o.reconcile(now)
-	o.observeView()
+	o.recordViewMetrics()
 }
 
 // sweepLeases forgets the leases of what is not in the view any more.
-func (o *owner) sweepLeases() {
+func (o *owner) dropAbsentLeases() {
 	view := o.machine.View()
-	o.nodes.sweep(func(name string) (uint64, bool) {
+	o.nodes.DropAbsent(func(name string) (uint64, bool) {
 		node := view.Node(name)
 		return node.GetIncarnation(), node != nil
 	})
-	o.backEnds.sweep(func(id string) (uint64, bool) {
+	o.backEnds.DropAbsent(func(id string) (uint64, bool) {
 		backEnd := view.BackEnd(id)
 		return backEnd.GetIncarnation(), backEnd != nil
 	})
 }
 
 // endNodeLeases proposes the removal of nodes whose lease ran out.
-func (o *owner) endNodeLeases(now time.Time) {
+func (o *owner) expireNodeLeases(now time.Time) {
 	for _, node := range o.machine.View().Membership.GetNodes() {
-		name, incarnation := node.GetName(), node.GetIncarnation()
-		if !o.nodes.beginEnding(name, incarnation, now) {
+		holder := leases.NodeHolder(node)
+		if !o.nodes.BeginRemoval(holder, now) {
 			continue
 		}
 		o.metrics.leases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveNodeCommand{Name: name, Incarnation: incarnation, Reason: "lease ran out"}
-		o.work(func(ctx context.Context) error {
-			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
+		remove := &protocol.RemoveNodeCommand{Name: holder.Name, Incarnation: holder.Incarnation, Reason: "lease ran out"}
+		o.runTask(func(ctx context.Context) error {
+			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.nodes.proposed(name, incarnation)
-			o.sweepLeases()
+			o.nodes.EndProposal(holder)
+			o.dropAbsentLeases()
 		})
 	}
 }
 
 // endBackEndLeases proposes the removal of back ends whose heartbeats stopped.
-func (o *owner) endBackEndLeases(now time.Time) {
+func (o *owner) expireBackEndLeases(now time.Time) {
 	for _, backEnd := range o.machine.View().BackEnds.GetBackEnds() {
-		id, incarnation := backEnd.GetId(), backEnd.GetIncarnation()
-		if !o.backEnds.beginEnding(id, incarnation, now) {
+		holder := leases.BackEndHolder(backEnd)
+		if !o.backEnds.BeginRemoval(holder, now) {
 			continue
 		}
 		o.metrics.backEndLeases.WithLabelValues("expired").Inc()
-		remove := &protocol.RemoveBackEndCommand{Id: id, Incarnation: incarnation}
-		o.work(func(ctx context.Context) error {
-			_, err := o.proposer.propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
+		remove := &protocol.RemoveBackEndCommand{Id: holder.Name, Incarnation: holder.Incarnation}
+		o.runTask(func(ctx context.Context) error {
+			_, err := o.proposer.Propose(ctx, &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: remove}})
 			return err
 		}, func(time.Time, error) {
-			o.backEnds.proposed(id, incarnation)
-			o.sweepLeases()
+			o.backEnds.EndProposal(holder)
+			o.dropAbsentLeases()
 		})
 	}
 }
 
-func (o *owner) observeView() {
+// reconcile proposes the next commands that are due, if any, one after the other.
+func (o *owner) reconcile(now time.Time) {
+	view := o.machine.View()
+	o.reconciler.ObserveStores(view, now)
+	if !o.reconciler.Due(now) || !o.isLeader() {
+		return
+	}
+	lastRenewal := func(node *protocol.Node) time.Time { return o.nodes.LastRenewal(leases.NodeHolder(node)) }
+	commands := o.reconciler.NextCommands(view, lastRenewal, now)
+	if len(commands) == 0 {
+		return
+	}
+	o.reconciler.BeginProposal()
+	var result *protocol.CommandResult
+	o.runTask(func(ctx context.Context) error {
+		for _, command := range commands {
+			var err error
+			if result, err = o.proposer.Propose(ctx, command); err != nil || !result.GetAccepted() {
+				return err
+			}
+		}
+		return nil
+	}, func(now time.Time, err error) {
+		accepted := err == nil && result.GetAccepted()
+		o.reconciler.EndProposal(now, accepted)
+		if !accepted {
+			o.logger.Debug("reconciler command rejected", "error", err, "rejection", result.GetRefusal().GetMessage())
+			o.metrics.reconciled.WithLabelValues("failed").Inc()
+			return
+		}
+		o.metrics.reconciled.WithLabelValues("done").Inc()
+		o.reconcile(now)
+	})
+}
+
+func (o *owner) recordViewMetrics() {
 	view := o.machine.View()
 	o.metrics.versions.WithLabelValues("configuration").Set(float64(view.Configuration.GetVersion()))
 	o.metrics.versions.WithLabelValues("membership").Set(float64(view.Membership.GetVersion()))
 	o.metrics.versions.WithLabelValues("back_ends").Set(float64(view.BackEnds.GetVersion()))
 	o.metrics.versions.WithLabelValues("placement").Set(float64(view.Placement.GetEpoch()))
-	o.metrics.ordersKept.Set(float64(view.Orders))
+	o.metrics.ordersRetained.Set(float64(view.Orders))
 	o.metrics.nodes.Set(float64(len(view.Membership.GetNodes())))
 	o.metrics.backEnds.Set(float64(len(view.BackEnds.GetBackEnds())))
 }
--- a/internal/controlplane/replica/disk.go
+++ b/internal/controlplane/replica/disk.go
@@ -9,7 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
@@ -27,7 +27,7 @@
 
 func openDisk(filesystem storage.Filesystem, folder string) (*disk, error) {
 	path := filepath.Join(folder, logFolder)
-	if err := filesystem.MakeFolder(path); err != nil {
+	if err := filesystem.MkdirAll(path); err != nil {
 		return nil, err
 	}
 	snapshots := filepath.Join(folder, snapshotFolder)
--- a/internal/state/register/change.go
+++ b/internal/state/register/change.go
@@ -6,122 +6,136 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Function gives the new value for the newest one, nil for a register never
-// written. Returning changed false leaves the value as it is. It may be called
-// again with another value after a lost race, so it must be idempotent.
-type Function func(current []byte) (next []byte, changed bool)
-
-// Head is what a proposer knows of a register after its own change was chosen:
-// a majority promised Ballot along with Value under the placement epoch, so the
-// next change may skip its prepare round.
-type Head struct {
+// UpdateFunc computes the next value from the current one, which is nil for a register never written. Returning changed
+// false leaves the value as it is. It is called again with a newer value when another proposer wins, so it must be
+// idempotent.
+type UpdateFunc func(current []byte) (next []byte, changed bool)
+
+// PreparedProposal is what a proposer knows of a register after its own change was chosen: a majority promised Ballot
+// along with Value under the placement epoch, so the next change may skip its prepare phase.
+type PreparedProposal struct {
+	// Epoch is the placement epoch under which the ballot was promised.
 	Epoch  uint64
 	Ballot Ballot
 	Value  []byte
 }
 
-// Status says how far a change has come.
+// Status is the progress of a change; the package comment has a table of the transitions.
 type Status int
 
 const (
-	// StatusUnderWay waits for answers.
-	StatusUnderWay Status = iota
+	// StatusInProgress waits for answers.
+	StatusInProgress Status = iota
 	// StatusPreempted lost against a higher ballot and waits for Retry.
 	StatusPreempted
-	// StatusUnavailable found no majority; it waits for Retry.
+	// StatusUnavailable cannot reach a majority any more; it waits for Retry.
 	StatusUnavailable
-	// StatusWrongPlacement met a replica under another placement epoch; begin
-	// anew once the placement that SeenEpoch names is known.
+	// StatusWrongPlacement was rejected under a newer placement epoch; a new Change is needed once the placement that
+	// SeenEpoch names is known.
 	StatusWrongPlacement
-	// StatusChosen ended: the value is chosen.
+	// StatusChosen is final: the value is chosen.
 	StatusChosen
 )
 
 // Message is a request to one replica; exactly one of Prepare and Accept is set.
-// Round tells late answers apart.
 type Message struct {
-	Store   string
-	Round   uint64
-	Prepare *protocol.PrepareRequest
-	Accept  *protocol.AcceptRequest
+	Store string
+	// PhaseNumber is handed back with the answer, so that late answers to an earlier phase are ignored.
+	PhaseNumber uint64
+	Prepare     *protocol.PrepareRequest
+	Accept      *protocol.AcceptRequest
 }
 
+// phase is the step of the protocol that a change is in.
 type phase int
 
 const (
+	// phaseReading requests the accepted values without a ballot.
 	phaseReading phase = iota
+	// phasePreparing requests promises for a ballot, with the accepted values.
 	phasePreparing
+	// phaseAccepting requests that the value be stored under the promised ballot.
 	phaseAccepting
 )
 
-// ChangeOptions describe one change.
+// ChangeOptions describe one change or read.
 type ChangeOptions struct {
-	Key     *protocol.RegisterKey
-	Shard   uint32
+	Key   *protocol.RegisterKey
+	Shard uint32
+	// Epoch is the placement epoch that Quorum was taken from; every message names it.
 	Epoch   uint64
 	Quorum  Quorum
-	Ballots *Ballots
-	// Function is applied to the newest value. When nil the change is a read.
-	Function Function
-	// Head, when of the same epoch, skips the prepare round.
-	Head Head
+	Ballots *BallotGenerator
+	// Update is applied to the newest value. When nil the change is a read.
+	Update UpdateFunc
+	// PreparedProposal, when of the same epoch, lets the change skip its prepare phase.
+	PreparedProposal PreparedProposal
 }
 
-// Change takes one register through prepare and accept. It is driven by its
-// owner: Start and Retry return messages to send, the answers come back through
-// Prepared, Accepted and Failed.
+// Change is the proposer of one change or read of a register. Its owner sends the messages that Start, Retry and the
+// handlers return, and passes each answer to HandlePrepareResponse or HandleAcceptResponse, or the lack of one to
+// HandleFailure. It is not safe for concurrent use.
 type Change struct {
-	options   ChangeOptions
-	members   []string
-	round     uint64
-	phase     phase
-	status    Status
-	ballot    Ballot
-	next      Ballot
-	value     []byte
-	seen      Ballot
-	seenEpoch uint64
-	votes     []string
-	failed    []string
-	newest    Ballot
-	unanimous bool
+	options ChangeOptions
+	members []string
+
+	phase       phase
+	phaseNumber uint64
+	status      Status
+
+	// ballot is that of the proposal, nextBallot the one that it has promised for the change after it.
+	ballot     Ballot
+	nextBallot Ballot
+	value      []byte
+
+	// seenBallot and seenEpoch are the highest ones that a rejection named.
+	seenBallot Ballot
+	seenEpoch  uint64
+
+	// votes and failed name the stores that answered the phase, and those that will not.
+	votes  []string
+	failed []string
+
+	// newestAccepted is the highest accepted ballot among the votes; unanimous says that all of them accepted it.
+	newestAccepted Ballot
+	unanimous      bool
 }
 
-// NewChange makes a change that has not begun.
+// NewChange returns a change that has not been started.
 func NewChange(options ChangeOptions) *Change {
 	return &Change{options: options, members: options.Quorum.Members()}
 }
 
-// Status says how far the change has come.
+// Status returns the progress of the change.
 func (c *Change) Status() Status { return c.status }
 
-// Value is the chosen value; nil for a register never written. Valid with StatusChosen.
+// Value returns the chosen value; nil for a register never written. Valid with StatusChosen.
 func (c *Change) Value() []byte { return c.value }
 
-// SeenEpoch is the placement epoch that a replica named. Valid with StatusWrongPlacement.
+// SeenEpoch returns the newest placement epoch that a replica named. Valid with StatusWrongPlacement.
 func (c *Change) SeenEpoch() uint64 { return c.seenEpoch }
 
-// Head lets the next change skip its prepare round. Its ballot is zero when it cannot.
-func (c *Change) Head() Head {
+// PreparedProposal lets the next change skip its prepare phase. Its ballot is zero when that is not possible.
+func (c *Change) PreparedProposal() PreparedProposal {
 	if c.status != StatusChosen || c.phase != phaseAccepting {
-		return Head{}
+		return PreparedProposal{}
 	}
-	return Head{Epoch: c.options.Epoch, Ballot: c.next, Value: c.value}
+	return PreparedProposal{Epoch: c.options.Epoch, Ballot: c.nextBallot, Value: c.value}
 }
 
-// Start gives the first messages. It is called once.
+// Start returns the first messages. It is called once.
 func (c *Change) Start() []Message {
-	if c.options.Function == nil {
+	if c.options.Update == nil {
 		return c.read()
 	}
-	if head := c.options.Head; !head.Ballot.IsZero() && head.Epoch == c.options.Epoch {
-		c.ballot = head.Ballot
-		return c.accept(head.Value)
+	if prepared := c.options.PreparedProposal; !prepared.Ballot.IsZero() && prepared.Epoch == c.options.Epoch {
+		c.ballot = prepared.Ballot
+		return c.accept(prepared.Value)
 	}
 	return c.prepare()
 }
 
-// Retry begins anew with a higher ballot after StatusPreempted or StatusUnavailable.
+// Retry starts the prepare phase again with a higher ballot after StatusPreempted or StatusUnavailable.
 func (c *Change) Retry() []Message {
 	if c.status != StatusPreempted && c.status != StatusUnavailable {
 		return nil
@@ -129,104 +143,101 @@
 	return c.prepare()
 }
 
-func (c *Change) beginRound(phase phase) {
-	c.round++
+func (c *Change) beginPhase(phase phase) {
+	c.phaseNumber++
 	c.phase = phase
-	c.status = StatusUnderWay
+	c.status = StatusInProgress
 	c.votes = c.votes[:0]
 	c.failed = c.failed[:0]
 }
 
-// read asks for the values only. When a majority voted for the same ballot that
-// value is chosen, and no later one was when the read began. Otherwise the read
-// goes on as a change that leaves the value as it is, and so repairs it.
+// read requests the values only. When a majority voted for the same ballot, that value is chosen, and no later one was
+// when the read began. Otherwise the read continues as a change that leaves the value as it is, and so repairs it.
 func (c *Change) read() []Message {
-	c.beginRound(phaseReading)
+	c.beginPhase(phaseReading)
 	c.resetNewest()
-	return c.toAll(func(message *Message) {
-		message.Prepare = &protocol.PrepareRequest{
-			Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
-		}
-	})
+	return c.broadcast(Message{Prepare: &protocol.PrepareRequest{
+		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
+	}})
 }
 
 func (c *Change) prepare() []Message {
-	c.beginRound(phasePreparing)
+	c.beginPhase(phasePreparing)
 	c.resetNewest()
-	c.ballot = c.options.Ballots.Next(c.seen, c.ballot, c.next)
-	request := &protocol.PrepareRequest{
-		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key, Ballot: c.ballot.Message(),
-	}
-	return c.toAll(func(message *Message) { message.Prepare = request })
+	c.ballot = c.options.Ballots.Next(c.seenBallot, c.ballot, c.nextBallot)
+	return c.broadcast(Message{Prepare: &protocol.PrepareRequest{
+		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key, Ballot: c.ballot.ToProto(),
+	}})
 }
 
-// accept proposes the function's value of current under the ballot at hand.
+// accept proposes the updated value under the ballot that a majority promised.
 func (c *Change) accept(current []byte) []Message {
-	c.beginRound(phaseAccepting)
+	c.beginPhase(phaseAccepting)
 	c.value = current
-	if c.options.Function != nil {
-		if next, changed := c.options.Function(current); changed {
+	if c.options.Update != nil {
+		if next, changed := c.options.Update(current); changed {
 			c.value = next
 		}
 	}
-	c.next = c.options.Ballots.Next(c.ballot)
-	request := &protocol.AcceptRequest{
+	c.nextBallot = c.options.Ballots.Next(c.ballot)
+	return c.broadcast(Message{Accept: &protocol.AcceptRequest{
 		Shard: c.options.Shard, PlacementEpoch: c.options.Epoch, Key: c.options.Key,
-		Ballot: c.ballot.Message(), Value: c.value, NextBallot: c.next.Message(),
-	}
-	return c.toAll(func(message *Message) { message.Accept = request })
+		Ballot: c.ballot.ToProto(), Value: c.value, NextBallot: c.nextBallot.ToProto(),
+	}})
 }
 
-func (c *Change) toAll(fill func(*Message)) []Message {
+// broadcast addresses a message of the phase to every member. The request is shared and read-only from here on.
+func (c *Change) broadcast(message Message) []Message {
+	message.PhaseNumber = c.phaseNumber
 	messages := make([]Message, 0, len(c.members))
 	for _, store := range c.members {
-		message := Message{Store: store, Round: c.round}
-		fill(&message)
+		message.Store = store
 		messages = append(messages, message)
 	}
 	return messages
 }
 
 func (c *Change) resetNewest() {
-	c.newest = Ballot{}
+	c.newestAccepted = Ballot{}
 	c.value = nil
 	c.unanimous = true
 }
 
-// Prepared takes the answer to a prepare message of the round.
-func (c *Change) Prepared(store string, round uint64, answer *protocol.PrepareResponse) []Message {
-	if !c.expects(store, round) || c.phase == phaseAccepting {
+// HandlePrepareResponse takes in a store's answer to a prepare message and returns the messages to send next.
+func (c *Change) HandlePrepareResponse(store string, phaseNumber uint64, answer *protocol.PrepareResponse) []Message {
+	if !c.expectsAnswer(store, phaseNumber) || c.phase == phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.refused(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if answer.GetRefusal() != notRejected {
+		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return nil
 	}
-	c.seen = maxBallot(c.seen, BallotOf(answer.GetSeen()))
+	c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
 	if c.phase == phasePreparing && !answer.GetPromised() {
-		c.fail(store, StatusPreempted)
+		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
-	c.takeValue(answer)
+	c.mergeValue(answer)
 	c.votes = append(c.votes, store)
-	if !c.options.Quorum.Reached(c.voted) {
+	if !c.options.Quorum.Reached(c.hasVoted) {
 		return nil
 	}
-	return c.prepared()
+	return c.finishPrepare()
 }
 
-// takeValue keeps the value of the highest ballot and whether all votes agree on it.
-func (c *Change) takeValue(answer *protocol.PrepareResponse) {
-	accepted := BallotOf(answer.GetAccepted())
-	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newest) {
+// mergeValue keeps the value of the highest ballot and whether all votes agree on it.
+func (c *Change) mergeValue(answer *protocol.PrepareResponse) {
+	accepted := BallotFromProto(answer.GetAccepted())
+	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newestAccepted) {
 		c.unanimous = false
 	}
-	if len(c.votes) == 0 || c.newest.Less(accepted) {
-		c.newest = accepted
+	if len(c.votes) == 0 || c.newestAccepted.Less(accepted) {
+		c.newestAccepted = accepted
 		c.value = answer.GetValue()
 	}
 }
 
-func (c *Change) prepared() []Message {
+func (c *Change) finishPrepare() []Message {
 	if c.phase == phaseReading {
 		if c.unanimous {
 			c.status = StatusChosen
@@ -234,64 +245,65 @@
 		}
 		return c.prepare()
 	}
-	if c.unanimous && !c.changes(c.value) {
+	if c.unanimous && !c.wouldChange(c.value) {
 		c.status = StatusChosen
 		return nil
 	}
 	return c.accept(c.value)
 }
 
-// changes asks the function about a value that is known to be chosen, since
-// nothing needs to be written when it stays as it is.
-func (c *Change) changes(current []byte) bool {
-	if c.options.Function == nil {
+// wouldChange reports whether the update changes a value that is known to be chosen. Otherwise nothing needs to be
+// written.
+func (c *Change) wouldChange(current []byte) bool {
+	if c.options.Update == nil {
 		return false
 	}
-	_, changed := c.options.Function(current)
+	_, changed := c.options.Update(current)
 	return changed
 }
 
-// Accepted takes the answer to an accept message of the round.
-func (c *Change) Accepted(store string, round uint64, answer *protocol.AcceptResponse) []Message {
-	if !c.expects(store, round) || c.phase != phaseAccepting {
+// HandleAcceptResponse takes in a store's answer to an accept message. It has the form of HandlePrepareResponse but
+// returns no messages, since no phase follows the accept phase.
+func (c *Change) HandleAcceptResponse(store string, phaseNumber uint64, answer *protocol.AcceptResponse) []Message {
+	if !c.expectsAnswer(store, phaseNumber) || c.phase != phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED {
-		return c.refused(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if answer.GetRefusal() != notRejected {
+		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+		return nil
 	}
 	if !answer.GetAccepted() {
-		c.seen = maxBallot(c.seen, BallotOf(answer.GetSeen()))
-		c.fail(store, StatusPreempted)
+		c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
+		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
 	c.votes = append(c.votes, store)
-	if c.options.Quorum.Reached(c.voted) {
+	if c.options.Quorum.Reached(c.hasVoted) {
 		c.status = StatusChosen
 	}
 	return nil
 }
 
-// Failed says that no answer to the round will come from the store.
-func (c *Change) Failed(store string, round uint64) {
-	if c.expects(store, round) {
-		c.fail(store, StatusUnavailable)
+// HandleFailure records that the store will not answer the phase.
+func (c *Change) HandleFailure(store string, phaseNumber uint64) {
+	if c.expectsAnswer(store, phaseNumber) {
+		c.recordFailure(store, StatusUnavailable)
 	}
 }
 
-func (c *Change) refused(store string, refusal protocol.ReplicaRefusal, epoch uint64) []Message {
-	if refusal == protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT && epoch > c.options.Epoch {
+func (c *Change) handleRejection(store string, rejection protocol.ReplicaRefusal, epoch uint64) {
+	status := StatusUnavailable
+	if rejection == protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT && epoch > c.options.Epoch {
 		c.seenEpoch = max(c.seenEpoch, epoch)
-		c.fail(store, StatusWrongPlacement)
-		return nil
+		status = StatusWrongPlacement
 	}
-	c.fail(store, StatusUnavailable)
-	return nil
+	c.recordFailure(store, status)
 }
 
-// fail counts a store out; the change stops when no majority is left.
-func (c *Change) fail(store string, status Status) {
+// recordFailure excludes a store from the phase; the change stops with the status when no majority is left.
+func (c *Change) recordFailure(store string, status Status) {
 	c.failed = append(c.failed, store)
-	if !c.options.Quorum.Lost(func(s string) bool { return slices.Contains(c.failed, s) }) {
+	if !c.options.Quorum.Lost(c.hasFailed) {
 		return
 	}
 	c.status = status
@@ -300,9 +312,12 @@
 	}
 }
 
-func (c *Change) voted(store string) bool { return slices.Contains(c.votes, store) }
+func (c *Change) hasVoted(store string) bool { return slices.Contains(c.votes, store) }
+
+func (c *Change) hasFailed(store string) bool { return slices.Contains(c.failed, store) }
 
-func (c *Change) expects(store string, round uint64) bool {
-	return c.status == StatusUnderWay && round == c.round &&
-		!slices.Contains(c.votes, store) && !slices.Contains(c.failed, store) && slices.Contains(c.members, store)
+// expectsAnswer reports whether an answer of the store to the numbered phase still counts.
+func (c *Change) expectsAnswer(store string, phaseNumber uint64) bool {
+	return c.status == StatusInProgress && phaseNumber == c.phaseNumber &&
+		!c.hasVoted(store) && !c.hasFailed(store) && slices.Contains(c.members, store)
 }
--- a/internal/state/store/follow.go
+++ b/internal/state/store/follow_placement.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 // wait returns after the time has passed, or false when the store stops.
@@ -30,10 +32,10 @@
 // followPlacement hands every new placement to the groups.
 func (s *Store) followPlacement() {
 	for {
-		if current, changed := s.watch.refresh(); changed {
-			s.options.Logger.Info("placement in force", "epoch", current.epoch)
+		if current, changed := s.watch.Refresh(); changed {
+			s.options.Logger.Info("placement in force", "epoch", current.Epoch)
 			for _, group := range s.groups {
-				group.mailbox.post(func() { group.applyPlacement(current) })
+				group.mailbox.Post(func() { group.applyPlacement(current) })
 			}
 			signal(s.copyPoke)
 		}
@@ -46,8 +48,8 @@
 }
 
 // applyPlacement brings the tables of the group's shards under a new placement.
-func (g *group) applyPlacement(current *topology) {
-	for _, view := range current.shards {
+func (g *group) applyPlacement(current *placement.Topology) {
+	for _, view := range current.Shards {
 		if g.store.group(view.Shard) != g {
 			continue
 		}
@@ -55,13 +57,13 @@
 	}
 }
 
-func (g *group) applyView(table *shardTable, view register.ShardView) {
-	before := table.view
-	table.view = view
+func (g *group) applyView(table *shardtable.Table, view register.ShardView) {
+	before := table.View
+	table.View = view
 	if view.Role == register.RoleActive {
-		table.copied = false
+		table.CaughtUp = false
 	}
-	if view.StartsEmpty(before) && (view.Role != register.RoleNone || !table.isEmpty()) {
+	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.IsEmpty()) {
 		g.dropShard(table, func() {})
 	}
 }
--- a/internal/state/store/stepmembers.go
+++ b/internal/state/store/training_step_members.go
@@ -1,11 +1,10 @@
 package store
 
 import (
-	"google.golang.org/protobuf/encoding/protowire"
-	"google.golang.org/protobuf/proto"
-
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 const (
@@ -26,20 +25,17 @@
 
 // membersPage is what one look at a shard gave.
 type membersPage struct {
-	programs []string
-	// next is the place in the order of hashes where the following page begins.
-	next uint64
-	last bool
+	shardtable.MembersPage
 	// counts says that the word of this replica counts for the shard, as long as generation stays the same.
 	counts     bool
 	generation uint64
 }
 
 // listMembersHere names the programs of a step in all shards for which the word of this store counts.
-func (s *Store) listMembersHere(step string, current *topology) (*protocol.ListTrainingStepResponse, error) {
-	answer := &protocol.ListTrainingStepResponse{PlacementEpoch: current.epoch}
+func (s *Store) listMembersHere(step string, current *placement.Topology) (*protocol.ListTrainingStepResponse, error) {
+	answer := &protocol.ListTrainingStepResponse{PlacementEpoch: current.Epoch}
 	bytes := 0
-	for _, view := range current.shards {
+	for _, view := range current.Shards {
 		if !view.Role.Votes() {
 			continue
 		}
@@ -63,12 +59,12 @@
 }
 
 // listMembersOf scans one shard. counts is false when the placement changed meanwhile.
-func (s *Store) listMembersOf(shard uint32, step string, current *topology) (programs []string, counts bool, err error) {
+func (s *Store) listMembersOf(shard uint32, step string, current *placement.Topology) (programs []string, counts bool, err error) {
 	g := s.group(shard)
 	var page membersPage
 	var generation uint64
-	for first := true; !page.last; first = false {
-		from := page.next
+	for first := true; !page.Last; first = false {
+		from := page.Next
 		page, err = ask(g, func() membersPage { return g.membersFrom(shard, step, from, current) })
 		if err != nil {
 			return nil, false, err
@@ -79,61 +75,27 @@
 		if !page.counts || page.generation != generation {
 			return nil, false, nil
 		}
-		programs = append(programs, page.programs...)
+		programs = append(programs, page.Programs...)
 	}
 	return programs, true, nil
 }
 
 // membersFrom looks at the next registers of a shard.
-func (g *group) membersFrom(shard uint32, step string, from uint64, current *topology) membersPage {
+func (g *group) membersFrom(shard uint32, step string, from uint64, current *placement.Topology) membersPage {
 	table := g.table(shard)
 	page := membersPage{
-		next:       from,
-		counts:     table.view.Epoch == current.shard(shard).Epoch && table.view.Role.Votes(),
-		generation: table.generation,
+		counts:     table.View.Epoch == current.Shard(shard).Epoch && table.View.Role.Votes(),
+		generation: table.Generation,
 	}
 	if !page.counts {
 		return page
 	}
-	for seen := 0; seen < membersPageRegisters && !page.last; {
-		leaf, next := table.registers.leafAt(page.next)
-		seen += len(leaf)
-		for key, held := range leaf {
-			if key.call == "" && isMember(held.state.Value, step) {
-				page.programs = append(page.programs, key.program)
-			}
-		}
-		page.next, page.last = next, next == 0
-	}
+	page.MembersPage = table.MembersFrom(step, from)
 	return page
 }
 
-// trainingStepField is the number of ProgramRecord.training_step.
-const trainingStepField protowire.Number = 12
-
-// isMember reports whether an encoded program record generates for the step. It skips all other fields unread.
-func isMember(value []byte, step string) bool {
-	for len(value) > 0 {
-		number, kind, size := protowire.ConsumeTag(value)
-		if size < 0 {
-			return false
-		}
-		value = value[size:]
-		if number == trainingStepField && kind == protowire.BytesType {
-			encoded, size := protowire.ConsumeBytes(value)
-			membership := &protocol.TrainingStepMembership{}
-			return size >= 0 && proto.Unmarshal(encoded, membership) == nil && membership.GetStep() == step
-		}
-		if size = protowire.ConsumeFieldValue(number, kind, value); size < 0 {
-			return false
-		}
-		value = value[size:]
-	}
-	return false
-}
-
 func (s *Store) serveListTrainingStep(request *protocol.ListTrainingStepRequest) (*protocol.Response, error) {
-	answer, err := s.listMembersHere(request.GetStep(), s.watch.current.Load())
+	answer, err := s.listMembersHere(request.GetStep(), s.watch.Current())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testing/sim/ledgermodel/ledger.go
+++ b/internal/testing/sim/ledgermodel/ledger.go
@@ -36,7 +36,7 @@
 
 // Apply applies one operation to the record of its program or call.
 func (l *Ledger) Apply(operation *protocol.LedgerOperation, now time.Time) *protocol.LedgerResult {
-	if ledger.CallOf(operation) != "" {
+	if ledger.CallRequestID(operation) != "" {
 		return l.applyCall(operation, now)
 	}
 	changed, result := ledger.Apply(l.programs[operation.GetProgram()], operation, now)
@@ -48,7 +48,7 @@
 
 // applyCall applies an operation to the call's register and then, as a store does, checks the epoch.
 func (l *Ledger) applyCall(operation *protocol.LedgerOperation, now time.Time) *protocol.LedgerResult {
-	id := operation.GetProgram() + "/" + ledger.CallOf(operation)
+	id := operation.GetProgram() + "/" + ledger.CallRequestID(operation)
 	changed, result := ledger.ApplyCall(l.calls[id], operation, now)
 	if changed != nil {
 		l.calls[id] = changed
--- a/internal/testing/sim/ownershipsuite/front.go
+++ b/internal/testing/sim/ownershipsuite/front.go
@@ -110,7 +110,7 @@
 // hasAuthority reports whether this node may act as owner and holder now.
 func (f *front) hasAuthority() bool {
 	if f.suite.options.Mutation == MutationNeverExpireAuthority || f.suite.options.Mutation == MutationNeverExpireLease {
-		return !f.released && !f.holder.Ends().IsZero()
+		return !f.released && !f.holder.ExpiresAt().IsZero()
 	}
 	return f.holder.Valid(f.now())
 }
@@ -171,7 +171,7 @@
 			f.environment.Tracef("yields %s: %s", command.Session, command.Reason)
 		case directory.Reregistered:
 			f.suite.meter.observeRegistration(f.suite.world.Elapsed(), command.Waits)
-		case directory.Settled:
+		case directory.TransferCompleted:
 			f.suite.meter.observeRangesComplete(f.suite.world.Elapsed())
 		}
 	}
--- a/internal/testing/sim/ownershipsuite/front_directory.go
+++ b/internal/testing/sim/ownershipsuite/front_directory.go
@@ -54,7 +54,7 @@
 func (f *front) responseOf(body any) *protocol.Response {
 	response, answered := body.(*protocol.Response)
 	if answered && response == nil {
-		f.failure = directory.CallPowerless
+		f.failure = directory.CallNoAuthority
 	}
 	return response
 }
@@ -62,7 +62,7 @@
 // callFailure is why the call that is being finished has no answer.
 func (f *front) callFailure() directory.CallFailure {
 	if f.suite.options.Mutation == MutationIgnoreCallFailures {
-		return directory.CallUnanswered
+		return directory.CallInconclusive
 	}
 	return f.failure
 }
--- a/internal/testing/sim/ownershipsuite/front_lease.go
+++ b/internal/testing/sim/ownershipsuite/front_lease.go
@@ -18,7 +18,7 @@
 	if f.released || f.stoppedRenewing {
 		return
 	}
-	renewal, expired := f.holder.Send(f.now())
+	renewal, expired := f.holder.BeginRenewal(f.now())
 	if expired && f.suite.options.Mutation == MutationNeverRenew {
 		f.stoppedRenewing = true
 		return
@@ -111,7 +111,7 @@
 		return
 	}
 	f.handle(directory.ViewChanged{View: f.suite.viewOfMembership(membership)})
-	f.holder.ViewRead(membership.GetVersion())
+	f.holder.ViewApplied(membership.GetVersion())
 }
 
 // ignoresViews is true for the front node that ignores views under MutationIgnoreViews.
@@ -124,7 +124,7 @@
 func (s *suite) viewOfMembership(membership *protocol.MembershipView) directory.View {
 	view, known := s.views[membership.GetVersion()]
 	if !known {
-		view = directory.ViewOf(membership, ring.DefaultVirtualNodes)
+		view = directory.ViewFromMembership(membership, ring.DefaultVirtualNodes)
 		s.views[membership.GetVersion()] = view
 	}
 	return view
--- a/internal/testing/sim/ownershipsuite/ledger.go
+++ b/internal/testing/sim/ownershipsuite/ledger.go
@@ -29,7 +29,7 @@
 func (l *ledgerProcess) apply(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	before := l.epochOf(operation)
 	result := l.suite.ledger.Apply(operation, l.environment.Now())
-	if ledger.CallOf(operation) != "" {
+	if ledger.CallRequestID(operation) != "" {
 		return result
 	}
 	if l.suite.options.Mutation == MutationLedgerIgnoresEpoch &&
--- a/internal/testing/sim/ownershipsuite/salvage_measurement.go
+++ b/internal/testing/sim/ownershipsuite/salvage_measurement.go
@@ -112,7 +112,7 @@
 
 // newSalvageRun builds the fleet and plans the loading of its sessions.
 func newSalvageRun(options SalvageOptions, endSessions bool) *suite {
-	policy := directory.PolicyOf(nil)
+	policy := directory.NewPolicy(nil)
 	policy.EndSessions = endSessions
 	world := sim.NewWorld(options.Seed, sim.Options{
 		MaximumSteps: 1 << 40,
--- a/internal/testing/sim/servingsuite/front.go
+++ b/internal/testing/sim/servingsuite/front.go
@@ -72,7 +72,7 @@
 	if f.stoppedRenewing {
 		return
 	}
-	renewal, expired := f.holder.Send(f.now())
+	renewal, expired := f.holder.BeginRenewal(f.now())
 	if expired {
 		f.suite.count(LostAuthority)
 		f.stoppedRenewing = f.suite.options.Mutation == MutationNeverRenew
@@ -113,7 +113,7 @@
 		known[description.id] = server
 	}
 	f.servers = known
-	f.holder.ViewRead(fresh.version)
+	f.holder.ViewApplied(fresh.version)
 	f.admission.updateLimits()
 }
 
