--- a/internal/state/store/doc.go
+++ b/internal/state/store/doc.go
@@ -1,12 +1,19 @@
-// Package store is the shared-state plane: replicas of program registers and
-// kept turns, and the proposer that applies ledger operations to them.
+// Package store is the shared-state plane: one store process with its replicas of program
+// registers and retained turns, and the proposers that apply ledger operations to them. This
+// package wires the parts together, serves requests, and maintains what is on disk:
 //
-// Shards are divided among groups. Each group has one owner goroutine that works
-// through a queue of commands and holds the registers and the turn index of its
-// shards, the acceptor's and the proposer's side alike. An answer leaves a group
-// only after what it shows is synced: one group commit serves all that wait.
-// Registers live in memory, backed by a log with snapshots; kept turns live on
-// disk, with an index in memory.
+//   - owner: the goroutines that own the tables of shards, as acceptors and keepers of turns;
+//   - shardtable, turnindex, hashtree: the tables, pure data of their owners;
+//   - proposer: proposals, that is changes of registers over their replicas;
+//   - turns: reads and retention of turns;
+//   - replication: catch-up of shards and the scrub;
+//   - steptrace: traces of training steps;
+//   - placement, peers: which stores serve which shards, and the requests to them;
+//   - datafolder, records: the logs, snapshots and indexes on disk;
+//   - lifecycle, mailbox, backoff: goroutines and waits.
+//
+// Registers are in memory, backed by a log with snapshots; retained turns are on disk, with
+// an index in memory.
 //
 // Source: design page, program ledger.
 package store
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -14,6 +14,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -33,7 +34,7 @@
 		fx.Supply(settings),
 		fx.Provide(
 			provideOpener,
-			func() Clock { return systemClock{} },
+			func() Clock { return lifecycle.SystemClock{} },
 			provideFolder,
 			provideIdentity,
 			provideLink,
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -7,12 +7,13 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 )
 
 // Serve implements wire.Handler for everything that a store answers.
 func (s *Store) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
 	response, err := s.answer(ctx, request)
-	var stopped *StoppedError
+	var stopped *lifecycle.StoppedError
 	if errors.As(err, &stopped) {
 		return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the store stops", failure.WithRetryAfter(retryAfter))
 	}
@@ -53,44 +54,42 @@
 	}
 }
 
-// awaitAnswer waits for an answer made on a group's goroutine.
-func awaitAnswer[A any](ctx context.Context, s *Store, answers <-chan A) (A, error) {
-	var none A
-	select {
-	case answer := <-answers:
-		return answer, nil
-	case <-ctx.Done():
-		return none, ctx.Err()
-	case <-s.stopped:
-		return none, &StoppedError{}
+func (s *Store) serveFetchTurns(request *protocol.FetchTurnsRequest) (*protocol.Response, error) {
+	answer, err := s.turns.ServeFetch(request)
+	if err != nil {
+		return nil, err
 	}
+	return &protocol.Response{Body: &protocol.Response_FetchTurns{FetchTurns: answer}}, nil
 }
 
-func (s *Store) serveFetchTurns(request *protocol.FetchTurnsRequest) (*protocol.Response, error) {
-	view := s.shardView(request.GetShard())
-	answer := &protocol.FetchTurnsResponse{Refusal: view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: view.Epoch}
-	if answer.GetRefusal() == notRefused {
-		turns, err := s.localChain(request.GetShard(), request.GetProgram(), request.GetLastTurn(), request.GetLimit())
-		if err != nil {
-			return nil, s.readFailed(err)
-		}
-		answer.Turns = turns
+func (s *Store) serveFindTurn(request *protocol.FindTurnRequest) (*protocol.Response, error) {
+	answer, err := s.turns.FindLocally(request.GetTurnId())
+	if err != nil {
+		return nil, err
 	}
-	return &protocol.Response{Body: &protocol.Response_FetchTurns{FetchTurns: answer}}, nil
+	return &protocol.Response{Body: &protocol.Response_FindTurn{FindTurn: answer}}, nil
+}
+
+func (s *Store) serveListTrainingStep(request *protocol.ListTrainingStepRequest) (*protocol.Response, error) {
+	answer, err := s.steps.ListLocally(request.GetStep())
+	if err != nil {
+		return nil, err
+	}
+	return &protocol.Response{Body: &protocol.Response_ListTrainingStep{ListTrainingStep: answer}}, nil
 }
 
-// Status is what the store tells operators about itself.
+// Status is what the store reports to operators of itself.
 func (s *Store) Status() *protocol.StoreStatusResponse {
-	held := s.counts()
+	total := s.counts()
 	return &protocol.StoreStatusResponse{
 		Name:           s.options.Self.GetName(),
 		StorageId:      s.options.Self.GetStorageId(),
 		PlacementEpoch: s.watch.Current().Epoch,
-		Registers:      held.registers,
-		Turns:          held.turns,
+		Registers:      total.registers,
+		Turns:          total.turns,
 		Bytes:          uint64(s.folder.Registers.Size() + s.folder.Turns.Size()),
-		ShardsActive:   held.active,
-		ShardsCopying:  held.copying,
+		ShardsActive:   total.active,
+		ShardsCopying:  total.copying,
 		Repaired:       s.metrics.repairedCount.Load(),
 		ScrubRounds:    s.metrics.scrubCount.Load(),
 	}
--- /dev/null
+++ b/internal/state/store/lifecycle/lifecycle.go
@@ -0,0 +1,112 @@
+// Package lifecycle starts and ends the goroutines of one store: a context for their calls,
+// a channel that is closed when the store stops, and waits by the store's clock that end then.
+package lifecycle
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// Clock gives the time and timers.
+type Clock interface {
+	Now() time.Time
+	// AfterFunc calls run on a goroutine of its own once the time has passed, unless stop was called before.
+	AfterFunc(wait time.Duration, run func()) (stop func())
+}
+
+// SystemClock is the Clock of the machine.
+type SystemClock struct{}
+
+// Now implements Clock.
+func (SystemClock) Now() time.Time { return time.Now() }
+
+// AfterFunc implements Clock.
+func (SystemClock) AfterFunc(wait time.Duration, run func()) func() {
+	timer := time.AfterFunc(wait, run)
+	return func() { timer.Stop() }
+}
+
+// StoppedError says that the store was stopped while something waited for it.
+type StoppedError struct{}
+
+func (e *StoppedError) Error() string { return "the store stops" }
+
+// Lifecycle is shared by all goroutines of a store.
+type Lifecycle struct {
+	clock    Clock
+	ctx      context.Context
+	cancel   context.CancelFunc
+	stopped  chan struct{}
+	routines sync.WaitGroup
+}
+
+// New returns the lifecycle of a store that runs.
+func New(clock Clock) *Lifecycle {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Lifecycle{clock: clock, ctx: ctx, cancel: cancel, stopped: make(chan struct{})}
+}
+
+// Clock returns the store's clock.
+func (l *Lifecycle) Clock() Clock { return l.clock }
+
+// Context ends when the store stops.
+func (l *Lifecycle) Context() context.Context { return l.ctx }
+
+// Stopped is closed when the store stops.
+func (l *Lifecycle) Stopped() <-chan struct{} { return l.stopped }
+
+// Go runs a goroutine for which Wait waits.
+func (l *Lifecycle) Go(run func()) { l.routines.Go(run) }
+
+// Stop ends the context and closes Stopped. It is called once.
+func (l *Lifecycle) Stop() {
+	l.cancel()
+	close(l.stopped)
+}
+
+// Wait waits for all goroutines that Go started.
+func (l *Lifecycle) Wait() { l.routines.Wait() }
+
+// Sleep returns true after the time has passed, or false when the store stops.
+func (l *Lifecycle) Sleep(duration time.Duration) bool { return l.SleepOr(duration, nil) }
+
+// SleepOr is Sleep that ends early, with true, when it is notified.
+func (l *Lifecycle) SleepOr(duration time.Duration, notified <-chan struct{}) bool {
+	passed := make(chan struct{})
+	stop := l.clock.AfterFunc(duration, func() { close(passed) })
+	select {
+	case <-passed:
+		return true
+	case <-notified:
+		stop()
+		return true
+	case <-l.stopped:
+		stop()
+		return false
+	}
+}
+
+// Deadline returns the end of an operation by the store's clock: that of its context, or
+// after the fallback when the context has none.
+func (l *Lifecycle) Deadline(ctx context.Context, fallback time.Duration) time.Time {
+	left := fallback
+	if end, bounded := ctx.Deadline(); bounded {
+		left = time.Until(end)
+	}
+	return l.clock.Now().Add(left)
+}
+
+// Await waits for an answer that another goroutine sends. The error is that of the context
+// or a *StoppedError.
+func Await[A any](ctx context.Context, l *Lifecycle, answers <-chan A) (A, error) {
+	var none A
+	select {
+	case answer := <-answers:
+		return answer, nil
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-l.stopped:
+		return none, &StoppedError{}
+	}
+}
--- /dev/null
+++ b/internal/state/store/maintenance.go
@@ -0,0 +1,172 @@
+package store
+
+import (
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
+)
+
+const (
+	maintenanceInterval = time.Second
+	// turnExpiryInterval and registerExpiryInterval are the times between two removals of what has expired.
+	turnExpiryInterval     = 5 * time.Second
+	registerExpiryInterval = 30 * time.Second
+	// maxTurnExpiryInterval bounds how long expired turns stay in the index when no segment can be removed.
+	maxTurnExpiryInterval = time.Minute
+	// A snapshot of the registers is due when their log has so many segments and is so many
+	// times larger than what is in memory.
+	snapshotSegments = 2
+	snapshotGrowth   = 4
+	// snapshotRetryInterval is the wait before a snapshot is tried again for which the disk had no space.
+	snapshotRetryInterval = 30 * time.Second
+)
+
+// maintain writes snapshots, removes what has expired and sets the gauges, at intervals.
+func (s *Store) maintain() {
+	turnsDue := s.options.Clock.Now().Add(turnExpiryInterval)
+	registersDue := s.options.Clock.Now().Add(registerExpiryInterval)
+	for s.lifecycle.Sleep(maintenanceInterval) {
+		s.ViewChanged()
+		total := s.counts()
+		s.metrics.observe(total)
+		now := s.options.Clock.Now()
+		if err := s.saveSnapshots(total, now); err != nil {
+			s.failUnlessStopped(err)
+			return
+		}
+		if now.Before(turnsDue) {
+			continue
+		}
+		turnsDue = now.Add(turnExpiryInterval)
+		if err := s.removeExpiredTurns(now); err != nil {
+			s.failUnlessStopped(err)
+			return
+		}
+		if now.Before(registersDue) {
+			continue
+		}
+		registersDue = now.Add(registerExpiryInterval)
+		if err := s.removeExpiredRegisters(now); err != nil {
+			s.failUnlessStopped(err)
+			return
+		}
+	}
+}
+
+// saveSnapshots writes what a start would otherwise read from long logs. A snapshot for which
+// the disk has no space is tried again later: the logs still take records, and have all that
+// the snapshot would.
+func (s *Store) saveSnapshots(total counts, now time.Time) error {
+	if now.Before(s.snapshotsAfter) {
+		return nil
+	}
+	err := s.saveDueSnapshots(total)
+	if !storage.IsDiskFull(err) || s.folder.HasFailedLog() {
+		return err
+	}
+	s.snapshotsAfter = now.Add(snapshotRetryInterval)
+	s.options.Logger.Warn("snapshot postponed: disk full", "error", err)
+	return nil
+}
+
+func (s *Store) saveDueSnapshots(total counts) error {
+	if s.folder.Registers.Size() > max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes) {
+		if err := s.saveRegisters(); err != nil {
+			return err
+		}
+		s.metrics.snapshots.Inc()
+	}
+	if s.turnIndexIsDue(total.turns) {
+		return s.saveTurnIndex()
+	}
+	return nil
+}
+
+// failUnlessStopped ends the store unless the error only says that it stops already.
+func (s *Store) failUnlessStopped(err error) {
+	var stopped *lifecycle.StoppedError
+	if !errors.As(err, &stopped) {
+		s.fail(err)
+	}
+}
+
+// removeExpiredTurns removes turns whose retention has ended, and log segments without any other.
+func (s *Store) removeExpiredTurns(now time.Time) error {
+	oldest := s.folder.Turns.FirstSegment()
+	first := s.segments.FirstRetained(oldest, s.folder.Turns.End().Segment, now)
+	if first == oldest && now.Before(s.removeExpiredAt) {
+		return nil
+	}
+	s.removeExpiredAt = now.Add(maxTurnExpiryInterval)
+	for _, group := range s.groups {
+		if _, err := owner.Call(group, func() bool { group.RemoveExpiredTurns(first, now); return true }); err != nil {
+			return err
+		}
+	}
+	if err := s.folder.Turns.RemoveBefore(first); err != nil {
+		return &datafolder.LogError{Log: datafolder.TurnLog, Cause: err}
+	}
+	return nil
+}
+
+// removeExpiredRegisters removes what is past its retention from memory; the next snapshot leaves it out.
+func (s *Store) removeExpiredRegisters(now time.Time) error {
+	for number, group := range s.groups {
+		failed, err := owner.Call(group, func() error {
+			return group.RemoveExpiredRegisters(now, s.proposers[number].IsProposing)
+		})
+		if err := errors.CombineErrors(err, failed); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// counts is what a store has.
+type counts struct {
+	registers, turns uint64
+	// registerBytes is the size of all keys and values of registers.
+	registerBytes int64
+	// active and copying are shards that the store serves, and those that catch up.
+	active, copying uint32
+	// proposals are registers with a proposal in progress.
+	proposals int
+}
+
+// counts sums up all groups; those of a store that stops are left out.
+func (s *Store) counts() counts {
+	var total counts
+	for number, group := range s.groups {
+		of, _ := owner.Call(group, func() counts { return s.countGroup(number) })
+		total.registers += of.registers
+		total.registerBytes += of.registerBytes
+		total.turns += of.turns
+		total.active += of.active
+		total.copying += of.copying
+		total.proposals += of.proposals
+	}
+	return total
+}
+
+// countGroup sums up one group, on its goroutine.
+func (s *Store) countGroup(number int) counts {
+	total := counts{proposals: s.proposers[number].Proposals()}
+	for _, table := range s.groups[number].Tables() {
+		total.registers += uint64(table.Registers.Len())
+		total.turns += uint64(table.Turns.Len())
+		total.registerBytes += table.RegisterBytes()
+		switch table.View.Role {
+		case register.RoleActive:
+			total.active++
+		case register.RoleRebuilding, register.RoleJoining:
+			total.copying++
+		}
+	}
+	return total
+}
--- a/internal/state/store/metrics.go
+++ b/internal/state/store/metrics.go
@@ -32,7 +32,37 @@
 	scrubCount    atomic.Uint64
 }
 
-func (m *metrics) countRepaired(registers, turns int) {
+// countWritten counts bytes of records given to a log.
+func (m *metrics) countWritten(log string, bytes int) {
+	m.written.WithLabelValues(log).Add(float64(bytes))
+}
+
+// ProposalStarted implements proposer.Observer.
+func (m *metrics) ProposalStarted(operations int) {
+	m.changes.Inc()
+	m.batched.Add(float64(operations))
+}
+
+// ProposalPreempted implements proposer.Observer.
+func (m *metrics) ProposalPreempted() { m.preempted.Inc() }
+
+// ProposalUnavailable implements proposer.Observer.
+func (m *metrics) ProposalUnavailable() { m.unavailable.Inc() }
+
+// ShardCopied implements replication.Observer.
+func (m *metrics) ShardCopied() { m.copied.Inc() }
+
+// BytesCopied implements replication.Observer.
+func (m *metrics) BytesCopied(size uint64) { m.copiedBytes.Add(float64(size)) }
+
+// ScrubFinished implements replication.Observer.
+func (m *metrics) ScrubFinished() {
+	m.scrubs.Inc()
+	m.scrubCount.Add(1)
+}
+
+// Repaired implements replication.Observer.
+func (m *metrics) Repaired(registers, turns int) {
 	m.repaired.WithLabelValues("register").Add(float64(registers))
 	m.repaired.WithLabelValues("turn").Add(float64(turns))
 	m.repairedCount.Add(uint64(registers + turns))
@@ -74,7 +104,7 @@
 		scrubs:      counter("scrub_rounds_total", "Scrubs of all shards completed."),
 		copiedBytes: counter("copied_bytes_total", "Bytes copied for rebuilds and moves."),
 		copied:      counter("copied_shards_total", "Shards copied in full."),
-		registers:   gauge("registers", "Registers held."),
+		registers:   gauge("registers", "Registers total."),
 		turns:       gauge("turns", "Turns kept."),
 		active:      gauge("shards_active", "Shards served."),
 		copying:     gauge("shards_copying", "Shards being copied."),
@@ -82,10 +112,11 @@
 	}
 }
 
-func (m *metrics) observe(held counts) {
-	m.registers.Set(float64(held.registers))
-	m.turns.Set(float64(held.turns))
-	m.active.Set(float64(held.active))
-	m.copying.Set(float64(held.copying))
-	m.proposals.Set(float64(held.proposals))
+// observe sets the gauges.
+func (m *metrics) observe(total counts) {
+	m.registers.Set(float64(total.registers))
+	m.turns.Set(float64(total.turns))
+	m.active.Set(float64(total.active))
+	m.copying.Set(float64(total.copying))
+	m.proposals.Set(float64(total.proposals))
 }
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -10,6 +10,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
@@ -21,39 +22,24 @@
 	LocateCore() *protocol.LocateCoreResponse
 }
 
-// Clock gives the time and timers.
-type Clock interface {
-	Now() time.Time
-	// AfterFunc calls run on a goroutine of its own once the time has passed, unless stop was called before.
-	AfterFunc(wait time.Duration, run func()) (stop func())
-}
+// Clock is the store's clock, the machine's by default.
+type Clock = lifecycle.Clock
 
 // Defaults of Options.
 const (
-	DefaultGroups        = 8
-	DefaultSegmentBytes  = 16 << 20
-	DefaultCopyBytes     = 64 << 20
-	DefaultScrubInterval = 10 * time.Minute
-	DefaultPeerTimeout   = time.Second
-	DefaultOperationTime = 10 * time.Second
-	maintenanceInterval  = time.Second
-	firstRetryWait       = 2 * time.Millisecond
-	longestRetryWait     = 250 * time.Millisecond
-	largestBatch         = 128
-	// A snapshot of the registers is due when their log has so many segments
-	// and is so many times larger than what it holds.
-	snapshotSegments = 2
-	snapshotGrowth   = 4
-	// snapshotRetry is the pause before a snapshot is tried again that had no room.
-	snapshotRetry   = 30 * time.Second
-	collectInterval = 5 * time.Second
-	// collectAllInterval bounds how long expired turns stay in the index when no segment can be removed.
-	collectAllInterval = time.Minute
-	forgetInterval     = 30 * time.Second
-	// maximumPendingBytes is out of reach: what waits for a sync is bounded by the requests under way.
-	maximumPendingBytes = 1 << 40
+	DefaultGroups = 8
+	// DefaultSegmentBytes is the size of a segment of the log of turns.
+	DefaultSegmentBytes       = 16 << 20
+	DefaultCopyBytesPerSecond = 64 << 20
+	DefaultScrubInterval      = 10 * time.Minute
+	DefaultPeerTimeout        = time.Second
+	// DefaultOperationTimeout bounds an operation whose caller gave no deadline.
+	DefaultOperationTimeout = 10 * time.Second
 )
 
+// unboundedPendingBytes is out of reach: what waits for a sync is bounded by the requests in flight.
+const unboundedPendingBytes = 1 << 40
+
 // Options configure a Store. Self, Caller and Core are required.
 type Options struct {
 	// Self names this store; New sets its storage id to that of the folder.
@@ -68,9 +54,9 @@
 	PeerTimeout time.Duration
 	Logger      *log.Logger
 	Registerer  prometheus.Registerer
-	// Fatal is told of an error that the store cannot outlive, such as a failed sync.
+	// Fatal is called with an error that the store cannot survive, such as a failed sync.
 	Fatal func(error)
-	// metrics, when set, are counted on in place of new ones.
+	// metrics are counted on in place of new ones when set: a Supervisor's stores share them.
 	metrics *metrics
 	// Seed makes backoff repeatable in tests.
 	Seed uint64
@@ -78,7 +64,7 @@
 
 func (o *Options) fill() {
 	if o.Clock == nil {
-		o.Clock = systemClock{}
+		o.Clock = lifecycle.SystemClock{}
 	}
 	if o.Settings == nil {
 		o.Settings = &protocol.StoreSettings{}
@@ -119,7 +105,7 @@
 	if bytes := o.Settings.GetCopyBytesPerSecond(); bytes > 0 {
 		return bytes
 	}
-	return DefaultCopyBytes
+	return DefaultCopyBytesPerSecond
 }
 
 func (o *Options) scrubInterval() time.Duration {
@@ -128,14 +114,3 @@
 	}
 	return DefaultScrubInterval
 }
-
-type systemClock struct{}
-
-// Now implements Clock.
-func (systemClock) Now() time.Time { return time.Now() }
-
-// AfterFunc implements Clock.
-func (systemClock) AfterFunc(wait time.Duration, run func()) func() {
-	timer := time.AfterFunc(wait, run)
-	return func() { timer.Stop() }
-}
--- /dev/null
+++ b/internal/state/store/owner/group.go
@@ -0,0 +1,162 @@
+package owner
+
+import (
+	"iter"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
+	"github.com/rosestand/rosestand/internal/state/store/mailbox"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+)
+
+// Log makes records durable. done is called on another goroutine; an error means that the
+// log takes no records any more.
+type Log interface {
+	AppendAsync(records [][]byte, done func([]storage.Position, error))
+}
+
+// Logs are the logs that a group writes to.
+type Logs struct {
+	Registers Log
+	Turns     Log
+}
+
+// Options configure a Group. All are required.
+type Options struct {
+	// Segments is shared by all groups.
+	Segments *turnindex.SegmentExpiry
+	// Stopped is closed when the store stops.
+	Stopped <-chan struct{}
+	// Fail ends the store because of an error that it cannot survive.
+	Fail func(error)
+	// Written counts the bytes of records given to a log, by the log's name.
+	Written func(log string, bytes int)
+}
+
+// Group owns the tables of some shards. All fields belong to the goroutine that calls Run;
+// others use Post and Call. Methods that say so may be called by any goroutine, the rest
+// belong to commands of the group.
+type Group struct {
+	options Options
+	mailbox *mailbox.Mailbox
+	logs    Logs
+	tables  map[uint32]*shardtable.Table
+	// unsynced has the registers whose newest state is not durable yet.
+	unsynced map[*shardtable.Register]*unsyncedWrites
+	// unsyncedTurns has what waits for each turn that is being written.
+	unsyncedTurns map[turnindex.Key][]func()
+	// proposers has one copy of each proposer's name, since every register names two.
+	proposers map[string]string
+}
+
+// NewGroup returns a group without tables. Before Run, the goroutine that made it may use
+// it to load what is stored.
+func NewGroup(options Options) *Group {
+	return &Group{
+		options:       options,
+		mailbox:       mailbox.New(),
+		tables:        map[uint32]*shardtable.Table{},
+		unsynced:      map[*shardtable.Register]*unsyncedWrites{},
+		unsyncedTurns: map[turnindex.Key][]func(){},
+		proposers:     map[string]string{},
+	}
+}
+
+// Run works through the group's commands until Close.
+func (g *Group) Run(logs Logs) {
+	g.logs = logs
+	g.mailbox.Run()
+}
+
+// Post queues a command and does not wait. Any goroutine may call it.
+func (g *Group) Post(command func()) { g.mailbox.Post(command) }
+
+// Close ends Run. Any goroutine may call it.
+func (g *Group) Close() { g.mailbox.Close() }
+
+// Call runs a command on the group's goroutine and waits for what it returns. It must not be
+// called by that goroutine. The error is a *lifecycle.StoppedError.
+func Call[A any](g *Group, command func() A) (A, error) {
+	answers := make(chan A, 1)
+	g.Post(func() { answers <- command() })
+	select {
+	case answer := <-answers:
+		return answer, nil
+	case <-g.options.Stopped:
+		var none A
+		return none, &lifecycle.StoppedError{}
+	}
+}
+
+// Table returns the table of a shard, empty when this store has nothing of it.
+func (g *Group) Table(shard uint32) *shardtable.Table {
+	known := g.tables[shard]
+	if known == nil {
+		known = shardtable.New(shard)
+		g.tables[shard] = known
+	}
+	return known
+}
+
+// Tables yields all tables, by shard, in no order.
+func (g *Group) Tables() iter.Seq2[uint32, *shardtable.Table] { return maps.All(g.tables) }
+
+// Shards returns the numbers of all shards that have a table, in no order.
+func (g *Group) Shards() []uint32 { return slices.Collect(maps.Keys(g.tables)) }
+
+// ApplyView brings the table of a shard under a new placement. It is cleared when the store
+// must join the shard anew.
+func (g *Group) ApplyView(view register.ShardView) {
+	table := g.Table(view.Shard)
+	before := table.View
+	table.View = view
+	if view.Role == register.RoleActive {
+		table.CaughtUp = false
+	}
+	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.IsEmpty()) {
+		g.Drop(view.Shard, func() {})
+	}
+}
+
+// Drop clears a shard durably, before the store may join it anew.
+func (g *Group) Drop(shard uint32, done func()) {
+	table := g.Table(shard)
+	table.Clear()
+	g.appendRegister(&protocol.StoreRecord{
+		Shard: table.View.Shard,
+		Body:  &protocol.StoreRecord_Drop{Drop: &protocol.DropShard{}},
+	}, done)
+}
+
+// RemoveExpiredTurns drops the turns of segments before first, and expired ones.
+func (g *Group) RemoveExpiredTurns(first uint64, now time.Time) {
+	for _, table := range g.tables {
+		table.Turns.RemoveExpired(first, now)
+	}
+}
+
+// RemoveExpiredRegisters removes the registers that nobody may ask for any more, except those
+// in use. The error is a *records.UnreadableError.
+func (g *Group) RemoveExpiredRegisters(now time.Time, inUse func(shardtable.Key) bool) error {
+	for _, table := range g.tables {
+		err := table.RemoveExpiredRegisters(now, func(key shardtable.Key, entry *shardtable.Register) bool {
+			return g.unsynced[entry] != nil || inUse(key)
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Groups are the groups of a store.
+type Groups []*Group
+
+// Of returns the group that owns a shard.
+func (s Groups) Of(shard uint32) *Group { return s[int(shard)%len(s)] }
--- a/internal/state/store/placement/topology.go
+++ b/internal/state/store/placement/topology.go
@@ -5,6 +5,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
@@ -50,6 +51,11 @@
 	return register.ShardView{Shard: shard}
 }
 
+// ShardOf returns the view of the shard of a program.
+func (t *Topology) ShardOf(program string) register.ShardView {
+	return t.Shard(ledger.ShardOf(program, len(t.Shards)))
+}
+
 // Stores names every store that has a replica, except one, in a fixed order.
 func (t *Topology) Stores(except string) []string {
 	var stores []string
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -6,57 +6,63 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
+// notRejected is the absence of a rejection.
+const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
+
 // serveReplica answers one request of a proposer to this replica.
 func (s *Store) serveReplica(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
-	if keep := request.GetKeepTurn(); keep != nil && !hasIdentity(keep.GetTurn()) {
+	if retain := request.GetKeepTurn(); retain != nil && !hasIdentity(retain.GetTurn()) {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "a turn needs an id and a program",
 			failure.WithPath("keep_turn.turn"))
 	}
 	answers := make(chan *protocol.Response, 1)
-	s.askReplica(request, func(answer *protocol.Response) { answers <- answer })
-	return awaitAnswer(ctx, s, answers)
+	s.postToReplica(request, func(answer *protocol.Response) { answers <- answer })
+	return lifecycle.Await(ctx, s.lifecycle, answers)
 }
 
 // serveBatch answers once the last request of the batch is answered; most share a sync.
 func (s *Store) serveBatch(ctx context.Context, batch *protocol.RequestBatch) (*protocol.Response, error) {
 	responses := make([]*protocol.Response, len(batch.GetRequests()))
 	answers := make(chan *protocol.Response, 1)
-	var left atomic.Int64
-	left.Store(int64(len(responses)) + 1)
+	var pending atomic.Int64
+	pending.Store(int64(len(responses)) + 1)
 	release := func() {
-		if left.Add(-1) == 0 {
+		if pending.Add(-1) == 0 {
 			answers <- &protocol.Response{Body: &protocol.Response_StoreBatch{StoreBatch: &protocol.ResponseBatch{Responses: responses}}}
 		}
 	}
-	for place, request := range batch.GetRequests() {
-		s.askReplica(request, func(answer *protocol.Response) {
-			responses[place] = answer
+	for i, request := range batch.GetRequests() {
+		s.postToReplica(request, func(answer *protocol.Response) {
+			responses[i] = answer
 			release()
 		})
 	}
 	release()
-	return awaitAnswer(ctx, s, answers)
+	return lifecycle.Await(ctx, s.lifecycle, answers)
 }
 
 func hasIdentity(turn *protocol.Turn) bool { return turn.GetId() != "" && turn.GetProgram() != "" }
 
-// askReplica hands a request to the owner of its shard. reply is called once,
-// on the owner's goroutine, or at once with an empty answer to what no replica serves.
-func (s *Store) askReplica(request *protocol.Request, reply func(*protocol.Response)) {
+// postToReplica hands a request to the owner of its shard. reply is called once, on the
+// owner's goroutine, or at once with an empty answer to what no replica serves.
+func (s *Store) postToReplica(request *protocol.Request, reply func(*protocol.Response)) {
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_Prepare:
-		g := s.group(body.Prepare.GetShard())
-		g.mailbox.Post(func() {
-			g.prepare(body.Prepare, func(answer *protocol.PrepareResponse) {
+		g := s.groups.Of(body.Prepare.GetShard())
+		g.Post(func() {
+			g.Prepare(body.Prepare, func(answer *protocol.PrepareResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_Prepare{Prepare: answer}})
 			})
 		})
 	case *protocol.Request_Accept:
-		g := s.group(body.Accept.GetShard())
-		g.mailbox.Post(func() {
-			g.accept(body.Accept, func(answer *protocol.AcceptResponse) {
+		g := s.groups.Of(body.Accept.GetShard())
+		g.Post(func() {
+			g.Accept(body.Accept, func(answer *protocol.AcceptResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_Accept{Accept: answer}})
 			})
 		})
@@ -65,9 +71,9 @@
 			reply(&protocol.Response{})
 			return
 		}
-		g := s.group(body.KeepTurn.GetShard())
-		g.mailbox.Post(func() {
-			g.keepForPeer(body.KeepTurn, func(answer *protocol.KeepTurnResponse) {
+		shard := body.KeepTurn.GetShard()
+		s.groups.Of(shard).Post(func() {
+			s.retainer(shard).ServeRetain(body.KeepTurn, func(answer *protocol.KeepTurnResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_KeepTurn{KeepTurn: answer}})
 			})
 		})
@@ -76,23 +82,40 @@
 	}
 }
 
-// keepForPeer keeps a turn and answers through reply, on the group's goroutine.
-// The placement is judged again once the turn is durable: a copy of the shard
-// made meanwhile under a newer placement may lack the turn.
-func (g *group) keepForPeer(request *protocol.KeepTurnRequest, reply func(*protocol.KeepTurnResponse)) {
-	table := g.table(request.GetShard())
-	answer := func() *protocol.KeepTurnResponse {
-		return &protocol.KeepTurnResponse{Refusal: table.View.Rejection(request.GetPlacementEpoch()), PlacementEpoch: table.View.Epoch}
+// serveFetchShard answers one page of a shard of which this replica is complete.
+func (s *Store) serveFetchShard(request *protocol.FetchShardRequest) (*protocol.Response, error) {
+	after, err := shardtable.DecodeCursor(request.GetAfter())
+	if err != nil {
+		return nil, err
 	}
-	if refused := answer(); refused.GetRefusal() != notRefused {
-		reply(refused)
-		return
+	g := s.groups.Of(request.GetShard())
+	page, err := owner.Call(g, func() shardtable.Page { return g.Table(request.GetShard()).Page(request, after) })
+	if err != nil {
+		return nil, err
 	}
-	g.keepWithChain(request.GetShard(), request.GetTurn(), func(kept bool) {
-		judged := answer()
-		if !kept && judged.GetRefusal() == notRefused {
-			judged.Refusal = protocol.ReplicaRefusal_REPLICA_NOT_READY
+	if page.Answer.GetRefusal() == notRejected && after.InTurns {
+		if err := page.ReadTurns(s.turns.Read); err != nil {
+			return nil, s.turns.FailOnDamage(err)
 		}
-		reply(judged)
+	}
+	return &protocol.Response{Body: &protocol.Response_FetchShard{FetchShard: page.Answer}}, nil
+}
+
+// serveShardDigest sums up what this replica has of a shard, by bucket.
+func (s *Store) serveShardDigest(request *protocol.ShardDigestRequest) (*protocol.Response, error) {
+	if request.GetBuckets() == 0 || request.GetBuckets() > shardtable.MaxBuckets {
+		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "out of range", failure.WithPath("shard_digest.buckets"))
+	}
+	g := s.groups.Of(request.GetShard())
+	answer, err := owner.Call(g, func() *protocol.ShardDigestResponse {
+		table := g.Table(request.GetShard())
+		if rejection := table.View.CopyRejection(request.GetPlacementEpoch()); rejection != notRejected {
+			return &protocol.ShardDigestResponse{Refusal: rejection, PlacementEpoch: table.View.Epoch}
+		}
+		return table.Digest(request.GetBuckets(), s.options.Clock.Now())
 	})
+	if err != nil {
+		return nil, err
+	}
+	return &protocol.Response{Body: &protocol.Response_ShardDigest{ShardDigest: answer}}, nil
 }
--- /dev/null
+++ b/internal/state/store/replication/errors.go
@@ -0,0 +1,18 @@
+package replication
+
+import "fmt"
+
+// CopyError says that a shard could not be copied now; the copy is retried.
+type CopyError struct {
+	Shard uint32
+	// Source is the replica that rejected the copy; empty when it failed on this side.
+	Source string
+	Reason string
+}
+
+func (e *CopyError) Error() string {
+	if e.Source == "" {
+		return fmt.Sprintf("shard %d: copy failed: %s", e.Shard, e.Reason)
+	}
+	return fmt.Sprintf("shard %d: copy from %s failed: %s", e.Shard, e.Source, e.Reason)
+}
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -50,9 +50,10 @@
 	done := make(chan struct{})
 	for number := range count {
 		program := fmt.Sprintf("program-%d", number/benchTurns)
-		g := opened.group(uint32(number/benchTurns) % 64)
-		g.mailbox.Post(func() {
-			g.keepTurn(uint32(number/benchTurns)%64, &protocol.Turn{
+		shard := uint32(number/benchTurns) % 64
+		g := opened.groups.Of(shard)
+		g.Post(func() {
+			g.RetainTurn(shard, &protocol.Turn{
 				Id: fmt.Sprintf("turn_%032d", number), Program: program, Session: program, RequestId: strconv.Itoa(number),
 				KeptAtMillis: time.Now().UnixMilli(), Output: []*protocol.Item{{Role: "assistant", Text: text}},
 			}, func() { done <- struct{}{} })
@@ -84,9 +85,9 @@
 			for b.Loop() {
 				opened := openStore(b, path)
 				b.StopTimer()
-				held := opened.counts()
-				if err := opened.Stop(); err != nil || held.turns != uint64(shape.turns) {
-					b.Fatalf("%d turns after the start: %v", held.turns, err)
+				total := opened.counts()
+				if err := opened.Stop(); err != nil || total.turns != uint64(shape.turns) {
+					b.Fatalf("%d turns after the start: %v", total.turns, err)
 				}
 				b.StartTimer()
 			}
@@ -102,13 +103,11 @@
 	for change := range changes {
 		for number := range programs {
 			shard := uint32(number % 64)
-			g := opened.group(shard)
-			g.mailbox.Post(func() {
-				table := g.table(shard)
+			g := opened.groups.Of(shard)
+			g.Post(func() {
 				key := shardtable.Key{Program: fmt.Sprintf("program-%d", number)}
-				held := table.Register(key)
 				next := register.State{Accepted: register.Ballot{Counter: uint64(change) + 1, Proposer: "a"}, Value: value}
-				g.put(table, key, held, next, func() { done <- struct{}{} })
+				g.Put(shard, key, next, func() { done <- struct{}{} })
 			})
 		}
 		for range programs {
@@ -126,8 +125,8 @@
 	writeRegisterLog(b, path, 14_000, 5, 400)
 	for b.Loop() {
 		opened := openStore(b, path)
-		if held := opened.counts().registers; held != 14_000 {
-			b.Fatalf("%d registers", held)
+		if count := opened.counts().registers; count != 14_000 {
+			b.Fatalf("%d registers", count)
 		}
 		if err := opened.Stop(); err != nil {
 			b.Fatal(err)
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -57,11 +57,11 @@
 	opened.Start()
 	damaged := 0
 	for _, group := range opened.groups {
-		for _, table := range group.shards {
+		for _, table := range group.Tables() {
 			for _, entry := range table.Turns.All() {
-				if _, err := opened.readTurn(entry, "", ""); err != nil {
+				if _, err := opened.turns.Read(entry); err != nil {
 					damaged++
-					_ = opened.readFailed(err)
+					_ = opened.turns.FailOnDamage(err)
 				}
 			}
 		}
--- a/internal/state/store/turn_index.go
+++ b/internal/state/store/snapshots.go
@@ -2,13 +2,11 @@
 
 import (
 	"io"
-	"time"
 
-	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/records"
-	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
@@ -31,16 +29,16 @@
 	if err != nil {
 		return err
 	}
-	loaded, err := s.loadTurnsFrom(segment)
+	continuing, err := s.loadTurnsFrom(segment)
 	if err != nil {
 		return err
 	}
-	for _, turn := range loaded {
-		s.group(turn.shard).table(turn.shard).Turns.Extend(turn.entry.Previous, turn.entry.RetainUntil, &s.turnSegments)
+	for _, turn := range continuing {
+		s.groups.Of(turn.shard).ExtendChain(turn.shard, turn.entry.Previous, turn.entry.RetainUntil)
 	}
 	now := s.options.Clock.Now()
 	for _, group := range s.groups {
-		group.collectTurns(0, now)
+		group.RemoveExpiredTurns(0, now)
 	}
 	return nil
 }
@@ -52,7 +50,9 @@
 		return 0, err
 	}
 	if !found {
-		s.clearTurns()
+		for _, group := range s.groups {
+			group.ClearTurns()
+		}
 		return 0, nil
 	}
 	s.indexedSegment = segment
@@ -78,19 +78,8 @@
 	return continuing, err
 }
 
-// loadTurn fills the index at the start, while no goroutine runs. An expired turn stays
-// until it is known that no retained turn continues it.
 func (s *Store) loadTurn(shard uint32, key turnindex.Key, entry turnindex.Entry) {
-	s.group(shard).table(shard).Turns.Put(key, entry)
-	s.turnSegments.Record(entry)
-}
-
-func (s *Store) clearTurns() {
-	for _, group := range s.groups {
-		for _, table := range group.shards {
-			table.ClearTurns()
-		}
-	}
+	s.groups.Of(shard).LoadTurn(shard, key, entry)
 }
 
 // turnIndexIsDue judges by what the index does not cover and by the number of turns.
@@ -105,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	if s.turnsDamaged.Load() {
+	if s.turns.IsDamaged() {
 		return s.folder.RemoveTurnIndex()
 	}
 	s.indexedSegment = segment
@@ -118,12 +107,12 @@
 		return err
 	}
 	for _, group := range s.groups {
-		shards, err := ask(group, group.shardNumbers)
+		shards, err := owner.Call(group, group.Shards)
 		if err != nil {
 			return err
 		}
 		for _, shard := range shards {
-			encoded, err := ask(group, func() []byte { return group.encodeTurns(shard) })
+			encoded, err := owner.Call(group, func() []byte { return group.EncodeTurns(shard) })
 			if err != nil {
 				return err
 			}
@@ -135,68 +124,22 @@
 	return nil
 }
 
-func (g *group) shardNumbers() []uint32 {
-	var shards []uint32
-	for shard := range g.shards {
-		shards = append(shards, shard)
-	}
-	return shards
-}
-
-func (g *group) encodeTurns(shard uint32) []byte {
-	table := g.table(shard)
-	return table.Turns.Encode(table.View.Shard)
-}
+// saveRegisters writes a snapshot of all registers. Every change that was logged before is in memory by then.
+func (s *Store) saveRegisters() error { return s.folder.SaveRegisters(s.writeRegisters) }
 
-// collectTurns drops the entries of segments before first, and expired ones.
-func (g *group) collectTurns(first uint64, now time.Time) {
-	for _, table := range g.shards {
-		table.Turns.RemoveExpired(first, now)
-	}
-}
-
-// keepTurn writes a turn and calls done on the group's goroutine once it is durable here. A
-// turn that is retained already, and for as long, is not written again.
-func (g *group) keepTurn(shard uint32, turn *protocol.Turn, done func()) {
-	table := g.table(shard)
-	key := turnindex.KeyOf(turn)
-	if table.Turns.Retains(key, turnindex.RetainUntil(turn)) {
-		done()
-		return
-	}
-	if _, inFlight := g.keeping[key]; inFlight {
-		// What is in flight may be retained for a shorter time.
-		g.keeping[key] = append(g.keeping[key], func() { g.keepTurn(shard, turn, done) })
-		return
-	}
-	encoded, err := records.Encode(&protocol.StoreRecord{Shard: shard, Body: &protocol.StoreRecord_Turn{Turn: turn}})
-	if err != nil {
-		g.store.fail(err)
-		return
-	}
-	g.store.metrics.written.WithLabelValues(datafolder.TurnLog).Add(float64(len(encoded)))
-	g.keeping[key] = []func(){done}
-	// The chain must not be collected while the write is in flight.
-	table.Turns.Extend(turnindex.PreviousKey(turn), turnindex.RetainUntil(turn), &g.store.turnSegments)
-	g.store.turnCommits.AppendAsync([][]byte{encoded}, func(positions []storage.Position, err error) {
+// writeRegisters queries one group after the other for its registers; what it has in memory
+// meanwhile is the registers' states without copies of their values.
+func (s *Store) writeRegisters(writer io.Writer) error {
+	for _, group := range s.groups {
+		stored, err := owner.Call(group, group.RegisterRecords)
 		if err != nil {
-			g.store.fail(&datafolder.LogError{Log: datafolder.TurnLog, Cause: err})
-			return
+			return err
+		}
+		for _, record := range stored {
+			if err := datafolder.WriteRecord(writer, record); err != nil {
+				return err
+			}
 		}
-		g.mailbox.Post(func() { g.turnKept(table, key, turnindex.NewEntry(positions[0], turn)) })
-	})
-}
-
-func (g *group) turnKept(table *shardtable.Table, key turnindex.Key, entry turnindex.Entry) {
-	if known, found := table.Turns.Get(key); found {
-		entry.RetainUntil = max(entry.RetainUntil, known.RetainUntil)
-	}
-	table.Turns.Put(key, entry)
-	g.store.turnSegments.Record(entry)
-	table.Turns.Extend(entry.Previous, entry.RetainUntil, &g.store.turnSegments)
-	waiting := g.keeping[key]
-	delete(g.keeping, key)
-	for _, done := range waiting {
-		done()
 	}
+	return nil
 }
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -39,12 +39,11 @@
 	durable := make(chan struct{}, changesASecond)
 	for change := range changesASecond {
 		key := shardtable.Key{Program: fmt.Sprintf("program-%d", change%changedRegisters)}
-		group := s.group(0)
-		group.mailbox.Post(func() {
-			table := group.table(0)
+		group := s.groups.Of(0)
+		group.Post(func() {
 			state := register.State{Value: make([]byte, valueBytes)}
 			state.Accepted.Counter = uint64(second*changesASecond + change)
-			group.put(table, key, table.Register(key), state, func() { durable <- struct{}{} })
+			group.Put(0, key, state, func() { durable <- struct{}{} })
 		})
 	}
 	for range changesASecond {
--- a/internal/state/store/training_step_members_test.go
+++ b/internal/state/store/steptrace/members_test.go
@@ -1,27 +1,27 @@
-package store
+package steptrace
 
 import (
 	"testing"
 
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
-	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
 func TestMembersOfAReplicaUnderAnotherPlacementDoNotCount(t *testing.T) {
-	table := shardtable.New(0)
+	g := owner.NewGroup(owner.Options{})
+	table := g.Table(0)
 	table.View.Role, table.View.Epoch = register.RoleActive, 1
 	current := &placement.Topology{Epoch: 1, Shards: []register.ShardView{table.View}}
-	g := &group{shards: map[uint32]*shardtable.Table{0: table}}
-	if !g.membersFrom(0, "17", 0, current).counts {
+	if !membersFrom(g, 0, "17", 0, current).counts {
 		t.Error("the members of an active replica do not count")
 	}
 	table.View.Epoch = 2
-	if g.membersFrom(0, "17", 0, current).counts {
+	if membersFrom(g, 0, "17", 0, current).counts {
 		t.Error("the members of a replica under another epoch count")
 	}
 	table.View.Epoch, table.View.Role = 1, register.RoleRebuilding
-	if g.membersFrom(0, "17", 0, current).counts {
+	if membersFrom(g, 0, "17", 0, current).counts {
 		t.Error("the members of a replica that is rebuilt count")
 	}
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -1,102 +1,175 @@
 package store
 
 import (
-	"context"
 	"fmt"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/state/register"
 	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/backoff"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/peers"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/proposer"
+	"github.com/rosestand/rosestand/internal/state/store/replication"
+	"github.com/rosestand/rosestand/internal/state/store/steptrace"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/state/store/turns"
 )
 
-// Store is one store process: replicas of some shards, and the proposer for their programs.
+// Store is one store process: replicas of some shards, and the proposers for their programs.
+// Its fields are set before Start, but for those that state their goroutine.
 type Store struct {
-	options         Options
-	folder          *datafolder.Folder
+	options   Options
+	folder    *datafolder.Folder
+	lifecycle *lifecycle.Lifecycle
+	watch     *placement.Watch
+	peers     *peers.Client
+	groups    owner.Groups
+	// proposers and retainers are those of the groups, in their order; each belongs to the goroutine of its group.
+	proposers   []*proposer.Proposer
+	retainers   []*turns.Retainer
+	turns       *turns.Service
+	replication *replication.Service
+	steps       *steptrace.Service
+	metrics     *metrics
+	// segments is shared by all groups.
+	segments turnindex.SegmentExpiry
+	// registerCommits and turnCommits are nil until Start.
 	registerCommits *storage.GroupCommitter
 	turnCommits     *storage.GroupCommitter
-	groups          []*group
-	watch           *placement.Watch
-	peers           *peers.Client
-	metrics         *metrics
-	proposerName    string
-	turnSegments    turnindex.SegmentExpiry
-	copyPace        pace
+
+	// The goroutine of maintain uses the following fields.
+
 	// indexedSegment is the first segment of turns that the index on disk does not cover.
 	indexedSegment uint64
-	// collectAllAt is when expired turns are dropped from the index although no segment can be removed.
-	collectAllAt time.Time
-	// snapshotsAfter is when snapshots may be tried again that had no room.
+	// removeExpiredAt is when expired turns are dropped from the index although no segment can be removed.
+	removeExpiredAt time.Time
+	// snapshotsAfter is when a snapshot may be tried again for which the disk had no space.
 	snapshotsAfter time.Time
-	// turnsDamaged says that the log of turns was found damaged, so that no index may spare a start to read it.
-	turnsDamaged atomic.Bool
-
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stopped  chan struct{}
-	routines sync.WaitGroup
-	// owners are the goroutines of the groups; they end after all others.
+
+	// owners are the goroutines of the groups; they end before all others are waited for.
 	owners   sync.WaitGroup
 	failOnce sync.Once
 	stopOnce sync.Once
-	// poke and copyPoke wake the goroutines that follow the placement and copy shards.
-	poke     chan struct{}
-	copyPoke chan struct{}
+	// viewChanged wakes the goroutine that follows the placement.
+	viewChanged chan struct{}
 }
 
-// New reads what the folder holds. The store takes ownership of the folder.
+// New reads what is stored in the folder. The store takes ownership of the folder.
 func New(options Options, folder *datafolder.Folder) (*Store, error) {
 	options.fill()
 	options.Self.StorageId = folder.StorageID
-	ctx, cancel := context.WithCancel(context.Background())
 	s := &Store{
-		options:      options,
-		folder:       folder,
-		watch:        placement.NewWatch(options.Core, options.Self),
-		metrics:      options.metrics,
-		proposerName: proposerName(options.Self.GetName(), folder),
-		ctx:          ctx,
-		cancel:       cancel,
-		stopped:      make(chan struct{}),
-		poke:         make(chan struct{}, 1),
-		copyPoke:     make(chan struct{}, 1),
+		options:     options,
+		folder:      folder,
+		lifecycle:   lifecycle.New(options.Clock),
+		watch:       placement.NewWatch(options.Core, options.Self),
+		metrics:     options.metrics,
+		viewChanged: make(chan struct{}, 1),
 	}
-	s.peers = peers.New(ctx, peers.Options{
+	s.peers = peers.New(s.lifecycle.Context(), peers.Options{
 		Caller:  options.Caller,
 		Address: s.addressOf,
 		Timeout: options.PeerTimeout,
 	})
-	for number := range options.Groups {
-		s.groups = append(s.groups, newGroup(s, number))
-	}
+	s.buildGroups()
+	s.buildServices()
 	if err := s.load(); err != nil {
-		cancel()
+		s.lifecycle.Stop()
 		return nil, err
 	}
 	return s, nil
 }
 
-// proposerName is new at every start, whatever the clock says: ballots must
-// never be used twice.
-func proposerName(name string, folder *datafolder.Folder) string {
+// buildGroups makes the owners of shards.
+func (s *Store) buildGroups() {
+	for range s.options.Groups {
+		s.groups = append(s.groups, owner.NewGroup(owner.Options{
+			Segments: &s.segments,
+			Stopped:  s.lifecycle.Stopped(),
+			Fail:     s.fail,
+			Written:  s.metrics.countWritten,
+		}))
+	}
+}
+
+// buildServices makes what uses the owners. A proposer and a retainer of one group share
+// their backoff, since both run on the group's goroutine.
+func (s *Store) buildServices() {
+	name := s.options.Self.GetName()
+	s.turns = turns.New(turns.Options{
+		Store:            name,
+		Groups:           s.groups,
+		Peers:            s.peers,
+		Placement:        s.watch,
+		Folder:           s.folder,
+		Lifecycle:        s.lifecycle,
+		PeerTimeout:      s.options.PeerTimeout,
+		OperationTimeout: DefaultOperationTimeout,
+		Repaired:         func(turns int) { s.metrics.Repaired(0, turns) },
+		Fail:             s.fail,
+	})
+	proposerName := newProposerName(name, s.folder)
+	for number, group := range s.groups {
+		waits := backoff.New(s.options.Seed, uint64(number))
+		retainer := s.turns.AddRetainer(group, waits)
+		s.retainers = append(s.retainers, retainer)
+		s.proposers = append(s.proposers, proposer.New(proposer.Options{
+			Store:    name,
+			Name:     proposerName,
+			Replica:  group,
+			Peers:    s.peers,
+			Retainer: retainer,
+			Observer: s.metrics,
+			Clock:    s.options.Clock,
+			Backoff:  waits,
+			View:     s.shardView,
+			Fail:     s.fail,
+		}))
+	}
+	s.replication = replication.New(replication.Options{
+		Store:          name,
+		StorageID:      s.options.Self.GetStorageId(),
+		Groups:         s.groups,
+		Peers:          s.peers,
+		Core:           s.options.Core,
+		Placement:      s.watch,
+		Lifecycle:      s.lifecycle,
+		Observer:       s.metrics,
+		Logger:         s.options.Logger,
+		PeerTimeout:    s.options.PeerTimeout,
+		ScrubInterval:  s.options.scrubInterval(),
+		BytesPerSecond: s.options.copyBytesPerSecond(),
+	})
+	s.steps = steptrace.New(steptrace.Options{
+		Store:       name,
+		Groups:      s.groups,
+		Peers:       s.peers,
+		Placement:   s.watch,
+		Proposer:    s,
+		Lifecycle:   s.lifecycle,
+		PeerTimeout: s.options.PeerTimeout,
+	})
+}
+
+// newProposerName returns a name that is new at every start, whatever the clock says:
+// ballots must never be used twice.
+func newProposerName(name string, folder *datafolder.Folder) string {
 	return name + "/" + folder.StorageID + "/" + strconv.FormatUint(folder.Starts, 36)
 }
 
 // load fills the tables. No goroutine runs yet, so it writes to the groups directly.
 func (s *Store) load() error {
 	err := s.folder.LoadRegisters(func(record *protocol.StoreRecord) {
-		s.group(record.GetShard()).restore(record)
+		s.groups.Of(record.GetShard()).Load(record)
 	})
 	if err != nil {
 		return errors.Wrap(err, "load registers")
@@ -104,29 +177,25 @@
 	return errors.Wrap(s.loadTurns(), "load turns")
 }
 
-// group gives the owner of a shard.
-func (s *Store) group(shard uint32) *group {
-	return s.groups[int(shard)%len(s.groups)]
-}
-
 // Start sets the goroutines going. Subscribe the store's ViewChanged to the core's views before.
 func (s *Store) Start() {
 	s.registerCommits = storage.NewGroupCommitter(s.folder.Registers, s.committerOptions(datafolder.RegisterLog))
 	s.turnCommits = storage.NewGroupCommitter(s.folder.Turns, s.committerOptions(datafolder.TurnLog))
+	logs := owner.Logs{Registers: s.registerCommits, Turns: s.turnCommits}
 	for _, group := range s.groups {
-		s.owners.Go(group.mailbox.Run)
+		s.owners.Go(func() { group.Run(logs) })
 	}
-	s.routines.Go(s.followPlacement)
-	s.routines.Go(s.maintain)
-	s.routines.Go(s.scrub)
-	s.routines.Go(s.copyShards)
+	s.lifecycle.Go(s.followPlacement)
+	s.lifecycle.Go(s.maintain)
+	s.lifecycle.Go(s.replication.RunScrub)
+	s.lifecycle.Go(s.replication.RunCatchUp)
 }
 
 func (s *Store) committerOptions(name string) storage.GroupCommitterOptions {
 	syncs := s.metrics.syncs.WithLabelValues(name)
 	shared := s.metrics.synced.WithLabelValues(name)
 	return storage.GroupCommitterOptions{
-		MaximumPendingBytes: maximumPendingBytes,
+		MaximumPendingBytes: unboundedPendingBytes,
 		OnSync: func(requests int) {
 			syncs.Inc()
 			shared.Add(float64(requests))
@@ -138,13 +207,12 @@
 func (s *Store) Stop() error {
 	var err error
 	s.stopOnce.Do(func() {
-		s.cancel()
-		close(s.stopped)
+		s.lifecycle.Stop()
 		for _, group := range s.groups {
-			group.mailbox.Close()
+			group.Close()
 		}
 		s.owners.Wait()
-		s.routines.Wait()
+		s.lifecycle.Wait()
 		s.peers.Close()
 		if s.registerCommits != nil {
 			s.registerCommits.Close()
@@ -155,8 +223,8 @@
 	return err
 }
 
-// fail ends the store because of an error it cannot outlive. Nothing that waits
-// for the failed write is ever answered.
+// fail ends the store because of an error that it cannot survive. Nothing that waits for the
+// failed write is ever answered.
 func (s *Store) fail(err error) {
 	s.failOnce.Do(func() {
 		s.options.Logger.Error("store failed", "error", err)
@@ -164,33 +232,60 @@
 	})
 }
 
-// shardOf gives the view of the shard of a program.
-func (s *Store) shardOf(program string) register.ShardView {
-	current := s.watch.Current()
-	return current.Shard(ledger.ShardOf(program, len(current.Shards)))
-}
-
-// shardView gives the view of a shard in force.
-func (s *Store) shardView(shard uint32) register.ShardView {
-	return s.watch.Current().Shard(shard)
-}
+// shardView returns the view of a shard that is in force.
+func (s *Store) shardView(shard uint32) register.ShardView { return s.watch.Current().Shard(shard) }
 
 // addressOf returns the address of a store; an empty one when it has no lease.
 func (s *Store) addressOf(store string) string { return s.watch.Current().Addresses[store] }
 
-// ViewChanged takes a new view of the core in; it does not wait.
-func (s *Store) ViewChanged() {
-	signal(s.poke)
+// proposer returns the proposer of a shard.
+func (s *Store) proposer(shard uint32) *proposer.Proposer {
+	return s.proposers[int(shard)%len(s.proposers)]
+}
+
+// retainer returns the retainer of a shard.
+func (s *Store) retainer(shard uint32) *turns.Retainer {
+	return s.retainers[int(shard)%len(s.retainers)]
 }
 
-// signal wakes a goroutine that waits, or will wait, on the channel.
-func signal(poke chan<- struct{}) {
+// ViewChanged makes the store read the core's view again; it does not wait.
+func (s *Store) ViewChanged() {
 	select {
-	case poke <- struct{}{}:
+	case s.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
+// followPlacement hands every new placement to the groups.
+func (s *Store) followPlacement() {
+	for {
+		if current, changed := s.watch.Refresh(); changed {
+			s.options.Logger.Info("placement changed", "epoch", current.Epoch)
+			for _, group := range s.groups {
+				group.Post(func() { s.applyPlacement(group, current) })
+			}
+			s.replication.Notify()
+		}
+		select {
+		case <-s.viewChanged:
+		case <-s.lifecycle.Stopped():
+			return
+		}
+	}
+}
+
+// applyPlacement brings the tables of the group's shards under a new placement, on the group's goroutine.
+func (s *Store) applyPlacement(group *owner.Group, current *placement.Topology) {
+	for _, view := range current.Shards {
+		if s.groups.Of(view.Shard) == group {
+			group.ApplyView(view)
+		}
+	}
+}
+
+// ScrubOnce compares all shards with the other replicas once.
+func (s *Store) ScrubOnce() { s.replication.Scrub() }
+
 // String names the store in logs.
 func (s *Store) String() string {
 	return fmt.Sprintf("%s (%s)", s.options.Self.GetName(), s.options.Self.GetStorageId())
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -19,6 +19,7 @@
 	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
@@ -169,24 +170,22 @@
 	}
 	opened, folder := newStored(t, filesystem, path)
 	opened.Start()
-	wait := func(shard uint32, write func(g *group, done func())) {
+	wait := func(shard uint32, write func(g *owner.Group, done func())) {
 		done := make(chan struct{})
-		g := opened.group(shard)
-		g.mailbox.Post(func() { write(g, func() { close(done) }) })
+		g := opened.groups.Of(shard)
+		g.Post(func() { write(g, func() { close(done) }) })
 		<-done
 	}
 	put := func(registers []storedRegister) {
 		for _, stored := range registers {
-			wait(stored.shard, func(g *group, done func()) {
-				table := g.table(stored.shard)
-				table.View.Shard = stored.shard
-				g.put(table, stored.key, table.Register(stored.key), stored.state, done)
+			wait(stored.shard, func(g *owner.Group, done func()) {
+				g.Put(stored.shard, stored.key, stored.state, done)
 			})
 		}
 	}
 	keep := func(turns []storedTurn) {
 		for _, stored := range turns {
-			wait(stored.shard, func(g *group, done func()) { g.keepTurn(stored.shard, stored.turn, done) })
+			wait(stored.shard, func(g *owner.Group, done func()) { g.RetainTurn(stored.shard, stored.turn, done) })
 		}
 	}
 	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
@@ -196,7 +195,7 @@
 	must(t, opened.saveRegisters())
 	must(t, opened.saveTurnIndex())
 	put(finishedRegisters)
-	wait(3, func(g *group, done func()) { g.dropShard(g.table(3), done) })
+	wait(3, func(g *owner.Group, done func()) { g.Drop(3, done) })
 	keep(finishedTurns)
 	_, err = folder.Registers.Rotate()
 	must(t, err)
@@ -277,9 +276,9 @@
 	}
 	delete(expected, shardtable.Key{Program: "dropped"})
 	for key, stored := range expected {
-		g := opened.group(stored.shard)
-		held, err := ask(g, func() *protocol.RegisterState {
-			entry, found := g.table(stored.shard).Registers.Get(key)
+		g := opened.groups.Of(stored.shard)
+		held, err := owner.Call(g, func() *protocol.RegisterState {
+			entry, found := g.Table(stored.shard).Registers.Get(key)
 			if !found {
 				return nil
 			}
@@ -300,7 +299,7 @@
 				// turn-3 continues it and is kept for longer.
 				wanted.KeepUntilMillis = storedMillis + 3*storedDay
 			}
-			read, err := opened.localTurn(stored.shard, wanted.GetProgram(), wanted.GetId())
+			read, err := opened.turns.Local(stored.shard, wanted.GetProgram(), wanted.GetId())
 			must(t, err)
 			if !proto.Equal(read, wanted) {
 				t.Errorf("%s is read as %v", wanted.GetId(), read)
@@ -310,7 +309,7 @@
 	if held := opened.counts(); held.registers != uint64(len(expected)) || held.turns != uint64(turns) {
 		t.Errorf("it holds %d registers and %d turns", held.registers, held.turns)
 	}
-	chain, err := opened.localChain(1, "program-1", "turn-3", 0)
+	chain, err := opened.turns.LocalChain(1, "program-1", "turn-3", 0)
 	must(t, err)
 	if len(chain) != 2 || chain[0].GetId() != "turn-3" || chain[1].GetId() != "turn-1" {
 		t.Errorf("the conversation is %v", chain)
@@ -391,7 +390,7 @@
 		opened.Start()
 		refused := 0
 		for _, stored := range covered {
-			_, err := opened.localTurn(stored.shard, stored.turn.GetProgram(), stored.turn.GetId())
+			_, err := opened.turns.Local(stored.shard, stored.turn.GetProgram(), stored.turn.GetId())
 			var corrupt *storage.CorruptError
 			if errors.As(err, &corrupt) {
 				refused++
--- /dev/null
+++ b/internal/state/store/turns/find.go
@@ -0,0 +1,126 @@
+package turns
+
+import (
+	"context"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
+	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+)
+
+// candidates is what one group has of a turn whose program is not known.
+type candidates struct {
+	entries []turnindex.Entry
+	// shards are those for which the group's answer counts.
+	shards []uint32
+}
+
+func findCandidates(g *owner.Group, id string, current *placement.Topology) candidates {
+	var found candidates
+	for shard, table := range g.Tables() {
+		found.entries = append(found.entries, table.Turns.WithID(id)...)
+		if table.View.Epoch == current.Shard(shard).Epoch && table.View.Role.Votes() {
+			found.shards = append(found.shards, shard)
+		}
+	}
+	return found
+}
+
+// FindLocally looks for a turn in all shards of this store, under the placement in force.
+func (s *Service) FindLocally(id string) (*protocol.FindTurnResponse, error) {
+	return s.findLocally(id, s.options.Placement.Current())
+}
+
+func (s *Service) findLocally(id string, current *placement.Topology) (*protocol.FindTurnResponse, error) {
+	answer := &protocol.FindTurnResponse{PlacementEpoch: current.Epoch}
+	for _, g := range s.options.Groups {
+		found, err := owner.Call(g, func() candidates { return findCandidates(g, id, current) })
+		if err != nil {
+			return nil, err
+		}
+		answer.Shards = append(answer.Shards, found.shards...)
+		for _, entry := range found.entries {
+			turn, err := s.Read(entry)
+			if err != nil {
+				return nil, s.FailOnDamage(err)
+			}
+			if turn.GetId() == id {
+				answer.Turn = turn
+				return answer, nil
+			}
+		}
+	}
+	return answer, nil
+}
+
+// Find looks for a turn on all stores. It is missing when in each shard a majority that acts
+// under the placement in force does not have it.
+func (s *Service) Find(ctx context.Context, find *protocol.FindTurn) (*protocol.LedgerResult, error) {
+	current := s.options.Placement.Current()
+	if len(current.Shards) == 0 {
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
+	}
+	local, err := s.findLocally(find.GetTurnId(), current)
+	if err != nil {
+		return nil, err
+	}
+	if local.GetTurn() != nil {
+		return resultWith(local.GetTurn()), nil
+	}
+	lacking := placement.NewCoverage(current)
+	lacking.Add(s.options.Store, local.GetShards(), local.GetPlacementEpoch())
+	return s.findOnPeers(ctx, find, lacking), nil
+}
+
+type findAnswer struct {
+	store  string
+	answer *protocol.FindTurnResponse
+}
+
+// findOnPeers queries the other stores at once. The first answer with the turn counts.
+func (s *Service) findOnPeers(ctx context.Context, find *protocol.FindTurn, lacking *placement.Coverage) *protocol.LedgerResult {
+	body := &protocol.Request_FindTurn{FindTurn: &protocol.FindTurnRequest{TurnId: find.GetTurnId()}}
+	others := lacking.Topology.Stores(s.options.Store)
+	answers := make(chan findAnswer, len(others))
+	for _, store := range others {
+		s.options.Peers.Send(store, &protocol.Request{Body: body}, func(response *protocol.Response, _ error) {
+			answers <- findAnswer{store: store, answer: response.GetFindTurn()}
+		})
+	}
+	if turn := s.awaitTurn(ctx, lacking, answers, len(others)); turn != nil {
+		return resultWith(turn)
+	}
+	if lacking.IsComplete() && s.options.Placement.Current().Epoch == lacking.Topology.Epoch {
+		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_TURN_MISSING)
+	}
+	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+}
+
+// awaitTurn waits until an answer has the turn, all answers have come or the time is over.
+func (s *Service) awaitTurn(
+	ctx context.Context, lacking *placement.Coverage, answers <-chan findAnswer, count int,
+) *protocol.Turn {
+	var late lateAnswers
+	defer late.end()
+	for range count {
+		if lacking.IsComplete() {
+			late.begin(s.options.Lifecycle.Clock())
+		}
+		select {
+		case received := <-answers:
+			if turn := received.answer.GetTurn(); turn != nil {
+				return turn
+			}
+			lacking.Add(received.store, received.answer.GetShards(), received.answer.GetPlacementEpoch())
+		case <-late.expired:
+			return nil
+		case <-ctx.Done():
+			return nil
+		case <-s.options.Lifecycle.Stopped():
+			return nil
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/state/store/turns/local.go
@@ -0,0 +1,97 @@
+package turns
+
+import (
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/state/store/owner"
+	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+)
+
+// Local reads one turn from the log of this store; nil when it is not here.
+func (s *Service) Local(shard uint32, program, id string) (*protocol.Turn, error) {
+	g := s.options.Groups.Of(shard)
+	key := turnindex.NewKey(program, id)
+	entry, err := owner.Call(g, func() turnindex.Entry {
+		entry, _ := g.Table(shard).Turns.Get(key)
+		return entry
+	})
+	if err != nil || entry == (turnindex.Entry{}) {
+		return nil, err
+	}
+	turn, err := s.Read(entry)
+	if turn.GetProgram() != program || turn.GetId() != id {
+		// Another turn has the same hash.
+		return nil, err
+	}
+	return turn, err
+}
+
+// Read reads the turn of an index entry, with the end of its retention as it is now. It
+// returns nil when the segment was removed meanwhile, which had expired turns only.
+func (s *Service) Read(entry turnindex.Entry) (*protocol.Turn, error) {
+	encoded, err := s.options.Folder.Turns.Read(entry.Position())
+	var removed *storage.PositionError
+	if errors.As(err, &removed) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	record, err := records.Decode(encoded)
+	if err != nil {
+		return nil, err
+	}
+	turn := record.GetTurn()
+	if entry.RetainUntil > turnindex.RetainUntil(turn) {
+		turn.KeepUntilMillis = int64(entry.RetainUntil) * time.Second.Milliseconds()
+	}
+	return turn, nil
+}
+
+// LocalChain follows the turns that lead up to the last one, newest first, as far as this
+// store has them.
+func (s *Service) LocalChain(shard uint32, program, last string, limit uint32) ([]*protocol.Turn, error) {
+	limit = boundedLimit(limit)
+	var chain []*protocol.Turn
+	size := 0
+	for uint32(len(chain)) < limit && last != "" && size < maxTurnBytes {
+		turn, err := s.Local(shard, program, last)
+		if err != nil || turn == nil {
+			return chain, err
+		}
+		chain = append(chain, turn)
+		size += proto.Size(turn)
+		last = turnindex.PreviousInProgram(turn)
+	}
+	return chain, nil
+}
+
+func boundedLimit(limit uint32) uint32 {
+	if limit == 0 || limit > maxTurns {
+		return maxTurns
+	}
+	return limit
+}
+
+// ServeFetch answers another replica with the chain that leads up to a turn, as far as it is here.
+func (s *Service) ServeFetch(request *protocol.FetchTurnsRequest) (*protocol.FetchTurnsResponse, error) {
+	view := s.options.Placement.Current().Shard(request.GetShard())
+	answer := &protocol.FetchTurnsResponse{
+		Refusal: view.Rejection(request.GetPlacementEpoch()), PlacementEpoch: view.Epoch,
+	}
+	if answer.GetRefusal() != notRejected {
+		return answer, nil
+	}
+	chain, err := s.LocalChain(request.GetShard(), request.GetProgram(), request.GetLastTurn(), request.GetLimit())
+	if err != nil {
+		return nil, s.FailOnDamage(err)
+	}
+	answer.Turns = chain
+	return answer, nil
+}
