--- a/internal/state/store/datafolder/folder.go
+++ b/internal/state/store/datafolder/folder.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // The logs of a store, each in a folder of its name.
@@ -97,7 +97,7 @@
 	if err := folder.requireSnapshot(); err != nil {
 		return nil, errors.CombineErrors(err, folder.Registers.Close())
 	}
-	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, CheckedBefore: folder.indexedBefore()}
+	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, VerifiedBefore: folder.indexedBefore()}
 	folder.Turns, err = storage.OpenLog(filesystem, folder.turnPath(), turnOptions)
 	if err != nil {
 		return nil, errors.CombineErrors(err, folder.Registers.Close())
@@ -107,7 +107,7 @@
 
 // requireFiles returns a *storage.CorruptError when a folder that was in use has no files any more.
 func requireFiles(filesystem storage.Filesystem, path string, fresh bool) error {
-	if err := filesystem.MakeFolder(path); err != nil {
+	if err := filesystem.MkdirAll(path); err != nil {
 		return err
 	}
 	entries, err := filesystem.List(path)
@@ -145,7 +145,7 @@
 			return errors.Wrapf(err, "list %s", folder)
 		}
 		for _, entry := range entries {
-			if entry.Folder || filepath.Ext(entry.Name) == corruptSuffix {
+			if entry.IsDir || filepath.Ext(entry.Name) == corruptSuffix {
 				continue
 			}
 			file := filepath.Join(folder, entry.Name)
@@ -153,7 +153,7 @@
 				return errors.Wrapf(err, "move %s aside", file)
 			}
 		}
-		if err := filesystem.SyncFolder(folder); err != nil {
+		if err := filesystem.SyncDir(folder); err != nil {
 			return errors.Wrapf(err, "sync %s", folder)
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // HasFailedLog reports whether one of the logs takes no records any more.
-func (f *Folder) HasFailedLog() bool { return f.Registers.Failed() != nil || f.Turns.Failed() != nil }
+func (f *Folder) HasFailedLog() bool { return f.Registers.Err() != nil || f.Turns.Err() != nil }
 
 func (f *Folder) registerPath() string { return filepath.Join(f.path, RegisterLog) }
 
--- a/internal/state/store/datafolder/register_snapshot.go
+++ b/internal/state/store/datafolder/register_snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/records"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // maxSnapshotRecordBytes bounds one record of a snapshot when it is read.
--- a/internal/state/store/datafolder/turn_index.go
+++ b/internal/state/store/datafolder/turn_index.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // indexedBefore returns the segment from which the log of turns must be read, since the
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -12,9 +12,9 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
+	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/state/store/owner"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/state/store/owner/group.go
+++ b/internal/state/store/owner/group.go
@@ -8,11 +8,11 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/state/store/mailbox"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Log makes records durable. done is called on another goroutine; an error means that the
--- a/internal/state/store/owner/registers.go
+++ b/internal/state/store/owner/registers.go
@@ -3,10 +3,10 @@
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/records"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // notRejected is the absence of a rejection.
--- a/internal/state/store/owner/turns.go
+++ b/internal/state/store/owner/turns.go
@@ -2,11 +2,11 @@
 
 import (
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/records"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // LoadTurn adds an entry to the index of a shard, before Run. An expired turn stays until it
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // benchTurns is how many turns a program has in benchmarks.
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // damageFirstTurn flips a byte of the first record of the log of turns.
--- a/internal/state/store/snapshots.go
+++ b/internal/state/store/snapshots.go
@@ -3,11 +3,11 @@
 import (
 	"io"
 
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/records"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // The turn index is written beside the log anew when a start would have to read so many segments
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 const (
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -10,7 +10,6 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/backoff"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
@@ -22,6 +21,7 @@
 	"github.com/rosestand/rosestand/internal/state/store/steptrace"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 	"github.com/rosestand/rosestand/internal/state/store/turns"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Store is one store process: replicas of some shards, and the proposers for their programs.
@@ -195,7 +195,7 @@
 	syncs := s.metrics.syncs.WithLabelValues(name)
 	shared := s.metrics.synced.WithLabelValues(name)
 	return storage.GroupCommitterOptions{
-		MaximumPendingBytes: unboundedPendingBytes,
+		MaxPendingBytes: unboundedPendingBytes,
 		OnSync: func(requests int) {
 			syncs.Inc()
 			shared.Add(float64(requests))
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -16,11 +16,11 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
-	"github.com/rosestand/rosestand/internal/state/storage"
-	"github.com/rosestand/rosestand/internal/state/storage/simdisk"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
+	"github.com/rosestand/rosestand/internal/storage"
+	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
 // The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
@@ -251,14 +251,14 @@
 		if path == damaged {
 			content[offset] ^= 0xff
 		}
-		must(t, disk.MakeFolder(filepath.Dir(copied)))
+		must(t, disk.MkdirAll(filepath.Dir(copied)))
 		file, err := disk.Create(copied)
 		must(t, err)
 		_, err = file.WriteAt(content, 0)
 		must(t, err)
 		must(t, file.Sync())
 		must(t, file.Close())
-		must(t, disk.SyncFolder(filepath.Dir(copied)))
+		must(t, disk.SyncDir(filepath.Dir(copied)))
 	}
 	return disk
 }
@@ -326,7 +326,7 @@
 	if opened.indexedSegment != 2 {
 		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
 	}
-	if cut := folder.Registers.CutBytes() + folder.Turns.CutBytes(); cut != 0 {
+	if cut := folder.Registers.TruncatedBytes() + folder.Turns.TruncatedBytes(); cut != 0 {
 		t.Errorf("%d bytes were cut off", cut)
 	}
 	expectStored(t, opened)
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -11,8 +11,8 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
--- a/internal/state/store/turnindex/entry.go
+++ b/internal/state/store/turnindex/entry.go
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
-	"github.com/rosestand/rosestand/internal/state/storage"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // expirySlack is how much later than the end of its retention a turn counts as expired, so
--- a/internal/state/store/turns/local.go
+++ b/internal/state/store/turns/local.go
@@ -7,10 +7,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/records"
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 // Local reads one turn from the log of this store; nil when it is not here.
--- a/internal/state/store/turns/service.go
+++ b/internal/state/store/turns/service.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/storage"
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/state/store/owner"
 	"github.com/rosestand/rosestand/internal/state/store/placement"
+	"github.com/rosestand/rosestand/internal/storage"
 )
 
 const (
