--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// ledgerFolder lies in the data folder of the process and holds all that a store keeps.
+// ledgerFolder is in the data folder of the process and has all that a store writes.
 const ledgerFolder = "ledger"
 
 // readyCondition is the name under which a store's readiness is shown.
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if folder.Lost != nil {
-		logger.Error("data folder was damaged; it is put aside and the store is rebuilt from its peers",
+		logger.Error("damaged data folder moved aside, store to be rebuilt from its peers",
 			"error", folder.Lost, "storage_id", folder.StorageID)
 	}
 	return folder, nil
@@ -77,7 +77,8 @@
 }
 
 func provideLink(
-	self identity, node *protocol.NodeSettings, caller wire.Caller, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
+	self identity, node *protocol.NodeSettings, caller wire.Caller, logger *log.Logger, registerer prometheus.Registerer,
+	process *daemon.Process,
 ) *corelink.Link {
 	link := corelink.New(corelink.Options{
 		Self:       self.node,
@@ -91,8 +92,8 @@
 }
 
 func provideStore(
-	settings *protocol.StoreSettings, self identity, folder *datafolder.Folder, open FolderOpener, caller wire.Caller, link *corelink.Link,
-	clock Clock, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
+	settings *protocol.StoreSettings, self identity, folder *datafolder.Folder, open FolderOpener, caller wire.Caller,
+	link *corelink.Link, clock Clock, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
 ) (*Supervisor, error) {
 	return NewSupervisor(Options{
 		Self:       proto.CloneOf(self.node),
@@ -117,7 +118,7 @@
 	})
 	process.Readiness.AddCheck(diskCondition, func() string {
 		if !store.Serving() {
-			return "the store waits for its disk"
+			return waitsForDisk
 		}
 		return ""
 	})
--- a/internal/state/store/metrics.go
+++ b/internal/state/store/metrics.go
@@ -6,7 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of one store.
+// metrics are the counters and gauges of one store, and of those that replace it after a
+// failure. Any goroutine may use them.
 type metrics struct {
 	changes     prometheus.Counter
 	batched     prometheus.Counter
@@ -70,25 +71,25 @@
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	counter := func(name, help string) prometheus.Counter {
-		made := prometheus.NewCounter(prometheus.CounterOpts{
+		collector := prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	labelled := func(name, help, label string) *prometheus.CounterVec {
-		made := prometheus.NewCounterVec(prometheus.CounterOpts{
+		collector := prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		}, []string{label})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		made := prometheus.NewGauge(prometheus.GaugeOpts{
+		collector := prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	return &metrics{
 		changes:     counter("register_changes_total", "Register changes begun as proposer."),
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -16,30 +16,37 @@
 )
 
 const (
-	// reopenInterval is the pause between two attempts to open the folder of a store that failed.
+	// reopenInterval is the wait before each attempt to open the folder of a store that failed.
 	reopenInterval = time.Second
-	// reopenSpaceBytes is the room that a full disk must have again before its folder is opened.
-	reopenSpaceBytes = 1 << 20
-	// otherFailuresOutlived is how many failures that are no lack of room a process outlives.
-	otherFailuresOutlived = 1
+	// minFreeBytes is the free space that a full disk must have again before its folder is opened.
+	minFreeBytes = 1 << 20
+	// maxOtherFailures is how many failures other than a full disk a process survives.
+	maxOtherFailures = 1
 )
 
+// waitsForDisk is what callers and operators are shown while there is no store.
+const waitsForDisk = "the store waits for its disk"
+
 // FolderOpener opens the folder of a store: at the start of the process and again after a failure.
 type FolderOpener func() (*datafolder.Folder, error)
 
-// Supervisor runs a Store and replaces it by a new one, read from the same folder as after a crash, when its disk was full, or
-// once when a write failed otherwise. Meanwhile it answers that the store is unavailable, and the process goes on. What the
-// failed store had not synced was never acknowledged.
+// Supervisor runs a Store and replaces it by a new one, read from the same folder as after a
+// crash, when its disk was full, or once when a write failed otherwise. Meanwhile it answers
+// that the store is unavailable, and the process continues. What the failed store had not
+// synced was never acknowledged.
+//
+// Its goroutine is that of run; other methods may be called by any goroutine.
 type Supervisor struct {
 	options Options
 	open    FolderOpener
 	fatal   func(error)
 	// current is the store that serves; nil while there is none.
 	current atomic.Pointer[Store]
-	// otherFailures counts the failures that were no lack of room; it belongs to the goroutine of run.
+	// otherFailures counts the failures other than a full disk; it belongs to the goroutine of run.
 	otherFailures int
-	failures      chan error
-	location      datafolder.Location
+	// failures has the error of the store that failed, until run replaces that store.
+	failures chan error
+	location datafolder.Location
 
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -48,7 +55,8 @@
 	running *Store
 }
 
-// NewSupervisor makes the first store from the opened folder; open opens the folder again after a failure.
+// NewSupervisor returns a supervisor whose first store uses the opened folder; open opens the
+// folder again after a failure.
 func NewSupervisor(options Options, folder *datafolder.Folder, open FolderOpener) (*Supervisor, error) {
 	options.fill()
 	options.Self.StorageId = folder.StorageID
@@ -65,18 +73,18 @@
 	return s, nil
 }
 
-// build makes a store that reports its failure here, once.
+// build makes a store that reports its first failure to the supervisor.
 func (s *Supervisor) build(folder *datafolder.Folder) (*Store, error) {
 	options := s.options
 	options.Self = proto.CloneOf(s.options.Self)
 	var built *Store
-	options.Fatal = func(err error) { s.storeFailed(built, err) }
+	options.Fatal = func(err error) { s.handleFailure(built, err) }
 	built, err := New(options, folder)
 	return built, err
 }
 
-// storeFailed takes a store out of service at once; run replaces it.
-func (s *Supervisor) storeFailed(failed *Store, err error) {
+// handleFailure takes a store out of service at once; run replaces it.
+func (s *Supervisor) handleFailure(failed *Store, err error) {
 	s.current.CompareAndSwap(failed, nil)
 	select {
 	case s.failures <- err:
@@ -84,19 +92,19 @@
 	}
 }
 
-// Start sets the store to work. Subscribe ViewChanged to the core's views before.
+// Start puts the first store in service. Subscribe ViewChanged to the core's views before.
 func (s *Supervisor) Start() {
-	s.serveBy(s.running)
+	s.serveFrom(s.running)
 	s.routines.Go(s.run)
 }
 
-// serveBy starts a store and puts it in service.
-func (s *Supervisor) serveBy(store *Store) {
+// serveFrom starts a store and puts it in service.
+func (s *Supervisor) serveFrom(store *Store) {
 	s.current.Store(store)
 	store.Start()
 }
 
-// Stop ends the store.
+// Stop ends the store and the supervisor's goroutine.
 func (s *Supervisor) Stop() error {
 	s.cancel()
 	s.routines.Wait()
@@ -120,28 +128,29 @@
 	}
 }
 
-// replace ends the failed store and puts a new one in service; it reports false when the process must end, or ends already.
+// replace ends the failed store and puts a new one in service; it reports false when the
+// process must end, or ends already.
 func (s *Supervisor) replace(failed error) bool {
 	if err := s.running.Stop(); err != nil {
-		s.options.Logger.Warn("the failed store was closed with an error", "error", err)
+		s.options.Logger.Warn("failed store closed with an error", "error", err)
 	}
 	s.running = nil
 	for failed != nil {
-		if !s.outlives(failed) {
+		if !s.canReopenAfter(failed) {
 			s.fatal(failed)
 			return false
 		}
-		if !s.pause() {
+		if !s.awaitReopen() {
 			return false
 		}
 		failed = s.reopen()
 	}
-	s.options.Logger.Info("the store serves again")
+	s.options.Logger.Info("store reopened")
 	return true
 }
 
-// outlives decides whether the folder is opened again after an error.
-func (s *Supervisor) outlives(err error) bool {
+// canReopenAfter decides whether the folder is opened again after an error.
+func (s *Supervisor) canReopenAfter(err error) bool {
 	if storage.IsDiskFull(err) {
 		return true
 	}
@@ -151,11 +160,11 @@
 		return false
 	}
 	s.otherFailures++
-	return s.otherFailures <= otherFailuresOutlived
+	return s.otherFailures <= maxOtherFailures
 }
 
-// pause waits before the next attempt; it reports false when the process ends.
-func (s *Supervisor) pause() bool {
+// awaitReopen waits before the next attempt; it reports false when the process ends.
+func (s *Supervisor) awaitReopen() bool {
 	passed := make(chan struct{})
 	stop := s.options.Clock.AfterFunc(reopenInterval, func() { close(passed) })
 	defer stop()
@@ -169,7 +178,7 @@
 
 // reopen reads the folder as after a crash and serves from it.
 func (s *Supervisor) reopen() error {
-	if err := s.location.CheckFreeSpace(reopenSpaceBytes); err != nil {
+	if err := s.location.CheckFreeSpace(minFreeBytes); err != nil {
 		return err
 	}
 	folder, err := s.open()
@@ -179,16 +188,16 @@
 	if folder.StorageID != s.options.Self.GetStorageId() {
 		return errors.CombineErrors(&StorageReplacedError{Cause: folder.Lost}, folder.Close())
 	}
-	anew, err := s.build(folder)
+	replacement, err := s.build(folder)
 	if err != nil {
 		return errors.CombineErrors(err, folder.Close())
 	}
-	s.running = anew
-	s.serveBy(anew)
+	s.running = replacement
+	s.serveFrom(replacement)
 	return nil
 }
 
-// ViewChanged passes on that the core's view is another one; it does not wait.
+// ViewChanged makes the store read the core's view again; it does not wait.
 func (s *Supervisor) ViewChanged() {
 	if serving := s.current.Load(); serving != nil {
 		serving.ViewChanged()
@@ -206,7 +215,7 @@
 	if response := s.answerWithoutStore(request); response != nil {
 		return send(response)
 	}
-	return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "the store waits for its disk", failure.WithRetryAfter(retryAfter))
+	return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, waitsForDisk, failure.WithRetryAfter(retryAfter))
 }
 
 // answerWithoutStore answers what needs no data; nil to anything else.
@@ -221,7 +230,7 @@
 	}
 }
 
-// Status is what the store tells operators about itself: its name only while it waits for its disk.
+// Status is what the store reports to operators of itself: its name only while it waits for its disk.
 func (s *Supervisor) Status() *protocol.StoreStatusResponse {
 	if serving := s.current.Load(); serving != nil {
 		return serving.Status()
