--- a/internal/dataplane/front/admission.go
+++ b/internal/dataplane/front/admission/controller.go
@@ -1,4 +1,4 @@
-package front
+package admission
 
 import (
 	"context"
@@ -13,8 +13,9 @@
 )
 
 const (
-	// bucketSeconds is how much of its rate a tenant may use at once.
-	bucketSeconds    = 2
+	// bucketSeconds is how many seconds of its rate a tenant may use at once.
+	bucketSeconds = 2
+	// expiryResolution is the least time from one look for expired tickets to the next.
 	expiryResolution = 5 * time.Millisecond
 )
 
@@ -24,37 +25,47 @@
 	tokens   *limit.Bucket
 }
 
-// admission owns the lanes, the retry budget and the tenants' rates.
-type admission struct {
-	*commandloop.Loop
+// Clock tells the time and waits.
+type Clock interface {
+	Now() time.Time
+	After(wait time.Duration) <-chan time.Time
+}
+
+// Controller admits requests to server groups. The loop's goroutine owns all its tables; its methods
+// may be called from any goroutine.
+type Controller struct {
+	loop     *commandloop.Loop
 	clock    Clock
 	policy   *protocol.LimitPolicy
 	limiters map[string]*groupLimiter
-	limits   map[string]concurrencyLimit
+	limits   map[string]ConcurrencyLimit
 	retries  *limit.RetryBudget
 	tenants  map[string]*tenantBuckets
 	waiting  map[uint64]chan limit.Decision
 	nextID   uint64
 	alarmSet time.Time
-	// gates lets generations of training steps in, behind the requests of the lanes.
+	// gates admit generations of training steps, behind the requests that the limiters admit.
 	gates *admissionGates
 }
 
-func newAdmission(clock Clock) *admission {
-	return &admission{
-		Loop: commandloop.New(), clock: clock, policy: &protocol.LimitPolicy{},
+// NewController makes a controller without bounds, which Configure sets. stepSlots says how many
+// generations of a training step may run at servers of a key's version; it is called on the loop's goroutine.
+// Stop ends the controller.
+func NewController(clock Clock, stepSlots func(key StepKey, liveWaits bool) int) *Controller {
+	return &Controller{
+		loop: commandloop.New(), clock: clock, policy: &protocol.LimitPolicy{},
 		limiters: make(map[string]*groupLimiter),
-		limits:   make(map[string]concurrencyLimit),
+		limits:   make(map[string]ConcurrencyLimit),
 		retries:  limit.NewRetryBudget(0),
 		tenants:  make(map[string]*tenantBuckets),
 		waiting:  make(map[uint64]chan limit.Decision),
-		gates:    newAdmissionGates(),
+		gates:    newAdmissionGates(stepSlots),
 	}
 }
 
-// configure puts the bounds of a bundle in force.
-func (a *admission) configure(limits *protocol.LimitPolicy) {
-	a.Post(func() {
+// Configure puts the limits of a bundle in force.
+func (a *Controller) Configure(limits *protocol.LimitPolicy) {
+	a.loop.Post(func() {
 		a.policy = limits
 		a.retries.SetPercent(limits.GetRetryPercent())
 		for _, group := range a.groups() {
@@ -63,9 +74,9 @@
 	})
 }
 
-// setConcurrencyLimits puts new ceilings in force; a group that is not named has none.
-func (a *admission) setConcurrencyLimits(limits map[string]concurrencyLimit) {
-	a.Post(func() {
+// SetConcurrencyLimits puts limits in force by group; a group that is not named has none.
+func (a *Controller) SetConcurrencyLimits(limits map[string]ConcurrencyLimit) {
+	a.loop.Post(func() {
 		a.limits = limits
 		for _, group := range a.groups() {
 			a.deliver(a.limiters[group].setLimit(limits[group]))
@@ -74,7 +85,7 @@
 	})
 }
 
-func (a *admission) limiter(group string) *groupLimiter {
+func (a *Controller) limiter(group string) *groupLimiter {
 	existing := a.limiters[group]
 	if existing == nil {
 		existing = newGroupLimiter(a.policy, a.limits[group])
@@ -83,12 +94,28 @@
 	return existing
 }
 
-func (a *admission) groups() []string { return slices.Sorted(maps.Keys(a.limiters)) }
+// Stop ends the controller; who waits is rejected.
+func (a *Controller) Stop() { a.loop.Stop() }
+
+// WaitingLive is how many requests wait for a slot of a group, without generations of training steps.
+func (a *Controller) WaitingLive(group string) (count int) {
+	a.loop.Do(func() { count = a.limiter(group).queue.WaitingInAll() })
+	return count
+}
+
+// WaitingSteps is how many generations of training steps wait for a slot of any group.
+func (a *Controller) WaitingSteps() (count int) {
+	a.loop.Do(func() { count = len(a.gates.waiting) })
+	return count
+}
+
+func (a *Controller) groups() []string { return slices.Sorted(maps.Keys(a.limiters)) }
 
-// enter waits for a slot of a server group; the failure says why there is none.
-func (a *admission) enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
+// Enter waits for a slot of a server group; the failure says why there is none. A nil one must be
+// followed by Leave.
+func (a *Controller) Enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
 	decided := make(chan limit.Decision, 1)
-	running := a.Post(func() {
+	running := a.loop.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
 		a.waiting[ticket.ID] = decided
@@ -97,22 +124,23 @@
 		a.setAlarm()
 	})
 	if !running {
-		return stoppingFailure()
+		return StoppingFailure()
 	}
 	select {
 	case decision := <-decided:
 		return admissionFailure(decision)
-	case <-a.Stopped():
-		return stoppingFailure()
+	case <-a.loop.Stopped():
+		return StoppingFailure()
 	case <-ctx.Done():
 	}
 	a.withdraw(group, &ticket, decided)
-	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the request ended while it waited for a slot").Failure
+	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
+		"the request ended while it waited for a slot").Failure
 }
 
-// withdraw takes a ticket out whose caller no longer waits.
-func (a *admission) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
-	a.Post(func() {
+// withdraw cancels the ticket of a caller that no longer waits.
+func (a *Controller) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
+	a.loop.Post(func() {
 		if a.waiting[ticket.ID] != nil {
 			a.limiter(group).queue.Cancel(ticket.ID)
 			delete(a.waiting, ticket.ID)
@@ -124,34 +152,35 @@
 	})
 }
 
-// leave gives a slot back.
-func (a *admission) leave(group string) {
-	a.Post(func() {
+// Leave gives a slot back.
+func (a *Controller) Leave(group string) {
+	a.loop.Post(func() {
 		a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		a.dispatchSteps(group)
 	})
 }
 
-// recordSample tells the concurrency limit of a group what one attempt measured.
-func (a *admission) recordSample(group string, sample limit.Sample) {
-	a.Post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
+// RecordSample gives the adaptive concurrency limit of a group what one attempt measured.
+func (a *Controller) RecordSample(group string, sample limit.Sample) {
+	a.loop.Post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
 }
 
-// retry takes one retry out of the budget.
-func (a *admission) retry() bool {
+// Retry takes one retry out of the budget; it reports false when none is left.
+func (a *Controller) Retry() bool {
 	granted := false
-	answered := a.Do(func() { granted = a.retries.Retry() })
+	answered := a.loop.Do(func() { granted = a.retries.Retry() })
 	return answered && granted
 }
 
-// admitTenant checks the tenant's rates, scaled to this front node's share of the fleet.
-func (a *admission) admitTenant(policy *protocol.TenantPolicy, share float64) *protocol.Failure {
+// AdmitTenant checks a tenant's rates, scaled to this front node's share of the fleet (0 to 1); the
+// failure says when to come back.
+func (a *Controller) AdmitTenant(policy *protocol.TenantPolicy, share float64) *protocol.Failure {
 	if policy.GetRequestsPerSecond() <= 0 && policy.GetTokensPerSecond() <= 0 {
 		return nil
 	}
 	var wait time.Duration
 	allowed := true
-	a.Do(func() {
+	a.loop.Do(func() {
 		now := a.clock.Now()
 		buckets := a.bucketsFor(policy, share, now)
 		if allowed, wait = buckets.tokens.Take(0, now); allowed {
@@ -165,18 +194,18 @@
 		failure.WithRetryAfter(max(wait, time.Millisecond))).Failure
 }
 
-// chargeTenant counts tokens that were passed on.
-func (a *admission) chargeTenant(policy *protocol.TenantPolicy, share float64, tokens uint64) {
+// ChargeTenant counts tokens that were forwarded to a tenant.
+func (a *Controller) ChargeTenant(policy *protocol.TenantPolicy, share float64, tokens uint64) {
 	if policy.GetTokensPerSecond() <= 0 || tokens == 0 {
 		return
 	}
-	a.Post(func() {
+	a.loop.Post(func() {
 		now := a.clock.Now()
 		a.bucketsFor(policy, share, now).tokens.Charge(float64(tokens), now)
 	})
 }
 
-func (a *admission) bucketsFor(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
+func (a *Controller) bucketsFor(policy *protocol.TenantPolicy, share float64, now time.Time) *tenantBuckets {
 	requests, tokens := policy.GetRequestsPerSecond()*share, policy.GetTokensPerSecond()*share
 	buckets := a.tenants[policy.GetName()]
 	if buckets == nil {
@@ -191,7 +220,7 @@
 	return buckets
 }
 
-func (a *admission) deliver(decisions []limit.Decision) {
+func (a *Controller) deliver(decisions []limit.Decision) {
 	for _, decision := range decisions {
 		if decided := a.waiting[decision.ID]; decided != nil {
 			delete(a.waiting, decision.ID)
@@ -200,8 +229,8 @@
 	}
 }
 
-// setAlarm expires tickets that wait too long, one alarm at a time.
-func (a *admission) setAlarm() {
+// setAlarm has waiting tickets expire in time. One alarm is set at a time.
+func (a *Controller) setAlarm() {
 	next := a.nextExpiry()
 	if next.IsZero() || !a.alarmSet.IsZero() && !next.Before(a.alarmSet) {
 		return
@@ -211,13 +240,13 @@
 	go func() {
 		select {
 		case <-ring:
-			a.Post(a.alarm)
-		case <-a.Stopping():
+			a.loop.Post(a.alarm)
+		case <-a.loop.Stopping():
 		}
 	}()
 }
 
-func (a *admission) nextExpiry() time.Time {
+func (a *Controller) nextExpiry() time.Time {
 	next := a.nextStepWake()
 	for _, limiter := range a.limiters {
 		if expiry := limiter.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
@@ -227,7 +256,7 @@
 	return next
 }
 
-func (a *admission) alarm() {
+func (a *Controller) alarm() {
 	a.alarmSet = time.Time{}
 	for _, group := range a.groups() {
 		a.deliver(a.limiters[group].queue.Expire(a.clock.Now()))
@@ -249,7 +278,8 @@
 	}
 }
 
-func stoppingFailure() *protocol.Failure {
+// StoppingFailure is the rejection by a front node that stops.
+func StoppingFailure() *protocol.Failure {
 	return failure.New(failure.Draining, protocol.Outcome_NOT_RUN, "the front node is stopping",
 		failure.WithRetryAfter(time.Second)).Failure
 }
--- a/internal/dataplane/front/step_gates.go
+++ b/internal/dataplane/front/admission/step_gates.go
@@ -1,4 +1,4 @@
-package front
+package admission
 
 import (
 	"cmp"
@@ -11,32 +11,30 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// admissionGateKey names the servers of one version in a group.
-type admissionGateKey struct {
-	group   string
-	model   string
-	version uint64
+// StepKey names the servers of a group that have one version of a model's weights.
+type StepKey struct {
+	Group   string
+	Model   string
+	Version uint64
 }
 
-func (k admissionGateKey) pin() *versionPin { return &versionPin{model: k.model, version: k.version} }
-
-// admissionGates are the gates of the versions that training steps generate on here.
-// They belong to the admission's owner, which asks them anew whenever a live request leaves its slot.
+// admissionGates are the admission gates of the versions that training steps generate on here. They belong
+// to the controller's goroutine, which dispatches them again whenever a live request leaves its slot.
 type admissionGates struct {
-	gates   map[admissionGateKey]*trainingstep.Gate
+	gates   map[StepKey]*trainingstep.Gate
 	waiting map[uint64]chan trainingstep.Decision
 	// slots gives how many generations of a version may run.
-	slots func(key admissionGateKey, liveWaits bool) int
+	slots func(key StepKey, liveWaits bool) int
 }
 
-func newAdmissionGates() *admissionGates {
+func newAdmissionGates(slots func(key StepKey, liveWaits bool) int) *admissionGates {
 	return &admissionGates{
-		gates: make(map[admissionGateKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
-		slots: func(admissionGateKey, bool) int { return 0 },
+		gates: make(map[StepKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
+		slots: slots,
 	}
 }
 
-func (s *admissionGates) gate(key admissionGateKey) *trainingstep.Gate {
+func (s *admissionGates) gate(key StepKey) *trainingstep.Gate {
 	gate := s.gates[key]
 	if gate == nil {
 		gate = &trainingstep.Gate{}
@@ -46,25 +44,25 @@
 }
 
 // keys names the gates of a group in order; a group of "" means all.
-func (s *admissionGates) keys(group string) []admissionGateKey {
+func (s *admissionGates) keys(group string) []StepKey {
 	if len(s.gates) == 0 {
 		return nil
 	}
-	var keys []admissionGateKey
+	var keys []StepKey
 	for key := range s.gates {
-		if group == "" || key.group == group {
+		if group == "" || key.Group == group {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b admissionGateKey) int {
-		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.model, b.model), cmp.Compare(a.version, b.version))
+	slices.SortFunc(keys, func(a, b StepKey) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
 	})
 	return keys
 }
 
-// stepCapacity asks for the places only when something waits or comes.
-func (a *admission) stepCapacity(key admissionGateKey) trainingstep.Capacity {
-	limiter := a.limiters[key.group]
+// stepCapacity is computed only when a generation waits or arrives: it looks at every server of the group.
+func (a *Controller) stepCapacity(key StepKey) trainingstep.Capacity {
+	limiter := a.limiters[key.Group]
 	liveWaits := limiter != nil && limiter.queue.WaitingInAll() > 0
 	return trainingstep.Capacity{Slots: a.gates.slots(key, liveWaits), LiveWaits: liveWaits}
 }
@@ -78,8 +76,8 @@
 	}
 }
 
-// dispatchSteps lets in who may run now; a group of "" means all.
-func (a *admission) dispatchSteps(group string) {
+// dispatchSteps admits the generations that may run now; a group of "" means all.
+func (a *Controller) dispatchSteps(group string) {
 	for _, key := range a.gates.keys(group) {
 		gate := a.gates.gates[key]
 		if gate.Waiting() > 0 {
@@ -91,8 +89,8 @@
 	}
 }
 
-// nextStepWake is when a gate has something to do by itself; zero when none has.
-func (a *admission) nextStepWake() time.Time {
+// nextStepWake is when the next gate must be dispatched without an event; zero when none must.
+func (a *Controller) nextStepWake() time.Time {
 	var next time.Time
 	for _, gate := range a.gates.gates {
 		if wake := gate.NextWake(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
@@ -102,11 +100,12 @@
 	return next
 }
 
-// enterStep waits for a place of a generation; the failure says why there is none.
-func (a *admission) enterStep(ctx context.Context, key admissionGateKey, deadline time.Time) *protocol.Failure {
+// EnterStep waits for a slot of a generation; the failure says why there is none. A nil one must be
+// followed by LeaveStep.
+func (a *Controller) EnterStep(ctx context.Context, key StepKey, deadline time.Time) *protocol.Failure {
 	decided := make(chan trainingstep.Decision, 1)
 	ticket := &trainingstep.Ticket{Deadline: deadline}
-	running := a.Post(func() {
+	running := a.loop.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
 		a.gates.waiting[ticket.ID] = decided
@@ -114,26 +113,27 @@
 		a.setAlarm()
 	})
 	if !running {
-		return stoppingFailure()
+		return StoppingFailure()
 	}
 	select {
 	case decision := <-decided:
 		return stepDecisionFailure(decision)
-	case <-a.Stopped():
-		return stoppingFailure()
+	case <-a.loop.Stopped():
+		return StoppingFailure()
 	case <-ctx.Done():
 	}
 	a.withdrawStep(key, ticket, decided)
-	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the request ended while it waited for a place").Failure
+	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
+		"the request ended while it waited for a place").Failure
 }
 
-// withdrawStep takes a ticket out whose caller no longer waits.
-func (a *admission) withdrawStep(key admissionGateKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
-	a.Post(func() {
+// withdrawStep cancels the ticket of a caller that no longer waits.
+func (a *Controller) withdrawStep(key StepKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
+	a.loop.Post(func() {
 		if a.gates.waiting[ticket.ID] != nil {
 			delete(a.gates.waiting, ticket.ID)
 			a.gates.gate(key).Cancel(ticket.ID)
-			a.dispatchSteps(key.group)
+			a.dispatchSteps(key.Group)
 			return
 		}
 		if decision := <-decided; decision.Verdict == trainingstep.Run {
@@ -142,14 +142,14 @@
 	})
 }
 
-// leaveStep gives a place back.
-func (a *admission) leaveStep(key admissionGateKey) {
-	a.Post(func() { a.releaseStep(key) })
+// LeaveStep gives a slot back.
+func (a *Controller) LeaveStep(key StepKey) {
+	a.loop.Post(func() { a.releaseStep(key) })
 }
 
-func (a *admission) releaseStep(key admissionGateKey) {
+func (a *Controller) releaseStep(key StepKey) {
 	a.gates.deliver(a.gates.gate(key).Leave(a.stepCapacity(key), a.clock.Now()))
-	a.dispatchSteps(key.group)
+	a.dispatchSteps(key.Group)
 }
 
 func stepDecisionFailure(decision trainingstep.Decision) *protocol.Failure {
@@ -161,5 +161,6 @@
 		message = "too many generations of the training step wait"
 	case trainingstep.RejectLate:
 	}
-	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message, failure.WithRetryAfter(trainingstep.RejectedRetryAfter)).Failure
+	return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, message,
+		failure.WithRetryAfter(trainingstep.RejectedRetryAfter)).Failure
 }
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -116,13 +116,11 @@
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
-func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.Do(func() { waiting = service.admission.limiter(group).queue.WaitingInAll() })
-	return waiting
+func WaitingLive(service *Service, group string) int {
+	return service.admission.WaitingLive(group)
 }
 
 // WaitingSteps is how many generations of training steps wait for a place.
-func WaitingSteps(service *Service) (waiting int) {
-	service.admission.Do(func() { waiting = len(service.admission.gates.waiting) })
-	return waiting
+func WaitingSteps(service *Service) int {
+	return service.admission.WaitingSteps()
 }
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -78,7 +78,7 @@
 	if err := a.findConversation(c, request); err != nil {
 		return nil, false, nil, err
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		return nil, false, nil, a.rejectEarly(c, request, limited)
 	}
 	return request, stream, policy, nil
@@ -140,7 +140,7 @@
 		tokens += uint64(event.GetDelta().GetTokens())
 		return stream.send(event)
 	})
-	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
+	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	endStream(c, stream, err)
 }
 
@@ -165,7 +165,7 @@
 		last = event
 		return nil
 	})
-	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
+	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	switch {
 	case err != nil:
 		writeError(c, err)
@@ -226,7 +226,7 @@
 	if route.GetNonRepeatable() && c.GetHeader(headerIdempotency) == "" {
 		return nil, false, missingField(headerIdempotency)
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
 		return nil, false, err
 	}
--- a/internal/dataplane/front/httpheader/header.go
+++ b/internal/dataplane/front/httpheader/header.go
@@ -31,7 +31,9 @@
 			forwarded = append(forwarded, &protocol.HttpHeader{Name: name, Value: value})
 		}
 	}
-	slices.SortStableFunc(forwarded, func(a, b *protocol.HttpHeader) int { return strings.Compare(a.GetName(), b.GetName()) })
+	slices.SortStableFunc(forwarded, func(a, b *protocol.HttpHeader) int {
+		return strings.Compare(a.GetName(), b.GetName())
+	})
 	return forwarded
 }
 
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -45,7 +46,7 @@
 // joinTurn is the answer when the session has a turn under way.
 func (s *Service) joinTurn(current *liveTurn, request *protocol.TurnRequest) (*liveTurn, error) {
 	if current == nil {
-		return nil, &failure.Error{Failure: stoppingFailure()}
+		return nil, &failure.Error{Failure: admission.StoppingFailure()}
 	}
 	if current.requestID == request.GetRequestId() && current.tenant == request.GetTenant() {
 		return current, nil
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -13,6 +13,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -76,7 +77,7 @@
 	routes       *routeClient
 	models       *groupModels
 	versionPins  *versionPins
-	admission    *admission
+	admission    *admission.Controller
 	sessions     *sessions
 	explanations *explain.Store
 	heartbeats   *heartbeat.Relay
@@ -108,16 +109,16 @@
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
 		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:      newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
-		models:      models,
-		versionPins: newVersionPins(options.Clock),
-		admission:   newAdmission(options.Clock), sessions: newSessions(options.Clock),
+		routes:       newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		models:       models,
+		versionPins:  newVersionPins(options.Clock),
+		sessions:     newSessions(options.Clock),
 		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
 		hasBundle:    make(chan struct{}),
 	}
-	s.admission.gates.slots = s.stepSlots
+	s.admission = admission.NewController(options.Clock, s.stepSlots)
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
@@ -134,7 +135,7 @@
 		if next.active.Bundle() != nil {
 			s.markStarted()
 		}
-		s.admission.configure(next.active.Bundle().GetLimits())
+		s.admission.Configure(next.active.Bundle().GetLimits())
 	}
 	former := s.backEnds.Load()
 	if former == nil {
--- a/internal/dataplane/front/step_load.go
+++ b/internal/dataplane/front/step_load.go
@@ -3,6 +3,7 @@
 import (
 	"sync/atomic"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
@@ -91,11 +92,11 @@
 }
 
 // stepSlots is how many generations of a version this front node may have under way.
-func (s *Service) stepSlots(key admissionGateKey, liveWaits bool) int {
+func (s *Service) stepSlots(key admission.StepKey, liveWaits bool) int {
 	now := s.clock.Now()
 	servers, index := s.backEnds.Load(), s.policies.Load().active
-	having, _ := key.pin().split(servers.byGroup[key.group], now)
-	all := candidates(having, index.Group(key.group), now)
+	having, _ := (&versionPin{model: key.Model, version: key.Version}).split(servers.byGroup[key.Group], now)
+	all := candidates(having, index.Group(key.Group), now)
 	used := schedule.Subset(s.name, s.zone, index.Bundle().GetScheduling().GetSubsetSize(), all)
 	fronts := frontNodesPerServer(s.frontNodes(), len(used), len(all))
 	servers.addStepLoad(used, fronts)
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
@@ -92,8 +93,8 @@
 func (r *turnRun) isTrainingStep() bool { return r.request.GetTrainingStep() != "" }
 
 // stepGate names the servers that the turn may run at.
-func (r *turnRun) stepGate() admissionGateKey {
-	return admissionGateKey{group: r.route.GetGroup(), model: r.pin.model, version: r.pin.version}
+func (r *turnRun) stepGate() admission.StepKey {
+	return admission.StepKey{Group: r.route.GetGroup(), Model: r.pin.model, Version: r.pin.version}
 }
 
 // stepPlacement is what the choice of a server needs to know of a generation of a step; nil for other turns.
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -159,7 +159,7 @@
 	case turn.Admit:
 		return r.admit()
 	case turn.Leave:
-		r.service.admission.leave(r.route.GetGroup())
+		r.service.admission.Leave(r.route.GetGroup())
 	case turn.Choose:
 		return r.choose(command.Avoid)
 	case turn.BeginCall:
@@ -177,7 +177,7 @@
 	case turn.IssueCall:
 		return r.issue(command)
 	case turn.RequestRetry:
-		granted := r.service.admission.retry()
+		granted := r.service.admission.Retry()
 		r.explanation.RecordStep("retry", fmt.Sprintf("granted %t", granted))
 		return turn.RetryDecided{Granted: granted}
 	case turn.Answer:
@@ -209,7 +209,7 @@
 		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
-	rejection := r.service.admission.enter(r.ctx, r.route.GetGroup(), r.ticket())
+	rejection := r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket())
 	if rejection != nil {
 		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -171,7 +171,7 @@
 	now := r.now()
 	r.counters.recordFirstToken(now.Sub(r.began))
 	r.service.metrics.firstToken.Observe(now.Sub(r.began).Seconds())
-	r.service.admission.recordSample(r.route.GetGroup(), limit.Sample{Latency: now.Sub(r.issuedAt)})
+	r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Latency: now.Sub(r.issuedAt)})
 }
 
 func (r *turnRun) attemptFailed(err error) turn.Event {
@@ -184,7 +184,7 @@
 		r.server.markVersionRejected(r.pin.version, r.now())
 	}
 	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
-		r.service.admission.recordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
+		r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
 	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -56,18 +56,18 @@
 // enter waits for a slot, or for a place of a training step.
 func (r *turnRun) enter() *protocol.Failure {
 	if r.pin != nil {
-		return r.service.admission.enterStep(r.ctx, r.stepGate(), r.deadline)
+		return r.service.admission.EnterStep(r.ctx, r.stepGate(), r.deadline)
 	}
-	return r.service.admission.enter(r.ctx, r.route.GetGroup(), r.ticket())
+	return r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket())
 }
 
 // leave gives back what enter gave.
 func (r *turnRun) leave() {
 	if r.pin != nil {
-		r.service.admission.leaveStep(r.stepGate())
+		r.service.admission.LeaveStep(r.stepGate())
 		return
 	}
-	r.service.admission.leave(r.route.GetGroup())
+	r.service.admission.Leave(r.route.GetGroup())
 }
 
 // rejectUnreachable refuses a turn that needs the ledger while that is out of reach.
@@ -165,7 +165,7 @@
 
 func (r *turnRun) requestRetry() turn.Event {
 	// Steps take nothing out of the budget of live requests; how often they are sent is bounded for each turn.
-	granted := r.pin != nil || r.service.admission.retry()
+	granted := r.pin != nil || r.service.admission.Retry()
 	if granted {
 		r.service.metrics.retries.Inc()
 	}
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -10,6 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -107,21 +108,21 @@
 func (s *Service) updateConcurrencyLimits() {
 	now := s.clock.Now()
 	index := s.policies.Load().active
-	limits := make(map[string]concurrencyLimit)
+	limits := make(map[string]admission.ConcurrencyLimit)
 	subsets := s.subsets(now)
 	for group, servers := range s.backEnds.Load().byGroup {
 		all := candidates(servers, index.Group(group), now)
 		bounds := limitOf(all, subsets[group], *s.fleetShare.Load())
-		bounds.surplusSlots = surplusSlots(all, *s.fleetShare.Load())
+		bounds.SurplusSlots = surplusSlots(all, *s.fleetShare.Load())
 		limits[group] = bounds
 	}
-	s.admission.setConcurrencyLimits(limits)
+	s.admission.SetConcurrencyLimits(limits)
 }
 
-func limitOf(all, used []schedule.Candidate, share float64) concurrencyLimit {
+func limitOf(all, used []schedule.Candidate, share float64) admission.ConcurrencyLimit {
 	total, known := totalCapacity(all)
 	if !known {
-		return concurrencyLimit{}
+		return admission.ConcurrencyLimit{}
 	}
 	headroom := 0.0
 	for _, candidate := range used {
@@ -131,7 +132,7 @@
 			headroom += max(0, overcommitFactor*float64(candidate.Capacity)-float64(others))
 		}
 	}
-	return concurrencyLimit{known: true, guaranteedSlots: int(math.Ceil(total * overcommitFactor * share)), headroom: int(headroom)}
+	return admission.ConcurrencyLimit{Known: true, GuaranteedSlots: int(math.Ceil(total * overcommitFactor * share)), Headroom: int(headroom)}
 }
 
 // surplusSlots is how many requests may go beyond the slots while the servers are under half taken, as far as is known.
