--- /dev/null
+++ b/internal/dataplane/limit/expected_wait.go
@@ -0,0 +1,159 @@
+package limit
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	// maxExpectedShare is the part of the maximum wait that a request may expect when it
+	// enters. The rest is for estimates that were too low, as at the onset of a
+	// burst, so that few requests wait and are then rejected.
+	maxExpectedShare = 0.25
+	// maxExpectedShareFirst is that of a tenant's only request that waits in its class.
+	maxExpectedShareFirst = 0.5
+	// minSamples is the minimum number of ended requests for a measurement of the service time.
+	minSamples      = 8
+	serviceTimeGain = 0.3
+)
+
+// serviceTime estimates how long a request occupies its slot: the time spent in all
+// slots together, by the number of requests that ended in that time.
+type serviceTime struct {
+	mean  time.Duration
+	spent time.Duration
+	ended int
+	since time.Time
+}
+
+// advance adds the time up to now, during which inFlight slots were in use.
+func (s *serviceTime) advance(inFlight int, now time.Time) {
+	if passed := now.Sub(s.since); !s.since.IsZero() && passed > 0 {
+		s.spent += time.Duration(inFlight) * passed
+	}
+	s.since = now
+}
+
+// end counts one request that gave its slot back while inFlight others are in flight.
+func (s *serviceTime) end(inFlight int) {
+	s.ended++
+	if s.ended < max(minSamples, inFlight) {
+		return
+	}
+	measured := s.spent / time.Duration(s.ended)
+	if s.mean == 0 {
+		s.mean = measured
+	}
+	s.mean += time.Duration(serviceTimeGain * float64(measured-s.mean))
+	s.spent, s.ended = 0, 0
+}
+
+// expectedWait is how long a ticket that enters now would wait for a slot; zero
+// when it would not wait or when no service time is known. It assumes that the demand of
+// classes and tenants stays as it is.
+func (q *Queue) expectedWait(class *classQueue, ticket Ticket, now time.Time) time.Duration {
+	if q.inFlight < q.slots || q.slots == 0 || q.service.mean == 0 {
+		return 0
+	}
+	perSecond := float64(q.dependableSlots()) / q.service.mean.Seconds()
+	perSecond = fairRate(perSecond, q.weight(class, now), q.competitors(class, now))
+	perSecond = fairRate(perSecond, float64(max(ticket.Weight, 1)), class.competitors(ticket.Tenant, now))
+	return secondsOf((class.queuedBy(ticket.Tenant) + 1) / perSecond)
+}
+
+func (q *Queue) dependableSlots() int {
+	if q.guaranteedSlots > 0 {
+		return min(q.slots, q.guaranteedSlots)
+	}
+	return q.slots
+}
+
+// demandRate is a class's demand in slots a second: tickets that wait, over the wait that is allowed, and those that
+// arrive.
+func (q *Queue) demandRate(class *classQueue, now time.Time) float64 {
+	return class.demand.now(now) + float64(class.count)/(maxExpectedShare*q.maxWait.Seconds())
+}
+
+// competitors are the other classes with their demand.
+func (q *Queue) competitors(class *classQueue, now time.Time) []competitor {
+	var competitors []competitor
+	for _, other := range q.classes {
+		if other != class {
+			competitors = append(competitors, competitor{weight: q.weight(other, now), perSecond: q.demandRate(other, now)})
+		}
+	}
+	return competitors
+}
+
+func (c *classQueue) competitors(tenant string, now time.Time) []competitor {
+	var competitors []competitor
+	for _, name := range slices.Sorted(maps.Keys(c.tenantDemands)) {
+		if name != tenant {
+			demanded := c.tenantDemands[name]
+			competitors = append(competitors, competitor{weight: demanded.weight, perSecond: demanded.now(now)})
+		}
+	}
+	return competitors
+}
+
+// tenantDemand is the demand of one tenant in a class.
+type tenantDemand struct {
+	demand
+	weight float64
+}
+
+// minDemand is the demand, in tickets a second, below which a tenant is dropped.
+const minDemand = 0.01
+
+// recordDemand counts a ticket in the demand, whatever its verdict.
+func (c *classQueue) recordDemand(ticket Ticket, now time.Time) {
+	c.demand.add(now)
+	tenant := c.tenantDemands[ticket.Tenant]
+	if tenant == nil {
+		c.dropExpiredDemands(now)
+		tenant = &tenantDemand{}
+		c.tenantDemands[ticket.Tenant] = tenant
+	}
+	tenant.weight = float64(max(ticket.Weight, 1))
+	tenant.add(now)
+}
+
+func (c *classQueue) dropExpiredDemands(now time.Time) {
+	maps.DeleteFunc(c.tenantDemands, func(_ string, tenant *tenantDemand) bool { return tenant.now(now) < minDemand })
+}
+
+// wouldBeLate reports whether a ticket with the expected wait is to be rejected at once.
+func (q *Queue) wouldBeLate(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
+	if wait == 0 {
+		return false
+	}
+	if !ticket.Deadline.IsZero() && now.Add(wait).After(ticket.Deadline) {
+		return true
+	}
+	if class.count == 0 && q.starves(class, now) {
+		return false
+	}
+	if latest := ticket.latestStart(); q.hasLongQueue() && latest.After(now) && now.Add(wait).After(latest) {
+		return true
+	}
+	share := maxExpectedShare
+	if class.queuedBy(ticket.Tenant) == 0 || ticket.Rejections > 0 {
+		share = maxExpectedShareFirst
+	}
+	return wait > time.Duration(share*float64(q.maxWait)) || exceeds(wait, ticket.MaxWait) || exceeds(
+		wait, ticket.MaxExpectedWait,
+	)
+}
+
+// exceeds reports whether a wait is longer than a bound; 0 is none.
+func exceeds(wait, bound time.Duration) bool { return bound > 0 && wait > bound }
+
+// hasLongQueue reports whether more tickets wait than run.
+func (q *Queue) hasLongQueue() bool {
+	waiting := 0
+	for _, class := range q.classes {
+		waiting += class.count
+	}
+	return waiting > q.inFlight
+}
--- a/internal/dataplane/turn/toolcall.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -18,17 +18,17 @@
 	Owner       string
 	Incarnation uint64
 	Budget      uint64
-	// Unrecorded calls leave nothing in the ledger: their request id is used for one send to one
-	// owner only, so that there is no other copy to be kept from running.
+	// Unrecorded calls leave no record in the ledger: their request id is used for one send to one
+	// owner only, so that there is no other copy that must not run.
 	Unrecorded bool
-	// Repeatable calls need no intent and may be tried again after a broken answer.
-	Repeatable bool
+	// Idempotent calls need no intent and may be retried after a broken answer.
+	Idempotent bool
 	// Attempt is unique to this machine; only the attempt that wrote the intent may issue the call.
 	Attempt string
-	// Attempts bounds the tries at back ends; zero means DefaultMaxAttempts.
-	Attempts uint32
-	// Runs bounds the back ends that may have run a repeatable call; zero bounds it by Attempts alone.
-	Runs          uint32
+	// MaxAttempts bounds the attempts at back ends; 0 means DefaultMaxAttempts.
+	MaxAttempts uint32
+	// MaxRuns bounds the back ends that may have run an idempotent call; with 0 only MaxAttempts does.
+	MaxRuns       uint32
 	BundleVersion uint64
 }
 
@@ -41,39 +41,39 @@
 	callChoosing
 	callBeginning
 	callIssued
-	callAskingRetry
+	callRequestingRetry
 	callFinishing
-	callRefusing
+	callRejecting
 	callDone
 )
 
-// CallMachine is the life of one tool call at the owner of its session.
+// CallMachine is the state machine of one tool call at the owner of its session. The package comment has its states.
 type CallMachine struct {
 	parameters CallParameters
 	state      callState
 	epoch      uint64
-	admitted   bool
+	slot       slot
 	intent     bool
-	// ranEver is true once an attempt may have run.
-	ranEver  bool
-	answered bool
-	backEnd  string
-	avoid    []string
-	tries    uint32
-	// runs counts the tries that may have run the call.
+	// ranBefore is true once an attempt may have run.
+	ranBefore    bool
+	answered     bool
+	backEnd      string
+	avoid        []string
+	attemptCount uint32
+	// runs counts the attempts that may have run the call.
 	runs uint32
 
-	failure        *protocol.Failure
-	operationBegan time.Time
-	pause          time.Duration
-	outcome        *protocol.FinishCall
-	response       *protocol.ToolCallResponse
+	failure *protocol.Failure
+	// operation is that of the ledger in flight.
+	operation ledgerOperation
+	outcome   *protocol.FinishCall
+	response  *protocol.ToolCallResponse
 }
 
 // NewCall makes the machine of one tool call.
 func NewCall(parameters CallParameters) *CallMachine {
-	if parameters.Attempts == 0 {
-		parameters.Attempts = DefaultMaxAttempts
+	if parameters.MaxAttempts == 0 {
+		parameters.MaxAttempts = DefaultMaxAttempts
 	}
 	return &CallMachine{parameters: parameters}
 }
@@ -81,8 +81,8 @@
 // Done reports whether the machine has finished.
 func (m *CallMachine) Done() bool { return m.state == callDone }
 
-// Apply takes one event and returns what to do next, in order. An event that
-// the current state does not wait for is ignored.
+// Apply applies one event and returns the next commands, in order. An event that
+// the current state does not await is ignored.
 func (m *CallMachine) Apply(event Event, now time.Time) []Command {
 	switch event := event.(type) {
 	case Begun:
@@ -92,7 +92,7 @@
 	case Admitted:
 		return m.admission()
 	case NotAdmitted:
-		return m.refuse(event.Failure)
+		return m.reject(event.Failure)
 	case Chosen:
 		return m.chosen(event, now)
 	case NotChosen:
@@ -108,7 +108,7 @@
 	case CallFinished:
 		return m.finished(event, now)
 	case CallRejected:
-		return m.refused(event)
+		return m.rejected(event)
 	case Waited:
 		return m.waited()
 	case Stopped:
@@ -125,8 +125,8 @@
 	return []Command{Admit{}}
 }
 
-// claim asks for the session's epoch once the call has a slot.
-func (m *CallMachine) claim() []Command {
+// claimSession requests the session's epoch once the call has a slot.
+func (m *CallMachine) claimSession() []Command {
 	m.state = callClaiming
 	request := m.parameters.Request
 	return []Command{Claim{Operation: &protocol.ClaimSession{
@@ -141,9 +141,9 @@
 	}
 	switch status := event.Result.GetStatus(); {
 	case status == protocol.LedgerStatus_LEDGER_FENCED:
-		return first(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
+		return prepend(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
 	case status != protocol.LedgerStatus_LEDGER_OK:
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	}
 	m.epoch = event.Result.GetEpoch()
 	m.state = callChoosing
@@ -154,12 +154,12 @@
 	if m.state != callAdmitting {
 		return nil
 	}
-	m.admitted = true
+	m.slot = true
 	if m.parameters.Unrecorded {
 		m.state = callChoosing
 		return []Command{Choose{}}
 	}
-	return m.claim()
+	return m.claimSession()
 }
 
 // chosen writes the intent once, just before the first issue.
@@ -168,11 +168,11 @@
 		return nil
 	}
 	m.backEnd = event.BackEnd
-	if m.parameters.Repeatable || m.parameters.Unrecorded || m.intent {
+	if m.parameters.Idempotent || m.parameters.Unrecorded || m.intent {
 		return m.issue()
 	}
 	m.state = callBeginning
-	m.operationBegan, m.pause = now, firstPause
+	m.operation = beginOperation(now)
 	return []Command{m.beginCommand()}
 }
 
@@ -186,7 +186,7 @@
 
 func (m *CallMachine) issue() []Command {
 	m.state = callIssued
-	m.tries++
+	m.attemptCount++
 	return []Command{IssueCall{BackEnd: m.backEnd, Epoch: m.epoch}}
 }
 
@@ -214,18 +214,18 @@
 		return m.fail(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
 			"this call was begun before and has no outcome; it is never issued again").Failure)
 	case protocol.LedgerStatus_LEDGER_FENCED:
-		return first(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
+		return prepend(m.fail(ledgerFailure(status)), ForgetSession{Fenced: true})
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		if now.Sub(m.operationBegan) < answerWindow {
-			return m.pauseAgain()
+		if m.operation.elapsed(now) < confirmationTimeout {
+			return m.operation.backOff()
 		}
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	default:
-		return m.refuse(ledgerFailure(status))
+		return m.reject(ledgerFailure(status))
 	}
 }
 
-// recorded answers a repeat with what the ledger holds.
+// recorded answers a repeated call with the record in the ledger.
 func (m *CallMachine) recorded(record *protocol.CallRecord) []Command {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
@@ -246,24 +246,25 @@
 		Status: event.Status, Body: event.Body, ContentType: event.ContentType, BackEnd: m.backEnd, Epoch: m.epoch,
 		Headers: event.Headers,
 	}
-	if m.parameters.Repeatable || m.parameters.Unrecorded {
+	if m.parameters.Idempotent || m.parameters.Unrecorded {
 		return m.answer(m.response)
 	}
 	return m.record(event.Status, event.Body, event.ContentType, now)
 }
 
-// record makes the outcome durable before the caller hears it.
+// record makes the outcome durable before the caller gets it.
 func (m *CallMachine) record(status uint32, body []byte, contentType string, now time.Time) []Command {
 	m.state = callFinishing
-	m.operationBegan, m.pause = now, firstPause
+	m.operation = beginOperation(now)
 	m.outcome = &protocol.FinishCall{
 		RequestId: m.parameters.Request.GetRequestId(), Attempt: m.parameters.Attempt,
 		Status: status, Body: body, ContentType: contentType,
 	}
-	return append(m.leave(), FinishCall{Operation: m.outcome})
+	return append(m.slot.leave(), FinishCall{Operation: m.outcome})
 }
 
-// RecordedAnswer is the answer that the ledger holds of a finished call.
+// RecordedAnswer is the answer that the ledger has recorded of a finished call; one that cannot be read becomes a
+// failure.
 func RecordedAnswer(record *protocol.CallRecord) *protocol.ToolCallResponse {
 	if record.GetContentType() != FailureContentType {
 		return &protocol.ToolCallResponse{
--- /dev/null
+++ b/internal/dataplane/turn/training_step.go
@@ -0,0 +1,139 @@
+package turn
+
+import (
+	"slices"
+	"time"
+
+	"github.com/rosestand/rosestand/internal/failure"
+	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/ledger"
+)
+
+// A turn of a training step runs on one version of the weights only, the step's
+// version pin. It resolves the pin before anything else, names it to
+// the ledger with its reservation, and compares the versions that the server names with it
+// before an event of the answer is emitted. The ledger records on which versions
+// the turn ran before a complete answer ends.
+
+const (
+	stepPath = "training_step"
+	// statusOK is the HTTP status of an answer that is no error.
+	statusOK = 200
+	// stepRetryAfter is after how long callers may retry when no server has the step's version: starting a server or
+	// loading its weights takes seconds.
+	stepRetryAfter = time.Second
+)
+
+// stepProgress is the state of a turn of a training step.
+type stepProgress struct {
+	// versionPin is the version of the weights that the step is pinned to.
+	versionPin uint64
+	// seenVersions are the versions that the server named, without consecutive repeats.
+	seenVersions []uint64
+	// recording is true while a complete answer waits for the ledger to record its generation.
+	recording bool
+	// complete is true when all of the answer goes to the caller.
+	complete bool
+}
+
+func (m *Machine) isOfStep() bool { return m.parameters.Request.GetTrainingStep() != "" }
+
+func (m *Machine) resolveStep() []Command {
+	m.state = stateResolving
+	return []Command{ResolveStep{Step: m.parameters.Request.GetTrainingStep()}}
+}
+
+func (m *Machine) stepResolved(event Event) []Command {
+	switch answer := event.(type) {
+	case StepResolved:
+		m.step.versionPin = answer.WeightVersion
+		return m.admit()
+	case StepNotResolved:
+		return m.reject(answer.Failure)
+	}
+	return nil
+}
+
+// stepReference names the turn's step and version in a reservation; nil for other turns.
+func (m *Machine) stepReference() *protocol.TrainingStepReference {
+	if !m.isOfStep() {
+		return nil
+	}
+	return &protocol.TrainingStepReference{Step: m.parameters.Request.GetTrainingStep(), WeightVersion: m.step.versionPin}
+}
+
+// matchesVersionPin records the versions that a server named and reports whether they
+// all equal the version pin. An answer that names none cannot be traced to a version
+// and does not match. Turns of no training step always match.
+func (m *Machine) matchesVersionPin(named []uint64) bool {
+	if !m.isOfStep() {
+		return true
+	}
+	m.recordVersions(named)
+	isOther := func(version uint64) bool { return version != m.step.versionPin }
+	return len(named) > 0 && !slices.ContainsFunc(named, isOther)
+}
+
+// recordVersions records the versions that the server named, as many as the ledger accepts.
+func (m *Machine) recordVersions(named []uint64) {
+	for _, version := range named {
+		count := len(m.step.seenVersions)
+		if count < ledger.MaxWeightVersions && (count == 0 || m.step.seenVersions[count-1] != version) {
+			m.step.seenVersions = append(m.step.seenVersions, version)
+		}
+	}
+}
+
+// acceptsCompleteAnswer reports whether an answer that is not a stream may be emitted. One
+// that reports an error is not a generation, whatever it names.
+func (m *Machine) acceptsCompleteAnswer(answer AnswerCompleted) bool {
+	if answer.Answer.GetStatus() != statusOK {
+		m.recordVersions(answer.WeightVersions)
+		return true
+	}
+	m.step.complete = m.matchesVersionPin(answer.WeightVersions)
+	return m.step.complete
+}
+
+// versionChanged ends a turn whose server has other weights than the step. Nothing more is emitted.
+func (m *Machine) versionChanged(now time.Time) []Command {
+	m.ranBefore = true
+	f := failure.New(failure.StepVersionChanged, protocol.Outcome_RAN,
+		"the server answered with other weights than those pinned for the training step").Failure
+	return prepend(m.releaseWith(f, max(m.emittedTokens, minCharge), now), StopBackEnd{})
+}
+
+// recordGeneration has the ledger record a complete answer that is not retained. The answer ends after that.
+func (m *Machine) recordGeneration(now time.Time) []Command {
+	m.step.recording, m.step.complete = true, true
+	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the ledger did not record the generation").Failure
+	return m.charge(f, now)
+}
+
+// giveUpRecording makes a generation count as discarded whose caller got a failure.
+func (m *Machine) giveUpRecording() {
+	if !m.step.recording {
+		return
+	}
+	m.step.recording, m.step.complete = false, false
+	m.releaseOperation.Completed = false
+}
+
+// traceRelease names in a release the versions on which the turn ran.
+func (m *Machine) traceRelease() {
+	if !m.isOfStep() || m.releaseOperation.GetTokens() == 0 {
+		return
+	}
+	m.releaseOperation.WeightVersions, m.releaseOperation.Completed = m.step.seenVersions, m.step.complete
+}
+
+// isRejected reports whether the ledger rejected an operation.
+func isRejected(status protocol.LedgerStatus) bool {
+	switch status {
+	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_UNAVAILABLE,
+		protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
+		return false
+	default:
+		return true
+	}
+}
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -12,11 +12,13 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// ledgerFolder lies in the data folder of the process and holds all that a store keeps.
+// ledgerFolder is in the data folder of the process and has all that a store writes.
 const ledgerFolder = "ledger"
 
 // readyCondition is the name under which a store's readiness is shown.
@@ -32,7 +34,7 @@
 		fx.Supply(settings),
 		fx.Provide(
 			provideOpener,
-			func() Clock { return systemClock{} },
+			func() Clock { return lifecycle.SystemClock{} },
 			provideFolder,
 			provideIdentity,
 			provideLink,
@@ -46,16 +48,18 @@
 func provideOpener(settings *protocol.StoreSettings, node *protocol.NodeSettings) FolderOpener {
 	options := Options{Settings: settings}
 	path := filepath.Join(node.GetDataFolder(), ledgerFolder)
-	return func() (*Folder, error) { return OpenFolder(storage.OSFilesystem{}, path, options.segmentBytes()) }
+	return func() (*datafolder.Folder, error) {
+		return datafolder.Open(storage.OSFilesystem{}, path, options.segmentBytes())
+	}
 }
 
-func provideFolder(open FolderOpener, logger *log.Logger) (*Folder, error) {
+func provideFolder(open FolderOpener, logger *log.Logger) (*datafolder.Folder, error) {
 	folder, err := open()
 	if err != nil {
 		return nil, err
 	}
 	if folder.Lost != nil {
-		logger.Error("data folder was damaged; it is put aside and the store is rebuilt from its peers",
+		logger.Error("damaged data folder moved aside, store to be rebuilt from its peers",
 			"error", folder.Lost, "storage_id", folder.StorageID)
 	}
 	return folder, nil
@@ -66,14 +70,15 @@
 	node *protocol.Node
 }
 
-func provideIdentity(process *daemon.Process, folder *Folder) identity {
+func provideIdentity(process *daemon.Process, folder *datafolder.Folder) identity {
 	node := proto.CloneOf(process.Self)
 	node.StorageId = folder.StorageID
 	return identity{node: node}
 }
 
 func provideLink(
-	self identity, node *protocol.NodeSettings, caller wire.Caller, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
+	self identity, node *protocol.NodeSettings, caller wire.Caller, logger *log.Logger, registerer prometheus.Registerer,
+	process *daemon.Process,
 ) *corelink.Link {
 	link := corelink.New(corelink.Options{
 		Self:       self.node,
@@ -87,8 +92,8 @@
 }
 
 func provideStore(
-	settings *protocol.StoreSettings, self identity, folder *Folder, open FolderOpener, caller wire.Caller, link *corelink.Link,
-	clock Clock, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
+	settings *protocol.StoreSettings, self identity, folder *datafolder.Folder, open FolderOpener, caller wire.Caller,
+	link *corelink.Link, clock Clock, logger *log.Logger, registerer prometheus.Registerer, process *daemon.Process,
 ) (*Supervisor, error) {
 	return NewSupervisor(Options{
 		Self:       proto.CloneOf(self.node),
@@ -113,7 +118,7 @@
 	})
 	process.Readiness.AddCheck(diskCondition, func() string {
 		if !store.Serving() {
-			return "the store waits for its disk"
+			return waitsForDisk
 		}
 		return ""
 	})
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -11,6 +11,8 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/register"
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
+	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
@@ -36,13 +38,12 @@
 	t.Helper()
 	durable := make(chan struct{}, changesASecond)
 	for change := range changesASecond {
-		key := registerKey{program: fmt.Sprintf("program-%d", change%changedRegisters)}
-		group := s.group(0)
-		group.mailbox.Post(func() {
-			table := group.table(0)
+		key := shardtable.Key{Program: fmt.Sprintf("program-%d", change%changedRegisters)}
+		group := s.groups.Of(0)
+		group.Post(func() {
 			state := register.State{Value: make([]byte, valueBytes)}
 			state.Accepted.Counter = uint64(second*changesASecond + change)
-			group.put(table, key, table.entry(key), state, func() { durable <- struct{}{} })
+			group.Put(0, key, state, func() { durable <- struct{}{} })
 		})
 	}
 	for range changesASecond {
@@ -53,7 +54,7 @@
 func TestRegistersThatChangeForEverFitASmallDisk(t *testing.T) {
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	disk.SetCapacity(smallDiskBytes)
-	folder, err := OpenFolder(disk, "data", DefaultSegmentBytes)
+	folder, err := datafolder.Open(disk, "data", DefaultSegmentBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
