--- a/internal/controlplane/controlstate/announcements.go
+++ b/internal/controlplane/controlstate/announcements.go
@@ -9,9 +9,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// keptAnnouncement is how long the announcements of a back end are remembered
+// announcementRetention is how long the announcements of a back end are remembered
 // after it was removed; none of them can arrive later than that.
-const keptAnnouncement = time.Hour
+const announcementRetention = time.Hour
 
 // announcements holds the last numbered announcement of each back end, and the
 // back ends that left. It is immutable: a change replaces it.
@@ -34,24 +34,24 @@
 }
 
 func (a *announcements) list() []*protocol.BackEndAnnouncement {
-	listed := make([]*protocol.BackEndAnnouncement, 0, a.byID.Len())
+	all := make([]*protocol.BackEndAnnouncement, 0, a.byID.Len())
 	a.byID.Root().Walk(func(_ []byte, last *protocol.BackEndAnnouncement) bool {
-		listed = append(listed, last)
+		all = append(all, last)
 		return false
 	})
-	return listed
+	return all
 }
 
-// without drops the back ends that were removed long before a time in Unix milliseconds.
-func (a *announcements) without(at int64) *announcements {
-	kept := a.byID.Txn()
+// withoutExpired drops the back ends that were removed longer than the retention before a time in Unix milliseconds.
+func (a *announcements) withoutExpired(at int64) *announcements {
+	remaining := a.byID.Txn()
 	a.byID.Root().Walk(func(id []byte, last *protocol.BackEndAnnouncement) bool {
-		if removed := last.GetRemovedAtMillis(); removed != 0 && at-removed > keptAnnouncement.Milliseconds() {
-			kept.Delete(id)
+		if removed := last.GetRemovedAtMillis(); removed != 0 && at-removed > announcementRetention.Milliseconds() {
+			remaining.Delete(id)
 		}
 		return false
 	})
-	return &announcements{byID: kept.Commit()}
+	return &announcements{byID: remaining.Commit()}
 }
 
 // outdated reports whether an announcement came after a later one of the same
@@ -75,60 +75,60 @@
 // Outdated reports whether an announcement would change nothing because it came
 // after a later one of the same back end, or after the back end left.
 func (v *View) Outdated(id string, incarnation, sequence uint64) bool {
-	return v.announced.outdated(id, incarnation, sequence)
+	return v.announcements.outdated(id, incarnation, sequence)
 }
 
-// Departed reports whether a back end has left and is not in the view.
+// Removed reports whether a back end has left and is not in the view.
 func (v *View) Removed(id string) bool {
-	return v.BackEnd(id) == nil && v.announced.find(id).GetDeparted()
+	return v.BackEnd(id) == nil && v.announcements.find(id).GetDeparted()
 }
 
-// noteAnnounced remembers a numbered announcement.
-func (s *State) noteAnnounced(id string, incarnation, sequence uint64) {
+// recordAnnouncement remembers a numbered announcement.
+func (s *State) recordAnnouncement(id string, incarnation, sequence uint64) {
 	if sequence == 0 {
 		return
 	}
-	s.announced = s.announced.with(&protocol.BackEndAnnouncement{Id: id, Incarnation: incarnation, Sequence: sequence})
+	s.announcements = s.announcements.with(&protocol.BackEndAnnouncement{Id: id, Incarnation: incarnation, Sequence: sequence})
 }
 
-// departureOf gives the departure that a command means, of the incarnation at
-// hand when it names none, and whether the back end was ever known.
-func (s *State) departureOf(command *protocol.RemoveBackEndCommand, at int64) (departed *protocol.BackEndAnnouncement, known bool) {
-	held, last := findBackEnd(s.backEnds, command.GetId()), s.announced.find(command.GetId())
+// resolveDeparture gives the departure that a command means, of the present
+// incarnation when it names none, and whether the back end was ever known.
+func (s *State) resolveDeparture(command *protocol.RemoveBackEndCommand, at int64) (departure *protocol.BackEndAnnouncement, known bool) {
+	current, last := findBackEnd(s.backEnds, command.GetId()), s.announcements.find(command.GetId())
 	incarnation := command.GetIncarnation()
 	if incarnation == 0 {
-		incarnation = max(held.GetIncarnation(), last.GetIncarnation())
+		incarnation = max(current.GetIncarnation(), last.GetIncarnation())
 	}
 	return &protocol.BackEndAnnouncement{
 		Id: command.GetId(), Incarnation: incarnation, Sequence: command.GetSequence(), RemovedAtMillis: at,
-	}, held != nil || last != nil
+	}, current != nil || last != nil
 }
 
-// noteDeparted remembers that an incarnation left. Of a back end that was never
+// recordLeft remembers that an incarnation left. Of a back end that was never
 // known the departure counts for the announcements up to its sequence, or for all when it has none.
-func (s *State) noteDeparted(departed *protocol.BackEndAnnouncement, known bool) {
+func (s *State) recordLeft(departure *protocol.BackEndAnnouncement, known bool) {
 	if known {
-		departed.Sequence = 0
+		departure.Sequence = 0
 	}
-	departed.Departed = true
-	s.announced = s.announced.with(departed).without(departed.GetRemovedAtMillis())
+	departure.Departed = true
+	s.announcements = s.announcements.with(departure).withoutExpired(departure.GetRemovedAtMillis())
 }
 
-// noteReplaced remembers that a back end gave its address to another one: it is
-// not taken in again if it numbers its announcements.
-func (s *State) noteReplaced(backEnd *protocol.BackEnd, at int64) {
-	if s.announced.find(backEnd.GetId()) != nil {
-		s.noteDeparted(&protocol.BackEndAnnouncement{Id: backEnd.GetId(), Incarnation: backEnd.GetIncarnation(), RemovedAtMillis: at}, true)
+// recordReplaced remembers that another back end has the address of a back end: that one is
+// not accepted again if it numbers its announcements.
+func (s *State) recordReplaced(backEnd *protocol.BackEnd, at int64) {
+	if s.announcements.find(backEnd.GetId()) != nil {
+		s.recordLeft(&protocol.BackEndAnnouncement{Id: backEnd.GetId(), Incarnation: backEnd.GetIncarnation(), RemovedAtMillis: at}, true)
 	}
 }
 
-// noteRemoved notes when a back end left the view.
-func (s *State) noteRemoved(id string, at int64) {
-	last := s.announced.find(id)
+// recordRemoved remembers when a back end was removed from the view.
+func (s *State) recordRemoved(id string, at int64) {
+	last := s.announcements.find(id)
 	if last == nil || last.GetDeparted() {
 		return
 	}
 	removed := proto.CloneOf(last)
 	removed.RemovedAtMillis = at
-	s.announced = s.announced.with(removed).without(at)
+	s.announcements = s.announcements.with(removed).withoutExpired(at)
 }
--- a/internal/controlplane/controlstate/backends.go
+++ b/internal/controlplane/controlstate/back_ends.go
@@ -25,9 +25,9 @@
 	return view.GetBackEnds()[at]
 }
 
-// asHeld gives a back end's announcement as the view would hold it: an
+// withDrainState gives a back end's announcement as the view holds it: an
 // incarnation that was drained stays draining whatever it announces.
-func (s *State) asHeld(backEnd *protocol.BackEnd) *protocol.BackEnd {
+func (s *State) withDrainState(backEnd *protocol.BackEnd) *protocol.BackEnd {
 	if drained, known := s.drained[backEnd.GetId()]; known && backEnd.GetIncarnation() <= drained && backEnd.GetState() != protocol.BackEndState_DRAINING {
 		draining := proto.CloneOf(backEnd)
 		draining.State = protocol.BackEndState_DRAINING
@@ -36,22 +36,22 @@
 	return backEnd
 }
 
-// upsertBackEnd takes in what a heartbeat announced.
+// upsertBackEnd applies what a heartbeat announced.
 func (s *State) upsertBackEnd(index uint64, at int64, command *protocol.UpsertBackEndCommand) *protocol.CommandResult {
 	announced := command.GetBackEnd()
-	if refusal := refuseBackEnd(announced); refusal != nil {
-		return refusal
+	if rejection := checkBackEnd(announced); rejection != nil {
+		return rejection
 	}
-	if s.announced.outdated(announced.GetId(), announced.GetIncarnation(), command.GetSequence()) {
+	if s.announcements.outdated(announced.GetId(), announced.GetIncarnation(), command.GetSequence()) {
 		return accept(s.backEnds.GetVersion())
 	}
-	backEnd := s.asHeld(announced)
-	held := findBackEnd(s.backEnds, backEnd.GetId())
-	if held.GetIncarnation() > backEnd.GetIncarnation() {
-		return refuse(codeInvalidOrder, fmt.Sprintf("a later incarnation of back end %q is known", backEnd.GetId()), fault("incarnation", "is not the latest"))
+	backEnd := s.withDrainState(announced)
+	current := findBackEnd(s.backEnds, backEnd.GetId())
+	if current.GetIncarnation() > backEnd.GetIncarnation() {
+		return reject(codeInvalidOrder, fmt.Sprintf("a later incarnation of back end %q is known", backEnd.GetId()), fault("incarnation", "is not the latest"))
 	}
-	s.noteAnnounced(backEnd.GetId(), backEnd.GetIncarnation(), command.GetSequence())
-	if held != nil && proto.Equal(held, backEnd) {
+	s.recordAnnouncement(backEnd.GetId(), backEnd.GetIncarnation(), command.GetSequence())
+	if current != nil && proto.Equal(current, backEnd) {
 		return accept(s.backEnds.GetVersion())
 	}
 	list := make([]*protocol.BackEnd, 0, len(s.backEnds.GetBackEnds())+1)
@@ -62,21 +62,21 @@
 		case other.GetId() == backEnd.GetId():
 		case sameAddress:
 			changed = append(changed, other.GetId())
-			s.noteReplaced(other, at)
+			s.recordReplaced(other, at)
 		default:
 			list = append(list, other)
 		}
 	}
-	place, _ := slices.BinarySearchFunc(list, backEnd.GetId(), compareBackEnds)
-	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: slices.Insert(list, place, backEnd)}
+	position, _ := slices.BinarySearchFunc(list, backEnd.GetId(), compareBackEnds)
+	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: slices.Insert(list, position, backEnd)}
 	s.backEndHistory.Add(index, changed...)
 	if backEnd.GetState() == protocol.BackEndState_DRAINING {
-		s.noteDrained(backEnd.GetId(), backEnd.GetIncarnation())
+		s.recordDrained(backEnd.GetId(), backEnd.GetIncarnation())
 	}
 	return accept(index)
 }
 
-func refuseBackEnd(announced *protocol.BackEnd) *protocol.CommandResult {
+func checkBackEnd(announced *protocol.BackEnd) *protocol.CommandResult {
 	var faults []*protocol.Fault
 	if announced.GetId() == "" {
 		faults = append(faults, fault("id", "must be set"))
@@ -85,75 +85,75 @@
 		faults = append(faults, fault("address", "must be set"))
 	}
 	if len(faults) > 0 {
-		return refuse(codeInvalidOrder, "the back end has faults", faults...)
+		return reject(codeInvalidOrder, "the back end has faults", faults...)
 	}
 	return nil
 }
 
-// Holds reports whether the view already says what a heartbeat announces; one
-// that was told to drain is held as draining whatever it announces.
+// Holds reports whether the view already has what a heartbeat announces; one
+// that was ordered to drain is draining in the view whatever it announces.
 func (v *View) Holds(announced *protocol.BackEnd) bool {
-	held := v.BackEnd(announced.GetId())
-	if held == nil || held.GetIncarnation() != announced.GetIncarnation() {
+	current := v.BackEnd(announced.GetId())
+	if current == nil || current.GetIncarnation() != announced.GetIncarnation() {
 		return false
 	}
-	if held.GetState() == protocol.BackEndState_DRAINING && announced.GetState() != protocol.BackEndState_DRAINING {
+	if current.GetState() == protocol.BackEndState_DRAINING && announced.GetState() != protocol.BackEndState_DRAINING {
 		draining := proto.CloneOf(announced)
 		draining.State = protocol.BackEndState_DRAINING
-		return proto.Equal(held, draining)
+		return proto.Equal(current, draining)
 	}
-	return proto.Equal(held, announced)
+	return proto.Equal(current, announced)
 }
 
-func (s *State) noteDrained(id string, incarnation uint64) {
+func (s *State) recordDrained(id string, incarnation uint64) {
 	s.drained[id] = max(s.drained[id], incarnation)
 }
 
-// removeBackEnd takes a back end out whose lease ran out or that said that it left.
+// removeBackEnd removes a back end whose lease expired or that reported that it left.
 func (s *State) removeBackEnd(index uint64, at int64, command *protocol.RemoveBackEndCommand) *protocol.CommandResult {
 	incarnation := command.GetIncarnation()
 	if command.GetDeparted() {
-		departed, known := s.departureOf(command, at)
-		incarnation = departed.GetIncarnation()
-		if s.announced.outdated(command.GetId(), incarnation, command.GetSequence()) {
+		departure, known := s.resolveDeparture(command, at)
+		incarnation = departure.GetIncarnation()
+		if s.announcements.outdated(command.GetId(), incarnation, command.GetSequence()) {
 			return accept(s.backEnds.GetVersion())
 		}
-		s.noteDeparted(departed, known)
+		s.recordLeft(departure, known)
 	}
-	place, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
-	if !found || s.backEnds.GetBackEnds()[place].GetIncarnation() != incarnation {
+	position, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
+	if !found || s.backEnds.GetBackEnds()[position].GetIncarnation() != incarnation {
 		return accept(s.backEnds.GetVersion())
 	}
-	s.noteRemoved(command.GetId(), at)
-	list := slices.Delete(slices.Clone(s.backEnds.GetBackEnds()), place, place+1)
+	s.recordRemoved(command.GetId(), at)
+	list := slices.Delete(slices.Clone(s.backEnds.GetBackEnds()), position, position+1)
 	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: list}
 	s.backEndHistory.Add(index, command.GetId())
 	return accept(index)
 }
 
 // drainBackEnd marks a back end as draining; an incarnation of zero means the
-// one at hand. The index of the result is a view version that has it so.
+// present one. The index of the result is a view version that has it so.
 func (s *State) drainBackEnd(index uint64, command *protocol.DrainBackEndCommand) *protocol.CommandResult {
-	at, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
+	position, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
 	if !found {
 		if command.GetIncarnation() != 0 {
-			s.noteDrained(command.GetId(), command.GetIncarnation())
+			s.recordDrained(command.GetId(), command.GetIncarnation())
 		}
 		return accept(s.backEnds.GetVersion())
 	}
-	held := s.backEnds.GetBackEnds()[at]
-	if incarnation := command.GetIncarnation(); incarnation != 0 && incarnation < held.GetIncarnation() {
+	current := s.backEnds.GetBackEnds()[position]
+	if incarnation := command.GetIncarnation(); incarnation != 0 && incarnation < current.GetIncarnation() {
 		return accept(s.backEnds.GetVersion())
 	}
-	s.noteDrained(held.GetId(), max(held.GetIncarnation(), command.GetIncarnation()))
-	if held.GetState() == protocol.BackEndState_DRAINING {
+	s.recordDrained(current.GetId(), max(current.GetIncarnation(), command.GetIncarnation()))
+	if current.GetState() == protocol.BackEndState_DRAINING {
 		return accept(s.backEnds.GetVersion())
 	}
-	draining := proto.CloneOf(held)
+	draining := proto.CloneOf(current)
 	draining.State = protocol.BackEndState_DRAINING
 	list := slices.Clone(s.backEnds.GetBackEnds())
-	list[at] = draining
+	list[position] = draining
 	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: list}
-	s.backEndHistory.Add(index, held.GetId())
+	s.backEndHistory.Add(index, current.GetId())
 	return accept(index)
 }
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// keptOldBundles is the number of merged bundles kept that are older than the one in force.
-	keptOldBundles = 32
-	// keptSteps is the number of configuration changes that deltas can reach back.
-	keptSteps = 256
+	// maxOldBundles is the number of merged bundles retained that are older than the one in force.
+	maxOldBundles = 32
+	// maxSteps is the number of configuration changes that deltas can reach back.
+	maxSteps = 256
 )
 
 func (s *State) record(version uint64) *BundleRecord {
@@ -34,8 +34,8 @@
 	s.setRecord(version, &BundleRecord{Status: status, Merged: record.Merged})
 }
 
-// putBundle takes a submission under the next number. The same content sent
-// again under its number is acknowledged again, other content is refused.
+// putBundle accepts a submission under the next number. The same content sent
+// again under its number is acknowledged again, other content is rejected.
 func (s *State) putBundle(index uint64, submitted *protocol.Bundle) *protocol.CommandResult {
 	version := submitted.GetVersion()
 	digest := bundle.Digest(submitted)
@@ -43,26 +43,26 @@
 		if winner.Status.GetSubmittedDigest() == digest {
 			return acceptBundle(winner.Status.GetAcceptedIndex(), winner.Status)
 		}
-		return refuseTaken(winner.Status)
+		return rejectTaken(winner.Status)
 	}
 	faults := s.numberFaults(version)
-	base, baseFault := s.baseOf(submitted)
+	base, baseFault := s.mergeBase(submitted)
 	if baseFault != nil {
-		return refuse(codeWrongBase, "the bundle is not built on the newest version", append(faults, baseFault)...)
+		return reject(codeWrongBase, "the bundle is not built on the newest version", append(faults, baseFault)...)
 	}
 	merged, contentFaults := bundle.Check(base, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
-		return refuseFaulty(faults)
+		return rejectFaulty(faults)
 	}
-	return acceptBundle(index, s.take(index, submitted, merged, digest))
+	return acceptBundle(index, s.recordSubmission(index, submitted, merged, digest))
 }
 
-func refuseFaulty(faults []*protocol.Fault) *protocol.CommandResult {
-	return refuse(codeInvalidBundle, fmt.Sprintf("the bundle has %d faults", len(faults)), faults...)
+func rejectFaulty(faults []*protocol.Fault) *protocol.CommandResult {
+	return reject(codeInvalidBundle, fmt.Sprintf("the bundle has %d faults", len(faults)), faults...)
 }
 
-// take records a bundle without faults under its number, which becomes the newest.
-func (s *State) take(index uint64, submitted, merged *protocol.Bundle, digest string) *protocol.BundleStatus {
+// recordSubmission records a bundle without faults under its number, which becomes the newest.
+func (s *State) recordSubmission(index uint64, submitted, merged *protocol.Bundle, digest string) *protocol.BundleStatus {
 	merged = bundle.ShareUnchanged(s.newestMerged(), merged)
 	status := &protocol.BundleStatus{
 		Version:         submitted.GetVersion(),
@@ -73,21 +73,21 @@
 		AcceptedIndex:   index,
 	}
 	s.setRecord(status.GetVersion(), &BundleRecord{Status: status, Merged: merged})
-	s.held = append(s.held, status.GetVersion())
+	s.retainedVersions = append(s.retainedVersions, status.GetVersion())
 	s.newest = status.GetVersion()
 	return status
 }
 
 // newestMerged is the newest merged bundle, nil before the first.
 func (s *State) newestMerged() *protocol.Bundle {
-	if len(s.held) == 0 {
+	if len(s.retainedVersions) == 0 {
 		return nil
 	}
-	return s.record(s.held[len(s.held)-1]).Merged
+	return s.record(s.retainedVersions[len(s.retainedVersions)-1]).Merged
 }
 
-func refuseTaken(winner *protocol.BundleStatus) *protocol.CommandResult {
-	result := refuse(codeVersionTaken, fmt.Sprintf("version %d was taken by other content", winner.GetVersion()))
+func rejectTaken(winner *protocol.BundleStatus) *protocol.CommandResult {
+	result := reject(codeVersionTaken, fmt.Sprintf("version %d was taken by other content", winner.GetVersion()))
 	result.Refusal.Winner = winner
 	return result
 }
@@ -99,9 +99,9 @@
 	return []*protocol.Fault{fault("version", fmt.Sprintf("the next version is %d", s.newest+1))}
 }
 
-// baseOf finds the merged bundle that a partial one builds on: the newest, or
+// mergeBase finds the merged bundle that a partial one builds on: the newest, or
 // the newest that was not withdrawn.
-func (s *State) baseOf(submitted *protocol.Bundle) (*protocol.Bundle, *protocol.Fault) {
+func (s *State) mergeBase(submitted *protocol.Bundle) (*protocol.Bundle, *protocol.Fault) {
 	if !submitted.GetPartial() {
 		return nil, nil
 	}
@@ -116,7 +116,7 @@
 }
 
 func (s *State) newestNotWithdrawn() uint64 {
-	for _, v := range slices.Backward(s.held) {
+	for _, v := range slices.Backward(s.retainedVersions) {
 		if s.record(v).Status.GetState() != protocol.BundleState_WITHDRAWN {
 			return v
 		}
@@ -145,24 +145,24 @@
 func (s *State) signBundle(index uint64, command *protocol.SignBundleCommand) *protocol.CommandResult {
 	record := s.record(command.GetVersion())
 	if record == nil {
-		return refuse(codeNotFound, fmt.Sprintf("there is no bundle %d", command.GetVersion()), fault("version", "is not taken"))
+		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", command.GetVersion()), fault("version", "is not taken"))
 	}
 	status := record.Status
 	if status.GetSignature() != "" && status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName() {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
 	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(), command.GetSignature()); err != nil {
-		return refuse(codeBadSignature, err.Error(), fault("signature", err.Error()))
+		return reject(codeBadSignature, err.Error(), fault("signature", err.Error()))
 	}
 	if status.GetSignedBy() != "" {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
 	if active := s.configuration.GetActive().GetVersion(); command.GetVersion() < active {
-		return refuse(codeInvalidOrder, fmt.Sprintf("bundle %d is in force; an older one never is again", active),
+		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is in force; an older one never is again", active),
 			fault("version", "is older than the bundle in force"))
 	}
-	if refusal := s.refuseFirstRollout(command); refusal != nil {
-		return refusal
+	if rejection := s.checkFirstRollout(command); rejection != nil {
+		return rejection
 	}
 	signed := proto.CloneOf(status)
 	signed.State = protocol.BundleState_SIGNED
@@ -171,31 +171,31 @@
 	if command.GetRollout() == nil {
 		s.putInForce(index, command.GetVersion())
 	} else {
-		s.setCandidate(index, rolloutOf(command.GetRollout(), command.GetVersion()))
+		s.setCandidate(index, withCandidateVersion(command.GetRollout(), command.GetVersion()))
 	}
 	return acceptBundle(index, signed)
 }
 
-// refuseFirstRollout checks the roll-out that comes with a sign-off, if any.
-func (s *State) refuseFirstRollout(command *protocol.SignBundleCommand) *protocol.CommandResult {
+// checkFirstRollout checks the roll-out that comes with a sign-off, if any.
+func (s *State) checkFirstRollout(command *protocol.SignBundleCommand) *protocol.CommandResult {
 	rollout := command.GetRollout()
 	if rollout == nil {
 		return nil
 	}
 	if named := rollout.GetCandidateVersion(); named != 0 && named != command.GetVersion() {
-		return refuse(codeInvalidOrder, "the roll-out names another bundle", fault("rollout.candidate_version", "must be the version signed, or absent"))
+		return reject(codeInvalidOrder, "the roll-out names another bundle", fault("rollout.candidate_version", "must be the version signed, or absent"))
 	}
-	return s.refuseRollout(rolloutOf(rollout, command.GetVersion()), "rollout.")
+	return s.checkRollout(withCandidateVersion(rollout, command.GetVersion()), "rollout.")
 }
 
-func rolloutOf(rollout *protocol.Rollout, version uint64) *protocol.Rollout {
+func withCandidateVersion(rollout *protocol.Rollout, version uint64) *protocol.Rollout {
 	named := proto.CloneOf(rollout)
 	named.CandidateVersion = version
 	return named
 }
 
 // putInForce makes a signed version the active one and ends a roll-out that it
-// overtakes. The keys that were in force go on counting while no bundle in force names others.
+// overtakes. The keys that were in force stay valid while no bundle in force names others.
 func (s *State) putInForce(index, version uint64) {
 	former := s.configuration
 	record := s.record(version)
@@ -229,21 +229,21 @@
 	if former.GetVersion() == 0 {
 		return
 	}
-	if len(s.steps) >= keptSteps {
-		s.steps = slices.Clone(s.steps[len(s.steps)-keptSteps+1:])
+	if len(s.steps) >= maxSteps {
+		s.steps = slices.Clone(s.steps[len(s.steps)-maxSteps+1:])
 	}
 	s.steps = append(s.steps, step)
 }
 
-// dropOldBundles forgets the content of versions far behind the one in force; their status is kept for ever.
+// dropOldBundles forgets the content of versions far behind the one in force; their status is retained for ever.
 func (s *State) dropOldBundles(active uint64) {
-	older, _ := slices.BinarySearch(s.held, active)
-	excess := older - keptOldBundles
+	olderCount, _ := slices.BinarySearch(s.retainedVersions, active)
+	excess := olderCount - maxOldBundles
 	if excess <= 0 {
 		return
 	}
-	for _, version := range s.held[:excess] {
+	for _, version := range s.retainedVersions[:excess] {
 		s.setRecord(version, &BundleRecord{Status: s.record(version).Status})
 	}
-	s.held = slices.Clone(s.held[excess:])
+	s.retainedVersions = slices.Clone(s.retainedVersions[excess:])
 }
--- a/internal/controlplane/controlstate/members.go
+++ b/internal/controlplane/controlstate/member_orders.go
@@ -33,9 +33,9 @@
 	member := command.GetMember()
 	switch {
 	case orderID == "":
-		return refuse(codeInvalidOrder, "an order about a core member needs an id", fault("order_id", "must be set"))
+		return reject(codeInvalidOrder, "an order about a core member needs an id", fault("order_id", "must be set"))
 	case member.GetId() == 0 && !command.GetRemove():
-		return refuse(codeInvalidOrder, "there is no such core member", fault("member", "must be set"))
+		return reject(codeInvalidOrder, "there is no such core member", fault("member", "must be set"))
 	case member.GetId() != 0:
 		s.memberOrders = s.memberOrders.with(orderID, member, command.GetRemove())
 	}
--- a/internal/controlplane/controlstate/membership.go
+++ b/internal/controlplane/controlstate/membership.go
@@ -12,11 +12,11 @@
 
 func compareNodes(node *protocol.Node, name string) int { return cmp.Compare(node.GetName(), name) }
 
-// joinNode takes a node into the view, or its new incarnation or attributes. A
+// joinNode adds a node to the view, or its new incarnation or attributes. A
 // new incarnation under the same name or address ends the former one at once.
 func (s *State) joinNode(index uint64, node *protocol.Node) *protocol.CommandResult {
-	if refusal := s.refuseNode(node); refusal != nil {
-		return refusal
+	if rejection := s.checkNode(node); rejection != nil {
+		return rejection
 	}
 	at, found := slices.BinarySearchFunc(s.membership.GetNodes(), node.GetName(), compareNodes)
 	if found && proto.Equal(s.membership.GetNodes()[at], node) {
@@ -37,12 +37,12 @@
 	s.membership = &protocol.MembershipView{Version: index, Nodes: slices.Insert(nodes, at, node)}
 	s.nodeHistory.Add(index, changed...)
 	if node.GetKind() == protocol.NodeKind_STORE {
-		s.noteStorage(index, node)
+		s.rebuildLostReplicas(index, node)
 	}
 	return accept(index)
 }
 
-func (s *State) refuseNode(node *protocol.Node) *protocol.CommandResult {
+func (s *State) checkNode(node *protocol.Node) *protocol.CommandResult {
 	var faults []*protocol.Fault
 	if node.GetName() == "" {
 		faults = append(faults, fault("node.name", "must be set"))
@@ -57,27 +57,27 @@
 		faults = append(faults, fault("node.storage_id", "must be set for a store"))
 	}
 	if len(faults) > 0 {
-		return refuse(codeInvalidOrder, "the node has faults", faults...)
+		return reject(codeInvalidOrder, "the node has faults", faults...)
 	}
 	for _, other := range s.membership.GetNodes() {
-		if refusal := refuseAgainst(node, other); refusal != nil {
-			return refusal
+		if rejection := checkConflict(node, other); rejection != nil {
+			return rejection
 		}
 	}
 	if node.GetKind() == protocol.NodeKind_STORE && s.isRetired(node) {
-		return refuse(codeLeaseRefused, fmt.Sprintf("store %q was retired", node.GetName()))
+		return reject(codeLeaseRejected, fmt.Sprintf("store %q was retired", node.GetName()))
 	}
 	return nil
 }
 
-// refuseAgainst says whether a node of the view stands in the way of a joining one.
-func refuseAgainst(node, other *protocol.Node) *protocol.CommandResult {
+// checkConflict rejects a joining node that an other one of the view excludes.
+func checkConflict(node, other *protocol.Node) *protocol.CommandResult {
 	switch {
 	case other.GetName() == node.GetName() && other.GetIncarnation() > node.GetIncarnation():
-		return refuse(codeLeaseRefused, fmt.Sprintf("a later incarnation of %q holds the lease", node.GetName()),
+		return reject(codeLeaseRejected, fmt.Sprintf("a later incarnation of %q holds the lease", node.GetName()),
 			fault("node.incarnation", fmt.Sprintf("is older than %d", other.GetIncarnation())))
 	case other.GetName() != node.GetName() && other.GetAddress() == node.GetAddress() && other.GetIncarnation() >= node.GetIncarnation():
-		return refuse(codeLeaseRefused, fmt.Sprintf("%q holds the lease at this address", other.GetName()),
+		return reject(codeLeaseRejected, fmt.Sprintf("%q holds the lease at this address", other.GetName()),
 			fault("node.address", "belongs to a later incarnation of another node"))
 	default:
 		return nil
@@ -95,7 +95,7 @@
 	return accept(index)
 }
 
-// Node finds a node of the view by name; nil when it holds no lease.
+// Node finds a node of the view by name; nil when it has no lease.
 func (v *View) Node(name string) *protocol.Node { return findNode(v.Membership, name) }
 
 func findNode(membership *protocol.MembershipView, name string) *protocol.Node {
--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Codes of refusals; they are codes of package failure.
+// Codes of rejections; they are codes of package failure.
 const (
 	codeInvalidOrder    = failure.InvalidOrder
 	codeInvalidBundle   = failure.InvalidBundle
@@ -18,23 +18,24 @@
 	codeBadSignature    = failure.BadSignature
 	codeNotSigned       = failure.NotSigned
 	codeChangeUnderWay  = failure.ChangeUnderWay
-	codeLeaseRefused    = failure.LeaseRejected
+	codeLeaseRejected   = failure.LeaseRejected
 	codeStoreNotEmptied = failure.StoreNotEmptied
 )
 
 // TooFewStores is the code of an order to empty a store that is needed to hold every shard.
 const TooFewStores failure.Code = "too_few_stores"
 
-type contentSum [16]byte
+// contentDigest is the first half of a SHA-256.
+type contentDigest [16]byte
 
 // orderEntry remembers an order for ever: operators may send it again after any number of changes.
 type orderEntry struct {
-	digest contentSum
+	digest contentDigest
 	result *protocol.CommandResult
 }
 
-// contentDigest covers what the order asks for, without its id and time and what the leader added to it.
-func contentDigest(command *protocol.Command) contentSum {
+// digestContent covers what the order requests, without its id and time and what the leader added to it.
+func digestContent(command *protocol.Command) contentDigest {
 	var encoded []byte
 	if put := command.GetPutBundle(); put != nil {
 		encoded = append([]byte("put "), bundle.Digest(put.GetBundle())...)
@@ -45,7 +46,7 @@
 		encoded = bundle.EncodeMessage(content)
 	}
 	sum := sha256.Sum256(encoded)
-	return contentSum(sum[:len(contentSum{})])
+	return contentDigest(sum[:len(contentDigest{})])
 }
 
 func accept(index uint64) *protocol.CommandResult {
@@ -56,7 +57,7 @@
 	return &protocol.CommandResult{Accepted: true, Index: index, Bundle: status}
 }
 
-func refuse(code failure.Code, message string, faults ...*protocol.Fault) *protocol.CommandResult {
+func reject(code failure.Code, message string, faults ...*protocol.Fault) *protocol.CommandResult {
 	return &protocol.CommandResult{Refusal: &protocol.Refusal{Code: string(code), Message: message, Faults: faults}}
 }
 
--- a/internal/controlplane/controlstate/placement.go
+++ b/internal/controlplane/controlstate/placement.go
@@ -34,21 +34,21 @@
 	return shard
 }
 
-// initializePlacement makes the first table once there are stores enough in distinct zones.
+// initializePlacement makes the first table once there are enough stores in distinct zones.
 func (s *State) initializePlacement(index uint64, command *protocol.InitializePlacementCommand) *protocol.CommandResult {
 	if len(s.placement.GetShards()) > 0 {
 		return accept(s.placement.GetEpoch())
 	}
 	shards, replicas := command.GetShardCount(), int(command.GetReplicaCount())
 	if shards == 0 || shards > maxShards || replicas == 0 || replicas > maxReplicas {
-		return refuse(codeInvalidOrder, "the numbers of shards and replicas are out of range")
+		return reject(codeInvalidOrder, "the numbers of shards and replicas are out of range")
 	}
 	stores := UsableStores(s.placement, s.membership.GetNodes())
 	if command.GetSharedZones() && len(stores) < replicas {
-		return refuse(codeInvalidOrder, fmt.Sprintf("%d stores are needed, there are %d", replicas, len(stores)))
+		return reject(codeInvalidOrder, fmt.Sprintf("%d stores are needed, there are %d", replicas, len(stores)))
 	}
 	if zones := countZones(stores); zones < replicas && !command.GetSharedZones() {
-		return refuse(codeInvalidOrder, fmt.Sprintf("stores in %d distinct zones are needed, there are %d", replicas, zones))
+		return reject(codeInvalidOrder, fmt.Sprintf("stores in %d distinct zones are needed, there are %d", replicas, zones))
 	}
 	placement := s.editPlacement(index)
 	loads, spread := map[string]int{}, newSpread(stores, stores, replicas)
@@ -56,7 +56,7 @@
 	for number := range shards {
 		shard := &protocol.ShardPlacement{Shard: number, Epoch: index}
 		for range replicas {
-			store := spread.pick(stores, shard.GetCurrent(), loads)
+			store := spread.choose(stores, shard.GetCurrent(), loads)
 			loads[store.GetName()]++
 			shard.Current = append(shard.Current, &protocol.Replica{
 				Store: store.GetName(), StorageId: store.GetStorageId(), State: protocol.ReplicaState_REPLICA_ACTIVE,
@@ -69,25 +69,25 @@
 }
 
 // moveShard begins one step of a move: the next replicas are the current ones
-// with one replaced. An empty list gives up a move that is under way.
+// with one replaced. An empty list cancels a move in progress.
 func (s *State) moveShard(index uint64, command *protocol.MoveShardCommand) *protocol.CommandResult {
 	at := int(command.GetShard())
 	if at >= len(s.placement.GetShards()) {
-		return refuse(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
+		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
 	}
 	shard := s.placement.GetShards()[at]
 	if command.GetExpectedEpoch() != shard.GetEpoch() {
-		return refuse(codeChangeUnderWay, "the shard changed meanwhile", fault("expected_epoch", fmt.Sprintf("the shard's epoch is %d", shard.GetEpoch())))
+		return reject(codeChangeUnderWay, "the shard changed meanwhile", fault("expected_epoch", fmt.Sprintf("the shard's epoch is %d", shard.GetEpoch())))
 	}
 	if len(command.GetNext()) == 0 {
-		return s.giveUpMove(index, at)
+		return s.cancelMove(index, at)
 	}
 	if len(shard.GetNext()) > 0 {
-		return refuse(codeChangeUnderWay, "the shard is being moved")
+		return reject(codeChangeUnderWay, "the shard is being moved")
 	}
-	next, refusal := s.nextReplicas(index, shard, command.GetNext())
-	if refusal != nil {
-		return refusal
+	next, rejection := s.nextReplicas(index, shard, command.GetNext())
+	if rejection != nil {
+		return rejection
 	}
 	placement := s.editPlacement(index)
 	editShard(placement, at).Next = next
@@ -95,7 +95,7 @@
 	return accept(index)
 }
 
-func (s *State) giveUpMove(index uint64, at int) *protocol.CommandResult {
+func (s *State) cancelMove(index uint64, at int) *protocol.CommandResult {
 	if len(s.placement.GetShards()[at].GetNext()) == 0 {
 		return accept(s.placement.GetEpoch())
 	}
@@ -109,25 +109,25 @@
 // nextReplicas checks a proposed set: as many as now, one of them new, and a majority of it able to vote at once.
 func (s *State) nextReplicas(index uint64, shard *protocol.ShardPlacement, wanted []*protocol.Replica) ([]*protocol.Replica, *protocol.CommandResult) {
 	if len(wanted) != len(shard.GetCurrent()) {
-		return nil, refuse(codeInvalidOrder, "the number of replicas must stay the same", fault("next", "has another length"))
+		return nil, reject(codeInvalidOrder, "the number of replicas must stay the same", fault("next", "has another length"))
 	}
 	next := make([]*protocol.Replica, 0, len(wanted))
 	added, active := 0, 0
 	for i, replica := range wanted {
 		path := fmt.Sprintf("next[%d].store", i)
 		if findReplica(next, replica.GetStore()) != nil {
-			return nil, refuse(codeInvalidOrder, "a store is named twice", fault(path, "is named twice"))
+			return nil, reject(codeInvalidOrder, "a store is named twice", fault(path, "is named twice"))
 		}
-		if kept := findReplica(shard.GetCurrent(), replica.GetStore()); kept != nil {
-			next = append(next, kept)
-			if kept.GetState() == protocol.ReplicaState_REPLICA_ACTIVE {
+		if current := findReplica(shard.GetCurrent(), replica.GetStore()); current != nil {
+			next = append(next, current)
+			if current.GetState() == protocol.ReplicaState_REPLICA_ACTIVE {
 				active++
 			}
 			continue
 		}
 		node := findNode(s.membership, replica.GetStore())
 		if node.GetKind() != protocol.NodeKind_STORE || !usable(s.placement, node) {
-			return nil, refuse(codeInvalidOrder, "the store cannot take a shard", fault(path, "is not a store that can take a shard"))
+			return nil, reject(codeInvalidOrder, "the store cannot take a shard", fault(path, "is not a store that can take a shard"))
 		}
 		added++
 		next = append(next, &protocol.Replica{
@@ -136,10 +136,10 @@
 		})
 	}
 	if added != 1 {
-		return nil, refuse(codeInvalidOrder, "a step replaces exactly one replica", fault("next", "must have one new store"))
+		return nil, reject(codeInvalidOrder, "a step replaces exactly one replica", fault("next", "must have one new store"))
 	}
 	if active <= len(next)/2 {
-		return nil, refuse(codeChangeUnderWay, "the replicas that stay are no majority yet", fault("next", "too many replicas are rebuilding"))
+		return nil, reject(codeChangeUnderWay, "the replicas that stay are no majority yet", fault("next", "too many replicas are rebuilding"))
 	}
 	return next, nil
 }
@@ -153,12 +153,12 @@
 	return nil
 }
 
-// noteStorage marks the replicas of a store that came back with another data
-// folder: they vote for nothing until they are copied anew.
-func (s *State) noteStorage(index uint64, node *protocol.Node) {
+// rebuildLostReplicas marks the replicas of a store that came back with another data
+// folder: they do not vote until they are copied anew.
+func (s *State) rebuildLostReplicas(index uint64, node *protocol.Node) {
 	var placement *protocol.Placement
 	for at, shard := range s.placement.GetShards() {
-		if !lostFolder(shard.GetCurrent(), node) && !lostFolder(shard.GetNext(), node) {
+		if !lostStorage(shard.GetCurrent(), node) && !lostStorage(shard.GetNext(), node) {
 			continue
 		}
 		if placement == nil {
@@ -173,13 +173,13 @@
 	}
 }
 
-func lostFolder(replicas []*protocol.Replica, node *protocol.Node) bool {
+func lostStorage(replicas []*protocol.Replica, node *protocol.Node) bool {
 	replica := findReplica(replicas, node.GetName())
 	return replica != nil && replica.GetStorageId() != node.GetStorageId()
 }
 
 func rebuild(replicas []*protocol.Replica, node *protocol.Node, index uint64) {
-	if lostFolder(replicas, node) {
+	if lostStorage(replicas, node) {
 		replica := findReplica(replicas, node.GetName())
 		replica.StorageId = node.GetStorageId()
 		replica.State = protocol.ReplicaState_REPLICA_REBUILDING
@@ -191,7 +191,7 @@
 func (s *State) shardCopied(index uint64, command *protocol.ShardCopiedCommand) *protocol.CommandResult {
 	at := int(command.GetShard())
 	if at >= len(s.placement.GetShards()) {
-		return refuse(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
+		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
 	}
 	shard := s.placement.GetShards()[at]
 	replica := findReplica(shard.GetNext(), command.GetStore())
@@ -200,11 +200,11 @@
 	}
 	switch {
 	case replica == nil || replica.GetStorageId() != command.GetStorageId():
-		return refuse(codeInvalidOrder, "the store holds no such replica", fault("storage_id", "is not that of a replica"))
+		return reject(codeInvalidOrder, "the store holds no such replica", fault("storage_id", "is not that of a replica"))
 	case replica.GetState() == protocol.ReplicaState_REPLICA_ACTIVE:
 		return accept(s.placement.GetEpoch())
 	case command.GetEpoch() < replica.GetRebuildingSince():
-		return refuse(codeInvalidOrder, "the copy began before the replica was to rebuild; copy again",
+		return reject(codeInvalidOrder, "the copy began before the replica was to rebuild; copy again",
 			fault("epoch", fmt.Sprintf("must be at least %d", replica.GetRebuildingSince())))
 	}
 	placement := s.editPlacement(index)
--- a/internal/controlplane/controlstate/planner.go
+++ b/internal/controlplane/controlstate/planner.go
@@ -7,10 +7,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// PlanInput is what the planner looks at.
+// PlanInput is what the planner decides from.
 type PlanInput struct {
 	Placement *protocol.Placement
-	// Nodes are those of the membership view; other kinds than stores are passed over.
+	// Nodes are those of the membership view; other kinds than stores are ignored.
 	Nodes []*protocol.Node
 	// Lost names the stores that have been without a lease for so long that their shards are to move.
 	Lost map[string]bool
@@ -18,15 +18,15 @@
 	MaxMoves int
 }
 
-// Plan proposes the next steps, most pressing first: give up moves to lost
-// stores, empty stores and replace lost ones, part replicas that share a region,
-// then those that share a zone, then balance. It returns no more steps than MaxMoves allows beside the moves under way.
+// Plan proposes the next steps, most urgent first: cancel moves to lost
+// stores, empty stores and replace lost ones, separate replicas that share a region,
+// then those that share a zone, then balance. It returns no more steps than MaxMoves allows beside the moves in progress.
 func Plan(input PlanInput) []*protocol.MoveShardCommand {
 	p := newPlan(input)
-	p.giveUpMoves()
-	p.leaveStores()
-	p.partRegions()
-	p.partZones()
+	p.cancelMoves()
+	p.evacuateStores()
+	p.separateRegions()
+	p.separateZones()
 	p.balance()
 	return p.steps
 }
@@ -37,13 +37,13 @@
 	spread *spread
 	loads  map[string]int
 	// moving marks the shards that move already or were given a step here.
-	moving map[uint32]bool
-	free   int
-	steps  []*protocol.MoveShardCommand
+	moving         map[uint32]bool
+	remainingMoves int
+	steps          []*protocol.MoveShardCommand
 }
 
 func newPlan(input PlanInput) *plan {
-	p := &plan{input: input, loads: map[string]int{}, moving: map[uint32]bool{}, free: input.MaxMoves}
+	p := &plan{input: input, loads: map[string]int{}, moving: map[uint32]bool{}, remainingMoves: input.MaxMoves}
 	for _, node := range UsableStores(input.Placement, input.Nodes) {
 		if !input.Lost[node.GetName()] {
 			p.usable = append(p.usable, node)
@@ -55,7 +55,7 @@
 		if len(shard.GetNext()) > 0 {
 			target = shard.GetNext()
 			p.moving[shard.GetShard()] = true
-			p.free--
+			p.remainingMoves--
 		}
 		for _, replica := range target {
 			p.loads[replica.GetStore()]++
@@ -64,7 +64,7 @@
 	return p
 }
 
-func (p *plan) giveUpMoves() {
+func (p *plan) cancelMoves() {
 	for _, shard := range p.input.Placement.GetShards() {
 		for _, replica := range shard.GetNext() {
 			if findReplica(shard.GetCurrent(), replica.GetStore()) == nil && p.input.Lost[replica.GetStore()] {
@@ -74,8 +74,8 @@
 	}
 }
 
-// leaveStores moves shards off stores that are being emptied or are lost.
-func (p *plan) leaveStores() {
+// evacuateStores moves shards off stores that are being emptied or are lost.
+func (p *plan) evacuateStores() {
 	for _, shard := range p.input.Placement.GetShards() {
 		for _, replica := range shard.GetCurrent() {
 			leaving := p.input.Lost[replica.GetStore()] || slices.Contains(p.input.Placement.GetEmptying(), replica.GetStore())
@@ -86,54 +86,55 @@
 	}
 }
 
-// partRegions moves a replica that shares its region with another when a store in a region of its own is there.
-func (p *plan) partRegions() {
+// separateRegions moves a replica that shares its region with another when a store in another region can take it.
+func (p *plan) separateRegions() {
 	if p.spread.overRegions {
-		p.part(p.spread.regions)
+		p.separate(p.spread.regions)
 	}
 }
 
-// partZones moves a replica that shares its zone with another when a store in a zone of its own is there.
-func (p *plan) partZones() { p.part(p.spread.zones) }
+// separateZones moves a replica that shares its zone with another when a store in another zone can take it.
+func (p *plan) separateZones() { p.separate(p.spread.zones) }
 
-// part moves a replica that shares its place with another to a place that no other replica has.
-func (p *plan) part(places map[string]string) {
+// separate moves a replica that shares its failure domain with another to a domain that no other replica has. The
+// domains are the region or zone of each store.
+func (p *plan) separate(domains map[string]string) {
 	for _, shard := range p.input.Placement.GetShards() {
 		seen := map[string]bool{}
 		for _, replica := range shard.GetCurrent() {
-			place, known := places[replica.GetStore()]
-			if known && seen[place] && p.replace(shard, replica.GetStore(), places) {
+			domain, known := domains[replica.GetStore()]
+			if known && seen[domain] && p.replace(shard, replica.GetStore(), domains) {
 				break
 			}
-			seen[place] = true
+			seen[domain] = true
 		}
 	}
 }
 
-// balance evens the number of replicas out while every replica is whole.
+// balance evens out the number of replicas while no replica is rebuilding.
 func (p *plan) balance() {
 	if len(p.usable) < 2 || rebuilding(p.input.Placement) {
 		return
 	}
-	for p.free > 0 {
+	for p.remainingMoves > 0 {
 		byLoad := slices.SortedFunc(slices.Values(p.usable), func(a, b *protocol.Node) int {
 			return cmp.Or(cmp.Compare(p.loads[a.GetName()], p.loads[b.GetName()]), cmp.Compare(a.GetName(), b.GetName()))
 		})
-		if !p.evenOut(byLoad) {
+		if !p.moveOneShard(byLoad) {
 			return
 		}
 	}
 }
 
-// evenOut moves one shard from the fullest store that can give to the emptiest that can take.
-func (p *plan) evenOut(byLoad []*protocol.Node) bool {
+// moveOneShard moves one shard from the fullest store that can release one to the emptiest that can take it.
+func (p *plan) moveOneShard(byLoad []*protocol.Node) bool {
 	for _, target := range byLoad {
 		for _, source := range slices.Backward(byLoad) {
 			if p.loads[source.GetName()]-p.loads[target.GetName()] < 2 {
 				break
 			}
 			for _, shard := range p.input.Placement.GetShards() {
-				if p.canTake(shard, source, target) && p.step(shard, source.GetName(), target) {
+				if p.canMove(shard, source, target) && p.addMove(shard, source.GetName(), target) {
 					return true
 				}
 			}
@@ -142,41 +143,41 @@
 	return false
 }
 
-func (p *plan) canTake(shard *protocol.ShardPlacement, source, target *protocol.Node) bool {
+func (p *plan) canMove(shard *protocol.ShardPlacement, source, target *protocol.Node) bool {
 	if findReplica(shard.GetCurrent(), source.GetName()) == nil || findReplica(shard.GetCurrent(), target.GetName()) != nil {
 		return false
 	}
-	kept := without(shard.GetCurrent(), source.GetName())
-	return !taken(p.spread.zones, kept, target.GetName()) && p.spread.keepsRegions(shard.GetCurrent(), source.GetName(), target.GetName())
+	remaining := without(shard.GetCurrent(), source.GetName())
+	return !sharesDomain(p.spread.zones, remaining, target.GetName()) && p.spread.preservesRegions(shard.GetCurrent(), source.GetName(), target.GetName())
 }
 
-// replace moves one replica of a shard to the best store. With places (the region or zone of each store) it demands one
+// replace moves one replica of a shard to the best store. With domains (the region or zone of each store) it demands one
 // that no other replica has, and no fewer regions than before.
-func (p *plan) replace(shard *protocol.ShardPlacement, store string, places map[string]string) bool {
-	if p.moving[shard.GetShard()] || p.free <= 0 {
+func (p *plan) replace(shard *protocol.ShardPlacement, store string, domains map[string]string) bool {
+	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 {
 		return false
 	}
-	kept := without(shard.GetCurrent(), store)
+	remaining := without(shard.GetCurrent(), store)
 	var candidates []*protocol.Node
 	for _, node := range p.usable {
-		fits := places == nil || !taken(places, kept, node.GetName()) && p.spread.keepsRegions(shard.GetCurrent(), store, node.GetName())
+		fits := domains == nil || !sharesDomain(domains, remaining, node.GetName()) && p.spread.preservesRegions(shard.GetCurrent(), store, node.GetName())
 		if fits && findReplica(shard.GetCurrent(), node.GetName()) == nil {
 			candidates = append(candidates, node)
 		}
 	}
-	target := p.spread.pick(candidates, kept, p.loads)
-	return target != nil && p.step(shard, store, target)
+	target := p.spread.choose(candidates, remaining, p.loads)
+	return target != nil && p.addMove(shard, store, target)
 }
 
-// step records a move when the replicas that stay are a majority that can vote.
-func (p *plan) step(shard *protocol.ShardPlacement, leaving string, target *protocol.Node) bool {
-	if p.moving[shard.GetShard()] || p.free <= 0 || !majorityActive(shard, leaving) {
+// addMove records a move when the replicas that stay are a majority that can vote.
+func (p *plan) addMove(shard *protocol.ShardPlacement, leaving string, target *protocol.Node) bool {
+	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 || !majorityActive(shard, leaving) {
 		return false
 	}
 	next := append(without(shard.GetCurrent(), leaving), &protocol.Replica{Store: target.GetName(), StorageId: target.GetStorageId()})
 	p.steps = append(p.steps, &protocol.MoveShardCommand{Shard: shard.GetShard(), ExpectedEpoch: shard.GetEpoch(), Next: next})
 	p.moving[shard.GetShard()] = true
-	p.free--
+	p.remainingMoves--
 	p.loads[leaving]--
 	p.loads[target.GetName()]++
 	return true
@@ -193,13 +194,13 @@
 }
 
 func without(replicas []*protocol.Replica, store string) []*protocol.Replica {
-	kept := make([]*protocol.Replica, 0, len(replicas)+1)
+	remaining := make([]*protocol.Replica, 0, len(replicas)+1)
 	for _, replica := range replicas {
 		if replica.GetStore() != store {
-			kept = append(kept, replica)
+			remaining = append(remaining, replica)
 		}
 	}
-	return kept
+	return remaining
 }
 
 func rebuilding(placement *protocol.Placement) bool {
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -12,8 +12,8 @@
 // SignedByCore is the name under which the core itself signs off what is released.
 const SignedByCore = "core"
 
-// releaseBundle takes a bundle that is built on the version in force, signs it
-// off by the core's own word and puts it in force, all in one step. The same
+// releaseBundle accepts a bundle that is built on the version in force, signs it
+// off in the core's own name and puts it in force, all in one step. The same
 // release sent again is acknowledged for ever, whatever came after it.
 func (s *State) releaseBundle(index uint64, command *protocol.ReleaseBundleCommand) *protocol.CommandResult {
 	submitted, baseFaults := releaseContent(command)
@@ -22,18 +22,18 @@
 		if status := winner.Status; status.GetSubmittedDigest() == digest && status.GetSignedBy() == SignedByCore {
 			return acceptBundle(status.GetAcceptedIndex(), status)
 		}
-		return refuseTaken(winner.Status)
+		return rejectTaken(winner.Status)
 	}
 	active := s.configuration.GetActive()
 	if expected := command.GetExpectedVersion(); expected != active.GetVersion() {
-		return s.refuseOtherInForce(expected)
+		return s.rejectWrongBase(expected)
 	}
 	faults := append(baseFaults, s.releaseNumberFaults(version)...)
 	merged, contentFaults := bundle.Check(active, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
-		return refuseFaulty(faults)
+		return rejectFaulty(faults)
 	}
-	signed := proto.CloneOf(s.take(index, submitted, merged, digest))
+	signed := proto.CloneOf(s.recordSubmission(index, submitted, merged, digest))
 	signed.State, signed.SignedBy, signed.SignedIndex = protocol.BundleState_SIGNED, SignedByCore, index
 	s.setRecord(version, &BundleRecord{Status: signed, Merged: s.record(version).Merged})
 	s.putInForce(index, version)
@@ -60,16 +60,16 @@
 	}
 }
 
-func (s *State) refuseOtherInForce(expected uint64) *protocol.CommandResult {
+func (s *State) rejectWrongBase(expected uint64) *protocol.CommandResult {
 	active := s.configuration.GetActive().GetVersion()
-	result := refuse(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected), fault("expected_version", "is not the version in force"))
+	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected), fault("expected_version", "is not the version in force"))
 	if record := s.record(active); record != nil {
 		result.Refusal.Winner = record.Status
 	}
 	return result
 }
 
-// releaseNumberFaults demands a number above all that were taken; that one in force is among them.
+// releaseNumberFaults demands a number above all that are in use; that of the bundle in force is among them.
 func (s *State) releaseNumberFaults(version uint64) []*protocol.Fault {
 	if version == 0 || version > s.newest {
 		return nil
--- a/internal/controlplane/controlstate/report.go
+++ b/internal/controlplane/controlstate/report.go
@@ -18,14 +18,14 @@
 	StoreRetired  = "retired"
 )
 
-// StoreReport says what one store holds; counts are of shards.
+// StoreReport describes one store; counts are of shards.
 type StoreReport struct {
 	Name      string `json:"name"`
 	Zone      string `json:"zone,omitempty"`
 	Address   string `json:"address,omitempty"`
 	StorageID string `json:"storage_id,omitempty"`
 	State     string `json:"state"`
-	// Present is true while the store holds a lease.
+	// Present is true while the store has a lease.
 	Present bool `json:"present"`
 	// Shards counts those it serves now, rebuilding ones included.
 	Shards     int `json:"shards"`
--- a/internal/controlplane/controlstate/rollout.go
+++ b/internal/controlplane/controlstate/rollout.go
@@ -10,8 +10,8 @@
 func (s *State) setRollout(index uint64, command *protocol.SetRolloutCommand) *protocol.CommandResult {
 	switch command.GetAction() {
 	case protocol.RolloutAction_ROLLOUT_SET:
-		if refusal := s.refuseRollout(command.GetRollout(), ""); refusal != nil {
-			return refusal
+		if rejection := s.checkRollout(command.GetRollout(), ""); rejection != nil {
+			return rejection
 		}
 		s.setCandidate(index, command.GetRollout())
 		return acceptBundle(index, s.record(command.GetRollout().GetCandidateVersion()).Status)
@@ -20,36 +20,36 @@
 	case protocol.RolloutAction_ROLLOUT_WITHDRAW:
 		return s.withdraw(index, command.GetRollout().GetCandidateVersion())
 	default:
-		return refuse(codeInvalidOrder, "unknown action", fault("action", "must be set, promote or withdraw"))
+		return reject(codeInvalidOrder, "unknown action", fault("action", "must be set, promote or withdraw"))
 	}
 }
 
-// refuseRollout checks that a roll-out may begin or change; prefix leads the paths of its faults.
-func (s *State) refuseRollout(rollout *protocol.Rollout, prefix string) *protocol.CommandResult {
+// checkRollout checks that a roll-out may begin or change; prefix leads the paths of its faults.
+func (s *State) checkRollout(rollout *protocol.Rollout, prefix string) *protocol.CommandResult {
 	if faults := bundle.CheckRollout(rollout); len(faults) > 0 {
-		for _, found := range faults {
-			found.Path = prefix + found.GetPath()
+		for _, invalid := range faults {
+			invalid.Path = prefix + invalid.GetPath()
 		}
-		return refuse(codeInvalidOrder, "the roll-out has faults", faults...)
+		return reject(codeInvalidOrder, "the roll-out has faults", faults...)
 	}
 	path := prefix + "candidate_version"
 	version := rollout.GetCandidateVersion()
 	record, active := s.record(version), s.configuration.GetActive()
 	switch {
 	case record == nil:
-		return refuse(codeNotFound, fmt.Sprintf("there is no bundle %d", version), fault(path, "is not taken"))
+		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", version), fault(path, "is not taken"))
 	case active == nil:
-		return refuse(codeInvalidOrder, "there is no bundle in force to compare with", fault(path, "sign the first bundle without a roll-out"))
+		return reject(codeInvalidOrder, "there is no bundle in force to compare with", fault(path, "sign the first bundle without a roll-out"))
 	case version <= active.GetVersion():
-		return refuse(codeInvalidOrder, fmt.Sprintf("bundle %d is in force; the candidate must be newer", active.GetVersion()),
+		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is in force; the candidate must be newer", active.GetVersion()),
 			fault(path, "is not newer than the bundle in force"))
 	case record.Status.GetState() == protocol.BundleState_WITHDRAWN:
-		return refuse(codeInvalidOrder, fmt.Sprintf("bundle %d was withdrawn; send it again under a new number", version), fault(path, "was withdrawn"))
+		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d was withdrawn; send it again under a new number", version), fault(path, "was withdrawn"))
 	case record.Status.GetState() == protocol.BundleState_ACCEPTED && prefix == "":
-		return refuse(codeNotSigned, fmt.Sprintf("bundle %d is not signed off", version), fault(path, "is not signed off"))
+		return reject(codeNotSigned, fmt.Sprintf("bundle %d is not signed off", version), fault(path, "is not signed off"))
 	}
 	if other := s.configuration.GetCandidate(); other != nil && other.GetVersion() != version {
-		return refuse(codeChangeUnderWay, fmt.Sprintf("bundle %d is being rolled out; promote or withdraw it first", other.GetVersion()),
+		return reject(codeChangeUnderWay, fmt.Sprintf("bundle %d is being rolled out; promote or withdraw it first", other.GetVersion()),
 			fault(path, "another candidate is being rolled out"))
 	}
 	return nil
@@ -78,7 +78,7 @@
 		if version != 0 && version == s.configuration.GetActive().GetVersion() {
 			return acceptBundle(s.configuration.GetVersion(), s.record(version).Status)
 		}
-		return s.refuseNoCandidate(version)
+		return s.rejectNoCandidate(version)
 	}
 	s.putInForce(index, candidate)
 	return acceptBundle(index, s.record(candidate).Status)
@@ -91,7 +91,7 @@
 		if record := s.record(version); record != nil && record.Status.GetState() == protocol.BundleState_WITHDRAWN {
 			return acceptBundle(index, record.Status)
 		}
-		return s.refuseNoCandidate(version)
+		return s.rejectNoCandidate(version)
 	}
 	s.setState(candidate, protocol.BundleState_WITHDRAWN)
 	s.replaceConfiguration(&protocol.Configuration{
@@ -101,9 +101,9 @@
 	return acceptBundle(index, s.record(candidate).Status)
 }
 
-func (s *State) refuseNoCandidate(version uint64) *protocol.CommandResult {
+func (s *State) rejectNoCandidate(version uint64) *protocol.CommandResult {
 	if version == 0 {
-		return refuse(codeInvalidOrder, "no bundle is being rolled out")
+		return reject(codeInvalidOrder, "no bundle is being rolled out")
 	}
-	return refuse(codeInvalidOrder, fmt.Sprintf("bundle %d is not being rolled out", version), fault("candidate_version", "is not the candidate"))
+	return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is not being rolled out", version), fault("candidate_version", "is not the candidate"))
 }
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -12,9 +12,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Snapshot writes the whole state into one message. Merged bundles are written
+// Snapshot writes the complete state into one message. Merged bundles are written
 // as steps from the version before them where that is possible, and the
-// results of orders without the digests that their bundle's status holds.
+// results of orders without the digests that their bundle's status has.
 func (s *State) Snapshot() *protocol.ControlState {
 	snapshot := &protocol.ControlState{
 		Index:         s.index,
@@ -35,20 +35,20 @@
 	for _, id := range slices.Sorted(maps.Keys(s.orders)) {
 		entry := s.orders[id]
 		snapshot.Orders = append(snapshot.Orders, &protocol.OrderRecord{
-			OrderId: id, Result: shortened(entry.result), ContentDigest: entry.digest[:],
+			OrderId: id, Result: withoutDigests(entry.result), ContentDigest: entry.digest[:],
 		})
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.drained)) {
 		snapshot.Drained = append(snapshot.Drained, &protocol.DrainedBackEnd{Id: id, Incarnation: s.drained[id]})
 	}
-	snapshot.Announcements = s.announced.list()
+	snapshot.Announcements = s.announcements.list()
 	return snapshot
 }
 
 func (s *State) encodeMerged() []*protocol.Bundle {
 	var encoded []*protocol.Bundle
 	var previous *protocol.Bundle
-	for _, version := range s.held {
+	for _, version := range s.retainedVersions {
 		merged := s.record(version).Merged
 		stored := merged
 		if previous != nil {
@@ -62,8 +62,8 @@
 	return encoded
 }
 
-// shortened leaves out of a result what the status of its bundle says as well.
-func shortened(result *protocol.CommandResult) *protocol.CommandResult {
+// withoutDigests leaves out of a result what the status of its bundle has as well.
+func withoutDigests(result *protocol.CommandResult) *protocol.CommandResult {
 	if result.GetBundle() == nil {
 		return result
 	}
@@ -72,8 +72,8 @@
 	return short
 }
 
-// lengthened undoes shortened.
-func (s *State) lengthened(result *protocol.CommandResult) *protocol.CommandResult {
+// restoreDigests undoes withoutDigests.
+func (s *State) restoreDigests(result *protocol.CommandResult) *protocol.CommandResult {
 	record := s.record(result.GetBundle().GetVersion())
 	if result.GetBundle() == nil || record == nil {
 		return result
@@ -113,18 +113,18 @@
 	if err := s.decodeMerged(snapshot.GetMergedBundles()); err != nil {
 		return nil, err
 	}
-	s.configuration = s.shared(orEmpty(snapshot.GetConfiguration()))
+	s.configuration = s.shareMerged(orEmpty(snapshot.GetConfiguration()))
 	for _, order := range snapshot.GetOrders() {
-		if len(order.GetContentDigest()) != len(contentSum{}) {
+		if len(order.GetContentDigest()) != len(contentDigest{}) {
 			return nil, &SnapshotError{Reason: fmt.Sprintf("order %q has no digest", order.GetOrderId())}
 		}
-		s.orders[order.GetOrderId()] = &orderEntry{digest: contentSum(order.GetContentDigest()), result: s.lengthened(order.GetResult())}
+		s.orders[order.GetOrderId()] = &orderEntry{digest: contentDigest(order.GetContentDigest()), result: s.restoreDigests(order.GetResult())}
 	}
 	for _, drained := range snapshot.GetDrained() {
 		s.drained[drained.GetId()] = drained.GetIncarnation()
 	}
 	for _, last := range snapshot.GetAnnouncements() {
-		s.announced = s.announced.with(last)
+		s.announcements = s.announcements.with(last)
 	}
 	return s, nil
 }
@@ -140,14 +140,14 @@
 // checked, which covers the chain of steps that led to it.
 func (s *State) decodeMerged(stored []*protocol.Bundle) error {
 	var previous *protocol.Bundle
-	for _, part := range stored {
-		merged := bundle.Merge(previous, part)
+	for _, step := range stored {
+		merged := bundle.Merge(previous, step)
 		record := s.record(merged.GetVersion())
-		if record == nil || (part.GetPartial() && part.GetBaseVersion() != previous.GetVersion()) {
+		if record == nil || (step.GetPartial() && step.GetBaseVersion() != previous.GetVersion()) {
 			return &SnapshotError{Reason: fmt.Sprintf("bundle %d does not follow the one before it", merged.GetVersion())}
 		}
 		s.setRecord(merged.GetVersion(), &BundleRecord{Status: record.Status, Merged: merged})
-		s.held = append(s.held, merged.GetVersion())
+		s.retainedVersions = append(s.retainedVersions, merged.GetVersion())
 		previous = merged
 	}
 	if previous != nil && bundle.Digest(previous) != s.record(previous.GetVersion()).Status.GetMergedDigest() {
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// shared makes the configuration refer to the merged bundles that the records hold.
-func (s *State) shared(stored *protocol.Configuration) *protocol.Configuration {
+// shareMerged makes the configuration refer to the merged bundles of the records.
+func (s *State) shareMerged(stored *protocol.Configuration) *protocol.Configuration {
 	configuration := &protocol.Configuration{
 		Version: stored.GetVersion(),
 		Active:  stored.GetActive(), ActiveDigest: stored.GetActiveDigest(),
--- a/internal/controlplane/controlstate/spread.go
+++ b/internal/controlplane/controlstate/spread.go
@@ -2,10 +2,10 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// spread knows where the stores stand and how far the replicas of a shard are to be apart.
+// spread knows the failure domains of the stores, and which of them the replicas of a shard must not share.
 type spread struct {
 	zones, regions map[string]string
-	// overRegions is true when the usable stores stand in as many regions as a shard has replicas.
+	// overRegions is true when the usable stores are in as many regions as a shard has replicas.
 	overRegions bool
 }
 
@@ -21,37 +21,37 @@
 	return s
 }
 
-// pick chooses among stores not yet taken: a region of its own first where there are regions enough, then a zone of
-// its own, then the least load, then the name.
-func (s *spread) pick(stores []*protocol.Node, held []*protocol.Replica, loads map[string]int) *protocol.Node {
+// choose picks among the stores without a replica: one in a region of its own first where there are enough regions, then
+// one in a zone of its own, then that with the least load, then the first.
+func (s *spread) choose(stores []*protocol.Node, replicas []*protocol.Replica, loads map[string]int) *protocol.Node {
 	var best *protocol.Node
-	bestShares := 0
+	minOverlap := 0
 	for _, store := range stores {
-		if findReplica(held, store.GetName()) != nil {
+		if findReplica(replicas, store.GetName()) != nil {
 			continue
 		}
-		shares := s.shares(held, store.GetName())
-		if best == nil || shares < bestShares || (shares == bestShares && loads[store.GetName()] < loads[best.GetName()]) {
-			best, bestShares = store, shares
+		overlap := s.overlap(replicas, store.GetName())
+		if best == nil || overlap < minOverlap || (overlap == minOverlap && loads[store.GetName()] < loads[best.GetName()]) {
+			best, minOverlap = store, overlap
 		}
 	}
 	return best
 }
 
-// shares is 0 for a store apart from all replicas, 1 in a shared zone, 2 or 3 in a shared region.
-func (s *spread) shares(held []*protocol.Replica, store string) int {
-	shares := 0
-	if s.overRegions && taken(s.regions, held, store) {
-		shares += 2
+// overlap is 0 for a store apart from all replicas, 1 in a shared zone, 2 or 3 in a shared region.
+func (s *spread) overlap(replicas []*protocol.Replica, store string) int {
+	overlap := 0
+	if s.overRegions && sharesDomain(s.regions, replicas, store) {
+		overlap += 2
 	}
-	if taken(s.zones, held, store) {
-		shares++
+	if sharesDomain(s.zones, replicas, store) {
+		overlap++
 	}
-	return shares
+	return overlap
 }
 
-// keepsRegions reports whether the replicas stand in as many known regions after the move as before.
-func (s *spread) keepsRegions(replicas []*protocol.Replica, leaving, target string) bool {
+// preservesRegions reports whether the replicas are in as many known regions after the move as before.
+func (s *spread) preservesRegions(replicas []*protocol.Replica, leaving, target string) bool {
 	before, after := map[string]bool{}, map[string]bool{s.regions[target]: true}
 	for _, replica := range replicas {
 		region, known := s.regions[replica.GetStore()]
@@ -66,10 +66,10 @@
 	return len(after) >= len(before)
 }
 
-// taken reports whether a replica stands in the same place as the store.
-func taken(places map[string]string, replicas []*protocol.Replica, store string) bool {
+// sharesDomain reports whether a replica is in the same failure domain as the store.
+func sharesDomain(domains map[string]string, replicas []*protocol.Replica, store string) bool {
 	for _, replica := range replicas {
-		if place, known := places[replica.GetStore()]; known && place == places[store] {
+		if domain, known := domains[replica.GetStore()]; known && domain == domains[store] {
 			return true
 		}
 	}
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -15,8 +15,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// State is what the commands applied so far have made. Every message it hands
-// out is immutable: a change replaces it by a new one.
+// State is what the commands applied so far have made. Every message that it gives
+// away is immutable: a change replaces it by a new one.
 type State struct {
 	index         uint64
 	clusterID     string
@@ -30,22 +30,22 @@
 	backEndHistory views.History
 	bundles        *iradix.Tree[*BundleRecord]
 	newest         uint64
-	// held lists the versions whose merged bundle is kept, oldest first.
-	held   []uint64
-	orders map[string]*orderEntry
-	steps  []*protocol.ConfigurationStep
-	// firstKeys count while the bundle in force names no keys: those of the settings, or the last ones in force.
+	// retainedVersions are those whose merged bundle is retained, oldest first.
+	retainedVersions []uint64
+	orders           map[string]*orderEntry
+	steps            []*protocol.ConfigurationStep
+	// firstKeys are valid while the bundle in force names no keys: those of the settings, or the last ones in force.
 	firstKeys    []*protocol.SignOffKey
 	drained      map[string]uint64
 	memberOrders *memberOrders
-	// announced holds the last numbered announcement of each back end, and those that left, by id.
-	announced *announcements
+	// announcements holds the last numbered announcement of each back end, and those that left, by id.
+	announcements *announcements
 }
 
 // BundleRecord is what is known of one bundle version.
 type BundleRecord struct {
 	Status *protocol.BundleStatus
-	// Merged is nil once the version is too old to be kept.
+	// Merged is nil once the version is too old to be retained.
 	Merged *protocol.Bundle
 }
 
@@ -60,7 +60,7 @@
 		orders:        map[string]*orderEntry{},
 		drained:       map[string]uint64{},
 		memberOrders:  &memberOrders{},
-		announced:     newAnnouncements(),
+		announcements: newAnnouncements(),
 	}
 }
 
@@ -72,10 +72,10 @@
 	if id == "" {
 		return s.change(index, command)
 	}
-	digest := contentDigest(command)
-	if first, seen := s.orders[id]; seen {
+	digest := digestContent(command)
+	if first, known := s.orders[id]; known {
 		if first.digest != digest {
-			return refuse(codeInvalidOrder, "this order id was used for another order", fault("order_id", "already used for an order with other content"))
+			return reject(codeInvalidOrder, "this order id was used for another order", fault("order_id", "already used for an order with other content"))
 		}
 		return first.result
 	}
@@ -119,11 +119,11 @@
 	case *protocol.Command_RetireStore:
 		return s.retireStore(index, body.RetireStore.GetStore())
 	default:
-		return refuse(codeInvalidOrder, "the command has no body that this version knows")
+		return reject(codeInvalidOrder, "the command has no body that this version knows")
 	}
 }
 
-// View is an immutable picture of the state after one command; it may be read from any goroutine.
+// View is an immutable copy of the state after one command; it may be read from any goroutine.
 type View struct {
 	Index         uint64
 	Configuration *protocol.Configuration
@@ -131,7 +131,7 @@
 	BackEnds      *protocol.BackEndView
 	Placement     *protocol.Placement
 	Newest        uint64
-	// KeysInForce are the sign-off keys that count at present.
+	// KeysInForce are the sign-off keys that are valid at present.
 	KeysInForce []*protocol.SignOffKey
 	FirstKeys   []*protocol.SignOffKey
 	Orders      int
@@ -141,10 +141,10 @@
 	nodeHistory    views.History
 	backEndHistory views.History
 	memberOrders   *memberOrders
-	announced      *announcements
+	announcements  *announcements
 }
 
-// View returns the picture of the state as it is now.
+// View returns a view of the state as it is now.
 func (s *State) View() *View {
 	return &View{
 		Index:         s.index,
@@ -162,7 +162,7 @@
 		nodeHistory:    s.nodeHistory.Copy(),
 		backEndHistory: s.backEndHistory.Copy(),
 		memberOrders:   s.memberOrders,
-		announced:      s.announced,
+		announcements:  s.announcements,
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 }
 
-// Bundle finds the record of a version; nil when the number is not taken.
+// Bundle finds the record of a version; nil when there is none.
 func (v *View) Bundle(version uint64) *BundleRecord {
 	record, _ := v.bundles.Get(versionKey(version))
 	return record
@@ -199,8 +199,8 @@
 	return statuses
 }
 
-// ConfigurationSince gives what a holder of the known configuration version
-// lacks: a delta where one is possible and smaller, else the whole. Both are
+// ConfigurationSince gives what a node with the known configuration version
+// lacks: a delta where one is possible and smaller, else the full snapshot. Both are
 // nil when nothing is newer.
 func (v *View) ConfigurationSince(known uint64) (*protocol.Configuration, *protocol.ConfigurationDelta) {
 	if known >= v.Configuration.GetVersion() {
--- a/internal/controlplane/controlstate/stores.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -11,19 +11,19 @@
 func (s *State) emptyStore(index uint64, command *protocol.EmptyStoreCommand) *protocol.CommandResult {
 	store := command.GetStore()
 	switch {
-	case slices.Contains(s.placement.GetEmptying(), store), slices.Contains(s.placement.GetEmptied(), store), retiredName(s.placement, store):
+	case slices.Contains(s.placement.GetEmptying(), store), slices.Contains(s.placement.GetEmptied(), store), isRetiredName(s.placement, store):
 		return accept(s.placement.GetEpoch())
 	case findNode(s.membership, store).GetKind() != protocol.NodeKind_STORE && !holdsShard(s.placement, store):
-		return refuse(codeNotFound, fmt.Sprintf("there is no store %q", store), fault("store", "is unknown"))
+		return reject(codeNotFound, fmt.Sprintf("there is no store %q", store), fault("store", "is unknown"))
 	}
-	kept := s.storesKept(store)
-	if len(kept) < int(command.GetStoresToKeep()) {
-		return refuse(TooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(kept), command.GetStoresToKeep()),
+	remaining := s.remainingStores(store)
+	if len(remaining) < int(command.GetStoresToKeep()) {
+		return reject(TooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining), command.GetStoresToKeep()),
 			fault("store", "is needed"))
 	}
 	if command.GetKeepSpread() {
-		if refusal := s.refuseLostSpread(store, kept); refusal != nil {
-			return refusal
+		if rejection := s.checkSpread(store, remaining); rejection != nil {
+			return rejection
 		}
 	}
 	placement := s.editPlacement(index)
@@ -34,38 +34,38 @@
 	return accept(index)
 }
 
-// storesKept names the stores that may hold shards once a store is empty: those
-// present and those that are away for now but still named by a shard.
-func (s *State) storesKept(leaving string) map[string]bool {
-	kept := map[string]bool{}
+// remainingStores names the stores that may hold shards once a store is empty: those
+// present and those that are absent but still named by a shard.
+func (s *State) remainingStores(leaving string) map[string]bool {
+	remaining := map[string]bool{}
 	for _, node := range s.membership.GetNodes() {
 		if node.GetKind() == protocol.NodeKind_STORE {
-			kept[node.GetName()] = true
+			remaining[node.GetName()] = true
 		}
 	}
 	for _, shard := range s.placement.GetShards() {
 		for _, replica := range shard.GetCurrent() {
-			kept[replica.GetStore()] = true
+			remaining[replica.GetStore()] = true
 		}
 	}
 	for _, store := range slices.Concat(s.placement.GetEmptying(), s.placement.GetEmptied()) {
-		delete(kept, store)
+		delete(remaining, store)
 	}
-	delete(kept, leaving)
-	return kept
+	delete(remaining, leaving)
+	return remaining
 }
 
-// finishEmptying acknowledges as empty each store that no shard names any more, once every shard has its full set of replicas.
+// finishEmptying marks as emptied each store that no shard names any more, once every shard has its full set of replicas.
 func (s *State) finishEmptying(placement *protocol.Placement) {
-	left := placement.Emptying[:0]
+	pending := placement.Emptying[:0]
 	for _, store := range placement.Emptying {
 		if holdsShard(placement, store) || rebuilding(placement) {
-			left = append(left, store)
+			pending = append(pending, store)
 			continue
 		}
 		placement.Emptied = append(placement.Emptied, store)
 	}
-	placement.Emptying = left
+	placement.Emptying = pending
 	slices.Sort(placement.Emptied)
 }
 
@@ -82,10 +82,10 @@
 func (s *State) retireStore(index uint64, store string) *protocol.CommandResult {
 	at, emptied := slices.BinarySearch(s.placement.GetEmptied(), store)
 	if !emptied {
-		if retiredName(s.placement, store) {
+		if isRetiredName(s.placement, store) {
 			return accept(s.placement.GetEpoch())
 		}
-		return refuse(codeStoreNotEmptied, fmt.Sprintf("store %q is not acknowledged as empty", store), fault("store", "must be emptied first"))
+		return reject(codeStoreNotEmptied, fmt.Sprintf("store %q is not acknowledged as empty", store), fault("store", "must be emptied first"))
 	}
 	node := findNode(s.membership, store)
 	placement := s.editPlacement(index)
@@ -98,7 +98,7 @@
 	return accept(index)
 }
 
-func retiredName(placement *protocol.Placement, store string) bool {
+func isRetiredName(placement *protocol.Placement, store string) bool {
 	return findReplica(placement.GetRetired(), store) != nil
 }
 
