--- a/internal/controlplane/controlstate/announcements.go
+++ b/internal/controlplane/controlstate/announcements.go
@@ -88,12 +88,17 @@
 	if sequence == 0 {
 		return
 	}
-	s.announcements = s.announcements.with(&protocol.BackEndAnnouncement{Id: id, Incarnation: incarnation, Sequence: sequence})
+	s.announcements = s.announcements.with(&protocol.BackEndAnnouncement{
+		Id: id, Incarnation: incarnation,
+		Sequence: sequence,
+	})
 }
 
 // resolveDeparture gives the departure that a command means, of the present
 // incarnation when it names none, and whether the back end was ever known.
-func (s *State) resolveDeparture(command *protocol.RemoveBackEndCommand, at int64) (departure *protocol.BackEndAnnouncement, known bool) {
+func (s *State) resolveDeparture(
+	command *protocol.RemoveBackEndCommand, at int64,
+) (departure *protocol.BackEndAnnouncement, known bool) {
 	current, last := findBackEnd(s.backEnds, command.GetId()), s.announcements.find(command.GetId())
 	incarnation := command.GetIncarnation()
 	if incarnation == 0 {
@@ -118,7 +123,10 @@
 // not accepted again if it numbers its announcements.
 func (s *State) recordReplaced(backEnd *protocol.BackEnd, at int64) {
 	if s.announcements.find(backEnd.GetId()) != nil {
-		s.recordLeft(&protocol.BackEndAnnouncement{Id: backEnd.GetId(), Incarnation: backEnd.GetIncarnation(), RemovedAtMillis: at}, true)
+		s.recordLeft(&protocol.BackEndAnnouncement{
+			Id: backEnd.GetId(), Incarnation: backEnd.GetIncarnation(),
+			RemovedAtMillis: at,
+		}, true)
 	}
 }
 
--- a/internal/controlplane/controlstate/back_ends.go
+++ b/internal/controlplane/controlstate/back_ends.go
@@ -48,7 +48,8 @@
 	backEnd := s.withDrainState(announced)
 	current := findBackEnd(s.backEnds, backEnd.GetId())
 	if current.GetIncarnation() > backEnd.GetIncarnation() {
-		return reject(codeInvalidOrder, fmt.Sprintf("a later incarnation of back end %q is known", backEnd.GetId()), fault("incarnation", "is not the latest"))
+		return reject(codeInvalidOrder, fmt.Sprintf("a later incarnation of back end %q is known", backEnd.GetId()),
+			fault("incarnation", "is not the latest"))
 	}
 	s.recordAnnouncement(backEnd.GetId(), backEnd.GetIncarnation(), command.GetSequence())
 	if current != nil && proto.Equal(current, backEnd) {
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -62,7 +62,9 @@
 }
 
 // recordSubmission records a bundle without faults under its number, which becomes the newest.
-func (s *State) recordSubmission(index uint64, submitted, merged *protocol.Bundle, digest string) *protocol.BundleStatus {
+func (s *State) recordSubmission(
+	index uint64, submitted, merged *protocol.Bundle, digest string,
+) *protocol.BundleStatus {
 	merged = bundle.ShareUnchanged(s.newestMerged(), merged)
 	status := &protocol.BundleStatus{
 		Version:         submitted.GetVersion(),
@@ -145,13 +147,15 @@
 func (s *State) signBundle(index uint64, command *protocol.SignBundleCommand) *protocol.CommandResult {
 	record := s.record(command.GetVersion())
 	if record == nil {
-		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", command.GetVersion()), fault("version", "is not taken"))
+		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", command.GetVersion()),
+			fault("version", "is not taken"))
 	}
 	status := record.Status
 	if status.GetSignature() != "" && status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName() {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
-	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(), command.GetSignature()); err != nil {
+	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(),
+		command.GetSignature()); err != nil {
 		return reject(codeBadSignature, err.Error(), fault("signature", err.Error()))
 	}
 	if status.GetSignedBy() != "" {
@@ -183,7 +187,8 @@
 		return nil
 	}
 	if named := rollout.GetCandidateVersion(); named != 0 && named != command.GetVersion() {
-		return reject(codeInvalidOrder, "the roll-out names another bundle", fault("rollout.candidate_version", "must be the version signed, or absent"))
+		return reject(codeInvalidOrder, "the roll-out names another bundle",
+			fault("rollout.candidate_version", "must be the version signed, or absent"))
 	}
 	return s.checkRollout(withCandidateVersion(rollout, command.GetVersion()), "rollout.")
 }
--- a/internal/controlplane/controlstate/fleet_test.go
+++ b/internal/controlplane/controlstate/fleet_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -84,7 +84,7 @@
 	for _, name := range lost {
 		gone[name] = true
 	}
-	return controlstate.Plan(controlstate.PlanInput{Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: gone, MaxMoves: 4})
+	return placement.Plan(placement.Input{Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: gone, MaxMoves: 4})
 }
 
 // settle carries out the planner's moves and the copies they ask for until there are none.
--- a/internal/controlplane/controlstate/member_orders.go
+++ b/internal/controlplane/controlstate/member_orders.go
@@ -29,7 +29,9 @@
 
 // changeMember remembers which member an order meant. An order seen before does
 // not come here, so that the last order about a member stays the last one.
-func (s *State) changeMember(index uint64, orderID string, command *protocol.ChangeMemberCommand) *protocol.CommandResult {
+func (s *State) changeMember(
+	index uint64, orderID string, command *protocol.ChangeMemberCommand,
+) *protocol.CommandResult {
 	member := command.GetMember()
 	switch {
 	case orderID == "":
--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -40,7 +40,10 @@
 	if put := command.GetPutBundle(); put != nil {
 		encoded = append([]byte("put "), bundle.Digest(put.GetBundle())...)
 	} else if change := command.GetChangeMember(); change != nil {
-		encoded = bundle.EncodeMessage(&protocol.ChangeMemberCommand{Remove: change.GetRemove(), Subject: change.GetSubject()})
+		encoded = bundle.EncodeMessage(&protocol.ChangeMemberCommand{
+			Remove:  change.GetRemove(),
+			Subject: change.GetSubject(),
+		})
 	} else {
 		content := &protocol.Command{Body: command.GetBody()}
 		encoded = bundle.EncodeMessage(content)
--- a/internal/controlplane/controlstate/placement.go
+++ b/internal/controlplane/controlstate/placement.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -27,15 +28,17 @@
 }
 
 // editShard replaces a shard by a copy under the placement's epoch and returns the copy.
-func editShard(placement *protocol.Placement, at int) *protocol.ShardPlacement {
-	shard := proto.CloneOf(placement.GetShards()[at])
-	shard.Epoch = placement.GetEpoch()
-	placement.Shards[at] = shard
+func editShard(edited *protocol.Placement, at int) *protocol.ShardPlacement {
+	shard := proto.CloneOf(edited.GetShards()[at])
+	shard.Epoch = edited.GetEpoch()
+	edited.Shards[at] = shard
 	return shard
 }
 
 // initializePlacement makes the first table once there are enough stores in distinct zones.
-func (s *State) initializePlacement(index uint64, command *protocol.InitializePlacementCommand) *protocol.CommandResult {
+func (s *State) initializePlacement(
+	index uint64, command *protocol.InitializePlacementCommand,
+) *protocol.CommandResult {
 	if len(s.placement.GetShards()) > 0 {
 		return accept(s.placement.GetEpoch())
 	}
@@ -43,28 +46,18 @@
 	if shards == 0 || shards > maxShards || replicas == 0 || replicas > maxReplicas {
 		return reject(codeInvalidOrder, "the numbers of shards and replicas are out of range")
 	}
-	stores := UsableStores(s.placement, s.membership.GetNodes())
+	stores := placement.UsableStores(s.placement, s.membership.GetNodes())
 	if command.GetSharedZones() && len(stores) < replicas {
 		return reject(codeInvalidOrder, fmt.Sprintf("%d stores are needed, there are %d", replicas, len(stores)))
 	}
-	if zones := countZones(stores); zones < replicas && !command.GetSharedZones() {
+	if zones := placement.CountZones(stores); zones < replicas && !command.GetSharedZones() {
 		return reject(codeInvalidOrder, fmt.Sprintf("stores in %d distinct zones are needed, there are %d", replicas, zones))
 	}
-	placement := s.editPlacement(index)
-	loads, spread := map[string]int{}, newSpread(stores, stores, replicas)
-	spread.overRegions = spread.overRegions && command.GetOverRegions()
-	for number := range shards {
-		shard := &protocol.ShardPlacement{Shard: number, Epoch: index}
-		for range replicas {
-			store := spread.choose(stores, shard.GetCurrent(), loads)
-			loads[store.GetName()]++
-			shard.Current = append(shard.Current, &protocol.Replica{
-				Store: store.GetName(), StorageId: store.GetStorageId(), State: protocol.ReplicaState_REPLICA_ACTIVE,
-			})
-		}
-		placement.Shards = append(placement.Shards, shard)
-	}
-	s.placement = placement
+	edited := s.editPlacement(index)
+	edited.Shards = placement.Initial(stores, placement.InitialSettings{
+		Epoch: index, Shards: shards, Replicas: replicas, OverRegions: command.GetOverRegions(),
+	})
+	s.placement = edited
 	return accept(index)
 }
 
@@ -77,7 +70,8 @@
 	}
 	shard := s.placement.GetShards()[at]
 	if command.GetExpectedEpoch() != shard.GetEpoch() {
-		return reject(codeChangeUnderWay, "the shard changed meanwhile", fault("expected_epoch", fmt.Sprintf("the shard's epoch is %d", shard.GetEpoch())))
+		return reject(codeChangeUnderWay, "the shard changed meanwhile",
+			fault("expected_epoch", fmt.Sprintf("the shard's epoch is %d", shard.GetEpoch())))
 	}
 	if len(command.GetNext()) == 0 {
 		return s.cancelMove(index, at)
@@ -89,9 +83,9 @@
 	if rejection != nil {
 		return rejection
 	}
-	placement := s.editPlacement(index)
-	editShard(placement, at).Next = next
-	s.placement = placement
+	edited := s.editPlacement(index)
+	editShard(edited, at).Next = next
+	s.placement = edited
 	return accept(index)
 }
 
@@ -99,15 +93,17 @@
 	if len(s.placement.GetShards()[at].GetNext()) == 0 {
 		return accept(s.placement.GetEpoch())
 	}
-	placement := s.editPlacement(index)
-	editShard(placement, at).Next = nil
-	s.finishEmptying(placement)
-	s.placement = placement
+	edited := s.editPlacement(index)
+	editShard(edited, at).Next = nil
+	s.finishEmptying(edited)
+	s.placement = edited
 	return accept(index)
 }
 
 // nextReplicas checks a proposed set: as many as now, one of them new, and a majority of it able to vote at once.
-func (s *State) nextReplicas(index uint64, shard *protocol.ShardPlacement, wanted []*protocol.Replica) ([]*protocol.Replica, *protocol.CommandResult) {
+func (s *State) nextReplicas(
+	index uint64, shard *protocol.ShardPlacement, wanted []*protocol.Replica,
+) ([]*protocol.Replica, *protocol.CommandResult) {
 	if len(wanted) != len(shard.GetCurrent()) {
 		return nil, reject(codeInvalidOrder, "the number of replicas must stay the same", fault("next", "has another length"))
 	}
@@ -115,10 +111,10 @@
 	added, active := 0, 0
 	for i, replica := range wanted {
 		path := fmt.Sprintf("next[%d].store", i)
-		if findReplica(next, replica.GetStore()) != nil {
+		if placement.FindReplica(next, replica.GetStore()) != nil {
 			return nil, reject(codeInvalidOrder, "a store is named twice", fault(path, "is named twice"))
 		}
-		if current := findReplica(shard.GetCurrent(), replica.GetStore()); current != nil {
+		if current := placement.FindReplica(shard.GetCurrent(), replica.GetStore()); current != nil {
 			next = append(next, current)
 			if current.GetState() == protocol.ReplicaState_REPLICA_ACTIVE {
 				active++
@@ -126,8 +122,9 @@
 			continue
 		}
 		node := findNode(s.membership, replica.GetStore())
-		if node.GetKind() != protocol.NodeKind_STORE || !usable(s.placement, node) {
-			return nil, reject(codeInvalidOrder, "the store cannot take a shard", fault(path, "is not a store that can take a shard"))
+		if node.GetKind() != protocol.NodeKind_STORE || !placement.IsUsable(s.placement, node) {
+			return nil, reject(codeInvalidOrder, "the store cannot take a shard",
+				fault(path, "is not a store that can take a shard"))
 		}
 		added++
 		next = append(next, &protocol.Replica{
@@ -139,48 +136,40 @@
 		return nil, reject(codeInvalidOrder, "a step replaces exactly one replica", fault("next", "must have one new store"))
 	}
 	if active <= len(next)/2 {
-		return nil, reject(codeChangeUnderWay, "the replicas that stay are no majority yet", fault("next", "too many replicas are rebuilding"))
+		return nil, reject(codeChangeUnderWay, "the replicas that stay are no majority yet",
+			fault("next", "too many replicas are rebuilding"))
 	}
 	return next, nil
 }
 
-func findReplica(replicas []*protocol.Replica, store string) *protocol.Replica {
-	for _, replica := range replicas {
-		if replica.GetStore() == store {
-			return replica
-		}
-	}
-	return nil
-}
-
 // rebuildLostReplicas marks the replicas of a store that came back with another data
 // folder: they do not vote until they are copied anew.
 func (s *State) rebuildLostReplicas(index uint64, node *protocol.Node) {
-	var placement *protocol.Placement
+	var edited *protocol.Placement
 	for at, shard := range s.placement.GetShards() {
 		if !lostStorage(shard.GetCurrent(), node) && !lostStorage(shard.GetNext(), node) {
 			continue
 		}
-		if placement == nil {
-			placement = s.editPlacement(index)
+		if edited == nil {
+			edited = s.editPlacement(index)
 		}
-		edited := editShard(placement, at)
-		rebuild(edited.GetCurrent(), node, index)
-		rebuild(edited.GetNext(), node, index)
+		replaced := editShard(edited, at)
+		rebuild(replaced.GetCurrent(), node, index)
+		rebuild(replaced.GetNext(), node, index)
 	}
-	if placement != nil {
-		s.placement = placement
+	if edited != nil {
+		s.placement = edited
 	}
 }
 
 func lostStorage(replicas []*protocol.Replica, node *protocol.Node) bool {
-	replica := findReplica(replicas, node.GetName())
+	replica := placement.FindReplica(replicas, node.GetName())
 	return replica != nil && replica.GetStorageId() != node.GetStorageId()
 }
 
 func rebuild(replicas []*protocol.Replica, node *protocol.Node, index uint64) {
 	if lostStorage(replicas, node) {
-		replica := findReplica(replicas, node.GetName())
+		replica := placement.FindReplica(replicas, node.GetName())
 		replica.StorageId = node.GetStorageId()
 		replica.State = protocol.ReplicaState_REPLICA_REBUILDING
 		replica.RebuildingSince = index
@@ -194,9 +183,9 @@
 		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
 	}
 	shard := s.placement.GetShards()[at]
-	replica := findReplica(shard.GetNext(), command.GetStore())
+	replica := placement.FindReplica(shard.GetNext(), command.GetStore())
 	if replica == nil {
-		replica = findReplica(shard.GetCurrent(), command.GetStore())
+		replica = placement.FindReplica(shard.GetCurrent(), command.GetStore())
 	}
 	switch {
 	case replica == nil || replica.GetStorageId() != command.GetStorageId():
@@ -207,20 +196,20 @@
 		return reject(codeInvalidOrder, "the copy began before the replica was to rebuild; copy again",
 			fault("epoch", fmt.Sprintf("must be at least %d", replica.GetRebuildingSince())))
 	}
-	placement := s.editPlacement(index)
-	edited := editShard(placement, at)
-	activate(edited.GetCurrent(), command.GetStore())
-	activate(edited.GetNext(), command.GetStore())
-	if moveComplete(edited) {
-		edited.Current, edited.Next = edited.GetNext(), nil
+	edited := s.editPlacement(index)
+	moved := editShard(edited, at)
+	activate(moved.GetCurrent(), command.GetStore())
+	activate(moved.GetNext(), command.GetStore())
+	if moveComplete(moved) {
+		moved.Current, moved.Next = moved.GetNext(), nil
 	}
-	s.finishEmptying(placement)
-	s.placement = placement
+	s.finishEmptying(edited)
+	s.placement = edited
 	return accept(index)
 }
 
 func activate(replicas []*protocol.Replica, store string) {
-	if replica := findReplica(replicas, store); replica != nil {
+	if replica := placement.FindReplica(replicas, store); replica != nil {
 		replica.State = protocol.ReplicaState_REPLICA_ACTIVE
 		replica.RebuildingSince = 0
 	}
@@ -229,7 +218,8 @@
 // moveComplete reports that every replica which the move adds has been copied.
 func moveComplete(shard *protocol.ShardPlacement) bool {
 	for _, replica := range shard.GetNext() {
-		if findReplica(shard.GetCurrent(), replica.GetStore()) == nil && replica.GetState() != protocol.ReplicaState_REPLICA_ACTIVE {
+		if placement.FindReplica(shard.GetCurrent(),
+			replica.GetStore()) == nil && replica.GetState() != protocol.ReplicaState_REPLICA_ACTIVE {
 			return false
 		}
 	}
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -52,7 +52,8 @@
 	submitted.BaseVersion = command.GetExpectedVersion()
 	switch base := given.GetBaseVersion(); {
 	case base != 0 && base != command.GetExpectedVersion():
-		return submitted, []*protocol.Fault{fault("base_version", fmt.Sprintf("is %d, the release names %d", base, command.GetExpectedVersion()))}
+		return submitted, []*protocol.Fault{fault("base_version",
+			fmt.Sprintf("is %d, the release names %d", base, command.GetExpectedVersion()))}
 	case given.GetPartial() && command.GetExpectedVersion() == 0:
 		return submitted, []*protocol.Fault{fault("base_version", "there is no bundle yet to build on; send a whole one")}
 	default:
@@ -62,7 +63,8 @@
 
 func (s *State) rejectWrongBase(expected uint64) *protocol.CommandResult {
 	active := s.configuration.GetActive().GetVersion()
-	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected), fault("expected_version", "is not the version in force"))
+	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected),
+		fault("expected_version", "is not the version in force"))
 	if record := s.record(active); record != nil {
 		result.Refusal.Winner = record.Status
 	}
--- a/internal/controlplane/controlstate/report.go
+++ b/internal/controlplane/controlstate/report.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -87,12 +88,12 @@
 		if replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING {
 			report.Rebuilding++
 		}
-		if len(shard.GetNext()) > 0 && findReplica(shard.GetNext(), replica.GetStore()) == nil {
+		if len(shard.GetNext()) > 0 && placement.FindReplica(shard.GetNext(), replica.GetStore()) == nil {
 			report.Leaving++
 		}
 	}
 	for _, replica := range shard.GetNext() {
-		if findReplica(shard.GetCurrent(), replica.GetStore()) == nil {
+		if placement.FindReplica(shard.GetCurrent(), replica.GetStore()) == nil {
 			find(replica.GetStore()).Arriving++
 		}
 	}
--- a/internal/controlplane/controlstate/rollout.go
+++ b/internal/controlplane/controlstate/rollout.go
@@ -39,17 +39,21 @@
 	case record == nil:
 		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", version), fault(path, "is not taken"))
 	case active == nil:
-		return reject(codeInvalidOrder, "there is no bundle in force to compare with", fault(path, "sign the first bundle without a roll-out"))
+		return reject(codeInvalidOrder, "there is no bundle in force to compare with",
+			fault(path, "sign the first bundle without a roll-out"))
 	case version <= active.GetVersion():
-		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is in force; the candidate must be newer", active.GetVersion()),
+		return reject(codeInvalidOrder,
+			fmt.Sprintf("bundle %d is in force; the candidate must be newer", active.GetVersion()),
 			fault(path, "is not newer than the bundle in force"))
 	case record.Status.GetState() == protocol.BundleState_WITHDRAWN:
-		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d was withdrawn; send it again under a new number", version), fault(path, "was withdrawn"))
+		return reject(codeInvalidOrder, fmt.Sprintf("bundle %d was withdrawn; send it again under a new number", version),
+			fault(path, "was withdrawn"))
 	case record.Status.GetState() == protocol.BundleState_ACCEPTED && prefix == "":
 		return reject(codeNotSigned, fmt.Sprintf("bundle %d is not signed off", version), fault(path, "is not signed off"))
 	}
 	if other := s.configuration.GetCandidate(); other != nil && other.GetVersion() != version {
-		return reject(codeChangeUnderWay, fmt.Sprintf("bundle %d is being rolled out; promote or withdraw it first", other.GetVersion()),
+		return reject(codeChangeUnderWay,
+			fmt.Sprintf("bundle %d is being rolled out; promote or withdraw it first", other.GetVersion()),
 			fault(path, "another candidate is being rolled out"))
 	}
 	return nil
@@ -105,5 +109,6 @@
 	if version == 0 {
 		return reject(codeInvalidOrder, "no bundle is being rolled out")
 	}
-	return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is not being rolled out", version), fault("candidate_version", "is not the candidate"))
+	return reject(codeInvalidOrder, fmt.Sprintf("bundle %d is not being rolled out", version),
+		fault("candidate_version", "is not the candidate"))
 }
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -118,7 +118,10 @@
 		if len(order.GetContentDigest()) != len(contentDigest{}) {
 			return nil, &SnapshotError{Reason: fmt.Sprintf("order %q has no digest", order.GetOrderId())}
 		}
-		s.orders[order.GetOrderId()] = &orderEntry{digest: contentDigest(order.GetContentDigest()), result: s.restoreDigests(order.GetResult())}
+		s.orders[order.GetOrderId()] = &orderEntry{
+			digest: contentDigest(order.GetContentDigest()),
+			result: s.restoreDigests(order.GetResult()),
+		}
 	}
 	for _, drained := range snapshot.GetDrained() {
 		s.drained[drained.GetId()] = drained.GetIncarnation()
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -75,7 +75,8 @@
 	digest := digestContent(command)
 	if first, known := s.orders[id]; known {
 		if first.digest != digest {
-			return reject(codeInvalidOrder, "this order id was used for another order", fault("order_id", "already used for an order with other content"))
+			return reject(codeInvalidOrder, "this order id was used for another order",
+				fault("order_id", "already used for an order with other content"))
 		}
 		return first.result
 	}
--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -11,14 +12,16 @@
 func (s *State) emptyStore(index uint64, command *protocol.EmptyStoreCommand) *protocol.CommandResult {
 	store := command.GetStore()
 	switch {
-	case slices.Contains(s.placement.GetEmptying(), store), slices.Contains(s.placement.GetEmptied(), store), isRetiredName(s.placement, store):
+	case slices.Contains(s.placement.GetEmptying(), store), slices.Contains(s.placement.GetEmptied(),
+		store), isRetiredName(s.placement, store):
 		return accept(s.placement.GetEpoch())
-	case findNode(s.membership, store).GetKind() != protocol.NodeKind_STORE && !holdsShard(s.placement, store):
+	case findNode(s.membership, store).GetKind() != protocol.NodeKind_STORE && !placement.HasReplica(s.placement, store):
 		return reject(codeNotFound, fmt.Sprintf("there is no store %q", store), fault("store", "is unknown"))
 	}
 	remaining := s.remainingStores(store)
 	if len(remaining) < int(command.GetStoresToKeep()) {
-		return reject(TooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining), command.GetStoresToKeep()),
+		return reject(TooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining),
+			command.GetStoresToKeep()),
 			fault("store", "is needed"))
 	}
 	if command.GetKeepSpread() {
@@ -26,11 +29,11 @@
 			return rejection
 		}
 	}
-	placement := s.editPlacement(index)
-	placement.Emptying = append(placement.Emptying, store)
-	slices.Sort(placement.Emptying)
-	s.finishEmptying(placement)
-	s.placement = placement
+	edited := s.editPlacement(index)
+	edited.Emptying = append(edited.Emptying, store)
+	slices.Sort(edited.Emptying)
+	s.finishEmptying(edited)
+	s.placement = edited
 	return accept(index)
 }
 
@@ -55,27 +58,19 @@
 	return remaining
 }
 
-// finishEmptying marks as emptied each store that no shard names any more, once every shard has its full set of replicas.
-func (s *State) finishEmptying(placement *protocol.Placement) {
-	pending := placement.Emptying[:0]
-	for _, store := range placement.Emptying {
-		if holdsShard(placement, store) || rebuilding(placement) {
+// finishEmptying marks as emptied each store that no shard names any more, once every shard has its full set of
+// replicas.
+func (s *State) finishEmptying(edited *protocol.Placement) {
+	pending := edited.Emptying[:0]
+	for _, store := range edited.Emptying {
+		if placement.HasReplica(edited, store) || placement.IsRebuilding(edited) {
 			pending = append(pending, store)
 			continue
 		}
-		placement.Emptied = append(placement.Emptied, store)
+		edited.Emptied = append(edited.Emptied, store)
 	}
-	placement.Emptying = pending
-	slices.Sort(placement.Emptied)
-}
-
-func holdsShard(placement *protocol.Placement, store string) bool {
-	for _, shard := range placement.GetShards() {
-		if findReplica(shard.GetCurrent(), store) != nil || findReplica(shard.GetNext(), store) != nil {
-			return true
-		}
-	}
-	return false
+	edited.Emptying = pending
+	slices.Sort(edited.Emptied)
 }
 
 // retireStore ends an emptied store for good: its data folder gets no lease again.
@@ -85,21 +80,22 @@
 		if isRetiredName(s.placement, store) {
 			return accept(s.placement.GetEpoch())
 		}
-		return reject(codeStoreNotEmptied, fmt.Sprintf("store %q is not acknowledged as empty", store), fault("store", "must be emptied first"))
+		return reject(codeStoreNotEmptied, fmt.Sprintf("store %q is not acknowledged as empty", store),
+			fault("store", "must be emptied first"))
 	}
 	node := findNode(s.membership, store)
-	placement := s.editPlacement(index)
-	placement.Emptied = slices.Delete(placement.Emptied, at, at+1)
-	placement.Retired = append(placement.Retired, &protocol.Replica{Store: store, StorageId: node.GetStorageId()})
-	s.placement = placement
+	edited := s.editPlacement(index)
+	edited.Emptied = slices.Delete(edited.Emptied, at, at+1)
+	edited.Retired = append(edited.Retired, &protocol.Replica{Store: store, StorageId: node.GetStorageId()})
+	s.placement = edited
 	if node != nil {
 		s.removeNode(index, &protocol.RemoveNodeCommand{Name: store, Incarnation: node.GetIncarnation(), Reason: "retired"})
 	}
 	return accept(index)
 }
 
-func isRetiredName(placement *protocol.Placement, store string) bool {
-	return findReplica(placement.GetRetired(), store) != nil
+func isRetiredName(table *protocol.Placement, store string) bool {
+	return placement.FindReplica(table.GetRetired(), store) != nil
 }
 
 // isRetired reports whether the node runs on a retired data folder; one that
--- a/internal/controlplane/controlstate/store_spread.go
+++ b/internal/controlplane/controlstate/store_spread.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -10,13 +11,13 @@
 // regions, with it and cannot without it. It returns nil when the order may be accepted: also where that spread is not
 // possible with it either, and for a store that is absent itself.
 func (s *State) checkSpread(leaving string, remaining map[string]bool) *protocol.CommandResult {
-	store, replicas := findNode(s.membership, leaving), replicaCount(s.placement)
+	store, replicas := findNode(s.membership, leaving), placement.ReplicaCount(s.placement)
 	if store == nil {
 		return nil
 	}
 	zones, regions, absent := s.failureDomains(remaining)
-	// The zone of a store that is absent is not known. It counts as a zone of its own, so that no order is rejected because
-	// another store restarts.
+	// The zone of a store that is absent is not known. It counts as a zone of its own, so that no order is rejected
+	// because another store restarts.
 	if left := len(zones) + absent; !zones[store.GetZone()] && left == replicas-1 {
 		return rejectLastStore("zone", store, left, replicas)
 	}
--- a/internal/controlplane/core/reconcile/reconciler.go
+++ b/internal/controlplane/core/reconcile/reconciler.go
@@ -11,6 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -135,7 +136,7 @@
 	if len(view.Placement.GetShards()) == 0 {
 		return r.firstPlacement(view, now)
 	}
-	steps := controlstate.Plan(controlstate.PlanInput{
+	steps := placement.Plan(placement.Input{
 		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: maxConcurrentMoves,
 	})
 	commands := make([]*protocol.Command, 0, len(steps))
@@ -192,7 +193,7 @@
 
 // hasSuccessor reports whether a store that joined recently can take shards over.
 func (r *Reconciler) hasSuccessor(view *controlstate.View, unresponsive map[string]bool, now time.Time) bool {
-	for _, node := range controlstate.UsableStores(view.Placement, view.Membership.GetNodes()) {
+	for _, node := range placement.UsableStores(view.Placement, view.Membership.GetNodes()) {
 		joinedAt, known := r.joinedAt[node.GetName()]
 		if known && !unresponsive[node.GetName()] && now.Sub(joinedAt) < successorWindow {
 			return true
@@ -239,23 +240,22 @@
 
 func (r *Reconciler) firstPlacement(view *controlstate.View, now time.Time) []*protocol.Command {
 	unchanged := now.Sub(r.storesSince)
-	zones := controlstate.CountStoreZones(view.Placement, view.Membership.GetNodes())
-	placement := &protocol.InitializePlacementCommand{
+	stores := placement.UsableStores(view.Placement, view.Membership.GetNodes())
+	command := &protocol.InitializePlacementCommand{
 		ShardCount: r.settings.ShardCount, ReplicaCount: r.settings.ReplicaCount, OverRegions: true,
 	}
 	switch {
-	case zones >= int(r.settings.ReplicaCount) && unchanged >= storesUnchangedInterval:
+	case placement.CountZones(stores) >= int(r.settings.ReplicaCount) && unchanged >= storesUnchangedInterval:
 	case unchanged >= sharedZonesUnchangedInterval:
-		stores := controlstate.UsableStores(view.Placement, view.Membership.GetNodes())
-		placement.ReplicaCount = maxOddReplicas(len(stores), r.settings.ReplicaCount)
-		placement.SharedZones = true
+		command.ReplicaCount = maxOddReplicas(len(stores), r.settings.ReplicaCount)
+		command.SharedZones = true
 	default:
 		return nil
 	}
-	if placement.GetReplicaCount() == 0 {
+	if command.GetReplicaCount() == 0 {
 		return nil
 	}
-	return []*protocol.Command{{Body: &protocol.Command_InitializePlacement{InitializePlacement: placement}}}
+	return []*protocol.Command{{Body: &protocol.Command_InitializePlacement{InitializePlacement: command}}}
 }
 
 // maxOddReplicas is the largest odd number of replicas that so many stores can hold, at most the number wanted.
--- a/internal/controlplane/controlstate/planner.go
+++ b/internal/controlplane/placement/planner.go
@@ -1,4 +1,8 @@
-package controlstate
+// Package placement decides which stores hold the shards of the ledger: the
+// first placement, and the moves that replace lost stores, empty stores, spread
+// replicas over failure domains and balance the load. It is pure; the tables that
+// it reads are not changed.
+package placement
 
 import (
 	"cmp"
@@ -7,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// PlanInput is what the planner decides from.
-type PlanInput struct {
+// Input is what the planner decides from.
+type Input struct {
 	Placement *protocol.Placement
 	// Nodes are those of the membership view; other kinds than stores are ignored.
 	Nodes []*protocol.Node
@@ -18,10 +22,10 @@
 	MaxMoves int
 }
 
-// Plan proposes the next steps, most urgent first: cancel moves to lost
-// stores, empty stores and replace lost ones, separate replicas that share a region,
-// then those that share a zone, then balance. It returns no more steps than MaxMoves allows beside the moves in progress.
-func Plan(input PlanInput) []*protocol.MoveShardCommand {
+// Plan proposes the next steps, most urgent first: cancel moves to lost stores, empty stores and replace lost ones,
+// separate replicas that share a region, then those that share a zone, then balance. It returns no more steps than
+// MaxMoves allows beside the moves in progress.
+func Plan(input Input) []*protocol.MoveShardCommand {
 	p := newPlan(input)
 	p.cancelMoves()
 	p.evacuateStores()
@@ -32,7 +36,7 @@
 }
 
 type plan struct {
-	input  PlanInput
+	input  Input
 	usable []*protocol.Node
 	spread *spread
 	loads  map[string]int
@@ -42,14 +46,14 @@
 	steps          []*protocol.MoveShardCommand
 }
 
-func newPlan(input PlanInput) *plan {
+func newPlan(input Input) *plan {
 	p := &plan{input: input, loads: map[string]int{}, moving: map[uint32]bool{}, remainingMoves: input.MaxMoves}
 	for _, node := range UsableStores(input.Placement, input.Nodes) {
 		if !input.Lost[node.GetName()] {
 			p.usable = append(p.usable, node)
 		}
 	}
-	p.spread = newSpread(p.usable, input.Nodes, replicaCount(input.Placement))
+	p.spread = newSpread(p.usable, input.Nodes, ReplicaCount(input.Placement))
 	for _, shard := range input.Placement.GetShards() {
 		target := shard.GetCurrent()
 		if len(shard.GetNext()) > 0 {
@@ -67,7 +71,7 @@
 func (p *plan) cancelMoves() {
 	for _, shard := range p.input.Placement.GetShards() {
 		for _, replica := range shard.GetNext() {
-			if findReplica(shard.GetCurrent(), replica.GetStore()) == nil && p.input.Lost[replica.GetStore()] {
+			if FindReplica(shard.GetCurrent(), replica.GetStore()) == nil && p.input.Lost[replica.GetStore()] {
 				p.steps = append(p.steps, &protocol.MoveShardCommand{Shard: shard.GetShard(), ExpectedEpoch: shard.GetEpoch()})
 			}
 		}
@@ -113,7 +117,7 @@
 
 // balance evens out the number of replicas while no replica is rebuilding.
 func (p *plan) balance() {
-	if len(p.usable) < 2 || rebuilding(p.input.Placement) {
+	if len(p.usable) < 2 || IsRebuilding(p.input.Placement) {
 		return
 	}
 	for p.remainingMoves > 0 {
@@ -144,15 +148,17 @@
 }
 
 func (p *plan) canMove(shard *protocol.ShardPlacement, source, target *protocol.Node) bool {
-	if findReplica(shard.GetCurrent(), source.GetName()) == nil || findReplica(shard.GetCurrent(), target.GetName()) != nil {
+	if FindReplica(shard.GetCurrent(), source.GetName()) == nil || FindReplica(shard.GetCurrent(),
+		target.GetName()) != nil {
 		return false
 	}
 	remaining := without(shard.GetCurrent(), source.GetName())
-	return !sharesDomain(p.spread.zones, remaining, target.GetName()) && p.spread.preservesRegions(shard.GetCurrent(), source.GetName(), target.GetName())
+	return !sharesDomain(p.spread.zones, remaining, target.GetName()) && p.spread.preservesRegions(shard.GetCurrent(),
+		source.GetName(), target.GetName())
 }
 
-// replace moves one replica of a shard to the best store. With domains (the region or zone of each store) it demands one
-// that no other replica has, and no fewer regions than before.
+// replace moves one replica of a shard to the best store. With domains (the region or zone of each store) it demands
+// one that no other replica has, and no fewer regions than before.
 func (p *plan) replace(shard *protocol.ShardPlacement, store string, domains map[string]string) bool {
 	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 {
 		return false
@@ -160,8 +166,9 @@
 	remaining := without(shard.GetCurrent(), store)
 	var candidates []*protocol.Node
 	for _, node := range p.usable {
-		fits := domains == nil || !sharesDomain(domains, remaining, node.GetName()) && p.spread.preservesRegions(shard.GetCurrent(), store, node.GetName())
-		if fits && findReplica(shard.GetCurrent(), node.GetName()) == nil {
+		fits := domains == nil || !sharesDomain(domains, remaining,
+			node.GetName()) && p.spread.preservesRegions(shard.GetCurrent(), store, node.GetName())
+		if fits && FindReplica(shard.GetCurrent(), node.GetName()) == nil {
 			candidates = append(candidates, node)
 		}
 	}
@@ -174,8 +181,12 @@
 	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 || !majorityActive(shard, leaving) {
 		return false
 	}
-	next := append(without(shard.GetCurrent(), leaving), &protocol.Replica{Store: target.GetName(), StorageId: target.GetStorageId()})
-	p.steps = append(p.steps, &protocol.MoveShardCommand{Shard: shard.GetShard(), ExpectedEpoch: shard.GetEpoch(), Next: next})
+	next := append(without(shard.GetCurrent(), leaving),
+		&protocol.Replica{Store: target.GetName(), StorageId: target.GetStorageId()})
+	p.steps = append(p.steps, &protocol.MoveShardCommand{
+		Shard: shard.GetShard(), ExpectedEpoch: shard.GetEpoch(),
+		Next: next,
+	})
 	p.moving[shard.GetShard()] = true
 	p.remainingMoves--
 	p.loads[leaving]--
@@ -202,31 +213,3 @@
 	}
 	return remaining
 }
-
-func rebuilding(placement *protocol.Placement) bool {
-	for _, shard := range placement.GetShards() {
-		for _, replica := range shard.GetCurrent() {
-			if replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-// UsableStores lists the stores that may take shards, by name.
-func UsableStores(placement *protocol.Placement, nodes []*protocol.Node) []*protocol.Node {
-	var stores []*protocol.Node
-	for _, node := range nodes {
-		if usable(placement, node) {
-			stores = append(stores, node)
-		}
-	}
-	return stores
-}
-
-func usable(placement *protocol.Placement, node *protocol.Node) bool {
-	return node.GetKind() == protocol.NodeKind_STORE && !node.GetDraining() &&
-		!slices.Contains(placement.GetEmptying(), node.GetName()) &&
-		!slices.Contains(placement.GetEmptied(), node.GetName())
-}
--- a/internal/controlplane/controlstate/spread.go
+++ b/internal/controlplane/placement/spread.go
@@ -1,4 +1,4 @@
-package controlstate
+package placement
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
@@ -21,13 +21,13 @@
 	return s
 }
 
-// choose picks among the stores without a replica: one in a region of its own first where there are enough regions, then
-// one in a zone of its own, then that with the least load, then the first.
+// choose picks among the stores without a replica: one in a region of its own first where there are enough regions,
+// then one in a zone of its own, then that with the least load, then the first.
 func (s *spread) choose(stores []*protocol.Node, replicas []*protocol.Replica, loads map[string]int) *protocol.Node {
 	var best *protocol.Node
 	minOverlap := 0
 	for _, store := range stores {
-		if findReplica(replicas, store.GetName()) != nil {
+		if FindReplica(replicas, store.GetName()) != nil {
 			continue
 		}
 		overlap := s.overlap(replicas, store.GetName())
@@ -75,32 +75,3 @@
 	}
 	return false
 }
-
-// replicaCount is the number of replicas of each shard; zero before the first placement.
-func replicaCount(placement *protocol.Placement) int {
-	if len(placement.GetShards()) == 0 {
-		return 0
-	}
-	return len(placement.GetShards()[0].GetCurrent())
-}
-
-func countRegions(stores []*protocol.Node) int {
-	regions := map[string]bool{}
-	for _, store := range stores {
-		regions[store.GetRegion()] = true
-	}
-	return len(regions)
-}
-
-// CountStoreZones gives the number of distinct zones with a store that may take shards.
-func CountStoreZones(placement *protocol.Placement, nodes []*protocol.Node) int {
-	return countZones(UsableStores(placement, nodes))
-}
-
-func countZones(stores []*protocol.Node) int {
-	zones := map[string]bool{}
-	for _, store := range stores {
-		zones[store.GetZone()] = true
-	}
-	return len(zones)
-}
--- a/internal/testing/purity/purity.go
+++ b/internal/testing/purity/purity.go
@@ -24,6 +24,7 @@
 	"internal/controlplane/core/rollout",
 	"internal/controlplane/coremembership",
 	"internal/controlplane/lease",
+	"internal/controlplane/placement",
 	"internal/controlplane/serverhealth",
 	"internal/controlplane/views",
 	"internal/dataplane/directory",
--- a/internal/testing/sim/statesuite/core_membership.go
+++ b/internal/testing/sim/statesuite/core_membership.go
@@ -8,6 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/controlplane/placement"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -178,7 +179,7 @@
 		p.initializePlacement(view)
 		return
 	}
-	for _, step := range controlstate.Plan(controlstate.PlanInput{
+	for _, step := range placement.Plan(placement.Input{
 		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: maximumMoves,
 	}) {
 		p.suite.counts.moves++
@@ -187,7 +188,7 @@
 }
 
 func (p *coreProcess) initializePlacement(view *controlstate.View) {
-	if controlstate.CountStoreZones(view.Placement, view.Membership.GetNodes()) < replicaCount {
+	if placement.CountZones(placement.UsableStores(view.Placement, view.Membership.GetNodes())) < replicaCount {
 		return
 	}
 	p.proposeOwn(&protocol.Command{Body: &protocol.Command_InitializePlacement{
