--- a/internal/controlplane/controlstate/back_ends.go
+++ b/internal/controlplane/controlstate/back_ends.go
@@ -28,14 +28,22 @@
 // withDrainState gives a back end's announcement as the view holds it: an
 // incarnation that was drained stays draining whatever it announces.
 func (s *State) withDrainState(backEnd *protocol.BackEnd) *protocol.BackEnd {
-	if drained, known := s.drained[backEnd.GetId()]; known && backEnd.GetIncarnation() <= drained && backEnd.GetState() != protocol.BackEndState_DRAINING {
-		draining := proto.CloneOf(backEnd)
-		draining.State = protocol.BackEndState_DRAINING
-		return draining
+	if drained, known := s.drained[backEnd.GetId()]; known && backEnd.GetIncarnation() <= drained {
+		return asDraining(backEnd)
 	}
 	return backEnd
 }
 
+// asDraining gives a back end in the state DRAINING, itself if it is in that state.
+func asDraining(backEnd *protocol.BackEnd) *protocol.BackEnd {
+	if backEnd.GetState() == protocol.BackEndState_DRAINING {
+		return backEnd
+	}
+	draining := proto.CloneOf(backEnd)
+	draining.State = protocol.BackEndState_DRAINING
+	return draining
+}
+
 // upsertBackEnd applies what a heartbeat announced.
 func (s *State) upsertBackEnd(index uint64, at int64, command *protocol.UpsertBackEndCommand) *protocol.CommandResult {
 	announced := command.GetBackEnd()
@@ -98,10 +106,8 @@
 	if current == nil || current.GetIncarnation() != announced.GetIncarnation() {
 		return false
 	}
-	if current.GetState() == protocol.BackEndState_DRAINING && announced.GetState() != protocol.BackEndState_DRAINING {
-		draining := proto.CloneOf(announced)
-		draining.State = protocol.BackEndState_DRAINING
-		return proto.Equal(current, draining)
+	if current.GetState() == protocol.BackEndState_DRAINING {
+		announced = asDraining(announced)
 	}
 	return proto.Equal(current, announced)
 }
@@ -150,10 +156,8 @@
 	if current.GetState() == protocol.BackEndState_DRAINING {
 		return accept(s.backEnds.GetVersion())
 	}
-	draining := proto.CloneOf(current)
-	draining.State = protocol.BackEndState_DRAINING
 	list := slices.Clone(s.backEnds.GetBackEnds())
-	list[position] = draining
+	list[position] = asDraining(current)
 	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: list}
 	s.backEndHistory.Add(index, current.GetId())
 	return accept(index)
--- a/internal/controlplane/controlstate/benchmark_test.go
+++ b/internal/controlplane/controlstate/benchmark_test.go
@@ -15,7 +15,7 @@
 func BenchmarkPutAndSign(b *testing.B) {
 	RegisterTestingT(b)
 	w := newWorld()
-	w.accepted("", put(wide(1, 10_000)))
+	w.accepted("", put(wide(10_000)))
 	w.accepted("", w.sign(1, nil))
 	version := uint64(1)
 	for b.Loop() {
@@ -29,7 +29,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
 	w := newWorld()
-	w.accepted("", put(wide(1, 10_000)))
+	w.accepted("", put(wide(10_000)))
 	w.accepted("", w.sign(1, nil))
 	empty := proto.Size(w.state.Snapshot())
 	const orders = 30 * 1400
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -151,7 +151,8 @@
 			fault("version", "is not taken"))
 	}
 	status := record.Status
-	if status.GetSignature() != "" && status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName() {
+	sameSignature := status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName()
+	if status.GetSignature() != "" && sameSignature {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
 	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(),
--- a/internal/controlplane/controlstate/bundles_test.go
+++ b/internal/controlplane/controlstate/bundles_test.go
@@ -24,9 +24,9 @@
 	Describe("given two operators who race for one number", func() {
 		It("lets exactly one win and names it to the other", func() {
 			first := w.accepted("a", put(queued(2, 10)))
-			refusal := w.refused("b", put(queued(2, 20)))
-			Expect(codes(refusal)).To(Equal("version_taken"))
-			Expect(proto.Equal(refusal.GetWinner(), first.GetBundle())).To(BeTrue())
+			rejection := w.rejected("b", put(queued(2, 20)))
+			Expect(codes(rejection)).To(Equal("version_taken"))
+			Expect(proto.Equal(rejection.GetWinner(), first.GetBundle())).To(BeTrue())
 		})
 
 		It("acknowledges the same content under another order id", func() {
@@ -37,43 +37,43 @@
 	})
 
 	Describe("given a bundle that does not fit", func() {
-		It("refuses a gap in the numbers, a wrong base and bad content with every fault", func() {
+		It("rejects a gap in the numbers, a wrong base and bad content with every fault", func() {
 			gap := queued(9, 10)
 			gap.BaseVersion = 1
 			gap.Limits.RetryPercent = 200
-			refusal := w.refused("a", put(gap))
-			Expect(codes(refusal)).To(Equal("invalid_bundle"))
-			Expect(refusal.GetFaults()).To(HaveLen(2))
-			Expect(refusal.GetFaults()[0].GetPath()).To(Equal("version"))
-			Expect(refusal.GetFaults()[1].GetPath()).To(Equal("limits.retry_percent"))
+			rejection := w.rejected("a", put(gap))
+			Expect(codes(rejection)).To(Equal("invalid_bundle"))
+			Expect(rejection.GetFaults()).To(HaveLen(2))
+			Expect(rejection.GetFaults()[0].GetPath()).To(Equal("version"))
+			Expect(rejection.GetFaults()[1].GetPath()).To(Equal("limits.retry_percent"))
 
 			w.accepted("b", put(queued(2, 10)))
 			stale := queued(3, 30)
 			stale.BaseVersion = 1
-			Expect(codes(w.refused("c", put(stale)))).To(Equal("wrong_base"))
+			Expect(codes(w.rejected("c", put(stale)))).To(Equal("wrong_base"))
 			Expect(w.state.View().Newest).To(BeEquivalentTo(2))
 		})
 
-		It("refuses a partial bundle when there is none to build on", func() {
-			Expect(codes(newWorld().refused("a", put(queued(1, 10))))).To(Equal("wrong_base"))
+		It("rejects a partial bundle when there is none to build on", func() {
+			Expect(codes(newWorld().rejected("a", put(queued(1, 10))))).To(Equal("wrong_base"))
 		})
 	})
 
 	Describe("given a sign-off", func() {
-		It("puts the bundle in force whole and never goes back to an older one", func() {
+		It("puts the complete bundle in force and never returns to an older one", func() {
 			w.accepted("a", put(queued(2, 10)))
 			w.accepted("b", put(queued(3, 20)))
 			w.accepted("sign-3", w.sign(3, nil))
 			Expect(active()).To(BeEquivalentTo(3))
-			Expect(codes(w.refused("sign-2", w.sign(2, nil)))).To(Equal("invalid_order"))
+			Expect(codes(w.rejected("sign-2", w.sign(2, nil)))).To(Equal("invalid_order"))
 			Expect(active()).To(BeEquivalentTo(3))
 		})
 
-		It("refuses a signature over anything else", func() {
+		It("rejects a signature over anything else", func() {
 			w.accepted("a", put(queued(2, 10)))
 			forged := w.sign(1, nil)
 			forged.GetSignBundle().Version = 2
-			Expect(codes(w.refused("b", forged))).To(Equal("bad_signature"))
+			Expect(codes(w.rejected("b", forged))).To(Equal("bad_signature"))
 			Expect(active()).To(BeEquivalentTo(1))
 		})
 
@@ -85,7 +85,7 @@
 			first := w.accepted("b", sign)
 			Expect(w.accepted("c", sign).GetIndex()).To(Equal(first.GetIndex()))
 			w.accepted("d", put(queued(3, 30)))
-			Expect(codes(w.refused("e", w.sign(3, nil)))).To(Equal("bad_signature"))
+			Expect(codes(w.rejected("e", w.sign(3, nil)))).To(Equal("bad_signature"))
 		})
 	})
 
@@ -107,16 +107,16 @@
 		It("never puts a withdrawn candidate in force, and lets the next bundle build on the one before", func() {
 			w.accepted("withdraw", rollout(protocol.RolloutAction_ROLLOUT_WITHDRAW, 2, 0))
 			Expect(w.state.View().Bundle(2).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
-			Expect(codes(w.refused("again", rollout(protocol.RolloutAction_ROLLOUT_SET, 2, 1)))).To(Equal("invalid_order"))
+			Expect(codes(w.rejected("again", rollout(protocol.RolloutAction_ROLLOUT_SET, 2, 1)))).To(Equal("invalid_order"))
 			next := queued(3, 30)
 			next.BaseVersion = 1
 			w.accepted("b", put(next))
 		})
 
-		It("allows one candidate at a time and refuses one that is not signed off", func() {
+		It("allows one candidate at a time and rejects one that is not signed off", func() {
 			w.accepted("b", put(queued(3, 30)))
-			Expect(codes(w.refused("c", rollout(protocol.RolloutAction_ROLLOUT_SET, 3, 1)))).To(Equal("not_signed"))
-			Expect(codes(w.refused("d", w.sign(3, &protocol.Rollout{})))).To(Equal("change_under_way"))
+			Expect(codes(w.rejected("c", rollout(protocol.RolloutAction_ROLLOUT_SET, 3, 1)))).To(Equal("not_signed"))
+			Expect(codes(w.rejected("d", w.sign(3, &protocol.Rollout{})))).To(Equal("change_under_way"))
 			w.accepted("e", w.sign(3, nil))
 			Expect(w.state.View().Configuration.GetCandidate()).To(BeNil())
 			Expect(w.state.View().Bundle(2).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
@@ -124,17 +124,17 @@
 	})
 
 	Describe("given an order id that was used", func() {
-		It("refuses it for another order", func() {
+		It("rejects it for another order", func() {
 			w.accepted("a", put(queued(2, 10)))
-			Expect(codes(w.refused("a", put(queued(3, 10))))).To(Equal("invalid_order"))
+			Expect(codes(w.rejected("a", put(queued(3, 10))))).To(Equal("invalid_order"))
 			Expect(w.state.View().Newest).To(BeEquivalentTo(2))
 		})
 
-		It("gives a refusal again although the order would be taken by now", func() {
-			w.refused("early", rollout(protocol.RolloutAction_ROLLOUT_PROMOTE, 2, 0))
+		It("rejects it again although the order would be accepted by now", func() {
+			w.rejected("early", rollout(protocol.RolloutAction_ROLLOUT_PROMOTE, 2, 0))
 			w.accepted("a", put(queued(2, 10)))
 			w.accepted("sign-2", w.sign(2, &protocol.Rollout{}))
-			w.refused("early", rollout(protocol.RolloutAction_ROLLOUT_PROMOTE, 2, 0))
+			w.rejected("early", rollout(protocol.RolloutAction_ROLLOUT_PROMOTE, 2, 0))
 			Expect(active()).To(BeEquivalentTo(1))
 		})
 	})
@@ -144,7 +144,10 @@
 			for number := range 4 {
 				w.accepted("", join(store(number, 1, "disk")))
 			}
-			w.accepted("", upsert(&protocol.BackEnd{Id: "model-1", Address: "127.0.0.1:9001", Incarnation: 5, State: protocol.BackEndState_READY}))
+			w.accepted("", upsert(&protocol.BackEnd{
+				Id: "model-1", Address: "127.0.0.1:9001", Incarnation: 5,
+				State: protocol.BackEndState_READY,
+			}))
 			orders := map[string]*protocol.Command{
 				"first":  put(bundle.Default(1)),
 				"sign-1": w.sign(1, nil),
@@ -198,7 +201,7 @@
 			Expect(active()).To(BeEquivalentTo(150))
 		})
 
-		It("is refused when it contradicts itself", func() {
+		It("is rejected when it contradicts itself", func() {
 			snapshot := w.state.Snapshot()
 			damaged := proto.CloneOf(snapshot)
 			damaged.MergedBundles[0].Limits.MaxQueued = 4711
--- a/internal/controlplane/controlstate/delivery_test.go
+++ b/internal/controlplane/controlstate/delivery_test.go
@@ -17,17 +17,18 @@
 	return err
 }
 
-// wide is a whole bundle with many routes.
-func wide(version uint64, routes int) *protocol.Bundle {
-	made := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
+// wide is a first bundle with many routes.
+func wide(routes int) *protocol.Bundle {
+	wide := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range 490 {
-		made.Tenants = append(made.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
+		wide.Tenants = append(wide.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
 	}
 	for i := range routes {
 		tenant, model := fmt.Sprintf("tenant-%03d", i%490), fmt.Sprintf("model-%02d", i/490)
-		made.Routes = append(made.Routes, &protocol.Route{Name: tenant + "-" + model, Tenant: tenant, Model: model, Group: "assistants"})
+		wide.Routes = append(wide.Routes,
+			&protocol.Route{Name: tenant + "-" + model, Tenant: tenant, Model: model, Group: "assistants"})
 	}
-	return made
+	return wide
 }
 
 func oneRoute(version uint64) *protocol.Bundle {
@@ -39,26 +40,26 @@
 }
 
 var _ = Describe("delivery of a bundle of 10,000 routes", func() {
-	It("gives by delta, from any version held, what the whole says", func() {
+	It("gives a delta from any earlier version that leads to the full snapshot", func() {
 		w := newWorld()
-		w.accepted("", put(wide(1, 10_000)))
+		w.accepted("", put(wide(10_000)))
 		w.accepted("", w.sign(1, nil))
-		held := []*protocol.Configuration{w.state.View().Configuration}
+		earlier := []*protocol.Configuration{w.state.View().Configuration}
 		for version := uint64(2); version <= 6; version++ {
 			w.accepted("", put(oneRoute(version)))
 			if version == 4 {
 				continue // Its content comes into force with the next one.
 			}
 			w.accepted("", w.sign(version, nil))
-			held = append(held, w.state.View().Configuration)
+			earlier = append(earlier, w.state.View().Configuration)
 		}
 		w.accepted("", put(oneRoute(7)))
 		w.accepted("", w.sign(7, &protocol.Rollout{ShareBasisPoints: 100}))
 		for round := range 2 {
 			view := w.state.View()
-			for _, configuration := range held {
-				whole, delta := view.ConfigurationSince(configuration.GetVersion())
-				Expect(whole).To(BeNil(), "round %d", round)
+			for _, configuration := range earlier {
+				snapshot, delta := view.ConfigurationSince(configuration.GetVersion())
+				Expect(snapshot).To(BeNil(), "round %d", round)
 				Expect(proto.Size(delta)).To(BeNumerically("<", 2000))
 				applied, err := bundle.ApplyDelta(configuration, delta)
 				Expect(err).NotTo(HaveOccurred())
@@ -66,26 +67,26 @@
 			}
 			w.restart()
 		}
-		whole, delta := w.state.View().ConfigurationSince(0)
+		snapshot, delta := w.state.View().ConfigurationSince(0)
 		Expect(delta).To(BeNil())
-		Expect(proto.Equal(whole, w.state.View().Configuration)).To(BeTrue())
+		Expect(proto.Equal(snapshot, w.state.View().Configuration)).To(BeTrue())
 	})
 
-	It("sends the whole where a delta would be no smaller", func() {
+	It("sends the full snapshot where a delta would be no smaller", func() {
 		w := newWorld()
-		w.accepted("", put(wide(1, 1000)))
+		w.accepted("", put(wide(1000)))
 		w.accepted("", w.sign(1, nil))
 		known := w.state.View().Configuration.GetVersion()
 		w.accepted("", put(bundle.Default(2)))
 		w.accepted("", w.sign(2, nil))
-		whole, delta := w.state.View().ConfigurationSince(known)
+		snapshot, delta := w.state.View().ConfigurationSince(known)
 		Expect(delta).To(BeNil())
-		Expect(whole.GetActive().GetVersion()).To(BeEquivalentTo(2))
+		Expect(snapshot.GetActive().GetVersion()).To(BeEquivalentTo(2))
 	})
 
 	It("measures what is sent", func() {
 		w := newWorld()
-		w.accepted("", put(wide(1, 10_000)))
+		w.accepted("", put(wide(10_000)))
 		w.accepted("", w.sign(1, nil))
 		known := w.state.View().Configuration.GetVersion()
 		w.accepted("", put(oneRoute(2)))
@@ -96,14 +97,19 @@
 		}
 		for i := range 600 {
 			w.accepted("", upsert(&protocol.BackEnd{
-				Id: fmt.Sprintf("model-server-%03d", i), Kind: protocol.BackEndKind_MODEL_SERVER, State: protocol.BackEndState_READY,
-				Address: fmt.Sprintf("10.0.%d.%d:9000", i/200, i%200), Zone: fmt.Sprintf("z%d", i%6), Region: fmt.Sprintf("r%d", i%3),
-				Group: "assistants", Models: []string{"booking-assistant", "climate-advisor"}, Incarnation: 1764650000000 + uint64(i), Capacity: 64,
+				Id: fmt.Sprintf("model-server-%03d", i), Kind: protocol.BackEndKind_MODEL_SERVER,
+				State:   protocol.BackEndState_READY,
+				Address: fmt.Sprintf("10.0.%d.%d:9000", i/200, i%200), Zone: fmt.Sprintf("z%d", i%6),
+				Region: fmt.Sprintf("r%d", i%3),
+				Group:  "assistants", Models: []string{"booking-assistant", "climate-advisor"},
+				Incarnation: 1764650000000 + uint64(i), Capacity: 64,
 			}))
 		}
 		view := w.state.View()
-		GinkgoWriter.Printf("bytes: delta of one route of 10,000: %d; whole: %d; membership of 330: %d; back ends of 600: %d; snapshot: %d\n",
-			proto.Size(delta), proto.Size(view.Configuration), proto.Size(view.Membership), proto.Size(view.BackEnds), proto.Size(w.state.Snapshot()))
+		GinkgoWriter.Printf("bytes: delta of one route of 10,000: %d; full snapshot: %d; "+
+			"membership of 330: %d; back ends of 600: %d; control snapshot: %d\n",
+			proto.Size(delta), proto.Size(view.Configuration), proto.Size(view.Membership), proto.Size(view.BackEnds),
+			proto.Size(w.state.Snapshot()))
 		Expect(proto.Size(delta)).To(BeNumerically("<", 500))
 		Expect(proto.Size(view.Configuration)).To(BeNumerically("<", 1<<20))
 	})
--- a/internal/controlplane/controlstate/deltas_test.go
+++ b/internal/controlplane/controlstate/deltas_test.go
@@ -13,47 +13,49 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// held is what a node may hold: the sections of some earlier view.
-type held struct {
+// earlierView is what a node may have: the sections of some earlier view.
+type earlierView struct {
 	membership *protocol.MembershipView
 	backEnds   *protocol.BackEndView
 	placement  *protocol.Placement
 }
 
 var _ = Describe("deltas of the views", func() {
-	// expectDeltas checks each section's delta from a held version against the whole, and counts those made.
-	expectDeltas := func(view *controlstate.View, from held) (made int) {
+	// expectDeltas checks each section's delta from an earlier version against the full snapshot, and counts them.
+	expectDeltas := func(view *controlstate.View, from earlierView) (deltas int) {
 		GinkgoHelper()
-		if delta := view.MembershipDelta(from.membership.GetVersion(), views.MembershipChecksum(view.Membership.GetNodes())); delta != nil {
+		if delta := view.MembershipDelta(from.membership.GetVersion(),
+			views.MembershipChecksum(view.Membership.GetNodes())); delta != nil {
 			applied, err := views.ApplyMembership(from.membership, delta)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(proto.Equal(applied, view.Membership)).To(BeTrue())
-			made++
+			deltas++
 		}
-		if delta := view.BackEndDelta(from.backEnds.GetVersion(), views.BackEndsChecksum(view.BackEnds.GetBackEnds())); delta != nil {
+		if delta := view.BackEndDelta(from.backEnds.GetVersion(),
+			views.BackEndsChecksum(view.BackEnds.GetBackEnds())); delta != nil {
 			applied, err := views.ApplyBackEnds(from.backEnds, delta)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(proto.Equal(applied, view.BackEnds)).To(BeTrue())
-			made++
+			deltas++
 		}
 		if delta := view.PlacementDelta(from.placement.GetEpoch(), views.PlacementChecksum(view.Placement)); delta != nil {
 			applied, err := views.ApplyPlacement(from.placement, delta)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(proto.Equal(applied, view.Placement)).To(BeTrue())
-			made++
+			deltas++
 		}
-		return made
+		return deltas
 	}
 
-	It("lead from every version ever held to what the whole says, over random commands and restarts", func() {
+	It("lead from every earlier version to the full snapshot, over random commands and restarts", func() {
 		random := rand.New(rand.NewPCG(11, 12))
 		w := newWorld()
 		for i := range 6 {
 			w.accepted("", join(store(i, 1, "disk")))
 		}
-		w.accepted("", &protocol.Command{Body: &protocol.Command_InitializePlacement{InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 32, ReplicaCount: 3}}})
-		var holders []held
-		made := 0
+		w.accepted("", initializePlacement(32, 3))
+		var earlier []earlierView
+		deltas := 0
 		for step := range 1500 {
 			number, incarnation := random.IntN(30), uint64(step+2)
 			switch random.IntN(7) {
@@ -66,10 +68,13 @@
 				w.apply("", join(taking))
 			case 3:
 				if node := w.state.View().Node(fmt.Sprintf("front-%d", number)); node != nil {
-					w.apply("", &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{Name: node.GetName(), Incarnation: node.GetIncarnation()}}})
+					w.apply("", removeNode(node.GetName(), node.GetIncarnation()))
 				}
 			case 4:
-				w.apply("", upsert(&protocol.BackEnd{Id: fmt.Sprintf("b%d", number), Address: fmt.Sprintf("10.0.0.1:%d", random.IntN(30)), Incarnation: incarnation}))
+				w.apply("", upsert(&protocol.BackEnd{
+					Id:      fmt.Sprintf("b%d", number),
+					Address: fmt.Sprintf("10.0.0.1:%d", random.IntN(30)), Incarnation: incarnation,
+				}))
 			case 5:
 				w.apply("", drain(fmt.Sprintf("b%d", number), 0))
 			default:
@@ -77,15 +82,18 @@
 			}
 			view := w.state.View()
 			if step%25 == 0 {
-				holders = append(holders, held{membership: view.Membership, backEnds: view.BackEnds, placement: view.Placement})
+				earlier = append(earlier, earlierView{
+					membership: view.Membership, backEnds: view.BackEnds,
+					placement: view.Placement,
+				})
 			}
-			for _, from := range holders[max(0, len(holders)-4):] {
-				made += expectDeltas(view, from)
+			for _, from := range earlier[max(0, len(earlier)-4):] {
+				deltas += expectDeltas(view, from)
 			}
 			if step%400 == 399 {
 				w.restart()
 			}
 		}
-		Expect(made).To(BeNumerically(">", 1000))
+		Expect(deltas).To(BeNumerically(">", 1000))
 	})
 })
--- a/internal/controlplane/controlstate/fleet_test.go
+++ b/internal/controlplane/controlstate/fleet_test.go
@@ -22,23 +22,23 @@
 		return listed
 	}
 
-	It("ends the former incarnation of a name and of an address at once, and refuses older ones", func() {
+	It("ends the former incarnation of a name and of an address at once, and rejects older ones", func() {
 		w.accepted("", join(front(1, 10)))
 		w.accepted("", join(front(1, 20)))
 		Expect(names()).To(Equal([]string{"front-1/20"}))
-		Expect(codes(w.refused("", join(front(1, 15))))).To(Equal("lease_refused"))
+		Expect(codes(w.rejected("", join(front(1, 15))))).To(Equal("lease_refused"))
 		renamed := front(1, 30)
 		renamed.Name = "front-9"
 		w.accepted("", join(renamed))
 		Expect(names()).To(Equal([]string{"front-9/30"}))
-		Expect(codes(w.refused("", join(front(1, 20))))).To(Equal("lease_refused"))
+		Expect(codes(w.rejected("", join(front(1, 20))))).To(Equal("lease_refused"))
 	})
 
 	It("keeps the version while nothing changes and removes no later incarnation", func() {
 		w.accepted("", join(front(1, 10)))
 		version := w.state.View().Membership.GetVersion()
 		w.accepted("", join(front(1, 10)))
-		w.accepted("", &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{Name: "front-1", Incarnation: 9}}})
+		w.accepted("", removeNode("front-1", 9))
 		Expect(w.state.View().Membership.GetVersion()).To(Equal(version))
 		Expect(names()).To(Equal([]string{"front-1/10"}))
 	})
@@ -46,45 +46,49 @@
 
 var _ = Describe("back ends", func() {
 	var w *world
-	server := func(incarnation uint64, state protocol.BackEndState) *protocol.BackEnd {
-		return &protocol.BackEnd{Id: "model-1", Address: "127.0.0.1:9001", Incarnation: incarnation, State: state}
+	server := func(incarnation uint64) *protocol.BackEnd {
+		return &protocol.BackEnd{
+			Id: "model-1", Address: "127.0.0.1:9001", Incarnation: incarnation, State: protocol.BackEndState_READY,
+		}
 	}
 	BeforeEach(func() {
 		w = newWorld()
-		w.accepted("", upsert(server(5, protocol.BackEndState_READY)))
+		w.accepted("", upsert(server(5)))
 	})
 	state := func() protocol.BackEndState { return w.state.View().BackEnd("model-1").GetState() }
 
 	It("keeps a drained incarnation draining, also after it was removed and came back, until a new one starts", func() {
 		w.accepted("", drain("model-1", 5))
 		Expect(state()).To(Equal(protocol.BackEndState_DRAINING))
-		w.accepted("", upsert(server(5, protocol.BackEndState_READY)))
+		w.accepted("", upsert(server(5)))
 		Expect(state()).To(Equal(protocol.BackEndState_DRAINING))
-		Expect(w.state.View().Holds(server(5, protocol.BackEndState_READY))).To(BeTrue())
-		w.accepted("", &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: "model-1", Incarnation: 5}}})
+		Expect(w.state.View().Holds(server(5))).To(BeTrue())
+		w.accepted("", removeBackEnd("model-1", 5))
 		w.restart()
-		w.accepted("", upsert(server(5, protocol.BackEndState_READY)))
+		w.accepted("", upsert(server(5)))
 		Expect(state()).To(Equal(protocol.BackEndState_DRAINING))
-		w.accepted("", upsert(server(6, protocol.BackEndState_READY)))
+		w.accepted("", upsert(server(6)))
 		Expect(state()).To(Equal(protocol.BackEndState_READY))
 	})
 
 	It("does not drain a later incarnation than the one named", func() {
-		w.accepted("", upsert(server(6, protocol.BackEndState_READY)))
+		w.accepted("", upsert(server(6)))
 		w.accepted("", drain("model-1", 5))
 		Expect(state()).To(Equal(protocol.BackEndState_READY))
-		Expect(codes(w.refused("", upsert(server(5, protocol.BackEndState_READY))))).To(Equal("invalid_order"))
+		Expect(codes(w.rejected("", upsert(server(5))))).To(Equal("invalid_order"))
 	})
 })
 
-// plan gives the planner's next steps for the state at hand.
-func (w *world) plan(lost ...string) []*protocol.MoveShardCommand {
+// plan gives the planner's next steps for the present state.
+func (w *world) plan(names ...string) []*protocol.MoveShardCommand {
 	view := w.state.View()
-	gone := map[string]bool{}
-	for _, name := range lost {
-		gone[name] = true
+	lost := map[string]bool{}
+	for _, name := range names {
+		lost[name] = true
 	}
-	return placement.Plan(placement.Input{Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: gone, MaxMoves: 4})
+	return placement.Plan(placement.Input{
+		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: 4,
+	})
 }
 
 // settle carries out the planner's moves and the copies they ask for until there are none.
@@ -93,7 +97,7 @@
 	for range 2000 {
 		steps := w.plan(lost...)
 		for _, step := range steps {
-			w.accepted("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+			w.accepted("", moveShard(step))
 		}
 		copies := w.copyAll(lost...)
 		if len(steps) == 0 && copies == 0 {
@@ -114,7 +118,8 @@
 					continue
 				}
 				copies++
-				w.accepted("", copied(replica.GetStore(), replica.GetStorageId(), shard.GetShard(), w.state.View().Placement.GetEpoch()))
+				w.accepted("", copied(replica.GetStore(), replica.GetStorageId(), shard.GetShard(),
+					w.state.View().Placement.GetEpoch()))
 			}
 		}
 	}
@@ -198,7 +203,7 @@
 			node.Zone = []string{"z0", "z0", "z1", "z2"}[number]
 			if number < 3 {
 				w.accepted("", join(node))
-				w.refused("", initialize)
+				w.rejected("", initialize)
 				continue
 			}
 			w.accepted("", join(node))
@@ -217,7 +222,7 @@
 		w.accepted("", join(store(3, 1, "disk")))
 		Expect(w.plan()).To(HaveLen(4))
 		for _, step := range w.plan() {
-			w.accepted("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+			w.accepted("", moveShard(step))
 		}
 		Expect(w.plan()).To(BeEmpty())
 		w.settle()
@@ -229,15 +234,15 @@
 		w.accepted("", join(store(3, 1, "disk")))
 		w.accepted("", initialize)
 		w.accepted("e", emptyStore("store-1"))
-		Expect(codes(w.refused("r1", retireStore("store-1")))).To(Equal("store_not_emptied"))
+		Expect(codes(w.rejected("r1", retireStore("store-1")))).To(Equal("store_not_emptied"))
 		w.settle()
 		Expect(w.state.View().Placement.GetEmptied()).To(Equal([]string{"store-1"}))
 		expectWhole()
 		w.accepted("r2", retireStore("store-1"))
 		Expect(w.state.View().Node("store-1")).To(BeNil())
-		Expect(codes(w.refused("", join(store(1, 2, "disk"))))).To(Equal("lease_refused"))
+		Expect(codes(w.rejected("", join(store(1, 2, "disk"))))).To(Equal("lease_refused"))
 		w.restart()
-		Expect(codes(w.refused("", join(store(1, 2, "disk"))))).To(Equal("lease_refused"))
+		Expect(codes(w.rejected("", join(store(1, 2, "disk"))))).To(Equal("lease_refused"))
 		w.accepted("", join(store(1, 3, "new disk")))
 		w.settle()
 		Expect(loads()["store-1"]).To(Equal(48))
@@ -255,7 +260,7 @@
 		var last *protocol.MoveShardCommand
 		for loads()["store-1"] > 1 {
 			for _, step := range w.plan() {
-				w.accepted("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+				w.accepted("", moveShard(step))
 				if loads()["store-1"] == 1 {
 					last = step
 					break
@@ -265,7 +270,7 @@
 		}
 		if last == nil {
 			last = w.plan()[0]
-			w.accepted("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: last}})
+			w.accepted("", moveShard(last))
 		}
 		bystander := ""
 		for _, number := range []int{0, 2, 3, 4} {
@@ -297,17 +302,17 @@
 			}
 		}
 		Expect(rebuilding).To(Equal(1))
-		Expect(codes(w.refused("", copied("store-1", "disk", 0, before)))).To(Equal("invalid_order"))
-		Expect(codes(w.refused("", copied("store-1", "other disk", 0, before)))).To(Equal("invalid_order"))
+		Expect(codes(w.rejected("", copied("store-1", "disk", 0, before)))).To(Equal("invalid_order"))
+		Expect(codes(w.rejected("", copied("store-1", "other disk", 0, before)))).To(Equal("invalid_order"))
 		w.settle()
 		expectWhole()
 	})
 
-	It("places the shards of a store lost for good elsewhere and gives up moves towards it", func() {
+	It("places the shards of a store lost for good elsewhere and cancels moves towards it", func() {
 		w.accepted("", initialize)
 		w.accepted("", join(store(3, 1, "disk")))
 		for _, step := range w.plan() {
-			w.accepted("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+			w.accepted("", moveShard(step))
 		}
 		w.settle("store-3")
 		Expect(loads()["store-3"]).To(BeZero())
@@ -317,15 +322,18 @@
 		}
 	})
 
-	It("refuses a step that would leave no majority able to vote, or that was planned on an older placement", func() {
+	It("rejects a step that would leave no majority able to vote, or that was planned on an older placement", func() {
 		w.accepted("", initialize)
 		w.accepted("", join(store(3, 1, "disk")))
 		step := w.plan()[0]
-		stale := &protocol.MoveShardCommand{Shard: step.GetShard(), ExpectedEpoch: step.GetExpectedEpoch() - 1, Next: step.GetNext()}
-		Expect(codes(w.refused("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: stale}}))).To(Equal("change_under_way"))
-		kept := step.GetNext()[0].GetStore()
-		w.accepted("", join(store(int(kept[len(kept)-1]-'0'), 2, "other disk")))
+		stale := &protocol.MoveShardCommand{
+			Shard: step.GetShard(), ExpectedEpoch: step.GetExpectedEpoch() - 1,
+			Next: step.GetNext(),
+		}
+		Expect(codes(w.rejected("", moveShard(stale)))).To(Equal("change_under_way"))
+		retained := step.GetNext()[0].GetStore()
+		w.accepted("", join(store(int(retained[len(retained)-1]-'0'), 2, "other disk")))
 		step.ExpectedEpoch = w.state.View().Placement.GetShards()[step.GetShard()].GetEpoch()
-		Expect(codes(w.refused("", &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}}))).To(Equal("change_under_way"))
+		Expect(codes(w.rejected("", moveShard(step)))).To(Equal("change_under_way"))
 	})
 })
--- a/internal/controlplane/controlstate/keys_test.go
+++ b/internal/controlplane/controlstate/keys_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("sign-off keys after a rotation", func() {
-	It("stay in force under a whole bundle that names none, so that a key taken out never counts again", func() {
+	It("stay in force under a complete bundle that names none, so that a removed key is never valid again", func() {
 		w := newWorld()
 		w.accepted("", put(bundle.Default(1)))
 		w.accepted("", w.sign(1, nil))
@@ -37,7 +37,7 @@
 
 		w.accepted("", put(queued(4, 30)))
 		w.private = first
-		Expect(codes(w.refused("", w.sign(4, nil)))).To(Equal("bad_signature"))
+		Expect(codes(w.rejected("", w.sign(4, nil)))).To(Equal("bad_signature"))
 		w.private = private
 		w.accepted("", w.sign(4, nil))
 	})
--- a/internal/controlplane/controlstate/membership.go
+++ b/internal/controlplane/controlstate/membership.go
@@ -70,13 +70,14 @@
 	return nil
 }
 
-// checkConflict rejects a joining node that an other one of the view excludes.
+// checkConflict rejects a joining node that conflicts with another node of the view.
 func checkConflict(node, other *protocol.Node) *protocol.CommandResult {
+	sameName, sameAddress := other.GetName() == node.GetName(), other.GetAddress() == node.GetAddress()
 	switch {
-	case other.GetName() == node.GetName() && other.GetIncarnation() > node.GetIncarnation():
+	case sameName && other.GetIncarnation() > node.GetIncarnation():
 		return reject(codeLeaseRejected, fmt.Sprintf("a later incarnation of %q holds the lease", node.GetName()),
 			fault("node.incarnation", fmt.Sprintf("is older than %d", other.GetIncarnation())))
-	case other.GetName() != node.GetName() && other.GetAddress() == node.GetAddress() && other.GetIncarnation() >= node.GetIncarnation():
+	case !sameName && sameAddress && other.GetIncarnation() >= node.GetIncarnation():
 		return reject(codeLeaseRejected, fmt.Sprintf("%q holds the lease at this address", other.GetName()),
 			fault("node.address", "belongs to a later incarnation of another node"))
 	default:
--- a/internal/controlplane/controlstate/property_test.go
+++ b/internal/controlplane/controlstate/property_test.go
@@ -21,8 +21,10 @@
 	version := func() uint64 { return uint64(rapid.IntRange(0, int(w.state.View().Newest)+2).Draw(t, "version")) }
 	switch rapid.IntRange(0, 17).Draw(t, "kind") {
 	case 14, 15:
-		expected := rapid.SampledFrom([]uint64{w.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t, "expected")
-		submitted := whole(w.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")), uint32(number.Draw(t, "limit")))
+		expected := rapid.SampledFrom([]uint64{w.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t,
+			"expected")
+		submitted := completeBundle(w.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")),
+			uint32(number.Draw(t, "limit")))
 		if rapid.Bool().Draw(t, "partial") {
 			submitted = &protocol.Bundle{Version: submitted.GetVersion(), Partial: true, Limits: submitted.GetLimits()}
 		}
@@ -30,18 +32,19 @@
 	case 16:
 		return announce(&protocol.BackEnd{
 			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: strconv.Itoa(number.Draw(t, "address")),
-			Incarnation: uint64(rapid.IntRange(0, 1).Draw(t, "incarnation")), State: protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
+			Incarnation: uint64(rapid.IntRange(0, 1).Draw(t, "incarnation")),
+			State:       protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
 		}, uint64(number.Draw(t, "sequence")))
 	case 17:
 		return depart(fmt.Sprintf("b%d", number.Draw(t, "id")), uint64(number.Draw(t, "sequence")))
 	case 0, 1:
 		return put(queued(w.state.View().Newest+1, uint32(number.Draw(t, "limit"))))
 	case 2:
-		return put(whole(version(), uint32(number.Draw(t, "queued"))))
+		return put(completeBundle(version(), uint32(number.Draw(t, "queued"))))
 	case 3, 4:
 		signed := version()
 		if w.state.View().Bundle(signed) == nil {
-			return put(whole(w.state.View().Newest+1, 1))
+			return put(completeBundle(w.state.View().Newest+1, 1))
 		}
 		var rolled *protocol.Rollout
 		if rapid.Bool().Draw(t, "rolled") {
@@ -76,16 +79,17 @@
 	default:
 		return upsert(&protocol.BackEnd{
 			Id: fmt.Sprintf("b%d", number.Draw(t, "id")), Address: strconv.Itoa(number.Draw(t, "address")),
-			Incarnation: uint64(number.Draw(t, "incarnation")), State: protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
+			Incarnation: uint64(number.Draw(t, "incarnation")),
+			State:       protocol.BackEndState(rapid.IntRange(1, 2).Draw(t, "state")),
 		})
 	}
 }
 
-// whole is a whole bundle that differs by one limit.
-func whole(version uint64, limit uint32) *protocol.Bundle {
-	made := bundle.Default(version)
-	made.Limits.MaxQueued = limit
-	return made
+// completeBundle is a complete bundle that differs by one limit.
+func completeBundle(version uint64, limit uint32) *protocol.Bundle {
+	limited := bundle.Default(version)
+	limited.Limits.MaxQueued = limit
+	return limited
 }
 
 // TestAnyCommandsKeepTheRules applies any commands and checks what must hold after each.
@@ -127,7 +131,8 @@
 }
 
 func checkRules(t *rapid.T, before, after *controlstate.View) {
-	if after.Newest < before.Newest || after.Configuration.GetActive().GetVersion() < before.Configuration.GetActive().GetVersion() {
+	activeBefore := before.Configuration.GetActive().GetVersion()
+	if after.Newest < before.Newest || after.Configuration.GetActive().GetVersion() < activeBefore {
 		t.Fatal("a bundle version stepped back")
 	}
 	old, now := before.Versions(), after.Versions()
@@ -155,11 +160,13 @@
 	}
 }
 
-// checkBackEnds sees to it that what was draining is not ready again and what left does not come back, in the same incarnation.
+// checkBackEnds sees to it that what was draining is not ready again and what left does not come back, in the same
+// incarnation.
 func checkBackEnds(t *rapid.T, before, after *controlstate.View) {
 	for _, now := range after.BackEnds.GetBackEnds() {
 		was := before.BackEnd(now.GetId())
-		if was.GetState() == protocol.BackEndState_DRAINING && now.GetState() == protocol.BackEndState_READY && now.GetIncarnation() <= was.GetIncarnation() {
+		readyAgain := was.GetState() == protocol.BackEndState_DRAINING && now.GetState() == protocol.BackEndState_READY
+		if readyAgain && now.GetIncarnation() <= was.GetIncarnation() {
 			t.Fatalf("%v was draining and is ready", now)
 		}
 		if was == nil && before.Outdated(now.GetId(), now.GetIncarnation(), math.MaxUint64) {
@@ -180,15 +187,15 @@
 
 // checkStep sees to it that one change replaces at most one replica of those that serve.
 func checkStep(t *rapid.T, before, after *protocol.ShardPlacement) {
-	kept := 0
+	retained := 0
 	for _, was := range before.GetCurrent() {
 		for _, is := range after.GetCurrent() {
 			if was.GetStore() == is.GetStore() {
-				kept++
+				retained++
 			}
 		}
 	}
-	if kept < 2 {
+	if retained < 2 {
 		t.Fatalf("a step led from %v to %v", before, after)
 	}
 }
--- a/internal/controlplane/controlstate/regions_test.go
+++ b/internal/controlplane/controlstate/regions_test.go
@@ -31,20 +31,23 @@
 
 func (r *regional) must(command *protocol.Command) {
 	if result := r.apply("", command); !result.GetAccepted() {
-		r.t.Fatalf("refused: %v", result)
+		r.t.Fatalf("rejected: %v", result)
 	}
 }
 
 func (r *regional) initialize(overRegions bool) {
 	r.must(&protocol.Command{Body: &protocol.Command_InitializePlacement{
-		InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: uint32(r.shards), ReplicaCount: 3, OverRegions: overRegions},
+		InitializePlacement: &protocol.InitializePlacementCommand{
+			ShardCount: uint32(r.shards), ReplicaCount: 3,
+			OverRegions: overRegions,
+		},
 	}})
 }
 
 // lose takes stores out of the membership and returns their names.
-func (r *regional) lose(gone func(*protocol.Node) bool) (names []string) {
+func (r *regional) lose(isLost func(*protocol.Node) bool) (names []string) {
 	for _, node := range r.stores {
-		if gone(node) {
+		if isLost(node) {
 			names = append(names, node.GetName())
 			r.must(&protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
 				Name: node.GetName(), Incarnation: node.GetIncarnation(),
@@ -62,7 +65,7 @@
 			r.t.Fatalf("%d moves at a time", len(steps))
 		}
 		for _, step := range steps {
-			r.must(&protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+			r.must(moveShard(step))
 		}
 		moves += len(steps)
 		if copies := r.copyAll(lost...); len(steps)+copies == 0 {
@@ -78,8 +81,9 @@
 	return r.stores[slices.IndexFunc(r.stores, func(n *protocol.Node) bool { return n.GetName() == name })]
 }
 
-// checkSpread fails unless every shard stands in 3 regions, whole, and the stores of a region differ by one replica at most.
-func (r *regional) checkSpread(gone func(*protocol.Node) bool) {
+// checkSpread fails unless every shard is in 3 regions with all its replicas, and the stores of a region differ by
+// one replica at most.
+func (r *regional) checkSpread(isLost func(*protocol.Node) bool) {
 	loads := map[string]int{}
 	for _, shard := range r.state.View().Placement.GetShards() {
 		regions := map[string]bool{}
@@ -88,18 +92,18 @@
 			loads[replica.GetStore()]++
 		}
 		if len(regions) != 3 || len(shard.GetNext()) > 0 {
-			r.t.Fatalf("shard %v stands in %v", shard, regions)
+			r.t.Fatalf("shard %v is in %v", shard, regions)
 		}
 	}
 	for _, region := range []string{"r0", "r1", "r2"} {
-		var held []int
+		var replicas []int
 		for _, node := range r.stores {
-			if node.GetRegion() == region && !gone(node) {
-				held = append(held, loads[node.GetName()])
+			if node.GetRegion() == region && !isLost(node) {
+				replicas = append(replicas, loads[node.GetName()])
 			}
 		}
-		if slices.Max(held)-slices.Min(held) > 1 {
-			r.t.Fatalf("region %s holds %v", region, held)
+		if slices.Max(replicas)-slices.Min(replicas) > 1 {
+			r.t.Fatalf("region %s has %v", region, replicas)
 		}
 	}
 }
@@ -135,11 +139,11 @@
 		}
 		region := fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "region"))
 		zone := region + fmt.Sprint("-z", rapid.IntRange(0, 1).Draw(t, "zone"))
-		gone := func(node *protocol.Node) bool { return node.GetZone() == zone }
+		isLost := func(node *protocol.Node) bool { return node.GetZone() == zone }
 		if rapid.Bool().Draw(t, "whole region") {
-			gone = func(node *protocol.Node) bool { return node.GetRegion() == region }
+			isLost = func(node *protocol.Node) bool { return node.GetRegion() == region }
 		}
-		lost := r.lose(gone)
+		lost := r.lose(isLost)
 		r.checkMajority(lost)
 		if moves := r.rest(); moves > 0 {
 			t.Fatalf("%d moves before the waiting time is over", moves)
@@ -154,7 +158,7 @@
 			}
 		}
 		if len(lost) < len(r.stores)/3 {
-			r.checkSpread(gone)
+			r.checkSpread(isLost)
 		}
 		for _, name := range lost {
 			r.must(join(r.node(name)))
@@ -170,7 +174,8 @@
 		r := newRegional(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards"))
 		for _, node := range r.stores {
 			former := store(0, 1, "disk")
-			former.Name, former.Address, former.Zone, former.Region = node.GetName(), node.GetAddress(), node.GetZone(), "default"
+			former.Name, former.Address = node.GetName(), node.GetAddress()
+			former.Zone, former.Region = node.GetZone(), "default"
 			r.must(join(former))
 			node.Incarnation = 2
 		}
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
@@ -28,7 +29,7 @@
 	if expected := command.GetExpectedVersion(); expected != active.GetVersion() {
 		return s.rejectWrongBase(expected)
 	}
-	faults := append(baseFaults, s.releaseNumberFaults(version)...)
+	faults := slices.Concat(baseFaults, s.releaseNumberFaults(version))
 	merged, contentFaults := bundle.Check(active, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
 		return rejectFaulty(faults)
--- a/internal/controlplane/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -23,12 +23,12 @@
 	active := func() *protocol.Bundle { return w.state.View().Configuration.GetActive() }
 	BeforeEach(func() {
 		w = newWorld()
-		w.accepted("", release(whole(5, 50), 0))
+		w.accepted("", release(completeBundle(5, 50), 0))
 	})
 
 	It("puts a bundle in force in one step, as signed by the core, under any higher number", func() {
 		Expect(active().GetVersion()).To(BeEquivalentTo(5))
-		status := w.accepted("", release(whole(19, 190), 5)).GetBundle()
+		status := w.accepted("", release(completeBundle(19, 190), 5)).GetBundle()
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(190))
 		Expect(status.GetState()).To(Equal(protocol.BundleState_SIGNED))
 		Expect(status.GetSignedBy()).To(Equal(controlstate.SignedByCore))
@@ -43,14 +43,17 @@
 		w.accepted("", release(limited(9, 90), 5))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(90))
 		Expect(active().GetRoutes()).To(HaveLen(len(bundle.Default(1).GetRoutes())))
-		w.accepted("", release(&protocol.Bundle{Version: 12, BaseVersion: 9, Partial: true, RemovedRoutes: []string{"caroni-valve-plan"}}, 9))
+		w.accepted("", release(&protocol.Bundle{
+			Version: 12, BaseVersion: 9, Partial: true,
+			RemovedRoutes: []string{"caroni-valve-plan"},
+		}, 9))
 		Expect(active().GetRoutes()).To(HaveLen(len(bundle.Default(1).GetRoutes()) - 1))
 	})
 
 	It("lets one of two that are built on the same version win, with the same number or another", func() {
-		w.accepted("", release(whole(7, 70), 5))
-		Expect(codes(w.refused("", release(whole(7, 71), 5)))).To(Equal(string(failure.VersionTaken)))
-		lost := w.refused("", release(whole(8, 80), 5))
+		w.accepted("", release(completeBundle(7, 70), 5))
+		Expect(codes(w.rejected("", release(completeBundle(7, 71), 5)))).To(Equal(string(failure.VersionTaken)))
+		lost := w.rejected("", release(completeBundle(8, 80), 5))
 		Expect(codes(lost)).To(Equal(string(failure.WrongBase)))
 		Expect(lost.GetWinner().GetVersion()).To(BeEquivalentTo(7))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(70))
@@ -69,99 +72,105 @@
 		again := w.accepted("", release(limited(6, 60), 5))
 		Expect(again.GetBundle().GetMergedDigest()).To(Equal(first.GetBundle().GetMergedDigest()))
 		Expect(again.GetIndex()).To(Equal(first.GetIndex()))
-		Expect(w.accepted("", release(whole(5, 50), 0)).GetBundle().GetVersion()).To(BeEquivalentTo(5))
+		Expect(w.accepted("", release(completeBundle(5, 50), 0)).GetBundle().GetVersion()).To(BeEquivalentTo(5))
 		Expect(active().GetVersion()).To(BeEquivalentTo(406))
 		Expect(proto.Equal(w.state.View().Versions(), before)).To(BeTrue())
 	})
 
-	It("takes the same content under its number, but on another base, for another release", func() {
-		w.accepted("", release(whole(7, 70), 5))
-		Expect(codes(w.refused("", release(whole(7, 70), 6)))).To(Equal(string(failure.VersionTaken)))
+	It("treats the same content under its number, but on another base, as another release", func() {
+		w.accepted("", release(completeBundle(7, 70), 5))
+		Expect(codes(w.rejected("", release(completeBundle(7, 70), 6)))).To(Equal(string(failure.VersionTaken)))
 	})
 
-	It("never puts one in force that was refused, also when it is sent again", func() {
-		w.accepted("", release(whole(7, 70), 5))
-		w.refused("", release(whole(8, 80), 5))
-		w.accepted("", release(whole(9, 90), 7))
-		w.refused("", release(whole(8, 80), 5))
-		w.refused("", release(whole(8, 80), 9))
+	It("never puts one in force that was rejected, also when it is sent again", func() {
+		w.accepted("", release(completeBundle(7, 70), 5))
+		w.rejected("", release(completeBundle(8, 80), 5))
+		w.accepted("", release(completeBundle(9, 90), 7))
+		w.rejected("", release(completeBundle(8, 80), 5))
+		w.rejected("", release(completeBundle(8, 80), 9))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(90))
 		Expect(w.state.View().Bundle(8)).To(BeNil())
 	})
 
-	DescribeTable("refuses as invalid", func(submitted *protocol.Bundle, path string) {
-		refusal := w.refused("", release(submitted, 5))
-		Expect(codes(refusal)).To(Equal(string(failure.InvalidBundle)))
-		Expect(refusal.GetFaults()).To(HaveLen(1))
-		Expect(refusal.GetFaults()[0].GetPath()).To(Equal(path))
+	DescribeTable("rejects as invalid", func(submitted *protocol.Bundle, path string) {
+		rejection := w.rejected("", release(submitted, 5))
+		Expect(codes(rejection)).To(Equal(string(failure.InvalidBundle)))
+		Expect(rejection.GetFaults()).To(HaveLen(1))
+		Expect(rejection.GetFaults()[0].GetPath()).To(Equal(path))
 		Expect(active().GetVersion()).To(BeEquivalentTo(5))
 	},
-		Entry("a number below the one in force", whole(4, 1), "version"),
-		Entry("no number", whole(0, 1), "version"),
-		Entry("an unknown group", &protocol.Bundle{Version: 6, Routes: []*protocol.Route{{Name: "a", Model: "m", Group: "absent"}}}, "routes[0].group"),
-		Entry("another base than the release names", &protocol.Bundle{Version: 6, BaseVersion: 3, Partial: true}, "base_version"),
-		Entry("an HTTP route without a time-out", &protocol.Bundle{Version: 6, Partial: true, HttpRoutes: []*protocol.HttpRoute{{
-			Name: "a", Host: "h", Prefix: "/", Kind: protocol.HttpRouteKind_HTTP_REPEATABLE,
-			Targets: []*protocol.WeightedGroup{{Group: bundle.GroupDesk, Weight: 1}},
-		}}}, "http_routes[0].timeout_millis"),
+		Entry("a number below the one in force", completeBundle(4, 1), "version"),
+		Entry("no number", completeBundle(0, 1), "version"),
+		Entry("an unknown group", &protocol.Bundle{
+			Version: 6,
+			Routes:  []*protocol.Route{{Name: "a", Model: "m", Group: "absent"}},
+		}, "routes[0].group"),
+		Entry("another base than the release names", &protocol.Bundle{Version: 6, BaseVersion: 3, Partial: true},
+			"base_version"),
+		Entry("an HTTP route without a time-out",
+			&protocol.Bundle{Version: 6, Partial: true, HttpRoutes: []*protocol.HttpRoute{{
+				Name: "a", Host: "h", Prefix: "/", Kind: protocol.HttpRouteKind_HTTP_REPEATABLE,
+				Targets: []*protocol.WeightedGroup{{Group: bundle.GroupDesk, Weight: 1}},
+			}}}, "http_routes[0].timeout_millis"),
 	)
 
-	It("refuses a first one that is partial, and one without content", func() {
+	It("rejects a first one that is partial, and one without content", func() {
 		w = newWorld()
-		Expect(codes(w.refused("", release(limited(1, 1), 0)))).To(Equal(string(failure.InvalidBundle)))
-		Expect(codes(w.refused("", release(nil, 0)))).To(Equal(string(failure.InvalidBundle)))
+		Expect(codes(w.rejected("", release(limited(1, 1), 0)))).To(Equal(string(failure.InvalidBundle)))
+		Expect(codes(w.rejected("", release(nil, 0)))).To(Equal(string(failure.InvalidBundle)))
 		Expect(active()).To(BeNil())
 	})
 
 	It("overtakes a roll-out and withdraws its candidate", func() {
-		w.accepted("", put(whole(6, 60)))
+		w.accepted("", put(completeBundle(6, 60)))
 		w.accepted("", w.sign(6, &protocol.Rollout{ShareBasisPoints: 100}))
-		Expect(codes(w.refused("", release(whole(6, 61), 5)))).To(Equal(string(failure.VersionTaken)))
-		w.accepted("", release(whole(7, 70), 5))
+		Expect(codes(w.rejected("", release(completeBundle(6, 61), 5)))).To(Equal(string(failure.VersionTaken)))
+		w.accepted("", release(completeBundle(7, 70), 5))
 		Expect(w.state.View().Configuration.GetCandidate()).To(BeNil())
 		Expect(w.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
 		w.restart()
 		Expect(w.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
 	})
 
-	It("stands beside the hand-in and sign-off of bundles", func() {
-		w.accepted("", put(whole(6, 60)))
+	It("coexists with the submission and sign-off of bundles", func() {
+		w.accepted("", put(completeBundle(6, 60)))
 		w.accepted("", w.sign(6, nil))
 		w.accepted("", release(limited(9, 90), 6))
 		Expect(w.accepted("", put(queued(10, 100))).GetBundle().GetBaseVersion()).To(BeEquivalentTo(9))
 		w.accepted("", w.sign(10, nil))
-		Expect(codes(w.refused("", release(limited(12, 1), 9)))).To(Equal(string(failure.WrongBase)))
+		Expect(codes(w.rejected("", release(limited(12, 1), 9)))).To(Equal(string(failure.WrongBase)))
 		By("leaving a released one as it is when a key signs it too")
 		w.accepted("", release(limited(12, 120), 10))
 		again := w.accepted("", w.sign(12, nil))
 		Expect(again.GetBundle().GetSignedBy()).To(Equal(controlstate.SignedByCore))
 	})
 
-	It("reaches a holder of an older version as a delta, also when each was sent whole with thousands of routes", func() {
-		routes := func(version uint64, changed int) *protocol.Bundle {
-			made := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "g"}}}
-			for i := range 3000 {
-				made.HttpRoutes = append(made.HttpRoutes, &protocol.HttpRoute{
-					Name: fmt.Sprintf("r%04d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), TimeoutMillis: 1000,
-					Kind: protocol.HttpRouteKind_HTTP_REPEATABLE, Targets: []*protocol.WeightedGroup{{Group: "g", Weight: 1}},
-				})
+	It("is a delta for a node with an older version, also when each release was complete with thousands of routes",
+		func() {
+			routes := func(version uint64, changed int) *protocol.Bundle {
+				routes := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "g"}}}
+				for i := range 3000 {
+					routes.HttpRoutes = append(routes.HttpRoutes, &protocol.HttpRoute{
+						Name: fmt.Sprintf("r%04d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), TimeoutMillis: 1000,
+						Kind: protocol.HttpRouteKind_HTTP_REPEATABLE, Targets: []*protocol.WeightedGroup{{Group: "g", Weight: 1}},
+					})
+				}
+				routes.HttpRoutes[changed].TimeoutMillis = 2000
+				return routes
 			}
-			made.HttpRoutes[changed].TimeoutMillis = 2000
-			return made
-		}
-		w.accepted("", release(routes(6, 0), 5))
-		held := w.state.View().Configuration
-		for version := uint64(7); version < 17; version++ {
-			w.accepted("", release(routes(version, int(version)), version-1))
-		}
-		w.restart()
-		whole, delta := w.state.View().ConfigurationSince(held.GetVersion())
-		Expect(whole).To(BeNil())
-		Expect(proto.Size(delta)).To(BeNumerically("<", 5000))
-		applied, err := bundle.ApplyDelta(held, delta)
-		Expect(err).NotTo(HaveOccurred())
-		Expect(applied.GetActiveDigest()).To(Equal(w.state.View().Configuration.GetActiveDigest()))
-	})
+			w.accepted("", release(routes(6, 0), 5))
+			known := w.state.View().Configuration
+			for version := uint64(7); version < 17; version++ {
+				w.accepted("", release(routes(version, int(version)), version-1))
+			}
+			w.restart()
+			snapshot, delta := w.state.View().ConfigurationSince(known.GetVersion())
+			Expect(snapshot).To(BeNil())
+			Expect(proto.Size(delta)).To(BeNumerically("<", 5000))
+			applied, err := bundle.ApplyDelta(known, delta)
+			Expect(err).NotTo(HaveOccurred())
+			Expect(applied.GetActiveDigest()).To(Equal(w.state.View().Configuration.GetActiveDigest()))
+		})
 })
 
 var _ = Describe("numbered announcements of back ends", func() {
@@ -170,7 +179,7 @@
 		return &protocol.BackEnd{Id: "s1", Address: "10.0.0.1:1", Incarnation: 1, State: state, Capacity: capacity}
 	}
 	ready, draining := protocol.BackEndState_READY, protocol.BackEndState_DRAINING
-	held := func() *protocol.BackEnd { return w.state.View().BackEnd("s1") }
+	current := func() *protocol.BackEnd { return w.state.View().BackEnd("s1") }
 	BeforeEach(func() {
 		w = newWorld()
 		w.accepted("", announce(server(ready, 4), 10))
@@ -180,15 +189,15 @@
 		w.accepted("", announce(server(ready, 6), 12))
 		w.restart()
 		w.accepted("", announce(server(ready, 4), 11))
-		Expect(held().GetCapacity()).To(BeEquivalentTo(6))
+		Expect(current().GetCapacity()).To(BeEquivalentTo(6))
 		w.accepted("", announce(server(ready, 8), 13))
-		Expect(held().GetCapacity()).To(BeEquivalentTo(8))
+		Expect(current().GetCapacity()).To(BeEquivalentTo(8))
 	})
 
 	It("do not make a draining one ready", func() {
 		w.accepted("", announce(server(draining, 4), 12))
 		w.accepted("", announce(server(ready, 4), 13))
-		Expect(held().GetState()).To(Equal(draining))
+		Expect(current().GetState()).To(Equal(draining))
 	})
 
 	It("do not bring back one that left, whether it is known or not, but a new incarnation", func() {
@@ -196,33 +205,33 @@
 		w.restart()
 		w.accepted("", announce(server(ready, 4), 14))
 		w.accepted("", upsert(server(ready, 4)))
-		Expect(held()).To(BeNil())
+		Expect(current()).To(BeNil())
 		Expect(w.state.View().Removed("s1")).To(BeTrue())
 		next := server(ready, 4)
 		next.Incarnation = 2
 		w.accepted("", announce(next, 1))
-		Expect(held()).NotTo(BeNil())
+		Expect(current()).NotTo(BeNil())
 		w.accepted("", depart("unknown", 0))
 		w.accepted("", announce(&protocol.BackEnd{Id: "unknown", Address: "10.0.0.2:1", State: ready}, 3))
 		Expect(w.state.View().BackEnd("unknown")).To(BeNil())
 	})
 
-	It("do not bring back one whose address another one has taken", func() {
+	It("do not bring back one whose address another one has", func() {
 		other := &protocol.BackEnd{Id: "s2", Address: "10.0.0.1:1", Incarnation: 1, State: ready}
 		w.accepted("", announce(other, 1))
-		Expect(held()).To(BeNil())
+		Expect(current()).To(BeNil())
 		w.accepted("", announce(server(ready, 4), 11))
-		Expect(held()).To(BeNil())
+		Expect(current()).To(BeNil())
 		Expect(w.state.View().BackEnd("s2")).NotTo(BeNil())
 	})
 
-	It("bring back one whose lease ran out, but not when they are late", func() {
+	It("bring back one whose lease expired, but not when they are outdated", func() {
 		w.accepted("", announce(server(ready, 6), 12))
-		w.accepted("", &protocol.Command{Body: &protocol.Command_RemoveBackEnd{RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: "s1", Incarnation: 1}}})
+		w.accepted("", removeBackEnd("s1", 1))
 		w.accepted("", announce(server(ready, 4), 11))
-		Expect(held()).To(BeNil())
+		Expect(current()).To(BeNil())
 		w.accepted("", announce(server(ready, 6), 13))
-		Expect(held()).NotTo(BeNil())
+		Expect(current()).NotTo(BeNil())
 	})
 
 	It("are forgotten an hour after the back end was removed", func() {
@@ -242,30 +251,33 @@
 
 var _ = Describe("an order to empty a store that demands enough others", func() {
 	empty := func(name string) *protocol.Command {
-		return &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: &protocol.EmptyStoreCommand{Store: name, StoresToKeep: 3}}}
+		return &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: &protocol.EmptyStoreCommand{
+			Store:        name,
+			StoresToKeep: 3,
+		}}}
 	}
 
-	It("is refused with too few left, and taken again when one came", func() {
+	It("is rejected with too few left, and accepted once one joined", func() {
 		w := newWorld()
 		for number := range 4 {
 			w.accepted("", join(store(number, 1, "disk")))
 		}
-		w.accepted("", &protocol.Command{Body: &protocol.Command_InitializePlacement{InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 4, ReplicaCount: 3}}})
+		w.accepted("", initializePlacement(4, 3))
 		w.accepted("", empty("store-1"))
 		w.accepted("", empty("store-1"))
-		Expect(codes(w.refused("", empty("store-2")))).To(Equal(string(controlstate.TooFewStores)))
-		Expect(codes(w.refused("", empty("store-9")))).To(Equal(string(failure.NotFound)))
+		Expect(codes(w.rejected("", empty("store-2")))).To(Equal(string(controlstate.TooFewStores)))
+		Expect(codes(w.rejected("", empty("store-9")))).To(Equal(string(failure.NotFound)))
 		w.accepted("", join(store(5, 1, "disk")))
 		w.accepted("", empty("store-2"))
 	})
 
-	It("counts a store that is away for a moment", func() {
+	It("counts a store that is absent for a moment", func() {
 		w := newWorld()
 		for number := range 4 {
 			w.accepted("", join(store(number, 1, "disk")))
 		}
-		w.accepted("", &protocol.Command{Body: &protocol.Command_InitializePlacement{InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 4, ReplicaCount: 3}}})
-		w.accepted("", &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{Name: "store-3", Incarnation: 1}}})
+		w.accepted("", initializePlacement(4, 3))
+		w.accepted("", removeNode("store-3", 1))
 		w.accepted("", empty("store-1"))
 	})
 })
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -91,6 +91,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *SnapshotError) Error() string { return "control snapshot is damaged: " + e.Reason }
 
 // Restore makes a state from a snapshot; the error is a *SnapshotError.
--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -102,7 +102,8 @@
 // was retired while away is known by its name alone.
 func (s *State) isRetired(node *protocol.Node) bool {
 	for _, retired := range s.placement.GetRetired() {
-		if retired.GetStore() == node.GetName() && (retired.GetStorageId() == "" || retired.GetStorageId() == node.GetStorageId()) {
+		sameFolder := retired.GetStorageId() == "" || retired.GetStorageId() == node.GetStorageId()
+		if retired.GetStore() == node.GetName() && sameFolder {
 			return true
 		}
 	}
--- a/internal/controlplane/controlstate/suite_test.go
+++ b/internal/controlplane/controlstate/suite_test.go
@@ -33,9 +33,10 @@
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{7}))
 	Expect(err).NotTo(HaveOccurred())
 	w := &world{state: controlstate.New(), private: private}
-	w.apply("", &protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: &protocol.SeedSignOffKeysCommand{
+	seed := &protocol.SeedSignOffKeysCommand{
 		Keys: []*protocol.SignOffKey{{Name: "ann", PublicKey: hex.EncodeToString(public)}},
-	}}})
+	}
+	w.apply("", &protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: seed}})
 	return w
 }
 
@@ -53,7 +54,7 @@
 	return result
 }
 
-func (w *world) refused(order string, command *protocol.Command) *protocol.Refusal {
+func (w *world) rejected(order string, command *protocol.Command) *protocol.Refusal {
 	GinkgoHelper()
 	result := w.apply(order, command)
 	Expect(result.GetAccepted()).To(BeFalse(), result.String())
@@ -77,7 +78,10 @@
 
 // queued is a partial bundle that only sets one limit.
 func queued(version uint64, limit uint32) *protocol.Bundle {
-	return &protocol.Bundle{Version: version, BaseVersion: version - 1, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: limit}}
+	return &protocol.Bundle{
+		Version: version, BaseVersion: version - 1, Partial: true,
+		Limits: &protocol.LimitPolicy{MaxQueued: limit},
+	}
 }
 
 // sign signs a version that was put; the roll-out may be nil.
@@ -121,7 +125,7 @@
 }
 
 func upsert(backEnd *protocol.BackEnd) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}}}
+	return announce(backEnd, 0)
 }
 
 func release(submitted *protocol.Bundle, expected uint64) *protocol.Command {
@@ -131,7 +135,31 @@
 }
 
 func announce(backEnd *protocol.BackEnd, sequence uint64) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence}}}
+	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
+		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence},
+	}}
+}
+
+func removeNode(name string, incarnation uint64) *protocol.Command {
+	return &protocol.Command{Body: &protocol.Command_RemoveNode{
+		RemoveNode: &protocol.RemoveNodeCommand{Name: name, Incarnation: incarnation},
+	}}
+}
+
+func removeBackEnd(id string, incarnation uint64) *protocol.Command {
+	return &protocol.Command{Body: &protocol.Command_RemoveBackEnd{
+		RemoveBackEnd: &protocol.RemoveBackEndCommand{Id: id, Incarnation: incarnation},
+	}}
+}
+
+func initializePlacement(shards, replicas uint32) *protocol.Command {
+	return &protocol.Command{Body: &protocol.Command_InitializePlacement{
+		InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: shards, ReplicaCount: replicas},
+	}}
+}
+
+func moveShard(step *protocol.MoveShardCommand) *protocol.Command {
+	return &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}}
 }
 
 func depart(id string, sequence uint64) *protocol.Command {
@@ -141,7 +169,10 @@
 }
 
 func drain(id string, incarnation uint64) *protocol.Command {
-	return &protocol.Command{Body: &protocol.Command_DrainBackEnd{DrainBackEnd: &protocol.DrainBackEndCommand{Id: id, Incarnation: incarnation}}}
+	return &protocol.Command{Body: &protocol.Command_DrainBackEnd{DrainBackEnd: &protocol.DrainBackEndCommand{
+		Id:          id,
+		Incarnation: incarnation,
+	}}}
 }
 
 func codes(refusal *protocol.Refusal) string { return refusal.GetCode() }
--- a/internal/controlplane/core/operators/handler.go
+++ b/internal/controlplane/core/operators/handler.go
@@ -41,7 +41,9 @@
 	VariantSums(ctx context.Context) ([]*protocol.ArmSample, error)
 	// NodeLeases are the leases of nodes, in their order.
 	NodeLeases(ctx context.Context, nodes []*protocol.Node) ([]leases.Status, error)
+	// AnnounceBackEnd applies what a back end announces of itself.
 	AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error
+	// RemoveBackEnd removes a back end that reports that it left.
 	RemoveBackEnd(ctx context.Context, id string, sequence uint64) error
 	// DrainBackEnd returns once no front node sends to the back end any more, or with the command rejected.
 	DrainBackEnd(
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -23,6 +23,7 @@
 	rejection *protocol.Refusal
 }
 
+// Error implements error.
 func (e *rejectedError) Error() string {
 	return e.rejection.GetCode() + ": " + e.rejection.GetMessage()
 }
--- a/internal/controlplane/core/operators/tokens.go
+++ b/internal/controlplane/core/operators/tokens.go
@@ -30,6 +30,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *TokenFileError) Error() string {
 	return fmt.Sprintf("operator token file, line %d: %s", e.Line, e.Reason)
 }
