--- a/internal/testing/surface/golden_test.go
+++ b/internal/testing/surface/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// update writes the goldens anew: go test ./internal/surface -update.
+// update writes the goldens anew: go test ./internal/testing/surface -update.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // compare holds lines against a golden file and names each line that is gone or new.
