--- a/cmd/rosestand/main.go
+++ b/cmd/rosestand/main.go
@@ -13,11 +13,11 @@
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	code := operator.Execute(ctx, operator.Environment{
-		Arguments: os.Args[1:],
-		Input:     os.Stdin,
-		Output:    os.Stdout,
-		Errors:    os.Stderr,
-		Lookup:    os.Getenv,
+		Arguments:         os.Args[1:],
+		Input:             os.Stdin,
+		Output:            os.Stdout,
+		Errors:            os.Stderr,
+		LookupEnvironment: os.Getenv,
 	})
 	cancel()
 	os.Exit(code)
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -18,35 +18,35 @@
 )
 
 const (
-	bundlesPath = "/v1/bundles"
-	standardIn  = "-"
+	bundlesPath   = "/v1/bundles"
+	standardInput = "-"
 )
 
-func (s *shell) bundleCommand() *cobra.Command {
+func (c *commandLine) bundleCommand() *cobra.Command {
 	return groupCommand("bundle", "deliver, sign off, roll out and look at policy bundles",
-		s.bundlePutCommand(), s.bundleSignCommand(), s.bundleReleaseCommand(), s.bundleRolloutCommand(),
-		s.bundlePromoteCommand(), s.bundleWithdrawCommand(),
-		s.bundleShowCommand(), s.bundleListCommand(), s.bundleDiffCommand(),
-		s.bundleDefaultCommand(), s.bundleKeygenCommand(),
+		c.bundlePutCommand(), c.bundleSignCommand(), c.bundleReleaseCommand(), c.bundleRolloutCommand(),
+		c.bundlePromoteCommand(), c.bundleWithdrawCommand(),
+		c.bundleShowCommand(), c.bundleListCommand(), c.bundleDiffCommand(),
+		c.bundleDefaultCommand(), c.bundleKeygenCommand(),
 	)
 }
 
-func (s *shell) bundlePutCommand() *cobra.Command {
+func (c *commandLine) bundlePutCommand() *cobra.Command {
 	var number uint64
 	command := &cobra.Command{
 		Use:   "put FILE",
 		Short: "deliver a bundle version, whole or partial; - reads standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return s.putBundle(command.Context(), arguments[0], number)
+			return c.putBundle(command.Context(), arguments[0], number)
 		},
 	}
 	command.Flags().Uint64Var(&number, "number", 0, "version to deliver it as, in place of the one in the file")
 	return command
 }
 
-func (s *shell) putBundle(ctx context.Context, path string, number uint64) error {
-	parsed, err := s.readBundle(path, number)
+func (c *commandLine) putBundle(ctx context.Context, path string, number uint64) error {
+	parsed, err := c.readBundle(path, number)
 	if err != nil {
 		return err
 	}
@@ -54,16 +54,16 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.order(ctx, http.MethodPut, bundlePath(strconv.FormatUint(parsed.GetVersion(), 10)), body)
+	answer, err := c.order(ctx, http.MethodPut, bundlePath(strconv.FormatUint(parsed.GetVersion(), 10)), body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(answer, fmt.Sprintf("bundle %d was accepted", parsed.GetVersion()))
+	return c.printResult(answer, fmt.Sprintf("bundle %d was accepted", parsed.GetVersion()))
 }
 
-// readBundle reads a bundle from a file; a number other than zero takes the place of its version.
-func (s *shell) readBundle(path string, number uint64) (*protocol.Bundle, error) {
-	document, err := s.readDocument(path)
+// readBundle reads a bundle from a file; a number other than zero replaces its version.
+func (c *commandLine) readBundle(path string, number uint64) (*protocol.Bundle, error) {
+	document, err := c.readDocument(path)
 	if err != nil {
 		return nil, err
 	}
@@ -80,9 +80,9 @@
 	return parsed, nil
 }
 
-func (s *shell) readDocument(path string) ([]byte, error) {
-	if path == standardIn {
-		document, err := io.ReadAll(s.environment.Input)
+func (c *commandLine) readDocument(path string) ([]byte, error) {
+	if path == standardInput {
+		document, err := io.ReadAll(c.environment.Input)
 		return document, errors.Wrap(err, "read standard input")
 	}
 	document, err := os.ReadFile(path)
@@ -94,13 +94,13 @@
 
 func bundlePath(version string) string { return bundlesPath + "/" + url.PathEscape(version) }
 
-// printResult writes the result of an order about a bundle.
-func (s *shell) printResult(answer []byte, done string) error {
+// printResult prints the result of an order; done states what was done.
+func (c *commandLine) printResult(answer []byte, done string) error {
 	result := &protocol.CommandResult{}
 	if err := decodeProto(answer, result); err != nil {
 		return err
 	}
-	return s.print(answer, func(writer io.Writer) error {
+	return c.print(answer, func(writer io.Writer) error {
 		status := result.GetBundle()
 		if status == nil {
 			_, err := fmt.Fprintf(writer, "%s (control log index %d)\n", done, result.GetIndex())
@@ -112,33 +112,29 @@
 	})
 }
 
-func (s *shell) bundleShowCommand() *cobra.Command {
+func (c *commandLine) bundleShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show VERSION",
 		Short: "show a version by its number, or newest, active or candidate",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := s.ask(command.Context(), http.MethodGet, bundlePath(arguments[0]))
+			answer, err := c.get(command.Context(), bundlePath(arguments[0]))
 			if err != nil {
 				return err
 			}
-			return printJSON(s.environment.Output, answer)
+			return printJSON(c.environment.Output, answer)
 		},
 	}
 }
 
-func (s *shell) bundleListCommand() *cobra.Command {
+func (c *commandLine) bundleListCommand() *cobra.Command {
 	var limit uint64
 	command := &cobra.Command{
 		Use:   "list",
 		Short: "list versions, newest first",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			answer, err := s.ask(command.Context(), http.MethodGet, fmt.Sprintf("%s?limit=%d", bundlesPath, limit))
-			if err != nil {
-				return err
-			}
-			return s.print(answer, func(writer io.Writer) error { return renderBundles(writer, answer) })
+			return c.show(command.Context(), fmt.Sprintf("%s?limit=%d", bundlesPath, limit), renderBundles)
 		},
 	}
 	command.Flags().Uint64Var(&limit, "limit", 50, "number of versions to list")
@@ -146,7 +142,7 @@
 }
 
 func renderBundles(writer io.Writer, answer []byte) error {
-	listed := &bundlesAnswer{}
+	listed := &bundlesResponse{}
 	if err := decode(answer, listed); err != nil {
 		return err
 	}
@@ -154,15 +150,15 @@
 	if err != nil {
 		return err
 	}
-	made := newGrid("version", "state", "base", "in force", "signed by", "merged digest")
+	rows := newGrid("version", "state", "base", "in force", "signed by", "merged digest")
 	for _, status := range statuses {
-		made.add(status.GetVersion(), status.GetState(), status.GetBaseVersion(),
-			inForce(status.GetVersion(), listed), status.GetSignedBy(), status.GetMergedDigest())
+		rows.add(status.GetVersion(), status.GetState(), status.GetBaseVersion(),
+			rolloutState(status.GetVersion(), listed), status.GetSignedBy(), status.GetMergedDigest())
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
-func inForce(version uint64, listed *bundlesAnswer) string {
+func rolloutState(version uint64, listed *bundlesResponse) string {
 	switch version {
 	case listed.Active:
 		return "active"
@@ -173,18 +169,14 @@
 	}
 }
 
-func (s *shell) bundleDiffCommand() *cobra.Command {
+func (c *commandLine) bundleDiffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FROM TO",
 		Short: "compare two versions",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			path := bundlePath(arguments[0]) + "/diff/" + url.PathEscape(arguments[1])
-			answer, err := s.ask(command.Context(), http.MethodGet, path)
-			if err != nil {
-				return err
-			}
-			return s.print(answer, func(writer io.Writer) error { return renderDifference(writer, answer) })
+			return c.show(command.Context(), path, renderDifference)
 		},
 	}
 }
@@ -198,32 +190,35 @@
 		_, err := fmt.Fprintln(writer, "no difference")
 		return err
 	}
-	made := newGrid("part", "change", "name")
-	addChanges(made, "route", difference.Routes)
-	addChanges(made, "group", difference.Groups)
-	addChanges(made, "tenant", difference.Tenants)
-	addChanges(made, "sign-off key", difference.SignOffKeys)
-	addChanges(made, "HTTP route", difference.HTTPRoutes)
-	for part, changed := range map[string]bool{
-		"scheduling": difference.SchedulingChanged, "recovery": difference.RecoveryChanged, "limits": difference.LimitsChanged,
+	rows := newGrid("part", "change", "name")
+	addChanges(rows, "route", difference.Routes)
+	addChanges(rows, "group", difference.Groups)
+	addChanges(rows, "tenant", difference.Tenants)
+	addChanges(rows, "sign-off key", difference.SignOffKeys)
+	addChanges(rows, "HTTP route", difference.HTTPRoutes)
+	for section, changed := range map[string]bool{
+		"scheduling": difference.SchedulingChanged, "recovery": difference.RecoveryChanged,
+		"limits": difference.LimitsChanged,
 	} {
 		if changed {
-			made.add(part, "changed", "")
+			rows.add(section, "changed", "")
 		}
 	}
-	made.sort()
-	return made.print(writer)
+	rows.sort()
+	return rows.print(writer)
 }
 
-func addChanges(made *grid, part string, changes bundle.NamedChanges) {
-	for change, names := range map[string][]string{"added": changes.Added, "removed": changes.Removed, "changed": changes.Changed} {
+func addChanges(rows *grid, section string, changes bundle.NamedChanges) {
+	for change, names := range map[string][]string{
+		"added": changes.Added, "removed": changes.Removed, "changed": changes.Changed,
+	} {
 		for _, name := range names {
-			made.add(part, change, name)
+			rows.add(section, change, name)
 		}
 	}
 }
 
-func (s *shell) bundleDefaultCommand() *cobra.Command {
+func (c *commandLine) bundleDefaultCommand() *cobra.Command {
 	var number uint64
 	command := &cobra.Command{
 		Use:   "default",
@@ -234,7 +229,7 @@
 			if err != nil {
 				return err
 			}
-			return printJSON(s.environment.Output, document)
+			return printJSON(c.environment.Output, document)
 		},
 	}
 	command.Flags().Uint64Var(&number, "number", 1, "version to print it as")
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"net/http"
 	"net/netip"
 	"os"
 	"strings"
@@ -13,6 +14,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 	"github.com/rosestand/rosestand/internal/process/version"
 )
 
@@ -39,36 +41,38 @@
 Environment: ROSESTAND_CORE, ROSESTAND_TOKEN_FILE and ROSESTAND_FRONT stand in
 for --core, --token-file and --front.`
 
-// Environment is what the client has from the system.
+// Environment is what the client gets from the operating system.
 type Environment struct {
+	// Arguments are the command line's, without the program's name.
 	Arguments []string
 	Input     io.Reader
-	Output    io.Writer
-	Errors    io.Writer
-	// Lookup gives environment variables.
-	Lookup func(name string) string
-	// Wait replaces the pauses between attempts; nil for timers.
-	Wait func(ctx context.Context, pause time.Duration) error
+	// Output is for results, Errors for everything else.
+	Output io.Writer
+	Errors io.Writer
+	// LookupEnvironment returns the value of an environment variable, or an empty string.
+	LookupEnvironment func(name string) string
+	// Sleep waits between attempts; nil for apiclient.Sleep.
+	Sleep func(ctx context.Context, pause time.Duration) error
 }
 
 // Execute runs one command and returns its exit code.
 func Execute(ctx context.Context, environment Environment) int {
-	shell := &shell{environment: environment}
-	err := shell.root().ExecuteContext(ctx)
+	line := &commandLine{environment: environment}
+	err := line.root().ExecuteContext(ctx) //nolint:contextcheck // Commands take the context from cobra.
 	if err != nil {
-		shell.say("rosestand: %v", err)
+		line.printNotice("rosestand: %v", err)
 	}
-	if err != nil && !shell.understood {
+	if err != nil && !line.parsed {
 		return ExitUsage
 	}
 	return ExitCode(err)
 }
 
-// shell holds the flags that all commands share.
-type shell struct {
+// commandLine has the flags that all commands share.
+type commandLine struct {
 	environment Environment
-	// understood is set once cobra has found the command and taken its arguments.
-	understood bool
+	// parsed is true once cobra has found the command and accepted its arguments.
+	parsed bool
 
 	cores     []string
 	fronts    []string
@@ -78,7 +82,7 @@
 	timeout   time.Duration
 }
 
-func (s *shell) root() *cobra.Command {
+func (c *commandLine) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "rosestand",
 		Short:         "operators' client of a rosestand cluster",
@@ -87,85 +91,96 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			s.understood = true
-			return s.checkFlags()
+			c.parsed = true
+			return c.checkFlags()
 		},
 	}
-	root.SetArgs(s.environment.Arguments)
-	root.SetIn(s.environment.Input)
-	root.SetOut(s.environment.Output)
-	root.SetErr(s.environment.Errors)
+	root.SetArgs(c.environment.Arguments)
+	root.SetIn(c.environment.Input)
+	root.SetOut(c.environment.Output)
+	root.SetErr(c.environment.Errors)
 	flags := root.PersistentFlags()
-	flags.StringSliceVar(&s.cores, "core", nil, "HTTP addresses (IP:port) of core processes, tried in turn")
-	flags.StringVar(&s.tokenFile, "token-file", "", "file with the operator's bearer token")
-	flags.StringVarP(&s.output, "output", "o", outputTable, "table or json")
-	flags.StringVar(&s.orderID, "order", "", "id of the order, to send an earlier one again; made up when absent")
-	flags.DurationVar(&s.timeout, "timeout", defaultTimeout, "longest time for one request with all its attempts")
+	flags.StringSliceVar(&c.cores, "core", nil, "HTTP addresses (IP:port) of core processes, tried in turn")
+	flags.StringVar(&c.tokenFile, "token-file", "", "file with the operator's bearer token")
+	flags.StringVarP(&c.output, "output", "o", outputTable, "table or json")
+	flags.StringVar(&c.orderID, "order", "", "id of the order, to send an earlier one again; made up when absent")
+	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "longest time for one request with all its attempts")
 	root.AddCommand(
-		s.bundleCommand(), s.nodesCommand(), s.storesCommand(), s.backEndsCommand(), s.coreCommand(),
-		s.explainCommand(), s.stepsCommand(), s.versionCommand(),
+		c.bundleCommand(), c.nodesCommand(), c.storesCommand(), c.backEndsCommand(), c.coreCommand(),
+		c.explainCommand(), c.stepsCommand(), c.versionCommand(),
 	)
 	return root
 }
 
-func (s *shell) versionCommand() *cobra.Command {
+func (c *commandLine) versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "print the version",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			_, err := fmt.Fprintln(s.environment.Output, "rosestand", version.String())
+			_, err := fmt.Fprintln(c.environment.Output, "rosestand", version.String())
 			return err
 		},
 	}
 }
 
-func (s *shell) checkFlags() error {
-	if s.output != outputTable && s.output != outputJSON {
-		return &UsageError{Reason: fmt.Sprintf("--output is %q, must be table or json", s.output)}
+func (c *commandLine) checkFlags() error {
+	if c.output != outputTable && c.output != outputJSON {
+		return &UsageError{Reason: fmt.Sprintf("--output is %q, must be table or json", c.output)}
 	}
-	if s.timeout <= 0 {
+	if c.timeout <= 0 {
 		return &UsageError{Reason: "--timeout must be more than zero"}
 	}
-	if len(s.cores) == 0 {
-		s.cores = splitList(s.environment.Lookup(coreVariable))
+	if len(c.cores) == 0 {
+		c.cores = splitList(c.environment.LookupEnvironment(coreVariable))
 	}
-	if s.tokenFile == "" {
-		s.tokenFile = s.environment.Lookup(tokenVariable)
+	if c.tokenFile == "" {
+		c.tokenFile = c.environment.LookupEnvironment(tokenVariable)
 	}
-	if s.orderID == "" {
-		s.orderID = uuid.NewString()
+	if c.orderID == "" {
+		c.orderID = uuid.NewString()
 	}
 	return nil
 }
 
-// client makes a client for the core.
-func (s *shell) client() (*Client, error) {
-	if len(s.cores) == 0 {
+// client returns a client for the core.
+func (c *commandLine) client() (*apiclient.Client, error) {
+	if len(c.cores) == 0 {
 		return nil, &UsageError{Reason: "give the core's addresses with --core or " + coreVariable}
 	}
-	if err := checkAddresses("--core", s.cores); err != nil {
+	if err := checkAddresses("--core", c.cores); err != nil {
 		return nil, err
 	}
-	token, err := readToken(s.tokenFile)
+	token, err := readToken(c.tokenFile)
 	if err != nil {
 		return nil, err
 	}
-	return NewClient(ClientOptions{Addresses: s.cores, Token: token, Timeout: s.timeout, Wait: s.environment.Wait}), nil
+	return apiclient.New(
+		apiclient.Options{Addresses: c.cores, Token: token, Timeout: c.timeout, Sleep: c.environment.Sleep},
+	), nil
 }
 
-// ask sends one request and returns the answer.
-func (s *shell) ask(ctx context.Context, method, path string) ([]byte, error) {
-	return s.send(ctx, Request{Method: method, Path: path})
+// get sends one read and returns the answer.
+func (c *commandLine) get(ctx context.Context, path string) ([]byte, error) {
+	return c.send(ctx, apiclient.Request{Method: http.MethodGet, Path: path})
+}
+
+// show sends one read and prints the answer, as it is or rendered.
+func (c *commandLine) show(ctx context.Context, path string, render func(io.Writer, []byte) error) error {
+	answer, err := c.get(ctx, path)
+	if err != nil {
+		return err
+	}
+	return c.print(answer, func(writer io.Writer) error { return render(writer, answer) })
 }
 
 // order sends one order under the order id of this run.
-func (s *shell) order(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	return s.send(ctx, Request{Method: method, Path: path, Body: body, OrderID: s.orderID})
+func (c *commandLine) order(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	return c.send(ctx, apiclient.Request{Method: method, Path: path, Body: body, OrderID: c.orderID})
 }
 
-func (s *shell) send(ctx context.Context, request Request) ([]byte, error) {
-	client, err := s.client()
+func (c *commandLine) send(ctx context.Context, request apiclient.Request) ([]byte, error) {
+	client, err := c.client()
 	if err != nil {
 		return nil, err
 	}
@@ -173,16 +188,25 @@
 	return client.Do(ctx, request)
 }
 
-// print writes an answer as it came, or as a table made of it.
-func (s *shell) print(answer []byte, render func(io.Writer) error) error {
-	if s.output == outputJSON {
-		return printJSON(s.environment.Output, answer)
+// print prints an answer as it is with -o json, otherwise rendered.
+func (c *commandLine) print(answer []byte, render func(io.Writer) error) error {
+	if c.output == outputJSON {
+		return printJSON(c.environment.Output, answer)
 	}
-	return render(s.environment.Output)
+	return render(c.environment.Output)
+}
+
+// printDone prints the answer to an order as it is, or a line that states what was done.
+func (c *commandLine) printDone(answer []byte, format string, arguments ...any) error {
+	return c.print(answer, func(writer io.Writer) error {
+		_, err := fmt.Fprintf(writer, format, arguments...)
+		return err
+	})
 }
 
-func (s *shell) say(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(s.environment.Errors, format+"\n", arguments...)
+// printNotice prints a line that is not part of the result.
+func (c *commandLine) printNotice(format string, arguments ...any) {
+	_, _ = fmt.Fprintf(c.environment.Errors, format+"\n", arguments...)
 }
 
 func readToken(path string) (string, error) {
@@ -212,7 +236,7 @@
 	return strings.Split(text, ",")
 }
 
-// requireFlags refuses to go on without the flags.
+// requireFlags returns a *UsageError if one of the flags was not set.
 func requireFlags(flags *pflag.FlagSet, names ...string) error {
 	for _, name := range names {
 		if !flags.Changed(name) {
@@ -222,14 +246,14 @@
 	return nil
 }
 
-// groupCommand is a command that only holds others.
-func groupCommand(use, short string, inner ...*cobra.Command) *cobra.Command {
+// groupCommand returns a command that only has subcommands.
+func groupCommand(use, short string, subcommands ...*cobra.Command) *cobra.Command {
 	command := &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	command.AddCommand(inner...)
+	command.AddCommand(subcommands...)
 	return command
 }
--- a/internal/operator/core.go
+++ b/internal/operator/core.go
@@ -17,12 +17,12 @@
 	membersPath = corePath + "/members"
 )
 
-func (s *shell) coreCommand() *cobra.Command {
+func (c *commandLine) coreCommand() *cobra.Command {
 	return groupCommand("core", "look at the core's members and change them",
-		s.coreStatusCommand(), s.coreAddCommand(), s.coreRemoveCommand())
+		c.coreStatusCommand(), c.coreAddCommand(), c.coreRemoveCommand())
 }
 
-func (s *shell) coreStatusCommand() *cobra.Command {
+func (c *commandLine) coreStatusCommand() *cobra.Command {
 	var local bool
 	command := &cobra.Command{
 		Use:   "status",
@@ -33,11 +33,7 @@
 			if local {
 				path += "?local=true"
 			}
-			answer, err := s.ask(command.Context(), http.MethodGet, path)
-			if err != nil {
-				return err
-			}
-			return s.print(answer, func(writer io.Writer) error { return renderCore(writer, answer) })
+			return c.show(command.Context(), path, renderCore)
 		},
 	}
 	command.Flags().BoolVar(&local, "local", false, "ask the first process that answers, also when there is no leader")
@@ -49,30 +45,34 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(writer, "cluster %s, term %d, committed %d, applied %d, log from %d; answered by %s\n", status.GetClusterId(),
-		status.GetTerm(), status.GetCommit(), status.GetApplied(), status.GetFirstIndex(), status.GetName())
+	_, err = fmt.Fprintf(writer, "cluster %s, term %d, committed %d, applied %d, log from %d; answered by %s\n",
+		status.GetClusterId(), status.GetTerm(), status.GetCommit(), status.GetApplied(), status.GetFirstIndex(),
+		status.GetName())
 	if err != nil {
 		return err
 	}
-	made := newGrid("name", "id", "role", "zone", "address", "http", "leader")
+	rows := newGrid("name", "id", "role", "zone", "address", "http", "leader")
 	for _, member := range status.GetConfiguration().GetMembers() {
 		leads := ""
 		if member.GetId() == status.GetLeader() {
 			leads = "leads"
 		}
-		made.add(member.GetName(), member.GetId(), roleOf(member), member.GetZone(), member.GetAddress(), member.GetHttpAddress(), leads)
+		rows.add(
+			member.GetName(), member.GetId(), roleName(member), member.GetZone(), member.GetAddress(), member.GetHttpAddress(),
+			leads,
+		)
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
-func roleOf(member *protocol.CoreMember) string {
+func roleName(member *protocol.CoreMember) string {
 	if member.GetVoter() {
 		return "voter"
 	}
 	return "standby"
 }
 
-func (s *shell) coreAddCommand() *cobra.Command {
+func (c *commandLine) coreAddCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "add ADDRESS",
 		Short: "add the core process with this internal address (IP:port)",
@@ -85,32 +85,26 @@
 			if err != nil {
 				return err
 			}
-			answer, err := s.order(command.Context(), http.MethodPost, membersPath, body)
+			answer, err := c.order(command.Context(), http.MethodPost, membersPath, body)
 			if err != nil {
 				return err
 			}
-			return s.print(answer, func(writer io.Writer) error {
-				_, err := fmt.Fprintf(writer, "core process %s was added\n", arguments[0])
-				return err
-			})
+			return c.printDone(answer, "core process %s was added\n", arguments[0])
 		},
 	}
 }
 
-func (s *shell) coreRemoveCommand() *cobra.Command {
+func (c *commandLine) coreRemoveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove NAME",
 		Short: "remove the core process of this name",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := s.order(command.Context(), http.MethodDelete, membersPath+"/"+url.PathEscape(arguments[0]), nil)
+			answer, err := c.order(command.Context(), http.MethodDelete, membersPath+"/"+url.PathEscape(arguments[0]), nil)
 			if err != nil {
 				return err
 			}
-			return s.print(answer, func(writer io.Writer) error {
-				_, err := fmt.Fprintf(writer, "core process %s was removed\n", arguments[0])
-				return err
-			})
+			return c.printDone(answer, "core process %s was removed\n", arguments[0])
 		},
 	}
 }
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,8 +1,8 @@
-// Package operator is the operators' command-line client: it speaks to the HTTP
-// API of the core, and to front nodes for explanations and traces of training steps.
+// Package operator is the operators' command-line client: it parses commands,
+// sends them to the HTTP API of the core, or to front nodes for explanations and
+// traces of training steps, and prints answers as tables or as JSON.
 //
-// Every order carries an id that the client makes up. When an answer is lost the
-// client sends the same order again, to the same or another core process, so that
-// an order never takes effect twice. The bearer token goes only to the core
-// processes that the operator named or that these name as members.
+// Package apiclient sends the requests; its documentation says why an order takes
+// effect once, and who is sent the token. Exit codes, flags and JSON output are
+// stable, because scripts depend on them. A command runs in one goroutine.
 package operator
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -2,43 +2,45 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 // Exit codes of the client.
 const (
-	// ExitDone says that everything asked for was done.
+	// ExitDone means that everything that was requested was done.
 	ExitDone = 0
-	// ExitFailure says that something else went wrong, such as a file that cannot be read.
+	// ExitFailure means that something else failed, such as reading a file.
 	ExitFailure = 1
-	// ExitUsage says that the command line or a document given is wrong; nothing was sent.
+	// ExitUsage means that the command line or a document is invalid; nothing was sent.
 	ExitUsage = 2
-	// ExitRefused says that the core refused the order; it was not run and never will be.
+	// ExitRejected means that the core rejected the order; it was not run and never will be.
 	ExitRejected = 3
-	// ExitUnauthorized says that the token is missing, wrong or not enough.
+	// ExitUnauthorized means that the token is missing, wrong or not sufficient.
 	ExitUnauthorized = 4
-	// ExitUnreachable says that no core process took the request in time; it was not run.
+	// ExitUnreachable means that no core process accepted the request in time; it was not run.
 	ExitUnreachable = 5
-	// ExitUnknown says that an order was sent and its answer lost; sending it again under the same id is safe.
+	// ExitUnknown means that an order was sent and its answer lost; sending it again under the same id is safe.
 	ExitUnknown = 6
-	// ExitNotFound says that what was named does not exist.
+	// ExitNotFound means that what was named does not exist.
 	ExitNotFound = 7
-	// ExitNotTraced says that a training step does not trace to a single version of the weights.
+	// ExitNotTraced means that a training step does not trace to a single version of the weights.
 	ExitNotTraced = 8
 )
 
-// ExitCode gives the exit code for the error of a command.
+// ExitCode returns the exit code for the error of a command.
 func ExitCode(err error) int {
 	var usage *UsageError
 	var malformed *DocumentError
-	var refused *RejectedError
-	var unreachable *UnreachableError
-	var unknown *UnknownOutcomeError
+	var rejection *apiclient.RejectedError
+	var unreachable *apiclient.UnreachableError
+	var unknown *apiclient.UnknownOutcomeError
 	var missing *NotFoundError
 	var untraced *NotTracedError
 	switch {
@@ -50,8 +52,8 @@
 		return ExitUnknown
 	case errors.As(err, &unreachable):
 		return ExitUnreachable
-	case errors.As(err, &refused):
-		return refused.exitCode()
+	case errors.As(err, &rejection):
+		return rejectionExitCode(rejection)
 	case errors.As(err, &missing):
 		return ExitNotFound
 	case errors.As(err, &untraced):
@@ -61,20 +63,21 @@
 	}
 }
 
-// UsageError says what is wrong with the command line.
+// UsageError reports what is wrong with the command line.
 type UsageError struct {
 	Reason string
 }
 
+// Error is the reason.
 func (e *UsageError) Error() string { return e.Reason }
 
-// DocumentError lists everything that is wrong with a document before it is sent.
+// DocumentError lists the faults of a document, which was not sent.
 type DocumentError struct {
 	Path   string
 	Faults []*protocol.Fault
 }
 
-// Error gives one line a fault, each with its path.
+// Error has a line for each fault, with its path.
 func (e *DocumentError) Error() string {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, "%s cannot be sent", e.Path)
@@ -84,127 +87,75 @@
 	return text.String()
 }
 
-// FileError says that a file could not be read or written.
+// FileError reports that a file could not be read or written.
 type FileError struct {
 	Path  string
 	Cause error
 }
 
+// Error names the path and the cause.
 func (e *FileError) Error() string { return e.Path + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// RefusedError is the answer of a process that did not do what it was asked.
-type RejectedError struct {
-	Status int
-	Detail ErrorDetail
-}
-
-// Error gives the code, the message, every fault with its path and the winner of a taken version.
-func (e *RejectedError) Error() string {
-	text := strings.Builder{}
-	fmt.Fprintf(&text, "%s: %s", e.Detail.Code, e.Detail.Message)
-	if e.Detail.Path != "" && len(e.Detail.Faults) == 0 {
-		fmt.Fprintf(&text, " (%s)", e.Detail.Path)
-	}
-	for _, fault := range e.Detail.Faults {
-		text.WriteString("\n  " + settings.FormatFault(&protocol.Fault{Path: fault.Path, Message: fault.Message}))
-	}
-	if len(e.Detail.Winner) > 0 {
-		text.WriteString("\n  the version is held by " + string(e.Detail.Winner))
-	}
-	return text.String()
-}
-
-func (e *RejectedError) exitCode() int {
-	switch e.Status {
-	case 401, 403:
-		// A signature that does not fit is an order refused for its content.
-		if e.Detail.Code == "bad_signature" {
+// rejectionExitCode returns the exit code for the answer of a process that rejected a request.
+func rejectionExitCode(rejection *apiclient.RejectedError) int {
+	switch rejection.Status {
+	case http.StatusUnauthorized, http.StatusForbidden:
+		// An order with a wrong signature is rejected for its content.
+		if rejection.Detail.Code == "bad_signature" {
 			return ExitRejected
 		}
 		return ExitUnauthorized
-	case 404:
+	case http.StatusNotFound:
 		return ExitNotFound
 	default:
-		if e.Status >= 500 {
+		if rejection.Status >= http.StatusInternalServerError {
 			return ExitFailure
 		}
 		return ExitRejected
 	}
 }
 
-// UnreachableError says that no process took the request before the time ran out.
-type UnreachableError struct {
-	Addresses []string
-	Last      error
-}
-
-func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("no answer from %s: %v", strings.Join(e.Addresses, ", "), e.Last)
-}
-
-// Unwrap returns the last failure.
-func (e *UnreachableError) Unwrap() error { return e.Last }
-
-// UnknownOutcomeError says that an order was sent and that no answer to it arrived in time.
-type UnknownOutcomeError struct {
-	OrderID string
-	Last    error
-}
-
-func (e *UnknownOutcomeError) Error() string {
-	return fmt.Sprintf("the outcome of the order is unknown (%v); run the same command with --order %s to learn it", e.Last, e.OrderID)
-}
-
-// Unwrap returns the last failure.
-func (e *UnknownOutcomeError) Unwrap() error { return e.Last }
-
-// RedirectError says that a core process sent the client on to an address that is not of the cluster.
-type RedirectError struct {
-	From string
-	To   string
-}
-
-func (e *RedirectError) Error() string {
-	return fmt.Sprintf("%s sent the request on to %s, which is no core process of the cluster; nothing was sent there", e.From, e.To)
-}
-
-// DigestError says that what is to be signed is not what it is said to be.
+// DigestError reports that the bundle to sign does not have the expected digest.
 type DigestError struct {
 	Version  uint64
 	Expected string
-	Found    string
+	Actual   string
 }
 
+// Error names the version and both digests.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("bundle %d has the digest %s, not %s; it was not signed", e.Version, e.Found, e.Expected)
+	return fmt.Sprintf("bundle %d has the digest %s, not %s; it was not signed", e.Version, e.Actual, e.Expected)
 }
 
-// NotFoundError says that no process knows what was named.
+// NotFoundError reports that no process knows what was named.
 type NotFoundError struct {
 	What string
 }
 
+// Error names what was not found.
 func (e *NotFoundError) Error() string { return e.What + " was not found" }
 
-// NotTracedError says that a training step does not trace to a single version of the weights.
+// NotTracedError reports that a training step does not trace to a single version of the weights.
 type NotTracedError struct {
 	Step   string
 	Reason string
 }
 
+// Error names the step and the reason.
 func (e *NotTracedError) Error() string {
 	return fmt.Sprintf("training step %s does not trace to a single version: %s", e.Step, e.Reason)
 }
 
-// WaitError says that a change did not come to its end in time; it goes on without the client.
+// WaitError reports that a change did not complete in time; it continues without the client.
 type WaitError struct {
 	What  string
 	State string
 }
 
+// Error names what changes and its state.
 func (e *WaitError) Error() string {
 	return fmt.Sprintf("%s did not end in time (%s); it goes on", e.What, e.State)
 }
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -12,7 +12,7 @@
 
 const explainPath = "/v1/explain/"
 
-func (s *shell) explainCommand() *cobra.Command {
+func (c *commandLine) explainCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "explain REQUEST_ID",
 		Short: "show why a request went where it went",
@@ -20,17 +20,17 @@
 			"Without --front the front nodes are taken from the core.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := s.askFronts(command.Context(), frontQuestion{
+			answer, err := c.queryFronts(command.Context(), frontQuery{
 				path:    explainPath + url.PathEscape(arguments[0]),
 				subject: "request " + arguments[0],
 			})
 			if err != nil {
 				return err
 			}
-			return s.print(answer, func(writer io.Writer) error { return renderExplanations(writer, answer) })
+			return c.print(answer, func(writer io.Writer) error { return renderExplanations(writer, answer) })
 		},
 	}
-	s.addFrontFlag(command)
+	c.addFrontFlag(command)
 	return command
 }
 
@@ -48,11 +48,13 @@
 }
 
 func renderExplanation(writer io.Writer, explanation *protocol.Explanation) error {
-	arm := "active"
+	variant := "active"
 	if explanation.GetCandidateArm() {
-		arm = "candidate"
+		variant = "candidate"
 	}
-	_, err := fmt.Fprintf(writer, "request %s as seen by front node %s\n", explanation.GetRequestId(), explanation.GetNode())
+	_, err := fmt.Fprintf(
+		writer, "request %s as seen by front node %s\n", explanation.GetRequestId(), explanation.GetNode(),
+	)
 	if err != nil {
 		return err
 	}
@@ -61,7 +63,7 @@
 	facts.add("session", explanation.GetSession())
 	facts.add("partition holder", explanation.GetPartitionHolder())
 	facts.add("owner", fmt.Sprintf("%s (epoch %d)", explanation.GetOwner(), explanation.GetEpoch()))
-	facts.add("bundle", fmt.Sprintf("%d (%s)", explanation.GetBundleVersion(), arm))
+	facts.add("bundle", fmt.Sprintf("%d (%s)", explanation.GetBundleVersion(), variant))
 	facts.add("route, group", explanation.GetRoute()+", "+explanation.GetGroup())
 	facts.add("algorithm", explanation.GetAlgorithm())
 	facts.add("chosen", explanation.GetChosen())
@@ -81,17 +83,17 @@
 	if len(explanation.GetCandidates()) == 0 {
 		return nil
 	}
-	made := newGrid("candidate", "score", "passed over because")
+	rows := newGrid("candidate", "score", "passed over because")
 	for _, candidate := range explanation.GetCandidates() {
-		made.add(candidate.GetBackEnd(), fmt.Sprintf("%.4g", candidate.GetScore()), candidate.GetReason())
+		rows.add(candidate.GetBackEnd(), fmt.Sprintf("%.4g", candidate.GetScore()), candidate.GetReason())
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
 func renderSteps(writer io.Writer, explanation *protocol.Explanation) error {
-	made := newGrid("after ms", "step", "detail")
+	rows := newGrid("after ms", "step", "detail")
 	for _, step := range explanation.GetSteps() {
-		made.add(fmt.Sprintf("%.3f", float64(step.GetAtMicros())/1000), step.GetWhat(), step.GetDetail())
+		rows.add(fmt.Sprintf("%.3f", float64(step.GetAtMicros())/1000), step.GetWhat(), step.GetDetail())
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
--- a/internal/operator/fake_process_test.go
+++ b/internal/operator/fake_process_test.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// seen is one request as a fake process saw it.
-type seen struct {
+// receivedRequest is one request as a fake process received it.
+type receivedRequest struct {
 	method, path, order, authorization, body string
 }
 
@@ -20,7 +20,7 @@
 	address string
 
 	mutex    sync.Mutex
-	requests []seen
+	requests []receivedRequest
 	answer   func(writer http.ResponseWriter, request *http.Request, body string)
 }
 
@@ -34,7 +34,7 @@
 func (f *fakeProcess) serve(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	f.mutex.Lock()
-	f.requests = append(f.requests, seen{
+	f.requests = append(f.requests, receivedRequest{
 		method: request.Method, path: request.URL.RequestURI(), order: request.Header.Get("Rosestand-Order"),
 		authorization: request.Header.Get("Authorization"), body: string(body),
 	})
@@ -42,10 +42,10 @@
 	f.answer(writer, request, string(body))
 }
 
-func (f *fakeProcess) saw() []seen {
+func (f *fakeProcess) received() []receivedRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]seen(nil), f.requests...)
+	return append([]receivedRequest(nil), f.requests...)
 }
 
 // always answers every request in the same way.
@@ -80,6 +80,7 @@
 	}
 }
 
-func failureBody(code, outcome string) string {
-	return fmt.Sprintf(`{"error":{"code":%q,"message":"because","outcome":%q}}`, code, outcome)
+// rejectionBody is the body of a failure whose request was not run.
+func rejectionBody(code string) string {
+	return fmt.Sprintf(`{"error":{"code":%q,"message":"because","outcome":"not_run"}}`, code)
 }
--- a/internal/operator/fronts.go
+++ b/internal/operator/fronts.go
@@ -7,36 +7,37 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxFrontsAsked bounds the front nodes asked in turn; each one asks other processes by itself.
-const maxFrontsAsked = 5
+// maxQueriedFronts bounds the front nodes that are queried in turn; each of them queries the others itself.
+const maxQueriedFronts = 5
 
-// frontQuestion is what any front node can be asked.
-type frontQuestion struct {
+// frontQuery is a read that any front node can answer.
+type frontQuery struct {
 	path string
-	// subject names what is asked for in an error.
+	// subject names in errors what is read.
 	subject string
 }
 
-func (s *shell) addFrontFlag(command *cobra.Command) {
-	command.Flags().StringSliceVar(&s.fronts, "front", nil, "HTTP addresses (IP:port) of front nodes, tried in turn")
+func (c *commandLine) addFrontFlag(command *cobra.Command) {
+	command.Flags().StringSliceVar(&c.fronts, "front", nil, "HTTP addresses (IP:port) of front nodes, tried in turn")
 }
 
-// frontAddresses takes those of the command line or the environment, or else asks the core.
-func (s *shell) frontAddresses(ctx context.Context) ([]string, error) {
-	if len(s.fronts) == 0 {
-		s.fronts = splitList(s.environment.Lookup(frontVariable))
+// frontAddresses returns those of the command line or the environment, or else those that the core lists.
+func (c *commandLine) frontAddresses(ctx context.Context) ([]string, error) {
+	if len(c.fronts) == 0 {
+		c.fronts = splitList(c.environment.LookupEnvironment(frontVariable))
 	}
-	if len(s.fronts) > 0 {
-		return s.fronts, checkAddresses("--front", s.fronts)
+	if len(c.fronts) > 0 {
+		return c.fronts, checkAddresses("--front", c.fronts)
 	}
-	answer, err := s.ask(ctx, http.MethodGet, nodesPath)
+	answer, err := c.get(ctx, nodesPath)
 	if err != nil {
 		return nil, err
 	}
-	listed := &nodesAnswer{}
+	listed := &nodesResponse{}
 	if err := decode(answer, listed); err != nil {
 		return nil, err
 	}
@@ -56,41 +57,36 @@
 	return addresses, nil
 }
 
-// askFronts asks one front node after the other until one knows the answer. The token is not sent to them.
-func (s *shell) askFronts(ctx context.Context, question frontQuestion) ([]byte, error) {
-	fronts, err := s.frontAddresses(ctx)
+// queryFronts queries one front node after the other until one knows the answer. The token is not sent to them.
+func (c *commandLine) queryFronts(ctx context.Context, query frontQuery) ([]byte, error) {
+	fronts, err := c.frontAddresses(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var last error
 	missing := false
-	for _, address := range fronts[:min(len(fronts), maxFrontsAsked)] {
-		answer, err := s.askFront(ctx, address, question.path)
-		var refused *RejectedError
+	for _, address := range fronts[:min(len(fronts), maxQueriedFronts)] {
+		answer, err := c.queryFront(ctx, address, query.path)
+		var rejection *apiclient.RejectedError
 		switch {
 		case err == nil:
 			return answer, nil
-		case errors.As(err, &refused) && refused.Status == http.StatusNotFound:
+		case errors.As(err, &rejection) && rejection.Status == http.StatusNotFound:
 			missing = true
 		default:
 			last = err
 		}
 	}
 	if missing {
-		return nil, &NotFoundError{What: question.subject}
+		return nil, &NotFoundError{What: query.subject}
 	}
-	return nil, &UnreachableError{Addresses: fronts, Last: last}
+	return nil, &apiclient.UnreachableError{Addresses: fronts, Last: last}
 }
 
-func (s *shell) askFront(ctx context.Context, address, path string) ([]byte, error) {
-	client := NewClient(ClientOptions{Addresses: []string{address}, Timeout: s.timeout, Wait: s.environment.Wait})
+func (c *commandLine) queryFront(ctx context.Context, address, path string) ([]byte, error) {
+	client := apiclient.New(
+		apiclient.Options{Addresses: []string{address}, Timeout: c.timeout, Sleep: c.environment.Sleep},
+	)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(ctx, s.timeout)
-	defer cancel()
-	attempt := &attempts{client: client, request: Request{Method: http.MethodGet, Path: path}}
-	answer, next, err := attempt.try(ctx, address)
-	if err == nil && next != "" {
-		return nil, &RedirectError{From: address, To: next}
-	}
-	return answer, err
+	return client.DoOnce(ctx, address, apiclient.Request{Method: http.MethodGet, Path: path})
 }
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -13,11 +13,12 @@
 
 const keyFileMode = 0o600
 
-// KeyFileError says that a file holds no sign-off key. It never shows the content.
+// KeyFileError reports that a file has no sign-off key. It never shows the content.
 type KeyFileError struct {
 	Path string
 }
 
+// Error names the path.
 func (e *KeyFileError) Error() string {
 	return fmt.Sprintf("%s holds no ed25519 seed of %d bytes in hex", e.Path, ed25519.SeedSize)
 }
@@ -42,7 +43,7 @@
 	return hex.EncodeToString(public), nil
 }
 
-// loadKey reads the private key from a file with its seed in hex.
+// loadKey loads the private key from a file with its seed in hex.
 func loadKey(path string) (ed25519.PrivateKey, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operator/nodes.go
+++ b/internal/operator/nodes.go
@@ -1,7 +1,6 @@
 package operator
 
 import (
-	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -18,23 +17,19 @@
 	backEndsPath = "/v1/backends"
 )
 
-func (s *shell) nodesCommand() *cobra.Command {
+func (c *commandLine) nodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "nodes",
 		Short: "list the nodes under a lease and what each has in force",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			answer, err := s.ask(command.Context(), http.MethodGet, nodesPath)
-			if err != nil {
-				return err
-			}
-			return s.print(answer, func(writer io.Writer) error { return renderNodes(writer, answer) })
+			return c.show(command.Context(), nodesPath, renderNodes)
 		},
 	}
 }
 
 func renderNodes(writer io.Writer, answer []byte) error {
-	listed := &nodesAnswer{}
+	listed := &nodesResponse{}
 	if err := decode(answer, listed); err != nil {
 		return err
 	}
@@ -42,40 +37,39 @@
 	if err != nil {
 		return err
 	}
-	leases := map[string]leaseAnswer{}
+	leases := map[string]leaseResponse{}
 	for _, lease := range listed.Leases {
 		leases[lease.Name] = lease
 	}
-	made := newGrid("name", "kind", "zone", "region", "address", "http", "lease ms", "configuration", "back ends", "placement", "draining")
+	rows := newGrid(
+		"name", "kind", "zone", "region", "address", "http", "lease ms", "configuration", "back ends", "placement",
+		"draining",
+	)
 	for _, node := range nodes {
 		lease := leases[node.GetName()]
-		made.add(node.GetName(), strings.ToLower(node.GetKind().String()), node.GetZone(), node.GetRegion(),
+		rows.add(node.GetName(), strings.ToLower(node.GetKind().String()), node.GetZone(), node.GetRegion(),
 			node.GetAddress(), node.GetHttpAddress(), lease.MillisLeft,
 			lease.InForce.Configuration, lease.InForce.BackEnds, lease.InForce.Placement, node.GetDraining())
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
-func (s *shell) backEndsCommand() *cobra.Command {
+func (c *commandLine) backEndsCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "backends",
 		Short: "list and drain model servers and tool servers",
 		Args:  cobra.NoArgs,
-		RunE:  s.listBackEnds,
+		RunE:  c.listBackEnds,
 	}
 	command.AddCommand(
-		&cobra.Command{Use: "list", Short: "list back ends", Args: cobra.NoArgs, RunE: s.listBackEnds},
-		s.backEndsDrainCommand(),
+		&cobra.Command{Use: "list", Short: "list back ends", Args: cobra.NoArgs, RunE: c.listBackEnds},
+		c.backEndsDrainCommand(),
 	)
 	return command
 }
 
-func (s *shell) listBackEnds(command *cobra.Command, _ []string) error {
-	answer, err := s.ask(command.Context(), http.MethodGet, backEndsPath)
-	if err != nil {
-		return err
-	}
-	return s.print(answer, func(writer io.Writer) error { return renderBackEnds(writer, answer) })
+func (c *commandLine) listBackEnds(command *cobra.Command, _ []string) error {
+	return c.show(command.Context(), backEndsPath, renderBackEnds)
 }
 
 func renderBackEnds(writer io.Writer, answer []byte) error {
@@ -83,17 +77,17 @@
 	if err := decodeProto(answer, view); err != nil {
 		return err
 	}
-	made := newGrid("id", "kind", "state", "address", "zone", "region", "group", "serves", "capacity", "incarnation")
+	rows := newGrid("id", "kind", "state", "address", "zone", "region", "group", "serves", "capacity", "incarnation")
 	for _, backEnd := range view.GetBackEnds() {
 		serves := strings.Join(append(append([]string(nil), backEnd.GetModels()...), backEnd.GetTools()...), ",")
-		made.add(backEnd.GetId(), strings.ToLower(backEnd.GetKind().String()), strings.ToLower(backEnd.GetState().String()),
+		rows.add(backEnd.GetId(), strings.ToLower(backEnd.GetKind().String()), strings.ToLower(backEnd.GetState().String()),
 			backEnd.GetAddress(), backEnd.GetZone(), backEnd.GetRegion(), backEnd.GetGroup(), serves,
 			backEnd.GetCapacity(), backEnd.GetIncarnation())
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
-func (s *shell) backEndsDrainCommand() *cobra.Command {
+func (c *commandLine) backEndsDrainCommand() *cobra.Command {
 	var incarnation uint64
 	command := &cobra.Command{
 		Use:   "drain ID",
@@ -104,18 +98,17 @@
 			if err != nil {
 				return err
 			}
-			answer, err := s.order(command.Context(), http.MethodPost, backEndsPath+"/"+url.PathEscape(arguments[0])+"/drain", body)
+			answer, err := c.order(
+				command.Context(), http.MethodPost, backEndsPath+"/"+url.PathEscape(arguments[0])+"/drain", body,
+			)
 			if err != nil {
 				return err
 			}
-			drained := &drainAnswer{}
+			drained := &drainResponse{}
 			if err := decode(answer, drained); err != nil {
 				return err
 			}
-			return s.print(answer, func(writer io.Writer) error {
-				_, err := fmt.Fprintf(writer, "back end %s is drained in view %d\n", arguments[0], drained.ViewVersion)
-				return err
-			})
+			return c.printDone(answer, "back end %s is drained in view %d\n", arguments[0], drained.ViewVersion)
 		},
 	}
 	command.Flags().Uint64Var(&incarnation, "incarnation", 0, "incarnation to drain; the present one when absent")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,7 +34,7 @@
 		output, faults   *bytes.Buffer
 		folder           string
 		variables        map[string]string
-		waits            int
+		sleeps           int
 	)
 
 	BeforeEach(func() {
@@ -48,19 +48,19 @@
 		folder = GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(folder, "token"), []byte(token+"\n"), 0o600)).To(Succeed())
 		variables = map[string]string{"ROSESTAND_TOKEN_FILE": filepath.Join(folder, "token")}
-		waits = 0
+		sleeps = 0
 	})
 
-	// run gives a command its core addresses and stops its waiting after a few pauses.
+	// run runs a command with its core addresses and ends its waiting after three sleeps.
 	run := func(cores []string, arguments ...string) int {
 		output.Reset()
 		faults.Reset()
 		return operator.Execute(context.Background(), operator.Environment{
 			Arguments: append([]string{"--core", strings.Join(cores, ",")}, arguments...),
 			Input:     strings.NewReader(""), Output: output, Errors: faults,
-			Lookup: func(name string) string { return variables[name] },
-			Wait: func(context.Context, time.Duration) error {
-				if waits++; waits > 3 {
+			LookupEnvironment: func(name string) string { return variables[name] },
+			Sleep: func(context.Context, time.Duration) error {
+				if sleeps++; sleeps > 3 {
 					return context.DeadlineExceeded
 				}
 				return nil
@@ -74,10 +74,14 @@
 		return path
 	}
 
-	Describe("given a core that takes orders", func() {
+	Describe("given a core that accepts orders", func() {
 		It("delivers a bundle under an order id with the token", func() {
-			Expect(run([]string{leader.address}, "bundle", "put", file("b.json", `{"version": 4, "base_version": 3, "partial": true}`))).To(Equal(operator.ExitDone), faults.String())
-			request := leader.saw()[0]
+			Expect(
+				run(
+					[]string{leader.address}, "bundle", "put", file("b.json", `{"version": 4, "base_version": 3, "partial": true}`),
+				),
+			).To(Equal(operator.ExitDone), faults.String())
+			request := leader.received()[0]
 			Expect(request.method + " " + request.path).To(Equal("PUT /v1/bundles/4"))
 			Expect(request.authorization).To(Equal("Bearer " + token))
 			Expect(request.order).NotTo(BeEmpty())
@@ -89,8 +93,10 @@
 			document := file("b.json", `{"version": 9, "base_version": 7, "partial": true}`)
 			Expect(run([]string{leader.address}, "bundle", "release", document)).To(Equal(operator.ExitDone), faults.String())
 			Expect(output.String()).To(ContainSubstring("bundle 9 is in force"))
-			Expect(run([]string{leader.address}, "bundle", "release", document, "--base", "8", "--number", "10")).To(Equal(operator.ExitDone), faults.String())
-			requests := leader.saw()
+			Expect(
+				run([]string{leader.address}, "bundle", "release", document, "--base", "8", "--number", "10"),
+			).To(Equal(operator.ExitDone), faults.String())
+			requests := leader.received()
 			Expect(requests[0].method + " " + requests[0].path).To(Equal("PUT /v1/releases/9?base=7"))
 			Expect(requests[0].body).To(MatchJSON(`{"version":"9","base_version":"7","partial":true}`))
 			Expect(requests[1].path).To(Equal("/v1/releases/10?base=8"))
@@ -98,11 +104,11 @@
 			Expect(run([]string{leader.address}, "bundle", "release", file("c.json", `{}`))).To(Equal(operator.ExitUsage))
 		})
 
-		It("gives every order an id of its own, or the one asked for", func() {
+		It("gives every order an id of its own, or the requested one", func() {
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
 			Expect(run([]string{leader.address}, "stores", "retire", "store-1", "--order", "mine")).To(Equal(operator.ExitDone))
-			requests := leader.saw()
+			requests := leader.received()
 			Expect(requests[0].order).NotTo(Equal(requests[1].order))
 			Expect(requests[2].order).To(Equal("mine"))
 			Expect(requests[2].path).To(Equal("/v1/stores/store-1/retire"))
@@ -111,19 +117,26 @@
 		DescribeTable("sends each order to its route",
 			func(want, wantBody string, arguments ...string) {
 				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), faults.String())
-				request := leader.saw()[0]
+				request := leader.received()[0]
 				Expect(request.method + " " + request.path).To(Equal(want))
 				Expect(request.order).NotTo(BeEmpty())
 				if wantBody != "" {
 					Expect(request.body).To(MatchJSON(wantBody))
 				}
 			},
-			Entry("rollout", "PUT /v1/rollout", `{"candidateVersion":"5","shareBasisPoints":250,"guard":{"maxErrorRatio":0.02,"minimumSamples":100}}`,
+			Entry("rollout", "PUT /v1/rollout", `{"candidateVersion":"5","shareBasisPoints":250,`+
+				`"guard":{"maxErrorRatio":0.02,"minimumSamples":100}}`,
 				"bundle", "rollout", "5", "--share", "2.5", "--max-error-percent", "2", "--minimum-samples", "100"),
-			Entry("shadow", "PUT /v1/rollout", `{"candidateVersion":"5","shadow":true,"guard":{}}`, "bundle", "rollout", "5", "--shadow"),
+			Entry(
+				"shadow", "PUT /v1/rollout", `{"candidateVersion":"5","shadow":true,"guard":{}}`, "bundle", "rollout", "5",
+				"--shadow",
+			),
 			Entry("promote", "POST /v1/rollout/promote", `{"candidateVersion":"5"}`, "bundle", "promote", "5"),
 			Entry("withdraw", "POST /v1/rollout/withdraw", `{"candidateVersion":"5"}`, "bundle", "withdraw", "5"),
-			Entry("drain", "POST /v1/backends/gpu%2F1/drain", `{"id":"gpu/1","incarnation":"7"}`, "backends", "drain", "gpu/1", "--incarnation", "7"),
+			Entry(
+				"drain", "POST /v1/backends/gpu%2F1/drain", `{"id":"gpu/1","incarnation":"7"}`, "backends", "drain", "gpu/1",
+				"--incarnation", "7",
+			),
 			Entry("core add", "POST /v1/core/members", `{"address":"127.0.0.1:9"}`, "core", "add", "127.0.0.1:9"),
 			Entry("core remove", "DELETE /v1/core/members/core-2", "", "core", "remove", "core-2"),
 		)
@@ -134,7 +147,9 @@
 
 		BeforeEach(func() {
 			keyFile = filepath.Join(folder, "alice.key")
-			Expect(run(nil, "bundle", "keygen", "--key-name", "alice", "--key-file", keyFile)).To(Equal(operator.ExitDone), faults.String())
+			Expect(
+				run(nil, "bundle", "keygen", "--key-name", "alice", "--key-file", keyFile),
+			).To(Equal(operator.ExitDone), faults.String())
 			public = strings.TrimSpace(strings.TrimPrefix(output.String(), "alice:"))
 		})
 
@@ -146,7 +161,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			leader.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
 				if request.Method == http.MethodGet {
-					_, _ = fmt.Fprintf(writer, `{"status":{"version":"6","merged_digest":%q},"bundle":%s}`, status.GetMergedDigest(), document)
+					_, _ = fmt.Fprintf(
+						writer, `{"status":{"version":"6","merged_digest":%q},"bundle":%s}`, status.GetMergedDigest(), document,
+					)
 					return
 				}
 				_, _ = io.WriteString(writer, acceptedBody)
@@ -156,9 +173,11 @@
 
 		It("signs the merged digest so that the public half verifies it, and shows it", func() {
 			digest := serveBundle(func(*protocol.BundleStatus) {})
-			Expect(run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile, "--share", "10")).To(Equal(operator.ExitDone), faults.String())
+			Expect(
+				run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile, "--share", "10"),
+			).To(Equal(operator.ExitDone), faults.String())
 			Expect(faults.String()).To(ContainSubstring(digest))
-			request := leader.saw()[1]
+			request := leader.received()[1]
 			Expect(request.path).To(Equal("/v1/bundles/6/sign"))
 			var sent struct {
 				KeyName, Signature string
@@ -173,17 +192,23 @@
 
 		It("does not sign a digest that the content does not have", func() {
 			serveBundle(func(status *protocol.BundleStatus) { status.MergedDigest = strings.Repeat("0", 64) })
-			Expect(run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile)).To(Equal(operator.ExitFailure))
-			Expect(leader.saw()).To(HaveLen(1))
+			Expect(
+				run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile),
+			).To(Equal(operator.ExitFailure))
+			Expect(leader.received()).To(HaveLen(1))
 		})
 
 		It("does not sign another digest than the operator expects", func() {
 			serveBundle(func(*protocol.BundleStatus) {})
-			Expect(run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile, "--digest", "abc")).To(Equal(operator.ExitFailure))
-			Expect(leader.saw()).To(HaveLen(1))
+			Expect(
+				run(
+					[]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile, "--digest", "abc",
+				),
+			).To(Equal(operator.ExitFailure))
+			Expect(leader.received()).To(HaveLen(1))
 		})
 
-		It("keeps the private half to the owner of the file and never overwrites it", func() {
+		It("makes the private half readable for the owner of the file only and never overwrites it", func() {
 			status, err := os.Stat(keyFile)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status.Mode().Perm()).To(BeEquivalentTo(0o600))
@@ -208,7 +233,7 @@
 				_, _ = io.WriteString(writer, acceptedBody)
 			}
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), faults.String())
-			requests := leader.saw()
+			requests := leader.received()
 			Expect(requests).To(HaveLen(3))
 			Expect(requests[1].order).To(Equal(requests[0].order))
 			Expect(requests[2].order).To(Equal(requests[0].order))
@@ -216,11 +241,13 @@
 
 		It("says that the outcome is unknown and names the order when no answer ever comes", func() {
 			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) { loseAnswer(writer) }
-			Expect(run([]string{leader.address}, "stores", "empty", "store-1", "--order", "order-77")).To(Equal(operator.ExitUnknown))
+			Expect(
+				run([]string{leader.address}, "stores", "empty", "store-1", "--order", "order-77"),
+			).To(Equal(operator.ExitUnknown))
 			Expect(faults.String()).To(ContainSubstring("--order order-77"))
 		})
 
-		It("keeps to unknown when the answers after a lost one only say that there is no leader", func() {
+		It("reports an unknown outcome when the answers after a lost one only report that there is no leader", func() {
 			first := true
 			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
 				if first {
@@ -229,12 +256,12 @@
 					return
 				}
 				writer.WriteHeader(http.StatusServiceUnavailable)
-				_, _ = io.WriteString(writer, failureBody("no_leader", "not_run"))
+				_, _ = io.WriteString(writer, rejectionBody("no_leader"))
 			}
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitUnknown))
 		})
 
-		It("calls a read unreachable, which changes nothing", func() {
+		It("reports a lost read as unreachable, since it changes nothing", func() {
 			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) { loseAnswer(writer) }
 			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitUnreachable))
 		})
@@ -242,65 +269,71 @@
 
 	Describe("given several core processes", func() {
 		It("tries the next address when one is down", func() {
-			Expect(run([]string{unusedAddress(), leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), faults.String())
+			Expect(
+				run([]string{unusedAddress(), leader.address}, "stores", "empty", "store-1"),
+			).To(Equal(operator.ExitDone), faults.String())
 		})
 
-		It("says that nothing was run when all are down", func() {
+		It("reports that nothing was run when all are down", func() {
 			Expect(run([]string{unusedAddress()}, "stores", "empty", "store-1")).To(Equal(operator.ExitUnreachable))
 		})
 
-		It("follows a follower to a leader it was told of, keeping order and token", func() {
+		It("follows a redirect to a known leader with the same order and token", func() {
 			follower.sendTo(leader.address)
 			Expect(run([]string{follower.address, leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
-			Expect(leader.saw()[0].order).To(Equal(follower.saw()[0].order))
-			Expect(leader.saw()[0].authorization).To(Equal("Bearer " + token))
+			Expect(leader.received()[0].order).To(Equal(follower.received()[0].order))
+			Expect(leader.received()[0].authorization).To(Equal("Bearer " + token))
 		})
 
 		It("follows to a leader that the follower lists as a member", func() {
 			follower.sendTo(leader.address, leader.address)
 			Expect(run([]string{follower.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), faults.String())
-			Expect(leader.saw()).To(HaveLen(1))
+			Expect(leader.received()).To(HaveLen(1))
 		})
 
 		It("sends nothing to an address outside the cluster", func() {
 			follower.sendTo(leader.address, "127.0.0.1:1")
 			Expect(run([]string{follower.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitFailure))
-			Expect(leader.saw()).To(BeEmpty())
+			Expect(leader.received()).To(BeEmpty())
 		})
 
-		It("waits for a leader while there is none", func() {
-			asked := 0
+		It("sleeps for a leader while there is none", func() {
+			attempts := 0
 			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
-				if asked++; asked < 3 {
+				if attempts++; attempts < 3 {
 					writer.WriteHeader(http.StatusServiceUnavailable)
-					_, _ = io.WriteString(writer, failureBody("no_leader", "not_run"))
+					_, _ = io.WriteString(writer, rejectionBody("no_leader"))
 					return
 				}
 				_, _ = io.WriteString(writer, acceptedBody)
 			}
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
-			Expect(waits).To(Equal(2))
+			Expect(sleeps).To(Equal(2))
 		})
 	})
 
-	Describe("given refusals", func() {
-		DescribeTable("exits with the code of the reason and asks once",
+	Describe("given rejections", func() {
+		DescribeTable("exits with the code of the reason after one request",
 			func(status int, body string, want int) {
 				leader.always(status, body)
 				Expect(run([]string{leader.address}, "stores", "retire", "store-1")).To(Equal(want), faults.String())
-				Expect(leader.saw()).To(HaveLen(1))
+				Expect(leader.received()).To(HaveLen(1))
 			},
-			Entry("a taken version", http.StatusConflict, failureBody("version_taken", "not_run"), operator.ExitRejected),
-			Entry("an invalid order", http.StatusUnprocessableEntity, failureBody("invalid_order", "not_run"), operator.ExitRejected),
-			Entry("a bad signature", http.StatusForbidden, failureBody("bad_signature", "not_run"), operator.ExitRejected),
-			Entry("no token", http.StatusUnauthorized, failureBody("unauthorized", "not_run"), operator.ExitUnauthorized),
-			Entry("not found", http.StatusNotFound, failureBody("not_found", "not_run"), operator.ExitNotFound),
+			Entry("a taken version", http.StatusConflict, rejectionBody("version_taken"), operator.ExitRejected),
+			Entry(
+				"an invalid order", http.StatusUnprocessableEntity, rejectionBody("invalid_order"), operator.ExitRejected,
+			),
+			Entry("a bad signature", http.StatusForbidden, rejectionBody("bad_signature"), operator.ExitRejected),
+			Entry("no token", http.StatusUnauthorized, rejectionBody("unauthorized"), operator.ExitUnauthorized),
+			Entry("not found", http.StatusNotFound, rejectionBody("not_found"), operator.ExitNotFound),
 		)
 
 		It("lists every fault with its path, and the winner", func() {
 			leader.always(http.StatusConflict, `{"error":{"code":"version_taken","message":"taken","outcome":"not_run",
 				"faults":[{"path":"routes[2].group","message":"is missing"}],"winner":{"version":"4"}}}`)
-			Expect(run([]string{leader.address}, "bundle", "put", file("b.json", `{"version":4}`))).To(Equal(operator.ExitRejected))
+			Expect(
+				run([]string{leader.address}, "bundle", "put", file("b.json", `{"version":4}`)),
+			).To(Equal(operator.ExitRejected))
 			Expect(faults.String()).To(And(ContainSubstring("routes[2].group: is missing"), ContainSubstring(`{"version":"4"}`)))
 		})
 	})
@@ -309,7 +342,7 @@
 		DescribeTable("exits with 2 and sends nothing",
 			func(arguments ...string) {
 				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitUsage), faults.String())
-				Expect(leader.saw()).To(BeEmpty())
+				Expect(leader.received()).To(BeEmpty())
 			},
 			Entry("an unknown command", "nonsense"),
 			Entry("an unknown command of a group", "bundle", "nonsense"),
@@ -323,21 +356,29 @@
 		)
 
 		It("lists all faults of a bundle before it is sent", func() {
-			Expect(run([]string{leader.address}, "bundle", "put", file("b.json", `{"version": 1, "nonsense": 1, "routes": [{"nam": ""}]}`))).To(Equal(operator.ExitUsage))
-			Expect(faults.String()).To(And(ContainSubstring("nonsense: unknown field"), ContainSubstring("routes[0].nam: unknown field")))
-			Expect(leader.saw()).To(BeEmpty())
+			Expect(
+				run(
+					[]string{leader.address}, "bundle", "put",
+					file("b.json", `{"version": 1, "nonsense": 1, "routes": [{"nam": ""}]}`),
+				),
+			).To(Equal(operator.ExitUsage))
+			Expect(faults.String()).To(
+				And(ContainSubstring("nonsense: unknown field"), ContainSubstring("routes[0].nam: unknown field")),
+			)
+			Expect(leader.received()).To(BeEmpty())
 		})
 
 		It("never writes the token anywhere", func() {
-			leader.always(http.StatusUnauthorized, failureBody("unauthorized", "not_run"))
+			leader.always(http.StatusUnauthorized, rejectionBody("unauthorized"))
 			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitUnauthorized))
 			Expect(output.String() + faults.String()).NotTo(ContainSubstring(token))
 		})
 	})
 
-	Describe("given things to look at", func() {
+	Describe("given reads", func() {
 		It("lists nodes as a table or as JSON", func() {
-			body := `{"version":"3","nodes":[{"name":"front-1","kind":"FRONT","zone":"z1"}],"leases":[{"name":"front-1","millis_left":4200,"in_force":{"configuration":9}}]}`
+			body := `{"version":"3","nodes":[{"name":"front-1","kind":"FRONT","zone":"z1"}],` +
+				`"leases":[{"name":"front-1","millis_left":4200,"in_force":{"configuration":9}}]}`
 			body = strings.Replace(body, `"version":"3"`, `"version":3`, 1)
 			leader.always(http.StatusOK, body)
 			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitDone), faults.String())
@@ -352,20 +393,33 @@
 				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), faults.String())
 				Expect(output.String()).To(MatchRegexp(want))
 			},
-			Entry("bundles", `{"newest":2,"active":1,"bundles":[{"version":"2","state":"ACCEPTED"},{"version":"1","state":"SIGNED"}]}`,
+			Entry("bundles", `{"newest":2,"active":1,"bundles":[{"version":"2","state":"ACCEPTED"},`+
+				`{"version":"1","state":"SIGNED"}]}`,
 				`(?s)2 +ACCEPTED +0 +\s.*1 +SIGNED +0 +active`, "bundle", "list"),
-			Entry("a difference", `{"from":1,"to":2,"routes":{"added":["r9"]},"limits_changed":true}`, `(?s)limits +changed.*route +added +r9`, "bundle", "diff", "1", "2"),
+			Entry(
+				"a difference", `{"from":1,"to":2,"routes":{"added":["r9"]},"limits_changed":true}`,
+				`(?s)limits +changed.*route +added +r9`, "bundle", "diff", "1", "2",
+			),
 			Entry("no difference", `{"from":1,"to":2}`, `no difference`, "bundle", "diff", "1", "2"),
-			Entry("a roll-out", `{"active":1,"rollout":{"candidate_version":"2","share_basis_points":250},"arms":[{"bundle_version":"2","candidate":true,"requests":"40","errors":"1","first_token_buckets":["0","40"]}]}`,
+			Entry("a roll-out", `{"active":1,"rollout":{"candidate_version":"2","share_basis_points":250},`+
+				`"arms":[{"bundle_version":"2","candidate":true,"requests":"40","errors":"1","first_token_buckets":["0","40"]}]}`,
 				`(?s)bundle 2 beside 1, 2.5%.*candidate +40 +1`, "bundle", "rollout"),
 			Entry("no roll-out", `{"active":1,"arms":[]}`, `no roll-out is under way`, "bundle", "rollout"),
-			Entry("back ends", `{"version":"4","back_ends":[{"id":"gpu-1","kind":"MODEL_SERVER","state":"READY","models":["m"]}]}`, `gpu-1 +model_server +ready`, "backends"),
-			Entry("stores", `{"placement_epoch":7,"shards":64,"shards_moving":2,"stores":[{"name":"store-1","state":"emptying","shards":5}]}`, `(?s)store-1 +emptying.*64 shards, 2 moving`, "stores", "list"),
-			Entry("the core", `{"name":"core-1","leader":"2","configuration":{"members":[{"id":"2","name":"core-2","voter":true},{"id":"3","name":"core-3"}]}}`,
+			Entry(
+				"back ends", `{"version":"4","back_ends":[{"id":"gpu-1","kind":"MODEL_SERVER","state":"READY","models":["m"]}]}`,
+				`gpu-1 +model_server +ready`, "backends",
+			),
+			Entry(
+				"stores",
+				`{"placement_epoch":7,"shards":64,"shards_moving":2,"stores":[{"name":"store-1","state":"emptying","shards":5}]}`,
+				`(?s)store-1 +emptying.*64 shards, 2 moving`, "stores", "list",
+			),
+			Entry("the core", `{"name":"core-1","leader":"2","configuration":{"members":[`+
+				`{"id":"2","name":"core-2","voter":true},{"id":"3","name":"core-3"}]}}`,
 				`(?s)core-2 +2 +voter.*leads.*core-3 +3 +standby`, "core", "status"),
 		)
 
-		It("waits until a store is emptied", func() {
+		It("sleeps until a store is emptied", func() {
 			shards := 3
 			leader.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
 				if request.Method == http.MethodPost {
@@ -378,12 +432,14 @@
 				}
 				_, _ = fmt.Fprintf(writer, `{"stores":[{"name":"store-1","state":%q,"shards":%d}]}`, state, shards)
 			}
-			Expect(run([]string{leader.address}, "stores", "empty", "store-1", "--wait")).To(Equal(operator.ExitDone), faults.String())
+			Expect(
+				run([]string{leader.address}, "stores", "empty", "store-1", "--wait"),
+			).To(Equal(operator.ExitDone), faults.String())
 			Expect(output.String()).To(ContainSubstring("store store-1 is emptied"))
-			Expect(waits).To(Equal(2))
+			Expect(sleeps).To(Equal(2))
 		})
 
-		It("explains a request through the front nodes the core knows, without sending them the token", func() {
+		It("explains a request through the front nodes that the core lists, without sending them the token", func() {
 			front := newFakeProcess()
 			defer front.server.Close()
 			front.always(http.StatusOK, `{"explanations":[{"request_id":"r 1","node":"front-1","owner":"front-2","epoch":"3",
@@ -392,22 +448,24 @@
 			leader.always(http.StatusOK, fmt.Sprintf(`{"nodes":[{"name":"front-0","kind":"FRONT","http_address":%q},
 				{"name":"front-1","kind":"FRONT","http_address":%q}]}`, unusedAddress(), front.address))
 			Expect(run([]string{leader.address}, "explain", "r 1")).To(Equal(operator.ExitDone), faults.String())
-			Expect(front.saw()[0].path).To(Equal("/v1/explain/r%201"))
-			Expect(front.saw()[0].authorization).To(BeEmpty())
-			Expect(output.String()).To(And(ContainSubstring("front-2 (epoch 3)"), ContainSubstring("over the load bound"), MatchRegexp(`1\.500 +lookup`)))
+			Expect(front.received()[0].path).To(Equal("/v1/explain/r%201"))
+			Expect(front.received()[0].authorization).To(BeEmpty())
+			Expect(output.String()).To(
+				And(ContainSubstring("front-2 (epoch 3)"), ContainSubstring("over the load bound"), MatchRegexp(`1\.500 +lookup`)),
+			)
 		})
 
-		It("says so when no front node knows a request", func() {
-			leader.always(http.StatusNotFound, failureBody("not_found", "not_run"))
+		It("reports when no front node knows a request", func() {
+			leader.always(http.StatusNotFound, rejectionBody("not_found"))
 			Expect(run(nil, "explain", "gone", "--front", leader.address)).To(Equal(operator.ExitNotFound))
 		})
 
-		It("prints a bundle to begin with that it would accept", func() {
+		It("prints a default bundle that it would accept", func() {
 			Expect(run(nil, "bundle", "default", "--number", "3")).To(Equal(operator.ExitDone))
 			parsed, err := bundle.Parse(output.Bytes())
 			Expect(err).NotTo(HaveOccurred())
-			_, found := bundle.Check(nil, parsed)
-			Expect(found).To(BeEmpty())
+			_, checkFaults := bundle.Check(nil, parsed)
+			Expect(checkFaults).To(BeEmpty())
 		})
 
 		It("writes a completion script", func() {
@@ -417,9 +475,9 @@
 	})
 })
 
-// unusedAddress gives an address that nothing listens on.
+// unusedAddress returns an address that nothing listens on.
 func unusedAddress() string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer listener.Close()
 	return listener.Addr().String()
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -14,29 +14,29 @@
 	outputJSON  = "json"
 )
 
-// printJSON writes a JSON document indented, as it came.
+// printJSON prints a JSON document, indented but otherwise unchanged.
 func printJSON(writer io.Writer, document []byte) error {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, bytes.TrimSpace(document), "", "  "); err != nil {
-		return &AnswerError{Cause: err}
+		return &ResponseError{Cause: err}
 	}
 	indented.WriteByte('\n')
 	_, err := writer.Write(indented.Bytes())
 	return err
 }
 
-// grid is a table on its way out.
+// grid is a table to print.
 type grid struct {
 	writer table.Writer
 }
 
 func newGrid(columns ...any) *grid {
-	made := table.NewWriter()
+	writer := table.NewWriter()
 	style := table.StyleDefault
 	style.Options = table.OptionsNoBordersAndSeparators
-	made.SetStyle(style)
-	made.AppendHeader(table.Row(columns))
-	return &grid{writer: made}
+	writer.SetStyle(style)
+	writer.AppendHeader(table.Row(columns))
+	return &grid{writer: writer}
 }
 
 func (g *grid) add(cells ...any) { g.writer.AppendRow(table.Row(cells)) }
@@ -46,7 +46,7 @@
 	return err
 }
 
-// sort orders the rows by all columns from the left.
+// sort sorts the rows by the first three columns, from the left.
 func (g *grid) sort() {
 	keys := make([]table.SortBy, 3)
 	for i := range keys {
--- a/internal/operator/releases.go
+++ b/internal/operator/releases.go
@@ -14,23 +14,25 @@
 const releasesPath = "/v1/releases/"
 
 // bundleReleaseCommand puts a bundle in force without a sign-off, at a core that trusts its operators.
-func (s *shell) bundleReleaseCommand() *cobra.Command {
+func (c *commandLine) bundleReleaseCommand() *cobra.Command {
 	var number, base uint64
 	command := &cobra.Command{
 		Use:   "release FILE",
 		Short: "put a bundle in force at once, where the core trusts its operators; - reads standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return s.releaseBundle(command.Context(), arguments[0], number, base)
+			return c.releaseBundle(command.Context(), arguments[0], number, base)
 		},
 	}
 	command.Flags().Uint64Var(&number, "number", 0, "version to release it as, in place of the one in the file")
-	command.Flags().Uint64Var(&base, "base", 0, "version in force that it is built on, in place of base_version in the file; 0 for the first")
+	command.Flags().Uint64Var(
+		&base, "base", 0, "version in force that it is built on, in place of base_version in the file; 0 for the first",
+	)
 	return command
 }
 
-func (s *shell) releaseBundle(ctx context.Context, path string, number, base uint64) error {
-	parsed, err := s.readBundle(path, number)
+func (c *commandLine) releaseBundle(ctx context.Context, path string, number, base uint64) error {
+	parsed, err := c.readBundle(path, number)
 	if err != nil {
 		return err
 	}
@@ -43,9 +45,9 @@
 		return err
 	}
 	version := strconv.FormatUint(parsed.GetVersion(), 10)
-	answer, err := s.order(ctx, http.MethodPut, releasesPath+version+"?base="+strconv.FormatUint(base, 10), body)
+	answer, err := c.order(ctx, http.MethodPut, releasesPath+version+"?base="+strconv.FormatUint(base, 10), body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(answer, fmt.Sprintf("bundle %s is in force", version))
+	return c.printResult(answer, fmt.Sprintf("bundle %s is in force", version))
 }
--- a/internal/operator/answers.go
+++ b/internal/operator/responses.go
@@ -11,44 +11,45 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// AnswerError says that an answer could not be understood.
-type AnswerError struct {
+// ResponseError reports that an answer could not be decoded.
+type ResponseError struct {
 	Cause error
 }
 
-func (e *AnswerError) Error() string { return "the answer cannot be understood: " + e.Cause.Error() }
+// Error names the cause.
+func (e *ResponseError) Error() string { return "the answer cannot be understood: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *AnswerError) Unwrap() error { return e.Cause }
+func (e *ResponseError) Unwrap() error { return e.Cause }
 
-// bundlesAnswer lists bundle versions.
-type bundlesAnswer struct {
+// bundlesResponse lists bundle versions.
+type bundlesResponse struct {
 	Newest    uint64            `json:"newest"`
 	Active    uint64            `json:"active"`
 	Candidate uint64            `json:"candidate"`
 	Bundles   []json.RawMessage `json:"bundles"`
 }
 
-// bundleAnswer is one version; its content is absent once it is not kept any more.
-type bundleAnswer struct {
+// bundleResponse is one version; its content is absent once it is no longer retained.
+type bundleResponse struct {
 	Status json.RawMessage `json:"status"`
 	Bundle json.RawMessage `json:"bundle"`
 }
 
-// rolloutAnswer is the roll-out under way with what its arms measured.
-type rolloutAnswer struct {
+// rolloutResponse is the roll-out in progress with the measurements of its variants.
+type rolloutResponse struct {
 	Active   uint64            `json:"active"`
 	Rollout  json.RawMessage   `json:"rollout"`
 	Variants []json.RawMessage `json:"arms"`
 }
 
-type nodesAnswer struct {
+type nodesResponse struct {
 	Version uint64            `json:"version"`
 	Nodes   []json.RawMessage `json:"nodes"`
-	Leases  []leaseAnswer     `json:"leases"`
+	Leases  []leaseResponse   `json:"leases"`
 }
 
-type leaseAnswer struct {
+type leaseResponse struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	MillisLeft  int64  `json:"millis_left"`
@@ -60,33 +61,33 @@
 	} `json:"in_force"`
 }
 
-type storesAnswer struct {
+type storesResponse struct {
 	PlacementEpoch uint64                     `json:"placement_epoch"`
 	Shards         int                        `json:"shards"`
 	ShardsMoving   int                        `json:"shards_moving"`
 	Stores         []controlstate.StoreReport `json:"stores"`
 }
 
-type drainAnswer struct {
+type drainResponse struct {
 	ViewVersion uint64 `json:"view_version"`
 }
 
 func decode(body []byte, target any) error {
 	if err := json.Unmarshal(body, target); err != nil {
-		return &AnswerError{Cause: err}
+		return &ResponseError{Cause: err}
 	}
 	return nil
 }
 
-// decodeProto reads a message; fields of newer servers are passed over.
+// decodeProto decodes a message; it ignores fields of newer servers.
 func decodeProto(body []byte, message proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, message); err != nil {
-		return &AnswerError{Cause: err}
+		return &ResponseError{Cause: err}
 	}
 	return nil
 }
 
-// decodeList reads a list of messages of one type.
+// decodeList decodes a list of messages of one type.
 func decodeList[T any, M interface {
 	*T
 	proto.Message
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -33,16 +33,23 @@
 
 var rolloutFlagNames = []string{"share", "shadow", "max-error-percent", "max-first-token-p95-millis", "minimum-samples"}
 
-func (r *rolloutFlags) add(flags *pflag.FlagSet) {
+func (r *rolloutFlags) register(flags *pflag.FlagSet) {
 	flags.Float64Var(&r.sharePercent, rolloutFlagNames[0], 0, "percent of programs that the candidate serves")
-	flags.BoolVar(&r.shadow, rolloutFlagNames[1], false, "let the candidate decide beside the active bundle without running anything")
-	flags.Float64Var(&r.maxErrorPercent, rolloutFlagNames[2], 0, "withdraw the candidate when more of its requests fail; 0 for no limit")
-	flags.Uint32Var(&r.maxFirstTokenP95, rolloutFlagNames[3], 0, "withdraw the candidate when its first token takes longer; 0 for no limit")
+	flags.BoolVar(
+		&r.shadow, rolloutFlagNames[1], false, "let the candidate decide beside the active bundle without running anything",
+	)
+	flags.Float64Var(
+		&r.maxErrorPercent, rolloutFlagNames[2], 0, "withdraw the candidate when more of its requests fail; 0 for no limit",
+	)
+	flags.Uint32Var(
+		&r.maxFirstTokenP95, rolloutFlagNames[3], 0,
+		"withdraw the candidate when its first token takes longer; 0 for no limit",
+	)
 	flags.Uint32Var(&r.minimumSamples, rolloutFlagNames[4], 0, "requests of the candidate before a limit counts")
 }
 
-// used reports whether any flag of the roll-out was given.
-func (r *rolloutFlags) used(flags *pflag.FlagSet) bool {
+// anyChanged reports whether any flag of the roll-out was set.
+func (r *rolloutFlags) anyChanged(flags *pflag.FlagSet) bool {
 	return slices.ContainsFunc(rolloutFlagNames, flags.Changed)
 }
 
@@ -63,42 +70,42 @@
 	}, nil
 }
 
-func (s *shell) bundleRolloutCommand() *cobra.Command {
-	given := &rolloutFlags{}
+func (c *commandLine) bundleRolloutCommand() *cobra.Command {
+	options := &rolloutFlags{}
 	command := &cobra.Command{
 		Use:   "rollout [VERSION]",
 		Short: "make a signed version the candidate of a roll-out; without a version, show the one under way",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if len(arguments) == 0 {
-				return s.showRollout(command.Context())
+				return c.showRollout(command.Context())
 			}
 			number, err := parseVersion(arguments[0])
 			if err != nil {
 				return err
 			}
-			rollout, err := given.build(number)
+			rollout, err := options.build(number)
 			if err != nil {
 				return err
 			}
-			return s.orderRollout(command.Context(), http.MethodPut, rolloutPath, rollout,
+			return c.orderRollout(command.Context(), http.MethodPut, rolloutPath, rollout,
 				fmt.Sprintf("bundle %d is the candidate", number))
 		},
 	}
-	given.add(command.Flags())
+	options.register(command.Flags())
 	return command
 }
 
-func (s *shell) bundlePromoteCommand() *cobra.Command {
-	return s.candidateCommand("promote VERSION", "put the candidate in force everywhere", "/promote", "was promoted")
+func (c *commandLine) bundlePromoteCommand() *cobra.Command {
+	return c.candidateCommand("promote VERSION", "put the candidate in force everywhere", "/promote", "was promoted")
 }
 
-func (s *shell) bundleWithdrawCommand() *cobra.Command {
-	return s.candidateCommand("withdraw VERSION", "take the candidate back", "/withdraw", "was withdrawn")
+func (c *commandLine) bundleWithdrawCommand() *cobra.Command {
+	return c.candidateCommand("withdraw VERSION", "take the candidate back", "/withdraw", "was withdrawn")
 }
 
 // candidateCommand names the candidate's version, so that a late order cannot hit the next candidate.
-func (s *shell) candidateCommand(use, short, path, done string) *cobra.Command {
+func (c *commandLine) candidateCommand(use, short, path, done string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
@@ -108,64 +115,65 @@
 			if err != nil {
 				return err
 			}
-			return s.orderRollout(command.Context(), http.MethodPost, rolloutPath+path,
+			return c.orderRollout(command.Context(), http.MethodPost, rolloutPath+path,
 				&protocol.Rollout{CandidateVersion: number}, fmt.Sprintf("bundle %d %s", number, done))
 		},
 	}
 }
 
-func (s *shell) orderRollout(ctx context.Context, method, path string, rollout *protocol.Rollout, done string) error {
+func (c *commandLine) orderRollout(
+	ctx context.Context, method, path string, rollout *protocol.Rollout, done string,
+) error {
 	body, err := protojson.Marshal(rollout)
 	if err != nil {
 		return err
 	}
-	answer, err := s.order(ctx, method, path, body)
+	answer, err := c.order(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(answer, done)
+	return c.printResult(answer, done)
 }
 
-func (s *shell) showRollout(ctx context.Context) error {
-	answer, err := s.ask(ctx, http.MethodGet, rolloutPath)
-	if err != nil {
-		return err
-	}
-	return s.print(answer, func(writer io.Writer) error { return renderRollout(writer, answer) })
+func (c *commandLine) showRollout(ctx context.Context) error {
+	return c.show(ctx, rolloutPath, renderRollout)
 }
 
 func renderRollout(writer io.Writer, answer []byte) error {
-	shown := &rolloutAnswer{}
-	if err := decode(answer, shown); err != nil {
+	response := &rolloutResponse{}
+	if err := decode(answer, response); err != nil {
 		return err
 	}
-	if len(shown.Rollout) == 0 {
-		_, err := fmt.Fprintf(writer, "no roll-out is under way; bundle %d is in force\n", shown.Active)
+	if len(response.Rollout) == 0 {
+		_, err := fmt.Fprintf(writer, "no roll-out is under way; bundle %d is in force\n", response.Active)
 		return err
 	}
 	rollout := &protocol.Rollout{}
-	if err := decodeProto(shown.Rollout, rollout); err != nil {
+	if err := decodeProto(response.Rollout, rollout); err != nil {
 		return err
 	}
-	arms, err := decodeList[protocol.ArmSample](shown.Variants)
+	variants, err := decodeList[protocol.ArmSample](response.Variants)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(writer, "bundle %d beside %d, %g%% of programs, shadow %t\n", rollout.GetCandidateVersion(), shown.Active,
-		float64(rollout.GetShareBasisPoints())/basisPointsPerPercent, rollout.GetShadow())
+	_, err = fmt.Fprintf(writer, "bundle %d beside %d, %g%% of programs, shadow %t\n",
+		rollout.GetCandidateVersion(), response.Active, float64(
+			rollout.GetShareBasisPoints(),
+		)/basisPointsPerPercent, rollout.GetShadow())
 	if err != nil {
 		return err
 	}
-	made := newGrid("bundle", "arm", "requests", "errors", "tokens", "first token p95 ms")
-	for _, arm := range arms {
-		made.add(arm.GetBundleVersion(), armName(arm), arm.GetRequests(), arm.GetErrors(), arm.GetTokens(),
-			fmt.Sprintf("%.1f", bundle.FirstTokenQuantile(arm.GetFirstTokenBuckets(), firstTokenQuantile)))
+	rows := newGrid("bundle", "arm", "requests", "errors", "tokens", "first token p95 ms")
+	for _, variant := range variants {
+		firstToken := bundle.FirstTokenQuantile(variant.GetFirstTokenBuckets(), firstTokenQuantile)
+		rows.add(variant.GetBundleVersion(), variantName(variant), variant.GetRequests(), variant.GetErrors(),
+			variant.GetTokens(), fmt.Sprintf("%.1f", firstToken))
 	}
-	return made.print(writer)
+	return rows.print(writer)
 }
 
-func armName(arm *protocol.ArmSample) string {
-	if arm.GetCandidate() {
+func variantName(variant *protocol.ArmSample) string {
+	if variant.GetCandidate() {
 		return "candidate"
 	}
 	return "active"
--- a/internal/operator/signing.go
+++ b/internal/operator/signing.go
@@ -22,8 +22,8 @@
 	rollout rolloutFlags
 }
 
-func (s *shell) bundleSignCommand() *cobra.Command {
-	given := &signFlags{}
+func (c *commandLine) bundleSignCommand() *cobra.Command {
+	options := &signFlags{}
 	command := &cobra.Command{
 		Use:   "sign VERSION",
 		Short: "sign a version off, which puts it in force; with --share or --shadow it becomes a candidate",
@@ -37,79 +37,82 @@
 				return err
 			}
 			var rollout *protocol.Rollout
-			if given.rollout.used(command.Flags()) {
-				if rollout, err = given.rollout.build(number); err != nil {
+			if options.rollout.anyChanged(command.Flags()) {
+				if rollout, err = options.rollout.build(number); err != nil {
 					return err
 				}
 			}
-			return s.signBundle(command.Context(), number, given, rollout)
+			return c.signBundle(command.Context(), number, options, rollout)
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&given.keyName, "key-name", "", "name of the sign-off key")
-	flags.StringVar(&given.keyFile, "key-file", "", "file with the private key, as bundle keygen writes it")
-	flags.StringVar(&given.digest, "digest", "", "merged digest that the bundle must have; refuse to sign another")
-	given.rollout.add(flags)
+	flags.StringVar(&options.keyName, "key-name", "", "name of the sign-off key")
+	flags.StringVar(&options.keyFile, "key-file", "", "file with the private key, as bundle keygen writes it")
+	flags.StringVar(&options.digest, "digest", "", "merged digest that the bundle must have; refuse to sign another")
+	options.rollout.register(flags)
 	return command
 }
 
 // signBundle fetches the digest of the merged bundle, shows it and signs it.
-func (s *shell) signBundle(ctx context.Context, number uint64, given *signFlags, rollout *protocol.Rollout) error {
-	key, err := loadKey(given.keyFile)
+func (c *commandLine) signBundle(
+	ctx context.Context, number uint64, options *signFlags, rollout *protocol.Rollout,
+) error {
+	key, err := loadKey(options.keyFile)
 	if err != nil {
 		return err
 	}
 	version := strconv.FormatUint(number, 10)
-	answer, err := s.ask(ctx, http.MethodGet, bundlePath(version))
+	answer, err := c.get(ctx, bundlePath(version))
 	if err != nil {
 		return err
 	}
-	digest, err := digestToSign(answer, number, given.digest)
+	digest, err := digestToSign(answer, number, options.digest)
 	if err != nil {
 		return err
 	}
-	s.say("signing bundle %d with key %s, merged digest %s", number, given.keyName, digest)
+	c.printNotice("signing bundle %d with key %s, merged digest %s", number, options.keyName, digest)
 	body, err := protojson.Marshal(&protocol.SignBundleCommand{
-		Version: number, KeyName: given.keyName, Signature: bundle.Sign(key, digest), Rollout: rollout,
+		Version: number, KeyName: options.keyName, Signature: bundle.Sign(key, digest), Rollout: rollout,
 	})
 	if err != nil {
 		return err
 	}
-	answer, err = s.order(ctx, http.MethodPost, bundlePath(version)+"/sign", body)
+	answer, err = c.order(ctx, http.MethodPost, bundlePath(version)+"/sign", body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(answer, fmt.Sprintf("bundle %d was signed off", number))
+	return c.printResult(answer, fmt.Sprintf("bundle %d was signed off", number))
 }
 
-// digestToSign takes the merged digest from the answer. It is computed anew
-// from the content, so that a process cannot have something else signed.
+// digestToSign returns the merged digest in the answer. It also computes the digest
+// of the content, so that a process cannot have something else signed. The error
+// is a *DigestError or a *ResponseError.
 func digestToSign(answer []byte, number uint64, expected string) (string, error) {
-	shown := &bundleAnswer{}
-	if err := decode(answer, shown); err != nil {
+	response := &bundleResponse{}
+	if err := decode(answer, response); err != nil {
 		return "", err
 	}
 	status := &protocol.BundleStatus{}
-	if err := decodeProto(shown.Status, status); err != nil {
+	if err := decodeProto(response.Status, status); err != nil {
 		return "", err
 	}
 	digest := status.GetMergedDigest()
-	if len(shown.Bundle) > 0 {
-		merged, err := bundle.Parse(shown.Bundle)
+	if len(response.Bundle) > 0 {
+		merged, err := bundle.Parse(response.Bundle)
 		if err != nil {
-			return "", &AnswerError{Cause: err}
+			return "", &ResponseError{Cause: err}
 		}
-		if found := bundle.Digest(merged); found != digest || merged.GetVersion() != number {
-			return "", &DigestError{Version: number, Expected: digest, Found: found}
+		if actual := bundle.Digest(merged); actual != digest || merged.GetVersion() != number {
+			return "", &DigestError{Version: number, Expected: digest, Actual: actual}
 		}
 	}
 	if expected != "" && expected != digest {
-		return "", &DigestError{Version: number, Expected: expected, Found: digest}
+		return "", &DigestError{Version: number, Expected: expected, Actual: digest}
 	}
 	return digest, nil
 }
 
-func (s *shell) bundleKeygenCommand() *cobra.Command {
+func (c *commandLine) bundleKeygenCommand() *cobra.Command {
 	var name, file string
 	command := &cobra.Command{
 		Use:   "keygen",
@@ -126,7 +129,7 @@
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintln(s.environment.Output, name+":"+public)
+			_, err = fmt.Fprintln(c.environment.Output, name+":"+public)
 			return err
 		},
 	}
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -16,11 +16,11 @@
 
 const trainingStepsPath = "/v1/training-steps/"
 
-func (s *shell) stepsCommand() *cobra.Command {
-	return groupCommand("steps", "training steps and the versions of the weights they ran on", s.traceStepCommand())
+func (c *commandLine) stepsCommand() *cobra.Command {
+	return groupCommand("steps", "training steps and the versions of the weights they ran on", c.traceStepCommand())
 }
 
-func (s *shell) traceStepCommand() *cobra.Command {
+func (c *commandLine) traceStepCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "trace STEP",
 		Short: "show on which version of the weights a training step ran",
@@ -33,55 +33,64 @@
 			if step == "" || len(step) > ledger.MaxTrainingStepBytes {
 				return &UsageError{Reason: fmt.Sprintf("STEP must have 1 to %d bytes", ledger.MaxTrainingStepBytes)}
 			}
-			answer, err := s.askFronts(command.Context(), frontQuestion{
+			answer, err := c.queryFronts(command.Context(), frontQuery{
 				path:    trainingStepsPath + url.PathEscape(step),
 				subject: "training step " + step,
 			})
 			if err != nil {
 				return err
 			}
-			return s.showTrace(step, answer)
+			return c.showTrace(step, answer)
 		},
 	}
-	s.addFrontFlag(command)
+	c.addFrontFlag(command)
 	return command
 }
 
-// showTrace prints a trace and returns a *NotTracedError when it shows more than one version, or none.
-func (s *shell) showTrace(step string, answer []byte) error {
+// showTrace prints a trace. It returns a *NotTracedError if the trace has more than one version, or none.
+func (c *commandLine) showTrace(step string, answer []byte) error {
 	trace := &protocol.TrainingStepTrace{}
 	if err := decodeProto(answer, trace); err != nil {
 		return err
 	}
-	verdict := judgeTrace(step, trace)
-	err := s.print(answer, func(writer io.Writer) error { return renderTrace(writer, step, trace, verdict) })
+	verdict := verifyTrace(step, trace)
+	err := c.print(answer, func(writer io.Writer) error { return renderTrace(writer, step, trace, verdict) })
 	if err != nil {
 		return err
 	}
 	return verdict
 }
 
-// judgeTrace returns a *NotTracedError unless every completed generation of the step ran on its pinned version.
-func judgeTrace(step string, trace *protocol.TrainingStepTrace) error {
-	pinned := trace.GetPin().GetWeightVersion()
-	if pinned == 0 {
+// verifyTrace returns a *NotTracedError unless every completed generation of the step ran on its pinned version.
+func verifyTrace(step string, trace *protocol.TrainingStepTrace) error {
+	pinnedVersion := trace.GetPin().GetWeightVersion()
+	if pinnedVersion == 0 {
 		return &NotTracedError{Step: step, Reason: "no version is pinned"}
 	}
 	for _, program := range trace.GetPrograms() {
-		if member := program.GetMembership(); member.GetWeightVersion() != pinned {
-			return &NotTracedError{Step: step, Reason: fmt.Sprintf("program %s generates on version %d, pinned is %d",
-				program.GetProgram(), member.GetWeightVersion(), pinned)}
-		}
-		for _, count := range program.GetMembership().GetGenerations() {
-			if count.GetCompleted() > 0 && count.GetWeightVersion() != pinned {
-				return &NotTracedError{Step: step, Reason: fmt.Sprintf("program %s completed %d generations on version %s, pinned is %d",
-					program.GetProgram(), count.GetCompleted(), versionName(count.GetWeightVersion()), pinned)}
-			}
+		if reason := untracedReason(program, pinnedVersion); reason != "" {
+			return &NotTracedError{Step: step, Reason: reason}
 		}
 	}
 	return nil
 }
 
+// untracedReason returns why a program does not trace to the pinned version; empty if it does.
+func untracedReason(program *protocol.TrainingStepProgram, pinnedVersion uint64) string {
+	membership := program.GetMembership()
+	if membership.GetWeightVersion() != pinnedVersion {
+		return fmt.Sprintf("program %s generates on version %d, pinned is %d",
+			program.GetProgram(), membership.GetWeightVersion(), pinnedVersion)
+	}
+	for _, count := range membership.GetGenerations() {
+		if count.GetCompleted() > 0 && count.GetWeightVersion() != pinnedVersion {
+			return fmt.Sprintf("program %s completed %d generations on version %s, pinned is %d",
+				program.GetProgram(), count.GetCompleted(), versionName(count.GetWeightVersion()), pinnedVersion)
+		}
+	}
+	return ""
+}
+
 func renderTrace(writer io.Writer, step string, trace *protocol.TrainingStepTrace, verdict error) error {
 	pin := trace.GetPin()
 	facts := newGrid("fact", "value")
@@ -98,7 +107,9 @@
 	for _, program := range trace.GetPrograms() {
 		counts := program.GetMembership().GetGenerations()
 		programs.add(program.GetProgram(), program.GetTenant(),
-			countsByVersion(counts, (*protocol.GenerationCount).GetCompleted), countsByVersion(counts, (*protocol.GenerationCount).GetDiscarded))
+			countsByVersion(
+				counts, (*protocol.GenerationCount).GetCompleted,
+			), countsByVersion(counts, (*protocol.GenerationCount).GetDiscarded))
 		for _, count := range counts {
 			completed += count.GetCompleted()
 		}
@@ -110,17 +121,18 @@
 		_, err := fmt.Fprintln(writer, verdict)
 		return err
 	}
-	_, err := fmt.Fprintf(writer, "training step %s traces to a single version: all %d completed generations of %d programs ran on version %d\n",
+	_, err := fmt.Fprintf(writer, "training step %s traces to a single version: "+
+		"all %d completed generations of %d programs ran on version %d\n",
 		step, completed, len(trace.GetPrograms()), pin.GetWeightVersion())
 	return err
 }
 
 // countsByVersion lists the counts that are not zero, such as "12 on 4, 1 on 5".
-func countsByVersion(counts []*protocol.GenerationCount, of func(*protocol.GenerationCount) uint64) string {
+func countsByVersion(counts []*protocol.GenerationCount, value func(*protocol.GenerationCount) uint64) string {
 	var parts []string
 	for _, count := range counts {
-		if of(count) > 0 {
-			parts = append(parts, fmt.Sprintf("%d on %s", of(count), versionName(count.GetWeightVersion())))
+		if value(count) > 0 {
+			parts = append(parts, fmt.Sprintf("%d on %s", value(count), versionName(count.GetWeightVersion())))
 		}
 	}
 	if len(parts) == 0 {
--- a/internal/operator/steps_test.go
+++ b/internal/operator/steps_test.go
@@ -15,11 +15,15 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-const stepPin = `"pin":{"step":"run 3/17","model":"m","weight_version":"4","pinned_by":"front-2","pinned_at_millis":"1800000000000"}`
+const stepPin = `"pin":{"step":"run 3/17","model":"m","weight_version":"4","pinned_by":"front-2",` +
+	`"pinned_at_millis":"1800000000000"}`
 
 // tracedProgram is a program of a trace whose generations are in the form of JSON.
 func tracedProgram(name string, version int, generations string) string {
-	return fmt.Sprintf(`{"program":%q,"tenant":"t","membership":{"step":"run 3/17","weight_version":"%d","generations":[%s]}}`, name, version, generations)
+	return fmt.Sprintf(
+		`{"program":%q,"tenant":"t","membership":{"step":"run 3/17","weight_version":"%d","generations":[%s]}}`, name,
+		version, generations,
+	)
 }
 
 var _ = Describe("the trace of a training step", func() {
@@ -40,8 +44,8 @@
 		return operator.Execute(context.Background(), operator.Environment{
 			Arguments: append([]string{"steps", "trace"}, arguments...),
 			Input:     strings.NewReader(""), Output: output, Errors: faults,
-			Lookup: func(name string) string { return map[string]string{"ROSESTAND_FRONT": front.address}[name] },
-			Wait:   func(context.Context, time.Duration) error { return nil },
+			LookupEnvironment: func(name string) string { return map[string]string{"ROSESTAND_FRONT": front.address}[name] },
+			Sleep:             func(context.Context, time.Duration) error { return nil },
 		})
 	}
 
@@ -56,24 +60,33 @@
 
 	It("is shown with the pin, the counts of each program and a verdict", func() {
 		front.always(http.StatusOK, answer(
-			tracedProgram("p1", 4, `{"weight_version":"4","completed":"12","discarded":"1"},{"weight_version":"5","discarded":"2"}`),
+			tracedProgram(
+				"p1", 4, `{"weight_version":"4","completed":"12","discarded":"1"},{"weight_version":"5","discarded":"2"}`,
+			),
 			tracedProgram("p2", 4, `{"discarded":"1"},{"weight_version":"4","completed":"3"}`),
 			tracedProgram("p3", 4, ``)))
 		Expect(trace("run 3/17")).To(Equal(operator.ExitDone), faults.String())
-		Expect(front.saw()[0].path).To(Equal("/v1/training-steps/run%203%2F17"))
-		Expect(front.saw()[0].authorization).To(BeEmpty())
+		Expect(front.received()[0].path).To(Equal("/v1/training-steps/run%203%2F17"))
+		Expect(front.received()[0].authorization).To(BeEmpty())
 		Expect(output.String()).To(And(
-			MatchRegexp(`step +run 3/17`), MatchRegexp(`model +m`), MatchRegexp(`pinned version +4`), MatchRegexp(`pinned by +front-2`),
+			MatchRegexp(`step +run 3/17`), MatchRegexp(`model +m`), MatchRegexp(`pinned version +4`),
+			MatchRegexp(`pinned by +front-2`),
 			MatchRegexp(`pinned at +2027-01-15T08:00:00Z`),
-			MatchRegexp(`p1 +t +12 on 4 +1 on 4, 2 on 5`), MatchRegexp(`p2 +t +3 on 4 +1 on unknown`), MatchRegexp(`p3 +t +0 +0`)))
-		Expect(lastLine()).To(Equal("training step run 3/17 traces to a single version: all 15 completed generations of 3 programs ran on version 4"))
+			MatchRegexp(
+				`p1 +t +12 on 4 +1 on 4, 2 on 5`,
+			), MatchRegexp(`p2 +t +3 on 4 +1 on unknown`), MatchRegexp(`p3 +t +0 +0`)))
+		Expect(lastLine()).To(
+			Equal(
+				"training step run 3/17 traces to a single version: all 15 completed generations of 3 programs ran on version 4",
+			),
+		)
 	})
 
 	It("is printed as it came with -o json, with the same verdict as exit code", func() {
-		whole := answer(tracedProgram("p1", 4, `{"weight_version":"4","completed":"12"}`))
-		front.always(http.StatusOK, whole)
+		body := answer(tracedProgram("p1", 4, `{"weight_version":"4","completed":"12"}`))
+		front.always(http.StatusOK, body)
 		Expect(trace("run 3/17", "-o", "json")).To(Equal(operator.ExitDone), faults.String())
-		Expect(output.String()).To(MatchJSON(whole))
+		Expect(output.String()).To(MatchJSON(body))
 		mixed := answer(tracedProgram("p1", 4, `{"weight_version":"5","completed":"1"}`))
 		front.always(http.StatusOK, mixed)
 		Expect(trace("run 3/17", "-o", "json")).To(Equal(operator.ExitNotTraced))
@@ -89,30 +102,37 @@
 			Expect(faults.String()).To(ContainSubstring(reason))
 		},
 		Entry("a completed generation on another version",
-			answer(tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`), tracedProgram("p2", 4, `{"weight_version":"4","completed":"1"},{"weight_version":"5","completed":"2"}`)),
+			answer(
+				tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`),
+				tracedProgram("p2", 4, `{"weight_version":"4","completed":"1"},{"weight_version":"5","completed":"2"}`),
+			),
 			"program p2 completed 2 generations on version 5, pinned is 4"),
 		Entry("a completed generation on no version",
-			answer(tracedProgram("p1", 4, `{"completed":"1"}`)), "program p1 completed 1 generations on version unknown, pinned is 4"),
+			answer(tracedProgram("p1", 4, `{"completed":"1"}`)),
+			"program p1 completed 1 generations on version unknown, pinned is 4"),
 		Entry("a program of another version",
 			answer(tracedProgram("p1", 5, ``)), "program p1 generates on version 5, pinned is 4"),
-		Entry("no pin", `{"programs":[`+tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`)+`]}`, "no version is pinned"),
+		Entry(
+			"no pin", `{"programs":[`+tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`)+`]}`,
+			"no version is pinned",
+		),
 	)
 
 	It("is not found when the ledger does not know the step", func() {
-		front.always(http.StatusNotFound, failureBody("not_found", "not_run"))
+		front.always(http.StatusNotFound, rejectionBody("not_found"))
 		Expect(trace("17")).To(Equal(operator.ExitNotFound))
 		Expect(faults.String()).To(ContainSubstring("training step 17 was not found"))
 	})
 
 	It("is no answer while the ledger is unavailable", func() {
-		front.always(http.StatusServiceUnavailable, failureBody("ledger_unavailable", "not_run"))
+		front.always(http.StatusServiceUnavailable, rejectionBody("ledger_unavailable"))
 		Expect(trace("17")).To(Equal(operator.ExitUnreachable))
 		Expect(output.String()).To(BeEmpty())
 	})
 
-	It("refuses names that no step has before it asks", func() {
+	It("rejects invalid names without a request", func() {
 		Expect(trace("")).To(Equal(operator.ExitUsage))
 		Expect(trace(strings.Repeat("x", ledger.MaxTrainingStepBytes+1))).To(Equal(operator.ExitUsage))
-		Expect(front.saw()).To(BeEmpty())
+		Expect(front.received()).To(BeEmpty())
 	})
 })
--- a/internal/operator/stores.go
+++ b/internal/operator/stores.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 )
 
 const (
@@ -21,48 +22,46 @@
 	defaultWaitTimeout = 30 * time.Minute
 )
 
-func (s *shell) storesCommand() *cobra.Command {
+func (c *commandLine) storesCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "stores",
 		Short: "list, empty and retire stores",
 		Args:  cobra.NoArgs,
-		RunE:  s.listStores,
+		RunE:  c.listStores,
 	}
 	command.AddCommand(
-		&cobra.Command{Use: "list", Short: "list stores", Args: cobra.NoArgs, RunE: s.listStores},
-		s.storeOrderCommand("empty", "move every shard away from a store", controlstate.StoreEmptied),
-		s.storeOrderCommand("retire", "forget an emptied store", controlstate.StoreRetired),
+		&cobra.Command{Use: "list", Short: "list stores", Args: cobra.NoArgs, RunE: c.listStores},
+		c.storeCommand("empty", "move every shard away from a store", controlstate.StoreEmptied),
+		c.storeCommand("retire", "forget an emptied store", controlstate.StoreRetired),
 	)
 	return command
 }
 
-func (s *shell) listStores(command *cobra.Command, _ []string) error {
-	answer, err := s.ask(command.Context(), http.MethodGet, storesPath)
-	if err != nil {
-		return err
-	}
-	return s.print(answer, func(writer io.Writer) error { return renderStores(writer, answer) })
+func (c *commandLine) listStores(command *cobra.Command, _ []string) error {
+	return c.show(command.Context(), storesPath, renderStores)
 }
 
 func renderStores(writer io.Writer, answer []byte) error {
-	listed := &storesAnswer{}
+	listed := &storesResponse{}
 	if err := decode(answer, listed); err != nil {
 		return err
 	}
-	made := newGrid("store", "state", "present", "zone", "address", "shards", "rebuilding", "arriving", "leaving")
+	rows := newGrid("store", "state", "present", "zone", "address", "shards", "rebuilding", "arriving", "leaving")
 	for _, store := range listed.Stores {
-		made.add(store.Name, store.State, store.Present, store.Zone, store.Address,
+		rows.add(store.Name, store.State, store.Present, store.Zone, store.Address,
 			store.Shards, store.Rebuilding, store.Arriving, store.Leaving)
 	}
-	if err := made.print(writer); err != nil {
+	if err := rows.print(writer); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(writer, "placement %d: %d shards, %d moving\n", listed.PlacementEpoch, listed.Shards, listed.ShardsMoving)
+	_, err := fmt.Fprintf(
+		writer, "placement %d: %d shards, %d moving\n", listed.PlacementEpoch, listed.Shards, listed.ShardsMoving,
+	)
 	return err
 }
 
-// storeOrderCommand gives an order about one store; goal is the state that --wait waits for.
-func (s *shell) storeOrderCommand(verb, short, goal string) *cobra.Command {
+// storeCommand returns the command for an order about one store; goal is the state that --wait waits for.
+func (c *commandLine) storeCommand(verb, short, goal string) *cobra.Command {
 	var wait bool
 	var waitTimeout time.Duration
 	command := &cobra.Command{
@@ -71,17 +70,17 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			name := arguments[0]
-			answer, err := s.order(command.Context(), http.MethodPost, storesPath+"/"+url.PathEscape(name)+"/"+verb, nil)
+			answer, err := c.order(command.Context(), http.MethodPost, storesPath+"/"+url.PathEscape(name)+"/"+verb, nil)
 			if err != nil {
 				return err
 			}
 			if wait {
-				if err := s.awaitStore(command.Context(), name, goal, waitTimeout); err != nil {
+				if err := c.waitForStore(command.Context(), name, goal, waitTimeout); err != nil {
 					return err
 				}
-				return s.printResult(answer, fmt.Sprintf("store %s is %s", name, goal))
+				return c.printResult(answer, fmt.Sprintf("store %s is %s", name, goal))
 			}
-			return s.printResult(answer, fmt.Sprintf("the order to %s store %s was accepted", verb, name))
+			return c.printResult(answer, fmt.Sprintf("the order to %s store %s was accepted", verb, name))
 		},
 	}
 	command.Flags().BoolVar(&wait, "wait", false, "wait until it is done and show the progress")
@@ -89,22 +88,23 @@
 	return command
 }
 
-// awaitStore polls until the store reaches the state, showing how many of its shards are left.
-func (s *shell) awaitStore(ctx context.Context, name, goal string, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// waitForStore polls until the store reaches the state, and shows how many of its
+// shards are left. It returns a *WaitError if that takes longer than the timeout.
+func (c *commandLine) waitForStore(ctx context.Context, name, goal string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	wait := s.environment.Wait
-	if wait == nil {
-		wait = pause
+	sleep := c.environment.Sleep
+	if sleep == nil {
+		sleep = apiclient.Sleep
 	}
 	var bar *progressbar.ProgressBar
 	for {
-		report, err := s.reportStore(ctx, name)
+		report, err := c.storeReport(ctx, name)
 		if err != nil {
 			return err
 		}
 		if bar == nil {
-			bar = s.progress(name, report.Shards)
+			bar = c.progress(name, report.Shards)
 		}
 		if err := bar.Set(max(bar.GetMax()-report.Shards, 0)); err != nil {
 			return err
@@ -112,23 +112,23 @@
 		if report.State == goal {
 			return bar.Finish()
 		}
-		if wait(ctx, waitInterval) != nil {
+		if sleep(ctx, waitInterval) != nil {
 			return &WaitError{What: name, State: fmt.Sprintf("%s, %d shards left", report.State, report.Shards)}
 		}
 	}
 }
 
-func (s *shell) progress(name string, shards int) *progressbar.ProgressBar {
+func (c *commandLine) progress(name string, shards int) *progressbar.ProgressBar {
 	return progressbar.NewOptions(max(shards, 1),
-		progressbar.OptionSetWriter(s.environment.Errors),
+		progressbar.OptionSetWriter(c.environment.Errors),
 		progressbar.OptionSetDescription("shards moved from "+name),
 		progressbar.OptionShowCount(),
-		progressbar.OptionSetVisibility(isTerminal(s.environment.Errors)),
-		progressbar.OptionOnCompletion(func() { s.say("") }),
+		progressbar.OptionSetVisibility(isTerminal(c.environment.Errors)),
+		progressbar.OptionOnCompletion(func() { c.printNotice("") }),
 	)
 }
 
-// isTerminal reports whether a progress bar makes sense on the writer.
+// isTerminal reports whether the writer is a terminal, which can show a progress bar.
 func isTerminal(writer io.Writer) bool {
 	file, isFile := writer.(*os.File)
 	if !isFile {
@@ -138,12 +138,12 @@
 	return err == nil && status.Mode()&os.ModeCharDevice != 0
 }
 
-func (s *shell) reportStore(ctx context.Context, name string) (*controlstate.StoreReport, error) {
-	answer, err := s.ask(ctx, http.MethodGet, storesPath)
+func (c *commandLine) storeReport(ctx context.Context, name string) (*controlstate.StoreReport, error) {
+	answer, err := c.get(ctx, storesPath)
 	if err != nil {
 		return nil, err
 	}
-	listed := &storesAnswer{}
+	listed := &storesResponse{}
 	if err := decode(answer, listed); err != nil {
 		return nil, err
 	}
--- a/internal/testing/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/operator"
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/audit"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -83,7 +83,7 @@
 // attempt is one sending of an order.
 type attempt struct {
 	order   audit.Order
-	request operator.Request
+	request apiclient.Request
 	answer  []byte
 }
 
@@ -110,20 +110,20 @@
 	content := sha256.Sum256(fmt.Appendf(nil, "%d/%d/%d", base, version, limits.GetMaxQueued()))
 	return &attempt{
 		order: audit.Order{ID: id, Kind: audit.OrderPut, Version: version, Content: hex.EncodeToString(content[:])},
-		request: operator.Request{
+		request: apiclient.Request{
 			Method: http.MethodPut, Path: fmt.Sprintf("/v1/bundles/%d", version), OrderID: id, Body: body,
 		},
 	}
 }
 
 func (o *Operators) send(ctx context.Context, sent *attempt) {
-	client := operator.NewClient(operator.ClientOptions{Addresses: o.Cores, Token: o.Token, Timeout: orderTimeout})
+	client := apiclient.New(apiclient.Options{Addresses: o.Cores, Token: o.Token, Timeout: orderTimeout})
 	defer client.Close()
 	sent.order.SentAt = time.Now()
 	var err error
 	sent.answer, err = client.Do(ctx, sent.request)
 	sent.order.AnsweredAt = time.Now()
-	var refused *operator.RejectedError
+	var refused *apiclient.RejectedError
 	switch {
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
@@ -136,7 +136,7 @@
 }
 
 func (o *Operators) signOff(ctx context.Context, version uint64) {
-	shown := &attempt{request: operator.Request{Method: http.MethodGet, Path: fmt.Sprintf("/v1/bundles/%d", version)}}
+	shown := &attempt{request: apiclient.Request{Method: http.MethodGet, Path: fmt.Sprintf("/v1/bundles/%d", version)}}
 	o.send(ctx, shown)
 	var answer struct {
 		Status json.RawMessage `json:"status"`
@@ -153,8 +153,10 @@
 	}
 	id := o.orderID()
 	sign := &attempt{
-		order:   audit.Order{ID: id, Kind: audit.OrderSign, Version: version},
-		request: operator.Request{Method: http.MethodPost, Path: fmt.Sprintf("/v1/bundles/%d/sign", version), OrderID: id, Body: body},
+		order: audit.Order{ID: id, Kind: audit.OrderSign, Version: version},
+		request: apiclient.Request{
+			Method: http.MethodPost, Path: fmt.Sprintf("/v1/bundles/%d/sign", version), OrderID: id, Body: body,
+		},
 	}
 	o.send(ctx, sign)
 	o.note(sign)
@@ -164,7 +166,7 @@
 func (o *Operators) list(ctx context.Context) (newest, active uint64, err error) {
 	asked := &attempt{
 		order:   audit.Order{Kind: audit.OrderList},
-		request: operator.Request{Method: http.MethodGet, Path: "/v1/bundles"},
+		request: apiclient.Request{Method: http.MethodGet, Path: "/v1/bundles"},
 	}
 	o.send(ctx, asked)
 	var answer struct {
--- a/internal/testing/surface/commands_test.go
+++ b/internal/testing/surface/commands_test.go
@@ -38,7 +38,7 @@
 	var output bytes.Buffer
 	code := operator.Execute(context.Background(), operator.Environment{
 		Arguments: arguments, Input: strings.NewReader(""), Output: &output, Errors: &output,
-		Lookup: func(string) string { return "" },
+		LookupEnvironment: func(string) string { return "" },
 	})
 	return output.String(), code
 }
