--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -17,7 +17,7 @@
 	codeNotFound        = failure.NotFound
 	codeBadSignature    = failure.BadSignature
 	codeNotSigned       = failure.NotSigned
-	codeChangeUnderWay  = failure.ChangeUnderWay
+	codeChangeUnderWay  = failure.ChangeInProgress
 	codeLeaseRejected   = failure.LeaseRejected
 	codeStoreNotEmptied = failure.StoreNotEmptied
 )
--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -47,7 +47,7 @@
 	case errors.As(err, &memberUnknown):
 		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, err.Error(), failure.WithPath("name"))
 	case errors.As(err, &memberInUse), errors.As(err, &unsafe):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), retry)
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(), retry)
 	case errors.As(err, &mismatch):
 		return failure.New(failure.WrongCluster, protocol.Outcome_NOT_RUN, err.Error())
 	default:
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -130,7 +130,7 @@
 		return describeMalformed(malformed)
 	}
 	problem := failure.From(err)
-	return errorDetail{Detail: failure.DetailOf(problem)}, int(problem.GetStatus())
+	return errorDetail{Detail: failure.NewDetail(problem)}, int(problem.GetStatus())
 }
 
 func describeRejection(rejection *protocol.Refusal) (errorDetail, int) {
--- a/internal/controlplane/replica/service.go
+++ b/internal/controlplane/replica/service.go
@@ -132,11 +132,11 @@
 		// The cause may be a failure of its own; that one does not say what became of the order.
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(), failure.WithPath("address"), failure.WithRetryAfter(time.Second))
 	case errors.As(err, &pending):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), wait)
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(), wait)
 	case errors.As(err, &mismatch):
 		return failure.New(failure.WrongCluster, protocol.Outcome_NOT_RUN, err.Error())
 	case errors.As(err, &unsafe), errors.As(err, &inUse):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), failure.WithRetryAfter(time.Second))
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(), failure.WithRetryAfter(time.Second))
 	case errors.As(err, &retired):
 		return failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, err.Error())
 	case errors.As(err, &unknown):
--- a/internal/dataplane/front/sse.go
+++ b/internal/dataplane/front/sse.go
@@ -78,7 +78,7 @@
 		data = responseEvent{eventHeader: header, Response: e.view.completed(body.Completed)}
 	case *protocol.TurnEvent_Failed:
 		header.Type = eventFailed
-		data = failedEvent{eventHeader: header, Error: failure.DetailOf(body.Failed)}
+		data = failedEvent{eventHeader: header, Error: failure.NewDetail(body.Failed)}
 	}
 	return e.write(header, data)
 }
@@ -126,5 +126,5 @@
 // fail ends a stream that has begun with a typed event.
 func (e *eventStream) fail(f *protocol.Failure) {
 	header := eventHeader{Type: eventFailed, SequenceNumber: e.last.sequence + 1, Attempt: max(e.last.attempt, 1)}
-	_ = e.write(header, failedEvent{eventHeader: header, Error: failure.DetailOf(f)})
+	_ = e.write(header, failedEvent{eventHeader: header, Error: failure.NewDetail(f)})
 }
--- a/internal/failure/codes.go
+++ b/internal/failure/codes.go
@@ -2,10 +2,12 @@
 
 import "net/http"
 
-// Code names a kind of failure; codes never change their meaning.
+// Code names a kind of failure. Codes are part of the HTTP API: their texts and meanings never change, also where
+// the Go name has another word.
 type Code string
 
-// Codes that any process may answer with.
+// Codes of any process. DeadlineExceeded and Cancelled leave open whether the request ran, unless the outcome of
+// the failure says so; Unavailable, Draining and NotReady are temporary.
 const (
 	InternalError    Code = "internal_error"
 	DeadlineExceeded Code = "deadline_exceeded"
@@ -16,7 +18,7 @@
 	NotReady         Code = "not_ready"
 )
 
-// Codes about the form of a request.
+// Codes for the form of a request and for the caller's permissions.
 const (
 	UnknownRoute     Code = "unknown_route"
 	MethodNotAllowed Code = "method_not_allowed"
@@ -47,7 +49,7 @@
 	NoBackEnd         Code = "no_back_end"
 	BackEndFailed     Code = "back_end_failed"
 	OutcomeUnknown    Code = "outcome_unknown"
-	CallUnderWay      Code = "call_under_way"
+	CallInFlight      Code = "call_under_way"
 	NotOwner          Code = "not_owner"
 	NoAuthority       Code = "no_authority"
 	Fenced            Code = "fenced"
@@ -65,52 +67,84 @@
 
 // Codes of the control plane.
 const (
-	NotLeader       Code = "not_leader"
-	NoLeader        Code = "no_leader"
-	VersionTaken    Code = "version_taken"
-	WrongBase       Code = "wrong_base"
-	InvalidBundle   Code = "invalid_bundle"
-	InvalidOrder    Code = "invalid_order"
-	BadSignature    Code = "bad_signature"
-	NotSigned       Code = "not_signed"
-	LeaseRejected   Code = "lease_refused"
-	WrongCluster    Code = "wrong_cluster"
-	ChangeUnderWay  Code = "change_under_way"
-	StoreNotEmptied Code = "store_not_emptied"
+	NotLeader        Code = "not_leader"
+	NoLeader         Code = "no_leader"
+	VersionTaken     Code = "version_taken"
+	WrongBase        Code = "wrong_base"
+	InvalidBundle    Code = "invalid_bundle"
+	InvalidOrder     Code = "invalid_order"
+	BadSignature     Code = "bad_signature"
+	NotSigned        Code = "not_signed"
+	LeaseRejected    Code = "lease_refused"
+	WrongCluster     Code = "wrong_cluster"
+	ChangeInProgress Code = "change_under_way"
+	StoreNotEmptied  Code = "store_not_emptied"
 )
 
-var statuses = map[Code]int{
-	InternalError: http.StatusInternalServerError, DeadlineExceeded: http.StatusGatewayTimeout,
-	Cancelled: 499, Unavailable: http.StatusServiceUnavailable, UnknownRequest: http.StatusNotFound,
-	Draining: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
-	UnknownRoute: http.StatusNotFound, MethodNotAllowed: http.StatusMethodNotAllowed,
-	InvalidBody: http.StatusBadRequest, UnknownField: http.StatusBadRequest,
-	BodyTooLarge: http.StatusRequestEntityTooLarge, HeaderTooLarge: http.StatusRequestHeaderFieldsTooLarge, MissingField: http.StatusBadRequest,
-	InvalidField: http.StatusBadRequest, Unauthorized: http.StatusUnauthorized,
-	Forbidden: http.StatusForbidden, NotFound: http.StatusNotFound,
-	UnknownModel: http.StatusNotFound, UnknownTool: http.StatusNotFound,
-	UnknownProgram: http.StatusNotFound, WrongContinuation: http.StatusConflict,
-	TurnMissing: http.StatusNotFound, BudgetSpent: http.StatusPaymentRequired,
-	BudgetReserved: http.StatusTooManyRequests, SessionBusy: http.StatusConflict,
-	RequestRejected: http.StatusConflict, Overloaded: http.StatusServiceUnavailable,
-	RateLimited: http.StatusTooManyRequests, NoBackEnd: http.StatusServiceUnavailable,
-	BackEndFailed: http.StatusBadGateway, OutcomeUnknown: http.StatusBadGateway,
-	CallUnderWay: http.StatusConflict, NotOwner: http.StatusMisdirectedRequest,
-	NoAuthority: http.StatusServiceUnavailable, Fenced: http.StatusConflict,
-	SlowReader: http.StatusRequestTimeout, AnswerMismatch: http.StatusBadGateway,
-	LedgerUnavailable: http.StatusServiceUnavailable, StaleView: http.StatusServiceUnavailable,
-	StepMismatch: http.StatusConflict, StepVersionUnavailable: http.StatusServiceUnavailable, StepVersionChanged: http.StatusBadGateway,
-	NotLeader: http.StatusMisdirectedRequest, NoLeader: http.StatusServiceUnavailable,
-	VersionTaken: http.StatusConflict, WrongBase: http.StatusConflict,
-	InvalidBundle: http.StatusUnprocessableEntity, InvalidOrder: http.StatusUnprocessableEntity,
-	BadSignature: http.StatusForbidden, NotSigned: http.StatusConflict,
-	LeaseRejected: http.StatusConflict, WrongCluster: http.StatusConflict,
-	ChangeUnderWay: http.StatusConflict, StoreNotEmptied: http.StatusConflict,
+// statusClientClosedRequest is the common status for a request that its caller gave up; no RFC defines it.
+const statusClientClosedRequest = 499
+
+var statusByCode = map[Code]int{
+	InternalError:          http.StatusInternalServerError,
+	DeadlineExceeded:       http.StatusGatewayTimeout,
+	Cancelled:              statusClientClosedRequest,
+	Unavailable:            http.StatusServiceUnavailable,
+	UnknownRequest:         http.StatusNotFound,
+	Draining:               http.StatusServiceUnavailable,
+	NotReady:               http.StatusServiceUnavailable,
+	UnknownRoute:           http.StatusNotFound,
+	MethodNotAllowed:       http.StatusMethodNotAllowed,
+	InvalidBody:            http.StatusBadRequest,
+	UnknownField:           http.StatusBadRequest,
+	BodyTooLarge:           http.StatusRequestEntityTooLarge,
+	HeaderTooLarge:         http.StatusRequestHeaderFieldsTooLarge,
+	MissingField:           http.StatusBadRequest,
+	InvalidField:           http.StatusBadRequest,
+	Unauthorized:           http.StatusUnauthorized,
+	Forbidden:              http.StatusForbidden,
+	NotFound:               http.StatusNotFound,
+	UnknownModel:           http.StatusNotFound,
+	UnknownTool:            http.StatusNotFound,
+	UnknownProgram:         http.StatusNotFound,
+	WrongContinuation:      http.StatusConflict,
+	TurnMissing:            http.StatusNotFound,
+	BudgetSpent:            http.StatusPaymentRequired,
+	BudgetReserved:         http.StatusTooManyRequests,
+	SessionBusy:            http.StatusConflict,
+	RequestRejected:        http.StatusConflict,
+	Overloaded:             http.StatusServiceUnavailable,
+	RateLimited:            http.StatusTooManyRequests,
+	NoBackEnd:              http.StatusServiceUnavailable,
+	BackEndFailed:          http.StatusBadGateway,
+	OutcomeUnknown:         http.StatusBadGateway,
+	CallInFlight:           http.StatusConflict,
+	NotOwner:               http.StatusMisdirectedRequest,
+	NoAuthority:            http.StatusServiceUnavailable,
+	Fenced:                 http.StatusConflict,
+	SlowReader:             http.StatusRequestTimeout,
+	AnswerMismatch:         http.StatusBadGateway,
+	LedgerUnavailable:      http.StatusServiceUnavailable,
+	StaleView:              http.StatusServiceUnavailable,
+	StepMismatch:           http.StatusConflict,
+	StepVersionUnavailable: http.StatusServiceUnavailable,
+	StepVersionChanged:     http.StatusBadGateway,
+	NotLeader:              http.StatusMisdirectedRequest,
+	NoLeader:               http.StatusServiceUnavailable,
+	VersionTaken:           http.StatusConflict,
+	WrongBase:              http.StatusConflict,
+	InvalidBundle:          http.StatusUnprocessableEntity,
+	InvalidOrder:           http.StatusUnprocessableEntity,
+	BadSignature:           http.StatusForbidden,
+	NotSigned:              http.StatusConflict,
+	LeaseRejected:          http.StatusConflict,
+	WrongCluster:           http.StatusConflict,
+	ChangeInProgress:       http.StatusConflict,
+	StoreNotEmptied:        http.StatusConflict,
 }
 
-// Status gives the HTTP status of the code.
+// Status returns the HTTP status of the code; 500 for an unknown one.
 func (c Code) Status() int {
-	if status, known := statuses[c]; known {
+	if status, known := statusByCode[c]; known {
 		return status
 	}
 	return http.StatusInternalServerError
--- a/internal/failure/detail.go
+++ b/internal/failure/detail.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// Detail is a failure as JSON bodies and events show it.
+// Detail is a failure in the form of JSON bodies and events.
 type Detail struct {
 	Code             string `json:"code"`
 	Message          string `json:"message"`
@@ -11,15 +11,15 @@
 	RetryAfterMillis uint32 `json:"retry_after_millis,omitempty"`
 }
 
-// DetailOf describes a failure.
-func DetailOf(problem *protocol.Failure) Detail {
+// NewDetail returns the detail of a failure.
+func NewDetail(problem *protocol.Failure) Detail {
 	return Detail{
 		Code: problem.GetCode(), Message: problem.GetMessage(), Path: problem.GetPath(),
 		Outcome: OutcomeName(problem.GetOutcome()), RetryAfterMillis: problem.GetRetryAfterMillis(),
 	}
 }
 
-// OutcomeName is an outcome's name in JSON. One that was not said counts as unknown.
+// OutcomeName returns an outcome's name in JSON; an unspecified one counts as unknown.
 func OutcomeName(outcome protocol.Outcome) string {
 	switch outcome {
 	case protocol.Outcome_NOT_RUN:
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,11 @@
-// Package failure holds the typed errors that cross process boundaries. Every
-// failure has a stable code, says what became of the request (its outcome) and,
-// when another try makes sense, how long to wait before it.
+// Package failure has the typed errors that cross process boundaries. Every
+// failure has a stable code, the outcome of the request (not run, ran, or unknown)
+// and, if a retry makes sense, the minimum delay before it.
+//
+// An outcome of not run is a promise: callers repeat such requests. It is claimed
+// only where it was proved. Failures are immutable after New, and so safe for
+// concurrent use. The wire form is Failure in the .proto files, the JSON form is
+// Detail; both are described in docs/API.md.
 package failure
 
 import (
@@ -13,12 +18,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Error carries a failure as a Go error.
+// Error is a failure as a Go error.
 type Error struct {
 	Failure *protocol.Failure
 }
 
-// Error gives the code, the field at fault and the message.
+// Error names the code, the path of the field at fault, if any, and the message.
 func (e *Error) Error() string {
 	if e.Failure.GetPath() != "" {
 		return fmt.Sprintf("%s: %s: %s", e.Failure.GetCode(), e.Failure.GetPath(), e.Failure.GetMessage())
@@ -31,22 +36,22 @@
 	return Code(e.Failure.GetCode())
 }
 
-// Option completes a failure made by New.
+// Option sets an optional field of a failure in New.
 type Option func(*protocol.Failure)
 
-// WithPath names the field at fault.
+// WithPath sets the path of the field at fault.
 func WithPath(path string) Option {
 	return func(f *protocol.Failure) { f.Path = path }
 }
 
-// WithRetryAfter says how long to wait before another try; it is rounded up to whole milliseconds.
+// WithRetryAfter sets the minimum delay before a retry, rounded up to whole milliseconds.
 func WithRetryAfter(wait time.Duration) Option {
 	return func(f *protocol.Failure) {
 		f.RetryAfterMillis = uint32((wait + time.Millisecond - 1) / time.Millisecond)
 	}
 }
 
-// New makes a failure whose HTTP status follows from its code.
+// New returns a failure whose HTTP status follows from its code.
 func New(code Code, outcome protocol.Outcome, message string, options ...Option) *Error {
 	f := &protocol.Failure{
 		Code:    string(code),
@@ -60,8 +65,9 @@
 	return &Error{Failure: f}
 }
 
-// From turns any error into a failure. An error without a type is an internal
-// error whose outcome is unknown: nothing is claimed that was not proved.
+// From converts any error to a failure. An error that wraps no Error becomes an
+// internal error, or that of a context's end, with an unknown outcome: nothing is
+// claimed that was not proved.
 func From(err error) *protocol.Failure {
 	var typed *Error
 	switch {
@@ -76,7 +82,7 @@
 	}
 }
 
-// Is reports whether err carries a failure with the code.
+// Is reports whether err wraps an Error with the code.
 func Is(err error, code Code) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Code() == code
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestFromKeepsTypedFailuresThroughWrapping(t *testing.T) {
+func TestFromReturnsWrappedFailuresUnchanged(t *testing.T) {
 	typed := failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "reservations are open",
 		failure.WithPath("program"), failure.WithRetryAfter(1500*time.Microsecond))
 	got := failure.From(errors.Wrap(typed, "reserve"))
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestFromNeverClaimsAnOutcomeItDoesNotKnow(t *testing.T) {
+func TestFromClaimsNoOutcomeForOtherErrors(t *testing.T) {
 	for _, err := range []error{errors.New("disk"), context.Canceled, context.DeadlineExceeded} {
 		if got := failure.From(err); got.GetOutcome() != protocol.Outcome_UNKNOWN {
 			t.Fatalf("%v became %v", err, got)
--- a/internal/process/daemon/http.go
+++ b/internal/process/daemon/http.go
@@ -40,7 +40,7 @@
 
 // WriteFailure answers a request with a failure, with Retry-After in seconds, rounded up, if it has one.
 func WriteFailure(writer http.ResponseWriter, problem *protocol.Failure) {
-	body, err := json.Marshal(errorBody{Error: failure.DetailOf(problem)})
+	body, err := json.Marshal(errorBody{Error: failure.NewDetail(problem)})
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/transport/httpdrain/loopback_test.go
+++ b/internal/transport/httpdrain/loopback_test.go
@@ -15,7 +15,7 @@
 // newLoopbackServer serves echo on a port of loopback.
 func newLoopbackServer(t *testing.T) (server *httpdrain.Server, address string, served <-chan error) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,9 +26,9 @@
 	return server, listener.Addr().String(), ended
 }
 
-func TestACallerReadsTheEndOfItsConnectionThoughItSendsMore(t *testing.T) {
+func TestACallerReadsTheEndOfItsConnectionEvenIfItSendsMore(t *testing.T) {
 	server, address, served := newLoopbackServer(t)
-	connection, err := net.Dial("tcp", address)
+	connection, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,11 +56,15 @@
 	}
 }
 
-func TestAClientTakesTheEndOfItsConnectionForThat(t *testing.T) {
+func TestAClientHandlesTheEndOfItsConnection(t *testing.T) {
 	server, address, served := newLoopbackServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	answer, err := client.Get("http://" + address)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	answer, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +73,8 @@
 	if err := errors.Join(server.Drain(context.Background()), <-served); err != nil {
 		t.Error(err)
 	}
-	if answer, err := client.Get("http://" + address); err == nil {
+	if answer, err := client.Do(request); err == nil {
 		_ = answer.Body.Close()
-		t.Errorf("answered %d by a server that has ended", answer.StatusCode)
+		t.Errorf("answered %d by a server that has stopped", answer.StatusCode)
 	}
 }
--- a/internal/transport/httpdrain/server.go
+++ b/internal/transport/httpdrain/server.go
@@ -1,8 +1,10 @@
-// Package httpdrain ends an HTTP server without losing requests that reach it at that moment.
+// Package httpdrain drains an HTTP server without losing requests that reach it at that moment.
 //
-// http.Server.Shutdown closes a connection at rest also when the first bytes of a request have come over it, or are on their way:
-// its caller can't tell whether that request ran. Here such a connection is closed only when no byte has arrived, and with
-// an answer that says so to a request that crosses the end.
+// http.Server.Shutdown closes an idle connection even if the first bytes of a request have arrived, or are on their
+// way: the caller cannot tell whether that request ran. Here an idle connection is closed only if no byte has
+// arrived, and with a response that tells the caller of a crossing request that it was not run.
+//
+// A Server is safe for concurrent use.
 package httpdrain
 
 import (
@@ -16,23 +18,23 @@
 
 // Server is an HTTP server with the listener that it serves.
 type Server struct {
-	server      *http.Server
-	listener    net.Listener
-	connections *connections
-	// closing is set once each answer is to be the last one of its connection.
-	closing atomic.Bool
+	server   *http.Server
+	listener net.Listener
+	tracker  *connectionTracker
+	// draining is set once each answer is to be the last one of its connection.
+	draining atomic.Bool
 }
 
-// New takes a server that serves nothing yet; its handler is wrapped and its ConnState hook used here.
+// New returns a Server for an http.Server that does not serve yet; it wraps the handler and sets the ConnState hook.
 func New(server *http.Server, listener net.Listener) *Server {
-	tracked := newConnections()
-	s := &Server{server: server, listener: &trackingListener{Listener: listener, connections: tracked}, connections: tracked}
-	server.ConnState = tracked.changed
-	server.Handler = closingHandler(server.Handler, &s.closing)
+	tracked := newConnectionTracker()
+	s := &Server{server: server, listener: &trackingListener{Listener: listener, tracker: tracked}, tracker: tracked}
+	server.ConnState = tracked.connStateChanged
+	server.Handler = closingHandler(server.Handler, &s.draining)
 	return s
 }
 
-// Serve serves until the listener is closed, also by Drain or Close; that is no error.
+// Serve serves until the listener is closed, such as by Drain or Close, which is not an error.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -41,9 +43,9 @@
 	return err
 }
 
-// BeginDrain makes answers that begin from now on the last ones of their connections. Connections at rest stay open and new
-// ones are taken: a request may be on its way on each.
-func (s *Server) BeginDrain() { s.closing.Store(true) }
+// BeginDrain makes answers that begin from now on the last ones of their connections. Idle connections stay open and
+// new ones are accepted, because a request may be on its way on each.
+func (s *Server) BeginDrain() { s.draining.Store(true) }
 
 // Drain closes the listener and returns when every request that has begun to arrive is answered and every connection is
 // closed, or with the context's error.
@@ -53,11 +55,11 @@
 		return errors.Wrap(err, "close the listener")
 	}
 	select {
-	case <-s.connections.end():
+	case <-s.tracker.drain():
 	case <-ctx.Done():
 	}
 	return s.server.Shutdown(ctx)
 }
 
-// Close ends what is left at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.server.Close() }
--- a/internal/transport/httpdrain/server_test.go
+++ b/internal/transport/httpdrain/server_test.go
@@ -16,8 +16,8 @@
 	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
-// atOnce is the time that a drain takes for its last looks when nothing is left to wait for.
-const atOnce = 10 * time.Millisecond
+// immediately is the time that a drain takes for its final reads when nothing is left to wait for.
+const immediately = 10 * time.Millisecond
 
 // pipeListener hands out connections in memory.
 type pipeListener struct {
@@ -56,7 +56,9 @@
 		t: t, pipes: &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})},
 		served: make(chan error, 1), drained: make(chan error, 1),
 	}
-	r.server = httpdrain.New(&http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}, r.pipes)
+	r.server = httpdrain.New(
+		&http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}, r.pipes,
+	)
 	go func() { r.served <- r.server.Serve() }()
 	return r
 }
@@ -88,9 +90,10 @@
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
 	}
+	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.t.Fatalf("no whole answer: %v", err)
+		c.t.Fatalf("incomplete answer: %v", err)
 	}
 	return response.StatusCode, string(content)
 }
@@ -107,7 +110,7 @@
 	go func() { r.drained <- r.server.Drain(context.Background()) }()
 }
 
-// drain passes over the look at what has just arrived.
+// drain waits until the final read is over.
 func (r *pipeRig) drain() {
 	synctest.Wait()
 	r.beginDrain()
@@ -118,12 +121,12 @@
 // finish fails unless the drain ends within a time.
 func (r *pipeRig) finish(within time.Duration) {
 	r.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	if err := errors.Join(<-r.drained, <-r.served); err != nil {
 		r.t.Error(err)
 	}
-	if took := time.Since(begun); took > within {
-		r.t.Errorf("the drain took %v more", took)
+	if elapsed := time.Since(start); elapsed > within {
+		r.t.Errorf("the drain took %v more", elapsed)
 	}
 	if err := r.server.Close(); err != nil {
 		r.t.Error(err)
@@ -134,15 +137,17 @@
 	_, _ = io.Copy(writer, request.Body)
 }
 
-// post is a request whose body is its text; head is how much of it comes before the body.
-func post(body string) (request string, head int) {
+// post is a request whose body is its text; header is the length of its part before the body.
+func post(body string) (request string, header int) {
 	start := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))
 	return start + body, len(start)
 }
 
-func TestARequestThatHasBegunWhenConnectionsAreClosedIsAnsweredWhole(t *testing.T) {
-	request, head := post("whole")
-	for name, arrived := range map[string]int{"its first byte": 1, "three bytes": 3, "half of its head": head / 2, "its head": head} {
+func TestARequestThatHasBegunWhenConnectionsAreClosedIsAnsweredCompletely(t *testing.T) {
+	request, header := post("complete")
+	for name, arrived := range map[string]int{
+		"its first byte": 1, "three bytes": 3, "half of its header": header / 2, "its header": header,
+	} {
 		for _, served := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, served before: %v", name, served), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -157,11 +162,11 @@
 					r.beginDrain()
 					<-time.After(time.Second)
 					caller.send(request[arrived:])
-					if status, body := caller.receive(); status != http.StatusOK || body != "whole" {
+					if status, body := caller.receive(); status != http.StatusOK || body != "complete" {
 						t.Errorf("%d %q", status, body)
 					}
 					caller.ended()
-					r.finish(atOnce)
+					r.finish(immediately)
 				})
 			})
 		}
@@ -187,7 +192,7 @@
 			t.Error(err)
 		}
 		_ = caller.Close()
-		r.finish(atOnce)
+		r.finish(immediately)
 		if ran {
 			t.Error("it ran")
 		}
@@ -200,7 +205,7 @@
 		caller := r.connect()
 		synctest.Wait()
 		r.beginDrain()
-		// The look at what has arrived goes on for a millisecond.
+		// The final read takes a millisecond.
 		<-time.After(500 * time.Microsecond)
 		request, _ := post("in time")
 		caller.send(request)
@@ -208,19 +213,22 @@
 			t.Errorf("%d %q", status, body)
 		}
 		caller.ended()
-		r.finish(atOnce)
+		r.finish(immediately)
 	})
 }
 
-func TestConnectionsAtRestAreClosedInTime(t *testing.T) {
+func TestIdleConnectionsAreClosedInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		act    func(*pipeCaller)
 		within time.Duration
 	}{
-		"their callers close them":      {func(c *pipeCaller) { c.receive(); _ = c.Close() }, atOnce},
-		"their callers read, and stay":  {func(c *pipeCaller) { c.receive() }, 600 * time.Millisecond},
-		"their callers do nothing":      {func(*pipeCaller) {}, 600 * time.Millisecond},
-		"half a head comes and no more": {func(c *pipeCaller) { c.send("POST / HT"); c.receive() }, 2600 * time.Millisecond},
+		"their callers close them":     {func(c *pipeCaller) { c.receive(); _ = c.Close() }, immediately},
+		"their callers read, and stay": {func(c *pipeCaller) { c.receive() }, 600 * time.Millisecond},
+		"their callers do nothing":     {func(*pipeCaller) {}, 600 * time.Millisecond},
+		"half a header arrives and no more": {func(c *pipeCaller) {
+			c.send("POST / HT")
+			c.receive()
+		}, 2600 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -240,7 +248,7 @@
 	}
 }
 
-func TestAnAnswerUnderWayIsWholeBeforeItsConnectionIsClosed(t *testing.T) {
+func TestAnAnswerInProgressIsCompletedBeforeItsConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
 		r := newPipeRig(t, func(writer http.ResponseWriter, _ *http.Request) {
@@ -256,15 +264,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer func() { _ = answer.Body.Close() }()
 		r.drain()
 		close(release)
 		if content, err := io.ReadAll(answer.Body); err != nil || string(content) != "slow" {
 			t.Errorf("%q %v", content, err)
 		}
 		if status, _ := caller.receive(); status != http.StatusRequestTimeout {
-			t.Errorf("%d: the head did not say that the connection closes", status)
+			t.Errorf("%d: the header did not announce the close", status)
 		}
 		_ = caller.Close()
-		r.finish(atOnce)
+		r.finish(immediately)
 	})
 }
