--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -11,13 +11,16 @@
 
 var now = time.Unix(1_000_000, 0)
 
+// resultCheck checks the record and the result that an operation leaves.
+type resultCheck func(*protocol.ProgramRecord, *protocol.LedgerResult) bool
+
 // step is one operation, the status that it must result in, and a further check of the result.
 type step struct {
 	do   *protocol.LedgerOperation
 	want protocol.LedgerStatus
 	// after is when the operation is applied, from now on.
 	after time.Duration
-	check func(*protocol.ProgramRecord, *protocol.LedgerResult) bool
+	check resultCheck
 }
 
 func open(tenant string, budget uint64) *protocol.LedgerOperation {
@@ -26,9 +29,7 @@
 	}}
 }
 
-func finishedAs(
-	outcome protocol.RequestOutcome, tokens uint64) func(*protocol.ProgramRecord, *protocol.LedgerResult,
-) bool {
+func finishedAs(outcome protocol.RequestOutcome, tokens uint64) resultCheck {
 	return func(_ *protocol.ProgramRecord, result *protocol.LedgerResult) bool {
 		return result.GetFinished().GetOutcome() == outcome && result.GetFinished().GetTokens() == tokens
 	}
@@ -40,11 +41,11 @@
 	return operation
 }
 
-func hasEpoch(epoch uint64) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
+func hasEpoch(epoch uint64) resultCheck {
 	return func(_ *protocol.ProgramRecord, result *protocol.LedgerResult) bool { return result.GetEpoch() == epoch }
 }
 
-func settled(tokens uint64) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
+func settled(tokens uint64) resultCheck {
 	return func(record *protocol.ProgramRecord, _ *protocol.LedgerResult) bool {
 		return record.GetSettled() == tokens
 	}
--- a/internal/state/ledger/packed_test.go
+++ b/internal/state/ledger/packed_test.go
@@ -187,8 +187,8 @@
 	var damaged *ledger.DamagedRecordError
 	for size := range complete {
 		record.FinishedPacked = complete[:size]
-		if err := ledger.CheckRecord(record); (err == nil) != (size == 0 || size == first) || err != nil &&
-			!errors.As(err, &damaged) {
+		err := ledger.CheckRecord(record)
+		if (err == nil) != (size == 0 || size == first) || err != nil && !errors.As(err, &damaged) {
 			t.Errorf("truncated to %d of %d bytes: %v", size, len(complete), err)
 		}
 	}
--- a/internal/state/ledger/training_step_test.go
+++ b/internal/state/ledger/training_step_test.go
@@ -57,7 +57,7 @@
 const pinnedVersion = 4
 
 // pinnedBy checks that a result and its record name the pin that an owner set.
-func pinnedBy(owner string) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
+func pinnedBy(owner string) resultCheck {
 	return func(record *protocol.ProgramRecord, result *protocol.LedgerResult) bool {
 		pin := result.GetTrainingStepPin()
 		return pin.GetWeightVersion() == pinnedVersion && pin.GetPinnedBy() == owner &&
@@ -66,7 +66,7 @@
 }
 
 // counted checks the membership against one in text form.
-func counted(t *testing.T, membership string) func(*protocol.ProgramRecord, *protocol.LedgerResult) bool {
+func counted(t *testing.T, membership string) resultCheck {
 	t.Helper()
 	wanted := &protocol.TrainingStepMembership{}
 	if err := prototext.Unmarshal([]byte(membership), wanted); err != nil {
