--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -10,7 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
+	"github.com/rosestand/rosestand/internal/controlplane/core/delivery"
+	"github.com/rosestand/rosestand/internal/controlplane/core/heartbeats"
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/controlplane/core/reconcile"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
@@ -38,12 +41,12 @@
 	Lease        time.Duration
 	ShardCount   uint32
 	ReplicaCount uint32
-	// Coalesce is the shortest time between two answers with news to the same node; negative turns it off.
+	// Coalesce is the shortest time between two answers with an update to the same node; negative turns it off.
 	CoalesceInterval time.Duration
 	// FirstKeys are the sign-off keys of the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
-	Tokens *Tokens
+	Tokens *operators.Tokens
 	// TrustOperators takes orders without a token and lets the core sign off what is released.
 	TrustOperators bool
 	// BackEndLease is how long a back end stays in the view without a heartbeat.
@@ -63,15 +66,13 @@
 	lease     time.Duration
 	proposer  *controllog.Proposer
 	owner     *owner
-	pacing    *pacing
-	tokens    *Tokens
-	// trustOperators takes orders without a token and releases without a signature.
+	poller    *delivery.Poller
+	operators *operators.Handler
+	// trustOperators lets ReleaseBundle sign off what it puts in force.
 	trustOperators bool
 	replicaCount   uint32
 	metrics        *metrics
 	logger         *log.Logger
-	// dispatchTable lists the routes of operators.
-	dispatchTable []operatorRoute
 }
 
 // New makes a service; Start sets it to work.
@@ -92,7 +93,7 @@
 		options.BackEndLease = DefaultBackEndLease
 	}
 	if options.Tokens == nil {
-		options.Tokens = &Tokens{}
+		options.Tokens = &operators.Tokens{}
 	}
 	service := &Service{
 		consensus: options.Consensus,
@@ -101,8 +102,6 @@
 		caller:    options.Caller,
 		lease:     options.Lease,
 		proposer:  controllog.NewProposer(options.Consensus, options.Clock),
-		pacing:    newPacing(options.CoalesceInterval),
-		tokens:    options.Tokens,
 
 		trustOperators: options.TrustOperators,
 		replicaCount:   options.ReplicaCount,
@@ -110,7 +109,22 @@
 		metrics: newMetrics(options.Registerer),
 		logger:  orDiscard(options.Logger),
 	}
-	service.dispatchTable = service.routes()
+	service.poller = delivery.NewPoller(delivery.Options{
+		ControlPlane:     pollAccess{service},
+		Publisher:        options.Machine.publisher,
+		Clock:            options.Clock,
+		CoalesceInterval: options.CoalesceInterval,
+		Registerer:       options.Registerer,
+	})
+	service.operators = operators.New(operators.Options{
+		ControlPlane:   operatorAccess{service},
+		Consensus:      options.Consensus,
+		Proposer:       service.proposer,
+		Tokens:         options.Tokens,
+		TrustOperators: options.TrustOperators,
+		Logger:         service.logger,
+		Registerer:     options.Registerer,
+	})
 	service.owner = &owner{
 		clock:           options.Clock,
 		consensus:       options.Consensus,
@@ -122,9 +136,9 @@
 		queue:           make(chan func(time.Time), commandQueueLength),
 		nodes:           leases.NewTable(options.Lease + leaseMargin),
 		backEnds:        leases.NewTable(options.BackEndLease),
-		sequences:       newSequenceTable(),
-		relay:           newHeartbeatRelay(options.BackEndLease),
-		relayingMembers: newRelayingMembers(),
+		sequences:       heartbeats.NewSequenceTable(),
+		relay:           heartbeats.NewRelay(options.BackEndLease),
+		relayingMembers: heartbeats.NewRelayingMembers(),
 		variants:        rollout.NewVariantTable(),
 		suspectsChanged: make(chan struct{}),
 		reconciler: reconcile.New(reconcile.Settings{
