--- a/internal/storage/directory_lock.go
+++ b/internal/storage/directory_lock.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// LockFileName is the name of the lock file in a data folder.
+// LockFileName is the name of the lock file in a data directory.
 const LockFileName = "lock"
 
-// LockDir takes the data folder at path, made if absent, for this process. The lock ends
-// with Close or with the process. It returns *DirLockedError when another process holds it.
+// LockDir locks the data directory at path, which it creates if absent, for this process. Close releases the lock, and
+// so does the end of the process. It returns *DirLockedError when another process has the lock.
 func LockDir(path string) (io.Closer, error) {
 	if err := (OSFilesystem{}).MkdirAll(path); err != nil {
 		return nil, err
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -10,13 +10,14 @@
 	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
-// FuzzDamagedLog writes records cut from content with a sync after some, cuts or flips one byte of one segment
-// file and opens the log: it must give a prefix of the records or a typed error, and take a new record behind the prefix.
+// FuzzDamagedLog writes records taken from content with a sync after some, truncates or flips one byte of one segment
+// file and opens the log: it must give a prefix of the records or a typed error, and accept a new record after the
+// prefix.
 func FuzzDamagedLog(f *testing.F) {
 	f.Fuzz(func(t *testing.T, content []byte, segmentBytes uint16, file uint8, offset uint32, mask byte) {
 		options := storage.LogOptions{SegmentBytes: 100 + int64(segmentBytes), MaxRecordBytes: 300}
 		disk := newDisk(1)
-		log, err := storage.OpenLog(disk, folder, options)
+		log, err := storage.OpenLog(disk, dir, options)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +28,7 @@
 		if !opened {
 			return
 		}
-		log, err = storage.OpenLog(disk, folder, options)
+		log, err = storage.OpenLog(disk, dir, options)
 		if err != nil {
 			t.Fatalf("opened once and not twice: %v", err)
 		}
@@ -69,7 +70,7 @@
 }
 
 func damageFuzzed(t *testing.T, disk *simdisk.Disk, file uint8, offset uint32, mask byte) {
-	files := disk.Files(folder)
+	files := disk.Files(dir)
 	path := files[int(file)%len(files)]
 	opened, err := disk.Open(path)
 	if err != nil {
@@ -79,43 +80,43 @@
 	if err != nil || size == 0 {
 		t.Fatal(size, err)
 	}
-	place := int64(offset) % size
+	index := int64(offset) % size
 	if mask != 0 {
-		disk.Damage(path, place, mask)
+		disk.Damage(path, index, mask)
 		return
 	}
-	if err := errors.Join(opened.Truncate(place), opened.Sync()); err != nil {
+	if err := errors.Join(opened.Truncate(index), opened.Sync()); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func openFuzzed(t *testing.T, disk *simdisk.Disk, options storage.LogOptions, records [][]byte) (int, bool) {
-	log, err := storage.OpenLog(disk, folder, options)
+	log, err := storage.OpenLog(disk, dir, options)
 	if _, ok := errors.AsType[*storage.CorruptError](err); ok {
 		return 0, false
 	}
 	if err != nil {
 		t.Fatalf("untyped error: %v", err)
 	}
-	place := 0
+	count := 0
 	err = log.Replay(storage.Position{}, func(_ storage.Position, record []byte) error {
-		if place >= len(records) || !bytes.Equal(record, records[place]) {
-			t.Fatalf("record %d is none that was written there: %q", place, record)
+		if count >= len(records) || !bytes.Equal(record, records[count]) {
+			t.Fatalf("record %d is none that was written there: %q", count, record)
 		}
-		place++
+		count++
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return place, true
+	return count, true
 }
 
 // FuzzSnapshotFile opens arbitrary bytes as a snapshot: a typed error or the content that was saved.
 func FuzzSnapshotFile(f *testing.F) {
 	f.Fuzz(func(t *testing.T, content []byte, offset uint32, mask byte) {
 		disk := newDisk(1)
-		err := storage.SaveSnapshot(disk, folder, 5, func(writer io.Writer) error {
+		err := storage.SaveSnapshot(disk, dir, 5, func(writer io.Writer) error {
 			_, err := writer.Write(content)
 			return err
 		})
@@ -123,7 +124,7 @@
 			t.Fatal(err)
 		}
 		damageFuzzed(t, disk, 0, offset, mask)
-		_, found, err := storage.LoadNewestSnapshot(disk, folder, func(_ uint64, reader io.Reader) error {
+		_, found, err := storage.LoadNewestSnapshot(disk, dir, func(_ uint64, reader io.Reader) error {
 			_, err := io.ReadAll(reader)
 			return err
 		})
--- a/internal/storage/group_commit.go
+++ b/internal/storage/group_commit.go
@@ -5,23 +5,26 @@
 	"sync"
 )
 
-// DefaultMaxPendingBytes bounds the records that wait for a sync.
+// DefaultMaxPendingBytes bounds the memory of the records that wait for a sync while a disk stalls.
 const DefaultMaxPendingBytes = 256 << 20
 
 // GroupCommitterOptions are the settings of a group committer; zero values stand for the defaults.
 type GroupCommitterOptions struct {
+	// MaxPendingBytes bounds the queue; a single request may exceed it when the queue is empty.
 	MaxPendingBytes int
 	// OnSync, when set, is called after each sync with the number of requests that shared it.
 	OnSync func(requests int)
 }
 
-// GroupCommitter shares one sync among all requests that wait for it. One goroutine
-// writes the records and calls the callbacks in the order of the requests.
+// GroupCommitter shares one sync among all requests that wait for it. Its goroutine writes the records and calls the
+// callbacks in the order of the requests; Close ends it. It is safe for concurrent use.
 type GroupCommitter struct {
 	log     *Log
 	options GroupCommitterOptions
+	// stopped is closed when the goroutine has ended.
 	stopped chan struct{}
 
+	// mutex guards the fields below.
 	mutex        sync.Mutex
 	notEmpty     *sync.Cond
 	queue        []commitRequest
@@ -36,7 +39,7 @@
 	done      func([]Position, error)
 }
 
-// NewGroupCommitter starts the goroutine that appends to the log. Close stops it; the log stays open.
+// NewGroupCommitter starts the goroutine that appends to the log. Close stops it; the log remains open.
 func NewGroupCommitter(log *Log, options GroupCommitterOptions) *GroupCommitter {
 	if options.MaxPendingBytes <= 0 {
 		options.MaxPendingBytes = DefaultMaxPendingBytes
@@ -47,29 +50,27 @@
 	return committer
 }
 
-// Append returns when the records are durable. When the context ends first the
-// records may or may not become durable. The records must not change until they are written: callers
-// that give up early must not use their memory again.
+// Append returns when the records are durable. When the context ends first, the records may or may not become durable.
+// The records must not change until they are written: a caller whose context ended must not reuse their memory.
 func (c *GroupCommitter) Append(ctx context.Context, records ...[]byte) ([]Position, error) {
-	type result struct {
+	type outcome struct {
 		positions []Position
 		err       error
 	}
-	results := make(chan result, 1)
+	outcomes := make(chan outcome, 1)
 	c.AppendAsync(records, func(positions []Position, err error) {
-		results <- result{positions: positions, err: err}
+		outcomes <- outcome{positions: positions, err: err}
 	})
 	select {
-	case answer := <-results:
-		return answer.positions, answer.err
+	case committed := <-outcomes:
+		return committed.positions, committed.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// AppendAsync calls done when the records are durable or have failed. It is called on the committer's
-// goroutine, or on the caller's before AppendAsync returns when the request was not taken
-// (*QueueFullError, *ClosedError). done must not block.
+// AppendAsync calls done when the records are durable or have failed: on the committer's goroutine, or on the caller's
+// before AppendAsync returns when the request was rejected (*QueueFullError, *ClosedError). done must not block.
 func (c *GroupCommitter) AppendAsync(records [][]byte, done func([]Position, error)) {
 	size := 0
 	for _, record := range records {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// Close commits what waits and stops the goroutine.
+// Close commits the queue and stops the goroutine.
 func (c *GroupCommitter) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -118,7 +119,8 @@
 	}
 }
 
-// take waits for requests and returns none once the committer is closed and empty.
+// takeQueue waits for requests and returns all of them, or none once the committer is closed and its queue is empty.
+// The next queue reuses the given memory.
 func (c *GroupCommitter) takeQueue(reusable []commitRequest) []commitRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// write adds the records of one request, or none of them when one has a wrong size.
+// write appends the records of one request, or none of them when one has an invalid size.
 func (c *GroupCommitter) write(request *commitRequest) error {
 	maximum := c.log.options.MaxRecordBytes
 	for _, record := range request.records {
--- a/internal/storage/group_commit_test.go
+++ b/internal/storage/group_commit_test.go
@@ -34,14 +34,15 @@
 		Expect(replayed(open(disk, storage.LogOptions{}))).To(HaveLen(64 * 20 * 2))
 	})
 
-	It("given requests that come during a sync, then they share the next one", func() {
+	It("given requests during a sync, then they share the next one", func() {
 		const later = 9
 		queued := make(chan struct{})
 		var syncs []int
-		committer := storage.NewGroupCommitter(open(newDisk(1), storage.LogOptions{}), storage.GroupCommitterOptions{OnSync: func(requests int) {
-			<-queued
-			syncs = append(syncs, requests)
-		}})
+		committer := storage.NewGroupCommitter(open(newDisk(1), storage.LogOptions{}),
+			storage.GroupCommitterOptions{OnSync: func(requests int) {
+				<-queued
+				syncs = append(syncs, requests)
+			}})
 		var answers sync.WaitGroup
 		for range 1 + later {
 			answers.Add(1)
@@ -54,7 +55,8 @@
 		close(queued)
 		answers.Wait()
 		committer.Close()
-		Expect(len(syncs)).To(BeNumerically("<=", 2), "the first sync may have taken any part of them, the second takes the rest")
+		Expect(len(syncs)).To(BeNumerically("<=", 2),
+			"the first sync may have covered any part of them, the second covers the rest")
 		total := 0
 		for _, requests := range syncs {
 			total += requests
@@ -62,7 +64,7 @@
 		Expect(total).To(Equal(1 + later))
 	})
 
-	It("given a failed sync, then all that wait and all that come later hear of it", func() {
+	It("given a failed sync, then all pending and all later requests fail", func() {
 		disk := newDisk(1)
 		committer := storage.NewGroupCommitter(open(disk, storage.LogOptions{}), storage.GroupCommitterOptions{})
 		disk.FailSyncs(0, 1)
@@ -76,7 +78,7 @@
 		Expect(err).To(BeAssignableToTypeOf(&storage.ClosedError{}))
 	})
 
-	It("given a request with one wrong record, then none of it is written and others go on", func() {
+	It("given a request with one invalid record, then none of it is written and others succeed", func() {
 		disk := newDisk(1)
 		log := open(disk, storage.LogOptions{})
 		committer := storage.NewGroupCommitter(log, storage.GroupCommitterOptions{})
@@ -88,7 +90,7 @@
 		Expect(replayed(log)).To(Equal([]string{"b"}))
 	})
 
-	It("given more pending bytes than allowed, then refuses at once", func() {
+	It("given more pending bytes than allowed, then rejects at once", func() {
 		disk := newDisk(1)
 		release := make(chan struct{})
 		entered := make(chan struct{}, 8)
--- a/internal/storage/identity.go
+++ b/internal/storage/identity.go
@@ -9,40 +9,41 @@
 	"github.com/google/uuid"
 )
 
+// The identity file is text in one line a field, with a CRC32C of the lines before it.
 const (
-	identityName      = "identity"
+	identityName = "identity"
+	// maxIdentityBytes is far above the size of a valid file.
 	maxIdentityBytes  = 1 << 10
 	identityBodyStart = "rosestand-identity 1\nid %s\nstarts %d\n"
 	identityFormat    = identityBodyStart + "crc %08x\n"
 )
 
-// Identity tells one life of a data folder from another.
+// Identity distinguishes the incarnations of a data directory.
 type Identity struct {
-	// StorageID is made once for an empty folder. A process whose folder was emptied has another one.
+	// StorageID is made once for an empty directory. A process whose directory was emptied has another one.
 	StorageID string
-	// Fresh is true when this start made the StorageID: the process remembers no vote and no promise.
+	// Fresh is true when this start made the StorageID: the process remembers no vote and no promised ballot.
 	Fresh bool
-	// Starts counts the starts on this folder, this one included. It is durable before OpenIdentity returns.
+	// Starts counts the starts on this directory, including this one. It is durable before OpenIdentity returns.
 	Starts uint64
 }
 
-// OpenIdentity reads the identity of a data folder, or makes one with a random StorageID for a folder without log and
-// snapshots, and counts the start. It returns *CorruptError when the identity is damaged, or
-// absent although data is there.
+// OpenIdentity reads the identity of a data directory, or makes one with a random StorageID for a directory without log
+// and snapshots, and counts the start. It returns *CorruptError when the identity is damaged, or absent beside data.
 func OpenIdentity(filesystem Filesystem, dir string) (Identity, error) {
 	return OpenIdentityWith(filesystem, dir, uuid.NewString)
 }
 
-// OpenIdentityWith is OpenIdentity with a given source of StorageIDs, for repeatable simulations.
+// OpenIdentityWith is OpenIdentity with a given source of StorageIDs, for deterministic simulations.
 func OpenIdentityWith(filesystem Filesystem, dir string, newStorageID func() string) (Identity, error) {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return Identity{}, err
 	}
-	identity, found, err := readIdentity(filesystem, dir)
+	identity, exists, err := readIdentity(filesystem, dir)
 	if err != nil {
 		return Identity{}, err
 	}
-	if !found {
+	if !exists {
 		if err := requireNoData(filesystem, dir, true); err != nil {
 			return Identity{}, err
 		}
@@ -52,7 +53,7 @@
 	return identity, writeIdentity(filesystem, dir, identity)
 }
 
-func readIdentity(filesystem Filesystem, dir string) (Identity, bool, error) {
+func readIdentity(filesystem Filesystem, dir string) (identity Identity, exists bool, err error) {
 	path := filepath.Join(dir, identityName)
 	file, err := filesystem.Open(path)
 	if isNotExist(err) {
@@ -62,7 +63,7 @@
 		return Identity{}, false, err
 	}
 	content, err := readUpTo(file, maxIdentityBytes)
-	if err := errors.CombineErrors(err, file.Close()); err != nil {
+	if err = errors.CombineErrors(err, file.Close()); err != nil {
 		return Identity{}, false, err
 	}
 	identity, valid := parseIdentity(string(content))
@@ -72,12 +73,12 @@
 	return identity, true, nil
 }
 
-func readUpTo(file File, maximum int64) ([]byte, error) {
+func readUpTo(file File, maxBytes int64) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, err
 	}
-	content := make([]byte, min(size, maximum))
+	content := make([]byte, min(size, maxBytes))
 	if len(content) == 0 {
 		return content, nil
 	}
@@ -99,6 +100,7 @@
 	return body + fmt.Sprintf("crc %08x\n", checksum([]byte(body)))
 }
 
+// writeIdentity replaces the identity file by rename, so that a crash leaves the old or the new one.
 func writeIdentity(filesystem Filesystem, dir string, identity Identity) error {
 	path := filepath.Join(dir, identityName)
 	temporary := path + temporarySuffix
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// requireNoData returns *CorruptError when the folder, or one right under it, holds segments or snapshots.
+// requireNoData returns *CorruptError when the directory, or one directly below it, contains segments or snapshots.
 func requireNoData(filesystem Filesystem, dir string, descend bool) error {
 	entries, err := filesystem.List(dir)
 	if err != nil {
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -8,19 +8,23 @@
 
 // Defaults of LogOptions.
 const (
-	DefaultSegmentBytes   = 64 << 20
+	// DefaultSegmentBytes keeps segments few, yet small enough to be removed soon after a snapshot.
+	DefaultSegmentBytes = 64 << 20
+	// DefaultMaxRecordBytes is one segment: a record is never split.
 	DefaultMaxRecordBytes = 64 << 20
-	maxBufferBytes        = 1 << 20
 )
 
-// Position names a record: the segment and the byte offset of the record in it.
-// The zero Position stands for the beginning of the log.
+// maxBufferBytes is how much is buffered before it is given to the file without a Sync; it bounds the memory of a log.
+const maxBufferBytes = 1 << 20
+
+// Position identifies a record: its segment and its byte offset in the segment. The zero Position is the beginning of
+// the log.
 type Position struct {
 	Segment uint64
 	Offset  int64
 }
 
-// Before orders positions by their place in the log.
+// Before orders positions as their records are ordered in the log.
 func (p Position) Before(other Position) bool {
 	if p.Segment != other.Segment {
 		return p.Segment < other.Segment
@@ -30,12 +34,13 @@
 
 // LogOptions are the settings of a log; zero values stand for the defaults.
 type LogOptions struct {
-	// SegmentBytes is the size from which Write begins a new segment by itself.
+	// SegmentBytes is the size from which Write begins a new segment.
 	SegmentBytes int64
 	// MaxRecordBytes bounds one record.
 	MaxRecordBytes int
-	// VerifiedBefore names a segment; finished ones before it were read in full once and have been synced. OpenLog
-	// looks only at their headers and lengths, so that it need not read the whole log. Read still checks each record.
+	// VerifiedBefore is the number of a segment; finished ones before it were read completely once and are synced.
+	// OpenLog checks only their headers and lengths, so that it need not read the complete log. Read still verifies each
+	// record.
 	VerifiedBefore uint64
 }
 
@@ -49,21 +54,21 @@
 	return o
 }
 
-// Log is an append-only log in segment files. It is safe for concurrent use;
-// reads go on while a Sync runs.
+// Log is an append-only log in segment files. It is safe for concurrent use; reads go on while a Sync runs.
 type Log struct {
 	filesystem Filesystem
 	dir        string
 	options    LogOptions
 
-	// syncing is held by whoever syncs or changes the set of segments, and taken before mutex.
+	// syncing serializes syncs and changes of the set of segments. It is locked before mutex, never while mutex is held.
 	syncing sync.Mutex
-	mutex   sync.Mutex
+	// mutex guards the fields below; it is not held during a sync.
+	mutex sync.Mutex
 
 	segments []*segmentFile
-	// buffer holds the end of the newest segment that is not yet given to the file.
+	// buffer is the end of the newest segment that is not yet written to the file.
 	buffer []byte
-	// cut is the number of bytes that OpenLog dropped as a torn tail.
+	// truncated is the number of bytes that OpenLog removed as a torn write; it does not change afterwards.
 	truncated int64
 	err       error
 	closed    bool
@@ -73,19 +78,19 @@
 	sealed  *sync.Cond
 }
 
+// segmentFile is one open segment. The log's mutex guards its counters, in bytes.
 type segmentFile struct {
 	number uint64
 	path   string
 	file   File
-	// written counts bytes given to the file, size those and the buffer, durable those synced.
+	// written is given to the file, size is that and the buffer, durable is synced.
 	written int64
 	size    int64
 	durable int64
 }
 
-// Write adds a record and returns its position. The record is durable only after Sync.
-// It may begin a new segment, which syncs all before. A failure other than
-// *RecordSizeError is fatal for the log.
+// Write appends a record and returns its position. The record is durable only after Sync. Write may begin a new
+// segment, which syncs everything before. An error other than *RecordSizeError is final for the log.
 func (l *Log) Write(record []byte) (Position, error) {
 	if len(record) == 0 || len(record) > l.options.MaxRecordBytes {
 		return Position{}, &RecordSizeError{Size: len(record), Max: l.options.MaxRecordBytes}
@@ -123,17 +128,22 @@
 	return position, false, l.flush()
 }
 
-// Flush gives what was written to the file system without making it durable, so that it outlives the process.
+// Flush writes the buffer to the file without making it durable, so that it outlives the process.
 func (l *Log) Flush() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
+	return l.flushUsable()
+}
+
+// flushUsable is flush for a log that may have ended. The caller holds the mutex.
+func (l *Log) flushUsable() error {
 	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	return l.flush()
 }
 
-// flush gives the buffer to the file. The mutex is held.
+// flush writes the buffer to the file. The caller holds the mutex.
 func (l *Log) flush() error {
 	newest := l.newest()
 	if len(l.buffer) == 0 {
@@ -147,22 +157,18 @@
 	return nil
 }
 
-// Sync makes all records written before it durable. After an error nothing written since
-// the last good Sync may be taken as kept, and the log takes no more.
+// Sync makes all records written before it durable. After an error nothing written since the last successful Sync may
+// be considered durable, and the log accepts nothing more.
 func (l *Log) Sync() error {
 	l.syncing.Lock()
 	defer l.syncing.Unlock()
 	return l.syncNewest()
 }
 
-// syncNewest needs the syncing lock.
+// syncNewest syncs the newest segment. The caller holds syncing, which keeps the segment the newest one.
 func (l *Log) syncNewest() error {
 	l.mutex.Lock()
-	if err := l.checkUsable(); err != nil {
-		l.mutex.Unlock()
-		return err
-	}
-	err := l.flush()
+	err := l.flushUsable()
 	newest := l.newest()
 	written, durable := newest.written, newest.durable
 	l.mutex.Unlock()
@@ -191,7 +197,7 @@
 	return l.segments[0].number
 }
 
-// End returns the position that the next record will take unless a new segment begins.
+// End returns the position of the next record unless a new segment begins.
 func (l *Log) End() Position {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -210,10 +216,10 @@
 	return total
 }
 
-// TruncatedBytes returns how many bytes of a torn tail OpenLog dropped.
+// TruncatedBytes returns how many bytes OpenLog removed as a torn write.
 func (l *Log) TruncatedBytes() int64 { return l.truncated }
 
-// Failed returns the error that ended the log, or nil.
+// Err returns the error that ended the log, or nil.
 func (l *Log) Err() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -239,6 +245,7 @@
 
 func (l *Log) newest() *segmentFile { return l.segments[len(l.segments)-1] }
 
+// checkUsable returns the error that ended the log, if any. The caller holds the mutex.
 func (l *Log) checkUsable() error {
 	if l.closed {
 		return &ClosedError{}
@@ -246,14 +253,14 @@
 	return l.err
 }
 
-// failUnlocked is fail for callers that do not hold the mutex.
+// lockAndRecordFailure is recordFailure for callers that do not hold the mutex.
 func (l *Log) lockAndRecordFailure(operation, path string, cause error) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.recordFailure(operation, path, cause)
 }
 
-// fail keeps the first failure. The mutex is held.
+// recordFailure ends the log with its first failure, and returns that. The caller holds the mutex.
 func (l *Log) recordFailure(operation, path string, cause error) error {
 	if l.err == nil {
 		l.err = &FailedError{Operation: operation, Path: path, Cause: cause}
--- a/internal/storage/log_reader.go
+++ b/internal/storage/log_reader.go
@@ -6,9 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
+// readWindowBytes is how much of a segment is read at once: many records a read, little memory.
 const readWindowBytes = 256 << 10
 
-// recordReader reads records of one segment through a window that moves forward.
+// recordReader reads records of one segment through a window that moves forward. It belongs to one goroutine.
 type recordReader struct {
 	file           io.ReaderAt
 	number         uint64
@@ -16,7 +17,7 @@
 	maxRecordBytes int
 	window         []byte
 	windowStart    int64
-	// durableOffset is what the last valid record says of the bytes before it.
+	// durableOffset is how far the segment was durable when the last valid record was written.
 	durableOffset int64
 }
 
@@ -37,6 +38,7 @@
 	return r.window[start : start+int64(length)], nil
 }
 
+// fill moves the window to offset and reads at least length bytes.
 func (r *recordReader) fill(offset int64, length int) error {
 	wanted := int(min(int64(max(length, readWindowBytes)), r.size-offset))
 	if cap(r.window) < wanted {
@@ -101,7 +103,7 @@
 	return payload, nil
 }
 
-// readable finds the segment of a position and gives its buffered end to the file.
+// readable returns the segment of a position and its size, and flushes the buffer when the position is in it.
 func (l *Log) readable(position Position) (*segmentFile, int64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,19 +119,15 @@
 		return nil, 0, &PositionError{Position: position}
 	}
 	if position.Offset >= segment.written {
-		if err := l.checkUsable(); err != nil {
-			return nil, 0, err
-		}
-		if err := l.flush(); err != nil {
+		if err := l.flushUsable(); err != nil {
 			return nil, 0, err
 		}
 	}
 	return segment, segment.size, nil
 }
 
-// Replay visits the records from a position on, up to those written before the call. The
-// zero Position stands for the first record. The bytes handed to visit are valid during the call only. An
-// error of visit ends the replay and is returned.
+// Replay visits the records from a position on, up to those written before the call. The zero Position is the first
+// record. The bytes passed to visit are valid during the call only. An error of visit ends the replay and is returned.
 func (l *Log) Replay(from Position, visit func(Position, []byte) error) error {
 	views, err := l.views(from.Segment)
 	if err != nil {
@@ -147,6 +145,7 @@
 	return nil
 }
 
+// segmentView is a segment with its size at the start of a replay, in bytes.
 type segmentView struct {
 	segment *segmentFile
 	size    int64
@@ -155,10 +154,7 @@
 func (l *Log) views(from uint64) ([]segmentView, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.checkUsable(); err != nil {
-		return nil, err
-	}
-	if err := l.flush(); err != nil {
+	if err := l.flushUsable(); err != nil {
 		return nil, err
 	}
 	var views []segmentView
--- a/internal/storage/log_recovery.go
+++ b/internal/storage/log_recovery.go
@@ -16,9 +16,9 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("%016x%s", number, segmentSuffix) }
 
-// OpenLog opens the log in a folder, made if absent. It cuts a torn tail, which only records that were
-// never synced can be part of, and returns *CorruptError when a durable record is damaged or
-// a segment is absent. What it leaves is synced, so a record once replayed stays.
+// OpenLog opens the log in a directory, which it creates if absent. It truncates a torn write, which only records that
+// were never synced can be part of, and returns *CorruptError when a durable record is damaged or a segment is absent.
+// What remains is synced, so a record that was replayed once is durable.
 func OpenLog(filesystem Filesystem, dir string, options LogOptions) (*Log, error) {
 	log := &Log{filesystem: filesystem, dir: dir, options: options.withDefaults()}
 	log.sealed = sync.NewCond(&log.mutex)
@@ -35,7 +35,7 @@
 	return log, nil
 }
 
-// listNumbered returns the ascending numbers of the files named by a number and the suffix.
+// listNumbered returns the numbers of the files named by a number and the suffix, in ascending order.
 func listNumbered(filesystem Filesystem, dir, suffix string) ([]uint64, error) {
 	entries, err := filesystem.List(dir)
 	if err != nil {
@@ -67,22 +67,28 @@
 		}
 	}
 	if len(l.segments) == 0 {
-		created, err := l.createSegment(1, 0)
-		if err == nil {
-			l.segments = append(l.segments, created)
-		}
-		return err
+		return l.createFirstSegment()
 	}
 	newest := l.newest()
 	if err := newest.file.Sync(); err != nil {
 		return l.recordFailure("sync", newest.path, err)
 	}
 	if err := l.filesystem.SyncDir(l.dir); err != nil {
-		return l.recordFailure("sync folder of", newest.path, err)
+		return l.recordFailure("sync directory of", newest.path, err)
+	}
+	return nil
+}
+
+func (l *Log) createFirstSegment() error {
+	created, err := l.createSegment(1, 0)
+	if err != nil {
+		return err
 	}
+	l.segments = append(l.segments, created)
 	return nil
 }
 
+// openSegment opens a segment, checks it and the length of the one before it, and recovers it when it is the last one.
 func (l *Log) openSegment(number uint64, last bool) error {
 	path := filepath.Join(l.dir, segmentName(number))
 	file, err := l.filesystem.Open(path)
@@ -94,6 +100,7 @@
 	if len(l.segments) > 0 {
 		previous = l.newest()
 	}
+	// From here on Close closes the file, also after an error.
 	l.segments = append(l.segments, opened)
 	size, err := file.Size()
 	if err != nil {
@@ -106,16 +113,21 @@
 	if previous != nil && scan.end > 0 && scan.previousLength != previous.size {
 		return &CorruptError{Path: previous.path, Offset: previous.size, Reason: "finished segment has another length"}
 	}
-	complete := scan.end == size && scan.end >= segmentHeaderBytes
-	if complete && !last {
-		opened.written, opened.size, opened.durable = size, size, size
-		return nil
+	if last {
+		return l.recoverNewest(opened, previous, size, scan)
 	}
-	if !last {
+	if scan.end != size || scan.end < segmentHeaderBytes {
 		return &CorruptError{Path: path, Offset: scan.end, Reason: "damaged record in a finished segment"}
 	}
+	opened.written, opened.size, opened.durable = size, size, size
+	return nil
+}
+
+// recoverNewest truncates a torn write at the end of the newest segment and rewrites what may not have reached the
+// disk.
+func (l *Log) recoverNewest(opened, previous *segmentFile, size int64, scan segmentScan) error {
 	if scan.damagesDurable {
-		return &CorruptError{Path: path, Offset: scan.end, Reason: "damaged record that had been synced"}
+		return &CorruptError{Path: opened.path, Offset: scan.end, Reason: "damaged record that had been synced"}
 	}
 	l.truncated += size - scan.end
 	if err := l.truncateTail(opened, scan.end, previous); err != nil {
@@ -124,7 +136,7 @@
 	return l.rewriteTail(opened, scan.knownDurable)
 }
 
-// scan reads a segment in full unless it was checked before.
+// scan reads a segment completely unless it was verified before.
 func (l *Log) scan(file File, number uint64, size int64, last bool) (segmentScan, error) {
 	if last || number >= l.options.VerifiedBefore || size < segmentHeaderBytes {
 		return scanSegment(file, number, size, l.options.MaxRecordBytes)
@@ -140,8 +152,8 @@
 	return segmentScan{end: size, knownDurable: size, previousLength: previousLength}, nil
 }
 
-// rewriteTail writes again what no record knew to be durable, and syncs it. A sync that failed for a former process may have
-// left content in the page cache that is not on the disk, and that a sync alone would not write any more.
+// rewriteTail writes again what no record proves to be durable; the caller syncs it. A sync that failed for a former
+// process may have left content in the page cache that is not on the disk, and that a sync alone would not write again.
 func (l *Log) rewriteTail(opened *segmentFile, start int64) error {
 	tail := make([]byte, opened.size-start)
 	if len(tail) == 0 {
@@ -156,14 +168,15 @@
 	return nil
 }
 
-// cutTail drops what is behind end and makes that durable, so that no record of the old tail can follow a new one.
+// truncateTail removes what follows end and makes that durable, so that no record of the torn write can follow a new
+// one.
 func (l *Log) truncateTail(opened *segmentFile, end int64, previous *segmentFile) error {
 	if size, err := opened.file.Size(); err != nil || size == end && end >= segmentHeaderBytes {
 		opened.written, opened.size, opened.durable = end, end, end
 		return err
 	}
 	if err := opened.file.Truncate(end); err != nil {
-		return l.recordFailure("cut", opened.path, err)
+		return l.recordFailure("truncate", opened.path, err)
 	}
 	if end < segmentHeaderBytes {
 		var previousLength int64
@@ -182,14 +195,15 @@
 	return nil
 }
 
+// segmentScan is what reading a segment showed, in bytes.
 type segmentScan struct {
-	// end is where the valid prefix ends; zero when the segment header is damaged.
+	// end is the end of the valid prefix; zero when the segment header is damaged.
 	end int64
-	// knownDurable is how far the last valid record says that the segment was durable.
+	// knownDurable is how far the segment was durable when its last valid record was written.
 	knownDurable int64
-	// previousLength is what the segment header says of the segment before.
+	// previousLength is the length of the segment before, from the segment header.
 	previousLength int64
-	// durableBehind says that a record behind end knew the bytes at end to be durable.
+	// damagesDurable says that a record after end was written when the bytes at end were already durable.
 	damagesDurable bool
 }
 
@@ -216,7 +230,7 @@
 	return scan, err
 }
 
-// validPrefix returns the offset behind the last record before the first damaged one.
+// validPrefix returns the end of the last record before the first damaged one.
 func (r *recordReader) validPrefix() (int64, error) {
 	offset := int64(segmentHeaderBytes)
 	for {
@@ -228,14 +242,14 @@
 	}
 }
 
-// knownDurable looks at each byte behind offset for a record header that was written after offset had been synced.
+// provesDurable searches each byte after offset for a record header that was written after offset had been synced.
 func (r *recordReader) provesDurable(offset int64) (bool, error) {
 	for candidate := max(offset, segmentHeaderBytes); candidate+recordHeaderBytes <= r.size; candidate++ {
 		data, err := r.bytes(candidate, recordHeaderBytes)
 		if err != nil {
 			return false, err
 		}
-		// Cheap test first: most bytes are no header.
+		// The cheap test comes first: most bytes are no header.
 		if int64(binary.LittleEndian.Uint64(data[4:])) > candidate {
 			continue
 		}
--- a/internal/storage/log_segments.go
+++ b/internal/storage/log_segments.go
@@ -2,6 +2,7 @@
 
 import (
 	"path/filepath"
+	"slices"
 
 	"github.com/cockroachdb/errors"
 )
@@ -27,7 +28,7 @@
 	return err
 }
 
-// rotate needs the syncing lock.
+// rotate is Rotate for callers that hold syncing.
 func (l *Log) rotate() (uint64, error) {
 	if err := l.syncNewest(); err != nil {
 		return 0, err
@@ -48,23 +49,20 @@
 	return created.number, nil
 }
 
-// seal keeps writers from the newest segment until it is finished.
+// seal stops writes to the newest segment until rotate has finished it.
 func (l *Log) seal() (*segmentFile, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.checkUsable(); err != nil {
-		return nil, err
-	}
-	// Writers may have come between the sync and the lock.
-	if err := l.flush(); err != nil {
+	// Records may have been written between the sync and the lock.
+	if err := l.flushUsable(); err != nil {
 		return nil, err
 	}
 	l.sealing = true
 	return l.newest(), nil
 }
 
-// finishAndCreate syncs the sealed segment and creates the one after it. The mutex is not held, so that a disk that stalls
-// holds up no reader.
+// finishAndCreate syncs the sealed segment and creates the one after it. It does not hold the mutex during a sync, so
+// that a disk that stalls delays no reader.
 func (l *Log) finishAndCreate(newest *segmentFile) (*segmentFile, error) {
 	if newest.written != newest.durable {
 		if err := newest.file.Sync(); err != nil {
@@ -93,7 +91,8 @@
 	}, nil
 }
 
-// beginSegment makes the header and the name of a new segment durable; it names the operation that failed.
+// beginSegment makes the header and the name of a new segment durable; it returns the name of the operation that
+// failed.
 func (l *Log) beginSegment(file File, number uint64, previousLength int64) (operation string, err error) {
 	if _, err := file.WriteAt(segmentHeader(number, previousLength), 0); err != nil {
 		return "write", err
@@ -101,46 +100,47 @@
 	if err := file.Sync(); err != nil {
 		return "sync", err
 	}
-	return "sync folder of", l.filesystem.SyncDir(l.dir)
+	return "sync directory of", l.filesystem.SyncDir(l.dir)
 }
 
-// RemoveBefore deletes the segments with numbers below segment; the newest one stays in any case. The
-// caller makes sure that a durable snapshot covers them.
+// RemoveBefore deletes the segments with numbers below segment, oldest first; the newest one always remains. The caller
+// ensures that a durable snapshot covers them.
 func (l *Log) RemoveBefore(segment uint64) error {
 	l.syncing.Lock()
 	defer l.syncing.Unlock()
 	for {
-		l.mutex.Lock()
-		if err := l.checkUsable(); err != nil {
-			l.mutex.Unlock()
+		oldest, err := l.detachBefore(segment)
+		if oldest == nil || err != nil {
 			return err
 		}
-		if len(l.segments) == 1 || l.segments[0].number >= segment {
-			l.mutex.Unlock()
-			return nil
-		}
-		oldest := l.segments[0]
-		l.segments = append([]*segmentFile(nil), l.segments[1:]...)
-		l.mutex.Unlock()
 		if err := l.removeFile(oldest); err != nil {
-			return err
+			return l.lockAndRecordFailure("remove", oldest.path, err)
 		}
 	}
 }
 
-// removeFile syncs the folder after each file, so that no loss of power leaves a hole between segments.
-func (l *Log) removeFile(oldest *segmentFile) error {
-	err := oldest.file.Close()
-	if err == nil {
-		err = l.filesystem.Remove(oldest.path)
+// detachBefore takes the oldest segment out of the log when its number is below segment and it is not the newest one.
+func (l *Log) detachBefore(segment uint64) (*segmentFile, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if err := l.checkUsable(); err != nil {
+		return nil, err
 	}
-	if err == nil {
-		err = l.filesystem.SyncDir(l.dir)
+	oldest := l.segments[0]
+	if len(l.segments) == 1 || oldest.number >= segment {
+		return nil, nil
 	}
-	if err == nil {
-		return nil
+	l.segments = slices.Clone(l.segments[1:])
+	return oldest, nil
+}
+
+// removeFile syncs the directory after each file, so that no loss of power leaves a hole between segments.
+func (l *Log) removeFile(oldest *segmentFile) error {
+	if err := oldest.file.Close(); err != nil {
+		return err
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.recordFailure("remove", oldest.path, err)
+	if err := l.filesystem.Remove(oldest.path); err != nil {
+		return err
+	}
+	return l.filesystem.SyncDir(l.dir)
 }
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -27,7 +27,7 @@
 
 		log = open(disk, small)
 		Expect(replayed(log)).To(Equal(expected))
-		Expect(len(disk.Files(folder))).To(BeNumerically(">", 3))
+		Expect(len(disk.Files(dir))).To(BeNumerically(">", 3))
 		Expect(log.Replay(storage.Position{}, func(position storage.Position, record []byte) error {
 			read, err := log.Read(position)
 			Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 		Expect(err).To(BeAssignableToTypeOf(&storage.PositionError{}))
 	})
 
-	It("given records of a wrong size, then refuses them and goes on", func() {
+	It("given records of a wrong size, then rejects them and goes on", func() {
 		log := open(disk, small)
 		_, err := log.Write(nil)
 		Expect(err).To(BeAssignableToTypeOf(&storage.RecordSizeError{}))
@@ -67,23 +67,23 @@
 		Expect(written(log, 0, 1)).To(HaveLen(1))
 	})
 
-	It("given old segments, when removed and power is lost, then the rest is whole", func() {
+	It("given old segments, when removed and power is lost, then the rest is complete", func() {
 		for seed := range uint64(50) {
 			disk := newDisk(seed)
 			log := open(disk, small)
 			written(log, 0, 20)
 			segment, err := log.Rotate()
 			Expect(err).NotTo(HaveOccurred())
-			kept := written(log, 20, 30)
+			synced := written(log, 20, 30)
 			Expect(log.Sync()).To(Succeed())
 			Expect(log.RemoveBefore(segment)).To(Succeed())
 			Expect(log.FirstSegment()).To(Equal(segment))
 			disk.LosePower()
-			Expect(replayed(open(disk, small))).To(Equal(kept))
+			Expect(replayed(open(disk, small))).To(Equal(synced))
 		}
 	})
 
-	It("given syncs between writes, when power is lost at any point, then keeps all synced records and no record out of order", func() {
+	It("given syncs between writes, when power is lost, then keeps all synced records and none out of order", func() {
 		for seed := range uint64(400) {
 			disk := newDisk(seed)
 			random := rand.New(rand.NewPCG(seed, 2))
@@ -103,15 +103,15 @@
 				}
 				disk.LosePower()
 				log = open(disk, small)
-				found := replayed(log)
-				Expect(len(found)).To(BeNumerically(">=", durable), "seed %d", seed)
-				Expect(slices.Equal(found, expected[:len(found)])).To(BeTrue(), "seed %d", seed)
-				expected, durable = found, len(found)
+				records := replayed(log)
+				Expect(len(records)).To(BeNumerically(">=", durable), "seed %d", seed)
+				Expect(slices.Equal(records, expected[:len(records)])).To(BeTrue(), "seed %d", seed)
+				expected, durable = records, len(records)
 			}
 		}
 	})
 
-	It("given a process that was killed, when opened and power is lost, then what was replayed stays", func() {
+	It("given a process that was killed, when opened and power is lost, then what was replayed is durable", func() {
 		for seed := range uint64(50) {
 			disk := newDisk(seed)
 			log := open(disk, small)
@@ -119,21 +119,21 @@
 			_, err := log.Read(storage.Position{Segment: 1, Offset: 28})
 			Expect(err).NotTo(HaveOccurred())
 			disk.Kill()
-			found := replayed(open(disk, small))
+			records := replayed(open(disk, small))
 			disk.LosePower()
-			Expect(replayed(open(disk, small))).To(Equal(found))
+			Expect(replayed(open(disk, small))).To(Equal(records))
 		}
 	})
 
-	It("given a damaged record that was synced before later ones, when opened, then is a loss and no cut", func() {
+	It("given a damaged record that was synced before later ones, when opened, then is a loss and not truncated", func() {
 		log := open(disk, storage.LogOptions{})
 		position, err := log.Write([]byte("first"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Sync()).To(Succeed())
 		written(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
-		Expect(disk.Damage(disk.Files(folder)[0], position.Offset+21, 0x10)).To(BeTrue())
-		_, err = storage.OpenLog(disk, folder, storage.LogOptions{})
+		Expect(disk.Damage(disk.Files(dir)[0], position.Offset+21, 0x10)).To(BeTrue())
+		_, err = storage.OpenLog(disk, dir, storage.LogOptions{})
 		var corrupt *storage.CorruptError
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
 		Expect(corrupt.Offset).To(Equal(position.Offset))
@@ -145,19 +145,19 @@
 		log := open(disk, small)
 		written(log, 0, 30)
 		Expect(log.Sync()).To(Succeed())
-		files := disk.Files(folder)
+		files := disk.Files(dir)
 		Expect(disk.Damage(files[1], 100, 1)).To(BeTrue())
-		_, err := storage.OpenLog(disk, folder, small)
+		_, err := storage.OpenLog(disk, dir, small)
 		var corrupt *storage.CorruptError
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
 
 		Expect(disk.Remove(files[1])).To(Succeed())
-		_, err = storage.OpenLog(disk, folder, small)
+		_, err = storage.OpenLog(disk, dir, small)
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
 		Expect(corrupt.Reason).To(ContainSubstring("absent"))
 	})
 
-	It("given segments that were checked before, when opened, then only their headers and lengths are read", func() {
+	It("given segments that were verified before, when opened, then only their headers and lengths are read", func() {
 		log := open(disk, small)
 		var positions []storage.Position
 		for number := range 30 {
@@ -167,11 +167,11 @@
 		}
 		Expect(log.Sync()).To(Succeed())
 		newest := log.End().Segment
-		files := disk.Files(folder)
+		files := disk.Files(dir)
 		Expect(disk.Damage(files[1], 100, 1)).To(BeTrue())
-		checked := small
-		checked.VerifiedBefore = newest
-		log, err := storage.OpenLog(disk, folder, checked)
+		verified := small
+		verified.VerifiedBefore = newest
+		log, err := storage.OpenLog(disk, dir, verified)
 		Expect(err).NotTo(HaveOccurred())
 		damaged := 0
 		var corrupt *storage.CorruptError
@@ -183,19 +183,19 @@
 		}
 		Expect(damaged).To(Equal(1))
 
-		checked.VerifiedBefore = 2
-		_, err = storage.OpenLog(disk, folder, checked)
-		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the damage is behind what was checked")
+		verified.VerifiedBefore = 2
+		_, err = storage.OpenLog(disk, dir, verified)
+		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the damage is behind what was verified")
 
-		checked.VerifiedBefore = newest
+		verified.VerifiedBefore = newest
 		Expect(disk.Damage(files[2], 10, 1)).To(BeTrue())
-		_, err = storage.OpenLog(disk, folder, checked)
+		_, err = storage.OpenLog(disk, dir, verified)
 		Expect(errors.As(err, &corrupt)).To(BeTrue(), "a header is damaged")
 	})
 
-	It("given a failed sync, when tried again, then fails for ever although the disk works", func() {
+	It("given a failed sync, when retried, then fails for ever although the disk works", func() {
 		log := open(disk, small)
-		kept := written(log, 0, 2)
+		synced := written(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
 		written(log, 2, 4)
 		disk.FailSyncs(0, 1)
@@ -209,10 +209,10 @@
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		Expect(log.Err()).To(HaveOccurred())
 		disk.LosePower()
-		Expect(replayed(open(disk, small))[:2]).To(Equal(kept))
+		Expect(replayed(open(disk, small))[:2]).To(Equal(synced))
 	})
 
-	It("given a failed sync and a new process, when power is lost later, then what was replayed after the failure stays", func() {
+	It("given a failed sync, a new process and a loss of power, then what was replayed after it is durable", func() {
 		for seed := range uint64(100) {
 			disk := newDisk(seed)
 			log := open(disk, storage.LogOptions{})
@@ -223,17 +223,17 @@
 			Expect(log.Sync()).To(HaveOccurred())
 			disk.Kill()
 			log = open(disk, storage.LogOptions{})
-			found := replayed(log)
-			found = append(found, written(log, 20, 23)...)
+			records := replayed(log)
+			records = append(records, written(log, 20, 23)...)
 			Expect(log.Sync()).To(Succeed())
 			disk.LosePower()
-			Expect(replayed(open(disk, storage.LogOptions{}))).To(Equal(found), "seed %d", seed)
+			Expect(replayed(open(disk, storage.LogOptions{}))).To(Equal(records), "seed %d", seed)
 		}
 	})
 
 	It("given a full disk, when written, then fails for ever and keeps what was synced", func() {
 		log := open(disk, small)
-		kept := written(log, 0, 2)
+		synced := written(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
 		disk.SetCapacity(disk.Used() + 30)
 		written(log, 2, 4)
@@ -244,7 +244,7 @@
 		disk.SetCapacity(0)
 		Expect(log.Sync()).To(MatchError(failed))
 		log = open(disk, small)
-		Expect(replayed(log)).To(Equal(kept))
+		Expect(replayed(log)).To(Equal(synced))
 		Expect(log.TruncatedBytes()).To(BeNumerically("==", 30))
 	})
 
@@ -260,7 +260,7 @@
 		Expect(replayed(open(disk, small))).To(BeEmpty())
 	})
 
-	It("given the file system of the operating system, then behaves alike", func() {
+	It("given the file system of the operating system, then behaves the same", func() {
 		path := GinkgoT().TempDir()
 		log, err := storage.OpenLog(storage.OSFilesystem{}, path+"/a/log", small)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/storage/os_filesystem.go
+++ b/internal/storage/os_filesystem.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// Modes of what is created: the process's group may read, others nothing.
 const (
 	dirMode  = 0o750
 	fileMode = 0o640
@@ -18,7 +19,7 @@
 
 var _ Filesystem = OSFilesystem{}
 
-// MkdirAll creates a folder and its parents and syncs the folder above each one it made.
+// MkdirAll creates a directory and its parents, and syncs the parent of each one that it creates.
 func (f OSFilesystem) MkdirAll(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
@@ -35,7 +36,7 @@
 	return f.SyncDir(parent)
 }
 
-// List returns the entries of a folder sorted by name.
+// List returns the entries of a directory, sorted by name.
 func (OSFilesystem) List(dir string) ([]Entry, error) {
 	names, err := os.ReadDir(dir)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return errors.WithStack(os.Remove(path))
 }
 
-// SyncDir syncs the names of a folder.
+// SyncDir syncs the names in a directory.
 func (OSFilesystem) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return info.Size(), nil
 }
 
-// Sync writes content and length to the disk; times of access and change may lag behind.
+// Sync writes content and length to the disk, but not the times of access and change, which would cost a second write.
 func (f osFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -5,16 +5,16 @@
 	"hash/crc32"
 )
 
-// A segment begins with a header of segmentHeaderBytes and goes on with records.
-// A record is a header of recordHeaderBytes and the payload. All numbers are little-endian.
+// A segment is a header of segmentHeaderBytes followed by records. A record is a header of recordHeaderBytes and the
+// payload. All numbers are little-endian; sizes in parentheses are bytes.
 //
-// Segment header: magic (8), segment number (8), length of the segment before (8), CRC32C of them (4). The
-// length shows when a finished segment was cut between two records; it is zero in the first segment of a log.
+// Segment header: magic (8), segment number (8), length of the segment before (8), CRC32C of them (4). The length shows
+// when a finished segment was truncated between two records; it is zero in the first segment of a log.
 // Record header: payload length (4), durable offset (8), CRC32C of the payload (4),
 // CRC32C of segment number, record offset and the fields before (4).
 //
-// The durable offset is how far this segment was synced when the record was written. It
-// tells a torn tail, which no record behind it knew to be durable, from a damaged middle.
+// The durable offset is how far this segment was synced when the record was written. It distinguishes a torn write,
+// which no later record proves to be durable, from damage in the middle.
 const (
 	segmentMagic       = "RSTLOG\x00\x01"
 	segmentHeaderBytes = 28
@@ -25,6 +25,7 @@
 
 func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
+// recordHeader is the header of a record without its own checksum, which parseHeader verified.
 type recordHeader struct {
 	length        uint32
 	durableOffset int64
@@ -58,6 +59,7 @@
 	return append(buffer, payload...)
 }
 
+// headerSum covers the position too, so that a header found elsewhere, as in a payload, is not valid.
 func headerSum(position Position, fields []byte) uint32 {
 	var encoded [16]byte
 	binary.LittleEndian.PutUint64(encoded[:8], position.Segment)
--- a/internal/storage/simdisk/disk.go
+++ b/internal/storage/simdisk/disk.go
@@ -13,45 +13,53 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// SectorBytes is the unit that a loss of power keeps or drops as one.
+// SectorBytes is the unit that a loss of power persists or drops, as on common disks.
 const SectorBytes = 512
 
-// StaleHandleError reports the use of a file that was opened before the process or the disk was lost.
+// StaleHandleError reports the use of a file that was opened before the process was killed or the disk was lost.
 type StaleHandleError struct{ Path string }
 
+// Error implements error.
 func (e *StaleHandleError) Error() string { return "simdisk: stale handle of " + e.Path }
 
 // SyncFailedError is the injected failure of a sync.
 type SyncFailedError struct{ Path string }
 
+// Error implements error.
 func (e *SyncFailedError) Error() string { return "simdisk: sync of " + e.Path + " failed" }
 
-// Counters says what happened to a disk.
+// Counters are the operations and faults of a disk so far.
 type Counters struct {
 	Syncs        int
 	FailedSyncs  int
 	StalledSyncs int
 	PowerLosses  int
-	TornFiles    int
-	LostBytes    int64
-	DiskLosses   int
+	// TornFiles had writes that were not synced at a loss of power; LostBytes is by how much they became shorter.
+	TornFiles  int
+	LostBytes  int64
+	DiskLosses int
+	// FullWrites failed, at least partly, because the disk was full.
 	FullWrites   int
 	DamagedBytes int
 }
 
-// Disk is one simulated disk. It is safe for concurrent use; it is deterministic when used from one goroutine.
+// Disk is one simulated disk. It is safe for concurrent use; it is deterministic when one goroutine uses it.
 type Disk struct {
+	// mutex guards all fields and all inodes.
 	mutex  sync.Mutex
 	random *rand.Rand
 
 	dirs  map[string]bool
 	names map[string]*inode
-	// durableNames are the names after the last folder sync, and nameChanges what came since, in order.
+	// durableNames are the names that are on the disk; nameChanges are those made since, in order.
 	durableNames map[string]*inode
 	nameChanges  []nameChange
 
-	generation  int
-	capacity    int64
+	// generation is raised when handles become stale.
+	generation int
+	// capacity bounds the bytes of all files; zero is no bound.
+	capacity int64
+	// The next syncsToPass syncs succeed, and the syncsToFail after them fail.
 	syncsToFail int
 	syncsToPass int
 	// resumed is closed when syncs go on; nil while they are not stalled.
@@ -60,7 +68,7 @@
 	counters   Counters
 }
 
-// nameChange binds a name to a file, or to none, and frees the former name of a renamed file.
+// nameChange binds a name to a file, or removes it when node is nil. It removes the old name of a renamed file.
 type nameChange struct {
 	path    string
 	node    *inode
@@ -69,7 +77,7 @@
 
 var _ storage.Filesystem = (*Disk)(nil)
 
-// New makes an empty disk without a bound on its size.
+// New returns an empty disk without a bound on its size.
 func New(random *rand.Rand) *Disk {
 	disk := &Disk{random: random}
 	disk.erase()
@@ -84,7 +92,7 @@
 	d.generation++
 }
 
-// NewStorageID makes a repeatable identity for storage.OpenIdentityWith.
+// NewStorageID returns an identity for storage.OpenIdentityWith that is deterministic for the seed.
 func (d *Disk) NewStorageID() string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -92,7 +100,7 @@
 	return fmt.Sprintf("disk-%016x-%d", d.random.Uint64(), d.storageIDs)
 }
 
-// MkdirAll creates a folder and its parents durably.
+// MkdirAll creates a directory and its parents durably.
 func (d *Disk) MkdirAll(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -102,7 +110,7 @@
 	return nil
 }
 
-// List returns the entries of a folder sorted by name.
+// List returns the entries of a directory, sorted by name.
 func (d *Disk) List(dir string) ([]storage.Entry, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -125,7 +133,7 @@
 	return entries, nil
 }
 
-// Create makes an empty file, or cuts an existing one to nothing.
+// Create makes an empty file, or truncates an existing one.
 func (d *Disk) Create(path string) (storage.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -133,8 +141,8 @@
 	if !d.dirs[filepath.Dir(path)] {
 		return nil, notExist("create", path)
 	}
-	node, found := d.names[path]
-	if found {
+	node, exists := d.names[path]
+	if exists {
 		node.truncate(0)
 	} else {
 		node = &inode{}
@@ -148,20 +156,20 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	path = filepath.Clean(path)
-	node, found := d.names[path]
-	if !found {
+	node, exists := d.names[path]
+	if !exists {
 		return nil, notExist("open", path)
 	}
 	return d.handle(path, node), nil
 }
 
-// Rename replaces the file at the new path. A loss of power before SyncDir keeps either both changes of name or none.
+// Rename replaces the file at the new path. A loss of power before SyncDir persists both changes of names or none.
 func (d *Disk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	from, to = filepath.Clean(from), filepath.Clean(to)
-	node, found := d.names[from]
-	if !found {
+	node, exists := d.names[from]
+	if !exists {
 		return notExist("rename", from)
 	}
 	d.change(nameChange{path: to, node: node, oldPath: from})
@@ -173,14 +181,14 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	path = filepath.Clean(path)
-	if _, found := d.names[path]; !found {
+	if _, exists := d.names[path]; !exists {
 		return notExist("remove", path)
 	}
 	d.change(nameChange{path: path})
 	return nil
 }
 
-// SyncDir makes the names in a folder durable.
+// SyncDir makes the names in a directory durable.
 func (d *Disk) SyncDir(path string) error {
 	d.waitWhileStalled()
 	d.mutex.Lock()
@@ -226,7 +234,7 @@
 	return &handle{disk: d, path: path, node: node, generation: d.generation}
 }
 
-// syncFails counts a sync and says whether it is one that was chosen to fail.
+// syncFails counts a sync and reports whether FailSyncs chose it to fail.
 func (d *Disk) syncFails() bool {
 	d.counters.Syncs++
 	if d.syncsToFail == 0 {
@@ -253,7 +261,7 @@
 	return &fs.PathError{Op: operation, Path: path, Err: syscall.ENOENT}
 }
 
-// Files returns the paths of all files under a folder, sorted.
+// Files returns the paths of all files under a directory, sorted.
 func (d *Disk) Files(dir string) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -268,7 +276,7 @@
 	return paths
 }
 
-// Counters returns what happened so far.
+// Counters returns the operations and faults so far.
 func (d *Disk) Counters() Counters {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/storage/simdisk/faults.go
+++ b/internal/storage/simdisk/faults.go
@@ -5,15 +5,15 @@
 	"sort"
 )
 
-// Kill ends the process that used the disk: its handles go stale, written content stays.
+// Kill ends the process that used the disk: its handles become stale, written content remains.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// LosePower ends the process and loses what was not synced: of the changes of names a
-// beginning of random length stays, and of each file random sectors, a torn one among them.
+// LosePower ends the process and loses what was not synced: a random prefix of the changes of names persists, and
+// random sectors of each file, some of them torn.
 func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// settle makes a file what the disk has of it after a loss of power.
+// revertToDurable makes a file what the disk has of it after a loss of power.
 func (d *Disk) revertToDurable(node *inode) {
 	if len(node.dirty) > 0 {
 		d.counters.TornFiles++
@@ -48,7 +48,7 @@
 	clear(node.dirty)
 }
 
-// tear moves a random part of the dirty sectors to the durable content.
+// tear persists a random part of the dirty sectors.
 func (d *Disk) tear(node *inode) {
 	sectors := make([]int, 0, len(node.dirty))
 	for sector := range node.dirty {
@@ -92,7 +92,7 @@
 	node.durable = append(node.durable, make([]byte, size-len(node.durable))...)
 }
 
-// Lose loses the whole disk and puts an empty one in its place.
+// Lose loses the complete disk and replaces it by an empty one.
 func (d *Disk) Lose() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -101,14 +101,14 @@
 	d.syncsToFail, d.syncsToPass = 0, 0
 }
 
-// FailSyncs lets the next pass syncs of files or folders succeed and the count after them fail.
+// FailSyncs lets the next pass syncs of files or directories succeed and the count after them fail.
 func (d *Disk) FailSyncs(pass, count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.syncsToPass, d.syncsToFail = pass, count
 }
 
-// StallSyncs makes every sync of a file or folder wait until ResumeSyncs is called.
+// StallSyncs makes every sync of a file or directory wait until ResumeSyncs is called.
 func (d *Disk) StallSyncs() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// ResumeSyncs lets the syncs that StallSyncs holds up, and all later ones, go on.
+// ResumeSyncs ends the wait of the syncs that StallSyncs stopped, and of later ones.
 func (d *Disk) ResumeSyncs() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// waitWhileStalled returns once syncs are not held up. The mutex is not held.
+// waitWhileStalled returns once syncs are not stalled. The caller must not hold the mutex.
 func (d *Disk) waitWhileStalled() {
 	d.mutex.Lock()
 	resumed := d.resumed
@@ -140,7 +140,7 @@
 	}
 }
 
-// SetCapacity bounds the bytes of all files; zero takes the bound away.
+// SetCapacity bounds the bytes of all files; zero removes the bound.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -154,12 +154,13 @@
 	return d.used()
 }
 
-// Damage flips the bits of mask in one durable byte of a file and says whether there is such a byte.
+// Damage flips the bits of mask in one byte of a file, in its written and its durable content, and reports whether the
+// file has that byte.
 func (d *Disk) Damage(path string, offset int64, mask byte) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	node, found := d.names[filepath.Clean(path)]
-	if !found || offset < 0 || offset >= int64(len(node.content)) {
+	node, exists := d.names[filepath.Clean(path)]
+	if !exists || offset < 0 || offset >= int64(len(node.content)) {
 		return false
 	}
 	node.content[offset] ^= mask
--- a/internal/storage/simdisk/file.go
+++ b/internal/storage/simdisk/file.go
@@ -5,11 +5,12 @@
 	"syscall"
 )
 
-// inode is the content of a file as programs see it and as the disk would keep it.
+// inode is a file. The mutex of its disk guards it.
 type inode struct {
+	// content is what programs read, durable what is on the disk.
 	content []byte
 	durable []byte
-	// dirty marks the sectors that differ or may differ from durable.
+	// dirty are the sectors in which content may differ from durable.
 	dirty map[int]bool
 }
 
@@ -59,7 +60,7 @@
 	clear(n.dirty)
 }
 
-// handle is an open file of one process life.
+// handle is an open file of one incarnation of a process.
 type handle struct {
 	disk       *Disk
 	path       string
@@ -68,7 +69,7 @@
 	closed     bool
 }
 
-// lock takes the disk's mutex; the caller unlocks it also after an error.
+// lock locks the disk's mutex; the caller must unlock it also after an error.
 func (h *handle) lock() error {
 	h.disk.mutex.Lock()
 	if h.closed || h.generation != h.disk.generation {
@@ -130,8 +131,8 @@
 	return err
 }
 
-// Sync makes the content durable. A sync chosen to fail forgets what was dirty, as operating systems do, so that the next one
-// succeeds without it.
+// Sync makes the content durable. A sync that FailSyncs chose to fail clears the dirty sectors, as operating systems
+// do, so that the next one succeeds without them.
 func (h *handle) Sync() error {
 	h.disk.waitWhileStalled()
 	err := h.lock()
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -13,21 +13,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A snapshot file is magic (8), number (8), content, content length (8) and CRC32C of all before (4), little-endian.
+// A snapshot file is magic (8), number (8), content, content length (8) and CRC32C of all before (4), little-endian;
+// sizes are bytes.
 const (
 	snapshotMagic        = "RSTSNP\x00\x01"
 	snapshotHeaderBytes  = 16
 	snapshotTrailerBytes = 12
 	snapshotSuffix       = ".snapshot"
 	temporarySuffix      = ".tmp"
-	snapshotBufferBytes  = 256 << 10
+	// snapshotBufferBytes is how much is written or read at once.
+	snapshotBufferBytes = 256 << 10
 )
 
 func snapshotName(number uint64) string { return fmt.Sprintf("%016x%s", number, snapshotSuffix) }
 
-// SaveSnapshot writes a snapshot under a temporary name, syncs and renames it, and syncs the folder. After it
-// returns nil the snapshot is durable; after an error the one before is still the newest, or this
-// one is whole.
+// SaveSnapshot writes a snapshot under a temporary name, syncs and renames it, and syncs the directory. After it
+// returns nil the snapshot is durable; after a *FailedError the newest snapshot is either the previous one or this one,
+// complete.
 func SaveSnapshot(filesystem Filesystem, dir string, number uint64, write func(io.Writer) error) error {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
@@ -41,7 +43,7 @@
 		return &FailedError{Operation: "rename", Path: temporary, Cause: err}
 	}
 	if err := filesystem.SyncDir(dir); err != nil {
-		return &FailedError{Operation: "sync folder of", Path: path, Cause: err}
+		return &FailedError{Operation: "sync directory of", Path: path, Cause: err}
 	}
 	return nil
 }
@@ -53,14 +55,14 @@
 	return nil
 }
 
-// summedWriter writes to a file from its start and sums what it wrote.
-type summedWriter struct {
+// checksumWriter writes to a file from its start and keeps the checksum of what it wrote.
+type checksumWriter struct {
 	file   File
 	offset int64
 	sum    hash.Hash32
 }
 
-func (w *summedWriter) Write(data []byte) (int, error) {
+func (w *checksumWriter) Write(data []byte) (int, error) {
 	written, err := w.file.WriteAt(data, w.offset)
 	w.offset += int64(written)
 	_, _ = w.sum.Write(data[:written])
@@ -84,8 +86,8 @@
 }
 
 func writeSnapshotContent(file File, number uint64, write func(io.Writer) error) error {
-	summed := &summedWriter{file: file, sum: crc32.New(castagnoli)}
-	buffered := bufio.NewWriterSize(summed, snapshotBufferBytes)
+	output := &checksumWriter{file: file, sum: crc32.New(castagnoli)}
+	buffered := bufio.NewWriterSize(output, snapshotBufferBytes)
 	header := binary.LittleEndian.AppendUint64([]byte(snapshotMagic), number)
 	if _, err := buffered.Write(header); err != nil {
 		return err
@@ -96,18 +98,20 @@
 	if err := buffered.Flush(); err != nil {
 		return err
 	}
-	length := uint64(summed.offset - snapshotHeaderBytes)
-	if _, err := summed.Write(binary.LittleEndian.AppendUint64(nil, length)); err != nil {
+	length := uint64(output.offset - snapshotHeaderBytes)
+	if _, err := output.Write(binary.LittleEndian.AppendUint64(nil, length)); err != nil {
 		return err
 	}
-	_, err := summed.Write(binary.LittleEndian.AppendUint32(nil, summed.sum.Sum32()))
+	_, err := output.Write(binary.LittleEndian.AppendUint32(nil, output.sum.Sum32()))
 	return err
 }
 
-// LoadNewestSnapshot checks the snapshot with the highest number and hands its content to read. It
-// returns *CorruptError when that snapshot is damaged: older ones may lack the log that followed them. A folder without
-// snapshots gives found false. It changes no file, so another goroutine may save a snapshot meanwhile.
-func LoadNewestSnapshot(filesystem Filesystem, dir string, read func(number uint64, content io.Reader) error) (number uint64, found bool, err error) {
+// LoadNewestSnapshot verifies the snapshot with the highest number and passes its content to read. It returns
+// *CorruptError when that snapshot is damaged: the log that followed older ones may be removed. In a directory without
+// snapshots, exists is false. It changes no file, so another goroutine may save a snapshot meanwhile.
+func LoadNewestSnapshot(
+	filesystem Filesystem, dir string, read func(number uint64, content io.Reader) error,
+) (number uint64, exists bool, err error) {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return 0, false, err
 	}
@@ -115,7 +119,7 @@
 	if err != nil || len(numbers) == 0 {
 		return 0, false, err
 	}
-	// A rename seen here may not be durable yet when the process alone was restarted.
+	// A rename of a killed process may not be durable yet.
 	if err := filesystem.SyncDir(dir); err != nil {
 		return 0, false, err
 	}
@@ -123,8 +127,8 @@
 	return number, true, loadSnapshot(filesystem, filepath.Join(dir, snapshotName(number)), number, read)
 }
 
-// RemoveUnfinishedSnapshots deletes the temporary files that a crash left. It must run before the first snapshot is saved: one
-// that is being written would be deleted as well.
+// RemoveUnfinishedSnapshots deletes the temporary files that a crash left. It must run before the first snapshot is
+// saved, since it would also delete one that is being written.
 func RemoveUnfinishedSnapshots(filesystem Filesystem, dir string) error {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
@@ -157,7 +161,7 @@
 	return errors.CombineErrors(err, file.Close())
 }
 
-// checkSnapshot returns the length of the content.
+// checkSnapshot verifies a snapshot and returns the length of its content.
 func checkSnapshot(file File, path string, number uint64) (int64, error) {
 	size, err := file.Size()
 	if err != nil {
--- a/internal/storage/snapshot_test.go
+++ b/internal/storage/snapshot_test.go
@@ -12,26 +12,26 @@
 )
 
 func save(filesystem storage.Filesystem, number uint64, content string) error {
-	return storage.SaveSnapshot(filesystem, folder, number, func(writer io.Writer) error {
+	return storage.SaveSnapshot(filesystem, dir, number, func(writer io.Writer) error {
 		_, err := io.WriteString(writer, content)
 		return err
 	})
 }
 
-func load(filesystem storage.Filesystem) (number uint64, content string, found bool, err error) {
-	number, found, err = storage.LoadNewestSnapshot(filesystem, folder, func(_ uint64, reader io.Reader) error {
+func load(filesystem storage.Filesystem) (number uint64, content string, exists bool, err error) {
+	number, exists, err = storage.LoadNewestSnapshot(filesystem, dir, func(_ uint64, reader io.Reader) error {
 		data, err := io.ReadAll(reader)
 		content = string(data)
 		return err
 	})
-	return number, content, found, err
+	return number, content, exists, err
 }
 
 var _ = Describe("Snapshot", func() {
-	It("given an empty folder, then finds none", func() {
-		_, _, found, err := load(newDisk(1))
+	It("given an empty directory, then there is none", func() {
+		_, _, exists, err := load(newDisk(1))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found).To(BeFalse())
+		Expect(exists).To(BeFalse())
 	})
 
 	It("given several, then loads the newest, also after old ones are removed", func() {
@@ -39,16 +39,16 @@
 		Expect(save(disk, 9, "nine")).To(Succeed())
 		Expect(save(disk, 10, "")).To(Succeed())
 		Expect(save(disk, 300, strings.Repeat("long", 100_000))).To(Succeed())
-		Expect(storage.RemoveSnapshotsBefore(disk, folder, 300)).To(Succeed())
-		Expect(disk.Files(folder)).To(HaveLen(1))
-		number, content, found, err := load(disk)
+		Expect(storage.RemoveSnapshotsBefore(disk, dir, 300)).To(Succeed())
+		Expect(disk.Files(dir)).To(HaveLen(1))
+		number, content, exists, err := load(disk)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found).To(BeTrue())
+		Expect(exists).To(BeTrue())
 		Expect(number).To(BeNumerically("==", 300))
 		Expect(content).To(HaveLen(400_000))
 	})
 
-	It("given a loss of power at any sync, then the newest saved one is whole", func() {
+	It("given a loss of power at any sync, then the newest saved one is complete", func() {
 		for seed := range uint64(200) {
 			disk := newDisk(seed)
 			Expect(save(disk, 1, "old")).To(Succeed())
@@ -73,7 +73,7 @@
 		disk := newDisk(1)
 		Expect(save(disk, 1, "old")).To(Succeed())
 		var loaded string
-		err := storage.SaveSnapshot(disk, folder, 2, func(writer io.Writer) error {
+		err := storage.SaveSnapshot(disk, dir, 2, func(writer io.Writer) error {
 			var loadErr error
 			_, loaded, _, loadErr = load(disk)
 			Expect(loadErr).NotTo(HaveOccurred())
@@ -87,32 +87,32 @@
 		Expect(newest).To(Equal("new"))
 	})
 
-	It("given one that a crash cut short, then it is removed at the next opening and the one before is loaded", func() {
+	It("given one that a crash truncated, then it is removed at the next start and the previous one is loaded", func() {
 		disk := newDisk(1)
 		Expect(save(disk, 1, "old")).To(Succeed())
-		unfinished, err := disk.Create(folder + "/0000000000000002.snapshot.tmp")
+		unfinished, err := disk.Create(dir + "/0000000000000002.snapshot.tmp")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(unfinished.Close()).To(Succeed())
-		Expect(storage.RemoveUnfinishedSnapshots(disk, folder)).To(Succeed())
-		Expect(disk.Files(folder)).To(HaveLen(1))
+		Expect(storage.RemoveUnfinishedSnapshots(disk, dir)).To(Succeed())
+		Expect(disk.Files(dir)).To(HaveLen(1))
 		_, content, _, err := load(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).To(Equal("old"))
 	})
 
-	It("given a writer that fails, then keeps the one before and leaves no file", func() {
+	It("given a writer that fails, then retains the previous one and leaves no file", func() {
 		disk := newDisk(1)
 		Expect(save(disk, 1, "old")).To(Succeed())
 		broken := errors.New("broken")
-		err := storage.SaveSnapshot(disk, folder, 2, func(io.Writer) error { return broken })
+		err := storage.SaveSnapshot(disk, dir, 2, func(io.Writer) error { return broken })
 		Expect(errors.Is(err, broken)).To(BeTrue())
-		Expect(disk.Files(folder)).To(HaveLen(1))
+		Expect(disk.Files(dir)).To(HaveLen(1))
 	})
 
 	It("given any flipped byte, then is a typed loss", func() {
 		disk := newDisk(1)
 		Expect(save(disk, 7, "content")).To(Succeed())
-		path := disk.Files(folder)[0]
+		path := disk.Files(dir)[0]
 		for offset := int64(0); disk.Damage(path, offset, 0x40); offset++ {
 			_, _, _, err := load(disk)
 			var corrupt *storage.CorruptError
@@ -128,7 +128,7 @@
 var _ = Describe("Identity", func() {
 	const home = "/data"
 
-	It("given restarts and losses of power, then stays and counts starts", func() {
+	It("given restarts and losses of power, then remains and counts starts", func() {
 		disk := newDisk(3)
 		first, err := storage.OpenIdentity(disk, home)
 		Expect(err).NotTo(HaveOccurred())
@@ -171,7 +171,7 @@
 })
 
 var _ = Describe("LockDir", func() {
-	It("given a held lock, then refuses a second until it is released", func() {
+	It("given a lock, then rejects a second one until it is released", func() {
 		path := GinkgoT().TempDir()
 		lock, err := storage.LockDir(path)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/storage/space.go
+++ b/internal/storage/space.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// spaceCheckName is the file that CheckFreeSpace writes; no other file of a data folder has its name.
+	// spaceCheckName is the file that CheckFreeSpace writes; no other file of a data directory has its name.
 	spaceCheckName = "space" + temporarySuffix
-	// spaceCheckChunkBytes is what CheckFreeSpace writes at once.
+	// spaceCheckChunkBytes is how much CheckFreeSpace writes at once.
 	spaceCheckChunkBytes = 64 << 10
 )
 
-// CheckFreeSpace checks that the disk takes so many bytes more and syncs them: it writes a file in the folder and removes it
-// again. The error tells a lack of room by IsDiskFull.
+// CheckFreeSpace checks that the disk accepts and syncs so many bytes more: it writes a file in the directory and
+// removes it again. IsDiskFull recognizes the error when it does not.
 func CheckFreeSpace(filesystem Filesystem, dir string, bytes int64) error {
 	path := filepath.Join(dir, spaceCheckName)
 	file, err := filesystem.Create(path)
@@ -28,12 +28,12 @@
 	err = errors.CombineErrors(err, file.Close())
 	err = errors.CombineErrors(err, removeIfPresent(filesystem, path))
 	if err != nil {
-		return &FailedError{Operation: "probe the room at", Path: path, Cause: err}
+		return &FailedError{Operation: "check free space at", Path: path, Cause: err}
 	}
 	return nil
 }
 
-// fillFile writes bytes that no file system stores as a hole.
+// fillFile writes bytes other than zero, which no file system stores as a hole.
 func fillFile(file File, bytes int64) error {
 	chunk := make([]byte, spaceCheckChunkBytes)
 	for index := range chunk {
--- a/internal/storage/stall_test.go
+++ b/internal/storage/stall_test.go
@@ -9,11 +9,11 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// neverWithin bounds the wait for what must come on a machine of any speed.
-const neverWithin = 30 * time.Second
+// eventuallyWithin bounds the wait for what happens on a machine of any speed.
+const eventuallyWithin = 30 * time.Second
 
 var _ = Describe("A disk that stalls or runs full", func() {
-	It("given a new segment that waits for the disk, when the log is read, then it answers", func() {
+	It("given a new segment that waits for the disk, then the log can be read", func() {
 		disk := newDisk(21)
 		log := open(disk, storage.LogOptions{})
 		position, err := log.Write(payload(1))
@@ -26,22 +26,22 @@
 			_, err := log.Rotate()
 			rotated <- err
 		}()
-		Eventually(func() int { return disk.Counters().StalledSyncs }, neverWithin).Should(BeNumerically(">", 0))
+		Eventually(func() int { return disk.Counters().StalledSyncs }, eventuallyWithin).Should(BeNumerically(">", 0))
 		read := make(chan string, 1)
 		go func() {
 			record, _ := log.Read(position)
 			_, _ = log.Size(), log.End()
 			read <- string(record)
 		}()
-		Eventually(read, neverWithin).Should(Receive(Equal(string(payload(1)))))
+		Eventually(read, eventuallyWithin).Should(Receive(Equal(string(payload(1)))))
 		Expect(rotated).NotTo(Receive())
 
 		disk.ResumeSyncs()
-		Eventually(rotated, neverWithin).Should(Receive(BeNil()))
+		Eventually(rotated, eventuallyWithin).Should(Receive(BeNil()))
 		Expect(log.Close()).To(Succeed())
 	})
 
-	It("given a writer that comes while a new segment waits for the disk, when the disk goes on, then nothing is lost", func() {
+	It("given a record written while a new segment waits for the disk, then it is not lost", func() {
 		disk := newDisk(22)
 		log := open(disk, storage.LogOptions{})
 		expected := written(log, 0, 5)
@@ -52,14 +52,14 @@
 			_, err := log.Rotate()
 			rotated <- err
 		}()
-		Eventually(func() int { return disk.Counters().StalledSyncs }, neverWithin).Should(BeNumerically(">", 0))
+		Eventually(func() int { return disk.Counters().StalledSyncs }, eventuallyWithin).Should(BeNumerically(">", 0))
 		go func() {
 			_, err := log.Write(payload(5))
 			wrote <- err
 		}()
 		disk.ResumeSyncs()
-		Eventually(rotated, neverWithin).Should(Receive(BeNil()))
-		Eventually(wrote, neverWithin).Should(Receive(BeNil()))
+		Eventually(rotated, eventuallyWithin).Should(Receive(BeNil()))
+		Eventually(wrote, eventuallyWithin).Should(Receive(BeNil()))
 		Expect(log.Sync()).To(Succeed())
 		Expect(log.Close()).To(Succeed())
 		log = open(disk, storage.LogOptions{})
@@ -67,15 +67,15 @@
 		Expect(log.Close()).To(Succeed())
 	})
 
-	It("given room or none, when the room is probed, then it says so and leaves no file", func() {
+	It("given free space or none, when it is checked, then reports it and leaves no file", func() {
 		disk := newDisk(23)
-		Expect(disk.MkdirAll(folder)).To(Succeed())
+		Expect(disk.MkdirAll(dir)).To(Succeed())
 		disk.SetCapacity(100 << 10)
-		Expect(storage.CheckFreeSpace(disk, folder, 90<<10)).To(Succeed())
-		err := storage.CheckFreeSpace(disk, folder, 110<<10)
+		Expect(storage.CheckFreeSpace(disk, dir, 90<<10)).To(Succeed())
+		err := storage.CheckFreeSpace(disk, dir, 110<<10)
 		Expect(storage.IsDiskFull(err)).To(BeTrue())
-		Expect(disk.Files(folder)).To(BeEmpty())
+		Expect(disk.Files(dir)).To(BeEmpty())
 		disk.SetCapacity(0)
-		Expect(storage.CheckFreeSpace(disk, folder, 110<<10)).To(Succeed())
+		Expect(storage.CheckFreeSpace(disk, dir, 110<<10)).To(Succeed())
 	})
 })
--- a/internal/storage/storage_suite_test.go
+++ b/internal/storage/storage_suite_test.go
@@ -13,7 +13,11 @@
 	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
-const folder = "/data/log"
+const dir = "/data/log"
+
+// interruptHandler is the goroutine that ginkgo never ends.
+const interruptHandler = "github.com/onsi/ginkgo/v2/internal/interrupt_handler." +
+	"(*InterruptHandler).registerForInterrupts.func2"
 
 func TestStorage(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -21,8 +25,7 @@
 }
 
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m,
-		goleak.IgnoreAnyFunction("github.com/onsi/ginkgo/v2/internal/interrupt_handler.(*InterruptHandler).registerForInterrupts.func2"))
+	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(interruptHandler))
 }
 
 func newDisk(seed uint64) *simdisk.Disk { return simdisk.New(rand.New(rand.NewPCG(seed, 1))) }
@@ -52,7 +55,7 @@
 }
 
 func open(filesystem storage.Filesystem, options storage.LogOptions) *storage.Log {
-	log, err := storage.OpenLog(filesystem, folder, options)
+	log, err := storage.OpenLog(filesystem, dir, options)
 	Expect(err).NotTo(HaveOccurred())
 	return log
 }
--- a/internal/storage/storagebench/bench.go
+++ b/internal/storage/storagebench/bench.go
@@ -1,5 +1,5 @@
-// Package storagebench measures how many appends a second the segmented log makes durable, with
-// one sync shared by all waiting writers and with one sync each as the baseline.
+// Package storagebench measures how many appends a second the segmented log makes durable: with one sync shared by all
+// waiting writers, and with one sync each as the baseline.
 package storagebench
 
 import (
@@ -19,13 +19,14 @@
 var WriterCounts = []int{1, 16, 256}
 
 const (
+	// maxMicros is the longest append that the histogram records, one minute.
 	maxMicros         = 60_000_000
 	significantDigits = 3
 )
 
 // Options say what to measure.
 type Options struct {
-	// Folder is where a log is made and removed again; it decides which disk is measured.
+	// Dir is where a log is made and removed again; it decides which disk is measured.
 	Dir         string
 	Writers     int
 	RecordBytes int
@@ -41,34 +42,38 @@
 	Appends          int64
 	Syncs            int64
 	AppendsPerSecond float64
-	P50              time.Duration
-	P99              time.Duration
+	// P50 and P99 are quantiles of the time from an append to its durability.
+	P50 time.Duration
+	P99 time.Duration
 }
 
 // Run appends from Options.Writers goroutines, each waiting for its record to be durable, for Options.Duration.
 func Run(options Options) (result Result, err error) {
-	folder, err := os.MkdirTemp(options.Dir, "storagebench-")
+	dir, err := os.MkdirTemp(options.Dir, "storagebench-")
 	if err != nil {
 		return Result{}, errors.WithStack(err)
 	}
-	defer func() { err = errors.CombineErrors(err, os.RemoveAll(folder)) }()
-	log, err := storage.OpenLog(storage.OSFilesystem{}, filepath.Join(folder, "log"), storage.LogOptions{})
+	defer func() { err = errors.CombineErrors(err, os.RemoveAll(dir)) }()
+	log, err := storage.OpenLog(storage.OSFilesystem{}, filepath.Join(dir, "log"), storage.LogOptions{})
 	if err != nil {
 		return Result{}, err
 	}
 	defer func() { err = errors.CombineErrors(err, log.Close()) }()
-	measured := &measurement{options: options, histogram: hdrhistogram.New(1, maxMicros, significantDigits)}
-	appendOne, stop := measured.appender(log)
+	run := &measurement{options: options, histogram: hdrhistogram.New(1, maxMicros, significantDigits)}
+	appendOne, stop := run.appender(log)
 	started := time.Now()
-	measured.runWriters(appendOne, started.Add(options.Duration))
+	run.runWriters(appendOne, started.Add(options.Duration))
 	elapsed := time.Since(started)
 	stop()
-	return measured.result(elapsed), measured.err
+	return run.result(elapsed), run.err
 }
 
+// measurement is one run. Its writers share it.
 type measurement struct {
-	options   Options
-	syncs     int64
+	options Options
+	// syncs is counted by one goroutine at a time: the committer's, or the one that has the baseline's lock.
+	syncs int64
+	// mutex guards histogram and err.
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 	err       error
@@ -77,16 +82,7 @@
 // appender returns the function that makes one record durable, and one that ends its goroutine.
 func (m *measurement) appender(log *storage.Log) (appendOne func([]byte) error, stop func()) {
 	if m.options.SyncEach {
-		var turn sync.Mutex
-		return func(record []byte) error {
-			turn.Lock()
-			defer turn.Unlock()
-			m.syncs++
-			if _, err := log.Write(record); err != nil {
-				return err
-			}
-			return log.Sync()
-		}, func() {}
+		return m.baselineAppender(log), func() {}
 	}
 	committer := storage.NewGroupCommitter(log, storage.GroupCommitterOptions{OnSync: func(int) { m.syncs++ }})
 	return func(record []byte) error {
@@ -95,6 +91,20 @@
 	}, committer.Close
 }
 
+// baselineAppender gives each append a sync of its own.
+func (m *measurement) baselineAppender(log *storage.Log) func([]byte) error {
+	var lock sync.Mutex
+	return func(record []byte) error {
+		lock.Lock()
+		defer lock.Unlock()
+		m.syncs++
+		if _, err := log.Write(record); err != nil {
+			return err
+		}
+		return log.Sync()
+	}
+}
+
 func (m *measurement) runWriters(appendOne func([]byte) error, end time.Time) {
 	var writers sync.WaitGroup
 	for range m.options.Writers {
