--- a/internal/dataplane/schedule/estimators_test.go
+++ b/internal/dataplane/schedule/estimators_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-func TestTheProfileIsLearnedFromAnswers(t *testing.T) {
+func TestProfileIsLearnedFromAnswers(t *testing.T) {
 	var estimator schedule.ProfileEstimator
 	random := rand.New(rand.NewPCG(1, 2))
 	const rate = 60.0
@@ -26,7 +26,8 @@
 			t.Errorf("%d tokens: %v expected, %v taken", tokens, got, want)
 		}
 	}
-	if profile.StepTime.Round(time.Millisecond) != 9*time.Millisecond || profile.ServiceTime.Round(time.Millisecond) != 200*time.Millisecond {
+	if profile.StepTime.Round(time.Millisecond) != 9*time.Millisecond ||
+		profile.ServiceTime.Round(time.Millisecond) != 200*time.Millisecond {
 		t.Errorf("step %v, service %v", profile.StepTime, profile.ServiceTime)
 	}
 	if profile.MeanPrompt < 1500 || profile.MeanPrompt > 1900 {
@@ -34,7 +35,7 @@
 	}
 }
 
-func TestAFirstTokenThatWaitedForSomethingElseTellsNothingOfTheRate(t *testing.T) {
+func TestDelayedFirstTokenDoesNotChangeThePromptRate(t *testing.T) {
 	var estimator schedule.ProfileEstimator
 	before := estimator.Profile().PromptRate
 	for range 100 {
@@ -46,7 +47,7 @@
 	}
 }
 
-func TestSlownessIsLearnedAndForgotten(t *testing.T) {
+func TestSlownessIsLearnedAndDecays(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var slowness schedule.Slowness
 	if slowness.Factor(now) != 1 {
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestAServerThatOwesAnswersIsSlowBeforeItGivesOne(t *testing.T) {
+func TestServerWithOverdueAnswersIsSlowBeforeItAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var slowness schedule.Slowness
 	if factor := slowness.FactorWhileWaiting(50*time.Millisecond, 20*time.Millisecond, now); factor != 1 {
--- a/internal/dataplane/schedule/expected_first_token.go
+++ b/internal/dataplane/schedule/expected_first_token.go
@@ -9,23 +9,23 @@
 
 // The constants were chosen by the comparison in internal/dataplane/schedule/schedulesim; see docs/POLICIES.md.
 const (
-	// delayShare is the part of the time that a prompt takes to read which each other request at the server is
-	// charged for: all of them stand still meanwhile, but few are so near their objective that it matters.
+	// delayShare is the part of a prompt's prefill time that counts as a delay of each other request at the
+	// server: all of them wait during a prefill, but few are so near their latency target that it matters.
 	delayShare = 0.25
-	// unseenRequests is how many requests of other front nodes are taken to be at a server: reports are too old and
-	// too few to tell. It makes reading a prompt anew dearer than waiting for as long.
+	// unseenRequests is the assumed number of requests of other front nodes at a server: reports are too old and
+	// too few to tell. It makes a repeated prefill cost more than a wait of the same length.
 	unseenRequests = 5
 	// homeCost is charged for leaving the program's home, the first server of its order that is not slow. It keeps
-	// the sessions of a program together, also those that other front nodes own, which know nothing of what was read
+	// the sessions of a program together, also those of other front nodes, which do not know what is cached
 	// where.
 	homeCost = 45 * time.Millisecond
-	// homeSlowness is the slowness from which a server is no program's home.
+	// homeSlowness is the slowness from which a server is not the home of any program.
 	homeSlowness = 2
-	// orderCost is charged for each place in that order. It decides between equals.
+	// orderCost is charged for each position in that order. It decides between equals.
 	orderCost = 200 * time.Microsecond
-	// lastCost is charged for leaving the session's last server, beyond what has to be read again.
+	// lastCost is charged for leaving the session's last server, beyond the repeated prefill.
 	lastCost = 15 * time.Millisecond
-	// otherZoneCost is charged for a choice outside the own zone, whose bytes between zones are paid for: it decides
+	// otherZoneCost is charged for a choice outside the own zone, since traffic between zones costs money: it decides
 	// between near equals only.
 	otherZoneCost = 5 * time.Millisecond
 	// pressureCost is charged when the server's memory would not hold the request beside those that run.
@@ -34,18 +34,18 @@
 	// is placed.
 	callSlownessPower = 2
 	callLoadWeight    = 4
-	// reportMemory is the time constant with which what others had waiting at the time of a report is forgotten.
+	// reportTimeConstant is the time constant with which the requests of others in a load report decay.
 	reportTimeConstant = 400 * time.Millisecond
 )
 
-// costedCandidate is a candidate with what its choice costs.
+// costedCandidate is a candidate with the cost of choosing it.
 type costedCandidate struct {
 	*Candidate
 	cost time.Duration
 }
 
-// expectedFirstToken takes the server at which the first token is expected earliest, with what the choice costs the
-// requests that are there already. A server without a free slot comes after all that have one.
+// expectedFirstToken chooses the server at which the first token is expected earliest, with the delay of
+// the requests that are already there. A server without a free slot comes after all that have one.
 func (d *Decision) expectedFirstToken(request Request, candidates []*Candidate) {
 	request.Profile = request.Profile.withDefaults()
 	order := request.costs(request.programOrder(candidates))
@@ -63,7 +63,7 @@
 }
 
 // programOrder ranks the candidates for the request's program. Those of the own zone come first for a turn, whose
-// prompt and answer are many bytes: a program keeps to one zone, so that its home is there as well.
+// prompt and answer are large: a program stays in one zone, so that its home is there as well.
 func (r *Request) programOrder(candidates []*Candidate) []*Candidate {
 	order := rank(r.AffinityKey, candidates)
 	if r.Zone == "" || r.PromptTokens == 0 {
@@ -75,7 +75,7 @@
 	return order
 }
 
-// costs adds to each candidate, in the program's order, what its choice costs.
+// costs computes the cost of each candidate, in the program's order.
 func (r *Request) costs(order []*Candidate) []costedCandidate {
 	home := slices.IndexFunc(order, func(c *Candidate) bool { return c.Slowness < homeSlowness })
 	bound := r.callBound(order)
@@ -106,15 +106,7 @@
 	return 1
 }
 
-// isFull reports whether a request more would find no free slot, as far as is known.
-func (c *Candidate) isFull() bool {
-	return c.requests()+1 > c.slots()
-}
-
-// slots is the number of requests that the server runs at once.
-func (c *Candidate) slots() float64 { return float64(cmp.Or(c.Capacity, defaultCapacity)) }
-
-// turnCost is what choosing the candidate is expected to cost this request and those at the server.
+// turnCost is the expected cost, in time, of choosing the candidate for this request and those at the server.
 func (r *Request) turnCost(candidate *Candidate, isHome bool) time.Duration {
 	cost := r.expectedWait(candidate) + r.delayOfOthers(candidate) + r.pressure(candidate)
 	if !isHome {
@@ -126,13 +118,14 @@
 	return cost
 }
 
-// callCost is what choosing the candidate for a request without a prompt is expected to cost. Front nodes that see
-// only their own requests would all take the fastest server. So the one that is first differs by program, each server
-// being first for a share of programs that falls with its slowness. What a server is likely to have beyond the bound counts too.
+// callCost is the expected cost, in time, of choosing the candidate for a request without a prompt. Front nodes that
+// see only their own requests would all choose the fastest server. So the first one differs by program, and each
+// server is first for a share of programs that falls with its slowness. Likely calls beyond the bound count too.
 func (r *Request) callCost(candidate *Candidate, bound float64) time.Duration {
 	slowness := math.Pow(cmp.Or(candidate.Slowness, 1), callSlownessPower)
 	draw := float64(rankHash(r.AffinityKey, candidate)>>11+1) / (1 << 53)
-	return scale(r.Profile.ServiceTime, slowness/candidate.Weight*(callLoadWeight*(candidate.estimatedRequests()+r.surplus(candidate, bound))-math.Log(draw)))
+	load := callLoadWeight * (candidate.estimatedRequests() + r.surplus(candidate, bound))
+	return scale(r.Profile.ServiceTime, slowness/candidate.Weight*(load-math.Log(draw)))
 }
 
 // expectedWait is the expected time to the first token.
@@ -158,19 +151,19 @@
 	return float64(r.PromptTokens - min(r.PromptTokens, candidate.CachedTokens))
 }
 
-// tokensAhead are the prompt tokens that the server reads before those of the request.
+// tokensAhead are the prompt tokens that the server prefills before those of the request.
 func (r *Request) tokensAhead(candidate *Candidate) float64 {
 	return float64(candidate.PendingTokens) + candidate.othersWaiting()*r.Profile.MeanPrompt
 }
 
-// delayOfOthers is the time that reading the prompt takes from other requests at the server. Reading what other
-// prompts share saves them as much, so that a new server is soon as good as the others.
+// delayOfOthers is the delay of other requests at the server by the prefill of the prompt. A prefill of what other
+// prompts share saves those as much, so that a new server is soon as good as the others.
 func (r *Request) delayOfOthers(candidate *Candidate) time.Duration {
 	own := r.uncached(candidate) - float64(r.SharedTokens-min(r.SharedTokens, candidate.CachedTokens))
 	return scale(r.Profile.prefillTime(max(own, 0)), delayShare*(unseenRequests+float64(candidate.InFlight)))
 }
 
-// pressure is charged when a running request would be preempted for want of memory.
+// pressure is charged when a running request would be preempted for lack of memory.
 func (r *Request) pressure(candidate *Candidate) time.Duration {
 	needed := candidate.UsedTokens + r.PromptTokens + r.OutputTokens
 	if candidate.CacheTokens > 0 && needed > candidate.CacheTokens {
--- a/internal/dataplane/schedule/expected_first_token_test.go
+++ b/internal/dataplane/schedule/expected_first_token_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestATurnGoesWhereMostOfItsPromptIsCached(t *testing.T) {
+func TestTurnGoesWhereMostOfItsPromptIsCached(t *testing.T) {
 	candidates := engines(4)
 	home := homeOf(t, turn("p"), candidates)
 	other := (home + 1) % 4
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestATurnLeavesItsHomeWhenPromptsWaitThere(t *testing.T) {
+func TestTurnLeavesItsHomeWhenPromptsWaitThere(t *testing.T) {
 	candidates := engines(4)
 	home := homeOf(t, turn("p"), candidates)
 	candidates[home].PendingTokens = 500
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestReadingAPromptAnewIsDearerThanWaitingAsLong(t *testing.T) {
+func TestRepeatedPrefillCostsMoreThanAWaitOfTheSameLength(t *testing.T) {
 	candidates := engines(2)
 	for at := range candidates {
 		candidates[at].CachedTokens = 3000
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestASessionStaysWithItsLastServerAmongEquals(t *testing.T) {
+func TestSessionStaysWithItsLastServerAmongEquals(t *testing.T) {
 	for last := range 4 {
 		candidates := engines(4)
 		request := turn("p")
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestAnEmptyServerIsNotShunnedForSharedParts(t *testing.T) {
+func TestEmptyServerIsNotAvoidedForSharedPrefixes(t *testing.T) {
 	candidates := engines(4)
 	request := turn("p")
 	home := homeOf(t, request, candidates)
@@ -132,7 +132,7 @@
 	expectChosen(t, request, candidates, home)
 }
 
-func TestAProgramMovesToAnotherHomeWhileItsOwnIsSlow(t *testing.T) {
+func TestProgramMovesToAnotherHomeWhileItsOwnIsSlow(t *testing.T) {
 	for program := range 20 {
 		request := turn(fmt.Sprint("program", program))
 		candidates := engines(4)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestASlowServerIsAvoided(t *testing.T) {
+func TestSlowServerIsAvoided(t *testing.T) {
 	candidates := engines(4)
 	home := homeOf(t, turn("p"), candidates)
 	candidates[home].Slowness = 6
@@ -158,11 +158,11 @@
 	candidates[home].Slowness = 16
 	candidates[home].PendingTokens = 1000
 	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("waits for a slow server's queue although the prompt is read elsewhere in less time")
+		t.Fatal("waits for a slow server's queue although the prompt is prefilled elsewhere in less time")
 	}
 }
 
-func TestAServerWithoutAFreeSlotComesLast(t *testing.T) {
+func TestServerWithoutAFreeSlotComesLast(t *testing.T) {
 	candidates := engines(3)
 	for at := range candidates {
 		candidates[at].InFlight = 23
@@ -180,7 +180,7 @@
 	expectChosen(t, turn("p"), candidates, home)
 }
 
-func TestATurnDoesNotGoWhereItWouldPreemptOthers(t *testing.T) {
+func TestTurnDoesNotGoWhereItWouldPreemptOthers(t *testing.T) {
 	candidates := engines(3)
 	for at := range candidates {
 		candidates[at].CacheTokens = 220_000
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestTheOwnZoneOnlyDecidesBetweenNearEquals(t *testing.T) {
+func TestOwnZoneOnlyDecidesBetweenNearEquals(t *testing.T) {
 	elsewhere := 0
 	for program := range 50 {
 		candidates := engines(4)
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestACallAvoidsWhatOthersHadAtAServerForAWhile(t *testing.T) {
+func TestCallAvoidsReportedRequestsOfOthersUntilTheyDecay(t *testing.T) {
 	avoided, returned := 0, 0
 	for program := range 50 {
 		candidates := engines(3)
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestASubsetTakesThreeQuartersFromTheOwnZone(t *testing.T) {
+func TestSubsetIsThreeQuartersOfTheOwnZone(t *testing.T) {
 	for _, one := range []struct {
 		here, elsewhere int
 		zone            string
@@ -278,15 +278,19 @@
 			}
 		}
 		if len(subset) != 16 || here != one.wantHere {
-			t.Errorf("of %d here and %d elsewhere: %d, of them %d here, want 16 and %d", one.here, one.elsewhere, len(subset), here, one.wantHere)
+			t.Errorf(
+				"of %d here and %d elsewhere: %d, of them %d here, want 16 and %d", one.here, one.elsewhere, len(subset), here,
+				one.wantHere,
+			)
 		}
-		if slices.EqualFunc(subset, schedule.Subset("other", one.zone, 16, group), func(a, b schedule.Candidate) bool { return a.ID == b.ID }) {
+		other := schedule.Subset("other", one.zone, 16, group)
+		if slices.EqualFunc(subset, other, func(a, b schedule.Candidate) bool { return a.ID == b.ID }) {
 			t.Error("two front nodes use the same servers")
 		}
 	}
 }
 
-func TestAmongFullServersTheShortestQueueIsTaken(t *testing.T) {
+func TestAmongFullServersTheShortestQueueIsChosen(t *testing.T) {
 	candidates := engines(3)
 	for at := range candidates {
 		candidates[at].InFlight, candidates[at].CachedTokens = 100, 3000
@@ -297,13 +301,13 @@
 	expectChosen(t, turn("p"), candidates, other)
 }
 
-func TestWhatOthersHadWaitingCountsWhileTheReportIsFresh(t *testing.T) {
+func TestWaitingRequestsOfOthersCountWhileTheReportIsFresh(t *testing.T) {
 	candidates := engines(3)
 	home := homeOf(t, turn("p"), candidates)
 	candidates[home].Queued = 8
 	candidates[home].ReportAge = 50 * time.Millisecond
 	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("went to a server that has eight prompts to read")
+		t.Fatal("went to a server that has eight prompts to prefill")
 	}
 	candidates[home].ReportAge = 1900 * time.Millisecond
 	expectChosen(t, turn("p"), candidates, home)
@@ -328,7 +332,7 @@
 	}
 }
 
-func TestCallsThatComeTogetherGoApart(t *testing.T) {
+func TestConcurrentCallsAreSpread(t *testing.T) {
 	candidates := engines(4)
 	used := map[int]bool{}
 	for range 3 {
--- a/internal/dataplane/schedule/least_outstanding.go
+++ b/internal/dataplane/schedule/least_outstanding.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// StepWork is set for a generation of a training step, which goes to the server
-// with the least work outstanding. Requests are no measure of that: a long
-// probe is many times the work of a short exchange.
+// StepWork is the work of a generation of a training step, which is sent to the server
+// with the least outstanding work. The number of requests does not measure that: a long
+// generation is many times the work of a short one.
 type StepWork struct {
-	// PromptTokens is the length of the prompt, and OutputTokens the most that is generated.
+	// PromptTokens is the length of the prompt, and OutputTokens the maximum that is generated.
 	PromptTokens uint64
 	OutputTokens uint64
 }
 
-// leastOutstanding takes the candidate that would have the least work for each
-// of its slots with the request: what the front node's own generations of
-// steps have still to read and to generate there, the other requests that are
-// known to be there, and the request without what the server has cached. Servers
-// whose places for steps are taken come last; ties go by the request's own order.
+// leastOutstanding chooses the candidate that would have the least work for each
+// of its slots with the request: the tokens that the front node's own generations of
+// steps have still to prefill and to generate there, the other requests that are
+// known to be there, and the request without its tokens in the server's cache. Servers
+// without a free slot for steps come last; ties are decided by the rank for the affinity key.
 func (d *Decision) leastOutstanding(request Request, candidates []*Candidate) {
 	unit := tokensPerRequest(request.Step, candidates)
 	order := rank(request.AffinityKey, candidates)
@@ -38,7 +38,7 @@
 	}
 }
 
-// compareFull puts servers with a place before those without.
+// compareStepSlots orders servers with a free slot for steps before those without.
 func compareStepSlots(a, b *Candidate) int {
 	switch {
 	case a.hasNoStepSlot() == b.hasNoStepSlot():
@@ -52,8 +52,8 @@
 
 func (c *Candidate) hasNoStepSlot() bool { return c.Steps >= c.StepSlots }
 
-// tokensOfRequest is what a request of which nothing is known counts for: the
-// mean of the generations under way, or the request at hand when there is none.
+// tokensPerRequest is the assumed work of a request of which nothing is known: the
+// mean of the generations in flight, or the new request's when there is none.
 func tokensPerRequest(work *StepWork, candidates []*Candidate) float64 {
 	tokens, steps := 0.0, 0.0
 	for _, candidate := range candidates {
@@ -66,8 +66,8 @@
 	return tokens / steps
 }
 
-// workWith is the work outstanding for each slot, in tokens, with the request at the server.
+// workWith is the outstanding work for each slot, in tokens, with the request at the server.
 func (c *Candidate) workWith(work *StepWork, unit float64) float64 {
 	own := work.OutputTokens + work.PromptTokens - min(work.PromptTokens, c.CachedTokens)
-	return (float64(c.StepTokens) + float64(c.Others())*unit + float64(own)) / candidateSlots(c)
+	return (float64(c.StepTokens) + float64(c.Others())*unit + float64(own)) / c.weightedSlots()
 }
--- a/internal/dataplane/schedule/least_outstanding_test.go
+++ b/internal/dataplane/schedule/least_outstanding_test.go
@@ -10,7 +10,7 @@
 )
 
 // A step keeps a number of programs busy: each begins its next generation when
-// the last one has ended. One generation in ten is a long probe, the others are short exchanges.
+// the last one has ended. One generation in ten is a long one, the others are short.
 const (
 	spreadServers  = 8
 	spreadSlots    = 32
@@ -61,7 +61,7 @@
 	}
 }
 
-// drawWork draws a long probe or a short exchange.
+// drawWork draws a long or a short generation.
 func drawWork(random *rand.Rand) schedule.StepWork {
 	size := 1 - differingSizes/2 + differingSizes*random.Float64()
 	if random.Float64() < longShare {
@@ -70,7 +70,7 @@
 	return schedule.StepWork{PromptTokens: uint64(shortPrompt * size), OutputTokens: uint64(shortOutput * size)}
 }
 
-// simulatedFleet places the generations of a step by one policy.
+// simulatedFleet sends the generations of a step to servers by one policy.
 type simulatedFleet struct {
 	random    *rand.Rand
 	algorithm protocol.SchedulingAlgorithm
@@ -79,8 +79,8 @@
 	placed    uint64
 }
 
-// place begins one generation.
-func (f *simulatedFleet) place() {
+// issue begins one generation.
+func (f *simulatedFleet) issue() {
 	f.placed++
 	work := drawWork(f.random)
 	request := schedule.Request{
@@ -106,8 +106,8 @@
 	}
 }
 
-// underWay counts the generations at all servers.
-func (f *simulatedFleet) underWay() int {
+// inFlight counts the generations at all servers.
+func (f *simulatedFleet) inFlight() int {
 	total := 0
 	for at := range f.servers {
 		total += len(f.servers[at].generations)
@@ -125,13 +125,13 @@
 	return most / (total / spreadServers)
 }
 
-// spreadOf plays the mix and gives the mean spread over time.
+// spreadOf simulates the mix and returns the mean spread over time.
 func spreadOf(algorithm protocol.SchedulingAlgorithm, byWork bool, seed uint64) float64 {
 	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 1)), algorithm: algorithm, byWork: byWork}
 	total := 0.0
 	for number := range ticks {
-		for fleet.underWay() < busyPrograms {
-			fleet.place()
+		for fleet.inFlight() < busyPrograms {
+			fleet.issue()
 		}
 		if number >= settledTick {
 			total += fleet.spread()
@@ -143,19 +143,22 @@
 	return total / (ticks - settledTick)
 }
 
-func TestWorkOfLongProbesAndShortExchangesIsSpreadEvenly(t *testing.T) {
+func TestLongAndShortGenerationsAreSpreadEvenly(t *testing.T) {
 	for seed := range uint64(5) {
 		byWork := spreadOf(protocol.SchedulingAlgorithm_LEAST_LOADED, true, seed)
 		byCount := spreadOf(protocol.SchedulingAlgorithm_LEAST_LOADED, false, seed)
 		inTurn := spreadOf(protocol.SchedulingAlgorithm_ROUND_ROBIN, false, seed)
-		t.Logf("seed %d: largest by mean work: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork, byCount, inTurn)
+		t.Logf(
+			"seed %d: largest by mean work: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork,
+			byCount, inTurn,
+		)
 		if byWork >= byCount || byWork >= inTurn {
 			t.Errorf("seed %d: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork, byCount, inTurn)
 		}
 	}
 }
 
-func TestAGenerationGoesWhereTheLeastWorkIsOutstanding(t *testing.T) {
+func TestGenerationGoesWhereTheLeastWorkIsOutstanding(t *testing.T) {
 	work := &schedule.StepWork{PromptTokens: 1000, OutputTokens: 100}
 	server := func(id string, change func(*schedule.Candidate)) schedule.Candidate {
 		candidate := schedule.Candidate{ID: id, Capacity: 16, Weight: 1, StepSlots: 12}
@@ -186,7 +189,7 @@
 			func(c *schedule.Candidate) { c.InFlight, c.Steps, c.StepTokens = 1, 1, 1000 },
 			func(c *schedule.Candidate) { c.Capacity, c.InFlight, c.Steps, c.StepTokens = 64, 1, 1, 2000 }, "s2",
 		},
-		"no place for a step": {
+		"no slot for a step": {
 			func(c *schedule.Candidate) { c.StepSlots = 0 },
 			func(c *schedule.Candidate) { c.InFlight, c.Steps, c.StepTokens = 2, 2, 5000 }, "s2",
 		},
--- a/internal/dataplane/schedule/outlier.go
+++ b/internal/dataplane/schedule/outlier.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Outcome is what one request told of a server's health.
+// Outcome is what one request showed of a server's health.
 type Outcome int
 
 // Outcomes of a request.
 const (
-	// OutcomeAnswered is a whole answer of whatever status.
+	// OutcomeAnswered is a complete answer with any status.
 	OutcomeAnswered Outcome = iota
-	// OutcomeNotExecuted is a proved refusal, as of a full or draining server: it tells nothing of its health.
+	// OutcomeNotExecuted is a proved rejection, as by a full or draining server: it shows nothing of its health.
 	OutcomeNotExecuted
-	// OutcomeFault is an answer that broke off, was garbled or belonged to another request, or silence.
+	// OutcomeFault is an answer that broke off, was malformed or belonged to another request, or a timeout.
 	OutcomeFault
 	// OutcomeUnreachable is a connection that was refused, or reset before a request was sent on it.
 	OutcomeUnreachable
 )
 
 const (
-	// ejectAfter is the number of faults in a row that ejects a server.
+	// ejectAfterFaults is the number of consecutive faults that ejects a server.
 	ejectAfterFaults = 5
-	// ejectShare is the share of faults that ejects a server, once there were leastOutcomes.
-	ejectShare    = 0.6
+	// ejectShare is the share of faults that ejects a server, once there were minOutcomes.
+	ejectShare  = 0.6
 	minOutcomes = 10
 	// outcomeGain is the weight of one outcome in the share.
 	outcomeGain = 0.1
-	// firstUnreachable is the first ejection of a server that cannot be reached: long enough to look elsewhere, short
-	// enough for a server that restarts at its address.
+	// initialUnreachableEjection is the first ejection of a server that cannot be reached: long enough to use others,
+	// short enough for a server that restarts at its address.
 	initialUnreachableEjection = time.Second
-	// firstEjection doubles with each ejection that follows soon, up to longestEjection.
-	initialEjection   = 5 * time.Second
-	maxEjection = 60 * time.Second
-	// slowReturn is how long a server takes from the least to its full share after an ejection.
+	// initialEjection doubles with each ejection that follows within forgiveAfter, up to maxEjection.
+	initialEjection = 5 * time.Second
+	maxEjection     = 60 * time.Second
+	// slowStart is how long a server takes from minShare to its full share after an ejection.
 	slowStart = 10 * time.Second
-	// leastShare is the share of traffic at the moment of return.
+	// minShare is the share of traffic when the ejection ends.
 	minShare = 0.1
-	// forgiveAfter is the quiet time after which earlier ejections no longer count.
+	// forgiveAfter is the time without an ejection after which earlier ones no longer count.
 	forgiveAfter = 2 * time.Minute
 )
 
-// Outlier follows the faults of one back end. Its zero value is a healthy server.
+// Outlier detects the outlier of a group by the faults of one back end, and ejects it for a while. Its zero value is a
+// healthy server.
 type Outlier struct {
 	faults int
-	// share is the share of faults of late, over that many outcomes.
-	faultShare    float64
-	outcomes int
+	// faultShare is the decayed share of faults, over that many outcomes.
+	faultShare float64
+	outcomes   int
 
-	ejections   int
-	ejectedUntil       time.Time
-	unreachable bool
+	ejections    int
+	ejectedUntil time.Time
+	unreachable  bool
 }
 
-// Record takes the outcome of one request and reports whether it ejected the server.
+// Record observes a fault or an answer and reports whether it ejected the server.
 func (o *Outlier) Record(fault bool, now time.Time) bool {
 	if fault {
 		return o.Observe(OutcomeFault, now)
@@ -59,8 +60,8 @@
 	return o.Observe(OutcomeAnswered, now)
 }
 
-// Observe takes the outcome of one request and reports whether it ejected the server. A connection that cannot be
-// made ejects at once; faults do when there are several in a row or when they are most of what came of late.
+// Observe records the outcome of one request and reports whether it ejected the server. A connection that cannot be
+// made ejects at once; faults do when several are consecutive or when they are most of the recent outcomes.
 func (o *Outlier) Observe(outcome Outcome, now time.Time) bool {
 	switch outcome {
 	case OutcomeNotExecuted:
@@ -87,7 +88,7 @@
 	o.faultShare += max(outcomeGain, 1/float64(o.outcomes)) * (fault - o.faultShare)
 }
 
-// eject keeps traffic off for a time that doubles with each ejection; one that is ejected already stays so no longer.
+// eject ejects the server for a time that doubles with each ejection; an ejection in force is not extended.
 func (o *Outlier) eject(first time.Duration, now time.Time) bool {
 	if o.Ejected(now) {
 		return false
@@ -108,15 +109,16 @@
 // Until is when the last ejection ends or ended; zero when there was none.
 func (o *Outlier) Until() time.Time { return o.ejectedUntil }
 
-// Unreachable reports whether the last thing known of the server is that no connection to it could be made.
+// Unreachable reports whether the last outcome was that no connection to the server could be made.
 func (o *Outlier) Unreachable() bool { return o.unreachable }
 
-// Ejected reports whether traffic is kept off the server.
+// Ejected reports whether the server gets no traffic.
 func (o *Outlier) Ejected(now time.Time) bool {
 	return now.Before(o.ejectedUntil)
 }
 
-// Share is the part of its weight that the server takes: it rises from a tenth to one after an ejection.
+// Share is the part of its weight that the server gets: it rises from minShare to 1 in the slow start after an
+// ejection.
 func (o *Outlier) Share(now time.Time) float64 {
 	if o.ejectedUntil.IsZero() {
 		return 1
--- a/internal/dataplane/schedule/outlier_test.go
+++ b/internal/dataplane/schedule/outlier_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestRefusalsTellNothingOfHealth(t *testing.T) {
+func TestRejectionsShowNothingOfHealth(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outlier schedule.Outlier
 	for range 100 {
@@ -21,11 +21,11 @@
 	}
 	outlier.Observe(schedule.OutcomeNotExecuted, now)
 	if !outlier.Observe(schedule.OutcomeFault, now) {
-		t.Fatal("a refusal ended a row of faults")
+		t.Fatal("a rejection ended consecutive faults")
 	}
 }
 
-func TestAnUnreachableServerIsEjectedAtOnceAndBrieflyAtFirst(t *testing.T) {
+func TestUnreachableServerIsEjectedAtOnceAndBrieflyAtFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outlier schedule.Outlier
 	if !outlier.Observe(schedule.OutcomeUnreachable, now) || !outlier.Unreachable() {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestAShareOfFaultsEjectsWithoutARow(t *testing.T) {
+func TestShareOfFaultsEjectsWithoutConsecutiveOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fault, answer := schedule.OutcomeFault, schedule.OutcomeAnswered
 	var sick, fair schedule.Outlier
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestSuspicionLeavesHalfOfTheGroupInUse(t *testing.T) {
+func TestEjectionLeavesHalfOfTheGroupInUse(t *testing.T) {
 	candidates := servers(0, 0, 0, 0, 0)
 	for at := range 4 {
 		candidates[at].Ejected = true
@@ -75,7 +75,9 @@
 	}
 	used := map[string]bool{}
 	for sequence := range uint64(20) {
-		decision := schedule.Choose(schedule.Request{Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, Sequence: sequence}, candidates, nil)
+		decision := schedule.Choose(
+			schedule.Request{Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, Sequence: sequence}, candidates, nil,
+		)
 		used[decision.Chosen] = true
 	}
 	if len(used) != 3 || !used["s04"] || !used["s03"] || !used["s02"] {
@@ -83,7 +85,7 @@
 	}
 }
 
-func TestAnUnreachableServerIsUsedOnlyWhenNothingElseIsLeft(t *testing.T) {
+func TestUnreachableServerIsUsedOnlyWhenNoOtherIsLeft(t *testing.T) {
 	candidates := servers(0, 0, 0)
 	for at := range candidates {
 		candidates[at].Ejected = true
--- a/internal/dataplane/schedule/policies.go
+++ b/internal/dataplane/schedule/policies.go
@@ -9,10 +9,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// freeShare is the part of its slots up to which a server keeps its prefixes whatever the mean is.
+// freeShare is the part of its slots up to which a server is within the load bound, whatever the mean is.
 const freeShare = 0.25
 
-// place runs the policy; candidates is never empty.
+// applyPolicy applies the request's policy; there is at least one candidate.
 func (d *Decision) applyPolicy(request Request, candidates []*Candidate, random *rand.Rand) {
 	if request.Step != nil {
 		d.leastOutstanding(request, candidates)
@@ -59,8 +59,8 @@
 	}
 }
 
-// loadBound is how many requests affinity lets each server hold: the factor
-// times its share of all requests, rounded up. A server with most of its slots
+// loadBound bounds the requests at each server that affinity prefers: the factor
+// times its share of all requests, rounded up (consistent hashing with bounded loads). A server with most of its slots
 // free is never over the bound, since leaving its cache would gain nothing.
 type loadBound struct {
 	requestsPerSlot float64
@@ -74,22 +74,17 @@
 	requests, slots := 1.0, 0.0
 	for _, candidate := range candidates {
 		requests += candidate.requests()
-		slots += candidateSlots(candidate)
+		slots += candidate.weightedSlots()
 	}
 	return loadBound{requestsPerSlot: factor * requests / slots}
 }
 
 func (b loadBound) allows(candidate *Candidate) bool {
-	slots := candidateSlots(candidate)
+	slots := candidate.weightedSlots()
 	maxRequests := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
 	return candidate.requests()+1 <= maxRequests
 }
 
-// candidateSlots is the capacity scaled by weight.
-func candidateSlots(candidate *Candidate) float64 {
-	return candidate.slots() * candidate.Weight
-}
-
 func (d *Decision) leastLoaded(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
 	slices.SortStableFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.loadWith(1), b.loadWith(1)) })
@@ -103,7 +98,7 @@
 	}
 }
 
-// powerOfTwo compares two random candidates and takes the less loaded one.
+// powerOfTwo compares two random candidates and chooses the less loaded one.
 func (d *Decision) powerOfTwo(candidates []*Candidate, random *rand.Rand) {
 	if len(candidates) == 1 {
 		d.firstOf(candidates)
@@ -129,7 +124,7 @@
 	}
 }
 
-// roundRobin takes the candidates in turn, in the order of their ids.
+// roundRobin chooses the candidates in turn, in the order of their ids.
 func (d *Decision) roundRobin(request Request, candidates []*Candidate) {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/dataplane/schedule/profile.go
+++ b/internal/dataplane/schedule/profile.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Profile is what a server of ordinary speed in a group takes for its work. Zero fields mean the defaults.
+// Profile is how long an ordinary server of a group takes for its work. Fields that are 0 mean the defaults.
 type Profile struct {
-	// PromptRate is the number of prompt tokens read in a millisecond.
+	// PromptRate is the number of prompt tokens prefilled in a millisecond.
 	PromptRate float64
-	// StepTime is the time of one output token when little else runs.
+	// StepTime is the time of one output token at low load.
 	StepTime time.Duration
 	// Overhead is the part of the time to the first token that does not depend on the prompt.
 	Overhead time.Duration
-	// MeanPrompt is how many tokens of a prompt servers have to read on average.
+	// MeanPrompt is the mean number of prompt tokens to prefill.
 	MeanPrompt float64
-	// ServiceTime is how long a request without a prompt takes.
+	// ServiceTime is the duration of a request without a prompt.
 	ServiceTime time.Duration
 }
 
@@ -37,12 +37,12 @@
 	}
 }
 
-// reading is how long a server takes to read so many prompt tokens.
+// prefillTime is how long a server takes to prefill so many prompt tokens.
 func (p Profile) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / p.PromptRate * float64(time.Millisecond))
 }
 
-// FirstToken is the expected time to the first token of a request with so many tokens to read, those of requests
+// FirstToken is the expected time to the first token of a request with so many tokens to prefill, those of requests
 // ahead of it at the server included.
 func (p Profile) FirstToken(tokens uint64) time.Duration {
 	p = p.withDefaults()
@@ -52,20 +52,21 @@
 const (
 	// profileGain is the weight of one observation.
 	profileGain = 0.02
-	// mostFirstTokenFactor bounds what a first token may tell of the prompt rate: one that took much longer waited for something else.
+	// maxFirstTokenFactor is the multiple of the expected time from which a first token says nothing of the prompt rate:
+	// it waited for something else.
 	maxFirstTokenFactor = 3
 )
 
-// ProfileEstimator learns the profile of a group from its answers. Its zero value holds the defaults.
+// ProfileEstimator learns the profile of a group from its answers. Its zero value estimates the defaults.
 type ProfileEstimator struct {
 	profile Profile
 }
 
-// Profile gives the estimate.
+// Profile is the current estimate.
 func (e *ProfileEstimator) Profile() Profile { return e.profile.withDefaults() }
 
-// ObserveFirstToken takes the time from issue to the first token in, for a request of which the server had to read
-// own tokens after those of ahead tokens of other requests.
+// ObserveFirstToken adds the time from issue to the first token of a request, of which the server had to prefill
+// own tokens after ahead tokens of other requests.
 func (e *ProfileEstimator) ObserveFirstToken(own, ahead uint64, latency time.Duration) {
 	e.profile = e.Profile()
 	e.profile.MeanPrompt += profileGain * (float64(own) - e.profile.MeanPrompt)
@@ -74,12 +75,13 @@
 		return
 	}
 	// The error is shared between the fixed part and the rate by what each is expected to cause.
-	wrong := profileGain * float64(latency-expected) / float64(expected)
-	e.profile.Overhead = time.Duration(float64(e.profile.Overhead) * (1 + wrong*float64(e.profile.Overhead)/float64(expected)))
-	e.profile.PromptRate /= 1 + wrong*(1-float64(e.profile.Overhead)/float64(expected))
+	correction := profileGain * float64(latency-expected) / float64(expected)
+	overhead := float64(e.profile.Overhead)
+	e.profile.Overhead = time.Duration(overhead * (1 + correction*overhead/float64(expected)))
+	e.profile.PromptRate /= 1 + correction*(1-float64(e.profile.Overhead)/float64(expected))
 }
 
-// ObserveOutput takes the time between the first and the last of so many output tokens in.
+// ObserveOutput adds the time between the first and the last of so many output tokens.
 func (e *ProfileEstimator) ObserveOutput(tokens uint64, passed time.Duration) {
 	if tokens < 2 || passed <= 0 {
 		return
@@ -89,7 +91,7 @@
 	e.profile.StepTime += time.Duration(profileGain * float64(step-e.profile.StepTime))
 }
 
-// ObserveService takes the time of a request without a prompt in.
+// ObserveService adds the duration of a request without a prompt.
 func (e *ProfileEstimator) ObserveService(passed time.Duration) {
 	e.profile = e.Profile()
 	e.profile.ServiceTime += time.Duration(profileGain * float64(passed-e.profile.ServiceTime))
--- a/internal/dataplane/schedule/recent_requests.go
+++ b/internal/dataplane/schedule/recent_requests.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// recentMemory is the time constant with which requests of late are forgotten.
+	// recentTimeConstant is the time constant with which the count decays.
 	recentTimeConstant = 20 * time.Second
-	// busyShare is the part of its slots up to which a server is taken to have room, however it compares with others.
+	// busyShare is the part of its slots up to which a server counts as not busy, however it compares with others.
 	busyShare = 0.2
 	// unevenShare is the multiple of the mean from which a server counts as busier than others.
 	unevenShare = 1.1
 )
 
-// RecentRequests counts requests sent to one server of late; the older ones count the less. The zero value has counted none.
+// RecentRequests is an exponentially decayed count of the requests sent to one server. Its zero value has counted none.
 type RecentRequests struct {
 	count float64
 	at    time.Time
@@ -26,7 +26,7 @@
 	r.at = now
 }
 
-// Count is what is remembered of the requests.
+// Count is the decayed count.
 func (r *RecentRequests) Count(now time.Time) float64 {
 	if r.count == 0 {
 		return 0
@@ -34,15 +34,15 @@
 	return r.count * math.Exp(-max(now.Sub(r.at), 0).Seconds()/recentTimeConstant.Seconds())
 }
 
-// likelyCalls is how many calls other front nodes are taken to have at a server: each of them sends it about what this one
-// sent it of late, since all prefer the same servers for an object.
+// likelyCalls estimates the calls of other front nodes at a server: each of them sends it about as many as this one
+// sent it recently, since all prefer the same servers for an object.
 func (r *Request) likelyCalls(candidate *Candidate) float64 {
 	perSecond := candidate.Recent / recentTimeConstant.Seconds()
 	return perSecond * r.Profile.ServiceTime.Seconds() * max(r.FrontsAtServer-1, 0)
 }
 
-// callBound is how many likely calls a server may have before others are preferred. Without it an object that many calls concern has one server
-// to itself, chosen by many front nodes alike, each of which sees few of them.
+// callBound is the number of likely calls up to which a server is not penalized. Without it all calls that concern one
+// object would go to one server, chosen by many front nodes alike, each of which sees few of them.
 func (r *Request) callBound(candidates []*Candidate) float64 {
 	sum := 0.0
 	for _, candidate := range candidates {
@@ -51,7 +51,7 @@
 	return unevenShare * sum / float64(max(len(candidates), 1))
 }
 
-// surplus is by how much a server has more likely calls than the bound, and than leave it room.
+// surplus is the number of likely calls at a server above the bound and above busyShare of its slots.
 func (r *Request) surplus(candidate *Candidate, bound float64) float64 {
 	return max(r.likelyCalls(candidate)-max(bound, busyShare*candidate.slots()), 0)
 }
--- a/internal/dataplane/schedule/recent_requests_test.go
+++ b/internal/dataplane/schedule/recent_requests_test.go
@@ -13,19 +13,21 @@
 // serviceTime is how long a call takes: at one each 1.2 ms, a third of the slots of 40 servers are taken.
 const serviceTime = 100 * time.Millisecond
 
-// callFleet is many front nodes that place calls before servers, each by what it knows itself.
+// callFleet is many front nodes that send calls to servers, each with its own information.
 type callFleet struct {
 	random  *rand.Rand
 	now     time.Time
 	zones   int
 	servers []schedule.Candidate
-	// recent are the calls of each front node at each server; nil remembers none.
+	// recent are the calls of each front node at each server; nil countsRecent none.
 	recent [][]schedule.RecentRequests
 	got    []int
 }
 
 func newCallFleet(fronts, servers, zones int) *callFleet {
-	f := &callFleet{random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), zones: zones, got: make([]int, servers)}
+	f := &callFleet{
+		random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), zones: zones, got: make([]int, servers),
+	}
 	for number := range servers {
 		f.servers = append(f.servers, schedule.Candidate{
 			ID: fmt.Sprintf("server-%03d", number), Zone: fmt.Sprintf("z%d", number%zones), Capacity: 6, Weight: 1,
@@ -37,18 +39,19 @@
 	return f
 }
 
-// call places one call of an object at a front node.
-func (f *callFleet) call(front int, object string, remembers bool) {
+// call sends one call of an object through a front node.
+func (f *callFleet) call(front int, object string, countsRecent bool) {
 	candidates := append([]schedule.Candidate(nil), f.servers...)
 	for number := range candidates {
-		if remembers {
+		if countsRecent {
 			candidates[number].Recent = f.recent[front][number].Count(f.now)
 		}
 	}
 	decision := schedule.Choose(schedule.Request{
 		Algorithm: protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, AffinityKey: object,
 		Front: fmt.Sprintf("front-%03d", front), Zone: fmt.Sprintf("z%d", front%f.zones),
-		Profile: schedule.Profile{ServiceTime: serviceTime}, FrontsAtServer: float64(len(f.recent)*min(schedule.DefaultSubsetSize, len(f.servers))) / float64(len(f.servers)),
+		Profile:        schedule.Profile{ServiceTime: serviceTime},
+		FrontsAtServer: float64(len(f.recent)*min(schedule.DefaultSubsetSize, len(f.servers))) / float64(len(f.servers)),
 	}, candidates, f.random)
 	for number := range candidates {
 		if candidates[number].ID == decision.Chosen {
@@ -68,27 +71,30 @@
 	return float64(most) * float64(len(f.got)) / float64(sum)
 }
 
-// play sends calls of objects, a few of which are asked for often, to front nodes drawn by lot. Without memory the busiest server gets about what it got
-// on the large deployments: 4.1 to 4.5 times the mean.
-func (f *callFleet) play(calls int, remembers bool) float64 {
+// simulate sends calls of objects, a few of which are frequent, through random front nodes. Without recent counts the
+// busiest server gets about what it got on the large deployments: 4.1 to 4.5 times the mean.
+func (f *callFleet) simulate(calls int, countsRecent bool) float64 {
 	objects := rand.NewZipf(f.random, 1.1, 1, 200)
 	for range calls {
 		f.now = f.now.Add(1200 * time.Microsecond)
-		f.call(f.random.IntN(len(f.recent)), fmt.Sprintf("object-%d", objects.Uint64()), remembers)
+		f.call(f.random.IntN(len(f.recent)), fmt.Sprintf("object-%d", objects.Uint64()), countsRecent)
 	}
 	return f.busiest()
 }
 
 func TestObjectsThatManyCallsConcernAreSpreadOverServersByManyFrontNodes(t *testing.T) {
 	const calls, most = 40_000, 1.6
-	without, with := newCallFleet(264, 40, 7).play(calls, false), newCallFleet(264, 40, 7).play(calls, true)
-	t.Logf("busiest of 40 servers before 264 front nodes: %.2f times the mean, %.2f when calls of late are remembered", without, with)
+	without, with := newCallFleet(264, 40, 7).simulate(calls, false), newCallFleet(264, 40, 7).simulate(calls, true)
+	t.Logf(
+		"busiest of 40 servers before 264 front nodes: %.2f times the mean, %.2f with the count of recent calls",
+		without, with,
+	)
 	if with > most || without < most {
 		t.Errorf("want at most %.1f, and more without", most)
 	}
 }
 
-func TestAFrontNodeWithFewCallsKeepsAnObjectsServer(t *testing.T) {
+func TestFrontNodeWithFewCallsStaysWithAnObjectsServer(t *testing.T) {
 	f := newCallFleet(1, 16, 1)
 	for number := range 64 {
 		f.now = f.now.Add(time.Second)
--- a/internal/dataplane/schedule/schedule_test.go
+++ b/internal/dataplane/schedule/schedule_test.go
@@ -15,7 +15,9 @@
 func servers(loads ...uint32) []schedule.Candidate {
 	candidates := make([]schedule.Candidate, len(loads))
 	for at, load := range loads {
-		candidates[at] = schedule.Candidate{ID: fmt.Sprintf("s%02d", at), Zone: fmt.Sprintf("z%d", at%2), Capacity: 10, Running: load, Weight: 1}
+		candidates[at] = schedule.Candidate{
+			ID: fmt.Sprintf("s%02d", at), Zone: fmt.Sprintf("z%d", at%2), Capacity: 10, Running: load, Weight: 1,
+		}
 	}
 	return candidates
 }
@@ -29,7 +31,7 @@
 	return "absent"
 }
 
-func TestLeastLoadedTakesTheLeastRelativeLoad(t *testing.T) {
+func TestLeastLoadedChoosesTheLeastRelativeLoad(t *testing.T) {
 	candidates := servers(5, 3, 4)
 	candidates[0].Capacity = 40
 	decision := schedule.Choose(schedule.Request{Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED}, candidates, nil)
@@ -38,7 +40,7 @@
 	}
 }
 
-func TestRoundRobinTakesEachInTurn(t *testing.T) {
+func TestRoundRobinChoosesEachInTurn(t *testing.T) {
 	for sequence, want := range []string{"s00", "s01", "s02", "s00"} {
 		request := schedule.Request{Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, Sequence: uint64(sequence)}
 		if got := schedule.Choose(request, servers(9, 0, 4), nil).Chosen; got != want {
@@ -47,11 +49,12 @@
 	}
 }
 
-func TestPowerOfTwoNeverTakesTheMostLoaded(t *testing.T) {
+func TestPowerOfTwoNeverChoosesTheMostLoaded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	seen := map[string]int{}
 	for range 300 {
-		seen[schedule.Choose(schedule.Request{Algorithm: protocol.SchedulingAlgorithm_POWER_OF_TWO}, servers(9, 0, 4), random).Chosen]++
+		seen[schedule.Choose(schedule.Request{Algorithm: protocol.SchedulingAlgorithm_POWER_OF_TWO}, servers(9, 0, 4),
+			random).Chosen]++
 	}
 	if seen["s00"] != 0 || seen["s01"] <= seen["s02"] || seen["s02"] == 0 {
 		t.Fatalf("shares %v", seen)
@@ -97,7 +100,7 @@
 }
 
 func TestSpillGoesToTheOwnRegionBeforeOthers(t *testing.T) {
-	places := []struct{ zone, region string }{{"z0", "r0"}, {"z1", "r0"}, {"z2", "r1"}}
+	zones := []struct{ zone, region string }{{"z0", "r0"}, {"z1", "r0"}, {"z2", "r1"}}
 	cases := []struct {
 		name    string
 		region  string
@@ -106,17 +109,42 @@
 		spilled bool
 		reasons [3]string
 	}{
-		{"the own zone has a free slot", "r0", [3]uint32{9, 0, 0}, "s00", false, [3]string{"", schedule.ReasonOtherZone, schedule.ReasonOtherZone}},
-		{"the own region has a free slot", "r0", [3]uint32{10, 9, 0}, "s01", true, [3]string{schedule.ReasonLower, "", schedule.ReasonFarRegion}},
-		{"the own region is full", "r0", [3]uint32{10, 10, 1}, "s02", true, [3]string{schedule.ReasonLower, schedule.ReasonLower, ""}},
-		{"everything is full", "r0", [3]uint32{12, 11, 13}, "s01", true, [3]string{schedule.ReasonLower, "", schedule.ReasonLower}},
-		{"without a region all other zones are alike", "", [3]uint32{10, 9, 0}, "s02", true, [3]string{schedule.ReasonLower, schedule.ReasonLower, ""}},
+		{
+			"the own zone has a free slot", "r0",
+			[3]uint32{9, 0, 0},
+			"s00", false,
+			[3]string{"", schedule.ReasonOtherZone, schedule.ReasonOtherZone},
+		},
+		{
+			"the own region has a free slot", "r0",
+			[3]uint32{10, 9, 0},
+			"s01", true,
+			[3]string{schedule.ReasonLower, "", schedule.ReasonFarRegion},
+		},
+		{
+			"the own region is full", "r0",
+			[3]uint32{10, 10, 1},
+			"s02", true,
+			[3]string{schedule.ReasonLower, schedule.ReasonLower, ""},
+		},
+		{
+			"everything is full", "r0",
+			[3]uint32{12, 11, 13},
+			"s01", true,
+			[3]string{schedule.ReasonLower, "", schedule.ReasonLower},
+		},
+		{
+			"without a region all other zones are alike", "",
+			[3]uint32{10, 9, 0},
+			"s02", true,
+			[3]string{schedule.ReasonLower, schedule.ReasonLower, ""},
+		},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			candidates := servers(tt.loads[:]...)
 			for at := range candidates {
-				candidates[at].Zone, candidates[at].Region = places[at].zone, places[at].region
+				candidates[at].Zone, candidates[at].Region = zones[at].zone, zones[at].region
 			}
 			got := schedule.Choose(schedule.Request{
 				Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED, Zone: "z0", Region: tt.region, ZoneLocalFirst: true,
@@ -142,7 +170,7 @@
 	}
 }
 
-func TestEjectionGivesWayWhenNothingElseIsLeft(t *testing.T) {
+func TestEjectedServersAreReadmittedWhenNoOtherIsLeft(t *testing.T) {
 	candidates := servers(0, 0)
 	candidates[0].Ejected = true
 	decision := schedule.Choose(schedule.Request{}, candidates, nil)
@@ -155,11 +183,13 @@
 	}
 }
 
-func TestSubsetIsStableAndKeepsTheLastServer(t *testing.T) {
+func TestSubsetIsStableAndIncludesTheLastServer(t *testing.T) {
 	many := servers(make([]uint32, 60)...)
 	chosen := map[string]bool{}
 	for sequence := range uint64(200) {
-		request := schedule.Request{Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, SubsetSize: 5, Front: "f1", Sequence: sequence}
+		request := schedule.Request{
+			Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, SubsetSize: 5, Front: "f1", Sequence: sequence,
+		}
 		chosen[schedule.Choose(request, many, nil).Chosen] = true
 	}
 	if len(chosen) != 5 {
@@ -182,8 +212,11 @@
 			candidates[at] = schedule.Candidate{
 				ID: fmt.Sprintf("s%02d", at), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
 				Draining: rapid.Bool().Draw(t, "draining"), Ejected: rapid.Bool().Draw(t, "ejected"),
-				Capacity: uint32(rapid.IntRange(0, 20).Draw(t, "capacity")), Running: uint32(rapid.IntRange(0, 40).Draw(t, "running")),
-				InFlight: uint32(rapid.IntRange(0, 40).Draw(t, "in flight")), Weight: rapid.SampledFrom([]float64{0, 0.1, 1, 4}).Draw(t, "weight"),
+				Capacity: uint32(rapid.IntRange(0, 20).Draw(t, "capacity")), Running: uint32(
+					rapid.IntRange(0, 40).Draw(t, "running"),
+				),
+				InFlight: uint32(rapid.IntRange(0, 40).Draw(t, "in flight")), Weight: rapid.SampledFrom([]float64{0, 0.1, 1, 4}).
+						Draw(t, "weight"),
 			}
 			usable = usable || !candidates[at].Draining && candidates[at].Weight > 0
 		}
@@ -211,7 +244,7 @@
 	})
 }
 
-func TestOutlierIsEjectedLongerEachTimeAndReturnsSlowly(t *testing.T) {
+func TestOutlierIsEjectedLongerEachTimeAndHasASlowStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outlier schedule.Outlier
 	if outlier.Share(now) != 1 || outlier.Ejected(now) {
@@ -238,7 +271,7 @@
 	}
 }
 
-func TestOneSuccessEndsARowOfFaults(t *testing.T) {
+func TestOneSuccessEndsConsecutiveFaults(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outlier schedule.Outlier
 	for range 4 {
--- a/internal/dataplane/schedule/schedulesim/ablation.go
+++ b/internal/dataplane/schedule/schedulesim/ablation.go
@@ -6,32 +6,33 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-// Mechanism is a part of the placement of turns that can be switched off, to see what it is worth.
+// Mechanism is a part of a policy that can be disabled, to measure its contribution (an ablation). Its values stand in
+// reports.
 type Mechanism string
 
 // The mechanisms of EXPECTED_FIRST_TOKEN.
 const (
-	// Digests tell front nodes which servers read which shared parts for others.
+	// Digests are the exchange between front nodes of which servers have cached which shared segments.
 	Digests Mechanism = "digests of cached parts"
-	// HomeServer is the program's first server; without it each turn has an order of its own.
+	// HomeServer is the program's first server; without it each turn ranks the servers anew.
 	HomeServer Mechanism = "home server"
 	// LastServer prefers the server of the session's last turn.
 	LastServer Mechanism = "session's last server"
 	// OwnZone prefers servers of the front node's zone, in its subset and in its order.
 	OwnZone Mechanism = "own zone first"
-	// CachedParts is what a front node knows of the servers' caches.
+	// CachedParts is a front node's model of the servers' prefix caches.
 	CachedParts Mechanism = "known cached parts"
-	// PendingPrompts are the prompts that the front node's own turns have still to be read.
+	// PendingPrompts are the prompts of the front node's own turns that are not prefilled yet.
 	PendingPrompts Mechanism = "prompts still to be read"
-	// LearnedSlowness is what answers tell of a server's speed.
+	// LearnedSlowness is the estimate of a server's slowness from its answers.
 	LearnedSlowness Mechanism = "learned slowness"
-	// LoadSamples are the loads that front nodes ask servers for.
+	// LoadSamples are the load reports that front nodes request.
 	LoadSamples Mechanism = "samples of the load"
-	// AnswerLoads are the loads that servers tell with their answers.
+	// AnswerLoads are the load reports on servers' answers.
 	AnswerLoads Mechanism = "load on answers"
 )
 
-// Mechanisms are all of them, in the order in which tables show them.
+// Mechanisms lists all mechanisms, in the order of the tables in reports.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		Digests, HomeServer, LastServer, OwnZone, CachedParts, PendingPrompts, LearnedSlowness, LoadSamples, AnswerLoads,
@@ -40,7 +41,7 @@
 
 func (o *Options) lacks(mechanism Mechanism) bool { return o.Without == mechanism }
 
-// switchOff takes out of a request what belongs to the mechanism that is off.
+// switchOff removes the disabled mechanism's part of a request.
 func (o *Options) switchOff(request *schedule.Request) {
 	switch o.Without {
 	case HomeServer:
@@ -53,7 +54,7 @@
 	}
 }
 
-// hide takes out of a candidate what belongs to the mechanism that is off.
+// hide removes the disabled mechanism's part of a candidate.
 func (o *Options) hide(candidate *schedule.Candidate) {
 	switch o.Without {
 	case CachedParts:
--- a/internal/dataplane/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// AdmissionOptions say what is played with the queues of front nodes before one group of servers.
+// AdmissionOptions configure a simulation of front nodes' admission queues before one group of servers.
 type AdmissionOptions struct {
 	Seed   uint64
 	Fronts int
@@ -16,35 +16,35 @@
 	Slots int
 	// PerSecond is the rate of calls over the whole fleet.
 	PerSecond float64
-	// Work is the mean time that a call holds its slot.
+	// Work is the mean time that a call occupies its slot.
 	Work time.Duration
-	// Objective is the time within which a call counts as well served, and Timeout how long its caller tries.
+	// Objective is the latency target of a call, and Timeout how long its caller retries.
 	Objective time.Duration
 	Timeout   time.Duration
-	// MostSends is how often a caller sends one call.
+	// MaxSends is the maximum number of times that a caller sends one call.
 	MaxSends int
-	// MaxWaitShare is the part of the objective that a ticket waits at most, MaxExpectedShare the part that it may
-	// expect to wait when it enters; zero leaves it to the queue.
+	// MaxWaitShare is the part of the objective that a ticket may wait, MaxExpectedShare the part that it may
+	// expect to wait when it enters; 0 leaves it to the queue.
 	MaxWaitShare     float64
 	MaxExpectedShare float64
 	Length           time.Duration
 }
 
-// AdmissionResult is what came of a play.
+// AdmissionResult is the result of a simulation.
 type AdmissionResult struct {
 	Calls int
 	// InObjective counts the calls that ended within the objective of their first send, Served those that ended at all.
 	InObjective int
 	Served      int
-	// Refusals counts single refusals, LateRefusals those that came after lateRefusal.
+	// Rejections counts rejections of single sends, LateRejections those after lateRejection.
 	Rejections     int
 	LateRejections int
 }
 
-// lateRefusal is the time after which a refusal comes late.
+// lateRejection is the time from which a rejection counts as late.
 const lateRejection = 50 * time.Millisecond
 
-// Add counts the result of another play along.
+// Add adds the result of another simulation.
 func (r *AdmissionResult) Add(other *AdmissionResult) {
 	r.Calls += other.Calls
 	r.InObjective += other.InObjective
@@ -53,14 +53,14 @@
 	r.LateRejections += other.LateRejections
 }
 
-// ShareOf is a count as a part of all calls.
+// ShareOf is a count as a fraction of all calls.
 func (r *AdmissionResult) ShareOf(count int) float64 {
 	return float64(count) / float64(max(r.Calls, 1))
 }
 
 // admissionFront is one front node's queue with the calls that wait in it.
 type admissionFront struct {
-	run    *admissionRun
+	run     *admissionRun
 	queue   *limit.Queue
 	waiting map[uint64]*admissionCall
 }
@@ -81,7 +81,7 @@
 	result   *AdmissionResult
 }
 
-// PlayAdmission runs calls through the queues of front nodes.
+// SimulateAdmission simulates calls in the admission queues of front nodes.
 func SimulateAdmission(options AdmissionOptions) *AdmissionResult {
 	p := &admissionRun{
 		options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 3)), result: &AdmissionResult{},
@@ -109,7 +109,7 @@
 	})
 }
 
-// send brings a call to any front node.
+// send sends a call to a random front node.
 func (p *admissionRun) send(call *admissionCall) {
 	front := p.fronts[p.random.IntN(len(p.fronts))]
 	p.nextID++
@@ -155,7 +155,7 @@
 	f.decide(f.queue.Leave(f.run.timeline.clock()))
 }
 
-// refused lets the caller come back when it was told to.
+// rejected has the caller retry after the time that the rejection names.
 func (p *admissionRun) rejected(call *admissionCall, retryAfter time.Duration) {
 	p.result.Rejections++
 	if p.timeline.now-call.sentAt > lateRejection {
--- a/internal/dataplane/schedule/schedulesim/admission_test.go
+++ b/internal/dataplane/schedule/schedulesim/admission_test.go
@@ -36,8 +36,8 @@
 	boundedExpected = admissionVariant{name: "bounded_expected_wait", entryShare: 0.25}
 )
 
-// playAdmission adds up plays of five seeds.
-func playAdmission(c admissionCase, variant admissionVariant) *schedulesim.AdmissionResult {
+// simulateAdmission adds up simulations of five seeds.
+func simulateAdmission(c admissionCase, variant admissionVariant) *schedulesim.AdmissionResult {
 	const seeds, slots, work = 5, 60, 100 * time.Millisecond
 	total := &schedulesim.AdmissionResult{}
 	for seed := range uint64(seeds) {
@@ -50,28 +50,32 @@
 	return total
 }
 
-func TestRefusingCallsThatExpectToMissTheirObjectiveServesMoreWithinIt(t *testing.T) {
-	// refusedInstead is the part of calls that may go unserved for it under overload.
-	const refusedInstead = 0.07
+func TestRejectingCallsThatExpectToMissTheirLatencyTargetServesMoreWithinIt(t *testing.T) {
+	// unservedInstead is the part of calls that may go unserved for it under overload.
+	const unservedInstead = 0.07
 	for _, c := range admissionCases {
-		before, after := playAdmission(c, unbounded), playAdmission(c, boundedExpected)
+		before, after := simulateAdmission(c, unbounded), simulateAdmission(c, boundedExpected)
 		if after.ShareOf(after.InObjective) <= before.ShareOf(before.InObjective) {
-			t.Errorf("%+v: %.3f within the objective, %.3f without the bound", c, after.ShareOf(after.InObjective), before.ShareOf(before.InObjective))
+			t.Errorf(
+				"%+v: %.3f within the objective, %.3f without the bound", c, after.ShareOf(after.InObjective), before.ShareOf(
+					before.InObjective,
+				),
+			)
 		}
-		if after.ShareOf(after.Served) < before.ShareOf(before.Served)-refusedInstead {
+		if after.ShareOf(after.Served) < before.ShareOf(before.Served)-unservedInstead {
 			t.Errorf("%+v: %.3f served, %.3f without the bound", c, after.ShareOf(after.Served), before.ShareOf(before.Served))
 		}
 		if after.LateRejections*100 > after.Rejections {
-			t.Errorf("%+v: %d of %d refusals came late", c, after.LateRejections, after.Rejections)
+			t.Errorf("%+v: %d of %d rejections were late", c, after.LateRejections, after.Rejections)
 		}
 	}
 }
 
-func TestBoundingTheWaitItselfMakesRefusalsLate(t *testing.T) {
+func TestBoundingTheWaitItselfMakesRejectionsLate(t *testing.T) {
 	for _, c := range admissionCases[:3] {
-		got := playAdmission(c, boundedWait)
+		got := simulateAdmission(c, boundedWait)
 		if got.LateRejections*20 < got.Rejections {
-			t.Errorf("%+v: %d of %d refusals came late: is this bound better now?", c, got.LateRejections, got.Rejections)
+			t.Errorf("%+v: %d of %d rejections were late: is this bound better now?", c, got.LateRejections, got.Rejections)
 		}
 	}
 }
@@ -83,7 +87,7 @@
 			b.Run(fmt.Sprintf("load_%.2f/%v/%s", c.load, c.objective, variant.name), func(b *testing.B) {
 				var result *schedulesim.AdmissionResult
 				for range b.N {
-					result = playAdmission(c, variant)
+					result = simulateAdmission(c, variant)
 				}
 				b.ReportMetric(result.ShareOf(result.InObjective), "in_objective")
 				b.ReportMetric(result.ShareOf(result.Served), "served")
--- a/internal/dataplane/schedule/schedulesim/compare_test.go
+++ b/internal/dataplane/schedule/schedulesim/compare_test.go
@@ -18,8 +18,9 @@
 		},
 		Programs: []schedulesim.ProgramSpec{
 			{
-				Name: "short", PerSecond: 17.8, Rank: 1, Turns: 3, MaxTurns: 6, SharedTokens: 2560, InputTokens: 1030, OutputTokens: 34,
-				ThinkTime: 250 * time.Millisecond, SubAgents: 0.05, SubAgentCount: 3, SubAgentTurns: 2,
+				Name: "short", PerSecond: 17.8, Rank: 1, Turns: 3, MaxTurns: 6, SharedTokens: 2560, InputTokens: 1030,
+				OutputTokens: 34,
+				ThinkTime:    250 * time.Millisecond, SubAgents: 0.05, SubAgentCount: 3, SubAgentTurns: 2,
 			},
 			{
 				Name: "long", PerSecond: 5, Rank: 0, Turns: 7, MaxTurns: 14, SharedTokens: 2560, InputTokens: 514, OutputTokens: 34,
@@ -75,7 +76,10 @@
 		o.Slow = schedulesim.Slow{From: 6 * time.Second, For: 10 * time.Second, Servers: 2, Factor: 4}
 	}},
 	{"sixty_servers", func(o *schedulesim.Options) { o.Load, o.Servers, o.Fronts = 8, 60, 30 }},
-	{"sixty_servers_subset_16", func(o *schedulesim.Options) { o.Load, o.Servers, o.Fronts, o.SubsetSize = 8, 60, 30, 16 }},
+	{
+		"sixty_servers_subset_16",
+		func(o *schedulesim.Options) { o.Load, o.Servers, o.Fronts, o.SubsetSize = 8, 60, 30, 16 },
+	},
 }
 
 // longerPrograms has larger batches, slower engines and programs of up to 22 turns.
@@ -91,7 +95,7 @@
 	}
 }
 
-func play(scenario scenario, variant variant, seed uint64) *schedulesim.Result {
+func simulate(scenario scenario, variant variant, seed uint64) *schedulesim.Result {
 	options := standard(seed)
 	options.Algorithm, options.Digests = variant.algorithm, variant.digests
 	scenario.change(&options)
@@ -108,7 +112,7 @@
 				for range b.N {
 					inTime, first, twice = 0, 0, 0
 					for seed := range uint64(seeds) {
-						result := play(scenario, variant, seed+1)
+						result := simulate(scenario, variant, seed+1)
 						inTime += result.Share() / seeds
 						first += result.Quantile(0.95).Seconds() * 1000 / seeds
 						twice += float64(result.RepeatedTokens) / float64(result.Turns) / seeds
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -12,13 +12,13 @@
 	// Slots is the number of requests in a batch, Queue how many more wait.
 	Slots int
 	Queue int
-	// CacheTokens is the memory shared by running requests and cached parts.
+	// CacheTokens is the memory that running requests and the prefix cache share.
 	CacheTokens uint64
 	// StepTime is the time of a step; each running request and each thousand tokens of context add to it.
 	StepTime    time.Duration
 	PerRequest  time.Duration
 	PerThousand time.Duration
-	// PromptRate is the number of prompt tokens read in a millisecond, Chunk the most in one step.
+	// PromptRate is the number of prompt tokens prefilled in a millisecond, Chunk their maximum in one step.
 	PromptRate float64
 	Chunk      uint64
 }
@@ -28,9 +28,9 @@
 	prompt promptcache.Prompt
 	output uint64
 	rank   uint32
-	// unread are the prompt tokens still to read, generated the output tokens so far.
-	pendingPrompt    uint64
-	generated uint64
+	// pendingPrompt are the prompt tokens still to prefill, generated the output tokens so far.
+	pendingPrompt uint64
+	generated     uint64
 
 	onFirst func()
 	onDone  func()
@@ -53,9 +53,9 @@
 	cache   *promptcache.Model
 	busy    bool
 
-	// read counts all prompt tokens that were read.
-	prefilled       uint64
-	preempted  int
+	// prefilled counts all prompt tokens that were prefilled.
+	prefilled uint64
+	preempted int
 	onPrefill func(promptcache.Segment)
 }
 
@@ -65,7 +65,7 @@
 	return &engine{spec: spec, timeline: timeline, id: id, zone: zone, slowness: 1, cache: promptcache.New()}
 }
 
-// submit takes a request in; it is false when the server is full.
+// submit queues a request; false when the server is full.
 func (e *engine) submit(request *generation) bool {
 	if len(e.waiting)+len(e.batch) >= e.spec.Slots+e.spec.Queue {
 		return false
@@ -82,7 +82,7 @@
 	}
 }
 
-// running counts the requests that have their first token, as a report does.
+// running counts the requests with and without a first token, as a load report does.
 func (e *engine) running() (running, queued int) {
 	for _, request := range e.batch {
 		if request.generated > 0 {
@@ -92,7 +92,7 @@
 	return running, len(e.waiting) + len(e.batch) - running
 }
 
-// used is the memory that running requests hold.
+// used is the memory, in tokens, of the running requests.
 func (e *engine) used() uint64 {
 	used := uint64(0)
 	for _, request := range e.batch {
@@ -101,7 +101,7 @@
 	return used
 }
 
-// step reads a chunk of prompts and generates one token for each request whose prompt is read.
+// step prefills a chunk of prompts and generates one token for each request whose prompt is prefilled.
 func (e *engine) step() {
 	e.admit()
 	e.preempt()
@@ -123,7 +123,7 @@
 	return time.Duration(float64(took) * e.slowness)
 }
 
-// admit fills the batch, the most urgent first.
+// admit fills the batch in the order of ranks.
 func (e *engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *generation) int { return int(a.rank) - int(b.rank) })
 	for len(e.waiting) > 0 && len(e.batch) < e.spec.Slots {
@@ -138,18 +138,18 @@
 
 func (e *engine) startRequest(request *generation) {
 	request.pendingPrompt = request.context() - e.cache.Cached(cacheKey, request.prompt)
-	// The last token is read in any case.
+	// The last token is never cached.
 	request.pendingPrompt = max(request.pendingPrompt, 1)
 	e.batch = append(e.batch, request)
 	e.fit()
 }
 
-// fit leaves cached parts the memory that running requests do not hold.
+// fit gives the prefix cache the memory that running requests do not occupy.
 func (e *engine) fit() {
 	e.cache.Resize(cacheKey, e.spec.CacheTokens-min(e.spec.CacheTokens, e.used()))
 }
 
-// preempt puts the newest of the least urgent requests back while memory is short.
+// preempt queues the newest of the lowest-priority requests again while memory is short.
 func (e *engine) preempt() {
 	for len(e.batch) > 1 && e.used() > e.spec.CacheTokens {
 		victim := len(e.batch) - 1
@@ -164,7 +164,7 @@
 	}
 }
 
-// readChunk reads the next piece of prompts in the order of the batch.
+// prefillChunk prefills the next chunk of prompts in the order of the batch.
 func (e *engine) prefillChunk() uint64 {
 	read := uint64(0)
 	for _, request := range e.batch {
@@ -208,7 +208,7 @@
 	e.begin()
 }
 
-// retire takes out the requests that have all their output.
+// retire removes the requests whose output is complete.
 func (e *engine) retire() {
 	var done []*generation
 	e.batch = slices.DeleteFunc(e.batch, func(request *generation) bool {
--- a/internal/dataplane/schedule/schedulesim/events.go
+++ b/internal/dataplane/schedule/schedulesim/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a time; events of one time happen in the order in which they were set.
+// event is a function to run at a time; events of one time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -14,16 +14,21 @@
 
 type eventHeap []event
 
+// Len implements heap.Interface.
 func (h eventHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
+
+// Swap implements heap.Interface.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(element any) { *h = append(*h, element.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -38,7 +43,7 @@
 	events   eventHeap
 }
 
-// after sets an event.
+// after schedules an event.
 func (t *timeline) after(wait time.Duration, run func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: t.now + max(wait, 0), sequence: t.sequence, run: run})
@@ -53,5 +58,5 @@
 	}
 }
 
-// clock gives the virtual time as the decision packages take it.
+// clock is the virtual time in the form that the decision packages take.
 func (t *timeline) clock() time.Time { return time.Unix(1_000_000, 0).Add(t.now) }
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Options say what is played.
+// Options configure a simulation.
 type Options struct {
 	Seed      uint64
 	Algorithm protocol.SchedulingAlgorithm
@@ -21,22 +21,22 @@
 	Programs  []ProgramSpec
 	// Load scales the rates of programs.
 	Load float64
-	// Length is how long programs begin; Rest is how long those begun may go on.
-	Length time.Duration
-	GracePeriod   time.Duration
-	// SubsetSize is how many of the servers each front node uses; zero is all.
+	// Length is the time during which programs begin, GracePeriod how long those may still run.
+	Length      time.Duration
+	GracePeriod time.Duration
+	// SubsetSize is how many of the servers each front node uses; 0 is all.
 	SubsetSize uint32
-	// SamplesPerSecond is how many load reports one front node asks for.
+	// SamplesPerSecond is the rate at which one front node requests load reports.
 	SamplesPerSecond float64
-	// Digests is how often front nodes tell each other what servers read; zero is never.
+	// Digests is the interval at which front nodes exchange digests of the servers' caches; 0 is never.
 	Digests time.Duration
-	// LoadOnAnswers has servers tell their load with the head of each answer.
+	// LoadOnAnswers has servers report their load with the head of each answer.
 	LoadOnAnswers bool
-	// Zones is how many zones servers and front nodes are spread over; zero is four.
+	// Zones is the number of zones of servers and front nodes; 0 is defaultZones.
 	Zones int
-	// Without is the mechanism that is switched off; empty is none.
+	// Without is the disabled mechanism; empty is none.
 	Without Mechanism
-	// Bursts, Release and Slow are what goes on beside.
+	// Burst, Release and Slow are disturbances; their zero values are none.
 	Burst   Burst
 	Release Release
 	Slow    Slow
@@ -61,29 +61,30 @@
 	Factor    float64
 }
 
-// Result is what came of a play.
+// Result is the result of a simulation.
 type Result struct {
 	Programs int
-	InTarget    int
+	InTarget int
 	Late     int
 	Failed   int
-	// ByKind is the share of programs of each kind that ended within their aim.
+	// ByKind is the share of programs of each kind that ended within their latency target.
 	ByKind map[string]float64
 	// FirstTokens are the times to the first token, sorted.
 	FirstTokens []time.Duration
-	// Read counts the prompt tokens that servers read, ReadTwice those that some server had read before.
-	PrefilledTokens       uint64
+	// PrefilledTokens counts the prompt tokens that servers prefilled, RepeatedTokens those that some server had prefilled
+	// before.
+	PrefilledTokens uint64
 	RepeatedTokens  uint64
-	Preempted  int
-	Turns      int
-	kinds      map[string][2]int
+	Preempted       int
+	Turns           int
+	kinds           map[string][2]int
 	prefilledBefore map[uint64]bool
 }
 
-// Share is the part of programs that ended within their aim.
+// Share is the part of programs that ended within their latency target.
 func (r *Result) Share() float64 { return float64(r.InTarget) / float64(max(r.Programs, 1)) }
 
-// Quantile gives the time to the first token that the share of turns did not exceed.
+// Quantile is the time to the first token that the share of turns, from 0 to 1, did not exceed.
 func (r *Result) Quantile(share float64) time.Duration {
 	if len(r.FirstTokens) == 0 {
 		return 0
@@ -97,20 +98,22 @@
 	engines  []*engine
 	fronts   []*front
 	result   *Result
-	// planned decides programs, so that they are the same for each policy.
-	planned  *rand.Rand
-	started  int
-	replaced int
-	allEngines      []*engine
+	// planned draws the programs, so that they are the same for each policy.
+	planned    *rand.Rand
+	started    int
+	replaced   int
+	allEngines []*engine
 }
 
 const defaultZones = 4
 
-// Play runs the fleet.
+// Simulate simulates a fleet.
 func Simulate(options Options) *Result {
 	f := &fleet{
 		options: options, timeline: &timeline{}, planned: rand.New(rand.NewPCG(options.Seed, 1)),
-		result: &Result{kinds: make(map[string][2]int), prefilledBefore: make(map[uint64]bool), ByKind: make(map[string]float64)},
+		result: &Result{
+			kinds: make(map[string][2]int), prefilledBefore: make(map[uint64]bool), ByKind: make(map[string]float64),
+		},
 	}
 	zones := cmp.Or(options.Zones, defaultZones)
 	for at := range options.Servers {
@@ -127,12 +130,11 @@
 	return f.result
 }
 
-func (f *fleet) addEngine(id, zone string) *engine {
+func (f *fleet) addEngine(id, zone string) {
 	added := newEngine(f.options.Engine, f.timeline, id, zone)
 	added.onPrefill = f.recordPrefill
 	f.engines = append(f.engines, added)
 	f.allEngines = append(f.allEngines, added)
-	return added
 }
 
 func (f *fleet) recordPrefill(segment promptcache.Segment) {
@@ -157,7 +159,9 @@
 		if f.options.lacks(LoadSamples) {
 			break
 		}
-		f.every(time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(at)*time.Millisecond, front.sample)
+		f.every(
+			time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(at)*time.Millisecond, front.sample,
+		)
 	}
 	if f.options.Digests > 0 && !f.options.lacks(Digests) {
 		f.every(f.options.Digests, 0, f.exchangeDigests)
@@ -201,7 +205,9 @@
 func (f *fleet) setRelease() {
 	count := int(f.options.Release.Share * float64(len(f.engines)))
 	for at := range count {
-		f.timeline.after(f.options.Release.From+time.Duration(at)*f.options.Release.Gap, func() { f.replace(f.allEngines[at]) })
+		f.timeline.after(
+			f.options.Release.From+time.Duration(at)*f.options.Release.Gap, func() { f.replace(f.allEngines[at]) },
+		)
 	}
 }
 
@@ -238,11 +244,13 @@
 func (f *fleet) begin(spec *ProgramSpec) {
 	f.started++
 	plan := planProgram(spec, f.planned)
-	p := &program{spec: spec, name: fmt.Sprintf("program-%d", f.started), started: f.timeline.now, ideal: plan.ideal(f.options.Engine)}
+	p := &program{
+		spec: spec, name: fmt.Sprintf("program-%d", f.started), started: f.timeline.now, ideal: plan.ideal(f.options.Engine),
+	}
 	p.deadline = p.started + time.Duration(targetFactor*float64(p.ideal)) + targetMargin
 	conversation := &conversation{
 		program: p, session: p.name, front: f.fronts[f.planned.IntN(len(f.fronts))],
-		parts: []promptPart{drawSharedPart(spec, f.planned)}, done: func() { f.end(p) },
+		parts: []promptSegment{drawSharedPrefix(spec, f.planned)}, done: func() { f.end(p) },
 	}
 	f.result.Programs++
 	f.run(conversation, plan, 0)
@@ -270,7 +278,11 @@
 		return
 	}
 	next := plan.turns[turn]
-	conversation.parts = append(slices.Clone(conversation.parts), promptPart{id: fmt.Sprintf("%s/%d", conversation.session, turn), tokens: next.input})
+	conversation.parts = append(
+		slices.Clone(conversation.parts), promptSegment{
+			id: fmt.Sprintf("%s/%d", conversation.session, turn), tokens: next.input,
+		},
+	)
 	chain := promptcache.NewChain("model", len(conversation.parts))
 	for _, part := range conversation.parts {
 		chain.Add(part.id, part.tokens)
@@ -293,7 +305,9 @@
 		conversation.program.failed = true
 		conversation.done()
 	}
-	conversation.front.issue(conversation, conversation.program.spec.Rank, chain.Prompt(), next.output, nil, onFirst, onDone, onFail)
+	conversation.front.issue(
+		conversation, conversation.program.spec.Rank, chain.Prompt(), next.output, nil, onFirst, onDone, onFail,
+	)
 }
 
 // subAgents runs lines side by side that go on from what was said, and goes on when all are done.
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// reportLag is how old a report is when it is given.
+	// reportDelay is the age of a load report when it arrives.
 	reportDelay = 100 * time.Millisecond
-	// reportLife is how long a report is believed.
+	// reportTTL is how long a load report is used.
 	reportTTL = 2 * time.Second
 )
 
-// serverState is what a front node knows of one server.
+// serverState is a front node's state of one server.
 type serverState struct {
 	engine        *engine
 	inFlight      uint32
 	waiting       uint32
 	pendingTokens uint64
-	// issued has the times at which the requests without a first token were sent.
+	// issued are the times at which the requests without a first token were sent.
 	issued   []time.Duration
 	slowness schedule.Slowness
 	report   report
@@ -37,7 +37,7 @@
 	waiting         uint32
 }
 
-// front is one front node that decides by itself.
+// front is one front node, which decides on its own information.
 type front struct {
 	fleet    *fleet
 	name     string
@@ -50,12 +50,16 @@
 }
 
 func newFront(fleet *fleet, name, zone string, random *rand.Rand) *front {
-	f := &front{fleet: fleet, name: name, zone: zone, random: random, cache: promptcache.New(), servers: make(map[string]*serverState)}
+	f := &front{
+		fleet: fleet, name: name, zone: zone, random: random, cache: promptcache.New(), servers: make(
+			map[string]*serverState,
+		),
+	}
 	f.cache.SetFronts(fleet.options.Fronts)
 	return f
 }
 
-// view brings the servers known into line with those that run.
+// updateView adds the servers that were started.
 func (f *front) updateView() {
 	for _, server := range f.fleet.engines {
 		if f.servers[server.id] == nil {
@@ -65,7 +69,7 @@
 	}
 }
 
-// sample asks the one of two random servers that was asked longer ago.
+// sample requests a load report of the one of two random servers whose report is older.
 func (f *front) sample() {
 	servers := f.fleet.engines
 	one, two := f.servers[servers[f.random.IntN(len(servers))].id], f.servers[servers[f.random.IntN(len(servers))].id]
@@ -83,18 +87,19 @@
 	})
 }
 
-// hearLoad takes in the load that a server tells with the head of an answer.
+// receiveLoad records the load that a server reports with the head of an answer.
 func (f *front) receiveLoad(state *serverState) {
 	if !f.fleet.options.LoadOnAnswers || f.fleet.options.lacks(AnswerLoads) {
 		return
 	}
 	running, queued := state.engine.running()
 	state.report = report{
-		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used, waiting: state.waiting,
+		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used,
+		waiting: state.waiting,
 	}
 }
 
-// factor is the server's slowness, from its answers and from those that it still owes.
+// factor is the server's slowness, from its answers and from the requests without one.
 func (s *serverState) factor(profile schedule.Profile, timeline *timeline) float64 {
 	if len(s.issued) == 0 {
 		return s.slowness.Factor(timeline.clock())
@@ -110,7 +115,7 @@
 	s.issued = append(s.issued, at)
 }
 
-// began notes that a request has its first token or was refused.
+// firstTokenReceived records that a request has its first token or was rejected.
 func (s *serverState) firstTokenReceived(tokens uint64, at time.Duration) {
 	s.waiting--
 	s.pendingTokens -= tokens
@@ -139,20 +144,28 @@
 	return candidates
 }
 
-// choose places one turn.
-func (f *front) choose(conversation *conversation, prompt promptcache.Prompt, output uint64, avoid []string) *serverState {
+// choose chooses the server of one turn.
+func (f *front) choose(
+	conversation *conversation, prompt promptcache.Prompt, output uint64, avoid []string,
+) *serverState {
 	f.sequence++
 	request := schedule.Request{
-		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
+		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(
+			f.fleet.options.SubsetSize, uint32(len(f.fleet.engines)),
+		),
 		AffinityKey: conversation.program.name, Last: conversation.last, Avoid: avoid, Sequence: f.sequence,
-		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output, Profile: f.profile.Profile(),
+		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output,
+		Profile: f.profile.Profile(),
 	}
 	f.fleet.options.switchOff(&request)
 	return f.servers[schedule.Choose(request, f.candidates(prompt), f.random).Chosen]
 }
 
-// issue sends a turn to the server that the policy chooses, to another when that one is full.
-func (f *front) issue(conversation *conversation, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst, onDone func(), onFail func()) {
+// issue sends a turn to the server that the policy chooses, and to another when that one is full.
+func (f *front) issue(
+	conversation *conversation, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst,
+	onDone func(), onFail func(),
+) {
 	state := f.choose(conversation, prompt, output, avoid)
 	if state == nil || len(avoid) >= 3 {
 		onFail()
--- a/internal/dataplane/schedule/schedulesim/sim_test.go
+++ b/internal/dataplane/schedule/schedulesim/sim_test.go
@@ -20,14 +20,15 @@
 	return scenario{}
 }
 
-func TestAPlayFollowsFromItsSeed(t *testing.T) {
+func TestSimulationFollowsFromItsSeed(t *testing.T) {
 	short := scenario{"short", func(o *schedulesim.Options) { o.Length = 4 * time.Second }}
-	first, second := play(short, variants[0], 3), play(short, variants[0], 3)
+	first, second := simulate(short, variants[0], 3), simulate(short, variants[0], 3)
 	if !reflect.DeepEqual(first, second) {
 		t.Fatalf("%+v\n%+v", first, second)
 	}
-	if other := play(short, variants[0], 4); other.Programs == first.Programs && other.PrefilledTokens == first.PrefilledTokens {
-		t.Fatal("another seed plays the same")
+	if other := simulate(short, variants[0], 4); other.Programs == first.Programs &&
+		other.PrefilledTokens == first.PrefilledTokens {
+		t.Fatal("another seed has the same result")
 	}
 }
 
@@ -35,22 +36,22 @@
 	least := map[string]float64{"slow": 0.96, "stall": 0.95, "release": 0.98, "high_load_burst": 0.96}
 	for name, want := range least {
 		scenario := named(t, name)
-		got := play(scenario, variants[0], 1)
+		got := simulate(scenario, variants[0], 1)
 		if got.Share() < want {
 			t.Errorf("%s: %.3f of programs in time, want %.2f", name, got.Share(), want)
 		}
 		for _, variant := range variants[2:] {
-			if other := play(scenario, variant, 1); other.Share() > got.Share()+0.005 {
+			if other := simulate(scenario, variant, 1); other.Share() > got.Share()+0.005 {
 				t.Errorf("%s: %.3f of programs in time, with %s %.3f", name, got.Share(), variant.name, other.Share())
 			}
 		}
 	}
 }
 
-func TestDigestsSaveReadingSharedPartsAgain(t *testing.T) {
-	with, without := play(named(t, "quiet"), variants[0], 1), play(named(t, "quiet"), variants[1], 1)
+func TestDigestsSaveRepeatedPrefill(t *testing.T) {
+	with, without := simulate(named(t, "quiet"), variants[0], 1), simulate(named(t, "quiet"), variants[1], 1)
 	if with.RepeatedTokens*4 > without.RepeatedTokens*3 {
-		t.Fatalf("%d tokens read twice with digests, %d without", with.RepeatedTokens, without.RepeatedTokens)
+		t.Fatalf("%d tokens prefilled again with digests, %d without", with.RepeatedTokens, without.RepeatedTokens)
 	}
 }
 
@@ -62,15 +63,19 @@
 	}
 }
 
-func TestCallsOfTenFrontNodesAvoidTheSlowServerWithoutAHerd(t *testing.T) {
+func TestCallsOfTenFrontNodesAvoidTheSlowServerWithoutOverloadingOthers(t *testing.T) {
 	expected := schedulesim.SimulateTools(toolFleet(protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, 160))
 	if expected.Rejected > 0 || expected.Failed > 0 {
-		t.Fatalf("%d refusals, %d failures at 70 percent load", expected.Rejected, expected.Failed)
+		t.Fatalf("%d rejections, %d failures at 70 percent load", expected.Rejected, expected.Failed)
 	}
 	for _, variant := range variants[2:] {
 		other := schedulesim.SimulateTools(toolFleet(variant.algorithm, 160))
 		if other.Quantile(0.99)*2 < expected.Quantile(0.99)*3 {
-			t.Errorf("%s: 99 in 100 calls within %v, expected first token %v", variant.name, other.Quantile(0.99), expected.Quantile(0.99))
+			t.Errorf(
+				"%s: 99 in 100 calls within %v, expected first token %v", variant.name, other.Quantile(0.99), expected.Quantile(
+					0.99,
+				),
+			)
 		}
 	}
 }
--- a/internal/dataplane/schedule/schedulesim/tools.go
+++ b/internal/dataplane/schedule/schedulesim/tools.go
@@ -10,34 +10,34 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ToolOptions say what is played with tool servers.
+// ToolOptions configure a simulation of tool servers.
 type ToolOptions struct {
 	Seed      uint64
 	Algorithm protocol.SchedulingAlgorithm
 	Fronts    int
-	// Speeds has the factor of each server's work; Slots and Queue are those of each.
+	// Speeds is the factor of each server's service time; Slots and Queue are those of each server.
 	Speeds []float64
 	Slots  int
 	Queue  int
-	// PerSecond is the rate at which programs call, AtOnce how many calls come together.
-	PerSecond float64
-	Concurrent    int
+	// PerSecond is the rate at which programs call, Concurrent how many calls arrive together.
+	PerSecond  float64
+	Concurrent int
 	// Work is the mean work of a call on an ordinary server.
 	Work   time.Duration
 	Length time.Duration
 }
 
-// ToolResult is what came of a play.
+// ToolResult is the result of a simulation.
 type ToolResult struct {
 	Calls int
-	// Failed counts calls that three servers refused, Refused the single refusals.
-	Failed  int
+	// Failed counts calls that three servers rejected, Rejected the single rejections.
+	Failed   int
 	Rejected int
 	// Latencies are the times of calls, sorted.
 	Latencies []time.Duration
 }
 
-// Quantile gives the time that the share of calls did not exceed.
+// Quantile is the time that the share of calls, from 0 to 1, did not exceed.
 func (r *ToolResult) Quantile(share float64) time.Duration {
 	if len(r.Latencies) == 0 {
 		return 0
@@ -45,7 +45,7 @@
 	return r.Latencies[min(int(share*float64(len(r.Latencies))), len(r.Latencies)-1)]
 }
 
-// toolServer runs as many calls as it has slots and refuses those beyond its queue.
+// toolServer runs as many calls as it has slots and rejects those beyond its queue.
 type toolServer struct {
 	id      string
 	speed   float64
@@ -53,7 +53,7 @@
 	waiting []func()
 }
 
-// toolFront is one front node with what it knows of each server.
+// toolFront is one front node with its state of each server.
 type toolFront struct {
 	random   *rand.Rand
 	inFlight map[string]uint32
@@ -71,9 +71,11 @@
 	result   *ToolResult
 }
 
-// PlayTools runs calls of tools.
+// SimulateTools simulates calls of tools.
 func SimulateTools(options ToolOptions) *ToolResult {
-	f := &toolFleet{options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 2)), result: &ToolResult{}}
+	f := &toolFleet{
+		options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 2)), result: &ToolResult{},
+	}
 	for at, speed := range options.Speeds {
 		f.servers = append(f.servers, &toolServer{id: fmt.Sprintf("tool-%02d", at), speed: speed})
 	}
@@ -143,7 +145,8 @@
 		})
 	}
 	request := schedule.Request{
-		Algorithm: f.options.Algorithm, AffinityKey: key, Avoid: avoid, Sequence: front.sequence, Profile: front.profile.Profile(),
+		Algorithm: f.options.Algorithm, AffinityKey: key, Avoid: avoid, Sequence: front.sequence,
+		Profile: front.profile.Profile(),
 	}
 	decision := schedule.Choose(request, candidates, front.random)
 	at := slices.IndexFunc(f.servers, func(s *toolServer) bool { return s.id == decision.Chosen })
@@ -153,7 +156,7 @@
 	return f.servers[at]
 }
 
-// submit begins or queues a call; it is false when the server is full.
+// submit begins or queues a call; false when the server is full.
 func (f *toolFleet) submit(server *toolServer, work time.Duration, finish func()) bool {
 	begin := func() {
 		f.timeline.after(time.Duration(float64(work)*server.speed), func() {
--- a/internal/dataplane/schedule/schedulesim/workload.go
+++ b/internal/dataplane/schedule/schedulesim/workload.go
@@ -12,17 +12,17 @@
 	Name string
 	// PerSecond is the rate of new programs over the whole fleet.
 	PerSecond float64
-	// Rank of its turns; zero goes first.
+	// Rank is the priority of its turns; 0 is the highest.
 	Rank uint32
-	// Turns is the mean number of turns and MostTurns the largest.
-	Turns     float64
+	// Turns is the mean number of turns and MaxTurns the maximum.
+	Turns    float64
 	MaxTurns int
-	// SharedTokens is the length of the part that programs share, InputTokens the mean of a turn's own part.
+	// SharedTokens is the length of the prefix that programs share, InputTokens the mean of a turn's own input.
 	SharedTokens uint32
 	InputTokens  float64
 	// OutputTokens is the mean that a turn generates.
 	OutputTokens float64
-	// Pause is the mean time between two turns, tools included.
+	// ThinkTime is the mean time between two turns, tools included.
 	ThinkTime time.Duration
 	// SubAgents is the share of programs that once start sub-agents with turns of their own, SubAgentCount how many.
 	SubAgents     float64
@@ -31,54 +31,54 @@
 }
 
 const (
-	// sharedParts is the number of different shared parts, chosen with falling frequency.
-	sharedParts = 3
-	sharedSkew  = 0.7
-	spread      = 0.7
-	// way is the time that a turn spends outside of servers.
+	// sharedPrefixes is the number of different shared prefixes, chosen with falling frequency.
+	sharedPrefixes = 3
+	sharedSkew     = 0.7
+	spread         = 0.7
+	// networkTime is the time that a turn spends outside of servers.
 	networkTime = 26 * time.Millisecond
-	// noFork is the turn after which a line without sub-agents starts some.
+	// noFork is the turn after which a conversation without sub-agents starts some.
 	noFork = -1
-	// aimFactor and aimMargin say by when a program should be over, from its time on idle servers.
+	// targetFactor and targetMargin give a program's latency target from its time on idle servers.
 	targetFactor = 2.5
 	targetMargin = 200 * time.Millisecond
 )
 
-// program is one program under way.
+// program is one program in progress.
 type program struct {
 	spec     *ProgramSpec
 	name     string
 	started  time.Duration
 	deadline time.Duration
-	// ideal is the time on idle servers, counted as the turns are made up.
+	// ideal is the time on idle servers, computed from the plan.
 	ideal  time.Duration
 	failed bool
 }
 
-// line is one line of turns: the program's own or a sub-agent's.
+// conversation is the turns of one session: the program's own or a sub-agent's.
 type conversation struct {
 	program *program
 	session string
 	front   *front
 	last    string
-	parts   []promptPart
+	parts   []promptSegment
 	done    func()
 }
 
-type promptPart struct {
+type promptSegment struct {
 	id     string
 	tokens uint32
 }
 
-// turnPlan is one turn with all that chance decides, fixed before any server is chosen.
+// turnPlan is one turn with all its random values, drawn before any server is chosen.
 type turnPlan struct {
 	input     uint32
 	output    uint64
-	thinkTime     time.Duration
+	thinkTime time.Duration
 	subAgents []*conversationPlan
 }
 
-// linePlan is the plan of a whole line, so that policies are compared on the same programs.
+// conversationPlan is the plan of a complete conversation, so that policies are compared on the same programs.
 type conversationPlan struct {
 	turns []turnPlan
 }
@@ -87,9 +87,9 @@
 	plan := &conversationPlan{}
 	for at := range turns {
 		turn := turnPlan{
-			input:  uint32(lognormal(random, spec.InputTokens, spread, 5*spec.InputTokens)),
-			output: uint64(lognormal(random, spec.OutputTokens, 0.8, 4*spec.OutputTokens)),
-			thinkTime:  time.Duration(lognormal(random, float64(spec.ThinkTime), 0.6, 4*float64(spec.ThinkTime))),
+			input:     uint32(lognormal(random, spec.InputTokens, spread, 5*spec.InputTokens)),
+			output:    uint64(lognormal(random, spec.OutputTokens, 0.8, 4*spec.OutputTokens)),
+			thinkTime: time.Duration(lognormal(random, float64(spec.ThinkTime), 0.6, 4*float64(spec.ThinkTime))),
 		}
 		if at == forkAfter {
 			for range spec.SubAgentCount {
@@ -110,14 +110,14 @@
 	return planConversation(spec, random, turns, forkAfter)
 }
 
-// lognormal draws from a distribution of the mean, with the sigma of its logarithm, cut at the most.
+// lognormal draws from the distribution with the mean and the sigma of its logarithm, bounded to 1 and the limit.
 func lognormal(random *rand.Rand, mean, sigma, limit float64) float64 {
 	return max(1, min(limit, mean*math.Exp(random.NormFloat64()*sigma-sigma*sigma/2)))
 }
 
-// sharedPart draws one of the shared parts.
-func drawSharedPart(spec *ProgramSpec, random *rand.Rand) promptPart {
-	weights, total := [sharedParts]float64{}, 0.0
+// drawSharedPrefix draws one of the shared prefixes.
+func drawSharedPrefix(spec *ProgramSpec, random *rand.Rand) promptSegment {
+	weights, total := [sharedPrefixes]float64{}, 0.0
 	for at := range weights {
 		weights[at] = math.Pow(float64(at+1), -sharedSkew)
 		total += weights[at]
@@ -125,13 +125,13 @@
 	drawn := random.Float64() * total
 	for at, weight := range weights {
 		if drawn -= weight; drawn < 0 {
-			return promptPart{id: spec.Name + strconv.Itoa(at), tokens: spec.SharedTokens}
+			return promptSegment{id: spec.Name + strconv.Itoa(at), tokens: spec.SharedTokens}
 		}
 	}
-	return promptPart{id: spec.Name + "0", tokens: spec.SharedTokens}
+	return promptSegment{id: spec.Name + "0", tokens: spec.SharedTokens}
 }
 
-// ideal is the time of a line on idle servers that have read all that it repeats.
+// ideal is the time of a conversation on idle servers that have cached all that it repeats.
 func (p *conversationPlan) ideal(engine EngineSpec) time.Duration {
 	total := time.Duration(0)
 	for at, turn := range p.turns {
--- a/internal/dataplane/schedule/slowness.go
+++ b/internal/dataplane/schedule/slowness.go
@@ -8,24 +8,24 @@
 const (
 	// slownessGain is the weight of one observation.
 	slownessGain = 0.25
-	// mostSlowness bounds what one observation may tell.
+	// maxSlowness bounds the effect of one observation.
 	maxSlowness = 16.0
-	// leastSlowness lets faster servers of a group be preferred.
+	// minSlowness is below 1 so that faster servers of a group are preferred.
 	minSlowness = 0.5
-	// slownessMemory is the time constant with which a server that gives no answers is taken for an ordinary one
-	// again, so that it is tried.
+	// slownessTimeConstant is the time constant with which the estimate of a server without answers returns to that of an
+	// ordinary one, so that it gets requests again.
 	slownessTimeConstant = 10 * time.Second
 )
 
-// Slowness estimates by which factor one server is slower than its group, from what its answers took against what
-// was expected. Its zero value is an ordinary server.
+// Slowness estimates the factor by which one server is slower than its group, from the durations of its answers and the
+// expected ones. Its zero value is an ordinary server.
 type Slowness struct {
-	// logarithm of the factor, so that half and double weigh the same.
+	// logarithm is that of the factor, so that half and double weigh the same.
 	logarithm float64
 	at        time.Time
 }
 
-// Observe takes one answer in.
+// Observe adds the duration of one answer; values that are not positive are ignored.
 func (s *Slowness) Observe(expected, observed time.Duration, now time.Time) {
 	if expected <= 0 || observed <= 0 {
 		return
@@ -48,7 +48,7 @@
 	return s.logarithm * math.Exp(-max(now.Sub(s.at), 0).Seconds()/slownessTimeConstant.Seconds())
 }
 
-// FactorWhileWaiting is the factor when the oldest request without a first token has waited for so long: it tells of
+// FactorWhileWaiting is the factor given how long the oldest request without a first token has waited: it shows
 // a server that became slow before any answer does.
 func (s *Slowness) FactorWhileWaiting(expected, waited time.Duration, now time.Time) float64 {
 	if expected <= 0 {
