--- a/internal/dataplane/front/http_stream.go
+++ b/internal/dataplane/front/http_stream.go
@@ -60,7 +60,7 @@
 		token.Tokens = s.eventTokens
 	}
 	if s.versionHeader != "" {
-		token.WeightVersion, token.NamesVersion = trainingstep.VersionOfEvent(event, s.versionHeader)
+		token.WeightVersion, token.NamesVersion = trainingstep.ParseEventVersion(event, s.versionHeader)
 	}
 	s.done.OutputTokens += uint64(token.Tokens)
 	return token, nil
--- a/internal/dataplane/front/step_gates.go
+++ b/internal/dataplane/front/step_gates.go
@@ -23,7 +23,7 @@
 // admissionGates are the gates of the versions that training steps generate on here.
 // They belong to the admission's owner, which asks them anew whenever a live request leaves its slot.
 type admissionGates struct {
-	gates   map[admissionGateKey]*trainingstep.Gate
+	gates   map[admissionGateKey]*trainingstep.AdmissionGate
 	waiting map[uint64]chan trainingstep.Decision
 	// slots gives how many generations of a version may run.
 	slots func(key admissionGateKey, liveWaits bool) int
@@ -31,15 +31,15 @@
 
 func newAdmissionGates() *admissionGates {
 	return &admissionGates{
-		gates: make(map[admissionGateKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
+		gates: make(map[admissionGateKey]*trainingstep.AdmissionGate), waiting: make(map[uint64]chan trainingstep.Decision),
 		slots: func(admissionGateKey, bool) int { return 0 },
 	}
 }
 
-func (s *admissionGates) gate(key admissionGateKey) *trainingstep.Gate {
+func (s *admissionGates) gate(key admissionGateKey) *trainingstep.AdmissionGate {
 	gate := s.gates[key]
 	if gate == nil {
-		gate = &trainingstep.Gate{}
+		gate = &trainingstep.AdmissionGate{}
 		s.gates[key] = gate
 	}
 	return gate
@@ -95,7 +95,7 @@
 func (a *admission) nextStepWake() time.Time {
 	var next time.Time
 	for _, gate := range a.gates.gates {
-		if wake := gate.NextWake(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
+		if wake := gate.NextDispatch(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
 			next = wake
 		}
 	}
--- a/internal/dataplane/front/step_load.go
+++ b/internal/dataplane/front/step_load.go
@@ -70,7 +70,7 @@
 		candidates[at].Steps = uint32(max(server.steps.count.Load(), 0))
 		candidates[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
 		candidates[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
-		candidates[at].StepSlots = uint32(trainingstep.Slots(candidateSlots(&candidates[at]), fronts, false))
+		candidates[at].StepSlots = uint32(candidateSlots(&candidates[at]).ForSteps(fronts, false))
 	}
 }
 
@@ -101,7 +101,7 @@
 	servers.addStepLoad(used, fronts)
 	slots, ejectedSlots := 0, 0
 	for at := range used {
-		open := trainingstep.Slots(candidateSlots(&used[at]), fronts, liveWaits)
+		open := candidateSlots(&used[at]).ForSteps(fronts, liveWaits)
 		switch {
 		case isUsable(used[at]):
 			slots += open
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -124,8 +124,8 @@
 // pinStep asks the ledger for the pin of a step and proposes one.
 func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
 	announcements := s.backEnds.Load().announcements(group)
-	model := cmp.Or(step.model, trainingstep.ModelOf(announcements))
-	proposed := trainingstep.Propose(model, announcements)
+	model := cmp.Or(step.model, trainingstep.GroupModel(announcements))
+	proposed := trainingstep.ProposeVersion(model, announcements)
 	if proposed == 0 {
 		return nil, versionUnavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 	}
@@ -160,7 +160,7 @@
 			return nil
 		}
 	}
-	if trainingstep.ModelOf(announcements) != "" {
+	if trainingstep.GroupModel(announcements) != "" {
 		return stepMismatch()
 	}
 	return versionUnavailable("no server of group " + group + " announces the version of its weights")
--- a/internal/dataplane/front/step_schedule_test.go
+++ b/internal/dataplane/front/step_schedule_test.go
@@ -253,7 +253,7 @@
 	case got.status == http.StatusOK && got.broken == nil:
 		sent.versions = trainingstep.ParseVersions(got.header.Values(testDialect.WeightVersions))
 		for block := range strings.SplitSeq(got.body, "\n\n") {
-			if version, named := trainingstep.VersionOfEvent([]byte(block), testDialect.WeightVersions); named {
+			if version, named := trainingstep.ParseEventVersion([]byte(block), testDialect.WeightVersions); named {
 				sent.versions = append(sent.versions, version)
 			}
 		}
--- a/internal/dataplane/trainingstep/admission_gate.go
+++ b/internal/dataplane/trainingstep/admission_gate.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// MaxWaiting bounds the generations that wait at one gate.
+	// MaxWaiting is the maximum number of generations that wait at one gate.
 	MaxWaiting = 1024
-	// MaxWait bounds how long a generation waits at a gate.
+	// MaxWait is the maximum time that a generation waits at a gate.
 	MaxWait = 10 * time.Second
-	// Patience is how long a generation waits behind live requests while none of its version runs from here. Then
-	// one is let in all the same, so that a step goes on however busy the fleet is.
+	// AdmissionTimeout is how long a generation waits behind live requests while none of its version runs from this front
+	// node. Then one is admitted nevertheless, so that a step progresses however busy the fleet is.
 	AdmissionTimeout = 2 * time.Second
-	// RefusedRetry is told to a generation that found no place.
+	// RejectedRetryAfter is after how long the caller of a rejected generation may retry.
 	RejectedRetryAfter = time.Second
 )
 
-// Room is what the servers of a version can take of this front node's generations.
+// Capacity is what the servers of a version can run of this front node's generations.
 type Capacity struct {
-	// Places is the number of generations that may run at a time.
+	// Slots is the maximum number of concurrent generations.
 	Slots int
 	// LiveWaits is true while a live request waits for a slot of the servers' group.
 	LiveWaits bool
 }
 
-// Ticket is one generation that asks for a place.
+// Ticket is one generation that requests a slot.
 type Ticket struct {
 	ID uint64
-	// Deadline is when its caller's time is over.
+	// Deadline is its caller's; zero is none.
 	Deadline time.Time
 }
 
-// Verdict says what became of a ticket; a ticket without one waits.
+// Verdict is the decision on a ticket; a ticket without one waits.
 type Verdict int
 
 // Verdicts on a ticket.
 const (
-	// Run gives a place, which Leave gives back.
+	// Run gives a slot, which Leave gives back.
 	Run Verdict = iota + 1
-	// RefuseFull means that too many wait.
+	// RejectFull means that too many wait.
 	RejectFull
-	// RefuseLate means that the ticket waited too long.
+	// RejectLate means that the ticket waited too long.
 	RejectLate
 )
 
@@ -57,47 +57,47 @@
 	expires time.Time
 }
 
-// Gate lets the generations of one version in, in the order in which they came,
-// behind the live requests of every class.
-type Gate struct {
+// AdmissionGate admits the generations of one version of the weights in the order of arrival,
+// behind the live requests of every class. Its zero value is ready to use.
+type AdmissionGate struct {
 	waiting []waitingTicket
 	running int
 }
 
 // Idle reports whether nothing runs or waits.
-func (g *Gate) Idle() bool { return g.running == 0 && len(g.waiting) == 0 }
+func (g *AdmissionGate) Idle() bool { return g.running == 0 && len(g.waiting) == 0 }
 
 // Waiting is the number of tickets that wait.
-func (g *Gate) Waiting() int { return len(g.waiting) }
+func (g *AdmissionGate) Waiting() int { return len(g.waiting) }
 
-// Enter takes a ticket in.
-func (g *Gate) Enter(ticket Ticket, room Capacity, now time.Time) []Decision {
+// Enter adds a ticket. Its decisions, like those of Leave and Dispatch, may be on any ticket.
+func (g *AdmissionGate) Enter(ticket Ticket, capacity Capacity, now time.Time) []Decision {
 	if len(g.waiting) >= MaxWaiting {
-		return append(g.Dispatch(room, now), Decision{ID: ticket.ID, Verdict: RejectFull})
+		return append(g.Dispatch(capacity, now), Decision{ID: ticket.ID, Verdict: RejectFull})
 	}
 	expires := now.Add(MaxWait)
 	if !ticket.Deadline.IsZero() && ticket.Deadline.Before(expires) {
 		expires = ticket.Deadline
 	}
 	g.waiting = append(g.waiting, waitingTicket{id: ticket.ID, entered: now, expires: expires})
-	return g.Dispatch(room, now)
+	return g.Dispatch(capacity, now)
 }
 
-// Leave gives a place back.
-func (g *Gate) Leave(room Capacity, now time.Time) []Decision {
+// Leave gives a slot back.
+func (g *AdmissionGate) Leave(capacity Capacity, now time.Time) []Decision {
 	g.running--
-	return g.Dispatch(room, now)
+	return g.Dispatch(capacity, now)
 }
 
-// Cancel takes a ticket out that waits no longer; it reports whether it was there.
-func (g *Gate) Cancel(id uint64) bool {
+// Cancel removes a waiting ticket and reports whether it was there.
+func (g *AdmissionGate) Cancel(id uint64) bool {
 	before := len(g.waiting)
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool { return w.id == id })
 	return len(g.waiting) < before
 }
 
-// Dispatch refuses who waited too long and lets in who may run now.
-func (g *Gate) Dispatch(room Capacity, now time.Time) []Decision {
+// Dispatch rejects the tickets that waited too long and admits those that may run now.
+func (g *AdmissionGate) Dispatch(capacity Capacity, now time.Time) []Decision {
 	var decisions []Decision
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool {
 		late := !now.Before(w.expires)
@@ -106,7 +106,7 @@
 		}
 		return late
 	})
-	for len(g.waiting) > 0 && g.admits(g.waiting[0], room, now) {
+	for len(g.waiting) > 0 && g.admits(g.waiting[0], capacity, now) {
 		decisions = append(decisions, Decision{ID: g.waiting[0].id, Verdict: Run})
 		g.waiting = g.waiting[1:]
 		g.running++
@@ -114,20 +114,20 @@
 	return decisions
 }
 
-func (g *Gate) admits(next waitingTicket, room Capacity, now time.Time) bool {
+func (g *AdmissionGate) admits(next waitingTicket, capacity Capacity, now time.Time) bool {
 	if g.running == 0 && now.Sub(next.entered) >= AdmissionTimeout {
 		return true
 	}
-	return !room.LiveWaits && g.running < room.Slots
+	return !capacity.LiveWaits && g.running < capacity.Slots
 }
 
-// NextWake is when Dispatch may have something to do without any other event; zero when nothing waits.
-func (g *Gate) NextWake() time.Time {
+// NextDispatch is when Dispatch may have an effect without any other event; zero when nothing waits.
+func (g *AdmissionGate) NextDispatch() time.Time {
 	var next time.Time
-	for at, w := range g.waiting {
+	for index, w := range g.waiting {
 		wake := w.expires
-		if patient := w.entered.Add(AdmissionTimeout); at == 0 && g.running == 0 && patient.Before(wake) {
-			wake = patient
+		if timeout := w.entered.Add(AdmissionTimeout); index == 0 && g.running == 0 && timeout.Before(wake) {
+			wake = timeout
 		}
 		if next.IsZero() || wake.Before(next) {
 			next = wake
--- a/internal/dataplane/trainingstep/admission_gate_test.go
+++ b/internal/dataplane/trainingstep/admission_gate_test.go
@@ -23,28 +23,28 @@
 	return ids
 }
 
-func TestAGateLetsInWhatTheServersTakeInOrder(t *testing.T) {
-	gate, room := &trainingstep.Gate{}, trainingstep.Capacity{Slots: 2}
+func TestGateAdmitsInOrderUpToTheCapacity(t *testing.T) {
+	gate, capacity := &trainingstep.AdmissionGate{}, trainingstep.Capacity{Slots: 2}
 	var ran []uint64
 	for id := range uint64(4) {
-		ran = append(ran, idsOf(gate.Enter(trainingstep.Ticket{ID: id}, room, start), trainingstep.Run)...)
+		ran = append(ran, idsOf(gate.Enter(trainingstep.Ticket{ID: id}, capacity, start), trainingstep.Run)...)
 	}
 	if !slices.Equal(ran, []uint64{0, 1}) {
 		t.Fatalf("ran %v", ran)
 	}
-	if next := idsOf(gate.Leave(room, start), trainingstep.Run); !slices.Equal(next, []uint64{2}) {
+	if next := idsOf(gate.Leave(capacity, start), trainingstep.Run); !slices.Equal(next, []uint64{2}) {
 		t.Fatalf("then %v", next)
 	}
 }
 
-func TestLiveRequestsGoFirstAndAStepGoesOnAllTheSame(t *testing.T) {
-	gate, busy := &trainingstep.Gate{}, trainingstep.Capacity{Slots: 8, LiveWaits: true}
+func TestLiveRequestsGoFirstAndAStepStillProgresses(t *testing.T) {
+	gate, busy := &trainingstep.AdmissionGate{}, trainingstep.Capacity{Slots: 8, LiveWaits: true}
 	for id := range uint64(3) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, busy, start); len(decisions) > 0 {
 			t.Fatalf("%v before a live request that waits", decisions)
 		}
 	}
-	if wake := gate.NextWake(); !wake.Equal(start.Add(trainingstep.AdmissionTimeout)) {
+	if wake := gate.NextDispatch(); !wake.Equal(start.Add(trainingstep.AdmissionTimeout)) {
 		t.Fatalf("wakes at %v", wake)
 	}
 	now := start.Add(trainingstep.AdmissionTimeout)
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestAGateRefusesWhatItCannotHold(t *testing.T) {
-	gate, none := &trainingstep.Gate{}, trainingstep.Capacity{}
+func TestGateRejectsBeyondItsBound(t *testing.T) {
+	gate, none := &trainingstep.AdmissionGate{}, trainingstep.Capacity{}
 	for id := range uint64(trainingstep.MaxWaiting) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, none, start); len(decisions) > 0 {
 			t.Fatalf("decided %v", decisions)
@@ -81,9 +81,9 @@
 
 func TestEachTicketIsDecidedOnceAndNoneWaitsForEver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		gate, now, next := &trainingstep.Gate{}, start, uint64(0)
+		gate, now, next := &trainingstep.AdmissionGate{}, start, uint64(0)
 		entered, decided, running := map[uint64]time.Time{}, map[uint64]bool{}, 0
-		take := func(decisions []trainingstep.Decision) {
+		record := func(decisions []trainingstep.Decision) {
 			for _, decision := range decisions {
 				if decided[decision.ID] {
 					t.Fatalf("ticket %d was decided twice", decision.ID)
@@ -95,56 +95,58 @@
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			room := trainingstep.Capacity{Slots: rapid.IntRange(0, 3).Draw(t, "places"), LiveWaits: rapid.Bool().Draw(t, "live")}
+			capacity := trainingstep.Capacity{
+				Slots: rapid.IntRange(0, 3).Draw(t, "slots"), LiveWaits: rapid.Bool().Draw(t, "live"),
+			}
 			before := running
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				entered[next] = now
-				take(gate.Enter(trainingstep.Ticket{ID: next}, room, now))
+				record(gate.Enter(trainingstep.Ticket{ID: next}, capacity, now))
 				next++
 			case 2:
 				if running > 0 {
 					running--
 					before--
-					take(gate.Leave(room, now))
+					record(gate.Leave(capacity, now))
 				}
 			default:
 				now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "passed")) * time.Millisecond)
-				take(gate.Dispatch(room, now))
+				record(gate.Dispatch(capacity, now))
 			}
-			if most := max(before, room.Slots, 1); running > most {
-				t.Fatalf("%d run where %d may", running, most)
+			if limit := max(before, capacity.Slots, 1); running > limit {
+				t.Fatalf("%d run where %d may", running, limit)
 			}
-			if room.LiveWaits && running > max(before, 1) {
-				t.Fatalf("%d let in while live requests wait", running-before)
+			if capacity.LiveWaits && running > max(before, 1) {
+				t.Fatalf("%d admitted while live requests wait", running-before)
 			}
 		}
-		take(gate.Dispatch(trainingstep.Capacity{}, now.Add(trainingstep.MaxWait)))
+		record(gate.Dispatch(trainingstep.Capacity{}, now.Add(trainingstep.MaxWait)))
 		if len(decided) != len(entered) {
 			t.Fatalf("%d of %d decided", len(decided), len(entered))
 		}
 	})
 }
 
-func TestPlacesLeaveLiveRequestsTheirSlots(t *testing.T) {
+func TestSlotsForStepsLeaveLiveRequestsTheirShare(t *testing.T) {
 	cases := map[string]struct {
 		server trainingstep.ServerSlots
 		fronts int
 		waits  bool
 		want   int
 	}{
-		"an idle server":                   {trainingstep.ServerSlots{Slots: 16}, 1, false, 12},
-		"live requests run there":          {trainingstep.ServerSlots{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
-		"live requests wait":               {trainingstep.ServerSlots{Slots: 16}, 1, true, 4},
-		"other front nodes":                {trainingstep.ServerSlots{Slots: 16}, 3, false, 4},
-		"many other front nodes":           {trainingstep.ServerSlots{Slots: 16}, 330, false, 1},
-		"others fill it":                   {trainingstep.ServerSlots{Slots: 16, Others: 12}, 330, false, 0},
-		"others leave one place":           {trainingstep.ServerSlots{Slots: 16, Others: 11}, 1, false, 1},
-		"unknown slots stand for 8":        {trainingstep.ServerSlots{}, 1, false, 6},
-		"a small server still takes a one": {trainingstep.ServerSlots{Slots: 2}, 1, true, 1},
+		"an idle server":                {trainingstep.ServerSlots{Slots: 16}, 1, false, 12},
+		"live requests run there":       {trainingstep.ServerSlots{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
+		"live requests wait":            {trainingstep.ServerSlots{Slots: 16}, 1, true, 4},
+		"other front nodes":             {trainingstep.ServerSlots{Slots: 16}, 3, false, 4},
+		"many other front nodes":        {trainingstep.ServerSlots{Slots: 16}, 330, false, 1},
+		"others fill it":                {trainingstep.ServerSlots{Slots: 16, Others: 12}, 330, false, 0},
+		"others leave one slot":         {trainingstep.ServerSlots{Slots: 16, Others: 11}, 1, false, 1},
+		"unknown slots stand for 8":     {trainingstep.ServerSlots{}, 1, false, 6},
+		"a small server still runs one": {trainingstep.ServerSlots{Slots: 2}, 1, true, 1},
 	}
 	for name, c := range cases {
-		if got := trainingstep.Slots(c.server, c.fronts, c.waits); got != c.want {
+		if got := c.server.ForSteps(c.fronts, c.waits); got != c.want {
 			t.Errorf("%s: %d, not %d", name, got, c.want)
 		}
 	}
--- a/internal/dataplane/trainingstep/name.go
+++ b/internal/dataplane/trainingstep/name.go
@@ -1,17 +1,21 @@
 package trainingstep
 
-import "fmt"
+import (
+	"fmt"
+	"strings"
+)
 
-// MaxNameBytes bounds the name of a step and of its model.
+// MaxNameBytes is the maximum length, in bytes, of the name of a step and of its model.
 const MaxNameBytes = 128
 
-// NameError says why a text names no training step and no model of one.
+// NameError is why a text is not the name of a training step or of its model.
 type NameError struct{ Reason string }
 
+// Error implements error.
 func (e *NameError) Error() string { return "the name " + e.Reason }
 
-// CheckName reports whether a text may name a training step or its model: 1 to MaxNameBytes
-// letters and digits of ASCII and the characters . _ - : and /. The error is a *NameError.
+// CheckName returns a *NameError unless the text is a valid name of a training step or of its model: 1 to MaxNameBytes
+// ASCII letters and digits and the characters . _ - : and /.
 func CheckName(name string) error {
 	if name == "" {
 		return &NameError{Reason: "is empty"}
@@ -29,13 +33,13 @@
 
 func isNameCharacter(character byte) bool {
 	switch {
-	case 'a' <= character && character <= 'z', 'A' <= character && character <= 'Z', '0' <= character && character <= '9':
+	case 'a' <= character && character <= 'z':
 		return true
-	}
-	switch character {
-	case '.', '_', '-', ':', '/':
+	case 'A' <= character && character <= 'Z':
+		return true
+	case '0' <= character && character <= '9':
 		return true
 	default:
-		return false
+		return strings.IndexByte("._-:/", character) >= 0
 	}
 }
--- a/internal/dataplane/trainingstep/weight_version.go
+++ b/internal/dataplane/trainingstep/weight_version.go
@@ -8,13 +8,13 @@
 )
 
 // Announcement is what one ready server of a group announces: the version of
-// the weights that each of its models has. Zero is no version.
+// the weights of each of its models, by name. 0 is no version.
 type Announcement map[string]uint64
 
-// ModelOf gives the model of a group whose routes name none: the one that most
+// GroupModel is the model of a group whose routes name none: the one that most
 // servers announce with a version; among equals the first by name. It is empty
 // when no server announces a version.
-func ModelOf(announcements []Announcement) string {
+func GroupModel(announcements []Announcement) string {
 	counts := make(map[string]int)
 	for _, announced := range announcements {
 		for model, version := range announced {
@@ -32,10 +32,10 @@
 	return chosen
 }
 
-// Propose gives the version to pin for a step that has none: the highest one
+// ProposeVersion is the version pin for a step that has none: the highest version
 // that at least half of the servers announce for the model; when there is none,
-// the one that most announce, the higher of equals. Zero says that no server announces any.
-func Propose(model string, announcements []Announcement) uint64 {
+// the one that most announce, the higher of equals. It is 0 when no server announces any.
+func ProposeVersion(model string, announcements []Announcement) uint64 {
 	counts := make(map[uint64]int)
 	for _, announced := range announcements {
 		if version := announced[model]; version > 0 {
@@ -60,12 +60,12 @@
 	})
 }
 
-// UnknownVersion stands for an answer or event that names no version that can be read.
+// UnknownVersion is the version of an answer or event that names none, or none that can be parsed.
 const UnknownVersion uint64 = 0
 
-// ParseVersions reads the versions that the head of an answer names: numbers
-// with commas between them, in one header or several. One that is no number
-// stands as UnknownVersion, and a head that names none gives UnknownVersion alone.
+// ParseVersions parses the versions that the head of an answer names: numbers
+// separated by commas, in one header or several. One that is not a number
+// becomes UnknownVersion, and a head that names none has UnknownVersion alone.
 func ParseVersions(values []string) []uint64 {
 	var versions []uint64
 	for _, value := range values {
@@ -87,10 +87,10 @@
 	return version
 }
 
-// VersionOfEvent reads the version that an event of a stream names in its first
-// line, behind the header's name in lower case and a colon. It reports false
-// for an event that names none. Blank lines before an event do not count.
-func VersionOfEvent(event []byte, header string) (version uint64, named bool) {
+// ParseEventVersion parses the version that an event of a stream names in its first
+// line, after the header's name in lower case and a colon. It reports false
+// for an event that names none. Blank lines before an event are skipped.
+func ParseEventVersion(event []byte, header string) (version uint64, named bool) {
 	line, _, _ := strings.Cut(strings.TrimLeft(string(event), "\r\n"), "\n")
 	name, value, found := strings.Cut(line, ":")
 	if !found || name != strings.ToLower(header) {
--- a/internal/dataplane/trainingstep/weight_version_test.go
+++ b/internal/dataplane/trainingstep/weight_version_test.go
@@ -14,7 +14,7 @@
 	header = "Rosestand-Weights"
 )
 
-// announced gives one announcement of the model for each version.
+// announced lists one announcement of the model for each version.
 func announced(versions ...uint64) []trainingstep.Announcement {
 	var all []trainingstep.Announcement
 	for _, version := range versions {
@@ -23,7 +23,7 @@
 	return all
 }
 
-func TestTheVersionProposedIsTheHighestThatHalfAnnounce(t *testing.T) {
+func TestProposedVersionIsTheHighestThatHalfAnnounce(t *testing.T) {
 	cases := map[string]struct {
 		announcements []trainingstep.Announcement
 		want          uint64
@@ -40,20 +40,20 @@
 		"no server":                          {nil, 0},
 	}
 	for name, c := range cases {
-		if got := trainingstep.Propose(model, c.announcements); got != c.want {
+		if got := trainingstep.ProposeVersion(model, c.announcements); got != c.want {
 			t.Errorf("%s: proposed %d, not %d", name, got, c.want)
 		}
 	}
 }
 
-func TestAnotherModelsVersionIsNotProposed(t *testing.T) {
+func TestVersionOfAnotherModelIsNotProposed(t *testing.T) {
 	servers := []trainingstep.Announcement{{"judge": 9}, {"judge": 9}, {model: 2, "judge": 9}}
-	if got := trainingstep.Propose(model, servers); got != 2 {
+	if got := trainingstep.ProposeVersion(model, servers); got != 2 {
 		t.Fatalf("proposed %d", got)
 	}
 }
 
-func TestTheModelOfAGroupIsTheOneThatMostServersAnnounce(t *testing.T) {
+func TestGroupModelIsTheOneThatMostServersAnnounce(t *testing.T) {
 	cases := map[string]struct {
 		announcements []trainingstep.Announcement
 		want          string
@@ -64,13 +64,13 @@
 		"without a version: none": {[]trainingstep.Announcement{{"z": 0}}, ""},
 	}
 	for name, c := range cases {
-		if got := trainingstep.ModelOf(c.announcements); got != c.want {
+		if got := trainingstep.GroupModel(c.announcements); got != c.want {
 			t.Errorf("%s: %q, not %q", name, got, c.want)
 		}
 	}
 }
 
-func TestVersionsOfAHead(t *testing.T) {
+func TestParseVersions(t *testing.T) {
 	cases := map[string]struct {
 		values []string
 		want   []uint64
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestVersionOfAnEvent(t *testing.T) {
+func TestParseEventVersion(t *testing.T) {
 	cases := map[string]struct {
 		event string
 		want  uint64
@@ -107,22 +107,23 @@
 		"nothing":                {"", 0, false},
 	}
 	for name, c := range cases {
-		got, named := trainingstep.VersionOfEvent([]byte(c.event), header)
+		got, named := trainingstep.ParseEventVersion([]byte(c.event), header)
 		if got != c.want || named != c.named {
 			t.Errorf("%s: %d %t", name, got, named)
 		}
 	}
 }
 
-func TestNamesOfSteps(t *testing.T) {
+func TestCheckName(t *testing.T) {
 	for _, good := range []string{"a", "run-7/step:0012", "A.b_C", strings.Repeat("x", trainingstep.MaxNameBytes)} {
 		if err := trainingstep.CheckName(good); err != nil {
 			t.Errorf("%q: %v", good, err)
 		}
 	}
-	for _, bad := range []string{"", " ", "a b", "a\x00", "a\n", "ä", "a,b", strings.Repeat("x", trainingstep.MaxNameBytes+1)} {
-		var refused *trainingstep.NameError
-		if err := trainingstep.CheckName(bad); !errors.As(err, &refused) {
+	tooLong := strings.Repeat("x", trainingstep.MaxNameBytes+1)
+	for _, bad := range []string{"", " ", "a b", "a\x00", "a\n", "ä", "a,b", tooLong} {
+		var nameErr *trainingstep.NameError
+		if err := trainingstep.CheckName(bad); !errors.As(err, &nameErr) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
