--- a/internal/dataplane/front/group_models.go
+++ b/internal/dataplane/front/group_models.go
@@ -149,7 +149,7 @@
 	issued := &issuedTurn{
 		models: m, group: group, server: server, uncachedTokens: own, tokensAhead: load.pendingTokens, issuedAt: now, waiting: true,
 	}
-	model.cache.Sent(server, prompt, now)
+	model.cache.RecordSent(server, prompt, now)
 	load.waiting++
 	load.pendingTokens += own
 	return issued
@@ -161,7 +161,7 @@
 	defer m.mutex.Unlock()
 	model := m.group(group)
 	cached = model.cache.Cached(server, prompt)
-	model.cache.Sent(server, prompt, now)
+	model.cache.RecordSent(server, prompt, now)
 	return cached
 }
 
--- a/internal/dataplane/promptcache/digest.go
+++ b/internal/dataplane/promptcache/digest.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// DigestSize is the most prefixes that a digest names.
-const DigestSize = 32
+// MaxDigestPrefixes is the maximum number of prefixes in a digest.
+const MaxDigestPrefixes = 32
 
-// Digest tells a peer which servers read which shared prefixes. It names only what its sender sent itself, so
-// that nothing stays alive by going round.
+// Digest reports to a peer which servers have cached which shared prefixes. It names only what its sender sent itself,
+// so that no entry is kept alive by circulating among peers.
 type Digest struct {
 	// Servers are the identifiers that the prefixes refer to by index.
 	Servers []string
@@ -18,16 +18,16 @@
 	Prefixes []DigestPrefix
 }
 
-// DigestPrefix is one shared prefix and where it is kept.
+// DigestPrefix is one shared prefix and the indexes of the servers that have it cached.
 type DigestPrefix struct {
 	Prefix uint64
-	// Parent is the prefix that this one extends by Tokens; zero is none.
+	// Parent is the prefix that this one extends by Tokens; 0 is none.
 	Parent  uint64
 	Tokens  uint32
 	Servers []uint32
 }
 
-// Digest names the shared prefixes that this front node sent since the given time.
+// Digest lists the shared prefixes that this front node sent since the given time.
 func (m *Model) Digest(since time.Time) Digest {
 	var digest Digest
 	servers := m.serverNames()
@@ -36,7 +36,7 @@
 		known := m.prefixes[hash]
 		named := DigestPrefix{Prefix: hash, Parent: known.parent, Tokens: known.tokens}
 		for _, server := range servers {
-			if kept := m.servers[server].entries[hash]; kept == nil || !kept.own {
+			if cached := m.servers[server].entries[hash]; cached == nil || !cached.own {
 				continue
 			}
 			if _, listed := indexes[server]; !listed {
@@ -53,7 +53,7 @@
 }
 
 // recentlyShared lists shared prefixes, most recently sent first. A prefix is never sent later than its parent,
-// so that only ties need the parent to come first.
+// so that only ties must order the parent first.
 func (m *Model) recentlyShared(since time.Time) []uint64 {
 	var shared []uint64
 	for hash, known := range m.prefixes {
@@ -68,15 +68,16 @@
 			cmp.Compare(a, b),
 		)
 	})
-	return shared[:min(len(shared), DigestSize)]
+	return shared[:min(len(shared), MaxDigestPrefixes)]
 }
 
-// maxDepth bounds the walk to the first part, since a peer's digest may name parents in a circle.
+// maxDepth bounds the walk to the first segment, since a peer's digest may name parents in a cycle.
 const maxDepth = 64
 
 func (m *Model) depth(hash uint64) int {
 	depth := 0
-	for known := m.prefixes[hash]; known != nil && known.parent != 0 && depth < maxDepth; known = m.prefixes[known.parent] {
+	for known := m.prefixes[hash]; known != nil && known.parent != 0 &&
+		depth < maxDepth; known = m.prefixes[known.parent] {
 		depth++
 	}
 	return depth
@@ -91,17 +92,17 @@
 	return names
 }
 
-// Merge learns from a peer's digest. Servers that this model does not know, indexes out of range, and prefixes beyond the
-// size of a digest are passed over.
+// Merge merges a peer's digest. Unknown servers, indexes out of range, and prefixes beyond MaxDigestPrefixes
+// are ignored.
 func (m *Model) Merge(digest Digest) {
-	for _, named := range slices.Backward(digest.Prefixes[:min(len(digest.Prefixes), DigestSize)]) {
+	for _, named := range slices.Backward(digest.Prefixes[:min(len(digest.Prefixes), MaxDigestPrefixes)]) {
 		for _, index := range named.Servers {
 			if int(index) >= len(digest.Servers) {
 				continue
 			}
 			if cache := m.servers[digest.Servers[index]]; cache != nil {
 				m.prefix(Segment{Prefix: named.Prefix, Tokens: named.Tokens}, named.Parent).shared = true
-				m.keep(cache, Segment{Prefix: named.Prefix, Tokens: named.Tokens}, false)
+				m.cacheSegment(cache, Segment{Prefix: named.Prefix, Tokens: named.Tokens}, false)
 				m.evict(cache)
 			}
 		}
--- a/internal/dataplane/promptcache/model.go
+++ b/internal/dataplane/promptcache/model.go
@@ -5,97 +5,99 @@
 	"time"
 )
 
-// DefaultRoom is the number of tokens that a server is taken to keep as long as nothing is known of its memory.
-const DefaultRoom = 100_000
+// DefaultCapacity is the assumed capacity, in tokens, of a server's prefix cache while its memory is not known.
+const DefaultCapacity = 100_000
 
-// Model estimates what each server keeps. Its owner drives it; it is not safe for concurrent use.
+// Model estimates what each server has cached. It has one owner goroutine and is not safe for concurrent use.
 type Model struct {
 	servers map[string]*serverCache
 	// fronts is the number of front nodes whose prompts fill the same servers.
 	fronts uint64
-	// held is what all servers keep, with what other front nodes are taken to have sent, and room what they can keep.
-	held uint64
-	room uint64
-	// uses counts the uses of parts, which tells which was used longest ago.
-	uses uint64
-	// prefixes holds what is known of a prefix wherever it is kept.
+	// cachedTokens is the weight of all cached segments, those that other front nodes are assumed to have sent included;
+	// capacity is that of all servers together.
+	cachedTokens uint64
+	capacity     uint64
+	// useCount counts the uses of segments, which orders them by their last use.
+	useCount uint64
+	// prefixes is the state of each prefix that some server has cached.
 	prefixes map[uint64]*prefix
 }
 
-// prefix is what the model knows of a prefix apart from the servers that keep it.
+// prefix is the state of a prefix that does not depend on a server.
 type prefix struct {
 	parent uint64
 	tokens uint32
-	// successor is the first prefix that was seen to extend this one.
+	// successor is the first prefix sent that extends this one.
 	successor uint64
 	// shared is true once two different prefixes extended this one.
 	shared bool
 	// sentAt is when this front node last sent a prompt that begins with it.
 	sentAt time.Time
-	// holders counts the servers that keep it.
+	// holders counts the servers that have it cached.
 	holders int
 }
 
-// New makes a model that knows nothing.
+// New makes a model without servers.
 func New() *Model {
 	return &Model{servers: make(map[string]*serverCache), fronts: 1, prefixes: make(map[uint64]*prefix)}
 }
 
-// Resize makes a server known and sets how many tokens of parts it keeps: its capacity less what running requests
-// hold.
-func (m *Model) Resize(server string, room uint64) {
+// Resize adds a server if necessary and sets the capacity of its cache: its memory in tokens less that of running
+// requests.
+func (m *Model) Resize(server string, capacity uint64) {
 	cache := m.cache(server)
-	m.room += room - cache.room
-	cache.room = room
+	m.capacity += capacity - cache.capacity
+	cache.capacity = capacity
 	m.evict(cache)
 }
 
-// SetFronts tells how many front nodes send to the same servers. Each part that is not shared then stands for as many:
-// the others are taken to send as much, though not at the same time to the same server, so that only all servers
-// together tell how long a part is kept. Parts that are kept already are counted anew when they are next sent.
+// SetFronts sets how many front nodes send to the same servers. Each segment that is not shared then counts that many
+// times: the others are assumed to send as much, though not at the same time to the same server, so that the capacity
+// of all servers together bounds how long a segment stays cached. Segments that are already cached are counted anew
+// when they are next sent.
 func (m *Model) SetFronts(fronts int) { m.fronts = uint64(max(fronts, 1)) }
 
-// Sent notes that a prompt was sent to a server, which from then on keeps its parts and lets those go that were
-// unused for longest.
-func (m *Model) Sent(server string, prompt Prompt, now time.Time) {
-	m.note(prompt, now)
+// RecordSent records that a prompt was sent to a server, which then has its segments cached and evicts the least
+// recently used ones.
+func (m *Model) RecordSent(server string, prompt Prompt, now time.Time) {
+	m.recordPrompt(prompt, now)
 	cache := m.cache(server)
-	// The last part first, so that no part outlives one before it.
-	for _, p := range slices.Backward(prompt) {
-		m.keep(cache, p, true)
+	// The last segment first, so that no segment outlives one before it.
+	for _, segment := range slices.Backward(prompt) {
+		m.cacheSegment(cache, segment, true)
 	}
 	m.evict(cache)
 }
 
-// Cached is the number of tokens at the beginning of a prompt that a server need not read again.
+// Cached is the number of tokens of the prompt's longest prefix that a server has cached.
 func (m *Model) Cached(server string, prompt Prompt) uint64 {
 	cache := m.servers[server]
 	if cache == nil {
 		return 0
 	}
 	cached := uint64(0)
-	for _, part := range prompt {
-		if cache.entries[part.Prefix] == nil {
+	for _, segment := range prompt {
+		if cache.entries[segment.Prefix] == nil {
 			break
 		}
-		cached += uint64(part.Tokens)
+		cached += uint64(segment.Tokens)
 	}
 	return cached
 }
 
-// Shared is the number of tokens at the beginning of a prompt that other prompts are known to begin with as well.
+// Shared is the number of tokens of the prompt's longest prefix that other prompts are known to share.
 func (m *Model) Shared(prompt Prompt) uint64 {
 	shared := uint64(0)
-	for _, part := range prompt {
-		if known := m.prefixes[part.Prefix]; known == nil || !known.shared {
+	for _, segment := range prompt {
+		if known := m.prefixes[segment.Prefix]; known == nil || !known.shared {
 			break
 		}
-		shared += uint64(part.Tokens)
+		shared += uint64(segment.Tokens)
 	}
 	return shared
 }
 
-// Holders is the number of servers that keep the prefix.
+// Holders is the number of servers that have the prefix cached.
 func (m *Model) Holders(prefixHash uint64) int {
 	if known := m.prefixes[prefixHash]; known != nil {
 		return known.holders
@@ -103,7 +105,7 @@
 	return 0
 }
 
-// Forget drops a server that ended or lost its cache.
+// Forget removes a server that ended or lost its cache.
 func (m *Model) Forget(server string) {
 	cache := m.servers[server]
 	if cache == nil {
@@ -112,14 +114,14 @@
 	for cache.oldest() != nil {
 		m.drop(cache, cache.oldest())
 	}
-	m.room -= cache.room
+	m.capacity -= cache.capacity
 	delete(m.servers, server)
 }
 
-// Retain forgets the servers for which keep is false.
-func (m *Model) Retain(keep func(server string) bool) {
+// Retain removes the servers for which isKnown is false.
+func (m *Model) Retain(isKnown func(server string) bool) {
 	for server := range m.servers {
-		if !keep(server) {
+		if !isKnown(server) {
 			m.Forget(server)
 		}
 	}
@@ -130,21 +132,21 @@
 	if cache == nil {
 		cache = newServerCache()
 		m.servers[server] = cache
-		m.room += cache.room
+		m.capacity += cache.capacity
 	}
 	return cache
 }
 
-// note remembers the parts of a prompt and which of them several prompts share.
-func (m *Model) note(prompt Prompt, now time.Time) {
+// recordPrompt records the segments of a prompt and which of them several prompts share.
+func (m *Model) recordPrompt(prompt Prompt, now time.Time) {
 	parent := uint64(0)
-	for at, part := range prompt {
-		known := m.prefix(part, parent)
+	for at, segment := range prompt {
+		known := m.prefix(segment, parent)
 		known.sentAt = now
 		if at+1 < len(prompt) {
 			known.extendedBy(prompt[at+1].Prefix)
 		}
-		parent = part.Prefix
+		parent = segment.Prefix
 	}
 }
 
@@ -155,46 +157,46 @@
 	p.shared = p.shared || p.successor != successor
 }
 
-func (m *Model) prefix(part Segment, parent uint64) *prefix {
-	known := m.prefixes[part.Prefix]
+func (m *Model) prefix(segment Segment, parent uint64) *prefix {
+	known := m.prefixes[segment.Prefix]
 	if known == nil {
-		known = &prefix{parent: parent, tokens: part.Tokens}
-		m.prefixes[part.Prefix] = known
+		known = &prefix{parent: parent, tokens: segment.Tokens}
+		m.prefixes[segment.Prefix] = known
 	}
 	return known
 }
 
-// keep makes a part the most recently used one of a server.
-func (m *Model) keep(cache *serverCache, part Segment, own bool) {
-	kept := cache.entries[part.Prefix]
-	if kept == nil {
-		kept = cache.add(part)
-		m.prefixes[part.Prefix].holders++
+// cacheSegment makes a segment the most recently used one of a server; own says that this front node sent it.
+func (m *Model) cacheSegment(cache *serverCache, segment Segment, own bool) {
+	cached := cache.entries[segment.Prefix]
+	if cached == nil {
+		cached = cache.add(segment)
+		m.prefixes[segment.Prefix].holders++
 	}
-	kept.own = kept.own || own
-	weight := m.weight(part)
-	m.held += weight - kept.weight
-	kept.weight = weight
-	m.uses++
-	kept.usedAt = m.uses
-	cache.touch(kept)
+	cached.own = cached.own || own
+	weight := m.weight(segment)
+	m.cachedTokens += weight - cached.weight
+	cached.weight = weight
+	m.useCount++
+	cached.lastUse = m.useCount
+	cache.touch(cached)
 }
 
-// weight is the room that a part takes, with what other front nodes are taken to send meanwhile.
-func (m *Model) weight(part Segment) uint64 {
-	if m.prefixes[part.Prefix].shared {
-		return uint64(part.Tokens)
+// weight is the capacity, in tokens, that a segment uses, with what other front nodes are assumed to send.
+func (m *Model) weight(segment Segment) uint64 {
+	if m.prefixes[segment.Prefix].shared {
+		return uint64(segment.Tokens)
 	}
-	return uint64(part.Tokens) * m.fronts
+	return uint64(segment.Tokens) * m.fronts
 }
 
-// evict lets parts go while there are more than fit the server, or all servers together.
+// evict evicts segments while there are more than fit the server, or all servers together.
 func (m *Model) evict(cache *serverCache) {
-	for cache.held > cache.room && cache.oldest() != nil {
+	for cache.cachedTokens > cache.capacity && cache.oldest() != nil {
 		m.drop(cache, cache.oldest())
 	}
-	for m.held > m.room {
-		oldest := m.longestUnused()
+	for m.cachedTokens > m.capacity {
+		oldest := m.leastRecentlyUsed()
 		if oldest == nil {
 			return
 		}
@@ -202,23 +204,23 @@
 	}
 }
 
-// longestUnused is the server that keeps the part which was unused for longest.
-func (m *Model) longestUnused() *serverCache {
-	var found *serverCache
+// leastRecentlyUsed is the server with the least recently used segment; nil when nothing is cached.
+func (m *Model) leastRecentlyUsed() *serverCache {
+	var leastRecent *serverCache
 	for _, cache := range m.servers {
-		if oldest := cache.oldest(); oldest != nil && (found == nil || oldest.usedAt < found.oldest().usedAt) {
-			found = cache
+		if oldest := cache.oldest(); oldest != nil && (leastRecent == nil || oldest.lastUse < leastRecent.oldest().lastUse) {
+			leastRecent = cache
 		}
 	}
-	return found
+	return leastRecent
 }
 
 func (m *Model) drop(cache *serverCache, dropped *entry) {
 	cache.remove(dropped)
-	m.held -= dropped.weight
-	known := m.prefixes[dropped.part.Prefix]
+	m.cachedTokens -= dropped.weight
+	known := m.prefixes[dropped.segment.Prefix]
 	known.holders--
 	if known.holders == 0 {
-		delete(m.prefixes, dropped.part.Prefix)
+		delete(m.prefixes, dropped.segment.Prefix)
 	}
 }
--- a/internal/dataplane/promptcache/server_cache.go
+++ b/internal/dataplane/promptcache/server_cache.go
@@ -1,33 +1,33 @@
 package promptcache
 
-// entry is a part that a server keeps, linked from the most to the least recently used one.
+// entry is a segment that a server has cached, linked from the most to the least recently used one.
 type entry struct {
-	part Segment
-	// weight is the room that the part is counted with among all servers.
+	segment Segment
+	// weight is the segment's part of Model.cachedTokens.
 	weight uint64
-	// usedAt is the number of the part's last use.
-	usedAt uint64
-	// own is true when this front node sent the part there itself.
-	own         bool
-	newer, less *entry
+	// lastUse is the number of the segment's last use.
+	lastUse uint64
+	// own is true when this front node itself sent the segment there.
+	own          bool
+	newer, older *entry
 }
 
-// serverCache is the parts that one server keeps.
+// serverCache is the cache of one server, in the order of use.
 type serverCache struct {
-	room    uint64
-	held    uint64
-	entries map[uint64]*entry
-	// ends closes the ring of entries: ends.less is the most recently used, ends.newer the least.
+	capacity     uint64
+	cachedTokens uint64
+	entries      map[uint64]*entry
+	// ends closes the circular list of entries: ends.older is the most recently used, ends.newer the least.
 	ends entry
 }
 
 func newServerCache() *serverCache {
-	cache := &serverCache{room: DefaultRoom, entries: make(map[uint64]*entry)}
-	cache.ends.newer, cache.ends.less = &cache.ends, &cache.ends
+	cache := &serverCache{capacity: DefaultCapacity, entries: make(map[uint64]*entry)}
+	cache.ends.newer, cache.ends.older = &cache.ends, &cache.ends
 	return cache
 }
 
-// oldest is the entry that was unused for longest; nil when there is none.
+// oldest is the least recently used entry; nil when there is none.
 func (c *serverCache) oldest() *entry {
 	if c.ends.newer == &c.ends {
 		return nil
@@ -35,10 +35,10 @@
 	return c.ends.newer
 }
 
-func (c *serverCache) add(part Segment) *entry {
-	added := &entry{part: part}
-	c.entries[part.Prefix] = added
-	c.held += uint64(part.Tokens)
+func (c *serverCache) add(segment Segment) *entry {
+	added := &entry{segment: segment}
+	c.entries[segment.Prefix] = added
+	c.cachedTokens += uint64(segment.Tokens)
 	c.link(added)
 	return added
 }
@@ -50,17 +50,17 @@
 
 func (c *serverCache) remove(removed *entry) {
 	c.unlink(removed)
-	delete(c.entries, removed.part.Prefix)
-	c.held -= uint64(removed.part.Tokens)
+	delete(c.entries, removed.segment.Prefix)
+	c.cachedTokens -= uint64(removed.segment.Tokens)
 }
 
 func (c *serverCache) link(used *entry) {
-	used.newer, used.less = &c.ends, c.ends.less
-	c.ends.less.newer = used
-	c.ends.less = used
+	used.newer, used.older = &c.ends, c.ends.older
+	c.ends.older.newer = used
+	c.ends.older = used
 }
 
 func (c *serverCache) unlink(used *entry) {
-	used.newer.less = used.less
-	used.less.newer = used.newer
+	used.newer.older = used.older
+	used.older.newer = used.newer
 }
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	e.cache.Sent(cacheKey, request.prompt, e.timeline.clock())
+	e.cache.RecordSent(cacheKey, request.prompt, e.timeline.clock())
 }
 
 func (e *engine) finishStep() {
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -175,7 +175,7 @@
 	own := prompt.Tokens() - f.cache.Cached(state.engine.id, prompt)
 	ahead := state.pendingTokens
 	issued := timeline.now
-	f.cache.Sent(state.engine.id, prompt, timeline.clock())
+	f.cache.RecordSent(state.engine.id, prompt, timeline.clock())
 	state.sent(own, issued)
 	request := &generation{prompt: prompt, output: output, rank: rank}
 	first := time.Duration(0)
