--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// reopenSpaceBytes is the room that a full disk must have again before its log is opened.
+	// reopenSpaceBytes is the free space that a full disk must have before its log is reopened.
 	reopenSpaceBytes = 1 << 20
-	// otherFailuresOutlived is how many failures of the disk that are no lack of room a process outlives.
+	// maxNonSpaceFailures is the number of disk failures other than a full disk after which the log is
+	// reopened; one more is fatal.
 	maxNonSpaceFailures = 1
 )
 
-// run serves until the replica stops. When its disk was full, or once when a write failed otherwise, it opens the log again
-// as after a crash: what was not synced was neither acknowledged nor promised, and the state machine keeps its state.
+// run is the owner goroutine: it serves until the replica stops or storage fails for good. When the
+// disk was full, or once when a write failed otherwise, it reopens the log as after a crash. That is
+// safe, since nothing was acknowledged that was not synced; the state machine keeps its state.
 func (r *Replica) run() {
 	defer r.finish()
 	for {
 		r.owner.run()
-		failed := r.owner.failure
-		if failed == nil {
+		failure := r.owner.failure
+		if failure == nil {
 			return
 		}
-		r.owner.close(&DiskUnavailableError{Cause: failed})
-		if !r.recoverDisk(failed) {
+		r.owner.close(&DiskUnavailableError{Cause: failure})
+		if !r.recoverDisk(failure) {
 			return
 		}
 	}
 }
 
-// end answers whoever waits when the replica has stopped.
+// finish answers all that wait when the replica has stopped.
 func (r *Replica) finish() {
 	close(r.stopped)
 	if r.owner.failure == nil {
@@ -39,24 +41,26 @@
 	}
 }
 
-// recoverFrom opens the log again after a failure; it reports false when the replica stops.
-func (r *Replica) recoverDisk(failed error) bool {
-	for failed != nil {
-		r.logWarning("the disk failed", "error", failed)
-		if !r.recoverable(failed) {
-			r.reportFatal(failed)
+// recoverDisk reopens the log after a failure, with an election timeout between attempts. It returns
+// false when the replica stops.
+func (r *Replica) recoverDisk(failure error) bool {
+	for failure != nil {
+		r.logWarning("disk failed", "error", failure)
+		if !r.recoverable(failure) {
+			r.reportFatal(failure)
 			return false
 		}
-		if !r.rejectRequests(failed) {
+		if !r.rejectRequests(failure) {
 			return false
 		}
-		failed = r.reopenDisk()
+		failure = r.reopenDisk()
 	}
-	r.logInfo("the log is open again")
+	r.logInfo("log reopened")
 	return true
 }
 
-// outlives decides whether the log is opened again after an error.
+// recoverable decides whether the log is reopened after an error; it counts failures other than a full
+// disk.
 func (r *Replica) recoverable(err error) bool {
 	if storage.IsDiskFull(err) {
 		return true
@@ -69,9 +73,9 @@
 	return r.nonSpaceFailures <= maxNonSpaceFailures
 }
 
-// refuseForAWhile refuses all requests for an election timeout; it reports false when the replica stops.
+// rejectRequests rejects all requests for an election timeout. It returns false when the replica stops.
 func (r *Replica) rejectRequests(cause error) bool {
-	refusal := &DiskUnavailableError{Cause: cause}
+	rejection := &DiskUnavailableError{Cause: cause}
 	timer := r.options.Clock.NewTimer(r.options.ElectionTimeout)
 	defer timer.Stop()
 	for {
@@ -81,19 +85,19 @@
 		case <-timer.C():
 			return true
 		case <-r.inbound:
-			// The protocol repeats it.
-		case refused := <-r.proposals:
-			refused.done <- proposalResult{err: refusal}
-		case refused := <-r.requests:
-			refused.reject(refusal)
+			// The protocol repeats what matters.
+		case proposal := <-r.proposals:
+			proposal.done <- proposalResult{err: rejection}
+		case request := <-r.requests:
+			request.reject(rejection)
 		}
 	}
 }
 
-// reopen reads the folder as after a crash.
+// reopenDisk recovers the state from the data folder, as after a crash.
 func (r *Replica) reopenDisk() error {
 	if err := r.store.Close(); err != nil {
-		r.logWarning("the failed log was closed with an error", "error", err)
+		r.logWarning("closing the failed log failed", "error", err)
 	}
 	if err := storage.CheckFreeSpace(r.options.Filesystem, r.options.Folder, reopenSpaceBytes); err != nil {
 		return err
@@ -112,7 +116,7 @@
 	return nil
 }
 
-// reportFatal tells the process that it must end.
+// reportFatal reports to the process that it must end.
 func (r *Replica) reportFatal(err error) {
 	if r.options.Logger != nil {
 		r.options.Logger.Error("core storage failed", "error", err)
--- a/internal/controlplane/replica/errors.go
+++ b/internal/controlplane/replica/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// NotLeaderError says that this process does not lead; the request has surely not run.
+// NotLeaderError says that this process does not lead; the request was not run.
 type NotLeaderError struct {
 	// LeaderAddress is the internal address of the leader, or empty when none is known.
 	LeaderAddress string
@@ -18,8 +18,8 @@
 	return "not the leader; the leader is at " + e.LeaderAddress
 }
 
-// UnknownOutcomeError says that a proposal may or may not be committed. Cause is the reason
-// the replica stopped waiting for it.
+// UnknownOutcomeError says that a proposal may or may not be committed. Cause is why the wait for it
+// ended.
 type UnknownOutcomeError struct{ Cause error }
 
 // Error implements error.
@@ -38,19 +38,19 @@
 	return fmt.Sprintf("leadership of term %d was lost", e.Term)
 }
 
-// OverloadedError says that a queue of the replica is full; the request has surely not run.
+// OverloadedError says that a queue of the replica is full; the request was not run.
 type OverloadedError struct{ Queue string }
 
 // Error implements error.
 func (e *OverloadedError) Error() string { return "queue " + e.Queue + " is full" }
 
-// StoppedError says that the replica is not running; the request has surely not run.
+// StoppedError says that the replica is not running; the request was not run.
 type StoppedError struct{}
 
 // Error implements error.
 func (e *StoppedError) Error() string { return "the replica is stopped" }
 
-// DiskUnavailableError says that the replica waits for its disk; the request has surely not run.
+// DiskUnavailableError says that the replica waits for its disk; the request was not run.
 type DiskUnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -76,7 +76,7 @@
 // Unwrap returns the cause.
 func (e *MemberUnreachableError) Unwrap() error { return e.Cause }
 
-// ClusterMismatchError refuses a message or a member of another cluster.
+// ClusterMismatchError rejects a message or a member of another cluster.
 type ClusterMismatchError struct{ Own, Other string }
 
 // Error implements error.
--- /dev/null
+++ b/internal/controlplane/replica/leadership.go
@@ -0,0 +1,84 @@
+package replica
+
+import (
+	"time"
+
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+)
+
+// publish records changes of leadership and stores the view that other goroutines read.
+func (o *owner) publish() {
+	now, status := o.now(), o.node.Status()
+	leaseEnds := o.node.LeaseEnds(now)
+	o.trackLeadership(&status)
+	hasLease := now.Before(leaseEnds)
+	hasAppliedAll := status.Applied >= status.TermStart
+	if status.Role == consensus.Leader && o.leadingSince.IsZero() && hasAppliedAll && hasLease {
+		o.leadingSince = now
+	}
+	if status.Leader != 0 {
+		o.lastLeaderContact = now
+	}
+	o.finishTransfers(&status)
+	o.replica.metrics.observe(&status)
+	o.replica.view.Store(&view{
+		clusterID: o.clusterID, status: status, leaseEnds: leaseEnds,
+		leadingSince: o.leadingSince, lastLeaderContact: o.lastLeaderContact,
+		leaderAddress: o.leaderAddress(&status), leaderKnown: o.leaderSignal.observe(status.Leader != 0),
+	})
+}
+
+// trackLeadership ends a leadership that is over and begins a new one. Both can happen in one turn.
+func (o *owner) trackLeadership(status *consensus.Status) {
+	isLeader := status.Role == consensus.Leader
+	isNewTerm := status.Term != o.leadingTerm
+	if !isLeader || isNewTerm {
+		o.endLeadership(status.Role)
+		o.waiters.leadershipLost(o.leadingTerm, o.replica.notLeader())
+	}
+	o.wasLeader = isLeader
+	if isLeader && isNewTerm {
+		o.leadingTerm = status.Term
+		o.replica.metrics.leaderships.Inc()
+		o.replica.logInfo("became leader", "term", status.Term)
+	}
+}
+
+// endLeadership drops what a leader has queued when it steps down: its old heartbeats would make their
+// receivers reject votes for the next leader.
+func (o *owner) endLeadership(role consensus.Role) {
+	o.leadingSince = time.Time{}
+	if o.wasLeader && role == consensus.Follower {
+		o.transport.Purge()
+	}
+	o.wasLeader = false
+}
+
+// leaderAddress is the address from which the leader last sent, or an empty string.
+func (o *owner) leaderAddress(status *consensus.Status) string {
+	if status.Leader == status.ID {
+		return o.replica.self.GetAddress()
+	}
+	return o.transport.Address(status.Leader)
+}
+
+// leaderSignal notifies goroutines that wait for a leader. It belongs to the owner goroutine.
+type leaderSignal struct {
+	channel chan struct{}
+	known   bool
+}
+
+// observe records whether a leader is known and returns the channel that is closed while one is.
+func (s *leaderSignal) observe(known bool) <-chan struct{} {
+	switch {
+	case s.channel == nil || s.known && !known:
+		s.channel = make(chan struct{})
+		if known {
+			close(s.channel)
+		}
+	case known && !s.known:
+		close(s.channel)
+	}
+	s.known = known
+	return s.channel
+}
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
@@ -98,13 +99,16 @@
 	if err := r.runOnOwner(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
 		return err
 	}
-	select {
-	case err := <-done:
-		return err
-	case <-ctx.Done():
-		return &UnknownOutcomeError{Cause: ctx.Err()}
-	case <-r.stopped:
+	result, interrupted := waitFor(ctx, r.stopped, done)
+	var stopped *StoppedError
+	switch {
+	case interrupted == nil:
+		return result
+	case errors.As(interrupted, &stopped):
+		// A member that stopped does not lead.
 		return nil
+	default:
+		return &UnknownOutcomeError{Cause: interrupted}
 	}
 }
 
--- a/internal/controlplane/replica/metrics.go
+++ b/internal/controlplane/replica/metrics.go
@@ -6,6 +6,13 @@
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 )
 
+// Metric names begin with these.
+const (
+	namespace = "rosestand"
+	subsystem = "core"
+)
+
+// metrics are the figures of a replica; collectors are safe for concurrent use.
 type metrics struct {
 	messagesSent, sendFailures, messagesDropped prometheus.Counter
 	proposals, batches, snapshots               prometheus.Counter
@@ -18,12 +25,14 @@
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
 	var collectors []prometheus.Collector
 	counter := func(name, help string) prometheus.Counter {
-		collector := prometheus.NewCounter(prometheus.CounterOpts{Namespace: "rosestand", Subsystem: "core", Name: name, Help: help})
+		options := prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help}
+		collector := prometheus.NewCounter(options)
 		collectors = append(collectors, collector)
 		return collector
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		collector := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "rosestand", Subsystem: "core", Name: name, Help: help})
+		options := prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help}
+		collector := prometheus.NewGauge(options)
 		collectors = append(collectors, collector)
 		return collector
 	}
@@ -38,14 +47,15 @@
 		leaderships:        counter("consensus_leaderships_total", "Times this member became leader."),
 		overloads:          counter("consensus_overloads_total", "Requests refused because a queue was full."),
 		membershipChanges:  counter("consensus_membership_changes_total", "Membership changes proposed by this leader."),
-		joinFailures:       counter("consensus_join_failures_total", "Attempts to join a cluster that were refused or not answered."),
-		term:               gauge("consensus_term", "Current term."),
-		commit:             gauge("consensus_commit_index", "Last committed entry known here."),
-		applied:            gauge("consensus_applied_index", "Last applied entry."),
-		firstIndex:         gauge("consensus_first_index", "First entry kept in memory."),
-		leader:             gauge("consensus_leader", "1 while this member leads."),
-		members:            gauge("consensus_members", "Members of the newest configuration."),
-		snapshotBytes:      gauge("consensus_snapshot_bytes", "Size of the newest snapshot taken here."),
+		joinFailures: counter("consensus_join_failures_total",
+			"Attempts to join a cluster that were refused or not answered."),
+		term:          gauge("consensus_term", "Current term."),
+		commit:        gauge("consensus_commit_index", "Last committed entry known here."),
+		applied:       gauge("consensus_applied_index", "Last applied entry."),
+		firstIndex:    gauge("consensus_first_index", "First entry kept in memory."),
+		leader:        gauge("consensus_leader", "1 while this member leads."),
+		members:       gauge("consensus_members", "Members of the newest configuration."),
+		snapshotBytes: gauge("consensus_snapshot_bytes", "Size of the newest snapshot taken here."),
 	}
 	if registerer == nil {
 		return built, nil
--- a/internal/controlplane/replica/options.go
+++ b/internal/controlplane/replica/options.go
@@ -1,5 +1,3 @@
-// Package replica drives the consensus state machine: it owns the log and the snapshots of a
-// core process, carries its messages, applies committed commands and keeps the membership.
 package replica
 
 import (
@@ -15,10 +13,9 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// StateMachine is what the log's commands are applied to. All calls come from the replica's
-// one owner goroutine.
+// StateMachine is what the log's commands are applied to. All calls come from the owner goroutine.
 type StateMachine interface {
-	// Apply carries out one committed command, in log order, and returns its result.
+	// Apply applies one committed command, in log order, and returns its result.
 	Apply(index uint64, command []byte) (result []byte)
 	// Snapshot writes the whole state.
 	Snapshot(writer io.Writer) error
@@ -26,7 +23,7 @@
 	Restore(reader io.Reader) error
 }
 
-// Clock gives the time, on a monotonic scale, and timers. Tests put in their own.
+// Clock gives the time, on a monotonic scale, and timers.
 type Clock interface {
 	Now() time.Time
 	// NewTimer returns a timer that fires once after the given time.
@@ -41,26 +38,29 @@
 
 // Options of a Replica. Zero values of numbers take the defaults named with each.
 type Options struct {
-	// Self names this process: name, internal address, HTTP address, zone. Its id and voter flag are ignored.
+	// Self names this process: name, internal address, HTTP address, zone, region. Its id and voter
+	// flag are ignored.
 	Self *protocol.CoreMember
 	// Founders are the internal addresses of the processes that found a new cluster together.
 	Founders []string
-	// Seeds are internal addresses of other processes, of any kind. Replica.SetSeeds replaces them.
+	// Seeds are internal addresses of other processes, of any kind. SetSeeds replaces them.
 	Seeds []string
-	// TargetVoters is the number of voters the leader keeps. Default 3.
+	// TargetVoters is the number of voters that the leader maintains. Default 3.
 	TargetVoters int
-	// ElectionTimeout is the shortest silence after which a member stands for election. Default 1 s.
+	// ElectionTimeout is the shortest time without contact to a leader after which a voter campaigns.
+	// Default 1 s.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the time between heartbeat rounds of the leader. Default 100 ms.
+	// HeartbeatInterval is the time between two heartbeats of the leader. Default 100 ms.
 	HeartbeatInterval time.Duration
-	// ReplaceVoterAfter is how long a voter may be silent before a standby takes its place. Default 10 s.
+	// ReplaceVoterAfter is the time without contact to a voter after which a standby replaces it.
+	// Default 10 s.
 	ReplaceVoterAfter time.Duration
 	// SnapshotEntries is the number of applied entries between snapshots. Default 4096.
 	SnapshotEntries uint64
-	// SnapshotBytes is the size of applied commands after which a snapshot is taken though they
+	// SnapshotBytes is the size of applied commands after which a snapshot is taken, even if they
 	// are fewer than SnapshotEntries. Default 16 MiB.
 	SnapshotBytes int
-	// SnapshotChunkBytes is the size of one piece of a transferred snapshot. Default 256 KiB.
+	// SnapshotChunkBytes is the size of one chunk of a transferred snapshot. Default 256 KiB.
 	SnapshotChunkBytes int
 
 	// Folder is the folder, inside Filesystem, that holds the log, the snapshots and the identity.
@@ -70,13 +70,14 @@
 	Machine    StateMachine
 	// Clock defaults to the machine's monotonic clock.
 	Clock Clock
-	// Random drives election timeouts, the member's id and the cluster's id. Default: seeded by the runtime.
+	// Random drives election timeouts, the member's id and the cluster's id. Default: seeded by the
+	// runtime.
 	Random *rand.Rand
 	// Logger may be nil.
 	Logger *log.Logger
 	// Registerer takes the replica's metrics; it may be nil.
 	Registerer prometheus.Registerer
-	// OnFatal is called once when storage failed in a way that the replica does not outlive: it has stopped, and the process
-	// must end.
+	// OnFatal is called once, on a goroutine of its own, when storage failed in a way that the replica
+	// cannot recover from: it has stopped, and the process must end.
 	OnFatal func(error)
 }
--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// ticksPerHeartbeat is how often the clock is looked at in a heartbeat interval.
+	// ticksPerHeartbeat is the number of ticks of the node in a heartbeat interval.
 	ticksPerHeartbeat = 4
-	// maxBatch bounds what is taken from a queue before the log is written.
+	// maxBatch and maxBatchBytes bound what is taken from a queue before the log is written.
 	maxBatch      = 512
 	maxBatchBytes = 1 << 20
 	// queueTimeDivisor: a message to another member is not sent after this part of the election
@@ -22,25 +22,35 @@
 	queueTimeDivisor = 2
 )
 
-// owner is everything that belongs to the one goroutine that runs the consensus node.
+// owner is the state of the owner goroutine, which alone uses it while the replica runs. It is built
+// anew when the log is reopened.
 type owner struct {
-	replica   *Replica
-	node      *consensus.Node
+	replica *Replica
+	node    *consensus.Node
+	// clusterID is empty until a cluster was founded or joined.
 	clusterID string
 	transport *transport.Transport
 	waiters   waiters
 	snapshots snapshots
 	slowDisk  slowDiskDetector
 
+	// configurationIndex is that of the configuration which the transport follows.
 	configurationIndex uint64
-	leadingTerm        uint64
-	leadingSince       time.Time
-	wasLeader          bool
-	lastLeaderContact  time.Time
-	leaderSignal       leaderSignal
-	nextPlan           time.Time
-	transferWaiters    []chan error
-	failure            error
+
+	// leadingTerm is the last term that this member led; wasLeader is its role after the last turn.
+	leadingTerm uint64
+	wasLeader   bool
+	// leadingSince is when it had the lease and had applied all that earlier leaders committed; zero
+	// while it does not lead.
+	leadingSince time.Time
+	// lastLeaderContact is when it last followed a leader, or led.
+	lastLeaderContact time.Time
+	leaderSignal      leaderSignal
+	transferWaiters   []chan error
+	// nextPlan is when the next change of membership is planned.
+	nextPlan time.Time
+	// failure ends the run of this owner.
+	failure error
 }
 
 func (o *owner) init(replica *Replica, clusterID string, initial consensus.InitialState) error {
@@ -64,16 +74,19 @@
 func (o *owner) buildNode(initial consensus.InitialState) error {
 	options := o.replica.options
 	node, err := consensus.New(consensus.Config{
-		ID: o.replica.self.GetId(), ElectionTimeout: options.ElectionTimeout,
-		HeartbeatInterval: options.HeartbeatInterval, SnapshotChunkBytes: options.SnapshotChunkBytes, MaxCommandBytes: MaxCommandBytes,
-		Random: rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
+		ID:                 o.replica.self.GetId(),
+		ElectionTimeout:    options.ElectionTimeout,
+		HeartbeatInterval:  options.HeartbeatInterval,
+		SnapshotChunkBytes: options.SnapshotChunkBytes,
+		MaxCommandBytes:    MaxCommandBytes,
+		Random:             rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
 	}, initial, o.now())
 	if err != nil {
 		return err
 	}
 	o.node = node
 	o.lastLeaderContact = o.now()
-	// The node may have messages to send at its first tick.
+	// The node may have messages to send at its first tick, so the transport must know the members.
 	o.applyConfiguration()
 	o.publish()
 	return nil
@@ -81,7 +94,7 @@
 
 func (o *owner) now() time.Time { return o.replica.options.Clock.Now() }
 
-// run serves until the replica stops or its storage fails.
+// run is the loop of the owner goroutine: it serves until the replica stops or its storage fails.
 func (o *owner) run() {
 	interval := o.replica.options.HeartbeatInterval / ticksPerHeartbeat
 	timer := o.replica.options.Clock.NewTimer(0)
@@ -90,8 +103,8 @@
 		select {
 		case <-o.replica.stop:
 			return
-		case arrived := <-o.replica.inbound:
-			o.step(arrived)
+		case received := <-o.replica.inbound:
+			o.step(received)
 		case proposal := <-o.replica.proposals:
 			o.propose(proposal)
 		case request := <-o.replica.requests:
@@ -110,12 +123,12 @@
 	}
 }
 
-// takeWaiting takes what else waits in the queues, so that one sync serves all of it.
+// drainQueues takes what else is queued, up to maxBatch, so that one sync serves all of it.
 func (o *owner) drainQueues() {
 	for range maxBatch {
 		select {
-		case arrived := <-o.replica.inbound:
-			o.step(arrived)
+		case received := <-o.replica.inbound:
+			o.step(received)
 		case proposal := <-o.replica.proposals:
 			o.propose(proposal)
 		case request := <-o.replica.requests:
@@ -126,10 +139,10 @@
 	}
 }
 
-// step hands a message to the node. The time is taken after the message was received: a
-// promise that counts from an earlier time would end too soon.
-func (o *owner) step(arrived inboundMessage) {
-	message := arrived.message
+// step passes a message to the node. The time is read after the message was received: with an
+// earlier time this member would stop rejecting votes while the leader still counts on it.
+func (o *owner) step(received inboundMessage) {
+	message := received.message
 	if message.GetTo() != o.replica.self.GetId() {
 		return
 	}
@@ -141,13 +154,13 @@
 	}
 	o.transport.ObserveAddress(message.GetFrom(), message.GetFromAddress())
 	if err := o.node.Step(message, o.now()); err != nil {
-		o.replica.logWarning("consensus message refused", "from", message.GetFrom(), "error", err)
+		o.replica.logWarning("consensus message rejected", "from", message.GetFrom(), "error", err)
 		return
 	}
-	o.transferIfDiskSlow(arrived)
+	o.transferIfDiskSlow(received)
 }
 
-// adopt joins a cluster whose leader addressed this empty member by its random id.
+// adoptCluster joins the cluster whose leader addressed this empty member by its random id.
 func (o *owner) adoptCluster(clusterID string) {
 	if clusterID == "" {
 		return
@@ -157,10 +170,10 @@
 		return
 	}
 	o.clusterID = clusterID
-	o.replica.logInfo("joined a cluster", "cluster", clusterID)
+	o.replica.logInfo("cluster joined", "cluster", clusterID)
 }
 
-// advance carries out the node's output until there is none, and takes a snapshot when one is due.
+// advance processes the node's output until there is none, and takes a snapshot when one is due.
 func (o *owner) advance() {
 	o.processReady()
 	if o.failure == nil {
@@ -169,9 +182,10 @@
 	o.restartTransfers()
 }
 
-// restartTransfers begins the transfers anew whose snapshot was not there any more; their first pieces go out with the next
-// output. It does so once a turn of the owner: while a newer snapshot is on the disk that the node does not know of yet, the
-// node goes on to name the one before it, which cannot be read any more.
+// restartTransfers restarts the snapshot transfers whose snapshot has been removed; their first chunks
+// go out with the next output. It does so once in a turn of the owner, not at once: while a newer
+// snapshot is on the disk that the node does not know of yet, the node goes on to name the one before
+// it, which cannot be read any more.
 func (o *owner) restartTransfers() {
 	for _, member := range o.snapshots.staleTransfers {
 		o.node.RestartSnapshot(member, o.now())
@@ -179,6 +193,8 @@
 	o.snapshots.staleTransfers = nil
 }
 
+// processReady carries out the node's output, in the order that consensus.Ready demands, until there is
+// none.
 func (o *owner) processReady() {
 	for o.failure == nil && o.node.HasReady() {
 		ready := o.node.Ready()
@@ -211,15 +227,16 @@
 	return o.replica.store.Save(ready)
 }
 
-// sendAll sends messages. A piece of a snapshot that is not there any more is
-// left out, and the transfer to its member begins anew with the newest snapshot.
+// sendAll sends messages. A chunk of a snapshot that has been removed is left out, and the transfer to
+// its member restarts with the newest snapshot.
 func (o *owner) sendAll(messages []*protocol.ConsensusMessage) {
 	for _, message := range messages {
 		if message.GetKind() == protocol.ConsensusMessageKind_SNAPSHOT_CHUNK && !o.fillChunk(message) {
 			o.snapshots.staleTransfers = append(o.snapshots.staleTransfers, message.GetTo())
 			continue
 		}
-		message.ClusterId, message.FromAddress = o.clusterID, o.replica.self.GetAddress()
+		message.ClusterId = o.clusterID
+		message.FromAddress = o.replica.self.GetAddress()
 		o.transport.Send(message)
 	}
 }
@@ -231,7 +248,7 @@
 	}
 }
 
-// fitConfiguration lets the transport follow the membership.
+// applyConfiguration lets the transport follow the membership.
 func (o *owner) applyConfiguration() {
 	configuration, index := o.node.Configuration()
 	if index != o.configurationIndex {
@@ -240,53 +257,7 @@
 	}
 }
 
-// publish shows the state to other goroutines and notes changes of leadership.
-func (o *owner) publish() {
-	now, status := o.now(), o.node.Status()
-	if status.Role != consensus.Leader || status.Term != o.leadingTerm {
-		o.endLeadership(status.Role)
-		o.waiters.leadershipLost(o.leadingTerm, o.replica.notLeader())
-	}
-	o.wasLeader = status.Role == consensus.Leader
-	if status.Role == consensus.Leader && status.Term != o.leadingTerm {
-		o.leadingTerm = status.Term
-		o.replica.metrics.leaderships.Inc()
-		o.replica.logInfo("became leader", "term", status.Term)
-	}
-	leaseEnds := o.node.LeaseEnds(now)
-	if status.Role == consensus.Leader && o.leadingSince.IsZero() && status.Applied >= status.TermStart && now.Before(leaseEnds) {
-		o.leadingSince = now
-	}
-	if status.Leader != 0 {
-		o.lastLeaderContact = now
-	}
-	o.finishTransfers(&status)
-	o.replica.metrics.observe(&status)
-	o.replica.view.Store(&view{
-		clusterID: o.clusterID, status: status, leaseEnds: leaseEnds,
-		leadingSince: o.leadingSince, lastLeaderContact: o.lastLeaderContact,
-		leaderAddress: o.leaderAddress(&status), leaderKnown: o.leaderSignal.observe(status.Leader != 0),
-	})
-}
-
-// endLeadership forgets a leadership that is over. What it sent and has not left yet is dropped: its heartbeats
-// would hold back the votes for the next leader.
-func (o *owner) endLeadership(role consensus.Role) {
-	o.leadingSince = time.Time{}
-	if o.wasLeader && role == consensus.Follower {
-		o.transport.Purge()
-	}
-	o.wasLeader = false
-}
-
-func (o *owner) leaderAddress(status *consensus.Status) string {
-	if status.Leader == status.ID {
-		return o.replica.self.GetAddress()
-	}
-	return o.transport.Address(status.Leader)
-}
-
-// found makes this member the first voter of a new cluster.
+// foundCluster makes this member the only voter of a new cluster.
 func (o *owner) foundCluster() {
 	if o.clusterID != "" {
 		return
@@ -304,23 +275,24 @@
 		o.fail(err)
 		return
 	}
-	o.replica.logInfo("founded a cluster", "cluster", clusterID)
+	o.replica.logInfo("cluster founded", "cluster", clusterID)
 }
 
-// fail ends the run of this owner: after a failed write nothing more may be promised.
+// fail ends the run of this owner: after a failed write nothing more may be acknowledged.
 func (o *owner) fail(err error) {
 	if o.failure == nil {
 		o.failure = err
 	}
 }
 
-// retire answers whoever waits with the cause and ends the senders.
+// close publishes that this member does not lead, answers all that wait with the cause, and ends the
+// goroutines that send and save.
 func (o *owner) close(cause error) {
 	o.leadingSince = time.Time{}
-	shown := *o.replica.view.Load()
-	shown.leaseEnds, shown.leadingSince = time.Time{}, time.Time{}
-	shown.status.Role, shown.status.Leader = consensus.Follower, 0
-	o.replica.view.Store(&shown)
+	last := *o.replica.view.Load()
+	last.leaseEnds, last.leadingSince = time.Time{}, time.Time{}
+	last.status.Role, last.status.Leader = consensus.Follower, 0
+	o.replica.view.Store(&last)
 	o.waiters.failAll(cause)
 	for _, waiter := range o.transferWaiters {
 		waiter <- cause
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -9,15 +9,16 @@
 	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 )
 
-// MaxCommandBytes bounds one command; it leaves room for the frame of a message.
+// MaxCommandBytes bounds one command, so that it fits into one message with what surrounds it.
 const MaxCommandBytes = 8 << 20
 
-// proposal is a command on its way into the log.
+// proposal is a command that waits to be appended to the log.
 type proposal struct {
 	command []byte
 	done    chan proposalResult
 }
 
+// proposalResult is the state machine's result for the entry at index, or an error.
 type proposalResult struct {
 	data  []byte
 	index uint64
@@ -25,8 +26,8 @@
 }
 
 // Propose appends command to the log and returns its result once it is committed and applied.
-// Errors: *NotLeaderError, *OverloadedError, *StoppedError, *consensus.CommandSizeError (surely not
-// run), *UnknownOutcomeError.
+// Errors: *NotLeaderError, *OverloadedError, *StoppedError, *DiskUnavailableError,
+// *consensus.CommandSizeError (the command was not run and never will be); *UnknownOutcomeError.
 func (r *Replica) Propose(ctx context.Context, command []byte) (result []byte, index uint64, err error) {
 	if r.view.Load().status.Role != consensus.Leader {
 		return nil, 0, r.notLeader()
@@ -35,16 +36,8 @@
 		return nil, 0, &consensus.CommandSizeError{Size: len(command), Limit: MaxCommandBytes}
 	}
 	proposal := &proposal{command: command, done: make(chan proposalResult, 1)}
-	select {
-	case <-r.stopped:
-		return nil, 0, &StoppedError{}
-	default:
-	}
-	select {
-	case r.proposals <- proposal:
-	default:
-		r.metrics.overloads.Inc()
-		return nil, 0, &OverloadedError{Queue: "proposals"}
+	if err := enqueue(r, r.proposals, proposal, proposalQueueName); err != nil {
+		return nil, 0, err
 	}
 	answer, err := r.await(ctx, proposal.done)
 	if err != nil {
@@ -53,52 +46,52 @@
 	return answer.data, answer.index, answer.err
 }
 
-// await returns the answer or, when it does not come, that the outcome is unknown.
+// await waits for the result of a proposal. The error is an *UnknownOutcomeError: the proposal may
+// still be committed.
 func (r *Replica) await(ctx context.Context, done <-chan proposalResult) (proposalResult, error) {
-	select {
-	case answer := <-done:
-		return answer, nil
-	case <-ctx.Done():
-		return proposalResult{}, &UnknownOutcomeError{Cause: ctx.Err()}
-	case <-r.stopped:
-	}
-	select {
-	case answer := <-done:
-		return answer, nil
-	default:
-		return proposalResult{}, &UnknownOutcomeError{Cause: &StoppedError{}}
+	result, interrupted := waitFor(ctx, r.stopped, done)
+	if interrupted != nil {
+		return proposalResult{}, &UnknownOutcomeError{Cause: interrupted}
 	}
+	return result, nil
 }
 
-// propose appends the proposal and those that wait behind it.
+// propose appends the proposal and those queued behind it, so that one sync serves them all.
 func (o *owner) propose(first *proposal) {
-	batch := []*proposal{first}
-	commands := [][]byte{first.command}
-	size := len(first.command)
-	for len(batch) < maxBatch && size < maxBatchBytes {
-		select {
-		case next := <-o.replica.proposals:
-			batch, commands = append(batch, next), append(commands, next.command)
-			size += len(next.command)
-			continue
-		default:
-		}
-		break
+	batch := o.batchProposals(first)
+	commands := make([][]byte, 0, len(batch))
+	for _, proposal := range batch {
+		commands = append(commands, proposal.command)
 	}
 	index, term, err := o.node.Propose(commands, o.now())
 	if err != nil {
-		for _, refused := range batch {
-			refused.done <- proposalResult{err: o.rejection(err)}
+		for _, proposal := range batch {
+			proposal.done <- proposalResult{err: o.rejection(err)}
 		}
 		return
 	}
 	o.replica.metrics.proposals.Add(float64(len(batch)))
-	for position, appended := range batch {
-		o.waiters.register(term, index+uint64(position), appended.done)
+	for position, proposal := range batch {
+		o.waiters.register(term, index+uint64(position), proposal.done)
+	}
+}
+
+// batchProposals takes queued proposals, up to maxBatch and maxBatchBytes.
+func (o *owner) batchProposals(first *proposal) []*proposal {
+	batch, size := []*proposal{first}, len(first.command)
+	for len(batch) < maxBatch && size < maxBatchBytes {
+		select {
+		case next := <-o.replica.proposals:
+			batch = append(batch, next)
+			size += len(next.command)
+		default:
+			return batch
+		}
 	}
+	return batch
 }
 
-// refusal turns an error of the node into one of this package; nothing was appended.
+// rejection converts an error of the node, which appended nothing, to one for callers.
 func (o *owner) rejection(err error) error {
 	var overloaded *consensus.OverloadedError
 	var pending *consensus.ChangePendingError
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -25,13 +25,16 @@
 	DefaultSnapshotEntries   = 4096
 	DefaultSnapshotBytes     = 16 << 20
 
-	inboundQueue  = 4096
-	proposalQueue = 4096
-	requestQueue  = 1024
+	// Capacities of the queues to the owner goroutine.
+	inboundCapacity  = 4096
+	proposalCapacity = 4096
+	requestCapacity  = 1024
 )
 
-// Replica is one member of the core's consensus group. It is safe for use by many goroutines.
+// Replica is one member of the core's consensus group. It is safe for concurrent use.
 type Replica struct {
+	// What follows is not changed after New, but for store: the owner goroutine replaces it when the
+	// log is reopened.
 	options Options
 	metrics *metrics
 	store   *logstore.Store
@@ -51,12 +54,14 @@
 
 	view  atomic.Pointer[view]
 	seeds atomic.Pointer[[]string]
+
+	// The rest belongs to the owner goroutine from Start on.
+
 	owner owner
-	// The rest belongs to the owner goroutine.
-	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. It is ahead of what the node
-	// applied when the log was opened again: the machine keeps its state then.
+	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. After
+	// the log was reopened it is ahead of what the node applied, since the machine keeps its state.
 	machineIndex uint64
-	// otherFailures counts the failures of the disk that were no lack of room.
+	// nonSpaceFailures counts the failures of the disk other than a full disk.
 	nonSpaceFailures int
 }
 
@@ -81,10 +86,10 @@
 	}
 	replica := &Replica{
 		options: options, metrics: metrics, store: store,
-		self:      proto.Clone(options.Self).(*protocol.CoreMember),
-		inbound:   make(chan inboundMessage, inboundQueue),
-		proposals: make(chan *proposal, proposalQueue),
-		requests:  make(chan request, requestQueue),
+		self:      proto.CloneOf(options.Self),
+		inbound:   make(chan inboundMessage, inboundCapacity),
+		proposals: make(chan *proposal, proposalCapacity),
+		requests:  make(chan request, requestCapacity),
 		stop:      make(chan struct{}),
 		stopped:   make(chan struct{}),
 	}
@@ -128,7 +133,7 @@
 	return o
 }
 
-// open recovers the node and the state machine.
+// recoverState recovers the node and the state machine from the store.
 func (r *Replica) recoverState() error {
 	recovered, err := r.store.Recover()
 	if err != nil {
@@ -143,7 +148,8 @@
 	return r.owner.init(r, recovered.ClusterID, recovered.Initial)
 }
 
-// Start begins to serve: it joins or founds a cluster when the folder holds none.
+// Start starts the goroutines of the replica, which end with Stop. It joins or founds a cluster if the
+// data folder has none. The error of a second start is a *StoppedError.
 func (r *Replica) Start(context.Context) error {
 	if r.started.Swap(true) {
 		return &StoppedError{}
@@ -154,14 +160,15 @@
 	return nil
 }
 
-// Stop ends the replica and closes its log; a leader hands leadership over first, while ctx lasts.
+// Stop ends the replica and closes its log. A leader transfers leadership first, for as long as ctx
+// lasts.
 func (r *Replica) Stop(ctx context.Context) error {
 	if !r.started.Load() {
 		r.stopOnce.Do(func() { close(r.stop); close(r.stopped) })
 		return r.store.Close()
 	}
 	if r.view.Load().status.Role == consensus.Leader {
-		// Where no other voter can take over, the others elect one after this one is silent.
+		// If no other voter can take over now, the others elect one after an election timeout.
 		_ = r.TransferLeadership(ctx, "")
 	}
 	r.stopOnce.Do(func() { close(r.stop) })
@@ -170,8 +177,8 @@
 	return r.store.Close()
 }
 
-// IsLeader reports whether this process leads, has applied all that earlier leaders committed,
-// and its leader lease runs at this moment.
+// IsLeader reports whether this process leads, has applied all that earlier leaders committed, and has
+// the leader lease now.
 func (r *Replica) IsLeader() bool {
 	view := r.view.Load()
 	return !view.leadingSince.IsZero() && r.options.Clock.Now().Before(view.leaseEnds)
@@ -189,8 +196,8 @@
 // ID returns the random id of this member, made with its data folder.
 func (r *Replica) ID() uint64 { return r.self.GetId() }
 
-// memberID derives the id from the identity of the data folder, so that an emptied folder is
-// another member.
+// memberID derives the id from the identity of the data folder, so that a process with an emptied
+// folder is another member. It is never zero.
 func memberID(storageID string) uint64 {
 	sum := sha256.Sum256([]byte(storageID))
 	return max(1, binary.BigEndian.Uint64(sum[:8]))
--- a/internal/controlplane/replica/requests.go
+++ b/internal/controlplane/replica/requests.go
@@ -1,51 +1,81 @@
 package replica
 
-import "context"
+import (
+	"context"
 
-// request is work for the owner goroutine. Exactly one of its functions is called, unless the replica stops first.
+	"github.com/cockroachdb/errors"
+)
+
+// Names of the queues to the owner goroutine, for OverloadedError.
+const (
+	messageQueueName  = "messages"
+	proposalQueueName = "proposals"
+	requestQueueName  = "requests"
+)
+
+// request is work for the owner goroutine. Exactly one of its functions is called, unless the replica
+// stops first.
 type request struct {
 	run func()
-	// refuse is called in place of run while the replica waits for its disk.
+	// reject is called in place of run while the replica waits for its disk.
 	reject func(err error)
 }
 
-// do runs a function on the owner goroutine and waits for it.
+// runOnOwner runs a function on the owner goroutine and waits for it. Errors: *OverloadedError,
+// *StoppedError, *DiskUnavailableError (the function did not run), *UnknownOutcomeError.
 func (r *Replica) runOnOwner(ctx context.Context, run func()) error {
 	done := make(chan error, 1)
-	err := r.enqueue(request{
+	err := enqueue(r, r.requests, request{
 		run:    func() { run(); done <- nil },
 		reject: func(err error) { done <- err },
-	})
+	}, requestQueueName)
 	if err != nil {
 		return err
 	}
+	result, interrupted := waitFor(ctx, r.stopped, done)
+	var stopped *StoppedError
+	switch {
+	case interrupted == nil:
+		return result
+	case errors.As(interrupted, &stopped):
+		return stopped
+	default:
+		return &UnknownOutcomeError{Cause: interrupted}
+	}
+}
+
+// waitFor waits for an answer of the owner goroutine. The wait is interrupted by the end of the
+// context, with its error, or when the replica stops without an answer, with a *StoppedError.
+func waitFor[T any](ctx context.Context, stopped <-chan struct{}, done <-chan T) (answer T, interrupted error) {
 	select {
-	case err := <-done:
-		return err
+	case answer = <-done:
+		return answer, nil
 	case <-ctx.Done():
-		return &UnknownOutcomeError{Cause: ctx.Err()}
-	case <-r.stopped:
+		return answer, ctx.Err()
+	case <-stopped:
 	}
+	// The owner answers all that wait before it ends.
 	select {
-	case err := <-done:
-		return err
+	case answer = <-done:
+		return answer, nil
 	default:
-		return &StoppedError{}
+		return answer, &StoppedError{}
 	}
 }
 
-// enqueue hands a request to the owner goroutine; after an error it is surely not run.
-func (r *Replica) enqueue(asked request) error {
+// enqueue hands an item to the owner goroutine without waiting; after an error it was not handed
+// over. Errors: *StoppedError, *OverloadedError with the name of the queue.
+func enqueue[T any](r *Replica, queue chan<- T, item T, name string) error {
 	select {
 	case <-r.stopped:
 		return &StoppedError{}
 	default:
 	}
 	select {
-	case r.requests <- asked:
+	case queue <- item:
 		return nil
 	default:
 		r.metrics.overloads.Inc()
-		return &OverloadedError{Queue: "requests"}
+		return &OverloadedError{Queue: name}
 	}
 }
--- a/internal/controlplane/replica/service.go
+++ b/internal/controlplane/replica/service.go
@@ -4,17 +4,11 @@
 	"context"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
-	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// retryAfter is the wait told to those whose request may succeed soon.
-const retryAfter = 200 * time.Millisecond
-
 // ServeWire answers consensus, join_core, core_status and locate_core requests. Errors are of
 // type *failure.Error.
 func (r *Replica) ServeWire(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
@@ -32,28 +26,20 @@
 		wait := time.Duration(body.LocateCore.GetWaitMillis()) * time.Millisecond
 		return &protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: r.locateCoreWithin(ctx, wait)}}, nil
 	default:
-		return nil, failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN, "not a request to the core's consensus group")
+		return nil, failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN,
+			"not a request to the core's consensus group")
 	}
 }
 
-// receive queues a message for the owner goroutine; a full queue loses it.
+// receive queues a message for the owner goroutine. Errors: *ClusterMismatchError, *StoppedError,
+// *OverloadedError.
 func (r *Replica) receive(message *protocol.ConsensusMessage) error {
 	own := r.view.Load().clusterID
 	if own != "" && message.GetClusterId() != own {
 		return &ClusterMismatchError{Own: own, Other: message.GetClusterId()}
 	}
-	select {
-	case <-r.stopped:
-		return &StoppedError{}
-	default:
-	}
-	select {
-	case r.inbound <- inboundMessage{message: message, receivedAt: r.options.Clock.Now()}:
-		return nil
-	default:
-		r.metrics.overloads.Inc()
-		return &OverloadedError{Queue: "messages"}
-	}
+	received := inboundMessage{message: message, receivedAt: r.options.Clock.Now()}
+	return enqueue(r, r.inbound, received, messageQueueName)
 }
 
 func (r *Replica) serveJoin(ctx context.Context, join *protocol.JoinCoreRequest) (*protocol.Response, error) {
@@ -69,7 +55,7 @@
 	}}}, nil
 }
 
-// forwardJoin passes a request on to the leader, once.
+// forwardJoin forwards a request to the leader, unless it was forwarded before.
 func (r *Replica) forwardJoin(ctx context.Context, join *protocol.JoinCoreRequest) (*protocol.Response, error) {
 	leader := r.view.Load().leader()
 	if leader == nil || join.GetForwarded() || leader.GetId() == r.self.GetId() {
@@ -79,71 +65,3 @@
 		JoinCore: &protocol.JoinCoreRequest{Member: join.GetMember(), Forwarded: true},
 	}})
 }
-
-// Failure turns an error of this package into one that may be sent to a peer or a caller. Errors
-// of other packages are returned as failure.From sees them.
-func Failure(err error) *failure.Error {
-	for _, convert := range []func(error) *failure.Error{leadershipFailure, membershipFailure} {
-		if converted := convert(err); converted != nil {
-			return converted
-		}
-	}
-	return &failure.Error{Failure: failure.From(err)}
-}
-
-func leadershipFailure(err error) *failure.Error {
-	var notLeader *NotLeaderError
-	var unknown *UnknownOutcomeError
-	var overloaded *OverloadedError
-	var stopped *StoppedError
-	var disk *DiskUnavailableError
-	var size *consensus.CommandSizeError
-	wait := failure.WithRetryAfter(retryAfter)
-	switch {
-	case errors.As(err, &unknown):
-		return failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN, err.Error(), wait)
-	case errors.As(err, &notLeader) && notLeader.LeaderAddress == "":
-		return failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, err.Error(), wait)
-	case errors.As(err, &notLeader):
-		return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, err.Error())
-	case errors.As(err, &overloaded):
-		return failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, err.Error(), wait)
-	case errors.As(err, &size):
-		return failure.New(failure.BodyTooLarge, protocol.Outcome_NOT_RUN, err.Error())
-	case errors.As(err, &stopped), errors.As(err, &disk):
-		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(), wait)
-	default:
-		return nil
-	}
-}
-
-func membershipFailure(err error) *failure.Error {
-	var pending *consensus.ChangePendingError
-	var mismatch *ClusterMismatchError
-	var unsafe *coremembership.UnsafeChangeError
-	var inUse *coremembership.MemberInUseError
-	var retired *coremembership.MemberRetiredError
-	var unknown *coremembership.MemberUnknownError
-	var invalid *coremembership.InvalidMemberError
-	var unreachable *MemberUnreachableError
-	wait := failure.WithRetryAfter(retryAfter)
-	switch {
-	case errors.As(err, &unreachable):
-		// The cause may be a failure of its own; that one does not say what became of the order.
-		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(), failure.WithPath("address"), failure.WithRetryAfter(time.Second))
-	case errors.As(err, &pending):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), wait)
-	case errors.As(err, &mismatch):
-		return failure.New(failure.WrongCluster, protocol.Outcome_NOT_RUN, err.Error())
-	case errors.As(err, &unsafe), errors.As(err, &inUse):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), failure.WithRetryAfter(time.Second))
-	case errors.As(err, &retired):
-		return failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, err.Error())
-	case errors.As(err, &unknown):
-		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, err.Error())
-	case errors.As(err, &invalid):
-		return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, err.Error(), failure.WithPath("member."+invalid.Field))
-	default:
-		return nil
-	}
-}
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -8,37 +8,40 @@
 )
 
 const (
-	// slowSyncFactor is how many times longer than the answer of the quickest voter a sync of the leader must take to be slow.
+	// slowSyncFactor: a sync of the leader is slow if it takes this many times longer than the answer of
+	// the fastest voter.
 	slowSyncFactor = 2
-	// shortestSlowSync is the shortest sync that counts as slow: handing over would save too little below it.
+	// minSlowSync is the shortest sync that counts as slow; below it a transfer would gain too little.
 	minSlowSync = 5 * time.Millisecond
-	// comparedSyncs is how many syncs are compared before the leader judges, and slowSyncs how many of them must be slow.
+	// syncWindow is the number of syncs after which the leader decides, and minSlowSyncs the number of
+	// them that must be slow.
 	syncWindow   = 32
 	minSlowSyncs = 24
-	// handOverPause is the shortest time between two hand-overs by one member.
+	// minTransferInterval is the shortest time between two transfers by one member for this reason.
 	minTransferInterval = time.Minute
 )
 
-// arrivedMessage is a message and when it reached this process.
+// inboundMessage is a message of another member and when this process received it.
 type inboundMessage struct {
 	message    *protocol.ConsensusMessage
 	receivedAt time.Time
 }
 
-// slowDisk compares the syncs of a leader with the answers of the others, which contain their syncs. A leader writes before it
-// sends, so that its own disk holds up every command. One slow sync means nothing; most of a window do.
+// slowDiskDetector compares the syncs of a leader with the answers of the other voters, which include
+// their syncs. A leader writes before it sends, so that a slow disk of its own delays every command. A
+// single slow sync means nothing; most of a window do. It belongs to the owner goroutine.
 type slowDiskDetector struct {
 	compared, slow int
-	// ownSync is how long the entries up to index took to be written here; they were sent at sentAt. The index is zero
-	// when no answer is awaited.
+	// ownSync is how long the entries up to index took to be written here; they were sent at sentAt. The
+	// index is zero when no answer is awaited.
 	ownSync time.Duration
 	index   uint64
 	sentAt  time.Time
-	// nextHandOver is when leadership may be handed over again.
+	// nextTransfer is the earliest time of the next transfer.
 	nextTransfer time.Time
 }
 
-// sent begins a comparison, unless one is under way.
+// begin starts a comparison, unless one is in progress.
 func (s *slowDiskDetector) begin(index uint64, ownSync time.Duration, now time.Time) {
 	if s.index != 0 {
 		return
@@ -46,9 +49,10 @@
 	s.index, s.ownSync, s.sentAt = index, ownSync, now
 }
 
-// answered ends the comparison at the first answer of a voter, and reports whether the disk of this leader is slow.
-func (s *slowDiskDetector) observeAnswer(arrived inboundMessage) bool {
-	answer := arrived.message
+// observeAnswer ends the comparison at the first answer of a voter, and reports whether the disk of
+// this leader is slow.
+func (s *slowDiskDetector) observeAnswer(received inboundMessage) bool {
+	answer := received.message
 	awaited := s.index != 0 && answer.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
 		!answer.GetReject() && answer.GetLogIndex() >= s.index
 	if !awaited {
@@ -56,7 +60,7 @@
 	}
 	s.index = 0
 	s.compared++
-	if s.ownSync >= minSlowSync && s.ownSync > slowSyncFactor*arrived.receivedAt.Sub(s.sentAt) {
+	if s.ownSync >= minSlowSync && s.ownSync > slowSyncFactor*received.receivedAt.Sub(s.sentAt) {
 		s.slow++
 	}
 	if s.compared < syncWindow {
@@ -67,10 +71,10 @@
 	return isSlow
 }
 
-// reset forgets what was compared, as when leadership has ended.
+// reset drops the comparisons, as when leadership has ended.
 func (s *slowDiskDetector) reset() { *s = slowDiskDetector{nextTransfer: s.nextTransfer} }
 
-// compareSync notes how long the leader's write of new entries took; they are on their way now.
+// trackSync records how long the leader's write of new entries took, which were just sent.
 func (o *owner) trackSync(ready consensus.Ready, began, written time.Time) {
 	if len(ready.Entries) == 0 || o.node.Role() != consensus.Leader {
 		return
@@ -79,14 +83,14 @@
 	o.slowDisk.begin(last, written.Sub(began), o.now())
 }
 
-// handOverIfSlow hands leadership to the voter that answered when the disk here is much slower than others.
-func (o *owner) transferIfDiskSlow(arrived inboundMessage) {
+// transferIfDiskSlow transfers leadership to the voter that answered when this disk is much slower.
+func (o *owner) transferIfDiskSlow(received inboundMessage) {
 	if o.node.Role() != consensus.Leader {
 		o.slowDisk.reset()
 		return
 	}
-	from := arrived.message.GetFrom()
-	if !o.isVoter(from) || !o.slowDisk.observeAnswer(arrived) {
+	from := received.message.GetFrom()
+	if !o.isVoter(from) || !o.slowDisk.observeAnswer(received) {
 		return
 	}
 	now := o.now()
@@ -95,10 +99,10 @@
 	}
 	o.slowDisk.nextTransfer = now.Add(minTransferInterval)
 	if err := o.node.Transfer(from, now); err != nil {
-		o.replica.logWarning("leadership was not handed over", "error", err)
+		o.replica.logWarning("leadership transfer failed", "error", err)
 		return
 	}
-	o.replica.logInfo("the disk here is slower than others; leadership is handed over", "to", from)
+	o.replica.logInfo("leadership transfer started: slow disk", "to", from)
 }
 
 func (o *owner) isVoter(id uint64) bool {
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -9,25 +9,27 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// cachedSnapshotFor is how long a snapshot that is being transferred stays in memory after the
-// last piece was read from it.
-const snapshotCacheTTL = 30 * time.Second
-
-// snapshotRetry is the pause before a snapshot is tried again for which there was no room.
-const snapshotRetryInterval = 10 * time.Second
+const (
+	// snapshotCacheTTL is how long a snapshot that is transferred stays in memory after the last
+	// chunk was read from it.
+	snapshotCacheTTL = 30 * time.Second
+	// snapshotRetryInterval is the time between attempts to save a snapshot while the disk is full.
+	snapshotRetryInterval = 10 * time.Second
+)
 
-// snapshots is the owner's view of snapshots being taken and transferred.
+// snapshots are the snapshots that are being saved and transferred. They belong to the owner goroutine;
+// the goroutine that saves one reports on the channel saved.
 type snapshots struct {
 	saving         bool
 	saved          chan savedSnapshot
 	cachedMetadata *protocol.SnapshotMetadata
 	cachedData     []byte
 	lastUsed       time.Time
-	// retryAt is when a snapshot is tried again for which there was no room.
+	// retryAt is the earliest time of the next attempt after the disk was full.
 	retryAt time.Time
 	// appliedBytes is the size of the entries applied since the last snapshot was taken.
 	appliedBytes int
-	// stale are the members whose transfer named a snapshot that was not there any more.
+	// staleTransfers are the members whose transfer names a snapshot that has been removed.
 	staleTransfers []uint64
 }
 
@@ -38,24 +40,25 @@
 	err          error
 }
 
-// wait lets a snapshot that is being written finish, so that the disk can be closed.
+// wait waits for the snapshot that is being saved, so that the store can be closed.
 func (s *snapshots) wait() {
 	if s.saving {
 		<-s.saved
 	}
 }
 
-// maybeSnapshot takes a snapshot once enough entries are applied. The state is written to
-// memory here and to the disk beside the owner goroutine.
+// maybeSnapshot takes a snapshot once enough entries are applied. The owner writes the state to memory;
+// another goroutine writes it to the disk.
 func (o *owner) maybeSnapshot() {
 	o.dropCachedSnapshot()
 	status, options := o.node.Status(), o.replica.options
-	due := status.Applied-status.SnapshotIndex >= options.SnapshotEntries || o.snapshots.appliedBytes >= options.SnapshotBytes
-	if o.snapshots.saving || !due || o.now().Before(o.snapshots.retryAt) {
+	isDue := status.Applied-status.SnapshotIndex >= options.SnapshotEntries ||
+		o.snapshots.appliedBytes >= options.SnapshotBytes
+	if o.snapshots.saving || !isDue || o.now().Before(o.snapshots.retryAt) {
 		return
 	}
 	if status.Applied < o.replica.machineIndex {
-		// The machine's state is that of a later entry than the snapshot would name.
+		// The log was reopened, and the state machine is ahead of the entry that the snapshot would name.
 		return
 	}
 	var state bytes.Buffer
@@ -73,14 +76,14 @@
 	}()
 }
 
-// snapshotSaved shortens the log under a snapshot that has become durable.
+// snapshotSaved compacts the log under a snapshot that has become durable.
 func (o *owner) snapshotSaved(saved savedSnapshot) {
 	o.snapshots.saving = false
 	if storage.IsDiskFull(saved.err) {
-		// The log still takes records, and holds all that the snapshot would.
+		// No harm is done: the log has all that the snapshot would.
 		o.snapshots.retryAt = o.now().Add(snapshotRetryInterval)
 		o.snapshots.appliedBytes += saved.appliedBytes
-		o.replica.logWarning("no room for a snapshot", "error", saved.err)
+		o.replica.logWarning("snapshot not saved: disk full", "error", saved.err)
 		return
 	}
 	if saved.err != nil {
@@ -91,7 +94,7 @@
 	if saved.metadata.GetIndex() <= o.node.Status().SnapshotIndex {
 		return
 	}
-	// Everything the node holds must be durable before it is copied into the new segment.
+	// All entries of the node must be durable before they are copied into the new segment.
 	o.processReady()
 	if o.failure != nil {
 		return
@@ -104,8 +107,8 @@
 	o.node.Compact(saved.metadata)
 }
 
-// installSnapshot replaces the whole state by one received from the leader. The state machine
-// goes first: a state that it cannot restore must not become durable.
+// installSnapshot replaces the state by a snapshot of the leader. The state machine restores it first:
+// a state that it cannot restore must not become durable.
 func (o *owner) installSnapshot(ready consensus.Ready) error {
 	received := ready.Snapshot
 	if err := o.replica.restoreMachine(received.Metadata, received.Data); err != nil {
@@ -123,8 +126,8 @@
 	return o.replica.store.Compact(o.clusterID, received.Metadata, nil, hardState)
 }
 
-// fillChunk puts the piece at the message's offset into it. It returns false when the snapshot
-// that the message names is no longer there.
+// fillChunk adds the chunk at the message's offset to it. It returns false when the snapshot that the
+// message names has been removed.
 func (o *owner) fillChunk(message *protocol.ConsensusMessage) bool {
 	cache := &o.snapshots
 	if cache.cachedMetadata.GetIndex() != message.GetSnapshot().GetIndex() && !o.loadSnapshot(message.GetSnapshot()) {
@@ -138,6 +141,7 @@
 	return true
 }
 
+// loadSnapshot caches the newest snapshot, if it is the wanted one.
 func (o *owner) loadSnapshot(wanted *protocol.SnapshotMetadata) bool {
 	metadata, data, err := o.replica.store.LoadSnapshot()
 	if err != nil {
--- a/internal/controlplane/replica/state_machine.go
+++ b/internal/controlplane/replica/state_machine.go
@@ -8,7 +8,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// applyToMachine applies a committed entry to the state machine, unless its state has it already, and returns its result.
+// applyToMachine applies a committed entry to the state machine, unless its state includes the entry
+// already, and returns its result.
 func (r *Replica) applyToMachine(entry *protocol.Entry) []byte {
 	if entry.GetIndex() <= r.machineIndex {
 		return nil
@@ -20,7 +21,7 @@
 	return r.options.Machine.Apply(entry.GetIndex(), entry.GetData())
 }
 
-// restoreMachine loads the state of a snapshot into the state machine.
+// restoreMachine replaces the state of the state machine by that of a snapshot.
 func (r *Replica) restoreMachine(metadata *protocol.SnapshotMetadata, state []byte) error {
 	if err := r.options.Machine.Restore(bytes.NewReader(state)); err != nil {
 		return errors.Wrap(err, "restore the state machine")
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -10,23 +10,27 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxLocateWait bounds how long the answer to a locate_core request is held back, whatever it asks for.
+// maxLocateWait bounds the wait of a locate_core request, whatever it asks for.
 const maxLocateWait = time.Second
 
-// view is what the owner goroutine shows to the others; immutable.
+// view is the state that the owner goroutine publishes for the others; it is immutable.
 type view struct {
-	clusterID    string
-	status       consensus.Status
-	leaseEnds    time.Time
+	clusterID string
+	status    consensus.Status
+	// leaseEnds is the end of the leader lease; zero without one.
+	leaseEnds time.Time
+	// leadingSince is when this member had applied all that earlier leaders committed; zero while it
+	// does not lead.
 	leadingSince time.Time
-	// leaderAddress is where the leader was last heard, if anywhere.
+	// leaderAddress is the address from which the leader last sent, or empty.
 	leaderAddress string
-	// heardLeader is when this member last followed a leader or led.
+	// lastLeaderContact is when this member last followed a leader, or led.
 	lastLeaderContact time.Time
-	// leaderKnown is closed once a leader is known; a view without one has a channel that its successors close.
+	// leaderKnown is closed once a leader is known, in this view or a later one.
 	leaderKnown <-chan struct{}
 }
 
+// leader is the member that leads, at its present address, or nil.
 func (v *view) leader() *protocol.CoreMember {
 	if v.status.Leader == 0 {
 		return nil
@@ -35,8 +39,8 @@
 	if leader == nil || v.leaderAddress == "" || v.leaderAddress == leader.GetAddress() {
 		return leader
 	}
-	// It moved, and the configuration does not say so yet.
-	moved := proto.Clone(leader).(*protocol.CoreMember)
+	// The leader has moved; the configuration is not updated yet.
+	moved := proto.CloneOf(leader)
 	moved.Address = v.leaderAddress
 	return moved
 }
@@ -44,7 +48,7 @@
 func (v *view) notLeader() *NotLeaderError {
 	leader := v.leader()
 	if v.status.Role == consensus.Leader {
-		// It leads without a lease; there is nobody better to name.
+		// It leads without a lease, and knows of no other leader.
 		leader = nil
 	}
 	return &NotLeaderError{LeaderAddress: leader.GetAddress(), LeaderHTTPAddress: leader.GetHttpAddress()}
@@ -60,15 +64,15 @@
 		Configuration: view.status.Configuration, ClusterId: view.clusterID,
 		Empty: view.clusterID == "", LeaderLease: r.IsLeader(),
 	}
-	for _, contact := range view.status.Peers {
+	for _, peer := range view.status.Peers {
 		status.Contacts = append(status.Contacts, &protocol.CoreMemberContact{
-			Id: contact.ID, Match: contact.Match, SilentMillis: uint64(now.Sub(contact.LastContact) / time.Millisecond),
+			Id: peer.ID, Match: peer.Match, SilentMillis: uint64(now.Sub(peer.LastContact) / time.Millisecond),
 		})
 	}
 	return status
 }
 
-// locateCoreWithin answers as soon as this member knows a leader, and after the wait in any case.
+// locateCoreWithin answers as soon as this member knows a leader, or after the wait.
 func (r *Replica) locateCoreWithin(ctx context.Context, wait time.Duration) *protocol.LocateCoreResponse {
 	if wait <= 0 {
 		return r.locateCore()
--- a/internal/controlplane/replica/waiters.go
+++ b/internal/controlplane/replica/waiters.go
@@ -7,12 +7,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// waiters are the callers that wait for an entry or a read; they belong to the owner goroutine.
+// waiters are the callers that wait for an entry or a read. They belong to the owner goroutine. Each
+// channel has space for its one answer, so that answering never blocks.
 type waiters struct {
+	// proposals wait for the entry at an index, which is of the term in which they were appended.
 	term      uint64
 	proposals map[uint64]chan proposalResult
-	reads     map[uint64]chan error
-	nextRead  uint64
+	// reads wait for the node's confirmation, by the id given to it.
+	reads    map[uint64]chan error
+	nextRead uint64
 	// confirmed reads wait until their index is applied.
 	confirmed []confirmedRead
 }
@@ -26,28 +29,26 @@
 	return waiters{proposals: map[uint64]chan proposalResult{}, reads: map[uint64]chan error{}}
 }
 
-// Barrier returns once the state machine has applied everything that was committed when it was
-// called, proved under the leader lease or by a heartbeat round. Errors as of Propose, or ctx's.
+// Barrier returns once the state machine has applied everything that was committed when Barrier was
+// called: a linearizable read of the state may follow. Leadership is confirmed by the lease or by a
+// heartbeat. Errors: *NotLeaderError, *OverloadedError, *StoppedError, *DiskUnavailableError, ctx's.
 func (r *Replica) Barrier(ctx context.Context) error {
 	if r.view.Load().status.Role != consensus.Leader {
 		return r.notLeader()
 	}
 	done := make(chan error, 1)
-	err := r.enqueue(request{
+	err := enqueue(r, r.requests, request{
 		run:    func() { r.owner.read(done) },
 		reject: func(err error) { done <- err },
-	})
+	}, requestQueueName)
 	if err != nil {
 		return err
 	}
-	select {
-	case err := <-done:
-		return err
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-r.stopped:
-		return &StoppedError{}
+	result, interrupted := waitFor(ctx, r.stopped, done)
+	if interrupted != nil {
+		return interrupted
 	}
+	return result
 }
 
 func (o *owner) read(done chan error) {
@@ -60,7 +61,7 @@
 	o.waiters.reads[id] = done
 }
 
-// confirm takes the node's answers to reads.
+// confirmReads takes the node's answers to reads.
 func (w *waiters) confirmReads(results []consensus.ReadResult) {
 	for _, result := range results {
 		done := w.reads[result.ID]
@@ -76,20 +77,20 @@
 	}
 }
 
-// applied answers the confirmed reads up to index.
+// resolveReads answers the confirmed reads up to the applied index.
 func (w *waiters) resolveReads(index uint64) {
-	kept := w.confirmed[:0]
+	remaining := w.confirmed[:0]
 	for _, read := range w.confirmed {
 		if read.index > index {
-			kept = append(kept, read)
+			remaining = append(remaining, read)
 			continue
 		}
 		read.done <- nil
 	}
-	w.confirmed = kept
+	w.confirmed = remaining
 }
 
-// resolve answers the proposal that became this entry. An entry of another term at its index
+// resolveEntry answers the proposal at the index of an applied entry. An entry of another term there
 // means that the proposal was replaced and will never be committed.
 func (w *waiters) resolveEntry(entry *protocol.Entry, result []byte) {
 	index := entry.GetIndex()
@@ -105,7 +106,7 @@
 	done <- proposalResult{data: result, index: index}
 }
 
-// expect notes that an entry of the term answers done. Waiters of an earlier term are answered first.
+// register lets done wait for the entry at index. Proposals of an earlier term are answered first.
 func (w *waiters) register(term, index uint64, done chan proposalResult) {
 	if term != w.term {
 		w.leadershipLost(w.term, &NotLeaderError{})
@@ -114,8 +115,8 @@
 	w.proposals[index] = done
 }
 
-// leadershipLost answers the proposals of a term that this member no longer leads: the next
-// leader may or may not have them. Reads that wait to be applied are safe to ask again.
+// leadershipLost answers the proposals of a term that this member no longer leads: the next leader
+// may or may not have them. Confirmed reads are rejected, since the caller can retry a read.
 func (w *waiters) leadershipLost(term uint64, notLeader error) {
 	for index, done := range w.proposals {
 		delete(w.proposals, index)
@@ -127,7 +128,7 @@
 	w.confirmed = nil
 }
 
-// stop answers all that wait when the owner ends for a cause.
+// failAll answers all that wait when the owner ends for a cause.
 func (w *waiters) failAll(cause error) {
 	for _, done := range w.proposals {
 		done <- proposalResult{err: &UnknownOutcomeError{Cause: cause}}
