--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -130,12 +130,15 @@
 		return describeMalformed(malformed)
 	}
 	problem := failure.From(err)
-	return errorDetail{Detail: failure.DetailOf(problem)}, int(problem.GetStatus())
+	return errorDetail{Detail: failure.NewDetail(problem)}, int(problem.GetStatus())
 }
 
 func describeRejection(rejection *protocol.Refusal) (errorDetail, int) {
 	detail := errorDetail{
-		Detail: failure.Detail{Code: rejection.GetCode(), Message: rejection.GetMessage(), Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN)},
+		Detail: failure.Detail{
+			Code: rejection.GetCode(), Message: rejection.GetMessage(),
+			Outcome: failure.OutcomeName(protocol.Outcome_NOT_RUN),
+		},
 		Faults: faultBodies(rejection.GetFaults()),
 	}
 	if len(detail.Faults) > 0 {
--- a/internal/controlplane/replica/failures.go
+++ b/internal/controlplane/replica/failures.go
@@ -71,11 +71,11 @@
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(),
 			failure.WithPath("address"), failure.WithRetryAfter(membershipRetryAfter))
 	case errors.As(err, &pending):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), wait)
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(), wait)
 	case errors.As(err, &mismatch):
 		return failure.New(failure.WrongCluster, protocol.Outcome_NOT_RUN, err.Error())
 	case errors.As(err, &unsafe), errors.As(err, &inUse):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(),
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(),
 			failure.WithRetryAfter(membershipRetryAfter))
 	case errors.As(err, &retired):
 		return failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, err.Error())
--- a/internal/state/store/metrics.go
+++ b/internal/state/store/metrics.go
@@ -6,7 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of one store.
+// metrics are the counters and gauges of one store, and of those that replace it after a
+// failure. Any goroutine may use them.
 type metrics struct {
 	changes     prometheus.Counter
 	batched     prometheus.Counter
@@ -32,7 +33,37 @@
 	scrubCount    atomic.Uint64
 }
 
-func (m *metrics) countRepaired(registers, turns int) {
+// countWritten counts bytes of records given to a log.
+func (m *metrics) countWritten(log string, bytes int) {
+	m.written.WithLabelValues(log).Add(float64(bytes))
+}
+
+// ProposalStarted implements proposer.Observer.
+func (m *metrics) ProposalStarted(operations int) {
+	m.changes.Inc()
+	m.batched.Add(float64(operations))
+}
+
+// ProposalPreempted implements proposer.Observer.
+func (m *metrics) ProposalPreempted() { m.preempted.Inc() }
+
+// ProposalUnavailable implements proposer.Observer.
+func (m *metrics) ProposalUnavailable() { m.unavailable.Inc() }
+
+// ShardCopied implements replication.Observer.
+func (m *metrics) ShardCopied() { m.copied.Inc() }
+
+// BytesCopied implements replication.Observer.
+func (m *metrics) BytesCopied(size uint64) { m.copiedBytes.Add(float64(size)) }
+
+// ScrubFinished implements replication.Observer.
+func (m *metrics) ScrubFinished() {
+	m.scrubs.Inc()
+	m.scrubCount.Add(1)
+}
+
+// Repaired implements replication.Observer.
+func (m *metrics) Repaired(registers, turns int) {
 	m.repaired.WithLabelValues("register").Add(float64(registers))
 	m.repaired.WithLabelValues("turn").Add(float64(turns))
 	m.repairedCount.Add(uint64(registers + turns))
@@ -40,25 +71,25 @@
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	counter := func(name, help string) prometheus.Counter {
-		made := prometheus.NewCounter(prometheus.CounterOpts{
+		collector := prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	labelled := func(name, help, label string) *prometheus.CounterVec {
-		made := prometheus.NewCounterVec(prometheus.CounterOpts{
+		collector := prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		}, []string{label})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		made := prometheus.NewGauge(prometheus.GaugeOpts{
+		collector := prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: "rosestand", Subsystem: "store", Name: name, Help: help,
 		})
-		registerer.MustRegister(made)
-		return made
+		registerer.MustRegister(collector)
+		return collector
 	}
 	return &metrics{
 		changes:     counter("register_changes_total", "Register changes begun as proposer."),
@@ -74,7 +105,7 @@
 		scrubs:      counter("scrub_rounds_total", "Scrubs of all shards completed."),
 		copiedBytes: counter("copied_bytes_total", "Bytes copied for rebuilds and moves."),
 		copied:      counter("copied_shards_total", "Shards copied in full."),
-		registers:   gauge("registers", "Registers held."),
+		registers:   gauge("registers", "Registers total."),
 		turns:       gauge("turns", "Turns kept."),
 		active:      gauge("shards_active", "Shards served."),
 		copying:     gauge("shards_copying", "Shards being copied."),
@@ -82,10 +113,11 @@
 	}
 }
 
-func (m *metrics) observe(held counts) {
-	m.registers.Set(float64(held.registers))
-	m.turns.Set(float64(held.turns))
-	m.active.Set(float64(held.active))
-	m.copying.Set(float64(held.copying))
-	m.proposals.Set(float64(held.proposals))
+// observe sets the gauges.
+func (m *metrics) observe(total counts) {
+	m.registers.Set(float64(total.registers))
+	m.turns.Set(float64(total.turns))
+	m.active.Set(float64(total.active))
+	m.copying.Set(float64(total.copying))
+	m.proposals.Set(float64(total.proposals))
 }
