--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
@@ -98,14 +99,13 @@
 	if err := r.runOnOwner(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
 		return err
 	}
-	select {
-	case err := <-done:
-		return err
-	case <-ctx.Done():
-		return &UnknownOutcomeError{Cause: ctx.Err()}
-	case <-r.stopped:
+	err := r.waitForError(ctx, done)
+	var stopped *StoppedError
+	if errors.As(err, &stopped) {
+		// A member that stopped does not lead.
 		return nil
 	}
+	return err
 }
 
 // proposeChange appends a configuration; done receives the outcome.
