--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"net"
+	"os"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
@@ -32,7 +33,7 @@
 
 var clusterKey = []byte("storebench cluster key")
 
-// fleet is some stores with a fixed core in front of them.
+// fleet is some stores with a simulated core in front of them. One goroutine starts and stops them.
 type fleet struct {
 	core   *fixedCore
 	stores []*node
@@ -49,8 +50,8 @@
 	registry *prometheus.Registry
 }
 
-// startFleet starts stores with data folders under folder. The first
-// replicaCount of them hold all shards.
+// startFleet starts stores with data folders under folder. The first replicaCount of them have
+// all shards.
 func startFleet(folder string, stores int) (*fleet, error) {
 	f := &fleet{core: &fixedCore{}, pool: wire.NewPool(wire.PoolOptions{Key: clusterKey, Node: "bench"})}
 	f.core.view.Store(&corelink.View{})
@@ -69,8 +70,23 @@
 	return f, nil
 }
 
+// withFleet runs a measurement on stores with their data in a temporary folder under folder,
+// and stops them.
+func withFleet(folder string, stores int, measure func(f *fleet, data string) error) error {
+	data, err := os.MkdirTemp(folder, "storebench-")
+	if err != nil {
+		return errors.Wrap(err, "make data folder")
+	}
+	defer func() { _ = os.RemoveAll(data) }()
+	f, err := startFleet(data, stores)
+	if err != nil {
+		return err
+	}
+	return errors.CombineErrors(measure(f, data), f.stop())
+}
+
 func (f *fleet) startNode(folder string, number int) (*node, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
@@ -79,26 +95,26 @@
 	if err != nil {
 		return nil, errors.CombineErrors(err, listener.Close())
 	}
-	made := &node{
+	started := &node{
 		self:     &protocol.Node{Name: name, Kind: protocol.NodeKind_STORE, Incarnation: 1, Address: listener.Addr().String()},
 		pool:     wire.NewPool(wire.PoolOptions{Key: clusterKey, Node: name}),
 		registry: prometheus.NewRegistry(),
 	}
-	made.store, err = store.New(store.Options{
-		Self:       made.self,
-		Caller:     made.pool,
+	started.store, err = store.New(store.Options{
+		Self:       started.self,
+		Caller:     started.pool,
 		Core:       f.core,
 		Logger:     log.New(io.Discard),
-		Registerer: made.registry,
+		Registerer: started.registry,
 		Seed:       uint64(number),
 	}, opened)
 	if err != nil {
 		return nil, errors.CombineErrors(err, listener.Close())
 	}
-	made.server = wire.NewServer(listener, made.store, wire.ServerOptions{Key: clusterKey})
-	made.store.Start()
-	made.server.Start()
-	return made, nil
+	started.server = wire.NewServer(listener, started.store, wire.ServerOptions{Key: clusterKey})
+	started.store.Start()
+	started.server.Start()
+	return started, nil
 }
 
 func (f *fleet) nodes() []*protocol.Node {
@@ -120,14 +136,15 @@
 	return err
 }
 
-// fixedCore grants every lease and holds the placement in memory. It takes the
-// steps of a move that a core would take.
+// fixedCore grants every lease and has the placement in memory. It does the steps of a move
+// that a core would do.
 type fixedCore struct {
 	view atomic.Pointer[corelink.View]
 
-	// changing is held while a placement is made from the one before.
+	// changing is locked while a placement is made from the one before.
 	changing sync.Mutex
 
+	// mutex guards the following fields.
 	mutex       sync.Mutex
 	subscribers []func()
 	epoch       uint64
@@ -142,7 +159,7 @@
 // LocateCore implements store.Core.
 func (c *fixedCore) LocateCore() *protocol.LocateCoreResponse { return &protocol.LocateCoreResponse{} }
 
-// CallCore takes the report of a copied shard.
+// CallCore implements store.Core: it acknowledges the report of a copied shard.
 func (c *fixedCore) CallCore(_ context.Context, request *protocol.Request) (*protocol.Response, error) {
 	if copied := request.GetShardCopied(); copied != nil {
 		c.shardCopied(copied)
@@ -161,10 +178,10 @@
 	placement := &protocol.Placement{}
 	for shard := range uint32(shardCount) {
 		placed := &protocol.ShardPlacement{Shard: shard}
-		for place := range replicaCount {
-			held := nodes[(int(shard)+place)%replicaCount]
+		for offset := range replicaCount {
+			node := nodes[(int(shard)+offset)%replicaCount]
 			placed.Current = append(placed.Current, &protocol.Replica{
-				Store: held.GetName(), StorageId: held.GetStorageId(), State: protocol.ReplicaState_REPLICA_ACTIVE,
+				Store: node.GetName(), StorageId: node.GetStorageId(), State: protocol.ReplicaState_REPLICA_ACTIVE,
 			})
 		}
 		placement.Shards = append(placement.Shards, placed)
--- a/internal/state/store/storebench/bench.go
+++ b/internal/state/store/storebench/load.go
@@ -3,38 +3,36 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
 const (
-	// turnsOfProgram is how many turns a program has before the next one begins.
-	turnsOfProgram  = 20
-	longestMicros   = int64(60 * time.Second / time.Microsecond)
+	defaultInFlight  = 128
+	defaultTurnBytes = 2000
+	defaultTurns     = 20
+	// maxMicros is the largest latency that is told apart.
+	maxMicros       = int64(60 * time.Second / time.Microsecond)
 	histogramDigits = 3
-	turnCeiling     = 1000
-
-	inFlightByDefault  = 128
-	turnBytesByDefault = 2000
+	// reservationLimit is what each turn reserves, in tokens.
+	reservationLimit = 1000
 )
 
 // Options describe one measurement.
 type Options struct {
 	// Folder holds the data; a temporary folder of the system when empty.
 	Folder string
-	// InFlight is the number of programs with an operation under way at any time.
+	// InFlight is the number of programs with an operation in flight at any time.
 	InFlight int
 	// Warmup is not counted; Duration is.
 	Warmup, Duration time.Duration
-	// TurnBytes is the size of the text of each kept turn.
+	// TurnBytes is the size of the text of each retained turn.
 	TurnBytes int
 	// Empty moves all shards of one store to a fourth one during the measurement.
 	Empty bool
@@ -44,7 +42,7 @@
 
 func (o *Options) fill() {
 	if o.InFlight <= 0 {
-		o.InFlight = inFlightByDefault
+		o.InFlight = defaultInFlight
 	}
 	if o.Warmup <= 0 {
 		o.Warmup = time.Second
@@ -53,25 +51,25 @@
 		o.Duration = 5 * time.Second
 	}
 	if o.TurnBytes <= 0 {
-		o.TurnBytes = turnBytesByDefault
+		o.TurnBytes = defaultTurnBytes
 	}
 	if o.Turns <= 0 {
-		o.Turns = turnsOfProgram
+		o.Turns = defaultTurns
 	}
 }
 
-// Result is what a measurement found. A reserve and a settle are one register change each.
+// Result is what a measurement found. A reserve and a commit are one register change each.
 type Result struct {
 	Changes          int64
 	ChangesPerSecond float64
 	// Latency of one change as its caller sees it.
-	Median, P99, Longest time.Duration
-	ReserveP99           time.Duration
-	SettleP99            time.Duration
+	Median, P99, Max time.Duration
+	ReserveP99       time.Duration
+	CommitP99        time.Duration
 	// ProcessorTime is what the whole process took for a change: three stores and the callers.
 	ProcessorTime time.Duration
 	// RegisterBytes are the bytes that one store wrote to its log of registers for a change of
-	// which it is a replica; the kept turns, of the size asked for, come on top.
+	// which it is a replica; the retained turns, of the size in Options, come on top.
 	RegisterBytes float64
 	// Failed counts operations that did not answer LEDGER_OK.
 	Failed int64
@@ -80,40 +78,37 @@
 }
 
 func (r *Result) String() string {
-	return fmt.Sprintf("%.0f changes/s, p50 %v, p99 %v (reserve %v, settle %v), longest %v, %v of processor time and %.0f bytes in the register log a change, failed %d, moved shards %d",
-		r.ChangesPerSecond, r.Median, r.P99, r.ReserveP99, r.SettleP99, r.Longest, r.ProcessorTime.Round(time.Microsecond), r.RegisterBytes, r.Failed, r.MovedShards)
+	return fmt.Sprintf("%.0f changes/s, p50 %v, p99 %v (reserve %v, commit %v), max %v, "+
+		"%v of processor time and %.0f bytes in the register log a change, failed %d, moved shards %d",
+		r.ChangesPerSecond, r.Median, r.P99, r.ReserveP99, r.CommitP99, r.Max,
+		r.ProcessorTime.Round(time.Microsecond), r.RegisterBytes, r.Failed, r.MovedShards)
 }
 
 // Run measures changes of program registers on three stores.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	options.fill()
-	folder, err := os.MkdirTemp(options.Folder, "storebench-")
-	if err != nil {
-		return nil, errors.Wrap(err, "make data folder")
-	}
-	defer func() { _ = os.RemoveAll(folder) }()
 	stores := replicaCount
 	if options.Empty {
 		stores++
 	}
-	f, err := startFleet(folder, stores)
-	if err != nil {
-		return nil, err
-	}
-	result := measure(ctx, f, options)
-	return result, f.stop()
+	var result *Result
+	err := withFleet(options.Folder, stores, func(f *fleet, _ string) error {
+		result = measure(ctx, f, options)
+		return nil
+	})
+	return result, err
 }
 
-// recorder collects what one caller measured.
+// recorder collects what one caller measured. It belongs to that caller.
 type recorder struct {
-	reserve, settle *hdrhistogram.Histogram
+	reserve, commit *hdrhistogram.Histogram
 	failed          int64
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		reserve: hdrhistogram.New(1, longestMicros, histogramDigits),
-		settle:  hdrhistogram.New(1, longestMicros, histogramDigits),
+		reserve: hdrhistogram.New(1, maxMicros, histogramDigits),
+		commit:  hdrhistogram.New(1, maxMicros, histogramDigits),
 	}
 }
 
@@ -134,7 +129,7 @@
 	before := f.usage()
 	moved := 0
 	if options.Empty {
-		moved = f.emptyFirst(ctx, begins, ends)
+		moved = f.emptyFirst(ctx, ends)
 	}
 	callers.Wait()
 	used := f.usage().since(before)
@@ -147,7 +142,7 @@
 }
 
 // emptyFirst moves every shard of the first store to the last one, one after the other.
-func (f *fleet) emptyFirst(ctx context.Context, begins, ends time.Time) int {
+func (f *fleet) emptyFirst(ctx context.Context, ends time.Time) int {
 	moved := 0
 	for shard := range uint32(shardCount) {
 		f.core.moveShard(shard, f.stores[0].self.GetName(), f.stores[len(f.stores)-1].self)
@@ -163,27 +158,27 @@
 }
 
 func summarize(recorders []*recorder, duration time.Duration, moved int) *Result {
-	total, reserve, settle := newRecorder().reserve, newRecorder().reserve, newRecorder().settle
+	total, reserve, commit := newRecorder().reserve, newRecorder().reserve, newRecorder().commit
 	result := &Result{MovedShards: moved}
 	for _, each := range recorders {
 		reserve.Merge(each.reserve)
-		settle.Merge(each.settle)
+		commit.Merge(each.commit)
 		result.Failed += each.failed
 	}
 	total.Merge(reserve)
-	total.Merge(settle)
+	total.Merge(commit)
 	micros := func(value int64) time.Duration { return time.Duration(value) * time.Microsecond }
 	result.Changes = total.TotalCount()
 	result.ChangesPerSecond = float64(result.Changes) / duration.Seconds()
 	result.Median = micros(total.ValueAtQuantile(50))
 	result.P99 = micros(total.ValueAtQuantile(99))
-	result.Longest = micros(total.Max())
+	result.Max = micros(total.Max())
 	result.ReserveP99 = micros(reserve.ValueAtQuantile(99))
-	result.SettleP99 = micros(settle.ValueAtQuantile(99))
+	result.CommitP99 = micros(commit.ValueAtQuantile(99))
 	return result
 }
 
-// caller drives one program after the other, one operation at a time.
+// caller drives one program after the other, one operation at a time. It belongs to one goroutine.
 type caller struct {
 	fleet    *fleet
 	recorder *recorder
@@ -192,8 +187,8 @@
 	text     string
 	programs int
 	turns    int
-	// keepFor is how long turns are kept; zero leaves it to the ledger.
-	keepFor time.Duration
+	// retention is how long turns are retained; zero leaves it to the ledger.
+	retention time.Duration
 }
 
 func (c *caller) run(ctx context.Context, ends time.Time) {
@@ -207,8 +202,8 @@
 	session := program + "-session"
 	claimed := c.do(ctx, nil, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_ClaimSession{
 		ClaimSession: &protocol.ClaimSession{
-			Session: session, Owner: "front", OwnerIncarnation: 1, Tenant: "bench", Budget: turnCeiling * uint64(c.turns),
-			KeepingMillis: c.keepFor.Milliseconds(),
+			Session: session, Owner: "front", OwnerIncarnation: 1, Tenant: "bench", Budget: reservationLimit * uint64(c.turns),
+			KeepingMillis: c.retention.Milliseconds(),
 		},
 	}})
 	previous := ""
@@ -216,23 +211,23 @@
 		request := fmt.Sprintf("%s-request-%d", program, turn)
 		c.do(ctx, c.recorder.reserve, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_ReserveTurn{
 			ReserveTurn: &protocol.ReserveTurn{
-				RequestId: request, Session: session, Epoch: claimed.GetEpoch(), Ceiling: turnCeiling, PreviousTurn: previous,
+				RequestId: request, Session: session, Epoch: claimed.GetEpoch(), Ceiling: reservationLimit, PreviousTurn: previous,
 			},
 		}})
-		kept := &protocol.Turn{
+		committed := &protocol.Turn{
 			Id: ledger.TurnID(program, request), Program: program, Session: session, PreviousTurn: previous, RequestId: request,
 			Output:       []*protocol.Item{{Role: "assistant", Text: c.text}},
 			KeptAtMillis: time.Now().UnixMilli(),
 		}
-		if c.keepFor > 0 {
-			kept.KeepUntilMillis = time.Now().Add(c.keepFor).UnixMilli()
+		if c.retention > 0 {
+			committed.KeepUntilMillis = time.Now().Add(c.retention).UnixMilli()
 		}
-		c.do(ctx, c.recorder.settle, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_SettleTurn{
+		c.do(ctx, c.recorder.commit, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_SettleTurn{
 			SettleTurn: &protocol.SettleTurn{
-				RequestId: request, Session: session, Epoch: claimed.GetEpoch(), Tokens: turnCeiling / 2, Turn: kept,
+				RequestId: request, Session: session, Epoch: claimed.GetEpoch(), Tokens: reservationLimit / 2, Turn: committed,
 			},
 		}})
-		previous = kept.GetId()
+		previous = committed.GetId()
 	}
 }
 
@@ -243,7 +238,7 @@
 	if err != nil || result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
 		c.recorder.failed++
 	} else if into != nil && began.After(c.begins) {
-		_ = into.RecordValue(min(max(time.Since(began).Microseconds(), 1), longestMicros))
+		_ = into.RecordValue(min(max(time.Since(began).Microseconds(), 1), maxMicros))
 	}
 	return result
 }
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -3,16 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"runtime"
 	"strings"
 	"sync"
 	"time"
-
-	"github.com/cockroachdb/errors"
 )
 
-// Memory is what programs under way take in a store.
+// Memory is the heap that programs in progress take in a store.
 type Memory struct {
 	Programs, Turns int
 	// BytesOfProgram is the heap that one replica of a program takes in one
@@ -27,31 +24,24 @@
 
 // MeasureMemory runs programs of so many turns and compares the heap before and after.
 func MeasureMemory(ctx context.Context, folder string, programs, turns int) (*Memory, error) {
-	data, err := os.MkdirTemp(folder, "storebench-")
-	if err != nil {
-		return nil, errors.Wrap(err, "make data folder")
-	}
-	defer func() { _ = os.RemoveAll(data) }()
-	f, err := startFleet(data, replicaCount)
-	if err != nil {
-		return nil, err
-	}
-	// The first programs fill the buffers that stay, so that the second half gives the slope.
-	failed := f.runPrograms(ctx, "first", programs, turns, turnBytesByDefault)
-	before := heapBytes()
-	failed += f.runPrograms(ctx, "measured", programs, turns, turnBytesByDefault)
-	after := heapBytes()
-	if err := f.stop(); err != nil {
-		return nil, err
-	}
-	if failed > 0 {
-		return nil, &FailedOperationsError{Count: failed}
-	}
-	return &Memory{
-		Programs:       programs,
-		Turns:          turns,
-		BytesOfProgram: float64(after-before) / float64(programs*replicaCount),
-	}, nil
+	var result *Memory
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+		// The first programs fill the buffers that stay, so that the second half gives the slope.
+		failed := f.runPrograms(ctx, "first", programs, turns, defaultTurnBytes)
+		before := heapBytes()
+		failed += f.runPrograms(ctx, "measured", programs, turns, defaultTurnBytes)
+		after := heapBytes()
+		if failed > 0 {
+			return &FailedOperationsError{Count: failed}
+		}
+		result = &Memory{
+			Programs:       programs,
+			Turns:          turns,
+			BytesOfProgram: float64(after-before) / float64(programs*replicaCount),
+		}
+		return nil
+	})
+	return result, err
 }
 
 // FailedOperationsError says that operations of a measurement were not answered with LEDGER_OK.
@@ -61,7 +51,7 @@
 
 func (e *FailedOperationsError) Error() string { return fmt.Sprintf("%d operations failed", e.Count) }
 
-// runPrograms runs programs to their last turn and gives the number of failed operations.
+// runPrograms runs programs to their last turn and returns the number of failed operations.
 func (f *fleet) runPrograms(ctx context.Context, prefix string, programs, turns, turnBytes int) int64 {
 	numbers := make(chan int)
 	go func() {
@@ -71,7 +61,7 @@
 		}
 	}()
 	var callers sync.WaitGroup
-	recorders := make([]*recorder, inFlightByDefault)
+	recorders := make([]*recorder, defaultInFlight)
 	for number := range recorders {
 		recorders[number] = newRecorder()
 		caller := &caller{
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Rebuild is what it takes to make a store whole that lost its disk.
+// Rebuild is what it takes to complete a store again that lost its disk.
 type Rebuild struct {
 	Turns uint64
 	// Took runs from the placement that names the lost disk until every shard is copied.
@@ -33,34 +33,25 @@
 		r.Restart.Round(time.Millisecond), r.RestartProcessorTime.Round(time.Millisecond))
 }
 
-// MeasureRebuild fills three stores, takes the disk of one away and waits until it is whole; then it restarts that store.
+// MeasureRebuild fills three stores, takes the disk of one away and waits until that store is complete; then it restarts it.
 func MeasureRebuild(ctx context.Context, folder string, programs, turns, turnBytes int) (*Rebuild, error) {
-	data, err := os.MkdirTemp(folder, "storebench-")
-	if err != nil {
-		return nil, errors.Wrap(err, "make data folder")
-	}
-	defer func() { _ = os.RemoveAll(data) }()
-	f, err := startFleet(data, replicaCount)
-	if err != nil {
-		return nil, err
-	}
-	if failed := f.runPrograms(ctx, "kept", programs, turns, turnBytes); failed > 0 {
-		return nil, errors.CombineErrors(&FailedOperationsError{Count: failed}, f.stop())
-	}
-	if err := f.stopNode(0); err != nil {
-		return nil, err
-	}
-	if err := os.RemoveAll(filepath.Join(data, f.stores[0].self.GetName())); err != nil {
-		return nil, errors.Wrap(err, "lose disk")
-	}
 	result := &Rebuild{}
-	if err := f.rebuildFirst(ctx, data, result); err != nil {
-		return nil, errors.CombineErrors(err, f.stop())
-	}
-	if err := f.restartFirst(data, result); err != nil {
-		return nil, err
-	}
-	return result, f.stop()
+	err := withFleet(folder, replicaCount, func(f *fleet, data string) error {
+		if failed := f.runPrograms(ctx, "retained", programs, turns, turnBytes); failed > 0 {
+			return &FailedOperationsError{Count: failed}
+		}
+		if err := f.stopNode(0); err != nil {
+			return err
+		}
+		if err := os.RemoveAll(filepath.Join(data, f.stores[0].self.GetName())); err != nil {
+			return errors.Wrap(err, "lose disk")
+		}
+		if err := f.rebuildFirst(ctx, data, result); err != nil {
+			return err
+		}
+		return f.restartFirst(data, result)
+	})
+	return result, err
 }
 
 // rebuildFirst starts the first store without its data and waits until it has copied every shard.
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -3,14 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"strings"
 	"time"
-
-	"github.com/cockroachdb/errors"
 )
 
-// SteadyOptions describe a load that goes on for several keeping times.
+// SteadyOptions describe a load that goes on for several times its retention.
 type SteadyOptions struct {
 	TurnsPerSecond, TurnBytes int
 	Retention, Duration       time.Duration
@@ -18,7 +15,7 @@
 	TurnsOfProgram int
 }
 
-// Steady is what stores take over time under a steady load with a short keeping time.
+// Steady is what stores take over time under a steady load with a short retention.
 type Steady struct {
 	Samples []SteadySample
 	Failed  int64
@@ -47,17 +44,12 @@
 
 // MeasureSteady keeps a load up and looks at the stores ten times.
 func MeasureSteady(ctx context.Context, folder string, options SteadyOptions) (*Steady, error) {
-	data, err := os.MkdirTemp(folder, "storebench-")
-	if err != nil {
-		return nil, errors.Wrap(err, "make data folder")
-	}
-	defer func() { _ = os.RemoveAll(data) }()
-	f, err := startFleet(data, replicaCount)
-	if err != nil {
-		return nil, err
-	}
-	steady := f.runSteadily(ctx, options)
-	return steady, f.stop()
+	var steady *Steady
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+		steady = f.runSteadily(ctx, options)
+		return nil
+	})
+	return steady, err
 }
 
 const steadySamples = 10
@@ -84,20 +76,20 @@
 
 // beginPrograms begins programs at an even pace, each on its own, and closes the channel once all are over.
 func (f *fleet) beginPrograms(ctx context.Context, options SteadyOptions, ends time.Time, recorders chan<- *recorder) {
-	pause := time.Second * time.Duration(options.TurnsOfProgram) / time.Duration(options.TurnsPerSecond)
+	interval := time.Second * time.Duration(options.TurnsOfProgram) / time.Duration(options.TurnsPerSecond)
 	var finished []chan *recorder
 	for number := 0; time.Now().Before(ends) && ctx.Err() == nil; number++ {
 		done := make(chan *recorder, 1)
 		finished = append(finished, done)
 		go func() {
-			one := &caller{
+			program := &caller{
 				fleet: f, recorder: newRecorder(), begins: ends, text: strings.Repeat("x", options.TurnBytes),
-				turns: options.TurnsOfProgram, keepFor: options.Retention,
+				turns: options.TurnsOfProgram, retention: options.Retention,
 			}
-			one.runProgram(ctx, fmt.Sprintf("steady-%d", number), ends.Add(time.Minute))
-			done <- &recorder{failed: one.recorder.failed}
+			program.runProgram(ctx, fmt.Sprintf("steady-%d", number), ends.Add(time.Minute))
+			done <- &recorder{failed: program.recorder.failed}
 		}()
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 	for _, done := range finished {
 		recorders <- <-done
--- a/internal/state/store/storebench/usage.go
+++ b/internal/state/store/storebench/usage.go
@@ -3,11 +3,15 @@
 import (
 	"syscall"
 	"time"
+
+	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
-// usage is what a fleet took so far.
+// usage is what a fleet has consumed so far.
 type usage struct {
-	processor     time.Duration
+	// processor is the time of the whole process.
+	processor time.Duration
+	// changes and registerBytes are sums over all stores.
 	changes       float64
 	registerBytes float64
 }
@@ -22,24 +26,35 @@
 
 // usage sums up the processor time of the process and the counters of its stores.
 func (f *fleet) usage() usage {
-	var spent syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &spent)
-	total := usage{processor: time.Duration(spent.Utime.Nano() + spent.Stime.Nano())}
+	return usage{
+		processor:     processorTime(),
+		changes:       f.sumCounters("rosestand_store_register_changes_total", ""),
+		registerBytes: f.sumCounters("rosestand_store_written_bytes_total", datafolder.RegisterLog),
+	}
+}
+
+// sumCounters adds up a counter of all stores: the series whose first label has a value, or
+// all of them when the value is empty.
+func (f *fleet) sumCounters(name, labelValue string) float64 {
+	var total float64
 	for _, started := range f.stores {
 		families, _ := started.registry.Gather()
 		for _, family := range families {
+			if family.GetName() != name {
+				continue
+			}
 			for _, metric := range family.GetMetric() {
-				value := metric.GetCounter().GetValue()
-				switch family.GetName() {
-				case "rosestand_store_register_changes_total":
-					total.changes += value
-				case "rosestand_store_written_bytes_total":
-					if metric.GetLabel()[0].GetValue() == "registers" {
-						total.registerBytes += value
-					}
+				if labelValue == "" || metric.GetLabel()[0].GetValue() == labelValue {
+					total += metric.GetCounter().GetValue()
 				}
 			}
 		}
 	}
 	return total
 }
+
+func processorTime() time.Duration {
+	var spent syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &spent)
+	return time.Duration(spent.Utime.Nano() + spent.Stime.Nano())
+}
