--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -10,10 +10,10 @@
 	"github.com/rosestand/rosestand/internal/state/store"
 )
 
-// answerOf asks one store only, while time passes, and gives its result or why it has surely not begun.
-func (f *fleet) answerOf(name string, operation *protocol.LedgerOperation) (result *protocol.LedgerResult, refused *failure.Error) {
+// requestFrom asks one store only, while time passes, and gives its result or why it has surely not begun.
+func (f *fleet) requestFrom(name string, operation *protocol.LedgerOperation) (result *protocol.LedgerResult, refused *failure.Error) {
 	GinkgoHelper()
-	operation.PlacementEpoch = f.epochOf(operation)
+	operation.PlacementEpoch = f.shardEpoch(operation)
 	result = f.await(func() (*protocol.LedgerResult, error) {
 		ctx, cancel := boundedContext()
 		defer cancel()
@@ -34,13 +34,13 @@
 	return serving != nil && serving != former
 }
 
-func (f *fleet) stillStands(name string) {
+func (f *fleet) expectNotReplaced(name string) {
 	GinkgoHelper()
 	Expect(f.members[name].failure).NotTo(Receive(), "the process was told to end")
 }
 
 var _ = Describe("a store whose disk fails", func() {
-	It("given a full disk, then the store refuses, stays up, and serves all that was acknowledged once there is room", func() {
+	It("given a full disk, then the store rejects requests, stays up, and serves all that was acknowledged once there is space", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for range 20 {
@@ -52,7 +52,7 @@
 			p.takeTurn()
 			return !f.serving("a")
 		})
-		_, refused := f.answerOf("a", p.reserve())
+		_, refused := f.requestFrom("a", p.reserve())
 		Expect(refused).To(HaveOccurred())
 		Expect(refused.Code()).To(Equal(failure.Unavailable))
 		Expect(refused.Failure.GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
@@ -60,16 +60,16 @@
 			p.takeTurn()
 		}
 		Expect(f.serving("a")).To(BeFalse())
-		f.stillStands("a")
+		f.expectNotReplaced("a")
 
 		disk.SetCapacity(0)
 		f.until(func() bool { return f.serving("a") && f.inForce() })
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		for range 20 {
 			p.takeTurn()
 		}
-		p.expectKept()
-		f.stillStands("a")
+		p.expectRetained()
+		f.expectNotReplaced("a")
 	})
 
 	It("given a disk that runs full again and again, then nothing acknowledged is lost", func() {
@@ -85,16 +85,16 @@
 			})
 			disk.SetCapacity(0)
 			f.until(func() bool { return f.serving(name) && f.inForce() })
-			f.stillStands(name)
+			f.expectNotReplaced(name)
 		}
 		for _, cut := range f.names {
-			f.setCut(cut, true)
-			p.expectKept()
-			f.setCut(cut, false)
+			f.setPartitioned(cut, true)
+			p.expectRetained()
+			f.setPartitioned(cut, false)
 		}
 	})
 
-	It("given one failed sync, then the store goes on from what is on the disk; given another, the process ends", func() {
+	It("given one failed sync, then the store continues from what is on the disk; given another, the process ends", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
@@ -105,11 +105,11 @@
 			p.takeTurn()
 			return f.replaced("a", failing) && f.inForce()
 		})
-		f.stillStands("a")
-		f.setCut("c", true)
+		f.expectNotReplaced("a")
+		f.setPartitioned("c", true)
 		p.takeTurn()
-		p.expectKept()
-		f.setCut("c", false)
+		p.expectRetained()
+		f.setPartitioned("c", false)
 
 		f.members["a"].disk.FailSyncs(0, 1)
 		f.until(func() bool {
@@ -119,7 +119,7 @@
 		Expect(f.serving("a")).To(BeFalse())
 	})
 
-	It("given a disk that stalls, then the store answers what needs no sync, and goes on when the disk does", func() {
+	It("given a disk that stalls, then the store answers what needs no sync, and continues when the disk does", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
@@ -137,11 +137,11 @@
 		Expect(f.serving("a")).To(BeTrue())
 
 		disk.ResumeSyncs()
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		for range 10 {
 			p.takeTurn()
 		}
-		p.expectKept()
-		f.stillStands("a")
+		p.expectRetained()
+		f.expectNotReplaced("a")
 	})
 })
--- a/internal/state/store/failed_head_test.go
+++ b/internal/state/store/failed_head_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// askDirectly sends an operation to a store past the cuts.
-func (f *fleet) askDirectly(name string, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+// requestDirectly sends an operation to a store past the cuts.
+func (f *fleet) requestDirectly(name string, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	GinkgoHelper()
 	operation.PlacementEpoch = f.View().Placement.GetShards()[ledger.ShardOf(operation.GetProgram(), shardCount)].GetEpoch()
 	return f.await(func() (result *protocol.LedgerResult, err error) {
@@ -26,7 +26,7 @@
 	})
 }
 
-func claimOf(session string) *protocol.LedgerOperation {
+func newClaim(session string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
 		Session: session, Owner: "front-1", OwnerIncarnation: 1, Tenant: "tenant", Budget: 1_000,
 	}}}
@@ -35,13 +35,13 @@
 var _ = Describe("a store whose change failed", func() {
 	It("given a change that reached no other replica, when the store is back, then its next change overwrites nothing that the others chose", func() {
 		f := newFleet("a", "b", "c")
-		Expect(f.askDirectly("a", patience, claimOf("first")).GetStatus()).To(Equal(ok))
-		f.setCut("a", true)
-		Expect(f.askDirectly("a", shortTime, claimOf("second")).GetStatus()).To(Equal(unavailable))
-		Expect(f.ask("b", patience, claimOf("third")).GetStatus()).To(Equal(ok))
+		Expect(f.requestDirectly("a", awaitTimeout, newClaim("first")).GetStatus()).To(Equal(ok))
+		f.setPartitioned("a", true)
+		Expect(f.requestDirectly("a", shortTime, newClaim("second")).GetStatus()).To(Equal(unavailable))
+		Expect(f.ask("b", awaitTimeout, newClaim("third")).GetStatus()).To(Equal(ok))
 		f.clock.advance(20 * time.Second)
-		f.setCut("a", false)
-		Expect(f.askDirectly("a", patience, claimOf("fourth")).GetStatus()).To(Equal(ok))
+		f.setPartitioned("a", false)
+		Expect(f.requestDirectly("a", awaitTimeout, newClaim("fourth")).GetStatus()).To(Equal(ok))
 
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
 		var sessions []string
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -12,231 +12,233 @@
 )
 
 const (
-	badDaySteps    = 120
-	badDayPrograms = 5
-	// lookUpsAfterLoss are made while the store that lost its disk is rebuilt.
-	lookUpsAfterLoss = 20
+	scenarioSteps    = 120
+	scenarioPrograms = 5
+	// findsAfterLoss are made while the store that lost its disk is rebuilt.
+	findsAfterLoss = 20
 )
 
-// badDay breaks one store at a time, as a seed says, while programs take turns. The next store breaks
-// only when the one before is whole again, as soon as that.
-type badDay struct {
+// faultScenario injects a fault into one store at a time, by a seed, while programs take
+// turns. The next fault comes only when the store before is complete again, as soon as that.
+type faultScenario struct {
 	fleet    *fleet
 	random   *rand.Rand
 	programs []*program
-	// kept holds each acknowledged turn with its program.
-	kept    map[string]*program
-	ordered []string
-	// doubtful holds reservations without a clear answer, which may still be made.
-	doubtful []*protocol.LedgerOperation
-	// broken is the store that is away, empty when none is.
-	broken string
+	// acknowledged has each acknowledged turn with its program.
+	acknowledged map[string]*program
+	ordered      []string
+	// uncertain has reservations without a clear answer, which may still be made.
+	uncertain []*protocol.LedgerOperation
+	// faulty is the store that is away, empty when none is.
+	faulty string
 	log    []string
 }
 
-func newBadDay(seed uint64) *badDay { return newBadDayOn(newFleet("a", "b", "c", "d"), seed) }
+func newFaultScenario(seed uint64) *faultScenario {
+	return newFaultScenarioOn(newFleet("a", "b", "c", "d"), seed)
+}
 
-func newBadDayOn(stores *fleet, seed uint64) *badDay {
-	day := &badDay{
-		fleet:  stores,
-		random: rand.New(rand.NewPCG(seed, 11)),
-		kept:   map[string]*program{},
+func newFaultScenarioOn(stores *fleet, seed uint64) *faultScenario {
+	scenario := &faultScenario{
+		fleet:        stores,
+		random:       rand.New(rand.NewPCG(seed, 11)),
+		acknowledged: map[string]*program{},
 	}
-	for number := range badDayPrograms {
-		day.programs = append(day.programs, day.fleet.program(fmt.Sprintf("p%d", number)))
+	for number := range scenarioPrograms {
+		scenario.programs = append(scenario.programs, scenario.fleet.program(fmt.Sprintf("p%d", number)))
 	}
-	return day
+	return scenario
 }
 
-func (d *badDay) note(format string, arguments ...any) {
-	d.log = append(d.log, fmt.Sprintf(format, arguments...))
+func (s *faultScenario) record(format string, arguments ...any) {
+	s.log = append(s.log, fmt.Sprintf(format, arguments...))
 }
 
-func (d *badDay) history() string { return fmt.Sprint(d.log) }
+func (s *faultScenario) history() string { return fmt.Sprint(s.log) }
 
-// takeTurn lets a program go on; it may be refused when no majority is there.
-func (d *badDay) takeTurn() {
+// takeTurn lets a program continue; it may be rejected when there is no majority.
+func (s *faultScenario) takeTurn() {
 	GinkgoHelper()
-	p := d.programs[d.random.IntN(len(d.programs))]
-	reserved := d.fleet.do(p.reserve()).GetStatus()
-	Expect(reserved).To(Equal(ok), d.history)
-	operation := p.settle()
-	Expect(d.fleet.do(operation).GetStatus()).To(Equal(ok), d.history)
+	p := s.programs[s.random.IntN(len(s.programs))]
+	reserved := s.fleet.do(p.reserve()).GetStatus()
+	Expect(reserved).To(Equal(ok), s.history)
+	operation := p.commit()
+	Expect(s.fleet.do(operation).GetStatus()).To(Equal(ok), s.history)
 	turn := operation.GetSettleTurn().GetTurn().GetId()
 	p.turns = append(p.turns, turn)
-	d.kept[turn] = p
-	d.ordered = append(d.ordered, turn)
+	s.acknowledged[turn] = p
+	s.ordered = append(s.ordered, turn)
 }
 
-// lookUp asks one store for a kept turn, in two ways. It may be unable to tell, but must not deny it.
-func (d *badDay) lookUp() {
+// findTurn asks one store for a kept turn, in two ways. It may be unable to tell, but must not deny it.
+func (s *faultScenario) findTurn() {
 	GinkgoHelper()
-	if len(d.ordered) == 0 {
+	if len(s.ordered) == 0 {
 		return
 	}
-	turn := d.ordered[d.random.IntN(len(d.ordered))]
-	name := d.fleet.names[d.random.IntN(len(d.fleet.names))]
-	if d.fleet.running(name) == nil || d.fleet.isCut(name) || d.fleet.isFrozen(name) {
+	turn := s.ordered[s.random.IntN(len(s.ordered))]
+	name := s.fleet.names[s.random.IntN(len(s.fleet.names))]
+	if s.fleet.running(name) == nil || s.fleet.isPartitioned(name) || s.fleet.isSuspended(name) {
 		return
 	}
-	for _, operation := range []*protocol.LedgerOperation{d.kept[turn].readTurns(turn), find(turn)} {
-		Expect(d.fleet.tryOne(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn, d.history())
+	for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), find(turn)} {
+		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn, s.history())
 	}
 }
 
-// breakOne breaks a store in one of several ways.
-func (d *badDay) breakOne() {
-	if d.broken != "" && d.fleet.whole() {
-		d.moveOff(d.broken)
+// injectFault breaks a store in one of several ways.
+func (s *faultScenario) injectFault() {
+	if s.faulty != "" && s.fleet.isComplete() {
+		s.moveFrom(s.faulty)
 		return
 	}
-	if d.broken != "" || !d.fleet.whole() || !d.fleet.inForce() {
+	if s.faulty != "" || !s.fleet.isComplete() || !s.fleet.inForce() {
 		return
 	}
-	name := d.fleet.names[d.random.IntN(len(d.fleet.names))]
-	switch d.random.IntN(6) {
+	name := s.fleet.names[s.random.IntN(len(s.fleet.names))]
+	switch s.random.IntN(6) {
 	case 5:
-		d.note("freeze %s", name)
-		d.fleet.setStale(name, true)
-		d.fleet.freeze(name)
-		d.broken = name
+		s.record("suspend %s", name)
+		s.fleet.setStale(name, true)
+		s.fleet.suspend(name)
+		s.faulty = name
 	case 0:
-		d.note("cut %s", name)
-		d.fleet.setStale(name, true)
-		d.fleet.setCut(name, true)
-		d.broken = name
+		s.record("partition %s", name)
+		s.fleet.setStale(name, true)
+		s.fleet.setPartitioned(name, true)
+		s.faulty = name
 	case 1:
-		d.note("kill %s", name)
-		d.fleet.stopOne(name, false)
-		d.broken = name
+		s.record("kill %s", name)
+		s.fleet.stopOne(name, false)
+		s.faulty = name
 	case 2:
-		d.note("power %s", name)
-		d.fleet.stopOne(name, true)
-		d.broken = name
+		s.record("power %s", name)
+		s.fleet.stopOne(name, true)
+		s.faulty = name
 	case 3:
-		d.note("disk %s", name)
-		d.fleet.loseDisk(name)
-		for range lookUpsAfterLoss {
-			d.lookUp()
+		s.record("disk %s", name)
+		s.fleet.loseDisk(name)
+		for range findsAfterLoss {
+			s.findTurn()
 		}
 	default:
-		d.move()
+		s.move()
 	}
 }
 
 // move replaces one replica of a shard by a store that has none of it.
-func (d *badDay) move() {
-	shard := uint32(d.random.IntN(shardCount))
-	placed := d.fleet.View().Placement.GetShards()[shard]
-	spare := d.fleet.spareOf(placed)
-	from := placed.GetCurrent()[d.random.IntN(len(placed.GetCurrent()))].GetStore()
-	d.note("move %d from %s to %s", shard, from, spare)
-	d.fleet.move(shard, from, spare)
+func (s *faultScenario) move() {
+	shard := uint32(s.random.IntN(shardCount))
+	placed := s.fleet.View().Placement.GetShards()[shard]
+	spare := s.fleet.unplacedStore(placed)
+	from := placed.GetCurrent()[s.random.IntN(len(placed.GetCurrent()))].GetStore()
+	s.record("move %d from %s to %s", shard, from, spare)
+	s.fleet.move(shard, from, spare)
 }
 
-// moveOff gives a shard of a store that is away to the one that has none of it.
-func (d *badDay) moveOff(away string) {
-	for _, placed := range d.fleet.View().Placement.GetShards() {
-		spare := d.fleet.spareOf(placed)
+// moveFrom gives a shard of a store that is away to the one that has none of it.
+func (s *faultScenario) moveFrom(away string) {
+	for _, placed := range s.fleet.View().Placement.GetShards() {
+		spare := s.fleet.unplacedStore(placed)
 		if spare != away {
-			d.note("move %d from %s, which is away, to %s", placed.GetShard(), away, spare)
-			d.fleet.move(placed.GetShard(), away, spare)
-			d.fleet.until(d.fleet.whole)
+			s.record("move %d from %s, which is away, to %s", placed.GetShard(), away, spare)
+			s.fleet.move(placed.GetShard(), away, spare)
+			s.fleet.until(s.fleet.isComplete)
 			return
 		}
 	}
 }
 
-func (d *badDay) mendOne() {
+func (s *faultScenario) repairFault() {
 	GinkgoHelper()
-	if d.broken == "" {
+	if s.faulty == "" {
 		return
 	}
-	d.note("mend %s", d.broken)
-	if d.fleet.running(d.broken) == nil {
-		d.fleet.restart(d.broken)
+	s.record("repair %s", s.faulty)
+	if s.fleet.running(s.faulty) == nil {
+		s.fleet.restart(s.faulty)
 	} else {
-		if d.fleet.isFrozen(d.broken) {
-			d.fleet.thaw(d.broken)
+		if s.fleet.isSuspended(s.faulty) {
+			s.fleet.resume(s.faulty)
 		}
-		d.fleet.setCut(d.broken, false)
-		d.askStale(d.broken)
-		d.fleet.setStale(d.broken, false)
-		d.fleet.publish()
+		s.fleet.setPartitioned(s.faulty, false)
+		s.requestUnderStaleView(s.faulty)
+		s.fleet.setStale(s.faulty, false)
+		s.fleet.publish()
 	}
-	d.broken = ""
+	s.faulty = ""
 }
 
-// askStale asks a store that is back and still has the placement of before, as callers do that have it too.
-func (d *badDay) askStale(name string) {
+// requestUnderStaleView asks a store that is back and still has the placement of before, as callers do that have it too.
+func (s *faultScenario) requestUnderStaleView(name string) {
 	GinkgoHelper()
-	old := d.fleet.viewOf(name)
-	for _, turn := range d.ordered {
-		for _, operation := range []*protocol.LedgerOperation{d.kept[turn].readTurns(turn), find(turn)} {
-			answer := d.fleet.tryUnder(name, shardOf(old, operation).GetEpoch(), operation)
-			Expect(answer.GetStatus()).NotTo(Equal(missing), "stale %s denies %s: %s", name, turn, d.history())
+	old := s.fleet.viewFor(name)
+	for _, turn := range s.ordered {
+		for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), find(turn)} {
+			answer := s.fleet.attemptUnder(name, placedShard(old, operation).GetEpoch(), operation)
+			Expect(answer.GetStatus()).NotTo(Equal(missing), "stale %s denies %s: %s", name, turn, s.history())
 		}
 	}
-	for _, p := range d.programs {
+	for _, p := range s.programs {
 		reserve := p.reserve()
-		before := shardOf(old, reserve)
-		if before.GetEpoch() == d.fleet.epochOf(reserve) {
+		before := placedShard(old, reserve)
+		if before.GetEpoch() == s.fleet.shardEpoch(reserve) {
 			continue
 		}
-		answer := d.fleet.tryUnder(name, before.GetEpoch(), reserve)
+		answer := s.fleet.attemptUnder(name, before.GetEpoch(), reserve)
 		if status := answer.GetStatus(); status == unavailable || status == protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT {
-			d.doubtful = append(d.doubtful, reserve)
+			s.uncertain = append(s.uncertain, reserve)
 		}
-		Expect(answer.GetStatus()).NotTo(Equal(ok), "stale %s reserved: %s", name, d.history())
+		Expect(answer.GetStatus()).NotTo(Equal(ok), "stale %s reserved: %s", name, s.history())
 	}
 }
 
-// powerOff takes the power of all stores at once.
-func (d *badDay) powerOff() {
+// losePower takes the power of all stores at once.
+func (s *faultScenario) losePower() {
 	GinkgoHelper()
-	d.mendOne()
-	d.fleet.until(d.fleet.whole)
-	d.note("power of all")
-	for _, name := range d.fleet.names {
-		d.fleet.stopOne(name, true)
+	s.repairFault()
+	s.fleet.until(s.fleet.isComplete)
+	s.record("power of all")
+	for _, name := range s.fleet.names {
+		s.fleet.stopOne(name, true)
 	}
-	for _, name := range d.fleet.names {
-		d.fleet.restart(name)
+	for _, name := range s.fleet.names {
+		s.fleet.restart(name)
 	}
 }
 
-func (d *badDay) run() {
+func (s *faultScenario) run() {
 	GinkgoHelper()
-	for range badDaySteps {
-		switch choice := d.random.IntN(20); {
+	for range scenarioSteps {
+		switch choice := s.random.IntN(20); {
 		case choice < 9:
-			d.takeTurn()
+			s.takeTurn()
 		case choice < 13:
-			d.lookUp()
+			s.findTurn()
 		case choice < 16:
-			d.breakOne()
+			s.injectFault()
 		case choice < 19:
-			d.mendOne()
+			s.repairFault()
 		default:
-			d.powerOff()
+			s.losePower()
 		}
 	}
-	d.mendOne()
-	d.fleet.until(d.fleet.whole)
-	for _, p := range d.programs {
+	s.repairFault()
+	s.fleet.until(s.fleet.isComplete)
+	for _, p := range s.programs {
 		if len(p.turns) > 0 {
-			p.expectKept()
+			p.expectRetained()
 		}
 	}
 }
 
-func (f *fleet) isCut(name string) bool {
+func (f *fleet) isPartitioned(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.cut[name]
+	return f.partitioned[name]
 }
 
-func (f *fleet) spareOf(placed *protocol.ShardPlacement) string {
+func (f *fleet) unplacedStore(placed *protocol.ShardPlacement) string {
 	for _, name := range f.names {
 		holds := false
 		for _, replica := range placed.GetCurrent() {
@@ -249,12 +251,12 @@
 	return ""
 }
 
-// tryOne asks one store once and takes a failure for no answer.
-func (f *fleet) tryOne(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	return f.tryUnder(name, f.epochOf(operation), operation)
+// attemptOnce asks one store once and takes a failure for no answer.
+func (f *fleet) attemptOnce(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+	return f.attemptUnder(name, f.shardEpoch(operation), operation)
 }
 
-func (f *fleet) tryUnder(name string, epoch uint64, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+func (f *fleet) attemptUnder(name string, epoch uint64, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation = proto.CloneOf(operation)
 	operation.PlacementEpoch = epoch
 	return f.await(func() (*protocol.LedgerResult, error) {
@@ -268,8 +270,8 @@
 	})
 }
 
-var _ = Describe("stores on bad days", func() {
+var _ = Describe("stores with one fault after another", func() {
 	for seed := range uint64(8) {
-		It(fmt.Sprintf("keep what they acknowledged, seed %d", seed), func() { newBadDay(seed).run() })
+		It(fmt.Sprintf("keep what they acknowledged, seed %d", seed), func() { newFaultScenario(seed).run() })
 	}
 })
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -28,15 +28,15 @@
 
 const (
 	shardCount = 4
-	// usualReplicas are those of each shard of a fleet that bears one loss.
-	usualReplicas = 3
-	segmentBytes  = 16 << 10
-	// usualPace makes timers short and leaves a machine that is busy time for what a deadline of seconds bounds.
-	usualPace = 5
-	// usualPeerTimeout lets stores go on soon without one that is frozen.
-	usualPeerTimeout = 100 * time.Millisecond
-	// patience bounds how long a test looks for something that must come.
-	patience = 20 * time.Second
+	// defaultReplicas are those of each shard of a fleet that bears one loss.
+	defaultReplicas = 3
+	segmentBytes    = 16 << 10
+	// defaultPace makes timers short and leaves a machine that is busy time for what a deadline of seconds bounds.
+	defaultPace = 5
+	// defaultPeerTimeout lets stores go on soon without one that is frozen.
+	defaultPeerTimeout = 100 * time.Millisecond
+	// awaitTimeout bounds how long a test awaits something that must come.
+	awaitTimeout = 20 * time.Second
 )
 
 func TestStore(t *testing.T) {
@@ -126,49 +126,50 @@
 
 	mutex sync.Mutex
 	view  *corelink.View
-	cut   map[string]bool
-	// frozen stores hear and say nothing until the channel is closed; what was sent to them arrives then.
-	frozen map[string]chan struct{}
-	// stale holds the views of stores that do not hear the core.
+	// partitioned stores neither send nor receive.
+	partitioned map[string]bool
+	// suspended stores receive and send nothing until the channel is closed; what was sent to them arrives then.
+	suspended map[string]chan struct{}
+	// stale has the views of stores that receive no new ones.
 	stale     map[string]*corelink.View
 	intercept func(to string, request *protocol.Request)
 }
 
 func newFleet(names ...string) *fleet {
-	f := emptyFleet(names...)
-	f.found(usualReplicas)
+	f := newStoppedFleet(names...)
+	f.found(defaultReplicas)
 	return f
 }
 
 // newFleetOn puts something between each store and its disk.
 func newFleetOn(wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string) *fleet {
-	return newFleetOf(usualReplicas, wrap, names...)
+	return newFleetOf(defaultReplicas, wrap, names...)
 }
 
 // newFleetOf places each shard on the first stores.
 func newFleetOf(replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string) *fleet {
-	f := emptyFleet(names...)
+	f := newStoppedFleet(names...)
 	f.wrap = wrap
 	f.found(replicas)
 	return f
 }
 
-// newPatientFleet is a fleet whose stores wait for each other as long as a test does, so that none takes another for
-// silent because the machine is busy. It is for what is asked once only.
-func newPatientFleet(names ...string) *fleet {
-	f := emptyFleet(names...)
-	f.peerTimeout, f.pace = patience, 1
-	f.found(usualReplicas)
+// newUnhurriedFleet is a fleet whose stores wait for each other as long as a test does, so that none takes another for
+// unresponsive because the machine is busy. It is for what is requested once only.
+func newUnhurriedFleet(names ...string) *fleet {
+	f := newStoppedFleet(names...)
+	f.peerTimeout, f.pace = awaitTimeout, 1
+	f.found(defaultReplicas)
 	return f
 }
 
-// emptyFleet is a fleet before its stores are started.
-func emptyFleet(names ...string) *fleet {
+// newStoppedFleet is a fleet before its stores are started.
+func newStoppedFleet(names ...string) *fleet {
 	return &fleet{
 		wrap:  func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem },
-		clock: newTestClock(), members: map[string]*member{}, names: names, cut: map[string]bool{},
-		stale: map[string]*corelink.View{}, frozen: map[string]chan struct{}{}, view: &corelink.View{},
-		pace: usualPace, peerTimeout: usualPeerTimeout,
+		clock: newTestClock(), members: map[string]*member{}, names: names, partitioned: map[string]bool{},
+		stale: map[string]*corelink.View{}, suspended: map[string]chan struct{}{}, view: &corelink.View{},
+		pace: defaultPace, peerTimeout: defaultPeerTimeout,
 	}
 }
 
@@ -235,7 +236,7 @@
 // stopOne ends one process; what it had not synced is lost when power is.
 func (f *fleet) stopOne(name string, powerLoss bool) {
 	m := f.members[name]
-	f.setCut(name, true)
+	f.setPartitioned(name, true)
 	stopping := f.running(name)
 	f.mutex.Lock()
 	m.store = nil
@@ -248,7 +249,7 @@
 
 func (f *fleet) restart(name string) {
 	f.start(name)
-	f.setCut(name, false)
+	f.setPartitioned(name, false)
 	f.publish()
 }
 
@@ -262,13 +263,13 @@
 func (f *fleet) restartEmpty(name string) {
 	f.members[name].disk.Lose()
 	f.start(name)
-	f.setCut(name, false)
+	f.setPartitioned(name, false)
 	var changed []*protocol.ShardPlacement
 	for _, placed := range f.View().Placement.GetShards() {
 		placed = proto.CloneOf(placed)
-		for place, held := range placed.GetCurrent() {
-			if held.GetStore() == name {
-				placed.Current[place] = f.replica(name, protocol.ReplicaState_REPLICA_REBUILDING)
+		for i, replica := range placed.GetCurrent() {
+			if replica.GetStore() == name {
+				placed.Current[i] = f.replica(name, protocol.ReplicaState_REPLICA_REBUILDING)
 			}
 		}
 		changed = append(changed, placed)
@@ -276,10 +277,10 @@
 	f.publish(changed...)
 }
 
-func (f *fleet) setCut(name string, cut bool) {
+func (f *fleet) setPartitioned(name string, partitioned bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.cut[name] = cut
+	f.partitioned[name] = partitioned
 }
 
 // publish puts a placement with changed shards in force, under the next epoch.
@@ -314,27 +315,27 @@
 	return f.view
 }
 
-func (f *fleet) freeze(name string) {
+func (f *fleet) suspend(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.frozen[name] = make(chan struct{})
+	f.suspended[name] = make(chan struct{})
 }
 
-func (f *fleet) thaw(name string) {
+func (f *fleet) resume(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	close(f.frozen[name])
-	delete(f.frozen, name)
+	close(f.suspended[name])
+	delete(f.suspended, name)
 }
 
-func (f *fleet) isFrozen(name string) bool {
+func (f *fleet) isSuspended(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.frozen[name] != nil
+	return f.suspended[name] != nil
 }
 
-// viewOf gives the view that a store has.
-func (f *fleet) viewOf(name string) *corelink.View {
+// viewFor gives the view that a store has.
+func (f *fleet) viewFor(name string) *corelink.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if old := f.stale[name]; old != nil {
@@ -343,7 +344,7 @@
 	return f.view
 }
 
-// setStale keeps a store from hearing of new views, or lets it hear of the newest.
+// setStale keeps new views from a store, or lets it have the newest.
 func (f *fleet) setStale(name string, stale bool) {
 	f.mutex.Lock()
 	delete(f.stale, name)
@@ -359,11 +360,11 @@
 // move begins to replace a store by another in one shard.
 func (f *fleet) move(shard uint32, from, to string) {
 	placed := proto.CloneOf(f.View().Placement.GetShards()[shard])
-	for _, held := range placed.GetCurrent() {
-		if held.GetStore() == from {
+	for _, replica := range placed.GetCurrent() {
+		if replica.GetStore() == from {
 			placed.Next = append(placed.Next, f.replica(to, protocol.ReplicaState_REPLICA_REBUILDING))
 		} else {
-			placed.Next = append(placed.Next, proto.CloneOf(held))
+			placed.Next = append(placed.Next, proto.CloneOf(replica))
 		}
 	}
 	f.publish(placed)
@@ -378,9 +379,9 @@
 	if len(placed.GetNext()) > 0 {
 		placed.Current, placed.Next = placed.GetNext(), nil
 	}
-	for _, held := range placed.GetCurrent() {
-		if held.GetStore() == copied.GetStore() && held.GetStorageId() == copied.GetStorageId() {
-			held.State = protocol.ReplicaState_REPLICA_ACTIVE
+	for _, replica := range placed.GetCurrent() {
+		if replica.GetStore() == copied.GetStore() && replica.GetStorageId() == copied.GetStorageId() {
+			replica.State = protocol.ReplicaState_REPLICA_ACTIVE
 		}
 	}
 	f.publish(placed)
@@ -389,7 +390,7 @@
 // until lets time pass until the condition holds.
 func (f *fleet) until(condition func() bool) {
 	GinkgoHelper()
-	ends := time.Now().Add(patience)
+	ends := time.Now().Add(awaitTimeout)
 	for !condition() {
 		Expect(time.Now().Before(ends)).To(BeTrue(), "it never came")
 		f.clock.advance(50 * time.Millisecond)
@@ -397,26 +398,26 @@
 }
 
 // inForce reports whether every store that can be reached acts under the placement published last.
-func (f *fleet) inForce() bool { return f.inForceBut() }
+func (f *fleet) inForce() bool { return f.inForceExcept() }
 
-// inForceBut is inForce without regard to stores that are away.
-func (f *fleet) inForceBut(away ...string) bool {
+// inForceExcept is inForce without regard to stores that are away.
+func (f *fleet) inForceExcept(away ...string) bool {
 	for name, m := range f.members {
-		if !slices.Contains(away, name) && !f.cut[name] && m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
+		if !slices.Contains(away, name) && !f.partitioned[name] && m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
 			return false
 		}
 	}
 	return true
 }
 
-// whole reports whether no shard is copied any more.
-func (f *fleet) whole() bool {
+// isComplete reports whether no shard is copied any more.
+func (f *fleet) isComplete() bool {
 	for _, placed := range f.View().Placement.GetShards() {
 		if len(placed.GetNext()) > 0 {
 			return false
 		}
-		for _, held := range placed.GetCurrent() {
-			if held.GetState() != protocol.ReplicaState_REPLICA_ACTIVE {
+		for _, replica := range placed.GetCurrent() {
+			if replica.GetState() != protocol.ReplicaState_REPLICA_ACTIVE {
 				return false
 			}
 		}
@@ -426,7 +427,7 @@
 
 func (f *fleet) client() *ledgerclient.Client {
 	return ledgerclient.New(&network{fleet: f}, f.View, ledgerclient.Options{
-		Deadline: patience,
+		Deadline: awaitTimeout,
 		Wait:     func(_ context.Context, wait time.Duration) { f.clock.advance(wait) },
 	})
 }
@@ -441,7 +442,7 @@
 func (f *fleet) ask(name string, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	GinkgoHelper()
 	operation = proto.CloneOf(operation)
-	operation.PlacementEpoch = f.epochOf(operation)
+	operation.PlacementEpoch = f.shardEpoch(operation)
 	return f.await(func() (*protocol.LedgerResult, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
@@ -450,12 +451,12 @@
 	})
 }
 
-// epochOf gives the epoch of the shard that an operation is about.
-func (f *fleet) epochOf(operation *protocol.LedgerOperation) uint64 {
-	return shardOf(f.View(), operation).GetEpoch()
+// shardEpoch gives the epoch of the shard that an operation is about.
+func (f *fleet) shardEpoch(operation *protocol.LedgerOperation) uint64 {
+	return placedShard(f.View(), operation).GetEpoch()
 }
 
-func shardOf(view *corelink.View, operation *protocol.LedgerOperation) *protocol.ShardPlacement {
+func placedShard(view *corelink.View, operation *protocol.LedgerOperation) *protocol.ShardPlacement {
 	return view.Placement.GetShards()[ledger.ShardOf(operation.GetProgram(), shardCount)]
 }
 
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -13,76 +13,76 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// heldDisk holds back the syncs of turn segments while it is closed.
-type heldDisk struct {
+// blockingDisk holds back the syncs of turn segments while it is closed.
+type blockingDisk struct {
 	storage.Filesystem
-	mutex  sync.Mutex
-	opened chan struct{}
-	held   chan struct{}
+	mutex   sync.Mutex
+	opened  chan struct{}
+	blocked chan struct{}
 }
 
-func newHeldDisk(filesystem storage.Filesystem) *heldDisk {
-	return &heldDisk{Filesystem: filesystem, held: make(chan struct{}, 1)}
+func newBlockingDisk(filesystem storage.Filesystem) *blockingDisk {
+	return &blockingDisk{Filesystem: filesystem, blocked: make(chan struct{}, 1)}
 }
 
-func (d *heldDisk) close() {
+func (d *blockingDisk) close() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.opened = make(chan struct{})
 }
 
-func (d *heldDisk) open() {
+func (d *blockingDisk) open() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	close(d.opened)
 	d.opened = nil
 }
 
-func (d *heldDisk) pass() {
+func (d *blockingDisk) pass() {
 	d.mutex.Lock()
 	opened := d.opened
 	d.mutex.Unlock()
 	if opened != nil {
-		d.held <- struct{}{}
+		d.blocked <- struct{}{}
 		<-opened
 	}
 }
 
-func (d *heldDisk) Create(path string) (storage.File, error) {
+func (d *blockingDisk) Create(path string) (storage.File, error) {
 	return d.wrap(path)(d.Filesystem.Create(path))
 }
 
-func (d *heldDisk) Open(path string) (storage.File, error) {
+func (d *blockingDisk) Open(path string) (storage.File, error) {
 	return d.wrap(path)(d.Filesystem.Open(path))
 }
 
-func (d *heldDisk) wrap(path string) func(storage.File, error) (storage.File, error) {
+func (d *blockingDisk) wrap(path string) func(storage.File, error) (storage.File, error) {
 	return func(file storage.File, err error) (storage.File, error) {
 		if err != nil || !strings.Contains(path, "turns") {
 			return file, err
 		}
-		return &heldFile{File: file, disk: d}, nil
+		return &blockingFile{File: file, disk: d}, nil
 	}
 }
 
-type heldFile struct {
+type blockingFile struct {
 	storage.File
-	disk *heldDisk
+	disk *blockingDisk
 }
 
-func (f *heldFile) Sync() error {
+func (f *blockingFile) Sync() error {
 	f.disk.pass()
 	return f.File.Sync()
 }
 
-var _ = Describe("a turn whose write is under way while its shard moves", func() {
+var _ = Describe("a turn whose write is in flight while its shard moves", func() {
 	It("given a new placement in force before the write is durable, when it is, then it counts under no older placement", func() {
-		var disk *heldDisk
+		var disk *blockingDisk
 		f := newFleetOn(func(name string, filesystem storage.Filesystem) storage.Filesystem {
 			if name != "a" {
 				return filesystem
 			}
-			disk = newHeldDisk(filesystem)
+			disk = newBlockingDisk(filesystem)
 			return disk
 		}, "a", "b", "c", "d")
 		before := f.View().Placement.GetShards()[0].GetEpoch()
@@ -99,7 +99,7 @@
 				return nil
 			})).To(Succeed())
 		}()
-		<-disk.held
+		<-disk.blocked
 		f.move(0, "c", "d")
 		f.until(func() bool { return f.running("a").Status().GetPlacementEpoch() > before })
 		disk.open()
--- a/internal/state/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -21,21 +21,21 @@
 func (n *network) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
 	n.fleet.mutex.Lock()
 	to := n.fleet.members[address].store
-	cut := n.fleet.cut[address] || n.fleet.cut[n.from]
+	partitioned := n.fleet.partitioned[address] || n.fleet.partitioned[n.from]
 	intercept := n.fleet.intercept
-	thawed := n.fleet.frozen[address]
-	if from := n.fleet.frozen[n.from]; from != nil {
-		thawed = from
+	resumed := n.fleet.suspended[address]
+	if from := n.fleet.suspended[n.from]; from != nil {
+		resumed = from
 	}
 	n.fleet.mutex.Unlock()
-	if cut || to == nil {
-		return nil, &wire.NotSentError{Address: address, Cause: errors.New("cut")}
+	if partitioned || to == nil {
+		return nil, &wire.NotSentError{Address: address, Cause: errors.New("partitioned")}
 	}
 	if intercept != nil {
 		intercept(address, request)
 	}
-	if thawed != nil {
-		return n.callLater(ctx, thawed, to, request)
+	if resumed != nil {
+		return n.callLater(ctx, resumed, to, request)
 	}
 	return serve(ctx, to, request)
 }
@@ -49,8 +49,8 @@
 	return answer, err
 }
 
-// callLater delivers a request once the frozen store wakes, whether or not its caller still waits.
-func (n *network) callLater(ctx context.Context, thawed <-chan struct{}, to *store.Supervisor, request *protocol.Request) (*protocol.Response, error) {
+// callLater delivers a request once the suspended store resumes, whether or not its caller still waits.
+func (n *network) callLater(ctx context.Context, resumed <-chan struct{}, to *store.Supervisor, request *protocol.Request) (*protocol.Response, error) {
 	type answered struct {
 		response *protocol.Response
 		err      error
@@ -58,7 +58,7 @@
 	answers := make(chan answered, 1)
 	copied := proto.CloneOf(request)
 	go func() {
-		<-thawed
+		<-resumed
 		response, err := serve(context.Background(), to, copied)
 		answers <- answered{response: response, err: err}
 	}()
@@ -80,7 +80,7 @@
 	store string
 }
 
-func (l *link) View() *corelink.View                     { return l.fleet.viewOf(l.store) }
+func (l *link) View() *corelink.View                     { return l.fleet.viewFor(l.store) }
 func (l *link) Ready() bool                              { return true }
 func (l *link) LocateCore() *protocol.LocateCoreResponse { return &protocol.LocateCoreResponse{} }
 
--- a/internal/state/store/program_test.go
+++ b/internal/state/store/program_test.go
@@ -20,21 +20,21 @@
 	requests int
 	// padding lengthens the text of each turn.
 	padding string
-	// keepFor is how long turns are kept; zero leaves it to the ledger.
-	keepFor time.Duration
+	// retention is how long turns are kept; zero leaves it to the ledger.
+	retention time.Duration
 	// previousProgram is the program of the turn that the first turn continues.
 	previousProgram, previousTurn string
 }
 
 func (f *fleet) program(name string) *program {
 	GinkgoHelper()
-	return f.keptProgram(name, 0)
+	return f.programWithRetention(name, 0)
 }
 
-// keptProgram is a program that names how long its turns are kept.
-func (f *fleet) keptProgram(name string, keepFor time.Duration) *program {
+// programWithRetention is a program that names how long its turns are kept.
+func (f *fleet) programWithRetention(name string, retention time.Duration) *program {
 	GinkgoHelper()
-	p := &program{fleet: f, name: name, keepFor: keepFor}
+	p := &program{fleet: f, name: name, retention: retention}
 	p.claim("front-1", 1)
 	return p
 }
@@ -43,7 +43,7 @@
 	GinkgoHelper()
 	result := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
 		Session: p.name, Owner: owner, OwnerIncarnation: incarnation, Tenant: "tenant", Budget: 1_000_000,
-		KeepingMillis: p.keepFor.Milliseconds(),
+		KeepingMillis: p.retention.Milliseconds(),
 	}}})
 	Expect(result.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	p.epoch = result.GetEpoch()
@@ -64,7 +64,7 @@
 	}}}
 }
 
-func (p *program) settle() *protocol.LedgerOperation {
+func (p *program) commit() *protocol.LedgerOperation {
 	request := fmt.Sprintf("%s-r%d", p.name, p.requests)
 	now := p.fleet.clock.Now()
 	turn := &protocol.Turn{
@@ -74,8 +74,8 @@
 	if len(p.turns) == 0 {
 		turn.PreviousProgram = p.previousProgram
 	}
-	if p.keepFor > 0 {
-		turn.KeepUntilMillis = now.Add(p.keepFor).UnixMilli()
+	if p.retention > 0 {
+		turn.KeepUntilMillis = now.Add(p.retention).UnixMilli()
 	}
 	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
 		RequestId: request, Session: p.name, Epoch: p.epoch, Tokens: 7, Turn: turn,
@@ -85,12 +85,12 @@
 func (p *program) takeTurn() {
 	GinkgoHelper()
 	Expect(p.fleet.do(p.reserve()).GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
-	p.finishTurn()
+	p.completeTurn()
 }
 
-func (p *program) finishTurn() {
+func (p *program) completeTurn() {
 	GinkgoHelper()
-	operation := p.settle()
+	operation := p.commit()
 	Expect(p.fleet.do(operation).GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	p.turns = append(p.turns, operation.GetSettleTurn().GetTurn().GetId())
 }
@@ -105,8 +105,8 @@
 	}}}
 }
 
-// expectKept reads everything that was acknowledged.
-func (p *program) expectKept() {
+// expectRetained reads everything that was acknowledged.
+func (p *program) expectRetained() {
 	GinkgoHelper()
 	record := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReadProgram{}})
 	Expect(record.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
@@ -114,8 +114,8 @@
 	history := p.fleet.do(p.readTurns(p.last()))
 	Expect(history.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	Expect(history.GetTurns()).To(HaveLen(len(p.turns)))
-	for place, turn := range history.GetTurns() {
-		Expect(turn.GetId()).To(Equal(p.turns[len(p.turns)-1-place]))
+	for number, turn := range history.GetTurns() {
+		Expect(turn.GetId()).To(Equal(p.turns[len(p.turns)-1-number]))
 	}
 }
 
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -75,11 +75,11 @@
 	if damaged != 1 || fatal == nil {
 		t.Fatalf("%d turns were damaged, and the store ended with %v", damaged, fatal)
 	}
-	anew := reopen(t, path)
-	if anew.Lost == nil || anew.StorageID == folder.StorageID {
-		t.Fatalf("the next start kept the damaged log: %v", anew.Lost)
+	replacement := reopen(t, path)
+	if replacement.Lost == nil || replacement.StorageID == folder.StorageID {
+		t.Fatalf("the next start kept the damaged log: %v", replacement.Lost)
 	}
-	if err := anew.Close(); err != nil {
+	if err := replacement.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -10,17 +10,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a replica that is asked to keep a turn twice", func() {
-	It("keeps it as long as the later request says, also while the first is being written", func() {
-		f := newPatientFleet("a", "b", "c")
+var _ = Describe("a replica that is requested to retain a turn twice", func() {
+	It("retains it as long as the later request says, also while the first is being written", func() {
+		f := newUnhurriedFleet("a", "b", "c")
 		now := f.clock.Now()
 		shorter := &protocol.Turn{
 			Id: "turn", Program: "p", Session: "p", RequestId: "r",
-			KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(keepingTwelfth).UnixMilli(),
+			KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(retentionTwelfth).UnixMilli(),
 		}
 		longer := proto.CloneOf(shorter)
-		longer.KeepUntilMillis = now.Add(keepFor).UnixMilli()
-		shard := shardOf(f.View(), &protocol.LedgerOperation{Program: "p"})
+		longer.KeepUntilMillis = now.Add(retention).UnixMilli()
+		shard := placedShard(f.View(), &protocol.LedgerOperation{Program: "p"})
 		batch := &protocol.RequestBatch{}
 		for _, turn := range []*protocol.Turn{shorter, longer} {
 			batch.Requests = append(batch.Requests, &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
@@ -29,9 +29,9 @@
 		}
 		ctx, cancel := boundedContext()
 		defer cancel()
-		kept, err := (&network{fleet: f}).Call(ctx, "a", &protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
+		response, err := (&network{fleet: f}).Call(ctx, "a", &protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.GetStoreBatch().GetResponses()).To(HaveLen(2))
+		Expect(response.GetStoreBatch().GetResponses()).To(HaveLen(2))
 		found := f.ask("a", 5*time.Second, find("turn"))
 		Expect(found.GetTurns()).To(HaveLen(1))
 		Expect(found.GetTurns()[0].GetKeepUntilMillis()).To(Equal(longer.GetKeepUntilMillis()))
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// keepFor is far more than can pass on the clock of a fleet while something is awaited: fleet.until moves it
+	// retention is far more than can pass on the clock of a fleet while something is awaited: fleet.until moves it
 	// 50 ms a look, so a turn that only the scrub brings to a store costs ten minutes, and a slow wait hours.
-	keepFor = 30 * 24 * time.Hour
-	// keepingTwelfth is the unit of the jumps within keepFor, and the least that they leave to what is awaited.
-	keepingTwelfth = keepFor / 12
-	// briefly is the shortest keeping time.
-	briefly = 2 * time.Minute
+	retention = 30 * 24 * time.Hour
+	// retentionTwelfth is the unit of the jumps within retention, and the least that they leave to what is awaited.
+	retentionTwelfth = retention / 12
+	// minRetention is the shortest keeping time.
+	minRetention = 2 * time.Minute
 )
 
 // pass lets so much time pass in small steps.
@@ -28,8 +28,8 @@
 	f.until(func() bool { return !f.clock.Now().Before(ends) })
 }
 
-// turnsHeld gives the number of turns that each running store holds.
-func (f *fleet) turnsHeld() []uint64 {
+// turnCounts gives the number of turns that each running store holds.
+func (f *fleet) turnCounts() []uint64 {
 	var counts []uint64
 	for _, name := range f.names {
 		if running := f.running(name); running != nil {
@@ -39,11 +39,11 @@
 	return counts
 }
 
-// allHold waits until every running store holds so many turns: a settle is answered once a majority does.
-func (f *fleet) allHold(turns uint64) {
+// awaitTurns waits until every running store holds so many turns: a settle is answered once a majority does.
+func (f *fleet) awaitTurns(turns uint64) {
 	GinkgoHelper()
 	f.until(func() bool {
-		return !slices.ContainsFunc(f.turnsHeld(), func(held uint64) bool { return held != turns })
+		return !slices.ContainsFunc(f.turnCounts(), func(count uint64) bool { return count != turns })
 	})
 }
 
@@ -62,51 +62,51 @@
 	return &protocol.LedgerOperation{Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: turn}}}
 }
 
-var _ = Describe("a chain of turns with a short keeping time", func() {
-	It("is kept as a whole as long as its last turn, and then forgotten by every store", func() {
+var _ = Describe("a chain of turns with a short retention", func() {
+	It("is retained in full as long as its last turn, and then removed by every store", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", keepFor)
+		p := f.programWithRetention("p", retention)
 		p.takeTurn()
-		f.allHold(1)
-		f.clock.advance(11 * keepingTwelfth)
+		f.awaitTurns(1)
+		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
-		f.allHold(2)
-		f.clock.advance(10 * keepingTwelfth)
+		f.awaitTurns(2)
+		f.clock.advance(10 * retentionTwelfth)
 		f.pass(2 * time.Minute)
-		p.expectKept()
-		Expect(f.turnsHeld()).To(HaveEach(BeEquivalentTo(2)))
-		f.clock.advance(2 * keepingTwelfth)
+		p.expectRetained()
+		Expect(f.turnCounts()).To(HaveEach(BeEquivalentTo(2)))
+		f.clock.advance(2 * retentionTwelfth)
 		f.until(func() bool {
 			// A look costs a read, so each is given more time than until gives.
 			f.clock.advance(time.Second)
 			return f.do(p.readTurns(p.last())).GetStatus() == missing
 		})
-		f.allHold(0)
+		f.awaitTurns(0)
 	})
 
-	It("is kept as a whole by a store that only the scrub brings the first turn", func() {
+	It("is retained in full by a store that only the scrub brings the first turn", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", keepFor)
-		f.setCut("c", true)
+		p := f.programWithRetention("p", retention)
+		f.setPartitioned("c", true)
 		p.takeTurn()
-		f.setCut("c", false)
-		f.allHold(1)
-		f.clock.advance(11 * keepingTwelfth)
+		f.setPartitioned("c", false)
+		f.awaitTurns(1)
+		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
-		f.allHold(2)
-		f.clock.advance(10 * keepingTwelfth)
+		f.awaitTurns(2)
+		f.clock.advance(10 * retentionTwelfth)
 		f.pass(2 * time.Minute)
-		f.setCut("a", true)
-		p.expectKept()
+		f.setPartitioned("a", true)
+		p.expectRetained()
 	})
 
-	It("is kept as a whole also when all stores lose power meanwhile", func() {
+	It("is retained in full also when all stores lose power meanwhile", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", keepFor)
+		p := f.programWithRetention("p", retention)
 		p.takeTurn()
-		f.clock.advance(11 * keepingTwelfth)
+		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
-		f.clock.advance(8 * keepingTwelfth)
+		f.clock.advance(8 * retentionTwelfth)
 		f.pass(2 * time.Minute)
 		for _, name := range f.names {
 			f.stopOne(name, true)
@@ -115,53 +115,53 @@
 			f.restart(name)
 		}
 		f.until(f.inForce)
-		p.expectKept()
+		p.expectRetained()
 	})
 
-	It("is kept as a whole by a store that was away when it began", func() {
+	It("is retained in full by a store that was away when it began", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", keepFor)
-		f.setCut("c", true)
+		p := f.programWithRetention("p", retention)
+		f.setPartitioned("c", true)
 		p.takeTurn()
 		p.takeTurn()
-		f.setCut("c", false)
-		f.clock.advance(11 * keepingTwelfth)
+		f.setPartitioned("c", false)
+		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.until(func() bool { return f.members["c"].store.Status().GetTurns() == 3 })
-		f.clock.advance(10 * keepingTwelfth)
+		f.clock.advance(10 * retentionTwelfth)
 		f.pass(2 * time.Minute)
-		f.setCut("a", true)
-		p.expectKept()
+		f.setPartitioned("a", true)
+		p.expectRetained()
 	})
 
-	It("is kept as a whole by a store that copied it", func() {
+	It("is retained in full by a store that copied it", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", keepFor)
+		p := f.programWithRetention("p", retention)
 		p.takeTurn()
-		f.clock.advance(11 * keepingTwelfth)
+		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
-		f.clock.advance(5 * keepingTwelfth)
+		f.clock.advance(5 * retentionTwelfth)
 		f.loseDisk("c")
-		f.until(f.whole)
+		f.until(f.isComplete)
 		f.loseDisk("b")
-		f.until(f.whole)
+		f.until(f.isComplete)
 		f.stopOne("a", true)
-		p.expectKept()
+		p.expectRetained()
 	})
 
-	It("is kept longer by a turn of another program", func() {
+	It("is retained longer by a turn of another program", func() {
 		f := newFleet("a", "b", "c")
-		older := f.keptProgram("older", keepFor)
+		older := f.programWithRetention("older", retention)
 		older.takeTurn()
 		older.takeTurn()
-		f.clock.advance(11 * keepingTwelfth)
-		later := &program{fleet: f, name: "later", keepFor: keepFor, previousProgram: "older", previousTurn: older.last()}
+		f.clock.advance(11 * retentionTwelfth)
+		later := &program{fleet: f, name: "later", retention: retention, previousProgram: "older", previousTurn: older.last()}
 		later.claim("front-2", 1)
 		later.takeTurn()
 		later.takeTurn()
-		f.clock.advance(10 * keepingTwelfth)
+		f.clock.advance(10 * retentionTwelfth)
 		f.pass(2 * time.Minute)
-		later.expectKept()
+		later.expectRetained()
 		read := f.do(later.readTurns(later.last()))
 		Expect(read.GetLastTurn()).To(BeEmpty())
 		Expect(read.GetTurns()[1].GetPreviousProgram()).To(Equal("older"))
@@ -172,10 +172,10 @@
 })
 
 var _ = Describe("a turn whose program is not known", func() {
-	It("is found on any store, and said to be missing only when a majority of each shard lacks it", func() {
+	It("is found on any store, and reported missing only when a majority of each shard lacks it", func() {
 		f := newFleet("a", "b", "c", "d")
 		f.move(2, "a", "d")
-		f.until(f.whole)
+		f.until(f.isComplete)
 		var turns []string
 		for _, name := range []string{"p1", "p2", "p3", "p4", "p5", "p6"} {
 			p := f.program(name)
@@ -189,29 +189,29 @@
 			Expect(found.GetTurns()[0].GetId()).To(Equal(turn))
 		}
 		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
-		f.setCut("a", true)
+		f.setPartitioned("a", true)
 		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		Expect(f.ask("c", shortTime, find("unheard-of")).GetStatus()).To(Equal(unavailable))
 	})
 
-	It("is never said to be missing by stores that lost it with their disks", func() {
+	It("is never reported missing by stores that lost it with their disks", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
-		f.setCut("c", true)
+		f.setPartitioned("c", true)
 		p.takeTurn()
-		f.setCut("c", false)
+		f.setPartitioned("c", false)
 		f.loseDisk("a")
 		Expect(f.ask("c", shortTime, find(p.last())).GetStatus()).NotTo(Equal(missing))
-		f.until(f.whole)
+		f.until(f.isComplete)
 		Expect(f.do(find(p.last())).GetStatus()).To(Equal(ok))
 	})
 })
 
 var _ = Describe("an idle program", func() {
-	It("leaves memory and disk after its keeping time, its calls too, while others stay", func() {
+	It("leaves memory and disk after its retention, its calls too, while others stay", func() {
 		f := newFleet("a", "b", "c")
-		idle, lasting := f.keptProgram("idle", briefly), f.program("lasting")
+		idle, lasting := f.programWithRetention("idle", minRetention), f.program("lasting")
 		idle.takeTurn()
 		lasting.takeTurn()
 		Expect(f.do(idle.beginCall("call")).GetStatus()).To(Equal(ok))
@@ -223,14 +223,14 @@
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 1 })
 		f.clock.advance(time.Hour)
 		f.pass(time.Minute)
-		lasting.expectKept()
+		lasting.expectRetained()
 		idle.claim("front-2", 1)
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
-	It("does not come back from a store that was away when it was forgotten and begun anew", func() {
+	It("does not come back from a store that was away when it was removed and begun anew", func() {
 		f := newFleet("a", "b", "c")
-		p := f.keptProgram("p", briefly)
+		p := f.programWithRetention("p", minRetention)
 		for range 20 {
 			p.takeTurn()
 		}
@@ -254,14 +254,14 @@
 			})
 		}
 		f.until(f.inForce)
-		anew := f.keptProgram("p", briefly)
+		anew := f.programWithRetention("p", minRetention)
 		anew.requests = 100
 		anew.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
 		// The store that came back is not to collect by itself what it still holds.
 		f.pace = 1
-		anew.expectKept()
+		anew.expectRetained()
 		anew.takeTurn()
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 2))
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -26,7 +26,7 @@
 )
 
 var _ = Describe("a fleet of stores", func() {
-	It("given turns settled, when every store loses power at once, then all that was acknowledged is there", func() {
+	It("given turns committed, when every store loses power at once, then all that was acknowledged is there", func() {
 		f := newFleet("a", "b", "c")
 		programs := []*program{f.program("p1"), f.program("p2"), f.program("p3")}
 		for range 5 {
@@ -41,12 +41,12 @@
 			f.restart(name)
 		}
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 			p.takeTurn()
 		}
 	})
 
-	It("given long logs, then snapshots stand in for them, and a restart reads everything back", func() {
+	It("given long logs, then snapshots replace them, and a restart reads everything back", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.padding = strings.Repeat("x", 4000)
@@ -71,7 +71,7 @@
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 121))
 	})
 
-	It("given one store down, then turns go on, and it catches up from what it reads", func() {
+	It("given one store down, then turns continue, and it catches up from what it reads", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		f.stopOne("a", true)
@@ -79,18 +79,18 @@
 		p.takeTurn()
 		f.restart("a")
 		f.stopOne("b", false)
-		p.expectKept()
+		p.expectRetained()
 		f.until(func() bool { return f.members["a"].store.Status().GetTurns() == 2 })
 		Expect(f.members["a"].store.Status().GetRepaired()).To(BeNumerically(">=", 2))
 	})
 
-	It("given a store that missed changes, when it scrubs, then it holds them without being asked", func() {
+	It("given a store that missed changes, when it scrubs, then it has them without a request", func() {
 		f := newFleet("a", "b", "c")
-		f.setCut("c", true)
+		f.setPartitioned("c", true)
 		for number := range 6 {
 			f.program(fmt.Sprintf("p%d", number)).takeTurn()
 		}
-		f.setCut("c", false)
+		f.setPartitioned("c", false)
 		Expect(f.members["c"].store.Status().GetTurns()).To(BeZero())
 		go f.members["c"].store.Running().ScrubOnce()
 		f.until(func() bool {
@@ -112,38 +112,38 @@
 			before := f.members[lost].self.GetStorageId()
 			f.loseDisk(lost)
 			Expect(f.members[lost].self.GetStorageId()).NotTo(Equal(before))
-			f.until(f.whole)
+			f.until(f.isComplete)
 			programs[0].takeTurn()
 		}
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 		}
 	})
 
-	It("given an emptied store and one cut off, then it votes for nothing and answers unavailable, never missing", func() {
+	It("given an emptied store and one that is partitioned, then it votes for nothing and answers unavailable, never missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		f.loseDisk("a")
 		f.until(f.inForce)
 		Expect(f.ask("c", shortTime, p.reserve()).GetStatus()).To(Equal(unavailable))
 		Expect(f.ask("c", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 		p.requests--
-		f.setCut("b", false)
-		f.until(f.whole)
+		f.setPartitioned("b", false)
+		f.until(f.isComplete)
 		p.takeTurn()
-		p.expectKept()
+		p.expectRetained()
 	})
 
 	It("given a turn that nobody has, then it is missing only while a majority says so", func() {
-		f := newPatientFleet("a", "b", "c")
+		f := newUnhurriedFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
 		Expect(f.do(p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
-		f.setCut("b", true)
-		Expect(f.ask("a", patience, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
-		f.setCut("c", true)
+		f.setPartitioned("b", true)
+		Expect(f.ask("a", awaitTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
+		f.setPartitioned("c", true)
 		Expect(f.ask("a", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 	})
 
@@ -165,7 +165,7 @@
 		}
 		for shard := range uint32(shardCount) {
 			f.move(shard, "a", "d")
-			f.until(f.whole)
+			f.until(f.isComplete)
 		}
 		ended.Store(true)
 		writers.Wait()
@@ -174,17 +174,17 @@
 		f.stopOne("b", false)
 		f.restart("b")
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 		}
 	})
 
-	It("given an operation planned under another placement, then it is refused with the epoch in force", func() {
+	It("given an operation planned under another placement, then it is rejected with the epoch in force", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		shard := ledger.ShardOf("p", shardCount)
 		old := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.loseDisk("c")
-		f.until(func() bool { return f.whole() && f.inForce() })
+		f.until(func() bool { return f.isComplete() && f.inForce() })
 		operation := p.reserve()
 		operation.PlacementEpoch = old
 		inForce := f.View().Placement.GetShards()[shard].GetEpoch()
@@ -199,11 +199,11 @@
 	It("given syncs that go on failing, then the store stops and nothing is acknowledged by it", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		f.members["a"].disk.FailSyncs(0, 1000)
 		// The clock of the fleet runs while an operation is awaited, so one may expire before it is begun.
 		f.until(func() bool {
-			result, refused := f.answerOf("a", p.reserve())
+			result, refused := f.requestFrom("a", p.reserve())
 			if refused != nil {
 				Expect(refused.Code()).To(Equal(failure.Unavailable))
 			} else {
@@ -213,13 +213,13 @@
 		})
 	})
 
-	It("given turns past their keeping time, when they are collected, then their segments go and they are missing", func() {
+	It("given turns past their retention, when they are collected, then their segments are removed and they are missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for range 400 {
 			p.takeTurn()
 		}
-		segments := func() int { return len(segmentsOf(f.members["a"].disk.Files("data/turns"))) }
+		segments := func() int { return len(listSegments(f.members["a"].disk.Files("data/turns"))) }
 		Expect(segments()).To(BeNumerically(">", 2))
 		f.clock.advance(ledger.DefaultRetention + 10*time.Minute)
 		f.until(func() bool { return segments() == 1 })
@@ -281,8 +281,8 @@
 			})
 		}
 		f.mutex.Unlock()
-		f.setCut("c", true)
-		Expect(f.ask("a", patience, begin(p, "old")).GetStatus()).To(Equal(fenced))
+		f.setPartitioned("c", true)
+		Expect(f.ask("a", awaitTimeout, begin(p, "old")).GetStatus()).To(Equal(fenced))
 		Expect(claimed).To(Equal(ok))
 	})
 })
@@ -314,25 +314,25 @@
 		Entry("a turn record", 5, func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/turns")[0], 200, 0xff)).To(BeTrue()) }),
 		Entry("the register log", 5, func(m *member) { removeAll(m, "data/registers", ".log") }),
 		Entry("a register snapshot", 100, func(m *member) {
-			Expect(m.disk.Damage(filesOf(m, "data/registers", ".snapshot")[0], 60, 0xff)).To(BeTrue())
+			Expect(m.disk.Damage(listFiles(m, "data/registers", ".snapshot")[0], 60, 0xff)).To(BeTrue())
 		}),
 		Entry("all register snapshots", 100, func(m *member) { removeAll(m, "data/registers", ".snapshot") }),
 	)
 })
 
-func filesOf(m *member, folder, suffix string) []string {
+func listFiles(m *member, folder, suffix string) []string {
 	return slices.DeleteFunc(m.disk.Files(folder), func(file string) bool { return !strings.HasSuffix(file, suffix) })
 }
 
 func removeAll(m *member, folder, suffix string) {
 	GinkgoHelper()
-	for _, file := range filesOf(m, folder, suffix) {
+	for _, file := range listFiles(m, folder, suffix) {
 		Expect(m.disk.Remove(file)).To(Succeed())
 	}
 }
 
-// segmentsOf leaves out the index beside a log.
-func segmentsOf(files []string) []string {
+// listSegments leaves out the index beside a log.
+func listSegments(files []string) []string {
 	return slices.DeleteFunc(files, func(file string) bool { return !strings.HasSuffix(file, ".log") })
 }
 
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -36,7 +36,7 @@
 
 var updateStored = flag.Bool("update-stored", false, "write the folder under testdata/stored anew")
 
-func must(t *testing.T, err error) {
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 func marshaled(t *testing.T, message proto.Message) []byte {
 	t.Helper()
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
-	must(t, err)
+	requireNoError(t, err)
 	return encoded
 }
 
@@ -58,7 +58,7 @@
 	state register.State
 }
 
-func ballotOf(counter uint64) register.Ballot {
+func newBallot(counter uint64) register.Ballot {
 	return register.Ballot{Counter: storedMillis + counter, Proposer: "store-1/stored-storage-id/2"}
 }
 
@@ -85,7 +85,7 @@
 // state of a register stands for the earlier one.
 func storedRegisters(t *testing.T) (covered, finished, newest []storedRegister) {
 	state := func(counter uint64, value []byte) register.State {
-		return register.State{Promised: ballotOf(counter + 1), Accepted: ballotOf(counter), Value: value}
+		return register.State{Promised: newBallot(counter + 1), Accepted: newBallot(counter), Value: value}
 	}
 	call := marshaled(t, &protocol.CallRecord{
 		Program: "program-7", RequestId: "call-1", Session: "session", Epoch: 3, Tool: "tool", State: protocol.CallState_CALL_DONE,
@@ -104,7 +104,7 @@
 	}
 	finished = []storedRegister{
 		{1, shardtable.Key{Program: "program-1"}, state(10, storedProgram(t, "program-1", 111))},
-		{4, shardtable.Key{Program: "program-4"}, register.State{Promised: ballotOf(11)}},
+		{4, shardtable.Key{Program: "program-4"}, register.State{Promised: newBallot(11)}},
 	}
 	newest = []storedRegister{
 		{3, shardtable.Key{Program: "step"}, state(12, pin)},
@@ -120,7 +120,7 @@
 	turn  *protocol.Turn
 }
 
-func storedTurnOf(shard uint32, id, previous string, keptDays int64) storedTurn {
+func newStoredTurn(shard uint32, id, previous string, keptDays int64) storedTurn {
 	program := fmt.Sprintf("program-%d", shard)
 	return storedTurn{shard, &protocol.Turn{
 		Id: id, Program: program, Session: "session", PreviousTurn: previous, RequestId: "request of " + id, Model: "model",
@@ -135,11 +135,11 @@
 
 // storedTurns are written in three parts: what the index covers, and what two segments after it hold.
 func storedTurns() (covered, finished, newest []storedTurn) {
-	elsewhere := storedTurnOf(5, "turn-5", "turn-1", 1)
+	elsewhere := newStoredTurn(5, "turn-5", "turn-1", 1)
 	elsewhere.turn.PreviousProgram = "program-1"
-	covered = []storedTurn{storedTurnOf(1, "turn-1", "", 1), storedTurnOf(2, "turn-2", "", 4)}
-	finished = []storedTurn{storedTurnOf(1, "turn-3", "turn-1", 3), elsewhere}
-	newest = []storedTurn{storedTurnOf(2, "turn-4", "turn-2", 1), storedTurnOf(6, "turn-6", "", 2)}
+	covered = []storedTurn{newStoredTurn(1, "turn-1", "", 1), newStoredTurn(2, "turn-2", "", 4)}
+	finished = []storedTurn{newStoredTurn(1, "turn-3", "turn-1", 3), elsewhere}
+	newest = []storedTurn{newStoredTurn(2, "turn-4", "turn-2", 1), newStoredTurn(6, "turn-6", "", 2)}
 	return covered, finished, newest
 }
 
@@ -147,12 +147,12 @@
 func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *datafolder.Folder) {
 	t.Helper()
 	folder, err := datafolder.Open(filesystem, path, DefaultSegmentBytes)
-	must(t, err)
+	requireNoError(t, err)
 	opened, err := New(Options{
 		Self: &protocol.Node{Name: "store-1"}, Core: idleCore{}, Clock: stoppedClock{}, Logger: log.New(io.Discard),
 		Fatal: func(err error) { t.Errorf("the store failed: %v", err) },
 	}, folder)
-	must(t, err)
+	requireNoError(t, err)
 	return opened, folder
 }
 
@@ -161,12 +161,12 @@
 	t.Helper()
 	filesystem := storage.OSFilesystem{}
 	_, err := storage.OpenIdentityWith(filesystem, path, func() string { return storedStorageID })
-	must(t, err)
+	requireNoError(t, err)
 	// A folder that was begun before must have its logs.
 	for _, name := range []string{datafolder.RegisterLog, datafolder.TurnLog} {
 		begun, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
-		must(t, err)
-		must(t, begun.Close())
+		requireNoError(t, err)
+		requireNoError(t, begun.Close())
 	}
 	opened, folder := newStored(t, filesystem, path)
 	opened.Start()
@@ -183,7 +183,7 @@
 			})
 		}
 	}
-	keep := func(turns []storedTurn) {
+	retain := func(turns []storedTurn) {
 		for _, stored := range turns {
 			wait(stored.shard, func(g *owner.Group, done func()) { g.RetainTurn(stored.shard, stored.turn, done) })
 		}
@@ -191,31 +191,31 @@
 	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
 	coveredTurns, finishedTurns, newestTurns := storedTurns()
 	put(coveredRegisters)
-	keep(coveredTurns)
-	must(t, opened.saveRegisters())
-	must(t, opened.saveTurnIndex())
+	retain(coveredTurns)
+	requireNoError(t, opened.saveRegisters())
+	requireNoError(t, opened.saveTurnIndex())
 	put(finishedRegisters)
 	wait(3, func(g *owner.Group, done func()) { g.Drop(3, done) })
-	keep(finishedTurns)
+	retain(finishedTurns)
 	_, err = folder.Registers.Rotate()
-	must(t, err)
+	requireNoError(t, err)
 	_, err = folder.Turns.Rotate()
-	must(t, err)
+	requireNoError(t, err)
 	put(newestRegisters)
-	keep(newestTurns)
-	must(t, opened.Stop())
+	retain(newestTurns)
+	requireNoError(t, opened.Stop())
 }
 
 // storedFiles gives the content of all files by their path under root.
 func storedFiles(t *testing.T, root string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
-	must(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	requireNoError(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
 		content, err := os.ReadFile(path)
-		must(t, err)
+		requireNoError(t, err)
 		relative, err := filepath.Rel(root, path)
 		files[filepath.ToSlash(relative)] = string(content)
 		return err
@@ -226,7 +226,7 @@
 // A form that an older program cannot read would make a way back impossible, so what is written stays the same as well.
 func TestAStoreIsStoredByteForByteAsBefore(t *testing.T) {
 	if *updateStored {
-		must(t, os.RemoveAll(storedData))
+		requireNoError(t, os.RemoveAll(storedData))
 		writeStored(t, storedData)
 	}
 	root := t.TempDir()
@@ -234,7 +234,7 @@
 	written, stored := storedFiles(t, root), storedFiles(t, storedData)
 	for path, content := range stored {
 		if written[path] != content {
-			t.Errorf("%s holds %q\nin place of %q", path, written[path], content)
+			t.Errorf("%s has %q\nin place of %q", path, written[path], content)
 		}
 	}
 	if len(written) != len(stored) {
@@ -242,8 +242,8 @@
 	}
 }
 
-// copyOfStored gives a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
-func copyOfStored(t *testing.T, files map[string]string, damaged string, offset int) *simdisk.Disk {
+// copyStored gives a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
+func copyStored(t *testing.T, files map[string]string, damaged string, offset int) *simdisk.Disk {
 	t.Helper()
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	for path, text := range files {
@@ -251,14 +251,14 @@
 		if path == damaged {
 			content[offset] ^= 0xff
 		}
-		must(t, disk.MkdirAll(filepath.Dir(copied)))
+		requireNoError(t, disk.MkdirAll(filepath.Dir(copied)))
 		file, err := disk.Create(copied)
-		must(t, err)
+		requireNoError(t, err)
 		_, err = file.WriteAt(content, 0)
-		must(t, err)
-		must(t, file.Sync())
-		must(t, file.Close())
-		must(t, disk.SyncDir(filepath.Dir(copied)))
+		requireNoError(t, err)
+		requireNoError(t, file.Sync())
+		requireNoError(t, file.Close())
+		requireNoError(t, disk.SyncDir(filepath.Dir(copied)))
 	}
 	return disk
 }
@@ -277,16 +277,16 @@
 	delete(expected, shardtable.Key{Program: "dropped"})
 	for key, stored := range expected {
 		g := opened.groups.Of(stored.shard)
-		held, err := owner.Call(g, func() *protocol.RegisterState {
+		state, err := owner.Call(g, func() *protocol.RegisterState {
 			entry, found := g.Table(stored.shard).Registers.Get(key)
 			if !found {
 				return nil
 			}
 			return entry.State.ToProto(key.ToProto())
 		})
-		must(t, err)
-		if !proto.Equal(held, stored.state.ToProto(key.ToProto())) {
-			t.Errorf("register %v holds %v", key, held)
+		requireNoError(t, err)
+		if !proto.Equal(state, stored.state.ToProto(key.ToProto())) {
+			t.Errorf("register %v has %v", key, state)
 		}
 	}
 	coveredTurns, finishedTurns, newestTurns := storedTurns()
@@ -300,26 +300,26 @@
 				wanted.KeepUntilMillis = storedMillis + 3*storedDay
 			}
 			read, err := opened.turns.Local(stored.shard, wanted.GetProgram(), wanted.GetId())
-			must(t, err)
+			requireNoError(t, err)
 			if !proto.Equal(read, wanted) {
 				t.Errorf("%s is read as %v", wanted.GetId(), read)
 			}
 		}
 	}
-	if held := opened.counts(); held.registers != uint64(len(expected)) || held.turns != uint64(turns) {
-		t.Errorf("it holds %d registers and %d turns", held.registers, held.turns)
+	if total := opened.counts(); total.registers != uint64(len(expected)) || total.turns != uint64(turns) {
+		t.Errorf("%d registers and %d turns were read", total.registers, total.turns)
 	}
 	chain, err := opened.turns.LocalChain(1, "program-1", "turn-3", 0)
-	must(t, err)
+	requireNoError(t, err)
 	if len(chain) != 2 || chain[0].GetId() != "turn-3" || chain[1].GetId() != "turn-1" {
 		t.Errorf("the conversation is %v", chain)
 	}
-	must(t, opened.Stop())
+	requireNoError(t, opened.Stop())
 }
 
 func TestAStoredStoreIsReadBack(t *testing.T) {
 	files := storedFiles(t, storedData)
-	opened, folder := newStored(t, copyOfStored(t, files, "", 0), "data")
+	opened, folder := newStored(t, copyStored(t, files, "", 0), "data")
 	if folder.Lost != nil || folder.StorageID != storedStorageID || folder.Starts != 3 {
 		t.Errorf("start %d of %q, with %v lost", folder.Starts, folder.StorageID, folder.Lost)
 	}
@@ -358,14 +358,14 @@
 				t.Errorf("the file has %d bytes", size)
 			}
 			for offset := range files[stored.file] {
-				folder, err := datafolder.Open(copyOfStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
-				must(t, err)
+				folder, err := datafolder.Open(copyStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
+				requireNoError(t, err)
 				var corrupt *storage.CorruptError
 				refused := errors.As(folder.Lost, &corrupt)
 				if refused != (offset < stored.refusedTo) || refused == (folder.StorageID == storedStorageID) {
 					t.Errorf("with byte %d damaged it opens as %q with %v lost", offset, folder.StorageID, folder.Lost)
 				}
-				must(t, folder.Close())
+				requireNoError(t, folder.Close())
 			}
 		})
 	}
@@ -375,7 +375,7 @@
 	const index = "turns/0000000000000002.snapshot"
 	files := storedFiles(t, storedData)
 	for offset := range files[index] {
-		opened, _ := newStored(t, copyOfStored(t, files, index, offset), "data")
+		opened, _ := newStored(t, copyStored(t, files, index, offset), "data")
 		expectStored(t, opened)
 	}
 }
@@ -386,7 +386,7 @@
 	files := storedFiles(t, storedData)
 	covered, _, _ := storedTurns()
 	for offset := header; offset < len(files[segment]); offset++ {
-		opened, _ := newStored(t, copyOfStored(t, files, segment, offset), "data")
+		opened, _ := newStored(t, copyStored(t, files, segment, offset), "data")
 		opened.Start()
 		refused := 0
 		for _, stored := range covered {
@@ -399,6 +399,6 @@
 		if refused != 1 {
 			t.Errorf("with byte %d damaged %d turns are refused", offset, refused)
 		}
-		must(t, opened.Stop())
+		requireNoError(t, opened.Stop())
 	}
 }
--- a/internal/state/store/training_step_trace_test.go
+++ b/internal/state/store/training_step_trace_test.go
@@ -22,7 +22,7 @@
 	pinnedVersion = 4
 )
 
-func pinOf(version uint64, owner string) *protocol.LedgerOperation {
+func newPin(version uint64, owner string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: ledger.TrainingStepProgram(theStep),
 		Body: &protocol.LedgerOperation_PinTrainingStep{PinTrainingStep: &protocol.PinTrainingStep{
@@ -31,7 +31,7 @@
 	}
 }
 
-func traceOf(step string) *protocol.LedgerOperation {
+func newTrace(step string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: ledger.TrainingStepProgram(step),
 		Body:    &protocol.LedgerOperation_TraceTrainingStep{TraceTrainingStep: &protocol.TraceTrainingStep{Step: step}},
@@ -42,10 +42,10 @@
 func (p *program) generate(versions ...uint64) {
 	GinkgoHelper()
 	Expect(p.fleet.do(p.reserveForStep()).GetStatus()).To(Equal(ok))
-	settle := p.settle()
-	settle.GetSettleTurn().WeightVersions = versions
-	Expect(p.fleet.do(settle).GetStatus()).To(Equal(ok))
-	p.turns = append(p.turns, settle.GetSettleTurn().GetTurn().GetId())
+	commit := p.commit()
+	commit.GetSettleTurn().WeightVersions = versions
+	Expect(p.fleet.do(commit).GetStatus()).To(Equal(ok))
+	p.turns = append(p.turns, commit.GetSettleTurn().GetTurn().GetId())
 }
 
 func (p *program) reserveForStep() *protocol.LedgerOperation {
@@ -65,12 +65,12 @@
 // rollouts pins the step and runs programs for it in every shard, the first of which also had a turn on another version.
 func (f *fleet) rollouts(names ...string) {
 	GinkgoHelper()
-	Expect(f.do(pinOf(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
-	for place, name := range names {
+	Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+	for number, name := range names {
 		p := f.program(name)
 		p.generate(pinnedVersion)
 		p.generate(pinnedVersion)
-		if place == 0 {
+		if number == 0 {
 			p.generate(pinnedVersion, 5)
 		}
 	}
@@ -99,12 +99,12 @@
 	Expect(pinned.GetPinnedAtMillis()).To(BeNumerically(">", 0))
 	programs := result.GetTrainingStepTrace().GetPrograms()
 	Expect(programs).To(HaveLen(len(names)))
-	for place, traced := range programs {
+	for number, traced := range programs {
 		wanted := generations(twoCompleted)
-		if place == 0 {
+		if number == 0 {
 			wanted = generations(twoCompleted + `generations { weight_version: 5 discarded: 1 }`)
 		}
-		Expect(traced.GetProgram()).To(Equal(names[place]))
+		Expect(traced.GetProgram()).To(Equal(names[number]))
 		Expect(traced.GetTenant()).To(Equal("tenant"))
 		Expect(proto.Equal(traced.GetMembership(), wanted)).To(BeTrue(), "%v", traced)
 	}
@@ -130,15 +130,15 @@
 		for round := range 5 {
 			step := fmt.Sprintf("step-%d", round)
 			pinAs := func(version uint64, owner string) *protocol.LedgerOperation {
-				operation := pinOf(version, owner)
+				operation := newPin(version, owner)
 				operation.Program = ledger.TrainingStepProgram(step)
 				operation.GetPinTrainingStep().Step = step
-				operation.PlacementEpoch = f.epochOf(operation)
+				operation.PlacementEpoch = f.shardEpoch(operation)
 				return operation
 			}
 			others := make(chan *protocol.LedgerResult, 1)
 			first := f.await(func() (*protocol.LedgerResult, error) {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 				defer cancel()
 				go func() {
 					response, _ := (&network{fleet: f}).Call(ctx, "b", &protocol.Request{Body: &protocol.Request_Ledger{Ledger: pinAs(5, "front-2")}})
@@ -153,28 +153,28 @@
 			Expect(second.GetStatus()).To(Equal(ok))
 			Expect(proto.Equal(first.GetTrainingStepPin(), second.GetTrainingStepPin())).To(BeTrue(), "%v and %v", first, second)
 			for _, name := range f.names {
-				again := f.ask(name, patience, pinAs(6, "front-3"))
+				again := f.ask(name, awaitTimeout, pinAs(6, "front-3"))
 				Expect(proto.Equal(again.GetTrainingStepPin(), first.GetTrainingStepPin())).To(BeTrue(), "%v and %v", again, first)
 			}
 		}
 	})
 
-	It("given a pin, when every store loses power, then it stands", func() {
+	It("given a pin, when every store loses power, then it is still there", func() {
 		f := newFleet("a", "b", "c")
-		pinned := f.do(pinOf(pinnedVersion, "front-1"))
+		pinned := f.do(newPin(pinnedVersion, "front-1"))
 		f.loseAllPower()
-		again := f.do(pinOf(5, "front-2"))
+		again := f.do(newPin(5, "front-2"))
 		Expect(again.GetStatus()).To(Equal(ok))
 		Expect(proto.Equal(again.GetTrainingStepPin(), pinned.GetTrainingStepPin())).To(BeTrue())
 	})
 
 	It("is unknown without a pin, to reads and traces", func() {
 		f := newFleet("a", "b", "c")
-		Expect(f.do(pinOf(0, "front-1")).GetStatus()).To(Equal(stepUnknown))
-		Expect(f.do(traceOf(theStep)).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newPin(0, "front-1")).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newTrace(theStep)).GetStatus()).To(Equal(stepUnknown))
 	})
 
-	It("keeps turns of other steps and of none out of its programs", func() {
+	It("leaves turns of other steps and of none out of its programs", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		p := &program{fleet: f, name: "p1", requests: 100}
@@ -183,7 +183,7 @@
 		live := &program{fleet: f, name: "live", requests: 100}
 		live.claim("front-2", 1)
 		Expect(f.do(live.reserveForStep()).GetStatus()).To(Equal(stepMismatch))
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 })
 
@@ -199,20 +199,20 @@
 }
 
 var _ = Describe("a trace of a training step", func() {
-	It("shows the pin and every program with its counts, whichever store is asked", func() {
+	It("shows the pin and every program with its counts, whichever store is queried", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		for _, name := range f.names {
-			expectTrace(f.ask(name, patience, traceOf(theStep)), rolloutNames...)
+			expectTrace(f.ask(name, awaitTimeout, newTrace(theStep)), rolloutNames...)
 		}
-		Expect(f.do(traceOf("step-18")).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newTrace("step-18")).GetStatus()).To(Equal(stepUnknown))
 	})
 
 	It("is the same after every store lost power", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		f.loseAllPower()
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is the same from snapshots", func() {
@@ -223,7 +223,7 @@
 			f.writeSnapshot(name, busy)
 		}
 		f.loseAllPower()
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is the same after two disks were lost and rebuilt, from these stores alone", func() {
@@ -231,51 +231,51 @@
 		f.rollouts(rolloutNames...)
 		for _, name := range []string{"a", "b"} {
 			f.loseDisk(name)
-			f.until(f.whole)
+			f.until(f.isComplete)
 		}
 		f.until(f.inForce)
 		f.stopOne("c", true)
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
 	It("counts no store whose disk was lost until it is rebuilt", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
-		f.setCut("c", true)
+		f.setPartitioned("c", true)
 		f.stopOne("a", true)
 		f.restartEmpty("a")
-		f.until(func() bool { return f.inForceBut("c") })
-		Expect(f.ask("b", shortTime, traceOf(theStep)).GetStatus()).To(Equal(unavailable))
-		f.setCut("c", false)
-		f.until(f.whole)
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		f.until(func() bool { return f.inForceExcept("c") })
+		Expect(f.ask("b", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		f.setPartitioned("c", false)
+		f.until(f.isComplete)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
-	It("is whole with a minority away", func() {
+	It("is complete with a minority away", func() {
 		for _, away := range []string{"a", "b", "c"} {
 			f := newFleet("a", "b", "c")
 			f.rollouts(rolloutNames...)
-			f.setCut(away, true)
-			expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+			f.setPartitioned(away, true)
+			expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 		}
 	})
 
-	It("is whole with a minority that says nothing", func() {
+	It("is complete with a minority that is unresponsive", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
-		f.freeze("a")
-		defer f.thaw("a")
-		expectTrace(f.ask("b", patience, traceOf(theStep)), rolloutNames...)
+		f.suspend("a")
+		defer f.resume("a")
+		expectTrace(f.ask("b", awaitTimeout, newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is unavailable with a majority away, never shorter", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
-		f.setCut("b", true)
-		f.setCut("c", true)
-		Expect(f.ask("a", shortTime, traceOf(theStep)).GetStatus()).To(Equal(unavailable))
-		f.setCut("b", false)
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		f.setPartitioned("b", true)
+		f.setPartitioned("c", true)
+		Expect(f.ask("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		f.setPartitioned("b", false)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is unavailable when one shard alone lacks a majority", func() {
@@ -283,61 +283,61 @@
 		f.rollouts(rolloutNames...)
 		moved := (ledger.ShardOf(ledger.TrainingStepProgram(theStep), shardCount) + 1) % shardCount
 		f.move(moved, "a", "d")
-		f.until(f.whole)
+		f.until(f.isComplete)
 		f.until(f.inForce)
 		// Programs of the shard that moved are read by way of the stores that hold it.
-		expectTrace(f.ask("a", patience, traceOf(theStep)), rolloutNames...)
-		f.setCut("d", true)
-		expectTrace(f.ask("a", patience, traceOf(theStep)), rolloutNames...)
-		f.setCut("c", true)
-		Expect(f.ask("a", shortTime, traceOf(theStep)).GetStatus()).To(Equal(unavailable))
-		Expect(f.ask("b", patience, pinOf(0, "")).GetStatus()).To(Equal(ok))
+		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		f.setPartitioned("d", true)
+		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		f.setPartitioned("c", true)
+		Expect(f.ask("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.ask("b", awaitTimeout, newPin(0, "")).GetStatus()).To(Equal(ok))
 	})
 
-	It("is unavailable, never shorter, when all that is heard of one shard is a replica that was away", func() {
+	It("is unavailable, never shorter, when all that answers for one shard is a replica that was away", func() {
 		f := newFleet("a", "b", "c", "d", "e", "f")
 		moved := (ledger.ShardOf(ledger.TrainingStepProgram(theStep), shardCount) + 1) % shardCount
 		for from, to := range map[string]string{"a": "d", "b": "e", "c": "f"} {
 			f.move(moved, from, to)
-			f.until(f.whole)
+			f.until(f.isComplete)
 		}
 		f.until(f.inForce)
-		f.setCut("f", true)
+		f.setPartitioned("f", true)
 		f.rollouts(rolloutNames...)
-		f.setCut("d", true)
-		f.setCut("e", true)
-		Expect(f.ask("a", patience, traceOf(theStep)).GetStatus()).To(Equal(unavailable))
-		f.setCut("f", false)
-		Expect(f.ask("a", patience, traceOf(theStep)).GetStatus()).To(Equal(unavailable))
-		f.setCut("e", false)
-		expectTrace(f.ask("a", patience, traceOf(theStep)), rolloutNames...)
+		f.setPartitioned("d", true)
+		f.setPartitioned("e", true)
+		Expect(f.ask("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		f.setPartitioned("f", false)
+		Expect(f.ask("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		f.setPartitioned("e", false)
+		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
 	})
 
-	It("is whole while shards move", func() {
+	It("is complete while shards move", func() {
 		f := newFleet("a", "b", "c", "d")
 		f.rollouts(rolloutNames...)
 		for shard := range uint32(shardCount) {
 			f.move(shard, "a", "d")
 		}
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
-		f.until(f.whole)
-		expectTrace(f.do(traceOf(theStep)), rolloutNames...)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		f.until(f.isComplete)
+		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
 	It("shows no completed generation that a store accepted alone and a claim charged after", func() {
 		f := newFleet("a", "b", "c")
 		f.until(f.inForce)
-		Expect(f.do(pinOf(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+		Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
 		p := f.program("p")
-		Expect(f.ask("a", patience, p.reserveForStep()).GetStatus()).To(Equal(ok))
-		f.setCut("a", true)
-		Expect(f.askDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
+		f.setPartitioned("a", true)
+		Expect(f.requestDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
 		successor := &program{fleet: f, name: "p"}
 		successor.claim("front-2", 1)
 		f.clock.advance(20 * time.Second)
-		f.setCut("a", false)
+		f.setPartitioned("a", false)
 		for _, name := range f.names {
-			traced := f.ask(name, patience, traceOf(theStep)).GetTrainingStepTrace().GetPrograms()
+			traced := f.ask(name, awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 			Expect(traced).To(HaveLen(1))
 			Expect(proto.Equal(traced[0].GetMembership(), generations(`generations { discarded: 1 }`))).To(BeTrue(), "%v", traced)
 		}
@@ -346,23 +346,23 @@
 	It("never takes back what it showed of a change that a store accepted alone", func() {
 		f := newFleet("a", "b", "c")
 		f.until(f.inForce)
-		Expect(f.do(pinOf(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+		Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
 		p := f.program("p")
-		Expect(f.ask("a", patience, p.reserveForStep()).GetStatus()).To(Equal(ok))
-		f.setCut("a", true)
-		Expect(f.askDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
+		f.setPartitioned("a", true)
+		Expect(f.requestDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
 		f.clock.advance(20 * time.Second)
-		f.setCut("a", false)
-		first := f.ask("c", patience, traceOf(theStep)).GetTrainingStepTrace().GetPrograms()
+		f.setPartitioned("a", false)
+		first := f.ask("c", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(first).To(HaveLen(1))
 		counted := ledger.TotalGenerations(first[0].GetMembership())
-		f.setCut("a", true)
-		second := f.ask("b", patience, traceOf(theStep)).GetTrainingStepTrace().GetPrograms()
+		f.setPartitioned("a", true)
+		second := f.ask("b", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(second).To(HaveLen(1))
 		Expect(ledger.TotalGenerations(second[0].GetMembership())).To(BeNumerically(">=", counted))
-		f.setCut("a", false)
+		f.setPartitioned("a", false)
 		Expect(f.do(p.release(pinnedVersion)).GetStatus()).To(Equal(ok))
-		last := f.do(traceOf(theStep)).GetTrainingStepTrace().GetPrograms()
+		last := f.do(newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(proto.Equal(last[0].GetMembership(), generations(`generations { weight_version: 4 completed: 1 }`))).To(BeTrue(), "%v", last)
 	})
 })
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -21,123 +21,123 @@
 // storeLoss is a way to lose a store and to bring it back.
 type storeLoss struct {
 	name       string
-	begin, end func(d *badDay, store string)
+	begin, end func(s *faultScenario, store string)
 }
 
 var storeLosses = []storeLoss{
 	{
-		"killed", func(d *badDay, store string) { d.fleet.stopOne(store, false) },
-		func(d *badDay, store string) { d.fleet.restart(store) },
+		"killed", func(s *faultScenario, store string) { s.fleet.stopOne(store, false) },
+		func(s *faultScenario, store string) { s.fleet.restart(store) },
 	},
 	{
-		"power lost", func(d *badDay, store string) { d.fleet.stopOne(store, true) },
-		func(d *badDay, store string) { d.fleet.restart(store) },
+		"power lost", func(s *faultScenario, store string) { s.fleet.stopOne(store, true) },
+		func(s *faultScenario, store string) { s.fleet.restart(store) },
 	},
 	{
-		"disk lost", func(d *badDay, store string) { d.fleet.stopOne(store, true) },
-		func(d *badDay, store string) { d.fleet.restartEmpty(store) },
+		"disk lost", func(s *faultScenario, store string) { s.fleet.stopOne(store, true) },
+		func(s *faultScenario, store string) { s.fleet.restartEmpty(store) },
 	},
-	{"cut off", beginCut, endCut},
+	{"cut off", beginPartition, endPartition},
 	{
-		"frozen", func(d *badDay, store string) { d.fleet.setStale(store, true); d.fleet.freeze(store) },
-		func(d *badDay, store string) { d.fleet.thaw(store); d.comeBack(store) },
+		"frozen", func(s *faultScenario, store string) { s.fleet.setStale(store, true); s.fleet.suspend(store) },
+		func(s *faultScenario, store string) { s.fleet.resume(store); s.restore(store) },
 	},
 }
 
-func beginCut(d *badDay, store string) {
-	d.fleet.setStale(store, true)
-	d.fleet.setCut(store, true)
+func beginPartition(s *faultScenario, store string) {
+	s.fleet.setStale(store, true)
+	s.fleet.setPartitioned(store, true)
 }
 
-func endCut(d *badDay, store string) {
-	d.fleet.setCut(store, false)
-	d.comeBack(store)
+func endPartition(s *faultScenario, store string) {
+	s.fleet.setPartitioned(store, false)
+	s.restore(store)
 }
 
-// comeBack lets a store that was away hear of the newest placement, after it was asked under the one before.
-func (d *badDay) comeBack(store string) {
+// restore lets a store that was away hear of the newest placement, after it was asked under the one before.
+func (s *faultScenario) restore(store string) {
 	GinkgoHelper()
-	d.askStale(store)
-	d.fleet.setStale(store, false)
-	d.fleet.publish()
-	d.releaseDoubtful()
+	s.requestUnderStaleView(store)
+	s.fleet.setStale(store, false)
+	s.fleet.publish()
+	s.releaseUncertain()
 }
 
-// releaseDoubtful takes back what may have been reserved, as a front node does.
-func (d *badDay) releaseDoubtful() {
+// releaseUncertain takes back what may have been reserved, as a front node does.
+func (s *faultScenario) releaseUncertain() {
 	GinkgoHelper()
-	for _, operation := range d.doubtful {
+	for _, operation := range s.uncertain {
 		reserve := operation.GetReserveTurn()
 		release := &protocol.LedgerOperation{Program: operation.GetProgram(), Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
 			RequestId: reserve.GetRequestId(), Session: reserve.GetSession(), Epoch: reserve.GetEpoch(),
 		}}}
-		Expect(d.fleet.do(release).GetStatus()).To(Equal(ok), d.history)
+		Expect(s.fleet.do(release).GetStatus()).To(Equal(ok), s.history)
 	}
-	d.doubtful = nil
+	s.uncertain = nil
 }
 
-func newDayOfTwoLosses(seed uint64) *badDay {
+func newTwoLossesScenario(seed uint64) *faultScenario {
 	unwrapped := func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem }
-	return newBadDayOn(newFleetOf(replicasForTwoLosses, unwrapped, "a", "b", "c", "d", "e", "f"), seed)
+	return newFaultScenarioOn(newFleetOf(replicasForTwoLosses, unwrapped, "a", "b", "c", "d", "e", "f"), seed)
 }
 
 // loseTwo loses two stores at once, in the same way or in two, while programs take turns.
-func (d *badDay) loseTwo(provoked map[string]int) {
+func (s *faultScenario) loseTwo(provoked map[string]int) {
 	GinkgoHelper()
-	names := d.random.Perm(replicasForTwoLosses)[:2]
-	chosen := []storeLoss{storeLosses[d.random.IntN(len(storeLosses))], storeLosses[d.random.IntN(len(storeLosses))]}
-	for each, place := range names {
-		d.note("%s: %s", d.fleet.names[place], chosen[each].name)
-		provoked[chosen[each].name]++
-		chosen[each].begin(d, d.fleet.names[place])
+	names := s.random.Perm(replicasForTwoLosses)[:2]
+	chosen := []storeLoss{storeLosses[s.random.IntN(len(storeLosses))], storeLosses[s.random.IntN(len(storeLosses))]}
+	for i, number := range names {
+		s.record("%s: %s", s.fleet.names[number], chosen[i].name)
+		provoked[chosen[i].name]++
+		chosen[i].begin(s, s.fleet.names[number])
 	}
 	for range turnsWhileAway {
-		d.takeTurn()
-		d.lookUp()
+		s.takeTurn()
+		s.findTurn()
 	}
-	away := []string{d.fleet.names[names[0]], d.fleet.names[names[1]]}
-	for each, place := range names {
+	away := []string{s.fleet.names[names[0]], s.fleet.names[names[1]]}
+	for i, number := range names {
 		// Until the others act under the placement that came with the first return, they rightly serve the one before.
-		d.fleet.until(func() bool { return d.fleet.inForceBut(away[each:]...) })
-		chosen[each].end(d, d.fleet.names[place])
+		s.fleet.until(func() bool { return s.fleet.inForceExcept(away[i:]...) })
+		chosen[i].end(s, s.fleet.names[number])
 	}
 	for range turnsBetweenLosses {
-		d.takeTurn()
-		d.lookUp()
+		s.takeTurn()
+		s.findTurn()
 	}
-	d.fleet.until(func() bool { return d.fleet.whole() && d.fleet.inForce() })
+	s.fleet.until(func() bool { return s.fleet.isComplete() && s.fleet.inForce() })
 }
 
 // loseAllAndTwoDisks takes the power of all stores and the disks of two.
-func (d *badDay) loseAllAndTwoDisks() {
+func (s *faultScenario) loseAllAndTwoDisks() {
 	GinkgoHelper()
-	d.note("power of all, disks of two")
-	for _, name := range d.fleet.names {
-		d.fleet.stopOne(name, true)
+	s.record("power of all, disks of two")
+	for _, name := range s.fleet.names {
+		s.fleet.stopOne(name, true)
 	}
-	empty := d.random.Perm(replicasForTwoLosses)[:2]
-	for place, name := range d.fleet.names {
-		if place == empty[0] || place == empty[1] {
-			d.fleet.restartEmpty(name)
+	empty := s.random.Perm(replicasForTwoLosses)[:2]
+	for number, name := range s.fleet.names {
+		if number == empty[0] || number == empty[1] {
+			s.fleet.restartEmpty(name)
 		} else {
-			d.fleet.restart(name)
+			s.fleet.restart(name)
 		}
 	}
-	d.fleet.until(func() bool { return d.fleet.whole() && d.fleet.inForce() })
+	s.fleet.until(func() bool { return s.fleet.isComplete() && s.fleet.inForce() })
 }
 
 var _ = Describe("stores that lose two at once", func() {
 	provoked := map[string]int{}
 	for seed := range uint64(6) {
 		It(fmt.Sprintf("keep what they acknowledged, seed %d", seed), func() {
-			day := newDayOfTwoLosses(seed)
+			scenario := newTwoLossesScenario(seed)
 			for range twoLossesRounds {
-				day.loseTwo(provoked)
+				scenario.loseTwo(provoked)
 			}
-			day.loseAllAndTwoDisks()
-			for _, p := range day.programs {
+			scenario.loseAllAndTwoDisks()
+			for _, p := range scenario.programs {
 				if len(p.turns) > 0 {
-					p.expectKept()
+					p.expectRetained()
 				}
 			}
 			for _, kind := range storeLosses {
