--- a/internal/testing/lab/simcommand/rest.go
+++ b/internal/testing/lab/simcommand/rest.go
@@ -15,7 +15,7 @@
 
 // measureRest prints how much faster than real time a fleet at rest is simulated.
 func measureRest(output io.Writer, seed int64, span time.Duration) error {
-	rest := statesuite.NewRest(seed)
+	rest := statesuite.NewIdleFleet(seed)
 	begun := time.Now()
 	events := rest.Advance(span)
 	took := time.Since(begun)
--- a/internal/testing/sim/statesuite/call_script.go
+++ b/internal/testing/sim/statesuite/call_script.go
@@ -4,17 +4,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// raceCall runs a call that may not be repeated here and on another front at the same time; sometimes it is refused too.
+// raceCall runs a non-idempotent call here and on another front node at the same time; sometimes it rejects it here.
 func (f *front) raceCall(call forwardedCall, done func()) {
-	f.endpoint.call(f.otherFront(), call, ledgerPatience, func(any) {})
+	f.endpoint.call(f.otherFront(), call, ledgerTimeout, func(any) {})
 	if f.environment.Random().IntN(3) == 0 {
-		f.refuseCall(call, done)
+		f.rejectCall(call, done)
 		return
 	}
 	f.runCall(call, done)
 }
 
-// runCall writes the intent, issues the call when this attempt won, and writes the outcome.
+// runCall records the intent, issues the call when this attempt won, and records the outcome.
 func (f *front) runCall(call forwardedCall, done func()) {
 	f.claim(call.program, call.session, func(epoch uint64, _ string) {
 		if epoch == 0 {
@@ -40,23 +40,23 @@
 			done()
 			return
 		}
-		f.suite.noteIssued(call.request)
+		f.suite.recordIssue(call.request)
 		finish := operationOf(call.program)
 		finish.Body = &protocol.LedgerOperation_FinishCall{FinishCall: &protocol.FinishCall{
 			RequestId: call.request, Attempt: attempt, Status: 200,
 		}}
-		f.environment.After(tokenPause, func() {
+		f.environment.After(interTokenGap, func() {
 			f.apply(finish, func(*protocol.LedgerResult) { done() })
 		})
 	})
 }
 
-func (f *front) refuseCall(call forwardedCall, done func()) {
-	refuse := operationOf(call.program)
-	refuse.Body = &protocol.LedgerOperation_RefuseCall{RefuseCall: &protocol.RefuseCall{RequestId: call.request}}
-	f.apply(refuse, func(result *protocol.LedgerResult) {
+func (f *front) rejectCall(call forwardedCall, done func()) {
+	rejection := operationOf(call.program)
+	rejection.Body = &protocol.LedgerOperation_RefuseCall{RefuseCall: &protocol.RefuseCall{RequestId: call.request}}
+	f.apply(rejection, func(result *protocol.LedgerResult) {
 		if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-			f.suite.noteCallRefused(call.request)
+			f.suite.recordCallRejection(call.request)
 		}
 		done()
 	})
--- a/internal/testing/sim/statesuite/committer.go
+++ b/internal/testing/sim/statesuite/committer.go
@@ -9,35 +9,35 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Syncs take between these times.
+// Durations of syncs.
 const (
-	shortestSync = 200 * time.Microsecond
-	longestSync  = 8 * time.Millisecond
-	// slowSyncOneIn syncs take up to slowestSync.
-	slowSyncOneIn = 40
-	slowestSync   = 150 * time.Millisecond
-	// lazySync is how late mutations sync that acknowledge first.
-	lazySync = time.Second
+	minSyncTime = 200 * time.Microsecond
+	maxSyncTime = 8 * time.Millisecond
+	// slowSyncOneIn: one sync in so many takes up to maxSlowSyncTime.
+	slowSyncOneIn   = 40
+	maxSlowSyncTime = 150 * time.Millisecond
+	// mutatedSyncDelay is the delay of syncs under mutations that acknowledge first.
+	mutatedSyncDelay = time.Second
 )
 
 func syncDelay(environment *sim.Environment) time.Duration {
 	random := environment.Random()
-	longest := longestSync
+	maxTime := maxSyncTime
 	if random.IntN(slowSyncOneIn) == 0 {
-		longest = slowestSync
+		maxTime = maxSlowSyncTime
 	}
-	return shortestSync + time.Duration(random.Int64N(int64(longest)))
+	return minSyncTime + time.Duration(random.Int64N(int64(maxTime)))
 }
 
-// committer is a group committer in virtual time: one sync for all that waits when it begins.
+// committer is a group committer in virtual time: one sync serves all records that wait when it begins.
 type committer struct {
 	environment *sim.Environment
 	log         *storage.Log
-	// early calls back before the sync: a mutation.
-	early   bool
-	fatal   func(error)
-	waiting []func()
-	syncing bool
+	// acknowledgeFirst calls back before the sync, as a mutation.
+	acknowledgeFirst bool
+	fatal            func(error)
+	waiting          []func()
+	syncing          bool
 }
 
 // append writes a record and calls done once it is durable.
@@ -50,7 +50,7 @@
 		c.fatal(err)
 		return
 	}
-	if c.early {
+	if c.acknowledgeFirst {
 		done()
 		done = func() {}
 	}
@@ -70,8 +70,8 @@
 		return
 	}
 	delay := syncDelay(c.environment)
-	if c.early {
-		delay = lazySync
+	if c.acknowledgeFirst {
+		delay = mutatedSyncDelay
 	}
 	c.environment.After(delay, func() {
 		if err := c.log.Sync(); err != nil {
@@ -86,8 +86,8 @@
 	})
 }
 
-// quiesce calls done once all that was appended before is durable.
-func (c *committer) quiesce(done func()) {
+// whenDurable calls done once all records appended before are durable.
+func (c *committer) whenDurable(done func()) {
 	if !c.syncing && len(c.waiting) == 0 {
 		done()
 		return
--- a/internal/testing/sim/statesuite/configuration_in_force.go
+++ b/internal/testing/sim/statesuite/configuration_in_force.go
@@ -12,65 +12,70 @@
 )
 
 const (
-	// inForceWithin is the time after which reachable nodes must have a configuration in force.
-	inForceWithin = 2 * time.Second
-	rarePoll      = 5 * time.Second
+	// inForceWithin bounds the time until reachable nodes have a configuration in force.
+	inForceWithin          = 2 * time.Second
+	infrequentPollInterval = 5 * time.Second
 )
 
-// reached says since when one life of a front node and one leader of the core have been able to talk.
-type reached struct {
+// contact is since when one incarnation of a front node and one leader of the core have been connected.
+type contact struct {
 	since  time.Duration
-	life   *front
+	node   *front
 	leader *coreProcess
 }
 
-// observeReachable notes which front nodes run and reach the leader over ways without cuts or a burst of losses.
+// observeReachable records which front nodes run and are connected to the leader without a partition or message loss.
 func (s *suite) observeReachable(now time.Duration) {
 	leader := s.leader()
 	for _, address := range s.addresses(RoleFront) {
 		machine := s.world.Machine(address)
 		process, runs := machine.Process().(*front)
-		if !runs || machine.Frozen() || leader == nil || now < s.lossyUntil || !s.world.Connected(address, leader.environment.Address()) {
-			delete(s.reachable, address)
+		if !runs || machine.Frozen() || leader == nil || now < s.messageLossUntil ||
+			!s.world.Connected(address, leader.environment.Address()) {
+			delete(s.reachableSince, address)
 			continue
 		}
-		known := s.reachable[address]
-		if known.life != process || known.leader != leader {
-			s.reachable[address] = reached{since: now, life: process, leader: leader}
+		known := s.reachableSince[address]
+		if known.node != process || known.leader != leader {
+			s.reachableSince[address] = contact{since: now, node: process, leader: leader}
 		}
 	}
 }
 
-// expectInForce looks later which of the nodes that were reachable all the time have a configuration or a newer one in force.
+// expectInForce checks after inForceWithin that the nodes that were reachable throughout have a configuration or a
+// newer one in force.
 func (s *suite) expectInForce(version uint64) {
 	begun := s.world.Elapsed()
 	s.world.After(inForceWithin, func() {
 		for _, address := range s.addresses(RoleFront) {
-			known, reachable := s.reachable[address]
+			known, reachable := s.reachableSince[address]
 			if !reachable || known.since > begun {
 				continue
 			}
-			held := known.life.configuration.GetVersion()
-			s.rules.inForce.Check(held >= version, "%s has configuration %d in force %s after %d", address, held, inForceWithin, version)
+			current := known.node.configuration.GetVersion()
+			s.rules.inForceWithinBound.Check(current >= version, "%s has configuration %d in force %s after %d", address,
+				current, inForceWithin, version)
 		}
 	})
 }
 
-// noteInForce compares what a front node puts in force with what it had and with what the log says.
-func (s *suite) noteInForce(address sim.Address, next *protocol.Configuration) {
+// checkInForce compares the configuration that a front node puts in force with its former one and with the control log.
+func (s *suite) checkInForce(address sim.Address, next *protocol.Configuration) {
 	former := s.inForce[address]
-	notOlder := next.GetVersion() >= former.GetVersion() && next.GetActive().GetVersion() >= former.GetActive().GetVersion()
-	s.rules.noStepBack.Check(notOlder, "%s goes back from bundle %d of configuration %d to bundle %d of configuration %d", address,
+	notOlder := next.GetVersion() >= former.GetVersion() &&
+		next.GetActive().GetVersion() >= former.GetActive().GetVersion()
+	s.rules.configurationMonotonic.Check(notOlder,
+		"%s goes back from bundle %d of configuration %d to bundle %d of configuration %d", address,
 		former.GetActive().GetVersion(), former.GetVersion(), next.GetActive().GetVersion(), next.GetVersion())
 	s.inForce[address] = next
 	s.rules.sameContent.Check(proto.Equal(next, s.oracle.configurations[next.GetVersion()]),
 		"%s has another configuration %d than the control log", address, next.GetVersion())
 }
 
-// takeConfiguration puts in force what a view has newer, by a delta where there is one.
-func (f *front) takeConfiguration(view *controlstate.View) {
+// applyConfiguration puts the newer configuration of a view in force, by a delta where there is one.
+func (f *front) applyConfiguration(view *controlstate.View) {
 	known := f.configuration.GetVersion()
-	if view.Configuration.GetVersion() <= known || f.pollsRarely() {
+	if view.Configuration.GetVersion() <= known || f.skipsPoll() {
 		return
 	}
 	next, delta := view.ConfigurationSince(known)
@@ -87,7 +92,7 @@
 
 func (f *front) putInForce(next *protocol.Configuration) {
 	f.configuration = next
-	f.suite.noteInForce(f.environment.Address(), next)
+	f.suite.checkInForce(f.environment.Address(), next)
 }
 
 func (f *front) applyDelta(delta *protocol.ConfigurationDelta) (*protocol.Configuration, error) {
@@ -102,27 +107,27 @@
 	}, nil
 }
 
-// pollsRarely lets a mutated front node pass over most of its polls.
-func (f *front) pollsRarely() bool {
-	if f.suite.options.Mutation != FrontPollsRarely {
+// skipsPoll makes a front node skip most of its polls under FrontPollsInfrequently.
+func (f *front) skipsPoll() bool {
+	if f.suite.options.Mutation != FrontPollsInfrequently {
 		return false
 	}
 	now := f.environment.Now()
 	if now.Before(f.nextPoll) {
 		return true
 	}
-	f.nextPoll = now.Add(rarePoll)
+	f.nextPoll = now.Add(infrequentPollInterval)
 	return false
 }
 
-// takeAnyView lets a mutated front node take whatever any core member holds.
-func (f *front) takeAnyView() {
+// readAnyMember puts the configuration of any core member in force, under FrontReadsAnyMember.
+func (f *front) readAnyMember() {
 	addresses := f.suite.coreAddresses()
 	address := addresses[f.environment.Random().IntN(len(addresses))]
-	f.endpoint.call(address, anyRead{}, coreCallPatience, func(answer any) {
+	f.endpoint.call(address, localRead{}, coreCallTimeout, func(answer any) {
 		if reply, found := answer.(readReply); found && reply.view.Configuration.GetVersion() > 0 {
 			f.putInForce(reply.view.Configuration)
 		}
-		f.environment.After(pollInterval, f.takeAnyView)
+		f.environment.After(pollInterval, f.readAnyMember)
 	})
 }
--- a/internal/testing/sim/statesuite/core_disk.go
+++ b/internal/testing/sim/statesuite/core_disk.go
@@ -20,8 +20,8 @@
 	segmentBytes   = 16 << 10
 )
 
-// coreDisk keeps a core member's log and snapshots. A record with compacted set means that all entries
-// up to it stand in a snapshot.
+// coreDisk stores a core member's log and snapshots. A record with compacted set means that a snapshot covers all
+// entries up to it.
 type coreDisk struct {
 	filesystem *simdisk.Disk
 	log        *storage.Log
@@ -50,7 +50,7 @@
 	return sum.Sum64() | 1
 }
 
-// recoverState reads what the disk holds, with the state of the newest snapshot.
+// recoverState reads the log, and the state of the newest snapshot.
 func (d *coreDisk) recoverState() (consensus.InitialState, *protocol.ControlState, error) {
 	metadata, state, err := d.loadSnapshot()
 	if err != nil {
@@ -62,7 +62,7 @@
 		if err := proto.Unmarshal(data, record); err != nil {
 			return err
 		}
-		recovered.take(record)
+		recovered.apply(record)
 		return nil
 	})
 	initial := consensus.InitialState{HardState: recovered.hardState, Snapshot: metadata, Entries: recovered.entries}
@@ -75,26 +75,27 @@
 	hardState      *protocol.HardState
 }
 
-func (r *recoveredLog) take(record *protocol.CoreRecord) {
+func (r *recoveredLog) apply(record *protocol.CoreRecord) {
 	if hardState := record.GetHardState(); hardState != nil {
 		r.hardState = hardState
 	}
-	if compacted := record.GetCompacted(); compacted != nil && compacted.GetIndex() == r.base && compacted.GetTerm() == r.baseTerm {
+	if compacted := record.GetCompacted(); compacted != nil && compacted.GetIndex() == r.base &&
+		compacted.GetTerm() == r.baseTerm {
 		r.entries = nil
 	}
 	entry := record.GetEntry()
 	if entry == nil || entry.GetIndex() <= r.base {
 		return
 	}
-	place := entry.GetIndex() - r.base - 1
-	if place > uint64(len(r.entries)) {
-		// An entry of a history that a received snapshot replaced.
+	index := entry.GetIndex() - r.base - 1
+	if index > uint64(len(r.entries)) {
+		// The entry belongs to a log that a received snapshot replaced.
 		return
 	}
-	if place < uint64(len(r.entries)) && r.entries[place].GetTerm() == entry.GetTerm() {
+	if index < uint64(len(r.entries)) && r.entries[index].GetTerm() == entry.GetTerm() {
 		return
 	}
-	r.entries = append(r.entries[:place:place], entry)
+	r.entries = append(r.entries[:index:index], entry)
 }
 
 func (d *coreDisk) write(records ...*protocol.CoreRecord) error {
@@ -122,8 +123,10 @@
 	return &protocol.CoreRecord{Body: &protocol.CoreRecord_HardState{HardState: hardState}}
 }
 
-// compact begins a segment with what the snapshot does not cover and removes what it does.
-func (d *coreDisk) compact(metadata *protocol.SnapshotMetadata, entries []*protocol.Entry, hardState *protocol.HardState) error {
+// compact begins a segment with the records that the snapshot does not cover and removes the earlier segments.
+func (d *coreDisk) compact(metadata *protocol.SnapshotMetadata, entries []*protocol.Entry,
+	hardState *protocol.HardState,
+) error {
 	segment, err := d.log.Rotate()
 	if err != nil {
 		return err
--- a/internal/testing/sim/statesuite/core_member_orders.go
+++ b/internal/testing/sim/statesuite/core_member_orders.go
@@ -11,24 +11,24 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Messages about members of the core. Orders are carried out as internal/controlplane/core does: written to the log with the member
-// that they mean, then carried out unless a later order about that member was given.
+// Messages about members of the core. Orders are carried out as internal/controlplane/core does: committed to the log
+// with the member that they mean, then carried out unless there is a later order about that member.
 type (
 	memberOrder struct {
 		id      string
 		remove  bool
 		subject string
 	}
-	// memberReply names the member that the order meant; nil when it was refused.
+	// memberReply names the member that the order means; nil when it was rejected.
 	memberReply struct{ member *protocol.CoreMember }
 	identify    struct{}
 	identity    struct{ member *protocol.CoreMember }
 )
 
 const (
-	identifyPatience   = 300 * time.Millisecond
+	identifyTimeout    = 300 * time.Millisecond
 	membershipInterval = 40 * time.Millisecond
-	membershipPatience = 2 * time.Second
+	membershipTimeout  = 2 * time.Second
 )
 
 func (p *coreProcess) serveMemberOrder(order memberOrder, reply func(any)) {
@@ -37,33 +37,33 @@
 			reply(notLeader{})
 			return
 		}
-		p.soon(func() { p.findMeant(order, reply) })
+		p.enqueueNext(func() { p.resolveMember(order, reply) })
 	})
 }
 
-// findMeant finds the member that an order means, or that it meant when it was first given.
-func (p *coreProcess) findMeant(order memberOrder, reply func(any)) {
+// resolveMember finds the member that an order means, or that it meant when it was first given.
+func (p *coreProcess) resolveMember(order memberOrder, reply func(any)) {
 	if order.remove {
-		p.pinMember(order, p.memberNamed(order.subject), false, reply)
+		p.logMemberOrder(order, p.memberNamed(order.subject), false, reply)
 		return
 	}
 	if known := p.state.View().MemberAdded(order.id); known != nil {
-		p.pinMember(order, known, true, reply)
+		p.logMemberOrder(order, known, true, reply)
 		return
 	}
-	p.endpoint.call(sim.Address(order.subject), identify{}, identifyPatience, func(answer any) {
+	p.endpoint.call(sim.Address(order.subject), identify{}, identifyTimeout, func(answer any) {
 		found, answered := answer.(identity)
 		if !answered {
 			reply(unknownOutcome{})
 			return
 		}
-		p.soon(func() { p.pinMember(order, found.member, false, reply) })
+		p.enqueueNext(func() { p.logMemberOrder(order, found.member, false, reply) })
 	})
 }
 
 func (p *coreProcess) memberNamed(name string) *protocol.CoreMember {
 	configuration, _ := p.node.Configuration()
-	// The newest first: a machine that lost its disk joins anew under the same name.
+	// The newest first: a machine that lost its disk joins again, as another member under the same name.
 	for _, members := range [][]*protocol.CoreMember{configuration.GetMembers(), configuration.GetRetired()} {
 		for _, member := range slices.Backward(members) {
 			if member.GetName() == name {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// pinMember writes the order to the log, then carries it out.
-func (p *coreProcess) pinMember(order memberOrder, member *protocol.CoreMember, again bool, reply func(any)) {
+// logMemberOrder commits the order with its member to the log, then carries it out.
+func (p *coreProcess) logMemberOrder(order memberOrder, member *protocol.CoreMember, again bool, reply func(any)) {
 	data, err := proto.Marshal(&protocol.Command{OrderId: order.id, Body: &protocol.Command_ChangeMember{
 		ChangeMember: &protocol.ChangeMemberCommand{Remove: order.remove, Subject: order.subject, Member: member},
 	}})
@@ -84,69 +84,77 @@
 		return
 	}
 	p.propose(data, func(answer any) {
-		pinned, known := answer.(commandReply)
+		logged, known := answer.(commandReply)
 		switch {
 		case !known:
 			reply(answer)
-		case !pinned.result.GetAccepted():
+		case !logged.result.GetAccepted():
 			reply(memberReply{})
 		default:
-			p.soon(func() { p.carryOutMemberOrder(order, pinned.result.GetMember(), again, reply) })
+			p.enqueueNext(func() { p.carryOutMemberOrder(order, logged.result.GetMember(), again, reply) })
 		}
 	})
 }
 
-func (p *coreProcess) carryOutMemberOrder(order memberOrder, meant *protocol.CoreMember, again bool, reply func(any)) {
+func (p *coreProcess) carryOutMemberOrder(order memberOrder, member *protocol.CoreMember, again bool, reply func(any)) {
 	configuration, _ := p.node.Configuration()
-	isMember := consensus.Member(configuration, meant.GetId()) != nil
-	isLast := p.state.View().MemberOrder(meant.GetId()) == order.id
+	isMember := consensus.Member(configuration, member.GetId()) != nil
+	isLast := p.state.View().MemberOrder(member.GetId()) == order.id
 	repeats := p.suite.options.Mutation == CoreRepeatsMemberOrders
-	done := func() { reply(memberReply{member: meant}) }
+	done := func() { reply(memberReply{member: member}) }
 	switch {
-	case meant.GetId() == 0 || !isLast && !repeats, isMember != order.remove:
+	case member.GetId() == 0 || !isLast && !repeats, isMember != order.remove:
 		done()
 	case !order.remove && again && !isLast && !repeats:
 		done()
-	case order.remove && meant.GetId() == p.self.GetId():
-		p.handLeadershipOver()
+	case order.remove && member.GetId() == p.self.GetId():
+		p.transferLeadership()
 		reply(unknownOutcome{})
-	case order.remove && p.suite.options.Mutation == CoreRemovesBeforeReplacing && !p.safeWithout(meant.GetId()):
+	case order.remove && p.suite.options.Mutation == CoreRemovesBeforeReplacing && !p.hasQuorumWithout(member.GetId()):
 		reply(unknownOutcome{})
 	default:
-		p.changeByOrder(configuration, order, meant)
-		p.awaitMembership(meant.GetId(), !order.remove, p.environment.Now().Add(membershipPatience), done, func() { reply(unknownOutcome{}) })
+		p.changeByOrder(configuration, order, member)
+		p.awaitMembership(member.GetId(), !order.remove, p.environment.Now().Add(membershipTimeout), done,
+			func() { reply(unknownOutcome{}) })
 	}
 }
 
-func (p *coreProcess) changeByOrder(configuration *protocol.CoreConfiguration, order memberOrder, meant *protocol.CoreMember) {
+func (p *coreProcess) changeByOrder(configuration *protocol.CoreConfiguration, order memberOrder,
+	subject *protocol.CoreMember,
+) {
 	if !order.remove {
 		next := proto.Clone(configuration).(*protocol.CoreConfiguration)
-		learner := proto.Clone(meant).(*protocol.CoreMember)
+		learner := proto.Clone(subject).(*protocol.CoreMember)
 		learner.Voter = false
 		next.Members = append(next.Members, learner)
-		next.Retired = slices.DeleteFunc(next.Retired, func(member *protocol.CoreMember) bool { return member.GetId() == meant.GetId() })
-		p.change(next, "add "+meant.GetName()+" by order")
+		next.Retired = slices.DeleteFunc(next.Retired,
+			func(member *protocol.CoreMember) bool { return member.GetId() == subject.GetId() })
+		p.change(next, "add "+subject.GetName()+" by order")
 		return
 	}
-	if consensus.Member(configuration, meant.GetId()).GetVoter() && p.suite.options.Mutation != CoreRemovesBeforeReplacing {
-		// The planner removes it once another voter stands in its place.
-		p.plan.leaving = meant.GetId()
+	if consensus.Member(configuration, subject.GetId()).GetVoter() &&
+		p.suite.options.Mutation != CoreRemovesBeforeReplacing {
+		// The planner removes it once another voter has replaced it.
+		p.plan.removing = subject.GetId()
 		return
 	}
-	p.change(p.retire(configuration, meant), "remove "+meant.GetName()+" by order")
+	p.change(p.retire(configuration, subject), "remove "+subject.GetName()+" by order")
 }
 
-// retire takes a member out for good.
-func (p *coreProcess) retire(configuration *protocol.CoreConfiguration, meant *protocol.CoreMember) *protocol.CoreConfiguration {
-	next := withoutMember(configuration, meant.GetId())
+// retire removes a member for good: it must not join again by itself.
+func (p *coreProcess) retire(configuration *protocol.CoreConfiguration,
+	member *protocol.CoreMember,
+) *protocol.CoreConfiguration {
+	next := withoutMember(configuration, member.GetId())
 	if p.suite.options.Mutation != CoreForgetsRemovedMembers {
-		next.Retired = append(next.Retired, proto.Clone(meant).(*protocol.CoreMember))
+		next.Retired = append(next.Retired, proto.Clone(member).(*protocol.CoreMember))
 	}
 	return next
 }
 
-// safeWithout says whether a majority is left without a member that was heard of not long ago. A mutation takes that for enough.
-func (p *coreProcess) safeWithout(id uint64) bool {
+// hasQuorumWithout reports whether the other voters with recent contact are a quorum without a member. Only
+// CoreRemovesBeforeReplacing relies on it.
+func (p *coreProcess) hasQuorumWithout(id uint64) bool {
 	status := p.node.Status()
 	voters := consensus.Voters(status.Configuration)
 	if !slices.Contains(voters, id) {
@@ -155,14 +163,14 @@
 	alive := 1
 	for _, contact := range status.Peers {
 		isOther := contact.ID != id && contact.ID != status.ID && slices.Contains(voters, contact.ID)
-		if isOther && p.environment.Now().Sub(contact.LastContact) < aliveWithin {
+		if isOther && p.environment.Now().Sub(contact.LastContact) < contactTimeout {
 			alive++
 		}
 	}
 	return alive >= consensus.Quorum(len(voters)-1)
 }
 
-func (p *coreProcess) handLeadershipOver() {
+func (p *coreProcess) transferLeadership() {
 	status := p.node.Status()
 	best, match := uint64(0), uint64(0)
 	for _, contact := range status.Peers {
@@ -181,11 +189,12 @@
 	p.environment.After(membershipInterval, func() {
 		p.enqueue(func() {
 			status := p.node.Status()
-			settled := status.ConfigurationIndex <= status.Commit && (consensus.Member(status.Configuration, id) != nil) == present
+			committed := status.ConfigurationIndex <= status.Commit && (consensus.Member(status.Configuration,
+				id) != nil) == present
 			switch {
 			case status.Role != consensus.Leader, !p.environment.Now().Before(deadline):
 				failed()
-			case settled:
+			case committed:
 				done()
 			default:
 				p.awaitMembership(id, present, deadline, done, failed)
--- a/internal/testing/sim/statesuite/core_membership.go
+++ b/internal/testing/sim/statesuite/core_membership.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	aliveWithin       = 3 * time.Second
+	contactTimeout    = 3 * time.Second
 	replaceVoterAfter = 3 * time.Second
 	caughtUpEntries   = 16
 	storeLease        = 3 * time.Second
@@ -20,28 +20,28 @@
 	shardCount        = 4
 	replicaCount      = 3
 	maximumMoves      = 2
-	joinPatience      = 500 * time.Millisecond
+	joinTimeout       = 500 * time.Millisecond
 )
 
-// corePlan is what a leader remembers to plan the next steps.
+// corePlan is a leader's state between planning steps.
 type corePlan struct {
 	nextStep time.Time
 	term     uint64
-	// heard is when each store last renewed; it starts anew with each leadership.
-	heard map[string]time.Time
-	since time.Time
-	// leaving is the voter that is to go by an order once another stands in its place.
-	leaving uint64
+	// lastRenewals is when each store last renewed its lease in this term.
+	lastRenewals map[string]time.Time
+	leaderSince  time.Time
+	// removing is the voter to remove by order once another has replaced it.
+	removing uint64
 }
 
-// joinLater asks to be admitted until the configuration at hand names this member.
+// joinLater requests admission until the known configuration contains this member.
 func (p *coreProcess) joinLater(delay time.Duration) {
 	p.environment.After(delay, func() {
 		configuration, _ := p.node.Configuration()
 		if consensus.Member(configuration, p.self.GetId()) == nil {
 			seeds := p.suite.coreAddresses()
 			seed := seeds[p.environment.Random().IntN(len(seeds))]
-			p.endpoint.call(seed, joinCore{member: p.self}, joinPatience, func(any) {})
+			p.endpoint.call(seed, joinCore{member: p.self}, joinTimeout, func(any) {})
 		}
 		p.joinLater(planInterval)
 	})
@@ -50,7 +50,8 @@
 func (p *coreProcess) admit(member *protocol.CoreMember) {
 	configuration, _ := p.node.Configuration()
 	isMember := func(other *protocol.CoreMember) bool { return other.GetId() == member.GetId() }
-	if slices.ContainsFunc(configuration.GetMembers(), isMember) || slices.ContainsFunc(configuration.GetRetired(), isMember) {
+	if slices.ContainsFunc(configuration.GetMembers(), isMember) ||
+		slices.ContainsFunc(configuration.GetRetired(), isMember) {
 		return
 	}
 	next := proto.Clone(configuration).(*protocol.CoreConfiguration)
@@ -65,7 +66,7 @@
 	}
 }
 
-// planMembership lets a leader under its lease take the next step for members, leases of stores and shards.
+// planMembership plans the next step for members, leases of stores and shards, on a leader with its lease.
 func (p *coreProcess) planMembership() {
 	now := p.environment.Now()
 	if p.node.Role() != consensus.Leader || now.Before(p.plan.nextStep) || !p.environment.Alive() {
@@ -76,7 +77,7 @@
 		return
 	}
 	if p.plan.term != status.Term {
-		p.plan = corePlan{term: status.Term, heard: map[string]time.Time{}, since: now}
+		p.plan = corePlan{term: status.Term, lastRenewals: map[string]time.Time{}, leaderSince: now}
 	}
 	p.plan.nextStep = now.Add(planInterval)
 	p.planMembers(status, now)
@@ -84,51 +85,54 @@
 	p.enqueue(func() {})
 }
 
-// planMembers promotes learners while voters are lacking and removes lost members once there are enough.
+// planMembers promotes learners while there are too few voters and removes lost members once there are enough.
 func (p *coreProcess) planMembers(status consensus.Status, now time.Time) {
 	contacts := map[uint64]consensus.PeerStatus{}
 	for _, contact := range status.Peers {
 		contacts[contact.ID] = contact
 	}
-	silence := func(id uint64) time.Duration {
+	sinceContact := func(id uint64) time.Duration {
 		if id == status.ID {
 			return 0
 		}
 		return now.Sub(contacts[id].LastContact)
 	}
-	var kept, lost, learners []*protocol.CoreMember
+	var inContact, lost, learners []*protocol.CoreMember
 	for _, member := range status.Configuration.GetMembers() {
 		switch {
-		case member.GetId() == p.plan.leaving:
+		case member.GetId() == p.plan.removing:
 			lost = slices.Insert(lost, 0, member)
-		case silence(member.GetId()) >= replaceVoterAfter:
+		case sinceContact(member.GetId()) >= replaceVoterAfter:
 			lost = append(lost, member)
 		case member.GetVoter():
-			kept = append(kept, member)
+			inContact = append(inContact, member)
 		case contacts[member.GetId()].Match+caughtUpEntries >= status.LastIndex:
 			learners = append(learners, member)
 		}
 	}
-	p.suite.shape.order(kept, learners)
+	p.suite.shape.order(inContact, learners)
 	targetVoters := p.suite.shape.voters
 	voters := len(consensus.Voters(status.Configuration))
 	switch {
-	case len(kept) < targetVoters && len(learners) > 0:
+	case len(inContact) < targetVoters && len(learners) > 0:
 		p.change(withVoter(status.Configuration, learners[0].GetId(), true), "promote "+learners[0].GetName())
-	case len(lost) > 0 && (voters > targetVoters || !lost[0].GetVoter()) && len(kept) >= consensus.Quorum(max(voters-1, 1)):
+	case len(lost) > 0 && (voters > targetVoters || !lost[0].GetVoter()) &&
+		len(inContact) >= consensus.Quorum(max(voters-1, 1)):
 		p.change(p.withoutLost(status.Configuration, lost[0]), "remove "+lost[0].GetName())
-	case len(kept) > targetVoters:
-		surplus := kept[len(kept)-1]
+	case len(inContact) > targetVoters:
+		surplus := inContact[len(inContact)-1]
 		if surplus.GetId() == status.ID {
-			surplus = kept[0]
+			surplus = inContact[0]
 		}
 		p.change(withVoter(status.Configuration, surplus.GetId(), false), "demote "+surplus.GetName())
 	}
 }
 
-// withoutLost removes a lost member, for good when that was ordered.
-func (p *coreProcess) withoutLost(configuration *protocol.CoreConfiguration, member *protocol.CoreMember) *protocol.CoreConfiguration {
-	if member.GetId() == p.plan.leaving {
+// withoutLost removes a lost member, for good when an order said so.
+func (p *coreProcess) withoutLost(configuration *protocol.CoreConfiguration,
+	member *protocol.CoreMember,
+) *protocol.CoreConfiguration {
+	if member.GetId() == p.plan.removing {
 		return p.retire(configuration, member)
 	}
 	return withoutMember(configuration, member.GetId())
@@ -146,10 +150,10 @@
 	return next
 }
 
-// noteRenewal remembers that a store renewed its lease. It returns false when it must be joined first.
-func (p *coreProcess) noteRenewal(node *protocol.Node) bool {
-	if p.plan.heard != nil {
-		p.plan.heard[node.GetName()] = p.environment.Now()
+// recordRenewal records that a store renewed its lease. It returns false when the store must join first.
+func (p *coreProcess) recordRenewal(node *protocol.Node) bool {
+	if p.plan.lastRenewals != nil {
+		p.plan.lastRenewals[node.GetName()] = p.environment.Now()
 	}
 	return proto.Equal(p.state.View().Node(node.GetName()), node)
 }
@@ -157,19 +161,19 @@
 func (p *coreProcess) planStores(now time.Time) {
 	view := p.state.View()
 	if len(view.FirstKeys) == 0 {
-		p.proposeOwn(&protocol.Command{Body: &protocol.Command_SeedSignOffKeys{
+		p.proposeCommand(&protocol.Command{Body: &protocol.Command_SeedSignOffKeys{
 			SeedSignOffKeys: &protocol.SeedSignOffKeysCommand{Keys: p.suite.publicKeys()},
 		}})
 	}
 	lost := map[string]bool{}
 	for _, shard := range view.Placement.GetShards() {
 		for _, replica := range append(slices.Clone(shard.GetCurrent()), shard.GetNext()...) {
-			lost[replica.GetStore()] = p.silentFor(replica.GetStore(), now) >= storeLostAfter
+			lost[replica.GetStore()] = p.sinceRenewal(replica.GetStore(), now) >= storeLostAfter
 		}
 	}
 	for _, node := range view.Membership.GetNodes() {
-		if p.silentFor(node.GetName(), now) >= storeLease {
-			p.proposeOwn(&protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
+		if p.sinceRenewal(node.GetName(), now) >= storeLease {
+			p.proposeCommand(&protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
 				Name: node.GetName(), Incarnation: node.GetIncarnation(), Reason: "lease ran out",
 			}}})
 		}
@@ -182,7 +186,7 @@
 		Placement: view.Placement, Nodes: view.Membership.GetNodes(), Lost: lost, MaxMoves: maximumMoves,
 	}) {
 		p.suite.counts.moves++
-		p.proposeOwn(&protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
+		p.proposeCommand(&protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: step}})
 	}
 }
 
@@ -190,15 +194,18 @@
 	if controlstate.CountStoreZones(view.Placement, view.Membership.GetNodes()) < replicaCount {
 		return
 	}
-	p.proposeOwn(&protocol.Command{Body: &protocol.Command_InitializePlacement{
-		InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: shardCount, ReplicaCount: replicaCount, OverRegions: len(p.suite.shape.regions) > 1},
+	p.proposeCommand(&protocol.Command{Body: &protocol.Command_InitializePlacement{
+		InitializePlacement: &protocol.InitializePlacementCommand{
+			ShardCount: shardCount, ReplicaCount: replicaCount,
+			OverRegions: len(p.suite.shape.regions) > 1,
+		},
 	}})
 }
 
-func (p *coreProcess) silentFor(store string, now time.Time) time.Duration {
-	heard, known := p.plan.heard[store]
+func (p *coreProcess) sinceRenewal(store string, now time.Time) time.Duration {
+	lastRenewal, known := p.plan.lastRenewals[store]
 	if !known {
-		heard = p.plan.since
+		lastRenewal = p.plan.leaderSince
 	}
-	return now.Sub(heard)
+	return now.Sub(lastRenewal)
 }
--- a/internal/testing/sim/statesuite/core_process.go
+++ b/internal/testing/sim/statesuite/core_process.go
@@ -23,8 +23,8 @@
 type (
 	coreCommand struct{ command []byte }
 	coreRead    struct{}
-	// anyRead asks a member for its view whatever its age, as only a mutation does.
-	anyRead    struct{}
+	// localRead requests a member's own view, which may be stale; only a mutation does so.
+	localRead  struct{}
 	locateCore struct{}
 	joinCore   struct{ member *protocol.CoreMember }
 	renewNode  struct{ node *protocol.Node }
@@ -34,17 +34,17 @@
 	joinReply    struct{}
 	renewReply   struct{}
 	notLeader    struct{}
-	// located names the leader that a member knows and its term.
+	// located is the answer to locateCore: the leader that a member knows, and its term.
 	located struct {
 		leader sim.Address
 		term   uint64
 	}
-	// unknownOutcome says that a command may or may not take effect.
+	// unknownOutcome: the command may or may not take effect.
 	unknownOutcome struct{}
 )
 
-// coreProcess is one life of a core member. While a sync is under way its inputs wait, as they
-// do for the one owner goroutine of a real core process.
+// coreProcess is one incarnation of a core member. During a sync its inputs wait, as they do for the owner goroutine
+// of a real core process.
 type coreProcess struct {
 	suite       *suite
 	environment *sim.Environment
@@ -61,12 +61,12 @@
 	proposals map[uint64]proposedCommand
 	reads     map[uint64]func(confirmed bool)
 	nextRead  uint64
-	// unapplied are reads that wait for an index to be applied.
-	unapplied []confirmedRead
-	plan      corePlan
-	addresses map[uint64]sim.Address
+	// confirmedReads wait for their index to be applied.
+	confirmedReads []confirmedRead
+	plan           corePlan
+	addresses      map[uint64]sim.Address
 
-	// firstSnapshot is kept for a mutation.
+	// firstSnapshot is used by CoreSnapshotsOldState only.
 	firstSnapshot []byte
 	chunkMetadata *protocol.SnapshotMetadata
 	chunkData     []byte
@@ -96,7 +96,7 @@
 func (p *coreProcess) start(founder bool) error {
 	disk, err := openCoreDisk(p.environment.Disk())
 	if err != nil {
-		return p.suite.noteStartFailure(p.environment, err)
+		return p.suite.checkStartFailure(p.environment, err)
 	}
 	p.disk = disk
 	id := disk.id
@@ -104,10 +104,13 @@
 		id = hashOf(string(p.environment.Address()))
 	}
 	address := string(p.environment.Address())
-	p.self = &protocol.CoreMember{Id: id, Name: address, Address: address, Zone: p.environment.Zone(), Region: p.suite.shape.regions[p.environment.Zone()]}
+	p.self = &protocol.CoreMember{
+		Id: id, Name: address, Address: address, Zone: p.environment.Zone(),
+		Region: p.suite.shape.regions[p.environment.Zone()],
+	}
 	initial, snapshot, err := disk.recoverState()
 	if err != nil {
-		return p.suite.noteStartFailure(p.environment, err)
+		return p.suite.checkStartFailure(p.environment, err)
 	}
 	if founder && p.environment.Incarnation() == 1 {
 		initial = foundingState(p.self)
@@ -121,7 +124,7 @@
 	if err := p.buildNode(initial); err != nil {
 		return err
 	}
-	p.suite.noteStart(p.environment)
+	p.suite.recordStart(p.environment)
 	p.tickLater()
 	p.joinLater(planInterval)
 	return nil
@@ -158,14 +161,15 @@
 func (p *coreProcess) buildNode(initial consensus.InitialState) error {
 	random := p.environment.Random()
 	node, err := consensus.New(consensus.Config{
-		ID: p.self.GetId(), RetainedEntries: p.suite.shape.retainedEntries, SnapshotChunkBytes: p.suite.shape.snapshotChunkBytes,
-		Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64())),
+		ID: p.self.GetId(), RetainedEntries: p.suite.shape.retainedEntries,
+		SnapshotChunkBytes: p.suite.shape.snapshotChunkBytes,
+		Random:             rand.New(rand.NewPCG(random.Uint64(), random.Uint64())),
 	}, initial, p.environment.Now())
 	p.node = node
 	return err
 }
 
-// Receive hands a message to the node or to the endpoint.
+// Receive implements sim.Process: it passes a message to the node or to the endpoint.
 func (p *coreProcess) Receive(from sim.Address, message any) {
 	consensusMessage, isConsensus := message.(*protocol.ConsensusMessage)
 	if !isConsensus {
@@ -184,7 +188,7 @@
 func (p *coreProcess) ConnectionBroken(peer sim.Address) { p.endpoint.connectionBroken(peer) }
 
 func (p *coreProcess) tickLater() {
-	p.environment.After(p.suite.tick(), func() {
+	p.environment.After(p.suite.coreTickInterval(), func() {
 		if !p.ticking {
 			p.ticking = true
 			p.enqueue(func() {
@@ -201,12 +205,12 @@
 	p.pump()
 }
 
-// soon enqueues an input once the ones at hand are done with.
-func (p *coreProcess) soon(input func()) {
+// enqueueNext enqueues an input after the events of this moment.
+func (p *coreProcess) enqueueNext(input func()) {
 	p.environment.After(0, func() { p.enqueue(input) })
 }
 
-// pump takes all inputs that wait and carries out what comes of them, so that one sync serves all.
+// pump processes all queued inputs and then the node's output, so that one sync serves all of them.
 func (p *coreProcess) pump() {
 	for !p.syncing && len(p.inputs) > 0 && p.environment.Alive() {
 		inputs := p.inputs
@@ -220,21 +224,21 @@
 
 func (p *coreProcess) fatal(err error) { p.environment.Exit(err) }
 
-// advance carries out the node's output until there is none or a sync is under way.
+// advance handles the node's output until there is none or a sync is in progress.
 func (p *coreProcess) advance() {
 	for !p.syncing && p.environment.Alive() {
 		if !p.node.HasReady() {
-			p.idle()
+			p.afterReady()
 			return
 		}
-		if err := p.carryOut(p.node.Ready()); err != nil {
+		if err := p.handleReady(p.node.Ready()); err != nil {
 			p.fatal(err)
 			return
 		}
 	}
 }
 
-func (p *coreProcess) carryOut(ready consensus.Ready) error {
+func (p *coreProcess) handleReady(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := p.install(ready); err != nil {
 			return err
@@ -252,7 +256,7 @@
 		p.finish(ready)
 	case p.suite.options.Mutation == CoreAcknowledgesBeforeSync:
 		p.finish(ready)
-		p.environment.After(lazySync, p.syncOrExit)
+		p.environment.After(mutatedSyncDelay, p.syncOrExit)
 	default:
 		p.syncThen(ready)
 	}
@@ -279,7 +283,7 @@
 	})
 }
 
-// finish does what may be done once ready is durable.
+// finish sends, applies and confirms what ready allows once it is durable.
 func (p *coreProcess) finish(ready consensus.Ready) {
 	stale := p.sendAll(ready.Messages)
 	p.apply(ready.Committed)
@@ -303,7 +307,7 @@
 		if member := consensus.Member(configuration, message.GetTo()); member != nil {
 			address = sim.Address(member.GetAddress())
 		}
-		p.suite.noteVote(message)
+		p.suite.checkVote(message)
 		if address != "" {
 			p.environment.Send(address, message)
 		}
@@ -313,7 +317,7 @@
 
 func (p *coreProcess) apply(entries []*protocol.Entry) {
 	for _, entry := range entries {
-		p.suite.noteApplied(p.environment.Address(), entry)
+		p.suite.checkApplied(p.environment.Address(), entry)
 		var result *protocol.CommandResult
 		if entry.GetKind() == protocol.EntryKind_ENTRY_COMMAND {
 			result = p.applyCommand(entry)
@@ -335,12 +339,12 @@
 		p.fatal(err)
 		return nil
 	}
-	if p.suite.options.Mutation == CoreForgetsOrders {
+	if p.suite.options.Mutation == CoreIgnoresOrderIDs {
 		command.OrderId = ""
 	}
 	result := p.state.Apply(entry.GetIndex(), command)
 	winner := result.GetRefusal().GetWinner()
-	if p.suite.options.Mutation == CoreAcknowledgesLosers && winner != nil {
+	if p.suite.options.Mutation == CoreAcceptsConflictingBundles && winner != nil {
 		digest := bundle.Digest(command.GetPutBundle().GetBundle())
 		return &protocol.CommandResult{
 			Accepted: true, Index: winner.GetAcceptedIndex(), Bundle: &protocol.BundleStatus{SubmittedDigest: digest},
@@ -349,8 +353,8 @@
 	return result
 }
 
-// idle runs when the node has no output left.
-func (p *coreProcess) idle() {
+// afterReady runs when the node has no output left.
+func (p *coreProcess) afterReady() {
 	p.answerReads()
 	p.dropProposals()
 	p.suite.checkLease(p)
@@ -358,7 +362,7 @@
 	p.planMembership()
 }
 
-// dropProposals tells the clients of a leader that leads no more.
+// dropProposals answers the clients of a former leader with an unknown outcome.
 func (p *coreProcess) dropProposals() {
 	if p.node.Role() == consensus.Leader || len(p.proposals) == 0 {
 		return
--- a/internal/testing/sim/statesuite/core_service.go
+++ b/internal/testing/sim/statesuite/core_service.go
@@ -24,7 +24,7 @@
 	case locateCore:
 		reply(located{leader: p.leaderAddress(), term: p.node.Term()})
 		return
-	case anyRead:
+	case localRead:
 		reply(readReply{view: p.state.View()})
 		return
 	}
@@ -44,8 +44,9 @@
 			p.admit(body.member)
 			reply(joinReply{})
 		case renewNode:
-			if !p.noteRenewal(body.node) {
-				p.proposeOwn(&protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: &protocol.JoinNodeCommand{Node: body.node}}})
+			if !p.recordRenewal(body.node) {
+				join := &protocol.JoinNodeCommand{Node: body.node}
+				p.proposeCommand(&protocol.Command{Body: &protocol.Command_JoinNode{JoinNode: join}})
 			}
 			reply(renewReply{})
 		}
@@ -66,8 +67,8 @@
 	p.proposals[index] = proposedCommand{term: term, reply: reply}
 }
 
-// proposeOwn proposes a command of the leader itself.
-func (p *coreProcess) proposeOwn(command *protocol.Command) {
+// proposeCommand proposes a command of the leader itself.
+func (p *coreProcess) proposeCommand(command *protocol.Command) {
 	data, err := proto.Marshal(command)
 	if err != nil {
 		p.fatal(err)
@@ -92,8 +93,8 @@
 			return
 		}
 		view := p.state.View()
-		if p.suite.options.Mutation == CoreEmptiesEarly {
-			view = emptiedEarly(view)
+		if p.suite.options.Mutation == CoreReportsEmptiedEarly {
+			view = withEmptiedEarly(view)
 		}
 		reply(readReply{view: view})
 	}
@@ -109,18 +110,18 @@
 		done(false)
 		return
 	}
-	p.unapplied = append(p.unapplied, confirmedRead{index: result.Index, done: done})
+	p.confirmedReads = append(p.confirmedReads, confirmedRead{index: result.Index, done: done})
 }
 
-// answerReads answers the reads whose index is applied.
+// answerReads answers the confirmed reads whose index is applied.
 func (p *coreProcess) answerReads() {
-	reads := p.unapplied
-	p.unapplied = nil
+	reads := p.confirmedReads
+	p.confirmedReads = nil
 	for _, read := range reads {
 		if read.index <= p.node.Applied() {
 			read.done(true)
 		} else {
-			p.unapplied = append(p.unapplied, read)
+			p.confirmedReads = append(p.confirmedReads, read)
 		}
 	}
 }
--- a/internal/testing/sim/statesuite/core_snapshot.go
+++ b/internal/testing/sim/statesuite/core_snapshot.go
@@ -37,7 +37,7 @@
 	p.suite.counts.snapshots++
 }
 
-// install replaces the whole state by a received snapshot.
+// install replaces the state by a received snapshot.
 func (p *coreProcess) install(ready consensus.Ready) error {
 	received := ready.Snapshot
 	state := &protocol.ControlState{}
@@ -58,12 +58,12 @@
 	return p.disk.compact(received.Metadata, nil, hardState)
 }
 
-// fillChunk puts the piece at the message's offset into it, or returns false when the snapshot is gone.
+// fillChunk fills in the chunk at the message's offset, or returns false when the snapshot no longer exists.
 func (p *coreProcess) fillChunk(message *protocol.ConsensusMessage) bool {
-	wanted := message.GetSnapshot().GetIndex()
-	if p.chunkMetadata.GetIndex() != wanted {
+	index := message.GetSnapshot().GetIndex()
+	if p.chunkMetadata.GetIndex() != index {
 		metadata, data, err := p.disk.readSnapshot()
-		if err != nil || metadata.GetIndex() != wanted {
+		if err != nil || metadata.GetIndex() != index {
 			return false
 		}
 		p.chunkMetadata, p.chunkData = metadata, data
--- a/internal/testing/sim/statesuite/endpoint.go
+++ b/internal/testing/sim/statesuite/endpoint.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// request and answer are what processes send each other; bodies are never changed after they were sent.
+// request and answer are the messages between processes; bodies are immutable once sent.
 type request struct {
 	id   uint64
 	body any
@@ -19,12 +19,12 @@
 	body any
 }
 
-// endpoint matches answers to requests of one process life.
+// endpoint matches answers to requests of one incarnation of a process.
 type endpoint struct {
 	environment *sim.Environment
 	next        uint64
 	pending     map[uint64]*pendingCall
-	// serve handles a request; it calls reply at most once, also later.
+	// serve handles a request; it calls reply at most once, now or later.
 	serve func(from sim.Address, body any, reply func(any))
 }
 
@@ -36,21 +36,21 @@
 func newEndpoint(environment *sim.Environment, serve func(sim.Address, any, func(any))) *endpoint {
 	return &endpoint{
 		environment: environment,
-		// Answers to a former life must not be taken for answers to this one.
+		// Answers to an earlier incarnation must not match requests of this one.
 		next:    uint64(environment.Incarnation()) << 32,
 		pending: map[uint64]*pendingCall{},
 		serve:   serve,
 	}
 }
 
-// call sends a request. done gets the answer, or nil when none came in time: then
-// nobody knows whether the request arrived.
-func (e *endpoint) call(to sim.Address, body any, patience time.Duration, done func(any)) {
+// call sends a request. done is called with the answer, or with nil when none came in time: then it is unknown whether
+// the request arrived.
+func (e *endpoint) call(to sim.Address, body any, timeout time.Duration, done func(any)) {
 	e.next++
 	id := e.next
 	e.pending[id] = &pendingCall{to: to, done: done}
 	e.environment.Send(to, request{id: id, body: body})
-	e.environment.After(patience, func() { e.finish(id, nil) })
+	e.environment.After(timeout, func() { e.finish(id, nil) })
 }
 
 func (e *endpoint) finish(id uint64, body any) {
--- a/internal/testing/sim/statesuite/fault_guard.go
+++ b/internal/testing/sim/statesuite/fault_guard.go
@@ -8,18 +8,19 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// mayApply bounds what is lost for ever to one disk at a time within the core and within the stores: a disk may be lost
-// as soon as the loss before it has been repaired, and not earlier. A standby that lost its disk counts as lost until its
-// silence can be seen: until then a leader may still make it a voter, and a voter lost with it would be the second at once. All other faults are free to come together.
+// mayApply bounds lost data to one disk at a time within the core and within the stores: a disk may be lost as soon as
+// the previous loss has been repaired. A standby that lost its disk counts as lost until its missing contact is
+// detectable: before that a leader may still promote it, and a voter lost with it would be the second loss at once. All
+// other faults may coincide.
 func (s *suite) mayApply(fault sim.Fault) bool {
 	if isZoneFault(fault.Kind) {
-		return s.mayStrikeZones(fault)
+		return s.mayApplyZoneFault(fault)
 	}
 	if s.world.Elapsed() > faultsEnd {
 		return false
 	}
 	if !isLoss(fault.Kind) {
-		s.noteFault(fault)
+		s.observeFault(fault)
 		return true
 	}
 	if s.world.Elapsed() < s.zoneFault.ends {
@@ -30,13 +31,13 @@
 	case s.world.Machine(target) == nil || !s.present(target):
 		return false
 	case isRole(target, RoleCore):
-		if !s.coreWhole() || s.world.Elapsed() < s.coreLossSeen {
+		if !s.coreComplete() || s.world.Elapsed() < s.coreLossDetectable {
 			return false
 		}
-		s.coreLossSeen = s.world.Elapsed() + aliveWithin
+		s.coreLossDetectable = s.world.Elapsed() + contactTimeout
 		s.loseCoreDisk(target)
 	case isRole(target, RoleStore):
-		if !s.storesWhole() {
+		if !s.storesComplete() {
 			return false
 		}
 		s.loseStoreDisk()
@@ -49,20 +50,20 @@
 
 func isLoss(kind sim.FaultKind) bool { return kind == sim.FaultDiskLoss || kind == sim.FaultReplace }
 
-func (s *suite) noteFault(fault sim.Fault) {
+func (s *suite) observeFault(fault sim.Fault) {
 	if fault.Kind == sim.FaultMessageLoss {
-		s.lossyUntil = max(s.lossyUntil, s.world.Elapsed()+fault.Duration)
+		s.messageLossUntil = max(s.messageLossUntil, s.world.Elapsed()+fault.Duration)
 	}
 	if slices.Contains(fault.Targets, sim.AllWithPrefix(string(RoleCore))) {
-		s.restarted = true
-		s.counts.changes = s.oracle.changes
-		if s.oracle.changes >= hundredsOfChanges && s.told.version > 0 {
-			s.rules.restart.Provoke()
+		s.everythingRestarted = true
+		s.counts.changes = s.oracle.acceptedCommands
+		if s.oracle.acceptedCommands >= minChangesBeforeRestart && s.acknowledgedState.version > 0 {
+			s.rules.bundlesSurviveRestart.Provoke()
 		}
 	}
 }
 
-// loseCoreDisk counts the loss of a voter's disk right after the repair of another.
+// loseCoreDisk counts the loss of a voter's disk within secondLossWindow after the repair of another.
 func (s *suite) loseCoreDisk(target sim.Address) {
 	process, running := s.world.Machine(target).Process().(*coreProcess)
 	if !running {
@@ -71,16 +72,16 @@
 	configuration, _ := process.node.Configuration()
 	isVoter := slices.Contains(consensus.Voters(configuration), process.self.GetId())
 	s.coreRepair.observe(true, s.world.Elapsed())
-	if isVoter && s.coreRepair.lose(s.world.Elapsed()) && s.told.version > 0 {
-		s.rules.secondLoss.Provoke()
+	if isVoter && s.coreRepair.lose(s.world.Elapsed()) && s.acknowledgedState.version > 0 {
+		s.rules.bundlesSurviveSecondLoss.Provoke()
 	}
 }
 
-// loseStoreDisk counts the loss of a store's disk right after the repair of another.
+// loseStoreDisk counts the loss of a store's disk within secondLossWindow after the repair of another.
 func (s *suite) loseStoreDisk() {
 	s.storeRepair.observe(true, s.world.Elapsed())
-	if s.storeRepair.lose(s.world.Elapsed()) && len(s.keptTurns) > 0 {
-		s.rules.storeLoss.Provoke()
+	if s.storeRepair.lose(s.world.Elapsed()) && len(s.retainedTurns) > 0 {
+		s.rules.turnsSurviveSecondLoss.Provoke()
 	}
 }
 
@@ -93,18 +94,18 @@
 	return false
 }
 
-// leader is the member that holds the leader lease, if any.
+// leader returns the member with the leader lease, or nil.
 func (s *suite) leader() *coreProcess {
 	for _, process := range s.coreProcesses() {
-		if process.leaseRuns() {
+		if process.holdsLease() {
 			return process
 		}
 	}
 	return nil
 }
 
-// coreWhole says that the committed configuration has all its voters, each with its disk.
-func (s *suite) coreWhole() bool {
+// coreComplete reports whether the committed configuration has all its voters, each with its disk.
+func (s *suite) coreComplete() bool {
 	leader := s.leader()
 	if leader == nil {
 		return false
@@ -128,8 +129,8 @@
 	return true
 }
 
-// storesWhole says that every shard has all its replicas, each with the disk that the placement names.
-func (s *suite) storesWhole() bool {
+// storesComplete reports whether every shard has all its replicas, each with the disk that the placement names.
+func (s *suite) storesComplete() bool {
 	leader := s.leader()
 	if leader == nil || len(leader.state.View().Placement.GetShards()) == 0 {
 		return false
--- a/internal/testing/sim/statesuite/front.go
+++ b/internal/testing/sim/statesuite/front.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	turnCeiling      = 30
-	programBudget    = 10 * turnCeiling
-	listCount        = 4
-	scriptsAtOnce    = 4
-	scriptPause      = 60 * time.Millisecond
-	ledgerPatience   = time.Second
-	ledgerAttempts   = 4
-	ledgerRetryDelay = 60 * time.Millisecond
-	programLifetime  = 3 * time.Second
-	tokenStep        = 10
-	tokenPause       = 25 * time.Millisecond
+	turnReservationLimit = 30
+	programBudget        = 10 * turnReservationLimit
+	listCount            = 4
+	concurrentScripts    = 4
+	scriptInterval       = 60 * time.Millisecond
+	ledgerTimeout        = time.Second
+	ledgerAttempts       = 4
+	ledgerRetryDelay     = 60 * time.Millisecond
+	programLifetime      = 3 * time.Second
+	tokenStep            = 10
+	interTokenGap        = 25 * time.Millisecond
 )
 
-// front is a front node: it runs turns and calls for sessions that other fronts claim as well.
+// front is one incarnation of a front node: it runs turns and calls for sessions that other front nodes claim as well.
 type front struct {
 	suite       *suite
 	environment *sim.Environment
 	endpoint    *endpoint
 	link        *coreLink
 	placement   *protocol.Placement
-	numbers     int
-	// configuration is what this front node has in force.
+	lastName    int
+	// configuration is in force on this front node.
 	configuration *protocol.Configuration
 	nextPoll      time.Time
 }
 
-// Messages between fronts: a request that the other one is to run.
+// Messages between front nodes: a request that the receiver is to run.
 type (
 	forwardedTurn struct{ program, session, request string }
 	forwardedCall struct{ program, session, request string }
@@ -52,15 +52,15 @@
 		if view.Placement.GetEpoch() >= f.placement.GetEpoch() {
 			f.placement = view.Placement
 		}
-		if s.options.Mutation != FrontTakesAnyView {
-			f.takeConfiguration(view)
+		if s.options.Mutation != FrontReadsAnyMember {
+			f.applyConfiguration(view)
 		}
 	})
-	if s.options.Mutation == FrontTakesAnyView {
-		f.takeAnyView()
+	if s.options.Mutation == FrontReadsAnyMember {
+		f.readAnyMember()
 	}
-	for range scriptsAtOnce {
-		f.scriptLater()
+	for range concurrentScripts {
+		f.scheduleScript()
 	}
 	return f, nil
 }
@@ -80,13 +80,13 @@
 	}
 }
 
-func (f *front) scriptLater() {
-	pause := time.Duration(f.environment.Random().Int64N(int64(2 * scriptPause)))
-	f.environment.After(f.suite.pause(scriptPause+pause), f.script)
+func (f *front) scheduleScript() {
+	jitter := time.Duration(f.environment.Random().Int64N(int64(2 * scriptInterval)))
+	f.environment.After(f.suite.loadInterval(scriptInterval+jitter), f.script)
 }
 
 func (f *front) script() {
-	if f.suite.stopping {
+	if f.suite.loadStopped {
 		return
 	}
 	random := f.environment.Random()
@@ -94,27 +94,27 @@
 	session := fmt.Sprintf("session-%d", random.IntN(2))
 	switch random.IntN(8) {
 	case 0, 1:
-		f.runTurn(forwardedTurn{program, session, f.name("request")}, f.scriptLater)
+		f.runTurn(forwardedTurn{program, session, f.name("request")}, f.scheduleScript)
 	case 2:
-		f.forwardTurn(forwardedTurn{program, session, f.name("request")}, f.scriptLater)
+		f.forwardTurn(forwardedTurn{program, session, f.name("request")}, f.scheduleScript)
 	case 3:
-		f.raceCall(forwardedCall{program, session, f.name("call")}, f.scriptLater)
+		f.raceCall(forwardedCall{program, session, f.name("call")}, f.scheduleScript)
 	case 4:
-		f.readKeptTurn(f.scriptLater)
+		f.readRetainedTurn(f.scheduleScript)
 	default:
-		f.useList(fmt.Sprintf("list-%d", random.IntN(listCount)), f.scriptLater)
+		f.useList(fmt.Sprintf("list-%d", random.IntN(listCount)), f.scheduleScript)
 	}
 }
 
-// currentProgram names one of the programs of this time; new ones begin when their budgets are likely spent.
+// currentProgram names one of the current programs; new ones begin when the budgets of the former are probably spent.
 func (s *suite) currentProgram(number int) string {
 	return fmt.Sprintf("program-%d-%d", s.world.Elapsed()/programLifetime, number)
 }
 
 // name makes an identifier that no other process uses.
 func (f *front) name(kind string) string {
-	f.numbers++
-	return fmt.Sprintf("%s-%s-%d-%d", kind, f.environment.Address(), f.environment.Incarnation(), f.numbers)
+	f.lastName++
+	return fmt.Sprintf("%s-%s-%d-%d", kind, f.environment.Address(), f.environment.Incarnation(), f.lastName)
 }
 
 // otherFront picks the address of another front node.
@@ -127,7 +127,8 @@
 	return address
 }
 
-// apply gives an operation to the ledger, again to other replicas while its outcome is unknown. done gets nil when it stays unknown.
+// apply sends an operation to the ledger, with retries at other replicas while its outcome is unknown. done is called
+// with nil when it stays unknown.
 func (f *front) apply(operation *protocol.LedgerOperation, done func(*protocol.LedgerResult)) {
 	f.attempt(operation, 0, done)
 }
@@ -146,7 +147,7 @@
 		return
 	}
 	sent := &protocol.LedgerOperation{Program: operation.GetProgram(), PlacementEpoch: epoch, Body: operation.GetBody()}
-	f.endpoint.call(store, sent, ledgerPatience, func(body any) {
+	f.endpoint.call(store, sent, ledgerTimeout, func(body any) {
 		result, _ := body.(*protocol.LedgerResult)
 		switch result.GetStatus() {
 		case protocol.LedgerStatus_LEDGER_STATUS_UNSPECIFIED, protocol.LedgerStatus_LEDGER_UNAVAILABLE,
@@ -165,11 +166,11 @@
 		return 0, "", false
 	}
 	placed := f.placement.GetShards()[shard]
-	place := attempt
+	index := attempt
 	if f.environment.Random().IntN(4) == 0 {
-		place = f.environment.Random().IntN(replicaCount)
+		index = f.environment.Random().IntN(replicaCount)
 	}
-	return placed.GetEpoch(), sim.Address(placed.GetCurrent()[place%len(placed.GetCurrent())].GetStore()), true
+	return placed.GetEpoch(), sim.Address(placed.GetCurrent()[index%len(placed.GetCurrent())].GetStore()), true
 }
 
 // useList appends to a list or reads it.
@@ -185,13 +186,13 @@
 	}
 	operation.epoch = epoch
 	now := f.suite.world.Elapsed()
-	var appended *recorded
+	var appended *operationRecord
 	if operation.id != "" {
-		appended = f.suite.lists.begin(list, appendID{id: operation.id}, now)
+		appended = f.suite.registers.begin(list, appendID{id: operation.id}, now)
 	}
-	f.endpoint.call(store, operation, ledgerPatience, func(body any) {
+	f.endpoint.call(store, operation, ledgerTimeout, func(body any) {
 		if answer, answered := body.(listAnswer); answered {
-			f.suite.noteList(list, answer.ids, appended, now)
+			f.suite.recordList(list, answer.ids, appended, now)
 		}
 		next()
 	})
--- a/internal/testing/sim/statesuite/history.go
+++ b/internal/testing/sim/statesuite/history.go
@@ -11,46 +11,46 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// checkPatience bounds the search for a linear order of one object's operations.
-const checkPatience = 20 * time.Second
-
-// recorded is one operation of a history. Without an end it may take effect at any later time, or never.
-type recorded struct {
-	input   any
-	output  any
-	call    time.Duration
-	end     time.Duration
-	ended   bool
-	dropped bool
+// linearizabilityTimeout bounds the search for a linear order of one object's operations.
+const linearizabilityTimeout = 20 * time.Second
+
+// operationRecord is one operation of a history. Without an end it may take effect at any later time, or never.
+type operationRecord struct {
+	input     any
+	output    any
+	call      time.Duration
+	end       time.Duration
+	ended     bool
+	discarded bool
 }
 
-// history records the operations on many objects, each checked for itself.
+// history records the operations on many objects; each object is checked on its own.
 type history[K cmp.Ordered] struct {
-	objects map[K][]*recorded
+	objects map[K][]*operationRecord
 }
 
-func newHistory[K cmp.Ordered]() *history[K] { return &history[K]{objects: map[K][]*recorded{}} }
+func newHistory[K cmp.Ordered]() *history[K] { return &history[K]{objects: map[K][]*operationRecord{}} }
 
-func (h *history[K]) begin(object K, input any, now time.Duration) *recorded {
-	operation := &recorded{input: input, call: now}
+func (h *history[K]) begin(object K, input any, now time.Duration) *operationRecord {
+	operation := &operationRecord{input: input, call: now}
 	h.objects[object] = append(h.objects[object], operation)
 	return operation
 }
 
-func (h *history[K]) end(operation *recorded, output any, now time.Duration) {
+func (h *history[K]) end(operation *operationRecord, output any, now time.Duration) {
 	operation.output, operation.end, operation.ended = output, now, true
 }
 
-// drop forgets an operation that surely had no effect and showed nothing.
-func (h *history[K]) drop(operation *recorded) { operation.dropped = true }
+// discard excludes an operation that certainly had no effect and returned nothing.
+func (h *history[K]) discard(operation *operationRecord) { operation.discarded = true }
 
-// check looks for a linear order of each object's operations. observed says whether an operation
-// without an end left a trace in an answer; one without could as well have come last.
+// check searches a linear order of each object's operations. observed reports whether the effect of an operation
+// without an end is visible in an answer; one that is not may be ordered last.
 func (h *history[K]) check(rule *sim.Rule, model porcupine.Model, observed func(object K, input any) bool) {
 	for _, object := range sortedKeys(h.objects) {
 		operations := h.operations(object, observed)
 		rule.Provoke()
-		switch porcupine.CheckOperationsTimeout(model, operations, checkPatience) {
+		switch porcupine.CheckOperationsTimeout(model, operations, linearizabilityTimeout) {
 		case porcupine.Illegal:
 			rule.Violatef("no linear order of the %d operations on %v", len(operations), object)
 		case porcupine.Unknown:
@@ -62,7 +62,7 @@
 func (h *history[K]) operations(object K, observed func(object K, input any) bool) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for _, operation := range h.objects[object] {
-		if operation.dropped || !operation.ended && !observed(object, operation.input) {
+		if operation.discarded || !operation.ended && !observed(object, operation.input) {
 			continue
 		}
 		end := int64(math.MaxInt64)
@@ -76,7 +76,7 @@
 	return operations
 }
 
-// Operations on one bundle number: the first put wins it for ever.
+// Operations on one bundle version: the first put wins it.
 type (
 	putBundle  struct{ digest string }
 	readBundle struct{}
--- a/internal/testing/sim/statesuite/idle_fleet.go
+++ b/internal/testing/sim/statesuite/idle_fleet.go
@@ -8,66 +8,68 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// The fleet of Caroni, and how often its processes speak at rest.
+// Size of the idle fleet, that of the Caroni deployment, and the intervals of its messages.
 const (
-	restStores   = 4
-	restFronts   = 10
-	restBackEnds = 12 + 7
-	restSettles  = time.Minute
-	// restRenew is how often a node renews its lease and a back end sends its heartbeat; restPoll is how long the core holds a poll back.
-	restRenew = time.Second
-	restPoll  = 10 * time.Second
-	restTick  = 100 * time.Millisecond
+	idleStores      = 4
+	idleFronts      = 10
+	idleBackEnds    = 12 + 7
+	idleStartupTime = time.Minute
+	// idleRenewInterval is the interval of lease renewals and of heartbeats, idlePollTimeout that of polls.
+	idleRenewInterval = time.Second
+	idlePollTimeout   = 10 * time.Second
+	idleTickInterval  = 100 * time.Millisecond
 )
 
-// Rest is a fleet at rest: five core members, four stores and ten front nodes that renew leases and poll, and nineteen
-// back ends that send heartbeats to front nodes. Nothing is ordered and nothing served.
-type Rest struct{ suite *suite }
+// IdleFleet is a fleet without load: five core members, four stores and ten front nodes that renew leases and poll, and
+// nineteen back ends that send heartbeats to front nodes.
+type IdleFleet struct{ suite *suite }
 
-// NewRest brings the fleet up and lets it settle.
-func NewRest(seed int64) *Rest {
+// NewIdleFleet starts the fleet and runs it for idleStartupTime.
+func NewIdleFleet(seed int64) *IdleFleet {
 	s := newSuite(seed, Options{Plain: true}.withDefaults())
-	s.resting = true
+	s.idle = true
 	s.makeSignOffKeys()
 	for number := range coreCount {
 		s.addCore(s.shape.zoneOf(number), number == 0)
 	}
-	for number := range restStores {
+	for number := range idleStores {
 		s.addStore(s.shape.zoneOf(number))
 	}
-	for number := range restFronts {
-		s.world.AddMachine(frontAddress(number), s.shape.zoneOf(number), s.buildResting)
+	for number := range idleFronts {
+		s.world.AddMachine(frontAddress(number), s.shape.zoneOf(number), s.buildIdleFront)
 	}
-	for number := range restBackEnds {
-		s.world.AddMachine(sim.Address(fmt.Sprintf("server-%d", number+1)), s.shape.zoneOf(number), s.buildBackEnd(frontAddress(number%restFronts)))
+	for number := range idleBackEnds {
+		s.world.AddMachine(sim.Address(fmt.Sprintf("server-%d", number+1)), s.shape.zoneOf(number),
+			s.buildBackEnd(frontAddress(number%idleFronts)))
 	}
-	s.world.RunUntil(restSettles)
-	return &Rest{suite: s}
+	s.world.RunUntil(idleStartupTime)
+	return &IdleFleet{suite: s}
 }
 
-// Advance simulates a span and returns the number of events.
-func (r *Rest) Advance(span time.Duration) int {
+// Advance simulates a duration and returns the number of events.
+func (r *IdleFleet) Advance(span time.Duration) int {
 	before := r.suite.world.Steps()
 	r.suite.world.RunUntil(r.suite.world.Elapsed() + span)
 	return r.suite.world.Steps() - before
 }
 
-// Healthy says whether the core has a leader with its lease and all shards are placed and whole.
-func (r *Rest) Healthy() bool { return r.suite.coreWhole() && r.suite.storesWhole() }
+// Healthy reports whether the core has a leader with its lease and all shards have all their replicas.
+func (r *IdleFleet) Healthy() bool { return r.suite.coreComplete() && r.suite.storesComplete() }
 
-// restingFront is a front node without traffic.
-type restingFront struct{ front }
+// idleFront is a front node without traffic.
+type idleFront struct{ front }
 
-func (s *suite) buildResting(environment *sim.Environment) (sim.Process, error) {
-	f := &restingFront{front{suite: s, environment: environment}}
+func (s *suite) buildIdleFront(environment *sim.Environment) (sim.Process, error) {
+	f := &idleFront{front{suite: s, environment: environment}}
 	f.endpoint = newEndpoint(environment, func(sim.Address, any, func(any)) {})
 	f.link = &coreLink{suite: s, environment: environment, endpoint: f.endpoint}
 	name := string(environment.Address())
 	self := &protocol.Node{
-		Name: name, Kind: protocol.NodeKind_FRONT, Address: name, Zone: environment.Zone(), Incarnation: uint64(environment.Incarnation()),
+		Name: name, Kind: protocol.NodeKind_FRONT, Address: name, Zone: environment.Zone(),
+		Incarnation: uint64(environment.Incarnation()),
 	}
-	f.link.renewLater(self, 0, restRenew)
-	f.link.follow(f.takeConfiguration)
+	f.link.renewLater(self, 0, idleRenewInterval)
+	f.link.follow(f.applyConfiguration)
 	return f, nil
 }
 
@@ -77,12 +79,12 @@
 func (s *suite) buildBackEnd(front sim.Address) sim.Builder {
 	return func(environment *sim.Environment) (sim.Process, error) {
 		heartbeat := &protocol.BackEnd{Id: string(environment.Address()), State: protocol.BackEndState_READY}
-		var beat func()
-		beat = func() {
+		var sendHeartbeat func()
+		sendHeartbeat = func() {
 			environment.Send(front, heartbeat)
-			environment.After(restRenew, beat)
+			environment.After(idleRenewInterval, sendHeartbeat)
 		}
-		beat()
+		sendHeartbeat()
 		return backEnd{}, nil
 	}
 }
@@ -90,18 +92,18 @@
 // Receive implements sim.Process.
 func (backEnd) Receive(sim.Address, any) {}
 
-// tick is the interval of a core member's ticks.
-func (s *suite) tick() time.Duration {
-	if s.resting {
-		return restTick
+// coreTickInterval returns the interval of a core member's ticks.
+func (s *suite) coreTickInterval() time.Duration {
+	if s.idle {
+		return idleTickInterval
 	}
 	return tickInterval
 }
 
-// poll is the interval of a link's reads.
-func (s *suite) poll() time.Duration {
-	if s.resting {
-		return restPoll
+// linkPollInterval returns the interval of a link's reads.
+func (s *suite) linkPollInterval() time.Duration {
+	if s.idle {
+		return idlePollTimeout
 	}
 	return pollInterval
 }
--- a/internal/testing/sim/statesuite/operator_bundles.go
+++ b/internal/testing/sim/statesuite/operator_bundles.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// signOffKey is a private key and the name under which the core counts it.
+// signOffKey is a private key with the name that the core has for it.
 type signOffKey struct {
 	name    string
 	private ed25519.PrivateKey
@@ -21,10 +21,13 @@
 	random := s.world.Random("sign-off keys")
 	for number := range operatorCount {
 		seed := make([]byte, ed25519.SeedSize)
-		for place := range seed {
-			seed[place] = byte(random.Uint32())
+		for index := range seed {
+			seed[index] = byte(random.Uint32())
 		}
-		s.signOffKeys = append(s.signOffKeys, signOffKey{name: fmt.Sprintf("key-%d", number+1), private: ed25519.NewKeyFromSeed(seed)})
+		s.signOffKeys = append(s.signOffKeys, signOffKey{
+			name:    fmt.Sprintf("key-%d", number+1),
+			private: ed25519.NewKeyFromSeed(seed),
+		})
 	}
 }
 
@@ -37,10 +40,10 @@
 	return keys
 }
 
-// newestSigned is how far below the newest version operators look for one to sign.
+// newestSigned is how many of the newest versions operators sign.
 const newestSigned = 3
 
-// sign signs one of the newest bundles off, sometimes as the candidate of a roll-out.
+// sign signs one of the newest bundles, sometimes as the candidate of a roll-out.
 func (o *operator) sign(next func()) {
 	o.withView(next, func(view *controlstate.View) {
 		random := o.environment.Random()
@@ -52,7 +55,8 @@
 		}
 		key := o.suite.signOffKeys[random.IntN(len(o.suite.signOffKeys))]
 		command := &protocol.SignBundleCommand{
-			Version: record.Status.GetVersion(), KeyName: key.name, Signature: bundle.Sign(key.private, record.Status.GetMergedDigest()),
+			Version: record.Status.GetVersion(), KeyName: key.name,
+			Signature: bundle.Sign(key.private, record.Status.GetMergedDigest()),
 		}
 		if random.IntN(3) == 0 {
 			command.Rollout = &protocol.Rollout{ShareBasisPoints: uint32(random.IntN(10_001))}
@@ -80,10 +84,10 @@
 	})
 }
 
-// order gives an order under a new id. Its first answer is kept for ever.
+// order submits a command under a new order id and records its result when it was accepted.
 func (o *operator) order(kind string, command *protocol.Command, next func()) {
 	command.OrderId = o.name(kind)
-	o.link.order(command, operatorPatience, func(result *protocol.CommandResult) {
+	o.link.order(command, operatorTimeout, func(result *protocol.CommandResult) {
 		if result.GetAccepted() {
 			o.suite.acknowledge(command, result)
 		}
@@ -97,22 +101,23 @@
 	return fmt.Sprintf("%s-%s-%d-%d", kind, o.environment.Address(), o.environment.Incarnation(), o.orders)
 }
 
-// withView reads the newest view, or goes on with next.
+// withView reads the newest view and passes it to use, or calls next when there is none.
 func (o *operator) withView(next func(), use func(*controlstate.View)) {
-	o.link.read(operatorPatience, func(view *controlstate.View) {
+	o.link.read(operatorTimeout, func(view *controlstate.View) {
 		if view == nil {
 			next()
 			return
 		}
 		o.suite.newestBundle = max(o.suite.newestBundle, view.Newest)
-		o.suite.told.configuration = max(o.suite.told.configuration, view.Configuration.GetVersion())
-		o.suite.told.index = max(o.suite.told.index, view.Configuration.GetVersion())
+		o.suite.acknowledgedState.configuration = max(o.suite.acknowledgedState.configuration,
+			view.Configuration.GetVersion())
+		o.suite.acknowledgedState.index = max(o.suite.acknowledgedState.index, view.Configuration.GetVersion())
 		use(view)
 	})
 }
 
-// acknowledge remembers what an operator was told.
+// acknowledge records an acknowledged order.
 func (s *suite) acknowledge(command *protocol.Command, result *protocol.CommandResult) {
-	s.acknowledged = append(s.acknowledged, acknowledgedOrder{command: command, result: result})
-	s.told.accept(result)
+	s.acknowledgedOrders = append(s.acknowledgedOrders, acknowledgedOrder{command: command, result: result})
+	s.acknowledgedState.accept(result)
 }
--- a/internal/testing/sim/statesuite/operator_members.go
+++ b/internal/testing/sim/statesuite/operator_members.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// memberAttempts is how often an operator gives an order about a member whose outcome stays unknown.
+	// memberAttempts bounds the attempts of an order about a member while its outcome is unknown.
 	memberAttempts = 6
-	// linger is how long a removed member's process goes on, and tries to join again.
-	linger = 2 * time.Second
+	// removedProcessLifetime is how long a removed member's process continues, and tries to join again.
+	removedProcessLifetime = 2 * time.Second
 )
 
-// acknowledgedMember is an order about a core member that an operator knows to have taken effect.
+// acknowledgedMember is an order about a core member whose effect was acknowledged to an operator.
 type acknowledgedMember struct {
 	order  memberOrder
 	member *protocol.CoreMember
 }
 
-// swapMember removes a core member and adds an empty machine at a new address in its place.
-func (o *operator) swapMember(next func()) {
+// replaceMember removes a core member and adds an empty machine at a new address in its place.
+func (o *operator) replaceMember(next func()) {
 	s := o.suite
-	if s.swapping || s.world.Elapsed() > faultsEnd || len(s.coreAddresses()) != s.shape.cores || !s.coreWhole() {
+	if s.replacingMember || s.world.Elapsed() > faultsEnd || len(s.coreAddresses()) != s.shape.cores || !s.coreComplete() {
 		next()
 		return
 	}
-	s.swapping = true
+	s.replacingMember = true
 	victim := s.world.Machine(o.pickMember())
 	end := func() {
-		s.swapping = false
+		s.replacingMember = false
 		next()
 	}
 	removal := memberOrder{id: o.name("remove"), remove: true, subject: string(victim.Address())}
@@ -43,13 +43,14 @@
 		}
 		s.removedMembers[member.GetId()] = true
 		o.resendAddition(member)
-		s.world.After(linger, func() { s.takeCoreAway(victim, member) })
-		s.world.After(newMachineAfter, func() { o.addMember(s.addCore(victim.Zone(), false), end) })
+		s.world.After(removedProcessLifetime, func() { s.removeCoreMachine(victim, member) })
+		s.world.After(replacementDelay, func() { o.addMember(s.addCore(victim.Zone(), false), end) })
 	})
 }
 
-// takeCoreAway takes the machine of a removed member away, unless it lost its disk meanwhile and so is another member now.
-func (s *suite) takeCoreAway(machine *sim.Machine, removed *protocol.CoreMember) {
+// removeCoreMachine removes the machine of a removed member, unless it lost its disk meanwhile and so is another member
+// now.
+func (s *suite) removeCoreMachine(machine *sim.Machine, removed *protocol.CoreMember) {
 	process, running := machine.Process().(*coreProcess)
 	if !running || process.self.GetId() == removed.GetId() {
 		machine.Remove()
@@ -69,10 +70,11 @@
 }
 
 func (o *operator) addMember(address sim.Address, end func()) {
-	o.memberOrder(memberOrder{id: o.name("add"), subject: string(address)}, memberAttempts, func(*protocol.CoreMember) { end() })
+	o.memberOrder(memberOrder{id: o.name("add"), subject: string(address)}, memberAttempts,
+		func(*protocol.CoreMember) { end() })
 }
 
-// resendAddition gives the order again that once added a member which is removed now: it must not come back by that.
+// resendAddition resends the order that once added a member that is removed now: it must stay removed.
 func (o *operator) resendAddition(removed *protocol.CoreMember) {
 	for _, known := range o.suite.memberOrders {
 		if !known.order.remove && known.member.GetId() == removed.GetId() {
@@ -82,13 +84,14 @@
 	}
 }
 
-// memberOrder gives an order, again while its outcome is unknown. done gets nil when it stays unknown or was refused.
+// memberOrder submits an order, with retries while its outcome is unknown. done is called with nil when it stays
+// unknown or was rejected.
 func (o *operator) memberOrder(order memberOrder, attempts int, done func(*protocol.CoreMember)) {
 	if attempts == 0 {
 		done(nil)
 		return
 	}
-	o.link.call(order, operatorPatience, func(answer any) {
+	o.link.call(order, operatorTimeout, func(answer any) {
 		reply, answered := answer.(memberReply)
 		if !answered {
 			o.memberOrder(order, attempts-1, done)
@@ -103,9 +106,9 @@
 }
 
 func (o *operator) resendMemberOrder(known acknowledgedMember, next func()) {
-	o.link.call(known.order, operatorPatience, func(answer any) {
+	o.link.call(known.order, operatorTimeout, func(answer any) {
 		if reply, answered := answer.(memberReply); answered {
-			o.suite.rules.ordersKept.Check(proto.Equal(reply.member, known.member),
+			o.suite.rules.ordersIdempotent.Check(proto.Equal(reply.member, known.member),
 				"order %s meant %v and later %v", known.order.id, known.member, reply.member)
 		}
 		next()
--- a/internal/testing/sim/statesuite/operator_stores.go
+++ b/internal/testing/sim/statesuite/operator_stores.go
@@ -9,13 +9,13 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// newMachineAfter is when a machine is added in the place of one that an operator took away.
-const newMachineAfter = 500 * time.Millisecond
+// replacementDelay is the time until a machine is added in the place of one that an operator removed.
+const replacementDelay = 500 * time.Millisecond
 
-// leastStores is how many stores must stay when one is emptied.
-const leastStores = replicaCount + 1
+// minStores is the number of usable stores below which none is emptied.
+const minStores = replicaCount + 1
 
-// emptyOrRetire retires a store that is acknowledged as empty, or orders that one be emptied.
+// emptyOrRetire retires a store that is acknowledged as emptied, or orders one to be emptied.
 func (o *operator) emptyOrRetire(next func()) {
 	o.withView(next, func(view *controlstate.View) {
 		placement := view.Placement
@@ -24,14 +24,14 @@
 			return
 		}
 		stores := usableStores(view)
-		if len(placement.GetEmptying()) > 0 || len(stores) <= leastStores || len(placement.GetShards()) == 0 {
+		if len(placement.GetEmptying()) > 0 || len(stores) <= minStores || len(placement.GetShards()) == 0 {
 			next()
 			return
 		}
 		store := stores[o.environment.Random().IntN(len(stores))]
 		empty := &protocol.EmptyStoreCommand{Store: store}
 		if len(o.suite.shape.regions) > 0 {
-			empty.KeepSpread = new(!o.suite.options.GiveUpSpread)
+			empty.KeepSpread = new(!o.suite.options.AllowLostSpread)
 		}
 		o.order("empty", &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: empty}}, next)
 	})
@@ -47,26 +47,26 @@
 	return stores
 }
 
-// retire ends a store and takes its machine, with its disk, away.
+// retire retires a store and removes its machine with its disk.
 func (o *operator) retire(view *controlstate.View, store string, next func()) {
 	for _, shard := range view.Placement.GetShards() {
-		o.suite.rules.emptied.Check(!names(shard, store) && len(shard.GetCurrent()) == replicaCount,
+		o.suite.rules.emptiedStoreIsEmpty.Check(!placedOn(shard, store) && len(shard.GetCurrent()) == replicaCount,
 			"an operator reads that %s is empty while shard %d is at %v", store, shard.GetShard(), shard.GetCurrent())
 	}
 	command := &protocol.Command{
 		OrderId: o.name("retire"),
 		Body:    &protocol.Command_RetireStore{RetireStore: &protocol.RetireStoreCommand{Store: store}},
 	}
-	o.link.order(command, operatorPatience, func(result *protocol.CommandResult) {
+	o.link.order(command, operatorTimeout, func(result *protocol.CommandResult) {
 		if result.GetAccepted() {
 			o.suite.acknowledge(command, result)
-			o.suite.takeStoreAway(sim.Address(store))
+			o.suite.removeStoreMachine(sim.Address(store))
 		}
 		next()
 	})
 }
 
-func (s *suite) takeStoreAway(address sim.Address) {
+func (s *suite) removeStoreMachine(address sim.Address) {
 	if !s.present(address) {
 		return
 	}
@@ -74,11 +74,11 @@
 	s.world.Tracef("%s is retired and taken away", address)
 	s.counts.retired++
 	machine.Remove()
-	s.world.After(newMachineAfter, func() { s.addStore(machine.Zone()) })
+	s.world.After(replacementDelay, func() { s.addStore(machine.Zone()) })
 }
 
-// emptiedEarly shows stores as emptied that are still to be: a mutation.
-func emptiedEarly(view *controlstate.View) *controlstate.View {
+// withEmptiedEarly lists stores as emptied that are still being emptied, under CoreReportsEmptiedEarly.
+func withEmptiedEarly(view *controlstate.View) *controlstate.View {
 	early := *view
 	placement := &protocol.Placement{
 		Epoch: view.Placement.GetEpoch(), Shards: view.Placement.GetShards(), Retired: view.Placement.GetRetired(),
--- a/internal/testing/sim/statesuite/options.go
+++ b/internal/testing/sim/statesuite/options.go
@@ -7,10 +7,10 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Mutation is a fault put into the adapters on purpose.
+// Mutation is a defect put into the adapters on purpose.
 type Mutation string
 
-// Mutations, each of which a checker must notice.
+// Mutations, each of which a checker must detect.
 const (
 	// CoreAcknowledgesBeforeSync sends votes and acknowledgements before they are durable.
 	CoreAcknowledgesBeforeSync Mutation = "core-acknowledges-before-sync"
@@ -18,73 +18,76 @@
 	CoreVotesAfterLostDisk Mutation = "core-votes-after-lost-disk"
 	// CoreForgetsVotes does not write terms and votes.
 	CoreForgetsVotes Mutation = "core-forgets-votes"
-	// CoreReadsWithoutLease answers reads from whoever believes to lead, without confirming it.
+	// CoreReadsWithoutLease answers reads on any member that considers itself leader, without a lease.
 	CoreReadsWithoutLease Mutation = "core-reads-without-lease"
-	// CoreForgetsOrders answers an order that was seen before as if it were new.
-	CoreForgetsOrders Mutation = "core-forgets-orders"
-	// CoreAcknowledgesLosers says accepted to a bundle whose number another one has.
-	CoreAcknowledgesLosers Mutation = "core-acknowledges-losers"
-	// CoreIgnoresLeaseDrift believes in a leader lease four times as long as it is.
+	// CoreIgnoresOrderIDs applies an order again that was applied before.
+	CoreIgnoresOrderIDs Mutation = "core-forgets-orders"
+	// CoreAcceptsConflictingBundles acknowledges a bundle whose version another one has.
+	CoreAcceptsConflictingBundles Mutation = "core-acknowledges-losers"
+	// CoreIgnoresLeaseDrift treats the leader lease as four times as long as it is.
 	CoreIgnoresLeaseDrift Mutation = "core-ignores-lease-drift"
 	// CoreSnapshotsOldState saves the state of its first snapshot again under the index of each later one.
 	CoreSnapshotsOldState Mutation = "core-snapshots-old-state"
-	// CoreEmptiesEarly shows a store as emptied as soon as that was ordered, and lets it be retired.
-	CoreEmptiesEarly Mutation = "core-empties-early"
-	// CoreRepeatsMemberOrders carries out an order about a member again although a later one was given.
+	// CoreReportsEmptiedEarly reports a store as emptied as soon as that was ordered, and lets it be retired.
+	CoreReportsEmptiedEarly Mutation = "core-empties-early"
+	// CoreRepeatsMemberOrders carries out a resent order about a member although there is a later one.
 	CoreRepeatsMemberOrders Mutation = "core-repeats-member-orders"
-	// CoreForgetsRemovedMembers does not keep a removed member from joining again by itself.
+	// CoreForgetsRemovedMembers lets a removed member join again by itself.
 	CoreForgetsRemovedMembers Mutation = "core-forgets-removed-members"
-	// CoreRemovesBeforeReplacing removes a voter by order before another takes its place, if a majority of the rest seems alive.
+	// CoreRemovesBeforeReplacing removes a voter by order before another replaces it, if a majority of the others has
+	// contact.
 	CoreRemovesBeforeReplacing Mutation = "core-removes-before-replacing"
-	// CoreIgnoresRegions places replicas as if no store had told its region.
+	// CoreIgnoresRegions places replicas as if no store had reported its region.
 	CoreIgnoresRegions Mutation = "core-ignores-regions"
-	// StoreAcceptsOldEpochs answers requests whatever placement they were sent under.
+	// StoreAcceptsOldEpochs answers requests of any placement epoch.
 	StoreAcceptsOldEpochs Mutation = "store-accepts-old-epochs"
-	// StoreReportsCopiedEarly says that a shard is copied before it is.
+	// StoreReportsCopiedEarly reports a shard as copied before it is.
 	StoreReportsCopiedEarly Mutation = "store-reports-copied-early"
 	// StoreAcknowledgesBeforeSync answers prepares and accepts before they are durable.
 	StoreAcknowledgesBeforeSync Mutation = "store-acknowledges-before-sync"
 	// StoreVotesAfterLostDisk lets a rebuilding replica vote.
 	StoreVotesAfterLostDisk Mutation = "store-votes-after-lost-disk"
-	// StoreReadsOneReplica answers reads from the replica at hand.
+	// StoreReadsOneReplica answers reads from the local replica.
 	StoreReadsOneReplica Mutation = "store-reads-one-replica"
-	// StoreTrustsOneMissing says that a turn is missing when one replica lacks it.
-	StoreTrustsOneMissing Mutation = "store-trusts-one-missing"
-	// StoreSettlesBeforeKeeping charges a turn before a majority holds it, and never waits for it.
-	StoreSettlesBeforeKeeping Mutation = "store-settles-before-keeping"
-	// StoreReusesFailedHead skips the prepare round also after a change that failed.
+	// StoreReportsMissingFromOneReplica reports a turn as missing when one replica lacks it.
+	StoreReportsMissingFromOneReplica Mutation = "store-trusts-one-missing"
+	// StoreCommitsBeforeRetaining commits a turn without waiting until a majority has retained it.
+	StoreCommitsBeforeRetaining Mutation = "store-settles-before-keeping"
+	// StoreReusesFailedHead skips the prepare phase also after a change that failed.
 	StoreReusesFailedHead Mutation = "store-reuses-failed-head"
-	// StoresStayDown lets no store process start again.
-	StoresStayDown Mutation = "stores-stay-down"
-	// DisksRot flips a bit of a store's log before it starts again.
-	DisksRot Mutation = "disks-rot"
-	// FrontPollsRarely asks for the configuration every five seconds.
-	FrontPollsRarely Mutation = "front-polls-rarely"
-	// FrontTakesAnyView takes the configuration of any core member, whatever it holds already.
-	FrontTakesAnyView Mutation = "front-takes-any-view"
+	// StoresNeverRestart lets no store process start again.
+	StoresNeverRestart Mutation = "stores-stay-down"
+	// StoreLogsCorrupted flips a bit of a store's log before it starts again.
+	StoreLogsCorrupted Mutation = "disks-rot"
+	// FrontPollsInfrequently polls the configuration every five seconds.
+	FrontPollsInfrequently Mutation = "front-polls-rarely"
+	// FrontReadsAnyMember puts the configuration of any core member in force, even if it is older.
+	FrontReadsAnyMember Mutation = "front-takes-any-view"
 	// FrontSkipsDeltaSteps applies only the last step of a delta and checks no digest.
 	FrontSkipsDeltaSteps Mutation = "front-skips-delta-steps"
-	// FrontSkipsTombstone refuses a request that it knows nothing of without asking the ledger.
+	// FrontSkipsTombstone rejects a request without a tombstone in the ledger.
 	FrontSkipsTombstone Mutation = "front-skips-tombstone"
-	// FrontSkipsReservation passes tokens on when a reservation is not known to be granted.
+	// FrontSkipsReservation runs a turn when its reservation was not granted.
 	FrontSkipsReservation Mutation = "front-skips-reservation"
-	// FrontSkipsIntent issues a call when its intent is not known to be granted.
+	// FrontSkipsIntent issues a call when its intent was not granted.
 	FrontSkipsIntent Mutation = "front-skips-intent"
 )
 
-// Mutations lists all of them.
+// Mutations lists all mutations.
 func Mutations() []Mutation {
 	return []Mutation{
-		CoreAcknowledgesBeforeSync, CoreVotesAfterLostDisk, CoreForgetsVotes, CoreReadsWithoutLease, CoreForgetsOrders,
-		CoreAcknowledgesLosers, CoreIgnoresLeaseDrift, CoreSnapshotsOldState, CoreEmptiesEarly,
+		CoreAcknowledgesBeforeSync, CoreVotesAfterLostDisk, CoreForgetsVotes, CoreReadsWithoutLease, CoreIgnoresOrderIDs,
+		CoreAcceptsConflictingBundles, CoreIgnoresLeaseDrift, CoreSnapshotsOldState, CoreReportsEmptiedEarly,
 		CoreRepeatsMemberOrders, CoreForgetsRemovedMembers, CoreRemovesBeforeReplacing, CoreIgnoresRegions,
-		StoreAcceptsOldEpochs, StoreReportsCopiedEarly, StoreAcknowledgesBeforeSync, StoreVotesAfterLostDisk, StoreReadsOneReplica, StoreTrustsOneMissing,
-		StoreSettlesBeforeKeeping, StoreReusesFailedHead, StoresStayDown, DisksRot,
-		FrontPollsRarely, FrontTakesAnyView, FrontSkipsDeltaSteps, FrontSkipsTombstone, FrontSkipsReservation, FrontSkipsIntent,
+		StoreAcceptsOldEpochs, StoreReportsCopiedEarly, StoreAcknowledgesBeforeSync, StoreVotesAfterLostDisk,
+		StoreReadsOneReplica, StoreReportsMissingFromOneReplica,
+		StoreCommitsBeforeRetaining, StoreReusesFailedHead, StoresNeverRestart, StoreLogsCorrupted,
+		FrontPollsInfrequently, FrontReadsAnyMember, FrontSkipsDeltaSteps, FrontSkipsTombstone, FrontSkipsReservation,
+		FrontSkipsIntent,
 	}
 }
 
-// Role says what a machine does; it is the beginning of its address.
+// Role is the role of a machine; it is the prefix of its address.
 type Role string
 
 // Roles that faults strike.
@@ -96,7 +99,7 @@
 
 // Options are the settings of a run; zero values stand for the defaults.
 type Options struct {
-	// Mutation, when set, breaks the adapters.
+	// Mutation is the defect to put in; default none.
 	Mutation Mutation
 	// Faults is the schedule to run; nil stands for the one generated from the seed.
 	Faults []sim.Fault
@@ -105,35 +108,35 @@
 	// Kinds and Roles narrow the generated faults to some kinds and to machines of some roles; all by default.
 	Kinds []sim.FaultKind
 	Roles []Role
-	// LongestFault bounds how long a generated fault lasts; default 4 s, which is the most.
-	LongestFault time.Duration
-	// GiveUpSpread has operators empty stores of regions whatever spread of the replicas is lost with them.
-	GiveUpSpread bool
-	// Plain leaves out the losses right after a repair and the restart of everything, which else join the generated faults.
+	// MaxFaultDuration bounds the duration of a generated fault; default and maximum 4 s.
+	MaxFaultDuration time.Duration
+	// AllowLostSpread lets operators empty stores even if replicas then no longer spread over regions.
+	AllowLostSpread bool
+	// Plain omits the second disk losses, the full restart and the zone faults, which else join the generated faults.
 	Plain bool
 	// Shape is the fleet; the default is ShapeZones.
 	Shape Shape
-	// Trace, when set, receives a line for each event of note.
+	// Trace, when set, receives the trace of the world.
 	Trace io.Writer
 }
 
 const (
 	defaultFaultCount = 24
-	// Faults begin and end at these times; then everything must come back.
+	// Faults begin between these times; then everything must recover.
 	faultsBegin = 4 * time.Second
 	faultsEnd   = 24 * time.Second
-	// comeBack is the time within which service must be back after the last fault has ended.
-	comeBack = 12 * time.Second
-	// finalReads is the time given to the reads that look for what was acknowledged.
-	finalReads = 8 * time.Second
+	// recoveryBound bounds the time from the end of the last fault until service has recovered.
+	recoveryBound = 12 * time.Second
+	// finalReadTime bounds the final reads of what was acknowledged.
+	finalReadTime = 8 * time.Second
 
-	// secondLossAfter is how long after a loss the next one is due, if the first is repaired by then.
-	secondLossAfter = 100 * time.Millisecond
-	// restartAt is when everything is restarted.
-	restartAt = 22 * time.Second
+	// secondLossDelay is the time from a disk loss to the next one, which waits until the first is repaired.
+	secondLossDelay = 100 * time.Millisecond
+	// fullRestartAt is when all processes are restarted.
+	fullRestartAt = 22 * time.Second
 
-	minimumFault = 200 * time.Millisecond
-	maximumFault = 4 * time.Second
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -143,14 +146,15 @@
 	if len(o.Kinds) == 0 {
 		o.Kinds = []sim.FaultKind{
 			sim.FaultCrash, sim.FaultFreeze, sim.FaultPowerLoss, sim.FaultPowerLoss, sim.FaultDiskLoss, sim.FaultDiskLoss,
-			sim.FaultReplace, sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition, sim.FaultMessageLoss, sim.FaultSyncFailure, sim.FaultFullDisk,
+			sim.FaultReplace, sim.FaultPartition, sim.FaultOutboundPartition, sim.FaultInboundPartition, sim.FaultMessageLoss,
+			sim.FaultSyncFailure, sim.FaultFullDisk,
 		}
 	}
 	if len(o.Roles) == 0 {
 		o.Roles = []Role{RoleCore, RoleCore, RoleStore, RoleStore, RoleFront}
 	}
-	if o.LongestFault <= 0 || o.LongestFault > maximumFault {
-		o.LongestFault = maximumFault
+	if o.MaxFaultDuration <= 0 || o.MaxFaultDuration > maxFaultDuration {
+		o.MaxFaultDuration = maxFaultDuration
 	}
 	return o
 }
--- a/internal/testing/sim/statesuite/region_spread.go
+++ b/internal/testing/sim/statesuite/region_spread.go
@@ -8,36 +8,36 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// partWithin is the time in which the planner must have spread each shard once stores that may hold shards stand in as
-// many regions as a shard has replicas. It is less than sim.FaultPatience, so that a fault waits for it and is not left out.
-const partWithin = 10 * time.Second
+// spreadBound bounds the time in which the planner spreads each shard once usable stores run in as many regions as a
+// shard has replicas. It is less than sim.FaultTimeout, so that a fault waits for it and is not skipped.
+const spreadBound = 10 * time.Second
 
-// regionCover tells since when stores that may hold shards run in as many regions as a shard has replicas.
-type regionCover struct {
+// regionCoverage is since when usable stores run in as many regions as a shard has replicas.
+type regionCoverage struct {
 	complete bool
 	since    time.Duration
 }
 
-func (c *regionCover) observe(complete bool, now time.Duration) {
+func (c *regionCoverage) observe(complete bool, now time.Duration) {
 	if complete && !c.complete {
 		c.since = now
 	}
 	c.complete = complete
 }
 
-// demandsSpread reports that the planner has had the time to spread each shard.
-func (c *regionCover) demandsSpread(now time.Duration) bool {
-	return c.complete && now-c.since >= partWithin
+// demandsSpread reports whether the planner has had the time to spread each shard.
+func (c *regionCoverage) demandsSpread(now time.Duration) bool {
+	return c.complete && now-c.since >= spreadBound
 }
 
-func (s *suite) observeRegions(now time.Duration) {
+func (s *suite) observeRegionCoverage(now time.Duration) {
 	if len(s.shape.regions) > 0 {
-		s.regionCover.observe(len(s.usableStoreRegions()) >= replicaCount, now)
+		s.regionCoverage.observe(len(s.usableStoreRegions()) >= replicaCount, now)
 	}
 }
 
-// usableStoreRegions are the regions with a running store that no operator has ordered to be emptied. They are those of the
-// machines, whatever the stores say of themselves.
+// usableStoreRegions returns the regions with a running store that no operator has ordered to be emptied, by the zones
+// of the machines, not by what the stores report.
 func (s *suite) usableStoreRegions() map[string]bool {
 	regions := map[string]bool{}
 	leader := s.leader()
@@ -45,21 +45,22 @@
 		return regions
 	}
 	placement := leader.state.View().Placement
-	leaving := slices.Concat(placement.GetEmptying(), placement.GetEmptied())
+	excluded := slices.Concat(placement.GetEmptying(), placement.GetEmptied())
 	for _, machine := range s.world.Machines() {
-		if _, runs := machine.Process().(*storeProcess); runs && !slices.Contains(leaving, string(machine.Address())) {
+		if _, runs := machine.Process().(*storeProcess); runs && !slices.Contains(excluded, string(machine.Address())) {
 			regions[s.shape.regions[machine.Zone()]] = true
 		}
 	}
 	return regions
 }
 
-// shardsMustBear says that a fault of zones must leave each shard served: it leaves each a majority of its replicas, or
-// the planner has had the time to see to that. Without usable stores in enough regions, as when operators emptied all
-// stores of one, two replicas of a shard have to share a region, and no placement bears the loss of that one.
-func (s *suite) shardsMustBear(fault sim.Fault) bool {
-	// Zones that are cut only from some others are still reached by the rest.
-	if len(fault.Peers) > 0 || s.regionCover.demandsSpread(s.world.Elapsed()) {
+// shardsTolerate reports whether each shard must stay available during a zone fault: the fault leaves it a majority of
+// its replicas, or the planner has had the time to ensure that. Without usable stores in enough regions, as when
+// operators emptied all stores of one, two replicas of a shard share a region, and no placement tolerates the loss of
+// that one.
+func (s *suite) shardsTolerate(fault sim.Fault) bool {
+	// Zones that are partitioned only from some others are still connected to the rest.
+	if len(fault.Peers) > 0 || s.regionCoverage.demandsSpread(s.world.Elapsed()) {
 		return true
 	}
 	zones := sim.ZonesOf(fault.Targets)
@@ -81,7 +82,7 @@
 	return count
 }
 
-// spread reports whether each shard stands in as many regions as it has replicas.
+// spread reports whether the replicas of each shard are in different regions.
 func (s *suite) spread() bool {
 	leader := s.leader()
 	if leader == nil {
--- a/internal/testing/sim/statesuite/shape.go
+++ b/internal/testing/sim/statesuite/shape.go
@@ -9,35 +9,36 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// Shape names a fleet.
+// Shape names the topology of a fleet.
 type Shape string
 
-// The fleets: one site of four zones, and three regions of two zones.
+// The topologies: one site of four zones, and three regions of two zones.
 const (
 	ShapeZones   Shape = "zones"
 	ShapeRegions Shape = "regions"
 )
 
-// Shapes lists all of them.
+// Shapes lists all topologies.
 func Shapes() []Shape { return []Shape{ShapeZones, ShapeRegions} }
 
-// Delays that come on top between regions, one way.
+// Additional one-way delays between regions.
 const (
-	leastDistance = 20 * time.Millisecond
-	mostDistance  = 40 * time.Millisecond
+	minRegionDelay = 20 * time.Millisecond
+	maxRegionDelay = 40 * time.Millisecond
 )
 
-// fleetShape says how many machines of each role there are and where they stand.
+// fleetShape is the number of machines of each role, and their zones.
 type fleetShape struct {
 	cores, stores, voters int
 	zones                 []string
-	// regions gives the region of each zone; empty at a site without.
+	// regions maps zones to regions; empty at a single site.
 	regions map[string]string
 	network sim.NetworkOptions
-	// A snapshot pays a round for each chunk; with rounds of 80 ms it must be across before the log behind it is cut.
+	// retainedEntries: a snapshot takes a round trip for each chunk and must be installed before the entries behind it are
+	// compacted; round trips between regions take 80 ms.
 	retainedEntries uint64
-	// readPatience is how long a link asks on before it pauses; over the distance of regions three attempts take longer.
-	readPatience       time.Duration
+	// readTimeout is the timeout of a link's reads; between regions three attempts take longer.
+	readTimeout        time.Duration
 	snapshotChunkBytes int
 }
 
@@ -45,27 +46,28 @@
 	if shape != ShapeRegions {
 		return fleetShape{
 			cores: coreCount, stores: storeCount, voters: 3, zones: []string{"zone-1", "zone-2", "zone-3", "zone-4"},
-			readPatience: 4 * pollInterval, retainedEntries: 8, snapshotChunkBytes: 2 << 10,
+			readTimeout: 4 * pollInterval, retainedEntries: 8, snapshotChunkBytes: 2 << 10,
 		}
 	}
 	regions := map[string]string{
 		"north-a": "north", "east-a": "east", "west-a": "west", "north-b": "north", "east-b": "east", "west-b": "west",
 	}
 	return fleetShape{
-		cores: 7, stores: 6, voters: 5, regions: regions, readPatience: 8 * pollInterval, retainedEntries: 64, snapshotChunkBytes: 32 << 10,
-		zones: []string{"north-a", "east-a", "west-a", "north-b", "east-b", "west-b"},
-		network: sim.NetworkOptions{Distance: func(from, to string) (least, most time.Duration) {
+		cores: 7, stores: 6, voters: 5, regions: regions, readTimeout: 8 * pollInterval, retainedEntries: 64,
+		snapshotChunkBytes: 32 << 10,
+		zones:              []string{"north-a", "east-a", "west-a", "north-b", "east-b", "west-b"},
+		network: sim.NetworkOptions{Distance: func(from, to string) (minimum, maximum time.Duration) {
 			if regions[from] == regions[to] {
 				return 0, 0
 			}
-			return leastDistance, mostDistance
+			return minRegionDelay, maxRegionDelay
 		}},
 	}
 }
 
 func (s fleetShape) zoneOf(number int) string { return s.zones[number%len(s.zones)] }
 
-// order puts learners of the region and zone with fewest voters first and voters of the region with most last.
+// order sorts learners of the region and zone with the fewest voters first and voters of the region with the most last.
 func (s fleetShape) order(voters, learners []*protocol.CoreMember) {
 	if len(s.regions) == 0 {
 		return
@@ -76,7 +78,8 @@
 		zones[voter.GetZone()]++
 	}
 	compare := func(a, b *protocol.CoreMember) int {
-		return cmp.Or(cmp.Compare(regions[a.GetRegion()], regions[b.GetRegion()]), cmp.Compare(zones[a.GetZone()], zones[b.GetZone()]))
+		return cmp.Or(cmp.Compare(regions[a.GetRegion()], regions[b.GetRegion()]),
+			cmp.Compare(zones[a.GetZone()], zones[b.GetZone()]))
 	}
 	slices.SortStableFunc(voters, compare)
 	slices.SortStableFunc(learners, compare)
--- a/internal/testing/sim/statesuite/store_ledger.go
+++ b/internal/testing/sim/statesuite/store_ledger.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// listOperation appends an id to a list in a register, or reads the list when id is empty. Appending twice
-// has no further effect, as with every change of a register.
+// listOperation appends an id to a list in a register, or reads the list when id is empty. Appending is idempotent, as
+// every change of a register.
 type listOperation struct {
 	key   string
 	id    string
@@ -35,7 +35,7 @@
 func (p *storeProcess) serveList(operation listOperation, reply func(any)) {
 	shard := ledger.ShardOf(operation.key, shardCount)
 	table := p.table(shard)
-	if p.refusal(table, operation.epoch) != notRefused {
+	if p.rejection(table, operation.epoch) != notRejected {
 		return
 	}
 	key := registerKey{program: operation.key}
@@ -43,7 +43,7 @@
 		reply(listAnswer{ids: decodeList(table.entry(key).state.Value)})
 		return
 	}
-	wanted := &change{
+	wantedChange := &change{
 		deadline: p.environment.Now().Add(storeOperation),
 		done: func(value []byte, status protocol.LedgerStatus, _ uint64) {
 			if status == protocol.LedgerStatus_LEDGER_OK {
@@ -52,7 +52,7 @@
 		},
 	}
 	if operation.id != "" {
-		wanted.function = func(current []byte) ([]byte, bool) {
+		wantedChange.function = func(current []byte) ([]byte, bool) {
 			ids := decodeList(current)
 			if slices.Contains(ids, operation.id) {
 				return nil, false
@@ -60,13 +60,13 @@
 			return []byte(strings.Join(append(ids, operation.id), listSeparator)), true
 		}
 	}
-	p.propose(shard, key, wanted)
+	p.propose(shard, key, wantedChange)
 }
 
 func (p *storeProcess) serveLedger(operation *protocol.LedgerOperation, reply func(*protocol.LedgerResult)) {
 	shard := ledger.ShardOf(operation.GetProgram(), shardCount)
 	table := p.table(shard)
-	if p.refusal(table, operation.GetPlacementEpoch()) != notRefused {
+	if p.rejection(table, operation.GetPlacementEpoch()) != notRejected {
 		reply(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT, PlacementEpoch: table.epoch})
 		return
 	}
@@ -74,7 +74,7 @@
 	case *protocol.LedgerOperation_ReadTurns:
 		p.readTurn(table, operation.GetProgram(), body.ReadTurns.GetLastTurn(), reply)
 	case *protocol.LedgerOperation_SettleTurn:
-		p.settle(table, operation, reply)
+		p.commitTurn(table, operation, reply)
 	case *protocol.LedgerOperation_BeginCall:
 		p.beginCall(shard, operation, body.BeginCall, reply)
 	default:
@@ -83,10 +83,12 @@
 }
 
 // applyLedger applies an operation to the register of its program or call.
-func (p *storeProcess) applyLedger(shard uint32, operation *protocol.LedgerOperation, reply func(*protocol.LedgerResult)) {
+func (p *storeProcess) applyLedger(shard uint32, operation *protocol.LedgerOperation,
+	reply func(*protocol.LedgerResult),
+) {
 	key := registerKey{program: operation.GetProgram(), call: ledger.CallRequestID(operation)}
 	var result *protocol.LedgerResult
-	wanted := &change{
+	wantedChange := &change{
 		deadline: p.environment.Now().Add(storeOperation),
 		done: func(value []byte, status protocol.LedgerStatus, epoch uint64) {
 			switch {
@@ -101,16 +103,18 @@
 		},
 	}
 	if !ledger.IsRead(operation) {
-		wanted.function = func(current []byte) (next []byte, changed bool) {
+		wantedChange.function = func(current []byte) (next []byte, changed bool) {
 			next, result = p.decide(current, operation, key.call != "")
 			return next, next != nil
 		}
 	}
-	p.propose(shard, key, wanted)
+	p.propose(shard, key, wantedChange)
 }
 
 // decide applies an operation to a value; next is nil when nothing changes.
-func (p *storeProcess) decide(current []byte, operation *protocol.LedgerOperation, isCall bool) (next []byte, result *protocol.LedgerResult) {
+func (p *storeProcess) decide(current []byte, operation *protocol.LedgerOperation, isCall bool) (next []byte,
+	result *protocol.LedgerResult,
+) {
 	var changed proto.Message
 	if isCall {
 		record, answer := ledger.ApplyCall(decodeCall(current), operation, p.environment.Now())
@@ -135,52 +139,54 @@
 	return next, result
 }
 
-// settle keeps the turn on a majority, then charges it.
-func (p *storeProcess) settle(table *shardTable, operation *protocol.LedgerOperation, reply func(*protocol.LedgerResult)) {
+// commitTurn retains the turn on a majority, then charges it.
+func (p *storeProcess) commitTurn(table *shardTable, operation *protocol.LedgerOperation,
+	reply func(*protocol.LedgerResult),
+) {
 	epoch, quorum := table.epoch, table.quorum
-	if p.suite.options.Mutation == StoreSettlesBeforeKeeping {
-		p.keepTurn(table, operation.GetSettleTurn().GetTurn(), func() {})
+	if p.suite.options.Mutation == StoreCommitsBeforeRetaining {
+		p.retainTurn(table, operation.GetSettleTurn().GetTurn(), func() {})
 		p.applyLedger(table.shard, operation, reply)
 		return
 	}
 	turn := operation.GetSettleTurn().GetTurn()
-	kept := map[string]bool{}
+	acknowledged := map[string]bool{}
 	ended := false
-	note := func(store string) {
-		kept[store] = true
-		if !ended && quorum.Reached(func(member string) bool { return kept[member] }) {
+	acknowledge := func(store string) {
+		acknowledged[store] = true
+		if !ended && quorum.Reached(func(member string) bool { return acknowledged[member] }) {
 			ended = true
 			p.applyLedger(table.shard, operation, reply)
 		}
 	}
 	for _, store := range quorum.Members() {
 		if store == p.self.GetName() {
-			p.keepTurn(table, turn, func() { note(store) })
+			p.retainTurn(table, turn, func() { acknowledge(store) })
 			continue
 		}
 		request := &protocol.KeepTurnRequest{Shard: table.shard, PlacementEpoch: epoch, Turn: turn}
 		p.endpoint.call(sim.Address(store), request, storeOperation, func(body any) {
-			if answer, answered := body.(*protocol.KeepTurnResponse); answered && answer.GetRefusal() == notRefused {
-				note(store)
+			if answer, answered := body.(*protocol.KeepTurnResponse); answered && answer.GetRefusal() == notRejected {
+				acknowledge(store)
 			}
 		})
 	}
 }
 
-// readTurn says that a turn is missing only when a majority lacks it.
+// readTurn reports a turn as missing only when a majority lacks it.
 func (p *storeProcess) readTurn(table *shardTable, program, id string, reply func(*protocol.LedgerResult)) {
-	if kept := table.turns[turnKey(program, id)]; kept != nil && kept.durable {
-		reply(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Turns: []*protocol.Turn{kept.turn}})
+	if retained := table.turns[turnKey(program, id)]; retained != nil && retained.durable {
+		reply(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Turns: []*protocol.Turn{retained.turn}})
 		return
 	}
 	missing := &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_TURN_MISSING}
-	if p.suite.options.Mutation == StoreTrustsOneMissing {
+	if p.suite.options.Mutation == StoreReportsMissingFromOneReplica {
 		reply(missing)
 		return
 	}
 	epoch, quorum := table.epoch, table.quorum
 	lacking := map[string]bool{p.self.GetName(): true}
-	ended, asked := false, 0
+	ended, outstanding := false, 0
 	end := func(result *protocol.LedgerResult) {
 		if !ended {
 			ended = true
@@ -191,21 +197,25 @@
 		if store == p.self.GetName() {
 			continue
 		}
-		asked++
-		request := &protocol.FetchTurnsRequest{Shard: table.shard, PlacementEpoch: epoch, Program: program, LastTurn: id, Limit: 1}
-		p.endpoint.call(sim.Address(store), request, peerPatience, func(body any) {
-			asked--
+		outstanding++
+		request := &protocol.FetchTurnsRequest{
+			Shard: table.shard, PlacementEpoch: epoch, Program: program, LastTurn: id,
+			Limit: 1,
+		}
+		p.endpoint.call(sim.Address(store), request, peerTimeout, func(body any) {
+			outstanding--
 			answer, answered := body.(*protocol.FetchTurnsResponse)
 			switch {
 			case answered && len(answer.GetTurns()) > 0:
 				end(&protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Turns: answer.GetTurns()})
-			case answered && answer.GetRefusal() == notRefused:
+			case answered && answer.GetRefusal() == notRejected:
 				lacking[store] = true
 			}
-			if asked > 0 {
+			if outstanding > 0 {
 				return
 			}
-			if table.epoch == epoch && table.role.Votes() && quorum.Reached(func(member string) bool { return lacking[member] }) {
+			if table.epoch == epoch && table.role.Votes() &&
+				quorum.Reached(func(member string) bool { return lacking[member] }) {
 				end(missing)
 				return
 			}
@@ -214,8 +224,10 @@
 	}
 }
 
-// beginCall writes the intent and then checks that the session's epoch is still in force.
-func (p *storeProcess) beginCall(shard uint32, operation *protocol.LedgerOperation, begin *protocol.BeginCall, reply func(*protocol.LedgerResult)) {
+// beginCall records the intent and then checks that the session's epoch is still in force.
+func (p *storeProcess) beginCall(shard uint32, operation *protocol.LedgerOperation, begin *protocol.BeginCall,
+	reply func(*protocol.LedgerResult),
+) {
 	p.applyLedger(shard, operation, func(result *protocol.LedgerResult) {
 		if result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
 			reply(result)
--- a/internal/testing/sim/statesuite/store_process.go
+++ b/internal/testing/sim/statesuite/store_process.go
@@ -17,13 +17,13 @@
 const (
 	renewInterval  = 500 * time.Millisecond
 	copyInterval   = 300 * time.Millisecond
-	peerPatience   = 300 * time.Millisecond
+	peerTimeout    = 300 * time.Millisecond
 	storeOperation = 900 * time.Millisecond
-	// A store writes a snapshot when its log is this long.
+	// storeLogBytes is the size of the log at which a store writes a snapshot.
 	storeLogBytes = 96 << 10
 )
 
-// storeProcess is one life of a store.
+// storeProcess is one incarnation of a store.
 type storeProcess struct {
 	suite       *suite
 	environment *sim.Environment
@@ -49,7 +49,7 @@
 	return &protocol.RegisterKey{Program: k.program, Call: k.call}
 }
 
-// shardTable is what this store holds of a shard and may do for it.
+// shardTable is a store's replica of a shard, with its role in the placement.
 type shardTable struct {
 	shard     uint32
 	epoch     uint64
@@ -57,11 +57,11 @@
 	quorum    register.Quorum
 	placed    *protocol.ShardPlacement
 	registers map[registerKey]*entry
-	turns     map[string]*keptTurn
+	turns     map[string]*retainedTurn
 	copying   bool
 }
 
-// entry is one register; answers that show it wait until its last write is durable.
+// entry is one register; answers that depend on it wait until its last write is durable.
 type entry struct {
 	state     register.State
 	headEpoch uint64
@@ -69,8 +69,8 @@
 	waiting   []func()
 }
 
-// keptTurn is one turn; it counts once it is durable.
-type keptTurn struct {
+// retainedTurn is one turn; it counts once it is durable.
+type retainedTurn struct {
 	turn    *protocol.Turn
 	durable bool
 	waiting []func()
@@ -93,18 +93,18 @@
 	disk := p.environment.Disk()
 	identity, err := storage.OpenIdentityWith(disk, dataFolder, disk.NewStorageID)
 	if err != nil {
-		return p.suite.noteStartFailure(p.environment, err)
+		return p.suite.checkStartFailure(p.environment, err)
 	}
 	p.log, err = storage.OpenLog(disk, logFolder, storage.LogOptions{SegmentBytes: segmentBytes})
 	if err == nil {
 		err = p.load()
 	}
 	if err != nil {
-		return p.suite.noteStartFailure(p.environment, err)
+		return p.suite.checkStartFailure(p.environment, err)
 	}
 	p.committer = &committer{
 		environment: p.environment, log: p.log, fatal: p.environment.Exit,
-		early: p.suite.options.Mutation == StoreAcknowledgesBeforeSync,
+		acknowledgeFirst: p.suite.options.Mutation == StoreAcknowledgesBeforeSync,
 	}
 	name := string(p.environment.Address())
 	p.self = &protocol.Node{
@@ -116,27 +116,27 @@
 	}
 	p.proposer = fmt.Sprintf("%s/%d", name, p.environment.Incarnation())
 	p.ballots = register.NewBallotGenerator(p.proposer)
-	p.suite.noteStart(p.environment)
+	p.suite.recordStart(p.environment)
 	p.link.renewLater(p.self, 0, renewInterval)
-	p.copyLater()
+	p.copyPeriodically()
 	p.link.follow(p.viewRead)
 	return nil
 }
 
-// StaysDownError is why a mutated store does not start.
-type StaysDownError struct{}
+// NeverRestartsError is returned by the start of a store under StoresNeverRestart.
+type NeverRestartsError struct{}
 
-func (e *StaysDownError) Error() string { return "the process stays down" }
+func (e *NeverRestartsError) Error() string { return "the process stays down" }
 
-// mutateStart carries out the mutations of stores that start again.
+// mutateStart applies the mutations of stores that start again.
 func (s *suite) mutateStart(environment *sim.Environment) error {
 	if environment.Incarnation() == 1 {
 		return nil
 	}
 	switch s.options.Mutation {
-	case StoresStayDown:
-		return &StaysDownError{}
-	case DisksRot:
+	case StoresNeverRestart:
+		return &NeverRestartsError{}
+	case StoreLogsCorrupted:
 		for _, path := range environment.Disk().Files(logFolder) {
 			environment.Disk().Damage(path, 0, 1)
 		}
@@ -154,7 +154,7 @@
 	known := p.shards[shard]
 	if known == nil {
 		known = &shardTable{
-			shard: shard, registers: map[registerKey]*entry{}, turns: map[string]*keptTurn{},
+			shard: shard, registers: map[registerKey]*entry{}, turns: map[string]*retainedTurn{},
 		}
 		p.shards[shard] = known
 	}
@@ -170,7 +170,7 @@
 	return known
 }
 
-// viewRead takes in a placement that was read from the leader.
+// viewRead applies a placement that was read from the leader.
 func (p *storeProcess) viewRead(view *controlstate.View) {
 	if view.Placement.GetEpoch() < p.placement.GetEpoch() {
 		return
@@ -194,14 +194,14 @@
 
 func (p *storeProcess) dropShard(table *shardTable) {
 	table.registers = map[registerKey]*entry{}
-	table.turns = map[string]*keptTurn{}
+	table.turns = map[string]*retainedTurn{}
 	p.committer.append(&protocol.StoreRecord{
 		Shard: table.shard, Body: &protocol.StoreRecord_Drop{Drop: &protocol.DropShard{}},
 	}, func() {})
 }
 
-// refusal tells why the replica may not answer a request that names an epoch.
-func (p *storeProcess) refusal(t *shardTable, epoch uint64) protocol.ReplicaRefusal {
+// rejection returns why the replica must reject a request of an epoch, or notRejected.
+func (p *storeProcess) rejection(t *shardTable, epoch uint64) protocol.ReplicaRefusal {
 	if p.suite.options.Mutation == StoreAcceptsOldEpochs {
 		epoch = t.epoch
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-const notRefused = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
+const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
 func (p *storeProcess) load() error {
 	disk := p.environment.Disk()
@@ -248,7 +248,7 @@
 	case *protocol.StoreRecord_Register:
 		table.entry(keyOf(body.Register.GetKey())).state = register.StateFromProto(body.Register)
 	case *protocol.StoreRecord_Turn:
-		table.turns[turnKey(body.Turn.GetProgram(), body.Turn.GetId())] = &keptTurn{turn: body.Turn, durable: true}
+		table.turns[turnKey(body.Turn.GetProgram(), body.Turn.GetId())] = &retainedTurn{turn: body.Turn, durable: true}
 	case *protocol.StoreRecord_Drop:
 		clear(table.registers)
 		clear(table.turns)
@@ -276,7 +276,7 @@
 	return nil
 }
 
-// maybeSnapshot writes all shards beside the log and drops the log before.
+// maybeSnapshot writes a snapshot of all shards and truncates the log when it is long.
 func (p *storeProcess) maybeSnapshot() {
 	if p.log.Size() < storeLogBytes {
 		return
@@ -294,7 +294,7 @@
 	}
 	err = storage.SaveSnapshot(disk, snapshotFolder, segment, func(writer io.Writer) error {
 		for shard := range uint32(shardCount) {
-			data, err := proto.Marshal(p.page(p.table(shard)))
+			data, err := proto.Marshal(p.shardPage(p.table(shard)))
 			if err != nil {
 				return err
 			}
@@ -315,8 +315,8 @@
 	return storage.RemoveSnapshotsBefore(disk, snapshotFolder, segment)
 }
 
-// page gives everything that the store holds of a shard.
-func (p *storeProcess) page(table *shardTable) *protocol.FetchShardResponse {
+// shardPage returns all registers and turns of a shard.
+func (p *storeProcess) shardPage(table *shardTable) *protocol.FetchShardResponse {
 	page := &protocol.FetchShardResponse{Last: true}
 	keys := make(map[string]registerKey, len(table.registers))
 	for key := range table.registers {
--- a/internal/testing/sim/statesuite/store_proposal.go
+++ b/internal/testing/sim/statesuite/store_proposal.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	firstBackoff   = 4 * time.Millisecond
-	longestBackoff = 200 * time.Millisecond
+	minBackoff = 4 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
-// proposal takes the changes of one register through one after the other.
+// proposal runs the changes of one register, one after the other.
 type proposal struct {
-	store   *storeProcess
-	key     registerKey
-	shard   uint32
-	waiting []*change
-	active  *change
-	running *register.Change
-	retries int
-	resting bool
+	store         *storeProcess
+	key           registerKey
+	shard         uint32
+	waiting       []*change
+	active        *change
+	runningChange *register.Change
+	retries       int
+	backingOff    bool
 }
 
 // change is one function to apply, or a read when function is nil.
 type change struct {
 	function register.UpdateFunc
 	deadline time.Time
-	// done gets the chosen value, or the status that says why there is none.
+	// done is called with the chosen value, or with the status of the failure.
 	done func(value []byte, status protocol.LedgerStatus, epoch uint64)
 }
 
-func (p *storeProcess) propose(shard uint32, key registerKey, wanted *change) {
+func (p *storeProcess) propose(shard uint32, key registerKey, added *change) {
 	known := p.proposals[key]
 	if known == nil {
 		known = &proposal{store: p, key: key, shard: shard}
 		p.proposals[key] = known
 	}
-	known.waiting = append(known.waiting, wanted)
+	known.waiting = append(known.waiting, added)
 	if known.active == nil {
 		known.startNext()
 	}
 }
 
 func (p *proposal) startNext() {
-	p.active, p.running, p.retries, p.resting = nil, nil, 0, false
+	p.active, p.runningChange, p.retries, p.backingOff = nil, nil, 0, false
 	if len(p.waiting) == 0 {
 		delete(p.store.proposals, p.key)
 		return
@@ -57,33 +57,33 @@
 		p.end(nil, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT)
 		return
 	}
-	p.running = register.NewChange(register.ChangeOptions{
+	p.runningChange = register.NewChange(register.ChangeOptions{
 		Key: p.key.message(), Shard: p.shard, Epoch: table.epoch, Quorum: table.quorum,
 		Ballots: p.store.ballots, Update: p.active.function, PreparedProposal: p.head(table),
 	})
-	p.send(p.running.Start())
+	p.send(p.runningChange.Start())
 }
 
-// head lets a change skip its prepare round. A head serves one change only: when that one fails, the replica here may
-// have accepted a value that is not chosen, and nobody else promised its ballot.
+// head lets a change skip its prepare phase. A head serves one change only: when that one fails, the local replica may
+// have accepted a value that is not chosen, and no other replica promised its ballot.
 func (p *proposal) head(table *shardTable) register.PreparedProposal {
-	held := table.registers[p.key]
-	if held == nil {
+	current := table.registers[p.key]
+	if current == nil {
 		return register.PreparedProposal{}
 	}
-	headEpoch := held.headEpoch
+	headEpoch := current.headEpoch
 	if p.store.suite.options.Mutation != StoreReusesFailedHead {
-		held.headEpoch = 0
+		current.headEpoch = 0
 	}
-	if headEpoch != table.epoch || held.state.Learned ||
-		held.state.Promised.Proposer != p.store.proposer || held.state.Accepted.Proposer != p.store.proposer {
+	if headEpoch != table.epoch || current.state.Learned ||
+		current.state.Promised.Proposer != p.store.proposer || current.state.Accepted.Proposer != p.store.proposer {
 		return register.PreparedProposal{}
 	}
-	return register.PreparedProposal{Epoch: headEpoch, Ballot: held.state.Promised, Value: held.state.Value}
+	return register.PreparedProposal{Epoch: headEpoch, Ballot: current.state.Promised, Value: current.state.Value}
 }
 
 func (p *proposal) send(messages []register.Message) {
-	running := p.running
+	running := p.runningChange
 	for _, message := range messages {
 		p.sendOne(running, message)
 	}
@@ -92,7 +92,7 @@
 
 func (p *proposal) sendOne(running *register.Change, message register.Message) {
 	answered := func(body any) {
-		// Local answers may come at once; they wait for the messages to be sent.
+		// A local answer may come synchronously; it is handled after the messages are sent.
 		p.store.environment.After(0, func() { p.answered(running, message, body) })
 	}
 	if message.Store == p.store.self.GetName() {
@@ -107,11 +107,11 @@
 	if message.Prepare != nil {
 		body = message.Prepare
 	}
-	p.store.endpoint.call(sim.Address(message.Store), body, peerPatience, answered)
+	p.store.endpoint.call(sim.Address(message.Store), body, peerTimeout, answered)
 }
 
 func (p *proposal) answered(running *register.Change, message register.Message, body any) {
-	if p.running != running {
+	if p.runningChange != running {
 		return
 	}
 	switch answer := body.(type) {
@@ -126,14 +126,14 @@
 }
 
 func (p *proposal) advance(running *register.Change) {
-	if p.running != running || p.resting {
+	if p.runningChange != running || p.backingOff {
 		return
 	}
 	switch running.Status() {
 	case register.StatusChosen:
 		p.chosen()
 	case register.StatusPreempted, register.StatusUnavailable:
-		p.rest()
+		p.backOff()
 	case register.StatusWrongPlacement:
 		p.end(nil, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT)
 	}
@@ -141,33 +141,33 @@
 
 func (p *proposal) chosen() {
 	table := p.store.table(p.shard)
-	if held := table.registers[p.key]; held != nil {
-		held.headEpoch = 0
-		if head := p.running.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == held.state.Promised {
-			held.headEpoch = head.Epoch
+	if current := table.registers[p.key]; current != nil {
+		current.headEpoch = 0
+		if head := p.runningChange.PreparedProposal(); !head.Ballot.IsZero() && head.Ballot == current.state.Promised {
+			current.headEpoch = head.Epoch
 		}
 	}
-	p.end(p.running.Value(), protocol.LedgerStatus_LEDGER_OK)
+	p.end(p.runningChange.Value(), protocol.LedgerStatus_LEDGER_OK)
 }
 
 func (p *proposal) end(value []byte, status protocol.LedgerStatus) {
 	active := p.active
-	p.running = nil
+	p.runningChange = nil
 	active.done(value, status, p.store.table(p.shard).epoch)
 	p.startNext()
 }
 
-func (p *proposal) rest() {
-	running := p.running
-	p.resting = true
-	limit := min(firstBackoff<<min(p.retries, 16), longestBackoff)
+func (p *proposal) backOff() {
+	running := p.runningChange
+	p.backingOff = true
+	limit := min(minBackoff<<min(p.retries, 16), maxBackoff)
 	p.retries++
 	wait := limit/2 + time.Duration(p.store.environment.Random().Int64N(int64(limit)/2+1))
 	p.store.environment.After(wait, func() {
-		if p.running != running {
+		if p.runningChange != running {
 			return
 		}
-		p.resting = false
+		p.backingOff = false
 		if !p.store.environment.Now().Before(p.active.deadline) {
 			p.end(nil, protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 			return
--- a/internal/testing/sim/statesuite/store_replica.go
+++ b/internal/testing/sim/statesuite/store_replica.go
@@ -1,6 +1,8 @@
 package statesuite
 
 import (
+	"slices"
+
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -15,7 +17,7 @@
 	case *protocol.AcceptRequest:
 		p.accept(body, func(answer *protocol.AcceptResponse) { reply(answer) })
 	case *protocol.KeepTurnRequest:
-		p.serveKeep(body, reply)
+		p.serveRetainTurn(body, reply)
 	case *protocol.FetchTurnsRequest:
 		p.serveFetchTurns(body, reply)
 	case *protocol.FetchShardRequest:
@@ -30,67 +32,67 @@
 
 func (p *storeProcess) prepare(request *protocol.PrepareRequest, reply func(*protocol.PrepareResponse)) {
 	table := p.table(request.GetShard())
-	if refusal := p.refusal(table, request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.PrepareResponse{Refusal: refusal, PlacementEpoch: table.epoch})
+	if reason := p.rejection(table, request.GetPlacementEpoch()); reason != notRejected {
+		reply(&protocol.PrepareResponse{Refusal: reason, PlacementEpoch: table.epoch})
 		return
 	}
 	key := keyOf(request.GetKey())
-	held := table.entry(key)
-	next, answer, changed := held.state.Prepare(register.BallotFromProto(request.GetBallot()))
+	current := table.entry(key)
+	next, answer, changed := current.state.Prepare(register.BallotFromProto(request.GetBallot()))
 	if !changed {
-		p.whenDurable(held, func() { reply(answer) })
+		p.whenDurable(current, func() { reply(answer) })
 		return
 	}
-	p.put(table, key, held, next, func() { reply(answer) })
+	p.put(table, key, current, next, func() { reply(answer) })
 }
 
 func (p *storeProcess) accept(request *protocol.AcceptRequest, reply func(*protocol.AcceptResponse)) {
 	table := p.table(request.GetShard())
-	if refusal := p.refusal(table, request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.AcceptResponse{Refusal: refusal, PlacementEpoch: table.epoch})
+	if reason := p.rejection(table, request.GetPlacementEpoch()); reason != notRejected {
+		reply(&protocol.AcceptResponse{Refusal: reason, PlacementEpoch: table.epoch})
 		return
 	}
 	key := keyOf(request.GetKey())
-	held := table.entry(key)
-	next, answer, changed := held.state.Accept(
+	current := table.entry(key)
+	next, answer, changed := current.state.Accept(
 		register.BallotFromProto(request.GetBallot()), request.GetValue(), register.BallotFromProto(request.GetNextBallot()))
 	if !changed {
-		p.whenDurable(held, func() { reply(answer) })
+		p.whenDurable(current, func() { reply(answer) })
 		return
 	}
-	p.put(table, key, held, next, func() { reply(answer) })
+	p.put(table, key, current, next, func() { reply(answer) })
 }
 
 // put replaces a register's state and calls done once it is durable.
-func (p *storeProcess) put(table *shardTable, key registerKey, held *entry, state register.State, done func()) {
-	held.state = state
-	held.unsynced++
+func (p *storeProcess) put(table *shardTable, key registerKey, current *entry, state register.State, done func()) {
+	current.state = state
+	current.unsynced++
 	p.committer.append(&protocol.StoreRecord{
 		Shard: table.shard, Body: &protocol.StoreRecord_Register{Register: state.ToProto(key.message())},
 	}, func() {
-		held.unsynced--
+		current.unsynced--
 		done()
-		if held.unsynced > 0 {
+		if current.unsynced > 0 {
 			return
 		}
-		waiting := held.waiting
-		held.waiting = nil
+		waiting := current.waiting
+		current.waiting = nil
 		for _, release := range waiting {
 			release()
 		}
 	})
 }
 
-func (p *storeProcess) whenDurable(held *entry, done func()) {
-	if held.unsynced == 0 {
+func (p *storeProcess) whenDurable(current *entry, done func()) {
+	if current.unsynced == 0 {
 		done()
 		return
 	}
-	held.waiting = append(held.waiting, done)
+	current.waiting = append(current.waiting, done)
 }
 
-// keepTurn makes a turn durable here.
-func (p *storeProcess) keepTurn(table *shardTable, turn *protocol.Turn, done func()) {
+// retainTurn makes a turn durable on this store.
+func (p *storeProcess) retainTurn(table *shardTable, turn *protocol.Turn, done func()) {
 	key := turnKey(turn.GetProgram(), turn.GetId())
 	if known := table.turns[key]; known != nil {
 		if known.durable {
@@ -100,71 +102,72 @@
 		}
 		return
 	}
-	kept := &keptTurn{turn: turn, waiting: []func(){done}}
-	table.turns[key] = kept
+	added := &retainedTurn{turn: turn, waiting: []func(){done}}
+	table.turns[key] = added
 	p.committer.append(&protocol.StoreRecord{
 		Shard: table.shard, Body: &protocol.StoreRecord_Turn{Turn: turn},
 	}, func() {
-		kept.durable = true
-		for _, release := range kept.waiting {
+		added.durable = true
+		for _, release := range added.waiting {
 			release()
 		}
-		kept.waiting = nil
+		added.waiting = nil
 	})
 }
 
-func (p *storeProcess) serveKeep(request *protocol.KeepTurnRequest, reply func(any)) {
+func (p *storeProcess) serveRetainTurn(request *protocol.KeepTurnRequest, reply func(any)) {
 	table := p.table(request.GetShard())
-	if refusal := p.refusal(table, request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.KeepTurnResponse{Refusal: refusal})
+	if reason := p.rejection(table, request.GetPlacementEpoch()); reason != notRejected {
+		reply(&protocol.KeepTurnResponse{Refusal: reason})
 		return
 	}
-	p.keepTurn(table, request.GetTurn(), func() { reply(&protocol.KeepTurnResponse{}) })
+	p.retainTurn(table, request.GetTurn(), func() { reply(&protocol.KeepTurnResponse{}) })
 }
 
 func (p *storeProcess) serveFetchTurns(request *protocol.FetchTurnsRequest, reply func(any)) {
 	table := p.table(request.GetShard())
-	if refusal := p.refusal(table, request.GetPlacementEpoch()); refusal != notRefused {
-		reply(&protocol.FetchTurnsResponse{Refusal: refusal})
+	if reason := p.rejection(table, request.GetPlacementEpoch()); reason != notRejected {
+		reply(&protocol.FetchTurnsResponse{Refusal: reason})
 		return
 	}
-	found := &protocol.FetchTurnsResponse{}
-	if kept := table.turns[turnKey(request.GetProgram(), request.GetLastTurn())]; kept != nil && kept.durable {
-		found.Turns = append(found.Turns, kept.turn)
+	response := &protocol.FetchTurnsResponse{}
+	if retained := table.turns[turnKey(request.GetProgram(), request.GetLastTurn())]; retained != nil && retained.durable {
+		response.Turns = append(response.Turns, retained.turn)
 	}
-	reply(found)
+	reply(response)
 }
 
-// serveFetchShard copies the shard once all that it shows is durable. From then on requests of older epochs are refused.
+// serveFetchShard returns the shard once all of it is durable. Requests of older epochs are rejected from then on.
 func (p *storeProcess) serveFetchShard(request *protocol.FetchShardRequest, reply func(any)) {
 	table := p.table(request.GetShard())
 	if table.epoch != request.GetPlacementEpoch() || table.role != register.RoleActive {
 		reply(nil)
 		return
 	}
-	page := p.page(table)
-	p.committer.quiesce(func() { reply(page) })
+	page := p.shardPage(table)
+	p.committer.whenDurable(func() { reply(page) })
 }
 
-func (p *storeProcess) copyLater() {
+func (p *storeProcess) copyPeriodically() {
 	p.environment.After(copyInterval, func() {
 		p.copyShards()
-		p.copyLater()
+		p.copyPeriodically()
 	})
 }
 
 func (p *storeProcess) copyShards() {
 	for _, shard := range sortedKeys(p.shards) {
 		table := p.shards[shard]
-		if (table.role == register.RoleRebuilding || table.role == register.RoleJoining) && p.needsCopy(table) && !table.copying {
+		if (table.role == register.RoleRebuilding || table.role == register.RoleJoining) && p.needsCopy(table) &&
+			!table.copying {
 			p.copyShard(table)
 		}
 	}
 }
 
-// needsCopy says whether the placement still waits for this store's copy.
+// needsCopy reports whether the placement still waits for this store to copy the shard.
 func (p *storeProcess) needsCopy(table *shardTable) bool {
-	for _, replica := range append(table.placed.GetCurrent()[:len(table.placed.GetCurrent()):len(table.placed.GetCurrent())], table.placed.GetNext()...) {
+	for _, replica := range slices.Concat(table.placed.GetCurrent(), table.placed.GetNext()) {
 		if replica.GetStore() == p.self.GetName() && replica.GetStorageId() == p.self.GetStorageId() {
 			return replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING
 		}
@@ -172,7 +175,7 @@
 	return false
 }
 
-// copyShard fetches the shard from a majority of the replicas in force, and tells the core once it is durable here.
+// copyShard fetches the shard from a majority of the active replicas, and notifies the core once it is durable here.
 func (p *storeProcess) copyShard(table *shardTable) {
 	epoch := table.epoch
 	if p.suite.options.Mutation == StoreReportsCopiedEarly {
@@ -198,14 +201,14 @@
 		}
 		left++
 		request := &protocol.FetchShardRequest{Shard: table.shard, PlacementEpoch: epoch}
-		p.endpoint.call(sim.Address(replica.GetStore()), request, peerPatience, func(answer any) {
+		p.endpoint.call(sim.Address(replica.GetStore()), request, peerTimeout, func(answer any) {
 			page, answered := answer.(*protocol.FetchShardResponse)
 			if !answered || page == nil || table.epoch != epoch {
 				finish()
 				return
 			}
-			p.learn(table, page)
-			p.committer.quiesce(func() {
+			p.merge(table, page)
+			p.committer.whenDurable(func() {
 				copied++
 				finish()
 			})
@@ -214,20 +217,20 @@
 	finish()
 }
 
-func (p *storeProcess) learn(table *shardTable, page *protocol.FetchShardResponse) {
+func (p *storeProcess) merge(table *shardTable, page *protocol.FetchShardResponse) {
 	for _, message := range page.GetRegisters() {
 		state := register.StateFromProto(message)
 		if state.Accepted.IsZero() {
 			continue
 		}
 		key := keyOf(message.GetKey())
-		held := table.entry(key)
-		if next, changed := held.state.Learn(state.Accepted, state.Value); changed {
-			p.put(table, key, held, next, func() {})
+		current := table.entry(key)
+		if next, changed := current.state.Learn(state.Accepted, state.Value); changed {
+			p.put(table, key, current, next, func() {})
 		}
 	}
 	for _, turn := range page.GetTurns() {
-		p.keepTurn(table, turn, func() {})
+		p.retainTurn(table, turn, func() {})
 	}
 }
 
@@ -236,26 +239,20 @@
 	command := &protocol.Command{Body: &protocol.Command_ShardCopied{ShardCopied: &protocol.ShardCopiedCommand{
 		Store: p.self.GetName(), StorageId: p.self.GetStorageId(), Shard: table.shard, Epoch: epoch,
 	}}}
-	p.link.order(command, coreCallPatience, func(*protocol.CommandResult) {})
+	p.link.order(command, coreCallTimeout, func(*protocol.CommandResult) {})
 }
 
 func decodeProgram(value []byte) *protocol.ProgramRecord {
-	if len(value) == 0 {
-		return nil
-	}
 	record := &protocol.ProgramRecord{}
-	if proto.Unmarshal(value, record) != nil {
+	if len(value) == 0 || proto.Unmarshal(value, record) != nil {
 		return nil
 	}
 	return record
 }
 
 func decodeCall(value []byte) *protocol.CallRecord {
-	if len(value) == 0 {
-		return nil
-	}
 	record := &protocol.CallRecord{}
-	if proto.Unmarshal(value, record) != nil {
+	if len(value) == 0 || proto.Unmarshal(value, record) != nil {
 		return nil
 	}
 	return record
--- a/internal/testing/sim/statesuite/suite_test.go
+++ b/internal/testing/sim/statesuite/suite_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestRunsAreRepeatable(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	first, second := run(firstSeed, nil), run(firstSeed, nil)
 	if first.Fingerprint != second.Fingerprint || first.Steps != second.Steps {
 		t.Fatalf("two runs of one seed differ: %d and %d events", first.Steps, second.Steps)
--- a/internal/testing/sim/statesuite/turn_script.go
+++ b/internal/testing/sim/statesuite/turn_script.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// claim makes this front the owner of a session and gives the epoch, or zero.
+// claim makes this front node the owner of a session and passes its epoch, or zero, to done.
 func (f *front) claim(program, session string, done func(epoch uint64, lastTurn string)) {
 	claim := operationOf(program)
 	claim.Body = &protocol.LedgerOperation_ClaimSession{ClaimSession: f.claimOf(session)}
@@ -31,11 +31,11 @@
 	})
 }
 
-// runTurn claims the session, reserves, passes tokens on, keeps the turn and settles. Some turns fork
-// from any kept turn of their program, and claim and reserve in one step.
+// runTurn claims the session, reserves, delivers tokens, retains and commits the turn. Some turns fork from the last
+// retained turn of their program, and claim and reserve in one step.
 func (f *front) runTurn(turn forwardedTurn, done func()) {
 	if turn.forks() {
-		f.reserveFork(turn, f.suite.lastKeptOf(turn.program), done)
+		f.reserveFork(turn, f.suite.lastRetainedTurn(turn.program), done)
 		return
 	}
 	f.claim(turn.program, turn.session, func(epoch uint64, lastTurn string) {
@@ -47,23 +47,23 @@
 	})
 }
 
-// forks picks every third request by its name, so that a request forks at whichever front it runs.
+// forks selects every third request by its id, so that a request forks on every front node that runs it.
 func (t forwardedTurn) forks() bool { return xxhash.Sum64String(t.request)%3 == 0 }
 
 func (f *front) reserveFork(turn forwardedTurn, previous string, done func()) {
 	reserve := operationOf(turn.program)
 	reserve.Body = &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: turn.request, Session: turn.session, Ceiling: turnCeiling, PreviousTurn: previous, Fork: true,
+		RequestId: turn.request, Session: turn.session, Ceiling: turnReservationLimit, PreviousTurn: previous, Fork: true,
 		Claim: f.claimOf(turn.session),
 	}}
 	f.apply(reserve, func(result *protocol.LedgerResult) { f.reserved(turn, result, result.GetEpoch(), previous, done) })
 }
 
-// lastKeptOf gives the turn of a program that was acknowledged last, or an empty text.
-func (s *suite) lastKeptOf(program string) string {
-	for _, kept := range slices.Backward(s.keptTurns) {
-		if kept.program == program {
-			return kept.id
+// lastRetainedTurn returns the turn of a program that was acknowledged last, or "".
+func (s *suite) lastRetainedTurn(program string) string {
+	for _, turn := range slices.Backward(s.retainedTurns) {
+		if turn.program == program {
+			return turn.id
 		}
 	}
 	return ""
@@ -72,58 +72,60 @@
 func (f *front) reserve(turn forwardedTurn, epoch uint64, lastTurn string, done func()) {
 	reserve := operationOf(turn.program)
 	reserve.Body = &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: turn.request, Session: turn.session, Epoch: epoch, Ceiling: turnCeiling, PreviousTurn: lastTurn,
+		RequestId: turn.request, Session: turn.session, Epoch: epoch, Ceiling: turnReservationLimit, PreviousTurn: lastTurn,
 	}}
 	f.apply(reserve, func(result *protocol.LedgerResult) { f.reserved(turn, result, epoch, lastTurn, done) })
 }
 
-// reserved runs a turn under the reservation that was made, or refuses it.
-func (f *front) reserved(turn forwardedTurn, result *protocol.LedgerResult, epoch uint64, previous string, done func()) {
+// reserved runs a turn after its reservation, or rejects it.
+func (f *front) reserved(turn forwardedTurn, result *protocol.LedgerResult, epoch uint64, previous string,
+	done func(),
+) {
 	switch {
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_OK, f.suite.options.Mutation == FrontSkipsReservation:
-		f.suite.noteRun(turn.request)
+		f.suite.recordExecution(turn.request)
 		f.passTokens(turn, epoch, previous, 0, done)
 	case result == nil:
 		done()
 	default:
-		f.refuse(turn, done)
+		f.reject(turn, done)
 	}
 }
 
-// refuse tells a caller that its request was not run, once the ledger says that it never will be.
-func (f *front) refuse(turn forwardedTurn, done func()) {
+// reject rejects a request once the ledger has recorded that it must never run.
+func (f *front) reject(turn forwardedTurn, done func()) {
 	if f.suite.options.Mutation == FrontSkipsTombstone {
-		f.suite.noteRefused(turn.request)
+		f.suite.recordRejection(turn.request)
 		done()
 		return
 	}
-	refuse := operationOf(turn.program)
-	refuse.Body = &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
+	rejection := operationOf(turn.program)
+	rejection.Body = &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
 		RequestId: turn.request, Session: turn.session,
 	}}
-	f.apply(refuse, func(result *protocol.LedgerResult) {
+	f.apply(rejection, func(result *protocol.LedgerResult) {
 		if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-			f.suite.noteRefused(turn.request)
+			f.suite.recordRejection(turn.request)
 		}
 		done()
 	})
 }
 
-// passTokens hands the tokens of a turn to the caller, some at a time. Some turns break off.
+// passTokens delivers the tokens of a turn to the caller, tokenStep at a time. Some turns break off.
 func (f *front) passTokens(turn forwardedTurn, epoch uint64, lastTurn string, passed uint64, done func()) {
 	breaksOff := f.environment.Random().IntN(40) == 0
-	if passed == turnCeiling || breaksOff {
+	if passed == turnReservationLimit || breaksOff {
 		f.endTurn(turn, epoch, lastTurn, passed, breaksOff, done)
 		return
 	}
-	f.suite.deliver(turn.program, tokenStep)
-	f.environment.After(tokenPause, func() { f.passTokens(turn, epoch, lastTurn, passed+tokenStep, done) })
+	f.suite.countDelivered(turn.program, tokenStep)
+	f.environment.After(interTokenGap, func() { f.passTokens(turn, epoch, lastTurn, passed+tokenStep, done) })
 }
 
 func (f *front) endTurn(turn forwardedTurn, epoch uint64, lastTurn string, passed uint64, brokenOff bool, done func()) {
 	if brokenOff {
 		if passed == 0 {
-			// A release without tokens would say that the request was not run.
+			// A release without tokens would mean that the request was not run.
 			done()
 			return
 		}
@@ -134,42 +136,42 @@
 		f.apply(release, func(*protocol.LedgerResult) { done() })
 		return
 	}
-	kept := &protocol.Turn{
+	retained := &protocol.Turn{
 		Id: "turn-" + turn.request, Program: turn.program, Session: turn.session, PreviousTurn: lastTurn,
 		RequestId: turn.request, OutputTokens: passed, Epoch: epoch, KeptAtMillis: f.environment.Now().UnixMilli(),
 	}
-	settle := operationOf(turn.program)
-	settle.Body = &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-		RequestId: turn.request, Session: turn.session, Epoch: epoch, Tokens: passed, Turn: kept,
+	commit := operationOf(turn.program)
+	commit.Body = &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+		RequestId: turn.request, Session: turn.session, Epoch: epoch, Tokens: passed, Turn: retained,
 	}}
-	f.apply(settle, func(result *protocol.LedgerResult) {
+	f.apply(commit, func(result *protocol.LedgerResult) {
 		if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-			f.suite.keptTurns = append(f.suite.keptTurns, turnName{program: turn.program, id: kept.GetId()})
+			f.suite.retainedTurns = append(f.suite.retainedTurns, turnName{program: turn.program, id: retained.GetId()})
 		}
 		done()
 	})
 }
 
-// forwardTurn lets another front run a request, and refuses it when nothing is heard of it.
+// forwardTurn forwards a request to another front node, and rejects it when there is no answer.
 func (f *front) forwardTurn(turn forwardedTurn, done func()) {
-	f.endpoint.call(f.otherFront(), turn, ledgerPatience, func(body any) {
+	f.endpoint.call(f.otherFront(), turn, ledgerTimeout, func(body any) {
 		if body != nil {
 			done()
 			return
 		}
-		f.refuse(turn, done)
+		f.reject(turn, done)
 	})
 }
 
-// turnName names a turn that was acknowledged as kept.
+// turnName names a turn that was acknowledged as retained.
 type turnName struct{ program, id string }
 
-func (f *front) readKeptTurn(next func()) {
-	if len(f.suite.keptTurns) == 0 {
+func (f *front) readRetainedTurn(next func()) {
+	if len(f.suite.retainedTurns) == 0 {
 		next()
 		return
 	}
-	wanted := f.suite.keptTurns[f.environment.Random().IntN(len(f.suite.keptTurns))]
+	wanted := f.suite.retainedTurns[f.environment.Random().IntN(len(f.suite.retainedTurns))]
 	f.readTurn(wanted, func(protocol.LedgerStatus) { next() })
 }
 
@@ -179,15 +181,15 @@
 	f.apply(read, func(result *protocol.LedgerResult) {
 		status := result.GetStatus()
 		if status == protocol.LedgerStatus_LEDGER_OK || status == protocol.LedgerStatus_LEDGER_TURN_MISSING {
-			f.suite.checkTurn(wanted, status == protocol.LedgerStatus_LEDGER_OK && result.GetTurns()[0].GetId() == wanted.id)
+			f.suite.checkRetained(wanted, status == protocol.LedgerStatus_LEDGER_OK && result.GetTurns()[0].GetId() == wanted.id)
 		}
 		done(status)
 	})
 }
 
-func (s *suite) checkTurn(turn turnName, kept bool) {
-	s.rules.turnsKept.Check(kept, "turn %s of %s is missing", turn.id, turn.program)
-	if !kept && s.storeRepair.secondLosses > 0 {
-		s.rules.storeLoss.Violatef("turn %s of %s is missing", turn.id, turn.program)
+func (s *suite) checkRetained(turn turnName, found bool) {
+	s.rules.turnsDurable.Check(found, "turn %s of %s is missing", turn.id, turn.program)
+	if !found && s.storeRepair.secondLosses > 0 {
+		s.rules.turnsSurviveSecondLoss.Violatef("turn %s of %s is missing", turn.id, turn.program)
 	}
 }
