--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -13,6 +13,9 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -74,10 +77,10 @@
 	routes       *routeClient
 	models       *groupModels
 	versionPins  *versionPins
-	admission    *admission
+	admission    *admission.Controller
 	sessions     *sessions
-	explanations *explanations
-	heartbeats   *heartbeats
+	explanations *explain.Store
+	heartbeats   *heartbeat.Relay
 
 	// stopped is closed when the process gives up what is still under way.
 	stopped  chan struct{}
@@ -106,17 +109,17 @@
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
 		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:      newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
-		models:      models,
-		versionPins: newVersionPins(options.Clock),
-		admission:   newAdmission(options.Clock), sessions: newSessions(options.Clock),
-		explanations: newExplanations(options.Clock, options.Self.GetName()),
+		routes:       newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		models:       models,
+		versionPins:  newVersionPins(options.Clock),
+		sessions:     newSessions(options.Clock),
+		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
 		hasBundle:    make(chan struct{}),
 	}
-	s.admission.gates.slots = s.stepSlots
-	s.heartbeats = newHeartbeats(options.Link, options.Clock, s.metrics)
+	s.admission = admission.NewController(options.Clock, s.stepSlots)
+	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
 	options.Ownership.OnYield(s.sessions.yielded)
@@ -132,7 +135,7 @@
 		if next.active.Bundle() != nil {
 			s.markStarted()
 		}
-		s.admission.configure(next.active.Bundle().GetLimits())
+		s.admission.Configure(next.active.Bundle().GetLimits())
 	}
 	former := s.backEnds.Load()
 	if former == nil {
@@ -174,7 +177,7 @@
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	s.workers.Go(func() { s.reportVariants(ctx) })
-	s.workers.Go(func() { s.heartbeats.run(ctx) })
+	s.workers.Go(func() { s.heartbeats.Run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
 	s.workers.Go(func() { s.shareOutcomes(ctx) })
 	s.workers.Go(func() { s.watchSuspects(ctx) })
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
@@ -72,11 +73,11 @@
 func (r *turnRun) resolveStep(step string) turn.Event {
 	pin, rejection := r.service.resolveStep(r.ctx, stepChoice{step: step, model: r.request.GetModel()}, r.route.GetGroup())
 	if rejection != nil {
-		r.explanation.recordStep("training step refused", step+": "+rejection.GetMessage())
+		r.explanation.RecordStep("training step refused", step+": "+rejection.GetMessage())
 		return turn.StepNotResolved{Failure: rejection}
 	}
 	r.pin = pin
-	r.explanation.recordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
+	r.explanation.RecordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
 	if !r.service.backEnds.Load().hasVersion(r.route.GetGroup(), pin, r.now()) {
 		return turn.StepNotResolved{Failure: r.versionUnavailable().Failure}
 	}
@@ -84,7 +85,7 @@
 }
 
 func (r *turnRun) versionUnavailable() turn.NotChosen {
-	r.explanation.recordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
+	r.explanation.RecordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
 	return turn.NotChosen{Failure: versionUnavailable(
 		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.version, r.pin.model))}
 }
@@ -92,8 +93,8 @@
 func (r *turnRun) isTrainingStep() bool { return r.request.GetTrainingStep() != "" }
 
 // stepGate names the servers that the turn may run at.
-func (r *turnRun) stepGate() admissionGateKey {
-	return admissionGateKey{group: r.route.GetGroup(), model: r.pin.model, version: r.pin.version}
+func (r *turnRun) stepGate() admission.StepKey {
+	return admission.StepKey{Group: r.route.GetGroup(), Model: r.pin.model, Version: r.pin.version}
 }
 
 // stepPlacement is what the choice of a server needs to know of a generation of a step; nil for other turns.
