--- a/internal/testing/lab/audit/audit_test.go
+++ b/internal/testing/lab/audit/audit_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/testing/lab/audit"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
@@ -16,7 +16,7 @@
 func at(millis int) time.Time { return epoch.Add(time.Duration(millis) * time.Millisecond) }
 
 func token(index, millis int, nonce string) string {
-	return mark.Token{Index: index, At: at(millis), Nonce: nonce}.String()
+	return modeltoken.Token{Index: index, At: at(millis), Nonce: nonce}.String()
 }
 
 // soundTurn is an answered turn of two tokens under which nothing is wrong.
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -8,7 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
@@ -96,11 +96,11 @@
 
 // checkOverBudget counts the tokens that each program received, each token once.
 func checkOverBudget(file *casefile, f *finder) {
-	received := map[string]map[mark.Token]bool{}
+	received := map[string]map[modeltoken.Token]bool{}
 	file.requests(func(record *caller.Record) {
 		tokens := received[record.Program]
 		if tokens == nil {
-			tokens = map[mark.Token]bool{}
+			tokens = map[modeltoken.Token]bool{}
 			received[record.Program] = tokens
 		}
 		for _, exchange := range record.Exchanges {
@@ -122,8 +122,8 @@
 	}
 }
 
-func addTokens(tokens map[mark.Token]bool, text string) {
-	parsed, _ := mark.ParseText(text)
+func addTokens(tokens map[modeltoken.Token]bool, text string) {
+	parsed, _ := modeltoken.ParseText(text)
 	for _, token := range parsed {
 		tokens[token] = true
 	}
@@ -149,7 +149,7 @@
 	})
 }
 
-func foreignToken(record *caller.Record) (mark.Token, bool) {
+func foreignToken(record *caller.Record) (modeltoken.Token, bool) {
 	texts := []string{record.Text}
 	for _, exchange := range record.Exchanges {
 		for _, event := range exchange.Events {
@@ -157,12 +157,12 @@
 		}
 	}
 	for _, text := range texts {
-		tokens, _ := mark.ParseText(text)
+		tokens, _ := modeltoken.ParseText(text)
 		for _, token := range tokens {
 			if token.Nonce != record.Nonce {
 				return token, true
 			}
 		}
 	}
-	return mark.Token{}, false
+	return modeltoken.Token{}, false
 }
--- a/internal/testing/lab/audit/streams.go
+++ b/internal/testing/lab/audit/streams.go
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 )
 
 // checkStreams follows each stream of a turn, resumptions included.
@@ -72,7 +72,7 @@
 
 // tokensFault says where a text departs from the tokens 0, 1, 2 and so on.
 func tokensFault(text string) string {
-	tokens, whole := mark.ParseText(text)
+	tokens, whole := modeltoken.ParseText(text)
 	if !whole {
 		return "text holds what no model server produced"
 	}
@@ -171,7 +171,7 @@
 			return
 		}
 		for _, event := range first.Events {
-			tokens, _ := mark.ParseText(event.Text)
+			tokens, _ := modeltoken.ParseText(event.Text)
 			if len(tokens) == 0 {
 				continue
 			}
--- a/internal/testing/lab/command/killone.go
+++ b/internal/testing/lab/command/front_loss.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 	"github.com/rosestand/rosestand/internal/testing/lab/deployment"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
-	"github.com/rosestand/rosestand/internal/testing/lab/killone"
+	"github.com/rosestand/rosestand/internal/testing/lab/frontloss"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -59,12 +59,12 @@
 // killArm is one policy and what the losses cost under it.
 type killArm struct {
 	Mode         string         `json:"mode"`
-	Cost         killone.Cost   `json:"cost"`
+	Cost         frontloss.Cost   `json:"cost"`
 	Rebuilt      int            `json:"rebuilt"`
 	Reregistered []string       `json:"reregistered"`
 	Salvaged     int            `json:"salvaged"`
 	times        *report.Times  `json:"-"`
-	kills        []killone.Kill `json:"-"`
+	kills        []frontloss.Kill `json:"-"`
 }
 
 func (e *environment) killOne(ctx context.Context, options killOptions) error {
@@ -138,9 +138,9 @@
 		if err := f.Process(victim).Kill(); err != nil {
 			return disturbed, err
 		}
-		loss := killone.Kill{Victim: victim.Name, Members: ringOf(fronts), At: begun, Until: begun.Add(killWindow)}
+		loss := frontloss.Kill{Victim: victim.Name, Members: ringOf(fronts), At: begun, Until: begun.Add(killWindow)}
 		watching, stop := context.WithTimeout(ctx, killDown)
-		loss.Reregistered, loss.Salvaged = killone.Watch(watching, othersThan(fronts, victim), begun)
+		loss.Reregistered, loss.Salvaged = frontloss.Watch(watching, othersThan(fronts, victim), begun)
 		stop()
 		if err := f.StartMember(victim); err != nil {
 			return disturbed, err
@@ -156,7 +156,7 @@
 
 func (a *killArm) count(book *caller.Book) {
 	for _, loss := range a.kills {
-		a.Cost.Add(killone.Measure(loss, ring.DefaultVirtualNodes, book.Records))
+		a.Cost.Add(frontloss.Measure(loss, ring.DefaultVirtualNodes, book.Records))
 		a.Salvaged += loss.Salvaged
 		if loss.Reregistered >= 0 {
 			a.times.Add(loss.Reregistered)
--- a/internal/testing/lab/command/burst.go
+++ b/internal/testing/lab/command/overload.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/burst"
+	"github.com/rosestand/rosestand/internal/testing/lab/overload"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
@@ -67,11 +67,11 @@
 	layout := fleet.Options{Sizes: site.Small(), LogLevel: "warn", Rates: burstRates()}
 	return e.withFleet("burst", layout, func(f *fleet.Fleet) error {
 		made := f.Bundle(firstBundle)
-		burst.AddTenants(made, site.ModelClimateAdvisor, site.GroupModels)
+		overload.AddTenants(made, site.ModelClimateAdvisor, site.GroupModels)
 		if _, err := e.startWith(ctx, f, made); err != nil {
 			return err
 		}
-		target := burst.Target{
+		target := overload.Target{
 			Client: &caller.Client{HTTP: caller.NewHTTPClient(), Now: time.Now},
 			Fronts: f.FrontAddresses(), Model: site.ModelClimateAdvisor, Run: filepath.Base(f.Folder()),
 		}
@@ -80,7 +80,7 @@
 	})
 }
 
-func (e *environment) runBurst(ctx context.Context, f *fleet.Fleet, target burst.Target, options burstOptions) error {
+func (e *environment) runBurst(ctx context.Context, f *fleet.Fleet, target overload.Target, options burstOptions) error {
 	var servers []string
 	for _, member := range f.Members(fleet.KindBackEnd) {
 		if !member.Tool {
@@ -91,9 +91,9 @@
 	direct := target.Direct(ctx, servers, burstBatch, options.closed)
 	through := target.ThroughFronts(ctx, workers, options.closed)
 	e.logger.Info("capacity", "direct", direct.PerSecond, "through", through.PerSecond)
-	plan := burst.Plan{
+	plan := overload.Plan{
 		Seed: options.seed, Factor: options.factor, Burst: options.length, After: options.after, AfterShare: 0.3,
-		Tenants: burst.Tenants(), MaxRequests: burstMaxRequests,
+		Tenants: overload.Tenants(), MaxRequests: burstMaxRequests,
 	}
 	outcome, err := target.Offer(ctx, plan, direct.PerSecond)
 	if err != nil {
@@ -110,18 +110,18 @@
 		}
 	}
 	usual := time.Duration(float64(workers) / direct.PerSecond * float64(time.Second))
-	result := burst.Evaluate(outcome, func(id string) bool { return started[id] }, usual)
+	result := overload.Evaluate(outcome, func(id string) bool { return started[id] }, usual)
 	e.printBurst(result, direct, through, options)
 	return burstGoals(result, direct)
 }
 
 // burstGoals names the goals that were missed.
-func burstGoals(result *burst.Result, direct burst.Loop) error {
+func burstGoals(result *overload.Result, direct overload.Loop) error {
 	var missed []string
 	if result.Goodput < goalGoodput*direct.PerSecond {
 		missed = append(missed, "goodput under 90% of the capacity")
 	}
-	if result.AllRefusals.At(goalPercentile) > burst.LateRefusal {
+	if result.AllRefusals.At(goalPercentile) > overload.LateRefusal {
 		missed = append(missed, "99% of the refusals later than 50 ms")
 	}
 	if int64(result.RetryAfter) != result.AllRefusals.Count() {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func (e *environment) printBurst(result *burst.Result, direct, through burst.Loop, options burstOptions) {
+func (e *environment) printBurst(result *overload.Result, direct, through overload.Loop, options burstOptions) {
 	share := func(value float64) string { return fmt.Sprintf("%.1f%%", 100*value) }
 	rows := report.NewTable(e.output, fmt.Sprintf("Burst of %g times the capacity, %s, seed %d", options.factor, options.length, options.seed), "what", "value")
 	rows.AppendRows([]table.Row{
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -13,7 +13,7 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
-	"github.com/rosestand/rosestand/internal/testing/lab/hollow"
+	"github.com/rosestand/rosestand/internal/testing/lab/simulatednode"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -81,7 +81,7 @@
 	owned         int
 	refusals      int
 	ownedIn       time.Duration
-	before, after hollow.Footprint
+	before, after simulatednode.Footprint
 	idleBytes     uint64
 	inForce       []time.Duration
 	// missing counts nodes that did not have a change in force when the next one came.
@@ -134,7 +134,7 @@
 	return e.printScale(options, result)
 }
 
-func (e *environment) startHerd(ctx context.Context, f *fleet.Fleet, options scaleOptions) (*hollow.Herd, error) {
+func (e *environment) startHerd(ctx context.Context, f *fleet.Fleet, options scaleOptions) (*simulatednode.Herd, error) {
 	ctx, cancel := context.WithTimeout(ctx, herdReadyDeadline)
 	defer cancel()
 	key, err := f.ClusterKey()
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	begun := time.Now()
-	herd, err := hollow.Start(ctx, hollow.Options{
+	herd, err := simulatednode.Start(ctx, simulatednode.Options{
 		Nodes: options.nodes, Servers: options.servers, Zones: options.zones, Region: "lab",
 		Versions: firstBundle + options.changes, ClusterKey: key, Seeds: f.Seeds(), Seed: options.seed, Wave: options.wave,
 	})
@@ -150,7 +150,7 @@
 	return herd, err
 }
 
-func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, herd *hollow.Herd, options scaleOptions, result *scaled) (err error) {
+func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, herd *simulatednode.Herd, options scaleOptions, result *scaled) (err error) {
 	owning, cancel := context.WithTimeout(ctx, ownDeadline)
 	defer cancel()
 	begun := time.Now()
@@ -187,7 +187,7 @@
 }
 
 // change delivers bundles at even distances over the measurement and notes when each was in force at every node.
-func (e *environment) change(ctx context.Context, f *fleet.Fleet, herd *hollow.Herd, options scaleOptions, result *scaled) error {
+func (e *environment) change(ctx context.Context, f *fleet.Fleet, herd *simulatednode.Herd, options scaleOptions, result *scaled) error {
 	every := options.rest / time.Duration(options.changes)
 	for i := range options.changes {
 		begun := time.Now()
--- a/internal/testing/lab/killone/killone.go
+++ b/internal/testing/lab/frontloss/loss.go
@@ -1,7 +1,7 @@
-// Package killone measures what the loss of one front node costs: which
+// Package frontloss measures what the loss of one front node costs: which
 // sessions were kept, which had to be rebuilt by a new owner, and how long it
 // took until all were registered again.
-package killone
+package frontloss
 
 import (
 	"slices"
--- a/internal/testing/lab/killone/killone_test.go
+++ b/internal/testing/lab/frontloss/loss_test.go
@@ -1,4 +1,4 @@
-package killone_test
+package frontloss_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/killone"
+	"github.com/rosestand/rosestand/internal/testing/lab/frontloss"
 )
 
 // sessionHeldBy finds a session id whose partition a member holds.
@@ -24,7 +24,7 @@
 func TestLossIsCountedByOwnerAndHolder(t *testing.T) {
 	members := []ring.Member{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}, {Name: "c", Address: "127.0.0.1:3"}}
 	lost := time.Unix(1000, 0)
-	kill := killone.Kill{Victim: "a", Members: members, At: lost, Until: lost.Add(time.Minute)}
+	kill := frontloss.Kill{Victim: "a", Members: members, At: lost, Until: lost.Add(time.Minute)}
 	turn := func(session, owner string, epoch uint64, seconds int) *caller.Record {
 		at := lost.Add(time.Duration(seconds) * time.Second)
 		return &caller.Record{
@@ -36,13 +36,13 @@
 	owned := other + "x"
 	refused := turn(held, "", 0, 2)
 	refused.Outcome = caller.OutcomeNotRun
-	cost := killone.Measure(kill, 16, []*caller.Record{
+	cost := frontloss.Measure(kill, 16, []*caller.Record{
 		turn(held, "b", 1, -5), turn(held, "b", 1, 5),
 		turn(other, "c", 1, -5), turn(other, "c", 2, 5),
 		turn(owned, "a", 1, -5), turn(owned, "b", 2, 5),
 		turn("never-seen-again", "b", 1, -5), refused,
 	})
-	if want := (killone.Cost{Owned: 1, Held: 1, HeldKept: 1, OthersRebuilt: 1, Refused: 1}); cost != want {
+	if want := (frontloss.Cost{Owned: 1, Held: 1, HeldKept: 1, OthersRebuilt: 1, Refused: 1}); cost != want {
 		t.Fatalf("counted %+v, want %+v", cost, want)
 	}
 	if cost.Rebuilt() != 1 {
--- a/internal/testing/lab/killone/watch.go
+++ b/internal/testing/lab/frontloss/watch.go
@@ -1,4 +1,4 @@
-package killone
+package frontloss
 
 import (
 	"context"
--- a/internal/testing/lab/modelserver/engine.go
+++ b/internal/testing/lab/modelserver/engine.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
@@ -197,7 +197,7 @@
 		if !present {
 			continue
 		}
-		text := mark.Token{Index: s.produced, At: now, Nonce: g.call.Nonce}.String()
+		text := modeltoken.Token{Index: s.produced, At: now, Nonce: g.call.Nonce}.String()
 		s.produced++
 		g.hashes = append(g.hashes, tokenHash(text))
 		g.tokens <- text
--- a/internal/testing/lab/modelserver/server_test.go
+++ b/internal/testing/lab/modelserver/server_test.go
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
@@ -107,7 +107,7 @@
 
 	It("answers with numbered tokens, usage, the nonce and the end", func() {
 		got := complete("r1", 1, "hello reply:5")
-		tokens, whole := mark.ParseText(got.text)
+		tokens, whole := modeltoken.ParseText(got.text)
 		Expect(whole).To(BeTrue())
 		Expect(tokens).To(HaveLen(5))
 		for i, token := range tokens {
@@ -141,7 +141,7 @@
 				LateMillis: 1, StallMillis: 1, Requests: map[string]standin.Fault{"r1": fault},
 			})).To(Succeed())
 			got := complete("r1", 1, "reply:8")
-			received, _ := mark.ParseText(got.text)
+			received, _ := modeltoken.ParseText(got.text)
 			Expect(received).To(HaveLen(tokens))
 			Expect(got.done).To(Equal(done))
 			Expect(got.broken).To(Equal(broken))
--- a/internal/testing/lab/mark/mark.go
+++ b/internal/testing/lab/modeltoken/token.go
@@ -1,8 +1,8 @@
-// Package mark is the form of the tokens that emulated model servers produce.
+// Package modeltoken is the form of the tokens that emulated model servers produce.
 // Each token tells its place in the answer, when it was made and for which
 // request, so that a caller can see skipped, repeated, spliced, crossed and
 // delayed pieces by reading the text alone.
-package mark
+package modeltoken
 
 import (
 	"strconv"
--- a/internal/testing/lab/burst/direct.go
+++ b/internal/testing/lab/overload/direct.go
@@ -1,4 +1,4 @@
-package burst
+package overload
 
 import (
 	"bytes"
--- a/internal/testing/lab/burst/plan.go
+++ b/internal/testing/lab/overload/plan.go
@@ -1,7 +1,7 @@
-// Package burst offers a fleet many times the load that its model servers can
+// Package overload offers a fleet many times the load that its model servers can
 // take and measures what becomes of it: goodput, the time to a refusal, the
 // shares of classes and tenants and the way back to ordinary service.
-package burst
+package overload
 
 import (
 	"fmt"
--- a/internal/testing/lab/hollow/memory.go
+++ b/internal/testing/lab/simulatednode/memory.go
@@ -1,4 +1,4 @@
-package hollow
+package simulatednode
 
 import (
 	"context"
--- a/internal/testing/lab/hollow/node.go
+++ b/internal/testing/lab/simulatednode/node.go
@@ -1,7 +1,7 @@
-// Package hollow runs many front nodes without traffic in one process: each
+// Package simulatednode runs many front nodes without traffic in one process: each
 // has its lease, its long-poll, its part in the session directory and its
 // share of back ends' heartbeats, and nothing else.
-package hollow
+package simulatednode
 
 import (
 	"context"
