--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -100,7 +101,7 @@
 	MaxBackoff            = maxBackoff
 	KeyedRejectionTimeout = keyedRejectionTimeout
 	HeartbeatWindow       = heartbeat.Window
-	VariantReportInterval = variantReportInterval
+	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
 	SampleTimeout         = sampleTimeout
 	ShareTick             = shareTick
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -66,7 +67,7 @@
 		return nil, false, nil, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().variantFor(request.GetProgram())
+	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, nil, err
@@ -103,7 +104,7 @@
 	}
 }
 
-func (a *api) tenant(c *gin.Context, decided variant) (*protocol.TenantPolicy, error) {
+func (a *api) tenant(c *gin.Context, decided rollout.Variant) (*protocol.TenantPolicy, error) {
 	if decided.Bundle() == nil {
 		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(time.Second))
 	}
@@ -213,7 +214,7 @@
 		return nil, false, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().variantFor(request.GetProgram())
+	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, err
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -74,7 +74,7 @@
 		writeError(c, err)
 		return
 	}
-	policy, err := a.tenant(c, a.service.policies.Load().variantFor(query.program))
+	policy, err := a.tenant(c, a.service.rollout.Policies().VariantFor(query.program))
 	if err != nil {
 		writeError(c, err)
 		return
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -50,7 +51,7 @@
 		return nil, err
 	}
 	routed := request.GetHttp()
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -71,7 +72,7 @@
 func routedReservationLimit(request *protocol.TurnRequest) uint64 {
 	maxTokens := uint64(request.GetMaxOutputTokens())
 	if maxTokens == 0 {
-		maxTokens = defaultMaxOutputTokens
+		maxTokens = rollout.DefaultMaxOutputTokens
 	}
 	event := uint64(max(request.GetHttp().GetEventTokens(), 1))
 	return (maxTokens + event - 1) / event * event
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -7,6 +7,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -20,7 +21,7 @@
 		return s.beginHTTPTurn(request)
 	}
 	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := decided.Model(request.GetTenant(), request.GetModel())
 	if route == nil {
 		return nil, unknownModel()
@@ -69,23 +70,23 @@
 }
 
 func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *liveTurn, grant Grant,
-	key sessionKey, decided variant, route *protocol.Route, deadline time.Time,
+	key sessionKey, decided rollout.Variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &turnRun{
 		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, variant: decided, route: route,
-		counters: s.variants.Load().counters(decided.candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
+		counters: s.rollout.Counters(decided.Candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.reservationLimit(request.GetMaxOutputTokens()),
-			Retention: time.Duration(decided.retentionSeconds()) * time.Second, BundleVersion: decided.version(),
+			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.ReservationLimit(request.GetMaxOutputTokens()),
+			Retention: time.Duration(decided.RetentionSeconds()) * time.Second, BundleVersion: decided.Version(),
 		}),
 	}
 }
--- a/internal/dataplane/front/requests.go
+++ b/internal/dataplane/front/requests.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"strings"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/state/ledger"
@@ -238,7 +239,7 @@
 }
 
 // tenantOf checks who calls: a tenant of the bundle, with its credential when it has one.
-func tenantOf(header http.Header, decided variant) (*protocol.TenantPolicy, error) {
+func tenantOf(header http.Header, decided rollout.Variant) (*protocol.TenantPolicy, error) {
 	name := header.Get(headerTenant)
 	if name == "" {
 		return nil, missingField(headerTenant)
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -16,6 +16,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -58,9 +59,8 @@
 	logger    *log.Logger
 	metrics   *metrics
 
-	policies   atomic.Pointer[policies]
+	rollout    *rollout.Tracker
 	backEnds   atomic.Pointer[backEnds]
-	variants   atomic.Pointer[variantSet]
 	fleetShare atomic.Pointer[float64]
 	sequence   atomic.Uint64
 	// startedAt is when this front node was made.
@@ -119,6 +119,7 @@
 		hasBundle:    make(chan struct{}),
 	}
 	s.admission = admission.NewController(options.Clock, s.stepSlots)
+	s.rollout = rollout.NewTracker(s.name, options.Link, options.Clock)
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
@@ -128,14 +129,13 @@
 
 // viewChanged puts a view in force as one whole before it returns.
 func (s *Service) viewChanged(view *corelink.View) {
-	if current := s.policies.Load(); current == nil || current.version != view.Configuration.GetVersion() {
-		next := newPolicies(view.Configuration)
-		s.variants.Store(nextVariants(s.variants.Load(), next))
-		s.policies.Store(next)
-		if next.active.Bundle() != nil {
+	if current := s.rollout.Policies(); current == nil || current.Version != view.Configuration.GetVersion() {
+		s.rollout.Apply(view.Configuration)
+		next := s.rollout.Policies()
+		if next.Active.Bundle() != nil {
 			s.markStarted()
 		}
-		s.admission.Configure(next.active.Bundle().GetLimits())
+		s.admission.Configure(next.Active.Bundle().GetLimits())
 	}
 	former := s.backEnds.Load()
 	if former == nil {
@@ -155,7 +155,7 @@
 
 // cacheTokensOf is the size of the KV cache of a group's servers; zero for servers without one.
 func (s *Service) cacheTokensOf(group string) uint64 {
-	return s.policies.Load().active.Group(group).GetEngine().GetCacheTokens()
+	return s.rollout.Policies().Active.Group(group).GetEngine().GetCacheTokens()
 }
 
 // frontNodes is the number of front nodes of the fleet.
@@ -176,7 +176,7 @@
 // Start begins the background work.
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	s.workers.Go(func() { s.reportVariants(ctx) })
+	s.workers.Go(func() { s.rollout.Report(ctx) })
 	s.workers.Go(func() { s.heartbeats.Run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
 	s.workers.Go(func() { s.shareOutcomes(ctx) })
@@ -221,7 +221,7 @@
 	switch {
 	case !s.link.Ready():
 		return "no lease or no fresh view yet"
-	case s.policies.Load().active.Bundle() == nil:
+	case s.rollout.Policies().Active.Bundle() == nil:
 		return "no bundle is in force"
 	case s.ledger.Isolated():
 		return "cut off from the ledger and from the front nodes that reach it"
--- a/internal/dataplane/front/start_wait.go
+++ b/internal/dataplane/front/start_wait.go
@@ -33,7 +33,7 @@
 // a request waits a little for the first bundle: it is served sooner so than when its caller has to come back. A request
 // that is given up afterwards is answered at once.
 func (a *routeAPI) awaitBundle(request *http.Request) (*bundle.Index, time.Duration) {
-	index := a.service.policies.Load().active
+	index := a.service.rollout.Policies().Active
 	wait := a.startWait(request.Header)
 	if index.Bundle() != nil || wait <= 0 {
 		return index, 0
@@ -46,7 +46,7 @@
 	case <-alarm:
 	case <-request.Context().Done():
 	}
-	return a.service.policies.Load().active, a.service.clock.Now().Sub(began)
+	return a.service.rollout.Policies().Active, a.service.clock.Now().Sub(began)
 }
 
 // startWait is how long a request may wait for the start to end.
--- a/internal/dataplane/front/step_load.go
+++ b/internal/dataplane/front/step_load.go
@@ -94,7 +94,7 @@
 // stepSlots is how many generations of a version this front node may have under way.
 func (s *Service) stepSlots(key admission.StepKey, liveWaits bool) int {
 	now := s.clock.Now()
-	servers, index := s.backEnds.Load(), s.policies.Load().active
+	servers, index := s.backEnds.Load(), s.rollout.Policies().Active
 	having, _ := (&versionPin{model: key.Model, version: key.Version}).split(servers.byGroup[key.Group], now)
 	all := candidates(having, index.Group(key.Group), now)
 	used := schedule.Subset(s.name, s.zone, index.Bundle().GetScheduling().GetSubsetSize(), all)
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -111,7 +111,7 @@
 // countEnd counts the last event of a turn.
 func (r *turnRun) countEnd(event *protocol.TurnEvent) {
 	if !r.isTrainingStep() {
-		r.counters.recordEnd(r.tokens, event.GetFailed())
+		r.counters.RecordEnd(r.tokens, event.GetFailed())
 		return
 	}
 	f := event.GetFailed()
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -10,6 +10,7 @@
 	"github.com/google/uuid"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -24,7 +25,7 @@
 	request     *protocol.ToolCallRequest
 	grant       Grant
 	key         sessionKey
-	variant     variant
+	variant     rollout.Variant
 	route       *protocol.Route
 	deadline    time.Time
 	machine     *turn.CallMachine
@@ -46,7 +47,7 @@
 // runCall runs a tool call as owner of its session and returns its answer. The
 // outcome goes on being recorded when the caller leaves.
 func (s *Service) runCall(ctx context.Context, request *protocol.ToolCallRequest) (*protocol.ToolCallResponse, error) {
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := callRoute(decided, request)
 	if route == nil {
 		return nil, unknownTool()
@@ -69,7 +70,7 @@
 }
 
 // callRoute is the route of a call: the bundle's one of a tool, or the HTTP route that the ingress decided on.
-func callRoute(decided variant, request *protocol.ToolCallRequest) *protocol.Route {
+func callRoute(decided rollout.Variant, request *protocol.ToolCallRequest) *protocol.Route {
 	if routed := request.GetHttp(); routed != nil {
 		return &protocol.Route{
 			Name: routed.GetRoute(), Group: routed.GetGroup(), NonRepeatable: routed.GetKind() != protocol.HttpRouteKind_HTTP_REPEATABLE,
@@ -82,10 +83,10 @@
 	return failure.New(failure.UnknownTool, protocol.Outcome_NOT_RUN, "no route serves the tool", failure.WithPath("tool"))
 }
 
-func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided variant, route *protocol.Route, deadline time.Time) *callRun {
+func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route, deadline time.Time) *callRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
@@ -96,7 +97,7 @@
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
-			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.version(),
+			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.Version(),
 			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request), MaxRuns: callRuns(request),
 		}),
 	}
@@ -251,8 +252,8 @@
 	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
-	if r.variant.shadow != nil && r.request.GetHttp() == nil {
-		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
+	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
+		r.service.chooseShadow(r.variant.Shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
 		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -21,8 +22,8 @@
 	live        *liveTurn
 	grant       Grant
 	key         sessionKey
-	variant     variant
-	counters    *variantCounters
+	variant     rollout.Variant
+	counters    *rollout.Counters
 	route       *protocol.Route
 	incarnation uint64
 	deadline    time.Time
@@ -169,7 +170,7 @@
 		return
 	}
 	now := r.now()
-	r.counters.recordFirstToken(now.Sub(r.began))
+	r.counters.RecordFirstToken(now.Sub(r.began))
 	r.service.metrics.firstToken.Observe(now.Sub(r.began).Seconds())
 	r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Latency: now.Sub(r.issuedAt)})
 }
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -127,8 +127,8 @@
 	if server == nil && r.pin != nil {
 		return r.versionUnavailable()
 	}
-	if r.variant.shadow != nil && r.request.GetHttp() == nil {
-		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
+	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
+		r.service.chooseShadow(r.variant.Shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
 		r.explanation.RecordStep("no back end", r.route.GetGroup())
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -95,7 +95,7 @@
 
 // subsets are the servers of each group that this front node uses.
 func (s *Service) subsets(now time.Time) map[string][]schedule.Candidate {
-	index := s.policies.Load().active
+	index := s.rollout.Policies().Active
 	size := index.Bundle().GetScheduling().GetSubsetSize()
 	subsets := make(map[string][]schedule.Candidate)
 	for group, servers := range s.backEnds.Load().byGroup {
@@ -107,7 +107,7 @@
 // updateConcurrencyLimits bounds what is under way by what the servers can take.
 func (s *Service) updateConcurrencyLimits() {
 	now := s.clock.Now()
-	index := s.policies.Load().active
+	index := s.rollout.Policies().Active
 	limits := make(map[string]admission.ConcurrencyLimit)
 	subsets := s.subsets(now)
 	for group, servers := range s.backEnds.Load().byGroup {
