--- a/internal/dataplane/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -21,16 +22,7 @@
 }
 
 // Ledger is the client of the program ledger.
-type Ledger interface {
-	// Do carries out one operation; the result is LEDGER_UNAVAILABLE when no majority answered in time.
-	Do(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
-	// DoDirectly carries one operation out for another front node that the stores do not answer.
-	DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
-	// Unreachable reports whether operations on a program have gone unanswered for a while.
-	Unreachable(program string) bool
-	// CutOff reports whether the ledger is out of reach for this front node, but not for most others.
-	Isolated() bool
-}
+type Ledger = ledgerops.Ledger
 
 // Grant is the permission to act as owner of a session for one turn or call.
 type Grant interface {
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -91,7 +91,7 @@
 	if request.GetSession() != "" {
 		return nil
 	}
-	previous, status := a.service.readTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
+	previous, status := a.service.operations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		request.Session = previous.GetSession()
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -110,7 +110,7 @@
 // findTurn looks a turn up in the ledger. It is missing only when the ledger's
 // majority says so after the program's record was read.
 func (s *Service) findTurn(ctx context.Context, query readQuery, tenant string) (ledgerTurn, error) {
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{
 		Program: query.program, Body: &protocol.LedgerOperation_ReadProgram{ReadProgram: &protocol.ReadProgram{}},
 	})
 	switch {
@@ -125,7 +125,7 @@
 			return ledgerTurn{session: open.GetSession(), requestID: open.GetRequestId()}, nil
 		}
 	}
-	retained, status := s.readTurn(ctx, query.program, query.id)
+	retained, status := s.operations.ReadTurn(ctx, query.program, query.id)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return ledgerTurn{retained: retained, session: retained.GetSession(), requestID: retained.GetRequestId()}, nil
@@ -213,7 +213,7 @@
 func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, current ledgerTurn, cause error) error {
 	retained := current.retained
 	if retained == nil {
-		read, status := a.service.readTurn(ctx, query.program, query.id)
+		read, status := a.service.operations.ReadTurn(ctx, query.program, query.id)
 		if status != protocol.LedgerStatus_LEDGER_OK {
 			f := forwardingFailure(cause)
 			return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the turn cannot be followed now: "+f.GetMessage(),
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -133,18 +134,18 @@
 		r.history = history.items
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	conversation := r.service.readChain(r.ctx, r.key.program, lastTurn)
-	r.explanation.RecordStep("history read", conversation.status.String())
-	if conversation.status != protocol.LedgerStatus_LEDGER_OK {
-		return turn.HistoryRead{Status: conversation.status}
+	conversation := r.service.operations.ReadConversation(r.ctx, r.key.program, lastTurn)
+	r.explanation.RecordStep("history read", conversation.Status.String())
+	if conversation.Status != protocol.LedgerStatus_LEDGER_OK {
+		return turn.HistoryRead{Status: conversation.Status}
 	}
-	r.history = historyItems(conversation.turns)
-	foreign := conversation.program
+	r.history = ledgerops.Items(conversation.Turns)
+	foreign := conversation.Program
 	if foreign == r.key.program {
 		foreign = ""
 	}
 	return turn.HistoryRead{
-		Items: r.history, Tokens: conversation.turns[len(conversation.turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.status,
+		Items: r.history, Tokens: conversation.Turns[len(conversation.Turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.Status,
 	}
 }
 
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -96,7 +96,7 @@
 // run tries owners until one answers. A request that is sent again carries the
 // same id, so that an owner or the ledger knows it.
 func (r *relay) run(ctx context.Context) error {
-	if rejection := r.service.rejectIsolated(r.request); rejection != nil {
+	if rejection := r.service.operations.CheckIsolation(r.request); rejection != nil {
 		r.explanation.RecordStep("not taken in", rejection.GetMessage())
 		return r.service.rejectTurn(ctx, r.request, rejection, r.deliverRetained)
 	}
@@ -337,7 +337,7 @@
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return &failure.Error{Failure: f}
 	}
-	result := s.rejectRequest(ctx, request.GetProgram(), &protocol.RefuseRequest{
+	result := s.operations.Reject(ctx, request.GetProgram(), &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	})
 	finished := result.GetFinished()
@@ -346,7 +346,7 @@
 		f.Outcome = protocol.Outcome_NOT_RUN
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED &&
 		finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED:
-		retained, status := s.readTurn(ctx, request.GetProgram(), finished.GetTurnId())
+		retained, status := s.operations.ReadTurn(ctx, request.GetProgram(), finished.GetTurnId())
 		if status == protocol.LedgerStatus_LEDGER_OK && request.GetHttp() == nil {
 			return answer(retained)
 		}
--- a/internal/dataplane/front/ingress_call.go
+++ b/internal/dataplane/front/ingress_call.go
@@ -130,7 +130,7 @@
 	if !nonRepeatable || request.GetHttp() != nil {
 		return nil, &failure.Error{Failure: f}
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{Program: request.GetProgram(), Body: &protocol.LedgerOperation_RefuseCall{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{Program: request.GetProgram(), Body: &protocol.LedgerOperation_RefuseCall{
 		RefuseCall: &protocol.RefuseCall{RequestId: request.GetRequestId()},
 	}})
 	switch {
--- /dev/null
+++ b/internal/dataplane/front/ledgerops/conversation.go
@@ -0,0 +1,74 @@
+package ledgerops
+
+import (
+	"context"
+	"slices"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// Conversation is a conversation as the ledger retains it.
+type Conversation struct {
+	// Turns are in the order in which they ran.
+	Turns []*protocol.Turn
+	// Program is that of the last turn.
+	Program string
+	// Status is LEDGER_OK when the conversation is complete; Turns is empty otherwise.
+	Status protocol.LedgerStatus
+}
+
+// ReadConversation follows a conversation back from its last turn, over programs where a turn continues
+// one of another program. A turn that a program does not have is looked for in all others.
+func (c *Client) ReadConversation(ctx context.Context, program, lastTurn string) Conversation {
+	conversation := Conversation{Program: program, Status: protocol.LedgerStatus_LEDGER_OK}
+	for next := lastTurn; next != ""; {
+		page, status := c.readPage(ctx, program, next)
+		if status == protocol.LedgerStatus_LEDGER_TURN_MISSING ||
+			status == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM {
+			page, status = c.findForeign(ctx, next)
+		}
+		if status != protocol.LedgerStatus_LEDGER_OK {
+			return Conversation{Status: status}
+		}
+		if len(conversation.Turns) == 0 {
+			conversation.Program = page[0].GetProgram()
+		}
+		conversation.Turns = append(conversation.Turns, page...)
+		oldest := page[len(page)-1]
+		next, program = oldest.GetPreviousTurn(), oldest.GetProgram()
+		if oldest.GetPreviousProgram() != "" {
+			program = oldest.GetPreviousProgram()
+		}
+	}
+	slices.Reverse(conversation.Turns)
+	return conversation
+}
+
+// readPage reads turns of one program, newest first.
+func (c *Client) readPage(ctx context.Context, program, last string) ([]*protocol.Turn, protocol.LedgerStatus) {
+	return foundTurns(c.within(ctx, conversationTimeout, readTurns(program, last, pageTurns)))
+}
+
+// findForeign looks a turn up in all programs.
+func (c *Client) findForeign(ctx context.Context, id string) ([]*protocol.Turn, protocol.LedgerStatus) {
+	return foundTurns(c.within(ctx, conversationTimeout, &protocol.LedgerOperation{
+		Program: id, Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: id}},
+	}))
+}
+
+// foundTurns reads a result; one without turns means that the turn is missing.
+func foundTurns(result *protocol.LedgerResult) ([]*protocol.Turn, protocol.LedgerStatus) {
+	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && len(result.GetTurns()) == 0 {
+		return nil, protocol.LedgerStatus_LEDGER_TURN_MISSING
+	}
+	return result.GetTurns(), result.GetStatus()
+}
+
+// Items joins the inputs and outputs of turns, in the order of the turns.
+func Items(turns []*protocol.Turn) []*protocol.Item {
+	var items []*protocol.Item
+	for _, each := range turns {
+		items = append(append(items, each.GetInput()...), each.GetOutput()...)
+	}
+	return items
+}
--- a/internal/dataplane/front/lost_reservations.go
+++ b/internal/dataplane/front/ledgerops/lost_reservations.go
@@ -1,4 +1,4 @@
-package front
+package ledgerops
 
 import (
 	"context"
@@ -6,22 +6,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// reserveOnce asks the ledger for a turn's ceiling.
-func (r *turnRun) reserveOnce(operation *protocol.ReserveTurn) *protocol.LedgerResult {
-	return r.ledger("reserve", &protocol.LedgerOperation{
-		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: operation},
-	})
-}
-
-// chargeLostReservations ends the open reservations of a program whose owners are gone: it
-// claims their sessions, at which the ledger charges what was reserved under
-// the former epoch. It reports whether there were any.
-func (s *Service) chargeLostReservations(ctx context.Context, record *protocol.ProgramRecord, incarnation uint64) bool {
+// ChargeLostReservations ends the open reservations of a program whose owners are members no more: it
+// claims their sessions for this node's incarnation, at which the ledger charges what was reserved under
+// the former epoch. It reports whether one was charged.
+func (c *Client) ChargeLostReservations(
+	ctx context.Context, record *protocol.ProgramRecord, incarnation uint64,
+) bool {
 	charged := false
-	for _, session := range lostSessions(record, s.link.View().Membership) {
-		result := s.ledgerDo(ctx, &protocol.LedgerOperation{
+	for _, session := range lostSessions(record, c.members()) {
+		result := c.Do(ctx, &protocol.LedgerOperation{
 			Program: record.GetProgram(), Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-				Session: session, Owner: s.name, OwnerIncarnation: incarnation,
+				Session: session, Owner: c.node, OwnerIncarnation: incarnation,
 			}},
 		})
 		charged = charged || result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
@@ -29,7 +24,7 @@
 	return charged
 }
 
-// lostSessions names the sessions that hold reservations and whose owner is no member any more.
+// lostSessions names the sessions that have reservations and whose owner is a member no more.
 func lostSessions(record *protocol.ProgramRecord, members *protocol.MembershipView) []string {
 	reserving := make(map[string]bool)
 	for _, open := range record.GetReservations() {
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -139,7 +139,7 @@
 	if current.known {
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.epoch}
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{
 		Program: key.program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
 	})
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -15,8 +16,6 @@
 	routedTenant = "routes"
 	// defaultRetryAfter is told with a refusal that has no better word.
 	defaultRetryAfter = 100 * time.Millisecond
-	// ledgerRepairRetryAfter is told while the ledger is being repaired, which takes about that long.
-	ledgerRepairRetryAfter = time.Second
 	// routedWriteTimeout is how long one piece of an answer may take to be written to a slow caller.
 	routedWriteTimeout = 10 * time.Second
 )
@@ -158,7 +157,7 @@
 func retryWait(f *protocol.Failure) time.Duration {
 	switch failure.Code(f.GetCode()) {
 	case failure.LedgerUnavailable:
-		return ledgerRepairRetryAfter
+		return ledgerops.RepairRetryAfter
 	case failure.Draining, failure.NoAuthority, failure.NotOwner, failure.Fenced:
 		return defaultRetryAfter
 	}
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -16,6 +16,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
@@ -77,6 +78,7 @@
 	routes       *routeClient
 	models       *groupModels
 	versionPins  *versionPins
+	operations   *ledgerops.Client
 	admission    *admission.Controller
 	sessions     *sessions
 	explanations *explain.Store
@@ -120,6 +122,9 @@
 	}
 	s.admission = admission.NewController(options.Clock, s.stepSlots)
 	s.rollout = rollout.NewTracker(s.name, options.Link, options.Clock)
+	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
+		return options.Link.View().Membership
+	})
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -130,10 +131,10 @@
 		return nil, versionUnavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 	}
 	program := ledger.TrainingStepProgram(step.step)
-	if rejection := s.rejectUnreachable(program); rejection != nil {
+	if rejection := s.operations.CheckReachable(program); rejection != nil {
 		return nil, rejection
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
 		PinTrainingStep: &protocol.PinTrainingStep{
 			Step: step.step, Model: model, WeightVersion: proposed, Owner: s.name, KeepingMillis: pinRetention.Milliseconds(),
 		},
@@ -148,7 +149,7 @@
 		s.metrics.stepPins.Inc()
 		return &versionPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
 	default:
-		return nil, unreachableFailure()
+		return nil, ledgerops.UnreachableFailure()
 	}
 }
 
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -200,7 +200,7 @@
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
-	result := r.service.ledgerDo(r.ctx, operation)
+	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
@@ -220,7 +220,7 @@
 
 // rejectUnreachable refuses a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.rejectUnreachable(r.key.program)
+	rejection := r.service.operations.CheckReachable(r.key.program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -243,7 +243,7 @@
 	case turn.Reject:
 		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		retained, status := r.service.readTurn(r.ctx, r.key.program, command.TurnID)
+		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return waitBackoff(r.service, r.grant, command.For)
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -30,12 +31,12 @@
 		r.history = history.items
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	turns, status := r.service.readTurns(r.ctx, r.key.program, lastTurn)
+	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.program, lastTurn)
 	r.explanation.RecordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
 	}
-	r.history = historyItems(turns)
+	r.history = ledgerops.Items(turns)
 	return turn.HistoryRead{Items: r.history, Tokens: turns[len(turns)-1].GetHistoryTokens(), Status: status}
 }
 
@@ -75,7 +76,7 @@
 	if !r.machine.IsLedgered() {
 		return nil
 	}
-	return r.service.rejectUnreachable(r.key.program)
+	return r.service.operations.CheckReachable(r.key.program)
 }
 
 func (r *turnRun) ticket() limit.Ticket {
@@ -92,16 +93,23 @@
 	result := r.reserveOnce(command.Operation)
 	budgetHeld := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
 	// Reservations of owners that are gone may hold the budget: nothing would ever settle them.
-	if budgetHeld && r.service.chargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
+	if budgetHeld && r.service.operations.ChargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
 		result = r.reserveOnce(command.Operation)
 	}
 	return turn.Reserved{Result: result}
 }
 
-// ledger carries out one operation of the turn and notes how it went.
+// reserveOnce asks the ledger to reserve what the turn may cost.
+func (r *turnRun) reserveOnce(operation *protocol.ReserveTurn) *protocol.LedgerResult {
+	return r.ledger("reserve", &protocol.LedgerOperation{
+		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: operation},
+	})
+}
+
+// ledger carries out one operation of the turn and records its status.
 func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
-	result := r.service.ledgerDo(r.ctx, operation)
+	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
@@ -178,11 +186,11 @@
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
 	if !command.Overload {
-		return r.service.rejectRequest(r.ctx, r.key.program, command.Operation)
+		return r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
 	r.service.runs.Go(func() {
-		answered <- r.service.rejectRequest(r.ctx, r.key.program, command.Operation)
+		answered <- r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
 	})
 	select {
 	case result := <-answered:
