--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -50,7 +52,7 @@
 		return nil, err
 	}
 	routed := request.GetHttp()
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -71,7 +73,7 @@
 func routedReservationLimit(request *protocol.TurnRequest) uint64 {
 	maxTokens := uint64(request.GetMaxOutputTokens())
 	if maxTokens == 0 {
-		maxTokens = defaultMaxOutputTokens
+		maxTokens = rollout.DefaultMaxOutputTokens
 	}
 	event := uint64(max(request.GetHttp().GetEventTokens(), 1))
 	return (maxTokens + event - 1) / event * event
@@ -132,18 +134,18 @@
 		r.history = history.items
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	conversation := r.service.readChain(r.ctx, r.key.program, lastTurn)
-	r.explanation.RecordStep("history read", conversation.status.String())
-	if conversation.status != protocol.LedgerStatus_LEDGER_OK {
-		return turn.HistoryRead{Status: conversation.status}
+	conversation := r.service.operations.ReadConversation(r.ctx, r.key.program, lastTurn)
+	r.explanation.RecordStep("history read", conversation.Status.String())
+	if conversation.Status != protocol.LedgerStatus_LEDGER_OK {
+		return turn.HistoryRead{Status: conversation.Status}
 	}
-	r.history = historyItems(conversation.turns)
-	foreign := conversation.program
+	r.history = ledgerops.Items(conversation.Turns)
+	foreign := conversation.Program
 	if foreign == r.key.program {
 		foreign = ""
 	}
 	return turn.HistoryRead{
-		Items: r.history, Tokens: conversation.turns[len(conversation.turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.status,
+		Items: r.history, Tokens: conversation.Turns[len(conversation.Turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.Status,
 	}
 }
 
