--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -63,7 +63,7 @@
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
 		Budget: routedBudget(request), ReservationLimit: routedReservationLimit(request),
 		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
-		BundleVersion: routed.GetBundleVersion(), MaxAttempts: routedSends,
+		BundleVersion: routed.GetBundleVersion(), AttemptLimit: routedSends,
 	})
 	s.startRun(run, cancel)
 	return live, nil
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -98,7 +98,7 @@
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
 			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.Version(),
-			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request), MaxRuns: callRuns(request),
+			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, AttemptLimit: callAttempts(request), RunLimit: callRuns(request),
 		}),
 	}
 }
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -296,7 +296,7 @@
 		allowed := rapid.Uint32Range(1, 3).Draw(t, "runs")
 		machine := turn.NewCall(turn.CallParameters{
 			Request: &protocol.ToolCallRequest{RequestId: "r1", FirstSend: true, Http: &protocol.HttpRequest{}},
-			Owner:   "f1", Attempt: "a1", Unrecorded: true, Idempotent: true, MaxAttempts: 6, MaxRuns: allowed,
+			Owner:   "f1", Attempt: "a1", Unrecorded: true, Idempotent: true, AttemptLimit: 6, RunLimit: allowed,
 		})
 		now, runs, issues, answers := start, uint32(0), 0, 0
 		pending := machine.Apply(turn.Begun{}, now)
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// DefaultMaxAttempts is the maximum number of times that one turn is issued to a back end.
-	DefaultMaxAttempts = 4
+	// DefaultAttemptLimit is the maximum number of times that one turn is issued to a back end.
+	DefaultAttemptLimit = 4
 
 	// confirmationTimeout is how long a caller waits for the ledger to acknowledge the end of
 	// its turn. The owner continues its attempts as long as it has authority: the next epoch
@@ -47,8 +47,8 @@
 	ReservationLimit uint64
 	Retention        time.Duration
 	BundleVersion    uint64
-	// MaxAttempts bounds the attempts at back ends; 0 means DefaultMaxAttempts.
-	MaxAttempts uint32
+	// AttemptLimit bounds the attempts at back ends; 0 means DefaultAttemptLimit.
+	AttemptLimit uint32
 }
 
 type state int
@@ -114,8 +114,8 @@
 
 // New makes the machine of one turn.
 func New(parameters Parameters) *Machine {
-	if parameters.MaxAttempts == 0 {
-		parameters.MaxAttempts = DefaultMaxAttempts
+	if parameters.AttemptLimit == 0 {
+		parameters.AttemptLimit = DefaultAttemptLimit
 	}
 	return &Machine{parameters: parameters, attempt: parameters.Request.GetLastAttempt()}
 }
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -114,7 +114,7 @@
 		}
 	case FaultNotSent, FaultUnavailable, FaultWrongVersion:
 	}
-	if m.attemptCount >= m.parameters.MaxAttempts {
+	if m.attemptCount >= m.parameters.AttemptLimit {
 		return m.giveUp(now)
 	}
 	if fault.Fault == FaultWrongVersion {
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -25,10 +25,10 @@
 	Idempotent bool
 	// Attempt is unique to this machine; only the attempt that wrote the intent may issue the call.
 	Attempt string
-	// MaxAttempts bounds the attempts at back ends; 0 means DefaultMaxAttempts.
-	MaxAttempts uint32
-	// MaxRuns bounds the back ends that may have run an idempotent call; with 0 only MaxAttempts does.
-	MaxRuns       uint32
+	// AttemptLimit bounds the attempts at back ends; 0 means DefaultAttemptLimit.
+	AttemptLimit uint32
+	// RunLimit bounds the back ends that may have run an idempotent call; with 0 only AttemptLimit does.
+	RunLimit      uint32
 	BundleVersion uint64
 }
 
@@ -72,8 +72,8 @@
 
 // NewCall makes the machine of one tool call.
 func NewCall(parameters CallParameters) *CallMachine {
-	if parameters.MaxAttempts == 0 {
-		parameters.MaxAttempts = DefaultMaxAttempts
+	if parameters.AttemptLimit == 0 {
+		parameters.AttemptLimit = DefaultAttemptLimit
 	}
 	return &CallMachine{parameters: parameters}
 }
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -23,7 +23,7 @@
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 	}
 	final := event.Fault == FaultFenced || event.Fault == FaultRejected || unsure && !m.mayRunAgain()
-	if final || m.attemptCount >= m.parameters.MaxAttempts {
+	if final || m.attemptCount >= m.parameters.AttemptLimit {
 		return m.giveUp(now)
 	}
 	m.state = callRequestingRetry
@@ -32,7 +32,7 @@
 
 // mayRunAgain reports whether the call may be issued again after attempts that may have run it.
 func (m *CallMachine) mayRunAgain() bool {
-	return m.parameters.Idempotent && (m.parameters.MaxRuns == 0 || m.runs < m.parameters.MaxRuns)
+	return m.parameters.Idempotent && (m.parameters.RunLimit == 0 || m.runs < m.parameters.RunLimit)
 }
 
 func (m *CallMachine) retry(event RetryDecided, now time.Time) []Command {
