--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -62,6 +62,7 @@
 	sum    hash.Hash32
 }
 
+// Write implements io.Writer.
 func (w *checksumWriter) Write(data []byte) (int, error) {
 	written, err := w.file.WriteAt(data, w.offset)
 	w.offset += int64(written)
