--- a/internal/dataplane/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -28,7 +28,7 @@
 	DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
 	// Unreachable reports whether operations on a program have gone unanswered for a while.
 	Unreachable(program string) bool
-	// CutOff reports whether the ledger is out of reach for this front node, but not for most others.
+	// Isolated reports whether the ledger is out of reach for this front node, but not for most others.
 	Isolated() bool
 }
 
--- a/internal/dataplane/front/memory_ledger_test.go
+++ b/internal/dataplane/front/memory_ledger_test.go
@@ -80,7 +80,7 @@
 // Unreachable reports what the story says.
 func (l *memoryLedger) Unreachable(string) bool { return l.unreachable.Load() }
 
-// CutOff reports what the story says.
+// Isolated reports what the story says.
 func (l *memoryLedger) Isolated() bool { return l.isolated.Load() }
 
 // read follows a chain within one program, as stores do.
