--- a/internal/storage/log_recovery.go
+++ b/internal/storage/log_recovery.go
@@ -12,9 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-const segmentSuffix = ".log"
+const (
+	segmentSuffix = ".log"
+	// numberDigits is the length of a number in a file name: hexadecimal, padded so that names sort by number.
+	numberDigits = 16
+)
+
+// numberedName returns the file name of a segment or snapshot; listNumbered reads it back.
+func numberedName(number uint64, suffix string) string {
+	return fmt.Sprintf("%0*x%s", numberDigits, number, suffix)
+}
 
-func segmentName(number uint64) string { return fmt.Sprintf("%016x%s", number, segmentSuffix) }
+func segmentName(number uint64) string { return numberedName(number, segmentSuffix) }
 
 // OpenLog opens the log in a directory, which it creates if absent. It truncates a torn write, which only records that
 // were never synced can be part of, and returns *CorruptError when a durable record is damaged or a segment is absent.
@@ -44,7 +53,7 @@
 	var numbers []uint64
 	for _, entry := range entries {
 		digits, found := strings.CutSuffix(entry.Name, suffix)
-		if !found || entry.IsDir || len(digits) != 16 {
+		if !found || entry.IsDir || len(digits) != numberDigits {
 			continue
 		}
 		number, err := strconv.ParseUint(digits, 16, 64)
@@ -56,6 +65,7 @@
 	return numbers, nil
 }
 
+// openSegments opens the segments, which must be numbered without a gap, and syncs the newest one and its name.
 func (l *Log) openSegments(numbers []uint64) error {
 	for index, number := range numbers {
 		if index > 0 && number != numbers[index-1]+1 {
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/binary"
-	"fmt"
 	"hash"
 	"hash/crc32"
 	"io"
@@ -25,7 +24,7 @@
 	snapshotBufferBytes = 256 << 10
 )
 
-func snapshotName(number uint64) string { return fmt.Sprintf("%016x%s", number, snapshotSuffix) }
+func snapshotName(number uint64) string { return numberedName(number, snapshotSuffix) }
 
 // SaveSnapshot writes a snapshot under a temporary name, syncs and renames it, and syncs the directory. After it
 // returns nil the snapshot is durable; after a *FailedError the newest snapshot is either the previous one or this one,
