--- a/internal/state/ledger/doc.go
+++ b/internal/state/ledger/doc.go
@@ -27,5 +27,5 @@
 //
 // The epoch of a session is its fencing token: ClaimSession raises it, and operations under a lower one are rejected.
 //
-// Source: design page, program ledger.
+// Source: docs/LEDGER.md, which gives the reasons.
 package ledger
--- a/internal/state/ledger/training_step_test.go
+++ b/internal/state/ledger/training_step_test.go
@@ -126,7 +126,7 @@
 			{do: pin("17", "other", 0, "a"), want: stepMismatch, check: pinnedBy("a")},
 			{do: pin("17", "m", 0, "a"), want: ok, check: pinnedBy("a")},
 		},
-		"each owner that asks prolongs the pin": {
+		"each request of an owner prolongs the pin": {
 			{do: pin("17", "m", 4, "a"), want: ok},
 			{do: pin("17", "m", 5, "b"), want: ok, after: 20 * time.Hour, check: pinnedBy("a")},
 			{do: pin("17", "m", 0, "b"), want: ok, after: 40 * time.Hour, check: pinnedBy("a")},
@@ -290,7 +290,7 @@
 				check: counted(t, member+`generations { discarded: 1 }`),
 			},
 		},
-		"released whole, without tokens": {
+		"released complete, without tokens": {
 			reserved,
 			{
 				do: releasedFrom(release("r", "s", 1, 0), true, 4), want: ok,
@@ -302,14 +302,14 @@
 				check: counted(t, member+`generations { weight_version: 4 completed: 1 }`),
 			},
 		},
-		"released whole, of another version": {
+		"released complete, of another version": {
 			reserved,
 			{
 				do: releasedFrom(release("r", "s", 1, 3), true, 5), want: ok,
 				check: counted(t, member+`generations { weight_version: 5 discarded: 1 }`),
 			},
 		},
-		"released whole, of no version": {
+		"released complete, of no version": {
 			reserved,
 			{
 				do: releasedFrom(release("r", "s", 1, 0), true), want: ok,
@@ -333,11 +333,11 @@
 			{do: release("r", "s", 1, 0), want: ok, check: counted(t, member)},
 			{do: release("r", "s", 1, 0), want: ok, check: finishedAs(outcomeNotRun, 0)},
 		},
-		"run without a reservation is refused": {
+		"run without a reservation is rejected": {
 			reserved,
 			{do: releasedFrom(release("r2", "s", 1, 0), true, 4), want: notReserved, check: counted(t, member)},
 		},
-		"released whole after its session was claimed": {
+		"released complete after its session was claimed": {
 			reserved,
 			{do: claim("s", "b", 1), want: ok, check: counted(t, member+`generations { discarded: 1 }`)},
 			{
@@ -346,7 +346,7 @@
 			},
 			{do: releasedFrom(release("r", "s", 1, 4), false, 4), want: ok, check: finishedAs(outcomeCharged, 10)},
 		},
-		"released whole, and again after its session was claimed": {
+		"released complete, and again after its session was claimed": {
 			reserved,
 			{
 				do: releasedFrom(release("r", "s", 1, 4), true, 4), want: ok,
--- a/internal/state/ledgerclient/doc.go
+++ b/internal/state/ledgerclient/doc.go
@@ -27,5 +27,5 @@
 // outlive their operation, bounded by the attempt timeout, so that a replica that does not answer is suspected even
 // when another one did.
 //
-// Source: design page, program ledger.
+// Source: docs/LEDGER.md, which gives the reasons.
 package ledgerclient
--- a/internal/state/register/doc.go
+++ b/internal/state/register/doc.go
@@ -34,5 +34,5 @@
 //	Joining     yes    no                active when the move ends
 //	Active      yes    yes               rebuilding when its data is lost, none when moved away
 //
-// Source: design page, program ledger; D. Rystsov, CASPaxos: Replicated State Machines without logs.
+// Source: docs/LEDGER.md; D. Rystsov, "CASPaxos: Replicated State Machines without logs".
 package register
