--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -255,8 +255,8 @@
 	configuration, err := answer.GetConfiguration(), error(nil)
 	if packed := answer.GetPackedConfiguration(); packed != nil {
 		Expect(configuration).To(BeNil())
-		configuration, err = packing.UnpackConfiguration(packed)
-		Expect(err).NotTo(HaveOccurred())
+		configuration = &protocol.Configuration{}
+		Expect(packing.Unpack(packed, configuration)).To(Succeed())
 		Expect(bundle.Digest(configuration.GetActive())).To(Equal(configuration.GetActiveDigest()))
 	}
 	switch delta := answer.GetMembershipDelta(); {
--- a/internal/controlplane/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -93,8 +93,8 @@
 	It("is packed once for all nodes that accept it, and counted as sent", func() {
 		first, second := poll("f1", 0, true), poll("f2", 0, true)
 		Expect(first.GetConfiguration()).To(BeNil())
-		unpacked, err := packing.UnpackConfiguration(first.GetPackedConfiguration())
-		Expect(err).NotTo(HaveOccurred())
+		unpacked := &protocol.Configuration{}
+		Expect(packing.Unpack(first.GetPackedConfiguration(), unpacked)).To(Succeed())
 		Expect(proto.Equal(unpacked, d.leader.machine.View().Configuration)).To(BeTrue())
 		firstData := unsafe.SliceData(first.GetPackedConfiguration())
 		Expect(unsafe.SliceData(second.GetPackedConfiguration())).To(BeIdenticalTo(firstData))
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -37,7 +37,7 @@
 func TestGivenAPackedConfigurationThenItIsPutInForce(t *testing.T) {
 	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		full := configuration(10, "one")
-		packed, err := packing.PackConfiguration(full)
+		packed, err := packing.Pack(full)
 		g.Expect(err).NotTo(HaveOccurred())
 		core.packedAs(full, packed)
 		pass(100 * time.Millisecond)
@@ -48,11 +48,11 @@
 
 func TestGivenAPackedConfigurationThatDoesNotFitThenAnUnpackedOneIsRequested(t *testing.T) {
 	full := configuration(10, "one")
-	good, err := packing.PackConfiguration(full)
+	good, err := packing.Pack(full)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	wrong := proto.CloneOf(full)
 	wrong.ActiveDigest = "00"
-	otherDigest, err := packing.PackConfiguration(wrong)
+	otherDigest, err := packing.Pack(wrong)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/internal/transport/packing/pack.go
+++ b/internal/transport/packing/pack.go
@@ -1,6 +1,7 @@
-// Package packing compresses whole configurations and views for their way to the nodes. A
-// packed message is made once for each version and shared by all answers
-// that carry it (see docs/DELIVERY.md).
+// Package packing compresses configurations and views with zstd for their delivery
+// to the nodes. A message is packed once for each version, and the bytes are shared
+// by all answers that contain it (see docs/DELIVERY.md). The functions have no state
+// and are safe for concurrent use.
 package packing
 
 import (
@@ -11,27 +12,27 @@
 	"github.com/cockroachdb/errors"
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/proto"
-
-	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MaxUnpackedBytes bounds the encoding of a packed message. A plain one
-// is bounded by the frame of the internal protocol, which is as large.
+// MaxUnpackedBytes bounds the encoding of a packed message. That of any other
+// message is bounded by the frame of the internal protocol, which is as large.
 const MaxUnpackedBytes = 16 << 20
 
-// OversizedError says that a message is encoded in more than
-// MaxUnpackedBytes and so is neither packed nor unpacked.
+// OversizedError reports that the encoding of a message takes more than
+// MaxUnpackedBytes, so that it is neither packed nor unpacked.
 type OversizedError struct{}
 
+// Error names the bound.
 func (e *OversizedError) Error() string {
 	return fmt.Sprintf("the message takes more than %d bytes", MaxUnpackedBytes)
 }
 
-// DamagedError says that a packed message cannot be unpacked.
+// DamagedError reports that a packed message cannot be unpacked.
 type DamagedError struct {
 	Cause error
 }
 
+// Error names the cause.
 func (e *DamagedError) Error() string {
 	return "the packed message is damaged: " + e.Cause.Error()
 }
@@ -39,11 +40,12 @@
 // Unwrap returns the cause.
 func (e *DamagedError) Unwrap() error { return e.Cause }
 
-// PackError says that a message could not be packed.
+// PackError reports that a message could not be packed.
 type PackError struct {
 	Cause error
 }
 
+// Error names the cause.
 func (e *PackError) Error() string { return "packing the message: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
@@ -69,8 +71,9 @@
 	return packed, nil
 }
 
-// Unpack reads the message that was packed into an empty one; it reads no more
-// than MaxUnpackedBytes. The error is an *OversizedError or a *DamagedError.
+// Unpack decompresses and decodes a packed message into an empty one. It
+// decompresses no more than MaxUnpackedBytes, whatever the input. The error is an
+// *OversizedError or a *DamagedError.
 func Unpack(packed []byte, message proto.Message) error {
 	decoder, err := zstd.NewReader(bytes.NewReader(packed), zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderMaxMemory(MaxUnpackedBytes), zstd.WithDecoderMaxWindow(MaxUnpackedBytes))
@@ -78,9 +81,10 @@
 		return &DamagedError{Cause: err}
 	}
 	defer decoder.Close()
-	// The options bound the window that the decoder keeps; this bounds the content.
+	// The options bound the memory of the decoder; this bounds the content.
 	encoded, err := io.ReadAll(io.LimitReader(decoder, MaxUnpackedBytes+1))
-	if errors.Is(err, zstd.ErrDecoderSizeExceeded) || errors.Is(err, zstd.ErrWindowSizeExceeded) || len(encoded) > MaxUnpackedBytes {
+	decoderExceeded := errors.Is(err, zstd.ErrDecoderSizeExceeded) || errors.Is(err, zstd.ErrWindowSizeExceeded)
+	if decoderExceeded || len(encoded) > MaxUnpackedBytes {
 		return &OversizedError{}
 	}
 	if err != nil {
@@ -91,17 +95,3 @@
 	}
 	return nil
 }
-
-// PackConfiguration is Pack for a configuration.
-func PackConfiguration(configuration *protocol.Configuration) ([]byte, error) {
-	return Pack(configuration)
-}
-
-// UnpackConfiguration is Unpack for a configuration.
-func UnpackConfiguration(packed []byte) (*protocol.Configuration, error) {
-	configuration := &protocol.Configuration{}
-	if err := Unpack(packed, configuration); err != nil {
-		return nil, err
-	}
-	return configuration, nil
-}
--- a/internal/transport/packing/pack_test.go
+++ b/internal/transport/packing/pack_test.go
@@ -14,65 +14,77 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-func packable(routes int) *protocol.Configuration {
-	made := &protocol.Configuration{Version: 7, Active: &protocol.Bundle{Version: 5}, ActiveDigest: "digest", Rollout: &protocol.Rollout{}}
+func sampleConfiguration(routes int) *protocol.Configuration {
+	configuration := &protocol.Configuration{
+		Version: 7, Active: &protocol.Bundle{Version: 5}, ActiveDigest: "digest", Rollout: &protocol.Rollout{},
+	}
 	for i := range routes {
-		made.Active.Routes = append(made.Active.Routes, &protocol.Route{Name: fmt.Sprintf("route-%d", i), Group: "assistants"})
+		configuration.Active.Routes = append(
+			configuration.Active.Routes, &protocol.Route{Name: fmt.Sprintf("route-%d", i), Group: "assistants"},
+		)
 	}
-	return made
+	return configuration
 }
 
-func TestAPackedConfigurationComesOutAsItWentIn(t *testing.T) {
-	for _, configuration := range []*protocol.Configuration{{}, {Version: 1}, packable(1), packable(10_000)} {
+func TestUnpackReturnsThePackedConfiguration(t *testing.T) {
+	for _, configuration := range []*protocol.Configuration{
+		{}, {Version: 1}, sampleConfiguration(1), sampleConfiguration(10_000),
+	} {
 		g := NewWithT(t)
-		packed, err := packing.PackConfiguration(configuration)
+		packed, err := packing.Pack(configuration)
 		g.Expect(err).NotTo(HaveOccurred())
-		unpacked, err := packing.UnpackConfiguration(packed)
+		unpacked, err := unpackConfiguration(packed)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(proto.Equal(unpacked, configuration)).To(BeTrue())
 	}
 }
 
-func TestADamagedPackedConfigurationIsRefused(t *testing.T) {
+func TestUnpackRejectsDamagedBytes(t *testing.T) {
 	g := NewWithT(t)
-	whole := packable(50)
-	packed, err := packing.PackConfiguration(whole)
+	configuration := sampleConfiguration(50)
+	packed, err := packing.Pack(configuration)
 	g.Expect(err).NotTo(HaveOccurred())
-	for at := range packed {
+	for index := range packed {
 		flipped := bytes.Clone(packed)
-		flipped[at] ^= 0x10
+		flipped[index] ^= 0x10
 		// A bit that the format does not use may be flipped; the content is then the same.
-		if unpacked, err := packing.UnpackConfiguration(flipped); err == nil {
-			g.Expect(proto.Equal(unpacked, whole)).To(BeTrue(), "byte %d", at)
+		if unpacked, err := unpackConfiguration(flipped); err == nil {
+			g.Expect(proto.Equal(unpacked, configuration)).To(BeTrue(), "byte %d", index)
 		} else {
-			g.Expect(isTyped(err)).To(BeTrue(), "byte %d: %v", at, err)
+			g.Expect(isTyped(err)).To(BeTrue(), "byte %d: %v", index, err)
 		}
-		if at > 0 {
-			_, err = packing.UnpackConfiguration(packed[:at])
-			g.Expect(isTyped(err)).To(BeTrue(), "cut at %d: %v", at, err)
+		if index > 0 {
+			_, err = unpackConfiguration(packed[:index])
+			g.Expect(isTyped(err)).To(BeTrue(), "truncated at %d: %v", index, err)
 		}
 	}
-	_, err = packing.UnpackConfiguration(compressed(t, []byte{0xff, 0xff}))
+	_, err = unpackConfiguration(compressed(t, []byte{0xff, 0xff}))
 	g.Expect(errors.HasType(err, (*packing.DamagedError)(nil))).To(BeTrue(), "no message inside: %v", err)
 }
 
-func TestAnOversizedConfigurationIsRefused(t *testing.T) {
+func TestOversizedMessagesAreRejected(t *testing.T) {
 	large := make([]byte, packing.MaxUnpackedBytes+1)
 	half := compressed(t, large[:packing.MaxUnpackedBytes/2+1])
 	for name, packed := range map[string][]byte{
-		"one frame": compressed(t, large), "two frames": append(bytes.Clone(half), half...), "size not told": streamed(t, large),
+		"one frame": compressed(t, large), "two frames": append(bytes.Clone(half), half...),
+		"no size in the header": streamed(t, large),
 	} {
-		_, err := packing.UnpackConfiguration(packed)
+		_, err := unpackConfiguration(packed)
 		if !errors.HasType(err, (*packing.OversizedError)(nil)) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	_, err := packing.PackConfiguration(&protocol.Configuration{ActiveDigest: string(large)})
+	_, err := packing.Pack(&protocol.Configuration{ActiveDigest: string(large)})
 	if !errors.HasType(err, (*packing.OversizedError)(nil)) {
 		t.Errorf("packing: %v", err)
 	}
 }
 
+func unpackConfiguration(packed []byte) (*protocol.Configuration, error) {
+	configuration := &protocol.Configuration{}
+	return configuration, packing.Unpack(packed, configuration)
+}
+
 func isTyped(err error) bool {
 	return errors.HasType(err, (*packing.DamagedError)(nil)) || errors.HasType(err, (*packing.OversizedError)(nil))
 }
