--- a/cmd/rosestand-core/main.go
+++ b/cmd/rosestand-core/main.go
@@ -1,4 +1,5 @@
-// Command rosestand-core is a core process: it keeps the replicated control state and grants leases.
+// Command rosestand-core runs a core process, which replicates the control state and
+// grants leases. See docs/ARCHITECTURE.md.
 package main
 
 import (
--- a/cmd/rosestand-front/main.go
+++ b/cmd/rosestand-front/main.go
@@ -1,4 +1,5 @@
-// Command rosestand-front is a front node: it takes requests in, owns sessions and issues their turns.
+// Command rosestand-front runs a front node, which accepts requests, owns sessions
+// and issues their turns. See docs/ARCHITECTURE.md.
 package main
 
 import (
--- a/cmd/rosestand-lab/main.go
+++ b/cmd/rosestand-lab/main.go
@@ -1,4 +1,5 @@
-// Command rosestand-lab is the laboratory of rosestand; see docs/LAB.md.
+// Command rosestand-lab runs simulations, measurements and fault tests of rosestand;
+// see docs/LAB.md.
 package main
 
 import "github.com/rosestand/rosestand/internal/testing/lab/command"
--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -1,5 +1,6 @@
-// Command rosestand-platform runs the daemons of the product behind the adapter
-// of the users' platform: one subcommand a daemon, with the daemon's own flags.
+// Command rosestand-platform runs the daemons with the adapter of the users'
+// platform: one subcommand for each daemon, with the daemon's own flags. See
+// docs/PLATFORM.md.
 package main
 
 import (
@@ -36,7 +37,7 @@
 	}
 }
 
-// daemonCommand hands its arguments to the daemon as they are, with the settings file that the platform names.
+// daemonCommand passes its arguments to the daemon unparsed, with the settings file that the platform names.
 func daemonCommand[S settings.Message](name string, kind settings.Kind[S], module daemon.Module[S]) *cobra.Command {
 	return &cobra.Command{
 		Use:                name,
--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	clusterKey = "0123456789abcdef-test-cluster-key"
-	patience   = 30 * time.Second
+	clusterKey  = "0123456789abcdef-test-cluster-key"
+	testTimeout = 30 * time.Second
 )
 
-// seed is a process that only says that it knows no core, and notes that it was asked.
+// seed is a process that answers that it knows no core, and reports that it was queried.
 type seed struct {
 	address string
-	asked   chan struct{}
+	queried chan struct{}
 }
 
 func (s *seed) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 	select {
-	case s.asked <- struct{}{}:
+	case s.queried <- struct{}{}:
 	default:
 	}
 	return send(&protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: &protocol.LocateCoreResponse{}}})
@@ -39,11 +39,11 @@
 
 func newSeed(t *testing.T) *seed {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &seed{address: listener.Addr().String(), asked: make(chan struct{}, 1)}
+	s := &seed{address: listener.Addr().String(), queried: make(chan struct{}, 1)}
 	server := wire.NewServer(listener, s, wire.ServerOptions{Key: []byte(clusterKey)})
 	server.Start()
 	t.Cleanup(server.Close)
@@ -53,18 +53,20 @@
 func (s *seed) await(t *testing.T) {
 	t.Helper()
 	select {
-	case <-s.asked:
-	case <-time.After(patience):
-		t.Fatalf("seed %s was not asked", s.address)
+	case <-s.queried:
+	case <-time.After(testTimeout):
+		t.Fatalf("seed %s was not queried", s.address)
 	}
 }
 
-// writeSettings puts a settings file with one seed in place whole.
+// writeSettings atomically replaces the settings file by one with a single seed.
 func writeSettings(t *testing.T, folder, seedAddress string) string {
 	t.Helper()
 	path := filepath.Join(folder, "settings.json")
-	document := fmt.Sprintf(`{"node": {"name": "n", "zone": "z", "internal_address": "127.0.0.1:0", "http_address": "127.0.0.1:0",
-		"cluster_key_file": %q, "data_folder": %q, "seeds": [%q]}}`, filepath.Join(folder, "key"), filepath.Join(folder, "data"), seedAddress)
+	document := fmt.Sprintf(`{"node": {"name": "n", "zone": "z",
+		"internal_address": "127.0.0.1:0", "http_address": "127.0.0.1:0",
+		"cluster_key_file": %q, "data_folder": %q, "seeds": [%q]}}`,
+		filepath.Join(folder, "key"), filepath.Join(folder, "data"), seedAddress)
 	for name, content := range map[string]string{"key": clusterKey, "settings.new": document} {
 		if err := os.WriteFile(filepath.Join(folder, name), []byte(content), 0o600); err != nil {
 			t.Fatal(err)
@@ -76,7 +78,7 @@
 	return path
 }
 
-// checkNewSeeds starts a daemon with one seed, gives it another by SIGHUP, and waits until that one is asked.
+// checkNewSeeds starts a daemon with one seed, replaces the seed with SIGHUP, and waits until the new one is queried.
 func checkNewSeeds[S settings.Message](t *testing.T, kind settings.Kind[S], module daemon.Module[S]) {
 	t.Helper()
 	first, second := newSeed(t), newSeed(t)
@@ -100,11 +102,11 @@
 		if code != daemon.ExitStopped {
 			t.Errorf("exit %d\n%s", code, output.String())
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the daemon did not stop")
 	}
 }
 
-func TestAFrontNodeAsksNewSeeds(t *testing.T) { checkNewSeeds(t, settings.Front, frontModule) }
+func TestAFrontNodeQueriesNewSeeds(t *testing.T) { checkNewSeeds(t, settings.Front, frontModule) }
 
-func TestAStoreAsksNewSeeds(t *testing.T) { checkNewSeeds(t, settings.Store, store.Module) }
+func TestAStoreQueriesNewSeeds(t *testing.T) { checkNewSeeds(t, settings.Store, store.Module) }
--- a/cmd/rosestand-platform/surface_test.go
+++ b/cmd/rosestand-platform/surface_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestSubcommands holds the names of the sub-commands; their flags are those of the daemons.
+// The names of the sub-commands are stable; their flags are those of the daemons.
 func TestSubcommands(t *testing.T) {
 	arguments, output := os.Args, os.Stdout
 	t.Cleanup(func() { os.Args, os.Stdout = arguments, output })
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	var names []string
-	for _, found := range regexp.MustCompile(`(?m)^  ([a-z]+) +\S`).FindAllStringSubmatch(string(help), -1) {
-		names = append(names, found[1])
+	for _, match := range regexp.MustCompile(`(?m)^  ([a-z]+) +\S`).FindAllStringSubmatch(string(help), -1) {
+		names = append(names, match[1])
 	}
 	if want := []string{"completion", "core", "front", "help", "store"}; !slices.Equal(names, want) {
 		t.Fatalf("sub-commands %v, want %v:\n%s", names, want, help)
--- a/cmd/rosestand-store/main.go
+++ b/cmd/rosestand-store/main.go
@@ -1,4 +1,5 @@
-// Command rosestand-store is a store: it keeps replicas of the program ledger and of kept turns.
+// Command rosestand-store runs a store, which has replicas of the program ledger's
+// shards and of retained turns. See docs/ARCHITECTURE.md.
 package main
 
 import (
--- a/cmd/rosestand/main.go
+++ b/cmd/rosestand/main.go
@@ -1,4 +1,5 @@
-// Command rosestand is the operators' client of a cluster.
+// Command rosestand is the operators' command-line client of a cluster; see
+// docs/API-OPERATORS.md. SIGINT and SIGTERM cancel a command.
 package main
 
 import (
