--- a/internal/dataplane/ownership/call_failure_test.go
+++ b/internal/dataplane/ownership/call_failure_test.go
@@ -20,7 +20,7 @@
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	dialTimeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	notRun := func(code failure.Code) error { return failure.New(code, protocol.Outcome_NOT_RUN, "no") }
-	unresponsive := &wire.BrokenError{Cause: &wire.UnresponsivePeerError{Limit: time.Second}}
+	unresponsive := &wire.BrokenError{Cause: &wire.UnresponsivePeerError{For: time.Second}}
 	for name, example := range map[string]struct {
 		err           error
 		timeoutCounts bool
--- a/internal/transport/wire/benchmark_test.go
+++ b/internal/transport/wire/benchmark_test.go
@@ -11,16 +11,17 @@
 
 // BenchmarkCall is one lookup of a session over loopback, both sides together.
 func BenchmarkCall(b *testing.B) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	answer := &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: &protocol.LookupSessionResponse{
 		Status: protocol.DirectoryStatus_DIRECTORY_OK, ViewVersion: 1, Registration: registration("b"),
 	}}}
-	server := wire.NewServer(listener, handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
-		return send(answer)
-	}), wire.ServerOptions{Key: testKey})
+	server := wire.NewServer(listener,
+		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+			return send(answer)
+		}), wire.ServerOptions{Key: testKey})
 	server.Start()
 	defer server.Close()
 	pool := wire.NewPool(wire.PoolOptions{Key: testKey, Node: "bench"})
--- a/internal/transport/wire/client.go
+++ b/internal/transport/wire/client.go
@@ -11,12 +11,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// readBufferBytes holds a few small frames; a larger frame is read past the
+// readBufferBytes is enough for a few small frames; a larger frame is read past the
 // buffer into its own memory. A node may have a connection to every other one,
-// so the buffer is kept small.
+// so the buffer is small.
 const readBufferBytes = 8 << 10
 
-// clientConnection is the calling side of one connection.
+// clientConnection is the calling side of one connection. The mutex guards the fields below it.
 type clientConnection struct {
 	address    string
 	connection net.Conn
@@ -29,7 +29,7 @@
 	nextID    uint64
 	broken    error
 	lastUse   time.Time
-	silence   silence
+	activity  peerActivity
 }
 
 // dial opens a connection and proves the cluster key.
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	reader := bufio.NewReaderSize(&countingReader{connection: connection, counters: counters}, readBufferBytes)
-	if err := shakeAsClient(connection, reader, options.Key, options.Node); err != nil {
+	if err := clientHandshake(connection, reader, options.Key, options.Node); err != nil {
 		_ = connection.Close()
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 		done:       make(chan struct{}),
 		exchanges:  make(map[uint64]*exchange),
 		lastUse:    now,
-		silence:    silence{heardAt: now, activeAt: now},
+		activity:   peerActivity{lastReceived: now, lastActivity: now},
 	}, nil
 }
 
@@ -66,30 +66,30 @@
 		return nil, &NotSentError{Address: c.address, Cause: c.broken}
 	}
 	c.nextID++
-	e := &exchange{id: c.nextID, client: c, ctx: ctx, single: single, wake: make(chan struct{}, 1)}
+	e := &exchange{id: c.nextID, client: c, ctx: ctx, single: single, notify: make(chan struct{}, 1)}
 	c.exchanges[e.id] = e
 	c.lastUse = time.Now()
-	c.silence.began(c.lastUse, len(c.exchanges) == 1)
+	c.activity.began(c.lastUse, len(c.exchanges) == 1)
 	c.mutex.Unlock()
 
 	frame := &protocol.Frame{Kind: protocol.FrameKind_FRAME_REQUEST, Id: e.id, Request: request}
 	if deadline, has := ctx.Deadline(); has {
 		left := time.Until(deadline)
 		if left <= 0 {
-			c.forget(e.id, false)
+			c.endExchange(e.id, false)
 			return nil, &NotSentError{Address: c.address, Cause: context.DeadlineExceeded}
 		}
 		frame.TimeLeftMillis = uint32(left/time.Millisecond) + 1
 	}
 	if err := c.writer.write(frame); err != nil {
-		c.forget(e.id, false)
+		c.endExchange(e.id, false)
 		return nil, &NotSentError{Address: c.address, Cause: err}
 	}
 	return e, nil
 }
 
-// forget drops an exchange and, when asked, tells the peer.
-func (c *clientConnection) forget(id uint64, cancel bool) {
+// endExchange drops an exchange and, with cancel, cancels it at the peer.
+func (c *clientConnection) endExchange(id uint64, cancel bool) {
 	c.mutex.Lock()
 	_, known := c.exchanges[id]
 	delete(c.exchanges, id)
@@ -117,7 +117,7 @@
 
 func (c *clientConnection) deliver(frame *protocol.Frame) {
 	c.mutex.Lock()
-	c.silence.heard(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
+	c.activity.received(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
 	e := c.exchanges[frame.GetId()]
 	c.mutex.Unlock()
 	if e == nil {
@@ -126,7 +126,7 @@
 	switch frame.GetKind() {
 	case protocol.FrameKind_FRAME_RESPONSE:
 		if !e.deliver(frame.GetResponse()) {
-			c.forget(e.id, true)
+			c.endExchange(e.id, true)
 		}
 	case protocol.FrameKind_FRAME_END:
 		var cause error
@@ -134,12 +134,12 @@
 			cause = &failure.Error{Failure: frame.GetFailure()}
 		}
 		e.end(cause)
-		c.forget(e.id, false)
+		c.endExchange(e.id, false)
 	}
 }
 
-// breakWith ends every exchange under way.
-func (c *clientConnection) breakWith(cause error) {
+// fail breaks the connection and ends every exchange in flight.
+func (c *clientConnection) fail(cause error) {
 	c.mutex.Lock()
 	if c.broken != nil {
 		c.mutex.Unlock()
--- a/internal/transport/wire/exchange.go
+++ b/internal/transport/wire/exchange.go
@@ -21,7 +21,7 @@
 	answers []*protocol.Response
 	ended   bool
 	cause   error
-	wake    chan struct{}
+	notify  chan struct{}
 }
 
 // deliver queues an answer; it reports false when the receiver fell too far behind.
@@ -31,7 +31,7 @@
 	if e.ended {
 		return true
 	}
-	if len(e.answers) >= answerQueue {
+	if len(e.answers) >= maxQueuedAnswers {
 		e.ended = true
 		e.cause = failure.New(failure.SlowReader, protocol.Outcome_UNKNOWN, "answers were not read in time")
 		e.signal()
@@ -57,12 +57,12 @@
 
 func (e *exchange) signal() {
 	select {
-	case e.wake <- struct{}{}:
+	case e.notify <- struct{}{}:
 	default:
 	}
 }
 
-func (e *exchange) take() (answer *protocol.Response, ended bool, cause error) {
+func (e *exchange) next() (answer *protocol.Response, ended bool, cause error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if len(e.answers) > 0 {
@@ -77,7 +77,7 @@
 // Receive implements Stream.
 func (e *exchange) Receive() (*protocol.Response, error) {
 	for {
-		answer, ended, cause := e.take()
+		answer, ended, cause := e.next()
 		if answer != nil {
 			return answer, nil
 		}
@@ -88,7 +88,7 @@
 			return nil, cause
 		}
 		select {
-		case <-e.wake:
+		case <-e.notify:
 		case <-e.ctx.Done():
 			return nil, e.ctx.Err()
 		}
@@ -105,5 +105,5 @@
 	}
 	e.answers = nil
 	e.mutex.Unlock()
-	e.client.forget(e.id, !ended)
+	e.client.endExchange(e.id, !ended)
 }
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -13,8 +13,8 @@
 
 const (
 	lengthBytes = 4
-	// firstSpareBytes holds a usual small frame.
-	firstSpareBytes = 512
+	// initialBufferBytes is enough for a usual small frame.
+	initialBufferBytes = 512
 )
 
 // appendFrame encodes a message after its four-byte big-endian length.
@@ -33,7 +33,7 @@
 	return buffer, nil
 }
 
-// readMessage reads one length-prefixed message, refusing lengths over limit before it reads on.
+// readMessage reads one length-prefixed message and rejects a length above the limit before it reads on.
 func readMessage(reader *bufio.Reader, limit uint32, message proto.Message) error {
 	once := frameReader{reader: reader}
 	return once.read(limit, message)
@@ -45,7 +45,7 @@
 	// counters, if any, count the frames read.
 	counters *Counters
 	prefix   [lengthBytes]byte
-	spare    []byte
+	reusable []byte
 }
 
 // read reads the next message. Decoding copies what the message keeps.
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// buffer is memory for one body; a large one is not kept.
+// buffer is memory for one body; a large one is not reused.
 func (r *frameReader) buffer(size int) []byte {
-	if size > maxSpareBytes {
+	if size > maxReusedBufferBytes {
 		return make([]byte, size)
 	}
-	if cap(r.spare) < size {
-		r.spare = make([]byte, size, max(size, firstSpareBytes))
+	if cap(r.reusable) < size {
+		r.reusable = make([]byte, size, max(size, initialBufferBytes))
 	}
-	return r.spare[:size]
+	return r.reusable[:size]
 }
 
 // validateFrame checks what every frame must carry.
--- a/internal/transport/wire/handshake.go
+++ b/internal/transport/wire/handshake.go
@@ -62,8 +62,8 @@
 	return hello, nil
 }
 
-// shakeAsClient sends a nonce, checks the server's proof over both nonces and answers with its own.
-func shakeAsClient(connection net.Conn, reader *bufio.Reader, key []byte, node string) error {
+// clientHandshake sends a nonce, checks the server's proof over both nonces and answers with its own.
+func clientHandshake(connection net.Conn, reader *bufio.Reader, key []byte, node string) error {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
@@ -71,25 +71,29 @@
 	if err != nil {
 		return err
 	}
-	if err := writeHello(connection, &protocol.Hello{ProtocolVersion: ProtocolVersion, Nonce: nonce, Node: node}); err != nil {
+	hello := &protocol.Hello{ProtocolVersion: ProtocolVersion, Nonce: nonce, Node: node}
+	if err := writeHello(connection, hello); err != nil {
 		return err
 	}
 	answer, err := readHello(reader)
 	if err != nil {
 		return err
 	}
-	if len(answer.GetNonce()) != nonceBytes || !hmac.Equal(answer.GetProof(), proof(key, serverProofLabel, nonce, answer.GetNonce())) {
+	if len(answer.GetNonce()) != nonceBytes ||
+		!hmac.Equal(answer.GetProof(), proof(key, serverProofLabel, nonce, answer.GetNonce())) {
 		return &HandshakeError{Reason: "server did not prove the cluster key"}
 	}
-	final := &protocol.Hello{ProtocolVersion: ProtocolVersion, Proof: proof(key, clientProofLabel, nonce, answer.GetNonce())}
+	final := &protocol.Hello{
+		ProtocolVersion: ProtocolVersion, Proof: proof(key, clientProofLabel, nonce, answer.GetNonce()),
+	}
 	if err := writeHello(connection, final); err != nil {
 		return err
 	}
 	return connection.SetDeadline(time.Time{})
 }
 
-// shakeAsServer is the other side of shakeAsClient; it returns the client's name.
-func shakeAsServer(connection net.Conn, reader *bufio.Reader, key []byte) (string, error) {
+// serverHandshake is the other side of clientHandshake; it returns the client's name.
+func serverHandshake(connection net.Conn, reader *bufio.Reader, key []byte) (string, error) {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", err
 	}
--- a/internal/transport/wire/hedged_dial.go
+++ b/internal/transport/wire/hedged_dial.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// redialAfter is how long an attempt to connect may be silent until another one is begun beside it. The operating
-	// system repeats its opening packet after a second; a machine that got power meanwhile answers a new one at once.
-	redialAfter = 100 * time.Millisecond
-	// maxDials bounds the attempts that are under way at once.
-	maxDials = int(defaultConnectTimeout / redialAfter)
+	// hedgeDelay is how long an attempt to connect may be unanswered before another one begins beside it. The operating
+	// system repeats its SYN packet only after a second; a machine that got power meanwhile answers a new one at once.
+	hedgeDelay = 100 * time.Millisecond
+	// maxConcurrentDials is the maximum number of concurrent attempts.
+	maxConcurrentDials = int(defaultConnectTimeout / hedgeDelay)
 )
 
 // dialFunc makes one attempt to connect.
@@ -23,12 +23,12 @@
 	err        error
 }
 
-// connectTo connects by as many attempts as it takes, for defaultConnectTimeout at most. The first connection wins and
-// the others are closed; the first attempt that was answered by a refusal ends all.
-func connectTo(ctx context.Context, dial dialFunc) (net.Conn, error) {
+// dialHedged connects by several attempts, for defaultConnectTimeout at most. The first connection wins and
+// the others are closed; the first attempt that the peer refused ends all.
+func dialHedged(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultConnectTimeout)
 	defer cancel()
-	results := make(chan dialed, maxDials)
+	results := make(chan dialed, maxConcurrentDials)
 	pending := 0
 	begin := func() {
 		pending++
@@ -38,7 +38,7 @@
 		}()
 	}
 	begin()
-	again := time.NewTicker(redialAfter)
+	again := time.NewTicker(hedgeDelay)
 	defer again.Stop()
 	for begun := 1; ; {
 		select {
@@ -46,14 +46,14 @@
 			pending--
 			if result.err == nil || ctx.Err() == nil {
 				cancel()
-				go closeLate(results, pending)
+				go closeLosers(results, pending)
 				return result.connection, result.err
 			}
 			if pending == 0 {
 				return nil, result.err
 			}
 		case <-again.C:
-			if begun < maxDials {
+			if begun < maxConcurrentDials {
 				begun++
 				begin()
 			}
@@ -61,8 +61,8 @@
 	}
 }
 
-// closeLate closes the connections of attempts that another one was ahead of.
-func closeLate(results <-chan dialed, pending int) {
+// closeLosers closes the connections of attempts that another one overtook.
+func closeLosers(results <-chan dialed, pending int) {
 	for range pending {
 		if late := <-results; late.connection != nil {
 			_ = late.connection.Close()
--- a/internal/transport/wire/hedged_dial_test.go
+++ b/internal/transport/wire/hedged_dial_test.go
@@ -12,25 +12,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// silentDial answers as a machine without power does.
-func silentDial(ctx context.Context) (net.Conn, error) {
+// unansweredDial answers as a machine without power does.
+func unansweredDial(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func TestAMachineThatGotPowerMeanwhileIsReachedByTheNextAttempt(t *testing.T) {
+func TestMachineThatGotPowerIsReachedByTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
 		begun := time.Now()
 		ours, theirs := net.Pipe()
 		defer func() { _ = theirs.Close() }()
-		connection, err := connectTo(t.Context(), func(ctx context.Context) (net.Conn, error) {
+		connection, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			if attempts.Add(1) == 1 {
-				return silentDial(ctx)
+				return unansweredDial(ctx)
 			}
 			return ours, nil
 		})
-		if err != nil || connection != ours || time.Since(begun) != redialAfter {
+		if err != nil || connection != ours || time.Since(begun) != hedgeDelay {
 			t.Errorf("connected to %v after %v: %v", connection, time.Since(begun), err)
 		}
 		_ = ours.Close()
@@ -38,39 +38,39 @@
 	})
 }
 
-func TestARefusalEndsAllAttempts(t *testing.T) {
+func TestRefusedConnectionEndsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		_, err := connectTo(t.Context(), func(context.Context) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
+		_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
 		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) != 0 {
 			t.Errorf("refused after %v: %v", time.Since(begun), err)
 		}
 	})
 }
 
-func TestAMachineWithoutPowerIsGivenUpAtTheTimeout(t *testing.T) {
+func TestMachineWithoutPowerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
 		begun := time.Now()
-		_, err := connectTo(t.Context(), func(ctx context.Context) (net.Conn, error) {
+		_, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			attempts.Add(1)
-			return silentDial(ctx)
+			return unansweredDial(ctx)
 		})
-		if err == nil || time.Since(begun) != defaultConnectTimeout || int(attempts.Load()) != maxDials {
+		if err == nil || time.Since(begun) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
 			t.Errorf("%d attempts in %v: %v", attempts.Load(), time.Since(begun), err)
 		}
 	})
 }
 
-func TestAConnectionThatComesSecondIsClosed(t *testing.T) {
+func TestSecondConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, far := net.Pipe()
 		fast, other := net.Pipe()
 		defer func() { _, _ = fast.Close(), other.Close() }()
 		var attempts atomic.Int32
-		connection, err := connectTo(t.Context(), func(context.Context) (net.Conn, error) {
+		connection, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) {
 			if attempts.Add(1) == 1 {
-				<-time.After(redialAfter + time.Millisecond)
+				<-time.After(hedgeDelay + time.Millisecond)
 				return slow, nil
 			}
 			return fast, nil
--- a/internal/transport/wire/peer_activity.go
+++ b/internal/transport/wire/peer_activity.go
@@ -6,70 +6,71 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// How long a peer may be silent while exchanges with it are under way. A
-// connection is active while an exchange was begun or an answer came lately;
-// one that only holds long polls is looked at more seldom.
+// How long a peer may be unresponsive while exchanges with it are in flight. A
+// connection is active while an exchange began or an answer arrived recently;
+// one with long polls alone is checked less often.
 const (
 	// activeFor is how long a connection stays active after the last exchange or answer.
-	activeFor = 2 * time.Second
-	// activeInterval and restInterval are the times between two looks at all connections,
-	// and the silence after which a peer is pinged.
+	activePeriod = 2 * time.Second
+	// activeInterval and idleInterval are the times between two checks of all connections,
+	// and the time without a frame after which a peer is pinged.
 	activeInterval = 150 * time.Millisecond
-	restInterval   = time.Second
-	// activePingLimit and restPingLimit are how long a ping may be unanswered.
-	activePingLimit = 450 * time.Millisecond
-	restPingLimit   = 2 * time.Second
-	// stallFactor is how late a look may be before this process must itself have stood still.
+	idleInterval   = time.Second
+	// activePingTimeout and idlePingTimeout are how long a ping may be unanswered.
+	activePingTimeout = 450 * time.Millisecond
+	idlePingTimeout   = 2 * time.Second
+	// stallFactor is how many intervals late a check may be before this process itself counts as stalled.
 	stallFactor = 3
 )
 
-// silence is what is known of a peer's silence on one connection.
-type silence struct {
-	// heardAt is when the last frame came, pings included.
-	heardAt time.Time
-	// activeAt is when an exchange was last begun or an answer last came.
-	activeAt time.Time
-	// pingedAt is when the ping that has no answer yet was sent; zero without one.
+// peerActivity is the recent activity of a peer on one connection.
+type peerActivity struct {
+	// lastReceived is when the last frame arrived, pings included.
+	lastReceived time.Time
+	// lastActivity is when an exchange last began or an answer last arrived.
+	lastActivity time.Time
+	// pingedAt is when the unanswered ping was sent; zero without one.
 	pingedAt time.Time
 }
 
-// began notes a new exchange. Before the only one under way the peer owed nothing.
-func (s *silence) began(now time.Time, only bool) {
-	s.activeAt = now
+// began records a new exchange. Before the only one in flight the peer owed no answer.
+func (s *peerActivity) began(now time.Time, only bool) {
+	s.lastActivity = now
 	if only {
-		s.excuse(now)
+		s.reset(now)
 	}
 }
 
-// heard notes a frame of the peer.
-func (s *silence) heard(now time.Time, answer bool) {
-	s.excuse(now)
+// received records a frame of the peer.
+func (s *peerActivity) received(now time.Time, answer bool) {
+	s.reset(now)
 	if answer {
-		s.activeAt = now
+		s.lastActivity = now
 	}
 }
 
-// excuse takes the peer for heard now.
-func (s *silence) excuse(now time.Time) {
-	s.heardAt = now
+// reset makes the peer count as responsive as of now.
+func (s *peerActivity) reset(now time.Time) {
+	s.lastReceived = now
 	s.pingedAt = time.Time{}
 }
 
-func (s *silence) active(now time.Time) bool { return now.Sub(s.activeAt) < activeFor }
+func (s *peerActivity) active(now time.Time) bool { return now.Sub(s.lastActivity) < activePeriod }
 
-// look decides whether a peer that owes answers is to be pinged, or was silent for too long.
-func (s *silence) look(now time.Time) (ping bool, silentFor time.Duration) {
-	interval, limit := restInterval, restPingLimit
+// check decides whether a peer that owes answers is to be pinged, or has been unresponsive for too long; then
+// unresponsiveFor is not 0.
+func (s *peerActivity) check(now time.Time) (ping bool, unresponsiveFor time.Duration) {
+	interval, limit := idleInterval, idlePingTimeout
 	if s.active(now) {
-		interval, limit = activeInterval, activePingLimit
+		interval, limit = activeInterval, activePingTimeout
 	}
 	switch {
 	case !s.pingedAt.IsZero():
 		if now.Sub(s.pingedAt) >= limit {
-			return false, now.Sub(s.heardAt)
+			return false, now.Sub(s.lastReceived)
 		}
 		return false, 0
-	case now.Sub(s.heardAt) >= interval:
+	case now.Sub(s.lastReceived) >= interval:
 		s.pingedAt = now
 		return true, 0
 	default:
@@ -77,28 +78,28 @@
 	}
 }
 
-// check is called by the pool at each look: it pings while exchanges are under
-// way, breaks a silent connection and closes an idle one. It reports whether the
-// connection has to be looked at again soon.
-func (c *clientConnection) check(now time.Time, idle time.Duration, stalled bool) (soon bool) {
+// checkActivity is called by the pool at each check: it pings while exchanges are in
+// flight, breaks an unresponsive connection and closes an idle one. It reports whether the
+// connection has to be checked again soon.
+func (c *clientConnection) checkActivity(now time.Time, idle time.Duration, stalled bool) (soon bool) {
 	c.mutex.Lock()
 	busy := len(c.exchanges) > 0
 	unused := !busy && now.Sub(c.lastUse) > idle
 	var ping bool
-	var silentFor time.Duration
+	var unresponsiveFor time.Duration
 	switch {
 	case stalled:
-		c.silence.excuse(now)
+		c.activity.reset(now)
 	case busy:
-		ping, silentFor = c.silence.look(now)
+		ping, unresponsiveFor = c.activity.check(now)
 	}
-	soon = busy && c.silence.active(now)
+	soon = busy && c.activity.active(now)
 	c.mutex.Unlock()
 	switch {
-	case silentFor > 0:
-		c.breakWith(&UnresponsivePeerError{Limit: silentFor})
+	case unresponsiveFor > 0:
+		c.fail(&UnresponsivePeerError{For: unresponsiveFor})
 	case unused:
-		c.breakWith(&IdleError{})
+		c.fail(&IdleError{})
 	case ping:
 		_ = c.writer.write(&protocol.Frame{Kind: protocol.FrameKind_FRAME_PING})
 	}
--- a/internal/transport/wire/peer_activity_test.go
+++ b/internal/transport/wire/peer_activity_test.go
@@ -45,34 +45,34 @@
 	listener *pipeListener
 	server   *wire.Server
 	pool     *wire.Pool
-	dark     atomic.Bool
+	isolated atomic.Bool
 	dials    atomic.Int64
 }
 
-// darkConnection swallows what is written and delivers nothing while its peer has no power.
-type darkConnection struct {
+// isolatedConnection drops what is written and delivers nothing while its peer has no power.
+type isolatedConnection struct {
 	net.Conn
 	peer   *peer
 	closed chan struct{}
 }
 
-func (c *darkConnection) Read(buffer []byte) (int, error) {
+func (c *isolatedConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
-	if c.peer.dark.Load() {
+	if c.peer.isolated.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return count, err
 }
 
-func (c *darkConnection) Write(data []byte) (int, error) {
-	if c.peer.dark.Load() {
+func (c *isolatedConnection) Write(data []byte) (int, error) {
+	if c.peer.isolated.Load() {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *darkConnection) Close() error {
+func (c *isolatedConnection) Close() error {
 	close(c.closed)
 	return c.Conn.Close()
 }
@@ -82,14 +82,15 @@
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		p := &peer{listener: newPipeListener()}
-		p.server = wire.NewServer(p.listener, handlerFunc(func(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-			select {
-			case <-time.After(answerAfter):
-				return echo(ctx, request, send)
-			case <-ctx.Done():
-				return ctx.Err()
-			}
-		}), wire.ServerOptions{Key: testKey})
+		p.server = wire.NewServer(p.listener,
+			handlerFunc(func(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
+				select {
+				case <-time.After(answerAfter):
+					return echo(ctx, request, send)
+				case <-ctx.Done():
+					return ctx.Err()
+				}
+			}), wire.ServerOptions{Key: testKey})
 		p.server.Start()
 		p.pool = wire.NewPool(wire.PoolOptions{Key: testKey, Node: "test", Dial: p.dial})
 		then(p)
@@ -100,20 +101,20 @@
 
 func (p *peer) dial(ctx context.Context, _ string) (net.Conn, error) {
 	p.dials.Add(1)
-	if p.dark.Load() {
+	if p.isolated.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	here, there := net.Pipe()
 	p.listener.connections <- there
-	return &darkConnection{Conn: here, peer: p, closed: make(chan struct{})}, nil
+	return &isolatedConnection{Conn: here, peer: p, closed: make(chan struct{})}, nil
 }
 
-func TestAPeerWithoutPowerIsNoticedInLessThanASecond(t *testing.T) {
+func TestPeerWithoutPowerIsDetectedInLessThanASecond(t *testing.T) {
 	withPeer(t, time.Hour, func(p *peer) {
 		go func() {
 			<-time.After(10 * time.Second)
-			p.dark.Store(true)
+			p.isolated.Store(true)
 		}()
 		<-time.After(10 * time.Second)
 		synctest.Wait()
@@ -127,18 +128,18 @@
 	withPeer(t, time.Hour, func(p *peer) {
 		go func() {
 			<-time.After(100 * time.Millisecond)
-			p.dark.Store(true)
+			p.isolated.Store(true)
 		}()
 		began := time.Now()
 		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
-		var silent *wire.UnresponsivePeerError
-		if !errors.As(err, &silent) || time.Since(began) > time.Second {
+		var unresponsive *wire.UnresponsivePeerError
+		if !errors.As(err, &unresponsive) || time.Since(began) > time.Second {
 			t.Fatalf("after %s: %v", time.Since(began), err)
 		}
 	})
 }
 
-func TestASlowAnswerOfALivePeerIsWaitedFor(t *testing.T) {
+func TestSlowAnswerOfALivePeerIsWaitedFor(t *testing.T) {
 	withPeer(t, 20*time.Second, func(p *peer) {
 		if _, err := p.pool.Call(context.Background(), "peer", explain("x")); err != nil {
 			t.Fatal(err)
@@ -149,15 +150,16 @@
 	})
 }
 
-func TestACallWaitsForAnotherCallersDialNoLongerThanItsOwnTime(t *testing.T) {
+func TestCallWaitsForASharedDialNoLongerThanItsOwnDeadline(t *testing.T) {
 	withPeer(t, 0, func(p *peer) {
-		p.dark.Store(true)
+		p.isolated.Store(true)
 		go func() { _, _ = p.pool.Call(context.Background(), "peer", explain("x")) }()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		if _, err := p.pool.Call(ctx, "peer", explain("y")); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) > 60*time.Millisecond {
+		if _, err := p.pool.Call(ctx, "peer", explain("y")); !errors.Is(err, context.DeadlineExceeded) ||
+			time.Since(began) > 60*time.Millisecond {
 			t.Fatalf("after %s: %v", time.Since(began), err)
 		}
 		if p.dials.Load() != 1 {
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -35,14 +35,17 @@
 		o.DialTimeout = defaultDialTimeout
 	}
 	if o.Dial == nil {
-		dialer := &net.Dialer{Control: boundUnacknowledged}
+		dialer := &net.Dialer{Control: setUserTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			return connectTo(ctx, func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) })
+			return dialHedged(
+				ctx, func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
+			)
 		}
 	}
 }
 
-// Pool calls peers, one connection an address, opened on demand.
+// Pool calls peers over one connection an address, opened on demand. The mutex guards slots, open, onBroken and
+// closed; a slot has its own, which is locked before the pool's.
 type Pool struct {
 	options  PoolOptions
 	counters Counters
@@ -54,12 +57,12 @@
 	onBroken []func(address string)
 	closed   bool
 	stop     chan struct{}
-	// dialing ends when the pool is closed.
+	// dialing is the context of dials, which belong to the pool and not to one caller; it ends with Close.
 	dialing      context.Context
 	stopDialing  context.CancelFunc
-	becameActive chan struct{}
-	// watchful is true while the connections are looked at often.
-	watchful atomic.Bool
+	activeSignal chan struct{}
+	// checksOften is true while the connections are checked at activeInterval.
+	checksOften atomic.Bool
 }
 
 // slot holds the connection to one address, or its opening, which concurrent callers share.
@@ -81,7 +84,7 @@
 	options.fill()
 	p := &Pool{
 		options: options, slots: make(map[string]*slot), open: make(map[*clientConnection]struct{}),
-		stop: make(chan struct{}), becameActive: make(chan struct{}, 1),
+		stop: make(chan struct{}), activeSignal: make(chan struct{}, 1),
 	}
 	p.dialing, p.stopDialing = context.WithCancel(context.Background())
 	p.routines.Add(1)
@@ -102,8 +105,8 @@
 // Counters counts the traffic of all connections of the pool.
 func (p *Pool) Counters() *Counters { return &p.counters }
 
-// OnBroken registers a function that is told the address of each connection
-// that broke while it was in use or whose peer fell silent. It must not block.
+// OnBroken registers a function that is called with the address of each connection
+// that broke while it was in use or whose peer became unresponsive. It must not block.
 func (p *Pool) OnBroken(notify func(address string)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -147,7 +150,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.noteActive()
+	p.signalActive()
 	return opened, nil
 }
 
@@ -166,7 +169,7 @@
 }
 
 // connect returns the connection to an address, and opens it when there is none.
-// It waits no longer than the context, also when another caller has begun to open it.
+// It waits no longer than the context, even when another caller has begun to open it.
 func (p *Pool) connect(ctx context.Context, address string) (*clientConnection, error) {
 	s, err := p.slot(address)
 	if err != nil {
@@ -236,12 +239,12 @@
 
 func (p *Pool) runWriter(connection *clientConnection) {
 	if err := connection.writer.run(connection.done); err != nil {
-		connection.breakWith(err)
+		connection.fail(err)
 	}
 }
 
 func (p *Pool) runReader(s *slot, connection *clientConnection) {
-	connection.breakWith(connection.read())
+	connection.fail(connection.read())
 	s.mutex.Lock()
 	if s.connection == connection {
 		s.connection = nil
@@ -274,7 +277,7 @@
 	p.closed = true
 	p.mutex.Unlock()
 	for _, connection := range p.connections() {
-		connection.breakWith(&ClosedError{})
+		connection.fail(&ClosedError{})
 	}
 	p.routines.Wait()
 }
--- a/internal/transport/wire/purpose.go
+++ b/internal/transport/wire/purpose.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Purpose is what a frame is for. Limits on what control may cost a node count PurposeControl alone.
+// Purpose is what a frame is for. Limits on the cost of control at a node count PurposeControl alone.
 type Purpose int
 
 // The purposes of frames.
@@ -17,17 +17,19 @@
 	PurposeControl
 	// PurposeConsensus frames go between members of the core.
 	PurposeConsensus
-	// PurposeDirectory frames look sessions up or register them.
+	// PurposeDirectory frames look up sessions or register them.
 	PurposeDirectory
-	// PurposeLedger frames are operations on programs and turns, and what stores tell each other for them.
+	// PurposeLedger frames are operations on programs and turns, and those between stores that they cause.
 	PurposeLedger
-	// PurposeTraffic frames are turns and calls on their way to their owner, and the answers.
+	// PurposeTraffic frames are turns and calls that are forwarded to their owner, and the answers.
 	PurposeTraffic
 	purposeCount
 )
 
 // Purposes are all purposes, in the order of their numbers.
-var Purposes = [...]Purpose{PurposeOther, PurposeControl, PurposeConsensus, PurposeDirectory, PurposeLedger, PurposeTraffic}
+var Purposes = [...]Purpose{
+	PurposeOther, PurposeControl, PurposeConsensus, PurposeDirectory, PurposeLedger, PurposeTraffic,
+}
 
 // String is the purpose's label in metrics.
 func (p Purpose) String() string {
@@ -75,7 +77,8 @@
 	case *protocol.Request_LookupSession, *protocol.Request_RegisterSessions, *protocol.Request_UnregisterSessions:
 		return PurposeDirectory
 	case *protocol.Request_Ledger, *protocol.Request_Prepare, *protocol.Request_Accept, *protocol.Request_KeepTurn,
-		*protocol.Request_FetchTurns, *protocol.Request_FetchShard, *protocol.Request_ShardDigest, *protocol.Request_StoreStatus,
+		*protocol.Request_FetchTurns, *protocol.Request_FetchShard, *protocol.Request_ShardDigest,
+		*protocol.Request_StoreStatus,
 		*protocol.Request_StoreBatch, *protocol.Request_FindTurn, *protocol.Request_ListTrainingStep:
 		return PurposeLedger
 	case *protocol.Request_Turn, *protocol.Request_ToolCall, *protocol.Request_ResumeTurn, *protocol.Request_Explain:
@@ -92,7 +95,8 @@
 	case *protocol.Response_LookupSession, *protocol.Response_RegisterSessions, *protocol.Response_UnregisterSessions:
 		return PurposeDirectory
 	case *protocol.Response_Ledger, *protocol.Response_Prepare, *protocol.Response_Accept, *protocol.Response_KeepTurn,
-		*protocol.Response_FetchTurns, *protocol.Response_FetchShard, *protocol.Response_ShardDigest, *protocol.Response_StoreStatus,
+		*protocol.Response_FetchTurns, *protocol.Response_FetchShard, *protocol.Response_ShardDigest,
+		*protocol.Response_StoreStatus,
 		*protocol.Response_StoreBatch, *protocol.Response_FindTurn, *protocol.Response_ListTrainingStep:
 		return PurposeLedger
 	case *protocol.Response_TurnEvent, *protocol.Response_ToolCall, *protocol.Response_Explain:
--- a/internal/transport/wire/purpose_bytes_test.go
+++ b/internal/transport/wire/purpose_bytes_test.go
@@ -15,10 +15,12 @@
 	if request.GetPollControl() != nil {
 		return send(&protocol.Response{Body: &protocol.Response_PollControl{PollControl: &protocol.PollControlResponse{}}})
 	}
-	return send(&protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: &protocol.LookupSessionResponse{}}})
+	return send(
+		&protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: &protocol.LookupSessionResponse{}}},
+	)
 }
 
-func TestBytesAreCountedByWhatTheyAreFor(t *testing.T) {
+func TestBytesAreCountedByPurpose(t *testing.T) {
 	address, _ := startServer(t, echoPoll{})
 	pool := startPool(t, testKey)
 	requests := []*protocol.Request{
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -16,23 +16,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serverSilence closes connections of peers that neither ask nor ping; it is longer than any pool's idle time.
-const serverSilence = 150 * time.Second
+// serverIdleTimeout closes connections without requests and pings; it is longer than any pool's idle timeout.
+const serverIdleTimeout = 150 * time.Second
 
-// acceptPause is the wait after an accept that failed.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryInterval is the wait after an accept that failed.
+const acceptRetryInterval = 50 * time.Millisecond
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
 	// Key is the cluster key.
 	Key []byte
-	// OnRefused is told of each connection whose handshake failed.
+	// OnRejected, if any, is called for each connection whose handshake failed.
 	OnRejected func(remote net.Addr, err error)
-	// OnPanic is told of each handler that panicked, with its stack.
+	// OnPanic, if any, is called for each handler that panicked, with its stack.
 	OnPanic func(recovered any, stack []byte)
 }
 
-// Server serves the connections of one listener.
+// Server serves the connections of one listener. The mutex guards the fields below it.
 type Server struct {
 	listener net.Listener
 	handler  Handler
@@ -47,7 +47,7 @@
 	closed      bool
 }
 
-// NewServer makes a server that Start sets going.
+// NewServer makes a server; Start begins to serve.
 func NewServer(listener net.Listener, handler Handler, options ServerOptions) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{
@@ -69,7 +69,7 @@
 		for {
 			connection, err := s.listener.Accept()
 			if err != nil {
-				if !s.pauseAfter(err) {
+				if !s.waitToAcceptAgain(err) {
 					return
 				}
 				continue
@@ -82,18 +82,18 @@
 	})
 }
 
-// pauseAfter waits a moment after a failed accept, as when file descriptors have
+// waitToAcceptAgain waits after a failed accept, as when file descriptors have
 // run out; it reports false once the server or its listener was closed.
-func (s *Server) pauseAfter(err error) bool {
+func (s *Server) waitToAcceptAgain(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
-	pause := time.NewTimer(acceptPause)
-	defer pause.Stop()
+	timer := time.NewTimer(acceptRetryInterval)
+	defer timer.Stop()
 	select {
 	case <-s.ctx.Done():
 		return false
-	case <-pause.C:
+	case <-timer.C:
 		return true
 	}
 }
@@ -118,7 +118,7 @@
 	s.routines.Done()
 }
 
-// Close stops accepting, cancels the requests under way and waits for their handlers.
+// Close stops accepting, cancels the requests in flight and waits for their handlers.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -135,11 +135,11 @@
 	defer s.untrack(connection)
 	if socket, isSocket := connection.(syscall.Conn); isSocket {
 		if raw, err := socket.SyscallConn(); err == nil {
-			_ = boundUnacknowledged("", "", raw)
+			_ = setUserTimeout("", "", raw)
 		}
 	}
 	reader := bufio.NewReaderSize(&countingReader{connection: connection, counters: &s.counters}, readBufferBytes)
-	if _, err := shakeAsServer(connection, reader, s.options.Key); err != nil {
+	if _, err := serverHandshake(connection, reader, s.options.Key); err != nil {
 		if s.options.OnRejected != nil {
 			s.options.OnRejected(connection.RemoteAddr(), err)
 		}
@@ -150,7 +150,7 @@
 	served.read(reader)
 }
 
-// servedConnection is the serving side of one connection.
+// servedConnection is the serving side of one connection. The mutex guards cancels, by request id.
 type servedConnection struct {
 	server     *Server
 	connection net.Conn
@@ -196,7 +196,7 @@
 	for {
 		if now := time.Now(); now.Sub(refreshed) > deadlineRefresh {
 			refreshed = now
-			if err := c.connection.SetReadDeadline(now.Add(serverSilence)); err != nil {
+			if err := c.connection.SetReadDeadline(now.Add(serverIdleTimeout)); err != nil {
 				return
 			}
 		}
@@ -242,9 +242,9 @@
 		return false
 	}
 	if full {
-		refusal := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "too many requests on one connection",
+		rejection := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "too many requests on one connection",
 			failure.WithRetryAfter(time.Second))
-		return c.end(id, refusal) == nil
+		return c.end(id, rejection) == nil
 	}
 	ctx, cancel := c.requestContext(frame)
 	c.mutex.Lock()
--- a/internal/transport/wire/socket.go
+++ b/internal/transport/wire/socket.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedMillis is how long the kernel keeps a connection whose peer does not acknowledge what was sent.
-const unacknowledgedMillis = 2000
+// userTimeoutMillis is how long, in milliseconds, the kernel keeps a connection whose peer does not acknowledge what
+// was sent.
+const userTimeoutMillis = 2000
 
-// boundUnacknowledged has the kernel end a connection to a machine without power.
-// It is a bound behind the pings; a kernel that refuses it is no fault.
-func boundUnacknowledged(_, _ string, connection syscall.RawConn) error {
+// setUserTimeout has the kernel end a connection to a machine without power.
+// It only backs the pings up, so that its errors are ignored.
+func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unacknowledgedMillis)
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis)
 	})
 }
--- a/internal/transport/wire/watch.go
+++ b/internal/transport/wire/watch.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// watch looks at all connections, often while one of them is active and seldom at rest.
+// watch checks all connections, at activeInterval while one of them is active and at idleInterval otherwise.
 func (p *Pool) watch() {
 	defer p.routines.Done()
-	interval, last := restInterval, time.Now()
+	interval, last := idleInterval, time.Now()
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-p.stop:
 			return
-		case <-p.becameActive:
+		case <-p.activeSignal:
 			if interval > activeInterval {
 				interval, last = activeInterval, time.Now()
 				timer.Reset(interval)
@@ -20,34 +20,34 @@
 		case <-timer.C:
 			now := time.Now()
 			stalled := now.Sub(last) > stallFactor*interval
-			p.watchful.Store(false)
-			interval, last = p.look(now, stalled), now
+			p.checksOften.Store(false)
+			interval, last = p.checkConnections(now, stalled), now
 			timer.Reset(interval)
 		}
 	}
 }
 
-// look checks all connections and returns the time until the next look.
-func (p *Pool) look(now time.Time, stalled bool) time.Duration {
-	interval := restInterval
+// checkConnections checks all connections and returns the time until the next check.
+func (p *Pool) checkConnections(now time.Time, stalled bool) time.Duration {
+	interval := idleInterval
 	for _, connection := range p.connections() {
-		if connection.check(now, p.options.IdleTimeout, stalled) {
+		if connection.checkActivity(now, p.options.IdleTimeout, stalled) {
 			interval = activeInterval
 		}
 	}
 	if interval == activeInterval {
-		p.watchful.Store(true)
+		p.checksOften.Store(true)
 	}
 	return interval
 }
 
-// noteActive has the connections looked at often from now on.
-func (p *Pool) noteActive() {
-	if p.watchful.Swap(true) {
+// signalActive has the connections checked at activeInterval from now on.
+func (p *Pool) signalActive() {
+	if p.checksOften.Swap(true) {
 		return
 	}
 	select {
-	case p.becameActive <- struct{}{}:
+	case p.activeSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -1,7 +1,12 @@
 // Package wire is the internal protocol between processes: protobuf messages in
-// length-prefixed frames over TCP. A connection is opened on demand by the pool
+// length-prefixed frames over TCP. A connection is opened on demand by the Pool
 // of the calling process, proves the cluster key in both directions, carries
-// any number of concurrent exchanges and is closed when idle.
+// any number of concurrent exchanges and is closed when idle. A Server serves it at the other end.
+//
+// Pool and Server are safe for concurrent use. Each connection has a reading and a
+// writing goroutine at either end, and each request that is served has one of its own; Close
+// ends them all and waits for them. One goroutine of the pool checks all connections: it pings peers that
+// owe answers, and breaks connections whose peers are unresponsive.
 package wire
 
 import (
@@ -13,28 +18,28 @@
 )
 
 const (
-	// ProtocolVersion is refused by a peer that speaks another one.
+	// ProtocolVersion is that of this process; a peer with another one ends the handshake.
 	ProtocolVersion = 1
-	// MaxFrameBytes bounds one frame; larger ones end the connection.
+	// MaxFrameBytes is the maximum length of a frame; a larger one ends the connection.
 	MaxFrameBytes = 16 << 20
 
 	handshakeTimeout   = 3 * time.Second
 	writeTimeout       = 10 * time.Second
 	defaultIdleTimeout = 15 * time.Second
-	// defaultConnectTimeout bounds the opening of a connection; a machine without power answers nothing.
+	// defaultConnectTimeout bounds the connecting; a machine without power does not answer.
 	defaultConnectTimeout = 300 * time.Millisecond
-	// defaultDialTimeout bounds connecting and the handshake; a frozen process accepts and says nothing.
+	// defaultDialTimeout bounds connecting and the handshake; a frozen process accepts and does not answer.
 	defaultDialTimeout  = time.Second
 	defaultCallDeadline = 30 * time.Second
-	// deadlineRefresh is how old a deadline of a connection may be before it is set anew.
+	// deadlineRefresh is how old a deadline of a connection may be before it is renewed.
 	deadlineRefresh = time.Second
-	// answerQueue bounds the answers of one exchange that wait for a slow receiver.
-	answerQueue = 8192
-	// maxSpareBytes is the largest write buffer that a connection keeps for its next frames.
-	maxSpareBytes = 32 << 10
-	// maxPendingBytes bounds what waits to be written on one connection.
+	// maxQueuedAnswers is the maximum number of answers of one exchange that wait for its receiver.
+	maxQueuedAnswers = 8192
+	// maxReusedBufferBytes is the maximum size of a buffer that a connection keeps for its next frames.
+	maxReusedBufferBytes = 32 << 10
+	// maxPendingBytes is the maximum number of bytes that wait to be written on one connection.
 	maxPendingBytes = 32 << 20
-	// maxConcurrentPerConnection bounds the requests one peer may have under way on a connection.
+	// maxConcurrentPerConnection is the maximum number of requests in flight of one peer on a connection.
 	maxConcurrentPerConnection = 4096
 )
 
@@ -47,11 +52,12 @@
 	Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error
 }
 
-// Caller makes requests to peers by their internal address (ip:port).
+// Caller makes requests to peers by their internal address (ip:port). It is safe for concurrent use.
 type Caller interface {
-	// Call returns the one answer of a request.
+	// Call returns the one answer of a request. Its error is a *failure.Error of the peer, a *NotSentError, a
+	// *BrokenError, an *EmptyAnswerError or the context's.
 	Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error)
-	// Open begins an exchange that has any number of answers.
+	// Open begins an exchange with any number of answers. Its error is a *NotSentError.
 	Open(ctx context.Context, address string, request *protocol.Request) (Stream, error)
 }
 
@@ -59,16 +65,17 @@
 type Stream interface {
 	// Receive returns the next answer, io.EOF after the last one, or the error that ended the exchange.
 	Receive() (*protocol.Response, error)
-	// Close gives the exchange up; the peer is told unless it had ended.
+	// Close ends the exchange; it is cancelled at the peer unless it had ended.
 	Close()
 }
 
-// NotSentError says that a request surely never reached the peer's handler.
+// NotSentError is the error of a request that provably never reached the peer's handler.
 type NotSentError struct {
 	Address string
 	Cause   error
 }
 
+// Error implements error.
 func (e *NotSentError) Error() string {
 	return fmt.Sprintf("request not sent to %s: %v", e.Address, e.Cause)
 }
@@ -76,12 +83,13 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// BrokenError says that the connection broke while a request was under way: it may or may not have been served.
+// BrokenError is the error of a request in flight whose connection broke: it may or may not have been served.
 type BrokenError struct {
 	Address string
 	Cause   error
 }
 
+// Error implements error.
 func (e *BrokenError) Error() string {
 	return fmt.Sprintf("connection to %s broke: %v", e.Address, e.Cause)
 }
@@ -89,40 +97,47 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// HandshakeError says that the peer did not prove the cluster key or speaks another protocol version.
+// HandshakeError is the error of a handshake in which the peer did not prove the cluster key or has another protocol
+// version.
 type HandshakeError struct {
 	Reason string
 }
 
+// Error implements error.
 func (e *HandshakeError) Error() string { return "handshake failed: " + e.Reason }
 
-// FrameError says that a frame broke the rules of the protocol.
+// FrameError is a violation of the protocol by a frame.
 type FrameError struct {
 	Reason string
 }
 
+// Error implements error.
 func (e *FrameError) Error() string { return "bad frame: " + e.Reason }
 
-// EmptyAnswerError says that an exchange ended without the one answer expected.
+// EmptyAnswerError is the error of an exchange that ended without its one answer.
 type EmptyAnswerError struct {
 	Address string
 }
 
+// Error implements error.
 func (e *EmptyAnswerError) Error() string { return "no answer from " + e.Address }
 
-// ClosedError says that the pool or server was closed.
+// ClosedError is the error of requests after the pool or server was closed.
 type ClosedError struct{}
 
+// Error implements error.
 func (e *ClosedError) Error() string { return "closed" }
 
-// SilentPeerError says that a peer answered neither requests nor pings for the limit.
+// UnresponsivePeerError breaks a connection whose peer answered neither requests nor pings for that long.
 type UnresponsivePeerError struct {
-	Limit time.Duration
+	For time.Duration
 }
 
-func (e *UnresponsivePeerError) Error() string { return "peer was silent for " + e.Limit.String() }
+// Error implements error.
+func (e *UnresponsivePeerError) Error() string { return "peer unresponsive for " + e.For.String() }
 
-// IdleError says that a connection was closed because nobody used it.
+// IdleError ends a connection that was not used for the idle timeout.
 type IdleError struct{}
 
+// Error implements error.
 func (e *IdleError) Error() string { return "connection was idle" }
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -28,7 +28,7 @@
 
 func startServer(t *testing.T, handler wire.Handler) (address string, server *wire.Server) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,14 +81,15 @@
 }
 
 func TestStreamsKeepTheirOrderAndEnd(t *testing.T) {
-	address, _ := startServer(t, handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
-		for i := range 1000 {
-			if err := send(explained(time.Duration(i).String())); err != nil {
-				return err
+	address, _ := startServer(t,
+		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+			for i := range 1000 {
+				if err := send(explained(time.Duration(i).String())); err != nil {
+					return err
+				}
 			}
-		}
-		return nil
-	}))
+			return nil
+		}))
 	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +107,10 @@
 }
 
 func TestFailuresKeepTheirType(t *testing.T) {
-	address, _ := startServer(t, handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
-		return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "ask another")
-	}))
+	address, _ := startServer(t,
+		handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
+			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "ask another")
+		}))
 	_, err := startPool(t, testKey).Call(context.Background(), address, explain("x"))
 	if !failure.Is(err, failure.NotLeader) {
 		t.Fatalf("got %v", err)
@@ -117,12 +119,13 @@
 
 func TestClosingAStreamCancelsTheHandler(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	address, _ := startServer(t, handlerFunc(func(ctx context.Context, _ *protocol.Request, _ func(*protocol.Response) error) error {
-		close(began)
-		<-ctx.Done()
-		close(ended)
-		return ctx.Err()
-	}))
+	address, _ := startServer(t,
+		handlerFunc(func(ctx context.Context, _ *protocol.Request, _ func(*protocol.Response) error) error {
+			close(began)
+			<-ctx.Done()
+			close(ended)
+			return ctx.Err()
+		}))
 	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
 	if err != nil {
 		t.Fatal(err)
@@ -132,13 +135,14 @@
 	<-ended
 }
 
-func TestABrokenConnectionIsNotMistakenForARefusal(t *testing.T) {
+func TestBrokenConnectionIsNotMistakenForARejection(t *testing.T) {
 	began := make(chan struct{})
-	address, server := startServer(t, handlerFunc(func(ctx context.Context, _ *protocol.Request, _ func(*protocol.Response) error) error {
-		close(began)
-		<-ctx.Done()
-		return ctx.Err()
-	}))
+	address, server := startServer(t,
+		handlerFunc(func(ctx context.Context, _ *protocol.Request, _ func(*protocol.Response) error) error {
+			close(began)
+			<-ctx.Done()
+			return ctx.Err()
+		}))
 	pool := startPool(t, testKey)
 	told := make(chan string, 1)
 	pool.OnBroken(func(broken string) { told <- broken })
@@ -153,7 +157,7 @@
 		t.Fatalf("got %v", err)
 	}
 	if got := <-told; got != address {
-		t.Fatalf("told of %s", got)
+		t.Fatalf("notified of %s", got)
 	}
 	var notSent *wire.NotSentError
 	if _, err := pool.Call(context.Background(), address, explain("y")); !errors.As(err, &notSent) {
@@ -161,14 +165,16 @@
 	}
 }
 
-func TestAWrongKeyIsRefusedInBothDirections(t *testing.T) {
+func TestWrongKeyIsRejectedInBothDirections(t *testing.T) {
 	served := false
-	address, _ := startServer(t, handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
-		served = true
-		return nil
-	}))
+	address, _ := startServer(t,
+		handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
+			served = true
+			return nil
+		}))
 	var notSent *wire.NotSentError
-	if _, err := startPool(t, []byte("another")).Call(context.Background(), address, explain("x")); !errors.As(err, &notSent) {
+	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explain("x"))
+	if !errors.As(err, &notSent) {
 		t.Fatalf("got %v", err)
 	}
 	if served {
@@ -189,10 +195,11 @@
 
 func TestReplayedTruncatedAndOversizedBytesServeNothing(t *testing.T) {
 	count := 0
-	address, server := startServer(t, handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
-		count++
-		return send(explained("x"))
-	}))
+	address, server := startServer(t,
+		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+			count++
+			return send(explained("x"))
+		}))
 	var recorded *record
 	pool := wire.NewPool(wire.PoolOptions{Key: testKey, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -207,7 +214,7 @@
 	for name, bytes := range map[string][]byte{
 		"replayed": recorded.sent, "truncated": recorded.sent[:20], "oversized": oversized, "empty": nil,
 	} {
-		connection, err := net.Dial("tcp", address)
+		connection, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -226,16 +233,17 @@
 	server.Close()
 }
 
-func TestADeadlineTravelsWithTheRequest(t *testing.T) {
+func TestDeadlineIsPropagatedWithTheRequest(t *testing.T) {
 	left := make(chan time.Duration, 1)
-	address, _ := startServer(t, handlerFunc(func(ctx context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
-		deadline, has := ctx.Deadline()
-		if !has {
-			return errors.New("no deadline")
-		}
-		left <- time.Until(deadline)
-		return send(explained("x"))
-	}))
+	address, _ := startServer(t,
+		handlerFunc(func(ctx context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+			deadline, has := ctx.Deadline()
+			if !has {
+				return errors.New("no deadline")
+			}
+			left <- time.Until(deadline)
+			return send(explained("x"))
+		}))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if _, err := startPool(t, testKey).Call(ctx, address, explain("x")); err != nil {
@@ -246,13 +254,14 @@
 	}
 }
 
-func TestAPanickingHandlerEndsOnlyItsOwnExchange(t *testing.T) {
-	address, server := startServer(t, handlerFunc(func(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-		if request.GetExplain().GetRequestId() == "bad" {
-			panic("a fault in the handler")
-		}
-		return echo(ctx, request, send)
-	}))
+func TestPanickingHandlerEndsOnlyItsOwnExchange(t *testing.T) {
+	address, server := startServer(t,
+		handlerFunc(func(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
+			if request.GetExplain().GetRequestId() == "bad" {
+				panic("a fault in the handler")
+			}
+			return echo(ctx, request, send)
+		}))
 	pool := startPool(t, testKey)
 	_, err := pool.Call(context.Background(), address, explain("bad"))
 	if !failure.Is(err, failure.InternalError) || failure.From(err).GetOutcome() != protocol.Outcome_UNKNOWN {
@@ -280,8 +289,8 @@
 	return nil, errors.New("too many open files")
 }
 
-func TestAListenerThatFailsForEverStillCloses(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+func TestListenerThatAlwaysFailsStillCloses(t *testing.T) {
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -23,23 +23,24 @@
 	Panics atomic.Uint64
 }
 
-// frameWriter gathers the frames of all exchanges on a connection and writes
-// what has gathered in one call, so that many small frames cost one system call.
+// frameWriter queues the frames of all exchanges on a connection and writes
+// all queued ones in one call, so that many small frames cost one system call. The mutex guards
+// pending, reusable and failed.
 type frameWriter struct {
 	connection net.Conn
 	counters   *Counters
 
-	mutex   sync.Mutex
-	pending []byte
-	spare   []byte
-	failed  error
-	wake    chan struct{}
+	mutex    sync.Mutex
+	pending  []byte
+	reusable []byte
+	failed   error
+	notify   chan struct{}
 	// refreshed is when the write deadline was last set; only the writing goroutine uses it.
 	refreshed time.Time
 }
 
 func newFrameWriter(connection net.Conn, counters *Counters) *frameWriter {
-	return &frameWriter{connection: connection, counters: counters, wake: make(chan struct{}, 1)}
+	return &frameWriter{connection: connection, counters: counters, notify: make(chan struct{}, 1)}
 }
 
 // write queues one frame. It fails when the connection is broken or the peer
@@ -63,7 +64,7 @@
 	w.pending = extended
 	w.counters.SentFrames.Add(1)
 	select {
-	case w.wake <- struct{}{}:
+	case w.notify <- struct{}{}:
 	default:
 	}
 	return nil
@@ -75,7 +76,7 @@
 		select {
 		case <-done:
 			return nil
-		case <-w.wake:
+		case <-w.notify:
 		}
 		if err := w.flush(); err != nil {
 			return err
@@ -86,8 +87,8 @@
 func (w *frameWriter) flush() error {
 	w.mutex.Lock()
 	batch := w.pending
-	w.pending = w.spare[:0]
-	w.spare = nil
+	w.pending = w.reusable[:0]
+	w.reusable = nil
 	w.mutex.Unlock()
 	if len(batch) > 0 {
 		if now := time.Now(); now.Sub(w.refreshed) > deadlineRefresh {
@@ -101,11 +102,11 @@
 		}
 		w.counters.SentBytes.Add(uint64(len(batch)))
 	}
-	if cap(batch) > maxSpareBytes {
+	if cap(batch) > maxReusedBufferBytes {
 		return nil
 	}
 	w.mutex.Lock()
-	w.spare = batch
+	w.reusable = batch
 	w.mutex.Unlock()
 	return nil
 }
@@ -119,7 +120,7 @@
 	w.mutex.Unlock()
 }
 
-// countingReader counts what is read from a connection.
+// countingReader counts the bytes read from a connection.
 type countingReader struct {
 	connection net.Conn
 	counters   *Counters
