--- a/internal/dataplane/front/http_issue.go
+++ b/internal/dataplane/front/http_issue.go
@@ -197,7 +197,7 @@
 func (c *routeClient) forgetRemoved(former, current *backEnds) {
 	for id, server := range former.byID {
 		if current.byID[id] == nil {
-			c.pool.Forget(server.description.Load().GetAddress())
+			c.pool.CloseIdle(server.description.Load().GetAddress())
 		}
 	}
 }
--- a/internal/transport/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestBytesThatAreNoAnswerMayStandForARunRequest(t *testing.T) {
+func TestMalformedAnswerMeansTheRequestMayHaveRun(t *testing.T) {
 	for name, answer := range map[string]string{
 		"nothing":               "",
 		"no protocol":           "hello\r\n\r\n",
@@ -65,13 +65,16 @@
 		answer  string
 		isTaken bool
 	}{
-		"as large as is allowed":               {answer: headOf(serverconn.MaxHeadBytes) + "ab", isTaken: true},
-		"a byte larger":                        {answer: headOf(serverconn.MaxHeadBytes+1) + "ab"},
-		"one header without an end":            {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 4*serverconn.MaxHeadBytes)},
-		"a status line without an end":         {answer: "HTTP/1.1 200 " + strings.Repeat("x", 4*serverconn.MaxHeadBytes)},
-		"provisional answers without an end":   {answer: strings.Repeat(provisional, 4*serverconn.MaxHeadBytes/len(provisional))},
-		"a large one after a provisional one":  {answer: provisional + headOf(serverconn.MaxHeadBytes) + "ab"},
-		"a small one, and a body that is long": {answer: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 4*serverconn.MaxHeadBytes), isTaken: true},
+		"as large as is allowed": {answer: headOf(serverconn.MaxHeadBytes) + "ab", isTaken: true},
+		"a byte larger":          {answer: headOf(serverconn.MaxHeadBytes+1) + "ab"},
+		"one header without an end": {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x",
+			4*serverconn.MaxHeadBytes)},
+		"a status line without an end": {answer: "HTTP/1.1 200 " + strings.Repeat("x", 4*serverconn.MaxHeadBytes)},
+		"provisional answers without an end": {answer: strings.Repeat(provisional,
+			4*serverconn.MaxHeadBytes/len(provisional))},
+		"a large one after a provisional one": {answer: provisional + headOf(serverconn.MaxHeadBytes) + "ab"},
+		"a small one, and a body that is long": {answer: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x",
+			4*serverconn.MaxHeadBytes), isTaken: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			served := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -100,7 +103,7 @@
 	}
 }
 
-func TestAConnectionWithAHeadThatIsTooLargeIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithATooLargeHeadIsNotReused(t *testing.T) {
 	served := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			request, _ := readRequest(t, reader)
@@ -121,7 +124,7 @@
 	}
 }
 
-func TestTheBoundOfHeadsCountsForEachExchange(t *testing.T) {
+func TestHeadBoundAppliesToEachExchange(t *testing.T) {
 	served := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			request, _ := readRequest(t, reader)
@@ -133,7 +136,7 @@
 	})
 	pool := newPool(t, serverconn.Options{})
 	for range 3 {
-		if got := whole(t, pool, served.address(), "a"); got != "ab" {
+		if got := readAll(t, pool, served.address(), "a"); got != "ab" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -142,11 +145,11 @@
 	}
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnectionAndIsNotReused(t *testing.T) {
+func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	ending := once(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
 	for range 2 {
-		if got := whole(t, pool, ending.address(), "a"); got != "until the end" {
+		if got := readAll(t, pool, ending.address(), "a"); got != "until the end" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -155,7 +158,7 @@
 	}
 }
 
-func TestAnAnswerWithoutALengthThatIsResetIsNotWhole(t *testing.T) {
+func TestResetAnswerWithoutALengthIsNotComplete(t *testing.T) {
 	resetting := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		// The body stays unread, so that closing resets the connection.
 		if _, err := reader.ReadString('\n'); err != nil {
@@ -182,7 +185,7 @@
 	}
 }
 
-func TestAnAnswerLargerThanTheBoundIsNotTaken(t *testing.T) {
+func TestAnswerLargerThanTheLimitIsRejected(t *testing.T) {
 	large := once(t, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nlarger body")
 	pool := newPool(t, serverconn.Options{})
 	response, err := pool.Do(context.Background(), large.address(), post("a"))
@@ -196,7 +199,7 @@
 	}
 }
 
-func TestARequestWhoseTimeIsOverIsNotSent(t *testing.T) {
+func TestRequestAfterItsDeadlineIsNotSent(t *testing.T) {
 	dialed := false
 	pool := newPool(t, serverconn.Options{Dial: func(context.Context, string) (net.Conn, error) {
 		dialed = true
@@ -210,7 +213,7 @@
 	}
 }
 
-func TestAConnectionWhoseAnswerWasNotReadWholeIsNotReused(t *testing.T) {
+func TestConnectionWithAnUnreadAnswerIsNotReused(t *testing.T) {
 	keeping := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			if request, _ := readRequest(t, reader); request == nil {
@@ -225,13 +228,13 @@
 		t.Fatal(err)
 	}
 	response.Close()
-	whole(t, pool, keeping.address(), "b")
+	readAll(t, pool, keeping.address(), "b")
 	if pool.Opened() != 2 {
 		t.Fatalf("%d connections were opened", pool.Opened())
 	}
 }
 
-func TestForgottenConnectionsAreNotUsedForTheNextServerAtTheirAddress(t *testing.T) {
+func TestClosedIdleConnectionsAreNotUsedForTheNextServerAtTheirAddress(t *testing.T) {
 	keeping := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			if request, _ := readRequest(t, reader); request == nil {
@@ -241,26 +244,26 @@
 		}
 	})
 	pool := newPool(t, serverconn.Options{})
-	whole(t, pool, keeping.address(), "a")
-	pool.Forget(keeping.address())
-	whole(t, pool, keeping.address(), "b")
+	readAll(t, pool, keeping.address(), "a")
+	pool.CloseIdle(keeping.address())
+	readAll(t, pool, keeping.address(), "b")
 	if pool.Opened() != 2 {
 		t.Fatalf("%d connections were opened", pool.Opened())
 	}
 }
 
-func TestAnAnswerWithoutALengthToALargeRequestIsWhole(t *testing.T) {
+func TestAnswerWithoutALengthToALargeRequestIsComplete(t *testing.T) {
 	ending := once(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
 	// Whether the writer or the reader is done first is the scheduler's choice; both must come up.
 	for range 200 {
-		if got := whole(t, pool, ending.address(), strings.Repeat("x", 16<<10)); got != "until the end" {
+		if got := readAll(t, pool, ending.address(), strings.Repeat("x", 16<<10)); got != "until the end" {
 			t.Fatalf("got %q", got)
 		}
 	}
 }
 
-func TestAConnectionIsUsedAgainAfterALargeRequest(t *testing.T) {
+func TestConnectionIsReusedAfterALargeRequest(t *testing.T) {
 	keeping := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			if request, _ := readRequest(t, reader); request == nil {
@@ -271,7 +274,7 @@
 	})
 	pool := newPool(t, serverconn.Options{})
 	for range 200 {
-		whole(t, pool, keeping.address(), strings.Repeat("x", 16<<10))
+		readAll(t, pool, keeping.address(), strings.Repeat("x", 16<<10))
 	}
 	if pool.Opened() != 1 {
 		t.Fatalf("%d connections were opened", pool.Opened())
--- a/internal/transport/serverconn/connection.go
+++ b/internal/transport/serverconn/connection.go
@@ -14,57 +14,59 @@
 type connection struct {
 	address string
 	net.Conn
-	source  *boundedSource
+	bounded *boundedReader
 	reader  *bufio.Reader
 	expires time.Time
 }
 
 func newConnection(address string, opened net.Conn) *connection {
-	source := &boundedSource{from: opened}
-	return &connection{address: address, Conn: opened, source: source, reader: bufio.NewReaderSize(source, readBufferBytes)}
+	source := &boundedReader{source: opened}
+	return &connection{
+		address: address, Conn: opened, bounded: source, reader: bufio.NewReaderSize(source, readBufferBytes),
+	}
 }
 
-// boundedSource reads from a connection, up to a bound while there is one.
-type boundedSource struct {
-	from    io.Reader
-	bounded bool
-	left    int64
-	// exceeded is set once more than the bound was asked for: readers of lines hide the error of a line cut short.
+// boundedReader reads from a connection, up to a bound while there is one.
+type boundedReader struct {
+	source io.Reader
+	active bool
+	left   int64
+	// exceeded is set once more than the bound was requested: readers of lines hide the error of a truncated line.
 	exceeded bool
 }
 
-// bound lets so many more bytes be read before a *HeadTooLargeError.
-func (s *boundedSource) bound(limit int64) { s.bounded, s.left = true, limit }
+// bound allows so many more bytes before a *HeadTooLargeError.
+func (s *boundedReader) bound(limit int64) { s.active, s.left = true, limit }
 
-// unbound lets any number of bytes be read.
-func (s *boundedSource) unbound() { s.bounded = false }
+// unbound removes the bound.
+func (s *boundedReader) unbound() { s.active = false }
 
 // Read implements io.Reader.
-func (s *boundedSource) Read(buffer []byte) (int, error) {
-	if !s.bounded {
-		return s.from.Read(buffer)
+func (s *boundedReader) Read(buffer []byte) (int, error) {
+	if !s.active {
+		return s.source.Read(buffer)
 	}
 	if s.left <= 0 {
 		s.exceeded = true
 		return 0, &HeadTooLargeError{Limit: MaxHeadBytes}
 	}
-	count, err := s.from.Read(buffer[:min(int64(len(buffer)), s.left)])
+	count, err := s.source.Read(buffer[:min(int64(len(buffer)), s.left)])
 	s.left -= int64(count)
 	return count, err
 }
 
-// unreadTeller is a connection that is no socket and tells itself whether something has arrived that was not read.
-type unreadTeller interface{ HasUnread() bool }
+// unreadReporter is a connection that is not a socket and reports itself whether unread bytes have arrived.
+type unreadReporter interface{ HasUnread() bool }
 
 func (c *connection) close() { _ = c.Close() }
 
-// isClean reports whether nothing has arrived on a resting connection: neither
-// its end nor bytes that belong to no request.
+// isClean reports whether nothing has arrived on an idle connection: neither
+// its end nor bytes that do not belong to a request.
 func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if simulated, isSimulated := c.Conn.(unreadTeller); isSimulated {
+	if simulated, isSimulated := c.Conn.(unreadReporter); isSimulated {
 		return !simulated.HasUnread()
 	}
 	raw, isSocket := c.Conn.(syscall.Conn)
--- a/internal/transport/serverconn/exchange.go
+++ b/internal/transport/serverconn/exchange.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// writeAsideBytes is the size from which a request is written beside reading
-	// the answer, since a server may answer before it has read the whole.
-	writeAsideBytes = 8 << 10
-	keepAliveHeader = "Keep-Alive"
-	// MaxHeadBytes bounds status line and headers of an answer, those of the provisional answers before it included.
+	// concurrentWriteBytes is the size from which a request is written while the answer is read,
+	// since a server may answer before it has read the complete request.
+	concurrentWriteBytes = 8 << 10
+	keepAliveHeader      = "Keep-Alive"
+	// MaxHeadBytes bounds status line and headers of an answer, those of the informational (1xx) answers before it
+	// included.
 	MaxHeadBytes = 64 << 10
 )
 
-// Request is one request to a server. Method, Target, Host and Headers go as they are.
+// Request is one request to a server. Method, Target, Host and Headers are sent unchanged.
 type Request struct {
 	Method  string
 	Target  string
@@ -40,28 +41,28 @@
 	connection *connection
 	answer     *http.Response
 	stop       func() bool
-	// written gives the result of a write beside reading, which writeFault keeps once it was taken.
-	written    <-chan error
-	writeFault error
-	whole      bool
+	// writeResult delivers the result of a concurrent write; writeErr is that result once it was received.
+	writeResult <-chan error
+	writeErr    error
+	complete    bool
 }
 
-// longAgo is a deadline that ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
 
 // Do sends a request to the server at an address and returns when the head of
-// its answer is there. The exchange ends when the context does. The error is a
+// its answer has arrived. The exchange ends when the context does. The error is a
 // *NotSentError when no byte left, else a *BrokenError.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Address: address, Cause: err}
 	}
-	used, err := p.take(ctx, address)
+	used, err := p.acquire(ctx, address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Cause: err}
 	}
 	response := &Response{pool: p, connection: used}
-	response.stop = context.AfterFunc(ctx, func() { _ = used.SetDeadline(longAgo) })
+	response.stop = context.AfterFunc(ctx, func() { _ = used.SetDeadline(pastDeadline) })
 	if err := response.exchange(request); err != nil {
 		response.abandon()
 		if cause := ctx.Err(); cause != nil {
@@ -77,18 +78,18 @@
 	if err := r.write(message); err != nil {
 		return err
 	}
-	answer, err := readHead(r.connection, request.Method)
+	answer, err := readHead(r.connection, request.Method) //nolint:bodyclose // Close and Discard end its connection
 	if err != nil {
 		return err
 	}
 	r.answer = answer
 	r.Status, r.Header = answer.StatusCode, answer.Header
-	r.Body = &wholeReader{response: r}
+	r.Body = &bodyReader{response: r}
 	return nil
 }
 
 func (r *Response) write(message []byte) error {
-	if len(message) < writeAsideBytes {
+	if len(message) < concurrentWriteBytes {
 		_, err := r.connection.Write(message)
 		return err
 	}
@@ -98,17 +99,17 @@
 		_, err := connection.Write(message)
 		written <- err
 	}()
-	r.written = written
+	r.writeResult = written
 	return nil
 }
 
-// readHead skips provisional answers. The error is a *HeadTooLargeError when the head goes beyond its bound.
+// readHead skips informational answers. The error is a *HeadTooLargeError when the head exceeds MaxHeadBytes.
 func readHead(from *connection, method string) (*http.Response, error) {
-	from.source.bound(MaxHeadBytes)
-	defer from.source.unbound()
+	from.bounded.bound(MaxHeadBytes)
+	defer from.bounded.unbound()
 	for {
 		answer, err := http.ReadResponse(from.reader, &http.Request{Method: method})
-		if from.source.exceeded {
+		if from.bounded.exceeded {
 			return nil, &HeadTooLargeError{Limit: MaxHeadBytes}
 		}
 		if err != nil {
@@ -136,7 +137,7 @@
 		message.WriteString(header.GetValue())
 		message.WriteString("\r\n")
 	}
-	if len(request.Body) > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
+	if hasLength(request) {
 		message.WriteString("Content-Length: ")
 		message.WriteString(strconv.Itoa(len(request.Body)))
 		message.WriteString("\r\n")
@@ -146,41 +147,52 @@
 	return message.Bytes()
 }
 
-// wholeReader reads the body and notes when all of it was read.
-type wholeReader struct{ response *Response }
+// hasLength reports whether a request names its length, which is so without a body where the method suggests one.
+func hasLength(request *Request) bool {
+	switch request.Method {
+	case http.MethodPost, http.MethodPut, http.MethodPatch:
+		return true
+	default:
+		return len(request.Body) > 0
+	}
+}
+
+// bodyReader reads the body and records when it is complete.
+type bodyReader struct{ response *Response }
 
-func (w *wholeReader) Read(buffer []byte) (int, error) {
+// Read implements io.Reader.
+func (w *bodyReader) Read(buffer []byte) (int, error) {
 	count, err := w.response.answer.Body.Read(buffer)
 	if err != io.EOF {
 		return count, err
 	}
-	if !w.response.endIsProved() {
+	if !w.response.endProved() {
 		return count, io.ErrUnexpectedEOF
 	}
-	w.response.whole = true
+	w.response.complete = true
 	return count, io.EOF
 }
 
-// endIsProved reports whether the end of the body is the server's own. A body
+// endProved reports whether the end of the body is the server's own. A body
 // without a length ends with its connection; while a request is being written, a
-// reset may be told to the writer alone and look like an end to the reader.
-func (r *Response) endIsProved() bool {
+// reset may be reported to the writer alone and look like an end to the reader.
+func (r *Response) endProved() bool {
 	hasLength := r.answer.ContentLength >= 0 || len(r.answer.TransferEncoding) > 0 || r.answer.Body == http.NoBody
-	return hasLength || r.isWritten()
+	return hasLength || r.requestWritten()
 }
 
-// isWritten reports whether the whole request was written. A write that still waits for the server to read is given up;
-// one that has handed everything over may only not have said so yet.
-func (r *Response) isWritten() bool {
-	if r.written != nil {
-		_ = r.connection.SetWriteDeadline(longAgo)
-		r.writeFault = <-r.written
-		r.written = nil
+// requestWritten reports whether the complete request was written. A write that still waits for the server to read is
+// cancelled; one that is complete but has not returned yet is not affected.
+func (r *Response) requestWritten() bool {
+	if r.writeResult != nil {
+		_ = r.connection.SetWriteDeadline(pastDeadline)
+		r.writeErr = <-r.writeResult
+		r.writeResult = nil
 	}
-	return r.writeFault == nil
+	return r.writeErr == nil
 }
 
-// ReadAll reads the whole body up to a limit.
+// ReadAll reads the complete body. The error is a *TooLargeError beyond the limit, in bytes, else a *BrokenError.
 func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -192,18 +204,18 @@
 	return body, nil
 }
 
-// Close ends the exchange. The connection rests for the next one when the
-// request was written and the answer read whole and nothing more came.
+// Close ends the exchange. The connection is reused when the
+// request was written, the answer was read completely and nothing more arrived.
 func (r *Response) Close() {
 	live := r.stop()
 	if !live || !r.reusable() {
 		r.connection.close()
 		return
 	}
-	r.pool.put(r.connection, restingLife(r.Header))
+	r.pool.release(r.connection, serverIdleTimeout(r.Header))
 }
 
-// Discard ends the exchange and its connection, which may still carry bytes of another answer.
+// Discard ends the exchange and its connection, on which bytes of another answer may still arrive.
 func (r *Response) Discard() { r.abandon() }
 
 func (r *Response) abandon() {
@@ -212,18 +224,18 @@
 }
 
 func (r *Response) reusable() bool {
-	if !r.whole || r.answer.Close || r.connection.reader.Buffered() > 0 {
+	if !r.complete || r.answer.Close || r.connection.reader.Buffered() > 0 {
 		return false
 	}
-	if !r.isWritten() {
+	if !r.requestWritten() {
 		// The server answered before it had read the request.
 		return false
 	}
 	return r.connection.SetWriteDeadline(time.Time{}) == nil
 }
 
-// restingLife reads how long a server keeps a resting connection; zero is unknown.
-func restingLife(header http.Header) time.Duration {
+// serverIdleTimeout is how long a server keeps an idle connection, by its Keep-Alive header; 0 is unknown.
+func serverIdleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get(keepAliveHeader), ",") {
 		name, text, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
--- a/internal/transport/serverconn/pool.go
+++ b/internal/transport/serverconn/pool.go
@@ -10,25 +10,26 @@
 // Defaults of Options.
 const (
 	DefaultDialTimeout = 600 * time.Millisecond
-	// DefaultIdleLife is how long a connection may rest unless its server says otherwise.
-	DefaultIdleLife = 30 * time.Second
-	// idleMargin is kept from the time after which a server says that it closes a resting connection.
+	// DefaultIdleTimeout is how long a connection may be idle unless its server names a shorter time.
+	DefaultIdleTimeout = 30 * time.Second
+	// idleMargin is subtracted from the time after which a server closes an idle connection.
 	idleMargin = 500 * time.Millisecond
-	// keepAliveProbe is how often a silent connection is probed, so that a server without power is noticed.
-	keepAliveProbe = 5 * time.Second
+	// keepAliveInterval is the interval of TCP keep-alive probes, so that a server without power is detected.
+	keepAliveInterval = 5 * time.Second
 )
 
 // Options configure a Pool; zero values take the defaults.
 type Options struct {
 	DialTimeout time.Duration
-	IdleLife    time.Duration
-	// Now tells the time, by which resting connections expire.
+	IdleTimeout time.Duration
+	// Now is the clock by which idle connections expire; time.Now by default.
 	Now func() time.Time
 	// Dial opens a connection; TCP by default.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool keeps connections to servers by address. It is safe for concurrent use.
+// Pool has the idle connections to servers, by address. It is safe for concurrent use; the mutex guards the fields
+// below it.
 type Pool struct {
 	options Options
 
@@ -43,15 +44,15 @@
 	if options.DialTimeout == 0 {
 		options.DialTimeout = DefaultDialTimeout
 	}
-	if options.IdleLife == 0 {
-		options.IdleLife = DefaultIdleLife
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = DefaultIdleTimeout
 	}
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	if options.Dial == nil {
 		dialer := &net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveProbe, Interval: keepAliveProbe, Count: 2,
+			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2,
 		}}
 		options.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
@@ -67,55 +68,55 @@
 	return p.opened
 }
 
-// Forget closes the resting connections to an address whose server is gone.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address, whose server was removed.
+func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
-	resting := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mutex.Unlock()
-	for _, each := range resting {
+	for _, each := range idle {
 		each.close()
 	}
 }
 
-// Close closes all resting connections; those in use close when their exchange ends.
+// Close closes all idle connections; those in use close when their exchange ends.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
-	idle := p.idle
+	idleByAddress := p.idle
 	p.idle = make(map[string][]*connection)
 	p.mutex.Unlock()
-	for _, resting := range idle {
-		for _, each := range resting {
+	for _, idle := range idleByAddress {
+		for _, each := range idle {
 			each.close()
 		}
 	}
 }
 
-// take returns a resting connection that is proved clean, or opens one.
-func (p *Pool) take(ctx context.Context, address string) (*connection, error) {
+// acquire returns an idle connection that is proved clean, or opens one.
+func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
-		resting := p.pop(address)
-		if resting == nil {
+		idle := p.popIdle(address)
+		if idle == nil {
 			return p.open(ctx, address)
 		}
-		if p.options.Now().Before(resting.expires) && resting.isClean() {
-			return resting, nil
+		if p.options.Now().Before(idle.expires) && idle.isClean() {
+			return idle, nil
 		}
-		resting.close()
+		idle.close()
 	}
 }
 
-func (p *Pool) pop(address string) *connection {
+func (p *Pool) popIdle(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	resting := p.idle[address]
-	if len(resting) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := resting[len(resting)-1]
-	resting[len(resting)-1] = nil
-	p.idle[address] = resting[:len(resting)-1]
+	last := idle[len(idle)-1]
+	idle[len(idle)-1] = nil
+	p.idle[address] = idle[:len(idle)-1]
 	return last
 }
 
@@ -136,12 +137,12 @@
 	return newConnection(address, opened), nil
 }
 
-// put lets a connection rest until it is used again or its server would close it.
-func (p *Pool) put(used *connection, life time.Duration) {
-	if life <= 0 || life > p.options.IdleLife {
-		life = p.options.IdleLife
+// release makes a connection idle until it is used again or its server would close it.
+func (p *Pool) release(used *connection, timeout time.Duration) {
+	if timeout <= 0 || timeout > p.options.IdleTimeout {
+		timeout = p.options.IdleTimeout
 	}
-	used.expires = p.options.Now().Add(life)
+	used.expires = p.options.Now().Add(timeout)
 	p.mutex.Lock()
 	if p.closed {
 		p.mutex.Unlock()
@@ -156,15 +157,15 @@
 	}
 }
 
-// prune takes out the connections of an address that rested for too long: those used longest ago come first.
+// prune removes the expired connections of an address; the least recently used come first.
 func (p *Pool) prune(address string) []*connection {
-	resting := p.idle[address]
+	idle := p.idle[address]
 	now := p.options.Now()
 	count := 0
-	for count < len(resting) && !now.Before(resting[count].expires) {
+	for count < len(idle) && !now.Before(idle[count].expires) {
 		count++
 	}
-	expired := append([]*connection(nil), resting[:count]...)
-	p.idle[address] = append(resting[:0], resting[count:]...)
+	expired := append([]*connection(nil), idle[:count]...)
+	p.idle[address] = append(idle[:0], idle[count:]...)
 	return expired
 }
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -29,7 +29,7 @@
 
 func newServer(t *testing.T, serve func(connection net.Conn, reader *bufio.Reader)) *server {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-func whole(t *testing.T, pool *serverconn.Pool, address, body string) string {
+func readAll(t *testing.T, pool *serverconn.Pool, address, body string) string {
 	t.Helper()
 	response, err := pool.Do(context.Background(), address, post(body))
 	if err != nil {
@@ -100,20 +100,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestARequestArrivesUnchangedAndItsConnectionIsUsedAgain(t *testing.T) {
+func TestRequestArrivesUnchangedAndItsConnectionIsReused(t *testing.T) {
 	echo := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			request, body := readRequest(t, reader)
 			if request == nil {
 				return
 			}
-			text := request.Method + " " + request.RequestURI + " " + request.Host + " " + request.Header.Get("X-One") + " " + body
-			_, _ = fmt.Fprintf(connection, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+			text := strings.Join([]string{
+				request.Method, request.RequestURI, request.Host, request.Header.Get("X-One"), body,
+			}, " ")
+			_, _ = fmt.Fprintf(
+				connection, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text,
+			)
 		}
 	})
 	pool := newPool(t, serverconn.Options{})
 	for _, body := range []string{"hello", "", strings.Repeat("long ", 20_000)} {
-		if got, wanted := whole(t, pool, echo.address(), body), "POST /a%2Fb/?x=1&y example.test 1 "+body; got != wanted {
+		if got, wanted := readAll(t, pool, echo.address(), body), "POST /a%2Fb/?x=1&y example.test 1 "+body; got != wanted {
 			t.Fatalf("got %.80q, wanted %.80q", got, wanted)
 		}
 	}
@@ -122,7 +126,7 @@
 	}
 }
 
-func TestAConnectionWithBytesOfNoRequestIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithSurplusBytesIsNotReused(t *testing.T) {
 	for name, together := range map[string]bool{"in one piece with the answer": true, "after the answer": false} {
 		t.Run(name, func(t *testing.T) {
 			surplus := make(chan struct{})
@@ -146,14 +150,14 @@
 				dialed = append(dialed, connection)
 				return connection, err
 			}})
-			if got := whole(t, pool, talkative.address(), "a"); got != "ok" {
+			if got := readAll(t, pool, talkative.address(), "a"); got != "ok" {
 				t.Fatalf("got %q", got)
 			}
 			close(surplus)
 			if !together {
 				awaitBytes(t, dialed[0])
 			}
-			if got := whole(t, pool, talkative.address(), "b"); got != "ok" || pool.Opened() != 2 {
+			if got := readAll(t, pool, talkative.address(), "b"); got != "ok" || pool.Opened() != 2 {
 				t.Fatalf("got %q over %d connections", got, pool.Opened())
 			}
 		})
@@ -177,7 +181,7 @@
 	}
 }
 
-func TestAClosedRestingConnectionIsReplacedBeforeARequestRidesOnIt(t *testing.T) {
+func TestClosedIdleConnectionIsReplacedBeforeARequestIsSent(t *testing.T) {
 	closing := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		if request, _ := readRequest(t, reader); request == nil {
 			return
@@ -186,7 +190,7 @@
 	})
 	pool := newPool(t, serverconn.Options{})
 	for range 5 {
-		if got := whole(t, pool, closing.address(), "a"); got != "ok" {
+		if got := readAll(t, pool, closing.address(), "a"); got != "ok" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -195,7 +199,7 @@
 	}
 }
 
-func TestARestingConnectionExpiresBeforeItsServerClosesIt(t *testing.T) {
+func TestIdleConnectionExpiresBeforeItsServerClosesIt(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	keeping := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
@@ -206,20 +210,20 @@
 		}
 	})
 	pool := newPool(t, serverconn.Options{Now: func() time.Time { return now }})
-	whole(t, pool, keeping.address(), "a")
+	readAll(t, pool, keeping.address(), "a")
 	now = now.Add(time.Second)
-	whole(t, pool, keeping.address(), "a")
+	readAll(t, pool, keeping.address(), "a")
 	if pool.Opened() != 1 {
 		t.Fatalf("a fresh connection was not used again: %d were opened", pool.Opened())
 	}
 	now = now.Add(1900 * time.Millisecond)
-	whole(t, pool, keeping.address(), "a")
+	readAll(t, pool, keeping.address(), "a")
 	if pool.Opened() != 2 {
 		t.Fatalf("a connection about to be closed was used: %d were opened", pool.Opened())
 	}
 }
 
-func TestFailuresSayWhetherTheRequestMayHaveRun(t *testing.T) {
+func TestErrorsSayWhetherTheRequestMayHaveRun(t *testing.T) {
 	gone, err := closedport.Hold()
 	if err != nil {
 		t.Fatal(err)
@@ -241,7 +245,7 @@
 	}
 }
 
-func TestACancelledExchangeEndsItsConnection(t *testing.T) {
+func TestCancelledExchangeEndsItsConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	waiting := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		readRequest(t, reader)
@@ -265,7 +269,7 @@
 	}
 }
 
-func TestAnAnswerThatEndsEarlyIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerIsNotComplete(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
@@ -288,7 +292,7 @@
 	}
 }
 
-func TestAServerThatAnswersEarlyGetsNoOtherRequestOnThatConnection(t *testing.T) {
+func TestConnectionOfAServerThatAnswersEarlyIsNotReused(t *testing.T) {
 	release := make(chan struct{})
 	early := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		if _, err := reader.ReadString('\n'); err != nil {
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -126,6 +126,7 @@
 	counters   *Counters
 }
 
+// Read implements io.Reader.
 func (r *countingReader) Read(buffer []byte) (int, error) {
 	count, err := r.connection.Read(buffer)
 	r.counters.ReceivedBytes.Add(uint64(count))
