--- a/internal/dataplane/dialect/dialect.go
+++ b/internal/dataplane/dialect/dialect.go
@@ -1,7 +1,8 @@
 // Package dialect names the HTTP headers in which callers and back ends of
-// HTTP routes say what rosestand needs to know of a request. The product has
+// HTTP routes state what rosestand needs to know of a request. The product has
 // names of its own (Default); a platform that uses other names supplies its own Dialect.
-// Forms are the same under every dialect; docs/API-ROUTES.md tells them.
+// The forms of the values are the same in every dialect; docs/API-ROUTES.md specifies them.
+// A Dialect is a value without state.
 package dialect
 
 import (
@@ -18,18 +19,18 @@
 
 	// RequestID identifies one send of a request; a caller never sends two requests under the same id.
 	RequestID string
-	// Program and Session name what a request belongs to.
+	// Program and Session name the program and session that a request belongs to.
 	Program string
 	Session string
-	// TimeLeft is how long the caller waits, in milliseconds.
+	// TimeLeft is how long the caller still waits, in milliseconds.
 	TimeLeft string
-	// ProgramTimeLeft is the time until the whole program should be over, in milliseconds.
+	// ProgramTimeLeft is the time until the program should be complete, in milliseconds.
 	ProgramTimeLeft string
 	// TokenBudget is the number of tokens that all turns of the program may generate.
 	TokenBudget string
-	// TokenUsage is "PROMPT,MOST": the tokens of the prompt and the most that the turn generates.
+	// TokenUsage is "PROMPT,MOST": the tokens of the prompt and the maximum that the turn generates.
 	TokenUsage string
-	// PromptParts is "ID:TOKENS,..." for the parts of the prompt in order.
+	// PromptParts is "ID:TOKENS,..." for the segments of the prompt in order.
 	PromptParts string
 	// PreviousTurn is the request id of the turn that this one continues.
 	PreviousTurn string
@@ -39,55 +40,55 @@
 	TrainingModel string
 	// Affinity is the same for all requests that concern the same object.
 	Affinity string
-	// LastEventID is the id of the last event that a caller of a resumable stream has seen.
+	// LastEventID is the id of the last event that a caller of a resumable stream received.
 	LastEventID string
 
 	// Headers towards servers.
 
-	// TargetServer names the server meant; another one refuses the request.
+	// TargetServer names the server that the request is for; any other one rejects it.
 	TargetServer string
-	// ServerRank is 0 to 9, 0 first: which requests a model server lets in first.
+	// ServerRank is the priority at a model server, from 0 to 9; 0 is the highest.
 	ServerRank string
 	// ExpectedWeights is the version of the weights that the server must have.
 	ExpectedWeights string
 
 	// Headers of servers.
 
-	// Signature is on every answer that a server gave itself.
+	// Signature is on every answer that a server itself gave, and not a proxy before it.
 	Signature string
-	// NotExecuted is on answers by which a server says that it did not run the request.
+	// NotExecuted is on answers by which a server states that it did not run the request.
 	NotExecuted string
 	// WeightVersions is the version of the weights that an answer was generated with.
 	WeightVersions string
 
-	// ServerLoad is on answers of servers that tell their load with each; DecodeLoad reads it.
+	// ServerLoad is on answers of servers that report their load with each; DecodeLoad decodes it.
 	ServerLoad string
 
-	// ReportPath is the path of a server's report of its load; empty when it has none.
+	// ReportPath is the path of a server's load report; empty when it has none.
 	ReportPath string
-	// DecodeReport reads the body of a report; nil means that no report is asked for.
+	// DecodeReport decodes the body of a load report; nil means that none is requested.
 	DecodeReport func(body []byte) (Report, error)
-	// ToolsReport is true when tool servers give reports, not model servers alone.
+	// ToolsReport is true when tool servers have load reports, too.
 	ToolsReport bool
 }
 
-// Load is a server's own word on the requests that it has.
+// Load is the number of requests that a server reported.
 type Load struct {
 	Running uint32
 	Queued  uint32
-	// Capacity is the number of requests that the server runs at once; zero leaves it as announced.
+	// Capacity is the maximum number of concurrent requests of the server; 0 means the announced one.
 	Capacity uint32
 }
 
-// Report is a server's load with the state of its memory.
+// Report is a load report: the load that the server reported with the state of its memory.
 type Report struct {
 	Load
-	// CacheUsed and CacheTotal are tokens of the KV cache: what can't give way, and all there is.
+	// CacheUsed and CacheTotal are tokens of the KV cache: those that cannot be evicted, and its size.
 	CacheUsed  uint64
 	CacheTotal uint64
 }
 
-// reportBody is the body of a report in the product's own form.
+// reportBody is the body of a load report in the product's own form.
 type reportBody struct {
 	Running    uint32 `json:"running"`
 	Queued     uint32 `json:"queued"`
@@ -107,32 +108,32 @@
 	}, nil
 }
 
-// DecodeLoad reads the value of ServerLoad: "running=1,queued=0,capacity=16", of which any may be absent, or the three
-// numbers alone in that order. It is false when the value tells nothing.
+// DecodeLoad decodes the value of ServerLoad: "running=1,queued=0,capacity=16", of which any may be absent, or the
+// three numbers alone in that order. Fields that cannot be parsed are ignored; it reports false when none can.
 func DecodeLoad(value string) (Load, bool) {
 	var load Load
 	known := false
 	fields := []*uint32{&load.Running, &load.Queued, &load.Capacity}
-	for place, part := range strings.Split(value, ",") {
-		name, text, isNamed := strings.Cut(strings.TrimSpace(part), "=")
-		if !isNamed {
-			text = name
+	for position, element := range strings.Split(value, ",") {
+		name, text, isNamed := strings.Cut(strings.TrimSpace(element), "=")
+		if isNamed {
+			position = slices.Index(loadNames, name)
 		} else {
-			place = slices.Index(loadNames, name)
+			text = name
 		}
 		number, err := strconv.ParseUint(text, 10, 32)
-		if err != nil || place < 0 || place >= len(fields) {
+		if err != nil || position < 0 || position >= len(fields) {
 			continue
 		}
-		*fields[place], known = uint32(number), true
+		*fields[position], known = uint32(number), true
 	}
 	return load, known
 }
 
-// loadNames are the words of a load, in the order of its numbers.
+// loadNames are the names of a load's fields, in the order of the numbers without names.
 var loadNames = []string{"running", "queued", "capacity"}
 
-// Default gives the product's own names.
+// Default is the dialect with the product's own names.
 func Default() Dialect {
 	return Dialect{
 		RequestID:       "Rosestand-Request-Id",
--- a/internal/dataplane/dialect/dialect_test.go
+++ b/internal/dataplane/dialect/dialect_test.go
@@ -14,13 +14,13 @@
 		"12, 1,64":                       {Running: 12, Queued: 1, Capacity: 64},
 		"12,1,64,7":                      {Running: 12, Queued: 1, Capacity: 64},
 	} {
-		if got, told := dialect.DecodeLoad(value); !told || got != want {
-			t.Errorf("%q: %+v, %t", value, got, told)
+		if got, known := dialect.DecodeLoad(value); !known || got != want {
+			t.Errorf("%q: %+v, %t", value, got, known)
 		}
 	}
 	for _, value := range []string{"", "many", "running=-1", "=3", "-1,-2"} {
-		if got, told := dialect.DecodeLoad(value); told {
-			t.Errorf("%q was taken: %+v", value, got)
+		if got, known := dialect.DecodeLoad(value); known {
+			t.Errorf("%q was accepted: %+v", value, got)
 		}
 	}
 }
--- a/internal/transport/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -168,7 +168,7 @@
 		_ = connection.(*net.TCPConn).SetLinger(0)
 	})
 	pool := newPool(t, serverconn.Options{})
-	// Whether the writer or the reader is told of the reset is the kernel's choice; both must come up.
+	// Whether the writer or the reader gets the reset is the kernel's choice; both must occur.
 	for range 40 {
 		response, err := pool.Do(context.Background(), resetting.address(), post(strings.Repeat("x", 1<<20)))
 		if err != nil {
@@ -180,7 +180,7 @@
 		body, err := response.ReadAll(100)
 		response.Discard()
 		if err == nil {
-			t.Fatalf("%q looks whole", body)
+			t.Fatalf("%q looks complete", body)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 func TestAnswerWithoutALengthToALargeRequestIsComplete(t *testing.T) {
 	ending := once(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
-	// Whether the writer or the reader is done first is the scheduler's choice; both must come up.
+	// Whether the writer or the reader is done first is the scheduler's choice; both must occur.
 	for range 200 {
 		if got := readAll(t, pool, ending.address(), strings.Repeat("x", 16<<10)); got != "until the end" {
 			t.Fatalf("got %q", got)
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -224,18 +224,18 @@
 }
 
 func TestErrorsSayWhetherTheRequestMayHaveRun(t *testing.T) {
-	gone, err := closedport.Hold()
+	closed, err := closedport.Hold()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := gone.Release(); err != nil {
+		if err := closed.Release(); err != nil {
 			t.Error(err)
 		}
 	})
 	pool := newPool(t, serverconn.Options{})
 	var notSent *serverconn.NotSentError
-	if _, err := pool.Do(context.Background(), gone.Address(), post("a")); !errors.As(err, &notSent) {
+	if _, err := pool.Do(context.Background(), closed.Address(), post("a")); !errors.As(err, &notSent) {
 		t.Fatalf("a refused connection gave %v", err)
 	}
 	silent := newServer(t, func(_ net.Conn, reader *bufio.Reader) { readRequest(t, reader) })
@@ -261,7 +261,7 @@
 	}
 	cancel()
 	if _, err := response.ReadAll(100); err == nil {
-		t.Fatal("a cancelled answer was read whole")
+		t.Fatal("a cancelled answer was read completely")
 	}
 	response.Close()
 	if err := <-ended; err == nil {
@@ -286,7 +286,7 @@
 			}
 			defer response.Close()
 			if _, err := response.ReadAll(100); err == nil {
-				t.Fatal("a cut answer passed as whole")
+				t.Fatal("a truncated answer passed as complete")
 			}
 		})
 	}
