--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
+	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 )
@@ -24,16 +25,19 @@
 	DefaultSnapshotEntries   = 4096
 	DefaultSnapshotBytes     = 16 << 20
 
-	inboundQueue  = 4096
-	proposalQueue = 4096
-	requestQueue  = 1024
+	// Capacities of the queues to the owner goroutine.
+	inboundCapacity  = 4096
+	proposalCapacity = 4096
+	requestCapacity  = 1024
 )
 
-// Replica is one member of the core's consensus group. It is safe for use by many goroutines.
+// Replica is one member of the core's consensus group. It is safe for concurrent use.
 type Replica struct {
+	// What follows is not changed after New, but for store: the owner goroutine replaces it when the
+	// log is reopened.
 	options Options
 	metrics *metrics
-	disk    *disk
+	store   *logstore.Store
 	self    *protocol.CoreMember
 
 	inbound   chan inboundMessage
@@ -50,17 +54,19 @@
 
 	view  atomic.Pointer[view]
 	seeds atomic.Pointer[[]string]
+
+	// The rest belongs to the owner goroutine from Start on.
+
 	owner owner
-	// The rest belongs to the owner goroutine.
-	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. It is ahead of what the node
-	// applied when the log was opened again: the machine keeps its state then.
+	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. After
+	// the log was reopened it is ahead of what the node applied, since the state machine is not reset.
 	machineIndex uint64
-	// otherFailures counts the failures of the disk that were no lack of room.
+	// nonSpaceFailures counts the failures of the disk other than a full disk.
 	nonSpaceFailures int
 }
 
 // New opens the data folder and restores the state machine from the newest snapshot. An error
-// is a *CorruptStateError, a *consensus.StateError or one of package storage. The commands
+// is a *logstore.CorruptStateError, a *consensus.StateError or one of package storage. The commands
 // committed after the snapshot are applied from Start on.
 func New(options Options) (*Replica, error) {
 	options = options.withDefaults()
@@ -74,23 +80,23 @@
 	if err != nil {
 		return nil, err
 	}
-	disk, err := openDisk(options.Filesystem, options.Folder)
+	store, err := logstore.Open(options.Filesystem, options.Folder)
 	if err != nil {
 		return nil, err
 	}
 	replica := &Replica{
-		options: options, metrics: metrics, disk: disk,
-		self:      proto.Clone(options.Self).(*protocol.CoreMember),
-		inbound:   make(chan inboundMessage, inboundQueue),
-		proposals: make(chan *proposal, proposalQueue),
-		requests:  make(chan request, requestQueue),
+		options: options, metrics: metrics, store: store,
+		self:      proto.CloneOf(options.Self),
+		inbound:   make(chan inboundMessage, inboundCapacity),
+		proposals: make(chan *proposal, proposalCapacity),
+		requests:  make(chan request, requestCapacity),
 		stop:      make(chan struct{}),
 		stopped:   make(chan struct{}),
 	}
 	replica.SetSeeds(options.Seeds)
 	replica.self.Id, replica.self.Voter = memberID(identity.StorageID), false
 	if err := replica.recoverState(); err != nil {
-		_ = disk.close()
+		_ = store.Close()
 		return nil, err
 	}
 	return replica, nil
@@ -127,60 +133,52 @@
 	return o
 }
 
-// open recovers the node and the state machine.
+// recoverState recovers the node and the state machine from the store.
 func (r *Replica) recoverState() error {
-	snapshot, state, err := r.disk.loadSnapshot()
-	if err != nil {
-		return err
-	}
-	clusterID, initial, err := r.disk.recover(snapshot)
+	recovered, err := r.store.Recover()
 	if err != nil {
 		return err
 	}
+	snapshot := recovered.Initial.Snapshot
 	if snapshot.GetIndex() > r.machineIndex {
-		if err := r.restoreMachine(snapshot, state); err != nil {
+		if err := r.restoreMachine(snapshot, recovered.SnapshotState); err != nil {
 			return err
 		}
 	}
-	return r.owner.init(r, clusterID, initial)
+	return r.owner.init(r, recovered.ClusterID, recovered.Initial)
 }
 
-// Start begins to serve: it joins or founds a cluster when the folder holds none.
+// Start starts the goroutines of the replica, which end with Stop. It joins or founds a cluster if the
+// data folder has none. The error of a second start is a *StoppedError.
 func (r *Replica) Start(context.Context) error {
 	if r.started.Swap(true) {
 		return &StoppedError{}
 	}
 	r.background, r.cancel = context.WithCancel(context.Background())
-	r.running.Add(2)
-	go func() {
-		defer r.running.Done()
-		r.run()
-	}()
-	go func() {
-		defer r.running.Done()
-		r.joinLoop(r.background)
-	}()
+	r.running.Go(r.run)
+	r.running.Go(func() { r.joinLoop(r.background) })
 	return nil
 }
 
-// Stop ends the replica and closes its log; a leader hands leadership over first, while ctx lasts.
+// Stop ends the replica and closes its log. A leader transfers leadership first, for as long as ctx
+// lasts.
 func (r *Replica) Stop(ctx context.Context) error {
 	if !r.started.Load() {
 		r.stopOnce.Do(func() { close(r.stop); close(r.stopped) })
-		return r.disk.close()
+		return r.store.Close()
 	}
 	if r.view.Load().status.Role == consensus.Leader {
-		// Where no other voter can take over, the others elect one after this one is silent.
+		// If no other voter can take over now, the others elect one after an election timeout.
 		_ = r.TransferLeadership(ctx, "")
 	}
 	r.stopOnce.Do(func() { close(r.stop) })
 	r.cancel()
 	r.running.Wait()
-	return r.disk.close()
+	return r.store.Close()
 }
 
-// IsLeader reports whether this process leads, has applied all that earlier leaders committed,
-// and its leader lease runs at this moment.
+// IsLeader reports whether this process leads, has applied all that earlier leaders committed, and has
+// the leader lease now.
 func (r *Replica) IsLeader() bool {
 	view := r.view.Load()
 	return !view.leadingSince.IsZero() && r.options.Clock.Now().Before(view.leaseEnds)
@@ -198,8 +196,8 @@
 // ID returns the random id of this member, made with its data folder.
 func (r *Replica) ID() uint64 { return r.self.GetId() }
 
-// memberID derives the id from the identity of the data folder, so that an emptied folder is
-// another member.
+// memberID derives the id from the identity of the data folder, so that a process with an emptied
+// folder is another member. It is never zero.
 func memberID(storageID string) uint64 {
 	sum := sha256.Sum256([]byte(storageID))
 	return max(1, binary.BigEndian.Uint64(sum[:8]))
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -100,7 +101,7 @@
 	MaxBackoff            = maxBackoff
 	KeyedRejectionTimeout = keyedRejectionTimeout
 	HeartbeatWindow       = heartbeat.Window
-	VariantReportInterval = variantReportInterval
+	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
 	SampleTimeout         = sampleTimeout
 	ShareTick             = shareTick
@@ -116,13 +117,11 @@
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
 
 // WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
-func WaitingLive(service *Service, group string) (waiting int) {
-	service.admission.Do(func() { waiting = service.admission.limiter(group).queue.WaitingInAllClasses() })
-	return waiting
+func WaitingLive(service *Service, group string) int {
+	return service.admission.WaitingLive(group)
 }
 
 // WaitingSteps is how many generations of training steps wait for a place.
-func WaitingSteps(service *Service) (waiting int) {
-	service.admission.Do(func() { waiting = len(service.admission.gates.waiting) })
-	return waiting
+func WaitingSteps(service *Service) int {
+	return service.admission.WaitingSteps()
 }
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -57,11 +57,11 @@
 	opened.Start()
 	damaged := 0
 	for _, group := range opened.groups {
-		for _, table := range group.shards {
+		for _, table := range group.Tables() {
 			for _, entry := range table.Turns.All() {
-				if _, err := opened.readTurn(entry, "", ""); err != nil {
+				if _, err := opened.turns.Read(entry); err != nil {
 					damaged++
-					_ = opened.readFailed(err)
+					_ = opened.turns.FailOnDamage(err)
 				}
 			}
 		}
@@ -75,11 +75,11 @@
 	if damaged != 1 || fatal == nil {
 		t.Fatalf("%d turns were damaged, and the store ended with %v", damaged, fatal)
 	}
-	anew := reopen(t, path)
-	if anew.Lost == nil || anew.StorageID == folder.StorageID {
-		t.Fatalf("the next start kept the damaged log: %v", anew.Lost)
+	replacement := reopen(t, path)
+	if replacement.Lost == nil || replacement.StorageID == folder.StorageID {
+		t.Fatalf("the next start kept the damaged log: %v", replacement.Lost)
 	}
-	if err := anew.Close(); err != nil {
+	if err := replacement.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
