--- a/internal/controlplane/replica/options.go
+++ b/internal/controlplane/replica/options.go
@@ -8,11 +8,20 @@
 	"github.com/charmbracelet/log"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
+// Defaults of Options.
+const (
+	DefaultTargetVoters      = 3
+	DefaultReplaceVoterAfter = 10 * time.Second
+	DefaultSnapshotEntries   = 4096
+	DefaultSnapshotBytes     = 16 << 20
+)
+
 // StateMachine is what the log's commands are applied to. All calls come from the owner goroutine.
 type StateMachine interface {
 	// Apply applies one committed command, in log order, and returns its result.
@@ -81,3 +90,34 @@
 	// cannot recover from: it has stopped, and the process must end.
 	OnFatal func(error)
 }
+
+func (o Options) withDefaults() Options {
+	if o.TargetVoters <= 0 {
+		o.TargetVoters = DefaultTargetVoters
+	}
+	if o.ElectionTimeout <= 0 {
+		o.ElectionTimeout = consensus.DefaultElectionTimeout
+	}
+	if o.HeartbeatInterval <= 0 {
+		o.HeartbeatInterval = consensus.DefaultHeartbeatInterval
+	}
+	if o.ReplaceVoterAfter <= 0 {
+		o.ReplaceVoterAfter = DefaultReplaceVoterAfter
+	}
+	if o.SnapshotEntries == 0 {
+		o.SnapshotEntries = DefaultSnapshotEntries
+	}
+	if o.SnapshotBytes <= 0 {
+		o.SnapshotBytes = DefaultSnapshotBytes
+	}
+	if o.SnapshotChunkBytes <= 0 {
+		o.SnapshotChunkBytes = consensus.DefaultSnapshotChunkBytes
+	}
+	if o.Clock == nil {
+		o.Clock = SystemClock{}
+	}
+	if o.Random == nil {
+		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	}
+	return o
+}
--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner.go
@@ -17,9 +17,6 @@
 	// maxBatch and maxBatchBytes bound what is taken from a queue before the log is written.
 	maxBatch      = 512
 	maxBatchBytes = 1 << 20
-	// queueTimeDivisor: a message to another member is not sent after this part of the election
-	// timeout in a queue.
-	queueTimeDivisor = 2
 )
 
 // owner is the state of the owner goroutine, which alone uses it while the replica runs. It is replaced
@@ -61,16 +58,7 @@
 	return o.buildNode(initial)
 }
 
-func (r *Replica) newTransport() *transport.Transport {
-	return transport.New(transport.Options{
-		Caller: r.options.Caller, Now: r.options.Clock.Now, CallTimeout: r.options.ElectionTimeout,
-		MaxQueueTime: r.options.ElectionTimeout / queueTimeDivisor,
-		Metrics: transport.Metrics{
-			Sent: r.metrics.messagesSent, SendFailures: r.metrics.sendFailures, Dropped: r.metrics.messagesDropped,
-		},
-	})
-}
-
+// buildNode makes the consensus node, as at the start, after founding or when the log was reopened.
 func (o *owner) buildNode(initial consensus.InitialState) error {
 	options := o.replica.options
 	node, err := consensus.New(consensus.Config{
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -14,23 +14,22 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
+	"github.com/rosestand/rosestand/internal/controlplane/replica/transport"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// Defaults of Options.
+// Capacities of the queues to the owner goroutine.
 const (
-	DefaultTargetVoters      = 3
-	DefaultReplaceVoterAfter = 10 * time.Second
-	DefaultSnapshotEntries   = 4096
-	DefaultSnapshotBytes     = 16 << 20
-
-	// Capacities of the queues to the owner goroutine.
 	inboundCapacity  = 4096
 	proposalCapacity = 4096
 	requestCapacity  = 1024
 )
 
+// queueTimeDivisor: a message to another member is not sent after this part of the election timeout in
+// a queue.
+const queueTimeDivisor = 2
+
 // Replica is one member of the core's consensus group. It is safe for concurrent use.
 type Replica struct {
 	// What follows is not changed after New, but for store: the owner goroutine replaces it when the
@@ -102,37 +101,6 @@
 	return replica, nil
 }
 
-func (o Options) withDefaults() Options {
-	if o.TargetVoters <= 0 {
-		o.TargetVoters = DefaultTargetVoters
-	}
-	if o.ElectionTimeout <= 0 {
-		o.ElectionTimeout = consensus.DefaultElectionTimeout
-	}
-	if o.HeartbeatInterval <= 0 {
-		o.HeartbeatInterval = consensus.DefaultHeartbeatInterval
-	}
-	if o.ReplaceVoterAfter <= 0 {
-		o.ReplaceVoterAfter = DefaultReplaceVoterAfter
-	}
-	if o.SnapshotEntries == 0 {
-		o.SnapshotEntries = DefaultSnapshotEntries
-	}
-	if o.SnapshotBytes <= 0 {
-		o.SnapshotBytes = DefaultSnapshotBytes
-	}
-	if o.SnapshotChunkBytes <= 0 {
-		o.SnapshotChunkBytes = consensus.DefaultSnapshotChunkBytes
-	}
-	if o.Clock == nil {
-		o.Clock = SystemClock{}
-	}
-	if o.Random == nil {
-		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	}
-	return o
-}
-
 // recoverState recovers the node and the state machine from the store.
 func (r *Replica) recoverState() error {
 	recovered, err := r.store.Recover()
@@ -207,3 +175,14 @@
 	name := binary.BigEndian.AppendUint64(nil, random.Uint64())
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(name, random.Uint64()))
 }
+
+// newTransport makes a transport for one owner.
+func (r *Replica) newTransport() *transport.Transport {
+	return transport.New(transport.Options{
+		Caller: r.options.Caller, Now: r.options.Clock.Now, CallTimeout: r.options.ElectionTimeout,
+		MaxQueueTime: r.options.ElectionTimeout / queueTimeDivisor,
+		Metrics: transport.Metrics{
+			Sent: r.metrics.messagesSent, SendFailures: r.metrics.sendFailures, Dropped: r.metrics.messagesDropped,
+		},
+	})
+}
--- a/internal/controlplane/replica/requests.go
+++ b/internal/controlplane/replica/requests.go
@@ -60,7 +60,7 @@
 		return answer, ctx.Err()
 	case <-stopped:
 	}
-	// The owner answers all that wait before it ends.
+	// The answer may have come at the same time.
 	select {
 	case answer = <-done:
 		return answer, nil
