--- a/internal/state/store/datafolder/folder.go
+++ b/internal/state/store/datafolder/folder.go
@@ -80,7 +80,10 @@
 	if err != nil {
 		return nil, err
 	}
-	folder := &Folder{Location: Location{filesystem: filesystem, path: path}, StorageID: identity.StorageID, Starts: identity.Starts}
+	folder := &Folder{
+		Location: Location{filesystem: filesystem, path: path}, StorageID: identity.StorageID,
+		Starts: identity.Starts,
+	}
 	for _, name := range []string{RegisterLog, TurnLog} {
 		if err := requireFiles(filesystem, filepath.Join(path, name), identity.Fresh); err != nil {
 			return nil, err
--- a/internal/state/store/datafolder/turn_index.go
+++ b/internal/state/store/datafolder/turn_index.go
@@ -52,7 +52,9 @@
 // LoadTurnIndex visits the entries of the newest index and returns the first segment that it
 // does not cover; found is false when there is no index that can be read. A damaged index is
 // no loss, since the log has everything; but some of its entries may have been visited.
-func (f *Folder) LoadTurnIndex(visit func(uint32, turnindex.Key, turnindex.Entry)) (segment uint64, found bool, err error) {
+func (f *Folder) LoadTurnIndex(
+	visit func(uint32, turnindex.Key, turnindex.Entry),
+) (segment uint64, found bool, err error) {
 	first := f.Turns.FirstSegment()
 	segment, found, err = storage.LoadNewestSnapshot(f.filesystem, f.turnPath(), func(_ uint64, content io.Reader) error {
 		return f.readTurnIndex(content, func(shard uint32, key turnindex.Key, entry turnindex.Entry) {
--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -11,13 +11,16 @@
 )
 
 // requestFrom asks one store only, while time passes, and gives its result or why it has surely not begun.
-func (f *fleet) requestFrom(name string, operation *protocol.LedgerOperation) (result *protocol.LedgerResult, refused *failure.Error) {
+func (f *fleet) requestFrom(
+	name string, operation *protocol.LedgerOperation,
+) (result *protocol.LedgerResult, refused *failure.Error) {
 	GinkgoHelper()
 	operation.PlacementEpoch = f.shardEpoch(operation)
 	result = f.await(func() (*protocol.LedgerResult, error) {
 		ctx, cancel := boundedContext()
 		defer cancel()
-		response, err := (&network{fleet: f}).Call(ctx, name, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+		response, err := (&network{fleet: f}).Call(ctx, name,
+			&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 		if errors.As(err, &refused) {
 			return nil, nil
 		}
@@ -40,7 +43,7 @@
 }
 
 var _ = Describe("a store whose disk fails", func() {
-	It("given a full disk, then the store rejects requests, stays up, and serves all that was acknowledged once there is space", func() {
+	It("given a full disk, then the store rejects requests, stays up, and serves all turns once there is space", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for range 20 {
@@ -94,7 +97,7 @@
 		}
 	})
 
-	It("given one failed sync, then the store continues from what is on the disk; given another, the process ends", func() {
+	It("given one failed sync, then the store continues from what is on disk; given another, the process ends", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -82,7 +82,8 @@
 		return
 	}
 	for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), find(turn)} {
-		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn, s.history())
+		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn,
+			s.history())
 	}
 }
 
@@ -169,7 +170,8 @@
 	s.faulty = ""
 }
 
-// requestUnderStaleView asks a store that is back and still has the placement of before, as callers do that have it too.
+// requestUnderStaleView asks a store that is back and still has the placement of before, as callers do that
+// have it too.
 func (s *faultScenario) requestUnderStaleView(name string) {
 	GinkgoHelper()
 	old := s.fleet.viewFor(name)
@@ -262,7 +264,8 @@
 	return f.await(func() (*protocol.LedgerResult, error) {
 		ctx, cancel := boundedContext()
 		defer cancel()
-		response, err := (&network{fleet: f}).Call(ctx, name, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+		response, err := (&network{fleet: f}).Call(ctx, name,
+			&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 		if err != nil {
 			return &protocol.LedgerResult{Status: unavailable}, nil
 		}
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -147,7 +147,9 @@
 }
 
 // newFleetOf places each shard on the first stores.
-func newFleetOf(replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string) *fleet {
+func newFleetOf(
+	replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
+) *fleet {
 	f := newStoppedFleet(names...)
 	f.wrap = wrap
 	f.found(replicas)
@@ -287,7 +289,10 @@
 func (f *fleet) publish(changed ...*protocol.ShardPlacement) {
 	f.mutex.Lock()
 	before := f.view.Placement
-	placement := &protocol.Placement{Epoch: before.GetEpoch() + 1, Shards: append([]*protocol.ShardPlacement(nil), before.GetShards()...)}
+	placement := &protocol.Placement{
+		Epoch:  before.GetEpoch() + 1,
+		Shards: append([]*protocol.ShardPlacement(nil), before.GetShards()...),
+	}
 	for _, placed := range changed {
 		placed.Epoch = placement.GetEpoch()
 		if int(placed.GetShard()) < len(placement.GetShards()) {
@@ -300,7 +305,10 @@
 	for _, name := range f.names {
 		nodes = append(nodes, f.members[name].self)
 	}
-	f.view = &corelink.View{Placement: placement, Membership: &protocol.MembershipView{Version: placement.GetEpoch(), Nodes: nodes}}
+	f.view = &corelink.View{
+		Placement:  placement,
+		Membership: &protocol.MembershipView{Version: placement.GetEpoch(), Nodes: nodes},
+	}
 	f.mutex.Unlock()
 	for _, name := range f.names {
 		if running := f.running(name); running != nil {
@@ -403,7 +411,10 @@
 // inForceExcept is inForce without regard to stores that are away.
 func (f *fleet) inForceExcept(away ...string) bool {
 	for name, m := range f.members {
-		if !slices.Contains(away, name) && !f.partitioned[name] && m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
+		if slices.Contains(away, name) || f.partitioned[name] {
+			continue
+		}
+		if m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
 			return false
 		}
 	}
@@ -446,7 +457,8 @@
 	return f.await(func() (*protocol.LedgerResult, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
-		response, err := (&network{fleet: f}).Call(ctx, name, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+		response, err := (&network{fleet: f}).Call(ctx, name,
+			&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 		return response.GetLedger(), err
 	})
 }
--- a/internal/state/store/handler.go
+++ b/internal/state/store/handler.go
@@ -15,7 +15,8 @@
 	response, err := s.answer(ctx, request)
 	var stopped *lifecycle.StoppedError
 	if errors.As(err, &stopped) {
-		return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the store stops", failure.WithRetryAfter(retryAfter))
+		return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the store stops",
+			failure.WithRetryAfter(retryAfter))
 	}
 	if err != nil {
 		return err
--- a/internal/state/store/hashtree/hashtree_test.go
+++ b/internal/state/store/hashtree/hashtree_test.go
@@ -64,7 +64,8 @@
 					}
 					got = append(got, current)
 				}
-				behind := slices.DeleteFunc(slices.Sorted(maps.Keys(wanted)), func(current narrowKey) bool { return current <= from })
+				behind := slices.DeleteFunc(slices.Sorted(maps.Keys(wanted)),
+					func(current narrowKey) bool { return current <= from })
 				if !slices.Equal(got, behind) {
 					t.Fatalf("after %d: %v, wanted %v", from, got, behind)
 				}
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -76,7 +76,7 @@
 }
 
 var _ = Describe("a turn whose write is in flight while its shard moves", func() {
-	It("given a new placement in force before the write is durable, when it is, then it counts under no older placement", func() {
+	It("given a new placement before the write is durable, when it is, then it counts under no older placement", func() {
 		var disk *blockingDisk
 		f := newFleetOn(func(name string, filesystem storage.Filesystem) storage.Filesystem {
 			if name != "a" {
@@ -127,15 +127,18 @@
 		turn := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
 			Shard: shard, PlacementEpoch: epoch, Turn: &protocol.Turn{Id: "t", Program: p.name},
 		}}}
-		nameless := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{Turn: &protocol.Turn{}}}}
+		nameless := &protocol.Request{Body: &protocol.Request_KeepTurn{
+			KeepTurn: &protocol.KeepTurnRequest{Turn: &protocol.Turn{}},
+		}}
 		status := &protocol.Request{Body: &protocol.Request_StoreStatus{StoreStatus: &protocol.StoreStatusRequest{}}}
 		var answers []*protocol.Response
-		err := f.running("a").Serve(GinkgoT().Context(), &protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: &protocol.RequestBatch{
-			Requests: []*protocol.Request{read, old, status, turn, nameless},
-		}}}, func(response *protocol.Response) error {
-			answers = response.GetStoreBatch().GetResponses()
-			return nil
-		})
+		err := f.running("a").Serve(GinkgoT().Context(),
+			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: &protocol.RequestBatch{
+				Requests: []*protocol.Request{read, old, status, turn, nameless},
+			}}}, func(response *protocol.Response) error {
+				answers = response.GetStoreBatch().GetResponses()
+				return nil
+			})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answers).To(HaveLen(5))
 		Expect(answers[0].GetPrepare().GetValue()).NotTo(BeEmpty())
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -21,7 +21,8 @@
 	if err := ledger.Validate(message); err != nil {
 		var invalid *ledger.InvalidOperationError
 		errors.As(err, &invalid)
-		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, invalid.Reason, failure.WithPath(invalid.Path))
+		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, invalid.Reason,
+			failure.WithPath(invalid.Path))
 	}
 	if body, ok := message.GetBody().(*protocol.LedgerOperation_FindTurn); ok {
 		return s.turns.Find(ctx, body.FindTurn)
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -76,7 +76,8 @@
 }
 
 func (s *Store) saveDueSnapshots(total counts) error {
-	if s.folder.Registers.Size() > max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes) {
+	due := max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes)
+	if s.folder.Registers.Size() > due {
 		if err := s.saveRegisters(); err != nil {
 			return err
 		}
--- a/internal/state/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -50,14 +50,16 @@
 }
 
 // callLater delivers a request once the suspended store resumes, whether or not its caller still waits.
-func (n *network) callLater(ctx context.Context, resumed <-chan struct{}, to *store.Supervisor, request *protocol.Request) (*protocol.Response, error) {
+func (n *network) callLater(
+	ctx context.Context, resumed <-chan struct{}, to *store.Supervisor, request *protocol.Request,
+) (*protocol.Response, error) {
 	type answered struct {
 		response *protocol.Response
 		err      error
 	}
 	answers := make(chan answered, 1)
 	copied := proto.CloneOf(request)
-	go func() {
+	go func() { //nolint:contextcheck // the request arrives whether or not its caller still waits
 		<-resumed
 		response, err := serve(context.Background(), to, copied)
 		answers <- answered{response: response, err: err}
--- a/internal/state/store/owner/registers.go
+++ b/internal/state/store/owner/registers.go
@@ -97,7 +97,9 @@
 	g.put(table, key, table.Register(key), state, done)
 }
 
-func (g *Group) put(table *shardtable.Table, key shardtable.Key, entry *shardtable.Register, state register.State, done func()) {
+func (g *Group) put(
+	table *shardtable.Table, key shardtable.Key, entry *shardtable.Register, state register.State, done func(),
+) {
 	entry.SetState(g.intern(state))
 	writes := g.unsynced[entry]
 	if writes == nil {
--- a/internal/state/store/placement/topology.go
+++ b/internal/state/store/placement/topology.go
@@ -38,7 +38,8 @@
 		if int(placed.GetShard()) >= len(topology.Shards) {
 			continue
 		}
-		topology.Shards[placed.GetShard()] = register.NewShardView(view.Placement, placed, self.GetName(), self.GetStorageId())
+		shard := register.NewShardView(view.Placement, placed, self.GetName(), self.GetStorageId())
+		topology.Shards[placed.GetShard()] = shard
 	}
 	return topology
 }
--- a/internal/state/store/program_test.go
+++ b/internal/state/store/program_test.go
@@ -35,16 +35,19 @@
 func (f *fleet) programWithRetention(name string, retention time.Duration) *program {
 	GinkgoHelper()
 	p := &program{fleet: f, name: name, retention: retention}
-	p.claim("front-1", 1)
+	p.claim("front-1")
 	return p
 }
 
-func (p *program) claim(owner string, incarnation uint64) {
+func (p *program) claim(owner string) {
 	GinkgoHelper()
-	result := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-		Session: p.name, Owner: owner, OwnerIncarnation: incarnation, Tenant: "tenant", Budget: 1_000_000,
-		KeepingMillis: p.retention.Milliseconds(),
-	}}})
+	result := p.fleet.do(&protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+			Session: p.name, Owner: owner, OwnerIncarnation: 1, Tenant: "tenant", Budget: 1_000_000,
+			KeepingMillis: p.retention.Milliseconds(),
+		}},
+	})
 	Expect(result.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	p.epoch = result.GetEpoch()
 }
@@ -58,10 +61,13 @@
 
 func (p *program) reserve() *protocol.LedgerOperation {
 	p.requests++
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch, Ceiling: 10, PreviousTurn: p.last(),
-		Fork: p.previousProgram != "",
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+			RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch, Ceiling: 10,
+			PreviousTurn: p.last(), Fork: p.previousProgram != "",
+		}},
+	}
 }
 
 func (p *program) commit() *protocol.LedgerOperation {
@@ -77,9 +83,12 @@
 	if p.retention > 0 {
 		turn.KeepUntilMillis = now.Add(p.retention).UnixMilli()
 	}
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-		RequestId: request, Session: p.name, Epoch: p.epoch, Tokens: 7, Turn: turn,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+			RequestId: request, Session: p.name, Epoch: p.epoch, Tokens: 7, Turn: turn,
+		}},
+	}
 }
 
 func (p *program) takeTurn() {
@@ -96,13 +105,19 @@
 }
 
 func (p *program) readTurns(last string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReadTurns{ReadTurns: &protocol.ReadTurns{LastTurn: last}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body:    &protocol.LedgerOperation_ReadTurns{ReadTurns: &protocol.ReadTurns{LastTurn: last}},
+	}
 }
 
 func (p *program) beginCall(request string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
-		RequestId: request, Session: p.name, Epoch: p.epoch, Attempt: "attempt-" + request,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
+			RequestId: request, Session: p.name, Epoch: p.epoch, Attempt: "attempt-" + request,
+		}},
+	}
 }
 
 // expectRetained reads everything that was acknowledged.
--- a/internal/state/store/proposer/proposal.go
+++ b/internal/state/store/proposer/proposal.go
@@ -166,14 +166,18 @@
 	})
 }
 
-func (p *proposal) handlePrepareResponse(change *register.Change, message register.Message, answer *protocol.PrepareResponse) {
+func (p *proposal) handlePrepareResponse(
+	change *register.Change, message register.Message, answer *protocol.PrepareResponse,
+) {
 	if p.change != change {
 		return
 	}
 	p.send(change.HandlePrepareResponse(message.Store, message.PhaseNumber, answer))
 }
 
-func (p *proposal) handleAcceptResponse(change *register.Change, message register.Message, answer *protocol.AcceptResponse) {
+func (p *proposal) handleAcceptResponse(
+	change *register.Change, message register.Message, answer *protocol.AcceptResponse,
+) {
 	if p.change != change {
 		return
 	}
--- a/internal/state/store/proposer/proposer.go
+++ b/internal/state/store/proposer/proposer.go
@@ -97,7 +97,10 @@
 	case *protocol.LedgerOperation_BeginCall:
 		p.beginCall(shard, operation, body.BeginCall)
 	default:
-		p.propose(shard, shardtable.Key{Program: operation.Message.GetProgram(), Call: ledger.CallRequestID(operation.Message)}, operation)
+		p.propose(shard, shardtable.Key{
+			Program: operation.Message.GetProgram(),
+			Call:    ledger.CallRequestID(operation.Message),
+		}, operation)
 	}
 }
 
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -21,7 +21,8 @@
 			failure.WithPath("keep_turn.turn"))
 	}
 	answers := make(chan *protocol.Response, 1)
-	s.postToReplica(request, func(answer *protocol.Response) { answers <- answer })
+	reply := func(answer *protocol.Response) { answers <- answer }
+	s.postToReplica(request, reply) //nolint:contextcheck // chains outlive their callers
 	return lifecycle.Await(ctx, s.lifecycle, answers)
 }
 
@@ -33,14 +34,17 @@
 	pending.Store(int64(len(responses)) + 1)
 	release := func() {
 		if pending.Add(-1) == 0 {
-			answers <- &protocol.Response{Body: &protocol.Response_StoreBatch{StoreBatch: &protocol.ResponseBatch{Responses: responses}}}
+			answers <- &protocol.Response{Body: &protocol.Response_StoreBatch{
+				StoreBatch: &protocol.ResponseBatch{Responses: responses},
+			}}
 		}
 	}
 	for i, request := range batch.GetRequests() {
-		s.postToReplica(request, func(answer *protocol.Response) {
+		reply := func(answer *protocol.Response) {
 			responses[i] = answer
 			release()
-		})
+		}
+		s.postToReplica(request, reply) //nolint:contextcheck // chains outlive their callers
 	}
 	release()
 	return lifecycle.Await(ctx, s.lifecycle, answers)
@@ -104,7 +108,8 @@
 // serveShardDigest sums up what this replica has of a shard, by bucket.
 func (s *Store) serveShardDigest(request *protocol.ShardDigestRequest) (*protocol.Response, error) {
 	if request.GetBuckets() == 0 || request.GetBuckets() > shardtable.MaxBuckets {
-		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "out of range", failure.WithPath("shard_digest.buckets"))
+		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "out of range",
+			failure.WithPath("shard_digest.buckets"))
 	}
 	g := s.groups.Of(request.GetShard())
 	answer, err := owner.Call(g, func() *protocol.ShardDigestResponse {
--- a/internal/state/store/replication/fetch.go
+++ b/internal/state/store/replication/fetch.go
@@ -61,7 +61,9 @@
 }
 
 // fetchPage requests a page under the placement epoch in force, again if that changes meanwhile.
-func (s *Service) fetchPage(shard uint32, source string, request *protocol.FetchShardRequest) (*protocol.FetchShardResponse, error) {
+func (s *Service) fetchPage(
+	shard uint32, source string, request *protocol.FetchShardRequest,
+) (*protocol.FetchShardResponse, error) {
 	var last error
 	timedOut := 0
 	for attempt := range maxPageAttempts {
@@ -88,7 +90,9 @@
 }
 
 // requestPage returns nil when the answer is of another kind.
-func (s *Service) requestPage(source string, request *protocol.FetchShardRequest) (*protocol.FetchShardResponse, error) {
+func (s *Service) requestPage(
+	source string, request *protocol.FetchShardRequest,
+) (*protocol.FetchShardResponse, error) {
 	ctx, cancel := s.timeout()
 	defer cancel()
 	body := &protocol.Request_FetchShard{FetchShard: request}
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -23,13 +23,15 @@
 		shard := placedShard(f.View(), &protocol.LedgerOperation{Program: "p"})
 		batch := &protocol.RequestBatch{}
 		for _, turn := range []*protocol.Turn{shorter, longer} {
-			batch.Requests = append(batch.Requests, &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
-				Shard: shard.GetShard(), PlacementEpoch: shard.GetEpoch(), Turn: turn,
-			}}})
+			batch.Requests = append(batch.Requests,
+				&protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
+					Shard: shard.GetShard(), PlacementEpoch: shard.GetEpoch(), Turn: turn,
+				}}})
 		}
 		ctx, cancel := boundedContext()
 		defer cancel()
-		response, err := (&network{fleet: f}).Call(ctx, "a", &protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
+		response, err := (&network{fleet: f}).Call(ctx, "a",
+			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.GetStoreBatch().GetResponses()).To(HaveLen(2))
 		found := f.ask("a", 5*time.Second, find("turn"))
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -156,7 +156,7 @@
 		older.takeTurn()
 		f.clock.advance(11 * retentionTwelfth)
 		later := &program{fleet: f, name: "later", retention: retention, previousProgram: "older", previousTurn: older.last()}
-		later.claim("front-2", 1)
+		later.claim("front-2")
 		later.takeTurn()
 		later.takeTurn()
 		f.clock.advance(10 * retentionTwelfth)
@@ -224,7 +224,7 @@
 		f.clock.advance(time.Hour)
 		f.pass(time.Minute)
 		lasting.expectRetained()
-		idle.claim("front-2", 1)
+		idle.claim("front-2")
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
--- a/internal/state/store/shardtable/cursor.go
+++ b/internal/state/store/shardtable/cursor.go
@@ -45,5 +45,6 @@
 			return Cursor{Register: Key{Program: string(program), Call: string(call)}}, nil
 		}
 	}
-	return Cursor{}, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "no cursor of a shard", failure.WithPath("fetch_shard.after"))
+	return Cursor{}, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "no cursor of a shard",
+		failure.WithPath("fetch_shard.after"))
 }
--- a/internal/state/store/shardtable/page_bench_test.go
+++ b/internal/state/store/shardtable/page_bench_test.go
@@ -55,14 +55,14 @@
 	b.ReportMetric(float64(pages)/float64(b.N), "pages/shard")
 }
 
-func measureHeap(make func() any) (any, float64) {
+func measureHeap(allocate func() any) (any, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	made := make()
+	allocated := allocate()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return made, float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	return allocated, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
 // BenchmarkTableMemory reports the heap of one entry of the turn index and of one register without its value.
--- a/internal/state/store/snapshots.go
+++ b/internal/state/store/snapshots.go
@@ -62,19 +62,20 @@
 // loadTurnsFrom reads the log from a segment on and returns the turns that continue others.
 func (s *Store) loadTurnsFrom(segment uint64) ([]loadedTurn, error) {
 	var continuing []loadedTurn
-	err := s.folder.Turns.Replay(storage.Position{Segment: segment}, func(position storage.Position, encoded []byte) error {
-		record, err := records.Decode(encoded)
-		if err != nil {
-			return err
-		}
-		turn := record.GetTurn()
-		entry := turnindex.NewEntry(position, turn)
-		s.loadTurn(record.GetShard(), turnindex.KeyOf(turn), entry)
-		if !entry.Previous.IsZero() {
-			continuing = append(continuing, loadedTurn{shard: record.GetShard(), entry: entry})
-		}
-		return nil
-	})
+	err := s.folder.Turns.Replay(storage.Position{Segment: segment},
+		func(position storage.Position, encoded []byte) error {
+			record, err := records.Decode(encoded)
+			if err != nil {
+				return err
+			}
+			turn := record.GetTurn()
+			entry := turnindex.NewEntry(position, turn)
+			s.loadTurn(record.GetShard(), turnindex.KeyOf(turn), entry)
+			if !entry.Previous.IsZero() {
+				continuing = append(continuing, loadedTurn{shard: record.GetShard(), entry: entry})
+			}
+			return nil
+		})
 	return continuing, err
 }
 
--- a/internal/state/store/steptrace/members.go
+++ b/internal/state/store/steptrace/members.go
@@ -47,7 +47,8 @@
 			answer.Programs = append(answer.Programs, &protocol.TrainingStepProgram{Program: program})
 		}
 		if size > maxListBytes {
-			return nil, failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "the step has more programs than one answer holds")
+			return nil, failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN,
+				"the step has more programs than one answer holds")
 		}
 	}
 	return answer, nil
@@ -62,7 +63,9 @@
 }
 
 // listShard scans one shard. counts is false when the placement changed meanwhile.
-func (s *Service) listShard(shard uint32, step string, current *placement.Topology) (programs []string, counts bool, err error) {
+func (s *Service) listShard(
+	shard uint32, step string, current *placement.Topology,
+) (programs []string, counts bool, err error) {
 	g := s.options.Groups.Of(shard)
 	var page membersPage
 	var generation uint64
--- a/internal/state/store/steptrace/service.go
+++ b/internal/state/store/steptrace/service.go
@@ -24,7 +24,9 @@
 
 // Proposer applies an operation to a register of a shard for which this store votes.
 type Proposer interface {
-	Propose(ctx context.Context, shard register.ShardView, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
+	Propose(
+		ctx context.Context, shard register.ShardView, operation *protocol.LedgerOperation,
+	) (*protocol.LedgerResult, error)
 }
 
 // Options configure a Service. All are required.
@@ -54,7 +56,8 @@
 ) (*protocol.LedgerResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.options.Lifecycle.Context(), cancel)()
+	stop := context.AfterFunc(s.options.Lifecycle.Context(), cancel) //nolint:contextcheck // ends with the store too
+	defer stop()
 	step := message.GetTraceTrainingStep().GetStep()
 	names, complete, err := s.listMembers(ctx, step)
 	if err != nil {
--- a/internal/state/store/steptrace/trace.go
+++ b/internal/state/store/steptrace/trace.go
@@ -28,7 +28,9 @@
 
 // readMembers reads programs from a majority each, several at once, and returns those that
 // generate for the step, ordered by name. The error is an *UnreadProgramError.
-func (s *Service) readMembers(ctx context.Context, step string, names []string) ([]*protocol.TrainingStepProgram, error) {
+func (s *Service) readMembers(
+	ctx context.Context, step string, names []string,
+) ([]*protocol.TrainingStepProgram, error) {
 	readers, ctx := errgroup.WithContext(ctx)
 	readers.SetLimit(maxConcurrentReads)
 	reader := &programReader{service: s}
@@ -48,10 +50,14 @@
 		return nil, err
 	}
 	members = slices.DeleteFunc(members, func(member *protocol.TrainingStepProgram) bool { return member == nil })
-	slices.SortFunc(members, func(a, b *protocol.TrainingStepProgram) int { return cmp.Compare(a.GetProgram(), b.GetProgram()) })
+	slices.SortFunc(members, compareByProgram)
 	return members, nil
 }
 
+func compareByProgram(a, b *protocol.TrainingStepProgram) int {
+	return cmp.Compare(a.GetProgram(), b.GetProgram())
+}
+
 // programReader reads programs by way of the store that usually proposes for them, so that
 // reads do not compete with changes in progress. Any goroutine may use it.
 type programReader struct {
@@ -79,7 +85,8 @@
 		switch {
 		case err != nil:
 			r.unresponsive.Store(replica, true)
-		case result.GetStatus() == protocol.LedgerStatus_LEDGER_OK, result.GetStatus() == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:
+		case result.GetStatus() == protocol.LedgerStatus_LEDGER_OK,
+			result.GetStatus() == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:
 			return result.GetProgram(), nil
 		}
 	}
@@ -112,6 +119,7 @@
 		}
 		return r.service.options.Proposer.Propose(ctx, shard, operation)
 	}
-	response, err := r.service.options.Peers.Call(ctx, replica, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+	response, err := r.service.options.Peers.Call(ctx, replica,
+		&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 	return response.GetLedger(), err
 }
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -54,7 +54,8 @@
 			p.takeTurn()
 		}
 		f.until(func() bool {
-			return hasSnapshot(f.members["a"].disk.Files("data/registers")) && hasSnapshot(f.members["a"].disk.Files("data/turns"))
+			return hasSnapshot(f.members["a"].disk.Files("data/registers")) &&
+				hasSnapshot(f.members["a"].disk.Files("data/turns"))
 		})
 		for range 20 {
 			p.takeTurn()
@@ -120,7 +121,7 @@
 		}
 	})
 
-	It("given an emptied store and one that is partitioned, then it votes for nothing and answers unavailable, never missing", func() {
+	It("given an emptied store and one partitioned, then it does not vote and answers unavailable, never missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
@@ -189,7 +190,8 @@
 		operation.PlacementEpoch = old
 		inForce := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.until(func() bool {
-			response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "a", &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+			response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "a",
+				&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.GetLedger().GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT))
 			return response.GetLedger().GetPlacementEpoch() == inForce
@@ -213,7 +215,7 @@
 		})
 	})
 
-	It("given turns past their retention, when they are collected, then their segments are removed and they are missing", func() {
+	It("given turns past their retention, then their segments are removed and they are reported missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for range 400 {
@@ -229,9 +231,12 @@
 
 var _ = Describe("a call that may not be repeated", func() {
 	begin := func(p *program, attempt string) *protocol.LedgerOperation {
-		return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
-			RequestId: "call-1", Session: p.name, Epoch: p.epoch, Attempt: attempt, Tool: "valve",
-		}}}
+		return &protocol.LedgerOperation{
+			Program: p.name,
+			Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
+				RequestId: "call-1", Session: p.name, Epoch: p.epoch, Attempt: attempt, Tool: "valve",
+			}},
+		}
 	}
 
 	It("given an intent, then no other attempt may issue the call and its outcome answers repeats", func() {
@@ -251,7 +256,7 @@
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		late := begin(p, "old")
-		p.claim("front-2", 1)
+		p.claim("front-2")
 		Expect(f.do(late).GetStatus()).To(Equal(fenced))
 		Expect(f.do(begin(p, "new")).GetStatus()).To(Equal(ok))
 	})
@@ -267,14 +272,15 @@
 				return
 			}
 			once.Do(func() {
-				response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "b", &protocol.Request{Body: &protocol.Request_Ledger{
-					Ledger: &protocol.LedgerOperation{
-						Program: p.name, PlacementEpoch: f.View().Placement.GetShards()[ledger.ShardOf(p.name, shardCount)].GetEpoch(),
-						Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-							Session: p.name, Owner: "front-2", OwnerIncarnation: 1,
-						}},
-					},
-				}})
+				response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "b",
+					&protocol.Request{Body: &protocol.Request_Ledger{
+						Ledger: &protocol.LedgerOperation{
+							Program: p.name, PlacementEpoch: f.View().Placement.GetShards()[ledger.ShardOf(p.name, shardCount)].GetEpoch(),
+							Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+								Session: p.name, Owner: "front-2", OwnerIncarnation: 1,
+							}},
+						},
+					}})
 				if err == nil {
 					claimed = response.GetLedger().GetStatus()
 				}
@@ -297,7 +303,8 @@
 			}
 			m := f.members["a"]
 			before := m.self.GetStorageId()
-			// A turn is taken once two stores have kept it. Damage in the middle of a log, which this one must have for that, is a loss.
+			// A turn is taken once two stores have kept it. Damage in the middle of a log, which this one must have
+			// for that, is a loss.
 			f.until(func() bool { return f.running("a").Status().GetTurns() == uint64(turns) })
 			if turns > 50 {
 				f.until(func() bool { return hasSnapshot(m.disk.Files("data/registers")) })
@@ -310,8 +317,10 @@
 			Expect(folder.StorageID).NotTo(Equal(before))
 			Expect(folder.Close()).To(Succeed())
 		},
-		Entry("a register record", 5, func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/registers")[0], 200, 0xff)).To(BeTrue()) }),
-		Entry("a turn record", 5, func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/turns")[0], 200, 0xff)).To(BeTrue()) }),
+		Entry("a register record", 5,
+			func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/registers")[0], 200, 0xff)).To(BeTrue()) }),
+		Entry("a turn record", 5,
+			func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/turns")[0], 200, 0xff)).To(BeTrue()) }),
 		Entry("the register log", 5, func(m *member) { removeAll(m, "data/registers", ".log") }),
 		Entry("a register snapshot", 100, func(m *member) {
 			Expect(m.disk.Damage(listFiles(m, "data/registers", ".snapshot")[0], 60, 0xff)).To(BeTrue())
--- a/internal/state/store/storebench/costs.go
+++ b/internal/state/store/storebench/costs.go
@@ -32,7 +32,7 @@
 // MeasureCosts makes each kind of operation so many times, one at a time, for programs with one turn each.
 func MeasureCosts(ctx context.Context, folder string, count int) ([]*Cost, error) {
 	var costs []*Cost
-	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
 		for _, kind := range []struct {
 			name      string
 			operation func(program string) *protocol.LedgerOperation
@@ -49,7 +49,9 @@
 	return costs, err
 }
 
-func (f *fleet) measureCost(ctx context.Context, kind string, count int, operation func(string) *protocol.LedgerOperation) *Cost {
+func (f *fleet) measureCost(
+	ctx context.Context, kind string, count int, operation func(string) *protocol.LedgerOperation,
+) *Cost {
 	cost := &Cost{Kind: kind}
 	var latencies []time.Duration
 	messages, syncs, processor := f.messages(), f.syncs(), processorTime()
@@ -82,30 +84,45 @@
 }
 
 func reserveWithClaim(program string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: costsTurn, Session: program, Ceiling: reservationLimit, Fork: true,
-		Claim: &protocol.ClaimSession{Session: program, Owner: "front", OwnerIncarnation: 1, Tenant: "bench", Budget: 2 * reservationLimit},
-	}}}
+	return &protocol.LedgerOperation{
+		Program: program,
+		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+			RequestId: costsTurn, Session: program, Ceiling: reservationLimit, Fork: true,
+			Claim: &protocol.ClaimSession{
+				Session: program, Owner: "front", OwnerIncarnation: 1, Tenant: "bench",
+				Budget: 2 * reservationLimit,
+			},
+		}},
+	}
 }
 
 func commitTurn(program string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-		RequestId: costsTurn, Session: program, Epoch: 1, Tokens: reservationLimit / 2,
-		Turn: &protocol.Turn{
-			Id: ledger.TurnID(program, costsTurn), Program: program, Session: program, RequestId: costsTurn,
-			Output: []*protocol.Item{{Data: []byte(strings.Repeat("x", 8000))}}, KeptAtMillis: time.Now().UnixMilli(),
-		},
-	}}}
+	return &protocol.LedgerOperation{
+		Program: program,
+		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+			RequestId: costsTurn, Session: program, Epoch: 1, Tokens: reservationLimit / 2,
+			Turn: &protocol.Turn{
+				Id: ledger.TurnID(program, costsTurn), Program: program, Session: program, RequestId: costsTurn,
+				Output: []*protocol.Item{{Data: []byte(strings.Repeat("x", 8000))}}, KeptAtMillis: time.Now().UnixMilli(),
+			},
+		}},
+	}
 }
 
 func beginCall(program string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
-		RequestId: "call", Session: program, Epoch: 1, Attempt: "attempt",
-	}}}
+	return &protocol.LedgerOperation{
+		Program: program,
+		Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
+			RequestId: "call", Session: program, Epoch: 1, Attempt: "attempt",
+		}},
+	}
 }
 
 func finishCall(program string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_FinishCall{FinishCall: &protocol.FinishCall{
-		RequestId: "call", Attempt: "attempt", Status: 200, Body: make([]byte, 800),
-	}}}
+	return &protocol.LedgerOperation{
+		Program: program,
+		Body: &protocol.LedgerOperation_FinishCall{FinishCall: &protocol.FinishCall{
+			RequestId: "call", Attempt: "attempt", Status: 200, Body: make([]byte, 800),
+		}},
+	}
 }
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -96,7 +96,10 @@
 		return nil, errors.CombineErrors(err, listener.Close())
 	}
 	started := &node{
-		self:     &protocol.Node{Name: name, Kind: protocol.NodeKind_STORE, Incarnation: 1, Address: listener.Addr().String()},
+		self: &protocol.Node{
+			Name: name, Kind: protocol.NodeKind_STORE, Incarnation: 1,
+			Address: listener.Addr().String(),
+		},
 		pool:     wire.NewPool(wire.PoolOptions{Key: clusterKey, Node: name}),
 		registry: prometheus.NewRegistry(),
 	}
--- a/internal/state/store/storebench/load.go
+++ b/internal/state/store/storebench/load.go
@@ -92,7 +92,7 @@
 		stores++
 	}
 	var result *Result
-	err := withFleet(options.Folder, stores, func(f *fleet, _ string) error {
+	err := withFleet(options.Folder, stores, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
 		result = measure(ctx, f, options)
 		return nil
 	})
@@ -232,7 +232,9 @@
 }
 
 // do makes one operation and records it when it began after the warm-up.
-func (c *caller) do(ctx context.Context, into *hdrhistogram.Histogram, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+func (c *caller) do(
+	ctx context.Context, into *hdrhistogram.Histogram, operation *protocol.LedgerOperation,
+) *protocol.LedgerResult {
 	began := time.Now()
 	result, err := c.fleet.client.Do(ctx, operation)
 	if err != nil || result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -25,7 +25,7 @@
 // MeasureMemory runs programs of so many turns and compares the heap before and after.
 func MeasureMemory(ctx context.Context, folder string, programs, turns int) (*Memory, error) {
 	var result *Memory
-	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
 		// The first programs fill the buffers that stay, so that the second half gives the slope.
 		failed := f.runPrograms(ctx, "first", programs, turns, defaultTurnBytes)
 		before := heapBytes()
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -33,10 +33,11 @@
 		r.Restart.Round(time.Millisecond), r.RestartProcessorTime.Round(time.Millisecond))
 }
 
-// MeasureRebuild fills three stores, takes the disk of one away and waits until that store is complete; then it restarts it.
+// MeasureRebuild fills three stores, takes the disk of one away and waits until that store is complete; then
+// it restarts it.
 func MeasureRebuild(ctx context.Context, folder string, programs, turns, turnBytes int) (*Rebuild, error) {
 	result := &Rebuild{}
-	err := withFleet(folder, replicaCount, func(f *fleet, data string) error {
+	err := withFleet(folder, replicaCount, func(f *fleet, data string) error { //nolint:contextcheck // stores outlive it
 		if failed := f.runPrograms(ctx, "retained", programs, turns, turnBytes); failed > 0 {
 			return &FailedOperationsError{Count: failed}
 		}
@@ -49,14 +50,14 @@
 		if err := f.rebuildFirst(ctx, data, result); err != nil {
 			return err
 		}
-		return f.restartFirst(data, result)
+		return f.restartFirst(data, result) //nolint:contextcheck // stores outlive calls
 	})
 	return result, err
 }
 
 // rebuildFirst starts the first store without its data and waits until it has copied every shard.
 func (f *fleet) rebuildFirst(ctx context.Context, data string, result *Rebuild) error {
-	started, err := f.startNode(data, 0)
+	started, err := f.startNode(data, 0) //nolint:contextcheck // stores outlive calls
 	if err != nil {
 		return err
 	}
@@ -113,7 +114,8 @@
 		}
 		placement.Shards = append(placement.Shards, changed)
 	}
-	c.publish(&corelink.View{Membership: &protocol.MembershipView{Version: 2, Nodes: nodes}, Placement: placement}, placement.GetShards())
+	c.publish(&corelink.View{Membership: &protocol.MembershipView{Version: 2, Nodes: nodes}, Placement: placement},
+		placement.GetShards())
 }
 
 // rebuilding gives the number of shards with a replica that is not whole.
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -45,7 +45,7 @@
 // MeasureSteady keeps a load up and looks at the stores ten times.
 func MeasureSteady(ctx context.Context, folder string, options SteadyOptions) (*Steady, error) {
 	var steady *Steady
-	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
 		steady = f.runSteadily(ctx, options)
 		return nil
 	})
--- a/internal/state/store/storebench/storebench_test.go
+++ b/internal/state/store/storebench/storebench_test.go
@@ -26,7 +26,8 @@
 	for _, turns := range []int{1, 10, 55} {
 		b.Run(fmt.Sprintf("turns=%d", turns), func(b *testing.B) {
 			for b.Loop() {
-				result, err := storebench.Run(b.Context(), storebench.Options{Folder: b.TempDir(), Duration: 3 * time.Second, Turns: turns})
+				result, err := storebench.Run(b.Context(),
+					storebench.Options{Folder: b.TempDir(), Duration: 3 * time.Second, Turns: turns})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -41,7 +42,8 @@
 // BenchmarkLedgerWhileEmptying measures the same while every shard of one store moves to another.
 func BenchmarkLedgerWhileEmptying(b *testing.B) {
 	for b.Loop() {
-		result, err := storebench.Run(b.Context(), storebench.Options{Folder: b.TempDir(), Duration: 10 * time.Second, Empty: true})
+		result, err := storebench.Run(b.Context(),
+			storebench.Options{Folder: b.TempDir(), Duration: 10 * time.Second, Empty: true})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/state/store/storebench/training_steps.go
+++ b/internal/state/store/storebench/training_steps.go
@@ -21,7 +21,7 @@
 // MeasureTrainingSteps pins steps, and traces one with so many programs, beside others of no step, so many times.
 func MeasureTrainingSteps(ctx context.Context, folder string, members, others, traces int) ([]*Cost, error) {
 	var costs []*Cost
-	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error {
+	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
 		costs = []*Cost{
 			f.measureCost(ctx, "first pin of a step", pinCount, pinStep),
 			f.measureCost(ctx, "later pin of a step", pinCount, pinStep),
@@ -35,7 +35,8 @@
 			return reserveWithClaim(fmt.Sprintf("other-%d", number))
 		})
 		failed += f.openPrograms(ctx, 1, func(int) *protocol.LedgerOperation { return pinStep(benchStep) })
-		costs = append(costs, f.measureCost(ctx, "trace", traces, func(string) *protocol.LedgerOperation { return traceStep(benchStep) }))
+		costs = append(costs, f.measureCost(ctx, "trace", traces,
+			func(string) *protocol.LedgerOperation { return traceStep(benchStep) }))
 		if failed > 0 {
 			return &FailedOperationsError{Count: failed}
 		}
@@ -45,7 +46,9 @@
 }
 
 // openPrograms carries out one operation for each of so many programs, some at once, and returns how many failed.
-func (f *fleet) openPrograms(ctx context.Context, count int, operation func(number int) *protocol.LedgerOperation) int64 {
+func (f *fleet) openPrograms(
+	ctx context.Context, count int, operation func(number int) *protocol.LedgerOperation,
+) int64 {
 	var failed atomic.Int64
 	var callers errgroup.Group
 	callers.SetLimit(maxConcurrentPrograms)
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -25,7 +25,8 @@
 
 // The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
 // snapshot of registers and an index of turns with two segments after each, and a segment of turns that only the index
-// covers. A new form gets a folder of its own beside it; -update-stored is for the time before a form was released only.
+// covers. A new form gets a folder of its own beside it; -update-stored is for the time before a form was
+// released only.
 const (
 	storedData      = "testdata/stored"
 	storedStorageID = "stored-storage-id"
@@ -50,8 +51,8 @@
 	return encoded
 }
 
-// storedRegister is a register with its shard. A snapshot has the registers of one owner in no fixed order, so those that it
-// holds are of shards of different owners.
+// storedRegister is a register with its shard. A snapshot has the registers of one owner in no fixed order,
+// so those that it holds are of shards of different owners.
 type storedRegister struct {
 	shard uint32
 	key   shardtable.Key
@@ -69,14 +70,20 @@
 			{Session: "session", Epoch: 3, Owner: "front-1", OwnerIncarnation: 8, LastTurn: "turn-2", Turns: 2},
 			{Session: "other", Epoch: 1, Owner: "front-2", OwnerIncarnation: 9},
 		},
-		Reservations: []*protocol.Reservation{{RequestId: "request-3", Session: "session", Epoch: 3, Ceiling: 50, PreviousTurn: "turn-2"}},
+		Reservations: []*protocol.Reservation{{
+			RequestId: "request-3", Session: "session", Epoch: 3, Ceiling: 50,
+			PreviousTurn: "turn-2",
+		}},
 		Finished: []*protocol.FinishedRequest{{
 			RequestId: "request-1", Session: "session", Outcome: protocol.RequestOutcome_OUTCOME_SETTLED, TurnId: "turn-1",
 			Tokens: 7, FinishedAtMillis: storedMillis - 9, KeepUntilMillis: storedMillis + storedDay,
 		}},
 		UpdatedAtMillis: storedMillis, KeepingMillis: 2 * storedDay,
 		TrainingStep: &protocol.TrainingStepMembership{
-			Step: "step-7", WeightVersion: 4, Generations: []*protocol.GenerationCount{{WeightVersion: 4, Completed: 2, Discarded: 1}},
+			Step: "step-7", WeightVersion: 4, Generations: []*protocol.GenerationCount{{
+				WeightVersion: 4, Completed: 2,
+				Discarded: 1,
+			}},
 		},
 	})
 }
@@ -88,12 +95,17 @@
 		return register.State{Promised: newBallot(counter + 1), Accepted: newBallot(counter), Value: value}
 	}
 	call := marshaled(t, &protocol.CallRecord{
-		Program: "program-7", RequestId: "call-1", Session: "session", Epoch: 3, Tool: "tool", State: protocol.CallState_CALL_DONE,
-		Status: 201, Body: []byte("answer\x00"), UpdatedAtMillis: storedMillis, Attempt: "attempt-1", ContentType: "text/plain", KeepingMillis: storedDay,
+		Program: "program-7", RequestId: "call-1", Session: "session", Epoch: 3, Tool: "tool",
+		State:  protocol.CallState_CALL_DONE,
+		Status: 201, Body: []byte("answer\x00"), UpdatedAtMillis: storedMillis, Attempt: "attempt-1",
+		ContentType: "text/plain", KeepingMillis: storedDay,
+	})
+	pin := marshaled(t, &protocol.ProgramRecord{
+		Program: "step", UpdatedAtMillis: storedMillis,
+		TrainingStepPin: &protocol.TrainingStepPin{
+			Step: "step-7", Model: "model", WeightVersion: 4, PinnedBy: "front-1", PinnedAtMillis: storedMillis,
+		},
 	})
-	pin := marshaled(t, &protocol.ProgramRecord{Program: "step", UpdatedAtMillis: storedMillis, TrainingStepPin: &protocol.TrainingStepPin{
-		Step: "step-7", Model: "model", WeightVersion: 4, PinnedBy: "front-1", PinnedAtMillis: storedMillis,
-	}})
 	learned := state(5, storedProgram(t, "program-5", 500))
 	learned.Learned = true
 	covered = []storedRegister{
@@ -128,8 +140,12 @@
 			{Role: "user", Text: "question of " + id},
 			{Role: "tool", Text: "found", ToolCallId: "call", ToolName: "search", Data: []byte{0, 1, 0xff}},
 		},
-		Output: []*protocol.Item{{Role: "assistant", Text: "answer of " + id}}, InputTokens: 11, OutputTokens: 7, KeptAtMillis: storedMillis,
-		KeepUntilMillis: storedMillis + keptDays*storedDay, BackEnd: "back-end", Epoch: 3, HistoryTokens: 18, Nonce: "nonce", CachedTokens: 5,
+		Output: []*protocol.Item{{
+			Role: "assistant",
+			Text: "answer of " + id,
+		}}, InputTokens: 11, OutputTokens: 7, KeptAtMillis: storedMillis,
+		KeepUntilMillis: storedMillis + keptDays*storedDay, BackEnd: "back-end", Epoch: 3,
+		HistoryTokens: 18, Nonce: "nonce", CachedTokens: 5,
 	}}
 }
 
@@ -338,8 +354,8 @@
 	for _, stored := range []struct {
 		file string
 		size int
-		// refusedTo is where the part ends of which any damage makes the store give the folder up.
-		refusedTo int
+		// rejectedTo is where the part ends of which any damage makes the store give the folder up.
+		rejectedTo int
 	}{
 		{"identity", 64, 64},
 		{"registers/0000000000000002.snapshot", 1093, 1093},
@@ -361,8 +377,8 @@
 				folder, err := datafolder.Open(copyStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
 				requireNoError(t, err)
 				var corrupt *storage.CorruptError
-				refused := errors.As(folder.Lost, &corrupt)
-				if refused != (offset < stored.refusedTo) || refused == (folder.StorageID == storedStorageID) {
+				rejected := errors.As(folder.Lost, &corrupt)
+				if rejected != (offset < stored.rejectedTo) || rejected == (folder.StorageID == storedStorageID) {
 					t.Errorf("with byte %d damaged it opens as %q with %v lost", offset, folder.StorageID, folder.Lost)
 				}
 				requireNoError(t, folder.Close())
@@ -388,16 +404,15 @@
 	for offset := header; offset < len(files[segment]); offset++ {
 		opened, _ := newStored(t, copyStored(t, files, segment, offset), "data")
 		opened.Start()
-		refused := 0
+		rejected := 0
 		for _, stored := range covered {
 			_, err := opened.turns.Local(stored.shard, stored.turn.GetProgram(), stored.turn.GetId())
-			var corrupt *storage.CorruptError
-			if errors.As(err, &corrupt) {
-				refused++
+			if _, corrupt := errors.AsType[*storage.CorruptError](err); corrupt {
+				rejected++
 			}
 		}
-		if refused != 1 {
-			t.Errorf("with byte %d damaged %d turns are refused", offset, refused)
+		if rejected != 1 {
+			t.Errorf("with byte %d damaged %d turns are rejected", offset, rejected)
 		}
 		requireNoError(t, opened.Stop())
 	}
--- a/internal/state/store/training_step_trace_test.go
+++ b/internal/state/store/training_step_trace_test.go
@@ -56,13 +56,17 @@
 
 // release ends the turn reserved last as given to its caller whole on a version.
 func (p *program) release(version uint64) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
-		RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch,
-		Tokens: 7, WeightVersions: []uint64{version}, Completed: true,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
+			RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch,
+			Tokens: 7, WeightVersions: []uint64{version}, Completed: true,
+		}},
+	}
 }
 
-// rollouts pins the step and runs programs for it in every shard, the first of which also had a turn on another version.
+// rollouts pins the step and runs programs for it in every shard, the first of which also had a turn on
+// another version.
 func (f *fleet) rollouts(names ...string) {
 	GinkgoHelper()
 	Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
@@ -141,10 +145,12 @@
 				ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 				defer cancel()
 				go func() {
-					response, _ := (&network{fleet: f}).Call(ctx, "b", &protocol.Request{Body: &protocol.Request_Ledger{Ledger: pinAs(5, "front-2")}})
+					response, _ := (&network{fleet: f}).Call(ctx, "b",
+						&protocol.Request{Body: &protocol.Request_Ledger{Ledger: pinAs(5, "front-2")}})
 					others <- response.GetLedger()
 				}()
-				response, err := (&network{fleet: f}).Call(ctx, "a", &protocol.Request{Body: &protocol.Request_Ledger{Ledger: pinAs(4, "front-1")}})
+				response, err := (&network{fleet: f}).Call(ctx, "a",
+					&protocol.Request{Body: &protocol.Request_Ledger{Ledger: pinAs(4, "front-1")}})
 				others <- <-others
 				return response.GetLedger(), err
 			})
@@ -178,10 +184,10 @@
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		p := &program{fleet: f, name: "p1", requests: 100}
-		p.claim("front-2", 1)
+		p.claim("front-2")
 		Expect(f.do(p.reserve()).GetStatus()).To(Equal(stepMismatch))
 		live := &program{fleet: f, name: "live", requests: 100}
-		live.claim("front-2", 1)
+		live.claim("front-2")
 		Expect(f.do(live.reserveForStep()).GetStatus()).To(Equal(stepMismatch))
 		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
@@ -331,15 +337,16 @@
 		p := f.program("p")
 		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
 		f.setPartitioned("a", true)
-		Expect(f.requestDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
 		successor := &program{fleet: f, name: "p"}
-		successor.claim("front-2", 1)
+		successor.claim("front-2")
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
 		for _, name := range f.names {
 			traced := f.ask(name, awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 			Expect(traced).To(HaveLen(1))
-			Expect(proto.Equal(traced[0].GetMembership(), generations(`generations { discarded: 1 }`))).To(BeTrue(), "%v", traced)
+			Expect(proto.Equal(traced[0].GetMembership(), generations(`generations { discarded: 1 }`))).To(BeTrue(), "%v",
+				traced)
 		}
 	})
 
@@ -350,7 +357,7 @@
 		p := f.program("p")
 		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
 		f.setPartitioned("a", true)
-		Expect(f.requestDirectly("a", shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
 		first := f.ask("c", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
@@ -363,6 +370,7 @@
 		f.setPartitioned("a", false)
 		Expect(f.do(p.release(pinnedVersion)).GetStatus()).To(Equal(ok))
 		last := f.do(newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
-		Expect(proto.Equal(last[0].GetMembership(), generations(`generations { weight_version: 4 completed: 1 }`))).To(BeTrue(), "%v", last)
+		Expect(proto.Equal(last[0].GetMembership(),
+			generations(`generations { weight_version: 4 completed: 1 }`))).To(BeTrue(), "%v", last)
 	})
 })
--- a/internal/state/store/turns/chain.go
+++ b/internal/state/store/turns/chain.go
@@ -83,7 +83,7 @@
 	deadline := s.options.Lifecycle.Deadline(ctx, s.options.OperationTimeout)
 	retainer := s.retainers[int(shard.Shard)%len(s.retainers)]
 	statuses := make(chan protocol.LedgerStatus, len(page))
-	for _, turn := range slices.Backward(page) {
+	for _, turn := range slices.Backward(page) { //nolint:contextcheck // chains outlive their callers
 		if turn.GetKeepUntilMillis() >= untilMillis {
 			statuses <- protocol.LedgerStatus_LEDGER_OK
 			continue
--- a/internal/state/store/turns/fetch.go
+++ b/internal/state/store/turns/fetch.go
@@ -78,7 +78,9 @@
 
 // requestFromPeers sends a request to all other replicas and returns the channel of their
 // answers, and how many will come.
-func (s *Service) requestFromPeers(shard register.ShardView, fetch *protocol.FetchTurnsRequest) (<-chan fetchAnswer, int) {
+func (s *Service) requestFromPeers(
+	shard register.ShardView, fetch *protocol.FetchTurnsRequest,
+) (<-chan fetchAnswer, int) {
 	answers := make(chan fetchAnswer, len(shard.Quorum.Members()))
 	queried := 0
 	request := &protocol.Request{Body: &protocol.Request_FetchTurns{FetchTurns: fetch}}
--- a/internal/state/store/turns/find.go
+++ b/internal/state/store/turns/find.go
@@ -80,7 +80,9 @@
 }
 
 // findOnPeers queries the other stores at once. The first answer with the turn counts.
-func (s *Service) findOnPeers(ctx context.Context, find *protocol.FindTurn, lacking *placement.Coverage) *protocol.LedgerResult {
+func (s *Service) findOnPeers(
+	ctx context.Context, find *protocol.FindTurn, lacking *placement.Coverage,
+) *protocol.LedgerResult {
 	body := &protocol.Request_FindTurn{FindTurn: &protocol.FindTurnRequest{TurnId: find.GetTurnId()}}
 	others := lacking.Topology.Stores(s.options.Store)
 	answers := make(chan findAnswer, len(others))
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -68,9 +68,12 @@
 	GinkgoHelper()
 	for _, operation := range s.uncertain {
 		reserve := operation.GetReserveTurn()
-		release := &protocol.LedgerOperation{Program: operation.GetProgram(), Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
-			RequestId: reserve.GetRequestId(), Session: reserve.GetSession(), Epoch: reserve.GetEpoch(),
-		}}}
+		release := &protocol.LedgerOperation{
+			Program: operation.GetProgram(),
+			Body: &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: &protocol.ReleaseTurn{
+				RequestId: reserve.GetRequestId(), Session: reserve.GetSession(), Epoch: reserve.GetEpoch(),
+			}},
+		}
 		Expect(s.fleet.do(release).GetStatus()).To(Equal(ok), s.history)
 	}
 	s.uncertain = nil
