--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -47,7 +47,7 @@
 	case errors.As(err, &memberUnknown):
 		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, err.Error(), failure.WithPath("name"))
 	case errors.As(err, &memberInUse), errors.As(err, &unsafe):
-		return failure.New(failure.ChangeUnderWay, protocol.Outcome_NOT_RUN, err.Error(), retry)
+		return failure.New(failure.ChangeInProgress, protocol.Outcome_NOT_RUN, err.Error(), retry)
 	case errors.As(err, &mismatch):
 		return failure.New(failure.WrongCluster, protocol.Outcome_NOT_RUN, err.Error())
 	default:
@@ -67,7 +67,8 @@
 		failure.WithRetryAfter(RetryAfter))
 }
 
-// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process stops.
+// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process
+// stops.
 func Interrupted(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return &failure.Error{Failure: failure.From(err)}
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/process/daemon"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -66,7 +67,7 @@
 		return nil, false, nil, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().variantFor(request.GetProgram())
+	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, nil, err
@@ -78,7 +79,7 @@
 	if err := a.findConversation(c, request); err != nil {
 		return nil, false, nil, err
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		return nil, false, nil, a.rejectEarly(c, request, limited)
 	}
 	return request, stream, policy, nil
@@ -90,7 +91,7 @@
 	if request.GetSession() != "" {
 		return nil
 	}
-	previous, status := a.service.readTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
+	previous, status := a.service.operations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		request.Session = previous.GetSession()
@@ -103,7 +104,7 @@
 	}
 }
 
-func (a *api) tenant(c *gin.Context, decided variant) (*protocol.TenantPolicy, error) {
+func (a *api) tenant(c *gin.Context, decided rollout.Variant) (*protocol.TenantPolicy, error) {
 	if decided.Bundle() == nil {
 		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(time.Second))
 	}
@@ -140,7 +141,7 @@
 		tokens += uint64(event.GetDelta().GetTokens())
 		return stream.send(event)
 	})
-	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
+	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	endStream(c, stream, err)
 }
 
@@ -165,7 +166,7 @@
 		last = event
 		return nil
 	})
-	a.service.admission.chargeTenant(policy, *a.service.fleetShare.Load(), tokens)
+	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	switch {
 	case err != nil:
 		writeError(c, err)
@@ -213,7 +214,7 @@
 		return nil, false, err
 	}
 	c.Header(headerRequestID, request.GetRequestId())
-	decided := a.service.policies.Load().variantFor(request.GetProgram())
+	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
 		return nil, false, err
@@ -226,7 +227,7 @@
 	if route.GetNonRepeatable() && c.GetHeader(headerIdempotency) == "" {
 		return nil, false, missingField(headerIdempotency)
 	}
-	if limited := a.service.admission.admitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
+	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
 		return nil, false, err
 	}
--- a/internal/dataplane/schedule/policies.go
+++ b/internal/dataplane/schedule/policies.go
@@ -9,11 +9,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// freeShare is the part of its slots up to which a server keeps its prefixes whatever the mean is.
+// freeShare is the part of its slots up to which a server is within the load bound, whatever the mean is.
 const freeShare = 0.25
 
-// place runs the policy; candidates is never empty.
-func (d *Decision) place(request Request, candidates []*Candidate, random *rand.Rand) {
+// applyPolicy applies the request's policy; there is at least one candidate.
+func (d *Decision) applyPolicy(request Request, candidates []*Candidate, random *rand.Rand) {
 	if request.Step != nil {
 		d.leastOutstanding(request, candidates)
 		return
@@ -37,9 +37,9 @@
 // over the bound; then the next server in the prefix's order takes it.
 func (d *Decision) prefixAffinity(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
-	if at := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.Last }); at > 0 {
-		last := order[at]
-		order = slices.Insert(slices.Delete(order, at, at+1), 0, last)
+	if position := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.Last }); position > 0 {
+		last := order[position]
+		order = slices.Insert(slices.Delete(order, position, position+1), 0, last)
 	}
 	bound := newLoadBound(request, candidates)
 	chosen := slices.IndexFunc(order, bound.allows)
@@ -47,20 +47,20 @@
 		d.leastLoaded(request, candidates)
 		return
 	}
-	for at, candidate := range order {
+	for position, candidate := range order {
 		switch {
-		case at == chosen:
-			d.take(candidate, candidate.Load())
-		case at < chosen:
-			d.pass(candidate, candidate.Load(), ReasonOverBound)
+		case position == chosen:
+			d.choose(candidate, candidate.Load())
+		case position < chosen:
+			d.passOver(candidate, candidate.Load(), ReasonOverBound)
 		default:
-			d.pass(candidate, candidate.Load(), ReasonLower)
+			d.passOver(candidate, candidate.Load(), ReasonLower)
 		}
 	}
 }
 
-// loadBound is how many requests affinity lets each server hold: the factor
-// times its share of all requests, rounded up. A server with most of its slots
+// loadBound bounds the requests at each server that affinity prefers: the factor
+// times its share of all requests, rounded up (consistent hashing with bounded loads). A server with most of its slots
 // free is never over the bound, since leaving its cache would gain nothing.
 type loadBound struct {
 	requestsPerSlot float64
@@ -74,20 +74,15 @@
 	requests, slots := 1.0, 0.0
 	for _, candidate := range candidates {
 		requests += candidate.requests()
-		slots += candidateSlots(candidate)
+		slots += candidate.weightedSlots()
 	}
 	return loadBound{requestsPerSlot: factor * requests / slots}
 }
 
 func (b loadBound) allows(candidate *Candidate) bool {
-	slots := candidateSlots(candidate)
-	most := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
-	return candidate.requests()+1 <= most
-}
-
-// candidateSlots is the capacity scaled by weight.
-func candidateSlots(candidate *Candidate) float64 {
-	return candidate.slots() * candidate.Weight
+	slots := candidate.weightedSlots()
+	maxRequests := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
+	return candidate.requests()+1 <= maxRequests
 }
 
 func (d *Decision) leastLoaded(request Request, candidates []*Candidate) {
@@ -97,13 +92,13 @@
 }
 
 func (d *Decision) firstOf(order []*Candidate) {
-	d.take(order[0], order[0].Load())
+	d.choose(order[0], order[0].Load())
 	for _, candidate := range order[1:] {
-		d.pass(candidate, candidate.Load(), ReasonLower)
+		d.passOver(candidate, candidate.Load(), ReasonLower)
 	}
 }
 
-// powerOfTwo compares two random candidates and takes the less loaded one.
+// powerOfTwo compares two random candidates and chooses the less loaded one.
 func (d *Decision) powerOfTwo(candidates []*Candidate, random *rand.Rand) {
 	if len(candidates) == 1 {
 		d.firstOf(candidates)
@@ -117,22 +112,22 @@
 	if candidates[two].loadWith(1) < candidates[one].loadWith(1) {
 		one, two = two, one
 	}
-	for at, candidate := range candidates {
-		switch at {
+	for position, candidate := range candidates {
+		switch position {
 		case one:
-			d.take(candidate, candidate.Load())
+			d.choose(candidate, candidate.Load())
 		case two:
-			d.pass(candidate, candidate.Load(), ReasonLower)
+			d.passOver(candidate, candidate.Load(), ReasonLower)
 		default:
-			d.pass(candidate, candidate.Load(), ReasonNotSampled)
+			d.passOver(candidate, candidate.Load(), ReasonNotSampled)
 		}
 	}
 }
 
-// roundRobin takes the candidates in turn, in the order of their ids.
+// roundRobin chooses the candidates in turn, in the order of their ids.
 func (d *Decision) roundRobin(request Request, candidates []*Candidate) {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.ID, b.ID) })
-	at := int(request.Sequence % uint64(len(order)))
-	d.firstOf(slices.Concat(order[at:], order[:at]))
+	position := int(request.Sequence % uint64(len(order)))
+	d.firstOf(slices.Concat(order[position:], order[:position]))
 }
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -12,13 +12,13 @@
 	// Slots is the number of requests in a batch, Queue how many more wait.
 	Slots int
 	Queue int
-	// CacheTokens is the memory shared by running requests and cached parts.
+	// CacheTokens is the memory that running requests and the prefix cache share.
 	CacheTokens uint64
 	// StepTime is the time of a step; each running request and each thousand tokens of context add to it.
 	StepTime    time.Duration
 	PerRequest  time.Duration
 	PerThousand time.Duration
-	// PromptRate is the number of prompt tokens read in a millisecond, Chunk the most in one step.
+	// PromptRate is the number of prompt tokens prefilled in a millisecond, Chunk their maximum in one step.
 	PromptRate float64
 	Chunk      uint64
 }
@@ -28,9 +28,9 @@
 	prompt promptcache.Prompt
 	output uint64
 	rank   uint32
-	// unread are the prompt tokens still to read, generated the output tokens so far.
-	unread    uint64
-	generated uint64
+	// pendingPrompt are the prompt tokens still to prefill, generated the output tokens so far.
+	pendingPrompt uint64
+	generated     uint64
 
 	onFirst func()
 	onDone  func()
@@ -53,10 +53,10 @@
 	cache   *promptcache.Model
 	busy    bool
 
-	// read counts all prompt tokens that were read.
-	read       uint64
-	preempted  int
-	onReadPart func(promptcache.Segment)
+	// prefilled counts all prompt tokens that were prefilled.
+	prefilled uint64
+	preempted int
+	onPrefill func(promptcache.Segment)
 }
 
 const cacheKey = ""
@@ -65,7 +65,7 @@
 	return &engine{spec: spec, timeline: timeline, id: id, zone: zone, slowness: 1, cache: promptcache.New()}
 }
 
-// submit takes a request in; it is false when the server is full.
+// submit queues a request; false when the server is full.
 func (e *engine) submit(request *generation) bool {
 	if len(e.waiting)+len(e.batch) >= e.spec.Slots+e.spec.Queue {
 		return false
@@ -82,7 +82,7 @@
 	}
 }
 
-// running counts the requests that have their first token, as a report does.
+// running counts the requests with and without a first token, as a load report does.
 func (e *engine) running() (running, queued int) {
 	for _, request := range e.batch {
 		if request.generated > 0 {
@@ -92,7 +92,7 @@
 	return running, len(e.waiting) + len(e.batch) - running
 }
 
-// used is the memory that running requests hold.
+// used is the memory, in tokens, of the running requests.
 func (e *engine) used() uint64 {
 	used := uint64(0)
 	for _, request := range e.batch {
@@ -101,17 +101,17 @@
 	return used
 }
 
-// step reads a chunk of prompts and generates one token for each request whose prompt is read.
+// step prefills a chunk of prompts and generates one token for each request whose prompt is prefilled.
 func (e *engine) step() {
 	e.admit()
 	e.preempt()
 	decoding := 0
 	for _, request := range e.batch {
-		if request.unread == 0 {
+		if request.pendingPrompt == 0 {
 			decoding++
 		}
 	}
-	read := e.readChunk()
+	read := e.prefillChunk()
 	took := e.stepTime(decoding, read)
 	e.timeline.after(took, e.finishStep)
 }
@@ -123,7 +123,7 @@
 	return time.Duration(float64(took) * e.slowness)
 }
 
-// admit fills the batch, the most urgent first.
+// admit fills the batch in the order of ranks.
 func (e *engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *generation) int { return int(a.rank) - int(b.rank) })
 	for len(e.waiting) > 0 && len(e.batch) < e.spec.Slots {
@@ -132,24 +132,24 @@
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.place(next)
+		e.startRequest(next)
 	}
 }
 
-func (e *engine) place(request *generation) {
-	request.unread = request.context() - e.cache.Cached(cacheKey, request.prompt)
-	// The last token is read in any case.
-	request.unread = max(request.unread, 1)
+func (e *engine) startRequest(request *generation) {
+	request.pendingPrompt = request.context() - e.cache.Cached(cacheKey, request.prompt)
+	// The last token is never cached.
+	request.pendingPrompt = max(request.pendingPrompt, 1)
 	e.batch = append(e.batch, request)
 	e.fit()
 }
 
-// fit leaves cached parts the memory that running requests do not hold.
+// fit gives the prefix cache the memory that running requests do not occupy.
 func (e *engine) fit() {
 	e.cache.Resize(cacheKey, e.spec.CacheTokens-min(e.spec.CacheTokens, e.used()))
 }
 
-// preempt puts the newest of the least urgent requests back while memory is short.
+// preempt queues the newest of the lowest-priority requests again while memory is short.
 func (e *engine) preempt() {
 	for len(e.batch) > 1 && e.used() > e.spec.CacheTokens {
 		victim := len(e.batch) - 1
@@ -164,37 +164,37 @@
 	}
 }
 
-// readChunk reads the next piece of prompts in the order of the batch.
-func (e *engine) readChunk() uint64 {
+// prefillChunk prefills the next chunk of prompts in the order of the batch.
+func (e *engine) prefillChunk() uint64 {
 	read := uint64(0)
 	for _, request := range e.batch {
-		piece := min(request.unread, e.spec.Chunk-read)
-		request.unread -= piece
-		read += piece
-		if piece > 0 && request.unread == 0 {
-			e.keep(request)
+		chunk := min(request.pendingPrompt, e.spec.Chunk-read)
+		request.pendingPrompt -= chunk
+		read += chunk
+		if chunk > 0 && request.pendingPrompt == 0 {
+			e.cachePrompt(request)
 		}
 	}
-	e.read += read
+	e.prefilled += read
 	return read
 }
 
-func (e *engine) keep(request *generation) {
-	if e.onReadPart != nil {
+func (e *engine) cachePrompt(request *generation) {
+	if e.onPrefill != nil {
 		cached := e.cache.Cached(cacheKey, request.prompt)
 		passed := uint64(0)
-		for _, part := range request.prompt {
-			if passed += uint64(part.Tokens); passed > cached {
-				e.onReadPart(part)
+		for _, segment := range request.prompt {
+			if passed += uint64(segment.Tokens); passed > cached {
+				e.onPrefill(segment)
 			}
 		}
 	}
-	e.cache.Sent(cacheKey, request.prompt, e.timeline.clock())
+	e.cache.RecordSent(cacheKey, request.prompt, e.timeline.clock())
 }
 
 func (e *engine) finishStep() {
 	for _, request := range e.batch {
-		if request.unread > 0 {
+		if request.pendingPrompt > 0 {
 			continue
 		}
 		request.generated++
@@ -208,7 +208,7 @@
 	e.begin()
 }
 
-// retire takes out the requests that have all their output.
+// retire removes the requests whose output is complete.
 func (e *engine) retire() {
 	var done []*generation
 	e.batch = slices.DeleteFunc(e.batch, func(request *generation) bool {
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// reportLag is how old a report is when it is given.
-	reportLag = 100 * time.Millisecond
-	// reportLife is how long a report is believed.
-	reportLife = 2 * time.Second
+	// reportDelay is the age of a load report when it arrives.
+	reportDelay = 100 * time.Millisecond
+	// reportTTL is how long a load report is used.
+	reportTTL = 2 * time.Second
 )
 
-// serverState is what a front node knows of one server.
+// serverState is a front node's state of one server.
 type serverState struct {
 	engine        *engine
 	inFlight      uint32
 	waiting       uint32
 	pendingTokens uint64
-	// issued has the times at which the requests without a first token were sent.
+	// issued are the times at which the requests without a first token were sent.
 	issued   []time.Duration
 	slowness schedule.Slowness
 	report   report
@@ -37,7 +37,7 @@
 	waiting         uint32
 }
 
-// front is one front node that decides by itself.
+// front is one front node, which decides on its own information.
 type front struct {
 	fleet    *fleet
 	name     string
@@ -50,13 +50,17 @@
 }
 
 func newFront(fleet *fleet, name, zone string, random *rand.Rand) *front {
-	f := &front{fleet: fleet, name: name, zone: zone, random: random, cache: promptcache.New(), servers: make(map[string]*serverState)}
+	f := &front{
+		fleet: fleet, name: name, zone: zone, random: random, cache: promptcache.New(), servers: make(
+			map[string]*serverState,
+		),
+	}
 	f.cache.SetFronts(fleet.options.Fronts)
 	return f
 }
 
-// view brings the servers known into line with those that run.
-func (f *front) view() {
+// updateView adds the servers that were started.
+func (f *front) updateView() {
 	for _, server := range f.fleet.engines {
 		if f.servers[server.id] == nil {
 			f.servers[server.id] = &serverState{engine: server}
@@ -65,7 +69,7 @@
 	}
 }
 
-// sample asks the one of two random servers that was asked longer ago.
+// sample requests a load report of the one of two random servers whose report is older.
 func (f *front) sample() {
 	servers := f.fleet.engines
 	one, two := f.servers[servers[f.random.IntN(len(servers))].id], f.servers[servers[f.random.IntN(len(servers))].id]
@@ -77,24 +81,25 @@
 		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: one.engine.used(),
 		waiting: one.waiting,
 	}
-	f.fleet.timeline.after(reportLag, func() {
+	f.fleet.timeline.after(reportDelay, func() {
 		one.report = taken
 		f.cache.Resize(one.engine.id, one.engine.spec.CacheTokens-min(one.engine.spec.CacheTokens, taken.used))
 	})
 }
 
-// hearLoad takes in the load that a server tells with the head of an answer.
-func (f *front) hearLoad(state *serverState) {
+// receiveLoad records the load that a server reports with the head of an answer.
+func (f *front) receiveLoad(state *serverState) {
 	if !f.fleet.options.LoadOnAnswers || f.fleet.options.lacks(AnswerLoads) {
 		return
 	}
 	running, queued := state.engine.running()
 	state.report = report{
-		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used, waiting: state.waiting,
+		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used,
+		waiting: state.waiting,
 	}
 }
 
-// factor is the server's slowness, from its answers and from those that it still owes.
+// factor is the server's slowness, from its answers and from the requests without one.
 func (s *serverState) factor(profile schedule.Profile, timeline *timeline) float64 {
 	if len(s.issued) == 0 {
 		return s.slowness.Factor(timeline.clock())
@@ -110,8 +115,8 @@
 	s.issued = append(s.issued, at)
 }
 
-// began notes that a request has its first token or was refused.
-func (s *serverState) began(tokens uint64, at time.Duration) {
+// firstTokenReceived records that a request has its first token or was rejected.
+func (s *serverState) firstTokenReceived(tokens uint64, at time.Duration) {
 	s.waiting--
 	s.pendingTokens -= tokens
 	index := slices.Index(s.issued, at)
@@ -128,7 +133,7 @@
 			CachedTokens: f.cache.Cached(server.id, prompt), CacheTokens: server.spec.CacheTokens,
 			Slowness: state.factor(f.profile.Profile(), f.fleet.timeline),
 		}
-		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportLife {
+		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportTTL {
 			candidate.Running, candidate.Queued = uint32(state.report.running), uint32(state.report.queued)
 			candidate.UsedTokens, candidate.ReportAge = state.report.used, age
 			candidate.WaitingAtReport = state.report.waiting
@@ -139,21 +144,29 @@
 	return candidates
 }
 
-// choose places one turn.
-func (f *front) choose(l *line, prompt promptcache.Prompt, output uint64, avoid []string) *serverState {
+// choose chooses the server of one turn.
+func (f *front) choose(
+	conversation *conversation, prompt promptcache.Prompt, output uint64, avoid []string,
+) *serverState {
 	f.sequence++
 	request := schedule.Request{
-		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
-		AffinityKey: l.program.name, Last: l.last, Avoid: avoid, Sequence: f.sequence,
-		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output, Profile: f.profile.Profile(),
+		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(
+			f.fleet.options.SubsetSize, uint32(len(f.fleet.engines)),
+		),
+		AffinityKey: conversation.program.name, Last: conversation.last, Avoid: avoid, Sequence: f.sequence,
+		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output,
+		Profile: f.profile.Profile(),
 	}
 	f.fleet.options.switchOff(&request)
 	return f.servers[schedule.Choose(request, f.candidates(prompt), f.random).Chosen]
 }
 
-// issue sends a turn to the server that the policy chooses, to another when that one is full.
-func (f *front) issue(l *line, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst, onDone func(), onFail func()) {
-	state := f.choose(l, prompt, output, avoid)
+// issue sends a turn to the server that the policy chooses, and to another when that one is full.
+func (f *front) issue(
+	conversation *conversation, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst,
+	onDone func(), onFail func(),
+) {
+	state := f.choose(conversation, prompt, output, avoid)
 	if state == nil || len(avoid) >= 3 {
 		onFail()
 		return
@@ -162,13 +175,13 @@
 	own := prompt.Tokens() - f.cache.Cached(state.engine.id, prompt)
 	ahead := state.pendingTokens
 	issued := timeline.now
-	f.cache.Sent(state.engine.id, prompt, timeline.clock())
+	f.cache.RecordSent(state.engine.id, prompt, timeline.clock())
 	state.sent(own, issued)
 	request := &generation{prompt: prompt, output: output, rank: rank}
 	first := time.Duration(0)
 	firstSeen := func() {
-		state.began(own, issued)
-		f.hearLoad(state)
+		state.firstTokenReceived(own, issued)
+		f.receiveLoad(state)
 		first = timeline.now
 		state.slowness.Observe(f.profile.Profile().FirstToken(own+ahead), first-issued, timeline.clock())
 		f.profile.ObserveFirstToken(own, ahead, first-issued)
@@ -179,15 +192,15 @@
 		state.inFlight--
 		state.slowness.Observe(time.Duration(output)*f.profile.Profile().StepTime, timeline.now-first, timeline.clock())
 		f.profile.ObserveOutput(output, timeline.now-first)
-		l.last = state.engine.id
+		conversation.last = state.engine.id
 		onDone()
 	}
-	timeline.after(way/2, func() {
+	timeline.after(networkTime/2, func() {
 		if state.engine.submit(request) {
 			return
 		}
 		state.inFlight--
-		state.began(own, issued)
-		f.issue(l, rank, prompt, output, append(avoid, state.engine.id), onFirst, onDone, onFail)
+		state.firstTokenReceived(own, issued)
+		f.issue(conversation, rank, prompt, output, append(avoid, state.engine.id), onFirst, onDone, onFail)
 	})
 }
--- a/internal/testing/sim/servingsuite/ledger.go
+++ b/internal/testing/sim/servingsuite/ledger.go
@@ -4,26 +4,22 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/state/ledger"
 	"github.com/rosestand/rosestand/internal/testing/sim"
+	"github.com/rosestand/rosestand/internal/testing/sim/ledgermodel"
 )
 
-// ledgerState is what the stores would hold on a majority.
+// ledgerState stands for the state on a majority of stores; it outlives the process.
 type ledgerState struct {
-	programs map[string]*protocol.ProgramRecord
-	calls    map[string]*protocol.CallRecord
-	// turns are the kept turns by id.
+	*ledgermodel.Ledger
+	// turns are the retained turns by id.
 	turns map[string]*protocol.Turn
 }
 
 func newLedgerState() *ledgerState {
-	return &ledgerState{
-		programs: make(map[string]*protocol.ProgramRecord), calls: make(map[string]*protocol.CallRecord),
-		turns: make(map[string]*protocol.Turn),
-	}
+	return &ledgerState{Ledger: ledgermodel.New(), turns: make(map[string]*protocol.Turn)}
 }
 
-// readTurn asks for a kept turn; the answer is a *protocol.Turn, nil for none.
+// readTurn requests a retained turn; the answer is a turnRead, with a nil turn for none.
 type readTurn struct{ id string }
 
 type turnRead struct{ turn *protocol.Turn }
@@ -41,7 +37,7 @@
 	return l, nil
 }
 
-// Receive takes a frame in.
+// Receive implements sim.Process.
 func (l *ledgerProcess) Receive(from sim.Address, message any) { l.transport.receive(from, message) }
 
 // ConnectionBroken implements sim.ConnectionObserver.
@@ -57,29 +53,9 @@
 }
 
 func (l *ledgerProcess) apply(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	if ledger.CallRequestID(operation) != "" {
-		return l.applyCall(operation)
-	}
-	changed, result := ledger.Apply(l.state.programs[operation.GetProgram()], operation, l.environment.Now())
-	if changed != nil {
-		l.state.programs[operation.GetProgram()] = changed
-	}
-	if settled := operation.GetSettleTurn(); settled != nil && result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-		l.state.turns[settled.GetTurn().GetId()] = settled.GetTurn()
+	result := l.state.Apply(operation, l.environment.Now())
+	if commit := operation.GetSettleTurn(); commit != nil && result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
+		l.state.turns[commit.GetTurn().GetId()] = commit.GetTurn()
 	}
 	return result
 }
-
-// applyCall decides on the call's register and then, as a store does, checks the epoch.
-func (l *ledgerProcess) applyCall(operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	id := operation.GetProgram() + "/" + ledger.CallRequestID(operation)
-	changed, result := ledger.ApplyCall(l.state.calls[id], operation, l.environment.Now())
-	if changed != nil {
-		l.state.calls[id] = changed
-	}
-	begin := operation.GetBeginCall()
-	if begin == nil || result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
-		return result
-	}
-	return ledger.CheckEpoch(l.state.programs[operation.GetProgram()], begin.GetSession(), begin.GetEpoch())
-}
