--- a/internal/dataplane/front/route_faults_test.go
+++ b/internal/dataplane/front/route_faults_test.go
@@ -206,7 +206,7 @@
 		got := f1.route(routed{target: path})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header).To(HaveKey("Retry-After"))
-		closed, err := closedport.Hold()
+		closed, err := closedport.Reserve()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(closed.Release)
 		r.announce("gone", routeGroup, closed.Address())
--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%s has %d rows, the first is %q", result.Day, len(result.Rows), result.Rows[0].Without)
 		}
 		for _, row := range result.Rows {
-			if row.InTime.Mean <= 0 || row.InTime.Least > row.InTime.Mean || row.InTime.Most < row.InTime.Mean {
+			if row.InTime.Mean <= 0 || row.InTime.Min > row.InTime.Mean || row.InTime.Max < row.InTime.Mean {
 				t.Errorf("%s without %q: %+v", result.Day, row.Without, row.InTime)
 			}
 		}
@@ -58,14 +58,14 @@
 }
 
 func TestAPlayFollowsFromItsFile(t *testing.T) {
-	print := func() string {
+	printed := func() string {
 		var output bytes.Buffer
 		file := parsed(t, small)
 		ablation.Print(&output, file, file.Run())
 		return output.String()
 	}
-	first := print()
-	if second := print(); first != second {
+	first := printed()
+	if second := printed(); first != second {
 		t.Errorf("%s\n%s", first, second)
 	}
 	if !strings.Contains(first, "small, slow: mean and spread of 2 seeds") {
--- a/internal/testing/lab/ablation/file.go
+++ b/internal/testing/lab/ablation/file.go
@@ -48,18 +48,18 @@
 
 // Program is one kind of program.
 type Program struct {
-	Name          string  `json:"name"`
-	PerSecond     float64 `json:"per_second"`
-	Rank          uint32  `json:"rank"`
-	Turns         float64 `json:"turns"`
-	MostTurns     int     `json:"most_turns"`
-	SharedTokens  uint32  `json:"shared_tokens"`
-	InputTokens   float64 `json:"input_tokens"`
-	OutputTokens  float64 `json:"output_tokens"`
-	PauseMillis   int     `json:"pause_millis"`
-	SubAgents     float64 `json:"sub_agents"`
-	SubAgentCount int     `json:"sub_agent_count"`
-	SubAgentTurns int     `json:"sub_agent_turns"`
+	Name            string  `json:"name"`
+	PerSecond       float64 `json:"per_second"`
+	Rank            uint32  `json:"rank"`
+	Turns           float64 `json:"turns"`
+	MaxTurns        int     `json:"most_turns"`
+	SharedTokens    uint32  `json:"shared_tokens"`
+	InputTokens     float64 `json:"input_tokens"`
+	OutputTokens    float64 `json:"output_tokens"`
+	InterTurnMillis int     `json:"pause_millis"`
+	SubAgents       float64 `json:"sub_agents"`
+	SubAgentCount   int     `json:"sub_agent_count"`
+	SubAgentTurns   int     `json:"sub_agent_turns"`
 }
 
 // Day is a load with what goes wrong beside it.
@@ -171,9 +171,9 @@
 
 func (p *Program) spec() schedulesim.ProgramSpec {
 	return schedulesim.ProgramSpec{
-		Name: p.Name, PerSecond: p.PerSecond, Rank: p.Rank, Turns: p.Turns, MaxTurns: p.MostTurns,
+		Name: p.Name, PerSecond: p.PerSecond, Rank: p.Rank, Turns: p.Turns, MaxTurns: p.MaxTurns,
 		SharedTokens: p.SharedTokens, InputTokens: p.InputTokens, OutputTokens: p.OutputTokens,
-		ThinkTime:     time.Duration(p.PauseMillis) * time.Millisecond,
+		ThinkTime: time.Duration(p.InterTurnMillis) * time.Millisecond,
 		SubAgents: p.SubAgents, SubAgentCount: p.SubAgentCount, SubAgentTurns: p.SubAgentTurns,
 	}
 }
--- a/internal/testing/lab/ablation/run.go
+++ b/internal/testing/lab/ablation/run.go
@@ -28,14 +28,14 @@
 }
 
 // Spread is the mean of a figure over the seeds with its least and its most.
-type Spread struct{ Mean, Least, Most float64 }
+type Spread struct{ Mean, Min, Max float64 }
 
 func spreadOf(values []float64) Spread {
-	spread := Spread{Least: math.Inf(1), Most: math.Inf(-1)}
+	spread := Spread{Min: math.Inf(1), Max: math.Inf(-1)}
 	for _, value := range values {
 		spread.Mean += value / float64(len(values))
-		spread.Least = min(spread.Least, value)
-		spread.Most = max(spread.Most, value)
+		spread.Min = min(spread.Min, value)
+		spread.Max = max(spread.Max, value)
 	}
 	return spread
 }
@@ -93,5 +93,5 @@
 }
 
 func (s Spread) text(digits int) string {
-	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Mean, digits, s.Least, digits, s.Most)
+	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Mean, digits, s.Min, digits, s.Max)
 }
--- a/internal/testing/lab/audit/audit.go
+++ b/internal/testing/lab/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit compares what the stand-ins saw with what callers and operators
-// were told, and names each promise that was broken.
+// Package audit compares the journals of the stand-ins with what callers and operators
+// received, and reports each violated guarantee.
 package audit
 
 import (
@@ -9,38 +9,38 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
-// Check names one promise.
+// Check names one guarantee.
 type Check string
 
-// The checks, one for each promise.
+// The checks, one for each guarantee.
 const (
-	RanTwice        Check = "non-repeatable call ran twice"
-	RefusedButRan   Check = "refused but ran"
-	BudgetRefusal   Check = "refused for its budget but ran"
-	OverBudget      Check = "tokens over budget plus one turn"
-	AnswersCrossed  Check = "answers crossed"
-	BrokenStream    Check = "stream skipped, repeated or spliced"
-	KeptTurnMissing Check = "kept turn reported missing or altered"
-	EventDelay      Check = "event passed on late"
-	DrainIgnored    Check = "request to a draining server"
-	BundleWentBack  Check = "bundle went back or was lost"
-	BundleLate      Check = "bundle in force late"
-	OrderRevoked    Check = "order acknowledged and refused"
-	OlderOwnerRan   Check = "run of an older owner after a newer one"
-	ReturnedLate    Check = "service back late"
+	RanTwice            Check = "non-repeatable call ran twice"
+	RejectedButRan      Check = "refused but ran"
+	BudgetRejectionRan  Check = "refused for its budget but ran"
+	OverBudget          Check = "tokens over budget plus one turn"
+	AnswersCrossed      Check = "answers crossed"
+	BrokenStream        Check = "stream skipped, repeated or spliced"
+	RetainedTurnMissing Check = "kept turn reported missing or altered"
+	EventDelayed        Check = "event passed on late"
+	DrainIgnored        Check = "request to a draining server"
+	BundleReverted      Check = "bundle went back or was lost"
+	BundleLate          Check = "bundle in force late"
+	OrderRevoked        Check = "order acknowledged and refused"
+	OlderOwnerRan       Check = "run of an older owner after a newer one"
+	RecoveredLate       Check = "service back late"
 )
 
-// Interval is a span of time in which a fault was injected.
-type Interval struct {
+// FaultInterval is the time of an injected fault.
+type FaultInterval struct {
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
-	// Processes are the names and the HTTP addresses of those that it struck.
+	// Processes are the names and the HTTP addresses of the affected processes.
 	Processes []string `json:"processes"`
-	// Core is true when it struck the core.
+	// Core is true when it affected the core.
 	Core bool `json:"core,omitempty"`
 }
 
-func (i Interval) overlaps(from, to time.Time) bool {
+func (i FaultInterval) overlaps(from, to time.Time) bool {
 	return from.Before(i.To) && to.After(i.From)
 }
 
@@ -53,7 +53,7 @@
 	Kind       OrderKind `json:"kind"`
 	// Version of the bundle put or put in force.
 	Version uint64 `json:"version,omitempty"`
-	// Content tells bundles under the same version apart.
+	// Content distinguishes bundles of the same version.
 	Content string       `json:"content,omitempty"`
 	Outcome OrderOutcome `json:"outcome"`
 	Code    string       `json:"code,omitempty"`
@@ -77,46 +77,46 @@
 	OrderList OrderKind = "list"
 )
 
-// OrderOutcome is what an operator was told.
+// OrderOutcome is the outcome of an order for its operator.
 type OrderOutcome string
 
 // Outcomes of orders.
 const (
 	OrderAcknowledged OrderOutcome = "acknowledged"
-	OrderRefused      OrderOutcome = "refused"
+	OrderRejected     OrderOutcome = "refused"
 	OrderUnknown      OrderOutcome = "unknown"
 )
 
-// Return is the wait for service after machines that had died returned.
-type Return struct {
+// Recovery is the time until service after crashed machines returned.
+type Recovery struct {
 	After string        `json:"after"`
 	At    time.Time     `json:"at"`
 	Took  time.Duration `json:"took"`
-	// Served is false when the wait was given up.
+	// Served is false when the wait timed out.
 	Served bool `json:"served"`
 }
 
-// Evidence is all that a run left behind.
+// Evidence is everything that a run recorded.
 type Evidence struct {
-	Book    *caller.Book
-	Journal []standin.Entry
-	Orders  []Order
-	// Disturbed are the injected faults; they explain delays of events and
-	// bundles on the processes that they struck, and nothing else.
-	Disturbed []Interval
-	Returns   []Return
+	RequestLog *caller.RequestLog
+	Journal    []standin.Entry
+	Orders     []Order
+	// FaultIntervals are the injected faults; they excuse delays of events and
+	// bundles on the affected processes, and nothing else.
+	FaultIntervals []FaultInterval
+	Recoveries     []Recovery
 	// Candidates are bundle versions that serve a share of the programs beside the active one.
 	Candidates []uint64
 }
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Check   Check  `json:"check"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// Result is what one check found.
+// Result is the result of one check.
 type Result struct {
 	Check Check `json:"check"`
 	// Examined counts the things that were checked; a check of nothing proves nothing.
@@ -170,22 +170,22 @@
 	file := index(evidence)
 	checks := []struct {
 		name Check
-		run  func(*casefile, *finder)
+		run  func(*indexedEvidence, *finder)
 	}{
 		{RanTwice, checkRanTwice},
-		{RefusedButRan, checkRefusedButRan},
-		{BudgetRefusal, checkBudgetRefusal},
+		{RejectedButRan, checkRejectedButRan},
+		{BudgetRejectionRan, checkBudgetRejections},
 		{OverBudget, checkOverBudget},
 		{AnswersCrossed, checkAnswersCrossed},
 		{BrokenStream, checkStreams},
-		{KeptTurnMissing, checkKeptTurns},
-		{EventDelay, checkEventDelay},
+		{RetainedTurnMissing, checkRetainedTurns},
+		{EventDelayed, checkEventDelay},
 		{DrainIgnored, checkDrains},
-		{BundleWentBack, checkBundles},
+		{BundleReverted, checkBundles},
 		{BundleLate, checkBundleLate},
 		{OrderRevoked, checkOrders},
 		{OlderOwnerRan, checkOwners},
-		{ReturnedLate, checkReturns},
+		{RecoveredLate, checkRecoveries},
 	}
 	report := &Report{}
 	for _, check := range checks {
--- a/internal/testing/lab/audit/audit_test.go
+++ b/internal/testing/lab/audit/audit_test.go
@@ -60,7 +60,7 @@
 // sound is evidence without any fault; each case below spoils one thing.
 func sound() audit.Evidence {
 	return audit.Evidence{
-		Book: &caller.Book{
+		RequestLog: &caller.RequestLog{
 			Programs: map[string]*caller.Program{"p1": {ID: "p1", Budget: 100, LargestTurn: 10}},
 			Records: []*caller.Record{soundTurn(), soundCall(), {
 				Operation: caller.OperationRead, RequestID: "read-r1", TurnID: "turn_1", Program: "p1",
@@ -73,9 +73,9 @@
 			{Phase: standin.PhaseStarted, Server: "model-1", RequestID: "r1", AtMicros: at(5).UnixMicro(), ArrivedMicros: at(5).UnixMicro()},
 			run("c1", site.ToolValvePlans, "valve-1", 55),
 			{Phase: standin.PhaseDrainAcknowledged, Server: "model-1", AtMicros: at(100).UnixMicro()},
-			{Phase: standin.PhaseRefused, Server: "model-1", RequestID: "r9", AtMicros: at(2050).UnixMicro(), ArrivedMicros: at(2050).UnixMicro()},
+			{Phase: standin.PhaseRejected, Server: "model-1", RequestID: "r9", AtMicros: at(2050).UnixMicro(), ArrivedMicros: at(2050).UnixMicro()},
 		},
-		Returns: []audit.Return{{After: "kill everything", Took: 12 * time.Second, Served: true}},
+		Recoveries: []audit.Recovery{{After: "kill everything", Took: 12 * time.Second, Served: true}},
 		Orders: []audit.Order{
 			{Kind: audit.OrderPut, Version: 1, Content: "a", SentAt: at(-90), AnsweredAt: at(-80), Outcome: audit.OrderAcknowledged, ID: "o1"},
 			{Kind: audit.OrderSign, Version: 1, SentAt: at(-79), AnsweredAt: at(-70), Outcome: audit.OrderAcknowledged, ID: "o2"},
@@ -93,7 +93,7 @@
 
 // TestEachCheckBites spoils sound evidence in one way and expects exactly the check meant for it to speak.
 func TestEachCheckBites(t *testing.T) {
-	turn := func(e *audit.Evidence) *caller.Record { return e.Book.Records[0] }
+	turn := func(e *audit.Evidence) *caller.Record { return e.RequestLog.Records[0] }
 	events := func(e *audit.Evidence) []caller.Event { return turn(e).Exchanges[0].Events }
 	cases := []struct {
 		name  string
@@ -106,23 +106,23 @@
 		{"one thing was changed by two requests", audit.RanTwice, func(e *audit.Evidence) {
 			e.Journal = append(e.Journal, run("c2", site.ToolValvePlans, "valve-1", 58))
 		}},
-		{"told not_run and ran", audit.RefusedButRan, func(e *audit.Evidence) {
-			e.Book.Records[1].Outcome = caller.OutcomeNotRun
-			e.Book.Records[1].Exchanges = refusal(caller.OutcomeNotRun, "overloaded")
+		{"told not_run and ran", audit.RejectedButRan, func(e *audit.Evidence) {
+			e.RequestLog.Records[1].Outcome = caller.OutcomeNotRun
+			e.RequestLog.Records[1].Exchanges = refusal(caller.OutcomeNotRun, "overloaded")
 		}},
-		{"told not_run and answered", audit.RefusedButRan, func(e *audit.Evidence) {
+		{"told not_run and answered", audit.RejectedButRan, func(e *audit.Evidence) {
 			e.Journal = e.Journal[:1]
-			e.Book.Records[1].Exchanges = append(refusal(caller.OutcomeNotRun, "overloaded"), e.Book.Records[1].Exchanges...)
+			e.RequestLog.Records[1].Exchanges = append(refusal(caller.OutcomeNotRun, "overloaded"), e.RequestLog.Records[1].Exchanges...)
 		}},
-		{"budget refusal that ran, called unknown", audit.BudgetRefusal, func(e *audit.Evidence) {
-			e.Book.Records[1].Outcome = caller.OutcomeUnknown
-			e.Book.Records[1].Exchanges = refusal(caller.OutcomeUnknown, "budget_spent")
+		{"budget refusal that ran, called unknown", audit.BudgetRejectionRan, func(e *audit.Evidence) {
+			e.RequestLog.Records[1].Outcome = caller.OutcomeUnknown
+			e.RequestLog.Records[1].Exchanges = refusal(caller.OutcomeUnknown, "budget_spent")
 		}},
 		{"more tokens than budget and one turn", audit.OverBudget, func(e *audit.Evidence) {
-			e.Book.Programs["p1"] = &caller.Program{ID: "p1", Budget: 1, LargestTurn: 0}
+			e.RequestLog.Programs["p1"] = &caller.Program{ID: "p1", Budget: 1, LargestTurn: 0}
 		}},
 		{"answer with another nonce", audit.AnswersCrossed, func(e *audit.Evidence) { turn(e).AnswerNonce = "n9" }},
-		{"call answered about another thing", audit.AnswersCrossed, func(e *audit.Evidence) { e.Book.Records[1].Text = "valve-2" }},
+		{"call answered about another thing", audit.AnswersCrossed, func(e *audit.Evidence) { e.RequestLog.Records[1].Text = "valve-2" }},
 		{"piece of another request in a failed turn", audit.AnswersCrossed, func(e *audit.Evidence) {
 			turn(e).Outcome = caller.OutcomeRan
 			turn(e).Exchanges[0].Outcome = caller.OutcomeRan
@@ -140,7 +140,7 @@
 		{"final text differs from the pieces", audit.BrokenStream, func(e *audit.Evidence) {
 			turn(e).Text = token(0, 10, "n1")
 			turn(e).OutputTokens = 1
-			e.Book.Records = e.Book.Records[:2]
+			e.RequestLog.Records = e.RequestLog.Records[:2]
 		}},
 		{"resumption goes on at the wrong place", audit.BrokenStream, func(e *audit.Evidence) {
 			rest := events(e)[2:]
@@ -149,47 +149,47 @@
 			first.Outcome = caller.OutcomeNone
 			turn(e).Exchanges = []caller.Exchange{first, {Resumed: true, AfterAttempt: 1, AfterSequence: 1, Outcome: caller.OutcomeAnswered, Events: rest}}
 		}},
-		{"kept turn reported missing to a read", audit.KeptTurnMissing, func(e *audit.Evidence) {
-			e.Book.Records[2].Outcome = caller.OutcomeNotRun
-			e.Book.Records[2].Exchanges = refusal(caller.OutcomeNotRun, "turn_missing")
+		{"kept turn reported missing to a read", audit.RetainedTurnMissing, func(e *audit.Evidence) {
+			e.RequestLog.Records[2].Outcome = caller.OutcomeNotRun
+			e.RequestLog.Records[2].Exchanges = refusal(caller.OutcomeNotRun, "turn_missing")
 		}},
-		{"kept turn altered", audit.KeptTurnMissing, func(e *audit.Evidence) { e.Book.Records[2].Text = "other" }},
-		{"kept turn missing to the next turn", audit.KeptTurnMissing, func(e *audit.Evidence) {
-			e.Book.Records = append(e.Book.Records, &caller.Record{
+		{"kept turn altered", audit.RetainedTurnMissing, func(e *audit.Evidence) { e.RequestLog.Records[2].Text = "other" }},
+		{"kept turn missing to the next turn", audit.RetainedTurnMissing, func(e *audit.Evidence) {
+			e.RequestLog.Records = append(e.RequestLog.Records, &caller.Record{
 				Operation: caller.OperationTurn, RequestID: "r2", Nonce: "n3", Program: "p1", PreviousTurn: "turn_1",
 				Outcome: caller.OutcomeNotRun, Exchanges: refusal(caller.OutcomeNotRun, "turn_missing"),
 			})
 		}},
-		{"kept turn missing to its own resumption", audit.KeptTurnMissing, func(e *audit.Evidence) {
+		{"kept turn missing to its own resumption", audit.RetainedTurnMissing, func(e *audit.Evidence) {
 			resumed := refusal(caller.OutcomeNotRun, "turn_missing")[0]
 			resumed.Resumed = true
 			turn(e).Exchanges = append(turn(e).Exchanges, resumed)
 		}},
-		{"event came late", audit.EventDelay, func(e *audit.Evidence) { events(e)[2].ArrivedAt = at(121) }},
+		{"event came late", audit.EventDelayed, func(e *audit.Evidence) { events(e)[2].ArrivedAt = at(121) }},
 		{"request to a draining server", audit.DrainIgnored, func(e *audit.Evidence) {
 			e.Journal[4].ArrivedMicros = at(2101).UnixMicro()
 		}},
-		{"two contents under one version", audit.BundleWentBack, func(e *audit.Evidence) {
+		{"two contents under one version", audit.BundleReverted, func(e *audit.Evidence) {
 			e.Orders = append(e.Orders, audit.Order{Kind: audit.OrderPut, Version: 1, Content: "b", Outcome: audit.OrderAcknowledged})
 		}},
-		{"acknowledged bundle is lost", audit.BundleWentBack, func(e *audit.Evidence) { e.Orders[2].Newest = 0 }},
-		{"acknowledged bundle is missing among others", audit.BundleWentBack, func(e *audit.Evidence) { e.Orders[2].Listed = []uint64{0, 2} }},
-		{"signed-off bundle is not the active one", audit.BundleWentBack, func(e *audit.Evidence) { e.Orders[2].Active = 0 }},
+		{"acknowledged bundle is lost", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Newest = 0 }},
+		{"acknowledged bundle is missing among others", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Listed = []uint64{0, 2} }},
+		{"signed-off bundle is not the active one", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Active = 0 }},
 		{"order refused when sent again", audit.OrderRevoked, func(e *audit.Evidence) {
-			e.Orders = append(e.Orders, audit.Order{ID: "o1", Kind: audit.OrderPut, Version: 1, Content: "a", Outcome: audit.OrderRefused})
+			e.Orders = append(e.Orders, audit.Order{ID: "o1", Kind: audit.OrderPut, Version: 1, Content: "a", Outcome: audit.OrderRejected})
 		}},
 		{"older owner ran at another server", audit.OlderOwnerRan, func(e *audit.Evidence) {
 			e.Journal[1].Session, e.Journal[1].Epoch = "s1", 3
 			e.Journal[2].Session, e.Journal[2].Epoch = "s1", 2
 		}},
-		{"service was back late", audit.ReturnedLate, func(e *audit.Evidence) { e.Returns[0].Took = 12*time.Second + 1 }},
-		{"service did not come back", audit.ReturnedLate, func(e *audit.Evidence) { e.Returns[0].Served = false }},
-		{"owner goes back to an older bundle", audit.BundleWentBack, func(e *audit.Evidence) {
+		{"service was back late", audit.RecoveredLate, func(e *audit.Evidence) { e.Recoveries[0].Took = 12*time.Second + 1 }},
+		{"service did not come back", audit.RecoveredLate, func(e *audit.Evidence) { e.Recoveries[0].Served = false }},
+		{"owner goes back to an older bundle", audit.BundleReverted, func(e *audit.Evidence) {
 			older := soundCall()
 			older.RequestID, older.Object, older.Text = "c3", "valve-3", "valve-3"
 			older.Owner, older.BundleVersion = "front-1", 1
 			turn(e).BundleVersion = 2
-			e.Book.Records = append(e.Book.Records, older)
+			e.RequestLog.Records = append(e.RequestLog.Records, older)
 		}},
 		{"bundle in force late", audit.BundleLate, func(e *audit.Evidence) {
 			e.Orders[1].Version = 2
@@ -220,26 +220,27 @@
 	resumed := refusal(caller.OutcomeNotRun, "turn_missing")[0]
 	resumed.Resumed = true
 	lost.Exchanges = append(lost.Exchanges, resumed)
-	evidence.Book.Records = append(evidence.Book.Records, lost)
+	evidence.RequestLog.Records = append(evidence.RequestLog.Records, lost)
 	if report := audit.Audit(evidence); !report.Clean() {
 		t.Fatalf("violations: %+v", report.Results)
 	}
 }
 
-// TestCandidateServesBesideTheActiveBundle shows that programs of both sides may come to one owner, and that none may change sides.
+// TestCandidateServesBesideTheActiveBundle shows that programs of both sides may come to one owner, and that none may
+// change sides.
 func TestCandidateServesBesideTheActiveBundle(t *testing.T) {
 	for _, changesSides := range []bool{false, true} {
 		evidence := sound()
 		evidence.Candidates = []uint64{2}
-		evidence.Book.Records[0].BundleVersion = 2
+		evidence.RequestLog.Records[0].BundleVersion = 2
 		other := soundCall()
 		other.RequestID, other.Object, other.Text, other.Program = "c3", "valve-3", "valve-3", "p2"
 		other.Owner, other.BundleVersion = "front-1", 1
 		if changesSides {
 			other.Program = "p1"
 		}
-		evidence.Book.Records = append(evidence.Book.Records, other)
-		if found := audit.Audit(evidence).Of(audit.BundleWentBack).Found > 0; found != changesSides {
+		evidence.RequestLog.Records = append(evidence.RequestLog.Records, other)
+		if found := audit.Audit(evidence).Of(audit.BundleReverted).Found > 0; found != changesSides {
 			t.Errorf("changes sides %v, found %v", changesSides, found)
 		}
 	}
@@ -249,15 +250,15 @@
 func TestExcusedDelays(t *testing.T) {
 	late := func() audit.Evidence {
 		e := sound()
-		e.Book.Records[0].Exchanges[0].Events[2].ArrivedAt = at(500)
+		e.RequestLog.Records[0].Exchanges[0].Events[2].ArrivedAt = at(500)
 		return e
 	}
 	disturbed := late()
-	disturbed.Disturbed = []audit.Interval{{From: at(0), To: at(10), Processes: []string{"front-1"}}}
+	disturbed.FaultIntervals = []audit.FaultInterval{{From: at(0), To: at(10), Processes: []string{"front-1"}}}
 	later := late()
-	later.Disturbed = []audit.Interval{{From: at(1000), To: at(2000), Processes: []string{"front-1"}}}
+	later.FaultIntervals = []audit.FaultInterval{{From: at(1000), To: at(2000), Processes: []string{"front-1"}}}
 	elsewhere := late()
-	elsewhere.Disturbed = []audit.Interval{{From: at(0), To: at(10), Processes: []string{"front-9"}}}
+	elsewhere.FaultIntervals = []audit.FaultInterval{{From: at(0), To: at(10), Processes: []string{"front-9"}}}
 	faulty := late()
 	faulty.Journal[1].Fault = standin.FaultStall
 	for name, c := range map[string]struct {
@@ -265,7 +266,7 @@
 		found    bool
 	}{"disturbed": {disturbed, false}, "later": {later, true}, "elsewhere": {elsewhere, true}, "faulty": {faulty, false}} {
 		report := audit.Audit(c.evidence)
-		if found := report.Of(audit.EventDelay).Found > 0; found != c.found {
+		if found := report.Of(audit.EventDelayed).Found > 0; found != c.found {
 			t.Errorf("%s: found %v, want %v", name, found, c.found)
 		}
 	}
--- a/internal/testing/lab/audit/evidence.go
+++ b/internal/testing/lab/audit/evidence.go
@@ -8,48 +8,48 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
-// casefile is the evidence, ordered for the checks.
-type casefile struct {
+// indexedEvidence is the evidence with indexes for the checks.
+type indexedEvidence struct {
 	Evidence
-	// started holds the runs of each request, in time.
-	started map[string][]standin.Entry
-	// faulty holds the requests that a stand-in answered late or with a stall.
-	faulty map[string]bool
-	// turns finds the answered turn of an id.
-	turns map[string]*caller.Record
+	// startsByRequest are the runs of each request, in the order of time.
+	startsByRequest map[string][]standin.Entry
+	// faultyRequests are those that a stand-in answered late or with a stall.
+	faultyRequests map[string]bool
+	// turnsByID are the answered turns by id.
+	turnsByID map[string]*caller.Record
 }
 
-func index(evidence Evidence) *casefile {
-	if evidence.Book == nil {
-		evidence.Book = &caller.Book{}
+func index(evidence Evidence) *indexedEvidence {
+	if evidence.RequestLog == nil {
+		evidence.RequestLog = &caller.RequestLog{}
 	}
-	file := &casefile{
-		Evidence: evidence,
-		started:  map[string][]standin.Entry{},
-		faulty:   map[string]bool{},
-		turns:    map[string]*caller.Record{},
+	file := &indexedEvidence{
+		Evidence:        evidence,
+		startsByRequest: map[string][]standin.Entry{},
+		faultyRequests:  map[string]bool{},
+		turnsByID:       map[string]*caller.Record{},
 	}
 	for _, entry := range evidence.Journal {
 		if entry.Phase == standin.PhaseStarted {
-			file.started[entry.RequestID] = append(file.started[entry.RequestID], entry)
+			file.startsByRequest[entry.RequestID] = append(file.startsByRequest[entry.RequestID], entry)
 		}
 		if entry.Fault == standin.FaultLate || entry.Fault == standin.FaultStall {
-			file.faulty[entry.RequestID] = true
+			file.faultyRequests[entry.RequestID] = true
 		}
 	}
-	for _, record := range evidence.Book.Records {
+	for _, record := range evidence.RequestLog.Records {
 		if record.Operation == caller.OperationTurn && record.Outcome == caller.OutcomeAnswered {
-			file.turns[record.TurnID] = record
+			file.turnsByID[record.TurnID] = record
 		}
 	}
 	return file
 }
 
-// disturbed reports whether a fault struck a process on the way of a request
-// between two times. A request of unknown owner may have gone through any.
-func (c *casefile) disturbed(record *caller.Record, from, to time.Time) bool {
+// faultDuring reports whether a fault affected a process on the path of a request
+// between two times. A request of unknown owner may have gone through any process.
+func (c *indexedEvidence) faultDuring(record *caller.Record, from, to time.Time) bool {
 	front := record.Exchanges[0].Front
-	return slices.ContainsFunc(c.Disturbed, func(interval Interval) bool {
+	return slices.ContainsFunc(c.FaultIntervals, func(interval FaultInterval) bool {
 		if !interval.overlaps(from, to) {
 			return false
 		}
@@ -59,16 +59,16 @@
 	})
 }
 
-// coreDisturbed reports whether a fault struck the core between two times.
-func (c *casefile) coreDisturbed(from, to time.Time) bool {
-	return slices.ContainsFunc(c.Disturbed, func(interval Interval) bool {
+// coreFaultDuring reports whether a fault affected the core between two times.
+func (c *indexedEvidence) coreFaultDuring(from, to time.Time) bool {
+	return slices.ContainsFunc(c.FaultIntervals, func(interval FaultInterval) bool {
 		return interval.Core && interval.overlaps(from, to)
 	})
 }
 
 // requests visits the turns and tool calls, not the reads.
-func (c *casefile) requests(visit func(*caller.Record)) {
-	for _, record := range c.Book.Records {
+func (c *indexedEvidence) requests(visit func(*caller.Record)) {
+	for _, record := range c.RequestLog.Records {
 		if record.Operation != caller.OperationRead {
 			visit(record)
 		}
--- a/internal/testing/lab/audit/operators.go
+++ b/internal/testing/lab/audit/operators.go
@@ -19,7 +19,7 @@
 
 // checkDrains looks for requests that reached a server more than two seconds
 // after a front node acknowledged its leaving and before it came back.
-func checkDrains(file *casefile, f *finder) {
+func checkDrains(file *indexedEvidence, f *finder) {
 	acknowledged := map[string]time.Time{}
 	for _, entry := range file.Journal {
 		switch entry.Phase {
@@ -28,7 +28,7 @@
 			f.examine(1)
 		case standin.PhaseReady:
 			delete(acknowledged, entry.Server)
-		case standin.PhaseStarted, standin.PhaseRefused:
+		case standin.PhaseStarted, standin.PhaseRejected:
 			left, draining := acknowledged[entry.Server]
 			if after := entry.ArrivedAt().Sub(left); draining && after > drainLimit {
 				f.found(entry.Server, fmt.Sprintf("request %s came %s after the acknowledgement", entry.RequestID, after.Round(time.Millisecond)))
@@ -39,7 +39,7 @@
 
 // checkBundles looks for a node that went back to an older bundle, for two
 // contents acknowledged under one version and for acknowledged versions that a later listing lacks.
-func checkBundles(file *casefile, f *finder) {
+func checkBundles(file *indexedEvidence, f *finder) {
 	checkVersionsOfOwners(file, f)
 	contents := map[uint64]string{}
 	for _, order := range file.Orders {
@@ -60,8 +60,8 @@
 	}
 }
 
-// checkListing holds a listing against what was acknowledged before it was asked for.
-func checkListing(file *casefile, listing *Order, f *finder) {
+// checkListing compares a listing with what was acknowledged before it was requested.
+func checkListing(file *indexedEvidence, listing *Order, f *finder) {
 	for _, order := range file.Orders {
 		if order.Outcome != OrderAcknowledged || !order.AnsweredAt.Before(listing.SentAt) {
 			continue
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkOrders looks for orders that were acknowledged once and refused when sent again, or the other way round.
-func checkOrders(file *casefile, f *finder) {
+// checkOrders finds orders that were acknowledged and rejected when sent again, or the other way round.
+func checkOrders(file *indexedEvidence, f *finder) {
 	outcomes := map[string]map[OrderOutcome]bool{}
 	for _, order := range file.Orders {
 		if order.ID == "" {
@@ -93,7 +93,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(outcomes)) {
 		f.examine(1)
-		if outcomes[id][OrderAcknowledged] && outcomes[id][OrderRefused] {
+		if outcomes[id][OrderAcknowledged] && outcomes[id][OrderRejected] {
 			f.found(id, "was acknowledged and refused")
 		}
 	}
@@ -101,7 +101,7 @@
 
 // checkOwners looks for a request of an older owner that came to any back end,
 // and was run, after one of a newer owner of the same session had been run.
-func checkOwners(file *casefile, f *finder) {
+func checkOwners(file *indexedEvidence, f *finder) {
 	newest := map[string]standin.Entry{}
 	for _, entry := range file.Journal {
 		if entry.Phase != standin.PhaseStarted || entry.Session == "" {
@@ -122,8 +122,8 @@
 // returnLimit is how long service may take to be back after machines returned.
 const returnLimit = 12 * time.Second
 
-func checkReturns(file *casefile, f *finder) {
-	for _, back := range file.Returns {
+func checkRecoveries(file *indexedEvidence, f *finder) {
+	for _, back := range file.Recoveries {
 		f.examine(1)
 		if !back.Served || back.Took > returnLimit {
 			f.found(back.After, fmt.Sprintf("took %s, served %v", back.Took.Round(time.Millisecond), back.Served))
@@ -134,7 +134,7 @@
 // checkVersionsOfOwners compares each turn with those that its owner had
 // answered before the turn was sent. A candidate serves beside the active
 // bundle, so what it served is compared apart; no program may change sides.
-func checkVersionsOfOwners(file *casefile, f *finder) {
+func checkVersionsOfOwners(file *indexedEvidence, f *finder) {
 	byOwner := map[string][]*caller.Record{}
 	sides := map[string]bool{}
 	file.requests(func(record *caller.Record) {
@@ -178,7 +178,7 @@
 
 // checkBundleLate looks for turns sent more than two seconds after a bundle
 // was acknowledged as in force and served by an older one, outside disturbed times.
-func checkBundleLate(file *casefile, f *finder) {
+func checkBundleLate(file *indexedEvidence, f *finder) {
 	var signed []Order
 	for _, order := range file.Orders {
 		if order.acknowledged(OrderSign) {
@@ -198,7 +198,7 @@
 			if record.BundleVersion >= order.Version {
 				continue
 			}
-			if !file.coreDisturbed(order.AnsweredAt, due) && !file.disturbed(record, order.AnsweredAt, record.SentAt()) {
+			if !file.coreFaultDuring(order.AnsweredAt, due) && !file.faultDuring(record, order.AnsweredAt, record.SentAt()) {
 				f.found(record.RequestID, fmt.Sprintf("served by bundle %d, %d had been in force for %s",
 					record.BundleVersion, order.Version, record.SentAt().Sub(order.AnsweredAt).Round(time.Millisecond)))
 			}
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -15,11 +15,11 @@
 
 // checkRanTwice looks for a second run of a call that may not be repeated, by
 // request id and by the thing that the call changes: a caller asks anew for the
-// same thing only after it was told that nothing was run.
-func checkRanTwice(file *casefile, f *finder) {
+// same thing only after an outcome of not_run.
+func checkRanTwice(file *indexedEvidence, f *finder) {
 	byObject := map[string][]standin.Entry{}
-	for _, request := range slices.Sorted(maps.Keys(file.started)) {
-		runs := file.started[request]
+	for _, request := range slices.Sorted(maps.Keys(file.startsByRequest)) {
+		runs := file.startsByRequest[request]
 		if !site.NonRepeatable(runs[0].Tool) {
 			continue
 		}
@@ -42,14 +42,14 @@
 
 // checkRefusedButRan holds each "not run" against the journals and against
 // other answers to the same request.
-func checkRefusedButRan(file *casefile, f *finder) {
+func checkRejectedButRan(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		refusal := notRun(record)
 		if refusal == nil {
 			return
 		}
 		f.examine(1)
-		if runs := file.started[record.RequestID]; len(runs) > 0 {
+		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
 			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", refusal.Code, refusal.Front, place(runs[0])))
 			return
 		}
@@ -59,8 +59,8 @@
 	})
 }
 
-// notRun is the exchange in which the caller was told that nothing was run. The
-// refusal of a resumption speaks of the resumption only.
+// notRun is the exchange with outcome not_run. The rejection of a resumption
+// concerns the resumption only.
 func notRun(record *caller.Record) *caller.Exchange {
 	for i := range record.Exchanges {
 		exchange := &record.Exchanges[i]
@@ -77,9 +77,9 @@
 	})
 }
 
-// checkBudgetRefusal holds refusals for a spent budget against the journals,
+// checkBudgetRejections compares rejections for a spent budget with the journals,
 // whatever outcome they named.
-func checkBudgetRefusal(file *casefile, f *finder) {
+func checkBudgetRejections(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		refused := slices.ContainsFunc(record.Exchanges, func(exchange caller.Exchange) bool {
 			return failure.Code(exchange.Code) == failure.BudgetSpent
@@ -88,14 +88,14 @@
 			return
 		}
 		f.examine(1)
-		if runs := file.started[record.RequestID]; len(runs) > 0 {
+		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
 			f.found(record.RequestID, "ran at "+place(runs[0]))
 		}
 	})
 }
 
 // checkOverBudget counts the tokens that each program received, each token once.
-func checkOverBudget(file *casefile, f *finder) {
+func checkOverBudget(file *indexedEvidence, f *finder) {
 	received := map[string]map[modeltoken.Token]bool{}
 	file.requests(func(record *caller.Record) {
 		tokens := received[record.Program]
@@ -112,8 +112,8 @@
 			addTokens(tokens, record.Text)
 		}
 	})
-	for _, id := range slices.Sorted(maps.Keys(file.Book.Programs)) {
-		program := file.Book.Programs[id]
+	for _, id := range slices.Sorted(maps.Keys(file.RequestLog.Programs)) {
+		program := file.RequestLog.Programs[id]
 		f.examine(1)
 		allowed := program.Budget + uint64(program.LargestTurn)
 		if count := uint64(len(received[id])); count > allowed {
@@ -130,7 +130,7 @@
 }
 
 // checkAnswersCrossed looks for answers and pieces that belong to another request.
-func checkAnswersCrossed(file *casefile, f *finder) {
+func checkAnswersCrossed(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		f.examine(1)
 		if record.Outcome == caller.OutcomeAnswered && record.AnswerNonce != record.Nonce {
--- a/internal/testing/lab/audit/streams.go
+++ b/internal/testing/lab/audit/streams.go
@@ -11,7 +11,7 @@
 )
 
 // checkStreams follows each stream of a turn, resumptions included.
-func checkStreams(file *casefile, f *finder) {
+func checkStreams(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		if record.Operation != caller.OperationTurn {
 			return
@@ -47,7 +47,7 @@
 	if record.Outcome != caller.OutcomeAnswered {
 		return ""
 	}
-	return wholeFault(record, at)
+	return completeAnswerFault(record, at)
 }
 
 // take moves on by one event and says what is wrong with it.
@@ -84,7 +84,7 @@
 	return ""
 }
 
-func wholeFault(record *caller.Record, at *position) string {
+func completeAnswerFault(record *caller.Record, at *position) string {
 	if fault := tokensFault(record.Text); fault != "" {
 		return "final text: " + fault
 	}
@@ -97,25 +97,25 @@
 	return ""
 }
 
-// checkKeptTurns holds reads of answered turns, turns that go on from them and
+// checkRetainedTurns compares reads of answered turns, turns that continue them and
 // resumptions of their streams against what was answered.
-func checkKeptTurns(file *casefile, f *finder) {
-	for _, record := range file.Book.Records {
+func checkRetainedTurns(file *indexedEvidence, f *finder) {
+	for _, record := range file.RequestLog.Records {
 		switch record.Operation {
 		case caller.OperationRead:
 			f.examine(1)
 			checkRead(file, record, f)
 		case caller.OperationTurn:
-			// The refusal of a resumption speaks of the turn itself, any other of the one before it.
+			// The rejection of a resumption concerns the turn itself, any other the previous turn.
 			checkMissing(file, record.PreviousTurn, record, false, f)
 			checkMissing(file, record.TurnID, record, true, f)
 		}
 	}
 }
 
-// checkMissing looks for an answered turn that a request, or its resumptions, heard to be missing.
-func checkMissing(file *casefile, turn string, record *caller.Record, resumed bool, f *finder) {
-	if file.turns[turn] == nil {
+// checkMissing finds an answered turn that was reported missing to a request or its resumptions.
+func checkMissing(file *indexedEvidence, turn string, record *caller.Record, resumed bool, f *finder) {
+	if file.turnsByID[turn] == nil {
 		return
 	}
 	f.examine(1)
@@ -127,12 +127,12 @@
 	}
 }
 
-func checkRead(file *casefile, record *caller.Record, f *finder) {
+func checkRead(file *indexedEvidence, record *caller.Record, f *finder) {
 	if hasCode(record, failure.TurnMissing) || hasCode(record, failure.NotFound) || hasCode(record, failure.UnknownProgram) {
 		f.found(record.TurnID, "reported missing by "+record.Exchanges[len(record.Exchanges)-1].Front)
 		return
 	}
-	turn := file.turns[record.TurnID]
+	turn := file.turnsByID[record.TurnID]
 	if turn != nil && record.Outcome == caller.OutcomeAnswered && record.Text != turn.Text {
 		f.found(record.TurnID, "kept text differs from the text that was streamed")
 	}
@@ -160,14 +160,14 @@
 	return index(evidence).eventDelays(nil)
 }
 
-func (c *casefile) eventDelays(visit func(*caller.Record, caller.Event, time.Duration)) []time.Duration {
+func (c *indexedEvidence) eventDelays(visit func(*caller.Record, caller.Event, time.Duration)) []time.Duration {
 	var delays []time.Duration
 	c.requests(func(record *caller.Record) {
-		if record.Operation != caller.OperationTurn || c.faulty[record.RequestID] || len(record.Exchanges) == 0 {
+		if record.Operation != caller.OperationTurn || c.faultyRequests[record.RequestID] || len(record.Exchanges) == 0 {
 			return
 		}
 		first := &record.Exchanges[0]
-		if c.disturbed(record, first.SentAt, first.AnsweredAt) {
+		if c.faultDuring(record, first.SentAt, first.AnsweredAt) {
 			return
 		}
 		for _, event := range first.Events {
@@ -185,7 +185,7 @@
 	return delays
 }
 
-func checkEventDelay(file *casefile, f *finder) {
+func checkEventDelay(file *indexedEvidence, f *finder) {
 	type late struct{ subject, detail string }
 	var lates []late
 	examined := file.eventDelays(func(record *caller.Record, event caller.Event, delay time.Duration) {
--- a/internal/testing/lab/benchmark/latency.go
+++ b/internal/testing/lab/benchmark/latency.go
@@ -30,7 +30,7 @@
 	return strings.Repeat("word ", promptWords) + id + fmt.Sprintf(" reply:%d", answerWords)
 }
 
-// NoTokenError says that a direct call to a stand-in brought no token.
+// NoTokenError is returned when a direct call to a stand-in produced no token.
 type NoTokenError struct{ Status int }
 
 func (e *NoTokenError) Error() string { return fmt.Sprintf("no token came, status %d", e.Status) }
@@ -75,7 +75,7 @@
 // Latency is the outcome of calls made by turns to the stand-in and through a front node.
 type Latency struct {
 	Direct *report.Times
-	// First is the first turn of a session, Next a turn that goes on from it.
+	// First is the first turn of a session, Next a turn that continues it.
 	First *report.Times
 	Next  *report.Times
 	// Failed counts the calls through the front node that were not answered.
--- a/internal/testing/lab/caller/caller_test.go
+++ b/internal/testing/lab/caller/caller_test.go
@@ -132,12 +132,12 @@
 var _ = Describe("a caller", func() {
 	var served *front
 	// converse runs one short conversation against the scripted front node.
-	converse := func() *caller.Book {
+	converse := func() *caller.RequestLog {
 		web := httptest.NewServer(served)
 		defer web.Close()
-		book, err := caller.Run(context.Background(), options(strings.TrimPrefix(web.URL, "http://")))
+		requestLog, err := caller.Run(context.Background(), options(strings.TrimPrefix(web.URL, "http://")))
 		Expect(err).NotTo(HaveOccurred())
-		return book
+		return requestLog
 	}
 	BeforeEach(func() {
 		served = &front{}
--- a/internal/testing/lab/caller/client.go
+++ b/internal/testing/lab/caller/client.go
@@ -112,7 +112,7 @@
 	c.stream(ctx, record, c.begin(record, front), http.MethodPost, "http://"+front+"/v1/responses", content)
 }
 
-// Resume asks a front node for the events of a turn after the last one that came.
+// Resume requests the events of a turn after the last one that arrived.
 func (c *Client) Resume(ctx context.Context, front string, record *Record) {
 	attempt, sequence := lastEvent(record)
 	exchange := c.begin(record, front)
@@ -164,7 +164,7 @@
 	c.conclude(record, exchange, OutcomeAnswered, "")
 }
 
-// Read fetches a kept turn and compares nothing: the record keeps what was told.
+// Read reads a retained turn into the record; the audit compares it.
 func (c *Client) Read(ctx context.Context, front string, record *Record) {
 	exchange := c.begin(record, front)
 	address := fmt.Sprintf("http://%s/v1/responses/%s?program=%s", front, record.TurnID, url.QueryEscape(record.Program))
@@ -349,12 +349,12 @@
 	if exchange.Resumed && outcome == OutcomeNotRun {
 		// What was not run is the resumption; of the turn it says nothing.
 		record.Outcome = OutcomeUnknown
-		record.Code = resumeRefused + detail.Code
+		record.Code = resumeRejected + detail.Code
 	}
 }
 
-// resumeRefused goes before the code of a refused resumption in the record of its turn.
-const resumeRefused = "resume: "
+// resumeRejected is the prefix of the code of a rejected resumption in the record of its turn.
+const resumeRejected = "resume: "
 
 func (c *Client) broken(record *Record, exchange *Exchange, err error) {
 	exchange.Message = err.Error()
--- a/internal/testing/lab/caller/conversation.go
+++ b/internal/testing/lab/caller/conversation.go
@@ -17,36 +17,36 @@
 	maxRequests = 6
 	// maxExchanges bounds the exchanges made under one id.
 	maxExchanges  = 5
-	firstBackoff  = 100 * time.Millisecond
+	minBackoff    = 100 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 	turnTimeout   = 30 * time.Second
 )
 
-// visit carries one conversation out.
+// visit carries out one conversation.
 type visit struct {
 	client       *Client
 	platform     *platform
-	books        *bookkeeper
+	recorder     *recorder
 	random       *rand.Rand
 	conversation *Conversation
 	session      string
 	previous     string
-	helpers      int
+	subAgents    int
 }
 
-// run takes the steps one after another; it ends early when a step cannot be had.
+// run runs the steps one after another; it ends early when a step fails for good.
 func (v *visit) run(ctx context.Context, steps []Step) {
 	for _, step := range steps {
-		if !wait.For(ctx, step.ThinkBefore) || !v.take(ctx, step) {
+		if !wait.For(ctx, step.ThinkBefore) || !v.runStep(ctx, step) {
 			return
 		}
 	}
 }
 
-func (v *visit) take(ctx context.Context, step Step) bool {
+func (v *visit) runStep(ctx context.Context, step Step) bool {
 	switch {
-	case len(step.Helper) > 0:
-		v.helper(ctx, step.Helper)
+	case len(step.SubAgent) > 0:
+		v.runSubAgent(ctx, step.SubAgent)
 		return ctx.Err() == nil
 	case step.Tool != "":
 		v.tool(ctx, step)
@@ -56,23 +56,23 @@
 	}
 }
 
-// helper opens another session of the same program, as a probe's helper agent does.
-func (v *visit) helper(ctx context.Context, steps []Step) {
-	v.helpers++
+// runSubAgent opens another session of the same program, as a probe's sub-agent does.
+func (v *visit) runSubAgent(ctx context.Context, steps []Step) {
+	v.subAgents++
 	child := *v
-	child.session = fmt.Sprintf("%s-helper-%d", v.session, v.helpers)
+	child.session = fmt.Sprintf("%s-helper-%d", v.session, v.subAgents)
 	child.previous = ""
 	child.run(ctx, steps)
 }
 
-// turn asks until the turn is answered, is refused for good or the tries are used up.
+// turn requests a turn until it is answered, rejected for good or maxRequests is reached.
 func (v *visit) turn(ctx context.Context, step Step) bool {
 	for range maxRequests {
 		record := v.record(OperationTurn, step)
-		record.Ceiling = step.MaxOutput
+		record.MaxTokens = step.MaxOutput
 		record.PreviousTurn = v.previous
 		v.follow(ctx, record, v.body(step))
-		v.books.entries <- record
+		v.recorder.entries <- record
 		if record.Outcome == OutcomeAnswered {
 			v.previous = record.TurnID
 			if step.ReadAfter {
@@ -80,7 +80,7 @@
 			}
 			return true
 		}
-		if !goesOn(record) || !wait.For(ctx, v.backoff(record, 0)) {
+		if !retryable(record) || !wait.For(ctx, v.backoff(record, 0)) {
 			return false
 		}
 	}
@@ -96,38 +96,38 @@
 	}
 }
 
-// follow makes exchanges under one request id until its end is known: a broken
+// follow makes exchanges under one request id until its outcome is known: a broken
 // stream is resumed, a request without an answer is sent again.
 func (v *visit) follow(ctx context.Context, record *Record, body turnBody) {
-	for try := range maxExchanges {
+	for attempt := range maxExchanges {
 		front := v.platform.pick(v.conversation.Zone)
 		if record.TurnID != "" {
 			v.client.Resume(ctx, front, record)
 		} else {
 			v.client.Turn(ctx, front, record, body)
 		}
-		if settled(record) || !wait.For(ctx, v.backoff(record, try)) {
+		if hasOutcome(record) || !wait.For(ctx, v.backoff(record, attempt)) {
 			return
 		}
 	}
 }
 
-// tool makes a call; one that was not run is asked for again under a new id,
-// one whose end is unknown only under the same id.
+// tool makes a call; one that was not run is requested again under a new id,
+// one whose outcome is unknown only under the same id.
 func (v *visit) tool(ctx context.Context, step Step) {
 	for range maxRequests {
 		record := v.record(OperationTool, step)
 		record.Tool = step.Tool
 		record.Object = step.Object
-		v.settleTool(ctx, record, step)
-		v.books.entries <- record
-		if record.Outcome != OutcomeNotRun || !goesOn(record) || !wait.For(ctx, v.backoff(record, 0)) {
+		v.callTool(ctx, record, step)
+		v.recorder.entries <- record
+		if record.Outcome != OutcomeNotRun || !retryable(record) || !wait.For(ctx, v.backoff(record, 0)) {
 			return
 		}
 	}
 }
 
-func (v *visit) settleTool(ctx context.Context, record *Record, step Step) {
+func (v *visit) callTool(ctx context.Context, record *Record, step Step) {
 	arguments, err := json.Marshal(struct {
 		Object string `json:"object"`
 	}{step.Object})
@@ -138,19 +138,19 @@
 		Program: v.conversation.Program, Conversation: v.session, Arguments: arguments,
 		TimeoutMillis: int(turnTimeout / time.Millisecond), Priority: step.Priority,
 	}
-	for try := range maxExchanges {
+	for attempt := range maxExchanges {
 		v.client.Tool(ctx, v.platform.pick(v.conversation.Zone), record, body)
-		if settled(record) || !wait.For(ctx, v.backoff(record, try)) {
+		if hasOutcome(record) || !wait.For(ctx, v.backoff(record, attempt)) {
 			return
 		}
 	}
 }
 
-// read asks for a kept turn again, from whichever front node comes next.
+// read reads a retained turn from the next front node.
 func (v *visit) read(ctx context.Context, of *Record) {
 	record := readRecord(of)
 	v.client.Read(ctx, v.platform.pick(v.conversation.Zone), record)
-	v.books.entries <- record
+	v.recorder.entries <- record
 }
 
 func readRecord(of *Record) *Record {
@@ -170,18 +170,18 @@
 }
 
 // settled reports whether the end of a request is known.
-func settled(record *Record) bool {
+func hasOutcome(record *Record) bool {
 	switch record.Outcome {
 	case OutcomeAnswered, OutcomeRan, OutcomeNotRun:
 		return true
 	default:
-		lost := record.Code == resumeRefused+string(failure.TurnMissing)
+		lost := record.Code == resumeRejected+string(failure.TurnMissing)
 		return lost || (site.NonRepeatable(record.Tool) && record.Code == string(failure.OutcomeUnknown))
 	}
 }
 
-// goesOn reports whether asking again under another id makes sense.
-func goesOn(record *Record) bool {
+// retryable reports whether a request under another id may succeed.
+func retryable(record *Record) bool {
 	switch failure.Code(record.Code) {
 	case failure.BudgetSpent, failure.UnknownModel, failure.UnknownTool, failure.WrongContinuation,
 		failure.TurnMissing, failure.InvalidField, failure.InvalidBody, failure.MissingField,
@@ -192,12 +192,12 @@
 	}
 }
 
-// backoff is the retry time that was asked for, else one that doubles with each try.
-func (v *visit) backoff(record *Record, try int) time.Duration {
-	asked := time.Duration(record.Exchanges[len(record.Exchanges)-1].RetryAfterMillis) * time.Millisecond
-	if asked > 0 {
-		return min(asked, maxRetryAfter)
+// backoff returns the retry-after of the answer, else one that doubles with each attempt.
+func (v *visit) backoff(record *Record, attempt int) time.Duration {
+	retryAfter := time.Duration(record.Exchanges[len(record.Exchanges)-1].RetryAfterMillis) * time.Millisecond
+	if retryAfter > 0 {
+		return min(retryAfter, maxRetryAfter)
 	}
-	jitter := time.Duration(v.random.Int64N(int64(firstBackoff)))
-	return firstBackoff<<try + jitter
+	jitter := time.Duration(v.random.Int64N(int64(minBackoff)))
+	return minBackoff<<attempt + jitter
 }
--- a/internal/testing/lab/caller/prioritized.go
+++ b/internal/testing/lab/caller/prioritized.go
@@ -6,15 +6,15 @@
 type PrioritizedTurn struct {
 	SingleTurn
 	Priority string
-	// TimeoutMillis is the deadline of the whole turn.
+	// TimeoutMillis is the deadline of the turn.
 	TimeoutMillis int
 }
 
-// PrioritizedTurn makes one streamed turn of a class and returns what was told.
+// PrioritizedTurn makes one streamed turn of a class and returns its record.
 func (c *Client) PrioritizedTurn(ctx context.Context, front string, turn PrioritizedTurn) *Record {
 	record := &Record{
 		Operation: OperationTurn, Site: turn.Tenant, RequestID: turn.ID, Nonce: turn.Session, Priority: turn.Priority,
-		Program: turn.Session, Session: turn.Session, Ceiling: turn.MaxOutput, PreviousTurn: turn.Previous,
+		Program: turn.Session, Session: turn.Session, MaxTokens: turn.MaxOutput, PreviousTurn: turn.Previous,
 	}
 	c.Turn(ctx, front, record, turnBody{
 		Model: turn.Model, Input: turn.Input, PreviousResponseID: turn.Previous, Conversation: turn.Session,
--- a/internal/testing/lab/caller/record.go
+++ b/internal/testing/lab/caller/record.go
@@ -1,31 +1,30 @@
 // Package caller emulates the client programs of both sites: it opens
 // conversations at seeded times, sends turns and tool calls over HTTP to front
-// nodes of its zone, follows their streams and keeps a record of everything it
-// was told.
+// nodes of its zone, follows their streams and records everything it receives.
 package caller
 
 import (
 	"time"
 )
 
-// Operation is what a caller asked for.
+// Operation is the kind of a request.
 type Operation string
 
 // Operations of a caller.
 const (
 	OperationTurn Operation = "turn"
 	OperationTool Operation = "tool"
-	// OperationRead reads a kept turn.
+	// OperationRead reads a retained turn.
 	OperationRead Operation = "read"
 )
 
-// Outcomes that a caller is left with.
+// Outcomes of requests for their callers.
 const (
 	OutcomeAnswered = "answered"
 	OutcomeNotRun   = "not_run"
 	OutcomeUnknown  = "unknown"
 	OutcomeRan      = "ran"
-	// OutcomeNone is a caller that got no word, as when a connection broke.
+	// OutcomeNone: no answer, as when a connection broke.
 	OutcomeNone = "no_answer"
 )
 
@@ -45,8 +44,8 @@
 	Front      string    `json:"front"`
 	SentAt     time.Time `json:"sent_at"`
 	AnsweredAt time.Time `json:"answered_at"`
-	// Resumed is true when the exchange asked for the rest of a stream;
-	// AfterAttempt and AfterSequence are the place it asked to go on from.
+	// Resumed is true when the exchange requested the rest of a stream;
+	// AfterAttempt and AfterSequence are the last event that had arrived.
 	Resumed       bool   `json:"resumed,omitempty"`
 	AfterAttempt  uint32 `json:"after_attempt,omitempty"`
 	AfterSequence uint64 `json:"after_sequence,omitempty"`
@@ -60,7 +59,7 @@
 	Events           []Event `json:"events,omitempty"`
 }
 
-// Record is all that a caller was told about one request.
+// Record is everything that a caller received about one request.
 type Record struct {
 	Operation  Operation  `json:"operation"`
 	Site       string     `json:"site"`
@@ -71,7 +70,7 @@
 	Priority   string     `json:"priority"`
 	Tool       string     `json:"tool,omitempty"`
 	Object     string     `json:"object,omitempty"`
-	Ceiling    int        `json:"ceiling,omitempty"`
+	MaxTokens  int        `json:"ceiling,omitempty"`
 	Exchanges  []Exchange `json:"exchanges"`
 	Outcome    string     `json:"outcome"`
 	Code       string     `json:"code,omitempty"`
@@ -118,19 +117,19 @@
 	EventFailed    = "response.failed"
 )
 
-// Program is what a caller opened: its budget and the largest ceiling of a turn.
+// Program is a program that a caller opened.
 type Program struct {
 	ID     string `json:"id"`
 	Tenant string `json:"tenant"`
 	Budget uint64 `json:"budget"`
-	// LargestTurn is the largest number of output tokens asked for in one turn.
+	// LargestTurn is the largest number of output tokens requested in one turn.
 	LargestTurn int `json:"largest_turn"`
 }
 
-// Book is everything that callers were told in a run.
-type Book struct {
+// RequestLog is everything that callers sent and received in a run.
+type RequestLog struct {
 	Programs map[string]*Program `json:"programs"`
 	Records  []*Record           `json:"records"`
-	// Unserved counts conversations that were not begun because too many were under way.
+	// Unserved counts conversations that were not begun because too many were in progress.
 	Unserved int `json:"unserved"`
 }
--- a/internal/testing/lab/caller/request_log.go
+++ b/internal/testing/lab/caller/request_log.go
@@ -7,49 +7,49 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bookkeeper owns the book of a run and takes in what conversations learn.
-type bookkeeper struct {
+// recorder owns the request log of a run; its goroutine appends the entries that conversations send.
+type recorder struct {
 	entries chan any
-	book    *Book
+	log     *RequestLog
 	done    chan struct{}
 }
 
 type unserved struct{}
 
-func newBookkeeper() *bookkeeper {
+func newRecorder() *recorder {
 	const entriesAhead = 1024
-	k := &bookkeeper{
+	k := &recorder{
 		entries: make(chan any, entriesAhead),
-		book:    &Book{Programs: map[string]*Program{}},
+		log:     &RequestLog{Programs: map[string]*Program{}},
 		done:    make(chan struct{}),
 	}
 	go k.loop()
 	return k
 }
 
-func (k *bookkeeper) loop() {
+func (k *recorder) loop() {
 	defer close(k.done)
 	for entry := range k.entries {
 		switch entry := entry.(type) {
 		case *Record:
-			k.book.Records = append(k.book.Records, entry)
+			k.log.Records = append(k.log.Records, entry)
 		case *Program:
-			k.book.Programs[entry.ID] = entry
+			k.log.Programs[entry.ID] = entry
 		case unserved:
-			k.book.Unserved++
+			k.log.Unserved++
 		}
 	}
 }
 
-// close returns the book when all entries are in it.
-func (k *bookkeeper) close() *Book {
+// close ends the goroutine and returns the log with all entries.
+func (k *recorder) close() *RequestLog {
 	close(k.entries)
 	<-k.done
-	return k.book
+	return k.log
 }
 
-// Save writes the book as JSON.
-func (b *Book) Save(path string) error {
+// Save writes the request log as JSON.
+func (b *RequestLog) Save(path string) error {
 	content, err := json.Marshal(b)
 	if err != nil {
 		return errors.Wrap(err, "encode book")
@@ -57,12 +57,12 @@
 	return errors.Wrap(os.WriteFile(path, content, 0o644), "write book")
 }
 
-// LoadBook reads a saved book.
-func LoadBook(path string) (*Book, error) {
+// LoadRequestLog reads a saved request log.
+func LoadRequestLog(path string) (*RequestLog, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "read book")
 	}
-	var book Book
-	return &book, errors.Wrap(json.Unmarshal(content, &book), "decode book")
+	var requestLog RequestLog
+	return &requestLog, errors.Wrap(json.Unmarshal(content, &requestLog), "decode book")
 }
--- a/internal/testing/lab/caller/run.go
+++ b/internal/testing/lab/caller/run.go
@@ -22,7 +22,7 @@
 	Site   site.Name
 	Load   Load
 	Shape  Shape
-	// Duration is how long new conversations open; those under way then have Grace to end.
+	// Duration is how long new conversations open; those in progress then have Grace to end.
 	Duration time.Duration
 	Grace    time.Duration
 	Seed     uint64
@@ -30,7 +30,7 @@
 	Zones    int
 	// Credentials by tenant; the tenants are the sites.
 	Credentials map[string]string
-	// Progress, when set, is told how many conversations ended and how many opened.
+	// Progress, when set, is called each second with the numbers of ended and of opened conversations.
 	Progress func(ended, opened, planned int)
 }
 
@@ -51,9 +51,9 @@
 	}}
 }
 
-// Run opens the planned conversations at their times and returns the book of
-// what callers were told. It ends after Duration and Grace at the latest.
-func Run(ctx context.Context, options Options) (*Book, error) {
+// Run opens the planned conversations at their times and returns the request log of
+// everything that callers received. It ends after Duration and Grace at the latest.
+func Run(ctx context.Context, options Options) (*RequestLog, error) {
 	arrivals, err := Plan(options.Site, options.Load, options.Shape, options.Duration, options.Zones, options.Seed, options.Run)
 	if err != nil {
 		return nil, err
@@ -69,14 +69,14 @@
 	cancel()
 	pollers.Wait()
 	r.client.HTTP.CloseIdleConnections()
-	return r.books.close(), nil
+	return r.recorder.close(), nil
 }
 
 type runner struct {
 	options  Options
 	client   *Client
 	platform *platform
-	books    *bookkeeper
+	recorder *recorder
 	opened   atomic.Int64
 	ended    atomic.Int64
 }
@@ -84,7 +84,7 @@
 func newRunner(options Options) *runner {
 	client := &Client{HTTP: NewHTTPClient(), Credentials: options.Credentials, Now: time.Now}
 	return &runner{
-		options: options, client: client, platform: newPlatform(options.Fronts, client.HTTP), books: newBookkeeper(),
+		options: options, client: client, platform: newPlatform(options.Fronts, client.HTTP), recorder: newRecorder(),
 	}
 }
 
@@ -97,7 +97,7 @@
 			break
 		}
 		if r.opened.Load()-r.ended.Load() >= int64(r.options.Load.MaxConversations) {
-			r.books.entries <- unserved{}
+			r.recorder.entries <- unserved{}
 			continue
 		}
 		r.opened.Add(1)
@@ -111,19 +111,19 @@
 }
 
 func (r *runner) visit(ctx context.Context, conversation *Conversation) {
-	r.books.entries <- &Program{
+	r.recorder.entries <- &Program{
 		ID: conversation.Program, Tenant: string(conversation.Site),
 		Budget: conversation.Budget, LargestTurn: conversation.LargestTurn(),
 	}
 	source := rand.NewPCG(r.options.Seed, xxhash.Sum64String(conversation.Program))
 	v := &visit{
-		client: r.client, platform: r.platform, books: r.books, random: rand.New(source),
+		client: r.client, platform: r.platform, recorder: r.recorder, random: rand.New(source),
 		conversation: conversation, session: "session-" + conversation.Program,
 	}
 	v.run(ctx, conversation.Steps)
 }
 
-// report tells the progress each second until the returned function is called.
+// report calls Progress each second until the returned function is called.
 func (r *runner) report(ctx context.Context, planned int) (stop func()) {
 	if r.options.Progress == nil {
 		return func() {}
@@ -142,41 +142,41 @@
 	}
 }
 
-// Verify reads up to limit answered turns of the book again and adds the reads
-// to it, so that a kept turn that is gone comes to light.
-func Verify(ctx context.Context, options Options, book *Book, limit int) error {
+// Verify reads up to limit answered turns of the request log again and adds the reads
+// to it, so that the audit detects a retained turn that is missing.
+func Verify(ctx context.Context, options Options, log *RequestLog, limit int) error {
 	r := newRunner(options)
 	defer r.client.HTTP.CloseIdleConnections()
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(verifyConcurrency)
-	for _, turn := range sample(book, limit) {
+	for _, turn := range sample(log, limit) {
 		group.Go(func() error {
 			record := readRecord(turn)
-			for try := range maxExchanges {
-				r.client.Read(ctx, r.platform.pick(try), record)
-				if settledRead(record) || !wait.For(ctx, firstBackoff<<try) {
+			for attempt := range maxExchanges {
+				r.client.Read(ctx, r.platform.pick(attempt), record)
+				if readHasOutcome(record) || !wait.For(ctx, minBackoff<<attempt) {
 					break
 				}
 			}
-			r.books.entries <- record
+			r.recorder.entries <- record
 			return nil
 		})
 	}
 	err := group.Wait()
-	book.Records = append(book.Records, r.books.close().Records...)
+	log.Records = append(log.Records, r.recorder.close().Records...)
 	return err
 }
 
-// settledRead reports whether a read got a final word; unavailable is none.
-func settledRead(record *Record) bool {
+// readHasOutcome reports whether a read has a final outcome; unavailable is none.
+func readHasOutcome(record *Record) bool {
 	last := record.Exchanges[len(record.Exchanges)-1]
 	return record.Outcome == OutcomeAnswered || (last.Status != 0 && last.Status < http.StatusInternalServerError)
 }
 
-// sample spreads limit answered turns over the whole run.
-func sample(book *Book, limit int) []*Record {
+// sample returns limit answered turns, spread evenly over the run.
+func sample(log *RequestLog, limit int) []*Record {
 	var answered []*Record
-	for _, record := range book.Records {
+	for _, record := range log.Records {
 		if record.Operation == OperationTurn && record.Outcome == OutcomeAnswered {
 			answered = append(answered, record)
 		}
--- a/internal/testing/lab/caller/script.go
+++ b/internal/testing/lab/caller/script.go
@@ -25,7 +25,7 @@
 	ReadAfter   bool
 	Tool        string
 	Object      string
-	Helper      []Step
+	SubAgent    []Step
 	ThinkBefore time.Duration
 }
 
@@ -47,7 +47,7 @@
 func largestTurn(steps []Step) int {
 	largest := 0
 	for _, step := range steps {
-		largest = max(largest, step.MaxOutput, largestTurn(step.Helper))
+		largest = max(largest, step.MaxOutput, largestTurn(step.SubAgent))
 	}
 	return largest
 }
@@ -127,7 +127,7 @@
 		case 0:
 			steps = append(steps, w.call(site.ToolSensors))
 		case 1:
-			steps = append(steps, Step{Helper: append(w.turns(2, PriorityProbe), w.call(site.ToolAlarms))})
+			steps = append(steps, Step{SubAgent: append(w.turns(2, PriorityProbe), w.call(site.ToolAlarms))})
 		case 2:
 			steps = append(steps, w.call(site.ToolAlarms))
 		case 3:
--- a/internal/testing/lab/caller/single.go
+++ b/internal/testing/lab/caller/single.go
@@ -14,11 +14,11 @@
 	MaxOutput int
 }
 
-// SingleTurn makes one streamed turn and returns what was told.
+// SingleTurn makes one streamed turn and returns its record.
 func (c *Client) SingleTurn(ctx context.Context, front string, turn SingleTurn) *Record {
 	record := &Record{
 		Operation: OperationTurn, Site: turn.Tenant, RequestID: turn.ID, Nonce: turn.Session,
-		Program: turn.Session, Session: turn.Session, Ceiling: turn.MaxOutput, PreviousTurn: turn.Previous,
+		Program: turn.Session, Session: turn.Session, MaxTokens: turn.MaxOutput, PreviousTurn: turn.Previous,
 	}
 	c.Turn(ctx, front, record, turnBody{
 		Model: turn.Model, Input: turn.Input, PreviousResponseID: turn.Previous, Conversation: turn.Session,
--- a/internal/testing/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -49,13 +49,13 @@
 		if !wait.For(ctx, orderInterval) {
 			break
 		}
-		o.round(ctx)
+		o.race(ctx)
 	}
 	return o.orders
 }
 
 // round is one version: a race, a repeat, a sign-off and a listing.
-func (o *Operators) round(ctx context.Context) {
+func (o *Operators) race(ctx context.Context) {
 	version, active, err := o.list(ctx)
 	if err != nil {
 		o.Logger.Debug("listing failed", "err", err)
@@ -67,12 +67,12 @@
 	race.Go(func() { o.send(ctx, first) })
 	race.Go(func() { o.send(ctx, second) })
 	race.Wait()
-	o.note(first, second)
+	o.record(first, second)
 	for _, attempt := range []*attempt{first, second} {
 		if attempt.order.Outcome == audit.OrderAcknowledged || attempt.order.Outcome == audit.OrderUnknown {
 			again := *attempt
 			o.send(ctx, &again)
-			o.note(&again)
+			o.record(&again)
 		}
 	}
 	if ctx.Err() == nil {
@@ -87,7 +87,7 @@
 	answer  []byte
 }
 
-func (o *Operators) note(attempts ...*attempt) {
+func (o *Operators) record(attempts ...*attempt) {
 	for _, attempt := range attempts {
 		o.orders = append(o.orders, attempt.order)
 	}
@@ -128,7 +128,7 @@
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
 	case errors.As(err, &refused) && refused.Detail.Outcome == "not_run":
-		sent.order.Outcome = audit.OrderRefused
+		sent.order.Outcome = audit.OrderRejected
 		sent.order.Code = refused.Detail.Code
 	default:
 		sent.order.Outcome = audit.OrderUnknown
@@ -159,10 +159,10 @@
 		},
 	}
 	o.send(ctx, sign)
-	o.note(sign)
+	o.record(sign)
 }
 
-// list asks for all versions and returns the newest and the one in force.
+// list requests all versions and returns the newest and the one in force.
 func (o *Operators) list(ctx context.Context) (newest, active uint64, err error) {
 	asked := &attempt{
 		order:   audit.Order{Kind: audit.OrderList},
@@ -185,6 +185,6 @@
 		asked.order.Listed = append(asked.order.Listed, status.GetVersion())
 	}
 	asked.order.Newest, asked.order.Active = answer.Newest, answer.Active
-	o.note(asked)
+	o.record(asked)
 	return answer.Newest, answer.Active, nil
 }
--- a/internal/testing/lab/chaos/plan.go
+++ b/internal/testing/lab/chaos/plan.go
@@ -1,6 +1,6 @@
 // Package chaos breaks a running fleet by a seeded schedule: processes are
-// killed, frozen, restarted, emptied, replaced and cut off, one after another
-// and together, within the losses that the sites must bear.
+// crashed, frozen, restarted, emptied, replaced and partitioned, one after another
+// and together, within the losses that the sites must tolerate.
 package chaos
 
 import (
@@ -17,26 +17,26 @@
 
 // Actions of a schedule.
 const (
-	// Kill ends a process at once and starts it again later.
-	Kill Action = "kill"
-	// Freeze stops a process and lets it go on later.
+	// Crash kills a process and starts it again later.
+	Crash Action = "kill"
+	// Freeze stops a process and resumes it later.
 	Freeze Action = "freeze"
-	// Restart asks a process to stop and starts it again.
+	// Restart shuts a process down and starts it again.
 	Restart Action = "restart"
-	// LoseDisk kills a process and empties its data folder before it starts again.
+	// LoseDisk crashes a process and empties its data folder before it starts again.
 	LoseDisk Action = "lose disk"
 	// Replace puts an empty machine at a new address in the place of a core member.
 	Replace Action = "replace"
-	// Cut holds back everything between a process and all others.
-	Cut Action = "cut"
-	// CutOneWay holds back only what others send to a process.
-	CutOneWay Action = "cut one way"
-	// SplitCore cuts the first half of the core from the rest.
-	SplitCore Action = "split core"
-	// KillFronts kills all front nodes at once.
-	KillFronts Action = "kill all fronts"
-	// KillAll kills every daemon at once.
-	KillAll Action = "kill everything"
+	// Partition delays everything between a process and all others.
+	Partition Action = "cut"
+	// InboundPartition delays only what others send to a process.
+	InboundPartition Action = "cut one way"
+	// PartitionCore partitions the first half of the core from the rest.
+	PartitionCore Action = "split core"
+	// CrashFronts crashes all front nodes at once.
+	CrashFronts Action = "kill all fronts"
+	// CrashAll crashes every daemon at once.
+	CrashAll Action = "kill everything"
 )
 
 // Step is one fault of a schedule.
@@ -44,12 +44,12 @@
 	At     time.Duration `json:"at"`
 	Length time.Duration `json:"length"`
 	Action Action        `json:"action"`
-	// Kind is the kind of the members to choose from, Target the place among them.
+	// Kind is the kind of the members to choose from, Target the index among them.
 	Kind   fleet.Kind `json:"kind,omitempty"`
 	Target int        `json:"target"`
 }
 
-// End is when the fault is taken back.
+// End is when the fault is undone.
 func (s Step) End() time.Duration { return s.At + s.Length }
 
 // Counts are the numbers of members by kind.
@@ -57,18 +57,18 @@
 
 const (
 	firstFault = 3 * time.Second
-	// diskRecovery is kept free after the loss of a machine with a disk: the
-	// sites bear one such loss at a time.
-	diskRecovery = 20 * time.Second
-	// Around the death of many massBefore and massAfter are kept free of other faults.
-	massBefore = 6 * time.Second
-	massAfter  = 25 * time.Second
-	massLength = 2 * time.Second
-	// longFreeze is longer than any lease: its victim must wake up without authority.
+	// diskRecoveryTime has no other disk loss after one: the
+	// sites tolerate one such loss at a time.
+	diskRecoveryTime = 20 * time.Second
+	// Around a mass crash massCrashQuietBefore and massCrashQuietAfter have no other faults.
+	massCrashQuietBefore = 6 * time.Second
+	massCrashQuietAfter  = 25 * time.Second
+	massCrashDuration    = 2 * time.Second
+	// longFreeze is longer than any lease: the process must wake up without authority.
 	longFreeze = 21 * time.Second
 )
 
-// sequence is a row of faults of which one at a time is in force.
+// sequence is a series of faults of which one at a time is in force.
 type sequence struct {
 	kind    fleet.Kind
 	count   int
@@ -81,11 +81,11 @@
 func Plan(counts Counts, duration time.Duration, seed uint64) []Step {
 	const stream = 2
 	random := rand.New(rand.NewPCG(seed, stream))
-	massKills := planMassKills(duration)
+	massKills := planMassCrashes(duration)
 	sequences := []sequence{
-		{fleet.KindFront, counts.Fronts, 4 * time.Second, 2 * time.Second, []Action{Kill, Freeze, Restart, Cut, CutOneWay}},
-		{fleet.KindFront, counts.Fronts, 9 * time.Second, 2 * time.Second, []Action{Kill, Freeze, Restart, Cut}},
-		{fleet.KindBackEnd, counts.BackEnds, 5 * time.Second, time.Second, []Action{Kill, Freeze, Restart}},
+		{fleet.KindFront, counts.Fronts, 4 * time.Second, 2 * time.Second, []Action{Crash, Freeze, Restart, Partition, InboundPartition}},
+		{fleet.KindFront, counts.Fronts, 9 * time.Second, 2 * time.Second, []Action{Crash, Freeze, Restart, Partition}},
+		{fleet.KindBackEnd, counts.BackEnds, 5 * time.Second, time.Second, []Action{Crash, Freeze, Restart}},
 	}
 	steps := slices.Clone(massKills)
 	for _, l := range sequences {
@@ -98,14 +98,14 @@
 
 // planMassKills puts the death of all fronts at two fifths of the run and that of
 // everything at four fifths, when the run is long enough for them.
-func planMassKills(duration time.Duration) []Step {
+func planMassCrashes(duration time.Duration) []Step {
 	const shortest = 2 * time.Minute
 	if duration < shortest {
 		return nil
 	}
 	return []Step{
-		{At: duration * 2 / 5, Length: massLength, Action: KillFronts},
-		{At: duration * 4 / 5, Length: massLength, Action: KillAll},
+		{At: duration * 2 / 5, Length: massCrashDuration, Action: CrashFronts},
+		{At: duration * 4 / 5, Length: massCrashDuration, Action: CrashAll},
 	}
 }
 
@@ -120,7 +120,7 @@
 			return steps
 		}
 		at = step.End() + l.rest
-		if free(step, massKills, massBefore) {
+		if free(step, massKills, massCrashQuietBefore) {
 			steps = append(steps, step)
 		}
 	}
@@ -129,8 +129,8 @@
 
 // planDisks lets core members and stores fail in turn, one at a time, with time to repair after each.
 func planDisks(random *rand.Rand, counts Counts, duration time.Duration, massKills []Step) []Step {
-	store := sequence{fleet.KindStore, counts.Stores, 0, 0, []Action{Kill, Freeze, Restart, LoseDisk, Cut}}
-	core := sequence{fleet.KindCore, counts.Cores, 0, 0, []Action{Kill, Freeze, Restart, LoseDisk, Cut, SplitCore}}
+	store := sequence{fleet.KindStore, counts.Stores, 0, 0, []Action{Crash, Freeze, Restart, LoseDisk, Partition}}
+	core := sequence{fleet.KindCore, counts.Cores, 0, 0, []Action{Crash, Freeze, Restart, LoseDisk, Partition, PartitionCore}}
 	var steps []Step
 	replaced := false
 	at := firstFault
@@ -143,11 +143,11 @@
 			replaced = true
 		}
 		step.Length = lengthOf(random, step.Action)
-		if step.End()+diskRecovery > duration {
+		if step.End()+diskRecoveryTime > duration {
 			return steps
 		}
-		at = step.End() + diskRecovery
-		if of.count > 0 && free(step, massKills, diskRecovery) {
+		at = step.End() + diskRecoveryTime
+		if of.count > 0 && free(step, massKills, diskRecoveryTime) {
 			steps = append(steps, step)
 		}
 	}
@@ -157,16 +157,16 @@
 	return time.Duration(min(random.ExpFloat64(), 4) * float64(mean))
 }
 
-// lengthOf chooses how long a fault stays. One freeze or cut in four outlives every lease.
+// lengthOf draws the duration of a fault. One freeze or partition in four outlasts every lease.
 func lengthOf(random *rand.Rand, action Action) time.Duration {
 	short := 500*time.Millisecond + time.Duration(random.Int64N(int64(6*time.Second)))
 	switch action {
-	case Freeze, Cut, CutOneWay:
+	case Freeze, Partition, InboundPartition:
 		if random.IntN(4) == 0 {
 			return longFreeze
 		}
 		return short
-	case SplitCore:
+	case PartitionCore:
 		return 8 * time.Second
 	case Replace:
 		return time.Second
@@ -178,7 +178,7 @@
 // free reports whether a step keeps its distance from the death of many.
 func free(step Step, massKills []Step, before time.Duration) bool {
 	return !slices.ContainsFunc(massKills, func(mass Step) bool {
-		return step.End() > mass.At-before && step.At < mass.End()+massAfter
+		return step.End() > mass.At-before && step.At < mass.End()+massCrashQuietAfter
 	})
 }
 
@@ -187,7 +187,7 @@
 	var kept []Step
 	for _, step := range steps {
 		if !slices.ContainsFunc(kept, func(other Step) bool {
-			return other.Kind == step.Kind && other.Target == step.Target && other.Action != KillFronts && other.Action != KillAll &&
+			return other.Kind == step.Kind && other.Target == step.Target && other.Action != CrashFronts && other.Action != CrashAll &&
 				step.At < other.End()+time.Second && other.At < step.End()
 		}) {
 			kept = append(kept, step)
--- a/internal/testing/lab/chaos/plan_test.go
+++ b/internal/testing/lab/chaos/plan_test.go
@@ -35,8 +35,8 @@
 			if i > 0 && step.At < steps[i-1].At {
 				t.Fatalf("seed %d: steps are out of order", seed)
 			}
-			mass := step.Action == chaos.KillAll || step.Action == chaos.KillFronts
-			disk := step.Kind == fleet.KindCore || step.Kind == fleet.KindStore || step.Action == chaos.KillAll
+			mass := step.Action == chaos.CrashAll || step.Action == chaos.CrashFronts
+			disk := step.Kind == fleet.KindCore || step.Kind == fleet.KindStore || step.Action == chaos.CrashAll
 			if disk && step.At < diskFree {
 				t.Fatalf("seed %d: %+v strikes a second disk machine", seed, step)
 			}
@@ -60,8 +60,8 @@
 		}
 	}
 	for _, action := range []chaos.Action{
-		chaos.Kill, chaos.Freeze, chaos.Restart, chaos.LoseDisk, chaos.Replace, chaos.Cut,
-		chaos.CutOneWay, chaos.SplitCore, chaos.KillFronts, chaos.KillAll,
+		chaos.Crash, chaos.Freeze, chaos.Restart, chaos.LoseDisk, chaos.Replace, chaos.Partition,
+		chaos.InboundPartition, chaos.PartitionCore, chaos.CrashFronts, chaos.CrashAll,
 	} {
 		if !seen[action] {
 			t.Errorf("no schedule of three holds %q", action)
--- a/internal/testing/lab/chaos/run.go
+++ b/internal/testing/lab/chaos/run.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// settleTime is added to each fault before its victims must be sound again.
-	settleTime = 3 * time.Second
+	// stabilizationTime is added to each fault before its targets must work again.
+	stabilizationTime = 3 * time.Second
 	// returnLimit bounds the wait for service after the death of many.
 	returnLimit  = 60 * time.Second
 	gentleWait   = 15 * time.Second
@@ -33,8 +33,8 @@
 	Random *rand.Rand
 
 	counts    map[Action]int
-	disturbed []audit.Interval
-	returns   []audit.Return
+	disturbed []audit.FaultInterval
+	returns   []audit.Recovery
 }
 
 // moment is the beginning or the end of a step.
@@ -42,7 +42,7 @@
 	at    time.Duration
 	begin bool
 	step  Step
-	// victims are chosen when the step begins.
+	// Targets are chosen when the step begins.
 	victims *victims
 }
 
@@ -54,8 +54,8 @@
 // Outcome is what a schedule did.
 type Outcome struct {
 	Counts    map[Action]int
-	Disturbed []audit.Interval
-	Returns   []audit.Return
+	Disturbed []audit.FaultInterval
+	Returns   []audit.Recovery
 }
 
 // Run carries the steps out at their times, then heals everything that is
@@ -110,11 +110,11 @@
 func (b *Breaker) choose(m moment) {
 	m.victims.since = time.Now()
 	switch m.step.Action {
-	case KillFronts:
+	case CrashFronts:
 		m.victims.members = b.Fleet.Members(fleet.KindFront)
-	case KillAll:
+	case CrashAll:
 		m.victims.members = b.Fleet.Members(fleet.KindCore, fleet.KindStore, fleet.KindFront)
-	case SplitCore:
+	case PartitionCore:
 		cores := b.Fleet.Members(fleet.KindCore)
 		m.victims.members = cores[:len(cores)/2]
 	default:
@@ -126,17 +126,17 @@
 func (b *Breaker) begin(m moment) error {
 	struck := m.victims.members
 	switch m.step.Action {
-	case Kill, LoseDisk, Replace, KillFronts, KillAll:
+	case Crash, LoseDisk, Replace, CrashFronts, CrashAll:
 		return b.each(struck, func(member *fleet.Member) error { return b.Fleet.Process(member).Kill() })
 	case Freeze:
 		return b.Fleet.Process(struck[0]).Freeze()
 	case Restart:
 		_, err := b.Fleet.Process(struck[0]).Stop(gentleWait)
 		return err
-	case Cut, CutOneWay:
-		b.Fleet.Cut(struck[0], true, m.step.Action == CutOneWay)
-	case SplitCore:
-		b.Fleet.Split(true, struck, b.rest(struck))
+	case Partition, InboundPartition:
+		b.Fleet.SetPartition(struck[0], true, m.step.Action == InboundPartition)
+	case PartitionCore:
+		b.Fleet.SetPartitionBetween(true, struck, b.rest(struck))
 	}
 	return nil
 }
@@ -146,11 +146,11 @@
 	switch m.step.Action {
 	case Freeze:
 		return b.Fleet.Process(struck[0]).Thaw()
-	case Cut, CutOneWay:
-		b.Fleet.Cut(struck[0], false, m.step.Action == CutOneWay)
+	case Partition, InboundPartition:
+		b.Fleet.SetPartition(struck[0], false, m.step.Action == InboundPartition)
 		return nil
-	case SplitCore:
-		b.Fleet.Split(false, struck, b.rest(struck))
+	case PartitionCore:
+		b.Fleet.SetPartitionBetween(false, struck, b.rest(struck))
 		return nil
 	case LoseDisk:
 		if err := b.Fleet.EmptyData(struck[0]); err != nil {
@@ -166,7 +166,7 @@
 	if err := b.each(m.victims.members, b.Fleet.StartMember); err != nil {
 		return err
 	}
-	if m.step.Action == KillFronts || m.step.Action == KillAll {
+	if m.step.Action == CrashFronts || m.step.Action == CrashAll {
 		b.awaitReturn(ctx, m.step.Action)
 	}
 	return nil
@@ -180,7 +180,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	b.returns = append(b.returns, audit.Return{After: string(action), At: begun, Took: took, Served: err == nil})
+	b.returns = append(b.returns, audit.Recovery{After: string(action), At: begun, Took: took, Served: err == nil})
 	b.Logger.Info("service is back", "after", action, "took", took.Round(time.Millisecond), "err", err)
 }
 
@@ -203,9 +203,9 @@
 	return failed
 }
 
-// disturb notes which processes a fault struck and until when it excuses them.
+// disturb records which processes a fault affects, and until when.
 func (b *Breaker) disturb(struck *victims) {
-	interval := audit.Interval{From: struck.since, To: time.Now().Add(settleTime)}
+	interval := audit.FaultInterval{From: struck.since, To: time.Now().Add(stabilizationTime)}
 	for _, member := range struck.members {
 		interval.Processes = append(interval.Processes, member.Name, member.HTTP)
 		interval.Core = interval.Core || member.Kind == fleet.KindCore
@@ -213,7 +213,7 @@
 	b.disturbed = append(b.disturbed, interval)
 }
 
-// heal starts what is still down and waits until the whole fleet is ready.
+// heal starts the processes that are still down and waits until the fleet is ready.
 func (b *Breaker) heal(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, healDeadline)
 	defer cancel()
--- a/internal/testing/lab/closedport/closedport.go
+++ b/internal/testing/lab/closedport/closedport.go
@@ -1,5 +1,5 @@
-// Package closedport holds TCP ports of loopback on which nobody listens. The port of a listener that was closed may be
-// given to the next process that asks for one; a held port refuses every connection until it is released.
+// Package closedport reserves TCP ports of loopback on which nobody listens. The port of a closed listener may be given
+// to the next process that binds one; a reserved port refuses every connection until it is released.
 package closedport
 
 import (
@@ -13,14 +13,14 @@
 
 const loopback = "127.0.0.1"
 
-// Port is a port that is held.
+// Port is a reserved port.
 type Port struct {
 	descriptor int
 	number     int
 }
 
-// Hold takes a free port. It is for the caller to release it.
-func Hold() (*Port, error) {
+// Reserve reserves a free port. The caller must release it.
+func Reserve() (*Port, error) {
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, errors.Wrap(os.NewSyscallError("socket", err), "hold a port")
--- a/internal/testing/lab/closedport/closedport_test.go
+++ b/internal/testing/lab/closedport/closedport_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestAHeldPortRefusesConnectionsAndIsGivenToNobodyElse(t *testing.T) {
-	port, err := closedport.Hold()
+	port, err := closedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/lab/command/audit.go
+++ b/internal/testing/lab/command/audit.go
@@ -23,7 +23,7 @@
 	evidence.Journal = journal
 	found := audit.Audit(*evidence)
 	report.PrintAudit(e.output, found)
-	kept := keptAudit{Orders: evidence.Orders, Disturbed: evidence.Disturbed, Returns: evidence.Returns, Candidates: evidence.Candidates, Report: found}
+	kept := savedAudit{Orders: evidence.Orders, Disturbed: evidence.FaultIntervals, Returns: evidence.Recoveries, Candidates: evidence.Candidates, Report: found}
 	content, err := json.MarshalIndent(&kept, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode audit")
@@ -37,13 +37,13 @@
 	return nil
 }
 
-// keptAudit is what a run's folder keeps of its audit.
-type keptAudit struct {
-	Orders     []audit.Order    `json:"orders"`
-	Disturbed  []audit.Interval `json:"disturbed"`
-	Returns    []audit.Return   `json:"returns"`
-	Candidates []uint64         `json:"candidates,omitempty"`
-	Report     *audit.Report    `json:"report"`
+// savedAudit is the form of an audit in the folder of a run.
+type savedAudit struct {
+	Orders     []audit.Order         `json:"orders"`
+	Disturbed  []audit.FaultInterval `json:"disturbed"`
+	Returns    []audit.Recovery      `json:"returns"`
+	Candidates []uint64              `json:"candidates,omitempty"`
+	Report     *audit.Report         `json:"report"`
 }
 
 // newAudit audits the folder of an earlier run again.
@@ -54,7 +54,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			folder := arguments[0]
-			book, err := caller.LoadBook(filepath.Join(folder, "book.json"))
+			requestLog, err := caller.LoadRequestLog(filepath.Join(folder, "book.json"))
 			if err != nil {
 				return err
 			}
@@ -62,11 +62,11 @@
 			if err != nil {
 				return errors.Wrap(err, "read audit")
 			}
-			var kept keptAudit
+			var kept savedAudit
 			if err := json.Unmarshal(content, &kept); err != nil {
 				return errors.Wrap(err, "decode audit")
 			}
-			return e.audit(folder, &audit.Evidence{Book: book, Orders: kept.Orders, Disturbed: kept.Disturbed, Returns: kept.Returns, Candidates: kept.Candidates})
+			return e.audit(folder, &audit.Evidence{RequestLog: requestLog, Orders: kept.Orders, FaultIntervals: kept.Disturbed, Recoveries: kept.Returns, Candidates: kept.Candidates})
 		},
 	}
 }
--- a/internal/testing/lab/command/chaos.go
+++ b/internal/testing/lab/command/chaos.go
@@ -38,7 +38,7 @@
 		Short: "Break the whole fleet of a site under load by a seeded schedule, then audit",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			chosen, err := options.chooseWhole(command.Flags())
+			chosen, err := options.chooseSite(command.Flags())
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 		steps = slices.DeleteFunc(steps, needsRelays)
 	}
 	var broken chaos.Outcome
-	book, err := e.converseBeside(ctx, f, callers, func() error {
+	requestLog, err := e.converseBeside(ctx, f, callers, func() error {
 		var operated []audit.Order
 		var err error
 		operated, broken, err = e.breakFleet(ctx, f, steps, options)
@@ -98,15 +98,15 @@
 	if err != nil {
 		return err
 	}
-	report.PrintSummary(e.output, book, report.Summarize(book), options.duration)
+	report.PrintSummary(e.output, requestLog, report.Summarize(requestLog), options.duration)
 	e.printFaults(broken)
 	return e.audit(f.Folder(), &audit.Evidence{
-		Book: book, Orders: orders, Disturbed: broken.Disturbed, Returns: broken.Returns,
+		RequestLog: requestLog, Orders: orders, FaultIntervals: broken.Disturbed, Recoveries: broken.Returns,
 	})
 }
 
-// chooseWhole gives the whole fleet of the site chosen.
-func (o *chaosOptions) chooseWhole(flags *pflag.FlagSet) (*deployment.Deployment, error) {
+// chooseSite returns the deployment of the chosen site.
+func (o *chaosOptions) chooseSite(flags *pflag.FlagSet) (*deployment.Deployment, error) {
 	sizes, err := site.SizesOf(site.Name(o.site))
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 }
 
 func needsRelays(step chaos.Step) bool {
-	return step.Action == chaos.Cut || step.Action == chaos.CutOneWay || step.Action == chaos.SplitCore
+	return step.Action == chaos.Partition || step.Action == chaos.InboundPartition || step.Action == chaos.PartitionCore
 }
 
 func countsOf(sizes site.Sizes) chaos.Counts {
--- a/internal/testing/lab/command/command.go
+++ b/internal/testing/lab/command/command.go
@@ -24,7 +24,7 @@
 	ExitClean = 0
 	// ExitFailure is a run that could not be carried out.
 	ExitFailure = 1
-	// ExitViolation is a run whose audit or limits were not kept.
+	// ExitViolation is a run that violated its audit or its limits.
 	ExitViolation = 3
 )
 
@@ -45,7 +45,7 @@
 	logger *log.Logger
 	// binaries is the folder of the project's programs.
 	binaries string
-	// folder is where runs are kept.
+	// folder is where runs are saved.
 	folder string
 	// profile is the file of the processor profile, empty for none.
 	profile string
@@ -109,7 +109,7 @@
 	flags.StringVar(&e.folder, "folder", "run", "folder in which each run gets one of its own")
 	flags.StringVar(&e.profile, "cpu-profile", "", "file that takes a processor profile of the laboratory itself")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error { return e.startProfile() }
-	root.AddCommand(newBackEnds(e), newRun(e), newRunPlatform(e), newFleet(e), newAudit(e), newChaos(e), newKillOne(e), newExperiment(e), newBench(e), newBurst(e), newScale(e), newReport(e), newAblate(e), simcommand.New())
+	root.AddCommand(newBackEnds(e), newRun(e), newRunPlatform(e), newFleet(e), newAudit(e), newChaos(e), newFrontLoss(e), newExperiment(e), newBench(e), newBurst(e), newScale(e), newReport(e), newAblate(e), simcommand.New())
 	return root
 }
 
--- a/internal/testing/lab/command/experiment.go
+++ b/internal/testing/lab/command/experiment.go
@@ -37,16 +37,16 @@
 	}
 }
 
-// armRuns gathers the runs of one arm.
-type armRuns struct {
+// armRuns gathers the runs of one variant.
+type variantRuns struct {
 	books [][]*caller.Record
 	clean bool
 }
 
 func (e *environment) experiment(ctx context.Context, file *experiment.File, command string) error {
-	runs := make([]*armRuns, len(file.Arms))
+	runs := make([]*variantRuns, len(file.Variants))
 	for i := range runs {
-		runs[i] = &armRuns{clean: true}
+		runs[i] = &variantRuns{clean: true}
 	}
 	var folder string
 	for _, seed := range file.Seeds {
@@ -62,9 +62,9 @@
 	}
 	result := &experiment.Result{File: file, Command: command}
 	clean := true
-	for i, arm := range file.Arms {
+	for i, variant := range file.Variants {
 		sample := experiment.NewSample(runs[i].books, file.Duration())
-		result.Arms = append(result.Arms, experiment.NewArmResult(arm.Name, sample, runs[i].clean, file.Seeds[0]))
+		result.Variants = append(result.Variants, experiment.NewVariantResult(variant.Name, sample, runs[i].clean, file.Seeds[0]))
 		clean = clean && runs[i].clean
 	}
 	if err := result.Save(folder); err != nil {
@@ -78,57 +78,57 @@
 	return nil
 }
 
-// runSeparate serves each arm on a fleet of its own.
-func (e *environment) runSeparate(ctx context.Context, file *experiment.File, seed uint64, runs []*armRuns) (folder string, err error) {
-	for i, arm := range file.Arms {
-		e.logger.Info("run", "arm", arm.Name, "seed", seed)
-		var book *caller.Book
+// runSeparate serves each variant on a fleet of its own.
+func (e *environment) runSeparate(ctx context.Context, file *experiment.File, seed uint64, runs []*variantRuns) (folder string, err error) {
+	for i, variant := range file.Variants {
+		e.logger.Info("run", "arm", variant.Name, "seed", seed)
+		var requestLog *caller.RequestLog
 		var clean bool
-		folder, book, clean, err = e.runArm(ctx, file, seed, &file.Arms[i], nil)
+		folder, requestLog, clean, err = e.runVariant(ctx, file, seed, &file.Variants[i], nil)
 		if err != nil {
 			return folder, err
 		}
-		runs[i].books = append(runs[i].books, book.Records)
+		runs[i].books = append(runs[i].books, requestLog.Records)
 		runs[i].clean = runs[i].clean && clean
 	}
 	return folder, nil
 }
 
-// runLive serves both arms on one fleet and tells them apart by the bundle that served each program.
-func (e *environment) runLive(ctx context.Context, file *experiment.File, seed uint64, runs []*armRuns) (folder string, err error) {
+// runLive serves both variants on one fleet and distinguishes them by the bundle that served each program.
+func (e *environment) runLive(ctx context.Context, file *experiment.File, seed uint64, runs []*variantRuns) (folder string, err error) {
 	e.logger.Info("run", "arms", "both", "seed", seed)
-	folder, book, clean, err := e.runArm(ctx, file, seed, &file.Arms[0], &file.Arms[1])
+	folder, requestLog, clean, err := e.runVariant(ctx, file, seed, &file.Variants[0], &file.Variants[1])
 	if err != nil {
 		return folder, err
 	}
-	byArm := splitByBundle(book.Records)
+	byVariant := splitByBundle(requestLog.Records)
 	for i := range runs {
-		runs[i].books = append(runs[i].books, byArm[i])
+		runs[i].books = append(runs[i].books, byVariant[i])
 		runs[i].clean = runs[i].clean && clean
 	}
 	return folder, nil
 }
 
-// splitByBundle gives each program to the arm whose bundle served it; a
+// splitByBundle gives each program to the variant whose bundle served it; a
 // program that was never served belongs to none.
 func splitByBundle(records []*caller.Record) [2][]*caller.Record {
-	arms := map[string]int{}
+	variants := map[string]int{}
 	for _, record := range records {
 		if record.BundleVersion > 0 {
-			arms[record.Program] = min(int(record.BundleVersion-firstBundle), 1)
+			variants[record.Program] = min(int(record.BundleVersion-firstBundle), 1)
 		}
 	}
 	var split [2][]*caller.Record
 	for _, record := range records {
-		if arm, served := arms[record.Program]; served {
-			split[arm] = append(split[arm], record)
+		if variant, served := variants[record.Program]; served {
+			split[variant] = append(split[variant], record)
 		}
 	}
 	return split
 }
 
-// runArm brings a fleet up under an arm's policy, with a candidate when one is given, and runs the load.
-func (e *environment) runArm(ctx context.Context, file *experiment.File, seed uint64, arm, candidate *experiment.Arm) (folder string, book *caller.Book, clean bool, err error) {
+// runVariant brings a fleet up under an variant's policy, with a candidate when one is given, and runs the load.
+func (e *environment) runVariant(ctx context.Context, file *experiment.File, seed uint64, variant, candidate *experiment.Variant) (folder string, requestLog *caller.RequestLog, clean bool, err error) {
 	sizes, err := file.FleetSizes()
 	if err != nil {
 		return "", nil, false, err
@@ -136,14 +136,14 @@
 	layout := fleet.Options{Sizes: sizes, LogLevel: "warn", Rates: file.Rates, Faults: file.Faults}
 	err = e.withFleet("experiment", layout, func(f *fleet.Fleet) error {
 		folder = f.Folder()
-		book, clean, err = e.armOn(ctx, f, file, seed, arm, candidate)
+		requestLog, clean, err = e.variantOn(ctx, f, file, seed, variant, candidate)
 		return err
 	})
-	return folder, book, clean, err
+	return folder, requestLog, clean, err
 }
 
-func (e *environment) armOn(ctx context.Context, f *fleet.Fleet, file *experiment.File, seed uint64, arm, candidate *experiment.Arm) (book *caller.Book, clean bool, err error) {
-	first, err := arm.Apply(f.Bundle(firstBundle))
+func (e *environment) variantOn(ctx context.Context, f *fleet.Fleet, file *experiment.File, seed uint64, variant, candidate *experiment.Variant) (requestLog *caller.RequestLog, clean bool, err error) {
+	first, err := variant.Apply(f.Bundle(firstBundle))
 	if err != nil {
 		return nil, false, err
 	}
@@ -158,22 +158,22 @@
 	}
 	served := &deployment.Deployment{Callers: file.Site, Load: file.Load, Shape: file.Shape}
 	callers := e.callers(f, served, file.Duration(), seed)
-	if book, err = e.converse(ctx, f, callers); err != nil {
+	if requestLog, err = e.converse(ctx, f, callers); err != nil {
 		return nil, false, err
 	}
-	evidence := &audit.Evidence{Book: book, Orders: orders}
+	evidence := &audit.Evidence{RequestLog: requestLog, Orders: orders}
 	if candidate != nil {
 		evidence.Candidates = []uint64{first.GetVersion() + 1}
 	}
 	err = e.audit(f.Folder(), evidence)
 	if isViolation(err) {
-		return book, false, nil
+		return requestLog, false, nil
 	}
-	return book, true, err
+	return requestLog, true, err
 }
 
 // rollOut signs the candidate off for a share of the programs.
-func (e *environment) rollOut(ctx context.Context, f *fleet.Fleet, active *protocol.Bundle, candidate *experiment.Arm, share uint32) error {
+func (e *environment) rollOut(ctx context.Context, f *fleet.Fleet, active *protocol.Bundle, candidate *experiment.Variant, share uint32) error {
 	next, err := candidate.Apply(active)
 	if err != nil {
 		return err
@@ -190,16 +190,16 @@
 func (e *environment) printExperiment(result *experiment.Result) {
 	names := []any{"metric"}
 	programs := []any{"programs"}
-	for _, arm := range result.Arms {
-		names = append(names, arm.Name)
-		programs = append(programs, arm.Programs)
+	for _, variant := range result.Variants {
+		names = append(names, variant.Name)
+		programs = append(programs, variant.Programs)
 	}
 	rows := report.NewTable(e.output, result.File.Name+" (with intervals of 95% confidence)", names...)
 	rows.AppendRow(programs)
 	for _, metric := range experiment.Metrics() {
 		row := []any{metric}
-		for _, arm := range result.Arms {
-			estimate := arm.Estimates[metric]
+		for _, variant := range result.Variants {
+			estimate := variant.Estimates[metric]
 			row = append(row, fmt.Sprintf("%.1f (%.1f to %.1f)", estimate.Value, estimate.Low, estimate.High))
 		}
 		rows.AppendRow(row)
--- a/internal/testing/lab/command/fleet.go
+++ b/internal/testing/lab/command/fleet.go
@@ -25,7 +25,7 @@
 		Short: "Bring up a small fleet and keep it until interrupted",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return e.keepFleet(command.Context(), fleet.Options{
+			return e.saveFleet(command.Context(), fleet.Options{
 				Sizes: site.Small(), LogLevel: "info", FirstFrontHTTP: front, FirstCoreHTTP: core,
 			})
 		},
@@ -35,7 +35,7 @@
 	return command
 }
 
-func (e *environment) keepFleet(ctx context.Context, options fleet.Options) error {
+func (e *environment) saveFleet(ctx context.Context, options fleet.Options) error {
 	return e.withFleet("fleet", options, func(f *fleet.Fleet) error {
 		if _, err := e.start(ctx, f); err != nil {
 			return err
@@ -61,7 +61,7 @@
 	}
 }
 
-// printUsage shows commands that can be tried against the fleet as they stand.
+// printUsage prints commands that can be run against the fleet.
 func (e *environment) printUsage(f *fleet.Fleet) {
 	front := f.FrontAddresses()[0]
 	_, _ = fmt.Fprintf(e.output, `The fleet is up; Ctrl-C stops it. Logs are in %[1]s/logs.
--- a/internal/testing/lab/command/front_loss.go
+++ b/internal/testing/lab/command/front_loss.go
@@ -24,111 +24,112 @@
 )
 
 const (
-	killWarmUp   = 12 * time.Second
-	killDown     = 8 * time.Second
-	killWindow   = 15 * time.Second
-	maxKills     = 50
-	killThinking = 1500
+	frontLossWarmUp      = 12 * time.Second
+	frontLossDowntime    = 8 * time.Second
+	frontLossWindow      = 15 * time.Second
+	maxFrontLosses       = 50
+	frontLossThinkMillis = 1500
 )
 
-type killOptions struct {
-	site  string
-	kills int
-	seed  uint64
-	rate  float64
+type frontLossOptions struct {
+	site   string
+	losses int
+	seed   uint64
+	rate   float64
 }
 
-func newKillOne(e *environment) *cobra.Command {
-	var options killOptions
+func newFrontLoss(e *environment) *cobra.Command {
+	var options frontLossOptions
 	command := &cobra.Command{
 		Use:   "kill-one",
 		Short: "Kill single front nodes under load; compare salvaging sessions with ending them",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return e.killOne(command.Context(), options)
+			return e.frontLoss(command.Context(), options)
 		},
 	}
 	flags := command.Flags()
 	flags.StringVar(&options.site, "site", string(site.Caroni), "caroni or menon")
-	flags.IntVar(&options.kills, "kills", 3, "front nodes killed in each arm, one after another")
+	flags.IntVar(&options.losses, "kills", 3, "front nodes killed in each arm, one after another")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the callers")
 	flags.Float64Var(&options.rate, "rate", 12, "conversations a second")
 	return command
 }
 
-// killArm is one policy and what the losses cost under it.
-type killArm struct {
-	Mode         string         `json:"mode"`
-	Cost         frontloss.Cost   `json:"cost"`
-	Rebuilt      int            `json:"rebuilt"`
-	Reregistered []string       `json:"reregistered"`
-	Salvaged     int            `json:"salvaged"`
-	times        *report.Times  `json:"-"`
-	kills        []frontloss.Kill `json:"-"`
+// runFrontLossVariant is one policy and what the losses cost under it.
+type frontLossVariant struct {
+	Mode                string           `json:"mode"`
+	Cost                frontloss.Cost   `json:"cost"`
+	Rebuilt             int              `json:"rebuilt"`
+	Reregistered        []string         `json:"reregistered"`
+	Salvaged            int              `json:"salvaged"`
+	reregistrationTimes *report.Times    `json:"-"`
+	losses              []frontloss.Loss `json:"-"`
 }
 
-func (e *environment) killOne(ctx context.Context, options killOptions) error {
-	if options.kills < 1 || options.kills > maxKills {
-		return &FlagError{Flag: "kills", Reason: fmt.Sprintf("must be between 1 and %d", maxKills)}
+func (e *environment) frontLoss(ctx context.Context, options frontLossOptions) error {
+	if options.losses < 1 || options.losses > maxFrontLosses {
+		return &FlagError{Flag: "kills", Reason: fmt.Sprintf("must be between 1 and %d", maxFrontLosses)}
 	}
 	sizes, err := site.SizesOf(site.Name(options.site))
 	if err != nil {
 		return err
 	}
-	var arms []*killArm
+	var variants []*frontLossVariant
 	var violated error
 	for _, mode := range []protocol.SalvageMode{protocol.SalvageMode_SALVAGE, protocol.SalvageMode_END_SESSIONS} {
-		arm, err := e.killArm(ctx, options, sizes, mode)
+		variant, err := e.runFrontLossVariant(ctx, options, sizes, mode)
 		if isViolation(err) {
 			violated = errors.CombineErrors(violated, err)
 		} else if err != nil {
 			return err
 		}
-		arms = append(arms, arm)
+		variants = append(variants, variant)
 	}
-	e.printKills(options, arms)
+	e.printFrontLosses(options, variants)
 	return violated
 }
 
-// killArm runs one arm on a fleet of its own. The arm is there also when its audit found a violation.
-func (e *environment) killArm(ctx context.Context, options killOptions, sizes site.Sizes, mode protocol.SalvageMode) (arm *killArm, err error) {
-	arm = &killArm{Mode: mode.String(), times: report.NewTimes()}
+// runFrontLossVariant runs one variant on a fleet of its own. The variant is there also when its audit found a
+// violation.
+func (e *environment) runFrontLossVariant(ctx context.Context, options frontLossOptions, sizes site.Sizes, mode protocol.SalvageMode) (variant *frontLossVariant, err error) {
+	variant = &frontLossVariant{Mode: mode.String(), reregistrationTimes: report.NewTimes()}
 	err = e.withFleet("kill-one-"+mode.String(), fleet.Options{Sizes: sizes, LogLevel: "info"}, func(f *fleet.Fleet) error {
 		first := f.Bundle(firstBundle)
 		first.Recovery.SalvageMode = mode
-		return e.killOn(ctx, f, options, first, arm)
+		return e.frontLossOn(ctx, f, options, first, variant)
 	})
-	return arm, err
+	return variant, err
 }
 
-func (e *environment) killOn(ctx context.Context, f *fleet.Fleet, options killOptions, first *protocol.Bundle, arm *killArm) error {
+func (e *environment) frontLossOn(ctx context.Context, f *fleet.Fleet, options frontLossOptions, first *protocol.Bundle, variant *frontLossVariant) error {
 	orders, err := e.startWith(ctx, f, first)
 	if err != nil {
 		return err
 	}
 	served := deployment.Of(site.Name(options.site), site.Sizes{})
 	served.Load.ConversationsPerSecond, served.Load.BurstFactor = options.rate, 1
-	served.Shape.LongShare, served.Shape.ThinkMillis, served.Shape.SmallBudgetShare = 1, killThinking, 0
-	callers := e.callers(f, served, killWarmUp+time.Duration(options.kills)*killWindow, options.seed)
-	var disturbed []audit.Interval
-	book, err := e.converseBeside(ctx, f, callers, func() (err error) {
-		disturbed, err = arm.kill(ctx, f, options.kills)
+	served.Shape.LongShare, served.Shape.ThinkMillis, served.Shape.SmallBudgetShare = 1, frontLossThinkMillis, 0
+	callers := e.callers(f, served, frontLossWarmUp+time.Duration(options.losses)*frontLossWindow, options.seed)
+	var disturbed []audit.FaultInterval
+	requestLog, err := e.converseBeside(ctx, f, callers, func() (err error) {
+		disturbed, err = variant.crashFronts(ctx, f, options.losses)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	arm.count(book)
-	if err := arm.save(f.Folder()); err != nil {
+	variant.count(requestLog)
+	if err := variant.save(f.Folder()); err != nil {
 		return err
 	}
-	return e.audit(f.Folder(), &audit.Evidence{Book: book, Orders: orders, Disturbed: disturbed})
+	return e.audit(f.Folder(), &audit.Evidence{RequestLog: requestLog, Orders: orders, FaultIntervals: disturbed})
 }
 
-// kill loses one front node after another and starts each again.
-func (a *killArm) kill(ctx context.Context, f *fleet.Fleet, kills int) ([]audit.Interval, error) {
-	var disturbed []audit.Interval
-	if !wait.For(ctx, killWarmUp) {
+// crashFronts crashes one front node after another and starts each again.
+func (a *frontLossVariant) crashFronts(ctx context.Context, f *fleet.Fleet, kills int) ([]audit.FaultInterval, error) {
+	var disturbed []audit.FaultInterval
+	if !wait.For(ctx, frontLossWarmUp) {
 		return nil, ctx.Err()
 	}
 	fronts := f.Members(fleet.KindFront)
@@ -138,35 +139,35 @@
 		if err := f.Process(victim).Kill(); err != nil {
 			return disturbed, err
 		}
-		loss := frontloss.Kill{Victim: victim.Name, Members: ringOf(fronts), At: begun, Until: begun.Add(killWindow)}
-		watching, stop := context.WithTimeout(ctx, killDown)
+		loss := frontloss.Loss{Lost: victim.Name, Members: ringOf(fronts), At: begun, Until: begun.Add(frontLossWindow)}
+		watching, stop := context.WithTimeout(ctx, frontLossDowntime)
 		loss.Reregistered, loss.Salvaged = frontloss.Watch(watching, othersThan(fronts, victim), begun)
 		stop()
 		if err := f.StartMember(victim); err != nil {
 			return disturbed, err
 		}
-		a.kills = append(a.kills, loss)
-		if !wait.For(ctx, killWindow-killDown) {
+		a.losses = append(a.losses, loss)
+		if !wait.For(ctx, frontLossWindow-frontLossDowntime) {
 			return disturbed, ctx.Err()
 		}
-		disturbed = append(disturbed, audit.Interval{From: begun, To: time.Now(), Processes: []string{victim.Name, victim.HTTP}})
+		disturbed = append(disturbed, audit.FaultInterval{From: begun, To: time.Now(), Processes: []string{victim.Name, victim.HTTP}})
 	}
 	return disturbed, nil
 }
 
-func (a *killArm) count(book *caller.Book) {
-	for _, loss := range a.kills {
-		a.Cost.Add(frontloss.Measure(loss, ring.DefaultVirtualNodes, book.Records))
+func (a *frontLossVariant) count(requestLog *caller.RequestLog) {
+	for _, loss := range a.losses {
+		a.Cost.Add(frontloss.Measure(loss, ring.DefaultVirtualNodes, requestLog.Records))
 		a.Salvaged += loss.Salvaged
 		if loss.Reregistered >= 0 {
-			a.times.Add(loss.Reregistered)
+			a.reregistrationTimes.Add(loss.Reregistered)
 			a.Reregistered = append(a.Reregistered, loss.Reregistered.String())
 		}
 	}
 	a.Rebuilt = a.Cost.Rebuilt()
 }
 
-func (a *killArm) save(folder string) error {
+func (a *frontLossVariant) save(folder string) error {
 	content, err := json.MarshalIndent(a, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode result")
@@ -192,15 +193,15 @@
 	return addresses
 }
 
-func (e *environment) printKills(options killOptions, arms []*killArm) {
-	title := fmt.Sprintf("Loss of one front node, %s, %d losses an arm, seed %d", options.site, options.kills, options.seed)
+func (e *environment) printFrontLosses(options frontLossOptions, variants []*frontLossVariant) {
+	title := fmt.Sprintf("Loss of one front node, %s, %d losses an arm, seed %d", options.site, options.losses, options.seed)
 	rows := report.NewTable(e.output, title, "mode", "owned by it", "held there, owned elsewhere", "of them kept",
 		"rebuilt though the owner lived", "salvaged", "last re-registered after, median", "p99", "seen", "refused meanwhile")
-	for _, arm := range arms {
+	for _, variant := range variants {
 		rows.AppendRow([]any{
-			arm.Mode, arm.Cost.Owned, arm.Cost.Held, arm.Cost.HeldKept, arm.Rebuilt, arm.Salvaged,
-			report.Millis(arm.times.At(50)) + " ms", report.Millis(arm.times.At(99)) + " ms",
-			fmt.Sprintf("%d of %d", arm.times.Count(), options.kills), arm.Cost.Refused,
+			variant.Mode, variant.Cost.Owned, variant.Cost.Held, variant.Cost.HeldKept, variant.Rebuilt, variant.Salvaged,
+			report.Millis(variant.reregistrationTimes.At(50)) + " ms", report.Millis(variant.reregistrationTimes.At(99)) + " ms",
+			fmt.Sprintf("%d of %d", variant.reregistrationTimes.Count(), options.losses), variant.Cost.Refused,
 		})
 	}
 	rows.Render()
--- a/internal/testing/lab/command/load.go
+++ b/internal/testing/lab/command/load.go
@@ -20,31 +20,31 @@
 	maxDuration    = 2 * time.Hour
 )
 
-// converse runs the callers and reads a sample of kept turns again.
-func (e *environment) converse(ctx context.Context, f *fleet.Fleet, options caller.Options) (*caller.Book, error) {
-	book, err := e.talk(ctx, options)
+// converse runs the callers and reads a sample of retained turns again.
+func (e *environment) converse(ctx context.Context, f *fleet.Fleet, options caller.Options) (*caller.RequestLog, error) {
+	requestLog, err := e.talk(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	return book, e.verify(ctx, f, options, book)
+	return requestLog, e.verify(ctx, f, options, requestLog)
 }
 
 // converseBeside runs the callers while beside disturbs the fleet, then reads a
-// sample of kept turns again and saves the book. It returns after both have ended.
-func (e *environment) converseBeside(ctx context.Context, f *fleet.Fleet, options caller.Options, beside func() error) (*caller.Book, error) {
+// sample of retained turns again and saves the request log. It returns after both have ended.
+func (e *environment) converseBeside(ctx context.Context, f *fleet.Fleet, options caller.Options, beside func() error) (*caller.RequestLog, error) {
 	var disturbing sync.WaitGroup
 	var disturbed error
 	disturbing.Go(func() { disturbed = beside() })
-	book, err := e.talk(ctx, options)
+	requestLog, err := e.talk(ctx, options)
 	disturbing.Wait()
 	if err = errors.CombineErrors(err, disturbed); err != nil {
 		return nil, err
 	}
-	return book, e.verify(ctx, f, options, book)
+	return requestLog, e.verify(ctx, f, options, requestLog)
 }
 
 // talk runs the callers with a progress bar.
-func (e *environment) talk(ctx context.Context, options caller.Options) (*caller.Book, error) {
+func (e *environment) talk(ctx context.Context, options caller.Options) (*caller.RequestLog, error) {
 	var bar *progressbar.ProgressBar
 	options.Progress = func(ended, opened, planned int) {
 		if bar == nil {
@@ -55,17 +55,17 @@
 		bar.Describe(fmt.Sprintf("conversations ended (%d under way)", opened-ended))
 		_ = bar.Set(ended)
 	}
-	book, err := caller.Run(ctx, options)
+	requestLog, err := caller.Run(ctx, options)
 	_, _ = fmt.Fprintln(e.errors)
-	return book, err
+	return requestLog, err
 }
 
-// verify reads a sample of kept turns again and saves the book.
-func (e *environment) verify(ctx context.Context, f *fleet.Fleet, options caller.Options, book *caller.Book) error {
+// verify reads a sample of retained turns again and saves the request log.
+func (e *environment) verify(ctx context.Context, f *fleet.Fleet, options caller.Options, requestLog *caller.RequestLog) error {
 	ctx, cancel := context.WithTimeout(ctx, verifyDeadline)
 	defer cancel()
-	if err := caller.Verify(ctx, options, book, verifiedTurns); err != nil {
+	if err := caller.Verify(ctx, options, requestLog, verifiedTurns); err != nil {
 		return err
 	}
-	return book.Save(filepath.Join(f.Folder(), "book.json"))
+	return requestLog.Save(filepath.Join(f.Folder(), "book.json"))
 }
--- a/internal/testing/lab/command/overload.go
+++ b/internal/testing/lab/command/overload.go
@@ -9,10 +9,10 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/overload"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/overload"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
@@ -20,8 +20,8 @@
 
 const (
 	burstBatch       = 8
-	mostBurst        = 60 * time.Second
-	mostBurstFactor  = 50
+	maxBurst         = 60 * time.Second
+	maxBurstFactor   = 50
 	burstMaxRequests = 20_000
 	goalGoodput      = 0.9
 	goalPercentile   = 99
@@ -61,7 +61,7 @@
 }
 
 func (e *environment) burst(ctx context.Context, options burstOptions) error {
-	if options.length <= 2*time.Second || options.length > mostBurst || options.factor <= 1 || options.factor > mostBurstFactor {
+	if options.length <= 2*time.Second || options.length > maxBurst || options.factor <= 1 || options.factor > maxBurstFactor {
 		return &FlagError{Flag: "duration and --factor", Reason: "must be above 2s and 1, and at most 60s and 50"}
 	}
 	layout := fleet.Options{Sizes: site.Small(), LogLevel: "warn", Rates: burstRates()}
@@ -121,13 +121,13 @@
 	if result.Goodput < goalGoodput*direct.PerSecond {
 		missed = append(missed, "goodput under 90% of the capacity")
 	}
-	if result.AllRefusals.At(goalPercentile) > overload.LateRefusal {
+	if result.AllRejections.At(goalPercentile) > overload.LateRejection {
 		missed = append(missed, "99% of the refusals later than 50 ms")
 	}
-	if int64(result.RetryAfter) != result.AllRefusals.Count() {
+	if int64(result.RetryAfter) != result.AllRejections.Count() {
 		missed = append(missed, "refusals without Retry-After")
 	}
-	if len(result.RanRefused) > 0 {
+	if len(result.RejectedButRan) > 0 {
 		missed = append(missed, "refused requests ran")
 	}
 	if len(missed) > 0 {
@@ -146,12 +146,12 @@
 		{"answered", result.Answered},
 		{"goodput after the first second, turns/s", fmt.Sprintf("%.1f", result.Goodput)},
 		{"goodput as a share of the capacity", share(result.Goodput / direct.PerSecond)},
-		{"refusals with Retry-After", fmt.Sprintf("%d of %d", result.RetryAfter, result.AllRefusals.Count())},
-		{"time to a refusal p50, p99, max ms", times(result.AllRefusals)},
-		{"refusals later than 50 ms, of those sent in the first second", fmt.Sprintf("%d, %d", result.LateRefusals, result.LateAtOnset)},
-		{"told not_run and ran", len(result.RanRefused)},
+		{"refusals with Retry-After", fmt.Sprintf("%d of %d", result.RetryAfter, result.AllRejections.Count())},
+		{"time to a refusal p50, p99, max ms", times(result.AllRejections)},
+		{"refusals later than 50 ms, of those sent in the first second", fmt.Sprintf("%d, %d", result.LateRejections, result.LateAtOnset)},
+		{"told not_run and ran", len(result.RejectedButRan)},
 		{"recovery after the burst", result.Recovery.Round(time.Millisecond)},
-		{"most that a request was sent late", result.MostLate.Round(time.Millisecond)},
+		{"most that a request was sent late", result.MaxLateness.Round(time.Millisecond)},
 	})
 	rows.Render()
 	kinds := report.NewTable(e.output, "Ends that are no answer", "code", "outcome", "count", "Retry-After", "p50, p99, max ms")
--- a/internal/testing/lab/command/report.go
+++ b/internal/testing/lab/command/report.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/dayreport"
 )
 
-const leastChartWidth = 20
+const minChartWidth = 20
 
 type reportOptions struct {
 	width  int
@@ -41,8 +41,8 @@
 }
 
 func (e *environment) report(path string, options reportOptions) error {
-	if options.width < leastChartWidth {
-		return &FlagError{Flag: "width", Reason: fmt.Sprintf("must be %d or more", leastChartWidth)}
+	if options.width < minChartWidth {
+		return &FlagError{Flag: "width", Reason: fmt.Sprintf("must be %d or more", minChartWidth)}
 	}
 	day, err := dayreport.Read(path)
 	if err != nil {
--- a/internal/testing/lab/command/run.go
+++ b/internal/testing/lab/command/run.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	callers := e.callers(f, chosen, options.duration, options.seed)
-	book, err := e.converseBeside(ctx, f, callers, func() error {
+	requestLog, err := e.converseBeside(ctx, f, callers, func() error {
 		released, err := e.release(ctx, f, options.duration/2)
 		orders = append(orders, released...)
 		return err
@@ -73,8 +73,8 @@
 	if err := f.CheckRunning(); err != nil {
 		return err
 	}
-	report.PrintSummary(e.output, book, report.Summarize(book), options.duration)
-	return e.audit(f.Folder(), &audit.Evidence{Book: book, Orders: orders})
+	report.PrintSummary(e.output, requestLog, report.Summarize(requestLog), options.duration)
+	return e.audit(f.Folder(), &audit.Evidence{RequestLog: requestLog, Orders: orders})
 }
 
 // release does what operators do on an ordinary day, in the middle of the run:
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -13,8 +13,8 @@
 
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/fleet"
-	"github.com/rosestand/rosestand/internal/testing/lab/simulatednode"
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
+	"github.com/rosestand/rosestand/internal/testing/lab/simulatednode"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
 	"github.com/rosestand/rosestand/internal/testing/subprocess"
@@ -27,18 +27,18 @@
 	limitMemoryBytes    = 64 << 20
 	limitInForce        = 6 * time.Second
 
-	herdReadyDeadline = 4 * time.Minute
-	ownDeadline       = 5 * time.Minute
-	herdStopDeadline  = 60 * time.Second
-	quietBeforeRest   = 3 * time.Second
-	maxNodes          = 2000
-	maxServers        = 10000
-	maxChanges        = 1000
+	nodesReadyTimeout    = 4 * time.Minute
+	ownTimeout           = 5 * time.Minute
+	nodesStopTimeout     = 60 * time.Second
+	quietBeforeMeasuring = 3 * time.Second
+	maxNodes             = 2000
+	maxServers           = 10000
+	maxChanges           = 1000
 )
 
 type scaleOptions struct {
 	nodes, servers, zones, sessions, changes, voters, standbys, wave int
-	rest                                                             time.Duration
+	duration                                                         time.Duration
 	seed                                                             uint64
 }
 
@@ -61,7 +61,7 @@
 	flags.IntVar(&options.wave, "wave", 30, "nodes that join at once; the next wave begins when the last one is ready")
 	flags.IntVar(&options.voters, "voters", 5, "core voters")
 	flags.IntVar(&options.standbys, "standbys", 2, "core standbys")
-	flags.DurationVar(&options.rest, "duration", 30*time.Second, "length of the measurement")
+	flags.DurationVar(&options.duration, "duration", 30*time.Second, "length of the measurement")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the heartbeats")
 	return command
 }
@@ -70,16 +70,16 @@
 	if o.nodes < 1 || o.nodes > maxNodes || o.servers < 0 || o.servers > maxServers || o.changes < 1 || o.changes > maxChanges {
 		return &FlagError{Flag: "nodes, --servers or --changes", Reason: "is out of its bounds"}
 	}
-	if o.rest <= 0 || o.rest > maxDuration || o.zones < 1 || o.wave < 1 || o.sessions < 0 {
+	if o.duration <= 0 || o.duration > maxDuration || o.zones < 1 || o.wave < 1 || o.sessions < 0 {
 		return &FlagError{Flag: "duration, --zones, --wave or --sessions", Reason: "is out of its bounds"}
 	}
 	return nil
 }
 
-// scaled is what a scale run measured.
-type scaled struct {
+// scaleResult is the result of a scale run.
+type scaleResult struct {
 	owned         int
-	refusals      int
+	rejections    int
 	ownedIn       time.Duration
 	before, after simulatednode.Footprint
 	idleBytes     uint64
@@ -116,79 +116,79 @@
 	if err != nil {
 		return err
 	}
-	herd, err := e.startHerd(ctx, f, options)
-	if herd != nil {
+	nodes, err := e.startSimulatedNodes(ctx, f, options)
+	if nodes != nil {
 		defer func() {
-			stopping, cancel := context.WithTimeout(context.Background(), herdStopDeadline)
+			stopping, cancel := context.WithTimeout(context.Background(), nodesStopTimeout)
 			defer cancel()
-			err = errors.CombineErrors(err, herd.Stop(stopping))
+			err = errors.CombineErrors(err, nodes.Stop(stopping))
 		}()
 	}
 	if err != nil {
 		return err
 	}
-	result := &scaled{idleBytes: idle.ResidentBytes}
-	if err := e.measureScale(ctx, f, herd, options, result); err != nil {
+	result := &scaleResult{idleBytes: idle.ResidentBytes}
+	if err := e.measureScale(ctx, f, nodes, options, result); err != nil {
 		return err
 	}
 	return e.printScale(options, result)
 }
 
-func (e *environment) startHerd(ctx context.Context, f *fleet.Fleet, options scaleOptions) (*simulatednode.Herd, error) {
-	ctx, cancel := context.WithTimeout(ctx, herdReadyDeadline)
+func (e *environment) startSimulatedNodes(ctx context.Context, f *fleet.Fleet, options scaleOptions) (*simulatednode.Fleet, error) {
+	ctx, cancel := context.WithTimeout(ctx, nodesReadyTimeout)
 	defer cancel()
 	key, err := f.ClusterKey()
 	if err != nil {
 		return nil, err
 	}
 	begun := time.Now()
-	herd, err := simulatednode.Start(ctx, simulatednode.Options{
+	nodes, err := simulatednode.Start(ctx, simulatednode.Options{
 		Nodes: options.nodes, Servers: options.servers, Zones: options.zones, Region: "lab",
 		Versions: firstBundle + options.changes, ClusterKey: key, Seeds: f.Seeds(), Seed: options.seed, Wave: options.wave,
 	})
 	e.logger.Info("hollow nodes ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err", err)
-	return herd, err
+	return nodes, err
 }
 
-func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, herd *simulatednode.Herd, options scaleOptions, result *scaled) (err error) {
-	owning, cancel := context.WithTimeout(ctx, ownDeadline)
+func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet, options scaleOptions, result *scaleResult) (err error) {
+	owning, cancel := context.WithTimeout(ctx, ownTimeout)
 	defer cancel()
 	begun := time.Now()
-	if result.owned, result.refusals, err = herd.Own(owning, options.sessions); err != nil {
+	if result.owned, result.rejections, err = nodes.OwnSessions(owning, options.sessions); err != nil {
 		return err
 	}
 	result.ownedIn = time.Since(begun)
-	e.logger.Info("sessions registered", "sessions", result.owned, "refusals", result.refusals, "after", result.ownedIn.Round(time.Millisecond))
-	wait.For(ctx, quietBeforeRest)
+	e.logger.Info("sessions registered", "sessions", result.owned, "refusals", result.rejections, "after", result.ownedIn.Round(time.Millisecond))
+	wait.For(ctx, quietBeforeMeasuring)
 	coreBefore, err := coreUsage(f)
 	if err != nil {
 		return err
 	}
-	if result.before, err = herd.Footprint(); err != nil {
+	if result.before, err = nodes.Footprint(); err != nil {
 		return err
 	}
-	if err := e.change(ctx, f, herd, options, result); err != nil {
+	if err := e.change(ctx, f, nodes, options, result); err != nil {
 		return err
 	}
-	if result.after, err = herd.Footprint(); err != nil {
+	if result.after, err = nodes.Footprint(); err != nil {
 		return err
 	}
 	coreAfter, err := coreUsage(f)
 	if err != nil {
 		return err
 	}
-	took := result.after.At.Sub(result.before.At)
+	elapsed := result.after.At.Sub(result.before.At)
 	result.cores = map[string]coreUse{}
 	for name, usage := range coreAfter {
-		share := float64(usage.Processor-coreBefore[name].Processor) / float64(took)
+		share := float64(usage.Processor-coreBefore[name].Processor) / float64(elapsed)
 		result.cores[name] = coreUse{share: share, resident: usage.ResidentBytes}
 	}
 	return nil
 }
 
-// change delivers bundles at even distances over the measurement and notes when each was in force at every node.
-func (e *environment) change(ctx context.Context, f *fleet.Fleet, herd *simulatednode.Herd, options scaleOptions, result *scaled) error {
-	every := options.rest / time.Duration(options.changes)
+// change delivers bundles at even intervals over the measurement and records when each was in force at every node.
+func (e *environment) change(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet, options scaleOptions, result *scaleResult) error {
+	every := options.duration / time.Duration(options.changes)
 	for i := range options.changes {
 		begun := time.Now()
 		version := uint64(firstBundle + i + 1)
@@ -201,7 +201,7 @@
 		if !wait.For(ctx, every-time.Since(begun)) {
 			return ctx.Err()
 		}
-		arrived := herd.Arrivals(int(version), orders[len(orders)-1].SentAt)
+		arrived := nodes.Arrivals(int(version), orders[len(orders)-1].SentAt)
 		result.missing += options.nodes - len(arrived)
 		result.inForce = append(result.inForce, arrived...)
 	}
@@ -221,15 +221,15 @@
 	return used, nil
 }
 
-func (e *environment) printScale(options scaleOptions, result *scaled) error {
-	took := result.after.At.Sub(result.before.At).Seconds()
+func (e *environment) printScale(options scaleOptions, result *scaleResult) error {
+	elapsed := result.after.At.Sub(result.before.At).Seconds()
 	nodes := float64(options.nodes)
-	coreBytes := float64(result.after.CoreBytes-result.before.CoreBytes) / took / nodes
-	peerBytes := float64(result.after.PeerBytes-result.before.PeerBytes) / took / nodes
-	processor := (result.after.Processor - result.before.Processor).Seconds() / took / nodes
+	coreBytes := float64(result.after.CoreBytes-result.before.CoreBytes) / elapsed / nodes
+	peerBytes := float64(result.after.PeerBytes-result.before.PeerBytes) / elapsed / nodes
+	processor := (result.after.Processor - result.before.Processor).Seconds() / elapsed / nodes
 	memory := float64(result.after.ResidentBytes-result.idleBytes) / nodes
 	title := fmt.Sprintf("Control plane of %d nodes before %d servers, %d sessions, %d changes in %.0f s",
-		options.nodes, options.servers, result.owned, options.changes, took)
+		options.nodes, options.servers, result.owned, options.changes, elapsed)
 	rows := report.NewTable(e.output, title, "figure", "a node", "limit", "within")
 	var over []string
 	row := func(name, value, limit string, within bool) {
@@ -242,20 +242,20 @@
 	row("with bytes between nodes' directories", fmt.Sprintf("%.0f", coreBytes+peerBytes), strconv.Itoa(limitBytesPerSecond), coreBytes+peerBytes <= limitBytesPerSecond)
 	row("processor, share of a core", fmt.Sprintf("%.3f %%", 100*processor), fmt.Sprintf("%.1f %%", 100*limitProcessorShare), processor <= limitProcessorShare)
 	row("memory of its part of the process, MB", fmt.Sprintf("%.2f", memory/(1<<20)), strconv.Itoa(limitMemoryBytes>>20), memory <= limitMemoryBytes)
-	longest := at(result.inForce, 1)
+	slowest := at(result.inForce, 1)
 	row("change in force, p50 ms", report.Millis(at(result.inForce, 0.5)), "", true)
 	row("change in force, p99 ms", report.Millis(at(result.inForce, 0.99)), "", true)
-	row("change in force everywhere, longest ms", report.Millis(longest), report.Millis(limitInForce), longest <= limitInForce && result.missing == 0)
+	row("change in force everywhere, longest ms", report.Millis(slowest), report.Millis(limitInForce), slowest <= limitInForce && result.missing == 0)
 	row("changes not in force when the next one came", strconv.Itoa(result.missing), "0", result.missing == 0)
 	rows.Render()
-	e.printCores(result, took)
+	e.printCores(result, elapsed)
 	if len(over) > 0 {
 		return &ViolationError{What: fmt.Sprintf("limits were not kept: %v", over)}
 	}
 	return nil
 }
 
-func (e *environment) printCores(result *scaled, took float64) {
+func (e *environment) printCores(result *scaleResult, took float64) {
 	heartbeats := float64(result.after.Heartbeats-result.before.Heartbeats) / took
 	title := fmt.Sprintf("Core and stores under %.0f heartbeats a second of back ends; %d sessions were registered in %s",
 		heartbeats, result.owned, result.ownedIn.Round(time.Millisecond))
--- a/internal/testing/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -13,8 +13,8 @@
 func TestAccountAddsUpToTheDistanceFromTheCeiling(t *testing.T) {
 	day := readDay(t)
 	account := day.Account()
-	if math.Abs(account.Ceiling-0.972) > 1e-9 {
-		t.Errorf("ceiling %g: 1 less the machines", account.Ceiling)
+	if math.Abs(account.MaxScore-0.972) > 1e-9 {
+		t.Errorf("ceiling %g: 1 less the machines", account.MaxScore)
 	}
 	want := []dayreport.Loss{{Name: "worst windows", Lost: 0.09}, {Name: "whole day", Lost: 0.07}}
 	if len(account.Losses) != len(want) {
@@ -25,7 +25,7 @@
 			t.Errorf("loss %d is %v, want %v", at, loss, want[at])
 		}
 	}
-	if distance := account.Ceiling - day.Score; math.Abs(distance-account.Lost()) > 1e-9 {
+	if distance := account.MaxScore - day.Score; math.Abs(distance-account.Lost()) > 1e-9 {
 		t.Errorf("%g are told of a distance of %g", account.Lost(), distance)
 	}
 }
@@ -33,13 +33,13 @@
 func TestAccountNamesWhatWasUnderWayWhenItWasLost(t *testing.T) {
 	day := readDay(t)
 	for _, window := range day.Account().Windows {
-		if window.Late+window.Refused+window.Failed == 0 {
+		if window.Late+window.Rejected+window.Failed == 0 {
 			t.Errorf("nothing was lost at %g", window.Start)
 		}
 		for place := range day.Disruptions {
 			disruption := &day.Disruptions[place]
 			isUnderWay := disruption.Start < window.Start+2 && disruption.Until() >= window.Start
-			if isUnderWay && !slices.Contains(window.Disruptions, dayreport.Mark(place)) {
+			if isUnderWay && !slices.Contains(window.Disruptions, dayreport.Label(place)) {
 				t.Errorf("%s is under way at %g and not named", disruption.Kind, window.Start)
 			}
 		}
--- a/internal/testing/lab/dayreport/curves.go
+++ b/internal/testing/lab/dayreport/curves.go
@@ -48,21 +48,21 @@
 // outcomes are the parts into which the requests of any kind fall.
 func outcomes() []outcome {
 	return []outcome{
-		{"served in aim", func(c *Counts) int { return c.InAim }, green},
+		{"served in aim", func(c *Counts) int { return c.WithinTarget }, green},
 		{"served late", func(c *Counts) int { return c.Late }, yellow},
-		{"refused", func(c *Counts) int { return c.Refused }, blue},
+		{"refused", func(c *Counts) int { return c.Rejected }, blue},
 		{"failed", func(c *Counts) int { return c.Failed }, red},
-		{"not owed", func(c *Counts) int { return c.NotOwed }, gray},
+		{"not owed", func(c *Counts) int { return c.Excluded }, gray},
 	}
 }
 
 // served gives the share of the requests that were served in aim in each window.
 func (r *Report) served() chart {
 	values := r.filled(func(c *Counts) *float64 {
-		if c.Asked == 0 {
+		if c.Requests == 0 {
 			return nil
 		}
-		share := percent * float64(c.InAim) / float64(c.Asked)
+		share := percent * float64(c.WithinTarget) / float64(c.Requests)
 		return &share
 	})
 	return chart{title: "Served in aim, percent", unit: "%", curves: []curve{{"served in aim", values, green}}}
--- a/internal/testing/lab/dayreport/figure.go
+++ b/internal/testing/lab/dayreport/figure.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	figureWidth  = 12 * vg.Inch
-	panelHeight  = 3 * vg.Inch
-	panelPadding = 6 * vg.Millimeter
-	barWidth     = 6 * vg.Millimeter
-	lineWidth    = 0.6 * vg.Millimeter
-	markWidth    = 0.3 * vg.Millimeter
+	figureWidth    = 12 * vg.Inch
+	panelHeight    = 3 * vg.Inch
+	panelPadding   = 6 * vg.Millimeter
+	barWidth       = 6 * vg.Millimeter
+	lineWidth      = 0.6 * vg.Millimeter
+	labelLineWidth = 0.3 * vg.Millimeter
 	// legendRoom leaves room above the curves for the legend and the marks.
-	legendRoom = 1.25
+	legendWidth = 1.25
 )
 
-// SaveFigure writes an SVG file: outcomes and times over time with the disruptions as vertical lines, then one bar a kind
-// of request, then one bar a disruption.
+// SaveFigure writes an SVG file: outcomes and times over time with the disruptions as vertical lines, then one bar a
+// kind of request, then one bar a disruption.
 func (r *Report) SaveFigure(path string) error {
 	panels, err := r.panels()
 	if err != nil {
@@ -83,7 +83,7 @@
 		panel.Add(line)
 		panel.Legend.Add(curve.name, line)
 	}
-	panel.Y.Max = highest * legendRoom
+	panel.Y.Max = highest * legendWidth
 	return panel, r.addMarks(panel, highest)
 }
 
@@ -104,15 +104,15 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width, line.Dashes = gray.color, markWidth, markDashes()
+		line.Color, line.Width, line.Dashes = gray.color, labelLineWidth, labelDashes()
 		panel.Add(line)
 		labels.XYs = append(labels.XYs, plotter.XY{X: disruption.Start, Y: highest})
-		labels.Labels = append(labels.Labels, Mark(i))
+		labels.Labels = append(labels.Labels, Label(i))
 	}
 	return addLabels(panel, labels)
 }
 
-func markDashes() []vg.Length { return []vg.Length{vg.Points(3), vg.Points(3)} }
+func labelDashes() []vg.Length { return []vg.Length{vg.Points(3), vg.Points(3)} }
 
 func addLabels(panel *plot.Plot, labels plotter.XYLabels) error {
 	if len(labels.Labels) == 0 {
@@ -172,7 +172,7 @@
 	names := make([]string, len(r.Disruptions))
 	for i, disruption := range r.Disruptions {
 		row := len(r.Disruptions) - 1 - i
-		names[row] = Mark(i) + " " + disruption.Kind
+		names[row] = Label(i) + " " + disruption.Kind
 		height := float64(row)
 		line, err := plotter.NewLine(plotter.XYs{{X: disruption.Start, Y: height}, {X: disruption.Until(), Y: height}})
 		if err != nil {
--- a/internal/testing/lab/dayreport/report.go
+++ b/internal/testing/lab/dayreport/report.go
@@ -16,12 +16,12 @@
 // Report is what the file of a played day holds, as far as it is drawn.
 type Report struct {
 	// Score is the worth of the day, less its prices.
-	Score  float64  `json:"G"`
-	Parts  []Part   `json:"parts"`
-	Prices []Price  `json:"prices"`
-	All    Counts   `json:"all"`
-	Kinds  []Counts `json:"classes"`
-	Zones  []Counts `json:"zones"`
+	Score      float64     `json:"G"`
+	Components []Component `json:"parts"`
+	Prices     []Price     `json:"prices"`
+	All        Counts      `json:"all"`
+	Kinds      []Counts    `json:"classes"`
+	Zones      []Counts    `json:"zones"`
 	// Windows are the counts by the time at which the requests were sent, in the order of time.
 	Windows []Window `json:"windows"`
 	// Disruptions are the faults and the planned work of the day, in the order of time.
@@ -31,14 +31,14 @@
 	Broken map[string]int `json:"breaks"`
 }
 
-// Part is one part of the score before prices: its weight and its value.
-type Part struct {
+// Component is one component of the score before prices: its weight and its value.
+type Component struct {
 	Name          string
 	Weight, Value float64
 }
 
 // UnmarshalJSON reads a part from an array of its three fields.
-func (p *Part) UnmarshalJSON(content []byte) error {
+func (p *Component) UnmarshalJSON(content []byte) error {
 	return decodeArray(content, &p.Name, &p.Weight, &p.Value)
 }
 
@@ -55,15 +55,15 @@
 
 // Counts are the outcomes of requests, and the times until their answers had ended.
 type Counts struct {
-	Name    string `json:"name"`
-	Asked   int    `json:"n"`
-	InAim   int    `json:"in_aim"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
-	Failed  int    `json:"failed"`
-	// NotOwed are requests that the deployment had no duty to serve.
-	NotOwed int     `json:"not_owed"`
-	Worth   float64 `json:"worth"`
+	Name         string `json:"name"`
+	Requests     int    `json:"n"`
+	WithinTarget int    `json:"in_aim"`
+	Late         int    `json:"late"`
+	Rejected     int    `json:"refused"`
+	Failed       int    `json:"failed"`
+	// Excluded are requests that the deployment had no duty to serve.
+	Excluded int     `json:"not_owed"`
+	Value    float64 `json:"worth"`
 	// MedianMillis and P99Millis are nil where nothing was answered.
 	MedianMillis *float64 `json:"p50_ms"`
 	P99Millis    *float64 `json:"p99_ms"`
--- a/internal/testing/lab/dayreport/report_test.go
+++ b/internal/testing/lab/dayreport/report_test.go
@@ -50,7 +50,7 @@
 	if last := day.Disruptions[2]; last.Until() != last.Start {
 		t.Errorf("a disruption without an end ends at %g", last.Until())
 	}
-	if part := day.Parts[1]; part.Name != "worst windows" || part.Weight != 0.3 || part.Value != 0.7 {
+	if part := day.Components[1]; part.Name != "worst windows" || part.Weight != 0.3 || part.Value != 0.7 {
 		t.Errorf("part %+v", part)
 	}
 }
@@ -128,7 +128,7 @@
 
 func TestMarkNamesMoreDisruptionsThanLetters(t *testing.T) {
 	for index, want := range map[int]string{0: "A", 25: "Z", 26: "A1", 53: "B2"} {
-		if got := dayreport.Mark(index); got != want {
+		if got := dayreport.Label(index); got != want {
 			t.Errorf("mark %d is %s, want %s", index, got, want)
 		}
 	}
--- a/internal/testing/lab/dayreport/terminal.go
+++ b/internal/testing/lab/dayreport/terminal.go
@@ -22,7 +22,7 @@
 	// chartTicks is the number of times that the axis of a text chart names.
 	chartTicks = 7
 	// axisMarks are what the chart library draws between the labels and the curves.
-	axisMarks = "┤┼"
+	axisLabels = "┤┼"
 )
 
 // Terminal is how text charts are drawn.
@@ -48,7 +48,7 @@
 
 func (r *Report) printScore(output io.Writer) {
 	rows := report.NewTable(output, fmt.Sprintf("Score %.3f after prices", r.Score), "part or price", "amount", "weight", "adds")
-	for _, part := range r.Parts {
+	for _, part := range r.Components {
 		rows.AppendRow(table.Row{part.Name, fmt.Sprintf("%.3f", part.Value), part.Weight, fmt.Sprintf("%+.4f", part.Weight*part.Value)})
 	}
 	for _, price := range r.Prices {
@@ -73,8 +73,8 @@
 
 func countsRow(counts *Counts) table.Row {
 	return table.Row{
-		counts.Name, counts.Asked, counts.InAim, counts.Late, counts.Refused, counts.Failed, counts.NotOwed,
-		fmt.Sprintf("%.3f", counts.Worth), optionalMillis(counts.MedianMillis), optionalMillis(counts.P99Millis),
+		counts.Name, counts.Requests, counts.WithinTarget, counts.Late, counts.Rejected, counts.Failed, counts.Excluded,
+		fmt.Sprintf("%.3f", counts.Value), optionalMillis(counts.MedianMillis), optionalMillis(counts.P99Millis),
 	}
 }
 
@@ -149,7 +149,7 @@
 // labelWidth is the number of characters left of the curves.
 func labelWidth(drawn string) int {
 	line, _, _ := strings.Cut(drawn, "\n")
-	return utf8.RuneCountInString(line[:strings.IndexAny(line, axisMarks)]) + 1
+	return utf8.RuneCountInString(line[:strings.IndexAny(line, axisLabels)]) + 1
 }
 
 // marks gives the lines below a chart: each disruption's letter at its start, followed by dashes until its end.
@@ -159,8 +159,8 @@
 	for i, disruption := range r.Disruptions {
 		from, to := r.column(disruption.Start, width), r.column(disruption.Until(), width)
 		line := freeLine(&lines, from, width)
-		copy(line[from:], []rune(Mark(i)))
-		for column := from + len(Mark(i)); column <= to; column++ {
+		copy(line[from:], []rune(Label(i)))
+		for column := from + len(Label(i)); column <= to; column++ {
 			line[column] = '-'
 		}
 	}
@@ -178,13 +178,13 @@
 			return line
 		}
 	}
-	added := []rune(strings.Repeat(" ", width+markRoom))
+	added := []rune(strings.Repeat(" ", width+labelColumnWidth))
 	*lines = append(*lines, added)
 	return added
 }
 
 // markRoom is room for a mark that begins in the last column.
-const markRoom = 4
+const labelColumnWidth = 4
 
 func (r *Report) column(second float64, width int) int {
 	first := r.Windows[0].Start
@@ -195,8 +195,8 @@
 
 const letters = 26
 
-// Mark names a disruption by its place in the report: A to Z, then A1, B1 and so on.
-func Mark(index int) string {
+// Label names a disruption by its index in the report: A to Z, then A1, B1 and so on.
+func Label(index int) string {
 	letter := string(rune('A' + index%letters))
 	if index < letters {
 		return letter
@@ -212,7 +212,7 @@
 	rows := report.NewTable(output, "Disruptions", "mark", "from s", "to s", "what", "of", "planned")
 	for i, disruption := range r.Disruptions {
 		rows.AppendRow(table.Row{
-			Mark(i), fmt.Sprintf("%.2f", disruption.Start), fmt.Sprintf("%.2f", disruption.Until()),
+			Label(i), fmt.Sprintf("%.2f", disruption.Start), fmt.Sprintf("%.2f", disruption.Until()),
 			disruption.Kind, disruption.Subject, disruption.Planned,
 		})
 	}
--- a/internal/testing/lab/deployment/deployment.go
+++ b/internal/testing/lab/deployment/deployment.go
@@ -1,4 +1,5 @@
-// Package deployment describes the fleets that the laboratory can bring up: its built-in sites, and deployments of a file.
+// Package deployment describes the fleets that the laboratory can bring up: its built-in sites, and deployments of a
+// file.
 package deployment
 
 import (
--- a/internal/testing/lab/experiment/experiment.go
+++ b/internal/testing/lab/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package experiment compares policies: the same load, arm by arm, with
+// Package experiment compares policies under the same load, variant by variant, with
 // confidence intervals and a report with plots.
 package experiment
 
@@ -20,14 +20,14 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
-// Mode says how the arms are served.
+// Mode says how the variants are served.
 type Mode string
 
 // Modes of an experiment.
 const (
-	// Separate gives each arm a fleet of its own, one after another, under the same load.
+	// Separate gives each variant a fleet of its own, one after another, under the same load.
 	Separate Mode = "separate"
-	// Live serves both arms on one fleet at the same time: the second arm is a
+	// Live serves both variants on one fleet at the same time: the second variant is a
 	// candidate that takes a share of the programs.
 	Live Mode = "live"
 )
@@ -46,12 +46,12 @@
 	Rates           modelserver.Rates `json:"rates"`
 	Faults          standin.FaultPlan `json:"faults"`
 	// ShareBasisPoints is the candidate's share of programs in live mode.
-	ShareBasisPoints uint32 `json:"share_basis_points,omitempty"`
-	Arms             []Arm  `json:"arms"`
+	ShareBasisPoints uint32    `json:"share_basis_points,omitempty"`
+	Variants         []Variant `json:"arms"`
 }
 
-// Arm is one policy under comparison.
-type Arm struct {
+// Variant is one policy under comparison.
+type Variant struct {
 	Name string `json:"name"`
 	// Bundle is a partial bundle in the protobuf JSON mapping; what it sets
 	// replaces the same part of the laboratory's bundle.
@@ -105,10 +105,10 @@
 	if f.DurationSeconds < 1 || f.DurationSeconds > maxSeconds {
 		fault("duration_seconds", fmt.Sprintf("must be between 1 and %d", maxSeconds))
 	}
-	if len(f.Seeds) == 0 || len(f.Seeds)*len(f.Arms) > maxRuns {
+	if len(f.Seeds) == 0 || len(f.Seeds)*len(f.Variants) > maxRuns {
 		fault("seeds", fmt.Sprintf("must name at least one seed and at most %d runs over all arms", maxRuns))
 	}
-	if len(f.Arms) < 2 || (f.Mode == Live && len(f.Arms) != 2) {
+	if len(f.Variants) < 2 || (f.Mode == Live && len(f.Variants) != 2) {
 		fault("arms", "must be two or more, and two in live mode")
 	}
 	if f.Mode == Live && (f.ShareBasisPoints < 1 || f.ShareBasisPoints > 9999) {
@@ -117,8 +117,8 @@
 	if err := f.Faults.Validate(); err != nil {
 		fault("faults", err.Error())
 	}
-	for i, arm := range f.Arms {
-		if _, err := arm.Apply(&protocol.Bundle{}); err != nil {
+	for i, variant := range f.Variants {
+		if _, err := variant.Apply(&protocol.Bundle{}); err != nil {
 			fault(fmt.Sprintf("arms[%d].bundle", i), err.Error())
 		}
 	}
@@ -136,8 +136,8 @@
 	return site.SizesOf(f.Site)
 }
 
-// Apply puts the arm's policy into a copy of a bundle.
-func (a *Arm) Apply(base *protocol.Bundle) (*protocol.Bundle, error) {
+// Apply puts the variant's policy into a copy of a bundle.
+func (a *Variant) Apply(base *protocol.Bundle) (*protocol.Bundle, error) {
 	patch := &protocol.Bundle{}
 	if len(a.Bundle) > 0 {
 		if err := protojson.Unmarshal(a.Bundle, patch); err != nil {
--- a/internal/testing/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -50,8 +50,8 @@
 	base := &protocol.Bundle{
 		Version: 4, Scheduling: &protocol.SchedulingPolicy{Algorithm: protocol.SchedulingAlgorithm_PREFIX_AFFINITY, SubsetSize: 9},
 	}
-	arm := experiment.Arm{Bundle: json.RawMessage(`{"version":"7","scheduling":{"algorithm":"ROUND_ROBIN"}}`)}
-	changed, err := arm.Apply(base)
+	variant := experiment.Variant{Bundle: json.RawMessage(`{"version":"7","scheduling":{"algorithm":"ROUND_ROBIN"}}`)}
+	changed, err := variant.Apply(base)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	few, many := sampleOf(20).Estimates(1), sampleOf(400).Estimates(1)
 	for metric, want := range map[experiment.Metric]float64{
 		experiment.FirstTokenMedian: 60, experiment.FirstToken95: 105, experiment.InterToken95: 10,
-		experiment.PrefixHitRate: 50, experiment.Refused: 0, experiment.Throughput: 80,
+		experiment.PrefixHitRate: 50, experiment.Unanswered: 0, experiment.Throughput: 80,
 	} {
 		if many[metric].Value != want {
 			t.Errorf("%s is %v, want %v", metric, many[metric].Value, want)
@@ -105,8 +105,8 @@
 
 func TestReportIsWritten(t *testing.T) {
 	sample := experiment.NewSample([][]*caller.Record{{turn("p", 5), turn("q", 6)}}, time.Second)
-	result := experiment.Result{File: &experiment.File{Name: "trial"}, Arms: []experiment.ArmResult{
-		experiment.NewArmResult("one", sample, true, 1), experiment.NewArmResult("two", sample, true, 1),
+	result := experiment.Result{File: &experiment.File{Name: "trial"}, Variants: []experiment.VariantResult{
+		experiment.NewVariantResult("one", sample, true, 1), experiment.NewVariantResult("two", sample, true, 1),
 	}}
 	folder := t.TempDir()
 	if err := result.Save(folder); err != nil {
--- a/internal/testing/lab/experiment/result.go
+++ b/internal/testing/lab/experiment/result.go
@@ -11,8 +11,8 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// ArmResult is the outcome of one arm.
-type ArmResult struct {
+// VariantResult is the outcome of one variant.
+type VariantResult struct {
 	Name      string              `json:"name"`
 	Programs  int                 `json:"programs"`
 	Estimates map[Metric]Estimate `json:"estimates"`
@@ -23,14 +23,14 @@
 
 // Result is the outcome of an experiment.
 type Result struct {
-	File    *File       `json:"experiment"`
-	Arms    []ArmResult `json:"arms"`
-	Command string      `json:"command"`
+	File     *File           `json:"experiment"`
+	Variants []VariantResult `json:"arms"`
+	Command  string          `json:"command"`
 }
 
-// NewArmResult computes the figures of an arm.
-func NewArmResult(name string, sample *Sample, clean bool, seed uint64) ArmResult {
-	return ArmResult{Name: name, Programs: sample.Programs(), Estimates: sample.Estimates(seed), Clean: clean, Sample: sample}
+// NewVariantResult computes the figures of an variant.
+func NewVariantResult(name string, sample *Sample, clean bool, seed uint64) VariantResult {
+	return VariantResult{Name: name, Programs: sample.Programs(), Estimates: sample.Estimates(seed), Clean: clean, Sample: sample}
 }
 
 // Save writes result.json and report.html into the folder.
@@ -74,12 +74,12 @@
 		axis[i] = i
 	}
 	line.SetXAxis(axis)
-	for _, arm := range r.Arms {
+	for _, variant := range r.Variants {
 		data := make([]opts.LineData, points)
 		for i := range data {
-			data[i] = opts.LineData{Value: percentile(arm.Sample.FirstTokens, float64(i))}
+			data[i] = opts.LineData{Value: percentile(variant.Sample.FirstTokens, float64(i))}
 		}
-		line.AddSeries(arm.Name, data)
+		line.AddSeries(variant.Name, data)
 	}
 	return line
 }
@@ -91,26 +91,26 @@
 		charts.WithTooltipOpts(opts.Tooltip{Show: opts.Bool(true), Trigger: "axis"}),
 		charts.WithXAxisOpts(opts.XAxis{Name: "s"}),
 	)
-	longest := 0
-	for _, arm := range r.Arms {
-		longest = max(longest, len(arm.Sample.PerSecond))
+	maxSeconds := 0
+	for _, variant := range r.Variants {
+		maxSeconds = max(maxSeconds, len(variant.Sample.PerSecond))
 	}
-	axis := make([]int, longest)
+	axis := make([]int, maxSeconds)
 	for i := range axis {
 		axis[i] = i
 	}
 	line.SetXAxis(axis)
-	for _, arm := range r.Arms {
-		data := make([]opts.LineData, len(arm.Sample.PerSecond))
-		for i, tokens := range arm.Sample.PerSecond {
+	for _, variant := range r.Variants {
+		data := make([]opts.LineData, len(variant.Sample.PerSecond))
+		for i, tokens := range variant.Sample.PerSecond {
 			data[i] = opts.LineData{Value: tokens}
 		}
-		line.AddSeries(arm.Name, data)
+		line.AddSeries(variant.Name, data)
 	}
 	return line
 }
 
-// bars plots a metric of each arm between the ends of its interval.
+// bars plots a metric of each variant between the ends of its interval.
 func (r *Result) bars(metric Metric) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
@@ -119,9 +119,9 @@
 	)
 	var names []string
 	var low, value, high []opts.BarData
-	for _, arm := range r.Arms {
-		estimate := arm.Estimates[metric]
-		names = append(names, arm.Name)
+	for _, variant := range r.Variants {
+		estimate := variant.Estimates[metric]
+		names = append(names, variant.Name)
 		low = append(low, opts.BarData{Value: estimate.Low})
 		value = append(value, opts.BarData{Value: estimate.Value})
 		high = append(high, opts.BarData{Value: estimate.High})
--- a/internal/testing/lab/experiment/statistics.go
+++ b/internal/testing/lab/experiment/statistics.go
@@ -16,23 +16,23 @@
 	High  float64 `json:"high"`
 }
 
-// Metric is one figure of an arm.
+// Metric is one figure of an variant.
 type Metric string
 
-// Metrics compared between arms. Times are in milliseconds.
+// Metrics compared between variants. Times are in milliseconds.
 const (
 	FirstTokenMedian Metric = "first token p50 (ms)"
 	FirstToken95     Metric = "first token p95 (ms)"
 	InterToken95     Metric = "between tokens p95 (ms)"
 	InterToken99     Metric = "between tokens p99 (ms)"
 	PrefixHitRate    Metric = "prefix hit rate (%)"
-	Refused          Metric = "requests not answered (%)"
+	Unanswered       Metric = "requests not answered (%)"
 	Throughput       Metric = "output tokens per second"
 )
 
 // Metrics lists the metrics in the order of reports.
 func Metrics() []Metric {
-	return []Metric{FirstTokenMedian, FirstToken95, InterToken95, InterToken99, PrefixHitRate, Refused, Throughput}
+	return []Metric{FirstTokenMedian, FirstToken95, InterToken95, InterToken99, PrefixHitRate, Unanswered, Throughput}
 }
 
 // cluster is what one program contributed; programs are independent, requests of one program are not.
@@ -46,7 +46,7 @@
 	unanswered  float64
 }
 
-// Sample is what was measured of one arm.
+// Sample is what was measured of one variant.
 type Sample struct {
 	clusters []cluster
 	seconds  float64
@@ -56,10 +56,10 @@
 	PerSecond []float64
 }
 
-// NewSample gathers the records of an arm over runs of the duration; each book is one run.
-func NewSample(books [][]*caller.Record, duration time.Duration) *Sample {
-	s := &Sample{seconds: duration.Seconds() * float64(len(books)), PerSecond: make([]float64, int(duration.Seconds())+1)}
-	for _, records := range books {
+// NewSample gathers the records of an variant over runs of the duration; each request log is one run.
+func NewSample(logs [][]*caller.Record, duration time.Duration) *Sample {
+	s := &Sample{seconds: duration.Seconds() * float64(len(logs)), PerSecond: make([]float64, int(duration.Seconds())+1)}
+	for _, records := range logs {
 		programs := map[string]*cluster{}
 		var order []string
 		begin := begins(records)
@@ -75,7 +75,7 @@
 			}
 			of.take(record)
 			if second := int(record.AnsweredAt.Sub(begin).Seconds()); second >= 0 && second < len(s.PerSecond) {
-				s.PerSecond[second] += float64(record.OutputTokens) / float64(len(books))
+				s.PerSecond[second] += float64(record.OutputTokens) / float64(len(logs))
 			}
 		}
 		for _, program := range order {
@@ -172,16 +172,16 @@
 		InterToken95:     percentile(inter, 95),
 		InterToken99:     percentile(inter, 99),
 		PrefixHitRate:    100 * ratio(total.cached, total.input),
-		Refused:          100 * ratio(total.unanswered, total.requests),
+		Unanswered:       100 * ratio(total.unanswered, total.requests),
 		Throughput:       ratio(total.output, s.seconds),
 	}
 }
 
-func ratio(part, whole float64) float64 {
-	if whole == 0 {
+func ratio(numerator, denominator float64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return part / whole
+	return numerator / denominator
 }
 
 // percentile reads sorted values; zero without any.
--- a/internal/testing/lab/fixedseed/fixedseed.go
+++ b/internal/testing/lab/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed lets every property test draw the same cases on every run. A test package imports it for this effect
-// alone; the flag -rapid.seed, with 0 for a new seed on each run, overrides it for a search.
+// Package fixedseed lets every property test draw the same cases on every run. A test package imports it for this
+// effect alone; the flag -rapid.seed, with 0 for a new seed on each run, overrides it for a search.
 package fixedseed
 
 import (
--- a/internal/testing/lab/fleet/example.go
+++ b/internal/testing/lab/fleet/example.go
@@ -5,7 +5,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 )
 
-// ExampleTenant has no credential, so that the examples of the pages work as they stand.
+// ExampleTenant has no credential, so that the examples of the pages work unchanged.
 const ExampleTenant = "example"
 
 // addExampleTenant lets a tenant without a credential call one model and one tool.
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -36,7 +36,7 @@
 	LogLevel       string
 	Rates          modelserver.Rates
 	Faults         standin.FaultPlan
-	// Relays puts a relay before the internal address of every daemon, so that links can be cut.
+	// Relays puts a relay before the internal address of every daemon, so that links can be partitioned.
 	Relays bool
 	// Environment is added to the environment of the processes of each kind.
 	Environment map[Kind][]string
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// EmptyData removes the data folder of a member whose process is gone.
+// EmptyData removes the data folder of a member whose process has ended.
 func (f *Fleet) EmptyData(member *Member) error {
 	if p := f.Process(member); p != nil && p.Running() {
 		return &RunningError{Name: member.Name}
@@ -189,7 +189,7 @@
 
 func (e *RunningError) Error() string { return e.Name + " is running" }
 
-// Stopped says how many processes had to be killed to stop.
+// Stopped is the number of processes that had to be killed.
 type Stopped struct {
 	Gentle int
 	Killed []string
--- a/internal/testing/lab/fleet/layout.go
+++ b/internal/testing/lab/fleet/layout.go
@@ -27,7 +27,7 @@
 	// Internal and HTTP are the addresses it listens on; a back end has HTTP only.
 	Internal string
 	HTTP     string
-	// Relay is the address that other processes are told in place of Internal, empty without relays.
+	// Relay is the address that other processes use in place of Internal, empty without relays.
 	Relay string
 	// Founder is true for the core processes that found the cluster.
 	Founder bool
@@ -55,7 +55,7 @@
 	return members, addresses(members, options, random)
 }
 
-// addresses deals free ports out; the first front and the first core take the ones asked for.
+// addresses assigns free ports; the first front node and the first core member get the requested ones.
 func addresses(members []*Member, options Options, random *rand.Rand) error {
 	free, err := freePorts(2*len(members), random)
 	if err != nil {
--- a/internal/testing/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -60,7 +60,7 @@
 	return output.String(), nil
 }
 
-// ClientFlags say where the core is and who asks.
+// ClientFlags are the flags for the core's address and the operator's credential.
 func (f *Fleet) ClientFlags() []string {
 	return []string{"--core", strings.Join(f.CoreAddresses(), ","), "--token-file", f.secrets.tokenFile}
 }
@@ -127,7 +127,7 @@
 	case err == nil:
 		return audit.OrderAcknowledged
 	case errors.As(err, &failed) && errors.As(failed.Result, &exit) && exit.ExitCode() == operator.ExitRejected:
-		return audit.OrderRefused
+		return audit.OrderRejected
 	default:
 		return audit.OrderUnknown
 	}
--- a/internal/testing/lab/fleet/ports.go
+++ b/internal/testing/lab/fleet/ports.go
@@ -11,10 +11,10 @@
 const (
 	// Ports are taken below the range from which Linux gives out ports by
 	// itself, so that a restarted process finds its own port free.
-	firstPort = 18000
-	lastPort  = 31999
-	maxProbes = 20000
-	loopback  = "127.0.0.1"
+	firstPort       = 18000
+	lastPort        = 31999
+	maxPortAttempts = 20000
+	loopback        = "127.0.0.1"
 )
 
 // NoPortsError says that not enough free ports were found.
@@ -33,7 +33,7 @@
 			err = errors.CombineErrors(err, listener.Close())
 		}
 	}()
-	for range maxProbes {
+	for range maxPortAttempts {
 		if len(addresses) == count {
 			return addresses, nil
 		}
--- a/internal/testing/lab/fleet/probe.go
+++ b/internal/testing/lab/fleet/probe.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("front node %s does not serve turns: %s %s", e.Front, e.Code, e.Message)
 }
 
-// AwaitServing asks every front node for a turn and a tool call until each has answered both.
+// AwaitServing sends every front node a turn and a tool call until each has answered both.
 func (f *Fleet) AwaitServing(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -33,8 +33,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	for i, front := range f.FrontAddresses() {
 		group.Go(func() error {
-			for try := 0; ; try++ {
-				id := fmt.Sprintf("probe-%d-%d-%d", i, try, time.Now().UnixNano())
+			for attempt := 0; ; attempt++ {
+				id := fmt.Sprintf("probe-%d-%d-%d", i, attempt, time.Now().UnixNano())
 				record := client.Probe(ctx, front, id, string(site.Caroni), site.ModelClimateAdvisor, site.ToolSensors)
 				if record.Outcome == caller.OutcomeAnswered {
 					return nil
--- a/internal/testing/lab/fleet/ready.go
+++ b/internal/testing/lab/fleet/ready.go
@@ -38,7 +38,7 @@
 		group.Go(func() error {
 			last := "not asked"
 			for {
-				ready, answer := askReady(ctx, client, member.HTTP)
+				ready, answer := queryReady(ctx, client, member.HTTP)
 				if ready {
 					return nil
 				}
@@ -59,7 +59,7 @@
 }
 
 // askReady returns what was wrong; nothing when the context ended.
-func askReady(ctx context.Context, client *http.Client, address string) (ready bool, answer string) {
+func queryReady(ctx context.Context, client *http.Client, address string) (ready bool, answer string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", nil)
 	if err != nil {
 		return false, err.Error()
--- a/internal/testing/lab/fleet/relays.go
+++ b/internal/testing/lab/fleet/relays.go
@@ -45,7 +45,7 @@
 	return (*names)[relay.ProcessOf(source, ids)]
 }
 
-// publishNames tells the relays the processes as they are now.
+// publishNames passes the current processes to the relays.
 func (f *Fleet) publishNames() {
 	names := make(map[int]string, len(f.processes))
 	for name, p := range f.processes {
@@ -56,23 +56,23 @@
 	f.names.Store(&names)
 }
 
-// Cut cuts the internal links from and to a member, or heals them. Of a one-way
-// cut only what others send to it is held back.
-func (f *Fleet) Cut(member *Member, cut, oneWay bool) {
+// SetPartition partitions the internal links from and to a member, or heals them. When inboundOnly is set, only what
+// others send to it is delayed.
+func (f *Fleet) SetPartition(member *Member, partitioned, inboundOnly bool) {
 	links := []relay.Link{{To: member.Name}}
-	if !oneWay {
+	if !inboundOnly {
 		links = append(links, relay.Link{From: member.Name})
 	}
-	f.network.Set(cut, links...)
+	f.network.SetPartition(partitioned, links...)
 }
 
-// Split cuts the links between two sides, or heals them.
-func (f *Fleet) Split(cut bool, left, right []*Member) {
+// SetPartitionBetween partitions the links between two sides, or heals them.
+func (f *Fleet) SetPartitionBetween(partitioned bool, left, right []*Member) {
 	var links []relay.Link
 	for _, a := range left {
 		for _, b := range right {
 			links = append(links, relay.Link{From: a.Name, To: b.Name}, relay.Link{From: b.Name, To: a.Name})
 		}
 	}
-	f.network.Set(cut, links...)
+	f.network.SetPartition(partitioned, links...)
 }
--- a/internal/testing/lab/fleet/replace.go
+++ b/internal/testing/lab/fleet/replace.go
@@ -7,7 +7,7 @@
 )
 
 // Replace puts an empty machine with a new name and new addresses in the place
-// of a core member, whose process must be gone for good. It is not started.
+// of a core member, whose process must have ended for good. It is not started.
 func (f *Fleet) Replace(member *Member, random *rand.Rand) (*Member, error) {
 	if p := f.Process(member); p != nil && p.Running() {
 		return nil, &RunningError{Name: member.Name}
--- a/internal/testing/lab/frontloss/loss.go
+++ b/internal/testing/lab/frontloss/loss.go
@@ -1,6 +1,5 @@
-// Package frontloss measures what the loss of one front node costs: which
-// sessions were kept, which had to be rebuilt by a new owner, and how long it
-// took until all were registered again.
+// Package frontloss measures the cost of the loss of one front node: which sessions continued, which a new owner had to
+// rebuild, and the time until all were registered again.
 package frontloss
 
 import (
@@ -11,36 +10,38 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
 )
 
-// Kill is the loss of one front node.
-type Kill struct {
-	// Victim and its address decide what it owned and what it held.
-	Victim  string
+// Loss is the loss of one front node.
+type Loss struct {
+	// Lost is the name of the lost node, one of Members.
+	Lost    string
 	Members []ring.Member
 	At      time.Time
-	// Until is the end of the time that is looked at after the loss.
+	// Until is the end of the measured time after the loss.
 	Until time.Time
-	// Reregistered is the time until no session waited to be registered again; negative when that was not seen.
+	// Reregistered is the time until no session waited for reregistration; negative when that was not observed.
 	Reregistered time.Duration
 	// Salvaged counts the sessions registered again with a new holder meanwhile.
 	Salvaged int
 }
 
-// Cost is what one loss cost.
+// Cost is the cost of one loss, in sessions and requests. Its field names are those in kill-one.json.
 type Cost struct {
-	// Owned sessions were owned by the victim; they have to be rebuilt in any case.
+	// Owned sessions were owned by the lost node; they have to be rebuilt in any case.
 	Owned int
-	// Held sessions were registered at the victim and owned elsewhere.
+	// Held sessions were registered at the lost node and owned elsewhere.
 	Held int
-	// HeldKept of them went on under the same owner and epoch.
+	// HeldKept of them continued under the same owner and epoch.
 	HeldKept int
-	// OthersRebuilt are sessions neither owned nor held by the victim that were rebuilt all the same.
+	// OthersRebuilt are sessions neither owned by nor registered at the lost node that were rebuilt all the same.
 	OthersRebuilt int
 	// Refused counts the requests that were not run meanwhile.
 	Refused int
 }
 
 // Rebuilt counts the sessions that were rebuilt although their owner lived.
-func (c Cost) Rebuilt() int { return c.Held - c.HeldKept + c.OthersRebuilt }
+func (c Cost) Rebuilt() int {
+	return c.Held - c.HeldKept + c.OthersRebuilt
+}
 
 // Add adds another cost.
 func (c *Cost) Add(other Cost) {
@@ -53,8 +54,8 @@
 
 // Measure compares the last answer of each session before the loss with its
 // last answer after it. Sessions that were not seen on both sides do not count.
-func Measure(kill Kill, virtualPlaces int, records []*caller.Record) Cost {
-	places := ring.New(kill.Members, virtualPlaces)
+func Measure(loss Loss, virtualNodes int, records []*caller.Record) Cost {
+	hashRing := ring.New(loss.Members, virtualNodes)
 	before := map[string]*caller.Record{}
 	after := map[string]*caller.Record{}
 	var cost Cost
@@ -63,22 +64,22 @@
 			continue
 		}
 		sent := record.SentAt()
-		if record.Outcome == caller.OutcomeNotRun && sent.After(kill.At) && sent.Before(kill.Until) {
+		if record.Outcome == caller.OutcomeNotRun && sent.After(loss.At) && sent.Before(loss.Until) {
 			cost.Refused++
 		}
 		if record.Outcome != caller.OutcomeAnswered || record.Epoch == 0 {
 			continue
 		}
 		switch {
-		case record.AnsweredAt.Before(kill.At):
+		case record.AnsweredAt.Before(loss.At):
 			before[record.Session] = record
-		case sent.After(kill.At) && sent.Before(kill.Until):
+		case sent.After(loss.At) && sent.Before(loss.Until):
 			after[record.Session] = record
 		}
 	}
 	for session, former := range before {
 		if later := after[session]; later != nil {
-			cost.count(kill.Victim, places, former, later)
+			cost.count(loss.Lost, hashRing, former, later)
 		}
 	}
 	return cost
@@ -90,18 +91,18 @@
 	return sorted
 }
 
-func (c *Cost) count(victim string, places *ring.Ring, former, later *caller.Record) {
-	kept := former.Epoch == later.Epoch && former.Owner == later.Owner
-	holder, _ := places.Holder(ring.Key(former.Session))
+func (c *Cost) count(lost string, hashRing *ring.Ring, former, later *caller.Record) {
+	unchanged := former.Epoch == later.Epoch && former.Owner == later.Owner
+	holder, _ := hashRing.Holder(ring.Key(former.Session))
 	switch {
-	case former.Owner == victim:
+	case former.Owner == lost:
 		c.Owned++
-	case holder.Name == victim:
+	case holder.Name == lost:
 		c.Held++
-		if kept {
+		if unchanged {
 			c.HeldKept++
 		}
-	case !kept:
+	case !unchanged:
 		c.OthersRebuilt++
 	}
 }
--- a/internal/testing/lab/memnet/connection.go
+++ b/internal/testing/lab/memnet/connection.go
@@ -27,7 +27,7 @@
 	// ended is why nothing follows what was received, from endArrives on; nil while more may come.
 	ended      error
 	endArrives time.Time
-	// closed is set once this side is closed or its process gone.
+	// closed is set once this side is closed or its process has ended.
 	closed bool
 	// lostPower is set when this side's host lost power.
 	lostPower                   bool
@@ -53,7 +53,8 @@
 	c.changed = make(chan struct{})
 }
 
-// arrival gives the time at which what is sent now to this side arrives, behind what was sent before; the mutex is held.
+// arrival gives the time at which what is sent now to this side arrives, behind what was sent before; the mutex is
+// held.
 func (c *connection) arrival() time.Time {
 	at := time.Now().Add(c.network.delay())
 	if at.Before(c.lastArrive) {
@@ -79,8 +80,8 @@
 	c.wake()
 }
 
-// endByKill ends this side as the end of its process does; the mutex is held.
-func (c *connection) endByKill() {
+// endByCrash ends this side as the end of its process does; the mutex is held.
+func (c *connection) endByCrash() {
 	if c.closed {
 		return
 	}
@@ -99,7 +100,7 @@
 	c.wake()
 }
 
-// endByPowerLoss ends this side without a word; the mutex is held.
+// endByPowerLoss ends this side without notice to the peer; the mutex is held.
 func (c *connection) endByPowerLoss() {
 	if !c.closed {
 		c.lostPower = true
@@ -164,8 +165,8 @@
 	return 0, next.Sub(now), nil
 }
 
-// HasUnread reports whether bytes, or the end of the connection, have arrived and were not read. It is what a look into the
-// buffer of a socket tells.
+// HasUnread reports whether bytes, or the end of the connection, have arrived and were not read. It is what a look into
+// the buffer of a socket tells.
 func (c *connection) HasUnread() bool {
 	c.network.mutex.Lock()
 	defer c.network.mutex.Unlock()
--- a/internal/testing/lab/memnet/listener.go
+++ b/internal/testing/lab/memnet/listener.go
@@ -16,7 +16,7 @@
 	address *net.TCPAddr
 	once    sync.Once
 	closed  chan struct{}
-	// arrived is told when connections wait; the network's mutex guards them.
+	// arrived is signalled when connections wait; the network's mutex guards them.
 	arrived chan struct{}
 	waiting []*connection
 }
@@ -94,14 +94,14 @@
 	return nil
 }
 
-// closeListener refuses who waits and all who come; the mutex is held.
+// closeListener resets the waiting connections and rejects further ones; the mutex is held.
 func (n *Network) closeListener(l *listener) {
 	if n.listeners[l.address.String()] == l {
 		delete(n.listeners, l.address.String())
 	}
 	l.once.Do(func() { close(l.closed) })
 	for _, each := range l.waiting {
-		each.endByKill()
+		each.endByCrash()
 	}
 	l.waiting = nil
 }
--- a/internal/testing/lab/memnet/memnet_test.go
+++ b/internal/testing/lab/memnet/memnet_test.go
@@ -28,7 +28,7 @@
 func linked(t *testing.T, story func(t *testing.T, network *memnet.Network, near, far net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Least: latency, Most: latency})
+		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Min: latency, Max: latency})
 		listener, err := network.Listen(address)
 		if err != nil {
 			t.Fatal(err)
@@ -94,7 +94,7 @@
 
 func TestACutHoldsBytesBackInItsDirection(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
-		network.Cut(callerHost, serverHost, true)
+		network.SetPartition(callerHost, serverHost, true)
 		send(t, near, "held")
 		send(t, far, "passes")
 		expect(t, near, "passes")
@@ -120,7 +120,7 @@
 func TestWhatAKilledProcessSentArrivesBeforeItsEnd(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		send(t, far, "last words")
-		network.Kill(serverHost)
+		network.Crash(serverHost)
 		expectEnd(t, far, net.ErrClosed)
 		expect(t, near, "last words")
 		expectEnd(t, near, io.EOF, syscall.ECONNRESET)
@@ -134,8 +134,8 @@
 
 func TestTheEndOfAProcessIsNotHeardThroughACut(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, _ net.Conn) {
-		network.Cut(serverHost, callerHost, true)
-		network.Kill(serverHost)
+		network.SetPartition(serverHost, callerHost, true)
+		network.Crash(serverHost)
 		expectSilence(t, near)
 		network.HealAll()
 		expectEnd(t, near, io.EOF, syscall.ECONNRESET)
@@ -204,7 +204,7 @@
 
 func TestHTTPRunsOverTheNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Least: latency, Most: 2 * latency})
+		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Min: latency, Max: 2 * latency})
 		listener, err := network.Listen(serverHost + ":0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testing/lab/memnet/network.go
+++ b/internal/testing/lab/memnet/network.go
@@ -11,7 +11,7 @@
 
 // Latency bounds the time that bytes take one way.
 type Latency struct {
-	Least, Most time.Duration
+	Min, Max time.Duration
 }
 
 // link is one direction between two hosts.
@@ -26,24 +26,24 @@
 	listeners map[string]*listener
 	// connections are those that no side has closed.
 	connections map[*connection]struct{}
-	cut         map[link]bool
-	// deaf hosts hear nobody, mute ones reach nobody.
-	deaf, mute map[string]bool
-	// dark hosts have no power.
-	dark     map[string]bool
-	nextPort int
+	partitions  map[link]bool
+	// inboundPartitions are hosts that receive nothing, outboundPartitions hosts whose bytes reach nobody.
+	inboundPartitions, outboundPartitions map[string]bool
+	// poweredOff hosts have no power.
+	poweredOff map[string]bool
+	nextPort   int
 	// closed is set once nobody can connect any more.
 	closed bool
 }
 
-// firstPort is the first port that is given to who asks for any.
+// firstPort is the first port that is given for port 0.
 const firstPort = 20_000
 
 // New makes a network without hosts; latencies are drawn from random.
 func New(random *rand.Rand, latency Latency) *Network {
 	return &Network{
 		latency: latency, random: random, listeners: map[string]*listener{}, connections: map[*connection]struct{}{},
-		cut: map[link]bool{}, deaf: map[string]bool{}, mute: map[string]bool{}, dark: map[string]bool{}, nextPort: firstPort,
+		partitions: map[link]bool{}, inboundPartitions: map[string]bool{}, outboundPartitions: map[string]bool{}, poweredOff: map[string]bool{}, nextPort: firstPort,
 	}
 }
 
@@ -61,44 +61,44 @@
 	if from == to {
 		return true
 	}
-	return !n.cut[link{from, to}] && !n.mute[from] && !n.deaf[to] && !n.dark[from] && !n.dark[to]
+	return !n.partitions[link{from, to}] && !n.outboundPartitions[from] && !n.inboundPartitions[to] && !n.poweredOff[from] && !n.poweredOff[to]
 }
 
 // delay draws the time that bytes take one way; the mutex is held.
 func (n *Network) delay() time.Duration {
-	spread := n.latency.Most - n.latency.Least
+	spread := n.latency.Max - n.latency.Min
 	if spread <= 0 {
-		return n.latency.Least
+		return n.latency.Min
 	}
-	return n.latency.Least + time.Duration(n.random.Int64N(int64(spread)))
+	return n.latency.Min + time.Duration(n.random.Int64N(int64(spread)))
 }
 
-// Cut holds back, or passes on again, what one host sends to another.
-func (n *Network) Cut(from, to string, isCut bool) {
-	n.change(func() { n.cut[link{from, to}] = isCut })
+// SetPartition delays, or delivers again, what one host sends to another.
+func (n *Network) SetPartition(from, to string, partitioned bool) {
+	n.change(func() { n.partitions[link{from, to}] = partitioned })
 }
 
-// Isolate sets whether a host hears others (deaf) and is heard by them (mute). What is held back arrives afterwards.
-func (n *Network) Isolate(host string, deaf, mute bool) {
-	n.change(func() { n.deaf[host], n.mute[host] = deaf, mute })
+// Isolate sets the partitions between a host and all others, by direction. What is delayed arrives afterwards.
+func (n *Network) Isolate(host string, inboundPartition, outboundPartition bool) {
+	n.change(func() { n.inboundPartitions[host], n.outboundPartitions[host] = inboundPartition, outboundPartition })
 }
 
-// HealAll ends all cuts and isolations. Hosts without power stay as they are.
+// HealAll ends all partitions. Hosts without power stay as they are.
 func (n *Network) HealAll() {
 	n.change(func() {
-		clear(n.cut)
-		clear(n.deaf)
-		clear(n.mute)
+		clear(n.partitions)
+		clear(n.inboundPartitions)
+		clear(n.outboundPartitions)
 	})
 }
 
-// Kill ends the process of a host: its listeners close, and its peers learn that their connections ended, as soon as they
-// are reached. What it had sent before arrives.
-func (n *Network) Kill(host string) {
-	n.change(func() { n.endAll(host, func(c *connection) { c.endByKill() }) })
+// Crash ends the process of a host: its listeners close, and its peers are notified that their connections ended as
+// soon as they are reachable. What it had sent before arrives.
+func (n *Network) Crash(host string) {
+	n.change(func() { n.endAll(host, func(c *connection) { c.endByCrash() }) })
 }
 
-// Reset breaks all connections of a host whose process goes on.
+// Reset resets all connections of a host whose process continues.
 func (n *Network) Reset(host string) {
 	n.change(func() {
 		for c := range n.connections {
@@ -109,18 +109,18 @@
 	})
 }
 
-// LosePower ends the process of a host without a word to its peers.
+// LosePower ends the process of a host without notice to its peers.
 func (n *Network) LosePower(host string) {
 	n.change(func() {
-		n.dark[host] = true
+		n.poweredOff[host] = true
 		n.endAll(host, func(c *connection) { c.endByPowerLoss() })
 	})
 }
 
-// PowerOn brings a host back; peers that still hold a connection to its former life learn that it ended.
+// PowerOn brings a host back; peers with a connection to its former incarnation are notified that it ended.
 func (n *Network) PowerOn(host string) {
 	n.change(func() {
-		delete(n.dark, host)
+		delete(n.poweredOff, host)
 		for c := range n.connections {
 			if c.peer.local == host && c.peer.lostPower {
 				c.endByReset()
@@ -156,7 +156,7 @@
 	}
 }
 
-// change makes a change under the mutex and wakes everybody who waits for bytes.
+// change applies a change under the mutex and wakes all readers.
 func (n *Network) change(change func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -181,8 +181,8 @@
 		wait := n.delay() + n.delay()
 		n.mutex.Unlock()
 		if !reached {
-			// An opening packet that nobody answers is repeated until the caller gives up.
-			wait = dialRepeat
+			// An opening packet without an answer is repeated until the context ends.
+			wait = dialRetryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -200,10 +200,10 @@
 	}
 }
 
-// dialRepeat is the pause between two opening packets.
-const dialRepeat = 100 * time.Millisecond
+// dialRetryInterval is the time between two opening packets.
+const dialRetryInterval = 100 * time.Millisecond
 
-// connect makes a connection to who listens at an address.
+// connect makes a connection to the listener of an address.
 func (n *Network) connect(from, address string) (*connection, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/testing/lab/modelserver/batch.go
+++ b/internal/testing/lab/modelserver/batch.go
@@ -84,7 +84,7 @@
 	return true
 }
 
-// fits reports whether the sequence can ever be held by the cache.
+// fits reports whether the sequence can ever fit into the cache.
 func (b *batcher) fits(tokens, maxTokens int) bool {
 	return (tokens+maxTokens)/b.rates.BlockTokens+1 <= b.rates.Blocks
 }
--- a/internal/testing/lab/modelserver/cache.go
+++ b/internal/testing/lab/modelserver/cache.go
@@ -4,8 +4,8 @@
 
 // blockCache is the KV cache of one server: a bounded number of blocks, each
 // named by the hash of all tokens up to its end, so that requests that begin
-// alike share their first blocks. Blocks that no sequence holds are kept until
-// the least recently used one has to make room.
+// alike share their first blocks. Unreferenced blocks stay cached until they are
+// evicted, least recently used first.
 type blockCache struct {
 	total   int
 	private int
@@ -14,26 +14,26 @@
 }
 
 type block struct {
-	hash    uint64
-	holders int
-	unused  *list.Element
+	hash       uint64
+	references int
+	unused     *list.Element
 }
 
 func newBlockCache(total int) *blockCache {
 	return &blockCache{total: total, blocks: map[uint64]*block{}, unused: list.New()}
 }
 
-// used counts the blocks that sequences hold.
+// used counts the blocks that sequences reference.
 func (c *blockCache) used() int { return c.private + len(c.blocks) - c.unused.Len() }
 
-// acquire holds the blocks of a prompt and a number of private ones for the
-// output. It returns how many leading blocks were cached, or false when there
-// is no room; then nothing is held.
-func (c *blockCache) acquire(hashes []uint64, private int) (cached int, held bool) {
+// acquire references the blocks of a prompt and reserves private ones for the
+// output. It returns how many leading blocks were cached, or false when the
+// capacity does not suffice; then nothing is referenced.
+func (c *blockCache) acquire(hashes []uint64, private int) (cached int, acquired bool) {
 	cached = c.match(hashes)
 	reusedUnused := 0
 	for _, hash := range hashes[:cached] {
-		if c.blocks[hash].holders == 0 {
+		if c.blocks[hash].references == 0 {
 			reusedUnused++
 		}
 	}
@@ -43,11 +43,11 @@
 		return 0, false
 	}
 	for _, hash := range hashes[:cached] {
-		c.hold(c.blocks[hash])
+		c.retain(c.blocks[hash])
 	}
-	c.makeRoom(needed)
+	c.evict(needed)
 	for _, hash := range hashes[cached:] {
-		c.holdOrAdd(hash)
+		c.retainOrAdd(hash)
 	}
 	c.private += private
 	return cached, true
@@ -62,54 +62,54 @@
 	return len(hashes)
 }
 
-func (c *blockCache) hold(b *block) {
-	b.holders++
+func (c *blockCache) retain(b *block) {
+	b.references++
 	if b.unused != nil {
 		c.unused.Remove(b.unused)
 		b.unused = nil
 	}
 }
 
-func (c *blockCache) holdOrAdd(hash uint64) {
+func (c *blockCache) retainOrAdd(hash uint64) {
 	b := c.blocks[hash]
 	if b == nil {
 		b = &block{hash: hash}
 		c.blocks[hash] = b
 	}
-	c.hold(b)
+	c.retain(b)
 }
 
-func (c *blockCache) makeRoom(needed int) {
+func (c *blockCache) evict(needed int) {
 	for c.total-c.private-len(c.blocks) < needed && c.unused.Len() > 0 {
 		oldest := c.unused.Remove(c.unused.Front()).(*block)
 		delete(c.blocks, oldest.hash)
 	}
 }
 
-// release gives up the blocks of a sequence and keeps those of its whole text
-// for reuse as far as there is room.
-func (c *blockCache) release(hashes []uint64, private int, whole []uint64) {
+// release dereferences the blocks of a sequence and caches those of its complete text
+// for reuse as far as the capacity suffices.
+func (c *blockCache) release(hashes []uint64, private int, complete []uint64) {
 	c.private -= private
 	for _, hash := range hashes {
-		c.letGo(c.blocks[hash])
+		c.dereference(c.blocks[hash])
 	}
-	for i := len(hashes); i < len(whole); i++ {
-		if c.blocks[whole[i]] != nil {
+	for i := len(hashes); i < len(complete); i++ {
+		if c.blocks[complete[i]] != nil {
 			continue
 		}
-		c.makeRoom(1)
+		c.evict(1)
 		if c.total-c.private-len(c.blocks) < 1 {
 			return
 		}
-		added := &block{hash: whole[i]}
+		added := &block{hash: complete[i]}
 		added.unused = c.unused.PushBack(added)
-		c.blocks[whole[i]] = added
+		c.blocks[complete[i]] = added
 	}
 }
 
-func (c *blockCache) letGo(b *block) {
-	b.holders--
-	if b.holders == 0 {
+func (c *blockCache) dereference(b *block) {
+	b.references--
+	if b.references == 0 {
 		b.unused = c.unused.PushBack(b)
 	}
 }
--- a/internal/testing/lab/modelserver/engine.go
+++ b/internal/testing/lab/modelserver/engine.go
@@ -44,18 +44,18 @@
 // admission is the engine's answer to a request.
 type admission struct {
 	generation *generation
-	refusal    refusal
+	rejection  rejection
 }
 
-type refusal string
+type rejection string
 
 const (
-	refusedNot   refusal = ""
-	refusedFence refusal = "fenced"
-	refusedFault refusal = "refused_by_fault"
-	refusedDie   refusal = "died_before"
-	refusedQueue refusal = "queue_full"
-	refusedSize  refusal = "too_long"
+	notRejected        rejection = ""
+	rejectedFenced     rejection = "fenced"
+	rejectedByFault    rejection = "refused_by_fault"
+	rejectedDiedBefore rejection = "died_before"
+	rejectedQueueFull  rejection = "queue_full"
+	rejectedTooLong    rejection = "too_long"
 )
 
 type admitCommand struct {
@@ -108,7 +108,7 @@
 	}
 }
 
-// waitFor takes commands while the step runs; false means stop.
+// waitFor handles commands while the step runs; false means stop.
 func (e *engine) waitFor(took time.Duration) bool {
 	timer := time.NewTimer(took)
 	defer timer.Stop()
@@ -143,29 +143,29 @@
 		tokens: make(chan string, command.maxTokens),
 	}
 	if call.Epoch < e.epochs[call.Session] {
-		return e.refuse(g, refusedFence)
+		return e.reject(g, rejectedFenced)
 	}
 	e.epochs[call.Session] = call.Epoch
 	g.fault = e.faults.Plan().Pick(call.RequestID, g.run)
 	switch {
-	case g.fault == standin.FaultRefuse:
-		return e.refuse(g, refusedFault)
+	case g.fault == standin.FaultReject:
+		return e.reject(g, rejectedByFault)
 	case g.fault == standin.FaultDieBefore:
-		return e.refuse(g, refusedDie)
+		return e.reject(g, rejectedDiedBefore)
 	case !e.batch.fits(len(command.tokens), command.maxTokens):
-		return e.refuse(g, refusedSize)
+		return e.reject(g, rejectedTooLong)
 	}
 	g.seq = &sequence{id: e.serial, tokens: command.tokens, maxTokens: command.maxTokens}
 	if !e.batch.submit(g.seq) {
-		return e.refuse(g, refusedQueue)
+		return e.reject(g, rejectedQueueFull)
 	}
 	e.members[g.seq] = g
 	return admission{generation: g}
 }
 
-func (e *engine) refuse(g *generation, reason refusal) admission {
-	e.record(g, standin.PhaseRefused, string(reason))
-	return admission{generation: g, refusal: reason}
+func (e *engine) reject(g *generation, reason rejection) admission {
+	e.record(g, standin.PhaseRejected, string(reason))
+	return admission{generation: g, rejection: reason}
 }
 
 func (e *engine) record(g *generation, phase standin.Phase, reason string) {
@@ -206,7 +206,7 @@
 			ended = append(ended, g)
 		}
 	}
-	// The load is told before the answers end, so that whoever saw an end sees the place free.
+	// The load is published before the answers end, so that whoever saw an end sees the slot free.
 	e.publish()
 	for _, g := range ended {
 		close(g.tokens)
@@ -227,7 +227,7 @@
 	started := e.remove(g)
 	close(g.tokens)
 	if !started {
-		e.record(g, standin.PhaseRefused, "cancelled_in_queue")
+		e.record(g, standin.PhaseRejected, "cancelled_in_queue")
 	}
 	return started
 }
--- a/internal/testing/lab/modelserver/server.go
+++ b/internal/testing/lab/modelserver/server.go
@@ -88,8 +88,8 @@
 		return
 	}
 	c.Header(standin.HeaderLoad, s.Load().Header())
-	if answer.refusal != refusedNot {
-		s.refuse(c, answer.refusal)
+	if answer.rejection != notRejected {
+		s.reject(c, answer.rejection)
 		return
 	}
 	out := &stream{context: c, server: s, generation: answer.generation, promptTokens: len(tokens)}
@@ -105,15 +105,15 @@
 	}
 }
 
-func (s *Server) refuse(c *gin.Context, reason refusal) {
+func (s *Server) reject(c *gin.Context, reason rejection) {
 	switch reason {
-	case refusedFence:
+	case rejectedFenced:
 		standin.Abort(c, http.StatusConflict, string(reason), "a newer owner of the session was seen")
-	case refusedSize:
+	case rejectedTooLong:
 		standin.Abort(c, http.StatusBadRequest, string(reason), "the request does not fit the cache")
-	case refusedDie:
-		standin.Cut(c)
-	case refusedQueue:
+	case rejectedDiedBefore:
+		standin.AbortConnection(c)
+	case rejectedQueueFull:
 		c.Header("Retry-After", "1")
 		standin.Abort(c, http.StatusTooManyRequests, string(reason), "")
 	default:
--- a/internal/testing/lab/modelserver/server_test.go
+++ b/internal/testing/lab/modelserver/server_test.go
@@ -17,8 +17,8 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/modelserver"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
@@ -131,7 +131,7 @@
 	It("refuses an older owner of the session and runs nothing", func() {
 		Expect(complete("r1", 2, "reply:1").status).To(Equal(http.StatusOK))
 		Expect(complete("r2", 1, "reply:1").status).To(Equal(http.StatusConflict))
-		Expect(journal.entries()[2].Phase).To(Equal(standin.PhaseRefused))
+		Expect(journal.entries()[2].Phase).To(Equal(standin.PhaseRejected))
 		Expect(journal.entries()[2].Reason).To(Equal("fenced"))
 	})
 
@@ -162,13 +162,13 @@
 		Entry("loses the answer", standin.FaultLoseAnswer, 1, 0, false, true),
 		Entry("answers late", standin.FaultLate, 1, 8, true, false),
 		Entry("stalls", standin.FaultStall, 1, 4, false, true),
-		Entry("refuses", standin.FaultRefuse, 0, 0, false, false),
+		Entry("refuses", standin.FaultReject, 0, 0, false, false),
 		Entry("sends garbage", standin.FaultGarbage, 1, 4, false, true),
 	)
 
 	It("names a retry time when it refuses", func() {
 		Expect(faults.Replace(standin.FaultPlan{
-			RetryAfterSeconds: 7, Requests: map[string]standin.Fault{"r1": standin.FaultRefuse},
+			RetryAfterSeconds: 7, Requests: map[string]standin.Fault{"r1": standin.FaultReject},
 		})).To(Succeed())
 		got := complete("r1", 1, "reply:1")
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/testing/lab/modelserver/stream.go
+++ b/internal/testing/lab/modelserver/stream.go
@@ -21,13 +21,13 @@
 	recorded     bool
 }
 
-// ending says how a stream came to its end, as the journal keeps it.
+// ending is how a stream ended, as the journal records it.
 type ending string
 
 const (
-	endedWhole     ending = "whole"
+	endedComplete  ending = "whole"
 	endedCancelled ending = "cancelled"
-	endedCut       ending = "cut"
+	endedAborted   ending = "cut"
 	endedStalled   ending = "stalled"
 	endedGarbage   ending = "garbage"
 	endedLost      ending = "lost"
@@ -73,8 +73,8 @@
 		s.record(ended)
 	}
 	switch ended {
-	case endedCut, endedStalled, endedLost:
-		standin.Cut(s.context)
+	case endedAborted, endedStalled, endedLost:
+		standin.AbortConnection(s.context)
 	}
 }
 
@@ -89,7 +89,7 @@
 	_ = s.server.journal.Append(entry)
 }
 
-// pass hands tokens on until the answer or the stream ends.
+// pass writes tokens until the answer or the stream ends.
 func (s *stream) pass() ending {
 	ctx := s.context.Request.Context()
 	switch s.generation.fault {
@@ -109,7 +109,7 @@
 		case <-ctx.Done():
 			return endedCancelled
 		case <-s.server.engine.stopped:
-			return endedCut
+			return endedAborted
 		case text, more := <-s.generation.tokens:
 			if !more {
 				return s.end()
@@ -142,7 +142,7 @@
 		s.writeLine("{\"choices\":[{\"delta\":\x00garbage")
 		return endedGarbage
 	default:
-		return endedCut
+		return endedAborted
 	}
 }
 
@@ -152,7 +152,7 @@
 		case <-ctx.Done():
 			return endedCancelled
 		case <-s.server.engine.stopped:
-			return endedCut
+			return endedAborted
 		case _, more := <-s.generation.tokens:
 			if !more {
 				return endedLost
@@ -163,7 +163,7 @@
 
 func (s *stream) end() ending {
 	if s.generation.fault == standin.FaultDieAfter {
-		return endedCut
+		return endedAborted
 	}
 	stop := "stop"
 	s.writeChunk(chunk{Choices: []chunkChoice{{FinishReason: &stop}}})
@@ -176,9 +176,9 @@
 		},
 	})
 	// Whoever saw the last line finds the run in the journal.
-	s.record(endedWhole)
+	s.record(endedComplete)
 	s.writeLine("[DONE]")
-	return endedWhole
+	return endedComplete
 }
 
 func (s *stream) writeToken(text string) bool {
--- a/internal/testing/lab/modelserver/tokens.go
+++ b/internal/testing/lab/modelserver/tokens.go
@@ -43,9 +43,9 @@
 	return hashes
 }
 
-// replyMark is a word of the last message that sets the natural length of the answer.
+// replyLengthPrefix begins a word of the last message that sets the natural length of the answer.
 const (
-	replyMark          = "reply:"
+	replyLengthPrefix  = "reply:"
 	defaultReplyTokens = 24
 )
 
@@ -55,7 +55,7 @@
 		return defaultReplyTokens
 	}
 	for word := range strings.FieldsSeq(messages[len(messages)-1].Content) {
-		length, marked := strings.CutPrefix(word, replyMark)
+		length, marked := strings.CutPrefix(word, replyLengthPrefix)
 		if !marked {
 			continue
 		}
--- a/internal/testing/lab/modeltoken/token.go
+++ b/internal/testing/lab/modeltoken/token.go
@@ -1,5 +1,5 @@
 // Package modeltoken is the form of the tokens that emulated model servers produce.
-// Each token tells its place in the answer, when it was made and for which
+// Each token carries its index in the answer, its time and the nonce of its
 // request, so that a caller can see skipped, repeated, spliced, crossed and
 // delayed pieces by reading the text alone.
 package modeltoken
--- a/internal/testing/lab/overload/overload_test.go
+++ b/internal/testing/lab/overload/overload_test.go
@@ -80,11 +80,11 @@
 	if r.Offered != 6 || r.Answered != 3 || r.Goodput < 0.33 || r.Goodput > 0.34 {
 		t.Fatalf("offered %d, answered %d, goodput %v", r.Offered, r.Answered, r.Goodput)
 	}
-	if r.AllRefusals.Count() != 3 || r.RetryAfter != 2 || r.LateRefusals != 1 || r.LateAtOnset != 1 {
-		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRefusals.Count(), r.RetryAfter, r.LateRefusals, r.LateAtOnset)
+	if r.AllRejections.Count() != 3 || r.RetryAfter != 2 || r.LateRejections != 1 || r.LateAtOnset != 1 {
+		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter, r.LateRejections, r.LateAtOnset)
 	}
-	if len(r.RanRefused) != 1 || r.RanRefused[0] != "bare" {
-		t.Fatalf("refused and ran: %v", r.RanRefused)
+	if len(r.RejectedButRan) != 1 || r.RejectedButRan[0] != "bare" {
+		t.Fatalf("refused and ran: %v", r.RejectedButRan)
 	}
 	if r.Recovery != 300*ms {
 		t.Fatalf("recovery %v", r.Recovery)
--- a/internal/testing/lab/overload/plan.go
+++ b/internal/testing/lab/overload/plan.go
@@ -1,6 +1,6 @@
-// Package overload offers a fleet many times the load that its model servers can
-// take and measures what becomes of it: goodput, the time to a refusal, the
-// shares of classes and tenants and the way back to ordinary service.
+// Package overload offers a fleet a multiple of the load that its model servers can
+// serve and measures goodput, the time to a rejection, the shares of classes and
+// tenants and the recovery afterwards.
 package overload
 
 import (
@@ -41,12 +41,12 @@
 	share    float64
 }
 
-// classShares: urgent requests alone ask for half of the capacity at a factor of ten.
+// classShares: urgent requests alone need half of the capacity at a factor of ten.
 func classShares() []classShare {
 	return []classShare{{caller.PriorityUrgent, 0.05}, {caller.PriorityInteractive, 0.45}, {caller.PriorityProbe, 0.5}}
 }
 
-// Tenants of the burst. All have the same weight; one asks for much more than the others.
+// Tenants of the burst. All have the same weight; one sends much more than the others.
 func Tenants() []Tenant {
 	return []Tenant{{Name: "burst-greedy", Demand: 7}, {Name: "burst-north", Demand: 2}, {Name: "burst-south", Demand: 1}}
 }
@@ -71,17 +71,17 @@
 }
 
 // TooManyError says that a plan would offer more requests than its bound.
-type TooManyError struct{ Planned, Most int }
+type TooManyError struct{ Planned, Max int }
 
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("the burst would offer %d requests, more than %d", e.Planned, e.Most)
+	return fmt.Sprintf("the burst would offer %d requests, more than %d", e.Planned, e.Max)
 }
 
 // arrivals draws all requests of the run; equal arguments give equal ones.
 func (p Plan) arrivals(run string, capacity float64) ([]request, error) {
 	expected := int(capacity * (p.Factor*p.Burst.Seconds() + p.AfterShare*p.After.Seconds()))
 	if expected > p.MaxRequests {
-		return nil, &TooManyError{Planned: expected, Most: p.MaxRequests}
+		return nil, &TooManyError{Planned: expected, Max: p.MaxRequests}
 	}
 	const stream = 7
 	random := rand.New(rand.NewPCG(p.Seed, stream))
--- a/internal/testing/lab/overload/result.go
+++ b/internal/testing/lab/overload/result.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/report"
 )
 
-// LateRefusal is the time within which a refusal should come.
-const LateRefusal = 50 * time.Millisecond
+// LateRejection is the time within which a rejection should come.
+const LateRejection = 50 * time.Millisecond
 
 // warmUp is left out at the beginning of the burst: no answer can come before a turn's own length.
 const warmUp = time.Second
@@ -18,12 +18,12 @@
 // slowFactor says when an answer after the burst still counts as disturbed.
 const slowFactor = 3
 
-// RefusalKey tells refusals apart.
-type RefusalKey struct{ Code, Outcome string }
+// RejectionKey distinguishes rejections.
+type RejectionKey struct{ Code, Outcome string }
 
-// Refusals are those of one kind.
-type Refusals struct {
-	RefusalKey
+// Rejections are those of one key.
+type Rejections struct {
+	RejectionKey
 	Times      *report.Times
 	RetryAfter int
 }
@@ -43,28 +43,28 @@
 	Offered, Answered int
 	// Goodput is answers a second in the steady part of the burst.
 	Goodput float64
-	// AllRefusals are the times of all ends that are no answer.
-	AllRefusals *report.Times
-	RetryAfter  int
-	// LateRefusals came later than LateRefusal; LateAtOnset of them were sent in the first second.
-	LateRefusals int
-	LateAtOnset  int
-	Kinds        []Refusals
-	Classes      []Group
-	Tenants      []Group
-	// RanRefused names requests told not_run that a stand-in ran.
-	RanRefused []string
+	// AllRejections are the times of all requests without an answer.
+	AllRejections *report.Times
+	RetryAfter    int
+	// LateRejections came later than LateRejection; LateAtOnset of them were sent in the first second.
+	LateRejections int
+	LateAtOnset    int
+	Kinds          []Rejections
+	Classes        []Group
+	Tenants        []Group
+	// RejectedButRan names requests with outcome not_run that a stand-in ran.
+	RejectedButRan []string
 	// Recovery is how long after the burst's end the last request was sent that
 	// was not answered or took more than three times the usual.
-	Recovery time.Duration
-	MostLate time.Duration
+	Recovery    time.Duration
+	MaxLateness time.Duration
 }
 
-// Evaluate works out the figures. ran tells whether a stand-in ran a request,
-// usual is the time of a turn at ease.
+// Evaluate computes the figures. ran reports whether a stand-in ran a request,
+// usual is the time of a turn without load.
 func Evaluate(outcome *Outcome, ran func(requestID string) bool, usual time.Duration) *Result {
-	r := &Result{AllRefusals: report.NewTimes(), MostLate: outcome.MostLate}
-	kinds := map[RefusalKey]*Refusals{}
+	r := &Result{AllRejections: report.NewTimes(), MaxLateness: outcome.MaxLateness}
+	kinds := map[RejectionKey]*Rejections{}
 	classes, tenants := map[string]*Group{}, map[string]*Group{}
 	steady := outcome.Burst - warmUp
 	for _, observed := range outcome.Observations {
@@ -73,7 +73,7 @@
 			continue
 		}
 		if record.Outcome == caller.OutcomeNotRun && ran(record.RequestID) {
-			r.RanRefused = append(r.RanRefused, record.RequestID)
+			r.RejectedButRan = append(r.RejectedButRan, record.RequestID)
 		}
 		if observed.After {
 			r.recover(observed, outcome, usual)
@@ -82,9 +82,9 @@
 		r.Offered++
 		of := []*Group{groupOf(classes, record.Priority), groupOf(tenants, record.Site)}
 		answered := record.Outcome == caller.OutcomeAnswered
-		inWindow := answered && outcome.inSteadyPart(record.AnsweredAt)
+		inWindow := answered && outcome.inSteadyPhase(record.AnsweredAt)
 		for _, group := range of {
-			group.take(record, answered, inWindow, steady)
+			group.record(record, answered, inWindow, steady)
 		}
 		if inWindow {
 			r.Goodput += 1 / steady.Seconds()
@@ -93,9 +93,9 @@
 			r.Answered++
 			continue
 		}
-		r.refuse(observed, kinds)
+		r.recordRejection(observed, kinds)
 	}
-	r.Kinds = sorted(kinds, func(a, b Refusals) int {
+	r.Kinds = sorted(kinds, func(a, b Rejections) int {
 		return cmp.Or(cmp.Compare(b.Times.Count(), a.Times.Count()), cmp.Compare(a.Code+a.Outcome, b.Code+b.Outcome))
 	})
 	byName := func(a, b Group) int { return cmp.Compare(a.Name, b.Name) }
@@ -103,7 +103,7 @@
 	return r
 }
 
-func (o *Outcome) inSteadyPart(at time.Time) bool {
+func (o *Outcome) inSteadyPhase(at time.Time) bool {
 	after := at.Sub(o.Begun)
 	return after >= warmUp && after < o.Burst
 }
@@ -115,7 +115,7 @@
 	return groups[name]
 }
 
-func (g *Group) take(record *caller.Record, answered, inWindow bool, steady time.Duration) {
+func (g *Group) record(record *caller.Record, answered, inWindow bool, steady time.Duration) {
 	g.Offered++
 	if answered {
 		g.Answered++
@@ -126,17 +126,17 @@
 	}
 }
 
-func (r *Result) refuse(observed Observation, kinds map[RefusalKey]*Refusals) {
+func (r *Result) recordRejection(observed Observation, kinds map[RejectionKey]*Rejections) {
 	record := observed.Record
-	key := RefusalKey{Code: record.Code, Outcome: record.Outcome}
+	key := RejectionKey{Code: record.Code, Outcome: record.Outcome}
 	if kinds[key] == nil {
-		kinds[key] = &Refusals{RefusalKey: key, Times: report.NewTimes()}
+		kinds[key] = &Rejections{RejectionKey: key, Times: report.NewTimes()}
 	}
 	took := record.AnsweredAt.Sub(record.SentAt())
 	kinds[key].Times.Add(took)
-	r.AllRefusals.Add(took)
-	if took > LateRefusal {
-		r.LateRefusals++
+	r.AllRejections.Add(took)
+	if took > LateRejection {
+		r.LateRejections++
 		if observed.DueAt < warmUp {
 			r.LateAtOnset++
 		}
