--- a/internal/testing/lab/overload/run.go
+++ b/internal/testing/lab/overload/run.go
@@ -43,7 +43,7 @@
 	Burst        time.Duration
 	Observations []Observation
 	// MostLate is how much later than planned a request was sent.
-	MostLate time.Duration
+	MaxLateness time.Duration
 }
 
 func prompt(id string) string {
@@ -71,7 +71,7 @@
 		if !wait.Until(ctx, outcome.Begun.Add(r.at)) {
 			break
 		}
-		outcome.MostLate = max(outcome.MostLate, time.Since(outcome.Begun)-r.at)
+		outcome.MaxLateness = max(outcome.MaxLateness, time.Since(outcome.Begun)-r.at)
 		sending.Go(func() {
 			record := t.turn(ctx, t.Fronts[i%len(t.Fronts)], r)
 			outcome.Observations[i] = Observation{Record: record, DueAt: r.at, After: r.after}
--- a/internal/testing/lab/relay/relay.go
+++ b/internal/testing/lab/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay stands between the processes of a fleet and can cut the links
-// between any two of them. A cut link holds bytes back as a broken network
-// does, in one direction or both, and lets them go on when it heals.
+// Package relay forwards the connections between the processes of a fleet and can
+// partition any two of them. A partitioned link delays bytes as a broken network
+// does, in one direction or both, until it heals.
 package relay
 
 import (
@@ -18,10 +18,10 @@
 // Link is one direction between two processes; an empty name stands for any process.
 type Link struct{ From, To string }
 
-// state is replaced whole at each change.
+// state is immutable; each change replaces it.
 type state struct {
-	cuts    map[Link]bool
-	changed chan struct{}
+	partitions map[Link]bool
+	changed    chan struct{}
 }
 
 // Network is the set of relays of one fleet.
@@ -39,39 +39,39 @@
 	dialTimeout = 2 * time.Second
 )
 
-// NewNetwork makes a network without cuts. Identify names the process behind a
+// NewNetwork makes a network without partitions. Identify names the process behind a
 // source address; an unknown one is the empty name.
 func NewNetwork(identify func(source net.Addr) string) *Network {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Network{identify: identify, ctx: ctx, cancel: cancel}
-	n.state.Store(&state{cuts: map[Link]bool{}, changed: make(chan struct{})})
+	n.state.Store(&state{partitions: map[Link]bool{}, changed: make(chan struct{})})
 	return n
 }
 
-// Set cuts or heals links. It is for one goroutine at a time.
-func (n *Network) Set(cut bool, links ...Link) {
+// SetPartition partitions or heals links. It must not be called concurrently.
+func (n *Network) SetPartition(partitioned bool, links ...Link) {
 	former := n.state.Load()
-	next := &state{cuts: maps.Clone(former.cuts), changed: make(chan struct{})}
+	next := &state{partitions: maps.Clone(former.partitions), changed: make(chan struct{})}
 	for _, link := range links {
-		if cut {
-			next.cuts[link] = true
+		if partitioned {
+			next.partitions[link] = true
 		} else {
-			delete(next.cuts, link)
+			delete(next.partitions, link)
 		}
 	}
 	n.state.Store(next)
 	close(former.changed)
 }
 
-func (s *state) cut(link Link) bool {
-	return s.cuts[link] || s.cuts[Link{From: link.From}] || s.cuts[Link{To: link.To}]
+func (s *state) partitioned(link Link) bool {
+	return s.partitions[link] || s.partitions[Link{From: link.From}] || s.partitions[Link{To: link.To}]
 }
 
-// wait returns when the link is whole, or an error when the context ended first.
+// wait returns when the link is not partitioned, or an error when the context ended first.
 func (n *Network) wait(ctx context.Context, link Link) error {
 	for {
 		current := n.state.Load()
-		if !current.cut(link) {
+		if !current.partitioned(link) {
 			return nil
 		}
 		select {
@@ -151,7 +151,7 @@
 			}
 		}
 		if err != nil {
-			// The end of a connection does not cross a cut link either.
+			// The end of a connection does not cross a partitioned link either.
 			return errors.CombineErrors(errors.Wrap(err, "read"), n.wait(ctx, link))
 		}
 	}
--- a/internal/testing/lab/relay/relay_test.go
+++ b/internal/testing/lab/relay/relay_test.go
@@ -66,7 +66,7 @@
 	exchange("one")
 
 	// The way back is cut: the request arrives, the answer does not.
-	network.Set(true, relay.Link{From: "b", To: "a"})
+	network.SetPartition(true, relay.Link{From: "b", To: "a"})
 	send("two")
 	if line := <-got; line != "two" {
 		t.Fatal(line)
@@ -74,16 +74,16 @@
 	if answers.Buffered() != 0 {
 		t.Fatal("an answer crossed the cut link")
 	}
-	network.Set(false, relay.Link{From: "b", To: "a"})
+	network.SetPartition(false, relay.Link{From: "b", To: "a"})
 	exchange("two")
 
 	// All ways to b are cut: nothing arrives.
-	network.Set(true, relay.Link{To: "b"})
+	network.SetPartition(true, relay.Link{To: "b"})
 	send("three")
 	if len(got) != 0 {
 		t.Fatal("a request crossed the cut link")
 	}
-	network.Set(false, relay.Link{To: "b"})
+	network.SetPartition(false, relay.Link{To: "b"})
 	<-got
 	exchange("three")
 	network.Close()
--- a/internal/testing/lab/report/summary.go
+++ b/internal/testing/lab/report/summary.go
@@ -1,4 +1,4 @@
-// Package report turns the book of a run into figures and tables.
+// Package report turns the request log of a run into figures and tables.
 package report
 
 import (
@@ -42,8 +42,8 @@
 	return time.Duration(t.histogram.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Refusal is what callers were told in place of an answer.
-type Refusal struct {
+// Rejection is the code and outcome of requests without an answer.
+type Rejection struct {
 	Operation caller.Operation
 	Code      string
 	Outcome   string
@@ -68,28 +68,28 @@
 	FirstToken    *Times
 	InterEvent    *Times
 	ToolTime      *Times
-	RefusalTime   *Times
-	Refusals      []Refusal
+	RejectionTime *Times
+	Rejections    []Rejection
 }
 
-// Summarize computes the figures of a book.
-func Summarize(book *caller.Book) *Summary {
+// Summarize computes the figures of a request log.
+func Summarize(requestLog *caller.RequestLog) *Summary {
 	s := &Summary{
-		Conversations: len(book.Programs), Unserved: book.Unserved,
-		FirstToken: NewTimes(), InterEvent: NewTimes(), ToolTime: NewTimes(), RefusalTime: NewTimes(),
+		Conversations: len(requestLog.Programs), Unserved: requestLog.Unserved,
+		FirstToken: NewTimes(), InterEvent: NewTimes(), ToolTime: NewTimes(), RejectionTime: NewTimes(),
 	}
-	refusals := map[Refusal]int{}
-	for _, record := range book.Records {
+	refusals := map[Rejection]int{}
+	for _, record := range requestLog.Records {
 		s.take(record)
 		if record.Outcome != caller.OutcomeAnswered {
-			refusals[Refusal{Operation: record.Operation, Code: record.Code, Outcome: record.Outcome}]++
+			refusals[Rejection{Operation: record.Operation, Code: record.Code, Outcome: record.Outcome}]++
 		}
 	}
 	for refusal, count := range refusals {
 		refusal.Count = count
-		s.Refusals = append(s.Refusals, refusal)
+		s.Rejections = append(s.Rejections, refusal)
 	}
-	slices.SortFunc(s.Refusals, func(a, b Refusal) int {
+	slices.SortFunc(s.Rejections, func(a, b Rejection) int {
 		if a.Count != b.Count {
 			return b.Count - a.Count
 		}
@@ -98,7 +98,7 @@
 	return s
 }
 
-func compareNames(a, b Refusal) int {
+func compareNames(a, b Rejection) int {
 	return slices.Compare(
 		[]string{string(a.Operation), a.Code, a.Outcome}, []string{string(b.Operation), b.Code, b.Outcome})
 }
@@ -124,7 +124,7 @@
 		s.ReadsAnswered += answered
 	}
 	if record.Outcome == caller.OutcomeNotRun && len(record.Exchanges) == 1 {
-		s.RefusalTime.Add(record.AnsweredAt.Sub(record.SentAt()))
+		s.RejectionTime.Add(record.AnsweredAt.Sub(record.SentAt()))
 	}
 }
 
@@ -173,11 +173,11 @@
 }
 
 // SiteCounts counts answered turns and tool calls by site, sites in order.
-func SiteCounts(book *caller.Book) (sites []string, turns, tools map[string]int) {
+func SiteCounts(requestLog *caller.RequestLog) (sites []string, turns, tools map[string]int) {
 	turns = map[string]int{}
 	tools = map[string]int{}
 	seen := map[string]bool{}
-	for _, record := range book.Records {
+	for _, record := range requestLog.Records {
 		seen[record.Site] = true
 		if record.Outcome != caller.OutcomeAnswered {
 			continue
--- a/internal/testing/lab/report/table.go
+++ b/internal/testing/lab/report/table.go
@@ -29,7 +29,7 @@
 }
 
 // PrintSummary writes the figures of a run.
-func PrintSummary(output io.Writer, book *caller.Book, summary *Summary, duration time.Duration) {
+func PrintSummary(output io.Writer, requestLog *caller.RequestLog, summary *Summary, duration time.Duration) {
 	counts := NewTable(output, "Run", "what", "count", "answered", "per second")
 	perSecond := func(count int) string { return fmt.Sprintf("%.1f", float64(count)/duration.Seconds()) }
 	counts.AppendRow(table.Row{"conversations", summary.Conversations, "", perSecond(summary.Conversations)})
@@ -39,7 +39,7 @@
 	counts.AppendRow(table.Row{"streams resumed", summary.Resumed, "", ""})
 	counts.AppendRow(table.Row{"requests sent again", summary.Repeated, "", ""})
 	counts.AppendRow(table.Row{"not begun, too many under way", summary.Unserved, "", ""})
-	sites, turns, tools := SiteCounts(book)
+	sites, turns, tools := SiteCounts(requestLog)
 	for _, name := range sites {
 		counts.AppendRow(table.Row{"  " + name + ": turns, tool calls answered", turns[name], tools[name], ""})
 	}
@@ -51,7 +51,7 @@
 	})
 	tokens.Render()
 	printTimes(output, summary)
-	printRefusals(output, summary)
+	printRejections(output, summary)
 }
 
 func printTimes(output io.Writer, summary *Summary) {
@@ -63,7 +63,7 @@
 		{"first token", summary.FirstToken},
 		{"between events", summary.InterEvent},
 		{"tool call", summary.ToolTime},
-		{"refusal", summary.RefusalTime},
+		{"refusal", summary.RejectionTime},
 	}
 	for _, row := range rows {
 		times.AppendRow(timesRow(row.name, row.times))
@@ -78,12 +78,12 @@
 	}
 }
 
-func printRefusals(output io.Writer, summary *Summary) {
+func printRejections(output io.Writer, summary *Summary) {
 	refusals := NewTable(output, "Not answered, by reason", "operation", "code", "outcome", "count")
-	for _, refusal := range summary.Refusals {
+	for _, refusal := range summary.Rejections {
 		refusals.AppendRow(table.Row{refusal.Operation, refusal.Code, refusal.Outcome, refusal.Count})
 	}
-	if len(summary.Refusals) == 0 {
+	if len(summary.Rejections) == 0 {
 		refusals.AppendRow(table.Row{"none", "", "", 0})
 	}
 	refusals.Render()
--- a/internal/testing/lab/simclock/simclock.go
+++ b/internal/testing/lab/simclock/simclock.go
@@ -1,5 +1,6 @@
-// Package simclock is the clock of a simulated machine whose processor can be frozen: whoever asks for the time meanwhile goes
-// on when the machine wakes. It freezes what asks its clock before it acts, as the owners of a core replica and of a store do.
+// Package simclock is the clock of a simulated machine whose processor can be frozen: a goroutine that reads the time
+// meanwhile blocks until the machine wakes. It freezes code that reads its clock before it acts, as the owner
+// goroutines of a core replica and of a store do.
 package simclock
 
 import (
@@ -7,14 +8,15 @@
 	"time"
 )
 
-// Clock tells the time of the goroutine that asks, which is virtual in a testing/synctest bubble. The zero value runs.
+// Clock returns the time of the calling goroutine, which is virtual in a testing/synctest bubble. The zero value runs.
+// It is safe for concurrent use.
 type Clock struct {
 	mutex sync.Mutex
 	// woken is closed when the machine wakes; nil while it is not frozen.
 	woken chan struct{}
 }
 
-// Freeze stops the clock for whoever asks it.
+// Freeze blocks all further reads of the clock.
 func (c *Clock) Freeze() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -23,7 +25,7 @@
 	}
 }
 
-// Wake lets all go on that wait for the time.
+// Wake unblocks all reads of the clock.
 func (c *Clock) Wake() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -33,7 +35,7 @@
 	}
 }
 
-// IsFrozen reports whether the clock stands.
+// IsFrozen reports whether the clock is frozen.
 func (c *Clock) IsFrozen() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -51,7 +53,8 @@
 	return time.Now()
 }
 
-// AfterFunc calls run on a goroutine of its own once the time has passed and the clock is not frozen, unless stop was called before.
+// AfterFunc calls run on a goroutine of its own once the time has passed and the clock is not frozen, unless stop was
+// called before.
 func (c *Clock) AfterFunc(wait time.Duration, run func()) (stop func()) {
 	timer := time.AfterFunc(wait, func() {
 		c.Now()
--- a/internal/testing/lab/simcommand/idle_fleet.go
+++ b/internal/testing/lab/simcommand/idle_fleet.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
-// UnhealthyError says that a fleet at rest did not stay whole, so that its speed means nothing.
+// UnhealthyError is returned when the idle fleet did not stay healthy, so that its speed means nothing.
 type UnhealthyError struct{}
 
 func (e *UnhealthyError) Error() string { return "the fleet at rest has no leader or lacks replicas" }
--- a/internal/testing/lab/simulatednode/fleet.go
+++ b/internal/testing/lab/simulatednode/fleet.go
@@ -20,13 +20,13 @@
 	"github.com/rosestand/rosestand/internal/testing/subprocess"
 )
 
-// Options describe a herd of hollow nodes and back ends.
+// Options describe a fleet of simulated nodes of simulated nodes and back ends.
 type Options struct {
 	Nodes   int
 	Servers int
 	Zones   int
 	Region  string
-	// Versions is the largest bundle version whose arrival is noted.
+	// Versions is the largest bundle version whose arrival is recorded.
 	Versions   int
 	ClusterKey []byte
 	Seeds      []string
@@ -36,26 +36,26 @@
 }
 
 const (
-	heartbeatInterval = time.Second
-	readyInterval     = 20 * time.Millisecond
-	ownersAtOnce      = 4
+	heartbeatInterval       = time.Second
+	readyInterval           = 20 * time.Millisecond
+	concurrentOwnersPerNode = 4
 	// nodesOwningAtOnce bounds the storm of first connections, which real nodes spread over their machines.
-	nodesOwningAtOnce = 64
-	shortestOwnRetry  = 100 * time.Millisecond
+	maxConcurrentOwners = 64
+	minOwnRetryInterval = 100 * time.Millisecond
 )
 
-// Herd is many hollow front nodes and back ends in this process.
-type Herd struct {
-	options Options
-	nodes   []*node
-	cancel  context.CancelFunc
-	beating sync.WaitGroup
-	sent    atomic.Uint64
+// Fleet is many simulated front nodes and back ends in this process.
+type Fleet struct {
+	options    Options
+	nodes      []*node
+	cancel     context.CancelFunc
+	heartbeats sync.WaitGroup
+	sent       atomic.Uint64
 }
 
 // Start starts the nodes and the back ends and waits until every node is ready.
-func Start(ctx context.Context, options Options) (*Herd, error) {
-	h := &Herd{options: options}
+func Start(ctx context.Context, options Options) (*Fleet, error) {
+	h := &Fleet{options: options}
 	network := newMemoryNetwork()
 	for i := range options.Nodes {
 		h.nodes = append(h.nodes, newNode(options, network, fmt.Sprintf("hollow-%03d", i+1), fmt.Sprintf("zone-%d", i%options.Zones+1)))
@@ -71,10 +71,10 @@
 			return h, err
 		}
 	}
-	beating, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	heartbeatContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	h.cancel = cancel
 	for i := range options.Servers {
-		h.beating.Go(func() { h.beat(beating, i) })
+		h.heartbeats.Go(func() { h.sendHeartbeats(heartbeatContext, i) })
 	}
 	return h, h.awaitReady(ctx, len(h.nodes))
 }
@@ -86,14 +86,14 @@
 	return fmt.Sprintf("%d of %d hollow nodes are ready", e.Ready, e.Nodes)
 }
 
-// MemoryError says that the herd would take more than its share of the machine's memory.
+// MemoryError is returned when the simulated nodes exceed their share of the machine's memory.
 type MemoryError struct{ ResidentBytes, LimitBytes uint64 }
 
 func (e *MemoryError) Error() string {
 	return fmt.Sprintf("this process holds %d MB of memory, its limit is %d MB", e.ResidentBytes>>20, e.LimitBytes>>20)
 }
 
-// checkMemory holds this process to a third of the machine's memory, so that
+// checkMemory limits this process to a third of the machine's memory, so that
 // with the core and the stores the run stays under half of it.
 func checkMemory() error {
 	const share = 3
@@ -112,7 +112,7 @@
 }
 
 // awaitReady waits until the first count nodes are ready at the same time.
-func (h *Herd) awaitReady(ctx context.Context, count int) error {
+func (h *Fleet) awaitReady(ctx context.Context, count int) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
 	for {
@@ -136,8 +136,8 @@
 	}
 }
 
-// beat sends the heartbeats of one back end, each to a front node chosen anew.
-func (h *Herd) beat(ctx context.Context, number int) {
+// sendHeartbeats sends the heartbeats of one back end, each to a random front node.
+func (h *Fleet) sendHeartbeats(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(h.options.Seed, uint64(number)))
 	described := &protocol.BackEnd{
 		Id: fmt.Sprintf("hollow-server-%03d", number+1), Kind: protocol.BackEndKind_MODEL_SERVER, State: protocol.BackEndState_READY,
@@ -154,7 +154,7 @@
 		case <-timer.C:
 		}
 		select {
-		case h.nodes[random.IntN(len(h.nodes))].beats <- described:
+		case h.nodes[random.IntN(len(h.nodes))].heartbeats <- described:
 			h.sent.Add(1)
 		default:
 		}
@@ -162,19 +162,19 @@
 	}
 }
 
-// Own gives each node its share of sessions, one program each, and returns how
-// many there are and how often a node was refused and tried again.
-func (h *Herd) Own(ctx context.Context, sessions int) (owned, refused int, err error) {
+// OwnSessions gives each node its share of sessions, one program each, and returns how
+// many there are and how often an attempt was rejected and repeated.
+func (h *Fleet) OwnSessions(ctx context.Context, sessions int) (owned, rejected int, err error) {
 	var owning errgroup.Group
-	owning.SetLimit(nodesOwningAtOnce)
-	var count, refusals atomic.Int64
+	owning.SetLimit(maxConcurrentOwners)
+	var count, rejectionCount atomic.Int64
 	for i, n := range h.nodes {
-		for part := range ownersAtOnce {
+		for worker := range concurrentOwnersPerNode {
 			owning.Go(func() error {
-				for number := i*ownersAtOnce + part; number < sessions; number += len(h.nodes) * ownersAtOnce {
+				for number := i*concurrentOwnersPerNode + worker; number < sessions; number += len(h.nodes) * concurrentOwnersPerNode {
 					id := fmt.Sprintf("hollow-session-%06d", number)
-					tries, err := n.own(ctx, id, "program-"+id)
-					refusals.Add(int64(tries))
+					rejections, err := n.ownSession(ctx, id, "program-"+id)
+					rejectionCount.Add(int64(rejections))
 					if err != nil {
 						return errors.Wrapf(err, "%s", n.name)
 					}
@@ -185,12 +185,12 @@
 		}
 	}
 	err = owning.Wait()
-	return int(count.Load()), int(refusals.Load()), err
+	return int(count.Load()), int(rejectionCount.Load()), err
 }
 
 // Arrivals are the times from a moment until each node had a bundle in force,
 // sorted; nodes that do not have it are left out.
-func (h *Herd) Arrivals(version int, since time.Time) []time.Duration {
+func (h *Fleet) Arrivals(version int, since time.Time) []time.Duration {
 	var arrivals []time.Duration
 	for _, n := range h.nodes {
 		if at := n.inForce[version].Load(); at > 0 {
@@ -201,7 +201,7 @@
 	return arrivals
 }
 
-// Footprint is what the herd has used up to a moment.
+// Footprint is what the fleet of simulated nodes has used up to a moment.
 type Footprint struct {
 	At            time.Time
 	CoreBytes     uint64
@@ -212,8 +212,9 @@
 	Goroutines    int
 }
 
-// Footprint reads what the herd has used until now, after giving memory that is no longer used back.
-func (h *Herd) Footprint() (Footprint, error) {
+// Footprint reads what the fleet of simulated nodes has used until now, after giving memory that is no longer used
+// back.
+func (h *Fleet) Footprint() (Footprint, error) {
 	debug.FreeOSMemory()
 	usage, err := subprocess.UsageOf(os.Getpid())
 	f := Footprint{
@@ -228,10 +229,10 @@
 }
 
 // Stop ends the back ends and the nodes.
-func (h *Herd) Stop(ctx context.Context) error {
+func (h *Fleet) Stop(ctx context.Context) error {
 	if h.cancel != nil {
 		h.cancel()
-		h.beating.Wait()
+		h.heartbeats.Wait()
 	}
 	var stopping errgroup.Group
 	for _, n := range h.nodes {
--- a/internal/testing/lab/simulatednode/memory.go
+++ b/internal/testing/lab/simulatednode/memory.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// memoryNetwork connects the hollow nodes of this process with each other
+// memoryNetwork connects the simulated nodes of this process with each other
 // without sockets, of which a process may not have as many as they would need:
 // each of 330 nodes may be connected to all others. The bytes are those that
 // would go over the network.
@@ -21,7 +21,7 @@
 	return &memoryNetwork{listeners: map[string]*memoryListener{}}
 }
 
-// UnreachableError says that no hollow node listens at an address.
+// UnreachableError says that no simulated node listens at an address.
 type UnreachableError struct{ Address string }
 
 func (e *UnreachableError) Error() string { return "no hollow node listens at " + e.Address }
@@ -36,7 +36,7 @@
 	return listener
 }
 
-// dial connects to a hollow node.
+// dial connects to a simulated node.
 func (m *memoryNetwork) dial(ctx context.Context, address string) (net.Conn, error) {
 	listener := m.listeners[address]
 	if listener == nil {
--- a/internal/testing/lab/simulatednode/node.go
+++ b/internal/testing/lab/simulatednode/node.go
@@ -31,15 +31,15 @@
 	peerIdleTimeout = 3 * time.Second
 )
 
-// node is one hollow front node.
+// node is one simulated front node.
 type node struct {
-	name     string
-	link     *corelink.Link
-	manager  *ownership.Manager
-	server   *wire.Server
-	corePool *wire.Pool
-	peerPool *wire.Pool
-	beats    chan *protocol.BackEnd
+	name       string
+	link       *corelink.Link
+	manager    *ownership.Manager
+	server     *wire.Server
+	corePool   *wire.Pool
+	peerPool   *wire.Pool
+	heartbeats chan *protocol.BackEnd
 	// inForce holds, by bundle version, when the node had it in force, in Unix microseconds.
 	inForce []atomic.Int64
 	cancel  context.CancelFunc
@@ -50,13 +50,13 @@
 	listener := network.listen()
 	address := listener.Addr().String()
 	n := &node{
-		name:     name,
-		corePool: wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name}),
-		peerPool: wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name, Dial: network.dial, IdleTimeout: peerIdleTimeout}),
-		beats:    make(chan *protocol.BackEnd, heartbeatQueue),
-		inForce:  make([]atomic.Int64, options.Versions+1),
+		name:       name,
+		corePool:   wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name}),
+		peerPool:   wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name, Dial: network.dial, IdleTimeout: peerIdleTimeout}),
+		heartbeats: make(chan *protocol.BackEnd, heartbeatQueue),
+		inForce:    make([]atomic.Int64, options.Versions+1),
 	}
-	quiet := log.NewWithOptions(nopWriter{}, log.Options{Level: log.FatalLevel})
+	quiet := log.NewWithOptions(discardWriter{}, log.Options{Level: log.FatalLevel})
 	n.link = corelink.New(corelink.Options{
 		Self: &protocol.Node{
 			Name: name, Kind: protocol.NodeKind_FRONT, Incarnation: uint64(time.Now().UnixMilli()),
@@ -66,18 +66,18 @@
 	})
 	n.manager = ownership.New(ownership.Options{Link: n.link, Caller: n.peerPool, Logger: quiet, Registerer: prometheus.NewRegistry()})
 	n.peerPool.OnBroken(n.manager.PeerBroken)
-	n.link.Subscribe(n.see)
+	n.link.Subscribe(n.observeView)
 	n.server = wire.NewServer(listener, n, wire.ServerOptions{Key: options.ClusterKey})
 	return n
 }
 
-type nopWriter struct{}
+type discardWriter struct{}
 
 // Write implements io.Writer.
-func (nopWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// see notes when a bundle came into force.
-func (n *node) see(view *corelink.View) {
+// observeView records when a bundle came into force.
+func (n *node) observeView(view *corelink.View) {
 	version := min(int(view.Configuration.GetActive().GetVersion()), len(n.inForce)-1)
 	now := time.Now().UnixMicro()
 	for ; version > 0; version-- {
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// relay passes heartbeats on as a front node does: those that come within a moment go together.
+// relay forwards heartbeats as a front node does: those that arrive within heartbeatWindow in one batch.
 func (n *node) relay(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-n.beats:
+		case first := <-n.heartbeats:
 			n.sendHeartbeats(ctx, n.collect(ctx, first))
 		}
 	}
@@ -134,7 +134,7 @@
 	defer window.Stop()
 	for len(batch) < heartbeatBatch {
 		select {
-		case next := <-n.beats:
+		case next := <-n.heartbeats:
 			batch = append(batch, &protocol.BackEndHeartbeat{BackEnd: next})
 		case <-window.C:
 			return batch
@@ -148,32 +148,32 @@
 func (n *node) sendHeartbeats(ctx context.Context, batch []*protocol.BackEndHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	// A heartbeat that is lost is made good by the next one.
+	// The next heartbeat makes up for a lost one.
 	_, _ = n.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_RelayHeartbeats{
 		RelayHeartbeats: &protocol.RelayHeartbeatsRequest{Heartbeats: batch},
 	}})
 }
 
-// own makes the node the owner of a session. A refusal is tried again after
-// the wait that it names, as a caller would; it returns how often that was so.
-func (n *node) own(ctx context.Context, session, program string) (refusals int, err error) {
+// ownSession makes the node the owner of a session. A rejection is retried after
+// its retry-after; it returns the number of rejections.
+func (n *node) ownSession(ctx context.Context, session, program string) (rejections int, err error) {
 	for {
-		err := n.tryToOwn(ctx, session, program)
-		refused := err != nil && failure.From(err).GetOutcome() == protocol.Outcome_NOT_RUN
-		if !refused {
-			return refusals, err
+		err := n.attemptToOwn(ctx, session, program)
+		rejected := err != nil && failure.From(err).GetOutcome() == protocol.Outcome_NOT_RUN
+		if !rejected {
+			return rejections, err
 		}
-		refusals++
-		wait := max(time.Duration(failure.From(err).GetRetryAfterMillis())*time.Millisecond, shortestOwnRetry)
+		rejections++
+		wait := max(time.Duration(failure.From(err).GetRetryAfterMillis())*time.Millisecond, minOwnRetryInterval)
 		select {
 		case <-ctx.Done():
-			return refusals, err
+			return rejections, err
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (n *node) tryToOwn(ctx context.Context, session, program string) error {
+func (n *node) attemptToOwn(ctx context.Context, session, program string) error {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	_, err := n.manager.Resolve(ctx, session, program)
@@ -195,7 +195,7 @@
 func (n *node) coreBytes() uint64 { return bytesOf(n.corePool.Counters()) }
 
 // peerBytes counts what went between the node and other nodes, seen from the
-// side that asked.
+// side of the requests.
 func (n *node) peerBytes() uint64 { return bytesOf(n.peerPool.Counters()) }
 
 func bytesOf(counters *wire.Counters) uint64 {
--- a/internal/testing/lab/site/site.go
+++ b/internal/testing/lab/site/site.go
@@ -63,8 +63,8 @@
 	Zones        int `json:"zones"`
 	ModelServers int `json:"model_servers"`
 	ToolServers  int `json:"tool_servers"`
-	// ZoneWeights deals the processes of each kind unevenly: of a sum of the weights, each zone gets its weight. Empty deals
-	// them round the zones one by one.
+	// ZoneWeights deals the processes of each kind unevenly: of a sum of the weights, each zone gets its weight. Empty
+	// deals them round the zones one by one.
 	ZoneWeights []int `json:"zone_weights,omitempty"`
 }
 
--- a/internal/testing/lab/standin/announce.go
+++ b/internal/testing/lab/standin/announce.go
@@ -38,11 +38,11 @@
 const (
 	heartbeatTimeout = 2 * time.Second
 	drainTimeout     = 15 * time.Second
-	drainTries       = 5
+	drainAttempts    = 5
 	answerLimit      = 1 << 16
 )
 
-// Announcer sends heartbeats to any of the front nodes and asks them to drain.
+// Announcer sends heartbeats and drain requests to any of the front nodes.
 type Announcer struct {
 	fronts []string
 	client *http.Client
@@ -66,7 +66,7 @@
 }
 
 // Heartbeat sends one heartbeat, trying each front node once, beginning with
-// the one that answered last. It returns the interval asked for.
+// the one that answered last. It returns the requested interval.
 func (a *Announcer) Heartbeat(ctx context.Context, body Announcement) (time.Duration, error) {
 	var failed error
 	for range a.fronts {
@@ -84,13 +84,13 @@
 	return 0, errors.Wrap(failed, "heartbeat")
 }
 
-// Drain asks front nodes in turn until one acknowledges that the server leaves.
+// Drain sends the drain request to front nodes in turn until one acknowledges it.
 func (a *Announcer) Drain(ctx context.Context, id string, incarnation uint64) error {
 	body := struct {
 		Incarnation uint64 `json:"incarnation"`
 	}{incarnation}
 	var failed error
-	for try := range drainTries {
+	for try := range drainAttempts {
 		front := a.fronts[(a.next+try)%len(a.fronts)]
 		err := a.post(ctx, front, "/v1/backends/"+id+"/drain", drainTimeout, body, &struct{}{})
 		if err == nil {
--- a/internal/testing/lab/standin/fault.go
+++ b/internal/testing/lab/standin/fault.go
@@ -15,11 +15,11 @@
 // Faults of a stand-in.
 const (
 	FaultNone Fault = ""
-	// FaultDieBefore cuts the connection before anything is run.
+	// FaultDieBefore aborts the connection before anything is run.
 	FaultDieBefore Fault = "die_before"
-	// FaultDieDuring cuts the connection in the middle of the answer.
+	// FaultDieDuring aborts the connection in the middle of the answer.
 	FaultDieDuring Fault = "die_during"
-	// FaultDieAfter runs to the end and cuts the connection before the end is told.
+	// FaultDieAfter runs to the end and aborts the connection before the end of the answer.
 	FaultDieAfter Fault = "die_after"
 	// FaultLoseAnswer runs to the end and sends nothing of the answer.
 	FaultLoseAnswer Fault = "lose_answer"
@@ -27,8 +27,8 @@
 	FaultLate Fault = "late"
 	// FaultStall stops in the middle of the answer without closing.
 	FaultStall Fault = "stall"
-	// FaultRefuse refuses with a retry time; nothing is run.
-	FaultRefuse Fault = "refuse"
+	// FaultReject rejects with a retry-after; nothing is run.
+	FaultReject Fault = "refuse"
 	// FaultGarbage sends bytes that are no answer.
 	FaultGarbage Fault = "garbage"
 )
@@ -37,7 +37,7 @@
 func Faults() []Fault {
 	return []Fault{
 		FaultDieBefore, FaultDieDuring, FaultDieAfter, FaultLoseAnswer,
-		FaultLate, FaultStall, FaultRefuse, FaultGarbage,
+		FaultLate, FaultStall, FaultReject, FaultGarbage,
 	}
 }
 
@@ -116,7 +116,7 @@
 	return float64(xxhash.Sum64String(text)>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// Late is how long a late answer is held back.
+// Late is the delay of a late answer.
 func (p *FaultPlan) Late() time.Duration {
 	return millisOr(p.LateMillis, defaultLateMillis)
 }
@@ -126,7 +126,7 @@
 	return millisOr(p.StallMillis, defaultStallMillis)
 }
 
-// RetryAfter is the retry time of a refusal in seconds.
+// RetryAfter is the retry-after of a rejection in seconds.
 func (p *FaultPlan) RetryAfter() int {
 	if p.RetryAfterSeconds > 0 {
 		return p.RetryAfterSeconds
--- a/internal/testing/lab/standin/journal.go
+++ b/internal/testing/lab/standin/journal.go
@@ -24,7 +24,7 @@
 	// PhaseFinished closes a started run and says how far it came.
 	PhaseFinished Phase = "finished"
 	// PhaseRefused is a request of which nothing was run.
-	PhaseRefused Phase = "refused"
+	PhaseRejected Phase = "refused"
 	// PhaseDrainAcknowledged is the moment a front node acknowledged that the server leaves.
 	PhaseDrainAcknowledged Phase = "drain_acknowledged"
 	// PhaseReady is a start of the server, which ends an earlier drain.
@@ -51,7 +51,7 @@
 	Object string `json:"object,omitempty"`
 	// Tokens written to the front node.
 	Tokens int `json:"tokens,omitempty"`
-	// Reason of a refusal, or how a run ended.
+	// Reason of a rejection, or how a run ended.
 	Reason string `json:"reason,omitempty"`
 	Fault  Fault  `json:"fault,omitempty"`
 }
@@ -104,7 +104,7 @@
 }
 
 // ReadJournals reads all journals of a folder in the order of time. A torn
-// last line, as a killed process may leave, is passed over.
+// last line, as a killed process may leave, is ignored.
 func ReadJournals(folder string) ([]Entry, error) {
 	files, err := os.ReadDir(folder)
 	if err != nil {
--- a/internal/testing/lab/standin/shell.go
+++ b/internal/testing/lab/standin/shell.go
@@ -176,7 +176,7 @@
 }
 
 // Drain marks the server draining and returns when a front node has
-// acknowledged it. The server goes on serving what still reaches it.
+// acknowledged it. The server continues to serve the requests that still reach it.
 func (s *Shell) Drain(ctx context.Context) error {
 	order := drainOrder{ctx: ctx, reply: make(chan error, 1)}
 	select {
--- a/internal/testing/lab/standin/standin.go
+++ b/internal/testing/lab/standin/standin.go
@@ -92,8 +92,8 @@
 	c.AbortWithStatusJSON(status, ErrorBody{Error: ErrorDetail{Code: code, Message: message}})
 }
 
-// Cut closes the connection of a request without ending the answer. It does not return.
-func Cut(c *gin.Context) {
+// AbortConnection closes the connection of a request without ending the answer. It does not return.
+func AbortConnection(c *gin.Context) {
 	c.Abort()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/testing/lab/toolserver/server.go
+++ b/internal/testing/lab/toolserver/server.go
@@ -163,24 +163,24 @@
 	s.act(c, entry, answer.fenced)
 }
 
-// act refuses or runs the call and answers as its fault says.
+// act rejects or runs the call and answers according to its fault.
 func (s *Server) act(c *gin.Context, entry standin.Entry, fenced bool) {
 	plan := s.faults.Plan()
 	switch {
 	case fenced:
-		s.record(entry, standin.PhaseRefused, "fenced")
+		s.record(entry, standin.PhaseRejected, "fenced")
 		standin.Abort(c, http.StatusConflict, "fenced", "a newer owner of the session was seen")
 	case int(s.running.Load()) > s.settings.Capacity:
-		s.record(entry, standin.PhaseRefused, "busy")
+		s.record(entry, standin.PhaseRejected, "busy")
 		c.Header("Retry-After", "1")
 		standin.Abort(c, http.StatusTooManyRequests, "busy", "")
-	case entry.Fault == standin.FaultRefuse:
-		s.record(entry, standin.PhaseRefused, "refused_by_fault")
+	case entry.Fault == standin.FaultReject:
+		s.record(entry, standin.PhaseRejected, "refused_by_fault")
 		c.Header("Retry-After", strconv.Itoa(plan.RetryAfter()))
 		standin.Abort(c, http.StatusServiceUnavailable, "refused", "")
 	case entry.Fault == standin.FaultDieBefore:
-		s.record(entry, standin.PhaseRefused, "died_before")
-		standin.Cut(c)
+		s.record(entry, standin.PhaseRejected, "died_before")
+		standin.AbortConnection(c)
 	default:
 		s.run(c, entry, plan)
 	}
@@ -194,13 +194,13 @@
 	ctx := c.Request.Context()
 	switch entry.Fault {
 	case standin.FaultDieDuring, standin.FaultDieAfter, standin.FaultLoseAnswer:
-		standin.Cut(c)
+		standin.AbortConnection(c)
 		return
 	case standin.FaultLate:
 		wait.For(ctx, plan.Late())
 	case standin.FaultStall:
 		wait.For(ctx, plan.Stall())
-		standin.Cut(c)
+		standin.AbortConnection(c)
 		return
 	case standin.FaultGarbage:
 		c.Data(http.StatusOK, "application/json", []byte("{\"tool\":\x00garbage"))
--- a/internal/testing/lab/toolserver/server_test.go
+++ b/internal/testing/lab/toolserver/server_test.go
@@ -100,7 +100,7 @@
 		cut  bool
 	}{
 		standin.FaultDieBefore:  {0, true},
-		standin.FaultRefuse:     {0, false},
+		standin.FaultReject:     {0, false},
 		standin.FaultDieDuring:  {1, true},
 		standin.FaultDieAfter:   {1, true},
 		standin.FaultLoseAnswer: {1, true},
--- a/internal/transport/serverconn/memory_test.go
+++ b/internal/transport/serverconn/memory_test.go
@@ -25,7 +25,7 @@
 func TestAConnectionInMemoryThatEndedIsNotUsedAgain(t *testing.T) {
 	const address = "10.0.0.2:80"
 	synctest.Test(t, func(t *testing.T) {
-		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Least: time.Millisecond, Most: 2 * time.Millisecond})
+		network := memnet.New(rand.New(rand.NewPCG(1, 1)), memnet.Latency{Min: time.Millisecond, Max: 2 * time.Millisecond})
 		listener, err := network.Listen(address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -220,7 +220,7 @@
 }
 
 func TestFailuresSayWhetherTheRequestMayHaveRun(t *testing.T) {
-	gone, err := closedport.Hold()
+	gone, err := closedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
