--- a/internal/dataplane/front/backend_client.go
+++ b/internal/dataplane/front/backend_client.go
@@ -16,6 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -112,7 +113,7 @@
 
 // backEndRequest carries the headers that every request to a back end has.
 type backEndRequest struct {
-	server    *backEnd
+	server    *backends.Server
 	path      string
 	body      []byte
 	requestID string
@@ -134,7 +135,7 @@
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	prepared, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
-		request.server.url(request.path), onceReader{bytes.NewReader(request.body)})
+		request.server.URL(request.path), onceReader{bytes.NewReader(request.body)})
 	if err != nil {
 		return nil, &backEndError{fault: turn.FaultNotSent, detail: err.Error()}
 	}
@@ -161,7 +162,7 @@
 		return nil, &backEndError{fault: fault, detail: err.Error()}
 	}
 	if load, reported := dialect.DecodeLoad(response.Header.Get(headerLoad)); reported {
-		request.server.applyLoad(load, c.clock.Now())
+		request.server.ApplyLoad(load, c.clock.Now())
 	}
 	if echoed := response.Header.Get(headerNonce); echoed != "" && echoed != request.nonce {
 		_ = response.Body.Close()
--- a/internal/dataplane/front/group_models.go
+++ b/internal/dataplane/front/backends/models.go
@@ -1,4 +1,4 @@
-package front
+package backends
 
 import (
 	"sync"
@@ -9,36 +9,38 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// groupModels hold what this front node learned of the servers of each group:
-// what they keep in their caches, what they have still to read, and how fast they are.
-type groupModels struct {
+// Models hold what this front node learned of the servers of each group: the prompts in their caches, the
+// prompt tokens that they still have to prefill, and how fast they are. The mutex guards all of it.
+type Models struct {
 	mutex      sync.Mutex
 	frontNodes int
 	groups     map[string]*groupModel
 }
 
-// groupModel is the part of one group; it belongs to the mutex of groupModels.
+// groupModel is the part of one group; the mutex of Models guards it.
 type groupModel struct {
 	cache   *promptcache.Model
 	profile schedule.ProfileEstimator
 	servers map[string]*serverModel
 }
 
-// serverModel is what this front node has at one server, and how fast that is.
+// serverModel is what this front node has in flight to one server, and how fast that is.
 type serverModel struct {
-	// waiting counts the turns without a first token, pendingTokens what of their prompts is to be read.
+	// waiting counts the turns without a first token, pendingTokens the tokens of their prompts that are
+	// not in the cache.
 	waiting       uint32
 	pendingTokens uint64
 	slowness      schedule.Slowness
-	// waitingAtReport is waiting as it was when the server last told its load.
+	// waitingAtReport is waiting as it was when the server last reported its load.
 	waitingAtReport uint32
 }
 
-func newGroupModels() *groupModels {
-	return &groupModels{frontNodes: 1, groups: make(map[string]*groupModel)}
+// NewModels makes models without any group.
+func NewModels() *Models {
+	return &Models{frontNodes: 1, groups: make(map[string]*groupModel)}
 }
 
-func (m *groupModels) group(name string) *groupModel {
+func (m *Models) group(name string) *groupModel {
 	model := m.groups[name]
 	if model == nil {
 		model = &groupModel{cache: promptcache.New(), servers: make(map[string]*serverModel)}
@@ -57,40 +59,41 @@
 	return model
 }
 
-// update brings the models into line with the servers that there are.
-func (m *groupModels) update(servers *backEnds, fronts int, cacheTokens func(group string) uint64) {
+// Update adds models of new servers and removes those of former ones. cacheTokens is the cache size of a
+// group's servers; zero is a group whose servers have no cache.
+func (m *Models) Update(servers *Set, fronts int, cacheTokens func(group string) uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.frontNodes = fronts
 	for name, model := range m.groups {
 		model.cache.SetFronts(fronts)
-		model.cache.Retain(func(server string) bool { return servers.byID[server] != nil })
+		model.cache.Retain(func(server string) bool { return servers.ByID[server] != nil })
 		for id := range model.servers {
-			if servers.byID[id] == nil {
+			if servers.ByID[id] == nil {
 				delete(model.servers, id)
 			}
 		}
-		if len(servers.byGroup[name]) == 0 {
+		if len(servers.ByGroup[name]) == 0 {
 			delete(m.groups, name)
 		}
 	}
-	for name, members := range servers.byGroup {
+	for name, members := range servers.ByGroup {
 		capacity := cacheTokens(name)
 		if capacity == 0 {
 			continue
 		}
 		model := m.group(name)
 		for _, server := range members {
-			if model.servers[server.id()] == nil {
-				model.server(server.id())
-				model.cache.Resize(server.id(), capacity)
+			if model.servers[server.ID()] == nil {
+				model.server(server.ID())
+				model.cache.Resize(server.ID(), capacity)
 			}
 		}
 	}
 }
 
-// recordReport takes a server's own word on its memory in.
-func (m *groupModels) recordReport(group, server string, used, total uint64) {
+// RecordReport records a load report with the state of the server's cache, in tokens.
+func (m *Models) RecordReport(group, server string, used, total uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -101,8 +104,8 @@
 	}
 }
 
-// recordAnswerLoad notes that a server told its load with an answer.
-func (m *groupModels) recordAnswerLoad(group, server string) {
+// RecordAnswerLoad records that an answer carried the server's load.
+func (m *Models) RecordAnswerLoad(group, server string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	load := m.group(group).server(server)
@@ -110,7 +113,9 @@
 }
 
 // annotate adds to a decision what is known of its prompt and of the candidates.
-func (m *groupModels) annotate(request *schedule.Request, group string, prompt promptcache.Prompt, candidates []schedule.Candidate, now time.Time) {
+func (m *Models) annotate(
+	request *schedule.Request, group string, prompt promptcache.Prompt, candidates []schedule.Candidate, now time.Time,
+) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -126,9 +131,9 @@
 	request.PromptTokens, request.SharedTokens = prompt.Tokens(), model.cache.Shared(prompt)
 }
 
-// issuedTurn is a turn on its way at a server.
-type issuedTurn struct {
-	models         *groupModels
+// IssuedTurn is a turn in flight to a server. One goroutine uses it.
+type IssuedTurn struct {
+	models         *Models
 	group          string
 	server         string
 	uncachedTokens uint64
@@ -139,15 +144,16 @@
 	waiting        bool
 }
 
-// recordSent notes that a turn goes to a server.
-func (m *groupModels) recordSent(group, server string, prompt promptcache.Prompt, now time.Time) *issuedTurn {
+// RecordSent records that a turn goes to a server.
+func (m *Models) RecordSent(group, server string, prompt promptcache.Prompt, now time.Time) *IssuedTurn {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
 	load := model.server(server)
 	own := prompt.Tokens() - model.cache.Cached(server, prompt)
-	issued := &issuedTurn{
-		models: m, group: group, server: server, uncachedTokens: own, tokensAhead: load.pendingTokens, issuedAt: now, waiting: true,
+	issued := &IssuedTurn{
+		models: m, group: group, server: server, uncachedTokens: own, tokensAhead: load.pendingTokens,
+		issuedAt: now, waiting: true,
 	}
 	model.cache.Sent(server, prompt, now)
 	load.waiting++
@@ -155,8 +161,9 @@
 	return issued
 }
 
-// recordStepSent notes that the prompt of a generation of a training step goes to a server, and gives how much of it is cached there.
-func (m *groupModels) recordStepSent(group, server string, prompt promptcache.Prompt, now time.Time) (cached uint64) {
+// RecordStepSent records that the prompt of a generation of a training step goes to a server; it returns
+// how many of its tokens are cached there.
+func (m *Models) RecordStepSent(group, server string, prompt promptcache.Prompt, now time.Time) (cached uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -165,8 +172,16 @@
 	return cached
 }
 
-// recordFirstToken notes that the server has begun to generate.
-func (t *issuedTurn) recordFirstToken(now time.Time) {
+// RecordTokens counts output; the first shows that the server has begun to generate.
+func (t *IssuedTurn) RecordTokens(count uint64, now time.Time) {
+	if t.tokens == 0 {
+		t.recordFirstToken(now)
+	}
+	t.tokens += count
+}
+
+// recordFirstToken ends the wait for the first token.
+func (t *IssuedTurn) recordFirstToken(now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -178,8 +193,8 @@
 	model.profile.ObserveFirstToken(t.uncachedTokens, t.tokensAhead, took)
 }
 
-// stopWaiting needs the models' mutex.
-func (t *issuedTurn) stopWaiting() {
+// stopWaiting ends the wait for the first token; the caller holds the models' mutex.
+func (t *IssuedTurn) stopWaiting() {
 	if !t.waiting {
 		return
 	}
@@ -189,8 +204,8 @@
 	load.pendingTokens -= min(load.pendingTokens, t.uncachedTokens)
 }
 
-// finish notes the end of the turn at the server; whole says that all of its output came.
-func (t *issuedTurn) finish(complete bool, now time.Time) {
+// Finish ends the turn at the server; complete reports that all of its output came.
+func (t *IssuedTurn) Finish(complete bool, now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -204,8 +219,8 @@
 	model.profile.ObserveOutput(t.tokens, passed)
 }
 
-// recordCall notes how long a call without a prompt took at a server.
-func (m *groupModels) recordCall(group, server string, took time.Duration, now time.Time) {
+// RecordCall records how long a call, which has no prompt, took at a server.
+func (m *Models) RecordCall(group, server string, took time.Duration, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
@@ -213,8 +228,8 @@
 	model.profile.ObserveService(took)
 }
 
-// requestPrompt gives the parts of a request's prompt as servers cache them.
-func requestPrompt(routed *protocol.HttpRequest) promptcache.Prompt {
+// RequestPrompt returns the parts of a request's prompt as servers cache them; nil when it names none.
+func RequestPrompt(routed *protocol.HttpRequest) promptcache.Prompt {
 	parts := routed.GetPromptParts()
 	if len(parts) == 0 {
 		return nil
--- a/internal/dataplane/front/server_outcomes.go
+++ b/internal/dataplane/front/backends/outcomes.go
@@ -1,4 +1,4 @@
-package front
+package backends
 
 import (
 	"sync"
@@ -8,43 +8,45 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serverOutcomes is what this front node saw of one server since it last told the other front nodes, and what they told.
+// serverOutcomes are the outcomes that this front node observed of one server and has not reported to the
+// core yet, and until when the fleet avoids the server. The mutex guards all fields.
 type serverOutcomes struct {
 	mutex    sync.Mutex
 	answered uint32
 	faults   uint32
 	// waiting are the requests without a first sign of an answer.
-	waiting map[*expectedAnswer]struct{}
+	waiting map[*ExpectedAnswer]struct{}
 	// signReceived is set when a sign of an answer came since the last report, the newest one at lastSignAt.
 	signReceived bool
 	lastSignAt   time.Time
-	// suspectUntil is until when all front nodes together take the server for faulty.
+	// suspectUntil is until when the server is suspect by the outcomes of all front nodes.
 	suspectUntil time.Time
 }
 
-// expectedAnswer is one request that waits for the first sign of its answer. A nil one waits for nothing.
-type expectedAnswer struct {
+// ExpectedAnswer is one request that waits for the first sign of its answer. A nil one tracks nothing.
+type ExpectedAnswer struct {
 	outcomes *serverOutcomes
 	dueAt    time.Time
 }
 
-// expectAnswer notes a request that should be answered within some time; zero means that nothing is known of that.
-func (o *serverOutcomes) expectAnswer(within time.Duration, now time.Time) *expectedAnswer {
+// expectAnswer tracks a request that should be answered within some time; zero is no bound, and the result
+// nil.
+func (o *serverOutcomes) expectAnswer(within time.Duration, now time.Time) *ExpectedAnswer {
 	if within <= 0 {
 		return nil
 	}
-	awaited := &expectedAnswer{outcomes: o, dueAt: now.Add(within)}
+	awaited := &ExpectedAnswer{outcomes: o, dueAt: now.Add(within)}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.waiting == nil {
-		o.waiting = map[*expectedAnswer]struct{}{}
+		o.waiting = map[*ExpectedAnswer]struct{}{}
 	}
 	o.waiting[awaited] = struct{}{}
 	return awaited
 }
 
-// end notes that the wait is over. One that took too long and ended without an answer counts as a fault.
-func (a *expectedAnswer) end(answered bool, now time.Time) {
+// End ends the wait. One that took too long and ended without an answer counts as a fault.
+func (a *ExpectedAnswer) End(answered bool, now time.Time) {
 	if a == nil {
 		return
 	}
@@ -62,7 +64,7 @@
 	}
 }
 
-// record takes the outcome of one attempt.
+// record counts the outcome of one attempt.
 func (o *serverOutcomes) record(outcome schedule.Outcome, now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -76,17 +78,18 @@
 	}
 }
 
-// outcomeCounts are the numbers of one report.
-type outcomeCounts struct {
+// OutcomeCounts are the figures of one report.
+type OutcomeCounts struct {
 	answered, faults, overdue uint32
 	// lastSignAt is when the newest sign of an answer came since the last report; zero when none did.
 	lastSignAt time.Time
 }
 
-func (c outcomeCounts) isEmpty() bool { return c == outcomeCounts{} }
+// IsEmpty reports whether nothing was observed.
+func (c OutcomeCounts) IsEmpty() bool { return c == OutcomeCounts{} }
 
-// describe is what the core's leader is told of the server.
-func (c outcomeCounts) describe(id string, incarnation uint64, now time.Time) *protocol.BackEndOutcomes {
+// Describe puts the counts into the message for the core's leader.
+func (c OutcomeCounts) Describe(id string, incarnation uint64, now time.Time) *protocol.BackEndOutcomes {
 	outcomes := &protocol.BackEndOutcomes{
 		Id: id, Incarnation: incarnation, Answered: c.answered, Faults: c.faults, Overdue: c.overdue,
 	}
@@ -97,14 +100,14 @@
 	return outcomes
 }
 
-// hasFailures reports whether there is something that the others should hear at once.
-func (c outcomeCounts) hasFailures() bool { return c.faults > 0 || c.overdue > 0 }
+// HasFailures reports whether the other front nodes should learn of the counts at once.
+func (c OutcomeCounts) HasFailures() bool { return c.faults > 0 || c.overdue > 0 }
 
-// snapshot gives the numbers as they stand.
-func (o *serverOutcomes) snapshot(now time.Time) outcomeCounts {
+// snapshot returns the counts of now.
+func (o *serverOutcomes) snapshot(now time.Time) OutcomeCounts {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	counts := outcomeCounts{answered: o.answered, faults: o.faults}
+	counts := OutcomeCounts{answered: o.answered, faults: o.faults}
 	if o.signReceived {
 		counts.lastSignAt = o.lastSignAt
 	}
@@ -116,8 +119,8 @@
 	return counts
 }
 
-// markReported takes off what was reported.
-func (o *serverOutcomes) markReported(counts outcomeCounts) {
+// markReported subtracts what was reported.
+func (o *serverOutcomes) markReported(counts OutcomeCounts) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.answered -= counts.answered
@@ -134,7 +137,7 @@
 	o.suspectUntil = until
 }
 
-// suspectedUntil is until when the server is avoided by what all front nodes saw.
+// suspectedUntil is the time set by markSuspect last.
 func (o *serverOutcomes) suspectedUntil() time.Time {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/dataplane/front/errors.go
+++ b/internal/dataplane/front/errors.go
@@ -6,6 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 )
@@ -52,7 +53,7 @@
 	if e.blameless {
 		return schedule.OutcomeNotExecuted
 	}
-	return healthOutcome(e.fault)
+	return backends.HealthOutcome(e.fault)
 }
 
 func (e *backEndError) Error() string { return fmt.Sprintf("%s: %s", e.fault, e.detail) }
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
@@ -59,8 +60,9 @@
 
 // OutcomeOfExpired is what a send whose deadline has passed tells of its server's health.
 func OutcomeOfExpired(clock Clock) schedule.Outcome {
-	server := (&backEnds{}).reuseOrCreate(&protocol.BackEnd{Id: "s1", Address: "127.0.0.1:1"})
-	client := newRouteClient(dialect.Default(), clock, newGroupModels(), nil)
+	view := &protocol.BackEndView{BackEnds: []*protocol.BackEnd{{Id: "s1", Address: "127.0.0.1:1"}}}
+	server := (&backends.Set{}).Next(view).ByID["s1"]
+	client := newRouteClient(dialect.Default(), clock, backends.NewModels(), nil)
 	defer client.close()
 	_, err := client.send(context.Background(), routedRequest{
 		server: server, requestID: "r1", http: &protocol.HttpRequest{}, deadline: clock.Now(),
@@ -82,11 +84,14 @@
 
 // IsFresh tells whether a server that was heard and sampled some time ago is not asked for its load.
 func IsFresh(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration) bool {
-	server, now := &backEnd{}, time.Unix(1000, 0)
-	server.answersCarryLoad.Store(answersCarryLoad)
-	server.reportedAt.Store(now.Add(-reportedAgo).UnixNano())
-	server.sampledAt.Store(now.Add(-sampledAgo).UnixNano())
-	return server.isFresh(now)
+	server, now := &backends.Server{}, time.Unix(1000, 0)
+	server.ApplyReport(dialect.Report{}, now.Add(-sampledAgo))
+	if answersCarryLoad {
+		server.ApplyAnswerLoad(dialect.Load{}, now.Add(-reportedAgo))
+	} else {
+		server.ApplyLoad(dialect.Load{}, now.Add(-reportedAgo))
+	}
+	return server.IsFresh(now)
 }
 
 // StartWaiters is how many requests wait for the first bundle.
@@ -111,7 +116,7 @@
 )
 
 // RejectedVersionTTL is how long a server's word that it has not a version goes before its announcement.
-const RejectedVersionTTL = rejectedVersionTTL
+const RejectedVersionTTL = backends.RejectedVersionTTL
 
 // ShallowCopy gives a request whose own fields may be changed.
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
--- a/internal/dataplane/front/http_issue.go
+++ b/internal/dataplane/front/http_issue.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/httpheader"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -22,23 +23,23 @@
 	pool    *serverconn.Pool
 	clock   Clock
 	// models hear of the loads that servers tell.
-	models *groupModels
+	models *backends.Models
 }
 
 // newRouteClient makes a client that connects by dial; nil stands for TCP.
-func newRouteClient(routeDialect dialect.Dialect, clock Clock, models *groupModels, dial dialFunc) *routeClient {
+func newRouteClient(routeDialect dialect.Dialect, clock Clock, models *backends.Models, dial dialFunc) *routeClient {
 	return &routeClient{dialect: routeDialect, clock: clock, models: models, pool: serverconn.New(serverconn.Options{Now: clock.Now, Dial: dial})}
 }
 
 // routedRequest is one send of a request to one server.
 type routedRequest struct {
-	server    *backEnd
+	server    *backends.Server
 	requestID string
 	http      *protocol.HttpRequest
 	body      []byte
 	deadline  time.Time
 	// pin is set for a turn of a training step: the server must have that version.
-	pin *versionPin
+	pin *backends.VersionPin
 }
 
 // send issues a request once. The answer is one that the server gave to this very request.
@@ -47,7 +48,7 @@
 	if left <= 0 {
 		return nil, &backEndError{fault: turn.FaultNotSent, detail: "the deadline has passed", blameless: true}
 	}
-	description := request.server.description.Load()
+	description := request.server.Description()
 	response, err := c.pool.Do(ctx, description.GetAddress(), &serverconn.Request{
 		Method: request.http.GetMethod(), Target: request.http.GetTarget(), Host: request.http.GetHost(),
 		Headers: c.headers(request, description.GetId(), left), Body: request.body,
@@ -73,7 +74,7 @@
 }
 
 // applyAnswerLoad takes in the load that a server tells with an answer to a request of ours.
-func (c *routeClient) applyAnswerLoad(server *backEnd, header http.Header) {
+func (c *routeClient) applyAnswerLoad(server *backends.Server, header http.Header) {
 	if c.dialect.ServerLoad == "" {
 		return
 	}
@@ -81,9 +82,8 @@
 	if !reported {
 		return
 	}
-	server.answersCarryLoad.Store(true)
-	server.applyLoad(load, c.clock.Now())
-	c.models.recordAnswerLoad(server.description.Load().GetGroup(), server.id())
+	server.ApplyAnswerLoad(load, c.clock.Now())
+	c.models.RecordAnswerLoad(server.Description().GetGroup(), server.ID())
 }
 
 // headers are those of the caller with those of the front node, whose words stand in place of the caller's.
@@ -96,7 +96,7 @@
 		own = append(own, &protocol.HttpHeader{Name: c.dialect.TargetServer, Value: server})
 	}
 	if request.pin != nil && c.dialect.ExpectedWeights != "" {
-		own = append(own, &protocol.HttpHeader{Name: c.dialect.ExpectedWeights, Value: strconv.FormatUint(request.pin.version, 10)})
+		own = append(own, &protocol.HttpHeader{Name: c.dialect.ExpectedWeights, Value: strconv.FormatUint(request.pin.Version, 10)})
 	}
 	given := request.http.GetHeaders()
 	headers := make([]*protocol.HttpHeader, 0, len(given)+len(own))
@@ -194,10 +194,10 @@
 }
 
 // forgetRemoved closes the resting connections to servers that are in the view no more.
-func (c *routeClient) forgetRemoved(former, current *backEnds) {
-	for id, server := range former.byID {
-		if current.byID[id] == nil {
-			c.pool.Forget(server.description.Load().GetAddress())
+func (c *routeClient) forgetRemoved(former, current *backends.Set) {
+	for id, server := range former.ByID {
+		if current.ByID[id] == nil {
+			c.pool.Forget(server.Description().GetAddress())
 		}
 	}
 }
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
@@ -102,16 +103,16 @@
 
 // recordSent tells the group's model that the turn goes to its server. A generation of a step counts by itself.
 func (r *turnRun) recordSent(maxTokens uint64) {
-	group, prompt := r.route.GetGroup(), requestPrompt(r.request.GetHttp())
+	group, prompt := r.route.GetGroup(), backends.RequestPrompt(r.request.GetHttp())
 	if r.pin == nil {
-		r.server.inFlight.Add(1)
-		r.expected = r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), firstEventTimeoutFactor), r.issuedAt)
-		r.issued = r.service.models.recordSent(group, r.server.id(), prompt, r.issuedAt)
+		r.server.BeginRequest()
+		r.expected = r.server.ExpectAnswer(answerTimeout(r.request.GetHttp(), firstEventTimeoutFactor), r.issuedAt)
+		r.issued = r.service.models.RecordSent(group, r.server.ID(), prompt, r.issuedAt)
 		return
 	}
-	cached := r.service.models.recordStepSent(group, r.server.id(), prompt, r.issuedAt)
-	toRead := promptTokens(r.request.GetHttp(), prompt)
-	r.work = r.server.beginStep(toRead-min(toRead, cached), maxTokens)
+	cached := r.service.models.RecordStepSent(group, r.server.ID(), prompt, r.issuedAt)
+	toRead := backends.PromptTokens(r.request.GetHttp(), prompt)
+	r.work = r.server.BeginStep(toRead-min(toRead, cached), maxTokens)
 }
 
 // joinItems puts the bytes of a conversation together, oldest first.
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
@@ -149,27 +150,27 @@
 }
 
 // newPlacement gathers what a decision needs.
-func (s *Service) newPlacement(index *bundle.Index, wanted groupKey, key sessionKey, avoid []string) placement {
-	return placement{
-		key: wanted, index: index, affinity: key.program, last: s.sessions.lastBackEnd(key), avoid: avoid,
-		zone: s.zone, region: s.region, front: s.name, frontNodes: s.frontNodes(), sequence: s.sequence.Add(1),
+func (s *Service) newPlacement(index *bundle.Index, wanted backends.GroupKey, key sessionKey, avoid []string) backends.Placement {
+	return backends.Placement{
+		Key: wanted, Index: index, Affinity: key.program, Last: s.sessions.lastBackEnd(key), Avoid: avoid,
+		Zone: s.zone, Region: s.region, Front: s.name, FrontNodes: s.frontNodes(), Sequence: s.sequence.Add(1),
 	}
 }
 
 // choose runs the policy and returns the server chosen, or nil.
-func (s *Service) choose(wanted placement) (*backEnd, schedule.Decision) {
+func (s *Service) choose(wanted backends.Placement) (*backends.Server, schedule.Decision) {
 	servers := s.backEnds.Load()
-	decision := servers.choose(wanted, s.models, s.clock.Now())
-	return servers.byID[decision.Chosen], decision
+	decision := servers.Choose(wanted, s.models, s.clock.Now())
+	return servers.ByID[decision.Chosen], decision
 }
 
 // chooseShadow notes what the shadow bundle would have chosen; nothing is run by it.
-func (s *Service) chooseShadow(shadow *bundle.Index, wanted placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
+func (s *Service) chooseShadow(shadow *bundle.Index, wanted backends.Placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
 	other := shadow.Model(tenant, route.GetModel())
-	if wanted.key.tool {
+	if wanted.Key.Tool {
 		other = shadow.Tool(tenant, route.GetTool())
 	}
-	wanted.index, wanted.key.group = shadow, other.GetGroup()
+	wanted.Index, wanted.Key.Group = shadow, other.GetGroup()
 	_, decision := s.choose(wanted)
 	explanation.Update(func(record *protocol.Explanation) {
 		record.ShadowChosen = decision.Chosen
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -14,6 +14,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
@@ -61,7 +62,7 @@
 	metrics   *metrics
 
 	rollout    *rollout.Tracker
-	backEnds   atomic.Pointer[backEnds]
+	backEnds   atomic.Pointer[backends.Set]
 	fleetShare atomic.Pointer[float64]
 	sequence   atomic.Uint64
 	// startedAt is when this front node was made.
@@ -76,7 +77,7 @@
 
 	client       *backEndClient
 	routes       *routeClient
-	models       *groupModels
+	models       *backends.Models
 	versionPins  *versionPins
 	operations   *ledgerops.Client
 	admission    *admission.Controller
@@ -106,7 +107,7 @@
 	if options.Registerer == nil {
 		options.Registerer = prometheus.NewRegistry()
 	}
-	models := newGroupModels()
+	models := backends.NewModels()
 	s := &Service{
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
@@ -144,17 +145,17 @@
 	}
 	former := s.backEnds.Load()
 	if former == nil {
-		former = &backEnds{}
+		former = &backends.Set{}
 	}
-	if s.backEnds.Load() == nil || former.version != view.BackEnds.GetVersion() {
-		next := former.next(view.BackEnds)
+	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
+		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
 		s.routes.forgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
 	s.fleetShare.Store(&share)
-	s.models.update(s.backEnds.Load(), fronts, s.cacheTokensOf)
+	s.models.Update(s.backEnds.Load(), fronts, s.cacheTokensOf)
 	s.updateConcurrencyLimits()
 }
 
--- a/internal/dataplane/front/share_outcomes.go
+++ b/internal/dataplane/front/share_outcomes.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -44,16 +45,16 @@
 	servers := o.service.backEnds.Load()
 	now := o.service.clock.Now()
 	report := &protocol.ShareOutcomesRequest{Node: o.service.name, Zone: o.service.zone}
-	counted := map[*backEnd]outcomeCounts{}
+	counted := map[*backends.Server]backends.OutcomeCounts{}
 	bad := false
-	for id, server := range servers.byID {
-		counts := server.outcomes.snapshot(now)
-		if counts.isEmpty() {
+	for id, server := range servers.ByID {
+		counts := server.Unreported(now)
+		if counts.IsEmpty() {
 			continue
 		}
-		bad = bad || counts.hasFailures()
+		bad = bad || counts.HasFailures()
 		counted[server] = counts
-		report.Outcomes = append(report.Outcomes, counts.describe(id, server.description.Load().GetIncarnation(), now))
+		report.Outcomes = append(report.Outcomes, counts.Describe(id, server.Description().GetIncarnation(), now))
 	}
 	if !o.isDue(len(counted) > 0, bad, now) {
 		return
@@ -68,7 +69,7 @@
 }
 
 // send reports and takes in which servers are suspect. Numbers that the leader may not have got are told again.
-func (o *outcomeSharing) send(ctx context.Context, report *protocol.ShareOutcomesRequest, counted map[*backEnd]outcomeCounts) {
+func (o *outcomeSharing) send(ctx context.Context, report *protocol.ShareOutcomesRequest, counted map[*backends.Server]backends.OutcomeCounts) {
 	ctx, cancel := o.service.clock.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	response, err := o.service.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: report}})
@@ -76,7 +77,7 @@
 		return
 	}
 	for server, counts := range counted {
-		server.outcomes.markReported(counts)
+		server.MarkReported(counts)
 	}
 	o.service.avoidSuspects(response.GetShareOutcomes().GetSuspects())
 }
@@ -112,13 +113,12 @@
 func (s *Service) avoidSuspects(suspects []*protocol.SuspectBackEnd) {
 	servers, now := s.backEnds.Load(), s.clock.Now()
 	for _, suspect := range suspects {
-		server := servers.byID[suspect.GetId()]
-		if server == nil || server.description.Load().GetIncarnation() != suspect.GetIncarnation() {
+		server := servers.ByID[suspect.GetId()]
+		if server == nil || server.Description().GetIncarnation() != suspect.GetIncarnation() {
 			continue
 		}
-		if !now.Before(server.outcomes.suspectedUntil()) {
+		if server.MarkSuspect(now.Add(millis(suspect.GetLeftMillis())), now) {
 			s.metrics.sharedSuspects.Inc()
 		}
-		server.outcomes.markSuspect(now.Add(millis(suspect.GetLeftMillis())))
 	}
 }
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -25,13 +26,6 @@
 	versionRetryAfter = time.Second
 )
 
-// versionPin is the version of a model's weights that is pinned for a training step.
-type versionPin struct {
-	step    string
-	model   string
-	version uint64
-}
-
 // stepChoice is a step with the model that its turn names; without one the group's choice is taken.
 type stepChoice struct {
 	step  string
@@ -42,7 +36,7 @@
 type pinEntry struct {
 	// resolved is closed once pin or refused is set.
 	resolved    chan struct{}
-	pin         *versionPin
+	pin         *backends.VersionPin
 	rejection   *protocol.Failure
 	requestedAt time.Time
 }
@@ -80,7 +74,7 @@
 }
 
 // resolve gives all who wait the outcome. A refusal is not remembered.
-func (p *versionPins) resolve(step stepChoice, entry *pinEntry, pin *versionPin, rejection *protocol.Failure) {
+func (p *versionPins) resolve(step stepChoice, entry *pinEntry, pin *backends.VersionPin, rejection *protocol.Failure) {
 	entry.pin, entry.rejection = pin, rejection
 	close(entry.resolved)
 	if rejection == nil {
@@ -105,7 +99,7 @@
 
 // resolveStep finds the version that is pinned for a step, or pins one. The
 // servers of the group say which version is proposed.
-func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
+func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*backends.VersionPin, *protocol.Failure) {
 	entry, made := s.versionPins.entry(step)
 	if made {
 		pin, rejection := s.pinStep(ctx, step, group)
@@ -123,8 +117,8 @@
 }
 
 // pinStep asks the ledger for the pin of a step and proposes one.
-func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
-	announcements := s.backEnds.Load().announcements(group)
+func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*backends.VersionPin, *protocol.Failure) {
+	announcements := s.backEnds.Load().Announcements(group)
 	model := cmp.Or(step.model, trainingstep.ModelOf(announcements))
 	proposed := trainingstep.Propose(model, announcements)
 	if proposed == 0 {
@@ -147,17 +141,17 @@
 			return nil, stepMismatch()
 		}
 		s.metrics.stepPins.Inc()
-		return &versionPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
+		return &backends.VersionPin{Step: step.step, Model: pin.GetModel(), Version: pin.GetWeightVersion()}, nil
 	default:
 		return nil, ledgerops.UnreachableFailure()
 	}
 }
 
 // checkGroup refuses a step in a group that has other models only.
-func (s *Service) checkGroup(pin *versionPin, group string) *protocol.Failure {
-	announcements := s.backEnds.Load().announcements(group)
+func (s *Service) checkGroup(pin *backends.VersionPin, group string) *protocol.Failure {
+	announcements := s.backEnds.Load().Announcements(group)
 	for _, announced := range announcements {
-		if announced[pin.model] > 0 {
+		if announced[pin.Model] > 0 {
 			return nil
 		}
 	}
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"math"
 	"net/http"
-	"slices"
-	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
@@ -19,9 +18,6 @@
 const (
 	trainingStepPath  = "training_step"
 	trainingModelPath = "training_model"
-	// rejectedVersionTTL is how long a server's word that it has not a version goes before its announcement, which
-	// may be older than the word.
-	rejectedVersionTTL = 5 * time.Second
 	// unboundedBudget stands for the budget of a program of a training step that is told none.
 	unboundedBudget = math.MaxInt64
 )
@@ -77,34 +73,34 @@
 		return turn.StepNotResolved{Failure: rejection}
 	}
 	r.pin = pin
-	r.explanation.RecordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.version, pin.model))
-	if !r.service.backEnds.Load().hasVersion(r.route.GetGroup(), pin, r.now()) {
+	r.explanation.RecordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.Version, pin.Model))
+	if !r.service.backEnds.Load().HasVersion(r.route.GetGroup(), pin, r.now()) {
 		return turn.StepNotResolved{Failure: r.versionUnavailable().Failure}
 	}
-	return turn.StepResolved{WeightVersion: pin.version}
+	return turn.StepResolved{WeightVersion: pin.Version}
 }
 
 func (r *turnRun) versionUnavailable() turn.NotChosen {
-	r.explanation.RecordStep("no back end", fmt.Sprintf("version %d", r.pin.version))
+	r.explanation.RecordStep("no back end", fmt.Sprintf("version %d", r.pin.Version))
 	return turn.NotChosen{Failure: versionUnavailable(
-		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.version, r.pin.model))}
+		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.Version, r.pin.Model))}
 }
 
 func (r *turnRun) isTrainingStep() bool { return r.request.GetTrainingStep() != "" }
 
 // stepGate names the servers that the turn may run at.
 func (r *turnRun) stepGate() admission.StepKey {
-	return admission.StepKey{Group: r.route.GetGroup(), Model: r.pin.model, Version: r.pin.version}
+	return admission.StepKey{Group: r.route.GetGroup(), Model: r.pin.Model, Version: r.pin.Version}
 }
 
 // stepPlacement is what the choice of a server needs to know of a generation of a step; nil for other turns.
-func (r *turnRun) stepPlacement(prompt promptcache.Prompt) *stepPlacement {
+func (r *turnRun) stepPlacement(prompt promptcache.Prompt) *backends.StepPlacement {
 	if r.pin == nil {
 		return nil
 	}
-	return &stepPlacement{
-		pin: r.pin, frontNodes: r.service.frontNodes(),
-		work: schedule.StepWork{PromptTokens: promptTokens(r.request.GetHttp(), prompt), OutputTokens: routedReservationLimit(r.request)},
+	return &backends.StepPlacement{
+		Pin: r.pin, FrontNodes: r.service.frontNodes(),
+		Work: schedule.StepWork{PromptTokens: backends.PromptTokens(r.request.GetHttp(), prompt), OutputTokens: routedReservationLimit(r.request)},
 	}
 }
 
@@ -124,51 +120,3 @@
 		r.service.metrics.stepGenerations.WithLabelValues(f.GetCode()).Inc()
 	}
 }
-
-// announcements are what the ready servers of a group say of their weights.
-func (b *backEnds) announcements(group string) []trainingstep.Announcement {
-	var all []trainingstep.Announcement
-	for _, server := range b.byGroup[group] {
-		if !server.draining.Load() {
-			all = append(all, server.description.Load().GetModelVersions())
-		}
-	}
-	return all
-}
-
-// hasVersion reports whether a ready server of a group has the version of a pin.
-func (b *backEnds) hasVersion(group string, pin *versionPin, now time.Time) bool {
-	return slices.ContainsFunc(b.byGroup[group], func(server *backEnd) bool {
-		return !server.draining.Load() && pin.isServedBy(server, now)
-	})
-}
-
-// isServedBy reports whether a server has the pinned version, as far as is known.
-func (p *versionPin) isServedBy(server *backEnd, now time.Time) bool {
-	return server.description.Load().GetModelVersions()[p.model] == p.version && !server.hasRejected(p.version, now)
-}
-
-// split parts the servers that have the pinned version from the others.
-func (p *versionPin) split(servers []*backEnd, now time.Time) (having, others []*backEnd) {
-	for _, server := range servers {
-		if p.isServedBy(server, now) {
-			having = append(having, server)
-		} else {
-			others = append(others, server)
-		}
-	}
-	return having, others
-}
-
-// markVersionRejected notes that the server said that it has not a version.
-func (b *backEnd) markVersionRejected(version uint64, now time.Time) {
-	b.mutex.Lock()
-	b.rejectedVersion, b.rejectedUntil = version, now.Add(rejectedVersionTTL)
-	b.mutex.Unlock()
-}
-
-func (b *backEnd) hasRejected(version uint64, now time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.rejectedVersion == version && now.Before(b.rejectedUntil)
-}
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -9,6 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
@@ -30,7 +31,7 @@
 	deadline    time.Time
 	machine     *turn.CallMachine
 	explanation *explain.Explanation
-	server      *backEnd
+	server      *backends.Server
 	answers     chan *protocol.ToolCallResponse
 	// sends counts the attempts at servers.
 	sends uint32
@@ -247,9 +248,9 @@
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), tool: true, name: r.route.GetTool()}, r.key, avoid)
+	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
 	// A server works faster for an object that it has seen, whichever program asks.
-	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
+	wanted.Affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.Affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
 	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
@@ -260,21 +261,21 @@
 			"no back end of group "+r.route.GetGroup()+" can take the call", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
 	r.server = server
-	return turn.Chosen{BackEnd: server.id()}
+	return turn.Chosen{BackEnd: server.ID()}
 }
 
 func (r *callRun) issue(command turn.IssueCall) turn.Event {
 	r.explanation.RecordStep("issued", command.BackEnd)
 	issuedAt := r.now()
-	r.server.inFlight.Add(1)
-	r.server.recordCall(issuedAt)
-	awaited := r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
+	r.server.BeginRequest()
+	r.server.RecordCall(issuedAt)
+	awaited := r.server.ExpectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
 	event, err := r.send(command)
-	awaited.end(err == nil, r.now())
-	r.server.inFlight.Add(-1)
+	awaited.End(err == nil, r.now())
+	r.server.EndRequest()
 	if err == nil {
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
-		r.service.models.recordCall(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
+		r.service.models.RecordCall(r.route.GetGroup(), r.server.ID(), r.now().Sub(issuedAt), r.now())
 		r.explanation.RecordStep("back end finished", command.BackEnd)
 		return event
 	}
@@ -329,8 +330,8 @@
 // hasAlternative reports whether the group has a server that was not asked yet.
 func (r *callRun) hasAlternative() bool {
 	ready := uint32(0)
-	for _, server := range r.service.backEnds.Load().byGroup[r.route.GetGroup()] {
-		if !server.draining.Load() {
+	for _, server := range r.service.backEnds.Load().ByGroup[r.route.GetGroup()] {
+		if !server.IsDraining() {
 			ready++
 		}
 	}
@@ -345,7 +346,7 @@
 	if !errors.As(err, &fault) {
 		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	r.server.recordOutcome(fault.outcome(), r.now())
+	r.server.RecordOutcome(fault.outcome(), r.now())
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
 	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
 	return fault.event()
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -6,6 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
@@ -29,19 +30,19 @@
 	deadline    time.Time
 	machine     *turn.Machine
 	// pin is the version that a turn of a training step keeps to; nil for other turns.
-	pin         *versionPin
+	pin         *backends.VersionPin
 	explanation *explain.Explanation
 
 	began      time.Time
 	history    []*protocol.Item
 	generation answerStream
 	// issued is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
-	issued *issuedTurn
+	issued *backends.IssuedTurn
 	// work is a generation of a training step at its server; nil for other turns.
-	work *stepWork
+	work *backends.StepWork
 	// expected is the wait for the first event of a live turn of an HTTP route.
-	expected     *expectedAnswer
-	server       *backEnd
+	expected     *backends.ExpectedAnswer
+	server       *backends.Server
 	issuedAt     time.Time
 	firstToken   bool
 	tokens       uint64
@@ -112,17 +113,17 @@
 	if err != nil {
 		return r.attemptFailed(err)
 	}
-	r.expected.end(true, r.now())
+	r.expected.End(true, r.now())
 	switch event.(type) {
 	case turn.Token:
 		r.recordFirstToken()
 		r.recordTokens(event)
 	case turn.AnswerCompleted:
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
 		r.endSent(true)
-		r.explanation.RecordStep("back end finished", r.server.id())
+		r.explanation.RecordStep("back end finished", r.server.ID())
 	}
 	return event
 }
@@ -134,27 +135,24 @@
 		return
 	}
 	if r.work != nil {
-		r.work.generated(token.Tokens)
+		r.work.RecordGenerated(token.Tokens)
 	}
 	if r.issued == nil {
 		return
 	}
-	if r.issued.tokens == 0 {
-		r.issued.recordFirstToken(r.now())
-	}
-	r.issued.tokens += uint64(token.Tokens)
+	r.issued.RecordTokens(uint64(token.Tokens), r.now())
 }
 
 // endSent tells the group's model that the attempt is over.
 func (r *turnRun) endSent(complete bool) {
 	if r.work != nil {
-		r.work.end()
+		r.work.End()
 		r.work = nil
 	}
 	if r.issued == nil {
 		return
 	}
-	r.issued.finish(complete, r.now())
+	r.issued.Finish(complete, r.now())
 	r.issued = nil
 }
 
@@ -164,7 +162,7 @@
 		return
 	}
 	r.firstToken = true
-	r.explanation.RecordStep("first token", r.server.id())
+	r.explanation.RecordStep("first token", r.server.ID())
 	if r.isTrainingStep() {
 		// Steps wait behind live requests: their latency says nothing of how those are served.
 		return
@@ -180,15 +178,15 @@
 	if !errors.As(err, &fault) {
 		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	r.server.recordOutcome(fault.outcome(), r.now())
+	r.server.RecordOutcome(fault.outcome(), r.now())
 	if fault.fault == turn.FaultWrongVersion {
-		r.server.markVersionRejected(r.pin.version, r.now())
+		r.server.MarkVersionRejected(r.pin.Version, r.now())
 	}
 	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
 		r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
+	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.ID()+": "+fault.detail)
 	r.closeGeneration()
 	return fault.event()
 }
@@ -205,10 +203,10 @@
 
 // leaveServer notes that the attempt holds no slot of its server any more. A generation of a step left with its work.
 func (r *turnRun) leaveServer() {
-	r.expected.end(false, r.now())
+	r.expected.End(false, r.now())
 	r.endSent(false)
 	if r.pin == nil {
-		r.server.inFlight.Add(-1)
+		r.server.EndRequest()
 	}
 }
 
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -127,9 +128,9 @@
 }
 
 func (r *turnRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), name: r.route.GetModel()}, r.key, avoid)
-	wanted.prompt, wanted.output = requestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
-	wanted.step = r.stepPlacement(wanted.prompt)
+	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Name: r.route.GetModel()}, r.key, avoid)
+	wanted.Prompt, wanted.Output = backends.RequestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
+	wanted.Step = r.stepPlacement(wanted.Prompt)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
 	if server == nil && r.pin != nil {
@@ -144,7 +145,7 @@
 			"no back end of group "+r.route.GetGroup()+" can take the turn", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
 	r.server = server
-	return turn.Chosen{BackEnd: server.id()}
+	return turn.Chosen{BackEnd: server.ID()}
 }
 
 // issue sends the turn to the back end chosen; its answer is read by receive.
@@ -158,13 +159,13 @@
 	}
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
-	r.server.inFlight.Add(1)
+	r.server.BeginRequest()
 	generation, err := r.service.client.generate(r.ctx, backEndRequest{
 		server: r.server, path: chatPath, body: body, requestID: r.request.GetRequestId(),
 		session: r.request.GetSession(), nonce: r.request.GetNonce(), epoch: command.Epoch,
 	})
 	if err != nil {
-		r.server.inFlight.Add(-1)
+		r.server.EndRequest()
 		return r.issueFailed(err)
 	}
 	r.generation = generation
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -23,12 +24,7 @@
 	// fleetSampleInterval bounds the samples of all front nodes together: it is the least mean time between two.
 	fleetSampleInterval = 50 * time.Millisecond
 	sampleTimeout       = 500 * time.Millisecond
-	// freshReport is how old a report must be to be worth a sample. freshAnswerLoad and freshCacheReport stand in its place for
-	// servers that tell their load with their answers: for the load, and for what only a sample tells.
-	freshReport      = 250 * time.Millisecond
-	freshAnswerLoad  = time.Second
-	freshCacheReport = 5 * time.Second
-	maxSampleBytes   = 4 << 10
+	maxSampleBytes      = 4 << 10
 	// overcommitFactor is how many requests may be under way for one that the servers
 	// work on: the rest are on their way, at the ledger or next in line.
 	overcommitFactor = 1.5
@@ -58,10 +54,10 @@
 		return
 	}
 	chosen := used[rand.IntN(len(used))]
-	if other := used[rand.IntN(len(used))]; other.reportedAt.Load() < chosen.reportedAt.Load() {
+	if other := used[rand.IntN(len(used))]; other.LastReport() < chosen.LastReport() {
 		chosen = other
 	}
-	if chosen.isFresh(s.clock.Now()) {
+	if chosen.IsFresh(s.clock.Now()) {
 		return
 	}
 	result := "ok"
@@ -72,12 +68,12 @@
 }
 
 // usedServers are those of the subsets of all groups.
-func (s *Service) usedServers() []*backEnd {
+func (s *Service) usedServers() []*backends.Server {
 	servers := s.backEnds.Load()
-	var used []*backEnd
+	var used []*backends.Server
 	for _, candidates := range s.subsets(s.clock.Now()) {
 		for _, candidate := range candidates {
-			if server := servers.byID[candidate.ID]; server != nil && s.routes.canSample(server) {
+			if server := servers.ByID[candidate.ID]; server != nil && s.routes.canSample(server) {
 				used = append(used, server)
 			}
 		}
@@ -86,11 +82,11 @@
 }
 
 // canSample tells whether a server can be asked for its load.
-func (c *routeClient) canSample(server *backEnd) bool {
+func (c *routeClient) canSample(server *backends.Server) bool {
 	if c.dialect.DecodeReport == nil {
 		return false
 	}
-	return c.dialect.ToolsReport || server.description.Load().GetKind() == protocol.BackEndKind_MODEL_SERVER
+	return c.dialect.ToolsReport || server.Description().GetKind() == protocol.BackEndKind_MODEL_SERVER
 }
 
 // subsets are the servers of each group that this front node uses.
@@ -98,8 +94,8 @@
 	index := s.rollout.Policies().Active
 	size := index.Bundle().GetScheduling().GetSubsetSize()
 	subsets := make(map[string][]schedule.Candidate)
-	for group, servers := range s.backEnds.Load().byGroup {
-		subsets[group] = schedule.Subset(s.name, s.zone, size, candidates(servers, index.Group(group), now))
+	for group, servers := range s.backEnds.Load().ByGroup {
+		subsets[group] = schedule.Subset(s.name, s.zone, size, backends.Candidates(servers, index.Group(group), now))
 	}
 	return subsets
 }
@@ -110,8 +106,8 @@
 	index := s.rollout.Policies().Active
 	limits := make(map[string]admission.ConcurrencyLimit)
 	subsets := s.subsets(now)
-	for group, servers := range s.backEnds.Load().byGroup {
-		all := candidates(servers, index.Group(group), now)
+	for group, servers := range s.backEnds.Load().ByGroup {
+		all := backends.Candidates(servers, index.Group(group), now)
 		bounds := limitOf(all, subsets[group], *s.fleetShare.Load())
 		bounds.SurplusSlots = surplusSlots(all, *s.fleetShare.Load())
 		limits[group] = bounds
@@ -126,7 +122,7 @@
 	}
 	headroom := 0.0
 	for _, candidate := range used {
-		if isUsable(candidate) {
+		if backends.IsUsable(candidate) {
 			reported := candidate.Running + candidate.Queued
 			others := reported - min(reported, candidate.InFlight)
 			headroom += max(0, overcommitFactor*float64(candidate.Capacity)-float64(others))
@@ -139,7 +135,7 @@
 func surplusSlots(all []schedule.Candidate, share float64) int {
 	slots, used := 0, 0
 	for _, candidate := range all {
-		if isUsable(candidate) {
+		if backends.IsUsable(candidate) {
 			slots += int(candidate.Capacity)
 			used += int(max(candidate.InFlight, candidate.Running+candidate.Queued))
 		}
@@ -147,12 +143,10 @@
 	return limit.SurplusSlots(slots, used, int(math.Round(1/share)))
 }
 
-func isUsable(candidate schedule.Candidate) bool { return !candidate.Draining && !candidate.Ejected }
-
 // totalCapacity adds the capacities up; it is not known when a server tells none.
 func totalCapacity(candidates []schedule.Candidate) (total float64, known bool) {
 	for _, candidate := range candidates {
-		if !isUsable(candidate) {
+		if !backends.IsUsable(candidate) {
 			continue
 		}
 		if candidate.Capacity == 0 {
@@ -171,10 +165,10 @@
 }
 
 // sampleLoad asks a server for its load in the words of the dialect.
-func (c *routeClient) sampleLoad(ctx context.Context, server *backEnd, models *groupModels) error {
+func (c *routeClient) sampleLoad(ctx context.Context, server *backends.Server, models *backends.Models) error {
 	ctx, cancel := c.clock.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
-	address := server.description.Load().GetAddress()
+	address := server.Description().GetAddress()
 	response, err := c.pool.Do(ctx, address, &serverconn.Request{Method: http.MethodGet, Target: c.dialect.ReportPath, Host: address})
 	if err != nil {
 		return errors.Wrap(err, "ask for load")
@@ -191,7 +185,7 @@
 	if err != nil {
 		return errors.Wrap(err, "decode load report")
 	}
-	server.applyReport(report, c.clock.Now())
-	models.recordReport(server.description.Load().GetGroup(), server.id(), report.CacheUsed, report.CacheTotal)
+	server.ApplyReport(report, c.clock.Now())
+	models.RecordReport(server.Description().GetGroup(), server.ID(), report.CacheUsed, report.CacheTotal)
 	return nil
 }
