--- a/cmd/rosestand/main.go
+++ b/cmd/rosestand/main.go
@@ -1,4 +1,5 @@
-// Command rosestand is the operators' client of a cluster.
+// Command rosestand is the operators' command-line client of a cluster; see
+// docs/API-OPERATORS.md. SIGINT and SIGTERM cancel a command.
 package main
 
 import (
@@ -13,11 +14,11 @@
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	code := operator.Execute(ctx, operator.Environment{
-		Arguments: os.Args[1:],
-		Input:     os.Stdin,
-		Output:    os.Stdout,
-		Errors:    os.Stderr,
-		Lookup:    os.Getenv,
+		Arguments:         os.Args[1:],
+		Input:             os.Stdin,
+		Output:            os.Stdout,
+		Errors:            os.Stderr,
+		LookupEnvironment: os.Getenv,
 	})
 	cancel()
 	os.Exit(code)
--- a/internal/dataplane/front/admission/step_gates.go
+++ b/internal/dataplane/front/admission/step_gates.go
@@ -21,7 +21,7 @@
 // admissionGates are the admission gates of the versions that training steps generate on here. They belong
 // to the controller's goroutine, which dispatches them again whenever a live request leaves its slot.
 type admissionGates struct {
-	gates   map[StepKey]*trainingstep.Gate
+	gates   map[StepKey]*trainingstep.AdmissionGate
 	waiting map[uint64]chan trainingstep.Decision
 	// slots gives how many generations of a version may run.
 	slots func(key StepKey, liveWaits bool) int
@@ -29,15 +29,15 @@
 
 func newAdmissionGates(slots func(key StepKey, liveWaits bool) int) *admissionGates {
 	return &admissionGates{
-		gates: make(map[StepKey]*trainingstep.Gate), waiting: make(map[uint64]chan trainingstep.Decision),
+		gates: make(map[StepKey]*trainingstep.AdmissionGate), waiting: make(map[uint64]chan trainingstep.Decision),
 		slots: slots,
 	}
 }
 
-func (s *admissionGates) gate(key StepKey) *trainingstep.Gate {
+func (s *admissionGates) gate(key StepKey) *trainingstep.AdmissionGate {
 	gate := s.gates[key]
 	if gate == nil {
-		gate = &trainingstep.Gate{}
+		gate = &trainingstep.AdmissionGate{}
 		s.gates[key] = gate
 	}
 	return gate
@@ -93,7 +93,7 @@
 func (a *Controller) nextStepWake() time.Time {
 	var next time.Time
 	for _, gate := range a.gates.gates {
-		if wake := gate.NextWake(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
+		if wake := gate.NextDispatch(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
 			next = wake
 		}
 	}
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -5,6 +5,9 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -50,7 +53,7 @@
 		return nil, err
 	}
 	routed := request.GetHttp()
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -61,7 +64,7 @@
 		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
 		Budget: routedBudget(request), ReservationLimit: routedReservationLimit(request),
 		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
-		BundleVersion: routed.GetBundleVersion(), MaxAttempts: routedSends,
+		BundleVersion: routed.GetBundleVersion(), AttemptLimit: routedSends,
 	})
 	s.startRun(run, cancel)
 	return live, nil
@@ -71,7 +74,7 @@
 func routedReservationLimit(request *protocol.TurnRequest) uint64 {
 	maxTokens := uint64(request.GetMaxOutputTokens())
 	if maxTokens == 0 {
-		maxTokens = defaultMaxOutputTokens
+		maxTokens = rollout.DefaultMaxOutputTokens
 	}
 	event := uint64(max(request.GetHttp().GetEventTokens(), 1))
 	return (maxTokens + event - 1) / event * event
@@ -100,16 +103,16 @@
 
 // recordSent tells the group's model that the turn goes to its server. A generation of a step counts by itself.
 func (r *turnRun) recordSent(maxTokens uint64) {
-	group, prompt := r.route.GetGroup(), requestPrompt(r.request.GetHttp())
+	group, prompt := r.route.GetGroup(), backends.RequestPrompt(r.request.GetHttp())
 	if r.pin == nil {
-		r.server.inFlight.Add(1)
-		r.expected = r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), firstEventTimeoutFactor), r.issuedAt)
-		r.issued = r.service.models.recordSent(group, r.server.id(), prompt, r.issuedAt)
+		r.server.BeginRequest()
+		r.expected = r.server.ExpectAnswer(answerTimeout(r.request.GetHttp(), firstEventTimeoutFactor), r.issuedAt)
+		r.issued = r.service.models.RecordSent(group, r.server.ID(), prompt, r.issuedAt)
 		return
 	}
-	cached := r.service.models.recordStepSent(group, r.server.id(), prompt, r.issuedAt)
-	toRead := promptTokens(r.request.GetHttp(), prompt)
-	r.work = r.server.beginStep(toRead-min(toRead, cached), maxTokens)
+	cached := r.service.models.RecordStepSent(group, r.server.ID(), prompt, r.issuedAt)
+	toRead := backends.PromptTokens(r.request.GetHttp(), prompt)
+	r.work = r.server.BeginStep(toRead-min(toRead, cached), maxTokens)
 }
 
 // joinItems puts the bytes of a conversation together, oldest first.
@@ -132,18 +135,18 @@
 		r.history = history.items
 		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	conversation := r.service.readChain(r.ctx, r.key.program, lastTurn)
-	r.explanation.RecordStep("history read", conversation.status.String())
-	if conversation.status != protocol.LedgerStatus_LEDGER_OK {
-		return turn.HistoryRead{Status: conversation.status}
+	conversation := r.service.operations.ReadConversation(r.ctx, r.key.program, lastTurn)
+	r.explanation.RecordStep("history read", conversation.Status.String())
+	if conversation.Status != protocol.LedgerStatus_LEDGER_OK {
+		return turn.HistoryRead{Status: conversation.Status}
 	}
-	r.history = historyItems(conversation.turns)
-	foreign := conversation.program
+	r.history = ledgerops.Items(conversation.Turns)
+	foreign := conversation.Program
 	if foreign == r.key.program {
 		foreign = ""
 	}
 	return turn.HistoryRead{
-		Items: r.history, Tokens: conversation.turns[len(conversation.turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.status,
+		Items: r.history, Tokens: conversation.Turns[len(conversation.Turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.Status,
 	}
 }
 
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -6,7 +6,9 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -20,7 +22,7 @@
 		return s.beginHTTPTurn(request)
 	}
 	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := decided.Model(request.GetTenant(), request.GetModel())
 	if route == nil {
 		return nil, unknownModel()
@@ -69,23 +71,23 @@
 }
 
 func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *liveTurn, grant Grant,
-	key sessionKey, decided variant, route *protocol.Route, deadline time.Time,
+	key sessionKey, decided rollout.Variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &turnRun{
 		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, variant: decided, route: route,
-		counters: s.variants.Load().counters(decided.candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
+		counters: s.rollout.Counters(decided.Candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.reservationLimit(request.GetMaxOutputTokens()),
-			Retention: time.Duration(decided.retentionSeconds()) * time.Second, BundleVersion: decided.version(),
+			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.ReservationLimit(request.GetMaxOutputTokens()),
+			Retention: time.Duration(decided.RetentionSeconds()) * time.Second, BundleVersion: decided.Version(),
 		}),
 	}
 }
@@ -138,7 +140,7 @@
 	if current.known {
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.epoch}
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{
 		Program: key.program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
 	})
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
@@ -148,27 +150,27 @@
 }
 
 // newPlacement gathers what a decision needs.
-func (s *Service) newPlacement(index *bundle.Index, wanted groupKey, key sessionKey, avoid []string) placement {
-	return placement{
-		key: wanted, index: index, affinity: key.program, last: s.sessions.lastBackEnd(key), avoid: avoid,
-		zone: s.zone, region: s.region, front: s.name, frontNodes: s.frontNodes(), sequence: s.sequence.Add(1),
+func (s *Service) newPlacement(index *bundle.Index, wanted backends.GroupKey, key sessionKey, avoid []string) backends.Placement {
+	return backends.Placement{
+		Key: wanted, Index: index, Affinity: key.program, Last: s.sessions.lastBackEnd(key), Avoid: avoid,
+		Zone: s.zone, Region: s.region, Front: s.name, FrontNodes: s.frontNodes(), Sequence: s.sequence.Add(1),
 	}
 }
 
 // choose runs the policy and returns the server chosen, or nil.
-func (s *Service) choose(wanted placement) (*backEnd, schedule.Decision) {
+func (s *Service) choose(wanted backends.Placement) (*backends.Server, schedule.Decision) {
 	servers := s.backEnds.Load()
-	decision := servers.choose(wanted, s.models, s.clock.Now())
-	return servers.byID[decision.Chosen], decision
+	decision := servers.Choose(wanted, s.models, s.clock.Now())
+	return servers.ByID[decision.Chosen], decision
 }
 
 // chooseShadow notes what the shadow bundle would have chosen; nothing is run by it.
-func (s *Service) chooseShadow(shadow *bundle.Index, wanted placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
+func (s *Service) chooseShadow(shadow *bundle.Index, wanted backends.Placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
 	other := shadow.Model(tenant, route.GetModel())
-	if wanted.key.tool {
+	if wanted.Key.Tool {
 		other = shadow.Tool(tenant, route.GetTool())
 	}
-	wanted.index, wanted.key.group = shadow, other.GetGroup()
+	wanted.Index, wanted.Key.Group = shadow, other.GetGroup()
 	_, decision := s.choose(wanted)
 	explanation.Update(func(record *protocol.Explanation) {
 		record.ShadowChosen = decision.Chosen
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -24,13 +26,6 @@
 	versionRetryAfter = time.Second
 )
 
-// versionPin is the version of a model's weights that is pinned for a training step.
-type versionPin struct {
-	step    string
-	model   string
-	version uint64
-}
-
 // stepChoice is a step with the model that its turn names; without one the group's choice is taken.
 type stepChoice struct {
 	step  string
@@ -41,7 +36,7 @@
 type pinEntry struct {
 	// resolved is closed once pin or refused is set.
 	resolved    chan struct{}
-	pin         *versionPin
+	pin         *backends.VersionPin
 	rejection   *protocol.Failure
 	requestedAt time.Time
 }
@@ -79,7 +74,7 @@
 }
 
 // resolve gives all who wait the outcome. A refusal is not remembered.
-func (p *versionPins) resolve(step stepChoice, entry *pinEntry, pin *versionPin, rejection *protocol.Failure) {
+func (p *versionPins) resolve(step stepChoice, entry *pinEntry, pin *backends.VersionPin, rejection *protocol.Failure) {
 	entry.pin, entry.rejection = pin, rejection
 	close(entry.resolved)
 	if rejection == nil {
@@ -104,7 +99,7 @@
 
 // resolveStep finds the version that is pinned for a step, or pins one. The
 // servers of the group say which version is proposed.
-func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
+func (s *Service) resolveStep(ctx context.Context, step stepChoice, group string) (*backends.VersionPin, *protocol.Failure) {
 	entry, made := s.versionPins.entry(step)
 	if made {
 		pin, rejection := s.pinStep(ctx, step, group)
@@ -122,18 +117,18 @@
 }
 
 // pinStep asks the ledger for the pin of a step and proposes one.
-func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
-	announcements := s.backEnds.Load().announcements(group)
-	model := cmp.Or(step.model, trainingstep.ModelOf(announcements))
-	proposed := trainingstep.Propose(model, announcements)
+func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*backends.VersionPin, *protocol.Failure) {
+	announcements := s.backEnds.Load().Announcements(group)
+	model := cmp.Or(step.model, trainingstep.GroupModel(announcements))
+	proposed := trainingstep.ProposeVersion(model, announcements)
 	if proposed == 0 {
 		return nil, versionUnavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 	}
 	program := ledger.TrainingStepProgram(step.step)
-	if rejection := s.rejectUnreachable(program); rejection != nil {
+	if rejection := s.operations.CheckReachable(program); rejection != nil {
 		return nil, rejection
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
 		PinTrainingStep: &protocol.PinTrainingStep{
 			Step: step.step, Model: model, WeightVersion: proposed, Owner: s.name, KeepingMillis: pinRetention.Milliseconds(),
 		},
@@ -146,21 +141,21 @@
 			return nil, stepMismatch()
 		}
 		s.metrics.stepPins.Inc()
-		return &versionPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
+		return &backends.VersionPin{Step: step.step, Model: pin.GetModel(), Version: pin.GetWeightVersion()}, nil
 	default:
-		return nil, unreachableFailure()
+		return nil, ledgerops.UnreachableFailure()
 	}
 }
 
 // checkGroup refuses a step in a group that has other models only.
-func (s *Service) checkGroup(pin *versionPin, group string) *protocol.Failure {
-	announcements := s.backEnds.Load().announcements(group)
+func (s *Service) checkGroup(pin *backends.VersionPin, group string) *protocol.Failure {
+	announcements := s.backEnds.Load().Announcements(group)
 	for _, announced := range announcements {
-		if announced[pin.model] > 0 {
+		if announced[pin.Model] > 0 {
 			return nil
 		}
 	}
-	if trainingstep.ModelOf(announcements) != "" {
+	if trainingstep.GroupModel(announcements) != "" {
 		return stepMismatch()
 	}
 	return versionUnavailable("no server of group " + group + " announces the version of its weights")
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -9,7 +9,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -24,12 +26,12 @@
 	request     *protocol.ToolCallRequest
 	grant       Grant
 	key         sessionKey
-	variant     variant
+	variant     rollout.Variant
 	route       *protocol.Route
 	deadline    time.Time
 	machine     *turn.CallMachine
 	explanation *explain.Explanation
-	server      *backEnd
+	server      *backends.Server
 	answers     chan *protocol.ToolCallResponse
 	// sends counts the attempts at servers.
 	sends uint32
@@ -46,7 +48,7 @@
 // runCall runs a tool call as owner of its session and returns its answer. The
 // outcome goes on being recorded when the caller leaves.
 func (s *Service) runCall(ctx context.Context, request *protocol.ToolCallRequest) (*protocol.ToolCallResponse, error) {
-	decided := s.policies.Load().variantFor(request.GetProgram())
+	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := callRoute(decided, request)
 	if route == nil {
 		return nil, unknownTool()
@@ -69,7 +71,7 @@
 }
 
 // callRoute is the route of a call: the bundle's one of a tool, or the HTTP route that the ingress decided on.
-func callRoute(decided variant, request *protocol.ToolCallRequest) *protocol.Route {
+func callRoute(decided rollout.Variant, request *protocol.ToolCallRequest) *protocol.Route {
 	if routed := request.GetHttp(); routed != nil {
 		return &protocol.Route{
 			Name: routed.GetRoute(), Group: routed.GetGroup(), NonRepeatable: routed.GetKind() != protocol.HttpRouteKind_HTTP_REPEATABLE,
@@ -82,10 +84,10 @@
 	return failure.New(failure.UnknownTool, protocol.Outcome_NOT_RUN, "no route serves the tool", failure.WithPath("tool"))
 }
 
-func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided variant, route *protocol.Route, deadline time.Time) *callRun {
+func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route, deadline time.Time) *callRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.version(), decided.candidate
+		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
 		record.Route, record.Group = route.GetName(), route.GetGroup()
 		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
 	})
@@ -96,8 +98,8 @@
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
-			Budget: decided.budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.version(),
-			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request), MaxRuns: callRuns(request),
+			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.Version(),
+			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, AttemptLimit: callAttempts(request), RunLimit: callRuns(request),
 		}),
 	}
 }
@@ -199,7 +201,7 @@
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.program
-	result := r.service.ledgerDo(r.ctx, operation)
+	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
@@ -219,7 +221,7 @@
 
 // rejectUnreachable refuses a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.rejectUnreachable(r.key.program)
+	rejection := r.service.operations.CheckReachable(r.key.program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
@@ -246,34 +248,34 @@
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), tool: true, name: r.route.GetTool()}, r.key, avoid)
+	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
 	// A server works faster for an object that it has seen, whichever program asks.
-	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
+	wanted.Affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.Affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
-	if r.variant.shadow != nil && r.request.GetHttp() == nil {
-		r.service.chooseShadow(r.variant.shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
+	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
+		r.service.chooseShadow(r.variant.Shadow, wanted, r.request.GetTenant(), r.route, r.explanation)
 	}
 	if server == nil {
 		return turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN,
 			"no back end of group "+r.route.GetGroup()+" can take the call", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
 	r.server = server
-	return turn.Chosen{BackEnd: server.id()}
+	return turn.Chosen{BackEnd: server.ID()}
 }
 
 func (r *callRun) issue(command turn.IssueCall) turn.Event {
 	r.explanation.RecordStep("issued", command.BackEnd)
 	issuedAt := r.now()
-	r.server.inFlight.Add(1)
-	r.server.recordCall(issuedAt)
-	awaited := r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
+	r.server.BeginRequest()
+	r.server.RecordCall(issuedAt)
+	awaited := r.server.ExpectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
 	event, err := r.send(command)
-	awaited.end(err == nil, r.now())
-	r.server.inFlight.Add(-1)
+	awaited.End(err == nil, r.now())
+	r.server.EndRequest()
 	if err == nil {
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
-		r.service.models.recordCall(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
+		r.service.models.RecordCall(r.route.GetGroup(), r.server.ID(), r.now().Sub(issuedAt), r.now())
 		r.explanation.RecordStep("back end finished", command.BackEnd)
 		return event
 	}
@@ -328,8 +330,8 @@
 // hasAlternative reports whether the group has a server that was not asked yet.
 func (r *callRun) hasAlternative() bool {
 	ready := uint32(0)
-	for _, server := range r.service.backEnds.Load().byGroup[r.route.GetGroup()] {
-		if !server.draining.Load() {
+	for _, server := range r.service.backEnds.Load().ByGroup[r.route.GetGroup()] {
+		if !server.IsDraining() {
 			ready++
 		}
 	}
@@ -344,7 +346,7 @@
 	if !errors.As(err, &fault) {
 		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
 	}
-	r.server.recordOutcome(fault.outcome(), r.now())
+	r.server.RecordOutcome(fault.outcome(), r.now())
 	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
 	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
 	return fault.event()
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -8,18 +8,18 @@
 
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/testing/lab/caller"
-	"github.com/rosestand/rosestand/internal/testing/lab/mark"
+	"github.com/rosestand/rosestand/internal/testing/lab/modeltoken"
 	"github.com/rosestand/rosestand/internal/testing/lab/site"
 	"github.com/rosestand/rosestand/internal/testing/lab/standin"
 )
 
 // checkRanTwice looks for a second run of a call that may not be repeated, by
 // request id and by the thing that the call changes: a caller asks anew for the
-// same thing only after it was told that nothing was run.
-func checkRanTwice(file *casefile, f *finder) {
+// same thing only after an outcome of not_run.
+func checkRanTwice(file *indexedEvidence, f *finder) {
 	byObject := map[string][]standin.Entry{}
-	for _, request := range slices.Sorted(maps.Keys(file.started)) {
-		runs := file.started[request]
+	for _, request := range slices.Sorted(maps.Keys(file.startsByRequest)) {
+		runs := file.startsByRequest[request]
 		if !site.NonRepeatable(runs[0].Tool) {
 			continue
 		}
@@ -42,14 +42,14 @@
 
 // checkRefusedButRan holds each "not run" against the journals and against
 // other answers to the same request.
-func checkRefusedButRan(file *casefile, f *finder) {
+func checkRejectedButRan(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		refusal := notRun(record)
 		if refusal == nil {
 			return
 		}
 		f.examine(1)
-		if runs := file.started[record.RequestID]; len(runs) > 0 {
+		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
 			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", refusal.Code, refusal.Front, place(runs[0])))
 			return
 		}
@@ -59,8 +59,8 @@
 	})
 }
 
-// notRun is the exchange in which the caller was told that nothing was run. The
-// refusal of a resumption speaks of the resumption only.
+// notRun is the exchange with outcome not_run. The rejection of a resumption
+// concerns the resumption only.
 func notRun(record *caller.Record) *caller.Exchange {
 	for i := range record.Exchanges {
 		exchange := &record.Exchanges[i]
@@ -77,9 +77,9 @@
 	})
 }
 
-// checkBudgetRefusal holds refusals for a spent budget against the journals,
+// checkBudgetRejections compares rejections for a spent budget with the journals,
 // whatever outcome they named.
-func checkBudgetRefusal(file *casefile, f *finder) {
+func checkBudgetRejections(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		refused := slices.ContainsFunc(record.Exchanges, func(exchange caller.Exchange) bool {
 			return failure.Code(exchange.Code) == failure.BudgetSpent
@@ -88,19 +88,19 @@
 			return
 		}
 		f.examine(1)
-		if runs := file.started[record.RequestID]; len(runs) > 0 {
+		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
 			f.found(record.RequestID, "ran at "+place(runs[0]))
 		}
 	})
 }
 
 // checkOverBudget counts the tokens that each program received, each token once.
-func checkOverBudget(file *casefile, f *finder) {
-	received := map[string]map[mark.Token]bool{}
+func checkOverBudget(file *indexedEvidence, f *finder) {
+	received := map[string]map[modeltoken.Token]bool{}
 	file.requests(func(record *caller.Record) {
 		tokens := received[record.Program]
 		if tokens == nil {
-			tokens = map[mark.Token]bool{}
+			tokens = map[modeltoken.Token]bool{}
 			received[record.Program] = tokens
 		}
 		for _, exchange := range record.Exchanges {
@@ -112,8 +112,8 @@
 			addTokens(tokens, record.Text)
 		}
 	})
-	for _, id := range slices.Sorted(maps.Keys(file.Book.Programs)) {
-		program := file.Book.Programs[id]
+	for _, id := range slices.Sorted(maps.Keys(file.RequestLog.Programs)) {
+		program := file.RequestLog.Programs[id]
 		f.examine(1)
 		allowed := program.Budget + uint64(program.LargestTurn)
 		if count := uint64(len(received[id])); count > allowed {
@@ -122,15 +122,15 @@
 	}
 }
 
-func addTokens(tokens map[mark.Token]bool, text string) {
-	parsed, _ := mark.ParseText(text)
+func addTokens(tokens map[modeltoken.Token]bool, text string) {
+	parsed, _ := modeltoken.ParseText(text)
 	for _, token := range parsed {
 		tokens[token] = true
 	}
 }
 
 // checkAnswersCrossed looks for answers and pieces that belong to another request.
-func checkAnswersCrossed(file *casefile, f *finder) {
+func checkAnswersCrossed(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
 		f.examine(1)
 		if record.Outcome == caller.OutcomeAnswered && record.AnswerNonce != record.Nonce {
@@ -149,7 +149,7 @@
 	})
 }
 
-func foreignToken(record *caller.Record) (mark.Token, bool) {
+func foreignToken(record *caller.Record) (modeltoken.Token, bool) {
 	texts := []string{record.Text}
 	for _, exchange := range record.Exchanges {
 		for _, event := range exchange.Events {
@@ -157,12 +157,12 @@
 		}
 	}
 	for _, text := range texts {
-		tokens, _ := mark.ParseText(text)
+		tokens, _ := modeltoken.ParseText(text)
 		for _, token := range tokens {
 			if token.Nonce != record.Nonce {
 				return token, true
 			}
 		}
 	}
-	return mark.Token{}, false
+	return modeltoken.Token{}, false
 }
--- a/internal/testing/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/operator"
+	"github.com/rosestand/rosestand/internal/operator/apiclient"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/testing/lab/audit"
 	"github.com/rosestand/rosestand/internal/testing/lab/wait"
@@ -49,13 +49,13 @@
 		if !wait.For(ctx, orderInterval) {
 			break
 		}
-		o.round(ctx)
+		o.race(ctx)
 	}
 	return o.orders
 }
 
 // round is one version: a race, a repeat, a sign-off and a listing.
-func (o *Operators) round(ctx context.Context) {
+func (o *Operators) race(ctx context.Context) {
 	version, active, err := o.list(ctx)
 	if err != nil {
 		o.Logger.Debug("listing failed", "err", err)
@@ -67,12 +67,12 @@
 	race.Go(func() { o.send(ctx, first) })
 	race.Go(func() { o.send(ctx, second) })
 	race.Wait()
-	o.note(first, second)
+	o.record(first, second)
 	for _, attempt := range []*attempt{first, second} {
 		if attempt.order.Outcome == audit.OrderAcknowledged || attempt.order.Outcome == audit.OrderUnknown {
 			again := *attempt
 			o.send(ctx, &again)
-			o.note(&again)
+			o.record(&again)
 		}
 	}
 	if ctx.Err() == nil {
@@ -83,11 +83,11 @@
 // attempt is one sending of an order.
 type attempt struct {
 	order   audit.Order
-	request operator.Request
+	request apiclient.Request
 	answer  []byte
 }
 
-func (o *Operators) note(attempts ...*attempt) {
+func (o *Operators) record(attempts ...*attempt) {
 	for _, attempt := range attempts {
 		o.orders = append(o.orders, attempt.order)
 	}
@@ -110,25 +110,25 @@
 	content := sha256.Sum256(fmt.Appendf(nil, "%d/%d/%d", base, version, limits.GetMaxQueued()))
 	return &attempt{
 		order: audit.Order{ID: id, Kind: audit.OrderPut, Version: version, Content: hex.EncodeToString(content[:])},
-		request: operator.Request{
+		request: apiclient.Request{
 			Method: http.MethodPut, Path: fmt.Sprintf("/v1/bundles/%d", version), OrderID: id, Body: body,
 		},
 	}
 }
 
 func (o *Operators) send(ctx context.Context, sent *attempt) {
-	client := operator.NewClient(operator.ClientOptions{Addresses: o.Cores, Token: o.Token, Timeout: orderTimeout})
+	client := apiclient.New(apiclient.Options{Addresses: o.Cores, Token: o.Token, Timeout: orderTimeout})
 	defer client.Close()
 	sent.order.SentAt = time.Now()
 	var err error
 	sent.answer, err = client.Do(ctx, sent.request)
 	sent.order.AnsweredAt = time.Now()
-	var refused *operator.RejectedError
+	var refused *apiclient.RejectedError
 	switch {
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
 	case errors.As(err, &refused) && refused.Detail.Outcome == "not_run":
-		sent.order.Outcome = audit.OrderRefused
+		sent.order.Outcome = audit.OrderRejected
 		sent.order.Code = refused.Detail.Code
 	default:
 		sent.order.Outcome = audit.OrderUnknown
@@ -136,7 +136,7 @@
 }
 
 func (o *Operators) signOff(ctx context.Context, version uint64) {
-	shown := &attempt{request: operator.Request{Method: http.MethodGet, Path: fmt.Sprintf("/v1/bundles/%d", version)}}
+	shown := &attempt{request: apiclient.Request{Method: http.MethodGet, Path: fmt.Sprintf("/v1/bundles/%d", version)}}
 	o.send(ctx, shown)
 	var answer struct {
 		Status json.RawMessage `json:"status"`
@@ -153,18 +153,20 @@
 	}
 	id := o.orderID()
 	sign := &attempt{
-		order:   audit.Order{ID: id, Kind: audit.OrderSign, Version: version},
-		request: operator.Request{Method: http.MethodPost, Path: fmt.Sprintf("/v1/bundles/%d/sign", version), OrderID: id, Body: body},
+		order: audit.Order{ID: id, Kind: audit.OrderSign, Version: version},
+		request: apiclient.Request{
+			Method: http.MethodPost, Path: fmt.Sprintf("/v1/bundles/%d/sign", version), OrderID: id, Body: body,
+		},
 	}
 	o.send(ctx, sign)
-	o.note(sign)
+	o.record(sign)
 }
 
-// list asks for all versions and returns the newest and the one in force.
+// list requests all versions and returns the newest and the one in force.
 func (o *Operators) list(ctx context.Context) (newest, active uint64, err error) {
 	asked := &attempt{
 		order:   audit.Order{Kind: audit.OrderList},
-		request: operator.Request{Method: http.MethodGet, Path: "/v1/bundles"},
+		request: apiclient.Request{Method: http.MethodGet, Path: "/v1/bundles"},
 	}
 	o.send(ctx, asked)
 	var answer struct {
@@ -183,6 +185,6 @@
 		asked.order.Listed = append(asked.order.Listed, status.GetVersion())
 	}
 	asked.order.Newest, asked.order.Active = answer.Newest, answer.Active
-	o.note(asked)
+	o.record(asked)
 	return answer.Newest, answer.Active, nil
 }
--- a/internal/testing/lab/simcommand/rest.go
+++ b/internal/testing/lab/simcommand/idle_fleet.go
@@ -8,14 +8,14 @@
 	"github.com/rosestand/rosestand/internal/testing/sim/statesuite"
 )
 
-// UnhealthyError says that a fleet at rest did not stay whole, so that its speed means nothing.
+// UnhealthyError is returned when the idle fleet did not stay healthy, so that its speed means nothing.
 type UnhealthyError struct{}
 
 func (e *UnhealthyError) Error() string { return "the fleet at rest has no leader or lacks replicas" }
 
 // measureRest prints how much faster than real time a fleet at rest is simulated.
 func measureRest(output io.Writer, seed int64, span time.Duration) error {
-	rest := statesuite.NewRest(seed)
+	rest := statesuite.NewIdleFleet(seed)
 	begun := time.Now()
 	events := rest.Advance(span)
 	took := time.Since(begun)
--- /dev/null
+++ b/internal/transport/wire/peer_activity.go
@@ -0,0 +1,107 @@
+package wire
+
+import (
+	"time"
+
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+// How long a peer may be unresponsive while exchanges with it are in flight. A
+// connection is active while an exchange began or an answer arrived recently;
+// one with long polls alone is checked less often.
+const (
+	// activeFor is how long a connection stays active after the last exchange or answer.
+	activePeriod = 2 * time.Second
+	// activeInterval and idleInterval are the times between two checks of all connections,
+	// and the time without a frame after which a peer is pinged.
+	activeInterval = 150 * time.Millisecond
+	idleInterval   = time.Second
+	// activePingTimeout and idlePingTimeout are how long a ping may be unanswered.
+	activePingTimeout = 450 * time.Millisecond
+	idlePingTimeout   = 2 * time.Second
+	// stallFactor is how many intervals late a check may be before this process itself counts as stalled.
+	stallFactor = 3
+)
+
+// peerActivity is the recent activity of a peer on one connection.
+type peerActivity struct {
+	// lastReceived is when the last frame arrived, pings included.
+	lastReceived time.Time
+	// lastActivity is when an exchange last began or an answer last arrived.
+	lastActivity time.Time
+	// pingedAt is when the unanswered ping was sent; zero without one.
+	pingedAt time.Time
+}
+
+// began records a new exchange. Before the only one in flight the peer owed no answer.
+func (s *peerActivity) began(now time.Time, only bool) {
+	s.lastActivity = now
+	if only {
+		s.reset(now)
+	}
+}
+
+// received records a frame of the peer.
+func (s *peerActivity) received(now time.Time, answer bool) {
+	s.reset(now)
+	if answer {
+		s.lastActivity = now
+	}
+}
+
+// reset makes the peer count as responsive as of now.
+func (s *peerActivity) reset(now time.Time) {
+	s.lastReceived = now
+	s.pingedAt = time.Time{}
+}
+
+func (s *peerActivity) active(now time.Time) bool { return now.Sub(s.lastActivity) < activePeriod }
+
+// check decides whether a peer that owes answers is to be pinged, or has been unresponsive for too long; then
+// unresponsiveFor is not 0.
+func (s *peerActivity) check(now time.Time) (ping bool, unresponsiveFor time.Duration) {
+	interval, limit := idleInterval, idlePingTimeout
+	if s.active(now) {
+		interval, limit = activeInterval, activePingTimeout
+	}
+	switch {
+	case !s.pingedAt.IsZero():
+		if now.Sub(s.pingedAt) >= limit {
+			return false, now.Sub(s.lastReceived)
+		}
+		return false, 0
+	case now.Sub(s.lastReceived) >= interval:
+		s.pingedAt = now
+		return true, 0
+	default:
+		return false, 0
+	}
+}
+
+// checkActivity is called by the pool at each check: it pings while exchanges are in
+// flight, breaks an unresponsive connection and closes an idle one. It reports whether the
+// connection has to be checked again soon.
+func (c *clientConnection) checkActivity(now time.Time, idle time.Duration, stalled bool) (soon bool) {
+	c.mutex.Lock()
+	busy := len(c.exchanges) > 0
+	unused := !busy && now.Sub(c.lastUse) > idle
+	var ping bool
+	var unresponsiveFor time.Duration
+	switch {
+	case stalled:
+		c.activity.reset(now)
+	case busy:
+		ping, unresponsiveFor = c.activity.check(now)
+	}
+	soon = busy && c.activity.active(now)
+	c.mutex.Unlock()
+	switch {
+	case unresponsiveFor > 0:
+		c.fail(&UnresponsivePeerError{For: unresponsiveFor})
+	case unused:
+		c.fail(&IdleError{})
+	case ping:
+		_ = c.writer.write(&protocol.Frame{Kind: protocol.FrameKind_FRAME_PING})
+	}
+	return soon
+}
