--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -241,7 +241,7 @@
 	s.steps = append(s.steps, step)
 }
 
-// dropOldBundles forgets the content of versions far behind the one in force; their status is retained for ever.
+// dropOldBundles forgets the content of versions far behind the one in force; their status is never forgotten.
 func (s *State) dropOldBundles(active uint64) {
 	olderCount, _ := slices.BinarySearch(s.retainedVersions, active)
 	excess := olderCount - maxOldBundles
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -15,7 +15,7 @@
 
 // releaseBundle accepts a bundle that is built on the version in force, signs it
 // off in the core's own name and puts it in force, all in one step. The same
-// release sent again is acknowledged for ever, whatever came after it.
+// release sent again is acknowledged at any later time, whatever was released after it.
 func (s *State) releaseBundle(index uint64, command *protocol.ReleaseBundleCommand) *protocol.CommandResult {
 	submitted, baseFaults := releaseContent(command)
 	version, digest := submitted.GetVersion(), bundle.Digest(submitted)
--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// announcementOutcome is what the leader makes of a back end's announcement.
+// announcementOutcome is what the leader decides on a back end's announcement.
 type announcementOutcome int
 
 const (
--- a/internal/controlplane/core/api_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -156,7 +156,7 @@
 			for version := uint64(1); version <= 300; version++ {
 				Expect(leader.service.ReleaseBundle(ctx, manyRoutes(version, int(version)), version-1)).To(Succeed())
 				f.advance(core.DefaultCoalesceInterval)
-				// The clock stands still: a poll that is delayed does not return before the deadline.
+				// The clock does not move: a poll that is delayed does not return before the deadline.
 				waiting, cancel := context.WithTimeout(ctx, 30*time.Second)
 				answer, err := leader.pollDeltas(waiting, front, configuration.GetVersion())
 				cancel()
--- a/internal/controlplane/core/export_test.go
+++ b/internal/controlplane/core/export_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settled reports that the owner has worked through the tick at now and that nothing it began is under way.
+// Idle reports that the owner has handled the tick at now and that no task that it began is running.
 func (s *Service) Idle(now time.Time) bool {
 	idle := false
 	s.owner.execute(context.Background(), func(time.Time) {
--- a/internal/controlplane/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -161,7 +161,7 @@
 	return m
 }
 
-// advance moves the clock in steps of the owners' tick and lets each of them finish its work.
+// advance moves the clock in steps of the owners' tick and waits until each of them is idle.
 func (f *fleet) advance(by time.Duration) {
 	GinkgoHelper()
 	for by > 0 {
@@ -171,13 +171,13 @@
 	}
 }
 
-// settle waits until every owner has worked through its tick at now and what came of it.
+// awaitIdle waits until every owner has handled its tick at now and the tasks that it began.
 func (f *fleet) awaitIdle(now time.Time) {
 	GinkgoHelper()
 	deadline := time.Now().Add(waitTimeout)
 	for _, m := range f.members {
 		for !m.service.Idle(now) {
-			Expect(time.Now().Before(deadline)).To(BeTrue(), "the owner does not settle")
+			Expect(time.Now().Before(deadline)).To(BeTrue(), "the owner is not idle")
 			runtime.Gosched()
 		}
 	}
--- a/internal/controlplane/core/heartbeats_test.go
+++ b/internal/controlplane/core/heartbeats_test.go
@@ -282,7 +282,7 @@
 var _ = Describe("the traffic of heartbeats at the leader", func() {
 	// interval is the time between two heartbeats of a back end.
 	const interval = time.Second
-	// arrivedIn counts for one interval what arrives at the leader when back ends go where they are told.
+	// arrivedIn counts for one interval what arrives at the leader when back ends use the addresses that they are given.
 	arrivedIn := func(backEnds int) (direct int, relayed traffic) {
 		f, net := newConnectedFleet(4)
 		leader := f.lead(f.members[0])
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// heartbeatOutcome is what a member that does not lead makes of a heartbeat.
+// heartbeatOutcome is what a member that does not lead decides on a heartbeat.
 type heartbeatOutcome int
 
 const (
@@ -39,7 +39,6 @@
 	if !executed {
 		return controllog.Interrupted(ctx)
 	}
-	retry := failure.WithRetryAfter(controllog.RetryAfter)
 	switch outcome {
 	case heartbeatAcknowledged:
 		s.metrics.backEndLeases.WithLabelValues(eventRelayed).Inc()
@@ -48,8 +47,8 @@
 		return s.forwardAnnouncement(ctx, leaderAddress, backEnd, sequence)
 	case heartbeatLeaderUnreachable:
 		s.metrics.backEndLeases.WithLabelValues(eventLeaderUnreachable).Inc()
-		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, "this core process does not reach the leader",
-			retry)
+		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN,
+			"this core process does not reach the leader", failure.WithRetryAfter(controllog.RetryAfter))
 	default:
 		return controllog.NoLeader()
 	}
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -19,7 +19,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// dataSubfolder holds the control log and its snapshots inside the data folder.
+// dataSubfolder is the folder of the control log and its snapshots inside the data folder.
 const dataSubfolder = "core"
 
 // Module assembles the control plane. It needs what package daemon supplies and
@@ -39,7 +39,8 @@
 	)
 }
 
-func newReplica(settings *protocol.CoreSettings, machine *Machine, process *daemon.Process, caller wire.Caller,
+func newReplica(
+	settings *protocol.CoreSettings, machine *Machine, process *daemon.Process, caller wire.Caller,
 	filesystem storage.Filesystem, clock replica.Clock, logger *log.Logger, registerer prometheus.Registerer,
 ) (*replica.Replica, error) {
 	self := process.Self
@@ -73,9 +74,9 @@
 
 func millis(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func newService(settings *protocol.CoreSettings, machine *Machine, consensus *replica.Replica, caller wire.Caller,
-	clock replica.Clock,
-	logger *log.Logger, registerer prometheus.Registerer,
+func newService(
+	settings *protocol.CoreSettings, machine *Machine, consensus *replica.Replica, caller wire.Caller,
+	clock replica.Clock, logger *log.Logger, registerer prometheus.Registerer,
 ) (*Service, error) {
 	keys, err := bundle.ParseKeys(settings.GetSignOffKeys())
 	if err != nil {
@@ -107,7 +108,7 @@
 	}), nil
 }
 
-// serveOperators gives every path that the daemon itself does not serve to the dispatch of the service.
+// serveOperators routes every path that the daemon does not serve to the operators' interface.
 func serveOperators(engine *gin.Engine, service *Service) {
 	engine.NoRoute(gin.WrapH(service))
 }
