--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -28,8 +28,8 @@
 // contentDigest is the first half of a SHA-256.
 type contentDigest [16]byte
 
-// orderEntry is an order with its first result. It is never forgotten: operators may send an order again after any number
-// of changes.
+// orderEntry is an order with its first result. It is never forgotten: operators may send an order again after any
+// number of changes.
 type orderEntry struct {
 	digest contentDigest
 	result *protocol.CommandResult
--- a/internal/controlplane/core/api.go
+++ b/internal/controlplane/core/api.go
@@ -55,8 +55,8 @@
 	return leader.GetHttpAddress()
 }
 
-// ReleaseBundle puts a bundle, complete or partial, in force if the version in force is expectedVersion (zero: none). It
-// returns nil only when the release is on the disks of a majority of the core and applied. The same release made
+// ReleaseBundle puts a bundle, complete or partial, in force if the version in force is expectedVersion (zero: none).
+// It returns nil only when the release is on the disks of a majority of the core and applied. The same release made
 // again is acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the
 // settings trust operators.
 func (s *Service) ReleaseBundle(ctx context.Context, bundle *protocol.Bundle, expectedVersion uint64) error {
--- /dev/null
+++ b/internal/controlplane/core/leases/table_test.go
@@ -0,0 +1,130 @@
+package leases_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
+	"github.com/rosestand/rosestand/internal/protocol"
+)
+
+const duration = 5 * time.Second
+
+var (
+	start  = time.Unix(1_764_650_000, 0)
+	holder = leases.Holder{Name: "front-1", Incarnation: 7}
+)
+
+func newTable() *leases.Table {
+	table := leases.NewTable(duration)
+	table.Reset(start)
+	return table
+}
+
+func TestALeaseExpiresItsDurationAfterTheLastContact(t *testing.T) {
+	for name, test := range map[string]struct {
+		prepare func(table *leases.Table)
+		expires time.Duration
+	}{
+		"of a holder that this leader does not know, after its beginning": {
+			prepare: func(*leases.Table) {}, expires: duration,
+		},
+		"after a renewal": {
+			prepare: func(table *leases.Table) { table.Renew(holder, start.Add(2*time.Second)) }, expires: 7 * time.Second,
+		},
+		"after the later of two renewals": {
+			prepare: func(table *leases.Table) {
+				table.Renew(holder, start.Add(2*time.Second))
+				table.Renew(holder, start.Add(time.Second))
+			}, expires: 7 * time.Second,
+		},
+		"but not before an extension ends": {
+			prepare: func(table *leases.Table) {
+				table.Renew(holder, start.Add(time.Second))
+				table.Extend(start.Add(4 * time.Second))
+			}, expires: 9 * time.Second,
+		},
+		"of this incarnation only": {
+			prepare: func(table *leases.Table) {
+				table.Renew(leases.Holder{Name: holder.Name, Incarnation: 8}, start.Add(2*time.Second))
+			}, expires: duration,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := newTable()
+			test.prepare(table)
+			if got := table.Expiry(holder).Sub(start); got != test.expires {
+				t.Fatalf("expires after %v, not %v", got, test.expires)
+			}
+			if got := table.LastRenewal(holder); !got.Equal(table.Expiry(holder).Add(-duration)) {
+				t.Fatalf("last renewal at %v", got)
+			}
+		})
+	}
+}
+
+func TestARemovalIsProposedOnceAtATime(t *testing.T) {
+	table := newTable()
+	table.Renew(holder, start)
+	if table.BeginRemoval(holder, start.Add(duration-1)) {
+		t.Fatal("proposed before the lease expired")
+	}
+	expired := start.Add(duration)
+	if !table.BeginRemoval(holder, expired) {
+		t.Fatal("not proposed when the lease expired")
+	}
+	if table.Renew(holder, expired) {
+		t.Fatal("renewed while the holder is being removed")
+	}
+	if table.BeginRemoval(holder, expired.Add(time.Hour)) {
+		t.Fatal("proposed again while a proposal is in flight")
+	}
+	table.EndProposal(holder)
+	if table.BeginRemoval(holder, expired.Add(time.Second-1)) {
+		t.Fatal("proposed again before the retry interval")
+	}
+	if !table.BeginRemoval(holder, expired.Add(time.Second)) {
+		t.Fatal("not proposed again after the retry interval")
+	}
+}
+
+func TestALeaseStaysInTheTableUntilItsHolderLeftTheView(t *testing.T) {
+	absent := func(string) (uint64, bool) { return 0, false }
+	present := func(string) (uint64, bool) { return holder.Incarnation, true }
+	replaced := func(string) (uint64, bool) { return holder.Incarnation + 1, true }
+	for name, test := range map[string]struct {
+		current  func(string) (uint64, bool)
+		removing bool
+		stays    bool
+	}{
+		"present":                            {current: present, stays: true},
+		"absent":                             {current: absent},
+		"replaced by a later incarnation":    {current: replaced},
+		"absent with its removal in flight":  {current: absent, removing: true, stays: true},
+		"present with its removal in flight": {current: present, removing: true, stays: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := newTable()
+			table.Renew(holder, start)
+			if test.removing {
+				table.BeginRemoval(holder, start.Add(duration))
+			}
+			table.DropAbsent(test.current)
+			if stays := table.Find(holder) != nil; stays != test.stays {
+				t.Fatalf("stays: %v", stays)
+			}
+		})
+	}
+}
+
+func TestConfirmedVersionsNeverStepBack(t *testing.T) {
+	table := newTable()
+	table.Renew(holder, start)
+	lease := table.Find(holder)
+	lease.Confirm(&protocol.ControlVersions{Configuration: 4, BackEnds: 9})
+	lease.Confirm(&protocol.ControlVersions{Configuration: 5, BackEnds: 8, Placement: 2})
+	want := leases.Versions{Configuration: 5, BackEnds: 9, Placement: 2}
+	if got := table.Status(holder, start).InForce; got != want {
+		t.Fatalf("in force: %+v", got)
+	}
+}
