--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -82,6 +82,8 @@
 	return candidate != n.leaseLeader && now.Before(n.rejectVotesUntil)
 }
 
+// becomeFollower follows the leader, which is zero when it is not known, in the term or a newer one.
+// The vote is cleared with a new term only, so that a member never votes twice in one.
 func (n *Node) becomeFollower(term, leader uint64, now time.Time) {
 	if term > n.term {
 		n.term, n.vote = term, 0
@@ -126,6 +128,7 @@
 	n.tallyVotes(now)
 }
 
+// tallyVotes counts the answers of the voters in the newest configuration and acts on the outcome.
 func (n *Node) tallyVotes(now time.Time) {
 	voters := Voters(n.configuration())
 	granted, rejected := 0, 0
@@ -147,6 +150,8 @@
 	}
 }
 
+// becomeLeader appends an empty entry of the new term at once: committing it commits what earlier
+// leaders left, and reads wait for it.
 func (n *Node) becomeLeader(now time.Time) {
 	n.role, n.leader, n.votes = Leader, n.config.ID, nil
 	n.leaseLeader = n.config.ID
@@ -160,6 +165,8 @@
 	n.broadcastHeartbeat(now)
 }
 
+// stepPreVote answers whether the sender would get this member's vote. Term and vote stay as they are, so
+// that a member that cannot win does not end a leadership by campaigning.
 func (n *Node) stepPreVote(message *protocol.ConsensusMessage, now time.Time) {
 	grant := message.GetTerm() > n.term && !n.rejectsVotesFrom(message.GetFrom(), now) &&
 		n.log.isUpToDate(message.GetLogIndex(), message.GetLogTerm())
@@ -186,6 +193,8 @@
 	return !sameLog || other.GetFrom() > n.config.ID
 }
 
+// stepVote grants the one vote of the term to a candidate whose log is up to date. The vote is durable
+// before the answer is sent.
 func (n *Node) stepVote(message *protocol.ConsensusMessage, now time.Time) {
 	grant := (n.vote == 0 || n.vote == message.GetFrom()) && (n.role == Follower || n.role == PreCandidate) &&
 		n.log.isUpToDate(message.GetLogIndex(), message.GetLogTerm())
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -6,6 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
+// canPropose rejects proposals of a follower, and during a transfer, whose target must catch up.
 func (n *Node) canPropose() error {
 	if n.role != Leader {
 		return &NotLeaderError{Leader: n.leader}
@@ -94,6 +95,8 @@
 	return n.log.slice(peer.next, peer.match+n.config.MaxInflight, n.config.MaxAppendBytes)
 }
 
+// sendAppend sends entries from peer.next on, or none, with the entry before them for the check of log
+// matching.
 func (n *Node) sendAppend(peer *progress, entries []*protocol.Entry) {
 	previous := peer.next - 1
 	term, _ := n.log.term(previous)
@@ -130,6 +133,9 @@
 	n.sendAppend(peer, entries)
 }
 
+// stepAppend stores the entries of the leader if the entry before them matches. The answer, which is sent
+// once they are durable, names the last entry that is known to match the leader's log; only that far may
+// this member commit.
 func (n *Node) stepAppend(message *protocol.ConsensusMessage, now time.Time) error {
 	if err := n.followLeader(message.GetFrom(), message.GetLogIndex(), now); err != nil {
 		return err
@@ -164,6 +170,7 @@
 	return n.log.commit, term, entries[skipped:]
 }
 
+// storeEntries stores entries that follow a matching one, with the configurations among them.
 func (n *Node) storeEntries(entries []*protocol.Entry) error {
 	first := n.log.merge(entries)
 	if first == 0 {
@@ -208,6 +215,8 @@
 	n.continueTransfer(now)
 }
 
+// handleRejection probes for the last match below a rejected append. Rejections that answer an append
+// from before the present probe are ignored, or it would start over.
 func (n *Node) handleRejection(peer *progress, message *protocol.ConsensusMessage, now time.Time) {
 	rejected := message.GetLogIndex()
 	stale := rejected <= peer.match || peer.state == stateSnapshot ||
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -51,6 +51,7 @@
 	})
 }
 
+// resendChunk repeats a chunk that was not answered within an election timeout.
 func (n *Node) resendChunk(peer *progress, now time.Time) {
 	if now.Sub(peer.lastChunkSentAt) >= n.config.ElectionTimeout {
 		n.sendChunk(peer, now)
@@ -65,6 +66,7 @@
 	}
 }
 
+// stepSnapshotChunk collects the chunks of a snapshot, unless this member has all that it covers.
 func (n *Node) stepSnapshotChunk(message *protocol.ConsensusMessage, now time.Time) error {
 	metadata := message.GetSnapshot()
 	if err := n.followLeader(message.GetFrom(), metadata.GetIndex(), now); err != nil {
@@ -105,6 +107,7 @@
 	})
 }
 
+// installSnapshot replaces the log by the complete snapshot, which the next Ready returns.
 func (n *Node) installSnapshot(message *protocol.ConsensusMessage) {
 	n.receivedSnapshot = &ReceivedSnapshot{Metadata: n.incomingSnapshot.metadata, Data: n.incomingSnapshot.data}
 	n.log.restore(n.incomingSnapshot.metadata)
@@ -113,6 +116,8 @@
 	n.acknowledgeSnapshot(message)
 }
 
+// acknowledgeSnapshot answers as to an append: when the answer is sent, all up to the commit index is
+// durable here.
 func (n *Node) acknowledgeSnapshot(message *protocol.ConsensusMessage) {
 	n.send(&protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, To: message.GetFrom(),
--- a/internal/controlplane/replica/requests.go
+++ b/internal/controlplane/replica/requests.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 // Names of the queues to the owner goroutine, for OverloadedError.
@@ -13,6 +16,12 @@
 	requestQueueName  = "requests"
 )
 
+// inboundMessage is a message of another member and when this process received it.
+type inboundMessage struct {
+	message    *protocol.ConsensusMessage
+	receivedAt time.Time
+}
+
 // request is work for the owner goroutine. Exactly one of its functions is called, unless the replica
 // stops first.
 type request struct {
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -21,12 +21,6 @@
 	minTransferInterval = time.Minute
 )
 
-// inboundMessage is a message of another member and when this process received it.
-type inboundMessage struct {
-	message    *protocol.ConsensusMessage
-	receivedAt time.Time
-}
-
 // slowDiskDetector compares the syncs of a leader with the answers of the other voters, which include
 // their syncs. A leader writes before it sends, so that a slow disk of its own delays every command. A
 // single slow sync means nothing; most of a window do. It belongs to the owner goroutine.
