--- a/internal/state/store/program_test.go
+++ b/internal/state/store/program_test.go
@@ -20,31 +20,34 @@
 	requests int
 	// padding lengthens the text of each turn.
 	padding string
-	// keepFor is how long turns are kept; zero leaves it to the ledger.
-	keepFor time.Duration
+	// retention is how long turns are kept; zero leaves it to the ledger.
+	retention time.Duration
 	// previousProgram is the program of the turn that the first turn continues.
 	previousProgram, previousTurn string
 }
 
 func (f *fleet) program(name string) *program {
 	GinkgoHelper()
-	return f.keptProgram(name, 0)
+	return f.programWithRetention(name, 0)
 }
 
-// keptProgram is a program that names how long its turns are kept.
-func (f *fleet) keptProgram(name string, keepFor time.Duration) *program {
+// programWithRetention is a program that names how long its turns are kept.
+func (f *fleet) programWithRetention(name string, retention time.Duration) *program {
 	GinkgoHelper()
-	p := &program{fleet: f, name: name, keepFor: keepFor}
-	p.claim("front-1", 1)
+	p := &program{fleet: f, name: name, retention: retention}
+	p.claim("front-1")
 	return p
 }
 
-func (p *program) claim(owner string, incarnation uint64) {
+func (p *program) claim(owner string) {
 	GinkgoHelper()
-	result := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-		Session: p.name, Owner: owner, OwnerIncarnation: incarnation, Tenant: "tenant", Budget: 1_000_000,
-		KeepingMillis: p.keepFor.Milliseconds(),
-	}}})
+	result := p.fleet.do(&protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+			Session: p.name, Owner: owner, OwnerIncarnation: 1, Tenant: "tenant", Budget: 1_000_000,
+			KeepingMillis: p.retention.Milliseconds(),
+		}},
+	})
 	Expect(result.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	p.epoch = result.GetEpoch()
 }
@@ -58,13 +61,16 @@
 
 func (p *program) reserve() *protocol.LedgerOperation {
 	p.requests++
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
-		RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch, Ceiling: 10, PreviousTurn: p.last(),
-		Fork: p.previousProgram != "",
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_ReserveTurn{ReserveTurn: &protocol.ReserveTurn{
+			RequestId: fmt.Sprintf("%s-r%d", p.name, p.requests), Session: p.name, Epoch: p.epoch, Ceiling: 10,
+			PreviousTurn: p.last(), Fork: p.previousProgram != "",
+		}},
+	}
 }
 
-func (p *program) settle() *protocol.LedgerOperation {
+func (p *program) commit() *protocol.LedgerOperation {
 	request := fmt.Sprintf("%s-r%d", p.name, p.requests)
 	now := p.fleet.clock.Now()
 	turn := &protocol.Turn{
@@ -74,39 +80,48 @@
 	if len(p.turns) == 0 {
 		turn.PreviousProgram = p.previousProgram
 	}
-	if p.keepFor > 0 {
-		turn.KeepUntilMillis = now.Add(p.keepFor).UnixMilli()
+	if p.retention > 0 {
+		turn.KeepUntilMillis = now.Add(p.retention).UnixMilli()
+	}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
+			RequestId: request, Session: p.name, Epoch: p.epoch, Tokens: 7, Turn: turn,
+		}},
 	}
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: &protocol.SettleTurn{
-		RequestId: request, Session: p.name, Epoch: p.epoch, Tokens: 7, Turn: turn,
-	}}}
 }
 
 func (p *program) takeTurn() {
 	GinkgoHelper()
 	Expect(p.fleet.do(p.reserve()).GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
-	p.finishTurn()
+	p.completeTurn()
 }
 
-func (p *program) finishTurn() {
+func (p *program) completeTurn() {
 	GinkgoHelper()
-	operation := p.settle()
+	operation := p.commit()
 	Expect(p.fleet.do(operation).GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	p.turns = append(p.turns, operation.GetSettleTurn().GetTurn().GetId())
 }
 
 func (p *program) readTurns(last string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReadTurns{ReadTurns: &protocol.ReadTurns{LastTurn: last}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body:    &protocol.LedgerOperation_ReadTurns{ReadTurns: &protocol.ReadTurns{LastTurn: last}},
+	}
 }
 
 func (p *program) beginCall(request string) *protocol.LedgerOperation {
-	return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
-		RequestId: request, Session: p.name, Epoch: p.epoch, Attempt: "attempt-" + request,
-	}}}
+	return &protocol.LedgerOperation{
+		Program: p.name,
+		Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
+			RequestId: request, Session: p.name, Epoch: p.epoch, Attempt: "attempt-" + request,
+		}},
+	}
 }
 
-// expectKept reads everything that was acknowledged.
-func (p *program) expectKept() {
+// expectRetained reads everything that was acknowledged.
+func (p *program) expectRetained() {
 	GinkgoHelper()
 	record := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReadProgram{}})
 	Expect(record.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
@@ -114,8 +129,8 @@
 	history := p.fleet.do(p.readTurns(p.last()))
 	Expect(history.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 	Expect(history.GetTurns()).To(HaveLen(len(p.turns)))
-	for place, turn := range history.GetTurns() {
-		Expect(turn.GetId()).To(Equal(p.turns[len(p.turns)-1-place]))
+	for number, turn := range history.GetTurns() {
+		Expect(turn.GetId()).To(Equal(p.turns[len(p.turns)-1-number]))
 	}
 }
 
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -26,7 +26,7 @@
 )
 
 var _ = Describe("a fleet of stores", func() {
-	It("given turns settled, when every store loses power at once, then all that was acknowledged is there", func() {
+	It("given turns committed, when every store loses power at once, then all that was acknowledged is there", func() {
 		f := newFleet("a", "b", "c")
 		programs := []*program{f.program("p1"), f.program("p2"), f.program("p3")}
 		for range 5 {
@@ -41,12 +41,12 @@
 			f.restart(name)
 		}
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 			p.takeTurn()
 		}
 	})
 
-	It("given long logs, then snapshots stand in for them, and a restart reads everything back", func() {
+	It("given long logs, then snapshots replace them, and a restart reads everything back", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.padding = strings.Repeat("x", 4000)
@@ -54,7 +54,8 @@
 			p.takeTurn()
 		}
 		f.until(func() bool {
-			return hasSnapshot(f.members["a"].disk.Files("data/registers")) && hasSnapshot(f.members["a"].disk.Files("data/turns"))
+			return hasSnapshot(f.members["a"].disk.Files("data/registers")) &&
+				hasSnapshot(f.members["a"].disk.Files("data/turns"))
 		})
 		for range 20 {
 			p.takeTurn()
@@ -71,7 +72,7 @@
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 121))
 	})
 
-	It("given one store down, then turns go on, and it catches up from what it reads", func() {
+	It("given one store down, then turns continue, and it catches up from what it reads", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		f.stopOne("a", true)
@@ -79,18 +80,18 @@
 		p.takeTurn()
 		f.restart("a")
 		f.stopOne("b", false)
-		p.expectKept()
+		p.expectRetained()
 		f.until(func() bool { return f.members["a"].store.Status().GetTurns() == 2 })
 		Expect(f.members["a"].store.Status().GetRepaired()).To(BeNumerically(">=", 2))
 	})
 
-	It("given a store that missed changes, when it scrubs, then it holds them without being asked", func() {
+	It("given a store that missed changes, when it scrubs, then it has them without a request", func() {
 		f := newFleet("a", "b", "c")
-		f.setCut("c", true)
+		f.setPartitioned("c", true)
 		for number := range 6 {
 			f.program(fmt.Sprintf("p%d", number)).takeTurn()
 		}
-		f.setCut("c", false)
+		f.setPartitioned("c", false)
 		Expect(f.members["c"].store.Status().GetTurns()).To(BeZero())
 		go f.members["c"].store.Running().ScrubOnce()
 		f.until(func() bool {
@@ -112,38 +113,38 @@
 			before := f.members[lost].self.GetStorageId()
 			f.loseDisk(lost)
 			Expect(f.members[lost].self.GetStorageId()).NotTo(Equal(before))
-			f.until(f.whole)
+			f.until(f.isComplete)
 			programs[0].takeTurn()
 		}
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 		}
 	})
 
-	It("given an emptied store and one cut off, then it votes for nothing and answers unavailable, never missing", func() {
+	It("given an emptied store and one partitioned, then it does not vote and answers unavailable, never missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		f.loseDisk("a")
 		f.until(f.inForce)
 		Expect(f.ask("c", shortTime, p.reserve()).GetStatus()).To(Equal(unavailable))
 		Expect(f.ask("c", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 		p.requests--
-		f.setCut("b", false)
-		f.until(f.whole)
+		f.setPartitioned("b", false)
+		f.until(f.isComplete)
 		p.takeTurn()
-		p.expectKept()
+		p.expectRetained()
 	})
 
 	It("given a turn that nobody has, then it is missing only while a majority says so", func() {
-		f := newPatientFleet("a", "b", "c")
+		f := newUnhurriedFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
 		Expect(f.do(p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
-		f.setCut("b", true)
-		Expect(f.ask("a", patience, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
-		f.setCut("c", true)
+		f.setPartitioned("b", true)
+		Expect(f.ask("a", awaitTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
+		f.setPartitioned("c", true)
 		Expect(f.ask("a", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 	})
 
@@ -165,7 +166,7 @@
 		}
 		for shard := range uint32(shardCount) {
 			f.move(shard, "a", "d")
-			f.until(f.whole)
+			f.until(f.isComplete)
 		}
 		ended.Store(true)
 		writers.Wait()
@@ -174,22 +175,23 @@
 		f.stopOne("b", false)
 		f.restart("b")
 		for _, p := range programs {
-			p.expectKept()
+			p.expectRetained()
 		}
 	})
 
-	It("given an operation planned under another placement, then it is refused with the epoch in force", func() {
+	It("given an operation planned under another placement, then it is rejected with the epoch in force", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		shard := ledger.ShardOf("p", shardCount)
 		old := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.loseDisk("c")
-		f.until(func() bool { return f.whole() && f.inForce() })
+		f.until(func() bool { return f.isComplete() && f.inForce() })
 		operation := p.reserve()
 		operation.PlacementEpoch = old
 		inForce := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.until(func() bool {
-			response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "a", &protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
+			response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "a",
+				&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.GetLedger().GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT))
 			return response.GetLedger().GetPlacementEpoch() == inForce
@@ -199,11 +201,11 @@
 	It("given syncs that go on failing, then the store stops and nothing is acknowledged by it", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
-		f.setCut("b", true)
+		f.setPartitioned("b", true)
 		f.members["a"].disk.FailSyncs(0, 1000)
 		// The clock of the fleet runs while an operation is awaited, so one may expire before it is begun.
 		f.until(func() bool {
-			result, refused := f.answerOf("a", p.reserve())
+			result, refused := f.requestFrom("a", p.reserve())
 			if refused != nil {
 				Expect(refused.Code()).To(Equal(failure.Unavailable))
 			} else {
@@ -213,13 +215,13 @@
 		})
 	})
 
-	It("given turns past their keeping time, when they are collected, then their segments go and they are missing", func() {
+	It("given turns past their retention, then their segments are removed and they are reported missing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for range 400 {
 			p.takeTurn()
 		}
-		segments := func() int { return len(segmentsOf(f.members["a"].disk.Files("data/turns"))) }
+		segments := func() int { return len(listSegments(f.members["a"].disk.Files("data/turns"))) }
 		Expect(segments()).To(BeNumerically(">", 2))
 		f.clock.advance(ledger.DefaultRetention + 10*time.Minute)
 		f.until(func() bool { return segments() == 1 })
@@ -229,9 +231,12 @@
 
 var _ = Describe("a call that may not be repeated", func() {
 	begin := func(p *program, attempt string) *protocol.LedgerOperation {
-		return &protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
-			RequestId: "call-1", Session: p.name, Epoch: p.epoch, Attempt: attempt, Tool: "valve",
-		}}}
+		return &protocol.LedgerOperation{
+			Program: p.name,
+			Body: &protocol.LedgerOperation_BeginCall{BeginCall: &protocol.BeginCall{
+				RequestId: "call-1", Session: p.name, Epoch: p.epoch, Attempt: attempt, Tool: "valve",
+			}},
+		}
 	}
 
 	It("given an intent, then no other attempt may issue the call and its outcome answers repeats", func() {
@@ -251,7 +256,7 @@
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		late := begin(p, "old")
-		p.claim("front-2", 1)
+		p.claim("front-2")
 		Expect(f.do(late).GetStatus()).To(Equal(fenced))
 		Expect(f.do(begin(p, "new")).GetStatus()).To(Equal(ok))
 	})
@@ -267,22 +272,23 @@
 				return
 			}
 			once.Do(func() {
-				response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "b", &protocol.Request{Body: &protocol.Request_Ledger{
-					Ledger: &protocol.LedgerOperation{
-						Program: p.name, PlacementEpoch: f.View().Placement.GetShards()[ledger.ShardOf(p.name, shardCount)].GetEpoch(),
-						Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-							Session: p.name, Owner: "front-2", OwnerIncarnation: 1,
-						}},
-					},
-				}})
+				response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "b",
+					&protocol.Request{Body: &protocol.Request_Ledger{
+						Ledger: &protocol.LedgerOperation{
+							Program: p.name, PlacementEpoch: f.View().Placement.GetShards()[ledger.ShardOf(p.name, shardCount)].GetEpoch(),
+							Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+								Session: p.name, Owner: "front-2", OwnerIncarnation: 1,
+							}},
+						},
+					}})
 				if err == nil {
 					claimed = response.GetLedger().GetStatus()
 				}
 			})
 		}
 		f.mutex.Unlock()
-		f.setCut("c", true)
-		Expect(f.ask("a", patience, begin(p, "old")).GetStatus()).To(Equal(fenced))
+		f.setPartitioned("c", true)
+		Expect(f.ask("a", awaitTimeout, begin(p, "old")).GetStatus()).To(Equal(fenced))
 		Expect(claimed).To(Equal(ok))
 	})
 })
@@ -297,7 +303,8 @@
 			}
 			m := f.members["a"]
 			before := m.self.GetStorageId()
-			// A turn is taken once two stores have kept it. Damage in the middle of a log, which this one must have for that, is a loss.
+			// A turn is taken once two stores have kept it. Damage in the middle of a log, which this one must have
+			// for that, is a loss.
 			f.until(func() bool { return f.running("a").Status().GetTurns() == uint64(turns) })
 			if turns > 50 {
 				f.until(func() bool { return hasSnapshot(m.disk.Files("data/registers")) })
@@ -310,29 +317,31 @@
 			Expect(folder.StorageID).NotTo(Equal(before))
 			Expect(folder.Close()).To(Succeed())
 		},
-		Entry("a register record", 5, func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/registers")[0], 200, 0xff)).To(BeTrue()) }),
-		Entry("a turn record", 5, func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/turns")[0], 200, 0xff)).To(BeTrue()) }),
+		Entry("a register record", 5,
+			func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/registers")[0], 200, 0xff)).To(BeTrue()) }),
+		Entry("a turn record", 5,
+			func(m *member) { Expect(m.disk.Damage(m.disk.Files("data/turns")[0], 200, 0xff)).To(BeTrue()) }),
 		Entry("the register log", 5, func(m *member) { removeAll(m, "data/registers", ".log") }),
 		Entry("a register snapshot", 100, func(m *member) {
-			Expect(m.disk.Damage(filesOf(m, "data/registers", ".snapshot")[0], 60, 0xff)).To(BeTrue())
+			Expect(m.disk.Damage(listFiles(m, "data/registers", ".snapshot")[0], 60, 0xff)).To(BeTrue())
 		}),
 		Entry("all register snapshots", 100, func(m *member) { removeAll(m, "data/registers", ".snapshot") }),
 	)
 })
 
-func filesOf(m *member, folder, suffix string) []string {
+func listFiles(m *member, folder, suffix string) []string {
 	return slices.DeleteFunc(m.disk.Files(folder), func(file string) bool { return !strings.HasSuffix(file, suffix) })
 }
 
 func removeAll(m *member, folder, suffix string) {
 	GinkgoHelper()
-	for _, file := range filesOf(m, folder, suffix) {
+	for _, file := range listFiles(m, folder, suffix) {
 		Expect(m.disk.Remove(file)).To(Succeed())
 	}
 }
 
-// segmentsOf leaves out the index beside a log.
-func segmentsOf(files []string) []string {
+// listSegments leaves out the index beside a log.
+func listSegments(files []string) []string {
 	return slices.DeleteFunc(files, func(file string) bool { return !strings.HasSuffix(file, ".log") })
 }
 
--- /dev/null
+++ b/internal/transport/wire/hedged_dial.go
@@ -0,0 +1,71 @@
+package wire
+
+import (
+	"context"
+	"net"
+	"time"
+)
+
+const (
+	// hedgeDelay is how long an attempt to connect may be unanswered before another one begins beside it. The operating
+	// system repeats its SYN packet only after a second; a machine that got power meanwhile answers a new one at once.
+	hedgeDelay = 100 * time.Millisecond
+	// maxConcurrentDials is the maximum number of concurrent attempts.
+	maxConcurrentDials = int(defaultConnectTimeout / hedgeDelay)
+)
+
+// dialFunc makes one attempt to connect.
+type dialFunc func(ctx context.Context) (net.Conn, error)
+
+// dialed is the result of one attempt.
+type dialed struct {
+	connection net.Conn
+	err        error
+}
+
+// dialHedged connects by several attempts, for defaultConnectTimeout at most. The first connection wins and
+// the others are closed; the first attempt that the peer refused ends all.
+func dialHedged(ctx context.Context, dial dialFunc) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, defaultConnectTimeout)
+	defer cancel()
+	results := make(chan dialed, maxConcurrentDials)
+	pending := 0
+	begin := func() {
+		pending++
+		go func() {
+			connection, err := dial(ctx)
+			results <- dialed{connection: connection, err: err}
+		}()
+	}
+	begin()
+	again := time.NewTicker(hedgeDelay)
+	defer again.Stop()
+	for begun := 1; ; {
+		select {
+		case result := <-results:
+			pending--
+			if result.err == nil || ctx.Err() == nil {
+				cancel()
+				go closeLosers(results, pending)
+				return result.connection, result.err
+			}
+			if pending == 0 {
+				return nil, result.err
+			}
+		case <-again.C:
+			if begun < maxConcurrentDials {
+				begun++
+				begin()
+			}
+		}
+	}
+}
+
+// closeLosers closes the connections of attempts that another one overtook.
+func closeLosers(results <-chan dialed, pending int) {
+	for range pending {
+		if late := <-results; late.connection != nil {
+			_ = late.connection.Close()
+		}
+	}
+}
