--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -25,10 +25,10 @@
 		return nil, invalidField("outcomes", "too many outcomes at once")
 	}
 	report := decodeReport(request)
-	var suspects []serverhealth.Suspect
+	var suspects []serverhealth.EjectedServer
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		s.owner.mergeOutcomes(report, now)
-		suspects = s.owner.serverHealth.Suspects(request.GetZone(), now)
+		suspects = s.owner.serverHealth.Ejected(request.GetZone(), now)
 	})
 	if !executed {
 		return nil, controllog.Interrupted(ctx)
@@ -42,7 +42,7 @@
 		report.Outcomes = append(report.Outcomes, serverhealth.Outcomes{
 			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
 			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
-			Heard: outcome.SignAgeMillis != nil, SignAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
+			Responded: outcome.SignAgeMillis != nil, ResponseAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
 	return report
@@ -51,7 +51,7 @@
 // mergeOutcomes adds a report and notifies those who watch for suspects when it changed them.
 func (o *owner) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	former := o.serverHealth.Version()
-	o.serverHealth.Take(report, now)
+	o.serverHealth.Merge(report, now)
 	if o.serverHealth.Version() == former {
 		return
 	}
@@ -95,7 +95,7 @@
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		changed = s.owner.suspectsChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
-			suspects := s.owner.serverHealth.Suspects(request.GetZone(), now)
+			suspects := s.owner.serverHealth.Ejected(request.GetZone(), now)
 			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeSuspects(suspects)}
 		}
 	})
@@ -105,11 +105,11 @@
 	return answer, changed, nil
 }
 
-func describeSuspects(suspects []serverhealth.Suspect) []*protocol.SuspectBackEnd {
+func describeSuspects(suspects []serverhealth.EjectedServer) []*protocol.SuspectBackEnd {
 	described := make([]*protocol.SuspectBackEnd, 0, len(suspects))
 	for _, suspect := range suspects {
 		described = append(described, &protocol.SuspectBackEnd{
-			Id: suspect.Server, Incarnation: suspect.Incarnation, LeftMillis: uint32(suspect.Left / time.Millisecond),
+			Id: suspect.Server, Incarnation: suspect.Incarnation, LeftMillis: uint32(suspect.Remaining / time.Millisecond),
 		})
 	}
 	return described
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner.go
@@ -69,7 +69,7 @@
 	variants        *rollout.VariantTable
 	reconciler      *reconcile.Reconciler
 	// serverHealth is what front nodes observed of back ends; a new leader begins without it.
-	serverHealth serverhealth.Board
+	serverHealth serverhealth.Detector
 	// suspectsChanged is closed and replaced when the suspected back ends change.
 	suspectsChanged chan struct{}
 	// runningTasks counts the tasks of runTask whose end has not been handled.
--- a/internal/controlplane/serverhealth/detector.go
+++ b/internal/controlplane/serverhealth/detector.go
@@ -1,6 +1,13 @@
-// Package serverhealth puts together what many front nodes see of the same servers. One front node alone sends a server
-// too little to tell a faulty one from bad luck; what all of them saw within a few seconds tells it after a handful of
-// requests. It is a pure state machine: reports and the time go in, the servers to be avoided come out.
+// Package serverhealth detects unhealthy servers from the outcomes that many front nodes observe (outlier ejection).
+// One front node alone sends a server too few requests to tell a faulty one from chance; the outcomes of all of them
+// within a few seconds show it after a handful of requests. A Detector is a pure state machine with one owner
+// goroutine: reports and the time go in, the servers to eject come out.
+//
+// The states of a server, for each zone of reporters and for all zones together:
+//
+//	healthy   no ejection, or the last one ended more than forgiveAfter ago
+//	ejected   until its ejection ends; what was observed before no longer counts
+//	retried   the ejection ended less than forgiveAfter ago: the next one is twice as long, up to maxEjection
 //
 // Source: issue of half-failing servers; the thresholds are this project's own.
 package serverhealth
@@ -14,106 +21,107 @@
 const (
 	// window is how long outcomes count.
 	window = 3 * time.Second
-	// overdueLife is how long a word on overdue requests counts; the reporter repeats it while they last.
-	overdueLife = 1500 * time.Millisecond
-	// leastFaults and leastReporters are how many faults of how many front nodes make a server suspect, so that neither bad
-	// luck nor one front node with a bad link does.
-	leastFaults    = 4
-	leastReporters = 2
-	// faultShare is the share of faults among all outcomes from which a server is suspect. It lies far above what a service
-	// loses by chance on all its servers at once, where avoiding some would help nobody.
+	// overdueTTL is how long a report of overdue requests counts; the reporter repeats it while they last.
+	overdueTTL = 1500 * time.Millisecond
+	// minFaults and minReporters are the minimum number of faults, and of front nodes that observed them, for an ejection,
+	// so that neither chance nor one front node with a bad link causes one.
+	minFaults    = 4
+	minReporters = 2
+	// faultShare is the share of faults among all outcomes from which a server is unhealthy. It is far above the rate of
+	// faults that a service has on all its servers at once, where ejecting some would not help.
 	faultShare = 0.3
-	// firstHold is how long a suspect is avoided; it doubles up to longestHold when it comes again within forgiveAfter.
-	firstHold    = 3 * time.Second
-	longestHold  = 12 * time.Second
-	forgiveAfter = 10 * time.Second
-	// silence is how long a server must not have answered anybody until requests that wait for too long make it suspect.
-	silence = 500 * time.Millisecond
-	// idleLife is how long a server is remembered that nobody reports.
-	idleLife = time.Minute
-	// everywhere is the scope of reporters of all zones.
-	everywhere = ""
+	// initialEjection is the duration of an ejection; it doubles up to maxEjection when the next one follows within
+	// forgiveAfter.
+	initialEjection = 3 * time.Second
+	maxEjection     = 12 * time.Second
+	forgiveAfter    = 10 * time.Second
+	// unresponsiveAfter is how long a server must not have responded to any front node before overdue requests count.
+	unresponsiveAfter = 500 * time.Millisecond
+	// idleTTL is how long the state of a server without reports is kept.
+	idleTTL = time.Minute
+	// allZones is the scope of the reporters of all zones.
+	allZones = ""
 )
 
-// Outcomes is what one front node saw of one server since its last report.
+// Outcomes are what one front node observed of one server since its last report.
 type Outcomes struct {
 	Server string
-	// Incarnation of the server; outcomes of an older one are dropped.
+	// Incarnation is the server's; outcomes of an older one are dropped.
 	Incarnation uint64
-	// Answered counts whole answers, Faults broken, garbled and missing ones and connections that could not be made.
+	// Answered counts complete answers, Faults broken, malformed and missing ones and connections that could not be made.
 	Answered uint32
 	Faults   uint32
-	// Heard is set when there was a sign of an answer, such as the first event of a stream; it came SignAge before the report.
-	// Whole answers are such signs too.
-	Heard   bool
-	SignAge time.Duration
-	// Overdue is how many requests wait for their answer right now for longer than they should.
+	// Responded is set when there was a sign of an answer, such as the first event of a stream; the newest arrived
+	// ResponseAge before the report. Complete answers are such signs, too.
+	Responded   bool
+	ResponseAge time.Duration
+	// Overdue is the number of requests whose answer is overdue at the time of the report.
 	Overdue uint32
 }
 
-// Report is the word of one front node.
+// Report is the observations of one front node.
 type Report struct {
 	Node     string
 	Zone     string
 	Outcomes []Outcomes
 }
 
-// Suspect is a server that is to be avoided for a while.
-type Suspect struct {
+// EjectedServer is a server that front nodes should avoid for the remaining time.
+type EjectedServer struct {
 	Server      string
 	Incarnation uint64
-	Left        time.Duration
+	Remaining   time.Duration
 }
 
-// Board collects reports. Its zero value is empty and ready.
-type Board struct {
-	servers map[string]*server
+// Detector merges reports and ejects servers. Its zero value is ready to use. It is not safe for concurrent use.
+type Detector struct {
+	servers map[string]*serverState
 	version uint64
 }
 
-// Take adds a report. Reports must come in the order of their times.
-func (b *Board) Take(report Report, now time.Time) {
-	if b.servers == nil {
-		b.servers = map[string]*server{}
+// Merge merges a report. Reports must be merged in the order of their times.
+func (d *Detector) Merge(report Report, now time.Time) {
+	if d.servers == nil {
+		d.servers = map[string]*serverState{}
 	}
 	for _, outcomes := range report.Outcomes {
-		held := b.servers[outcomes.Server]
-		if held == nil || outcomes.Incarnation > held.incarnation {
-			held = newServer(outcomes.Incarnation)
-			b.servers[outcomes.Server] = held
+		current := d.servers[outcomes.Server]
+		if current == nil || outcomes.Incarnation > current.incarnation {
+			current = newServer(outcomes.Incarnation)
+			d.servers[outcomes.Server] = current
 		}
-		if outcomes.Incarnation == held.incarnation && held.take(report, outcomes, now) {
-			b.raiseVersion(now)
+		if outcomes.Incarnation == current.incarnation && current.merge(report, outcomes, now) {
+			d.raiseVersion(now)
 		}
 	}
-	b.sweep(now)
+	d.removeIdle(now)
 }
 
-// Version grows with each server that becomes suspect; zero means that none ever was.
-func (b *Board) Version() uint64 { return b.version }
+// Version grows with each ejection; 0 means that there was none.
+func (d *Detector) Version() uint64 { return d.version }
 
-// raiseVersion begins at the time, so that boards of two processes hardly ever have a version in common.
-func (b *Board) raiseVersion(now time.Time) {
-	b.version = max(b.version+1, uint64(now.UnixMicro()))
+// raiseVersion begins at the time, so that the detectors of two processes hardly ever have a version in common.
+func (d *Detector) raiseVersion(now time.Time) {
+	d.version = max(d.version+1, uint64(now.UnixMicro()))
 }
 
-// Suspects lists the servers that front nodes of a zone should avoid, by name.
-func (b *Board) Suspects(zone string, now time.Time) []Suspect {
-	var suspects []Suspect
-	for name, held := range b.servers {
-		if until := held.suspectUntil(zone); now.Before(until) {
-			suspects = append(suspects, Suspect{Server: name, Incarnation: held.incarnation, Left: until.Sub(now)})
+// Ejected lists the servers that front nodes of a zone should avoid, by name.
+func (d *Detector) Ejected(zone string, now time.Time) []EjectedServer {
+	var ejected []EjectedServer
+	for name, current := range d.servers {
+		if until := current.ejectedUntil(zone); now.Before(until) {
+			ejected = append(ejected, EjectedServer{Server: name, Incarnation: current.incarnation, Remaining: until.Sub(now)})
 		}
 	}
-	slices.SortFunc(suspects, func(x, y Suspect) int { return cmp.Compare(x.Server, y.Server) })
-	return suspects
+	slices.SortFunc(ejected, func(x, y EjectedServer) int { return cmp.Compare(x.Server, y.Server) })
+	return ejected
 }
 
-// sweep forgets servers that nobody has reported for long.
-func (b *Board) sweep(now time.Time) {
-	for name, held := range b.servers {
-		if now.Sub(held.reportedAt) > idleLife {
-			delete(b.servers, name)
+// removeIdle removes servers that were not reported for idleTTL.
+func (d *Detector) removeIdle(now time.Time) {
+	for name, current := range d.servers {
+		if now.Sub(current.reportedAt) > idleTTL {
+			delete(d.servers, name)
 		}
 	}
 }
--- a/internal/controlplane/serverhealth/detector_test.go
+++ b/internal/controlplane/serverhealth/detector_test.go
@@ -8,80 +8,80 @@
 
 var start = time.Unix(1_764_650_000, 0)
 
-// story is a board with the time that a test moves.
-type story struct {
-	t     *testing.T
-	board Board
-	now   time.Time
+// scenario is a detector with the time that a test moves.
+type scenario struct {
+	t        *testing.T
+	detector Detector
+	now      time.Time
 }
 
-func newStory(t *testing.T) *story { return &story{t: t, now: start} }
+func newScenario(t *testing.T) *scenario { return &scenario{t: t, now: start} }
 
-func (s *story) pass(by time.Duration) { s.now = s.now.Add(by) }
+func (s *scenario) pass(by time.Duration) { s.now = s.now.Add(by) }
 
-func (s *story) report(node, zone string, outcomes Outcomes) {
+func (s *scenario) report(node, zone string, outcomes Outcomes) {
 	if outcomes.Server == "" {
 		outcomes.Server = "s1"
 	}
-	s.board.Take(Report{Node: node, Zone: zone, Outcomes: []Outcomes{outcomes}}, s.now)
+	s.detector.Merge(Report{Node: node, Zone: zone, Outcomes: []Outcomes{outcomes}}, s.now)
 }
 
-func (s *story) expect(zone string, suspect bool, why string) {
+func (s *scenario) expect(zone string, ejected bool, why string) {
 	s.t.Helper()
-	if found := len(s.board.Suspects(zone, s.now)) > 0; found != suspect {
-		s.t.Errorf("suspect %t in %q: %s", found, zone, why)
+	if got := len(s.detector.Ejected(zone, s.now)) > 0; got != ejected {
+		s.t.Errorf("ejected %t in %q: %s", got, zone, why)
 	}
 }
 
-func TestFaultsThatSeveralFrontNodesSawMakeAServerSuspect(t *testing.T) {
-	s := newStory(t)
-	for node := range leastFaults - 1 {
+func TestFaultsObservedBySeveralFrontNodesEjectAServer(t *testing.T) {
+	s := newScenario(t)
+	for node := range minFaults - 1 {
 		s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Faults: 1})
 	}
 	s.expect("z2", false, "too few faults")
 	s.report("f9", "z2", Outcomes{Faults: 1})
 	s.expect("z1", true, "each front node alone saw one fault")
-	s.expect("z3", true, "it is avoided in all zones")
-	s.pass(firstHold)
+	s.expect("z3", true, "it is ejected in all zones")
+	s.pass(initialEjection)
 	s.expect("z1", false, "it is tried again")
 }
 
-func TestOneFrontNodeAloneMakesNothingSuspect(t *testing.T) {
-	s := newStory(t)
+func TestOneFrontNodeAloneEjectsNoServer(t *testing.T) {
+	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Faults: 50, Overdue: 50})
 	s.expect("z1", false, "its own link may be at fault")
 }
 
-func TestFaultsAmongManyAnswersMakeNothingSuspect(t *testing.T) {
-	s := newStory(t)
+func TestFaultsAmongManyAnswersEjectNoServer(t *testing.T) {
+	s := newScenario(t)
 	for node := range 20 {
 		s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Faults: 1, Answered: 19})
 	}
 	s.expect("z1", false, "one answer in twenty is lost at all servers")
 }
 
-func TestFaultsThatAreLongPastDoNotCount(t *testing.T) {
-	s := newStory(t)
-	for node := range 2 * leastFaults {
+func TestFaultsOutsideTheWindowDoNotCount(t *testing.T) {
+	s := newScenario(t)
+	for node := range 2 * minFaults {
 		s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Faults: 1})
 		s.pass(window)
 	}
 	s.expect("z1", false, "no two faults lie in one window")
 }
 
-func TestAServerThatAnswersNothingIsSuspectBeforeAnyRequestFailed(t *testing.T) {
-	s := newStory(t)
+func TestUnresponsiveServerIsEjectedBeforeAnyRequestFailed(t *testing.T) {
+	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Answered: 9})
 	s.report("f1", "z1", Outcomes{Overdue: 2})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.expect("z1", false, "it answered a moment ago")
-	s.pass(silence)
+	s.pass(unresponsiveAfter)
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.expect("z1", true, "four requests wait and nothing was answered since")
 }
 
-func TestLateAnswersUnderABurstMakeNothingSuspect(t *testing.T) {
-	s := newStory(t)
+func TestLateAnswersUnderABurstEjectNoServer(t *testing.T) {
+	s := newScenario(t)
 	for range 10 {
 		s.pass(200 * time.Millisecond)
 		for node := range 5 {
@@ -91,16 +91,16 @@
 	}
 }
 
-func TestRequestsThatWaitAreForgottenWhenTheirFrontNodeFallsSilent(t *testing.T) {
-	s := newStory(t)
+func TestOverdueRequestsExpireWithoutFurtherReports(t *testing.T) {
+	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Overdue: 3})
-	s.pass(overdueLife + time.Millisecond)
+	s.pass(overdueTTL + time.Millisecond)
 	s.report("f2", "z1", Outcomes{Overdue: 3})
-	s.expect("z1", false, "what f1 said is too old")
+	s.expect("z1", false, "the report of f1 is too old")
 }
 
-func TestAServerThatOneZoneCannotUseIsAvoidedThereAlone(t *testing.T) {
-	s := newStory(t)
+func TestServerThatOneZoneCannotUseIsEjectedThereAlone(t *testing.T) {
+	s := newScenario(t)
 	for node := range 10 {
 		s.report(fmt.Sprintf("good%d", node), "z2", Outcomes{Answered: 5})
 	}
@@ -110,27 +110,27 @@
 	s.expect("z2", false, "there it answers")
 }
 
-func TestAServerThatFailsAgainIsAvoidedForLonger(t *testing.T) {
-	s := newStory(t)
+func TestServerThatFailsAgainIsEjectedForLonger(t *testing.T) {
+	s := newScenario(t)
 	fail := func() {
 		s.report("f1", "z1", Outcomes{Faults: 2})
 		s.report("f2", "z2", Outcomes{Faults: 2})
 	}
-	for _, hold := range []time.Duration{firstHold, 2 * firstHold, longestHold, longestHold} {
+	for _, duration := range []time.Duration{initialEjection, 2 * initialEjection, maxEjection, maxEjection} {
 		fail()
-		s.pass(hold - time.Millisecond)
+		s.pass(duration - time.Millisecond)
 		s.expect("z1", true, "it failed again soon after it was tried again")
 		s.pass(time.Millisecond)
-		s.expect("z1", false, "the time is over")
+		s.expect("z1", false, "the ejection ended")
 	}
 	s.pass(forgiveAfter + time.Millisecond)
 	fail()
-	s.pass(firstHold)
+	s.pass(initialEjection)
 	s.expect("z1", false, "former faults are forgiven")
 }
 
-func TestANewIncarnationBeginsWithoutFaults(t *testing.T) {
-	s := newStory(t)
+func TestNewIncarnationBeginsWithoutFaults(t *testing.T) {
+	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Incarnation: 1, Faults: 2})
 	s.report("f2", "z1", Outcomes{Incarnation: 1, Faults: 2})
 	s.expect("z1", true, "it fails")
@@ -140,49 +140,49 @@
 	s.expect("z1", false, "faults of the former one come late")
 }
 
-func TestServersThatNobodyReportsAreForgotten(t *testing.T) {
-	s := newStory(t)
+func TestServersWithoutReportsAreRemoved(t *testing.T) {
+	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Server: "gone", Faults: 1})
-	s.pass(idleLife + time.Millisecond)
+	s.pass(idleTTL + time.Millisecond)
 	s.report("f1", "z1", Outcomes{Server: "s1", Answered: 1})
-	if len(s.board.servers) != 1 {
-		t.Errorf("%d servers are remembered", len(s.board.servers))
+	if len(s.detector.servers) != 1 {
+		t.Errorf("%d servers have state", len(s.detector.servers))
 	}
 }
 
-func TestAnAnswerReportedLateCountsFromWhenItCame(t *testing.T) {
-	s := newStory(t)
-	s.report("f1", "z1", Outcomes{Answered: 5, SignAge: silence})
+func TestAnswerReportedLateCountsFromItsArrival(t *testing.T) {
+	s := newScenario(t)
+	s.report("f1", "z1", Outcomes{Answered: 5, ResponseAge: unresponsiveAfter})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.report("f3", "z2", Outcomes{Overdue: 2})
-	s.expect("z1", true, "the answers told a moment ago are older than the silence")
+	s.expect("z1", true, "the answers reported a moment ago are too old")
 }
 
-func TestTheFirstEventsOfStreamsAreSignsOfAnswers(t *testing.T) {
-	s := newStory(t)
-	s.report("f1", "z1", Outcomes{Heard: true, SignAge: silence / 2})
+func TestFirstEventsOfStreamsAreResponses(t *testing.T) {
+	s := newScenario(t)
+	s.report("f1", "z1", Outcomes{Responded: true, ResponseAge: unresponsiveAfter / 2})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.report("f3", "z2", Outcomes{Overdue: 2})
 	s.expect("z1", false, "a stream began at it a moment ago")
 }
 
-func TestTheVersionGrowsWithEachSuspect(t *testing.T) {
-	s := newStory(t)
+func TestVersionGrowsWithEachEjection(t *testing.T) {
+	s := newScenario(t)
 	fail := func(server string) {
 		s.report("f1", "z1", Outcomes{Server: server, Faults: 2})
 		s.report("f2", "z2", Outcomes{Server: server, Faults: 2})
 	}
-	if s.board.Version() != 0 {
-		t.Errorf("version %d before any suspect", s.board.Version())
+	if s.detector.Version() != 0 {
+		t.Errorf("version %d before any ejection", s.detector.Version())
 	}
 	fail("s1")
-	first := s.board.Version()
+	first := s.detector.Version()
 	fail("s1")
-	if s.board.Version() != first || first == 0 {
-		t.Errorf("version %d, then %d while the same server is suspect", first, s.board.Version())
+	if s.detector.Version() != first || first == 0 {
+		t.Errorf("version %d, then %d while the same server is ejected", first, s.detector.Version())
 	}
 	fail("s2")
-	if s.board.Version() <= first {
-		t.Errorf("version %d after another suspect, %d before", s.board.Version(), first)
+	if s.detector.Version() <= first {
+		t.Errorf("version %d after another ejection, %d before", s.detector.Version(), first)
 	}
 }
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -21,7 +21,7 @@
 	clock *manualClock
 
 	mutex    sync.Mutex
-	board    serverhealth.Board
+	board    serverhealth.Detector
 	reported map[string]uint32
 	// lost lets reports arrive and their answers get lost.
 	lost bool
@@ -41,14 +41,14 @@
 		observed.Outcomes = append(observed.Outcomes, serverhealth.Outcomes{
 			Server: seen.GetId(), Incarnation: seen.GetIncarnation(),
 			Answered: seen.GetAnswered(), Faults: seen.GetFaults(), Overdue: seen.GetOverdue(),
-			Heard: seen.SignAgeMillis != nil, SignAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
+			Responded: seen.SignAgeMillis != nil, ResponseAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
-	s.board.Take(observed, s.clock.Now())
+	s.board.Merge(observed, s.clock.Now())
 	answer := &protocol.ShareOutcomesResponse{}
-	for _, suspect := range s.board.Suspects(report.GetZone(), s.clock.Now()) {
+	for _, suspect := range s.board.Ejected(report.GetZone(), s.clock.Now()) {
 		answer.Suspects = append(answer.Suspects, &protocol.SuspectBackEnd{
-			Id: suspect.Server, Incarnation: suspect.Incarnation, LeftMillis: uint32(suspect.Left / time.Millisecond),
+			Id: suspect.Server, Incarnation: suspect.Incarnation, LeftMillis: uint32(suspect.Remaining / time.Millisecond),
 		})
 	}
 	return answer, nil
