--- a/internal/controlplane/bundle/bundle_test.go
+++ b/internal/controlplane/bundle/bundle_test.go
@@ -14,6 +14,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 func TestParseNamesThePathOfEveryFault(t *testing.T) {
@@ -42,7 +43,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := bundle.Parse([]byte(test.document))
-			var parse *bundle.ParseError
+			var parse *strictjson.Error
 			if !errors.As(err, &parse) {
 				t.Fatalf("got %v", err)
 			}
@@ -58,7 +59,7 @@
 }
 
 func TestFormatAndParseRoundTrip(t *testing.T) {
-	encoded, err := bundle.Format(bundle.Default(3))
+	encoded, err := strictjson.Marshal(bundle.Default(3))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,25 +273,6 @@
 	}
 }
 
-func TestFirstTokenQuantile(t *testing.T) {
-	buckets := make([]uint64, bundle.FirstTokenBuckets())
-	if bundle.FirstTokenQuantile(buckets, 0.95) != 0 {
-		t.Fatal("a quantile without samples")
-	}
-	for range 90 {
-		buckets[bundle.FirstTokenBucket(80)]++
-	}
-	for range 10 {
-		buckets[bundle.FirstTokenBucket(1500)]++
-	}
-	if p95 := bundle.FirstTokenQuantile(buckets, 0.95); p95 < 1000 || p95 > 2000 {
-		t.Fatalf("p95 is %v", p95)
-	}
-	if p50 := bundle.FirstTokenQuantile(buckets, 0.5); p50 < 50 || p50 > 100 {
-		t.Fatalf("p50 is %v", p50)
-	}
-}
-
 // manyRoutes is a merged bundle with a given number of routes, in the shape of Menon's.
 func manyRoutes(count int) *protocol.Bundle {
 	complete := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
--- a/internal/controlplane/bundle/check.go
+++ b/internal/controlplane/bundle/check.go
@@ -48,6 +48,9 @@
 	return merged, nil
 }
 
+// maxFaults bounds the list of faults in one answer.
+const maxFaults = 100
+
 // checker collects faults. The texts are for operators; scripts may read them.
 type checker struct {
 	faults []*protocol.Fault
--- a/internal/controlplane/bundle/parse_test.go
+++ b/internal/controlplane/bundle/parse_test.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 func TestParseRejectsDeepNesting(t *testing.T) {
@@ -17,7 +18,7 @@
 		`{"routes":` + strings.Repeat("[", 1000) + strings.Repeat("]", 1000) + "}",
 	} {
 		_, err := bundle.Parse([]byte(document))
-		var parseError *bundle.ParseError
+		var parseError *strictjson.Error
 		if !errors.As(err, &parseError) {
 			t.Fatalf("got %v", err)
 		}
@@ -29,7 +30,7 @@
 
 // FuzzParse checks that any document is rejected or survives a round trip with its digest.
 func FuzzParse(f *testing.F) {
-	seed, err := bundle.Format(bundle.Default(1))
+	seed, err := strictjson.Marshal(bundle.Default(1))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -42,7 +43,7 @@
 			return
 		}
 		bundle.Check(nil, parsed)
-		encoded, err := bundle.Format(parsed)
+		encoded, err := strictjson.Marshal(parsed)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/core/api_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -16,6 +16,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 // limitedBundle is the default bundle with one limit of its own.
@@ -357,7 +358,7 @@
 
 		It("releases a bundle and shows it", func() {
 			Expect(send(leader, "GET", "/v1/releases/active", "").Code).To(Equal(http.StatusNotFound))
-			content, err := bundle.Format(limitedBundle(7, 70))
+			content, err := strictjson.Marshal(limitedBundle(7, 70))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
--- a/internal/controlplane/core/http_test.go
+++ b/internal/controlplane/core/http_test.go
@@ -20,6 +20,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core"
 	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 const operatorToken = "correct horse battery staple"
@@ -58,7 +59,7 @@
 		case string:
 			content = []byte(typed)
 		case *protocol.Bundle:
-			encoded, err := bundle.Format(typed)
+			encoded, err := strictjson.Marshal(typed)
 			Expect(err).NotTo(HaveOccurred())
 			content = encoded
 		}
--- a/internal/controlplane/core/operators/orders.go
+++ b/internal/controlplane/core/operators/orders.go
@@ -11,9 +11,9 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 // order proposes an operator's command under its order id and answers with the CommandResult. The kind labels its
@@ -58,7 +58,7 @@
 	case len(bytes.TrimSpace(content)) == 0:
 		return nil
 	}
-	return bundle.ParseMessage(content, message)
+	return strictjson.Unmarshal(content, message)
 }
 
 // checkNamed rejects a body that names another object than the path; an empty name is none.
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -12,10 +12,10 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/core/controllog"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 // rejectedError is an order that the control state rejected.
@@ -125,7 +125,7 @@
 	if errors.As(err, &rejected) {
 		return describeRejection(rejected.rejection)
 	}
-	var malformed *bundle.ParseError
+	var malformed *strictjson.Error
 	if errors.As(err, &malformed) {
 		return describeMalformed(malformed)
 	}
@@ -152,7 +152,7 @@
 	return detail, controllog.HTTPStatus(failure.Code(rejection.GetCode()))
 }
 
-func describeMalformed(malformed *bundle.ParseError) (errorDetail, int) {
+func describeMalformed(malformed *strictjson.Error) (errorDetail, int) {
 	code := failure.InvalidBody
 	if malformed.Unknown {
 		code = failure.UnknownField
--- a/internal/controlplane/core/rollout/variants.go
+++ b/internal/controlplane/core/rollout/variants.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -63,7 +63,7 @@
 	if total == nil {
 		total = &protocol.ArmSample{
 			BundleVersion: key.version, Candidate: key.candidate,
-			FirstTokenBuckets: make([]uint64, bundle.FirstTokenBuckets()),
+			FirstTokenBuckets: make([]uint64, firsttoken.BucketCount()),
 		}
 		t.sums[key] = total
 	}
@@ -104,7 +104,7 @@
 	if limit := guard.GetMaxErrorRatio(); limit > 0 && ratio > limit {
 		return fmt.Sprintf("guard: error ratio %.4f of %d requests is over %.4f", ratio, requests, limit)
 	}
-	p95 := bundle.FirstTokenQuantile(candidate.GetFirstTokenBuckets(), guardedQuantile)
+	p95 := firsttoken.Quantile(candidate.GetFirstTokenBuckets(), guardedQuantile)
 	if limit := guard.GetMaxFirstTokenP95Millis(); limit > 0 && p95 > float64(limit) {
 		return fmt.Sprintf("guard: first token p95 %.0f ms is over %d ms", p95, limit)
 	}
--- a/internal/dataplane/front/rollout/counters.go
+++ b/internal/dataplane/front/rollout/counters.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -20,7 +20,7 @@
 }
 
 func newCounters(version uint64, candidate bool) *Counters {
-	return &Counters{version: version, candidate: candidate, buckets: make([]atomic.Uint64, bundle.FirstTokenBuckets())}
+	return &Counters{version: version, candidate: candidate, buckets: make([]atomic.Uint64, firsttoken.BucketCount())}
 }
 
 // variantSet are the counters of the variants in force; it is immutable and replaced when a version changes.
@@ -58,7 +58,7 @@
 
 // RecordFirstToken counts the time from a turn's arrival at its owner to its first token.
 func (c *Counters) RecordFirstToken(after time.Duration) {
-	c.buckets[bundle.FirstTokenBucket(uint32(max(after, 0)/time.Millisecond))].Add(1)
+	c.buckets[firsttoken.Bucket(uint32(max(after, 0)/time.Millisecond))].Add(1)
 }
 
 // RecordEnd counts one request with the tokens that it was answered; f is nil when it succeeded.
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
-	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 const (
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := bundle.Format(parsed)
+	body, err := strictjson.Marshal(parsed)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	parsed := &protocol.Bundle{}
-	if faults := settings.Decode(document, parsed); len(faults) > 0 {
+	if faults := strictjson.Decode(document, parsed); len(faults) > 0 {
 		return nil, &DocumentError{Path: path, Faults: faults}
 	}
 	if number != 0 {
@@ -225,7 +225,7 @@
 		Short: "print the bundle that a new cluster may begin with",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			document, err := bundle.Format(bundle.Default(number))
+			document, err := strictjson.Marshal(bundle.Default(number))
 			if err != nil {
 				return err
 			}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -22,6 +22,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/operator"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 const token = "operator-secret"
@@ -157,7 +158,7 @@
 			merged := bundle.Default(6)
 			status := &protocol.BundleStatus{Version: 6, MergedDigest: bundle.Digest(merged)}
 			change(status)
-			document, err := bundle.Format(merged)
+			document, err := strictjson.Marshal(merged)
 			Expect(err).NotTo(HaveOccurred())
 			leader.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
 				if request.Method == http.MethodGet {
--- a/internal/operator/releases.go
+++ b/internal/operator/releases.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 const releasesPath = "/v1/releases/"
@@ -40,7 +40,7 @@
 		base = parsed.GetBaseVersion()
 	}
 	parsed.BaseVersion = base
-	body, err := bundle.Format(parsed)
+	body, err := strictjson.Marshal(parsed)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/pflag"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -165,7 +165,7 @@
 	}
 	rows := newGrid("bundle", "arm", "requests", "errors", "tokens", "first token p95 ms")
 	for _, variant := range variants {
-		firstToken := bundle.FirstTokenQuantile(variant.GetFirstTokenBuckets(), firstTokenQuantile)
+		firstToken := firsttoken.Quantile(variant.GetFirstTokenBuckets(), firstTokenQuantile)
 		rows.add(variant.GetBundleVersion(), variantName(variant), variant.GetRequests(), variant.GetErrors(),
 			variant.GetTokens(), fmt.Sprintf("%.1f", firstToken))
 	}
--- a/internal/process/settings/kind.go
+++ b/internal/process/settings/kind.go
@@ -11,6 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 // Message is the settings of one kind of daemon.
@@ -63,7 +64,7 @@
 func (k Kind[S]) Parse(document []byte) (S, error) {
 	message := k.newMessage()
 	if len(document) > 0 {
-		if faults := Decode(document, message); len(faults) > 0 {
+		if faults := strictjson.Decode(document, message); len(faults) > 0 {
 			return message, &InvalidError{Faults: faults}
 		}
 	}
--- a/internal/process/settings/decode_fuzz_test.go
+++ b/internal/process/settings/parse_fuzz_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/rosestand/rosestand/internal/process/settings"
 	"github.com/rosestand/rosestand/internal/protocol"
+	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
 // FuzzDecode checks that no document makes the parser panic, that a rejection
@@ -39,7 +40,7 @@
 }
 
 func checkDecode(t *testing.T, document []byte, message proto.Message) {
-	faults := settings.Decode(document, message)
+	faults := strictjson.Decode(document, message)
 	for _, fault := range faults {
 		if fault.GetMessage() == "" {
 			t.Fatalf("a fault at %q without a message", fault.GetPath())
@@ -53,7 +54,7 @@
 		t.Fatalf("accepted settings cannot be printed: %v", err)
 	}
 	again := message.ProtoReflect().New().Interface()
-	if faults := settings.Decode(printed, again); len(faults) > 0 {
+	if faults := strictjson.Decode(printed, again); len(faults) > 0 {
 		t.Fatalf("printed settings are rejected: %v", faults)
 	}
 	if !proto.Equal(message, again) {
--- a/internal/testing/purity/purity.go
+++ b/internal/testing/purity/purity.go
@@ -23,6 +23,7 @@
 	"internal/controlplane/core/reconcile",
 	"internal/controlplane/core/rollout",
 	"internal/controlplane/coremembership",
+	"internal/controlplane/firsttoken",
 	"internal/controlplane/lease",
 	"internal/controlplane/placement",
 	"internal/controlplane/serverhealth",
@@ -36,6 +37,7 @@
 	"internal/dataplane/turn",
 	"internal/state/ledger",
 	"internal/state/register",
+	"internal/transport/strictjson",
 }
 
 var forbiddenImports = []string{"net", "os", "syscall", "context", "sync", "runtime", "unsafe"}
--- a/internal/process/settings/decode.go
+++ b/internal/transport/strictjson/decode.go
@@ -1,4 +1,4 @@
-package settings
+package strictjson
 
 import (
 	"encoding/json"
@@ -8,7 +8,6 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -26,13 +25,13 @@
 }
 
 func parseFaults(document []byte, message proto.Message) []*protocol.Fault {
-	err := bundle.ParseMessage(document, message)
-	var parseError *bundle.ParseError
+	err := Unmarshal(document, message)
+	var invalid *Error
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &parseError):
-		return parseError.Faults
+	case errors.As(err, &invalid):
+		return invalid.Faults
 	default:
 		return []*protocol.Fault{{Message: err.Error()}}
 	}
@@ -65,18 +64,15 @@
 	}
 	faults := parseFaults(document, reflection.Type().New().Interface())
 	for _, fault := range faults {
+		if fault.GetPath() == "" {
+			fault.Path = path
+			continue
+		}
 		fault.Path = joinPath(path, fault.GetPath())
 	}
 	return faults
 }
 
-func fieldNamed(descriptor protoreflect.MessageDescriptor, name string) protoreflect.FieldDescriptor {
-	if field := descriptor.Fields().ByJSONName(name); field != nil {
-		return field
-	}
-	return descriptor.Fields().ByTextName(name)
-}
-
 // sortedDistinct sorts faults by path and returns the first one of each path.
 func sortedDistinct(faults []*protocol.Fault) []*protocol.Fault {
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].GetPath() < faults[j].GetPath() })
@@ -88,14 +84,3 @@
 	}
 	return unique
 }
-
-func joinPath(path, name string) string {
-	switch {
-	case path == "":
-		return name
-	case name == "":
-		return path
-	default:
-		return path + "." + name
-	}
-}
--- a/internal/controlplane/bundle/scan.go
+++ b/internal/transport/strictjson/scan.go
@@ -1,4 +1,4 @@
-package bundle
+package strictjson
 
 import (
 	"bytes"
@@ -21,6 +21,7 @@
 // nestingError reports that a document is nested deeper than any message.
 type nestingError struct{}
 
+// Error has a fixed text.
 func (*nestingError) Error() string { return "nested too deeply" }
 
 // documentScan walks a JSON document along with the descriptor of its message, to
