--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -14,24 +14,26 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 	"github.com/rosestand/rosestand/internal/controlplane/replica/logstore"
+	"github.com/rosestand/rosestand/internal/controlplane/replica/transport"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// Defaults of Options.
+// Capacities of the queues to the owner goroutine.
 const (
-	DefaultTargetVoters      = 3
-	DefaultReplaceVoterAfter = 10 * time.Second
-	DefaultSnapshotEntries   = 4096
-	DefaultSnapshotBytes     = 16 << 20
-
-	inboundQueue  = 4096
-	proposalQueue = 4096
-	requestQueue  = 1024
+	inboundCapacity  = 4096
+	proposalCapacity = 4096
+	requestCapacity  = 1024
 )
 
-// Replica is one member of the core's consensus group. It is safe for use by many goroutines.
+// queueTimeDivisor: a message to another member is not sent after this part of the election timeout in
+// a queue.
+const queueTimeDivisor = 2
+
+// Replica is one member of the core's consensus group. It is safe for concurrent use.
 type Replica struct {
+	// What follows is not changed after New, but for store: the owner goroutine replaces it when the
+	// log is reopened.
 	options Options
 	metrics *metrics
 	store   *logstore.Store
@@ -51,12 +53,14 @@
 
 	view  atomic.Pointer[view]
 	seeds atomic.Pointer[[]string]
+
+	// The rest belongs to the owner goroutine from Start on.
+
 	owner owner
-	// The rest belongs to the owner goroutine.
-	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. It is ahead of what the node
-	// applied when the log was opened again: the machine keeps its state then.
+	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. After
+	// the log was reopened it is ahead of what the node applied, since the state machine is not reset.
 	machineIndex uint64
-	// otherFailures counts the failures of the disk that were no lack of room.
+	// nonSpaceFailures counts the failures of the disk other than a full disk.
 	nonSpaceFailures int
 }
 
@@ -81,10 +85,10 @@
 	}
 	replica := &Replica{
 		options: options, metrics: metrics, store: store,
-		self:      proto.Clone(options.Self).(*protocol.CoreMember),
-		inbound:   make(chan inboundMessage, inboundQueue),
-		proposals: make(chan *proposal, proposalQueue),
-		requests:  make(chan request, requestQueue),
+		self:      proto.CloneOf(options.Self),
+		inbound:   make(chan inboundMessage, inboundCapacity),
+		proposals: make(chan *proposal, proposalCapacity),
+		requests:  make(chan request, requestCapacity),
 		stop:      make(chan struct{}),
 		stopped:   make(chan struct{}),
 	}
@@ -97,38 +101,7 @@
 	return replica, nil
 }
 
-func (o Options) withDefaults() Options {
-	if o.TargetVoters <= 0 {
-		o.TargetVoters = DefaultTargetVoters
-	}
-	if o.ElectionTimeout <= 0 {
-		o.ElectionTimeout = consensus.DefaultElectionTimeout
-	}
-	if o.HeartbeatInterval <= 0 {
-		o.HeartbeatInterval = consensus.DefaultHeartbeatInterval
-	}
-	if o.ReplaceVoterAfter <= 0 {
-		o.ReplaceVoterAfter = DefaultReplaceVoterAfter
-	}
-	if o.SnapshotEntries == 0 {
-		o.SnapshotEntries = DefaultSnapshotEntries
-	}
-	if o.SnapshotBytes <= 0 {
-		o.SnapshotBytes = DefaultSnapshotBytes
-	}
-	if o.SnapshotChunkBytes <= 0 {
-		o.SnapshotChunkBytes = consensus.DefaultSnapshotChunkBytes
-	}
-	if o.Clock == nil {
-		o.Clock = SystemClock{}
-	}
-	if o.Random == nil {
-		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	}
-	return o
-}
-
-// open recovers the node and the state machine.
+// recoverState recovers the node and the state machine from the store.
 func (r *Replica) recoverState() error {
 	recovered, err := r.store.Recover()
 	if err != nil {
@@ -143,7 +116,8 @@
 	return r.owner.init(r, recovered.ClusterID, recovered.Initial)
 }
 
-// Start begins to serve: it joins or founds a cluster when the folder holds none.
+// Start starts the goroutines of the replica, which end with Stop. It joins or founds a cluster if the
+// data folder has none. The error of a second start is a *StoppedError.
 func (r *Replica) Start(context.Context) error {
 	if r.started.Swap(true) {
 		return &StoppedError{}
@@ -154,14 +128,15 @@
 	return nil
 }
 
-// Stop ends the replica and closes its log; a leader hands leadership over first, while ctx lasts.
+// Stop ends the replica and closes its log. A leader transfers leadership first, for as long as ctx
+// lasts.
 func (r *Replica) Stop(ctx context.Context) error {
 	if !r.started.Load() {
 		r.stopOnce.Do(func() { close(r.stop); close(r.stopped) })
 		return r.store.Close()
 	}
 	if r.view.Load().status.Role == consensus.Leader {
-		// Where no other voter can take over, the others elect one after this one is silent.
+		// If no other voter can take over now, the others elect one after an election timeout.
 		_ = r.TransferLeadership(ctx, "")
 	}
 	r.stopOnce.Do(func() { close(r.stop) })
@@ -170,8 +145,8 @@
 	return r.store.Close()
 }
 
-// IsLeader reports whether this process leads, has applied all that earlier leaders committed,
-// and its leader lease runs at this moment.
+// IsLeader reports whether this process leads, has applied all that earlier leaders committed, and has
+// the leader lease now.
 func (r *Replica) IsLeader() bool {
 	view := r.view.Load()
 	return !view.leadingSince.IsZero() && r.options.Clock.Now().Before(view.leaseEnds)
@@ -189,8 +164,8 @@
 // ID returns the random id of this member, made with its data folder.
 func (r *Replica) ID() uint64 { return r.self.GetId() }
 
-// memberID derives the id from the identity of the data folder, so that an emptied folder is
-// another member.
+// memberID derives the id from the identity of the data folder, so that a process with an emptied
+// folder is another member. It is never zero.
 func memberID(storageID string) uint64 {
 	sum := sha256.Sum256([]byte(storageID))
 	return max(1, binary.BigEndian.Uint64(sum[:8]))
@@ -200,3 +175,14 @@
 	name := binary.BigEndian.AppendUint64(nil, random.Uint64())
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(name, random.Uint64()))
 }
+
+// newTransport makes a transport for one owner.
+func (r *Replica) newTransport() *transport.Transport {
+	return transport.New(transport.Options{
+		Caller: r.options.Caller, Now: r.options.Clock.Now, CallTimeout: r.options.ElectionTimeout,
+		MaxQueueTime: r.options.ElectionTimeout / queueTimeDivisor,
+		Metrics: transport.Metrics{
+			Sent: r.metrics.messagesSent, SendFailures: r.metrics.sendFailures, Dropped: r.metrics.messagesDropped,
+		},
+	})
+}
--- a/internal/dataplane/front/step_load.go
+++ b/internal/dataplane/front/step_load.go
@@ -71,7 +71,7 @@
 		candidates[at].Steps = uint32(max(server.steps.count.Load(), 0))
 		candidates[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
 		candidates[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
-		candidates[at].StepSlots = uint32(trainingstep.Slots(candidateSlots(&candidates[at]), fronts, false))
+		candidates[at].StepSlots = uint32(candidateSlots(&candidates[at]).ForSteps(fronts, false))
 	}
 }
 
@@ -94,7 +94,7 @@
 // stepSlots is how many generations of a version this front node may have under way.
 func (s *Service) stepSlots(key admission.StepKey, liveWaits bool) int {
 	now := s.clock.Now()
-	servers, index := s.backEnds.Load(), s.policies.Load().active
+	servers, index := s.backEnds.Load(), s.rollout.Policies().Active
 	having, _ := (&versionPin{model: key.Model, version: key.Version}).split(servers.byGroup[key.Group], now)
 	all := candidates(having, index.Group(key.Group), now)
 	used := schedule.Subset(s.name, s.zone, index.Bundle().GetScheduling().GetSubsetSize(), all)
@@ -102,7 +102,7 @@
 	servers.addStepLoad(used, fronts)
 	slots, ejectedSlots := 0, 0
 	for at := range used {
-		open := trainingstep.Slots(candidateSlots(&used[at]), fronts, liveWaits)
+		open := candidateSlots(&used[at]).ForSteps(fronts, liveWaits)
 		switch {
 		case isUsable(used[at]):
 			slots += open
--- a/internal/dataplane/front/step_pins.go
+++ b/internal/dataplane/front/step_pins.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -124,16 +125,16 @@
 // pinStep asks the ledger for the pin of a step and proposes one.
 func (s *Service) pinStep(ctx context.Context, step stepChoice, group string) (*versionPin, *protocol.Failure) {
 	announcements := s.backEnds.Load().announcements(group)
-	model := cmp.Or(step.model, trainingstep.ModelOf(announcements))
-	proposed := trainingstep.Propose(model, announcements)
+	model := cmp.Or(step.model, trainingstep.GroupModel(announcements))
+	proposed := trainingstep.ProposeVersion(model, announcements)
 	if proposed == 0 {
 		return nil, versionUnavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 	}
 	program := ledger.TrainingStepProgram(step.step)
-	if rejection := s.rejectUnreachable(program); rejection != nil {
+	if rejection := s.operations.CheckReachable(program); rejection != nil {
 		return nil, rejection
 	}
-	result := s.ledgerDo(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{
 		PinTrainingStep: &protocol.PinTrainingStep{
 			Step: step.step, Model: model, WeightVersion: proposed, Owner: s.name, KeepingMillis: pinRetention.Milliseconds(),
 		},
@@ -148,7 +149,7 @@
 		s.metrics.stepPins.Inc()
 		return &versionPin{step: step.step, model: pin.GetModel(), version: pin.GetWeightVersion()}, nil
 	default:
-		return nil, unreachableFailure()
+		return nil, ledgerops.UnreachableFailure()
 	}
 }
 
@@ -160,7 +161,7 @@
 			return nil
 		}
 	}
-	if trainingstep.ModelOf(announcements) != "" {
+	if trainingstep.GroupModel(announcements) != "" {
 		return stepMismatch()
 	}
 	return versionUnavailable("no server of group " + group + " announces the version of its weights")
--- /dev/null
+++ b/internal/dataplane/promptcache/server_cache.go
@@ -0,0 +1,66 @@
+package promptcache
+
+// entry is a segment that a server has cached, linked from the most to the least recently used one.
+type entry struct {
+	segment Segment
+	// weight is the segment's part of Model.cachedTokens.
+	weight uint64
+	// lastUse is the number of the segment's last use.
+	lastUse uint64
+	// own is true when this front node itself sent the segment there.
+	own          bool
+	newer, older *entry
+}
+
+// serverCache is the cache of one server, in the order of use.
+type serverCache struct {
+	capacity     uint64
+	cachedTokens uint64
+	entries      map[uint64]*entry
+	// ends closes the circular list of entries: ends.older is the most recently used, ends.newer the least.
+	ends entry
+}
+
+func newServerCache() *serverCache {
+	cache := &serverCache{capacity: DefaultCapacity, entries: make(map[uint64]*entry)}
+	cache.ends.newer, cache.ends.older = &cache.ends, &cache.ends
+	return cache
+}
+
+// oldest is the least recently used entry; nil when there is none.
+func (c *serverCache) oldest() *entry {
+	if c.ends.newer == &c.ends {
+		return nil
+	}
+	return c.ends.newer
+}
+
+func (c *serverCache) add(segment Segment) *entry {
+	added := &entry{segment: segment}
+	c.entries[segment.Prefix] = added
+	c.cachedTokens += uint64(segment.Tokens)
+	c.link(added)
+	return added
+}
+
+func (c *serverCache) touch(used *entry) {
+	c.unlink(used)
+	c.link(used)
+}
+
+func (c *serverCache) remove(removed *entry) {
+	c.unlink(removed)
+	delete(c.entries, removed.segment.Prefix)
+	c.cachedTokens -= uint64(removed.segment.Tokens)
+}
+
+func (c *serverCache) link(used *entry) {
+	used.newer, used.older = &c.ends, c.ends.older
+	c.ends.older.newer = used
+	c.ends.older = used
+}
+
+func (c *serverCache) unlink(used *entry) {
+	used.newer.older = used.older
+	used.older.newer = used.newer
+}
