--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/state/store"
 )
 
-// requestFrom asks one store only, while time passes, and gives its result or why it has surely not begun.
+// requestFrom queries one store only, while time passes, and returns its result or why it has surely not begun.
 func (f *fleet) requestFrom(
 	name string, operation *protocol.LedgerOperation,
 ) (result *protocol.LedgerResult, refused *failure.Error) {
--- a/internal/state/store/failed_head_test.go
+++ b/internal/state/store/failed_head_test.go
@@ -43,7 +43,7 @@
 		Expect(f.requestDirectlyFromA(awaitTimeout, newClaim("first")).GetStatus()).To(Equal(ok))
 		f.setPartitioned("a", true)
 		Expect(f.requestDirectlyFromA(shortTime, newClaim("second")).GetStatus()).To(Equal(unavailable))
-		Expect(f.ask("b", awaitTimeout, newClaim("third")).GetStatus()).To(Equal(ok))
+		Expect(f.request("b", awaitTimeout, newClaim("third")).GetStatus()).To(Equal(ok))
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
 		Expect(f.requestDirectlyFromA(awaitTimeout, newClaim("fourth")).GetStatus()).To(Equal(ok))
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -70,7 +70,7 @@
 	s.ordered = append(s.ordered, turn)
 }
 
-// findTurn asks one store for a kept turn, in two ways. It may be unable to tell, but must not deny it.
+// findTurn queries one store for a retained turn, in two ways. It may be unable to answer, but must not deny it.
 func (s *faultScenario) findTurn() {
 	GinkgoHelper()
 	if len(s.ordered) == 0 {
@@ -170,7 +170,7 @@
 	s.faulty = ""
 }
 
-// requestUnderStaleView asks a store that is back and still has the placement of before, as callers do that
+// requestUnderStaleView queries a store that is back and still has the placement of before, as callers do that
 // have it too.
 func (s *faultScenario) requestUnderStaleView(name string) {
 	GinkgoHelper()
@@ -253,7 +253,7 @@
 	return ""
 }
 
-// attemptOnce asks one store once and takes a failure for no answer.
+// attemptOnce queries one store once and takes a failure for no answer.
 func (f *fleet) attemptOnce(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	return f.attemptUnder(name, f.shardEpoch(operation), operation)
 }
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -33,7 +33,7 @@
 	segmentBytes    = 16 << 10
 	// defaultPace makes timers short and leaves a machine that is busy time for what a deadline of seconds bounds.
 	defaultPace = 5
-	// defaultPeerTimeout lets stores go on soon without one that is frozen.
+	// defaultPeerTimeout lets stores continue soon without one that is suspended.
 	defaultPeerTimeout = 100 * time.Millisecond
 	// awaitTimeout bounds how long a test awaits something that must come.
 	awaitTimeout = 20 * time.Second
@@ -395,7 +395,7 @@
 	f.publish(placed)
 }
 
-// until lets time pass until the condition holds.
+// until lets time pass until the condition is met.
 func (f *fleet) until(condition func() bool) {
 	GinkgoHelper()
 	ends := time.Now().Add(awaitTimeout)
@@ -449,8 +449,8 @@
 	return f.await(func() (*protocol.LedgerResult, error) { return f.client().Do(context.Background(), operation) })
 }
 
-// ask sends an operation to one store only.
-func (f *fleet) ask(name string, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+// request sends an operation to one store only.
+func (f *fleet) request(name string, limit time.Duration, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	GinkgoHelper()
 	operation = proto.CloneOf(operation)
 	operation.PlacementEpoch = f.shardEpoch(operation)
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// blockingDisk holds back the syncs of turn segments while it is closed.
+// blockingDisk delays the syncs of turn segments while it is closed.
 type blockingDisk struct {
 	storage.Filesystem
 	mutex   sync.Mutex
--- a/internal/state/store/mailbox/mailbox.go
+++ b/internal/state/store/mailbox/mailbox.go
@@ -34,8 +34,8 @@
 	m.mutex.Unlock()
 }
 
-// next waits for commands and returns all of them, or false once closed. The queue goes on
-// in the memory of processed, the commands returned before.
+// next waits for commands and returns all of them, or false once closed. The queue
+// reuses the memory of processed, the commands returned before.
 func (m *Mailbox) next(processed []func()) ([]func(), bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/state/store/program_test.go
+++ b/internal/state/store/program_test.go
@@ -20,7 +20,7 @@
 	requests int
 	// padding lengthens the text of each turn.
 	padding string
-	// retention is how long turns are kept; zero leaves it to the ledger.
+	// retention is how long turns are retained; zero leaves it to the ledger.
 	retention time.Duration
 	// previousProgram is the program of the turn that the first turn continues.
 	previousProgram, previousTurn string
@@ -31,7 +31,7 @@
 	return f.programWithRetention(name, 0)
 }
 
-// programWithRetention is a program that names how long its turns are kept.
+// programWithRetention is a program that names how long its turns are retained.
 func (f *fleet) programWithRetention(name string, retention time.Duration) *program {
 	GinkgoHelper()
 	p := &program{fleet: f, name: name, retention: retention}
--- a/internal/state/store/proposer/call.go
+++ b/internal/state/store/proposer/call.go
@@ -61,7 +61,7 @@
 	p.propose(shard, key, intent)
 }
 
-// checkEpoch reads the program's register from a majority and goes on when the epoch of the
+// checkEpoch reads the program's register from a majority and continues when the epoch of the
 // call is in force; else it answers the rejection.
 func (p *Proposer) checkEpoch(
 	shard register.ShardView, operation *Operation, begin *protocol.BeginCall, inForce func(*protocol.ProgramRecord),
--- a/internal/state/store/records/records.go
+++ b/internal/state/store/records/records.go
@@ -30,8 +30,8 @@
 // Decode reads a record from its stored form. The error is an *UnreadableError.
 func Decode(encoded []byte) (*protocol.StoreRecord, error) {
 	record := &protocol.StoreRecord{}
-	if err := proto.Unmarshal(encoded, record); err != nil {
-		return nil, &UnreadableError{Cause: err}
+	if err := decode(encoded, record); err != nil {
+		return nil, err
 	}
 	return record, nil
 }
@@ -43,8 +43,8 @@
 		return nil, nil
 	}
 	record := &protocol.ProgramRecord{}
-	if err := proto.Unmarshal(value, record); err != nil {
-		return nil, &UnreadableError{Cause: err}
+	if err := decode(value, record); err != nil {
+		return nil, err
 	}
 	if err := ledger.CheckRecord(record); err != nil {
 		return nil, &UnreadableError{Cause: err}
@@ -59,8 +59,15 @@
 		return nil, nil
 	}
 	record := &protocol.CallRecord{}
-	if err := proto.Unmarshal(value, record); err != nil {
-		return nil, &UnreadableError{Cause: err}
+	if err := decode(value, record); err != nil {
+		return nil, err
 	}
 	return record, nil
 }
+
+func decode(encoded []byte, into proto.Message) error {
+	if err := proto.Unmarshal(encoded, into); err != nil {
+		return &UnreadableError{Cause: err}
+	}
+	return nil
+}
--- a/internal/state/store/replication/service.go
+++ b/internal/state/store/replication/service.go
@@ -61,7 +61,7 @@
 	PeerTimeout time.Duration
 	// ScrubInterval is the time between two scrubs.
 	ScrubInterval time.Duration
-	// BytesPerSecond bounds all catch-ups together, and the scrub by itself.
+	// BytesPerSecond bounds all catch-ups together, and the scrub separately.
 	BytesPerSecond uint64
 }
 
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -34,7 +34,7 @@
 			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.GetStoreBatch().GetResponses()).To(HaveLen(2))
-		found := f.ask("a", 5*time.Second, find("turn"))
+		found := f.request("a", 5*time.Second, find("turn"))
 		Expect(found.GetTurns()).To(HaveLen(1))
 		Expect(found.GetTurns()[0].GetKeepUntilMillis()).To(Equal(longer.GetKeepUntilMillis()))
 	})
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -28,7 +28,7 @@
 	f.until(func() bool { return !f.clock.Now().Before(ends) })
 }
 
-// turnCounts gives the number of turns that each running store holds.
+// turnCounts returns the number of turns that each running store has.
 func (f *fleet) turnCounts() []uint64 {
 	var counts []uint64
 	for _, name := range f.names {
@@ -39,7 +39,7 @@
 	return counts
 }
 
-// awaitTurns waits until every running store holds so many turns: a settle is answered once a majority does.
+// awaitTurns waits until every running store has so many turns: a commit is answered once a majority does.
 func (f *fleet) awaitTurns(turns uint64) {
 	GinkgoHelper()
 	f.until(func() bool {
@@ -47,7 +47,7 @@
 	})
 }
 
-// writeSnapshot keeps a program busy until a store has written its registers anew.
+// writeSnapshot keeps a program busy until a store has written its registers again.
 func (f *fleet) writeSnapshot(name string, busy *program) {
 	GinkgoHelper()
 	before := f.members[name].disk.Files("data/registers")
@@ -58,6 +58,16 @@
 	})
 }
 
+// expectRetainedWithoutAAtTheEnd reads everything shortly before the retention of the last turn ends, long
+// after that of the first turn would have, from stores b and c.
+func (p *program) expectRetainedWithoutAAtTheEnd() {
+	GinkgoHelper()
+	p.fleet.clock.advance(10 * retentionTwelfth)
+	p.fleet.pass(2 * time.Minute)
+	p.fleet.setPartitioned("a", true)
+	p.expectRetained()
+}
+
 func find(turn string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: turn}}}
 }
@@ -94,10 +104,7 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.awaitTurns(2)
-		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
-		f.setPartitioned("a", true)
-		p.expectRetained()
+		p.expectRetainedWithoutAAtTheEnd()
 	})
 
 	It("is retained in full also when all stores lose power meanwhile", func() {
@@ -128,10 +135,7 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.until(func() bool { return f.members["c"].store.Status().GetTurns() == 3 })
-		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
-		f.setPartitioned("a", true)
-		p.expectRetained()
+		p.expectRetainedWithoutAAtTheEnd()
 	})
 
 	It("is retained in full by a store that copied it", func() {
@@ -192,7 +196,7 @@
 		f.setPartitioned("a", true)
 		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
-		Expect(f.ask("c", shortTime, find("unheard-of")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTime, find("unheard-of")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("is never reported missing by stores that lost it with their disks", func() {
@@ -202,7 +206,7 @@
 		p.takeTurn()
 		f.setPartitioned("c", false)
 		f.loseDisk("a")
-		Expect(f.ask("c", shortTime, find(p.last())).GetStatus()).NotTo(Equal(missing))
+		Expect(f.request("c", shortTime, find(p.last())).GetStatus()).NotTo(Equal(missing))
 		f.until(f.isComplete)
 		Expect(f.do(find(p.last())).GetStatus()).To(Equal(ok))
 	})
@@ -228,7 +232,7 @@
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
-	It("does not come back from a store that was away when it was removed and begun anew", func() {
+	It("does not come back from a store that was away when it was removed and begun again", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", minRetention)
 		for range 20 {
@@ -241,7 +245,7 @@
 		})
 		busy := f.program("busy")
 		busy.padding = strings.Repeat("x", 1000)
-		// The store that proposes is started last, so that its ballots begin anew.
+		// The store that proposes is started last, so that its ballots begin again.
 		for _, name := range []string{"b", "a"} {
 			// A message that came late by the fast clock may have brought the register back, until it is collected again.
 			f.until(func() bool {
@@ -254,15 +258,15 @@
 			})
 		}
 		f.until(f.inForce)
-		anew := f.programWithRetention("p", minRetention)
-		anew.requests = 100
-		anew.takeTurn()
+		again := f.programWithRetention("p", minRetention)
+		again.requests = 100
+		again.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
-		// The store that came back is not to collect by itself what it still holds.
+		// The store that came back is not to collect on its own what it still has.
 		f.pace = 1
-		anew.expectRetained()
-		anew.takeTurn()
+		again.expectRetained()
+		again.takeTurn()
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 2))
 	})
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -18,7 +18,7 @@
 
 const (
 	smallDiskBytes = 64 << 20
-	// registerSpaceBytes is what registers that are rewritten for ever may take on the disk when they hold little.
+	// registerSpaceBytes is what registers that are rewritten for ever may take on the disk when they have little content.
 	registerSpaceBytes = 16 << 20
 	valueBytes         = 1 << 10
 	changesASecond     = 2000
@@ -26,7 +26,7 @@
 	secondsOfChanges   = 60
 )
 
-// stoppedClock stands still, so that a store does by itself nothing that depends on the time.
+// stoppedClock does not move, so that a store does nothing on its own that depends on the time.
 type stoppedClock struct{}
 
 func (stoppedClock) Now() time.Time { return time.Unix(1_800_000_000, 0) }
--- a/internal/state/store/steptrace/members.go
+++ b/internal/state/store/steptrace/members.go
@@ -17,7 +17,7 @@
 const (
 	// listTimeout bounds the wait for the lists of all stores.
 	listTimeout = 5 * time.Second
-	// maxListBytes bounds the names that one answer lists, below what a frame holds.
+	// maxListBytes bounds the names that one answer lists, below what a frame can carry.
 	maxListBytes = 8 << 20
 )
 
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -128,8 +128,8 @@
 		f.setPartitioned("b", true)
 		f.loseDisk("a")
 		f.until(f.inForce)
-		Expect(f.ask("c", shortTime, p.reserve()).GetStatus()).To(Equal(unavailable))
-		Expect(f.ask("c", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTime, p.reserve()).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 		p.requests--
 		f.setPartitioned("b", false)
 		f.until(f.isComplete)
@@ -143,9 +143,9 @@
 		p.takeTurn()
 		Expect(f.do(p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
-		Expect(f.ask("a", awaitTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
+		Expect(f.request("a", awaitTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("c", true)
-		Expect(f.ask("a", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("given writers, when every shard moves from one store to another, then no acknowledged turn is lost", func() {
@@ -288,7 +288,7 @@
 		}
 		f.mutex.Unlock()
 		f.setPartitioned("c", true)
-		Expect(f.ask("a", awaitTimeout, begin(p, "old")).GetStatus()).To(Equal(fenced))
+		Expect(f.request("a", awaitTimeout, begin(p, "old")).GetStatus()).To(Equal(fenced))
 		Expect(claimed).To(Equal(ok))
 	})
 })
@@ -303,7 +303,7 @@
 			}
 			m := f.members["a"]
 			before := m.self.GetStorageId()
-			// A turn is taken once two stores have kept it. Damage in the middle of a log, which this one must have
+			// A turn is taken once two stores retain it. Damage in the middle of a log, which this one must have
 			// for that, is a loss.
 			f.until(func() bool { return f.running("a").Status().GetTurns() == uint64(turns) })
 			if turns > 50 {
--- a/internal/state/store/storebench/load.go
+++ b/internal/state/store/storebench/load.go
@@ -17,7 +17,7 @@
 	defaultInFlight  = 128
 	defaultTurnBytes = 2000
 	defaultTurns     = 20
-	// maxMicros is the largest latency that is told apart.
+	// maxMicros is the largest latency that histograms resolve.
 	maxMicros       = int64(60 * time.Second / time.Microsecond)
 	histogramDigits = 3
 	// reservationLimit is what each turn reserves, in tokens.
@@ -26,7 +26,7 @@
 
 // Options describe one measurement.
 type Options struct {
-	// Folder holds the data; a temporary folder of the system when empty.
+	// Folder is where the data is; a temporary folder of the system when empty.
 	Folder string
 	// InFlight is the number of programs with an operation in flight at any time.
 	InFlight int
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -118,7 +118,7 @@
 		placement.GetShards())
 }
 
-// rebuilding gives the number of shards with a replica that is not whole.
+// rebuilding returns the number of shards with a replica that is not complete.
 func (c *fixedCore) rebuilding() int {
 	count := 0
 	for _, placed := range c.View().Placement.GetShards() {
--- a/internal/state/store/storebench/shard_moves.go
+++ b/internal/state/store/storebench/shard_moves.go
@@ -59,7 +59,7 @@
 	c.publish(&corelink.View{Membership: view.Membership, Placement: placement}, []*protocol.ShardPlacement{changed})
 }
 
-// moving gives the number of shards under way.
+// moving returns the number of shards that are being moved.
 func (c *fixedCore) moving() int {
 	count := 0
 	for _, placed := range c.View().Placement.GetShards() {
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// SteadyOptions describe a load that goes on for several times its retention.
+// SteadyOptions describe a load that lasts for several times its retention.
 type SteadyOptions struct {
 	TurnsPerSecond, TurnBytes int
 	Retention, Duration       time.Duration
@@ -42,7 +42,7 @@
 	return text.String()
 }
 
-// MeasureSteady keeps a load up and looks at the stores ten times.
+// MeasureSteady sustains a load and samples the stores ten times.
 func MeasureSteady(ctx context.Context, folder string, options SteadyOptions) (*Steady, error) {
 	var steady *Steady
 	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
--- a/internal/state/store/storebench/storebench_test.go
+++ b/internal/state/store/storebench/storebench_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkSteady reports what stores take under 75 turns a second of 10 KB that are kept for 60 s.
+// BenchmarkSteady reports what stores take under 75 turns a second of 10 KB that are retained for 60 s.
 func BenchmarkSteady(b *testing.B) {
 	for b.Loop() {
 		steady, err := storebench.MeasureSteady(b.Context(), b.TempDir(), storebench.SteadyOptions{
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkCosts reports what one operation of each kind takes by itself.
+// BenchmarkCosts reports what one operation of each kind takes alone.
 func BenchmarkCosts(b *testing.B) {
 	for b.Loop() {
 		costs, err := storebench.MeasureCosts(b.Context(), b.TempDir(), 500)
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -52,7 +52,7 @@
 }
 
 // storedRegister is a register with its shard. A snapshot has the registers of one owner in no fixed order,
-// so those that it holds are of shards of different owners.
+// so those in it are of shards of different owners.
 type storedRegister struct {
 	shard uint32
 	key   shardtable.Key
@@ -88,8 +88,8 @@
 	})
 }
 
-// storedRegisters are written in three parts: what the snapshot holds, and what two segments after it hold. A later
-// state of a register stands for the earlier one.
+// storedRegisters are written in three parts: what is in the snapshot, and what is in two segments after it. A later
+// state of a register replaces the earlier one.
 func storedRegisters(t *testing.T) (covered, finished, newest []storedRegister) {
 	state := func(counter uint64, value []byte) register.State {
 		return register.State{Promised: newBallot(counter + 1), Accepted: newBallot(counter), Value: value}
@@ -149,7 +149,7 @@
 	}}
 }
 
-// storedTurns are written in three parts: what the index covers, and what two segments after it hold.
+// storedTurns are written in three parts: what the index covers, and what is in two segments after it.
 func storedTurns() (covered, finished, newest []storedTurn) {
 	elsewhere := newStoredTurn(5, "turn-5", "turn-1", 1)
 	elsewhere.turn.PreviousProgram = "program-1"
@@ -159,7 +159,7 @@
 	return covered, finished, newest
 }
 
-// newStored opens a store whose clock stands still; it is not started.
+// newStored opens a store whose clock is stopped; it is not started.
 func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *datafolder.Folder) {
 	t.Helper()
 	folder, err := datafolder.Open(filesystem, path, DefaultSegmentBytes)
@@ -279,7 +279,7 @@
 	return disk
 }
 
-// expectStored asks an opened store for all that was written, and for nothing else.
+// expectStored reads all that was written from an opened store, which must have nothing else.
 func expectStored(t *testing.T, opened *Store) {
 	t.Helper()
 	opened.Start()
@@ -312,7 +312,7 @@
 			turns++
 			wanted := proto.Clone(stored.turn).(*protocol.Turn)
 			if wanted.GetId() == "turn-1" {
-				// turn-3 continues it and is kept for longer.
+				// turn-3 continues it and is retained for longer.
 				wanted.KeepUntilMillis = storedMillis + 3*storedDay
 			}
 			read, err := opened.turns.Local(stored.shard, wanted.GetProgram(), wanted.GetId())
@@ -348,7 +348,7 @@
 	expectStored(t, opened)
 }
 
-// Each byte of each file is damaged by itself.
+// Each byte of each file is damaged alone.
 func TestDamageToAStoredStoreIsFound(t *testing.T) {
 	files := storedFiles(t, storedData)
 	for _, stored := range []struct {
@@ -396,7 +396,7 @@
 	}
 }
 
-// A turn that only the index was read for is checked when it is asked for.
+// A turn that only the index was read for is checked when it is read.
 func TestADamagedTurnOfAStoredStoreIsNotShown(t *testing.T) {
 	const segment, header = "turns/0000000000000001.log", 28
 	files := storedFiles(t, storedData)
--- a/internal/state/store/training_step_trace_test.go
+++ b/internal/state/store/training_step_trace_test.go
@@ -54,7 +54,7 @@
 	return reserve
 }
 
-// release ends the turn reserved last as given to its caller whole on a version.
+// release ends the turn reserved last as given to its caller complete, on a version.
 func (p *program) release(version uint64) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: p.name,
@@ -159,7 +159,7 @@
 			Expect(second.GetStatus()).To(Equal(ok))
 			Expect(proto.Equal(first.GetTrainingStepPin(), second.GetTrainingStepPin())).To(BeTrue(), "%v and %v", first, second)
 			for _, name := range f.names {
-				again := f.ask(name, awaitTimeout, pinAs(6, "front-3"))
+				again := f.request(name, awaitTimeout, pinAs(6, "front-3"))
 				Expect(proto.Equal(again.GetTrainingStepPin(), first.GetTrainingStepPin())).To(BeTrue(), "%v and %v", again, first)
 			}
 		}
@@ -194,6 +194,18 @@
 })
 
 // loseAllPower stops all stores without a sync and starts them again.
+// acceptReleaseOnAAlone ends a program's turn by way of store a, which is partitioned from the others by then.
+func (f *fleet) acceptReleaseOnAAlone() *program {
+	GinkgoHelper()
+	f.until(f.inForce)
+	Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+	p := f.program("p")
+	Expect(f.request("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
+	f.setPartitioned("a", true)
+	Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+	return p
+}
+
 func (f *fleet) loseAllPower() {
 	for _, name := range f.names {
 		f.stopOne(name, true)
@@ -209,7 +221,7 @@
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		for _, name := range f.names {
-			expectTrace(f.ask(name, awaitTimeout, newTrace(theStep)), rolloutNames...)
+			expectTrace(f.request(name, awaitTimeout, newTrace(theStep)), rolloutNames...)
 		}
 		Expect(f.do(newTrace("step-18")).GetStatus()).To(Equal(stepUnknown))
 	})
@@ -251,7 +263,7 @@
 		f.stopOne("a", true)
 		f.restartEmpty("a")
 		f.until(func() bool { return f.inForceExcept("c") })
-		Expect(f.ask("b", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("b", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("c", false)
 		f.until(f.isComplete)
 		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
@@ -271,7 +283,7 @@
 		f.rollouts(rolloutNames...)
 		f.suspend("a")
 		defer f.resume("a")
-		expectTrace(f.ask("b", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("b", awaitTimeout, newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is unavailable with a majority away, never shorter", func() {
@@ -279,7 +291,7 @@
 		f.rollouts(rolloutNames...)
 		f.setPartitioned("b", true)
 		f.setPartitioned("c", true)
-		Expect(f.ask("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("b", false)
 		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
@@ -291,13 +303,13 @@
 		f.move(moved, "a", "d")
 		f.until(f.isComplete)
 		f.until(f.inForce)
-		// Programs of the shard that moved are read by way of the stores that hold it.
-		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		// Programs of the shard that moved are read by way of its stores.
+		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
 		f.setPartitioned("d", true)
-		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
 		f.setPartitioned("c", true)
-		Expect(f.ask("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
-		Expect(f.ask("b", awaitTimeout, newPin(0, "")).GetStatus()).To(Equal(ok))
+		Expect(f.request("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("b", awaitTimeout, newPin(0, "")).GetStatus()).To(Equal(ok))
 	})
 
 	It("is unavailable, never shorter, when all that answers for one shard is a replica that was away", func() {
@@ -312,11 +324,11 @@
 		f.rollouts(rolloutNames...)
 		f.setPartitioned("d", true)
 		f.setPartitioned("e", true)
-		Expect(f.ask("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("f", false)
-		Expect(f.ask("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("e", false)
-		expectTrace(f.ask("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
 	})
 
 	It("is complete while shards move", func() {
@@ -332,18 +344,13 @@
 
 	It("shows no completed generation that a store accepted alone and a claim charged after", func() {
 		f := newFleet("a", "b", "c")
-		f.until(f.inForce)
-		Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
-		p := f.program("p")
-		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
-		f.setPartitioned("a", true)
-		Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		f.acceptReleaseOnAAlone()
 		successor := &program{fleet: f, name: "p"}
 		successor.claim("front-2")
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
 		for _, name := range f.names {
-			traced := f.ask(name, awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+			traced := f.request(name, awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 			Expect(traced).To(HaveLen(1))
 			Expect(proto.Equal(traced[0].GetMembership(), generations(`generations { discarded: 1 }`))).To(BeTrue(), "%v",
 				traced)
@@ -352,19 +359,14 @@
 
 	It("never takes back what it showed of a change that a store accepted alone", func() {
 		f := newFleet("a", "b", "c")
-		f.until(f.inForce)
-		Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
-		p := f.program("p")
-		Expect(f.ask("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
-		f.setPartitioned("a", true)
-		Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+		p := f.acceptReleaseOnAAlone()
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
-		first := f.ask("c", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+		first := f.request("c", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(first).To(HaveLen(1))
 		counted := ledger.TotalGenerations(first[0].GetMembership())
 		f.setPartitioned("a", true)
-		second := f.ask("b", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+		second := f.request("b", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(second).To(HaveLen(1))
 		Expect(ledger.TotalGenerations(second[0].GetMembership())).To(BeNumerically(">=", counted))
 		f.setPartitioned("a", false)
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -54,7 +54,7 @@
 	s.restore(store)
 }
 
-// restore lets a store that was away hear of the newest placement, after it was asked under the one before.
+// restore gives a store that was away the newest placement, after requests under the one before.
 func (s *faultScenario) restore(store string) {
 	GinkgoHelper()
 	s.requestUnderStaleView(store)
