--- a/internal/state/store/backoff/backoff.go
+++ b/internal/state/store/backoff/backoff.go
@@ -1,4 +1,4 @@
-// Package backoff gives the waits between the attempts of a store's proposers.
+// Package backoff computes the waits between the attempts of a store's proposers.
 package backoff
 
 import (
@@ -13,7 +13,7 @@
 	maxDoublings = 16
 )
 
-// Backoff gives waits that double with each retry. It belongs to one goroutine.
+// Backoff computes waits that double with each retry. It belongs to one goroutine.
 type Backoff struct {
 	random *rand.Rand
 }
--- a/internal/state/store/datafolder/folder.go
+++ b/internal/state/store/datafolder/folder.go
@@ -30,7 +30,7 @@
 // firstSegment is the number of the first segment of a new log.
 const firstSegment = 1
 
-// Location says where a data folder is.
+// Location is where a data folder is.
 type Location struct {
 	filesystem storage.Filesystem
 	path       string
@@ -49,7 +49,8 @@
 	// StorageID names this incarnation of the folder, and Starts counts the starts in it.
 	StorageID string
 	Starts    uint64
-	// Lost says that the folder was damaged: its files were moved aside and it begins empty under a new StorageID.
+	// Lost is the damage that was found when the folder was opened; then its files were moved aside and it
+	// begins empty under a new StorageID.
 	Lost error
 }
 
--- a/internal/state/store/errors.go
+++ b/internal/state/store/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// StorageReplacedError says that the folder was found damaged when it was opened again, and
+// StorageReplacedError reports that the folder was found damaged when it was opened again, and
 // begins anew under another storage id; the process must stop, since it is known under the
 // former one.
 type StorageReplacedError struct {
--- a/internal/state/store/export_test.go
+++ b/internal/state/store/export_test.go
@@ -1,4 +1,7 @@
 package store
 
-// Running gives the store that serves at this moment, nil when there is none.
+// Running returns the store that serves at this moment, nil when there is none.
 func (s *Supervisor) Running() *Store { return s.current.Load() }
+
+// ScrubOnce compares all shards with the other replicas once.
+func (s *Store) ScrubOnce() { s.replication.Scrub() }
--- a/internal/state/store/hashtree/hashtree.go
+++ b/internal/state/store/hashtree/hashtree.go
@@ -123,7 +123,7 @@
 	return func(yield func(K, V) bool) { t.root.visitAfter(key, 0, true, yield) }
 }
 
-// visitAfter skips what lies before the key; bounded says that the node is on the path from the root to the key.
+// visitAfter skips what lies before the key; bounded is true when the node is on the path from the root to the key.
 func (n *node[K, V]) visitAfter(key K, depth int, bounded bool, yield func(K, V) bool) bool {
 	if n.branches != nil {
 		from := 0
--- a/internal/state/store/lifecycle/lifecycle.go
+++ b/internal/state/store/lifecycle/lifecycle.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Clock gives the time and timers.
+// Clock is a source of time and timers.
 type Clock interface {
 	Now() time.Time
 	// AfterFunc calls run on a goroutine of its own once the time has passed, unless stop was called before.
@@ -27,7 +27,7 @@
 	return func() { timer.Stop() }
 }
 
-// StoppedError says that the store was stopped while something waited for it.
+// StoppedError reports that the store was stopped while something waited for it.
 type StoppedError struct{}
 
 func (e *StoppedError) Error() string { return "the store stops" }
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// failUnlessStopped ends the store unless the error only says that it stops already.
+// failUnlessStopped ends the store unless the error is that it stops already.
 func (s *Store) failUnlessStopped(err error) {
 	var stopped *lifecycle.StoppedError
 	if !errors.As(err, &stopped) {
--- a/internal/state/store/owner/group.go
+++ b/internal/state/store/owner/group.go
@@ -158,5 +158,8 @@
 // Groups are the groups of a store.
 type Groups []*Group
 
+// Index returns the index of the group that owns a shard.
+func (s Groups) Index(shard uint32) int { return int(shard) % len(s) }
+
 // Of returns the group that owns a shard.
-func (s Groups) Of(shard uint32) *Group { return s[int(shard)%len(s)] }
+func (s Groups) Of(shard uint32) *Group { return s[s.Index(shard)] }
--- a/internal/state/store/peers/errors.go
+++ b/internal/state/store/peers/errors.go
@@ -1,13 +1,13 @@
 package peers
 
-// AnswerError says that a store sent an answer that does not fit the request.
+// AnswerError reports that a store sent an answer that does not fit the request.
 type AnswerError struct {
 	Store string
 }
 
 func (e *AnswerError) Error() string { return "store " + e.Store + ": answer does not fit the request" }
 
-// NotLiveError says that a store has no lease, or that too many requests to it are in flight.
+// NotLiveError reports that a store has no lease, or that too many requests to it are in flight.
 type NotLiveError struct {
 	Store string
 }
--- a/internal/state/store/placement/watch.go
+++ b/internal/state/store/placement/watch.go
@@ -18,7 +18,7 @@
 type Watch struct {
 	core Source
 	self *protocol.Node
-	// fresh says that the view was read since the start. It belongs to the goroutine that calls Refresh.
+	// fresh is true once the view was read since the start. It belongs to the goroutine that calls Refresh.
 	fresh   bool
 	current atomic.Pointer[Topology]
 }
--- a/internal/state/store/proposer/proposal.go
+++ b/internal/state/store/proposer/proposal.go
@@ -19,7 +19,7 @@
 	change *register.Change
 	// retries counts the attempts that failed of the change in progress.
 	retries int
-	// backingOff says that the change waits for its retry.
+	// backingOff is true while the change waits for its retry.
 	backingOff bool
 }
 
--- a/internal/state/store/records/records.go
+++ b/internal/state/store/records/records.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// UnreadableError says that stored bytes are no record of this program's format.
+// UnreadableError reports that stored bytes are no record of this program's format.
 type UnreadableError struct {
 	Cause error
 }
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -77,7 +77,7 @@
 		}
 		shard := body.KeepTurn.GetShard()
 		s.groups.Of(shard).Post(func() {
-			s.retainer(shard).ServeRetain(body.KeepTurn, func(answer *protocol.KeepTurnResponse) {
+			s.turns.Retainer(shard).ServeRetain(body.KeepTurn, func(answer *protocol.KeepTurnResponse) {
 				reply(&protocol.Response{Body: &protocol.Response_KeepTurn{KeepTurn: answer}})
 			})
 		})
--- a/internal/state/store/replication/errors.go
+++ b/internal/state/store/replication/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// CopyError says that a shard could not be copied now; the copy is retried.
+// CopyError reports that a shard could not be copied now; the copy is retried.
 type CopyError struct {
 	Shard uint32
 	// Source is the replica that rejected the copy; empty when it failed on this side.
--- a/internal/state/store/replication/service.go
+++ b/internal/state/store/replication/service.go
@@ -28,7 +28,7 @@
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Placement gives the placement in force.
+// Placement returns the placement in force.
 type Placement interface {
 	Current() *placement.Topology
 }
--- a/internal/state/store/shardtable/table.go
+++ b/internal/state/store/shardtable/table.go
@@ -16,7 +16,7 @@
 	View      register.ShardView
 	Registers hashtree.Tree[Key, *Register]
 	Turns     turnindex.Index
-	// CaughtUp says that a joining or rebuilding replica is complete and waits for the core to acknowledge it.
+	// CaughtUp is true once a joining or rebuilding replica is complete and waits for the core to acknowledge it.
 	CaughtUp bool
 	// Generation rises whenever the table is cleared, so that a catch-up in progress is given up.
 	Generation uint64
--- a/internal/state/store/steptrace/members.go
+++ b/internal/state/store/steptrace/members.go
@@ -57,7 +57,7 @@
 // membersPage is what one command to the owner of a shard returned.
 type membersPage struct {
 	shardtable.MembersPage
-	// counts says that the list of this replica counts for the shard, as long as generation stays the same.
+	// counts is true when the list of this replica counts for the shard, as long as generation stays the same.
 	counts     bool
 	generation uint64
 }
--- a/internal/state/store/steptrace/service.go
+++ b/internal/state/store/steptrace/service.go
@@ -17,7 +17,7 @@
 	Call(ctx context.Context, store string, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Placement gives the placement in force.
+// Placement returns the placement in force.
 type Placement interface {
 	Current() *placement.Topology
 }
--- a/internal/state/store/steptrace/trace.go
+++ b/internal/state/store/steptrace/trace.go
@@ -17,7 +17,7 @@
 // maxConcurrentReads bounds the programs of a trace that are read side by side.
 const maxConcurrentReads = 32
 
-// UnreadProgramError says that no replica of a program's shard could read its record from a majority.
+// UnreadProgramError reports that no replica of a program's shard could read its record from a majority.
 type UnreadProgramError struct {
 	Program string
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"fmt"
 	"strconv"
 	"sync"
 	"time"
@@ -33,9 +32,8 @@
 	watch     *placement.Watch
 	peers     *peers.Client
 	groups    owner.Groups
-	// proposers and retainers are those of the groups, in their order; each belongs to the goroutine of its group.
+	// proposers are those of the groups, in their order; each belongs to the goroutine of its group.
 	proposers   []*proposer.Proposer
-	retainers   []*turns.Retainer
 	turns       *turns.Service
 	replication *replication.Service
 	steps       *steptrace.Service
@@ -121,7 +119,6 @@
 	for number, group := range s.groups {
 		waits := backoff.New(s.options.Seed, uint64(number))
 		retainer := s.turns.AddRetainer(group, waits)
-		s.retainers = append(s.retainers, retainer)
 		s.proposers = append(s.proposers, proposer.New(proposer.Options{
 			Store:    name,
 			Name:     proposerName,
@@ -240,12 +237,7 @@
 
 // proposer returns the proposer of a shard.
 func (s *Store) proposer(shard uint32) *proposer.Proposer {
-	return s.proposers[int(shard)%len(s.proposers)]
-}
-
-// retainer returns the retainer of a shard.
-func (s *Store) retainer(shard uint32) *turns.Retainer {
-	return s.retainers[int(shard)%len(s.retainers)]
+	return s.proposers[s.groups.Index(shard)]
 }
 
 // ViewChanged makes the store read the core's view again; it does not wait.
@@ -282,11 +274,3 @@
 		}
 	}
 }
-
-// ScrubOnce compares all shards with the other replicas once.
-func (s *Store) ScrubOnce() { s.replication.Scrub() }
-
-// String names the store in logs.
-func (s *Store) String() string {
-	return fmt.Sprintf("%s (%s)", s.options.Self.GetName(), s.options.Self.GetStorageId())
-}
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -44,7 +44,7 @@
 	return result, err
 }
 
-// FailedOperationsError says that operations of a measurement were not answered with LEDGER_OK.
+// FailedOperationsError reports that operations of a measurement were not answered with LEDGER_OK.
 type FailedOperationsError struct {
 	Count int64
 }
--- a/internal/state/store/turnindex/codec.go
+++ b/internal/state/store/turnindex/codec.go
@@ -17,7 +17,7 @@
 // retention and key of the previous turn, big-endian.
 const RecordBytes = 4 + 16 + 12 + 16
 
-// ErrOtherForm says that a stored index is of a form that this program does not read.
+// ErrOtherForm reports that a stored index is of a form that this program does not read.
 var ErrOtherForm = errors.New("an index of another form")
 
 // WriteHeader begins a stored index; what Encode returns for each shard follows.
--- a/internal/state/store/turnindex/entry.go
+++ b/internal/state/store/turnindex/entry.go
@@ -66,7 +66,7 @@
 	return k.TurnHash < other.TurnHash
 }
 
-// Entry says where a turn is in the log.
+// Entry is where a turn is in the log.
 type Entry struct {
 	Segment uint32
 	Offset  uint32
--- a/internal/state/store/turns/chain.go
+++ b/internal/state/store/turns/chain.go
@@ -81,7 +81,7 @@
 	ctx context.Context, shard register.ShardView, page []*protocol.Turn, untilMillis int64,
 ) protocol.LedgerStatus {
 	deadline := s.options.Lifecycle.Deadline(ctx, s.options.OperationTimeout)
-	retainer := s.retainers[int(shard.Shard)%len(s.retainers)]
+	retainer := s.Retainer(shard.Shard)
 	statuses := make(chan protocol.LedgerStatus, len(page))
 	for _, turn := range slices.Backward(page) { //nolint:contextcheck // chains outlive their callers
 		if turn.GetKeepUntilMillis() >= untilMillis {
--- a/internal/state/store/turns/fetch.go
+++ b/internal/state/store/turns/fetch.go
@@ -37,7 +37,7 @@
 type fetchAnswer struct {
 	store string
 	turns []*protocol.Turn
-	// answered says that the store looked for the turn; without turns it does not have it.
+	// answered is true when the store looked for the turn; without turns it does not have it.
 	answered bool
 }
 
--- a/internal/state/store/turns/retain.go
+++ b/internal/state/store/turns/retain.go
@@ -21,7 +21,7 @@
 	failed   []string
 	done     func(protocol.LedgerStatus)
 	ended    bool
-	// backingOff says that the next attempt is due later.
+	// backingOff is true while the next attempt is due later.
 	backingOff bool
 }
 
--- a/internal/state/store/turns/retainer.go
+++ b/internal/state/store/turns/retainer.go
@@ -23,6 +23,9 @@
 	return retainer
 }
 
+// Retainer returns the retainer of a shard.
+func (s *Service) Retainer(shard uint32) *Retainer { return s.retainers[s.options.Groups.Index(shard)] }
+
 // ServeRetain retains a turn for a proposer and answers through reply, on the group's
 // goroutine. The placement is checked again once the turn is durable: a copy of the shard
 // made meanwhile under a newer placement may lack the turn.
--- a/internal/state/store/turns/service.go
+++ b/internal/state/store/turns/service.go
@@ -29,7 +29,7 @@
 	Send(store string, request *protocol.Request, done func(*protocol.Response, error))
 }
 
-// Placement gives the placement in force.
+// Placement returns the placement in force.
 type Placement interface {
 	Current() *placement.Topology
 }
@@ -58,7 +58,7 @@
 	options Options
 	// retainers are those of the groups, in their order.
 	retainers []*Retainer
-	// damaged says that the log of turns was found damaged.
+	// damaged is true once the log of turns was found damaged.
 	damaged atomic.Bool
 }
 
