--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
@@ -28,7 +29,7 @@
 	if expected := command.GetExpectedVersion(); expected != active.GetVersion() {
 		return s.rejectWrongBase(expected)
 	}
-	faults := append(baseFaults, s.releaseNumberFaults(version)...)
+	faults := slices.Concat(baseFaults, s.releaseNumberFaults(version))
 	merged, contentFaults := bundle.Check(active, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
 		return rejectFaulty(faults)
@@ -52,7 +53,8 @@
 	submitted.BaseVersion = command.GetExpectedVersion()
 	switch base := given.GetBaseVersion(); {
 	case base != 0 && base != command.GetExpectedVersion():
-		return submitted, []*protocol.Fault{fault("base_version", fmt.Sprintf("is %d, the release names %d", base, command.GetExpectedVersion()))}
+		return submitted, []*protocol.Fault{fault("base_version",
+			fmt.Sprintf("is %d, the release names %d", base, command.GetExpectedVersion()))}
 	case given.GetPartial() && command.GetExpectedVersion() == 0:
 		return submitted, []*protocol.Fault{fault("base_version", "there is no bundle yet to build on; send a whole one")}
 	default:
@@ -62,7 +64,8 @@
 
 func (s *State) rejectWrongBase(expected uint64) *protocol.CommandResult {
 	active := s.configuration.GetActive().GetVersion()
-	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected), fault("expected_version", "is not the version in force"))
+	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected),
+		fault("expected_version", "is not the version in force"))
 	if record := s.record(active); record != nil {
 		result.Refusal.Winner = record.Status
 	}
