--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -12,6 +12,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -62,16 +63,16 @@
 func OutcomeOfExpired(clock Clock) schedule.Outcome {
 	view := &protocol.BackEndView{BackEnds: []*protocol.BackEnd{{Id: "s1", Address: "127.0.0.1:1"}}}
 	server := (&backends.Set{}).Next(view).ByID["s1"]
-	client := newRouteClient(dialect.Default(), clock, backends.NewModels(), nil)
-	defer client.close()
-	_, err := client.send(context.Background(), routedRequest{
-		server: server, requestID: "r1", http: &protocol.HttpRequest{}, deadline: clock.Now(),
+	client := issue.NewRouteClient(dialect.Default(), clock, backends.NewModels(), nil)
+	defer client.Close()
+	_, err := client.Call(context.Background(), issue.RouteRequest{
+		Server: server, RequestID: "r1", HTTP: &protocol.HttpRequest{}, Deadline: clock.Now(),
 	})
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
 		return schedule.OutcomeAnswered
 	}
-	return fault.outcome()
+	return fault.Outcome()
 }
 
 // NotReady says why a front node should get no connections; empty when it should.
@@ -108,7 +109,7 @@
 	HeartbeatWindow       = heartbeat.Window
 	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
-	SampleTimeout         = sampleTimeout
+	SampleTimeout         = issue.SampleTimeout
 	ShareTick             = shareTick
 	ShareInterval         = shareInterval
 	// AnswerWithin is far above the time in which the rig's routes should be answered.
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/process/daemon"
@@ -66,7 +67,7 @@
 	if err != nil {
 		return nil, false, nil, err
 	}
-	c.Header(headerRequestID, request.GetRequestId())
+	c.Header(issue.HeaderRequestID, request.GetRequestId())
 	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
@@ -213,7 +214,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	c.Header(headerRequestID, request.GetRequestId())
+	c.Header(issue.HeaderRequestID, request.GetRequestId())
 	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
 	policy, err := a.tenant(c, decided)
 	if err != nil {
@@ -224,8 +225,8 @@
 	if route == nil {
 		return nil, false, unknownTool()
 	}
-	if route.GetNonRepeatable() && c.GetHeader(headerIdempotency) == "" {
-		return nil, false, missingField(headerIdempotency)
+	if route.GetNonRepeatable() && c.GetHeader(issue.HeaderIdempotency) == "" {
+		return nil, false, missingField(issue.HeaderIdempotency)
 	}
 	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -6,6 +6,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
@@ -85,18 +86,14 @@
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", command.BackEnd)
 	r.recordSent(command.MaxTokens)
-	response, err := r.service.routes.send(r.ctx, routedRequest{
-		server: r.server, requestID: r.request.GetRequestId(), http: r.request.GetHttp(),
-		body: joinItems(command.Items), deadline: r.deadline, pin: r.pin,
-	})
+	stream, err := r.service.routes.Stream(r.ctx, issue.RouteRequest{
+		Server: r.server, RequestID: r.request.GetRequestId(), HTTP: r.request.GetHttp(),
+		Body: joinItems(command.Items), Deadline: r.deadline, Pin: r.pin,
+	}, r.request.GetHttp().GetEventTokens())
 	if err != nil {
 		r.leaveServer()
 		return r.issueFailed(err)
 	}
-	stream := newHTTPStream(response, r.request.GetHttp().GetEventTokens())
-	if r.pin != nil {
-		stream.versionHeader = r.service.routes.dialect.WeightVersions
-	}
 	r.generation = stream
 	return nil
 }
--- a/internal/dataplane/front/backend_client.go
+++ b/internal/dataplane/front/issue/client.go
@@ -1,4 +1,4 @@
-package front
+package issue
 
 import (
 	"bufio"
@@ -21,16 +21,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
+// Headers of requests to back ends and of their answers.
 const (
-	headerRequestID   = "Rosestand-Request-Id"
+	HeaderRequestID   = "Rosestand-Request-Id"
 	headerSession     = "Rosestand-Session"
 	headerEpoch       = "Rosestand-Epoch"
-	headerNonce       = "Rosestand-Nonce"
+	HeaderNonce       = "Rosestand-Nonce"
 	headerLoad        = "Rosestand-Load"
-	headerTenant      = "Rosestand-Tenant"
-	headerIdempotency = "Idempotency-Key"
+	HeaderIdempotency = "Idempotency-Key"
+)
 
-	// DefaultStallTimeout is how long a model server may be silent while a turn runs.
+const (
+	// DefaultStallTimeout is how long a model server may send nothing while a turn runs.
 	DefaultStallTimeout = 30 * time.Second
 
 	dialTimeout           = 2 * time.Second
@@ -45,20 +47,21 @@
 	drainTimeout          = time.Second
 )
 
-// backEndClient speaks HTTP to model and tool servers.
-type backEndClient struct {
+// Client sends turns and tool calls to model and tool servers of OpenAI's interface. Any goroutine may use it.
+type Client struct {
 	models *http.Client
 	tools  *http.Client
 	clock  Clock
 }
 
-// newBackEndClient makes a client that gives a model server up after a silence
-// of stallTimeout. A tool may be silent for as long as its caller waits.
-func newBackEndClient(clock Clock, stallTimeout time.Duration, dial dialFunc) *backEndClient {
+// NewClient makes a client that abandons a model server which sends nothing for stallTimeout (zero is
+// DefaultStallTimeout). A tool may send nothing for as long as its caller waits. It connects by dial; nil
+// stands for TCP.
+func NewClient(clock Clock, stallTimeout time.Duration, dial dialFunc) *Client {
 	if stallTimeout == 0 {
 		stallTimeout = DefaultStallTimeout
 	}
-	return &backEndClient{clock: clock, models: newHTTPClient(stallTimeout, dial), tools: newHTTPClient(0, dial)}
+	return &Client{clock: clock, models: newHTTPClient(stallTimeout, dial), tools: newHTTPClient(0, dial)}
 }
 
 // newHTTPClient makes a client that connects by dial; nil stands for TCP.
@@ -85,8 +88,8 @@
 	}
 }
 
-// stallGuard ends a connection whose peer is silent for too long after a
-// request was written to it or since its last bytes.
+// stallGuard ends a connection whose peer sends nothing for too long after a request was written to it or
+// since its last bytes.
 type stallGuard struct {
 	net.Conn
 	limit time.Duration
@@ -106,22 +109,23 @@
 	return g.Conn.Write(buffer)
 }
 
-func (c *backEndClient) close() {
+// Close ends the idle connections.
+func (c *Client) Close() {
 	c.models.CloseIdleConnections()
 	c.tools.CloseIdleConnections()
 }
 
-// backEndRequest carries the headers that every request to a back end has.
-type backEndRequest struct {
-	server    *backends.Server
-	path      string
-	body      []byte
-	requestID string
-	session   string
-	nonce     string
-	epoch     uint64
-	// idempotencyKey is set for tool calls only.
-	idempotencyKey string
+// Request is one attempt at a server.
+type Request struct {
+	Server    *backends.Server
+	Path      string
+	Body      []byte
+	RequestID string
+	Session   string
+	Nonce     string
+	Epoch     uint64
+	// IdempotencyKey is set for tool calls only.
+	IdempotencyKey string
 }
 
 // onceReader hides the kind of the body from net/http. With a body that it can
@@ -131,26 +135,26 @@
 
 // send issues the request once. A connection that could not be opened is the
 // only failure after which it surely did not arrive.
-func (c *backEndClient) send(ctx context.Context, request backEndRequest) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, request Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	prepared, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
-		request.server.URL(request.path), onceReader{bytes.NewReader(request.body)})
+		request.Server.URL(request.Path), onceReader{bytes.NewReader(request.Body)})
 	if err != nil {
-		return nil, &backEndError{fault: turn.FaultNotSent, detail: err.Error()}
+		return nil, &AttemptError{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
-	prepared.ContentLength = int64(len(request.body))
+	prepared.ContentLength = int64(len(request.Body))
 	header := prepared.Header
 	header.Set("Content-Type", "application/json")
-	header.Set(headerRequestID, request.requestID)
-	header.Set(headerSession, request.session)
-	header.Set(headerEpoch, strconv.FormatUint(request.epoch, 10))
-	header.Set(headerNonce, request.nonce)
-	if request.idempotencyKey != "" {
-		header.Set(headerIdempotency, request.idempotencyKey)
+	header.Set(HeaderRequestID, request.RequestID)
+	header.Set(headerSession, request.Session)
+	header.Set(headerEpoch, strconv.FormatUint(request.Epoch, 10))
+	header.Set(HeaderNonce, request.Nonce)
+	if request.IdempotencyKey != "" {
+		header.Set(HeaderIdempotency, request.IdempotencyKey)
 	}
 	client := c.models
-	if request.idempotencyKey != "" {
+	if request.IdempotencyKey != "" {
 		client = c.tools
 	}
 	response, err := client.Do(prepared)
@@ -159,25 +163,25 @@
 		if !connected {
 			fault = turn.FaultNotSent
 		}
-		return nil, &backEndError{fault: fault, detail: err.Error()}
+		return nil, &AttemptError{Fault: fault, Detail: err.Error()}
 	}
 	if load, reported := dialect.DecodeLoad(response.Header.Get(headerLoad)); reported {
-		request.server.ApplyLoad(load, c.clock.Now())
+		request.Server.ApplyLoad(load, c.clock.Now())
 	}
-	if echoed := response.Header.Get(headerNonce); echoed != "" && echoed != request.nonce {
+	if echoed := response.Header.Get(HeaderNonce); echoed != "" && echoed != request.Nonce {
 		_ = response.Body.Close()
-		return nil, &backEndError{fault: turn.FaultMismatch, detail: "the answer carries another request's nonce"}
+		return nil, &AttemptError{Fault: turn.FaultMismatch, Detail: "the answer carries another request's nonce"}
 	}
 	return response, nil
 }
 
-// rejectionFault reads the answers that say that the request was not run; nil for any other.
-func rejectionFault(response *http.Response) *backEndError {
+// rejectionFault recognises answers that state that the request was not run; nil for any other.
+func rejectionFault(response *http.Response) *AttemptError {
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return &backEndError{
-			fault: turn.FaultUnavailable, retryAfter: retryAfter(response),
-			detail: "the back end refused with status " + strconv.Itoa(response.StatusCode),
+		return &AttemptError{
+			Fault: turn.FaultUnavailable, retryAfter: retryAfterOf(response.Header),
+			Detail: "the back end refused with status " + strconv.Itoa(response.StatusCode),
 		}
 	case http.StatusConflict:
 		var body struct {
@@ -187,21 +191,13 @@
 		}
 		text, err := io.ReadAll(io.LimitReader(response.Body, maxFaultAnswerBytes))
 		if err == nil && json.Unmarshal(text, &body) == nil && body.Error.Code == "fenced" {
-			return &backEndError{fault: turn.FaultFenced, detail: "the back end has seen a newer epoch of the session"}
+			return &AttemptError{Fault: turn.FaultFenced, Detail: "the back end has seen a newer epoch of the session"}
 		}
 		response.Body = io.NopCloser(io.MultiReader(bytes.NewReader(text), response.Body))
 	}
 	return nil
 }
 
-func retryAfter(response *http.Response) time.Duration {
-	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-	if err != nil || seconds < 0 {
-		return 0
-	}
-	return time.Duration(seconds * float64(time.Second))
-}
-
 // generation is the stream of one model server's answer.
 type generation struct {
 	body   io.ReadCloser
@@ -214,8 +210,8 @@
 	finished  bool
 }
 
-// generate begins a turn at a model server.
-func (c *backEndClient) generate(ctx context.Context, request backEndRequest) (*generation, error) {
+// Generate begins a turn at a model server. The error is an *AttemptError.
+func (c *Client) Generate(ctx context.Context, request Request) (AnswerStream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	response, err := c.send(ctx, request) //nolint:bodyclose // drainBody or generation.close closes it
 	if err != nil {
@@ -226,9 +222,9 @@
 	switch status := response.StatusCode; {
 	case fault != nil:
 	case status >= 400 && status < 500:
-		fault = &backEndError{fault: turn.FaultRejected, detail: "the back end answered with status " + strconv.Itoa(status)}
+		fault = &AttemptError{Fault: turn.FaultRejected, Detail: "the back end answered with status " + strconv.Itoa(status)}
 	case status != http.StatusOK:
-		fault = &backEndError{fault: turn.FaultBroken, detail: "the back end answered with status " + strconv.Itoa(status)}
+		fault = &AttemptError{Fault: turn.FaultBroken, Detail: "the back end answered with status " + strconv.Itoa(status)}
 	}
 	if fault != nil {
 		drainBody(response.Body)
@@ -236,11 +232,12 @@
 		return nil, fault
 	}
 	return &generation{
-		body: response.Body, reader: bufio.NewReaderSize(response.Body, streamBufferBytes), nonce: request.nonce, cancel: cancel,
+		body: response.Body, reader: bufio.NewReaderSize(response.Body, streamBufferBytes),
+		nonce: request.Nonce, cancel: cancel,
 	}, nil
 }
 
-// drainBody lets a short answer's connection be used again.
+// drainBody reads the rest of a short answer, so that its connection can be used again.
 func drainBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxFaultAnswerBytes)
 	_ = body.Close()
@@ -266,8 +263,8 @@
 	} `json:"error"`
 }
 
-// next returns the next token, or the end of the answer.
-func (g *generation) next() (turn.Event, error) {
+// Next implements AnswerStream.
+func (g *generation) Next() (turn.Event, error) {
 	for {
 		data, err := g.data()
 		if err != nil {
@@ -275,7 +272,7 @@
 		}
 		if bytes.Equal(data, []byte("[DONE]")) {
 			if !g.usageSeen {
-				return nil, &backEndError{fault: turn.FaultBroken, detail: "the answer ended without usage"}
+				return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the answer ended without usage"}
 			}
 			g.finished = true
 			return g.done, nil
@@ -290,13 +287,13 @@
 func (g *generation) read(data []byte) (turn.Event, error) {
 	var received chunk
 	if err := json.Unmarshal(data, &received); err != nil {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: "the answer is not valid: " + err.Error()}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the answer is not valid: " + err.Error()}
 	}
 	if received.Error != nil {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: "the back end failed: " + received.Error.Message}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the back end failed: " + received.Error.Message}
 	}
 	if received.Nonce != "" && received.Nonce != g.nonce {
-		return nil, &backEndError{fault: turn.FaultMismatch, detail: "the answer carries another request's nonce"}
+		return nil, &AttemptError{Fault: turn.FaultMismatch, Detail: "the answer carries another request's nonce"}
 	}
 	if received.Nonce != "" {
 		g.done.Nonce = received.Nonce
@@ -336,14 +333,13 @@
 		complete = append(complete, line...)
 	}
 	if err != nil {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: fmt.Sprintf("the answer broke off: %v", err)}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: fmt.Sprintf("the answer broke off: %v", err)}
 	}
 	return complete, nil
 }
 
-// close gives the answer up; the back end sees the connection end unless the
-// answer was whole, when the connection is used again.
-func (g *generation) close() {
+// Close implements AnswerStream: the server sees the connection end unless the answer was complete.
+func (g *generation) Close() {
 	if g.finished {
 		late := time.AfterFunc(drainTimeout, g.cancel)
 		drainBody(g.body)
@@ -353,8 +349,8 @@
 	_ = g.body.Close()
 }
 
-// call runs one tool call.
-func (c *backEndClient) call(ctx context.Context, request backEndRequest) (turn.Event, error) {
+// Call runs one tool call. The error is an *AttemptError.
+func (c *Client) Call(ctx context.Context, request Request) (turn.Event, error) {
 	response, err := c.send(ctx, request)
 	if err != nil {
 		return nil, err
@@ -365,12 +361,14 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxToolAnswerBytes+1))
 	if err != nil {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: fmt.Sprintf("the answer broke off: %v", err)}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: fmt.Sprintf("the answer broke off: %v", err)}
 	}
 	if len(body) > maxToolAnswerBytes {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: "the answer is too large"}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the answer is too large"}
 	}
-	return turn.CallDone{Status: uint32(response.StatusCode), Body: body, ContentType: response.Header.Get("Content-Type")}, nil
+	return turn.CallDone{
+		Status: uint32(response.StatusCode), Body: body, ContentType: response.Header.Get("Content-Type"),
+	}, nil
 }
 
 // chatRequest is the body of /v1/chat/completions.
@@ -393,7 +391,8 @@
 	Name       string `json:"name,omitempty"`
 }
 
-func chatBody(model string, items []*protocol.Item, maxTokens uint64) ([]byte, error) {
+// ChatBody is the body of a turn that continues a conversation.
+func ChatBody(model string, items []*protocol.Item, maxTokens uint64) ([]byte, error) {
 	messages := make([]chatMessage, 0, len(items))
 	for _, item := range items {
 		messages = append(messages, chatMessage{
@@ -401,6 +400,7 @@
 		})
 	}
 	return json.Marshal(chatRequest{
-		Model: model, Messages: messages, Stream: true, StreamOptions: streamOptions{IncludeUsage: true}, MaxTokens: maxTokens,
+		Model: model, Messages: messages, Stream: true, StreamOptions: streamOptions{IncludeUsage: true},
+		MaxTokens: maxTokens,
 	})
 }
--- a/internal/dataplane/front/http_stream.go
+++ b/internal/dataplane/front/issue/route_answer.go
@@ -1,4 +1,4 @@
-package front
+package issue
 
 import (
 	"io"
@@ -17,12 +17,12 @@
 
 const eventStreamType = "text/event-stream"
 
-// answerStream is the answer of a server to a turn, in parts.
-type answerStream interface {
-	// next waits for the next part; the last one is a turn.BackEndDone or a turn.AnswerCompleted.
-	next() (turn.Event, error)
-	// close abandons the answer, or keeps its connection for the next request when it was read completely.
-	close()
+// AnswerStream is the answer of a server to a turn, in parts. One goroutine uses it.
+type AnswerStream interface {
+	// Next waits for the next part; the last one is a turn.BackEndDone or a turn.AnswerCompleted.
+	Next() (turn.Event, error)
+	// Close abandons the answer, or keeps its connection for the next request when it was read completely.
+	Close()
 }
 
 // httpStream is the answer to a turn of an HTTP route.
@@ -31,7 +31,8 @@
 	events      *sse.Reader
 	eventTokens uint32
 	headGiven   bool
-	// versionHeader names the versions of the weights; it is set where they are read, in turns of training steps.
+	// versionHeader names the versions of the weights; it is set in turns of training steps, where they are
+	// checked.
 	versionHeader string
 	done          turn.BackEndDone
 }
@@ -42,7 +43,8 @@
 	}
 }
 
-func (s *httpStream) next() (turn.Event, error) {
+// Next implements AnswerStream.
+func (s *httpStream) Next() (turn.Event, error) {
 	if !s.headGiven {
 		s.headGiven = true
 		return s.head()
@@ -52,11 +54,11 @@
 	case errors.Is(err, io.EOF):
 		return s.done, nil
 	case err != nil:
-		return nil, &backEndError{fault: turn.FaultBroken, detail: "the stream broke off: " + err.Error()}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the stream broke off: " + err.Error()}
 	}
 	token := turn.Token{Event: event, Data: sse.Data(event)}
 	if token.Data != nil {
-		// A block of comments alone brings no tokens.
+		// A block of comments has no tokens.
 		token.Tokens = s.eventTokens
 	}
 	if s.versionHeader != "" {
@@ -73,7 +75,7 @@
 	}
 	body, err := s.response.ReadAll(maxToolAnswerBytes)
 	if err != nil {
-		return nil, &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
 	answer.Body = body
 	return turn.AnswerCompleted{Answer: answer, WeightVersions: s.headVersions()}, nil
@@ -87,4 +89,5 @@
 	return trainingstep.ParseVersions(s.response.Header.Values(s.versionHeader))
 }
 
-func (s *httpStream) close() { s.response.Close() }
+// Close implements AnswerStream.
+func (s *httpStream) Close() { s.response.Close() }
--- a/internal/dataplane/front/requests.go
+++ b/internal/dataplane/front/requests.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"strings"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -20,6 +21,7 @@
 const (
 	maxIdentifierBytes = 128
 	generatedIDBytes   = 16
+	headerTenant       = "Rosestand-Tenant"
 	maxTimeoutMillis   = 600_000
 )
 
@@ -201,14 +203,14 @@
 
 // requestID takes the caller's Idempotency-Key, or makes an id up of which no other copy exists.
 func requestID(header http.Header) (id string, firstSend bool, err error) {
-	key := header.Get(headerIdempotency)
+	key := header.Get(issue.HeaderIdempotency)
 	switch {
 	case key == "":
 		return "req_" + randomID(), true, nil
 	case len(key) > maxIdentifierBytes:
-		return "", false, tooLong(headerIdempotency)
+		return "", false, tooLong(issue.HeaderIdempotency)
 	case strings.ContainsFunc(key, isControl):
-		return "", false, invalidField(headerIdempotency, "must not hold control characters")
+		return "", false, invalidField(issue.HeaderIdempotency, "must not hold control characters")
 	}
 	return key, false, nil
 }
@@ -217,9 +219,9 @@
 
 // nonceOf is what back ends echo, so that answers cannot be mixed up.
 func nonceOf(header http.Header, requestID string) (string, error) {
-	nonce := header.Get(headerNonce)
+	nonce := header.Get(issue.HeaderNonce)
 	if len(nonce) > maxIdentifierBytes {
-		return "", tooLong(headerNonce)
+		return "", tooLong(issue.HeaderNonce)
 	}
 	if nonce == "" {
 		return derivedID("nonce", requestID), nil
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -17,6 +17,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -75,8 +76,8 @@
 	// inProgress counts the turns and calls run as owner.
 	inProgress atomic.Int64
 
-	client       *backEndClient
-	routes       *routeClient
+	client       *issue.Client
+	routes       *issue.RouteClient
 	models       *backends.Models
 	versionPins  *versionPins
 	operations   *ledgerops.Client
@@ -111,8 +112,8 @@
 	s := &Service{
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:       newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
 		versionPins:  newVersionPins(options.Clock),
 		sessions:     newSessions(options.Clock),
@@ -150,7 +151,7 @@
 	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
 		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.forgetRemoved(former, next)
+		s.routes.ForgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
@@ -217,8 +218,8 @@
 	s.admission.Stop()
 	s.sessions.Stop()
 	s.explanations.Stop()
-	s.client.close()
-	s.routes.close()
+	s.client.Close()
+	s.routes.Close()
 	return nil
 }
 
--- a/internal/dataplane/front/sockets.go
+++ b/internal/dataplane/front/sockets.go
@@ -5,9 +5,6 @@
 	"net"
 )
 
-// dialFunc opens a connection to a back end.
-type dialFunc func(ctx context.Context, address string) (net.Conn, error)
-
 // Sockets open what a front node has beside its connections to peers. A nil function stands for TCP.
 type Sockets struct {
 	// Dial opens a connection to a back end.
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -11,6 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
@@ -287,14 +288,14 @@
 		r.sends++
 		ctx, cancel := r.attemptContext(routed)
 		defer cancel()
-		return r.service.routes.call(ctx, routedRequest{
-			server: r.server, requestID: r.request.GetRequestId(), http: routed, body: routed.GetBody(), deadline: r.deadline,
+		return r.service.routes.Call(ctx, issue.RouteRequest{
+			Server: r.server, RequestID: r.request.GetRequestId(), HTTP: routed, Body: routed.GetBody(), Deadline: r.deadline,
 		})
 	}
-	return r.service.client.call(r.ctx, backEndRequest{
-		server: r.server, path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", body: r.request.GetArguments(),
-		requestID: r.request.GetRequestId(), session: r.request.GetSession(), nonce: r.request.GetNonce(),
-		epoch: command.Epoch, idempotencyKey: r.request.GetRequestId(),
+	return r.service.client.Call(r.ctx, issue.Request{
+		Server: r.server, Path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", Body: r.request.GetArguments(),
+		RequestID: r.request.GetRequestId(), Session: r.request.GetSession(), Nonce: r.request.GetNonce(),
+		Epoch: command.Epoch, IdempotencyKey: r.request.GetRequestId(),
 	})
 }
 
@@ -340,16 +341,16 @@
 
 func (r *callRun) sendFailed(command turn.IssueCall, err error) turn.Event {
 	if reason := stopReason(r.ctx, r.grant); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.RecordOutcome(fault.outcome(), r.now())
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
-	return fault.event()
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), command.BackEnd+": "+fault.Detail)
+	return fault.Event()
 }
 
 func (r *callRun) answer(response *protocol.ToolCallResponse) {
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -8,6 +8,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
@@ -35,7 +36,7 @@
 
 	began      time.Time
 	history    []*protocol.Item
-	generation answerStream
+	generation issue.AnswerStream
 	// issued is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
 	issued *backends.IssuedTurn
 	// work is a generation of a training step at its server; nil for other turns.
@@ -81,7 +82,7 @@
 // issueFailed is the event of an attempt that got no answer. A stop goes before the failure that it may have caused.
 func (r *turnRun) issueFailed(err error) turn.Event {
 	if reason := r.stopReason(); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
 	return r.attemptFailed(err)
 }
@@ -106,7 +107,7 @@
 // receive waits for the next piece of the back end's answer. Authority is
 // checked after the wait: nothing that came too late is passed on.
 func (r *turnRun) receive() turn.Event {
-	event, err := r.generation.next()
+	event, err := r.generation.Next()
 	if reason := r.stopReason(); reason != 0 {
 		return turn.Stopped{Reason: reason}
 	}
@@ -174,21 +175,21 @@
 }
 
 func (r *turnRun) attemptFailed(err error) turn.Event {
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.RecordOutcome(fault.outcome(), r.now())
-	if fault.fault == turn.FaultWrongVersion {
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	if fault.Fault == turn.FaultWrongVersion {
 		r.server.MarkVersionRejected(r.pin.Version, r.now())
 	}
-	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
+	if fault.Fault == turn.FaultUnavailable && !r.isTrainingStep() {
 		r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.ID()+": "+fault.detail)
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), r.server.ID()+": "+fault.Detail)
 	r.closeGeneration()
-	return fault.event()
+	return fault.Event()
 }
 
 func (r *turnRun) closeGeneration() {
@@ -196,7 +197,7 @@
 		r.endSent(false)
 		return
 	}
-	r.generation.close()
+	r.generation.Close()
 	r.generation = nil
 	r.leaveServer()
 }
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -153,16 +154,16 @@
 	if r.request.GetHttp() != nil {
 		return r.issueHTTP(command)
 	}
-	body, err := chatBody(r.request.GetModel(), command.Items, command.MaxTokens)
+	body, err := issue.ChatBody(r.request.GetModel(), command.Items, command.MaxTokens)
 	if err != nil {
 		return turn.BackEndFailed{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
 	r.server.BeginRequest()
-	generation, err := r.service.client.generate(r.ctx, backEndRequest{
-		server: r.server, path: chatPath, body: body, requestID: r.request.GetRequestId(),
-		session: r.request.GetSession(), nonce: r.request.GetNonce(), epoch: command.Epoch,
+	generation, err := r.service.client.Generate(r.ctx, issue.Request{
+		Server: r.server, Path: chatPath, Body: body, RequestID: r.request.GetRequestId(),
+		Session: r.request.GetSession(), Nonce: r.request.GetNonce(), Epoch: command.Epoch,
 	})
 	if err != nil {
 		r.server.EndRequest()
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -2,20 +2,14 @@
 
 import (
 	"context"
-	"fmt"
 	"math"
 	"math/rand/v2"
-	"net/http"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
-	"github.com/rosestand/rosestand/internal/protocol"
-	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
 const (
@@ -23,8 +17,6 @@
 	sampleInterval = 500 * time.Millisecond
 	// fleetSampleInterval bounds the samples of all front nodes together: it is the least mean time between two.
 	fleetSampleInterval = 50 * time.Millisecond
-	sampleTimeout       = 500 * time.Millisecond
-	maxSampleBytes      = 4 << 10
 	// overcommitFactor is how many requests may be under way for one that the servers
 	// work on: the rest are on their way, at the ledger or next in line.
 	overcommitFactor = 1.5
@@ -61,7 +53,7 @@
 		return
 	}
 	result := "ok"
-	if err := s.routes.sampleLoad(ctx, chosen, s.models); err != nil {
+	if err := s.routes.SampleLoad(ctx, chosen); err != nil {
 		result = "failed"
 	}
 	s.metrics.loadSamples.WithLabelValues(result).Inc()
@@ -73,7 +65,7 @@
 	var used []*backends.Server
 	for _, candidates := range s.subsets(s.clock.Now()) {
 		for _, candidate := range candidates {
-			if server := servers.ByID[candidate.ID]; server != nil && s.routes.canSample(server) {
+			if server := servers.ByID[candidate.ID]; server != nil && s.routes.CanSample(server) {
 				used = append(used, server)
 			}
 		}
@@ -81,14 +73,6 @@
 	return used
 }
 
-// canSample tells whether a server can be asked for its load.
-func (c *routeClient) canSample(server *backends.Server) bool {
-	if c.dialect.DecodeReport == nil {
-		return false
-	}
-	return c.dialect.ToolsReport || server.Description().GetKind() == protocol.BackEndKind_MODEL_SERVER
-}
-
 // subsets are the servers of each group that this front node uses.
 func (s *Service) subsets(now time.Time) map[string][]schedule.Candidate {
 	index := s.rollout.Policies().Active
@@ -156,36 +140,3 @@
 	}
 	return total, total > 0
 }
-
-// LoadStatusError is an answer to GET /load that is no report.
-type LoadStatusError struct{ Status int }
-
-func (e *LoadStatusError) Error() string {
-	return fmt.Sprintf("the load report has status %d", e.Status)
-}
-
-// sampleLoad asks a server for its load in the words of the dialect.
-func (c *routeClient) sampleLoad(ctx context.Context, server *backends.Server, models *backends.Models) error {
-	ctx, cancel := c.clock.WithTimeout(ctx, sampleTimeout)
-	defer cancel()
-	address := server.Description().GetAddress()
-	response, err := c.pool.Do(ctx, address, &serverconn.Request{Method: http.MethodGet, Target: c.dialect.ReportPath, Host: address})
-	if err != nil {
-		return errors.Wrap(err, "ask for load")
-	}
-	defer response.Close()
-	body, err := response.ReadAll(maxSampleBytes)
-	if err != nil {
-		return errors.Wrap(err, "read load report")
-	}
-	if response.Status != http.StatusOK {
-		return &LoadStatusError{Status: response.Status}
-	}
-	report, err := c.dialect.DecodeReport(body)
-	if err != nil {
-		return errors.Wrap(err, "decode load report")
-	}
-	server.ApplyReport(report, c.clock.Now())
-	models.RecordReport(server.Description().GetGroup(), server.ID(), report.CacheUsed, report.CacheTotal)
-	return nil
-}
