--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -20,6 +20,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -79,7 +80,7 @@
 	client       *issue.Client
 	routes       *issue.RouteClient
 	models       *backends.Models
-	versionPins  *versionPins
+	versionPins  *versionpin.Resolver
 	operations   *ledgerops.Client
 	admission    *admission.Controller
 	sessions     *sessions
@@ -115,7 +116,6 @@
 		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
 		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
-		versionPins:  newVersionPins(options.Clock),
 		sessions:     newSessions(options.Clock),
 		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
@@ -127,6 +127,9 @@
 	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
 		return options.Link.View().Membership
 	})
+	s.versionPins = versionpin.NewResolver(versionpin.Options{
+		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+	})
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -7,6 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
@@ -16,7 +17,6 @@
 )
 
 const (
-	trainingStepPath  = "training_step"
 	trainingModelPath = "training_model"
 	// unboundedBudget stands for the budget of a program of a training step that is told none.
 	unboundedBudget = math.MaxInt64
@@ -27,7 +27,7 @@
 	if a.dialect.TrainingStep == "" || route.GetKind() != protocol.HttpRouteKind_HTTP_STREAMING {
 		return nil
 	}
-	step, err := readName(header, a.dialect.TrainingStep, trainingStepPath)
+	step, err := readName(header, a.dialect.TrainingStep, versionpin.StepPath)
 	if err != nil || step == "" {
 		return err
 	}
@@ -67,7 +67,7 @@
 
 // resolveStep finds the version of the turn's step, and ends the turn at once when no server has it.
 func (r *turnRun) resolveStep(step string) turn.Event {
-	pin, rejection := r.service.resolveStep(r.ctx, stepChoice{step: step, model: r.request.GetModel()}, r.route.GetGroup())
+	pin, rejection := r.service.versionPins.Resolve(r.ctx, versionpin.Choice{Step: step, Model: r.request.GetModel()}, r.route.GetGroup())
 	if rejection != nil {
 		r.explanation.RecordStep("training step refused", step+": "+rejection.GetMessage())
 		return turn.StepNotResolved{Failure: rejection}
@@ -82,7 +82,7 @@
 
 func (r *turnRun) versionUnavailable() turn.NotChosen {
 	r.explanation.RecordStep("no back end", fmt.Sprintf("version %d", r.pin.Version))
-	return turn.NotChosen{Failure: versionUnavailable(
+	return turn.NotChosen{Failure: versionpin.Unavailable(
 		fmt.Sprintf("no server of group %s has version %d of model %s", r.route.GetGroup(), r.pin.Version, r.pin.Model))}
 }
 
