--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -17,8 +17,10 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -75,10 +77,10 @@
 	// inProgress counts the turns and calls run as owner.
 	inProgress atomic.Int64
 
-	client       *backEndClient
-	routes       *routeClient
+	client       *issue.Client
+	routes       *issue.RouteClient
 	models       *backends.Models
-	versionPins  *versionPins
+	versionPins  *versionpin.Resolver
 	operations   *ledgerops.Client
 	admission    *admission.Controller
 	sessions     *sessions
@@ -111,10 +113,9 @@
 	s := &Service{
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:       newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
-		versionPins:  newVersionPins(options.Clock),
 		sessions:     newSessions(options.Clock),
 		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
@@ -126,6 +127,9 @@
 	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
 		return options.Link.View().Membership
 	})
+	s.versionPins = versionpin.NewResolver(versionpin.Options{
+		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+	})
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
@@ -150,7 +154,7 @@
 	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
 		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.forgetRemoved(former, next)
+		s.routes.ForgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
@@ -217,8 +221,8 @@
 	s.admission.Stop()
 	s.sessions.Stop()
 	s.explanations.Stop()
-	s.client.close()
-	s.routes.close()
+	s.client.Close()
+	s.routes.Close()
 	return nil
 }
 
--- a/internal/state/store/replication/service.go
+++ b/internal/state/store/replication/service.go
@@ -28,7 +28,7 @@
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Placement gives the placement in force.
+// Placement returns the placement in force.
 type Placement interface {
 	Current() *placement.Topology
 }
@@ -61,7 +61,7 @@
 	PeerTimeout time.Duration
 	// ScrubInterval is the time between two scrubs.
 	ScrubInterval time.Duration
-	// BytesPerSecond bounds all catch-ups together, and the scrub by itself.
+	// BytesPerSecond bounds all catch-ups together, and the scrub separately.
 	BytesPerSecond uint64
 }
 
