--- a/internal/controlplane/corelink/delta_test.go
+++ b/internal/controlplane/corelink/delta_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func members(version uint64, numbers ...int) *protocol.MembershipView {
+func membershipView(version uint64, numbers ...int) *protocol.MembershipView {
 	view := &protocol.MembershipView{Version: version}
 	for _, number := range numbers {
 		view.Nodes = append(view.Nodes, &protocol.Node{Name: fmt.Sprintf("node-%d", number), Address: "10.0.0.1:1"})
@@ -23,36 +23,36 @@
 // deltaTo adds node-3 to the base 7 and promises the checksum of the view given.
 func deltaTo(view *protocol.MembershipView) *protocol.MembershipDelta {
 	return &protocol.MembershipDelta{
-		BaseVersion: 7, Version: view.GetVersion(), Upserted: members(0, 3).GetNodes(),
+		BaseVersion: 7, Version: view.GetVersion(), Upserted: membershipView(0, 3).GetNodes(),
 		Count: uint32(len(view.GetNodes())), Checksum: views.MembershipChecksum(view.GetNodes()),
 	}
 }
 
 func TestGivenADeltaOfTheMembershipThenItIsApplied(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		g.Expect(core.lastPoll().GetAcceptsDeltas()).To(BeTrue())
-		next := members(9, 3)
+		next := membershipView(9, 3)
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Membership, state.MembershipDelta = next, deltaTo(next)
 		})
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9))
 		g.Expect(core.snapshotPolls()).To(BeZero())
 		core.publish(func(state *protocol.PollControlResponse) {
-			state.Membership, state.MembershipDelta = members(8, 1), &protocol.MembershipDelta{BaseVersion: 9, Version: 8}
+			state.Membership, state.MembershipDelta = membershipView(8, 1), &protocol.MembershipDelta{BaseVersion: 9, Version: 8}
 		})
-		pass(15 * time.Second)
+		advance(15 * time.Second)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9), "it never steps back")
 	})
 }
 
 func TestGivenADeltaThatDoesNotFitThenAFullSnapshotIsRequested(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		next := members(9, 2, 3)
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+		next := membershipView(9, 2, 3)
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Membership, state.MembershipDelta = next, deltaTo(next)
 		})
-		pass(time.Second)
+		advance(time.Second)
 		g.Expect(link.View().Membership.GetNodes()).To(HaveLen(2))
 		g.Expect(core.snapshotPolls()).To(Equal(1))
 		g.Expect(link.HasAuthority()).To(BeTrue())
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -17,21 +17,31 @@
 
 // The tests run in a bubble of virtual time: waiting costs nothing and nothing depends on the wall clock.
 
-// given runs a test with a started link to a fake core; the bubble ends only when all goroutines have.
-func given(t *testing.T, then func(g *WithT, core *fakeCore, link *corelink.Link)) {
+// withLink runs a test with a link that was started a second ago; the bubble ends only when all goroutines have.
+func withLink(t *testing.T, test func(g *WithT, core *fakeCore, link *corelink.Link)) {
+	t.Helper()
+	core := newFakeCore()
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		advance(time.Second)
+		test(g, core, link)
+	})
+}
+
+// withStartingLink runs a test with a link that was just started, before it sent anything.
+func withStartingLink(t *testing.T, core *fakeCore, test func(g *WithT, link *corelink.Link)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		core := newFakeCore()
+		// A channel of the bubble, so that waiting for it counts as blocked.
+		core.changed = make(chan struct{})
 		link := newLink(core)
 		g := NewWithT(t)
 		g.Expect(link.Start(context.Background())).To(Succeed())
 		defer func() {
 			_ = link.Stop(context.Background())
 			// What was sent before the stop arrives in the end.
-			pass(2 * time.Hour)
+			advance(2 * time.Hour)
 		}()
-		pass(time.Second)
-		then(g, core, link)
+		test(g, link)
 	})
 }
 
@@ -43,14 +53,14 @@
 	})
 }
 
-// pass advances virtual time.
-func pass(duration time.Duration) {
+// advance advances virtual time and waits until all goroutines are blocked.
+func advance(duration time.Duration) {
 	<-time.After(duration)
 	synctest.Wait()
 }
 
 func TestGivenOnlySeedsWhenStartedThenItIsReadyWithAFreshView(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		g.Expect(link.Ready()).To(BeTrue())
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(7))
 		g.Expect(core.polls[0].GetFresh()).To(BeTrue())
@@ -60,9 +70,9 @@
 }
 
 func TestGivenALeaseWhenTimePassesThenItIsRenewedEachSecond(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		before := core.renewalCount()
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		g.Expect(core.renewalCount() - before).To(BeNumerically("~", 10, 1))
 		g.Expect(link.HasAuthority()).To(BeTrue())
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
@@ -70,22 +80,22 @@
 }
 
 func TestGivenSlowAnswersThenAuthorityIsCountedFromTheSending(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 800 * time.Millisecond })
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically("<=", 3700*time.Millisecond))
 		g.Expect(link.HasAuthority()).To(BeTrue())
 	})
 }
 
 func TestGivenAnUnresponsiveCoreThenAuthorityEndsAndComesBackUnderANewIncarnation(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.down = map[string]bool{firstLeader: true, secondLeader: true} })
-		pass(4900 * time.Millisecond)
+		advance(4900 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Ready()).To(BeFalse())
 		core.set(func() { core.down = nil })
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		g.Expect(link.Ready()).To(BeTrue())
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", 5))
 		g.Expect(core.lastRenewal().GetNode().GetIncarnation()).To(Equal(link.Self().GetIncarnation()))
@@ -94,32 +104,32 @@
 
 // A node whose messages arrive, but not the answers to them, must not keep its ranges of the ring.
 func TestGivenAnswersThatNeverArriveThenItStopsRequestingALease(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.breakConnections = 1 << 30 })
-		pass(7 * time.Second)
+		advance(7 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		renewals := core.renewalCount()
-		pass(20 * time.Second)
+		advance(20 * time.Second)
 		g.Expect(core.renewalCount()).To(Equal(renewals))
 		core.set(func() { core.breakConnections = 0 })
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		g.Expect(link.Ready()).To(BeTrue())
 	})
 }
 
 func TestGivenARejectedLeaseThenAuthorityEndsImmediately(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.rejectRenewals = true })
-		pass(1100 * time.Millisecond)
+		advance(1100 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", 5))
 	})
 }
 
 func TestGivenAnotherLeaderThenItIsFoundAndAuthorityIsKept(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeTrue())
 		g.Expect(link.LocateCore().GetLeaderAddress()).To(Equal(secondLeader))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
@@ -127,25 +137,25 @@
 }
 
 func TestGivenAnOlderViewThenNothingStepsBack(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9))
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 8} })
-		pass(15 * time.Second)
+		advance(15 * time.Second)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9))
 	})
 }
 
 // A poll whose connection is dead is cancelled when a renewal shows that there is a newer view.
 func TestGivenAPollOnADeadConnectionThenTheNewViewIsStillReceived(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.hangPolls = true })
 		// The pending poll began before; one more change makes the next one hang.
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 10} })
-		pass(3500 * time.Millisecond)
+		advance(3500 * time.Millisecond)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(10))
 		g.Expect(link.HasAuthority()).To(BeTrue())
 	})
@@ -162,12 +172,12 @@
 			}
 		})
 		g.Expect(link.Start(context.Background())).To(Succeed())
-		pass(time.Second)
+		advance(time.Second)
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
-		pass(6500 * time.Millisecond)
+		advance(6500 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		close(blocked)
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		g.Expect(link.Ready()).To(BeTrue())
 		g.Expect(link.Stop(context.Background())).To(Succeed())
 	})
@@ -182,9 +192,9 @@
 }
 
 func TestGivenADeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Configuration = configuration(10, "one") })
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(link.View().Configuration.GetVersion()).To(BeEquivalentTo(10))
 
 		next := configuration(11, "one", "two")
@@ -196,7 +206,7 @@
 				BaseVersion: 10, Version: 11, ActiveSteps: []*protocol.Bundle{step}, ActiveDigest: next.GetActiveDigest(),
 			}
 		})
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(link.View().Configuration.GetActive().GetRoutes()).To(HaveLen(2))
 
 		last := configuration(12, "three")
@@ -206,19 +216,19 @@
 				BaseVersion: 11, Version: 12, ActiveDigest: last.GetActiveDigest(), ActiveSteps: []*protocol.Bundle{step},
 			}
 		})
-		pass(time.Second)
+		advance(time.Second)
 		g.Expect(link.View().Configuration.GetVersion()).To(BeEquivalentTo(12))
 		g.Expect(link.View().Configuration.GetActive().GetRoutes()).To(HaveLen(1))
 	})
 }
 
 func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotPutInForce(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = configuration(10, "one")
 			state.Configuration.ActiveDigest = "00"
 		})
-		pass(time.Second)
+		advance(time.Second)
 		g.Expect(link.View().Configuration).To(BeNil())
 		g.Expect(link.HasAuthority()).To(BeTrue())
 	})
@@ -237,10 +247,10 @@
 			}
 		})
 		g.Expect(link.Start(context.Background())).To(Succeed())
-		pass(2500 * time.Millisecond)
+		advance(2500 * time.Millisecond)
 		g.Expect(core.lastRenewal().GetInForce().GetMembership()).To(BeZero())
 		close(blocked)
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		g.Expect(core.lastRenewal().GetInForce().GetMembership()).To(BeEquivalentTo(7))
 		g.Expect(core.lastPoll().GetKnown().GetMembership()).To(BeEquivalentTo(7))
 		g.Expect(seen).To(Equal([]uint64{0, 7}))
@@ -249,34 +259,34 @@
 }
 
 func TestGivenADrainThenItIsReported(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		link.SetDraining(true)
-		pass(10 * time.Millisecond)
+		advance(10 * time.Millisecond)
 		g.Expect(core.lastRenewal().GetNode().GetDraining()).To(BeTrue())
 	})
 }
 
 func TestGivenAStopThenTheLeaseIsReleasedAndAuthorityEnds(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		g.Expect(link.Stop(context.Background())).To(Succeed())
 		g.Expect(core.lastRenewal().GetRelease()).To(BeTrue())
 		g.Expect(link.HasAuthority()).To(BeFalse())
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		g.Expect(core.lastRenewal().GetRelease()).To(BeTrue())
 	})
 }
 
 // A renewal that is under way must not reach the core after the release.
 func TestGivenARenewalUnderWayWhenStoppedThenTheReleaseComesAfterIt(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 900 * time.Millisecond })
-		pass(1200 * time.Millisecond)
+		advance(1200 * time.Millisecond)
 		before := core.renewalCount()
 		core.set(func() { core.delay = 0 })
 		go func() { _ = link.Stop(context.Background()) }()
-		pass(50 * time.Millisecond)
+		advance(50 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		g.Expect(core.renewalCount()).To(Equal(before+2), "the renewal and the release")
 		g.Expect(core.lastRenewal().GetRelease()).To(BeTrue())
 	})
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/gomega"
@@ -15,35 +14,19 @@
 // readyAfter bounds the time from when a leader is there until the node is ready.
 const readyAfter = 200 * time.Millisecond
 
-// untilReady advances virtual time until the link is ready, and returns how long that took.
-func untilReady(g *WithT, link *corelink.Link) time.Duration {
+// timeUntilReady advances virtual time until the link is ready, and returns how long that took.
+func timeUntilReady(g *WithT, link *corelink.Link) time.Duration {
 	began := time.Now()
 	for !link.Ready() {
-		pass(5 * time.Millisecond)
+		advance(5 * time.Millisecond)
 		g.Expect(time.Since(began)).To(BeNumerically("<", 30*time.Second))
 	}
 	return time.Since(began)
 }
 
-// started runs a test with a link that was just started, before it sent anything.
-func started(t *testing.T, core *fakeCore, then func(g *WithT, link *corelink.Link)) {
-	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		core.changed = make(chan struct{})
-		link := newLink(core)
-		g := NewWithT(t)
-		g.Expect(link.Start(context.Background())).To(Succeed())
-		defer func() {
-			_ = link.Stop(context.Background())
-			pass(2 * time.Hour)
-		}()
-		then(g, link)
-	})
-}
-
 func TestGivenALeaderWhenStartedThenANodeIsReadyImmediately(t *testing.T) {
-	started(t, newFakeCore(), func(g *WithT, link *corelink.Link) {
-		g.Expect(untilReady(g, link)).To(BeNumerically("<=", 50*time.Millisecond))
+	withStartingLink(t, newFakeCore(), func(g *WithT, link *corelink.Link) {
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", 50*time.Millisecond))
 	})
 }
 
@@ -51,10 +34,10 @@
 	for _, election := range []time.Duration{300 * time.Millisecond, 1900 * time.Millisecond} {
 		core := newFakeCore()
 		core.leader = ""
-		started(t, core, func(g *WithT, link *corelink.Link) {
-			pass(election)
+		withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+			advance(election)
 			core.set(func() { core.leader = firstLeader })
-			g.Expect(untilReady(g, link)).To(BeNumerically("<=", readyAfter))
+			g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
 		})
 	}
 }
@@ -64,23 +47,23 @@
 	core := newFakeCore()
 	core.leader = ""
 	core.unresponsive = map[string]bool{seedAddress: true}
-	started(t, core, func(g *WithT, link *corelink.Link) {
-		pass(time.Second)
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		advance(time.Second)
 		core.set(func() { core.leader = firstLeader })
-		g.Expect(untilReady(g, link)).To(BeNumerically("<=", readyAfter))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
 	})
 }
 
 func TestGivenALeaseWhenTheLeaderIsLostForTwoSecondsThenAuthorityIsKept(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.leader, core.down = "", map[string]bool{firstLeader: true} })
 		for range 200 {
-			pass(10 * time.Millisecond)
+			advance(10 * time.Millisecond)
 			g.Expect(link.Ready()).To(BeTrue())
 		}
 		renewals := core.renewalCount()
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
-		pass(readyAfter)
+		advance(readyAfter)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "renewed at once")
 		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically(">", 4*time.Second))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
@@ -88,40 +71,40 @@
 }
 
 func TestGivenALeaseWhenAllOfTheCoreIsDownThenAuthorityContinuesAndIsRenewedImmediatelyAfterwards(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		all := map[string]bool{firstLeader: true, secondLeader: true, seedAddress: true, "10.0.0.8:1": true}
 		core.set(func() { core.down = all })
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		g.Expect(link.Ready()).To(BeTrue())
 		renewals := core.renewalCount()
 		core.set(func() { core.down = nil })
-		pass(readyAfter)
+		advance(readyAfter)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals))
 
 		core.set(func() { core.down = all })
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		core.set(func() { core.down = nil })
-		g.Expect(untilReady(g, link)).To(BeNumerically("<=", time.Second))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", time.Second))
 	})
 }
 
 func TestGivenOtherSeedsThenTheCoreIsFoundThroughThem(t *testing.T) {
 	core := newFakeCore()
 	core.down = map[string]bool{seedAddress: true, "10.0.0.8:1": true}
-	started(t, core, func(g *WithT, link *corelink.Link) {
-		pass(2 * time.Second)
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		advance(2 * time.Second)
 		g.Expect(link.Ready()).To(BeFalse())
 		link.SetSeeds([]string{"10.0.0.8:1", secondLeader})
-		g.Expect(untilReady(g, link)).To(BeNumerically("<=", time.Second))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", time.Second))
 	})
 }
 
 func TestGivenManyCallersThenOneSearchServesThemAll(t *testing.T) {
 	core := newFakeCore()
 	core.leader = ""
-	started(t, core, func(g *WithT, link *corelink.Link) {
-		pass(100 * time.Millisecond)
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		advance(100 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		before := core.count("locates")
@@ -132,7 +115,7 @@
 				)
 			}()
 		}
-		pass(time.Second)
+		advance(time.Second)
 		g.Expect(core.count("locates")-before).To(
 			BeNumerically("<=", 20*4), "twenty searches a second of four processes, over all callers",
 		)
@@ -147,8 +130,8 @@
 		Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{previous}},
 	}
 	core.rejectBelow = previous.GetIncarnation() + 1
-	started(t, core, func(g *WithT, link *corelink.Link) {
-		g.Expect(untilReady(g, link)).To(BeNumerically("<=", readyAfter))
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", previous.GetIncarnation()))
 	})
 }
@@ -161,8 +144,8 @@
 		Membership: &protocol.MembershipView{Version: 7, Nodes: []*protocol.Node{other}},
 	}
 	core.rejectBelow = other.GetIncarnation() + 1
-	started(t, core, func(g *WithT, link *corelink.Link) {
-		pass(10 * time.Second)
+	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
+		advance(10 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically("<", other.GetIncarnation()))
 	})
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -35,12 +35,12 @@
 }
 
 func TestGivenAPackedConfigurationThenItIsPutInForce(t *testing.T) {
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		full := configuration(10, "one")
 		packed, err := packing.Pack(full)
 		g.Expect(err).NotTo(HaveOccurred())
 		core.packedAs(full, packed)
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
 		g.Expect(core.unpackedPolls()).To(BeZero())
 	})
@@ -61,9 +61,9 @@
 		"oversized": encoder.EncodeAll(make([]byte, packing.MaxUnpackedBytes+1), nil),
 	} {
 		t.Run(name, func(t *testing.T) {
-			given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+			withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 				core.packedAs(full, packed)
-				pass(time.Second)
+				advance(time.Second)
 				g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
 				g.Expect(core.unpackedPolls()).To(Equal(1))
 				g.Expect(core.lastPoll().GetAcceptsPackedConfiguration()).To(
@@ -88,21 +88,21 @@
 	}}}
 	good, err := packing.Pack(full)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	for name, given := range map[string]struct {
+	for name, test := range map[string]struct {
 		packed        []byte
 		unpackedPolls int
 	}{"intact": {good, 0}, "truncated": {good[:len(good)-1], 1}, "damaged": {bytes.Repeat([]byte{7}, 40), 1}} {
 		t.Run(name, func(t *testing.T) {
-			givenPackedMembers(t, full, given.packed, given.unpackedPolls)
+			expectPackedMembers(t, full, test.packed, test.unpackedPolls)
 		})
 	}
 }
 
-func givenPackedMembers(t *testing.T, full *protocol.MembershipView, packed []byte, unpackedPolls int) {
+func expectPackedMembers(t *testing.T, full *protocol.MembershipView, packed []byte, unpackedPolls int) {
 	t.Helper()
-	given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.membersPackedAs(full, packed)
-		pass(time.Second)
+		advance(time.Second)
 		g.Expect(proto.Equal(link.View().Membership, full)).To(BeTrue())
 		g.Expect(core.unpackedPolls()).To(Equal(unpackedPolls))
 	})
--- a/internal/controlplane/corelink/rejection_test.go
+++ b/internal/controlplane/corelink/rejection_test.go
@@ -28,19 +28,19 @@
 			Caller: core, Logger: log.New(&lines),
 		})
 		g.Expect(link.Start(context.Background())).To(Succeed())
-		pass(2 * time.Minute)
+		advance(2 * time.Minute)
 		before := core.renewalCount()
-		pass(5 * time.Minute)
+		advance(5 * time.Minute)
 		g.Expect(core.renewalCount()-before).To(
 			And(BeNumerically(">=", 10), BeNumerically("<=", 21)), "every 15 to 30 seconds",
 		)
 		core.set(func() { core.rejectRenewals, core.rejection = false, nil })
-		pass(31 * time.Second)
+		advance(31 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeTrue())
 		core.set(func() {
 			core.rejectRenewals, core.rejection = true, &protocol.Refusal{Code: "lease_refused", Message: "rejected again"}
 		})
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		g.Expect(link.Stop(context.Background())).To(Succeed())
 		g.Expect(strings.Count(lines.String(), "was retired")).To(Equal(1), lines.String())
@@ -57,9 +57,9 @@
 		"nothing is answered": func(core *fakeCore) { core.delay = time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
-			given(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
+			withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 				core.set(func() { disable(core) })
-				pass(300 * time.Millisecond)
+				advance(300 * time.Millisecond)
 				began := time.Now()
 				g.Expect(link.Stop(context.Background())).To(Succeed())
 				g.Expect(time.Since(began)).To(BeNumerically("<=", 1100*time.Millisecond))
--- a/internal/controlplane/corelink/search_test.go
+++ b/internal/controlplane/corelink/search_test.go
@@ -19,14 +19,14 @@
 		g.Expect(link.Start(context.Background())).To(Succeed())
 		defer func() {
 			_ = link.Stop(context.Background())
-			pass(2 * time.Hour)
+			advance(2 * time.Hour)
 		}()
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(link.Ready()).To(BeFalse())
 		core.mutex.Lock()
 		core.down[seedAddress] = false
 		core.mutex.Unlock()
-		pass(200 * time.Millisecond)
+		advance(200 * time.Millisecond)
 		g.Expect(link.Ready()).To(BeTrue(), "the seed that answers is queried again")
 	})
 }
