--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -144,13 +144,13 @@
 func (s *Store) counts() counts {
 	var total counts
 	for number, group := range s.groups {
-		of, _ := owner.Call(group, func() counts { return s.countGroup(number) })
-		total.registers += of.registers
-		total.registerBytes += of.registerBytes
-		total.turns += of.turns
-		total.active += of.active
-		total.copying += of.copying
-		total.proposals += of.proposals
+		each, _ := owner.Call(group, func() counts { return s.countGroup(number) })
+		total.registers += each.registers
+		total.registerBytes += each.registerBytes
+		total.turns += each.turns
+		total.active += each.active
+		total.copying += each.copying
+		total.proposals += each.proposals
 	}
 	return total
 }
--- a/internal/state/store/proposer/proposal.go
+++ b/internal/state/store/proposer/proposal.go
@@ -25,15 +25,15 @@
 
 // propose queues an operation on its register.
 func (p *Proposer) propose(shard register.ShardView, key shardtable.Key, operation *Operation) {
-	q := p.proposals[key]
-	if q == nil {
-		q = &proposal{proposer: p, key: key, batch: batch{key: key, clock: p.options.Clock}}
-		p.proposals[key] = q
+	current := p.proposals[key]
+	if current == nil {
+		current = &proposal{proposer: p, key: key, batch: batch{key: key, clock: p.options.Clock}}
+		p.proposals[key] = current
 	}
-	q.waiting = append(q.waiting, operation)
-	if q.change == nil {
-		q.shard = shard
-		q.startNext()
+	current.waiting = append(current.waiting, operation)
+	if current.change == nil {
+		current.shard = shard
+		current.startNext()
 	}
 }
 
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -294,7 +294,7 @@
 })
 
 var _ = Describe("the data folder of a store", func() {
-	DescribeTable("given data that is damaged or gone, then the store begins anew under another storage id",
+	DescribeTable("given data that is damaged or removed, then the store begins anew under another storage id",
 		func(turns int, harm func(m *member)) {
 			f := newFleet("a", "b", "c")
 			p := f.program("p")
--- a/internal/state/store/turns/retain.go
+++ b/internal/state/store/turns/retain.go
@@ -31,89 +31,89 @@
 func (r *Retainer) RetainOnMajority(
 	shard register.ShardView, turn *protocol.Turn, deadline time.Time, done func(protocol.LedgerStatus),
 ) {
-	k := &retention{retainer: r, shard: shard, turn: turn, deadline: deadline, done: done}
-	k.start()
+	retaining := &retention{retainer: r, shard: shard, turn: turn, deadline: deadline, done: done}
+	retaining.start()
 }
 
-func (k *retention) start() {
-	k.attempt++
-	k.backingOff = false
-	k.failed = k.failed[:0]
-	attempt := k.attempt
-	for _, store := range k.shard.Quorum.Members() {
-		if slices.Contains(k.retained, store) {
+func (r *retention) start() {
+	r.attempt++
+	r.backingOff = false
+	r.failed = r.failed[:0]
+	attempt := r.attempt
+	for _, store := range r.shard.Quorum.Members() {
+		if slices.Contains(r.retained, store) {
 			continue
 		}
-		if store == k.retainer.service.options.Store {
-			k.retainer.retainWithChain(k.shard.Shard, k.turn, func(retained bool) {
-				k.handleAnswer(store, attempt, retained && k.isInForce())
+		if store == r.retainer.service.options.Store {
+			r.retainer.retainWithChain(r.shard.Shard, r.turn, func(retained bool) {
+				r.handleAnswer(store, attempt, retained && r.isInForce())
 			})
 			continue
 		}
-		k.request(store, attempt)
+		r.request(store, attempt)
 	}
 }
 
 // isInForce reports whether this replica still acts under the placement of the retention: a
 // copy of the shard made under a newer one may lack the turn.
-func (k *retention) isInForce() bool {
-	return k.retainer.group.Table(k.shard.Shard).View.Rejection(k.shard.Epoch) == notRejected
+func (r *retention) isInForce() bool {
+	return r.retainer.group.Table(r.shard.Shard).View.Rejection(r.shard.Epoch) == notRejected
 }
 
-func (k *retention) request(store string, attempt int) {
+func (r *retention) request(store string, attempt int) {
 	request := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
-		Shard: k.shard.Shard, PlacementEpoch: k.shard.Epoch, Turn: k.turn,
+		Shard: r.shard.Shard, PlacementEpoch: r.shard.Epoch, Turn: r.turn,
 	}}}
-	k.retainer.service.options.Peers.Send(store, request, func(response *protocol.Response, err error) {
+	r.retainer.service.options.Peers.Send(store, request, func(response *protocol.Response, err error) {
 		answer := response.GetKeepTurn()
 		retained := err == nil && answer != nil && answer.GetRefusal() == notRejected
-		k.retainer.group.Post(func() { k.handleAnswer(store, attempt, retained) })
+		r.retainer.group.Post(func() { r.handleAnswer(store, attempt, retained) })
 	})
 }
 
-func (k *retention) handleAnswer(store string, attempt int, retained bool) {
-	if k.ended {
+func (r *retention) handleAnswer(store string, attempt int, retained bool) {
+	if r.ended {
 		return
 	}
 	if retained {
-		k.retained = append(k.retained, store)
-	} else if attempt == k.attempt {
-		k.failed = append(k.failed, store)
+		r.retained = append(r.retained, store)
+	} else if attempt == r.attempt {
+		r.failed = append(r.failed, store)
 	}
 	switch {
-	case k.shard.Quorum.Reached(func(s string) bool { return slices.Contains(k.retained, s) }):
-		k.end(protocol.LedgerStatus_LEDGER_OK)
-	case k.backingOff:
-	case k.shard.Quorum.Lost(func(s string) bool { return slices.Contains(k.failed, s) }):
-		k.retryLater()
+	case r.shard.Quorum.Reached(func(s string) bool { return slices.Contains(r.retained, s) }):
+		r.end(protocol.LedgerStatus_LEDGER_OK)
+	case r.backingOff:
+	case r.shard.Quorum.Lost(func(s string) bool { return slices.Contains(r.failed, s) }):
+		r.retryLater()
 	}
 }
 
-func (k *retention) retryLater() {
-	k.backingOff = true
-	wait := k.retainer.backoff.Wait(k.attempt)
-	k.retainer.service.options.Lifecycle.Clock().AfterFunc(wait, func() {
-		k.retainer.group.Post(k.retry)
+func (r *retention) retryLater() {
+	r.backingOff = true
+	wait := r.retainer.backoff.Wait(r.attempt)
+	r.retainer.service.options.Lifecycle.Clock().AfterFunc(wait, func() {
+		r.retainer.group.Post(r.retry)
 	})
 }
 
-func (k *retention) retry() {
-	if k.ended {
+func (r *retention) retry() {
+	if r.ended {
 		return
 	}
-	options := &k.retainer.service.options
-	if !options.Lifecycle.Clock().Now().Before(k.deadline) {
-		k.end(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+	options := &r.retainer.service.options
+	if !options.Lifecycle.Clock().Now().Before(r.deadline) {
+		r.end(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 		return
 	}
-	if options.Placement.Current().Shard(k.shard.Shard).Epoch != k.shard.Epoch {
-		k.end(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT)
+	if options.Placement.Current().Shard(r.shard.Shard).Epoch != r.shard.Epoch {
+		r.end(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT)
 		return
 	}
-	k.start()
+	r.start()
 }
 
-func (k *retention) end(status protocol.LedgerStatus) {
-	k.ended = true
-	k.done(status)
+func (r *retention) end(status protocol.LedgerStatus) {
+	r.ended = true
+	r.done(status)
 }
