--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -9,6 +9,7 @@
 
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -23,7 +24,7 @@
 	id      string
 	program string
 	stream  bool
-	after   cursor
+	after   sessions.Cursor
 }
 
 func parseReadQuery(c *gin.Context) (readQuery, error) {
@@ -51,9 +52,9 @@
 }
 
 // parseCursor reads "sequence" of the first attempt, or "attempt-sequence" as in the id of an event.
-func parseCursor(text string) (cursor, error) {
+func parseCursor(text string) (sessions.Cursor, error) {
 	if text == "" {
-		return cursor{}, nil
+		return sessions.Cursor{}, nil
 	}
 	attemptText, sequenceText, found := strings.Cut(text, "-")
 	if !found {
@@ -62,9 +63,9 @@
 	attempt, attemptError := strconv.ParseUint(attemptText, 10, 32)
 	sequence, sequenceError := strconv.ParseUint(sequenceText, 10, 64)
 	if attemptError != nil || sequenceError != nil || attempt == 0 {
-		return cursor{}, invalidField("starting_after", "must be a sequence number or the id of an event")
+		return sessions.Cursor{}, invalidField("starting_after", "must be a sequence number or the id of an event")
 	}
-	return cursor{attempt: uint32(attempt), sequence: sequence}, nil
+	return sessions.Cursor{Attempt: uint32(attempt), Sequence: sequence}, nil
 }
 
 // getResponse reads a turn, or its stream again.
@@ -170,8 +171,8 @@
 	endStream(c, stream, a.resumeFromLedger(ctx, relayed, query, current, err))
 }
 
-func fmtCursor(at cursor) string {
-	return strconv.FormatUint(uint64(at.attempt), 10) + "-" + strconv.FormatUint(at.sequence, 10)
+func fmtCursor(at sessions.Cursor) string {
+	return strconv.FormatUint(uint64(at.Attempt), 10) + "-" + strconv.FormatUint(at.Sequence, 10)
 }
 
 // resumeFromOwner follows the turn at the front node that owns its session.
@@ -181,16 +182,16 @@
 		return err
 	}
 	if owner.Local {
-		live := s.sessions.findTurn(sessionKey{session: current.session, program: query.program}, query.id)
+		live := s.sessions.FindTurn(sessions.Key{Session: current.session, Program: query.program}, query.id)
 		if live == nil {
 			return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 		}
-		return live.follow(ctx, query.after, r.forward)
+		return live.Follow(ctx, query.after, r.forward)
 	}
 	stream, err := s.caller.Open(ctx, owner.Address, &protocol.Request{Body: &protocol.Request_ResumeTurn{
 		ResumeTurn: &protocol.ResumeTurnRequest{
 			TurnId: query.id, Program: query.program, Session: current.session,
-			LastAttempt: query.after.attempt, StartingAfter: query.after.sequence,
+			LastAttempt: query.after.Attempt, StartingAfter: query.after.Sequence,
 		},
 	}})
 	if err != nil {
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -9,6 +9,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -47,9 +48,9 @@
 }
 
 // beginHTTPTurn starts a turn of an HTTP route as its owner. Other turns of the session may be under way.
-func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*liveTurn, error) {
-	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	grant, err := s.grantFor(key.session, key.program)
+func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
+	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
+	grant, err := s.grantFor(key.Session, key.Program)
 	if err != nil {
 		return nil, err
 	}
@@ -58,11 +59,11 @@
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	live := newLiveTurn(request, request.GetRequestId(), cancel)
+	live := sessions.NewLiveTurn(request, request.GetRequestId(), cancel)
 	run := s.newTurnRun(ctx, request, live, grant, key, decided, route, deadline)
 	run.sessionFreed = true
 	run.machine = turn.New(turn.Parameters{
-		Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
+		Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
 		Budget: routedBudget(request), ReservationLimit: routedReservationLimit(request),
 		Retention:     time.Duration(routed.GetKeepMillis()) * time.Millisecond,
 		BundleVersion: routed.GetBundleVersion(), MaxAttempts: routedSends,
@@ -128,18 +129,18 @@
 // readHTTPHistory reads the conversation that a turn of an HTTP route continues:
 // from the owner's cache, from the program's part of the ledger, or from another program's.
 func (r *turnRun) readHTTPHistory(lastTurn string) turn.Event {
-	if history := r.service.sessions.findHistory(r.key, lastTurn); history.known {
-		r.history = history.items
-		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
+	if history := r.service.sessions.FindHistory(r.key, lastTurn); history.Known {
+		r.history = history.Items
+		return turn.HistoryRead{Items: history.Items, Tokens: history.Tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	conversation := r.service.operations.ReadConversation(r.ctx, r.key.program, lastTurn)
+	conversation := r.service.operations.ReadConversation(r.ctx, r.key.Program, lastTurn)
 	r.explanation.RecordStep("history read", conversation.Status.String())
 	if conversation.Status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: conversation.Status}
 	}
 	r.history = ledgerops.Items(conversation.Turns)
 	foreign := conversation.Program
-	if foreign == r.key.program {
+	if foreign == r.key.Program {
 		foreign = ""
 	}
 	return turn.HistoryRead{
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -11,6 +11,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -35,7 +36,7 @@
 	deadline    time.Time
 	deliver     func(*protocol.TurnEvent) error
 	explanation *explain.Explanation
-	position    cursor
+	position    sessions.Cursor
 	// owner is the one tried last; empty when none was found.
 	owner directory.Owner
 	done  bool
@@ -45,12 +46,12 @@
 
 // outOfOrderError says that a stream skipped, repeated or spliced events.
 type outOfOrderError struct {
-	position cursor
+	position sessions.Cursor
 	event    *protocol.TurnEvent
 }
 
 func (e *outOfOrderError) Error() string {
-	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(), e.position.attempt, e.position.sequence)
+	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(), e.position.Attempt, e.position.Sequence)
 }
 
 // truncatedStreamError says that a stream ended before the turn did.
@@ -145,7 +146,7 @@
 	}
 	request := shallowCopy(r.request)
 	request.TimeLeftMillis = left
-	request.LastAttempt = r.position.attempt
+	request.LastAttempt = r.position.Attempt
 	request.LookupViewVersion = owner.ViewVersion
 	err = r.serveBy(ctx, owner, request)
 	if isNotAccepted(err) {
@@ -197,7 +198,7 @@
 		return err
 	}
 	r.request.FirstSend = false
-	return live.follow(ctx, r.position, r.forward)
+	return live.Follow(ctx, r.position, r.forward)
 }
 
 func (r *relay) serveRemote(ctx context.Context, address string, request *protocol.TurnRequest) error {
@@ -235,13 +236,13 @@
 
 // forward gives one event to the caller, unless it was given before.
 func (r *relay) forward(event *protocol.TurnEvent) error {
-	if r.position.seen(event) {
+	if r.position.Seen(event) {
 		return nil
 	}
-	if !r.position.follows(event) {
+	if !r.position.Follows(event) {
 		return &outOfOrderError{position: r.position, event: event}
 	}
-	if f := event.GetFailed(); f != nil && isNotAcceptedFailure(f) && r.position == (cursor{}) {
+	if f := event.GetFailed(); f != nil && isNotAcceptedFailure(f) && r.position == (sessions.Cursor{}) {
 		return &failure.Error{Failure: f}
 	}
 	if err := r.deliver(event); err != nil {
@@ -249,8 +250,8 @@
 		return err
 	}
 	r.service.metrics.events.Inc()
-	r.position = cursor{attempt: event.GetAttempt(), sequence: event.GetSequence()}
-	r.done = isTerminal(event)
+	r.position = sessions.Cursor{Attempt: event.GetAttempt(), Sequence: event.GetSequence()}
+	r.done = sessions.IsTerminal(event)
 	return nil
 }
 
@@ -295,7 +296,7 @@
 // giveUp ends the caller's request with the truth about it.
 func (r *relay) giveUp(ctx context.Context, cause error) error {
 	f := proto.CloneOf(forwardingFailure(cause))
-	if r.position != (cursor{}) {
+	if r.position != (sessions.Cursor{}) {
 		f.Outcome = protocol.Outcome_RAN
 		return &failure.Error{Failure: f}
 	}
@@ -303,7 +304,7 @@
 }
 
 func (r *relay) deliverRetained(retained *protocol.Turn) error {
-	for _, event := range turn.Replay(retained, r.position.attempt+1, r.service.name, 0) {
+	for _, event := range turn.Replay(retained, r.position.Attempt+1, r.service.name, 0) {
 		if err := r.forward(event); err != nil {
 			return err
 		}
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -9,6 +9,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -17,24 +18,24 @@
 
 // beginTurn starts a turn as its owner, or finds the one of the same request
 // that is under way already.
-func (s *Service) beginTurn(request *protocol.TurnRequest) (*liveTurn, error) {
+func (s *Service) beginTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	if request.GetHttp() != nil {
 		return s.beginHTTPTurn(request)
 	}
-	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
+	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
 	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := decided.Model(request.GetTenant(), request.GetModel())
 	if route == nil {
 		return nil, unknownModel()
 	}
-	grant, err := s.ownership.Begin(key.session, key.program)
+	grant, err := s.ownership.Begin(key.Session, key.Program)
 	if err != nil {
 		return nil, err
 	}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	live := newLiveTurn(request, turn.ID(request.GetProgram(), request.GetRequestId()), cancel)
-	current, begun := s.sessions.begin(key, live)
+	live := sessions.NewLiveTurn(request, turn.ID(request.GetProgram(), request.GetRequestId()), cancel)
+	current, begun := s.sessions.Begin(key, live)
 	if !begun {
 		cancel(nil)
 		grant.End()
@@ -46,11 +47,11 @@
 }
 
 // joinTurn is the answer when the session has a turn under way.
-func (s *Service) joinTurn(current *liveTurn, request *protocol.TurnRequest) (*liveTurn, error) {
+func (s *Service) joinTurn(current *sessions.LiveTurn, request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	if current == nil {
 		return nil, &failure.Error{Failure: admission.StoppingFailure()}
 	}
-	if current.requestID == request.GetRequestId() && current.tenant == request.GetTenant() {
+	if current.RequestID == request.GetRequestId() && current.Tenant == request.GetTenant() {
 		return current, nil
 	}
 	return nil, failure.New(failure.SessionBusy, protocol.Outcome_NOT_RUN, "another turn of the conversation is under way",
@@ -70,8 +71,8 @@
 	return min(time.Duration(millis)*time.Millisecond, maxDeadline)
 }
 
-func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *liveTurn, grant Grant,
-	key sessionKey, decided rollout.Variant, route *protocol.Route, deadline time.Time,
+func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *sessions.LiveTurn, grant Grant,
+	key sessions.Key, decided rollout.Variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
@@ -85,7 +86,7 @@
 		counters: s.rollout.Counters(decided.Candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
-			Request: request, TurnID: live.turnID, Owner: s.name, Incarnation: grant.Incarnation(),
+			Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
 			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.ReservationLimit(request.GetMaxOutputTokens()),
 			Retention: time.Duration(decided.RetentionSeconds()) * time.Second, BundleVersion: decided.Version(),
 		}),
@@ -116,11 +117,11 @@
 	s.runs.Go(func() {
 		select {
 		case <-expired:
-			driven.cancel(errDeadline)
+			driven.cancel(sessions.ErrDeadline)
 		case <-driven.callerDisconnected:
-			driven.cancel(errCallerDisconnected)
+			driven.cancel(sessions.ErrCallerDisconnected)
 		case <-s.stopped:
-			driven.cancel(errAuthority)
+			driven.cancel(sessions.ErrAuthority)
 		case <-finished:
 		}
 	})
@@ -135,24 +136,24 @@
 }
 
 // claim returns a session's epoch; the ledger is asked only when this process does not hold it.
-func (s *Service) claim(ctx context.Context, key sessionKey, operation *protocol.ClaimSession) *protocol.LedgerResult {
-	current := s.sessions.findClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation())
-	if current.known {
-		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.epoch}
+func (s *Service) claim(ctx context.Context, key sessions.Key, operation *protocol.ClaimSession) *protocol.LedgerResult {
+	current := s.sessions.FindClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation())
+	if current.Known {
+		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.Epoch}
 	}
 	result := s.operations.Do(ctx, &protocol.LedgerOperation{
-		Program: key.program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
+		Program: key.Program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
 	})
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
-		s.sessions.recordClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation(), result.GetEpoch())
+		s.sessions.RecordClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation(), result.GetEpoch())
 	}
 	return result
 }
 
 // newPlacement gathers what a decision needs.
-func (s *Service) newPlacement(index *bundle.Index, wanted backends.GroupKey, key sessionKey, avoid []string) backends.Placement {
+func (s *Service) newPlacement(index *bundle.Index, wanted backends.GroupKey, key sessions.Key, avoid []string) backends.Placement {
 	return backends.Placement{
-		Key: wanted, Index: index, Affinity: key.program, Last: s.sessions.lastBackEnd(key), Avoid: avoid,
+		Key: wanted, Index: index, Affinity: key.Program, Last: s.sessions.LastBackEnd(key), Avoid: avoid,
 		Zone: s.zone, Region: s.region, Front: s.name, FrontNodes: s.frontNodes(), Sequence: s.sequence.Add(1),
 	}
 }
@@ -181,13 +182,13 @@
 }
 
 // forgetSession drops what is held of a session; fenced says that another owner has its epoch.
-func (s *Service) forgetSession(key sessionKey, fenced bool) {
-	s.sessions.forget(key)
+func (s *Service) forgetSession(key sessions.Key, fenced bool) {
+	s.sessions.Forget(key)
 	if fenced {
-		s.ownership.Fenced(key.session)
+		s.ownership.Fenced(key.Session)
 		return
 	}
-	s.ownership.Forget(key.session)
+	s.ownership.Forget(key.Session)
 }
 
 func (s *Service) beginRun() {
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -20,6 +20,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
@@ -83,7 +84,7 @@
 	versionPins  *versionpin.Resolver
 	operations   *ledgerops.Client
 	admission    *admission.Controller
-	sessions     *sessions
+	sessions     *sessions.Store
 	explanations *explain.Store
 	heartbeats   *heartbeat.Relay
 
@@ -116,7 +117,7 @@
 		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
 		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
-		sessions:     newSessions(options.Clock),
+		sessions:     sessions.NewStore(options.Clock),
 		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
@@ -133,7 +134,7 @@
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
-	options.Ownership.OnYield(s.sessions.yielded)
+	options.Ownership.OnYield(s.sessions.Yield)
 	return s
 }
 
--- a/internal/dataplane/front/sse.go
+++ b/internal/dataplane/front/sse.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -26,7 +27,7 @@
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	view       turnView
-	last       cursor
+	last       sessions.Cursor
 	begun      bool
 	buffer     []byte
 }
@@ -115,7 +116,7 @@
 	if err := e.controller.Flush(); err != nil {
 		return slowReader(err)
 	}
-	e.last = cursor{attempt: header.Attempt, sequence: header.SequenceNumber}
+	e.last = sessions.Cursor{Attempt: header.Attempt, Sequence: header.SequenceNumber}
 	return nil
 }
 
@@ -125,6 +126,6 @@
 
 // fail ends a stream that has begun with a typed event.
 func (e *eventStream) fail(f *protocol.Failure) {
-	header := eventHeader{Type: eventFailed, SequenceNumber: e.last.sequence + 1, Attempt: max(e.last.attempt, 1)}
+	header := eventHeader{Type: eventFailed, SequenceNumber: e.last.Sequence + 1, Attempt: max(e.last.Attempt, 1)}
 	_ = e.write(header, failedEvent{eventHeader: header, Error: failure.DetailOf(f)})
 }
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -13,6 +13,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -26,7 +27,7 @@
 	ctx         context.Context
 	request     *protocol.ToolCallRequest
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	route       *protocol.Route
 	deadline    time.Time
@@ -95,7 +96,7 @@
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
 		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
-		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
+		key:     sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
@@ -201,7 +202,7 @@
 }
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.program
+	operation.Program = r.key.Program
 	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
@@ -222,7 +223,7 @@
 
 // rejectUnreachable refuses a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.operations.CheckReachable(r.key.program)
+	rejection := r.service.operations.CheckReachable(r.key.Program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
@@ -234,8 +235,8 @@
 	if r.request.GetHttp() != nil {
 		return false
 	}
-	current := r.service.sessions.findClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
-	return r.route.GetNonRepeatable() || !current.known
+	current := r.service.sessions.FindClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
+	return r.route.GetNonRepeatable() || !current.Known
 }
 
 func (r *callRun) ticket() limit.Ticket {
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -10,6 +10,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -21,9 +22,9 @@
 	service     *Service
 	ctx         context.Context
 	request     *protocol.TurnRequest
-	live        *liveTurn
+	live        *sessions.LiveTurn
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	counters    *rollout.Counters
 	route       *protocol.Route
@@ -73,7 +74,7 @@
 		}
 	}
 	r.closeGeneration()
-	r.live.end()
+	r.live.End()
 	r.freeSession()
 }
 
@@ -97,9 +98,9 @@
 	if ctx.Err() == nil {
 		return 0
 	}
-	var stopped *stopError
+	var stopped *sessions.StopError
 	if errors.As(context.Cause(ctx), &stopped) {
-		return stopped.reason
+		return stopped.Reason
 	}
 	return turn.StopCallerDisconnected
 }
@@ -242,12 +243,12 @@
 	case turn.Reject:
 		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.program, command.TurnID)
+		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return waitBackoff(r.service, r.grant, command.For)
 	case turn.Remember:
-		r.service.sessions.recordCommit(r.key, command.Turn, r.history)
+		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
@@ -261,13 +262,13 @@
 	if event.GetCompleted() != nil {
 		r.explanation.RecordStep("completed", event.GetCompleted().GetTurnId())
 	}
-	if isTerminal(event) {
+	if sessions.IsTerminal(event) {
 		r.countEnd(event)
 		if r.machine.Done() {
 			r.freeSession()
 		}
 	}
-	r.live.append(event)
+	r.live.Append(event)
 }
 
 // freeSession lets the next turn of the session begin. It goes before the last
@@ -278,7 +279,7 @@
 		return
 	}
 	r.sessionFreed = true
-	r.service.sessions.finish(r.key, r.live)
+	r.service.sessions.Finish(r.key, r.live)
 }
 
 // waitBackoff waits before the ledger is asked again. Lost authority ends the wait
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -29,11 +29,11 @@
 	if r.request.GetHttp() != nil {
 		return r.readHTTPHistory(lastTurn)
 	}
-	if history := r.service.sessions.findHistory(r.key, lastTurn); history.known {
-		r.history = history.items
-		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
+	if history := r.service.sessions.FindHistory(r.key, lastTurn); history.Known {
+		r.history = history.Items
+		return turn.HistoryRead{Items: history.Items, Tokens: history.Tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.program, lastTurn)
+	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.Program, lastTurn)
 	r.explanation.RecordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
@@ -78,7 +78,7 @@
 	if !r.machine.IsLedgered() {
 		return nil
 	}
-	return r.service.operations.CheckReachable(r.key.program)
+	return r.service.operations.CheckReachable(r.key.Program)
 }
 
 func (r *turnRun) ticket() limit.Ticket {
@@ -110,7 +110,7 @@
 
 // ledger carries out one operation of the turn and records its status.
 func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.program
+	operation.Program = r.key.Program
 	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
@@ -188,11 +188,11 @@
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
 	if !command.Overload {
-		return r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
+		return r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
 	r.service.runs.Go(func() {
-		answered <- r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
+		answered <- r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
 	})
 	select {
 	case result := <-answered:
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -42,16 +43,16 @@
 	if err != nil {
 		return err
 	}
-	return live.follow(ctx, cursor{}, sendEvents(send))
+	return live.Follow(ctx, sessions.Cursor{}, sendEvents(send))
 }
 
 func (s *Service) serveResume(ctx context.Context, request *protocol.ResumeTurnRequest, send func(*protocol.Response) error) error {
-	key := sessionKey{session: request.GetSession(), program: request.GetProgram()}
-	live := s.sessions.findTurn(key, request.GetTurnId())
+	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
+	live := s.sessions.FindTurn(key, request.GetTurnId())
 	if live == nil {
 		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 	}
-	return live.follow(ctx, cursor{attempt: request.GetLastAttempt(), sequence: request.GetStartingAfter()}, sendEvents(send))
+	return live.Follow(ctx, sessions.Cursor{Attempt: request.GetLastAttempt(), Sequence: request.GetStartingAfter()}, sendEvents(send))
 }
 
 func sendEvents(send func(*protocol.Response) error) func(*protocol.TurnEvent) error {
