--- a/internal/controlplane/core/rollout/variants_test.go
+++ b/internal/controlplane/core/rollout/variants_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
+	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -23,7 +23,7 @@
 
 // slow is a sample whose first tokens all fall into the last bucket.
 func slow(requests, failed uint64) *protocol.ArmSample {
-	buckets := make([]uint64, bundle.FirstTokenBuckets())
+	buckets := make([]uint64, firsttoken.BucketCount())
 	buckets[len(buckets)-1] = requests
 	return &protocol.ArmSample{
 		BundleVersion: candidate, Candidate: true, Requests: requests, Errors: failed, FirstTokenBuckets: buckets,
