--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -86,11 +86,5 @@
 // TransferringRanges is the number of views whose ranges gained are not complete.
 func (d *Directory) TransferringRanges() int { return len(d.transfers) }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	return keys
-}
+// sortedKeys fixes the order of iteration over a map, since the order of commands must not depend on it.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/dataplane/ownership/effects.go
+++ b/internal/dataplane/ownership/effects.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// sender returns the function that makes a call in a goroutine of its own, which posts the answer. The calls end with the
-// context, which is the owner goroutine's.
+// sender returns the function that makes a call in a goroutine of its own, which posts the answer. The calls end with
+// the context, which is the owner goroutine's.
 func (m *Manager) sender(ctx context.Context) func(directory.Send) {
 	return func(command directory.Send) {
 		m.calls.Go(func() {
--- a/internal/dataplane/promptcache/digest.go
+++ b/internal/dataplane/promptcache/digest.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
@@ -83,14 +84,7 @@
 	return depth
 }
 
-func (m *Model) serverNames() []string {
-	names := make([]string, 0, len(m.servers))
-	for server := range m.servers {
-		names = append(names, server)
-	}
-	slices.Sort(names)
-	return names
-}
+func (m *Model) serverNames() []string { return slices.Sorted(maps.Keys(m.servers)) }
 
 // Merge merges a peer's digest. Unknown servers, indexes out of range, and prefixes beyond MaxDigestPrefixes
 // are ignored.
--- a/internal/dataplane/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -14,7 +14,7 @@
 	Fronts int
 	// Slots are those of all servers together, of which each front node has its share.
 	Slots int
-	// PerSecond is the rate of calls over the whole fleet.
+	// PerSecond is the rate of calls over the complete fleet.
 	PerSecond float64
 	// Work is the mean time that a call occupies its slot.
 	Work time.Duration
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -250,7 +250,7 @@
 	p.deadline = p.started + time.Duration(targetFactor*float64(p.ideal)) + targetMargin
 	conversation := &conversation{
 		program: p, session: p.name, front: f.fronts[f.planned.IntN(len(f.fronts))],
-		parts: []promptSegment{drawSharedPrefix(spec, f.planned)}, done: func() { f.end(p) },
+		segments: []promptSegment{drawSharedPrefix(spec, f.planned)}, done: func() { f.end(p) },
 	}
 	f.result.Programs++
 	f.run(conversation, plan, 0)
@@ -271,46 +271,55 @@
 	f.result.kinds[p.spec.Name] = kind
 }
 
-// run takes the turns of a line from one on.
+// run runs the turns of a conversation from one on.
 func (f *fleet) run(conversation *conversation, plan *conversationPlan, turn int) {
 	if turn == len(plan.turns) || conversation.program.failed {
 		conversation.done()
 		return
 	}
 	next := plan.turns[turn]
-	conversation.parts = append(
-		slices.Clone(conversation.parts), promptSegment{
-			id: fmt.Sprintf("%s/%d", conversation.session, turn), tokens: next.input,
-		},
-	)
-	chain := promptcache.NewChain("model", len(conversation.parts))
-	for _, part := range conversation.parts {
-		chain.Add(part.id, part.tokens)
-	}
+	conversation.extend(turn, next.input)
 	issued := f.timeline.now
 	f.result.Turns++
-	onFirst := func() { f.result.FirstTokens = append(f.result.FirstTokens, f.timeline.now-issued) }
-	onDone := func() {
-		f.timeline.after(networkTime/2, func() {
-			f.subAgents(conversation, next.subAgents, func() {
-				thinkTime := next.thinkTime
-				if turn+1 == len(plan.turns) {
-					thinkTime = 0
-				}
-				f.timeline.after(thinkTime, func() { f.run(conversation, plan, turn+1) })
+	conversation.front.issue(turnRequest{
+		conversation: conversation, rank: conversation.program.spec.Rank, prompt: conversation.prompt(),
+		output: next.output,
+		onFirst: func() {
+			f.result.FirstTokens = append(f.result.FirstTokens, f.timeline.now-issued)
+		},
+		onDone: func() {
+			f.timeline.after(networkTime/2, func() {
+				f.subAgents(conversation, next.subAgents, func() {
+					thinkTime := next.thinkTime
+					if turn+1 == len(plan.turns) {
+						thinkTime = 0
+					}
+					f.timeline.after(thinkTime, func() { f.run(conversation, plan, turn+1) })
+				})
 			})
-		})
-	}
-	onFail := func() {
-		conversation.program.failed = true
-		conversation.done()
+		},
+		onFail: func() {
+			conversation.program.failed = true
+			conversation.done()
+		},
+	})
+}
+
+// extend appends the input of a turn to the prompt.
+func (c *conversation) extend(turn int, tokens uint32) {
+	segment := promptSegment{id: fmt.Sprintf("%s/%d", c.session, turn), tokens: tokens}
+	c.segments = append(slices.Clone(c.segments), segment)
+}
+
+func (c *conversation) prompt() promptcache.Prompt {
+	chain := promptcache.NewChain("model", len(c.segments))
+	for _, segment := range c.segments {
+		chain.Add(segment.id, segment.tokens)
 	}
-	conversation.front.issue(
-		conversation, conversation.program.spec.Rank, chain.Prompt(), next.output, nil, onFirst, onDone, onFail,
-	)
+	return chain.Prompt()
 }
 
-// subAgents runs lines side by side that go on from what was said, and goes on when all are done.
+// subAgents runs conversations concurrently that continue the parent's, and calls then when all are done.
 func (f *fleet) subAgents(parent *conversation, plans []*conversationPlan, then func()) {
 	if len(plans) == 0 {
 		then()
@@ -319,8 +328,8 @@
 	left := len(plans)
 	for at, plan := range plans {
 		subConversation := &conversation{
-			program: parent.program, session: fmt.Sprintf("%s.%d.%d", parent.session, len(parent.parts), at),
-			front: f.fronts[(f.started+at)%len(f.fronts)], parts: slices.Clone(parent.parts),
+			program: parent.program, session: fmt.Sprintf("%s.%d.%d", parent.session, len(parent.segments), at),
+			front: f.fronts[(f.started+at)%len(f.fronts)], segments: slices.Clone(parent.segments),
 		}
 		subConversation.done = func() {
 			if left--; left == 0 {
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -144,56 +144,66 @@
 	return candidates
 }
 
+// turnRequest is one turn that a front node issues, with what follows from its progress.
+type turnRequest struct {
+	conversation *conversation
+	rank         uint32
+	prompt       promptcache.Prompt
+	output       uint64
+	// avoid are the servers that rejected the turn.
+	avoid   []string
+	onFirst func()
+	onDone  func()
+	onFail  func()
+}
+
+// maxSends is the maximum number of servers that a turn is sent to.
+const maxSends = 3
+
 // choose chooses the server of one turn.
-func (f *front) choose(
-	conversation *conversation, prompt promptcache.Prompt, output uint64, avoid []string,
-) *serverState {
+func (f *front) choose(turn turnRequest) *serverState {
 	f.sequence++
 	request := schedule.Request{
-		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone, SubsetSize: cmp.Or(
-			f.fleet.options.SubsetSize, uint32(len(f.fleet.engines)),
-		),
-		AffinityKey: conversation.program.name, Last: conversation.last, Avoid: avoid, Sequence: f.sequence,
-		PromptTokens: prompt.Tokens(), SharedTokens: f.cache.Shared(prompt), OutputTokens: output,
+		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone,
+		SubsetSize:  cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
+		AffinityKey: turn.conversation.program.name, Last: turn.conversation.last, Avoid: turn.avoid, Sequence: f.sequence,
+		PromptTokens: turn.prompt.Tokens(), SharedTokens: f.cache.Shared(turn.prompt), OutputTokens: turn.output,
 		Profile: f.profile.Profile(),
 	}
 	f.fleet.options.switchOff(&request)
-	return f.servers[schedule.Choose(request, f.candidates(prompt), f.random).Chosen]
+	return f.servers[schedule.Choose(request, f.candidates(turn.prompt), f.random).Chosen]
 }
 
 // issue sends a turn to the server that the policy chooses, and to another when that one is full.
-func (f *front) issue(
-	conversation *conversation, rank uint32, prompt promptcache.Prompt, output uint64, avoid []string, onFirst,
-	onDone func(), onFail func(),
-) {
-	state := f.choose(conversation, prompt, output, avoid)
-	if state == nil || len(avoid) >= 3 {
-		onFail()
+func (f *front) issue(turn turnRequest) {
+	state := f.choose(turn)
+	if state == nil || len(turn.avoid) >= maxSends {
+		turn.onFail()
 		return
 	}
 	timeline := f.fleet.timeline
-	own := prompt.Tokens() - f.cache.Cached(state.engine.id, prompt)
+	own := turn.prompt.Tokens() - f.cache.Cached(state.engine.id, turn.prompt)
 	ahead := state.pendingTokens
 	issued := timeline.now
-	f.cache.RecordSent(state.engine.id, prompt, timeline.clock())
+	f.cache.RecordSent(state.engine.id, turn.prompt, timeline.clock())
 	state.sent(own, issued)
-	request := &generation{prompt: prompt, output: output, rank: rank}
+	request := &generation{prompt: turn.prompt, output: turn.output, rank: turn.rank}
 	first := time.Duration(0)
-	firstSeen := func() {
+	request.onFirst = func() {
 		state.firstTokenReceived(own, issued)
 		f.receiveLoad(state)
 		first = timeline.now
 		state.slowness.Observe(f.profile.Profile().FirstToken(own+ahead), first-issued, timeline.clock())
 		f.profile.ObserveFirstToken(own, ahead, first-issued)
-		onFirst()
+		turn.onFirst()
 	}
-	request.onFirst = firstSeen
 	request.onDone = func() {
 		state.inFlight--
-		state.slowness.Observe(time.Duration(output)*f.profile.Profile().StepTime, timeline.now-first, timeline.clock())
-		f.profile.ObserveOutput(output, timeline.now-first)
-		conversation.last = state.engine.id
-		onDone()
+		expected := time.Duration(turn.output) * f.profile.Profile().StepTime
+		state.slowness.Observe(expected, timeline.now-first, timeline.clock())
+		f.profile.ObserveOutput(turn.output, timeline.now-first)
+		turn.conversation.last = state.engine.id
+		turn.onDone()
 	}
 	timeline.after(networkTime/2, func() {
 		if state.engine.submit(request) {
@@ -201,6 +211,7 @@
 		}
 		state.inFlight--
 		state.firstTokenReceived(own, issued)
-		f.issue(conversation, rank, prompt, output, append(avoid, state.engine.id), onFirst, onDone, onFail)
+		turn.avoid = append(turn.avoid, state.engine.id)
+		f.issue(turn)
 	})
 }
--- a/internal/dataplane/schedule/schedulesim/workload.go
+++ b/internal/dataplane/schedule/schedulesim/workload.go
@@ -10,7 +10,7 @@
 // ProgramSpec describes one kind of program.
 type ProgramSpec struct {
 	Name string
-	// PerSecond is the rate of new programs over the whole fleet.
+	// PerSecond is the rate of new programs over the complete fleet.
 	PerSecond float64
 	// Rank is the priority of its turns; 0 is the highest.
 	Rank uint32
@@ -57,12 +57,12 @@
 
 // conversation is the turns of one session: the program's own or a sub-agent's.
 type conversation struct {
-	program *program
-	session string
-	front   *front
-	last    string
-	parts   []promptSegment
-	done    func()
+	program  *program
+	session  string
+	front    *front
+	last     string
+	segments []promptSegment
+	done     func()
 }
 
 type promptSegment struct {
