--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -9,8 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -24,13 +27,13 @@
 	ctx         context.Context
 	request     *protocol.ToolCallRequest
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	route       *protocol.Route
 	deadline    time.Time
 	machine     *turn.CallMachine
 	explanation *explain.Explanation
-	server      *backEnd
+	server      *backends.Server
 	answers     chan *protocol.ToolCallResponse
 	// sends counts the attempts at servers.
 	sends uint32
@@ -93,7 +96,7 @@
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
 		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
-		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
+		key:     sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
@@ -199,7 +202,7 @@
 }
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.program
+	operation.Program = r.key.Program
 	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
@@ -220,7 +223,7 @@
 
 // rejectUnreachable refuses a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.operations.CheckReachable(r.key.program)
+	rejection := r.service.operations.CheckReachable(r.key.Program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
@@ -232,8 +235,8 @@
 	if r.request.GetHttp() != nil {
 		return false
 	}
-	current := r.service.sessions.findClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
-	return r.route.GetNonRepeatable() || !current.known
+	current := r.service.sessions.FindClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
+	return r.route.GetNonRepeatable() || !current.Known
 }
 
 func (r *callRun) ticket() limit.Ticket {
@@ -247,9 +250,9 @@
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), tool: true, name: r.route.GetTool()}, r.key, avoid)
+	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
 	// A server works faster for an object that it has seen, whichever program asks.
-	wanted.affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.affinity)
+	wanted.Affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.Affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
 	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
@@ -260,21 +263,21 @@
 			"no back end of group "+r.route.GetGroup()+" can take the call", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
 	r.server = server
-	return turn.Chosen{BackEnd: server.id()}
+	return turn.Chosen{BackEnd: server.ID()}
 }
 
 func (r *callRun) issue(command turn.IssueCall) turn.Event {
 	r.explanation.RecordStep("issued", command.BackEnd)
 	issuedAt := r.now()
-	r.server.inFlight.Add(1)
-	r.server.recordCall(issuedAt)
-	awaited := r.server.outcomes.expectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
+	r.server.BeginRequest()
+	r.server.RecordCall(issuedAt)
+	awaited := r.server.ExpectAnswer(answerTimeout(r.request.GetHttp(), callTimeoutFactor), issuedAt)
 	event, err := r.send(command)
-	awaited.end(err == nil, r.now())
-	r.server.inFlight.Add(-1)
+	awaited.End(err == nil, r.now())
+	r.server.EndRequest()
 	if err == nil {
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
-		r.service.models.recordCall(r.route.GetGroup(), r.server.id(), r.now().Sub(issuedAt), r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
+		r.service.models.RecordCall(r.route.GetGroup(), r.server.ID(), r.now().Sub(issuedAt), r.now())
 		r.explanation.RecordStep("back end finished", command.BackEnd)
 		return event
 	}
@@ -286,14 +289,14 @@
 		r.sends++
 		ctx, cancel := r.attemptContext(routed)
 		defer cancel()
-		return r.service.routes.call(ctx, routedRequest{
-			server: r.server, requestID: r.request.GetRequestId(), http: routed, body: routed.GetBody(), deadline: r.deadline,
+		return r.service.routes.Call(ctx, issue.RouteRequest{
+			Server: r.server, RequestID: r.request.GetRequestId(), HTTP: routed, Body: routed.GetBody(), Deadline: r.deadline,
 		})
 	}
-	return r.service.client.call(r.ctx, backEndRequest{
-		server: r.server, path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", body: r.request.GetArguments(),
-		requestID: r.request.GetRequestId(), session: r.request.GetSession(), nonce: r.request.GetNonce(),
-		epoch: command.Epoch, idempotencyKey: r.request.GetRequestId(),
+	return r.service.client.Call(r.ctx, issue.Request{
+		Server: r.server, Path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", Body: r.request.GetArguments(),
+		RequestID: r.request.GetRequestId(), Session: r.request.GetSession(), Nonce: r.request.GetNonce(),
+		Epoch: command.Epoch, IdempotencyKey: r.request.GetRequestId(),
 	})
 }
 
@@ -329,8 +332,8 @@
 // hasAlternative reports whether the group has a server that was not asked yet.
 func (r *callRun) hasAlternative() bool {
 	ready := uint32(0)
-	for _, server := range r.service.backEnds.Load().byGroup[r.route.GetGroup()] {
-		if !server.draining.Load() {
+	for _, server := range r.service.backEnds.Load().ByGroup[r.route.GetGroup()] {
+		if !server.IsDraining() {
 			ready++
 		}
 	}
@@ -339,16 +342,16 @@
 
 func (r *callRun) sendFailed(command turn.IssueCall, err error) turn.Event {
 	if reason := stopReason(r.ctx, r.grant); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.recordOutcome(fault.outcome(), r.now())
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
-	return fault.event()
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), command.BackEnd+": "+fault.Detail)
+	return fault.Event()
 }
 
 func (r *callRun) answer(response *protocol.ToolCallResponse) {
