--- a/internal/testing/lab/ablation/file.go
+++ b/internal/testing/lab/ablation/file.go
@@ -79,6 +79,7 @@
 // FieldError says that a field of a file cannot be.
 type FieldError struct{ Field, Reason string }
 
+// Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s %s", e.Field, e.Reason) }
 
 // Load reads and checks a file.
--- a/internal/testing/lab/backends/settings.go
+++ b/internal/testing/lab/backends/settings.go
@@ -49,6 +49,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *SettingsError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
 
 // Load reads and checks a settings file.
--- a/internal/testing/lab/benchmark/latency.go
+++ b/internal/testing/lab/benchmark/latency.go
@@ -33,6 +33,7 @@
 // NoTokenError is returned when a direct call to a stand-in produced no token.
 type NoTokenError struct{ Status int }
 
+// Error implements error.
 func (e *NoTokenError) Error() string { return fmt.Sprintf("no token came, status %d", e.Status) }
 
 // Direct calls a model server as a front node would and returns the time to
--- a/internal/testing/lab/benchmark/page.go
+++ b/internal/testing/lab/benchmark/page.go
@@ -17,6 +17,7 @@
 // PageError says that a page has no generated section.
 type PageError struct{ Path string }
 
+// Error implements error.
 func (e *PageError) Error() string {
 	return fmt.Sprintf("%s has no section between %q and %q", e.Path, sectionBegin, sectionEnd)
 }
--- a/internal/testing/lab/command/command.go
+++ b/internal/testing/lab/command/command.go
@@ -31,6 +31,7 @@
 // ViolationError says that a run came to its end and found a broken promise or limit.
 type ViolationError struct{ What string }
 
+// Error implements error.
 func (e *ViolationError) Error() string { return e.What }
 
 func isViolation(err error) bool {
--- a/internal/testing/lab/command/run.go
+++ b/internal/testing/lab/command/run.go
@@ -101,4 +101,5 @@
 // FlagError names a flag with an unusable value.
 type FlagError struct{ Flag, Reason string }
 
+// Error implements error.
 func (e *FlagError) Error() string { return fmt.Sprintf("--%s %s", e.Flag, e.Reason) }
--- a/internal/testing/lab/dayreport/report.go
+++ b/internal/testing/lab/dayreport/report.go
@@ -108,6 +108,7 @@
 // FormatError says that a file is not the report of a played day.
 type FormatError struct{ Path, Reason string }
 
+// Error implements error.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("%s is no report of a day: %s", e.Path, e.Reason)
 }
@@ -158,6 +159,7 @@
 // WidthError says that an array of the report has another number of fields than expected.
 type WidthError struct{ Want, Got int }
 
+// Error implements error.
 func (e *WidthError) Error() string {
 	return fmt.Sprintf("an array of %d fields in place of %d", e.Got, e.Want)
 }
--- a/internal/testing/lab/deployment/deployment.go
+++ b/internal/testing/lab/deployment/deployment.go
@@ -63,6 +63,7 @@
 // FieldError names a field of a deployment with an unusable value.
 type FieldError struct{ Field, Reason string }
 
+// Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s %s", e.Field, e.Reason) }
 
 // Load reads and checks a deployment from a JSON file.
--- a/internal/testing/lab/experiment/experiment.go
+++ b/internal/testing/lab/experiment/experiment.go
@@ -69,6 +69,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *FileError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
 
 // Load reads and checks an experiment. Fields of load and shape that are absent keep their defaults.
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -187,6 +187,7 @@
 // RunningError says that a process has to be stopped first.
 type RunningError struct{ Name string }
 
+// Error implements error.
 func (e *RunningError) Error() string { return e.Name + " is running" }
 
 // Stopped is the number of processes that had to be killed.
@@ -260,6 +261,7 @@
 // MissingBinaryError names a program that is not where the rig looks for it.
 type MissingBinaryError struct{ Path string }
 
+// Error implements error.
 func (e *MissingBinaryError) Error() string {
 	return e.Path + " is missing; run make build"
 }
--- a/internal/testing/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -41,6 +41,7 @@
 	Output    string
 }
 
+// Error implements error.
 func (e *ClientError) Error() string {
 	return fmt.Sprintf("rosestand %s: %v: %s", strings.Join(e.Arguments, " "), e.Result, strings.TrimSpace(e.Output))
 }
--- a/internal/testing/lab/fleet/ports.go
+++ b/internal/testing/lab/fleet/ports.go
@@ -20,6 +20,7 @@
 // NoPortsError says that not enough free ports were found.
 type NoPortsError struct{ Wanted, Found int }
 
+// Error implements error.
 func (e *NoPortsError) Error() string {
 	return fmt.Sprintf("found %d of %d free ports on %s", e.Found, e.Wanted, loopback)
 }
--- a/internal/testing/lab/fleet/probe.go
+++ b/internal/testing/lab/fleet/probe.go
@@ -20,6 +20,7 @@
 	Message string
 }
 
+// Error implements error.
 func (e *NotServingError) Error() string {
 	return fmt.Sprintf("front node %s does not serve turns: %s %s", e.Front, e.Code, e.Message)
 }
--- a/internal/testing/lab/fleet/ready.go
+++ b/internal/testing/lab/fleet/ready.go
@@ -24,6 +24,7 @@
 	LogFile string
 }
 
+// Error implements error.
 func (e *NotReadyError) Error() string {
 	return fmt.Sprintf("%s is not ready (%s), see %s", e.Name, e.Last, e.LogFile)
 }
--- a/internal/testing/lab/overload/plan.go
+++ b/internal/testing/lab/overload/plan.go
@@ -73,6 +73,7 @@
 // TooManyError says that a plan would offer more requests than its bound.
 type TooManyError struct{ Planned, Max int }
 
+// Error implements error.
 func (e *TooManyError) Error() string {
 	return fmt.Sprintf("the burst would offer %d requests, more than %d", e.Planned, e.Max)
 }
--- a/internal/testing/lab/scrape/scrape.go
+++ b/internal/testing/lab/scrape/scrape.go
@@ -33,6 +33,7 @@
 	Status  int
 }
 
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s answered %d", e.Address, e.Status) }
 
 // Fetch reads the metrics of the process at an HTTP address (ip:port).
--- a/internal/testing/lab/simcommand/idle_fleet.go
+++ b/internal/testing/lab/simcommand/idle_fleet.go
@@ -11,6 +11,7 @@
 // UnhealthyError is returned when the idle fleet did not stay healthy, so that its speed means nothing.
 type UnhealthyError struct{}
 
+// Error implements error.
 func (e *UnhealthyError) Error() string { return "the fleet at rest has no leader or lacks replicas" }
 
 // measureRest prints how much faster than real time a fleet at rest is simulated.
--- a/internal/testing/lab/simcommand/simcommand.go
+++ b/internal/testing/lab/simcommand/simcommand.go
@@ -25,11 +25,13 @@
 // ViolatedError says that runs violated a rule or did not come to an end.
 type ViolatedError struct{ Runs int }
 
+// Error implements error.
 func (e *ViolatedError) Error() string { return fmt.Sprintf("%d simulated runs failed", e.Runs) }
 
 // UnknownSuiteError names a suite that does not exist.
 type UnknownSuiteError struct{ Suite string }
 
+// Error implements error.
 func (e *UnknownSuiteError) Error() string {
 	return fmt.Sprintf("there is no suite %q; there are state, ownership, serving and all", e.Suite)
 }
@@ -37,6 +39,7 @@
 // UnknownMutationError names a mutation that the suites to run do not have.
 type UnknownMutationError struct{ Mutation string }
 
+// Error implements error.
 func (e *UnknownMutationError) Error() string {
 	return fmt.Sprintf("the suites to run have no mutation %q", e.Mutation)
 }
@@ -44,6 +47,7 @@
 // UnknownShapeError names a fleet that does not exist.
 type UnknownShapeError struct{ Shape string }
 
+// Error implements error.
 func (e *UnknownShapeError) Error() string {
 	return fmt.Sprintf("there is no shape %q; there are zones and regions", e.Shape)
 }
--- a/internal/testing/lab/simulatednode/fleet.go
+++ b/internal/testing/lab/simulatednode/fleet.go
@@ -82,6 +82,7 @@
 // NotReadyError counts the nodes that did not become ready.
 type NotReadyError struct{ Ready, Nodes int }
 
+// Error implements error.
 func (e *NotReadyError) Error() string {
 	return fmt.Sprintf("%d of %d hollow nodes are ready", e.Ready, e.Nodes)
 }
@@ -89,6 +90,7 @@
 // MemoryError is returned when the simulated nodes exceed their share of the machine's memory.
 type MemoryError struct{ ResidentBytes, LimitBytes uint64 }
 
+// Error implements error.
 func (e *MemoryError) Error() string {
 	return fmt.Sprintf("this process holds %d MB of memory, its limit is %d MB", e.ResidentBytes>>20, e.LimitBytes>>20)
 }
--- a/internal/testing/lab/simulatednode/memory.go
+++ b/internal/testing/lab/simulatednode/memory.go
@@ -24,6 +24,7 @@
 // UnreachableError says that no simulated node listens at an address.
 type UnreachableError struct{ Address string }
 
+// Error implements error.
 func (e *UnreachableError) Error() string { return "no hollow node listens at " + e.Address }
 
 // listen gives the next node an address of its own. Nothing else listens there.
--- a/internal/testing/lab/site/site.go
+++ b/internal/testing/lab/site/site.go
@@ -102,6 +102,7 @@
 // UnknownSiteError names a site that does not exist.
 type UnknownSiteError struct{ Name Name }
 
+// Error implements error.
 func (e *UnknownSiteError) Error() string {
 	return fmt.Sprintf("unknown site %q: caroni, menon or both", string(e.Name))
 }
--- a/internal/testing/lab/standin/announce.go
+++ b/internal/testing/lab/standin/announce.go
@@ -61,6 +61,7 @@
 	Body   string
 }
 
+// Error implements error.
 func (e *AnnounceError) Error() string {
 	return fmt.Sprintf("front node %s answered %d: %s", e.Front, e.Status, e.Body)
 }
--- a/internal/testing/lab/standin/fault.go
+++ b/internal/testing/lab/standin/fault.go
@@ -67,6 +67,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *FaultPlanError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
 
 // Validate checks names and probabilities.
--- a/internal/testing/lab/standin/standin.go
+++ b/internal/testing/lab/standin/standin.go
@@ -57,6 +57,7 @@
 	Value  string
 }
 
+// Error implements error.
 func (e *HeaderError) Error() string {
 	return fmt.Sprintf("header %s: %q is not a number", e.Header, e.Value)
 }
--- a/internal/testing/sim/statesuite/store_process.go
+++ b/internal/testing/sim/statesuite/store_process.go
@@ -126,6 +126,7 @@
 // NeverRestartsError is returned by the start of a store under StoresNeverRestart.
 type NeverRestartsError struct{}
 
+// Error implements error.
 func (e *NeverRestartsError) Error() string { return "the process stays down" }
 
 // mutateStart applies the mutations of stores that start again.
--- a/internal/testing/subprocess/process.go
+++ b/internal/testing/subprocess/process.go
@@ -134,6 +134,7 @@
 	LogFile string
 }
 
+// Error implements error.
 func (e *ExitedError) Error() string {
 	return fmt.Sprintf("%s ended (%v), see %s", e.Name, e.Result, e.LogFile)
 }
@@ -192,6 +193,7 @@
 // StillRunningError says that a killed process did not go.
 type StillRunningError struct{ Name string }
 
+// Error implements error.
 func (e *StillRunningError) Error() string { return e.Name + " is still running after it was killed" }
 
 // dumpWait is how long a process may take to write its goroutines down.
--- a/internal/testing/subprocess/usage.go
+++ b/internal/testing/subprocess/usage.go
@@ -34,6 +34,7 @@
 // StatError says that the status of a process has an unknown form.
 type StatError struct{ Content string }
 
+// Error implements error.
 func (e *StatError) Error() string { return "process status has an unknown form: " + e.Content }
 
 // parseStat reads the fields after the name, which may hold spaces itself.
