--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -151,7 +151,8 @@
 			fault("version", "is not taken"))
 	}
 	status := record.Status
-	if status.GetSignature() != "" && status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName() {
+	sameSignature := status.GetSignature() == command.GetSignature() && status.GetSignedBy() == command.GetKeyName()
+	if status.GetSignature() != "" && sameSignature {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
 	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(),
@@ -240,7 +241,7 @@
 	s.steps = append(s.steps, step)
 }
 
-// dropOldBundles forgets the content of versions far behind the one in force; their status is retained for ever.
+// dropOldBundles forgets the content of versions far behind the one in force; their status is never forgotten.
 func (s *State) dropOldBundles(active uint64) {
 	olderCount, _ := slices.BinarySearch(s.retainedVersions, active)
 	excess := olderCount - maxOldBundles
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
@@ -14,7 +15,7 @@
 
 // releaseBundle accepts a bundle that is built on the version in force, signs it
 // off in the core's own name and puts it in force, all in one step. The same
-// release sent again is acknowledged for ever, whatever came after it.
+// release sent again is acknowledged at any later time, whatever was released after it.
 func (s *State) releaseBundle(index uint64, command *protocol.ReleaseBundleCommand) *protocol.CommandResult {
 	submitted, baseFaults := releaseContent(command)
 	version, digest := submitted.GetVersion(), bundle.Digest(submitted)
@@ -28,7 +29,7 @@
 	if expected := command.GetExpectedVersion(); expected != active.GetVersion() {
 		return s.rejectWrongBase(expected)
 	}
-	faults := append(baseFaults, s.releaseNumberFaults(version)...)
+	faults := slices.Concat(baseFaults, s.releaseNumberFaults(version))
 	merged, contentFaults := bundle.Check(active, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
 		return rejectFaulty(faults)
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -14,10 +14,14 @@
 	"github.com/rosestand/rosestand/internal/controlplane/corelink"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
+	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
@@ -61,7 +65,7 @@
 	metrics   *metrics
 
 	rollout    *rollout.Tracker
-	backEnds   atomic.Pointer[backEnds]
+	backEnds   atomic.Pointer[backends.Set]
 	fleetShare atomic.Pointer[float64]
 	sequence   atomic.Uint64
 	// startedAt is when this front node was made.
@@ -74,13 +78,13 @@
 	// inProgress counts the turns and calls run as owner.
 	inProgress atomic.Int64
 
-	client       *backEndClient
-	routes       *routeClient
-	models       *groupModels
-	versionPins  *versionPins
+	client       *issue.Client
+	routes       *issue.RouteClient
+	models       *backends.Models
+	versionPins  *versionpin.Resolver
 	operations   *ledgerops.Client
 	admission    *admission.Controller
-	sessions     *sessions
+	sessions     *sessions.Store
 	explanations *explain.Store
 	heartbeats   *heartbeat.Relay
 
@@ -106,15 +110,14 @@
 	if options.Registerer == nil {
 		options.Registerer = prometheus.NewRegistry()
 	}
-	models := newGroupModels()
+	models := backends.NewModels()
 	s := &Service{
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics: newMetrics(options.Registerer), client: newBackEndClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:       newRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
-		versionPins:  newVersionPins(options.Clock),
-		sessions:     newSessions(options.Clock),
+		sessions:     sessions.NewStore(options.Clock),
 		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
 		stopped:      make(chan struct{}),
 		startedAt:    options.Clock.Now(),
@@ -125,10 +128,13 @@
 	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
 		return options.Link.View().Membership
 	})
+	s.versionPins = versionpin.NewResolver(versionpin.Options{
+		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+	})
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
-	options.Ownership.OnYield(s.sessions.yielded)
+	options.Ownership.OnYield(s.sessions.Yield)
 	return s
 }
 
@@ -144,17 +150,17 @@
 	}
 	former := s.backEnds.Load()
 	if former == nil {
-		former = &backEnds{}
+		former = &backends.Set{}
 	}
-	if s.backEnds.Load() == nil || former.version != view.BackEnds.GetVersion() {
-		next := former.next(view.BackEnds)
+	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
+		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.forgetRemoved(former, next)
+		s.routes.ForgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
 	s.fleetShare.Store(&share)
-	s.models.update(s.backEnds.Load(), fronts, s.cacheTokensOf)
+	s.models.Update(s.backEnds.Load(), fronts, s.cacheTokensOf)
 	s.updateConcurrencyLimits()
 }
 
@@ -216,8 +222,8 @@
 	s.admission.Stop()
 	s.sessions.Stop()
 	s.explanations.Stop()
-	s.client.close()
-	s.routes.close()
+	s.client.Close()
+	s.routes.Close()
 	return nil
 }
 
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -6,8 +6,11 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -19,9 +22,9 @@
 	service     *Service
 	ctx         context.Context
 	request     *protocol.TurnRequest
-	live        *liveTurn
+	live        *sessions.LiveTurn
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	counters    *rollout.Counters
 	route       *protocol.Route
@@ -29,19 +32,19 @@
 	deadline    time.Time
 	machine     *turn.Machine
 	// pin is the version that a turn of a training step keeps to; nil for other turns.
-	pin         *versionPin
+	pin         *backends.VersionPin
 	explanation *explain.Explanation
 
 	began      time.Time
 	history    []*protocol.Item
-	generation answerStream
+	generation issue.AnswerStream
 	// issued is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
-	issued *issuedTurn
+	issued *backends.IssuedTurn
 	// work is a generation of a training step at its server; nil for other turns.
-	work *stepWork
+	work *backends.StepWork
 	// expected is the wait for the first event of a live turn of an HTTP route.
-	expected     *expectedAnswer
-	server       *backEnd
+	expected     *backends.ExpectedAnswer
+	server       *backends.Server
 	issuedAt     time.Time
 	firstToken   bool
 	tokens       uint64
@@ -71,7 +74,7 @@
 		}
 	}
 	r.closeGeneration()
-	r.live.end()
+	r.live.End()
 	r.freeSession()
 }
 
@@ -80,7 +83,7 @@
 // issueFailed is the event of an attempt that got no answer. A stop goes before the failure that it may have caused.
 func (r *turnRun) issueFailed(err error) turn.Event {
 	if reason := r.stopReason(); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
 	return r.attemptFailed(err)
 }
@@ -95,9 +98,9 @@
 	if ctx.Err() == nil {
 		return 0
 	}
-	var stopped *stopError
+	var stopped *sessions.StopError
 	if errors.As(context.Cause(ctx), &stopped) {
-		return stopped.reason
+		return stopped.Reason
 	}
 	return turn.StopCallerDisconnected
 }
@@ -105,24 +108,24 @@
 // receive waits for the next piece of the back end's answer. Authority is
 // checked after the wait: nothing that came too late is passed on.
 func (r *turnRun) receive() turn.Event {
-	event, err := r.generation.next()
+	event, err := r.generation.Next()
 	if reason := r.stopReason(); reason != 0 {
 		return turn.Stopped{Reason: reason}
 	}
 	if err != nil {
 		return r.attemptFailed(err)
 	}
-	r.expected.end(true, r.now())
+	r.expected.End(true, r.now())
 	switch event.(type) {
 	case turn.Token:
 		r.recordFirstToken()
 		r.recordTokens(event)
 	case turn.AnswerCompleted:
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
-		r.server.recordOutcome(schedule.OutcomeAnswered, r.now())
+		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
 		r.endSent(true)
-		r.explanation.RecordStep("back end finished", r.server.id())
+		r.explanation.RecordStep("back end finished", r.server.ID())
 	}
 	return event
 }
@@ -134,27 +137,24 @@
 		return
 	}
 	if r.work != nil {
-		r.work.generated(token.Tokens)
+		r.work.RecordGenerated(token.Tokens)
 	}
 	if r.issued == nil {
 		return
 	}
-	if r.issued.tokens == 0 {
-		r.issued.recordFirstToken(r.now())
-	}
-	r.issued.tokens += uint64(token.Tokens)
+	r.issued.RecordTokens(uint64(token.Tokens), r.now())
 }
 
 // endSent tells the group's model that the attempt is over.
 func (r *turnRun) endSent(complete bool) {
 	if r.work != nil {
-		r.work.end()
+		r.work.End()
 		r.work = nil
 	}
 	if r.issued == nil {
 		return
 	}
-	r.issued.finish(complete, r.now())
+	r.issued.Finish(complete, r.now())
 	r.issued = nil
 }
 
@@ -164,7 +164,7 @@
 		return
 	}
 	r.firstToken = true
-	r.explanation.RecordStep("first token", r.server.id())
+	r.explanation.RecordStep("first token", r.server.ID())
 	if r.isTrainingStep() {
 		// Steps wait behind live requests: their latency says nothing of how those are served.
 		return
@@ -176,21 +176,21 @@
 }
 
 func (r *turnRun) attemptFailed(err error) turn.Event {
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.recordOutcome(fault.outcome(), r.now())
-	if fault.fault == turn.FaultWrongVersion {
-		r.server.markVersionRejected(r.pin.version, r.now())
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	if fault.Fault == turn.FaultWrongVersion {
+		r.server.MarkVersionRejected(r.pin.Version, r.now())
 	}
-	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
+	if fault.Fault == turn.FaultUnavailable && !r.isTrainingStep() {
 		r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.id()+": "+fault.detail)
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), r.server.ID()+": "+fault.Detail)
 	r.closeGeneration()
-	return fault.event()
+	return fault.Event()
 }
 
 func (r *turnRun) closeGeneration() {
@@ -198,17 +198,17 @@
 		r.endSent(false)
 		return
 	}
-	r.generation.close()
+	r.generation.Close()
 	r.generation = nil
 	r.leaveServer()
 }
 
 // leaveServer notes that the attempt holds no slot of its server any more. A generation of a step left with its work.
 func (r *turnRun) leaveServer() {
-	r.expected.end(false, r.now())
+	r.expected.End(false, r.now())
 	r.endSent(false)
 	if r.pin == nil {
-		r.server.inFlight.Add(-1)
+		r.server.EndRequest()
 	}
 }
 
@@ -243,12 +243,12 @@
 	case turn.Reject:
 		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.program, command.TurnID)
+		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return waitBackoff(r.service, r.grant, command.For)
 	case turn.Remember:
-		r.service.sessions.recordCommit(r.key, command.Turn, r.history)
+		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
@@ -262,13 +262,13 @@
 	if event.GetCompleted() != nil {
 		r.explanation.RecordStep("completed", event.GetCompleted().GetTurnId())
 	}
-	if isTerminal(event) {
+	if sessions.IsTerminal(event) {
 		r.countEnd(event)
 		if r.machine.Done() {
 			r.freeSession()
 		}
 	}
-	r.live.append(event)
+	r.live.Append(event)
 }
 
 // freeSession lets the next turn of the session begin. It goes before the last
@@ -279,7 +279,7 @@
 		return
 	}
 	r.sessionFreed = true
-	r.service.sessions.finish(r.key, r.live)
+	r.service.sessions.Finish(r.key, r.live)
 }
 
 // waitBackoff waits before the ledger is asked again. Lost authority ends the wait
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -27,11 +29,11 @@
 	if r.request.GetHttp() != nil {
 		return r.readHTTPHistory(lastTurn)
 	}
-	if history := r.service.sessions.findHistory(r.key, lastTurn); history.known {
-		r.history = history.items
-		return turn.HistoryRead{Items: history.items, Tokens: history.tokens, Status: protocol.LedgerStatus_LEDGER_OK}
+	if history := r.service.sessions.FindHistory(r.key, lastTurn); history.Known {
+		r.history = history.Items
+		return turn.HistoryRead{Items: history.Items, Tokens: history.Tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.program, lastTurn)
+	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.Program, lastTurn)
 	r.explanation.RecordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
@@ -76,7 +78,7 @@
 	if !r.machine.IsLedgered() {
 		return nil
 	}
-	return r.service.operations.CheckReachable(r.key.program)
+	return r.service.operations.CheckReachable(r.key.Program)
 }
 
 func (r *turnRun) ticket() limit.Ticket {
@@ -108,7 +110,7 @@
 
 // ledger carries out one operation of the turn and records its status.
 func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.program
+	operation.Program = r.key.Program
 	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
@@ -127,9 +129,9 @@
 }
 
 func (r *turnRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, groupKey{group: r.route.GetGroup(), name: r.route.GetModel()}, r.key, avoid)
-	wanted.prompt, wanted.output = requestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
-	wanted.step = r.stepPlacement(wanted.prompt)
+	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Name: r.route.GetModel()}, r.key, avoid)
+	wanted.Prompt, wanted.Output = backends.RequestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
+	wanted.Step = r.stepPlacement(wanted.Prompt)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
 	if server == nil && r.pin != nil {
@@ -144,7 +146,7 @@
 			"no back end of group "+r.route.GetGroup()+" can take the turn", failure.WithRetryAfter(noBackEndRetry)).Failure}
 	}
 	r.server = server
-	return turn.Chosen{BackEnd: server.id()}
+	return turn.Chosen{BackEnd: server.ID()}
 }
 
 // issue sends the turn to the back end chosen; its answer is read by receive.
@@ -152,19 +154,19 @@
 	if r.request.GetHttp() != nil {
 		return r.issueHTTP(command)
 	}
-	body, err := chatBody(r.request.GetModel(), command.Items, command.MaxTokens)
+	body, err := issue.ChatBody(r.request.GetModel(), command.Items, command.MaxTokens)
 	if err != nil {
 		return turn.BackEndFailed{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
-	r.server.inFlight.Add(1)
-	generation, err := r.service.client.generate(r.ctx, backEndRequest{
-		server: r.server, path: chatPath, body: body, requestID: r.request.GetRequestId(),
-		session: r.request.GetSession(), nonce: r.request.GetNonce(), epoch: command.Epoch,
+	r.server.BeginRequest()
+	generation, err := r.service.client.Generate(r.ctx, issue.Request{
+		Server: r.server, Path: chatPath, Body: body, RequestID: r.request.GetRequestId(),
+		Session: r.request.GetSession(), Nonce: r.request.GetNonce(), Epoch: command.Epoch,
 	})
 	if err != nil {
-		r.server.inFlight.Add(-1)
+		r.server.EndRequest()
 		return r.issueFailed(err)
 	}
 	r.generation = generation
@@ -186,11 +188,11 @@
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
 	if !command.Overload {
-		return r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
+		return r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
 	r.service.runs.Go(func() {
-		answered <- r.service.operations.Reject(r.ctx, r.key.program, command.Operation)
+		answered <- r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
 	})
 	select {
 	case result := <-answered:
