--- a/internal/dataplane/front/answer_load_test.go
+++ b/internal/dataplane/front/answer_load_test.go
@@ -40,9 +40,10 @@
 		Expect(idle.requests()).To(HaveLen(8))
 	})
 
-	DescribeTable("is asked for only when what is known is old", func(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration, isFresh bool) {
-		Expect(front.IsFresh(answersCarryLoad, reportedAgo, sampledAgo)).To(Equal(isFresh))
-	},
+	DescribeTable("is asked for only when what is known is old",
+		func(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration, isFresh bool) {
+			Expect(front.IsFresh(answersCarryLoad, reportedAgo, sampledAgo)).To(Equal(isFresh))
+		},
 		Entry("a sample of a moment ago", false, 200*time.Millisecond, 200*time.Millisecond, true),
 		Entry("an older sample", false, 300*time.Millisecond, 300*time.Millisecond, false),
 		Entry("an answer that told the load", true, 900*time.Millisecond, 4*time.Second, true),
--- a/internal/dataplane/front/answers.go
+++ b/internal/dataplane/front/answers.go
@@ -75,7 +75,7 @@
 	attempt uint32
 }
 
-// see takes an event in.
+// see updates the view with an event.
 func (v *turnView) see(event *protocol.TurnEvent) {
 	v.attempt = event.GetAttempt()
 	if created := event.GetCreated(); created != nil {
@@ -86,8 +86,9 @@
 func (v *turnView) object(status string) responseObject {
 	return responseObject{
 		ID: v.created.GetTurnId(), Object: responseKind, Status: status, Model: v.request.GetModel(),
-		Conversation: v.request.GetSession(), Program: v.request.GetProgram(), PreviousResponseID: v.request.GetPreviousTurn(),
-		Output: []outputMessage{},
+		Conversation: v.request.GetSession(), Program: v.request.GetProgram(),
+		PreviousResponseID: v.request.GetPreviousTurn(),
+		Output:             []outputMessage{},
 		Rosestand: provenance{
 			RequestID: v.request.GetRequestId(), BackEnd: v.created.GetBackEnd(), Owner: v.created.GetOwner(),
 			Epoch: v.created.GetEpoch(), BundleVersion: v.created.GetBundleVersion(), Attempt: v.attempt,
@@ -110,25 +111,27 @@
 
 func usageOf(input, cached, output uint64) *usage {
 	return &usage{
-		InputTokens: input, InputTokensDetails: inputDetails{CachedTokens: cached}, OutputTokens: output, TotalTokens: input + output,
+		InputTokens: input, InputTokensDetails: inputDetails{CachedTokens: cached}, OutputTokens: output,
+		TotalTokens: input + output,
 	}
 }
 
-// retainedObject is a turn as the ledger keeps it.
+// retainedObject is a turn that the ledger retains.
 func retainedObject(retained *protocol.Turn) responseObject {
 	var text strings.Builder
 	for _, item := range retained.GetOutput() {
 		text.WriteString(item.GetText())
 	}
 	return responseObject{
-		ID: retained.GetId(), Object: responseKind, Status: statusCompleted, Model: retained.GetModel(), Conversation: retained.GetSession(),
-		Program: retained.GetProgram(), PreviousResponseID: retained.GetPreviousTurn(), Output: message(text.String()),
+		ID: retained.GetId(), Object: responseKind, Status: statusCompleted, Model: retained.GetModel(),
+		Conversation: retained.GetSession(),
+		Program:      retained.GetProgram(), PreviousResponseID: retained.GetPreviousTurn(), Output: message(text.String()),
 		Usage:     usageOf(retained.GetInputTokens(), 0, retained.GetOutputTokens()),
 		Rosestand: provenance{RequestID: retained.GetRequestId(), BackEnd: retained.GetBackEnd(), Epoch: retained.GetEpoch()},
 	}
 }
 
-// resultJSON passes a tool's JSON on as it is and anything else as a text.
+// resultJSON returns a tool's JSON unchanged and anything else as a JSON string.
 func resultJSON(response *protocol.ToolCallResponse) json.RawMessage {
 	if strings.HasPrefix(response.GetContentType(), "application/json") && json.Valid(response.GetBody()) {
 		return response.GetBody()
--- a/internal/dataplane/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -44,17 +44,22 @@
 		Entry("no JSON", `{"model"`, "invalid_body", ""),
 		Entry("more than JSON", `{"model":"m","program":"p","input":"x"} {}`, "invalid_body", ""),
 		Entry("unknown field", `{"modell":"m"}`, "unknown_field", "modell"),
-		Entry("unknown field of an item", `{"model":"m","program":"p","input":[{"role":"user","content":"x","colour":1}]}`, "unknown_field", "input[0].colour"),
+		Entry("unknown field of an item", `{"model":"m","program":"p","input":[{"role":"user","content":"x","colour":1}]}`,
+			"unknown_field", "input[0].colour"),
 		Entry("wrong type", `{"model":1}`, "invalid_field", "model"),
 		Entry("no model", `{"program":"p","input":"x"}`, "missing_field", "model"),
 		Entry("no program", `{"model":"m","input":"x"}`, "missing_field", "program"),
 		Entry("no input", `{"model":"m","program":"p"}`, "missing_field", "input"),
 		Entry("empty input", `{"model":"m","program":"p","input":[]}`, "missing_field", "input"),
-		Entry("unknown role", `{"model":"m","program":"p","input":[{"role":"king","content":"x"}]}`, "invalid_field", "input[0].role"),
+		Entry("unknown role", `{"model":"m","program":"p","input":[{"role":"king","content":"x"}]}`, "invalid_field",
+			"input[0].role"),
 		Entry("unknown priority", `{"model":"m","program":"p","input":"x","priority":"now"}`, "invalid_field", "priority"),
-		Entry("too long a timeout", `{"model":"m","program":"p","input":"x","timeout_millis":600001}`, "invalid_field", "timeout_millis"),
-		Entry("too long a program", `{"model":"m","program":"`+strings.Repeat("p", 129)+`","input":"x"}`, "invalid_field", "program"),
-		Entry("a program of the ledger's own", `{"model":"m","program":"`+ledger.TrainingStepProgram("17")+`","input":"x"}`, "invalid_field", "program"),
+		Entry("too long a timeout", `{"model":"m","program":"p","input":"x","timeout_millis":600001}`, "invalid_field",
+			"timeout_millis"),
+		Entry("too long a program", `{"model":"m","program":"`+strings.Repeat("p", 129)+`","input":"x"}`, "invalid_field",
+			"program"),
+		Entry("a program of the ledger's own", `{"model":"m","program":"`+ledger.TrainingStepProgram("17")+`","input":"x"}`,
+			"invalid_field", "program"),
 		Entry("unknown model", `{"model":"m","program":"p","input":"x"}`, "unknown_model", "model"),
 		Entry("too large", `{"model":"`+strings.Repeat("m", 1<<20)+`"}`, "body_too_large", ""),
 	)
@@ -164,7 +169,8 @@
 	})
 
 	Describe("towards back ends", func() {
-		const heartbeat = `{"id":"m1","kind":"MODEL_SERVER","address":"127.0.0.1:9","group":"g","models":["m"],"incarnation":4,"capacity":8}`
+		const heartbeat = `{"id":"m1","kind":"MODEL_SERVER","address":"127.0.0.1:9","group":"g",` +
+			`"models":["m"],"incarnation":4,"capacity":8}`
 
 		It("relays heartbeats of one moment together", func() {
 			relayed := make(chan int, 4)
@@ -217,7 +223,9 @@
 			f1.link.core = func(request *protocol.Request) (*protocol.Response, error) {
 				Expect(request.GetDrainBackEnd().GetId()).To(Equal("m1"))
 				Expect(request.GetDrainBackEnd().GetIncarnation()).To(BeEquivalentTo(4))
-				return &protocol.Response{Body: &protocol.Response_DrainBackEnd{DrainBackEnd: &protocol.DrainBackEndResponse{ViewVersion: 9}}}, nil
+				return &protocol.Response{Body: &protocol.Response_DrainBackEnd{
+					DrainBackEnd: &protocol.DrainBackEndResponse{ViewVersion: 9},
+				}}, nil
 			}
 			got := f1.do(http.MethodPost, "/v1/backends/m1/drain", `{"incarnation":4}`, nil)
 			Expect(got.at("view_version")).To(Equal("9"))
@@ -228,7 +236,8 @@
 	It("gathers explanations from the other front nodes", func() {
 		f2 := r.front("f2")
 		membership := &protocol.MembershipView{Version: 1, Nodes: []*protocol.Node{
-			{Name: "f1", Kind: protocol.NodeKind_FRONT, Address: "f1"}, {Name: "f2", Kind: protocol.NodeKind_FRONT, Address: "f2"},
+			{Name: "f1", Kind: protocol.NodeKind_FRONT, Address: "f1"},
+			{Name: "f2", Kind: protocol.NodeKind_FRONT, Address: "f2"},
 		}}
 		r.put(&corelink.View{Configuration: r.view.Configuration, Membership: membership, BackEnds: r.view.BackEnds})
 		r.backEnd("m1", modelServer, modelAnswer("in"))
--- a/internal/dataplane/front/bench_test.go
+++ b/internal/dataplane/front/bench_test.go
@@ -87,8 +87,10 @@
 	b.ResetTimer()
 	b.RunParallel(func(each *testing.PB) {
 		for each.Next() {
-			body := fmt.Sprintf(`{"model":%q,"program":"p%d","input":"hello","stream":true}`, bundle.ModelClimateAdvisor, program.Add(1))
-			request, err := http.NewRequestWithContext(b.Context(), http.MethodPost, server.URL+"/v1/responses", strings.NewReader(body))
+			body := fmt.Sprintf(`{"model":%q,"program":"p%d","input":"hello","stream":true}`, bundle.ModelClimateAdvisor,
+				program.Add(1))
+			request, err := http.NewRequestWithContext(b.Context(), http.MethodPost, server.URL+"/v1/responses",
+				strings.NewReader(body))
 			if err != nil {
 				b.Error(err)
 				return
--- a/internal/dataplane/front/callers_test.go
+++ b/internal/dataplane/front/callers_test.go
@@ -33,7 +33,10 @@
 	usage := map[string]any{
 		"prompt_tokens": 7, "completion_tokens": count, "prompt_tokens_details": map[string]any{"cached_tokens": 3},
 	}
-	chunk, _ := json.Marshal(map[string]any{"choices": []any{}, "usage": usage, "nonce": request.Header.Get("Rosestand-Nonce")})
+	chunk, _ := json.Marshal(map[string]any{
+		"choices": []any{}, "usage": usage,
+		"nonce": request.Header.Get("Rosestand-Nonce"),
+	})
 	fmt.Fprintf(writer, "data: %s\n\ndata: [DONE]\n\n", chunk)
 }
 
--- a/internal/dataplane/front/clock_test.go
+++ b/internal/dataplane/front/clock_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// passBackoffs lets the time pass for which a turn waits until it asks the ledger again. No time passes while none waits.
+// passBackoffs advances the clock by the time that a turn waits until it asks the ledger again, and not while
+// none waits.
 func (c *manualClock) passBackoffs() {
 	for wait := minLedgerBackoff; wait < maxLedgerBackoff; wait *= 2 {
 		if c.isSet(wait) {
--- a/internal/dataplane/front/decode.go
+++ b/internal/dataplane/front/decode.go
@@ -39,7 +39,8 @@
 		return decodeFailure(err, path)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "more follows the JSON value", failure.WithPath(path))
+		return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "more follows the JSON value",
+			failure.WithPath(path))
 	}
 	return nil
 }
@@ -56,9 +57,11 @@
 		if unquoteError != nil {
 			name = quoted
 		}
-		return failure.New(failure.UnknownField, protocol.Outcome_NOT_RUN, "no such field", failure.WithPath(joinPath(path, name)))
+		return failure.New(failure.UnknownField, protocol.Outcome_NOT_RUN, "no such field",
+			failure.WithPath(joinPath(path, name)))
 	}
-	return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "the body is not valid JSON: "+err.Error(), failure.WithPath(path))
+	return failure.New(failure.InvalidBody, protocol.Outcome_NOT_RUN, "the body is not valid JSON: "+err.Error(),
+		failure.WithPath(path))
 }
 
 func joinPath(path, name string) string {
--- a/internal/dataplane/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -30,7 +30,7 @@
 	Valid() bool
 	// Incarnation is this front node's incarnation under which the grant was given.
 	Incarnation() uint64
-	// End says that the turn or call is settled.
+	// End releases the permission once the turn or call is committed.
 	End()
 }
 
@@ -38,10 +38,10 @@
 type Ownership interface {
 	Resolve(ctx context.Context, session, program string) (directory.Owner, error)
 	Forget(session string)
-	// OwnerLost says that a request could not be passed on to the owner at an address, or that
+	// OwnerLost reports that a request could not be forwarded to the owner at an address, or that
 	// its connection broke before an answer; the next Resolve may take the session over.
 	OwnerLost(session, address string, cause error)
-	// Fenced gives a session up after the ledger refused this node's epoch of it.
+	// Fenced gives a session up after the ledger rejected this node's epoch of it.
 	Fenced(session string)
 	Begin(session, program string) (Grant, error)
 	ServeDirectory(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
@@ -49,11 +49,11 @@
 	OnYield(yielded func(session string))
 }
 
-// Clock tells the time and waits; tests supply their own.
+// Clock tells the time and waits; tests supply one of their own.
 type Clock interface {
 	Now() time.Time
 	After(wait time.Duration) <-chan time.Time
-	// WithTimeout gives a context that ends with context.DeadlineExceeded after a time.
+	// WithTimeout returns a context that ends with context.DeadlineExceeded after a time.
 	WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc)
 }
 
--- a/internal/dataplane/front/doc.go
+++ b/internal/dataplane/front/doc.go
@@ -1,5 +1,5 @@
-// Package front is the data plane: it takes turns and tool calls in from
-// callers, brings each to the front node that owns its session, and as owner
+// Package front is the data plane of one process. As ingress it admits turns and
+// tool calls of callers and forwards each to the front node that owns its session; as owner it
 // chooses the back end, issues the request under a reservation in the ledger
-// and passes the answer on event by event.
+// and streams the answer event by event.
 package front
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -122,12 +122,12 @@
 // ShallowCopy gives a request whose own fields may be changed.
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
 
-// WaitingLive is how many live requests wait for a slot of a group, and WaitingSteps how many generations of steps wait.
+// WaitingLive is how many live requests wait for a slot of a group.
 func WaitingLive(service *Service, group string) int {
 	return service.admission.WaitingLive(group)
 }
 
-// WaitingSteps is how many generations of training steps wait for a place.
+// WaitingSteps is how many generations of training steps wait for a slot.
 func WaitingSteps(service *Service) int {
 	return service.admission.WaitingSteps()
 }
--- a/internal/dataplane/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -97,7 +97,8 @@
 	if owner == "" {
 		owner = o.self
 	}
-	return directory.Owner{Name: owner, Address: owner, Local: owner == o.self, PartitionHolder: "holder", ViewVersion: 3}, nil
+	return directory.Owner{Name: owner, Address: owner, Local: owner == o.self, PartitionHolder: "holder", ViewVersion: 3},
+		nil
 }
 
 func (o *fakeOwnership) Begin(string, string) (front.Grant, error) {
@@ -127,7 +128,8 @@
 func (o *fakeOwnership) OnYield(func(string))        {}
 func (o *fakeOwnership) Drain(context.Context) error { return nil }
 func (o *fakeOwnership) ServeDirectory(context.Context, *protocol.Request) (*protocol.Response, error) {
-	return &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: &protocol.LookupSessionResponse{}}}, nil
+	return &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: &protocol.LookupSessionResponse{}}},
+		nil
 }
 
 type fakeGrant struct {
--- a/internal/dataplane/front/fuzz_routes_test.go
+++ b/internal/dataplane/front/fuzz_routes_test.go
@@ -10,7 +10,10 @@
 
 // FuzzTokenUsage reads the header of a turn's tokens; what it reads of a well-formed one is what was written.
 func FuzzTokenUsage(f *testing.F) {
-	for _, text := range []string{"", "1840,136", " 1 , 2 ", "1", ",2", "-1,-1", "4294967295,2147483648", "1,2,3", "x,y", "1.5,2"} {
+	for _, text := range []string{
+		"", "1840,136", " 1 , 2 ", "1", ",2", "-1,-1", "4294967295,2147483648", "1,2,3", "x,y",
+		"1.5,2",
+	} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -18,7 +21,8 @@
 		if prompt > 1<<31-1 || maxOutput > 1<<31-1 {
 			t.Fatalf("%q gave %d, %d", text, prompt, maxOutput)
 		}
-		if againPrompt, againMaxOutput := front.TokenUsage(fmt.Sprintf("%d,%d", prompt, maxOutput)); againPrompt != prompt || againMaxOutput != maxOutput {
+		if againPrompt, againMaxOutput := front.TokenUsage(fmt.Sprintf("%d,%d", prompt,
+			maxOutput)); againPrompt != prompt || againMaxOutput != maxOutput {
 			t.Fatalf("%d,%d was read as %d,%d", prompt, maxOutput, againPrompt, againMaxOutput)
 		}
 	})
--- a/internal/dataplane/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -37,7 +37,8 @@
 
 func FuzzBodies(f *testing.F) {
 	f.Add("/v1/responses", turnBody("s1", ""))
-	f.Add("/v1/responses", `{"model":"climate-advisor","program":"p","input":[{"role":"user","content":"x"}],"stream":true}`)
+	f.Add("/v1/responses",
+		`{"model":"climate-advisor","program":"p","input":[{"role":"user","content":"x"}],"stream":true}`)
 	f.Add("/v1/tools/valve-plan/calls", `{"program":"p","arguments":{"a":[1,null]}}`)
 	f.Add("/v1/backends/m/drain", `{"incarnation":-1}`)
 	f.Add("/v1/responses", `{"model":{},"input":`)
@@ -61,7 +62,8 @@
 		if err := json.Unmarshal(recorder.Body.Bytes(), &answer); err != nil {
 			t.Fatalf("status %d without a typed body: %q", recorder.Code, recorder.Body)
 		}
-		if recorder.Code < 400 || answer.Error.Code == "" || answer.Error.Outcome == "" || answer.Error.Code == "internal_error" {
+		if recorder.Code < 400 || answer.Error.Code == "" || answer.Error.Outcome == "" ||
+			answer.Error.Code == "internal_error" {
 			t.Fatalf("status %d, body %q", recorder.Code, recorder.Body)
 		}
 	})
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -60,7 +60,9 @@
 	return manager
 }
 
-func provideLedger(lifecycle fx.Lifecycle, process *daemon.Process, caller wire.Caller, link *corelink.Link) *ledgerclient.Client {
+func provideLedger(
+	lifecycle fx.Lifecycle, process *daemon.Process, caller wire.Caller, link *corelink.Link,
+) *ledgerclient.Client {
 	client := ledgerclient.New(caller, link.View, ledgerclient.Options{Self: process.Self})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -78,8 +80,10 @@
 	return client
 }
 
-func provideService(process *daemon.Process, link *corelink.Link, ledger *ledgerclient.Client, manager *ownership.Manager,
-	caller wire.Caller, routeDialect dialect.Dialect, sockets Sockets, logger *log.Logger, registerer prometheus.Registerer,
+func provideService(process *daemon.Process, link *corelink.Link, ledger *ledgerclient.Client,
+	manager *ownership.Manager,
+	caller wire.Caller, routeDialect dialect.Dialect, sockets Sockets, logger *log.Logger,
+	registerer prometheus.Registerer,
 ) *Service {
 	return New(Options{
 		Self: process.Self, Link: link, Ledger: ledger, Ownership: grantingManager{manager}, Caller: caller,
@@ -88,7 +92,7 @@
 	})
 }
 
-// grantingManager lets the directory's grants be used as Grant.
+// grantingManager adapts the directory's grants to Grant.
 type grantingManager struct{ *ownership.Manager }
 
 // Begin implements Ownership.
@@ -101,11 +105,13 @@
 }
 
 func run(lifecycle fx.Lifecycle, settings *protocol.FrontSettings, service *Service, manager *ownership.Manager,
-	link *corelink.Link, process *daemon.Process, engine *gin.Engine, routeDialect dialect.Dialect, sockets Sockets, logger *log.Logger,
+	link *corelink.Link, process *daemon.Process, engine *gin.Engine, routeDialect dialect.Dialect, sockets Sockets,
+	logger *log.Logger,
 ) {
 	service.Register(engine, settings.GetMaxBodyBytes())
 	process.Readiness.AddCheck(readyCondition, service.notReady)
-	listener := newRouteListener(settings.GetTrafficAddress(), &routeAPI{service: service, dialect: routeDialect}, sockets, logger)
+	listener := newRouteListener(settings.GetTrafficAddress(), &routeAPI{service: service, dialect: routeDialect}, sockets,
+		logger)
 	process.OnDrain("front", func(ctx context.Context) error {
 		noticed := listener.beginDrain(service.clock)
 		drained := service.Drain(ctx)
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -15,8 +15,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// keyedRejectionTimeout bounds the ledger's part in the refusal of a request that
-// was not taken in or found no room: a final answer does not wait longer for its proof.
+// keyedRejectionTimeout bounds the ledger's part in the rejection of a request that
+// was not admitted: a final answer waits no longer for its proof.
 const keyedRejectionTimeout = 40 * time.Millisecond
 
 // api is the HTTP surface towards callers and back ends.
@@ -107,13 +107,14 @@
 
 func (a *api) tenant(c *gin.Context, decided rollout.Variant) (*protocol.TenantPolicy, error) {
 	if decided.Bundle() == nil {
-		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(time.Second))
+		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet",
+			failure.WithRetryAfter(time.Second))
 	}
 	return tenantOf(c.Request.Header, decided)
 }
 
-// rejectEarly refuses a turn before an owner has seen it. A request that may be
-// a repeat of one that ran is refused as not run only with the ledger's word.
+// rejectEarly rejects a turn before an owner has seen it. A request that may repeat one that ran is
+// rejected as not run only when the ledger has its tombstone.
 func (a *api) rejectEarly(c *gin.Context, request *protocol.TurnRequest, f *protocol.Failure) error {
 	if request.GetFirstSend() {
 		return &failure.Error{Failure: f}
@@ -135,7 +136,9 @@
 	}
 }
 
-func (a *api) streamTurn(ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy) {
+func (a *api) streamTurn(
+	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
+) {
 	stream := newEventStream(c.Writer, request)
 	tokens := uint64(0)
 	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
@@ -146,7 +149,7 @@
 	endStream(c, stream, err)
 }
 
-// endStream tells the caller of an error in the form that is still possible.
+// endStream reports an error to the caller in the form that is still possible.
 func endStream(c *gin.Context, stream *eventStream, err error) {
 	switch {
 	case err == nil:
@@ -157,7 +160,9 @@
 	}
 }
 
-func (a *api) answerTurn(ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy) {
+func (a *api) answerTurn(
+	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
+) {
 	view := turnView{request: request}
 	tokens := uint64(0)
 	var last *protocol.TurnEvent
--- a/internal/dataplane/front/http_backends.go
+++ b/internal/dataplane/front/http_backends.go
@@ -113,7 +113,7 @@
 	c.JSON(http.StatusOK, heartbeatAnswer{IntervalSeconds: answer.IntervalSeconds})
 }
 
-// coreFailure words an error of the way to the core; such requests may be sent again.
+// coreFailure is the failure for an error of a request to the core; such requests are retryable.
 func coreFailure(err error) error {
 	f := forwardingFailure(err)
 	if f.GetOutcome() == protocol.Outcome_NOT_RUN {
@@ -123,7 +123,7 @@
 		failure.WithRetryAfter(coreRetry))
 }
 
-// postDrain tells the core that a back end leaves; the answer says that no front node will send it more.
+// postDrain has the core drain a back end; the answer confirms that no front node will send it more.
 func (a *api) postDrain(c *gin.Context) {
 	text, err := readBody(c.Request, a.maxBody)
 	if err != nil {
@@ -159,10 +159,12 @@
 	defer cancel()
 	explanations = append(explanations, a.service.queryPeers(ctx, id, explanations)...)
 	if len(explanations) == 0 {
-		writeError(c, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "no front node remembers the request", failure.WithPath("request_id")))
+		writeError(c, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "no front node remembers the request",
+			failure.WithPath("request_id")))
 		return
 	}
-	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(&protocol.ExplainResponse{Explanations: explanations})
+	response := &protocol.ExplainResponse{Explanations: explanations}
+	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(response)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -170,7 +172,8 @@
 	c.Data(http.StatusOK, "application/json", text)
 }
 
-// queryPeers asks the owners named by what is known here, or every front node when nothing is.
+// queryPeers requests explanations from the owners named by what is known here, or from every front node when
+// nothing is.
 func (s *Service) queryPeers(ctx context.Context, id string, known []*protocol.Explanation) []*protocol.Explanation {
 	peers := s.peersFor(known)
 	answers := make([][]*protocol.Explanation, len(peers))
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -19,7 +19,7 @@
 // resumeDeadline bounds how long a resumed stream may last.
 const resumeDeadline = maxDeadline
 
-// readQuery is what GET /v1/responses/{id} asks for.
+// readQuery are the parameters of GET /v1/responses/{id}.
 type readQuery struct {
 	id      string
 	program string
@@ -101,7 +101,7 @@
 	c.JSON(http.StatusOK, retainedObject(current.retained))
 }
 
-// ledgerTurn is a turn as the ledger knows it: kept, or under way in a session.
+// ledgerTurn is a turn as the ledger knows it: retained, or in progress in a session.
 type ledgerTurn struct {
 	retained  *protocol.Turn
 	session   string
@@ -117,7 +117,8 @@
 	switch {
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM,
 		result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && result.GetProgram().GetTenant() != tenant:
-		return ledgerTurn{}, failure.New(failure.UnknownProgram, protocol.Outcome_NOT_RUN, "the program is not known", failure.WithPath("program"))
+		return ledgerTurn{}, failure.New(failure.UnknownProgram, protocol.Outcome_NOT_RUN, "the program is not known",
+			failure.WithPath("program"))
 	case result.GetStatus() != protocol.LedgerStatus_LEDGER_OK:
 		return ledgerTurn{}, ledgerUnavailable()
 	}
@@ -131,7 +132,8 @@
 	case protocol.LedgerStatus_LEDGER_OK:
 		return ledgerTurn{retained: retained, session: retained.GetSession(), requestID: retained.GetRequestId()}, nil
 	case protocol.LedgerStatus_LEDGER_TURN_MISSING:
-		return ledgerTurn{}, failure.New(failure.TurnMissing, protocol.Outcome_NOT_RUN, "the turn is not kept", failure.WithPath("id"))
+		return ledgerTurn{}, failure.New(failure.TurnMissing, protocol.Outcome_NOT_RUN, "the turn is not kept",
+			failure.WithPath("id"))
 	default:
 		return ledgerTurn{}, ledgerUnavailable()
 	}
@@ -152,7 +154,8 @@
 	stream := newEventStream(c.Writer, request)
 	stream.last = query.after
 	stream.view.created = &protocol.TurnCreated{
-		TurnId: query.id, RequestId: current.requestID, BackEnd: current.retained.GetBackEnd(), Epoch: current.retained.GetEpoch(),
+		TurnId: query.id, RequestId: current.requestID, BackEnd: current.retained.GetBackEnd(),
+		Epoch: current.retained.GetEpoch(),
 	}
 	stream.begin()
 	if err := stream.controller.Flush(); err != nil {
@@ -209,8 +212,8 @@
 	}
 }
 
-// resumeFromLedger replays a kept turn. A turn that is still open in the ledger
-// but unknown to its owner is about to end; the caller is told to come back.
+// resumeFromLedger replays a retained turn. A turn that is still open in the ledger but unknown to its owner
+// is about to end; the caller is answered when to retry.
 func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, current ledgerTurn, cause error) error {
 	retained := current.retained
 	if retained == nil {
--- a/internal/dataplane/front/http_steps.go
+++ b/internal/dataplane/front/http_steps.go
@@ -45,7 +45,8 @@
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_OK:
 		return result.GetTrainingStepTrace(), nil
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_STEP_UNKNOWN:
-		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the training step is not known", failure.WithPath("step"))
+		return nil, failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the training step is not known",
+			failure.WithPath("step"))
 	default:
 		return nil, ledgerUnavailable()
 	}
--- a/internal/dataplane/front/http_steps_test.go
+++ b/internal/dataplane/front/http_steps_test.go
@@ -33,12 +33,21 @@
 	})
 
 	It("shows what the ledger knows of it", func() {
-		answered = &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, TrainingStepTrace: &protocol.TrainingStepTrace{
-			Pin: &protocol.TrainingStepPin{Step: "run 3/17", Model: "m", WeightVersion: 4, PinnedBy: "f2", PinnedAtMillis: 1_800_000_000_000},
-			Programs: []*protocol.TrainingStepProgram{{Program: "p", Tenant: "t", Membership: &protocol.TrainingStepMembership{
-				Step: "run 3/17", WeightVersion: 4, Generations: []*protocol.GenerationCount{{WeightVersion: 4, Completed: 2}, {WeightVersion: 5, Discarded: 1}},
-			}}},
-		}}
+		answered = &protocol.LedgerResult{
+			Status: protocol.LedgerStatus_LEDGER_OK,
+			TrainingStepTrace: &protocol.TrainingStepTrace{
+				Pin: &protocol.TrainingStepPin{
+					Step: "run 3/17", Model: "m", WeightVersion: 4, PinnedBy: "f2",
+					PinnedAtMillis: 1_800_000_000_000,
+				},
+				Programs: []*protocol.TrainingStepProgram{{Program: "p", Tenant: "t", Membership: &protocol.TrainingStepMembership{
+					Step: "run 3/17", WeightVersion: 4, Generations: []*protocol.GenerationCount{
+						{WeightVersion: 4, Completed: 2},
+						{WeightVersion: 5, Discarded: 1},
+					},
+				}}},
+			},
+		}
 		got := f1.do(http.MethodGet, "/v1/training-steps/run%203%2F17", "", nil)
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.text).To(MatchJSON(`{
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -16,7 +16,7 @@
 )
 
 // routedSends bounds how often one request of an HTTP route is sent to servers
-// of which at most one runs it: the others said that they did not.
+// of which at most one runs it: the others stated that they did not.
 const routedSends = 3
 
 // freeGrant is the grant of a request that belongs to no session: there is nothing to own.
@@ -31,7 +31,7 @@
 // End implements Grant.
 func (freeGrant) End() {}
 
-// grantFor asks for the permission to act as owner of a session, if there is one.
+// grantFor requests the permission to act as owner of a session, if there is one.
 func (s *Service) grantFor(session, program string) (Grant, error) {
 	if session == "" {
 		return freeGrant{}, nil
@@ -47,7 +47,8 @@
 	return s.ownership.Resolve(ctx, session, program)
 }
 
-// beginHTTPTurn starts a turn of an HTTP route as its owner. Other turns of the session may be under way.
+// beginHTTPTurn starts a turn of an HTTP route as its owner. Other turns of the session may be in
+// progress.
 func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
 	grant, err := s.grantFor(key.Session, key.Program)
@@ -72,7 +73,7 @@
 	return live, nil
 }
 
-// routedReservationLimit is the most tokens that a turn may pass on, in whole events.
+// routedReservationLimit is the most tokens that a turn may forward, rounded up to complete events.
 func routedReservationLimit(request *protocol.TurnRequest) uint64 {
 	maxTokens := uint64(request.GetMaxOutputTokens())
 	if maxTokens == 0 {
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// recordSent tells the group's model that the turn goes to its server. A generation of a step counts by itself.
+// recordSent records in the group's model that the turn goes to its server. A generation of a step is counted
+// apart from other turns.
 func (r *turnRun) recordSent(maxTokens uint64) {
 	group, prompt := r.route.GetGroup(), backends.RequestPrompt(r.request.GetHttp())
 	if r.pin == nil {
@@ -144,19 +146,20 @@
 		foreign = ""
 	}
 	return turn.HistoryRead{
-		Items: r.history, Tokens: conversation.Turns[len(conversation.Turns)-1].GetHistoryTokens(), Program: foreign, Status: conversation.Status,
+		Items: r.history, Tokens: conversation.Turns[len(conversation.Turns)-1].GetHistoryTokens(), Program: foreign,
+		Status: conversation.Status,
 	}
 }
 
-// expectedWaitShare is the part of its latency objective that a call may expect to wait for a slot. One that has to
-// expect more is refused at once, while its caller still has time to be served elsewhere.
+// expectedWaitShare is the part of its latency objective that a call may expect to wait for a slot. One that
+// has to expect more is rejected at once, while its caller still has time to be served elsewhere.
 const expectedWaitShare = 0.25
 
-// routedTicket is a request's claim to a slot.
+// routedTicket is a request's ticket for a slot.
 func routedTicket(routed *protocol.HttpRequest, tenant string, deadline, now time.Time) limit.Ticket {
 	ticket := limit.Ticket{Class: rankClass(routed.GetRank()), Tenant: tenant, Weight: 1, Deadline: deadline}
 	if left := routed.GetProgramTimeLeftMillis(); left > 0 {
-		// A program fails with one of its calls, so a call that is late is worth more to it than one refused.
+		// A program fails with one of its calls, so a late call is worth more to it than a rejected one.
 		ticket.ProgramDeadline = now.Add(millis(left))
 		return ticket
 	}
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -21,15 +21,15 @@
 const (
 	// forwardWindow bounds how long an ingress looks for an owner that answers.
 	forwardWindow = 15 * time.Second
-	// routedWindow is the same for requests of HTTP routes, whose callers retry by themselves.
+	// routedWindow is the same for requests of HTTP routes, whose callers retry.
 	routedWindow = 1500 * time.Millisecond
 	firstBackoff = 20 * time.Millisecond
 	maxBackoff   = 500 * time.Millisecond
-	// answerSlack is how much longer than the deadline an ingress waits to hear what became of a turn.
+	// answerSlack is how long after the deadline an ingress still waits for the outcome of a turn.
 	answerSlack = 3 * time.Second
 )
 
-// relay brings one turn to its owner and passes the events on, in order and once each.
+// relay forwards one turn to its owner and delivers the events, in order and once each. One goroutine uses it.
 type relay struct {
 	service     *Service
 	request     *protocol.TurnRequest
@@ -37,31 +37,34 @@
 	deliver     func(*protocol.TurnEvent) error
 	explanation *explain.Explanation
 	position    sessions.Cursor
-	// owner is the one tried last; empty when none was found.
+	// owner is that of the last attempt; empty when none was found.
 	owner directory.Owner
 	done  bool
 	// deliveryError is set when the caller can take no more events.
 	deliveryError error
 }
 
-// outOfOrderError says that a stream skipped, repeated or spliced events.
+// outOfOrderError reports that a stream skipped, repeated or spliced events.
 type outOfOrderError struct {
 	position sessions.Cursor
 	event    *protocol.TurnEvent
 }
 
 func (e *outOfOrderError) Error() string {
-	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(), e.position.Attempt, e.position.Sequence)
+	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(),
+		e.position.Attempt, e.position.Sequence)
 }
 
-// truncatedStreamError says that a stream ended before the turn did.
+// truncatedStreamError reports that a stream ended before the turn did.
 type truncatedStreamError struct{}
 
 func (e *truncatedStreamError) Error() string { return "the stream ended before the turn did" }
 
 // relayTurn serves a turn for a caller. Unless an error is returned, deliver
 // was given the turn's last event.
-func (s *Service) relayTurn(ctx context.Context, request *protocol.TurnRequest, deliver func(*protocol.TurnEvent) error) error {
+func (s *Service) relayTurn(
+	ctx context.Context, request *protocol.TurnRequest, deliver func(*protocol.TurnEvent) error,
+) error {
 	left := timeLeft(request.GetTimeLeftMillis())
 	r := &relay{
 		service: s, request: request, deliver: deliver, deadline: s.clock.Now().Add(left),
@@ -77,7 +80,7 @@
 	return err
 }
 
-// reportOwnerLost tells the directory why a session's owner could not be used.
+// reportOwnerLost reports to the directory why a session's owner could not be used.
 func (s *Service) reportOwnerLost(session string, owner directory.Owner, cause error) {
 	if owner.Local || owner.Address == "" || isNotAccepted(cause) {
 		s.ownership.Forget(session)
@@ -94,8 +97,8 @@
 	return forwardWindow
 }
 
-// run tries owners until one answers. A request that is sent again carries the
-// same id, so that an owner or the ledger knows it.
+// run makes attempts until an owner answers. A request that is sent again carries the same id, by which an
+// owner or the ledger recognises it.
 func (r *relay) run(ctx context.Context) error {
 	if rejection := r.service.operations.CheckIsolation(r.request); rejection != nil {
 		r.explanation.RecordStep("not taken in", rejection.GetMessage())
@@ -131,7 +134,7 @@
 	}
 }
 
-// attempt brings the turn to the owner of the moment.
+// attempt forwards the turn to the session's owner of now.
 func (r *relay) attempt(ctx context.Context) error {
 	r.owner = directory.Owner{}
 	owner, err := r.service.ownerOf(ctx, r.request.GetSession(), r.request.GetProgram())
@@ -150,7 +153,7 @@
 	request.LookupViewVersion = owner.ViewVersion
 	err = r.serveBy(ctx, owner, request)
 	if isNotAccepted(err) {
-		// This owner's copy of the request never runs.
+		// This owner never runs the request.
 		r.request.FirstSend = request.GetFirstSend()
 	}
 	return err
@@ -163,23 +166,28 @@
 	return r.serveRemote(ctx, owner.Address, request)
 }
 
-// millisUntil is the time left until a deadline, at least a millisecond; past it there is none to be given away.
+// millisUntil is the time left until a deadline, at least a millisecond; past it there is
+// none.
 func (s *Service) millisUntil(deadline time.Time) (uint32, error) {
 	left := deadline.Sub(s.clock.Now())
 	if left <= 0 {
-		return 0, failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN, "the deadline passed while the owner was looked for")
+		return 0, failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
+			"the deadline passed while the owner was looked for")
 	}
 	return max(uint32(left.Milliseconds()), 1), nil
 }
 
-// shallowCopy gives a request whose own fields may be changed; what they lead to is shared.
+// shallowCopy returns a request whose own fields may be changed; what they point to is shared.
 func shallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest {
 	return &protocol.TurnRequest{
-		RequestId: request.GetRequestId(), Tenant: request.GetTenant(), Program: request.GetProgram(), Session: request.GetSession(),
+		RequestId: request.GetRequestId(), Tenant: request.GetTenant(), Program: request.GetProgram(),
+		Session:      request.GetSession(),
 		PreviousTurn: request.GetPreviousTurn(), Input: request.GetInput(), Model: request.GetModel(),
-		MaxOutputTokens: request.GetMaxOutputTokens(), Priority: request.GetPriority(), TimeLeftMillis: request.GetTimeLeftMillis(),
-		ProgramBudget: request.GetProgramBudget(), Ingress: request.GetIngress(), Nonce: request.GetNonce(),
-		LookupViewVersion: request.GetLookupViewVersion(), FirstSend: request.GetFirstSend(), Background: request.GetBackground(),
+		MaxOutputTokens: request.GetMaxOutputTokens(), Priority: request.GetPriority(),
+		TimeLeftMillis: request.GetTimeLeftMillis(),
+		ProgramBudget:  request.GetProgramBudget(), Ingress: request.GetIngress(), Nonce: request.GetNonce(),
+		LookupViewVersion: request.GetLookupViewVersion(), FirstSend: request.GetFirstSend(),
+		Background:  request.GetBackground(),
 		LastAttempt: request.GetLastAttempt(), Http: request.GetHttp(), TrainingStep: request.GetTrainingStep(),
 	}
 }
@@ -225,7 +233,7 @@
 	}
 }
 
-// markPossiblySent notes that another copy of the request may exist, unless the error shows that none does.
+// markPossiblySent records that another copy of the request may exist, unless the error shows that none does.
 func (r *relay) markPossiblySent(err error) {
 	var notSent *wire.NotSentError
 	if errors.As(err, &notSent) || isNotAccepted(err) {
@@ -234,7 +242,7 @@
 	r.request.FirstSend = false
 }
 
-// forward gives one event to the caller, unless it was given before.
+// forward delivers one event to the caller, unless it was delivered before.
 func (r *relay) forward(event *protocol.TurnEvent) error {
 	if r.position.Seen(event) {
 		return nil
@@ -255,8 +263,8 @@
 	return nil
 }
 
-// isRetryable reports whether the turn may be brought to an owner again. One of
-// an HTTP route goes again only when nobody took it.
+// isRetryable reports whether the turn may be forwarded again. One of an HTTP route is sent again only when
+// nobody accepted it.
 func (r *relay) isRetryable(err error) bool {
 	if r.request.GetHttp() != nil {
 		var notSent *wire.NotSentError
@@ -265,17 +273,18 @@
 	return isRetryable(err)
 }
 
-// isRetryable reports whether another owner, or the same one, may be asked.
-// The request's id keeps it from being run twice.
+// isRetryable reports whether the request may be forwarded again, to the same owner or another one. Its id
+// keeps it from being run twice.
 func isRetryable(err error) bool {
 	var notSent *wire.NotSentError
 	var broken *wire.BrokenError
 	var truncated *truncatedStreamError
 	var order *outOfOrderError
-	return errors.As(err, &notSent) || errors.As(err, &broken) || errors.As(err, &truncated) || errors.As(err, &order) || isNotAccepted(err)
+	return errors.As(err, &notSent) || errors.As(err, &broken) || errors.As(err, &truncated) ||
+		errors.As(err, &order) || isNotAccepted(err)
 }
 
-// isNotAccepted reports whether a front node answered that it did not take the request as owner.
+// isNotAccepted reports whether a front node answered that it did not accept the request as owner.
 func isNotAccepted(err error) bool {
 	var typed *failure.Error
 	return errors.As(err, &typed) && isNotAcceptedFailure(typed.Failure)
@@ -293,7 +302,7 @@
 	}
 }
 
-// giveUp ends the caller's request with the truth about it.
+// giveUp ends the caller's request with what is known of its outcome.
 func (r *relay) giveUp(ctx context.Context, cause error) error {
 	f := proto.CloneOf(forwardingFailure(cause))
 	if r.position != (sessions.Cursor{}) {
@@ -312,7 +321,7 @@
 	return nil
 }
 
-// forwardingFailure words an error of the way to the owner.
+// forwardingFailure is the failure for an error of forwarding to the owner.
 func forwardingFailure(err error) *protocol.Failure {
 	var typed *failure.Error
 	if errors.As(err, &typed) {
@@ -325,10 +334,11 @@
 		failure.WithRetryAfter(time.Second)).Failure
 }
 
-// rejectTurn refuses a request truthfully: as not run when no other copy can
-// exist or the ledger took its tombstone, with the kept answer when the request
-// was settled before, and as unknown otherwise.
-func (s *Service) rejectTurn(ctx context.Context, request *protocol.TurnRequest, f *protocol.Failure, answer func(*protocol.Turn) error) error {
+// rejectTurn rejects a request with its proved outcome: not run when no other copy can exist or the ledger
+// has its tombstone, the retained answer when the request was committed before, and unknown otherwise.
+func (s *Service) rejectTurn(
+	ctx context.Context, request *protocol.TurnRequest, f *protocol.Failure, answer func(*protocol.Turn) error,
+) error {
 	if request.GetFirstSend() {
 		f.Outcome = protocol.Outcome_NOT_RUN
 		return &failure.Error{Failure: f}
--- a/internal/dataplane/front/ingress_call.go
+++ b/internal/dataplane/front/ingress_call.go
@@ -15,8 +15,10 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// relayCall brings a tool call to the owner of its session and returns the answer.
-func (s *Service) relayCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool) (*protocol.ToolCallResponse, error) {
+// relayCall forwards a tool call to the owner of its session and returns the answer.
+func (s *Service) relayCall(
+	ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool,
+) (*protocol.ToolCallResponse, error) {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.RecordStep("taken in", request.GetTool())
 	response, err := s.routeCall(ctx, request, nonRepeatable, explanation)
@@ -30,7 +32,9 @@
 	return response, err
 }
 
-func (s *Service) routeCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explain.Explanation) (*protocol.ToolCallResponse, error) {
+func (s *Service) routeCall(
+	ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explain.Explanation,
+) (*protocol.ToolCallResponse, error) {
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	lastAttempt := s.clock.Now().Add(windowFor(request.GetHttp()))
 	if lastAttempt.After(deadline) {
@@ -63,8 +67,8 @@
 	}
 }
 
-// isCallRetryable reports whether the call may be brought to an owner again. A
-// call that may not be repeated goes again only when nobody took it.
+// isCallRetryable reports whether the call may be forwarded again. One that is not idempotent is sent again
+// only when nobody accepted it.
 func isCallRetryable(err error, nonRepeatable bool) bool {
 	var notSent *wire.NotSentError
 	if errors.As(err, &notSent) || isNotAccepted(err) {
@@ -74,7 +78,8 @@
 }
 
 func (s *Service) callOwner(
-	ctx context.Context, request *protocol.ToolCallRequest, runs *runQuota, deadline time.Time, explanation *explain.Explanation,
+	ctx context.Context, request *protocol.ToolCallRequest, runs *runQuota, deadline time.Time,
+	explanation *explain.Explanation,
 ) (directory.Owner, *protocol.ToolCallResponse, error) {
 	owner, err := s.ownerOf(ctx, request.GetSession(), request.GetProgram())
 	if err != nil {
@@ -89,10 +94,12 @@
 		return owner, nil, err
 	}
 	sent := &protocol.ToolCallRequest{
-		RequestId: request.GetRequestId(), Tenant: request.GetTenant(), Program: request.GetProgram(), Session: request.GetSession(),
-		Tool: request.GetTool(), Arguments: request.GetArguments(), ProgramBudget: request.GetProgramBudget(),
+		RequestId: request.GetRequestId(), Tenant: request.GetTenant(), Program: request.GetProgram(),
+		Session: request.GetSession(),
+		Tool:    request.GetTool(), Arguments: request.GetArguments(), ProgramBudget: request.GetProgramBudget(),
 		Ingress: request.GetIngress(), Nonce: request.GetNonce(), Priority: request.GetPriority(),
-		FirstSend: request.GetFirstSend(), Http: request.GetHttp(), TimeLeftMillis: left, RunsAllowed: runs.share(owner.Local),
+		FirstSend: request.GetFirstSend(), Http: request.GetHttp(), TimeLeftMillis: left,
+		RunsAllowed: runs.share(owner.Local),
 	}
 	if owner.Local {
 		response, err := s.runCall(ctx, sent)
@@ -120,8 +127,10 @@
 	return response.GetFailure() != nil && isNotAcceptedFailure(response.GetFailure())
 }
 
-// rejectCall refuses a call truthfully, as rejectTurn does for turns.
-func (s *Service) rejectCall(ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, f *protocol.Failure) (*protocol.ToolCallResponse, error) {
+// rejectCall rejects a call with its proved outcome, as rejectTurn does for turns.
+func (s *Service) rejectCall(
+	ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, f *protocol.Failure,
+) (*protocol.ToolCallResponse, error) {
 	if request.GetFirstSend() {
 		f.Outcome = protocol.Outcome_NOT_RUN
 		return nil, &failure.Error{Failure: f}
@@ -130,9 +139,12 @@
 	if !nonRepeatable || request.GetHttp() != nil {
 		return nil, &failure.Error{Failure: f}
 	}
-	result := s.operations.Do(ctx, &protocol.LedgerOperation{Program: request.GetProgram(), Body: &protocol.LedgerOperation_RefuseCall{
-		RefuseCall: &protocol.RefuseCall{RequestId: request.GetRequestId()},
-	}})
+	result := s.operations.Do(ctx, &protocol.LedgerOperation{
+		Program: request.GetProgram(),
+		Body: &protocol.LedgerOperation_RefuseCall{
+			RefuseCall: &protocol.RefuseCall{RequestId: request.GetRequestId()},
+		},
+	})
 	switch {
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_OK:
 		f.Outcome = protocol.Outcome_NOT_RUN
--- a/internal/dataplane/front/memory_ledger_test.go
+++ b/internal/dataplane/front/memory_ledger_test.go
@@ -73,7 +73,9 @@
 }
 
 // DoDirectly carries an operation out for another front node.
-func (l *memoryLedger) DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
+func (l *memoryLedger) DoDirectly(
+	ctx context.Context, operation *protocol.LedgerOperation,
+) (*protocol.LedgerResult, error) {
 	return l.Do(ctx, operation)
 }
 
--- a/internal/dataplane/front/network_test.go
+++ b/internal/dataplane/front/network_test.go
@@ -43,7 +43,10 @@
 	ctx, cancel := context.WithCancel(ctx)
 	left, limited := n.partitioned[address]
 	delete(n.partitioned, address)
-	stream := &memoryStream{address: address, answers: make(chan *protocol.Response, 4096), cancel: cancel, limited: limited, left: left, when: n.partitionWhen[address]}
+	stream := &memoryStream{
+		address: address, answers: make(chan *protocol.Response, 4096), cancel: cancel,
+		limited: limited, left: left, when: n.partitionWhen[address],
+	}
 	go func() {
 		stream.err = peer.Serve(ctx, proto.CloneOf(request), func(response *protocol.Response) error {
 			stream.answers <- proto.CloneOf(response)
--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -223,7 +223,8 @@
 		// One that waited may begin in a slot given back before its own caller was seen to leave.
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeZero())
 		Expect(f1.turn(turnBody("last", `,"max_output_tokens":8`), nil).status).To(Equal(http.StatusOK))
-		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeEquivalentTo(1), "only the last one is not freed")
+		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeEquivalentTo(1),
+			"only the last one is not freed")
 	})
 
 	It("frees the server of a reader that does not read, long before the answer's end", func() {
--- a/internal/dataplane/front/owned_turns_test.go
+++ b/internal/dataplane/front/owned_turns_test.go
@@ -37,7 +37,8 @@
 
 	It("is followed again after the stream between the nodes broke, without a gap or a repeat", func() {
 		r.network.partitioned["f2"] = 2
-		response := f1.open(context.Background(), http.MethodPost, "/v1/responses", turnBody("s1", `,"stream":true,"background":true`), nil)
+		response := f1.open(context.Background(), http.MethodPost, "/v1/responses",
+			turnBody("s1", `,"stream":true,"background":true`), nil)
 		defer func() { _ = response.Body.Close() }()
 		done := make(chan []sseEvent)
 		go func() { done <- readEvents(bufio.NewReader(response.Body), 10) }()
@@ -157,7 +158,9 @@
 	attempt := request.GetTurn().GetLastAttempt() + 1
 	for _, event := range []*protocol.TurnEvent{
 		{Attempt: attempt, Sequence: 1, Body: &protocol.TurnEvent_Created{Created: &protocol.TurnCreated{TurnId: "turn_x"}}},
-		{Attempt: attempt, Sequence: 3, Body: &protocol.TurnEvent_Completed{Completed: &protocol.TurnCompleted{Text: "skipped to"}}},
+		{Attempt: attempt, Sequence: 3, Body: &protocol.TurnEvent_Completed{
+			Completed: &protocol.TurnCompleted{Text: "skipped to"},
+		}},
 	} {
 		if err := send(&protocol.Response{Body: &protocol.Response_TurnEvent{TurnEvent: event}}); err != nil {
 			return err
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -17,7 +17,7 @@
 )
 
 // beginTurn starts a turn as its owner, or finds the one of the same request
-// that is under way already.
+// that is in progress already.
 func (s *Service) beginTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	if request.GetHttp() != nil {
 		return s.beginHTTPTurn(request)
@@ -46,7 +46,7 @@
 	return live, nil
 }
 
-// joinTurn is the answer when the session has a turn under way.
+// joinTurn is the answer when the session has a turn in progress.
 func (s *Service) joinTurn(current *sessions.LiveTurn, request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	if current == nil {
 		return nil, &failure.Error{Failure: admission.StoppingFailure()}
@@ -61,7 +61,8 @@
 const busyRetry = 500 * time.Millisecond
 
 func unknownModel() error {
-	return failure.New(failure.UnknownModel, protocol.Outcome_NOT_RUN, "no route serves the model", failure.WithPath("model"))
+	return failure.New(failure.UnknownModel, protocol.Outcome_NOT_RUN, "no route serves the model",
+		failure.WithPath("model"))
 }
 
 func timeLeft(millis uint32) time.Duration {
@@ -87,8 +88,9 @@
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
-			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), ReservationLimit: decided.ReservationLimit(request.GetMaxOutputTokens()),
-			Retention: time.Duration(decided.RetentionSeconds()) * time.Second, BundleVersion: decided.Version(),
+			Budget:           decided.Budget(request.GetProgramBudget(), request.GetTenant()),
+			ReservationLimit: decided.ReservationLimit(request.GetMaxOutputTokens()),
+			Retention:        time.Duration(decided.RetentionSeconds()) * time.Second, BundleVersion: decided.Version(),
 		}),
 	}
 }
@@ -101,9 +103,9 @@
 // drivenRun is a turn or a tool call that its owner drives.
 type drivenRun struct {
 	run func()
-	// end gives the session's grant back.
+	// end releases the session's grant.
 	end func()
-	// left is the time after which it is ended.
+	// left is the time until its deadline.
 	left time.Duration
 	// callerDisconnected is closed when its caller has left; nil goes on without the caller.
 	callerDisconnected <-chan struct{}
@@ -135,8 +137,10 @@
 	})
 }
 
-// claim returns a session's epoch; the ledger is asked only when this process does not hold it.
-func (s *Service) claim(ctx context.Context, key sessions.Key, operation *protocol.ClaimSession) *protocol.LedgerResult {
+// claim returns a session's epoch, from the ledger only when it is not cached here.
+func (s *Service) claim(
+	ctx context.Context, key sessions.Key, operation *protocol.ClaimSession,
+) *protocol.LedgerResult {
 	current := s.sessions.FindClaim(key, operation.GetTenant(), operation.GetOwnerIncarnation())
 	if current.Known {
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.Epoch}
@@ -151,7 +155,9 @@
 }
 
 // newPlacement gathers what a decision needs.
-func (s *Service) newPlacement(index *bundle.Index, wanted backends.GroupKey, key sessions.Key, avoid []string) backends.Placement {
+func (s *Service) newPlacement(
+	index *bundle.Index, wanted backends.GroupKey, key sessions.Key, avoid []string,
+) backends.Placement {
 	return backends.Placement{
 		Key: wanted, Index: index, Affinity: key.Program, Last: s.sessions.LastBackEnd(key), Avoid: avoid,
 		Zone: s.zone, Region: s.region, Front: s.name, FrontNodes: s.frontNodes(), Sequence: s.sequence.Add(1),
@@ -165,8 +171,11 @@
 	return servers.ByID[decision.Chosen], decision
 }
 
-// chooseShadow notes what the shadow bundle would have chosen; nothing is run by it.
-func (s *Service) chooseShadow(shadow *bundle.Index, wanted backends.Placement, tenant string, route *protocol.Route, explanation *explain.Explanation) {
+// chooseShadow records what the shadow bundle would have chosen; nothing is run by it.
+func (s *Service) chooseShadow(
+	shadow *bundle.Index, wanted backends.Placement, tenant string, route *protocol.Route,
+	explanation *explain.Explanation,
+) {
 	other := shadow.Model(tenant, route.GetModel())
 	if wanted.Key.Tool {
 		other = shadow.Tool(tenant, route.GetTool())
@@ -181,7 +190,7 @@
 	})
 }
 
-// forgetSession drops what is held of a session; fenced says that another owner has its epoch.
+// forgetSession drops what is cached of a session; fenced is set when another owner has its epoch.
 func (s *Service) forgetSession(key sessions.Key, fenced bool) {
 	s.sessions.Forget(key)
 	if fenced {
--- a/internal/dataplane/front/requests.go
+++ b/internal/dataplane/front/requests.go
@@ -91,7 +91,8 @@
 	request := &protocol.TurnRequest{
 		RequestId: id, Program: body.Program, Session: body.Conversation, PreviousTurn: body.PreviousResponseID,
 		Input: input, Model: body.Model, MaxOutputTokens: body.MaxOutputTokens, Priority: priorities[body.Priority],
-		TimeLeftMillis: body.TimeoutMillis, ProgramBudget: body.ProgramBudget, FirstSend: firstSend, Background: body.Background,
+		TimeLeftMillis: body.TimeoutMillis, ProgramBudget: body.ProgramBudget, FirstSend: firstSend,
+		Background: body.Background,
 	}
 	if request.Session == "" && request.PreviousTurn == "" {
 		// The same request must come to the same conversation when it is sent again.
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// reservedProgram refuses a name that the ledger keeps for training steps.
+// reservedProgram rejects a name that the ledger reserves for training steps.
 func reservedProgram() error {
 	return invalidField("program", "is a name that the ledger keeps for itself")
 }
@@ -189,7 +190,8 @@
 	}
 	request := &protocol.ToolCallRequest{
 		RequestId: id, Program: body.Program, Session: body.Conversation, Tool: tool, Arguments: body.Arguments,
-		Priority: priorities[body.Priority], TimeLeftMillis: body.TimeoutMillis, ProgramBudget: body.ProgramBudget, FirstSend: firstSend,
+		Priority: priorities[body.Priority], TimeLeftMillis: body.TimeoutMillis, ProgramBudget: body.ProgramBudget,
+		FirstSend: firstSend,
 	}
 	if request.Session == "" {
 		request.Session = "conv_" + derivedID(body.Program, id)
@@ -201,7 +203,7 @@
 	return request, err
 }
 
-// requestID takes the caller's Idempotency-Key, or makes an id up of which no other copy exists.
+// requestID is the caller's Idempotency-Key, or a new id; only of the latter no other copy exists (firstSend).
 func requestID(header http.Header) (id string, firstSend bool, err error) {
 	key := header.Get(issue.HeaderIdempotency)
 	switch {
@@ -248,7 +250,8 @@
 	}
 	policy := decided.Tenant(name)
 	if policy == nil {
-		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the tenant is not known", failure.WithPath(headerTenant))
+		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the tenant is not known",
+			failure.WithPath(headerTenant))
 	}
 	wanted := policy.GetCredentialSha256()
 	if wanted == "" {
--- a/internal/dataplane/front/rig_test.go
+++ b/internal/dataplane/front/rig_test.go
@@ -70,7 +70,10 @@
 			clock: clock, seen: map[string]int{}, programs: map[string]*protocol.ProgramRecord{},
 			calls: map[string]*protocol.CallRecord{}, turns: map[string]*protocol.Turn{},
 		},
-		network: &network{peers: map[string]wire.Handler{}, partitioned: map[string]int{}, partitionWhen: map[string]chan struct{}{}, unreachable: map[string]bool{}},
+		network: &network{
+			peers: map[string]wire.Handler{}, partitioned: map[string]int{},
+			partitionWhen: map[string]chan struct{}{}, unreachable: map[string]bool{},
+		},
 		view: &corelink.View{
 			Configuration: configuration, Membership: &protocol.MembershipView{}, BackEnds: &protocol.BackEndView{Version: 1},
 		},
--- a/internal/dataplane/front/route_affinity_test.go
+++ b/internal/dataplane/front/route_affinity_test.go
@@ -48,7 +48,8 @@
 	})
 
 	It("given a sticky route and many objects, then they spread over the servers", func() {
-		Expect(serversUsed(true, func(call int) string { return fmt.Sprintf("meter-%d", call) })).To(BeNumerically(">", servers/2))
+		Expect(serversUsed(true, func(call int) string { return fmt.Sprintf("meter-%d", call) })).To(BeNumerically(">",
+			servers/2))
 	})
 
 	It("given a route that is not sticky, then programs spread over the servers", func() {
--- a/internal/dataplane/front/route_api.go
+++ b/internal/dataplane/front/route_api.go
@@ -30,8 +30,8 @@
 	dialect dialect.Dialect
 }
 
-// ServeHTTP implements http.Handler: it brings one request to its session's
-// owner and a server's answer back, both unchanged.
+// ServeHTTP implements http.Handler: it forwards one request to its session's owner and a server's answer
+// back, both unchanged.
 func (a *routeAPI) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	accepted, err := a.accept(request)
 	if err != nil {
@@ -47,10 +47,10 @@
 	a.serveCall(ctx, writer, accepted)
 }
 
-// routedAnswerSlack is how much longer than the request's time an ingress waits for the owner's word on it.
+// routedAnswerSlack is how long after the request's deadline an ingress still waits for the owner's answer.
 const routedAnswerSlack = 100 * time.Millisecond
 
-// acceptedRequest is a request of an HTTP route with what its headers say.
+// acceptedRequest is a request of an HTTP route with what its headers state.
 type acceptedRequest struct {
 	http    *protocol.HttpRequest
 	id      string
@@ -71,11 +71,13 @@
 func (a *routeAPI) accept(request *http.Request) (*acceptedRequest, error) {
 	index, waited := a.awaitBundle(request)
 	if index.Bundle() == nil {
-		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet", failure.WithRetryAfter(a.service.remainingStartup()))
+		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet",
+			failure.WithRetryAfter(a.service.remainingStartup()))
 	}
 	route := index.HTTPRoute(request.Host, request.URL.EscapedPath())
 	if route == nil {
-		return nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "no route has this host and path", failure.WithPath(request.URL.Path))
+		return nil, failure.New(failure.UnknownRoute, protocol.Outcome_NOT_RUN, "no route has this host and path",
+			failure.WithPath(request.URL.Path))
 	}
 	limits := index.Bundle().GetLimits()
 	if headerBytes(request.Header) > orDefault(uint64(limits.GetMaxHeaderBytes()), defaultRoutedHeaderBytes) {
@@ -105,7 +107,7 @@
 	return uint64(total)
 }
 
-// read takes what the headers say. What the request waited already is gone from its time.
+// read parses the headers. The time that the request has waited already is taken off its time left.
 func (a *routeAPI) read(
 	request *http.Request, index *bundle.Index, route *protocol.HttpRoute, body []byte, waited time.Duration,
 ) (*acceptedRequest, error) {
@@ -132,7 +134,8 @@
 		return nil, reservedProgram()
 	}
 	if route.GetStateful() && accepted.program == "" {
-		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of this route must name its program", failure.WithPath("program"))
+		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of this route must name its program",
+			failure.WithPath("program"))
 	}
 	if err := a.readStep(accepted, header, route); err != nil {
 		return nil, err
@@ -148,8 +151,9 @@
 	accepted.http = &protocol.HttpRequest{
 		Route: route.GetName(), Group: group, Kind: route.GetKind(), Method: request.Method, Target: requestTarget(request),
 		Host: request.Host, Headers: httpheader.EndToEnd(header, a.dialect.TimeLeft, a.dialect.TargetServer), Body: body,
-		MaxAttempts: max(route.GetMaxAttempts(), 1), Rank: route.GetRank(), LatencyObjectiveMillis: route.GetLatencyObjectiveMillis(),
-		Stateful: route.GetStateful(), Resumable: route.GetResumable(), KeepMillis: route.GetKeepMillis(),
+		MaxAttempts: max(route.GetMaxAttempts(), 1), Rank: route.GetRank(),
+		LatencyObjectiveMillis: route.GetLatencyObjectiveMillis(),
+		Stateful:               route.GetStateful(), Resumable: route.GetResumable(), KeepMillis: route.GetKeepMillis(),
 		BundleVersion: index.Bundle().GetVersion(), Affinity: a.affinityKey(header, route),
 		PromptParts: promptParts(header.Get(a.dialect.PromptParts)), PromptTokens: prompt,
 		ProgramTimeLeftMillis: uint32(min(headerNumber(header, a.dialect.ProgramTimeLeft), maxTimeoutMillis)),
@@ -158,7 +162,8 @@
 	return accepted, nil
 }
 
-// affinityKey names the object that a request concerns, where servers of the route work faster for one that they have seen.
+// affinityKey names the object that a request concerns, on routes whose servers are faster for an object in
+// their cache.
 func (a *routeAPI) affinityKey(header http.Header, route *protocol.HttpRoute) string {
 	if !route.GetSticky() {
 		return ""
@@ -173,7 +178,7 @@
 	return other
 }
 
-// requestTarget gives path and query as they came.
+// requestTarget is the path and query, unchanged.
 func requestTarget(request *http.Request) string {
 	if strings.HasPrefix(request.RequestURI, "/") {
 		return request.RequestURI
@@ -191,7 +196,7 @@
 	return min(allowed, time.Duration(min(requested, maxTimeoutMillis))*time.Millisecond)
 }
 
-// parseInteger reads a whole number, or one with a fraction that is cut off; false when there is none.
+// parseInteger reads an integer, or a decimal number without its fraction; false when there is none.
 func parseInteger(text string) (uint64, bool) {
 	integer, _, _ := strings.Cut(text, ".")
 	number, err := strconv.ParseInt(integer, 10, 64)
--- a/internal/dataplane/front/route_faults_test.go
+++ b/internal/dataplane/front/route_faults_test.go
@@ -36,19 +36,22 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, seen.id())
 	},
 	"one of another request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, testDialect.Signature)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse",
+			testDialect.RequestID, testDialect.Signature)
 	},
 	"one of no request": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.Signature)
 	},
 	"a refusal of another request": func(seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID, testDialect.NotExecuted)
+		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID,
+			testDialect.NotExecuted)
 	},
 	"a wrong address for another request": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 421 Misdirected\r\n%s: other\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID)
 	},
 	"a 503 that does not say that it was not run": func(seen seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", testDialect.RequestID, seen.id(), testDialect.Signature)
+		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", testDialect.RequestID,
+			seen.id(), testDialect.Signature)
 	},
 }
 
@@ -58,16 +61,19 @@
 		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1, "one") + "id: 2\ndata: tw"
 	},
 	"ends before the blank line of an event": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1, "one") + "id: 2\ndata: two\n"
+		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1,
+			"one") + "id: 2\ndata: two\n"
 	},
 	"is cut between events": func(seen seenRequest) string {
 		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one"))
 	},
 	"is cut inside a chunk": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one")) + "40\r\nid: 2\n"
+		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
+			"one")) + "40\r\nid: 2\n"
 	},
 	"turns into garbage": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one")) + "\x00\xff?\r\n"
+		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
+			"one")) + "\x00\xff?\r\n"
 	},
 }
 
@@ -90,19 +96,20 @@
 	badOnce := func(bad badAnswer, good func(seen seenRequest) string) [2]*standIn {
 		var servers [2]*standIn
 		for at := range servers {
-			servers[at] = r.rawServer(fmt.Sprintf("s%d", at+1), func(server *standIn, connection net.Conn, reader *bufio.Reader) {
-				for {
-					seen, more := server.take(reader)
-					if !more {
-						return
+			servers[at] = r.rawServer(fmt.Sprintf("s%d", at+1),
+				func(server *standIn, connection net.Conn, reader *bufio.Reader) {
+					for {
+						seen, more := server.take(reader)
+						if !more {
+							return
+						}
+						if arrivals.Add(1) == 1 {
+							_, _ = io.WriteString(connection, bad(seen))
+							return
+						}
+						_, _ = io.WriteString(connection, good(seen))
 					}
-					if arrivals.Add(1) == 1 {
-						_, _ = io.WriteString(connection, bad(seen))
-						return
-					}
-					_, _ = io.WriteString(connection, good(seen))
-				}
-			})
+				})
 		}
 		return servers
 	}
@@ -162,24 +169,26 @@
 			writer.WriteHeader(http.StatusBadRequest)
 		},
 	} {
-		DescribeTable("that refuses with "+name+" is followed by another one", func(path string, answer http.HandlerFunc, wanted string) {
-			var servers []*standIn
-			for at := range 3 {
-				servers = append(servers, r.server(fmt.Sprintf("s%d", at), func(writer http.ResponseWriter, request *http.Request) {
-					if arrivals.Add(1) < 3 {
-						rejection(writer, request)
-						return
+		DescribeTable("that refuses with "+name+" is followed by another one",
+			func(path string, answer http.HandlerFunc, wanted string) {
+				var servers []*standIn
+				for at := range 3 {
+					handler := func(writer http.ResponseWriter, request *http.Request) {
+						if arrivals.Add(1) < 3 {
+							rejection(writer, request)
+							return
+						}
+						answer(writer, request)
 					}
-					answer(writer, request)
-				}))
-			}
-			got := f1.route(routed{target: path, headers: with(testDialect.RequestID, "r1"), body: "b"})
-			Expect(got.status).To(Equal(http.StatusOK), got.body)
-			Expect(got.body).To(Equal(wanted))
-			for _, server := range servers {
-				Expect(server.bodies()).To(Equal([]string{"b"}), "each is asked once")
-			}
-		},
+					servers = append(servers, r.server(fmt.Sprintf("s%d", at), handler))
+				}
+				got := f1.route(routed{target: path, headers: with(testDialect.RequestID, "r1"), body: "b"})
+				Expect(got.status).To(Equal(http.StatusOK), got.body)
+				Expect(got.body).To(Equal(wanted))
+				for _, server := range servers {
+					Expect(server.bodies()).To(Equal([]string{"b"}), "each is asked once")
+				}
+			},
 			Entry("for a repeatable request", repeatablePath, answerWith(http.StatusOK, "yes"), "yes"),
 			Entry("for one that may not be repeated", nonRepeatablePath, answerWith(http.StatusOK, "yes"), "yes"),
 			Entry("for a stream", streamPath, streamOf("yes"), event(1, "yes")),
--- a/internal/dataplane/front/route_ingress_test.go
+++ b/internal/dataplane/front/route_ingress_test.go
@@ -18,8 +18,11 @@
 
 // Requests of session c1 of program p1, one of each kind.
 var (
-	ownedTurn  = routedTurn{id: "r1", input: "in"}.sent()
-	ownedTalk  = routed{target: streamPath, body: "in", headers: with(testDialect.RequestID, "r1", testDialect.Session, "c1", testDialect.Program, "p1")}
+	ownedTurn = routedTurn{id: "r1", input: "in"}.sent()
+	ownedTalk = routed{
+		target: streamPath, body: "in",
+		headers: with(testDialect.RequestID, "r1", testDialect.Session, "c1", testDialect.Program, "p1"),
+	}
 	ownedWrite = routed{target: nonRepeatablePath, body: "in", headers: ownedTalk.headers}
 	ownedRead  = routed{target: repeatablePath, body: "in", headers: ownedTalk.headers}
 )
@@ -113,21 +116,22 @@
 		Entry("a call that may be repeated", ownedRead),
 	)
 
-	DescribeTable("is answered with no promise and not sent again when the owner is lost while a server is at work", func(sent routed) {
-		arrived, release := make(chan struct{}), make(chan struct{})
-		server := r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
-			close(arrived)
-			<-release
-			bothKinds(writer, request)
-		})
-		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, arrived
-		got := f1.route(sent)
-		close(release)
-		Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
-		Expect(got.header).NotTo(HaveKey("Retry-After"))
-		r.waitUntilIdle(f2)
-		Expect(server.requests()).To(HaveLen(1))
-	},
+	DescribeTable("is answered with no promise and not sent again when the owner is lost while a server is at work",
+		func(sent routed) {
+			arrived, release := make(chan struct{}), make(chan struct{})
+			server := r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
+				close(arrived)
+				<-release
+				bothKinds(writer, request)
+			})
+			r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, arrived
+			got := f1.route(sent)
+			close(release)
+			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
+			Expect(got.header).NotTo(HaveKey("Retry-After"))
+			r.waitUntilIdle(f2)
+			Expect(server.requests()).To(HaveLen(1))
+		},
 		Entry("a turn", ownedTurn),
 		Entry("a stream", ownedTalk),
 		Entry("a call that may not be repeated", ownedWrite),
@@ -147,31 +151,32 @@
 		Expect(answerOf(answered).status).To(Equal(http.StatusOK))
 	})
 
-	DescribeTable("is run by no more servers than the route allows, also when its owner is lost", func(allowed uint32, status int) {
-		r.changeBundle(func(active *protocol.Bundle) {
-			for _, route := range active.HttpRoutes {
-				route.MaxAttempts = allowed
+	DescribeTable("is run by no more servers than the route allows, also when its owner is lost",
+		func(allowed uint32, status int) {
+			r.changeBundle(func(active *protocol.Bundle) {
+				for _, route := range active.HttpRoutes {
+					route.MaxAttempts = allowed
+				}
+			})
+			arrived := make(chan struct{}, 16)
+			answersLost := func(http.ResponseWriter, *http.Request) {
+				arrived <- struct{}{}
+				panic(http.ErrAbortHandler)
 			}
-		})
-		arrived := make(chan struct{}, 16)
-		answersLost := func(http.ResponseWriter, *http.Request) {
-			arrived <- struct{}{}
-			panic(http.ErrAbortHandler)
-		}
-		var servers []*standIn
-		for at := range 6 {
-			servers = append(servers, r.server(fmt.Sprintf("s%d", at), answersLost))
-		}
-		lost := make(chan struct{})
-		r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, lost
-		answered := f1.routeAside(ownedRead)
-		<-arrived
-		close(lost)
-		Expect(answerOf(answered).status).To(Equal(status))
-		r.waitUntilIdle(f1)
-		r.waitUntilIdle(f2)
-		Expect(count(servers...)).To(BeNumerically("<=", int(allowed)))
-	},
+			var servers []*standIn
+			for at := range 6 {
+				servers = append(servers, r.server(fmt.Sprintf("s%d", at), answersLost))
+			}
+			lost := make(chan struct{})
+			r.network.partitioned["f2"], r.network.partitionWhen["f2"] = 0, lost
+			answered := f1.routeAside(ownedRead)
+			<-arrived
+			close(lost)
+			Expect(answerOf(answered).status).To(Equal(status))
+			r.waitUntilIdle(f1)
+			r.waitUntilIdle(f2)
+			Expect(count(servers...)).To(BeNumerically("<=", int(allowed)))
+		},
 		Entry("one: nobody else may run it", uint32(1), http.StatusBadGateway),
 		Entry("two", uint32(2), http.StatusBadGateway),
 		Entry("three", uint32(3), http.StatusBadGateway),
@@ -317,7 +322,8 @@
 		listener.BeginDrain()
 		drained := make(chan error, 1)
 		go func() { drained <- listener.Drain(context.Background()) }()
-		Expect(listener.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}), "those who hand connections out have not noticed yet")
+		Expect(listener.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}),
+			"those who hand connections out have not noticed yet")
 		r.clock.advance(10 * time.Second)
 		Consistently(drained, "20ms").ShouldNot(Receive(), "a request is under way")
 		releaseAll()
@@ -336,7 +342,8 @@
 		Expect(connection.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick"}))
 
 		listener.BeginDrain()
-		Expect(connection.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}), "it was sent before its caller could know")
+		Expect(connection.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}),
+			"it was sent before its caller could know")
 		Expect(connection.ended()).To(BeTrue())
 	})
 })
--- a/internal/dataplane/front/route_listener.go
+++ b/internal/dataplane/front/route_listener.go
@@ -15,8 +15,8 @@
 const (
 	routedHeaderTimeout = 10 * time.Second
 	routedIdleTimeout   = 60 * time.Second
-	// drainLinger is how long a front node that drains still takes connections in,
-	// until those who hand them out have noticed that it is not ready.
+	// drainLinger is how long a draining front node still accepts connections, until the load balancers have
+	// observed that it is not ready.
 	drainLinger = 2500 * time.Millisecond
 )
 
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// beginDrain lets callers go to other front nodes; the channel tells when all must have noticed. Connections at rest
-// stay open until then: a request may be on its way on each, and would be lost without an answer.
+// beginDrain sends callers to other front nodes; the channel receives when all should have left. Idle
+// connections stay open until then: a request may be in transit on each and would be lost without an answer.
 func (l *routeListener) beginDrain(clock Clock) <-chan time.Time {
 	if l.address == "" {
 		return nil
--- a/internal/dataplane/front/route_rig_test.go
+++ b/internal/dataplane/front/route_rig_test.go
@@ -156,7 +156,8 @@
 		}
 		body, _ := io.ReadAll(request.Body)
 		stand.record(seenRequest{
-			method: request.Method, target: request.RequestURI, host: request.Host, body: string(body), header: request.Header.Clone(),
+			method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
+			header: request.Header.Clone(),
 		})
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		handler(writer, request)
@@ -204,7 +205,10 @@
 		return seenRequest{}, false
 	}
 	body, _ := io.ReadAll(request.Body)
-	seen := seenRequest{method: request.Method, target: request.RequestURI, host: request.Host, body: string(body), header: request.Header}
+	seen := seenRequest{
+		method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
+		header: request.Header,
+	}
 	s.record(seen)
 	return seen, true
 }
@@ -214,7 +218,8 @@
 
 // rawHead is the head of a server's proper answer to a request, with more header lines.
 func rawHead(request seenRequest, lines string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: proof\r\n%s\r\n", testDialect.RequestID, request.id(), testDialect.Signature, lines)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: proof\r\n%s\r\n", testDialect.RequestID, request.id(),
+		testDialect.Signature, lines)
 }
 
 // prove puts on an answer what a server puts on each that it gives itself.
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -14,17 +14,18 @@
 const (
 	// routedTenant is the tenant of all programs that come in by HTTP routes, which know no tenants.
 	routedTenant = "routes"
-	// defaultRetryAfter is told with a refusal that has no better word.
+	// defaultRetryAfter is answered with a rejection that names no time.
 	defaultRetryAfter = 100 * time.Millisecond
-	// routedWriteTimeout is how long one piece of an answer may take to be written to a slow caller.
+	// routedWriteTimeout is how long writing one part of an answer to a slow caller may take.
 	routedWriteTimeout = 10 * time.Second
 )
 
-// serveStream serves a request that is answered by a stream.
+// serveStream serves a request that is answered with a stream.
 func (a *routeAPI) serveStream(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
 	request := &protocol.TurnRequest{
-		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session, MaxOutputTokens: accepted.maxOutputTokens,
-		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), ProgramBudget: accepted.budget, Ingress: a.service.name,
+		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session,
+		MaxOutputTokens: accepted.maxOutputTokens,
+		TimeLeftMillis:  uint32(accepted.timeLeft.Milliseconds()), ProgramBudget: accepted.budget, Ingress: a.service.name,
 		FirstSend: true, Http: accepted.http, TrainingStep: accepted.step, Model: accepted.model,
 	}
 	request.Input = []*protocol.Item{{Data: accepted.http.GetBody()}}
@@ -32,7 +33,10 @@
 	if accepted.http.GetStateful() {
 		request.PreviousTurn = accepted.previous
 	}
-	stream := &routedStream{writer: writer, method: accepted.http.GetMethod(), controller: http.NewResponseController(writer)}
+	stream := &routedStream{
+		writer: writer, method: accepted.http.GetMethod(),
+		controller: http.NewResponseController(writer),
+	}
 	if err := a.service.relayTurn(ctx, request, stream.send); err != nil {
 		stream.fail(failure.From(err))
 	}
@@ -87,8 +91,8 @@
 	return nil
 }
 
-// fail answers with a failure, or breaks the connection off when the answer has begun:
-// an answer that ends early must not look whole.
+// fail answers with a failure, or aborts the connection when the answer has begun: a truncated answer must not
+// look complete.
 func (s *routedStream) fail(f *protocol.Failure) {
 	if s.begun {
 		panic(http.ErrAbortHandler)
@@ -97,12 +101,14 @@
 	writeRoutedFailure(s.writer, f)
 }
 
-// serveCall serves a request that is answered whole.
+// serveCall serves a request that is answered at once.
 func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
 	repeatable := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
 	answer, err := a.service.relayCall(ctx, &protocol.ToolCallRequest{
-		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session, Tool: accepted.http.GetRoute(),
-		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true, Http: accepted.http,
+		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session,
+		Tool:           accepted.http.GetRoute(),
+		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true,
+		Http: accepted.http,
 	}, !repeatable)
 	switch {
 	case err != nil:
@@ -110,19 +116,20 @@
 	case answer.GetFailure() != nil:
 		writeRoutedFailure(writer, answer.GetFailure())
 	default:
-		writeAnswer(writer, accepted.http.GetMethod(), &protocol.HttpAnswer{Status: answer.GetStatus(), Headers: answer.GetHeaders(), Body: answer.GetBody()})
+		writeAnswer(writer, accepted.http.GetMethod(),
+			&protocol.HttpAnswer{Status: answer.GetStatus(), Headers: answer.GetHeaders(), Body: answer.GetBody()})
 	}
 }
 
 func copyHeaders(to http.Header, headers []*protocol.HttpHeader) {
-	// Nothing is added to what the server said.
+	// Nothing is added to the server's answer.
 	to["Date"], to["Content-Type"] = nil, nil
 	for _, header := range headers {
 		to[header.GetName()] = append(to[header.GetName()], header.GetValue())
 	}
 }
 
-// writeAnswer writes a server's whole answer to a request of a method.
+// writeAnswer writes a server's complete answer to a request of a method.
 func writeAnswer(writer http.ResponseWriter, method string, answer *protocol.HttpAnswer) {
 	copyHeaders(writer.Header(), answer.GetHeaders())
 	if hasBody(method, answer.GetStatus()) {
@@ -132,13 +139,13 @@
 	_, _ = writer.Write(answer.GetBody())
 }
 
-// hasBody reports whether an answer has a body, whose length is told then.
+// hasBody reports whether an answer has a body, whose length is stated then.
 func hasBody(method string, status uint32) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeRoutedFailure answers with a failure of this system. A status that
-// promises that nothing ran is used only where that is certain.
+// writeRoutedFailure answers with a failure of this system. A status from which callers conclude that nothing
+// ran is used only where that is certain.
 func writeRoutedFailure(writer http.ResponseWriter, f *protocol.Failure) {
 	status := routedStatus(f)
 	header := writer.Header()
@@ -153,7 +160,7 @@
 }
 
 // retryWait is how long a caller should wait before it comes back. What another
-// front node can serve may be sent at once; what none can serve needs time to mend.
+// front node can serve may be sent at once; what none can serve needs time for repair.
 func retryWait(f *protocol.Failure) time.Duration {
 	switch failure.Code(f.GetCode()) {
 	case failure.LedgerUnavailable:
--- a/internal/dataplane/front/route_streams_test.go
+++ b/internal/dataplane/front/route_streams_test.go
@@ -45,7 +45,8 @@
 			}
 			<-next
 		})
-		response, err := f1.begin(context.Background(), routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
+		response, err := f1.begin(context.Background(),
+			routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = response.Body.Close() }()
 		Expect(response.Header).To(HaveKeyWithValue("X-Own", []string{"kept"}), "the head does not wait for an event")
@@ -77,8 +78,10 @@
 		Entry("with carriage returns", "data: a\r\n\r\ndata: b\r\n\r\n"),
 		Entry("with a version before the data", "rosestand-weights: 4\ndata: a\n\n"),
 		Entry("with a large event", "data: "+strings.Repeat("x", 300_000)+"\n\n"),
-		Entry("with a line that fills what is read at once", "data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\ndata: b\n\n"),
-		Entry("that ends with a line that fills what is read at once", "data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\n"),
+		Entry("with a line that fills what is read at once",
+			"data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\ndata: b\n\n"),
+		Entry("that ends with a line that fills what is read at once",
+			"data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\n"),
 		Entry("with a blank line too many at its end", "data: a\n\n\n"),
 	)
 
--- a/internal/dataplane/front/route_turns_test.go
+++ b/internal/dataplane/front/route_turns_test.go
@@ -184,7 +184,8 @@
 			r.drainServer("s1")
 			odd := r.server("s2", func(writer http.ResponseWriter, request *http.Request) {
 				streamHead(writer, request)
-				_, _ = io.WriteString(writer, ": comment\n\nid: 1\ndata: x\ndata: y\n\ndata:\n\nrosestand-weights: 2\ndata:  z\r\n\r\n")
+				_, _ = io.WriteString(writer, ": comment\n\nid: 1\ndata: x\ndata: y\n\ndata:\n\n"+
+					"rosestand-weights: 2\ndata:  z\r\n\r\n")
 			})
 			f1.take(routedTurn{id: "t3", previous: "t2", input: third})
 			f1.take(routedTurn{id: "t4", previous: "t3", input: "four"})
@@ -254,7 +255,10 @@
 			f1.take(routedTurn{id: "t1", input: "one", budget: 4})
 			f1.take(routedTurn{id: "t2", previous: "t1", input: "two", budget: 4})
 			for at, n := range []*node{f1, r.front("f2")} {
-				got := n.route(routedTurn{id: fmt.Sprint("spent", at), previous: "t2", input: "x", session: fmt.Sprint("c", at)}.sent())
+				got := n.route(routedTurn{
+					id: fmt.Sprint("spent", at), previous: "t2", input: "x",
+					session: fmt.Sprint("c", at),
+				}.sent())
 				Expect(got.status).To(Equal(http.StatusPaymentRequired))
 				Expect(got.header).NotTo(HaveKey(testDialect.Signature))
 			}
@@ -294,7 +298,10 @@
 
 		It("is given its reservation back when nothing ran", func() {
 			r.server("s1", rejectWith(http.StatusServiceUnavailable, ""))
-			Expect(f1.route(routedTurn{id: "t1", input: "one", budget: 5}.sent()).status).To(Equal(http.StatusServiceUnavailable))
+			Expect(f1.route(routedTurn{
+				id: "t1", input: "one",
+				budget: 5,
+			}.sent()).status).To(Equal(http.StatusServiceUnavailable))
 			r.waitUntilIdle(f1)
 			Expect(r.ledger.program("p1").GetSettled()).To(BeZero())
 			Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
--- a/internal/dataplane/front/routes_test.go
+++ b/internal/dataplane/front/routes_test.go
@@ -32,8 +32,10 @@
 		const target = "/write/a%2Fb/%E2%82%AC/..;v=1/?q=a+b&&r=%41&s"
 		got := f1.route(routed{
 			method: method, target: target, host: "SHOP.example:8080", body: body, chunked: chunked,
-			headers: with(testDialect.RequestID, "r1", "X-Many", "one", "X-Many", "two", "Content-Type", "a/b", "Cookie", "c=d; e",
-				"Connection", "X-Hop", "X-Hop", "here", "Te", "gzip", "Proxy-Authorization", "secret", "Accept-Encoding", "identity"),
+			headers: with(testDialect.RequestID, "r1", "X-Many", "one", "X-Many", "two", "Content-Type", "a/b", "Cookie",
+				"c=d; e",
+				"Connection", "X-Hop", "X-Hop", "here", "Te", "gzip", "Proxy-Authorization", "secret", "Accept-Encoding",
+				"identity"),
 		})
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
 		Expect(server.requests()).To(HaveLen(1))
@@ -44,7 +46,8 @@
 		Expect(seen.body).To(Equal(body))
 		wanted := http.Header{
 			http.CanonicalHeaderKey(testDialect.RequestID): {"r1"}, "X-Many": {"one", "two"}, "Content-Type": {"a/b"},
-			"Cookie": {"c=d; e"}, "Accept-Encoding": {"identity"}, testDialect.TimeLeft: {"2000"}, testDialect.TargetServer: {"s1"},
+			"Cookie": {"c=d; e"}, "Accept-Encoding": {"identity"}, testDialect.TimeLeft: {"2000"},
+			testDialect.TargetServer: {"s1"},
 		}
 		if length, given := seen.header["Content-Length"]; given {
 			wanted["Content-Length"] = length
@@ -121,7 +124,8 @@
 	})
 
 	It("goes by the bundle in force from the moment it is there", func() {
-		former, next := r.server("s1", answerWith(http.StatusOK, "former")), r.serverOf("next", "n1", answerWith(http.StatusOK, "next"))
+		former, next := r.server("s1", answerWith(http.StatusOK, "former")),
+			r.serverOf("next", "n1", answerWith(http.StatusOK, "next"))
 		Expect(f1.route(routed{target: "/write/"}).body).To(Equal("former"))
 		Expect(f1.route(routed{target: "/new/"}).status).To(Equal(http.StatusNotFound))
 		r.changeBundle(func(active *protocol.Bundle) {
@@ -138,7 +142,10 @@
 	})
 
 	It("is answered 503 with the time to come back while no bundle is in force", func() {
-		r.put(&corelink.View{Configuration: &protocol.Configuration{Version: 9}, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
+		r.put(&corelink.View{
+			Configuration: &protocol.Configuration{Version: 9}, Membership: r.view.Membership,
+			BackEnds: r.view.BackEnds,
+		})
 		got := f1.route(routed{target: "/read/"})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("1.100"), "what a start takes")
@@ -165,9 +172,11 @@
 		},
 			Entry("a body at the bound", routed{body: strings.Repeat("x", 100)}, http.StatusOK),
 			Entry("a body beyond", routed{body: strings.Repeat("x", 101)}, http.StatusRequestEntityTooLarge),
-			Entry("a body in chunks beyond", routed{body: strings.Repeat("x", 101), chunked: true}, http.StatusRequestEntityTooLarge),
+			Entry("a body in chunks beyond", routed{body: strings.Repeat("x", 101), chunked: true},
+				http.StatusRequestEntityTooLarge),
 			Entry("a header within", routed{headers: with("X-Long", strings.Repeat("x", 900))}, http.StatusOK),
-			Entry("a header beyond", routed{headers: with("X-Long", strings.Repeat("x", 1000))}, http.StatusRequestHeaderFieldsTooLarge),
+			Entry("a header beyond", routed{headers: with("X-Long", strings.Repeat("x", 1000))},
+				http.StatusRequestHeaderFieldsTooLarge),
 			Entry("many headers beyond", routed{headers: with("X-A", strings.Repeat("x", 500), "X-B", strings.Repeat("x", 500))},
 				http.StatusRequestHeaderFieldsTooLarge),
 		)
@@ -182,7 +191,8 @@
 			Entry("the caller's when it is shorter", with(testDialect.TimeLeft, "700"), "700"),
 			Entry("a fraction is cut off", with(testDialect.TimeLeft, "700.9"), "700"),
 			Entry("the route's when the caller's is longer", with(testDialect.TimeLeft, "70000"), "2000"),
-			Entry("the route's when the caller's is beyond every number", with(testDialect.TimeLeft, "99999999999999999999"), "2000"),
+			Entry("the route's when the caller's is beyond every number", with(testDialect.TimeLeft, "99999999999999999999"),
+				"2000"),
 			Entry("the route's when the caller tells none", nil, "2000"),
 		)
 
@@ -272,7 +282,8 @@
 		connection, err := net.Dial("tcp", n.routeServer().Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = connection.Close() }()
-		_, err = fmt.Fprintf(connection, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: r1\r\nConnection: close\r\n\r\n", method, target, routeHost, testDialect.RequestID)
+		_, err = fmt.Fprintf(connection, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: r1\r\nConnection: close\r\n\r\n", method, target,
+			routeHost, testDialect.RequestID)
 		Expect(err).NotTo(HaveOccurred())
 		answer, err := io.ReadAll(connection)
 		Expect(err).NotTo(HaveOccurred())
@@ -299,7 +310,8 @@
 				if _, more := server.take(reader); !more {
 					return
 				}
-				_, _ = fmt.Fprintf(connection, "HTTP/1.1 %s\r\n%s: r1\r\n%s: proof\r\n%s\r\n%s", status, testDialect.RequestID, testDialect.Signature, lines, body)
+				_, _ = fmt.Fprintf(connection, "HTTP/1.1 %s\r\n%s: r1\r\n%s: proof\r\n%s\r\n%s", status, testDialect.RequestID,
+					testDialect.Signature, lines, body)
 			}
 		})
 		gotStatus, gotLines, gotBody := parts(exchange(f1, method, path))
@@ -315,16 +327,20 @@
 	},
 		Entry("a success without a type or date", "GET", repeatablePath, "200 OK", "Content-Length: 2\r\n", "ok"),
 		Entry("with headers given twice and an encoding", "POST", nonRepeatablePath, "203 Non-Authoritative Information",
-			"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nContent-Encoding: x-own\r\nDate: long ago\r\nContent-Length: 3\r\n", "\x00\xff\n"),
+			"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nContent-Encoding: x-own\r\nDate: long ago\r\nContent-Length: 3\r\n",
+			"\x00\xff\n"),
 		Entry("of a server that tells how long it keeps the connection", "GET", repeatablePath, "200 OK",
 			"Keep-Alive: timeout=3\r\nContent-Length: 2\r\n", "ok"),
 		Entry("an empty one", "POST", nonRepeatablePath, "200 OK", "Content-Length: 0\r\n", ""),
 		Entry("without content", "POST", nonRepeatablePath, "204 No Content", "", ""),
 		Entry("not modified", "GET", repeatablePath, "304 Not Modified", "Etag: \"x\"\r\n", ""),
 		Entry("a refusal of the server's own kind", "GET", repeatablePath, "404 Not Found", "Content-Length: 4\r\n", "none"),
-		Entry("a failure of the server", "POST", nonRepeatablePath, "500 Internal Server Error", "Content-Length: 4\r\n", "oops"),
-		Entry("a failure in place of a stream", "POST", streamPath, "500 Internal Server Error", "Content-Length: 4\r\n", "oops"),
-		Entry("a success in place of a stream", "POST", streamPath, "200 OK", "Content-Type: text/plain\r\nContent-Length: 4\r\n", "oops"),
+		Entry("a failure of the server", "POST", nonRepeatablePath, "500 Internal Server Error", "Content-Length: 4\r\n",
+			"oops"),
+		Entry("a failure in place of a stream", "POST", streamPath, "500 Internal Server Error", "Content-Length: 4\r\n",
+			"oops"),
+		Entry("a success in place of a stream", "POST", streamPath, "200 OK",
+			"Content-Type: text/plain\r\nContent-Length: 4\r\n", "oops"),
 		Entry("the head alone", "HEAD", repeatablePath, "200 OK", "Content-Length: 4711\r\n", ""),
 	)
 
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -88,7 +88,7 @@
 	explanations *explain.Store
 	heartbeats   *heartbeat.Relay
 
-	// stopped is closed when the process gives up what is still under way.
+	// stopped is closed when the process abandons what is still in progress.
 	stopped  chan struct{}
 	stopOnce sync.Once
 	cancel   context.CancelFunc
@@ -112,9 +112,11 @@
 	}
 	models := backends.NewModels()
 	s := &Service{
-		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link, ledger: options.Ledger,
+		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link,
+		ledger:    options.Ledger,
 		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics: newMetrics(options.Registerer), client: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		metrics:      newMetrics(options.Registerer),
+		client:       issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
 		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
 		sessions:     sessions.NewStore(options.Clock),
@@ -138,7 +140,7 @@
 	return s
 }
 
-// viewChanged puts a view in force as one whole before it returns.
+// viewChanged puts a view in force before it returns. The link calls it for one view at a time.
 func (s *Service) viewChanged(view *corelink.View) {
 	if current := s.rollout.Policies(); current == nil || current.Version != view.Configuration.GetVersion() {
 		s.rollout.Apply(view.Configuration)
@@ -196,7 +198,7 @@
 }
 
 // Drain stops new ownership at once, hands the directory over and waits until
-// nothing is under way or the context ends.
+// nothing is in progress or the context ends.
 func (s *Service) Drain(ctx context.Context) error {
 	s.link.SetDraining(true)
 	s.logger.Info("drain started", "in_progress", s.inProgress.Load())
@@ -211,7 +213,7 @@
 	return drained
 }
 
-// Stop gives up what is still under way and ends all goroutines.
+// Stop abandons what is still in progress and ends all goroutines.
 func (s *Service) Stop(context.Context) error {
 	s.stopOnce.Do(func() { close(s.stopped) })
 	if s.cancel != nil {
@@ -227,7 +229,7 @@
 	return nil
 }
 
-// notReady says why the front node should get no connections; empty when it should.
+// notReady is why the front node should get no connections; empty when it should.
 func (s *Service) notReady() string {
 	switch {
 	case !s.link.Ready():
--- a/internal/dataplane/front/share_outcomes.go
+++ b/internal/dataplane/front/share_outcomes.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// shareTick is how often a front node looks whether it has something to tell of servers.
+	// shareTick is the time between two looks for outcomes to report.
 	shareTick = 200 * time.Millisecond
-	// shareInterval is the time between reports while nothing bad was seen.
+	// shareInterval is the least time between two reports without failures.
 	shareInterval = time.Second
 	shareTimeout  = time.Second
-	// suspectsPollTimeout is how long the leader may hold the question for new suspects back, suspectsPollSlack what the front node
-	// waits beyond that, and suspectsRetryInterval the time until it asks again after a failure.
+	// suspectsPollTimeout bounds a long poll for new suspects, suspectsPollSlack is what the front node waits
+	// beyond that, and suspectsRetryInterval the time until the next request after a failure.
 	suspectsPollTimeout   = 10 * time.Second
 	suspectsPollSlack     = time.Second
 	suspectsRetryInterval = 500 * time.Millisecond
 )
 
-// outcomeSharing tells the core's leader what this front node sees of servers and avoids those that all front nodes
-// together take for faulty. Only its own goroutine uses it.
+// outcomeSharing reports to the core's leader the outcomes that this front node observed of servers, and avoids
+// those that are suspect by the outcomes of all front nodes. Only its own goroutine uses it.
 type outcomeSharing struct {
 	service  *Service
 	sharedAt time.Time
@@ -40,7 +40,7 @@
 	}
 }
 
-// tick sends a report when one is due. A front node that sends servers nothing tells and asks nothing.
+// tick sends a report when one is due. A front node that sends servers nothing reports nothing.
 func (o *outcomeSharing) tick(ctx context.Context) {
 	servers := o.service.backEnds.Load()
 	now := o.service.clock.Now()
@@ -68,11 +68,15 @@
 	return bad || some && waited >= shareInterval
 }
 
-// send reports and takes in which servers are suspect. Numbers that the leader may not have got are told again.
-func (o *outcomeSharing) send(ctx context.Context, report *protocol.ShareOutcomesRequest, counted map[*backends.Server]backends.OutcomeCounts) {
+// send reports, and applies the suspects that come back. Counts that the leader may not have received are
+// reported again.
+func (o *outcomeSharing) send(
+	ctx context.Context, report *protocol.ShareOutcomesRequest, counted map[*backends.Server]backends.OutcomeCounts,
+) {
 	ctx, cancel := o.service.clock.WithTimeout(ctx, shareTimeout)
 	defer cancel()
-	response, err := o.service.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: report}})
+	response, err := o.service.link.CallCore(ctx,
+		&protocol.Request{Body: &protocol.Request_ShareOutcomes{ShareOutcomes: report}})
 	if err != nil {
 		return
 	}
@@ -82,8 +86,8 @@
 	o.service.avoidSuspects(response.GetShareOutcomes().GetSuspects())
 }
 
-// watchSuspects has the core's leader tell at once which servers all front nodes together take for faulty, so that one
-// which has seen nothing itself avoids them too.
+// watchSuspects polls the core's leader for the suspects, so that a front node which has observed no failure
+// avoids them at once too.
 func (s *Service) watchSuspects(ctx context.Context) {
 	known := uint64(0)
 	for ctx.Err() == nil {
@@ -103,13 +107,16 @@
 func (s *Service) requestSuspects(ctx context.Context, known uint64) (*protocol.WatchSuspectsResponse, error) {
 	ctx, cancel := s.clock.WithTimeout(ctx, suspectsPollTimeout+suspectsPollSlack)
 	defer cancel()
-	response, err := s.link.CallCore(ctx, &protocol.Request{Body: &protocol.Request_WatchSuspects{WatchSuspects: &protocol.WatchSuspectsRequest{
+	request := &protocol.WatchSuspectsRequest{
 		Zone: s.zone, Known: known, WaitMillis: uint32(suspectsPollTimeout / time.Millisecond),
-	}}})
+	}
+	response, err := s.link.CallCore(ctx, &protocol.Request{
+		Body: &protocol.Request_WatchSuspects{WatchSuspects: request},
+	})
 	return response.GetWatchSuspects(), err
 }
 
-// avoidSuspects has the servers named avoided for the time that each is held suspect.
+// avoidSuspects has servers avoided for the time that each is suspect.
 func (s *Service) avoidSuspects(suspects []*protocol.SuspectBackEnd) {
 	servers, now := s.backEnds.Load(), s.clock.Now()
 	for _, suspect := range suspects {
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -111,7 +111,9 @@
 		good := r.server("good", answerWith(http.StatusOK, "ok"))
 		response := make(chan *protocol.WatchSuspectsResponse)
 		requests := make(chan uint64)
-		r.watched = func(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error) {
+		r.watched = func(ctx context.Context, request *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse,
+			error,
+		) {
 			select {
 			case requests <- request.GetKnown():
 			case <-ctx.Done():
@@ -142,7 +144,8 @@
 		f1, f2 := sharing("f1"), sharing("f2")
 		var waiting []<-chan routedAnswer
 		for range 2 {
-			waiting = append(waiting, f1.routeAside(routed{target: nonRepeatablePath}), f2.routeAside(routed{target: nonRepeatablePath}))
+			waiting = append(waiting, f1.routeAside(routed{target: nonRepeatablePath}),
+				f2.routeAside(routed{target: nonRepeatablePath}))
 		}
 		Eventually(func() int64 { return f1.service.UnderWay() + f2.service.UnderWay() }).Should(BeEquivalentTo(4))
 		r.server("good", answerWith(http.StatusOK, "ok"))
--- a/internal/dataplane/front/sockets.go
+++ b/internal/dataplane/front/sockets.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// Sockets open what a front node has beside its connections to peers. A nil function stands for TCP.
+// Sockets open the connections of a front node other than those to peers. A nil function stands for TCP.
 type Sockets struct {
 	// Dial opens a connection to a back end.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
--- a/internal/dataplane/front/sse/reader_test.go
+++ b/internal/dataplane/front/sse/reader_test.go
@@ -28,7 +28,8 @@
 // complete only when nothing of it is left over.
 func FuzzStreamEvents(f *testing.F) {
 	for _, text := range []string{
-		"", "\n", "data: a\n\n", "data: a\r\n\r\n", "data:a\ndata: b\n\nid: 1\n\n", ": comment\n\ndata:\n\n", "data: a\n\n\n\ndata: b\n\n",
+		"", "\n", "data: a\n\n", "data: a\r\n\r\n", "data:a\ndata: b\n\nid: 1\n\n", ": comment\n\ndata:\n\n",
+		"data: a\n\n\n\ndata: b\n\n",
 		"data: cut", "data: a\n\ndata: b\n", "\xff\x00\n\n", "data: a\r\r\n\n", "\r\n\r\n",
 		"data: " + strings.Repeat("x", sse.BufferBytes-6) + "\n\n",
 		"data: " + strings.Repeat("x", sse.BufferBytes-7) + "\r\n\r\n",
@@ -57,7 +58,8 @@
 		}
 		// How the bytes arrive makes no difference.
 		again, _, err := readEvents(iotest.OneByteReader(bytes.NewReader(stream)))
-		if len(stream) < 4*sse.BufferBytes && (!bytes.Equal(bytes.Join(again, []byte("|")), bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != complete) {
+		if len(stream) < 4*sse.BufferBytes && (!bytes.Equal(bytes.Join(again, []byte("|")),
+			bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != complete) {
 			t.Fatalf("byte by byte %q gave %q, at once %q", stream, again, events)
 		}
 	})
--- a/internal/dataplane/front/start_wait_test.go
+++ b/internal/dataplane/front/start_wait_test.go
@@ -21,7 +21,10 @@
 		r = newRouteRig()
 		server = r.server("s1", answerWith(http.StatusOK, "ok"))
 		inForce = r.view
-		r.put(&corelink.View{Configuration: &protocol.Configuration{Version: 1}, Membership: inForce.Membership, BackEnds: inForce.BackEnds})
+		r.put(&corelink.View{
+			Configuration: &protocol.Configuration{Version: 1}, Membership: inForce.Membership,
+			BackEnds: inForce.BackEnds,
+		})
 		f1 = r.front("f1")
 	})
 
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -35,13 +35,14 @@
 
 func (r *rig) blockingServer(id string) *blockingServer {
 	server := &blockingServer{}
-	server.weightsServer = r.weightsServerWith(id, blockingServerVersion, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
-		if server.blockLive.Load() || request.Header.Get(testDialect.ExpectedWeights) != "" {
-			<-server.block()
-		}
-		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(blockingServerVersion, 10))
-		turnServer(writer, request)
-	})
+	server.weightsServer = r.weightsServerWith(id, blockingServerVersion,
+		func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
+			if server.blockLive.Load() || request.Header.Get(testDialect.ExpectedWeights) != "" {
+				<-server.block()
+			}
+			writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(blockingServerVersion, 10))
+			turnServer(writer, request)
+		})
 	DeferCleanup(server.openUp)
 	return server
 }
--- a/internal/dataplane/front/step_rig_test.go
+++ b/internal/dataplane/front/step_rig_test.go
@@ -28,14 +28,18 @@
 
 // weightsServer adds a server that announces and has a version. It refuses requests that expect another one.
 func (r *rig) weightsServer(id string, version uint64) *weightsServer {
-	return r.weightsServerWith(id, version, func(server *weightsServer, writer http.ResponseWriter, request *http.Request) {
+	return r.weightsServerWith(id, version, func(server *weightsServer, writer http.ResponseWriter,
+		request *http.Request,
+	) {
 		writer.Header().Set(testDialect.WeightVersions, strconv.FormatUint(server.weights.Load(), 10))
 		turnServer(writer, request)
 	})
 }
 
 // weightsServerWith adds a server with an answer of its own to what it does not refuse.
-func (r *rig) weightsServerWith(id string, version uint64, answer func(*weightsServer, http.ResponseWriter, *http.Request)) *weightsServer {
+func (r *rig) weightsServerWith(
+	id string, version uint64, answer func(*weightsServer, http.ResponseWriter, *http.Request),
+) *weightsServer {
 	server := &weightsServer{}
 	server.weights.Store(version)
 	server.standIn = r.server(id, func(writer http.ResponseWriter, request *http.Request) {
@@ -128,7 +132,10 @@
 		for len(operations) > 0 {
 			operation := <-operations
 			if commit := operation.GetSettleTurn(); commit != nil {
-				traced[commit.GetRequestId()] = tracedRequest{versions: commit.GetWeightVersions(), completed: true, tokens: commit.GetTokens()}
+				traced[commit.GetRequestId()] = tracedRequest{
+					versions: commit.GetWeightVersions(), completed: true,
+					tokens: commit.GetTokens(),
+				}
 			}
 			if release := operation.GetReleaseTurn(); release != nil {
 				traced[release.GetRequestId()] = tracedRequest{
--- a/internal/dataplane/front/step_schedule_audit_test.go
+++ b/internal/dataplane/front/step_schedule_audit_test.go
@@ -74,7 +74,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// untraced are the programs of which the ledger does not say that they completed what callers have, on the pinned version alone.
+// untraced are the programs that did not, by the ledger, complete what callers have on the pinned version alone.
 func (s *stepSchedule) untraced(step string, generations []completeGeneration, pinned uint64) []string {
 	got := map[string]uint64{}
 	for _, generation := range generations {
@@ -84,14 +84,16 @@
 	for _, program := range slices.Sorted(maps.Keys(got)) {
 		member := s.rig.ledger.program(program).GetTrainingStep()
 		if member.GetStep() != step || member.GetWeightVersion() != pinned {
-			missing = append(missing, fmt.Sprintf("%s is of step %q on version %d, must be %q on %d", program, member.GetStep(), member.GetWeightVersion(), step, pinned))
+			missing = append(missing, fmt.Sprintf("%s is of step %q on version %d, must be %q on %d", program, member.GetStep(),
+				member.GetWeightVersion(), step, pinned))
 		}
 		var completed uint64
 		for _, count := range s.rig.ledger.generations(program) {
 			if count.version == pinned {
 				completed = count.completed
 			} else if count.completed > 0 {
-				missing = append(missing, fmt.Sprintf("%s completed %d on version %d, pinned is %d", program, count.completed, count.version, pinned))
+				missing = append(missing, fmt.Sprintf("%s completed %d on version %d, pinned is %d", program, count.completed,
+					count.version, pinned))
 			}
 		}
 		if completed < got[program] {
@@ -141,6 +143,9 @@
 		return nil
 	}
 	result := ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_OK)
-	result.TrainingStepPin = &protocol.TrainingStepPin{Step: pin.GetStep(), Model: pin.GetModel(), WeightVersion: pin.GetWeightVersion()}
+	result.TrainingStepPin = &protocol.TrainingStepPin{
+		Step: pin.GetStep(), Model: pin.GetModel(),
+		WeightVersion: pin.GetWeightVersion(),
+	}
 	return result
 }
--- a/internal/dataplane/front/step_schedule_test.go
+++ b/internal/dataplane/front/step_schedule_test.go
@@ -211,7 +211,8 @@
 	s.requests++
 	program := number + scheduleFronts*s.random.IntN(schedulePrograms/scheduleFronts)
 	sent := scheduled{completeGeneration: completeGeneration{
-		step: fmt.Sprint("run-1/step-", s.step), program: fmt.Sprintf("step%d-p%d", s.step, program), id: fmt.Sprint("r", s.requests),
+		step: fmt.Sprint("run-1/step-", s.step), program: fmt.Sprintf("step%d-p%d", s.step, program),
+		id: fmt.Sprint("r", s.requests),
 	}}
 	request := stepTurnOf(sent.step, sent.id)
 	request.headers.Set(testDialect.Program, sent.program)
@@ -311,7 +312,8 @@
 	})
 }
 
-// crash takes a front node its authority and its ways to the ledger, while a stream is under way there, and starts another one in its place.
+// crash takes a front node its authority and its connections to the ledger, while a stream is in progress there,
+// and starts another one in its place.
 func (s *stepSchedule) crash(number int) {
 	s.counts.crashes++
 	s.ledgers[number].dead.Store(true)
--- a/internal/dataplane/front/step_slots.go
+++ b/internal/dataplane/front/step_slots.go
@@ -8,7 +8,8 @@
 // stepSlots is how many generations of a version this front node may have in progress.
 func (s *Service) stepSlots(key admission.StepKey, liveWaits bool) int {
 	return s.backEnds.Load().StepSlots(backends.StepSlotsQuery{
-		Group: key.Group, Pin: &backends.VersionPin{Model: key.Model, Version: key.Version}, Index: s.rollout.Policies().Active,
+		Group: key.Group, Pin: &backends.VersionPin{Model: key.Model, Version: key.Version},
+		Index: s.rollout.Policies().Active,
 		Front: s.name, Zone: s.zone, FrontNodes: s.frontNodes(), LiveWaits: liveWaits,
 	}, s.clock.Now())
 }
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -18,7 +18,7 @@
 
 const (
 	trainingModelPath = "training_model"
-	// unboundedBudget stands for the budget of a program of a training step that is told none.
+	// unboundedBudget is the budget of a program of a training step whose caller names none.
 	unboundedBudget = math.MaxInt64
 )
 
@@ -36,13 +36,14 @@
 		return err
 	}
 	if accepted.program == "" {
-		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of a training step must name its program", failure.WithPath("program"))
+		return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of a training step must name its program",
+			failure.WithPath("program"))
 	}
 	accepted.step, accepted.model = step, model
 	return nil
 }
 
-// readName reads a name that a header may give once; it is empty without the header.
+// readName reads a name that a header may state once; it is empty without the header.
 func readName(header http.Header, name, path string) (string, error) {
 	values := header[name]
 	if name == "" || len(values) == 0 {
@@ -67,13 +68,15 @@
 
 // resolveStep finds the version of the turn's step, and ends the turn at once when no server has it.
 func (r *turnRun) resolveStep(step string) turn.Event {
-	pin, rejection := r.service.versionPins.Resolve(r.ctx, versionpin.Choice{Step: step, Model: r.request.GetModel()}, r.route.GetGroup())
+	pin, rejection := r.service.versionPins.Resolve(r.ctx, versionpin.Choice{Step: step, Model: r.request.GetModel()},
+		r.route.GetGroup())
 	if rejection != nil {
 		r.explanation.RecordStep("training step refused", step+": "+rejection.GetMessage())
 		return turn.StepNotResolved{Failure: rejection}
 	}
 	r.pin = pin
-	r.explanation.RecordStep("training step", fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.Version, pin.Model))
+	r.explanation.RecordStep("training step",
+		fmt.Sprintf("%s, pinned to version %d of model %s", step, pin.Version, pin.Model))
 	if !r.service.backEnds.Load().HasVersion(r.route.GetGroup(), pin, r.now()) {
 		return turn.StepNotResolved{Failure: r.versionUnavailable().Failure}
 	}
@@ -100,7 +103,10 @@
 	}
 	return &backends.StepPlacement{
 		Pin: r.pin, FrontNodes: r.service.frontNodes(),
-		Work: schedule.StepWork{PromptTokens: backends.PromptTokens(r.request.GetHttp(), prompt), OutputTokens: routedReservationLimit(r.request)},
+		Work: schedule.StepWork{
+			PromptTokens: backends.PromptTokens(r.request.GetHttp(), prompt),
+			OutputTokens: routedReservationLimit(r.request),
+		},
 	}
 }
 
--- a/internal/dataplane/front/steps_test.go
+++ b/internal/dataplane/front/steps_test.go
@@ -64,7 +64,8 @@
 			}
 			Expect(count(older[0].standIn, older[1].standIn)).To(BeZero())
 			f1.generate(stepTurnOf("run-1/step-8", "d"))
-			Expect(newer[1].bodyOf("d")).To(Equal("the server never got d"), "the next step is free to take the version that most have")
+			Expect(newer[1].bodyOf("d")).To(Equal("the server never got d"),
+				"the next step is free to take the version that most have")
 		})
 
 		It("goes to another server of its version when one has taken other weights since the choice", func() {
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -48,7 +48,7 @@
 )
 
 // runCall runs a tool call as owner of its session and returns its answer. The
-// outcome goes on being recorded when the caller leaves.
+// outcome is recorded also after the caller has disconnected.
 func (s *Service) runCall(ctx context.Context, request *protocol.ToolCallRequest) (*protocol.ToolCallResponse, error) {
 	decided := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := callRoute(decided, request)
@@ -76,7 +76,8 @@
 func callRoute(decided rollout.Variant, request *protocol.ToolCallRequest) *protocol.Route {
 	if routed := request.GetHttp(); routed != nil {
 		return &protocol.Route{
-			Name: routed.GetRoute(), Group: routed.GetGroup(), NonRepeatable: routed.GetKind() != protocol.HttpRouteKind_HTTP_REPEATABLE,
+			Name: routed.GetRoute(), Group: routed.GetGroup(),
+			NonRepeatable: routed.GetKind() != protocol.HttpRouteKind_HTTP_REPEATABLE,
 		}
 	}
 	return decided.Tool(request.GetTenant(), request.GetTool())
@@ -86,7 +87,9 @@
 	return failure.New(failure.UnknownTool, protocol.Outcome_NOT_RUN, "no route serves the tool", failure.WithPath("tool"))
 }
 
-func (s *Service) newCallRun(request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route, deadline time.Time) *callRun {
+func (s *Service) newCallRun(
+	request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route, deadline time.Time,
+) *callRun {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
@@ -95,13 +98,15 @@
 	})
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
-		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
-		key:     sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
-		answers: make(chan *protocol.ToolCallResponse, 1),
+		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline,
+		explanation: explanation,
+		key:         sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
+		answers:     make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
 			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.Version(),
-			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request), MaxRuns: callRuns(request),
+			Attempt: uuid.NewString(), Unrecorded: request.GetHttp() != nil, MaxAttempts: callAttempts(request),
+			MaxRuns: callRuns(request),
 		}),
 	}
 }
@@ -148,7 +153,7 @@
 	}
 }
 
-// lostAnswer stands in when a machine ended without an answer; it is ignored when there was one.
+// lostAnswer is the answer when a state machine ended without one; it is ignored otherwise.
 func lostAnswer() *protocol.ToolCallResponse {
 	return &protocol.ToolCallResponse{Failure: failure.New(failure.InternalError, protocol.Outcome_UNKNOWN,
 		"the call ended without an answer").Failure}
@@ -221,7 +226,7 @@
 	return turn.Admitted{}
 }
 
-// rejectUnreachable refuses a call that needs the ledger while that is out of reach.
+// rejectUnreachable rejects a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
 	rejection := r.service.operations.CheckReachable(r.key.Program)
 	if rejection == nil || !r.needsLedger() {
@@ -230,7 +235,7 @@
 	return rejection
 }
 
-// needsLedger reports whether the call is recorded in the ledger, or its session's epoch is not held yet.
+// needsLedger reports whether the call is recorded in the ledger, or its session's epoch is not claimed yet.
 func (r *callRun) needsLedger() bool {
 	if r.request.GetHttp() != nil {
 		return false
@@ -250,8 +255,9 @@
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
-	// A server works faster for an object that it has seen, whichever program asks.
+	wanted := r.service.newPlacement(r.variant.Index,
+		backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
+	// A server is faster for an object in its cache, whichever program the call is of.
 	wanted.Affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.Affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
@@ -329,7 +335,7 @@
 	return max(factor*millis(routed.GetLatencyObjectiveMillis()), minAnswerTimeout)
 }
 
-// hasAlternative reports whether the group has a server that was not asked yet.
+// hasAlternative reports whether the group has a server that the call was not sent to yet.
 func (r *callRun) hasAlternative() bool {
 	ready := uint32(0)
 	for _, server := range r.service.backEnds.Load().ByGroup[r.route.GetGroup()] {
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -31,7 +31,7 @@
 	incarnation uint64
 	deadline    time.Time
 	machine     *turn.Machine
-	// pin is the version that a turn of a training step keeps to; nil for other turns.
+	// pin is the version for a turn of a training step; nil for other turns.
 	pin         *backends.VersionPin
 	explanation *explain.Explanation
 
@@ -80,7 +80,8 @@
 
 func (r *turnRun) now() time.Time { return r.service.clock.Now() }
 
-// issueFailed is the event of an attempt that got no answer. A stop goes before the failure that it may have caused.
+// issueFailed is the event of an attempt without an answer. A stop takes precedence over the failure that it
+// may have caused.
 func (r *turnRun) issueFailed(err error) turn.Event {
 	if reason := r.stopReason(); reason != 0 {
 		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
@@ -105,8 +106,8 @@
 	return turn.StopCallerDisconnected
 }
 
-// receive waits for the next piece of the back end's answer. Authority is
-// checked after the wait: nothing that came too late is passed on.
+// receive waits for the next part of the server's answer. Authority is checked after the wait: nothing that
+// came too late is forwarded.
 func (r *turnRun) receive() turn.Event {
 	event, err := r.generation.Next()
 	if reason := r.stopReason(); reason != 0 {
@@ -130,7 +131,7 @@
 	return event
 }
 
-// recordTokens tells the group's model of the output that came.
+// recordTokens records output in the group's model.
 func (r *turnRun) recordTokens(event turn.Event) {
 	token, isToken := event.(turn.Token)
 	if !isToken {
@@ -145,7 +146,7 @@
 	r.issued.RecordTokens(uint64(token.Tokens), r.now())
 }
 
-// endSent tells the group's model that the attempt is over.
+// endSent records in the group's model that the attempt is over.
 func (r *turnRun) endSent(complete bool) {
 	if r.work != nil {
 		r.work.End()
@@ -203,7 +204,7 @@
 	r.leaveServer()
 }
 
-// leaveServer notes that the attempt holds no slot of its server any more. A generation of a step left with its work.
+// leaveServer ends the attempt's use of its server. A generation of a step ended with its work.
 func (r *turnRun) leaveServer() {
 	r.expected.End(false, r.now())
 	r.endSent(false)
@@ -271,7 +272,7 @@
 	r.live.Append(event)
 }
 
-// freeSession lets the next turn of the session begin. It goes before the last
+// freeSession lets the next turn of the session begin. It precedes the last
 // event, because a caller may continue as soon as it has that. A turn whose end
 // the ledger has not confirmed keeps its session.
 func (r *turnRun) freeSession() {
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -56,7 +56,7 @@
 	return turn.Admitted{}
 }
 
-// enter waits for a slot, or for a place of a training step.
+// enter waits for a slot of the group, or of a training step.
 func (r *turnRun) enter() *protocol.Failure {
 	if r.pin != nil {
 		return r.service.admission.EnterStep(r.ctx, r.stepGate(), r.deadline)
@@ -64,7 +64,7 @@
 	return r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket())
 }
 
-// leave gives back what enter gave.
+// leave releases what enter acquired.
 func (r *turnRun) leave() {
 	if r.pin != nil {
 		r.service.admission.LeaveStep(r.stepGate())
@@ -73,7 +73,7 @@
 	r.service.admission.Leave(r.route.GetGroup())
 }
 
-// rejectUnreachable refuses a turn that needs the ledger while that is out of reach.
+// rejectUnreachable rejects a turn that needs the ledger while that is out of reach.
 func (r *turnRun) rejectUnreachable() *protocol.Failure {
 	if !r.machine.IsLedgered() {
 		return nil
@@ -94,7 +94,7 @@
 func (r *turnRun) reserve(command turn.Reserve) turn.Event {
 	result := r.reserveOnce(command.Operation)
 	budgetHeld := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
-	// Reservations of owners that are gone may hold the budget: nothing would ever settle them.
+	// Reservations of lost owners may take up the budget: nothing else would ever commit them.
 	if budgetHeld && r.service.operations.ChargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
 		result = r.reserveOnce(command.Operation)
 	}
@@ -129,7 +129,8 @@
 }
 
 func (r *turnRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index, backends.GroupKey{Group: r.route.GetGroup(), Name: r.route.GetModel()}, r.key, avoid)
+	wanted := r.service.newPlacement(r.variant.Index,
+		backends.GroupKey{Group: r.route.GetGroup(), Name: r.route.GetModel()}, r.key, avoid)
 	wanted.Prompt, wanted.Output = backends.RequestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
 	wanted.Step = r.stepPlacement(wanted.Prompt)
 	server, decision := r.service.choose(wanted)
@@ -183,7 +184,7 @@
 	return turn.RetryDecided{Granted: granted}
 }
 
-// reject puts the request's tombstone. One that is refused at once hears that
+// reject puts the request's tombstone. One that is rejected for overload is answered that
 // the ledger is not available when it has not answered in time; the tombstone
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
--- a/internal/dataplane/front/turns_test.go
+++ b/internal/dataplane/front/turns_test.go
@@ -72,7 +72,8 @@
 
 		It("finds the conversation by the turn continued from", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
-			second := f1.turn(`{"model":"`+model+`","program":"p1","input":"more","previous_response_id":"`+first.at("id")+`"}`, nil)
+			second := f1.turn(`{"model":"`+model+`","program":"p1","input":"more","previous_response_id":"`+first.at("id")+`"}`,
+				nil)
 			Expect(second.status).To(Equal(http.StatusOK), second.text)
 			Expect(second.at("conversation")).To(Equal("s1"))
 		})
@@ -128,7 +129,10 @@
 			f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
 			got := f1.do(http.MethodGet, "/v1/explain/k1", "", nil)
 			Expect(got.status).To(Equal(http.StatusOK))
-			for _, want := range []string{`"holder"`, `"m1"`, "PREFIX_AFFINITY", "ledger reserve", "first token", "ledger settle"} {
+			for _, want := range []string{
+				`"holder"`, `"m1"`, "PREFIX_AFFINITY", "ledger reserve", "first token",
+				"ledger settle",
+			} {
 				Expect(got.text).To(ContainSubstring(want))
 			}
 			Expect(f1.do(http.MethodGet, "/v1/explain/none", "", nil).errorCode()).To(Equal("not_found"))
@@ -138,7 +142,8 @@
 			first := f1.turn(turnBody("s1", ""), nil)
 			read := f1.do(http.MethodGet, "/v1/responses/"+first.at("id")+"?program=p1", "", nil)
 			Expect(read.text).To(ContainSubstring(`"text":"good day"`))
-			response := f1.open(context.Background(), http.MethodGet, "/v1/responses/"+first.at("id")+"?program=p1&stream=true&starting_after=2", "", nil)
+			response := f1.open(context.Background(), http.MethodGet,
+				"/v1/responses/"+first.at("id")+"?program=p1&stream=true&starting_after=2", "", nil)
 			defer func() { _ = response.Body.Close() }()
 			events := readEvents(bufio.NewReader(response.Body), 10)
 			Expect(ids(events)).To(Equal([]string{"1-3", "1-4"}))
@@ -149,7 +154,8 @@
 		It("is streamed from the ledger as an attempt of its own at a node that never saw it", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
 			f2 := r.front("f2")
-			response := f2.open(context.Background(), http.MethodGet, "/v1/responses/"+first.at("id")+"?program=p1&stream=true&starting_after=2", "", nil)
+			response := f2.open(context.Background(), http.MethodGet,
+				"/v1/responses/"+first.at("id")+"?program=p1&stream=true&starting_after=2", "", nil)
 			defer func() { _ = response.Body.Close() }()
 			Expect(ids(readEvents(bufio.NewReader(response.Body), 10))).To(Equal([]string{"2-1", "2-2", "2-3"}))
 		})
--- a/internal/dataplane/front/unreachable_test.go
+++ b/internal/dataplane/front/unreachable_test.go
@@ -51,7 +51,8 @@
 			Entry("a turn", routedTurn{id: "r1", input: "in"}.sent()),
 			Entry("a turn that goes on from another", routedTurn{id: "r2", previous: "r1", input: "in"}.sent()),
 			Entry("a stream with a budget", routed{
-				target: streamPath, headers: with(testDialect.RequestID, "r1", testDialect.Program, "p1", testDialect.TokenBudget, "100"),
+				target: streamPath, headers: with(testDialect.RequestID, "r1", testDialect.Program, "p1", testDialect.TokenBudget,
+					"100"),
 			}),
 		)
 
@@ -132,9 +133,12 @@
 	})
 
 	It("has its operations carried out by another one", func() {
-		claim := &protocol.LedgerOperation{Program: "p1", Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
-			Session: "c1", Owner: "f2", OwnerIncarnation: 1, Tenant: tenant, Budget: 10,
-		}}}
+		claim := &protocol.LedgerOperation{
+			Program: "p1",
+			Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
+				Session: "c1", Owner: "f2", OwnerIncarnation: 1, Tenant: tenant, Budget: 10,
+			}},
+		}
 		request := &protocol.Request{Body: &protocol.Request_Ledger{Ledger: claim}}
 		err := f1.service.Serve(context.Background(), request, func(response *protocol.Response) error {
 			Expect(response.GetLedger().GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -17,13 +17,13 @@
 	sampleInterval = 500 * time.Millisecond
 	// fleetSampleInterval bounds the samples of all front nodes together: it is the least mean time between two.
 	fleetSampleInterval = 50 * time.Millisecond
-	// overcommitFactor is how many requests may be under way for one that the servers
-	// work on: the rest are on their way, at the ledger or next in line.
+	// overcommitFactor is how many requests may be in progress for one that the servers run: the others are in
+	// transit, at the ledger or next in a server's queue.
 	overcommitFactor = 1.5
 )
 
 // watchLoad samples the load of the servers in this front node's subset and
-// keeps the ceilings up to date.
+// keeps the concurrency limits up to date.
 func (s *Service) watchLoad(ctx context.Context) {
 	for {
 		mean := max(sampleInterval, time.Duration(float64(fleetSampleInterval) / *s.fleetShare.Load()))
@@ -38,8 +38,7 @@
 	}
 }
 
-// sampleOne asks the one of two random servers that was heard of longest ago,
-// unless both were heard of just now.
+// sampleOne requests the load of that of two random servers whose last report is older, unless it is fresh.
 func (s *Service) sampleOne(ctx context.Context) {
 	used := s.usedServers()
 	if len(used) == 0 {
@@ -84,7 +83,7 @@
 	return subsets
 }
 
-// updateConcurrencyLimits bounds what is under way by what the servers can take.
+// updateConcurrencyLimits derives the admission's limits from the servers' capacity and load.
 func (s *Service) updateConcurrencyLimits() {
 	now := s.clock.Now()
 	index := s.rollout.Policies().Active
@@ -112,10 +111,14 @@
 			headroom += max(0, overcommitFactor*float64(candidate.Capacity)-float64(others))
 		}
 	}
-	return admission.ConcurrencyLimit{Known: true, GuaranteedSlots: int(math.Ceil(total * overcommitFactor * share)), Headroom: int(headroom)}
+	return admission.ConcurrencyLimit{
+		Known: true, GuaranteedSlots: int(math.Ceil(total * overcommitFactor * share)),
+		Headroom: int(headroom),
+	}
 }
 
-// surplusSlots is how many requests may go beyond the slots while the servers are under half taken, as far as is known.
+// surplusSlots is how many requests may run beyond the slots while less than half of the known capacity is in
+// use.
 func surplusSlots(all []schedule.Candidate, share float64) int {
 	slots, used := 0, 0
 	for _, candidate := range all {
@@ -127,7 +130,7 @@
 	return limit.SurplusSlots(slots, used, int(math.Round(1/share)))
 }
 
-// totalCapacity adds the capacities up; it is not known when a server tells none.
+// totalCapacity adds the capacities up; it is not known unless every server reports one.
 func totalCapacity(candidates []schedule.Candidate) (total float64, known bool) {
 	for _, candidate := range candidates {
 		if !backends.IsUsable(candidate) {
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -38,7 +38,9 @@
 	}
 }
 
-func (s *Service) serveTurn(ctx context.Context, request *protocol.TurnRequest, send func(*protocol.Response) error) error {
+func (s *Service) serveTurn(
+	ctx context.Context, request *protocol.TurnRequest, send func(*protocol.Response) error,
+) error {
 	live, err := s.beginTurn(request) //nolint:contextcheck // a turn outlives the caller that began it
 	if err != nil {
 		return err
@@ -46,13 +48,16 @@
 	return live.Follow(ctx, sessions.Cursor{}, sendEvents(send))
 }
 
-func (s *Service) serveResume(ctx context.Context, request *protocol.ResumeTurnRequest, send func(*protocol.Response) error) error {
+func (s *Service) serveResume(
+	ctx context.Context, request *protocol.ResumeTurnRequest, send func(*protocol.Response) error,
+) error {
 	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
 	live := s.sessions.FindTurn(key, request.GetTurnId())
 	if live == nil {
 		return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 	}
-	return live.Follow(ctx, sessions.Cursor{Attempt: request.GetLastAttempt(), Sequence: request.GetStartingAfter()}, sendEvents(send))
+	return live.Follow(ctx, sessions.Cursor{Attempt: request.GetLastAttempt(), Sequence: request.GetStartingAfter()},
+		sendEvents(send))
 }
 
 func sendEvents(send func(*protocol.Response) error) func(*protocol.TurnEvent) error {
@@ -61,7 +66,9 @@
 	}
 }
 
-func (s *Service) serveCall(ctx context.Context, request *protocol.ToolCallRequest, send func(*protocol.Response) error) error {
+func (s *Service) serveCall(
+	ctx context.Context, request *protocol.ToolCallRequest, send func(*protocol.Response) error,
+) error {
 	response, err := s.runCall(ctx, request)
 	if err != nil {
 		return err
--- a/internal/dataplane/front/wire_test.go
+++ b/internal/dataplane/front/wire_test.go
@@ -41,13 +41,15 @@
 			Expect(response.GetLookupSession()).NotTo(BeNil())
 			return nil
 		})).To(Succeed())
-		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Propose{}}, ignore), failure.UnknownRequest)).To(BeTrue())
+		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Propose{}}, ignore),
+			failure.UnknownRequest)).To(BeTrue())
 	})
 
 	It("does not take a turn that it does not own", func() {
 		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not mine")
 		request := &protocol.TurnRequest{RequestId: "r", Session: "s", Program: "p", Tenant: tenant, Model: model}
-		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Turn{Turn: request}}, ignore), failure.NotOwner)).To(BeTrue())
+		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Turn{Turn: request}}, ignore),
+			failure.NotOwner)).To(BeTrue())
 		Expect(r.ledger.seen).To(BeEmpty())
 	})
 
