--- a/internal/controlplane/bundle/check.go
+++ b/internal/controlplane/bundle/check.go
@@ -7,6 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"github.com/rosestand/rosestand/internal/process/settings/signoffkey"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -82,7 +83,7 @@
 		c.checkTenant(fmt.Sprintf("tenants[%d]", i), tenant)
 	}
 	for i, key := range b.GetSignOffKeys() {
-		if fault := publicKeyFault(key.GetPublicKey()); fault != "" {
+		if fault := signoffkey.PublicKeyFault(key.GetPublicKey()); fault != "" {
 			c.addFault(fmt.Sprintf("sign_off_keys[%d].public_key", i), fault)
 		}
 	}
--- a/internal/controlplane/bundle/sign.go
+++ b/internal/controlplane/bundle/sign.go
@@ -4,7 +4,6 @@
 	"crypto/ed25519"
 	"encoding/hex"
 	"fmt"
-	"strings"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
@@ -52,42 +51,3 @@
 	}
 	return nil
 }
-
-// KeyFormatError reports that a sign-off key in the settings is not "name hex-public-key".
-type KeyFormatError struct {
-	Text string
-}
-
-// Error quotes the text of the setting.
-func (e *KeyFormatError) Error() string {
-	return fmt.Sprintf("sign-off key %q is not \"name hex-public-key\"", e.Text)
-}
-
-// ParseKeys parses sign-off keys of the settings, each "name hex-public-key"; the
-// separator may be a space, a tab, a colon or an equals sign. The error is a
-// *KeyFormatError.
-func ParseKeys(texts []string) ([]*protocol.SignOffKey, error) {
-	keys := make([]*protocol.SignOffKey, 0, len(texts))
-	for _, text := range texts {
-		separator := strings.LastIndexAny(text, " \t:=")
-		if separator <= 0 {
-			return nil, &KeyFormatError{Text: text}
-		}
-		key := &protocol.SignOffKey{
-			Name: strings.TrimSpace(text[:separator]), PublicKey: strings.ToLower(text[separator+1:]),
-		}
-		if publicKeyFault(key.GetPublicKey()) != "" || key.GetName() == "" {
-			return nil, &KeyFormatError{Text: text}
-		}
-		keys = append(keys, key)
-	}
-	return keys, nil
-}
-
-func publicKeyFault(text string) string {
-	decoded, err := hex.DecodeString(text)
-	if err != nil || len(decoded) != ed25519.PublicKeySize {
-		return "must be an ed25519 public key, 32 bytes in hex"
-	}
-	return ""
-}
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/fx"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/controlplane/core/operators"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/process/daemon"
+	"github.com/rosestand/rosestand/internal/process/settings/signoffkey"
 	"github.com/rosestand/rosestand/internal/protocol"
 	"github.com/rosestand/rosestand/internal/storage"
 	"github.com/rosestand/rosestand/internal/transport/wire"
@@ -78,7 +78,7 @@
 	settings *protocol.CoreSettings, machine *Machine, consensus *replica.Replica, caller wire.Caller,
 	clock replica.Clock, logger *log.Logger, registerer prometheus.Registerer,
 ) (*Service, error) {
-	keys, err := bundle.ParseKeys(settings.GetSignOffKeys())
+	keys, err := signoffkey.Parse(settings.GetSignOffKeys())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/settings/check.go
+++ b/internal/process/settings/check.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"strings"
 
-	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/process/settings/signoffkey"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -165,7 +165,7 @@
 	seen := map[string]bool{}
 	for index, text := range keys {
 		path := fmt.Sprintf("sign_off_keys[%d]", index)
-		parsed, err := bundle.ParseKeys([]string{text})
+		parsed, err := signoffkey.Parse([]string{text})
 		if err != nil {
 			check.addFault(path, "%v", err)
 			continue
