--- a/internal/dataplane/directory/steady_state_test.go
+++ b/internal/dataplane/directory/steady_state_test.go
@@ -94,7 +94,7 @@
 })
 
 var _ = Describe("a first registration whose answer is lost", func() {
-	It("is completed although the requesting turn gave up", func() {
+	It("is completed although the requesting turn was cancelled", func() {
 		fleet := newFleet(trio...)
 		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
 		lose := true
--- a/internal/dataplane/limit/limit_test.go
+++ b/internal/dataplane/limit/limit_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("taken %t, wait %v", taken, wait)
 	}
 	if taken, _ = bucket.Take(1, at(wait)); !taken {
-		t.Fatal("rejected after the wait that was told")
+		t.Fatal("rejected after the wait that it named")
 	}
 }
 
--- a/internal/dataplane/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -59,8 +59,9 @@
 	if rejected < 90 || rejected > 96 {
 		t.Fatalf("%d of 100 rejected at once; four a second run, so that two to eight may wait", rejected)
 	}
-	if told := s.verdicts[burst[99]].RetryAfter; told < 600*time.Millisecond || told > 900*time.Millisecond {
-		t.Fatalf("told to come back after %v", told)
+	if retryAfter := s.verdicts[burst[99]].RetryAfter; retryAfter < 600*time.Millisecond ||
+		retryAfter > 900*time.Millisecond {
+		t.Fatalf("retry after %v", retryAfter)
 	}
 	if late := work(s, now, 8); late != 0 {
 		t.Fatalf("%d were taken in and rejected late", late)
--- a/internal/dataplane/limit/urgency_test.go
+++ b/internal/dataplane/limit/urgency_test.go
@@ -12,7 +12,7 @@
 
 const interactive = protocol.Priority_INTERACTIVE
 
-// put enters a ticket with fields of its own and returns its id.
+// enterTicket enters a ticket with fields of its own and returns its id.
 func (s *tickets) enterTicket(ticket limit.Ticket, now time.Time) uint64 {
 	s.next++
 	ticket.ID = s.next
@@ -196,18 +196,18 @@
 		s.enter(pick(random, shares, classes...), "a", 1, now)
 	}
 	served = map[protocol.Priority]float64{}
-	asked := map[protocol.Priority]float64{}
+	offeredTickets := map[protocol.Priority]float64{}
 	for id, decision := range s.verdicts {
 		class := s.classOf[id].Class
-		asked[class]++
+		offeredTickets[class]++
 		if decision.Verdict == limit.Run {
 			served[class]++
 		}
 	}
 	ran, decided := 0.0, 0.0
-	for class := range asked {
-		ran, decided = ran+served[class], decided+asked[class]
-		served[class] /= asked[class]
+	for class := range offeredTickets {
+		ran, decided = ran+served[class], decided+offeredTickets[class]
+		served[class] /= offeredTickets[class]
 	}
 	return served, ran / decided
 }
--- a/internal/dataplane/turn/training_step_test.go
+++ b/internal/dataplane/turn/training_step_test.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// names are the commands that ask for something, in order.
+// names are the commands that await an answer, in order.
 func (s *script) names() []string {
 	var names []string
 	for _, command := range s.commands {
