--- a/internal/controlplane/core/rollout/variants_test.go
+++ b/internal/controlplane/core/rollout/variants_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/controlplane/core/rollout"
+	"github.com/rosestand/rosestand/internal/controlplane/firsttoken"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
