--- a/internal/state/store/datafolder/folder.go
+++ b/internal/state/store/datafolder/folder.go
@@ -82,31 +82,50 @@
 		return nil, err
 	}
 	folder := &Folder{
-		Location: Location{filesystem: filesystem, path: path}, StorageID: identity.StorageID,
-		Starts: identity.Starts,
+		Location:  Location{filesystem: filesystem, path: path},
+		StorageID: identity.StorageID,
+		Starts:    identity.Starts,
 	}
-	for _, name := range []string{RegisterLog, TurnLog} {
-		if err := requireFiles(filesystem, filepath.Join(path, name), identity.Fresh); err != nil {
-			return nil, err
-		}
-		if err := storage.RemoveUnfinishedSnapshots(filesystem, filepath.Join(path, name)); err != nil {
+	for _, log := range []string{RegisterLog, TurnLog} {
+		if err := prepareLog(filesystem, filepath.Join(path, log), identity.Fresh); err != nil {
 			return nil, err
 		}
 	}
-	registerOptions := storage.LogOptions{SegmentBytes: RegisterSegmentBytes(segmentBytes)}
-	folder.Registers, err = storage.OpenLog(filesystem, filepath.Join(path, RegisterLog), registerOptions)
-	if err != nil {
+	if err := folder.openRegisters(segmentBytes); err != nil {
 		return nil, err
 	}
-	if err := folder.requireSnapshot(); err != nil {
+	if err := folder.openTurns(segmentBytes); err != nil {
 		return nil, errors.CombineErrors(err, folder.Registers.Close())
 	}
-	turnOptions := storage.LogOptions{SegmentBytes: segmentBytes, VerifiedBefore: folder.indexedBefore()}
-	folder.Turns, err = storage.OpenLog(filesystem, folder.turnPath(), turnOptions)
+	return folder, nil
+}
+
+// prepareLog checks the folder of a log and removes what an interrupted snapshot left there.
+func prepareLog(filesystem storage.Filesystem, path string, fresh bool) error {
+	if err := requireFiles(filesystem, path, fresh); err != nil {
+		return err
+	}
+	return storage.RemoveUnfinishedSnapshots(filesystem, path)
+}
+
+func (f *Folder) openRegisters(turnSegmentBytes int64) error {
+	options := storage.LogOptions{SegmentBytes: RegisterSegmentBytes(turnSegmentBytes)}
+	opened, err := storage.OpenLog(f.filesystem, f.registerPath(), options)
 	if err != nil {
-		return nil, errors.CombineErrors(err, folder.Registers.Close())
+		return err
 	}
-	return folder, nil
+	f.Registers = opened
+	if err := f.requireSnapshot(); err != nil {
+		return errors.CombineErrors(err, opened.Close())
+	}
+	return nil
+}
+
+func (f *Folder) openTurns(segmentBytes int64) error {
+	options := storage.LogOptions{SegmentBytes: segmentBytes, VerifiedBefore: f.indexedBefore()}
+	opened, err := storage.OpenLog(f.filesystem, f.turnPath(), options)
+	f.Turns = opened
+	return err
 }
 
 // requireFiles returns a *storage.CorruptError when a folder that was in use has no files any more.
