--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -11,7 +11,9 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -25,7 +27,7 @@
 	ctx         context.Context
 	request     *protocol.ToolCallRequest
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	route       *protocol.Route
 	deadline    time.Time
@@ -94,7 +96,7 @@
 	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
 		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline, explanation: explanation,
-		key:     sessionKey{session: request.GetSession(), program: request.GetProgram()},
+		key:     sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
 		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
@@ -200,7 +202,7 @@
 }
 
 func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.program
+	operation.Program = r.key.Program
 	result := r.service.operations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
@@ -221,7 +223,7 @@
 
 // rejectUnreachable refuses a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.operations.CheckReachable(r.key.program)
+	rejection := r.service.operations.CheckReachable(r.key.Program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
@@ -233,8 +235,8 @@
 	if r.request.GetHttp() != nil {
 		return false
 	}
-	current := r.service.sessions.findClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
-	return r.route.GetNonRepeatable() || !current.known
+	current := r.service.sessions.FindClaim(r.key, r.request.GetTenant(), r.grant.Incarnation())
+	return r.route.GetNonRepeatable() || !current.Known
 }
 
 func (r *callRun) ticket() limit.Ticket {
@@ -287,14 +289,14 @@
 		r.sends++
 		ctx, cancel := r.attemptContext(routed)
 		defer cancel()
-		return r.service.routes.call(ctx, routedRequest{
-			server: r.server, requestID: r.request.GetRequestId(), http: routed, body: routed.GetBody(), deadline: r.deadline,
+		return r.service.routes.Call(ctx, issue.RouteRequest{
+			Server: r.server, RequestID: r.request.GetRequestId(), HTTP: routed, Body: routed.GetBody(), Deadline: r.deadline,
 		})
 	}
-	return r.service.client.call(r.ctx, backEndRequest{
-		server: r.server, path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", body: r.request.GetArguments(),
-		requestID: r.request.GetRequestId(), session: r.request.GetSession(), nonce: r.request.GetNonce(),
-		epoch: command.Epoch, idempotencyKey: r.request.GetRequestId(),
+	return r.service.client.Call(r.ctx, issue.Request{
+		Server: r.server, Path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", Body: r.request.GetArguments(),
+		RequestID: r.request.GetRequestId(), Session: r.request.GetSession(), Nonce: r.request.GetNonce(),
+		Epoch: command.Epoch, IdempotencyKey: r.request.GetRequestId(),
 	})
 }
 
@@ -340,16 +342,16 @@
 
 func (r *callRun) sendFailed(command turn.IssueCall, err error) turn.Event {
 	if reason := stopReason(r.ctx, r.grant); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.RecordOutcome(fault.outcome(), r.now())
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), command.BackEnd+": "+fault.detail)
-	return fault.event()
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), command.BackEnd+": "+fault.Detail)
+	return fault.Event()
 }
 
 func (r *callRun) answer(response *protocol.ToolCallResponse) {
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -8,7 +8,9 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
+	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
+	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
@@ -20,9 +22,9 @@
 	service     *Service
 	ctx         context.Context
 	request     *protocol.TurnRequest
-	live        *liveTurn
+	live        *sessions.LiveTurn
 	grant       Grant
-	key         sessionKey
+	key         sessions.Key
 	variant     rollout.Variant
 	counters    *rollout.Counters
 	route       *protocol.Route
@@ -35,7 +37,7 @@
 
 	began      time.Time
 	history    []*protocol.Item
-	generation answerStream
+	generation issue.AnswerStream
 	// issued is the turn at its server as the group's model sees it; nil for turns of no HTTP route.
 	issued *backends.IssuedTurn
 	// work is a generation of a training step at its server; nil for other turns.
@@ -72,7 +74,7 @@
 		}
 	}
 	r.closeGeneration()
-	r.live.end()
+	r.live.End()
 	r.freeSession()
 }
 
@@ -81,7 +83,7 @@
 // issueFailed is the event of an attempt that got no answer. A stop goes before the failure that it may have caused.
 func (r *turnRun) issueFailed(err error) turn.Event {
 	if reason := r.stopReason(); reason != 0 {
-		return turn.Stopped{Reason: reason, WithoutEffect: surelyDidNotRun(err)}
+		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
 	return r.attemptFailed(err)
 }
@@ -96,9 +98,9 @@
 	if ctx.Err() == nil {
 		return 0
 	}
-	var stopped *stopError
+	var stopped *sessions.StopError
 	if errors.As(context.Cause(ctx), &stopped) {
-		return stopped.reason
+		return stopped.Reason
 	}
 	return turn.StopCallerDisconnected
 }
@@ -106,7 +108,7 @@
 // receive waits for the next piece of the back end's answer. Authority is
 // checked after the wait: nothing that came too late is passed on.
 func (r *turnRun) receive() turn.Event {
-	event, err := r.generation.next()
+	event, err := r.generation.Next()
 	if reason := r.stopReason(); reason != 0 {
 		return turn.Stopped{Reason: reason}
 	}
@@ -174,21 +176,21 @@
 }
 
 func (r *turnRun) attemptFailed(err error) turn.Event {
-	var fault *backEndError
+	var fault *issue.AttemptError
 	if !errors.As(err, &fault) {
-		fault = &backEndError{fault: turn.FaultBroken, detail: err.Error()}
+		fault = &issue.AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
-	r.server.RecordOutcome(fault.outcome(), r.now())
-	if fault.fault == turn.FaultWrongVersion {
+	r.server.RecordOutcome(fault.Outcome(), r.now())
+	if fault.Fault == turn.FaultWrongVersion {
 		r.server.MarkVersionRejected(r.pin.Version, r.now())
 	}
-	if fault.fault == turn.FaultUnavailable && !r.isTrainingStep() {
+	if fault.Fault == turn.FaultUnavailable && !r.isTrainingStep() {
 		r.service.admission.RecordSample(r.route.GetGroup(), limit.Sample{Rejected: true})
 	}
-	r.service.metrics.attemptFaults.WithLabelValues(fault.fault.String()).Inc()
-	r.explanation.RecordStep("attempt failed: "+fault.fault.String(), r.server.ID()+": "+fault.detail)
+	r.service.metrics.attemptFaults.WithLabelValues(fault.Fault.String()).Inc()
+	r.explanation.RecordStep("attempt failed: "+fault.Fault.String(), r.server.ID()+": "+fault.Detail)
 	r.closeGeneration()
-	return fault.event()
+	return fault.Event()
 }
 
 func (r *turnRun) closeGeneration() {
@@ -196,7 +198,7 @@
 		r.endSent(false)
 		return
 	}
-	r.generation.close()
+	r.generation.Close()
 	r.generation = nil
 	r.leaveServer()
 }
@@ -241,12 +243,12 @@
 	case turn.Reject:
 		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.program, command.TurnID)
+		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return waitBackoff(r.service, r.grant, command.For)
 	case turn.Remember:
-		r.service.sessions.recordCommit(r.key, command.Turn, r.history)
+		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
@@ -260,13 +262,13 @@
 	if event.GetCompleted() != nil {
 		r.explanation.RecordStep("completed", event.GetCompleted().GetTurnId())
 	}
-	if isTerminal(event) {
+	if sessions.IsTerminal(event) {
 		r.countEnd(event)
 		if r.machine.Done() {
 			r.freeSession()
 		}
 	}
-	r.live.append(event)
+	r.live.Append(event)
 }
 
 // freeSession lets the next turn of the session begin. It goes before the last
@@ -277,7 +279,7 @@
 		return
 	}
 	r.sessionFreed = true
-	r.service.sessions.finish(r.key, r.live)
+	r.service.sessions.Finish(r.key, r.live)
 }
 
 // waitBackoff waits before the ledger is asked again. Lost authority ends the wait
