--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -13,6 +13,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
+	"github.com/rosestand/rosestand/internal/dataplane/front/outcomes"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -110,8 +111,8 @@
 	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
 	SampleTimeout         = issue.SampleTimeout
-	ShareTick             = shareTick
-	ShareInterval         = shareInterval
+	ShareTick             = outcomes.Tick
+	ShareInterval         = outcomes.Interval
 	// AnswerWithin is far above the time in which the rig's routes should be answered.
 	AnswerWithin = time.Second
 )
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -19,6 +19,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
+	"github.com/rosestand/rosestand/internal/dataplane/front/outcomes"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
@@ -87,6 +88,7 @@
 	sessions     *sessions.Store
 	explanations *explain.Store
 	heartbeats   *heartbeat.Relay
+	outcomes     *outcomes.Sharer
 
 	// stopped is closed when the process abandons what is still in progress.
 	stopped  chan struct{}
@@ -133,6 +135,10 @@
 	s.versionPins = versionpin.NewResolver(versionpin.Options{
 		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
 	})
+	s.outcomes = outcomes.NewSharer(outcomes.Options{
+		Node: s.name, Zone: s.zone, Core: options.Link, Clock: options.Clock, Servers: s.backEnds.Load,
+		Suspected: s.metrics.sharedSuspects,
+	})
 	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
 	s.viewChanged(options.Link.View())
 	options.Link.Subscribe(s.viewChanged)
@@ -192,8 +198,8 @@
 	s.workers.Go(func() { s.rollout.Report(ctx) })
 	s.workers.Go(func() { s.heartbeats.Run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
-	s.workers.Go(func() { s.shareOutcomes(ctx) })
-	s.workers.Go(func() { s.watchSuspects(ctx) })
+	s.workers.Go(func() { s.outcomes.Report(ctx) })
+	s.workers.Go(func() { s.outcomes.Watch(ctx) })
 	return nil
 }
 
