--- a/internal/dataplane/front/answers.go
+++ b/internal/dataplane/front/callerapi/answers.go
@@ -1,4 +1,4 @@
-package front
+package callerapi
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// responseObject is a turn as callers see it.
-type responseObject struct {
+// ResponseObject is a turn as callers see it.
+type ResponseObject struct {
 	ID                 string          `json:"id"`
 	Object             string          `json:"object"`
 	Status             string          `json:"status"`
@@ -54,8 +54,8 @@
 	Attempt       uint32 `json:"attempt,omitempty"`
 }
 
-// callObject is the answer of a tool call.
-type callObject struct {
+// CallObject is the answer to a tool call.
+type CallObject struct {
 	RequestID string          `json:"request_id"`
 	Status    uint32          `json:"status"`
 	Result    json.RawMessage `json:"result"`
@@ -68,23 +68,45 @@
 	responseKind     = "response"
 )
 
-// turnView builds the answer of a turn from its events.
-type turnView struct {
+// TurnView builds the answer to a turn from its events. One goroutine uses it.
+type TurnView struct {
 	request *protocol.TurnRequest
 	created *protocol.TurnCreated
 	attempt uint32
 }
 
-// see updates the view with an event.
-func (v *turnView) see(event *protocol.TurnEvent) {
+// Observe updates the view with an event.
+func (v *TurnView) Observe(event *protocol.TurnEvent) {
 	v.attempt = event.GetAttempt()
 	if created := event.GetCreated(); created != nil {
 		v.created = created
 	}
 }
 
-func (v *turnView) object(status string) responseObject {
-	return responseObject{
+// NewTurnView makes the view of a turn without events.
+func NewTurnView(request *protocol.TurnRequest) *TurnView { return &TurnView{request: request} }
+
+// InProgressObject is a turn that has no answer yet.
+func InProgressObject(id, requestID, conversation, program string) ResponseObject {
+	return ResponseObject{
+		ID: id, Object: responseKind, Status: statusInProgress, Conversation: conversation, Program: program,
+		Output: []outputMessage{}, Rosestand: provenance{RequestID: requestID},
+	}
+}
+
+// NewCallObject is the answer of a response without a failure.
+func NewCallObject(request *protocol.ToolCallRequest, response *protocol.ToolCallResponse) CallObject {
+	return CallObject{
+		RequestID: request.GetRequestId(), Status: response.GetStatus(), Result: resultJSON(response),
+		Rosestand: provenance{
+			RequestID: request.GetRequestId(), Nonce: request.GetNonce(), BackEnd: response.GetBackEnd(),
+			Owner: response.GetOwner(), Epoch: response.GetEpoch(), BundleVersion: response.GetBundleVersion(),
+		},
+	}
+}
+
+func (v *TurnView) object(status string) ResponseObject {
+	return ResponseObject{
 		ID: v.created.GetTurnId(), Object: responseKind, Status: status, Model: v.request.GetModel(),
 		Conversation: v.request.GetSession(), Program: v.request.GetProgram(),
 		PreviousResponseID: v.request.GetPreviousTurn(),
@@ -96,7 +118,8 @@
 	}
 }
 
-func (v *turnView) completed(done *protocol.TurnCompleted) responseObject {
+// Completed is the answer to a completed turn.
+func (v *TurnView) Completed(done *protocol.TurnCompleted) ResponseObject {
 	answer := v.object(statusCompleted)
 	answer.ID = done.GetTurnId()
 	answer.Output = message(done.GetText())
@@ -116,13 +139,13 @@
 	}
 }
 
-// retainedObject is a turn that the ledger retains.
-func retainedObject(retained *protocol.Turn) responseObject {
+// RetainedObject is a turn that the ledger retains.
+func RetainedObject(retained *protocol.Turn) ResponseObject {
 	var text strings.Builder
 	for _, item := range retained.GetOutput() {
 		text.WriteString(item.GetText())
 	}
-	return responseObject{
+	return ResponseObject{
 		ID: retained.GetId(), Object: responseKind, Status: statusCompleted, Model: retained.GetModel(),
 		Conversation: retained.GetSession(),
 		Program:      retained.GetProgram(), PreviousResponseID: retained.GetPreviousTurn(), Output: message(text.String()),
--- a/internal/dataplane/front/decode.go
+++ b/internal/dataplane/front/callerapi/decode.go
@@ -1,4 +1,4 @@
-package front
+package callerapi
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 // DefaultMaxBodyBytes bounds HTTP bodies unless the settings say otherwise.
 const DefaultMaxBodyBytes = 8 << 20
 
-// readBody reads a bounded body.
-func readBody(request *http.Request, maxBytes int64) ([]byte, error) {
+// ReadBody reads a body of at most maxBytes; the error is a failure.
+func ReadBody(request *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxBytes+1))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) || int64(len(body)) > maxBytes {
@@ -31,8 +31,8 @@
 	return body, nil
 }
 
-// decodeStrict reads one JSON object; path is put before the names of fields at fault.
-func decodeStrict(text []byte, path string, into any) error {
+// DecodeStrict reads one JSON value without unknown fields; path is put before the names of fields at fault.
+func DecodeStrict(text []byte, path string, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
@@ -50,7 +50,7 @@
 func decodeFailure(err error, path string) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return invalidField(joinPath(path, wrongType.Field), "must not be a "+wrongType.Value)
+		return InvalidField(joinPath(path, wrongType.Field), "must not be a "+wrongType.Value)
 	}
 	if quoted, found := strings.CutPrefix(err.Error(), unknownFieldPrefix); found {
 		name, unquoteError := strconv.Unquote(quoted)
@@ -71,10 +71,12 @@
 	return path + "." + name
 }
 
-func invalidField(path, message string) error {
+// InvalidField is the failure for a field with a value that is not allowed.
+func InvalidField(path, message string) error {
 	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
 }
 
-func missingField(path string) error {
+// MissingField is the failure for a field that is required.
+func MissingField(path string) error {
 	return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "is required", failure.WithPath(path))
 }
--- a/internal/dataplane/front/sse.go
+++ b/internal/dataplane/front/callerapi/event_stream.go
@@ -1,4 +1,4 @@
-package front
+package callerapi
 
 import (
 	"encoding/json"
@@ -22,18 +22,19 @@
 	eventFailed    = "response.failed"
 )
 
-// eventStream writes the events of a turn to a caller, flushed one by one.
-type eventStream struct {
+// EventStream writes the events of a turn to a caller, flushed one by one. One goroutine uses it.
+type EventStream struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	view       turnView
+	view       TurnView
 	last       sessions.Cursor
 	begun      bool
 	buffer     []byte
 }
 
-func newEventStream(writer http.ResponseWriter, request *protocol.TurnRequest) *eventStream {
-	return &eventStream{writer: writer, controller: http.NewResponseController(writer), view: turnView{request: request}}
+// NewEventStream makes the stream of a new turn; nothing is written before the first event.
+func NewEventStream(writer http.ResponseWriter, request *protocol.TurnRequest) *EventStream {
+	return &EventStream{writer: writer, controller: http.NewResponseController(writer), view: TurnView{request: request}}
 }
 
 type eventHeader struct {
@@ -50,7 +51,7 @@
 
 type responseEvent struct {
 	eventHeader
-	Response responseObject `json:"response"`
+	Response ResponseObject `json:"response"`
 }
 
 type failedEvent struct {
@@ -58,10 +59,10 @@
 	Error failure.Detail `json:"error"`
 }
 
-// send writes one event. A failure before anything was written is not written:
+// Send writes one event. A failure before anything was written is not written:
 // it becomes an ordinary error answer.
-func (e *eventStream) send(event *protocol.TurnEvent) error {
-	e.view.see(event)
+func (e *EventStream) Send(event *protocol.TurnEvent) error {
+	e.view.Observe(event)
 	if f := event.GetFailed(); f != nil && !e.begun {
 		return &failure.Error{Failure: f}
 	}
@@ -76,7 +77,7 @@
 		data = deltaEvent{eventHeader: header, Delta: body.Delta.GetText(), Tokens: body.Delta.GetTokens()}
 	case *protocol.TurnEvent_Completed:
 		header.Type = eventCompleted
-		data = responseEvent{eventHeader: header, Response: e.view.completed(body.Completed)}
+		data = responseEvent{eventHeader: header, Response: e.view.Completed(body.Completed)}
 	case *protocol.TurnEvent_Failed:
 		header.Type = eventFailed
 		data = failedEvent{eventHeader: header, Error: failure.NewDetail(body.Failed)}
@@ -84,8 +85,21 @@
 	return e.write(header, data)
 }
 
+// ResumeEventStream makes the stream of a turn that goes on after the caller's last event, and sends its header.
+func ResumeEventStream(
+	writer http.ResponseWriter, request *protocol.TurnRequest, created *protocol.TurnCreated, after sessions.Cursor,
+) (*EventStream, error) {
+	stream := NewEventStream(writer, request)
+	stream.last, stream.view.created = after, created
+	stream.begin()
+	return stream, stream.controller.Flush()
+}
+
+// HasBegun reports whether something was sent: an error can be sent as an event only.
+func (e *EventStream) HasBegun() bool { return e.begun }
+
 // begin sends the header of the stream.
-func (e *eventStream) begin() {
+func (e *EventStream) begin() {
 	if e.begun {
 		return
 	}
@@ -95,7 +109,7 @@
 	e.writer.WriteHeader(http.StatusOK)
 }
 
-func (e *eventStream) write(header eventHeader, data any) error {
+func (e *EventStream) write(header eventHeader, data any) error {
 	text, err := json.Marshal(data)
 	if err != nil {
 		return err
@@ -111,21 +125,22 @@
 	// A writer that knows no deadlines, as in tests, is never slow.
 	_ = e.controller.SetWriteDeadline(time.Now().Add(eventWriteTimeout))
 	if _, err := e.writer.Write(e.buffer); err != nil {
-		return slowReader(err)
+		return SlowReader(err)
 	}
 	if err := e.controller.Flush(); err != nil {
-		return slowReader(err)
+		return SlowReader(err)
 	}
 	e.last = sessions.Cursor{Attempt: header.Attempt, Sequence: header.SequenceNumber}
 	return nil
 }
 
-func slowReader(err error) error {
+// SlowReader is the failure for an event that could not be written.
+func SlowReader(err error) error {
 	return failure.New(failure.SlowReader, protocol.Outcome_RAN, "the event could not be written: "+err.Error())
 }
 
-// fail ends a stream that has begun with a typed event.
-func (e *eventStream) fail(f *protocol.Failure) {
+// Fail ends a stream that has begun with a typed event.
+func (e *EventStream) Fail(f *protocol.Failure) {
 	header := eventHeader{Type: eventFailed, SequenceNumber: e.last.Sequence + 1, Attempt: max(e.last.Attempt, 1)}
 	_ = e.write(header, failedEvent{eventHeader: header, Error: failure.NewDetail(f)})
 }
--- a/internal/dataplane/front/requests.go
+++ b/internal/dataplane/front/callerapi/requests.go
@@ -1,4 +1,4 @@
-package front
+package callerapi
 
 import (
 	"bytes"
@@ -19,10 +19,13 @@
 )
 
 const (
-	maxIdentifierBytes = 128
-	generatedIDBytes   = 16
-	headerTenant       = "Rosestand-Tenant"
-	maxTimeoutMillis   = 600_000
+	// MaxIdentifierBytes bounds the identifiers that callers choose.
+	MaxIdentifierBytes = 128
+	// MaxTimeoutMillis bounds the time-outs that callers request.
+	MaxTimeoutMillis = 600_000
+
+	generatedIDBytes = 16
+	headerTenant     = "Rosestand-Tenant"
 )
 
 // responsesBody is the body of POST /v1/responses.
@@ -65,20 +68,20 @@
 
 var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true, "tool": true}
 
-// parseTurn reads and checks the body of a turn.
-func parseTurn(text []byte, header http.Header) (*protocol.TurnRequest, bool, error) {
+// ParseTurn reads and checks the body of a turn; the second result says whether it is to be streamed.
+func ParseTurn(text []byte, header http.Header) (*protocol.TurnRequest, bool, error) {
 	var body responsesBody
-	if err := decodeStrict(text, "", &body); err != nil {
+	if err := DecodeStrict(text, "", &body); err != nil {
 		return nil, false, err
 	}
 	if body.Model == "" {
-		return nil, false, missingField("model")
+		return nil, false, MissingField("model")
 	}
 	if err := checkCommon(body.Program, body.Conversation, body.Priority, body.TimeoutMillis); err != nil {
 		return nil, false, err
 	}
-	if len(body.PreviousResponseID) > maxIdentifierBytes {
-		return nil, false, tooLong("previous_response_id")
+	if len(body.PreviousResponseID) > MaxIdentifierBytes {
+		return nil, false, TooLong("previous_response_id")
 	}
 	input, err := parseInput(body.Input)
 	if err != nil {
@@ -105,53 +108,54 @@
 func checkCommon(program, conversation, priority string, timeoutMillis uint32) error {
 	switch {
 	case program == "":
-		return missingField("program")
-	case len(program) > maxIdentifierBytes:
-		return tooLong("program")
+		return MissingField("program")
+	case len(program) > MaxIdentifierBytes:
+		return TooLong("program")
 	case ledger.IsReservedProgram(program):
-		return reservedProgram()
-	case len(conversation) > maxIdentifierBytes:
-		return tooLong("conversation")
-	case timeoutMillis > maxTimeoutMillis:
-		return invalidField("timeout_millis", fmt.Sprintf("must be at most %d", maxTimeoutMillis))
+		return ReservedProgram()
+	case len(conversation) > MaxIdentifierBytes:
+		return TooLong("conversation")
+	case timeoutMillis > MaxTimeoutMillis:
+		return InvalidField("timeout_millis", fmt.Sprintf("must be at most %d", MaxTimeoutMillis))
 	}
 	if _, known := priorities[priority]; !known {
-		return invalidField("priority", "must be urgent, interactive or probe")
+		return InvalidField("priority", "must be urgent, interactive or probe")
 	}
 	return nil
 }
 
-// reservedProgram rejects a name that the ledger reserves for training steps.
-func reservedProgram() error {
-	return invalidField("program", "is a name that the ledger keeps for itself")
+// ReservedProgram rejects a name that the ledger reserves for training steps.
+func ReservedProgram() error {
+	return InvalidField("program", "is a name that the ledger keeps for itself")
 }
 
-func tooLong(path string) error {
-	return invalidField(path, fmt.Sprintf("must be at most %d bytes long", maxIdentifierBytes))
+// TooLong is the failure for an identifier of more than MaxIdentifierBytes.
+func TooLong(path string) error {
+	return InvalidField(path, fmt.Sprintf("must be at most %d bytes long", MaxIdentifierBytes))
 }
 
 // parseInput reads a text or a list of items.
 func parseInput(raw json.RawMessage) ([]*protocol.Item, error) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
-		return nil, missingField("input")
+		return nil, MissingField("input")
 	}
 	if raw[0] == '"' {
 		var text string
-		if err := decodeStrict(raw, "input", &text); err != nil {
+		if err := DecodeStrict(raw, "input", &text); err != nil {
 			return nil, err
 		}
 		if text == "" {
-			return nil, missingField("input")
+			return nil, MissingField("input")
 		}
 		return []*protocol.Item{{Role: "user", Text: text}}, nil
 	}
 	var entries []json.RawMessage
-	if err := decodeStrict(raw, "input", &entries); err != nil {
+	if err := DecodeStrict(raw, "input", &entries); err != nil {
 		return nil, err
 	}
 	if len(entries) == 0 {
-		return nil, missingField("input")
+		return nil, MissingField("input")
 	}
 	items := make([]*protocol.Item, 0, len(entries))
 	for at, entry := range entries {
@@ -166,19 +170,19 @@
 
 func parseItem(raw json.RawMessage, path string) (*protocol.Item, error) {
 	var item inputItem
-	if err := decodeStrict(raw, path, &item); err != nil {
+	if err := DecodeStrict(raw, path, &item); err != nil {
 		return nil, err
 	}
 	if !roles[item.Role] {
-		return nil, invalidField(path+".role", "must be system, developer, user, assistant or tool")
+		return nil, InvalidField(path+".role", "must be system, developer, user, assistant or tool")
 	}
 	return &protocol.Item{Role: item.Role, Text: item.Content, ToolCallId: item.ToolCallID, ToolName: item.Name}, nil
 }
 
-// parseCall reads and checks the body of a tool call.
-func parseCall(text []byte, tool string, header http.Header) (*protocol.ToolCallRequest, error) {
+// ParseCall reads and checks the body of a tool call.
+func ParseCall(text []byte, tool string, header http.Header) (*protocol.ToolCallRequest, error) {
 	var body toolCallBody
-	if err := decodeStrict(text, "", &body); err != nil {
+	if err := DecodeStrict(text, "", &body); err != nil {
 		return nil, err
 	}
 	if err := checkCommon(body.Program, body.Conversation, body.Priority, body.TimeoutMillis); err != nil {
@@ -208,11 +212,11 @@
 	key := header.Get(issue.HeaderIdempotency)
 	switch {
 	case key == "":
-		return "req_" + randomID(), true, nil
-	case len(key) > maxIdentifierBytes:
-		return "", false, tooLong(issue.HeaderIdempotency)
+		return "req_" + RandomID(), true, nil
+	case len(key) > MaxIdentifierBytes:
+		return "", false, TooLong(issue.HeaderIdempotency)
 	case strings.ContainsFunc(key, isControl):
-		return "", false, invalidField(issue.HeaderIdempotency, "must not hold control characters")
+		return "", false, InvalidField(issue.HeaderIdempotency, "must not hold control characters")
 	}
 	return key, false, nil
 }
@@ -222,8 +226,8 @@
 // nonceOf is what back ends echo, so that answers cannot be mixed up.
 func nonceOf(header http.Header, requestID string) (string, error) {
 	nonce := header.Get(issue.HeaderNonce)
-	if len(nonce) > maxIdentifierBytes {
-		return "", tooLong(issue.HeaderNonce)
+	if len(nonce) > MaxIdentifierBytes {
+		return "", TooLong(issue.HeaderNonce)
 	}
 	if nonce == "" {
 		return derivedID("nonce", requestID), nil
@@ -231,7 +235,8 @@
 	return nonce, nil
 }
 
-func randomID() string {
+// RandomID is a new id.
+func RandomID() string {
 	var random [generatedIDBytes]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
@@ -242,11 +247,11 @@
 	return hex.EncodeToString(sum[:generatedIDBytes])
 }
 
-// tenantOf checks who calls: a tenant of the bundle, with its credential when it has one.
-func tenantOf(header http.Header, decided rollout.Variant) (*protocol.TenantPolicy, error) {
+// TenantOf checks who the caller is: a tenant of the bundle, with its credential when it has one.
+func TenantOf(header http.Header, decided rollout.Variant) (*protocol.TenantPolicy, error) {
 	name := header.Get(headerTenant)
 	if name == "" {
-		return nil, missingField(headerTenant)
+		return nil, MissingField(headerTenant)
 	}
 	policy := decided.Tenant(name)
 	if policy == nil {
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -29,7 +30,7 @@
 func (s *Service) Register(engine *gin.Engine, maxBodyBytes uint64) {
 	a := &api{service: s, maxBody: int64(maxBodyBytes)}
 	if a.maxBody == 0 {
-		a.maxBody = DefaultMaxBodyBytes
+		a.maxBody = callerapi.DefaultMaxBodyBytes
 	}
 	engine.POST("/v1/responses", a.postResponse)
 	engine.GET("/v1/responses/:id", a.getResponse)
@@ -59,11 +60,11 @@
 
 // admitTurn reads a turn and checks everything that needs no owner.
 func (a *api) admitTurn(c *gin.Context) (*protocol.TurnRequest, bool, *protocol.TenantPolicy, error) {
-	text, err := readBody(c.Request, a.maxBody)
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, nil, err
 	}
-	request, stream, err := parseTurn(text, c.Request.Header)
+	request, stream, err := callerapi.ParseTurn(text, c.Request.Header)
 	if err != nil {
 		return nil, false, nil, err
 	}
@@ -110,7 +111,7 @@
 		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet",
 			failure.WithRetryAfter(time.Second))
 	}
-	return tenantOf(c.Request.Header, decided)
+	return callerapi.TenantOf(c.Request.Header, decided)
 }
 
 // rejectEarly rejects a turn before an owner has seen it. A request that may repeat one that ran is
@@ -139,22 +140,22 @@
 func (a *api) streamTurn(
 	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
 ) {
-	stream := newEventStream(c.Writer, request)
+	stream := callerapi.NewEventStream(c.Writer, request)
 	tokens := uint64(0)
 	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
 		tokens += uint64(event.GetDelta().GetTokens())
-		return stream.send(event)
+		return stream.Send(event)
 	})
 	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	endStream(c, stream, err)
 }
 
 // endStream reports an error to the caller in the form that is still possible.
-func endStream(c *gin.Context, stream *eventStream, err error) {
+func endStream(c *gin.Context, stream *callerapi.EventStream, err error) {
 	switch {
 	case err == nil:
-	case stream.begun:
-		stream.fail(failure.From(err))
+	case stream.HasBegun():
+		stream.Fail(failure.From(err))
 	default:
 		writeError(c, err)
 	}
@@ -163,11 +164,11 @@
 func (a *api) answerTurn(
 	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
 ) {
-	view := turnView{request: request}
+	view := callerapi.NewTurnView(request)
 	tokens := uint64(0)
 	var last *protocol.TurnEvent
 	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
-		view.see(event)
+		view.Observe(event)
 		tokens += uint64(event.GetDelta().GetTokens())
 		last = event
 		return nil
@@ -179,7 +180,7 @@
 	case last.GetFailed() != nil:
 		writeError(c, &failure.Error{Failure: last.GetFailed()})
 	default:
-		c.JSON(http.StatusOK, view.completed(last.GetCompleted()))
+		c.JSON(http.StatusOK, view.Completed(last.GetCompleted()))
 	}
 }
 
@@ -201,21 +202,15 @@
 		writeError(c, &failure.Error{Failure: f})
 		return
 	}
-	c.JSON(http.StatusOK, callObject{
-		RequestID: request.GetRequestId(), Status: response.GetStatus(), Result: resultJSON(response),
-		Rosestand: provenance{
-			RequestID: request.GetRequestId(), Nonce: request.GetNonce(), BackEnd: response.GetBackEnd(),
-			Owner: response.GetOwner(), Epoch: response.GetEpoch(), BundleVersion: response.GetBundleVersion(),
-		},
-	})
+	c.JSON(http.StatusOK, callerapi.NewCallObject(request, response))
 }
 
 func (a *api) admitCall(c *gin.Context) (*protocol.ToolCallRequest, bool, error) {
-	text, err := readBody(c.Request, a.maxBody)
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, err
 	}
-	request, err := parseCall(text, c.Param("tool"), c.Request.Header)
+	request, err := callerapi.ParseCall(text, c.Param("tool"), c.Request.Header)
 	if err != nil {
 		return nil, false, err
 	}
@@ -231,7 +226,7 @@
 		return nil, false, unknownTool()
 	}
 	if route.GetNonRepeatable() && c.GetHeader(issue.HeaderIdempotency) == "" {
-		return nil, false, missingField(issue.HeaderIdempotency)
+		return nil, false, callerapi.MissingField(issue.HeaderIdempotency)
 	}
 	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
--- a/internal/dataplane/front/http_backends.go
+++ b/internal/dataplane/front/http_backends.go
@@ -11,6 +11,7 @@
 	"github.com/gin-gonic/gin"
 	"google.golang.org/protobuf/encoding/protojson"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -57,7 +58,7 @@
 
 func parseHeartbeat(text []byte) (*protocol.BackEnd, error) {
 	var body heartbeatBody
-	if err := decodeStrict(text, "", &body); err != nil {
+	if err := callerapi.DecodeStrict(text, "", &body); err != nil {
 		return nil, err
 	}
 	kind := protocol.BackEndKind(protocol.BackEndKind_value[body.Kind])
@@ -65,25 +66,25 @@
 	_, addressError := netip.ParseAddrPort(body.Address)
 	switch {
 	case body.ID == "":
-		return nil, missingField("id")
-	case len(body.ID) > maxIdentifierBytes:
-		return nil, tooLong("id")
+		return nil, callerapi.MissingField("id")
+	case len(body.ID) > callerapi.MaxIdentifierBytes:
+		return nil, callerapi.TooLong("id")
 	case kind == protocol.BackEndKind_BACK_END_KIND_UNSPECIFIED:
-		return nil, invalidField("kind", "must be MODEL_SERVER or TOOL_SERVER")
+		return nil, callerapi.InvalidField("kind", "must be MODEL_SERVER or TOOL_SERVER")
 	case addressError != nil:
-		return nil, invalidField("address", "must be an IP address and a port")
+		return nil, callerapi.InvalidField("address", "must be an IP address and a port")
 	case body.Group == "":
-		return nil, missingField("group")
+		return nil, callerapi.MissingField("group")
 	case body.Incarnation == 0:
-		return nil, missingField("incarnation")
+		return nil, callerapi.MissingField("incarnation")
 	case kind == protocol.BackEndKind_MODEL_SERVER && len(body.Models) == 0:
-		return nil, missingField("models")
+		return nil, callerapi.MissingField("models")
 	case kind == protocol.BackEndKind_TOOL_SERVER && len(body.Tools) == 0:
-		return nil, missingField("tools")
+		return nil, callerapi.MissingField("tools")
 	case len(body.Models)+len(body.Tools) > maxBackEndNames:
-		return nil, invalidField("models", "names too many models and tools")
+		return nil, callerapi.InvalidField("models", "names too many models and tools")
 	case !knownState:
-		return nil, invalidField("state", "must be READY or DRAINING")
+		return nil, callerapi.InvalidField("state", "must be READY or DRAINING")
 	}
 	return &protocol.BackEnd{
 		Id: body.ID, Kind: kind, State: state, Address: body.Address, Zone: body.Zone, Region: body.Region, Group: body.Group,
@@ -93,7 +94,7 @@
 
 // postHeartbeat relays a back end's heartbeat to the core.
 func (a *api) postHeartbeat(c *gin.Context) {
-	text, err := readBody(c.Request, a.maxBody)
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -125,18 +126,18 @@
 
 // postDrain has the core drain a back end; the answer confirms that no front node will send it more.
 func (a *api) postDrain(c *gin.Context) {
-	text, err := readBody(c.Request, a.maxBody)
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		writeError(c, err)
 		return
 	}
 	var body drainRequestBody
-	if err := decodeStrict(text, "", &body); err != nil {
+	if err := callerapi.DecodeStrict(text, "", &body); err != nil {
 		writeError(c, err)
 		return
 	}
 	if body.Incarnation == 0 {
-		writeError(c, missingField("incarnation"))
+		writeError(c, callerapi.MissingField("incarnation"))
 		return
 	}
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), drainTimeoutAll)
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -9,6 +9,7 @@
 
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -30,15 +31,15 @@
 func parseReadQuery(c *gin.Context) (readQuery, error) {
 	query := readQuery{id: c.Param("id"), program: c.Query("program")}
 	if query.program == "" {
-		return query, missingField("program")
+		return query, callerapi.MissingField("program")
 	}
 	if ledger.IsReservedProgram(query.program) {
-		return query, reservedProgram()
+		return query, callerapi.ReservedProgram()
 	}
 	if text := c.Query("stream"); text != "" {
 		stream, err := strconv.ParseBool(text)
 		if err != nil {
-			return query, invalidField("stream", "must be true or false")
+			return query, callerapi.InvalidField("stream", "must be true or false")
 		}
 		query.stream = stream
 	}
@@ -63,7 +64,7 @@
 	attempt, attemptError := strconv.ParseUint(attemptText, 10, 32)
 	sequence, sequenceError := strconv.ParseUint(sequenceText, 10, 64)
 	if attemptError != nil || sequenceError != nil || attempt == 0 {
-		return sessions.Cursor{}, invalidField("starting_after", "must be a sequence number or the id of an event")
+		return sessions.Cursor{}, callerapi.InvalidField("starting_after", "must be a sequence number or the id of an event")
 	}
 	return sessions.Cursor{Attempt: uint32(attempt), Sequence: sequence}, nil
 }
@@ -92,13 +93,10 @@
 		return
 	}
 	if current.retained == nil {
-		c.JSON(http.StatusOK, responseObject{
-			ID: query.id, Object: responseKind, Status: statusInProgress, Conversation: current.session, Program: query.program,
-			Output: []outputMessage{}, Rosestand: provenance{RequestID: current.requestID},
-		})
+		c.JSON(http.StatusOK, callerapi.InProgressObject(query.id, current.requestID, current.session, query.program))
 		return
 	}
-	c.JSON(http.StatusOK, retainedObject(current.retained))
+	c.JSON(http.StatusOK, callerapi.RetainedObject(current.retained))
 }
 
 // ledgerTurn is a turn as the ledger knows it: retained, or in progress in a session.
@@ -151,22 +149,20 @@
 	if current.retained != nil {
 		request.Model, request.PreviousTurn = current.retained.GetModel(), current.retained.GetPreviousTurn()
 	}
-	stream := newEventStream(c.Writer, request)
-	stream.last = query.after
-	stream.view.created = &protocol.TurnCreated{
+	created := &protocol.TurnCreated{
 		TurnId: query.id, RequestId: current.requestID, BackEnd: current.retained.GetBackEnd(),
 		Epoch: current.retained.GetEpoch(),
 	}
-	stream.begin()
-	if err := stream.controller.Flush(); err != nil {
+	stream, err := callerapi.ResumeEventStream(c.Writer, request, created, query.after)
+	if err != nil {
 		return
 	}
 	relayed := &relay{
-		service: a.service, request: request, deliver: stream.send, position: query.after,
+		service: a.service, request: request, deliver: stream.Send, position: query.after,
 		explanation: a.service.explanations.Begin(current.requestID, current.session, query.program),
 	}
 	relayed.explanation.RecordStep("resumed", fmtCursor(query.after))
-	err := a.service.resumeFromOwner(ctx, relayed, query, current)
+	err = a.service.resumeFromOwner(ctx, relayed, query, current)
 	if err == nil || relayed.deliveryError != nil || ctx.Err() != nil {
 		endStream(c, stream, err)
 		return
--- a/internal/dataplane/front/route_api.go
+++ b/internal/dataplane/front/route_api.go
@@ -10,6 +10,7 @@
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
 	"github.com/rosestand/rosestand/internal/dataplane/dialect"
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/httpheader"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -83,7 +84,7 @@
 	if headerBytes(request.Header) > orDefault(uint64(limits.GetMaxHeaderBytes()), defaultRoutedHeaderBytes) {
 		return nil, failure.New(failure.HeaderTooLarge, protocol.Outcome_NOT_RUN, "the header is too large")
 	}
-	body, err := readBody(request, int64(orDefault(limits.GetMaxBodyBytes(), defaultRoutedBodyBytes)))
+	body, err := callerapi.ReadBody(request, int64(orDefault(limits.GetMaxBodyBytes(), defaultRoutedBodyBytes)))
 	if err != nil {
 		return nil, err
 	}
@@ -116,12 +117,12 @@
 		id: header.Get(a.dialect.RequestID), program: header.Get(a.dialect.Program), session: header.Get(a.dialect.Session),
 		previous: header.Get(a.dialect.PreviousTurn),
 	}
-	if len(accepted.id) > maxIdentifierBytes || len(accepted.program) > maxIdentifierBytes ||
-		len(accepted.session) > maxIdentifierBytes || len(accepted.previous) > maxIdentifierBytes {
-		return nil, tooLong("header")
+	if len(accepted.id) > callerapi.MaxIdentifierBytes || len(accepted.program) > callerapi.MaxIdentifierBytes ||
+		len(accepted.session) > callerapi.MaxIdentifierBytes || len(accepted.previous) > callerapi.MaxIdentifierBytes {
+		return nil, callerapi.TooLong("header")
 	}
 	if accepted.id == "" {
-		accepted.id = "req_" + randomID()
+		accepted.id = "req_" + callerapi.RandomID()
 		header.Set(a.dialect.RequestID, accepted.id)
 	}
 	if accepted.session == "" {
@@ -131,7 +132,7 @@
 		accepted.program = accepted.session
 	}
 	if ledger.IsReservedProgram(accepted.program) {
-		return nil, reservedProgram()
+		return nil, callerapi.ReservedProgram()
 	}
 	if route.GetStateful() && accepted.program == "" {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "a turn of this route must name its program",
@@ -156,7 +157,7 @@
 		Stateful:               route.GetStateful(), Resumable: route.GetResumable(), KeepMillis: route.GetKeepMillis(),
 		BundleVersion: index.Bundle().GetVersion(), Affinity: a.affinityKey(header, route),
 		PromptParts: promptParts(header.Get(a.dialect.PromptParts)), PromptTokens: prompt,
-		ProgramTimeLeftMillis: uint32(min(headerNumber(header, a.dialect.ProgramTimeLeft), maxTimeoutMillis)),
+		ProgramTimeLeftMillis: uint32(min(headerNumber(header, a.dialect.ProgramTimeLeft), callerapi.MaxTimeoutMillis)),
 		EventTokens:           index.Group(group).GetEngine().GetEventTokens(),
 	}
 	return accepted, nil
@@ -193,7 +194,7 @@
 	if !given {
 		return allowed
 	}
-	return min(allowed, time.Duration(min(requested, maxTimeoutMillis))*time.Millisecond)
+	return min(allowed, time.Duration(min(requested, callerapi.MaxTimeoutMillis))*time.Millisecond)
 }
 
 // parseInteger reads an integer, or a decimal number without its fraction; false when there is none.
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -79,14 +80,14 @@
 	// A writer that knows no deadlines, as in tests, is never slow.
 	_ = s.controller.SetWriteDeadline(time.Now().Add(routedWriteTimeout))
 	if _, err := s.writer.Write(event); err != nil {
-		return slowReader(err)
+		return callerapi.SlowReader(err)
 	}
 	return s.flush()
 }
 
 func (s *routedStream) flush() error {
 	if err := s.controller.Flush(); err != nil {
-		return slowReader(err)
+		return callerapi.SlowReader(err)
 	}
 	return nil
 }
--- a/internal/dataplane/front/start_wait.go
+++ b/internal/dataplane/front/start_wait.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/rosestand/rosestand/internal/controlplane/bundle"
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 )
 
 const (
@@ -55,5 +56,5 @@
 	if !given {
 		return wait
 	}
-	return min(wait, time.Duration(min(requested, maxTimeoutMillis))*time.Millisecond/startWaitShare)
+	return min(wait, time.Duration(min(requested, callerapi.MaxTimeoutMillis))*time.Millisecond/startWaitShare)
 }
--- a/internal/dataplane/front/step_turn.go
+++ b/internal/dataplane/front/step_turn.go
@@ -7,6 +7,7 @@
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/admission"
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
 	"github.com/rosestand/rosestand/internal/dataplane/promptcache"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
@@ -50,10 +51,10 @@
 		return "", nil
 	}
 	if len(values) > 1 {
-		return "", invalidField(path, "must be named once")
+		return "", callerapi.InvalidField(path, "must be named once")
 	}
 	if err := trainingstep.CheckName(values[0]); err != nil {
-		return "", invalidField(path, err.Error())
+		return "", callerapi.InvalidField(path, err.Error())
 	}
 	return values[0], nil
 }
