--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -52,7 +52,8 @@
 	}
 	for _, mechanism := range []schedulesim.Mechanism{schedulesim.HomeServer, schedulesim.CachedParts} {
 		if twice[string(mechanism)] <= twice["all mechanisms"] {
-			t.Errorf("without %q %g tokens a turn are read twice, with it %g", mechanism, twice[string(mechanism)], twice["all mechanisms"])
+			t.Errorf("without %q %g tokens a turn are read twice, with it %g", mechanism, twice[string(mechanism)],
+				twice["all mechanisms"])
 		}
 	}
 }
@@ -74,7 +75,10 @@
 }
 
 func TestBadFilesAreRefused(t *testing.T) {
-	for _, content := range []string{`{}`, strings.Replace(small, `"seeds":[1,2]`, `"seeds":[]`, 1), strings.Replace(small, `"slots":8`, `"slots":0`, 1)} {
+	for _, content := range []string{
+		`{}`, strings.Replace(small, `"seeds":[1,2]`, `"seeds":[]`, 1),
+		strings.Replace(small, `"slots":8`, `"slots":0`, 1),
+	} {
 		var field *ablation.FieldError
 		if _, err := ablation.Parse([]byte(content)); !errors.As(err, &field) {
 			t.Errorf("%.60s: %v", content, err)
--- a/internal/testing/lab/ablation/file.go
+++ b/internal/testing/lab/ablation/file.go
@@ -166,7 +166,8 @@
 	micros := func(count int) time.Duration { return time.Duration(count) * time.Microsecond }
 	return schedulesim.EngineSpec{
 		Slots: e.Slots, Queue: e.Queue, CacheTokens: e.CacheTokens, StepTime: micros(e.StepMicros),
-		PerRequest: micros(e.PerRequestMicros), PerThousand: micros(e.PerThousandMicros), PromptRate: e.PromptRate, Chunk: e.Chunk,
+		PerRequest: micros(e.PerRequestMicros), PerThousand: micros(e.PerThousandMicros), PromptRate: e.PromptRate,
+		Chunk: e.Chunk,
 	}
 }
 
--- a/internal/testing/lab/ablation/run.go
+++ b/internal/testing/lab/ablation/run.go
@@ -73,7 +73,10 @@
 		first = append(first, result.Quantile(0.95).Seconds()*1000)
 		twice = append(twice, float64(result.RepeatedTokens)/float64(max(result.Turns, 1)))
 	}
-	figures := Figures{Without: string(without), InTime: spreadOf(inTime), FirstTokenMillis: spreadOf(first), ReadTwice: spreadOf(twice)}
+	figures := Figures{
+		Without: string(without), InTime: spreadOf(inTime), FirstTokenMillis: spreadOf(first),
+		ReadTwice: spreadOf(twice),
+	}
 	if without == "" {
 		figures.Without = allMechanisms
 	}
@@ -84,7 +87,8 @@
 func Print(output io.Writer, file *File, results []DayResult) {
 	for _, result := range results {
 		title := fmt.Sprintf("%s, %s: mean and spread of %d seeds", file.Name, result.Day, len(file.Seeds))
-		rows := report.NewTable(output, title, "without", "programs in time", "first token p95 ms", "tokens read twice a turn")
+		rows := report.NewTable(output, title, "without", "programs in time", "first token p95 ms",
+			"tokens read twice a turn")
 		for _, row := range result.Rows {
 			rows.AppendRow(table.Row{row.Without, row.InTime.text(3), row.FirstTokenMillis.text(0), row.ReadTwice.text(0)})
 		}
--- a/internal/testing/lab/audit/audit_test.go
+++ b/internal/testing/lab/audit/audit_test.go
@@ -42,7 +42,10 @@
 	return &caller.Record{
 		Operation: caller.OperationTool, RequestID: "c1", Nonce: "n2", AnswerNonce: "n2", Program: "p1", Session: "s1",
 		Tool: site.ToolValvePlans, Object: "valve-1", Text: "valve-1", Outcome: caller.OutcomeAnswered, AnsweredAt: at(60),
-		Exchanges: []caller.Exchange{{Front: "front-1", SentAt: at(50), AnsweredAt: at(60), Status: 200, Outcome: caller.OutcomeAnswered}},
+		Exchanges: []caller.Exchange{{
+			Front: "front-1", SentAt: at(50), AnsweredAt: at(60), Status: 200,
+			Outcome: caller.OutcomeAnswered,
+		}},
 	}
 }
 
@@ -54,7 +57,10 @@
 }
 
 func refusal(outcome, code string) []caller.Exchange {
-	return []caller.Exchange{{Front: "front-1", SentAt: at(0), AnsweredAt: at(5), Status: 503, Outcome: outcome, Code: code}}
+	return []caller.Exchange{{
+		Front: "front-1", SentAt: at(0), AnsweredAt: at(5), Status: 503, Outcome: outcome,
+		Code: code,
+	}}
 }
 
 // sound is evidence without any fault; each case below spoils one thing.
@@ -65,21 +71,39 @@
 			Records: []*caller.Record{soundTurn(), soundCall(), {
 				Operation: caller.OperationRead, RequestID: "read-r1", TurnID: "turn_1", Program: "p1",
 				Text: soundTurn().Text, Outcome: caller.OutcomeAnswered,
-				Exchanges: []caller.Exchange{{Front: "front-2", SentAt: at(70), AnsweredAt: at(71), Status: 200, Outcome: caller.OutcomeAnswered}},
+				Exchanges: []caller.Exchange{{
+					Front: "front-2", SentAt: at(70), AnsweredAt: at(71), Status: 200,
+					Outcome: caller.OutcomeAnswered,
+				}},
 			}},
 		},
 		Journal: []standin.Entry{
 			{Phase: standin.PhaseReady, Server: "model-1", AtMicros: at(-100).UnixMicro()},
-			{Phase: standin.PhaseStarted, Server: "model-1", RequestID: "r1", AtMicros: at(5).UnixMicro(), ArrivedMicros: at(5).UnixMicro()},
+			{
+				Phase: standin.PhaseStarted, Server: "model-1", RequestID: "r1", AtMicros: at(5).UnixMicro(),
+				ArrivedMicros: at(5).UnixMicro(),
+			},
 			run("c1", site.ToolValvePlans, "valve-1", 55),
 			{Phase: standin.PhaseDrainAcknowledged, Server: "model-1", AtMicros: at(100).UnixMicro()},
-			{Phase: standin.PhaseRejected, Server: "model-1", RequestID: "r9", AtMicros: at(2050).UnixMicro(), ArrivedMicros: at(2050).UnixMicro()},
+			{
+				Phase: standin.PhaseRejected, Server: "model-1", RequestID: "r9", AtMicros: at(2050).UnixMicro(),
+				ArrivedMicros: at(2050).UnixMicro(),
+			},
 		},
 		Recoveries: []audit.Recovery{{After: "kill everything", Took: 12 * time.Second, Served: true}},
 		Orders: []audit.Order{
-			{Kind: audit.OrderPut, Version: 1, Content: "a", SentAt: at(-90), AnsweredAt: at(-80), Outcome: audit.OrderAcknowledged, ID: "o1"},
-			{Kind: audit.OrderSign, Version: 1, SentAt: at(-79), AnsweredAt: at(-70), Outcome: audit.OrderAcknowledged, ID: "o2"},
-			{Kind: audit.OrderList, SentAt: at(200), AnsweredAt: at(201), Outcome: audit.OrderAcknowledged, Listed: []uint64{1}, Newest: 1, Active: 1},
+			{
+				Kind: audit.OrderPut, Version: 1, Content: "a", SentAt: at(-90), AnsweredAt: at(-80),
+				Outcome: audit.OrderAcknowledged, ID: "o1",
+			},
+			{
+				Kind: audit.OrderSign, Version: 1, SentAt: at(-79), AnsweredAt: at(-70), Outcome: audit.OrderAcknowledged,
+				ID: "o2",
+			},
+			{
+				Kind: audit.OrderList, SentAt: at(200), AnsweredAt: at(201), Outcome: audit.OrderAcknowledged, Listed: []uint64{1},
+				Newest: 1, Active: 1,
+			},
 		},
 	}
 }
@@ -112,7 +136,8 @@
 		}},
 		{"told not_run and answered", audit.RejectedButRan, func(e *audit.Evidence) {
 			e.Journal = e.Journal[:1]
-			e.RequestLog.Records[1].Exchanges = append(refusal(caller.OutcomeNotRun, "overloaded"), e.RequestLog.Records[1].Exchanges...)
+			e.RequestLog.Records[1].Exchanges = append(refusal(caller.OutcomeNotRun, "overloaded"),
+				e.RequestLog.Records[1].Exchanges...)
 		}},
 		{"budget refusal that ran, called unknown", audit.BudgetRejectionRan, func(e *audit.Evidence) {
 			e.RequestLog.Records[1].Outcome = caller.OutcomeUnknown
@@ -122,15 +147,24 @@
 			e.RequestLog.Programs["p1"] = &caller.Program{ID: "p1", Budget: 1, LargestTurn: 0}
 		}},
 		{"answer with another nonce", audit.AnswersCrossed, func(e *audit.Evidence) { turn(e).AnswerNonce = "n9" }},
-		{"call answered about another thing", audit.AnswersCrossed, func(e *audit.Evidence) { e.RequestLog.Records[1].Text = "valve-2" }},
+		{
+			"call answered about another thing", audit.AnswersCrossed,
+			func(e *audit.Evidence) { e.RequestLog.Records[1].Text = "valve-2" },
+		},
 		{"piece of another request in a failed turn", audit.AnswersCrossed, func(e *audit.Evidence) {
 			turn(e).Outcome = caller.OutcomeRan
 			turn(e).Exchanges[0].Outcome = caller.OutcomeRan
 			events(e)[1].Text = token(0, 10, "n9")
 		}},
-		{"skipped event", audit.BrokenStream, func(e *audit.Evidence) { events(e)[2].Sequence = 4; events(e)[3].Sequence = 5 }},
+		{
+			"skipped event", audit.BrokenStream,
+			func(e *audit.Evidence) { events(e)[2].Sequence = 4; events(e)[3].Sequence = 5 },
+		},
 		{"repeated event", audit.BrokenStream, func(e *audit.Evidence) { events(e)[2].Sequence = 2 }},
-		{"skipped token under whole numbering", audit.BrokenStream, func(e *audit.Evidence) { events(e)[2].Text = " " + token(2, 20, "n1") }},
+		{
+			"skipped token under whole numbering", audit.BrokenStream,
+			func(e *audit.Evidence) { events(e)[2].Text = " " + token(2, 20, "n1") },
+		},
 		{"attempt goes back", audit.BrokenStream, func(e *audit.Evidence) { events(e)[0].Attempt = 2 }},
 		{"new attempt does not begin at 1", audit.BrokenStream, func(e *audit.Evidence) {
 			for i := 1; i < 4; i++ {
@@ -147,7 +181,10 @@
 			first := turn(e).Exchanges[0]
 			first.Events = first.Events[:1]
 			first.Outcome = caller.OutcomeNone
-			turn(e).Exchanges = []caller.Exchange{first, {Resumed: true, AfterAttempt: 1, AfterSequence: 1, Outcome: caller.OutcomeAnswered, Events: rest}}
+			turn(e).Exchanges = []caller.Exchange{
+				first,
+				{Resumed: true, AfterAttempt: 1, AfterSequence: 1, Outcome: caller.OutcomeAnswered, Events: rest},
+			}
 		}},
 		{"kept turn reported missing to a read", audit.RetainedTurnMissing, func(e *audit.Evidence) {
 			e.RequestLog.Records[2].Outcome = caller.OutcomeNotRun
@@ -170,13 +207,22 @@
 			e.Journal[4].ArrivedMicros = at(2101).UnixMicro()
 		}},
 		{"two contents under one version", audit.BundleReverted, func(e *audit.Evidence) {
-			e.Orders = append(e.Orders, audit.Order{Kind: audit.OrderPut, Version: 1, Content: "b", Outcome: audit.OrderAcknowledged})
+			e.Orders = append(e.Orders, audit.Order{
+				Kind: audit.OrderPut, Version: 1, Content: "b",
+				Outcome: audit.OrderAcknowledged,
+			})
 		}},
 		{"acknowledged bundle is lost", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Newest = 0 }},
-		{"acknowledged bundle is missing among others", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Listed = []uint64{0, 2} }},
+		{
+			"acknowledged bundle is missing among others", audit.BundleReverted,
+			func(e *audit.Evidence) { e.Orders[2].Listed = []uint64{0, 2} },
+		},
 		{"signed-off bundle is not the active one", audit.BundleReverted, func(e *audit.Evidence) { e.Orders[2].Active = 0 }},
 		{"order refused when sent again", audit.OrderRevoked, func(e *audit.Evidence) {
-			e.Orders = append(e.Orders, audit.Order{ID: "o1", Kind: audit.OrderPut, Version: 1, Content: "a", Outcome: audit.OrderRejected})
+			e.Orders = append(e.Orders, audit.Order{
+				ID: "o1", Kind: audit.OrderPut, Version: 1, Content: "a",
+				Outcome: audit.OrderRejected,
+			})
 		}},
 		{"older owner ran at another server", audit.OlderOwnerRan, func(e *audit.Evidence) {
 			e.Journal[1].Session, e.Journal[1].Epoch = "s1", 3
@@ -214,7 +260,8 @@
 func TestTurnThatWasNeverAnsweredMayBeMissing(t *testing.T) {
 	evidence := sound()
 	lost := &caller.Record{
-		Operation: caller.OperationTurn, RequestID: "r2", Nonce: "n3", Program: "p1", PreviousTurn: "turn_1", TurnID: "turn_2",
+		Operation: caller.OperationTurn, RequestID: "r2", Nonce: "n3", Program: "p1", PreviousTurn: "turn_1",
+		TurnID:  "turn_2",
 		Outcome: caller.OutcomeUnknown, Exchanges: refusal(caller.OutcomeNone, "no_answer"),
 	}
 	resumed := refusal(caller.OutcomeNotRun, "turn_missing")[0]
--- a/internal/testing/lab/audit/operators.go
+++ b/internal/testing/lab/audit/operators.go
@@ -31,7 +31,8 @@
 		case standin.PhaseStarted, standin.PhaseRejected:
 			left, draining := acknowledged[entry.Server]
 			if after := entry.ArrivedAt().Sub(left); draining && after > drainLimit {
-				f.found(entry.Server, fmt.Sprintf("request %s came %s after the acknowledgement", entry.RequestID, after.Round(time.Millisecond)))
+				f.found(entry.Server, fmt.Sprintf("request %s came %s after the acknowledgement", entry.RequestID,
+					after.Round(time.Millisecond)))
 			}
 		}
 	}
@@ -171,7 +172,8 @@
 		}
 		f.examine(1)
 		if record.BundleVersion < newest {
-			f.found(owner, fmt.Sprintf("request %s served by bundle %d after bundle %d", record.RequestID, record.BundleVersion, newest))
+			f.found(owner, fmt.Sprintf("request %s served by bundle %d after bundle %d", record.RequestID, record.BundleVersion,
+				newest))
 		}
 	}
 }
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -50,7 +50,8 @@
 		}
 		f.examine(1)
 		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
-			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", refusal.Code, refusal.Front, place(runs[0])))
+			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", refusal.Code, refusal.Front,
+				place(runs[0])))
 			return
 		}
 		if answered(record) {
@@ -117,7 +118,8 @@
 		f.examine(1)
 		allowed := program.Budget + uint64(program.LargestTurn)
 		if count := uint64(len(received[id])); count > allowed {
-			f.found(id, fmt.Sprintf("received %d tokens, budget %d and largest turn %d", count, program.Budget, program.LargestTurn))
+			f.found(id, fmt.Sprintf("received %d tokens, budget %d and largest turn %d", count, program.Budget,
+				program.LargestTurn))
 		}
 	}
 }
@@ -144,7 +146,8 @@
 			return
 		}
 		if token, foreign := foreignToken(record); foreign {
-			f.found(record.RequestID, fmt.Sprintf("token %d carries nonce %q in place of %q", token.Index, token.Nonce, record.Nonce))
+			f.found(record.RequestID, fmt.Sprintf("token %d carries nonce %q in place of %q", token.Index, token.Nonce,
+				record.Nonce))
 		}
 	})
 }
--- a/internal/testing/lab/audit/streams.go
+++ b/internal/testing/lab/audit/streams.go
@@ -128,7 +128,8 @@
 }
 
 func checkRead(file *indexedEvidence, record *caller.Record, f *finder) {
-	if hasCode(record, failure.TurnMissing) || hasCode(record, failure.NotFound) || hasCode(record, failure.UnknownProgram) {
+	if hasCode(record, failure.TurnMissing) || hasCode(record, failure.NotFound) ||
+		hasCode(record, failure.UnknownProgram) {
 		f.found(record.TurnID, "reported missing by "+record.Exchanges[len(record.Exchanges)-1].Front)
 		return
 	}
@@ -190,7 +191,10 @@
 	var lates []late
 	examined := file.eventDelays(func(record *caller.Record, event caller.Event, delay time.Duration) {
 		if delay > eventDelayLimit {
-			lates = append(lates, late{record.RequestID, fmt.Sprintf("event %d-%d took %s", event.Attempt, event.Sequence, delay.Round(time.Millisecond))})
+			lates = append(lates, late{
+				record.RequestID,
+				fmt.Sprintf("event %d-%d took %s", event.Attempt, event.Sequence, delay.Round(time.Millisecond)),
+			})
 		}
 	})
 	f.examine(len(examined))
--- a/internal/testing/lab/backends/run.go
+++ b/internal/testing/lab/backends/run.go
@@ -26,11 +26,11 @@
 }
 
 // Start listens, announces and serves all servers of the settings.
-func Start(settings *Settings, logger *log.Logger) (*Group, error) {
+func Start(ctx context.Context, settings *Settings, logger *log.Logger) (*Group, error) {
 	group := &Group{client: &http.Client{}}
 	for i := range settings.Servers {
-		if err := group.add(settings, &settings.Servers[i], logger); err != nil {
-			stopped, cancel := context.WithCancel(context.Background())
+		if err := group.add(ctx, settings, &settings.Servers[i], logger); err != nil {
+			stopped, cancel := context.WithCancel(ctx)
 			cancel()
 			return nil, errors.CombineErrors(err, group.Stop(stopped))
 		}
@@ -38,8 +38,8 @@
 	return group, nil
 }
 
-func (g *Group) add(settings *Settings, server *Server, logger *log.Logger) error {
-	listener, err := net.Listen("tcp", server.Address)
+func (g *Group) add(ctx context.Context, settings *Settings, server *Server, logger *log.Logger) error {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", server.Address)
 	if err != nil {
 		return errors.Wrapf(err, "listen for %s", server.ID)
 	}
@@ -61,7 +61,7 @@
 		Faults:       faults,
 		Logger:       logger,
 	})
-	if err := shell.Start(); err != nil {
+	if err := shell.Start(ctx); err != nil {
 		service.Close()
 		return errors.CombineErrors(err, listener.Close())
 	}
@@ -69,7 +69,9 @@
 	return nil
 }
 
-func newService(server *Server, journal *standin.Journal, faults *standin.FaultSwitch) (service standin.Service, capacity int) {
+func newService(server *Server, journal *standin.Journal, faults *standin.FaultSwitch) (service standin.Service,
+	capacity int,
+) {
 	if server.Kind == standin.KindToolServer {
 		capacity = server.Capacity
 		if capacity <= 0 {
--- a/internal/testing/lab/benchmark/latency.go
+++ b/internal/testing/lab/benchmark/latency.go
@@ -46,7 +46,8 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode request")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server+"/v1/chat/completions", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server+"/v1/chat/completions",
+		bytes.NewReader(body))
 	if err != nil {
 		return 0, errors.Wrap(err, "make request")
 	}
@@ -85,7 +86,9 @@
 
 // MeasureLatency makes rounds of one direct call, one first turn and one
 // further turn, one after another.
-func MeasureLatency(ctx context.Context, client *caller.Client, front, server, run string, rounds int) (*Latency, error) {
+func MeasureLatency(ctx context.Context, client *caller.Client, front, server, run string, rounds int) (*Latency,
+	error,
+) {
 	l := &Latency{Direct: report.NewTimes(), First: report.NewTimes(), Next: report.NewTimes()}
 	for i := range rounds {
 		id := fmt.Sprintf("%s-%d", run, i)
@@ -102,7 +105,9 @@
 	return l, ctx.Err()
 }
 
-func (l *Latency) take(ctx context.Context, client *caller.Client, front, id, previous string, into *report.Times) (turn string) {
+func (l *Latency) take(ctx context.Context, client *caller.Client, front, id, previous string,
+	into *report.Times,
+) (turn string) {
 	record := client.SingleTurn(ctx, front, caller.SingleTurn{
 		ID: id + "/" + previous, Session: id, Tenant: string(site.Caroni), Model: site.ModelClimateAdvisor,
 		Input: prompt(id), Previous: previous, MaxOutput: answerWords,
--- a/internal/testing/lab/caller/arrivals.go
+++ b/internal/testing/lab/caller/arrivals.go
@@ -37,7 +37,9 @@
 
 // Plan makes the conversations of a run; equal arguments give equal plans.
 // Run is a label that keeps the ids of different runs apart.
-func Plan(name site.Name, load Load, shape Shape, duration time.Duration, zones int, seed uint64, run string) ([]Arrival, error) {
+func Plan(name site.Name, load Load, shape Shape, duration time.Duration, zones int, seed uint64,
+	run string,
+) ([]Arrival, error) {
 	parts, err := site.Parts(name)
 	if err != nil {
 		return nil, err
--- a/internal/testing/lab/caller/caller_test.go
+++ b/internal/testing/lab/caller/caller_test.go
@@ -45,7 +45,8 @@
 
 func TestPlansHaveTheMixOfTheSites(t *testing.T) {
 	for name, turns := range map[site.Name]float64{site.Caroni: 7, site.Menon: 11} {
-		arrivals, err := caller.Plan(name, caller.Load{ConversationsPerSecond: 100}, caller.DefaultShape(), time.Minute, 4, 3, "run")
+		arrivals, err := caller.Plan(name, caller.Load{ConversationsPerSecond: 100}, caller.DefaultShape(), time.Minute, 4, 3,
+			"run")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,12 +104,16 @@
 
 func refuse(w http.ResponseWriter, status int, code, outcome string) {
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{"code": code, "outcome": outcome, "retry_after_millis": 1}})
+	_ = json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{
+		"code": code, "outcome": outcome,
+		"retry_after_millis": 1,
+	}})
 }
 
 func complete(event func(kind, fields string), sequence int, text string) {
 	event(caller.EventCompleted, fmt.Sprintf(`"sequence_number":%d,"attempt":1,"response":{"id":"turn_1",`+
-		`"output":[{"content":[{"text":%q}]}],"rosestand":{"nonce":"n","owner":"front-1","bundle_version":3}}`, sequence, text))
+		`"output":[{"content":[{"text":%q}]}],"rosestand":{"nonce":"n","owner":"front-1","bundle_version":3}}`, sequence,
+		text))
 }
 
 // options plan one conversation of one turn.
@@ -153,7 +158,10 @@
 		}
 		record := converse().Records[0]
 		Expect(record.Outcome).To(Equal(caller.OutcomeAnswered))
-		Expect([]any{record.TurnID, record.Text, record.AnswerNonce, record.BundleVersion}).To(Equal([]any{"turn_1", "hi", "n", uint64(3)}))
+		Expect([]any{
+			record.TurnID, record.Text, record.AnswerNonce,
+			record.BundleVersion,
+		}).To(Equal([]any{"turn_1", "hi", "n", uint64(3)}))
 		Expect(record.Exchanges).To(HaveLen(1))
 		Expect(record.Exchanges[0].Events).To(HaveLen(3))
 	})
--- a/internal/testing/lab/caller/client.go
+++ b/internal/testing/lab/caller/client.go
@@ -135,7 +135,8 @@
 		c.broken(record, exchange, err)
 		return
 	}
-	answer, status, err := c.exchange(ctx, record, http.MethodPost, "http://"+front+"/v1/tools/"+record.Tool+"/calls", content)
+	answer, status, err := c.exchange(ctx, record, http.MethodPost, "http://"+front+"/v1/tools/"+record.Tool+"/calls",
+		content)
 	exchange.AnsweredAt = c.Now()
 	exchange.Status = status
 	if err != nil {
@@ -195,7 +196,9 @@
 	return &record.Exchanges[len(record.Exchanges)-1]
 }
 
-func (c *Client) request(ctx context.Context, record *Record, method, address string, content []byte) (*http.Response, error) {
+func (c *Client) request(ctx context.Context, record *Record, method, address string, content []byte) (*http.Response,
+	error,
+) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(content))
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
@@ -214,7 +217,9 @@
 	return c.HTTP.Do(request)
 }
 
-func (c *Client) exchange(ctx context.Context, record *Record, method, address string, content []byte) ([]byte, int, error) {
+func (c *Client) exchange(ctx context.Context, record *Record, method, address string, content []byte) ([]byte, int,
+	error,
+) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	answer, err := c.request(ctx, record, method, address, content)
@@ -226,7 +231,9 @@
 	return body, answer.StatusCode, err
 }
 
-func (c *Client) stream(ctx context.Context, record *Record, exchange *Exchange, method, address string, content []byte) {
+func (c *Client) stream(ctx context.Context, record *Record, exchange *Exchange, method, address string,
+	content []byte,
+) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	answer, err := c.request(ctx, record, method, address, content)
--- a/internal/testing/lab/caller/run.go
+++ b/internal/testing/lab/caller/run.go
@@ -54,7 +54,8 @@
 // Run opens the planned conversations at their times and returns the request log of
 // everything that callers received. It ends after Duration and Grace at the latest.
 func Run(ctx context.Context, options Options) (*RequestLog, error) {
-	arrivals, err := Plan(options.Site, options.Load, options.Shape, options.Duration, options.Zones, options.Seed, options.Run)
+	arrivals, err := Plan(options.Site, options.Load, options.Shape, options.Duration, options.Zones, options.Seed,
+		options.Run)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testing/lab/chaos/plan.go
+++ b/internal/testing/lab/chaos/plan.go
@@ -83,7 +83,10 @@
 	random := rand.New(rand.NewPCG(seed, stream))
 	massKills := planMassCrashes(duration)
 	sequences := []sequence{
-		{fleet.KindFront, counts.Fronts, 4 * time.Second, 2 * time.Second, []Action{Crash, Freeze, Restart, Partition, InboundPartition}},
+		{
+			fleet.KindFront, counts.Fronts, 4 * time.Second, 2 * time.Second,
+			[]Action{Crash, Freeze, Restart, Partition, InboundPartition},
+		},
 		{fleet.KindFront, counts.Fronts, 9 * time.Second, 2 * time.Second, []Action{Crash, Freeze, Restart, Partition}},
 		{fleet.KindBackEnd, counts.BackEnds, 5 * time.Second, time.Second, []Action{Crash, Freeze, Restart}},
 	}
@@ -130,14 +133,20 @@
 // planDisks lets core members and stores fail in turn, one at a time, with time to repair after each.
 func planDisks(random *rand.Rand, counts Counts, duration time.Duration, massKills []Step) []Step {
 	store := sequence{fleet.KindStore, counts.Stores, 0, 0, []Action{Crash, Freeze, Restart, LoseDisk, Partition}}
-	core := sequence{fleet.KindCore, counts.Cores, 0, 0, []Action{Crash, Freeze, Restart, LoseDisk, Partition, PartitionCore}}
+	core := sequence{
+		fleet.KindCore, counts.Cores, 0, 0,
+		[]Action{Crash, Freeze, Restart, LoseDisk, Partition, PartitionCore},
+	}
 	var steps []Step
 	replaced := false
 	at := firstFault
 	for turn := 0; ; turn++ {
 		of := []sequence{store, core}[turn%2]
 		at += gap(random, 3*time.Second)
-		step := Step{At: at, Action: of.actions[random.IntN(len(of.actions))], Kind: of.kind, Target: random.IntN(max(of.count, 1))}
+		step := Step{
+			At: at, Action: of.actions[random.IntN(len(of.actions))], Kind: of.kind,
+			Target: random.IntN(max(of.count, 1)),
+		}
 		if of.kind == fleet.KindCore && !replaced && turn > 2 {
 			step.Action = Replace
 			replaced = true
@@ -187,7 +196,8 @@
 	var kept []Step
 	for _, step := range steps {
 		if !slices.ContainsFunc(kept, func(other Step) bool {
-			return other.Kind == step.Kind && other.Target == step.Target && other.Action != CrashFronts && other.Action != CrashAll &&
+			return other.Kind == step.Kind && other.Target == step.Target && other.Action != CrashFronts &&
+				other.Action != CrashAll &&
 				step.At < other.End()+time.Second && other.At < step.End()
 		}) {
 			kept = append(kept, step)
--- a/internal/testing/lab/chaos/run.go
+++ b/internal/testing/lab/chaos/run.go
@@ -96,7 +96,8 @@
 	if m.begin {
 		b.choose(m)
 		b.counts[m.step.Action]++
-		b.Logger.Info("fault", "action", m.step.Action, "on", names(m.victims.members), "for", m.step.Length.Round(time.Millisecond))
+		b.Logger.Info("fault", "action", m.step.Action, "on", names(m.victims.members), "for",
+			m.step.Length.Round(time.Millisecond))
 		return b.begin(m)
 	}
 	if len(m.victims.members) == 0 {
@@ -157,7 +158,7 @@
 			return err
 		}
 	case Replace:
-		fresh, err := b.Fleet.Replace(struck[0], b.Random)
+		fresh, err := b.Fleet.Replace(ctx, struck[0], b.Random)
 		if err != nil {
 			return err
 		}
--- a/internal/testing/lab/closedport/closedport_test.go
+++ b/internal/testing/lab/closedport/closedport_test.go
@@ -9,15 +9,15 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/closedport"
 )
 
-func TestAHeldPortRefusesConnectionsAndIsGivenToNobodyElse(t *testing.T) {
+func TestReservedPortRefusesConnectionsAndListeners(t *testing.T) {
 	port, err := closedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.Dial("tcp", port.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", port.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatalf("a connection gave %v", err)
 	}
-	if _, err := net.Listen("tcp", port.Address()); !errors.Is(err, syscall.EADDRINUSE) {
+	if _, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", port.Address()); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Fatalf("a listener gave %v", err)
 	}
 	if err := port.Release(); err != nil {
--- a/internal/testing/lab/command/audit.go
+++ b/internal/testing/lab/command/audit.go
@@ -23,7 +23,10 @@
 	evidence.Journal = journal
 	found := audit.Audit(*evidence)
 	report.PrintAudit(e.output, found)
-	kept := savedAudit{Orders: evidence.Orders, Disturbed: evidence.FaultIntervals, Returns: evidence.Recoveries, Candidates: evidence.Candidates, Report: found}
+	kept := savedAudit{
+		Orders: evidence.Orders, Disturbed: evidence.FaultIntervals, Returns: evidence.Recoveries,
+		Candidates: evidence.Candidates, Report: found,
+	}
 	content, err := json.MarshalIndent(&kept, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode audit")
@@ -66,7 +69,10 @@
 			if err := json.Unmarshal(content, &kept); err != nil {
 				return errors.Wrap(err, "decode audit")
 			}
-			return e.audit(folder, &audit.Evidence{RequestLog: requestLog, Orders: kept.Orders, FaultIntervals: kept.Disturbed, Recoveries: kept.Returns, Candidates: kept.Candidates})
+			return e.audit(folder, &audit.Evidence{
+				RequestLog: requestLog, Orders: kept.Orders, FaultIntervals: kept.Disturbed,
+				Recoveries: kept.Returns, Candidates: kept.Candidates,
+			})
 		},
 	}
 }
--- a/internal/testing/lab/command/backends.go
+++ b/internal/testing/lab/command/backends.go
@@ -22,12 +22,12 @@
 			if err != nil {
 				return err
 			}
-			group, err := backends.Start(settings, e.logger)
+			group, err := backends.Start(command.Context(), settings, e.logger)
 			if err != nil {
 				return err
 			}
 			<-command.Context().Done()
-			ctx, cancel := context.WithTimeout(context.Background(), backEndStopGrace)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(command.Context()), backEndStopGrace)
 			defer cancel()
 			return group.Stop(ctx)
 		},
--- a/internal/testing/lab/command/bench.go
+++ b/internal/testing/lab/command/bench.go
@@ -55,7 +55,8 @@
 	flags.DurationVar(&options.duration, "duration", 10*time.Second, "length of each closed loop")
 	flags.IntVar(&options.rounds, "rounds", 300, "calls of each kind for latencies")
 	flags.IntVar(&options.workers, "workers", 64, "workers of a closed loop")
-	flags.StringVar(&options.page, "page", "docs/BENCHMARKS.md", "page whose generated section takes the tables; empty for none")
+	flags.StringVar(&options.page, "page", "docs/BENCHMARKS.md",
+		"page whose generated section takes the tables; empty for none")
 	return command
 }
 
@@ -139,7 +140,10 @@
 		return err
 	}
 	rows := t.add("Disk: one record of 1 KiB written and synced, milliseconds", "count", "p50", "p99", "max")
-	rows.AppendRow(table.Row{times.Count(), report.Millis(times.At(50)), report.Millis(times.At(99)), report.Millis(times.At(100))})
+	rows.AppendRow(table.Row{
+		times.Count(), report.Millis(times.At(50)), report.Millis(times.At(99)),
+		report.Millis(times.At(100)),
+	})
 	return nil
 }
 
@@ -150,21 +154,25 @@
 }
 
 // benchFleet measures closed loops, and latencies too on a fleet of more than one front node.
-func (e *environment) benchFleet(ctx context.Context, options benchOptions, fronts int, tables *benchTables) (loops []measured, err error) {
+func (e *environment) benchFleet(ctx context.Context, options benchOptions, fronts int,
+	tables *benchTables,
+) (loops []measured, err error) {
 	sizes := site.Small()
 	sizes.Fronts = fronts
 	layout := fleet.Options{
 		Sizes: sizes, LogLevel: "warn", Rates: fastRates(),
 		Environment: deployment.Processors{Front: frontCores}.Environment(),
 	}
-	err = e.withFleet("bench", layout, func(f *fleet.Fleet) error {
+	err = e.withFleet(ctx, "bench", layout, func(f *fleet.Fleet) error {
 		loops, err = e.benchOn(ctx, f, options, tables)
 		return err
 	})
 	return loops, err
 }
 
-func (e *environment) benchOn(ctx context.Context, f *fleet.Fleet, options benchOptions, tables *benchTables) ([]measured, error) {
+func (e *environment) benchOn(ctx context.Context, f *fleet.Fleet, options benchOptions,
+	tables *benchTables,
+) ([]measured, error) {
 	if _, err := e.start(ctx, f); err != nil {
 		return nil, err
 	}
@@ -201,7 +209,10 @@
 
 func (b *bencher) watch() benchmark.Watch {
 	watch := benchmark.Watch{}
-	for group, kind := range map[string]fleet.Kind{"front": fleet.KindFront, "store": fleet.KindStore, "core": fleet.KindCore} {
+	for group, kind := range map[string]fleet.Kind{
+		"front": fleet.KindFront, "store": fleet.KindStore,
+		"core": fleet.KindCore,
+	} {
 		for _, member := range b.fleet.Members(kind) {
 			watch[group] = append(watch[group], b.fleet.Process(member).ID())
 		}
@@ -232,7 +243,8 @@
 }
 
 func (t *benchTables) throughput(loops []measured) {
-	rows := t.add(fmt.Sprintf("Closed loops, GOMAXPROCS=%d a front node", frontCores), "load", "turns", "failed", "turns/s",
+	rows := t.add(fmt.Sprintf("Closed loops, GOMAXPROCS=%d a front node", frontCores), "load", "turns", "failed",
+		"turns/s",
 		"first token p50 ms", "p99 ms", "processor time a turn, fronts", "stores", "core")
 	for _, loop := range loops {
 		result := loop.result
@@ -247,7 +259,8 @@
 
 // latencies measures the added time to the first event at rest and beside half of the load that the loops reached.
 func (b *bencher) latencies(ctx context.Context, tables *benchTables, capacity float64) error {
-	rows := tables.add("Time to the first token, milliseconds; direct calls and turns alternate", "load", "what", "count", "p50", "p99",
+	rows := tables.add("Time to the first token, milliseconds; direct calls and turns alternate", "load", "what", "count",
+		"p50", "p99",
 		"added p50", "added p99", "failed")
 	for _, share := range []float64{0, 0.5} {
 		latency, err := b.beside(ctx, capacity*share)
@@ -267,7 +280,11 @@
 	kinds := []struct {
 		name  string
 		times *report.Times
-	}{{"stand-in called directly", latency.Direct}, {"first turn of a session", latency.First}, {"next turn", latency.Next}}
+	}{
+		{"stand-in called directly", latency.Direct},
+		{"first turn of a session", latency.First},
+		{"next turn", latency.Next},
+	}
 	for _, kind := range kinds {
 		median, high := kind.times.At(50), kind.times.At(99)
 		rows.AppendRow(table.Row{
@@ -296,14 +313,19 @@
 }
 
 func (t *benchTables) stores(ctx context.Context, folder string, options benchOptions) error {
-	rows := t.add("Three stores in one process, changes of program registers", "in flight", "changes/s", "p50 ms", "p99 ms", "failed", "shards moved meanwhile")
+	rows := t.add("Three stores in one process, changes of program registers", "in flight", "changes/s", "p50 ms",
+		"p99 ms", "failed", "shards moved meanwhile")
 	for _, moving := range []bool{false, true} {
-		result, err := storebench.Run(ctx, storebench.Options{Folder: folder, InFlight: options.workers, Duration: options.duration, Empty: moving})
+		result, err := storebench.Run(ctx, storebench.Options{
+			Folder: folder, InFlight: options.workers,
+			Duration: options.duration, Empty: moving,
+		})
 		if err != nil {
 			return err
 		}
 		rows.AppendRow(table.Row{
-			options.workers, fmt.Sprintf("%.0f", result.ChangesPerSecond), report.Millis(result.Median), report.Millis(result.P99),
+			options.workers, fmt.Sprintf("%.0f", result.ChangesPerSecond), report.Millis(result.Median),
+			report.Millis(result.P99),
 			result.Failed, result.MovedShards,
 		})
 	}
--- a/internal/testing/lab/command/chaos.go
+++ b/internal/testing/lab/command/chaos.go
@@ -72,12 +72,14 @@
 	}
 	layout := chosen.Fleet()
 	layout.Faults, layout.Relays = faults, options.relays
-	return e.withFleet("chaos-"+chosen.Name, layout, func(f *fleet.Fleet) error {
+	return e.withFleet(ctx, "chaos-"+chosen.Name, layout, func(f *fleet.Fleet) error {
 		return e.chaosOn(ctx, f, chosen, options)
 	})
 }
 
-func (e *environment) chaosOn(ctx context.Context, f *fleet.Fleet, chosen *deployment.Deployment, options chaosOptions) error {
+func (e *environment) chaosOn(ctx context.Context, f *fleet.Fleet, chosen *deployment.Deployment,
+	options chaosOptions,
+) error {
 	orders, err := e.start(ctx, f)
 	if err != nil {
 		return err
@@ -129,7 +131,8 @@
 func (e *environment) breakFleet(ctx context.Context, f *fleet.Fleet, steps []chaos.Step, options chaosOptions,
 ) (orders []audit.Order, broken chaos.Outcome, err error) {
 	operators := &chaos.Operators{
-		Cores: slices.Clone(f.CoreAddresses()), Token: f.OperatorToken(), KeyName: fleet.SignOffKey, Sign: f.SignOff, Logger: e.logger,
+		Cores: slices.Clone(f.CoreAddresses()), Token: f.OperatorToken(), KeyName: fleet.SignOffKey, Sign: f.SignOff,
+		Logger: e.logger,
 	}
 	operating, stopOperators := context.WithTimeout(ctx, options.duration)
 	defer stopOperators()
--- a/internal/testing/lab/command/command.go
+++ b/internal/testing/lab/command/command.go
@@ -73,7 +73,7 @@
 
 // Execute runs one command and returns its exit code.
 func Execute(ctx context.Context, arguments []string, output, faults io.Writer) int {
-	root := newRoot(output, faults)
+	root := newRoot(output, faults) //nolint:contextcheck // cobra passes ctx on by ExecuteContext
 	defer pprof.StopCPUProfile()
 	root.SetArgs(arguments)
 	err := root.ExecuteContext(ctx)
@@ -110,7 +110,8 @@
 	flags.StringVar(&e.folder, "folder", "run", "folder in which each run gets one of its own")
 	flags.StringVar(&e.profile, "cpu-profile", "", "file that takes a processor profile of the laboratory itself")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error { return e.startProfile() }
-	root.AddCommand(newBackEnds(e), newRun(e), newRunPlatform(e), newFleet(e), newAudit(e), newChaos(e), newFrontLoss(e), newExperiment(e), newBench(e), newBurst(e), newScale(e), newReport(e), newAblate(e), simcommand.New())
+	root.AddCommand(newBackEnds(e), newRun(e), newRunPlatform(e), newFleet(e), newAudit(e), newChaos(e), newFrontLoss(e),
+		newExperiment(e), newBench(e), newBurst(e), newScale(e), newReport(e), newAblate(e), simcommand.New())
 	return root
 }
 
--- a/internal/testing/lab/command/deployment.go
+++ b/internal/testing/lab/command/deployment.go
@@ -19,7 +19,8 @@
 func (o *deploymentOptions) register(flags *pflag.FlagSet, name site.Name, usage string, rate float64) {
 	flags.StringVar(&o.site, "site", string(name), usage)
 	flags.StringVar(&o.file, "deployment", "", "file of a deployment, in place of a built-in site")
-	flags.Float64Var(&o.rate, rateFlag, rate, "conversations a second outside of bursts; that of the file where one is given and this is not")
+	flags.Float64Var(&o.rate, rateFlag, rate,
+		"conversations a second outside of bursts; that of the file where one is given and this is not")
 }
 
 // choose gives the deployment of the file, else the built-in site at the sizes given.
--- a/internal/testing/lab/command/experiment.go
+++ b/internal/testing/lab/command/experiment.go
@@ -64,7 +64,8 @@
 	clean := true
 	for i, variant := range file.Variants {
 		sample := experiment.NewSample(runs[i].books, file.Duration())
-		result.Variants = append(result.Variants, experiment.NewVariantResult(variant.Name, sample, runs[i].clean, file.Seeds[0]))
+		result.Variants = append(result.Variants, experiment.NewVariantResult(variant.Name, sample, runs[i].clean,
+			file.Seeds[0]))
 		clean = clean && runs[i].clean
 	}
 	if err := result.Save(folder); err != nil {
@@ -79,7 +80,9 @@
 }
 
 // runSeparate serves each variant on a fleet of its own.
-func (e *environment) runSeparate(ctx context.Context, file *experiment.File, seed uint64, runs []*variantRuns) (folder string, err error) {
+func (e *environment) runSeparate(ctx context.Context, file *experiment.File, seed uint64,
+	runs []*variantRuns,
+) (folder string, err error) {
 	for i, variant := range file.Variants {
 		e.logger.Info("run", "arm", variant.Name, "seed", seed)
 		var requestLog *caller.RequestLog
@@ -95,7 +98,9 @@
 }
 
 // runLive serves both variants on one fleet and distinguishes them by the bundle that served each program.
-func (e *environment) runLive(ctx context.Context, file *experiment.File, seed uint64, runs []*variantRuns) (folder string, err error) {
+func (e *environment) runLive(ctx context.Context, file *experiment.File, seed uint64,
+	runs []*variantRuns,
+) (folder string, err error) {
 	e.logger.Info("run", "arms", "both", "seed", seed)
 	folder, requestLog, clean, err := e.runVariant(ctx, file, seed, &file.Variants[0], &file.Variants[1])
 	if err != nil {
@@ -128,13 +133,15 @@
 }
 
 // runVariant brings a fleet up under an variant's policy, with a candidate when one is given, and runs the load.
-func (e *environment) runVariant(ctx context.Context, file *experiment.File, seed uint64, variant, candidate *experiment.Variant) (folder string, requestLog *caller.RequestLog, clean bool, err error) {
+func (e *environment) runVariant(ctx context.Context, file *experiment.File, seed uint64, variant,
+	candidate *experiment.Variant,
+) (folder string, requestLog *caller.RequestLog, clean bool, err error) {
 	sizes, err := file.FleetSizes()
 	if err != nil {
 		return "", nil, false, err
 	}
 	layout := fleet.Options{Sizes: sizes, LogLevel: "warn", Rates: file.Rates, Faults: file.Faults}
-	err = e.withFleet("experiment", layout, func(f *fleet.Fleet) error {
+	err = e.withFleet(ctx, "experiment", layout, func(f *fleet.Fleet) error {
 		folder = f.Folder()
 		requestLog, clean, err = e.variantOn(ctx, f, file, seed, variant, candidate)
 		return err
@@ -142,7 +149,9 @@
 	return folder, requestLog, clean, err
 }
 
-func (e *environment) variantOn(ctx context.Context, f *fleet.Fleet, file *experiment.File, seed uint64, variant, candidate *experiment.Variant) (requestLog *caller.RequestLog, clean bool, err error) {
+func (e *environment) variantOn(ctx context.Context, f *fleet.Fleet, file *experiment.File, seed uint64, variant,
+	candidate *experiment.Variant,
+) (requestLog *caller.RequestLog, clean bool, err error) {
 	first, err := variant.Apply(f.Bundle(firstBundle))
 	if err != nil {
 		return nil, false, err
@@ -173,7 +182,9 @@
 }
 
 // rollOut signs the candidate off for a share of the programs.
-func (e *environment) rollOut(ctx context.Context, f *fleet.Fleet, active *protocol.Bundle, candidate *experiment.Variant, share uint32) error {
+func (e *environment) rollOut(ctx context.Context, f *fleet.Fleet, active *protocol.Bundle,
+	candidate *experiment.Variant, share uint32,
+) error {
 	next, err := candidate.Apply(active)
 	if err != nil {
 		return err
--- a/internal/testing/lab/command/fleet.go
+++ b/internal/testing/lab/command/fleet.go
@@ -36,7 +36,7 @@
 }
 
 func (e *environment) saveFleet(ctx context.Context, options fleet.Options) error {
-	return e.withFleet("fleet", options, func(f *fleet.Fleet) error {
+	return e.withFleet(ctx, "fleet", options, func(f *fleet.Fleet) error {
 		if _, err := e.start(ctx, f); err != nil {
 			return err
 		}
--- a/internal/testing/lab/command/front_loss.go
+++ b/internal/testing/lab/command/front_loss.go
@@ -92,17 +92,22 @@
 
 // runFrontLossVariant runs one variant on a fleet of its own. The variant is there also when its audit found a
 // violation.
-func (e *environment) runFrontLossVariant(ctx context.Context, options frontLossOptions, sizes site.Sizes, mode protocol.SalvageMode) (variant *frontLossVariant, err error) {
+func (e *environment) runFrontLossVariant(ctx context.Context, options frontLossOptions, sizes site.Sizes,
+	mode protocol.SalvageMode,
+) (variant *frontLossVariant, err error) {
 	variant = &frontLossVariant{Mode: mode.String(), reregistrationTimes: report.NewTimes()}
-	err = e.withFleet("kill-one-"+mode.String(), fleet.Options{Sizes: sizes, LogLevel: "info"}, func(f *fleet.Fleet) error {
-		first := f.Bundle(firstBundle)
-		first.Recovery.SalvageMode = mode
-		return e.frontLossOn(ctx, f, options, first, variant)
-	})
+	err = e.withFleet(ctx, "kill-one-"+mode.String(), fleet.Options{Sizes: sizes, LogLevel: "info"},
+		func(f *fleet.Fleet) error {
+			first := f.Bundle(firstBundle)
+			first.Recovery.SalvageMode = mode
+			return e.frontLossOn(ctx, f, options, first, variant)
+		})
 	return variant, err
 }
 
-func (e *environment) frontLossOn(ctx context.Context, f *fleet.Fleet, options frontLossOptions, first *protocol.Bundle, variant *frontLossVariant) error {
+func (e *environment) frontLossOn(ctx context.Context, f *fleet.Fleet, options frontLossOptions, first *protocol.Bundle,
+	variant *frontLossVariant,
+) error {
 	orders, err := e.startWith(ctx, f, first)
 	if err != nil {
 		return err
@@ -150,7 +155,10 @@
 		if !wait.For(ctx, frontLossWindow-frontLossDowntime) {
 			return disturbed, ctx.Err()
 		}
-		disturbed = append(disturbed, audit.FaultInterval{From: begun, To: time.Now(), Processes: []string{victim.Name, victim.HTTP}})
+		disturbed = append(disturbed, audit.FaultInterval{
+			From: begun, To: time.Now(),
+			Processes: []string{victim.Name, victim.HTTP},
+		})
 	}
 	return disturbed, nil
 }
@@ -194,7 +202,8 @@
 }
 
 func (e *environment) printFrontLosses(options frontLossOptions, variants []*frontLossVariant) {
-	title := fmt.Sprintf("Loss of one front node, %s, %d losses an arm, seed %d", options.site, options.losses, options.seed)
+	title := fmt.Sprintf("Loss of one front node, %s, %d losses an arm, seed %d", options.site, options.losses,
+		options.seed)
 	rows := report.NewTable(e.output, title, "mode", "owned by it", "held there, owned elsewhere", "of them kept",
 		"rebuilt though the owner lived", "salvaged", "last re-registered after, median", "p99", "seen", "refused meanwhile")
 	for _, variant := range variants {
--- a/internal/testing/lab/command/lifecycle.go
+++ b/internal/testing/lab/command/lifecycle.go
@@ -21,8 +21,10 @@
 )
 
 // withFleet lays a fleet out, lets use work with it, and stops it whatever use returns.
-func (e *environment) withFleet(kind string, options fleet.Options, use func(f *fleet.Fleet) error) (err error) {
-	f, err := e.newFleet(kind, options)
+func (e *environment) withFleet(ctx context.Context, kind string, options fleet.Options,
+	use func(f *fleet.Fleet) error,
+) (err error) {
+	f, err := e.newFleet(ctx, kind, options)
 	if err != nil {
 		return err
 	}
@@ -31,7 +33,7 @@
 }
 
 // newFleet lays a fleet out in a run folder of its own; nothing is started yet.
-func (e *environment) newFleet(kind string, options fleet.Options) (*fleet.Fleet, error) {
+func (e *environment) newFleet(ctx context.Context, kind string, options fleet.Options) (*fleet.Fleet, error) {
 	if err := fleet.CheckBinaries(e.binaries); err != nil {
 		return nil, err
 	}
@@ -39,7 +41,7 @@
 	options.Binaries = e.binaries
 	options.Logger = e.logger
 	e.logger.Info("run folder", "path", options.Folder)
-	return fleet.New(options)
+	return fleet.New(ctx, options)
 }
 
 // start brings the fleet up with the default bundle.
@@ -68,7 +70,9 @@
 }
 
 // callers are the settings of callers that talk to every front node of a fleet.
-func (e *environment) callers(f *fleet.Fleet, served *deployment.Deployment, duration time.Duration, seed uint64) caller.Options {
+func (e *environment) callers(f *fleet.Fleet, served *deployment.Deployment, duration time.Duration,
+	seed uint64,
+) caller.Options {
 	return caller.Options{
 		Fronts: f.Fronts(), Site: served.Callers, Load: served.Load, Shape: served.Shape,
 		Duration: duration, Grace: conversationGrace, Seed: seed, Run: filepath.Base(f.Folder()),
--- a/internal/testing/lab/command/load.go
+++ b/internal/testing/lab/command/load.go
@@ -21,7 +21,9 @@
 )
 
 // converse runs the callers and reads a sample of retained turns again.
-func (e *environment) converse(ctx context.Context, f *fleet.Fleet, options caller.Options) (*caller.RequestLog, error) {
+func (e *environment) converse(ctx context.Context, f *fleet.Fleet, options caller.Options) (*caller.RequestLog,
+	error,
+) {
 	requestLog, err := e.talk(ctx, options)
 	if err != nil {
 		return nil, err
@@ -31,7 +33,9 @@
 
 // converseBeside runs the callers while beside disturbs the fleet, then reads a
 // sample of retained turns again and saves the request log. It returns after both have ended.
-func (e *environment) converseBeside(ctx context.Context, f *fleet.Fleet, options caller.Options, beside func() error) (*caller.RequestLog, error) {
+func (e *environment) converseBeside(ctx context.Context, f *fleet.Fleet, options caller.Options,
+	beside func() error,
+) (*caller.RequestLog, error) {
 	var disturbing sync.WaitGroup
 	var disturbed error
 	disturbing.Go(func() { disturbed = beside() })
@@ -61,7 +65,9 @@
 }
 
 // verify reads a sample of retained turns again and saves the request log.
-func (e *environment) verify(ctx context.Context, f *fleet.Fleet, options caller.Options, requestLog *caller.RequestLog) error {
+func (e *environment) verify(ctx context.Context, f *fleet.Fleet, options caller.Options,
+	requestLog *caller.RequestLog,
+) error {
 	ctx, cancel := context.WithTimeout(ctx, verifyDeadline)
 	defer cancel()
 	if err := caller.Verify(ctx, options, requestLog, verifiedTurns); err != nil {
--- a/internal/testing/lab/command/overload.go
+++ b/internal/testing/lab/command/overload.go
@@ -61,11 +61,12 @@
 }
 
 func (e *environment) burst(ctx context.Context, options burstOptions) error {
-	if options.length <= 2*time.Second || options.length > maxBurst || options.factor <= 1 || options.factor > maxBurstFactor {
+	if options.length <= 2*time.Second || options.length > maxBurst || options.factor <= 1 ||
+		options.factor > maxBurstFactor {
 		return &FlagError{Flag: "duration and --factor", Reason: "must be above 2s and 1, and at most 60s and 50"}
 	}
 	layout := fleet.Options{Sizes: site.Small(), LogLevel: "warn", Rates: burstRates()}
-	return e.withFleet("burst", layout, func(f *fleet.Fleet) error {
+	return e.withFleet(ctx, "burst", layout, func(f *fleet.Fleet) error {
 		made := f.Bundle(firstBundle)
 		overload.AddTenants(made, site.ModelClimateAdvisor, site.GroupModels)
 		if _, err := e.startWith(ctx, f, made); err != nil {
@@ -80,7 +81,9 @@
 	})
 }
 
-func (e *environment) runBurst(ctx context.Context, f *fleet.Fleet, target overload.Target, options burstOptions) error {
+func (e *environment) runBurst(ctx context.Context, f *fleet.Fleet, target overload.Target,
+	options burstOptions,
+) error {
 	var servers []string
 	for _, member := range f.Members(fleet.KindBackEnd) {
 		if !member.Tool {
@@ -138,31 +141,44 @@
 
 func (e *environment) printBurst(result *overload.Result, direct, through overload.Loop, options burstOptions) {
 	share := func(value float64) string { return fmt.Sprintf("%.1f%%", 100*value) }
-	rows := report.NewTable(e.output, fmt.Sprintf("Burst of %g times the capacity, %s, seed %d", options.factor, options.length, options.seed), "what", "value")
+	rows := report.NewTable(e.output, fmt.Sprintf("Burst of %g times the capacity, %s, seed %d", options.factor,
+		options.length, options.seed), "what", "value")
 	rows.AppendRows([]table.Row{
-		{"capacity: model servers called directly, turns/s", fmt.Sprintf("%.1f (failed %d)", direct.PerSecond, direct.Failed)},
-		{"the same closed loop through the front nodes, turns/s", fmt.Sprintf("%.1f (failed %d)", through.PerSecond, through.Failed)},
+		{
+			"capacity: model servers called directly, turns/s",
+			fmt.Sprintf("%.1f (failed %d)", direct.PerSecond, direct.Failed),
+		},
+		{
+			"the same closed loop through the front nodes, turns/s",
+			fmt.Sprintf("%.1f (failed %d)", through.PerSecond, through.Failed),
+		},
 		{"offered", result.Offered},
 		{"answered", result.Answered},
 		{"goodput after the first second, turns/s", fmt.Sprintf("%.1f", result.Goodput)},
 		{"goodput as a share of the capacity", share(result.Goodput / direct.PerSecond)},
 		{"refusals with Retry-After", fmt.Sprintf("%d of %d", result.RetryAfter, result.AllRejections.Count())},
 		{"time to a refusal p50, p99, max ms", times(result.AllRejections)},
-		{"refusals later than 50 ms, of those sent in the first second", fmt.Sprintf("%d, %d", result.LateRejections, result.LateAtOnset)},
+		{
+			"refusals later than 50 ms, of those sent in the first second",
+			fmt.Sprintf("%d, %d", result.LateRejections, result.LateAtOnset),
+		},
 		{"told not_run and ran", len(result.RejectedButRan)},
 		{"recovery after the burst", result.Recovery.Round(time.Millisecond)},
 		{"most that a request was sent late", result.MaxLateness.Round(time.Millisecond)},
 	})
 	rows.Render()
-	kinds := report.NewTable(e.output, "Ends that are no answer", "code", "outcome", "count", "Retry-After", "p50, p99, max ms")
+	kinds := report.NewTable(e.output, "Ends that are no answer", "code", "outcome", "count", "Retry-After",
+		"p50, p99, max ms")
 	for _, kind := range result.Kinds {
 		kinds.AppendRow(table.Row{kind.Code, kind.Outcome, kind.Times.Count(), kind.RetryAfter, times(kind.Times)})
 	}
 	kinds.Render()
-	groups := report.NewTable(e.output, "Classes and tenants", "name", "offered", "answered", "goodput turns/s", "of the goodput", "answered after p50, p99, max ms")
+	groups := report.NewTable(e.output, "Classes and tenants", "name", "offered", "answered", "goodput turns/s",
+		"of the goodput", "answered after p50, p99, max ms")
 	for _, group := range append(result.Classes, result.Tenants...) {
 		groups.AppendRow(table.Row{
-			group.Name, group.Offered, group.Answered, fmt.Sprintf("%.1f", group.PerSecond), share(group.PerSecond / max(result.Goodput, 1e-9)), times(group.Waited),
+			group.Name, group.Offered, group.Answered, fmt.Sprintf("%.1f", group.PerSecond),
+			share(group.PerSecond / max(result.Goodput, 1e-9)), times(group.Waited),
 		})
 	}
 	groups.Render()
--- a/internal/testing/lab/command/platform.go
+++ b/internal/testing/lab/command/platform.go
@@ -38,7 +38,8 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&options.Templates, "templates", filepath.Join("deploy", "platform"), "folder of the templates of settings")
+	flags.StringVar(&options.Templates, "templates", filepath.Join("deploy", "platform"),
+		"folder of the templates of settings")
 	flags.DurationVar(&options.Duration, "duration", 20*time.Second, "how long new programs begin")
 	flags.Float64Var(&options.PerSecond, "rate", 10, "programs a second")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the callers")
--- a/internal/testing/lab/command/run.go
+++ b/internal/testing/lab/command/run.go
@@ -51,12 +51,14 @@
 	if options.duration <= 0 || options.duration > maxDuration {
 		return &FlagError{Flag: "duration", Reason: "must be above 0 and at most " + maxDuration.String()}
 	}
-	return e.withFleet("run", chosen.Fleet(), func(f *fleet.Fleet) error {
+	return e.withFleet(ctx, "run", chosen.Fleet(), func(f *fleet.Fleet) error {
 		return e.runOn(ctx, f, chosen, options)
 	})
 }
 
-func (e *environment) runOn(ctx context.Context, f *fleet.Fleet, chosen *deployment.Deployment, options runOptions) error {
+func (e *environment) runOn(ctx context.Context, f *fleet.Fleet, chosen *deployment.Deployment,
+	options runOptions,
+) error {
 	orders, err := e.start(ctx, f)
 	if err != nil {
 		return err
@@ -83,7 +85,10 @@
 	if !wait.For(ctx, after) {
 		return nil, nil
 	}
-	next := &protocol.Bundle{Version: firstBundle + 1, BaseVersion: firstBundle, Partial: true, Limits: f.Bundle(firstBundle).GetLimits()}
+	next := &protocol.Bundle{
+		Version: firstBundle + 1, BaseVersion: firstBundle, Partial: true,
+		Limits: f.Bundle(firstBundle).GetLimits(),
+	}
 	next.Limits.MaxQueued++
 	orders, err := f.DeliverBundle(ctx, next)
 	if err != nil {
@@ -94,7 +99,8 @@
 	if err != nil {
 		return orders, err
 	}
-	e.logger.Info("bundle rolled out, model server replaced", "version", next.GetVersion(), "server", server.Name, "gentle", gentle)
+	e.logger.Info("bundle rolled out, model server replaced", "version", next.GetVersion(), "server", server.Name,
+		"gentle", gentle)
 	return orders, f.StartMember(server)
 }
 
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -67,7 +67,8 @@
 }
 
 func (o scaleOptions) validate() error {
-	if o.nodes < 1 || o.nodes > maxNodes || o.servers < 0 || o.servers > maxServers || o.changes < 1 || o.changes > maxChanges {
+	if o.nodes < 1 || o.nodes > maxNodes || o.servers < 0 || o.servers > maxServers || o.changes < 1 ||
+		o.changes > maxChanges {
 		return &FlagError{Flag: "nodes, --servers or --changes", Reason: "is out of its bounds"}
 	}
 	if o.duration <= 0 || o.duration > maxDuration || o.zones < 1 || o.wave < 1 || o.sessions < 0 {
@@ -102,7 +103,7 @@
 		Sizes:    site.Sizes{Voters: options.voters, Standbys: options.standbys, Stores: 3, Zones: options.zones},
 		LogLevel: "warn",
 	}
-	return e.withFleet("scale", layout, func(f *fleet.Fleet) error { return e.scaleOn(ctx, f, options) })
+	return e.withFleet(ctx, "scale", layout, func(f *fleet.Fleet) error { return e.scaleOn(ctx, f, options) })
 }
 
 func (e *environment) scaleOn(ctx context.Context, f *fleet.Fleet, options scaleOptions) (err error) {
@@ -119,7 +120,7 @@
 	nodes, err := e.startSimulatedNodes(ctx, f, options)
 	if nodes != nil {
 		defer func() {
-			stopping, cancel := context.WithTimeout(context.Background(), nodesStopTimeout)
+			stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), nodesStopTimeout)
 			defer cancel()
 			err = errors.CombineErrors(err, nodes.Stop(stopping))
 		}()
@@ -134,7 +135,9 @@
 	return e.printScale(options, result)
 }
 
-func (e *environment) startSimulatedNodes(ctx context.Context, f *fleet.Fleet, options scaleOptions) (*simulatednode.Fleet, error) {
+func (e *environment) startSimulatedNodes(ctx context.Context, f *fleet.Fleet,
+	options scaleOptions,
+) (*simulatednode.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodesReadyTimeout)
 	defer cancel()
 	key, err := f.ClusterKey()
@@ -146,11 +149,14 @@
 		Nodes: options.nodes, Servers: options.servers, Zones: options.zones, Region: "lab",
 		Versions: firstBundle + options.changes, ClusterKey: key, Seeds: f.Seeds(), Seed: options.seed, Wave: options.wave,
 	})
-	e.logger.Info("hollow nodes ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err", err)
+	e.logger.Info("hollow nodes ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err",
+		err)
 	return nodes, err
 }
 
-func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet, options scaleOptions, result *scaleResult) (err error) {
+func (e *environment) measureScale(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet,
+	options scaleOptions, result *scaleResult,
+) (err error) {
 	owning, cancel := context.WithTimeout(ctx, ownTimeout)
 	defer cancel()
 	begun := time.Now()
@@ -158,7 +164,8 @@
 		return err
 	}
 	result.ownedIn = time.Since(begun)
-	e.logger.Info("sessions registered", "sessions", result.owned, "refusals", result.rejections, "after", result.ownedIn.Round(time.Millisecond))
+	e.logger.Info("sessions registered", "sessions", result.owned, "refusals", result.rejections, "after",
+		result.ownedIn.Round(time.Millisecond))
 	wait.For(ctx, quietBeforeMeasuring)
 	coreBefore, err := coreUsage(f)
 	if err != nil {
@@ -187,14 +194,19 @@
 }
 
 // change delivers bundles at even intervals over the measurement and records when each was in force at every node.
-func (e *environment) change(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet, options scaleOptions, result *scaleResult) error {
+func (e *environment) change(ctx context.Context, f *fleet.Fleet, nodes *simulatednode.Fleet, options scaleOptions,
+	result *scaleResult,
+) error {
 	every := options.duration / time.Duration(options.changes)
 	for i := range options.changes {
 		begun := time.Now()
 		version := uint64(firstBundle + i + 1)
 		limits := f.Bundle(version).GetLimits()
 		limits.MaxQueued += uint32(i + 1)
-		orders, err := f.DeliverBundle(ctx, &protocol.Bundle{Version: version, BaseVersion: version - 1, Partial: true, Limits: limits})
+		orders, err := f.DeliverBundle(ctx, &protocol.Bundle{
+			Version: version, BaseVersion: version - 1, Partial: true,
+			Limits: limits,
+		})
 		if err != nil {
 			return err
 		}
@@ -238,14 +250,19 @@
 			over = append(over, name)
 		}
 	}
-	row("bytes between node and core, per second", fmt.Sprintf("%.0f", coreBytes), strconv.Itoa(limitBytesPerSecond), coreBytes <= limitBytesPerSecond)
-	row("with bytes between nodes' directories", fmt.Sprintf("%.0f", coreBytes+peerBytes), strconv.Itoa(limitBytesPerSecond), coreBytes+peerBytes <= limitBytesPerSecond)
-	row("processor, share of a core", fmt.Sprintf("%.3f %%", 100*processor), fmt.Sprintf("%.1f %%", 100*limitProcessorShare), processor <= limitProcessorShare)
-	row("memory of its part of the process, MB", fmt.Sprintf("%.2f", memory/(1<<20)), strconv.Itoa(limitMemoryBytes>>20), memory <= limitMemoryBytes)
+	row("bytes between node and core, per second", fmt.Sprintf("%.0f", coreBytes), strconv.Itoa(limitBytesPerSecond),
+		coreBytes <= limitBytesPerSecond)
+	row("with bytes between nodes' directories", fmt.Sprintf("%.0f", coreBytes+peerBytes),
+		strconv.Itoa(limitBytesPerSecond), coreBytes+peerBytes <= limitBytesPerSecond)
+	row("processor, share of a core", fmt.Sprintf("%.3f %%", 100*processor),
+		fmt.Sprintf("%.1f %%", 100*limitProcessorShare), processor <= limitProcessorShare)
+	row("memory of its part of the process, MB", fmt.Sprintf("%.2f", memory/(1<<20)), strconv.Itoa(limitMemoryBytes>>20),
+		memory <= limitMemoryBytes)
 	slowest := at(result.inForce, 1)
 	row("change in force, p50 ms", report.Millis(at(result.inForce, 0.5)), "", true)
 	row("change in force, p99 ms", report.Millis(at(result.inForce, 0.99)), "", true)
-	row("change in force everywhere, longest ms", report.Millis(slowest), report.Millis(limitInForce), slowest <= limitInForce && result.missing == 0)
+	row("change in force everywhere, longest ms", report.Millis(slowest), report.Millis(limitInForce),
+		slowest <= limitInForce && result.missing == 0)
 	row("changes not in force when the next one came", strconv.Itoa(result.missing), "0", result.missing == 0)
 	rows.Render()
 	e.printCores(result, elapsed)
--- a/internal/testing/lab/dayreport/account.go
+++ b/internal/testing/lab/dayreport/account.go
@@ -110,7 +110,8 @@
 	if len(account.Windows) == 0 {
 		return
 	}
-	windows := report.NewTable(output, "When it was lost", "from s", "sent", "late", "refused", "failed", "worth", "disruptions around")
+	windows := report.NewTable(output, "When it was lost", "from s", "sent", "late", "refused", "failed", "worth",
+		"disruptions around")
 	for _, window := range account.Windows {
 		windows.AppendRow(table.Row{
 			window.Name, window.Requests, window.Late, window.Rejected, window.Failed, fmt.Sprintf("%.3f", window.Value),
--- a/internal/testing/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -48,7 +48,10 @@
 
 func TestComparisonHasARowADay(t *testing.T) {
 	var output bytes.Buffer
-	dayreport.PrintComparison(&output, []dayreport.Named{{Name: "one", Report: readDay(t)}, {Name: "other", Report: readDay(t)}})
+	dayreport.PrintComparison(&output, []dayreport.Named{
+		{Name: "one", Report: readDay(t)},
+		{Name: "other", Report: readDay(t)},
+	})
 	for _, want := range []string{"one", "other", "0.812", "0.972", "worst windows 0.0900"} {
 		if !strings.Contains(output.String(), want) {
 			t.Errorf("%q is missing in\n%s", want, output.String())
--- a/internal/testing/lab/dayreport/figure.go
+++ b/internal/testing/lab/dayreport/figure.go
@@ -31,7 +31,10 @@
 		return errors.Wrap(err, "draw figure")
 	}
 	canvas := vgsvg.New(figureWidth, panelHeight*vg.Length(len(panels)))
-	tiles := draw.Tiles{Cols: 1, Rows: len(panels), PadTop: panelPadding, PadBottom: panelPadding, PadLeft: panelPadding, PadRight: panelPadding, PadY: panelPadding}
+	tiles := draw.Tiles{
+		Cols: 1, Rows: len(panels), PadTop: panelPadding, PadBottom: panelPadding, PadLeft: panelPadding,
+		PadRight: panelPadding, PadY: panelPadding,
+	}
 	for i, aligned := range plot.Align(panels, tiles, draw.New(canvas)) {
 		panels[i][0].Draw(aligned[0])
 	}
--- a/internal/testing/lab/dayreport/terminal.go
+++ b/internal/testing/lab/dayreport/terminal.go
@@ -47,9 +47,13 @@
 }
 
 func (r *Report) printScore(output io.Writer) {
-	rows := report.NewTable(output, fmt.Sprintf("Score %.3f after prices", r.Score), "part or price", "amount", "weight", "adds")
+	rows := report.NewTable(output, fmt.Sprintf("Score %.3f after prices", r.Score), "part or price", "amount", "weight",
+		"adds")
 	for _, part := range r.Components {
-		rows.AppendRow(table.Row{part.Name, fmt.Sprintf("%.3f", part.Value), part.Weight, fmt.Sprintf("%+.4f", part.Weight*part.Value)})
+		rows.AppendRow(table.Row{
+			part.Name, fmt.Sprintf("%.3f", part.Value), part.Weight,
+			fmt.Sprintf("%+.4f", part.Weight*part.Value),
+		})
 	}
 	for _, price := range r.Prices {
 		if price.Cost != 0 {
@@ -63,7 +67,8 @@
 }
 
 func printCounts(output io.Writer, title string, rows []Counts, all Counts) {
-	counts := report.NewTable(output, title, "", "sent", "served in aim", "late", "refused", "failed", "not owed", "worth", "p50 ms", "p99 ms")
+	counts := report.NewTable(output, title, "", "sent", "served in aim", "late", "refused", "failed", "not owed", "worth",
+		"p50 ms", "p99 ms")
 	for _, row := range rows {
 		counts.AppendRow(countsRow(&row))
 	}
@@ -104,7 +109,8 @@
 	}
 	options = append(options, terminal.curveOptions(chart.curves)...)
 	drawn := asciigraph.PlotMany(curves, options...)
-	_, _ = fmt.Fprintf(output, "%s, by the second in which the request was sent%s\n%s\n", chart.title, terminal.legend(chart.curves), drawn)
+	_, _ = fmt.Fprintf(output, "%s, by the second in which the request was sent%s\n%s\n", chart.title,
+		terminal.legend(chart.curves), drawn)
 	for _, line := range r.marks(terminal.Width) {
 		_, _ = fmt.Fprintf(output, "%s%s\n", strings.Repeat(" ", labelWidth(drawn)), line)
 	}
@@ -220,9 +226,13 @@
 }
 
 func (r *Report) printRoles(output io.Writer) {
-	rows := report.NewTable(output, "Machines by role", "role", "machines", "cores, mean", "cores, most", "peak MB", "files", "starts")
+	rows := report.NewTable(output, "Machines by role", "role", "machines", "cores, mean", "cores, most", "peak MB",
+		"files", "starts")
 	for _, role := range r.Roles {
-		rows.AppendRow(table.Row{role.Name, role.Machines, role.MeanCores, role.PeakCores, role.PeakMegabytes, role.PeakFiles, role.Starts})
+		rows.AppendRow(table.Row{
+			role.Name, role.Machines, role.MeanCores, role.PeakCores, role.PeakMegabytes, role.PeakFiles,
+			role.Starts,
+		})
 	}
 	rows.Render()
 }
--- a/internal/testing/lab/deployment/deployment.go
+++ b/internal/testing/lab/deployment/deployment.go
@@ -57,7 +57,10 @@
 
 // Of gives a built-in site at the sizes given.
 func Of(name site.Name, sizes site.Sizes) *Deployment {
-	return &Deployment{Name: string(name), Callers: name, Sizes: sizes, Load: caller.DefaultLoad(), Shape: caller.DefaultShape()}
+	return &Deployment{
+		Name: string(name), Callers: name, Sizes: sizes, Load: caller.DefaultLoad(),
+		Shape: caller.DefaultShape(),
+	}
 }
 
 // FieldError names a field of a deployment with an unusable value.
--- a/internal/testing/lab/deployment/deployment_test.go
+++ b/internal/testing/lab/deployment/deployment_test.go
@@ -72,7 +72,8 @@
 
 func TestBuiltInSitesHaveTheDefaultLoad(t *testing.T) {
 	built := deployment.Of(site.Both, site.Small())
-	if built.Callers != site.Both || built.Load != caller.DefaultLoad() || built.Fleet().Sizes.Fronts != site.Small().Fronts {
+	if built.Callers != site.Both || built.Load != caller.DefaultLoad() ||
+		built.Fleet().Sizes.Fronts != site.Small().Fronts {
 		t.Errorf("built %+v", built)
 	}
 }
--- a/internal/testing/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -48,7 +48,10 @@
 
 func TestArmChangesOnlyWhatItSets(t *testing.T) {
 	base := &protocol.Bundle{
-		Version: 4, Scheduling: &protocol.SchedulingPolicy{Algorithm: protocol.SchedulingAlgorithm_PREFIX_AFFINITY, SubsetSize: 9},
+		Version: 4, Scheduling: &protocol.SchedulingPolicy{
+			Algorithm:  protocol.SchedulingAlgorithm_PREFIX_AFFINITY,
+			SubsetSize: 9,
+		},
 	}
 	variant := experiment.Variant{Bundle: json.RawMessage(`{"version":"7","scheduling":{"algorithm":"ROUND_ROBIN"}}`)}
 	changed, err := variant.Apply(base)
@@ -56,7 +59,8 @@
 		t.Fatal(err)
 	}
 	got := changed.GetScheduling()
-	if got.GetAlgorithm() != protocol.SchedulingAlgorithm_ROUND_ROBIN || got.GetSubsetSize() != 9 || changed.GetVersion() != 4 {
+	if got.GetAlgorithm() != protocol.SchedulingAlgorithm_ROUND_ROBIN || got.GetSubsetSize() != 9 ||
+		changed.GetVersion() != 4 {
 		t.Fatalf("changed to %v", changed)
 	}
 	if base.GetScheduling().GetAlgorithm() != protocol.SchedulingAlgorithm_PREFIX_AFFINITY {
@@ -69,7 +73,8 @@
 	begin := time.Unix(100, 0)
 	first := begin.Add(time.Duration(firstMillis) * time.Millisecond)
 	return &caller.Record{
-		Operation: caller.OperationTurn, Program: program, Outcome: caller.OutcomeAnswered, InputTokens: 100, CachedTokens: 50,
+		Operation: caller.OperationTurn, Program: program, Outcome: caller.OutcomeAnswered, InputTokens: 100,
+		CachedTokens: 50,
 		OutputTokens: 2, AnsweredAt: first.Add(10 * time.Millisecond),
 		Exchanges: []caller.Exchange{{SentAt: begin, Events: []caller.Event{
 			{Type: caller.EventDelta, ArrivedAt: first}, {Type: caller.EventDelta, ArrivedAt: first.Add(10 * time.Millisecond)},
--- a/internal/testing/lab/experiment/result.go
+++ b/internal/testing/lab/experiment/result.go
@@ -30,7 +30,10 @@
 
 // NewVariantResult computes the figures of an variant.
 func NewVariantResult(name string, sample *Sample, clean bool, seed uint64) VariantResult {
-	return VariantResult{Name: name, Programs: sample.Programs(), Estimates: sample.Estimates(seed), Clean: clean, Sample: sample}
+	return VariantResult{
+		Name: name, Programs: sample.Programs(), Estimates: sample.Estimates(seed), Clean: clean,
+		Sample: sample,
+	}
 }
 
 // Save writes result.json and report.html into the folder.
@@ -87,7 +90,10 @@
 func (r *Result) timeline() *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
-		charts.WithTitleOpts(opts.Title{Title: "Output tokens by second", Subtitle: "mean over the runs, by the second in which the turn ended"}),
+		charts.WithTitleOpts(opts.Title{
+			Title:    "Output tokens by second",
+			Subtitle: "mean over the runs, by the second in which the turn ended",
+		}),
 		charts.WithTooltipOpts(opts.Tooltip{Show: opts.Bool(true), Trigger: "axis"}),
 		charts.WithXAxisOpts(opts.XAxis{Name: "s"}),
 	)
@@ -114,7 +120,10 @@
 func (r *Result) bars(metric Metric) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
-		charts.WithTitleOpts(opts.Title{Title: string(metric), Subtitle: "value, and the ends of the interval of 95% confidence"}),
+		charts.WithTitleOpts(opts.Title{
+			Title:    string(metric),
+			Subtitle: "value, and the ends of the interval of 95% confidence",
+		}),
 		charts.WithTooltipOpts(opts.Tooltip{Show: opts.Bool(true), Trigger: "axis"}),
 	)
 	var names []string
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -66,7 +66,7 @@
 )
 
 // New prepares folders, secrets, addresses and settings; nothing is started.
-func New(options Options) (*Fleet, error) {
+func New(ctx context.Context, options Options) (*Fleet, error) {
 	folder, err := filepath.Abs(options.Folder)
 	if err != nil {
 		return nil, errors.Wrap(err, "run folder")
@@ -82,10 +82,10 @@
 		return nil, err
 	}
 	source := rand.NewPCG(uint64(time.Now().UnixNano()), uint64(os.Getpid()))
-	if f.members, err = layout(options, rand.New(source)); err != nil {
+	if f.members, err = layout(ctx, options, rand.New(source)); err != nil {
 		return nil, err
 	}
-	if err := f.addRelays(f.members...); err != nil {
+	if err := f.addRelays(ctx, f.members...); err != nil {
 		return nil, err
 	}
 	f.foundersAtStart = f.founders()
@@ -151,7 +151,8 @@
 		if err := f.AwaitReady(ctx, f.Members(kind)...); err != nil {
 			return err
 		}
-		f.options.Logger.Info("ready", "kind", kind, "processes", len(f.Members(kind)), "after", time.Since(begun).Round(time.Millisecond))
+		f.options.Logger.Info("ready", "kind", kind, "processes", len(f.Members(kind)), "after",
+			time.Since(begun).Round(time.Millisecond))
 	}
 	return nil
 }
--- a/internal/testing/lab/fleet/fleet_test.go
+++ b/internal/testing/lab/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := fleet.New(fleet.Options{Sizes: sizes, Folder: t.TempDir(), Relays: relays})
+	f, err := fleet.New(t.Context(), fleet.Options{Sizes: sizes, Folder: t.TempDir(), Relays: relays})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	f := newFleet(t, true)
 	former := f.Members(fleet.KindCore)[0]
 	const stream = 1
-	fresh, err := f.Replace(former, rand.New(rand.NewPCG(1, stream)))
+	fresh, err := f.Replace(t.Context(), former, rand.New(rand.NewPCG(1, stream)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/lab/fleet/layout.go
+++ b/internal/testing/lab/fleet/layout.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"path/filepath"
@@ -36,7 +37,7 @@
 }
 
 // layout places the processes of a fleet of the sizes.
-func layout(options Options, random *rand.Rand) ([]*Member, error) {
+func layout(ctx context.Context, options Options, random *rand.Rand) ([]*Member, error) {
 	sizes := options.Sizes
 	var members []*Member
 	add := func(kind Kind, prefix string, count int, change func(*Member, int)) {
@@ -52,12 +53,12 @@
 	add(KindFront, "front", sizes.Fronts, plain)
 	add(KindBackEnd, "model", sizes.ModelServers, plain)
 	add(KindBackEnd, "tool", sizes.ToolServers, func(m *Member, _ int) { m.Tool = true })
-	return members, addresses(members, options, random)
+	return members, addresses(ctx, members, options, random)
 }
 
 // addresses assigns free ports; the first front node and the first core member get the requested ones.
-func addresses(members []*Member, options Options, random *rand.Rand) error {
-	free, err := freePorts(2*len(members), random)
+func addresses(ctx context.Context, members []*Member, options Options, random *rand.Rand) error {
+	free, err := freePorts(ctx, 2*len(members), random)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/lab/fleet/operator.go
+++ b/internal/testing/lab/fleet/operator.go
@@ -106,7 +106,10 @@
 		return audit.Order{}, errors.Wrap(err, "write bundle")
 	}
 	digest := sha256.Sum256(content)
-	order := audit.Order{Kind: audit.OrderPut, Version: made.GetVersion(), Content: hex.EncodeToString(digest[:]), SentAt: time.Now()}
+	order := audit.Order{
+		Kind: audit.OrderPut, Version: made.GetVersion(), Content: hex.EncodeToString(digest[:]),
+		SentAt: time.Now(),
+	}
 	_, err = f.Client(ctx, "bundle", "put", path)
 	order.AnsweredAt, order.Outcome = time.Now(), outcomeOf(err)
 	return order, err
--- a/internal/testing/lab/fleet/ports.go
+++ b/internal/testing/lab/fleet/ports.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -27,7 +28,7 @@
 
 // freePorts picks loopback addresses on which nothing listens. All stay taken
 // until the last one is found.
-func freePorts(count int, random *rand.Rand) (addresses []string, err error) {
+func freePorts(ctx context.Context, count int, random *rand.Rand) (addresses []string, err error) {
 	var listeners []net.Listener
 	defer func() {
 		for _, listener := range listeners {
@@ -39,7 +40,7 @@
 			return addresses, nil
 		}
 		address := fmt.Sprintf("%s:%d", loopback, firstPort+random.IntN(lastPort-firstPort+1))
-		listener, err := net.Listen("tcp", address)
+		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		if err != nil {
 			continue
 		}
--- a/internal/testing/lab/fleet/relays.go
+++ b/internal/testing/lab/fleet/relays.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"net"
 	"slices"
 
@@ -10,7 +11,7 @@
 )
 
 // addRelays puts relays before the daemons among the members, when the options ask for them.
-func (f *Fleet) addRelays(members ...*Member) error {
+func (f *Fleet) addRelays(ctx context.Context, members ...*Member) error {
 	if !f.options.Relays {
 		return nil
 	}
@@ -21,11 +22,12 @@
 		if member.Kind == KindBackEnd {
 			continue
 		}
-		listener, err := net.Listen("tcp", loopback+":0")
+		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", loopback+":0")
 		if err != nil {
 			return errors.Wrap(err, "listen for a relay")
 		}
 		member.Relay = listener.Addr().String()
+		//nolint:contextcheck // The relays end with the network, not with the call.
 		f.network.Relay(listener, member.Name, member.Internal)
 	}
 	return nil
--- a/internal/testing/lab/fleet/replace.go
+++ b/internal/testing/lab/fleet/replace.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -8,11 +9,11 @@
 
 // Replace puts an empty machine with a new name and new addresses in the place
 // of a core member, whose process must have ended for good. It is not started.
-func (f *Fleet) Replace(member *Member, random *rand.Rand) (*Member, error) {
+func (f *Fleet) Replace(ctx context.Context, member *Member, random *rand.Rand) (*Member, error) {
 	if p := f.Process(member); p != nil && p.Running() {
 		return nil, &RunningError{Name: member.Name}
 	}
-	ports, err := freePorts(2, random)
+	ports, err := freePorts(ctx, 2, random)
 	if err != nil {
 		return nil, err
 	}
@@ -21,7 +22,7 @@
 		Name: fmt.Sprintf("%s-new-%d", member.Kind, f.replaced), Kind: member.Kind, Zone: member.Zone,
 		Internal: ports[0], HTTP: ports[1],
 	}
-	if err := f.addRelays(fresh); err != nil {
+	if err := f.addRelays(ctx, fresh); err != nil {
 		return nil, err
 	}
 	f.members[slices.Index(f.members, member)] = fresh
--- a/internal/testing/lab/frontloss/loss_test.go
+++ b/internal/testing/lab/frontloss/loss_test.go
@@ -22,7 +22,11 @@
 }
 
 func TestLossIsCountedByOwnerAndHolder(t *testing.T) {
-	members := []ring.Member{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}, {Name: "c", Address: "127.0.0.1:3"}}
+	members := []ring.Member{
+		{Name: "a", Address: "127.0.0.1:1"},
+		{Name: "b", Address: "127.0.0.1:2"},
+		{Name: "c", Address: "127.0.0.1:3"},
+	}
 	lost := time.Unix(1000, 0)
 	kill := frontloss.Loss{Lost: "a", Members: members, At: lost, Until: lost.Add(time.Minute)}
 	turn := func(session, owner string, epoch uint64, seconds int) *caller.Record {
--- a/internal/testing/lab/memnet/connection.go
+++ b/internal/testing/lab/memnet/connection.go
@@ -41,7 +41,10 @@
 // pair makes both sides of a connection; the mutex is held.
 func (n *Network) pair(near, far *net.TCPAddr) (dialed, accepted *connection) {
 	dialed = &connection{network: n, near: near, far: far, local: near.IP.String(), changed: make(chan struct{})}
-	accepted = &connection{network: n, near: far, far: near, local: far.IP.String(), changed: make(chan struct{}), peer: dialed}
+	accepted = &connection{
+		network: n, near: far, far: near, local: far.IP.String(), changed: make(chan struct{}),
+		peer: dialed,
+	}
 	dialed.peer = accepted
 	n.connections[dialed], n.connections[accepted] = struct{}{}, struct{}{}
 	return dialed, accepted
--- a/internal/testing/lab/memnet/memnet_test.go
+++ b/internal/testing/lab/memnet/memnet_test.go
@@ -215,15 +215,24 @@
 		})}
 		go func() { _ = server.Serve(listener) }()
 		dial := network.Dialer(callerHost)
-		client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, to string) (net.Conn, error) { return dial(ctx, to) }}}
+		client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, to string) (net.Conn,
+			error,
+		) {
+			return dial(ctx, to)
+		}}}
 		for range 3 {
-			answer, err := client.Post("http://"+listener.Addr().String(), "text/plain", io.LimitReader(zeros{}, 1<<20))
+			body := io.LimitReader(zeros{}, 1<<20)
+			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listener.Addr().String(), body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			body, err := io.ReadAll(answer.Body)
-			if err != nil || len(body) != 1<<20 {
-				t.Errorf("read %d bytes, %v", len(body), err)
+			answer, err := client.Do(request)
+			if err != nil {
+				t.Fatal(err)
+			}
+			received, err := io.ReadAll(answer.Body)
+			if err != nil || len(received) != 1<<20 {
+				t.Errorf("read %d bytes, %v", len(received), err)
 			}
 			_ = answer.Body.Close()
 		}
--- a/internal/testing/lab/memnet/network.go
+++ b/internal/testing/lab/memnet/network.go
@@ -43,7 +43,8 @@
 func New(random *rand.Rand, latency Latency) *Network {
 	return &Network{
 		latency: latency, random: random, listeners: map[string]*listener{}, connections: map[*connection]struct{}{},
-		partitions: map[link]bool{}, inboundPartitions: map[string]bool{}, outboundPartitions: map[string]bool{}, poweredOff: map[string]bool{}, nextPort: firstPort,
+		partitions: map[link]bool{}, inboundPartitions: map[string]bool{}, outboundPartitions: map[string]bool{},
+		poweredOff: map[string]bool{}, nextPort: firstPort,
 	}
 }
 
@@ -61,7 +62,8 @@
 	if from == to {
 		return true
 	}
-	return !n.partitions[link{from, to}] && !n.outboundPartitions[from] && !n.inboundPartitions[to] && !n.poweredOff[from] && !n.poweredOff[to]
+	return !n.partitions[link{from, to}] && !n.outboundPartitions[from] && !n.inboundPartitions[to] &&
+		!n.poweredOff[from] && !n.poweredOff[to]
 }
 
 // delay draws the time that bytes take one way; the mutex is held.
--- a/internal/testing/lab/modelserver/engine.go
+++ b/internal/testing/lab/modelserver/engine.go
@@ -175,7 +175,8 @@
 func (g *generation) entry(phase standin.Phase, reason string) standin.Entry {
 	return standin.Entry{
 		Phase: phase, Serial: g.serial, RequestID: g.call.RequestID, Session: g.call.Session,
-		Epoch: g.call.Epoch, Nonce: g.call.Nonce, ArrivedMicros: g.arrived.UnixMicro(), Run: g.run, Reason: reason, Fault: g.fault,
+		Epoch: g.call.Epoch, Nonce: g.call.Nonce, ArrivedMicros: g.arrived.UnixMicro(), Run: g.run, Reason: reason,
+		Fault: g.fault,
 	}
 }
 
--- a/internal/testing/lab/modelserver/server.go
+++ b/internal/testing/lab/modelserver/server.go
@@ -82,7 +82,10 @@
 		return
 	}
 	tokens := promptTokens(request.Messages)
-	answer, open := s.ask(admitCommand{call: call, tokens: tokens, maxTokens: request.limit(), reply: make(chan admission, 1)})
+	answer, open := s.ask(admitCommand{
+		call: call, tokens: tokens, maxTokens: request.limit(),
+		reply: make(chan admission, 1),
+	})
 	if !open {
 		standin.Abort(c, http.StatusServiceUnavailable, "stopped", "")
 		return
--- a/internal/testing/lab/overload/direct.go
+++ b/internal/testing/lab/overload/direct.go
@@ -29,7 +29,8 @@
 	if err != nil {
 		return false
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server+"/v1/chat/completions", bytes.NewReader(body))
+	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server+"/v1/chat/completions",
+		bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/internal/testing/lab/overload/overload_test.go
+++ b/internal/testing/lab/overload/overload_test.go
@@ -58,8 +58,9 @@
 func observe(id, outcome, code string, sent, answered time.Duration, retryAfter int) Observation {
 	begun := time.Unix(1000, 0)
 	return Observation{DueAt: sent, After: sent >= 4*time.Second, Record: &caller.Record{
-		RequestID: id, Site: "burst-north", Priority: caller.PriorityProbe, Outcome: outcome, Code: code, AnsweredAt: begun.Add(answered),
-		Exchanges: []caller.Exchange{{SentAt: begun.Add(sent), RetryAfterMillis: retryAfter}},
+		RequestID: id, Site: "burst-north", Priority: caller.PriorityProbe, Outcome: outcome, Code: code,
+		AnsweredAt: begun.Add(answered),
+		Exchanges:  []caller.Exchange{{SentAt: begun.Add(sent), RetryAfterMillis: retryAfter}},
 	}}
 }
 
@@ -81,7 +82,8 @@
 		t.Fatalf("offered %d, answered %d, goodput %v", r.Offered, r.Answered, r.Goodput)
 	}
 	if r.AllRejections.Count() != 3 || r.RetryAfter != 2 || r.LateRejections != 1 || r.LateAtOnset != 1 {
-		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter, r.LateRejections, r.LateAtOnset)
+		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter,
+			r.LateRejections, r.LateAtOnset)
 	}
 	if len(r.RejectedButRan) != 1 || r.RejectedButRan[0] != "bare" {
 		t.Fatalf("refused and ran: %v", r.RejectedButRan)
--- a/internal/testing/lab/overload/plan.go
+++ b/internal/testing/lab/overload/plan.go
@@ -54,7 +54,10 @@
 // AddTenants gives a bundle the tenants of the burst, with the routes of the model's other tenant.
 func AddTenants(made *protocol.Bundle, model, group string) {
 	for _, tenant := range Tenants() {
-		made.Tenants = append(made.Tenants, &protocol.TenantPolicy{Name: tenant.Name, Weight: 1, DefaultProgramBudget: 10_000})
+		made.Tenants = append(made.Tenants, &protocol.TenantPolicy{
+			Name: tenant.Name, Weight: 1,
+			DefaultProgramBudget: 10_000,
+		})
 		made.Routes = append(made.Routes, &protocol.Route{
 			Name: tenant.Name, Tenant: tenant.Name, Model: model, Group: group,
 		})
--- a/internal/testing/lab/overload/run.go
+++ b/internal/testing/lab/overload/run.go
@@ -88,7 +88,9 @@
 }
 
 // ClosedLoop keeps as many calls under way as there are workers and counts those that are answered.
-func ClosedLoop(ctx context.Context, workers int, length time.Duration, call func(ctx context.Context, worker, round int) bool) Loop {
+func ClosedLoop(ctx context.Context, workers int, length time.Duration,
+	call func(ctx context.Context, worker, round int) bool,
+) Loop {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	begun := time.Now()
--- a/internal/testing/lab/relay/relay.go
+++ b/internal/testing/lab/relay/relay.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Relay accepts connections for the process of that name and passes them on to its target address.
+// Relay accepts connections for the process of that name and forwards them to its target address, until Close.
 func (n *Network) Relay(listener net.Listener, name, target string) {
 	n.running.Go(func() {
 		<-n.ctx.Done()
--- a/internal/testing/lab/relay/relay_test.go
+++ b/internal/testing/lab/relay/relay_test.go
@@ -14,7 +14,7 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	go echo(server, got)
 	network := relay.NewNetwork(func(net.Addr) string { return "a" })
 	network.Relay(front, "b", server.Addr().String())
-	connection, err := net.Dial("tcp", front.Addr().String())
+	connection, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 func TestProcessBehindAConnectionIsFound(t *testing.T) {
 	listener := listen(t)
 	defer listener.Close()
-	connection, err := net.Dial("tcp", listener.Addr().String())
+	connection, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/lab/scrape/scrape.go
+++ b/internal/testing/lab/scrape/scrape.go
@@ -78,7 +78,8 @@
 func (m Metrics) Sum(name string, labels ...string) float64 {
 	sum := 0.0
 	for _, sample := range m {
-		if sample.Name == name && !slices.ContainsFunc(labels, func(label string) bool { return !strings.Contains(sample.Labels, label) }) {
+		if sample.Name == name &&
+			!slices.ContainsFunc(labels, func(label string) bool { return !strings.Contains(sample.Labels, label) }) {
 			sum += sample.Value
 		}
 	}
--- a/internal/testing/lab/simcommand/idle_fleet.go
+++ b/internal/testing/lab/simcommand/idle_fleet.go
@@ -23,7 +23,8 @@
 	if !rest.Healthy() {
 		return &UnhealthyError{}
 	}
-	_, err := fmt.Fprintf(output, "fleet of Caroni at rest: %s simulated in %s, %.0f times real time, %.0f events a simulated second\n",
+	_, err := fmt.Fprintf(output,
+		"fleet of Caroni at rest: %s simulated in %s, %.0f times real time, %.0f events a simulated second\n",
 		span, took.Round(time.Millisecond), span.Seconds()/took.Seconds(), float64(events)/span.Seconds())
 	return err
 }
--- a/internal/testing/lab/simcommand/simcommand.go
+++ b/internal/testing/lab/simcommand/simcommand.go
@@ -74,21 +74,30 @@
 }
 
 var suites = []suite{
-	{name: "state", mutations: func() []string { return namesOf(statesuite.Mutations()) }, run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
-		return statesuite.Run(seed, statesuite.Options{
-			Faults: faults, Mutation: statesuite.Mutation(chosen.mutation), Shape: statesuite.Shape(chosen.shape), Trace: trace,
-		})
-	}},
-	{name: "ownership", mutations: func() []string { return namesOf(ownershipsuite.Mutations) }, run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
-		return ownershipsuite.Run(seed, ownershipsuite.Options{
-			Faults: faults, Mutation: ownershipsuite.Mutation(chosen.mutation), Trace: trace,
-		}).Report
-	}},
-	{name: "serving", mutations: func() []string { return namesOf(servingsuite.Mutations()) }, run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
-		return servingsuite.Run(seed, servingsuite.Options{
-			Faults: faults, Mutation: servingsuite.Mutation(chosen.mutation), Trace: trace,
-		}).Report
-	}},
+	{
+		name: "state", mutations: func() []string { return namesOf(statesuite.Mutations()) },
+		run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
+			return statesuite.Run(seed, statesuite.Options{
+				Faults: faults, Mutation: statesuite.Mutation(chosen.mutation), Shape: statesuite.Shape(chosen.shape), Trace: trace,
+			})
+		},
+	},
+	{
+		name: "ownership", mutations: func() []string { return namesOf(ownershipsuite.Mutations) },
+		run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
+			return ownershipsuite.Run(seed, ownershipsuite.Options{
+				Faults: faults, Mutation: ownershipsuite.Mutation(chosen.mutation), Trace: trace,
+			}).Report
+		},
+	},
+	{
+		name: "serving", mutations: func() []string { return namesOf(servingsuite.Mutations()) },
+		run: func(seed int64, faults []sim.Fault, chosen options, trace io.Writer) sim.Report {
+			return servingsuite.Run(seed, servingsuite.Options{
+				Faults: faults, Mutation: servingsuite.Mutation(chosen.mutation), Trace: trace,
+			}).Report
+		},
+	},
 }
 
 func namesOf[M ~string](mutations []M) []string {
@@ -115,15 +124,20 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&chosen.suite, "suite", allSuites, "state, ownership, serving or all")
-	flags.StringVar(&chosen.shape, "shape", string(statesuite.ShapeZones), "fleet of the state suite: zones, or regions (three of two zones, cut from each other and lost)")
+	flags.StringVar(&chosen.shape, "shape", string(statesuite.ShapeZones),
+		"fleet of the state suite: zones, or regions (three of two zones, cut from each other and lost)")
 	flags.Int64Var(&chosen.first, "seed", 1, "first seed")
 	flags.IntVar(&chosen.seeds, "seeds", defaultSeeds, "number of seeds to run")
 	flags.IntVar(&chosen.workers, "workers", defaultWorkers, "runs at a time")
-	flags.BoolVar(&chosen.trace, "trace", false, "print what happens to standard error; runs one seed at a time, without shortening its schedule")
+	flags.BoolVar(&chosen.trace, "trace", false,
+		"print what happens to standard error; runs one seed at a time, without shortening its schedule")
 	flags.StringVar(&chosen.mutation, "mutation", "", "break the code in a named way, to see which rule notices")
-	flags.BoolVar(&chosen.keepSchedules, "keep-schedules", false, "leave out the shortening of failed schedules, which runs a seed up to 60 times more")
-	flags.BoolVar(&chosen.fingerprints, "fingerprints", false, "print a line for each suite and seed with a sum of all that its run counted, to find the first seed that a change touches")
-	flags.DurationVar(&chosen.rest, "rest", 0, "simulate a site's fleet at rest for this long, without faults, and print how much faster than real time that is")
+	flags.BoolVar(&chosen.keepSchedules, "keep-schedules", false,
+		"leave out the shortening of failed schedules, which runs a seed up to 60 times more")
+	flags.BoolVar(&chosen.fingerprints, "fingerprints", false,
+		"print a line for each suite and seed with a sum of all that its run counted, to find the first seed that a change touches")
+	flags.DurationVar(&chosen.rest, "rest", 0,
+		"simulate a site's fleet at rest for this long, without faults, and print how much faster than real time that is")
 	return command
 }
 
--- a/internal/testing/lab/simcommand/simcommand_test.go
+++ b/internal/testing/lab/simcommand/simcommand_test.go
@@ -130,8 +130,7 @@
 		t.Fatalf("%v\n%s", err, whole)
 	}
 	broken, _, err := execute(append(arguments, "--mutation", "front-skips-tombstone")...)
-	var violated *simcommand.ViolatedError
-	if !errors.As(err, &violated) {
+	if _, violated := errors.AsType[*simcommand.ViolatedError](err); !violated {
 		t.Fatalf("%v\n%s", err, broken)
 	}
 	one, other := fingerprints(whole), fingerprints(broken)
@@ -148,9 +147,11 @@
 }
 
 func TestReplayNamesTheShape(t *testing.T) {
-	output, _, err := execute("--suite", "state", "--shape", "regions", "--seeds", "1", "--mutation", "front-skips-tombstone", "--keep-schedules")
+	output, _, err := execute("--suite", "state", "--shape", "regions", "--seeds", "1", "--mutation",
+		"front-skips-tombstone", "--keep-schedules")
 	var violated *simcommand.ViolatedError
-	if !errors.As(err, &violated) || !strings.Contains(output, "--trace --shape regions --mutation front-skips-tombstone") {
+	if !errors.As(err, &violated) ||
+		!strings.Contains(output, "--trace --shape regions --mutation front-skips-tombstone") {
 		t.Fatalf("%v\n%s", err, output)
 	}
 }
--- a/internal/testing/lab/simulatednode/fleet.go
+++ b/internal/testing/lab/simulatednode/fleet.go
@@ -58,7 +58,8 @@
 	h := &Fleet{options: options}
 	network := newMemoryNetwork()
 	for i := range options.Nodes {
-		h.nodes = append(h.nodes, newNode(options, network, fmt.Sprintf("hollow-%03d", i+1), fmt.Sprintf("zone-%d", i%options.Zones+1)))
+		h.nodes = append(h.nodes, newNode(options, network, fmt.Sprintf("hollow-%03d", i+1),
+			fmt.Sprintf("zone-%d", i%options.Zones+1)))
 	}
 	for first := 0; first < len(h.nodes); first += options.Wave {
 		wave := h.nodes[first:min(first+options.Wave, len(h.nodes))]
@@ -142,7 +143,8 @@
 func (h *Fleet) sendHeartbeats(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(h.options.Seed, uint64(number)))
 	described := &protocol.BackEnd{
-		Id: fmt.Sprintf("hollow-server-%03d", number+1), Kind: protocol.BackEndKind_MODEL_SERVER, State: protocol.BackEndState_READY,
+		Id: fmt.Sprintf("hollow-server-%03d", number+1), Kind: protocol.BackEndKind_MODEL_SERVER,
+		State:   protocol.BackEndState_READY,
 		Address: fmt.Sprintf("127.0.0.1:%d", number+1), Zone: fmt.Sprintf("zone-%d", number%h.options.Zones+1),
 		Region: h.options.Region, Group: "models", Models: []string{"climate-advisor", "booking-assistant"},
 		Incarnation: uint64(time.Now().UnixMilli()), Capacity: 16,
--- a/internal/testing/lab/simulatednode/node.go
+++ b/internal/testing/lab/simulatednode/node.go
@@ -50,9 +50,12 @@
 	listener := network.listen()
 	address := listener.Addr().String()
 	n := &node{
-		name:       name,
-		corePool:   wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name}),
-		peerPool:   wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name, Dial: network.dial, IdleTimeout: peerIdleTimeout}),
+		name:     name,
+		corePool: wire.NewPool(wire.PoolOptions{Key: options.ClusterKey, Node: name}),
+		peerPool: wire.NewPool(wire.PoolOptions{
+			Key: options.ClusterKey, Node: name, Dial: network.dial,
+			IdleTimeout: peerIdleTimeout,
+		}),
 		heartbeats: make(chan *protocol.BackEnd, heartbeatQueue),
 		inForce:    make([]atomic.Int64, options.Versions+1),
 	}
@@ -64,7 +67,10 @@
 		},
 		Seeds: options.Seeds, Caller: n.corePool, Logger: quiet, Registerer: prometheus.NewRegistry(),
 	})
-	n.manager = ownership.New(ownership.Options{Link: n.link, Caller: n.peerPool, Logger: quiet, Registerer: prometheus.NewRegistry()})
+	n.manager = ownership.New(ownership.Options{
+		Link: n.link, Caller: n.peerPool, Logger: quiet,
+		Registerer: prometheus.NewRegistry(),
+	})
 	n.peerPool.OnBroken(n.manager.PeerBroken)
 	n.link.Subscribe(n.observeView)
 	n.server = wire.NewServer(listener, n, wire.ServerOptions{Key: options.ClusterKey})
@@ -105,7 +111,7 @@
 
 func (n *node) start(ctx context.Context) error {
 	ctx, n.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	n.server.Start()
+	n.server.Start() //nolint:contextcheck // the server ends with Close, in stop
 	if err := n.link.Start(ctx); err != nil {
 		return err
 	}
--- a/internal/testing/lab/site/site_test.go
+++ b/internal/testing/lab/site/site_test.go
@@ -43,7 +43,8 @@
 func TestFaultsNameEachUnusableSize(t *testing.T) {
 	sizes := site.Sizes{Voters: 3, Standbys: -1, Stores: 1, Fronts: 1, Zones: 2, ZoneWeights: []int{1, 0}, ModelServers: 1}
 	want := []string{
-		"tool_servers must be 1 or more", "standbys must not be negative", "zone_weights must name a weight of 1 or more for each zone",
+		"tool_servers must be 1 or more", "standbys must not be negative",
+		"zone_weights must name a weight of 1 or more for each zone",
 	}
 	if got := sizes.Faults(); !slices.Equal(got, want) {
 		t.Errorf("faults %q", got)
--- a/internal/testing/lab/standin/fault_test.go
+++ b/internal/testing/lab/standin/fault_test.go
@@ -9,7 +9,10 @@
 )
 
 func TestFaultsFollowSeedAndProbabilities(t *testing.T) {
-	plan := standin.FaultPlan{Seed: 7, Probabilities: map[standin.Fault]float64{standin.FaultStall: 0.1, standin.FaultLate: 0.2}}
+	plan := standin.FaultPlan{Seed: 7, Probabilities: map[standin.Fault]float64{
+		standin.FaultStall: 0.1,
+		standin.FaultLate:  0.2,
+	}}
 	counts := map[standin.Fault]int{}
 	const requests = 20000
 	for i := range requests {
@@ -20,7 +23,10 @@
 		}
 		counts[fault]++
 	}
-	for fault, want := range map[standin.Fault]float64{standin.FaultStall: 0.1, standin.FaultLate: 0.2, standin.FaultNone: 0.7} {
+	for fault, want := range map[standin.Fault]float64{
+		standin.FaultStall: 0.1, standin.FaultLate: 0.2,
+		standin.FaultNone: 0.7,
+	} {
 		if share := float64(counts[fault]) / requests; share < want-0.02 || share > want+0.02 {
 			t.Errorf("%q on %.3f of requests, want %.1f", fault, share, want)
 		}
@@ -29,7 +35,8 @@
 
 func TestNamedRequestGoesWrongOnce(t *testing.T) {
 	plan := standin.FaultPlan{Requests: map[string]standin.Fault{"r1": standin.FaultDieBefore}}
-	if plan.Pick("r1", 1) != standin.FaultDieBefore || plan.Pick("r1", 2) != standin.FaultNone || plan.Pick("r2", 1) != standin.FaultNone {
+	if plan.Pick("r1", 1) != standin.FaultDieBefore || plan.Pick("r1", 2) != standin.FaultNone ||
+		plan.Pick("r2", 1) != standin.FaultNone {
 		t.Fatal("the fault strikes elsewhere than on the first run of r1")
 	}
 }
--- a/internal/testing/lab/standin/shell.go
+++ b/internal/testing/lab/standin/shell.go
@@ -109,11 +109,11 @@
 }
 
 // Start serves and announces the stand-in until Stop.
-func (s *Shell) Start() error {
+func (s *Shell) Start(ctx context.Context) error {
 	if err := s.options.Journal.Append(Entry{Phase: PhaseReady}); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s.cancel = cancel
 	s.done.Go(func() {
 		err := s.server.Serve(s.options.Listener)
@@ -135,7 +135,7 @@
 		case <-ctx.Done():
 			return
 		case order := <-s.drain:
-			order.reply <- s.leave(order.ctx)
+			order.reply <- s.leave(order.ctx) //nolint:contextcheck // the drain is bounded by its caller, not by the shell
 		case <-timer.C:
 			interval, err := s.options.Announcer.Heartbeat(ctx, s.body())
 			if (err == nil) != reached && ctx.Err() == nil {
--- a/internal/testing/lab/toolserver/server.go
+++ b/internal/testing/lab/toolserver/server.go
@@ -206,7 +206,10 @@
 		c.Data(http.StatusOK, "application/json", []byte("{\"tool\":\x00garbage"))
 		return
 	}
-	c.JSON(http.StatusOK, Result{Tool: entry.Tool, Object: entry.Object, Nonce: entry.Nonce, Value: "value-of-" + entry.Object})
+	c.JSON(http.StatusOK, Result{
+		Tool: entry.Tool, Object: entry.Object, Nonce: entry.Nonce,
+		Value: "value-of-" + entry.Object,
+	})
 }
 
 func (s *Server) work() time.Duration {
--- a/internal/testing/lab/toolserver/server_test.go
+++ b/internal/testing/lab/toolserver/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"io"
 	"net/http"
@@ -36,7 +37,8 @@
 // call makes one call; cut is true when the connection was closed without an answer.
 func (h *harness) call(id, epoch string) (response *httptest.ResponseRecorder, cut bool) {
 	response = httptest.NewRecorder()
-	request := httptest.NewRequest(http.MethodPost, "/v1/tools/check-in/calls", strings.NewReader(`{"object":"seat-4"}`))
+	request := httptest.NewRequestWithContext(context.Background(), http.MethodPost, "/v1/tools/check-in/calls",
+		strings.NewReader(`{"object":"seat-4"}`))
 	request.Header.Set(standin.HeaderIdempotencyKey, id)
 	request.Header.Set(standin.HeaderSession, "s1")
 	request.Header.Set(standin.HeaderEpoch, epoch)
@@ -109,7 +111,10 @@
 		standin.FaultGarbage:    {1, false},
 	} {
 		h := newHarness(t)
-		if err := h.faults.Replace(standin.FaultPlan{LateMillis: 1, StallMillis: 1, Requests: map[string]standin.Fault{"r1": fault}}); err != nil {
+		if err := h.faults.Replace(standin.FaultPlan{
+			LateMillis: 1, StallMillis: 1,
+			Requests: map[string]standin.Fault{"r1": fault},
+		}); err != nil {
 			t.Fatal(err)
 		}
 		_, cut := h.call("r1", "1")
--- a/internal/testing/sim/zone_test.go
+++ b/internal/testing/sim/zone_test.go
@@ -36,7 +36,10 @@
 
 	DescribeTable("given a partitioned zone, then messages stop in that direction only until it heals",
 		func(kind sim.FaultKind, aReceives, bReceives bool) {
-			world, received := twoZones(reliable(), sim.Fault{At: time.Second, Kind: kind, Targets: zoneA, Duration: time.Second})
+			world, received := twoZones(reliable(), sim.Fault{
+				At: time.Second, Kind: kind, Targets: zoneA,
+				Duration: time.Second,
+			})
 			world.RunUntil(1100 * time.Millisecond)
 			atA, atB := len(*received["a"]), len(*received["b"])
 			world.RunUntil(1900 * time.Millisecond)
--- a/internal/testing/subprocess/process.go
+++ b/internal/testing/subprocess/process.go
@@ -81,6 +81,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
+	//nolint:noctx // A process outlives the call that starts it; Stop and Close end it.
 	command := exec.Command(spec.Binary, spec.Args...)
 	command.Dir = spec.Folder
 	command.Stdout = log
--- a/internal/testing/subprocess/process_test.go
+++ b/internal/testing/subprocess/process_test.go
@@ -39,7 +39,8 @@
 	t.Helper()
 	spawner := subprocess.NewSpawner()
 	started, err := spawner.Start(subprocess.Spec{
-		Name: role, Binary: os.Args[0], LogFile: filepath.Join(t.TempDir(), "log"), Environment: []string{"PROCESS_TEST_ROLE=" + role},
+		Name: role, Binary: os.Args[0], LogFile: filepath.Join(t.TempDir(), "log"),
+		Environment: []string{"PROCESS_TEST_ROLE=" + role},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +64,8 @@
 	}
 	// The process may not have its memory yet.
 	usage, err := p.Usage()
-	for began := time.Now(); err == nil && usage.ResidentBytes == 0 && time.Since(began) < usageBound; usage, err = p.Usage() {
+	for began := time.Now(); err == nil && usage.ResidentBytes == 0 &&
+		time.Since(began) < usageBound; usage, err = p.Usage() {
 		runtime.Gosched()
 	}
 	if err != nil || usage.ResidentBytes == 0 {
