--- a/internal/dataplane/limit/urgency.go
+++ b/internal/dataplane/limit/urgency.go
@@ -23,19 +23,18 @@
 // urgency is the time by which a ticket that enters now should run. It is constant while the ticket waits, so that
 // a ticket is overtaken only by those that arrive within its slack.
 func (t Ticket) urgency(now time.Time) time.Time {
-	urgency := now.Add(t.slack(now))
-	return urgency.Add(-time.Duration(t.Rejections) * rejectionCredit)
+	return t.shouldRunBy(now).Add(-time.Duration(t.Rejections) * rejectionCredit)
 }
 
-// slack is how long the ticket can wait for its program to be in time, at most lateSlack.
-func (t Ticket) slack(now time.Time) time.Duration {
+// shouldRunBy is when the ticket should run for its program to be in time, at most lateSlack from now.
+func (t Ticket) shouldRunBy(now time.Time) time.Time {
 	latest := t.latestStart()
 	switch {
 	case latest.IsZero():
-		return unknownSlack
-	case latest.Before(now):
-		return lateSlack
+		return now.Add(unknownSlack)
+	case !latest.Before(now) && latest.Before(now.Add(lateSlack)):
+		return latest
 	default:
-		return min(latest.Sub(now), lateSlack)
+		return now.Add(lateSlack)
 	}
 }
