--- a/internal/process/settings/signoffkey/sign_off_key.go
+++ b/internal/process/settings/signoffkey/sign_off_key.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("sign-off key %q is not \"name hex-public-key\"", e.Text)
 }
 
-// Parse parses sign-off keys of the settings, each "name hex-public-key"; the separator may be a space, a tab, a colon or
-// an equals sign. The error is a *FormatError.
+// Parse parses sign-off keys of the settings, each "name hex-public-key"; the separator may be a space, a tab, a colon
+// or an equals sign. The error is a *FormatError.
 func Parse(texts []string) ([]*protocol.SignOffKey, error) {
 	keys := make([]*protocol.SignOffKey, 0, len(texts))
 	for _, text := range texts {
--- a/internal/protocol/schema_test.go
+++ b/internal/protocol/schema_test.go
@@ -34,7 +34,9 @@
 		}
 		return true
 	})
-	slices.SortFunc(files, func(one, other protoreflect.FileDescriptor) int { return strings.Compare(one.Path(), other.Path()) })
+	slices.SortFunc(files, func(one, other protoreflect.FileDescriptor) int {
+		return strings.Compare(one.Path(), other.Path())
+	})
 	return files
 }
 
@@ -61,7 +63,10 @@
 	var lines []string
 	for i := range messages.Len() {
 		message := messages.Get(i)
-		lines = append(lines, fmt.Sprintf("message %s reserved %v %v", message.FullName(), rangesOf(message), namesOf(message.ReservedNames())))
+		lines = append(
+			lines,
+			fmt.Sprintf("message %s reserved %v %v", message.FullName(), rangesOf(message), namesOf(message.ReservedNames())),
+		)
 		for j := range message.Fields().Len() {
 			lines = append(lines, describeField("field", message.Fields().Get(j)))
 		}
@@ -90,7 +95,10 @@
 
 // describeField names all of a field that the binary form, the JSON form or the meaning of an absent value depends on.
 func describeField(kind string, field protoreflect.FieldDescriptor) string {
-	line := fmt.Sprintf("%s %s = %d %s %s json %s", kind, field.FullName(), field.Number(), field.Cardinality(), typeOf(field), field.JSONName())
+	line := fmt.Sprintf(
+		"%s %s = %d %s %s json %s", kind, field.FullName(), field.Number(), field.Cardinality(), typeOf(field),
+		field.JSONName(),
+	)
 	if field.IsMap() {
 		line += fmt.Sprintf(" map from %s to %s", typeOf(field.MapKey()), typeOf(field.MapValue()))
 	}
@@ -139,8 +147,8 @@
 	return lines
 }
 
-// Programs of different versions talk to each other and read each other's files, so neither a number nor a name may change
-// unseen. A field that is added on purpose is written with -update-schema.
+// Programs of different versions talk to each other and read each other's files, so neither a number nor a name may
+// change unseen. A field that is added on purpose is written with -update-schema.
 func TestTheSchemaIsTheOneThatOtherVersionsKnow(t *testing.T) {
 	described := describe(schemaFiles())
 	if *updateSchema {
@@ -175,9 +183,11 @@
 		return messageOf(file, "Turn").GetField()[0]
 	}
 	changes := map[string]func(*descriptorpb.FileDescriptorProto){
-		"number of a field":    func(file *descriptorpb.FileDescriptorProto) { field(file).Number = proto.Int32(99) },
-		"name of a field":      func(file *descriptorpb.FileDescriptorProto) { field(file).Name = proto.String("renamed") },
-		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).JsonName = proto.String("renamed") },
+		"number of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).Number = proto.Int32(99) },
+		"name of a field":   func(file *descriptorpb.FileDescriptorProto) { field(file).Name = proto.String("renamed") },
+		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) {
+			field(file).JsonName = proto.String("renamed")
+		},
 		"type of a field": func(file *descriptorpb.FileDescriptorProto) {
 			field(file).Type = descriptorpb.FieldDescriptorProto_TYPE_BYTES.Enum()
 		},
--- a/internal/testing/purity/layers_test.go
+++ b/internal/testing/purity/layers_test.go
@@ -32,7 +32,7 @@
 
 // upward are the imports that may run back up, each for its reason.
 var upward = map[string]string{
-	"platform/standin -> internal/testing/subprocess": "the platform's rig is a test program beside the adapter that it tests",
+	"platform/standin -> internal/testing/subprocess": "the rig is a test program beside the adapter",
 }
 
 // TestImportsRunDownwards holds the layout: a package imports its own part of the tree and those below it.
@@ -43,7 +43,8 @@
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && (entry.Name() == "testdata" || path != root && strings.HasPrefix(entry.Name(), ".") && entry.Name() != "..") {
+		if entry.IsDir() &&
+			(entry.Name() == "testdata" || path != root && strings.HasPrefix(entry.Name(), ".") && entry.Name() != "..") {
 			return fs.SkipDir
 		}
 		if strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
--- a/internal/testing/subprocess/usage_test.go
+++ b/internal/testing/subprocess/usage_test.go
@@ -7,7 +7,9 @@
 )
 
 func TestStatusIsReadPastNamesWithSpaces(t *testing.T) {
-	usage, err := parseStat([]byte("12 (a b) c) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0 4 0 100 1000 7 18446744073709551615"))
+	usage, err := parseStat(
+		[]byte("12 (a b) c) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0 4 0 100 1000 7 18446744073709551615"),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/surface/commands_test.go
+++ b/internal/testing/surface/commands_test.go
@@ -231,7 +231,9 @@
 	for place := range enums.Len() {
 		values := enums.Get(place).Values()
 		for number := range values.Len() {
-			set[fmt.Sprintf("%s.%s = %d", enums.Get(place).FullName(), values.Get(number).Name(), values.Get(number).Number())] = true
+			set[fmt.Sprintf(
+				"%s.%s = %d", enums.Get(place).FullName(), values.Get(number).Name(), values.Get(number).Number(),
+			)] = true
 		}
 	}
 }
--- a/internal/testing/surface/literals_test.go
+++ b/internal/testing/surface/literals_test.go
@@ -190,14 +190,18 @@
 }
 
 func TestHeaders(t *testing.T) {
-	compare(t, "headers", sorted(matching(parseTree(t).literals(), `^([Rr]osestand-[A-Za-z-]+|[A-Z][A-Za-z0-9]*(-[A-Z][A-Za-z0-9]*)+)$`)))
+	compare(
+		t, "headers",
+		sorted(matching(parseTree(t).literals(), `^([Rr]osestand-[A-Za-z-]+|[A-Z][A-Za-z0-9]*(-[A-Z][A-Za-z0-9]*)+)$`)),
+	)
 }
 
 func TestPaths(t *testing.T) {
 	compare(t, "paths", sorted(matching(parseTree(t).literals(), `^/[A-Za-z0-9_{}:/.*-]*$`)))
 }
 
-// TestFailureCodes takes as codes the literals that have an HTTP status of their own, and the one that has the status of the unknown.
+// TestFailureCodes takes as codes the literals that have an HTTP status of their own, and the one that has the status
+// of the unknown.
 func TestFailureCodes(t *testing.T) {
 	literals, set := parseTree(t).literals(), map[string]bool{}
 	for literal := range matching(literals, `^[a-z_]+$`) {
@@ -229,7 +233,11 @@
 // TestFiles holds literals that look like names of files, and all constant parts of paths that are joined.
 func TestFiles(t *testing.T) {
 	parsed := parseTree(t)
-	set := matching(parsed.literals(), `^[A-Za-z0-9_%.-]*\.(log|json|jsonl|yaml|tmp|snapshot|lock|key|pem|crt|csv|md|txt|bin|dat|db|segment|partial|new|old|pprof)$`)
+	set := matching(
+		parsed.literals(),
+		`^[A-Za-z0-9_%.-]*\.(log|json|jsonl|yaml|tmp|snapshot|lock|key|pem|crt|csv|md|txt`+
+			`|bin|dat|db|segment|partial|new|old|pprof)$`,
+	)
 	for _, source := range parsed.sources {
 		ast.Inspect(source.file, func(node ast.Node) bool {
 			call, is := node.(*ast.CallExpr)
--- a/internal/testing/surface/metrics_test.go
+++ b/internal/testing/surface/metrics_test.go
@@ -100,7 +100,8 @@
 	return passed
 }
 
-// names lists the names, prefixes and labels below a node, in the order of the source, without help texts and function bodies.
+// names lists the names, prefixes and labels below a node, in the order of the source, without help texts and function
+// bodies.
 func (t *tree) names(in source, node ast.Node) []string {
 	var found []string
 	ast.Inspect(node, func(inner ast.Node) bool {
@@ -124,7 +125,8 @@
 	return found
 }
 
-// TestMetrics holds one line for each place that names a metric: its prefixes, name and labels, as far as they stand there.
+// TestMetrics holds one line for each place that names a metric: its prefixes, name and labels, as far as they stand
+// there.
 func TestMetrics(t *testing.T) {
 	parsed, set := parseTree(t), matching(parseTree(t).literals(), metricPrefix.String())
 	for _, source := range parsed.sources {
--- a/internal/testing/surface/pages_test.go
+++ b/internal/testing/surface/pages_test.go
@@ -99,6 +99,8 @@
 	slices.Sort(linted)
 	checked := slices.Sorted(slices.Values(purity.Packages))
 	if !slices.Equal(linted, checked) {
-		t.Errorf("the linter's rule names\n%s\nand package purity\n%s", strings.Join(linted, "\n"), strings.Join(checked, "\n"))
+		t.Errorf(
+			"the linter's rule names\n%s\nand package purity\n%s", strings.Join(linted, "\n"), strings.Join(checked, "\n"),
+		)
 	}
 }
