--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -61,7 +61,7 @@
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
 	live := sessions.NewLiveTurn(request, request.GetRequestId(), cancel)
-	run := s.newTurnRun(ctx, request, live, grant, key, decided, route, deadline)
+	run := s.newTurnRun(ctx, request, live, grant, decided, route, deadline)
 	run.sessionFreed = true
 	run.machine = turn.New(turn.Parameters{
 		Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -41,7 +41,7 @@
 		grant.End()
 		return s.joinTurn(current, request)
 	}
-	run := s.newTurnRun(ctx, request, live, grant, key, decided, route, deadline)
+	run := s.newTurnRun(ctx, request, live, grant, decided, route, deadline)
 	s.startRun(run, cancel)
 	return live, nil
 }
@@ -73,18 +73,11 @@
 }
 
 func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *sessions.LiveTurn, grant Grant,
-	key sessions.Key, decided rollout.Variant, route *protocol.Route, deadline time.Time,
+	decided rollout.Variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
-	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
-		record.Route, record.Group = route.GetName(), route.GetGroup()
-		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
-	})
-	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &turnRun{
-		service: s, ctx: ctx, request: request, live: live, grant: grant, key: key, variant: decided, route: route,
-		counters: s.rollout.Counters(decided.Candidate), deadline: deadline, explanation: explanation, began: s.clock.Now(),
+		ownedRun: s.newOwnedRun(ctx, request, grant, decided, route, deadline), request: request, live: live,
+		counters: s.rollout.Counters(decided.Candidate), began: s.clock.Now(),
 		incarnation: grant.Incarnation(),
 		machine: turn.New(turn.Parameters{
 			Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
--- a/internal/dataplane/front/route_api.go
+++ b/internal/dataplane/front/route_api.go
@@ -1,6 +1,7 @@
 package front
 
 import (
+	"cmp"
 	"net/http"
 	"strconv"
 	"strings"
@@ -81,23 +82,16 @@
 			failure.WithPath(request.URL.Path))
 	}
 	limits := index.Bundle().GetLimits()
-	if headerBytes(request.Header) > orDefault(uint64(limits.GetMaxHeaderBytes()), defaultRoutedHeaderBytes) {
+	if headerBytes(request.Header) > cmp.Or(uint64(limits.GetMaxHeaderBytes()), defaultRoutedHeaderBytes) {
 		return nil, failure.New(failure.HeaderTooLarge, protocol.Outcome_NOT_RUN, "the header is too large")
 	}
-	body, err := callerapi.ReadBody(request, int64(orDefault(limits.GetMaxBodyBytes(), defaultRoutedBodyBytes)))
+	body, err := callerapi.ReadBody(request, int64(cmp.Or(limits.GetMaxBodyBytes(), defaultRoutedBodyBytes)))
 	if err != nil {
 		return nil, err
 	}
 	return a.read(request, index, route, body, waited)
 }
 
-func orDefault(value, standard uint64) uint64 {
-	if value == 0 {
-		return standard
-	}
-	return value
-}
-
 func headerBytes(header http.Header) uint64 {
 	total := 0
 	for name, values := range header {
@@ -148,7 +142,7 @@
 	accepted.budget = headerNumber(header, a.dialect.TokenBudget)
 	prompt, maxOutputTokens := tokenUsage(header.Get(a.dialect.TokenUsage))
 	accepted.maxOutputTokens = maxOutputTokens
-	group := bundle.PickTarget(route, xxhash.Sum64String(firstOf(accepted.program, accepted.id)))
+	group := bundle.PickTarget(route, xxhash.Sum64String(cmp.Or(accepted.program, accepted.id)))
 	accepted.http = &protocol.HttpRequest{
 		Route: route.GetName(), Group: group, Kind: route.GetKind(), Method: request.Method, Target: requestTarget(request),
 		Host: request.Host, Headers: httpheader.EndToEnd(header, a.dialect.TimeLeft, a.dialect.TargetServer), Body: body,
@@ -172,13 +166,6 @@
 	return header.Get(a.dialect.Affinity)
 }
 
-func firstOf(preferred, other string) string {
-	if preferred != "" {
-		return preferred
-	}
-	return other
-}
-
 // requestTarget is the path and query, unchanged.
 func requestTarget(request *http.Request) string {
 	if strings.HasPrefix(request.RequestURI, "/") {
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -104,13 +104,13 @@
 
 // serveCall serves a request that is answered at once.
 func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
-	repeatable := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
+	idempotent := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
 	answer, err := a.service.relayCall(ctx, &protocol.ToolCallRequest{
 		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session,
 		Tool:           accepted.http.GetRoute(),
 		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true,
 		Http: accepted.http,
-	}, !repeatable)
+	}, !idempotent)
 	switch {
 	case err != nil:
 		writeRoutedFailure(writer, failure.From(err))
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -1,6 +1,7 @@
 package front
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"net/url"
@@ -10,11 +11,8 @@
 	"github.com/google/uuid"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
-	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
-	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
-	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -23,24 +21,16 @@
 
 // callRun carries out the commands of one tool call's machine at the owner.
 type callRun struct {
-	service     *Service
-	ctx         context.Context
-	request     *protocol.ToolCallRequest
-	grant       Grant
-	key         sessions.Key
-	variant     rollout.Variant
-	route       *protocol.Route
-	deadline    time.Time
-	machine     *turn.CallMachine
-	explanation *explain.Explanation
-	server      *backends.Server
-	answers     chan *protocol.ToolCallResponse
+	ownedRun
+	request *protocol.ToolCallRequest
+	machine *turn.CallMachine
+	answers chan *protocol.ToolCallResponse
 	// sends counts the attempts at servers.
 	sends uint32
 }
 
 const (
-	// callTimeoutFactor is the multiple of its latency objective that an attempt of a repeatable call may take.
+	// callTimeoutFactor is the multiple of its latency objective that an attempt of an idempotent call may take.
 	callTimeoutFactor = 2
 	minAnswerTimeout  = 200 * time.Millisecond
 	// firstEventTimeoutFactor is the multiple of its latency objective in which the first event of a turn should come.
@@ -60,9 +50,8 @@
 		return nil, err
 	}
 	left := timeLeft(request.GetTimeLeftMillis())
-	run := s.newCallRun(request, grant, decided, route, s.clock.Now().Add(left))
 	runContext, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	run.ctx = runContext
+	run := s.newCallRun(runContext, request, grant, decided, route, s.clock.Now().Add(left))
 	s.startCall(run, ctx, left, cancel)
 	select {
 	case answer := <-run.answers:
@@ -88,20 +77,12 @@
 }
 
 func (s *Service) newCallRun(
-	request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route, deadline time.Time,
+	ctx context.Context, request *protocol.ToolCallRequest, grant Grant, decided rollout.Variant, route *protocol.Route,
+	deadline time.Time,
 ) *callRun {
-	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
-	explanation.Update(func(record *protocol.Explanation) {
-		record.Owner, record.BundleVersion, record.CandidateArm = s.name, decided.Version(), decided.Candidate
-		record.Route, record.Group = route.GetName(), route.GetGroup()
-		record.Algorithm = decided.Bundle().GetScheduling().GetAlgorithm().String()
-	})
-	explanation.RecordStep("taken by the owner", "from "+request.GetIngress())
 	return &callRun{
-		service: s, request: request, grant: grant, variant: decided, route: route, deadline: deadline,
-		explanation: explanation,
-		key:         sessions.Key{Session: request.GetSession(), Program: request.GetProgram()},
-		answers:     make(chan *protocol.ToolCallResponse, 1),
+		ownedRun: s.newOwnedRun(ctx, request, grant, decided, route, deadline), request: request,
+		answers: make(chan *protocol.ToolCallResponse, 1),
 		machine: turn.NewCall(turn.CallParameters{
 			Request: request, Owner: s.name, Incarnation: grant.Incarnation(), Idempotent: !route.GetNonRepeatable(),
 			Budget: decided.Budget(request.GetProgramBudget(), request.GetTenant()), BundleVersion: decided.Version(),
@@ -139,7 +120,7 @@
 	for len(pending) > 0 {
 		command := pending[0]
 		pending = pending[1:]
-		if reason := stopReason(r.ctx, r.grant); reason != 0 && turn.Interruptible(command) {
+		if reason := r.stopReason(); reason != 0 && turn.Interruptible(command) {
 			pending = r.machine.Apply(turn.StopBefore(reason), r.now())
 			continue
 		}
@@ -159,8 +140,6 @@
 		"the call ended without an answer").Failure}
 }
 
-func (r *callRun) now() time.Time { return r.service.clock.Now() }
-
 func (r *callRun) execute(command turn.Command) turn.Event {
 	switch command := command.(type) {
 	case turn.Claim:
@@ -199,26 +178,12 @@
 	return nil
 }
 
-func (r *callRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
-	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.Update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.RecordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
-	return result
-}
-
-func (r *callRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.Program
-	result := r.service.operations.Do(r.ctx, operation)
-	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
-	return result
-}
-
 func (r *callRun) admit() turn.Event {
 	if rejection := r.rejectUnreachable(); rejection != nil {
 		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
 	}
-	rejection := r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket())
+	rejection := r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket(r.request))
 	if rejection != nil {
 		r.explanation.RecordStep("not admitted", rejection.GetMessage())
 		return turn.NotAdmitted{Failure: rejection}
@@ -244,21 +209,11 @@
 	return r.route.GetNonRepeatable() || !current.Known
 }
 
-func (r *callRun) ticket() limit.Ticket {
-	if routed := r.request.GetHttp(); routed != nil {
-		return routedTicket(routed, r.request.GetTenant(), r.deadline, r.now())
-	}
-	return limit.Ticket{
-		Class: r.request.GetPriority(), Tenant: r.request.GetTenant(),
-		Weight: r.variant.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
-	}
-}
-
 func (r *callRun) choose(avoid []string) turn.Event {
 	wanted := r.service.newPlacement(r.variant.Index,
 		backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
 	// A server is faster for an object in its cache, whichever program the call is of.
-	wanted.Affinity = firstOf(r.request.GetHttp().GetAffinity(), wanted.Affinity)
+	wanted.Affinity = cmp.Or(r.request.GetHttp().GetAffinity(), wanted.Affinity)
 	server, decision := r.service.choose(wanted)
 	r.explanation.RecordDecision(decision)
 	if r.variant.Shadow != nil && r.request.GetHttp() == nil {
@@ -309,8 +264,8 @@
 // attemptContext bounds one attempt of a call that may be repeated and that may go to
 // another server: its answer may be lost, and then nothing would ever come.
 func (r *callRun) attemptContext(routed *protocol.HttpRequest) (context.Context, context.CancelFunc) {
-	repeatable := routed.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
-	if !repeatable || r.sends >= callRuns(r.request) || !r.hasAlternative() {
+	idempotent := routed.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
+	if !idempotent || r.sends >= callRuns(r.request) || !r.hasAlternative() {
 		return r.ctx, func() {}
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
@@ -347,7 +302,7 @@
 }
 
 func (r *callRun) sendFailed(command turn.IssueCall, err error) turn.Event {
-	if reason := stopReason(r.ctx, r.grant); reason != 0 {
+	if reason := r.stopReason(); reason != 0 {
 		return turn.Stopped{Reason: reason, WithoutEffect: issue.SurelyDidNotRun(err)}
 	}
 	var fault *issue.AttemptError
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -1,13 +1,11 @@
 package front
 
 import (
-	"context"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
-	"github.com/rosestand/rosestand/internal/dataplane/front/explain"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
@@ -19,21 +17,14 @@
 
 // turnRun carries out the commands of one turn's machine at the owner.
 type turnRun struct {
-	service     *Service
-	ctx         context.Context
+	ownedRun
 	request     *protocol.TurnRequest
 	live        *sessions.LiveTurn
-	grant       Grant
-	key         sessions.Key
-	variant     rollout.Variant
 	counters    *rollout.Counters
-	route       *protocol.Route
 	incarnation uint64
-	deadline    time.Time
 	machine     *turn.Machine
 	// pin is the version for a turn of a training step; nil for other turns.
-	pin         *backends.VersionPin
-	explanation *explain.Explanation
+	pin *backends.VersionPin
 
 	began      time.Time
 	history    []*protocol.Item
@@ -44,7 +35,6 @@
 	work *backends.StepWork
 	// expected is the wait for the first event of a live turn of an HTTP route.
 	expected     *backends.ExpectedAnswer
-	server       *backends.Server
 	issuedAt     time.Time
 	firstToken   bool
 	tokens       uint64
@@ -78,8 +68,6 @@
 	r.freeSession()
 }
 
-func (r *turnRun) now() time.Time { return r.service.clock.Now() }
-
 // issueFailed is the event of an attempt without an answer. A stop takes precedence over the failure that it
 // may have caused.
 func (r *turnRun) issueFailed(err error) turn.Event {
@@ -89,23 +77,6 @@
 	return r.attemptFailed(err)
 }
 
-func (r *turnRun) stopReason() turn.StopReason { return stopReason(r.ctx, r.grant) }
-
-// stopReason says why the turn or call must end now; zero when it need not.
-func stopReason(ctx context.Context, grant Grant) turn.StopReason {
-	if !grant.Valid() {
-		return turn.StopAuthority
-	}
-	if ctx.Err() == nil {
-		return 0
-	}
-	var stopped *sessions.StopError
-	if errors.As(context.Cause(ctx), &stopped) {
-		return stopped.Reason
-	}
-	return turn.StopCallerDisconnected
-}
-
 // receive waits for the next part of the server's answer. Authority is checked after the wait: nothing that
 // came too late is forwarded.
 func (r *turnRun) receive() turn.Event {
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_steps.go
@@ -6,7 +6,6 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
-	"github.com/rosestand/rosestand/internal/dataplane/limit"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -14,14 +13,6 @@
 
 const chatPath = "/v1/chat/completions"
 
-// claim returns the session's epoch, from the ledger only once per owned session.
-func (r *turnRun) claim(operation *protocol.ClaimSession) *protocol.LedgerResult {
-	result := r.service.claim(r.ctx, r.key, operation)
-	r.explanation.Update(func(record *protocol.Explanation) { record.Epoch = result.GetEpoch() })
-	r.explanation.RecordStep("epoch claimed", fmt.Sprintf("%s, epoch %d", result.GetStatus(), result.GetEpoch()))
-	return result
-}
-
 func (r *turnRun) readHistory(lastTurn string) turn.Event {
 	if lastTurn == "" {
 		return turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_OK}
@@ -61,7 +52,7 @@
 	if r.pin != nil {
 		return r.service.admission.EnterStep(r.ctx, r.stepGate(), r.deadline)
 	}
-	return r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket())
+	return r.service.admission.Enter(r.ctx, r.route.GetGroup(), r.ticket(r.request))
 }
 
 // leave releases what enter acquired.
@@ -81,16 +72,6 @@
 	return r.service.operations.CheckReachable(r.key.Program)
 }
 
-func (r *turnRun) ticket() limit.Ticket {
-	if routed := r.request.GetHttp(); routed != nil {
-		return routedTicket(routed, r.request.GetTenant(), r.deadline, r.now())
-	}
-	return limit.Ticket{
-		Class: r.request.GetPriority(), Tenant: r.request.GetTenant(),
-		Weight: r.variant.Tenant(r.request.GetTenant()).GetWeight(), Deadline: r.deadline,
-	}
-}
-
 func (r *turnRun) reserve(command turn.Reserve) turn.Event {
 	result := r.reserveOnce(command.Operation)
 	budgetHeld := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
@@ -108,14 +89,6 @@
 	})
 }
 
-// ledger carries out one operation of the turn and records its status.
-func (r *turnRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	operation.Program = r.key.Program
-	result := r.service.operations.Do(r.ctx, operation)
-	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
-	return result
-}
-
 func (r *turnRun) commit(command turn.Commit) turn.Event {
 	return turn.Committed{Result: r.ledger("settle", &protocol.LedgerOperation{
 		Body: &protocol.LedgerOperation_SettleTurn{SettleTurn: command.Operation},
