--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestWhatIsSwitchedOffShows(t *testing.T) {
+func TestDisabledMechanismChangesTheResult(t *testing.T) {
 	result := parsed(t, small).Run()[0]
 	twice := map[string]float64{}
 	for _, row := range result.Rows {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAPlayFollowsFromItsFile(t *testing.T) {
+func TestRunIsDeterminedByItsFile(t *testing.T) {
 	printed := func() string {
 		var output bytes.Buffer
 		file := parsed(t, small)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestBadFilesAreRefused(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for _, content := range []string{
 		`{}`, strings.Replace(small, `"seeds":[1,2]`, `"seeds":[]`, 1),
 		strings.Replace(small, `"slots":8`, `"slots":0`, 1),
--- a/internal/testing/lab/audit/operators.go
+++ b/internal/testing/lab/audit/operators.go
@@ -112,7 +112,7 @@
 		former, known := newest[entry.Session]
 		if known && entry.Epoch < former.Epoch && entry.ArrivedMicros > former.AtMicros {
 			f.found(entry.Session, fmt.Sprintf("request %s of epoch %d ran at %s after one of epoch %d at %s",
-				entry.RequestID, entry.Epoch, place(entry), former.Epoch, place(former)))
+				entry.RequestID, entry.Epoch, runLocation(entry), former.Epoch, runLocation(former)))
 		}
 		if !known || entry.Epoch > former.Epoch {
 			newest[entry.Session] = entry
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -25,7 +25,7 @@
 		}
 		f.examine(1)
 		if len(runs) > 1 {
-			f.found(request, fmt.Sprintf("%d runs of %s, at %s and %s", len(runs), runs[0].Tool, place(runs[0]), place(runs[1])))
+			f.found(request, fmt.Sprintf("%d runs of %s, at %s and %s", len(runs), runs[0].Tool, runLocation(runs[0]), runLocation(runs[1])))
 		}
 		byObject[runs[0].Object] = append(byObject[runs[0].Object], runs[0])
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-func place(entry standin.Entry) string {
+func runLocation(entry standin.Entry) string {
 	return fmt.Sprintf("%s %s", entry.Server, entry.At().UTC().Format(time.RFC3339Nano))
 }
 
@@ -44,14 +44,14 @@
 // other answers to the same request.
 func checkRejectedButRan(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
-		refusal := notRun(record)
-		if refusal == nil {
+		rejection := notRun(record)
+		if rejection == nil {
 			return
 		}
 		f.examine(1)
 		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
-			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", refusal.Code, refusal.Front,
-				place(runs[0])))
+			f.found(record.RequestID, fmt.Sprintf("told not_run (%s) by %s, ran at %s", rejection.Code, rejection.Front,
+				runLocation(runs[0])))
 			return
 		}
 		if answered(record) {
@@ -82,15 +82,15 @@
 // whatever outcome they named.
 func checkBudgetRejections(file *indexedEvidence, f *finder) {
 	file.requests(func(record *caller.Record) {
-		refused := slices.ContainsFunc(record.Exchanges, func(exchange caller.Exchange) bool {
+		rejected := slices.ContainsFunc(record.Exchanges, func(exchange caller.Exchange) bool {
 			return failure.Code(exchange.Code) == failure.BudgetSpent
 		})
-		if !refused {
+		if !rejected {
 			return
 		}
 		f.examine(1)
 		if runs := file.startsByRequest[record.RequestID]; len(runs) > 0 {
-			f.found(record.RequestID, "ran at "+place(runs[0]))
+			f.found(record.RequestID, "ran at "+runLocation(runs[0]))
 		}
 	})
 }
--- a/internal/testing/lab/audit/streams.go
+++ b/internal/testing/lab/audit/streams.go
@@ -72,8 +72,8 @@
 
 // tokensFault says where a text departs from the tokens 0, 1, 2 and so on.
 func tokensFault(text string) string {
-	tokens, whole := modeltoken.ParseText(text)
-	if !whole {
+	tokens, complete := modeltoken.ParseText(text)
+	if !complete {
 		return "text holds what no model server produced"
 	}
 	for i, token := range tokens {
--- a/internal/testing/lab/caller/arrivals.go
+++ b/internal/testing/lab/caller/arrivals.go
@@ -58,8 +58,8 @@
 		if at >= duration {
 			break
 		}
-		part := parts[random.IntN(len(parts))]
-		arrivals = append(arrivals, Arrival{At: at, Conversation: w.conversation(part, zones)})
+		site := parts[random.IntN(len(parts))]
+		arrivals = append(arrivals, Arrival{At: at, Conversation: w.conversation(site, zones)})
 	}
 	return arrivals, nil
 }
--- a/internal/testing/lab/caller/caller_test.go
+++ b/internal/testing/lab/caller/caller_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestUnknownSiteIsRefused(t *testing.T) {
+func TestUnknownSiteIsRejected(t *testing.T) {
 	if _, err := caller.Plan("atlantis", caller.DefaultLoad(), caller.DefaultShape(), time.Second, 1, 1, ""); err == nil {
 		t.Fatal("planned")
 	}
--- a/internal/testing/lab/caller/client.go
+++ b/internal/testing/lab/caller/client.go
@@ -144,7 +144,7 @@
 		return
 	}
 	if status != http.StatusOK {
-		c.refused(record, exchange, answer)
+		c.recordRejection(record, exchange, answer)
 		return
 	}
 	var result struct {
@@ -177,15 +177,15 @@
 		return
 	}
 	if status != http.StatusOK {
-		c.refused(record, exchange, answer)
+		c.recordRejection(record, exchange, answer)
 		return
 	}
-	var kept response
-	if err := json.Unmarshal(answer, &kept); err != nil {
+	var received response
+	if err := json.Unmarshal(answer, &received); err != nil {
 		c.broken(record, exchange, err)
 		return
 	}
-	record.Text = kept.text()
+	record.Text = received.text()
 	c.conclude(record, exchange, OutcomeAnswered, "")
 }
 
@@ -250,7 +250,7 @@
 			c.broken(record, exchange, err)
 			return
 		}
-		c.refused(record, exchange, body)
+		c.recordRejection(record, exchange, body)
 		return
 	}
 	c.follow(record, exchange, answer.Body)
@@ -334,7 +334,7 @@
 	return text.String()
 }
 
-func (c *Client) refused(record *Record, exchange *Exchange, body []byte) {
+func (c *Client) recordRejection(record *Record, exchange *Exchange, body []byte) {
 	var answer struct {
 		Error errorDetail `json:"error"`
 	}
--- a/internal/testing/lab/chaos/operators.go
+++ b/internal/testing/lab/chaos/operators.go
@@ -105,7 +105,7 @@
 	limits.MaxQueued += uint32(o.serial)
 	body, err := protojson.Marshal(&protocol.Bundle{Version: version, BaseVersion: base, Partial: true, Limits: limits})
 	if err != nil {
-		o.Logger.Error("encode bundle", "err", err)
+		o.Logger.Error("bundle encoding failed", "err", err)
 	}
 	content := sha256.Sum256(fmt.Appendf(nil, "%d/%d/%d", base, version, limits.GetMaxQueued()))
 	return &attempt{
@@ -123,13 +123,13 @@
 	var err error
 	sent.answer, err = client.Do(ctx, sent.request)
 	sent.order.AnsweredAt = time.Now()
-	var refused *apiclient.RejectedError
+	var rejected *apiclient.RejectedError
 	switch {
 	case err == nil:
 		sent.order.Outcome = audit.OrderAcknowledged
-	case errors.As(err, &refused) && refused.Detail.Outcome == "not_run":
+	case errors.As(err, &rejected) && rejected.Detail.Outcome == "not_run":
 		sent.order.Outcome = audit.OrderRejected
-		sent.order.Code = refused.Detail.Code
+		sent.order.Code = rejected.Detail.Code
 	default:
 		sent.order.Outcome = audit.OrderUnknown
 	}
@@ -164,17 +164,17 @@
 
 // list requests all versions and returns the newest and the one in force.
 func (o *Operators) list(ctx context.Context) (newest, active uint64, err error) {
-	asked := &attempt{
+	listing := &attempt{
 		order:   audit.Order{Kind: audit.OrderList},
 		request: apiclient.Request{Method: http.MethodGet, Path: "/v1/bundles"},
 	}
-	o.send(ctx, asked)
+	o.send(ctx, listing)
 	var answer struct {
 		Newest  uint64            `json:"newest"`
 		Active  uint64            `json:"active"`
 		Bundles []json.RawMessage `json:"bundles"`
 	}
-	if err := json.Unmarshal(asked.answer, &answer); err != nil {
+	if err := json.Unmarshal(listing.answer, &answer); err != nil {
 		return 0, 0, errors.Wrap(err, "decode listing")
 	}
 	for _, raw := range answer.Bundles {
@@ -182,9 +182,9 @@
 		if err := protojson.Unmarshal(raw, status); err != nil {
 			return 0, 0, errors.Wrap(err, "decode bundle")
 		}
-		asked.order.Listed = append(asked.order.Listed, status.GetVersion())
+		listing.order.Listed = append(listing.order.Listed, status.GetVersion())
 	}
-	asked.order.Newest, asked.order.Active = answer.Newest, answer.Active
-	o.record(asked)
+	listing.order.Newest, listing.order.Active = answer.Newest, answer.Active
+	o.record(listing)
 	return answer.Newest, answer.Active, nil
 }
--- a/internal/testing/lab/chaos/plan.go
+++ b/internal/testing/lab/chaos/plan.go
@@ -102,8 +102,8 @@
 // planMassKills puts the death of all fronts at two fifths of the run and that of
 // everything at four fifths, when the run is long enough for them.
 func planMassCrashes(duration time.Duration) []Step {
-	const shortest = 2 * time.Minute
-	if duration < shortest {
+	const minDuration = 2 * time.Minute
+	if duration < minDuration {
 		return nil
 	}
 	return []Step{
@@ -193,15 +193,15 @@
 
 // dropOverlaps leaves out steps that strike a member on which another fault is in force.
 func dropOverlaps(steps []Step) []Step {
-	var kept []Step
+	var selected []Step
 	for _, step := range steps {
-		if !slices.ContainsFunc(kept, func(other Step) bool {
+		if !slices.ContainsFunc(selected, func(other Step) bool {
 			return other.Kind == step.Kind && other.Target == step.Target && other.Action != CrashFronts &&
 				other.Action != CrashAll &&
 				step.At < other.End()+time.Second && other.At < step.End()
 		}) {
-			kept = append(kept, step)
+			selected = append(selected, step)
 		}
 	}
-	return kept
+	return selected
 }
--- a/internal/testing/lab/chaos/plan_test.go
+++ b/internal/testing/lab/chaos/plan_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestSchedulesStayWithinWhatTheSitesBear holds any schedule to one loss of a
+// TestSchedulesStayWithinWhatTheSitesTolerate holds any schedule to one loss of a
 // disk machine at a time, to whole faults and to quiet round the death of many.
-func TestSchedulesStayWithinWhatTheSitesBear(t *testing.T) {
+func TestSchedulesStayWithinWhatTheSitesTolerate(t *testing.T) {
 	for seed := range uint64(200) {
 		duration := 10 * time.Minute
 		var diskFree time.Duration
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestTenMinutesProvokeEveryFault(t *testing.T) {
+func TestTenMinuteScheduleContainsEveryFault(t *testing.T) {
 	seen := map[chaos.Action]bool{}
 	for seed := range uint64(3) {
 		for _, step := range chaos.Plan(counts, 10*time.Minute, seed) {
--- a/internal/testing/lab/chaos/run.go
+++ b/internal/testing/lab/chaos/run.go
@@ -96,7 +96,7 @@
 	if m.begin {
 		b.choose(m)
 		b.counts[m.step.Action]++
-		b.Logger.Info("fault", "action", m.step.Action, "on", names(m.victims.members), "for",
+		b.Logger.Info("fault injected", "action", m.step.Action, "on", names(m.victims.members), "for",
 			m.step.Length.Round(time.Millisecond))
 		return b.begin(m)
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	b.returns = append(b.returns, audit.Recovery{After: string(action), At: begun, Took: took, Served: err == nil})
-	b.Logger.Info("service is back", "after", action, "took", took.Round(time.Millisecond), "err", err)
+	b.Logger.Info("service recovered", "after", action, "took", took.Round(time.Millisecond), "err", err)
 }
 
 // rest lists the core members that are not among the given ones.
@@ -226,7 +226,7 @@
 			}
 			continue
 		}
-		b.Logger.Warn("was down at the end", "name", member.Name)
+		b.Logger.Warn("member was down at end of run", "name", member.Name)
 		if err := b.Fleet.StartMember(member); err != nil {
 			return err
 		}
--- a/internal/testing/lab/command/audit.go
+++ b/internal/testing/lab/command/audit.go
@@ -23,11 +23,11 @@
 	evidence.Journal = journal
 	found := audit.Audit(*evidence)
 	report.PrintAudit(e.output, found)
-	kept := savedAudit{
+	saved := savedAudit{
 		Orders: evidence.Orders, Disturbed: evidence.FaultIntervals, Returns: evidence.Recoveries,
 		Candidates: evidence.Candidates, Report: found,
 	}
-	content, err := json.MarshalIndent(&kept, "", "  ")
+	content, err := json.MarshalIndent(&saved, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode audit")
 	}
@@ -65,13 +65,13 @@
 			if err != nil {
 				return errors.Wrap(err, "read audit")
 			}
-			var kept savedAudit
-			if err := json.Unmarshal(content, &kept); err != nil {
+			var saved savedAudit
+			if err := json.Unmarshal(content, &saved); err != nil {
 				return errors.Wrap(err, "decode audit")
 			}
 			return e.audit(folder, &audit.Evidence{
-				RequestLog: requestLog, Orders: kept.Orders, FaultIntervals: kept.Disturbed,
-				Recoveries: kept.Returns, Candidates: kept.Candidates,
+				RequestLog: requestLog, Orders: saved.Orders, FaultIntervals: saved.Disturbed,
+				Recoveries: saved.Returns, Candidates: saved.Candidates,
 			})
 		},
 	}
--- a/internal/testing/lab/command/bench.go
+++ b/internal/testing/lab/command/bench.go
@@ -232,7 +232,7 @@
 		if spread {
 			label = name + ", each turn at the next front node"
 		}
-		b.logger.Info("closed loop", "load", label)
+		b.logger.Info("closed loop started", "load", label)
 		result, err := load.Measure(ctx, b.watch())
 		if err != nil {
 			return nil, err
--- a/internal/testing/lab/command/experiment.go
+++ b/internal/testing/lab/command/experiment.go
@@ -39,7 +39,7 @@
 
 // armRuns gathers the runs of one variant.
 type variantRuns struct {
-	books [][]*caller.Record
+	logs  [][]*caller.Record
 	clean bool
 }
 
@@ -63,7 +63,7 @@
 	result := &experiment.Result{File: file, Command: command}
 	clean := true
 	for i, variant := range file.Variants {
-		sample := experiment.NewSample(runs[i].books, file.Duration())
+		sample := experiment.NewSample(runs[i].logs, file.Duration())
 		result.Variants = append(result.Variants, experiment.NewVariantResult(variant.Name, sample, runs[i].clean,
 			file.Seeds[0]))
 		clean = clean && runs[i].clean
@@ -84,14 +84,14 @@
 	runs []*variantRuns,
 ) (folder string, err error) {
 	for i, variant := range file.Variants {
-		e.logger.Info("run", "arm", variant.Name, "seed", seed)
+		e.logger.Info("run started", "variant", variant.Name, "seed", seed)
 		var requestLog *caller.RequestLog
 		var clean bool
 		folder, requestLog, clean, err = e.runVariant(ctx, file, seed, &file.Variants[i], nil)
 		if err != nil {
 			return folder, err
 		}
-		runs[i].books = append(runs[i].books, requestLog.Records)
+		runs[i].logs = append(runs[i].logs, requestLog.Records)
 		runs[i].clean = runs[i].clean && clean
 	}
 	return folder, nil
@@ -101,14 +101,14 @@
 func (e *environment) runLive(ctx context.Context, file *experiment.File, seed uint64,
 	runs []*variantRuns,
 ) (folder string, err error) {
-	e.logger.Info("run", "arms", "both", "seed", seed)
+	e.logger.Info("run started", "variants", "both", "seed", seed)
 	folder, requestLog, clean, err := e.runVariant(ctx, file, seed, &file.Variants[0], &file.Variants[1])
 	if err != nil {
 		return folder, err
 	}
 	byVariant := splitByBundle(requestLog.Records)
 	for i := range runs {
-		runs[i].books = append(runs[i].books, byVariant[i])
+		runs[i].logs = append(runs[i].logs, byVariant[i])
 		runs[i].clean = runs[i].clean && clean
 	}
 	return folder, nil
--- a/internal/testing/lab/command/lifecycle.go
+++ b/internal/testing/lab/command/lifecycle.go
@@ -40,7 +40,7 @@
 	options.Folder = e.runFolder(kind)
 	options.Binaries = e.binaries
 	options.Logger = e.logger
-	e.logger.Info("run folder", "path", options.Folder)
+	e.logger.Info("run folder created", "path", options.Folder)
 	return fleet.New(ctx, options)
 }
 
@@ -58,14 +58,14 @@
 	if err != nil {
 		return nil, err
 	}
-	e.logger.Info("bundle signed off", "version", first.GetVersion())
+	e.logger.Info("bundle signed", "version", first.GetVersion())
 	if err := f.Start(ctx, fleet.KindFront, fleet.KindBackEnd); err != nil {
 		return nil, err
 	}
 	if err := f.AwaitServing(ctx, servingDeadline); err != nil {
 		return nil, err
 	}
-	e.logger.Info("every front node serves")
+	e.logger.Info("all front nodes started serving")
 	return orders, nil
 }
 
--- a/internal/testing/lab/command/overload.go
+++ b/internal/testing/lab/command/overload.go
@@ -93,7 +93,7 @@
 	workers := burstBatch * len(servers)
 	direct := target.Direct(ctx, servers, burstBatch, options.closed)
 	through := target.ThroughFronts(ctx, workers, options.closed)
-	e.logger.Info("capacity", "direct", direct.PerSecond, "through", through.PerSecond)
+	e.logger.Info("capacity measured", "direct", direct.PerSecond, "through", through.PerSecond)
 	plan := overload.Plan{
 		Seed: options.seed, Factor: options.factor, Burst: options.length, After: options.after, AfterShare: 0.3,
 		Tenants: overload.Tenants(), MaxRequests: burstMaxRequests,
--- a/internal/testing/lab/command/platform.go
+++ b/internal/testing/lab/command/platform.go
@@ -29,7 +29,7 @@
 			}
 			options.Folder, options.Binary = folder, filepath.Join(e.binaries, platformBinary)
 			options.Logger, options.Output = e.logger, e.output
-			e.logger.Info("run folder", "path", folder)
+			e.logger.Info("run folder created", "path", folder)
 			violations, err := standin.Run(command.Context(), options)
 			if err != nil {
 				return err
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -149,7 +149,7 @@
 		Nodes: options.nodes, Servers: options.servers, Zones: options.zones, Region: "lab",
 		Versions: firstBundle + options.changes, ClusterKey: key, Seeds: f.Seeds(), Seed: options.seed, Wave: options.wave,
 	})
-	e.logger.Info("hollow nodes ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err",
+	e.logger.Info("simulated nodes became ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err",
 		err)
 	return nodes, err
 }
@@ -164,7 +164,7 @@
 		return err
 	}
 	result.ownedIn = time.Since(begun)
-	e.logger.Info("sessions registered", "sessions", result.owned, "refusals", result.rejections, "after",
+	e.logger.Info("sessions registered", "sessions", result.owned, "rejections", result.rejections, "after",
 		result.ownedIn.Round(time.Millisecond))
 	wait.For(ctx, quietBeforeMeasuring)
 	coreBefore, err := coreUsage(f)
--- a/internal/testing/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAccountNamesWhatWasUnderWayWhenItWasLost(t *testing.T) {
+func TestAccountNamesDisruptionsInProgress(t *testing.T) {
 	day := readDay(t)
 	for _, window := range day.Account().Windows {
 		if window.Late+window.Rejected+window.Failed == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestComparisonHasARowADay(t *testing.T) {
+func TestComparisonHasARowForEachDay(t *testing.T) {
 	var output bytes.Buffer
 	dayreport.PrintComparison(&output, []dayreport.Named{
 		{Name: "one", Report: readDay(t)},
--- a/internal/testing/lab/dayreport/report_test.go
+++ b/internal/testing/lab/dayreport/report_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestReadRefusesOtherFiles(t *testing.T) {
+func TestReadRejectsOtherFiles(t *testing.T) {
 	contents := map[string]string{
 		"no JSON":            "score 0.9",
 		"no windows":         `{"G": 0.9}`,
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestPrintTellsCurvesApartWithAndWithoutColor(t *testing.T) {
+func TestPrintDistinguishesCurvesWithAndWithoutColor(t *testing.T) {
 	plain := printed(t, dayreport.Terminal{Width: testWidth})
 	if strings.Contains(plain, "\x1b") {
 		t.Error("plain text holds escape sequences")
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestMarkNamesMoreDisruptionsThanLetters(t *testing.T) {
+func TestLabelNamesMoreDisruptionsThanLetters(t *testing.T) {
 	for index, want := range map[int]string{0: "A", 25: "Z", 26: "A1", 53: "B2"} {
 		if got := dayreport.Label(index); got != want {
 			t.Errorf("mark %d is %s, want %s", index, got, want)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestSaveFigureWritesPanelsWithEveryMark(t *testing.T) {
+func TestSaveFigureWritesPanelsWithEveryLabel(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.svg")
 	if err := readDay(t).SaveFigure(path); err != nil {
 		t.Fatal(err)
--- a/internal/testing/lab/experiment/experiment_test.go
+++ b/internal/testing/lab/experiment/experiment_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestArmChangesOnlyWhatItSets(t *testing.T) {
+func TestVariantChangesOnlyWhatItSets(t *testing.T) {
 	base := &protocol.Bundle{
 		Version: 4, Scheduling: &protocol.SchedulingPolicy{
 			Algorithm:  protocol.SchedulingAlgorithm_PREFIX_AFFINITY,
--- a/internal/testing/lab/fleet/fleet.go
+++ b/internal/testing/lab/fleet/fleet.go
@@ -151,7 +151,7 @@
 		if err := f.AwaitReady(ctx, f.Members(kind)...); err != nil {
 			return err
 		}
-		f.options.Logger.Info("ready", "kind", kind, "processes", len(f.Members(kind)), "after",
+		f.options.Logger.Info("processes became ready", "kind", kind, "processes", len(f.Members(kind)), "after",
 			time.Since(begun).Round(time.Millisecond))
 	}
 	return nil
@@ -253,7 +253,7 @@
 func (f *Fleet) CheckRunning() error {
 	for _, member := range f.members {
 		if p := f.Process(member); p != nil && !p.Running() {
-			return p.Gone()
+			return p.UnexpectedExit()
 		}
 	}
 	return nil
--- a/internal/testing/lab/fleet/fleet_test.go
+++ b/internal/testing/lab/fleet/fleet_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestVotersStandInDistinctZones(t *testing.T) {
+func TestVotersAreInDistinctZones(t *testing.T) {
 	zones := map[int]bool{}
 	for _, member := range newFleet(t, false).Members(fleet.KindCore) {
 		if member.Founder {
--- a/internal/testing/lab/fleet/ready.go
+++ b/internal/testing/lab/fleet/ready.go
@@ -50,7 +50,7 @@
 				case <-ctx.Done():
 					return &NotReadyError{Name: member.Name, Last: last, LogFile: f.LogFile(member)}
 				case <-p.Exited():
-					return p.Gone()
+					return p.UnexpectedExit()
 				case <-time.After(readyInterval):
 				}
 			}
--- a/internal/testing/lab/memnet/memnet_test.go
+++ b/internal/testing/lab/memnet/memnet_test.go
@@ -80,7 +80,7 @@
 	_ = connection.SetReadDeadline(time.Time{})
 }
 
-func TestBytesTakeTheirTimeAndKeepTheirOrder(t *testing.T) {
+func TestBytesAreDelayedAndOrdered(t *testing.T) {
 	linked(t, func(t *testing.T, _ *memnet.Network, near, far net.Conn) {
 		began := time.Now()
 		send(t, near, "one ")
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestACutHoldsBytesBackInItsDirection(t *testing.T) {
+func TestPartitionDelaysBytesInItsDirection(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		network.SetPartition(callerHost, serverHost, true)
 		send(t, near, "held")
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestAnIsolatedHostIsHeardAfterItsReturn(t *testing.T) {
+func TestBytesOfAnIsolatedHostArriveAfterHealing(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		network.Isolate(serverHost, true, true)
 		send(t, near, "in")
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestWhatAKilledProcessSentArrivesBeforeItsEnd(t *testing.T) {
+func TestBytesOfACrashedProcessArriveBeforeItsEnd(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		send(t, far, "last words")
 		network.Crash(serverHost)
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestTheEndOfAProcessIsNotHeardThroughACut(t *testing.T) {
+func TestEndOfAProcessDoesNotCrossAPartition(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, _ net.Conn) {
 		network.SetPartition(serverHost, callerHost, true)
 		network.Crash(serverHost)
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestAMachineWithoutPowerSaysNothingUntilItIsBack(t *testing.T) {
+func TestPowerLossIsNoticedOnlyAfterPowerOn(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, _ net.Conn) {
 		network.LosePower(serverHost)
 		send(t, near, "lost")
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestAResetEndsBothSides(t *testing.T) {
+func TestResetEndsBothSides(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		network.Reset(serverHost)
 		expectEnd(t, near, syscall.ECONNRESET)
@@ -165,7 +165,7 @@
 	})
 }
 
-func TestWhatRestsUnreadIsTold(t *testing.T) {
+func TestUnreadBytesAreReported(t *testing.T) {
 	type unreadTeller interface{ HasUnread() bool }
 	linked(t, func(t *testing.T, network *memnet.Network, near, far net.Conn) {
 		tells := func(wanted bool) {
@@ -189,7 +189,7 @@
 	})
 }
 
-func TestAClosedNetworkEndsWhatIsLeft(t *testing.T) {
+func TestClosedNetworkEndsAllConnections(t *testing.T) {
 	linked(t, func(t *testing.T, network *memnet.Network, near, _ net.Conn) {
 		network.LosePower(serverHost)
 		network.Close()
--- a/internal/testing/lab/modelserver/batch.go
+++ b/internal/testing/lab/modelserver/batch.go
@@ -111,8 +111,8 @@
 	var started []*sequence
 	for len(b.queue) > 0 && len(b.running) < b.rates.MaxBatch {
 		s := b.queue[0]
-		cached, held := b.cache.acquire(s.hashes, s.private)
-		if !held {
+		cached, acquired := b.cache.acquire(s.hashes, s.private)
+		if !acquired {
 			break
 		}
 		s.cached = min(cached*b.rates.BlockTokens, len(s.tokens)-1)
@@ -146,8 +146,8 @@
 	for i, running := range b.running {
 		if running == s {
 			b.running = append(b.running[:i:i], b.running[i+1:]...)
-			whole := chain(nil, append(slices.Clip(s.tokens), output...), b.rates.BlockTokens)
-			b.cache.release(s.hashes, s.private, whole)
+			tokenHashes := chain(nil, append(slices.Clip(s.tokens), output...), b.rates.BlockTokens)
+			b.cache.release(s.hashes, s.private, tokenHashes)
 			return true
 		}
 	}
--- a/internal/testing/lab/overload/overload_test.go
+++ b/internal/testing/lab/overload/overload_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestAPlanIsSeededAndOffersTheFactor(t *testing.T) {
+func TestPlanIsSeededAndOffersTheFactor(t *testing.T) {
 	first, err := testPlan().arrivals("run", 50)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestAPlanThatOffersTooMuchIsRefused(t *testing.T) {
+func TestPlanThatOffersTooMuchIsRejected(t *testing.T) {
 	plan := testPlan()
 	plan.MaxRequests = 100
 	if _, err := plan.arrivals("run", 50); err == nil {
@@ -64,7 +64,7 @@
 	}}
 }
 
-func TestTheFiguresOfABurst(t *testing.T) {
+func TestFiguresOfABurst(t *testing.T) {
 	const ms = time.Millisecond
 	outcome := &Outcome{Begun: time.Unix(1000, 0), Burst: 4 * time.Second, Observations: []Observation{
 		observe("early", caller.OutcomeAnswered, "", 0, 900*ms, 0),
--- a/internal/testing/lab/relay/relay_test.go
+++ b/internal/testing/lab/relay/relay_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestCutLinksHoldBytesBackUntilTheyHeal(t *testing.T) {
+func TestPartitionedLinksDelayBytesUntilTheyHeal(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	server, front := listen(t), listen(t)
 	defer server.Close()
--- a/internal/testing/lab/report/summary.go
+++ b/internal/testing/lab/report/summary.go
@@ -78,16 +78,16 @@
 		Conversations: len(requestLog.Programs), Unserved: requestLog.Unserved,
 		FirstToken: NewTimes(), InterEvent: NewTimes(), ToolTime: NewTimes(), RejectionTime: NewTimes(),
 	}
-	refusals := map[Rejection]int{}
+	rejections := map[Rejection]int{}
 	for _, record := range requestLog.Records {
 		s.take(record)
 		if record.Outcome != caller.OutcomeAnswered {
-			refusals[Rejection{Operation: record.Operation, Code: record.Code, Outcome: record.Outcome}]++
+			rejections[Rejection{Operation: record.Operation, Code: record.Code, Outcome: record.Outcome}]++
 		}
 	}
-	for refusal, count := range refusals {
-		refusal.Count = count
-		s.Rejections = append(s.Rejections, refusal)
+	for rejection, count := range rejections {
+		rejection.Count = count
+		s.Rejections = append(s.Rejections, rejection)
 	}
 	slices.SortFunc(s.Rejections, func(a, b Rejection) int {
 		if a.Count != b.Count {
--- a/internal/testing/lab/report/table.go
+++ b/internal/testing/lab/report/table.go
@@ -79,14 +79,14 @@
 }
 
 func printRejections(output io.Writer, summary *Summary) {
-	refusals := NewTable(output, "Not answered, by reason", "operation", "code", "outcome", "count")
-	for _, refusal := range summary.Rejections {
-		refusals.AppendRow(table.Row{refusal.Operation, refusal.Code, refusal.Outcome, refusal.Count})
+	rejections := NewTable(output, "Not answered, by reason", "operation", "code", "outcome", "count")
+	for _, rejection := range summary.Rejections {
+		rejections.AppendRow(table.Row{rejection.Operation, rejection.Code, rejection.Outcome, rejection.Count})
 	}
 	if len(summary.Rejections) == 0 {
-		refusals.AppendRow(table.Row{"none", "", "", 0})
+		rejections.AppendRow(table.Row{"none", "", "", 0})
 	}
-	refusals.Render()
+	rejections.Render()
 }
 
 // PrintAudit writes what each check found.
--- a/internal/testing/lab/simclock/simclock_test.go
+++ b/internal/testing/lab/simclock/simclock_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/simclock"
 )
 
-func TestAFrozenClockAnswersWhenItWakes(t *testing.T) {
+func TestFrozenClockAnswersWhenItWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var clock simclock.Clock
 		began := time.Now()
--- a/internal/testing/lab/simcommand/simcommand_test.go
+++ b/internal/testing/lab/simcommand/simcommand_test.go
@@ -19,7 +19,7 @@
 	return out.String(), faults.String(), err
 }
 
-func TestCleanSearchPrintsARuleALine(t *testing.T) {
+func TestCleanSearchPrintsALineForEachRule(t *testing.T) {
 	output, trace, err := execute("--suite", "state", "--seed", "1", "--seeds", "2", "--workers", "2")
 	if err != nil || trace != "" {
 		t.Fatalf("%v\n%s%s", err, output, trace)
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestUnknownSuiteIsRefused(t *testing.T) {
+func TestUnknownSuiteIsRejected(t *testing.T) {
 	_, _, err := execute("--suite", "nothing")
 	if _, ok := errors.AsType[*simcommand.UnknownSuiteError](err); !ok {
 		t.Fatal(err)
 	}
 }
 
-func TestUnknownMutationIsRefused(t *testing.T) {
+func TestUnknownMutationIsRejected(t *testing.T) {
 	_, _, err := execute("--suite", "state", "--seeds", "1", "--mutation", "nothing")
 	if _, ok := errors.AsType[*simcommand.UnknownMutationError](err); !ok {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestFleetAtRestIsMeasured(t *testing.T) {
+func TestIdleFleetIsMeasured(t *testing.T) {
 	output, _, err := execute("--rest", "10s")
 	if err != nil || !strings.Contains(output, "times real time") {
 		t.Fatalf("%v\n%s", err, output)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestUnknownShapeIsRefused(t *testing.T) {
+func TestUnknownShapeIsRejected(t *testing.T) {
 	_, _, err := execute("--suite", "state", "--shape", "nothing")
 	if _, ok := errors.AsType[*simcommand.UnknownShapeError](err); !ok {
 		t.Fatal(err)
--- a/internal/testing/lab/site/site.go
+++ b/internal/testing/lab/site/site.go
@@ -144,12 +144,12 @@
 	if dealt <= 0 {
 		return i % s.Zones
 	}
-	place := i % dealt
+	index := i % dealt
 	for zone, weight := range s.ZoneWeights {
-		if place < weight {
+		if index < weight {
 			return zone
 		}
-		place -= weight
+		index -= weight
 	}
 	return 0
 }
--- a/internal/testing/lab/site/site_test.go
+++ b/internal/testing/lab/site/site_test.go
@@ -15,13 +15,13 @@
 	return zones
 }
 
-func TestProcessesAreDealtRoundTheZones(t *testing.T) {
+func TestProcessesAreSpreadOverTheZones(t *testing.T) {
 	if got := zonesOf(site.Sizes{Zones: 3}, 5); !slices.Equal(got, []int{0, 1, 2, 0, 1}) {
 		t.Errorf("zones %v", got)
 	}
 }
 
-func TestWeightsDealProcessesUnevenly(t *testing.T) {
+func TestWeightsSpreadProcessesUnevenly(t *testing.T) {
 	sizes := site.Sizes{Zones: 3, ZoneWeights: []int{3, 2, 1}}
 	if got := zonesOf(sizes, 8); !slices.Equal(got, []int{0, 0, 0, 1, 1, 2, 0, 0}) {
 		t.Errorf("zones %v", got)
--- a/internal/testing/lab/standin/fault_test.go
+++ b/internal/testing/lab/standin/fault_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestNamedRequestGoesWrongOnce(t *testing.T) {
+func TestNamedRequestFailsOnce(t *testing.T) {
 	plan := standin.FaultPlan{Requests: map[string]standin.Fault{"r1": standin.FaultDieBefore}}
 	if plan.Pick("r1", 1) != standin.FaultDieBefore || plan.Pick("r1", 2) != standin.FaultNone ||
 		plan.Pick("r2", 1) != standin.FaultNone {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestUnusablePlansAreRefused(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for name, plan := range map[string]standin.FaultPlan{
 		"probabilities.explode": {Probabilities: map[standin.Fault]float64{"explode": 0.1}},
 		"probabilities.late":    {Probabilities: map[standin.Fault]float64{standin.FaultLate: -1}},
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestTornLastLineIsPassedOverACorruptOneIsNot(t *testing.T) {
+func TestTornLastLineIsIgnoredACorruptOneIsNot(t *testing.T) {
 	whole := `{"phase":"started","server":"a"}` + "\n"
 	entries, err := standin.ParseJournal([]byte(whole + `{"phase":"fin`))
 	if err != nil || len(entries) != 1 {
--- a/internal/testing/lab/toolserver/server_test.go
+++ b/internal/testing/lab/toolserver/server_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestSecondRunIsSeen(t *testing.T) {
+func TestSecondRunIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.call("r1", "1")
 	h.call("r1", "1")
--- a/internal/testing/subprocess/process.go
+++ b/internal/testing/subprocess/process.go
@@ -1,6 +1,5 @@
-// Package subprocess starts, signals and measures the processes of a rig. It is
-// the only place of the project that starts processes, and it signals those
-// alone that it started.
+// Package subprocess starts, signals and measures child processes. It is the only
+// package that starts processes, and it signals only those that it started.
 package subprocess
 
 import (
@@ -14,19 +13,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
 	Name   string
 	Binary string
 	Args   []string
-	// LogFile takes standard output and standard error, appended.
+	// LogFile is the file to which standard output and standard error are appended.
 	LogFile string
 	Folder  string
-	// Environment is added to the rig's own.
+	// Environment is added to the environment of this process.
 	Environment []string
 }
 
-// Process is one process of the rig.
+// Process is one child process. It is safe for concurrent use.
 type Process struct {
 	spec    Spec
 	command *exec.Cmd
@@ -35,7 +34,7 @@
 }
 
 // Spawner starts processes from one thread of its own that lives until Close,
-// so that the kernel ends them when the rig dies, however it dies.
+// so that the kernel ends them when this process dies, however it dies.
 type Spawner struct {
 	orders chan spawnOrder
 }
@@ -103,19 +102,19 @@
 	return p, nil
 }
 
-// Name is the name of the process within its rig.
+// Name returns the name of the process in its Spec.
 func (p *Process) Name() string { return p.spec.Name }
 
-// Spec is what it was started from.
+// Spec returns the description that the process was started from.
 func (p *Process) Spec() Spec { return p.spec }
 
-// ID is the process id.
+// ID returns the process id.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Exited is closed when the process is gone.
+// Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Running reports whether the process is there, frozen or not.
+// Running reports whether the process has not ended; it may be frozen.
 func (p *Process) Running() bool {
 	select {
 	case <-p.exited:
@@ -125,10 +124,10 @@
 	}
 }
 
-// Result is how the process ended; it may be read after Exited is closed.
+// Result returns how the process ended; it may be called after Exited is closed.
 func (p *Process) Result() error { return p.result }
 
-// ExitedError says that a process ended that should run.
+// ExitedError is returned for a process that ended unexpectedly.
 type ExitedError struct {
 	Name    string
 	Result  error
@@ -140,12 +139,12 @@
 	return fmt.Sprintf("%s ended (%v), see %s", e.Name, e.Result, e.LogFile)
 }
 
-// Gone describes the end of a process that should run.
-func (p *Process) Gone() error {
+// UnexpectedExit returns an ExitedError for a process that ended unexpectedly.
+func (p *Process) UnexpectedExit() error {
 	return &ExitedError{Name: p.spec.Name, Result: p.result, LogFile: p.spec.LogFile}
 }
 
-// Signal sends a signal unless the process is gone.
+// Signal sends a signal unless the process has ended.
 func (p *Process) Signal(signal os.Signal) error {
 	if !p.Running() {
 		return nil
@@ -157,15 +156,15 @@
 	return errors.Wrapf(err, "signal %s", p.spec.Name)
 }
 
-// Freeze stops the process without ending it; Thaw lets it go on.
+// Freeze stops the process without ending it; Thaw resumes it.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
 const killWait = 5 * time.Second
 
-// Kill ends the process at once and waits until it is gone.
+// Kill ends the process at once and waits for its end.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -178,7 +177,7 @@
 	}
 }
 
-// dumpAndKill has the process write its goroutines down before it is killed.
+// dumpAndKill has the process write its goroutines to its log before it is killed.
 func (p *Process) dumpAndKill() error {
 	if err := p.Signal(syscall.SIGQUIT); err != nil {
 		return err
@@ -191,17 +190,17 @@
 	}
 }
 
-// StillRunningError says that a killed process did not go.
+// StillRunningError is returned when a killed process did not end.
 type StillRunningError struct{ Name string }
 
 // Error implements error.
 func (e *StillRunningError) Error() string { return e.Name + " is still running after it was killed" }
 
-// dumpWait is how long a process may take to write its goroutines down.
+// dumpWait bounds the time in which a process writes its goroutines.
 const dumpWait = time.Second
 
-// Stop asks the process to end, waits for the grace and then kills it, after it has written its goroutines
-// into its log. Gentle reports whether it ended by itself and with exit code 0.
+// Stop sends SIGTERM, waits for the grace period and then kills the process, after it has written its goroutines
+// to its log. Gentle reports whether it ended before that, with exit code 0.
 func (p *Process) Stop(grace time.Duration) (gentle bool, err error) {
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
@@ -220,7 +219,7 @@
 	if err := p.dumpAndKill(); err != nil {
 		return false, err
 	}
-	// An end may be noticed late, as when this process or the machine stood still: both channels are ready then, or the
-	// process is gone and has not been waited for. Neither SIGQUIT nor SIGKILL leaves an exit code of 0.
+	// The end may be noticed late, as when this process or the machine was frozen: both channels are ready then, or the
+	// process has ended and was not waited for. Neither SIGQUIT nor SIGKILL leaves an exit code of 0.
 	return p.result == nil, nil
 }
--- a/internal/testing/subprocess/process_test.go
+++ b/internal/testing/subprocess/process_test.go
@@ -117,8 +117,8 @@
 	p := start(t, "fail")
 	<-p.Exited()
 	var exited *subprocess.ExitedError
-	if !errors.As(p.Gone(), &exited) || exited.Result == nil {
-		t.Fatalf("gone: %v", p.Gone())
+	if !errors.As(p.UnexpectedExit(), &exited) || exited.Result == nil {
+		t.Fatalf("gone: %v", p.UnexpectedExit())
 	}
 	if gentle, err := p.Stop(time.Second); gentle || err != nil {
 		t.Fatalf("gentle %v, %v", gentle, err)
--- a/internal/testing/subprocess/usage.go
+++ b/internal/testing/subprocess/usage.go
@@ -13,7 +13,7 @@
 // ticksPerSecond is the unit of processor time in /proc on Linux.
 const ticksPerSecond = 100
 
-// Usage is what a process has used.
+// Usage is the processor time and the memory that a process has used.
 type Usage struct {
 	Processor     time.Duration
 	ResidentBytes uint64
@@ -31,13 +31,13 @@
 	return parseStat(content)
 }
 
-// StatError says that the status of a process has an unknown form.
+// StatError is returned when the status of a process has an unknown form.
 type StatError struct{ Content string }
 
 // Error implements error.
 func (e *StatError) Error() string { return "process status has an unknown form: " + e.Content }
 
-// parseStat reads the fields after the name, which may hold spaces itself.
+// parseStat reads the fields after the name, which may contain spaces itself.
 func parseStat(content []byte) (Usage, error) {
 	const (
 		userField     = 11
