--- a/internal/protocol/schema_test.go
+++ b/internal/protocol/schema_test.go
@@ -176,8 +176,8 @@
 	}
 	changes := map[string]func(*descriptorpb.FileDescriptorProto){
 		"number of a field":    func(file *descriptorpb.FileDescriptorProto) { field(file).Number = proto.Int32(99) },
-		"name of a field":      func(file *descriptorpb.FileDescriptorProto) { field(file).Name = proto.String("renamed") },
-		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).JsonName = proto.String("renamed") },
+		"name of a field":      func(file *descriptorpb.FileDescriptorProto) { field(file).Name = new("renamed") },
+		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).JsonName = new("renamed") },
 		"type of a field": func(file *descriptorpb.FileDescriptorProto) {
 			field(file).Type = descriptorpb.FieldDescriptorProto_TYPE_BYTES.Enum()
 		},
@@ -185,7 +185,7 @@
 			field(file).Label = descriptorpb.FieldDescriptorProto_LABEL_REPEATED.Enum()
 		},
 		"message of a field": func(file *descriptorpb.FileDescriptorProto) {
-			messageOf(file, "SettleTurn").GetField()[4].TypeName = proto.String(".rosestand.v1.Item")
+			messageOf(file, "SettleTurn").GetField()[4].TypeName = new(".rosestand.v1.Item")
 		},
 		"field outside of its oneof": func(file *descriptorpb.FileDescriptorProto) {
 			messageOf(file, "StoreRecord").GetField()[1].OneofIndex = nil
@@ -195,10 +195,10 @@
 			message.Field = message.GetField()[1:]
 		},
 		"name of a message": func(file *descriptorpb.FileDescriptorProto) {
-			messageOf(file, "ReadProgram").Name = proto.String("Renamed")
+			messageOf(file, "ReadProgram").Name = new("Renamed")
 			for _, field := range messageOf(file, "LedgerOperation").GetField() {
 				if field.GetTypeName() == ".rosestand.v1.ReadProgram" {
-					field.TypeName = proto.String(".rosestand.v1.Renamed")
+					field.TypeName = new(".rosestand.v1.Renamed")
 				}
 			}
 		},
@@ -206,7 +206,7 @@
 			file.GetEnumType()[0].GetValue()[1].Number = proto.Int32(99)
 		},
 		"name of a value": func(file *descriptorpb.FileDescriptorProto) {
-			file.GetEnumType()[0].GetValue()[1].Name = proto.String("RENAMED")
+			file.GetEnumType()[0].GetValue()[1].Name = new("RENAMED")
 		},
 	}
 	original, err := protoregistry.GlobalFiles.FindFileByPath(changedPath)
