--- a/internal/dataplane/front/issue/client.go
+++ b/internal/dataplane/front/issue/client.go
@@ -366,7 +366,7 @@
 	if len(body) > maxToolAnswerBytes {
 		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the answer is too large"}
 	}
-	return turn.CallDone{
+	return turn.CallAnswered{
 		Status: uint32(response.StatusCode), Body: body, ContentType: response.Header.Get("Content-Type"),
 	}, nil
 }
--- a/internal/dataplane/front/issue/route_client.go
+++ b/internal/dataplane/front/issue/route_client.go
@@ -224,7 +224,7 @@
 	headers := httpheader.OfAnswer(request.HTTP.GetMethod(), response.Header)
 	status := uint32(response.Status)
 	response.Close()
-	return turn.CallDone{Status: status, Body: body, Headers: headers}, nil
+	return turn.CallAnswered{Status: status, Body: body, Headers: headers}, nil
 }
 
 // ForgetRemoved closes the idle connections to servers that were removed from the view.
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -167,16 +167,16 @@
 		return turn.Claimed{Result: r.claim(command.Operation)}
 	case turn.Admit:
 		return r.admit()
-	case turn.Leave:
+	case turn.FreeSlot:
 		r.service.admission.Leave(r.route.GetGroup())
 	case turn.Choose:
 		return r.choose(command.Avoid)
-	case turn.BeginCall:
-		return turn.CallBegun{Result: r.ledger("intent", &protocol.LedgerOperation{
+	case turn.RecordIntent:
+		return turn.IntentRecorded{Result: r.ledger("intent", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_BeginCall{BeginCall: command.Operation},
 		})}
-	case turn.FinishCall:
-		return turn.CallFinished{Result: r.ledger("outcome", &protocol.LedgerOperation{
+	case turn.RecordOutcome:
+		return turn.OutcomeRecorded{Result: r.ledger("outcome", &protocol.LedgerOperation{
 			Body: &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation},
 		})}
 	case turn.RejectCall:
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -223,7 +223,7 @@
 		return r.readHistory(command.LastTurn)
 	case turn.Admit:
 		return r.admit()
-	case turn.Leave:
+	case turn.FreeSlot:
 		r.leave()
 	case turn.Reserve:
 		return r.reserve(command)
@@ -248,7 +248,7 @@
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return waitBackoff(r.service, r.grant, command.For)
-	case turn.Remember:
+	case turn.CacheTurn:
 		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
--- a/internal/dataplane/turn/doc.go
+++ b/internal/dataplane/turn/doc.go
@@ -30,10 +30,10 @@
 //	callAdmitting          Admitted          a slot of the tool's server group
 //	callClaiming           Claimed           the session's epoch (not for unrecorded calls)
 //	callChoosing           Chosen            a back end for the next attempt
-//	callBeginning          CallBegun         the durable intent of a non-repeatable call
-//	callIssued             CallDone          the tool's answer
+//	callRecordingIntent    IntentRecorded    the durable intent of a non-repeatable call
+//	callIssued             CallAnswered      the tool's answer
 //	callRequestingRetry    RetryDecided      the retry budget, after an attempt that failed
-//	callFinishing          CallFinished      the durable outcome; only then is the caller answered
+//	callRecordingOutcome   OutcomeRecorded   the durable outcome; only then is the caller answered
 //	callRejecting          CallRejected      the ledger's tombstone
 //	callDone               -                 nothing
 package turn
--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -99,7 +99,7 @@
 	completed := m.emitCompleted()
 	if !m.IsLedgered() {
 		m.state = stateDone
-		return append(append(m.slot.leave(), completed), Finish{})
+		return append(append(m.slot.free(), completed), Finish{})
 	}
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the turn was answered").Failure
 	return prepend(m.charge(f, now), completed)
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -150,7 +150,7 @@
 			o.t.Fatalf("issued %v", command.Items)
 		}
 		o.issuedNow = true
-	case turn.Leave:
+	case turn.FreeSlot:
 		o.slots--
 	case turn.Release:
 		o.released = command.Operation
--- a/internal/dataplane/turn/operation.go
+++ b/internal/dataplane/turn/operation.go
@@ -24,11 +24,11 @@
 // slot is true while a turn or call has a slot of its server group.
 type slot bool
 
-// leave gives the slot back, once.
-func (s *slot) leave() []Command {
+// free gives the slot back, once.
+func (s *slot) free() []Command {
 	if !*s {
 		return nil
 	}
 	*s = false
-	return []Command{Leave{}}
+	return []Command{FreeSlot{}}
 }
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -66,15 +66,15 @@
 		return turn.Rejected{Result: drawResult(t)}
 	case turn.ReadRetainedTurn:
 		return turn.RetainedTurnRead{Turn: &protocol.Turn{Id: "turn_1"}, Status: protocol.LedgerStatus_LEDGER_OK}
-	case turn.BeginCall:
-		return turn.CallBegun{Result: drawResult(t)}
-	case turn.FinishCall:
-		return turn.CallFinished{Result: drawResult(t)}
+	case turn.RecordIntent:
+		return turn.IntentRecorded{Result: drawResult(t)}
+	case turn.RecordOutcome:
+		return turn.OutcomeRecorded{Result: drawResult(t)}
 	case turn.RejectCall:
 		return turn.CallRejected{Result: drawResult(t)}
 	case turn.IssueCall:
 		if rapid.Bool().Draw(t, "done") {
-			return turn.CallDone{Status: 200, Body: []byte("{}"), ContentType: "application/json"}
+			return turn.CallAnswered{Status: 200, Body: []byte("{}"), ContentType: "application/json"}
 		}
 		return drawFault(t)
 	case turn.Backoff:
@@ -115,7 +115,7 @@
 			o.t.Fatalf("issued without a reservation")
 		}
 		o.issued++
-	case turn.Leave:
+	case turn.FreeSlot:
 		o.slots--
 	case turn.Release:
 		o.released = command.Operation
@@ -298,9 +298,9 @@
 				if !failed || fault.Fault == turn.FaultBroken || fault.Fault == turn.FaultMismatch {
 					mayHaveRun++
 				}
-				_, done = event.(turn.CallDone)
+				_, done = event.(turn.CallAnswered)
 			}
-			if begun, isBegun := event.(turn.CallBegun); isBegun {
+			if begun, isBegun := event.(turn.IntentRecorded); isBegun {
 				intent = begun.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
 			}
 			if event != nil {
--- a/internal/dataplane/turn/release.go
+++ b/internal/dataplane/turn/release.go
@@ -21,9 +21,9 @@
 	m.traceRelease()
 	if m.isHTTP() && !m.answerEnded && !m.step.recording {
 		// A first send that was given up needs no proof by the ledger: no other node may run it.
-		return append(m.slot.leave(), m.emitEnd(f), Release{Operation: m.releaseOperation})
+		return append(m.slot.free(), m.emitEnd(f), Release{Operation: m.releaseOperation})
 	}
-	return append(m.slot.leave(), Release{Operation: m.releaseOperation})
+	return append(m.slot.free(), Release{Operation: m.releaseOperation})
 }
 
 func (m *Machine) releasing(event Event, now time.Time) []Command {
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -70,7 +70,7 @@
 	}
 	m.state = stateCommitting
 	m.operation = beginOperation(now)
-	return append(m.slot.leave(), Commit{Operation: m.commitOperation})
+	return append(m.slot.free(), Commit{Operation: m.commitOperation})
 }
 
 // chargeUnreported adds output tokens that the back end counts beyond those of the events that it sent.
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -39,10 +39,10 @@
 	callClaiming
 	callAdmitting
 	callChoosing
-	callBeginning
+	callRecordingIntent
 	callIssued
 	callRequestingRetry
-	callFinishing
+	callRecordingOutcome
 	callRejecting
 	callDone
 )
@@ -97,16 +97,16 @@
 		return m.chosen(event, now)
 	case NotChosen:
 		return m.notChosen(event, now)
-	case CallBegun:
-		return m.begun(event, now)
-	case CallDone:
-		return m.done(event, now)
+	case IntentRecorded:
+		return m.intentRecorded(event, now)
+	case CallAnswered:
+		return m.callAnswered(event, now)
 	case BackEndFailed:
 		return m.failed(event, now)
 	case RetryDecided:
 		return m.retry(event, now)
-	case CallFinished:
-		return m.finished(event, now)
+	case OutcomeRecorded:
+		return m.outcomeRecorded(event, now)
 	case CallRejected:
 		return m.rejected(event)
 	case Waited:
@@ -171,14 +171,14 @@
 	if m.parameters.Idempotent || m.parameters.Unrecorded || m.intent {
 		return m.issue()
 	}
-	m.state = callBeginning
+	m.state = callRecordingIntent
 	m.operation = beginOperation(now)
-	return []Command{m.beginCommand()}
+	return []Command{m.intentCommand()}
 }
 
-func (m *CallMachine) beginCommand() Command {
+func (m *CallMachine) intentCommand() Command {
 	request := m.parameters.Request
-	return BeginCall{Operation: &protocol.BeginCall{
+	return RecordIntent{Operation: &protocol.BeginCall{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch,
 		Tool: request.GetTool(), Attempt: m.parameters.Attempt,
 	}}
@@ -200,8 +200,8 @@
 	return m.giveUp(now)
 }
 
-func (m *CallMachine) begun(event CallBegun, now time.Time) []Command {
-	if m.state != callBeginning {
+func (m *CallMachine) intentRecorded(event IntentRecorded, now time.Time) []Command {
+	if m.state != callRecordingIntent {
 		return nil
 	}
 	switch status := event.Result.GetStatus(); status {
@@ -238,7 +238,7 @@
 	return m.answer(RecordedAnswer(record))
 }
 
-func (m *CallMachine) done(event CallDone, now time.Time) []Command {
+func (m *CallMachine) callAnswered(event CallAnswered, now time.Time) []Command {
 	if m.state != callIssued {
 		return nil
 	}
@@ -254,13 +254,13 @@
 
 // record makes the outcome durable before the caller gets it.
 func (m *CallMachine) record(status uint32, body []byte, contentType string, now time.Time) []Command {
-	m.state = callFinishing
+	m.state = callRecordingOutcome
 	m.operation = beginOperation(now)
 	m.outcome = &protocol.FinishCall{
 		RequestId: m.parameters.Request.GetRequestId(), Attempt: m.parameters.Attempt,
 		Status: status, Body: body, ContentType: contentType,
 	}
-	return append(m.slot.leave(), FinishCall{Operation: m.outcome})
+	return append(m.slot.free(), RecordOutcome{Operation: m.outcome})
 }
 
 // RecordedAnswer is the answer that the ledger has recorded of a finished call; one that cannot be read becomes a
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -71,7 +71,7 @@
 // reject ends a call without an intent of this attempt.
 func (m *CallMachine) reject(f *protocol.Failure) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
-	if m.parameters.Request.GetFirstSend() && m.state != callBeginning {
+	if m.parameters.Request.GetFirstSend() && m.state != callRecordingIntent {
 		return m.fail(f)
 	}
 	if m.parameters.Idempotent {
@@ -82,7 +82,7 @@
 	m.failure = f
 	m.state = callRejecting
 	return append(
-		m.slot.leave(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}},
+		m.slot.free(), RejectCall{Operation: &protocol.RefuseCall{RequestId: m.parameters.Request.GetRequestId()}},
 	)
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-func (m *CallMachine) finished(event CallFinished, now time.Time) []Command {
-	if m.state != callFinishing {
+func (m *CallMachine) outcomeRecorded(event OutcomeRecorded, now time.Time) []Command {
+	if m.state != callRecordingOutcome {
 		return nil
 	}
 	switch event.Result.GetStatus() {
@@ -139,10 +139,10 @@
 
 func (m *CallMachine) waited() []Command {
 	switch m.state {
-	case callBeginning:
-		return []Command{m.beginCommand()}
-	case callFinishing:
-		return []Command{FinishCall{Operation: m.outcome}}
+	case callRecordingIntent:
+		return []Command{m.intentCommand()}
+	case callRecordingOutcome:
+		return []Command{RecordOutcome{Operation: m.outcome}}
 	default:
 		return nil
 	}
@@ -154,7 +154,7 @@
 
 func (m *CallMachine) answer(response *protocol.ToolCallResponse) []Command {
 	m.state = callDone
-	commands := m.slot.leave()
+	commands := m.slot.free()
 	if !m.answered {
 		m.answered = true
 		response.Owner, response.BundleVersion = m.parameters.Owner, m.parameters.BundleVersion
--- a/internal/dataplane/turn/tool_call_stop.go
+++ b/internal/dataplane/turn/tool_call_stop.go
@@ -12,7 +12,7 @@
 			return prepend(m.fail(f), ForgetSession{})
 		}
 		return m.reject(f)
-	case callBeginning, callChoosing, callRequestingRetry:
+	case callRecordingIntent, callChoosing, callRequestingRetry:
 		m.failure = f
 		return m.giveUp(now)
 	case callIssued:
@@ -22,7 +22,7 @@
 		}
 		m.ranBefore = true
 		return prepend(m.giveUp(now), StopBackEnd{})
-	case callFinishing:
+	case callRecordingOutcome:
 		if event.Reason == StopAuthority {
 			return m.answer(m.unrecorded())
 		}
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var ran = turn.CallDone{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
+var ran = turn.CallAnswered{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
 
 // runCall answers each command by its kind; the last answer of a kind stays.
 func runCall(idempotent bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
@@ -20,7 +20,7 @@
 	})
 	defaults := map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
-		"begin": {turn.CallBegun{Result: ok}}, "finish": {turn.CallFinished{Result: ok}},
+		"begin": {turn.IntentRecorded{Result: ok}}, "finish": {turn.OutcomeRecorded{Result: ok}},
 		"reject": {turn.CallRejected{Result: ok}},
 		"issue":  {ran}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.Waited{}},
 	}
@@ -52,9 +52,9 @@
 
 func callCommandName(command turn.Command) string {
 	switch command.(type) {
-	case turn.BeginCall:
+	case turn.RecordIntent:
 		return "begin"
-	case turn.FinishCall:
+	case turn.RecordOutcome:
 		return "finish"
 	case turn.RejectCall:
 		return "reject"
@@ -106,7 +106,7 @@
 		"cannot promise a rejection that was not recorded": {
 			answers: map[string][]turn.Event{
 				"issue": {busy}, "retry": {turn.RetryDecided{}},
-				"finish": {turn.CallFinished{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}},
+				"finish": {turn.OutcomeRecorded{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}},
 			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
@@ -115,31 +115,31 @@
 			counts: map[string]int{"begin": 0, "reject": 1},
 		},
 		"is unknown when another attempt holds the intent": {
-			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: underWay}}},
+			answers: map[string][]turn.Event{"begin": {turn.IntentRecorded{Result: underWay}}},
 			code:    failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 0},
 		},
 		"answers from the record": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})}},
+				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})}},
 			},
 			counts: map[string]int{"issue": 0},
 		},
 		"is rejected by an earlier tombstone": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.CallBegun{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}},
+				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}},
 			},
 			code: failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
 		"writes the same intent again after no answer": {
-			answers: map[string][]turn.Event{"begin": {turn.CallBegun{Result: unavailable}, turn.CallBegun{Result: ok}}},
+			answers: map[string][]turn.Event{"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: ok}}},
 			counts:  map[string]int{"begin": 2, "issue": 1},
 		},
 		"retries to record the outcome until the ledger answers": {
 			answers: map[string][]turn.Event{
 				"finish": {
-					turn.CallFinished{Result: unavailable},
-					turn.CallFinished{Result: unavailable},
-					turn.CallFinished{Result: ok},
+					turn.OutcomeRecorded{Result: unavailable},
+					turn.OutcomeRecorded{Result: unavailable},
+					turn.OutcomeRecorded{Result: ok},
 				},
 			},
 			counts: map[string]int{"issue": 1, "finish": 3},
--- a/internal/dataplane/turn/turn_commands.go
+++ b/internal/dataplane/turn/turn_commands.go
@@ -13,7 +13,7 @@
 // begin something. The other commands end or report something and are always executed.
 func Interruptible(command Command) bool {
 	switch command.(type) {
-	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, RequestRetry, BeginCall, IssueCall:
+	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, RequestRetry, RecordIntent, IssueCall:
 		return true
 	default:
 		return false
@@ -33,8 +33,8 @@
 // Admit requests a slot; answered by Admitted or NotAdmitted.
 type Admit struct{}
 
-// Leave gives the slot back.
-type Leave struct{}
+// FreeSlot gives the slot back.
+type FreeSlot struct{}
 
 // Reserve sets the turn's reservation limit aside in the ledger; answered by Reserved.
 type Reserve struct{ Operation *protocol.ReserveTurn }
@@ -81,8 +81,8 @@
 // Backoff requests a Waited event after For.
 type Backoff struct{ For time.Duration }
 
-// Remember has the owner cache the turn as the session's last one.
-type Remember struct{ Turn *protocol.Turn }
+// CacheTurn has the owner cache the turn as the session's last one.
+type CacheTurn struct{ Turn *protocol.Turn }
 
 // ForgetSession has the owner drop its cached state of the session, which is no longer valid.
 type ForgetSession struct {
@@ -97,7 +97,7 @@
 func (Claim) command()            {}
 func (ReadHistory) command()      {}
 func (Admit) command()            {}
-func (Leave) command()            {}
+func (FreeSlot) command()         {}
 func (Reserve) command()          {}
 func (Choose) command()           {}
 func (Issue) command()            {}
@@ -109,6 +109,6 @@
 func (Reject) command()           {}
 func (ReadRetainedTurn) command() {}
 func (Backoff) command()          {}
-func (Remember) command()         {}
+func (CacheTurn) command()        {}
 func (ForgetSession) command()    {}
 func (Finish) command()           {}
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -17,7 +17,7 @@
 	m.failure = f
 	m.state = stateRejecting
 	request := m.parameters.Request
-	return append(m.slot.leave(), Reject{Operation: &protocol.RefuseRequest{
+	return append(m.slot.free(), Reject{Operation: &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	}, Overload: failure.Code(f.GetCode()) == failure.Overloaded})
 }
@@ -49,7 +49,7 @@
 			)
 		}
 		m.state = stateReadingRetained
-		return append(m.slot.leave(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
+		return append(m.slot.free(), ReadRetainedTurn{TurnID: finished.GetTurnId()})
 	case protocol.RequestOutcome_OUTCOME_NOT_RUN:
 		if m.failure != nil {
 			m.failure.Outcome = protocol.Outcome_NOT_RUN
@@ -75,7 +75,7 @@
 	}
 	m.answerEnded = true
 	m.state = stateDone
-	commands := m.slot.leave()
+	commands := m.slot.free()
 	for _, event := range Replay(read.Turn, m.attempt+1, m.parameters.Owner, m.parameters.BundleVersion) {
 		commands = append(commands, Emit{Event: event})
 	}
@@ -123,16 +123,16 @@
 }
 
 func (m *Machine) complete() []Command {
-	commands := []Command{Remember{Turn: m.commitOperation.GetTurn()}}
+	commands := []Command{CacheTurn{Turn: m.commitOperation.GetTurn()}}
 	m.state = stateDone
 	if m.answerEnded {
-		return append(append(commands, m.slot.leave()...), Finish{})
+		return append(append(commands, m.slot.free()...), Finish{})
 	}
 	if m.sequence == 0 {
 		commands = append(commands, m.emitCreated())
 	}
 	commands = append(commands, m.emitCompleted())
-	return append(append(commands, m.slot.leave()...), Finish{})
+	return append(append(commands, m.slot.free()...), Finish{})
 }
 
 // endHere answers that this front node may not run the turn. It says nothing
@@ -148,7 +148,7 @@
 // end emits the failure, once, and finishes.
 func (m *Machine) end(f *protocol.Failure) []Command {
 	m.state = stateDone
-	commands := m.slot.leave()
+	commands := m.slot.free()
 	if !m.answerEnded {
 		commands = append(commands, m.emitEnd(f))
 	}
--- a/internal/testing/sim/servingsuite/exchange.go
+++ b/internal/testing/sim/servingsuite/exchange.go
@@ -178,7 +178,7 @@
 	e.observe(schedule.OutcomeAnswered)
 	r := e.run
 	r.closeExchange()
-	r.applyEvent(turn.CallDone{Status: 200, Body: []byte(body.nonce)})
+	r.applyEvent(turn.CallAnswered{Status: 200, Body: []byte(body.nonce)})
 }
 
 func (e *exchange) observe(outcome schedule.Outcome) {
--- a/internal/testing/sim/servingsuite/turn_commands.go
+++ b/internal/testing/sim/servingsuite/turn_commands.go
@@ -14,7 +14,7 @@
 	switch command := command.(type) {
 	case turn.Admit:
 		r.admit()
-	case turn.Leave:
+	case turn.FreeSlot:
 		r.front.admission.leave(r.group())
 	case turn.ReadHistory:
 		return turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_OK}
@@ -62,12 +62,12 @@
 	case turn.Release:
 		operation.Body = &protocol.LedgerOperation_ReleaseTurn{ReleaseTurn: command.Operation}
 		answer = func(result *protocol.LedgerResult) turn.Event { return turn.Released{Result: result} }
-	case turn.BeginCall:
+	case turn.RecordIntent:
 		operation.Body = &protocol.LedgerOperation_BeginCall{BeginCall: command.Operation}
-		answer = func(result *protocol.LedgerResult) turn.Event { return turn.CallBegun{Result: result} }
-	case turn.FinishCall:
+		answer = func(result *protocol.LedgerResult) turn.Event { return turn.IntentRecorded{Result: result} }
+	case turn.RecordOutcome:
 		operation.Body = &protocol.LedgerOperation_FinishCall{FinishCall: command.Operation}
-		answer = func(result *protocol.LedgerResult) turn.Event { return turn.CallFinished{Result: result} }
+		answer = func(result *protocol.LedgerResult) turn.Event { return turn.OutcomeRecorded{Result: result} }
 	case turn.RejectCall:
 		r.reject(false, func(result *protocol.LedgerResult) turn.Event { return turn.CallRejected{Result: result} })
 		return nil
