--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -93,7 +93,7 @@
 
 // isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back
 // end left.
-func (o *owner) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
+func (o *ownerLoop) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
 	if o.machine.View().Outdated(backEnd.Name, backEnd.Incarnation, sequence) {
 		return true
 	}
--- a/internal/controlplane/core/delivery.go
+++ b/internal/controlplane/core/delivery.go
@@ -22,11 +22,11 @@
 	return a.owner.currentLeadership()
 }
 
-// ConfirmVersions implements delivery.ControlPlane. It drops the update while the queue of the owner is full: the
-// next renewal of the lease confirms the same versions.
-func (a pollAccess) ConfirmVersions(holder leases.Holder, inForce *protocol.ControlVersions) {
+// AcknowledgeVersions implements delivery.ControlPlane. It drops the update while the queue of the owner is full: the
+// next renewal of the lease acknowledges the same versions.
+func (a pollAccess) AcknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions) {
 	select {
-	case a.owner.queue <- func(now time.Time) { a.owner.confirmVersions(holder, inForce, now) }:
+	case a.owner.queue <- func(now time.Time) { a.owner.acknowledgeVersions(holder, inForce, now) }:
 	default:
 	}
 }
--- a/internal/controlplane/core/delivery/poller.go
+++ b/internal/controlplane/core/delivery/poller.go
@@ -21,8 +21,8 @@
 	Barrier(ctx context.Context) error
 	// Leadership reports whether this process leads; lost is closed at the end of that leadership.
 	Leadership() (lost <-chan struct{}, isLeader bool)
-	// ConfirmVersions records, without waiting, what a node has in force.
-	ConfirmVersions(holder leases.Holder, inForce *protocol.ControlVersions)
+	// AcknowledgeVersions records, without waiting, what a node has in force.
+	AcknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions)
 }
 
 // Options of a Poller.
@@ -74,7 +74,7 @@
 	if !isLeader {
 		return nil, controllog.NotLeader()
 	}
-	p.confirm(request)
+	p.acknowledge(request)
 	timer := p.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, MaxPollWait))
 	defer timer.Stop()
 	for {
@@ -132,13 +132,13 @@
 	}
 }
 
-// confirm records what a poll knows as in force at the node, when it comes from an incarnation with a lease.
-func (p *Poller) confirm(request *protocol.PollControlRequest) {
+// acknowledge records what a poll knows as in force at the node, when it comes from an incarnation with a lease.
+func (p *Poller) acknowledge(request *protocol.PollControlRequest) {
 	if request.GetNode() == "" || request.GetIncarnation() == 0 {
 		return
 	}
 	holder := leases.Holder{Name: request.GetNode(), Incarnation: request.GetIncarnation()}
-	p.control.ConfirmVersions(holder, request.GetKnown())
+	p.control.AcknowledgeVersions(holder, request.GetKnown())
 }
 
 // answer sends the sections that are newer than those known.
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -18,7 +18,7 @@
 }
 
 // drainBackEnd marks a back end as draining and returns once every front node
-// whose lease runs has confirmed a view that says so. The result is the first
+// whose lease runs has acknowledged a view that says so. The result is the first
 // one of the order; its index is a view version with the back end draining or removed.
 func (s *Service) drainBackEnd(
 	ctx context.Context, orderID string, command *protocol.DrainBackEndCommand,
@@ -36,7 +36,7 @@
 	return result, s.owner.awaitDrain(ctx, result.GetIndex())
 }
 
-func (o *owner) awaitDrain(ctx context.Context, version uint64) error {
+func (o *ownerLoop) awaitDrain(ctx context.Context, version uint64) error {
 	pending := &drain{version: version, result: make(chan error, 1)}
 	executed := o.execute(ctx, func(now time.Time) {
 		if !o.isLeader() {
@@ -60,18 +60,18 @@
 	}
 }
 
-func (o *owner) removeDrain(removed *drain) {
+func (o *ownerLoop) removeDrain(removed *drain) {
 	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool { return pending == removed })
 }
 
 // checkDrains ends the drains whose view every front node with a lease has in force.
-func (o *owner) checkDrains(now time.Time) {
+func (o *ownerLoop) checkDrains(now time.Time) {
 	if len(o.drains) == 0 || !o.isLeader() {
 		return
 	}
-	confirmed := o.confirmedBackEnds(now)
+	acknowledged := o.acknowledgedBackEnds(now)
 	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool {
-		if confirmed < pending.version {
+		if acknowledged < pending.version {
 			return false
 		}
 		pending.result <- nil
@@ -80,8 +80,8 @@
 	})
 }
 
-// confirmedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
-func (o *owner) confirmedBackEnds(now time.Time) uint64 {
+// acknowledgedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
+func (o *ownerLoop) acknowledgedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
 		holder := leases.NodeHolder(node)
@@ -98,7 +98,7 @@
 }
 
 // failDrains ends all drains at the end of a leadership.
-func (o *owner) failDrains() {
+func (o *ownerLoop) failDrains() {
 	for _, pending := range o.drains {
 		pending.result <- controllog.NotLeader()
 		o.metrics.drains.WithLabelValues("interrupted").Inc()
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -39,7 +39,7 @@
 
 // mergeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
 // acknowledging heartbeats by a view that is not updated any more.
-func (o *owner) mergeBatch(
+func (o *ownerLoop) mergeBatch(
 	request *protocol.RenewBackEndsRequest, now time.Time,
 ) (*protocol.RenewBackEndsResponse, error) {
 	if !o.isMember(request.GetMember()) {
@@ -63,7 +63,7 @@
 // mergeHeartbeat renews the lease of a back end, counted from when the member received its heartbeat. It reports
 // false when the member must forward the next announcement to the leader: the back end is not in the view, is being
 // removed, or was changed since the view that the member compared it with.
-func (o *owner) mergeHeartbeat(
+func (o *ownerLoop) mergeHeartbeat(
 	heartbeat *protocol.HeardBackEnd, view *controlstate.View, changes *heartbeats.Changes, now time.Time,
 ) bool {
 	backEnd := leases.Holder{Name: heartbeat.GetId(), Incarnation: heartbeat.GetIncarnation()}
@@ -84,7 +84,7 @@
 }
 
 // isMember reports whether the id is that of a present member of the core.
-func (o *owner) isMember(id uint64) bool {
+func (o *ownerLoop) isMember(id uint64) bool {
 	return slices.ContainsFunc(o.consensus.Status().GetConfiguration().GetMembers(),
 		func(member *protocol.CoreMember) bool {
 			return member.GetId() == id
@@ -92,7 +92,7 @@
 }
 
 // updateHeartbeatMembers determines anew which members back ends may be given the address of.
-func (o *owner) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
+func (o *ownerLoop) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
 	members := o.relayingMembers.Reachable(o.consensus.Status().GetConfiguration().GetMembers(), now)
 	o.setHeartbeatMembers(members)
 	return members
@@ -176,6 +176,6 @@
 }
 
 // setHeartbeatMembers sets the members that back ends may be given the address of.
-func (o *owner) setHeartbeatMembers(members []*protocol.CoreMember) {
+func (o *ownerLoop) setHeartbeatMembers(members []*protocol.CoreMember) {
 	o.heartbeatMembers.Store(&members)
 }
--- a/internal/controlplane/core/leadership.go
+++ b/internal/controlplane/core/leadership.go
@@ -14,7 +14,7 @@
 }
 
 // isLeader reports whether this process leads at this moment, as the owner and the replica both see it.
-func (o *owner) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
+func (o *ownerLoop) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
 
 // requireLeader fails unless this process leads at this moment.
 func (s *Service) requireLeader() error {
@@ -25,7 +25,7 @@
 }
 
 // currentLeadership returns the channel that is closed at the end of the present leadership, if this process leads.
-func (o *owner) currentLeadership() (lost <-chan struct{}, isLeader bool) {
+func (o *ownerLoop) currentLeadership() (lost <-chan struct{}, isLeader bool) {
 	current := o.leadership.Load()
 	if current == nil || !o.consensus.IsLeader() {
 		return nil, false
@@ -34,7 +34,7 @@
 }
 
 // otherLeader is the leader as far as this member knows; nil when there is none, or this member leads.
-func (o *owner) otherLeader() *protocol.CoreMember {
+func (o *ownerLoop) otherLeader() *protocol.CoreMember {
 	leader := o.consensus.Leader()
 	if leader == nil || leader.GetAddress() == "" || leader.GetId() == o.consensus.Status().GetId() {
 		return nil
@@ -43,7 +43,7 @@
 }
 
 // observeLeadership detects that leadership began, ended, or ended and began again since the last call.
-func (o *owner) observeLeadership(now time.Time) {
+func (o *ownerLoop) observeLeadership(now time.Time) {
 	isLeader, since := o.consensus.IsLeader(), o.consensus.LeaderSince()
 	current := o.leadership.Load()
 	if current != nil && (!isLeader || !since.Equal(o.leaderSince)) {
@@ -57,7 +57,7 @@
 
 // beginLeadership resets all tables. That gives every lease its full duration, since this leader does not know when
 // the one before it renewed them.
-func (o *owner) beginLeadership(now, since time.Time) {
+func (o *ownerLoop) beginLeadership(now, since time.Time) {
 	o.leaderSince = since
 	o.nodes.Reset(now)
 	o.backEnds.Reset(now)
@@ -73,7 +73,7 @@
 	o.logger.Info("leadership began", "term", o.consensus.Status().GetTerm())
 }
 
-func (o *owner) endLeadership() {
+func (o *ownerLoop) endLeadership() {
 	ended := o.leadership.Swap(nil)
 	if ended == nil {
 		return
--- a/internal/controlplane/core/leases/table.go
+++ b/internal/controlplane/core/leases/table.go
@@ -54,8 +54,8 @@
 // InForce are the highest versions that the holder has reported to have in force.
 func (l *Lease) InForce() Versions { return l.inForce }
 
-// Confirm records what the holder reports to have in force; no version steps back.
-func (l *Lease) Confirm(reported *protocol.ControlVersions) {
+// Acknowledge records what the holder reports to have in force; no version steps back.
+func (l *Lease) Acknowledge(reported *protocol.ControlVersions) {
 	l.inForce = Versions{
 		Configuration: max(l.inForce.Configuration, reported.GetConfiguration()),
 		Membership:    max(l.inForce.Membership, reported.GetMembership()),
--- a/internal/controlplane/core/leases/table_test.go
+++ b/internal/controlplane/core/leases/table_test.go
@@ -117,12 +117,12 @@
 	}
 }
 
-func TestConfirmedVersionsNeverStepBack(t *testing.T) {
+func TestAcknowledgedVersionsNeverStepBack(t *testing.T) {
 	table := newTable()
 	table.Renew(holder, start)
 	lease := table.Find(holder)
-	lease.Confirm(&protocol.ControlVersions{Configuration: 4, BackEnds: 9})
-	lease.Confirm(&protocol.ControlVersions{Configuration: 5, BackEnds: 8, Placement: 2})
+	lease.Acknowledge(&protocol.ControlVersions{Configuration: 4, BackEnds: 9})
+	lease.Acknowledge(&protocol.ControlVersions{Configuration: 5, BackEnds: 8, Placement: 2})
 	want := leases.Versions{Configuration: 5, BackEnds: 9, Placement: 2}
 	if got := table.Status(holder, start).InForce; got != want {
 		t.Fatalf("in force: %+v", got)
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -56,7 +56,7 @@
 
 // classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is
 // acknowledged by the leader alone, which knows what front nodes have in force.
-func (o *owner) classifyHeartbeat(
+func (o *ownerLoop) classifyHeartbeat(
 	leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time,
 ) heartbeatOutcome {
 	view := o.machine.View()
@@ -110,7 +110,7 @@
 
 // sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is
 // reached.
-func (o *owner) sendHeartbeatBatch(now time.Time) {
+func (o *ownerLoop) sendHeartbeatBatch(now time.Time) {
 	if o.caller == nil {
 		return
 	}
--- a/internal/controlplane/core/node_leases.go
+++ b/internal/controlplane/core/node_leases.go
@@ -104,7 +104,7 @@
 
 // renewNodeLease counts the lease from the moment at which the owner handles it, and
 // grants it only while the leader lease runs.
-func (o *owner) renewNodeLease(
+func (o *ownerLoop) renewNodeLease(
 	ctx context.Context, node *protocol.Node, inForce *protocol.ControlVersions,
 ) renewalOutcome {
 	outcome := renewalNotLeader
@@ -127,7 +127,7 @@
 		}
 		outcome = renewalGranted
 		o.metrics.leases.WithLabelValues(eventRenewed).Inc()
-		o.confirmVersions(holder, inForce, now)
+		o.acknowledgeVersions(holder, inForce, now)
 	})
 	if !executed {
 		return renewalNotLeader
@@ -135,21 +135,21 @@
 	return outcome
 }
 
-// confirmVersions records what a node has in force, and checks the drains when that is a newer view of the back ends.
-func (o *owner) confirmVersions(holder leases.Holder, inForce *protocol.ControlVersions, now time.Time) {
+// acknowledgeVersions records what a node has in force, and checks the drains when that is a newer view of the back ends.
+func (o *ownerLoop) acknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions, now time.Time) {
 	lease := o.nodes.Find(holder)
 	if lease == nil || inForce == nil {
 		return
 	}
 	former := lease.InForce().BackEnds
-	lease.Confirm(inForce)
+	lease.Acknowledge(inForce)
 	if lease.InForce().BackEnds > former {
 		o.checkDrains(now)
 	}
 }
 
 // expireNodeLeases proposes the removal of nodes whose lease expired.
-func (o *owner) expireNodeLeases(now time.Time) {
+func (o *ownerLoop) expireNodeLeases(now time.Time) {
 	for _, node := range o.machine.View().Membership.GetNodes() {
 		holder := leases.NodeHolder(node)
 		if !o.nodes.BeginRemoval(holder, now) {
@@ -161,7 +161,7 @@
 }
 
 // expireBackEndLeases proposes the removal of back ends whose heartbeats stopped.
-func (o *owner) expireBackEndLeases(now time.Time) {
+func (o *ownerLoop) expireBackEndLeases(now time.Time) {
 	for _, backEnd := range o.machine.View().BackEnds.GetBackEnds() {
 		holder := leases.BackEndHolder(backEnd)
 		if !o.backEnds.BeginRemoval(holder, now) {
@@ -175,7 +175,7 @@
 }
 
 // proposeRemoval proposes the command that removes a holder whose removal was begun in its table.
-func (o *owner) proposeRemoval(table *leases.Table, holder leases.Holder, removal *protocol.Command) {
+func (o *ownerLoop) proposeRemoval(table *leases.Table, holder leases.Holder, removal *protocol.Command) {
 	o.runTask(func(ctx context.Context) error {
 		_, err := o.proposer.Propose(ctx, removal)
 		return err
@@ -186,7 +186,7 @@
 }
 
 // dropAbsentLeases forgets the leases of what is not in the view any more.
-func (o *owner) dropAbsentLeases() {
+func (o *ownerLoop) dropAbsentLeases() {
 	view := o.machine.View()
 	o.nodes.DropAbsent(func(name string) (uint64, bool) {
 		node := view.Node(name)
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -25,15 +25,15 @@
 		return nil, invalidField("outcomes", "too many outcomes at once")
 	}
 	report := decodeReport(request)
-	var suspects []serverhealth.EjectedServer
+	var ejected []serverhealth.EjectedServer
 	executed := s.owner.execute(ctx, func(now time.Time) {
 		s.owner.mergeOutcomes(report, now)
-		suspects = s.owner.serverHealth.Ejected(request.GetZone(), now)
+		ejected = s.owner.serverHealth.Ejected(request.GetZone(), now)
 	})
 	if !executed {
 		return nil, controllog.Interrupted(ctx)
 	}
-	return &protocol.ShareOutcomesResponse{Suspects: describeSuspects(suspects)}, nil
+	return &protocol.ShareOutcomesResponse{Suspects: describeEjected(ejected)}, nil
 }
 
 func decodeReport(request *protocol.ShareOutcomesRequest) serverhealth.Report {
@@ -48,20 +48,20 @@
 	return report
 }
 
-// mergeOutcomes adds a report and notifies those who watch for suspects when it changed them.
-func (o *owner) mergeOutcomes(report serverhealth.Report, now time.Time) {
+// mergeOutcomes adds a report and notifies those who watch the ejected servers when it changed them.
+func (o *ownerLoop) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	former := o.serverHealth.Version()
 	o.serverHealth.Merge(report, now)
 	if o.serverHealth.Version() == former {
 		return
 	}
-	close(o.suspectsChanged)
-	o.suspectsChanged = make(chan struct{})
+	close(o.ejectedChanged)
+	o.ejectedChanged = make(chan struct{})
 }
 
-// watchSuspects answers as soon as there are suspects of another version than the one known, or without any at the
+// watchEjected answers as soon as there are ejected servers of another version than the one known, or without any at the
 // end of the time requested.
-func (s *Service) watchSuspects(
+func (s *Service) watchEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (*protocol.WatchSuspectsResponse, error) {
 	leadershipLost, isLeader := s.owner.currentLeadership()
@@ -71,7 +71,7 @@
 	timer := s.clock.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, delivery.MaxPollWait))
 	defer timer.Stop()
 	for {
-		answer, changed, err := s.newSuspects(ctx, request)
+		answer, changed, err := s.newlyEjected(ctx, request)
 		if answer != nil || err != nil {
 			return answer, err
 		}
@@ -87,16 +87,16 @@
 	}
 }
 
-// newSuspects gives the suspects if their version is not the one known, else the channel that is closed at the next
+// newlyEjected gives the ejected servers if their version is not the one known, else the channel that is closed at the next
 // change.
-func (s *Service) newSuspects(
+func (s *Service) newlyEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (answer *protocol.WatchSuspectsResponse, changed <-chan struct{}, err error) {
 	executed := s.owner.execute(ctx, func(now time.Time) {
-		changed = s.owner.suspectsChanged
+		changed = s.owner.ejectedChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
-			suspects := s.owner.serverHealth.Ejected(request.GetZone(), now)
-			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeSuspects(suspects)}
+			ejected := s.owner.serverHealth.Ejected(request.GetZone(), now)
+			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeEjected(ejected)}
 		}
 	})
 	if !executed {
@@ -105,11 +105,11 @@
 	return answer, changed, nil
 }
 
-func describeSuspects(suspects []serverhealth.EjectedServer) []*protocol.SuspectBackEnd {
-	described := make([]*protocol.SuspectBackEnd, 0, len(suspects))
-	for _, suspect := range suspects {
+func describeEjected(ejected []serverhealth.EjectedServer) []*protocol.SuspectBackEnd {
+	described := make([]*protocol.SuspectBackEnd, 0, len(ejected))
+	for _, server := range ejected {
 		described = append(described, &protocol.SuspectBackEnd{
-			Id: suspect.Server, Incarnation: suspect.Incarnation, LeftMillis: uint32(suspect.Remaining / time.Millisecond),
+			Id: server.Server, Incarnation: server.Incarnation, LeftMillis: uint32(server.Remaining / time.Millisecond),
 		})
 	}
 	return described
--- a/internal/controlplane/core/owner.go
+++ b/internal/controlplane/core/owner_loop.go
@@ -28,7 +28,7 @@
 	commandQueueLength = 1024
 )
 
-// owner runs the goroutine that owns what this process keeps in memory only. Of a
+// ownerLoop runs the goroutine that owns what this process keeps in memory only. Of a
 // leader these are the leases of nodes and back ends, pending drains, the sums
 // of a roll-out's variants, the health of back ends and the state of the
 // reconciler; of another member, the heartbeats that the leader does not have
@@ -36,7 +36,7 @@
 //
 // Fields without a remark are set before start and not changed. The methods that
 // take the time as now run on the goroutine; the others may be called by any.
-type owner struct {
+type ownerLoop struct {
 	clock     replica.Clock
 	consensus Consensus
 	// caller reaches the other core members; it may be nil.
@@ -70,25 +70,25 @@
 	reconciler      *reconcile.Reconciler
 	// serverHealth is what front nodes observed of back ends; a new leader begins without it.
 	serverHealth serverhealth.Detector
-	// suspectsChanged is closed and replaced when the suspected back ends change.
-	suspectsChanged chan struct{}
+	// ejectedChanged is closed and replaced when the ejected servers change.
+	ejectedChanged chan struct{}
 	// runningTasks counts the tasks of runTask whose end has not been handled.
 	runningTasks int
 }
 
-func (o *owner) start() {
+func (o *ownerLoop) start() {
 	o.ctx, o.stop = context.WithCancel(context.Background())
 	o.lastTick = o.clock.Now()
 	timer := o.clock.NewTimer(tickInterval)
 	o.workers.Go(func() { o.run(timer) })
 }
 
-func (o *owner) close() {
+func (o *ownerLoop) close() {
 	o.stop()
 	o.workers.Wait()
 }
 
-func (o *owner) run(timer replica.Timer) {
+func (o *ownerLoop) run(timer replica.Timer) {
 	defer o.endLeadership()
 	defer func() { timer.Stop() }()
 	for {
@@ -108,7 +108,7 @@
 
 // execute runs a command on the goroutine and waits for it; it reports false when the context or the owner ended
 // first. The command may run all the same then.
-func (o *owner) execute(ctx context.Context, command func(now time.Time)) bool {
+func (o *ownerLoop) execute(ctx context.Context, command func(now time.Time)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
 		command(now)
@@ -133,7 +133,7 @@
 
 // runTask runs a task beside the goroutine, which must call it; after runs on the goroutine with the error that the
 // task returned.
-func (o *owner) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
+func (o *ownerLoop) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
 	o.runningTasks++
 	o.workers.Go(func() {
 		ctx, cancel := context.WithTimeout(o.ctx, controllog.ProposeTimeout)
@@ -150,7 +150,7 @@
 	})
 }
 
-func (o *owner) tick(now time.Time) {
+func (o *ownerLoop) tick(now time.Time) {
 	o.observeLeadership(now)
 	stalled := now.Sub(o.lastTick) > stallThreshold
 	o.lastTick = now
@@ -173,7 +173,7 @@
 }
 
 // reconcile proposes the next commands that are due, if any, one after the other.
-func (o *owner) reconcile(now time.Time) {
+func (o *ownerLoop) reconcile(now time.Time) {
 	view := o.machine.View()
 	o.reconciler.ObserveStores(view, now)
 	if !o.reconciler.Due(now) || !o.isLeader() {
@@ -207,7 +207,7 @@
 	})
 }
 
-func (o *owner) recordViewMetrics() {
+func (o *ownerLoop) recordViewMetrics() {
 	view := o.machine.View()
 	o.metrics.versions.WithLabelValues("configuration").Set(float64(view.Configuration.GetVersion()))
 	o.metrics.versions.WithLabelValues("membership").Set(float64(view.Membership.GetVersion()))
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -3,7 +3,7 @@
 // configuration and views, places shards on stores and serves operators over
 // HTTP.
 //
-// One goroutine, the owner, holds what a leader keeps in memory (owner.go); the
+// One goroutine, the owner, holds what a leader keeps in memory (owner_loop.go); the
 // tables that it decides by are packages of their own: leases, heartbeats,
 // rollout and reconcile. Commands go to the log through controllog, the Machine
 // applies them and publishes views, delivery brings these to nodes, and
@@ -73,7 +73,7 @@
 	caller    wire.Caller
 	lease     time.Duration
 	proposer  *controllog.Proposer
-	owner     *owner
+	owner     *ownerLoop
 	poller    *delivery.Poller
 	operators *operators.Handler
 	// trustOperators lets ReleaseBundle sign off what it puts in force.
@@ -143,8 +143,8 @@
 	return service
 }
 
-func newOwner(options Options, service *Service) *owner {
-	return &owner{
+func newOwner(options Options, service *Service) *ownerLoop {
+	return &ownerLoop{
 		clock:           options.Clock,
 		consensus:       options.Consensus,
 		caller:          options.Caller,
@@ -159,7 +159,7 @@
 		relay:           heartbeats.NewRelay(options.BackEndLease),
 		relayingMembers: heartbeats.NewRelayingMembers(),
 		variants:        rollout.NewVariantTable(),
-		suspectsChanged: make(chan struct{}),
+		ejectedChanged:  make(chan struct{}),
 		reconciler: reconcile.New(reconcile.Settings{
 			FirstKeys: options.FirstKeys, ShardCount: options.ShardCount, ReplicaCount: options.ReplicaCount,
 		}),
--- a/internal/controlplane/core/handler.go
+++ b/internal/controlplane/core/wire_handler.go
@@ -59,7 +59,7 @@
 		shared, err := s.shareOutcomes(ctx, body.ShareOutcomes)
 		return &protocol.Response{Body: &protocol.Response_ShareOutcomes{ShareOutcomes: shared}}, err
 	case *protocol.Request_WatchSuspects:
-		watched, err := s.watchSuspects(ctx, body.WatchSuspects)
+		watched, err := s.watchEjected(ctx, body.WatchSuspects)
 		return &protocol.Response{Body: &protocol.Response_WatchSuspects{WatchSuspects: watched}}, err
 	case *protocol.Request_Propose:
 		result, _, err := s.consensus.Propose(ctx, body.Propose.GetCommand())
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -133,7 +133,7 @@
 
 // Subscribe registers a function that is called with every view in order, from
 // one goroutine; Start calls it with the view at that moment. A view is in force,
-// and confirmed to the core, once all subscribers have returned. Call it before
+// and acknowledged to the core, once all subscribers have returned. Call it before
 // Start.
 func (l *Link) Subscribe(subscriber func(*View)) {
 	l.subscribers = append(l.subscribers, subscriber)
@@ -171,7 +171,7 @@
 	defer cancel()
 	released := make(chan *protocol.Request, 1)
 	select {
-	case l.commands <- func(_ context.Context, o *owner) { o.release(released) }:
+	case l.commands <- func(_ context.Context, o *ownerLoop) { o.release(released) }:
 	case <-l.done:
 	case <-release.Done():
 	}
@@ -239,7 +239,7 @@
 // the process drains.
 func (l *Link) SetDraining(draining bool) {
 	select {
-	case l.commands <- func(ctx context.Context, o *owner) { o.setDraining(ctx, draining) }:
+	case l.commands <- func(ctx context.Context, o *ownerLoop) { o.setDraining(ctx, draining) }:
 	case <-l.done:
 	}
 }
@@ -248,7 +248,7 @@
 // has owned a session. Call it once it first does.
 func (l *Link) SetOwning() {
 	select {
-	case l.commands <- func(_ context.Context, o *owner) { o.clearOwnedNothing() }:
+	case l.commands <- func(_ context.Context, o *ownerLoop) { o.clearOwnedNothing() }:
 	case <-l.done:
 	}
 }
@@ -264,7 +264,7 @@
 				subscriber(view)
 			}
 			select {
-			case l.commands <- func(_ context.Context, o *owner) { o.viewApplied(view) }:
+			case l.commands <- func(_ context.Context, o *ownerLoop) { o.viewApplied(view) }:
 			case <-ctx.Done():
 				return
 			}
--- a/internal/controlplane/corelink/owner.go
+++ b/internal/controlplane/corelink/owner_loop.go
@@ -11,11 +11,11 @@
 )
 
 // command is a step that the owner goroutine runs; ctx ends when the link stops.
-type command func(ctx context.Context, o *owner)
+type command func(ctx context.Context, o *ownerLoop)
 
-// owner is the state of a started link. Only the goroutine in run touches it;
+// ownerLoop is the state of a started link. Only the goroutine in run touches it;
 // calls to the core run in goroutines of their own and post their results to it.
-type owner struct {
+type ownerLoop struct {
 	link   *Link
 	holder *lease.Holder
 	// self is replaced, never changed: Authority shares it.
@@ -54,9 +54,9 @@
 	pollTimer      *time.Timer
 }
 
-func newOwner(link *Link) *owner {
+func newOwner(link *Link) *ownerLoop {
 	self := proto.CloneOf(link.options.Self)
-	return &owner{
+	return &ownerLoop{
 		link: link,
 		holder: lease.NewHolder(self.GetIncarnation(), lease.Options{
 			Margin:    link.options.LeaseMargin,
@@ -76,7 +76,7 @@
 	return timer
 }
 
-func (o *owner) run(ctx context.Context) {
+func (o *ownerLoop) run(ctx context.Context) {
 	defer o.renewTimer.Stop()
 	defer o.pollTimer.Stop()
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (o *owner) setDraining(ctx context.Context, draining bool) {
+func (o *ownerLoop) setDraining(ctx context.Context, draining bool) {
 	if o.self.GetDraining() == draining {
 		return
 	}
@@ -113,7 +113,7 @@
 
 // clearOwnedNothing is reported with the next regular renewal: nodes of a fleet
 // that started together would otherwise all report it at the same moment.
-func (o *owner) clearOwnedNothing() {
+func (o *ownerLoop) clearOwnedNothing() {
 	if !o.self.GetOwnedNothing() {
 		return
 	}
@@ -122,6 +122,6 @@
 	o.publishAuthority()
 }
 
-func (o *owner) publishAuthority() {
+func (o *ownerLoop) publishAuthority() {
 	o.link.authority.Store(&Authority{Self: o.self, ExpiresAt: o.holder.ExpiresAt()})
 }
--- a/internal/controlplane/corelink/polling.go
+++ b/internal/controlplane/corelink/polling.go
@@ -10,7 +10,7 @@
 // poll starts one long poll, unless one is in flight; its answer arrives at
 // pollCompleted. The next one starts once the view that this one led to is in
 // force, so that the versions that a poll names are those that the node acts on.
-func (o *owner) poll(ctx context.Context) {
+func (o *ownerLoop) poll(ctx context.Context) {
 	if o.polling {
 		return
 	}
@@ -29,13 +29,13 @@
 	link.workers.Go(func() {
 		defer cancel()
 		response, err := link.CallCore(callCtx, request)
-		link.post(ctx, func(_ context.Context, o *owner) {
+		link.post(ctx, func(_ context.Context, o *ownerLoop) {
 			o.pollCompleted(response.GetPollControl(), err, fresh, incarnation)
 		})
 	})
 }
 
-func (o *owner) pollRequest(fresh bool) *protocol.Request {
+func (o *ownerLoop) pollRequest(fresh bool) *protocol.Request {
 	known := o.link.View().Versions()
 	o.pendingSnapshots.resetKnown(known)
 	poll := &protocol.PollControlRequest{
@@ -57,7 +57,7 @@
 
 // pollCompleted applies the answer to a poll. A fresh answer counts only if
 // authority was not lost since the poll was sent.
-func (o *owner) pollCompleted(answer *protocol.PollControlResponse, err error, fresh bool, incarnation uint64) {
+func (o *ownerLoop) pollCompleted(answer *protocol.PollControlResponse, err error, fresh bool, incarnation uint64) {
 	if err != nil || answer == nil {
 		o.link.metrics.polls.WithLabelValues("failed").Inc()
 		o.retryPoll()
@@ -87,7 +87,7 @@
 }
 
 // viewApplied runs when all subscribers have returned from a view.
-func (o *owner) viewApplied(view *View) {
+func (o *ownerLoop) viewApplied(view *View) {
 	o.link.appliedView.Store(view)
 	o.holder.ViewApplied(view.Membership.GetVersion())
 	o.publishAuthority()
@@ -96,7 +96,7 @@
 
 // finishPoll schedules the next poll, but not in a tight loop when the core
 // answers immediately.
-func (o *owner) finishPoll() {
+func (o *ownerLoop) finishPoll() {
 	o.polling = false
 	if o.pendingSnapshots != (snapshotRequest{}) {
 		o.retryPoll()
@@ -105,7 +105,7 @@
 	o.pollTimer.Reset(max(0, minPollInterval-time.Since(o.pollStartedAt)))
 }
 
-func (o *owner) retryPoll() {
+func (o *ownerLoop) retryPoll() {
 	o.polling = false
 	o.pollBackoff = nextBackoff(o.pollBackoff, maxRetryBackoff)
 	o.pollTimer.Reset(jitter(o.pollBackoff))
@@ -113,7 +113,7 @@
 
 // pollFresh requests a linearizable answer now. A long poll in flight is
 // cancelled; its retry is the fresh one.
-func (o *owner) pollFresh() {
+func (o *ownerLoop) pollFresh() {
 	if o.polling && o.cancelPoll != nil {
 		o.cancelPoll()
 		return
--- a/internal/controlplane/corelink/renewal.go
+++ b/internal/controlplane/corelink/renewal.go
@@ -13,7 +13,7 @@
 
 // renew starts one renewal; its answer arrives at renewalCompleted. A renewal that
 // is due while one is in flight follows as soon as that completes.
-func (o *owner) renew(ctx context.Context) {
+func (o *ownerLoop) renew(ctx context.Context) {
 	if o.released {
 		return
 	}
@@ -35,7 +35,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, link.renewTimeout())
 		defer cancel()
 		response, err := link.CallCore(callCtx, request)
-		link.post(ctx, func(_ context.Context, o *owner) {
+		link.post(ctx, func(_ context.Context, o *ownerLoop) {
 			o.renewalCompleted(renewal, response.GetRenewLease(), err)
 		})
 	})
@@ -50,7 +50,7 @@
 // requested. A node whose messages reach the core, but not the answers back,
 // would otherwise keep a lease, and with it its ranges of the ring, without ever
 // acting on it.
-func (o *owner) verifyContact(ctx context.Context) {
+func (o *ownerLoop) verifyContact(ctx context.Context) {
 	o.renewing = true
 	link := o.link
 	sentAt, timeout := time.Now(), link.renewTimeout()
@@ -59,14 +59,14 @@
 		defer cancel()
 		request := &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}}
 		_, err := link.CallCore(callCtx, request)
-		link.post(ctx, func(_ context.Context, o *owner) {
+		link.post(ctx, func(_ context.Context, o *ownerLoop) {
 			// An answer that was buffered while the process was frozen proves nothing.
 			o.contactVerified(err == nil && time.Since(sentAt) <= timeout)
 		})
 	})
 }
 
-func (o *owner) contactVerified(answered bool) {
+func (o *ownerLoop) contactVerified(answered bool) {
 	o.renewing = false
 	o.sendReleaseRequest()
 	if answered {
@@ -77,13 +77,13 @@
 	o.retryRenewal()
 }
 
-func (o *owner) retryRenewal() {
+func (o *ownerLoop) retryRenewal() {
 	o.renewBackoff = nextBackoff(o.renewBackoff, maxRetryBackoff)
 	o.renewTimer.Reset(jitter(o.renewBackoff))
 }
 
 // authorityLost adopts the holder's new incarnation after authority ended.
-func (o *owner) authorityLost() {
+func (o *ownerLoop) authorityLost() {
 	o.link.metrics.authorityLosses.Inc()
 	if !o.authorityLossLogged {
 		o.authorityLossLogged = true
@@ -97,7 +97,7 @@
 	o.publishAuthority()
 }
 
-func (o *owner) renewalCompleted(renewal lease.Renewal, answer *protocol.RenewLeaseResponse, err error) {
+func (o *ownerLoop) renewalCompleted(renewal lease.Renewal, answer *protocol.RenewLeaseResponse, err error) {
 	o.renewing = false
 	o.sendReleaseRequest()
 	now := time.Now()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (o *owner) granted(now time.Time, renewal lease.Renewal, answer *protocol.RenewLeaseResponse) {
+func (o *ownerLoop) granted(now time.Time, renewal lease.Renewal, answer *protocol.RenewLeaseResponse) {
 	o.renewBackoff, o.rejectedBackoff, o.rejectionReason = 0, 0, ""
 	o.authorityLossLogged, o.rejected = false, false
 	hadAuthority := o.link.HasAuthority()
@@ -144,7 +144,7 @@
 // pollIsOverdue reports whether the core has something newer than the view although
 // a poll has been in flight for longer than its answer takes, as when its
 // connection is dead.
-func (o *owner) pollIsOverdue(now time.Time, latest *protocol.ControlVersions) bool {
+func (o *ownerLoop) pollIsOverdue(now time.Time, latest *protocol.ControlVersions) bool {
 	current := o.link.View().Versions()
 	behind := latest.GetConfiguration() > current.GetConfiguration() ||
 		latest.GetMembership() > current.GetMembership() ||
@@ -156,7 +156,7 @@
 // renewalRejected ends authority. A rejection with a reason persists until something
 // else changes, so the node backs off up to maxRejectedBackoff; one without a
 // reason is temporary.
-func (o *owner) renewalRejected(now time.Time, renewal lease.Renewal, rejection *protocol.Refusal, err error) {
+func (o *ownerLoop) renewalRejected(now time.Time, renewal lease.Renewal, rejection *protocol.Refusal, err error) {
 	o.link.metrics.renewals.WithLabelValues("refused").Inc()
 	o.holder.Rejected(now, renewal)
 	o.authorityLost()
@@ -183,7 +183,7 @@
 // process can listen at an address, so that entry is an earlier process of the
 // same node, and the clock that incarnations are taken from was set back. It then
 // requests the lease immediately and reports true.
-func (o *owner) supersedePreviousIncarnation() bool {
+func (o *ownerLoop) supersedePreviousIncarnation() bool {
 	now := time.Now()
 	if !o.rejected || o.holder.Valid(now) {
 		return false
@@ -203,7 +203,7 @@
 }
 
 // logRejection logs the reason if it differs from the last one.
-func (o *owner) logRejection(rejection *protocol.Refusal, err error) {
+func (o *ownerLoop) logRejection(rejection *protocol.Refusal, err error) {
 	reason := rejection.GetCode() + ": " + rejection.GetMessage()
 	if rejection == nil {
 		reason = err.Error()
@@ -218,7 +218,7 @@
 // release ends authority and sends the request that releases the lease to the
 // channel, which must have capacity for it. It does so once no renewal is in
 // flight, because one that overtook the release would begin the lease anew.
-func (o *owner) release(request chan<- *protocol.Request) {
+func (o *ownerLoop) release(request chan<- *protocol.Request) {
 	o.released = true
 	o.holder.Released()
 	o.publishAuthority()
@@ -226,14 +226,14 @@
 	o.sendReleaseRequest()
 }
 
-func (o *owner) sendReleaseRequest() {
+func (o *ownerLoop) sendReleaseRequest() {
 	if o.releaseRequest != nil && !o.renewing {
 		o.releaseRequest <- o.renewRequest(true)
 		o.releaseRequest = nil
 	}
 }
 
-func (o *owner) renewRequest(release bool) *protocol.Request {
+func (o *ownerLoop) renewRequest(release bool) *protocol.Request {
 	return &protocol.Request{Body: &protocol.Request_RenewLease{RenewLease: &protocol.RenewLeaseRequest{
 		Node:    o.self,
 		InForce: o.link.appliedView.Load().Versions(),
--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -108,7 +108,7 @@
 	}
 	r.store = store
 	former := r.owner.failure
-	r.owner = owner{}
+	r.owner = ownerLoop{}
 	if err := r.recoverState(); err != nil {
 		r.owner.failure = former
 		return err
--- a/internal/controlplane/replica/leadership.go
+++ b/internal/controlplane/replica/leadership.go
@@ -7,7 +7,7 @@
 )
 
 // publish records changes of leadership and stores the view that other goroutines read.
-func (o *owner) publish() {
+func (o *ownerLoop) publish() {
 	now, status := o.now(), o.node.Status()
 	leaseEnds := o.node.LeaseEnds(now)
 	o.trackLeadership(&status)
@@ -29,7 +29,7 @@
 }
 
 // trackLeadership ends a leadership that is over and begins a new one. Both can happen in one turn.
-func (o *owner) trackLeadership(status *consensus.Status) {
+func (o *ownerLoop) trackLeadership(status *consensus.Status) {
 	isLeader := status.Role == consensus.Leader
 	isNewTerm := status.Term != o.leadingTerm
 	if !isLeader || isNewTerm {
@@ -46,7 +46,7 @@
 
 // endLeadership drops what a leader has queued when it steps down: its old heartbeats would make their
 // receivers reject votes for the next leader.
-func (o *owner) endLeadership(role consensus.Role) {
+func (o *ownerLoop) endLeadership(role consensus.Role) {
 	o.leadingSince = time.Time{}
 	if o.wasLeader && role == consensus.Follower {
 		o.transport.Purge()
@@ -55,7 +55,7 @@
 }
 
 // leaderAddress is the address from which the leader last sent, or an empty string.
-func (o *owner) leaderAddress(status *consensus.Status) string {
+func (o *ownerLoop) leaderAddress(status *consensus.Status) string {
 	if status.Leader == status.ID {
 		return o.replica.self.GetAddress()
 	}
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -109,7 +109,7 @@
 }
 
 // proposeChange appends a configuration; done receives the outcome.
-func (o *owner) proposeChange(change *coremembership.Change, done chan proposalResult) {
+func (o *ownerLoop) proposeChange(change *coremembership.Change, done chan proposalResult) {
 	index, err := o.node.ProposeConfiguration(change.Configuration, o.now())
 	if err != nil {
 		done <- proposalResult{err: o.rejection(err)}
@@ -121,7 +121,7 @@
 }
 
 // admit adds a member as a standby, or updates its addresses.
-func (o *owner) admit(member *protocol.CoreMember, byOperator bool, done chan proposalResult) {
+func (o *ownerLoop) admit(member *protocol.CoreMember, byOperator bool, done chan proposalResult) {
 	if o.node.Role() != consensus.Leader {
 		done <- proposalResult{err: o.replica.notLeader()}
 		return
@@ -136,7 +136,7 @@
 
 // removeMember takes the next step of a removal. It reports whether that step is the promotion of a
 // standby, after which the removal is still to be done.
-func (o *owner) removeMember(name string, done chan proposalResult) (promoted bool) {
+func (o *ownerLoop) removeMember(name string, done chan proposalResult) (promoted bool) {
 	if o.node.Role() != consensus.Leader {
 		done <- proposalResult{err: o.replica.notLeader()}
 		return false
@@ -154,7 +154,7 @@
 }
 
 // transferBeforeRemoval transfers leadership, so that the next leader can remove this member.
-func (o *owner) transferBeforeRemoval(done chan proposalResult) {
+func (o *ownerLoop) transferBeforeRemoval(done chan proposalResult) {
 	transferred := make(chan error, 1)
 	o.transferTo("", transferred)
 	select {
@@ -166,7 +166,7 @@
 }
 
 // transferTo starts a transfer of leadership; done receives an error now, or the outcome from finishTransfers.
-func (o *owner) transferTo(name string, done chan error) {
+func (o *ownerLoop) transferTo(name string, done chan error) {
 	if err := o.startTransfer(name); err != nil {
 		done <- err
 		return
@@ -174,7 +174,7 @@
 	o.transferWaiters = append(o.transferWaiters, done)
 }
 
-func (o *owner) startTransfer(name string) error {
+func (o *ownerLoop) startTransfer(name string) error {
 	if o.node.Role() != consensus.Leader {
 		return o.replica.notLeader()
 	}
@@ -189,7 +189,7 @@
 }
 
 // finishTransfers reports the outcome of a transfer to those that wait for it.
-func (o *owner) finishTransfers(status *consensus.Status) {
+func (o *ownerLoop) finishTransfers(status *consensus.Status) {
 	var result error
 	switch {
 	case len(o.transferWaiters) == 0:
@@ -205,7 +205,7 @@
 	o.transferWaiters = nil
 }
 
-func (o *owner) membershipView() *coremembership.View {
+func (o *ownerLoop) membershipView() *coremembership.View {
 	status, options := o.node.Status(), o.replica.options
 	peers := map[uint64]consensus.PeerStatus{}
 	for _, peer := range status.Peers {
@@ -221,7 +221,7 @@
 }
 
 // planMembership proposes the next change that the leader makes of its own accord.
-func (o *owner) planMembership() {
+func (o *ownerLoop) planMembership() {
 	now := o.now()
 	isActive := o.failure == nil && !o.leadingSince.IsZero() && now.Before(o.node.LeaseEnds(now))
 	if !isActive || now.Before(o.nextPlan) {
@@ -238,4 +238,4 @@
 	o.proposeChange(change, make(chan proposalResult, 1))
 }
 
-func (o *owner) planInterval() time.Duration { return 2 * o.replica.options.HeartbeatInterval }
+func (o *ownerLoop) planInterval() time.Duration { return 2 * o.replica.options.HeartbeatInterval }
--- a/internal/controlplane/replica/owner.go
+++ b/internal/controlplane/replica/owner_loop.go
@@ -19,9 +19,9 @@
 	maxBatchBytes = 1 << 20
 )
 
-// owner is the state of the owner goroutine, which alone uses it while the replica runs. It is replaced
+// ownerLoop is the state of the owner goroutine, which alone uses it while the replica runs. It is replaced
 // when the log is reopened.
-type owner struct {
+type ownerLoop struct {
 	replica *Replica
 	node    *consensus.Node
 	// clusterID is empty until a cluster was founded or joined.
@@ -50,7 +50,7 @@
 	failure error
 }
 
-func (o *owner) init(replica *Replica, clusterID string, initial consensus.InitialState) error {
+func (o *ownerLoop) init(replica *Replica, clusterID string, initial consensus.InitialState) error {
 	o.replica, o.clusterID = replica, clusterID
 	o.transport = replica.newTransport()
 	o.snapshots = snapshots{saved: make(chan savedSnapshot, 1)}
@@ -59,7 +59,7 @@
 }
 
 // buildNode makes the consensus node, as at the start, after founding or when the log was reopened.
-func (o *owner) buildNode(initial consensus.InitialState) error {
+func (o *ownerLoop) buildNode(initial consensus.InitialState) error {
 	options := o.replica.options
 	node, err := consensus.New(consensus.Config{
 		ID:                 o.replica.self.GetId(),
@@ -80,10 +80,10 @@
 	return nil
 }
 
-func (o *owner) now() time.Time { return o.replica.options.Clock.Now() }
+func (o *ownerLoop) now() time.Time { return o.replica.options.Clock.Now() }
 
 // run is the loop of the owner goroutine: it serves until the replica stops or its storage fails.
-func (o *owner) run() {
+func (o *ownerLoop) run() {
 	interval := o.replica.options.HeartbeatInterval / ticksPerHeartbeat
 	timer := o.replica.options.Clock.NewTimer(0)
 	defer func() { timer.Stop() }()
@@ -112,7 +112,7 @@
 }
 
 // drainQueues takes what else is queued, up to maxBatch, so that one sync serves all of it.
-func (o *owner) drainQueues() {
+func (o *ownerLoop) drainQueues() {
 	for range maxBatch {
 		select {
 		case received := <-o.replica.inbound:
@@ -129,7 +129,7 @@
 
 // step passes a message to the node. The time is read after the message was received: with an
 // earlier time this member would stop rejecting votes while the leader still counts on it.
-func (o *owner) step(received inboundMessage) {
+func (o *ownerLoop) step(received inboundMessage) {
 	message := received.message
 	if message.GetTo() != o.replica.self.GetId() {
 		return
@@ -149,7 +149,7 @@
 }
 
 // adoptCluster joins the cluster whose leader addressed this empty member by its random id.
-func (o *owner) adoptCluster(clusterID string) {
+func (o *ownerLoop) adoptCluster(clusterID string) {
 	if clusterID == "" {
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // advance processes the node's output until there is none, and takes a snapshot when one is due.
-func (o *owner) advance() {
+func (o *ownerLoop) advance() {
 	o.processReady()
 	if o.failure == nil {
 		o.maybeSnapshot()
@@ -174,7 +174,7 @@
 // go out with the next output. It does so once in a turn of the owner, not at once: while a newer
 // snapshot is on the disk that the node does not know of yet, the node goes on to name the one before
 // it, which cannot be read any more.
-func (o *owner) restartTransfers() {
+func (o *ownerLoop) restartTransfers() {
 	for _, member := range o.snapshots.staleTransfers {
 		o.node.RestartSnapshot(member, o.now())
 	}
@@ -183,7 +183,7 @@
 
 // processReady carries out the node's output, in the order that consensus.Ready demands, until there is
 // none.
-func (o *owner) processReady() {
+func (o *ownerLoop) processReady() {
 	for o.failure == nil && o.node.HasReady() {
 		ready := o.node.Ready()
 		began := o.now()
@@ -202,7 +202,7 @@
 	o.applyConfiguration()
 }
 
-func (o *owner) persist(ready consensus.Ready) error {
+func (o *ownerLoop) persist(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := o.installSnapshot(ready); err != nil {
 			return err
@@ -217,7 +217,7 @@
 
 // sendAll sends messages. A chunk of a snapshot that has been removed is left out, and the transfer to
 // its member restarts with the newest snapshot.
-func (o *owner) sendAll(messages []*protocol.ConsensusMessage) {
+func (o *ownerLoop) sendAll(messages []*protocol.ConsensusMessage) {
 	for _, message := range messages {
 		if message.GetKind() == protocol.ConsensusMessageKind_SNAPSHOT_CHUNK && !o.fillChunk(message) {
 			o.snapshots.staleTransfers = append(o.snapshots.staleTransfers, message.GetTo())
@@ -229,7 +229,7 @@
 	}
 }
 
-func (o *owner) applyCommitted(entries []*protocol.Entry) {
+func (o *ownerLoop) applyCommitted(entries []*protocol.Entry) {
 	for _, entry := range entries {
 		o.snapshots.appliedBytes += len(entry.GetData())
 		o.waiters.resolveEntry(entry, o.replica.applyToMachine(entry))
@@ -237,7 +237,7 @@
 }
 
 // applyConfiguration lets the transport follow the membership.
-func (o *owner) applyConfiguration() {
+func (o *ownerLoop) applyConfiguration() {
 	configuration, index := o.node.Configuration()
 	if index != o.configurationIndex {
 		o.configurationIndex = index
@@ -246,7 +246,7 @@
 }
 
 // foundCluster makes this member the only voter of a new cluster.
-func (o *owner) foundCluster() {
+func (o *ownerLoop) foundCluster() {
 	if o.clusterID != "" {
 		return
 	}
@@ -267,7 +267,7 @@
 }
 
 // fail ends the run of this owner: after a failed write nothing more may be acknowledged.
-func (o *owner) fail(err error) {
+func (o *ownerLoop) fail(err error) {
 	if o.failure == nil {
 		o.failure = err
 	}
@@ -275,7 +275,7 @@
 
 // close publishes that this member does not lead, answers all that wait with the cause, and ends the
 // goroutines that send and save.
-func (o *owner) close(cause error) {
+func (o *ownerLoop) close(cause error) {
 	o.leadingSince = time.Time{}
 	last := *o.replica.view.Load()
 	last.leaseEnds, last.leadingSince = time.Time{}, time.Time{}
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -57,7 +57,7 @@
 }
 
 // propose appends the proposal and those queued behind it, so that one sync serves them all.
-func (o *owner) propose(first *proposal) {
+func (o *ownerLoop) propose(first *proposal) {
 	batch := o.batchProposals(first)
 	commands := make([][]byte, 0, len(batch))
 	for _, proposal := range batch {
@@ -77,7 +77,7 @@
 }
 
 // batchProposals takes queued proposals, up to maxBatch and maxBatchBytes.
-func (o *owner) batchProposals(first *proposal) []*proposal {
+func (o *ownerLoop) batchProposals(first *proposal) []*proposal {
 	batch, size := []*proposal{first}, len(first.command)
 	for len(batch) < maxBatch && size < maxBatchBytes {
 		select {
@@ -92,7 +92,7 @@
 }
 
 // rejection converts an error of the node, which appended nothing, to one for callers.
-func (o *owner) rejection(err error) error {
+func (o *ownerLoop) rejection(err error) error {
 	var overloaded *consensus.OverloadedError
 	var pending *consensus.ChangePendingError
 	var invalid *consensus.InvalidChangeError
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -56,7 +56,7 @@
 
 	// The rest belongs to the owner goroutine from Start on.
 
-	owner owner
+	owner ownerLoop
 	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. After
 	// the log was reopened it is ahead of what the node applied, since the state machine is not reset.
 	machineIndex uint64
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -69,7 +69,7 @@
 func (s *slowDiskDetector) reset() { *s = slowDiskDetector{nextTransfer: s.nextTransfer} }
 
 // trackSync records how long the leader's write of new entries took, which were just sent.
-func (o *owner) trackSync(ready consensus.Ready, began, written time.Time) {
+func (o *ownerLoop) trackSync(ready consensus.Ready, began, written time.Time) {
 	if len(ready.Entries) == 0 || o.node.Role() != consensus.Leader {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // transferIfDiskSlow transfers leadership to the voter that answered when this disk is much slower.
-func (o *owner) transferIfDiskSlow(received inboundMessage) {
+func (o *ownerLoop) transferIfDiskSlow(received inboundMessage) {
 	if o.node.Role() != consensus.Leader {
 		o.slowDisk.reset()
 		return
@@ -99,7 +99,7 @@
 	o.replica.logInfo("leadership transfer started: slow disk", "to", from)
 }
 
-func (o *owner) isVoter(id uint64) bool {
+func (o *ownerLoop) isVoter(id uint64) bool {
 	configuration, _ := o.node.Configuration()
 	return consensus.Member(configuration, id).GetVoter()
 }
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -49,7 +49,7 @@
 
 // maybeSnapshot takes a snapshot once enough entries are applied. The owner writes the state to memory;
 // another goroutine writes it to the disk.
-func (o *owner) maybeSnapshot() {
+func (o *ownerLoop) maybeSnapshot() {
 	o.dropCachedSnapshot()
 	status, options := o.node.Status(), o.replica.options
 	isDue := status.Applied-status.SnapshotIndex >= options.SnapshotEntries ||
@@ -77,7 +77,7 @@
 }
 
 // snapshotSaved compacts the log under a snapshot that has become durable.
-func (o *owner) snapshotSaved(saved savedSnapshot) {
+func (o *ownerLoop) snapshotSaved(saved savedSnapshot) {
 	o.snapshots.saving = false
 	if storage.IsDiskFull(saved.err) {
 		// No harm is done: the log has all that the snapshot would.
@@ -109,7 +109,7 @@
 
 // installSnapshot replaces the state by a snapshot of the leader. The state machine restores it first:
 // a state that it cannot restore must not become durable.
-func (o *owner) installSnapshot(ready consensus.Ready) error {
+func (o *ownerLoop) installSnapshot(ready consensus.Ready) error {
 	received := ready.Snapshot
 	if err := o.replica.restoreMachine(received.Metadata, received.Data); err != nil {
 		return err
@@ -128,7 +128,7 @@
 
 // fillChunk adds the chunk at the message's offset to it. It returns false when the snapshot that the
 // message names has been removed.
-func (o *owner) fillChunk(message *protocol.ConsensusMessage) bool {
+func (o *ownerLoop) fillChunk(message *protocol.ConsensusMessage) bool {
 	cache := &o.snapshots
 	if cache.cachedMetadata.GetIndex() != message.GetSnapshot().GetIndex() && !o.loadSnapshot(message.GetSnapshot()) {
 		return false
@@ -142,7 +142,7 @@
 }
 
 // loadSnapshot caches the newest snapshot, if it is the wanted one.
-func (o *owner) loadSnapshot(wanted *protocol.SnapshotMetadata) bool {
+func (o *ownerLoop) loadSnapshot(wanted *protocol.SnapshotMetadata) bool {
 	metadata, data, err := o.replica.store.LoadSnapshot()
 	if err != nil {
 		o.fail(err)
@@ -155,7 +155,7 @@
 	return true
 }
 
-func (o *owner) dropCachedSnapshot() {
+func (o *ownerLoop) dropCachedSnapshot() {
 	if o.snapshots.cachedMetadata != nil && o.now().Sub(o.snapshots.lastUsed) > snapshotCacheTTL {
 		o.snapshots.cachedMetadata, o.snapshots.cachedData = nil, nil
 	}
--- a/internal/controlplane/replica/waiters.go
+++ b/internal/controlplane/replica/waiters.go
@@ -51,7 +51,7 @@
 	return result
 }
 
-func (o *owner) read(done chan error) {
+func (o *ownerLoop) read(done chan error) {
 	o.waiters.nextRead++
 	id := o.waiters.nextRead
 	if err := o.node.Read(id, o.now()); err != nil {
