--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -52,7 +52,8 @@
 	Registerer  prometheus.Registerer
 }
 
-// Service is the front plane of one process.
+// Service is the data plane of one process. Its fields are set by New; what changes later is atomic or guards
+// itself, so that any goroutine may use it.
 type Service struct {
 	name      string
 	zone      string
