--- a/internal/dataplane/front/owned_run.go
+++ b/internal/dataplane/front/owned_run.go
@@ -103,3 +103,17 @@
 		Weight: r.variant.Tenant(request.GetTenant()).GetWeight(), Deadline: r.deadline,
 	}
 }
+
+// waitBackoff waits before the ledger is asked again. Lost authority ends the wait
+// for good: the next epoch charges the reservation.
+func (r *ownedRun) waitBackoff(wait time.Duration) turn.Event {
+	select {
+	case <-r.service.clock.After(wait):
+	case <-r.service.stopped:
+		return turn.Stopped{Reason: turn.StopAuthority}
+	}
+	if !r.grant.Valid() {
+		return turn.Stopped{Reason: turn.StopAuthority}
+	}
+	return turn.Waited{}
+}
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -99,26 +99,31 @@
 	runs     sync.WaitGroup
 }
 
-// New makes a service. It subscribes to the link's views; Start begins its background work.
-func New(options Options) *Service {
-	if options.Clock == nil {
-		options.Clock = systemClock{}
+// withDefaults fills in the options that are not required.
+func (o Options) withDefaults() Options {
+	if o.Clock == nil {
+		o.Clock = systemClock{}
 	}
-	if options.Dialect.RequestID == "" {
-		options.Dialect = dialect.Default()
+	if o.Dialect.RequestID == "" {
+		o.Dialect = dialect.Default()
 	}
-	if options.Logger == nil {
-		options.Logger = log.Default()
+	if o.Logger == nil {
+		o.Logger = log.Default()
 	}
-	if options.Registerer == nil {
-		options.Registerer = prometheus.NewRegistry()
+	if o.Registerer == nil {
+		o.Registerer = prometheus.NewRegistry()
 	}
+	return o
+}
+
+// New makes a service. It subscribes to the link's views; Start begins its background work.
+func New(options Options) *Service {
+	options = options.withDefaults()
 	models := backends.NewModels()
 	s := &Service{
-		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link,
-		ledger:    options.Ledger,
-		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics:      newMetrics(options.Registerer),
+		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(),
+		link: options.Link, ledger: options.Ledger, ownership: options.Ownership, caller: options.Caller,
+		clock: options.Clock, logger: options.Logger, metrics: newMetrics(options.Registerer),
 		client:       issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
 		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
 		models:       models,
@@ -128,23 +133,28 @@
 		startedAt:    options.Clock.Now(),
 		hasBundle:    make(chan struct{}),
 	}
-	s.admission = admission.NewController(options.Clock, s.stepSlots)
-	s.rollout = rollout.NewTracker(s.name, options.Link, options.Clock)
-	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
-		return options.Link.View().Membership
+	s.wireParts()
+	s.viewChanged(s.link.View())
+	s.link.Subscribe(s.viewChanged)
+	s.ownership.OnYield(s.sessions.Yield)
+	return s
+}
+
+// wireParts makes the parts that need others of the service.
+func (s *Service) wireParts() {
+	s.admission = admission.NewController(s.clock, s.stepSlots)
+	s.rollout = rollout.NewTracker(s.name, s.link, s.clock)
+	s.operations = ledgerops.NewClient(s.name, s.ledger, func() *protocol.MembershipView {
+		return s.link.View().Membership
 	})
 	s.versionPins = versionpin.NewResolver(versionpin.Options{
-		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+		Node: s.name, Now: s.clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
 	})
 	s.outcomes = outcomes.NewSharer(outcomes.Options{
-		Node: s.name, Zone: s.zone, Core: options.Link, Clock: options.Clock, Servers: s.backEnds.Load,
+		Node: s.name, Zone: s.zone, Core: s.link, Clock: s.clock, Servers: s.backEnds.Load,
 		Suspected: s.metrics.sharedSuspects,
 	})
-	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
-	s.viewChanged(options.Link.View())
-	options.Link.Subscribe(s.viewChanged)
-	options.Ownership.OnYield(s.sessions.Yield)
-	return s
+	s.heartbeats = heartbeat.NewRelay(s.link, s.clock, s.metrics.heartbeats)
 }
 
 // viewChanged puts a view in force before it returns. The link calls it for one view at a time.
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -171,7 +171,7 @@
 	case turn.Answer:
 		r.answer(command.Response)
 	case turn.Backoff:
-		return waitBackoff(r.service, r.grant, command.For)
+		return r.waitBackoff(command.For)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
 	}
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -218,7 +218,7 @@
 		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
-		return waitBackoff(r.service, r.grant, command.For)
+		return r.waitBackoff(command.For)
 	case turn.Remember:
 		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
@@ -253,17 +253,3 @@
 	r.sessionFreed = true
 	r.service.sessions.Finish(r.key, r.live)
 }
-
-// waitBackoff waits before the ledger is asked again. Lost authority ends the wait
-// for good: the next epoch charges the reservation.
-func waitBackoff(s *Service, grant Grant, wait time.Duration) turn.Event {
-	select {
-	case <-s.clock.After(wait):
-	case <-s.stopped:
-		return turn.Stopped{Reason: turn.StopAuthority}
-	}
-	if !grant.Valid() {
-		return turn.Stopped{Reason: turn.StopAuthority}
-	}
-	return turn.Waited{}
-}
