--- a/internal/dataplane/front/backends/placement.go
+++ b/internal/dataplane/front/backends/server_query.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-// Placement is what the choice of a server for a request depends on.
-type Placement struct {
+// ServerQuery is what the choice of a server for a request depends on.
+type ServerQuery struct {
 	Key   GroupKey
 	Index *bundle.Index
 	// Affinity is the key of the shared prefix, Last the server of the session's last turn.
@@ -39,7 +39,7 @@
 }
 
 // Choose runs the scheduling policy of the placement's bundle.
-func (b *Set) Choose(p Placement, models *Models, now time.Time) schedule.Decision {
+func (b *Set) Choose(p ServerQuery, models *Models, now time.Time) schedule.Decision {
 	group := p.Index.Group(p.Key.Group)
 	policy := p.Index.Bundle().GetScheduling()
 	request := schedule.Request{
--- a/internal/dataplane/front/explain/store.go
+++ b/internal/dataplane/front/explain/recorder.go
@@ -15,8 +15,8 @@
 // Clock tells the time.
 type Clock interface{ Now() time.Time }
 
-// Store holds the newest explanations of this front node. The loop's goroutine owns its tables.
-type Store struct {
+// Recorder holds the newest explanations of this front node. The loop's goroutine owns its tables.
+type Recorder struct {
 	loop  *commandloop.Loop
 	ring  []*Explanation
 	next  int
@@ -26,8 +26,8 @@
 }
 
 // NewStore makes an empty store of the explanations of a front node; Stop ends it.
-func NewStore(clock Clock, node string) *Store {
-	return &Store{
+func NewStore(clock Clock, node string) *Recorder {
+	return &Recorder{
 		loop: commandloop.New(), ring: make([]*Explanation, capacity), byID: make(map[string][]*Explanation),
 		clock: clock, node: node,
 	}
@@ -45,10 +45,10 @@
 }
 
 // Stop ends the store's goroutine.
-func (s *Store) Stop() { s.loop.Stop() }
+func (s *Recorder) Stop() { s.loop.Stop() }
 
 // Begin starts the explanation of one request; one request may have several on a front node.
-func (s *Store) Begin(requestID, session, program string) *Explanation {
+func (s *Recorder) Begin(requestID, session, program string) *Explanation {
 	entry := &Explanation{clock: s.clock, began: s.clock.Now(), id: requestID}
 	entry.record.RequestId, entry.record.Node = requestID, s.node
 	entry.record.Session, entry.record.Program = session, program
@@ -56,7 +56,7 @@
 	return entry
 }
 
-func (s *Store) put(entry *Explanation) {
+func (s *Recorder) put(entry *Explanation) {
 	if former := s.ring[s.next]; former != nil {
 		s.remove(former)
 	}
@@ -65,7 +65,7 @@
 	s.byID[entry.id] = append(s.byID[entry.id], entry)
 }
 
-func (s *Store) remove(former *Explanation) {
+func (s *Recorder) remove(former *Explanation) {
 	entries := s.byID[former.id]
 	if len(entries) <= 1 {
 		delete(s.byID, former.id)
@@ -75,7 +75,7 @@
 }
 
 // Find returns copies of the explanations of a request, oldest first; none once the store is stopped.
-func (s *Store) Find(requestID string) []*protocol.Explanation {
+func (s *Recorder) Find(requestID string) []*protocol.Explanation {
 	var entries []*Explanation
 	s.loop.Do(func() { entries = append(entries, s.byID[requestID]...) })
 	snapshots := make([]*protocol.Explanation, 0, len(entries))
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -106,7 +106,7 @@
 const (
 	FirstBackoff          = firstBackoff
 	MaxBackoff            = maxBackoff
-	KeyedRejectionTimeout = keyedRejectionTimeout
+	TombstoneTimeout      = tombstoneTimeout
 	HeartbeatWindow       = heartbeat.Window
 	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -16,9 +16,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// keyedRejectionTimeout bounds the ledger's part in the rejection of a request that
+// tombstoneTimeout bounds the ledger's part in the rejection of a request that
 // was not admitted: a final answer waits no longer for its proof.
-const keyedRejectionTimeout = 40 * time.Millisecond
+const tombstoneTimeout = 40 * time.Millisecond
 
 // api is the HTTP surface towards callers and back ends.
 type api struct {
@@ -43,7 +43,7 @@
 
 // postResponse serves a turn.
 func (a *api) postResponse(c *gin.Context) {
-	request, stream, policy, err := a.admitTurn(c)
+	request, stream, policy, err := a.acceptTurn(c)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -58,8 +58,8 @@
 	a.answerTurn(ctx, c, request, policy)
 }
 
-// admitTurn reads a turn and checks everything that needs no owner.
-func (a *api) admitTurn(c *gin.Context) (*protocol.TurnRequest, bool, *protocol.TenantPolicy, error) {
+// acceptTurn reads a turn and checks everything that needs no owner.
+func (a *api) acceptTurn(c *gin.Context) (*protocol.TurnRequest, bool, *protocol.TenantPolicy, error) {
 	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, nil, err
@@ -69,13 +69,13 @@
 		return nil, false, nil, err
 	}
 	c.Header(issue.HeaderRequestID, request.GetRequestId())
-	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
-	policy, err := a.tenant(c, decided)
+	variant := a.service.rollout.Policies().VariantFor(request.GetProgram())
+	policy, err := a.tenant(c, variant)
 	if err != nil {
 		return nil, false, nil, err
 	}
 	request.Tenant, request.Ingress = policy.GetName(), a.service.name
-	if decided.Model(request.GetTenant(), request.GetModel()) == nil {
+	if variant.Model(request.GetTenant(), request.GetModel()) == nil {
 		return nil, false, nil, unknownModel()
 	}
 	if err := a.findConversation(c, request); err != nil {
@@ -93,7 +93,7 @@
 	if request.GetSession() != "" {
 		return nil
 	}
-	previous, status := a.service.operations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
+	previous, status := a.service.ledgerOperations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		request.Session = previous.GetSession()
@@ -120,18 +120,18 @@
 	if request.GetFirstSend() {
 		return &failure.Error{Failure: f}
 	}
-	decided := make(chan error, 1)
+	rejected := make(chan error, 1)
 	a.service.runs.Go(func() {
-		decided <- a.service.rejectTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
+		rejected <- a.service.rejectTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
 			alreadyRan := failure.New(failure.RateLimited, protocol.Outcome_RAN, "the request ran before; read its turn",
 				failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
 			return alreadyRan
 		})
 	})
 	select {
-	case err := <-decided:
+	case err := <-rejected:
 		return err
-	case <-a.service.clock.After(keyedRejectionTimeout):
+	case <-a.service.clock.After(tombstoneTimeout):
 		return failure.New(failure.Code(f.GetCode()), protocol.Outcome_UNKNOWN, f.GetMessage(),
 			failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
 	}
@@ -142,7 +142,7 @@
 ) {
 	stream := callerapi.NewEventStream(c.Writer, request)
 	tokens := uint64(0)
-	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
+	err := a.service.forwardTurn(ctx, request, func(event *protocol.TurnEvent) error {
 		tokens += uint64(event.GetDelta().GetTokens())
 		return stream.Send(event)
 	})
@@ -167,7 +167,7 @@
 	view := callerapi.NewTurnView(request)
 	tokens := uint64(0)
 	var last *protocol.TurnEvent
-	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
+	err := a.service.forwardTurn(ctx, request, func(event *protocol.TurnEvent) error {
 		view.Observe(event)
 		tokens += uint64(event.GetDelta().GetTokens())
 		last = event
@@ -186,14 +186,14 @@
 
 // postCall serves a tool call.
 func (a *api) postCall(c *gin.Context) {
-	request, nonRepeatable, err := a.admitCall(c)
+	request, nonRepeatable, err := a.acceptCall(c)
 	if err != nil {
 		writeError(c, err)
 		return
 	}
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), timeLeft(request.GetTimeLeftMillis())+answerSlack)
 	defer cancel()
-	response, err := a.service.relayCall(ctx, request, nonRepeatable)
+	response, err := a.service.forwardCall(ctx, request, nonRepeatable)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -205,7 +205,7 @@
 	c.JSON(http.StatusOK, callerapi.NewCallObject(request, response))
 }
 
-func (a *api) admitCall(c *gin.Context) (*protocol.ToolCallRequest, bool, error) {
+func (a *api) acceptCall(c *gin.Context) (*protocol.ToolCallRequest, bool, error) {
 	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, err
@@ -215,13 +215,13 @@
 		return nil, false, err
 	}
 	c.Header(issue.HeaderRequestID, request.GetRequestId())
-	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
-	policy, err := a.tenant(c, decided)
+	variant := a.service.rollout.Policies().VariantFor(request.GetProgram())
+	policy, err := a.tenant(c, variant)
 	if err != nil {
 		return nil, false, err
 	}
 	request.Tenant, request.Ingress = policy.GetName(), a.service.name
-	route := decided.Tool(request.GetTenant(), request.GetTool())
+	route := variant.Tool(request.GetTenant(), request.GetTool())
 	if route == nil {
 		return nil, false, unknownTool()
 	}
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -109,7 +109,7 @@
 // findTurn looks a turn up in the ledger. It is missing only when the ledger's
 // majority says so after the program's record was read.
 func (s *Service) findTurn(ctx context.Context, query readQuery, tenant string) (ledgerTurn, error) {
-	result := s.operations.Do(ctx, &protocol.LedgerOperation{
+	result := s.ledgerOperations.Do(ctx, &protocol.LedgerOperation{
 		Program: query.program, Body: &protocol.LedgerOperation_ReadProgram{ReadProgram: &protocol.ReadProgram{}},
 	})
 	switch {
@@ -125,7 +125,7 @@
 			return ledgerTurn{session: open.GetSession(), requestID: open.GetRequestId()}, nil
 		}
 	}
-	retained, status := s.operations.ReadTurn(ctx, query.program, query.id)
+	retained, status := s.ledgerOperations.ReadTurn(ctx, query.program, query.id)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return ledgerTurn{retained: retained, session: retained.GetSession(), requestID: retained.GetRequestId()}, nil
@@ -157,7 +157,7 @@
 	if err != nil {
 		return
 	}
-	relayed := &relay{
+	relayed := &turnForwarder{
 		service: a.service, request: request, deliver: stream.Send, position: query.after,
 		explanation: a.service.explanations.Begin(current.requestID, current.session, query.program),
 	}
@@ -175,7 +175,7 @@
 }
 
 // resumeFromOwner follows the turn at the front node that owns its session.
-func (s *Service) resumeFromOwner(ctx context.Context, r *relay, query readQuery, current ledgerTurn) error {
+func (s *Service) resumeFromOwner(ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn) error {
 	owner, err := s.ownership.Resolve(ctx, current.session, query.program)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 		if live == nil {
 			return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 		}
-		return live.Follow(ctx, query.after, r.forward)
+		return live.Follow(ctx, query.after, r.deliverEvent)
 	}
 	stream, err := s.caller.Open(ctx, owner.Address, &protocol.Request{Body: &protocol.Request_ResumeTurn{
 		ResumeTurn: &protocol.ResumeTurnRequest{
@@ -202,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.forward(response.GetTurnEvent()); err != nil || r.done {
+		if err := r.deliverEvent(response.GetTurnEvent()); err != nil || r.done {
 			return err
 		}
 	}
@@ -210,10 +210,10 @@
 
 // resumeFromLedger replays a retained turn. A turn that is still open in the ledger but unknown to its owner
 // is about to end; the caller is answered when to retry.
-func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, current ledgerTurn, cause error) error {
+func (a *api) resumeFromLedger(ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn, cause error) error {
 	retained := current.retained
 	if retained == nil {
-		read, status := a.service.operations.ReadTurn(ctx, query.program, query.id)
+		read, status := a.service.ledgerOperations.ReadTurn(ctx, query.program, query.id)
 		if status != protocol.LedgerStatus_LEDGER_OK {
 			f := forwardingFailure(cause)
 			return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the turn cannot be followed now: "+f.GetMessage(),
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -49,19 +49,19 @@
 
 // beginHTTPTurn starts a turn of an HTTP route as its owner. Other turns of the session may be in
 // progress.
-func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
+func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*sessions.TurnLog, error) {
 	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
 	grant, err := s.grantFor(key.Session, key.Program)
 	if err != nil {
 		return nil, err
 	}
 	routed := request.GetHttp()
-	decided := s.rollout.Policies().VariantFor(request.GetProgram())
+	variant := s.rollout.Policies().VariantFor(request.GetProgram())
 	route := &protocol.Route{Name: routed.GetRoute(), Group: routed.GetGroup()}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	live := sessions.NewLiveTurn(request, request.GetRequestId(), cancel)
-	run := s.newTurnRun(ctx, request, live, grant, decided, route, deadline)
+	live := sessions.NewTurnLog(request, request.GetRequestId(), cancel)
+	run := s.newTurnRun(ctx, request, live, grant, variant, route, deadline)
 	run.sessionFreed = true
 	run.machine = turn.New(turn.Parameters{
 		Request: request, TurnID: live.TurnID, Owner: s.name, Incarnation: grant.Incarnation(),
@@ -88,7 +88,7 @@
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", command.BackEnd)
 	r.recordSent(command.MaxTokens)
-	stream, err := r.service.routes.Stream(r.ctx, issue.RouteRequest{
+	stream, err := r.service.routeClient.Stream(r.ctx, issue.RouteRequest{
 		Server: r.server, RequestID: r.request.GetRequestId(), HTTP: r.request.GetHttp(),
 		Body: joinItems(command.Items), Deadline: r.deadline, Pin: r.pin,
 	}, r.request.GetHttp().GetEventTokens())
@@ -135,7 +135,7 @@
 		r.history = history.Items
 		return turn.HistoryRead{Items: history.Items, Tokens: history.Tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	conversation := r.service.operations.ReadConversation(r.ctx, r.key.Program, lastTurn)
+	conversation := r.service.ledgerOperations.ReadConversation(r.ctx, r.key.Program, lastTurn)
 	r.explanation.RecordStep("history read", conversation.Status.String())
 	if conversation.Status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: conversation.Status}
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -29,8 +29,8 @@
 	answerSlack = 3 * time.Second
 )
 
-// relay forwards one turn to its owner and delivers the events, in order and once each. One goroutine uses it.
-type relay struct {
+// turnForwarder forwards one turn to its owner and delivers the events, in order and once each. One goroutine uses it.
+type turnForwarder struct {
 	service     *Service
 	request     *protocol.TurnRequest
 	deadline    time.Time
@@ -60,13 +60,13 @@
 
 func (e *truncatedStreamError) Error() string { return "the stream ended before the turn did" }
 
-// relayTurn serves a turn for a caller. Unless an error is returned, deliver
+// forwardTurn serves a turn for a caller. Unless an error is returned, deliver
 // was given the turn's last event.
-func (s *Service) relayTurn(
+func (s *Service) forwardTurn(
 	ctx context.Context, request *protocol.TurnRequest, deliver func(*protocol.TurnEvent) error,
 ) error {
 	left := timeLeft(request.GetTimeLeftMillis())
-	r := &relay{
+	r := &turnForwarder{
 		service: s, request: request, deliver: deliver, deadline: s.clock.Now().Add(left),
 		explanation: s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram()),
 	}
@@ -99,8 +99,8 @@
 
 // run makes attempts until an owner answers. A request that is sent again carries the same id, by which an
 // owner or the ledger recognises it.
-func (r *relay) run(ctx context.Context) error {
-	if rejection := r.service.operations.CheckIsolation(r.request); rejection != nil {
+func (r *turnForwarder) run(ctx context.Context) error {
+	if rejection := r.service.ledgerOperations.CheckIsolation(r.request); rejection != nil {
 		r.explanation.RecordStep("not taken in", rejection.GetMessage())
 		return r.service.rejectTurn(ctx, r.request, rejection, r.deliverRetained)
 	}
@@ -135,7 +135,7 @@
 }
 
 // attempt forwards the turn to the session's owner of now.
-func (r *relay) attempt(ctx context.Context) error {
+func (r *turnForwarder) attempt(ctx context.Context) error {
 	r.owner = directory.Owner{}
 	owner, err := r.service.ownerOf(ctx, r.request.GetSession(), r.request.GetProgram())
 	if err != nil {
@@ -159,7 +159,7 @@
 	return err
 }
 
-func (r *relay) serveBy(ctx context.Context, owner directory.Owner, request *protocol.TurnRequest) error {
+func (r *turnForwarder) serveBy(ctx context.Context, owner directory.Owner, request *protocol.TurnRequest) error {
 	if owner.Local {
 		return r.serveLocal(ctx, request)
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-func (r *relay) recordOwner(owner directory.Owner) {
+func (r *turnForwarder) recordOwner(owner directory.Owner) {
 	r.explanation.Update(func(record *protocol.Explanation) {
 		record.Owner, record.PartitionHolder = owner.Name, owner.PartitionHolder
 	})
@@ -200,16 +200,16 @@
 		owner.Name, owner.PartitionHolder, owner.ViewVersion, owner.CacheHit))
 }
 
-func (r *relay) serveLocal(ctx context.Context, request *protocol.TurnRequest) error {
+func (r *turnForwarder) serveLocal(ctx context.Context, request *protocol.TurnRequest) error {
 	live, err := r.service.beginTurn(request) //nolint:contextcheck // a turn outlives the caller that began it
 	if err != nil {
 		return err
 	}
 	r.request.FirstSend = false
-	return live.Follow(ctx, r.position, r.forward)
+	return live.Follow(ctx, r.position, r.deliverEvent)
 }
 
-func (r *relay) serveRemote(ctx context.Context, address string, request *protocol.TurnRequest) error {
+func (r *turnForwarder) serveRemote(ctx context.Context, address string, request *protocol.TurnRequest) error {
 	r.service.metrics.forwarded.Inc()
 	stream, err := r.service.caller.Open(ctx, address, &protocol.Request{Body: &protocol.Request_Turn{Turn: request}})
 	if err != nil {
@@ -227,14 +227,14 @@
 			return err
 		}
 		r.request.FirstSend = false
-		if err := r.forward(response.GetTurnEvent()); err != nil || r.done {
+		if err := r.deliverEvent(response.GetTurnEvent()); err != nil || r.done {
 			return err
 		}
 	}
 }
 
 // markPossiblySent records that another copy of the request may exist, unless the error shows that none does.
-func (r *relay) markPossiblySent(err error) {
+func (r *turnForwarder) markPossiblySent(err error) {
 	var notSent *wire.NotSentError
 	if errors.As(err, &notSent) || isNotAccepted(err) {
 		return
@@ -242,8 +242,8 @@
 	r.request.FirstSend = false
 }
 
-// forward delivers one event to the caller, unless it was delivered before.
-func (r *relay) forward(event *protocol.TurnEvent) error {
+// deliverEvent delivers one event to the caller, unless it was delivered before.
+func (r *turnForwarder) deliverEvent(event *protocol.TurnEvent) error {
 	if r.position.Seen(event) {
 		return nil
 	}
@@ -265,7 +265,7 @@
 
 // isRetryable reports whether the turn may be forwarded again. One of an HTTP route is sent again only when
 // nobody accepted it.
-func (r *relay) isRetryable(err error) bool {
+func (r *turnForwarder) isRetryable(err error) bool {
 	if r.request.GetHttp() != nil {
 		var notSent *wire.NotSentError
 		return errors.As(err, &notSent) || isNotAccepted(err)
@@ -303,7 +303,7 @@
 }
 
 // giveUp ends the caller's request with what is known of its outcome.
-func (r *relay) giveUp(ctx context.Context, cause error) error {
+func (r *turnForwarder) giveUp(ctx context.Context, cause error) error {
 	f := proto.CloneOf(forwardingFailure(cause))
 	if r.position != (sessions.Cursor{}) {
 		f.Outcome = protocol.Outcome_RAN
@@ -312,9 +312,9 @@
 	return r.service.rejectTurn(ctx, r.request, f, r.deliverRetained)
 }
 
-func (r *relay) deliverRetained(retained *protocol.Turn) error {
+func (r *turnForwarder) deliverRetained(retained *protocol.Turn) error {
 	for _, event := range turn.Replay(retained, r.position.Attempt+1, r.service.name, 0) {
-		if err := r.forward(event); err != nil {
+		if err := r.deliverEvent(event); err != nil {
 			return err
 		}
 	}
@@ -348,7 +348,7 @@
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return &failure.Error{Failure: f}
 	}
-	result := s.operations.Reject(ctx, request.GetProgram(), &protocol.RefuseRequest{
+	result := s.ledgerOperations.Reject(ctx, request.GetProgram(), &protocol.RefuseRequest{
 		RequestId: request.GetRequestId(), Session: request.GetSession(),
 	})
 	finished := result.GetFinished()
@@ -357,7 +357,7 @@
 		f.Outcome = protocol.Outcome_NOT_RUN
 	case result.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED &&
 		finished.GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED:
-		retained, status := s.operations.ReadTurn(ctx, request.GetProgram(), finished.GetTurnId())
+		retained, status := s.ledgerOperations.ReadTurn(ctx, request.GetProgram(), finished.GetTurnId())
 		if status == protocol.LedgerStatus_LEDGER_OK && request.GetHttp() == nil {
 			return answer(retained)
 		}
--- a/internal/dataplane/front/ingress_call.go
+++ b/internal/dataplane/front/ingress_call.go
@@ -15,13 +15,13 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// relayCall forwards a tool call to the owner of its session and returns the answer.
-func (s *Service) relayCall(
+// forwardCall forwards a tool call to the owner of its session and returns the answer.
+func (s *Service) forwardCall(
 	ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool,
 ) (*protocol.ToolCallResponse, error) {
 	explanation := s.explanations.Begin(request.GetRequestId(), request.GetSession(), request.GetProgram())
 	explanation.RecordStep("taken in", request.GetTool())
-	response, err := s.routeCall(ctx, request, nonRepeatable, explanation)
+	response, err := s.tryOwners(ctx, request, nonRepeatable, explanation)
 	code := "ok"
 	if err != nil {
 		code = failure.From(err).GetCode()
@@ -32,7 +32,8 @@
 	return response, err
 }
 
-func (s *Service) routeCall(
+// tryOwners brings a tool call to the owner of its session, and to the next owner while none accepted it.
+func (s *Service) tryOwners(
 	ctx context.Context, request *protocol.ToolCallRequest, nonRepeatable bool, explanation *explain.Explanation,
 ) (*protocol.ToolCallResponse, error) {
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
@@ -139,7 +140,7 @@
 	if !nonRepeatable || request.GetHttp() != nil {
 		return nil, &failure.Error{Failure: f}
 	}
-	result := s.operations.Do(ctx, &protocol.LedgerOperation{
+	result := s.ledgerOperations.Do(ctx, &protocol.LedgerOperation{
 		Program: request.GetProgram(),
 		Body: &protocol.LedgerOperation_RefuseCall{
 			RefuseCall: &protocol.RefuseCall{RequestId: request.GetRequestId()},
--- a/internal/dataplane/front/outcomes/sharer.go
+++ b/internal/dataplane/front/outcomes/sharer.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		left := time.Duration(suspect.GetLeftMillis()) * time.Millisecond
-		if server.MarkSuspect(now.Add(left), now) {
+		if server.MarkEjected(now.Add(left), now) {
 			s.options.Suspected.Inc()
 		}
 	}
--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -192,8 +192,8 @@
 				answered <- f1.turn(turnBody(key, ""), headers{"Idempotency-Key": key})
 			}()
 		}
-		Eventually(r.clock.isSet).WithArguments(front.KeyedRejectionTimeout).Should(BeTrue())
-		r.clock.advance(front.KeyedRejectionTimeout)
+		Eventually(r.clock.isSet).WithArguments(front.TombstoneTimeout).Should(BeTrue())
+		r.clock.advance(front.TombstoneTimeout)
 		var rejection answer
 		Eventually(answered).Should(Receive(&rejection))
 		Expect(rejection.errorCode()).To(Equal("overloaded"))
--- a/internal/dataplane/front/owned_run.go
+++ b/internal/dataplane/front/owned_run.go
@@ -88,7 +88,7 @@
 // ledger carries out one operation on the run's program and records its status.
 func (r *ownedRun) ledger(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	operation.Program = r.key.Program
-	result := r.service.operations.Do(r.ctx, operation)
+	result := r.service.ledgerOperations.Do(r.ctx, operation)
 	r.explanation.RecordStep("ledger "+name, result.GetStatus().String())
 	return result
 }
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -18,13 +18,13 @@
 
 // beginTurn starts a turn as its owner, or finds the one of the same request
 // that is in progress already.
-func (s *Service) beginTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
+func (s *Service) beginTurn(request *protocol.TurnRequest) (*sessions.TurnLog, error) {
 	if request.GetHttp() != nil {
 		return s.beginHTTPTurn(request)
 	}
 	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
-	decided := s.rollout.Policies().VariantFor(request.GetProgram())
-	route := decided.Model(request.GetTenant(), request.GetModel())
+	variant := s.rollout.Policies().VariantFor(request.GetProgram())
+	route := variant.Model(request.GetTenant(), request.GetModel())
 	if route == nil {
 		return nil, unknownModel()
 	}
@@ -34,20 +34,20 @@
 	}
 	deadline := s.clock.Now().Add(timeLeft(request.GetTimeLeftMillis()))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	live := sessions.NewLiveTurn(request, turn.ID(request.GetProgram(), request.GetRequestId()), cancel)
+	live := sessions.NewTurnLog(request, turn.ID(request.GetProgram(), request.GetRequestId()), cancel)
 	current, begun := s.sessions.Begin(key, live)
 	if !begun {
 		cancel(nil)
 		grant.End()
 		return s.joinTurn(current, request)
 	}
-	run := s.newTurnRun(ctx, request, live, grant, decided, route, deadline)
+	run := s.newTurnRun(ctx, request, live, grant, variant, route, deadline)
 	s.startRun(run, cancel)
 	return live, nil
 }
 
 // joinTurn is the answer when the session has a turn in progress.
-func (s *Service) joinTurn(current *sessions.LiveTurn, request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
+func (s *Service) joinTurn(current *sessions.TurnLog, request *protocol.TurnRequest) (*sessions.TurnLog, error) {
 	if current == nil {
 		return nil, &failure.Error{Failure: admission.StoppingFailure()}
 	}
@@ -72,7 +72,7 @@
 	return min(time.Duration(millis)*time.Millisecond, maxDeadline)
 }
 
-func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *sessions.LiveTurn, grant Grant,
+func (s *Service) newTurnRun(ctx context.Context, request *protocol.TurnRequest, live *sessions.TurnLog, grant Grant,
 	decided rollout.Variant, route *protocol.Route, deadline time.Time,
 ) *turnRun {
 	return &turnRun{
@@ -138,7 +138,7 @@
 	if current.Known {
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Epoch: current.Epoch}
 	}
-	result := s.operations.Do(ctx, &protocol.LedgerOperation{
+	result := s.ledgerOperations.Do(ctx, &protocol.LedgerOperation{
 		Program: key.Program, Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: operation},
 	})
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK {
@@ -147,18 +147,18 @@
 	return result
 }
 
-// newPlacement gathers what a decision needs.
-func (s *Service) newPlacement(
+// newServerQuery gathers what a decision needs.
+func (s *Service) newServerQuery(
 	index *bundle.Index, wanted backends.GroupKey, key sessions.Key, avoid []string,
-) backends.Placement {
-	return backends.Placement{
+) backends.ServerQuery {
+	return backends.ServerQuery{
 		Key: wanted, Index: index, Affinity: key.Program, Last: s.sessions.LastBackEnd(key), Avoid: avoid,
 		Zone: s.zone, Region: s.region, Front: s.name, FrontNodes: s.frontNodes(), Sequence: s.sequence.Add(1),
 	}
 }
 
 // choose runs the policy and returns the server chosen, or nil.
-func (s *Service) choose(wanted backends.Placement) (*backends.Server, schedule.Decision) {
+func (s *Service) choose(wanted backends.ServerQuery) (*backends.Server, schedule.Decision) {
 	servers := s.backEnds.Load()
 	decision := servers.Choose(wanted, s.models, s.clock.Now())
 	return servers.ByID[decision.Chosen], decision
@@ -166,7 +166,7 @@
 
 // chooseShadow records what the shadow bundle would have chosen; nothing is run by it.
 func (s *Service) chooseShadow(
-	shadow *bundle.Index, wanted backends.Placement, tenant string, route *protocol.Route,
+	shadow *bundle.Index, wanted backends.ServerQuery, tenant string, route *protocol.Route,
 	explanation *explain.Explanation,
 ) {
 	other := shadow.Model(tenant, route.GetModel())
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -38,7 +38,7 @@
 		writer: writer, method: accepted.http.GetMethod(),
 		controller: http.NewResponseController(writer),
 	}
-	if err := a.service.relayTurn(ctx, request, stream.send); err != nil {
+	if err := a.service.forwardTurn(ctx, request, stream.send); err != nil {
 		stream.fail(failure.From(err))
 	}
 }
@@ -105,7 +105,7 @@
 // serveCall serves a request that is answered at once.
 func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
 	idempotent := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
-	answer, err := a.service.relayCall(ctx, &protocol.ToolCallRequest{
+	answer, err := a.service.forwardCall(ctx, &protocol.ToolCallRequest{
 		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session,
 		Tool:           accepted.http.GetRoute(),
 		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true,
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -80,16 +80,16 @@
 	// inProgress counts the turns and calls run as owner.
 	inProgress atomic.Int64
 
-	client       *issue.Client
-	routes       *issue.RouteClient
-	models       *backends.Models
-	versionPins  *versionpin.Resolver
-	operations   *ledgerops.Client
-	admission    *admission.Controller
-	sessions     *sessions.Store
-	explanations *explain.Store
-	heartbeats   *heartbeat.Relay
-	outcomes     *outcomes.Sharer
+	backEndClient    *issue.Client
+	routeClient      *issue.RouteClient
+	models           *backends.Models
+	versionPins      *versionpin.Resolver
+	ledgerOperations *ledgerops.Client
+	admission        *admission.Controller
+	sessions         *sessions.Cache
+	explanations     *explain.Recorder
+	heartbeats       *heartbeat.Relay
+	outcomes         *outcomes.Sharer
 
 	// stopped is closed when the process abandons what is still in progress.
 	stopped  chan struct{}
@@ -124,14 +124,14 @@
 		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(),
 		link: options.Link, ledger: options.Ledger, ownership: options.Ownership, caller: options.Caller,
 		clock: options.Clock, logger: options.Logger, metrics: newMetrics(options.Registerer),
-		client:       issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
-		models:       models,
-		sessions:     sessions.NewStore(options.Clock),
-		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
-		stopped:      make(chan struct{}),
-		startedAt:    options.Clock.Now(),
-		hasBundle:    make(chan struct{}),
+		backEndClient: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		routeClient:   issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		models:        models,
+		sessions:      sessions.NewStore(options.Clock),
+		explanations:  explain.NewStore(options.Clock, options.Self.GetName()),
+		stopped:       make(chan struct{}),
+		startedAt:     options.Clock.Now(),
+		hasBundle:     make(chan struct{}),
 	}
 	s.wireParts()
 	s.viewChanged(s.link.View())
@@ -144,11 +144,11 @@
 func (s *Service) wireParts() {
 	s.admission = admission.NewController(s.clock, s.stepSlots)
 	s.rollout = rollout.NewTracker(s.name, s.link, s.clock)
-	s.operations = ledgerops.NewClient(s.name, s.ledger, func() *protocol.MembershipView {
+	s.ledgerOperations = ledgerops.NewClient(s.name, s.ledger, func() *protocol.MembershipView {
 		return s.link.View().Membership
 	})
 	s.versionPins = versionpin.NewResolver(versionpin.Options{
-		Node: s.name, Now: s.clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+		Node: s.name, Now: s.clock.Now, Ledger: s.ledgerOperations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
 	})
 	s.outcomes = outcomes.NewSharer(outcomes.Options{
 		Node: s.name, Zone: s.zone, Core: s.link, Clock: s.clock, Servers: s.backEnds.Load,
@@ -174,7 +174,7 @@
 	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
 		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.ForgetRemoved(former, next)
+		s.routeClient.ForgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
@@ -241,8 +241,8 @@
 	s.admission.Stop()
 	s.sessions.Stop()
 	s.explanations.Stop()
-	s.client.Close()
-	s.routes.Close()
+	s.backEndClient.Close()
+	s.routeClient.Close()
 	return nil
 }
 
--- a/internal/dataplane/front/sessions/store.go
+++ b/internal/dataplane/front/sessions/cache.go
@@ -37,7 +37,7 @@
 	historyTokens uint64
 	historyBytes  int
 	lastBackEnd   string
-	live          *LiveTurn
+	live          *TurnLog
 	used          *list.Element
 }
 
@@ -50,10 +50,10 @@
 // Clock tells the time.
 type Clock interface{ Now() time.Time }
 
-// Store has the sessions that this front node owns and the turns in progress or ended recently. The loop's
+// Cache has the sessions that this front node owns and the turns in progress or ended recently. The loop's
 // goroutine owns its tables; its methods may be called from any goroutine. They do nothing once it is
 // stopped.
-type Store struct {
+type Cache struct {
 	loop       *commandloop.Loop
 	clock      Clock
 	bySession  map[string]map[string]*sessionState
@@ -65,14 +65,14 @@
 }
 
 type endedTurn struct {
-	turn   *LiveTurn
+	turn   *TurnLog
 	events int
 	at     time.Time
 }
 
 // NewStore makes an empty store; Stop ends it.
-func NewStore(clock Clock) *Store {
-	return &Store{
+func NewStore(clock Clock) *Cache {
+	return &Cache{
 		loop: commandloop.New(), clock: clock,
 		bySession: make(map[string]map[string]*sessionState), recency: list.New(),
 		recent: make(map[string]*list.Element), ended: list.New(),
@@ -80,10 +80,10 @@
 }
 
 // Stop ends the store's goroutine.
-func (s *Store) Stop() { s.loop.Stop() }
+func (s *Cache) Stop() { s.loop.Stop() }
 
 // state returns the state of a session as the one used last; it makes one when there is none.
-func (s *Store) state(key Key) *sessionState {
+func (s *Cache) state(key Key) *sessionState {
 	programs := s.bySession[key.Session]
 	if programs == nil {
 		programs = make(map[string]*sessionState)
@@ -100,13 +100,13 @@
 	return state
 }
 
-func (s *Store) find(key Key) *sessionState {
+func (s *Cache) find(key Key) *sessionState {
 	return s.bySession[key.Session][key.Program]
 }
 
 // Begin puts a turn in progress in its session. It returns another turn instead when one is in progress,
 // or when the same turn was completed recently; nil once the store is stopped.
-func (s *Store) Begin(key Key, turn *LiveTurn) (current *LiveTurn, begun bool) {
+func (s *Cache) Begin(key Key, turn *TurnLog) (current *TurnLog, begun bool) {
 	s.loop.Do(func() {
 		state := s.state(key)
 		if state.live != nil {
@@ -123,7 +123,7 @@
 }
 
 // Finish takes a turn out of its session and retains its events for readers that come back.
-func (s *Store) Finish(key Key, turn *LiveTurn) {
+func (s *Cache) Finish(key Key, turn *TurnLog) {
 	s.loop.Post(func() {
 		if state := s.find(key); state != nil && state.live == turn {
 			state.live = nil
@@ -133,7 +133,7 @@
 	})
 }
 
-func (s *Store) retainEnded(turn *LiveTurn) {
+func (s *Cache) retainEnded(turn *TurnLog) {
 	entry := &endedTurn{turn: turn, events: turn.size(), at: s.clock.Now()}
 	if former := s.recent[turn.TurnID]; former != nil {
 		s.evictEnded(former)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (s *Store) evictEnded(element *list.Element) {
+func (s *Cache) evictEnded(element *list.Element) {
 	entry := element.Value.(*endedTurn)
 	s.ended.Remove(element)
 	s.endedTotal -= entry.events
@@ -158,7 +158,7 @@
 }
 
 // FindTurn returns a turn in progress, or ended recently, by its id; nil when there is none.
-func (s *Store) FindTurn(key Key, turnID string) (live *LiveTurn) {
+func (s *Cache) FindTurn(key Key, turnID string) (live *TurnLog) {
 	s.loop.Do(func() {
 		if state := s.find(key); state != nil && state.live != nil && state.live.TurnID == turnID {
 			live = state.live
@@ -172,7 +172,7 @@
 }
 
 // FindClaim returns the epoch claimed for a session under an incarnation.
-func (s *Store) FindClaim(key Key, tenant string, incarnation uint64) (current Claim) {
+func (s *Cache) FindClaim(key Key, tenant string, incarnation uint64) (current Claim) {
 	s.loop.Do(func() {
 		state := s.find(key)
 		if state != nil && state.epoch > 0 && state.tenant == tenant && state.incarnation == incarnation {
@@ -183,7 +183,7 @@
 }
 
 // RecordClaim caches an epoch.
-func (s *Store) RecordClaim(key Key, tenant string, incarnation, epoch uint64) {
+func (s *Cache) RecordClaim(key Key, tenant string, incarnation, epoch uint64) {
 	s.loop.Post(func() {
 		state := s.state(key)
 		state.tenant, state.incarnation, state.epoch = tenant, incarnation, epoch
@@ -198,7 +198,7 @@
 }
 
 // FindHistory returns the cached conversation of a session if it ends with a turn.
-func (s *Store) FindHistory(key Key, lastTurn string) (history History) {
+func (s *Cache) FindHistory(key Key, lastTurn string) (history History) {
 	s.loop.Do(func() {
 		state := s.find(key)
 		if state != nil && state.lastTurn == lastTurn && lastTurn != "" {
@@ -209,7 +209,7 @@
 }
 
 // RecordCommit extends a session's history, which was before, by a retained turn.
-func (s *Store) RecordCommit(key Key, retained *protocol.Turn, before []*protocol.Item) {
+func (s *Cache) RecordCommit(key Key, retained *protocol.Turn, before []*protocol.Item) {
 	s.loop.Post(func() {
 		state := s.state(key)
 		items := make([]*protocol.Item, 0, len(before)+len(retained.GetInput())+len(retained.GetOutput()))
@@ -232,7 +232,7 @@
 }
 
 // LastBackEnd is the id of the server of the session's last turn; empty when it is not known.
-func (s *Store) LastBackEnd(key Key) (last string) {
+func (s *Cache) LastBackEnd(key Key) (last string) {
 	s.loop.Do(func() {
 		if state := s.find(key); state != nil {
 			last = state.lastBackEnd
@@ -242,12 +242,12 @@
 }
 
 // Forget drops what is cached of a session of one program, except a turn in progress.
-func (s *Store) Forget(key Key) {
+func (s *Cache) Forget(key Key) {
 	s.loop.Post(func() { s.drop(s.find(key)) })
 }
 
 // Yield drops a session that this front node no longer owns.
-func (s *Store) Yield(session string) {
+func (s *Cache) Yield(session string) {
 	s.loop.Post(func() {
 		for _, state := range s.bySession[session] {
 			s.drop(state)
@@ -255,7 +255,7 @@
 	})
 }
 
-func (s *Store) drop(state *sessionState) {
+func (s *Cache) drop(state *sessionState) {
 	if state == nil {
 		return
 	}
@@ -274,7 +274,7 @@
 }
 
 // evict drops the sessions used longest ago while the cache exceeds its bound.
-func (s *Store) evict() {
+func (s *Cache) evict() {
 	for element := s.recency.Back(); element != nil && s.bytes > maxHistoryBytes; {
 		state := element.Value.(*sessionState)
 		element = element.Prev()
--- a/internal/dataplane/front/sessions/doc.go
+++ b/internal/dataplane/front/sessions/doc.go
@@ -2,5 +2,5 @@
 // epochs, histories, the turn in progress, and the event logs that readers of a
 // turn follow, also for a while after its end. The ledger has the truth; nothing
 // here needs to survive the process. A Store's goroutine owns its tables, a
-// LiveTurn has a mutex of its own.
+// TurnLog has a mutex of its own.
 package sessions
--- a/internal/dataplane/front/sessions/live_turn.go
+++ b/internal/dataplane/front/sessions/turn_log.go
@@ -11,9 +11,9 @@
 // maxReaderLag is how many events a reader may be behind before it is disconnected.
 const maxReaderLag = 1024
 
-// LiveTurn is a turn in progress, or ended recently, at its owner: the log of its events, which any number
+// TurnLog is a turn in progress, or ended recently, at its owner: the log of its events, which any number
 // of readers follow at their own pace. The mutex guards the log and the readers.
-type LiveTurn struct {
+type TurnLog struct {
 	TurnID    string
 	RequestID string
 	session   string
@@ -38,9 +38,9 @@
 	tooSlow bool
 }
 
-// NewLiveTurn makes the log of a turn; cancel is called when nobody reads it any more.
-func NewLiveTurn(request *protocol.TurnRequest, turnID string, cancel context.CancelCauseFunc) *LiveTurn {
-	return &LiveTurn{
+// NewTurnLog makes the log of a turn; cancel is called when nobody reads it any more.
+func NewTurnLog(request *protocol.TurnRequest, turnID string, cancel context.CancelCauseFunc) *TurnLog {
+	return &TurnLog{
 		TurnID: turnID, RequestID: request.GetRequestId(), session: request.GetSession(), program: request.GetProgram(),
 		Tenant: request.GetTenant(), background: request.GetBackground(), cancel: cancel, changed: make(chan struct{}),
 		readers: make(map[*reader]bool),
@@ -49,7 +49,7 @@
 
 // Append adds an event; a terminal one ends the turn for its readers. A turn whose readers are all too far
 // behind is cancelled at once, also while one of them blocks in a write.
-func (l *LiveTurn) Append(event *protocol.TurnEvent) {
+func (l *TurnLog) Append(event *protocol.TurnEvent) {
 	l.mutex.Lock()
 	if l.ended {
 		l.mutex.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // markSlow marks the readers that are too far behind and reports whether one was.
-func (l *LiveTurn) markSlow() bool {
+func (l *TurnLog) markSlow() bool {
 	marked := false
 	for reader := range l.readers {
 		if !reader.tooSlow && len(l.events)-reader.position > maxReaderLag {
@@ -79,7 +79,7 @@
 
 // isAbandoned reports whether a turn goes on without a reader that should have one; the caller holds the
 // mutex.
-func (l *LiveTurn) isAbandoned() bool {
+func (l *TurnLog) isAbandoned() bool {
 	for reader := range l.readers {
 		if !reader.tooSlow {
 			return false
@@ -89,7 +89,7 @@
 }
 
 // End makes sure that readers do not wait for ever.
-func (l *LiveTurn) End() {
+func (l *TurnLog) End() {
 	l.mutex.Lock()
 	ended := l.ended
 	l.mutex.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-func (l *LiveTurn) last() *protocol.TurnEvent {
+func (l *TurnLog) last() *protocol.TurnEvent {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if len(l.events) == 0 {
@@ -122,7 +122,7 @@
 }
 
 // attach adds a reader.
-func (l *LiveTurn) attach() *reader {
+func (l *TurnLog) attach() *reader {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	added := &reader{position: len(l.events)}
@@ -131,7 +131,7 @@
 }
 
 // detach removes a reader; without any, a turn that is not in the background is cancelled.
-func (l *LiveTurn) detach(left *reader) {
+func (l *TurnLog) detach(left *reader) {
 	l.mutex.Lock()
 	delete(l.readers, left)
 	alone := l.isAbandoned()
@@ -143,7 +143,7 @@
 
 // advance records that a reader has sent on the events up to a position; it reports false for one that is
 // too slow.
-func (l *LiveTurn) advance(by *reader, position int) bool {
+func (l *TurnLog) advance(by *reader, position int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	by.position = max(by.position, position)
@@ -151,14 +151,14 @@
 }
 
 // eventsFrom returns the events from a position on, and a channel that is closed when there are more.
-func (l *LiveTurn) eventsFrom(position int) (events []*protocol.TurnEvent, ended bool, changed <-chan struct{}) {
+func (l *TurnLog) eventsFrom(position int) (events []*protocol.TurnEvent, ended bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.events[position:len(l.events):len(l.events)], l.ended, l.changed
 }
 
 // size is the number of events in the log.
-func (l *LiveTurn) size() int {
+func (l *TurnLog) size() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.events)
@@ -166,7 +166,7 @@
 
 // Follow sends the events after a cursor, one by one, until the turn or the context ends. The error is
 // that of send or of the context, or a SlowReader failure.
-func (l *LiveTurn) Follow(ctx context.Context, after Cursor, send func(*protocol.TurnEvent) error) error {
+func (l *TurnLog) Follow(ctx context.Context, after Cursor, send func(*protocol.TurnEvent) error) error {
 	self := l.attach()
 	defer l.detach(self)
 	position := 0
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -40,8 +40,8 @@
 // runCall runs a tool call as owner of its session and returns its answer. The
 // outcome is recorded also after the caller has disconnected.
 func (s *Service) runCall(ctx context.Context, request *protocol.ToolCallRequest) (*protocol.ToolCallResponse, error) {
-	decided := s.rollout.Policies().VariantFor(request.GetProgram())
-	route := callRoute(decided, request)
+	variant := s.rollout.Policies().VariantFor(request.GetProgram())
+	route := callRoute(variant, request)
 	if route == nil {
 		return nil, unknownTool()
 	}
@@ -51,7 +51,7 @@
 	}
 	left := timeLeft(request.GetTimeLeftMillis())
 	runContext, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	run := s.newCallRun(runContext, request, grant, decided, route, s.clock.Now().Add(left))
+	run := s.newCallRun(runContext, request, grant, variant, route, s.clock.Now().Add(left))
 	s.startCall(run, ctx, left, cancel)
 	select {
 	case answer := <-run.answers:
@@ -193,7 +193,7 @@
 
 // rejectUnreachable rejects a call that needs the ledger while that is out of reach.
 func (r *callRun) rejectUnreachable() *protocol.Failure {
-	rejection := r.service.operations.CheckReachable(r.key.Program)
+	rejection := r.service.ledgerOperations.CheckReachable(r.key.Program)
 	if rejection == nil || !r.needsLedger() {
 		return nil
 	}
@@ -210,7 +210,7 @@
 }
 
 func (r *callRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index,
+	wanted := r.service.newServerQuery(r.variant.Index,
 		backends.GroupKey{Group: r.route.GetGroup(), Tool: true, Name: r.route.GetTool()}, r.key, avoid)
 	// A server is faster for an object in its cache, whichever program the call is of.
 	wanted.Affinity = cmp.Or(r.request.GetHttp().GetAffinity(), wanted.Affinity)
@@ -250,11 +250,11 @@
 		r.sends++
 		ctx, cancel := r.attemptContext(routed)
 		defer cancel()
-		return r.service.routes.Call(ctx, issue.RouteRequest{
+		return r.service.routeClient.Call(ctx, issue.RouteRequest{
 			Server: r.server, RequestID: r.request.GetRequestId(), HTTP: routed, Body: routed.GetBody(), Deadline: r.deadline,
 		})
 	}
-	return r.service.client.Call(r.ctx, issue.Request{
+	return r.service.backEndClient.Call(r.ctx, issue.Request{
 		Server: r.server, Path: "/v1/tools/" + url.PathEscape(r.request.GetTool()) + "/calls", Body: r.request.GetArguments(),
 		RequestID: r.request.GetRequestId(), Session: r.request.GetSession(), Nonce: r.request.GetNonce(),
 		Epoch: command.Epoch, IdempotencyKey: r.request.GetRequestId(),
--- a/internal/dataplane/front/turn_steps.go
+++ b/internal/dataplane/front/turn_execute.go
@@ -24,7 +24,7 @@
 		r.history = history.Items
 		return turn.HistoryRead{Items: history.Items, Tokens: history.Tokens, Status: protocol.LedgerStatus_LEDGER_OK}
 	}
-	turns, status := r.service.operations.ReadTurns(r.ctx, r.key.Program, lastTurn)
+	turns, status := r.service.ledgerOperations.ReadTurns(r.ctx, r.key.Program, lastTurn)
 	r.explanation.RecordStep("history read", fmt.Sprintf("%s, %d turns", status, len(turns)))
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return turn.HistoryRead{Status: status}
@@ -69,14 +69,14 @@
 	if !r.machine.IsLedgered() {
 		return nil
 	}
-	return r.service.operations.CheckReachable(r.key.Program)
+	return r.service.ledgerOperations.CheckReachable(r.key.Program)
 }
 
 func (r *turnRun) reserve(command turn.Reserve) turn.Event {
 	result := r.reserveOnce(command.Operation)
 	budgetHeld := result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_HELD
 	// Reservations of lost owners may take up the budget: nothing else would ever commit them.
-	if budgetHeld && r.service.operations.ChargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
+	if budgetHeld && r.service.ledgerOperations.ChargeLostReservations(r.ctx, result.GetProgram(), r.incarnation) {
 		result = r.reserveOnce(command.Operation)
 	}
 	return turn.Reserved{Result: result}
@@ -102,7 +102,7 @@
 }
 
 func (r *turnRun) choose(avoid []string) turn.Event {
-	wanted := r.service.newPlacement(r.variant.Index,
+	wanted := r.service.newServerQuery(r.variant.Index,
 		backends.GroupKey{Group: r.route.GetGroup(), Name: r.route.GetModel()}, r.key, avoid)
 	wanted.Prompt, wanted.Output = backends.RequestPrompt(r.request.GetHttp()), uint64(r.request.GetMaxOutputTokens())
 	wanted.Step = r.stepPlacement(wanted.Prompt)
@@ -135,7 +135,7 @@
 	r.issuedAt = r.now()
 	r.explanation.RecordStep("issued", fmt.Sprintf("%s, attempt %d", command.BackEnd, command.Attempt))
 	r.server.BeginRequest()
-	generation, err := r.service.client.Generate(r.ctx, issue.Request{
+	generation, err := r.service.backEndClient.Generate(r.ctx, issue.Request{
 		Server: r.server, Path: chatPath, Body: body, RequestID: r.request.GetRequestId(),
 		Session: r.request.GetSession(), Nonce: r.request.GetNonce(), Epoch: command.Epoch,
 	})
@@ -162,16 +162,16 @@
 // is put all the same, so that the request never runs.
 func (r *turnRun) reject(command turn.Reject) *protocol.LedgerResult {
 	if !command.Overload {
-		return r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
+		return r.service.ledgerOperations.Reject(r.ctx, r.key.Program, command.Operation)
 	}
 	answered := make(chan *protocol.LedgerResult, 1)
 	r.service.runs.Go(func() {
-		answered <- r.service.operations.Reject(r.ctx, r.key.Program, command.Operation)
+		answered <- r.service.ledgerOperations.Reject(r.ctx, r.key.Program, command.Operation)
 	})
 	select {
 	case result := <-answered:
 		return result
-	case <-r.service.clock.After(keyedRejectionTimeout):
+	case <-r.service.clock.After(tombstoneTimeout):
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE}
 	}
 }
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -19,7 +19,7 @@
 type turnRun struct {
 	ownedRun
 	request     *protocol.TurnRequest
-	live        *sessions.LiveTurn
+	live        *sessions.TurnLog
 	counters    *rollout.Counters
 	incarnation uint64
 	machine     *turn.Machine
@@ -215,7 +215,7 @@
 	case turn.Reject:
 		return turn.Rejected{Result: r.reject(command)}
 	case turn.ReadRetainedTurn:
-		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
+		retained, status := r.service.ledgerOperations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
 		return r.waitBackoff(command.For)
--- a/internal/dataplane/front/watch_load.go
+++ b/internal/dataplane/front/watch_load.go
@@ -52,7 +52,7 @@
 		return
 	}
 	result := "ok"
-	if err := s.routes.SampleLoad(ctx, chosen); err != nil {
+	if err := s.routeClient.SampleLoad(ctx, chosen); err != nil {
 		result = "failed"
 	}
 	s.metrics.loadSamples.WithLabelValues(result).Inc()
@@ -64,7 +64,7 @@
 	var used []*backends.Server
 	for _, candidates := range s.subsets(s.clock.Now()) {
 		for _, candidate := range candidates {
-			if server := servers.ByID[candidate.ID]; server != nil && s.routes.CanSample(server) {
+			if server := servers.ByID[candidate.ID]; server != nil && s.routeClient.CanSample(server) {
 				used = append(used, server)
 			}
 		}
--- a/internal/dataplane/front/wire_handler.go
+++ b/internal/dataplane/front/wire_handler.go
@@ -20,7 +20,7 @@
 	case *protocol.Request_ToolCall:
 		return s.serveCall(ctx, body.ToolCall, send)
 	case *protocol.Request_Ledger:
-		return s.operations.Serve(ctx, body.Ledger, send)
+		return s.ledgerOperations.Serve(ctx, body.Ledger, send)
 	case *protocol.Request_Explain:
 		return send(&protocol.Response{Body: &protocol.Response_Explain{Explain: &protocol.ExplainResponse{
 			Explanations: s.explanations.Find(body.Explain.GetRequestId()),
