--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -12,8 +12,8 @@
 )
 
 const small = `{"name":"small","seeds":[1,2],"servers":6,"fronts":4,"zones":2,"load_on_answers":true,"length_seconds":4,
-	"engine":{"slots":8,"queue":24,"cache_tokens":60000,"step_micros":6000,"per_request_micros":20,"per_thousand_micros":10,
-		"prompt_tokens_per_milli":30,"chunk":2048},
+	"engine":{"slots":8,"queue":24,"cache_tokens":60000,"step_micros":6000,"per_request_micros":20,
+		"per_thousand_micros":10,"prompt_tokens_per_milli":30,"chunk":2048},
 	"programs":[{"name":"short","per_second":8,"rank":1,"turns":3,"most_turns":6,"shared_tokens":2560,"input_tokens":1000,
 		"output_tokens":30,"pause_millis":150}],
 	"days":[{"name":"calm"},{"name":"slow","load":1.5,"slow_servers":1,"slow_factor":6}]}`
--- a/internal/testing/lab/audit/runs.go
+++ b/internal/testing/lab/audit/runs.go
@@ -25,7 +25,8 @@
 		}
 		f.examine(1)
 		if len(runs) > 1 {
-			f.found(request, fmt.Sprintf("%d runs of %s, at %s and %s", len(runs), runs[0].Tool, runLocation(runs[0]), runLocation(runs[1])))
+			f.found(request, fmt.Sprintf("%d runs of %s, at %s and %s", len(runs), runs[0].Tool, runLocation(runs[0]),
+				runLocation(runs[1])))
 		}
 		byObject[runs[0].Object] = append(byObject[runs[0].Object], runs[0])
 	}
--- a/internal/testing/lab/command/command.go
+++ b/internal/testing/lab/command/command.go
@@ -98,8 +98,9 @@
 	e := &environment{output: output, errors: faults}
 	e.logger = log.NewWithOptions(faults, log.Options{ReportTimestamp: true, TimeFormat: "15:04:05.000"})
 	root := &cobra.Command{
-		Use:           "rosestand-lab",
-		Short:         "Laboratory of rosestand: emulated back ends and callers, whole fleets on loopback, faults, audits and figures",
+		Use: "rosestand-lab",
+		Short: "Laboratory of rosestand: emulated back ends and callers, whole fleets on loopback, " +
+			"faults, audits and figures",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/internal/testing/lab/command/fleet.go
+++ b/internal/testing/lab/command/fleet.go
@@ -68,15 +68,18 @@
 
 A turn, streamed:
   curl -N http://%[2]s/v1/responses -H 'Rosestand-Tenant: caroni' -H 'Authorization: Bearer %[3]s' \
-    -H 'Content-Type: application/json' -d '{"model":"climate-advisor","program":"p1","conversation":"c1","input":"how is greenhouse 4","stream":true}'
+    -H 'Content-Type: application/json' -d '{"model":"climate-advisor","program":"p1",`+
+		`"conversation":"c1","input":"how is greenhouse 4","stream":true}'
 
 A tool call:
   curl http://%[2]s/v1/tools/%[6]s/calls -H 'Rosestand-Tenant: caroni' -H 'Authorization: Bearer %[3]s' \
-    -H 'Idempotency-Key: plan-1' -H 'Content-Type: application/json' -d '{"program":"p1","conversation":"c1","arguments":{"object":"valve-4"}}'
+    -H 'Idempotency-Key: plan-1' -H 'Content-Type: application/json' -d '{"program":"p1",`+
+		`"conversation":"c1","arguments":{"object":"valve-4"}}'
 
 Operators:
   %[4]s/rosestand %[5]s nodes
   %[4]s/rosestand %[5]s backends
   %[4]s/rosestand %[5]s bundle list
-`, f.Folder(), front, f.Credentials()[string(site.Caroni)], e.binaries, strings.Join(f.ClientFlags(), " "), site.ToolValvePlans)
+`, f.Folder(), front, f.Credentials()[string(site.Caroni)], e.binaries, strings.Join(f.ClientFlags(), " "),
+		site.ToolValvePlans)
 }
--- a/internal/testing/lab/command/overload.go
+++ b/internal/testing/lab/command/overload.go
@@ -38,10 +38,11 @@
 func newBurst(e *environment) *cobra.Command {
 	var options burstOptions
 	command := &cobra.Command{
-		Use:   "burst",
-		Short: "Offer a small fleet ten times the capacity of its model servers; report goodput, refusals, shares and recovery",
-		Args:  cobra.NoArgs,
-		RunE:  func(command *cobra.Command, _ []string) error { return e.burst(command.Context(), options) },
+		Use: "burst",
+		Short: "Offer a small fleet ten times the capacity of its model servers; " +
+			"report goodput, refusals, shares and recovery",
+		Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error { return e.burst(command.Context(), options) },
 	}
 	flags := command.Flags()
 	flags.DurationVar(&options.length, "duration", 6*time.Second, "length of the burst")
--- a/internal/testing/lab/command/report.go
+++ b/internal/testing/lab/command/report.go
@@ -24,9 +24,10 @@
 func newReport(e *environment) *cobra.Command {
 	var options reportOptions
 	command := &cobra.Command{
-		Use:   "report FILE [FILE ...]",
-		Short: "Draw the report of a day that a bench has played: outcomes and times over time, disruptions, kinds of requests; or compare several",
-		Args:  cobra.MinimumNArgs(1),
+		Use: "report FILE [FILE ...]",
+		Short: "Draw the report of a day that a bench has played: outcomes and times over time, " +
+			"disruptions, kinds of requests; or compare several",
+		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			if len(arguments) > 1 {
 				return e.compareReports(arguments)
--- a/internal/testing/lab/command/scale.go
+++ b/internal/testing/lab/command/scale.go
@@ -45,9 +45,10 @@
 func newScale(e *environment) *cobra.Command {
 	var options scaleOptions
 	command := &cobra.Command{
-		Use:   "scale",
-		Short: "Run hollow front nodes and back ends in this process beside a real core and stores; hold them against the limits",
-		Args:  cobra.NoArgs,
+		Use: "scale",
+		Short: "Run hollow front nodes and back ends in this process beside a real core and stores; " +
+			"hold them against the limits",
+		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return e.scale(command.Context(), options)
 		},
@@ -149,7 +150,8 @@
 		Nodes: options.nodes, Servers: options.servers, Zones: options.zones, Region: "lab",
 		Versions: firstBundle + options.changes, ClusterKey: key, Seeds: f.Seeds(), Seed: options.seed, Wave: options.wave,
 	})
-	e.logger.Info("simulated nodes became ready", "nodes", options.nodes, "after", time.Since(begun).Round(time.Millisecond), "err",
+	e.logger.Info("simulated nodes became ready", "nodes", options.nodes, "after",
+		time.Since(begun).Round(time.Millisecond), "err",
 		err)
 	return nodes, err
 }
--- a/internal/testing/lab/deployment/deployment_test.go
+++ b/internal/testing/lab/deployment/deployment_test.go
@@ -28,7 +28,8 @@
 }
 
 func TestParseKeepsDefaultsWhereNothingIsSet(t *testing.T) {
-	parsed, err := deployment.Parse([]byte(`{"name":"a","callers":"both","load":{"conversations_per_second":3},` + soundSizes + `}`))
+	text := `{"name":"a","callers":"both","load":{"conversations_per_second":3},` + soundSizes + `}`
+	parsed, err := deployment.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,11 +42,13 @@
 
 func TestParseNamesEveryFault(t *testing.T) {
 	for fault, content := range map[string]string{
-		"name must":               `{"callers":"both",` + soundSizes + `}`,
-		"unknown site":            `{"name":"a","callers":"mars",` + soundSizes + `}`,
-		"conversations_per_sec":   `{"name":"a","callers":"both","load":{"conversations_per_second":0},` + soundSizes + `}`,
-		"fronts must":             `{"name":"a","callers":"both","sizes":{"voters":1,"stores":1,"zones":1,"model_servers":1,"tool_servers":1}}`,
-		"zone_weights must":       `{"name":"a","callers":"both","sizes":{"voters":1,"stores":1,"fronts":1,"zones":2,"zone_weights":[1],"model_servers":1,"tool_servers":1}}`,
+		"name must":             `{"callers":"both",` + soundSizes + `}`,
+		"unknown site":          `{"name":"a","callers":"mars",` + soundSizes + `}`,
+		"conversations_per_sec": `{"name":"a","callers":"both","load":{"conversations_per_second":0},` + soundSizes + `}`,
+		"fronts must": `{"name":"a","callers":"both",` +
+			`"sizes":{"voters":1,"stores":1,"zones":1,"model_servers":1,"tool_servers":1}}`,
+		"zone_weights must": `{"name":"a","callers":"both",` +
+			`"sizes":{"voters":1,"stores":1,"fronts":1,"zones":2,"zone_weights":[1],"model_servers":1,"tool_servers":1}}`,
 		"unknown field \"fronz\"": `{"name":"a","fronz":1}`,
 	} {
 		if _, err := deployment.Parse([]byte(content)); err == nil || !strings.Contains(err.Error(), fault) {
--- a/internal/testing/lab/simcommand/simcommand.go
+++ b/internal/testing/lab/simcommand/simcommand.go
@@ -135,7 +135,8 @@
 	flags.BoolVar(&chosen.keepSchedules, "keep-schedules", false,
 		"leave out the shortening of failed schedules, which runs a seed up to 60 times more")
 	flags.BoolVar(&chosen.fingerprints, "fingerprints", false,
-		"print a line for each suite and seed with a sum of all that its run counted, to find the first seed that a change touches")
+		"print a line for each suite and seed with a sum of all that its run counted, "+
+			"to find the first seed that a change touches")
 	flags.DurationVar(&chosen.rest, "rest", 0,
 		"simulate a site's fleet at rest for this long, without faults, and print how much faster than real time that is")
 	return command
--- a/internal/testing/lab/simulatednode/fleet.go
+++ b/internal/testing/lab/simulatednode/fleet.go
@@ -175,7 +175,8 @@
 	for i, n := range h.nodes {
 		for worker := range concurrentOwnersPerNode {
 			owning.Go(func() error {
-				for number := i*concurrentOwnersPerNode + worker; number < sessions; number += len(h.nodes) * concurrentOwnersPerNode {
+				owners := len(h.nodes) * concurrentOwnersPerNode
+				for number := i*concurrentOwnersPerNode + worker; number < sessions; number += owners {
 					id := fmt.Sprintf("hollow-session-%06d", number)
 					rejections, err := n.ownSession(ctx, id, "program-"+id)
 					rejectionCount.Add(int64(rejections))
--- a/internal/testing/lab/standin/shell.go
+++ b/internal/testing/lab/standin/shell.go
@@ -140,7 +140,8 @@
 			interval, err := s.options.Announcer.Heartbeat(ctx, s.body())
 			if (err == nil) != reached && ctx.Err() == nil {
 				reached = err == nil
-				s.options.Logger.Info("front node reachability changed", "id", s.options.Announcement.ID, "reached", reached, "err", err)
+				s.options.Logger.Info("front node reachability changed", "id", s.options.Announcement.ID, "reached", reached, "err",
+					err)
 			}
 			timer.Reset(nextHeartbeat(interval, err))
 		}
