--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -194,7 +194,7 @@
 		return r.readHistory(command.LastTurn)
 	case turn.Admit:
 		return r.admit()
-	case turn.Leave:
+	case turn.FreeSlot:
 		r.leave()
 	case turn.Reserve:
 		return r.reserve(command)
@@ -218,8 +218,8 @@
 		retained, status := r.service.operations.ReadTurn(r.ctx, r.key.Program, command.TurnID)
 		return turn.RetainedTurnRead{Turn: retained, Status: status}
 	case turn.Backoff:
-		return waitBackoff(r.service, r.grant, command.For)
-	case turn.Remember:
+		return r.waitBackoff(command.For)
+	case turn.CacheTurn:
 		r.service.sessions.RecordCommit(r.key, command.Turn, r.history)
 	case turn.ForgetSession:
 		r.service.forgetSession(r.key, command.Fenced)
@@ -253,17 +253,3 @@
 	r.sessionFreed = true
 	r.service.sessions.Finish(r.key, r.live)
 }
-
-// waitBackoff waits before the ledger is asked again. Lost authority ends the wait
-// for good: the next epoch charges the reservation.
-func waitBackoff(s *Service, grant Grant, wait time.Duration) turn.Event {
-	select {
-	case <-s.clock.After(wait):
-	case <-s.stopped:
-		return turn.Stopped{Reason: turn.StopAuthority}
-	}
-	if !grant.Valid() {
-		return turn.Stopped{Reason: turn.StopAuthority}
-	}
-	return turn.Waited{}
-}
