--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -19,7 +19,7 @@
 	defer cancel()
 	if reason.cause != nil {
 		cancel()
-		i.logger.Error("process stopError", "cause", reason.cause)
+		i.logger.Error("process failed", "cause", reason.cause)
 	} else {
 		i.logger.Info("graceful shutdown started", "grace", grace)
 	}
