--- a/internal/dataplane/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -132,10 +132,10 @@
 			configuration.Rollout = &protocol.Rollout{CandidateVersion: 6, ShareBasisPoints: 5000}
 		})
 		reported := make(chan *protocol.ReportArmsRequest, 1)
-		f1.link.core = func(request *protocol.Request) (*protocol.Response, error) {
+		f1.link.answerWith(func(request *protocol.Request) (*protocol.Response, error) {
 			reported <- request.GetReportArms()
 			return &protocol.Response{}, nil
-		}
+		})
 		versions := map[string]int{}
 		for at := range 40 {
 			got := f1.turn(fmt.Sprintf(`{"model":%q,"program":"p%d","input":"x"}`, model, at), nil)
@@ -174,12 +174,12 @@
 
 		It("relays heartbeats of one moment together", func() {
 			relayed := make(chan int, 4)
-			f1.link.core = func(request *protocol.Request) (*protocol.Response, error) {
+			f1.link.answerWith(func(request *protocol.Request) (*protocol.Response, error) {
 				relayed <- len(request.GetRelayHeartbeats().GetHeartbeats())
 				return &protocol.Response{Body: &protocol.Response_RelayHeartbeats{
 					RelayHeartbeats: &protocol.RelayHeartbeatsResponse{IntervalSeconds: 2},
 				}}, nil
-			}
+			})
 			answered := make(chan answer, 3)
 			for range 3 {
 				go func() {
@@ -200,9 +200,9 @@
 		It("checks heartbeats and tells when the core is away", func() {
 			got := f1.do(http.MethodPost, "/v1/backends/heartbeat", strings.Replace(heartbeat, "127.0.0.1:9", "host:9", 1), nil)
 			Expect(got.at("error", "path")).To(Equal("address"))
-			f1.link.core = func(*protocol.Request) (*protocol.Response, error) {
+			f1.link.answerWith(func(*protocol.Request) (*protocol.Response, error) {
 				return nil, failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "none", failure.WithRetryAfter(time.Second))
-			}
+			})
 			answered := make(chan answer, 1)
 			go func() {
 				defer GinkgoRecover()
@@ -220,13 +220,13 @@
 		})
 
 		It("answers a drain once the core acknowledged it", func() {
-			f1.link.core = func(request *protocol.Request) (*protocol.Response, error) {
+			f1.link.answerWith(func(request *protocol.Request) (*protocol.Response, error) {
 				Expect(request.GetDrainBackEnd().GetId()).To(Equal("m1"))
 				Expect(request.GetDrainBackEnd().GetIncarnation()).To(BeEquivalentTo(4))
 				return &protocol.Response{Body: &protocol.Response_DrainBackEnd{
 					DrainBackEnd: &protocol.DrainBackEndResponse{ViewVersion: 9},
 				}}, nil
-			}
+			})
 			got := f1.do(http.MethodPost, "/v1/backends/m1/drain", `{"incarnation":4}`, nil)
 			Expect(got.at("view_version")).To(Equal("9"))
 			Expect(f1.do(http.MethodPost, "/v1/backends/m1/drain", `{}`, nil).at("error", "path")).To(Equal("incarnation"))
--- a/internal/dataplane/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -51,6 +51,13 @@
 	return &protocol.LocateCoreResponse{LeaderAddress: "core"}
 }
 
+// answerWith sets the answers of the core; the goroutines of the service may read them already.
+func (l *fakeLink) answerWith(core func(*protocol.Request) (*protocol.Response, error)) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.core = core
+}
+
 func (l *fakeLink) CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	l.mutex.Lock()
 	answer, shared, watched := l.core, l.shared, l.watched
