--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -93,7 +93,9 @@
 	if request.GetSession() != "" {
 		return nil
 	}
-	previous, status := a.service.ledgerOperations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
+	previous, status := a.service.ledgerOperations.ReadTurn(
+		c.Request.Context(), request.GetProgram(), request.GetPreviousTurn(),
+	)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		request.Session = previous.GetSession()
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -210,7 +210,9 @@
 
 // resumeFromLedger replays a retained turn. A turn that is still open in the ledger but unknown to its owner
 // is about to end; the caller is answered when to retry.
-func (a *api) resumeFromLedger(ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn, cause error) error {
+func (a *api) resumeFromLedger(
+	ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn, cause error,
+) error {
 	retained := current.retained
 	if retained == nil {
 		read, status := a.service.ledgerOperations.ReadTurn(ctx, query.program, query.id)
