--- a/internal/dataplane/front/backends/server.go
+++ b/internal/dataplane/front/backends/server.go
@@ -27,7 +27,7 @@
 // any goroutine may use it.
 type Server struct {
 	description atomic.Pointer[protocol.BackEnd]
-	inFlight    atomic.Int32
+	requests    requestCounts
 	running     atomic.Uint32
 	queued      atomic.Uint32
 	capacity    atomic.Uint32
@@ -38,7 +38,7 @@
 	// nanoseconds.
 	reportedAt atomic.Int64
 	sampledAt  atomic.Int64
-	// ownAtReport is inFlight as it was when the load was last reported.
+	// ownAtReport is the requests in flight as they were when the load was last reported.
 	ownAtReport atomic.Int32
 	// answersCarryLoad is true once an answer carried the server's load.
 	answersCarryLoad atomic.Bool
@@ -66,10 +66,10 @@
 func (b *Server) IsDraining() bool { return b.draining.Load() }
 
 // BeginRequest counts a request as in flight to the server until EndRequest.
-func (b *Server) BeginRequest() { b.inFlight.Add(1) }
+func (b *Server) BeginRequest() { b.requests.addRequests(1) }
 
 // EndRequest ends what BeginRequest began.
-func (b *Server) EndRequest() { b.inFlight.Add(-1) }
+func (b *Server) EndRequest() { b.requests.addRequests(-1) }
 
 // ExpectAnswer tracks a request that should show a sign of its answer within some time; zero is no bound.
 // The result is nil then.
@@ -168,8 +168,9 @@
 
 // ApplyLoad applies the load that the server reported at a time.
 func (b *Server) ApplyLoad(load dialect.Load, now time.Time) {
-	b.steps.atReport.Store(b.steps.count.Load())
-	b.ownAtReport.Store(b.inFlight.Load())
+	inFlight, steps := b.requests.load()
+	b.steps.atReport.Store(steps)
+	b.ownAtReport.Store(inFlight)
 	b.running.Store(load.Running)
 	b.queued.Store(load.Queued)
 	if load.Capacity > 0 {
--- a/internal/dataplane/front/backends/set.go
+++ b/internal/dataplane/front/backends/set.go
@@ -78,12 +78,13 @@
 		if at := server.reportedAt.Load(); at > 0 {
 			age = time.Duration(now.UnixNano() - at)
 		}
+		inFlight, _ := server.requests.load()
 		snapshot = append(snapshot, schedule.Candidate{
 			ID: description.GetId(), Zone: description.GetZone(), Region: description.GetRegion(),
 			Draining: server.draining.Load(), Ejected: known.ejected,
 			EjectedUntil: known.until, Unreachable: known.unreachable, Recent: known.recent,
 			ReportAge: age, UsedTokens: server.cacheUsed.Load(), CacheTokens: server.cacheTotal.Load(),
-			Capacity: capacity, InFlight: uint32(max(server.inFlight.Load(), 0)),
+			Capacity: capacity, InFlight: uint32(max(inFlight, 0)),
 			Running: running, Queued: queued, OwnAtReport: uint32(max(server.ownAtReport.Load(), 0)),
 			Weight: zoneWeight(group, description.GetZone()) * known.share,
 		})
--- a/internal/dataplane/front/backends/step_load.go
+++ b/internal/dataplane/front/backends/step_load.go
@@ -13,8 +13,7 @@
 
 // stepLoad is the load of one server by this front node's generations of training steps.
 type stepLoad struct {
-	count atomic.Int32
-	// atReport is count as it was when the server last reported its load, which includes it.
+	// atReport is the number of generations in flight when the server last reported its load, which includes them.
 	atReport atomic.Int32
 	// tokens are those of their prompts that are still to be prefilled, and those that may still be generated.
 	tokens atomic.Int64
@@ -29,13 +28,11 @@
 }
 
 // BeginStep records that a generation of a step goes to the server, with the tokens that its prompt and
-// output may take. The count of all requests changes last here and first in End, so that no reader takes a
-// generation for a live request.
+// output may take.
 func (b *Server) BeginStep(prompt, output uint64) *StepWork {
 	work := &StepWork{server: b, prompt: int64(prompt), output: int64(output)}
-	b.steps.count.Add(1)
 	b.steps.tokens.Add(work.prompt + work.output)
-	b.inFlight.Add(1)
+	b.requests.addSteps(1)
 	return work
 }
 
@@ -48,9 +45,8 @@
 
 // End ends the generation at the server.
 func (w *StepWork) End() {
-	w.server.inFlight.Add(-1)
+	w.server.requests.addSteps(-1)
 	w.server.steps.tokens.Add(-w.prompt - w.output)
-	w.server.steps.count.Add(-1)
 }
 
 // StepPlacement is what the placement of a generation of a step needs beside that of other turns.
@@ -66,11 +62,13 @@
 	return max(prompt.Tokens(), uint64(routed.GetPromptTokens()))
 }
 
-// addStepLoad adds the load by generations of steps to candidates that are shared by a number of front nodes.
+// addStepLoad adds the load by generations of steps to candidates that are shared by a number of front nodes. It counts
+// all requests in flight again, so that both numbers are of one moment.
 func (b *Set) addStepLoad(candidates []schedule.Candidate, fronts int) {
 	for at := range candidates {
 		server := b.ByID[candidates[at].ID]
-		candidates[at].Steps = uint32(max(server.steps.count.Load(), 0))
+		inFlight, steps := server.requests.load()
+		candidates[at].InFlight, candidates[at].Steps = uint32(max(inFlight, 0)), uint32(max(steps, 0))
 		candidates[at].StepsAtReport = uint32(max(server.steps.atReport.Load(), 0))
 		candidates[at].StepTokens = uint64(max(server.steps.tokens.Load(), 0))
 		candidates[at].StepSlots = uint32(candidateSlots(&candidates[at]).ForSteps(fronts, false))
