--- a/internal/testing/lab/simulatednode/fleet.go
+++ b/internal/testing/lab/simulatednode/fleet.go
@@ -85,7 +85,7 @@
 
 // Error implements error.
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("%d of %d hollow nodes are ready", e.Ready, e.Nodes)
+	return fmt.Sprintf("%d of %d simulated nodes are ready", e.Ready, e.Nodes)
 }
 
 // MemoryError is returned when the simulated nodes exceed their share of the machine's memory.
--- a/internal/testing/lab/simulatednode/memory.go
+++ b/internal/testing/lab/simulatednode/memory.go
@@ -25,7 +25,7 @@
 type UnreachableError struct{ Address string }
 
 // Error implements error.
-func (e *UnreachableError) Error() string { return "no hollow node listens at " + e.Address }
+func (e *UnreachableError) Error() string { return "no simulated node listens at " + e.Address }
 
 // listen gives the next node an address of its own. Nothing else listens there.
 func (m *memoryNetwork) listen() *memoryListener {
--- a/internal/testing/lab/simulatednode/node.go
+++ b/internal/testing/lab/simulatednode/node.go
@@ -105,7 +105,7 @@
 		}
 		return send(response)
 	default:
-		return failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN, "a hollow front node serves no traffic")
+		return failure.New(failure.UnknownRequest, protocol.Outcome_NOT_RUN, "a simulated front node serves no traffic")
 	}
 }
 
