--- a/internal/controlplane/corelink/polling.go
+++ b/internal/controlplane/corelink/polling.go
@@ -35,6 +35,9 @@
 	})
 }
 
+// pollRequest names the versions of the current view. Known is also the acknowledgement. That is
+// sound because no poll starts between receiving a view and viewApplied (polling stays true).
+// Sections reset to 0 acknowledge nothing.
 func (o *ownerLoop) pollRequest(fresh bool) *protocol.Request {
 	known := o.link.View().Versions()
 	o.pendingSnapshots.resetKnown(known)
--- a/internal/dataplane/directory/event.go
+++ b/internal/dataplane/directory/event.go
@@ -58,7 +58,7 @@
 	Failure CallFailure
 }
 
-// GrantEnded reports that a turn or call admitted by Begin is committed.
+// GrantEnded reports that a turn or call admitted by Begin is over.
 type GrantEnded struct{ Session string }
 
 // OwnershipLost reports that the ledger rejected this node's epoch of a session, whatever the directory knows of it.
--- a/internal/dataplane/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -45,8 +45,8 @@
 // Incarnation is this node's incarnation under which the grant was given; under which an epoch is claimed.
 func (g *Grant) Incarnation() uint64 { return g.incarnation }
 
-// End reports that the turn is committed; a session that is being yielded ends with
-// its last grant. Further calls have no effect.
+// End reports that the turn or call is over, however it ended; a session that is being yielded
+// ends with its last grant. Further calls have no effect.
 func (g *Grant) End() {
 	if g.ended.Swap(true) {
 		return
--- a/internal/dataplane/turn/doc.go
+++ b/internal/dataplane/turn/doc.go
@@ -22,7 +22,9 @@
 //	stateDone              -                 nothing
 //
 // A Stopped event applies in every state. Before the reservation a turn is
-// rejected; after it the reservation is released, and charged if the turn may have run.
+// rejected or, when authority was lost, ended here, so that the ingress may bring
+// it to the next owner; after it the reservation is released, and charged if the
+// turn may have run.
 //
 // The states of a CallMachine (a tool call):
 //
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -56,9 +56,9 @@
 const (
 	stateNew state = iota
 	stateResolving
+	stateAdmitting
 	stateClaiming
 	stateReading
-	stateAdmitting
 	stateReserving
 	stateChoosing
 	stateIssued
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -36,8 +36,8 @@
 
 const (
 	callNew callState = iota
-	callClaiming
 	callAdmitting
+	callClaiming
 	callChoosing
 	callRecordingIntent
 	callIssued
