--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -20,11 +20,9 @@
 	codeChangeUnderWay  = failure.ChangeInProgress
 	codeLeaseRejected   = failure.LeaseRejected
 	codeStoreNotEmptied = failure.StoreNotEmptied
+	codeTooFewStores    = failure.TooFewStores
 )
 
-// TooFewStores is the code of an order to empty a store that is needed to hold every shard.
-const TooFewStores failure.Code = "too_few_stores"
-
 // contentDigest is the first half of a SHA-256.
 type contentDigest [16]byte
 
--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -20,7 +20,7 @@
 	}
 	remaining := s.remainingStores(store)
 	if len(remaining) < int(command.GetStoresToKeep()) {
-		return reject(TooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining),
+		return reject(codeTooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining),
 			command.GetStoresToKeep()),
 			fault("store", "is needed"))
 	}
--- a/internal/controlplane/controlstate/store_spread.go
+++ b/internal/controlplane/controlstate/store_spread.go
@@ -44,5 +44,5 @@
 func rejectLastStore(domain string, store *protocol.Node, remaining, needed int) *protocol.CommandResult {
 	message := fmt.Sprintf("%q is the last store of its %s: without it there would be stores in %d, %d are needed",
 		store.GetName(), domain, remaining, needed)
-	return reject(TooFewStores, message, fault("store", "is needed"))
+	return reject(codeTooFewStores, message, fault("store", "is needed"))
 }
--- a/internal/controlplane/controlstate/store_spread_test.go
+++ b/internal/controlplane/controlstate/store_spread_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
+	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
@@ -118,7 +118,7 @@
 			}
 			for _, number := range test.rejected {
 				rejection := w.rejected("", emptyKeepingSpread(fmt.Sprint("store-", number)))
-				Expect(codes(rejection)).To(Equal(string(controlstate.TooFewStores)), "store-%d", number)
+				Expect(codes(rejection)).To(Equal(string(failure.TooFewStores)), "store-%d", number)
 			}
 			// An order sent again is acknowledged again.
 			for _, number := range test.accepted {
--- a/internal/controlplane/core/adapter_api.go
+++ b/internal/controlplane/core/adapter_api.go
@@ -43,7 +43,7 @@
 func IsUnknownStore(err error) bool { return failure.Is(err, failure.NotFound) }
 
 // IsTooFewStores reports that a store cannot be emptied because too few would be left.
-func IsTooFewStores(err error) bool { return failure.Is(err, controlstate.TooFewStores) }
+func IsTooFewStores(err error) bool { return failure.Is(err, failure.TooFewStores) }
 
 // LeaderHTTPAddress is the HTTP address (ip:port) of the leader as far as this
 // process knows; empty when it knows none or leads itself.
--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/rosestand/rosestand/internal/controlplane/controlstate"
 	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 	"github.com/rosestand/rosestand/internal/controlplane/replica"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -79,17 +77,9 @@
 // Rejection turns a rejected command into a failure; its request was surely not run.
 func Rejection(rejection *protocol.Refusal) error {
 	code := failure.Code(rejection.GetCode())
-	options := []failure.Option{func(made *protocol.Failure) { made.Status = uint32(HTTPStatus(code)) }}
+	var options []failure.Option
 	if len(rejection.GetFaults()) > 0 {
 		options = append(options, failure.WithPath(rejection.GetFaults()[0].GetPath()))
 	}
 	return failure.New(code, protocol.Outcome_NOT_RUN, rejection.GetMessage(), options...)
 }
-
-// HTTPStatus is the HTTP status of a code, including those that the control state adds.
-func HTTPStatus(code failure.Code) int {
-	if code == controlstate.TooFewStores {
-		return http.StatusConflict
-	}
-	return code.Status()
-}
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -150,7 +150,7 @@
 			detail.Winner = winner
 		}
 	}
-	return detail, controllog.HTTPStatus(failure.Code(rejection.GetCode()))
+	return detail, failure.Code(rejection.GetCode()).Status()
 }
 
 func describeMalformed(malformed *strictjson.Error) (errorDetail, int) {
--- a/internal/failure/codes.go
+++ b/internal/failure/codes.go
@@ -79,6 +79,8 @@
 	WrongCluster     Code = "wrong_cluster"
 	ChangeInProgress Code = "change_under_way"
 	StoreNotEmptied  Code = "store_not_emptied"
+	// TooFewStores: the store that an order would empty is needed to hold every shard.
+	TooFewStores Code = "too_few_stores"
 )
 
 // statusClientClosedRequest is the common status for a request that its caller gave up; no RFC defines it.
@@ -140,6 +142,7 @@
 	WrongCluster:           http.StatusConflict,
 	ChangeInProgress:       http.StatusConflict,
 	StoreNotEmptied:        http.StatusConflict,
+	TooFewStores:           http.StatusConflict,
 }
 
 // Status returns the HTTP status of the code; 500 for an unknown one.
