--- a/internal/dataplane/front/dependencies.go
+++ b/internal/dataplane/front/dependencies.go
@@ -43,7 +43,7 @@
 	OwnerLost(session, address string, cause error)
 	// Fenced gives a session up after the ledger rejected this node's epoch of it.
 	Fenced(session string)
-	Begin(session, program string) (Grant, error)
+	Begin(session string) (Grant, error)
 	ServeDirectory(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 	Drain(ctx context.Context) error
 	OnYield(yielded func(session string))
--- a/internal/dataplane/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -101,7 +101,7 @@
 		nil
 }
 
-func (o *fakeOwnership) Begin(string, string) (front.Grant, error) {
+func (o *fakeOwnership) Begin(string) (front.Grant, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.beginError != nil {
--- a/internal/dataplane/front/fx.go
+++ b/internal/dataplane/front/fx.go
@@ -96,8 +96,8 @@
 type grantingManager struct{ *ownership.Manager }
 
 // Begin implements Ownership.
-func (m grantingManager) Begin(session, program string) (Grant, error) {
-	grant, err := m.Manager.Begin(session, program)
+func (m grantingManager) Begin(session string) (Grant, error) {
+	grant, err := m.Manager.Begin(session)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/front/http_turn.go
+++ b/internal/dataplane/front/http_turn.go
@@ -32,11 +32,11 @@
 func (freeGrant) End() {}
 
 // grantFor requests the permission to act as owner of a session, if there is one.
-func (s *Service) grantFor(session, program string) (Grant, error) {
+func (s *Service) grantFor(session string) (Grant, error) {
 	if session == "" {
 		return freeGrant{}, nil
 	}
-	return s.ownership.Begin(session, program)
+	return s.ownership.Begin(session)
 }
 
 // ownerOf finds the owner of a session. What belongs to no session is run where it came in.
@@ -51,7 +51,7 @@
 // progress.
 func (s *Service) beginHTTPTurn(request *protocol.TurnRequest) (*sessions.LiveTurn, error) {
 	key := sessions.Key{Session: request.GetSession(), Program: request.GetProgram()}
-	grant, err := s.grantFor(key.Session, key.Program)
+	grant, err := s.grantFor(key.Session)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/front/owner.go
+++ b/internal/dataplane/front/owner.go
@@ -28,7 +28,7 @@
 	if route == nil {
 		return nil, unknownModel()
 	}
-	grant, err := s.ownership.Begin(key.Session, key.Program)
+	grant, err := s.ownership.Begin(key.Session)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -55,7 +55,7 @@
 	if route == nil {
 		return nil, unknownTool()
 	}
-	grant, err := s.grantFor(request.GetSession(), request.GetProgram())
+	grant, err := s.grantFor(request.GetSession())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/ownership/benchmark_test.go
+++ b/internal/dataplane/ownership/benchmark_test.go
@@ -30,7 +30,7 @@
 		if _, err := manager.Resolve(context.Background(), "session", "program"); err != nil {
 			b.Fatal(err)
 		}
-		grant, err := manager.Begin("session", "program")
+		grant, err := manager.Begin("session")
 		if err != nil || !grant.Valid() {
 			b.Fatal(err)
 		}
--- a/internal/dataplane/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -18,7 +18,7 @@
 // Begin admits a turn or call. It fails with `not_owner` when this node does not
 // own the session or is yielding it, and with `no_authority` when it may not act
 // as owner at the moment, both with outcome NOT_RUN. The grant must be ended.
-func (m *Manager) Begin(session, _ string) (*Grant, error) {
+func (m *Manager) Begin(session string) (*Grant, error) {
 	var grant *Grant
 	var code failure.Code
 	worked := m.runAndWait(func(s *shell) { grant, code = s.begin(session) })
--- a/internal/dataplane/ownership/manager_test.go
+++ b/internal/dataplane/ownership/manager_test.go
@@ -47,7 +47,7 @@
 func TestGivenAnEndOfAuthorityThenGrantsAreVoidForGood(t *testing.T) {
 	given(t, trio, func(f *fleet) {
 		owner, session := f.nodes["a"], f.ownedBy("a", "b", 1)[0]
-		grant, err := owner.manager.Begin(session, "program")
+		grant, err := owner.manager.Begin(session)
 		f.g.Expect(err).NotTo(HaveOccurred())
 		f.g.Expect(grant.Valid()).To(BeTrue())
 		f.g.Expect(grant.Incarnation()).To(BeEquivalentTo(1))
@@ -55,7 +55,7 @@
 		owner.link.change(func(_ *protocol.Node, ends *time.Time) { *ends = time.Now().Add(time.Second) })
 		pass(time.Second)
 		f.g.Expect(grant.Valid()).To(BeFalse(), "authority expires without a notification")
-		_, err = owner.manager.Begin(session, "program")
+		_, err = owner.manager.Begin(session)
 		f.g.Expect(failure.Is(err, failure.NoAuthority)).To(BeTrue())
 		f.g.Expect(failure.From(err).GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
 		f.g.Expect(failure.From(err).GetRetryAfterMillis()).To(BeNumerically(">", 0))
@@ -70,7 +70,7 @@
 		f.publish(trio...)
 		pass(2 * time.Second)
 		f.g.Expect(grant.Valid()).To(BeFalse(), "a new incarnation does not revive it")
-		renewed, err := owner.manager.Begin(session, "program")
+		renewed, err := owner.manager.Begin(session)
 		f.g.Expect(err).NotTo(HaveOccurred())
 		f.g.Expect(renewed.Incarnation()).To(BeEquivalentTo(2))
 		grant.End()
@@ -131,7 +131,7 @@
 	given(t, trio, func(f *fleet) {
 		idle, busy := f.ownedBy("c", "a", 1)[0], f.ownedBy("c", "b", 1)[0]
 		others := f.ownedBy("a", "c", 5)
-		grant, err := f.nodes["c"].manager.Begin(busy, "program")
+		grant, err := f.nodes["c"].manager.Begin(busy)
 		f.g.Expect(err).NotTo(HaveOccurred())
 
 		drained := make(chan error, 1)
@@ -155,7 +155,7 @@
 
 func TestGivenADrainWithoutAnEndThenItsContextEndsIt(t *testing.T) {
 	given(t, trio, func(f *fleet) {
-		_, err := f.nodes["c"].manager.Begin(f.ownedBy("c", "a", 1)[0], "program")
+		_, err := f.nodes["c"].manager.Begin(f.ownedBy("c", "a", 1)[0])
 		f.g.Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
@@ -166,7 +166,7 @@
 // No core answers any more, so no view without the node's places will come.
 func TestGivenADrainWhenAuthorityEndsThenItWaitsNoLonger(t *testing.T) {
 	given(t, trio, func(f *fleet) {
-		_, err := f.nodes["c"].manager.Begin(f.ownedBy("c", "a", 1)[0], "program")
+		_, err := f.nodes["c"].manager.Begin(f.ownedBy("c", "a", 1)[0])
 		f.g.Expect(err).NotTo(HaveOccurred())
 		f.nodes["c"].link.change(func(_ *protocol.Node, ends *time.Time) { *ends = time.Now().Add(4 * time.Second) })
 		drained := make(chan error, 1)
@@ -195,7 +195,7 @@
 		f.nodes["a"].manager.Fenced(session)
 		pass(100 * time.Millisecond)
 		f.g.Expect(f.nodes["a"].yieldedSessions()).To(ConsistOf(session))
-		_, err := f.nodes["a"].manager.Begin(session, "program")
+		_, err := f.nodes["a"].manager.Begin(session)
 		f.g.Expect(failure.Is(err, failure.NotOwner)).To(BeTrue())
 		f.g.Expect(f.resolve("c", session).Local).To(BeTrue())
 	})
@@ -216,7 +216,7 @@
 		f.g.Expect(manager.Stop(context.Background())).To(Succeed())
 		_, err := manager.Resolve(context.Background(), "session", "program")
 		f.g.Expect(failure.Is(err, failure.NotReady)).To(BeTrue())
-		_, err = manager.Begin("session", "program")
+		_, err = manager.Begin("session")
 		f.g.Expect(failure.Is(err, failure.NoAuthority)).To(BeTrue())
 		f.g.Expect(manager.Drain(context.Background())).To(HaveOccurred())
 		_, err = manager.ServeDirectory(context.Background(), &protocol.Request{})
