--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -20,8 +20,8 @@
 	}
 	remaining := s.remainingStores(store)
 	if len(remaining) < int(command.GetStoresToKeep()) {
-		return reject(codeTooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store, len(remaining),
-			command.GetStoresToKeep()),
+		return reject(codeTooFewStores, fmt.Sprintf("without %q there would be %d stores, %d are needed", store,
+			len(remaining), command.GetStoresToKeep()),
 			fault("store", "is needed"))
 	}
 	if command.GetKeepSpread() {
--- a/internal/controlplane/core/drain_test.go
+++ b/internal/controlplane/core/drain_test.go
@@ -60,7 +60,7 @@
 		Expect(got.Version).To(Equal(leader.machine.View().BackEnds.GetVersion()))
 	})
 
-	It("is confirmed by a poll of the incarnation with the lease, but not that of another", func() {
+	It("is acknowledged by a poll of the incarnation with the lease, but not that of another", func() {
 		outcome := begin()
 		leader.renew(f1, leader.machine.View().Versions())
 		_, err := leader.poll(frontNode("f2", 7), leader.machine.View().Versions(), 0)
@@ -83,7 +83,7 @@
 		Eventually(outcome).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("waits under a new leader, which knows no confirmations", func() {
+	It("waits under a new leader, which knows no acknowledgements", func() {
 		outcome := begin()
 		next := f.lead(f.members[1])
 		var got drained
--- a/internal/controlplane/core/node_leases.go
+++ b/internal/controlplane/core/node_leases.go
@@ -135,7 +135,8 @@
 	return outcome
 }
 
-// acknowledgeVersions records what a node has in force, and checks the drains when that is a newer view of the back ends.
+// acknowledgeVersions records what a node has in force, and checks the drains when that is a newer view of the back
+// ends.
 func (o *ownerLoop) acknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions, now time.Time) {
 	lease := o.nodes.Find(holder)
 	if lease == nil || inForce == nil {
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -59,8 +59,8 @@
 	o.ejectedChanged = make(chan struct{})
 }
 
-// watchEjected answers as soon as there are ejected servers of another version than the one known, or without any at the
-// end of the time requested.
+// watchEjected answers as soon as there are ejected servers of another version than the one known, or without any at
+// the end of the time requested.
 func (s *Service) watchEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (*protocol.WatchSuspectsResponse, error) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// newlyEjected gives the ejected servers if their version is not the one known, else the channel that is closed at the next
-// change.
+// newlyEjected gives the ejected servers if their version is not the one known, else the channel that is closed at the
+// next change.
 func (s *Service) newlyEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (answer *protocol.WatchSuspectsResponse, changed <-chan struct{}, err error) {
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestGivenASubscriberThenAViewIsConfirmedOnlyWhenItIsInForce(t *testing.T) {
+func TestGivenASubscriberThenAViewIsAcknowledgedOnlyWhenItIsInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -120,7 +120,9 @@
 		},
 		"answers from the record": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})}},
+				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{
+					State: protocol.CallState_CALL_DONE, Status: 200,
+				})}},
 			},
 			counts: map[string]int{"issue": 0},
 		},
@@ -131,8 +133,10 @@
 			code: failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
 		"writes the same intent again after no answer": {
-			answers: map[string][]turn.Event{"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: ok}}},
-			counts:  map[string]int{"begin": 2, "issue": 1},
+			answers: map[string][]turn.Event{
+				"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: ok}},
+			},
+			counts: map[string]int{"begin": 2, "issue": 1},
 		},
 		"retries to record the outcome until the ledger answers": {
 			answers: map[string][]turn.Event{
