--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -120,9 +120,9 @@
 		},
 		"answers from the record": {
 			answers: map[string][]turn.Event{
-				"begin": {
-					turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})},
-				},
+				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{
+					State: protocol.CallState_CALL_DONE, Status: 200,
+				})}},
 			},
 			counts: map[string]int{"issue": 0},
 		},
