--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -13,6 +13,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/backends"
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
+	"github.com/rosestand/rosestand/internal/dataplane/front/outcomes"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -105,13 +106,13 @@
 const (
 	FirstBackoff          = firstBackoff
 	MaxBackoff            = maxBackoff
-	KeyedRejectionTimeout = keyedRejectionTimeout
+	TombstoneTimeout      = tombstoneTimeout
 	HeartbeatWindow       = heartbeat.Window
 	VariantReportInterval = rollout.ReportInterval
 	SampleInterval        = sampleInterval
 	SampleTimeout         = issue.SampleTimeout
-	ShareTick             = shareTick
-	ShareInterval         = shareInterval
+	ShareTick             = outcomes.Tick
+	ShareInterval         = outcomes.Interval
 	// AnswerWithin is far above the time in which the rig's routes should be answered.
 	AnswerWithin = time.Second
 )
--- a/internal/dataplane/front/http.go
+++ b/internal/dataplane/front/http.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -15,9 +16,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// keyedRejectionTimeout bounds the ledger's part in the rejection of a request that
+// tombstoneTimeout bounds the ledger's part in the rejection of a request that
 // was not admitted: a final answer waits no longer for its proof.
-const keyedRejectionTimeout = 40 * time.Millisecond
+const tombstoneTimeout = 40 * time.Millisecond
 
 // api is the HTTP surface towards callers and back ends.
 type api struct {
@@ -29,7 +30,7 @@
 func (s *Service) Register(engine *gin.Engine, maxBodyBytes uint64) {
 	a := &api{service: s, maxBody: int64(maxBodyBytes)}
 	if a.maxBody == 0 {
-		a.maxBody = DefaultMaxBodyBytes
+		a.maxBody = callerapi.DefaultMaxBodyBytes
 	}
 	engine.POST("/v1/responses", a.postResponse)
 	engine.GET("/v1/responses/:id", a.getResponse)
@@ -42,7 +43,7 @@
 
 // postResponse serves a turn.
 func (a *api) postResponse(c *gin.Context) {
-	request, stream, policy, err := a.admitTurn(c)
+	request, stream, policy, err := a.acceptTurn(c)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -57,24 +58,24 @@
 	a.answerTurn(ctx, c, request, policy)
 }
 
-// admitTurn reads a turn and checks everything that needs no owner.
-func (a *api) admitTurn(c *gin.Context) (*protocol.TurnRequest, bool, *protocol.TenantPolicy, error) {
-	text, err := readBody(c.Request, a.maxBody)
+// acceptTurn reads a turn and checks everything that needs no owner.
+func (a *api) acceptTurn(c *gin.Context) (*protocol.TurnRequest, bool, *protocol.TenantPolicy, error) {
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, nil, err
 	}
-	request, stream, err := parseTurn(text, c.Request.Header)
+	request, stream, err := callerapi.ParseTurn(text, c.Request.Header)
 	if err != nil {
 		return nil, false, nil, err
 	}
 	c.Header(issue.HeaderRequestID, request.GetRequestId())
-	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
-	policy, err := a.tenant(c, decided)
+	variant := a.service.rollout.Policies().VariantFor(request.GetProgram())
+	policy, err := a.tenant(c, variant)
 	if err != nil {
 		return nil, false, nil, err
 	}
 	request.Tenant, request.Ingress = policy.GetName(), a.service.name
-	if decided.Model(request.GetTenant(), request.GetModel()) == nil {
+	if variant.Model(request.GetTenant(), request.GetModel()) == nil {
 		return nil, false, nil, unknownModel()
 	}
 	if err := a.findConversation(c, request); err != nil {
@@ -92,7 +93,9 @@
 	if request.GetSession() != "" {
 		return nil
 	}
-	previous, status := a.service.operations.ReadTurn(c.Request.Context(), request.GetProgram(), request.GetPreviousTurn())
+	previous, status := a.service.ledgerOperations.ReadTurn(
+		c.Request.Context(), request.GetProgram(), request.GetPreviousTurn(),
+	)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		request.Session = previous.GetSession()
@@ -110,7 +113,7 @@
 		return nil, failure.New(failure.NotReady, protocol.Outcome_NOT_RUN, "no bundle is in force yet",
 			failure.WithRetryAfter(time.Second))
 	}
-	return tenantOf(c.Request.Header, decided)
+	return callerapi.TenantOf(c.Request.Header, decided)
 }
 
 // rejectEarly rejects a turn before an owner has seen it. A request that may repeat one that ran is
@@ -119,18 +122,18 @@
 	if request.GetFirstSend() {
 		return &failure.Error{Failure: f}
 	}
-	decided := make(chan error, 1)
+	rejected := make(chan error, 1)
 	a.service.runs.Go(func() {
-		decided <- a.service.rejectTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
+		rejected <- a.service.rejectTurn(context.WithoutCancel(c.Request.Context()), request, f, func(*protocol.Turn) error {
 			alreadyRan := failure.New(failure.RateLimited, protocol.Outcome_RAN, "the request ran before; read its turn",
 				failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
 			return alreadyRan
 		})
 	})
 	select {
-	case err := <-decided:
+	case err := <-rejected:
 		return err
-	case <-a.service.clock.After(keyedRejectionTimeout):
+	case <-a.service.clock.After(tombstoneTimeout):
 		return failure.New(failure.Code(f.GetCode()), protocol.Outcome_UNKNOWN, f.GetMessage(),
 			failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond))
 	}
@@ -139,22 +142,22 @@
 func (a *api) streamTurn(
 	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
 ) {
-	stream := newEventStream(c.Writer, request)
+	stream := callerapi.NewEventStream(c.Writer, request)
 	tokens := uint64(0)
-	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
+	err := a.service.forwardTurn(ctx, request, func(event *protocol.TurnEvent) error {
 		tokens += uint64(event.GetDelta().GetTokens())
-		return stream.send(event)
+		return stream.Send(event)
 	})
 	a.service.admission.ChargeTenant(policy, *a.service.fleetShare.Load(), tokens)
 	endStream(c, stream, err)
 }
 
 // endStream reports an error to the caller in the form that is still possible.
-func endStream(c *gin.Context, stream *eventStream, err error) {
+func endStream(c *gin.Context, stream *callerapi.EventStream, err error) {
 	switch {
 	case err == nil:
-	case stream.begun:
-		stream.fail(failure.From(err))
+	case stream.HasBegun():
+		stream.Fail(failure.From(err))
 	default:
 		writeError(c, err)
 	}
@@ -163,11 +166,11 @@
 func (a *api) answerTurn(
 	ctx context.Context, c *gin.Context, request *protocol.TurnRequest, policy *protocol.TenantPolicy,
 ) {
-	view := turnView{request: request}
+	view := callerapi.NewTurnView(request)
 	tokens := uint64(0)
 	var last *protocol.TurnEvent
-	err := a.service.relayTurn(ctx, request, func(event *protocol.TurnEvent) error {
-		view.see(event)
+	err := a.service.forwardTurn(ctx, request, func(event *protocol.TurnEvent) error {
+		view.Observe(event)
 		tokens += uint64(event.GetDelta().GetTokens())
 		last = event
 		return nil
@@ -179,20 +182,20 @@
 	case last.GetFailed() != nil:
 		writeError(c, &failure.Error{Failure: last.GetFailed()})
 	default:
-		c.JSON(http.StatusOK, view.completed(last.GetCompleted()))
+		c.JSON(http.StatusOK, view.Completed(last.GetCompleted()))
 	}
 }
 
 // postCall serves a tool call.
 func (a *api) postCall(c *gin.Context) {
-	request, nonRepeatable, err := a.admitCall(c)
+	request, nonRepeatable, err := a.acceptCall(c)
 	if err != nil {
 		writeError(c, err)
 		return
 	}
 	ctx, cancel := a.service.clock.WithTimeout(c.Request.Context(), timeLeft(request.GetTimeLeftMillis())+answerSlack)
 	defer cancel()
-	response, err := a.service.relayCall(ctx, request, nonRepeatable)
+	response, err := a.service.forwardCall(ctx, request, nonRepeatable)
 	if err != nil {
 		writeError(c, err)
 		return
@@ -201,37 +204,31 @@
 		writeError(c, &failure.Error{Failure: f})
 		return
 	}
-	c.JSON(http.StatusOK, callObject{
-		RequestID: request.GetRequestId(), Status: response.GetStatus(), Result: resultJSON(response),
-		Rosestand: provenance{
-			RequestID: request.GetRequestId(), Nonce: request.GetNonce(), BackEnd: response.GetBackEnd(),
-			Owner: response.GetOwner(), Epoch: response.GetEpoch(), BundleVersion: response.GetBundleVersion(),
-		},
-	})
+	c.JSON(http.StatusOK, callerapi.NewCallObject(request, response))
 }
 
-func (a *api) admitCall(c *gin.Context) (*protocol.ToolCallRequest, bool, error) {
-	text, err := readBody(c.Request, a.maxBody)
+func (a *api) acceptCall(c *gin.Context) (*protocol.ToolCallRequest, bool, error) {
+	text, err := callerapi.ReadBody(c.Request, a.maxBody)
 	if err != nil {
 		return nil, false, err
 	}
-	request, err := parseCall(text, c.Param("tool"), c.Request.Header)
+	request, err := callerapi.ParseCall(text, c.Param("tool"), c.Request.Header)
 	if err != nil {
 		return nil, false, err
 	}
 	c.Header(issue.HeaderRequestID, request.GetRequestId())
-	decided := a.service.rollout.Policies().VariantFor(request.GetProgram())
-	policy, err := a.tenant(c, decided)
+	variant := a.service.rollout.Policies().VariantFor(request.GetProgram())
+	policy, err := a.tenant(c, variant)
 	if err != nil {
 		return nil, false, err
 	}
 	request.Tenant, request.Ingress = policy.GetName(), a.service.name
-	route := decided.Tool(request.GetTenant(), request.GetTool())
+	route := variant.Tool(request.GetTenant(), request.GetTool())
 	if route == nil {
 		return nil, false, unknownTool()
 	}
 	if route.GetNonRepeatable() && c.GetHeader(issue.HeaderIdempotency) == "" {
-		return nil, false, missingField(issue.HeaderIdempotency)
+		return nil, false, callerapi.MissingField(issue.HeaderIdempotency)
 	}
 	if limited := a.service.admission.AdmitTenant(policy, *a.service.fleetShare.Load()); limited != nil {
 		_, err := a.service.rejectCall(c.Request.Context(), request, route.GetNonRepeatable(), limited)
--- a/internal/dataplane/front/http_read.go
+++ b/internal/dataplane/front/http_read.go
@@ -9,6 +9,7 @@
 
 	"github.com/gin-gonic/gin"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 	"github.com/rosestand/rosestand/internal/failure"
@@ -30,15 +31,15 @@
 func parseReadQuery(c *gin.Context) (readQuery, error) {
 	query := readQuery{id: c.Param("id"), program: c.Query("program")}
 	if query.program == "" {
-		return query, missingField("program")
+		return query, callerapi.MissingField("program")
 	}
 	if ledger.IsReservedProgram(query.program) {
-		return query, reservedProgram()
+		return query, callerapi.ReservedProgram()
 	}
 	if text := c.Query("stream"); text != "" {
 		stream, err := strconv.ParseBool(text)
 		if err != nil {
-			return query, invalidField("stream", "must be true or false")
+			return query, callerapi.InvalidField("stream", "must be true or false")
 		}
 		query.stream = stream
 	}
@@ -63,7 +64,7 @@
 	attempt, attemptError := strconv.ParseUint(attemptText, 10, 32)
 	sequence, sequenceError := strconv.ParseUint(sequenceText, 10, 64)
 	if attemptError != nil || sequenceError != nil || attempt == 0 {
-		return sessions.Cursor{}, invalidField("starting_after", "must be a sequence number or the id of an event")
+		return sessions.Cursor{}, callerapi.InvalidField("starting_after", "must be a sequence number or the id of an event")
 	}
 	return sessions.Cursor{Attempt: uint32(attempt), Sequence: sequence}, nil
 }
@@ -92,13 +93,10 @@
 		return
 	}
 	if current.retained == nil {
-		c.JSON(http.StatusOK, responseObject{
-			ID: query.id, Object: responseKind, Status: statusInProgress, Conversation: current.session, Program: query.program,
-			Output: []outputMessage{}, Rosestand: provenance{RequestID: current.requestID},
-		})
+		c.JSON(http.StatusOK, callerapi.InProgressObject(query.id, current.requestID, current.session, query.program))
 		return
 	}
-	c.JSON(http.StatusOK, retainedObject(current.retained))
+	c.JSON(http.StatusOK, callerapi.RetainedObject(current.retained))
 }
 
 // ledgerTurn is a turn as the ledger knows it: retained, or in progress in a session.
@@ -111,7 +109,7 @@
 // findTurn looks a turn up in the ledger. It is missing only when the ledger's
 // majority says so after the program's record was read.
 func (s *Service) findTurn(ctx context.Context, query readQuery, tenant string) (ledgerTurn, error) {
-	result := s.operations.Do(ctx, &protocol.LedgerOperation{
+	result := s.ledgerOperations.Do(ctx, &protocol.LedgerOperation{
 		Program: query.program, Body: &protocol.LedgerOperation_ReadProgram{ReadProgram: &protocol.ReadProgram{}},
 	})
 	switch {
@@ -127,7 +125,7 @@
 			return ledgerTurn{session: open.GetSession(), requestID: open.GetRequestId()}, nil
 		}
 	}
-	retained, status := s.operations.ReadTurn(ctx, query.program, query.id)
+	retained, status := s.ledgerOperations.ReadTurn(ctx, query.program, query.id)
 	switch status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return ledgerTurn{retained: retained, session: retained.GetSession(), requestID: retained.GetRequestId()}, nil
@@ -151,22 +149,20 @@
 	if current.retained != nil {
 		request.Model, request.PreviousTurn = current.retained.GetModel(), current.retained.GetPreviousTurn()
 	}
-	stream := newEventStream(c.Writer, request)
-	stream.last = query.after
-	stream.view.created = &protocol.TurnCreated{
+	created := &protocol.TurnCreated{
 		TurnId: query.id, RequestId: current.requestID, BackEnd: current.retained.GetBackEnd(),
 		Epoch: current.retained.GetEpoch(),
 	}
-	stream.begin()
-	if err := stream.controller.Flush(); err != nil {
+	stream, err := callerapi.ResumeEventStream(c.Writer, request, created, query.after)
+	if err != nil {
 		return
 	}
-	relayed := &relay{
-		service: a.service, request: request, deliver: stream.send, position: query.after,
+	relayed := &turnForwarder{
+		service: a.service, request: request, deliver: stream.Send, position: query.after,
 		explanation: a.service.explanations.Begin(current.requestID, current.session, query.program),
 	}
 	relayed.explanation.RecordStep("resumed", fmtCursor(query.after))
-	err := a.service.resumeFromOwner(ctx, relayed, query, current)
+	err = a.service.resumeFromOwner(ctx, relayed, query, current)
 	if err == nil || relayed.deliveryError != nil || ctx.Err() != nil {
 		endStream(c, stream, err)
 		return
@@ -179,7 +175,7 @@
 }
 
 // resumeFromOwner follows the turn at the front node that owns its session.
-func (s *Service) resumeFromOwner(ctx context.Context, r *relay, query readQuery, current ledgerTurn) error {
+func (s *Service) resumeFromOwner(ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn) error {
 	owner, err := s.ownership.Resolve(ctx, current.session, query.program)
 	if err != nil {
 		return err
@@ -189,7 +185,7 @@
 		if live == nil {
 			return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, "the turn is not under way here")
 		}
-		return live.Follow(ctx, query.after, r.forward)
+		return live.Follow(ctx, query.after, r.deliverEvent)
 	}
 	stream, err := s.caller.Open(ctx, owner.Address, &protocol.Request{Body: &protocol.Request_ResumeTurn{
 		ResumeTurn: &protocol.ResumeTurnRequest{
@@ -206,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.forward(response.GetTurnEvent()); err != nil || r.done {
+		if err := r.deliverEvent(response.GetTurnEvent()); err != nil || r.done {
 			return err
 		}
 	}
@@ -214,10 +210,12 @@
 
 // resumeFromLedger replays a retained turn. A turn that is still open in the ledger but unknown to its owner
 // is about to end; the caller is answered when to retry.
-func (a *api) resumeFromLedger(ctx context.Context, r *relay, query readQuery, current ledgerTurn, cause error) error {
+func (a *api) resumeFromLedger(
+	ctx context.Context, r *turnForwarder, query readQuery, current ledgerTurn, cause error,
+) error {
 	retained := current.retained
 	if retained == nil {
-		read, status := a.service.operations.ReadTurn(ctx, query.program, query.id)
+		read, status := a.service.ledgerOperations.ReadTurn(ctx, query.program, query.id)
 		if status != protocol.LedgerStatus_LEDGER_OK {
 			f := forwardingFailure(cause)
 			return failure.New(failure.Unavailable, protocol.Outcome_UNKNOWN, "the turn cannot be followed now: "+f.GetMessage(),
--- a/internal/dataplane/front/route_stream.go
+++ b/internal/dataplane/front/route_stream.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"github.com/rosestand/rosestand/internal/dataplane/front/callerapi"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
 	"github.com/rosestand/rosestand/internal/failure"
 	"github.com/rosestand/rosestand/internal/protocol"
@@ -37,7 +38,7 @@
 		writer: writer, method: accepted.http.GetMethod(),
 		controller: http.NewResponseController(writer),
 	}
-	if err := a.service.relayTurn(ctx, request, stream.send); err != nil {
+	if err := a.service.forwardTurn(ctx, request, stream.send); err != nil {
 		stream.fail(failure.From(err))
 	}
 }
@@ -79,14 +80,14 @@
 	// A writer that knows no deadlines, as in tests, is never slow.
 	_ = s.controller.SetWriteDeadline(time.Now().Add(routedWriteTimeout))
 	if _, err := s.writer.Write(event); err != nil {
-		return slowReader(err)
+		return callerapi.SlowReader(err)
 	}
 	return s.flush()
 }
 
 func (s *routedStream) flush() error {
 	if err := s.controller.Flush(); err != nil {
-		return slowReader(err)
+		return callerapi.SlowReader(err)
 	}
 	return nil
 }
@@ -103,13 +104,13 @@
 
 // serveCall serves a request that is answered at once.
 func (a *routeAPI) serveCall(ctx context.Context, writer http.ResponseWriter, accepted *acceptedRequest) {
-	repeatable := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
-	answer, err := a.service.relayCall(ctx, &protocol.ToolCallRequest{
+	idempotent := accepted.http.GetKind() == protocol.HttpRouteKind_HTTP_REPEATABLE
+	answer, err := a.service.forwardCall(ctx, &protocol.ToolCallRequest{
 		RequestId: accepted.id, Tenant: routedTenant, Program: accepted.program, Session: accepted.session,
 		Tool:           accepted.http.GetRoute(),
 		TimeLeftMillis: uint32(accepted.timeLeft.Milliseconds()), Ingress: a.service.name, FirstSend: true,
 		Http: accepted.http,
-	}, !repeatable)
+	}, !idempotent)
 	switch {
 	case err != nil:
 		writeRoutedFailure(writer, failure.From(err))
--- a/internal/dataplane/front/service.go
+++ b/internal/dataplane/front/service.go
@@ -19,6 +19,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/heartbeat"
 	"github.com/rosestand/rosestand/internal/dataplane/front/issue"
 	"github.com/rosestand/rosestand/internal/dataplane/front/ledgerops"
+	"github.com/rosestand/rosestand/internal/dataplane/front/outcomes"
 	"github.com/rosestand/rosestand/internal/dataplane/front/rollout"
 	"github.com/rosestand/rosestand/internal/dataplane/front/sessions"
 	"github.com/rosestand/rosestand/internal/dataplane/front/versionpin"
@@ -51,7 +52,8 @@
 	Registerer  prometheus.Registerer
 }
 
-// Service is the front plane of one process.
+// Service is the data plane of one process. Its fields are set by New; what changes later is atomic or guards
+// itself, so that any goroutine may use it.
 type Service struct {
 	name      string
 	zone      string
@@ -78,15 +80,16 @@
 	// inProgress counts the turns and calls run as owner.
 	inProgress atomic.Int64
 
-	client       *issue.Client
-	routes       *issue.RouteClient
-	models       *backends.Models
-	versionPins  *versionpin.Resolver
-	operations   *ledgerops.Client
-	admission    *admission.Controller
-	sessions     *sessions.Store
-	explanations *explain.Store
-	heartbeats   *heartbeat.Relay
+	backEndClient    *issue.Client
+	routeClient      *issue.RouteClient
+	models           *backends.Models
+	versionPins      *versionpin.Resolver
+	ledgerOperations *ledgerops.Client
+	admission        *admission.Controller
+	sessions         *sessions.Cache
+	explanations     *explain.Recorder
+	heartbeats       *heartbeat.Relay
+	outcomes         *outcomes.Sharer
 
 	// stopped is closed when the process abandons what is still in progress.
 	stopped  chan struct{}
@@ -96,48 +99,62 @@
 	runs     sync.WaitGroup
 }
 
-// New makes a service. It subscribes to the link's views; Start begins its background work.
-func New(options Options) *Service {
-	if options.Clock == nil {
-		options.Clock = systemClock{}
+// withDefaults fills in the options that are not required.
+func (o Options) withDefaults() Options {
+	if o.Clock == nil {
+		o.Clock = systemClock{}
 	}
-	if options.Dialect.RequestID == "" {
-		options.Dialect = dialect.Default()
+	if o.Dialect.RequestID == "" {
+		o.Dialect = dialect.Default()
 	}
-	if options.Logger == nil {
-		options.Logger = log.Default()
+	if o.Logger == nil {
+		o.Logger = log.Default()
 	}
-	if options.Registerer == nil {
-		options.Registerer = prometheus.NewRegistry()
+	if o.Registerer == nil {
+		o.Registerer = prometheus.NewRegistry()
 	}
+	return o
+}
+
+// New makes a service. It subscribes to the link's views; Start begins its background work.
+func New(options Options) *Service {
+	options = options.withDefaults()
 	models := backends.NewModels()
 	s := &Service{
-		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(), link: options.Link,
-		ledger:    options.Ledger,
-		ownership: options.Ownership, caller: options.Caller, clock: options.Clock, logger: options.Logger,
-		metrics:      newMetrics(options.Registerer),
-		client:       issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
-		routes:       issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
-		models:       models,
-		sessions:     sessions.NewStore(options.Clock),
-		explanations: explain.NewStore(options.Clock, options.Self.GetName()),
-		stopped:      make(chan struct{}),
-		startedAt:    options.Clock.Now(),
-		hasBundle:    make(chan struct{}),
+		name: options.Self.GetName(), zone: options.Self.GetZone(), region: options.Self.GetRegion(),
+		link: options.Link, ledger: options.Ledger, ownership: options.Ownership, caller: options.Caller,
+		clock: options.Clock, logger: options.Logger, metrics: newMetrics(options.Registerer),
+		backEndClient: issue.NewClient(options.Clock, options.StallTimeout, options.DialBackEnd),
+		routeClient:   issue.NewRouteClient(options.Dialect, options.Clock, models, options.DialBackEnd),
+		models:        models,
+		sessions:      sessions.NewStore(options.Clock),
+		explanations:  explain.NewStore(options.Clock, options.Self.GetName()),
+		stopped:       make(chan struct{}),
+		startedAt:     options.Clock.Now(),
+		hasBundle:     make(chan struct{}),
 	}
-	s.admission = admission.NewController(options.Clock, s.stepSlots)
-	s.rollout = rollout.NewTracker(s.name, options.Link, options.Clock)
-	s.operations = ledgerops.NewClient(s.name, options.Ledger, func() *protocol.MembershipView {
-		return options.Link.View().Membership
+	s.wireParts()
+	s.viewChanged(s.link.View())
+	s.link.Subscribe(s.viewChanged)
+	s.ownership.OnYield(s.sessions.Yield)
+	return s
+}
+
+// wireParts makes the parts that need others of the service.
+func (s *Service) wireParts() {
+	s.admission = admission.NewController(s.clock, s.stepSlots)
+	s.rollout = rollout.NewTracker(s.name, s.link, s.clock)
+	s.ledgerOperations = ledgerops.NewClient(s.name, s.ledger, func() *protocol.MembershipView {
+		return s.link.View().Membership
 	})
 	s.versionPins = versionpin.NewResolver(versionpin.Options{
-		Node: s.name, Now: options.Clock.Now, Ledger: s.operations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
+		Node: s.name, Now: s.clock.Now, Ledger: s.ledgerOperations, Servers: s.backEnds.Load, Pinned: s.metrics.stepPins,
 	})
-	s.heartbeats = heartbeat.NewRelay(options.Link, options.Clock, s.metrics.heartbeats)
-	s.viewChanged(options.Link.View())
-	options.Link.Subscribe(s.viewChanged)
-	options.Ownership.OnYield(s.sessions.Yield)
-	return s
+	s.outcomes = outcomes.NewSharer(outcomes.Options{
+		Node: s.name, Zone: s.zone, Core: s.link, Clock: s.clock, Servers: s.backEnds.Load,
+		Suspected: s.metrics.sharedSuspects,
+	})
+	s.heartbeats = heartbeat.NewRelay(s.link, s.clock, s.metrics.heartbeats)
 }
 
 // viewChanged puts a view in force before it returns. The link calls it for one view at a time.
@@ -157,7 +174,7 @@
 	if s.backEnds.Load() == nil || former.Version != view.BackEnds.GetVersion() {
 		next := former.Next(view.BackEnds)
 		s.backEnds.Store(next)
-		s.routes.ForgetRemoved(former, next)
+		s.routeClient.ForgetRemoved(former, next)
 	}
 	fronts := max(countFrontNodes(view.Membership), 1)
 	share := 1 / float64(fronts)
@@ -192,8 +209,8 @@
 	s.workers.Go(func() { s.rollout.Report(ctx) })
 	s.workers.Go(func() { s.heartbeats.Run(ctx) })
 	s.workers.Go(func() { s.watchLoad(ctx) })
-	s.workers.Go(func() { s.shareOutcomes(ctx) })
-	s.workers.Go(func() { s.watchSuspects(ctx) })
+	s.workers.Go(func() { s.outcomes.Report(ctx) })
+	s.workers.Go(func() { s.outcomes.Watch(ctx) })
 	return nil
 }
 
@@ -224,8 +241,8 @@
 	s.admission.Stop()
 	s.sessions.Stop()
 	s.explanations.Stop()
-	s.client.Close()
-	s.routes.Close()
+	s.backEndClient.Close()
+	s.routeClient.Close()
 	return nil
 }
 
--- a/internal/protocol/schema_test.go
+++ b/internal/protocol/schema_test.go
@@ -34,7 +34,9 @@
 		}
 		return true
 	})
-	slices.SortFunc(files, func(one, other protoreflect.FileDescriptor) int { return strings.Compare(one.Path(), other.Path()) })
+	slices.SortFunc(files, func(one, other protoreflect.FileDescriptor) int {
+		return strings.Compare(one.Path(), other.Path())
+	})
 	return files
 }
 
@@ -61,7 +63,10 @@
 	var lines []string
 	for i := range messages.Len() {
 		message := messages.Get(i)
-		lines = append(lines, fmt.Sprintf("message %s reserved %v %v", message.FullName(), rangesOf(message), namesOf(message.ReservedNames())))
+		lines = append(
+			lines,
+			fmt.Sprintf("message %s reserved %v %v", message.FullName(), rangesOf(message), namesOf(message.ReservedNames())),
+		)
 		for j := range message.Fields().Len() {
 			lines = append(lines, describeField("field", message.Fields().Get(j)))
 		}
@@ -90,7 +95,10 @@
 
 // describeField names all of a field that the binary form, the JSON form or the meaning of an absent value depends on.
 func describeField(kind string, field protoreflect.FieldDescriptor) string {
-	line := fmt.Sprintf("%s %s = %d %s %s json %s", kind, field.FullName(), field.Number(), field.Cardinality(), typeOf(field), field.JSONName())
+	line := fmt.Sprintf(
+		"%s %s = %d %s %s json %s", kind, field.FullName(), field.Number(), field.Cardinality(), typeOf(field),
+		field.JSONName(),
+	)
 	if field.IsMap() {
 		line += fmt.Sprintf(" map from %s to %s", typeOf(field.MapKey()), typeOf(field.MapValue()))
 	}
@@ -139,8 +147,8 @@
 	return lines
 }
 
-// Programs of different versions talk to each other and read each other's files, so neither a number nor a name may change
-// unseen. A field that is added on purpose is written with -update-schema.
+// Programs of different versions talk to each other and read each other's files, so neither a number nor a name may
+// change unseen. A field that is added on purpose is written with -update-schema.
 func TestTheSchemaIsTheOneThatOtherVersionsKnow(t *testing.T) {
 	described := describe(schemaFiles())
 	if *updateSchema {
@@ -176,8 +184,8 @@
 	}
 	changes := map[string]func(*descriptorpb.FileDescriptorProto){
 		"number of a field":    func(file *descriptorpb.FileDescriptorProto) { field(file).Number = proto.Int32(99) },
-		"name of a field":      func(file *descriptorpb.FileDescriptorProto) { field(file).Name = proto.String("renamed") },
-		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).JsonName = proto.String("renamed") },
+		"name of a field":      func(file *descriptorpb.FileDescriptorProto) { field(file).Name = new("renamed") },
+		"JSON name of a field": func(file *descriptorpb.FileDescriptorProto) { field(file).JsonName = new("renamed") },
 		"type of a field": func(file *descriptorpb.FileDescriptorProto) {
 			field(file).Type = descriptorpb.FieldDescriptorProto_TYPE_BYTES.Enum()
 		},
@@ -185,7 +193,7 @@
 			field(file).Label = descriptorpb.FieldDescriptorProto_LABEL_REPEATED.Enum()
 		},
 		"message of a field": func(file *descriptorpb.FileDescriptorProto) {
-			messageOf(file, "SettleTurn").GetField()[4].TypeName = proto.String(".rosestand.v1.Item")
+			messageOf(file, "SettleTurn").GetField()[4].TypeName = new(".rosestand.v1.Item")
 		},
 		"field outside of its oneof": func(file *descriptorpb.FileDescriptorProto) {
 			messageOf(file, "StoreRecord").GetField()[1].OneofIndex = nil
@@ -195,10 +203,10 @@
 			message.Field = message.GetField()[1:]
 		},
 		"name of a message": func(file *descriptorpb.FileDescriptorProto) {
-			messageOf(file, "ReadProgram").Name = proto.String("Renamed")
+			messageOf(file, "ReadProgram").Name = new("Renamed")
 			for _, field := range messageOf(file, "LedgerOperation").GetField() {
 				if field.GetTypeName() == ".rosestand.v1.ReadProgram" {
-					field.TypeName = proto.String(".rosestand.v1.Renamed")
+					field.TypeName = new(".rosestand.v1.Renamed")
 				}
 			}
 		},
@@ -206,7 +214,7 @@
 			file.GetEnumType()[0].GetValue()[1].Number = proto.Int32(99)
 		},
 		"name of a value": func(file *descriptorpb.FileDescriptorProto) {
-			file.GetEnumType()[0].GetValue()[1].Name = proto.String("RENAMED")
+			file.GetEnumType()[0].GetValue()[1].Name = new("RENAMED")
 		},
 	}
 	original, err := protoregistry.GlobalFiles.FindFileByPath(changedPath)
--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -12,8 +12,8 @@
 )
 
 const small = `{"name":"small","seeds":[1,2],"servers":6,"fronts":4,"zones":2,"load_on_answers":true,"length_seconds":4,
-	"engine":{"slots":8,"queue":24,"cache_tokens":60000,"step_micros":6000,"per_request_micros":20,"per_thousand_micros":10,
-		"prompt_tokens_per_milli":30,"chunk":2048},
+	"engine":{"slots":8,"queue":24,"cache_tokens":60000,"step_micros":6000,"per_request_micros":20,
+		"per_thousand_micros":10,"prompt_tokens_per_milli":30,"chunk":2048},
 	"programs":[{"name":"short","per_second":8,"rank":1,"turns":3,"most_turns":6,"shared_tokens":2560,"input_tokens":1000,
 		"output_tokens":30,"pause_millis":150}],
 	"days":[{"name":"calm"},{"name":"slow","load":1.5,"slow_servers":1,"slow_factor":6}]}`
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestWhatIsSwitchedOffShows(t *testing.T) {
+func TestDisabledMechanismChangesTheResult(t *testing.T) {
 	result := parsed(t, small).Run()[0]
 	twice := map[string]float64{}
 	for _, row := range result.Rows {
@@ -52,12 +52,13 @@
 	}
 	for _, mechanism := range []schedulesim.Mechanism{schedulesim.HomeServer, schedulesim.CachedParts} {
 		if twice[string(mechanism)] <= twice["all mechanisms"] {
-			t.Errorf("without %q %g tokens a turn are read twice, with it %g", mechanism, twice[string(mechanism)], twice["all mechanisms"])
+			t.Errorf("without %q %g tokens a turn are read twice, with it %g", mechanism, twice[string(mechanism)],
+				twice["all mechanisms"])
 		}
 	}
 }
 
-func TestAPlayFollowsFromItsFile(t *testing.T) {
+func TestRunIsDeterminedByItsFile(t *testing.T) {
 	printed := func() string {
 		var output bytes.Buffer
 		file := parsed(t, small)
@@ -73,8 +74,11 @@
 	}
 }
 
-func TestBadFilesAreRefused(t *testing.T) {
-	for _, content := range []string{`{}`, strings.Replace(small, `"seeds":[1,2]`, `"seeds":[]`, 1), strings.Replace(small, `"slots":8`, `"slots":0`, 1)} {
+func TestInvalidFilesAreRejected(t *testing.T) {
+	for _, content := range []string{
+		`{}`, strings.Replace(small, `"seeds":[1,2]`, `"seeds":[]`, 1),
+		strings.Replace(small, `"slots":8`, `"slots":0`, 1),
+	} {
 		var field *ablation.FieldError
 		if _, err := ablation.Parse([]byte(content)); !errors.As(err, &field) {
 			t.Errorf("%.60s: %v", content, err)
--- a/internal/testing/lab/audit/operators.go
+++ b/internal/testing/lab/audit/operators.go
@@ -31,7 +31,8 @@
 		case standin.PhaseStarted, standin.PhaseRejected:
 			left, draining := acknowledged[entry.Server]
 			if after := entry.ArrivedAt().Sub(left); draining && after > drainLimit {
-				f.found(entry.Server, fmt.Sprintf("request %s came %s after the acknowledgement", entry.RequestID, after.Round(time.Millisecond)))
+				f.found(entry.Server, fmt.Sprintf("request %s came %s after the acknowledgement", entry.RequestID,
+					after.Round(time.Millisecond)))
 			}
 		}
 	}
@@ -111,7 +112,7 @@
 		former, known := newest[entry.Session]
 		if known && entry.Epoch < former.Epoch && entry.ArrivedMicros > former.AtMicros {
 			f.found(entry.Session, fmt.Sprintf("request %s of epoch %d ran at %s after one of epoch %d at %s",
-				entry.RequestID, entry.Epoch, place(entry), former.Epoch, place(former)))
+				entry.RequestID, entry.Epoch, runLocation(entry), former.Epoch, runLocation(former)))
 		}
 		if !known || entry.Epoch > former.Epoch {
 			newest[entry.Session] = entry
@@ -171,7 +172,8 @@
 		}
 		f.examine(1)
 		if record.BundleVersion < newest {
-			f.found(owner, fmt.Sprintf("request %s served by bundle %d after bundle %d", record.RequestID, record.BundleVersion, newest))
+			f.found(owner, fmt.Sprintf("request %s served by bundle %d after bundle %d", record.RequestID, record.BundleVersion,
+				newest))
 		}
 	}
 }
--- a/internal/testing/lab/chaos/run.go
+++ b/internal/testing/lab/chaos/run.go
@@ -96,7 +96,8 @@
 	if m.begin {
 		b.choose(m)
 		b.counts[m.step.Action]++
-		b.Logger.Info("fault", "action", m.step.Action, "on", names(m.victims.members), "for", m.step.Length.Round(time.Millisecond))
+		b.Logger.Info("fault injected", "action", m.step.Action, "on", names(m.victims.members), "for",
+			m.step.Length.Round(time.Millisecond))
 		return b.begin(m)
 	}
 	if len(m.victims.members) == 0 {
@@ -157,7 +158,7 @@
 			return err
 		}
 	case Replace:
-		fresh, err := b.Fleet.Replace(struck[0], b.Random)
+		fresh, err := b.Fleet.Replace(ctx, struck[0], b.Random)
 		if err != nil {
 			return err
 		}
@@ -181,7 +182,7 @@
 		return
 	}
 	b.returns = append(b.returns, audit.Recovery{After: string(action), At: begun, Took: took, Served: err == nil})
-	b.Logger.Info("service is back", "after", action, "took", took.Round(time.Millisecond), "err", err)
+	b.Logger.Info("service recovered", "after", action, "took", took.Round(time.Millisecond), "err", err)
 }
 
 // rest lists the core members that are not among the given ones.
@@ -225,7 +226,7 @@
 			}
 			continue
 		}
-		b.Logger.Warn("was down at the end", "name", member.Name)
+		b.Logger.Warn("member was down at end of run", "name", member.Name)
 		if err := b.Fleet.StartMember(member); err != nil {
 			return err
 		}
--- a/internal/testing/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAccountNamesWhatWasUnderWayWhenItWasLost(t *testing.T) {
+func TestAccountNamesDisruptionsInProgress(t *testing.T) {
 	day := readDay(t)
 	for _, window := range day.Account().Windows {
 		if window.Late+window.Rejected+window.Failed == 0 {
@@ -46,9 +46,12 @@
 	}
 }
 
-func TestComparisonHasARowADay(t *testing.T) {
+func TestComparisonHasARowForEachDay(t *testing.T) {
 	var output bytes.Buffer
-	dayreport.PrintComparison(&output, []dayreport.Named{{Name: "one", Report: readDay(t)}, {Name: "other", Report: readDay(t)}})
+	dayreport.PrintComparison(&output, []dayreport.Named{
+		{Name: "one", Report: readDay(t)},
+		{Name: "other", Report: readDay(t)},
+	})
 	for _, want := range []string{"one", "other", "0.812", "0.972", "worst windows 0.0900"} {
 		if !strings.Contains(output.String(), want) {
 			t.Errorf("%q is missing in\n%s", want, output.String())
--- a/internal/testing/lab/overload/overload_test.go
+++ b/internal/testing/lab/overload/overload_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestAPlanIsSeededAndOffersTheFactor(t *testing.T) {
+func TestPlanIsSeededAndOffersTheFactor(t *testing.T) {
 	first, err := testPlan().arrivals("run", 50)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestAPlanThatOffersTooMuchIsRefused(t *testing.T) {
+func TestPlanThatOffersTooMuchIsRejected(t *testing.T) {
 	plan := testPlan()
 	plan.MaxRequests = 100
 	if _, err := plan.arrivals("run", 50); err == nil {
@@ -58,12 +58,13 @@
 func observe(id, outcome, code string, sent, answered time.Duration, retryAfter int) Observation {
 	begun := time.Unix(1000, 0)
 	return Observation{DueAt: sent, After: sent >= 4*time.Second, Record: &caller.Record{
-		RequestID: id, Site: "burst-north", Priority: caller.PriorityProbe, Outcome: outcome, Code: code, AnsweredAt: begun.Add(answered),
-		Exchanges: []caller.Exchange{{SentAt: begun.Add(sent), RetryAfterMillis: retryAfter}},
+		RequestID: id, Site: "burst-north", Priority: caller.PriorityProbe, Outcome: outcome, Code: code,
+		AnsweredAt: begun.Add(answered),
+		Exchanges:  []caller.Exchange{{SentAt: begun.Add(sent), RetryAfterMillis: retryAfter}},
 	}}
 }
 
-func TestTheFiguresOfABurst(t *testing.T) {
+func TestFiguresOfABurst(t *testing.T) {
 	const ms = time.Millisecond
 	outcome := &Outcome{Begun: time.Unix(1000, 0), Burst: 4 * time.Second, Observations: []Observation{
 		observe("early", caller.OutcomeAnswered, "", 0, 900*ms, 0),
@@ -81,7 +82,8 @@
 		t.Fatalf("offered %d, answered %d, goodput %v", r.Offered, r.Answered, r.Goodput)
 	}
 	if r.AllRejections.Count() != 3 || r.RetryAfter != 2 || r.LateRejections != 1 || r.LateAtOnset != 1 {
-		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter, r.LateRejections, r.LateAtOnset)
+		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter,
+			r.LateRejections, r.LateAtOnset)
 	}
 	if len(r.RejectedButRan) != 1 || r.RejectedButRan[0] != "bare" {
 		t.Fatalf("refused and ran: %v", r.RejectedButRan)
--- a/internal/testing/lab/standin/fault_test.go
+++ b/internal/testing/lab/standin/fault_test.go
@@ -9,7 +9,10 @@
 )
 
 func TestFaultsFollowSeedAndProbabilities(t *testing.T) {
-	plan := standin.FaultPlan{Seed: 7, Probabilities: map[standin.Fault]float64{standin.FaultStall: 0.1, standin.FaultLate: 0.2}}
+	plan := standin.FaultPlan{Seed: 7, Probabilities: map[standin.Fault]float64{
+		standin.FaultStall: 0.1,
+		standin.FaultLate:  0.2,
+	}}
 	counts := map[standin.Fault]int{}
 	const requests = 20000
 	for i := range requests {
@@ -20,21 +23,25 @@
 		}
 		counts[fault]++
 	}
-	for fault, want := range map[standin.Fault]float64{standin.FaultStall: 0.1, standin.FaultLate: 0.2, standin.FaultNone: 0.7} {
+	for fault, want := range map[standin.Fault]float64{
+		standin.FaultStall: 0.1, standin.FaultLate: 0.2,
+		standin.FaultNone: 0.7,
+	} {
 		if share := float64(counts[fault]) / requests; share < want-0.02 || share > want+0.02 {
 			t.Errorf("%q on %.3f of requests, want %.1f", fault, share, want)
 		}
 	}
 }
 
-func TestNamedRequestGoesWrongOnce(t *testing.T) {
+func TestNamedRequestFailsOnce(t *testing.T) {
 	plan := standin.FaultPlan{Requests: map[string]standin.Fault{"r1": standin.FaultDieBefore}}
-	if plan.Pick("r1", 1) != standin.FaultDieBefore || plan.Pick("r1", 2) != standin.FaultNone || plan.Pick("r2", 1) != standin.FaultNone {
+	if plan.Pick("r1", 1) != standin.FaultDieBefore || plan.Pick("r1", 2) != standin.FaultNone ||
+		plan.Pick("r2", 1) != standin.FaultNone {
 		t.Fatal("the fault strikes elsewhere than on the first run of r1")
 	}
 }
 
-func TestUnusablePlansAreRefused(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for name, plan := range map[string]standin.FaultPlan{
 		"probabilities.explode": {Probabilities: map[standin.Fault]float64{"explode": 0.1}},
 		"probabilities.late":    {Probabilities: map[standin.Fault]float64{standin.FaultLate: -1}},
@@ -49,7 +56,7 @@
 	}
 }
 
-func TestTornLastLineIsPassedOverACorruptOneIsNot(t *testing.T) {
+func TestTornLastLineIsIgnoredACorruptOneIsNot(t *testing.T) {
 	whole := `{"phase":"started","server":"a"}` + "\n"
 	entries, err := standin.ParseJournal([]byte(whole + `{"phase":"fin`))
 	if err != nil || len(entries) != 1 {
--- a/internal/testing/subprocess/process_test.go
+++ b/internal/testing/subprocess/process_test.go
@@ -39,7 +39,8 @@
 	t.Helper()
 	spawner := subprocess.NewSpawner()
 	started, err := spawner.Start(subprocess.Spec{
-		Name: role, Binary: os.Args[0], LogFile: filepath.Join(t.TempDir(), "log"), Environment: []string{"PROCESS_TEST_ROLE=" + role},
+		Name: role, Binary: os.Args[0], LogFile: filepath.Join(t.TempDir(), "log"),
+		Environment: []string{"PROCESS_TEST_ROLE=" + role},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +64,8 @@
 	}
 	// The process may not have its memory yet.
 	usage, err := p.Usage()
-	for began := time.Now(); err == nil && usage.ResidentBytes == 0 && time.Since(began) < usageBound; usage, err = p.Usage() {
+	for began := time.Now(); err == nil && usage.ResidentBytes == 0 &&
+		time.Since(began) < usageBound; usage, err = p.Usage() {
 		runtime.Gosched()
 	}
 	if err != nil || usage.ResidentBytes == 0 {
@@ -115,8 +117,8 @@
 	p := start(t, "fail")
 	<-p.Exited()
 	var exited *subprocess.ExitedError
-	if !errors.As(p.Gone(), &exited) || exited.Result == nil {
-		t.Fatalf("gone: %v", p.Gone())
+	if !errors.As(p.UnexpectedExit(), &exited) || exited.Result == nil {
+		t.Fatalf("gone: %v", p.UnexpectedExit())
 	}
 	if gentle, err := p.Stop(time.Second); gentle || err != nil {
 		t.Fatalf("gentle %v, %v", gentle, err)
