--- a/internal/dataplane/front/backends/step_load_test.go
+++ b/internal/dataplane/front/backends/step_load_test.go
@@ -8,8 +8,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// TestStepsThatComeAndGoLeaveTheLiveRequestsAsTheyAre reads the load of a server with one live request while generations
-// of steps begin and end there: the live requests are all requests less the steps, so both must be of one moment.
+// TestStepsThatComeAndGoLeaveTheLiveRequestsAsTheyAre reads the load of a server with one live request while
+// generations of steps begin and end there: the live requests are all requests less the steps, so both must be of one
+// moment.
 func TestStepsThatComeAndGoLeaveTheLiveRequestsAsTheyAre(t *testing.T) {
 	const readings = 20_000
 	server := &Server{}
