--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -96,7 +96,8 @@
 }
 
 // sendAppend sends entries from peer.next on, or none, with the entry before them for the check of log
-// matching.
+// matching. Its round names the newest heartbeat, so that an answer to any append acknowledges that one as well: the
+// append was sent no earlier.
 func (n *Node) sendAppend(peer *progress, entries []*protocol.Entry) {
 	previous := peer.next - 1
 	term, _ := n.log.term(previous)
@@ -230,7 +231,8 @@
 
 // advanceCommit commits what is durable at a majority, if the last such entry is of this term:
 // replicas of older terms' entries do not count by themselves (section 5.4.2 of the paper). It
-// reports whether the node stepped down, since it committed its own removal.
+// reports whether the node stepped down, since it committed its own removal. Peers learn the new commit index with the
+// next append or heartbeat.
 func (n *Node) advanceCommit(now time.Time) bool {
 	index := n.quorumMatch()
 	if term, _ := n.log.term(index); index <= n.log.commit || term != n.term {
--- a/internal/controlplane/controlstate/placement.go
+++ b/internal/controlplane/controlstate/placement.go
@@ -127,6 +127,8 @@
 				fault(path, "is not a store that can take a shard"))
 		}
 		added++
+		// A replica that joins has this state until it is copied, but votes from the start: stores tell it from
+		// a rebuilding one by the list that names it (register.ShardRole).
 		next = append(next, &protocol.Replica{
 			Store: node.GetName(), StorageId: node.GetStorageId(),
 			State: protocol.ReplicaState_REPLICA_REBUILDING, RebuildingSince: index,
@@ -142,8 +144,8 @@
 	return next, nil
 }
 
-// rebuildLostReplicas marks the replicas of a store that came back with another data
-// folder: they do not vote until they are copied anew.
+// rebuildLostReplicas marks the replicas of a store that came back with another data folder: those of the
+// current set do not vote until they are copied; those of the next set join anew and vote.
 func (s *State) rebuildLostReplicas(index uint64, node *protocol.Node) {
 	var edited *protocol.Placement
 	for at, shard := range s.placement.GetShards() {
@@ -176,7 +178,8 @@
 	}
 }
 
-// shardCopied makes a rebuilt replica vote again and ends the move that waited for it.
+// shardCopied marks a replica as complete. A rebuilt one votes again; a joining one voted already, and its
+// move ends.
 func (s *State) shardCopied(index uint64, command *protocol.ShardCopiedCommand) *protocol.CommandResult {
 	at := int(command.GetShard())
 	if at >= len(s.placement.GetShards()) {
--- a/internal/controlplane/replica/leadership.go
+++ b/internal/controlplane/replica/leadership.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// trackLeadership ends a leadership that is over and begins a new one. Both can happen in one turn.
+// trackLeadership ends a leadership that is over and begins a new one. Both can happen in one
+// iteration of the owner loop.
 func (o *ownerLoop) trackLeadership(status *consensus.Status) {
 	isLeader := status.Role == consensus.Leader
 	isNewTerm := status.Term != o.leadingTerm
--- a/internal/controlplane/replica/owner_loop.go
+++ b/internal/controlplane/replica/owner_loop.go
@@ -171,7 +171,7 @@
 }
 
 // restartTransfers restarts the snapshot transfers whose snapshot has been removed; their first chunks
-// go out with the next output. It does so once in a turn of the owner, not at once: while a newer
+// go out with the next output. It does so once in an iteration of the owner loop, not at once: while a newer
 // snapshot is on the disk that the node does not know of yet, the node goes on to name the one before
 // it, which cannot be read any more.
 func (o *ownerLoop) restartTransfers() {
--- a/internal/dataplane/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -1,5 +1,5 @@
 // Package directory decides, without I/O, what one front node does for the
-// session directory (source: design page, session directory; dotnet/orleans
+// session directory (source: docs/SALVAGE.md; dotnet/orleans
 // issue 2656). The node has three roles in it:
 //
 //   - holder of one partition: it answers lookups and accepts registrations of the
--- a/internal/dataplane/front/ingress.go
+++ b/internal/dataplane/front/ingress.go
@@ -50,6 +50,7 @@
 	event    *protocol.TurnEvent
 }
 
+// Error implements error.
 func (e *outOfOrderError) Error() string {
 	return fmt.Sprintf("event %d-%d does not follow %d-%d", e.event.GetAttempt(), e.event.GetSequence(),
 		e.position.Attempt, e.position.Sequence)
@@ -58,6 +59,7 @@
 // truncatedStreamError reports that a stream ended before the turn did.
 type truncatedStreamError struct{}
 
+// Error implements error.
 func (e *truncatedStreamError) Error() string { return "the stream ended before the turn did" }
 
 // forwardTurn serves a turn for a caller. Unless an error is returned, deliver
--- a/internal/dataplane/front/issue/attempt_error.go
+++ b/internal/dataplane/front/issue/attempt_error.go
@@ -34,6 +34,7 @@
 	return backends.HealthOutcome(e.Fault)
 }
 
+// Error implements error.
 func (e *AttemptError) Error() string { return fmt.Sprintf("%s: %s", e.Fault, e.Detail) }
 
 // Event is the failure as the turn's state machine takes it.
--- a/internal/dataplane/front/issue/client.go
+++ b/internal/dataplane/front/issue/client.go
@@ -95,6 +95,7 @@
 	limit time.Duration
 }
 
+// Read implements net.Conn.
 func (g *stallGuard) Read(buffer []byte) (int, error) {
 	if err := g.SetReadDeadline(time.Now().Add(g.limit)); err != nil {
 		return 0, err
@@ -102,6 +103,7 @@
 	return g.Conn.Read(buffer)
 }
 
+// Write implements net.Conn.
 func (g *stallGuard) Write(buffer []byte) (int, error) {
 	if err := g.SetReadDeadline(time.Now().Add(g.limit)); err != nil {
 		return 0, err
--- a/internal/dataplane/front/issue/load_report.go
+++ b/internal/dataplane/front/issue/load_report.go
@@ -30,6 +30,7 @@
 // LoadStatusError reports an answer that is no load report, by its HTTP status.
 type LoadStatusError struct{ Status int }
 
+// Error implements error.
 func (e *LoadStatusError) Error() string {
 	return fmt.Sprintf("the load report has status %d", e.Status)
 }
--- a/internal/dataplane/front/sessions/stop_error.go
+++ b/internal/dataplane/front/sessions/stop_error.go
@@ -9,6 +9,7 @@
 	Reason turn.StopReason
 }
 
+// Error implements error.
 func (e *StopError) Error() string {
 	switch e.Reason {
 	case turn.StopDeadline:
--- a/internal/dataplane/front/sse/reader.go
+++ b/internal/dataplane/front/sse/reader.go
@@ -32,11 +32,13 @@
 // PartialEventError reports that a stream ended inside an event.
 type PartialEventError struct{}
 
+// Error implements error.
 func (*PartialEventError) Error() string { return "the stream ended inside an event" }
 
 // LargeEventError reports that an event is larger than MaxEventBytes.
 type LargeEventError struct{}
 
+// Error implements error.
 func (*LargeEventError) Error() string { return "an event is too large" }
 
 // Next returns one event with the blank line that ends it. Blank lines before an event, or at the
--- a/internal/dataplane/ring/ring.go
+++ b/internal/dataplane/ring/ring.go
@@ -1,5 +1,5 @@
 // Package ring is the hash ring that partitions the session directory over the
-// front nodes (source: design page, session directory).
+// front nodes (source: docs/SALVAGE.md).
 //
 // It owns no state beyond the immutable Ring values that it returns, which any
 // number of goroutines may share; it does no I/O.
--- a/internal/process/daemon/errors.go
+++ b/internal/process/daemon/errors.go
@@ -35,6 +35,7 @@
 // stoppedBeforeStartError reports that the process was asked to stop while it waited for disk space.
 type stoppedBeforeStartError struct{}
 
+// Error implements error.
 func (e *stoppedBeforeStartError) Error() string { return "stopped before the start" }
 
 // StageError reports in which stage of a start or stop something failed.
--- a/internal/state/register/shard_view.go
+++ b/internal/state/register/shard_view.go
@@ -60,7 +60,8 @@
 }
 
 // RequiredSources is how many other replicas of the current set must be read completely so that every chosen value is
-// on one of them.
+// on one of them. For an odd number of replicas both cases are a majority: of three, two others, so that a rebuild
+// needs both of them.
 func (v ShardView) RequiredSources() int {
 	replicas := len(v.Quorum.Current)
 	majority := replicas/2 + 1
--- a/internal/state/store/datafolder/errors.go
+++ b/internal/state/store/datafolder/errors.go
@@ -9,6 +9,7 @@
 	Cause error
 }
 
+// Error implements error.
 func (e *LogError) Error() string { return fmt.Sprintf("log of %s failed: %v", e.Log, e.Cause) }
 
 // Unwrap returns the cause.
--- a/internal/state/store/doc.go
+++ b/internal/state/store/doc.go
@@ -15,5 +15,5 @@
 // Registers are in memory, backed by a log with snapshots; retained turns are on disk, with
 // an index in memory.
 //
-// Source: design page, program ledger.
+// Source: docs/LEDGER.md.
 package store
--- a/internal/state/store/errors.go
+++ b/internal/state/store/errors.go
@@ -9,6 +9,7 @@
 	Cause error
 }
 
+// Error implements error.
 func (e *StorageReplacedError) Error() string {
 	return fmt.Sprintf("the folder has another storage id now: %v", e.Cause)
 }
--- a/internal/state/store/lifecycle/lifecycle.go
+++ b/internal/state/store/lifecycle/lifecycle.go
@@ -30,6 +30,7 @@
 // StoppedError reports that the store was stopped while something waited for it.
 type StoppedError struct{}
 
+// Error implements error.
 func (e *StoppedError) Error() string { return "the store stops" }
 
 // Lifecycle is shared by all goroutines of a store.
--- a/internal/state/store/owner/group.go
+++ b/internal/state/store/owner/group.go
@@ -117,6 +117,7 @@
 	before := table.View
 	table.View = view
 	if view.Role == register.RoleActive {
+		// It concerns joining and rebuilding replicas alone; the next copy of this shard begins anew.
 		table.CaughtUp = false
 	}
 	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.IsEmpty()) {
--- a/internal/state/store/owner/registers.go
+++ b/internal/state/store/owner/registers.go
@@ -112,7 +112,9 @@
 	g.appendRegister(registerRecord(table.View.Shard, key, entry.State), func() { g.synced(entry, due) })
 }
 
-// synced releases the answers that waited for a write of the register.
+// synced releases the answers that waited for a write of the register. The answers of a register are numbered from its
+// first unsynced write on, and syncs of one log complete in the order of its writes: a sync releases the answers up to
+// its own write (due), the last write in flight all of them, also those that whenDurable added.
 func (g *Group) synced(entry *shardtable.Register, due int) {
 	writes := g.unsynced[entry]
 	writes.inFlight--
--- a/internal/state/store/peers/errors.go
+++ b/internal/state/store/peers/errors.go
@@ -5,6 +5,7 @@
 	Store string
 }
 
+// Error implements error.
 func (e *AnswerError) Error() string { return "store " + e.Store + ": answer does not fit the request" }
 
 // NotLiveError reports that a store has no lease, or that too many requests to it are in flight.
@@ -12,4 +13,5 @@
 	Store string
 }
 
+// Error implements error.
 func (e *NotLiveError) Error() string { return "store " + e.Store + ": not reachable" }
--- a/internal/state/store/proposer/doc.go
+++ b/internal/state/store/proposer/doc.go
@@ -5,5 +5,5 @@
 // A Proposer belongs to the goroutine that owns its shards: every method, and every answer
 // of a replica, runs there.
 //
-// Source: design page, program ledger.
+// Source: docs/LEDGER.md.
 package proposer
--- a/internal/state/store/records/records.go
+++ b/internal/state/store/records/records.go
@@ -15,6 +15,7 @@
 	Cause error
 }
 
+// Error implements error.
 func (e *UnreadableError) Error() string { return "unreadable store record: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/internal/state/store/replication/errors.go
+++ b/internal/state/store/replication/errors.go
@@ -10,6 +10,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *CopyError) Error() string {
 	if e.Source == "" {
 		return fmt.Sprintf("shard %d: copy failed: %s", e.Shard, e.Reason)
--- a/internal/state/store/steptrace/trace.go
+++ b/internal/state/store/steptrace/trace.go
@@ -22,6 +22,7 @@
 	Program string
 }
 
+// Error implements error.
 func (e *UnreadProgramError) Error() string {
 	return "program " + e.Program + ": record not read from a majority"
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -220,8 +220,8 @@
 	return err
 }
 
-// fail ends the store because of an error that it cannot survive. Nothing that waits for the
-// failed write is ever answered.
+// fail ends the store because of an error that it cannot survive. No success is reported for what waits for the
+// failed write; its callers get LEDGER_UNAVAILABLE or an unknown outcome when the store stops.
 func (s *Store) fail(err error) {
 	s.failOnce.Do(func() {
 		s.options.Logger.Error("store failed", "error", err)
--- a/internal/state/store/storebench/costs.go
+++ b/internal/state/store/storebench/costs.go
@@ -22,6 +22,7 @@
 	Failed          int
 }
 
+// String implements fmt.Stringer.
 func (c *Cost) String() string {
 	return fmt.Sprintf("%-22s p50 %v, %v of processor time, %.1f messages between stores, %.1f syncs, failed %d",
 		c.Kind, c.Median.Round(10*time.Microsecond), c.ProcessorTime.Round(time.Microsecond), c.Messages, c.Syncs, c.Failed)
--- a/internal/state/store/storebench/load.go
+++ b/internal/state/store/storebench/load.go
@@ -77,6 +77,7 @@
 	MovedShards int
 }
 
+// String implements fmt.Stringer.
 func (r *Result) String() string {
 	return fmt.Sprintf("%.0f changes/s, p50 %v, p99 %v (reserve %v, commit %v), max %v, "+
 		"%v of processor time and %.0f bytes in the register log a change, failed %d, moved shards %d",
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -17,6 +17,7 @@
 	BytesOfProgram float64
 }
 
+// String implements fmt.Stringer.
 func (m *Memory) String() string {
 	return fmt.Sprintf("%.0f bytes a program of %d turns in each of its %d replicas (%d programs)",
 		m.BytesOfProgram, m.Turns, replicaCount, m.Programs)
@@ -49,6 +50,7 @@
 	Count int64
 }
 
+// Error implements error.
 func (e *FailedOperationsError) Error() string { return fmt.Sprintf("%d operations failed", e.Count) }
 
 // runPrograms runs programs to their last turn and returns the number of failed operations.
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -27,6 +27,7 @@
 	RestartProcessorTime time.Duration
 }
 
+// String implements fmt.Stringer.
 func (r *Rebuild) String() string {
 	return fmt.Sprintf("%d turns copied in %v with %v of processor time; restarted in %v with %v",
 		r.Turns, r.Took.Round(time.Millisecond), r.ProcessorTime.Round(time.Millisecond),
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -32,6 +32,7 @@
 	DiskBytes, Turns, Registers uint64
 }
 
+// String implements fmt.Stringer.
 func (s *Steady) String() string {
 	var text strings.Builder
 	for _, sample := range s.Samples {
--- a/internal/testing/sim/ownershipsuite/suite.go
+++ b/internal/testing/sim/ownershipsuite/suite.go
@@ -1,7 +1,7 @@
 // Package ownershipsuite runs the session directory, the lease holder and the
 // ledger's decision code of a fleet of front nodes in the simulator, under
 // crashes, freezes, partitions, message loss, restarts and drains, and checks the rules
-// of session ownership (source: design page, session directory; the three
+// of session ownership (source: docs/SALVAGE.md; the three
 // invariants are those of dotnet/orleans issue 2656).
 //
 // What is real: the lease holder, the ring, the directory and the decisions of
