--- a/internal/dataplane/front/answer_load_test.go
+++ b/internal/dataplane/front/answer_load_test.go
@@ -19,12 +19,12 @@
 	}
 }
 
-var _ = Describe("the load that a server tells with its answers", func() {
+var _ = Describe("the load that a server reports with its answers", func() {
 	call := func(program string) routed {
 		return routed{target: nonRepeatablePath, headers: with(testDialect.Program, program)}
 	}
 
-	It("keeps calls away from a server that others keep busy, until it is old", func() {
+	It("keeps calls away from a server that other front nodes load, until the report is stale", func() {
 		r := newRouteRig()
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Scheduling.Algorithm = protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN
@@ -40,14 +40,14 @@
 		Expect(idle.requests()).To(HaveLen(8))
 	})
 
-	DescribeTable("is asked for only when what is known is old",
+	DescribeTable("is requested only when the last report is stale",
 		func(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration, isFresh bool) {
 			Expect(front.IsFresh(answersCarryLoad, reportedAgo, sampledAgo)).To(Equal(isFresh))
 		},
-		Entry("a sample of a moment ago", false, 200*time.Millisecond, 200*time.Millisecond, true),
+		Entry("a recent sample", false, 200*time.Millisecond, 200*time.Millisecond, true),
 		Entry("an older sample", false, 300*time.Millisecond, 300*time.Millisecond, false),
-		Entry("an answer that told the load", true, 900*time.Millisecond, 4*time.Second, true),
+		Entry("a recent answer that reported the load", true, 900*time.Millisecond, 4*time.Second, true),
 		Entry("an older answer", true, 1100*time.Millisecond, 4*time.Second, false),
-		Entry("answers alone, which tell nothing of its memory", true, time.Millisecond, 6*time.Second, false),
+		Entry("answers alone, which report no memory use", true, time.Millisecond, 6*time.Second, false),
 	)
 })
--- a/internal/dataplane/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -33,7 +33,7 @@
 		r.put(&corelink.View{Configuration: configuration, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
 	}
 
-	DescribeTable("refuses bad input with the path of the field, and nothing is run",
+	DescribeTable("rejects invalid input with the path of the field and runs nothing",
 		func(body, code, path string) {
 			got := f1.turn(body, nil)
 			Expect(got.errorCode()).To(Equal(code), got.text)
@@ -41,8 +41,8 @@
 			Expect(got.outcome()).To(Equal("not_run"))
 			Expect(r.ledger.seen).To(BeEmpty())
 		},
-		Entry("no JSON", `{"model"`, "invalid_body", ""),
-		Entry("more than JSON", `{"model":"m","program":"p","input":"x"} {}`, "invalid_body", ""),
+		Entry("not JSON", `{"model"`, "invalid_body", ""),
+		Entry("bytes after the JSON", `{"model":"m","program":"p","input":"x"} {}`, "invalid_body", ""),
 		Entry("unknown field", `{"modell":"m"}`, "unknown_field", "modell"),
 		Entry("unknown field of an item", `{"model":"m","program":"p","input":[{"role":"user","content":"x","colour":1}]}`,
 			"unknown_field", "input[0].colour"),
@@ -54,17 +54,17 @@
 		Entry("unknown role", `{"model":"m","program":"p","input":[{"role":"king","content":"x"}]}`, "invalid_field",
 			"input[0].role"),
 		Entry("unknown priority", `{"model":"m","program":"p","input":"x","priority":"now"}`, "invalid_field", "priority"),
-		Entry("too long a timeout", `{"model":"m","program":"p","input":"x","timeout_millis":600001}`, "invalid_field",
+		Entry("a timeout too long", `{"model":"m","program":"p","input":"x","timeout_millis":600001}`, "invalid_field",
 			"timeout_millis"),
-		Entry("too long a program", `{"model":"m","program":"`+strings.Repeat("p", 129)+`","input":"x"}`, "invalid_field",
+		Entry("a program too long", `{"model":"m","program":"`+strings.Repeat("p", 129)+`","input":"x"}`, "invalid_field",
 			"program"),
-		Entry("a program of the ledger's own", `{"model":"m","program":"`+ledger.TrainingStepProgram("17")+`","input":"x"}`,
+		Entry("a reserved program name", `{"model":"m","program":"`+ledger.TrainingStepProgram("17")+`","input":"x"}`,
 			"invalid_field", "program"),
 		Entry("unknown model", `{"model":"m","program":"p","input":"x"}`, "unknown_model", "model"),
-		Entry("too large", `{"model":"`+strings.Repeat("m", 1<<20)+`"}`, "body_too_large", ""),
+		Entry("a body too large", `{"model":"`+strings.Repeat("m", 1<<20)+`"}`, "body_too_large", ""),
 	)
 
-	It("checks who calls", func() {
+	It("authenticates the caller", func() {
 		Expect(f1.turn(turnBody("s1", ""), headers{"Rosestand-Tenant": ""}).errorCode()).To(Equal("missing_field"))
 		Expect(f1.turn(turnBody("s1", ""), headers{"Rosestand-Tenant": "stranger"}).errorCode()).To(Equal("forbidden"))
 		configure(func(configuration *protocol.Configuration) {
@@ -77,7 +77,7 @@
 		Expect(f1.turn(turnBody("s1", ""), headers{"Authorization": "Bearer secret"}).status).To(Equal(http.StatusOK))
 	})
 
-	It("limits a tenant's rate and says when to come back", func() {
+	It("limits a tenant's rate and sets Retry-After", func() {
 		r.backEnd("m1", modelServer, modelAnswer("in"))
 		configure(func(configuration *protocol.Configuration) { configuration.Active.Tenants[0].RequestsPerSecond = 1 })
 		for at := range 2 {
@@ -91,7 +91,7 @@
 		Expect(f1.turn(turnBody("s9", ""), nil).status).To(Equal(http.StatusOK))
 	})
 
-	It("refuses a burst over the queue at once, and none of it ever runs", func() {
+	It("rejects a burst beyond the queue at once and never runs any of it", func() {
 		release, arrived := make(chan struct{}), make(chan struct{}, 64)
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -124,7 +124,7 @@
 		Expect(arrived).To(HaveLen(5))
 	})
 
-	It("sends a share of the programs to the candidate and reports both arms", func() {
+	It("sends a share of the programs to the candidate and reports both variants", func() {
 		r.backEnd("m1", modelServer, modelAnswer("in"))
 		configure(func(configuration *protocol.Configuration) {
 			configuration.Candidate = proto.CloneOf(configuration.Active)
@@ -156,7 +156,7 @@
 		Expect(total).To(BeEquivalentTo(40))
 	})
 
-	It("lets a shadow bundle decide beside the one in force", func() {
+	It("evaluates a shadow bundle beside the one in force", func() {
 		r.backEnd("m1", modelServer, modelAnswer("in"))
 		configure(func(configuration *protocol.Configuration) {
 			configuration.Candidate = proto.CloneOf(configuration.Active)
@@ -172,7 +172,7 @@
 		const heartbeat = `{"id":"m1","kind":"MODEL_SERVER","address":"127.0.0.1:9","group":"g",` +
 			`"models":["m"],"incarnation":4,"capacity":8}`
 
-		It("relays heartbeats of one moment together", func() {
+		It("batches concurrent heartbeats into one relayed request", func() {
 			relayed := make(chan int, 4)
 			f1.link.answerWith(func(request *protocol.Request) (*protocol.Response, error) {
 				relayed <- len(request.GetRelayHeartbeats().GetHeartbeats())
@@ -197,7 +197,7 @@
 			Expect(len(relayed)).To(BeNumerically("<", 4))
 		})
 
-		It("checks heartbeats and tells when the core is away", func() {
+		It("validates heartbeats and reports an unreachable core", func() {
 			got := f1.do(http.MethodPost, "/v1/backends/heartbeat", strings.Replace(heartbeat, "127.0.0.1:9", "host:9", 1), nil)
 			Expect(got.at("error", "path")).To(Equal("address"))
 			f1.link.answerWith(func(*protocol.Request) (*protocol.Response, error) {
@@ -219,7 +219,7 @@
 			Expect(away.header.Get("Retry-After")).To(Equal("1"))
 		})
 
-		It("answers a drain once the core acknowledged it", func() {
+		It("answers a drain after the core acknowledged it", func() {
 			f1.link.answerWith(func(request *protocol.Request) (*protocol.Response, error) {
 				Expect(request.GetDrainBackEnd().GetId()).To(Equal("m1"))
 				Expect(request.GetDrainBackEnd().GetIncarnation()).To(BeEquivalentTo(4))
@@ -233,7 +233,7 @@
 		})
 	})
 
-	It("gathers explanations from the other front nodes", func() {
+	It("collects explanations from the other front nodes", func() {
 		f2 := r.front("f2")
 		membership := &protocol.MembershipView{Version: 1, Nodes: []*protocol.Node{
 			{Name: "f1", Kind: protocol.NodeKind_FRONT, Address: "f1"},
--- a/internal/dataplane/front/http_steps_test.go
+++ b/internal/dataplane/front/http_steps_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-var _ = Describe("a front node asked for a training step", func() {
+var _ = Describe("a query for a training step at a front node", func() {
 	var (
 		r          *rig
 		f1         *node
@@ -32,7 +32,7 @@
 		}
 	})
 
-	It("shows what the ledger knows of it", func() {
+	It("returns the ledger's trace of the step", func() {
 		answered = &protocol.LedgerResult{
 			Status: protocol.LedgerStatus_LEDGER_OK,
 			TrainingStepTrace: &protocol.TrainingStepTrace{
@@ -59,14 +59,14 @@
 		Expect(ledger.Validate(operations[0])).To(Succeed())
 	})
 
-	It("says so when the step is not known", func() {
+	It("answers 404 for an unknown step", func() {
 		answered = ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_STEP_UNKNOWN)
 		got := f1.do(http.MethodGet, "/v1/training-steps/17", "", nil)
 		Expect(got.status).To(Equal(http.StatusNotFound))
 		Expect(got.errorCode()).To(BeEquivalentTo(failure.NotFound))
 	})
 
-	It("answers that the ledger is unavailable rather than a part", func() {
+	It("answers that the ledger is unavailable rather than with a partial trace", func() {
 		answered = ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 		got := f1.do(http.MethodGet, "/v1/training-steps/17", "", nil)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/dataplane/front/lost_reservations_test.go
+++ b/internal/dataplane/front/lost_reservations_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a budget held by the reservations of another front node", func() {
+var _ = Describe("a budget reserved by another front node", func() {
 	const (
 		budget           = 100
 		reservationLimit = 90
@@ -45,13 +45,13 @@
 		})
 	}
 
-	It("is waited for while that node is a member", func() {
+	It("blocks new turns while that node is a member", func() {
 		given(7)
 		Expect(n.turn(turnBody("c1", ""), nil).errorCode()).To(Equal("budget_held"))
 		Expect(r.ledger.program("p1").GetReservations()).To(HaveLen(2))
 	})
 
-	It("is charged once that node is gone, and the answer is final", func() {
+	It("is charged once that node is removed, and the rejection is final", func() {
 		given(8)
 		Expect(n.turn(turnBody("c1", ""), nil).errorCode()).To(Equal("budget_spent"))
 		Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a front node under more load than its servers take", func() {
+var _ = Describe("a front node under more load than its servers' capacity", func() {
 	var r *rig
 	var f1 *node
 
@@ -37,7 +37,7 @@
 		r.put(&corelink.View{Configuration: r.view.Configuration, Membership: r.view.Membership, BackEnds: next})
 	}
 
-	It("sends a server little more than it works on at once, and the rest wait by class", func() {
+	It("sends a server little more than its concurrency limit and queues the rest by class", func() {
 		var under atomic.Int32
 		release, arrived := make(chan struct{}), make(chan string, 64)
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
@@ -71,7 +71,7 @@
 		}
 	})
 
-	It("leaves room for what other front nodes have at the servers, as far as it was told lately", func() {
+	It("leaves capacity for other front nodes' requests in flight, by recent load reports", func() {
 		arrived := make(chan struct{}, 64)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -102,7 +102,7 @@
 		Consistently(arrived, 20*time.Millisecond).ShouldNot(Receive(), "a quarter of one and a half times eight")
 	})
 
-	It("asks a bounded number of servers, those of its subset only", func() {
+	It("requests load reports from a bounded number of servers, only those of its subset", func() {
 		for at := range 40 {
 			r.backEnd(fmt.Sprint("m", at), modelServer, modelAnswer("in"))
 		}
@@ -122,7 +122,7 @@
 		Expect(servers).To(BeNumerically(">", 1))
 	})
 
-	It("refuses what finds no room with one operation on the ledger, and that only for a key", func() {
+	It("rejects requests without capacity by one ledger operation, and only those with a key", func() {
 		arrived := make(chan struct{}, 8)
 		over := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
@@ -163,7 +163,7 @@
 		Expect(r.ledger.count("ClaimSession")).To(Equal(claims), "a refused turn claims nothing")
 	})
 
-	It("does not hold a refusal back for a slow ledger, and claims no more than it knows", func() {
+	It("does not delay a rejection for a slow ledger, and answers unknown when it cannot tell", func() {
 		r.ledger.holdRejections = make(chan struct{})
 		defer close(r.ledger.holdRejections)
 		arrived := make(chan struct{}, 8)
@@ -201,7 +201,7 @@
 		Expect(rejection.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("frees the servers of all callers that leave", func() {
+	It("frees the servers of all callers that disconnect", func() {
 		var started, freed atomic.Int32
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			started.Add(1)
@@ -227,7 +227,7 @@
 			"only the last one is not freed")
 	})
 
-	It("frees the server of a reader that does not read, long before the answer's end", func() {
+	It("frees the server of a caller that stops reading, long before the answer's end", func() {
 		const wordBytes = 16 << 10
 		word := strings.Repeat("w", wordBytes)
 		var written atomic.Int32
--- a/internal/dataplane/front/owned_turns_test.go
+++ b/internal/dataplane/front/owned_turns_test.go
@@ -29,13 +29,13 @@
 		r.backEnd("m1", modelServer, modelAnswer("far", " away"))
 	})
 
-	It("is passed on by the ingress", func() {
+	It("is forwarded by the ingress", func() {
 		got := f1.turn(turnBody("s1", ""), nil)
 		Expect(got.status).To(Equal(http.StatusOK), got.text)
 		Expect(got.at("rosestand", "owner")).To(Equal("f2"))
 	})
 
-	It("is followed again after the stream between the nodes broke, without a gap or a repeat", func() {
+	It("resumes after the stream between the nodes broke, without a gap or a duplicate", func() {
 		r.network.partitioned["f2"] = 2
 		response := f1.open(context.Background(), http.MethodPost, "/v1/responses",
 			turnBody("s1", `,"stream":true,"background":true`), nil)
@@ -61,7 +61,7 @@
 		Expect(events[3].kind).To(Equal("response.completed"))
 	})
 
-	It("is refused as not run when the owner cannot be reached and the ledger took the tombstone", func() {
+	It("is rejected as not run when the owner is unreachable and the ledger stored the tombstone", func() {
 		r.network.unreachable["f2"] = true
 		answered := make(chan answer)
 		go func() {
@@ -85,7 +85,7 @@
 		Expect(late.errorCode()).To(Equal("request_refused"), "a late copy of a refused request must never run")
 	})
 
-	It("passes nothing on from a stream that skips an event", func() {
+	It("forwards nothing from a stream that skips an event", func() {
 		r.network.peers["f2"] = skippingPeer{}
 		answered := make(chan answer, 1)
 		go func() {
@@ -101,7 +101,7 @@
 		Expect(got.text).NotTo(ContainSubstring("skipped to"))
 	})
 
-	It("is refused with the ledger's word once a copy of it may have arrived", func() {
+	It("is rejected by the ledger's answer once a duplicate of it may have arrived", func() {
 		answered := make(chan answer, 1)
 		r.network.partitioned["f2"] = 0
 		f2.ownership.beginError = failure.New(failure.BudgetReserved, protocol.Outcome_NOT_RUN, "later")
@@ -124,7 +124,7 @@
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
 	})
 
-	It("looks for the new owner when the old one gave the session up", func() {
+	It("is forwarded to the new owner after the old one yielded the session", func() {
 		f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "given up")
 		answered := make(chan answer)
 		go func() {
--- a/internal/dataplane/front/route_faults_test.go
+++ b/internal/dataplane/front/route_faults_test.go
@@ -22,34 +22,36 @@
 
 // badAnswers are those after which the request may have run.
 var badAnswers = map[string]badAnswer{
-	"none at all":              func(seenRequest) string { return "" },
-	"bytes that are no answer": func(seenRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" },
-	"a head that breaks off":   func(seen seenRequest) string { return rawHead(seen, "Content-Length: 2\r\n")[:40] },
-	"a body shorter than told": func(seen seenRequest) string { return rawHead(seen, "Content-Length: 10\r\n") + "short" },
-	"chunks without their end": func(seen seenRequest) string {
+	"no answer":               func(seenRequest) string { return "" },
+	"bytes that are not HTTP": func(seenRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" },
+	"a truncated head":        func(seen seenRequest) string { return rawHead(seen, "Content-Length: 2\r\n")[:40] },
+	"a body shorter than declared": func(seen seenRequest) string {
+		return rawHead(seen, "Content-Length: 10\r\n") + "short"
+	},
+	"chunks without the last one": func(seen seenRequest) string {
 		return rawHead(seen, "Transfer-Encoding: chunked\r\n") + "5\r\nshort\r\n"
 	},
-	"garbage in place of a chunk": func(seen seenRequest) string {
+	"an invalid chunk size": func(seen seenRequest) string {
 		return rawHead(seen, "Transfer-Encoding: chunked\r\n") + "zz\r\nshort\r\n0\r\n\r\n"
 	},
-	"one without proof": func(seen seenRequest) string {
+	"an answer without proof": func(seen seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, seen.id())
 	},
-	"one of another request": func(seenRequest) string {
+	"an answer to another request": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse",
 			testDialect.RequestID, testDialect.Signature)
 	},
-	"one of no request": func(seenRequest) string {
+	"an answer without a request id": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.Signature)
 	},
-	"a refusal of another request": func(seenRequest) string {
+	"a rejection of another request": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID,
 			testDialect.NotExecuted)
 	},
-	"a wrong address for another request": func(seenRequest) string {
+	"a 421 for another request": func(seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 421 Misdirected\r\n%s: other\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID)
 	},
-	"a 503 that does not say that it was not run": func(seen seenRequest) string {
+	"a 503 without the not-executed header": func(seen seenRequest) string {
 		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", testDialect.RequestID,
 			seen.id(), testDialect.Signature)
 	},
@@ -64,10 +66,10 @@
 		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1,
 			"one") + "id: 2\ndata: two\n"
 	},
-	"is cut between events": func(seen seenRequest) string {
+	"breaks between events": func(seen seenRequest) string {
 		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one"))
 	},
-	"is cut inside a chunk": func(seen seenRequest) string {
+	"breaks inside a chunk": func(seen seenRequest) string {
 		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
 			"one")) + "40\r\nid: 2\n"
 	},
@@ -116,7 +118,7 @@
 	complete := func(seen seenRequest) string { return rawHead(seen, "Content-Length: 4\r\n") + "true" }
 
 	for name, bad := range badAnswers {
-		It("that gives "+name+" ends a request that may not be repeated, with no promise and no further send", func() {
+		It("that gives "+name+" ends a non-repeatable request with the outcome unknown and without a retry", func() {
 			servers := badOnce(bad, complete)
 			got := f1.route(routed{target: nonRepeatablePath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
@@ -126,7 +128,7 @@
 			Expect(count(servers[0], servers[1])).To(Equal(1))
 		})
 
-		It("that gives "+name+" ends a stream, with no promise and no further send", func() {
+		It("that gives "+name+" ends a stream with the outcome unknown and without a retry", func() {
 			servers := badOnce(bad, complete)
 			got := f1.route(routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
@@ -134,7 +136,7 @@
 			Expect(count(servers[0], servers[1])).To(Equal(1))
 		})
 
-		It("that gives "+name+" is followed by another one for a request that may be repeated", func() {
+		It("that gives "+name+" is followed by a retry at another server for a repeatable request", func() {
 			servers := badOnce(bad, complete)
 			got := f1.route(routed{target: repeatablePath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
@@ -144,7 +146,7 @@
 		})
 	}
 
-	DescribeTable("may have run a repeatable request as often as the route allows", func(allowed uint32, sends int) {
+	DescribeTable("is retried for a repeatable request up to the route's limit", func(allowed uint32, sends int) {
 		r.changeBundle(func(active *protocol.Bundle) { active.HttpRoutes[0].MaxAttempts = allowed })
 		var servers []*standIn
 		for at := range 6 {
@@ -154,22 +156,22 @@
 		Expect(got.status).To(Equal(http.StatusBadGateway), got.body)
 		Expect(count(servers...)).To(Equal(sends))
 	},
-		Entry("once when it says nothing", uint32(0), 1),
+		Entry("once when the route sets no limit", uint32(0), 1),
 		Entry("once", uint32(1), 1),
 		Entry("twice", uint32(2), 2),
 		Entry("four times", uint32(4), 4),
 	)
 
 	for name, rejection := range map[string]http.HandlerFunc{
-		"503":               rejectWith(http.StatusServiceUnavailable, ""),
-		"429":               rejectWith(http.StatusTooManyRequests, "1"),
-		"another one's 421": answerWith(http.StatusMisdirectedRequest, ""),
-		"400 without an id": func(writer http.ResponseWriter, _ *http.Request) {
+		"503":   rejectWith(http.StatusServiceUnavailable, ""),
+		"429":   rejectWith(http.StatusTooManyRequests, "1"),
+		"a 421": answerWith(http.StatusMisdirectedRequest, ""),
+		"a 400 without a request id": func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(testDialect.NotExecuted, "1")
 			writer.WriteHeader(http.StatusBadRequest)
 		},
 	} {
-		DescribeTable("that refuses with "+name+" is followed by another one",
+		DescribeTable("that rejects with "+name+" is followed by another server",
 			func(path string, answer http.HandlerFunc, wanted string) {
 				var servers []*standIn
 				for at := range 3 {
@@ -190,12 +192,12 @@
 				}
 			},
 			Entry("for a repeatable request", repeatablePath, answerWith(http.StatusOK, "yes"), "yes"),
-			Entry("for one that may not be repeated", nonRepeatablePath, answerWith(http.StatusOK, "yes"), "yes"),
+			Entry("for a non-repeatable request", nonRepeatablePath, answerWith(http.StatusOK, "yes"), "yes"),
 			Entry("for a stream", streamPath, streamOf("yes"), event(1, "yes")),
 		)
 	}
 
-	DescribeTable("may refuse so often that the caller is refused with the time to come back", func(path string) {
+	DescribeTable("that keeps rejecting has the caller rejected with Retry-After", func(path string) {
 		var servers []*standIn
 		for at := range 6 {
 			servers = append(servers, r.server(fmt.Sprintf("s%d", at), rejectWith(http.StatusServiceUnavailable, "1.5")))
@@ -207,11 +209,11 @@
 		Expect(count(servers...)).To(Equal(3), "sends are bounded")
 	},
 		Entry("for a repeatable request", repeatablePath),
-		Entry("for one that may not be repeated", nonRepeatablePath),
+		Entry("for a non-repeatable request", nonRepeatablePath),
 		Entry("for a stream", streamPath),
 	)
 
-	DescribeTable("is not there", func(path string) {
+	DescribeTable("that is missing or unreachable rejects the request with Retry-After", func(path string) {
 		got := f1.route(routed{target: path})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header).To(HaveKey("Retry-After"))
@@ -227,7 +229,7 @@
 		Entry("for a stream", streamPath),
 	)
 
-	It("that refuses after one that may have run leaves no promise", func() {
+	It("that rejects after an attempt that may have run leaves the outcome unknown", func() {
 		var servers []*standIn
 		for at := range 2 {
 			servers = append(servers, r.server(fmt.Sprintf("s%d", at), func(writer http.ResponseWriter, request *http.Request) {
@@ -241,7 +243,7 @@
 		Expect(count(servers...)).To(Equal(2))
 	})
 
-	DescribeTable("that drains gets nothing", func(path string) {
+	DescribeTable("that drains gets no requests", func(path string) {
 		server := r.server("s1", answerWith(http.StatusOK, "ok"))
 		Expect(f1.route(routed{target: path}).status).To(Equal(http.StatusOK))
 		r.changeServer("s1", func(server *protocol.BackEnd) { server.State = protocol.BackEndState_DRAINING })
@@ -256,7 +258,7 @@
 		Entry("for a stream", streamPath),
 	)
 
-	DescribeTable("that sends more behind an answer gives it to nobody", func(path string) {
+	DescribeTable("that sends surplus bytes after an answer never gets them forwarded", func(path string) {
 		r.rawServer("s1", func(server *standIn, connection net.Conn, reader *bufio.Reader) {
 			seen, more := server.take(reader)
 			if !more {
@@ -277,7 +279,7 @@
 		Entry("for a stream", streamPath),
 	)
 
-	DescribeTable("stops when the caller leaves", func(path string, begin func(http.ResponseWriter, *http.Request)) {
+	DescribeTable("stops when the caller disconnects", func(path string, begin func(http.ResponseWriter, *http.Request)) {
 		arrived, ended := make(chan struct{}), make(chan struct{})
 		servers := []*standIn{}
 		for at := range 2 {
@@ -306,9 +308,9 @@
 		Expect(count(servers...)).To(Equal(1))
 	},
 		Entry("a repeatable call", repeatablePath, func(http.ResponseWriter, *http.Request) {}),
-		Entry("a call that may not be repeated", nonRepeatablePath, func(http.ResponseWriter, *http.Request) {}),
+		Entry("a non-repeatable call", nonRepeatablePath, func(http.ResponseWriter, *http.Request) {}),
 		Entry("a stream before its first event", streamPath, func(http.ResponseWriter, *http.Request) {}),
-		Entry("a stream in the midst", streamPath, func(writer http.ResponseWriter, request *http.Request) {
+		Entry("a stream after its first event", streamPath, func(writer http.ResponseWriter, request *http.Request) {
 			streamOf("one")(writer, request)
 		}),
 	)
--- a/internal/dataplane/front/route_ingress_test.go
+++ b/internal/dataplane/front/route_ingress_test.go
@@ -59,7 +59,7 @@
 		return got
 	}
 
-	DescribeTable("is brought there and its answer back", func(sent routed, wanted string) {
+	DescribeTable("is forwarded to the owner and its answer relayed", func(sent routed, wanted string) {
 		server := r.server("s1", bothKinds)
 		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		got := f1.route(sent)
@@ -70,11 +70,11 @@
 	},
 		Entry("a turn", ownedTurn, event(1, "yes")),
 		Entry("a stream", ownedTalk, event(1, "yes")),
-		Entry("a call that may not be repeated", ownedWrite, "yes"),
-		Entry("a call that may be repeated", ownedRead, "yes"),
+		Entry("a non-repeatable call", ownedWrite, "yes"),
+		Entry("a repeatable call", ownedRead, "yes"),
 	)
 
-	DescribeTable("is brought to the next owner when nobody took it", func(sent routed, hinder func()) {
+	DescribeTable("is forwarded to the next owner when the first did not accept it", func(sent routed, hinder func()) {
 		server := r.server("s1", bothKinds)
 		hinder()
 		answered := f1.routeAside(sent)
@@ -88,21 +88,21 @@
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
 		Expect(server.requests()).To(HaveLen(1))
 	},
-		Entry("a turn to an unreachable one", ownedTurn, func() { r.network.unreachable["f2"] = true }),
-		Entry("a stream to an unreachable one", ownedTalk, func() { r.network.unreachable["f2"] = true }),
-		Entry("a call to an unreachable one", ownedWrite, func() { r.network.unreachable["f2"] = true }),
-		Entry("a turn to one that is no owner", ownedTurn, func() {
+		Entry("a turn to an unreachable owner", ownedTurn, func() { r.network.unreachable["f2"] = true }),
+		Entry("a stream to an unreachable owner", ownedTalk, func() { r.network.unreachable["f2"] = true }),
+		Entry("a call to an unreachable owner", ownedWrite, func() { r.network.unreachable["f2"] = true }),
+		Entry("a turn to a front node that is not the owner", ownedTurn, func() {
 			f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		}),
-		Entry("a stream to one that is no owner", ownedTalk, func() {
+		Entry("a stream to a front node that is not the owner", ownedTalk, func() {
 			f2.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		}),
-		Entry("a call to one that drains", ownedWrite, func() {
+		Entry("a call to an owner that drains", ownedWrite, func() {
 			f2.ownership.beginError = failure.New(failure.Draining, protocol.Outcome_NOT_RUN, "draining")
 		}),
 	)
 
-	DescribeTable("is answered 503 with the time to come back when no owner is found", func(sent routed) {
+	DescribeTable("is answered 503 with Retry-After when no owner is found", func(sent routed) {
 		server := r.server("s1", bothKinds)
 		r.network.unreachable["f2"] = true
 		got := answerOf(f1.routeAside(sent))
@@ -112,11 +112,11 @@
 	},
 		Entry("a turn", ownedTurn),
 		Entry("a stream", ownedTalk),
-		Entry("a call that may not be repeated", ownedWrite),
-		Entry("a call that may be repeated", ownedRead),
+		Entry("a non-repeatable call", ownedWrite),
+		Entry("a repeatable call", ownedRead),
 	)
 
-	DescribeTable("is answered with no promise and not sent again when the owner is lost while a server is at work",
+	DescribeTable("is answered with the outcome unknown and not retried when the owner is lost while a server runs it",
 		func(sent routed) {
 			arrived, release := make(chan struct{}), make(chan struct{})
 			server := r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
@@ -134,10 +134,10 @@
 		},
 		Entry("a turn", ownedTurn),
 		Entry("a stream", ownedTalk),
-		Entry("a call that may not be repeated", ownedWrite),
+		Entry("a non-repeatable call", ownedWrite),
 	)
 
-	It("may be run anew when it is repeatable and the owner was lost", func() {
+	It("is retried when it is repeatable and the owner was lost", func() {
 		arrived := make(chan struct{}, 2)
 		r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -151,7 +151,7 @@
 		Expect(answerOf(answered).status).To(Equal(http.StatusOK))
 	})
 
-	DescribeTable("is run by no more servers than the route allows, also when its owner is lost",
+	DescribeTable("is attempted at most as often as the route allows, also when its owner is lost",
 		func(allowed uint32, status int) {
 			r.changeBundle(func(active *protocol.Bundle) {
 				for _, route := range active.HttpRoutes {
@@ -177,13 +177,13 @@
 			r.waitUntilIdle(f2)
 			Expect(count(servers...)).To(BeNumerically("<=", int(allowed)))
 		},
-		Entry("one: nobody else may run it", uint32(1), http.StatusBadGateway),
-		Entry("two", uint32(2), http.StatusBadGateway),
-		Entry("three", uint32(3), http.StatusBadGateway),
-		Entry("four", uint32(4), http.StatusBadGateway),
+		Entry("once: no further attempt", uint32(1), http.StatusBadGateway),
+		Entry("twice", uint32(2), http.StatusBadGateway),
+		Entry("three times", uint32(3), http.StatusBadGateway),
+		Entry("four times", uint32(4), http.StatusBadGateway),
 	)
 
-	Describe("and is lost after taking it", func() {
+	Describe("and that is lost after accepting it", func() {
 		var server *standIn
 		var reserving, rejected chan struct{}
 
@@ -210,13 +210,13 @@
 
 		BeforeEach(func() { server = r.server("s1", bothKinds) })
 
-		It("is answered 503 when the ledger takes its tombstone, and never runs", func() {
+		It("is answered 503 when the ledger stores its tombstone, and never runs", func() {
 			got := loseBeforeReserving(func(*protocol.LedgerOperation) *protocol.LedgerResult { return nil })
 			Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
 			Expect(server.requests()).To(BeEmpty(), "the late reservation meets the tombstone")
 		})
 
-		It("is answered 502 when the ledger gives no word", func() {
+		It("is answered 502 when the ledger is unavailable", func() {
 			got := loseBeforeReserving(func(*protocol.LedgerOperation) *protocol.LedgerResult {
 				return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 			})
@@ -225,7 +225,7 @@
 		})
 	})
 
-	DescribeTable("is answered 503 when its server refuses it while the owner loses its authority", func(sent routed) {
+	DescribeTable("is answered 503 when its server rejects it while the owner loses its authority", func(sent routed) {
 		server := r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			f2.ownership.revoked.Store(true)
 			rejectWith(http.StatusServiceUnavailable, "")(writer, request)
@@ -237,11 +237,11 @@
 	},
 		Entry("a turn", ownedTurn),
 		Entry("a stream", ownedTalk),
-		Entry("a call that may not be repeated", ownedWrite),
-		Entry("a call that may be repeated", ownedRead),
+		Entry("a non-repeatable call", ownedWrite),
+		Entry("a repeatable call", ownedRead),
 	)
 
-	It("breaks off when the owner is lost in the midst of a stream", func() {
+	It("breaks off when the owner is lost in mid-stream", func() {
 		r.server("s1", streamOf("one", "two", "three"))
 		r.network.partitioned["f2"] = 3
 		got := f1.route(ownedTalk)
@@ -250,7 +250,7 @@
 		Expect(got.broken).To(HaveOccurred())
 	})
 
-	DescribeTable("ends at its server when the caller leaves", func(sent routed) {
+	DescribeTable("is cancelled at its server when the caller disconnects", func(sent routed) {
 		arrived, ended := make(chan struct{}), make(chan struct{})
 		r.server("s1", func(_ http.ResponseWriter, request *http.Request) {
 			close(arrived)
@@ -276,7 +276,7 @@
 		Entry("a call", ownedWrite),
 	)
 
-	DescribeTable("gets no time anew when its time is over by then", func(sent routed) {
+	DescribeTable("reaches no server when its time expires before it is forwarded", func(sent routed) {
 		server := r.server("s1", bothKinds)
 		f1.ownership.resolving = func() { r.clock.advance(routeTimeoutMillis*time.Millisecond + time.Millisecond) }
 		got := f1.route(sent)
@@ -290,7 +290,7 @@
 })
 
 var _ = Describe("a draining front node", func() {
-	It("answers what it reads with Connection: close, and whole, before it closes", func() {
+	It("answers what it has read completely and with Connection: close, before it closes", func() {
 		r := newRouteRig()
 		r.changeBundle(func(active *protocol.Bundle) {
 			for _, route := range active.HttpRoutes {
@@ -333,7 +333,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("answers a request that comes over a connection at rest, and closes that afterwards", func() {
+	It("answers a request on an idle connection, then closes that connection", func() {
 		r := newRouteRig()
 		f1 := r.front("f1")
 		r.server("s1", answerWith(http.StatusOK, "quick"))
--- a/internal/dataplane/front/route_streams_test.go
+++ b/internal/dataplane/front/route_streams_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 
-	It("is passed on event by event, as each comes", func() {
+	It("is forwarded event by event as each arrives", func() {
 		next := make(chan struct{})
 		r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("X-Own", "kept")
@@ -67,7 +67,7 @@
 		Expect(rest).To(BeEmpty())
 	})
 
-	DescribeTable("comes through byte for byte", func(text string) {
+	DescribeTable("is forwarded byte for byte", func(text string) {
 		streamServer(text)
 		got := f1.route(routed{target: streamPath})
 		Expect(got.broken).NotTo(HaveOccurred())
@@ -78,15 +78,15 @@
 		Entry("with carriage returns", "data: a\r\n\r\ndata: b\r\n\r\n"),
 		Entry("with a version before the data", "rosestand-weights: 4\ndata: a\n\n"),
 		Entry("with a large event", "data: "+strings.Repeat("x", 300_000)+"\n\n"),
-		Entry("with a line that fills what is read at once",
+		Entry("with a line that fills the read buffer",
 			"data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\ndata: b\n\n"),
-		Entry("that ends with a line that fills what is read at once",
+		Entry("that ends with a line that fills the read buffer",
 			"data: "+strings.Repeat("x", sse.BufferBytes-6)+"\n\n"),
-		Entry("with a blank line too many at its end", "data: a\n\n\n"),
+		Entry("with an extra blank line at its end", "data: a\n\n\n"),
 	)
 
 	for name, bad := range badStreams {
-		It("that "+name+" ends the caller's connection after the last whole event", func() {
+		It("that "+name+" ends the caller's connection after the last complete event", func() {
 			server := r.rawServer("s1", func(server *standIn, connection net.Conn, reader *bufio.Reader) {
 				if seen, more := server.take(reader); more {
 					_, _ = io.WriteString(connection, bad(seen))
@@ -94,13 +94,13 @@
 			})
 			got := f1.route(routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
 			Expect(got.status).To(Equal(http.StatusOK))
-			Expect(got.broken).To(HaveOccurred(), "it must not look whole")
+			Expect(got.broken).To(HaveOccurred(), "it must not look complete")
 			Expect(got.body).To(Equal(event(1, "one")))
 			Expect(server.requests()).To(HaveLen(1))
 		})
 	}
 
-	It("whose event never ends is broken off at a bound", func() {
+	It("is aborted when an event exceeds the size limit", func() {
 		r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			streamHead(writer, request)
 			_, _ = io.WriteString(writer, event(1, "one"))
@@ -117,7 +117,7 @@
 		Expect(got.body).To(Equal(event(1, "one")))
 	})
 
-	It("is broken off at the route's time-out in its midst", func() {
+	It("is aborted at the route's time-out in mid-stream", func() {
 		ended := make(chan struct{})
 		r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			streamOf("one")(writer, request)
@@ -136,7 +136,7 @@
 		<-ended
 	})
 
-	It("never brings more tokens than its turn asked for, in whole events", func() {
+	It("never forwards more tokens than its turn requested, in complete events", func() {
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Groups[len(active.Groups)-1].Engine = &protocol.EngineProfile{EventTokens: 2}
 		})
@@ -152,7 +152,7 @@
 		<-ended
 	})
 
-	It("needs no ledger when it has no budget and keeps nothing", func() {
+	It("needs no ledger when it has no budget and retains no turn", func() {
 		r.ledger.setDown(true)
 		r.server("s1", streamOf("one"))
 		got := f1.route(routed{target: streamPath, headers: with(testDialect.Program, "p1", testDialect.Session, "s1")})
--- a/internal/dataplane/front/route_turns_test.go
+++ b/internal/dataplane/front/route_turns_test.go
@@ -87,7 +87,7 @@
 		f1 = r.front("f1")
 	})
 
-	Describe("brings its server the conversation before it", func() {
+	Describe("sends its server the preceding conversation", func() {
 		var server *standIn
 		const first, second, third = "one\x00\xff", "two", "three\n"
 		const before = first + "a-t1\nb-t1\n" + second + "a-t2\nb-t2\n"
@@ -103,12 +103,12 @@
 			Expect(server.bodies()).To(Equal([]string{first, first + output("t1") + second, before + third}))
 		})
 
-		It("at another front node after its owner was lost", func() {
+		It("at another front node after the owner was lost", func() {
 			r.front("f2").take(routedTurn{id: "t3", previous: "t2", input: third})
 			Expect(server.bodyOf("t3")).To(Equal(before + third))
 		})
 
-		It("over more turns than the ledger gives at once", func() {
+		It("over more turns than one ledger read returns", func() {
 			const turns = 300
 			conversation := before
 			var appended strings.Builder
@@ -122,7 +122,7 @@
 			Expect(server.bodyOf("last")).To(Equal(conversation + third))
 		})
 
-		DescribeTable("over a turn of another program, and on from there", func(lost bool) {
+		DescribeTable("over a turn of another program and its continuation", func(lost bool) {
 			at := f1
 			if lost {
 				at = r.front("f2")
@@ -139,7 +139,7 @@
 			Entry("at other front nodes", true),
 		)
 
-		It("when two go on from one turn at the same time, and one from an older turn", func() {
+		It("when two continue one turn concurrently and one continues an older turn", func() {
 			both := &sync.WaitGroup{}
 			both.Add(2)
 			r.drainServer("s1")
@@ -161,7 +161,7 @@
 			Expect(twins.bodyOf("l2")).To(Equal(before + "left" + output("l") + "on"))
 		})
 
-		It("when it is sent anew after its answer was lost", func() {
+		It("when it is retried after its answer was lost", func() {
 			r.drainServer("s1")
 			var requests atomic.Int32
 			breaking := r.server("s2", func(writer http.ResponseWriter, request *http.Request) {
@@ -194,7 +194,7 @@
 		})
 	})
 
-	It("under an id that was used before is neither run again nor answered as though whole", func() {
+	It("under a reused id is neither run again nor answered as complete", func() {
 		server := r.server("s1", turnServer)
 		f1.take(routedTurn{id: "t1", input: "one"})
 		got := f1.route(routedTurn{id: "t1", input: "one"}.sent())
@@ -202,12 +202,12 @@
 		Expect(server.requests()).To(HaveLen(1))
 	})
 
-	Describe("that goes on from a turn", func() {
+	Describe("that continues a turn", func() {
 		var server *standIn
 
 		BeforeEach(func() { server = r.server("s1", turnServer) })
 
-		It("which the ledger says is missing is answered 404", func() {
+		It("which the ledger reports missing is answered 404", func() {
 			for _, program := range []string{"p1", "p2"} {
 				got := f1.route(routedTurn{id: "n" + program, previous: "none", program: program, input: "x"}.sent())
 				Expect(got.status).To(Equal(http.StatusNotFound))
@@ -215,7 +215,7 @@
 			Expect(server.requests()).To(BeEmpty())
 		})
 
-		It("is answered 503 with the time to come back while the ledger is away", func() {
+		It("is answered 503 with Retry-After while the ledger is unreachable", func() {
 			f1.take(routedTurn{id: "t1", input: "one"})
 			f2 := r.front("f2")
 			r.ledger.setDown(true)
@@ -227,7 +227,7 @@
 			f2.take(routedTurn{id: "t2-anew", previous: "t1", input: "two"})
 		})
 
-		It("is answered 503, not 404, when only the search in other programs finds the ledger away", func() {
+		It("is answered 503, not 404, when only the search in other programs fails", func() {
 			f1.take(routedTurn{id: "t1", input: "one"})
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetFindTurn() != nil {
@@ -240,7 +240,7 @@
 			Expect(server.requests()).To(HaveLen(1))
 		})
 
-		It("names its program, or is refused", func() {
+		It("is rejected unless it names its program", func() {
 			sent := routedTurn{id: "t1", previous: "t0", input: "one"}.sent()
 			sent.headers.Del(testDialect.Program)
 			sent.headers.Del(testDialect.Session)
@@ -250,7 +250,7 @@
 	})
 
 	Describe("and the budget of its program", func() {
-		It("is answered 402 once that is spent, and nothing reaches a server", func() {
+		It("is answered 402 once that is spent, without a request to a server", func() {
 			server := r.server("s1", turnServer)
 			f1.take(routedTurn{id: "t1", input: "one", budget: 4})
 			f1.take(routedTurn{id: "t2", previous: "t1", input: "two", budget: 4})
@@ -266,7 +266,7 @@
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(4))
 		})
 
-		It("counts what was passed on before a stream broke off", func() {
+		It("is charged what was forwarded before a stream broke", func() {
 			r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 				streamOf("a", "b", "c")(writer, request)
 				panic(http.ErrAbortHandler)
@@ -278,7 +278,7 @@
 			Expect(f1.route(routedTurn{id: "t2", input: "x"}.sent()).status).To(Equal(http.StatusPaymentRequired))
 		})
 
-		It("is never passed beyond its reservation, whatever the server sends", func() {
+		It("is never charged beyond the turn's reservation, whatever the server sends", func() {
 			var reserved atomic.Uint64
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if reserve := operation.GetReserveTurn(); reserve != nil {
@@ -296,7 +296,7 @@
 			Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
 		})
 
-		It("is given its reservation back when nothing ran", func() {
+		It("gets its reservation back when nothing ran", func() {
 			r.server("s1", rejectWith(http.StatusServiceUnavailable, ""))
 			Expect(f1.route(routedTurn{
 				id: "t1", input: "one",
@@ -309,7 +309,7 @@
 	})
 
 	Describe("and the ledger", func() {
-		It("has its reservation before a server gets it", func() {
+		It("has its reservation before it is issued to a server", func() {
 			reserved := make(chan []*protocol.Reservation, 1)
 			r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 				reserved <- r.ledger.program("p1").GetReservations()
@@ -322,7 +322,7 @@
 			Expect(reservations[0].GetCeiling()).To(BeEquivalentTo(8))
 		})
 
-		It("that gives no reservation lets nothing reach a server", func() {
+		It("that rejects the reservation keeps the turn from every server", func() {
 			server := r.server("s1", turnServer)
 			r.ledger.setDown(true)
 			got := f1.route(routedTurn{id: "t1", input: "one"}.sent())
@@ -331,7 +331,7 @@
 			Expect(server.requests()).To(BeEmpty())
 		})
 
-		It("holds the turn before the caller's stream ends", func() {
+		It("stores the turn before the caller's stream ends", func() {
 			r.server("s1", turnServer)
 			arrived, release := make(chan struct{}), make(chan struct{})
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
@@ -350,7 +350,7 @@
 			Expect(r.ledger.turn("t1").GetKeepUntilMillis()).To(Equal(r.clock.Now().UnixMilli() + 60_000))
 		})
 
-		It("that does not take the turn lets its stream never look whole", func() {
+		It("that does not commit the turn never lets its stream look complete", func() {
 			r.server("s1", turnServer)
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetSettleTurn() != nil {
@@ -363,7 +363,7 @@
 			Expect(got.broken).To(HaveOccurred())
 		})
 
-		It("is told of a turn whose caller left, which is not kept", func() {
+		It("commits the tokens of a turn whose caller disconnected, without retaining the turn", func() {
 			ended := make(chan struct{})
 			r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 				streamOf("a")(writer, request)
--- a/internal/dataplane/front/routes_test.go
+++ b/internal/dataplane/front/routes_test.go
@@ -55,12 +55,12 @@
 		Expect(seen.header).To(Equal(wanted))
 	},
 		Entry("without a body", http.MethodGet, "", false),
-		Entry("with a body of a length", http.MethodPost, "some bytes\x00\xff", false),
+		Entry("with a body of known length", http.MethodPost, "some bytes\x00\xff", false),
 		Entry("with a body in chunks", http.MethodPut, strings.Repeat("piece ", 3000), true),
-		Entry("by a method of its own", "REPORT", "x", false),
+		Entry("with a non-standard method", "REPORT", "x", false),
 	)
 
-	DescribeTable("carries the front node's words in place of its caller's", func(path string, names []string) {
+	DescribeTable("carries the front node's headers in place of its caller's", func(path string, names []string) {
 		server := r.server("s1", answerWith(http.StatusOK, "ok"))
 		given := with(testDialect.TimeLeft, "700", testDialect.TargetServer, "other", testDialect.ServerRank, "0")
 		Expect(f1.route(routed{target: path, headers: given}).status).To(Equal(http.StatusOK))
@@ -74,7 +74,7 @@
 		Entry("on a stream", streamPath, []string{testDialect.TimeLeft, testDialect.TargetServer, testDialect.ServerRank}),
 	)
 
-	It("is made an id when it brings none, which the server's answer must carry", func() {
+	It("gets a request id when it has none, which the server's answer must carry", func() {
 		server := r.server("s1", answerWith(http.StatusOK, "ok"))
 		Expect(f1.route(routed{target: "/write/"}).status).To(Equal(http.StatusOK))
 		Expect(f1.route(routed{target: "/write/"}).status).To(Equal(http.StatusOK))
@@ -83,7 +83,7 @@
 		Expect(second).NotTo(Equal(first))
 	})
 
-	Describe("finding its route", func() {
+	Describe("route selection", func() {
 		BeforeEach(func() {
 			r.changeBundle(func(active *protocol.Bundle) {
 				add := func(host, prefix, group string) {
@@ -107,9 +107,9 @@
 			Entry("the longer one", routeHost, "/a/b/c", "long"),
 			Entry("the longer one itself", routeHost, "/a/b/", "long"),
 			Entry("the shorter one where the longer does not begin the path", routeHost, "/a/bc/", "short"),
-			Entry("an escaped slash is no slash", routeHost, "/a/b%2Fc", "short"),
+			Entry("an escaped slash is not a separator", routeHost, "/a/b%2Fc", "short"),
 			Entry("another host", "other.example", "/a/b/c", "other"),
-			Entry("a query is no part of the path", routeHost, "/a/?/a/b/", "short"),
+			Entry("a query is not part of the path", routeHost, "/a/?/a/b/", "short"),
 		)
 
 		DescribeTable("is answered 404 without one", func(host, target string) {
@@ -123,7 +123,7 @@
 		)
 	})
 
-	It("goes by the bundle in force from the moment it is there", func() {
+	It("uses a new bundle as soon as it is in force", func() {
 		former, next := r.server("s1", answerWith(http.StatusOK, "former")),
 			r.serverOf("next", "n1", answerWith(http.StatusOK, "next"))
 		Expect(f1.route(routed{target: "/write/"}).body).To(Equal("former"))
@@ -141,7 +141,7 @@
 		Expect(count(next)).To(Equal(1))
 	})
 
-	It("is answered 503 with the time to come back while no bundle is in force", func() {
+	It("is answered 503 with Retry-After while no bundle is in force", func() {
 		r.put(&corelink.View{
 			Configuration: &protocol.Configuration{Version: 9}, Membership: r.view.Membership,
 			BackEnds: r.view.BackEnds,
@@ -155,7 +155,7 @@
 		Expect(f1.route(routed{target: "/read/"}).header.Get("Retry-After")).To(Equal("0.300"), "no start takes as long")
 	})
 
-	Describe("bounds", func() {
+	Describe("limits", func() {
 		var server *standIn
 
 		BeforeEach(func() {
@@ -165,38 +165,39 @@
 			server = r.server("s1", answerWith(http.StatusOK, "ok"))
 		})
 
-		DescribeTable("let it through within and refuse it beyond", func(sent routed, status int) {
+		DescribeTable("accept it within and reject it beyond", func(sent routed, status int) {
 			sent.target = "/write/"
 			Expect(f1.route(sent).status).To(Equal(status))
 			Expect(server.requests()).To(HaveLen(map[int]int{http.StatusOK: 1}[status]))
 		},
-			Entry("a body at the bound", routed{body: strings.Repeat("x", 100)}, http.StatusOK),
-			Entry("a body beyond", routed{body: strings.Repeat("x", 101)}, http.StatusRequestEntityTooLarge),
-			Entry("a body in chunks beyond", routed{body: strings.Repeat("x", 101), chunked: true},
+			Entry("a body at the limit", routed{body: strings.Repeat("x", 100)}, http.StatusOK),
+			Entry("a body over the limit", routed{body: strings.Repeat("x", 101)}, http.StatusRequestEntityTooLarge),
+			Entry("a chunked body over the limit", routed{body: strings.Repeat("x", 101), chunked: true},
 				http.StatusRequestEntityTooLarge),
-			Entry("a header within", routed{headers: with("X-Long", strings.Repeat("x", 900))}, http.StatusOK),
-			Entry("a header beyond", routed{headers: with("X-Long", strings.Repeat("x", 1000))},
+			Entry("a header within the limit", routed{headers: with("X-Long", strings.Repeat("x", 900))}, http.StatusOK),
+			Entry("a header over the limit", routed{headers: with("X-Long", strings.Repeat("x", 1000))},
 				http.StatusRequestHeaderFieldsTooLarge),
-			Entry("many headers beyond", routed{headers: with("X-A", strings.Repeat("x", 500), "X-B", strings.Repeat("x", 500))},
+			Entry("many headers over the limit",
+				routed{headers: with("X-A", strings.Repeat("x", 500), "X-B", strings.Repeat("x", 500))},
 				http.StatusRequestHeaderFieldsTooLarge),
 		)
 	})
 
 	Describe("time left", func() {
-		DescribeTable("is passed on, never more than its caller's or the route's", func(given http.Header, wanted string) {
+		DescribeTable("is forwarded, never more than the caller's or the route's", func(given http.Header, wanted string) {
 			server := r.server("s1", answerWith(http.StatusOK, "ok"))
 			Expect(f1.route(routed{target: "/write/", headers: given}).status).To(Equal(http.StatusOK))
 			Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{wanted}))
 		},
 			Entry("the caller's when it is shorter", with(testDialect.TimeLeft, "700"), "700"),
-			Entry("a fraction is cut off", with(testDialect.TimeLeft, "700.9"), "700"),
+			Entry("a fraction is truncated", with(testDialect.TimeLeft, "700.9"), "700"),
 			Entry("the route's when the caller's is longer", with(testDialect.TimeLeft, "70000"), "2000"),
-			Entry("the route's when the caller's is beyond every number", with(testDialect.TimeLeft, "99999999999999999999"),
+			Entry("the route's when the caller's overflows", with(testDialect.TimeLeft, "99999999999999999999"),
 				"2000"),
-			Entry("the route's when the caller tells none", nil, "2000"),
+			Entry("the route's when the caller sends none", nil, "2000"),
 		)
 
-		DescribeTable("that is over lets nothing reach a server", func(path string) {
+		DescribeTable("that has expired keeps the request from every server", func(path string) {
 			server := r.server("s1", answerWith(http.StatusOK, "ok"))
 			for _, timeLeft := range []string{"0", "0.4"} {
 				got := f1.route(routed{target: path, headers: with(testDialect.TimeLeft, timeLeft)})
@@ -208,7 +209,7 @@
 			Entry("a stream", streamPath),
 		)
 
-		DescribeTable("shrinks by what was spent before a further send", func(path string, answer http.HandlerFunc) {
+		DescribeTable("is reduced by the time spent before a retry", func(path string, answer http.HandlerFunc) {
 			slow := func(writer http.ResponseWriter, request *http.Request) {
 				r.clock.advance(300 * time.Millisecond)
 				rejectWith(http.StatusServiceUnavailable, "")(writer, request)
@@ -234,7 +235,7 @@
 			Entry("a stream", streamPath, streamOf("a")),
 		)
 
-		It("asks another server for a repeatable call whose answer does not come", func() {
+		It("sends a repeatable call to another server when its answer does not come", func() {
 			arrived, left := make(chan struct{}), make(chan struct{})
 			var requests atomic.Int32
 			handler := func(writer http.ResponseWriter, request *http.Request) {
@@ -256,7 +257,7 @@
 			Expect(requests.Load()).To(BeEquivalentTo(2))
 		})
 
-		DescribeTable("ends what a silent server was given, with no promise", func(path string) {
+		DescribeTable("ends a request at an unresponsive server with the outcome unknown", func(path string) {
 			arrived, left := make(chan struct{}), make(chan struct{})
 			r.server("s1", func(_ http.ResponseWriter, request *http.Request) {
 				close(arrived)
@@ -329,19 +330,19 @@
 		Entry("with headers given twice and an encoding", "POST", nonRepeatablePath, "203 Non-Authoritative Information",
 			"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nContent-Encoding: x-own\r\nDate: long ago\r\nContent-Length: 3\r\n",
 			"\x00\xff\n"),
-		Entry("of a server that tells how long it keeps the connection", "GET", repeatablePath, "200 OK",
+		Entry("of a server that sends Keep-Alive", "GET", repeatablePath, "200 OK",
 			"Keep-Alive: timeout=3\r\nContent-Length: 2\r\n", "ok"),
-		Entry("an empty one", "POST", nonRepeatablePath, "200 OK", "Content-Length: 0\r\n", ""),
+		Entry("an empty body", "POST", nonRepeatablePath, "200 OK", "Content-Length: 0\r\n", ""),
 		Entry("without content", "POST", nonRepeatablePath, "204 No Content", "", ""),
 		Entry("not modified", "GET", repeatablePath, "304 Not Modified", "Etag: \"x\"\r\n", ""),
-		Entry("a refusal of the server's own kind", "GET", repeatablePath, "404 Not Found", "Content-Length: 4\r\n", "none"),
+		Entry("a 404 of the server", "GET", repeatablePath, "404 Not Found", "Content-Length: 4\r\n", "none"),
 		Entry("a failure of the server", "POST", nonRepeatablePath, "500 Internal Server Error", "Content-Length: 4\r\n",
 			"oops"),
 		Entry("a failure in place of a stream", "POST", streamPath, "500 Internal Server Error", "Content-Length: 4\r\n",
 			"oops"),
 		Entry("a success in place of a stream", "POST", streamPath, "200 OK",
 			"Content-Type: text/plain\r\nContent-Length: 4\r\n", "oops"),
-		Entry("the head alone", "HEAD", repeatablePath, "200 OK", "Content-Length: 4711\r\n", ""),
+		Entry("a HEAD response", "HEAD", repeatablePath, "200 OK", "Content-Length: 4711\r\n", ""),
 	)
 
 	It("may have no length and end with its connection", func() {
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -60,7 +60,7 @@
 	return s.reported[node]
 }
 
-var _ = Describe("what front nodes see of servers together", func() {
+var _ = Describe("server outcomes shared by front nodes", func() {
 	var r *rig
 	var board *sharedBoard
 	BeforeEach(func() {
@@ -84,7 +84,7 @@
 		Eventually(r.clock.countSet).WithArguments(front.ShareTick).Should(Equal(len(nodes)))
 	}
 
-	It("keeps a front node off a server whose faults only others saw", func() {
+	It("keep a front node off a server whose faults only others observed", func() {
 		broken := r.server("broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		f1, f2, f3 := sharing("f1"), sharing("f2"), sharing("f3")
 		for range 2 {
@@ -106,7 +106,7 @@
 		Expect(count(good)).To(BeNumerically(">=", 20))
 	})
 
-	It("avoids at once a server that the leader takes for suspect, without traffic of its own", func() {
+	It("make a front node avoid at once a server that the leader suspects, without traffic of its own", func() {
 		suspect := r.server("suspect", answerWith(http.StatusOK, "ok"))
 		good := r.server("good", answerWith(http.StatusOK, "ok"))
 		response := make(chan *protocol.WatchSuspectsResponse)
@@ -139,7 +139,7 @@
 		Expect(count(good)).To(Equal(20))
 	})
 
-	It("notices a server that answers nothing before the first request has failed", func() {
+	It("reveal an unresponsive server before the first request has failed", func() {
 		r.server("silent", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() })
 		f1, f2 := sharing("f1"), sharing("f2")
 		var waiting []<-chan routedAnswer
@@ -160,7 +160,7 @@
 		}
 	})
 
-	It("tells again what the leader may not have got", func() {
+	It("are reported again when the leader may not have received them", func() {
 		r.server("good", answerWith(http.StatusOK, "ok"))
 		f1 := sharing("f1")
 		board.mutex.Lock()
@@ -180,7 +180,7 @@
 		Expect(board.reports("f1")).To(BeEquivalentTo(3))
 	})
 
-	It("tells nothing without traffic", func() {
+	It("are not reported without traffic", func() {
 		r.server("good", answerWith(http.StatusOK, "ok"))
 		f1 := sharing("f1")
 		requests := atomic.Int32{}
--- a/internal/dataplane/front/start_wait_test.go
+++ b/internal/dataplane/front/start_wait_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a request that comes while its front node starts", func() {
+var _ = Describe("a request that arrives while its front node starts", func() {
 	var r *rig
 	var f1 *node
 	var server *standIn
@@ -35,7 +35,7 @@
 		return answers
 	}
 
-	It("is served as soon as a bundle is in force, with what is left of its time", func() {
+	It("is served as soon as a bundle is in force, within its remaining time", func() {
 		answers := sendAndWait(routed{target: "/read/", headers: with(testDialect.TimeLeft, "2000")})
 		r.clock.advance(450 * time.Millisecond)
 		Expect(answers).NotTo(Receive())
@@ -47,7 +47,7 @@
 		Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{"1550"}))
 	})
 
-	It("is told when to come back once it has waited half a second, and the next one that the start takes longer", func() {
+	It("is rejected with Retry-After after half a second, and at once when the start takes too long", func() {
 		answers := sendAndWait(routed{target: "/read/"})
 		r.clock.advance(500 * time.Millisecond)
 		var got routedAnswer
@@ -61,7 +61,7 @@
 		Expect(server.requests()).To(BeEmpty())
 	})
 
-	It("waits no longer than a quarter of its caller's time", func() {
+	It("waits at most a quarter of its caller's time", func() {
 		answers := sendAndWait(routed{target: "/read/", headers: with(testDialect.TimeLeft, "400")})
 		r.clock.advance(99 * time.Millisecond)
 		Expect(answers).NotTo(Receive())
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -109,7 +109,7 @@
 		return answers
 	}
 
-	It("share a server so that live turns find a slot at once, and all generations run in the end", func() {
+	It("share a server so that live turns get a slot at once and all generations run eventually", func() {
 		server := r.blockingServer("s1")
 		answers := flood(40)
 		Eventually(server.steps).Should(Equal(12), "three quarters of 16 slots")
@@ -128,7 +128,7 @@
 		}
 	})
 
-	It("share it so that a quarter is left to generations while live turns run", func() {
+	It("leave a quarter of a server to generations while live turns run", func() {
 		server := r.blockingServer("s1")
 		server.blockLive.Store(true)
 		live := f1.routeAside(routedTurn{id: "live", input: "x"}.sent())
@@ -145,7 +145,7 @@
 		}).Should(Equal(12), "once the live turn is over")
 	})
 
-	It("that wait for a slot go first, and a step goes on all the same", func() {
+	It("give priority to live turns that wait, and the step still progresses", func() {
 		server := r.blockingServer("s1")
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Limits = &protocol.LimitPolicy{MaxConcurrent: 1, MaxQueued: 8, MaxQueueMillis: longTimeoutMillis}
@@ -175,7 +175,7 @@
 		Eventually(server.steps).Should(Equal(5))
 	})
 
-	It("are refused with the time to come back when no place becomes free", func() {
+	It("are rejected with Retry-After when no slot becomes free", func() {
 		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
@@ -188,7 +188,7 @@
 		Expect(got.header).To(HaveKeyWithValue("Retry-After", []string{"1.000"}))
 	})
 
-	It("of which a caller leaves hold no place", func() {
+	It("release their place in the queue when their caller disconnects", func() {
 		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
@@ -203,7 +203,7 @@
 		Eventually(server.steps).Should(Equal(12))
 	})
 
-	It("are spread by the work that is outstanding, not by count", func() {
+	It("are balanced by outstanding work, not by count", func() {
 		servers := []*blockingServer{r.blockingServer("s1"), r.blockingServer("s2")}
 		long := stepTurn("long")
 		long.headers.Set(testDialect.TokenUsage, "6000,4000")
--- a/internal/dataplane/front/step_schedule_audit_test.go
+++ b/internal/dataplane/front/step_schedule_audit_test.go
@@ -103,7 +103,7 @@
 	return missing
 }
 
-var _ = Describe("training steps in schedules from seeds", func() {
+var _ = Describe("training steps in seeded schedules", func() {
 	It("trace to a single version each", func() {
 		var total scheduleCounts
 		for seed := range uint64(scheduleSeeds) {
@@ -120,7 +120,7 @@
 		Expect(total.outages).To(BeNumerically(">", 0))
 	})
 
-	It("are found out when front nodes ignore the pin", func() {
+	It("are reported as violations when front nodes ignore the pin", func() {
 		noticed := 0
 		for seed := range uint64(scheduleSeeds) {
 			schedule := newStepSchedule(seed + 1)
--- a/internal/dataplane/front/steps_test.go
+++ b/internal/dataplane/front/steps_test.go
@@ -48,7 +48,7 @@
 			}
 		})
 
-		It("keeps to its version after the fleet has moved on, at a front node that begins anew as well", func() {
+		It("keeps its version after the fleet was upgraded, also at a new front node", func() {
 			f1.generate(stepTurn("a"))
 			for _, server := range older {
 				server.weights.Store(6)
@@ -68,18 +68,18 @@
 				"the next step is free to take the version that most have")
 		})
 
-		It("goes to another server of its version when one has taken other weights since the choice", func() {
+		It("goes to another server of its version when the chosen one has loaded other weights", func() {
 			newer[0].weights.Store(6)
 			for number := range 10 {
 				f1.generate(stepTurn(fmt.Sprint("a", number)))
 			}
 			Expect(newer[1].ran.Load()).To(BeEquivalentTo(10))
 			Expect(newer[0].ran.Load()).To(BeZero())
-			Expect(count(newer[0].standIn)).To(BeNumerically("<=", 1), "a server is asked once while its word is fresh")
+			Expect(count(newer[0].standIn)).To(BeNumerically("<=", 1), "a server is asked once while its announcement is fresh")
 			Expect(count(older[0].standIn, older[1].standIn)).To(BeZero())
 		})
 
-		It("is answered at once when no server of its version is left", func() {
+		It("is rejected at once when no server of its version is left", func() {
 			f1.generate(stepTurn("a"))
 			for _, server := range newer {
 				server.weights.Store(6)
@@ -96,14 +96,14 @@
 			Expect(r.ledger.program("p-b").GetSettled()).To(BeZero())
 		})
 
-		It("does not go to a server of its version that drains", func() {
+		It("is not issued to a draining server of its version", func() {
 			f1.generate(stepTurn("a"))
 			r.drainServer("s3")
 			r.drainServer("s4")
 			expectUnavailable(f1.route(stepTurn("b")))
 		})
 
-		It("shows its step and version to who asks how it went", func() {
+		It("shows its step and version in its explanation", func() {
 			f1.generate(stepTurn("a"))
 			response, err := http.Get(f1.server.URL + "/v1/explain/a")
 			Expect(err).NotTo(HaveOccurred())
@@ -118,7 +118,7 @@
 	Describe("and the ledger", func() {
 		BeforeEach(func() { r.weightsServer("s1", 4) })
 
-		DescribeTable("counts it before its caller has the whole", func(target string) {
+		DescribeTable("counts it before its caller has the complete answer", func(target string) {
 			traced := r.traceLedger()
 			sent := stepTurn("a")
 			sent.target = target
@@ -126,11 +126,11 @@
 			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{4}, completed: true, tokens: 2}))
 			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: 4, completed: 1}}))
 		},
-			Entry("on a route that keeps turns", turnPath),
-			Entry("on a route that keeps none", streamPath),
+			Entry("on a route that retains turns", turnPath),
+			Entry("on a route that retains none", streamPath),
 		)
 
-		It("that is away lets nothing reach a server", func() {
+		It("that is unreachable keeps it from every server", func() {
 			r.ledger.setDown(true)
 			for _, sent := range []routed{stepTurn("a"), onStream(stepTurn("b"))} {
 				got := f1.route(sent)
@@ -142,13 +142,13 @@
 			f1.generate(stepTurn("c"))
 		})
 
-		It("that is known to be out of reach is not asked", func() {
+		It("that is known to be unreachable gets no operations", func() {
 			r.ledger.unreachable.Store(true)
 			Expect(f1.route(stepTurn("a")).status).To(Equal(http.StatusServiceUnavailable))
 			Expect(r.ledger.count("PinTrainingStep")).To(BeZero())
 		})
 
-		It("that has the program in another step refuses it", func() {
+		It("that has the program in another step rejects it", func() {
 			f1.generate(stepTurn("a"))
 			another := stepTurnOf("run-1/step-8", "b")
 			another.headers.Set(testDialect.Program, "p-a")
@@ -163,7 +163,7 @@
 			}
 		})
 
-		It("that has the step with another model refuses it", func() {
+		It("that has the step with another model rejects it", func() {
 			f1.generate(stepTurn("a"))
 			r.changeServer("s1", func(server *protocol.BackEnd) { server.ModelVersions = map[string]uint64{"judge": 4} })
 			for _, n := range []*node{f1, f2} {
@@ -193,7 +193,7 @@
 			Expect(r.ledger.generations("p-k1")).To(Equal([]generations{{version: 7, completed: 1}}))
 		})
 
-		It("is refused when it names another model than that of its step", func() {
+		It("is rejected when it names another model than that of its step", func() {
 			f1.generate(onModel("judge", stepTurn("a")))
 			for at, n := range []*node{f1, f2} {
 				got := n.route(onModel(stepModel, stepTurn(fmt.Sprint("b", at))))
@@ -203,7 +203,7 @@
 			Expect(own.requests()).To(BeEmpty())
 		})
 
-		It("is refused while no server has the model that it names, and pins nothing", func() {
+		It("is rejected while no server has the model that it names, and pins nothing", func() {
 			expectUnavailable(f1.route(onModel("critic", stepTurn("a"))))
 			Expect(r.ledger.count("PinTrainingStep")).To(BeZero())
 			for _, name := range []string{"", "a b"} {
@@ -212,12 +212,12 @@
 		})
 	})
 
-	Describe("whose server takes other weights", func() {
+	Describe("whose server loads other weights", func() {
 		var traced func(string) tracedRequest
 
 		BeforeEach(func() { traced = r.traceLedger() })
 
-		DescribeTable("before its first event is not passed on", func(target, version string, seen uint64) {
+		DescribeTable("before its first event is not forwarded", func(target, version string, seen uint64) {
 			r.weightsServerWith("s1", 4, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 				streamNaming(writer, request, version, event(1, "a"))
 			})
@@ -230,12 +230,12 @@
 			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{seen}, tokens: 1}))
 			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: seen, discarded: 1}}))
 		},
-			Entry("and keeps turns", turnPath, "5", uint64(5)),
-			Entry("and keeps none", streamPath, "5", uint64(5)),
-			Entry("and names none", turnPath, "", uint64(0)),
+			Entry("on a route that retains turns", turnPath, "5", uint64(5)),
+			Entry("on a route that retains none", streamPath, "5", uint64(5)),
+			Entry("on a route that retains turns, without naming a version", turnPath, "", uint64(0)),
 		)
 
-		DescribeTable("in mid-stream is broken off and counts as discarded", func(target string) {
+		DescribeTable("in mid-stream is aborted and counted as discarded", func(target string) {
 			change := strings.ToLower(testDialect.WeightVersions) + ": 5\n" + event(2, "b")
 			r.weightsServerWith("s1", 4, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 				streamNaming(writer, request, "4", event(1, "a"), change, event(3, "c"))
@@ -243,19 +243,19 @@
 			sent := stepTurn("a")
 			sent.target = target
 			got := f1.route(sent)
-			Expect(got.broken).To(HaveOccurred(), "it must not look whole")
+			Expect(got.broken).To(HaveOccurred(), "it must not look complete")
 			Expect(got.body).To(Equal(event(1, "a")))
 			r.waitUntilIdle(f1)
 			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{4, 5}, tokens: 1}))
 			Expect(r.ledger.turn("a")).To(BeNil())
 			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: 5, discarded: 1}}))
 		},
-			Entry("on a route that keeps turns", turnPath),
-			Entry("on a route that keeps none", streamPath),
+			Entry("on a route that retains turns", turnPath),
+			Entry("on a route that retains none", streamPath),
 		)
 	})
 
-	It("whose session is lost before it is recorded never looks whole", func() {
+	It("whose session is lost before it is recorded never looks complete", func() {
 		r.weightsServer("s1", 4)
 		r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 			if released := operation.GetReleaseTurn(); released.GetCompleted() {
@@ -275,7 +275,7 @@
 		Expect(r.ledger.generations("p-a")).To(Equal([]generations{{discarded: 1}}))
 	})
 
-	It("is refused at once when its step has no proper name, or it names no program", func() {
+	It("is rejected at once when its step name is invalid or it names no program", func() {
 		server := r.weightsServer("s1", 4)
 		for _, name := range []string{"a b", "", strings.Repeat("x", 129), "a\tb"} {
 			Expect(f1.route(stepTurnOf(name, "a")).status).To(Equal(http.StatusBadRequest), name)
@@ -292,13 +292,13 @@
 		Expect(server.requests()).To(BeEmpty())
 	})
 
-	It("is refused where no server names a version, without the ledger", func() {
+	It("is rejected without the ledger where no server names a version", func() {
 		r.server("s1", turnServer)
 		expectUnavailable(f1.route(stepTurn("a")))
 		Expect(r.ledger.count("PinTrainingStep")).To(BeZero())
 	})
 
-	It("that is refused by its server does not eject it", func() {
+	It("that its server rejects does not eject the server", func() {
 		server := r.weightsServer("s1", 4)
 		f1.generate(stepTurn("a"))
 		server.weights.Store(5)
@@ -310,8 +310,8 @@
 	})
 })
 
-var _ = Describe("a turn of no training step", func() {
-	It("goes to servers of any version as before, with the same headers and operations", func() {
+var _ = Describe("a turn outside training steps", func() {
+	It("goes to servers of any version, with the same headers and operations", func() {
 		r := newRouteRig()
 		f1 := r.front("f1")
 		plain := r.server("s1", turnServer)
@@ -343,7 +343,7 @@
 		Expect(reached["s3"]).NotTo(BeZero())
 	})
 
-	It("is passed on whatever versions its server names", func() {
+	It("is forwarded whatever versions its server names", func() {
 		r := newRouteRig()
 		f1 := r.front("f1")
 		change := strings.ToLower(testDialect.WeightVersions) + ": 5\n" + event(2, "b")
--- a/internal/dataplane/front/tools_test.go
+++ b/internal/dataplane/front/tools_test.go
@@ -46,7 +46,7 @@
 		return f1.do(http.MethodPost, path, body, set)
 	}
 
-	It("runs once and answers a repeat from the ledger", func() {
+	It("runs once and is answered from the ledger when repeated", func() {
 		r.backEnd("t1", toolServer, run)
 		for range 3 {
 			got := call(valve, "k1")
@@ -57,7 +57,7 @@
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("carries the fence and the key to the server", func() {
+	It("carries the fencing token and the key to the server", func() {
 		var seen http.Header
 		r.backEnd("t1", toolServer, func(writer http.ResponseWriter, request *http.Request) {
 			seen = request.Header.Clone()
@@ -80,7 +80,7 @@
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("is not sent again by the transport when a kept connection breaks", func() {
+	It("is not retried by the transport when a reused connection breaks", func() {
 		r.backEnd("t1", toolServer, func(writer http.ResponseWriter, request *http.Request) {
 			if runs.Load() == 0 {
 				run(writer, request)
@@ -93,7 +93,7 @@
 		Expect(runs.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("goes to another server when it surely was not run", func() {
+	It("goes to another server when it certainly was not run", func() {
 		reject := func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) }
 		r.backEnd("t1", toolServer, reject)
 		r.backEnd("t2", toolServer, reject)
@@ -106,7 +106,7 @@
 		Expect(call(valve, "k2").status).To(Equal(http.StatusOK))
 	})
 
-	It("is tried again when it may be repeated", func() {
+	It("is retried when it is repeatable", func() {
 		r.backEnd("t1", toolServer, func(writer http.ResponseWriter, request *http.Request) {
 			if runs.Load() == 0 {
 				breakOff(writer, request)
@@ -119,12 +119,12 @@
 		Expect(r.ledger.count("BeginCall")).To(BeZero())
 	})
 
-	It("needs a key when it may not be repeated, and a route", func() {
+	It("needs a route, and a key when it is non-repeatable", func() {
 		Expect(call(valve, "").errorCode()).To(Equal("missing_field"))
 		Expect(call("/v1/tools/none/calls", "k").errorCode()).To(Equal("unknown_tool"))
 	})
 
-	It("is unknown while the ledger is away, and never issued", func() {
+	It("has the outcome unknown while the ledger is unreachable, and is never issued", func() {
 		r.backEnd("t1", toolServer, run)
 		Expect(call(sensor, "").status).To(Equal(http.StatusOK))
 		r.ledger.setDown(true)
@@ -147,7 +147,7 @@
 		Expect(runs.Load()).To(BeEquivalentTo(1), "only the sensor was read")
 	})
 
-	It("is unknown when the stream to the owner broke while it ran, and its repeat hears the outcome", func() {
+	It("has the outcome unknown when the stream to the owner broke, and its repeat gets the outcome", func() {
 		r.front("f2")
 		f1.ownership.setOwner("s1", "f2")
 		arrived, release := make(chan struct{}), make(chan struct{})
@@ -165,7 +165,7 @@
 		Expect(runs.Load()).To(BeNumerically("<=", 1))
 	})
 
-	It("is not run, and never will be, when no owner could be reached", func() {
+	It("is rejected as not run when no owner is reachable, and never runs", func() {
 		f2 := r.front("f2")
 		f1.ownership.setOwner("s1", "f2")
 		r.backEnd("t1", toolServer, run)
@@ -185,7 +185,7 @@
 		Expect(runs.Load()).To(BeZero())
 	})
 
-	It("is never run again after its caller left", func() {
+	It("never runs again after its caller disconnected", func() {
 		arrived := make(chan struct{})
 		r.backEnd("t1", toolServer, func(_ http.ResponseWriter, request *http.Request) {
 			runs.Add(1)
--- a/internal/dataplane/front/turns_test.go
+++ b/internal/dataplane/front/turns_test.go
@@ -30,7 +30,7 @@
 	When("a model server answers", func() {
 		BeforeEach(func() { r.backEnd("m1", modelServer, modelAnswer("good", " day")) })
 
-		It("is answered whole, kept and charged", func() {
+		It("is answered completely, retained and charged", func() {
 			got := f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1", "Rosestand-Nonce": "n1"})
 			Expect(got.status).To(Equal(http.StatusOK), got.text)
 			Expect(got.header.Get("Rosestand-Request-Id")).To(Equal("k1"))
@@ -53,7 +53,7 @@
 			Expect(events[3].kind).To(Equal("response.completed"))
 		})
 
-		It("claims the session once and continues from the kept turn without reading it again", func() {
+		It("claims the session once and continues from the retained turn without reading it again", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
 			second := f1.turn(turnBody("s1", `,"previous_response_id":"`+first.at("id")+`"`), nil)
 			Expect(second.status).To(Equal(http.StatusOK), second.text)
@@ -61,7 +61,7 @@
 			Expect(r.ledger.count("ReadTurns")).To(BeZero())
 		})
 
-		It("lets the caller continue as soon as it was answered", func() {
+		It("can be continued as soon as it was answered", func() {
 			previous := ""
 			for range 40 {
 				got := f1.turn(turnBody("s1", previous), nil)
@@ -70,7 +70,7 @@
 			}
 		})
 
-		It("finds the conversation by the turn continued from", func() {
+		It("finds the conversation by the turn that it continues", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
 			second := f1.turn(`{"model":"`+model+`","program":"p1","input":"more","previous_response_id":"`+first.at("id")+`"}`,
 				nil)
@@ -78,7 +78,7 @@
 			Expect(second.at("conversation")).To(Equal("s1"))
 		})
 
-		It("refuses a wrong continuation and a turn that is not kept", func() {
+		It("rejects an invalid continuation and a turn that is not retained", func() {
 			f1.turn(turnBody("s1", ""), nil)
 			missing := f1.turn(turnBody("s1", `,"previous_response_id":"turn_none"`), nil)
 			Expect(missing.errorCode()).To(Equal("turn_missing"))
@@ -89,7 +89,7 @@
 			Expect(wrong.outcome()).To(Equal("not_run"))
 		})
 
-		It("answers a repeat under the same key from the ledger without running it again", func() {
+		It("is answered from the ledger under the same key without running again", func() {
 			first := f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
 			again := f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
 			Expect(again.status).To(Equal(http.StatusOK), again.text)
@@ -98,7 +98,7 @@
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(2))
 		})
 
-		It("refuses a spent budget only when the turn did not run", func() {
+		It("is rejected for a spent budget only when it did not run", func() {
 			Expect(f1.turn(turnBody("s1", `,"program_budget":2`), nil).status).To(Equal(http.StatusOK))
 			spent := f1.turn(turnBody("s2", ""), nil)
 			Expect(spent.status).To(Equal(http.StatusPaymentRequired))
@@ -106,7 +106,7 @@
 			Expect(spent.outcome()).To(Equal("not_run"))
 		})
 
-		It("keeps a program from other tenants", func() {
+		It("is not accessible to other tenants", func() {
 			f1.turn(turnBody("s1", ""), nil)
 			configuration := proto.CloneOf(r.view.Configuration)
 			configuration.Version = 2
@@ -118,14 +118,14 @@
 			Expect(read.errorCode()).To(Equal("unknown_program"))
 		})
 
-		It("is not looked for under a name of the ledger's own", func() {
+		It("is not looked up under a name reserved for the ledger", func() {
 			read := f1.do(http.MethodGet, "/v1/responses/turn_x?program="+ledger.TrainingStepProgram("17"), "", nil)
 			Expect(read.errorCode()).To(Equal("invalid_field"))
 			Expect(read.at("error", "path")).To(Equal("program"))
 			Expect(r.ledger.seen).To(BeEmpty())
 		})
 
-		It("explains its path", func() {
+		It("has an explanation of its path", func() {
 			f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
 			got := f1.do(http.MethodGet, "/v1/explain/k1", "", nil)
 			Expect(got.status).To(Equal(http.StatusOK))
@@ -138,7 +138,7 @@
 			Expect(f1.do(http.MethodGet, "/v1/explain/none", "", nil).errorCode()).To(Equal("not_found"))
 		})
 
-		It("is read and streamed again with the numbers it had", func() {
+		It("is read and streamed again with its event numbers", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
 			read := f1.do(http.MethodGet, "/v1/responses/"+first.at("id")+"?program=p1", "", nil)
 			Expect(read.text).To(ContainSubstring(`"text":"good day"`))
@@ -151,7 +151,7 @@
 			Expect(field(events[1].data, "response", "rosestand", "back_end")).To(Equal("m1"))
 		})
 
-		It("is streamed from the ledger as an attempt of its own at a node that never saw it", func() {
+		It("is streamed from the ledger as a new attempt at a front node that never saw it", func() {
 			first := f1.turn(turnBody("s1", ""), nil)
 			f2 := r.front("f2")
 			response := f2.open(context.Background(), http.MethodGet,
@@ -161,8 +161,8 @@
 		})
 	})
 
-	When("the first server breaks", func() {
-		It("begins anew under a higher number and never splices", func() {
+	When("the first server fails", func() {
+		It("is retried under a higher number and never splices", func() {
 			var requests atomic.Int32
 			breaking := func(writer http.ResponseWriter, request *http.Request) {
 				if requests.Add(1) == 1 {
@@ -182,7 +182,7 @@
 			Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(2), "tokens of both attempts are charged")
 		})
 
-		It("goes to another one after a refusal, and is refused with the time to come back when all refuse", func() {
+		It("goes to another server after a rejection, and is rejected with Retry-After when all reject", func() {
 			busy := func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set("Retry-After", "4")
 				writer.WriteHeader(http.StatusServiceUnavailable)
@@ -197,7 +197,7 @@
 			Expect(f1.turn(turnBody("s2", ""), nil).status).To(Equal(http.StatusOK))
 		})
 
-		It("says that the outcome is unknown when no other server is left", func() {
+		It("has the outcome unknown when no other server is left", func() {
 			r.backEnd("m1", modelServer, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 			got := f1.turn(turnBody("s1", ""), nil)
 			Expect(got.errorCode()).To(Equal("back_end_failed"))
@@ -205,7 +205,7 @@
 		})
 	})
 
-	It("gives a silent server up and begins anew elsewhere", func() {
+	It("is retried elsewhere when its server is unresponsive", func() {
 		// The sockets take the time of the wall clock: far above what the server that is not silent needs.
 		r.stall = 2 * time.Second
 		f3 := r.front("f3")
@@ -224,7 +224,7 @@
 		Expect(got.at("rosestand", "attempt")).To(Equal("2"))
 	})
 
-	It("never passes a foreign answer on", func() {
+	It("never forwards an answer to another request", func() {
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("Rosestand-Nonce", "foreign")
 			modelAnswer("secret")(writer, request)
@@ -234,7 +234,7 @@
 		Expect(got.text).NotTo(ContainSubstring("secret"))
 	})
 
-	It("frees the server at once when its caller leaves, and charges what was passed on", func() {
+	It("frees its server at once when its caller disconnects, and charges what was forwarded", func() {
 		freed := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writeWords(writer, "one", "two")
@@ -250,7 +250,7 @@
 		Eventually(func() uint64 { return r.ledger.program("p1").GetSettled() }).Should(BeEquivalentTo(2))
 	})
 
-	It("goes on in the background when it was asked to, and is resumed after the last event", func() {
+	It("runs in the background on request, and is resumed after the last event", func() {
 		release := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writeWords(writer, "one")
@@ -271,7 +271,7 @@
 		Expect(ids(readEvents(bufio.NewReader(resumed.Body), 10))).To(Equal([]string{"1-3", "1-4"}))
 	})
 
-	It("ends at its deadline with the truth", func() {
+	It("ends at its deadline with its true outcome", func() {
 		arrived := make(chan struct{})
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			close(arrived)
@@ -290,7 +290,7 @@
 		Expect(got.outcome()).To(Equal("unknown"))
 	})
 
-	It("passes nothing on once authority is lost", func() {
+	It("forwards nothing once authority is lost", func() {
 		release := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writeWords(writer, "one")
@@ -311,7 +311,7 @@
 		Expect(field(rest[0].data, "error", "outcome")).To(Equal("ran"))
 	})
 
-	It("is finished before a drain ends", func() {
+	It("completes before a drain ends", func() {
 		arrived, release := make(chan struct{}), make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
@@ -347,7 +347,7 @@
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
 	})
 
-	It("is unknown under a repeatable key while the ledger is away, and not run under a made-up one", func() {
+	It("while the ledger is unreachable, is unknown under the caller's key and not run without one", func() {
 		r.backEnd("m1", modelServer, modelAnswer("no"))
 		r.ledger.setDown(true)
 		Expect(f1.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"}).outcome()).To(Equal("unknown"))
@@ -356,7 +356,7 @@
 		Expect(got.outcome()).To(Equal("not_run"))
 	})
 
-	It("keeps another turn of the conversation out while it runs", func() {
+	It("excludes other turns of the conversation while it runs", func() {
 		release := make(chan struct{})
 		arrived := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/dataplane/front/unreachable_test.go
+++ b/internal/dataplane/front/unreachable_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a front node that does not reach the ledger", func() {
+var _ = Describe("a front node that cannot reach the ledger", func() {
 	var r *rig
 	var f1 *node
 
@@ -41,7 +41,7 @@
 		})
 
 		// No virtual time passes here: who waits for anything gets no answer.
-		DescribeTable("refuses at once what needs it", func(sent routed) {
+		DescribeTable("rejects at once what needs it", func(sent routed) {
 			got := f1.route(sent)
 			Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
 			Expect(got.header.Get("Retry-After")).To(Equal("1.000"))
@@ -49,24 +49,24 @@
 			Expect(r.ledger.seen).To(BeEmpty(), "nothing was asked of the ledger, so nothing is left to be undone")
 		},
 			Entry("a turn", routedTurn{id: "r1", input: "in"}.sent()),
-			Entry("a turn that goes on from another", routedTurn{id: "r2", previous: "r1", input: "in"}.sent()),
+			Entry("a turn that continues another", routedTurn{id: "r2", previous: "r1", input: "in"}.sent()),
 			Entry("a stream with a budget", routed{
 				target: streamPath, headers: with(testDialect.RequestID, "r1", testDialect.Program, "p1", testDialect.TokenBudget,
 					"100"),
 			}),
 		)
 
-		DescribeTable("goes on with what needs none", func(sent routed) {
+		DescribeTable("still serves what needs none", func(sent routed) {
 			got := f1.route(sent)
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			Expect(server.requests()).To(HaveLen(1))
 		},
 			Entry("a stream without a budget", ownedTalk),
-			Entry("a call that may not be repeated", ownedWrite),
-			Entry("a call that may be repeated", ownedRead),
+			Entry("a non-repeatable call", ownedWrite),
+			Entry("a repeatable call", ownedRead),
 		)
 
-		It("says so as owner to the front node that took the request in", func() {
+		It("reports it as owner to the ingress", func() {
 			f2 := r.front("f2")
 			f2.ownership.setOwner("c1", "f1")
 			got := f2.route(ownedTurn)
@@ -75,7 +75,7 @@
 			Expect(server.requests()).To(BeEmpty())
 		})
 
-		It("refuses what others own at once while it is cut off from them as well", func() {
+		It("rejects at once what others own while it is partitioned from them as well", func() {
 			f1.ownership.setOwner("c1", "f2")
 			r.network.unreachable["f2"] = true
 			r.ledger.isolated.Store(true)
@@ -92,12 +92,12 @@
 		})
 	})
 
-	Describe("for callers of the product's own interface", func() {
+	Describe("for callers of the native API", func() {
 		const valve, sensor = "/v1/tools/valve-plan/calls", "/v1/tools/sensor-data/calls"
 		const body = `{"program":"p1","conversation":"s1","arguments":{}}`
 		ran := func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, `{}`) }
 
-		It("refuses a turn at once as not run", func() {
+		It("rejects a turn at once as not run", func() {
 			loseLedger()
 			got := f1.turn(turnBody("c1", ""), nil)
 			Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.text)
@@ -105,14 +105,14 @@
 			Expect(got.outcome()).To(Equal("not_run"))
 		})
 
-		It("makes no promise about a turn of which it cannot know other sends", func() {
+		It("answers unknown for a turn that may have been sent before", func() {
 			loseLedger()
 			got := f1.turn(turnBody("c1", ""), headers{"Idempotency-Key": "k1"})
 			Expect(got.errorCode()).To(Equal("ledger_unavailable"))
 			Expect(got.outcome()).To(Equal("unknown"))
 		})
 
-		It("goes on with calls that may be repeated in sessions that it has claimed", func() {
+		It("still serves repeatable calls in sessions that it has claimed", func() {
 			r.backEnd("t1", toolServer, ran)
 			Expect(f1.do(http.MethodPost, sensor, body, nil).status).To(Equal(http.StatusOK))
 			loseLedger()
@@ -123,7 +123,7 @@
 		})
 	})
 
-	It("is ready unless it alone is cut off", func() {
+	It("is ready unless it alone is isolated", func() {
 		loseLedger()
 		Expect(front.NotReady(f1.service)).To(BeEmpty(), "all front nodes are in the same position")
 		r.ledger.isolated.Store(true)
@@ -132,7 +132,7 @@
 		Expect(front.NotReady(f1.service)).To(BeEmpty())
 	})
 
-	It("has its operations carried out by another one", func() {
+	It("has its operations carried out by another front node", func() {
 		claim := &protocol.LedgerOperation{
 			Program: "p1",
 			Body: &protocol.LedgerOperation_ClaimSession{ClaimSession: &protocol.ClaimSession{
--- a/internal/dataplane/front/wire_test.go
+++ b/internal/dataplane/front/wire_test.go
@@ -32,7 +32,7 @@
 	}
 	ignore := func(*protocol.Response) error { return nil }
 
-	It("says where the core is, serves the directory and refuses what is not a front node's", func() {
+	It("returns the core's addresses, serves the directory and rejects requests that are not for a front node", func() {
 		Expect(serve(&protocol.Request{Body: &protocol.Request_LocateCore{}}, func(response *protocol.Response) error {
 			Expect(response.GetLocateCore().GetLeaderAddress()).To(Equal("core"))
 			return nil
@@ -45,7 +45,7 @@
 			failure.UnknownRequest)).To(BeTrue())
 	})
 
-	It("does not take a turn that it does not own", func() {
+	It("rejects a turn that it does not own", func() {
 		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not mine")
 		request := &protocol.TurnRequest{RequestId: "r", Session: "s", Program: "p", Tenant: tenant, Model: model}
 		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Turn{Turn: request}}, ignore),
@@ -53,7 +53,7 @@
 		Expect(r.ledger.seen).To(BeEmpty())
 	})
 
-	It("cuts a reader that falls too far behind with a typed end", func() {
+	It("ends the stream of a reader that falls too far behind with a typed failure", func() {
 		const words = 3000
 		text := make([]string, words)
 		for at := range text {
