--- a/internal/dataplane/front/answer_load_test.go
+++ b/internal/dataplane/front/answer_load_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// loadReporter tells its load with each answer.
+// loadReporter reports its load with each answer.
 func loadReporter(load string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(testDialect.ServerLoad, load)
--- a/internal/dataplane/front/api_test.go
+++ b/internal/dataplane/front/api_test.go
@@ -39,7 +39,7 @@
 			Expect(got.errorCode()).To(Equal(code), got.text)
 			Expect(got.at("error", "path")).To(Equal(path))
 			Expect(got.outcome()).To(Equal("not_run"))
-			Expect(r.ledger.seen).To(BeEmpty())
+			Expect(r.ledger.operationCounts).To(BeEmpty())
 		},
 		Entry("not JSON", `{"model"`, "invalid_body", ""),
 		Entry("bytes after the JSON", `{"model":"m","program":"p","input":"x"} {}`, "invalid_body", ""),
@@ -214,9 +214,9 @@
 				}
 				return len(answered)
 			}).Should(Equal(1))
-			away := <-answered
-			Expect(away.errorCode()).To(Equal("no_leader"))
-			Expect(away.header.Get("Retry-After")).To(Equal("1"))
+			unreachable := <-answered
+			Expect(unreachable.errorCode()).To(Equal("no_leader"))
+			Expect(unreachable.header.Get("Retry-After")).To(Equal("1"))
 		})
 
 		It("answers a drain after the core acknowledged it", func() {
--- a/internal/dataplane/front/bench_test.go
+++ b/internal/dataplane/front/bench_test.go
@@ -32,7 +32,7 @@
 
 // BenchmarkTurns measures turns through one front node that owns all sessions,
 // with a ledger in memory. Caller and model server run in the same process, so
-// a turn's cost here holds theirs too. The difference between two lengths is the
+// a turn's cost here includes theirs. The difference between two lengths is the
 // most that a token may cost the front node.
 func BenchmarkTurns(b *testing.B) {
 	for _, tokens := range []int{20, 100, 200} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// processorTime is what this process has used so far.
+// processorTime is the processor time that this process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage unix.Rusage
--- a/internal/dataplane/front/blame_test.go
+++ b/internal/dataplane/front/blame_test.go
@@ -8,8 +8,8 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-func TestExpiredDeadlineIsNoServerOutcome(t *testing.T) {
+func TestExpiredDeadlineIsNotCountedAsServerOutcome(t *testing.T) {
 	if got := front.OutcomeOfExpired(&manualClock{now: time.Unix(1_000_000, 0)}); got != schedule.OutcomeNotExecuted {
-		t.Fatalf("the server is blamed with outcome %d", got)
+		t.Fatalf("the server is charged with outcome %d", got)
 	}
 }
--- a/internal/dataplane/front/clock_test.go
+++ b/internal/dataplane/front/clock_test.go
@@ -9,13 +9,13 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
-// minLedgerBackoff and maxLedgerBackoff are what a turn waits until it asks the ledger again.
+// minLedgerBackoff and maxLedgerBackoff bound the time that a turn waits until it queries the ledger again.
 const (
 	minLedgerBackoff = 50 * time.Millisecond
 	maxLedgerBackoff = 2 * time.Second
 )
 
-// manualClock moves only when a story says so.
+// manualClock moves only when a spec advances it.
 type manualClock struct {
 	mutex  sync.Mutex
 	now    time.Time
@@ -53,7 +53,7 @@
 	}
 }
 
-// timeoutContext ends with its parent or when it is told to.
+// timeoutContext ends with its parent or when its end method is called.
 type timeoutContext struct {
 	context.Context
 	done chan struct{}
@@ -125,7 +125,7 @@
 	return set
 }
 
-// awaitsSample reports whether a front node waits until it asks the next server for its load.
+// awaitsSample reports whether a front node waits until it requests the next server's load.
 func (c *manualClock) awaitsSample() bool {
 	return c.isAnySet(func(set time.Duration) bool {
 		return set >= front.SampleInterval/2 && set < front.SampleInterval*3/2 && set != front.SampleTimeout
@@ -152,7 +152,7 @@
 	}
 }
 
-// passBackoffs advances the clock by the time that a turn waits until it asks the ledger again, and not while
+// passBackoffs advances the clock by the time that a turn waits until it queries the ledger again, and not while
 // none waits.
 func (c *manualClock) passBackoffs() {
 	for wait := minLedgerBackoff; wait < maxLedgerBackoff; wait *= 2 {
--- a/internal/dataplane/front/drain_rig_test.go
+++ b/internal/dataplane/front/drain_rig_test.go
@@ -30,7 +30,7 @@
 	closing bool
 }
 
-// call sends a request over a connection that may be kept.
+// call sends a request over a connection that may be reused.
 func (l *drainingListener) call(target string) connectionAnswer {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
--- a/internal/dataplane/front/export_test.go
+++ b/internal/dataplane/front/export_test.go
@@ -31,7 +31,7 @@
 	noticed  <-chan time.Time
 }
 
-// NewRouteListener makes a listener that is not open yet.
+// NewRouteListener returns a listener that is not open yet.
 func NewRouteListener(address string, handler http.Handler, clock Clock) *RouteListener {
 	return &RouteListener{listener: newRouteListener(address, handler, Sockets{}, log.New(io.Discard)), clock: clock}
 }
@@ -42,7 +42,7 @@
 // Address is where callers find it.
 func (l *RouteListener) Address() string { return l.listener.bound.String() }
 
-// BeginDrain lets callers go, as a draining front node does first.
+// BeginDrain sends callers to other front nodes, as a draining front node does first.
 func (l *RouteListener) BeginDrain() { l.noticed = l.listener.beginDrain(l.clock) }
 
 // Drain takes the listener out of use, as a draining front node does last.
@@ -51,16 +51,16 @@
 // Stop ends what is left.
 func (l *RouteListener) Stop() error { return l.listener.stop() }
 
-// TokenUsage reads the header that tells the tokens of a turn.
+// TokenUsage parses the header that reports the tokens of a turn.
 func TokenUsage(text string) (prompt, maxOutput uint32) { return tokenUsage(text) }
 
-// PromptParts reads the header that names the parts of a prompt.
+// PromptParts parses the header that names the parts of a prompt.
 func PromptParts(text string) []*protocol.PromptPart { return promptParts(text) }
 
 // MaxPromptParts bounds the parts that are read.
 const MaxPromptParts = maxPromptParts
 
-// OutcomeOfExpired is what a send whose deadline has passed tells of its server's health.
+// OutcomeOfExpired is the server outcome that an attempt whose deadline has passed reports.
 func OutcomeOfExpired(clock Clock) schedule.Outcome {
 	view := &protocol.BackEndView{BackEnds: []*protocol.BackEnd{{Id: "s1", Address: "127.0.0.1:1"}}}
 	server := (&backends.Set{}).Next(view).ByID["s1"]
@@ -76,7 +76,7 @@
 	return fault.Outcome()
 }
 
-// NotReady says why a front node should get no connections; empty when it should.
+// NotReady returns why a front node should get no connections; empty when it should.
 func NotReady(service *Service) string { return service.notReady() }
 
 // MaxExpectedWait is the longest wait for a slot that a request of an HTTP route may expect.
@@ -84,7 +84,7 @@
 	return routedTicket(routed, "", time.Time{}, time.Time{}).MaxExpectedWait
 }
 
-// IsFresh tells whether a server that was heard and sampled some time ago is not asked for its load.
+// IsFresh reports whether a server that reported and was sampled some time ago needs no load request.
 func IsFresh(answersCarryLoad bool, reportedAgo, sampledAgo time.Duration) bool {
 	server, now := &backends.Server{}, time.Unix(1000, 0)
 	server.ApplyReport(dialect.Report{}, now.Add(-sampledAgo))
@@ -96,13 +96,13 @@
 	return server.IsFresh(now)
 }
 
-// StartWaiters is how many requests wait for the first bundle.
+// StartWaiters is the number of requests that wait for the first bundle.
 func (s *Service) StartWaiters() int { return int(s.startWaiters.Load()) }
 
-// UnderWay is how many turns and calls a service works on.
+// UnderWay is the number of turns and calls in progress at a service.
 func (s *Service) UnderWay() int64 { return s.inProgress.Load() }
 
-// Waits of a service that stories let pass.
+// Waits of a service that specs let pass.
 const (
 	FirstBackoff          = firstBackoff
 	MaxBackoff            = maxBackoff
@@ -117,18 +117,18 @@
 	AnswerWithin = time.Second
 )
 
-// RejectedVersionTTL is how long a server's word that it has not a version goes before its announcement.
+// RejectedVersionTTL is how long a server's rejection of a version overrides its announcement.
 const RejectedVersionTTL = backends.RejectedVersionTTL
 
-// ShallowCopy gives a request whose own fields may be changed.
+// ShallowCopy returns a request whose own fields may be changed.
 func ShallowCopy(request *protocol.TurnRequest) *protocol.TurnRequest { return shallowCopy(request) }
 
-// WaitingLive is how many live requests wait for a slot of a group.
+// WaitingLive is the number of live requests that wait for a slot of a group.
 func WaitingLive(service *Service, group string) int {
 	return service.admission.WaitingLive(group)
 }
 
-// WaitingSteps is how many generations of training steps wait for a slot.
+// WaitingSteps is the number of generations of training steps that wait for a slot.
 func WaitingSteps(service *Service) int {
 	return service.admission.WaitingSteps()
 }
--- a/internal/dataplane/front/fakes_test.go
+++ b/internal/dataplane/front/fakes_test.go
@@ -11,16 +11,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// fakeLink holds a view and answers for the core.
+// fakeLink has a view and answers for the core.
 type fakeLink struct {
 	mutex       sync.Mutex
 	view        *corelink.View
 	subscribers []func(*corelink.View)
 	core        func(*protocol.Request) (*protocol.Response, error)
 	draining    atomic.Bool
-	// shared, if any, answers reports of what was seen of servers; without it no server is suspect.
+	// shared, if any, answers reports of server outcomes; without it no server is suspected.
 	shared func(*protocol.ShareOutcomesRequest) (*protocol.ShareOutcomesResponse, error)
-	// watched, if any, answers who watches for suspects; without it there never are new ones.
+	// watched, if any, answers requests to watch suspects; without it there are never new ones.
 	watched func(context.Context, *protocol.WatchSuspectsRequest) (*protocol.WatchSuspectsResponse, error)
 }
 
--- a/internal/dataplane/front/fuzz_routes_test.go
+++ b/internal/dataplane/front/fuzz_routes_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front"
 )
 
-// FuzzTokenUsage reads the header of a turn's tokens; what it reads of a well-formed one is what was written.
+// FuzzTokenUsage parses the header of a turn's tokens; a well-formed one parses to what was written.
 func FuzzTokenUsage(f *testing.F) {
 	for _, text := range []string{
 		"", "1840,136", " 1 , 2 ", "1", ",2", "-1,-1", "4294967295,2147483648", "1,2,3", "x,y",
@@ -28,7 +28,7 @@
 	})
 }
 
-// FuzzPromptParts reads the header of a prompt's parts; what it reads of a well-formed one is what was written.
+// FuzzPromptParts parses the header of a prompt's parts; a well-formed one parses to what was written.
 func FuzzPromptParts(f *testing.F) {
 	for _, text := range []string{
 		"", "5c1e07a2:800,91bd3f06:410,e4402b7d:250", "a", ":", "a:1,", ", b:2", "a:-1", "a:99999999999", "a:1:2",
--- a/internal/dataplane/front/fuzz_test.go
+++ b/internal/dataplane/front/fuzz_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// fuzzEngine serves a front node that owns nothing: whatever gets through the checks is refused as not owned.
+// fuzzEngine serves a front node that owns nothing: whatever passes validation is rejected as not owned.
 func fuzzEngine(f *testing.F) *gin.Engine {
 	r := newRig()
 	link := &fakeLink{view: r.view, core: func(*protocol.Request) (*protocol.Response, error) {
--- a/internal/dataplane/front/ingress_copy_test.go
+++ b/internal/dataplane/front/ingress_copy_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestTheCopyOfARequestLeavesNoFieldOut(t *testing.T) {
+func TestRequestCopyIncludesEveryField(t *testing.T) {
 	request := &protocol.TurnRequest{}
 	message := request.ProtoReflect()
 	fields := message.Descriptor().Fields()
--- a/internal/dataplane/front/lost_reservations_test.go
+++ b/internal/dataplane/front/lost_reservations_test.go
@@ -34,8 +34,8 @@
 			Expect(result.GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_OK))
 		}
 	})
-	// given puts a membership in force in which f2 has an incarnation.
-	given := func(incarnation uint64) {
+	// setIncarnation puts a membership in force in which f2 has an incarnation.
+	setIncarnation := func(incarnation uint64) {
 		r.put(&corelink.View{
 			Configuration: r.view.Configuration, BackEnds: r.view.BackEnds,
 			Membership: &protocol.MembershipView{Version: 2, Nodes: []*protocol.Node{
@@ -46,13 +46,13 @@
 	}
 
 	It("blocks new turns while that node is a member", func() {
-		given(7)
+		setIncarnation(7)
 		Expect(n.turn(turnBody("c1", ""), nil).errorCode()).To(Equal("budget_held"))
 		Expect(r.ledger.program("p1").GetReservations()).To(HaveLen(2))
 	})
 
 	It("is charged once that node is removed, and the rejection is final", func() {
-		given(8)
+		setIncarnation(8)
 		Expect(n.turn(turnBody("c1", ""), nil).errorCode()).To(Equal("budget_spent"))
 		Expect(r.ledger.program("p1").GetReservations()).To(BeEmpty())
 		Expect(r.ledger.program("p1").GetSettled()).To(BeEquivalentTo(2 * reservationLimit))
--- a/internal/dataplane/front/memory_ledger_test.go
+++ b/internal/dataplane/front/memory_ledger_test.go
@@ -18,18 +18,18 @@
 type memoryLedger struct {
 	clock *manualClock
 	mutex sync.Mutex
-	// down makes every operation unavailable; seen counts them by kind.
+	// down makes every operation unavailable; operationCounts counts them by kind.
 	down bool
-	// unreachable is what the client says of every program, and isolated of its front node.
+	// unreachable is what the client reports of every program, and isolated of its front node.
 	unreachable, isolated atomic.Bool
-	// holdRejections, when set, keeps tombstones back until it is closed.
+	// holdRejections, when set, delays tombstones until it is closed.
 	holdRejections chan struct{}
 	// intercept, when set, may answer an operation in the ledger's place; nil lets it through.
-	intercept func(operation *protocol.LedgerOperation) *protocol.LedgerResult
-	seen      map[string]int
-	programs  map[string]*protocol.ProgramRecord
-	calls     map[string]*protocol.CallRecord
-	turns     map[string]*protocol.Turn
+	intercept       func(operation *protocol.LedgerOperation) *protocol.LedgerResult
+	operationCounts map[string]int
+	programs        map[string]*protocol.ProgramRecord
+	calls           map[string]*protocol.CallRecord
+	turns           map[string]*protocol.Turn
 }
 
 func (l *memoryLedger) Do(_ context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
@@ -43,7 +43,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.seen[strings.TrimPrefix(fmt.Sprintf("%T", operation.GetBody()), "*protocol.LedgerOperation_")]++
+	l.operationCounts[strings.TrimPrefix(fmt.Sprintf("%T", operation.GetBody()), "*protocol.LedgerOperation_")]++
 	if l.down {
 		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), nil
 	}
@@ -72,17 +72,17 @@
 	return result, nil
 }
 
-// DoDirectly carries an operation out for another front node.
+// DoDirectly carries out an operation for another front node.
 func (l *memoryLedger) DoDirectly(
 	ctx context.Context, operation *protocol.LedgerOperation,
 ) (*protocol.LedgerResult, error) {
 	return l.Do(ctx, operation)
 }
 
-// Unreachable reports what the story says.
+// Unreachable reports what the spec has set.
 func (l *memoryLedger) Unreachable(string) bool { return l.unreachable.Load() }
 
-// Isolated reports what the story says.
+// Isolated reports what the spec has set.
 func (l *memoryLedger) Isolated() bool { return l.isolated.Load() }
 
 // read follows a chain within one program, as stores do.
@@ -117,10 +117,10 @@
 func (l *memoryLedger) kinds() map[string]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return maps.Clone(l.seen)
+	return maps.Clone(l.operationCounts)
 }
 
-// turn gives a kept turn, or nil.
+// turn returns a retained turn, or nil.
 func (l *memoryLedger) turn(id string) *protocol.Turn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,7 +136,7 @@
 func (l *memoryLedger) count(kind string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.seen[kind]
+	return l.operationCounts[kind]
 }
 
 func (l *memoryLedger) program(name string) *protocol.ProgramRecord {
--- a/internal/dataplane/front/network_test.go
+++ b/internal/dataplane/front/network_test.go
@@ -12,15 +12,15 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// network carries requests between the services of a story.
+// network carries requests between the services of a spec.
 type network struct {
 	mutex sync.Mutex
 	peers map[string]wire.Handler
-	// partitioned breaks the stream to an address after so many answers.
+	// partitioned breaks the stream to an address after this number of answers.
 	partitioned map[string]int
 	// partitionWhen delays the break until it is closed.
 	partitionWhen map[string]chan struct{}
-	// unreachable addresses take nothing.
+	// unreachable addresses accept nothing.
 	unreachable map[string]bool
 }
 
@@ -41,11 +41,11 @@
 		return nil, &wire.NotSentError{Address: address, Cause: io.ErrClosedPipe}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	left, limited := n.partitioned[address]
+	remaining, limited := n.partitioned[address]
 	delete(n.partitioned, address)
 	stream := &memoryStream{
 		address: address, answers: make(chan *protocol.Response, 4096), cancel: cancel,
-		limited: limited, left: left, when: n.partitionWhen[address],
+		limited: limited, remaining: remaining, when: n.partitionWhen[address],
 	}
 	go func() {
 		stream.err = peer.Serve(ctx, proto.CloneOf(request), func(response *protocol.Response) error {
@@ -58,23 +58,23 @@
 }
 
 type memoryStream struct {
-	address string
-	answers chan *protocol.Response
-	err     error
-	cancel  context.CancelFunc
-	limited bool
-	left    int
-	when    chan struct{}
+	address   string
+	answers   chan *protocol.Response
+	err       error
+	cancel    context.CancelFunc
+	limited   bool
+	remaining int
+	when      chan struct{}
 }
 
 func (s *memoryStream) Receive() (*protocol.Response, error) {
-	if s.limited && s.left == 0 {
+	if s.limited && s.remaining == 0 {
 		if s.when != nil {
 			<-s.when
 		}
 		return nil, &wire.BrokenError{Address: s.address, Cause: io.ErrUnexpectedEOF}
 	}
-	s.left--
+	s.remaining--
 	answer, more := <-s.answers
 	if more {
 		return answer, nil
--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -91,10 +91,10 @@
 			return r.loadRequestCount("m1")
 		}).Should(BeNumerically(">=", 2), "the load of a server without answers is asked for")
 		Eventually(r.clock.awaitsSample).Should(BeTrue(), "the answer was taken")
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
 		for at := range 10 {
-			go func() { f1.leaveWith(ctx, turnBody(fmt.Sprint("s", at), "")) }()
+			go func() { f1.sendUntilDone(ctx, turnBody(fmt.Sprint("s", at), "")) }()
 		}
 		for range 3 {
 			Eventually(arrived).Should(Receive())
@@ -124,25 +124,25 @@
 
 	It("rejects requests without capacity by one ledger operation, and only those with a key", func() {
 		arrived := make(chan struct{}, 8)
-		over := make(chan struct{})
+		finished := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
-		defer close(over)
+		defer close(finished)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			select {
 			case <-request.Context().Done():
-			case <-over:
+			case <-finished:
 			}
 		})
 		next := proto.CloneOf(r.view.Configuration)
 		next.Version++
 		next.Active.Limits.MaxConcurrent, next.Active.Limits.MaxQueued = 1, 1
 		r.put(&corelink.View{Configuration: next, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
-		go f1.leaveWith(ctx, turnBody("runs", ""))
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
+		go f1.sendUntilDone(ctx, turnBody("runs", ""))
 		Eventually(arrived).Should(Receive())
-		// The queue holds one of two.
+		// The queue has capacity for one of two.
 		answered := make(chan answer, 2)
 		for _, session := range []string{"w1", "w2"} {
 			go func() {
@@ -160,30 +160,30 @@
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
 		Expect(f1.turn(turnBody("s2", ""), nil).outcome()).To(Equal("not_run"))
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
-		Expect(r.ledger.count("ClaimSession")).To(Equal(claims), "a refused turn claims nothing")
+		Expect(r.ledger.count("ClaimSession")).To(Equal(claims), "a rejected turn claims nothing")
 	})
 
 	It("does not delay a rejection for a slow ledger, and answers unknown when it cannot tell", func() {
 		r.ledger.holdRejections = make(chan struct{})
 		defer close(r.ledger.holdRejections)
 		arrived := make(chan struct{}, 8)
-		over := make(chan struct{})
+		finished := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
-		defer close(over)
+		defer close(finished)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			select {
 			case <-request.Context().Done():
-			case <-over:
+			case <-finished:
 			}
 		})
 		next := proto.CloneOf(r.view.Configuration)
 		next.Version++
 		next.Active.Limits.MaxConcurrent, next.Active.Limits.MaxQueued = 1, 1
 		r.put(&corelink.View{Configuration: next, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
-		go f1.leaveWith(ctx, turnBody("runs", ""))
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
+		go f1.sendUntilDone(ctx, turnBody("runs", ""))
 		Eventually(arrived).Should(Receive())
 		answered := make(chan answer, 2)
 		for _, key := range []string{"k1", "k2"} {
@@ -213,14 +213,14 @@
 			<-request.Context().Done()
 			freed.Add(1)
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		for at := range 60 {
-			go f1.leaveWith(ctx, turnBody(fmt.Sprint("s", at), `,"stream":true,"max_output_tokens":8`))
+			go f1.sendUntilDone(ctx, turnBody(fmt.Sprint("s", at), `,"stream":true,"max_output_tokens":8`))
 		}
 		const maxConcurrent = 24
 		Eventually(started.Load).Should(BeEquivalentTo(maxConcurrent))
-		leave()
-		// One that waited may begin in a slot given back before its own caller was seen to leave.
+		disconnect()
+		// One that waited may begin in a released slot before the disconnect of its own caller is observed.
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeZero())
 		Expect(f1.turn(turnBody("last", `,"max_output_tokens":8`), nil).status).To(Equal(http.StatusOK))
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeEquivalentTo(1),
@@ -247,8 +247,8 @@
 	})
 })
 
-// leaveWith sends a turn and reads its answer until the context ends.
-func (n *node) leaveWith(ctx context.Context, body string) {
+// sendUntilDone sends a turn and reads its answer until the context ends.
+func (n *node) sendUntilDone(ctx context.Context, body string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.server.URL+"/v1/responses", strings.NewReader(body))
 	if err != nil {
 		return
--- a/internal/dataplane/front/owned_turns_test.go
+++ b/internal/dataplane/front/owned_turns_test.go
@@ -82,7 +82,7 @@
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
 		r.network.unreachable["f2"] = false
 		late := f2.turn(turnBody("s1", ""), headers{"Idempotency-Key": "k1"})
-		Expect(late.errorCode()).To(Equal("request_refused"), "a late copy of a refused request must never run")
+		Expect(late.errorCode()).To(Equal("request_refused"), "a late duplicate of a rejected request must never run")
 	})
 
 	It("forwards nothing from a stream that skips an event", func() {
@@ -151,7 +151,7 @@
 	})
 })
 
-// skippingPeer is a broken owner whose stream leaves one event out.
+// skippingPeer is a faulty owner whose stream omits one event.
 type skippingPeer struct{}
 
 func (skippingPeer) Serve(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
--- a/internal/dataplane/front/rig_test.go
+++ b/internal/dataplane/front/rig_test.go
@@ -40,7 +40,7 @@
 	stall   time.Duration
 
 	loadMutex sync.Mutex
-	// loads are the reports that servers give; loadRequests counts how often they were asked.
+	// loads are the load reports of servers; loadRequests counts the requests for them.
 	loads        map[string]string
 	loadRequests map[string]int
 	// watched, if any, answers front nodes added later that watch for suspects.
@@ -52,7 +52,7 @@
 	link      *fakeLink
 	ownership *fakeOwnership
 	server    *httptest.Server
-	// routes serves callers of HTTP routes once a story asks for it.
+	// routes serves callers of HTTP routes once a spec uses it.
 	routes *httptest.Server
 }
 
@@ -67,7 +67,7 @@
 	return &rig{
 		clock: clock, nodes: map[string]*node{}, loads: map[string]string{}, loadRequests: map[string]int{},
 		ledger: &memoryLedger{
-			clock: clock, seen: map[string]int{}, programs: map[string]*protocol.ProgramRecord{},
+			clock: clock, operationCounts: map[string]int{}, programs: map[string]*protocol.ProgramRecord{},
 			calls: map[string]*protocol.CallRecord{}, turns: map[string]*protocol.Turn{},
 		},
 		network: &network{
@@ -109,10 +109,10 @@
 // backEnd adds a server behind all front nodes added before.
 func (r *rig) backEnd(id string, kind protocol.BackEndKind, handler http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		// net/http sees a caller leave only once the body was read.
+		// net/http detects that a caller disconnected only once the body was read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		if request.URL.Path == "/load" {
-			// A report of the load is no run.
+			// A load report is not a run.
 			r.loadReport(writer, id)
 			return
 		}
@@ -133,7 +133,7 @@
 	r.put(&corelink.View{Configuration: r.view.Configuration, Membership: r.view.Membership, BackEnds: next})
 }
 
-// loadReport answers GET /load with what the story says of the server.
+// loadReport answers GET /load with the load that the spec has set for the server.
 func (r *rig) loadReport(writer http.ResponseWriter, id string) {
 	r.loadMutex.Lock()
 	defer r.loadMutex.Unlock()
--- a/internal/dataplane/front/route_affinity_test.go
+++ b/internal/dataplane/front/route_affinity_test.go
@@ -26,17 +26,17 @@
 				route.Sticky = isSticky
 			}
 		})
-		var stands []*standIn
+		var backEnds []*standIn
 		for number := range servers {
-			stands = append(stands, r.server(fmt.Sprintf("s%d", number), answerWith(http.StatusOK, "ok")))
+			backEnds = append(backEnds, r.server(fmt.Sprintf("s%d", number), answerWith(http.StatusOK, "ok")))
 		}
 		for call := range calls {
 			headers := with(testDialect.Program, fmt.Sprintf("p%d", call), testDialect.Affinity, object(call))
 			Expect(node.route(routed{target: nonRepeatablePath, headers: headers}).status).To(Equal(http.StatusOK))
 		}
 		requests := 0
-		for _, stand := range stands {
-			if len(stand.requests()) > 0 {
+		for _, backEnd := range backEnds {
+			if len(backEnd.requests()) > 0 {
 				requests++
 			}
 		}
--- a/internal/dataplane/front/route_faults_test.go
+++ b/internal/dataplane/front/route_faults_test.go
@@ -18,63 +18,67 @@
 )
 
 // badAnswer is what a server sends on a connection in place of the answer to a request; then it closes.
-type badAnswer func(seen seenRequest) string
+type badAnswer func(received receivedRequest) string
 
 // badAnswers are those after which the request may have run.
 var badAnswers = map[string]badAnswer{
-	"no answer":               func(seenRequest) string { return "" },
-	"bytes that are not HTTP": func(seenRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" },
-	"a truncated head":        func(seen seenRequest) string { return rawHead(seen, "Content-Length: 2\r\n")[:40] },
-	"a body shorter than declared": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Length: 10\r\n") + "short"
+	"no answer":               func(receivedRequest) string { return "" },
+	"bytes that are not HTTP": func(receivedRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" },
+	"a truncated head": func(received receivedRequest) string {
+		return rawHead(received, "Content-Length: 2\r\n")[:40]
 	},
-	"chunks without the last one": func(seen seenRequest) string {
-		return rawHead(seen, "Transfer-Encoding: chunked\r\n") + "5\r\nshort\r\n"
+	"a body shorter than declared": func(received receivedRequest) string {
+		return rawHead(received, "Content-Length: 10\r\n") + "short"
 	},
-	"an invalid chunk size": func(seen seenRequest) string {
-		return rawHead(seen, "Transfer-Encoding: chunked\r\n") + "zz\r\nshort\r\n0\r\n\r\n"
+	"chunks without the last one": func(received receivedRequest) string {
+		return rawHead(received, "Transfer-Encoding: chunked\r\n") + "5\r\nshort\r\n"
 	},
-	"an answer without proof": func(seen seenRequest) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse", testDialect.RequestID, seen.id())
+	"an invalid chunk size": func(received receivedRequest) string {
+		return rawHead(received, "Transfer-Encoding: chunked\r\n") + "zz\r\nshort\r\n0\r\n\r\n"
 	},
-	"an answer to another request": func(seenRequest) string {
+	"an answer without proof": func(received receivedRequest) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 5\r\n\r\nfalse",
+			testDialect.RequestID, received.id())
+	},
+	"an answer to another request": func(receivedRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse",
 			testDialect.RequestID, testDialect.Signature)
 	},
-	"an answer without a request id": func(seenRequest) string {
+	"an answer without a request id": func(receivedRequest) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: proof\r\nContent-Length: 5\r\n\r\nfalse", testDialect.Signature)
 	},
-	"a rejection of another request": func(seenRequest) string {
+	"a rejection of another request": func(receivedRequest) string {
 		return fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: other\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID,
 			testDialect.NotExecuted)
 	},
-	"a 421 for another request": func(seenRequest) string {
+	"a 421 for another request": func(receivedRequest) string {
 		return fmt.Sprintf("HTTP/1.1 421 Misdirected\r\n%s: other\r\nContent-Length: 0\r\n\r\n", testDialect.RequestID)
 	},
-	"a 503 without the not-executed header": func(seen seenRequest) string {
+	"a 503 without the not-executed header": func(received receivedRequest) string {
 		return fmt.Sprintf("HTTP/1.1 503 Busy\r\n%s: %s\r\n%s: proof\r\nContent-Length: 4\r\n\r\nbusy", testDialect.RequestID,
-			seen.id(), testDialect.Signature)
+			received.id(), testDialect.Signature)
 	},
 }
 
 // badStreams are answers of streams after which the caller must see a broken connection.
 var badStreams = map[string]badAnswer{
-	"ends inside an event": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1, "one") + "id: 2\ndata: tw"
+	"ends inside an event": func(received receivedRequest) string {
+		return rawHead(received, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1,
+			"one") + "id: 2\ndata: tw"
 	},
-	"ends before the blank line of an event": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1,
+	"ends before the blank line of an event": func(received receivedRequest) string {
+		return rawHead(received, "Content-Type: text/event-stream\r\nConnection: close\r\n") + event(1,
 			"one") + "id: 2\ndata: two\n"
 	},
-	"breaks between events": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one"))
+	"breaks between events": func(received receivedRequest) string {
+		return rawHead(received, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1, "one"))
 	},
-	"breaks inside a chunk": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
+	"breaks inside a chunk": func(received receivedRequest) string {
+		return rawHead(received, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
 			"one")) + "40\r\nid: 2\n"
 	},
-	"turns into garbage": func(seen seenRequest) string {
-		return rawHead(seen, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
+	"turns into garbage": func(received receivedRequest) string {
+		return rawHead(received, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + chunk(event(1,
 			"one")) + "\x00\xff?\r\n"
 	},
 }
@@ -94,28 +98,28 @@
 		arrivals.Store(0)
 	})
 
-	// badOnce adds two servers, of which the one asked first answers badly.
-	badOnce := func(bad badAnswer, good func(seen seenRequest) string) [2]*standIn {
+	// badOnce adds two servers, of which the first to get a request gives the bad answer.
+	badOnce := func(bad badAnswer, good func(received receivedRequest) string) [2]*standIn {
 		var servers [2]*standIn
 		for at := range servers {
 			servers[at] = r.rawServer(fmt.Sprintf("s%d", at+1),
 				func(server *standIn, connection net.Conn, reader *bufio.Reader) {
 					for {
-						seen, more := server.take(reader)
+						received, more := server.take(reader)
 						if !more {
 							return
 						}
 						if arrivals.Add(1) == 1 {
-							_, _ = io.WriteString(connection, bad(seen))
+							_, _ = io.WriteString(connection, bad(received))
 							return
 						}
-						_, _ = io.WriteString(connection, good(seen))
+						_, _ = io.WriteString(connection, good(received))
 					}
 				})
 		}
 		return servers
 	}
-	complete := func(seen seenRequest) string { return rawHead(seen, "Content-Length: 4\r\n") + "true" }
+	complete := func(received receivedRequest) string { return rawHead(received, "Content-Length: 4\r\n") + "true" }
 
 	for name, bad := range badAnswers {
 		It("that gives "+name+" ends a non-repeatable request with the outcome unknown and without a retry", func() {
@@ -172,7 +176,7 @@
 		},
 	} {
 		DescribeTable("that rejects with "+name+" is followed by another server",
-			func(path string, answer http.HandlerFunc, wanted string) {
+			func(path string, answer http.HandlerFunc, want string) {
 				var servers []*standIn
 				for at := range 3 {
 					handler := func(writer http.ResponseWriter, request *http.Request) {
@@ -186,7 +190,7 @@
 				}
 				got := f1.route(routed{target: path, headers: with(testDialect.RequestID, "r1"), body: "b"})
 				Expect(got.status).To(Equal(http.StatusOK), got.body)
-				Expect(got.body).To(Equal(wanted))
+				Expect(got.body).To(Equal(want))
 				for _, server := range servers {
 					Expect(server.bodies()).To(Equal([]string{"b"}), "each is asked once")
 				}
@@ -206,7 +210,7 @@
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("1.500"))
 		Expect(got.header).NotTo(HaveKey(testDialect.Signature))
-		Expect(count(servers...)).To(Equal(3), "sends are bounded")
+		Expect(count(servers...)).To(Equal(3), "attempts are bounded")
 	},
 		Entry("for a repeatable request", repeatablePath),
 		Entry("for a non-repeatable request", nonRepeatablePath),
@@ -260,13 +264,13 @@
 
 	DescribeTable("that sends surplus bytes after an answer never gets them forwarded", func(path string) {
 		r.rawServer("s1", func(server *standIn, connection net.Conn, reader *bufio.Reader) {
-			seen, more := server.take(reader)
+			received, more := server.take(reader)
 			if !more {
 				return
 			}
 			surplus := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: r%d\r\n%s: proof\r\nContent-Length: 5\r\n\r\nwrong",
 				testDialect.RequestID, len(server.requests())+1, testDialect.Signature)
-			_, _ = io.WriteString(connection, complete(seen)+surplus)
+			_, _ = io.WriteString(connection, complete(received)+surplus)
 			_, _ = reader.ReadByte()
 		})
 		for number := 1; number <= 5; number++ {
@@ -290,19 +294,19 @@
 				close(ended)
 			}))
 		}
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		f1.routeServer()
-		left := make(chan error, 1)
+		callerError := make(chan error, 1)
 		go func() {
 			response, err := f1.begin(ctx, routed{target: path})
 			if err == nil {
 				_, err = io.ReadAll(response.Body)
 			}
-			left <- err
+			callerError <- err
 		}()
 		<-arrived
-		leave()
-		Expect(<-left).To(MatchError(context.Canceled))
+		disconnect()
+		Expect(<-callerError).To(MatchError(context.Canceled))
 		<-ended
 		r.waitUntilIdle(f1)
 		Expect(count(servers...)).To(Equal(1))
--- a/internal/dataplane/front/route_ingress_test.go
+++ b/internal/dataplane/front/route_ingress_test.go
@@ -37,7 +37,7 @@
 		f1.ownership.setOwner("c1", "f2")
 	})
 
-	// bothKinds answers streams with an event and others whole.
+	// bothKinds answers streams with an event and others with a body.
 	bothKinds := func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == streamPath || request.URL.Path == turnPath {
 			streamOf("yes")(writer, request)
@@ -45,7 +45,7 @@
 		}
 		answerWith(http.StatusOK, "yes")(writer, request)
 	}
-	// answerOf lets the backoffs pass until the answer is there.
+	// answerOf advances the clock over the backoffs until the answer arrives.
 	answerOf := func(answered <-chan routedAnswer) (got routedAnswer) {
 		Eventually(func() bool {
 			r.clock.passBackoff()
@@ -59,12 +59,12 @@
 		return got
 	}
 
-	DescribeTable("is forwarded to the owner and its answer relayed", func(sent routed, wanted string) {
+	DescribeTable("is forwarded to the owner and its answer relayed", func(sent routed, want string) {
 		server := r.server("s1", bothKinds)
 		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not here")
 		got := f1.route(sent)
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
-		Expect(got.body).To(Equal(wanted))
+		Expect(got.body).To(Equal(want))
 		Expect(got.broken).NotTo(HaveOccurred())
 		Expect(server.bodies()).To(Equal([]string{"in"}))
 	},
@@ -74,9 +74,9 @@
 		Entry("a repeatable call", ownedRead, "yes"),
 	)
 
-	DescribeTable("is forwarded to the next owner when the first did not accept it", func(sent routed, hinder func()) {
+	DescribeTable("is forwarded to the next owner when the first did not accept it", func(sent routed, breakOwner func()) {
 		server := r.server("s1", bothKinds)
-		hinder()
+		breakOwner()
 		answered := f1.routeAside(sent)
 		Eventually(func() int {
 			f1.ownership.mutex.Lock()
@@ -187,8 +187,8 @@
 		var server *standIn
 		var reserving, rejected chan struct{}
 
-		// loseBeforeReserving breaks the owner's stream off while its reservation is held up until the ingress
-		// has asked for the tombstone.
+		// loseBeforeReserving breaks the owner's stream while its reservation is delayed until the ingress
+		// has requested the tombstone.
 		loseBeforeReserving := func(tombstone func(*protocol.LedgerOperation) *protocol.LedgerResult) routedAnswer {
 			reserving, rejected = make(chan struct{}), make(chan struct{})
 			r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
@@ -258,18 +258,18 @@
 			close(ended)
 		})
 		f1.routeServer()
-		ctx, leave := context.WithCancel(context.Background())
-		left := make(chan error, 1)
+		ctx, disconnect := context.WithCancel(context.Background())
+		callerError := make(chan error, 1)
 		go func() {
 			response, err := f1.begin(ctx, sent)
 			if err == nil {
 				_, err = io.ReadAll(response.Body)
 			}
-			left <- err
+			callerError <- err
 		}()
 		<-arrived
-		leave()
-		Expect(<-left).To(MatchError(context.Canceled))
+		disconnect()
+		Expect(<-callerError).To(MatchError(context.Canceled))
 		<-ended
 	},
 		Entry("a turn", ownedTurn),
@@ -325,7 +325,7 @@
 		Expect(listener.call(repeatablePath)).To(Equal(connectionAnswer{body: "quick", closing: true}),
 			"those who hand connections out have not noticed yet")
 		r.clock.advance(10 * time.Second)
-		Consistently(drained, "20ms").ShouldNot(Receive(), "a request is under way")
+		Consistently(drained, "20ms").ShouldNot(Receive(), "a request is in progress")
 		releaseAll()
 		Expect(<-slow).To(Equal(connectionAnswer{body: "slow", closing: true}))
 		Expect(<-drained).To(Succeed())
--- a/internal/dataplane/front/route_rig_test.go
+++ b/internal/dataplane/front/route_rig_test.go
@@ -23,7 +23,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Names that the stories of HTTP routes share.
+// Names that the specs of HTTP routes share.
 const (
 	routeHost  = "shop.example"
 	routeGroup = "assistants-h"
@@ -39,7 +39,7 @@
 // testDialect are the header names of the product's own dialect.
 var testDialect = dialect.Default()
 
-// standardRoutes gives one route of each kind, all to one group.
+// standardRoutes returns one route of each kind, all to one group.
 func standardRoutes() []*protocol.HttpRoute {
 	route := func(name, prefix string, kind protocol.HttpRouteKind) *protocol.HttpRoute {
 		return &protocol.HttpRoute{
@@ -57,7 +57,7 @@
 	}
 }
 
-// newRouteRig makes a rig whose bundle has the standard routes.
+// newRouteRig returns a rig whose bundle has the standard routes.
 func newRouteRig() *rig {
 	r := newRig()
 	r.changeBundle(func(active *protocol.Bundle) {
@@ -98,31 +98,31 @@
 	r.put(&corelink.View{Configuration: r.view.Configuration, Membership: r.view.Membership, BackEnds: next})
 }
 
-// standIn is a server of HTTP routes that notes what it gets.
+// standIn is a server of HTTP routes that records the requests that it gets.
 type standIn struct {
 	id string
 
-	mutex sync.Mutex
-	seen  []seenRequest
+	mutex    sync.Mutex
+	received []receivedRequest
 }
 
-// seenRequest is a request as it came to a server.
-type seenRequest struct {
+// receivedRequest is a request as it came to a server.
+type receivedRequest struct {
 	method, target, host, body string
 	header                     http.Header
 }
 
-func (s *standIn) record(request seenRequest) {
+func (s *standIn) record(request receivedRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.seen = append(s.seen, request)
+	s.received = append(s.received, request)
 }
 
-// requests are those that came so far.
-func (s *standIn) requests() []seenRequest {
+// requests returns those that arrived so far.
+func (s *standIn) requests() []receivedRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]seenRequest(nil), s.seen...)
+	return append([]receivedRequest(nil), s.received...)
 }
 
 func (s *standIn) bodies() []string {
@@ -133,7 +133,7 @@
 	return all
 }
 
-// count is the number of requests that came to some servers.
+// count is the number of requests that arrived at some servers.
 func count(servers ...*standIn) int {
 	total := 0
 	for _, server := range servers {
@@ -142,7 +142,7 @@
 	return total
 }
 
-// server adds a server of HTTP routes to the standard group. Its handler finds the body read.
+// server adds a server of HTTP routes to the standard group. The body is read before its handler runs.
 func (r *rig) server(id string, handler http.HandlerFunc) *standIn {
 	return r.serverOf(routeGroup, id, handler)
 }
@@ -155,7 +155,7 @@
 			return
 		}
 		body, _ := io.ReadAll(request.Body)
-		stand.record(seenRequest{
+		stand.record(receivedRequest{
 			method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
 			header: request.Header.Clone(),
 		})
@@ -167,7 +167,7 @@
 	return stand
 }
 
-// rawServer adds a server that works on connections by itself.
+// rawServer adds a server that handles its connections itself.
 func (r *rig) rawServer(id string, serve func(stand *standIn, connection net.Conn, reader *bufio.Reader)) *standIn {
 	stand := &standIn{id: id}
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -198,37 +198,37 @@
 	return stand
 }
 
-// take reads one request from a raw connection; false says that the connection ended.
-func (s *standIn) take(reader *bufio.Reader) (seenRequest, bool) {
+// take reads one request from a raw connection; false means that the connection ended.
+func (s *standIn) take(reader *bufio.Reader) (receivedRequest, bool) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
-		return seenRequest{}, false
+		return receivedRequest{}, false
 	}
 	body, _ := io.ReadAll(request.Body)
-	seen := seenRequest{
+	received := receivedRequest{
 		method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
 		header: request.Header,
 	}
-	s.record(seen)
-	return seen, true
+	s.record(received)
+	return received, true
 }
 
 // id is the request id that a request carries.
-func (s seenRequest) id() string { return s.header.Get(testDialect.RequestID) }
+func (s receivedRequest) id() string { return s.header.Get(testDialect.RequestID) }
 
 // rawHead is the head of a server's proper answer to a request, with more header lines.
-func rawHead(request seenRequest, lines string) string {
+func rawHead(request receivedRequest, lines string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: proof\r\n%s\r\n", testDialect.RequestID, request.id(),
 		testDialect.Signature, lines)
 }
 
-// prove puts on an answer what a server puts on each that it gives itself.
+// prove sets the headers that a server sets on each of its own answers.
 func prove(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set(testDialect.RequestID, request.Header.Get(testDialect.RequestID))
 	writer.Header().Set(testDialect.Signature, "proof")
 }
 
-// answerWith gives a whole answer.
+// answerWith sends a complete answer.
 func answerWith(status int, body string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		prove(writer, request)
@@ -237,7 +237,7 @@
 	}
 }
 
-// rejectWith says that the request was not run.
+// rejectWith states that the request was not run.
 func rejectWith(status int, retryAfter string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		prove(writer, request)
@@ -249,7 +249,7 @@
 	}
 }
 
-// breakOff ends the connection without an answer.
+// breakOff closes the connection without an answer.
 func breakOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // event is one event of a stream with this data.
@@ -290,7 +290,7 @@
 	status int
 	header http.Header
 	body   string
-	// broken is the error that ended the body, if it did not end whole.
+	// broken is the error that ended the body, if it was not complete.
 	broken error
 }
 
@@ -306,7 +306,7 @@
 	return n.routes
 }
 
-// begin sends a request and returns when the head of the answer is there.
+// begin sends a request and returns when the head of the answer has arrived.
 func (n *node) begin(ctx context.Context, sent routed) (*http.Response, error) {
 	at, err := url.Parse(n.routeServer().URL)
 	Expect(err).NotTo(HaveOccurred())
@@ -338,7 +338,7 @@
 	return routeTransport.RoundTrip(request)
 }
 
-// route sends a request and reads the whole answer.
+// route sends a request and reads the complete answer.
 func (n *node) route(sent routed) routedAnswer {
 	response, err := n.begin(context.Background(), sent) //nolint:bodyclose // readRouted closes it
 	Expect(err).NotTo(HaveOccurred())
@@ -362,7 +362,7 @@
 	return answered
 }
 
-// with makes headers of names and values.
+// with returns headers of names and values.
 func with(pairs ...string) http.Header {
 	header := http.Header{}
 	for at := 0; at+1 < len(pairs); at += 2 {
@@ -371,7 +371,7 @@
 	return header
 }
 
-// waitUntilIdle returns when nothing is under way at a front node any more.
+// waitUntilIdle returns when nothing is in progress at a front node any more.
 func (r *rig) waitUntilIdle(n *node) {
 	Eventually(n.service.UnderWay).Should(BeZero())
 	Expect(n.service.Drain(context.Background())).To(Succeed())
--- a/internal/dataplane/front/route_streams_test.go
+++ b/internal/dataplane/front/route_streams_test.go
@@ -25,7 +25,7 @@
 		f1 = r.front("f1")
 	})
 
-	// streamServer adds a server that answers each request with a stream of these bytes, whole.
+	// streamServer adds a server that answers each request with a complete stream of these bytes.
 	streamServer := func(text string) *standIn {
 		return r.server("s1", func(writer http.ResponseWriter, request *http.Request) {
 			streamHead(writer, request)
@@ -55,11 +55,11 @@
 		reader := bufio.NewReader(response.Body)
 		for number := 1; number <= 4; number++ {
 			next <- struct{}{}
-			wanted := event(number, "piece")
-			got := make([]byte, len(wanted))
+			want := event(number, "piece")
+			got := make([]byte, len(want))
 			_, err := io.ReadFull(reader, got)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(got)).To(Equal(wanted), "before the server sends the next")
+			Expect(string(got)).To(Equal(want), "before the server sends the next")
 		}
 		next <- struct{}{}
 		rest, err := io.ReadAll(reader)
@@ -88,8 +88,8 @@
 	for name, bad := range badStreams {
 		It("that "+name+" ends the caller's connection after the last complete event", func() {
 			server := r.rawServer("s1", func(server *standIn, connection net.Conn, reader *bufio.Reader) {
-				if seen, more := server.take(reader); more {
-					_, _ = io.WriteString(connection, bad(seen))
+				if received, more := server.take(reader); more {
+					_, _ = io.WriteString(connection, bad(received))
 				}
 			})
 			got := f1.route(routed{target: streamPath, headers: with(testDialect.RequestID, "r1")})
--- a/internal/dataplane/front/route_turns_test.go
+++ b/internal/dataplane/front/route_turns_test.go
@@ -20,7 +20,7 @@
 // routedTurn is a turn of a stateful route.
 type routedTurn struct {
 	id, previous, input string
-	// program and session are p1 and c1 unless told otherwise.
+	// program and session are p1 and c1 unless set.
 	program, session string
 	budget           int
 	maxOutput        int
@@ -56,23 +56,23 @@
 // output is what turnServer's answer to a turn adds to the history.
 func output(id string) string { return "a-" + id + "\nb-" + id + "\n" }
 
-// drainServer lets a server get nothing more.
+// drainServer puts a server into draining.
 func (r *rig) drainServer(id string) {
 	r.changeServer(id, func(server *protocol.BackEnd) { server.State = protocol.BackEndState_DRAINING })
 }
 
-// take sends a turn that must be answered whole.
+// take sends a turn that must be answered completely.
 func (n *node) take(t routedTurn) {
 	got := n.route(t.sent())
 	ExpectWithOffset(1, got.status).To(Equal(http.StatusOK), got.body)
 	ExpectWithOffset(1, got.broken).NotTo(HaveOccurred())
 }
 
-// bodyOf is the body with which a request came.
+// bodyOf is the body of the request with this id.
 func (s *standIn) bodyOf(id string) string {
-	for _, seen := range s.requests() {
-		if seen.id() == id {
-			return seen.body
+	for _, received := range s.requests() {
+		if received.id() == id {
+			return received.body
 		}
 	}
 	return "the server never got " + id
@@ -370,13 +370,13 @@
 				<-request.Context().Done()
 				close(ended)
 			})
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			response, err := f1.begin(ctx, routedTurn{id: "t1", input: "one"}.sent())
 			Expect(err).NotTo(HaveOccurred())
 			first := make([]byte, len(event(1, "a")))
 			_, err = io.ReadFull(response.Body, first)
 			Expect(err).NotTo(HaveOccurred())
-			leave()
+			disconnect()
 			<-ended
 			_ = response.Body.Close()
 			r.waitUntilIdle(f1)
--- a/internal/dataplane/front/routes_test.go
+++ b/internal/dataplane/front/routes_test.go
@@ -39,20 +39,20 @@
 		})
 		Expect(got.status).To(Equal(http.StatusOK), got.body)
 		Expect(server.requests()).To(HaveLen(1))
-		seen := server.requests()[0]
-		Expect(seen.method).To(Equal(method))
-		Expect(seen.target).To(Equal(target))
-		Expect(seen.host).To(Equal("SHOP.example:8080"))
-		Expect(seen.body).To(Equal(body))
-		wanted := http.Header{
+		received := server.requests()[0]
+		Expect(received.method).To(Equal(method))
+		Expect(received.target).To(Equal(target))
+		Expect(received.host).To(Equal("SHOP.example:8080"))
+		Expect(received.body).To(Equal(body))
+		want := http.Header{
 			http.CanonicalHeaderKey(testDialect.RequestID): {"r1"}, "X-Many": {"one", "two"}, "Content-Type": {"a/b"},
 			"Cookie": {"c=d; e"}, "Accept-Encoding": {"identity"}, testDialect.TimeLeft: {"2000"},
 			testDialect.TargetServer: {"s1"},
 		}
-		if length, given := seen.header["Content-Length"]; given {
-			wanted["Content-Length"] = length
+		if length, present := received.header["Content-Length"]; present {
+			want["Content-Length"] = length
 		}
-		Expect(seen.header).To(Equal(wanted))
+		Expect(received.header).To(Equal(want))
 	},
 		Entry("without a body", http.MethodGet, "", false),
 		Entry("with a body of known length", http.MethodPost, "some bytes\x00\xff", false),
@@ -62,13 +62,13 @@
 
 	DescribeTable("carries the front node's headers in place of its caller's", func(path string, names []string) {
 		server := r.server("s1", answerWith(http.StatusOK, "ok"))
-		given := with(testDialect.TimeLeft, "700", testDialect.TargetServer, "other", testDialect.ServerRank, "0")
-		Expect(f1.route(routed{target: path, headers: given}).status).To(Equal(http.StatusOK))
-		seen := server.requests()[0].header
+		sent := with(testDialect.TimeLeft, "700", testDialect.TargetServer, "other", testDialect.ServerRank, "0")
+		Expect(f1.route(routed{target: path, headers: sent}).status).To(Equal(http.StatusOK))
+		received := server.requests()[0].header
 		for _, name := range names {
-			Expect(seen[name]).To(HaveLen(1), name)
+			Expect(received[name]).To(HaveLen(1), name)
 		}
-		Expect(seen.Get(testDialect.TargetServer)).To(Equal("s1"))
+		Expect(received.Get(testDialect.TargetServer)).To(Equal("s1"))
 	},
 		Entry("on a call", nonRepeatablePath, []string{testDialect.TimeLeft, testDialect.TargetServer}),
 		Entry("on a stream", streamPath, []string{testDialect.TimeLeft, testDialect.TargetServer, testDialect.ServerRank}),
@@ -101,8 +101,8 @@
 			}
 		})
 
-		DescribeTable("takes the longest prefix of its host", func(host, target, wanted string) {
-			Expect(f1.route(routed{target: target, host: host}).body).To(Equal(wanted))
+		DescribeTable("takes the longest prefix of its host", func(host, target, want string) {
+			Expect(f1.route(routed{target: target, host: host}).body).To(Equal(want))
 		},
 			Entry("the longer one", routeHost, "/a/b/c", "long"),
 			Entry("the longer one itself", routeHost, "/a/b/", "long"),
@@ -184,10 +184,10 @@
 	})
 
 	Describe("time left", func() {
-		DescribeTable("is forwarded, never more than the caller's or the route's", func(given http.Header, wanted string) {
+		DescribeTable("is forwarded, never more than the caller's or the route's", func(sent http.Header, want string) {
 			server := r.server("s1", answerWith(http.StatusOK, "ok"))
-			Expect(f1.route(routed{target: "/write/", headers: given}).status).To(Equal(http.StatusOK))
-			Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{wanted}))
+			Expect(f1.route(routed{target: "/write/", headers: sent}).status).To(Equal(http.StatusOK))
+			Expect(server.requests()[0].header[testDialect.TimeLeft]).To(Equal([]string{want}))
 		},
 			Entry("the caller's when it is shorter", with(testDialect.TimeLeft, "700"), "700"),
 			Entry("a fraction is truncated", with(testDialect.TimeLeft, "700.9"), "700"),
@@ -225,18 +225,18 @@
 			}
 			s1, s2 := r.server("s1", handler), r.server("s2", handler)
 			Expect(f1.route(routed{target: path, headers: with(testDialect.TimeLeft, "1000")}).status).To(Equal(http.StatusOK))
-			var given []string
-			for _, seen := range append(s1.requests(), s2.requests()...) {
-				given = append(given, seen.header.Get(testDialect.TimeLeft))
+			var timesLeft []string
+			for _, received := range append(s1.requests(), s2.requests()...) {
+				timesLeft = append(timesLeft, received.header.Get(testDialect.TimeLeft))
 			}
-			Expect(given).To(ConsistOf("1000", "700"))
+			Expect(timesLeft).To(ConsistOf("1000", "700"))
 		},
 			Entry("a call", nonRepeatablePath, answerWith(http.StatusOK, "ok")),
 			Entry("a stream", streamPath, streamOf("a")),
 		)
 
 		It("sends a repeatable call to another server when its answer does not come", func() {
-			arrived, left := make(chan struct{}), make(chan struct{})
+			arrived, cancelled := make(chan struct{}), make(chan struct{})
 			var requests atomic.Int32
 			handler := func(writer http.ResponseWriter, request *http.Request) {
 				if requests.Add(1) > 1 {
@@ -245,7 +245,7 @@
 				}
 				close(arrived)
 				<-request.Context().Done()
-				close(left)
+				close(cancelled)
 			}
 			r.server("s1", handler)
 			r.server("s2", handler)
@@ -253,22 +253,22 @@
 			<-arrived
 			r.clock.advance(routeTimeoutMillis / 4 * time.Millisecond)
 			Expect((<-answered).status).To(Equal(http.StatusOK))
-			<-left
+			<-cancelled
 			Expect(requests.Load()).To(BeEquivalentTo(2))
 		})
 
 		DescribeTable("ends a request at an unresponsive server with the outcome unknown", func(path string) {
-			arrived, left := make(chan struct{}), make(chan struct{})
+			arrived, cancelled := make(chan struct{}), make(chan struct{})
 			r.server("s1", func(_ http.ResponseWriter, request *http.Request) {
 				close(arrived)
 				<-request.Context().Done()
-				close(left)
+				close(cancelled)
 			})
 			answered := f1.routeAside(routed{target: path})
 			<-arrived
 			r.clock.advance(routeTimeoutMillis * time.Millisecond)
 			Expect((<-answered).status).To(Equal(http.StatusGatewayTimeout))
-			<-left
+			<-cancelled
 		},
 			Entry("a repeatable call", repeatablePath),
 			Entry("a non-repeatable call", nonRepeatablePath),
@@ -278,7 +278,7 @@
 })
 
 var _ = Describe("an answer on an HTTP route", func() {
-	// exchange gives the bytes of an answer as a caller reads them.
+	// exchange returns the bytes of an answer as a caller reads them.
 	exchange := func(n *node, method, target string) string {
 		connection, err := net.Dial("tcp", n.routeServer().Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -317,13 +317,13 @@
 		})
 		gotStatus, gotLines, gotBody := parts(exchange(f1, method, path))
 		Expect(gotStatus).To(Equal("HTTP/1.1 " + status))
-		wanted := []string{testDialect.RequestID + ": r1", testDialect.Signature + ": proof"}
+		want := []string{testDialect.RequestID + ": r1", testDialect.Signature + ": proof"}
 		for line := range strings.SplitSeq(strings.TrimSuffix(lines, "\r\n"), "\r\n") {
 			if line != "" && !strings.HasPrefix(line, "Keep-Alive") {
-				wanted = append(wanted, line)
+				want = append(want, line)
 			}
 		}
-		Expect(gotLines).To(ConsistOf(wanted))
+		Expect(gotLines).To(ConsistOf(want))
 		Expect(gotBody).To(Equal(body))
 	},
 		Entry("a success without a type or date", "GET", repeatablePath, "200 OK", "Content-Length: 2\r\n", "ok"),
@@ -349,8 +349,8 @@
 		r := newRouteRig()
 		f1 := r.front("f1")
 		r.rawServer("s1", func(server *standIn, connection net.Conn, reader *bufio.Reader) {
-			seen, _ := server.take(reader)
-			_, _ = io.WriteString(connection, rawHead(seen, "Connection: close\r\n")+"until the end")
+			received, _ := server.take(reader)
+			_, _ = io.WriteString(connection, rawHead(received, "Connection: close\r\n")+"until the end")
 		})
 		Expect(f1.route(routed{target: repeatablePath}).body).To(Equal("until the end"))
 	})
--- a/internal/dataplane/front/share_outcomes_test.go
+++ b/internal/dataplane/front/share_outcomes_test.go
@@ -23,7 +23,7 @@
 	mutex    sync.Mutex
 	board    serverhealth.Detector
 	reported map[string]uint32
-	// lost lets reports arrive and their answers get lost.
+	// lost makes reports arrive and their answers get lost.
 	lost bool
 }
 
@@ -36,12 +36,12 @@
 		return nil, errAnswerLost
 	}
 	observed := serverhealth.Report{Node: report.GetNode(), Zone: report.GetZone()}
-	for _, seen := range report.GetOutcomes() {
-		s.reported[report.GetNode()] += seen.GetAnswered() + seen.GetFaults()
+	for _, outcome := range report.GetOutcomes() {
+		s.reported[report.GetNode()] += outcome.GetAnswered() + outcome.GetFaults()
 		observed.Outcomes = append(observed.Outcomes, serverhealth.Outcomes{
-			Server: seen.GetId(), Incarnation: seen.GetIncarnation(),
-			Answered: seen.GetAnswered(), Faults: seen.GetFaults(), Overdue: seen.GetOverdue(),
-			Responded: seen.SignAgeMillis != nil, ResponseAge: time.Duration(seen.GetSignAgeMillis()) * time.Millisecond,
+			Server: outcome.GetId(), Incarnation: outcome.GetIncarnation(),
+			Answered: outcome.GetAnswered(), Faults: outcome.GetFaults(), Overdue: outcome.GetOverdue(),
+			Responded: outcome.SignAgeMillis != nil, ResponseAge: time.Duration(outcome.GetSignAgeMillis()) * time.Millisecond,
 		})
 	}
 	s.board.Merge(observed, s.clock.Now())
@@ -67,14 +67,14 @@
 		r = newRouteRig()
 		board = &sharedBoard{clock: r.clock, reported: map[string]uint32{}}
 	})
-	sharing := func(name string) *node {
+	sharingFront := func(name string) *node {
 		f := r.front(name)
 		f.link.mutex.Lock()
 		f.link.shared = board.share
 		f.link.mutex.Unlock()
 		return f
 	}
-	// share lets all front nodes report once.
+	// share makes all front nodes report once.
 	share := func(nodes ...*node) {
 		GinkgoHelper()
 		for range 2 {
@@ -86,7 +86,7 @@
 
 	It("keep a front node off a server whose faults only others observed", func() {
 		broken := r.server("broken", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-		f1, f2, f3 := sharing("f1"), sharing("f2"), sharing("f3")
+		f1, f2, f3 := sharingFront("f1"), sharingFront("f2"), sharingFront("f3")
 		for range 2 {
 			f1.route(routed{target: nonRepeatablePath})
 			f2.route(routed{target: nonRepeatablePath})
@@ -131,7 +131,7 @@
 		response <- &protocol.WatchSuspectsResponse{Version: 7, Suspects: []*protocol.SuspectBackEnd{{
 			Id: "suspect", Incarnation: 1, LeftMillis: 3000,
 		}}}
-		Eventually(requests).Should(Receive(BeEquivalentTo(7)), "it watches on from the version told")
+		Eventually(requests).Should(Receive(BeEquivalentTo(7)), "it watches from the version reported")
 		for range 20 {
 			Expect(f1.route(routed{target: nonRepeatablePath}).status).To(Equal(http.StatusOK))
 		}
@@ -141,7 +141,7 @@
 
 	It("reveal an unresponsive server before the first request has failed", func() {
 		r.server("silent", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() })
-		f1, f2 := sharing("f1"), sharing("f2")
+		f1, f2 := sharingFront("f1"), sharingFront("f2")
 		var waiting []<-chan routedAnswer
 		for range 2 {
 			waiting = append(waiting, f1.routeAside(routed{target: nonRepeatablePath}),
@@ -162,7 +162,7 @@
 
 	It("are reported again when the leader may not have received them", func() {
 		r.server("good", answerWith(http.StatusOK, "ok"))
-		f1 := sharing("f1")
+		f1 := sharingFront("f1")
 		board.mutex.Lock()
 		board.lost = true
 		board.mutex.Unlock()
@@ -182,7 +182,7 @@
 
 	It("are not reported without traffic", func() {
 		r.server("good", answerWith(http.StatusOK, "ok"))
-		f1 := sharing("f1")
+		f1 := sharingFront("f1")
 		requests := atomic.Int32{}
 		f1.link.mutex.Lock()
 		f1.link.shared = func(*protocol.ShareOutcomesRequest) (*protocol.ShareOutcomesResponse, error) {
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -15,21 +15,21 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// longTimeoutMillis is the time-out of routes in stories in which something waits.
+// longTimeoutMillis is the time-out of routes in specs in which something waits.
 const longTimeoutMillis = 60_000
 
 // blockingServerVersion is the version of the weights of all blocking servers.
 const blockingServerVersion = 4
 
-// blockingServer answers live turns at once and holds generations of steps until the story lets them go.
+// blockingServer answers live turns at once and blocks generations of steps until the spec releases them.
 type blockingServer struct {
 	*weightsServer
-	// blockLive is set to hold live turns too.
+	// blockLive is set to block live turns too.
 	blockLive atomic.Bool
 
 	mutex   sync.Mutex
 	blocked []chan struct{}
-	// open lets all go that come.
+	// open, when set, releases all that arrive.
 	open bool
 }
 
@@ -59,14 +59,14 @@
 	return until
 }
 
-// steps counts the generations that are held.
+// steps counts the generations that are blocked.
 func (s *blockingServer) steps() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.blocked)
 }
 
-// openUp lets all go, also those that come later.
+// openUp releases all generations, also those that arrive later.
 func (s *blockingServer) openUp() {
 	s.mutex.Lock()
 	s.open = true
@@ -74,7 +74,7 @@
 	s.release(s.steps())
 }
 
-// release lets some generations go, the oldest first.
+// release releases some generations, the oldest first.
 func (s *blockingServer) release(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +96,7 @@
 			}
 		})
 		f1 = r.front("f1")
-		// Opened first, so that it is closed after the servers let all go.
+		// Opened first, so that it is closed after the servers released all generations.
 		f1.routeServer()
 	})
 
@@ -139,7 +139,7 @@
 		server.release(1)
 		Expect((<-live).broken).NotTo(HaveOccurred())
 		Eventually(func() int {
-			// A front node looks at its servers anew twice a second.
+			// A front node reviews its servers twice a second.
 			r.clock.advance(10 * time.Millisecond)
 			return server.steps()
 		}).Should(Equal(12), "once the live turn is over")
@@ -167,7 +167,7 @@
 		flood(5)
 		Consistently(server.steps, "20ms").Should(BeZero(), "a live turn waits")
 		r.clock.advance(trainingstep.AdmissionTimeout)
-		Eventually(server.steps).Should(Equal(1), "a step goes on")
+		Eventually(server.steps).Should(Equal(1), "a step progresses")
 		Consistently(server.steps, "20ms").Should(Equal(1))
 		releaseLive()
 		Expect((<-first).broken).NotTo(HaveOccurred())
@@ -188,16 +188,16 @@
 		Expect(got.header).To(HaveKeyWithValue("Retry-After", []string{"1.000"}))
 	})
 
-	It("release their place in the queue when their caller disconnects", func() {
+	It("release their place in the queue when their time expires", func() {
 		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		sent := stepTurn("short")
 		sent.headers.Set(testDialect.TimeLeft, "500")
-		left := f1.routeAside(sent)
+		expiring := f1.routeAside(sent)
 		Eventually(func() int { return f1.waitingSteps() }).Should(Equal(1))
 		r.clock.advance(500 * time.Millisecond)
-		Expect((<-left).status).To(Equal(http.StatusServiceUnavailable))
+		Expect((<-expiring).status).To(Equal(http.StatusServiceUnavailable))
 		f1.routeAside(stepTurn("next"))
 		server.release(1)
 		Eventually(server.steps).Should(Equal(12))
--- a/internal/dataplane/front/step_rig_test.go
+++ b/internal/dataplane/front/step_rig_test.go
@@ -18,15 +18,15 @@
 	stepName  = "run-1/step-7"
 )
 
-// weightsServer is a server of HTTP routes whose weights change under it, as a roll-out does.
+// weightsServer is a server of HTTP routes whose weights change while it serves, as in a roll-out.
 type weightsServer struct {
 	*standIn
 	weights atomic.Uint64
-	// ran counts the generations that it did not refuse.
+	// ran counts the generations that it did not reject.
 	ran atomic.Int32
 }
 
-// weightsServer adds a server that announces and has a version. It refuses requests that expect another one.
+// weightsServer adds a server that announces and has a version. It rejects requests that expect another one.
 func (r *rig) weightsServer(id string, version uint64) *weightsServer {
 	return r.weightsServerWith(id, version, func(server *weightsServer, writer http.ResponseWriter,
 		request *http.Request,
@@ -36,7 +36,7 @@
 	})
 }
 
-// weightsServerWith adds a server with an answer of its own to what it does not refuse.
+// weightsServerWith adds a server with its own handler for what it does not reject.
 func (r *rig) weightsServerWith(
 	id string, version uint64, answer func(*weightsServer, http.ResponseWriter, *http.Request),
 ) *weightsServer {
@@ -73,7 +73,7 @@
 		testDialect.TokenUsage, "10,8", testDialect.TrainingStep, step)}
 }
 
-// onStream makes a turn one of the route that keeps nothing.
+// onStream moves a turn to the route that retains no turns.
 func onStream(sent routed) routed {
 	sent.target = streamPath
 	return sent
@@ -85,7 +85,7 @@
 	return sent
 }
 
-// generate sends a generation that must be answered whole.
+// generate sends a generation that must be answered completely.
 func (n *node) generate(sent routed) {
 	GinkgoHelper()
 	got := n.route(sent)
@@ -93,7 +93,7 @@
 	Expect(got.broken).NotTo(HaveOccurred())
 }
 
-// expectUnavailable checks an answer that says that the step's version is nowhere.
+// expectUnavailable checks an answer that no server has the step's version.
 func expectUnavailable(got routedAnswer) {
 	GinkgoHelper()
 	Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
@@ -101,7 +101,7 @@
 	Expect(got.header).To(HaveKeyWithValue("Retry-After", []string{"1.000"}))
 }
 
-// tracedRequest is what the ledger heard at the end of a request.
+// tracedRequest is what the ledger received at the end of a request.
 type tracedRequest struct {
 	versions  []uint64
 	completed bool
@@ -111,7 +111,7 @@
 // generations are those of a program of a step on one version.
 type generations struct{ version, completed, discarded uint64 }
 
-// generations gives what the ledger counted for a program.
+// generations returns what the ledger counted for a program.
 func (l *memoryLedger) generations(program string) []generations {
 	var counted []generations
 	for _, each := range l.program(program).GetTrainingStep().GetGenerations() {
@@ -120,7 +120,7 @@
 	return counted
 }
 
-// traceLedger notes what the ledger hears of each request's end.
+// traceLedger records what the ledger receives at each request's end.
 func (r *rig) traceLedger() func(id string) tracedRequest {
 	operations := make(chan *protocol.LedgerOperation, 4096)
 	r.ledger.intercept = func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
@@ -159,7 +159,7 @@
 	}
 }
 
-// waitingLive and waitingSteps are how many requests wait at a front node.
+// waitingLive and waitingSteps are the numbers of requests that wait at a front node.
 func (n *node) waitingLive(group string) int { return front.WaitingLive(n.service, group) }
 
 func (n *node) waitingSteps() int { return front.WaitingSteps(n.service) }
--- a/internal/dataplane/front/step_schedule_audit_test.go
+++ b/internal/dataplane/front/step_schedule_audit_test.go
@@ -18,7 +18,7 @@
 // scheduleSeeds is the number of schedules, from seed 1.
 const scheduleSeeds = 20
 
-// crashableLedger hears nothing of a front node that has crashed.
+// crashableLedger receives nothing from a front node that has crashed.
 type crashableLedger struct {
 	*memoryLedger
 	dead atomic.Bool
@@ -60,21 +60,21 @@
 
 // versionsOf are the versions of generations, as their answers named them and as servers ran them.
 func (s *stepSchedule) versionsOf(generations []completeGeneration) []uint64 {
-	seen := map[uint64]bool{}
+	distinct := map[uint64]bool{}
 	for _, generation := range generations {
 		for _, version := range generation.versions {
-			seen[version] = true
+			distinct[version] = true
 		}
 		for _, server := range s.servers {
 			for _, version := range server.versionsOf(generation.id) {
-				seen[version] = true
+				distinct[version] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(seen))
+	return slices.Sorted(maps.Keys(distinct))
 }
 
-// untraced are the programs that did not, by the ledger, complete what callers have on the pinned version alone.
+// untraced are the programs whose completed generations on the pinned version, by the ledger, are not those of callers.
 func (s *stepSchedule) untraced(step string, generations []completeGeneration, pinned uint64) []string {
 	got := map[string]uint64{}
 	for _, generation := range generations {
@@ -121,22 +121,22 @@
 	})
 
 	It("are reported as violations when front nodes ignore the pin", func() {
-		noticed := 0
+		detected := 0
 		for seed := range uint64(scheduleSeeds) {
 			schedule := newStepSchedule(seed + 1)
 			schedule.rig.ledger.intercept = ignorePins
 			schedule.play()
 			schedule.rig.ledger.intercept = nil
 			if len(schedule.violations()) > 0 {
-				noticed++
+				detected++
 			}
 		}
-		_, _ = fmt.Fprintf(GinkgoWriter, "noticed with %d of %d seeds\n", noticed, scheduleSeeds)
-		Expect(noticed).To(BeNumerically(">=", scheduleSeeds/2))
+		_, _ = fmt.Fprintf(GinkgoWriter, "detected with %d of %d seeds\n", detected, scheduleSeeds)
+		Expect(detected).To(BeNumerically(">=", scheduleSeeds/2))
 	})
 })
 
-// ignorePins lets each front node take the version that it proposes, whatever is pinned.
+// ignorePins makes each front node use the version that it proposes, whatever is pinned.
 func ignorePins(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	pin := operation.GetPinTrainingStep()
 	if pin.GetWeightVersion() == 0 {
--- a/internal/dataplane/front/step_schedule_test.go
+++ b/internal/dataplane/front/step_schedule_test.go
@@ -24,24 +24,24 @@
 	scheduleRounds  = 60
 	// schedulePrograms is the number of programs of each step; a program's front node is always the same.
 	schedulePrograms = 12
-	// maxUnavailable is how often in a row the version of a step may be gone before the next step begins.
+	// maxUnavailable is how often in a row the version of a step may be unavailable before the next step begins.
 	maxUnavailable = 3
 )
 
 // scheduledServer is a model server whose weights change between streams and within them.
 type scheduledServer struct {
 	*weightsServer
-	// midway is the version that the server takes after the first event of the next stream; zero for none.
+	// midway is the version that the server loads after the first event of the next stream; zero for none.
 	midway atomic.Uint64
 
 	mutex sync.Mutex
 	// ran has the versions of each request that the server ran.
 	ran map[string][]uint64
-	// blocked, when set, holds the next stream after its first event.
+	// blocked, when set, blocks the next stream after its first event.
 	blocked *blockedStream
 }
 
-// blockedStream is a stream that stands still between two events.
+// blockedStream is a stream that is blocked between two events.
 type blockedStream struct {
 	reached, resume chan struct{}
 }
@@ -73,7 +73,7 @@
 	return s.ran[id]
 }
 
-// stream gives two events, and the second one names the version when that has changed.
+// stream sends two events, and the second one names the version when that has changed.
 func (s *scheduledServer) stream(writer http.ResponseWriter, request *http.Request) {
 	id, version := request.Header.Get(testDialect.RequestID), s.weights.Load()
 	s.record(id, version)
@@ -94,7 +94,7 @@
 	writer.(http.Flusher).Flush()
 }
 
-// stepSchedule plays training steps while weights are rolled out, front nodes crash and all stores are away. What it
+// stepSchedule runs training steps while weights are rolled out, front nodes crash and all stores are down. What it
 // does follows from a seed; how requests of one batch interleave does not.
 type stepSchedule struct {
 	rig      *rig
@@ -105,19 +105,19 @@
 	weights  uint64
 	requests int
 	step     int
-	// consecutiveUnavailable counts in a row the generations for which the step's version was gone.
+	// consecutiveUnavailable counts the generations in a row for which the step's version was unavailable.
 	consecutiveUnavailable int
 	complete               []completeGeneration
 	counts                 scheduleCounts
 }
 
-// completeGeneration is one that its caller has whole, with the versions that its answer named.
+// completeGeneration is one that its caller has completely, with the versions that its answer named.
 type completeGeneration struct {
 	step, program, id string
 	versions          []uint64
 }
 
-// scheduleCounts says how often a schedule brought about what could break a step.
+// scheduleCounts counts how often a schedule caused what could break a step.
 type scheduleCounts struct {
 	complete, unavailable, broken, mismatched, crashes, outages, steps int
 }
@@ -162,7 +162,7 @@
 	s.nodes[number] = started
 }
 
-// play carries out all rounds.
+// play runs all rounds.
 func (s *stepSchedule) play() {
 	for range scheduleRounds {
 		s.rig.clock.advance(time.Second)
@@ -185,7 +185,7 @@
 	s.counts.steps = s.step
 }
 
-// takeWeights gives a server the newest weights, or newer ones; it announces them later.
+// takeWeights loads the newest weights, or newer ones, into a server; it announces them later.
 func (s *stepSchedule) takeWeights() {
 	server := s.servers[s.random.IntN(scheduleServers)]
 	if server.weights.Load() == s.weights {
@@ -200,7 +200,7 @@
 	}
 }
 
-// scheduled is one generation on its way.
+// scheduled is one generation in flight.
 type scheduled struct {
 	completeGeneration
 	answered <-chan routedAnswer
@@ -239,7 +239,7 @@
 	}
 }
 
-// take notes what became of a generation.
+// take records the result of a generation.
 func (s *stepSchedule) take(sent scheduled) {
 	var got routedAnswer
 	s.await(func() bool {
@@ -271,7 +271,7 @@
 	}
 }
 
-// whileBlocked lets something happen while a generation stands still in mid-stream, when one gets so far.
+// whileBlocked runs an action while a generation is blocked in mid-stream, if one gets that far.
 func (s *stepSchedule) whileBlocked(happen func(number int)) {
 	number := s.random.IntN(scheduleFronts)
 	streams := make([]*blockedStream, scheduleServers)
@@ -290,7 +290,7 @@
 	s.take(sent)
 }
 
-// await waits until something has come about, and lets the time pass that turns wait before they ask the ledger again.
+// await waits for a condition, and advances the clock by the time that turns wait before they query the ledger again.
 func (s *stepSchedule) await(come func() bool) {
 	Eventually(func() bool {
 		if come() {
@@ -312,8 +312,8 @@
 	})
 }
 
-// crash takes a front node its authority and its connections to the ledger, while a stream is in progress there,
-// and starts another one in its place.
+// crash removes a front node's authority and its connections to the ledger, while a stream is in progress there,
+// and starts another one as its replacement.
 func (s *stepSchedule) crash(number int) {
 	s.counts.crashes++
 	s.ledgers[number].dead.Store(true)
@@ -321,7 +321,7 @@
 	s.startFront(number, s.nodes[number].ownership.incarnation+1)
 }
 
-// outage takes all stores away while generations are sent, and brings them back with what they acknowledged.
+// outage stops all stores while generations are sent, and restarts them with what they acknowledged.
 func (s *stepSchedule) outage(int) {
 	s.counts.outages++
 	s.rig.ledger.setDown(true)
--- a/internal/dataplane/front/steps_test.go
+++ b/internal/dataplane/front/steps_test.go
@@ -42,9 +42,9 @@
 			Expect(count(older[0].standIn, older[1].standIn)).To(BeZero())
 			Expect(count(newer[0].standIn, newer[1].standIn)).To(Equal(60))
 			Expect(r.ledger.count("PinTrainingStep")).To(Equal(2), "each front node asks once")
-			for _, seen := range newer[0].requests() {
-				Expect(seen.header.Get(testDialect.ExpectedWeights)).To(Equal("5"))
-				Expect(seen.header.Get(testDialect.ServerRank)).To(Equal("9"))
+			for _, received := range newer[0].requests() {
+				Expect(received.header.Get(testDialect.ExpectedWeights)).To(Equal("5"))
+				Expect(received.header.Get(testDialect.ServerRank)).To(Equal("9"))
 			}
 		})
 
@@ -217,7 +217,7 @@
 
 		BeforeEach(func() { traced = r.traceLedger() })
 
-		DescribeTable("before its first event is not forwarded", func(target, version string, seen uint64) {
+		DescribeTable("before its first event is not forwarded", func(target, version string, recorded uint64) {
 			r.weightsServerWith("s1", 4, func(_ *weightsServer, writer http.ResponseWriter, request *http.Request) {
 				streamNaming(writer, request, version, event(1, "a"))
 			})
@@ -227,8 +227,8 @@
 			Expect(got.status).To(Equal(http.StatusBadGateway))
 			Expect(got.body).To(HavePrefix("step_version_changed: "))
 			r.waitUntilIdle(f1)
-			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{seen}, tokens: 1}))
-			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: seen, discarded: 1}}))
+			Expect(traced("a")).To(Equal(tracedRequest{versions: []uint64{recorded}, tokens: 1}))
+			Expect(r.ledger.generations("p-a")).To(Equal([]generations{{version: recorded, discarded: 1}}))
 		},
 			Entry("on a route that retains turns", turnPath, "5", uint64(5)),
 			Entry("on a route that retains none", streamPath, "5", uint64(5)),
@@ -280,15 +280,15 @@
 		for _, name := range []string{"a b", "", strings.Repeat("x", 129), "a\tb"} {
 			Expect(f1.route(stepTurnOf(name, "a")).status).To(Equal(http.StatusBadRequest), name)
 		}
-		twice := stepTurn("a")
-		twice.headers.Add(testDialect.TrainingStep, "another")
-		Expect(f1.route(twice).status).To(Equal(http.StatusBadRequest))
+		duplicated := stepTurn("a")
+		duplicated.headers.Add(testDialect.TrainingStep, "another")
+		Expect(f1.route(duplicated).status).To(Equal(http.StatusBadRequest))
 		alone := onStream(stepTurn("a"))
 		alone.headers.Del(testDialect.Program)
 		Expect(f1.route(alone).status).To(Equal(http.StatusBadRequest))
 		register := stepTurn("a")
 		register.headers.Set(testDialect.Program, ledger.TrainingStepProgram(stepName))
-		Expect(f1.route(register).status).To(Equal(http.StatusBadRequest), "the register of a step is no program")
+		Expect(f1.route(register).status).To(Equal(http.StatusBadRequest), "the register of a step is not a program")
 		Expect(server.requests()).To(BeEmpty())
 	})
 
@@ -325,9 +325,9 @@
 		}
 		sent := plain.requests()[0].header
 		for _, server := range versioned {
-			for _, seen := range server.requests() {
-				Expect(seen.header.Get(testDialect.ServerRank)).To(Equal(sent.Get(testDialect.ServerRank)))
-				Expect(seen.header).To(HaveLen(len(sent)))
+			for _, received := range server.requests() {
+				Expect(received.header.Get(testDialect.ServerRank)).To(Equal(sent.Get(testDialect.ServerRank)))
+				Expect(received.header).To(HaveLen(len(sent)))
 			}
 		}
 		reached := map[string]int{}
--- a/internal/dataplane/front/ticket_test.go
+++ b/internal/dataplane/front/ticket_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestCallsWithAnObjectiveMayExpectAQuarterOfItAsWait(t *testing.T) {
+func TestMaxExpectedWaitIsAQuarterOfTheLatencyObjective(t *testing.T) {
 	for kind, want := range map[protocol.HttpRouteKind]time.Duration{
 		protocol.HttpRouteKind_HTTP_REPEATABLE:     200 * time.Millisecond,
 		protocol.HttpRouteKind_HTTP_NON_REPEATABLE: 200 * time.Millisecond,
@@ -25,6 +25,6 @@
 		Kind: protocol.HttpRouteKind_HTTP_REPEATABLE, LatencyObjectiveMillis: 800, ProgramTimeLeftMillis: 5000,
 	}
 	if got := front.MaxExpectedWait(ofProgram); got != 0 {
-		t.Errorf("a call whose program told its time is bound to %v", got)
+		t.Errorf("a call with a time left of its program is bound to %v", got)
 	}
 }
--- a/internal/dataplane/front/tools_test.go
+++ b/internal/dataplane/front/tools_test.go
@@ -58,15 +58,15 @@
 	})
 
 	It("carries the fencing token and the key to the server", func() {
-		var seen http.Header
+		var received http.Header
 		r.backEnd("t1", toolServer, func(writer http.ResponseWriter, request *http.Request) {
-			seen = request.Header.Clone()
+			received = request.Header.Clone()
 			run(writer, request)
 		})
 		call(valve, "k1")
-		Expect(seen.Get("Rosestand-Epoch")).To(Equal("1"))
-		Expect(seen.Get("Rosestand-Session")).To(Equal("s1"))
-		Expect(seen.Get("Idempotency-Key")).To(Equal("k1"))
+		Expect(received.Get("Rosestand-Epoch")).To(Equal("1"))
+		Expect(received.Get("Rosestand-Session")).To(Equal("s1"))
+		Expect(received.Get("Idempotency-Key")).To(Equal("k1"))
 	})
 
 	It("never runs again after an answer was lost", func() {
@@ -101,7 +101,7 @@
 		Expect(rejection.errorCode()).To(Equal("overloaded"))
 		Expect(rejection.outcome()).To(Equal("not_run"))
 		r.backEnd("t3", toolServer, run)
-		Expect(call(valve, "k1").outcome()).To(Equal("not_run"), "a refusal holds for every later send of the key")
+		Expect(call(valve, "k1").outcome()).To(Equal("not_run"), "a rejection applies to every later request with the key")
 		Expect(runs.Load()).To(BeZero())
 		Expect(call(valve, "k2").status).To(Equal(http.StatusOK))
 	})
@@ -192,19 +192,19 @@
 			close(arrived)
 			<-request.Context().Done()
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f1.server.URL+valve, strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Rosestand-Tenant", tenant)
 		request.Header.Set("Idempotency-Key", "k1")
-		left := make(chan error)
+		callerError := make(chan error)
 		go func() {
 			_, err := f1.server.Client().Do(request)
-			left <- err
+			callerError <- err
 		}()
 		<-arrived
-		leave()
-		Expect(<-left).To(MatchError(context.Canceled))
+		disconnect()
+		Expect(<-callerError).To(MatchError(context.Canceled))
 		Expect(call(valve, "k1").errorCode()).To(Equal("outcome_unknown"))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 	})
--- a/internal/dataplane/front/turns_test.go
+++ b/internal/dataplane/front/turns_test.go
@@ -122,7 +122,7 @@
 			read := f1.do(http.MethodGet, "/v1/responses/turn_x?program="+ledger.TrainingStepProgram("17"), "", nil)
 			Expect(read.errorCode()).To(Equal("invalid_field"))
 			Expect(read.at("error", "path")).To(Equal("program"))
-			Expect(r.ledger.seen).To(BeEmpty())
+			Expect(r.ledger.operationCounts).To(BeEmpty())
 		})
 
 		It("has an explanation of its path", func() {
@@ -206,7 +206,7 @@
 	})
 
 	It("is retried elsewhere when its server is unresponsive", func() {
-		// The sockets take the time of the wall clock: far above what the server that is not silent needs.
+		// Sockets use the wall clock; the stall is far above what the responsive server needs.
 		r.stall = 2 * time.Second
 		f3 := r.front("f3")
 		var requests atomic.Int32
@@ -241,11 +241,11 @@
 			<-request.Context().Done()
 			close(freed)
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		response := f1.open(ctx, http.MethodPost, "/v1/responses", turnBody("s1", `,"stream":true`), nil)
 		defer func() { _ = response.Body.Close() }()
 		Expect(readEvents(bufio.NewReader(response.Body), 3)).To(HaveLen(3))
-		leave()
+		disconnect()
 		Eventually(freed).Should(BeClosed())
 		Eventually(func() uint64 { return r.ledger.program("p1").GetSettled() }).Should(BeEquivalentTo(2))
 	})
@@ -258,10 +258,10 @@
 			writeWords(writer, "two")
 			finishAnswer(writer, request, 2)
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		response := f1.open(ctx, http.MethodPost, "/v1/responses", turnBody("s1", `,"stream":true,"background":true`), nil)
 		events := readEvents(bufio.NewReader(response.Body), 2)
-		leave()
+		disconnect()
 		_ = response.Body.Close()
 		id := field(events[0].data, "response", "id")
 		resumed := f1.open(context.Background(), http.MethodGet, "/v1/responses/"+id+"?program=p1&stream=true", "",
--- a/internal/dataplane/front/unreachable_test.go
+++ b/internal/dataplane/front/unreachable_test.go
@@ -40,13 +40,13 @@
 			loseLedger()
 		})
 
-		// No virtual time passes here: who waits for anything gets no answer.
+		// No virtual time passes here: a request that waits for anything gets no answer.
 		DescribeTable("rejects at once what needs it", func(sent routed) {
 			got := f1.route(sent)
 			Expect(got.status).To(Equal(http.StatusServiceUnavailable), got.body)
 			Expect(got.header.Get("Retry-After")).To(Equal("1.000"))
 			Expect(server.requests()).To(BeEmpty())
-			Expect(r.ledger.seen).To(BeEmpty(), "nothing was asked of the ledger, so nothing is left to be undone")
+			Expect(r.ledger.operationCounts).To(BeEmpty(), "the ledger got no request, so nothing is left to undo")
 		},
 			Entry("a turn", routedTurn{id: "r1", input: "in"}.sent()),
 			Entry("a turn that continues another", routedTurn{id: "r2", previous: "r1", input: "in"}.sent()),
--- a/internal/dataplane/front/wire_test.go
+++ b/internal/dataplane/front/wire_test.go
@@ -50,7 +50,7 @@
 		request := &protocol.TurnRequest{RequestId: "r", Session: "s", Program: "p", Tenant: tenant, Model: model}
 		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Turn{Turn: request}}, ignore),
 			failure.NotOwner)).To(BeTrue())
-		Expect(r.ledger.seen).To(BeEmpty())
+		Expect(r.ledger.operationCounts).To(BeEmpty())
 	})
 
 	It("ends the stream of a reader that falls too far behind with a typed failure", func() {
@@ -59,7 +59,7 @@
 		for at := range text {
 			text[at] = "w"
 		}
-		// The reader is held up until the front node has cut it: it gives the back end up then.
+		// The reader is blocked until the front node has ended its stream and cancelled the back end's request.
 		givenUp := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writeWords(writer, text...)
@@ -73,7 +73,7 @@
 			passedOn++
 			return nil
 		})
-		Expect(passedOn).To(Equal(1), "a reader that is cut gets nothing more")
+		Expect(passedOn).To(Equal(1), "a reader whose stream was ended gets nothing more")
 		Expect(failure.Is(err, failure.SlowReader)).To(BeTrue(), "%v", err)
 		Eventually(func() []*protocol.Reservation { return r.ledger.program("p").GetReservations() }).Should(BeEmpty())
 	})
