--- a/internal/dataplane/front/route_affinity_test.go
+++ b/internal/dataplane/front/route_affinity_test.go
@@ -43,16 +43,16 @@
 		return requests
 	}
 
-	It("go to one server on a sticky route, whichever program they belong to", func() {
+	It("given a sticky route, then they go to one server, whichever program they belong to", func() {
 		Expect(serversUsed(true, func(int) string { return "meter-7" })).To(Equal(1))
 	})
 
-	It("spread over the servers on a sticky route when the objects differ", func() {
+	It("given a sticky route and many objects, then they spread over the servers", func() {
 		Expect(serversUsed(true, func(call int) string { return fmt.Sprintf("meter-%d", call) })).To(BeNumerically(">",
 			servers/2))
 	})
 
-	It("spread over the servers by program on a route that is not sticky", func() {
+	It("given a route that is not sticky, then programs spread over the servers", func() {
 		Expect(serversUsed(false, func(int) string { return "meter-7" })).To(BeNumerically(">", servers/2))
 	})
 })
--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -75,7 +75,7 @@
 		f.expectNotReplaced("a")
 	})
 
-	It("given a disk that runs full again and again, then nothing acknowledged is lost", func() {
+	It("given a disk that repeatedly runs full, then nothing acknowledged is lost", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		for round := range 6 {
@@ -103,7 +103,7 @@
 		p.takeTurn()
 		failing := f.running("a").Running()
 		f.members["a"].disk.FailSyncs(0, 1)
-		// It is away for a second of the fleet's clock only, which may pass unseen.
+		// It is down for a second of the fleet's clock only, which may pass unseen.
 		f.until(func() bool {
 			p.takeTurn()
 			return f.replaced("a", failing) && f.inForce()
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -19,7 +19,7 @@
 )
 
 // faultScenario injects a fault into one store at a time, by a seed, while programs take
-// turns. The next fault comes only when the store before is complete again, as soon as that.
+// turns. The next fault is injected only when the store before is complete again, as soon as that.
 type faultScenario struct {
 	fleet    *fleet
 	random   *rand.Rand
@@ -29,7 +29,7 @@
 	ordered      []string
 	// uncertain has reservations without a clear answer, which may still be made.
 	uncertain []*protocol.LedgerOperation
-	// faulty is the store that is away, empty when none is.
+	// faulty is the store that is down, empty when none is.
 	faulty string
 	log    []string
 }
@@ -56,7 +56,7 @@
 
 func (s *faultScenario) history() string { return fmt.Sprint(s.log) }
 
-// takeTurn lets a program continue; it may be rejected when there is no majority.
+// takeTurn continues a program; it may be rejected when there is no majority.
 func (s *faultScenario) takeTurn() {
 	GinkgoHelper()
 	p := s.programs[s.random.IntN(len(s.programs))]
@@ -137,7 +137,7 @@
 	s.fleet.move(shard, from, spare)
 }
 
-// moveFrom gives a shard of a store that is away to the one that has none of it.
+// moveFrom moves a shard of a store that is down to the one that has none of it.
 func (s *faultScenario) moveFrom(away string) {
 	for _, placed := range s.fleet.View().Placement.GetShards() {
 		spare := s.fleet.unplacedStore(placed)
@@ -195,7 +195,7 @@
 	}
 }
 
-// losePower takes the power of all stores at once.
+// losePower cuts the power of all stores at once.
 func (s *faultScenario) losePower() {
 	GinkgoHelper()
 	s.repairFault()
@@ -253,7 +253,7 @@
 	return ""
 }
 
-// attemptOnce queries one store once and takes a failure for no answer.
+// attemptOnce queries one store once and counts a failure as no answer.
 func (f *fleet) attemptOnce(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	return f.attemptUnder(name, f.shardEpoch(operation), operation)
 }
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -31,11 +31,11 @@
 	// defaultReplicas are those of each shard of a fleet that bears one loss.
 	defaultReplicas = 3
 	segmentBytes    = 16 << 10
-	// defaultPace makes timers short and leaves a machine that is busy time for what a deadline of seconds bounds.
+	// defaultPace makes timers short and leaves a busy machine time for what a deadline of seconds bounds.
 	defaultPace = 5
 	// defaultPeerTimeout lets stores continue soon without one that is suspended.
 	defaultPeerTimeout = 100 * time.Millisecond
-	// awaitTimeout bounds how long a test awaits something that must come.
+	// awaitTimeout bounds how long a test awaits something that must happen.
 	awaitTimeout = 20 * time.Second
 )
 
@@ -45,7 +45,7 @@
 	RunSpecs(t, "store")
 }
 
-// testClock moves only when a test says so.
+// testClock moves only when a test advances it.
 type testClock struct {
 	mutex  sync.Mutex
 	now    time.Time
@@ -220,7 +220,7 @@
 	started.Start()
 }
 
-// running gives the store of a member, nil while it is stopped.
+// running returns the store of a member, nil while it is stopped.
 func (f *fleet) running(name string) *store.Supervisor {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -255,7 +255,7 @@
 	f.publish()
 }
 
-// loseDisk empties a store's disk and starts it again, and tells the core's placement of it.
+// loseDisk empties a store's disk and starts it again, and reports it to the core's placement.
 func (f *fleet) loseDisk(name string) {
 	f.stopOne(name, false)
 	f.restartEmpty(name)
@@ -342,7 +342,7 @@
 	return f.suspended[name] != nil
 }
 
-// viewFor gives the view that a store has.
+// viewFor returns the view that a store has.
 func (f *fleet) viewFor(name string) *corelink.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -352,7 +352,7 @@
 	return f.view
 }
 
-// setStale keeps new views from a store, or lets it have the newest.
+// setStale withholds new views from a store, or sends it the newest.
 func (f *fleet) setStale(name string, stale bool) {
 	f.mutex.Lock()
 	delete(f.stale, name)
@@ -395,7 +395,7 @@
 	f.publish(placed)
 }
 
-// until lets time pass until the condition is met.
+// until advances the clock until the condition is met.
 func (f *fleet) until(condition func() bool) {
 	GinkgoHelper()
 	ends := time.Now().Add(awaitTimeout)
@@ -408,7 +408,7 @@
 // inForce reports whether every store that can be reached acts under the placement published last.
 func (f *fleet) inForce() bool { return f.inForceExcept() }
 
-// inForceExcept is inForce without regard to stores that are away.
+// inForceExcept is inForce without regard to stores that are down.
 func (f *fleet) inForceExcept(away ...string) bool {
 	for name, m := range f.members {
 		if slices.Contains(away, name) || f.partitioned[name] {
@@ -463,7 +463,7 @@
 	})
 }
 
-// shardEpoch gives the epoch of the shard that an operation is about.
+// shardEpoch returns the epoch of the shard that an operation is about.
 func (f *fleet) shardEpoch(operation *protocol.LedgerOperation) uint64 {
 	return placedShard(f.View(), operation).GetEpoch()
 }
--- a/internal/state/store/hashtree/hashtree_test.go
+++ b/internal/state/store/hashtree/hashtree_test.go
@@ -24,13 +24,13 @@
 func (k stringKey) Hash() uint64              { return xxhash.Sum64String(string(k)) }
 func (k stringKey) Less(other stringKey) bool { return k < other }
 
-func TestTreeHoldsWhatAMapHolds(t *testing.T) {
+func TestTreeHasTheEntriesOfAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree, wanted := &Tree[narrowKey, int]{}, map[narrowKey]int{}
 		key := rapid.Uint16()
 		check := func(t *rapid.T) {
 			if got := maps.Collect(tree.All()); !maps.Equal(got, wanted) || tree.Len() != len(wanted) {
-				t.Fatalf("holds %d entries and says %d, wanted %d", len(got), tree.Len(), len(wanted))
+				t.Fatalf("has %d entries and reports %d, want %d", len(got), tree.Len(), len(wanted))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -60,7 +60,7 @@
 				var got []narrowKey
 				for current, value := range tree.After(from) {
 					if known, found := tree.Get(current); !found || known != value {
-						t.Fatalf("%d is %d when read on and %d, %v when asked for", current, value, known, found)
+						t.Fatalf("%d is %d when iterated and %d, %v when looked up", current, value, known, found)
 					}
 					got = append(got, current)
 				}
@@ -94,7 +94,7 @@
 	for hash, last := uint64(0), false; !last; {
 		entries, next := tree.Leaf(hash)
 		if len(entries) > MaxLeafEntries {
-			t.Fatalf("a leaf holds %d entries", len(entries))
+			t.Fatalf("a leaf has %d entries", len(entries))
 		}
 		for _, number := range entries {
 			seen[number]++
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -110,7 +110,7 @@
 })
 
 var _ = Describe("a batch of requests to a replica", func() {
-	It("given requests of several shards and one that no replica serves, then each has its answer in its place", func() {
+	It("given requests of several shards and one without a replica, then each has its answer at its position", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
--- a/internal/state/store/owner/group_test.go
+++ b/internal/state/store/owner/group_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// manualLog makes records durable when a test says so.
+// manualLog makes records durable when a test releases them.
 type manualLog struct {
 	pending []func([]storage.Position, error)
 }
--- a/internal/state/store/peers/client_test.go
+++ b/internal/state/store/peers/client_test.go
@@ -83,7 +83,7 @@
 		call := <-caller.calls
 		batch := call.request.GetStoreBatch().GetRequests()
 		if len(batch) != wanted {
-			t.Fatalf("%d requests left together, wanted %d", len(batch), wanted)
+			t.Fatalf("%d requests were sent together, want %d", len(batch), wanted)
 		}
 		responses := &protocol.ResponseBatch{}
 		for _, request := range batch {
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -77,7 +77,7 @@
 	}
 	replacement := reopen(t, path)
 	if replacement.Lost == nil || replacement.StorageID == folder.StorageID {
-		t.Fatalf("the next start kept the damaged log: %v", replacement.Lost)
+		t.Fatalf("the next start retained the damaged log: %v", replacement.Lost)
 	}
 	if err := replacement.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("a replica that is requested to retain a turn twice", func() {
-	It("retains it as long as the later request says, also while the first is being written", func() {
+	It("retains it until the later time requested, also while the first is being written", func() {
 		f := newUnhurriedFleet("a", "b", "c")
 		now := f.clock.Now()
 		shorter := &protocol.Turn{
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -21,7 +21,7 @@
 	minRetention = 2 * time.Minute
 )
 
-// pass lets so much time pass in small steps.
+// pass advances the clock by this much in small steps.
 func (f *fleet) pass(wait time.Duration) {
 	GinkgoHelper()
 	ends := f.clock.Now().Add(wait)
@@ -125,7 +125,7 @@
 		p.expectRetained()
 	})
 
-	It("is retained in full by a store that was away when it began", func() {
+	It("is retained in full by a store that was down when it began", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", retention)
 		f.setPartitioned("c", true)
@@ -213,7 +213,7 @@
 })
 
 var _ = Describe("an idle program", func() {
-	It("leaves memory and disk after its retention, its calls too, while others stay", func() {
+	It("is removed from memory and disk after its retention, with its calls, while others stay", func() {
 		f := newFleet("a", "b", "c")
 		idle, lasting := f.programWithRetention("idle", minRetention), f.program("lasting")
 		idle.takeTurn()
@@ -232,7 +232,7 @@
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
-	It("does not come back from a store that was away when it was removed and begun again", func() {
+	It("does not reappear from a store that was down when it was removed and begun again", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", minRetention)
 		for range 20 {
@@ -247,7 +247,7 @@
 		busy.padding = strings.Repeat("x", 1000)
 		// The store that proposes is started last, so that its ballots begin again.
 		for _, name := range []string{"b", "a"} {
-			// A message that came late by the fast clock may have brought the register back, until it is collected again.
+			// A message that was late by the fast clock may have brought the register back, until it is collected again.
 			f.until(func() bool {
 				f.pass(time.Minute)
 				f.writeSnapshot(name, busy)
@@ -263,7 +263,7 @@
 		again.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
-		// The store that came back is not to collect on its own what it still has.
+		// The store that returned must not collect on its own what it still has.
 		f.pace = 1
 		again.expectRetained()
 		again.takeTurn()
--- a/internal/state/store/shardtable/page_test.go
+++ b/internal/state/store/shardtable/page_test.go
@@ -40,14 +40,14 @@
 		for _, state := range page.states {
 			key := KeyFromProto(state.GetKey())
 			if seen[key] || !filter.matches(key.bucketHash()) {
-				t.Fatalf("%v came twice or was not requested", key)
+				t.Fatalf("%v was returned twice or was not requested", key)
 			}
 			seen[key] = true
 		}
 		after, last = page.reached, page.last
 	}
 	if len(seen) != wanted {
-		t.Errorf("%d registers in the pages, wanted %d", len(seen), wanted)
+		t.Errorf("%d registers in the pages, want %d", len(seen), wanted)
 	}
 }
 
@@ -65,13 +65,13 @@
 		for i, key := range page.keys {
 			entry, _ := table.Turns.Get(key)
 			if seen[key] || entry != page.entries[i] || !filter.matches(key.TurnHash) {
-				t.Fatalf("%v came twice or was not requested", key)
+				t.Fatalf("%v was returned twice or was not requested", key)
 			}
 			seen[key] = true
 		}
 		after, last = page.reached, page.last
 	}
 	if len(seen) != wanted {
-		t.Errorf("%d turns in the pages, wanted %d", len(seen), wanted)
+		t.Errorf("%d turns in the pages, want %d", len(seen), wanted)
 	}
 }
--- a/internal/state/store/shardtable/training_step_members_test.go
+++ b/internal/state/store/shardtable/training_step_members_test.go
@@ -79,7 +79,7 @@
 	}
 	for size := range value {
 		if isMember(value[:size], "17") {
-			t.Errorf("a record cut to %d of %d bytes is a member", size, len(value))
+			t.Errorf("a record truncated to %d of %d bytes is a member", size, len(value))
 		}
 	}
 }
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -137,7 +137,7 @@
 		p.expectRetained()
 	})
 
-	It("given a turn that nobody has, then it is missing only while a majority says so", func() {
+	It("given a turn that no store has, then it is reported missing only while a majority answers", func() {
 		f := newUnhurriedFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
@@ -198,7 +198,7 @@
 		})
 	})
 
-	It("given syncs that go on failing, then the store stops and nothing is acknowledged by it", func() {
+	It("given syncs that keep failing, then the store stops and acknowledges nothing", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		f.setPartitioned("b", true)
@@ -229,7 +229,7 @@
 	})
 })
 
-var _ = Describe("a call that may not be repeated", func() {
+var _ = Describe("a non-repeatable call", func() {
 	begin := func(p *program, attempt string) *protocol.LedgerOperation {
 		return &protocol.LedgerOperation{
 			Program: p.name,
@@ -239,7 +239,7 @@
 		}
 	}
 
-	It("given an intent, then no other attempt may issue the call and its outcome answers repeats", func() {
+	It("given an intent, then no other attempt may issue the call and repeats are answered with its outcome", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		Expect(f.do(begin(p, "one")).GetStatus()).To(Equal(ok))
@@ -261,7 +261,7 @@
 		Expect(f.do(begin(p, "new")).GetStatus()).To(Equal(ok))
 	})
 
-	It("given a claim that lands while the old owner's intent is written, then the old owner may not issue", func() {
+	It("given a claim that arrives while the old owner's intent is written, then the old owner may not issue", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		var once sync.Once
@@ -294,11 +294,11 @@
 })
 
 var _ = Describe("the data folder of a store", func() {
-	DescribeTable("given data that is damaged or removed, then the store begins anew under another storage id",
+	DescribeTable("given data that is damaged or removed, then the store starts empty under another storage id",
 		func(turns int, harm func(m *member)) {
 			f := newFleet("a", "b", "c")
 			p := f.program("p")
-			// A turn is taken once two stores have retained it. The damage is a loss only in front of a record that was
+			// A turn is committed once two stores have retained it. The damage is a loss only in front of a record that was
 			// synced later, so this store must sync each turn before the next one: a store that lags writes several in
 			// one batch, whose damage looks like a torn write.
 			for turn := range turns {
--- a/internal/state/store/storebench/storebench_test.go
+++ b/internal/state/store/storebench/storebench_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkSteady reports what stores take under 75 turns a second of 10 KB that are retained for 60 s.
+// BenchmarkSteady reports what stores cost under 75 turns a second of 10 KB that are retained for 60 s.
 func BenchmarkSteady(b *testing.B) {
 	for b.Loop() {
 		steady, err := storebench.MeasureSteady(b.Context(), b.TempDir(), storebench.SteadyOptions{
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkCosts reports what one operation of each kind takes alone.
+// BenchmarkCosts reports what one operation of each kind costs alone.
 func BenchmarkCosts(b *testing.B) {
 	for b.Loop() {
 		costs, err := storebench.MeasureCosts(b.Context(), b.TempDir(), 500)
@@ -107,7 +107,7 @@
 	}
 }
 
-// BenchmarkTrainingSteps reports what pins and traces take beside 9,000 programs of no step.
+// BenchmarkTrainingSteps reports what pins and traces cost beside 9,000 programs of no step.
 func BenchmarkTrainingSteps(b *testing.B) {
 	for _, members := range []int{100, 1_000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -222,7 +222,7 @@
 	requireNoError(t, opened.Stop())
 }
 
-// storedFiles gives the content of all files by their path under root.
+// storedFiles returns the content of all files by their path under root.
 func storedFiles(t *testing.T, root string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
@@ -250,15 +250,15 @@
 	written, stored := storedFiles(t, root), storedFiles(t, storedData)
 	for path, content := range stored {
 		if written[path] != content {
-			t.Errorf("%s has %q\nin place of %q", path, written[path], content)
+			t.Errorf("%s has %q\ninstead of %q", path, written[path], content)
 		}
 	}
 	if len(written) != len(stored) {
-		t.Errorf("%d files in place of %d", len(written), len(stored))
+		t.Errorf("%d files instead of %d", len(written), len(stored))
 	}
 }
 
-// copyStored gives a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
+// copyStored returns a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
 func copyStored(t *testing.T, files map[string]string, damaged string, offset int) *simdisk.Disk {
 	t.Helper()
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
@@ -342,8 +342,8 @@
 	if opened.indexedSegment != 2 {
 		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
 	}
-	if cut := folder.Registers.TruncatedBytes() + folder.Turns.TruncatedBytes(); cut != 0 {
-		t.Errorf("%d bytes were cut off", cut)
+	if truncated := folder.Registers.TruncatedBytes() + folder.Turns.TruncatedBytes(); truncated != 0 {
+		t.Errorf("%d bytes were truncated", truncated)
 	}
 	expectStored(t, opened)
 }
@@ -354,13 +354,13 @@
 	for _, stored := range []struct {
 		file string
 		size int
-		// rejectedTo is where the part ends of which any damage makes the store give the folder up.
+		// rejectedTo is where the part ends of which any damage makes the store abandon the folder.
 		rejectedTo int
 	}{
 		{"identity", 64, 64},
 		{"registers/0000000000000002.snapshot", 1093, 1093},
 		{"registers/0000000000000002.log", 437, 437},
-		// The last record of a newest segment may be one that a crash tore: it is cut off.
+		// The last record of a newest segment may be one that a crash tore: it is truncated.
 		{"registers/0000000000000003.log", 619, 500},
 		// The index covers this segment, so only its header is read at the start.
 		{"turns/0000000000000001.log", 458, 28},
@@ -387,7 +387,7 @@
 	}
 }
 
-func TestADamagedIndexOfAStoredStoreIsNotMissed(t *testing.T) {
+func TestAStoredStoreWithADamagedIndexIsReadBack(t *testing.T) {
 	const index = "turns/0000000000000002.snapshot"
 	files := storedFiles(t, storedData)
 	for offset := range files[index] {
@@ -397,7 +397,7 @@
 }
 
 // A turn that only the index was read for is checked when it is read.
-func TestADamagedTurnOfAStoredStoreIsNotShown(t *testing.T) {
+func TestADamagedTurnOfAStoredStoreIsNotReturned(t *testing.T) {
 	const segment, header = "turns/0000000000000001.log", 28
 	files := storedFiles(t, storedData)
 	covered, _, _ := storedTurns()
--- a/internal/state/store/training_step_trace_test.go
+++ b/internal/state/store/training_step_trace_test.go
@@ -17,7 +17,7 @@
 const (
 	stepUnknown  = protocol.LedgerStatus_LEDGER_STEP_UNKNOWN
 	stepMismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
-	// theStep and pinnedVersion are those of the stories' rollouts.
+	// theStep and pinnedVersion are those of the specs' rollouts.
 	theStep       = "step-17"
 	pinnedVersion = 4
 )
@@ -54,7 +54,7 @@
 	return reserve
 }
 
-// release ends the turn reserved last as given to its caller complete, on a version.
+// release ends the turn reserved last as delivered to its caller completely, on a version.
 func (p *program) release(version uint64) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: p.name,
@@ -114,11 +114,11 @@
 	}
 }
 
-// rolloutNames lie in all shards of the fleet.
+// rolloutNames are spread over all shards of the fleet.
 var rolloutNames = []string{"p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"}
 
 var _ = Describe("the rollouts", func() {
-	It("lie in all shards", func() {
+	It("are spread over all shards", func() {
 		shards := map[uint32]bool{}
 		for _, name := range rolloutNames {
 			shards[ledger.ShardOf(name, shardCount)] = true
@@ -269,7 +269,7 @@
 		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
 	})
 
-	It("is complete with a minority away", func() {
+	It("is complete with a minority down", func() {
 		for _, away := range []string{"a", "b", "c"} {
 			f := newFleet("a", "b", "c")
 			f.rollouts(rolloutNames...)
@@ -286,7 +286,7 @@
 		expectTrace(f.request("b", awaitTimeout, newTrace(theStep)), rolloutNames...)
 	})
 
-	It("is unavailable with a majority away, never shorter", func() {
+	It("is unavailable with a majority down, never incomplete", func() {
 		f := newFleet("a", "b", "c")
 		f.rollouts(rolloutNames...)
 		f.setPartitioned("b", true)
@@ -312,7 +312,7 @@
 		Expect(f.request("b", awaitTimeout, newPin(0, "")).GetStatus()).To(Equal(ok))
 	})
 
-	It("is unavailable, never shorter, when all that answers for one shard is a replica that was away", func() {
+	It("is unavailable, never incomplete, when only a stale replica answers for one shard", func() {
 		f := newFleet("a", "b", "c", "d", "e", "f")
 		moved := (ledger.ShardOf(ledger.TrainingStepProgram(theStep), shardCount) + 1) % shardCount
 		for from, to := range map[string]string{"a": "d", "b": "e", "c": "f"} {
--- a/internal/state/store/turnindex/index_test.go
+++ b/internal/state/store/turnindex/index_test.go
@@ -98,10 +98,10 @@
 	}
 	ignore := func(uint32, Key, Entry) {}
 	if err := Read(bytes.NewReader([]byte("another form")), ignore); !errors.Is(err, ErrOtherForm) {
-		t.Errorf("another form gave %v", err)
+		t.Errorf("another form returned %v", err)
 	}
 	err = Read(bytes.NewReader(content[:len(content)-1]), ignore)
 	if _, unreadable := errors.AsType[*records.UnreadableError](err); !unreadable {
-		t.Errorf("an index cut within an entry gave %v", err)
+		t.Errorf("an index truncated within an entry returned %v", err)
 	}
 }
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// replicasForTwoLosses keep a majority when two of them are away.
+	// replicasForTwoLosses have a majority when two of them are down.
 	replicasForTwoLosses = 5
 	twoLossesRounds      = 6
 	turnsWhileAway       = 5
@@ -54,7 +54,7 @@
 	s.restore(store)
 }
 
-// restore gives a store that was away the newest placement, after requests under the one before.
+// restore sends a store that was down the newest placement, after requests under the one before.
 func (s *faultScenario) restore(store string) {
 	GinkgoHelper()
 	s.requestUnderStaleView(store)
@@ -63,7 +63,7 @@
 	s.releaseUncertain()
 }
 
-// releaseUncertain takes back what may have been reserved, as a front node does.
+// releaseUncertain releases what may have been reserved, as a front node does.
 func (s *faultScenario) releaseUncertain() {
 	GinkgoHelper()
 	for _, operation := range s.uncertain {
@@ -111,7 +111,7 @@
 	s.fleet.until(func() bool { return s.fleet.isComplete() && s.fleet.inForce() })
 }
 
-// loseAllAndTwoDisks takes the power of all stores and the disks of two.
+// loseAllAndTwoDisks cuts the power of all stores and loses the disks of two.
 func (s *faultScenario) loseAllAndTwoDisks() {
 	GinkgoHelper()
 	s.record("power of all, disks of two")
--- a/internal/testing/lab/ablation/ablation_test.go
+++ b/internal/testing/lab/ablation/ablation_test.go
@@ -86,7 +86,7 @@
 	}
 	for _, content := range []string{``, `[]`, `{"colour":1}`} {
 		if _, err := ablation.Parse([]byte(content)); err == nil {
-			t.Errorf("%q was taken", content)
+			t.Errorf("%q was accepted", content)
 		}
 	}
 }
--- a/internal/testing/lab/audit/audit_test.go
+++ b/internal/testing/lab/audit/audit_test.go
@@ -63,7 +63,7 @@
 	}}
 }
 
-// sound is evidence without any fault; each case below spoils one thing.
+// sound is evidence without violations; each case below corrupts one part of it.
 func sound() audit.Evidence {
 	return audit.Evidence{
 		RequestLog: &caller.RequestLog{
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestEachCheckBites spoils sound evidence in one way and expects exactly the check meant for it to speak.
-func TestEachCheckBites(t *testing.T) {
+// TestEachCheckDetectsItsViolation corrupts sound evidence in one way and expects exactly its check to report it.
+func TestEachCheckDetectsItsViolation(t *testing.T) {
 	turn := func(e *audit.Evidence) *caller.Record { return e.RequestLog.Records[0] }
 	events := func(e *audit.Evidence) []caller.Event { return turn(e).Exchanges[0].Events }
 	cases := []struct {
@@ -256,7 +256,7 @@
 	}
 }
 
-// TestTurnThatWasNeverAnsweredMayBeMissing shows that a turn lost with its owner is no kept turn.
+// TestTurnThatWasNeverAnsweredMayBeMissing shows that a turn lost with its owner is not a retained turn.
 func TestTurnThatWasNeverAnsweredMayBeMissing(t *testing.T) {
 	evidence := sound()
 	lost := &caller.Record{
@@ -273,7 +273,7 @@
 	}
 }
 
-// TestCandidateServesBesideTheActiveBundle shows that programs of both sides may come to one owner, and that none may
+// TestCandidateServesBesideTheActiveBundle shows that programs of both sides may have one owner, and that none may
 // change sides.
 func TestCandidateServesBesideTheActiveBundle(t *testing.T) {
 	for _, changesSides := range []bool{false, true} {
@@ -293,7 +293,7 @@
 	}
 }
 
-// TestExcusedDelays shows that delays are passed over only in disturbed times and on faulty stand-ins.
+// TestExcusedDelays shows that delays are excused only during faults and on faulty stand-ins.
 func TestExcusedDelays(t *testing.T) {
 	late := func() audit.Evidence {
 		e := sound()
--- a/internal/testing/lab/benchmark/page_test.go
+++ b/internal/testing/lab/benchmark/page_test.go
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	page := read()
-	for _, kept := range []string{"own words\n", "new figures", "more words\n"} {
-		if !strings.Contains(page, kept) {
-			t.Errorf("%q is missing", kept)
+	for _, text := range []string{"own words\n", "new figures", "more words\n"} {
+		if !strings.Contains(page, text) {
+			t.Errorf("%q is missing", text)
 		}
 	}
 	if strings.Contains(page, "old figures") {
--- a/internal/testing/lab/caller/caller_test.go
+++ b/internal/testing/lab/caller/caller_test.go
@@ -36,10 +36,10 @@
 	}
 	first := plan(1)
 	if !reflect.DeepEqual(first, plan(1)) {
-		t.Fatal("one seed gives two plans")
+		t.Fatal("one seed produces two plans")
 	}
 	if reflect.DeepEqual(first, plan(2)) {
-		t.Fatal("two seeds give one plan")
+		t.Fatal("two seeds produce one plan")
 	}
 }
 
@@ -150,7 +150,7 @@
 		DeferCleanup(func() { Eventually(goleak.Find).WithArguments(present).Should(Succeed()) })
 	})
 
-	It("keeps what it was told of an answered turn", func() {
+	It("records the outcome of an answered turn", func() {
 		served.script = func(_ int, _ http.ResponseWriter, _ *http.Request, event func(kind, fields string)) {
 			event(caller.EventCreated, `"sequence_number":1,"attempt":1,"response":{"id":"turn_1"}`)
 			event(caller.EventDelta, `"sequence_number":2,"attempt":1,"delta":"hi","tokens":1`)
@@ -166,7 +166,7 @@
 		Expect(record.Exchanges[0].Events).To(HaveLen(3))
 	})
 
-	It("resumes a broken stream after the last event that came", func() {
+	It("resumes a broken stream after the last event received", func() {
 		served.script = func(exchange int, _ http.ResponseWriter, r *http.Request, event func(kind, fields string)) {
 			if exchange == 1 {
 				event(caller.EventCreated, `"sequence_number":1,"attempt":1,"response":{"id":"turn_1"}`)
@@ -185,7 +185,7 @@
 		Expect(record.Exchanges[1].AfterSequence).To(Equal(uint64(2)))
 	})
 
-	It("sends a request without an answer again under the same id", func() {
+	It("retries a request without an answer under the same id", func() {
 		served.script = func(exchange int, _ http.ResponseWriter, _ *http.Request, event func(kind, fields string)) {
 			if exchange == 1 {
 				panic(http.ErrAbortHandler)
@@ -198,7 +198,7 @@
 		Expect(served.seen[0].Header.Get("Idempotency-Key")).To(Equal(served.seen[1].Header.Get("Idempotency-Key")))
 	})
 
-	It("asks anew for a turn that was lost with its owner", func() {
+	It("retries a turn that was lost with its owner", func() {
 		served.script = func(exchange int, w http.ResponseWriter, _ *http.Request, event func(kind, fields string)) {
 			switch exchange {
 			case 1:
@@ -216,7 +216,7 @@
 		Expect(records[0].RequestID).NotTo(Equal(records[1].RequestID))
 	})
 
-	It("asks anew under another id after a refusal", func() {
+	It("retries under another id after a rejection", func() {
 		served.script = func(exchange int, w http.ResponseWriter, _ *http.Request, event func(kind, fields string)) {
 			if exchange == 1 {
 				refuse(w, http.StatusServiceUnavailable, "overloaded", caller.OutcomeNotRun)
@@ -230,7 +230,7 @@
 		Expect(records[0].RequestID).NotTo(Equal(records[1].RequestID))
 	})
 
-	It("does not ask again when the budget is spent", func() {
+	It("does not retry when the budget is spent", func() {
 		served.script = func(_ int, w http.ResponseWriter, _ *http.Request, _ func(kind, fields string)) {
 			refuse(w, http.StatusPaymentRequired, "budget_spent", caller.OutcomeNotRun)
 		}
--- a/internal/testing/lab/chaos/plan_test.go
+++ b/internal/testing/lab/chaos/plan_test.go
@@ -14,15 +14,15 @@
 func TestSchedulesFollowTheirSeed(t *testing.T) {
 	first := chaos.Plan(counts, 5*time.Minute, 1)
 	if !reflect.DeepEqual(first, chaos.Plan(counts, 5*time.Minute, 1)) {
-		t.Fatal("one seed gives two schedules")
+		t.Fatal("one seed produces two schedules")
 	}
 	if reflect.DeepEqual(first, chaos.Plan(counts, 5*time.Minute, 2)) {
-		t.Fatal("two seeds give one schedule")
+		t.Fatal("two seeds produce one schedule")
 	}
 }
 
-// TestSchedulesStayWithinWhatTheSitesTolerate holds any schedule to one loss of a
-// disk machine at a time, to whole faults and to quiet round the death of many.
+// TestSchedulesStayWithinWhatTheSitesTolerate checks that a schedule loses one disk machine
+// at a time, ends each fault within the run and injects nothing during a mass crash.
 func TestSchedulesStayWithinWhatTheSitesTolerate(t *testing.T) {
 	for seed := range uint64(200) {
 		duration := 10 * time.Minute
@@ -64,7 +64,7 @@
 		chaos.InboundPartition, chaos.PartitionCore, chaos.CrashFronts, chaos.CrashAll,
 	} {
 		if !seen[action] {
-			t.Errorf("no schedule of three holds %q", action)
+			t.Errorf("no schedule of three contains %q", action)
 		}
 	}
 }
--- a/internal/testing/lab/closedport/closedport_test.go
+++ b/internal/testing/lab/closedport/closedport_test.go
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	if _, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", port.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("a connection gave %v", err)
+		t.Fatalf("a connection returned %v", err)
 	}
 	if _, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", port.Address()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Fatalf("a listener gave %v", err)
+		t.Fatalf("a listener returned %v", err)
 	}
 	if err := port.Release(); err != nil {
 		t.Fatal(err)
--- a/internal/testing/lab/dayreport/account_test.go
+++ b/internal/testing/lab/dayreport/account_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if distance := account.MaxScore - day.Score; math.Abs(distance-account.Lost()) > 1e-9 {
-		t.Errorf("%g are told of a distance of %g", account.Lost(), distance)
+		t.Errorf("%g are reported of a distance of %g", account.Lost(), distance)
 	}
 }
 
--- a/internal/testing/lab/dayreport/report_test.go
+++ b/internal/testing/lab/dayreport/report_test.go
@@ -106,17 +106,17 @@
 	release := strings.Repeat(" ", 15) + "A" + strings.Repeat("-", 20)
 	kill := strings.Repeat(" ", 30) + "B" + strings.Repeat("-", 15) + strings.Repeat(" ", 9) + "C"
 	if strings.Count(text, release+strings.Repeat(" ", 19)+"C\n") != 3 {
-		t.Errorf("%q does not stand below each chart of\n%s", release, text)
+		t.Errorf("%q is not below each chart of\n%s", release, text)
 	}
 	if strings.Count(text, strings.TrimSuffix(kill, strings.Repeat(" ", 9)+"C")+"\n") != 3 {
-		t.Errorf("%q does not stand below each chart of\n%s", kill, text)
+		t.Errorf("%q is not below each chart of\n%s", kill, text)
 	}
 }
 
 func TestPrintDistinguishesCurvesWithAndWithoutColor(t *testing.T) {
 	plain := printed(t, dayreport.Terminal{Width: testWidth})
 	if strings.Contains(plain, "\x1b") {
-		t.Error("plain text holds escape sequences")
+		t.Error("plain text contains escape sequences")
 	}
 	if !strings.Contains(plain, "~ served late   o refused   x failed\n") {
 		t.Errorf("no legend in\n%s", plain)
@@ -145,7 +145,7 @@
 		"answer": 1, "probe": 1, "served late": 2, "failed": 2, "p99": 1, "B node_kill": 1, "A": 3, "B": 3, "C": 3,
 	} {
 		if texts[text] < least {
-			t.Errorf("%q stands %d times in the figure, want %d at least", text, texts[text], least)
+			t.Errorf("%q occurs %d times in the figure, want %d at least", text, texts[text], least)
 		}
 	}
 }
--- a/internal/testing/lab/fixedseed/fixedseed_test.go
+++ b/internal/testing/lab/fixedseed/fixedseed_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestPropertyTestsHaveASeed(t *testing.T) {
-	// A seed given on the command line, as for a search, counts too; only the default of the library is random.
+	// A seed set on the command line, as for a search, counts too; only the default of the library is random.
 	if set := flag.Lookup("rapid.seed"); set == nil || set.Value.String() == set.DefValue {
 		t.Fatalf("the flag is %v", set)
 	}
--- a/internal/testing/lab/fleet/fleet_test.go
+++ b/internal/testing/lab/fleet/fleet_test.go
@@ -75,8 +75,8 @@
 				}
 				addresses[address] = member.Name
 			}
-			if told := node.GetAdvertisedAddress(); told != member.Relay {
-				t.Errorf("%s tells others %q, its relay is %q", member.Name, told, member.Relay)
+			if advertised := node.GetAdvertisedAddress(); advertised != member.Relay {
+				t.Errorf("%s advertises %q, its relay is %q", member.Name, advertised, member.Relay)
 			}
 		}
 	}
--- a/internal/testing/lab/frontloss/loss_test.go
+++ b/internal/testing/lab/frontloss/loss_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/frontloss"
 )
 
-// sessionHeldBy finds a session id whose partition a member holds.
+// sessionHeldBy returns a session id whose directory partition a member holds.
 func sessionHeldBy(members []ring.Member, name string) string {
 	places := ring.New(members, 16)
 	for i := 0; ; i++ {
--- a/internal/testing/lab/memnet/memnet_test.go
+++ b/internal/testing/lab/memnet/memnet_test.go
@@ -24,7 +24,7 @@
 	latency    = 5 * time.Millisecond
 )
 
-// linked runs a story with a connection between two hosts.
+// linked runs a test with a connection between two hosts.
 func linked(t *testing.T, story func(t *testing.T, network *memnet.Network, near, far net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	t.Errorf("ended with %v, must be one of %v", err, causes)
 }
 
-// expectSilence fails when something comes within a second.
+// expectSilence fails when anything arrives within a second.
 func expectSilence(t *testing.T, connection net.Conn) {
 	t.Helper()
 	_ = connection.SetReadDeadline(time.Now().Add(time.Second))
--- a/internal/testing/lab/modelserver/batch_test.go
+++ b/internal/testing/lab/modelserver/batch_test.go
@@ -44,7 +44,7 @@
 	b := newBatcher(smallRates())
 	s := &sequence{tokens: words(12, 1), maxTokens: 3}
 	if !b.submit(s) {
-		t.Fatal("refused")
+		t.Fatal("rejected")
 	}
 	steps, took := finish(t, b, s)
 	// 8 tokens of the prompt in the first step, 4 and a token in the second, one token in each of the last two.
@@ -58,7 +58,7 @@
 	first := &sequence{tokens: words(8, 1), maxTokens: 4}
 	b.submit(first)
 	finish(t, b, first)
-	// The next turn brings the whole text so far (8 + 4 tokens) and something new.
+	// The next turn sends the complete text so far (8 + 4 tokens) and something new.
 	next := &sequence{tokens: append(append(words(8, 1), words(4, 900)...), words(4, 50)...), maxTokens: 1}
 	other := &sequence{tokens: words(8, 500), maxTokens: 1}
 	b.submit(next)
@@ -73,20 +73,20 @@
 	b := newBatcher(smallRates())
 	for i := range 2 {
 		if !b.submit(&sequence{tokens: words(4, uint64(i)), maxTokens: 1}) {
-			t.Fatal("refused with room in the queue")
+			t.Fatal("rejected with capacity in the queue")
 		}
 	}
 	if b.submit(&sequence{tokens: words(4, 9), maxTokens: 1}) {
-		t.Fatal("taken into a full queue")
+		t.Fatal("accepted into a full queue")
 	}
 }
 
 func TestLeastRecentlyUsedBlocksAreEvicted(t *testing.T) {
 	c := newBlockCache(4)
 	use := func(hashes ...uint64) int {
-		cached, held := c.acquire(hashes, 0)
-		if !held {
-			t.Fatal("no room")
+		cached, acquired := c.acquire(hashes, 0)
+		if !acquired {
+			t.Fatal("no capacity")
 		}
 		c.release(hashes, 0, hashes)
 		return cached
@@ -96,14 +96,14 @@
 	use(1, 2)
 	use(5, 6)
 	if use(1, 2) != 2 {
-		t.Fatal("the blocks used last are gone")
+		t.Fatal("the blocks used last were evicted")
 	}
 	if use(3, 4) != 0 {
-		t.Fatal("the blocks used first are still there")
+		t.Fatal("the blocks used first were not evicted")
 	}
 }
 
-// TestCacheStaysWithinItsBounds holds the counts of the cache against a plain model under any order of use.
+// TestCacheStaysWithinItsBounds compares the counts of the cache with a plain model under any order of use.
 func TestCacheStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newBlockCache(rapid.IntRange(1, 12).Draw(t, "total"))
--- a/internal/testing/lab/modelserver/server_test.go
+++ b/internal/testing/lab/modelserver/server_test.go
@@ -48,7 +48,7 @@
 	return entries
 }
 
-// answer is what came back of one completion.
+// answer is the response to one completion request.
 type answer struct {
 	status int
 	retry  string
@@ -122,20 +122,20 @@
 		Expect(journal.entries()[1].Tokens).To(Equal(5))
 	})
 
-	It("gives the same beginning from the cache", func() {
+	It("serves the same prefix from the cache", func() {
 		long := strings.Repeat("word ", 64)
 		Expect(complete("r1", 1, long+"reply:1").cached).To(BeZero())
 		Expect(complete("r2", 1, long+"more reply:1").cached).To(Equal(64))
 	})
 
-	It("refuses an older owner of the session and runs nothing", func() {
+	It("rejects an older owner of the session and runs nothing", func() {
 		Expect(complete("r1", 2, "reply:1").status).To(Equal(http.StatusOK))
 		Expect(complete("r2", 1, "reply:1").status).To(Equal(http.StatusConflict))
 		Expect(journal.entries()[2].Phase).To(Equal(standin.PhaseRejected))
 		Expect(journal.entries()[2].Reason).To(Equal("fenced"))
 	})
 
-	DescribeTable("goes wrong as told, for one run of one request",
+	DescribeTable("injects the planned fault into one run of one request",
 		func(fault standin.Fault, runs, tokens int, done, broken bool) {
 			Expect(faults.Replace(standin.FaultPlan{
 				LateMillis: 1, StallMillis: 1, Requests: map[string]standin.Fault{"r1": fault},
@@ -162,11 +162,11 @@
 		Entry("loses the answer", standin.FaultLoseAnswer, 1, 0, false, true),
 		Entry("answers late", standin.FaultLate, 1, 8, true, false),
 		Entry("stalls", standin.FaultStall, 1, 4, false, true),
-		Entry("refuses", standin.FaultReject, 0, 0, false, false),
+		Entry("rejects", standin.FaultReject, 0, 0, false, false),
 		Entry("sends garbage", standin.FaultGarbage, 1, 4, false, true),
 	)
 
-	It("names a retry time when it refuses", func() {
+	It("sets Retry-After when it rejects", func() {
 		Expect(faults.Replace(standin.FaultPlan{
 			RetryAfterSeconds: 7, Requests: map[string]standin.Fault{"r1": standin.FaultReject},
 		})).To(Succeed())
--- a/internal/testing/lab/overload/overload_test.go
+++ b/internal/testing/lab/overload/overload_test.go
@@ -26,7 +26,7 @@
 			t.Fatalf("request %d differs between equal plans", i)
 		}
 		if r.after != (r.at >= 4*time.Second) {
-			t.Fatalf("request at %v is told to be after the burst: %t", r.at, r.after)
+			t.Fatalf("request at %v is classified as after the burst: %t", r.at, r.after)
 		}
 		if r.after {
 			continue
@@ -51,7 +51,7 @@
 	plan := testPlan()
 	plan.MaxRequests = 100
 	if _, err := plan.arrivals("run", 50); err == nil {
-		t.Fatal("not refused")
+		t.Fatal("not rejected")
 	}
 }
 
@@ -82,11 +82,11 @@
 		t.Fatalf("offered %d, answered %d, goodput %v", r.Offered, r.Answered, r.Goodput)
 	}
 	if r.AllRejections.Count() != 3 || r.RetryAfter != 2 || r.LateRejections != 1 || r.LateAtOnset != 1 {
-		t.Fatalf("refusals %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter,
+		t.Fatalf("rejections %d, with Retry-After %d, late %d, at the onset %d", r.AllRejections.Count(), r.RetryAfter,
 			r.LateRejections, r.LateAtOnset)
 	}
 	if len(r.RejectedButRan) != 1 || r.RejectedButRan[0] != "bare" {
-		t.Fatalf("refused and ran: %v", r.RejectedButRan)
+		t.Fatalf("rejected and ran: %v", r.RejectedButRan)
 	}
 	if r.Recovery != 300*ms {
 		t.Fatalf("recovery %v", r.Recovery)
--- a/internal/testing/lab/relay/relay_test.go
+++ b/internal/testing/lab/relay/relay_test.go
@@ -21,7 +21,7 @@
 	return listener
 }
 
-// echo answers each line with itself on one connection and tells what it got.
+// echo answers each line with itself on one connection and reports what it received.
 func echo(listener net.Listener, got chan<- string) {
 	connection, err := listener.Accept()
 	if err != nil {
@@ -65,23 +65,23 @@
 	<-got
 	exchange("one")
 
-	// The way back is cut: the request arrives, the answer does not.
+	// The link back is partitioned: the request arrives, the answer does not.
 	network.SetPartition(true, relay.Link{From: "b", To: "a"})
 	send("two")
 	if line := <-got; line != "two" {
 		t.Fatal(line)
 	}
 	if answers.Buffered() != 0 {
-		t.Fatal("an answer crossed the cut link")
+		t.Fatal("an answer crossed the partitioned link")
 	}
 	network.SetPartition(false, relay.Link{From: "b", To: "a"})
 	exchange("two")
 
-	// All ways to b are cut: nothing arrives.
+	// All links to b are partitioned: nothing arrives.
 	network.SetPartition(true, relay.Link{To: "b"})
 	send("three")
 	if len(got) != 0 {
-		t.Fatal("a request crossed the cut link")
+		t.Fatal("a request crossed the partitioned link")
 	}
 	network.SetPartition(false, relay.Link{To: "b"})
 	<-got
--- a/internal/testing/lab/simclock/simclock_test.go
+++ b/internal/testing/lab/simclock/simclock_test.go
@@ -12,8 +12,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		var clock simclock.Clock
 		began := time.Now()
-		if told := clock.Now(); !told.Equal(began) || clock.IsFrozen() {
-			t.Errorf("told %s, must be %s", told, began)
+		if now := clock.Now(); !now.Equal(began) || clock.IsFrozen() {
+			t.Errorf("the time is %s, must be %s", now, began)
 		}
 		clock.Freeze()
 		ran := make(chan time.Time, 1)
@@ -21,8 +21,8 @@
 		stop := clock.AfterFunc(time.Second, func() { t.Error("ran although it was stopped") })
 		stop()
 		time.AfterFunc(time.Minute, clock.Wake)
-		if told := clock.Now(); told.Sub(began) != time.Minute {
-			t.Errorf("answered after %s", told.Sub(began))
+		if now := clock.Now(); now.Sub(began) != time.Minute {
+			t.Errorf("answered after %s", now.Sub(began))
 		}
 		if at := <-ran; at.Sub(began) != time.Minute {
 			t.Errorf("a timer ran after %s", at.Sub(began))
--- a/internal/testing/lab/simcommand/simcommand_test.go
+++ b/internal/testing/lab/simcommand/simcommand_test.go
@@ -125,15 +125,15 @@
 
 func TestChangedDecisionChangesFingerprints(t *testing.T) {
 	arguments := []string{"--suite", "state", "--seeds", "1", "--keep-schedules", "--fingerprints"}
-	whole, _, err := execute(arguments...)
+	intact, _, err := execute(arguments...)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, whole)
+		t.Fatalf("%v\n%s", err, intact)
 	}
 	broken, _, err := execute(append(arguments, "--mutation", "front-skips-tombstone")...)
 	if _, violated := errors.AsType[*simcommand.ViolatedError](err); !violated {
 		t.Fatalf("%v\n%s", err, broken)
 	}
-	one, other := fingerprints(whole), fingerprints(broken)
+	one, other := fingerprints(intact), fingerprints(broken)
 	if len(one) != 1 || len(other) != 1 || one[0] == other[0] {
 		t.Fatalf("%v and %v", one, other)
 	}
--- a/internal/testing/lab/toolserver/server_test.go
+++ b/internal/testing/lab/toolserver/server_test.go
@@ -34,8 +34,8 @@
 	return h
 }
 
-// call makes one call; cut is true when the connection was closed without an answer.
-func (h *harness) call(id, epoch string) (response *httptest.ResponseRecorder, cut bool) {
+// call makes one call; closed is true when the connection was closed without an answer.
+func (h *harness) call(id, epoch string) (response *httptest.ResponseRecorder, closed bool) {
 	response = httptest.NewRecorder()
 	request := httptest.NewRequestWithContext(context.Background(), http.MethodPost, "/v1/tools/check-in/calls",
 		strings.NewReader(`{"object":"seat-4"}`))
@@ -43,7 +43,7 @@
 	request.Header.Set(standin.HeaderSession, "s1")
 	request.Header.Set(standin.HeaderEpoch, epoch)
 	request.Header.Set(standin.HeaderNonce, "n1")
-	defer func() { cut = recover() != nil }()
+	defer func() { closed = recover() != nil }()
 	h.router.ServeHTTP(response, request)
 	return response, false
 }
@@ -98,8 +98,8 @@
 
 func TestFaultsOfCalls(t *testing.T) {
 	for fault, want := range map[standin.Fault]struct {
-		runs int
-		cut  bool
+		runs   int
+		closed bool
 	}{
 		standin.FaultDieBefore:  {0, true},
 		standin.FaultReject:     {0, false},
@@ -117,9 +117,9 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		_, cut := h.call("r1", "1")
-		if runs := h.runs(t, "r1"); runs != want.runs || cut != want.cut {
-			t.Errorf("%s: %d runs, cut %v; want %d, %v", fault, runs, cut, want.runs, want.cut)
+		_, closed := h.call("r1", "1")
+		if runs := h.runs(t, "r1"); runs != want.runs || closed != want.closed {
+			t.Errorf("%s: %d runs, closed %v; want %d, %v", fault, runs, closed, want.runs, want.closed)
 		}
 	}
 }
