--- a/internal/dataplane/front/overload_test.go
+++ b/internal/dataplane/front/overload_test.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a front node under more load than its servers take", func() {
+var _ = Describe("a front node under more load than its servers' capacity", func() {
 	var r *rig
 	var f1 *node
 
@@ -37,7 +37,7 @@
 		r.put(&corelink.View{Configuration: r.view.Configuration, Membership: r.view.Membership, BackEnds: next})
 	}
 
-	It("sends a server little more than it works on at once, and the rest wait by class", func() {
+	It("sends a server little more than its concurrency limit and queues the rest by class", func() {
 		var under atomic.Int32
 		release, arrived := make(chan struct{}), make(chan string, 64)
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
@@ -71,7 +71,7 @@
 		}
 	})
 
-	It("leaves room for what other front nodes have at the servers, as far as it was told lately", func() {
+	It("leaves capacity for other front nodes' requests in flight, by recent load reports", func() {
 		arrived := make(chan struct{}, 64)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -91,10 +91,10 @@
 			return r.loadRequestCount("m1")
 		}).Should(BeNumerically(">=", 2), "the load of a server without answers is asked for")
 		Eventually(r.clock.awaitsSample).Should(BeTrue(), "the answer was taken")
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
 		for at := range 10 {
-			go func() { f1.leaveWith(ctx, turnBody(fmt.Sprint("s", at), "")) }()
+			go func() { f1.sendUntilDone(ctx, turnBody(fmt.Sprint("s", at), "")) }()
 		}
 		for range 3 {
 			Eventually(arrived).Should(Receive())
@@ -102,7 +102,7 @@
 		Consistently(arrived, 20*time.Millisecond).ShouldNot(Receive(), "a quarter of one and a half times eight")
 	})
 
-	It("asks a bounded number of servers, those of its subset only", func() {
+	It("requests load reports from a bounded number of servers, only those of its subset", func() {
 		for at := range 40 {
 			r.backEnd(fmt.Sprint("m", at), modelServer, modelAnswer("in"))
 		}
@@ -122,27 +122,27 @@
 		Expect(servers).To(BeNumerically(">", 1))
 	})
 
-	It("refuses what finds no room with one operation on the ledger, and that only for a key", func() {
+	It("rejects requests without capacity by one ledger operation, and only those with a key", func() {
 		arrived := make(chan struct{}, 8)
-		over := make(chan struct{})
+		finished := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
-		defer close(over)
+		defer close(finished)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			select {
 			case <-request.Context().Done():
-			case <-over:
+			case <-finished:
 			}
 		})
 		next := proto.CloneOf(r.view.Configuration)
 		next.Version++
 		next.Active.Limits.MaxConcurrent, next.Active.Limits.MaxQueued = 1, 1
 		r.put(&corelink.View{Configuration: next, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
-		go f1.leaveWith(ctx, turnBody("runs", ""))
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
+		go f1.sendUntilDone(ctx, turnBody("runs", ""))
 		Eventually(arrived).Should(Receive())
-		// The queue holds one of two.
+		// The queue has capacity for one of two.
 		answered := make(chan answer, 2)
 		for _, session := range []string{"w1", "w2"} {
 			go func() {
@@ -160,30 +160,30 @@
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
 		Expect(f1.turn(turnBody("s2", ""), nil).outcome()).To(Equal("not_run"))
 		Expect(r.ledger.count("RefuseRequest")).To(Equal(1))
-		Expect(r.ledger.count("ClaimSession")).To(Equal(claims), "a refused turn claims nothing")
+		Expect(r.ledger.count("ClaimSession")).To(Equal(claims), "a rejected turn claims nothing")
 	})
 
-	It("does not hold a refusal back for a slow ledger, and claims no more than it knows", func() {
+	It("does not delay a rejection for a slow ledger, and answers unknown when it cannot tell", func() {
 		r.ledger.holdRejections = make(chan struct{})
 		defer close(r.ledger.holdRejections)
 		arrived := make(chan struct{}, 8)
-		over := make(chan struct{})
+		finished := make(chan struct{})
 		// A request that waited may reach the server once the first caller has left.
-		defer close(over)
+		defer close(finished)
 		r.backEnd("m1", modelServer, func(_ http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			select {
 			case <-request.Context().Done():
-			case <-over:
+			case <-finished:
 			}
 		})
 		next := proto.CloneOf(r.view.Configuration)
 		next.Version++
 		next.Active.Limits.MaxConcurrent, next.Active.Limits.MaxQueued = 1, 1
 		r.put(&corelink.View{Configuration: next, Membership: r.view.Membership, BackEnds: r.view.BackEnds})
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
-		go f1.leaveWith(ctx, turnBody("runs", ""))
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
+		go f1.sendUntilDone(ctx, turnBody("runs", ""))
 		Eventually(arrived).Should(Receive())
 		answered := make(chan answer, 2)
 		for _, key := range []string{"k1", "k2"} {
@@ -201,7 +201,7 @@
 		Expect(rejection.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("frees the servers of all callers that leave", func() {
+	It("frees the servers of all callers that disconnect", func() {
 		var started, freed atomic.Int32
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			started.Add(1)
@@ -213,21 +213,21 @@
 			<-request.Context().Done()
 			freed.Add(1)
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		for at := range 60 {
-			go f1.leaveWith(ctx, turnBody(fmt.Sprint("s", at), `,"stream":true,"max_output_tokens":8`))
+			go f1.sendUntilDone(ctx, turnBody(fmt.Sprint("s", at), `,"stream":true,"max_output_tokens":8`))
 		}
 		const maxConcurrent = 24
 		Eventually(started.Load).Should(BeEquivalentTo(maxConcurrent))
-		leave()
-		// One that waited may begin in a slot given back before its own caller was seen to leave.
+		disconnect()
+		// One that waited may begin in a released slot before the disconnect of its own caller is observed.
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeZero())
 		Expect(f1.turn(turnBody("last", `,"max_output_tokens":8`), nil).status).To(Equal(http.StatusOK))
 		Eventually(func() int32 { return started.Load() - freed.Load() }).Should(BeEquivalentTo(1),
 			"only the last one is not freed")
 	})
 
-	It("frees the server of a reader that does not read, long before the answer's end", func() {
+	It("frees the server of a caller that stops reading, long before the answer's end", func() {
 		const wordBytes = 16 << 10
 		word := strings.Repeat("w", wordBytes)
 		var written atomic.Int32
@@ -247,8 +247,8 @@
 	})
 })
 
-// leaveWith sends a turn and reads its answer until the context ends.
-func (n *node) leaveWith(ctx context.Context, body string) {
+// sendUntilDone sends a turn and reads its answer until the context ends.
+func (n *node) sendUntilDone(ctx context.Context, body string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.server.URL+"/v1/responses", strings.NewReader(body))
 	if err != nil {
 		return
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -15,21 +15,21 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// longTimeoutMillis is the time-out of routes in stories in which something waits.
+// longTimeoutMillis is the time-out of routes in specs in which something waits.
 const longTimeoutMillis = 60_000
 
 // blockingServerVersion is the version of the weights of all blocking servers.
 const blockingServerVersion = 4
 
-// blockingServer answers live turns at once and holds generations of steps until the story lets them go.
+// blockingServer answers live turns at once and blocks generations of steps until the spec releases them.
 type blockingServer struct {
 	*weightsServer
-	// blockLive is set to hold live turns too.
+	// blockLive is set to block live turns too.
 	blockLive atomic.Bool
 
 	mutex   sync.Mutex
 	blocked []chan struct{}
-	// open lets all go that come.
+	// open, when set, releases all that arrive.
 	open bool
 }
 
@@ -59,14 +59,14 @@
 	return until
 }
 
-// steps counts the generations that are held.
+// steps counts the generations that are blocked.
 func (s *blockingServer) steps() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.blocked)
 }
 
-// openUp lets all go, also those that come later.
+// openUp releases all generations, also those that arrive later.
 func (s *blockingServer) openUp() {
 	s.mutex.Lock()
 	s.open = true
@@ -74,7 +74,7 @@
 	s.release(s.steps())
 }
 
-// release lets some generations go, the oldest first.
+// release releases some generations, the oldest first.
 func (s *blockingServer) release(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +96,7 @@
 			}
 		})
 		f1 = r.front("f1")
-		// Opened first, so that it is closed after the servers let all go.
+		// Opened first, so that it is closed after the servers released all generations.
 		f1.routeServer()
 	})
 
@@ -109,7 +109,7 @@
 		return answers
 	}
 
-	It("share a server so that live turns find a slot at once, and all generations run in the end", func() {
+	It("share a server so that live turns get a slot at once and all generations run eventually", func() {
 		server := r.blockingServer("s1")
 		answers := flood(40)
 		Eventually(server.steps).Should(Equal(12), "three quarters of 16 slots")
@@ -128,7 +128,7 @@
 		}
 	})
 
-	It("share it so that a quarter is left to generations while live turns run", func() {
+	It("leave a quarter of a server to generations while live turns run", func() {
 		server := r.blockingServer("s1")
 		server.blockLive.Store(true)
 		live := f1.routeAside(routedTurn{id: "live", input: "x"}.sent())
@@ -139,13 +139,13 @@
 		server.release(1)
 		Expect((<-live).broken).NotTo(HaveOccurred())
 		Eventually(func() int {
-			// A front node looks at its servers anew twice a second.
+			// A front node reviews its servers twice a second.
 			r.clock.advance(10 * time.Millisecond)
 			return server.steps()
 		}).Should(Equal(12), "once the live turn is over")
 	})
 
-	It("that wait for a slot go first, and a step goes on all the same", func() {
+	It("give priority to live turns that wait, and the step still progresses", func() {
 		server := r.blockingServer("s1")
 		r.changeBundle(func(active *protocol.Bundle) {
 			active.Limits = &protocol.LimitPolicy{MaxConcurrent: 1, MaxQueued: 8, MaxQueueMillis: longTimeoutMillis}
@@ -167,7 +167,7 @@
 		flood(5)
 		Consistently(server.steps, "20ms").Should(BeZero(), "a live turn waits")
 		r.clock.advance(trainingstep.AdmissionTimeout)
-		Eventually(server.steps).Should(Equal(1), "a step goes on")
+		Eventually(server.steps).Should(Equal(1), "a step progresses")
 		Consistently(server.steps, "20ms").Should(Equal(1))
 		releaseLive()
 		Expect((<-first).broken).NotTo(HaveOccurred())
@@ -175,7 +175,7 @@
 		Eventually(server.steps).Should(Equal(5))
 	})
 
-	It("are refused with the time to come back when no place becomes free", func() {
+	It("are rejected with Retry-After when no slot becomes free", func() {
 		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
@@ -188,22 +188,22 @@
 		Expect(got.header).To(HaveKeyWithValue("Retry-After", []string{"1.000"}))
 	})
 
-	It("of which a caller leaves hold no place", func() {
+	It("release their place in the queue when their time expires", func() {
 		server := r.blockingServer("s1")
 		flood(12)
 		Eventually(server.steps).Should(Equal(12))
 		sent := stepTurn("short")
 		sent.headers.Set(testDialect.TimeLeft, "500")
-		left := f1.routeAside(sent)
+		expiring := f1.routeAside(sent)
 		Eventually(func() int { return f1.waitingSteps() }).Should(Equal(1))
 		r.clock.advance(500 * time.Millisecond)
-		Expect((<-left).status).To(Equal(http.StatusServiceUnavailable))
+		Expect((<-expiring).status).To(Equal(http.StatusServiceUnavailable))
 		f1.routeAside(stepTurn("next"))
 		server.release(1)
 		Eventually(server.steps).Should(Equal(12))
 	})
 
-	It("are spread by the work that is outstanding, not by count", func() {
+	It("are balanced by outstanding work, not by count", func() {
 		servers := []*blockingServer{r.blockingServer("s1"), r.blockingServer("s2")}
 		long := stepTurn("long")
 		long.headers.Set(testDialect.TokenUsage, "6000,4000")
--- a/internal/dataplane/front/wire_test.go
+++ b/internal/dataplane/front/wire_test.go
@@ -32,7 +32,7 @@
 	}
 	ignore := func(*protocol.Response) error { return nil }
 
-	It("says where the core is, serves the directory and refuses what is not a front node's", func() {
+	It("returns the core's addresses, serves the directory and rejects requests that are not for a front node", func() {
 		Expect(serve(&protocol.Request{Body: &protocol.Request_LocateCore{}}, func(response *protocol.Response) error {
 			Expect(response.GetLocateCore().GetLeaderAddress()).To(Equal("core"))
 			return nil
@@ -45,21 +45,21 @@
 			failure.UnknownRequest)).To(BeTrue())
 	})
 
-	It("does not take a turn that it does not own", func() {
+	It("rejects a turn that it does not own", func() {
 		f1.ownership.beginError = failure.New(failure.NotOwner, protocol.Outcome_NOT_RUN, "not mine")
 		request := &protocol.TurnRequest{RequestId: "r", Session: "s", Program: "p", Tenant: tenant, Model: model}
 		Expect(failure.Is(serve(&protocol.Request{Body: &protocol.Request_Turn{Turn: request}}, ignore),
 			failure.NotOwner)).To(BeTrue())
-		Expect(r.ledger.seen).To(BeEmpty())
+		Expect(r.ledger.operationCounts).To(BeEmpty())
 	})
 
-	It("cuts a reader that falls too far behind with a typed end", func() {
+	It("ends the stream of a reader that falls too far behind with a typed failure", func() {
 		const words = 3000
 		text := make([]string, words)
 		for at := range text {
 			text[at] = "w"
 		}
-		// The reader is held up until the front node has cut it: it gives the back end up then.
+		// The reader is blocked until the front node has ended its stream and cancelled the back end's request.
 		givenUp := make(chan struct{})
 		r.backEnd("m1", modelServer, func(writer http.ResponseWriter, request *http.Request) {
 			writeWords(writer, text...)
@@ -73,7 +73,7 @@
 			passedOn++
 			return nil
 		})
-		Expect(passedOn).To(Equal(1), "a reader that is cut gets nothing more")
+		Expect(passedOn).To(Equal(1), "a reader whose stream was ended gets nothing more")
 		Expect(failure.Is(err, failure.SlowReader)).To(BeTrue(), "%v", err)
 		Eventually(func() []*protocol.Reservation { return r.ledger.program("p").GetReservations() }).Should(BeEmpty())
 	})
