--- a/internal/testing/sim/ownershipsuite/takeover_test.go
+++ b/internal/testing/sim/ownershipsuite/takeover_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Of 76 front nodes 42 are crashed at once; whoever is asked then goes round as many as stand before the session on the
-// ring.
+// Of 76 front nodes 42 are crashed at once; a front node that looks up a session then tries as many as precede the
+// session on the ring.
 func TestOwnerIsFoundWithinBoundAfterMostOfALargeFleetCrashed(t *testing.T) {
 	var crashed []sim.Address
 	for i := range 42 {
--- a/internal/testing/sim/servingsuite/suite_test.go
+++ b/internal/testing/sim/servingsuite/suite_test.go
@@ -82,7 +82,7 @@
 // TestFormerlyFailingSeedsBreakNoRule runs seeds that violated a rule before its cause was fixed.
 func TestFormerlyFailingSeedsBreakNoRule(t *testing.T) {
 	for _, seed := range []int64{
-		160, // probes were given surplus slots while urgent turns that could not run were queued
+		160, // probes got surplus slots while urgent turns that could not run were queued
 	} {
 		newTotals().run(t, seed, servingsuite.Options{})
 	}
--- a/internal/testing/sim/statesuite/regions_test.go
+++ b/internal/testing/sim/statesuite/regions_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestFormerlyFailingRegionSeedsBreakNoRule runs seeds that violated a rule before what caused it was mended, and looks
+// TestFormerlyFailingRegionSeedsBreakNoRule runs seeds that violated a rule before its cause was fixed, and looks
 // that they still provoke it.
 func TestFormerlyFailingRegionSeedsBreakNoRule(t *testing.T) {
 	for _, seed := range []int64{
--- a/internal/testing/sim/statesuite/suite_test.go
+++ b/internal/testing/sim/statesuite/suite_test.go
@@ -42,6 +42,6 @@
 		t.Fatalf("two runs of one seed differ: %d and %d events", first.Steps, second.Steps)
 	}
 	if other := run(firstSeed+1, nil); other.Fingerprint == first.Fingerprint {
-		t.Fatal("two seeds give the same run")
+		t.Fatal("two seeds produce the same run")
 	}
 }
--- a/internal/testing/sim/world_test.go
+++ b/internal/testing/sim/world_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/testing/sim"
 )
 
-// echo answers each message to its sender and keeps what it received.
+// echo answers each message to its sender and records what it received.
 type echo struct {
 	environment *sim.Environment
 	received    *[]string
@@ -58,7 +58,7 @@
 		Expect(fingerprint(1)).NotTo(Equal(fingerprint(2)))
 	})
 
-	It("given a lossy network, then loses and repeats some messages", func() {
+	It("given a lossy network, then loses and duplicates some messages", func() {
 		options := sim.Options{Network: sim.NetworkOptions{LostOneIn: 10, RepeatedOneIn: 10}}
 		world, received := pair(1, options)
 		world.RunUntil(10 * time.Second)
@@ -171,7 +171,7 @@
 		Expect(drifted.Abs()).To(BeNumerically("<=", time.Second))
 	})
 
-	It("given a violation, then the run ends and the report says so", func() {
+	It("given a violation, then the run ends and the report names it", func() {
 		world, _ := pair(1, sim.Options{})
 		rule := world.NewRule("never three seconds")
 		world.After(3*time.Second, func() { rule.Check(false, "it is %s", world.Elapsed()) })
@@ -183,7 +183,7 @@
 	})
 })
 
-// readBack writes a synced and an unsynced part, lets a fault happen and reads the file in the next incarnation.
+// readBack writes a synced and an unsynced part, injects a fault and reads the file in the next incarnation.
 func readBack(kind sim.FaultKind) string {
 	world := sim.NewWorld(1, sim.Options{})
 	found := "never started again"
