--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 lint: tools
 	test -z "$$($(TOOLS)/gofumpt -l cmd internal platform)" || { $(TOOLS)/gofumpt -d cmd internal platform; exit 1; }
 	$(TOOLS)/golangci-lint run ./...
-	$(GO) test -count=1 -run "^Test(Folder|Names|TheCheck)" ./platform
+	$(GO) test -count=1 -run "^Test(Folder|Names|DecisionCheck)" ./platform
 	scripts/packages check
 
 bench: build
