--- a/internal/dataplane/directory/call_answers.go
+++ b/internal/dataplane/directory/call_answers.go
@@ -8,7 +8,7 @@
 )
 
 // answered applies the answer to a call, or its failure.
-func (d *Directory) answered(event Answered) {
+func (d *Directory) answered(event CallEnded) {
 	done := d.calls[event.Call]
 	if done == nil {
 		return
@@ -44,7 +44,7 @@
 
 // lossShownBy is the failure that the end of a call shows of the incarnation that was called; false when that one
 // answered.
-func (c *call) lossShownBy(event Answered, incarnation uint64) (CallFailure, bool) {
+func (c *call) lossShownBy(event CallEnded, incarnation uint64) (CallFailure, bool) {
 	if event.Response == nil {
 		return event.Failure, true
 	}
@@ -61,7 +61,7 @@
 	d.observeFailure(done.peer, CallInconclusive, false)
 }
 
-func (d *Directory) applyAnswer(done *call, event Answered) {
+func (d *Directory) applyAnswer(done *call, event CallEnded) {
 	switch done.kind {
 	case callLookup:
 		d.lookupAnswered(done, event.Response.GetLookupSession())
@@ -107,7 +107,7 @@
 	return half + time.Duration(d.options.Random.Int64N(int64(half)+1))
 }
 
-func (d *Directory) registerAnswered(done *call, event Answered) {
+func (d *Directory) registerAnswered(done *call, event CallEnded) {
 	answer := event.Response.GetRegisterSessions()
 	if answer == nil {
 		d.requeue(done)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (d *Directory) unregisterAnswered(done *call, event Answered) {
+func (d *Directory) unregisterAnswered(done *call, event CallEnded) {
 	answer := event.Response.GetUnregisterSessions()
 	if answer == nil {
 		d.requeue(done)
@@ -253,7 +253,7 @@
 	d.continueResolve(pending.session)
 }
 
-func (d *Directory) displacedAnswered(done *call, event Answered) {
+func (d *Directory) displacedAnswered(done *call, event CallEnded) {
 	if event.Response == nil && d.peers[done.peer.member.Name] == done.peer {
 		done.peer.displaced = append(done.displaced, done.peer.displaced...)
 	}
--- a/internal/dataplane/directory/command.go
+++ b/internal/dataplane/directory/command.go
@@ -10,8 +10,8 @@
 // Command is an effect that the shell around the directory has to carry out.
 type Command interface{ command() }
 
-// Send calls a peer once; the shell answers with Answered under the same number.
-// No answer within Timeout is the failure CallTimedOut.
+// Send calls a peer once; the shell reports the outcome with a CallEnded event of the same number. A call without a
+// response within Timeout fails with CallTimedOut.
 type Send struct {
 	Timeout time.Duration
 	Call    uint64
--- a/internal/dataplane/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -179,7 +179,7 @@
 		d.resolveCancelled(event.Ticket)
 	case OwnerInvalidated:
 		d.cache.Remove(event.Session)
-	case Answered:
+	case CallEnded:
 		d.answered(event)
 	case PeerBroken:
 		d.peerFailed(event.Address, CallBroken)
@@ -229,7 +229,7 @@
 	for _, name := range sortedKeys(d.owned) {
 		session := d.owned[name]
 		session.confirmed = false
-		d.stats.AuthorityLost++
+		d.stats.VoidRegistrations++
 		if d.policy.EndSessions || session.yieldReason != "" {
 			d.yield(session, YieldEnded, false)
 			continue
--- a/internal/dataplane/directory/event.go
+++ b/internal/dataplane/directory/event.go
@@ -40,9 +40,9 @@
 // reached.
 type OwnerInvalidated struct{ Session string }
 
-// Answered brings the answer to a Send command. Response is nil when the call
-// failed; the peer may have served the request nevertheless.
-type Answered struct {
+// CallEnded reports the response to a Send command, or its failure. Response is nil when the call failed; the peer may
+// have served the request nevertheless.
+type CallEnded struct {
 	Call     uint64
 	Response *protocol.Response
 	// Failure is why there is no response.
@@ -76,7 +76,7 @@
 func (ResolveRequested) event() {}
 func (ResolveCancelled) event() {}
 func (OwnerInvalidated) event() {}
-func (Answered) event()         {}
+func (CallEnded) event()        {}
 func (PeerBroken) event()       {}
 func (PeerFailed) event()       {}
 func (GrantEnded) event()       {}
--- a/internal/dataplane/directory/fleet_test.go
+++ b/internal/dataplane/directory/fleet_test.go
@@ -125,7 +125,7 @@
 		switch command := command.(type) {
 		case directory.Send:
 			response, failure := m.fleet.call(m.self.Name, command)
-			m.handle(directory.Answered{Call: command.Call, Response: response, Failure: failure})
+			m.handle(directory.CallEnded{Call: command.Call, Response: response, Failure: failure})
 		case directory.Resolved:
 			m.resolved[command.Ticket] = command
 		case directory.Yielded:
--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -20,8 +20,8 @@
 	Salvaged uint64
 	// HandedOff counts registrations handed off to the new holder of a range.
 	HandedOff uint64
-	// AuthorityLost counts sessions whose registration became void because authority was lost.
-	AuthorityLost uint64
+	// VoidRegistrations counts registrations of owned sessions that became void because this node lost its authority.
+	VoidRegistrations uint64
 	// ReregistrationRequests counts the requests for reregistration sent.
 	ReregistrationRequests uint64
 	// Suspicions counts members that could not be reached, FalseSuspicions those that answered after all.
@@ -80,11 +80,11 @@
 	return list
 }
 
-// Suspects is the number of members of the view that this node could not reach.
-func (d *Directory) Suspects() int { return len(d.suspects) }
+// SuspectCount is the number of members of the view that this node could not reach.
+func (d *Directory) SuspectCount() int { return len(d.suspects) }
 
-// TransferringRanges is the number of views whose ranges gained are not complete.
-func (d *Directory) TransferringRanges() int { return len(d.transfers) }
+// TransferCount is the number of views with gained ranges that are still transferring.
+func (d *Directory) TransferCount() int { return len(d.transfers) }
 
 // sortedKeys fixes the order of iteration over a map, since the order of commands must not depend on it.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/dataplane/directory/takeover_test.go
+++ b/internal/dataplane/directory/takeover_test.go
@@ -185,8 +185,8 @@
 		frozen.down = false
 		fleet.settle()
 		for _, name := range trio {
-			Expect(fleet.nodes[name].directory.Suspects()).To(BeZero())
-			Expect(fleet.nodes[name].directory.TransferringRanges()).To(BeZero())
+			Expect(fleet.nodes[name].directory.SuspectCount()).To(BeZero())
+			Expect(fleet.nodes[name].directory.TransferCount()).To(BeZero())
 		}
 		Expect(frozen.registeredOwner(fresh)).To(Equal("a"))
 		Expect(frozen.registeredOwner(doubled)).To(Equal("a"))
@@ -200,15 +200,15 @@
 		node := fleet.nodes["a"]
 		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallInconclusive})
 		fleet.settle()
-		Expect(node.directory.Suspects()).To(BeZero())
+		Expect(node.directory.SuspectCount()).To(BeZero())
 
 		node.handle(directory.PeerFailed{Address: "c:1", Failure: directory.CallConnectionRefused})
 		fleet.nodes["c"].reincarnate()
 		fleet.settle()
-		Expect(node.directory.Suspects()).To(Equal(1))
+		Expect(node.directory.SuspectCount()).To(Equal(1))
 		fleet.publish(trio...)
 		fleet.settle()
-		Expect(node.directory.Suspects()).To(BeZero())
+		Expect(node.directory.SuspectCount()).To(BeZero())
 	})
 })
 
@@ -226,7 +226,7 @@
 		fleet.nodes["c"].reincarnate()
 		fleet.publish(trio...)
 		Expect(node.directory.OnSalvageList(session)).To(BeTrue())
-		node.handle(directory.Answered{Call: late[0].(directory.Send).Call})
+		node.handle(directory.CallEnded{Call: late[0].(directory.Send).Call})
 		node.authority = true
 		fleet.settle()
 		Expect(node.directory.OnSalvageList(session)).To(BeFalse())
@@ -276,7 +276,7 @@
 		Expect(fleet.resolveWithin(soon, "b", session).Owner.Local).To(BeTrue())
 		fleet.publish(trio...)
 		fleet.settle()
-		Expect(fleet.nodes["b"].directory.Suspects()).To(BeZero())
+		Expect(fleet.nodes["b"].directory.SuspectCount()).To(BeZero())
 		Expect(reborn.resolve(session).Owner.Name).To(Equal("b"))
 	})
 })
@@ -286,7 +286,7 @@
 		commands := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})
 		Expect(commands).To(HaveLen(1))
 		sent := commands[0].(directory.Send)
-		fleet.nodes["a"].handle(directory.Answered{Call: sent.Call, Response: fleet.nodes["c"].serve(sent.Request)})
+		fleet.nodes["a"].handle(directory.CallEnded{Call: sent.Call, Response: fleet.nodes["c"].serve(sent.Request)})
 		return sent.Timeout
 	}
 
@@ -297,7 +297,7 @@
 		commands := fleet.nodes["a"].directory.Handle(fleet.nodes["a"].at(), directory.PeerBroken{Address: "c:1"})
 		slow := commands[0].(directory.Send)
 		fleet.now = fleet.now.Add(100 * time.Millisecond)
-		fleet.nodes["a"].handle(directory.Answered{Call: slow.Call, Response: fleet.nodes["c"].serve(slow.Request)})
+		fleet.nodes["a"].handle(directory.CallEnded{Call: slow.Call, Response: fleet.nodes["c"].serve(slow.Request)})
 		Expect(timeout(fleet)).To(And(BeNumerically(">", 350*time.Millisecond), BeNumerically("<=", 4*usual)))
 		for range 100 {
 			timeout(fleet)
@@ -333,7 +333,7 @@
 			}}})
 		}
 		Expect(len(fleet.sent)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 5)))
-		Expect(holder.directory.Suspects()).To(BeZero())
+		Expect(holder.directory.SuspectCount()).To(BeZero())
 	})
 })
 
@@ -396,7 +396,7 @@
 		Expect(*gainedNamed).To(BeNumerically(">", 100))
 		Expect(*maxOthers).To(BeNumerically("<=", 8))
 		for _, name := range left {
-			Expect(fleet.nodes[name].directory.Suspects()).To(Equal(len(lost)))
+			Expect(fleet.nodes[name].directory.SuspectCount()).To(Equal(len(lost)))
 			Expect(fleet.nodes[name].directory.SalvageLength()).To(BeZero())
 		}
 	})
--- a/internal/dataplane/ownership/effects.go
+++ b/internal/dataplane/ownership/effects.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func (m *Manager) call(ctx context.Context, command directory.Send) directory.Answered {
+func (m *Manager) call(ctx context.Context, command directory.Send) directory.CallEnded {
 	ctx, cancel := context.WithTimeout(ctx, command.Timeout)
 	defer cancel()
 	startedAt := time.Now()
@@ -53,15 +53,15 @@
 	if err != nil {
 		m.metrics.failedCalls.Inc()
 		cause := classifyFailure(err, !stalled(time.Since(startedAt), command.Timeout))
-		return directory.Answered{Call: command.Call, Failure: cause}
+		return directory.CallEnded{Call: command.Call, Failure: cause}
 	}
-	return directory.Answered{Call: command.Call, Response: response}
+	return directory.CallEnded{Call: command.Call, Response: response}
 }
 
 // publish copies the counters for the metrics, and logs when the salvage list fills or empties or the suspects change.
 func (s *shell) publish() {
 	s.manager.metrics.publish(s.directory)
-	if suspects := s.directory.Suspects(); suspects != s.loggedSuspects {
+	if suspects := s.directory.SuspectCount(); suspects != s.loggedSuspects {
 		s.loggedSuspects = suspects
 		s.manager.logger.Info("suspects changed", "front_nodes", suspects, "view", s.directory.ViewVersion())
 	}
--- a/internal/dataplane/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -97,7 +97,7 @@
 	},
 	{
 		"void_registrations_total", "Registrations void because authority was lost.", nil,
-		func(s *snapshot) uint64 { return s.AuthorityLost },
+		func(s *snapshot) uint64 { return s.VoidRegistrations },
 	},
 	{
 		"resend_requests_total", "Completions that had to be asked for.", nil,
@@ -175,8 +175,8 @@
 func (m *metrics) publish(d *directory.Directory) {
 	m.snapshot.Store(&snapshot{
 		Stats: d.Stats(), owned: d.OwnedCount(), partition: d.PartitionSize(), salvage: d.SalvageLength(),
-		handOff: d.HandOffLength(), transferring: d.TransferringRanges(), viewVersion: d.ViewVersion(),
-		suspects: d.Suspects(),
+		handOff: d.HandOffLength(), transferring: d.TransferCount(), viewVersion: d.ViewVersion(),
+		suspects: d.SuspectCount(),
 	})
 }
 
--- a/internal/testing/sim/ownershipsuite/front_directory.go
+++ b/internal/testing/sim/ownershipsuite/front_directory.go
@@ -10,7 +10,7 @@
 
 func (f *front) send(command directory.Send) {
 	if answer := f.mutatedAnswer(command.Request); answer != nil {
-		f.environment.After(0, func() { f.handle(directory.Answered{Call: command.Call, Response: answer}) })
+		f.environment.After(0, func() { f.handle(directory.CallEnded{Call: command.Call, Response: answer}) })
 		return
 	}
 	f.suite.meter.countMessage(f.environment.Address(), sim.Address(command.Address), command.Request)
@@ -19,7 +19,7 @@
 		if f.suite.world.Tracing() {
 			f.environment.Tracef("asked %s %v: %v", command.Address, command.Request, response)
 		}
-		f.handle(directory.Answered{Call: command.Call, Response: f.mutateResponse(response), Failure: f.callFailure()})
+		f.handle(directory.CallEnded{Call: command.Call, Response: f.mutateResponse(response), Failure: f.callFailure()})
 	})
 }
 
