--- a/internal/controlplane/lease/holder.go
+++ b/internal/controlplane/lease/holder.go
@@ -1,16 +1,16 @@
-// Package lease is the holder's side of a lease: it decides until when a node
-// may act (its authority) under a lease that it renews periodically.
+// Package lease implements the holder's side of a lease: it computes until when a
+// node may act (its authority) under a lease that it renews periodically.
 //
-// Authority is counted from the moment at which a renewal was sent. The granter
-// counts from when it received the renewal, so authority ends before the lease
-// can. No timer has to fire for that: authority is a comparison with the clock.
-// An unbroken period of authority is one incarnation; a node that was without
-// authority, however briefly, continues under a new one.
+// Authority is measured from the time at which a renewal was sent. The granter
+// measures the lease from the time at which it received the renewal, so authority
+// always ends before the lease does. No timer has to fire for that: authority is a
+// comparison with the clock. An uninterrupted period of authority is one
+// incarnation; a node that lost authority, however briefly, continues under a new
+// one.
 //
-// The package is a pure decision package: it takes the time as an argument, does
-// no I/O, and a Holder is not safe for concurrent use. Its source is the design
-// page, which leaves open how a front node that cannot refresh its view stops
-// acting as owner.
+// The package is pure: it takes the time as an argument and does no I/O. The design
+// page leaves open how a front node that cannot refresh its view stops acting as
+// owner; here, Options.ViewLimit ends its authority.
 package lease
 
 import "time"
@@ -20,11 +20,11 @@
 	// Margin is subtracted from the end of every grant. It covers the drift
 	// between the clocks of holder and granter over one lease.
 	Margin time.Duration
-	// ViewLimit is how long authority lasts after the last moment at which the
-	// holder's membership view was known to be current. Zero means no limit.
+	// ViewLimit is how long authority lasts after the last time at which the
+	// holder's membership view was confirmed to be current. Zero means no limit.
 	ViewLimit time.Duration
-	// MaxPendingViews bounds the renewals remembered while the applied view is
-	// behind. Zero means 16.
+	// MaxPendingViews bounds the advertised views that are kept while the applied
+	// view is older than they are. Zero means 16.
 	MaxPendingViews int
 }
 
@@ -36,14 +36,14 @@
 	SentAt      time.Time
 }
 
-// advertisedView is a view version that the granter named in answer to a
-// renewal; sentAt is when that renewal was sent.
+// advertisedView is the view version in the granter's response to a renewal;
+// sentAt is when that renewal was sent.
 type advertisedView struct {
 	version uint64
 	sentAt  time.Time
 }
 
-// Holder is the state of one lease. It belongs to one goroutine and is not safe for concurrent use.
+// Holder is the state of one lease. It is not safe for concurrent use.
 type Holder struct {
 	options        Options
 	incarnation    uint64
@@ -51,8 +51,8 @@
 	released       bool
 	leaseExpiresAt time.Time
 	viewVersion    uint64
-	// viewCurrentAt is when the latest renewal was sent whose answer named no
-	// view newer than the one applied; zero while this incarnation has none.
+	// viewCurrentAt is when the latest renewal was sent whose response advertised
+	// no view newer than the applied one; zero until this incarnation has one.
 	viewCurrentAt time.Time
 	pendingViews  []advertisedView
 }
@@ -65,7 +65,8 @@
 	return &Holder{options: options, incarnation: incarnation}
 }
 
-// Incarnation numbers the period of authority that the holder has or requests.
+// Incarnation returns the number of the period of authority that the holder has or
+// requests.
 func (h *Holder) Incarnation() uint64 {
 	return h.incarnation
 }
@@ -80,8 +81,8 @@
 	return Renewal{Incarnation: h.incarnation, SentAt: now}, expired
 }
 
-// authorityExpired reports whether the incarnation had authority that is over.
-// One that never had any, because no view was applied yet, has nothing to lose.
+// authorityExpired reports whether the incarnation had authority that has ended. An
+// incarnation that never had any, because no view was applied yet, cannot lose it.
 func (h *Holder) authorityExpired(now time.Time) bool {
 	return h.granted && !h.viewCurrentAt.IsZero() && !h.Valid(now)
 }
@@ -96,11 +97,11 @@
 	h.pendingViews = nil
 }
 
-// Granted applies the granter's answer to a renewal: a lease of the given
+// Granted applies the granter's response to a renewal: a lease of the given
 // duration, and the latest version of the view. Authority begins once a view of
-// at least that version is applied, too. Granted reports whether the grant
-// counts. One that arrives after authority ended, or that belongs to an earlier
-// incarnation, does not: the granter may have ended the lease in between.
+// at least that version has been applied as well. Granted reports whether the grant
+// was accepted. It ignores a grant that arrives after authority ended or that
+// belongs to an earlier incarnation: the granter may have ended the lease in between.
 func (h *Holder) Granted(now time.Time, renewal Renewal, duration time.Duration, latestView uint64) bool {
 	if h.released || renewal.Incarnation != h.incarnation {
 		return false
@@ -117,8 +118,8 @@
 	return true
 }
 
-// Rejected ends authority immediately: the granter knows a newer incarnation of
-// the node, or rejects the node itself. Answers to renewals of earlier
+// Rejected ends authority immediately: the granter has recorded a newer incarnation
+// of the node, or rejects the node itself. Responses to renewals of earlier
 // incarnations are ignored.
 func (h *Holder) Rejected(now time.Time, renewal Renewal) {
 	if renewal.Incarnation == h.incarnation {
@@ -127,7 +128,7 @@
 }
 
 // Supersede raises the incarnation above that of an earlier process of the same
-// node, which can be the larger one after a clock was set back. It does nothing
+// node, which can be the larger one after the clock was set back. It does nothing
 // while a lease is held or after it was released.
 func (h *Holder) Supersede(now time.Time, previous uint64) {
 	if h.granted || h.released || previous < h.incarnation {
@@ -144,8 +145,8 @@
 	h.leaseExpiresAt = time.Time{}
 }
 
-// ViewApplied records that the node put a version of the membership view in
-// force. Older versions than the one applied are ignored.
+// ViewApplied records that a version of the membership view is active on the node.
+// Versions older than the applied one are ignored.
 func (h *Holder) ViewApplied(version uint64) {
 	if version <= h.viewVersion {
 		return
@@ -165,14 +166,14 @@
 		return
 	}
 	if len(h.pendingViews) == h.options.MaxPendingViews {
-		// Dropping the newest keeps the oldest unanswered one, which is the safe side.
+		// Drop the newest and keep the oldest, which is confirmed first. This is safe: it can only shorten authority.
 		return
 	}
 	h.pendingViews = append(h.pendingViews, view)
 }
 
-// confirmView advances viewCurrentAt when the applied view is at least as new as
-// the advertised one, or when its age is not limited; it reports whether it was.
+// confirmView reports whether the applied view is at least as new as the advertised
+// one, or its age is not limited. If so, it advances viewCurrentAt.
 func (h *Holder) confirmView(view advertisedView) bool {
 	if h.options.ViewLimit > 0 && h.viewVersion < view.version {
 		return false
@@ -183,8 +184,8 @@
 	return true
 }
 
-// ExpiresAt is when authority ends, by the lease or by the age of the view,
-// whichever is first; zero without authority.
+// ExpiresAt returns when authority ends, by the lease or by the age of the view,
+// whichever is first, or the zero time without authority.
 func (h *Holder) ExpiresAt() time.Time {
 	if !h.granted || h.viewCurrentAt.IsZero() {
 		return time.Time{}
@@ -210,8 +211,8 @@
 // the wall clock within a tolerance of six seconds. The monotonic clock does not
 // advance while a machine is suspended; the wall clock may be set forward by some
 // seconds in operation, which must not end the turns in flight. A suspension
-// shorter than the tolerance is not detected; the ledger's epochs fence off what
-// is done after it. The zero time is never valid.
+// shorter than the tolerance is not detected; the ledger's epochs fence operations
+// that follow it. The zero time is never valid.
 func ValidAt(now, expiresAt time.Time) bool {
 	return !expiresAt.IsZero() && now.Before(expiresAt) && now.Round(0).Before(expiresAt.Round(0).Add(wallClockTolerance))
 }
