--- a/internal/dataplane/front/admission/controller.go
+++ b/internal/dataplane/front/admission/controller.go
@@ -119,7 +119,7 @@
 		a.nextID++
 		ticket.ID = a.nextID
 		a.waiting[ticket.ID] = decided
-		a.retries.Request()
+		a.retries.RecordRequest()
 		a.deliver(a.limiter(group).queue.Enter(ticket, a.clock.Now()))
 		a.setAlarm()
 	})
@@ -168,7 +168,7 @@
 // Retry takes one retry out of the budget; it reports false when none is left.
 func (a *Controller) Retry() bool {
 	granted := false
-	answered := a.loop.Do(func() { granted = a.retries.Retry() })
+	answered := a.loop.Do(func() { granted = a.retries.TakeRetry() })
 	return answered && granted
 }
 
--- a/internal/dataplane/front/admission/group_limiter.go
+++ b/internal/dataplane/front/admission/group_limiter.go
@@ -40,7 +40,7 @@
 }
 
 func (l *groupLimiter) configure(limits *protocol.LimitPolicy) []limit.Decision {
-	l.concurrency.SetLimit(limits.GetMaxConcurrent())
+	l.concurrency.SetMaxLimit(limits.GetMaxConcurrent())
 	l.queue.SetBounds(limits.GetMaxQueued(), queueTimeout(limits))
 	return l.queue.SetSlots(l.slots())
 }
--- a/internal/dataplane/front/backends/models.go
+++ b/internal/dataplane/front/backends/models.go
@@ -86,7 +86,7 @@
 		for _, server := range members {
 			if model.servers[server.ID()] == nil {
 				model.server(server.ID())
-				model.cache.Resize(server.ID(), capacity)
+				model.cache.SetCapacity(server.ID(), capacity)
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	load := model.server(server)
 	load.waitingAtReport = load.waiting
 	if total > 0 {
-		model.cache.Resize(server, total-min(total, used))
+		model.cache.SetCapacity(server, total-min(total, used))
 	}
 }
 
@@ -234,7 +234,7 @@
 	if len(parts) == 0 {
 		return nil
 	}
-	chain := promptcache.NewChain(routed.GetGroup(), len(parts))
+	chain := promptcache.NewPromptBuilder(routed.GetGroup(), len(parts))
 	for _, part := range parts {
 		chain.Add(part.GetId(), part.GetTokens())
 	}
--- a/internal/dataplane/front/backends/server.go
+++ b/internal/dataplane/front/backends/server.go
@@ -47,7 +47,7 @@
 	steps stepLoad
 
 	mutex   sync.Mutex
-	outlier schedule.Outlier
+	outlier schedule.OutlierDetector
 	// recentCalls counts the calls sent recently.
 	recentCalls schedule.RecentRequests
 	// rejectedVersion is the version of the weights that the server last stated to lack, believed until
@@ -150,7 +150,7 @@
 	known := health{
 		recent:  b.recentCalls.Count(now),
 		ejected: b.outlier.Ejected(now), share: b.outlier.Share(now),
-		until: b.outlier.Until(), unreachable: b.outlier.Unreachable() && b.outlier.Ejected(now),
+		until: b.outlier.EjectedUntil(), unreachable: b.outlier.Unreachable() && b.outlier.Ejected(now),
 	}
 	if now.Before(suspectUntil) {
 		known.ejected = true
--- a/internal/dataplane/front/backends/server_query.go
+++ b/internal/dataplane/front/backends/server_query.go
@@ -45,7 +45,7 @@
 	request := schedule.Request{
 		Algorithm: policy.GetAlgorithm(), LoadBound: policy.GetLoadBound(), SubsetSize: policy.GetSubsetSize(),
 		Front: p.Front, Zone: p.Zone, Region: p.Region, ZoneLocalFirst: group.GetZoneLocalFirst(),
-		AffinityKey: p.Affinity, Last: p.Last, Avoid: p.Avoid, Sequence: p.Sequence,
+		AffinityKey: p.Affinity, LastServer: p.Last, Avoid: p.Avoid, Sequence: p.Sequence,
 	}
 	servers := b.serving(p.Key)
 	var others []*Server
--- a/internal/dataplane/front/backends/set.go
+++ b/internal/dataplane/front/backends/set.go
@@ -82,10 +82,10 @@
 		snapshot = append(snapshot, schedule.Candidate{
 			ID: description.GetId(), Zone: description.GetZone(), Region: description.GetRegion(),
 			Draining: server.draining.Load(), Ejected: known.ejected,
-			EjectedUntil: known.until, Unreachable: known.unreachable, Recent: known.recent,
+			EjectedUntil: known.until, Unreachable: known.unreachable, RecentCalls: known.recent,
 			ReportAge: age, UsedTokens: server.cacheUsed.Load(), CacheTokens: server.cacheTotal.Load(),
 			Capacity: capacity, InFlight: uint32(max(inFlight, 0)),
-			Running: running, Queued: queued, OwnAtReport: uint32(max(server.ownAtReport.Load(), 0)),
+			Running: running, Queued: queued, InFlightAtReport: uint32(max(server.ownAtReport.Load(), 0)),
 			Weight: zoneWeight(group, description.GetZone()) * known.share,
 		})
 	}
--- a/internal/dataplane/front/backends/step_load.go
+++ b/internal/dataplane/front/backends/step_load.go
@@ -78,7 +78,7 @@
 // candidateSlots are the slots of a candidate whose Steps are set.
 func candidateSlots(candidate *schedule.Candidate) trainingstep.ServerSlots {
 	return trainingstep.ServerSlots{
-		Slots: candidate.Capacity, Others: candidate.Others(),
+		Slots: candidate.Capacity, Others: candidate.OtherRequests(),
 		Live: candidate.InFlight - min(candidate.InFlight, candidate.Steps),
 	}
 }
--- a/internal/dataplane/limit/concurrency.go
+++ b/internal/dataplane/limit/concurrency.go
@@ -7,10 +7,10 @@
 	DefaultMaxConcurrent = 1024
 
 	minConcurrent = 8
-	// slowFactor and slowMargin define when a latency counts as a sign of overload:
+	// slowLatencyFactor and slowLatencyMargin define when a latency counts as a sign of overload:
 	// above the baseline times the factor plus the margin.
-	slowFactor = 4
-	slowMargin = 250 * time.Millisecond
+	slowLatencyFactor = 4
+	slowLatencyMargin = 250 * time.Millisecond
 	// decreaseFactor is applied at most once in minDecreaseInterval, and to no less than minDecreaseBase of the limit.
 	decreaseFactor      = 0.85
 	minDecreaseBase     = 0.5
@@ -34,13 +34,13 @@
 // NewConcurrency makes a limit that begins at its maximum; zero means DefaultMaxConcurrent.
 func NewConcurrency(maxLimit uint32) *Concurrency {
 	c := &Concurrency{}
-	c.SetLimit(maxLimit)
+	c.SetMaxLimit(maxLimit)
 	c.limit = c.maxLimit
 	return c
 }
 
-// SetLimit changes the maximum; 0 means DefaultMaxConcurrent.
-func (c *Concurrency) SetLimit(maxLimit uint32) {
+// SetMaxLimit changes the maximum; 0 means DefaultMaxConcurrent.
+func (c *Concurrency) SetMaxLimit(maxLimit uint32) {
 	if maxLimit == 0 {
 		maxLimit = DefaultMaxConcurrent
 	}
@@ -66,7 +66,7 @@
 func (c *Concurrency) Record(sample Sample, inFlight int, now time.Time) {
 	slow := sample.Rejected
 	if sample.Latency > 0 {
-		slow = slow || c.baseline > 0 && sample.Latency > slowFactor*c.baseline+slowMargin
+		slow = slow || c.baseline > 0 && sample.Latency > slowLatencyFactor*c.baseline+slowLatencyMargin
 		c.updateBaseline(sample.Latency)
 	}
 	if slow {
--- a/internal/dataplane/limit/demand.go
+++ b/internal/dataplane/limit/demand.go
@@ -12,22 +12,22 @@
 
 // demand is the rate, in tickets a second, of a class's or tenant's requests for slots.
 type demand struct {
-	perSecond float64
+	lastRate  float64
 	updatedAt time.Time
 }
 
 // add counts one ticket.
 func (d *demand) add(now time.Time) {
-	d.perSecond = d.now(now) + 1/demandTimeConstant.Seconds()
+	d.lastRate = d.rate(now) + 1/demandTimeConstant.Seconds()
 	d.updatedAt = now
 }
 
-// now is the demand as of now.
-func (d *demand) now(now time.Time) float64 {
+// rate is the demand as of now.
+func (d *demand) rate(now time.Time) float64 {
 	if d.updatedAt.IsZero() {
 		return 0
 	}
-	return d.perSecond * math.Exp(-max(now.Sub(d.updatedAt), 0).Seconds()/demandTimeConstant.Seconds())
+	return d.lastRate * math.Exp(-max(now.Sub(d.updatedAt), 0).Seconds()/demandTimeConstant.Seconds())
 }
 
 // competitor is a class or tenant that shares a rate with another.
--- a/internal/dataplane/limit/expected_wait.go
+++ b/internal/dataplane/limit/expected_wait.go
@@ -35,8 +35,8 @@
 	s.since = now
 }
 
-// end counts one request that gave its slot back while inFlight others are in flight.
-func (s *serviceTime) end(inFlight int) {
+// recordEnd counts one request that gave its slot back while inFlight others are in flight.
+func (s *serviceTime) recordEnd(inFlight int) {
 	s.ended++
 	if s.ended < max(minSamples, inFlight) {
 		return
@@ -72,7 +72,7 @@
 // demandRate is a class's demand in slots a second: tickets that wait, over the wait that is allowed, and those that
 // arrive.
 func (q *Queue) demandRate(class *classQueue, now time.Time) float64 {
-	return class.demand.now(now) + float64(class.count)/(maxExpectedShare*q.maxWait.Seconds())
+	return class.demand.rate(now) + float64(class.count)/(maxExpectedShare*q.maxWait.Seconds())
 }
 
 // competitors are the other classes with their demand.
@@ -91,7 +91,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.tenantDemands)) {
 		if name != tenant {
 			demanded := c.tenantDemands[name]
-			competitors = append(competitors, competitor{weight: demanded.weight, perSecond: demanded.now(now)})
+			competitors = append(competitors, competitor{weight: demanded.weight, perSecond: demanded.rate(now)})
 		}
 	}
 	return competitors
@@ -120,11 +120,11 @@
 }
 
 func (c *classQueue) dropExpiredDemands(now time.Time) {
-	maps.DeleteFunc(c.tenantDemands, func(_ string, tenant *tenantDemand) bool { return tenant.now(now) < minDemand })
+	maps.DeleteFunc(c.tenantDemands, func(_ string, tenant *tenantDemand) bool { return tenant.rate(now) < minDemand })
 }
 
-// wouldBeLate reports whether a ticket with the expected wait is to be rejected at once.
-func (q *Queue) wouldBeLate(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
+// mustReject reports whether a ticket with the expected wait is to be rejected at once.
+func (q *Queue) mustReject(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
 	if wait == 0 {
 		return false
 	}
--- a/internal/dataplane/limit/fairness.go
+++ b/internal/dataplane/limit/fairness.go
@@ -9,7 +9,7 @@
 // current virtual time, so that it gains nothing by having been idle.
 func (q *Queue) push(class *classQueue, w queuedTicket) {
 	if class.count == 0 {
-		class.pass = max(class.pass, q.clock)
+		class.pass = max(class.pass, q.virtualTime)
 	}
 	class.tenant(w.ticket).insert(w)
 	class.count++
@@ -21,7 +21,7 @@
 			return tenant
 		}
 	}
-	tenant := &tenantQueue{name: ticket.Tenant, weight: float64(max(ticket.Weight, 1)), pass: c.clock}
+	tenant := &tenantQueue{name: ticket.Tenant, weight: float64(max(ticket.Weight, 1)), pass: c.virtualTime}
 	c.tenants = append(c.tenants, tenant)
 	return tenant
 }
@@ -43,16 +43,16 @@
 		if class == nil {
 			break
 		}
-		q.clock = class.pass
-		class.pass += q.turnCost(class, now)
+		q.virtualTime = class.pass
+		class.pass += q.stride(class, now)
 		decisions = append(decisions, q.run(class, class.pop().ticket, now))
 	}
 	return decisions
 }
 
-// turnCost is the virtual time that one slot costs a class.
-func (q *Queue) turnCost(class *classQueue, now time.Time) float64 {
-	return turnUnit / q.weight(class, now)
+// stride is the virtual time that one slot costs a class.
+func (q *Queue) stride(class *classQueue, now time.Time) float64 {
+	return strideUnit / q.weight(class, now)
 }
 
 func (q *Queue) nextClass() *classQueue {
@@ -72,16 +72,16 @@
 			next = tenant
 		}
 	}
-	c.clock = next.pass
-	next.pass += turnUnit / next.weight
+	c.virtualTime = next.pass
+	next.pass += strideUnit / next.weight
 	head := next.tickets[0]
 	next.tickets = next.tickets[1:]
-	c.removed(next)
+	c.ticketRemoved(next)
 	return head
 }
 
-// removed updates the class after one ticket left the tenant's queue.
-func (c *classQueue) removed(tenant *tenantQueue) {
+// ticketRemoved updates the class after one ticket left the tenant's queue.
+func (c *classQueue) ticketRemoved(tenant *tenantQueue) {
 	c.count--
 	c.dropEmpty(tenant)
 }
@@ -94,7 +94,7 @@
 		c.tenants = slices.Delete(c.tenants, position, position+1)
 	}
 	if len(c.tenants) == 0 {
-		c.clock = 0
+		c.virtualTime = 0
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	evicted := largest.tickets[len(largest.tickets)-1]
 	largest.tickets = largest.tickets[:len(largest.tickets)-1]
-	c.removed(largest)
+	c.ticketRemoved(largest)
 	return evicted.ticket, true
 }
 
--- a/internal/dataplane/limit/limit_test.go
+++ b/internal/dataplane/limit/limit_test.go
@@ -50,8 +50,8 @@
 	budget := limit.NewRetryBudget(0)
 	granted := 0
 	for range 10_000 {
-		budget.Request()
-		if budget.Retry() {
+		budget.RecordRequest()
+		if budget.TakeRetry() {
 			granted++
 		}
 	}
--- a/internal/dataplane/limit/queue.go
+++ b/internal/dataplane/limit/queue.go
@@ -22,8 +22,8 @@
 	// drainWindow and drainGain are the sampling period and smoothing factor of the rate at which slots are given back.
 	drainWindow = time.Second
 	drainGain   = 0.3
-	// turnUnit is the virtual time that a turn costs at weight 1.
-	turnUnit = 1.0
+	// strideUnit is the virtual time that a turn costs at weight 1.
+	strideUnit = 1.0
 )
 
 // classWeights are the relative shares of slots when all classes wait: urgent work gets
@@ -95,7 +95,7 @@
 type classQueue struct {
 	class         protocol.Priority
 	pass          float64
-	clock         float64
+	virtualTime   float64
 	count         int
 	tenants       []*tenantQueue
 	demand        demand
@@ -113,7 +113,7 @@
 	// surplusSlots is how many tickets may run beyond the slots rather than be rejected.
 	surplusSlots int
 	inFlight     int
-	clock        float64
+	virtualTime  float64
 	classes      []*classQueue
 	service      serviceTime
 	// allClasses is the share of tickets of all classes that got a slot.
@@ -188,7 +188,7 @@
 	decisions := q.Expire(now)
 	class := q.class(ticket.Class)
 	class.recordDemand(ticket, now)
-	if wait := q.expectedWait(class, ticket, now); q.wouldBeLate(class, ticket, wait, now) {
+	if wait := q.expectedWait(class, ticket, now); q.mustReject(class, ticket, wait, now) {
 		return append(decisions, q.runOrReject(class, ticket, RejectFull, boundRetry(wait), now)...)
 	}
 	if class.count >= q.maxQueued {
@@ -258,7 +258,7 @@
 	q.service.advance(q.inFlight, now)
 	q.inFlight--
 	q.leftInWindow++
-	q.service.end(q.inFlight)
+	q.service.recordEnd(q.inFlight)
 	return append(q.Expire(now), q.dispatch(now)...)
 }
 
@@ -269,7 +269,7 @@
 			position := slices.IndexFunc(tenant.tickets, func(w queuedTicket) bool { return w.ticket.ID == id })
 			if position >= 0 {
 				tenant.tickets = slices.Delete(tenant.tickets, position, position+1)
-				class.removed(tenant)
+				class.ticketRemoved(tenant)
 				return true
 			}
 		}
--- a/internal/dataplane/limit/retry_budget.go
+++ b/internal/dataplane/limit/retry_budget.go
@@ -29,13 +29,13 @@
 	r.percent = float64(percent)
 }
 
-// Request counts one request of the traffic.
-func (r *RetryBudget) Request() {
+// RecordRequest counts one request of the traffic.
+func (r *RetryBudget) RecordRequest() {
 	r.balance = min(maxRetryBalance, r.balance+r.percent/100)
 }
 
-// Retry takes one retry out of the budget and reports whether it was there.
-func (r *RetryBudget) Retry() bool {
+// TakeRetry takes one retry out of the budget and reports whether it was there.
+func (r *RetryBudget) TakeRetry() bool {
 	if r.balance < 1 {
 		return false
 	}
--- a/internal/dataplane/limit/service_share.go
+++ b/internal/dataplane/limit/service_share.go
@@ -14,32 +14,32 @@
 	starvingShare = 0.35
 	// overtakingShare is by how much a class may be served better than a more urgent one.
 	overtakingShare = 0.03
-	// correction is the factor by which either changes the weight of a class.
-	correction = 4
+	// weightCorrection is the factor by which either changes the weight of a class.
+	weightCorrection = 4
 )
 
 // serviceShare is the share of the decided tickets that got a slot.
 type serviceShare struct {
-	ran     float64
-	decided float64
-	at      time.Time
+	ran       float64
+	decided   float64
+	updatedAt time.Time
 }
 
 func (s *serviceShare) record(ran bool, now time.Time) {
 	decay := s.decay(now)
 	s.ran *= decay
 	s.decided = s.decided*decay + 1
-	s.at = now
+	s.updatedAt = now
 	if ran {
 		s.ran++
 	}
 }
 
 func (s *serviceShare) decay(now time.Time) float64 {
-	if s.at.IsZero() {
+	if s.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-max(now.Sub(s.at), 0).Seconds() / shareTimeConstant.Seconds())
+	return math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds() / shareTimeConstant.Seconds())
 }
 
 // share is from 0 to 1, and 1 below minDecisions.
@@ -56,16 +56,16 @@
 	weight := classWeights[class.class]
 	switch {
 	case q.starves(class, now):
-		return min(weight*correction, max(weight, q.parity(class, now)))
+		return min(weight*weightCorrection, max(weight, q.parityWeight(class, now)))
 	case q.overtakes(class, now):
-		return weight / correction
+		return weight / weightCorrection
 	}
 	return weight
 }
 
-// parity is the weight with which a class gets slots as often, by its demand, as the worst served of the more
+// parityWeight is the weight with which a class gets slots as often, by its demand, as the worst served of the more
 // urgent classes. A class that starves gets no more, so that it catches up without passing them in a burst of theirs.
-func (q *Queue) parity(class *classQueue, now time.Time) float64 {
+func (q *Queue) parityWeight(class *classQueue, now time.Time) float64 {
 	own, minWeight := q.demandRate(class, now), math.Inf(1)
 	for _, urgent := range q.classes {
 		if urgent == class {
--- a/internal/dataplane/limit/surplus.go
+++ b/internal/dataplane/limit/surplus.go
@@ -19,13 +19,13 @@
 			return decisions, true
 		}
 		if class.count == 0 {
-			class.pass = max(class.pass, q.clock)
+			class.pass = max(class.pass, q.virtualTime)
 		}
 		if class.pass < next.pass {
-			class.pass += q.turnCost(class, now)
+			class.pass += q.stride(class, now)
 			return decisions, true
 		}
-		next.pass += q.turnCost(next, now)
+		next.pass += q.stride(next, now)
 		decisions = append(decisions, q.run(next, next.pop().ticket, now))
 	}
 	return decisions, false
--- a/internal/dataplane/promptcache/model.go
+++ b/internal/dataplane/promptcache/model.go
@@ -33,8 +33,8 @@
 	shared bool
 	// sentAt is when this front node last sent a prompt that begins with it.
 	sentAt time.Time
-	// holders counts the servers that have it cached.
-	holders int
+	// servers counts the servers that have it cached.
+	servers int
 }
 
 // New makes a model without servers.
@@ -42,9 +42,9 @@
 	return &Model{servers: make(map[string]*serverCache), fronts: 1, prefixes: make(map[uint64]*prefix)}
 }
 
-// Resize adds a server if necessary and sets the capacity of its cache: its memory in tokens less that of running
+// SetCapacity adds a server if necessary and sets the capacity of its cache: its memory in tokens less that of running
 // requests.
-func (m *Model) Resize(server string, capacity uint64) {
+func (m *Model) SetCapacity(server string, capacity uint64) {
 	cache := m.cache(server)
 	m.capacity += capacity - cache.capacity
 	cache.capacity = capacity
@@ -97,22 +97,22 @@
 	return shared
 }
 
-// Holders is the number of servers that have the prefix cached.
-func (m *Model) Holders(prefixHash uint64) int {
+// ServersWith is the number of servers that have the prefix cached.
+func (m *Model) ServersWith(prefixHash uint64) int {
 	if known := m.prefixes[prefixHash]; known != nil {
-		return known.holders
+		return known.servers
 	}
 	return 0
 }
 
-// Forget removes a server that ended or lost its cache.
-func (m *Model) Forget(server string) {
+// Remove removes a server that ended or lost its cache.
+func (m *Model) Remove(server string) {
 	cache := m.servers[server]
 	if cache == nil {
 		return
 	}
 	for cache.oldest() != nil {
-		m.drop(cache, cache.oldest())
+		m.remove(cache, cache.oldest())
 	}
 	m.capacity -= cache.capacity
 	delete(m.servers, server)
@@ -122,7 +122,7 @@
 func (m *Model) Retain(isKnown func(server string) bool) {
 	for server := range m.servers {
 		if !isKnown(server) {
-			m.Forget(server)
+			m.Remove(server)
 		}
 	}
 }
@@ -144,13 +144,13 @@
 		known := m.prefix(segment, parent)
 		known.sentAt = now
 		if at+1 < len(prompt) {
-			known.extendedBy(prompt[at+1].Prefix)
+			known.recordSuccessor(prompt[at+1].Prefix)
 		}
 		parent = segment.Prefix
 	}
 }
 
-func (p *prefix) extendedBy(successor uint64) {
+func (p *prefix) recordSuccessor(successor uint64) {
 	if p.successor == 0 {
 		p.successor = successor
 	}
@@ -171,7 +171,7 @@
 	cached := cache.entries[segment.Prefix]
 	if cached == nil {
 		cached = cache.add(segment)
-		m.prefixes[segment.Prefix].holders++
+		m.prefixes[segment.Prefix].servers++
 	}
 	cached.own = cached.own || own
 	weight := m.weight(segment)
@@ -193,14 +193,14 @@
 // evict evicts segments while there are more than fit the server, or all servers together.
 func (m *Model) evict(cache *serverCache) {
 	for cache.cachedTokens > cache.capacity && cache.oldest() != nil {
-		m.drop(cache, cache.oldest())
+		m.remove(cache, cache.oldest())
 	}
 	for m.cachedTokens > m.capacity {
 		oldest := m.leastRecentlyUsed()
 		if oldest == nil {
 			return
 		}
-		m.drop(oldest, oldest.oldest())
+		m.remove(oldest, oldest.oldest())
 	}
 }
 
@@ -215,12 +215,12 @@
 	return leastRecent
 }
 
-func (m *Model) drop(cache *serverCache, dropped *entry) {
+func (m *Model) remove(cache *serverCache, dropped *entry) {
 	cache.remove(dropped)
 	m.cachedTokens -= dropped.weight
 	known := m.prefixes[dropped.segment.Prefix]
-	known.holders--
-	if known.holders == 0 {
+	known.servers--
+	if known.servers == 0 {
 		delete(m.prefixes, dropped.segment.Prefix)
 	}
 }
--- a/internal/dataplane/promptcache/prompt.go
+++ b/internal/dataplane/promptcache/prompt.go
@@ -20,25 +20,26 @@
 // Prompt is the segments of a prompt in order.
 type Prompt []Segment
 
-// Chain builds a Prompt segment by segment.
-type Chain struct {
+// PromptBuilder builds a Prompt segment by segment.
+type PromptBuilder struct {
 	prefix   uint64
 	segments Prompt
 }
 
-// NewChain begins a prompt for a model; segments of different models never match. The number of segments is a hint.
-func NewChain(model string, segments int) *Chain {
-	return &Chain{prefix: xxhash.Sum64String(model), segments: make(Prompt, 0, segments)}
+// NewPromptBuilder begins a prompt for a model; segments of different models never match. The number of segments is a
+// hint.
+func NewPromptBuilder(model string, segments int) *PromptBuilder {
+	return &PromptBuilder{prefix: xxhash.Sum64String(model), segments: make(Prompt, 0, segments)}
 }
 
 // Add appends a segment, named by its identifier.
-func (c *Chain) Add(id string, tokens uint32) {
-	c.prefix = mix(c.prefix, xxhash.Sum64String(id))
-	c.segments = append(c.segments, Segment{Prefix: c.prefix, Tokens: tokens})
+func (b *PromptBuilder) Add(id string, tokens uint32) {
+	b.prefix = mix(b.prefix, xxhash.Sum64String(id))
+	b.segments = append(b.segments, Segment{Prefix: b.prefix, Tokens: tokens})
 }
 
 // Prompt is the segments added so far.
-func (c *Chain) Prompt() Prompt { return c.segments }
+func (b *PromptBuilder) Prompt() Prompt { return b.segments }
 
 // mix derives the hash of a prefix from that of the prefix before it and of its last segment.
 func mix(before, segment uint64) uint64 {
--- a/internal/dataplane/promptcache/promptcache_test.go
+++ b/internal/dataplane/promptcache/promptcache_test.go
@@ -14,7 +14,7 @@
 
 // prompt makes a prompt of segments of a hundred tokens each.
 func prompt(ids ...string) promptcache.Prompt {
-	chain := promptcache.NewChain("model", len(ids))
+	chain := promptcache.NewPromptBuilder("model", len(ids))
 	for _, id := range ids {
 		chain.Add(id, 100)
 	}
@@ -35,14 +35,14 @@
 	expectCached(t, model, "s1", prompt("shared", "other", "more"), 100)
 	expectCached(t, model, "s1", prompt("question", "shared"), 0)
 	expectCached(t, model, "s2", prompt("shared"), 0)
-	other := promptcache.NewChain("other model", 1)
+	other := promptcache.NewPromptBuilder("other model", 1)
 	other.Add("shared", 100)
 	expectCached(t, model, "s1", other.Prompt(), 0)
 }
 
 func TestLeastRecentlyUsedSegmentsAreEvicted(t *testing.T) {
 	model := promptcache.New()
-	model.Resize("s1", 400)
+	model.SetCapacity("s1", 400)
 	model.RecordSent("s1", prompt("a", "a1"), start)
 	model.RecordSent("s1", prompt("b", "b1"), start)
 	model.RecordSent("s1", prompt("a"), start)
@@ -50,7 +50,7 @@
 	expectCached(t, model, "s1", prompt("a"), 100)
 	expectCached(t, model, "s1", prompt("a", "a1"), 100)
 	expectCached(t, model, "s1", prompt("b", "b1"), 200)
-	model.Resize("s1", 200)
+	model.SetCapacity("s1", 200)
 	expectCached(t, model, "s1", prompt("b", "b1"), 0)
 	expectCached(t, model, "s1", prompt("a"), 100)
 	expectCached(t, model, "s1", prompt("c"), 100)
@@ -58,7 +58,7 @@
 
 func TestSegmentNeverOutlivesOneBeforeIt(t *testing.T) {
 	model := promptcache.New()
-	model.Resize("s1", 300)
+	model.SetCapacity("s1", 300)
 	model.RecordSent("s1", prompt("a", "a1", "a2", "a3"), start)
 	expectCached(t, model, "s1", prompt("a", "a1", "a2", "a3"), 300)
 }
@@ -66,7 +66,7 @@
 func TestUnsharedSegmentsCountForTheOtherFrontNodes(t *testing.T) {
 	model := promptcache.New()
 	model.SetFronts(10)
-	model.Resize("s1", 2500)
+	model.SetCapacity("s1", 2500)
 	model.RecordSent("s1", prompt("shared", "a"), start)
 	model.RecordSent("s1", prompt("shared", "b"), start)
 	// Now the first part is known to be shared and counts once.
@@ -93,22 +93,22 @@
 	model := promptcache.New()
 	model.RecordSent("s1", prompt("a"), start)
 	model.RecordSent("s2", prompt("a"), start)
-	model.Forget("s1")
-	model.Forget("never known")
+	model.Remove("s1")
+	model.Remove("never known")
 	expectCached(t, model, "s1", prompt("a"), 0)
-	if holders := model.Holders(prompt("a").First()); holders != 1 {
+	if holders := model.ServersWith(prompt("a").First()); holders != 1 {
 		t.Fatalf("%d servers have the segment cached", holders)
 	}
 	model.Retain(func(server string) bool { return server == "s1" })
 	expectCached(t, model, "s2", prompt("a"), 0)
-	if holders := model.Holders(prompt("a").First()); holders != 0 {
+	if holders := model.ServersWith(prompt("a").First()); holders != 0 {
 		t.Fatalf("%d servers have the segment cached", holders)
 	}
 }
 
 func TestDigestsReportWhereSharedSegmentsAreCached(t *testing.T) {
 	here, there := promptcache.New(), promptcache.New()
-	there.Resize("s1", 1000)
+	there.SetCapacity("s1", 1000)
 	here.RecordSent("s1", prompt("shared", "a"), start)
 	here.RecordSent("s1", prompt("shared", "b"), start)
 	here.RecordSent("s2", prompt("shared", "c"), start)
@@ -124,7 +124,7 @@
 
 func TestMergedEntriesAreNotReportedOn(t *testing.T) {
 	first, second := promptcache.New(), promptcache.New()
-	second.Resize("s1", 1000)
+	second.SetCapacity("s1", 1000)
 	first.RecordSent("s1", prompt("shared", "a"), start)
 	first.RecordSent("s1", prompt("shared", "b"), start)
 	second.Merge(first.Digest(start))
@@ -155,7 +155,7 @@
 
 func TestMalformedDigestIsIgnored(t *testing.T) {
 	model := promptcache.New()
-	model.Resize("s1", 1000)
+	model.SetCapacity("s1", 1000)
 	model.Merge(promptcache.Digest{
 		Servers: []string{"s1"},
 		Prefixes: []promptcache.DigestPrefix{
@@ -170,7 +170,7 @@
 
 func TestOverlongDigestIsTruncated(t *testing.T) {
 	model := promptcache.New()
-	model.Resize("s1", 100_000)
+	model.SetCapacity("s1", 100_000)
 	long := promptcache.Digest{Servers: []string{"s1"}}
 	for at := range uint64(2 * promptcache.MaxDigestPrefixes) {
 		long.Prefixes = append(long.Prefixes, promptcache.DigestPrefix{Prefix: at + 1, Tokens: 1, Servers: []uint32{0}})
@@ -196,7 +196,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model := promptcache.New()
 		const capacity = 10
-		model.Resize("s1", capacity*100)
+		model.SetCapacity("s1", capacity*100)
 		var list []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			ids := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 5).Draw(t, "parts")
--- a/internal/dataplane/promptcache/server_cache.go
+++ b/internal/dataplane/promptcache/server_cache.go
@@ -17,22 +17,23 @@
 	capacity     uint64
 	cachedTokens uint64
 	entries      map[uint64]*entry
-	// ends closes the circular list of entries: ends.older is the most recently used, ends.newer the least.
-	ends entry
+	// sentinel closes the circular list of entries: sentinel.older is the most recently used, sentinel.newer the
+	// least.
+	sentinel entry
 }
 
 func newServerCache() *serverCache {
 	cache := &serverCache{capacity: DefaultCapacity, entries: make(map[uint64]*entry)}
-	cache.ends.newer, cache.ends.older = &cache.ends, &cache.ends
+	cache.sentinel.newer, cache.sentinel.older = &cache.sentinel, &cache.sentinel
 	return cache
 }
 
 // oldest is the least recently used entry; nil when there is none.
 func (c *serverCache) oldest() *entry {
-	if c.ends.newer == &c.ends {
+	if c.sentinel.newer == &c.sentinel {
 		return nil
 	}
-	return c.ends.newer
+	return c.sentinel.newer
 }
 
 func (c *serverCache) add(segment Segment) *entry {
@@ -55,9 +56,9 @@
 }
 
 func (c *serverCache) link(used *entry) {
-	used.newer, used.older = &c.ends, c.ends.older
-	c.ends.older.newer = used
-	c.ends.older = used
+	used.newer, used.older = &c.sentinel, c.sentinel.older
+	c.sentinel.older.newer = used
+	c.sentinel.older = used
 }
 
 func (c *serverCache) unlink(used *entry) {
--- a/internal/dataplane/schedule/candidate.go
+++ b/internal/dataplane/schedule/candidate.go
@@ -18,10 +18,10 @@
 	Capacity uint32
 	// InFlight counts this front node's own requests at the server.
 	InFlight uint32
-	// Running and Queued are what the server last reported, and OwnAtReport is InFlight as it was then.
-	Running     uint32
-	Queued      uint32
-	OwnAtReport uint32
+	// Running and Queued are what the server last reported, and InFlightAtReport is InFlight as it was then.
+	Running          uint32
+	Queued           uint32
+	InFlightAtReport uint32
 	// Weight scales the share of traffic: the zone's weight times the slow start after an ejection. 0 takes none.
 	Weight float64
 	// EjectedUntil orders the ejected ones when too many of a group are: the first to return is used first.
@@ -44,8 +44,8 @@
 	// UsedTokens is the part of CacheTokens, the server's memory, that running requests occupy; CacheTokens 0 is unknown.
 	UsedTokens  uint64
 	CacheTokens uint64
-	// Recent is the decayed count of calls that this front node sent there; see RecentRequests.
-	Recent float64
+	// RecentCalls is the decayed count of calls that this front node sent there; see RecentRequests.
+	RecentCalls float64
 	// Slowness is the factor by which the server is slower than its group; 0 means 1.
 	Slowness float64
 
@@ -81,12 +81,12 @@
 	if c.ReportAge <= 0 {
 		return own
 	}
-	others := float64(reported - min(reported, c.OwnAtReport))
+	others := float64(reported - min(reported, c.InFlightAtReport))
 	return own + others*math.Exp(-c.ReportAge.Seconds()/reportTimeConstant.Seconds())
 }
 
-// Others counts the requests at the server other than generations of this front node's training steps.
-func (c *Candidate) Others() uint32 {
+// OtherRequests counts the requests at the server other than generations of this front node's training steps.
+func (c *Candidate) OtherRequests() uint32 {
 	own := c.InFlight - min(c.InFlight, c.Steps)
 	reported := c.Running + c.Queued
 	return max(own, reported-min(reported, c.StepsAtReport))
--- a/internal/dataplane/schedule/expected_first_token.go
+++ b/internal/dataplane/schedule/expected_first_token.go
@@ -23,13 +23,13 @@
 	homeSlowness = 2
 	// orderCost is charged for each position in that order. It decides between equals.
 	orderCost = 200 * time.Microsecond
-	// lastCost is charged for leaving the session's last server, beyond the repeated prefill.
-	lastCost = 15 * time.Millisecond
+	// otherServerCost is charged for leaving the session's last server, beyond the repeated prefill.
+	otherServerCost = 15 * time.Millisecond
 	// otherZoneCost is charged for a choice outside the own zone, since traffic between zones costs money: it decides
 	// between near equals only.
 	otherZoneCost = 5 * time.Millisecond
-	// pressureCost is charged when the server's memory would not hold the request beside those that run.
-	pressureCost = 500 * time.Millisecond
+	// preemptionCost is charged when the server's memory would not hold the request beside those that run.
+	preemptionCost = 500 * time.Millisecond
 	// callSlownessPower and callLoadWeight weigh slowness and requests at a server when a request without a prompt
 	// is placed.
 	callSlownessPower = 2
@@ -108,12 +108,12 @@
 
 // turnCost is the expected cost, in time, of choosing the candidate for this request and those at the server.
 func (r *Request) turnCost(candidate *Candidate, isHome bool) time.Duration {
-	cost := r.expectedWait(candidate) + r.delayOfOthers(candidate) + r.pressure(candidate)
+	cost := r.expectedWait(candidate) + r.delayOfOthers(candidate) + r.preemptionRisk(candidate)
 	if !isHome {
 		cost += homeCost
 	}
-	if r.Last != "" && candidate.ID != r.Last {
-		cost += lastCost
+	if r.LastServer != "" && candidate.ID != r.LastServer {
+		cost += otherServerCost
 	}
 	return cost
 }
@@ -124,13 +124,13 @@
 func (r *Request) callCost(candidate *Candidate, bound float64) time.Duration {
 	slowness := math.Pow(cmp.Or(candidate.Slowness, 1), callSlownessPower)
 	draw := float64(rankHash(r.AffinityKey, candidate)>>11+1) / (1 << 53)
-	load := callLoadWeight * (candidate.estimatedRequests() + r.surplus(candidate, bound))
+	load := callLoadWeight * (candidate.estimatedRequests() + r.excessCalls(candidate, bound))
 	return scale(r.Profile.ServiceTime, slowness/candidate.Weight*(load-math.Log(draw)))
 }
 
 // expectedWait is the expected time to the first token.
 func (r *Request) expectedWait(candidate *Candidate) time.Duration {
-	return scale(r.slotWait(candidate)+r.work(candidate), cmp.Or(candidate.Slowness, 1)/candidate.Weight)
+	return scale(r.slotWait(candidate)+r.firstTokenTime(candidate), cmp.Or(candidate.Slowness, 1)/candidate.Weight)
 }
 
 // slotWait is the expected time until a slot is free.
@@ -143,11 +143,11 @@
 	return scale(holding, excess/candidate.slots())
 }
 
-func (r *Request) work(candidate *Candidate) time.Duration {
-	return r.Profile.Overhead + r.Profile.prefillTime(r.tokensAhead(candidate)+r.uncached(candidate))
+func (r *Request) firstTokenTime(candidate *Candidate) time.Duration {
+	return r.Profile.Overhead + r.Profile.prefillTime(r.tokensAhead(candidate)+r.uncachedTokens(candidate))
 }
 
-func (r *Request) uncached(candidate *Candidate) float64 {
+func (r *Request) uncachedTokens(candidate *Candidate) float64 {
 	return float64(r.PromptTokens - min(r.PromptTokens, candidate.CachedTokens))
 }
 
@@ -159,15 +159,15 @@
 // delayOfOthers is the delay of other requests at the server by the prefill of the prompt. A prefill of what other
 // prompts share saves those as much, so that a new server is soon as good as the others.
 func (r *Request) delayOfOthers(candidate *Candidate) time.Duration {
-	own := r.uncached(candidate) - float64(r.SharedTokens-min(r.SharedTokens, candidate.CachedTokens))
+	own := r.uncachedTokens(candidate) - float64(r.SharedTokens-min(r.SharedTokens, candidate.CachedTokens))
 	return scale(r.Profile.prefillTime(max(own, 0)), delayShare*(unseenRequests+float64(candidate.InFlight)))
 }
 
-// pressure is charged when a running request would be preempted for lack of memory.
-func (r *Request) pressure(candidate *Candidate) time.Duration {
+// preemptionRisk is charged when a running request would be preempted for lack of memory.
+func (r *Request) preemptionRisk(candidate *Candidate) time.Duration {
 	needed := candidate.UsedTokens + r.PromptTokens + r.OutputTokens
 	if candidate.CacheTokens > 0 && needed > candidate.CacheTokens {
-		return pressureCost
+		return preemptionCost
 	}
 	return 0
 }
--- a/internal/dataplane/schedule/expected_first_token_test.go
+++ b/internal/dataplane/schedule/expected_first_token_test.go
@@ -110,7 +110,7 @@
 		home := homeOf(t, request, candidates)
 		// Nothing is known to be cached anywhere, and the home is busy.
 		candidates[home].PendingTokens = 3000
-		request.Last = candidates[last].ID
+		request.LastServer = candidates[last].ID
 		if last != home {
 			expectChosen(t, request, candidates, last)
 		}
@@ -238,7 +238,7 @@
 		request := call(fmt.Sprint("program", program))
 		first := homeOf(t, request, candidates)
 		busy := &candidates[first]
-		busy.Running, busy.OwnAtReport, busy.ReportAge = 6, 1, time.Millisecond
+		busy.Running, busy.InFlightAtReport, busy.ReportAge = 6, 1, time.Millisecond
 		if homeOf(t, request, candidates) != first {
 			avoided++
 		}
@@ -247,7 +247,7 @@
 			returned++
 		}
 		// What this front node had there at the time of the report says nothing of others.
-		busy.Running, busy.OwnAtReport, busy.ReportAge = 6, 6, time.Millisecond
+		busy.Running, busy.InFlightAtReport, busy.ReportAge = 6, 6, time.Millisecond
 		expectChosen(t, request, candidates, first)
 	}
 	if avoided < 40 || returned < 40 {
--- a/internal/dataplane/schedule/filter.go
+++ b/internal/dataplane/schedule/filter.go
@@ -34,7 +34,7 @@
 // elsewhere. Those whose ejection ends first come first. Unreachable ones are used only when there is no other.
 func readmit(usable, ejected []*Candidate) (readmitted, stillEjected []*Candidate) {
 	minUsable := (len(usable) + len(ejected) + 1) / 2
-	unreachable, suspected := divide(ejected, func(c *Candidate) bool { return c.Unreachable })
+	unreachable, suspected := partition(ejected, func(c *Candidate) bool { return c.Unreachable })
 	slices.SortStableFunc(suspected, func(a, b *Candidate) int { return a.EjectedUntil.Compare(b.EjectedUntil) })
 	back := min(len(suspected), max(minUsable-len(usable), 0))
 	usable = append(usable, suspected[:back]...)
@@ -52,12 +52,12 @@
 	}
 	ownZone := func(c *Candidate) bool { return c.Zone == request.Zone }
 	ownRegion := func(c *Candidate) bool { return ownZone(c) || request.Region != "" && c.Region == request.Region }
-	zone, otherZones := divide(usable, ownZone)
+	zone, otherZones := partition(usable, ownZone)
 	if hasFree(zone) {
 		return d.restrictTo(zone, otherZones, ReasonOtherZone)
 	}
 	d.Spilled = len(zone) > 0 && len(otherZones) > 0
-	region, otherRegions := divide(usable, ownRegion)
+	region, otherRegions := partition(usable, ownRegion)
 	if hasFree(region) {
 		return d.restrictTo(region, otherRegions, ReasonFarRegion)
 	}
@@ -72,10 +72,10 @@
 	return selected
 }
 
-// divide separates the candidates inside from the others, in their order.
-func divide(candidates []*Candidate, inside func(*Candidate) bool) (in, out []*Candidate) {
+// partition separates the candidates inside from the others, in their order.
+func partition(candidates []*Candidate, matches func(*Candidate) bool) (in, out []*Candidate) {
 	for _, candidate := range candidates {
-		if inside(candidate) {
+		if matches(candidate) {
 			in = append(in, candidate)
 		} else {
 			out = append(out, candidate)
--- a/internal/dataplane/schedule/least_outstanding.go
+++ b/internal/dataplane/schedule/least_outstanding.go
@@ -69,5 +69,5 @@
 // workWith is the outstanding work for each slot, in tokens, with the request at the server.
 func (c *Candidate) workWith(work *StepWork, unit float64) float64 {
 	own := work.OutputTokens + work.PromptTokens - min(work.PromptTokens, c.CachedTokens)
-	return (float64(c.StepTokens) + float64(c.Others())*unit + float64(own)) / c.weightedSlots()
+	return (float64(c.StepTokens) + float64(c.OtherRequests())*unit + float64(own)) / c.weightedSlots()
 }
--- a/internal/dataplane/schedule/outlier.go
+++ b/internal/dataplane/schedule/outlier.go
@@ -39,9 +39,9 @@
 	forgiveAfter = 2 * time.Minute
 )
 
-// Outlier detects the outlier of a group by the faults of one back end, and ejects it for a while. Its zero value is a
-// healthy server.
-type Outlier struct {
+// OutlierDetector counts the faults of one back end and ejects it for a while when it is an outlier of its group. Its
+// zero value is a healthy server.
+type OutlierDetector struct {
 	faults int
 	// faultShare is the decayed share of faults, over that many outcomes.
 	faultShare float64
@@ -53,7 +53,7 @@
 }
 
 // Record observes a fault or an answer and reports whether it ejected the server.
-func (o *Outlier) Record(fault bool, now time.Time) bool {
+func (o *OutlierDetector) Record(fault bool, now time.Time) bool {
 	if fault {
 		return o.Observe(OutcomeFault, now)
 	}
@@ -62,34 +62,34 @@
 
 // Observe records the outcome of one request and reports whether it ejected the server. A connection that cannot be
 // made ejects at once; faults do when several are consecutive or when they are most of the recent outcomes.
-func (o *Outlier) Observe(outcome Outcome, now time.Time) bool {
+func (o *OutlierDetector) Observe(outcome Outcome, now time.Time) bool {
 	switch outcome {
 	case OutcomeNotExecuted:
 		return false
 	case OutcomeAnswered:
 		o.faults = 0
 		o.unreachable = false
-		o.count(0)
+		o.updateFaultShare(0)
 		return false
 	case OutcomeUnreachable:
 		o.unreachable = true
 		return o.eject(initialUnreachableEjection, now)
 	}
 	o.faults++
-	o.count(1)
+	o.updateFaultShare(1)
 	if o.faults < ejectAfterFaults && (o.outcomes < minOutcomes || o.faultShare < ejectShare) {
 		return false
 	}
 	return o.eject(initialEjection, now)
 }
 
-func (o *Outlier) count(fault float64) {
+func (o *OutlierDetector) updateFaultShare(fault float64) {
 	o.outcomes++
 	o.faultShare += max(outcomeGain, 1/float64(o.outcomes)) * (fault - o.faultShare)
 }
 
 // eject ejects the server for a time that doubles with each ejection; an ejection in force is not extended.
-func (o *Outlier) eject(first time.Duration, now time.Time) bool {
+func (o *OutlierDetector) eject(first time.Duration, now time.Time) bool {
 	if o.Ejected(now) {
 		return false
 	}
@@ -106,20 +106,20 @@
 	return true
 }
 
-// Until is when the last ejection ends or ended; zero when there was none.
-func (o *Outlier) Until() time.Time { return o.ejectedUntil }
+// EjectedUntil is when the last ejection ends or ended; zero when there was none.
+func (o *OutlierDetector) EjectedUntil() time.Time { return o.ejectedUntil }
 
 // Unreachable reports whether the last outcome was that no connection to the server could be made.
-func (o *Outlier) Unreachable() bool { return o.unreachable }
+func (o *OutlierDetector) Unreachable() bool { return o.unreachable }
 
 // Ejected reports whether the server gets no traffic.
-func (o *Outlier) Ejected(now time.Time) bool {
+func (o *OutlierDetector) Ejected(now time.Time) bool {
 	return now.Before(o.ejectedUntil)
 }
 
 // Share is the part of its weight that the server gets: it rises from minShare to 1 in the slow start after an
 // ejection.
-func (o *Outlier) Share(now time.Time) float64 {
+func (o *OutlierDetector) Share(now time.Time) float64 {
 	if o.ejectedUntil.IsZero() {
 		return 1
 	}
--- a/internal/dataplane/schedule/outlier_test.go
+++ b/internal/dataplane/schedule/outlier_test.go
@@ -10,7 +10,7 @@
 
 func TestRejectionsShowNothingOfHealth(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var outlier schedule.Outlier
+	var outlier schedule.OutlierDetector
 	for range 100 {
 		if outlier.Observe(schedule.OutcomeNotExecuted, now) {
 			t.Fatal("a full server was ejected")
@@ -27,19 +27,19 @@
 
 func TestUnreachableServerIsEjectedAtOnceAndBrieflyAtFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var outlier schedule.Outlier
+	var outlier schedule.OutlierDetector
 	if !outlier.Observe(schedule.OutcomeUnreachable, now) || !outlier.Unreachable() {
 		t.Fatal("not ejected")
 	}
-	if until := outlier.Until(); !until.Equal(now.Add(time.Second)) {
+	if until := outlier.EjectedUntil(); !until.Equal(now.Add(time.Second)) {
 		t.Fatalf("ejected until %v", until)
 	}
 	if outlier.Observe(schedule.OutcomeUnreachable, now) {
 		t.Fatal("ejected twice at once")
 	}
-	now = outlier.Until()
+	now = outlier.EjectedUntil()
 	outlier.Observe(schedule.OutcomeUnreachable, now)
-	if until := outlier.Until(); !until.Equal(now.Add(2 * time.Second)) {
+	if until := outlier.EjectedUntil(); !until.Equal(now.Add(2 * time.Second)) {
 		t.Fatalf("ejected until %v the second time", until)
 	}
 	if outlier.Observe(schedule.OutcomeAnswered, now); outlier.Unreachable() {
@@ -50,7 +50,7 @@
 func TestShareOfFaultsEjectsWithoutConsecutiveOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fault, answer := schedule.OutcomeFault, schedule.OutcomeAnswered
-	var sick, fair schedule.Outlier
+	var sick, fair schedule.OutlierDetector
 	ejected := false
 	for range 20 {
 		for _, outcome := range []schedule.Outcome{fault, fault, fault, answer} {
--- a/internal/dataplane/schedule/policies.go
+++ b/internal/dataplane/schedule/policies.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// freeShare is the part of its slots up to which a server is within the load bound, whatever the mean is.
-const freeShare = 0.25
+// lowLoadShare is the part of its slots up to which a server is within the load bound, whatever the mean is.
+const lowLoadShare = 0.25
 
 // applyPolicy applies the request's policy; there is at least one candidate.
 func (d *Decision) applyPolicy(request Request, candidates []*Candidate, random *rand.Rand) {
@@ -37,7 +37,7 @@
 // over the bound; then the next server in the prefix's order takes it.
 func (d *Decision) prefixAffinity(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
-	if position := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.Last }); position > 0 {
+	if position := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.LastServer }); position > 0 {
 		last := order[position]
 		order = slices.Insert(slices.Delete(order, position, position+1), 0, last)
 	}
@@ -81,17 +81,17 @@
 
 func (b loadBound) allows(candidate *Candidate) bool {
 	slots := candidate.weightedSlots()
-	maxRequests := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*freeShare))
+	maxRequests := max(math.Ceil(b.requestsPerSlot*slots), math.Floor(slots*lowLoadShare))
 	return candidate.requests()+1 <= maxRequests
 }
 
 func (d *Decision) leastLoaded(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
 	slices.SortStableFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.loadWith(1), b.loadWith(1)) })
-	d.firstOf(order)
+	d.chooseFirst(order)
 }
 
-func (d *Decision) firstOf(order []*Candidate) {
+func (d *Decision) chooseFirst(order []*Candidate) {
 	d.choose(order[0], order[0].Load())
 	for _, candidate := range order[1:] {
 		d.passOver(candidate, candidate.Load(), ReasonLower)
@@ -101,7 +101,7 @@
 // powerOfTwo compares two random candidates and chooses the less loaded one.
 func (d *Decision) powerOfTwo(candidates []*Candidate, random *rand.Rand) {
 	if len(candidates) == 1 {
-		d.firstOf(candidates)
+		d.chooseFirst(candidates)
 		return
 	}
 	one := random.IntN(len(candidates))
@@ -129,5 +129,5 @@
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b *Candidate) int { return cmp.Compare(a.ID, b.ID) })
 	position := int(request.Sequence % uint64(len(order)))
-	d.firstOf(slices.Concat(order[position:], order[:position]))
+	d.chooseFirst(slices.Concat(order[position:], order[:position]))
 }
--- a/internal/dataplane/schedule/recent_requests.go
+++ b/internal/dataplane/schedule/recent_requests.go
@@ -16,14 +16,14 @@
 
 // RecentRequests is an exponentially decayed count of the requests sent to one server. Its zero value has counted none.
 type RecentRequests struct {
-	count float64
-	at    time.Time
+	count     float64
+	updatedAt time.Time
 }
 
 // Add counts a request.
 func (r *RecentRequests) Add(now time.Time) {
 	r.count = r.Count(now) + 1
-	r.at = now
+	r.updatedAt = now
 }
 
 // Count is the decayed count.
@@ -31,13 +31,13 @@
 	if r.count == 0 {
 		return 0
 	}
-	return r.count * math.Exp(-max(now.Sub(r.at), 0).Seconds()/recentTimeConstant.Seconds())
+	return r.count * math.Exp(-max(now.Sub(r.updatedAt), 0).Seconds()/recentTimeConstant.Seconds())
 }
 
 // likelyCalls estimates the calls of other front nodes at a server: each of them sends it about as many as this one
 // sent it recently, since all prefer the same servers for an object.
 func (r *Request) likelyCalls(candidate *Candidate) float64 {
-	perSecond := candidate.Recent / recentTimeConstant.Seconds()
+	perSecond := candidate.RecentCalls / recentTimeConstant.Seconds()
 	return perSecond * r.Profile.ServiceTime.Seconds() * max(r.FrontsAtServer-1, 0)
 }
 
@@ -51,7 +51,7 @@
 	return unevenShare * sum / float64(max(len(candidates), 1))
 }
 
-// surplus is the number of likely calls at a server above the bound and above busyShare of its slots.
-func (r *Request) surplus(candidate *Candidate, bound float64) float64 {
+// excessCalls is the number of likely calls at a server above the bound and above busyShare of its slots.
+func (r *Request) excessCalls(candidate *Candidate, bound float64) float64 {
 	return max(r.likelyCalls(candidate)-max(bound, busyShare*candidate.slots()), 0)
 }
--- a/internal/dataplane/schedule/recent_requests_test.go
+++ b/internal/dataplane/schedule/recent_requests_test.go
@@ -44,7 +44,7 @@
 	candidates := append([]schedule.Candidate(nil), f.servers...)
 	for number := range candidates {
 		if countsRecent {
-			candidates[number].Recent = f.recent[front][number].Count(f.now)
+			candidates[number].RecentCalls = f.recent[front][number].Count(f.now)
 		}
 	}
 	decision := schedule.Choose(schedule.Request{
--- a/internal/dataplane/schedule/schedule.go
+++ b/internal/dataplane/schedule/schedule.go
@@ -2,7 +2,7 @@
 //
 // Choose applies a policy to a snapshot of the candidates and their loads; it is a pure
 // function, but for the random source that power of two choices draws from. Beside it are the estimators
-// from which a front node builds candidates: Outlier (ejection and slow start), Slowness,
+// from which a front node builds candidates: OutlierDetector (ejection and slow start), Slowness,
 // ProfileEstimator and RecentRequests. Those have one owner goroutine each and take
 // the time as an argument. The constants of EXPECTED_FIRST_TOKEN come from the comparison in schedulesim;
 // see docs/POLICIES.md.
@@ -43,8 +43,8 @@
 	FrontsAtServer float64
 	// AffinityKey is the prefix that requests share: the program, or the session.
 	AffinityKey string
-	// Last is the back end that ran the session's last turn, if any.
-	Last string
+	// LastServer is the back end that ran the session's last turn, if any.
+	LastServer string
 	// Avoid names the back ends that already failed this request.
 	Avoid []string
 	// Sequence counts the front node's requests, for round robin.
--- a/internal/dataplane/schedule/schedule_test.go
+++ b/internal/dataplane/schedule/schedule_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestAffinityStaysWithTheLastServerUntilItsLoadIsOverTheBound(t *testing.T) {
-	request := schedule.Request{AffinityKey: "program", Last: "s01"}
+	request := schedule.Request{AffinityKey: "program", LastServer: "s01"}
 	if got := schedule.Choose(request, servers(2, 2, 2), nil).Chosen; got != "s01" {
 		t.Fatalf("left the last server for %s", got)
 	}
@@ -196,7 +196,7 @@
 		t.Fatalf("used %d servers", len(chosen))
 	}
 	for at := range many {
-		request := schedule.Request{SubsetSize: 5, Front: "f1", Last: many[at].ID}
+		request := schedule.Request{SubsetSize: 5, Front: "f1", LastServer: many[at].ID}
 		if got := schedule.Choose(request, many, nil).Chosen; got != many[at].ID {
 			t.Fatalf("left %s for %s", many[at].ID, got)
 		}
@@ -224,7 +224,8 @@
 			Algorithm:  protocol.SchedulingAlgorithm(rapid.IntRange(0, 5).Draw(t, "algorithm")),
 			SubsetSize: uint32(rapid.IntRange(0, 8).Draw(t, "subset")), Front: "f", Zone: "a",
 			ZoneLocalFirst: rapid.Bool().Draw(t, "local"), AffinityKey: rapid.String().Draw(t, "key"),
-			Last: fmt.Sprintf("s%02d", rapid.IntRange(0, 31).Draw(t, "last")), Sequence: rapid.Uint64().Draw(t, "sequence"),
+			LastServer: fmt.Sprintf("s%02d", rapid.IntRange(0, 31).Draw(t, "last")),
+			Sequence:   rapid.Uint64().Draw(t, "sequence"),
 		}
 		decision := schedule.Choose(request, candidates, rand.New(rand.NewPCG(3, 4)))
 		if (decision.Chosen != "") != usable {
@@ -246,7 +247,7 @@
 
 func TestOutlierIsEjectedLongerEachTimeAndHasASlowStart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var outlier schedule.Outlier
+	var outlier schedule.OutlierDetector
 	if outlier.Share(now) != 1 || outlier.Ejected(now) {
 		t.Fatal("a new server must be healthy")
 	}
@@ -273,7 +274,7 @@
 
 func TestOneSuccessEndsConsecutiveFaults(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var outlier schedule.Outlier
+	var outlier schedule.OutlierDetector
 	for range 4 {
 		outlier.Record(true, now)
 	}
--- a/internal/dataplane/schedule/schedulesim/ablation.go
+++ b/internal/dataplane/schedule/schedulesim/ablation.go
@@ -39,23 +39,23 @@
 	}
 }
 
-func (o *Options) lacks(mechanism Mechanism) bool { return o.Without == mechanism }
+func (o *Options) isDisabled(mechanism Mechanism) bool { return o.Without == mechanism }
 
-// switchOff removes the disabled mechanism's part of a request.
-func (o *Options) switchOff(request *schedule.Request) {
+// disableInRequest removes the disabled mechanism's part of a request.
+func (o *Options) disableInRequest(request *schedule.Request) {
 	switch o.Without {
 	case HomeServer:
 		request.AffinityKey += "/" + strconv.FormatUint(request.Sequence, 10)
 	case LastServer:
-		request.Last = ""
+		request.LastServer = ""
 	case OwnZone:
 		request.Zone = ""
 	case Digests, CachedParts, PendingPrompts, LearnedSlowness, LoadSamples, AnswerLoads:
 	}
 }
 
-// hide removes the disabled mechanism's part of a candidate.
-func (o *Options) hide(candidate *schedule.Candidate) {
+// disableInCandidate removes the disabled mechanism's part of a candidate.
+func (o *Options) disableInCandidate(candidate *schedule.Candidate) {
 	switch o.Without {
 	case CachedParts:
 		candidate.CachedTokens = 0
--- a/internal/dataplane/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -91,21 +91,21 @@
 			run: p, queue: limit.NewQueue(0, 0, options.Slots/options.Fronts), waiting: map[uint64]*admissionCall{},
 		})
 	}
-	p.nextCall()
+	p.scheduleCall()
 	p.timeline.runUntil(options.Length + options.Timeout)
 	return p.result
 }
 
-func (p *admissionRun) nextCall() {
+func (p *admissionRun) scheduleCall() {
 	wait := time.Duration(p.random.ExpFloat64() / p.options.PerSecond * float64(time.Second))
 	if p.timeline.now+wait > p.options.Length {
 		return
 	}
 	p.timeline.after(wait, func() {
 		p.result.Calls++
-		work := lognormal(p.random, float64(p.options.Work), spread, 5*float64(p.options.Work))
+		work := lognormal(p.random, float64(p.options.Work), sizeSigma, 5*float64(p.options.Work))
 		p.send(&admissionCall{begun: p.timeline.now, work: time.Duration(work)})
-		p.nextCall()
+		p.scheduleCall()
 	})
 }
 
@@ -124,11 +124,11 @@
 	begun := p.timeline.clock().Add(call.begun - p.timeline.now)
 	return limit.Ticket{
 		ID: p.nextID, Class: protocol.Priority_INTERACTIVE, Weight: 1, Deadline: begun.Add(p.options.Timeout),
-		MaxWait: p.ofObjective(p.options.MaxWaitShare), MaxExpectedWait: p.ofObjective(p.options.MaxExpectedShare),
+		MaxWait: p.objectiveShare(p.options.MaxWaitShare), MaxExpectedWait: p.objectiveShare(p.options.MaxExpectedShare),
 	}
 }
 
-func (p *admissionRun) ofObjective(share float64) time.Duration {
+func (p *admissionRun) objectiveShare(share float64) time.Duration {
 	return time.Duration(share * float64(p.options.Objective))
 }
 
--- a/internal/dataplane/schedule/schedulesim/engine.go
+++ b/internal/dataplane/schedule/schedulesim/engine.go
@@ -48,10 +48,10 @@
 	slowness float64
 	draining bool
 
-	waiting []*generation
-	batch   []*generation
-	cache   *promptcache.Model
-	busy    bool
+	waiting  []*generation
+	batch    []*generation
+	cache    *promptcache.Model
+	stepping bool
 
 	// prefilled counts all prompt tokens that were prefilled.
 	prefilled uint64
@@ -76,14 +76,14 @@
 }
 
 func (e *engine) begin() {
-	if !e.busy && len(e.waiting)+len(e.batch) > 0 {
-		e.busy = true
+	if !e.stepping && len(e.waiting)+len(e.batch) > 0 {
+		e.stepping = true
 		e.step()
 	}
 }
 
-// running counts the requests with and without a first token, as a load report does.
-func (e *engine) running() (running, queued int) {
+// requestCounts counts the requests with and without a first token, as a load report does.
+func (e *engine) requestCounts() (running, queued int) {
 	for _, request := range e.batch {
 		if request.generated > 0 {
 			running++
@@ -92,8 +92,8 @@
 	return running, len(e.waiting) + len(e.batch) - running
 }
 
-// used is the memory, in tokens, of the running requests.
-func (e *engine) used() uint64 {
+// usedTokens is the memory, in tokens, of the running requests.
+func (e *engine) usedTokens() uint64 {
 	used := uint64(0)
 	for _, request := range e.batch {
 		used += request.context()
@@ -118,7 +118,7 @@
 
 func (e *engine) stepTime(decoding int, read uint64) time.Duration {
 	took := e.spec.StepTime + time.Duration(decoding)*e.spec.PerRequest
-	took += time.Duration(float64(e.spec.PerThousand) * float64(e.used()) / 1000)
+	took += time.Duration(float64(e.spec.PerThousand) * float64(e.usedTokens()) / 1000)
 	took += time.Duration(float64(read) / e.spec.PromptRate * float64(time.Millisecond))
 	return time.Duration(float64(took) * e.slowness)
 }
@@ -128,7 +128,7 @@
 	slices.SortStableFunc(e.waiting, func(a, b *generation) int { return int(a.rank) - int(b.rank) })
 	for len(e.waiting) > 0 && len(e.batch) < e.spec.Slots {
 		next := e.waiting[0]
-		if e.used()+next.context() > e.spec.CacheTokens && len(e.batch) > 0 {
+		if e.usedTokens()+next.context() > e.spec.CacheTokens && len(e.batch) > 0 {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -141,17 +141,17 @@
 	// The last token is never cached.
 	request.pendingPrompt = max(request.pendingPrompt, 1)
 	e.batch = append(e.batch, request)
-	e.fit()
+	e.resizeCache()
 }
 
-// fit gives the prefix cache the memory that running requests do not occupy.
-func (e *engine) fit() {
-	e.cache.Resize(cacheKey, e.spec.CacheTokens-min(e.spec.CacheTokens, e.used()))
+// resizeCache gives the prefix cache the memory that running requests do not occupy.
+func (e *engine) resizeCache() {
+	e.cache.SetCapacity(cacheKey, e.spec.CacheTokens-min(e.spec.CacheTokens, e.usedTokens()))
 }
 
 // preempt queues the newest of the lowest-priority requests again while memory is short.
 func (e *engine) preempt() {
-	for len(e.batch) > 1 && e.used() > e.spec.CacheTokens {
+	for len(e.batch) > 1 && e.usedTokens() > e.spec.CacheTokens {
 		victim := len(e.batch) - 1
 		for at, v := range slices.Backward(e.batch) {
 			if v.rank > e.batch[victim].rank {
@@ -203,8 +203,8 @@
 		}
 	}
 	e.retire()
-	e.fit()
-	e.busy = false
+	e.resizeCache()
+	e.stepping = false
 	e.begin()
 }
 
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -98,11 +98,11 @@
 	engines  []*engine
 	fronts   []*front
 	result   *Result
-	// planned draws the programs, so that they are the same for each policy.
-	planned    *rand.Rand
-	started    int
-	replaced   int
-	allEngines []*engine
+	// programRandom draws the programs, so that they are the same for each policy.
+	programRandom *rand.Rand
+	started       int
+	replaced      int
+	allEngines    []*engine
 }
 
 const defaultZones = 4
@@ -110,7 +110,7 @@
 // Simulate simulates a fleet.
 func Simulate(options Options) *Result {
 	f := &fleet{
-		options: options, timeline: &timeline{}, planned: rand.New(rand.NewPCG(options.Seed, 1)),
+		options: options, timeline: &timeline{}, programRandom: rand.New(rand.NewPCG(options.Seed, 1)),
 		result: &Result{
 			kinds: make(map[string][2]int), prefilledBefore: make(map[uint64]bool), ByKind: make(map[string]float64),
 		},
@@ -124,7 +124,7 @@
 		f.fronts = append(f.fronts, newFront(f, fmt.Sprintf("front-%d", at), fmt.Sprintf("zone-%d", at%zones), random))
 	}
 	f.updateViews()
-	f.setEvents()
+	f.scheduleEvents()
 	f.timeline.runUntil(options.Length + options.GracePeriod)
 	f.finish()
 	return f.result
@@ -151,23 +151,24 @@
 	}
 }
 
-func (f *fleet) setEvents() {
+func (f *fleet) scheduleEvents() {
 	for at := range f.options.Programs {
-		f.nextProgram(&f.options.Programs[at], at == 0)
+		f.scheduleProgram(&f.options.Programs[at], at == 0)
 	}
 	for at, front := range f.fronts {
-		if f.options.lacks(LoadSamples) {
+		if f.options.isDisabled(LoadSamples) {
 			break
 		}
 		f.every(
-			time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(at)*time.Millisecond, front.sample,
+			time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(at)*time.Millisecond,
+			front.requestReport,
 		)
 	}
-	if f.options.Digests > 0 && !f.options.lacks(Digests) {
+	if f.options.Digests > 0 && !f.options.isDisabled(Digests) {
 		f.every(f.options.Digests, 0, f.exchangeDigests)
 	}
-	f.setSlow()
-	f.setRelease()
+	f.scheduleSlowdown()
+	f.scheduleRelease()
 }
 
 func (f *fleet) every(interval, offset time.Duration, run func()) {
@@ -193,7 +194,7 @@
 	}
 }
 
-func (f *fleet) setSlow() {
+func (f *fleet) scheduleSlowdown() {
 	for at := range f.options.Slow.Servers {
 		slow := f.engines[(at*5+2)%len(f.engines)]
 		f.timeline.after(f.options.Slow.From, func() { slow.slowness = f.options.Slow.Factor })
@@ -201,8 +202,8 @@
 	}
 }
 
-// setRelease drains one server after the other, each replaced by an empty one.
-func (f *fleet) setRelease() {
+// scheduleRelease drains one server after the other, each replaced by an empty one.
+func (f *fleet) scheduleRelease() {
 	count := int(f.options.Release.Share * float64(len(f.engines)))
 	for at := range count {
 		f.timeline.after(
@@ -215,7 +216,7 @@
 	old.draining = true
 	f.engines = slices.DeleteFunc(slices.Clone(f.engines), func(e *engine) bool { return e == old })
 	for _, front := range f.fronts {
-		front.cache.Forget(old.id)
+		front.cache.Remove(old.id)
 	}
 	f.timeline.after(f.options.Release.Gap/2, func() {
 		f.replaced++
@@ -224,39 +225,40 @@
 	})
 }
 
-// nextProgram lets programs of a kind begin at random times.
-func (f *fleet) nextProgram(spec *ProgramSpec, bursts bool) {
+// scheduleProgram lets programs of a kind begin at random times.
+func (f *fleet) scheduleProgram(spec *ProgramSpec, bursts bool) {
 	rate := spec.PerSecond * f.options.Load
 	now := f.timeline.now
 	if burst := f.options.Burst; bursts && burst.Factor > 0 && now >= burst.From && now < burst.From+burst.For {
 		rate *= burst.Factor
 	}
-	wait := time.Duration(f.planned.ExpFloat64() / rate * float64(time.Second))
+	wait := time.Duration(f.programRandom.ExpFloat64() / rate * float64(time.Second))
 	if now+wait > f.options.Length {
 		return
 	}
 	f.timeline.after(wait, func() {
-		f.begin(spec)
-		f.nextProgram(spec, bursts)
+		f.beginProgram(spec)
+		f.scheduleProgram(spec, bursts)
 	})
 }
 
-func (f *fleet) begin(spec *ProgramSpec) {
+func (f *fleet) beginProgram(spec *ProgramSpec) {
 	f.started++
-	plan := planProgram(spec, f.planned)
+	plan := planProgram(spec, f.programRandom)
 	p := &program{
-		spec: spec, name: fmt.Sprintf("program-%d", f.started), started: f.timeline.now, ideal: plan.ideal(f.options.Engine),
+		spec: spec, name: fmt.Sprintf("program-%d", f.started), started: f.timeline.now,
+		unloadedTime: plan.unloadedTime(f.options.Engine),
 	}
-	p.deadline = p.started + time.Duration(targetFactor*float64(p.ideal)) + targetMargin
+	p.deadline = p.started + time.Duration(targetFactor*float64(p.unloadedTime)) + targetMargin
 	conversation := &conversation{
-		program: p, session: p.name, front: f.fronts[f.planned.IntN(len(f.fronts))],
-		segments: []promptSegment{drawSharedPrefix(spec, f.planned)}, done: func() { f.end(p) },
+		program: p, session: p.name, front: f.fronts[f.programRandom.IntN(len(f.fronts))],
+		segments: []promptSegment{drawSharedPrefix(spec, f.programRandom)}, done: func() { f.endProgram(p) },
 	}
 	f.result.Programs++
-	f.run(conversation, plan, 0)
+	f.runTurns(conversation, plan, 0)
 }
 
-func (f *fleet) end(p *program) {
+func (f *fleet) endProgram(p *program) {
 	kind := f.result.kinds[p.spec.Name]
 	kind[1]++
 	switch {
@@ -271,8 +273,8 @@
 	f.result.kinds[p.spec.Name] = kind
 }
 
-// run runs the turns of a conversation from one on.
-func (f *fleet) run(conversation *conversation, plan *conversationPlan, turn int) {
+// runTurns runs the turns of a conversation from one on.
+func (f *fleet) runTurns(conversation *conversation, plan *conversationPlan, turn int) {
 	if turn == len(plan.turns) || conversation.program.failed {
 		conversation.done()
 		return
@@ -289,12 +291,12 @@
 		},
 		onDone: func() {
 			f.timeline.after(networkTime/2, func() {
-				f.subAgents(conversation, next.subAgents, func() {
+				f.runSubAgents(conversation, next.subAgents, func() {
 					thinkTime := next.thinkTime
 					if turn+1 == len(plan.turns) {
 						thinkTime = 0
 					}
-					f.timeline.after(thinkTime, func() { f.run(conversation, plan, turn+1) })
+					f.timeline.after(thinkTime, func() { f.runTurns(conversation, plan, turn+1) })
 				})
 			})
 		},
@@ -312,15 +314,15 @@
 }
 
 func (c *conversation) prompt() promptcache.Prompt {
-	chain := promptcache.NewChain("model", len(c.segments))
+	chain := promptcache.NewPromptBuilder("model", len(c.segments))
 	for _, segment := range c.segments {
 		chain.Add(segment.id, segment.tokens)
 	}
 	return chain.Prompt()
 }
 
-// subAgents runs conversations concurrently that continue the parent's, and calls then when all are done.
-func (f *fleet) subAgents(parent *conversation, plans []*conversationPlan, then func()) {
+// runSubAgents runs conversations concurrently that continue the parent's, and calls then when all are done.
+func (f *fleet) runSubAgents(parent *conversation, plans []*conversationPlan, then func()) {
 	if len(plans) == 0 {
 		then()
 		return
@@ -336,7 +338,7 @@
 				then()
 			}
 		}
-		f.run(subConversation, plan, 0)
+		f.runTurns(subConversation, plan, 0)
 	}
 }
 
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -64,43 +64,43 @@
 	for _, server := range f.fleet.engines {
 		if f.servers[server.id] == nil {
 			f.servers[server.id] = &serverState{engine: server}
-			f.cache.Resize(server.id, server.spec.CacheTokens)
+			f.cache.SetCapacity(server.id, server.spec.CacheTokens)
 		}
 	}
 }
 
-// sample requests a load report of the one of two random servers whose report is older.
-func (f *front) sample() {
+// requestReport requests a load report of the one of two random servers whose report is older.
+func (f *front) requestReport() {
 	servers := f.fleet.engines
 	one, two := f.servers[servers[f.random.IntN(len(servers))].id], f.servers[servers[f.random.IntN(len(servers))].id]
 	if two.report.at < one.report.at {
 		one = two
 	}
-	running, queued := one.engine.running()
+	running, queued := one.engine.requestCounts()
 	taken := report{
-		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: one.engine.used(),
+		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: one.engine.usedTokens(),
 		waiting: one.waiting,
 	}
 	f.fleet.timeline.after(reportDelay, func() {
 		one.report = taken
-		f.cache.Resize(one.engine.id, one.engine.spec.CacheTokens-min(one.engine.spec.CacheTokens, taken.used))
+		f.cache.SetCapacity(one.engine.id, one.engine.spec.CacheTokens-min(one.engine.spec.CacheTokens, taken.used))
 	})
 }
 
 // receiveLoad records the load that a server reports with the head of an answer.
 func (f *front) receiveLoad(state *serverState) {
-	if !f.fleet.options.LoadOnAnswers || f.fleet.options.lacks(AnswerLoads) {
+	if !f.fleet.options.LoadOnAnswers || f.fleet.options.isDisabled(AnswerLoads) {
 		return
 	}
-	running, queued := state.engine.running()
+	running, queued := state.engine.requestCounts()
 	state.report = report{
 		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used,
 		waiting: state.waiting,
 	}
 }
 
-// factor is the server's slowness, from its answers and from the requests without one.
-func (s *serverState) factor(profile schedule.Profile, timeline *timeline) float64 {
+// slownessFactor is the server's slowness, from its answers and from the requests without one.
+func (s *serverState) slownessFactor(profile schedule.Profile, timeline *timeline) float64 {
 	if len(s.issued) == 0 {
 		return s.slowness.Factor(timeline.clock())
 	}
@@ -108,15 +108,15 @@
 	return s.slowness.FactorWhileWaiting(expected, timeline.now-slices.Min(s.issued), timeline.clock())
 }
 
-func (s *serverState) sent(tokens uint64, at time.Duration) {
+func (s *serverState) recordSent(tokens uint64, at time.Duration) {
 	s.inFlight++
 	s.waiting++
 	s.pendingTokens += tokens
 	s.issued = append(s.issued, at)
 }
 
-// firstTokenReceived records that a request has its first token or was rejected.
-func (s *serverState) firstTokenReceived(tokens uint64, at time.Duration) {
+// recordFirstToken records that a request has its first token or was rejected.
+func (s *serverState) recordFirstToken(tokens uint64, at time.Duration) {
 	s.waiting--
 	s.pendingTokens -= tokens
 	index := slices.Index(s.issued, at)
@@ -131,14 +131,14 @@
 			ID: server.id, Zone: server.zone, Draining: server.draining, Capacity: uint32(server.spec.Slots), Weight: 1,
 			InFlight: state.inFlight, Waiting: state.waiting, PendingTokens: state.pendingTokens,
 			CachedTokens: f.cache.Cached(server.id, prompt), CacheTokens: server.spec.CacheTokens,
-			Slowness: state.factor(f.profile.Profile(), f.fleet.timeline),
+			Slowness: state.slownessFactor(f.profile.Profile(), f.fleet.timeline),
 		}
 		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportTTL {
 			candidate.Running, candidate.Queued = uint32(state.report.running), uint32(state.report.queued)
 			candidate.UsedTokens, candidate.ReportAge = state.report.used, age
 			candidate.WaitingAtReport = state.report.waiting
 		}
-		f.fleet.options.hide(&candidate)
+		f.fleet.options.disableInCandidate(&candidate)
 		candidates = append(candidates, candidate)
 	}
 	return candidates
@@ -166,11 +166,12 @@
 	request := schedule.Request{
 		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone,
 		SubsetSize:  cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
-		AffinityKey: turn.conversation.program.name, Last: turn.conversation.last, Avoid: turn.avoid, Sequence: f.sequence,
+		AffinityKey: turn.conversation.program.name, LastServer: turn.conversation.last, Avoid: turn.avoid,
+		Sequence:     f.sequence,
 		PromptTokens: turn.prompt.Tokens(), SharedTokens: f.cache.Shared(turn.prompt), OutputTokens: turn.output,
 		Profile: f.profile.Profile(),
 	}
-	f.fleet.options.switchOff(&request)
+	f.fleet.options.disableInRequest(&request)
 	return f.servers[schedule.Choose(request, f.candidates(turn.prompt), f.random).Chosen]
 }
 
@@ -186,11 +187,11 @@
 	ahead := state.pendingTokens
 	issued := timeline.now
 	f.cache.RecordSent(state.engine.id, turn.prompt, timeline.clock())
-	state.sent(own, issued)
+	state.recordSent(own, issued)
 	request := &generation{prompt: turn.prompt, output: turn.output, rank: turn.rank}
 	first := time.Duration(0)
 	request.onFirst = func() {
-		state.firstTokenReceived(own, issued)
+		state.recordFirstToken(own, issued)
 		f.receiveLoad(state)
 		first = timeline.now
 		state.slowness.Observe(f.profile.Profile().FirstToken(own+ahead), first-issued, timeline.clock())
@@ -210,7 +211,7 @@
 			return
 		}
 		state.inFlight--
-		state.firstTokenReceived(own, issued)
+		state.recordFirstToken(own, issued)
 		turn.avoid = append(turn.avoid, state.engine.id)
 		f.issue(turn)
 	})
--- a/internal/dataplane/schedule/schedulesim/tools.go
+++ b/internal/dataplane/schedule/schedulesim/tools.go
@@ -89,13 +89,13 @@
 		}
 		f.fronts = append(f.fronts, front)
 	}
-	f.nextCalls()
+	f.scheduleCalls()
 	f.timeline.runUntil(options.Length + 10*time.Second)
 	slices.Sort(f.result.Latencies)
 	return f.result
 }
 
-func (f *toolFleet) nextCalls() {
+func (f *toolFleet) scheduleCalls() {
 	wait := time.Duration(f.random.ExpFloat64() / f.options.PerSecond * float64(time.Second))
 	if f.timeline.now+wait > f.options.Length {
 		return
@@ -108,7 +108,7 @@
 			work := time.Duration(lognormal(f.random, float64(f.options.Work), 0.8, 5*float64(f.options.Work)))
 			f.call(front, key, work, f.timeline.now, nil)
 		}
-		f.nextCalls()
+		f.scheduleCalls()
 	})
 }
 
--- a/internal/dataplane/schedule/schedulesim/workload.go
+++ b/internal/dataplane/schedule/schedulesim/workload.go
@@ -34,7 +34,7 @@
 	// sharedPrefixes is the number of different shared prefixes, chosen with falling frequency.
 	sharedPrefixes = 3
 	sharedSkew     = 0.7
-	spread         = 0.7
+	sizeSigma      = 0.7
 	// networkTime is the time that a turn spends outside of servers.
 	networkTime = 26 * time.Millisecond
 	// noFork is the turn after which a conversation without sub-agents starts some.
@@ -50,9 +50,9 @@
 	name     string
 	started  time.Duration
 	deadline time.Duration
-	// ideal is the time on idle servers, computed from the plan.
-	ideal  time.Duration
-	failed bool
+	// unloadedTime is the time on idle servers, computed from the plan.
+	unloadedTime time.Duration
+	failed       bool
 }
 
 // conversation is the turns of one session: the program's own or a sub-agent's.
@@ -87,7 +87,7 @@
 	plan := &conversationPlan{}
 	for at := range turns {
 		turn := turnPlan{
-			input:     uint32(lognormal(random, spec.InputTokens, spread, 5*spec.InputTokens)),
+			input:     uint32(lognormal(random, spec.InputTokens, sizeSigma, 5*spec.InputTokens)),
 			output:    uint64(lognormal(random, spec.OutputTokens, 0.8, 4*spec.OutputTokens)),
 			thinkTime: time.Duration(lognormal(random, float64(spec.ThinkTime), 0.6, 4*float64(spec.ThinkTime))),
 		}
@@ -131,15 +131,15 @@
 	return promptSegment{id: spec.Name + "0", tokens: spec.SharedTokens}
 }
 
-// ideal is the time of a conversation on idle servers that have cached all that it repeats.
-func (p *conversationPlan) ideal(engine EngineSpec) time.Duration {
+// unloadedTime is the time of a conversation on idle servers that have cached all that it repeats.
+func (p *conversationPlan) unloadedTime(engine EngineSpec) time.Duration {
 	total := time.Duration(0)
 	for at, turn := range p.turns {
 		total += networkTime + time.Duration(float64(turn.input)/engine.PromptRate*float64(time.Millisecond))
 		total += time.Duration(turn.output) * (engine.StepTime + engine.PerRequest)
 		maxSubAgent := time.Duration(0)
 		for _, sub := range turn.subAgents {
-			maxSubAgent = max(maxSubAgent, sub.ideal(engine))
+			maxSubAgent = max(maxSubAgent, sub.unloadedTime(engine))
 		}
 		total += maxSubAgent
 		if at+1 < len(p.turns) {
--- a/internal/dataplane/schedule/slowness.go
+++ b/internal/dataplane/schedule/slowness.go
@@ -22,7 +22,7 @@
 type Slowness struct {
 	// logarithm is that of the factor, so that half and double weigh the same.
 	logarithm float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // Observe adds the duration of one answer; values that are not positive are ignored.
@@ -33,7 +33,7 @@
 	ratio := min(max(float64(observed)/float64(expected), minSlowness), maxSlowness)
 	before := s.decayed(now)
 	s.logarithm = before + slownessGain*(math.Log(ratio)-before)
-	s.at = now
+	s.updatedAt = now
 }
 
 // Factor is the estimate; 1 is an ordinary server.
@@ -42,10 +42,10 @@
 }
 
 func (s *Slowness) decayed(now time.Time) float64 {
-	if s.at.IsZero() {
+	if s.updatedAt.IsZero() {
 		return 0
 	}
-	return s.logarithm * math.Exp(-max(now.Sub(s.at), 0).Seconds()/slownessTimeConstant.Seconds())
+	return s.logarithm * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/slownessTimeConstant.Seconds())
 }
 
 // FactorWhileWaiting is the factor given how long the oldest request without a first token has waited: it shows
--- a/internal/dataplane/schedule/subset.go
+++ b/internal/dataplane/schedule/subset.go
@@ -33,7 +33,7 @@
 	if zone == "" {
 		return ranked
 	}
-	own, others := divide(ranked, func(c *Candidate) bool { return c.Zone == zone })
+	own, others := partition(ranked, func(c *Candidate) bool { return c.Zone == zone })
 	first := min(len(own), size-size/otherZonesDivisor)
 	return slices.Concat(own[:first], others, own[first:])
 }
@@ -48,7 +48,7 @@
 	ranked := rankForFront(request.Front, request.Zone, size, usable)
 	selected := ranked[:size]
 	for _, candidate := range ranked[size:] {
-		if candidate.ID == request.Last {
+		if candidate.ID == request.LastServer {
 			selected = append(selected[:size:size], candidate)
 			continue
 		}
--- a/internal/testing/sim/servingsuite/admission.go
+++ b/internal/testing/sim/servingsuite/admission.go
@@ -59,7 +59,7 @@
 	ticket.ID = a.next
 	ticket.Class = a.classOf(ticket.Class)
 	a.waiting[ticket.ID] = onDecision
-	a.front.retries.Request()
+	a.front.retries.RecordRequest()
 	a.deliver(a.limiters[group].queue.Enter(ticket, a.front.now()))
 	a.scheduleExpiry()
 	return ticket.ID
@@ -171,7 +171,7 @@
 // knownServer is a front node's state of one server.
 type knownServer struct {
 	description serverDescription
-	outlier     schedule.Outlier
+	outlier     schedule.OutlierDetector
 	inFlight    uint32
 	running     uint32
 	reportedAt  time.Time
@@ -189,7 +189,7 @@
 		candidate := schedule.Candidate{
 			ID: id, Zone: known.description.zone, Capacity: known.description.capacity, InFlight: known.inFlight,
 			Draining: known.description.draining && f.suite.options.Mutation != MutationIgnoreDrains,
-			Ejected:  known.outlier.Ejected(now), EjectedUntil: known.outlier.Until(), Weight: known.outlier.Share(now),
+			Ejected:  known.outlier.Ejected(now), EjectedUntil: known.outlier.EjectedUntil(), Weight: known.outlier.Share(now),
 		}
 		candidate.Unreachable = candidate.Ejected && known.outlier.Unreachable()
 		if age := now.Sub(known.reportedAt); age <= loadReportTTL {
@@ -214,7 +214,7 @@
 		}
 	}
 	decision := schedule.Choose(schedule.Request{
-		Algorithm: f.suite.algorithm, Front: f.name, Zone: f.environment.Zone(), AffinityKey: affinity, Last: last,
+		Algorithm: f.suite.algorithm, Front: f.name, Zone: f.environment.Zone(), AffinityKey: affinity, LastServer: last,
 		Avoid: avoid, Sequence: f.sequence,
 	}, offered, f.environment.Random())
 	f.suite.rules.checkEjections(f.name, all, avoid, decision)
--- a/internal/testing/sim/servingsuite/turn_commands.go
+++ b/internal/testing/sim/servingsuite/turn_commands.go
@@ -21,7 +21,7 @@
 	case turn.Choose:
 		return r.choose(command.Avoid)
 	case turn.RequestRetry:
-		return turn.RetryDecided{Granted: r.front.retries.Retry()}
+		return turn.RetryDecided{Granted: r.front.retries.TakeRetry()}
 	case turn.Issue:
 		r.issue(command.Epoch)
 	case turn.IssueCall:
