--- a/internal/dataplane/schedule/candidate.go
+++ b/internal/dataplane/schedule/candidate.go
@@ -14,34 +14,38 @@
 	Draining bool
 	// Ejected is true while outlier ejection keeps traffic off the server.
 	Ejected bool
-	// Capacity is the maximum number of concurrent requests of the server; 0 is unknown.
+	// Capacity is the maximum number of concurrent requests of the server; 0 means unknown.
 	Capacity uint32
 	// InFlight counts this front node's own requests at the server.
 	InFlight uint32
-	// Running and Queued are what the server last reported, and InFlightAtReport is InFlight as it was then.
+	// Running and Queued are from the server's last load report, and InFlightAtReport is the value of InFlight at that
+	// time.
 	Running          uint32
 	Queued           uint32
 	InFlightAtReport uint32
-	// Weight scales the share of traffic: the zone's weight times the slow start after an ejection. 0 takes none.
+	// Weight scales the share of traffic: the zone's weight times the slow-start factor after an ejection. A server of
+	// weight 0 gets none.
 	Weight float64
-	// EjectedUntil orders the ejected ones when too many of a group are: the first to return is used first.
+	// EjectedUntil is when the ejection ends. When too much of a group is ejected, the servers whose ejections end first
+	// are readmitted first.
 	EjectedUntil time.Time
 	// Unreachable is true while connections to the server fail; such a server is readmitted only when there is no other.
 	Unreachable bool
 
-	// The rest is used by EXPECTED_FIRST_TOKEN alone.
+	// The fields up to Slowness are used by EXPECTED_FIRST_TOKEN only.
 
 	// Waiting counts this front node's own requests at the server without a first token.
 	Waiting uint32
-	// PendingTokens are the known prompt tokens of those that the server has still to prefill.
+	// PendingTokens counts the prompt tokens of those requests that the server has yet to prefill, as far as is known.
 	PendingTokens uint64
-	// CachedTokens are the tokens of the request's prompt that the server has in its prefix cache.
+	// CachedTokens counts the tokens of the request's prompt that the server has in its prefix cache.
 	CachedTokens uint64
-	// ReportAge is how old Running, Queued and UsedTokens are; 0 or less means that nothing was reported.
+	// ReportAge is the age of Running, Queued and UsedTokens; 0 or less means that there is no report.
 	ReportAge time.Duration
 	// WaitingAtReport is Waiting as it was when the load was reported.
 	WaitingAtReport uint32
-	// UsedTokens is the part of CacheTokens, the server's memory, that running requests occupy; CacheTokens 0 is unknown.
+	// UsedTokens is the part of the server's memory, CacheTokens, that running requests occupy. A CacheTokens of 0 means
+	// unknown.
 	UsedTokens  uint64
 	CacheTokens uint64
 	// RecentCalls is the decayed count of calls that this front node sent there; see RecentRequests.
@@ -49,18 +53,20 @@
 	// Slowness is the factor by which the server is slower than its group; 0 means 1.
 	Slowness float64
 
-	// The rest is used by generations of training steps alone.
+	// The fields below are used for generations of training steps only.
 
-	// Steps counts this front node's own generations of steps at the server, and StepSlots is their maximum.
+	// Steps counts this front node's own generations of training steps at the server, and StepSlots is their maximum
+	// number.
 	Steps     uint32
 	StepSlots uint32
 	// StepsAtReport is Steps as it was when the load was reported.
 	StepsAtReport uint32
-	// StepTokens are the prompt tokens of those still to prefill and the output tokens that they may still generate.
+	// StepTokens counts the prompt tokens of those generations that the server has yet to prefill and the output tokens
+	// that they may still generate.
 	StepTokens uint64
 }
 
-// Load is the relative load: requests at the server by its capacity and weight; 1 is full.
+// Load returns the relative load: the requests at the server divided by its capacity and its weight; 1 means full.
 func (c *Candidate) Load() float64 {
 	return c.loadWith(0)
 }
@@ -74,8 +80,8 @@
 	return float64(max(c.InFlight, c.Running+c.Queued))
 }
 
-// estimatedRequests estimates the requests at the server now: this front node's own, and those that others
-// had there at the time of the report, decayed since.
+// estimatedRequests estimates the requests at the server now: this front node's own, and those that other front nodes
+// had there at the time of the report, decayed since then.
 func (c *Candidate) estimatedRequests() float64 {
 	own, reported := float64(c.InFlight), c.Running+c.Queued
 	if c.ReportAge <= 0 {
@@ -106,10 +112,10 @@
 	return c.requests()+1 > c.slots()
 }
 
-// slots is the maximum number of concurrent requests of the server, or a default where it is unknown.
+// slots returns the maximum number of concurrent requests of the server, or a default if that is unknown.
 func (c *Candidate) slots() float64 { return float64(cmp.Or(c.Capacity, defaultCapacity)) }
 
-// weightedSlots is the capacity scaled by weight.
+// weightedSlots returns the capacity scaled by the weight.
 func (c *Candidate) weightedSlots() float64 {
 	return c.slots() * c.Weight
 }
--- a/internal/dataplane/schedule/estimators_test.go
+++ b/internal/dataplane/schedule/estimators_test.go
@@ -23,15 +23,15 @@
 	for _, tokens := range []uint64{500, 1500, 3000} {
 		want := 4*time.Millisecond + time.Duration(float64(tokens)/rate*float64(time.Millisecond))
 		if got := profile.FirstToken(tokens); got < want*8/10 || got > want*12/10 {
-			t.Errorf("%d tokens: %v expected, %v taken", tokens, got, want)
+			t.Errorf("FirstToken(%d) = %v, want %v within 20 percent", tokens, got, want)
 		}
 	}
 	if profile.StepTime.Round(time.Millisecond) != 9*time.Millisecond ||
 		profile.ServiceTime.Round(time.Millisecond) != 200*time.Millisecond {
-		t.Errorf("step %v, service %v", profile.StepTime, profile.ServiceTime)
+		t.Errorf("step time %v and service time %v, want 9ms and 200ms", profile.StepTime, profile.ServiceTime)
 	}
 	if profile.MeanPrompt < 1500 || profile.MeanPrompt > 1900 {
-		t.Errorf("mean prompt %v", profile.MeanPrompt)
+		t.Errorf("mean prompt %v, want 1500 to 1900", profile.MeanPrompt)
 	}
 }
 
@@ -43,7 +43,7 @@
 		estimator.ObserveFirstToken(1000, 0, 0)
 	}
 	if after := estimator.Profile().PromptRate; after != before {
-		t.Fatalf("%v became %v", before, after)
+		t.Fatalf("prompt rate changed from %v to %v", before, after)
 	}
 }
 
@@ -51,28 +51,28 @@
 	now := time.Unix(1000, 0)
 	var slowness schedule.Slowness
 	if slowness.Factor(now) != 1 {
-		t.Fatal("an unknown server must be an ordinary one")
+		t.Fatal("the factor without observations is not 1")
 	}
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
 		slowness.Observe(50*time.Millisecond, 300*time.Millisecond, now)
 	}
 	if factor := slowness.Factor(now); factor < 4 || factor > 6.1 {
-		t.Fatalf("six times slower is taken for %v", factor)
+		t.Fatalf("factor %v after answers six times as slow as expected, want 4 to 6.1", factor)
 	}
 	if factor := slowness.Factor(now.Add(30 * time.Second)); factor > 1.2 {
-		t.Fatalf("after thirty quiet seconds still %v", factor)
+		t.Fatalf("factor %v after thirty seconds without answers, want at most 1.2", factor)
 	}
 	for range 10 {
 		slowness.Observe(50*time.Millisecond, 50*time.Millisecond, now)
 	}
 	if factor := slowness.Factor(now); factor > 1.3 {
-		t.Fatalf("ten ordinary answers leave %v", factor)
+		t.Fatalf("factor %v after ten ordinary answers, want at most 1.3", factor)
 	}
 	slowness.Observe(0, time.Hour, now)
 	slowness.Observe(time.Millisecond, time.Hour, now)
 	if factor := slowness.Factor(now); factor > 3 {
-		t.Fatalf("one answer tells as much as %v", factor)
+		t.Fatalf("factor %v after one extremely slow answer, want at most 3", factor)
 	}
 }
 
@@ -80,9 +80,9 @@
 	now := time.Unix(1000, 0)
 	var slowness schedule.Slowness
 	if factor := slowness.FactorWhileWaiting(50*time.Millisecond, 20*time.Millisecond, now); factor != 1 {
-		t.Fatalf("%v while nothing is late", factor)
+		t.Fatalf("factor %v while no answer is overdue, want 1", factor)
 	}
 	if factor := slowness.FactorWhileWaiting(50*time.Millisecond, 400*time.Millisecond, now); factor != 8 {
-		t.Fatalf("%v after eight times as long", factor)
+		t.Fatalf("factor %v after waiting eight times the expected time, want 8", factor)
 	}
 }
--- a/internal/dataplane/schedule/expected_first_token_test.go
+++ b/internal/dataplane/schedule/expected_first_token_test.go
@@ -12,16 +12,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// engines are idle servers of 24 slots in one zone.
-func engines(count int) []schedule.Candidate {
+// idleServers returns idle servers of 24 slots in one zone.
+func idleServers(count int) []schedule.Candidate {
 	candidates := make([]schedule.Candidate, count)
-	for at := range candidates {
-		candidates[at] = schedule.Candidate{ID: fmt.Sprintf("s%02d", at), Zone: "z0", Capacity: 24, Weight: 1}
+	for i := range candidates {
+		candidates[i] = schedule.Candidate{ID: fmt.Sprintf("s%02d", i), Zone: "z0", Capacity: 24, Weight: 1}
 	}
 	return candidates
 }
 
-// turn is a request with a prompt of 3,000 tokens in zone z0.
+// turn returns a request with a prompt of 3,000 tokens from zone z0.
 func turn(program string) schedule.Request {
 	return schedule.Request{
 		Algorithm: protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, Zone: "z0", AffinityKey: program,
@@ -29,21 +29,21 @@
 	}
 }
 
-// call is a request without a prompt.
+// call returns a request without a prompt from zone z0.
 func call(program string) schedule.Request {
 	return schedule.Request{Algorithm: protocol.SchedulingAlgorithm_EXPECTED_FIRST_TOKEN, Zone: "z0", AffinityKey: program}
 }
 
-// homeOf is the index of the server that takes a program when all are alike.
-func homeOf(t *testing.T, request schedule.Request, candidates []schedule.Candidate) int {
+// chosenIndex returns the index of the server that is chosen for a request: a program's home if all servers are alike.
+func chosenIndex(t *testing.T, request schedule.Request, candidates []schedule.Candidate) int {
 	t.Helper()
 	chosen := schedule.Choose(request, candidates, nil).Chosen
-	for at := range candidates {
-		if candidates[at].ID == chosen {
-			return at
+	for i := range candidates {
+		if candidates[i].ID == chosen {
+			return i
 		}
 	}
-	t.Fatalf("chose %q", chosen)
+	t.Fatalf("chose %q, which is not a candidate", chosen)
 	return 0
 }
 
@@ -55,60 +55,60 @@
 }
 
 func TestTurnGoesWhereMostOfItsPromptIsCached(t *testing.T) {
-	candidates := engines(4)
-	home := homeOf(t, turn("p"), candidates)
+	candidates := idleServers(4)
+	home := chosenIndex(t, turn("p"), candidates)
 	other := (home + 1) % 4
 	candidates[other].CachedTokens = 2900
 	expectChosen(t, turn("p"), candidates, other)
 }
 
-func TestTurnsOfAProgramMeetAtOneServerFromAnyFrontNode(t *testing.T) {
+func TestTurnsOfAProgramGoToOneServerFromAnyFrontNode(t *testing.T) {
 	seen := map[int]int{}
 	for program := range 100 {
 		request := turn(fmt.Sprint("program", program))
-		home := homeOf(t, request, engines(4))
+		home := chosenIndex(t, request, idleServers(4))
 		request.Front, request.Sequence = "another", 7
-		expectChosen(t, request, engines(4), home)
+		expectChosen(t, request, idleServers(4), home)
 		seen[home]++
 	}
 	for server, programs := range seen {
 		if programs < 12 {
-			t.Fatalf("server %d is home of %d of 100 programs", server, programs)
+			t.Fatalf("server %d is home of %d of 100 programs, want at least 12", server, programs)
 		}
 	}
 }
 
 func TestTurnLeavesItsHomeWhenPromptsWaitThere(t *testing.T) {
-	candidates := engines(4)
-	home := homeOf(t, turn("p"), candidates)
+	candidates := idleServers(4)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].PendingTokens = 500
 	expectChosen(t, turn("p"), candidates, home)
 	candidates[home].PendingTokens = 5000
-	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("waits behind 5,000 tokens although other servers are idle")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == home {
+		t.Fatal("chose the home with 5,000 pending tokens although other servers are idle")
 	}
 }
 
 func TestRepeatedPrefillCostsMoreThanAWaitOfTheSameLength(t *testing.T) {
-	candidates := engines(2)
-	for at := range candidates {
-		candidates[at].CachedTokens = 3000
-		other := 1 - at
-		candidates[at].PendingTokens = 3000
+	candidates := idleServers(2)
+	for i := range candidates {
+		candidates[i].CachedTokens = 3000
+		other := 1 - i
+		candidates[i].PendingTokens = 3000
 		candidates[other].CachedTokens = 0
-		expectChosen(t, turn("p"), candidates, at)
-		candidates[at].PendingTokens = 12_000
+		expectChosen(t, turn("p"), candidates, i)
+		candidates[i].PendingTokens = 12_000
 		expectChosen(t, turn("p"), candidates, other)
-		candidates = engines(2)
+		candidates = idleServers(2)
 	}
 }
 
 func TestSessionStaysWithItsLastServerAmongEquals(t *testing.T) {
 	for last := range 4 {
-		candidates := engines(4)
+		candidates := idleServers(4)
 		request := turn("p")
-		home := homeOf(t, request, candidates)
-		// Nothing is known to be cached anywhere, and the home is busy.
+		home := chosenIndex(t, request, candidates)
+		// No server has any of the prompt cached, and the home is busy.
 		candidates[home].PendingTokens = 3000
 		request.LastServer = candidates[last].ID
 		if last != home {
@@ -118,15 +118,15 @@
 }
 
 func TestEmptyServerIsNotAvoidedForSharedPrefixes(t *testing.T) {
-	candidates := engines(4)
+	candidates := idleServers(4)
 	request := turn("p")
-	home := homeOf(t, request, candidates)
-	for at := range candidates {
-		candidates[at].PendingTokens, candidates[at].CachedTokens = 1000, 2000
+	home := chosenIndex(t, request, candidates)
+	for i := range candidates {
+		candidates[i].PendingTokens, candidates[i].CachedTokens = 1000, 2000
 	}
 	candidates[home].PendingTokens, candidates[home].CachedTokens = 0, 0
-	if chosen := homeOf(t, request, candidates); chosen == home {
-		t.Fatal("reads 2,000 tokens anew that are the program's own")
+	if chosen := chosenIndex(t, request, candidates); chosen == home {
+		t.Fatal("chose the home, which would prefill 2,000 tokens again that only this program uses")
 	}
 	request.SharedTokens = 2000
 	expectChosen(t, request, candidates, home)
@@ -135,179 +135,181 @@
 func TestProgramMovesToAnotherHomeWhileItsOwnIsSlow(t *testing.T) {
 	for program := range 20 {
 		request := turn(fmt.Sprint("program", program))
-		candidates := engines(4)
-		home := homeOf(t, request, candidates)
+		candidates := idleServers(4)
+		home := chosenIndex(t, request, candidates)
 		candidates[home].Slowness = 2.5
-		next := homeOf(t, request, candidates)
+		next := chosenIndex(t, request, candidates)
 		request.AffinityKey = fmt.Sprint("program", program)
-		// The next home holds what a home holds: a little waiting does not drive the program on.
+		// The new home is preferred like the old one: the program stays there despite a short queue.
 		candidates[next].PendingTokens = 600
 		expectChosen(t, request, candidates, next)
 	}
 }
 
 func TestSlowServerIsAvoided(t *testing.T) {
-	candidates := engines(4)
-	home := homeOf(t, turn("p"), candidates)
+	candidates := idleServers(4)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].Slowness = 6
-	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("went to the slow server")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == home {
+		t.Fatal("chose the slow server")
 	}
 	candidates[home].CachedTokens = 3000
 	expectChosen(t, turn("p"), candidates, home)
 	candidates[home].Slowness = 16
 	candidates[home].PendingTokens = 1000
-	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("waits for a slow server's queue although the prompt is prefilled elsewhere in less time")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == home {
+		t.Fatal("chose the slow server with a queue although another prefills the prompt in less time")
 	}
 }
 
 func TestServerWithoutAFreeSlotComesLast(t *testing.T) {
-	candidates := engines(3)
-	for at := range candidates {
-		candidates[at].InFlight = 23
+	candidates := idleServers(3)
+	for i := range candidates {
+		candidates[i].InFlight = 23
 	}
-	home := homeOf(t, turn("p"), candidates)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].InFlight = 24
 	candidates[home].CachedTokens = 3000
 	decision := schedule.Choose(turn("p"), candidates, nil)
 	if decision.Chosen == candidates[home].ID || reason(decision, candidates[home].ID) != schedule.ReasonFull {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("%s has no free slot, but the decision is %+v", candidates[home].ID, decision)
 	}
-	for at := range candidates {
-		candidates[at].InFlight = 30
+	for i := range candidates {
+		candidates[i].InFlight = 30
 	}
 	expectChosen(t, turn("p"), candidates, home)
 }
 
 func TestTurnDoesNotGoWhereItWouldPreemptOthers(t *testing.T) {
-	candidates := engines(3)
-	for at := range candidates {
-		candidates[at].CacheTokens = 220_000
+	candidates := idleServers(3)
+	for i := range candidates {
+		candidates[i].CacheTokens = 220_000
 	}
-	home := homeOf(t, turn("p"), candidates)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].CachedTokens = 2500
 	candidates[home].UsedTokens = 218_000
-	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("went to a server whose memory is taken")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == home {
+		t.Fatal("chose a server without free memory for the request")
 	}
 }
 
-func TestOwnZoneOnlyDecidesBetweenNearEquals(t *testing.T) {
+func TestOwnZoneDecidesOnlyBetweenServersOfNearlyEqualCost(t *testing.T) {
 	elsewhere := 0
 	for program := range 50 {
-		candidates := engines(4)
+		candidates := idleServers(4)
 		candidates[0].Zone, candidates[1].Zone = "z1", "z1"
 		request := call(fmt.Sprint("program", program))
-		chosen := homeOf(t, request, candidates)
+		chosen := chosenIndex(t, request, candidates)
 		if chosen < 2 {
 			elsewhere++
 		}
-		// A free server elsewhere is better than a busy one here.
+		// An idle server in another zone is better than a busy one in the own zone.
 		candidates[2].InFlight, candidates[3].InFlight = 20, 20
-		if chosen := homeOf(t, request, candidates); chosen > 1 {
-			t.Fatalf("%d is busy", chosen)
+		if chosen := chosenIndex(t, request, candidates); chosen > 1 {
+			t.Fatalf("chose the busy server %d", chosen)
 		}
 	}
 	if elsewhere == 0 {
-		t.Fatal("no call left its zone although all servers are alike")
+		t.Fatal("no call of 50 programs left its zone although all servers are alike")
 	}
-	candidates := engines(2)
-	home := homeOf(t, turn("p"), candidates)
+	candidates := idleServers(2)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].Zone = "z1"
 	candidates[1-home].PendingTokens = 100
 	candidates[home].CachedTokens = 200
-	// A program's home is in the own zone while that costs a turn little more than another zone does.
+	// A program's home is in the own zone while that costs a turn only little more than another zone.
 	expectChosen(t, turn("p"), candidates, 1-home)
 	candidates[1-home].PendingTokens = 3000
 	expectChosen(t, turn("p"), candidates, home)
-	// With the home busy, the next in the order gives way to one of the own zone.
-	candidates = engines(3)
-	candidates[homeOf(t, turn("p"), candidates)].PendingTokens = 50_000
-	next := homeOf(t, turn("p"), candidates)
+	// With the home busy, a server in the own zone is preferred to the next in the order in another zone.
+	candidates = idleServers(3)
+	candidates[chosenIndex(t, turn("p"), candidates)].PendingTokens = 50_000
+	next := chosenIndex(t, turn("p"), candidates)
 	candidates[next].Zone = "z1"
-	if chosen := homeOf(t, turn("p"), candidates); chosen == next {
-		t.Fatal("left the zone although a server like it is in it")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == next {
+		t.Fatal("left the own zone although an equal server is in it")
 	}
 }
 
 func TestCallAvoidsReportedRequestsOfOthersUntilTheyDecay(t *testing.T) {
 	avoided, returned := 0, 0
 	for program := range 50 {
-		candidates := engines(3)
+		candidates := idleServers(3)
 		request := call(fmt.Sprint("program", program))
-		first := homeOf(t, request, candidates)
+		first := chosenIndex(t, request, candidates)
 		busy := &candidates[first]
 		busy.Running, busy.InFlightAtReport, busy.ReportAge = 6, 1, time.Millisecond
-		if homeOf(t, request, candidates) != first {
+		if chosenIndex(t, request, candidates) != first {
 			avoided++
 		}
 		busy.ReportAge = 1900 * time.Millisecond
-		if homeOf(t, request, candidates) == first {
+		if chosenIndex(t, request, candidates) == first {
 			returned++
 		}
-		// What this front node had there at the time of the report says nothing of others.
+		// The front node's own requests at the time of the report do not count as those of others.
 		busy.Running, busy.InFlightAtReport, busy.ReportAge = 6, 6, time.Millisecond
 		expectChosen(t, request, candidates, first)
 	}
 	if avoided < 40 || returned < 40 {
-		t.Fatalf("of 50 programs %d went elsewhere at once, and %d came back when the report was old", avoided, returned)
+		t.Fatalf("of 50 programs %d avoided the busy server and %d returned when the report was old; want at least 40 each",
+			avoided, returned)
 	}
 }
 
-func TestSubsetIsThreeQuartersOfTheOwnZone(t *testing.T) {
-	for _, one := range []struct {
-		here, elsewhere int
-		zone            string
-		wantHere        int
+func TestSubsetTakesUpToThreeQuartersFromTheOwnZone(t *testing.T) {
+	for _, tt := range []struct {
+		ownZone, otherZones int
+		zone                string
+		wantOwnZone         int
 	}{
-		{here: 30, elsewhere: 30, zone: "z0", wantHere: 12},
-		{here: 5, elsewhere: 30, zone: "z0", wantHere: 5},
-		{here: 30, elsewhere: 2, zone: "z0", wantHere: 14},
-		{here: 0, elsewhere: 30, zone: "z0", wantHere: 0},
+		{ownZone: 30, otherZones: 30, zone: "z0", wantOwnZone: 12},
+		{ownZone: 5, otherZones: 30, zone: "z0", wantOwnZone: 5},
+		{ownZone: 30, otherZones: 2, zone: "z0", wantOwnZone: 14},
+		{ownZone: 0, otherZones: 30, zone: "z0", wantOwnZone: 0},
 	} {
-		group := engines(one.here + one.elsewhere)
-		for at := one.here; at < len(group); at++ {
-			group[at].Zone = fmt.Sprint("z", at%3+1)
+		group := idleServers(tt.ownZone + tt.otherZones)
+		for i := tt.ownZone; i < len(group); i++ {
+			group[i].Zone = fmt.Sprint("z", i%3+1)
 		}
-		here := 0
-		subset := schedule.Subset("front", one.zone, 16, group)
+		inOwnZone := 0
+		subset := schedule.Subset("front", tt.zone, 16, group)
 		for _, candidate := range subset {
-			if candidate.Zone == one.zone {
-				here++
+			if candidate.Zone == tt.zone {
+				inOwnZone++
 			}
 		}
-		if len(subset) != 16 || here != one.wantHere {
+		if len(subset) != 16 || inOwnZone != tt.wantOwnZone {
 			t.Errorf(
-				"of %d here and %d elsewhere: %d, of them %d here, want 16 and %d", one.here, one.elsewhere, len(subset), here,
-				one.wantHere,
+				"%d servers in the own zone and %d in others: subset of %d with %d in the own zone, want 16 with %d",
+				tt.ownZone, tt.otherZones, len(subset), inOwnZone, tt.wantOwnZone,
 			)
 		}
-		other := schedule.Subset("other", one.zone, 16, group)
+		other := schedule.Subset("other", tt.zone, 16, group)
 		if slices.EqualFunc(subset, other, func(a, b schedule.Candidate) bool { return a.ID == b.ID }) {
-			t.Error("two front nodes use the same servers")
+			t.Errorf("two front nodes have the same subset of %d servers in the own zone and %d in others",
+				tt.ownZone, tt.otherZones)
 		}
 	}
 }
 
 func TestAmongFullServersTheShortestQueueIsChosen(t *testing.T) {
-	candidates := engines(3)
-	for at := range candidates {
-		candidates[at].InFlight, candidates[at].CachedTokens = 100, 3000
+	candidates := idleServers(3)
+	for i := range candidates {
+		candidates[i].InFlight, candidates[i].CachedTokens = 100, 3000
 	}
-	home := homeOf(t, turn("p"), candidates)
+	home := chosenIndex(t, turn("p"), candidates)
 	other := (home + 1) % 3
 	candidates[other].InFlight = 25
 	expectChosen(t, turn("p"), candidates, other)
 }
 
 func TestWaitingRequestsOfOthersCountWhileTheReportIsFresh(t *testing.T) {
-	candidates := engines(3)
-	home := homeOf(t, turn("p"), candidates)
+	candidates := idleServers(3)
+	home := chosenIndex(t, turn("p"), candidates)
 	candidates[home].Queued = 8
 	candidates[home].ReportAge = 50 * time.Millisecond
-	if chosen := homeOf(t, turn("p"), candidates); chosen == home {
-		t.Fatal("went to a server that has eight prompts to prefill")
+	if chosen := chosenIndex(t, turn("p"), candidates); chosen == home {
+		t.Fatal("chose a server with eight prompts to prefill")
 	}
 	candidates[home].ReportAge = 1900 * time.Millisecond
 	expectChosen(t, turn("p"), candidates, home)
@@ -316,41 +318,41 @@
 }
 
 func TestCallsSpreadByTheSpeedOfServers(t *testing.T) {
-	candidates := engines(4)
+	candidates := idleServers(4)
 	candidates[0].Slowness = 4
 	seen := map[int]int{}
 	for program := range 2000 {
-		seen[homeOf(t, call(fmt.Sprint("program", program)), candidates)]++
+		seen[chosenIndex(t, call(fmt.Sprint("program", program)), candidates)]++
 	}
 	if seen[0] > 60 || seen[0] == 0 {
-		t.Fatalf("the slow server took %d of 2,000 calls", seen[0])
+		t.Fatalf("the slow server got %d of 2,000 calls, want 1 to 60", seen[0])
 	}
-	for at := 1; at < 4; at++ {
-		if seen[at] < 550 {
-			t.Fatalf("server %d took %d of 2,000 calls", at, seen[at])
+	for i := 1; i < 4; i++ {
+		if seen[i] < 550 {
+			t.Fatalf("server %d got %d of 2,000 calls, want at least 550", i, seen[i])
 		}
 	}
 }
 
 func TestConcurrentCallsAreSpread(t *testing.T) {
-	candidates := engines(4)
+	candidates := idleServers(4)
 	used := map[int]bool{}
 	for range 3 {
-		chosen := homeOf(t, call("p"), candidates)
+		chosen := chosenIndex(t, call("p"), candidates)
 		candidates[chosen].InFlight++
 		used[chosen] = true
 	}
 	if len(used) != 3 {
-		t.Fatalf("three calls at %d servers", len(used))
+		t.Fatalf("three concurrent calls went to %d servers, want 3", len(used))
 	}
 }
 
 func TestNoRequestGoesToAFullServerWhileAnotherHasAFreeSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		candidates := engines(rapid.IntRange(1, 8).Draw(t, "count"))
+		candidates := idleServers(rapid.IntRange(1, 8).Draw(t, "count"))
 		free := map[string]bool{}
-		for at := range candidates {
-			candidate := &candidates[at]
+		for i := range candidates {
+			candidate := &candidates[i]
 			candidate.Capacity = uint32(rapid.IntRange(1, 6).Draw(t, "capacity"))
 			candidate.InFlight = uint32(rapid.IntRange(0, 8).Draw(t, "in flight"))
 			candidate.Running = uint32(rapid.IntRange(0, 8).Draw(t, "running"))
@@ -370,9 +372,9 @@
 	})
 }
 
-// BenchmarkChoose places a turn among 72 servers.
+// BenchmarkChoose chooses one of 72 servers for a turn.
 func BenchmarkChoose(b *testing.B) {
-	candidates := engines(72)
+	candidates := idleServers(72)
 	request := turn("p")
 	request.SubsetSize = 72
 	for b.Loop() {
--- a/internal/dataplane/schedule/filter.go
+++ b/internal/dataplane/schedule/filter.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// filter drops candidates that must not be used. Ejected ones are readmitted when too few
-// would be left; draining ones never are.
+// filter drops candidates that must not be used. Ejected ones are readmitted when too few would be left; draining ones
+// never are.
 func (d *Decision) filter(request Request, candidates []Candidate) []*Candidate {
 	var usable, ejected []*Candidate
 	for index := range candidates {
@@ -36,16 +36,16 @@
 	minUsable := (len(usable) + len(ejected) + 1) / 2
 	unreachable, suspected := partition(ejected, func(c *Candidate) bool { return c.Unreachable })
 	slices.SortStableFunc(suspected, func(a, b *Candidate) int { return a.EjectedUntil.Compare(b.EjectedUntil) })
-	back := min(len(suspected), max(minUsable-len(usable), 0))
-	usable = append(usable, suspected[:back]...)
+	readmittedCount := min(len(suspected), max(minUsable-len(usable), 0))
+	usable = append(usable, suspected[:readmittedCount]...)
 	if len(usable) == 0 {
 		return unreachable, nil
 	}
-	return usable, append(unreachable, suspected[back:]...)
+	return usable, append(unreachable, suspected[readmittedCount:]...)
 }
 
-// localZone restricts the choice to the front node's own zone while one of its servers has a free slot, then to its
-// own region while one there has; otherwise it is all candidates.
+// localZone restricts the choice to the front node's own zone while a server there has a free slot, otherwise to its
+// own region while a server there has one, and otherwise returns all candidates.
 func (d *Decision) localZone(request Request, usable []*Candidate) []*Candidate {
 	if !request.ZoneLocalFirst {
 		return usable
@@ -64,7 +64,7 @@
 	return usable
 }
 
-// restrictTo passes over all others.
+// restrictTo passes over the other candidates and returns the selected ones.
 func (d *Decision) restrictTo(selected, others []*Candidate, reason string) []*Candidate {
 	for _, candidate := range others {
 		d.passOver(candidate, candidate.Load(), reason)
@@ -72,18 +72,19 @@
 	return selected
 }
 
-// partition separates the candidates inside from the others, in their order.
-func partition(candidates []*Candidate, matches func(*Candidate) bool) (in, out []*Candidate) {
+// partition separates the candidates that match from the others and keeps the order of both.
+func partition(candidates []*Candidate, matches func(*Candidate) bool) (matching, others []*Candidate) {
 	for _, candidate := range candidates {
 		if matches(candidate) {
-			in = append(in, candidate)
+			matching = append(matching, candidate)
 		} else {
-			out = append(out, candidate)
+			others = append(others, candidate)
 		}
 	}
-	return in, out
+	return matching, others
 }
 
+// hasFree reports whether one of the candidates has a free slot.
 func hasFree(candidates []*Candidate) bool {
 	return slices.ContainsFunc(candidates, func(c *Candidate) bool { return c.loadWith(1) <= fullLoad })
 }
--- a/internal/dataplane/schedule/least_outstanding_test.go
+++ b/internal/dataplane/schedule/least_outstanding_test.go
@@ -9,26 +9,26 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// A step keeps a number of programs busy: each begins its next generation when
-// the last one has ended. One generation in ten is a long one, the others are short.
+// The simulated training step keeps a number of programs busy: each begins its next generation when the last one has
+// ended. One generation in ten is long, the others are short.
 const (
-	spreadServers  = 8
-	spreadSlots    = 32
-	busyPrograms   = 160
-	longShare      = 0.1
-	longPrompt     = 6000
-	longOutput     = 4000
-	shortPrompt    = 300
-	shortOutput    = 120
-	differingSizes = 0.5
+	fleetServers  = 8
+	serverSlots   = 32
+	busyPrograms  = 160
+	longShare     = 0.1
+	longPrompt    = 6000
+	longOutput    = 4000
+	shortPrompt   = 300
+	shortOutput   = 120
+	sizeVariation = 0.5
 	// serverRate is in tokens a second.
 	serverRate  = 4200.0
 	tick        = 0.05
 	ticks       = 4000
-	settledTick = 200
+	warmUpTicks = 200
 )
 
-// simulatedGeneration is one at a server, with the tokens that are left of it.
+// simulatedGeneration is a generation at a server, with the number of tokens that it has left.
 type simulatedGeneration struct{ left float64 }
 
 // simulatedServer works on all its generations at the same time.
@@ -42,7 +42,7 @@
 	return total
 }
 
-// advance shares the server's rate equally between its generations.
+// advance works for that many seconds, with the server's rate shared equally between its generations.
 func (s *simulatedServer) advance(seconds float64) {
 	for work := seconds * serverRate; work > 0 && len(s.generations) > 0; {
 		part := work / float64(len(s.generations))
@@ -61,47 +61,47 @@
 	}
 }
 
-// drawWork draws a long or a short generation.
+// drawWork draws the work of a long or a short generation.
 func drawWork(random *rand.Rand) schedule.StepWork {
-	size := 1 - differingSizes/2 + differingSizes*random.Float64()
+	size := 1 - sizeVariation/2 + sizeVariation*random.Float64()
 	if random.Float64() < longShare {
 		return schedule.StepWork{PromptTokens: uint64(longPrompt * size), OutputTokens: uint64(longOutput * size)}
 	}
 	return schedule.StepWork{PromptTokens: uint64(shortPrompt * size), OutputTokens: uint64(shortOutput * size)}
 }
 
-// simulatedFleet sends the generations of a step to servers by one policy.
+// simulatedFleet sends the generations of a training step to servers by one policy.
 type simulatedFleet struct {
 	random    *rand.Rand
 	algorithm protocol.SchedulingAlgorithm
 	byWork    bool
-	servers   [spreadServers]simulatedServer
+	servers   [fleetServers]simulatedServer
 	placed    uint64
 }
 
-// issue begins one generation.
+// issue sends one generation to the server that the policy chooses.
 func (f *simulatedFleet) issue() {
 	f.placed++
 	work := drawWork(f.random)
 	request := schedule.Request{
-		Algorithm: f.algorithm, AffinityKey: fmt.Sprint("r", f.placed), Sequence: f.placed, SubsetSize: spreadServers,
+		Algorithm: f.algorithm, AffinityKey: fmt.Sprint("r", f.placed), Sequence: f.placed, SubsetSize: fleetServers,
 	}
 	if f.byWork {
 		request.Step = &work
 	}
-	candidates := make([]schedule.Candidate, 0, spreadServers)
-	for at := range f.servers {
-		count := uint32(len(f.servers[at].generations))
+	candidates := make([]schedule.Candidate, 0, fleetServers)
+	for i := range f.servers {
+		count := uint32(len(f.servers[i].generations))
 		candidates = append(candidates, schedule.Candidate{
-			ID: fmt.Sprint("s", at), Capacity: spreadSlots, Weight: 1, InFlight: count,
-			Steps: count, StepSlots: spreadSlots, StepTokens: uint64(f.servers[at].outstanding()),
+			ID: fmt.Sprint("s", i), Capacity: serverSlots, Weight: 1, InFlight: count,
+			Steps: count, StepSlots: serverSlots, StepTokens: uint64(f.servers[i].outstanding()),
 		})
 	}
 	chosen := schedule.Choose(request, candidates, f.random).Chosen
-	for at := range f.servers {
-		if candidates[at].ID == chosen {
+	for i := range f.servers {
+		if candidates[i].ID == chosen {
 			generation := simulatedGeneration{left: float64(work.PromptTokens + work.OutputTokens)}
-			f.servers[at].generations = append(f.servers[at].generations, generation)
+			f.servers[i].generations = append(f.servers[i].generations, generation)
 		}
 	}
 }
@@ -109,56 +109,59 @@
 // inFlight counts the generations at all servers.
 func (f *simulatedFleet) inFlight() int {
 	total := 0
-	for at := range f.servers {
-		total += len(f.servers[at].generations)
+	for i := range f.servers {
+		total += len(f.servers[i].generations)
 	}
 	return total
 }
 
-// spread is the largest outstanding work of a server by the mean of all.
-func (f *simulatedFleet) spread() float64 {
-	most, total := 0.0, 0.0
-	for at := range f.servers {
-		outstanding := f.servers[at].outstanding()
-		most, total = max(most, outstanding), total+outstanding
+// imbalance returns the largest outstanding work of a server divided by the mean of all.
+func (f *simulatedFleet) imbalance() float64 {
+	largest, total := 0.0, 0.0
+	for i := range f.servers {
+		outstanding := f.servers[i].outstanding()
+		largest, total = max(largest, outstanding), total+outstanding
 	}
-	return most / (total / spreadServers)
+	return largest / (total / fleetServers)
 }
 
-// spreadOf simulates the mix and returns the mean spread over time.
-func spreadOf(algorithm protocol.SchedulingAlgorithm, byWork bool, seed uint64) float64 {
+// meanImbalance simulates the mix and returns the mean imbalance over time.
+func meanImbalance(algorithm protocol.SchedulingAlgorithm, byWork bool, seed uint64) float64 {
 	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 1)), algorithm: algorithm, byWork: byWork}
 	total := 0.0
-	for number := range ticks {
+	for step := range ticks {
 		for fleet.inFlight() < busyPrograms {
 			fleet.issue()
 		}
-		if number >= settledTick {
-			total += fleet.spread()
+		if step >= warmUpTicks {
+			total += fleet.imbalance()
 		}
-		for at := range fleet.servers {
-			fleet.servers[at].advance(tick)
+		for i := range fleet.servers {
+			fleet.servers[i].advance(tick)
 		}
 	}
-	return total / (ticks - settledTick)
+	return total / (ticks - warmUpTicks)
 }
 
 func TestLongAndShortGenerationsAreSpreadEvenly(t *testing.T) {
 	for seed := range uint64(5) {
-		byWork := spreadOf(protocol.SchedulingAlgorithm_LEAST_LOADED, true, seed)
-		byCount := spreadOf(protocol.SchedulingAlgorithm_LEAST_LOADED, false, seed)
-		inTurn := spreadOf(protocol.SchedulingAlgorithm_ROUND_ROBIN, false, seed)
+		byWork := meanImbalance(protocol.SchedulingAlgorithm_LEAST_LOADED, true, seed)
+		byCount := meanImbalance(protocol.SchedulingAlgorithm_LEAST_LOADED, false, seed)
+		roundRobin := meanImbalance(protocol.SchedulingAlgorithm_ROUND_ROBIN, false, seed)
 		t.Logf(
-			"seed %d: largest by mean work: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork,
-			byCount, inTurn,
+			"seed %d: largest work divided by mean: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork,
+			byCount, roundRobin,
 		)
-		if byWork >= byCount || byWork >= inTurn {
-			t.Errorf("seed %d: %.2f by outstanding work, %.2f least loaded, %.2f round robin", seed, byWork, byCount, inTurn)
+		if byWork >= byCount || byWork >= roundRobin {
+			t.Errorf(
+				"seed %d: largest work by mean: %.2f by outstanding work, want less than %.2f least loaded and %.2f round robin",
+				seed, byWork, byCount, roundRobin,
+			)
 		}
 	}
 }
 
-func TestGenerationGoesWhereTheLeastWorkIsOutstanding(t *testing.T) {
+func TestGenerationGoesToTheServerWithTheLeastOutstandingWork(t *testing.T) {
 	work := &schedule.StepWork{PromptTokens: 1000, OutputTokens: 100}
 	server := func(id string, change func(*schedule.Candidate)) schedule.Candidate {
 		candidate := schedule.Candidate{ID: id, Capacity: 16, Weight: 1, StepSlots: 12}
@@ -201,7 +204,7 @@
 	for name, c := range cases {
 		candidates := []schedule.Candidate{server("s1", c.first), server("s2", c.second)}
 		if got := schedule.Choose(schedule.Request{Step: work}, candidates, nil).Chosen; got != c.want {
-			t.Errorf("%s: %s, not %s", name, got, c.want)
+			t.Errorf("%s: chose %s, want %s", name, got, c.want)
 		}
 	}
 }
--- a/internal/dataplane/schedule/policies.go
+++ b/internal/dataplane/schedule/policies.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// lowLoadShare is the part of its slots up to which a server is within the load bound, whatever the mean is.
+// lowLoadShare is the share of a server's slots up to which it is within the load bound, whatever the mean load is.
 const lowLoadShare = 0.25
 
 // applyPolicy applies the request's policy; there is at least one candidate.
@@ -32,9 +32,8 @@
 	}
 }
 
-// prefixAffinity sends a session where its last turn ran, and a new one where
-// its prefix hashes to, unless that server's load with the request would be
-// over the bound; then the next server in the prefix's order takes it.
+// prefixAffinity sends a session to the server of its last turn, and a new session to the server that its prefix hashes
+// to. If that server's load with the request would be above the bound, the next server in the prefix's order is used.
 func (d *Decision) prefixAffinity(request Request, candidates []*Candidate) {
 	order := rank(request.AffinityKey, candidates)
 	if position := slices.IndexFunc(order, func(c *Candidate) bool { return c.ID == request.LastServer }); position > 0 {
@@ -59,9 +58,9 @@
 	}
 }
 
-// loadBound bounds the requests at each server that affinity prefers: the factor
-// times its share of all requests, rounded up (consistent hashing with bounded loads). A server with most of its slots
-// free is never over the bound, since leaving its cache would gain nothing.
+// loadBound bounds the requests at each server that affinity prefers to a factor times its share of all requests,
+// rounded up (consistent hashing with bounded loads). A server with most of its slots free is never above the bound,
+// since leaving its cache would gain nothing.
 type loadBound struct {
 	requestsPerSlot float64
 }
@@ -91,6 +90,7 @@
 	d.chooseFirst(order)
 }
 
+// chooseFirst chooses the first candidate of the order and passes over the others.
 func (d *Decision) chooseFirst(order []*Candidate) {
 	d.choose(order[0], order[0].Load())
 	for _, candidate := range order[1:] {
--- a/internal/dataplane/schedule/profile.go
+++ b/internal/dataplane/schedule/profile.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Profile is how long an ordinary server of a group takes for its work. Fields that are 0 mean the defaults.
+// Profile is the speed of an ordinary server of a group. A field that is 0 means its default.
 type Profile struct {
 	// PromptRate is the number of prompt tokens prefilled in a millisecond.
 	PromptRate float64
-	// StepTime is the time of one output token at low load.
+	// StepTime is the time in which one output token is generated at low load.
 	StepTime time.Duration
 	// Overhead is the part of the time to the first token that does not depend on the prompt.
 	Overhead time.Duration
@@ -37,13 +37,13 @@
 	}
 }
 
-// prefillTime is how long a server takes to prefill so many prompt tokens.
+// prefillTime returns how long a server takes to prefill that many prompt tokens.
 func (p Profile) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / p.PromptRate * float64(time.Millisecond))
 }
 
-// FirstToken is the expected time to the first token of a request with so many tokens to prefill, those of requests
-// ahead of it at the server included.
+// FirstToken returns the expected time to the first token of a request with that many tokens to prefill, including
+// those of requests ahead of it at the server.
 func (p Profile) FirstToken(tokens uint64) time.Duration {
 	p = p.withDefaults()
 	return p.Overhead + p.prefillTime(float64(tokens))
@@ -52,17 +52,17 @@
 const (
 	// profileGain is the weight of one observation.
 	profileGain = 0.02
-	// maxFirstTokenFactor is the multiple of the expected time from which a first token says nothing of the prompt rate:
-	// it waited for something else.
+	// maxFirstTokenFactor is the multiple of the expected time above which a first token is no measure of the prompt rate:
+	// it was delayed by something else.
 	maxFirstTokenFactor = 3
 )
 
-// ProfileEstimator learns the profile of a group from its answers. Its zero value estimates the defaults.
+// ProfileEstimator estimates the profile of a group from its answers. Its zero value has the defaults as its estimate.
 type ProfileEstimator struct {
 	profile Profile
 }
 
-// Profile is the current estimate.
+// Profile returns the current estimate.
 func (e *ProfileEstimator) Profile() Profile { return e.profile.withDefaults() }
 
 // ObserveFirstToken adds the time from issue to the first token of a request, of which the server had to prefill
@@ -74,14 +74,14 @@
 	if latency <= 0 || latency > maxFirstTokenFactor*expected {
 		return
 	}
-	// The error is shared between the fixed part and the rate by what each is expected to cause.
+	// The error is divided between the overhead and the rate in proportion to their parts of the expected time.
 	correction := profileGain * float64(latency-expected) / float64(expected)
 	overhead := float64(e.profile.Overhead)
 	e.profile.Overhead = time.Duration(overhead * (1 + correction*overhead/float64(expected)))
 	e.profile.PromptRate /= 1 + correction*(1-float64(e.profile.Overhead)/float64(expected))
 }
 
-// ObserveOutput adds the time between the first and the last of so many output tokens.
+// ObserveOutput adds the time between the first and the last of that many output tokens.
 func (e *ProfileEstimator) ObserveOutput(tokens uint64, passed time.Duration) {
 	if tokens < 2 || passed <= 0 {
 		return
--- a/internal/dataplane/schedule/recent_requests.go
+++ b/internal/dataplane/schedule/recent_requests.go
@@ -10,11 +10,11 @@
 	recentTimeConstant = 20 * time.Second
 	// busyShare is the part of its slots up to which a server counts as not busy, however it compares with others.
 	busyShare = 0.2
-	// unevenShare is the multiple of the mean from which a server counts as busier than others.
+	// unevenShare is the multiple of the mean above which a server counts as busier than others.
 	unevenShare = 1.1
 )
 
-// RecentRequests is an exponentially decayed count of the requests sent to one server. Its zero value has counted none.
+// RecentRequests is an exponentially decayed count of the requests sent to one server. Its zero value is a count of 0.
 type RecentRequests struct {
 	count     float64
 	updatedAt time.Time
@@ -26,7 +26,7 @@
 	r.updatedAt = now
 }
 
-// Count is the decayed count.
+// Count returns the decayed count.
 func (r *RecentRequests) Count(now time.Time) float64 {
 	if r.count == 0 {
 		return 0
@@ -41,8 +41,8 @@
 	return perSecond * r.Profile.ServiceTime.Seconds() * max(r.FrontsAtServer-1, 0)
 }
 
-// callBound is the number of likely calls up to which a server is not penalized. Without it all calls that concern one
-// object would go to one server, chosen by many front nodes alike, each of which sees few of them.
+// callBound returns the number of likely calls up to which a server is not penalized. Without it all calls that concern
+// one object would go to one server: every front node chooses the same server and sees only few of the calls itself.
 func (r *Request) callBound(candidates []*Candidate) float64 {
 	sum := 0.0
 	for _, candidate := range candidates {
@@ -51,7 +51,7 @@
 	return unevenShare * sum / float64(max(len(candidates), 1))
 }
 
-// excessCalls is the number of likely calls at a server above the bound and above busyShare of its slots.
+// excessCalls returns the number of likely calls at a server above the bound and above busyShare of its slots.
 func (r *Request) excessCalls(candidate *Candidate, bound float64) float64 {
 	return max(r.likelyCalls(candidate)-max(bound, busyShare*candidate.slots()), 0)
 }
--- a/internal/dataplane/schedule/recent_requests_test.go
+++ b/internal/dataplane/schedule/recent_requests_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serviceTime is how long a call takes: at one each 1.2 ms, a third of the slots of 40 servers are taken.
+// serviceTime is how long a call takes: with a call every 1.2 ms, a third of the slots of 40 servers are occupied.
 const serviceTime = 100 * time.Millisecond
 
 // callFleet is many front nodes that send calls to servers, each with its own information.
@@ -19,18 +19,19 @@
 	now     time.Time
 	zones   int
 	servers []schedule.Candidate
-	// recent are the calls of each front node at each server; nil countsRecent none.
+	// recent counts the recent calls of each front node at each server.
 	recent [][]schedule.RecentRequests
-	got    []int
+	// received counts the calls at each server.
+	received []int
 }
 
 func newCallFleet(fronts, servers, zones int) *callFleet {
 	f := &callFleet{
-		random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), zones: zones, got: make([]int, servers),
+		random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), zones: zones, received: make([]int, servers),
 	}
-	for number := range servers {
+	for i := range servers {
 		f.servers = append(f.servers, schedule.Candidate{
-			ID: fmt.Sprintf("server-%03d", number), Zone: fmt.Sprintf("z%d", number%zones), Capacity: 6, Weight: 1,
+			ID: fmt.Sprintf("server-%03d", i), Zone: fmt.Sprintf("z%d", i%zones), Capacity: 6, Weight: 1,
 		})
 	}
 	for range fronts {
@@ -39,12 +40,12 @@
 	return f
 }
 
-// call sends one call of an object through a front node.
+// call sends one call that concerns an object through a front node, with recent calls counted or not.
 func (f *callFleet) call(front int, object string, countsRecent bool) {
 	candidates := append([]schedule.Candidate(nil), f.servers...)
-	for number := range candidates {
+	for i := range candidates {
 		if countsRecent {
-			candidates[number].RecentCalls = f.recent[front][number].Count(f.now)
+			candidates[i].RecentCalls = f.recent[front][i].Count(f.now)
 		}
 	}
 	decision := schedule.Choose(schedule.Request{
@@ -53,26 +54,26 @@
 		Profile:        schedule.Profile{ServiceTime: serviceTime},
 		FrontsAtServer: float64(len(f.recent)*min(schedule.DefaultSubsetSize, len(f.servers))) / float64(len(f.servers)),
 	}, candidates, f.random)
-	for number := range candidates {
-		if candidates[number].ID == decision.Chosen {
-			f.recent[front][number].Add(f.now)
-			f.got[number]++
+	for i := range candidates {
+		if candidates[i].ID == decision.Chosen {
+			f.recent[front][i].Add(f.now)
+			f.received[i]++
 		}
 	}
 }
 
-// busiest is the calls of the server that got most, by the mean.
+// busiest returns the largest number of calls at a server divided by the mean.
 func (f *callFleet) busiest() float64 {
 	sum, most := 0, 0
-	for _, got := range f.got {
-		sum += got
-		most = max(most, got)
+	for _, calls := range f.received {
+		sum += calls
+		most = max(most, calls)
 	}
-	return float64(most) * float64(len(f.got)) / float64(sum)
+	return float64(most) * float64(len(f.received)) / float64(sum)
 }
 
-// simulate sends calls of objects, a few of which are frequent, through random front nodes. Without recent counts the
-// busiest server gets about what it got on the large deployments: 4.1 to 4.5 times the mean.
+// simulate sends calls that concern objects, a few of them frequent, through random front nodes. Without recent counts
+// the busiest server gets about as many as it got on the large deployments: 4.1 to 4.5 times the mean.
 func (f *callFleet) simulate(calls int, countsRecent bool) float64 {
 	objects := rand.NewZipf(f.random, 1.1, 1, 200)
 	for range calls {
@@ -82,34 +83,35 @@
 	return f.busiest()
 }
 
-func TestObjectsThatManyCallsConcernAreSpreadOverServersByManyFrontNodes(t *testing.T) {
+func TestCallsOfFrequentObjectsAreSpreadOverServersByManyFrontNodes(t *testing.T) {
 	const calls, most = 40_000, 1.6
 	without, with := newCallFleet(264, 40, 7).simulate(calls, false), newCallFleet(264, 40, 7).simulate(calls, true)
 	t.Logf(
-		"busiest of 40 servers before 264 front nodes: %.2f times the mean, %.2f with the count of recent calls",
+		"busiest of 40 servers with 264 front nodes: %.2f times the mean, %.2f with the count of recent calls",
 		without, with,
 	)
 	if with > most || without < most {
-		t.Errorf("want at most %.1f, and more without", most)
+		t.Errorf("busiest server: %.2f times the mean with recent calls counted, want at most %.1f; %.2f without, want more",
+			with, most, without)
 	}
 }
 
 func TestFrontNodeWithFewCallsStaysWithAnObjectsServer(t *testing.T) {
 	f := newCallFleet(1, 16, 1)
-	for number := range 64 {
+	for i := range 64 {
 		f.now = f.now.Add(time.Second)
-		f.call(0, fmt.Sprintf("object-%d", number%16), true)
+		f.call(0, fmt.Sprintf("object-%d", i%16), true)
 	}
-	before := append([]int(nil), f.got...)
+	before := append([]int(nil), f.received...)
 	f.call(0, "object-3", true)
 	f.call(0, "object-3", true)
-	moved := 0
-	for number := range before {
-		if f.got[number] > before[number] {
-			moved++
+	used := 0
+	for i := range before {
+		if f.received[i] > before[i] {
+			used++
 		}
 	}
-	if moved != 1 {
-		t.Errorf("two calls of one object went to %d servers", moved)
+	if used != 1 {
+		t.Errorf("two calls of one object went to %d servers, want 1", used)
 	}
 }
--- a/internal/dataplane/schedule/schedule.go
+++ b/internal/dataplane/schedule/schedule.go
@@ -1,11 +1,10 @@
-// Package schedule decides which back end runs the next turn or call.
+// Package schedule chooses the back end that runs the next turn or call.
 //
-// Choose applies a policy to a snapshot of the candidates and their loads; it is a pure
-// function, but for the random source that power of two choices draws from. Beside it are the estimators
-// from which a front node builds candidates: OutlierDetector (ejection and slow start), Slowness,
-// ProfileEstimator and RecentRequests. Those have one owner goroutine each and take
-// the time as an argument. The constants of EXPECTED_FIRST_TOKEN come from the comparison in schedulesim;
-// see docs/POLICIES.md.
+// Choose applies a policy to a snapshot of the candidates and their loads. It is a pure function, except for the random
+// source that power of two choices draws from. The package also has the estimators from which a front node builds
+// candidates: OutlierDetector (ejection and slow start), Slowness, ProfileEstimator and RecentRequests. They are not
+// safe for concurrent use and take the time as an argument. The constants of EXPECTED_FIRST_TOKEN come from the
+// comparison in schedulesim; see docs/POLICIES.md.
 package schedule
 
 import (
@@ -23,7 +22,7 @@
 	DefaultSubsetSize = 16
 
 	defaultCapacity = 8
-	// otherZonesDivisor: one in so many servers of a subset is of another zone.
+	// otherZonesDivisor sets the part of a subset that is from other zones: one server in otherZonesDivisor.
 	otherZonesDivisor = 4
 	// fullLoad is the relative load at which a server has no free slot.
 	fullLoad = 1.0
@@ -34,14 +33,14 @@
 	Algorithm  protocol.SchedulingAlgorithm
 	LoadBound  float64
 	SubsetSize uint32
-	// Front, Zone and Region are the deciding front node's.
+	// Front, Zone and Region are those of the front node that chooses.
 	Front          string
 	Zone           string
 	Region         string
 	ZoneLocalFirst bool
-	// FrontsAtServer is how many front nodes use one of the group's servers; zero is unknown.
+	// FrontsAtServer is how many front nodes use each of the group's servers; 0 means unknown.
 	FrontsAtServer float64
-	// AffinityKey is the prefix that requests share: the program, or the session.
+	// AffinityKey identifies the requests that share a prefix: those of a program or of a session.
 	AffinityKey string
 	// LastServer is the back end that ran the session's last turn, if any.
 	LastServer string
@@ -50,15 +49,15 @@
 	// Sequence counts the front node's requests, for round robin.
 	Sequence uint64
 
-	// The rest is used by EXPECTED_FIRST_TOKEN alone. A request without a prompt, such as a tool call, is sent where its
-	// expected wait is the shortest.
+	// The fields up to Profile are used by EXPECTED_FIRST_TOKEN only. A request without a prompt, such as a tool call, is
+	// sent to the server with the shortest expected wait.
 
-	// PromptTokens is the length of the prompt, SharedTokens that of its prefix which other prompts share, and
-	// OutputTokens how many tokens are expected to be generated.
+	// PromptTokens is the length of the prompt, SharedTokens that of its prefix that other prompts share, and
+	// OutputTokens the expected number of generated tokens.
 	PromptTokens uint64
 	SharedTokens uint64
 	OutputTokens uint64
-	// Profile is how long the group's servers take for their work.
+	// Profile is the speed of the group's servers.
 	Profile Profile
 	// Step is set for a generation of a training step, whatever the algorithm.
 	Step *StepWork
@@ -80,7 +79,7 @@
 	Spilled bool
 }
 
-// Reasons for which a candidate is passed over. They are part of the explanations that operators read.
+// Reasons for passing over a candidate. They are part of the explanations shown to operators.
 const (
 	ReasonDraining   = "draining"
 	ReasonEjected    = "ejected as an outlier"
@@ -98,7 +97,7 @@
 	ReasonOtherVersion = "has not the training step's version of the weights"
 )
 
-// Choose chooses the server of one request. Random is used by power of two choices only.
+// Choose chooses the server for one request. Only power of two choices uses random.
 func Choose(request Request, candidates []Candidate, random *rand.Rand) Decision {
 	decision := Decision{Scores: make([]Score, 0, len(candidates))}
 	usable := decision.filter(request, candidates)
--- a/internal/dataplane/schedule/schedule_test.go
+++ b/internal/dataplane/schedule/schedule_test.go
@@ -14,9 +14,9 @@
 
 func servers(loads ...uint32) []schedule.Candidate {
 	candidates := make([]schedule.Candidate, len(loads))
-	for at, load := range loads {
-		candidates[at] = schedule.Candidate{
-			ID: fmt.Sprintf("s%02d", at), Zone: fmt.Sprintf("z%d", at%2), Capacity: 10, Running: load, Weight: 1,
+	for i, load := range loads {
+		candidates[i] = schedule.Candidate{
+			ID: fmt.Sprintf("s%02d", i), Zone: fmt.Sprintf("z%d", i%2), Capacity: 10, Running: load, Weight: 1,
 		}
 	}
 	return candidates
@@ -36,7 +36,7 @@
 	candidates[0].Capacity = 40
 	decision := schedule.Choose(schedule.Request{Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED}, candidates, nil)
 	if decision.Chosen != "s00" {
-		t.Fatalf("chose %s", decision.Chosen)
+		t.Fatalf("chose %s, want s00", decision.Chosen)
 	}
 }
 
@@ -44,7 +44,7 @@
 	for sequence, want := range []string{"s00", "s01", "s02", "s00"} {
 		request := schedule.Request{Algorithm: protocol.SchedulingAlgorithm_ROUND_ROBIN, Sequence: uint64(sequence)}
 		if got := schedule.Choose(request, servers(9, 0, 4), nil).Chosen; got != want {
-			t.Fatalf("turn %d: got %s, want %s", sequence, got, want)
+			t.Fatalf("request %d: chose %s, want %s", sequence, got, want)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 			random).Chosen]++
 	}
 	if seen["s00"] != 0 || seen["s01"] <= seen["s02"] || seen["s02"] == 0 {
-		t.Fatalf("shares %v", seen)
+		t.Fatalf("choices %v, want none of s00 and most of s01", seen)
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	decision := schedule.Choose(request, servers(0, 9, 0), nil)
 	if decision.Chosen == "s01" || reason(decision, "s01") != schedule.ReasonOverBound {
-		t.Fatalf("stayed over the bound: %+v", decision)
+		t.Fatalf("stayed at a server over the bound: %+v", decision)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	for id, count := range seen {
 		if count < 25 {
-			t.Fatalf("%s got %d of 200", id, count)
+			t.Fatalf("%s got %d of 200 keys, want at least 25", id, count)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 func TestZoneLocalFirstSpillsOnlyWhenTheZoneIsFull(t *testing.T) {
 	request := schedule.Request{Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED, Zone: "z0", ZoneLocalFirst: true}
 	if got := schedule.Choose(request, servers(8, 0, 9, 0), nil); got.Chosen != "s00" || got.Spilled {
-		t.Fatalf("left the zone: %+v", got)
+		t.Fatalf("left the zone although it has a free slot: %+v", got)
 	}
 	if got := schedule.Choose(request, servers(10, 0, 10, 1), nil); got.Chosen != "s01" || !got.Spilled {
-		t.Fatalf("did not spill: %+v", got)
+		t.Fatalf("did not leave the full zone: %+v", got)
 	}
 }
 
@@ -143,18 +143,18 @@
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			candidates := servers(tt.loads[:]...)
-			for at := range candidates {
-				candidates[at].Zone, candidates[at].Region = zones[at].zone, zones[at].region
+			for i := range candidates {
+				candidates[i].Zone, candidates[i].Region = zones[i].zone, zones[i].region
 			}
 			got := schedule.Choose(schedule.Request{
 				Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED, Zone: "z0", Region: tt.region, ZoneLocalFirst: true,
 			}, candidates, nil)
 			if got.Chosen != tt.want || got.Spilled != tt.spilled {
-				t.Fatalf("%+v", got)
+				t.Fatalf("decision %+v, want %s with spilled %t", got, tt.want, tt.spilled)
 			}
-			for at, want := range tt.reasons {
-				if found := reason(got, candidates[at].ID); found != want {
-					t.Errorf("%s passed over as %q, want %q", candidates[at].ID, found, want)
+			for i, want := range tt.reasons {
+				if actual := reason(got, candidates[i].ID); actual != want {
+					t.Errorf("%s passed over as %q, want %q", candidates[i].ID, actual, want)
 				}
 			}
 		})
@@ -166,7 +166,7 @@
 	candidates[1].Weight = 4
 	request := schedule.Request{Algorithm: protocol.SchedulingAlgorithm_LEAST_LOADED}
 	if got := schedule.Choose(request, candidates, nil).Chosen; got != "s01" {
-		t.Fatalf("chose %s", got)
+		t.Fatalf("chose %s, want s01, which has four times the weight", got)
 	}
 }
 
@@ -175,11 +175,11 @@
 	candidates[0].Ejected = true
 	decision := schedule.Choose(schedule.Request{}, candidates, nil)
 	if decision.Chosen != "s01" || reason(decision, "s00") != schedule.ReasonEjected {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("decision %+v, want s01 chosen and s00 passed over as ejected", decision)
 	}
 	candidates[1].Draining = true
 	if decision = schedule.Choose(schedule.Request{}, candidates, nil); decision.Chosen != "s00" {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("decision %+v, want the ejected s00, the only server that is not draining", decision)
 	}
 }
 
@@ -193,12 +193,12 @@
 		chosen[schedule.Choose(request, many, nil).Chosen] = true
 	}
 	if len(chosen) != 5 {
-		t.Fatalf("used %d servers", len(chosen))
+		t.Fatalf("used %d servers, want 5", len(chosen))
 	}
-	for at := range many {
-		request := schedule.Request{SubsetSize: 5, Front: "f1", LastServer: many[at].ID}
-		if got := schedule.Choose(request, many, nil).Chosen; got != many[at].ID {
-			t.Fatalf("left %s for %s", many[at].ID, got)
+	for i := range many {
+		request := schedule.Request{SubsetSize: 5, Front: "f1", LastServer: many[i].ID}
+		if got := schedule.Choose(request, many, nil).Chosen; got != many[i].ID {
+			t.Fatalf("left the last server %s for %s", many[i].ID, got)
 		}
 	}
 }
@@ -208,9 +208,9 @@
 		count := rapid.IntRange(0, 30).Draw(t, "count")
 		candidates := make([]schedule.Candidate, count)
 		usable := false
-		for at := range candidates {
-			candidates[at] = schedule.Candidate{
-				ID: fmt.Sprintf("s%02d", at), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+		for i := range candidates {
+			candidates[i] = schedule.Candidate{
+				ID: fmt.Sprintf("s%02d", i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
 				Draining: rapid.Bool().Draw(t, "draining"), Ejected: rapid.Bool().Draw(t, "ejected"),
 				Capacity: uint32(rapid.IntRange(0, 20).Draw(t, "capacity")), Running: uint32(
 					rapid.IntRange(0, 40).Draw(t, "running"),
@@ -218,7 +218,7 @@
 				InFlight: uint32(rapid.IntRange(0, 40).Draw(t, "in flight")), Weight: rapid.SampledFrom([]float64{0, 0.1, 1, 4}).
 						Draw(t, "weight"),
 			}
-			usable = usable || !candidates[at].Draining && candidates[at].Weight > 0
+			usable = usable || !candidates[i].Draining && candidates[i].Weight > 0
 		}
 		request := schedule.Request{
 			Algorithm:  protocol.SchedulingAlgorithm(rapid.IntRange(0, 5).Draw(t, "algorithm")),
@@ -232,13 +232,13 @@
 			t.Fatalf("chose %q although usable is %v", decision.Chosen, usable)
 		}
 		if len(decision.Scores) != count {
-			t.Fatalf("%d of %d candidates explained", len(decision.Scores), count)
+			t.Fatalf("scores for %d of %d candidates", len(decision.Scores), count)
 		}
-		for at, score := range decision.Scores {
+		for i, score := range decision.Scores {
 			if (score.Reason == "") != (score.ID == decision.Chosen) {
-				t.Fatalf("score %+v with %q chosen", score, decision.Chosen)
+				t.Fatalf("score %+v although %q was chosen", score, decision.Chosen)
 			}
-			if score.ID == decision.Chosen && candidates[at].Draining {
+			if score.ID == decision.Chosen && candidates[i].Draining {
 				t.Fatalf("chose the draining %s", score.ID)
 			}
 		}
@@ -249,7 +249,7 @@
 	now := time.Unix(1000, 0)
 	var outlier schedule.OutlierDetector
 	if outlier.Share(now) != 1 || outlier.Ejected(now) {
-		t.Fatal("a new server must be healthy")
+		t.Fatal("a new server is ejected or gets less than its full share")
 	}
 	fail := func() (ejected bool) {
 		for range 5 {
@@ -258,21 +258,21 @@
 		return ejected
 	}
 	if !fail() || !outlier.Ejected(now.Add(4*time.Second)) || outlier.Ejected(now.Add(5*time.Second)) {
-		t.Fatal("first ejection must last five seconds")
+		t.Fatal("the first ejection does not last five seconds")
 	}
 	now = now.Add(5 * time.Second)
 	if share := outlier.Share(now); share != 0.1 {
-		t.Fatalf("returned with %v", share)
+		t.Fatalf("share %v at the end of the ejection, want 0.1", share)
 	}
 	if share := outlier.Share(now.Add(5 * time.Second)); share < 0.5 || share > 0.6 {
-		t.Fatalf("half way back with %v", share)
+		t.Fatalf("share %v after half of the slow start, want 0.5 to 0.6", share)
 	}
 	if !fail() || !outlier.Ejected(now.Add(9*time.Second)) || outlier.Ejected(now.Add(10*time.Second)) {
-		t.Fatal("second ejection must last ten seconds")
+		t.Fatal("the second ejection does not last ten seconds")
 	}
 }
 
-func TestOneSuccessEndsConsecutiveFaults(t *testing.T) {
+func TestOneSuccessResetsConsecutiveFaults(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outlier schedule.OutlierDetector
 	for range 4 {
@@ -280,6 +280,6 @@
 	}
 	outlier.Record(false, now)
 	if outlier.Record(true, now); outlier.Ejected(now) {
-		t.Fatal("ejected after one fault")
+		t.Fatal("ejected after one fault that followed a success")
 	}
 }
--- a/internal/dataplane/schedule/slowness.go
+++ b/internal/dataplane/schedule/slowness.go
@@ -12,7 +12,7 @@
 	maxSlowness = 16.0
 	// minSlowness is below 1 so that faster servers of a group are preferred.
 	minSlowness = 0.5
-	// slownessTimeConstant is the time constant with which the estimate of a server without answers returns to that of an
+	// slownessTimeConstant is the time constant with which the estimate of a server without answers decays to that of an
 	// ordinary one, so that it gets requests again.
 	slownessTimeConstant = 10 * time.Second
 )
@@ -20,7 +20,7 @@
 // Slowness estimates the factor by which one server is slower than its group, from the durations of its answers and the
 // expected ones. Its zero value is an ordinary server.
 type Slowness struct {
-	// logarithm is that of the factor, so that half and double weigh the same.
+	// logarithm is the logarithm of the factor, so that factors of a half and of two have the same weight.
 	logarithm float64
 	updatedAt time.Time
 }
@@ -36,7 +36,7 @@
 	s.updatedAt = now
 }
 
-// Factor is the estimate; 1 is an ordinary server.
+// Factor returns the estimate; 1 means an ordinary server.
 func (s *Slowness) Factor(now time.Time) float64 {
 	return math.Exp(s.decayed(now))
 }
@@ -48,8 +48,8 @@
 	return s.logarithm * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/slownessTimeConstant.Seconds())
 }
 
-// FactorWhileWaiting is the factor given how long the oldest request without a first token has waited: it shows
-// a server that became slow before any answer does.
+// FactorWhileWaiting returns the factor, raised by how long the oldest request without a first token has waited, so
+// that a server that becomes slow is detected before it answers.
 func (s *Slowness) FactorWhileWaiting(expected, waited time.Duration, now time.Time) float64 {
 	if expected <= 0 {
 		return s.Factor(now)
--- a/internal/dataplane/schedule/subset.go
+++ b/internal/dataplane/schedule/subset.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SubsetSize is how many servers of a large group a front node uses.
+// SubsetSize returns how many servers of a large group a front node uses; a size of 0 means DefaultSubsetSize.
 func SubsetSize(size uint32) int { return int(cmp.Or(size, DefaultSubsetSize)) }
 
-// Subset lists the candidates of a group that a front node of a zone uses, by the same rule as Choose.
+// Subset returns the candidates of a group that a front node of a zone uses, by the same rule as Choose.
 func Subset(front, zone string, size uint32, group []Candidate) []Candidate {
 	if len(group) <= SubsetSize(size) {
 		return group
@@ -38,8 +38,8 @@
 	return slices.Concat(own[:first], others, own[first:])
 }
 
-// subset restricts a large group to the part that this front node uses, which is the same
-// as long as the group does not change. The session's last server is always in it.
+// subset restricts a large group to the part that this front node uses, which stays the same while the group does not
+// change. The session's last server is always in it.
 func (d *Decision) subset(request Request, usable []*Candidate) []*Candidate {
 	size := SubsetSize(request.SubsetSize)
 	if len(usable) <= size {
@@ -80,6 +80,7 @@
 	return result
 }
 
+// rankHash returns the rendezvous hash of a key and a candidate.
 func rankHash(key string, candidate *Candidate) uint64 {
 	return xxhash.Sum64String(key + "\x00" + candidate.ID)
 }
