--- a/internal/dataplane/front/issue/route_answer.go
+++ b/internal/dataplane/front/issue/route_answer.go
@@ -19,7 +19,7 @@
 
 // AnswerStream is the answer of a server to a turn, in parts. One goroutine uses it.
 type AnswerStream interface {
-	// Next waits for the next part; the last one is a turn.BackEndDone or a turn.AnswerCompleted.
+	// Next waits for the next part; the last one is a turn.BackEndDone or a turn.CompleteAnswer.
 	Next() (turn.Event, error)
 	// Close abandons the answer, or keeps its connection for the next request when it was read completely.
 	Close()
@@ -62,7 +62,7 @@
 		token.Tokens = s.eventTokens
 	}
 	if s.versionHeader != "" {
-		token.WeightVersion, token.NamesVersion = trainingstep.ParseEventVersion(event, s.versionHeader)
+		token.WeightVersion, token.HasWeightVersion = trainingstep.ParseEventVersion(event, s.versionHeader)
 	}
 	s.done.OutputTokens += uint64(token.Tokens)
 	return token, nil
@@ -78,7 +78,7 @@
 		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: err.Error()}
 	}
 	answer.Body = body
-	return turn.AnswerCompleted{Answer: answer, WeightVersions: s.headVersions()}, nil
+	return turn.CompleteAnswer{Answer: answer, WeightVersions: s.headVersions()}, nil
 }
 
 // headVersions are the versions of the weights that the answer's head names.
--- a/internal/dataplane/front/ledgerops/client.go
+++ b/internal/dataplane/front/ledgerops/client.go
@@ -78,7 +78,7 @@
 // CheckIsolation rejects a turn that needs the ledger while this front node is isolated from it and from
 // the other front nodes: it could not look up the turn's owner either. It is nil otherwise.
 func (c *Client) CheckIsolation(request *protocol.TurnRequest) *protocol.Failure {
-	if !c.ledger.Isolated() || !turn.IsLedgered(request) {
+	if !c.ledger.Isolated() || !turn.UsesLedger(request) {
 		return nil
 	}
 	return UnreachableFailure()
--- a/internal/dataplane/front/owned_run.go
+++ b/internal/dataplane/front/owned_run.go
@@ -115,5 +115,5 @@
 	if !r.grant.Valid() {
 		return turn.Stopped{Reason: turn.StopAuthority}
 	}
-	return turn.Waited{}
+	return turn.BackoffElapsed{}
 }
--- a/internal/dataplane/front/step_balance_test.go
+++ b/internal/dataplane/front/step_balance_test.go
@@ -166,7 +166,7 @@
 		r.changeServer("s1", func(server *protocol.BackEnd) { server.State = protocol.BackEndState_READY })
 		flood(5)
 		Consistently(server.steps, "20ms").Should(BeZero(), "a live turn waits")
-		r.clock.advance(trainingstep.AdmissionTimeout)
+		r.clock.advance(trainingstep.StarvationTimeout)
 		Eventually(server.steps).Should(Equal(1), "a step progresses")
 		Consistently(server.steps, "20ms").Should(Equal(1))
 		releaseLive()
--- a/internal/dataplane/front/tool_run.go
+++ b/internal/dataplane/front/tool_run.go
@@ -121,7 +121,7 @@
 		command := pending[0]
 		pending = pending[1:]
 		if reason := r.stopReason(); reason != 0 && turn.Interruptible(command) {
-			pending = r.machine.Apply(turn.StopBefore(reason), r.now())
+			pending = r.machine.Apply(turn.StoppedWithoutEffect(reason), r.now())
 			continue
 		}
 		if event := r.execute(command); event != nil {
--- a/internal/dataplane/front/turn_execute.go
+++ b/internal/dataplane/front/turn_execute.go
@@ -66,7 +66,7 @@
 
 // rejectUnreachable rejects a turn that needs the ledger while that is out of reach.
 func (r *turnRun) rejectUnreachable() *protocol.Failure {
-	if !r.machine.IsLedgered() {
+	if !r.machine.UsesLedger() {
 		return nil
 	}
 	return r.service.ledgerOperations.CheckReachable(r.key.Program)
--- a/internal/dataplane/front/turn_run.go
+++ b/internal/dataplane/front/turn_run.go
@@ -56,7 +56,7 @@
 		command := pending[0]
 		pending = pending[1:]
 		if reason := r.stopReason(); reason != 0 && turn.Interruptible(command) {
-			pending = r.machine.Apply(turn.StopBefore(reason), r.now())
+			pending = r.machine.Apply(turn.StoppedWithoutEffect(reason), r.now())
 			continue
 		}
 		if event := r.execute(command); event != nil {
@@ -92,7 +92,7 @@
 	case turn.Token:
 		r.recordFirstToken()
 		r.recordTokens(event)
-	case turn.AnswerCompleted:
+	case turn.CompleteAnswer:
 		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
 	case turn.BackEndDone:
 		r.server.RecordOutcome(schedule.OutcomeAnswered, r.now())
--- a/internal/dataplane/trainingstep/admission_gate.go
+++ b/internal/dataplane/trainingstep/admission_gate.go
@@ -10,9 +10,9 @@
 	MaxWaiting = 1024
 	// MaxWait is the maximum time that a generation waits at a gate.
 	MaxWait = 10 * time.Second
-	// AdmissionTimeout is how long a generation waits behind live requests while none of its version runs from this front
+	// StarvationTimeout is how long a generation waits behind live requests while none of its version runs from this front
 	// node. Then one is admitted nevertheless, so that a step progresses however busy the fleet is.
-	AdmissionTimeout = 2 * time.Second
+	StarvationTimeout = 2 * time.Second
 	// RejectedRetryAfter is after how long the caller of a rejected generation may retry.
 	RejectedRetryAfter = time.Second
 )
@@ -115,7 +115,7 @@
 }
 
 func (g *AdmissionGate) admits(next waitingTicket, capacity Capacity, now time.Time) bool {
-	if g.running == 0 && now.Sub(next.entered) >= AdmissionTimeout {
+	if g.running == 0 && now.Sub(next.entered) >= StarvationTimeout {
 		return true
 	}
 	return !capacity.LiveWaits && g.running < capacity.Slots
@@ -126,7 +126,7 @@
 	var next time.Time
 	for index, w := range g.waiting {
 		wake := w.expires
-		if timeout := w.entered.Add(AdmissionTimeout); index == 0 && g.running == 0 && timeout.Before(wake) {
+		if timeout := w.entered.Add(StarvationTimeout); index == 0 && g.running == 0 && timeout.Before(wake) {
 			wake = timeout
 		}
 		if next.IsZero() || wake.Before(next) {
--- a/internal/dataplane/trainingstep/admission_gate_test.go
+++ b/internal/dataplane/trainingstep/admission_gate_test.go
@@ -44,10 +44,10 @@
 			t.Fatalf("%v before a live request that waits", decisions)
 		}
 	}
-	if wake := gate.NextDispatch(); !wake.Equal(start.Add(trainingstep.AdmissionTimeout)) {
+	if wake := gate.NextDispatch(); !wake.Equal(start.Add(trainingstep.StarvationTimeout)) {
 		t.Fatalf("wakes at %v", wake)
 	}
-	now := start.Add(trainingstep.AdmissionTimeout)
+	now := start.Add(trainingstep.StarvationTimeout)
 	if ran := idsOf(gate.Dispatch(busy, now), trainingstep.Run); !slices.Equal(ran, []uint64{0}) {
 		t.Fatalf("ran %v", ran)
 	}
--- a/internal/dataplane/trainingstep/slots.go
+++ b/internal/dataplane/trainingstep/slots.go
@@ -3,11 +3,12 @@
 import "math"
 
 const (
-	// IdleShare is the part of a server's slots that generations of training steps may use. The rest stays free, so
+	// StepShare is the part of a server's slots that generations of training steps may use. The rest stays free, so
 	// that a live request finds a slot at once: running generations are not preempted for it and may be long.
-	IdleShare = 0.75
-	// LiveShare is that part while live requests wait or run: a step still progresses, and the live ones get most slots.
-	LiveShare = 0.25
+	StepShare = 0.75
+	// ContendedStepShare is that part while live requests wait or run: a step still progresses, and live requests get
+	// most of the slots.
+	ContendedStepShare = 0.25
 
 	defaultSlots = 8
 )
@@ -24,16 +25,16 @@
 
 // ForSteps is the maximum of concurrent generations of training steps that one of several front nodes
 // may have at the server. Each front node gets its part of the share, at least
-// one, as long as they and all other requests use no more than IdleShare together.
+// one, as long as they and all other requests use no more than StepShare together.
 func (s ServerSlots) ForSteps(frontNodes int, liveWaits bool) int {
 	slots := float64(s.Slots)
 	if s.Slots == 0 {
 		slots = defaultSlots
 	}
-	share := IdleShare
+	share := StepShare
 	if liveWaits || s.Live > 0 {
-		share = LiveShare
+		share = ContendedStepShare
 	}
 	own := max(1, int(share*slots/float64(max(frontNodes, 1))))
-	return max(0, min(own, int(math.Floor(IdleShare*slots))-int(s.Others)))
+	return max(0, min(own, int(math.Floor(StepShare*slots))-int(s.Others)))
 }
--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -25,11 +25,11 @@
 // isRetained reports whether the turn is retained for others to continue.
 func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
-// IsLedgered reports whether the turn is recorded in the ledger.
-func (m *Machine) IsLedgered() bool { return IsLedgered(m.parameters.Request) }
+// UsesLedger reports whether the turn is recorded in the ledger.
+func (m *Machine) UsesLedger() bool { return UsesLedger(m.parameters.Request) }
 
-// IsLedgered reports whether the turn of a request is recorded in the ledger.
-func IsLedgered(request *protocol.TurnRequest) bool {
+// UsesLedger reports whether the turn of a request is recorded in the ledger.
+func UsesLedger(request *protocol.TurnRequest) bool {
 	if request.GetHttp() == nil {
 		return true
 	}
@@ -41,7 +41,7 @@
 
 func (m *Machine) admittedHTTP() []Command {
 	switch {
-	case !m.IsLedgered():
+	case !m.UsesLedger():
 		m.state = stateChoosing
 		return []Command{Choose{}}
 	case m.isRetained() && m.parameters.Request.GetPreviousTurn() != "":
@@ -81,7 +81,7 @@
 }
 
 // answeredCompletely ends a turn that the server answered without a stream. It may have run.
-func (m *Machine) answeredCompletely(answer AnswerCompleted, now time.Time) []Command {
+func (m *Machine) answeredCompletely(answer CompleteAnswer, now time.Time) []Command {
 	m.ranBefore = true
 	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
 		return m.versionChanged(now)
@@ -97,7 +97,7 @@
 		return m.recordGeneration(now)
 	}
 	completed := m.emitCompleted()
-	if !m.IsLedgered() {
+	if !m.UsesLedger() {
 		m.state = stateDone
 		return append(append(m.slot.free(), completed), Finish{})
 	}
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -29,7 +29,7 @@
 var (
 	routedHead = turn.Head{Answer: &protocol.HttpAnswer{Status: 200}}
 	routedDone = turn.BackEndDone{}
-	routedBusy = turn.AnswerCompleted{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
+	routedBusy = turn.CompleteAnswer{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
 )
 
 func TestHTTPTurnIsRetainedWithItsDataBeforeItCompletes(t *testing.T) {
@@ -189,7 +189,7 @@
 		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
 		o.mayHaveRun = o.mayHaveRun || o.issuedNow && !surelyNot
 		o.issuedNow = false
-	case turn.Head, turn.Token, turn.AnswerCompleted, turn.BackEndDone:
+	case turn.Head, turn.Token, turn.CompleteAnswer, turn.BackEndDone:
 		o.mayHaveRun = true
 	case turn.Stopped:
 		o.mayHaveRun = o.mayHaveRun || o.issuedNow
@@ -282,7 +282,7 @@
 				continue
 			}
 			o.answer(event)
-			if _, complete := event.(turn.AnswerCompleted); complete || isEnd(event) {
+			if _, complete := event.(turn.CompleteAnswer); complete || isEnd(event) {
 				streaming = false
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -39,7 +39,7 @@
 		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}},
 		"retry":  {turn.RetryDecided{Granted: true}},
 		"commit": {turn.Committed{Result: ok}}, "release": {turn.Released{Result: ok}}, "reject": {turn.Rejected{Result: ok}},
-		"backoff": {turn.Waited{}}, "issue": {},
+		"backoff": {turn.BackoffElapsed{}}, "issue": {},
 	}}
 }
 
@@ -272,7 +272,7 @@
 	if second.Attempt != 4 || second.MaxTokens != reservationLimit-1 || second.BackEnd != "b2" {
 		t.Fatalf("second issue %+v", second)
 	}
-	if s.machine.Apply(turn.Waited{}, s.now) != nil {
+	if s.machine.Apply(turn.BackoffElapsed{}, s.now) != nil {
 		t.Fatal("a late answer was taken")
 	}
 	events := s.machine.Apply(token, s.now)
@@ -328,7 +328,7 @@
 }
 
 func TestTurnStoppedBeforeItIsIssuedDidNotRun(t *testing.T) {
-	stopped := turn.StopBefore(turn.StopDeadline)
+	stopped := turn.StoppedWithoutEffect(turn.StopDeadline)
 	unsent := newScript(&protocol.TurnRequest{}).on("issue", stopped).run()
 	wantFailure(t, unsent, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
 	if released := unsent.released(); released == nil || released.GetTokens() != 0 {
@@ -392,7 +392,9 @@
 		t.Fatal("the reservation was forgotten")
 	}
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: unavailable}).
-		on("release", turn.Released{Result: unavailable}).on("backoff", turn.Waited{}, turn.Waited{}, turn.Waited{},
-		turn.Waited{}, turn.Waited{}, turn.Waited{}, turn.Waited{}, turn.Stopped{Reason: turn.StopAuthority}).run()
+		on("release", turn.Released{Result: unavailable}).
+		on("backoff", turn.BackoffElapsed{}, turn.BackoffElapsed{}, turn.BackoffElapsed{}, turn.BackoffElapsed{},
+			turn.BackoffElapsed{}, turn.BackoffElapsed{}, turn.BackoffElapsed{}, turn.Stopped{Reason: turn.StopAuthority}).
+		run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_UNKNOWN)
 }
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -32,7 +32,7 @@
 
 // drawStopBefore draws the stop that the front plane puts in the place of a command that it does not carry out.
 func drawStopBefore(t *rapid.T) turn.Event {
-	return turn.StopBefore(turn.StopReason(rapid.IntRange(1, 3).Draw(t, "reason")))
+	return turn.StoppedWithoutEffect(turn.StopReason(rapid.IntRange(1, 3).Draw(t, "reason")))
 }
 
 // drawAnswer answers a command of either machine as a hostile world might.
@@ -79,7 +79,7 @@
 		return drawFault(t)
 	case turn.Backoff:
 		if yes {
-			return turn.Waited{}
+			return turn.BackoffElapsed{}
 		}
 		return turn.Stopped{Reason: turn.StopAuthority}
 	default:
--- a/internal/dataplane/turn/release.go
+++ b/internal/dataplane/turn/release.go
@@ -9,7 +9,7 @@
 // releaseWith ends the reservation and answers the caller by the result.
 func (m *Machine) releaseWith(f *protocol.Failure, tokens uint64, now time.Time) []Command {
 	m.failure = f
-	if !m.IsLedgered() {
+	if !m.UsesLedger() {
 		return m.end(f)
 	}
 	m.state = stateReleasing
@@ -28,7 +28,7 @@
 
 func (m *Machine) releasing(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
-	case Waited:
+	case BackoffElapsed:
 		return []Command{Release{Operation: m.releaseOperation}}
 	case Released:
 		return m.releaseAnswered(answer.Result, now)
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -11,7 +11,7 @@
 	switch answer := event.(type) {
 	case Head:
 		return m.head(answer, now)
-	case AnswerCompleted:
+	case CompleteAnswer:
 		return m.answeredCompletely(answer, now)
 	case Token:
 		return m.token(answer, now)
@@ -24,7 +24,7 @@
 }
 
 func (m *Machine) token(token Token, now time.Time) []Command {
-	if token.NamesVersion && !m.matchesVersionPin([]uint64{token.WeightVersion}) {
+	if token.HasWeightVersion && !m.matchesVersionPin([]uint64{token.WeightVersion}) {
 		return m.versionChanged(now)
 	}
 	if m.attemptTokens+uint64(token.Tokens) > m.maxTokens {
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -109,7 +109,7 @@
 		return m.outcomeRecorded(event, now)
 	case CallRejected:
 		return m.rejected(event)
-	case Waited:
+	case BackoffElapsed:
 		return m.waited()
 	case Stopped:
 		return m.stop(event, now)
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -22,7 +22,7 @@
 		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
 		"begin": {turn.IntentRecorded{Result: ok}}, "finish": {turn.OutcomeRecorded{Result: ok}},
 		"reject": {turn.CallRejected{Result: ok}},
-		"issue":  {ran}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.Waited{}},
+		"issue":  {ran}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.BackoffElapsed{}},
 	}
 	maps.Copy(defaults, answers)
 	counts := map[string]int{}
@@ -92,7 +92,7 @@
 			code:    failure.Overloaded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
 		},
 		"did not run when it is stopped before it is issued": {
-			answers: map[string][]turn.Event{"issue": {turn.StopBefore(turn.StopDeadline)}},
+			answers: map[string][]turn.Event{"issue": {turn.StoppedWithoutEffect(turn.StopDeadline)}},
 			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
 		},
 		"is unknown when it is stopped while a server may have it": {
@@ -100,7 +100,7 @@
 			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"finish": 0},
 		},
 		"is unknown when it is stopped before it is issued again": {
-			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, turn.StopBefore(turn.StopDeadline)}},
+			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, turn.StoppedWithoutEffect(turn.StopDeadline)}},
 			code: failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 2},
 		},
 		"cannot promise a rejection that was not recorded": {
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -86,7 +86,7 @@
 
 // acceptsCompleteAnswer reports whether an answer that is not a stream may be emitted. One
 // that reports an error is not a generation, whatever it names.
-func (m *Machine) acceptsCompleteAnswer(answer AnswerCompleted) bool {
+func (m *Machine) acceptsCompleteAnswer(answer CompleteAnswer) bool {
 	if answer.Answer.GetStatus() != statusOK {
 		m.recordVersions(answer.WeightVersions)
 		return true
--- a/internal/dataplane/turn/training_step_test.go
+++ b/internal/dataplane/turn/training_step_test.go
@@ -34,7 +34,7 @@
 func eventOf(data string, versions ...uint64) turn.Token {
 	event := routedEvent(data)
 	if len(versions) > 0 {
-		event.WeightVersion, event.NamesVersion = versions[0], true
+		event.WeightVersion, event.HasWeightVersion = versions[0], true
 	}
 	return event
 }
@@ -151,7 +151,7 @@
 			},
 		},
 		"in a complete answer": {
-			[]turn.Event{turn.AnswerCompleted{
+			[]turn.Event{turn.CompleteAnswer{
 				Answer:         &protocol.HttpAnswer{Status: 200},
 				WeightVersions: []uint64{otherVersion},
 			}}, 0, []uint64{otherVersion},
--- a/internal/dataplane/turn/turn_commands.go
+++ b/internal/dataplane/turn/turn_commands.go
@@ -43,7 +43,7 @@
 type Choose struct{ Avoid []string }
 
 // Issue sends the turn to a back end; answered by a Head (HTTP routes) and Token events and then BackEndDone, or by
-// AnswerCompleted, or by BackEndFailed.
+// CompleteAnswer, or by BackEndFailed.
 type Issue struct {
 	BackEnd   string
 	Attempt   uint32
@@ -78,7 +78,7 @@
 // ReadRetainedTurn requests a retained turn; answered by RetainedTurnRead.
 type ReadRetainedTurn struct{ TurnID string }
 
-// Backoff requests a Waited event after For.
+// Backoff requests a BackoffElapsed event after For.
 type Backoff struct{ For time.Duration }
 
 // CacheTurn has the owner cache the turn as the session's last one.
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -84,7 +84,7 @@
 
 func (m *Machine) committing(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
-	case Waited:
+	case BackoffElapsed:
 		return []Command{Commit{Operation: m.commitOperation}}
 	case Committed:
 		return m.commitAnswered(answer.Result, now)
--- a/internal/dataplane/turn/turn_events.go
+++ b/internal/dataplane/turn/turn_events.go
@@ -50,8 +50,8 @@
 type Token struct {
 	Text   string
 	Tokens uint32
-	// NamesVersion is true when the event names WeightVersion, in turns of training steps only.
-	NamesVersion bool
+	// HasWeightVersion is true when the event names WeightVersion, in turns of training steps only.
+	HasWeightVersion bool
 	// Event and Data are set for a turn of an HTTP route: one complete event of the
 	// server's stream, byte for byte, and its data, which is nil when the event has none.
 	Event []byte
@@ -67,8 +67,8 @@
 	WeightVersions []uint64
 }
 
-// AnswerCompleted reports that a server answered a turn of an HTTP route without a stream.
-type AnswerCompleted struct {
+// CompleteAnswer reports that a server answered a turn of an HTTP route without a stream.
+type CompleteAnswer struct {
 	Answer *protocol.HttpAnswer
 	// WeightVersions are as in Head.
 	WeightVersions []uint64
@@ -144,8 +144,8 @@
 	Status protocol.LedgerStatus
 }
 
-// Waited reports that the wait of a Backoff is over.
-type Waited struct{}
+// BackoffElapsed reports that the wait of a Backoff is over.
+type BackoffElapsed struct{}
 
 // StopReason is why a turn or call is stopped from outside.
 type StopReason int
@@ -168,8 +168,10 @@
 	WithoutEffect bool
 }
 
-// StopBefore is the stop in place of a command, which is not executed then.
-func StopBefore(reason StopReason) Stopped { return Stopped{Reason: reason, WithoutEffect: true} }
+// StoppedWithoutEffect is the stop in place of a command, which is not executed then.
+func StoppedWithoutEffect(reason StopReason) Stopped {
+	return Stopped{Reason: reason, WithoutEffect: true}
+}
 
 func (Begun) event()            {}
 func (StepResolved) event()     {}
@@ -183,7 +185,7 @@
 func (NotChosen) event()        {}
 func (Token) event()            {}
 func (Head) event()             {}
-func (AnswerCompleted) event()  {}
+func (CompleteAnswer) event()   {}
 func (BackEndDone) event()      {}
 func (BackEndFailed) event()    {}
 func (RetryDecided) event()     {}
@@ -191,5 +193,5 @@
 func (Released) event()         {}
 func (Rejected) event()         {}
 func (RetainedTurnRead) event() {}
-func (Waited) event()           {}
+func (BackoffElapsed) event()   {}
 func (Stopped) event()          {}
--- a/internal/testing/sim/servingsuite/turn_commands.go
+++ b/internal/testing/sim/servingsuite/turn_commands.go
@@ -108,7 +108,7 @@
 			r.applyEvent(turn.Stopped{Reason: turn.StopAuthority})
 			return
 		}
-		r.applyEvent(turn.Waited{})
+		r.applyEvent(turn.BackoffElapsed{})
 	})
 }
 
