--- a/internal/dataplane/trainingstep/admission_gate_test.go
+++ b/internal/dataplane/trainingstep/admission_gate_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(1000, 0)
 
-// idsOf are the tickets with a verdict, in order.
-func idsOf(decisions []trainingstep.Decision, verdict trainingstep.Verdict) []uint64 {
+// ticketIDs are the tickets with a verdict, in order.
+func ticketIDs(decisions []trainingstep.Decision, verdict trainingstep.Verdict) []uint64 {
 	var ids []uint64
 	for _, decision := range decisions {
 		if decision.Verdict == verdict {
@@ -27,12 +27,12 @@
 	gate, capacity := &trainingstep.AdmissionGate{}, trainingstep.Capacity{Slots: 2}
 	var ran []uint64
 	for id := range uint64(4) {
-		ran = append(ran, idsOf(gate.Enter(trainingstep.Ticket{ID: id}, capacity, start), trainingstep.Run)...)
+		ran = append(ran, ticketIDs(gate.Enter(trainingstep.Ticket{ID: id}, capacity, start), trainingstep.Run)...)
 	}
 	if !slices.Equal(ran, []uint64{0, 1}) {
 		t.Fatalf("ran %v", ran)
 	}
-	if next := idsOf(gate.Leave(capacity, start), trainingstep.Run); !slices.Equal(next, []uint64{2}) {
+	if next := ticketIDs(gate.Leave(capacity, start), trainingstep.Run); !slices.Equal(next, []uint64{2}) {
 		t.Fatalf("then %v", next)
 	}
 }
@@ -48,16 +48,16 @@
 		t.Fatalf("wakes at %v", wake)
 	}
 	now := start.Add(trainingstep.StarvationTimeout)
-	if ran := idsOf(gate.Dispatch(busy, now), trainingstep.Run); !slices.Equal(ran, []uint64{0}) {
+	if ran := ticketIDs(gate.Dispatch(busy, now), trainingstep.Run); !slices.Equal(ran, []uint64{0}) {
 		t.Fatalf("ran %v", ran)
 	}
 	if ran := gate.Dispatch(busy, now.Add(time.Second)); len(ran) > 0 {
 		t.Fatalf("%v beside one that runs", ran)
 	}
-	if ran := idsOf(gate.Leave(busy, now.Add(time.Second)), trainingstep.Run); !slices.Equal(ran, []uint64{1}) {
+	if ran := ticketIDs(gate.Leave(busy, now.Add(time.Second)), trainingstep.Run); !slices.Equal(ran, []uint64{1}) {
 		t.Fatalf("then %v", ran)
 	}
-	late := idsOf(gate.Dispatch(busy, start.Add(trainingstep.MaxWait)), trainingstep.RejectLate)
+	late := ticketIDs(gate.Dispatch(busy, start.Add(trainingstep.MaxWait)), trainingstep.RejectLate)
 	if !slices.Equal(late, []uint64{2}) {
 		t.Fatalf("late %v", late)
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	full := gate.Enter(trainingstep.Ticket{ID: trainingstep.MaxWaiting}, none, start)
-	if !slices.Equal(idsOf(full, trainingstep.RejectFull), []uint64{trainingstep.MaxWaiting}) {
+	if !slices.Equal(ticketIDs(full, trainingstep.RejectFull), []uint64{trainingstep.MaxWaiting}) {
 		t.Fatalf("decided %v", full)
 	}
 	if !gate.Cancel(0) || gate.Cancel(0) || gate.Waiting() != trainingstep.MaxWaiting-1 {
--- a/internal/dataplane/trainingstep/weight_version_test.go
+++ b/internal/dataplane/trainingstep/weight_version_test.go
@@ -14,8 +14,8 @@
 	header = "Rosestand-Weights"
 )
 
-// announced lists one announcement of the model for each version.
-func announced(versions ...uint64) []trainingstep.Announcement {
+// announceVersions lists one announcement of the model for each version.
+func announceVersions(versions ...uint64) []trainingstep.Announcement {
 	var all []trainingstep.Announcement
 	for _, version := range versions {
 		all = append(all, trainingstep.Announcement{model: version})
@@ -28,15 +28,15 @@
 		announcements []trainingstep.Announcement
 		want          uint64
 	}{
-		"one version":                        {announced(4, 4, 4), 4},
-		"half has moved on":                  {announced(4, 5, 4, 5), 5},
-		"less than half has moved on":        {announced(4, 4, 4, 5, 5), 4},
-		"a roll-back to a lower version":     {announced(9, 4, 4), 4},
-		"no half: most announce it":          {announced(3, 4, 4, 5, 6), 4},
-		"no half: the higher of equals":      {announced(3, 4, 5, 6), 6},
-		"servers without a version count":    {announced(7, 0, 0, 3, 3), 3},
-		"one server of many names a version": {announced(0, 0, 0, 8), 8},
-		"no server names a version":          {announced(0, 0), 0},
+		"one version":                        {announceVersions(4, 4, 4), 4},
+		"half has moved on":                  {announceVersions(4, 5, 4, 5), 5},
+		"less than half has moved on":        {announceVersions(4, 4, 4, 5, 5), 4},
+		"a roll-back to a lower version":     {announceVersions(9, 4, 4), 4},
+		"no half: most announce it":          {announceVersions(3, 4, 4, 5, 6), 4},
+		"no half: the higher of equals":      {announceVersions(3, 4, 5, 6), 6},
+		"servers without a version count":    {announceVersions(7, 0, 0, 3, 3), 3},
+		"one server of many names a version": {announceVersions(0, 0, 0, 8), 8},
+		"no server names a version":          {announceVersions(0, 0), 0},
 		"no server":                          {nil, 0},
 	}
 	for name, c := range cases {
@@ -58,7 +58,7 @@
 		announcements []trainingstep.Announcement
 		want          string
 	}{
-		"one model":               {announced(3, 4), model},
+		"one model":               {announceVersions(3, 4), model},
 		"most":                    {[]trainingstep.Announcement{{"z": 1, "a": 1}, {"z": 1}}, "z"},
 		"equals by name":          {[]trainingstep.Announcement{{"z": 1, "a": 1}, {"z": 1, "a": 2}}, "a"},
 		"without a version: none": {[]trainingstep.Announcement{{"z": 0}}, ""},
--- a/internal/dataplane/turn/emit.go
+++ b/internal/dataplane/turn/emit.go
@@ -30,8 +30,8 @@
 func (m *Machine) emitCompleted() Command {
 	m.answerEnded = true
 	return m.emit(&protocol.TurnEvent{Body: &protocol.TurnEvent_Completed{Completed: &protocol.TurnCompleted{
-		TurnId: m.parameters.TurnID, Text: m.text.String(), InputTokens: m.done.InputTokens,
-		OutputTokens: m.attemptTokens, CachedTokens: m.done.CachedTokens, Nonce: m.done.Nonce,
+		TurnId: m.parameters.TurnID, Text: m.text.String(), InputTokens: m.backEndDone.InputTokens,
+		OutputTokens: m.attemptTokens, CachedTokens: m.backEndDone.CachedTokens, Nonce: m.backEndDone.Nonce,
 	}}})
 }
 
--- a/internal/dataplane/turn/failures.go
+++ b/internal/dataplane/turn/failures.go
@@ -49,7 +49,7 @@
 	case m.mayHaveRun(fault.Fault):
 		outcome = protocol.Outcome_UNKNOWN
 	}
-	m.recordRun(fault.Fault)
+	m.recordMayHaveRun(fault.Fault)
 	code, wait := failure.BackEndFailed, time.Duration(0)
 	switch fault.Fault {
 	case FaultUnavailable:
--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -39,7 +39,7 @@
 	return request.GetHttp().GetStateful() || request.GetProgramBudget() > 0 || request.GetTrainingStep() != ""
 }
 
-func (m *Machine) admittedHTTP() []Command {
+func (m *Machine) handleHTTPAdmitted() []Command {
 	switch {
 	case !m.UsesLedger():
 		m.state = stateChoosing
@@ -53,8 +53,8 @@
 	}
 }
 
-// reserveHTTP claims the session's epoch and sets the turn's reservation limit aside in one operation.
-func (m *Machine) reserveHTTP() Command {
+// httpReserveCommand claims the session's epoch and sets the turn's reservation limit aside in one operation.
+func (m *Machine) httpReserveCommand() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Ceiling: m.parameters.ReservationLimit,
@@ -67,33 +67,33 @@
 	}}
 }
 
-// head emits the head of the answer before the first event.
-func (m *Machine) head(head Head, now time.Time) []Command {
+// handleHead emits the head of the answer before the first event.
+func (m *Machine) handleHead(head Head, now time.Time) []Command {
 	if m.sequence > 0 {
 		return nil
 	}
 	if !m.matchesVersionPin(head.WeightVersions) {
-		return m.versionChanged(now)
+		return m.endForVersionChange(now)
 	}
 	command := m.emitCreated().(Emit)
 	command.Event.GetCreated().Head = head.Answer
 	return []Command{command}
 }
 
-// answeredCompletely ends a turn that the server answered without a stream. It may have run.
-func (m *Machine) answeredCompletely(answer CompleteAnswer, now time.Time) []Command {
-	m.ranBefore = true
-	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
-		return m.versionChanged(now)
+// handleCompleteAnswer ends a turn that the server answered without a stream. It may have run.
+func (m *Machine) handleCompleteAnswer(answer CompleteAnswer, now time.Time) []Command {
+	m.mayHaveRunBefore = true
+	if m.hasTrainingStep() && !m.acceptsCompleteAnswer(answer) {
+		return m.endForVersionChange(now)
 	}
 	m.completeAnswer = answer.Answer
 	f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the server answered without a stream").Failure
 	return m.charge(f, now)
 }
 
-// finishedUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
-func (m *Machine) finishedUnretained(now time.Time) []Command {
-	if m.isOfStep() {
+// completeUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
+func (m *Machine) completeUnretained(now time.Time) []Command {
+	if m.hasTrainingStep() {
 		return m.recordGeneration(now)
 	}
 	completed := m.emitCompleted()
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -12,24 +12,24 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-const routedInput = "new input"
+const httpInput = "new input"
 
 // httpRequest is a turn of an HTTP route.
 func httpRequest(stateful bool, budget uint64, previous string) *protocol.TurnRequest {
 	return &protocol.TurnRequest{
-		FirstSend: true, PreviousTurn: previous, ProgramBudget: budget, Input: []*protocol.Item{{Data: []byte(routedInput)}},
+		FirstSend: true, PreviousTurn: previous, ProgramBudget: budget, Input: []*protocol.Item{{Data: []byte(httpInput)}},
 		Http: &protocol.HttpRequest{Route: "turns", Stateful: stateful},
 	}
 }
 
-func routedEvent(data string) turn.Token {
+func httpEvent(data string) turn.Token {
 	return turn.Token{Tokens: 1, Event: []byte("data: " + data + "\n\n"), Data: []byte(data)}
 }
 
 var (
-	routedHead = turn.Head{Answer: &protocol.HttpAnswer{Status: 200}}
-	routedDone = turn.BackEndDone{}
-	routedBusy = turn.CompleteAnswer{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
+	httpHead = turn.Head{Answer: &protocol.HttpAnswer{Status: 200}}
+	httpDone = turn.BackEndDone{}
+	httpBusy = turn.CompleteAnswer{Answer: &protocol.HttpAnswer{Status: 500, Body: []byte("busy")}}
 )
 
 func TestHTTPTurnIsRetainedWithItsDataBeforeItCompletes(t *testing.T) {
@@ -37,10 +37,10 @@
 		on("history", turn.HistoryRead{
 			Items: []*protocol.Item{{Data: []byte("old")}}, Tokens: 4, Program: "p0", Status: protocol.LedgerStatus_LEDGER_OK,
 		}).
-		on("issue", routedHead, routedEvent("a"), turn.Token{Event: []byte(": comment\n\n")}, routedEvent(""), routedDone).
+		on("issue", httpHead, httpEvent("a"), turn.Token{Event: []byte(": comment\n\n")}, httpEvent(""), httpDone).
 		run()
-	if s.last().GetCompleted() == nil || s.count("issue") != 1 {
-		t.Fatalf("ended with %v", s.last())
+	if s.lastEvent().GetCompleted() == nil || s.count("issue") != 1 {
+		t.Fatalf("ended with %v", s.lastEvent())
 	}
 	committed := false
 	for _, command := range s.commands {
@@ -52,7 +52,7 @@
 			}
 		case turn.Issue:
 			if len(command.Items) != 2 || string(command.Items[0].GetData()) != "old" ||
-				string(command.Items[1].GetData()) != routedInput {
+				string(command.Items[1].GetData()) != httpInput {
 				t.Fatalf("issued %v", command.Items)
 			}
 		case turn.Commit:
@@ -70,11 +70,11 @@
 	}
 }
 
-func TestHTTPTurnWithoutLedgerSendsItNoOperation(t *testing.T) {
+func TestUnrecordedHTTPTurnSendsNoLedgerOperations(t *testing.T) {
 	for name, answer := range map[string][]turn.Event{
-		"a stream":          {routedHead, routedEvent("a"), routedDone},
-		"a complete answer": {routedBusy},
-		"a broken stream":   {routedHead, routedEvent("a"), turn.BackEndFailed{Fault: turn.FaultBroken}},
+		"a stream":          {httpHead, httpEvent("a"), httpDone},
+		"a complete answer": {httpBusy},
+		"a broken stream":   {httpHead, httpEvent("a"), turn.BackEndFailed{Fault: turn.FaultBroken}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(httpRequest(false, 0, "")).on("issue", answer...).run()
@@ -87,33 +87,34 @@
 }
 
 func TestCompleteAnswerEndsHTTPTurnAndIsCharged(t *testing.T) {
-	s := newScript(httpRequest(true, 100, "")).on("issue", routedBusy).run()
-	if string(s.last().GetAnswered().GetBody()) != "busy" || s.released().GetTokens() != 1 || s.count("commit") != 0 {
-		t.Fatalf("ended with %v, released %v", s.last(), s.released())
+	s := newScript(httpRequest(true, 100, "")).on("issue", httpBusy).run()
+	if string(s.lastEvent().GetAnswered().GetBody()) != "busy" || s.releaseOperation().GetTokens() != 1 ||
+		s.count("commit") != 0 {
+		t.Fatalf("ended with %v, released %v", s.lastEvent(), s.releaseOperation())
 	}
 }
 
 func TestHTTPTurnThatMayHaveRunIsNotIssuedAgain(t *testing.T) {
 	for _, fault := range []turn.BackEndFault{turn.FaultBroken, turn.FaultMismatch} {
 		s := newScript(httpRequest(true, 100, "")).on("issue", turn.BackEndFailed{Fault: fault}).run()
-		if s.count("issue") != 1 || s.last().GetFailed().GetOutcome() != protocol.Outcome_UNKNOWN ||
-			s.released().GetTokens() != 1 {
-			t.Fatalf("%v: %d issues, ended with %v, released %v", fault, s.count("issue"), s.last(), s.released())
+		if s.count("issue") != 1 || s.lastEvent().GetFailed().GetOutcome() != protocol.Outcome_UNKNOWN ||
+			s.releaseOperation().GetTokens() != 1 {
+			t.Fatalf("%v: %d issues, ended with %v, released %v", fault, s.count("issue"), s.lastEvent(), s.releaseOperation())
 		}
 	}
 }
 
 func TestHTTPTurnIsRejectedWithTheLedgersReason(t *testing.T) {
 	missing := turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_TURN_MISSING}
-	away := turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE}
+	unavailable := turn.HistoryRead{Status: protocol.LedgerStatus_LEDGER_UNAVAILABLE}
 	wantFailure(
 		t, newScript(httpRequest(true, 9, "t0")).on("history", missing).run(), failure.TurnMissing, protocol.Outcome_NOT_RUN,
 	)
 	wantFailure(
-		t, newScript(httpRequest(true, 9, "t0")).on("history", away).
+		t, newScript(httpRequest(true, 9, "t0")).on("history", unavailable).
 			run(), failure.LedgerUnavailable, protocol.Outcome_NOT_RUN,
 	)
-	spent := turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_BUDGET_SPENT)}
+	spent := turn.Reserved{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_BUDGET_SPENT)}
 	s := newScript(httpRequest(true, 9, "")).on("reserve", spent).run()
 	wantFailure(t, s, failure.BudgetSpent, protocol.Outcome_NOT_RUN)
 	if s.count("issue") != 0 {
@@ -123,20 +124,20 @@
 
 // httpObserver checks what the caller, the servers and the ledger see of one HTTP turn.
 type httpObserver struct {
-	t             *rapid.T
-	ledgered      bool
-	stateful      bool
-	reserved      bool
-	committed     bool
-	mayHaveRun    bool
-	issuedNow     bool
-	slots         int
-	emittedTokens uint64
-	released      *protocol.ReleaseTurn
-	terminal      *protocol.TurnEvent
+	t               *rapid.T
+	ledgered        bool
+	stateful        bool
+	reserved        bool
+	committed       bool
+	mayHaveRun      bool
+	attemptInFlight bool
+	slots           int
+	emittedTokens   uint64
+	released        *protocol.ReleaseTurn
+	terminal        *protocol.TurnEvent
 }
 
-func (o *httpObserver) command(command turn.Command) {
+func (o *httpObserver) observeCommand(command turn.Command) {
 	switch command := command.(type) {
 	case turn.Issue:
 		switch {
@@ -146,16 +147,16 @@
 			o.t.Fatal("issued without a reservation")
 		case o.mayHaveRun:
 			o.t.Fatal("issued again although it may have run")
-		case string(command.Items[len(command.Items)-1].GetData()) != routedInput:
+		case string(command.Items[len(command.Items)-1].GetData()) != httpInput:
 			o.t.Fatalf("issued %v", command.Items)
 		}
-		o.issuedNow = true
+		o.attemptInFlight = true
 	case turn.FreeSlot:
 		o.slots--
 	case turn.Release:
 		o.released = command.Operation
 	case turn.Emit:
-		o.emit(command.Event)
+		o.observeEmitted(command.Event)
 	case turn.Reserve, turn.Commit, turn.Reject:
 		if !o.ledgered {
 			o.t.Fatalf("%T sent to the ledger", command)
@@ -163,7 +164,7 @@
 	}
 }
 
-func (o *httpObserver) emit(event *protocol.TurnEvent) {
+func (o *httpObserver) observeEmitted(event *protocol.TurnEvent) {
 	if o.terminal != nil {
 		o.t.Fatalf("event %v after the last one", event)
 	}
@@ -176,7 +177,7 @@
 	}
 }
 
-func (o *httpObserver) answer(event turn.Event) {
+func (o *httpObserver) observeEvent(event turn.Event) {
 	switch event := event.(type) {
 	case turn.Admitted:
 		o.slots++
@@ -186,17 +187,17 @@
 		o.committed = o.committed || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.BackEndFailed:
-		surelyNot := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
-		o.mayHaveRun = o.mayHaveRun || o.issuedNow && !surelyNot
-		o.issuedNow = false
+		provablyNotRun := event.Fault == turn.FaultNotSent || event.Fault == turn.FaultUnavailable
+		o.mayHaveRun = o.mayHaveRun || o.attemptInFlight && !provablyNotRun
+		o.attemptInFlight = false
 	case turn.Head, turn.Token, turn.CompleteAnswer, turn.BackEndDone:
 		o.mayHaveRun = true
 	case turn.Stopped:
-		o.mayHaveRun = o.mayHaveRun || o.issuedNow
+		o.mayHaveRun = o.mayHaveRun || o.attemptInFlight
 	}
 }
 
-func (o *httpObserver) check() {
+func (o *httpObserver) checkEnd() {
 	f := o.terminal.GetFailed()
 	switch {
 	case o.terminal == nil:
@@ -215,8 +216,8 @@
 	}
 }
 
-// drawRoutedPiece draws what the server of an HTTP turn may do next; a head comes first of all.
-func drawRoutedPiece(t *rapid.T, begun bool) turn.Event {
+// drawHTTPEvent draws what the server of an HTTP turn may do next; a head comes first of all.
+func drawHTTPEvent(t *rapid.T, begun bool) turn.Event {
 	drawn := rapid.IntRange(0, 9).Draw(t, "piece")
 	switch {
 	case begun && drawn == 0:
@@ -227,17 +228,17 @@
 	case drawn == 1:
 		return drawStop(t)
 	case !begun && drawn == 2:
-		return routedBusy
+		return httpBusy
 	case !begun && drawn < 6:
 		return turn.BackEndFailed{Fault: turn.BackEndFault(rapid.IntRange(1, 2).Draw(t, "rejection")), Detail: "drawn"}
 	case !begun:
-		return routedHead
+		return httpHead
 	case drawn == 2:
-		return routedDone
+		return httpDone
 	case drawn == 3:
 		return turn.BackEndFailed{Fault: turn.FaultBroken, Detail: "drawn"}
 	default:
-		return routedEvent("x")
+		return httpEvent("x")
 	}
 }
 
@@ -258,12 +259,12 @@
 			case len(pending) > 0:
 				command := pending[0]
 				pending = pending[1:]
-				if interrupted(t, command) {
+				if drawInterruption(t, command) {
 					// Nothing is sent, so that it must not be charged either.
-					pending = s.machine.Apply(drawStopBefore(t), s.now)
+					pending = s.machine.Apply(drawStoppedWithoutEffect(t), s.now)
 					continue
 				}
-				o.command(command)
+				o.observeCommand(command)
 				s.now = s.now.Add(10 * time.Millisecond)
 				switch command.(type) {
 				case turn.Issue:
@@ -275,36 +276,36 @@
 				}
 				event = drawAnswer(t, command)
 			case streaming:
-				event = drawRoutedPiece(t, begun)
+				event = drawHTTPEvent(t, begun)
 				begun = true
 			}
 			if event == nil {
 				continue
 			}
-			o.answer(event)
-			if _, complete := event.(turn.CompleteAnswer); complete || isEnd(event) {
+			o.observeEvent(event)
+			if _, complete := event.(turn.CompleteAnswer); complete || endsAttempt(event) {
 				streaming = false
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
 		}
-		o.check()
+		o.checkEnd()
 	})
 }
 
 func TestIdempotentCallRunsAtNoMoreServersThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		allowed := rapid.Uint32Range(1, 3).Draw(t, "runs")
+		runLimit := rapid.Uint32Range(1, 3).Draw(t, "runs")
 		machine := turn.NewCall(turn.CallParameters{
 			Request: &protocol.ToolCallRequest{RequestId: "r1", FirstSend: true, Http: &protocol.HttpRequest{}},
-			Owner:   "f1", Attempt: "a1", Unrecorded: true, Idempotent: true, AttemptLimit: 6, RunLimit: allowed,
+			Owner:   "f1", Attempt: "a1", Unrecorded: true, Idempotent: true, AttemptLimit: 6, RunLimit: runLimit,
 		})
 		now, runs, issues, answers := start, uint32(0), 0, 0
 		pending := machine.Apply(turn.Begun{}, now)
 		for len(pending) > 0 {
 			command := pending[0]
 			pending = pending[1:]
-			if interrupted(t, command) {
-				pending = machine.Apply(drawStopBefore(t), now)
+			if drawInterruption(t, command) {
+				pending = machine.Apply(drawStoppedWithoutEffect(t), now)
 				continue
 			}
 			event := drawAnswer(t, command)
@@ -325,17 +326,17 @@
 				pending = append(pending, machine.Apply(event, now)...)
 			}
 		}
-		if runs > allowed || issues > 6 || answers != 1 {
-			t.Fatalf("%d runs of %d, %d issues, %d answers", runs, allowed, issues, answers)
+		if runs > runLimit || issues > 6 || answers != 1 {
+			t.Fatalf("%d runs of %d, %d issues, %d answers", runs, runLimit, issues, answers)
 		}
 	})
 }
 
-func TestHTTPTurnsDoNotShareTheirRequest(t *testing.T) {
+func TestHTTPTurnDoesNotModifyItsRequest(t *testing.T) {
 	request := httpRequest(true, 9, "t0")
 	before := proto.CloneOf(request)
 	before.RequestId, before.Session, before.Program, before.Nonce = "r1", "s1", "p1", "n1"
-	newScript(request).on("issue", routedHead, routedEvent("a"), routedDone).run()
+	newScript(request).on("issue", httpHead, httpEvent("a"), httpDone).run()
 	if !proto.Equal(request, before) {
 		t.Fatalf("changed to %v", request)
 	}
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -84,15 +84,15 @@
 	// step is the state of a turn of a training step.
 	step     stepProgress
 	reserved bool
-	// ranBefore is true once an attempt may have run.
-	ranBefore bool
+	// mayHaveRunBefore is true once an attempt may have run.
+	mayHaveRunBefore bool
 
-	attempt      uint32
-	attemptCount uint32
-	sequence     uint64
-	backEnd      string
-	avoid        []string
-	text         strings.Builder
+	attempt        uint32
+	attemptCount   uint32
+	sequence       uint64
+	backEnd        string
+	failedBackEnds []string
+	text           strings.Builder
 	// output is the data of the events of a turn of an HTTP route, a newline behind each.
 	output []byte
 	// attemptTokens are those of this attempt, emittedTokens those of all attempts; maxTokens bounds this attempt.
@@ -100,8 +100,8 @@
 	emittedTokens uint64
 	maxTokens     uint64
 
-	done    BackEndDone
-	failure *protocol.Failure
+	backEndDone BackEndDone
+	failure     *protocol.Failure
 	// completeAnswer is a server's complete answer in place of a stream.
 	completeAnswer *protocol.HttpAnswer
 	answerEnded    bool
@@ -130,35 +130,35 @@
 // the current state does not await is ignored: it is a late answer.
 func (m *Machine) Apply(event Event, now time.Time) []Command {
 	if stop, stopped := event.(Stopped); stopped {
-		return m.stop(stop, now)
+		return m.handleStop(stop, now)
 	}
 	switch m.state {
 	case stateNew:
 		return m.begin(event)
 	case stateResolving:
-		return m.stepResolved(event)
+		return m.handleStepResolution(event)
 	case stateClaiming:
-		return m.claimed(event)
+		return m.handleClaimed(event)
 	case stateReading:
-		return m.historyRead(event)
+		return m.handleHistoryRead(event)
 	case stateAdmitting:
-		return m.admission(event)
+		return m.handleAdmission(event)
 	case stateReserving:
-		return m.reservation(event, now)
+		return m.handleReserved(event, now)
 	case stateChoosing:
-		return m.choice(event, now)
+		return m.handleChoice(event, now)
 	case stateIssued:
-		return m.issued(event, now)
+		return m.handleBackEndEvent(event, now)
 	case stateRequestingRetry:
-		return m.retry(event, now)
+		return m.handleRetryDecided(event, now)
 	case stateCommitting:
-		return m.committing(event, now)
+		return m.handleCommitEvent(event, now)
 	case stateReleasing:
-		return m.releasing(event, now)
+		return m.handleReleaseEvent(event, now)
 	case stateRejecting:
-		return m.rejecting(event)
+		return m.handleRejected(event)
 	case stateReadingRetained:
-		return m.retainedTurnRead(event)
+		return m.handleRetainedTurnRead(event)
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 	if _, begun := event.(Begun); !begun {
 		return nil
 	}
-	if m.isOfStep() {
+	if m.hasTrainingStep() {
 		return m.resolveStep()
 	}
 	return m.admit()
@@ -189,14 +189,14 @@
 	}}}
 }
 
-func (m *Machine) claimed(event Event) []Command {
+func (m *Machine) handleClaimed(event Event) []Command {
 	claimed, matches := event.(Claimed)
 	if !matches {
 		return nil
 	}
 	status := claimed.Result.GetStatus()
 	if status == protocol.LedgerStatus_LEDGER_FENCED {
-		return m.endHere(ledgerFailure(status))
+		return m.endLocally(ledgerFailure(status))
 	}
 	if status != protocol.LedgerStatus_LEDGER_OK {
 		return m.reject(ledgerFailure(status))
@@ -206,29 +206,29 @@
 	return []Command{ReadHistory{LastTurn: m.parameters.Request.GetPreviousTurn()}}
 }
 
-func (m *Machine) historyRead(event Event) []Command {
-	read, matches := event.(HistoryRead)
+func (m *Machine) handleHistoryRead(event Event) []Command {
+	history, matches := event.(HistoryRead)
 	if !matches {
 		return nil
 	}
-	if read.Status != protocol.LedgerStatus_LEDGER_OK {
-		f := ledgerFailure(read.Status)
-		if read.Status == protocol.LedgerStatus_LEDGER_TURN_MISSING {
+	if history.Status != protocol.LedgerStatus_LEDGER_OK {
+		f := ledgerFailure(history.Status)
+		if history.Status == protocol.LedgerStatus_LEDGER_TURN_MISSING {
 			f.Path = "previous_response_id"
 		}
 		return m.reject(f)
 	}
-	m.history, m.historyTokens, m.previousProgram = read.Items, read.Tokens, read.Program
+	m.history, m.historyTokens, m.previousProgram = history.Items, history.Tokens, history.Program
 	m.state = stateReserving
 	return []Command{m.reserveCommand()}
 }
 
-func (m *Machine) admission(event Event) []Command {
+func (m *Machine) handleAdmission(event Event) []Command {
 	switch admission := event.(type) {
 	case Admitted:
 		m.slot = true
 		if m.isHTTP() {
-			return m.admittedHTTP()
+			return m.handleHTTPAdmitted()
 		}
 		return m.claimSession()
 	case NotAdmitted:
@@ -239,7 +239,7 @@
 
 func (m *Machine) reserveCommand() Command {
 	if m.isHTTP() {
-		return m.reserveHTTP()
+		return m.httpReserveCommand()
 	}
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
@@ -248,7 +248,7 @@
 	}}
 }
 
-func (m *Machine) reservation(event Event, now time.Time) []Command {
+func (m *Machine) handleReserved(event Event, now time.Time) []Command {
 	reserved, matches := event.(Reserved)
 	if !matches {
 		return nil
@@ -264,20 +264,20 @@
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
 		return m.answerFinished(reserved.Result.GetFinished())
 	case protocol.LedgerStatus_LEDGER_ALREADY_RESERVED:
-		return m.reservedBefore(reserved.Result)
+		return m.handleOpenReservation(reserved.Result)
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE:
 		// The reservation may have been made: it must be released.
 		return m.releaseWith(ledgerFailure(status), 0, now)
 	case protocol.LedgerStatus_LEDGER_FENCED:
-		return m.endHere(ledgerFailure(status))
+		return m.endLocally(ledgerFailure(status))
 	default:
 		return m.reject(ledgerFailure(status))
 	}
 }
 
-// reservedBefore answers when the session has an open reservation: of an
+// handleOpenReservation answers when the session has an open reservation: of an
 // earlier send of this request, which may have run, or of another request.
-func (m *Machine) reservedBefore(result *protocol.LedgerResult) []Command {
+func (m *Machine) handleOpenReservation(result *protocol.LedgerResult) []Command {
 	f := failure.New(failure.SessionBusy, protocol.Outcome_UNKNOWN, "another turn of the conversation is under way",
 		failure.WithRetryAfter(busyRetryAfter)).Failure
 	for _, open := range result.GetProgram().GetReservations() {
@@ -289,7 +289,7 @@
 	return m.reject(f)
 }
 
-func (m *Machine) choice(event Event, now time.Time) []Command {
+func (m *Machine) handleChoice(event Event, now time.Time) []Command {
 	switch choice := event.(type) {
 	case Chosen:
 		return m.issue(choice.BackEnd)
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -13,11 +13,11 @@
 
 var start = time.Unix(1000, 0)
 
-func status(s protocol.LedgerStatus) *protocol.LedgerResult {
+func resultWithStatus(s protocol.LedgerStatus) *protocol.LedgerResult {
 	return &protocol.LedgerResult{Status: s, Epoch: 3}
 }
 
-var ok = status(protocol.LedgerStatus_LEDGER_OK)
+var okResult = resultWithStatus(protocol.LedgerStatus_LEDGER_OK)
 
 // script answers each command; answers to one kind of command are used up in order, the last one stays.
 type script struct {
@@ -34,11 +34,12 @@
 		Request: request, TurnID: "turn_1", Owner: "f1", Incarnation: 7, Budget: 100, ReservationLimit: reservationLimit,
 		Retention: time.Hour, BundleVersion: 4,
 	}), answers: map[string][]turn.Event{
-		"claim": {turn.Claimed{Result: ok}}, "history": {turn.HistoryRead{Status: ok.GetStatus()}},
+		"claim": {turn.Claimed{Result: okResult}}, "history": {turn.HistoryRead{Status: okResult.GetStatus()}},
 		"admit":   {turn.Admitted{}},
-		"reserve": {turn.Reserved{Result: ok}}, "choose": {turn.Chosen{BackEnd: "b1"}},
+		"reserve": {turn.Reserved{Result: okResult}}, "choose": {turn.Chosen{BackEnd: "b1"}},
 		"retry":  {turn.RetryDecided{Granted: true}},
-		"commit": {turn.Committed{Result: ok}}, "release": {turn.Released{Result: ok}}, "reject": {turn.Rejected{Result: ok}},
+		"commit": {turn.Committed{Result: okResult}}, "release": {turn.Released{Result: okResult}},
+		"reject":  {turn.Rejected{Result: okResult}},
 		"backoff": {turn.BackoffElapsed{}}, "issue": {},
 	}}
 }
@@ -48,7 +49,7 @@
 	return s
 }
 
-func (s *script) take(name string) []turn.Event {
+func (s *script) nextAnswers(name string) []turn.Event {
 	answers := s.answers[name]
 	if name == "issue" {
 		s.answers[name] = nil
@@ -107,7 +108,7 @@
 			s.now = s.now.Add(backoff.For)
 		}
 		if name := commandName(command); name != "" {
-			for _, event := range s.take(name) {
+			for _, event := range s.nextAnswers(name) {
 				pending = append(pending, s.machine.Apply(event, s.now)...)
 			}
 		}
@@ -115,7 +116,7 @@
 	return s
 }
 
-func (s *script) last() *protocol.TurnEvent { return s.events[len(s.events)-1] }
+func (s *script) lastEvent() *protocol.TurnEvent { return s.events[len(s.events)-1] }
 
 func (s *script) count(name string) int {
 	count := 0
@@ -127,7 +128,7 @@
 	return count
 }
 
-func (s *script) released() *protocol.ReleaseTurn {
+func (s *script) releaseOperation() *protocol.ReleaseTurn {
 	for _, command := range s.commands {
 		if release, isRelease := command.(turn.Release); isRelease {
 			return release.Operation
@@ -138,9 +139,9 @@
 
 func wantFailure(t *testing.T, s *script, code failure.Code, outcome protocol.Outcome) {
 	t.Helper()
-	f := s.last().GetFailed()
+	f := s.lastEvent().GetFailed()
 	if f.GetCode() != string(code) || f.GetOutcome() != outcome {
-		t.Fatalf("ended with %v", s.last())
+		t.Fatalf("ended with %v", s.lastEvent())
 	}
 	if !s.machine.Done() {
 		t.Fatal("the machine did not finish")
@@ -156,7 +157,7 @@
 
 func TestTurnIsReservedIssuedCommittedAndOnlyThenCompleted(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{PreviousTurn: "turn_0"}).on("issue", token, token, done).run()
-	completed := s.last().GetCompleted()
+	completed := s.lastEvent().GetCompleted()
 	if completed.GetText() != "aa" || completed.GetOutputTokens() != 2 || completed.GetCachedTokens() != 1 ||
 		completed.GetNonce() != "n1" {
 		t.Fatalf("completed %v", completed)
@@ -183,7 +184,7 @@
 	}
 }
 
-func TestRejectionsOfTheLedgerAreNotRunAndLeaveATombstone(t *testing.T) {
+func TestLedgerRejectionIsNotRunAndLeavesTombstone(t *testing.T) {
 	cases := map[protocol.LedgerStatus]failure.Code{
 		protocol.LedgerStatus_LEDGER_BUDGET_SPENT:       failure.BudgetSpent,
 		protocol.LedgerStatus_LEDGER_BUDGET_HELD:        failure.BudgetReserved,
@@ -191,7 +192,7 @@
 		protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM:    failure.UnknownProgram,
 	}
 	for rejection, code := range cases {
-		s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: status(rejection)}).run()
+		s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: resultWithStatus(rejection)}).run()
 		wantFailure(t, s, code, protocol.Outcome_NOT_RUN)
 		if s.count("reject") != 1 || s.count("issue") != 0 {
 			t.Fatalf("%v: commands %v", rejection, s.commands)
@@ -203,7 +204,8 @@
 	full := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "full", failure.WithRetryAfter(time.Second)).Failure
 	s := newScript(&protocol.TurnRequest{FirstSend: true}).on("admit", turn.NotAdmitted{Failure: full}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
-	if s.count("claim")+s.count("reject")+s.count("release") != 0 || s.last().GetFailed().GetRetryAfterMillis() != 1000 {
+	if s.count("claim")+s.count("reject")+s.count("release") != 0 ||
+		s.lastEvent().GetFailed().GetRetryAfterMillis() != 1000 {
 		t.Fatalf("commands %v", s.commands)
 	}
 }
@@ -211,11 +213,11 @@
 func TestUnconfirmedRejectionIsUnknown(t *testing.T) {
 	full := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "full").Failure
 	s := newScript(&protocol.TurnRequest{}).on("admit", turn.NotAdmitted{Failure: full}).
-		on("reject", turn.Rejected{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
+		on("reject", turn.Rejected{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_UNKNOWN)
 }
 
-func finished(outcome protocol.RequestOutcome) *protocol.LedgerResult {
+func finishedResult(outcome protocol.RequestOutcome) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
 		Status:   protocol.LedgerStatus_LEDGER_ALREADY_FINISHED,
 		Finished: &protocol.FinishedRequest{Outcome: outcome, TurnId: "turn_1"},
@@ -227,34 +229,34 @@
 		Id: "turn_1", RequestId: "r1", Output: []*protocol.Item{{Text: "retained"}}, OutputTokens: 4,
 	}
 	s := newScript(&protocol.TurnRequest{}).
-		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_SETTLED)}).
+		on("reserve", turn.Reserved{Result: finishedResult(protocol.RequestOutcome_OUTCOME_SETTLED)}).
 		on("retained", turn.RetainedTurnRead{Turn: retained}).run()
-	if s.last().GetCompleted().GetText() != "retained" || s.count("issue") != 0 {
-		t.Fatalf("answered %v", s.last())
+	if s.lastEvent().GetCompleted().GetText() != "retained" || s.count("issue") != 0 {
+		t.Fatalf("answered %v", s.lastEvent())
 	}
 	s = newScript(&protocol.TurnRequest{}).
-		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
+		on("reserve", turn.Reserved{Result: finishedResult(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
 	wantFailure(t, s, failure.RequestRejected, protocol.Outcome_NOT_RUN)
 	s = newScript(&protocol.TurnRequest{}).
-		on("reserve", turn.Reserved{Result: finished(protocol.RequestOutcome_OUTCOME_CHARGED)}).run()
+		on("reserve", turn.Reserved{Result: finishedResult(protocol.RequestOutcome_OUTCOME_CHARGED)}).run()
 	wantFailure(t, s, failure.OutcomeUnknown, protocol.Outcome_UNKNOWN)
 }
 
 func TestOnlyTurnsThatProvablyDidNotRunAreReleased(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{}).on("issue", busy).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
-	if s.released().GetTokens() != 0 || s.last().GetFailed().GetRetryAfterMillis() != 3000 {
-		t.Fatalf("released %v", s.released())
+	if s.releaseOperation().GetTokens() != 0 || s.lastEvent().GetFailed().GetRetryAfterMillis() != 3000 {
+		t.Fatalf("released %v", s.releaseOperation())
 	}
 	s = newScript(&protocol.TurnRequest{}).on("issue", broken).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_UNKNOWN)
-	if s.released().GetTokens() == 0 {
+	if s.releaseOperation().GetTokens() == 0 {
 		t.Fatal("a turn that may have run was released as not run")
 	}
 	s = newScript(&protocol.TurnRequest{}).on("issue", token, token, broken).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_RAN)
-	if s.released().GetTokens() != 2 {
-		t.Fatalf("released %v", s.released())
+	if s.releaseOperation().GetTokens() != 2 {
+		t.Fatalf("released %v", s.releaseOperation())
 	}
 }
 
@@ -294,12 +296,12 @@
 	}
 	s := newScript(&protocol.TurnRequest{}).on("issue", events...).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_RAN)
-	if deltas := len(s.events) - 2; deltas != reservationLimit || s.released().GetTokens() != reservationLimit {
-		t.Fatalf("%d tokens emitted, released %v", deltas, s.released())
+	if deltas := len(s.events) - 2; deltas != reservationLimit || s.releaseOperation().GetTokens() != reservationLimit {
+		t.Fatalf("%d tokens emitted, released %v", deltas, s.releaseOperation())
 	}
 }
 
-func TestForeignNonceIsNeverCompleted(t *testing.T) {
+func TestAnswerWithForeignNonceIsNotCompleted(t *testing.T) {
 	foreign := done
 	foreign.Nonce = "other"
 	s := newScript(&protocol.TurnRequest{}).on("issue", foreign).on("retry", turn.RetryDecided{}).run()
@@ -309,7 +311,7 @@
 	}
 }
 
-func TestStopsByState(t *testing.T) {
+func TestStopOutcomeByState(t *testing.T) {
 	waiting := newScript(&protocol.TurnRequest{}).on("admit", turn.Stopped{Reason: turn.StopDeadline}).run()
 	wantFailure(t, waiting, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
 	issued := newScript(&protocol.TurnRequest{}).on("issue", turn.Stopped{Reason: turn.StopCallerDisconnected}).run()
@@ -317,8 +319,8 @@
 	streaming := newScript(&protocol.TurnRequest{}).on("issue", token, turn.Stopped{Reason: turn.StopAuthority}, token).
 		run()
 	wantFailure(t, streaming, failure.NoAuthority, protocol.Outcome_RAN)
-	if streaming.released().GetTokens() != 1 {
-		t.Fatalf("released %v", streaming.released())
+	if streaming.releaseOperation().GetTokens() != 1 {
+		t.Fatalf("released %v", streaming.releaseOperation())
 	}
 	early := newScript(&protocol.TurnRequest{}).on("history", turn.Stopped{Reason: turn.StopAuthority}).run()
 	wantFailure(t, early, failure.NoAuthority, protocol.Outcome_NOT_RUN)
@@ -331,44 +333,44 @@
 	stopped := turn.StoppedWithoutEffect(turn.StopDeadline)
 	unsent := newScript(&protocol.TurnRequest{}).on("issue", stopped).run()
 	wantFailure(t, unsent, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
-	if released := unsent.released(); released == nil || released.GetTokens() != 0 {
+	if released := unsent.releaseOperation(); released == nil || released.GetTokens() != 0 {
 		t.Fatalf("released %v", released)
 	}
 	unreserved := newScript(&protocol.TurnRequest{FirstSend: true}).on("reserve", stopped).run()
 	wantFailure(t, unreserved, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
-	if unreserved.released() != nil {
-		t.Fatalf("released %v although nothing was reserved", unreserved.released())
+	if unreserved.releaseOperation() != nil {
+		t.Fatalf("released %v although nothing was reserved", unreserved.releaseOperation())
 	}
 	sentBefore := newScript(&protocol.TurnRequest{}).on("issue", broken).
 		on("choose", turn.Chosen{BackEnd: "b1"}, stopped).run()
 	wantFailure(t, sentBefore, failure.DeadlineExceeded, protocol.Outcome_UNKNOWN)
-	if sentBefore.released().GetTokens() == 0 {
+	if sentBefore.releaseOperation().GetTokens() == 0 {
 		t.Fatal("a turn that may have run was released as not run")
 	}
 }
 
 func TestCommitIsRetriedAndTheCallerIsAnsweredMeanwhile(t *testing.T) {
-	unavailable := turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
+	unavailable := turn.Committed{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	answers := []turn.Event{}
 	for range 15 {
 		answers = append(answers, unavailable)
 	}
 	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).
-		on("commit", append(answers, turn.Committed{Result: ok})...).run()
+		on("commit", append(answers, turn.Committed{Result: okResult})...).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_RAN)
 	if s.count("commit") != 16 {
 		t.Fatalf("committed %d times", s.count("commit"))
 	}
 	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).
-		on("commit", unavailable, turn.Committed{Result: ok}).run()
-	if few.last().GetCompleted() == nil {
-		t.Fatalf("ended with %v", few.last())
+		on("commit", unavailable, turn.Committed{Result: okResult}).run()
+	if few.lastEvent().GetCompleted() == nil {
+		t.Fatalf("ended with %v", few.lastEvent())
 	}
 }
 
 func TestFencedTurnForgetsTheSession(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{}).
-		on("reserve", turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
+		on("reserve", turn.Reserved{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}).run()
 	wantFailure(t, s, failure.Fenced, protocol.Outcome_NOT_RUN)
 	forgotten := false
 	for _, command := range s.commands {
@@ -380,15 +382,15 @@
 		t.Fatalf("commands %v", s.commands)
 	}
 	fenced := newScript(&protocol.TurnRequest{}).on("issue", token, done).
-		on("commit", turn.Committed{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}).run()
+		on("commit", turn.Committed{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}).run()
 	wantFailure(t, fenced, failure.Fenced, protocol.Outcome_RAN)
 }
 
 func TestUnansweredReservationIsReleased(t *testing.T) {
-	unavailable := status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+	unavailable := resultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	s := newScript(&protocol.TurnRequest{FirstSend: true}).on("reserve", turn.Reserved{Result: unavailable}).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_NOT_RUN)
-	if s.released() == nil {
+	if s.releaseOperation() == nil {
 		t.Fatal("the reservation was forgotten")
 	}
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: unavailable}).
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -12,7 +12,7 @@
 )
 
 func drawResult(t *rapid.T) *protocol.LedgerResult {
-	result := status(protocol.LedgerStatus(max(1, rapid.IntRange(-60, 14).Draw(t, "status"))))
+	result := resultWithStatus(protocol.LedgerStatus(max(1, rapid.IntRange(-60, 14).Draw(t, "status"))))
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_ALREADY_FINISHED {
 		result.Finished = &protocol.FinishedRequest{
 			Outcome: protocol.RequestOutcome(rapid.IntRange(1, 3).Draw(t, "outcome")), TurnId: "turn_1",
@@ -30,8 +30,8 @@
 	return turn.Stopped{Reason: turn.StopReason(rapid.IntRange(1, 3).Draw(t, "reason"))}
 }
 
-// drawStopBefore draws the stop that the front plane puts in the place of a command that it does not carry out.
-func drawStopBefore(t *rapid.T) turn.Event {
+// drawStoppedWithoutEffect draws the stop that the front node applies in place of a command that it does not execute.
+func drawStoppedWithoutEffect(t *rapid.T) turn.Event {
 	return turn.StoppedWithoutEffect(turn.StopReason(rapid.IntRange(1, 3).Draw(t, "reason")))
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// interrupted draws whether a stop goes before the command, as the front plane does it.
-func interrupted(t *rapid.T, command turn.Command) bool {
+// drawInterruption draws whether a stop goes before the command, as the front plane does it.
+func drawInterruption(t *rapid.T, command turn.Command) bool {
 	return turn.Interruptible(command) && rapid.IntRange(0, 40).Draw(t, "stop") == 0
 }
 
@@ -103,12 +103,12 @@
 	reserved      bool
 	issued        int
 	mayHaveRun    bool
-	proved        bool
+	notRunProved  bool
 	released      *protocol.ReleaseTurn
 	committed     bool
 }
 
-func (o *observer) command(command turn.Command) {
+func (o *observer) observeCommand(command turn.Command) {
 	switch command := command.(type) {
 	case turn.Issue:
 		if !o.reserved || o.terminal != nil {
@@ -120,11 +120,11 @@
 	case turn.Release:
 		o.released = command.Operation
 	case turn.Emit:
-		o.emit(command.Event)
+		o.observeEmitted(command.Event)
 	}
 }
 
-func (o *observer) emit(event *protocol.TurnEvent) {
+func (o *observer) observeEmitted(event *protocol.TurnEvent) {
 	if o.terminal != nil {
 		o.t.Fatalf("event %v after the last one", event)
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (o *observer) answer(event turn.Event) {
+func (o *observer) observeEvent(event turn.Event) {
 	switch event := event.(type) {
 	case turn.Admitted:
 		o.slots++
@@ -153,15 +153,15 @@
 		o.committed = o.committed || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 			event.Result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED
 	case turn.Released:
-		o.prove(event.Result)
+		o.observeProof(event.Result)
 	case turn.Rejected:
-		o.prove(event.Result)
+		o.observeProof(event.Result)
 	}
 }
 
-// prove notes that the ledger has the request as not run.
-func (o *observer) prove(result *protocol.LedgerResult) {
-	o.proved = o.proved || result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
+// observeProof notes that the ledger has the request as not run.
+func (o *observer) observeProof(result *protocol.LedgerResult) {
+	o.notRunProved = o.notRunProved || result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 		result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_NOT_RUN
 }
 
@@ -182,11 +182,11 @@
 			if len(pending) > 0 {
 				command := pending[0]
 				pending = pending[1:]
-				if interrupted(t, command) {
-					pending = s.machine.Apply(drawStopBefore(t), s.now)
+				if drawInterruption(t, command) {
+					pending = s.machine.Apply(drawStoppedWithoutEffect(t), s.now)
 					continue
 				}
-				o.command(command)
+				o.observeCommand(command)
 				s.now = s.now.Add(10 * time.Millisecond)
 				if _, issued := command.(turn.Issue); issued {
 					streaming = true
@@ -194,22 +194,22 @@
 				}
 				event = drawAnswer(t, command)
 			} else if streaming {
-				event = drawPiece(t)
+				event = drawBackEndEvent(t)
 			}
 			if event == nil {
 				continue
 			}
-			o.answer(event)
+			o.observeEvent(event)
 			if _, isToken := event.(turn.Token); !isToken {
-				streaming = streaming && !isEnd(event)
+				streaming = streaming && !endsAttempt(event)
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
 		}
-		checkTruth(t, o, firstSend)
+		checkOutcome(t, o, firstSend)
 	})
 }
 
-func isEnd(event turn.Event) bool {
+func endsAttempt(event turn.Event) bool {
 	switch event.(type) {
 	case turn.BackEndDone, turn.BackEndFailed, turn.Stopped:
 		return true
@@ -218,7 +218,7 @@
 	}
 }
 
-func drawPiece(t *rapid.T) turn.Event {
+func drawBackEndEvent(t *rapid.T) turn.Event {
 	switch rapid.IntRange(0, 9).Draw(t, "piece") {
 	case 0:
 		return drawFault(t)
@@ -231,7 +231,7 @@
 	}
 }
 
-func checkTruth(t *rapid.T, o *observer, firstSend bool) {
+func checkOutcome(t *rapid.T, o *observer, firstSend bool) {
 	if o.terminal == nil {
 		t.Fatal("the readers were never answered")
 	}
@@ -246,9 +246,9 @@
 		if o.mayHaveRun || o.emittedTokens > 0 {
 			t.Fatalf("reported as not run although it may have run: %v", f)
 		}
-		takenElsewhere := f.GetCode() == string(failure.Fenced) || f.GetCode() == string(failure.NoAuthority) ||
+		mayRunElsewhere := f.GetCode() == string(failure.Fenced) || f.GetCode() == string(failure.NoAuthority) ||
 			f.GetCode() == string(failure.RequestRejected)
-		if !firstSend && !o.proved && !takenElsewhere {
+		if !firstSend && !o.notRunProved && !mayRunElsewhere {
 			t.Fatalf("reported as not run without proof by the ledger: %v", f)
 		}
 	}
@@ -279,8 +279,8 @@
 			if step > 500 {
 				t.Fatal("the call never ends")
 			}
-			if interrupted(t, command) {
-				pending = machine.Apply(drawStopBefore(t), now)
+			if drawInterruption(t, command) {
+				pending = machine.Apply(drawStoppedWithoutEffect(t), now)
 				continue
 			}
 			if response, answered := command.(turn.Answer); answered {
--- a/internal/dataplane/turn/release.go
+++ b/internal/dataplane/turn/release.go
@@ -18,7 +18,7 @@
 	m.releaseOperation = &protocol.ReleaseTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch, Tokens: tokens,
 	}
-	m.traceRelease()
+	m.addVersionsToRelease()
 	if m.isHTTP() && !m.answerEnded && !m.step.recording {
 		// A first send that was given up needs no proof by the ledger: no other node may run it.
 		return append(m.slot.free(), m.emitEnd(f), Release{Operation: m.releaseOperation})
@@ -26,17 +26,17 @@
 	return append(m.slot.free(), Release{Operation: m.releaseOperation})
 }
 
-func (m *Machine) releasing(event Event, now time.Time) []Command {
+func (m *Machine) handleReleaseEvent(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case BackoffElapsed:
 		return []Command{Release{Operation: m.releaseOperation}}
 	case Released:
-		return m.releaseAnswered(answer.Result, now)
+		return m.handleReleaseResult(answer.Result, now)
 	}
 	return nil
 }
 
-func (m *Machine) releaseAnswered(result *protocol.LedgerResult, now time.Time) []Command {
+func (m *Machine) handleReleaseResult(result *protocol.LedgerResult, now time.Time) []Command {
 	if isRejected(result.GetStatus()) {
 		m.step.recording = false
 	}
@@ -50,7 +50,7 @@
 		}
 		return m.end(m.failure)
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return m.releaseUnavailable(now)
+		return m.handleReleaseUnavailable(now)
 	case protocol.LedgerStatus_LEDGER_NOT_RESERVED:
 		if m.releaseOperation.GetTokens() == 0 && !m.answerEnded {
 			return m.reject(m.failure)
@@ -58,22 +58,22 @@
 	default:
 	}
 	fenced := result.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED
-	return prepend(m.end(m.unproved()), ForgetSession{Fenced: fenced})
+	return prepend(m.end(m.unprovenFailure()), ForgetSession{Fenced: fenced})
 }
 
-// releaseUnavailable answers the caller after confirmationTimeout and continues its attempts
+// handleReleaseUnavailable answers the caller after confirmationTimeout and continues its attempts
 // in the background, so that no budget stays reserved.
-func (m *Machine) releaseUnavailable(now time.Time) []Command {
+func (m *Machine) handleReleaseUnavailable(now time.Time) []Command {
 	waited := m.operation.elapsed(now)
 	if waited >= confirmationTimeout && !m.answerEnded {
-		m.giveUpRecording()
-		return prepend(m.operation.backOff(), m.emitFailed(m.unproved()))
+		m.discardGeneration()
+		return prepend(m.operation.backOff(), m.emitFailed(m.unprovenFailure()))
 	}
 	return m.operation.backOff()
 }
 
-// unproved is the failure without the claim that nothing ran.
-func (m *Machine) unproved() *protocol.Failure {
+// unprovenFailure is the failure without the claim that nothing ran.
+func (m *Machine) unprovenFailure() *protocol.Failure {
 	if m.failure.GetOutcome() == protocol.Outcome_NOT_RUN {
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 	}
--- a/internal/dataplane/turn/replay_test.go
+++ b/internal/dataplane/turn/replay_test.go
@@ -11,7 +11,7 @@
 
 func TestReplayedAnswerEqualsTheFirstOne(t *testing.T) {
 	s := newScript(&protocol.TurnRequest{}).on("issue", token, done).run()
-	first := s.last().GetCompleted()
+	first := s.lastEvent().GetCompleted()
 	if first.GetNonce() != "n1" || first.GetCachedTokens() == 0 {
 		t.Fatalf("the first answer was %v", first)
 	}
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -7,25 +7,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func (m *Machine) issued(event Event, now time.Time) []Command {
+func (m *Machine) handleBackEndEvent(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case Head:
-		return m.head(answer, now)
+		return m.handleHead(answer, now)
 	case CompleteAnswer:
-		return m.answeredCompletely(answer, now)
+		return m.handleCompleteAnswer(answer, now)
 	case Token:
-		return m.token(answer, now)
+		return m.handleToken(answer, now)
 	case BackEndDone:
-		return m.finished(answer, now)
+		return m.handleBackEndDone(answer, now)
 	case BackEndFailed:
-		return m.failed(answer, now)
+		return m.handleBackEndFailed(answer, now)
 	}
 	return nil
 }
 
-func (m *Machine) token(token Token, now time.Time) []Command {
+func (m *Machine) handleToken(token Token, now time.Time) []Command {
 	if token.HasWeightVersion && !m.matchesVersionPin([]uint64{token.WeightVersion}) {
-		return m.versionChanged(now)
+		return m.endForVersionChange(now)
 	}
 	if m.attemptTokens+uint64(token.Tokens) > m.maxTokens {
 		// Nothing beyond the reservation limit is ever emitted.
@@ -48,10 +48,12 @@
 	}}))
 }
 
-func (m *Machine) finished(done BackEndDone, now time.Time) []Command {
+func (m *Machine) handleBackEndDone(done BackEndDone, now time.Time) []Command {
 	request := m.parameters.Request
 	if done.Nonce != "" && request.GetNonce() != "" && done.Nonce != request.GetNonce() {
-		return m.failed(BackEndFailed{Fault: FaultMismatch, Detail: "the answer carries another request's nonce"}, now)
+		return m.handleBackEndFailed(
+			BackEndFailed{Fault: FaultMismatch, Detail: "the answer carries another request's nonce"}, now,
+		)
 	}
 	if m.maxTokens < m.parameters.ReservationLimit && m.attemptTokens >= m.maxTokens {
 		// A later attempt has fewer tokens left than the caller requested; its truncated answer is not complete.
@@ -59,10 +61,10 @@
 			"the turn was begun anew and ran out of its reservation").Failure
 		return m.charge(f, now)
 	}
-	m.done = done
+	m.backEndDone = done
 	m.chargeUnreported(done)
 	if m.isHTTP() && !m.isRetained() {
-		return m.finishedUnretained(now)
+		return m.completeUnretained(now)
 	}
 	m.commitOperation = &protocol.SettleTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Epoch: m.epoch,
@@ -90,16 +92,16 @@
 		Id: m.parameters.TurnID, Program: request.GetProgram(), Session: request.GetSession(),
 		PreviousTurn: request.GetPreviousTurn(), RequestId: request.GetRequestId(), Model: request.GetModel(),
 		Input: request.GetInput(), Output: []*protocol.Item{{Role: "assistant", Text: m.text.String()}},
-		InputTokens: m.done.InputTokens, OutputTokens: m.attemptTokens,
+		InputTokens: m.backEndDone.InputTokens, OutputTokens: m.attemptTokens,
 		KeptAtMillis: now.UnixMilli(), KeepUntilMillis: now.Add(m.parameters.Retention).UnixMilli(),
-		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: max(m.historyTokens, m.done.InputTokens) + m.attemptTokens,
-		Nonce: m.done.Nonce, CachedTokens: m.done.CachedTokens,
+		BackEnd: m.backEnd, Epoch: m.epoch, HistoryTokens: max(m.historyTokens, m.backEndDone.InputTokens) + m.attemptTokens,
+		Nonce: m.backEndDone.Nonce, CachedTokens: m.backEndDone.CachedTokens,
 	}
 }
 
-// failed ends an attempt; another one may follow when the fault allows it.
-func (m *Machine) failed(fault BackEndFailed, now time.Time) []Command {
-	m.avoid = append(m.avoid, m.backEnd)
+// handleBackEndFailed ends an attempt; another one may follow when the fault allows it.
+func (m *Machine) handleBackEndFailed(fault BackEndFailed, now time.Time) []Command {
+	m.failedBackEnds = append(m.failedBackEnds, m.backEnd)
 	m.failure = m.faultFailure(fault)
 	switch fault.Fault {
 	case FaultFenced, FaultRejected:
@@ -126,19 +128,19 @@
 
 // mayHaveRun reports whether the turn may have run in this attempt, which had the fault, or in an earlier one.
 func (m *Machine) mayHaveRun(fault BackEndFault) bool {
-	return m.ranBefore || fault == FaultBroken || fault == FaultMismatch
+	return m.mayHaveRunBefore || fault == FaultBroken || fault == FaultMismatch
 }
 
-func (m *Machine) recordRun(fault BackEndFault) {
-	m.ranBefore = m.mayHaveRun(fault)
+func (m *Machine) recordMayHaveRun(fault BackEndFault) {
+	m.mayHaveRunBefore = m.mayHaveRun(fault)
 }
 
-func (m *Machine) retry(event Event, now time.Time) []Command {
-	decided, matches := event.(RetryDecided)
+func (m *Machine) handleRetryDecided(event Event, now time.Time) []Command {
+	decision, matches := event.(RetryDecided)
 	if !matches {
 		return nil
 	}
-	if !decided.Granted {
+	if !decision.Granted {
 		return m.giveUp(now)
 	}
 	return m.chooseAnother()
@@ -147,5 +149,5 @@
 // chooseAnother requests a back end that has not failed this turn.
 func (m *Machine) chooseAnother() []Command {
 	m.state = stateChoosing
-	return []Command{Choose{Avoid: append([]string(nil), m.avoid...)}}
+	return []Command{Choose{Avoid: append([]string(nil), m.failedBackEnds...)}}
 }
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -53,21 +53,21 @@
 	state      callState
 	epoch      uint64
 	slot       slot
-	intent     bool
-	// ranBefore is true once an attempt may have run.
-	ranBefore    bool
-	answered     bool
-	backEnd      string
-	avoid        []string
-	attemptCount uint32
-	// runs counts the attempts that may have run the call.
-	runs uint32
+	hasIntent  bool
+	// mayHaveRunBefore is true once an attempt may have run.
+	mayHaveRunBefore bool
+	answered         bool
+	backEnd          string
+	failedBackEnds   []string
+	attemptCount     uint32
+	// possibleRuns counts the attempts that may have run the call.
+	possibleRuns uint32
 
 	failure *protocol.Failure
 	// operation is that of the ledger in flight.
-	operation ledgerOperation
-	outcome   *protocol.FinishCall
-	response  *protocol.ToolCallResponse
+	operation        ledgerOperation
+	outcomeOperation *protocol.FinishCall
+	response         *protocol.ToolCallResponse
 }
 
 // NewCall makes the machine of one tool call.
@@ -88,31 +88,31 @@
 	case Begun:
 		return m.begin()
 	case Claimed:
-		return m.claimed(event)
+		return m.handleClaimed(event)
 	case Admitted:
-		return m.admission()
+		return m.handleAdmitted()
 	case NotAdmitted:
 		return m.reject(event.Failure)
 	case Chosen:
-		return m.chosen(event, now)
+		return m.handleChosen(event, now)
 	case NotChosen:
-		return m.notChosen(event, now)
+		return m.handleNotChosen(event, now)
 	case IntentRecorded:
-		return m.intentRecorded(event, now)
+		return m.handleIntentRecorded(event, now)
 	case CallAnswered:
-		return m.callAnswered(event, now)
+		return m.handleCallAnswered(event, now)
 	case BackEndFailed:
-		return m.failed(event, now)
+		return m.handleBackEndFailed(event, now)
 	case RetryDecided:
-		return m.retry(event, now)
+		return m.handleRetryDecided(event, now)
 	case OutcomeRecorded:
-		return m.outcomeRecorded(event, now)
+		return m.handleOutcomeRecorded(event, now)
 	case CallRejected:
-		return m.rejected(event)
+		return m.handleCallRejected(event)
 	case BackoffElapsed:
-		return m.waited()
+		return m.handleBackoffElapsed()
 	case Stopped:
-		return m.stop(event, now)
+		return m.handleStop(event, now)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	}}}
 }
 
-func (m *CallMachine) claimed(event Claimed) []Command {
+func (m *CallMachine) handleClaimed(event Claimed) []Command {
 	if m.state != callClaiming {
 		return nil
 	}
@@ -150,7 +150,7 @@
 	return []Command{Choose{}}
 }
 
-func (m *CallMachine) admission() []Command {
+func (m *CallMachine) handleAdmitted() []Command {
 	if m.state != callAdmitting {
 		return nil
 	}
@@ -162,13 +162,13 @@
 	return m.claimSession()
 }
 
-// chosen writes the intent once, just before the first issue.
-func (m *CallMachine) chosen(event Chosen, now time.Time) []Command {
+// handleChosen writes the intent once, just before the first issue.
+func (m *CallMachine) handleChosen(event Chosen, now time.Time) []Command {
 	if m.state != callChoosing {
 		return nil
 	}
 	m.backEnd = event.BackEnd
-	if m.parameters.Idempotent || m.parameters.Unrecorded || m.intent {
+	if m.parameters.Idempotent || m.parameters.Unrecorded || m.hasIntent {
 		return m.issue()
 	}
 	m.state = callRecordingIntent
@@ -190,7 +190,7 @@
 	return []Command{IssueCall{BackEnd: m.backEnd, Epoch: m.epoch}}
 }
 
-func (m *CallMachine) notChosen(event NotChosen, now time.Time) []Command {
+func (m *CallMachine) handleNotChosen(event NotChosen, now time.Time) []Command {
 	if m.state != callChoosing {
 		return nil
 	}
@@ -200,16 +200,16 @@
 	return m.giveUp(now)
 }
 
-func (m *CallMachine) intentRecorded(event IntentRecorded, now time.Time) []Command {
+func (m *CallMachine) handleIntentRecorded(event IntentRecorded, now time.Time) []Command {
 	if m.state != callRecordingIntent {
 		return nil
 	}
 	switch status := event.Result.GetStatus(); status {
 	case protocol.LedgerStatus_LEDGER_OK:
-		m.intent = true
+		m.hasIntent = true
 		return m.issue()
 	case protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
-		return m.recorded(event.Result.GetCall())
+		return m.answerFromRecord(event.Result.GetCall())
 	case protocol.LedgerStatus_LEDGER_CALL_UNDER_WAY, protocol.LedgerStatus_LEDGER_ALREADY_RESERVED:
 		return m.fail(failure.New(failure.OutcomeUnknown, protocol.Outcome_UNKNOWN,
 			"this call was begun before and has no outcome; it is never issued again").Failure)
@@ -225,8 +225,8 @@
 	}
 }
 
-// recorded answers a repeated call with the record in the ledger.
-func (m *CallMachine) recorded(record *protocol.CallRecord) []Command {
+// answerFromRecord answers a repeated call with the record in the ledger.
+func (m *CallMachine) answerFromRecord(record *protocol.CallRecord) []Command {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
 		return m.fail(failure.New(failure.RequestRejected, protocol.Outcome_NOT_RUN,
@@ -238,7 +238,7 @@
 	return m.answer(RecordedAnswer(record))
 }
 
-func (m *CallMachine) callAnswered(event CallAnswered, now time.Time) []Command {
+func (m *CallMachine) handleCallAnswered(event CallAnswered, now time.Time) []Command {
 	if m.state != callIssued {
 		return nil
 	}
@@ -249,18 +249,18 @@
 	if m.parameters.Idempotent || m.parameters.Unrecorded {
 		return m.answer(m.response)
 	}
-	return m.record(event.Status, event.Body, event.ContentType, now)
+	return m.recordOutcome(event.Status, event.Body, event.ContentType, now)
 }
 
-// record makes the outcome durable before the caller gets it.
-func (m *CallMachine) record(status uint32, body []byte, contentType string, now time.Time) []Command {
+// recordOutcome makes the outcome durable before the caller gets it.
+func (m *CallMachine) recordOutcome(status uint32, body []byte, contentType string, now time.Time) []Command {
 	m.state = callRecordingOutcome
 	m.operation = beginOperation(now)
-	m.outcome = &protocol.FinishCall{
+	m.outcomeOperation = &protocol.FinishCall{
 		RequestId: m.parameters.Request.GetRequestId(), Attempt: m.parameters.Attempt,
 		Status: status, Body: body, ContentType: contentType,
 	}
-	return append(m.slot.free(), RecordOutcome{Operation: m.outcome})
+	return append(m.slot.free(), RecordOutcome{Operation: m.outcomeOperation})
 }
 
 // RecordedAnswer is the answer that the ledger has recorded of a finished call; one that cannot be read becomes a
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -8,21 +8,21 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func (m *CallMachine) failed(event BackEndFailed, now time.Time) []Command {
+func (m *CallMachine) handleBackEndFailed(event BackEndFailed, now time.Time) []Command {
 	if m.state != callIssued {
 		return nil
 	}
-	m.avoid = append(m.avoid, m.backEnd)
-	unsure := event.Fault == FaultBroken || event.Fault == FaultMismatch
-	m.ranBefore = m.ranBefore || unsure
-	if unsure {
-		m.runs++
+	m.failedBackEnds = append(m.failedBackEnds, m.backEnd)
+	mayHaveRun := event.Fault == FaultBroken || event.Fault == FaultMismatch
+	m.mayHaveRunBefore = m.mayHaveRunBefore || mayHaveRun
+	if mayHaveRun {
+		m.possibleRuns++
 	}
 	m.failure = callFailure(event)
-	if m.ranBefore {
+	if m.mayHaveRunBefore {
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 	}
-	final := event.Fault == FaultFenced || event.Fault == FaultRejected || unsure && !m.mayRunAgain()
+	final := event.Fault == FaultFenced || event.Fault == FaultRejected || mayHaveRun && !m.mayRunAgain()
 	if final || m.attemptCount >= m.parameters.AttemptLimit {
 		return m.giveUp(now)
 	}
@@ -32,10 +32,10 @@
 
 // mayRunAgain reports whether the call may be issued again after attempts that may have run it.
 func (m *CallMachine) mayRunAgain() bool {
-	return m.parameters.Idempotent && (m.parameters.RunLimit == 0 || m.runs < m.parameters.RunLimit)
+	return m.parameters.Idempotent && (m.parameters.RunLimit == 0 || m.possibleRuns < m.parameters.RunLimit)
 }
 
-func (m *CallMachine) retry(event RetryDecided, now time.Time) []Command {
+func (m *CallMachine) handleRetryDecided(event RetryDecided, now time.Time) []Command {
 	if m.state != callRequestingRetry {
 		return nil
 	}
@@ -43,7 +43,7 @@
 		return m.giveUp(now)
 	}
 	m.state = callChoosing
-	return []Command{Choose{Avoid: append([]string(nil), m.avoid...)}}
+	return []Command{Choose{Avoid: append([]string(nil), m.failedBackEnds...)}}
 }
 
 // giveUp ends a call that will not be issued again. With an intent written and
@@ -51,10 +51,10 @@
 // later send is rejected with it.
 func (m *CallMachine) giveUp(now time.Time) []Command {
 	switch {
-	case m.ranBefore:
+	case m.mayHaveRunBefore:
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(m.failure)
-	case m.intent:
+	case m.hasIntent:
 		m.failure.Outcome = protocol.Outcome_NOT_RUN
 		body, err := protojson.Marshal(m.failure)
 		if err != nil {
@@ -62,7 +62,7 @@
 			return m.fail(m.failure)
 		}
 		m.response = &protocol.ToolCallResponse{Failure: m.failure}
-		return m.record(m.failure.GetStatus(), body, FailureContentType, now)
+		return m.recordOutcome(m.failure.GetStatus(), body, FailureContentType, now)
 	default:
 		return m.reject(m.failure)
 	}
@@ -86,7 +86,7 @@
 	)
 }
 
-func (m *CallMachine) rejected(event CallRejected) []Command {
+func (m *CallMachine) handleCallRejected(event CallRejected) []Command {
 	if m.state != callRejecting {
 		return nil
 	}
@@ -97,14 +97,14 @@
 		if event.Result.GetCall().GetState() == protocol.CallState_CALL_NOT_RUN {
 			return m.fail(m.failure)
 		}
-		return m.recorded(event.Result.GetCall())
+		return m.answerFromRecord(event.Result.GetCall())
 	default:
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(m.failure)
 	}
 }
 
-func (m *CallMachine) outcomeRecorded(event OutcomeRecorded, now time.Time) []Command {
+func (m *CallMachine) handleOutcomeRecorded(event OutcomeRecorded, now time.Time) []Command {
 	if m.state != callRecordingOutcome {
 		return nil
 	}
@@ -112,37 +112,38 @@
 	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_ALREADY_FINISHED:
 		return m.answer(m.response)
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return m.finishUnavailable(now)
+		return m.handleRecordingUnavailable(now)
 	default:
-		return m.answer(m.unrecorded())
+		return m.answer(m.unrecordedResponse())
 	}
 }
 
-// finishUnavailable answers the caller after confirmationTimeout and continues its attempts to record the outcome.
-func (m *CallMachine) finishUnavailable(now time.Time) []Command {
+// handleRecordingUnavailable answers the caller after confirmationTimeout and continues its attempts to record the
+// outcome.
+func (m *CallMachine) handleRecordingUnavailable(now time.Time) []Command {
 	waited := m.operation.elapsed(now)
 	if waited >= confirmationTimeout && !m.answered {
 		m.answered = true
-		return prepend(m.operation.backOff(), Answer{Response: m.unrecorded()})
+		return prepend(m.operation.backOff(), Answer{Response: m.unrecordedResponse()})
 	}
 	return m.operation.backOff()
 }
 
-// unrecorded is the answer when the outcome may not be durable: a tool's
+// unrecordedResponse is the answer when the outcome may not be durable: a tool's
 // answer is still valid, but a rejection may not hold for later sends.
-func (m *CallMachine) unrecorded() *protocol.ToolCallResponse {
+func (m *CallMachine) unrecordedResponse() *protocol.ToolCallResponse {
 	if f := m.response.GetFailure(); f.GetOutcome() == protocol.Outcome_NOT_RUN {
 		f.Outcome = protocol.Outcome_UNKNOWN
 	}
 	return m.response
 }
 
-func (m *CallMachine) waited() []Command {
+func (m *CallMachine) handleBackoffElapsed() []Command {
 	switch m.state {
 	case callRecordingIntent:
 		return []Command{m.intentCommand()}
 	case callRecordingOutcome:
-		return []Command{RecordOutcome{Operation: m.outcome}}
+		return []Command{RecordOutcome{Operation: m.outcomeOperation}}
 	default:
 		return nil
 	}
--- a/internal/dataplane/turn/tool_call_stop.go
+++ b/internal/dataplane/turn/tool_call_stop.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-func (m *CallMachine) stop(event Stopped, now time.Time) []Command {
+func (m *CallMachine) handleStop(event Stopped, now time.Time) []Command {
 	f := stopFailure(event.Reason)
 	switch m.state {
 	case callNew, callClaiming, callAdmitting:
@@ -20,11 +20,11 @@
 		if event.WithoutEffect {
 			return m.giveUp(now)
 		}
-		m.ranBefore = true
+		m.mayHaveRunBefore = true
 		return prepend(m.giveUp(now), StopBackEnd{})
 	case callRecordingOutcome:
 		if event.Reason == StopAuthority {
-			return m.answer(m.unrecorded())
+			return m.answer(m.unrecordedResponse())
 		}
 	case callRejecting, callDone:
 	}
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var ran = turn.CallAnswered{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
+var toolAnswer = turn.CallAnswered{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
 
 // runCall answers each command by its kind; the last answer of a kind stays.
 func runCall(idempotent bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
@@ -19,10 +19,10 @@
 		Idempotent: idempotent,
 	})
 	defaults := map[string][]turn.Event{
-		"claim": {turn.Claimed{Result: ok}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
-		"begin": {turn.IntentRecorded{Result: ok}}, "finish": {turn.OutcomeRecorded{Result: ok}},
-		"reject": {turn.CallRejected{Result: ok}},
-		"issue":  {ran}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.BackoffElapsed{}},
+		"claim": {turn.Claimed{Result: okResult}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
+		"begin": {turn.IntentRecorded{Result: okResult}}, "finish": {turn.OutcomeRecorded{Result: okResult}},
+		"reject": {turn.CallRejected{Result: okResult}},
+		"issue":  {toolAnswer}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.BackoffElapsed{}},
 	}
 	maps.Copy(defaults, answers)
 	counts := map[string]int{}
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestToolCallsByScript(t *testing.T) {
-	unavailable := status(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
+func TestToolCallOutcomes(t *testing.T) {
+	unavailable := resultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 	none := turn.NotChosen{Failure: failure.New(failure.NoBackEnd, protocol.Outcome_NOT_RUN, "none").Failure}
-	underWay := status(protocol.LedgerStatus_LEDGER_CALL_UNDER_WAY)
+	underWay := resultWithStatus(protocol.LedgerStatus_LEDGER_CALL_UNDER_WAY)
 	recorded := func(record *protocol.CallRecord) *protocol.LedgerResult {
 		return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, Call: record}
 	}
@@ -85,7 +85,8 @@
 			counts: map[string]int{"issue": 1, "finish": 0},
 		},
 		"is issued again after a certain rejection, under the same intent": {
-			answers: map[string][]turn.Event{"issue": {busy, ran}}, counts: map[string]int{"begin": 1, "issue": 2, "finish": 1},
+			answers: map[string][]turn.Event{"issue": {busy, toolAnswer}},
+			counts:  map[string]int{"begin": 1, "issue": 2, "finish": 1},
 		},
 		"has its rejection recorded once an intent is written": {
 			answers: map[string][]turn.Event{"issue": {busy}, "retry": {turn.RetryDecided{}}},
@@ -106,7 +107,7 @@
 		"cannot promise a rejection that was not recorded": {
 			answers: map[string][]turn.Event{
 				"issue": {busy}, "retry": {turn.RetryDecided{}},
-				"finish": {turn.OutcomeRecorded{Result: status(protocol.LedgerStatus_LEDGER_FENCED)}},
+				"finish": {turn.OutcomeRecorded{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}},
 			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
@@ -134,7 +135,7 @@
 		},
 		"writes the same intent again after no answer": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: ok}},
+				"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: okResult}},
 			},
 			counts: map[string]int{"begin": 2, "issue": 1},
 		},
@@ -143,13 +144,13 @@
 				"finish": {
 					turn.OutcomeRecorded{Result: unavailable},
 					turn.OutcomeRecorded{Result: unavailable},
-					turn.OutcomeRecorded{Result: ok},
+					turn.OutcomeRecorded{Result: okResult},
 				},
 			},
 			counts: map[string]int{"issue": 1, "finish": 3},
 		},
 		"may run again when it is repeatable": {
-			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, ran}}, counts: map[string]int{
+			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, toolAnswer}}, counts: map[string]int{
 				"begin": 0, "issue": 2,
 			},
 		},
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -36,14 +36,14 @@
 	complete bool
 }
 
-func (m *Machine) isOfStep() bool { return m.parameters.Request.GetTrainingStep() != "" }
+func (m *Machine) hasTrainingStep() bool { return m.parameters.Request.GetTrainingStep() != "" }
 
 func (m *Machine) resolveStep() []Command {
 	m.state = stateResolving
 	return []Command{ResolveStep{Step: m.parameters.Request.GetTrainingStep()}}
 }
 
-func (m *Machine) stepResolved(event Event) []Command {
+func (m *Machine) handleStepResolution(event Event) []Command {
 	switch answer := event.(type) {
 	case StepResolved:
 		m.step.versionPin = answer.WeightVersion
@@ -56,7 +56,7 @@
 
 // stepReference names the turn's step and version in a reservation; nil for other turns.
 func (m *Machine) stepReference() *protocol.TrainingStepReference {
-	if !m.isOfStep() {
+	if !m.hasTrainingStep() {
 		return nil
 	}
 	return &protocol.TrainingStepReference{Step: m.parameters.Request.GetTrainingStep(), WeightVersion: m.step.versionPin}
@@ -66,7 +66,7 @@
 // all equal the version pin. An answer that names none cannot be traced to a version
 // and does not match. Turns of no training step always match.
 func (m *Machine) matchesVersionPin(named []uint64) bool {
-	if !m.isOfStep() {
+	if !m.hasTrainingStep() {
 		return true
 	}
 	m.recordVersions(named)
@@ -95,9 +95,9 @@
 	return m.step.complete
 }
 
-// versionChanged ends a turn whose server has other weights than the step. Nothing more is emitted.
-func (m *Machine) versionChanged(now time.Time) []Command {
-	m.ranBefore = true
+// endForVersionChange ends a turn whose server has other weights than the step. Nothing more is emitted.
+func (m *Machine) endForVersionChange(now time.Time) []Command {
+	m.mayHaveRunBefore = true
 	f := failure.New(failure.StepVersionChanged, protocol.Outcome_RAN,
 		"the server answered with other weights than those pinned for the training step").Failure
 	return prepend(m.releaseWith(f, max(m.emittedTokens, minCharge), now), StopBackEnd{})
@@ -110,8 +110,8 @@
 	return m.charge(f, now)
 }
 
-// giveUpRecording makes a generation count as discarded whose caller got a failure.
-func (m *Machine) giveUpRecording() {
+// discardGeneration makes a generation count as discarded whose caller got a failure.
+func (m *Machine) discardGeneration() {
 	if !m.step.recording {
 		return
 	}
@@ -119,9 +119,9 @@
 	m.releaseOperation.Completed = false
 }
 
-// traceRelease names in a release the versions on which the turn ran.
-func (m *Machine) traceRelease() {
-	if !m.isOfStep() || m.releaseOperation.GetTokens() == 0 {
+// addVersionsToRelease names in a release the versions on which the turn ran.
+func (m *Machine) addVersionsToRelease() {
+	if !m.hasTrainingStep() || m.releaseOperation.GetTokens() == 0 {
 		return
 	}
 	m.releaseOperation.WeightVersions, m.releaseOperation.Completed = m.step.seenVersions, m.step.complete
--- a/internal/dataplane/turn/training_step_test.go
+++ b/internal/dataplane/turn/training_step_test.go
@@ -25,22 +25,22 @@
 	return newScript(request).on("resolve", turn.StepResolved{WeightVersion: pinnedVersion})
 }
 
-// headOf is the head of a stream that names versions.
-func headOf(versions ...uint64) turn.Head {
+// headWithVersions is the head of a stream that names versions.
+func headWithVersions(versions ...uint64) turn.Head {
 	return turn.Head{Answer: &protocol.HttpAnswer{Status: 200}, WeightVersions: versions}
 }
 
-// eventOf is an event that names a version, or none.
-func eventOf(data string, versions ...uint64) turn.Token {
-	event := routedEvent(data)
+// eventWithVersion is an event that names a version, or none.
+func eventWithVersion(data string, versions ...uint64) turn.Token {
+	event := httpEvent(data)
 	if len(versions) > 0 {
 		event.WeightVersion, event.HasWeightVersion = versions[0], true
 	}
 	return event
 }
 
-// deltas are the events of the server's stream that were emitted.
-func (s *script) deltas() int {
+// countDeltas are the events of the server's stream that were emitted.
+func (s *script) countDeltas() int {
 	emittedTokens := 0
 	for _, event := range s.events {
 		if event.GetDelta() != nil {
@@ -50,7 +50,7 @@
 	return emittedTokens
 }
 
-func (s *script) reserved() *protocol.ReserveTurn {
+func (s *script) reserveOperation() *protocol.ReserveTurn {
 	for _, command := range s.commands {
 		if reserve, isReserve := command.(turn.Reserve); isReserve {
 			return reserve.Operation
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// names are the commands that await an answer, in order.
-func (s *script) names() []string {
+// commandNames are the commands that await an answer, in order.
+func (s *script) commandNames() []string {
 	var names []string
 	for _, command := range s.commands {
 		if name := commandName(command); name != "" {
@@ -71,19 +71,21 @@
 }
 
 func TestTurnOfAStepResolvesItsVersionFirstAndNamesItToTheLedger(t *testing.T) {
-	s := newStepScript(false).on("issue", headOf(pinnedVersion), eventOf("a"), eventOf("b", pinnedVersion), routedDone).
+	s := newStepScript(false).
+		on("issue", headWithVersions(pinnedVersion), eventWithVersion("a"), eventWithVersion("b", pinnedVersion), httpDone).
 		run()
-	if want := []string{"resolve", "admit", "reserve", "choose", "issue", "release"}; !slices.Equal(s.names(), want) {
-		t.Fatalf("commands %v", s.names())
+	want := []string{"resolve", "admit", "reserve", "choose", "issue", "release"}
+	if !slices.Equal(s.commandNames(), want) {
+		t.Fatalf("commands %v", s.commandNames())
 	}
-	reference := s.reserved().GetTrainingStep()
+	reference := s.reserveOperation().GetTrainingStep()
 	if reference.GetStep() != stepName || reference.GetWeightVersion() != pinnedVersion {
 		t.Fatalf("reserved for %v", reference)
 	}
-	if s.last().GetCompleted() == nil || s.deltas() != 2 {
-		t.Fatalf("ended with %v", s.last())
+	if s.lastEvent().GetCompleted() == nil || s.countDeltas() != 2 {
+		t.Fatalf("ended with %v", s.lastEvent())
 	}
-	released := s.released()
+	released := s.releaseOperation()
 	if !released.GetCompleted() || released.GetTokens() != 2 ||
 		!slices.Equal(released.GetWeightVersions(), []uint64{pinnedVersion}) {
 		t.Fatalf("released %v", released)
@@ -91,7 +93,7 @@
 }
 
 func TestRetainedTurnOfAStepIsCommittedWithItsVersions(t *testing.T) {
-	s := newStepScript(true).on("issue", headOf(pinnedVersion), eventOf("a"), routedDone).run()
+	s := newStepScript(true).on("issue", headWithVersions(pinnedVersion), eventWithVersion("a"), httpDone).run()
 	for _, command := range s.commands {
 		if commit, isSettle := command.(turn.Commit); isSettle {
 			if !slices.Equal(commit.Operation.GetWeightVersions(), []uint64{pinnedVersion}) {
@@ -104,30 +106,30 @@
 }
 
 func TestTurnOfNoStepResolvesNothingAndNamesNoVersions(t *testing.T) {
-	s := newScript(httpRequest(false, 9, "")).on("issue", headOf(), routedEvent("a"), routedDone).run()
-	if s.count("resolve") != 0 || s.reserved().GetTrainingStep() != nil {
-		t.Fatalf("commands %v", s.names())
+	s := newScript(httpRequest(false, 9, "")).on("issue", headWithVersions(), httpEvent("a"), httpDone).run()
+	if s.count("resolve") != 0 || s.reserveOperation().GetTrainingStep() != nil {
+		t.Fatalf("commands %v", s.commandNames())
 	}
-	if released := s.released(); released.GetCompleted() || len(released.GetWeightVersions()) != 0 {
+	if released := s.releaseOperation(); released.GetCompleted() || len(released.GetWeightVersions()) != 0 {
 		t.Fatalf("released %v", released)
 	}
 }
 
-func TestStepWithoutAVersionEndsItsTurnFirst(t *testing.T) {
+func TestStepWithoutVersionRejectsTurnBeforeAdmission(t *testing.T) {
 	rejected := failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, "none").Failure
 	s := newStepScript(true).on("resolve", turn.StepNotResolved{Failure: rejected}).run()
 	wantFailure(t, s, failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN)
-	if want := []string{"resolve"}; !slices.Equal(s.names(), want) {
-		t.Fatalf("commands %v", s.names())
+	if want := []string{"resolve"}; !slices.Equal(s.commandNames(), want) {
+		t.Fatalf("commands %v", s.commandNames())
 	}
 }
 
 func TestProgramOfAnotherStepIsRejected(t *testing.T) {
-	mismatch := turn.Reserved{Result: status(protocol.LedgerStatus_LEDGER_STEP_MISMATCH)}
+	mismatch := turn.Reserved{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_STEP_MISMATCH)}
 	s := newStepScript(false).on("reserve", mismatch).run()
 	wantFailure(t, s, failure.StepMismatch, protocol.Outcome_NOT_RUN)
-	if s.count("issue") != 0 || s.last().GetFailed().GetStatus() != 409 {
-		t.Fatalf("ended with %v", s.last())
+	if s.count("issue") != 0 || s.lastEvent().GetFailed().GetStatus() != 409 {
+		t.Fatalf("ended with %v", s.lastEvent())
 	}
 }
 
@@ -137,18 +139,18 @@
 		emitted int
 		seen    []uint64
 	}{
-		"in its head": {[]turn.Event{headOf(otherVersion)}, 0, []uint64{otherVersion}},
+		"in its head": {[]turn.Event{headWithVersions(otherVersion)}, 0, []uint64{otherVersion}},
 		"in a head of two": {
-			[]turn.Event{headOf(pinnedVersion, otherVersion)},
+			[]turn.Event{headWithVersions(pinnedVersion, otherVersion)},
 			0,
 			[]uint64{pinnedVersion, otherVersion},
 		},
-		"that its head leaves open": {[]turn.Event{headOf()}, 0, nil},
-		"that cannot be read":       {[]turn.Event{headOf(0)}, 0, []uint64{0}},
+		"that its head leaves open": {[]turn.Event{headWithVersions()}, 0, nil},
+		"that cannot be read":       {[]turn.Event{headWithVersions(0)}, 0, []uint64{0}},
 		"in its midst": {
-			[]turn.Event{headOf(pinnedVersion), eventOf("a"), eventOf("b", otherVersion)}, 1, []uint64{
-				pinnedVersion, otherVersion,
-			},
+			[]turn.Event{headWithVersions(pinnedVersion), eventWithVersion("a"), eventWithVersion("b", otherVersion)},
+			1,
+			[]uint64{pinnedVersion, otherVersion},
 		},
 		"in a complete answer": {
 			[]turn.Event{turn.CompleteAnswer{
@@ -160,9 +162,9 @@
 		for _, stateful := range []bool{true, false} {
 			s := newStepScript(stateful).on("issue", c.pieces...).run()
 			wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
-			released := s.released()
-			if s.deltas() != c.emitted || s.count("commit") != 0 || s.count("issue") != 1 {
-				t.Errorf("%s: emitted %d, commands %v", name, s.deltas(), s.names())
+			released := s.releaseOperation()
+			if s.countDeltas() != c.emitted || s.count("commit") != 0 || s.count("issue") != 1 {
+				t.Errorf("%s: emitted %d, commands %v", name, s.countDeltas(), s.commandNames())
 			}
 			if released.GetCompleted() || released.GetTokens() == 0 || !slices.Equal(released.GetWeightVersions(), c.seen) {
 				t.Errorf("%s: released %v", name, released)
@@ -171,10 +173,10 @@
 	}
 }
 
-func TestServerErrorIsEmittedWhateverItNames(t *testing.T) {
-	s := newStepScript(false).on("issue", routedBusy).run()
-	if string(s.last().GetAnswered().GetBody()) != "busy" || s.released().GetCompleted() {
-		t.Fatalf("ended with %v, released %v", s.last(), s.released())
+func TestServerErrorIsEmittedRegardlessOfVersions(t *testing.T) {
+	s := newStepScript(false).on("issue", httpBusy).run()
+	if string(s.lastEvent().GetAnswered().GetBody()) != "busy" || s.releaseOperation().GetCompleted() {
+		t.Fatalf("ended with %v, released %v", s.lastEvent(), s.releaseOperation())
 	}
 }
 
@@ -183,69 +185,71 @@
 	for version := range uint64(100) {
 		named = append(named, pinnedVersion, version+100)
 	}
-	s := newStepScript(false).on("issue", headOf(named...)).run()
+	s := newStepScript(false).on("issue", headWithVersions(named...)).run()
 	wantFailure(t, s, failure.StepVersionChanged, protocol.Outcome_RAN)
-	if versions := s.released().GetWeightVersions(); len(versions) != ledger.MaxWeightVersions ||
+	if versions := s.releaseOperation().GetWeightVersions(); len(versions) != ledger.MaxWeightVersions ||
 		!slices.Contains(versions, 100) {
 		t.Fatalf("released with %v", versions)
 	}
 }
 
-func TestServerWithOtherWeightsCostsNoRetry(t *testing.T) {
-	moved := turn.BackEndFailed{Fault: turn.FaultWrongVersion, Detail: "421"}
-	s := newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, turn.Chosen{BackEnd: "b2"}).on("issue", moved).run()
+func TestWrongVersionUsesNoRetryBudget(t *testing.T) {
+	wrongVersion := turn.BackEndFailed{Fault: turn.FaultWrongVersion, Detail: "421"}
+	s := newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, turn.Chosen{BackEnd: "b2"}).
+		on("issue", wrongVersion).run()
 	if s.count("issue") != 2 || s.count("retry") != 0 || s.count("release") != 0 {
-		t.Fatalf("commands %v", s.names())
+		t.Fatalf("commands %v", s.commandNames())
 	}
 	none := turn.NotChosen{Failure: failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, "none").Failure}
-	s = newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, none).on("issue", moved).run()
+	s = newStepScript(false).on("choose", turn.Chosen{BackEnd: "b1"}, none).on("issue", wrongVersion).run()
 	wantFailure(t, s, failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN)
-	if s.released().GetTokens() != 0 || len(s.released().GetWeightVersions()) != 0 ||
-		s.last().GetFailed().GetRetryAfterMillis() == 0 {
-		t.Fatalf("ended with %v, released %v", s.last(), s.released())
+	if s.releaseOperation().GetTokens() != 0 || len(s.releaseOperation().GetWeightVersions()) != 0 ||
+		s.lastEvent().GetFailed().GetRetryAfterMillis() == 0 {
+		t.Fatalf("ended with %v, released %v", s.lastEvent(), s.releaseOperation())
 	}
 }
 
-func TestUnrecordedGenerationNeverLooksComplete(t *testing.T) {
+func TestUnrecordedGenerationIsNotReportedComplete(t *testing.T) {
 	for _, rejection := range []protocol.LedgerStatus{
 		protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_FENCED,
 		protocol.LedgerStatus_LEDGER_NOT_RESERVED,
 		protocol.LedgerStatus_LEDGER_ALREADY_FINISHED,
 	} {
-		answers := []turn.Event{turn.Released{Result: status(rejection)}}
+		answers := []turn.Event{turn.Released{Result: resultWithStatus(rejection)}}
 		if rejection == protocol.LedgerStatus_LEDGER_UNAVAILABLE {
 			for range 20 {
 				answers = append(answers, answers[0])
 			}
-			answers = append(answers, turn.Released{Result: ok})
+			answers = append(answers, turn.Released{Result: okResult})
 		}
-		s := newStepScript(false).on("issue", headOf(pinnedVersion), eventOf("a"), routedDone).on("release", answers...).run()
-		if f := s.last().GetFailed(); f.GetOutcome() != protocol.Outcome_RAN || !s.machine.Done() {
-			t.Errorf("%v: ended with %v", rejection, s.last())
+		s := newStepScript(false).on("issue", headWithVersions(pinnedVersion), eventWithVersion("a"), httpDone).
+			on("release", answers...).run()
+		if f := s.lastEvent().GetFailed(); f.GetOutcome() != protocol.Outcome_RAN || !s.machine.Done() {
+			t.Errorf("%v: ended with %v", rejection, s.lastEvent())
 		}
 	}
 }
 
 // stepObserver checks what the caller and the ledger see of a turn of a step.
 type stepObserver struct {
-	t        *rapid.T
-	named    []uint64
-	foreign  bool
-	recorded bool
-	terminal *protocol.TurnEvent
+	t                 *rapid.T
+	namedVersions     []uint64
+	otherVersionNamed bool
+	recorded          bool
+	terminal          *protocol.TurnEvent
 }
 
-// piece notes what a server sent next.
-func (o *stepObserver) piece(versions []uint64, needed bool) {
-	o.named = append(o.named, versions...)
-	o.foreign = o.foreign || needed && len(versions) == 0 ||
+// observeVersions notes what a server sent next.
+func (o *stepObserver) observeVersions(versions []uint64, required bool) {
+	o.namedVersions = append(o.namedVersions, versions...)
+	o.otherVersionNamed = o.otherVersionNamed || required && len(versions) == 0 ||
 		slices.ContainsFunc(versions, func(version uint64) bool { return version != pinnedVersion })
 }
 
-func (o *stepObserver) command(command turn.Command) {
+func (o *stepObserver) observeCommand(command turn.Command) {
 	switch command := command.(type) {
 	case turn.Emit:
-		if o.foreign && (command.Event.GetDelta() != nil || command.Event.GetCompleted() != nil) {
+		if o.otherVersionNamed && (command.Event.GetDelta() != nil || command.Event.GetCompleted() != nil) {
 			o.t.Fatalf("%v emitted after another version was named", command.Event)
 		}
 		if command.Event.GetCompleted() != nil && !o.recorded {
@@ -255,25 +259,25 @@
 			o.terminal = command.Event
 		}
 	case turn.Commit:
-		o.traced(command.Operation.GetWeightVersions())
+		o.checkVersions(command.Operation.GetWeightVersions())
 	case turn.Release:
 		if command.Operation.GetTokens() > 0 {
-			o.traced(command.Operation.GetWeightVersions())
+			o.checkVersions(command.Operation.GetWeightVersions())
 		}
-		if command.Operation.GetCompleted() && o.foreign {
+		if command.Operation.GetCompleted() && o.otherVersionNamed {
 			o.t.Fatal("counted as completed although another version was named")
 		}
 	}
 }
 
-// traced checks that the ledger gets each version that was named.
-func (o *stepObserver) traced(versions []uint64) {
-	if want := slices.Compact(slices.Clone(o.named)); !slices.Equal(versions, want) {
+// checkVersions checks that the ledger gets each version that was named.
+func (o *stepObserver) checkVersions(versions []uint64) {
+	if want := slices.Compact(slices.Clone(o.namedVersions)); !slices.Equal(versions, want) {
 		o.t.Fatalf("the ledger got %v, the server named %v", versions, want)
 	}
 }
 
-func TestNoTurnOfAStepMixesVersionsWhateverHappens(t *testing.T) {
+func TestTurnOfAStepNeverMixesVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStepScript(rapid.Bool().Draw(t, "stateful"))
 		o := &stepObserver{t: t}
@@ -291,7 +295,7 @@
 			case len(pending) > 0:
 				command := pending[0]
 				pending = pending[1:]
-				o.command(command)
+				o.observeCommand(command)
 				switch command.(type) {
 				case turn.Issue:
 					streaming, begun = true, false
@@ -307,11 +311,11 @@
 			case streaming && !begun:
 				begun = true
 				named := versions.Draw(t, "head")
-				o.piece(named, true)
-				event = headOf(named...)
+				o.observeVersions(named, true)
+				event = headWithVersions(named...)
 			case streaming:
-				event = drawStepPiece(t, o, versions)
-				streaming = !isEnd(event)
+				event = drawStepEvent(t, o, versions)
+				streaming = !endsAttempt(event)
 			}
 			if event == nil {
 				continue
@@ -324,29 +328,29 @@
 				o.recorded = o.recorded || event.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
 			}
 			pending = append(pending, s.machine.Apply(event, s.now)...)
-			s.now = s.now.Add(answerStep)
+			s.now = s.now.Add(eventInterval)
 		}
-		if o.foreign && o.terminal.GetFailed() == nil {
+		if o.otherVersionNamed && o.terminal.GetFailed() == nil {
 			t.Fatalf("another version was named and the turn ended with %v", o.terminal)
 		}
 	})
 }
 
-// answerStep is the virtual time between two events.
-const answerStep = 10_000_000
+// eventInterval is the virtual time between two events.
+const eventInterval = 10_000_000
 
-// drawStepPiece draws what the server of a turn of a step sends after its head.
-func drawStepPiece(t *rapid.T, o *stepObserver, versions *rapid.Generator[[]uint64]) turn.Event {
+// drawStepEvent draws what the server of a turn of a step sends after its head.
+func drawStepEvent(t *rapid.T, o *stepObserver, versions *rapid.Generator[[]uint64]) turn.Event {
 	switch rapid.IntRange(0, 5).Draw(t, "piece") {
 	case 0:
 		return turn.BackEndFailed{Fault: turn.FaultBroken, Detail: "drawn"}
 	case 1:
 		return drawStop(t)
 	case 2:
-		return routedDone
+		return httpDone
 	default:
 		named := versions.Draw(t, "event")
-		o.piece(named, false)
-		return eventOf("x", named...)
+		o.observeVersions(named, false)
+		return eventWithVersion("x", named...)
 	}
 }
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -22,7 +22,7 @@
 	}, Overload: failure.Code(f.GetCode()) == failure.Overloaded})
 }
 
-func (m *Machine) rejecting(event Event) []Command {
+func (m *Machine) handleRejected(event Event) []Command {
 	rejected, matches := event.(Rejected)
 	if !matches {
 		return nil
@@ -63,36 +63,36 @@
 	}
 }
 
-func (m *Machine) retainedTurnRead(event Event) []Command {
-	read, matches := event.(RetainedTurnRead)
+func (m *Machine) handleRetainedTurnRead(event Event) []Command {
+	retained, matches := event.(RetainedTurnRead)
 	if !matches {
 		return nil
 	}
-	if read.Turn == nil {
-		f := ledgerFailure(read.Status)
+	if retained.Turn == nil {
+		f := ledgerFailure(retained.Status)
 		f.Outcome = protocol.Outcome_RAN
 		return m.end(f)
 	}
 	m.answerEnded = true
 	m.state = stateDone
 	commands := m.slot.free()
-	for _, event := range Replay(read.Turn, m.attempt+1, m.parameters.Owner, m.parameters.BundleVersion) {
+	for _, event := range Replay(retained.Turn, m.attempt+1, m.parameters.Owner, m.parameters.BundleVersion) {
 		commands = append(commands, Emit{Event: event})
 	}
 	return append(commands, Finish{})
 }
 
-func (m *Machine) committing(event Event, now time.Time) []Command {
+func (m *Machine) handleCommitEvent(event Event, now time.Time) []Command {
 	switch answer := event.(type) {
 	case BackoffElapsed:
 		return []Command{Commit{Operation: m.commitOperation}}
 	case Committed:
-		return m.commitAnswered(answer.Result, now)
+		return m.handleCommitResult(answer.Result, now)
 	}
 	return nil
 }
 
-func (m *Machine) commitAnswered(result *protocol.LedgerResult, now time.Time) []Command {
+func (m *Machine) handleCommitResult(result *protocol.LedgerResult, now time.Time) []Command {
 	switch status := result.GetStatus(); status {
 	case protocol.LedgerStatus_LEDGER_OK:
 		return m.complete()
@@ -100,16 +100,16 @@
 		if result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_SETTLED {
 			return m.complete()
 		}
-		return m.notRetained(failure.Fenced, "the turn ran but another owner ended it")
+		return m.endNotRetained(failure.Fenced, "the turn ran but another owner ended it")
 	case protocol.LedgerStatus_LEDGER_UNAVAILABLE, protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT:
-		return m.commitUnavailable(now)
+		return m.handleCommitUnavailable(now)
 	default:
-		return m.notRetained(failure.Fenced, "the turn ran but was not kept: "+status.String())
+		return m.endNotRetained(failure.Fenced, "the turn ran but was not kept: "+status.String())
 	}
 }
 
-// commitUnavailable answers the caller after a while and continues its attempts in the background.
-func (m *Machine) commitUnavailable(now time.Time) []Command {
+// handleCommitUnavailable answers the caller after a while and continues its attempts in the background.
+func (m *Machine) handleCommitUnavailable(now time.Time) []Command {
 	if m.operation.elapsed(now) < commitAnswerTimeout || m.answerEnded {
 		return m.operation.backOff()
 	}
@@ -117,9 +117,9 @@
 		"the turn ran but the ledger has not confirmed it; send the same request again to read it").Failure))
 }
 
-func (m *Machine) notRetained(code failure.Code, message string) []Command {
+func (m *Machine) endNotRetained(code failure.Code, message string) []Command {
 	f := failure.New(code, protocol.Outcome_RAN, message).Failure
-	return prepend(m.end(f), forget(f))
+	return prepend(m.end(f), forgetSessionCommand(f))
 }
 
 func (m *Machine) complete() []Command {
@@ -135,13 +135,13 @@
 	return append(append(commands, m.slot.free()...), Finish{})
 }
 
-// endHere answers that this front node may not run the turn. It says nothing
+// endLocally answers that this front node may not run the turn. It says nothing
 // of other owners, so the ingress may bring the request to one of them.
-func (m *Machine) endHere(f *protocol.Failure) []Command {
-	return prepend(m.end(f), forget(f))
+func (m *Machine) endLocally(f *protocol.Failure) []Command {
+	return prepend(m.end(f), forgetSessionCommand(f))
 }
 
-func forget(f *protocol.Failure) ForgetSession {
+func forgetSessionCommand(f *protocol.Failure) ForgetSession {
 	return ForgetSession{Fenced: failure.Code(f.GetCode()) == failure.Fenced}
 }
 
@@ -157,7 +157,7 @@
 
 // giveUp ends a reserved turn: it is released when it provably did not run, and charged otherwise.
 func (m *Machine) giveUp(now time.Time) []Command {
-	if m.ranBefore || m.emittedTokens > 0 {
+	if m.mayHaveRunBefore || m.emittedTokens > 0 {
 		return m.charge(m.failure, now)
 	}
 	m.failure.Outcome = protocol.Outcome_NOT_RUN
--- a/internal/dataplane/turn/turn_stop.go
+++ b/internal/dataplane/turn/turn_stop.go
@@ -7,29 +7,29 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func (m *Machine) stop(event Stopped, now time.Time) []Command {
+func (m *Machine) handleStop(event Stopped, now time.Time) []Command {
 	f := stopFailure(event.Reason)
 	switch m.state {
 	case stateNew, stateResolving, stateClaiming, stateReading, stateAdmitting:
-		return m.stopUnreserved(f, event.Reason)
+		return m.endUnreserved(f, event.Reason)
 	case stateReserving:
 		if event.WithoutEffect {
-			return m.stopUnreserved(f, event.Reason)
+			return m.endUnreserved(f, event.Reason)
 		}
 		return m.releaseWith(f, 0, now)
 	case stateChoosing, stateRequestingRetry:
 		m.failure = f
 		return m.giveUp(now)
 	case stateIssued:
-		return m.stopIssued(f, event, now)
+		return m.handleStopIssued(f, event, now)
 	case stateCommitting:
 		if event.Reason == StopAuthority {
-			return m.notRetained(failure.NoAuthority, "the turn ran but the front node lost its authority before it was kept")
+			return m.endNotRetained(failure.NoAuthority, "the turn ran but the front node lost its authority before it was kept")
 		}
 	case stateReleasing:
 		if event.Reason == StopAuthority {
 			m.step.recording = false
-			return prepend(m.end(m.unproved()), ForgetSession{})
+			return prepend(m.end(m.unprovenFailure()), ForgetSession{})
 		}
 	case stateRejecting, stateReadingRetained, stateDone:
 		// The ledger's answer is awaited and ends the turn.
@@ -37,21 +37,21 @@
 	return nil
 }
 
-// stopUnreserved stops a turn without a reservation in the ledger.
-func (m *Machine) stopUnreserved(f *protocol.Failure, reason StopReason) []Command {
+// endUnreserved stops a turn without a reservation in the ledger.
+func (m *Machine) endUnreserved(f *protocol.Failure, reason StopReason) []Command {
 	if reason == StopAuthority {
-		return m.endHere(f)
+		return m.endLocally(f)
 	}
 	return m.reject(f)
 }
 
-// stopIssued stops a turn whose attempt was to be issued. When that one provably did not run, the earlier attempts
-// decide.
-func (m *Machine) stopIssued(f *protocol.Failure, event Stopped, now time.Time) []Command {
+// handleStopIssued stops a turn whose attempt was to be issued. When that attempt provably did not run, the earlier
+// attempts decide.
+func (m *Machine) handleStopIssued(f *protocol.Failure, event Stopped, now time.Time) []Command {
 	if event.WithoutEffect && m.sequence == 0 {
 		m.failure = f
 		return m.giveUp(now)
 	}
-	m.ranBefore = true
+	m.mayHaveRunBefore = true
 	return prepend(m.charge(f, now), StopBackEnd{})
 }
