--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -25,11 +25,11 @@
 // isRetained reports whether the turn is retained for others to continue.
 func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
-// IsLedgered reports whether the turn is recorded in the ledger.
-func (m *Machine) IsLedgered() bool { return IsLedgered(m.parameters.Request) }
+// UsesLedger reports whether the turn is recorded in the ledger.
+func (m *Machine) UsesLedger() bool { return UsesLedger(m.parameters.Request) }
 
-// IsLedgered reports whether the turn of a request is recorded in the ledger.
-func IsLedgered(request *protocol.TurnRequest) bool {
+// UsesLedger reports whether the turn of a request is recorded in the ledger.
+func UsesLedger(request *protocol.TurnRequest) bool {
 	if request.GetHttp() == nil {
 		return true
 	}
@@ -39,9 +39,9 @@
 	return request.GetHttp().GetStateful() || request.GetProgramBudget() > 0 || request.GetTrainingStep() != ""
 }
 
-func (m *Machine) admittedHTTP() []Command {
+func (m *Machine) handleHTTPAdmitted() []Command {
 	switch {
-	case !m.IsLedgered():
+	case !m.UsesLedger():
 		m.state = stateChoosing
 		return []Command{Choose{}}
 	case m.isRetained() && m.parameters.Request.GetPreviousTurn() != "":
@@ -53,8 +53,8 @@
 	}
 }
 
-// reserveHTTP claims the session's epoch and sets the turn's reservation limit aside in one operation.
-func (m *Machine) reserveHTTP() Command {
+// httpReserveCommand claims the session's epoch and sets the turn's reservation limit aside in one operation.
+func (m *Machine) httpReserveCommand() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
 		RequestId: request.GetRequestId(), Session: request.GetSession(), Ceiling: m.parameters.ReservationLimit,
@@ -67,37 +67,37 @@
 	}}
 }
 
-// head emits the head of the answer before the first event.
-func (m *Machine) head(head Head, now time.Time) []Command {
+// handleHead emits the head of the answer before the first event.
+func (m *Machine) handleHead(head Head, now time.Time) []Command {
 	if m.sequence > 0 {
 		return nil
 	}
 	if !m.matchesVersionPin(head.WeightVersions) {
-		return m.versionChanged(now)
+		return m.endForVersionChange(now)
 	}
 	command := m.emitCreated().(Emit)
 	command.Event.GetCreated().Head = head.Answer
 	return []Command{command}
 }
 
-// answeredCompletely ends a turn that the server answered without a stream. It may have run.
-func (m *Machine) answeredCompletely(answer AnswerCompleted, now time.Time) []Command {
-	m.ranBefore = true
-	if m.isOfStep() && !m.acceptsCompleteAnswer(answer) {
-		return m.versionChanged(now)
+// handleCompleteAnswer ends a turn that the server answered without a stream. It may have run.
+func (m *Machine) handleCompleteAnswer(answer CompleteAnswer, now time.Time) []Command {
+	m.mayHaveRunBefore = true
+	if m.hasTrainingStep() && !m.acceptsCompleteAnswer(answer) {
+		return m.endForVersionChange(now)
 	}
 	m.completeAnswer = answer.Answer
 	f := failure.New(failure.BackEndFailed, protocol.Outcome_RAN, "the server answered without a stream").Failure
 	return m.charge(f, now)
 }
 
-// finishedUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
-func (m *Machine) finishedUnretained(now time.Time) []Command {
-	if m.isOfStep() {
+// completeUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
+func (m *Machine) completeUnretained(now time.Time) []Command {
+	if m.hasTrainingStep() {
 		return m.recordGeneration(now)
 	}
 	completed := m.emitCompleted()
-	if !m.IsLedgered() {
+	if !m.UsesLedger() {
 		m.state = stateDone
 		return append(append(m.slot.free(), completed), Finish{})
 	}
