--- a/internal/state/ledger/call.go
+++ b/internal/state/ledger/call.go
@@ -6,13 +6,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ApplyCall decides an operation on the record of a call that may not be repeated; record is nil while there is none.
-// It returns the changed record, or nil when nothing changes.
+// ApplyCall applies an operation to the record of a non-repeatable call; record is nil when none exists. It returns the
+// changed record, or nil when nothing changes. A record whose retention has ended is treated as absent.
 //
-// BeginCall is decided on the call's register only. The register lets one attempt win, whatever its epoch, so a call
-// never runs twice. The epoch is checked separately: the store reads the program's register after the intent is chosen
-// and answers LEDGER_OK only when the epoch was in force at that read, so the permission to issue the call precedes
-// every later claim of the session. A record whose retention has ended counts as absent.
+// BeginCall depends on the call's register only. One attempt wins there, whatever its epoch, so a call never runs
+// twice. The epoch is checked separately: the store reads the program's register after the intent is chosen and returns
+// LEDGER_OK only if the epoch was current at that read. The permission to issue the call therefore precedes every later
+// claim of the session.
 func ApplyCall(
 	record *protocol.CallRecord, operation *protocol.LedgerOperation, now time.Time,
 ) (*protocol.CallRecord, *protocol.LedgerResult) {
@@ -84,8 +84,8 @@
 	return changed, callResult(protocol.LedgerStatus_LEDGER_OK, changed)
 }
 
-// rejectCall marks a call as not run. It fails against an intent, unless the attempt that wrote the intent withdraws
-// it.
+// rejectCall marks a call as not run. It fails when the call has an intent, unless the attempt that wrote the intent
+// withdraws it.
 func rejectCall(
 	record *protocol.CallRecord, program string, reject *protocol.RefuseCall, now time.Time,
 ) (*protocol.CallRecord, *protocol.LedgerResult) {
--- a/internal/state/ledger/finished_codec.go
+++ b/internal/state/ledger/finished_codec.go
@@ -7,34 +7,42 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// A finished request is packed, since a program has many, as: the request's key; a byte of flags with the outcome; its
-// session; the turn id, unless it is derived from the key; the tokens; the time at which it ended; the end of its
-// retention as the difference from the default one. Numbers are varints. The session is its index among the record's
-// sessions, which are never removed or reordered, or its name when the record does not have it.
+// Finished requests are stored in a packed encoding, since a program has many of them. Each one consists of, in order:
+//
+//   - the request key;
+//   - one byte with the outcome and the flags below;
+//   - the session: its index among the record's sessions, which are never removed or reordered, or its
+//     length-prefixed name when the record does not have the session;
+//   - the length-prefixed turn id, unless it is empty or derived from the key;
+//   - the tokens;
+//   - the time at which the request ended, in Unix milliseconds;
+//   - the end of its retention, as the difference from the default retention.
+//
+// Numbers are varints.
 const (
-	outcomeBits  = 0b0011
-	namedSession = 0b0100
-	derivedTurn  = 0b1000
-	namedTurn    = 0b1_0000
-	knownFlags   = outcomeBits | namedSession | derivedTurn | namedTurn
+	outcomeBits   = 0b0011
+	inlineSession = 0b0100
+	derivedTurnID = 0b1000
+	inlineTurnID  = 0b1_0000
+	knownFlags    = outcomeBits | inlineSession | derivedTurnID | inlineTurnID
 	// typicalPackedBytes is the size of one request with a derived turn id and an indexed session.
 	typicalPackedBytes = 32
 )
 
-// packedRequest is one finished request, read from its packed form; its texts share the record's memory.
+// packedRequest is one decoded finished request. Its byte slices alias the record's memory.
 type packedRequest struct {
 	key               requestKey
 	flags             byte
-	session           uint64
+	sessionIndex      uint64
 	sessionName       []byte
-	turnName          []byte
+	turnID            []byte
 	tokens            uint64
 	finishedAtMillis  int64
 	retainUntilMillis int64
 	encoded           []byte
 }
 
-// packReader reads fields in sequence; failed stays set once a field is damaged or incomplete.
+// packReader decodes consecutive fields. Once a field is damaged or incomplete, failed stays set.
 type packReader struct {
 	rest   []byte
 	failed bool
@@ -71,7 +79,7 @@
 	return text
 }
 
-// unpack reads the first request and its size; the size is zero when it is damaged.
+// unpack decodes the first request and returns its encoded size, or zero when the request is damaged.
 func unpack(packed []byte) (entry packedRequest, size int) {
 	if len(packed) <= requestKeyBytes {
 		return entry, 0
@@ -79,13 +87,13 @@
 	entry.key = requestKey(packed[:requestKeyBytes])
 	entry.flags = packed[requestKeyBytes]
 	reader := packReader{rest: packed[requestKeyBytes+1:], failed: entry.flags&^knownFlags != 0}
-	if entry.flags&namedSession != 0 {
+	if entry.flags&inlineSession != 0 {
 		entry.sessionName = reader.text()
 	} else {
-		entry.session = reader.uvarint()
+		entry.sessionIndex = reader.uvarint()
 	}
-	if entry.flags&namedTurn != 0 {
-		entry.turnName = reader.text()
+	if entry.flags&inlineTurnID != 0 {
+		entry.turnID = reader.text()
 	}
 	entry.tokens = reader.uvarint()
 	entry.finishedAtMillis = int64(reader.uvarint())
@@ -98,7 +106,7 @@
 	return entry, size
 }
 
-// packedRequests iterates over the finished requests in the order in which they ended, up to a damaged one.
+// packedRequests iterates over the finished requests in the order in which they ended and stops at a damaged one.
 func packedRequests(packed []byte) iter.Seq[packedRequest] {
 	return func(yield func(packedRequest) bool) {
 		for len(packed) > 0 {
@@ -111,7 +119,7 @@
 	}
 }
 
-// appendPacked appends a finished request of the program.
+// appendPacked appends the encoding of a finished request of the program.
 func appendPacked(
 	packed []byte, program string, sessions []*protocol.SessionRecord, finished *protocol.FinishedRequest,
 ) []byte {
@@ -119,15 +127,15 @@
 	flags := byte(finished.GetOutcome()) & outcomeBits
 	index := sessionIndex(sessions, finished.GetSession())
 	if index < 0 {
-		flags |= namedSession
+		flags |= inlineSession
 	}
 	turnKey, derived := parseTurnID(finished.GetTurnId())
 	switch {
 	case finished.GetTurnId() == "":
 	case derived && turnKey == key:
-		flags |= derivedTurn
+		flags |= derivedTurnID
 	default:
-		flags |= namedTurn
+		flags |= inlineTurnID
 	}
 	packed = append(append(packed, key[:]...), flags)
 	if index < 0 {
@@ -135,7 +143,7 @@
 	} else {
 		packed = binary.AppendUvarint(packed, uint64(index))
 	}
-	if flags&namedTurn != 0 {
+	if flags&inlineTurnID != 0 {
 		packed = appendText(packed, finished.GetTurnId())
 	}
 	packed = binary.AppendUvarint(packed, finished.GetTokens())
@@ -158,21 +166,22 @@
 	return -1
 }
 
-// toProto returns the request as a message. Its id is not packed, so the caller names it.
+// toProto returns the request as a message. The packed encoding does not contain the request id, so the caller passes
+// it.
 func (e *packedRequest) toProto(requestID string, sessions []*protocol.SessionRecord) *protocol.FinishedRequest {
 	finished := &protocol.FinishedRequest{
 		RequestId:        requestID,
 		Outcome:          protocol.RequestOutcome(e.flags & outcomeBits),
 		Session:          string(e.sessionName),
-		TurnId:           string(e.turnName),
+		TurnId:           string(e.turnID),
 		Tokens:           e.tokens,
 		FinishedAtMillis: e.finishedAtMillis,
 		KeepUntilMillis:  e.retainUntilMillis,
 	}
-	if e.flags&namedSession == 0 {
-		finished.Session = sessions[e.session].GetSession()
+	if e.flags&inlineSession == 0 {
+		finished.Session = sessions[e.sessionIndex].GetSession()
 	}
-	if e.flags&derivedTurn != 0 {
+	if e.flags&derivedTurnID != 0 {
 		finished.TurnId = e.key.turnID()
 	}
 	return finished
--- a/internal/state/ledger/finished_requests.go
+++ b/internal/state/ledger/finished_requests.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// DamagedRecordError reports that a program's record cannot be read.
+// DamagedRecordError reports that the packed finished requests of a program's record cannot be decoded.
 type DamagedRecordError struct {
 	Program string
 }
@@ -16,13 +16,13 @@
 	return fmt.Sprintf("record of program %q: its finished requests are damaged", e.Program)
 }
 
-// CheckRecord returns a *DamagedRecordError when the finished requests cannot be read. Records that come from outside
-// the package must pass it before any other function reads them.
+// CheckRecord returns a *DamagedRecordError when the finished requests cannot be decoded. Records from outside the
+// package must pass it before they are passed to any other function.
 func CheckRecord(record *protocol.ProgramRecord) error {
 	sessions := uint64(len(record.GetSessions()))
 	for rest := record.GetFinishedPacked(); len(rest) > 0; {
 		entry, size := unpack(rest)
-		if size == 0 || entry.flags&namedSession == 0 && entry.session >= sessions {
+		if size == 0 || entry.flags&inlineSession == 0 && entry.sessionIndex >= sessions {
 			return &DamagedRecordError{Program: record.GetProgram()}
 		}
 		rest = rest[size:]
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// FindFinished returns how a request of the program ended, or nil when the record does not know it.
+// FindFinished returns the finished request with the id, or nil when the record has none.
 func FindFinished(record *protocol.ProgramRecord, requestID string) *protocol.FinishedRequest {
 	for _, finished := range record.GetFinished() {
 		if finished.GetRequestId() == requestID {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// hasRunRequest reports whether the record knows a finished request that was run.
+// hasRunRequest reports whether the record has a finished request that ran.
 func hasRunRequest(record *protocol.ProgramRecord) bool {
 	for _, finished := range record.GetFinished() {
 		if finished.GetOutcome() != protocol.RequestOutcome_OUTCOME_NOT_RUN {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// retainsFinishedTurn reports whether a finished request of the record has the turn.
+// retainsFinishedTurn reports whether a retained finished request of the record committed the turn.
 func retainsFinishedTurn(record *protocol.ProgramRecord, turn string) bool {
 	for _, finished := range record.GetFinished() {
 		if finished.GetTurnId() == turn {
@@ -73,16 +73,16 @@
 	}
 	key, derived := parseTurnID(turn)
 	for entry := range packedRequests(record.GetFinishedPacked()) {
-		if entry.flags&derivedTurn != 0 && derived && entry.key == key ||
-			entry.flags&namedTurn != 0 && string(entry.turnName) == turn {
+		if entry.flags&derivedTurnID != 0 && derived && entry.key == key ||
+			entry.flags&inlineTurnID != 0 && string(entry.turnID) == turn {
 			return true
 		}
 	}
 	return false
 }
 
-// retainedPacked copies the finished requests whose retention has not ended, with capacity for one more. Records of
-// older stores have them unpacked.
+// retainedPacked returns a packed copy of the finished requests whose retention has not ended, with capacity for one
+// more. Records written by older stores have unpacked finished requests, which are packed here.
 func retainedPacked(record *protocol.ProgramRecord, nowMillis int64) []byte {
 	packed := record.GetFinishedPacked()
 	retained := make([]byte, 0, len(packed)+typicalPackedBytes*(1+len(record.GetFinished())))
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -9,13 +9,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxIdentifierBytes bounds every identifier of an operation; identifiers are repeated in records, which stores
-// replicate as a whole.
+// maxIdentifierBytes bounds every identifier of an operation. Identifiers occur repeatedly in a record, and stores
+// replicate the entire record on each change.
 const maxIdentifierBytes = 512
 
-// InvalidOperationError reports an operation that no store may apply.
+// InvalidOperationError reports an operation that failed validation and must not be applied.
 type InvalidOperationError struct {
-	// Path is the field at fault, as in the message's JSON form.
+	// Path is the invalid field: names of protocol fields joined by dots.
 	Path   string
 	Reason string
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// CallRequestID returns the request id of the call that the operation concerns, or an empty text when it concerns the
+// CallRequestID returns the request id of the call that the operation concerns, or an empty string when it concerns the
 // program.
 func CallRequestID(operation *protocol.LedgerOperation) string {
 	switch body := operation.GetBody().(type) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// addWithoutOverflow adds and stops at the largest number, so that no sum of tokens wraps round to a small one.
-func addWithoutOverflow(a, b uint64) uint64 {
+// saturatingAdd returns a+b, or the largest value on overflow, so that no sum of tokens wraps around to a small one.
+func saturatingAdd(a, b uint64) uint64 {
 	sum := a + b
 	if sum < a {
 		return math.MaxUint64
--- a/internal/state/ledger/program.go
+++ b/internal/state/ledger/program.go
@@ -7,9 +7,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Apply decides an operation on a program's record, which is nil while the program has none. It returns the changed
-// record, or nil when nothing changes, and never writes to the given one. Operations on calls and turns are not decided
-// here and result in LEDGER_STATUS_UNSPECIFIED. A record whose retention has ended counts as absent.
+// Apply applies an operation to a program's record; record is nil when the program has none. It returns the changed
+// record, or nil when nothing changes, and never modifies its argument. Operations on calls and turns are not handled
+// here and result in LEDGER_STATUS_UNSPECIFIED. A record whose retention has ended is treated as absent.
 func Apply(
 	record *protocol.ProgramRecord, operation *protocol.LedgerOperation, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
@@ -61,8 +61,8 @@
 	return changed.ProgramRecord, readProgram(changed.ProgramRecord)
 }
 
-// claimSession raises the session's epoch, which fences every former owner. A process that was replaced by a later
-// incarnation of itself may not claim; a repeated claim of the owner changes nothing.
+// claimSession increments the session's epoch, which fences every previous owner. A claim by an earlier incarnation of
+// the owner is rejected; a repeated claim by the owner changes nothing.
 func claimSession(
 	record *protocol.ProgramRecord, program string, claim *protocol.ClaimSession, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
@@ -78,7 +78,7 @@
 			return nil, claimResult(record, session)
 		}
 		if session.GetOwnerIncarnation() > claim.GetOwnerIncarnation() {
-			return nil, fenced(session)
+			return nil, fencedResult(session)
 		}
 	}
 	changed := newDraft(program, record, now)
@@ -100,8 +100,8 @@
 	return changed.ProgramRecord, claimResult(changed.ProgramRecord, claimed)
 }
 
-// chargeOpenReservations charges the full limit of each reservation that a lost owner left open, since its turn may
-// have run. A generation for a training step counts as discarded: its outcome is unknown.
+// chargeOpenReservations charges the full limit of each reservation that the previous owner left open, since its turn
+// may have run. A generation for a training step is counted as discarded, since its outcome is unknown.
 func chargeOpenReservations(changed *draft, session string) {
 	isOther := func(reservation *protocol.Reservation) bool { return reservation.GetSession() != session }
 	for _, reservation := range slices.DeleteFunc(slices.Clone(changed.Reservations), isOther) {
@@ -124,7 +124,7 @@
 	}
 }
 
-func fenced(session *protocol.SessionRecord) *protocol.LedgerResult {
+func fencedResult(session *protocol.SessionRecord) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
 		Status:   protocol.LedgerStatus_LEDGER_FENCED,
 		Epoch:    session.GetEpoch(),
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkEpoch returns the session when the named epoch is in force, and a rejection otherwise.
+// checkEpoch returns the session when epoch is its current one, and a rejection otherwise.
 func checkEpoch(
 	record *protocol.ProgramRecord, session string, epoch uint64,
 ) (*protocol.SessionRecord, *protocol.LedgerResult) {
@@ -144,12 +144,13 @@
 		return nil, ResultWithStatus(protocol.LedgerStatus_LEDGER_UNKNOWN_SESSION)
 	}
 	if current.GetEpoch() != epoch {
-		return nil, fenced(current)
+		return nil, fencedResult(current)
 	}
 	return current, nil
 }
 
-// CheckEpoch returns LEDGER_OK when an owner under the epoch may act for the session, and a rejection otherwise.
+// CheckEpoch returns LEDGER_OK when epoch is the current one of the session, so that its owner may act for the session,
+// and a rejection otherwise.
 func CheckEpoch(record *protocol.ProgramRecord, session string, epoch uint64) *protocol.LedgerResult {
 	current, rejection := checkEpoch(record, session, epoch)
 	if rejection != nil {
--- a/internal/state/ledger/record.go
+++ b/internal/state/ledger/record.go
@@ -7,15 +7,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// draft is the next state of a record. The record that it begins from is never written to: the draft shares its
-// elements and replaces the ones that change.
+// draft is the next state of a record under construction. It shares elements with the original record and replaces
+// those that change, so the original is never modified.
 type draft struct {
 	*protocol.ProgramRecord
 	now time.Time
 }
 
-// newDraft copies the record without the finished requests that expired; it begins one that is not open yet when record
-// is nil.
+// newDraft returns a draft that starts as a copy of the record without its expired finished requests. When record is
+// nil, it starts as the empty record of a program that is not open.
 func newDraft(program string, record *protocol.ProgramRecord, now time.Time) *draft {
 	copied := &protocol.ProgramRecord{
 		Program:         program,
@@ -33,7 +33,7 @@
 	return &draft{ProgramRecord: copied, now: now}
 }
 
-// putSession replaces the session's record, or adds it.
+// putSession replaces the record of the session, or adds it when the session is new.
 func (d *draft) putSession(session *protocol.SessionRecord) {
 	for i, existing := range d.Sessions {
 		if existing.GetSession() == session.GetSession() {
@@ -44,13 +44,13 @@
 	d.Sessions = append(d.Sessions, session)
 }
 
-// finish ends a request: its reservation is closed and its tokens are charged. It is retained until retainUntilMillis,
-// and for the program's retention at least.
+// finish ends a request: it closes the reservation and charges the tokens. The request is retained until
+// retainUntilMillis, but at least for the program's retention.
 func (d *draft) finish(finished *protocol.FinishedRequest, retainUntilMillis int64) *protocol.FinishedRequest {
 	nowMillis := d.now.UnixMilli()
 	finished.FinishedAtMillis = nowMillis
 	finished.KeepUntilMillis = max(nowMillis+effectiveRetentionMillis(d.KeepingMillis), retainUntilMillis)
-	d.Settled = addWithoutOverflow(d.Settled, finished.GetTokens())
+	d.Settled = saturatingAdd(d.Settled, finished.GetTokens())
 	d.Reservations = slices.DeleteFunc(d.Reservations, func(reservation *protocol.Reservation) bool {
 		return reservation.GetRequestId() == finished.GetRequestId()
 	})
@@ -58,7 +58,7 @@
 	return finished
 }
 
-// isOpen reports whether the program was opened. Before that, its record may already contain tombstones.
+// isOpen reports whether the program was opened. The record of a program that is not open may contain tombstones.
 func isOpen(record *protocol.ProgramRecord) bool {
 	return record.GetTenant() != ""
 }
@@ -81,16 +81,16 @@
 	return nil
 }
 
-// reservedTokens sums the limits of the open reservations.
+// reservedTokens returns the sum of the limits of the open reservations.
 func reservedTokens(record *protocol.ProgramRecord) uint64 {
 	var total uint64
 	for _, reservation := range record.GetReservations() {
-		total = addWithoutOverflow(total, reservation.GetCeiling())
+		total = saturatingAdd(total, reservation.GetCeiling())
 	}
 	return total
 }
 
-// retainsTurn reports whether a session of the program committed the turn and the record still knows it.
+// retainsTurn reports whether the record still has the turn: as the last one of a session, or in a finished request.
 func retainsTurn(record *protocol.ProgramRecord, turn string) bool {
 	for _, session := range record.GetSessions() {
 		if session.GetLastTurn() == turn {
--- a/internal/state/ledger/retention.go
+++ b/internal/state/ledger/retention.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// DefaultRetention is how long a finished request, a call, and a program after its last change are stored at least,
-	// unless the program names another time. A turn with a longer retention prolongs that of its request and program.
-	// A day covers callers that repeat a request after an outage.
+	// DefaultRetention is the minimum time for which a finished request, a call, and a program after its last change are
+	// stored, unless the program sets another retention. A turn with a longer retention prolongs that of its request and
+	// its program. 24 hours cover callers that repeat a request after an outage.
 	DefaultRetention = 24 * time.Hour
-	// MinRetention bounds what a program may name: far above the time by which a message can be late.
+	// MinRetention is the shortest retention that a program may set. It is far above the longest delay of a message.
 	MinRetention = 2 * time.Minute
-	// MinProgramRetention bounds how early an idle program's record expires, and its budget with it. A program that was
-	// stopped commonly returns far sooner.
+	// MinProgramRetention is the minimum time after which an idle program's record expires, and its budget with it. A
+	// stopped program commonly resumes far sooner.
 	MinProgramRetention = 10 * time.Minute
 )
 
-// effectiveRetentionMillis returns the retention in force for the one that a record names; 0 names the default.
-func effectiveRetentionMillis(named int64) int64 {
-	if named <= 0 {
+// effectiveRetentionMillis returns the retention that applies for a requested one; 0 requests the default.
+func effectiveRetentionMillis(requestedMillis int64) int64 {
+	if requestedMillis <= 0 {
 		return DefaultRetention.Milliseconds()
 	}
-	return max(named, MinRetention.Milliseconds())
+	return max(requestedMillis, MinRetention.Milliseconds())
 }
 
-// ProgramRetainedUntil returns the time in Unix milliseconds after which a program's record expires: nothing changed it
-// during its retention, and no finished request is retained for longer.
+// ProgramRetainedUntil returns the time in Unix milliseconds after which a program's record expires: its retention
+// since the last change is over, and so is that of every finished request.
 func ProgramRetainedUntil(record *protocol.ProgramRecord) int64 {
 	retention := max(effectiveRetentionMillis(record.GetKeepingMillis()), MinProgramRetention.Milliseconds())
 	until := record.GetUpdatedAtMillis() + retention
--- a/internal/state/ledger/training_step.go
+++ b/internal/state/ledger/training_step.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// trainingStepPrefix begins the program names that are reserved for the registers of training steps.
+	// trainingStepPrefix is the prefix of the program names that are reserved for the registers of training steps.
 	trainingStepPrefix = "rosestand/training-step/"
-	// MaxTrainingStepBytes bounds the name of a training step, so that with the prefix it remains a valid identifier.
+	// MaxTrainingStepBytes bounds the name of a training step, so that it is a valid identifier together with the prefix.
 	MaxTrainingStepBytes = 256
-	// MaxWeightVersions bounds the weight versions that one committed or released turn names.
+	// MaxWeightVersions bounds the weight versions reported for one committed or released turn.
 	MaxWeightVersions = 16
-	// maxGenerationCounts bounds the versions that a membership counts separately, so that servers that name ever new
+	// maxGenerationCounts bounds the versions that a membership counts separately, so that servers that report ever new
 	// versions cannot grow the record. Generations on further versions are counted under UnknownWeightVersion.
 	maxGenerationCounts = 32
-	// UnknownWeightVersion is the version under which generations are counted whose server named none.
+	// UnknownWeightVersion is the version under which generations are counted whose server reported none.
 	UnknownWeightVersion = 0
-	// PinRenewalInterval is the age from which a pin's record is written again when an owner requests the pin, so that
-	// its retention restarts. An owner that caches a pin must request it again before MinPinRetention less
-	// PinRenewalInterval is over.
+	// PinRenewalInterval is the minimum age at which a pin's record is rewritten when an owner requests the pin, which
+	// restarts its retention. An owner that caches a pin must request it again within MinPinRetention minus
+	// PinRenewalInterval.
 	PinRenewalInterval = time.Hour
-	// MinPinRetention is how long a pin is retained at least after an owner requested it, also when the step names a
-	// shorter time.
+	// MinPinRetention is the minimum time for which a pin is retained after an owner requested it, even when the request
+	// sets a shorter retention.
 	MinPinRetention = DefaultRetention
 )
 
 // TrainingStepProgram returns the reserved program name under which the register of a training step is stored.
 func TrainingStepProgram(step string) string { return trainingStepPrefix + step }
 
-// IsReservedProgram reports whether the name may be used for registers of training steps only.
+// IsReservedProgram reports whether the program name is reserved for registers of training steps.
 func IsReservedProgram(program string) bool { return strings.HasPrefix(program, trainingStepPrefix) }
 
 // pinTrainingStep pins the weight version of a step. The first version proposed wins and never changes.
@@ -72,8 +72,8 @@
 	return changed.ProgramRecord, pinResult(protocol.LedgerStatus_LEDGER_OK, changed.TrainingStepPin)
 }
 
-// renewPin returns the record with a later end of its retention, or nil when it was renewed recently. A request without
-// an owner only reads and renews nothing.
+// renewPin returns the record with a later end of its retention, or nil when it was renewed recently and the request
+// sets no longer retention. A request without an owner is a read and renews nothing.
 func renewPin(record *protocol.ProgramRecord, pin *protocol.PinTrainingStep, now time.Time) *protocol.ProgramRecord {
 	if pin.GetOwner() == "" {
 		return nil
@@ -87,20 +87,20 @@
 	return changed.ProgramRecord
 }
 
-// pinRetentionMillis returns the retention of a pin. It is never short: a pin that expired while its step still
-// generates could be set again, to another version.
+// pinRetentionMillis returns the retention of a pin, which is at least MinPinRetention: if the pin expired while its
+// step still generates, it could be set again to another version.
 func pinRetentionMillis(pin *protocol.PinTrainingStep) int64 {
 	return max(pin.GetKeepingMillis(), MinPinRetention.Milliseconds())
 }
 
-// isPinRead reports whether the request can change nothing, not even the retention of the pin.
+// isPinRead reports whether the request changes nothing, not even the retention of the pin.
 func isPinRead(pin *protocol.PinTrainingStep) bool {
 	return pin.GetWeightVersion() == 0 && pin.GetOwner() == ""
 }
 
-// belongsToStep reports whether a program may generate for the named step, or for none when reference is nil. A member
-// generates for its step only; a program that ran turns without a step cannot join one.
-func belongsToStep(record *protocol.ProgramRecord, reference *protocol.TrainingStepReference) bool {
+// matchesTrainingStep reports whether a program may generate for the referenced step, or without a step when reference
+// is nil. A member generates for its own step only; a program that ran turns without a step cannot join one.
+func matchesTrainingStep(record *protocol.ProgramRecord, reference *protocol.TrainingStepReference) bool {
 	membership := record.GetTrainingStep()
 	switch {
 	case reference == nil:
@@ -125,16 +125,16 @@
 	return hasRunRequest(record)
 }
 
-// stepMismatch rejects a turn. It shows nothing of the program but the step for which it generates.
-func stepMismatch(record *protocol.ProgramRecord) *protocol.LedgerResult {
+// stepMismatchResult returns the rejection of a turn for another step. It exposes only the program's name and its step.
+func stepMismatchResult(record *protocol.ProgramRecord) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
 		Status:  protocol.LedgerStatus_LEDGER_STEP_MISMATCH,
 		Program: &protocol.ProgramRecord{Program: record.GetProgram(), TrainingStep: record.GetTrainingStep()},
 	}
 }
 
-// join makes the program a member of the step unless it is already one.
-func (d *draft) join(reference *protocol.TrainingStepReference) {
+// joinTrainingStep makes the program a member of the step unless it is already a member.
+func (d *draft) joinTrainingStep(reference *protocol.TrainingStepReference) {
 	if reference == nil || d.TrainingStep != nil {
 		return
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// countGeneration counts a generation of a member by the versions that its server named: as completed when it reached
-// its caller complete and all of them are the pinned one, otherwise as discarded under each version that differs, or
-// under the pinned one when none does.
+// countGeneration counts a generation of a member by the versions that its server reported. It counts as completed when
+// the caller received it in full and every version is the pinned one. Otherwise it counts as discarded under each
+// differing version, or under the pinned one when none differs.
 func (d *draft) countGeneration(versions []uint64, completed bool) {
 	if d.TrainingStep == nil {
 		return
@@ -168,15 +168,16 @@
 	}
 }
 
-// differingVersions returns each version other than the pinned one once, lowest first.
+// differingVersions returns the distinct versions other than the pinned one in ascending order.
 func differingVersions(versions []uint64, pinnedVersion uint64) []uint64 {
 	differing := slices.DeleteFunc(slices.Clone(versions), func(version uint64) bool { return version == pinnedVersion })
 	slices.Sort(differing)
 	return slices.Compact(differing)
 }
 
-// addToCount changes a copy of the count of one version; the membership of the previous record stays unchanged.
-func (d *draft) addToCount(version uint64, add func(*protocol.GenerationCount)) {
+// addToCount applies increment to a copy of the count of one version, so that the membership of the previous record
+// stays unchanged.
+func (d *draft) addToCount(version uint64, increment func(*protocol.GenerationCount)) {
 	counts := slices.Clone(d.TrainingStep.GetGenerations())
 	index, found := findCount(counts, version)
 	if !found && len(counts) >= maxGenerationCounts && version != d.TrainingStep.GetWeightVersion() {
@@ -191,7 +192,7 @@
 	} else {
 		counts = slices.Insert(counts, index, changed)
 	}
-	add(changed)
+	increment(changed)
 	d.TrainingStep = &protocol.TrainingStepMembership{
 		Step:          d.TrainingStep.GetStep(),
 		WeightVersion: d.TrainingStep.GetWeightVersion(),
@@ -199,19 +200,19 @@
 	}
 }
 
-// findCount returns the index of a version, or the index at which to insert it.
+// findCount returns the index of the version's count, or the index at which to insert it when found is false.
 func findCount(counts []*protocol.GenerationCount, version uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(counts, version, func(count *protocol.GenerationCount, version uint64) int {
 		return cmp.Compare(count.GetWeightVersion(), version)
 	})
 }
 
-// TotalGenerations returns how many generations a membership counts. It grows with each change of the counts and never
-// falls, so of two records of one program the one with the higher total is the later.
+// TotalGenerations returns how many generations a membership counts. It increases with each change of the counts and
+// never decreases, so of two records of one program the one with the higher total is newer.
 func TotalGenerations(membership *protocol.TrainingStepMembership) uint64 {
-	var counted uint64
+	var total uint64
 	for _, count := range membership.GetGenerations() {
-		counted = addWithoutOverflow(counted, addWithoutOverflow(count.GetCompleted(), count.GetDiscarded()))
+		total = saturatingAdd(total, saturatingAdd(count.GetCompleted(), count.GetDiscarded()))
 	}
-	return counted
+	return total
 }
--- a/internal/state/ledger/turn.go
+++ b/internal/state/ledger/turn.go
@@ -7,38 +7,39 @@
 )
 
 // reserveTurn admits a turn while charged and reserved tokens are below the budget, so a program exceeds its budget by
-// one turn at most. With a claim the session is claimed first; the claim takes effect also when the turn is rejected,
-// unless the program does not belong to the turn's training step.
+// one turn at most. With a claim the session is claimed first. The claim takes effect even when the turn is rejected,
+// unless the program does not match the turn's training step.
 func reserveTurn(
 	record *protocol.ProgramRecord, program string, reserve *protocol.ReserveTurn, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	if finished := FindFinished(record, reserve.GetRequestId()); finished != nil {
-		if !belongsToStep(record, reserve.GetTrainingStep()) {
-			return nil, stepMismatch(record)
+		if !matchesTrainingStep(record, reserve.GetTrainingStep()) {
+			return nil, stepMismatchResult(record)
 		}
 		return nil, finishedResult(protocol.LedgerStatus_LEDGER_ALREADY_FINISHED, finished)
 	}
 	if reserve.GetClaim() == nil {
 		return reserveUnderEpoch(record, reserve, reserve.GetEpoch(), now)
 	}
-	claimed, claim := claimSession(record, program, reserve.GetClaim(), now)
-	if claim.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
-		return nil, claim
+	claimedRecord, claimOutcome := claimSession(record, program, reserve.GetClaim(), now)
+	if claimOutcome.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
+		return nil, claimOutcome
 	}
-	if !belongsToStep(record, reserve.GetTrainingStep()) {
-		return nil, stepMismatch(record)
+	if !matchesTrainingStep(record, reserve.GetTrainingStep()) {
+		return nil, stepMismatchResult(record)
 	}
-	if claimed == nil {
-		return reserveUnderEpoch(record, reserve, claim.GetEpoch(), now)
+	if claimedRecord == nil {
+		return reserveUnderEpoch(record, reserve, claimOutcome.GetEpoch(), now)
 	}
-	reserved, result := reserveUnderEpoch(claimed, reserve, claim.GetEpoch(), now)
-	if reserved == nil {
-		reserved = claimed
+	reservedRecord, result := reserveUnderEpoch(claimedRecord, reserve, claimOutcome.GetEpoch(), now)
+	if reservedRecord == nil {
+		reservedRecord = claimedRecord
 	}
-	return reserved, result
+	return reservedRecord, result
 }
 
-// reserveUnderEpoch reserves under an epoch of the session. The claim before it may have ended the request.
+// reserveUnderEpoch reserves a turn under an epoch of the session. It checks again whether the request is finished,
+// since a claim in the same operation may have charged an open reservation of it.
 func reserveUnderEpoch(
 	record *protocol.ProgramRecord, reserve *protocol.ReserveTurn, epoch uint64, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
@@ -49,8 +50,8 @@
 	if rejection != nil {
 		return nil, rejection
 	}
-	if !belongsToStep(record, reserve.GetTrainingStep()) {
-		return nil, stepMismatch(record)
+	if !matchesTrainingStep(record, reserve.GetTrainingStep()) {
+		return nil, stepMismatchResult(record)
 	}
 	reservation := &protocol.Reservation{
 		RequestId:    reserve.GetRequestId(),
@@ -63,34 +64,36 @@
 		if isSameReservation(existing, reservation) {
 			return nil, reservedResult(session)
 		}
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED, record, session)
+		return nil, sessionResult(protocol.LedgerStatus_LEDGER_ALREADY_RESERVED, record, session)
 	}
 	if status := checkOrder(record, session, reserve); status != protocol.LedgerStatus_LEDGER_OK {
-		return nil, withProgram(status, recordShownWith(status, record), session)
+		return nil, sessionResult(status, recordForRejection(status, record), session)
 	}
 	if status := checkBudget(record); status != protocol.LedgerStatus_LEDGER_OK {
-		return nil, withProgram(status, record, session)
+		return nil, sessionResult(status, record, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
 	changed.Reservations = append(changed.Reservations, reservation)
-	changed.join(reserve.GetTrainingStep())
+	changed.joinTrainingStep(reserve.GetTrainingStep())
 	return changed.ProgramRecord, reservedResult(session)
 }
 
-// checkBudget rejects a turn of a program whose budget is spent, or would be if every open turn reached its limit.
+// checkBudget rejects a turn of a program whose budget is spent, or would be if every open reservation were charged in
+// full.
 func checkBudget(record *protocol.ProgramRecord) protocol.LedgerStatus {
 	switch {
 	case record.GetSettled() >= record.GetBudget():
 		return protocol.LedgerStatus_LEDGER_BUDGET_SPENT
-	case addWithoutOverflow(record.GetSettled(), reservedTokens(record)) >= record.GetBudget():
+	case saturatingAdd(record.GetSettled(), reservedTokens(record)) >= record.GetBudget():
 		return protocol.LedgerStatus_LEDGER_BUDGET_HELD
 	default:
 		return protocol.LedgerStatus_LEDGER_OK
 	}
 }
 
-// checkOrder rejects a turn that does not follow the last one of its session, or that would run beside another one.
-// Forks are exempt, since they may follow a turn of another program too; whoever issues one reads its chain first.
+// checkOrder rejects a turn that does not continue the last turn of its session, or that would run concurrently with
+// another turn of the session. Forks are exempt, since they may also follow a turn of another program; the process that
+// issues a fork reads its chain first.
 func checkOrder(
 	record *protocol.ProgramRecord, session *protocol.SessionRecord, reserve *protocol.ReserveTurn,
 ) protocol.LedgerStatus {
@@ -102,14 +105,14 @@
 			return protocol.LedgerStatus_LEDGER_ALREADY_RESERVED
 		}
 	}
-	if !continues(record, session, reserve.GetPreviousTurn()) {
+	if !isValidContinuation(record, session, reserve.GetPreviousTurn()) {
 		return protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION
 	}
 	return protocol.LedgerStatus_LEDGER_OK
 }
 
-// recordShownWith returns the record for the rejections that it explains, and nil for the others.
-func recordShownWith(status protocol.LedgerStatus, record *protocol.ProgramRecord) *protocol.ProgramRecord {
+// recordForRejection returns the record for the rejections that show it, and nil for the others.
+func recordForRejection(status protocol.LedgerStatus, record *protocol.ProgramRecord) *protocol.ProgramRecord {
 	if status == protocol.LedgerStatus_LEDGER_ALREADY_RESERVED {
 		return record
 	}
@@ -123,9 +126,9 @@
 		a.GetPreviousTurn() == b.GetPreviousTurn()
 }
 
-// continues reports whether a turn of the session may follow the previous one. The first turn of a session may start a
-// new chain or follow any retained turn of the program.
-func continues(record *protocol.ProgramRecord, session *protocol.SessionRecord, previous string) bool {
+// isValidContinuation reports whether a turn of the session may follow the previous turn. The first turn of a session
+// may start a new chain or follow any retained turn of the program.
+func isValidContinuation(record *protocol.ProgramRecord, session *protocol.SessionRecord, previous string) bool {
 	if session.GetLastTurn() != "" {
 		return session.GetLastTurn() == previous
 	}
@@ -133,10 +136,10 @@
 }
 
 func reservedResult(session *protocol.SessionRecord) *protocol.LedgerResult {
-	return withProgram(protocol.LedgerStatus_LEDGER_OK, nil, session)
+	return sessionResult(protocol.LedgerStatus_LEDGER_OK, nil, session)
 }
 
-func withProgram(
+func sessionResult(
 	status protocol.LedgerStatus, record *protocol.ProgramRecord, session *protocol.SessionRecord,
 ) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
@@ -151,7 +154,7 @@
 	return &protocol.LedgerResult{Status: status, Finished: finished, LastTurn: finished.GetTurnId()}
 }
 
-// commitTurn charges the tokens of a turn that is stored durably, never more than were reserved.
+// commitTurn commits a turn that is stored durably and charges its tokens, at most as many as were reserved.
 func commitTurn(
 	record *protocol.ProgramRecord, commit *protocol.SettleTurn, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
@@ -168,10 +171,10 @@
 	}
 	reservation := findReservation(record, commit.GetRequestId())
 	if reservation == nil || reservation.GetSession() != commit.GetSession() {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
+		return nil, sessionResult(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
 	if turn.GetPreviousTurn() != reservation.GetPreviousTurn() {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION, nil, session)
+		return nil, sessionResult(protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION, nil, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
 	finished := changed.finish(&protocol.FinishedRequest{
@@ -193,13 +196,13 @@
 	return changed.ProgramRecord, finishedResult(protocol.LedgerStatus_LEDGER_OK, finished)
 }
 
-// releaseTurn ends a request without a turn to retain. A request that did not run is marked as not run even when its
-// reservation has not arrived, so that a late copy of the reservation is rejected.
+// releaseTurn ends a request without a turn to retain. A request that did not run is marked as such even when its
+// reservation has not arrived, so that a delayed copy of the reservation is rejected.
 func releaseTurn(
 	record *protocol.ProgramRecord, release *protocol.ReleaseTurn, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
 	outcome := protocol.RequestOutcome_OUTCOME_NOT_RUN
-	ran := hasRunBefore(record, release)
+	ran := ranBeforeRelease(record, release)
 	if ran {
 		outcome = protocol.RequestOutcome_OUTCOME_CHARGED
 	}
@@ -215,10 +218,10 @@
 	}
 	reservation := findReservation(record, release.GetRequestId())
 	if reservation != nil && reservation.GetSession() != release.GetSession() {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
+		return nil, sessionResult(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
 	if reservation == nil && ran {
-		return nil, withProgram(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
+		return nil, sessionResult(protocol.LedgerStatus_LEDGER_NOT_RESERVED, nil, session)
 	}
 	changed := newDraft(record.GetProgram(), record, now)
 	finished := changed.finish(&protocol.FinishedRequest{
@@ -234,8 +237,9 @@
 }
 
 // mayHaveLostCompletion reports whether a finished generation may have been counted as discarded although its owner
-// reports it as complete: its session was claimed since, and a claim charges and counts open reservations. The owner
-// must not consider it counted, or its caller would have a complete generation that no trace shows.
+// reports it as completed: its session was claimed in the meantime, and a claim charges open reservations and counts
+// them as discarded. The owner must not assume that the completion was counted, or its caller would have a complete
+// generation that no trace shows.
 func mayHaveLostCompletion(
 	record *protocol.ProgramRecord, finished *protocol.FinishedRequest, release *protocol.ReleaseTurn,
 ) bool {
@@ -246,17 +250,17 @@
 		findSession(record, release.GetSession()).GetEpoch() != release.GetEpoch()
 }
 
-// hasRunBefore reports whether a turn ran before it was released. Tokens prove it; for a generation of a training step,
-// the versions that its server named and its completion prove it too.
-func hasRunBefore(record *protocol.ProgramRecord, release *protocol.ReleaseTurn) bool {
+// ranBeforeRelease reports whether a turn ran before it was released. Used tokens prove that it ran; for a generation
+// for a training step, so do the versions that its server reported and its completion.
+func ranBeforeRelease(record *protocol.ProgramRecord, release *protocol.ReleaseTurn) bool {
 	if release.GetTokens() > 0 {
 		return true
 	}
 	return record.GetTrainingStep() != nil && (release.GetCompleted() || len(release.GetWeightVersions()) > 0)
 }
 
-// rejectRequest writes the tombstone that must exist before a request is rejected by a process that does not know
-// whether it ran. The program need not be open: a first turn can be rejected too.
+// rejectRequest writes the tombstone of a request. A process that cannot determine whether a request ran must write it
+// before it rejects the request. The program need not be open, since its first turn can be rejected too.
 func rejectRequest(
 	record *protocol.ProgramRecord, program string, reject *protocol.RefuseRequest, now time.Time,
 ) (*protocol.ProgramRecord, *protocol.LedgerResult) {
--- a/internal/state/ledger/turn_id.go
+++ b/internal/state/ledger/turn_id.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// requestKeyBytes is short for small records and long enough that no two requests share a key.
+	// requestKeyBytes is the size of a request key: 128 bits make collisions negligible and keep records small.
 	requestKeyBytes = 16
 	turnIDPrefix    = "turn_"
 )
 
-// requestKey is a hash of program and request id. It identifies the request in the program's record and its turn.
+// requestKey is a truncated hash of program and request id. It identifies a request in the program's record, and its
+// turn.
 type requestKey [requestKeyBytes]byte
 
 func newRequestKey(program, requestID string) requestKey {
@@ -28,7 +29,7 @@
 	return newRequestKey(program, requestID).turnID()
 }
 
-// parseTurnID returns the key of a turn id; derived is false when the id was not made by TurnID.
+// parseTurnID returns the request key in a turn id; derived is false when the id was not created by TurnID.
 func parseTurnID(turnID string) (key requestKey, derived bool) {
 	digits, found := strings.CutPrefix(turnID, turnIDPrefix)
 	if !found || len(digits) != 2*requestKeyBytes {
--- a/internal/state/ledger/validate.go
+++ b/internal/state/ledger/validate.go
@@ -2,8 +2,8 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// Validate returns an *InvalidOperationError when an identifier is missing or too long, when a committed turn is not
-// that of its request, or when the program's name is reserved for training steps.
+// Validate returns an *InvalidOperationError when an identifier is missing or too long, when a committed turn does not
+// match its request, or when an operation that concerns no training step uses a program name reserved for them.
 func Validate(operation *protocol.LedgerOperation) error {
 	if find, ok := operation.GetBody().(*protocol.LedgerOperation_FindTurn); ok {
 		return checkIdentifier("find_turn.turn_id", find.FindTurn.GetTurnId())
@@ -64,7 +64,7 @@
 	); err != nil {
 		return err
 	}
-	if err := validateReference(reserve.GetTrainingStep()); err != nil {
+	if err := validateStepReference(reserve.GetTrainingStep()); err != nil {
 		return err
 	}
 	claim := reserve.GetClaim()
@@ -109,7 +109,7 @@
 	return checkWeightVersions("release_turn.weight_versions", release.GetWeightVersions())
 }
 
-// checkIdentifiers checks pairs of a field's path and its value.
+// checkIdentifiers checks alternating paths and values of fields.
 func checkIdentifiers(pairs ...string) error {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if err := checkIdentifier(pairs[i], pairs[i+1]); err != nil {
--- a/internal/state/ledger/validate_training_step.go
+++ b/internal/state/ledger/validate_training_step.go
@@ -3,7 +3,7 @@
 import "github.com/rosestand/rosestand/internal/protocol"
 
 func validatePin(program string, pin *protocol.PinTrainingStep) error {
-	if err := checkStep("pin_training_step.step", pin.GetStep()); err != nil {
+	if err := checkStepName("pin_training_step.step", pin.GetStep()); err != nil {
 		return err
 	}
 	if err := checkStepProgram(program, pin.GetStep()); err != nil {
@@ -18,17 +18,17 @@
 }
 
 func validateTrace(program string, trace *protocol.TraceTrainingStep) error {
-	if err := checkStep("trace_training_step.step", trace.GetStep()); err != nil {
+	if err := checkStepName("trace_training_step.step", trace.GetStep()); err != nil {
 		return err
 	}
 	return checkStepProgram(program, trace.GetStep())
 }
 
-func validateReference(reference *protocol.TrainingStepReference) error {
+func validateStepReference(reference *protocol.TrainingStepReference) error {
 	if reference == nil {
 		return nil
 	}
-	if err := checkStep("reserve_turn.training_step.step", reference.GetStep()); err != nil {
+	if err := checkStepName("reserve_turn.training_step.step", reference.GetStep()); err != nil {
 		return err
 	}
 	if reference.GetWeightVersion() == 0 {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func checkStep(path, step string) error {
+func checkStepName(path, step string) error {
 	if step == "" {
 		return &InvalidOperationError{Path: path, Reason: "missing"}
 	}
