--- a/internal/state/ledger/change_bench_test.go
+++ b/internal/state/ledger/change_bench_test.go
@@ -13,7 +13,7 @@
 
 const benchProgram = "program-5d1c0a3e-6a3f-4a52-8f0e-0d8a6f1f9b11"
 
-// benchRequest has the length of ids that callers commonly make up.
+// benchRequest returns a request id as long as those that callers commonly use.
 func benchRequest(turn int) string {
 	return fmt.Sprintf("request-00000000-0000-4000-8000-%012d", turn)
 }
@@ -32,7 +32,7 @@
 	operation.Program = benchProgram
 	after, result := ledger.Apply(record, operation, now.Add(time.Second))
 	if after == nil {
-		b.Fatalf("%v answered %v", operation, result)
+		b.Fatalf("%v changed nothing and returned %v", operation, result)
 	}
 	encoded, err := proto.Marshal(after)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return reserved, benchChange(b, reserved, settle)
 }
 
-// BenchmarkChange reports the processor time and the register value of one
-// change, half of them reservations and half settlements, at the last turn of a program.
+// BenchmarkChange reports the CPU time and the size of the register value per change. It repeats the last turn of a
+// program: one reservation and one settlement.
 func BenchmarkChange(b *testing.B) {
 	for _, turns := range []int{1, 10, 55} {
 		b.Run(fmt.Sprintf("turns=%d", turns), func(b *testing.B) {
--- a/internal/state/ledger/export_test.go
+++ b/internal/state/ledger/export_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// FinishedCount gives how many packed requests a record holds.
+// FinishedCount returns how many packed requests a record has.
 func FinishedCount(record *protocol.ProgramRecord) int {
 	count := 0
 	for range packedRequests(record.GetFinishedPacked()) {
@@ -11,7 +11,7 @@
 	return count
 }
 
-// LastPackedSize gives the bytes of the request packed last.
+// LastPackedSize returns the encoded size in bytes of the last packed request.
 func LastPackedSize(record *protocol.ProgramRecord) int {
 	size := 0
 	for entry := range packedRequests(record.GetFinishedPacked()) {
--- a/internal/state/ledger/fixed_seed_test.go
+++ b/internal/state/ledger/fixed_seed_test.go
@@ -1,4 +1,4 @@
 package ledger_test
 
-// Property tests draw the same cases on every run.
+// Fixes the seed of the property tests, so that every run draws the same cases.
 import _ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed"
--- a/internal/state/ledger/property_test.go
+++ b/internal/state/ledger/property_test.go
@@ -17,14 +17,15 @@
 	propertyRequests = 13
 )
 
-// machine applies random operations of some owners and keeps what they were promised.
+// machine applies random operations of several owners to one program's record. It tracks the reported outcomes and
+// epochs, which must never change or decrease.
 type machine struct {
-	record   *protocol.ProgramRecord
-	now      time.Time
-	outcomes map[string]*protocol.FinishedRequest
-	epochs   map[string]uint64
-	largest  uint64
-	turns    int
+	record         *protocol.ProgramRecord
+	now            time.Time
+	outcomes       map[string]*protocol.FinishedRequest
+	epochs         map[string]uint64
+	largestLimit   uint64
+	lastTurnNumber int
 	// forked are the requests that were reserved as forks.
 	forked map[string]bool
 }
@@ -34,79 +35,84 @@
 	before := proto.CloneOf(m.record)
 	after, result := ledger.Apply(m.record, operation, m.now)
 	if !proto.Equal(before, m.record) {
-		t.Fatalf("the record given was written to by %v", operation)
+		t.Fatalf("%v modified its input record: got %v, want %v", operation, m.record, before)
 	}
 	if after != nil {
 		m.record = after
 		again, repeated := ledger.Apply(m.record, operation, m.now.Add(time.Second))
 		if again != nil || repeated.GetStatus() != result.GetStatus() || repeated.GetEpoch() != result.GetEpoch() {
-			t.Fatalf("%v was not idempotent: %v then %v", operation, result, repeated)
+			t.Fatalf("%v is not idempotent: first result %v, second %v", operation, result, repeated)
 		}
 	}
-	m.check(t)
+	m.checkInvariants(t)
 	return result
 }
 
-// check looks at what must hold after every operation.
-func (m *machine) check(t *rapid.T) {
+// checkInvariants checks what must hold after every operation: outcomes never change, the charged tokens are the sum of
+// the outcomes, the budget is exceeded by one turn at most, and epochs never decrease.
+func (m *machine) checkInvariants(t *rapid.T) {
 	var charged uint64
-	known := 0
+	finishedCount := 0
 	for number := range propertyRequests {
 		request := fmt.Sprintf("r%d", number)
 		finished := ledger.FindFinished(m.record, request)
 		if before := m.outcomes[request]; before != nil && !proto.Equal(before, finished) {
-			t.Fatalf("outcome changed from %v to %v", before, finished)
+			t.Fatalf("outcome of %s changed from %v to %v", request, before, finished)
 		}
 		if finished == nil {
 			continue
 		}
-		known++
+		finishedCount++
 		charged += finished.GetTokens()
 		m.outcomes[request] = finished
 	}
-	if count := ledger.FinishedCount(m.record); count != known || len(m.record.GetFinished()) > 0 {
-		t.Fatalf("the record holds %d outcomes and %d unpacked ones of %d requests", count, len(m.record.GetFinished()),
-			known)
+	if count := ledger.FinishedCount(m.record); count != finishedCount || len(m.record.GetFinished()) > 0 {
+		t.Fatalf("the record has %d packed and %d unpacked outcomes, want %d packed and 0 unpacked", count,
+			len(m.record.GetFinished()), finishedCount)
 	}
 	if charged != m.record.GetSettled() {
-		t.Fatalf("settled %d but outcomes sum up to %d", m.record.GetSettled(), charged)
+		t.Fatalf("settled tokens are %d, want %d, the sum of the outcomes", m.record.GetSettled(), charged)
 	}
 	used := m.record.GetSettled()
-	open := map[string]bool{}
+	reservedSessions := map[string]bool{}
 	for _, reservation := range m.record.GetReservations() {
 		used += reservation.GetCeiling()
-		if open[reservation.GetSession()] && !m.forked[reservation.GetRequestId()] {
-			t.Fatalf("two reservations of %s", reservation.GetSession())
+		if reservedSessions[reservation.GetSession()] && !m.forked[reservation.GetRequestId()] {
+			t.Fatalf("%s is reserved beside another request of session %s and is not a fork", reservation.GetRequestId(),
+				reservation.GetSession())
 		}
-		open[reservation.GetSession()] = true
+		reservedSessions[reservation.GetSession()] = true
 		if reservation.GetEpoch() != m.epochOf(reservation.GetSession()) {
-			t.Fatalf("%s is reserved under epoch %d, which is not in force", reservation.GetRequestId(), reservation.GetEpoch())
+			t.Fatalf("%s is reserved under epoch %d, want the current epoch %d", reservation.GetRequestId(),
+				reservation.GetEpoch(), m.epochOf(reservation.GetSession()))
 		}
 		if m.outcomes[reservation.GetRequestId()] != nil {
-			t.Fatalf("%s is reserved and finished", reservation.GetRequestId())
+			t.Fatalf("request %s is both reserved and finished", reservation.GetRequestId())
 		}
 	}
-	if used >= propertyBudget+m.largest && m.largest > 0 {
-		t.Fatalf("%d tokens charged or reserved with a budget of %d and turns of at most %d", used, propertyBudget, m.largest)
+	if used >= propertyBudget+m.largestLimit && m.largestLimit > 0 {
+		t.Fatalf("%d tokens are charged or reserved, with a budget of %d and a largest limit of %d", used, propertyBudget,
+			m.largestLimit)
 	}
 	for _, session := range m.record.GetSessions() {
 		if session.GetEpoch() < m.epochs[session.GetSession()] {
-			t.Fatalf("epoch of %s stepped back", session.GetSession())
+			t.Fatalf("epoch of session %s decreased from %d to %d", session.GetSession(), m.epochs[session.GetSession()],
+				session.GetEpoch())
 		}
 		m.epochs[session.GetSession()] = session.GetEpoch()
 	}
 }
 
-func (m *machine) epochOf(session string) uint64 {
-	for _, known := range m.record.GetSessions() {
-		if known.GetSession() == session {
-			return known.GetEpoch()
+func (m *machine) epochOf(sessionID string) uint64 {
+	for _, session := range m.record.GetSessions() {
+		if session.GetSession() == sessionID {
+			return session.GetEpoch()
 		}
 	}
 	return 0
 }
 
-func TestAnyOrderOfOperationsKeepsTheRules(t *testing.T) {
+func TestInvariantsHoldForAnyOrderOfOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{
 			now: time.Unix(1_000_000, 0), outcomes: map[string]*protocol.FinishedRequest{},
@@ -118,58 +124,63 @@
 			return fmt.Sprintf("r%d", rapid.IntRange(0, propertyRequests-1).Draw(t, "request"))
 		})
 		tokens := rapid.Uint64Range(0, 40)
-		epoch := func(t *rapid.T, of string) uint64 {
+		epoch := func(t *rapid.T, sessionID string) uint64 {
 			if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
 				return rapid.Uint64Range(0, 3).Draw(t, "epoch")
 			}
-			return m.epochs[of]
+			return m.epochs[sessionID]
 		}
-		last := func(of string) string {
-			for _, known := range m.record.GetSessions() {
-				if known.GetSession() == of {
-					return known.GetLastTurn()
+		lastTurn := func(sessionID string) string {
+			for _, session := range m.record.GetSessions() {
+				if session.GetSession() == sessionID {
+					return session.GetLastTurn()
 				}
 			}
 			return ""
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
-				of := session.Draw(t, "session")
-				result := m.apply(t, claim(of, owner.Draw(t, "owner"), rapid.Uint64Range(1, 3).Draw(t, "incarnation")))
-				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && result.GetEpoch() != m.epochs[of] {
-					t.Fatalf("claimed epoch %d but %d is in force", result.GetEpoch(), m.epochs[of])
+				sessionID := session.Draw(t, "session")
+				result := m.apply(t, claim(sessionID, owner.Draw(t, "owner"), rapid.Uint64Range(1, 3).Draw(t, "incarnation")))
+				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && result.GetEpoch() != m.epochs[sessionID] {
+					t.Fatalf("claim of %s returned epoch %d, want the current epoch %d", sessionID, result.GetEpoch(),
+						m.epochs[sessionID])
 				}
 			},
 			"reserve": func(t *rapid.T) {
-				of, limit := session.Draw(t, "session"), tokens.Draw(t, "ceiling")
+				sessionID, limit := session.Draw(t, "session"), tokens.Draw(t, "ceiling")
 				before := m.record.GetSettled()
-				m.largest = max(m.largest, limit)
-				result := m.apply(t, reserve(request.Draw(t, "request"), of, epoch(t, of), limit, last(of)))
+				m.largestLimit = max(m.largestLimit, limit)
+				result := m.apply(t, reserve(
+					request.Draw(t, "request"), sessionID, epoch(t, sessionID), limit, lastTurn(sessionID)))
 				if result.GetStatus() == protocol.LedgerStatus_LEDGER_BUDGET_SPENT && before < propertyBudget {
-					t.Fatalf("said to be spent with %d of %d", before, propertyBudget)
+					t.Fatalf("reservation rejected with a spent budget, but only %d of %d tokens were charged", before,
+						propertyBudget)
 				}
 			},
 			"fork": func(t *rapid.T) {
-				of, forked, limit := session.Draw(t, "session"), request.Draw(t, "request"), tokens.Draw(t, "ceiling")
+				sessionID, requestID, limit := session.Draw(t, "session"), request.Draw(t, "request"), tokens.Draw(t, "ceiling")
 				before := m.record.GetSettled()
-				m.largest = max(m.largest, limit)
-				m.forked[forked] = true
-				operation := fork(reserve(forked, of, epoch(t, of), limit,
-					fmt.Sprintf("t%d", rapid.IntRange(0, m.turns).Draw(t, "previous"))))
+				m.largestLimit = max(m.largestLimit, limit)
+				m.forked[requestID] = true
+				operation := asFork(reserve(requestID, sessionID, epoch(t, sessionID), limit,
+					fmt.Sprintf("t%d", rapid.IntRange(0, m.lastTurnNumber).Draw(t, "previous"))))
 				if rapid.Bool().Draw(t, "claims") {
-					operation = claiming(operation, owner.Draw(t, "owner"), rapid.Uint64Range(1, 3).Draw(t, "incarnation"))
+					operation = withClaim(operation, owner.Draw(t, "owner"), rapid.Uint64Range(1, 3).Draw(t, "incarnation"))
 				}
 				result := m.apply(t, operation)
 				switch result.GetStatus() {
 				case protocol.LedgerStatus_LEDGER_BUDGET_SPENT:
 					if m.record.GetSettled() < propertyBudget {
-						t.Fatalf("said to be spent with %d of %d", before, propertyBudget)
+						t.Fatalf("fork rejected with a spent budget, but only %d of %d tokens were charged", before,
+							propertyBudget)
 					}
 				case protocol.LedgerStatus_LEDGER_WRONG_CONTINUATION:
-					t.Fatal("a fork may follow any turn")
+					t.Fatalf("fork %s was rejected for its previous turn, although a fork may follow any turn", requestID)
 				case protocol.LedgerStatus_LEDGER_OK:
-					if result.GetEpoch() != m.epochOf(of) {
-						t.Fatalf("reserved under epoch %d but %d is in force", result.GetEpoch(), m.epochOf(of))
+					if result.GetEpoch() != m.epochOf(sessionID) {
+						t.Fatalf("fork %s is reserved under epoch %d, want the current epoch %d", requestID, result.GetEpoch(),
+							m.epochOf(sessionID))
 					}
 				}
 			},
@@ -177,32 +188,32 @@
 				if len(m.record.GetReservations()) == 0 {
 					return
 				}
-				open := rapid.SampledFrom(m.record.GetReservations()).Draw(t, "open")
-				m.turns++
+				reservation := rapid.SampledFrom(m.record.GetReservations()).Draw(t, "open")
+				m.lastTurnNumber++
 				result := m.apply(t, settle(
-					open.GetRequestId(), open.GetSession(), open.GetEpoch(), tokens.Draw(t, "tokens"), fmt.Sprintf("t%d", m.turns),
-					open.GetPreviousTurn()))
+					reservation.GetRequestId(), reservation.GetSession(), reservation.GetEpoch(), tokens.Draw(t, "tokens"),
+					fmt.Sprintf("t%d", m.lastTurnNumber), reservation.GetPreviousTurn()))
 				if result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
-					t.Fatalf("an open reservation was not settled: %v", result)
+					t.Fatalf("open reservation of %s was not settled: %v", reservation.GetRequestId(), result)
 				}
 			},
 			"settle": func(t *rapid.T) {
-				of := session.Draw(t, "session")
-				m.turns++
-				m.apply(t, settle(request.Draw(t, "request"), of, epoch(t, of), tokens.Draw(t, "tokens"),
-					fmt.Sprintf("t%d", m.turns), last(of)))
+				sessionID := session.Draw(t, "session")
+				m.lastTurnNumber++
+				m.apply(t, settle(request.Draw(t, "request"), sessionID, epoch(t, sessionID), tokens.Draw(t, "tokens"),
+					fmt.Sprintf("t%d", m.lastTurnNumber), lastTurn(sessionID)))
 			},
 			"release": func(t *rapid.T) {
-				of := session.Draw(t, "session")
-				m.apply(t, release(request.Draw(t, "request"), of, epoch(t, of), tokens.Draw(t, "tokens")))
+				sessionID := session.Draw(t, "session")
+				m.apply(t, release(request.Draw(t, "request"), sessionID, epoch(t, sessionID), tokens.Draw(t, "tokens")))
 			},
-			"refuse": func(t *rapid.T) {
-				rejected := request.Draw(t, "request")
-				was := m.outcomes[rejected]
-				result := m.apply(t, refuse(rejected, session.Draw(t, "session")))
-				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && was != nil &&
-					was.GetOutcome() != protocol.RequestOutcome_OUTCOME_NOT_RUN {
-					t.Fatalf("rejected %s, which had ended as %v", rejected, was.GetOutcome())
+			"reject": func(t *rapid.T) {
+				requestID := request.Draw(t, "request")
+				earlier := m.outcomes[requestID]
+				result := m.apply(t, rejectRequest(requestID, session.Draw(t, "session")))
+				if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && earlier != nil &&
+					earlier.GetOutcome() != protocol.RequestOutcome_OUTCOME_NOT_RUN {
+					t.Fatalf("rejected %s, which had already ended as %v", requestID, earlier.GetOutcome())
 				}
 			},
 		})
@@ -227,16 +238,16 @@
 	}
 }
 
-// fork lets a reservation follow any turn.
-func fork(operation *protocol.LedgerOperation) *protocol.LedgerOperation {
+// asFork makes the reservation a fork, which may follow any turn.
+func asFork(operation *protocol.LedgerOperation) *protocol.LedgerOperation {
 	operation.GetReserveTurn().Fork = true
 	return operation
 }
 
-// claiming lets a reservation claim its session in the same step.
-func claiming(operation *protocol.LedgerOperation, owner string, incarnation uint64) *protocol.LedgerOperation {
-	of := operation.GetReserveTurn().GetSession()
-	operation.GetReserveTurn().Claim = claim(of, owner, incarnation).GetClaimSession()
+// withClaim makes the reservation claim its session in the same operation.
+func withClaim(operation *protocol.LedgerOperation, owner string, incarnation uint64) *protocol.LedgerOperation {
+	sessionID := operation.GetReserveTurn().GetSession()
+	operation.GetReserveTurn().Claim = claim(sessionID, owner, incarnation).GetClaimSession()
 	return operation
 }
 
@@ -259,7 +270,7 @@
 	}
 }
 
-func refuse(request, session string) *protocol.LedgerOperation {
+func rejectRequest(request, session string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: "p",
 		Body: &protocol.LedgerOperation_RefuseRequest{RefuseRequest: &protocol.RefuseRequest{
--- a/internal/state/ledger/training_step_property_test.go
+++ b/internal/state/ledger/training_step_property_test.go
@@ -13,54 +13,58 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-const propertyBudgetOfSteps = 1 << 40
+const stepPropertyBudget = 1 << 40
 
-// stepFleet is the state of a few training steps and programs, changed by owners whose answers may be lost.
-type stepFleet struct {
+// stepMachine applies random operations to the records of two training steps and two programs. Responses to owners may
+// be lost, and operations may arrive again.
+type stepMachine struct {
 	records map[string]*protocol.ProgramRecord
 	now     time.Time
-	// sent are operations that may arrive again, as after a lost answer.
+	// sent are the latest operations, which may be applied again as after a lost response.
 	sent []*protocol.LedgerOperation
-	// known is the pin that each owner was answered for a step; an owner without one may not reserve.
-	known map[string]*protocol.TrainingStepPin
-	pins  map[string]*protocol.TrainingStepPin
-	turns int
-	// completions are the requests whose owner was answered that their generation was counted as completed.
+	// ownerPins is the pin that each owner received for a step, keyed by owner and step. An owner without a pin does not
+	// reserve.
+	ownerPins map[string]*protocol.TrainingStepPin
+	// pins is the first pin of each step.
+	pins           map[string]*protocol.TrainingStepPin
+	lastTurnNumber int
+	// completions are the requests of each program whose owner received LEDGER_OK for a completed generation.
 	completions map[string]map[string]bool
-	// differently are those that were also released in another way, so that it is open what was counted.
-	differently map[string]bool
+	// ambiguous are the requests that were also released with another result, so that either may have been counted.
+	ambiguous map[string]bool
 }
 
-func (f *stepFleet) apply(t *rapid.T, operation *protocol.LedgerOperation) *protocol.LedgerResult {
+func (m *stepMachine) apply(t *rapid.T, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	if err := ledger.Validate(operation); err != nil {
 		t.Fatal(err)
 	}
 	program := operation.GetProgram()
-	before := f.records[program]
+	before := m.records[program]
 	copied := proto.CloneOf(before)
-	after, result := ledger.Apply(before, operation, f.now)
+	after, result := ledger.Apply(before, operation, m.now)
 	if !proto.Equal(copied, before) {
-		t.Fatalf("the record given was written to by %v", operation)
+		t.Fatalf("%v modified its input record: got %v, want %v", operation, before, copied)
 	}
 	if after != nil {
-		f.check(t, operation, before, after)
-		f.records[program] = after
-		again, repeated := ledger.Apply(after, operation, f.now.Add(time.Millisecond))
+		m.checkInvariants(t, operation, before, after)
+		m.records[program] = after
+		again, repeated := ledger.Apply(after, operation, m.now.Add(time.Millisecond))
 		if again != nil || repeated.GetStatus() != result.GetStatus() {
-			t.Fatalf("%v was not idempotent: %v then %v", operation, result, repeated)
+			t.Fatalf("%v is not idempotent: first result %v, second %v", operation, result, repeated)
 		}
 	}
-	f.recordCompletion(t, operation, result)
-	if f.sent = append(f.sent, operation); len(f.sent) > 30 {
-		f.sent = f.sent[1:]
+	m.checkCompletion(t, operation, result)
+	if m.sent = append(m.sent, operation); len(m.sent) > 30 {
+		m.sent = m.sent[1:]
 	}
 	return result
 }
 
-// recordCompletion fails when an owner is answered that a generation was completed which the ledger did not count so.
-func (f *stepFleet) recordCompletion(t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult) {
+// checkCompletion fails when an owner receives LEDGER_OK for a completed generation that the ledger did not count as
+// completed.
+func (m *stepMachine) checkCompletion(t *rapid.T, operation *protocol.LedgerOperation, result *protocol.LedgerResult) {
 	released, program := operation.GetReleaseTurn(), operation.GetProgram()
-	member := f.records[program].GetTrainingStep()
+	member := m.records[program].GetTrainingStep()
 	if released == nil || member == nil {
 		return
 	}
@@ -69,60 +73,68 @@
 	request := program + "/" + released.GetRequestId()
 	if !released.GetCompleted() || len(released.GetWeightVersions()) == 0 ||
 		slices.ContainsFunc(released.GetWeightVersions(), isOther) {
-		f.differently[request] = true
-		delete(f.completions[program], request)
+		m.ambiguous[request] = true
+		delete(m.completions[program], request)
 		return
 	}
-	if result.GetStatus() == ok && !f.differently[request] {
-		if f.completions[program] == nil {
-			f.completions[program] = map[string]bool{}
+	if result.GetStatus() == ok && !m.ambiguous[request] {
+		if m.completions[program] == nil {
+			m.completions[program] = map[string]bool{}
 		}
-		f.completions[program][request] = true
+		m.completions[program][request] = true
 	}
-	if counted := countOf(member, pinned).GetCompleted(); uint64(len(f.completions[program])) > counted {
-		t.Fatalf("%v was answered %v: %v are completed, counted are %d", operation, result, f.completions[program], counted)
+	if counted := findCount(member, pinned).GetCompleted(); uint64(len(m.completions[program])) > counted {
+		t.Fatalf("%v returned %v: the counted completions are %d, fewer than those confirmed to owners: %v", operation,
+			result, counted, m.completions[program])
 	}
 }
 
-// check compares a record with the one before and with the pins.
-func (f *stepFleet) check(t *rapid.T, operation *protocol.LedgerOperation, before, after *protocol.ProgramRecord) {
+// checkInvariants checks what must hold between a record and the one before it: a pin and a membership never change, a
+// membership has the pinned version, counts never decrease, only the pinned version has completed generations, and the
+// counts change exactly when a request that ran is finished.
+func (m *stepMachine) checkInvariants(
+	t *rapid.T, operation *protocol.LedgerOperation, before, after *protocol.ProgramRecord,
+) {
 	if pinned := after.GetTrainingStepPin(); pinned != nil {
-		if known := f.pins[pinned.GetStep()]; known != nil && !proto.Equal(known, pinned) {
-			t.Fatalf("%v changed the pin from %v to %v", operation, known, pinned)
+		if first := m.pins[pinned.GetStep()]; first != nil && !proto.Equal(first, pinned) {
+			t.Fatalf("%v changed the pin from %v to %v", operation, first, pinned)
 		}
-		f.pins[pinned.GetStep()] = pinned
+		m.pins[pinned.GetStep()] = pinned
 	}
-	was, is := before.GetTrainingStep(), after.GetTrainingStep()
-	if was != nil && (was.GetStep() != is.GetStep() || was.GetWeightVersion() != is.GetWeightVersion()) {
-		t.Fatalf("%v changed the membership from %v to %v", operation, was, is)
+	oldMembership, newMembership := before.GetTrainingStep(), after.GetTrainingStep()
+	if oldMembership != nil && (oldMembership.GetStep() != newMembership.GetStep() ||
+		oldMembership.GetWeightVersion() != newMembership.GetWeightVersion()) {
+		t.Fatalf("%v changed the membership from %v to %v", operation, oldMembership, newMembership)
 	}
-	if is == nil {
+	if newMembership == nil {
 		return
 	}
-	pinned := f.pins[is.GetStep()].GetWeightVersion()
-	if is.GetWeightVersion() != pinned {
-		t.Fatalf("%v made a member of version %d, pinned is %d", operation, is.GetWeightVersion(), pinned)
+	pinned := m.pins[newMembership.GetStep()].GetWeightVersion()
+	if newMembership.GetWeightVersion() != pinned {
+		t.Fatalf("%v left a membership with version %d, want the pinned version %d", operation,
+			newMembership.GetWeightVersion(), pinned)
 	}
-	for index, count := range is.GetGenerations() {
+	for index, count := range newMembership.GetGenerations() {
 		if count.GetCompleted() > 0 && count.GetWeightVersion() != pinned {
-			t.Fatalf("%v completed a generation on %d, pinned is %d", operation, count.GetWeightVersion(), pinned)
+			t.Fatalf("%v counted a completed generation on version %d, want only the pinned version %d", operation,
+				count.GetWeightVersion(), pinned)
 		}
-		if index > 0 && is.GetGenerations()[index-1].GetWeightVersion() >= count.GetWeightVersion() {
-			t.Fatalf("versions are not in order: %v", is)
+		if index > 0 && newMembership.GetGenerations()[index-1].GetWeightVersion() >= count.GetWeightVersion() {
+			t.Fatalf("%v left versions that are not in ascending order: %v", operation, newMembership)
 		}
-		old := countOf(was, count.GetWeightVersion())
-		if old.GetCompleted() > count.GetCompleted() || old.GetDiscarded() > count.GetDiscarded() {
-			t.Fatalf("%v lowered a count from %v to %v", operation, old, count)
+		oldCount := findCount(oldMembership, count.GetWeightVersion())
+		if oldCount.GetCompleted() > count.GetCompleted() || oldCount.GetDiscarded() > count.GetDiscarded() {
+			t.Fatalf("%v decreased a count from %v to %v", operation, oldCount, count)
 		}
 	}
-	changed := ledger.TotalGenerations(is) != ledger.TotalGenerations(was)
-	if ran := ranRequests(after) != ranRequests(before); ran != changed {
-		t.Fatalf("%v: requests that ran %d before and %d after, counts %v before and %v after", operation,
-			ranRequests(before), ranRequests(after), was, is)
+	changed := ledger.TotalGenerations(newMembership) != ledger.TotalGenerations(oldMembership)
+	if ran := countRunRequests(after) != countRunRequests(before); ran != changed {
+		t.Fatalf("%v: requests that ran and counts must change together: %d before, %d after; %v before, %v after", operation,
+			countRunRequests(before), countRunRequests(after), oldMembership, newMembership)
 	}
 }
 
-func countOf(membership *protocol.TrainingStepMembership, version uint64) *protocol.GenerationCount {
+func findCount(membership *protocol.TrainingStepMembership, version uint64) *protocol.GenerationCount {
 	for _, count := range membership.GetGenerations() {
 		if count.GetWeightVersion() == version {
 			return count
@@ -131,8 +143,8 @@
 	return nil
 }
 
-// ranRequests counts the finished requests of a record that were run.
-func ranRequests(record *protocol.ProgramRecord) int {
+// countRunRequests returns how many finished requests of a record ran.
+func countRunRequests(record *protocol.ProgramRecord) int {
 	count := 0
 	for number := range propertyRequests {
 		finished := ledger.FindFinished(record, fmt.Sprintf("r%d", number))
@@ -143,21 +155,21 @@
 	return count
 }
 
-func sessionOf(record *protocol.ProgramRecord, session string) *protocol.SessionRecord {
-	for _, known := range record.GetSessions() {
-		if known.GetSession() == session {
-			return known
+func findSessionRecord(record *protocol.ProgramRecord, session string) *protocol.SessionRecord {
+	for _, candidate := range record.GetSessions() {
+		if candidate.GetSession() == session {
+			return candidate
 		}
 	}
 	return nil
 }
 
-func TestAnyOrderOfOperationsKeepsAStepOnOneVersion(t *testing.T) {
+func TestTrainingStepUsesOneVersionForAnyOrderOfOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &stepFleet{
+		m := &stepMachine{
 			records: map[string]*protocol.ProgramRecord{}, now: time.Unix(1_000_000, 0),
-			known: map[string]*protocol.TrainingStepPin{}, pins: map[string]*protocol.TrainingStepPin{},
-			completions: map[string]map[string]bool{}, differently: map[string]bool{},
+			ownerPins: map[string]*protocol.TrainingStepPin{}, pins: map[string]*protocol.TrainingStepPin{},
+			completions: map[string]map[string]bool{}, ambiguous: map[string]bool{},
 		}
 		program := rapid.SampledFrom([]string{"p", "q"})
 		session := rapid.SampledFrom([]string{"s1", "s2"})
@@ -169,121 +181,124 @@
 			return fmt.Sprintf("r%d", rapid.IntRange(0, propertyRequests-1).Draw(t, "request"))
 		})
 		isLost := func(t *rapid.T) bool { return rapid.IntRange(0, 3).Draw(t, "lost") == 0 }
-		// openOf gives a reservation to end, mostly one that is open.
-		openOf := func(t *rapid.T, of string) *protocol.Reservation {
-			if open := f.records[of].GetReservations(); len(open) > 0 && rapid.IntRange(0, 5).Draw(t, "open") > 0 {
+		// reservationToEnd returns the reservation to end, mostly one that is open.
+		reservationToEnd := func(t *rapid.T, programID string) *protocol.Reservation {
+			if open := m.records[programID].GetReservations(); len(open) > 0 && rapid.IntRange(0, 5).Draw(t, "open") > 0 {
 				return rapid.SampledFrom(open).Draw(t, "reservation")
 			}
 			return &protocol.Reservation{RequestId: request.Draw(t, "request"), Session: session.Draw(t, "session"), Epoch: 1}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pin": func(t *rapid.T) {
-				by, of := owner.Draw(t, "owner"), steps.Draw(t, "step")
+				ownerID, stepName := owner.Draw(t, "owner"), steps.Draw(t, "step")
 				proposed := rapid.Uint64Range(0, 3).Draw(t, "version")
-				result := f.apply(t, pin(of, "m", proposed, by))
-				if pinned := result.GetTrainingStepPin(); result.GetStatus() == ok && !proto.Equal(pinned, f.pins[of]) {
-					t.Fatalf("answered %v, pinned is %v", pinned, f.pins[of])
+				result := m.apply(t, pin(stepName, "m", proposed, ownerID))
+				if pinned := result.GetTrainingStepPin(); result.GetStatus() == ok && !proto.Equal(pinned, m.pins[stepName]) {
+					t.Fatalf("request of the pin of step %s returned %v, want %v", stepName, pinned, m.pins[stepName])
 				}
 				if !isLost(t) && result.GetStatus() == ok {
-					f.known[by+of] = result.GetTrainingStepPin()
+					m.ownerPins[ownerID+stepName] = result.GetTrainingStepPin()
 				}
 			},
 			"reserve": func(t *rapid.T) {
-				by, of, within := owner.Draw(t, "owner"), steps.Draw(t, "step"), program.Draw(t, "program")
-				pinned := f.known[by+of]
+				ownerID, stepName, programID := owner.Draw(t, "owner"), steps.Draw(t, "step"), program.Draw(t, "program")
+				pinned := m.ownerPins[ownerID+stepName]
 				if pinned == nil {
 					return
 				}
 				sessionID := session.Draw(t, "session")
-				operation := fork(reserve(request.Draw(t, "request"), sessionID, 0, rapid.Uint64Range(0, 5).Draw(t, "ceiling"), ""))
-				operation = generating(of, pinned.GetWeightVersion(), claiming(operation, by, 1))
-				operation.GetReserveTurn().Claim.Budget = propertyBudgetOfSteps
-				operation.Program = within
-				before := f.records[within].GetTrainingStep()
-				result := f.apply(t, operation)
-				if before != nil && before.GetStep() != of && result.GetStatus() == ok {
-					t.Fatalf("a member of %s was given a turn of %s", before.GetStep(), of)
+				operation := asFork(reserve(
+					request.Draw(t, "request"), sessionID, 0, rapid.Uint64Range(0, 5).Draw(t, "ceiling"), ""))
+				operation = forStep(stepName, pinned.GetWeightVersion(), withClaim(operation, ownerID, 1))
+				operation.GetReserveTurn().Claim.Budget = stepPropertyBudget
+				operation.Program = programID
+				before := m.records[programID].GetTrainingStep()
+				result := m.apply(t, operation)
+				if before != nil && before.GetStep() != stepName && result.GetStatus() == ok {
+					t.Fatalf("program %s is a member of step %s, but a turn of step %s was reserved", programID, before.GetStep(),
+						stepName)
 				}
 			},
 			"reserve without a step": func(t *rapid.T) {
-				within, sessionID := program.Draw(t, "program"), session.Draw(t, "session")
-				operation := claiming(fork(reserve(request.Draw(t, "request"), sessionID, 0, 5, "")), owner.Draw(t, "owner"), 1)
-				operation.GetReserveTurn().Claim.Budget = propertyBudgetOfSteps
-				operation.Program = within
-				member := f.records[within].GetTrainingStep() != nil
-				if result := f.apply(t, operation); member && result.GetStatus() != stepMismatch {
-					t.Fatalf("a member was given a turn of no step: %v", result)
+				programID, sessionID := program.Draw(t, "program"), session.Draw(t, "session")
+				operation := withClaim(asFork(reserve(request.Draw(t, "request"), sessionID, 0, 5, "")), owner.Draw(t, "owner"), 1)
+				operation.GetReserveTurn().Claim.Budget = stepPropertyBudget
+				operation.Program = programID
+				isMember := m.records[programID].GetTrainingStep() != nil
+				if result := m.apply(t, operation); isMember && result.GetStatus() != stepMismatch {
+					t.Fatalf("program %s is a member, but a turn without a step was not rejected: %v", programID, result)
 				}
 			},
-			"reserve on a guessed version": func(t *rapid.T) {
-				within, of, sessionID := program.Draw(t, "program"), steps.Draw(t, "step"), session.Draw(t, "session")
-				guessed := version.Draw(t, "version")
-				member := f.records[within].GetTrainingStep()
-				if member == nil || member.GetStep() == of && member.GetWeightVersion() == guessed {
+			"reserve with a mismatched step or version": func(t *rapid.T) {
+				programID, stepName, sessionID := program.Draw(t, "program"), steps.Draw(t, "step"), session.Draw(t, "session")
+				mismatched := version.Draw(t, "version")
+				member := m.records[programID].GetTrainingStep()
+				if member == nil || member.GetStep() == stepName && member.GetWeightVersion() == mismatched {
 					return
 				}
-				operation := generating(of, guessed,
-					fork(reserve(request.Draw(t, "request"), sessionID, sessionOf(f.records[within], sessionID).GetEpoch(), 5, "")))
-				operation.Program = within
-				if result := f.apply(t, operation); result.GetStatus() == ok {
-					t.Fatalf("%v was given a turn of %s on %d", member, of, guessed)
+				operation := forStep(stepName, mismatched, asFork(reserve(
+					request.Draw(t, "request"), sessionID, findSessionRecord(m.records[programID], sessionID).GetEpoch(), 5, "")))
+				operation.Program = programID
+				if result := m.apply(t, operation); result.GetStatus() == ok {
+					t.Fatalf("program %s has the membership %v, but a turn of step %s on version %d was reserved", programID,
+						member, stepName, mismatched)
 				}
 			},
 			"settle": func(t *rapid.T) {
-				within := program.Draw(t, "program")
-				open := openOf(t, within)
-				f.turns++
-				operation := ranOn(settle(open.GetRequestId(), open.GetSession(), open.GetEpoch(), 2, fmt.Sprintf("t%d", f.turns),
-					""), versions.Draw(t, "versions")...)
-				operation.Program = within
-				operation.GetSettleTurn().Turn.Program = within
-				f.apply(t, operation)
+				programID := program.Draw(t, "program")
+				reservation := reservationToEnd(t, programID)
+				m.lastTurnNumber++
+				operation := settledOn(settle(reservation.GetRequestId(), reservation.GetSession(), reservation.GetEpoch(), 2,
+					fmt.Sprintf("t%d", m.lastTurnNumber), ""), versions.Draw(t, "versions")...)
+				operation.Program = programID
+				operation.GetSettleTurn().Turn.Program = programID
+				m.apply(t, operation)
 			},
 			"release": func(t *rapid.T) {
-				within := program.Draw(t, "program")
-				open := openOf(t, within)
-				operation := release(open.GetRequestId(), open.GetSession(), open.GetEpoch(),
+				programID := program.Draw(t, "program")
+				reservation := reservationToEnd(t, programID)
+				operation := release(reservation.GetRequestId(), reservation.GetSession(), reservation.GetEpoch(),
 					rapid.Uint64Range(0, 2).Draw(t, "tokens"))
-				operation = releasedFrom(operation, rapid.Bool().Draw(t, "completed"), versions.Draw(t, "versions")...)
-				operation.Program = within
-				f.apply(t, operation)
+				operation = releasedOn(operation, rapid.Bool().Draw(t, "completed"), versions.Draw(t, "versions")...)
+				operation.Program = programID
+				m.apply(t, operation)
 			},
-			"release whole": func(t *rapid.T) {
-				within := program.Draw(t, "program")
-				open := openOf(t, within)
-				operation := release(open.GetRequestId(), open.GetSession(), open.GetEpoch(), 2)
-				operation.Program = within
-				f.apply(t, releasedFrom(operation, true, f.records[within].GetTrainingStep().GetWeightVersion()))
+			"release completed": func(t *rapid.T) {
+				programID := program.Draw(t, "program")
+				reservation := reservationToEnd(t, programID)
+				operation := release(reservation.GetRequestId(), reservation.GetSession(), reservation.GetEpoch(), 2)
+				operation.Program = programID
+				m.apply(t, releasedOn(operation, true, m.records[programID].GetTrainingStep().GetWeightVersion()))
 			},
-			"lose a session, then release whole": func(t *rapid.T) {
-				within := program.Draw(t, "program")
-				open := openOf(t, within)
-				claimed := claim(open.GetSession(), owner.Draw(t, "owner"), 1)
-				claimed.Program = within
-				claimed.GetClaimSession().Budget = propertyBudgetOfSteps
-				f.apply(t, claimed)
-				operation := release(open.GetRequestId(), open.GetSession(), open.GetEpoch(), 2)
-				operation.Program = within
-				f.apply(t, releasedFrom(operation, true, f.records[within].GetTrainingStep().GetWeightVersion()))
+			"lose a session, then release completed": func(t *rapid.T) {
+				programID := program.Draw(t, "program")
+				reservation := reservationToEnd(t, programID)
+				claimOperation := claim(reservation.GetSession(), owner.Draw(t, "owner"), 1)
+				claimOperation.Program = programID
+				claimOperation.GetClaimSession().Budget = stepPropertyBudget
+				m.apply(t, claimOperation)
+				operation := release(reservation.GetRequestId(), reservation.GetSession(), reservation.GetEpoch(), 2)
+				operation.Program = programID
+				m.apply(t, releasedOn(operation, true, m.records[programID].GetTrainingStep().GetWeightVersion()))
 			},
 			"claim": func(t *rapid.T) {
 				operation := claim(session.Draw(t, "session"), owner.Draw(t, "owner"), 1)
 				operation.Program = program.Draw(t, "program")
-				operation.GetClaimSession().Budget = propertyBudgetOfSteps
-				f.apply(t, operation)
+				operation.GetClaimSession().Budget = stepPropertyBudget
+				m.apply(t, operation)
 			},
-			"refuse": func(t *rapid.T) {
-				operation := refuse(request.Draw(t, "request"), session.Draw(t, "session"))
+			"reject": func(t *rapid.T) {
+				operation := rejectRequest(request.Draw(t, "request"), session.Draw(t, "session"))
 				operation.Program = program.Draw(t, "program")
-				f.apply(t, operation)
+				m.apply(t, operation)
 			},
 			"send again": func(t *rapid.T) {
-				if len(f.sent) > 0 {
-					f.apply(t, proto.CloneOf(rapid.SampledFrom(f.sent).Draw(t, "operation")))
+				if len(m.sent) > 0 {
+					m.apply(t, proto.CloneOf(rapid.SampledFrom(m.sent).Draw(t, "operation")))
 				}
 			},
 			"wait": func(t *rapid.T) {
-				f.now = f.now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "minutes")) * time.Minute)
+				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "minutes")) * time.Minute)
 			},
 		})
 	})
