--- a/internal/state/register/acceptor.go
+++ b/internal/state/register/acceptor.go
@@ -2,16 +2,16 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// State is one register on one replica, the acceptor of the protocol. Its methods leave it unchanged and return the
-// next state. It is not synchronized: the goroutine that owns the replica owns its states.
+// State is the state of one register on one replica, the acceptor of the protocol. Its methods do not modify it and
+// return the next state. It is not safe for concurrent use: the goroutine that owns the replica owns its states.
 type State struct {
 	// Promised is the lowest ballot that may still be accepted.
 	Promised Ballot
-	// Accepted is the ballot of Value; zero when nothing was accepted.
+	// Accepted is the ballot of Value; zero when no value was accepted.
 	Accepted Ballot
 	Value    []byte
-	// Learned says that the value was copied from another replica. It counts when a new proposer looks for the newest
-	// value, but it is no vote for that value.
+	// Learned reports whether the value was copied from another replica. A proposer considers a learned value when it
+	// determines the newest value, but it is not a vote for that value.
 	Learned bool
 }
 
@@ -36,32 +36,32 @@
 	}
 }
 
-// Prepare decides a prepare request: it promises to reject lower ballots and reports what was accepted. When changed,
-// the next state must be durable before the answer leaves; nor may an answer leave before an earlier state of the
-// register that it shows is durable. A zero ballot reads without promising anything.
-func (s State) Prepare(ballot Ballot) (next State, answer *protocol.PrepareResponse, changed bool) {
-	answer = &protocol.PrepareResponse{
+// Prepare handles a prepare request: it promises to reject lower ballots and reports the accepted value. When changed,
+// the next state must be durable before the response is sent. A response must also not be sent before the earlier state
+// of the register that it reports is durable. A zero ballot reads without a promise.
+func (s State) Prepare(ballot Ballot) (next State, response *protocol.PrepareResponse, changed bool) {
+	response = &protocol.PrepareResponse{
 		Accepted: s.Accepted.ToProto(),
 		Value:    s.Value,
 		Learned:  s.Learned,
 	}
 	if ballot.IsZero() || ballot.Less(s.Promised) {
-		answer.Seen = s.Promised.ToProto()
-		return s, answer, false
+		response.Seen = s.Promised.ToProto()
+		return s, response, false
 	}
-	answer.Promised = true
+	response.Promised = true
 	if ballot == s.Promised {
-		return s, answer, false
+		return s, response, false
 	}
 	s.Promised = ballot
-	return s, answer, true
+	return s, response, true
 }
 
-// Accept decides an accept request; nextBallot, when not zero, is promised along with the value. A repeated request is
-// accepted again without a change. The rules for durability are those of Prepare.
+// Accept handles an accept request; nextBallot, when not zero, is promised together with the value. A repeated request
+// is accepted again without a change. The durability rules are those of Prepare.
 func (s State) Accept(
 	ballot Ballot, value []byte, nextBallot Ballot,
-) (next State, answer *protocol.AcceptResponse, changed bool) {
+) (next State, response *protocol.AcceptResponse, changed bool) {
 	if ballot == s.Accepted && !s.Learned {
 		return s, &protocol.AcceptResponse{Accepted: true}, false
 	}
@@ -72,8 +72,9 @@
 	return accepted, &protocol.AcceptResponse{Accepted: true}, true
 }
 
-// Learn copies what another replica accepted, for rebuilds, moves and scrubs. A learned value is no vote, but the
-// promised ballot rises to its ballot: a proposer below it would build on a value newer than its own proposal.
+// Learn copies the value that another replica accepted, for rebuilds, moves and scrubs. A learned value is not a vote,
+// but the promised ballot is raised to its ballot: a proposer with a lower ballot would build on a value newer than its
+// own proposal.
 func (s State) Learn(accepted Ballot, value []byte) (next State, changed bool) {
 	if !s.Accepted.Less(accepted) {
 		return s, false
--- a/internal/state/register/ballot.go
+++ b/internal/state/register/ballot.go
@@ -6,15 +6,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Ballot is the number of a proposal; it orders the proposals on one register. The zero ballot is below all others.
-// A proposer never uses a ballot for two values, so its name must be new at every start of its process.
+// Ballot is the number of a proposal and orders the proposals for one register. The zero ballot is below all others. A
+// proposer never uses a ballot for two values, so its name must be new at every start of its process.
 type Ballot struct {
 	Counter uint64
 	// Proposer is unique among all proposers of the cluster and orders ballots of the same Counter.
 	Proposer string
 }
 
-// BallotFromProto reads a ballot from a message; nil is the zero ballot.
+// BallotFromProto returns the ballot of a message; nil is the zero ballot.
 func BallotFromProto(message *protocol.Ballot) Ballot {
 	return Ballot{Counter: message.GetCounter(), Proposer: message.GetProposer()}
 }
@@ -55,21 +55,21 @@
 	counter  uint64
 }
 
-// NewBallotGenerator returns a generator for a proposer whose name no process used before.
+// NewBallotGenerator returns a generator for a proposer whose name no process has used before.
 func NewBallotGenerator(proposer string) *BallotGenerator {
 	return &BallotGenerator{proposer: proposer}
 }
 
-// Advance makes the next ballot larger than any that was issued before a time in Unix milliseconds by proposers whose
-// clocks agree. Replicas expire registers that were not written for long; a replica that missed the expiry still
-// stores the old value, and every later ballot must be above it.
+// Advance makes the next ballot larger than any that proposers with synchronized clocks issued before a time in Unix
+// milliseconds. Replicas expire registers that have not been written for a long time. A replica that missed the expiry
+// still stores the old value, and every later ballot must be above that value's ballot.
 func (g *BallotGenerator) Advance(unixMillis int64) {
 	if unixMillis > 0 {
 		g.counter = max(g.counter, uint64(unixMillis))
 	}
 }
 
-// Next returns a ballot larger than the ones seen and than all issued before.
+// Next returns a ballot larger than the seen ones and all ballots issued before.
 func (g *BallotGenerator) Next(seen ...Ballot) Ballot {
 	for _, ballot := range seen {
 		g.counter = max(g.counter, ballot.Counter)
--- a/internal/state/register/change.go
+++ b/internal/state/register/change.go
@@ -6,13 +6,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// UpdateFunc computes the next value from the current one, which is nil for a register never written. Returning changed
-// false leaves the value as it is. It is called again with a newer value when another proposer wins, so it must be
-// idempotent.
+// UpdateFunc computes the next value from the current one, which is nil for a register that was never written. When
+// changed is false, the value stays unchanged. The function is called again with a newer value when another proposer
+// wins, so it must be idempotent.
 type UpdateFunc func(current []byte) (next []byte, changed bool)
 
-// PreparedProposal is what a proposer knows of a register after its own change was chosen: a majority promised Ballot
-// along with Value under the placement epoch, so the next change may skip its prepare phase.
+// PreparedProposal lets the proposer of a chosen change skip the prepare phase of its next change: a majority promised
+// Ballot together with Value under the placement epoch.
 type PreparedProposal struct {
 	// Epoch is the placement epoch under which the ballot was promised.
 	Epoch  uint64
@@ -24,11 +24,11 @@
 type Status int
 
 const (
-	// StatusInProgress waits for answers.
+	// StatusInProgress waits for responses.
 	StatusInProgress Status = iota
-	// StatusPreempted lost against a higher ballot and waits for Retry.
+	// StatusPreempted lost to a higher ballot and waits for Retry.
 	StatusPreempted
-	// StatusUnavailable cannot reach a majority any more; it waits for Retry.
+	// StatusUnavailable can no longer reach a majority and waits for Retry.
 	StatusUnavailable
 	// StatusWrongPlacement was rejected under a newer placement epoch; a new Change is needed once the placement that
 	// SeenEpoch names is known.
@@ -40,19 +40,19 @@
 // Message is a request to one replica; exactly one of Prepare and Accept is set.
 type Message struct {
 	Store string
-	// PhaseNumber is handed back with the answer, so that late answers to an earlier phase are ignored.
+	// PhaseNumber is passed back with the response, so that late responses to an earlier phase are ignored.
 	PhaseNumber uint64
 	Prepare     *protocol.PrepareRequest
 	Accept      *protocol.AcceptRequest
 }
 
-// phase is the step of the protocol that a change is in.
+// phase is the protocol phase of a change.
 type phase int
 
 const (
 	// phaseReading requests the accepted values without a ballot.
 	phaseReading phase = iota
-	// phasePreparing requests promises for a ballot, with the accepted values.
+	// phasePreparing requests promises for a ballot, together with the accepted values.
 	phasePreparing
 	// phaseAccepting requests that the value be stored under the promised ballot.
 	phaseAccepting
@@ -62,19 +62,19 @@
 type ChangeOptions struct {
 	Key   *protocol.RegisterKey
 	Shard uint32
-	// Epoch is the placement epoch that Quorum was taken from; every message names it.
+	// Epoch is the placement epoch of Quorum; every message has it.
 	Epoch   uint64
 	Quorum  Quorum
 	Ballots *BallotGenerator
 	// Update is applied to the newest value. When nil the change is a read.
 	Update UpdateFunc
-	// PreparedProposal, when of the same epoch, lets the change skip its prepare phase.
+	// PreparedProposal, if it has the same epoch, lets the change skip its prepare phase.
 	PreparedProposal PreparedProposal
 }
 
 // Change is the proposer of one change or read of a register. Its owner sends the messages that Start, Retry and the
-// handlers return, and passes each answer to HandlePrepareResponse or HandleAcceptResponse, or the lack of one to
-// HandleFailure. It is not safe for concurrent use.
+// handlers return. It passes each response to HandlePrepareResponse or HandleAcceptResponse and reports each missing
+// one with HandleFailure. A Change is not safe for concurrent use.
 type Change struct {
 	options ChangeOptions
 	members []string
@@ -83,20 +83,20 @@
 	phaseNumber uint64
 	status      Status
 
-	// ballot is that of the proposal, nextBallot the one that it has promised for the change after it.
+	// ballot is the ballot of the proposal; nextBallot is promised with its value, for the next change.
 	ballot     Ballot
 	nextBallot Ballot
 	value      []byte
 
-	// seenBallot and seenEpoch are the highest ones that a rejection named.
+	// seenBallot and seenEpoch are the highest ones in the rejections received.
 	seenBallot Ballot
 	seenEpoch  uint64
 
-	// votes and failed name the stores that answered the phase, and those that will not.
+	// votes are the stores that voted in the phase, failed those that rejected it or will not respond.
 	votes  []string
 	failed []string
 
-	// newestAccepted is the highest accepted ballot among the votes; unanimous says that all of them accepted it.
+	// newestAccepted is the highest accepted ballot among the votes; unanimous reports whether all of them accepted it.
 	newestAccepted Ballot
 	unanimous      bool
 }
@@ -109,13 +109,14 @@
 // Status returns the progress of the change.
 func (c *Change) Status() Status { return c.status }
 
-// Value returns the chosen value; nil for a register never written. Valid with StatusChosen.
+// Value returns the chosen value; nil for a register that was never written. It is valid with StatusChosen.
 func (c *Change) Value() []byte { return c.value }
 
-// SeenEpoch returns the newest placement epoch that a replica named. Valid with StatusWrongPlacement.
+// SeenEpoch returns the newest placement epoch that a replica reported. It is valid with StatusWrongPlacement.
 func (c *Change) SeenEpoch() uint64 { return c.seenEpoch }
 
-// PreparedProposal lets the next change skip its prepare phase. Its ballot is zero when that is not possible.
+// PreparedProposal returns the promise that lets the next change skip its prepare phase. Its ballot is zero when there
+// is none.
 func (c *Change) PreparedProposal() PreparedProposal {
 	if c.status != StatusChosen || c.phase != phaseAccepting {
 		return PreparedProposal{}
@@ -123,7 +124,7 @@
 	return PreparedProposal{Epoch: c.options.Epoch, Ballot: c.nextBallot, Value: c.value}
 }
 
-// Start returns the first messages. It is called once.
+// Start returns the first messages to send. It is called once.
 func (c *Change) Start() []Message {
 	if c.options.Update == nil {
 		return c.read()
@@ -151,8 +152,9 @@
 	c.failed = c.failed[:0]
 }
 
-// read requests the values only. When a majority voted for the same ballot, that value is chosen, and no later one was
-// when the read began. Otherwise the read continues as a change that leaves the value as it is, and so repairs it.
+// read requests the accepted values without a ballot. When a majority voted for the same ballot, its value is chosen,
+// and no later value was chosen when the read began. Otherwise the read continues as a change that leaves the value as
+// it is, which repairs the register.
 func (c *Change) read() []Message {
 	c.beginPhase(phaseReading)
 	c.resetNewest()
@@ -170,7 +172,7 @@
 	}})
 }
 
-// accept proposes the updated value under the ballot that a majority promised.
+// accept updates the current value and proposes it under the ballot that a majority promised.
 func (c *Change) accept(current []byte) []Message {
 	c.beginPhase(phaseAccepting)
 	c.value = current
@@ -186,7 +188,8 @@
 	}})
 }
 
-// broadcast addresses a message of the phase to every member. The request is shared and read-only from here on.
+// broadcast returns the message of the phase for every member. The messages share the request, which is read-only from
+// here on.
 func (c *Change) broadcast(message Message) []Message {
 	message.PhaseNumber = c.phaseNumber
 	messages := make([]Message, 0, len(c.members))
@@ -203,21 +206,21 @@
 	c.unanimous = true
 }
 
-// HandlePrepareResponse takes in a store's answer to a prepare message and returns the messages to send next.
-func (c *Change) HandlePrepareResponse(store string, phaseNumber uint64, answer *protocol.PrepareResponse) []Message {
-	if !c.expectsAnswer(store, phaseNumber) || c.phase == phaseAccepting {
+// HandlePrepareResponse handles a store's response to a prepare message and returns the messages to send next.
+func (c *Change) HandlePrepareResponse(store string, phaseNumber uint64, response *protocol.PrepareResponse) []Message {
+	if !c.expectsResponse(store, phaseNumber) || c.phase == phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != notRejected {
-		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if response.GetRefusal() != notRejected {
+		c.handleRejection(store, response.GetRefusal(), response.GetPlacementEpoch())
 		return nil
 	}
-	c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
-	if c.phase == phasePreparing && !answer.GetPromised() {
+	c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(response.GetSeen()))
+	if c.phase == phasePreparing && !response.GetPromised() {
 		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
-	c.mergeValue(answer)
+	c.mergeValue(response)
 	c.votes = append(c.votes, store)
 	if !c.options.Quorum.Reached(c.hasVoted) {
 		return nil
@@ -225,15 +228,15 @@
 	return c.finishPrepare()
 }
 
-// mergeValue keeps the value of the highest ballot and whether all votes agree on it.
-func (c *Change) mergeValue(answer *protocol.PrepareResponse) {
-	accepted := BallotFromProto(answer.GetAccepted())
-	if answer.GetLearned() || (len(c.votes) > 0 && accepted != c.newestAccepted) {
+// mergeValue keeps the value with the highest ballot and records whether all votes agree on it.
+func (c *Change) mergeValue(response *protocol.PrepareResponse) {
+	accepted := BallotFromProto(response.GetAccepted())
+	if response.GetLearned() || (len(c.votes) > 0 && accepted != c.newestAccepted) {
 		c.unanimous = false
 	}
 	if len(c.votes) == 0 || c.newestAccepted.Less(accepted) {
 		c.newestAccepted = accepted
-		c.value = answer.GetValue()
+		c.value = response.GetValue()
 	}
 }
 
@@ -252,8 +255,8 @@
 	return c.accept(c.value)
 }
 
-// wouldChange reports whether the update changes a value that is known to be chosen. Otherwise nothing needs to be
-// written.
+// wouldChange reports whether the update changes the current value, which is already chosen. Otherwise nothing needs to
+// be written.
 func (c *Change) wouldChange(current []byte) bool {
 	if c.options.Update == nil {
 		return false
@@ -262,18 +265,18 @@
 	return changed
 }
 
-// HandleAcceptResponse takes in a store's answer to an accept message. It has the form of HandlePrepareResponse but
-// returns no messages, since no phase follows the accept phase.
-func (c *Change) HandleAcceptResponse(store string, phaseNumber uint64, answer *protocol.AcceptResponse) []Message {
-	if !c.expectsAnswer(store, phaseNumber) || c.phase != phaseAccepting {
+// HandleAcceptResponse handles a store's response to an accept message. It has the signature of HandlePrepareResponse
+// but returns no messages, since no phase follows the accept phase.
+func (c *Change) HandleAcceptResponse(store string, phaseNumber uint64, response *protocol.AcceptResponse) []Message {
+	if !c.expectsResponse(store, phaseNumber) || c.phase != phaseAccepting {
 		return nil
 	}
-	if answer.GetRefusal() != notRejected {
-		c.handleRejection(store, answer.GetRefusal(), answer.GetPlacementEpoch())
+	if response.GetRefusal() != notRejected {
+		c.handleRejection(store, response.GetRefusal(), response.GetPlacementEpoch())
 		return nil
 	}
-	if !answer.GetAccepted() {
-		c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(answer.GetSeen()))
+	if !response.GetAccepted() {
+		c.seenBallot = maxBallot(c.seenBallot, BallotFromProto(response.GetSeen()))
 		c.recordFailure(store, StatusPreempted)
 		return nil
 	}
@@ -284,9 +287,9 @@
 	return nil
 }
 
-// HandleFailure records that the store will not answer the phase.
+// HandleFailure records that the store will not respond in the phase.
 func (c *Change) HandleFailure(store string, phaseNumber uint64) {
-	if c.expectsAnswer(store, phaseNumber) {
+	if c.expectsResponse(store, phaseNumber) {
 		c.recordFailure(store, StatusUnavailable)
 	}
 }
@@ -300,7 +303,7 @@
 	c.recordFailure(store, status)
 }
 
-// recordFailure excludes a store from the phase; the change stops with the status when no majority is left.
+// recordFailure excludes a store from the phase. When no majority remains possible, the change stops with the status.
 func (c *Change) recordFailure(store string, status Status) {
 	c.failed = append(c.failed, store)
 	if !c.options.Quorum.Lost(c.hasFailed) {
@@ -316,8 +319,8 @@
 
 func (c *Change) hasFailed(store string) bool { return slices.Contains(c.failed, store) }
 
-// expectsAnswer reports whether an answer of the store to the numbered phase still counts.
-func (c *Change) expectsAnswer(store string, phaseNumber uint64) bool {
+// expectsResponse reports whether a response of the store in the phase with the number is still expected.
+func (c *Change) expectsResponse(store string, phaseNumber uint64) bool {
 	return c.status == StatusInProgress && phaseNumber == c.phaseNumber &&
 		!c.hasVoted(store) && !c.hasFailed(store) && slices.Contains(c.members, store)
 }
--- a/internal/state/register/doc.go
+++ b/internal/state/register/doc.go
@@ -2,28 +2,29 @@
 // follows CASPaxos: a change is a function of the newest value, proposed under a ballot in a prepare and an accept
 // phase over a majority of the replicas, without a leader and without a log.
 //
-// The package decides and does no I/O. An acceptor (State) says what must be durable before its answer leaves; a
-// proposer (Change) says which messages to send and takes in the answers. ShardView and Quorum say which replicas
-// vote under a placement. No value of this package is safe for concurrent use: a State belongs to the goroutine that
-// owns the replica, a Change and its BallotGenerator to the goroutine that runs the proposal.
+// The package contains the state machines of the protocol and does no I/O. An acceptor (State) returns the state that
+// must be durable before its response is sent. A proposer (Change) returns the messages to send and handles the
+// responses. ShardView and Quorum determine which replicas vote under a placement. No value of this package is safe for
+// concurrent use: a State belongs to the goroutine that owns the replica, a Change and its BallotGenerator to the
+// goroutine that runs the proposal.
 //
 // # Phases and status of a change
 //
-//	phase      sends                    ends when a majority answered
+//	phase      sends                    next, when a majority has responded
 //	reading    prepare, zero ballot     chosen if all report the same accepted ballot, else preparing
-//	preparing  prepare, new ballot      chosen if nothing is to be written, else accepting
+//	preparing  prepare, new ballot      chosen if nothing needs to be written, else accepting
 //	accepting  accept, same ballot      chosen
 //
 // A read starts in reading, a write in preparing, or in accepting when it continues a PreparedProposal.
 //
 //	status          entered when                                         left by
-//	InProgress      a phase begins                                       answers, failures
-//	Preempted       no majority is left; the last one saw a higher       Retry
-//	                ballot
-//	Unavailable     no majority is left; the last one failed or          Retry
-//	                rejected
-//	WrongPlacement  no majority is left; a replica named a newer         a new Change under that placement
-//	                placement epoch
+//	InProgress      a phase begins                                       responses, failures
+//	Preempted       no majority is possible; the last replica saw a      Retry
+//	                higher ballot
+//	Unavailable     no majority is possible; the last replica failed     Retry
+//	                or rejected the request
+//	WrongPlacement  no majority is possible; a replica reported a        a new Change under that placement
+//	                newer placement epoch
 //	Chosen          the value is chosen                                  -
 //
 // # Roles of a replica
@@ -34,5 +35,5 @@
 //	Joining     yes    no                active when the move ends
 //	Active      yes    yes               rebuilding when its data is lost, none when moved away
 //
-// Source: docs/LEDGER.md; D. Rystsov, "CASPaxos: Replicated State Machines without logs".
+// See docs/LEDGER.md and D. Rystsov, "CASPaxos: Replicated State Machines without logs".
 package register
--- a/internal/state/register/quorum.go
+++ b/internal/state/register/quorum.go
@@ -6,10 +6,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Quorum decides when enough replicas have answered. While a shard moves, the current and the next replicas must each
-// give a majority (joint consensus), so that no change of placement splits a quorum.
+// Quorum determines when enough replicas have voted. While a shard moves, a majority of the current and a majority of
+// the next replicas are required (joint consensus), so that no change of placement splits a quorum.
 type Quorum struct {
-	// Current and Next are names of stores; Next is empty unless the shard moves.
+	// Current and Next are store names; Next is empty unless the shard moves.
 	Current []string
 	Next    []string
 }
@@ -27,7 +27,7 @@
 	return stores
 }
 
-// Members returns each store once: the current ones, then those that join.
+// Members returns each store once: first the current stores, then those that join.
 func (q Quorum) Members() []string {
 	members := slices.Clone(q.Current)
 	for _, store := range q.Next {
@@ -43,7 +43,7 @@
 	return hasMajority(q.Current, voted) && (len(q.Next) == 0 || hasMajority(q.Next, voted))
 }
 
-// Lost reports whether no majority is possible any more without the stores that failed.
+// Lost reports whether a majority is no longer possible without the failed stores.
 func (q Quorum) Lost(failed func(store string) bool) bool {
 	return !q.Reached(func(store string) bool { return !failed(store) })
 }
--- a/internal/state/register/role.go
+++ b/internal/state/register/role.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// Role is what a store may do for a shard under the placement in force.
+// Role is the role of a store in a shard under the current placement.
 type Role int
 
 const (
@@ -10,15 +10,15 @@
 	RoleNone Role = iota
 	// RoleRebuilding lost its data and does not vote until it is copied again.
 	RoleRebuilding
-	// RoleJoining votes from the start, beside a majority of the current replicas, but cannot prove yet that a value
-	// does not exist.
+	// RoleJoining votes from the start, in addition to a majority of the current replicas, but cannot yet prove that a
+	// value does not exist.
 	RoleJoining
-	// RoleActive votes and serves.
+	// RoleActive votes and is a source of copies.
 	RoleActive
 )
 
-// ShardRole returns the role of a store in a shard. A store that the placement names with another storage id has lost
-// the data that the placement counts on.
+// ShardRole returns the role of a store in a shard. If the placement has another storage id for the store, the store
+// has lost the data that the placement relies on.
 func ShardRole(placement *protocol.ShardPlacement, store, storageID string) Role {
 	if replica := findReplica(placement.GetCurrent(), store); replica != nil {
 		if replica.GetStorageId() != storageID || replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// ShardEpoch returns the epoch that requests about the shard must name: the shard's own one, or that of the placement
+// ShardEpoch returns the epoch that requests for the shard must have: the shard's own epoch, or that of the placement
 // for shards without one.
 func ShardEpoch(placement *protocol.Placement, shard *protocol.ShardPlacement) uint64 {
 	if shard.GetEpoch() != 0 {
