--- a/internal/state/register/linearizable_test.go
+++ b/internal/state/register/linearizable_test.go
@@ -16,10 +16,10 @@
 
 // linearizable decides whether a history of appendModel is linearizable, in O(n log n) steps for n operations.
 //
-// Each value is appended by at most one operation, and each operation returns the list right after it. So the lists
-// must be prefixes of each other, and they give the order of the operations: each append comes right before the reads
-// of its list. Reads of the same list are ordered by their start, which fits real time whenever any order does. The
-// history is linearizable if, and only if, that one order fits. The error says why it does not.
+// Each value is appended by at most one operation, and each operation returns the list right after it. The lists must
+// therefore be prefixes of each other, and they determine the order of the operations: each append comes right before
+// the reads of its list. Reads of the same list are ordered by their start, which agrees with real time whenever any
+// order does. The history is linearizable if and only if this order is valid. The error states why it is not.
 func linearizable(history []porcupine.Operation) error {
 	ranked := make([]rankedOperation, 0, len(history))
 	for _, operation := range history {
@@ -28,13 +28,13 @@
 	slices.SortStableFunc(ranked, func(a, b rankedOperation) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.Call, b.Call))
 	})
-	if err := checkChain(ranked); err != nil {
+	if err := checkPrefixes(ranked); err != nil {
 		return err
 	}
 	return checkRealTime(ranked)
 }
 
-// rankedOperation is an operation with its rank in the only order that its list allows.
+// rankedOperation is an operation with its rank in the only order that the lists allow.
 type rankedOperation struct {
 	porcupine.Operation
 	input operationInput
@@ -46,32 +46,33 @@
 func rank(operation porcupine.Operation) rankedOperation {
 	input, list := operation.Input.(operationInput), operation.Output.(string)
 	order := 2 * len(strings.Fields(list))
-	if input.read {
+	if input.isRead {
 		order++
 	}
 	return rankedOperation{Operation: operation, input: input, list: list, rank: order}
 }
 
-// checkChain reports a list that does not follow from the one before by the append between them.
-func checkChain(ranked []rankedOperation) error {
+// checkPrefixes returns an error for a list that differs from the previous one by more than the append between them.
+func checkPrefixes(ranked []rankedOperation) error {
 	list := ""
 	for _, operation := range ranked {
-		if !operation.input.read {
+		if !operation.input.isRead {
 			list += operation.input.append + " "
 		}
 		if operation.list != list {
-			return fmt.Errorf("%+v leaves %q where the list is %q", operation.input, operation.list, list)
+			return fmt.Errorf("operation %+v returned the list %q, want %q", operation.input, operation.list, list)
 		}
 	}
 	return nil
 }
 
-// checkRealTime reports an operation that ended before one began that comes earlier in the order.
+// checkRealTime returns an error for an operation that ended before the start of one that precedes it in the order.
 func checkRealTime(ranked []rankedOperation) error {
 	var latest rankedOperation
 	for _, operation := range ranked {
 		if operation.Return < latest.Call {
-			return fmt.Errorf("%+v ended before %+v began, which comes earlier", operation.input, latest.input)
+			return fmt.Errorf("operation %+v ended before the start of %+v, which precedes it in the order", operation.input,
+				latest.input)
 		}
 		if operation.Call > latest.Call {
 			latest = operation
@@ -80,13 +81,13 @@
 	return nil
 }
 
-// drawHistory makes a small history: a linearizable one, of which some operations are then changed in any way.
+// drawHistory returns a small history: it starts from a linearizable one and then alters or removes up to two operations.
 func drawHistory(t *rapid.T) []porcupine.Operation {
 	var history []porcupine.Operation
 	list := ""
 	for step := range rapid.IntRange(0, 7).Draw(t, "operations") {
-		input := operationInput{read: rapid.Bool().Draw(t, "read")}
-		if !input.read {
+		input := operationInput{isRead: rapid.Bool().Draw(t, "read")}
+		if !input.isRead {
 			input.append = strconv.Itoa(step)
 			list += input.append + " "
 		}
@@ -106,8 +107,8 @@
 		case 0:
 			changed.Output = history[rapid.IntRange(0, len(history)-1).Draw(t, "other")].Output
 		case 1:
-			moved := int64(rapid.IntRange(-40, 40).Draw(t, "moved"))
-			changed.Call, changed.Return = max(0, changed.Call+moved), max(0, changed.Return+moved)
+			shift := int64(rapid.IntRange(-40, 40).Draw(t, "moved"))
+			changed.Call, changed.Return = max(0, changed.Call+shift), max(0, changed.Return+shift)
 		default:
 			dropped := rapid.IntRange(0, len(history)-1).Draw(t, "dropped")
 			history = slices.Delete(history, dropped, dropped+1)
@@ -119,18 +120,19 @@
 	return history
 }
 
-// TestTheCheckOfHistoriesAgreesWithASearch compares it with a search over all orders, which small histories let end.
-func TestTheCheckOfHistoriesAgreesWithASearch(t *testing.T) {
+// TestLinearizableAgreesWithExhaustiveSearch compares linearizable with a search over all orders of small histories,
+// for which the search is feasible.
+func TestLinearizableAgreesWithExhaustiveSearch(t *testing.T) {
 	verdicts := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
 		searched := porcupine.CheckOperations(appendModel, history)
 		verdicts[searched]++
 		if err := linearizable(history); (err == nil) != searched {
-			t.Fatalf("the search says %v, the check %v, of %+v", searched, err, history)
+			t.Fatalf("the search found linearizable = %v, but linearizable returned %v for %+v", searched, err, history)
 		}
 	})
 	if verdicts[true] == 0 || verdicts[false] == 0 {
-		t.Errorf("verdicts %v", verdicts)
+		t.Errorf("the histories drawn have the verdicts %v, want both true and false ones", verdicts)
 	}
 }
--- a/internal/state/register/simulation_test.go
+++ b/internal/state/register/simulation_test.go
@@ -16,86 +16,86 @@
 
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// faults chooses what happens in a run beside delays, losses and late duplicates.
+// faults selects the faults of a run, in addition to delayed, lost and duplicated messages.
 type faults struct {
-	learn, loseDisks, move bool
+	scrub, loseDisks, move bool
 }
 
 // replica is one store of the simulated cluster.
 type replica struct {
-	name      string
-	storageID string
-	disks     int
-	view      register.ShardView
-	state     register.State
-	// sources are the replicas read so far for a copy under way.
+	name          string
+	storageID     string
+	replacedDisks int
+	view          register.ShardView
+	state         register.State
+	// sources are the replicas read so far for the current copy.
 	sources []string
 }
 
-// inFlight is a message on the network, either way.
+// inFlight is a request or a response on the network.
 type inFlight struct {
 	deliver func()
 	copies  int
 }
 
-// world is a cluster that makes one random step after the other.
-type world struct {
-	random    *rand.Rand
-	faults    faults
-	placement *protocol.Placement
-	replicas  map[string]*replica
-	names     []string
-	messages  []inFlight
-	callers   []*caller
-	history   []porcupine.Operation
-	now       int64
-	appended  int
-	counts    map[string]int
+// simulation is a cluster with clients that executes one random step at a time.
+type simulation struct {
+	random      *rand.Rand
+	faults      faults
+	placement   *protocol.Placement
+	replicas    map[string]*replica
+	names       []string
+	messages    []inFlight
+	clients     []*client
+	history     []porcupine.Operation
+	now         int64
+	appendCount int
+	counts      map[string]int
 }
 
-// caller makes one operation after the other through a proposer of its own.
-type caller struct {
-	id      int
-	ballots *register.BallotGenerator
-	change  *register.Change
-	value   string
-	read    bool
-	began   int64
-	head    register.PreparedProposal
+// client executes one operation at a time through its own proposer.
+type client struct {
+	id        int
+	ballots   *register.BallotGenerator
+	change    *register.Change
+	value     string
+	isRead    bool
+	startedAt int64
+	prepared  register.PreparedProposal
 }
 
-func newWorld(seed uint64, chosen faults) *world {
-	w := &world{
+func newSimulation(seed uint64, enabled faults) *simulation {
+	s := &simulation{
 		random:   rand.New(rand.NewPCG(seed, 1)),
-		faults:   chosen,
+		faults:   enabled,
 		replicas: map[string]*replica{},
 		names:    []string{"a", "b", "c", "d"},
 		counts:   map[string]int{},
 	}
-	placed := &protocol.ShardPlacement{Epoch: 1}
-	for _, name := range w.names {
-		w.replicas[name] = &replica{name: name, storageID: name + "0"}
+	shard := &protocol.ShardPlacement{Epoch: 1}
+	for _, name := range s.names {
+		s.replicas[name] = &replica{name: name, storageID: name + "0"}
 	}
-	for _, name := range w.names[:3] {
-		placed.Current = append(placed.Current, &protocol.Replica{
+	for _, name := range s.names[:3] {
+		shard.Current = append(shard.Current, &protocol.Replica{
 			Store: name, StorageId: name + "0", State: protocol.ReplicaState_REPLICA_ACTIVE,
 		})
 	}
-	w.placement = &protocol.Placement{Epoch: 1, Shards: []*protocol.ShardPlacement{placed}}
+	s.placement = &protocol.Placement{Epoch: 1, Shards: []*protocol.ShardPlacement{shard}}
 	for id := range 3 {
-		w.callers = append(w.callers, &caller{id: id, ballots: register.NewBallotGenerator(fmt.Sprintf("p%d", id))})
+		s.clients = append(s.clients, &client{id: id, ballots: register.NewBallotGenerator(fmt.Sprintf("p%d", id))})
 	}
-	for _, each := range w.replicas {
-		w.adopt(each)
+	for _, member := range s.replicas {
+		s.applyPlacement(member)
 	}
-	return w
+	return s
 }
 
-func (w *world) shard() *protocol.ShardPlacement { return w.placement.GetShards()[0] }
+func (s *simulation) shard() *protocol.ShardPlacement { return s.placement.GetShards()[0] }
 
-// adopt makes a replica act under the placement in force.
-func (w *world) adopt(r *replica) {
-	next := register.NewShardView(w.placement, w.shard(), r.name, r.storageID)
+// applyPlacement makes a replica act under the current placement.
+func (s *simulation) applyPlacement(r *replica) {
+	next := register.NewShardView(s.placement, s.shard(), r.name, r.storageID)
 	if next.Epoch == r.view.Epoch {
 		return
 	}
@@ -105,110 +105,111 @@
 	r.view = next
 }
 
-// place publishes a changed shard under the next epoch.
-func (w *world) place(change func(*protocol.ShardPlacement)) {
-	placed := &protocol.ShardPlacement{
-		Current: cloneReplicas(w.shard().GetCurrent()), Next: cloneReplicas(w.shard().GetNext()),
+// publishShard publishes a changed shard under the next epoch.
+func (s *simulation) publishShard(change func(*protocol.ShardPlacement)) {
+	shard := &protocol.ShardPlacement{
+		Current: cloneReplicas(s.shard().GetCurrent()), Next: cloneReplicas(s.shard().GetNext()),
 	}
-	change(placed)
-	placed.Epoch = w.placement.GetEpoch() + 1
-	w.placement = &protocol.Placement{Epoch: placed.GetEpoch(), Shards: []*protocol.ShardPlacement{placed}}
+	change(shard)
+	shard.Epoch = s.placement.GetEpoch() + 1
+	s.placement = &protocol.Placement{Epoch: shard.GetEpoch(), Shards: []*protocol.ShardPlacement{shard}}
 }
 
 func cloneReplicas(replicas []*protocol.Replica) []*protocol.Replica {
 	var cloned []*protocol.Replica
-	for _, each := range replicas {
+	for _, member := range replicas {
 		cloned = append(cloned, &protocol.Replica{
-			Store: each.GetStore(), StorageId: each.GetStorageId(), State: each.GetState(),
+			Store: member.GetStore(), StorageId: member.GetStorageId(), State: member.GetState(),
 		})
 	}
 	return cloned
 }
 
-func (w *world) step() {
-	w.now++
-	switch roll := w.random.IntN(100); {
+func (s *simulation) step() {
+	s.now++
+	switch roll := s.random.IntN(100); {
 	case roll < 60:
-		w.deliverOne()
+		s.deliverMessage()
 	case roll < 75:
-		w.act(w.callers[w.random.IntN(len(w.callers))])
+		s.stepClient(s.clients[s.random.IntN(len(s.clients))])
 	case roll < 85:
-		w.adopt(w.replicas[w.names[w.random.IntN(len(w.names))]])
+		s.applyPlacement(s.replicas[s.names[s.random.IntN(len(s.names))]])
 	case roll < 92:
-		w.copyOne(w.replicas[w.names[w.random.IntN(len(w.names))]])
-	case roll < 95 && w.faults.learn:
-		w.learnOne()
-	case roll < 97 && w.faults.loseDisks:
-		w.loseDisk()
-	case roll < 99 && w.faults.move:
-		w.moveOne()
+		s.copyFromSource(s.replicas[s.names[s.random.IntN(len(s.names))]])
+	case roll < 95 && s.faults.scrub:
+		s.learnFromReplica()
+	case roll < 97 && s.faults.loseDisks:
+		s.loseDisk()
+	case roll < 99 && s.faults.move:
+		s.startMove()
 	}
 }
 
-func (w *world) deliverOne() {
-	if len(w.messages) == 0 {
+func (s *simulation) deliverMessage() {
+	if len(s.messages) == 0 {
 		return
 	}
-	index := w.random.IntN(len(w.messages))
-	message := w.messages[index]
-	switch roll := w.random.IntN(20); {
+	index := s.random.IntN(len(s.messages))
+	message := s.messages[index]
+	switch roll := s.random.IntN(20); {
 	case roll == 0:
-		w.messages = slices.Delete(w.messages, index, index+1)
+		s.messages = slices.Delete(s.messages, index, index+1)
 		return
 	case roll == 1 && message.copies < 2:
-		w.messages[index].copies++
+		s.messages[index].copies++
 	default:
-		w.messages = slices.Delete(w.messages, index, index+1)
+		s.messages = slices.Delete(s.messages, index, index+1)
 	}
 	message.deliver()
 }
 
-// act begins an operation, retries a stopped one, or abandons one.
-func (w *world) act(c *caller) {
+// stepClient begins an operation, retries a stopped change, or replaces the change by a new one: after a rejection
+// under a newer placement, or at random to abandon a running one.
+func (s *simulation) stepClient(c *client) {
 	if c.change == nil {
-		w.beginOperation(c)
+		s.beginOperation(c)
 		return
 	}
 	switch c.change.Status() {
 	case register.StatusPreempted, register.StatusUnavailable:
-		w.send(c, c.change.Retry())
+		s.send(c, c.change.Retry())
 	case register.StatusWrongPlacement:
-		w.beginChange(c)
+		s.beginChange(c)
 	case register.StatusInProgress:
-		if w.random.IntN(30) == 0 {
-			w.beginChange(c)
+		if s.random.IntN(30) == 0 {
+			s.beginChange(c)
 		}
 	}
 }
 
-func (w *world) beginOperation(c *caller) {
-	c.began = w.now
-	c.read = w.random.IntN(3) == 0
-	if !c.read {
-		w.appended++
-		c.value = strconv.Itoa(w.appended)
+func (s *simulation) beginOperation(c *client) {
+	c.startedAt = s.now
+	c.isRead = s.random.IntN(3) == 0
+	if !c.isRead {
+		s.appendCount++
+		c.value = strconv.Itoa(s.appendCount)
 	}
-	w.beginChange(c)
+	s.beginChange(c)
 }
 
-func (w *world) beginChange(c *caller) {
+func (s *simulation) beginChange(c *client) {
 	value := c.value
 	options := register.ChangeOptions{
 		Key:              &protocol.RegisterKey{Program: "p"},
-		Epoch:            register.ShardEpoch(w.placement, w.shard()),
-		Quorum:           register.NewQuorum(w.shard()),
+		Epoch:            register.ShardEpoch(s.placement, s.shard()),
+		Quorum:           register.NewQuorum(s.shard()),
 		Ballots:          c.ballots,
-		PreparedProposal: c.head,
+		PreparedProposal: c.prepared,
 	}
-	if !c.read {
+	if !c.isRead {
 		options.Update = func(current []byte) ([]byte, bool) { return appendOnce(current, value) }
 	}
-	c.head = register.PreparedProposal{}
+	c.prepared = register.PreparedProposal{}
 	c.change = register.NewChange(options)
-	w.send(c, c.change.Start())
+	s.send(c, c.change.Start())
 }
 
-// appendOnce is idempotent, as every ledger operation is.
+// appendOnce appends a value unless the list has it. It is idempotent, as every ledger operation is.
 func appendOnce(current []byte, value string) ([]byte, bool) {
 	if slices.Contains(strings.Fields(string(current)), value) {
 		return nil, false
@@ -216,17 +217,17 @@
 	return append(slices.Clone(current), (value + " ")...), true
 }
 
-func (w *world) send(c *caller, messages []register.Message) {
+func (s *simulation) send(c *client, messages []register.Message) {
 	change := c.change
 	for _, message := range messages {
-		w.messages = append(w.messages, inFlight{deliver: func() { w.arrive(c, change, message) }})
+		s.messages = append(s.messages, inFlight{deliver: func() { s.handleRequest(c, change, message) }})
 	}
-	w.conclude(c)
+	s.recordIfChosen(c)
 }
 
-// arrive serves a message at its replica, whose writes are durable at once in this simulation.
-func (w *world) arrive(c *caller, change *register.Change, message register.Message) {
-	r := w.replicas[message.Store]
+// handleRequest serves a message at its replica. Writes are durable at once in this simulation.
+func (s *simulation) handleRequest(c *client, change *register.Change, message register.Message) {
+	r := s.replicas[message.Store]
 	if message.Prepare != nil {
 		answer := &protocol.PrepareResponse{
 			Refusal: r.view.Rejection(message.Prepare.GetPlacementEpoch()), PlacementEpoch: r.view.Epoch,
@@ -234,7 +235,7 @@
 		if answer.GetRefusal() == notRejected {
 			r.state, answer, _ = r.state.Prepare(register.BallotFromProto(message.Prepare.GetBallot()))
 		}
-		w.answer(c, change, func() []register.Message {
+		s.sendResponse(c, change, func() []register.Message {
 			return change.HandlePrepareResponse(message.Store, message.PhaseNumber, answer)
 		})
 		return
@@ -247,41 +248,41 @@
 		ballot, nextBallot := register.BallotFromProto(request.GetBallot()), register.BallotFromProto(request.GetNextBallot())
 		r.state, answer, _ = r.state.Accept(ballot, request.GetValue(), nextBallot)
 	}
-	w.answer(c, change, func() []register.Message {
+	s.sendResponse(c, change, func() []register.Message {
 		return change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer)
 	})
 }
 
-func (w *world) answer(c *caller, change *register.Change, deliver func() []register.Message) {
-	w.messages = append(w.messages, inFlight{deliver: func() {
+func (s *simulation) sendResponse(c *client, change *register.Change, deliver func() []register.Message) {
+	s.messages = append(s.messages, inFlight{deliver: func() {
 		if c.change == change {
-			w.send(c, deliver())
+			s.send(c, deliver())
 		}
 	}})
 }
 
-// conclude records an operation whose value is chosen.
-func (w *world) conclude(c *caller) {
+// recordIfChosen records the client's operation in the history once its value is chosen.
+func (s *simulation) recordIfChosen(c *client) {
 	if c.change == nil || c.change.Status() != register.StatusChosen {
 		return
 	}
-	input := operationInput{append: c.value, read: c.read}
+	input := operationInput{append: c.value, isRead: c.isRead}
 	output := string(c.change.Value())
-	if !c.read {
-		output = upTo(output, c.value)
+	if !c.isRead {
+		output = prefixThrough(output, c.value)
 	}
-	w.history = append(w.history, porcupine.Operation{
-		ClientId: c.id, Input: input, Call: c.began, Output: output, Return: w.now,
+	s.history = append(s.history, porcupine.Operation{
+		ClientId: c.id, Input: input, Call: c.startedAt, Output: output, Return: s.now,
 	})
-	c.head = c.change.PreparedProposal()
+	c.prepared = c.change.PreparedProposal()
 	c.change = nil
-	w.counts["chosen"]++
+	s.counts["chosen"]++
 }
 
-// learnOne lets one replica learn the value of another, as a scrub does.
-func (w *world) learnOne() {
-	from := w.replicas[w.names[w.random.IntN(len(w.names))]]
-	to := w.replicas[w.names[w.random.IntN(len(w.names))]]
+// learnFromReplica makes one replica learn the value of another, as a scrub does.
+func (s *simulation) learnFromReplica() {
+	from := s.replicas[s.names[s.random.IntN(len(s.names))]]
+	to := s.replicas[s.names[s.random.IntN(len(s.names))]]
 	if from.view.Role != register.RoleActive || to.view.Role != register.RoleActive || from.view.Epoch != to.view.Epoch {
 		return
 	}
@@ -291,61 +292,63 @@
 	next, changed := to.state.Learn(from.state.Accepted, from.state.Value)
 	to.state = next
 	if changed {
-		w.counts["learned"]++
+		s.counts["learned"]++
 	}
 }
 
-// loseDisk empties one replica while all are complete; the placement changes at once, the stores adopt it later.
-func (w *world) loseDisk() {
-	if len(w.shard().GetNext()) > 0 || !allActive(w.shard().GetCurrent()) {
+// loseDisk empties one replica while all replicas are active and no move is in progress. The placement changes at once;
+// the stores apply it later.
+func (s *simulation) loseDisk() {
+	if len(s.shard().GetNext()) > 0 || !allActive(s.shard().GetCurrent()) {
 		return
 	}
-	lost := w.shard().GetCurrent()[w.random.IntN(3)].GetStore()
-	r := w.replicas[lost]
-	r.disks++
-	r.storageID = fmt.Sprintf("%s%d", lost, r.disks)
+	store := s.shard().GetCurrent()[s.random.IntN(3)].GetStore()
+	r := s.replicas[store]
+	r.replacedDisks++
+	r.storageID = fmt.Sprintf("%s%d", store, r.replacedDisks)
 	r.state, r.sources, r.view = register.State{}, nil, register.ShardView{}
-	w.place(func(placed *protocol.ShardPlacement) {
-		for _, each := range placed.GetCurrent() {
-			if each.GetStore() == lost {
-				each.StorageId, each.State = r.storageID, protocol.ReplicaState_REPLICA_REBUILDING
+	s.publishShard(func(shard *protocol.ShardPlacement) {
+		for _, member := range shard.GetCurrent() {
+			if member.GetStore() == store {
+				member.StorageId, member.State = r.storageID, protocol.ReplicaState_REPLICA_REBUILDING
 			}
 		}
 	})
-	w.counts["lost disks"]++
+	s.counts["lost disks"]++
 }
 
 func allActive(replicas []*protocol.Replica) bool {
-	return !slices.ContainsFunc(replicas, func(each *protocol.Replica) bool {
-		return each.GetState() != protocol.ReplicaState_REPLICA_ACTIVE
+	return !slices.ContainsFunc(replicas, func(member *protocol.Replica) bool {
+		return member.GetState() != protocol.ReplicaState_REPLICA_ACTIVE
 	})
 }
 
-// moveOne begins to replace one replica by the store that has none.
-func (w *world) moveOne() {
-	if len(w.shard().GetNext()) > 0 || !allActive(w.shard().GetCurrent()) {
+// startMove begins to move one replica to the store that has none.
+func (s *simulation) startMove() {
+	if len(s.shard().GetNext()) > 0 || !allActive(s.shard().GetCurrent()) {
 		return
 	}
-	leaves := w.random.IntN(3)
-	joins := slices.IndexFunc(w.names, func(name string) bool {
-		return !slices.Contains(register.NewQuorum(w.shard()).Current, name)
+	leavingIndex := s.random.IntN(3)
+	joiningIndex := slices.IndexFunc(s.names, func(name string) bool {
+		return !slices.Contains(register.NewQuorum(s.shard()).Current, name)
 	})
-	joining := w.replicas[w.names[joins]]
-	w.place(func(placed *protocol.ShardPlacement) {
-		placed.Next = cloneReplicas(placed.GetCurrent())
-		placed.Next[leaves] = &protocol.Replica{
+	joining := s.replicas[s.names[joiningIndex]]
+	s.publishShard(func(shard *protocol.ShardPlacement) {
+		shard.Next = cloneReplicas(shard.GetCurrent())
+		shard.Next[leavingIndex] = &protocol.Replica{
 			Store: joining.name, StorageId: joining.storageID, State: protocol.ReplicaState_REPLICA_REBUILDING,
 		}
 	})
-	w.counts["moves"]++
+	s.counts["moves"]++
 }
 
-// copyOne reads one more source for a replica that is copied, and reports it once enough were read.
-func (w *world) copyOne(r *replica) {
+// copyFromSource reads one more source for a replica that needs a copy, and marks the replica as active once enough
+// sources were read.
+func (s *simulation) copyFromSource(r *replica) {
 	if !r.view.NeedsCopy(r.name, r.storageID) {
 		return
 	}
-	source := w.replicas[r.view.Quorum.Current[w.random.IntN(3)]]
+	source := s.replicas[r.view.Quorum.Current[s.random.IntN(3)]]
 	if source == r || slices.Contains(r.sources, source.name) ||
 		source.view.CopyRejection(r.view.Epoch) != notRejected {
 		return
@@ -354,11 +357,11 @@
 		r.state, _ = r.state.Learn(source.state.Accepted, source.state.Value)
 	}
 	r.sources = append(r.sources, source.name)
-	if len(r.sources) < r.view.RequiredSources() || w.placement.GetEpoch() != r.view.Epoch {
+	if len(r.sources) < r.view.RequiredSources() || s.placement.GetEpoch() != r.view.Epoch {
 		return
 	}
-	w.counts["copied"]++
-	w.place(func(placed *protocol.ShardPlacement) {
+	s.counts["copied"]++
+	s.publishShard(func(placed *protocol.ShardPlacement) {
 		if len(placed.GetNext()) > 0 {
 			placed.Current, placed.Next = placed.GetNext(), nil
 		}
@@ -370,26 +373,27 @@
 	})
 }
 
-// upTo gives the list as it was right after the value was appended. An append
-// that was retried may see what others appended since.
-func upTo(list, value string) string {
+// prefixThrough returns the list as it was right after the value was appended. A retried append may see values that
+// others appended since.
+func prefixThrough(list, value string) string {
 	fields := strings.Fields(list)
-	until := slices.Index(fields, value)
-	return strings.Join(fields[:until+1], " ") + " "
+	index := slices.Index(fields, value)
+	return strings.Join(fields[:index+1], " ") + " "
 }
 
 type operationInput struct {
 	append string
-	read   bool
+	isRead bool
 }
 
-// appendModel is a list to which each value is appended once; every operation returns the list right after it.
+// appendModel is a list to which each value is appended once. Every operation returns the list as it is right after the
+// operation.
 var appendModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		operation := input.(operationInput)
 		list := state.(string)
-		if !operation.read {
+		if !operation.isRead {
 			list += operation.append + " "
 		}
 		return output.(string) == list, list
@@ -397,59 +401,59 @@
 }
 
 func TestRegistersAreLinearizable(t *testing.T) {
-	for name, chosen := range map[string]faults{
+	for name, enabled := range map[string]faults{
 		"delays, losses and duplicates": {},
-		"scrubs":                        {learn: true},
-		"lost disks":                    {loseDisks: true, learn: true},
+		"scrubs":                        {scrub: true},
+		"lost disks":                    {loseDisks: true, scrub: true},
 		"moves":                         {move: true},
-		"everything at once":            {learn: true, loseDisks: true, move: true},
+		"everything at once":            {scrub: true, loseDisks: true, move: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counts := map[string]int{}
 			for seed := range uint64(500) {
-				w := newWorld(seed, chosen)
+				s := newSimulation(seed, enabled)
 				for range 1500 {
-					w.step()
+					s.step()
 				}
-				for kind, count := range w.counts {
+				for kind, count := range s.counts {
 					counts[kind] += count
 				}
-				if err := linearizable(w.historyWithPending()); err != nil {
+				if err := linearizable(s.historyWithPending()); err != nil {
 					t.Fatalf("seed %d: not linearizable: %v", seed, err)
 				}
 			}
 			t.Log(counts)
 			for fault, wanted := range map[string]bool{
-				"lost disks": chosen.loseDisks, "moves": chosen.move, "learned": chosen.learn,
+				"lost disks": enabled.loseDisks, "moves": enabled.move, "learned": enabled.scrub,
 			} {
 				if wanted && counts[fault] == 0 {
-					t.Errorf("%s never happened", fault)
+					t.Errorf("fault %q never occurred in any run", fault)
 				}
 			}
 			if counts["chosen"] < 1000 {
-				t.Errorf("only %d operations ended", counts["chosen"])
+				t.Errorf("only %d operations completed, want at least 1000", counts["chosen"])
 			}
 		})
 	}
 }
 
-// historyWithPending adds the appends that may have taken effect without an answer: any
-// list that a later operation returned may hold them.
-func (w *world) historyWithPending() []porcupine.Operation {
-	history := slices.Clone(w.history)
-	last := ""
-	for _, done := range history {
-		if len(done.Output.(string)) > len(last) {
-			last = done.Output.(string)
+// historyWithPending returns the history together with the unfinished appends that took effect, which are those whose
+// value is in the longest list that an operation returned.
+func (s *simulation) historyWithPending() []porcupine.Operation {
+	history := slices.Clone(s.history)
+	longest := ""
+	for _, operation := range history {
+		if len(operation.Output.(string)) > len(longest) {
+			longest = operation.Output.(string)
 		}
 	}
-	for _, c := range w.callers {
-		if c.change == nil || c.read || !slices.Contains(strings.Fields(last), c.value) {
+	for _, c := range s.clients {
+		if c.change == nil || c.isRead || !slices.Contains(strings.Fields(longest), c.value) {
 			continue
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: c.id, Input: operationInput{append: c.value}, Output: upTo(last, c.value),
-			Call: c.began, Return: w.now + 1,
+			ClientId: c.id, Input: operationInput{append: c.value}, Output: prefixThrough(longest, c.value),
+			Call: c.startedAt, Return: s.now + 1,
 		})
 	}
 	return history
