--- a/internal/state/register/linearizable_test.go
+++ b/internal/state/register/linearizable_test.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// drawHistory returns a small history: it starts from a linearizable one and then alters or removes up to two operations.
+// drawHistory returns a small history: a linearizable one of which up to two operations are then altered or removed.
 func drawHistory(t *rapid.T) []porcupine.Operation {
 	var history []porcupine.Operation
 	list := ""
