--- a/internal/dataplane/directory/call.go
+++ b/internal/dataplane/directory/call.go
@@ -24,23 +24,23 @@
 	number uint64
 	kind   callKind
 	peer   *peer
-	// view is the version named in the request, viewGeneration the generation at which it was sent.
-	view           uint64
+	// viewVersion is the version sent in the request; viewGeneration is the generation at which it was sent.
+	viewVersion    uint64
 	viewGeneration uint64
-	items          []*item
+	updates        []*pendingUpdate
 	displaced      []*protocol.Registration
 	complete       bool
 	resolution     *resolution
-	// registers is true when the call may have registered this node as the owner.
+	// registers is true when the call may register this node as the owner.
 	registers bool
 	sentAt    time.Time
-	// incarnation is this node's at the time of the call.
+	// incarnation is this node's incarnation when the call was sent.
 	incarnation uint64
 }
 
-// dispatch begins the next call to each peer that has work, no call in flight and no backoff.
+// dispatch sends the next call to each peer with work that has no call in flight and is not backing off.
 func (d *Directory) dispatch() {
-	if len(d.peersWithWork) == 0 || !d.at.Authority {
+	if len(d.peersWithWork) == 0 || !d.moment.Authority {
 		return
 	}
 	for _, name := range sortedKeys(d.peersWithWork) {
@@ -49,7 +49,7 @@
 			delete(d.peersWithWork, name)
 			continue
 		}
-		ready := !d.at.Now.Before(to.notBefore)
+		ready := !d.moment.Now.Before(to.notBefore)
 		if ready && d.needsPing(to) {
 			d.ping(to)
 		}
@@ -65,7 +65,7 @@
 
 // sendNext sends withdrawals first, then registrations, displacements and requests for reregistration.
 func (d *Directory) sendNext(to *peer) {
-	to.queue = slices.DeleteFunc(to.queue, func(pending *item) bool {
+	to.queue = slices.DeleteFunc(to.queue, func(pending *pendingUpdate) bool {
 		return pending.call != 0 || !d.isCurrent(pending, to)
 	})
 	if batch := d.dequeue(to, d.withdrawals); len(batch) > 0 {
@@ -89,10 +89,10 @@
 	}
 }
 
-// dequeue removes up to a batch of one list's items from the queue.
-func (d *Directory) dequeue(to *peer, list map[string]*item) []*item {
-	var batch []*item
-	to.queue = slices.DeleteFunc(to.queue, func(pending *item) bool {
+// dequeue removes up to one batch of updates of the given list from the peer's queue.
+func (d *Directory) dequeue(to *peer, list map[string]*pendingUpdate) []*pendingUpdate {
+	var batch []*pendingUpdate
+	to.queue = slices.DeleteFunc(to.queue, func(pending *pendingUpdate) bool {
 		if len(batch) == d.policy.BatchSize || list[pending.session] != pending {
 			return false
 		}
@@ -102,7 +102,7 @@
 	return batch
 }
 
-func registrationsOf(batch []*item) []*protocol.Registration {
+func registrationsOf(batch []*pendingUpdate) []*protocol.Registration {
 	registrations := make([]*protocol.Registration, len(batch))
 	for i, pending := range batch {
 		registrations[i] = pending.registration
@@ -110,21 +110,21 @@
 	return registrations
 }
 
-func (d *Directory) sendRegister(to *peer, batch []*item, cause protocol.RegistrationCause) {
+func (d *Directory) sendRegister(to *peer, batch []*pendingUpdate, cause protocol.RegistrationCause) {
 	complete := to.hasPendingCompletion(d.view.Version) && len(to.queue) == 0
 	request := &protocol.RegisterSessionsRequest{
 		ViewVersion: d.view.Version, Cause: cause, Registrations: registrationsOf(batch),
 		From: d.self.Name, Complete: complete, PartialKnowledge: complete && to.partialKnowledge,
 		Suspects: d.suspectsFor(to),
 	}
-	d.send(&call{kind: callRegister, peer: to, items: batch, complete: complete}, &protocol.Request{
+	d.send(&call{kind: callRegister, peer: to, updates: batch, complete: complete}, &protocol.Request{
 		Body: &protocol.Request_RegisterSessions{RegisterSessions: request},
 	})
 }
 
-func (d *Directory) sendUnregister(to *peer, batch []*item) {
+func (d *Directory) sendUnregister(to *peer, batch []*pendingUpdate) {
 	request := &protocol.UnregisterSessionsRequest{Registrations: registrationsOf(batch), ViewVersion: d.view.Version}
-	d.send(&call{kind: callUnregister, peer: to, items: batch}, &protocol.Request{
+	d.send(&call{kind: callUnregister, peer: to, updates: batch}, &protocol.Request{
 		Body: &protocol.Request_UnregisterSessions{UnregisterSessions: request},
 	})
 }
@@ -148,7 +148,7 @@
 	})
 }
 
-// ping sends a peer an empty request, whose answer shows that it can be reached.
+// ping sends a peer an empty request, whose response shows that the peer is reachable.
 func (d *Directory) ping(to *peer) {
 	request := &protocol.RegisterSessionsRequest{ViewVersion: d.view.Version, From: d.self.Name}
 	to.pingCall = d.emitCall(&call{kind: callPing, peer: to}, &protocol.Request{
@@ -156,25 +156,25 @@
 	})
 }
 
-// send emits a call that is the only one to its peer, pings aside.
+// send emits a call that is, apart from pings, the only one in flight to its peer.
 func (d *Directory) send(sent *call, request *protocol.Request) {
 	number := d.emitCall(sent, request)
 	sent.peer.call = number
-	for _, pending := range sent.items {
+	for _, pending := range sent.updates {
 		pending.call = number
 	}
 }
 
 func (d *Directory) emitCall(sent *call, request *protocol.Request) uint64 {
 	d.lastCall++
-	sent.view = d.view.Version
+	sent.viewVersion = d.view.Version
 	sent.viewGeneration = d.viewGeneration
 	sent.incarnation = d.self.Incarnation
 	sent.number = d.lastCall
-	sent.sentAt = d.at.Now
+	sent.sentAt = d.moment.Now
 	d.calls[d.lastCall] = sent
 	timeout := d.lookupTimeout(sent.peer)
-	if len(sent.items) > 0 || len(sent.displaced) > 0 {
+	if len(sent.updates) > 0 || len(sent.displaced) > 0 {
 		timeout *= 2
 	}
 	d.emit(
--- a/internal/dataplane/directory/call_answers.go
+++ b/internal/dataplane/directory/call_answers.go
@@ -7,78 +7,79 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// answered applies the answer to a call, or its failure.
-func (d *Directory) answered(event CallEnded) {
-	done := d.calls[event.Call]
-	if done == nil {
+// handleCallEnded applies the response to a call, or its failure.
+func (d *Directory) handleCallEnded(event CallEnded) {
+	ended := d.calls[event.Call]
+	if ended == nil {
 		return
 	}
-	d.endCall(done)
+	d.endCall(ended)
 	if event.Response != nil {
-		d.recordDuration(d.at.Now.Sub(done.sentAt))
+		d.recordDuration(d.moment.Now.Sub(ended.sentAt))
 	}
 	incarnation := incarnationOf(event.Response)
-	loss, isLost := done.lossShownBy(event, incarnation)
-	if !isLost {
-		d.observeContact(done, incarnation)
+	failure, failed := ended.failureShownBy(event, incarnation)
+	if !failed {
+		d.observeContact(ended, incarnation)
 	}
-	d.applyAnswer(done, event)
-	if isLost {
-		// Last, since a suspicion puts a view in force, which moves what the answer has just changed.
-		d.observeFailure(done.peer, loss, done.kind == callPing)
+	d.applyResponse(ended, event)
+	if failed {
+		// This comes last: a suspicion changes the view, and with it the holders of what the response has just changed.
+		d.observeFailure(ended.peer, failure, ended.kind == callPing)
 	}
 }
 
-// endCall removes a call, so that the next one to its peer may begin.
-func (d *Directory) endCall(done *call) {
-	delete(d.calls, done.number)
-	if done.peer.call == done.number {
-		done.peer.call = 0
-		d.schedule(done.peer)
+// endCall removes a call, so that the next one to its peer may be sent.
+func (d *Directory) endCall(ended *call) {
+	delete(d.calls, ended.number)
+	if ended.peer.call == ended.number {
+		ended.peer.call = 0
+		d.schedule(ended.peer)
 	}
-	if done.peer.pingCall == done.number {
-		done.peer.pingCall = 0
-		d.schedule(done.peer)
+	if ended.peer.pingCall == ended.number {
+		ended.peer.pingCall = 0
+		d.schedule(ended.peer)
 	}
 }
 
-// lossShownBy is the failure that the end of a call shows of the incarnation that was called; false when that one
-// answered.
-func (c *call) lossShownBy(event CallEnded, incarnation uint64) (CallFailure, bool) {
+// failureShownBy returns what the end of a call shows about the incarnation that was called; false when that
+// incarnation responded.
+func (c *call) failureShownBy(event CallEnded, incarnation uint64) (CallFailure, bool) {
 	if event.Response == nil {
 		return event.Failure, true
 	}
-	// A later incarnation answers: the one that was called has ended, and a view with the next one will follow.
+	// A later incarnation responded, so the one that was called has ended; a view with the later one will follow.
 	return CallConnectionRefused, incarnation > c.peer.member.Incarnation
 }
 
-// observeContact trusts the peer if the incarnation that was called answered, or one that the answer does not name.
-func (d *Directory) observeContact(done *call, incarnation uint64) {
-	if incarnation == 0 || incarnation == done.peer.member.Incarnation {
-		d.trust(done.peer, done.kind == callPing)
+// observeContact trusts the peer if the response came from the incarnation that was called or names no incarnation.
+func (d *Directory) observeContact(ended *call, incarnation uint64) {
+	if incarnation == 0 || incarnation == ended.peer.member.Incarnation {
+		d.trust(ended.peer, ended.kind == callPing)
 		return
 	}
-	d.observeFailure(done.peer, CallInconclusive, false)
+	d.observeFailure(ended.peer, CallInconclusive, false)
 }
 
-func (d *Directory) applyAnswer(done *call, event CallEnded) {
-	switch done.kind {
+func (d *Directory) applyResponse(ended *call, event CallEnded) {
+	switch ended.kind {
 	case callLookup:
-		d.lookupAnswered(done, event.Response.GetLookupSession())
+		d.handleLookupResponse(ended, event.Response.GetLookupSession())
 	case callFirstRegistration:
-		d.firstRegistrationAnswered(done, event.Response.GetRegisterSessions())
+		d.handleFirstRegistrationResponse(ended, event.Response.GetRegisterSessions())
 	case callRegister:
-		d.registerAnswered(done, event)
+		d.handleRegisterResponse(ended, event)
 	case callUnregister:
-		d.unregisterAnswered(done, event)
+		d.handleUnregisterResponse(ended, event)
 	case callDisplaced:
-		d.displacedAnswered(done, event)
+		d.handleDisplacementResponse(ended, event)
 	case callReregistrationRequest, callPing:
-		// A peer answers a request for reregistration with a request of its own; the transfer repeats it until that comes.
+		// A peer responds to a request for reregistration with registrations of its own; the transfer repeats the request
+		// until those arrive.
 	}
 }
 
-// incarnationOf is the incarnation that answered; 0 when the answer does not name it.
+// incarnationOf returns the incarnation of the responding node; 0 when the response does not name it.
 func incarnationOf(response *protocol.Response) uint64 {
 	switch body := response.GetBody().(type) {
 	case *protocol.Response_LookupSession:
@@ -92,7 +93,7 @@
 	}
 }
 
-// backoff doubles the policy's retry delay with each failure up to a limit, with jitter.
+// backoff returns the policy's retry delay, doubled with each further failure up to a limit, with jitter.
 func (d *Directory) backoff(failures int, limit time.Duration) time.Duration {
 	wait := d.policy.RetryDelay
 	for range min(failures-1, 10) {
@@ -101,16 +102,16 @@
 	return d.jitter(min(wait, limit))
 }
 
-// jitter returns between half and all of a duration.
+// jitter returns a random duration between half of the given one and all of it.
 func (d *Directory) jitter(wait time.Duration) time.Duration {
 	half := wait / 2
 	return half + time.Duration(d.options.Random.Int64N(int64(half)+1))
 }
 
-func (d *Directory) registerAnswered(done *call, event CallEnded) {
+func (d *Directory) handleRegisterResponse(ended *call, event CallEnded) {
 	answer := event.Response.GetRegisterSessions()
 	if answer == nil {
-		d.requeue(done)
+		d.requeue(ended)
 		return
 	}
 	results := make(map[string]*protocol.RegistrationResult, len(answer.GetResults()))
@@ -118,28 +119,28 @@
 		results[result.GetSession()] = result
 	}
 	var waits []time.Duration
-	for _, pending := range done.items {
-		if pending.call != event.Call || !d.isCurrent(pending, done.peer) {
+	for _, pending := range ended.updates {
+		if pending.call != event.Call || !d.isCurrent(pending, ended.peer) {
 			continue
 		}
-		if wait, accepted := d.completeItem(pending, results[pending.session]); accepted {
+		if wait, accepted := d.completeUpdate(pending, results[pending.session]); accepted {
 			waits = append(waits, wait)
 		}
 	}
-	d.backOffWhileViewDiffers(done.peer, anyIncorrectPartition(answer.GetResults()))
+	d.backOffWhileViewDiffers(ended.peer, anyIncorrectPartition(answer.GetResults()))
 	if len(waits) > 0 {
 		d.emit(Reregistered{Waits: waits})
 	}
-	d.completionAcknowledged(done, answer.GetViewVersion())
+	d.handleCompletionResponse(ended, answer.GetViewVersion())
 }
 
-// completeItem applies the result of one item. For a session of the salvage list that was accepted it returns how long
-// it waited, and true.
-func (d *Directory) completeItem(pending *item, result *protocol.RegistrationResult) (time.Duration, bool) {
+// completeUpdate applies the result of one update. For an accepted session of the salvage list it returns how long that
+// session waited, and true.
+func (d *Directory) completeUpdate(pending *pendingUpdate, result *protocol.RegistrationResult) (time.Duration, bool) {
 	status := result.GetStatus()
 	if status != protocol.DirectoryStatus_DIRECTORY_OK && status != protocol.DirectoryStatus_DUPLICATE_ACTIVATION {
 		d.stats.IncorrectPartition++
-		d.target(pending)
+		d.enqueue(pending)
 		return 0, false
 	}
 	if d.handOff[pending.session] == pending {
@@ -148,11 +149,11 @@
 		return 0, false
 	}
 	accepted := d.completeSalvage(pending, result)
-	return d.at.Now.Sub(pending.since), accepted
+	return d.moment.Now.Sub(pending.since), accepted
 }
 
-// completeSalvage removes a session from the salvage list and reports whether the registration was accepted.
-func (d *Directory) completeSalvage(pending *item, result *protocol.RegistrationResult) bool {
+// completeSalvage removes a session from the salvage list and reports whether its registration was accepted.
+func (d *Directory) completeSalvage(pending *pendingUpdate, result *protocol.RegistrationResult) bool {
 	delete(d.salvage, pending.session)
 	session := d.owned[pending.session]
 	if session == nil {
@@ -170,7 +171,8 @@
 	return true
 }
 
-// anyIncorrectPartition reports whether an answer shows that the peer does not consider itself the holder.
+// anyIncorrectPartition reports whether the peer rejected a registration because it does not consider itself the
+// holder.
 func anyIncorrectPartition(results []*protocol.RegistrationResult) bool {
 	return slices.ContainsFunc(results, func(result *protocol.RegistrationResult) bool {
 		return result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
@@ -184,77 +186,78 @@
 		return
 	}
 	peer.viewMismatches++
-	peer.notBefore = d.at.Now.Add(d.backoff(peer.viewMismatches, maxViewBackoff))
+	peer.notBefore = d.moment.Now.Add(d.backoff(peer.viewMismatches, maxViewBackoff))
 }
 
-// completionAcknowledged ends a pending completion once the peer's view is the one that it was sent for.
-// A peer that is behind does not know yet what it gained, and gets it again; one that is ahead
-// may have gained more, for which a completion is pending under its view.
-func (d *Directory) completionAcknowledged(done *call, peerVersion uint64) {
-	if !done.complete || !done.peer.pendingCompletionCoveredBy(done) {
+// handleCompletionResponse ends a pending completion once the peer has the view for which the completion was sent. A
+// peer with an older view does not know its gained ranges yet and is sent the completion again; one with a newer view
+// may have gained more ranges, so a completion is pending under that view.
+func (d *Directory) handleCompletionResponse(ended *call, peerVersion uint64) {
+	if !ended.complete || !ended.peer.pendingCompletionCoveredBy(ended) {
 		return
 	}
 	switch {
-	case peerVersion < done.peer.pendingCompletion:
-		d.backOffWhileViewDiffers(done.peer, true)
-		if len(done.items) == 0 {
-			// No session waits for it, and all nodes would call a holder that is behind in rapid succession.
-			done.peer.notBefore = d.at.Now.Add(d.jitter(maxViewBackoff))
+	case peerVersion < ended.peer.pendingCompletion:
+		d.backOffWhileViewDiffers(ended.peer, true)
+		if len(ended.updates) == 0 {
+			// No session waits for this call, and without the delay all nodes would call a holder with an older view in rapid
+			// succession.
+			ended.peer.notBefore = d.moment.Now.Add(d.jitter(maxViewBackoff))
 		}
 	case peerVersion > d.view.Version:
-		done.peer.pendingCompletion = peerVersion
+		ended.peer.pendingCompletion = peerVersion
 	default:
-		done.peer.pendingCompletion = 0
-		done.peer.partialKnowledge = false
+		ended.peer.pendingCompletion = 0
+		ended.peer.partialKnowledge = false
 	}
 }
 
-// pendingCompletionCoveredBy reports whether a completion is pending and became so before the call was sent.
-func (p *peer) pendingCompletionCoveredBy(done *call) bool {
-	return p.pendingCompletion > 0 && p.pendingCompletion <= done.view &&
-		p.pendingCompletionGeneration <= done.viewGeneration
+// pendingCompletionCoveredBy reports whether a completion is pending and was already pending when the call was sent.
+func (p *peer) pendingCompletionCoveredBy(ended *call) bool {
+	return p.pendingCompletion > 0 && p.pendingCompletion <= ended.viewVersion &&
+		p.pendingCompletionGeneration <= ended.viewGeneration
 }
 
-// requeue queues the items of a call without an answer again.
-func (d *Directory) requeue(done *call) {
-	for _, pending := range done.items {
-		if d.isCurrent(pending, done.peer) {
-			d.target(pending)
+// requeue queues the updates of a call without a response again.
+func (d *Directory) requeue(ended *call) {
+	for _, pending := range ended.updates {
+		if d.isCurrent(pending, ended.peer) {
+			d.enqueue(pending)
 		}
 	}
 }
 
-func (d *Directory) unregisterAnswered(done *call, event CallEnded) {
+func (d *Directory) handleUnregisterResponse(ended *call, event CallEnded) {
 	answer := event.Response.GetUnregisterSessions()
 	if answer == nil {
-		d.requeue(done)
+		d.requeue(ended)
 		return
 	}
 	incorrectPartition := make(map[string]bool)
 	for _, result := range answer.GetResults() {
 		incorrectPartition[result.GetSession()] = result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION
 	}
-	for _, pending := range done.items {
-		if pending.call != event.Call || !d.isCurrent(pending, done.peer) {
+	for _, pending := range ended.updates {
+		if pending.call != event.Call || !d.isCurrent(pending, ended.peer) {
 			continue
 		}
 		if incorrectPartition[pending.session] {
 			d.stats.IncorrectPartition++
-			d.target(pending)
+			d.enqueue(pending)
 			continue
 		}
 		d.completeWithdrawal(pending)
 	}
-	d.backOffWhileViewDiffers(done.peer, anyIncorrectPartition(answer.GetResults()))
+	d.backOffWhileViewDiffers(ended.peer, anyIncorrectPartition(answer.GetResults()))
 }
 
-func (d *Directory) completeWithdrawal(pending *item) {
+func (d *Directory) completeWithdrawal(pending *pendingUpdate) {
 	delete(d.withdrawals, pending.session)
 	d.continueResolve(pending.session)
 }
 
-func (d *Directory) displacedAnswered(done *call, event CallEnded) {
-	if event.Response == nil && d.peers[done.peer.member.Name] == done.peer {
-		done.peer.displaced = append(done.displaced, done.peer.displaced...)
+func (d *Directory) handleDisplacementResponse(ended *call, event CallEnded) {
+	if event.Response == nil && d.peers[ended.peer.member.Name] == ended.peer {
+		ended.peer.displaced = append(ended.displaced, ended.peer.displaced...)
 	}
 }
--- a/internal/dataplane/directory/command.go
+++ b/internal/dataplane/directory/command.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Command is an effect that the shell around the directory has to carry out.
+// Command is an effect that the shell executes for the directory.
 type Command interface{ command() }
 
 // Send calls a peer once; the shell reports the outcome with a CallEnded event of the same number. A call without a
@@ -20,8 +20,8 @@
 	Request *protocol.Request
 }
 
-// Resolved answers a ResolveRequested. Code is empty when Owner is known;
-// otherwise nothing was run, and the caller may retry after RetryAfter.
+// Resolved is the result of a ResolveRequested event. Code is empty when an owner was found; otherwise nothing was run,
+// and the caller may retry after RetryAfter.
 type Resolved struct {
 	Ticket     uint64
 	Owner      Owner
@@ -35,10 +35,10 @@
 	Reason  YieldReason
 }
 
-// Reregistered reports how long each session that one answer accepted had been on the salvage list.
+// Reregistered reports how long each session that was accepted with one response had been on the salvage list.
 type Reregistered struct{ Waits []time.Duration }
 
-// TransferCompleted reports that the ranges gained with one view are complete, and how long that took.
+// TransferCompleted reports that all ranges gained with one view are complete, and how long that took.
 type TransferCompleted struct{ Took time.Duration }
 
 func (Send) command()              {}
@@ -54,22 +54,23 @@
 	Incarnation uint64
 	// Local is true when the owner is this node itself.
 	Local bool
-	// PartitionHolder names the node that holds the session's partition; empty on an empty ring.
+	// PartitionHolder is the name of the node that holds the session's partition; empty on an empty ring.
 	PartitionHolder string
 	ViewVersion     uint64
 	CacheHit        bool
 }
 
-// YieldReason is why a session was given up. Its values are labels of a metric.
+// YieldReason is why a session was given up. Its values are label values of a metric.
 type YieldReason string
 
 // Reasons for giving a session up.
 const (
 	// YieldDuplicate: another front node was registered first.
 	YieldDuplicate YieldReason = "duplicate"
-	// YieldDisplaced: another front node registered under a higher view version.
+	// YieldDisplaced: another front node's registration replaced this node's: by its claim, under a higher view version,
+	// or because this node was suspected.
 	YieldDisplaced YieldReason = "displaced"
-	// YieldDrain: this node drains.
+	// YieldDrain: this node is draining.
 	YieldDrain YieldReason = "drain"
 	// YieldEnded: its partition holder was lost under the end-sessions policy.
 	YieldEnded YieldReason = "ended"
@@ -77,5 +78,5 @@
 	YieldFenced YieldReason = "fenced"
 )
 
-// YieldReasons lists all reasons.
+// YieldReasons lists all values.
 var YieldReasons = []YieldReason{YieldDuplicate, YieldDisplaced, YieldDrain, YieldEnded, YieldFenced}
--- a/internal/dataplane/directory/directory.go
+++ b/internal/dataplane/directory/directory.go
@@ -1,39 +1,36 @@
-// Package directory decides, without I/O, what one front node does for the
-// session directory (source: docs/SALVAGE.md; dotnet/orleans
-// issue 2656). The node has three roles in it:
+// Package directory is the state machine, without I/O, of one front node's part in the session directory (source:
+// docs/SALVAGE.md; dotnet/orleans issue 2656). The node has three roles:
 //
-//   - holder of one partition: it answers lookups and accepts registrations of the
-//     sessions whose key falls in its ranges of the ring;
-//   - owner of sessions: it registers them, and registers them again with the new
-//     holder when a range changes hands (the salvage list);
+//   - holder of one partition: it answers lookups and accepts registrations for the sessions whose key falls in its
+//     ranges of the ring;
+//   - owner of sessions: it registers them, and registers them again with the new holder when a range moves (the
+//     salvage list);
 //   - client: it looks up the owner of a session before a turn, with a cache.
 //
-// A Directory takes one event and the time and returns commands. It has one
-// owner goroutine and is not safe for concurrent use; package ownership is its I/O adapter.
+// Directory.Handle takes the time and one event and returns commands. A Directory belongs to one owner goroutine and is
+// not safe for concurrent use; package ownership is its I/O adapter.
 //
 // The states of a range that this node holds:
 //
-//	transferring  gained with a view; a first registration in it is answered with
-//	              DIRECTORY_SETTLING, since the session may have an owner that has not registered
-//	              again yet. Ends when every awaited node has sent its completion, or
-//	              after the transfer's timeout.
+//	transferring  gained with a view. A first registration in it is answered with DIRECTORY_SETTLING, since the session
+//	              may have an owner that has not registered again yet. The state ends when every awaited node has sent
+//	              its completion, or after the transfer's timeout.
 //	complete      lookups are answered from the registrations alone.
 //
-// The states of a peer, as this node sees it:
+// The states of a peer, from this node's point of view:
 //
 //	trusted       its calls are answered.
-//	unconfirmed   a first sign of its loss (a broken connection, a call without an
-//	              answer, a peer's indirect suspicion); it is sent a ping at once.
-//	suspected     it refused a connection, or did not answer the ping. By this node's view it holds no
-//	              range, and its sessions may be taken over. Its lease is not
-//	              touched. An answer to a ping makes it trusted again.
+//	unconfirmed   there is a first sign of its failure (a broken connection, a call without a response, a suspicion
+//	              reported by another peer). It is sent a ping at once.
+//	suspected     it refused a connection or did not answer the ping. In this node's view it holds no range, and its
+//	              sessions may be taken over. Its lease is not affected. An answer to a ping makes it trusted again.
 //
 // The states of a session that this node owns:
 //
-//	registered    the present holder confirmed the registration: turns may begin.
-//	salvaged      on the salvage list: its holder changed, or this node's
-//	              incarnation did. Turns go on unless the incarnation changed.
-//	yielding      given up; it ends with its last grant, after that turn is committed (settle, then yield).
+//	registered    the current holder has confirmed the registration: turns may begin.
+//	salvaged      on the salvage list, because its holder or this node's incarnation changed. Turns may begin unless
+//	              the incarnation changed.
+//	yielding      being given up. It ends with its last grant, after that turn is committed.
 package directory
 
 import (
@@ -62,14 +59,14 @@
 // Options configure a Directory. Self and Random are required.
 type Options struct {
 	Self ring.Member
-	// TransferTimeout is how long a range gained may be transferring before first registrations are accepted in it.
+	// TransferTimeout is how long a gained range may be transferring before first registrations are accepted in it.
 	TransferTimeout time.Duration
-	// ReregistrationDelay is how long a holder waits for a node's completion before it requests reregistration; it
-	// doubles with each request, up to maxReregistrationDelay.
+	// ReregistrationDelay is how long a holder waits for a node's completion before it requests reregistration; it doubles
+	// with each request, up to maxReregistrationDelay.
 	ReregistrationDelay time.Duration
 	// FailureDetectionTimeout is how long a peer may leave calls unanswered before it is suspected.
 	FailureDetectionTimeout time.Duration
-	// SuspectTransferTimeout is the TransferTimeout of ranges gained from suspects alone.
+	// SuspectTransferTimeout is the TransferTimeout for ranges gained only from suspects.
 	SuspectTransferTimeout time.Duration
 	// CacheSize is the maximum number of cached owners.
 	CacheSize int
@@ -78,31 +75,31 @@
 	Random *rand.Rand
 }
 
-// Directory is the state of one front node's part in the session directory. Only its owner goroutine may use it.
+// Directory is one front node's part in the session directory. Only its owner goroutine may use it.
 type Directory struct {
 	options Options
 	self    ring.Member
 	policy  Policy
-	// membership is the newest view as the core ordered it; view is the membership without the suspects.
+	// membership is the newest view received from the core; view is the membership without the suspects.
 	membership, view View
-	// viewGeneration counts the views put in force, those that only the suspects changed included.
+	// viewGeneration counts the changes of view, including those of the suspects alone.
 	viewGeneration uint64
-	// suspects are the incarnations of the members that this node could not reach, by name.
+	// suspects maps the names of the members that this node cannot reach to their incarnations.
 	suspects map[string]uint64
 
 	// As holder.
 	partition map[string]*entry
 	transfers []*transfer
-	// pendingDisplacements are those whose owner the membership does not have yet.
+	// pendingDisplacements are the displacements whose owner is not in the membership yet.
 	pendingDisplacements []displacement
 
 	// As owner.
 	owned map[string]*ownedSession
 	// hasOwned is true once this process has owned a session.
 	hasOwned    bool
-	salvage     map[string]*item
-	handOff     map[string]*item
-	withdrawals map[string]*item
+	salvage     map[string]*pendingUpdate
+	handOff     map[string]*pendingUpdate
+	withdrawals map[string]*pendingUpdate
 	sequence    uint64
 	draining    bool
 
@@ -114,18 +111,18 @@
 	peers    map[string]*peer
 	calls    map[uint64]*call
 	lastCall uint64
-	// recentCallDuration is how long recent answers to this node's calls took; see recordDuration.
+	// recentCallDuration is the decaying maximum of this node's call durations; see recordDuration.
 	recentCallDuration time.Duration
-	// peersWithWork are the peers, by name, that dispatch looks at.
+	// peersWithWork are the peers, by name, that dispatch considers.
 	peersWithWork map[string]*peer
 	stats         Stats
 
-	// at is the moment of the event that is being handled.
-	at       Moment
+	// moment is that of the event being handled.
+	moment   Moment
 	commands []Command
 }
 
-// New returns the directory of a node that has received no view. Zero options get their defaults.
+// New returns the directory of a node that has received no view. Zero options are replaced by their defaults.
 func New(options Options) *Directory {
 	if options.TransferTimeout == 0 {
 		options.TransferTimeout = DefaultTransferTimeout
@@ -145,21 +142,22 @@
 	if options.Policy.BatchSize == 0 {
 		options.Policy = NewPolicy(nil)
 	}
-	// The only error is a size that is not positive.
+	// NewLRU fails only for a size that is not positive.
 	cache, _ := simplelru.NewLRU[string, *protocol.Registration](max(1, options.CacheSize), nil)
 	return &Directory{
 		options: options, self: options.Self, policy: options.Policy,
 		suspects:  make(map[string]uint64),
 		partition: make(map[string]*entry), owned: make(map[string]*ownedSession),
-		salvage: make(map[string]*item), handOff: make(map[string]*item), withdrawals: make(map[string]*item),
-		cache: cache, resolutions: make(map[string]*resolution), resolutionsByTicket: make(map[uint64]*resolution),
+		salvage: make(map[string]*pendingUpdate), handOff: make(map[string]*pendingUpdate),
+		withdrawals: make(map[string]*pendingUpdate), cache: cache,
+		resolutions: make(map[string]*resolution), resolutionsByTicket: make(map[uint64]*resolution),
 		peers: make(map[string]*peer), calls: make(map[uint64]*call), peersWithWork: make(map[string]*peer),
 	}
 }
 
 // Handle applies one event and returns the commands that follow from it, in the order in which they are to be executed.
-func (d *Directory) Handle(at Moment, event Event) []Command {
-	d.at = at
+func (d *Directory) Handle(moment Moment, event Event) []Command {
+	d.moment = moment
 	d.apply(event)
 	d.dispatch()
 	return d.takeCommands()
@@ -168,31 +166,31 @@
 func (d *Directory) apply(event Event) {
 	switch event := event.(type) {
 	case ViewChanged:
-		d.viewChanged(event.View)
+		d.handleViewChanged(event.View)
 	case PolicyChanged:
 		d.policy = event.Policy
 	case Reincarnated:
-		d.reincarnated(event.Incarnation)
+		d.handleReincarnated(event.Incarnation)
 	case ResolveRequested:
-		d.resolveRequested(event)
+		d.handleResolveRequested(event)
 	case ResolveCancelled:
-		d.resolveCancelled(event.Ticket)
+		d.handleResolveCancelled(event.Ticket)
 	case OwnerInvalidated:
 		d.cache.Remove(event.Session)
 	case CallEnded:
-		d.answered(event)
+		d.handleCallEnded(event)
 	case PeerBroken:
-		d.peerFailed(event.Address, CallBroken)
+		d.handlePeerFailed(event.Address, CallBroken)
 	case PeerFailed:
-		d.peerFailed(event.Address, event.Failure)
+		d.handlePeerFailed(event.Address, event.Failure)
 	case GrantEnded:
-		d.grantEnded(event.Session)
+		d.handleGrantEnded(event.Session)
 	case OwnershipLost:
-		d.ownershipLost(event.Session)
+		d.handleOwnershipLost(event.Session)
 	case DrainBegun:
-		d.drainBegun()
+		d.handleDrainBegun()
 	case Ticked:
-		d.ticked()
+		d.handleTick()
 	}
 }
 
@@ -210,17 +208,16 @@
 	return member.Name == d.self.Name && member.Incarnation == d.self.Incarnation
 }
 
-// ticked repeats requests whose answers are overdue and continues what waited for its time.
-func (d *Directory) ticked() {
+// handleTick repeats overdue requests for reregistration, and expires and continues resolutions.
+func (d *Directory) handleTick() {
 	d.requestReregistrations()
 	d.expireResolves()
 	d.continueResolves()
 }
 
-// reincarnated follows a loss of authority. Other nodes may have taken over this node's
-// ranges and sessions since, so its partition is dropped, and no session
-// may be used before it is registered again.
-func (d *Directory) reincarnated(incarnation uint64) {
+// handleReincarnated handles a loss of authority. Other nodes may have taken over this node's ranges and sessions
+// since, so its partition is dropped, and no session may be used before it is registered again.
+func (d *Directory) handleReincarnated(incarnation uint64) {
 	d.self.Incarnation = incarnation
 	clear(d.partition)
 	clear(d.handOff)
@@ -239,7 +236,7 @@
 	}
 }
 
-// NextTick is the earliest time at which Ticked has an effect; false when nothing is pending.
+// NextTick returns the earliest time at which Ticked has an effect, or false when nothing is pending.
 func (d *Directory) NextTick() (time.Time, bool) {
 	var next time.Time
 	consider := func(at time.Time) {
@@ -254,7 +251,7 @@
 		}
 	}
 	for _, each := range d.peersWithWork {
-		if d.at.Authority && each.call == 0 && d.hasWork(each) {
+		if d.moment.Authority && each.call == 0 && d.hasWork(each) {
 			consider(each.notBefore)
 		}
 	}
@@ -264,16 +261,16 @@
 	return next, !next.IsZero()
 }
 
-// Pending reports whether anything waits for an answer or for time to pass.
+// Pending reports whether anything waits for a response or a timeout.
 func (d *Directory) Pending() bool {
 	return len(d.peersWithWork) > 0 || len(d.resolutions) > 0 || len(d.transfers) > 0
 }
 
-// ViewVersion is the version of the view in force; 0 before the first.
+// ViewVersion returns the version of the current view; 0 before the first.
 func (d *Directory) ViewVersion() uint64 { return d.view.Version }
 
-// Membership is the newest view as the core ordered it, this node's suspects included.
+// Membership returns the newest view received from the core, including this node's suspects.
 func (d *Directory) Membership() View { return d.membership }
 
-// Self is this node under its current incarnation.
+// Self returns this node with its current incarnation.
 func (d *Directory) Self() ring.Member { return d.self }
--- a/internal/dataplane/directory/event.go
+++ b/internal/dataplane/directory/event.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Moment is when an event is handled and whether this front node has authority then.
+// Moment is the time at which an event is handled, and whether this front node has authority at that time.
 type Moment struct {
 	Now       time.Time
 	Authority bool
@@ -15,17 +15,17 @@
 // Event is an input of a Directory.
 type Event interface{ event() }
 
-// ViewChanged brings a newer membership view.
+// ViewChanged delivers a newer membership view.
 type ViewChanged struct{ View View }
 
-// PolicyChanged brings the recovery policy of the bundle in force.
+// PolicyChanged delivers the recovery policy of the active bundle.
 type PolicyChanged struct{ Policy Policy }
 
-// Reincarnated reports that authority was lost and that this node continues under a new incarnation.
+// Reincarnated reports that this node lost its authority and continues under a new incarnation.
 type Reincarnated struct{ Incarnation uint64 }
 
-// ResolveRequested queries the owner of a session. One Resolved command answers it, by Deadline at the latest, unless
-// it is cancelled.
+// ResolveRequested requests the owner of a session. Unless it is cancelled, one Resolved command follows, by Deadline
+// at the latest.
 type ResolveRequested struct {
 	Ticket   uint64
 	Session  string
@@ -33,7 +33,7 @@
 	Deadline time.Time
 }
 
-// ResolveCancelled withdraws the request with that ticket.
+// ResolveCancelled cancels the ResolveRequested with the same ticket.
 type ResolveCancelled struct{ Ticket uint64 }
 
 // OwnerInvalidated drops the cached owner of a session, after that node rejected a request for it or could not be
@@ -45,7 +45,7 @@
 type CallEnded struct {
 	Call     uint64
 	Response *protocol.Response
-	// Failure is why there is no response.
+	// Failure is the reason when there is no response.
 	Failure CallFailure
 }
 
@@ -61,13 +61,13 @@
 // GrantEnded reports that a turn or call admitted by Begin is over.
 type GrantEnded struct{ Session string }
 
-// OwnershipLost reports that the ledger rejected this node's epoch of a session, whatever the directory knows of it.
+// OwnershipLost reports that the ledger rejected this node's epoch of a session, regardless of the directory's state.
 type OwnershipLost struct{ Session string }
 
 // DrainBegun makes the node yield its sessions and hand off its partition.
 type DrainBegun struct{}
 
-// Ticked reports that time has passed; see Directory.NextTick.
+// Ticked reports the passage of time; see Directory.NextTick.
 type Ticked struct{}
 
 func (ViewChanged) event()      {}
--- a/internal/dataplane/directory/holder.go
+++ b/internal/dataplane/directory/holder.go
@@ -5,35 +5,35 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// entry is one registration of this node's partition.
+// entry is one registration in this node's partition.
 type entry struct {
 	registration *protocol.Registration
 	key          uint64
-	// viewVersion is the highest view version that was named with it; an older view cannot show that the owner was
-	// removed.
+	// viewVersion is the highest view version sent with the registration. An older view may lack the owner without the
+	// owner having been removed.
 	viewVersion uint64
 }
 
-// holds reports whether this node is the holder of the key in its view.
+// holds reports whether this node holds the key in its view.
 func (d *Directory) holds(key uint64) bool {
 	holder, found := d.view.holder(key)
 	return found && d.isSelf(holder)
 }
 
-// ServeRegister decides on registrations as holder. It must be called only with authority.
+// ServeRegister accepts or rejects registrations as holder. It must be called only with authority.
 func (d *Directory) ServeRegister(
-	at Moment, request *protocol.RegisterSessionsRequest,
+	moment Moment, request *protocol.RegisterSessionsRequest,
 ) (*protocol.RegisterSessionsResponse, []Command) {
-	d.at = at
+	d.moment = moment
 	response := &protocol.RegisterSessionsResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
 	d.applyIndirectSuspicions(request.GetSuspects())
-	d.contactReceived(request.GetFrom())
+	d.handleContact(request.GetFrom())
 	for _, registration := range request.GetRegistrations() {
 		result := d.register(registration, request.GetCause(), request.GetViewVersion())
 		response.Results = append(response.Results, result)
 	}
 	if request.GetComplete() {
-		d.completionReceived(request)
+		d.handleCompletion(request)
 	}
 	if request.GetResend() {
 		d.reregister(request.GetFrom(), request.GetViewVersion(), request.GetSuspects())
@@ -42,7 +42,8 @@
 	return response, d.takeCommands()
 }
 
-// register checks that this node may decide on a registration, and decides.
+// register accepts or rejects a registration, after checking that this node holds the key and that the owner is a
+// member.
 func (d *Directory) register(
 	registration *protocol.Registration, cause protocol.RegistrationCause, senderVersion uint64,
 ) *protocol.RegistrationResult {
@@ -54,13 +55,14 @@
 	case senderVersion <= d.view.Version && !d.ownerIsMember(registration):
 		result.Status = removedOwnerStatus(cause)
 	default:
-		result.Status, result.Current = d.decide(registration, cause, key, senderVersion)
+		result.Status, result.Current = d.admitRegistration(registration, cause, key, senderVersion)
 	}
 	return result
 }
 
-// removedOwnerStatus answers for an owner that was removed from the view: the former
-// holder may drop the registration, and the owner itself must return under a new incarnation.
+// removedOwnerStatus returns the status for a registration whose owner was removed from the view: OK for a former
+// holder, which may then drop the registration, and a rejection for the owner, which must return under a new
+// incarnation.
 func removedOwnerStatus(cause protocol.RegistrationCause) protocol.DirectoryStatus {
 	if cause == protocol.RegistrationCause_CAUSE_HAND_OFF {
 		return protocol.DirectoryStatus_DIRECTORY_OK
@@ -68,8 +70,9 @@
 	return protocol.DirectoryStatus_INCORRECT_PARTITION
 }
 
-// decide accepts a registration, or answers DUPLICATE_ACTIVATION with the current one of another owner.
-func (d *Directory) decide(
+// admitRegistration accepts a registration, or rejects it: with DIRECTORY_SETTLING while an earlier owner may still
+// register, or with DUPLICATE_ACTIVATION and the current registration of another owner.
+func (d *Directory) admitRegistration(
 	registration *protocol.Registration, cause protocol.RegistrationCause, key, senderVersion uint64,
 ) (protocol.DirectoryStatus, *protocol.Registration) {
 	current := d.partition[registration.GetSession()]
@@ -96,8 +99,8 @@
 	return protocol.DirectoryStatus_DUPLICATE_ACTIVATION, current.registration
 }
 
-// outranks reports whether a registration replaces the current one of another
-// owner: because that owner is lost, because this one took the session over later, or by the policy's view versions.
+// outranks reports whether a registration replaces the current one of another owner: because that owner is suspected,
+// because the new owner took the session over later, or, by policy, because of a higher view version.
 func (d *Directory) outranks(registration, current *protocol.Registration) bool {
 	if d.isClaimable(current, nil) || registration.GetClaim() > current.GetClaim() {
 		return true
@@ -105,7 +108,7 @@
 	return d.policy.HigherViewVersion && registration.GetViewVersion() > current.GetViewVersion()
 }
 
-// isNewer orders registrations of one owner; an equal one counts as newer.
+// isNewer reports whether a registration is at least as new as the current one of the same owner.
 func isNewer(registration, current *protocol.Registration) bool {
 	if registration.GetOwnerIncarnation() != current.GetOwnerIncarnation() {
 		return registration.GetOwnerIncarnation() > current.GetOwnerIncarnation()
@@ -117,48 +120,48 @@
 	return d.view.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
 }
 
-// ownerIsMember reports whether the owner is in the membership, suspected or not.
+// ownerIsMember reports whether the owner is in the membership, even if suspected.
 func (d *Directory) ownerIsMember(registration *protocol.Registration) bool {
 	return d.membership.Has(registration.GetOwner(), registration.GetOwnerIncarnation())
 }
 
-// displacement is a registration that lost a tie on the view version.
+// displacement is a registration that another owner's has replaced, and whose owner is to be notified.
 type displacement struct {
 	registration *protocol.Registration
 	viewVersion  uint64
 }
 
-// displace notifies an owner that it lost a tie on the view version. An owner that
-// is ahead of this node's view is notified once the view has it.
-func (d *Directory) displace(lost displacement) {
-	owner := lost.registration.GetOwner()
+// displace notifies the owner of a replaced registration. An owner that is missing from this node's older view is
+// notified once a view includes it.
+func (d *Directory) displace(displaced displacement) {
+	owner := displaced.registration.GetOwner()
 	switch {
 	case owner == d.self.Name:
-		d.displacementReceived(lost.registration)
-	case d.ownerIsMember(lost.registration):
+		d.handleDisplacement(displaced.registration)
+	case d.ownerIsMember(displaced.registration):
 		peer := d.peer(d.membership.byName[owner].Member)
-		peer.displaced = append(peer.displaced, lost.registration)
+		peer.displaced = append(peer.displaced, displaced.registration)
 		d.schedule(peer)
-	case lost.viewVersion > d.view.Version:
-		d.pendingDisplacements = append(d.pendingDisplacements, lost)
+	case displaced.viewVersion > d.view.Version:
+		d.pendingDisplacements = append(d.pendingDisplacements, displaced)
 	}
 }
 
-// notifyDisplaced retries to notify owners that the membership did not have.
+// notifyDisplaced retries the notifications of owners that were missing from the membership.
 func (d *Directory) notifyDisplaced() {
 	pending := d.pendingDisplacements
 	d.pendingDisplacements = nil
-	for _, lost := range pending {
-		d.displace(lost)
+	for _, displaced := range pending {
+		d.displace(displaced)
 	}
 }
 
-// ServeUnregister withdraws registrations as holder, and yields sessions whose registrations name this node as the
+// ServeUnregister withdraws registrations as holder, and yields the sessions whose registrations name this node as the
 // owner.
 func (d *Directory) ServeUnregister(
-	at Moment, request *protocol.UnregisterSessionsRequest,
+	moment Moment, request *protocol.UnregisterSessionsRequest,
 ) (*protocol.UnregisterSessionsResponse, []Command) {
-	d.at = at
+	d.moment = moment
 	response := &protocol.UnregisterSessionsResponse{ViewVersion: d.view.Version, Incarnation: d.self.Incarnation}
 	for _, registration := range request.GetRegistrations() {
 		response.Results = append(response.Results, d.unregister(registration))
@@ -172,7 +175,7 @@
 		Session: registration.GetSession(), Status: protocol.DirectoryStatus_DIRECTORY_OK,
 	}
 	if registration.GetOwner() == d.self.Name {
-		d.displacementReceived(registration)
+		d.handleDisplacement(registration)
 		return result
 	}
 	if !d.holds(ring.Key(registration.GetSession())) {
@@ -183,7 +186,7 @@
 	return result
 }
 
-// withdraw removes a registration of the same owner and incarnation that is not newer than the withdrawal.
+// withdraw removes the registration of the same owner unless it is newer than the withdrawal.
 func (d *Directory) withdraw(registration *protocol.Registration) {
 	current := d.partition[registration.GetSession()]
 	if current == nil || current.registration.GetOwner() != registration.GetOwner() {
@@ -194,7 +197,7 @@
 	}
 }
 
-// dropRemovedOwners removes registrations of nodes that the membership no longer has.
+// dropRemovedOwners removes the registrations of nodes that are no longer in the membership.
 func (d *Directory) dropRemovedOwners() {
 	for name, current := range d.partition {
 		if current.viewVersion <= d.view.Version && !d.ownerIsMember(current.registration) {
--- a/internal/dataplane/directory/owner.go
+++ b/internal/dataplane/directory/owner.go
@@ -13,27 +13,27 @@
 	key     uint64
 	// confirmed is true once a holder accepted the registration under the current incarnation.
 	confirmed bool
-	// grants counts the turns and calls in flight.
+	// grants is the number of turns and calls in flight.
 	grants int
-	// yieldReason is why the session is being yielded; empty while it is not.
+	// yieldReason is why the session is being yielded; empty otherwise.
 	yieldReason YieldReason
-	// unregister is true when the registration is to be withdrawn with the yield.
+	// unregister is true when the registration is to be withdrawn once the session is yielded.
 	unregister bool
-	// version is the view version under which the session became owned.
-	version  uint64
-	sequence uint64
-	// claim is that of the registration; 0 when the session was not taken over.
+	// viewVersion is the view version under which this node became the owner.
+	viewVersion uint64
+	sequence    uint64
+	// claim is the claim of the registration; 0 when the session was not taken over.
 	claim uint64
 }
 
-// own adds a session that was or is being registered under the sequence
-// given. Turns may begin at once when its current holder confirmed the registration.
-func (d *Directory) own(session, program string, sequence uint64, confirmed bool) *ownedSession {
+// addOwnedSession adds a session that is registered, or being registered, with the given sequence number. Turns may
+// begin at once when its current holder has confirmed the registration.
+func (d *Directory) addOwnedSession(session, program string, sequence uint64, confirmed bool) *ownedSession {
 	owned := d.owned[session]
 	if owned == nil {
 		owned = &ownedSession{
 			name: session, program: program, key: ring.Key(session),
-			version: d.view.Version, sequence: sequence,
+			viewVersion: d.view.Version, sequence: sequence,
 		}
 		d.owned[session] = owned
 		d.hasOwned = true
@@ -51,19 +51,19 @@
 func (d *Directory) registrationOf(session *ownedSession) *protocol.Registration {
 	return &protocol.Registration{
 		Session: session.name, Program: session.program, Owner: d.self.Name,
-		OwnerIncarnation: d.self.Incarnation, ViewVersion: session.version, Sequence: session.sequence,
+		OwnerIncarnation: d.self.Incarnation, ViewVersion: session.viewVersion, Sequence: session.sequence,
 		Claim: session.claim,
 	}
 }
 
-// Begin admits a turn or call of an owned session. The code is empty when it is
-// admitted, and GrantEnded must follow; otherwise it is NotOwner or NoAuthority. A session that a
-// caller believes to be owned here although it is not has a stale registration, which is withdrawn.
-func (d *Directory) Begin(at Moment, session string) (failure.Code, []Command) {
-	d.at = at
+// Begin admits a turn or call of an owned session. When it does, the code is empty and a GrantEnded event must follow;
+// otherwise the code is NotOwner or NoAuthority. A request for a session that this node does not own shows a stale
+// registration, which is withdrawn.
+func (d *Directory) Begin(moment Moment, session string) (failure.Code, []Command) {
+	d.moment = moment
 	owned := d.owned[session]
 	switch {
-	case !at.Authority:
+	case !moment.Authority:
 		return failure.NoAuthority, nil
 	case owned == nil:
 		if d.resolutions[session] == nil && d.withdrawals[session] == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (d *Directory) grantEnded(session string) {
+func (d *Directory) handleGrantEnded(session string) {
 	owned := d.owned[session]
 	if owned == nil || owned.grants == 0 {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// yield ends ownership of a session once its last turn is committed (settle, then yield).
+// yield gives up a session; its ownership ends once its last turn is committed.
 func (d *Directory) yield(session *ownedSession, reason YieldReason, unregister bool) {
 	if session.yieldReason == "" {
 		session.yieldReason = reason
@@ -119,8 +119,8 @@
 	d.continueResolve(session.name)
 }
 
-// displacementReceived yields a session that another node now owns, unless it was registered again since.
-func (d *Directory) displacementReceived(registration *protocol.Registration) {
+// handleDisplacement yields a session that another node now owns, unless this node has registered it again since.
+func (d *Directory) handleDisplacement(registration *protocol.Registration) {
 	owned := d.owned[registration.GetSession()]
 	if owned == nil || registration.GetOwnerIncarnation() != d.self.Incarnation {
 		return
@@ -131,32 +131,32 @@
 	d.yield(owned, YieldDisplaced, false)
 }
 
-// ownershipLost yields a session that the ledger fenced; its registration, if there is one, is withdrawn.
-func (d *Directory) ownershipLost(session string) {
+// handleOwnershipLost yields a session whose epoch the ledger rejected, and withdraws its registration.
+func (d *Directory) handleOwnershipLost(session string) {
 	if owned := d.owned[session]; owned != nil {
 		d.yield(owned, YieldFenced, true)
 	}
 }
 
-// withdrawOwn withdraws this node's registration of a session at its holder.
+// withdrawOwn withdraws this node's registration of a session from the holder.
 func (d *Directory) withdrawOwn(session, program string) {
 	registration := &protocol.Registration{
 		Session: session, Program: program, Owner: d.self.Name,
 		OwnerIncarnation: d.self.Incarnation, ViewVersion: d.view.Version, Sequence: d.nextSequence(),
 	}
-	withdrawal := &item{session: session, key: ring.Key(session), registration: registration, since: d.at.Now}
+	withdrawal := &pendingUpdate{session: session, key: ring.Key(session), registration: registration, since: d.moment.Now}
 	d.withdrawals[session] = withdrawal
-	d.target(withdrawal)
+	d.enqueue(withdrawal)
 }
 
-func (d *Directory) drainBegun() {
+func (d *Directory) handleDrainBegun() {
 	d.draining = true
 	for _, name := range sortedKeys(d.owned) {
 		d.yield(d.owned[name], YieldDrain, true)
 	}
 }
 
-// Drained reports whether a draining node has yielded its sessions and handed off its partition.
+// Drained reports whether this node is draining and has yielded its sessions and handed off its partition.
 func (d *Directory) Drained() bool {
 	if !d.draining || len(d.owned) > 0 {
 		return false
--- a/internal/dataplane/directory/peer.go
+++ b/internal/dataplane/directory/peer.go
@@ -7,49 +7,51 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// peer is what this node has pending for another one. At most one call beside a ping is in flight to it.
+// peer is the state that this node keeps for another front node. Besides a ping, at most one call to it is in flight.
 type peer struct {
 	member    ring.Member
-	queue     []*item
+	queue     []*pendingUpdate
 	displaced []*protocol.Registration
-	// pendingCompletion is the view version for which the peer awaits this node's completion; 0 when it does not.
+	// pendingCompletion is the view version for which the peer awaits this node's completion; 0 when it awaits none.
 	pendingCompletion uint64
 	// pendingCompletionGeneration is the viewGeneration at which the completion last became pending.
 	pendingCompletionGeneration uint64
-	// partialKnowledge is sent with the pending completion: other nodes may have registrations in what the peer gained.
+	// partialKnowledge is sent with the pending completion: other nodes may have registrations in the ranges that the peer
+	// gained.
 	partialKnowledge bool
-	// transferSuspects are the suspects that the peer last named as the former holders of what it gained.
+	// transferSuspects are the suspects that the peer last named as former holders of its gained ranges.
 	transferSuspects []*protocol.Suspect
-	// needsReregistrationRequest is true while a request for reregistration is to be sent.
+	// needsReregistrationRequest is true until the request for reregistration is sent.
 	needsReregistrationRequest bool
-	// unconfirmed is true while a first sign of the peer's loss awaits the answer of a ping.
+	// unconfirmed is true while a first sign of the peer's failure awaits the outcome of a ping.
 	unconfirmed      bool
 	unconfirmedSince time.Time
-	// lastContact is when the peer last answered; falseSuspicions counts the suspicions that an answer ended.
+	// lastContact is when the peer last responded. falseSuspicions counts the suspicions ended by a response.
 	lastContact         time.Time
 	suspectedAt         time.Time
 	indirectSuspicionAt time.Time
 	falseSuspicions     int
-	call                uint64
+	// call is the number of the call in flight, pings aside; 0 when there is none.
+	call uint64
 	// pingCall is the number of the ping in flight; 0 when there is none.
 	pingCall uint64
-	// failures counts consecutive calls without an answer.
+	// failures counts consecutive calls without a response.
 	failures int
-	// viewMismatches counts consecutive answers that showed another view than this node's.
+	// viewMismatches counts consecutive responses that showed a view other than this node's.
 	viewMismatches int
 	notBefore      time.Time
 }
 
 func (d *Directory) peer(member ring.Member) *peer {
-	known := d.peers[member.Name]
-	if known == nil || known.member != member {
-		known = &peer{member: member}
-		d.peers[member.Name] = known
+	current := d.peers[member.Name]
+	if current == nil || current.member != member {
+		current = &peer{member: member}
+		d.peers[member.Name] = current
 	}
-	return known
+	return current
 }
 
-// hasWork reports whether something is to be sent to a peer. A suspect is only pinged.
+// hasWork reports whether anything is to be sent to a peer. A suspect is only sent pings.
 func (d *Directory) hasWork(to *peer) bool {
 	if d.isSuspect(to.member.Name, to.member.Incarnation) {
 		return d.needsPing(to)
@@ -66,20 +68,20 @@
 	return to.unconfirmed || d.isSuspect(to.member.Name, to.member.Incarnation)
 }
 
-// hasPendingCompletion reports whether a completion is due under a view that this node has.
+// hasPendingCompletion reports whether a completion is pending for a view version up to the given one.
 func (p *peer) hasPendingCompletion(viewVersion uint64) bool {
 	return p.pendingCompletion > 0 && p.pendingCompletion <= viewVersion
 }
 
-// schedule has the next dispatch look at a peer. An answer of an earlier incarnation
-// must not replace the peer that is known now.
+// schedule adds a peer to those that the next dispatch considers. A response from an earlier incarnation must not
+// replace the entry of the current one.
 func (d *Directory) schedule(to *peer) {
 	if d.peers[to.member.Name] == to {
 		d.peersWithWork[to.member.Name] = to
 	}
 }
 
-// markCompletionPending records that a peer awaits a completion under the view in force.
+// markCompletionPending records that a peer awaits a completion for the current view.
 func (d *Directory) markCompletionPending(to *peer) {
 	to.pendingCompletion = max(to.pendingCompletion, d.view.Version)
 	to.pendingCompletionGeneration = d.viewGeneration
--- a/internal/dataplane/directory/policy.go
+++ b/internal/dataplane/directory/policy.go
@@ -6,11 +6,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Policy is how the directory recovers, by the bundle in force.
+// Policy is the recovery policy of the active bundle.
 type Policy struct {
-	// EndSessions ends the sessions whose holder was lost, in place of salvaging them.
+	// EndSessions ends the sessions whose holder was lost instead of salvaging them.
 	EndSessions bool
-	// HigherViewVersion lets the registration under the higher view version replace an earlier one of another owner.
+	// HigherViewVersion lets a registration under a higher view version replace an earlier one of another owner.
 	HigherViewVersion bool
 	// BatchSize is the maximum number of registrations in one request.
 	BatchSize int
@@ -18,13 +18,13 @@
 	RetryDelay time.Duration
 }
 
-// Defaults of a policy.
+// Defaults of Policy.
 const (
 	DefaultBatchSize  = 256
 	DefaultRetryDelay = 25 * time.Millisecond
 )
 
-// NewPolicy reads the policy of a bundle; nil, and fields that are 0, give the defaults.
+// NewPolicy converts the recovery policy of a bundle. A nil policy and fields that are 0 are replaced by the defaults.
 func NewPolicy(recovery *protocol.RecoveryPolicy) Policy {
 	policy := Policy{
 		EndSessions:       recovery.GetSalvageMode() == protocol.SalvageMode_END_SESSIONS,
--- a/internal/dataplane/directory/registration.go
+++ b/internal/dataplane/directory/registration.go
@@ -6,23 +6,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// registerLocally owns a session whose partition this node holds itself.
+// registerLocally makes this node the owner of a session whose partition it holds itself.
 func (d *Directory) registerLocally(resolution *resolution) {
 	if d.draining && len(d.view.ring.Members()) == 1 {
 		d.failResolution(resolution, failure.Draining)
 		return
 	}
 	if d.draining || !d.view.Has(d.self.Name, d.self.Incarnation) {
-		// The next view names another holder.
+		// The next view will have another holder.
 		d.retry(resolution)
 		return
 	}
-	session := d.own(resolution.session, resolution.program, d.nextSequence(), true)
+	session := d.addOwnedSession(resolution.session, resolution.program, d.nextSequence(), true)
 	session.claim = d.registerOwner(d.registrationOf(session), resolution.key, d.view.Version).GetClaim()
-	d.finish(resolution, d.localOwner(resolution))
+	d.succeedResolution(resolution, d.localOwner(resolution))
 }
 
-// firstRegistration is a registration of this node for a session that may have no owner yet.
+// firstRegistration returns this node's registration for a session that may have no owner yet.
 func (d *Directory) firstRegistration(resolution *resolution) *protocol.Registration {
 	resolution.sequence = d.nextSequence()
 	return &protocol.Registration{
@@ -31,8 +31,8 @@
 	}
 }
 
-// registrationFor makes the holder the owner of a session, so that a draining
-// node, which owns no sessions, can forward the requests that it has read.
+// registrationFor returns a registration of the holder itself as owner, so that a draining node, which owns no
+// sessions, can forward the requests that it has already read.
 func (d *Directory) registrationFor(resolution *resolution, holder ring.Member) *protocol.Registration {
 	return &protocol.Registration{
 		Session: resolution.session, Program: resolution.program, Owner: holder.Name, OwnerIncarnation: holder.Incarnation,
@@ -40,19 +40,20 @@
 	}
 }
 
-// isFirstRegistration reports whether a holder accepted the registration that was sent with a lookup.
-func (d *Directory) isFirstRegistration(resolution *resolution, done *call, registration *protocol.Registration) bool {
-	return done.registers && done.incarnation == d.self.Incarnation && registration.GetOwner() == d.self.Name &&
+// isFirstRegistration reports whether the holder returned the registration that was sent with the lookup, and so
+// accepted it.
+func (d *Directory) isFirstRegistration(resolution *resolution, ended *call, registration *protocol.Registration) bool {
+	return ended.registers && ended.incarnation == d.self.Incarnation && registration.GetOwner() == d.self.Name &&
 		registration.GetOwnerIncarnation() == d.self.Incarnation && registration.GetSequence() == resolution.sequence
 }
 
-// registerRemotely requests that the holder, which knows no owner, registers this node.
+// registerRemotely sends a first registration of this node to the holder, which has no owner registered.
 func (d *Directory) registerRemotely(resolution *resolution, to *peer) {
 	if d.draining {
 		d.failDraining(resolution)
 		return
 	}
-	if !d.at.Authority {
+	if !d.moment.Authority {
 		d.failResolution(resolution, failure.NoAuthority)
 		return
 	}
@@ -60,19 +61,19 @@
 		ViewVersion: d.view.Version, Cause: protocol.RegistrationCause_CAUSE_NEW, From: d.self.Name,
 		Registrations: []*protocol.Registration{d.firstRegistration(resolution)}, Suspects: d.namedSuspects(),
 	}
-	registering := &call{kind: callFirstRegistration, peer: to, resolution: resolution, registers: true}
-	resolution.call = d.emitCall(registering, &protocol.Request{
+	registrationCall := &call{kind: callFirstRegistration, peer: to, resolution: resolution, registers: true}
+	resolution.call = d.emitCall(registrationCall, &protocol.Request{
 		Body: &protocol.Request_RegisterSessions{RegisterSessions: request},
 	})
 }
 
-func (d *Directory) firstRegistrationAnswered(done *call, answer *protocol.RegisterSessionsResponse) {
-	resolution := done.resolution
-	if d.resolutions[resolution.session] != resolution || resolution.call != done.number {
+func (d *Directory) handleFirstRegistrationResponse(ended *call, answer *protocol.RegisterSessionsResponse) {
+	resolution := ended.resolution
+	if d.resolutions[resolution.session] != resolution || resolution.call != ended.number {
 		return
 	}
 	resolution.call = 0
-	if done.incarnation != d.self.Incarnation {
+	if ended.incarnation != d.self.Incarnation {
 		d.retry(resolution)
 		return
 	}
@@ -84,7 +85,7 @@
 	result := answer.GetResults()[0]
 	switch result.GetStatus() {
 	case protocol.DirectoryStatus_DIRECTORY_OK:
-		d.registered(resolution, done.peer, 0)
+		d.handleFirstRegistrationAccepted(resolution, ended.peer, 0)
 	case protocol.DirectoryStatus_DUPLICATE_ACTIVATION:
 		d.applyRegistration(resolution, result.GetCurrent())
 	default:
@@ -93,15 +94,16 @@
 	}
 }
 
-// registered owns the session; it is confirmed when the answer came from the current holder.
-func (d *Directory) registered(resolution *resolution, by *peer, claim uint64) {
+// handleFirstRegistrationAccepted makes this node the owner of the session, confirmed if the response came from the
+// current holder.
+func (d *Directory) handleFirstRegistrationAccepted(resolution *resolution, acceptedBy *peer, claim uint64) {
 	holder, _ := d.view.holder(resolution.key)
-	if holder == by.member && d.peers[holder.Name] == by && !d.draining {
-		d.own(resolution.session, resolution.program, resolution.sequence, true).claim = claim
-		d.finish(resolution, d.localOwner(resolution))
+	if holder == acceptedBy.member && d.peers[holder.Name] == acceptedBy && !d.draining {
+		d.addOwnedSession(resolution.session, resolution.program, resolution.sequence, true).claim = claim
+		d.succeedResolution(resolution, d.localOwner(resolution))
 		return
 	}
-	session := d.own(resolution.session, resolution.program, resolution.sequence, false)
+	session := d.addOwnedSession(resolution.session, resolution.program, resolution.sequence, false)
 	session.claim = claim
 	if d.draining {
 		d.yield(session, YieldDrain, true)
--- a/internal/dataplane/directory/resolution.go
+++ b/internal/dataplane/directory/resolution.go
@@ -9,25 +9,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// resolution is a session whose owner is being determined, for any number of tickets.
+// resolution is the lookup of a session's owner, on which any number of tickets may wait.
 type resolution struct {
 	session  string
 	program  string
 	key      uint64
 	tickets  []uint64
 	deadline time.Time
-	// notBefore is when to retry; zero while an answer or a confirmation is pending.
+	// notBefore is when to retry; zero while a response or a confirmation is pending.
 	notBefore time.Time
 	attempts  int
 	call      uint64
-	// sequence is that of the last registration sent.
+	// sequence is the sequence number of the last registration sent.
 	sequence uint64
-	// ambiguous is true after a first registration whose answer was lost.
+	// ambiguous is true after a first registration whose response was lost.
 	ambiguous bool
 	cacheHit  bool
 }
 
-func (d *Directory) resolveRequested(event ResolveRequested) {
+func (d *Directory) handleResolveRequested(event ResolveRequested) {
 	if resolution := d.resolutions[event.Session]; resolution != nil {
 		resolution.tickets = append(resolution.tickets, event.Ticket)
 		if event.Deadline.After(resolution.deadline) {
@@ -45,47 +45,47 @@
 	d.advance(resolution)
 }
 
-func (d *Directory) resolveCancelled(ticket uint64) {
+func (d *Directory) handleResolveCancelled(ticket uint64) {
 	resolution := d.resolutionsByTicket[ticket]
 	if resolution == nil {
 		return
 	}
 	delete(d.resolutionsByTicket, ticket)
-	resolution.tickets = slices.DeleteFunc(resolution.tickets, func(each uint64) bool { return each == ticket })
+	resolution.tickets = slices.DeleteFunc(resolution.tickets, func(other uint64) bool { return other == ticket })
 	if len(resolution.tickets) == 0 {
 		d.abandon(resolution)
 	}
 }
 
-// abandon ends a resolution that nobody waits for. A first registration whose
-// answer is not known may have been accepted, so it is completed by way of the salvage list.
+// abandon ends a resolution without an owner. A first registration whose outcome is unknown may have been accepted, so
+// it is completed through the salvage list.
 func (d *Directory) abandon(resolution *resolution) {
 	delete(d.resolutions, resolution.session)
-	registering := d.calls[resolution.call]
-	underWay := resolution.call != 0 && registering != nil && registering.registers
-	if (underWay || resolution.ambiguous) && d.owned[resolution.session] == nil {
-		d.salvageSession(d.own(resolution.session, resolution.program, resolution.sequence, false))
+	inFlight := d.calls[resolution.call]
+	registering := resolution.call != 0 && inFlight != nil && inFlight.registers
+	if (registering || resolution.ambiguous) && d.owned[resolution.session] == nil {
+		d.salvageSession(d.addOwnedSession(resolution.session, resolution.program, resolution.sequence, false))
 	}
 }
 
-// continueResolves continues every resolution whose delay has passed.
+// continueResolves continues the resolutions without a call in flight whose delay has passed.
 func (d *Directory) continueResolves() {
 	for _, session := range sortedKeys(d.resolutions) {
 		resolution := d.resolutions[session]
-		if resolution != nil && resolution.call == 0 && !d.at.Now.Before(resolution.notBefore) {
+		if resolution != nil && resolution.call == 0 && !d.moment.Now.Before(resolution.notBefore) {
 			d.advance(resolution)
 		}
 	}
 }
 
-// restartResolves continues every resolution without a call in flight, since holders or owners have changed.
+// restartResolves continues the resolutions without a call in flight at once, after a change of holders or owners.
 func (d *Directory) restartResolves() {
 	for _, session := range sortedKeys(d.resolutions) {
 		d.continueResolve(session)
 	}
 }
 
-// continueResolve continues the resolution of a session after its state changed on this node.
+// continueResolve continues the resolution of a session after a change of its state on this node.
 func (d *Directory) continueResolve(session string) {
 	if resolution := d.resolutions[session]; resolution != nil && resolution.call == 0 {
 		d.advance(resolution)
@@ -94,19 +94,19 @@
 
 func (d *Directory) expireResolves() {
 	for _, session := range sortedKeys(d.resolutions) {
-		if resolution := d.resolutions[session]; !d.at.Now.Before(resolution.deadline) {
+		if resolution := d.resolutions[session]; !d.moment.Now.Before(resolution.deadline) {
 			d.failResolution(resolution, failure.Unavailable)
 		}
 	}
 }
 
-// advance decides the next step of a resolution.
+// advance takes the next step of a resolution.
 func (d *Directory) advance(resolution *resolution) {
 	resolution.notBefore = time.Time{}
 	if session := d.owned[resolution.session]; session != nil {
 		// A session that is being yielded is looked up once its last turn is committed.
 		if session.confirmed && session.yieldReason == "" {
-			d.finish(resolution, d.localOwner(resolution))
+			d.succeedResolution(resolution, d.localOwner(resolution))
 		}
 		return
 	}
@@ -115,7 +115,7 @@
 	}
 	if owner, found := d.cachedOwner(resolution); found {
 		d.stats.CacheHits++
-		d.finish(resolution, owner)
+		d.succeedResolution(resolution, owner)
 		return
 	}
 	holder, found := d.view.holder(resolution.key)
@@ -125,29 +125,30 @@
 	case d.isSelf(holder):
 		d.lookupLocally(resolution)
 	case holder.Name == d.self.Name:
-		// The view has an earlier incarnation of this node; the next one decides.
+		// The view has an earlier incarnation of this node; retry under the next view.
 		d.retry(resolution)
 	default:
 		d.lookupRemotely(resolution, holder)
 	}
 }
 
-// awaitsWithdrawal reports whether the withdrawal of this node's registration of a session is still pending. A holder
-// that cannot be reached is not waited for: the node that holds the range instead cannot apply the withdrawal, and a
-// later registration has a higher sequence than the withdrawal.
+// awaitsWithdrawal reports whether a resolution must wait for the pending withdrawal of this node's registration. It
+// does not wait while the holder is unreachable: the node that holds the range instead cannot apply the withdrawal, and
+// a later registration has a higher sequence number than the withdrawal.
 func (d *Directory) awaitsWithdrawal(session string) bool {
 	withdrawal := d.withdrawals[session]
 	return withdrawal != nil && !d.hasSuspectHolder(withdrawal.key)
 }
 
 // hasSuspectHolder reports whether the holder of a key in the membership is suspected, so that another node holds the
-// key for it.
+// key in its place.
 func (d *Directory) hasSuspectHolder(key uint64) bool {
 	holder, found := d.membership.holder(key)
 	return found && d.isSuspect(holder.Name, holder.Incarnation)
 }
 
-// cachedOwner returns the owner in the cache while the view has it; one that the view lacks is dropped.
+// cachedOwner returns the cached owner. An owner that is unconfirmed or missing from the view is dropped from the
+// cache.
 func (d *Directory) cachedOwner(resolution *resolution) (Owner, bool) {
 	registration, found := d.cache.Get(resolution.session)
 	if !found {
@@ -162,7 +163,7 @@
 }
 
 func (d *Directory) lookupLocally(resolution *resolution) {
-	if !d.at.Authority {
+	if !d.moment.Authority {
 		d.failResolution(resolution, failure.NoAuthority)
 		return
 	}
@@ -179,16 +180,16 @@
 	}
 }
 
-// lookupRemotely queries the holder, which registers this node when it knows no owner;
-// while the holder is unconfirmed the resolution waits.
+// lookupRemotely queries the holder, which registers this node when it has no owner registered. The resolution waits
+// while the holder is unconfirmed.
 func (d *Directory) lookupRemotely(resolution *resolution, holder ring.Member) {
 	to := d.peer(holder)
 	switch {
 	case to.unconfirmed:
 		// The outcome of the ping continues the resolution.
-		resolution.notBefore = d.at.Now.Add(d.lookupTimeout(to))
+		resolution.notBefore = d.moment.Now.Add(d.lookupTimeout(to))
 		return
-	case to.failures > 0 && d.at.Now.Before(to.notBefore):
+	case to.failures > 0 && d.moment.Now.Before(to.notBefore):
 		resolution.notBefore = to.notBefore
 		return
 	}
@@ -196,11 +197,11 @@
 	request := &protocol.LookupSessionRequest{
 		Session: resolution.session, ViewVersion: d.view.Version, Suspects: d.namedSuspects(),
 	}
-	registers := !d.draining && d.at.Authority
+	registers := !d.draining && d.moment.Authority
 	switch {
 	case registers:
 		request.Registration = d.firstRegistration(resolution)
-	case d.draining && d.at.Authority:
+	case d.draining && d.moment.Authority:
 		request.Registration = d.registrationFor(resolution, holder)
 	}
 	lookup := &call{kind: callLookup, peer: to, resolution: resolution, registers: registers}
@@ -209,52 +210,54 @@
 	})
 }
 
-func (d *Directory) lookupAnswered(done *call, answer *protocol.LookupSessionResponse) {
-	resolution := done.resolution
-	if d.resolutions[resolution.session] != resolution || resolution.call != done.number {
+func (d *Directory) handleLookupResponse(ended *call, answer *protocol.LookupSessionResponse) {
+	resolution := ended.resolution
+	if d.resolutions[resolution.session] != resolution || resolution.call != ended.number {
 		return
 	}
 	resolution.call = 0
 	if answer == nil {
-		resolution.ambiguous = resolution.ambiguous || done.registers
+		resolution.ambiguous = resolution.ambiguous || ended.registers
 	}
 	switch answer.GetStatus() {
 	case protocol.DirectoryStatus_DIRECTORY_OK:
-		if d.isFirstRegistration(resolution, done, answer.GetRegistration()) {
-			d.registered(resolution, done.peer, answer.GetRegistration().GetClaim())
+		if d.isFirstRegistration(resolution, ended, answer.GetRegistration()) {
+			d.handleFirstRegistrationAccepted(resolution, ended.peer, answer.GetRegistration().GetClaim())
 			return
 		}
 		d.applyRegistration(resolution, answer.GetRegistration())
 	case protocol.DirectoryStatus_DIRECTORY_NOT_FOUND:
-		d.registerRemotely(resolution, done.peer)
+		d.registerRemotely(resolution, ended.peer)
 	default:
 		d.countRejection(answer.GetStatus())
 		d.retry(resolution)
 	}
 }
 
-// applyRegistration ends a resolution with the registration that a holder reported, if this node can rely on it.
+// applyRegistration ends a resolution with the registration returned by a holder, unless its owner is unconfirmed or
+// missing from the view.
 func (d *Directory) applyRegistration(resolution *resolution, registration *protocol.Registration) {
 	if registration.GetOwner() == d.self.Name && registration.GetOwnerIncarnation() == d.self.Incarnation {
 		d.adopt(resolution)
 		return
 	}
 	if !d.ownerInView(registration) || d.isUnconfirmed(registration.GetOwner()) {
-		// Either view is behind, and the next one decides; or the owner cannot be reached, which the next attempt reports.
+		// Either one of the two views is outdated, which a later view resolves, or the owner may be unreachable, in which
+		// case the next attempt names it as a suspect.
 		d.retry(resolution)
 		return
 	}
 	d.cacheOwner(registration)
-	d.finish(resolution, d.toOwner(resolution, registration))
+	d.succeedResolution(resolution, d.toOwner(resolution, registration))
 }
 
-// adopt owns a session that a holder has already registered for this node, as after a lost answer.
+// adopt makes this node the owner of a session that a holder has already registered for it, as after a lost response.
 func (d *Directory) adopt(resolution *resolution) {
 	if d.draining {
 		d.withdrawOwn(resolution.session, resolution.program)
 		return
 	}
-	d.salvageSession(d.own(resolution.session, resolution.program, d.nextSequence(), false))
+	d.salvageSession(d.addOwnedSession(resolution.session, resolution.program, d.nextSequence(), false))
 	d.continueResolve(resolution.session)
 }
 
@@ -274,10 +277,10 @@
 	for range min(resolution.attempts-1, maxResolveRetryDoublings) {
 		wait *= 2
 	}
-	resolution.notBefore = d.at.Now.Add(d.jitter(wait))
+	resolution.notBefore = d.moment.Now.Add(d.jitter(wait))
 }
 
-// cacheOwner caches the owner that a registration names, unless that is this node.
+// cacheOwner caches the owner of a registration, unless it is this node.
 func (d *Directory) cacheOwner(registration *protocol.Registration) {
 	if registration.GetOwner() != "" && registration.GetOwner() != d.self.Name {
 		d.cache.Add(registration.GetSession(), registration)
@@ -303,7 +306,7 @@
 	return owner
 }
 
-func (d *Directory) finish(resolution *resolution, owner Owner) {
+func (d *Directory) succeedResolution(resolution *resolution, owner Owner) {
 	delete(d.resolutions, resolution.session)
 	for _, ticket := range resolution.tickets {
 		delete(d.resolutionsByTicket, ticket)
@@ -319,7 +322,8 @@
 	d.retry(resolution)
 }
 
-// failResolution ends a resolution without an owner. Nothing was run; callers get a time after which to retry.
+// failResolution ends a resolution with an error code. Nothing was run, and callers are given a time after which to
+// retry.
 func (d *Directory) failResolution(resolution *resolution, code failure.Code) {
 	d.abandon(resolution)
 	for _, ticket := range resolution.tickets {
@@ -328,6 +332,6 @@
 	}
 }
 
-// failRetryAfter is after how long callers may retry when no owner was found: about the time that a change of view
+// failRetryAfter is the retry delay returned to callers when no owner was found: about the time that a change of view
 // takes.
 const failRetryAfter = time.Second
--- a/internal/dataplane/directory/salvage.go
+++ b/internal/dataplane/directory/salvage.go
@@ -6,29 +6,29 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// item is one registration or withdrawal that is pending at a holder. It stays on
-// its list until the current holder accepts or rejects it.
-type item struct {
+// pendingUpdate is a registration or withdrawal to be applied by a holder. It stays on its list until the current
+// holder accepts or rejects it.
+type pendingUpdate struct {
 	session      string
 	key          uint64
 	registration *protocol.Registration
 	since        time.Time
 	target       *peer
-	// call is the number of the call that carries the item; 0 while it is queued.
+	// call is the number of the call that carries the update; 0 while it is queued.
 	call uint64
 }
 
-// salvageReassigned puts own sessions whose holder changed on the salvage list. Under
-// the end-sessions policy those whose holder was lost are yielded instead.
+// salvageReassigned puts the owned sessions whose holder changed on the salvage list. Under the end-sessions policy,
+// those whose holder was lost are yielded instead.
 func (d *Directory) salvageReassigned(former View) {
 	for _, name := range sortedKeys(d.owned) {
 		session := d.owned[name]
-		before, had := former.holder(session.key)
+		before, hadHolder := former.holder(session.key)
 		after, _ := d.view.holder(session.key)
 		if session.yieldReason != "" || before == after {
 			continue
 		}
-		lost := had && !d.view.Has(before.Name, before.Incarnation)
+		lost := hadHolder && !d.view.Has(before.Name, before.Incarnation)
 		if d.policy.EndSessions && lost {
 			d.yield(session, YieldEnded, false)
 			continue
@@ -39,16 +39,16 @@
 
 func (d *Directory) salvageSession(session *ownedSession) {
 	if d.salvage[session.name] == nil {
-		d.salvage[session.name] = &item{session: session.name, key: session.key, since: d.at.Now}
+		d.salvage[session.name] = &pendingUpdate{session: session.name, key: session.key, since: d.moment.Now}
 	}
 	pending := d.salvage[session.name]
 	pending.registration = d.registrationOf(session)
-	d.target(pending)
+	d.enqueue(pending)
 }
 
-// retarget queues items whose holder changed for the new one.
-func (d *Directory) retarget() {
-	for _, list := range []map[string]*item{d.salvage, d.handOff, d.withdrawals} {
+// requeueReassigned queues the updates whose holder changed for the new holder.
+func (d *Directory) requeueReassigned() {
+	for _, list := range []map[string]*pendingUpdate{d.salvage, d.handOff, d.withdrawals} {
 		for _, name := range sortedKeys(list) {
 			pending := list[name]
 			if pending == nil {
@@ -56,14 +56,14 @@
 			}
 			holder, found := d.view.holder(pending.key)
 			if !found || pending.target == nil || pending.target.member != holder || d.peers[holder.Name] != pending.target {
-				d.target(pending)
+				d.enqueue(pending)
 			}
 		}
 	}
 }
 
-// target queues an item for the current holder of its key, or completes it locally when that is this node.
-func (d *Directory) target(pending *item) {
+// enqueue queues an update for the current holder of its key, or completes it locally when that is this node.
+func (d *Directory) enqueue(pending *pendingUpdate) {
 	pending.call = 0
 	pending.target = nil
 	holder, found := d.view.holder(pending.key)
@@ -75,7 +75,7 @@
 		return
 	}
 	if holder.Name == d.self.Name {
-		// The view has an earlier incarnation of this node; the next one decides.
+		// The view has an earlier incarnation of this node; the update is queued again under the next view.
 		return
 	}
 	pending.target = d.peer(holder)
@@ -83,8 +83,8 @@
 	d.schedule(pending.target)
 }
 
-// completeLocally applies an item as holder.
-func (d *Directory) completeLocally(pending *item) {
+// completeLocally applies an update as holder.
+func (d *Directory) completeLocally(pending *pendingUpdate) {
 	switch {
 	case d.withdrawals[pending.session] == pending:
 		d.withdraw(pending.registration)
@@ -92,7 +92,7 @@
 	case d.salvage[pending.session] == pending:
 		result := d.register(pending.registration, protocol.RegistrationCause_CAUSE_SALVAGE, d.view.Version)
 		if result.GetStatus() == protocol.DirectoryStatus_INCORRECT_PARTITION {
-			// The view does not have this node's incarnation yet; a later one will.
+			// This node's incarnation is not in the view yet; a later view will have it.
 			return
 		}
 		d.completeSalvage(pending, result)
@@ -102,8 +102,8 @@
 	}
 }
 
-// isCurrent reports whether the item is still on its list and meant for the peer.
-func (d *Directory) isCurrent(pending *item, to *peer) bool {
+// isCurrent reports whether the update is still on its list and addressed to the peer.
+func (d *Directory) isCurrent(pending *pendingUpdate, to *peer) bool {
 	if pending.target != to {
 		return false
 	}
@@ -111,8 +111,8 @@
 	return d.salvage[session] == pending || d.handOff[session] == pending || d.withdrawals[session] == pending
 }
 
-// reregister answers a holder that awaits this node: all sessions owned in its ranges are registered again. The
-// suspects are those that the holder has gained ranges from.
+// reregister serves a holder's request for reregistration: all sessions owned in its ranges are registered again. The
+// suspects are those from which the holder has gained ranges.
 func (d *Directory) reregister(from string, version uint64, suspects []*protocol.Suspect) {
 	front, found := d.view.byName[from]
 	if !found || d.view.Version < version {
@@ -128,7 +128,7 @@
 	holder := d.peer(front.Member)
 	holder.transferSuspects = suspects
 	if !d.suspectsAll(suspects) {
-		// The holder awaits a completion that names them as suspects; it is sent once this node suspects them.
+		// The holder awaits a completion that names these suspects; it is sent once this node suspects them, too.
 		return
 	}
 	d.markCompletionPending(holder)
--- a/internal/dataplane/directory/stats.go
+++ b/internal/dataplane/directory/stats.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Stats counts what a directory did since it was made.
+// Stats holds the counters of a directory since its creation.
 type Stats struct {
 	CacheHits     uint64
 	LocalLookups  uint64
@@ -16,15 +16,15 @@
 	IncorrectPartition uint64
 	Duplicates         uint64
 	Transferring       uint64
-	// Salvaged counts registrations of the salvage list that a new holder accepted.
+	// Salvaged counts registrations from the salvage list that a holder accepted.
 	Salvaged uint64
 	// HandedOff counts registrations handed off to the new holder of a range.
 	HandedOff uint64
 	// VoidRegistrations counts registrations of owned sessions that became void because this node lost its authority.
 	VoidRegistrations uint64
-	// ReregistrationRequests counts the requests for reregistration sent.
+	// ReregistrationRequests counts the requests for reregistration that this node sent.
 	ReregistrationRequests uint64
-	// Suspicions counts members that could not be reached, FalseSuspicions those that answered after all.
+	// Suspicions counts suspicions of members, FalseSuspicions those that an answered ping ended.
 	Suspicions, FalseSuspicions uint64
 	// Takeovers counts sessions registered here in place of a lost owner.
 	Takeovers uint64
@@ -39,25 +39,25 @@
 	return copied
 }
 
-// SalvageLength is the number of own sessions that wait to be registered again.
+// SalvageLength returns the number of owned sessions that wait to be registered again.
 func (d *Directory) SalvageLength() int { return len(d.salvage) }
 
-// HandOffLength is the number of registrations that wait to be handed off.
+// HandOffLength returns the number of registrations that wait to be handed off.
 func (d *Directory) HandOffLength() int { return len(d.handOff) }
 
-// OwnedCount is the number of sessions owned.
+// OwnedCount returns the number of owned sessions.
 func (d *Directory) OwnedCount() int { return len(d.owned) }
 
-// PartitionSize is the number of registrations in this node's partition.
+// PartitionSize returns the number of registrations in this node's partition.
 func (d *Directory) PartitionSize() int { return len(d.partition) }
 
-// Owns reports whether the session is owned, and whether it is registered under the current incarnation.
+// Owns reports whether this node owns the session, and whether a holder has confirmed it under the current incarnation.
 func (d *Directory) Owns(session string) (owned, confirmed bool) {
 	current := d.owned[session]
 	return current != nil, current != nil && current.confirmed
 }
 
-// OwnedSessions lists the sessions owned that are not being yielded, sorted.
+// OwnedSessions returns the owned sessions that are not being yielded, sorted.
 func (d *Directory) OwnedSessions() []string {
 	var names []string
 	for _, name := range sortedKeys(d.owned) {
@@ -71,7 +71,7 @@
 // OnSalvageList reports whether a session waits to be registered again.
 func (d *Directory) OnSalvageList(session string) bool { return d.salvage[session] != nil }
 
-// Registrations lists this node's partition, sorted by session.
+// Registrations returns the registrations in this node's partition, sorted by session.
 func (d *Directory) Registrations() []*protocol.Registration {
 	list := make([]*protocol.Registration, 0, len(d.partition))
 	for _, name := range sortedKeys(d.partition) {
@@ -80,11 +80,11 @@
 	return list
 }
 
-// SuspectCount is the number of members of the view that this node could not reach.
+// SuspectCount returns the number of members that this node suspects.
 func (d *Directory) SuspectCount() int { return len(d.suspects) }
 
-// TransferCount is the number of views with gained ranges that are still transferring.
+// TransferCount returns the number of views with gained ranges that are still transferring.
 func (d *Directory) TransferCount() int { return len(d.transfers) }
 
-// sortedKeys fixes the order of iteration over a map, since the order of commands must not depend on it.
+// sortedKeys returns the keys of a map in order. The order of commands must not depend on the iteration order of maps.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/dataplane/directory/transfer.go
+++ b/internal/dataplane/directory/transfer.go
@@ -8,53 +8,54 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// transfer is the ranges that this node gained with one view and whose registrations are not complete.
+// transfer is the set of ranges that this node gained with one view and whose registrations are not complete yet.
 type transfer struct {
 	ranges          []ring.Range
-	version         uint64
+	viewVersion     uint64
 	since           time.Time
 	nextRequestAt   time.Time
 	requestInterval time.Duration
-	// awaiting are the incarnations of the front nodes, by name, whose completion is needed and has not been received.
+	// awaiting maps the names of the front nodes whose completion is still needed to their incarnations.
 	awaiting map[string]uint64
-	// completed are the front nodes whose completion was received.
+	// completed is the set of front nodes whose completion has been received.
 	completed map[string]bool
 	// awaitsAll is true once the completion of every front node is needed.
 	awaitsAll bool
 	// timeout is how long the ranges may be transferring.
 	timeout time.Duration
-	// suspects are the incarnations of the former holders, by name, that are suspected but not removed.
+	// suspects maps the names of the former holders that are suspected but still members to their incarnations.
 	suspects map[string]uint64
 }
 
-// isTransferring reports whether the key is in a range whose registrations may still be in flight.
+// isTransferring reports whether the key is in a gained range whose registrations may still be incomplete.
 func (d *Directory) isTransferring(key uint64) bool {
-	for _, each := range d.transfers {
-		if d.at.Now.Before(each.since.Add(each.timeout)) && each.contains(key) {
+	for _, t := range d.transfers {
+		if d.moment.Now.Before(t.since.Add(t.timeout)) && t.contains(key) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *transfer) contains(key uint64) bool {
-	return slices.ContainsFunc(g.ranges, func(each ring.Range) bool { return each.Contains(key) })
+func (t *transfer) contains(key uint64) bool {
+	return slices.ContainsFunc(t.ranges, func(gained ring.Range) bool { return gained.Contains(key) })
 }
 
-// updateTransfers begins a transfer of what this node gained, and no longer awaits nodes that left.
+// updateTransfers starts a transfer for the ranges that this node gained, and stops awaiting nodes that have left the
+// view.
 func (d *Directory) updateTransfers(changes []ring.Change) {
 	d.dropUnsuspectedTransfers()
-	for _, each := range d.transfers {
+	for _, t := range d.transfers {
 		left := false
-		for name, incarnation := range each.awaiting {
+		for name, incarnation := range t.awaiting {
 			if !d.view.Has(name, incarnation) {
-				delete(each.awaiting, name)
+				delete(t.awaiting, name)
 				left = true
 			}
 		}
 		if left {
-			// A former holder may have left before it handed everything off.
-			d.awaitAll(each)
+			// A former holder may have left before it handed off all of its registrations.
+			d.awaitAll(t)
 		}
 	}
 	var gained []ring.Change
@@ -69,12 +70,12 @@
 	d.finishCompleteTransfers()
 }
 
-// newTransfer awaits the former holders that are alive, since each hands
-// off all its registrations; for a range whose holder was lost it awaits every owner.
+// newTransfer returns a transfer of the gained ranges. It awaits the former holders that are alive, since each hands
+// off all of its registrations; for a range whose holder was lost it awaits every front node that may own sessions.
 func (d *Directory) newTransfer(gained []ring.Change) *transfer {
 	started := &transfer{
-		version: d.view.Version, since: d.at.Now, awaiting: make(map[string]uint64), completed: make(map[string]bool),
-		nextRequestAt: d.at.Now.Add(d.options.ReregistrationDelay), requestInterval: d.options.ReregistrationDelay,
+		viewVersion: d.view.Version, since: d.moment.Now, awaiting: make(map[string]uint64), completed: make(map[string]bool),
+		nextRequestAt: d.moment.Now.Add(d.options.ReregistrationDelay), requestInterval: d.options.ReregistrationDelay,
 		timeout: d.options.TransferTimeout, suspects: make(map[string]uint64),
 	}
 	onlySuspected := true
@@ -87,8 +88,8 @@
 		d.awaitAll(started)
 		if d.isSuspect(change.From.Name, change.From.Incarnation) {
 			started.suspects[change.From.Name] = change.From.Incarnation
-			// The others may not know yet that the holder cannot be reached.
-			started.nextRequestAt = d.at.Now
+			// Other nodes may not have detected yet that the holder is unreachable.
+			started.nextRequestAt = d.moment.Now
 		} else {
 			onlySuspected = false
 		}
@@ -99,23 +100,23 @@
 	return started
 }
 
-// dropUnsuspectedTransfers ends the transfers from suspects that are trusted again.
+// dropUnsuspectedTransfers drops the transfers whose suspects are all trusted again.
 func (d *Directory) dropUnsuspectedTransfers() {
-	d.transfers = slices.DeleteFunc(d.transfers, func(each *transfer) bool {
+	d.transfers = slices.DeleteFunc(d.transfers, func(t *transfer) bool {
 		trusted := false
-		for name, incarnation := range each.suspects {
+		for name, incarnation := range t.suspects {
 			if d.membership.Has(name, incarnation) && !d.isSuspect(name, incarnation) {
-				delete(each.suspects, name)
+				delete(t.suspects, name)
 				trusted = true
 			}
 		}
-		return trusted && len(each.suspects) == 0
+		return trusted && len(t.suspects) == 0
 	})
 }
 
-// covers reports whether the sender of a completion suspects the suspects of a transfer, too.
-func (d *Directory) covers(request *protocol.RegisterSessionsRequest, each *transfer) bool {
-	for name, incarnation := range each.suspects {
+// covers reports whether a completion names all suspects of a transfer that are still members.
+func (d *Directory) covers(request *protocol.RegisterSessionsRequest, t *transfer) bool {
+	for name, incarnation := range t.suspects {
 		if d.membership.Has(name, incarnation) && !containsSuspect(request.GetSuspects(), name, incarnation) {
 			return false
 		}
@@ -123,31 +124,32 @@
 	return true
 }
 
-// awaitAll extends a transfer to all front nodes of the view whose completion was not received. Nodes with a fresh
-// start have nothing to register: after a mass restart, no node waits for each other one.
-func (d *Directory) awaitAll(each *transfer) {
-	if each.awaitsAll {
+// awaitAll makes a transfer await all front nodes of the view whose completion has not been received. Nodes with a
+// fresh start have nothing to register and are not awaited, so that after a mass restart the nodes do not all wait for
+// one another.
+func (d *Directory) awaitAll(t *transfer) {
+	if t.awaitsAll {
 		return
 	}
-	each.awaitsAll = true
+	t.awaitsAll = true
 	for _, front := range d.view.fronts {
-		if front.Name != d.self.Name && !front.FreshStart && !each.completed[front.Name] {
-			each.awaiting[front.Name] = front.Incarnation
+		if front.Name != d.self.Name && !front.FreshStart && !t.completed[front.Name] {
+			t.awaiting[front.Name] = front.Incarnation
 		}
 	}
 }
 
-// completionReceived records that a node has nothing more to register for the view version.
-func (d *Directory) completionReceived(request *protocol.RegisterSessionsRequest) {
-	for _, each := range d.transfers {
-		if each.version > request.GetViewVersion() || !d.covers(request, each) {
+// handleCompletion records that a node has nothing more to register under the view version of the request.
+func (d *Directory) handleCompletion(request *protocol.RegisterSessionsRequest) {
+	for _, t := range d.transfers {
+		if t.viewVersion > request.GetViewVersion() || !d.covers(request, t) {
 			continue
 		}
-		delete(each.awaiting, request.GetFrom())
-		each.completed[request.GetFrom()] = true
-		if request.GetPartialKnowledge() && !each.awaitsAll {
-			d.awaitAll(each)
-			each.nextRequestAt = d.at.Now
+		delete(t.awaiting, request.GetFrom())
+		t.completed[request.GetFrom()] = true
+		if request.GetPartialKnowledge() && !t.awaitsAll {
+			d.awaitAll(t)
+			t.nextRequestAt = d.moment.Now
 		}
 	}
 	d.finishCompleteTransfers()
@@ -155,28 +157,28 @@
 
 func (d *Directory) finishCompleteTransfers() {
 	incomplete := d.transfers[:0]
-	for _, each := range d.transfers {
-		if len(each.awaiting) > 0 {
-			incomplete = append(incomplete, each)
+	for _, t := range d.transfers {
+		if len(t.awaiting) > 0 {
+			incomplete = append(incomplete, t)
 			continue
 		}
-		d.emit(TransferCompleted{Took: d.at.Now.Sub(each.since)})
+		d.emit(TransferCompleted{Took: d.moment.Now.Sub(t.since)})
 	}
 	clear(d.transfers[len(incomplete):])
 	d.transfers = incomplete
 }
 
-// requestReregistrations has the nodes that a transfer awaits register again
-// what they own here. It covers a node that saw no change of holders because it
-// skipped a view, and continues after the timeout until each has answered or left.
+// requestReregistrations requests that the nodes which a transfer awaits register their sessions again. This covers a
+// node that saw no change of holders because it skipped a view. The requests are repeated, even after the transfer's
+// timeout, until each node has sent its completion or left.
 func (d *Directory) requestReregistrations() {
-	for _, each := range d.transfers {
-		if d.at.Now.Before(each.nextRequestAt) {
+	for _, t := range d.transfers {
+		if d.moment.Now.Before(t.nextRequestAt) {
 			continue
 		}
-		each.requestInterval = min(2*each.requestInterval, maxReregistrationDelay)
-		each.nextRequestAt = d.at.Now.Add(d.jitter(each.requestInterval))
-		for _, name := range sortedKeys(each.awaiting) {
+		t.requestInterval = min(2*t.requestInterval, maxReregistrationDelay)
+		t.nextRequestAt = d.moment.Now.Add(d.jitter(t.requestInterval))
+		for _, name := range sortedKeys(t.awaiting) {
 			if front, found := d.view.byName[name]; found {
 				waitedFor := d.peer(front.Member)
 				waitedFor.needsReregistrationRequest = true
@@ -186,7 +188,7 @@
 	}
 }
 
-// handOffLost queues the registrations in ranges that this node lost for their new holders.
+// handOffLost queues the registrations in ranges that this node no longer holds for their new holders.
 func (d *Directory) handOffLost() {
 	for _, name := range sortedKeys(d.partition) {
 		current := d.partition[name]
@@ -195,7 +197,9 @@
 		}
 		delete(d.partition, name)
 		if current.registration.GetOwner() != d.self.Name {
-			d.handOff[name] = &item{session: name, key: current.key, registration: current.registration, since: d.at.Now}
+			d.handOff[name] = &pendingUpdate{
+				session: name, key: current.key, registration: current.registration, since: d.moment.Now,
+			}
 		}
 	}
 }
--- a/internal/dataplane/directory/view.go
+++ b/internal/dataplane/directory/view.go
@@ -8,17 +8,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Front is one front node of a view. A draining one holds no partition and
-// accepts no new sessions, but still owns what it has not yielded.
+// Front is one front node of a view. A draining node holds no partition and accepts no new sessions, but still owns the
+// sessions that it has not yielded.
 type Front struct {
 	ring.Member
 	Draining bool
-	// FreshStart is true while the process has reported that it has owned no session since its start.
+	// FreshStart is true while the process reports that it has owned no session since its start.
 	FreshStart bool
 }
 
-// View is one version of the membership as far as the directory needs it. It
-// is immutable, so that directories and goroutines may share it.
+// View is one version of the membership, reduced to what the directory needs. It is immutable, so that directories and
+// goroutines may share it.
 type View struct {
 	Version uint64
 	fronts  []Front
@@ -28,12 +28,12 @@
 	virtualNodes int
 }
 
-// NewView builds a view of front nodes; their order does not matter.
+// NewView returns a view of the front nodes, in any order.
 func NewView(version uint64, fronts []Front, virtualNodes int) View {
 	return View{}.next(version, fronts, virtualNodes)
 }
 
-// next builds the same view as NewView from this one, reusing its ring where that does not change.
+// next returns the same view as NewView, reusing the unchanged parts of this view's ring.
 func (v View) next(version uint64, fronts []Front, virtualNodes int) View {
 	view := View{
 		Version: version, fronts: slices.Clone(fronts), byName: make(map[string]Front, len(fronts)),
@@ -51,13 +51,13 @@
 	return view
 }
 
-// ViewFromMembership builds a view of the front nodes of a membership view.
+// ViewFromMembership returns a view of the front nodes of a membership view.
 func ViewFromMembership(membership *protocol.MembershipView, virtualNodes int) View {
 	return View{}.NextFromMembership(membership, virtualNodes)
 }
 
-// NextFromMembership builds the same view as ViewFromMembership from an earlier one; members that did not change cost
-// little.
+// NextFromMembership returns the same view as ViewFromMembership, reusing the unchanged parts of an earlier view, so
+// that members that did not change cost little.
 func (v View) NextFromMembership(membership *protocol.MembershipView, virtualNodes int) View {
 	var fronts []Front
 	for _, node := range membership.GetNodes() {
@@ -70,25 +70,25 @@
 	return v.next(membership.GetVersion(), fronts, virtualNodes)
 }
 
-// Ring is the partition ring of the view.
+// Ring returns the partition ring of the view.
 func (v View) Ring() *ring.Ring { return v.ring }
 
-// Fronts lists the front nodes by name. The caller must not change it.
+// Fronts returns the front nodes in the order of their names. The caller must not modify the slice.
 func (v View) Fronts() []Front { return v.fronts }
 
-// Has reports whether the node is in the view under this incarnation.
+// Has reports whether the node is in the view under the given incarnation.
 func (v View) Has(name string, incarnation uint64) bool {
 	front, found := v.byName[name]
 	return found && front.Incarnation == incarnation
 }
 
-// Holder is the name of the front node that holds a session's registration; empty on an empty ring.
+// Holder returns the name of the front node that holds a session's registration; empty on an empty ring.
 func (v View) Holder(session string) string {
 	member, _ := v.holder(ring.Key(session))
 	return member.Name
 }
 
-// without is the view without the suspects, given as incarnations by name.
+// without returns the view without the suspects, which map names to incarnations.
 func (v View) without(suspects map[string]uint64) View {
 	if len(suspects) == 0 {
 		return v
@@ -100,7 +100,7 @@
 	return v.next(v.Version, fronts, v.virtualNodes)
 }
 
-// holder is the member that holds a key; false on an empty ring.
+// holder returns the member that holds a key; false on an empty ring.
 func (v View) holder(key uint64) (ring.Member, bool) {
 	if v.ring == nil {
 		return ring.Member{}, false
--- a/internal/dataplane/directory/view_change.go
+++ b/internal/dataplane/directory/view_change.go
@@ -4,8 +4,9 @@
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 )
 
-// viewChanged adopts a newer membership; suspicions of members that left or returned under another incarnation end.
-func (d *Directory) viewChanged(next View) {
+// handleViewChanged applies a newer membership, and ends the suspicions of members that left or returned under another
+// incarnation.
+func (d *Directory) handleViewChanged(next View) {
 	if next.Version <= d.membership.Version {
 		return
 	}
@@ -18,8 +19,8 @@
 	d.applyView()
 }
 
-// applyView puts the membership without the suspects in force: ranges gained begin their transfer, ranges
-// lost are handed off, and own sessions whose holder changed are salvaged.
+// applyView makes the membership without the suspects the current view. The transfers of gained ranges start, lost
+// ranges are handed off, and owned sessions whose holder changed are salvaged.
 func (d *Directory) applyView() {
 	former, next := d.view, d.membership.without(d.suspects)
 	d.view = next
@@ -33,14 +34,14 @@
 	d.salvageReassigned(former)
 	d.reregisterAfterFreshStart(former)
 	d.markPendingCompletions(changes)
-	d.retarget()
+	d.requeueReassigned()
 	d.schedulePendingCompletions()
 	d.restartResolves()
 }
 
-// previousRing is the ring that the view in force is compared with. For a node that had no view
-// yet it is the ring of the others, which it joins; a former
-// holder that knows of more changes reports partial knowledge with its completion.
+// previousRing returns the ring with which the ring of the current view is compared. For a node without an earlier view
+// that is the ring of the other nodes, which it joins; a former holder that has seen more changes reports partial
+// knowledge with its completion.
 func (d *Directory) previousRing(former View) *ring.Ring {
 	if former.Version > 0 {
 		return former.ring
@@ -54,41 +55,41 @@
 	return ring.Next(d.view.ring, others, d.view.virtualNodes)
 }
 
-// dropRemovedPeers drops the state of nodes that left or returned under
-// another incarnation, and restarts what waits for an answer of theirs or of a suspect.
+// dropRemovedPeers drops the state of nodes that left or returned under another incarnation, and discards the calls to
+// them and to suspects on which resolutions wait, so that these start again.
 func (d *Directory) dropRemovedPeers() {
 	for name, peer := range d.peers {
 		if !d.membership.Has(name, peer.member.Incarnation) {
 			delete(d.peers, name)
 		}
 	}
-	for _, running := range d.resolutions {
-		inFlight := d.calls[running.call]
+	for _, resolution := range d.resolutions {
+		inFlight := d.calls[resolution.call]
 		if inFlight == nil {
 			continue
 		}
 		member := inFlight.peer.member
 		if d.peers[member.Name] != inFlight.peer || d.isSuspect(member.Name, member.Incarnation) {
-			running.ambiguous = running.ambiguous || inFlight.registers
-			delete(d.calls, running.call)
-			running.call = 0
+			resolution.ambiguous = resolution.ambiguous || inFlight.registers
+			delete(d.calls, resolution.call)
+			resolution.call = 0
 		}
 	}
 }
 
-// schedulePendingCompletions schedules the peers with a pending completion, since it may be due under the view just
-// adopted.
+// schedulePendingCompletions schedules the peers with a pending completion, which may have become due with the new
+// view.
 func (d *Directory) schedulePendingCompletions() {
-	for _, each := range d.peers {
-		if each.pendingCompletion > 0 {
-			d.schedule(each)
+	for _, peer := range d.peers {
+		if peer.pendingCompletion > 0 {
+			d.schedule(peer)
 		}
 	}
 }
 
-// markPendingCompletions marks each member that awaits this node's completion before its
-// transfer is complete. For a range of a holder that is alive that holder's completion is
-// enough; one whose holder was lost needs the completion of every node that may own sessions.
+// markPendingCompletions marks the members whose transfers await this node's completion. A range whose former holder is
+// alive needs only the completion of that holder; one whose holder was lost needs the completion of every node that may
+// own sessions.
 func (d *Directory) markPendingCompletions(changes []ring.Change) {
 	for _, change := range changes {
 		if change.To.Name == "" || change.To.Name == d.self.Name {
@@ -104,14 +105,14 @@
 	}
 }
 
-// isFreshStart reports whether this process has owned no session and the view says so, so that no node awaits its
-// completion.
+// isFreshStart reports whether this process has owned no session and is marked so in the view, so that no node awaits
+// its completion.
 func (d *Directory) isFreshStart() bool {
 	return !d.hasOwned && d.view.byName[d.self.Name].FreshStart
 }
 
-// reregisterAfterFreshStart registers this node's sessions again with the first view that shows that it owns any:
-// nodes that gained a range under an earlier view did not await its completion.
+// reregisterAfterFreshStart registers this node's sessions again under the first view that no longer marks it as a
+// fresh start: nodes that gained a range under an earlier view did not await its completion.
 func (d *Directory) reregisterAfterFreshStart(former View) {
 	before, now := former.byName[d.self.Name], d.view.byName[d.self.Name]
 	if !before.FreshStart || now.FreshStart {
@@ -124,15 +125,15 @@
 	}
 }
 
-// alive reports whether a member is in the view under the same incarnation.
+// alive reports whether a member is in the view under its incarnation.
 func (d *Directory) alive(member ring.Member) bool {
 	return member.Name != "" && d.view.Has(member.Name, member.Incarnation)
 }
 
-// isTransferringPartOf reports whether this node itself still awaits registrations in a part of the range.
+// isTransferringPartOf reports whether this node itself is still transferring a part of the range.
 func (d *Directory) isTransferringPartOf(moved ring.Range) bool {
-	for _, each := range d.transfers {
-		for _, gained := range each.ranges {
+	for _, transfer := range d.transfers {
+		for _, gained := range transfer.ranges {
 			if gained.Contains(moved.Through) || moved.Contains(gained.Through) {
 				return true
 			}
