--- a/internal/dataplane/directory/fleet_test.go
+++ b/internal/dataplane/directory/fleet_test.go
@@ -21,27 +21,28 @@
 	resolveTimeout = 2 * time.Second
 )
 
-// fleet is a number of directories in memory, on a virtual clock, that call each other at once.
+// fleet is a set of directories in memory, on a virtual clock, whose calls to each other take no time.
 type fleet struct {
 	now     time.Time
 	version uint64
 	nodes   map[string]*member
 	names   []string
-	// intercept may answer a call in place of its target; handled false lets it through.
+	// intercept may return the response to a call instead of the called node; handled is false to let the call through.
 	intercept func(from, to string, request *protocol.Request) (response *protocol.Response, handled bool)
 	sent      []*protocol.Request
-	// failure is what a call without an answer shows; inconclusive at first, so that the lease alone decides.
+	// failure is that of a call without a response. It is CallInconclusive by default, so that only a view shows the loss
+	// of a node.
 	failure directory.CallFailure
 }
 
-// member is one node of the fleet.
+// member is one front node of the fleet.
 type member struct {
 	fleet     *fleet
 	self      ring.Member
 	directory *directory.Directory
 	authority bool
 	draining  bool
-	// freshStart is what the view says of the node: that it has owned no session.
+	// freshStart is true if views show that the node has owned no session.
 	freshStart bool
 	down       bool
 	resolved   map[uint64]directory.Resolved
@@ -60,10 +61,10 @@
 }
 
 func (f *fleet) add(name string) *member {
-	return f.addWith(name, directory.Policy{})
+	return f.addWithPolicy(name, directory.Policy{})
 }
 
-func (f *fleet) addWith(name string, policy directory.Policy) *member {
+func (f *fleet) addWithPolicy(name string, policy directory.Policy) *member {
 	self := ring.Member{Name: name, Address: name + ":1", Incarnation: f.version}
 	added := &member{
 		fleet: f, self: self, authority: true, resolved: make(map[uint64]directory.Resolved),
@@ -75,7 +76,7 @@
 	return added
 }
 
-// view is the present membership under the next version.
+// view returns a view of the current membership under the next version.
 func (f *fleet) view() directory.View {
 	f.version++
 	var fronts []directory.Front
@@ -87,7 +88,7 @@
 	return directory.NewView(f.version, fronts, virtualNodes)
 }
 
-// publish brings the present membership to some nodes; the others receive it with a later one or never.
+// publish delivers a view of the current membership to the given nodes only.
 func (f *fleet) publish(names ...string) directory.View {
 	view := f.view()
 	f.deliver(view, names...)
@@ -100,7 +101,7 @@
 	}
 }
 
-// settle lets time pass until everything that was in flight has ended.
+// settle advances the clock until all pending work has ended.
 func (f *fleet) settle() { f.advance(settleTime) }
 
 func (f *fleet) advance(time time.Duration) {
@@ -114,11 +115,11 @@
 	}
 }
 
-func (m *member) at() directory.Moment {
+func (m *member) moment() directory.Moment {
 	return directory.Moment{Now: m.fleet.now, Authority: m.authority && !m.down}
 }
 
-func (m *member) handle(event directory.Event) { m.execute(m.directory.Handle(m.at(), event)) }
+func (m *member) handle(event directory.Event) { m.execute(m.directory.Handle(m.moment(), event)) }
 
 func (m *member) execute(commands []directory.Command) {
 	for _, command := range commands {
@@ -153,39 +154,39 @@
 	case *protocol.Request_LookupSession:
 		return m.serveLookup(body.LookupSession)
 	case *protocol.Request_RegisterSessions:
-		answer, commands := m.directory.ServeRegister(m.at(), body.RegisterSessions)
+		answer, commands := m.directory.ServeRegister(m.moment(), body.RegisterSessions)
 		m.execute(commands)
 		return &protocol.Response{Body: &protocol.Response_RegisterSessions{RegisterSessions: answer}}
 	case *protocol.Request_UnregisterSessions:
-		answer, commands := m.directory.ServeUnregister(m.at(), body.UnregisterSessions)
+		answer, commands := m.directory.ServeUnregister(m.moment(), body.UnregisterSessions)
 		m.execute(commands)
 		return &protocol.Response{Body: &protocol.Response_UnregisterSessions{UnregisterSessions: answer}}
 	}
 	return nil
 }
 
-// serveLookup is what the shell does with a lookup.
+// serveLookup serves a lookup as the shell does.
 func (m *member) serveLookup(request *protocol.LookupSessionRequest) *protocol.Response {
-	answer, relay, commands := m.directory.ServeLookup(m.at(), request)
+	answer, relay, commands := m.directory.ServeLookup(m.moment(), request)
 	m.execute(commands)
 	if relay == nil {
 		return &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: answer}}
 	}
-	passedOn := proto.CloneOf(request)
-	passedOn.Relayed = true
+	relayed := proto.CloneOf(request)
+	relayed.Relayed = true
 	name := strings.TrimSuffix(relay.Address, ":1")
 	response, failure := m.fleet.call(m.self.Name, directory.Send{Name: name, Request: &protocol.Request{
-		Body: &protocol.Request_LookupSession{LookupSession: passedOn},
+		Body: &protocol.Request_LookupSession{LookupSession: relayed},
 	}})
 	if response != nil {
 		return response
 	}
 	m.handle(directory.PeerFailed{Address: relay.Address, Failure: failure})
-	return m.serveLookup(passedOn)
+	return m.serveLookup(relayed)
 }
 
-// request begins to resolve a session and returns its ticket.
-func (m *member) request(session string) uint64 {
+// beginResolve requests the owner of a session and returns the ticket of the request.
+func (m *member) beginResolve(session string) uint64 {
 	m.ticket++
 	m.handle(
 		directory.ResolveRequested{
@@ -195,16 +196,16 @@
 	return m.ticket
 }
 
-// resolve requests a session and lets time pass until there is an answer.
+// resolve requests the owner of a session and advances the clock until the request is resolved.
 func (m *member) resolve(session string) directory.Resolved {
-	ticket := m.request(session)
+	ticket := m.beginResolve(session)
 	for range int(2 * resolveTimeout / step) {
 		if answer, found := m.resolved[ticket]; found {
 			return answer
 		}
 		m.fleet.advance(step)
 	}
-	panic("no answer to a resolve")
+	panic(fmt.Sprintf("node %s did not resolve session %q within %v", m.self.Name, session, 2*resolveTimeout))
 }
 
 func (m *member) owns(session string) bool {
@@ -212,7 +213,7 @@
 	return owned
 }
 
-// registeredOwner is the owner that a node has registered for a session.
+// registeredOwner returns the owner of a session in the partition of a node.
 func (m *member) registeredOwner(session string) string {
 	for _, registration := range m.directory.Registrations() {
 		if registration.GetSession() == session {
@@ -222,13 +223,13 @@
 	return ""
 }
 
-// reincarnate is what the shell does when authority was lost.
+// reincarnate handles a loss of authority as the shell does.
 func (m *member) reincarnate() {
 	m.self.Incarnation = m.fleet.version + 1000
 	m.handle(directory.Reincarnated{Incarnation: m.self.Incarnation})
 }
 
-// holderOf is the holder of a session among all nodes.
+// holderOf returns the holder of a session when all nodes are members.
 func (f *fleet) holderOf(session string) string {
 	var fronts []directory.Front
 	for _, name := range f.names {
@@ -237,8 +238,8 @@
 	return directory.NewView(1, fronts, virtualNodes).Holder(session)
 }
 
-// sessionHeldBy finds a session whose holder among the members is the one named, and, with successor, whose next
-// holder is that one.
+// sessionHeldBy returns a session that the holder holds among the members and, if successor is not empty, that the
+// successor holds without the holder.
 func sessionHeldBy(members []string, holder, successor string) string {
 	find := func(without string) *ring.Ring {
 		var list []ring.Member
@@ -258,5 +259,5 @@
 			return session
 		}
 	}
-	panic("no such session")
+	panic(fmt.Sprintf("found no session with holder %q and next holder %q among %v", holder, successor, members))
 }
--- a/internal/dataplane/directory/fresh_start_test.go
+++ b/internal/dataplane/directory/fresh_start_test.go
@@ -19,9 +19,9 @@
 		fleet.nodes["d"].freshStart = true
 		fleet.publish("b", "a")
 		node := fleet.nodes["b"]
-		answer, _, _ := node.directory.ServeLookup(node.at(), &protocol.LookupSessionRequest{Session: session})
+		answer, _, _ := node.directory.ServeLookup(node.moment(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(
-			Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND), "a has sent its completion, and that of d is not needed",
+			Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND), "a has sent its completion, and d's is not needed",
 		)
 	})
 
@@ -36,7 +36,7 @@
 		Expect(fleet.sent).To(BeEmpty())
 	})
 
-	It("registers its sessions again with the first view that shows that it owns any", func() {
+	It("registers its sessions again with the first view that shows it as an owner of sessions", func() {
 		owner := fleet.nodes["a"]
 		owner.freshStart = true
 		fleet.publish(members...)
--- a/internal/dataplane/directory/hand_off_test.go
+++ b/internal/dataplane/directory/hand_off_test.go
@@ -13,12 +13,12 @@
 
 var _ = Describe("a holder that gained a range", func() {
 	lookup := func(holder *member, session string) protocol.DirectoryStatus {
-		answer, _, _ := holder.directory.ServeLookup(holder.at(), &protocol.LookupSessionRequest{Session: session})
+		answer, _, _ := holder.directory.ServeLookup(holder.moment(), &protocol.LookupSessionRequest{Session: session})
 		return answer.GetStatus()
 	}
 	registerNew := func(fleet *fleet, holder, from, session string) protocol.DirectoryStatus {
 		node := fleet.nodes[holder]
-		answer, _ := node.directory.ServeRegister(node.at(), &protocol.RegisterSessionsRequest{
+		answer, _ := node.directory.ServeRegister(node.moment(), &protocol.RegisterSessionsRequest{
 			ViewVersion: node.directory.ViewVersion(), Cause: protocol.RegistrationCause_CAUSE_NEW, From: from,
 			Registrations: []*protocol.Registration{{
 				Session: session, Owner: from, OwnerIncarnation: fleet.nodes[from].self.Incarnation,
@@ -27,7 +27,7 @@
 		return answer.GetResults()[0].GetStatus()
 	}
 
-	It("answers that it is transferring until every front node sent its completion", func() {
+	It("answers DIRECTORY_SETTLING until every front node has sent its completion", func() {
 		members := []string{"a", "b", "c", "d"}
 		fleet := newFleet(members...)
 		session := sessionHeldBy(members, "c", "b")
@@ -40,7 +40,7 @@
 		Expect(registerNew(fleet, "b", "a", session)).To(Equal(protocol.DirectoryStatus_DIRECTORY_OK))
 	})
 
-	It("is transferring no longer than the timeout when a node is unresponsive, and repeats its requests", func() {
+	It("ends the transfer after the timeout when a node is unresponsive, and repeats its requests", func() {
 		members := []string{"a", "b", "c", "d"}
 		fleet := newFleet(members...)
 		session := sessionHeldBy(members, "c", "b")
@@ -57,30 +57,30 @@
 	})
 
 	It("requests reregistration of a node that skipped the view", func() {
-		fleet := newFleet(trio...)
-		session := sessionHeldBy(trio, "c", "b")
+		fleet := newFleet(threeNodes...)
+		session := sessionHeldBy(threeNodes, "c", "b")
 		owner := fleet.nodes["a"]
 		owner.resolve(session)
-		// c goes and comes back under the same incarnation as far as a can see: a saw neither view, b both.
+		// c leaves and rejoins under the same incarnation; b receives both views, a neither.
 		before := fleet.nodes["c"].self
 		fleet.nodes["c"].down = true
 		fleet.publish("b")
 		fleet.nodes["c"] = nil
 		fleet.names = []string{"a", "b"}
-		fresh := fleet.add("c")
-		fresh.self = before
-		fresh.directory = directory.New(directory.Options{Self: before, Random: rand.New(rand.NewPCG(3, 4))})
+		rejoined := fleet.add("c")
+		rejoined.self = before
+		rejoined.directory = directory.New(directory.Options{Self: before, Random: rand.New(rand.NewPCG(3, 4))})
 		fleet.publish("b", "c")
 		view := fleet.view()
 		fleet.deliver(view, "b", "c", "a")
 		Expect(owner.directory.OnSalvageList(session)).To(BeFalse(), "a saw no change of holder")
 		fleet.settle()
-		Expect(fresh.registeredOwner(session)).To(Equal("a"))
+		Expect(rejoined.registeredOwner(session)).To(Equal("a"))
 	})
 
-	It("gets what moved from the former holder when it joins", func() {
+	It("receives the registrations of its ranges from the former holder when it joins", func() {
 		fleet := newFleet("a", "b")
-		session := sessionHeldBy(trio, "c", "b")
+		session := sessionHeldBy(threeNodes, "c", "b")
 		fleet.nodes["a"].resolve(session)
 		former := fleet.nodes["a"]
 		if fleet.nodes["b"].registeredOwner(session) != "" {
@@ -88,18 +88,18 @@
 		}
 		fleet.add("c")
 		fleet.sent = nil
-		fleet.publish(trio...)
+		fleet.publish(threeNodes...)
 		fleet.settle()
 		Expect(fleet.nodes["c"].registeredOwner(session)).To(Equal("a"))
 		Expect(former.registeredOwner(session)).To(BeEmpty())
 		Expect(former.directory.HandOffLength()).To(BeZero())
-		_, handedOff := registrations(fleet, protocol.RegistrationCause_CAUSE_HAND_OFF)
+		_, handedOff := countRegistrations(fleet, protocol.RegistrationCause_CAUSE_HAND_OFF)
 		Expect(handedOff).To(BeNumerically(">", 0))
 	})
 
-	It("accepts no registration of an owner that its view no longer has", func() {
-		fleet := newFleet(trio...)
-		session := sessionHeldBy(trio, "c", "")
+	It("rejects the registration of an owner that is no longer in its view", func() {
+		fleet := newFleet(threeNodes...)
+		session := sessionHeldBy(threeNodes, "c", "")
 		fleet.nodes["a"].down = true
 		fleet.publish("b", "c")
 		fleet.settle()
@@ -108,28 +108,28 @@
 })
 
 var _ = Describe("a drain", func() {
-	It("hands the partition off, yields sessions after their turns and accepts no new ones", func() {
-		fleet := newFleet(trio...)
+	It("hands off the partition, yields sessions after their turns and accepts no new ones", func() {
+		fleet := newFleet(threeNodes...)
 		node := fleet.nodes["c"]
-		inPartition := sessionHeldBy(trio, "c", "b")
+		inPartition := sessionHeldBy(threeNodes, "c", "b")
 		fleet.nodes["a"].resolve(inPartition)
-		idle, busy := sessionHeldBy(trio, "a", ""), sessionHeldBy(trio, "b", "")
+		idle, busy := sessionHeldBy(threeNodes, "a", ""), sessionHeldBy(threeNodes, "b", "")
 		node.resolve(idle)
 		node.resolve(busy)
-		code, _ := node.directory.Begin(node.at(), busy)
+		code, _ := node.directory.Begin(node.moment(), busy)
 		Expect(code).To(BeEmpty())
 
 		node.draining = true
 		node.handle(directory.DrainBegun{})
-		fleet.publish(trio...)
+		fleet.publish(threeNodes...)
 		fleet.settle()
 		Expect(node.directory.Drained()).To(BeFalse(), "a turn is in flight")
 		Expect(fleet.nodes["a"].registeredOwner(idle)).To(BeEmpty())
 		Expect(fleet.nodes["b"].registeredOwner(inPartition)).To(Equal("a"))
-		passedOn := node.resolve("never seen")
-		Expect(passedOn.Code).To(BeEmpty())
-		Expect(passedOn.Owner.Local).To(BeFalse())
-		Expect(fleet.nodes[passedOn.Owner.Name].owns("never seen")).To(BeTrue())
+		newSession := node.resolve("never seen")
+		Expect(newSession.Code).To(BeEmpty())
+		Expect(newSession.Owner.Local).To(BeFalse())
+		Expect(fleet.nodes[newSession.Owner.Name].owns("never seen")).To(BeTrue())
 
 		node.handle(directory.GrantEnded{Session: busy})
 		fleet.settle()
--- a/internal/dataplane/directory/join_test.go
+++ b/internal/dataplane/directory/join_test.go
@@ -24,7 +24,7 @@
 		}
 		return count
 	}
-	// join adds a node and gives the joiner and a session that moves to it.
+	// join adds a node and returns it with a session that moves to it.
 	join := func(fleet *fleet) (joiner *member, session string) {
 		joiner = fleet.add("joiner")
 		for i := 0; session == ""; i++ {
@@ -36,21 +36,21 @@
 		return joiner, session
 	}
 
-	It("awaits the completions of the former holders alone, however many nodes there are", func() {
+	It("awaits only the completions of the former holders, however many nodes there are", func() {
 		fleet := newFleet(names...)
 		fleet.sent = nil
 		joiner, session := join(fleet)
 		fleet.publish(fleet.names...)
 		fleet.settle()
 		Expect(completions(fleet)).To(BeNumerically("<=", 2*virtualNodes), "one from each former holder")
-		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
+		answer, _, _ := joiner.directory.ServeLookup(joiner.moment(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_NOT_FOUND))
 	})
 
 	It("waits for every owner when a holder was lost with the same view", func() {
 		fleet := newFleet("a", "b", "c", "d")
 		joiner, session := join(fleet)
-		// The former holder of what the joiner gains is lost at once with the join.
+		// The former holder of the session's range is lost with the same view that adds the joiner.
 		holder := directory.NewView(1, fleet.frontsWithout("joiner"), virtualNodes).Holder(session)
 		var others []string
 		for _, name := range []string{"a", "b", "c", "d"} {
@@ -62,11 +62,11 @@
 		Expect(owner.resolve(session).Owner.Local).To(BeTrue())
 		fleet.nodes[holder].down = true
 		view := fleet.view()
-		// One owner sees the view late; no session may be answered as unknown until its completion.
+		// The owner receives the view late; until its completion, no session may be reported as not found.
 		for _, name := range append([]string{"joiner", other}, others[2:]...) {
 			fleet.deliver(view, name)
 		}
-		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
+		answer, _, _ := joiner.directory.ServeLookup(joiner.moment(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 		fleet.deliver(view, owner.self.Name)
 		fleet.settle()
@@ -87,15 +87,15 @@
 		fleet.publish("joiner")
 		fleet.nodes[holder].down = true
 		fleet.publish("joiner")
-		answer, _, _ := joiner.directory.ServeLookup(joiner.at(), &protocol.LookupSessionRequest{Session: session})
+		answer, _, _ := joiner.directory.ServeLookup(joiner.moment(), &protocol.LookupSessionRequest{Session: session})
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
-		fleet.publish(fleet.living()...)
+		fleet.publish(fleet.liveNodes()...)
 		fleet.settle()
 		Expect(joiner.registeredOwner(session)).To(Equal(owner.self.Name))
 	})
 })
 
-func (f *fleet) living() []string {
+func (f *fleet) liveNodes() []string {
 	var names []string
 	for _, name := range f.names {
 		if !f.nodes[name].down {
@@ -107,10 +107,10 @@
 
 func (f *fleet) fronts() []directory.Front { return f.frontsWithout("") }
 
-func (f *fleet) frontsWithout(left string) []directory.Front {
+func (f *fleet) frontsWithout(excluded string) []directory.Front {
 	var fronts []directory.Front
-	for _, name := range f.living() {
-		if name != left {
+	for _, name := range f.liveNodes() {
+		if name != excluded {
 			fronts = append(fronts, directory.Front{Member: f.nodes[name].self})
 		}
 	}
--- a/internal/dataplane/directory/steady_state_test.go
+++ b/internal/dataplane/directory/steady_state_test.go
@@ -9,12 +9,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var trio = []string{"a", "b", "c"}
+var threeNodes = []string{"a", "b", "c"}
 
 var _ = Describe("a session's owner", func() {
-	It("is the node that first registered it, and others find it, the second time in their cache", func() {
-		fleet := newFleet(trio...)
-		session := sessionHeldBy(trio, "c", "")
+	It("is the node that first registered it; others find it by a lookup and then in their cache", func() {
+		fleet := newFleet(threeNodes...)
+		session := sessionHeldBy(threeNodes, "c", "")
 		first := fleet.nodes["a"].resolve(session)
 		Expect(first.Owner.Local).To(BeTrue())
 		Expect(first.Owner.PartitionHolder).To(Equal("c"))
@@ -26,39 +26,39 @@
 		Expect(second.Owner.CacheHit).To(BeFalse())
 		Expect(fleet.nodes["b"].resolve(session).Owner.CacheHit).To(BeTrue())
 
-		By("being looked up again after it was forgotten")
+		By("looking up the owner again after it is dropped from the cache")
 		fleet.nodes["b"].handle(directory.OwnerInvalidated{Session: session})
 		Expect(fleet.nodes["b"].resolve(session).Owner.CacheHit).To(BeFalse())
 	})
 
-	It("can be the holder itself, without a message", func() {
-		fleet := newFleet(trio...)
+	It("can be the holder itself, without a call", func() {
+		fleet := newFleet(threeNodes...)
 		fleet.sent = nil
-		Expect(fleet.nodes["c"].resolve(sessionHeldBy(trio, "c", "")).Owner.Local).To(BeTrue())
+		Expect(fleet.nodes["c"].resolve(sessionHeldBy(threeNodes, "c", "")).Owner.Local).To(BeTrue())
 		Expect(fleet.sent).To(BeEmpty())
 	})
 
-	It("begins turns only with authority, only of sessions it owns, and gives no answer as owner without a lease", func() {
-		fleet := newFleet(trio...)
+	It("begins turns only with authority and only for sessions it owns, and registers none without authority", func() {
+		fleet := newFleet(threeNodes...)
 		node := fleet.nodes["a"]
-		session := sessionHeldBy(trio, "b", "")
+		session := sessionHeldBy(threeNodes, "b", "")
 		node.resolve(session)
-		code, _ := node.directory.Begin(node.at(), session)
+		code, _ := node.directory.Begin(node.moment(), session)
 		Expect(code).To(BeEmpty())
-		code, _ = node.directory.Begin(node.at(), "another")
+		code, _ = node.directory.Begin(node.moment(), "another")
 		Expect(code).To(Equal(failure.NotOwner))
 		node.authority = false
-		code, _ = node.directory.Begin(node.at(), session)
+		code, _ = node.directory.Begin(node.moment(), session)
 		Expect(code).To(Equal(failure.NoAuthority))
-		Expect(node.resolve(sessionHeldBy(trio, "a", "")).Code).To(Equal(failure.NoAuthority))
+		Expect(node.resolve(sessionHeldBy(threeNodes, "a", "")).Code).To(Equal(failure.NoAuthority))
 	})
 
 	It("is looked up once when several turns wait for it", func() {
-		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], sessionHeldBy(trio, "b", "")
+		fleet := newFleet(threeNodes...)
+		node, session := fleet.nodes["a"], sessionHeldBy(threeNodes, "b", "")
 		blocked := true
 		fleet.intercept = func(string, string, *protocol.Request) (*protocol.Response, bool) { return nil, blocked }
-		one, other := node.request(session), node.request(session)
+		one, other := node.beginResolve(session), node.beginResolve(session)
 		blocked = false
 		fleet.advance(resolveTimeout / 2)
 		Expect(node.resolved[one].Owner.Local).To(BeTrue())
@@ -69,65 +69,65 @@
 
 var _ = Describe("a lookup", func() {
 	It("waits for a suspected holder, and fails in time with nothing run", func() {
-		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
+		fleet := newFleet(threeNodes...)
+		node, session := fleet.nodes["a"], sessionHeldBy(threeNodes, "c", "")
 		fleet.nodes["c"].down = true
 		node.handle(directory.PeerBroken{Address: "c:1"})
 		fleet.sent = nil
-		ticket := node.request(session)
+		ticket := node.beginResolve(session)
 		Expect(fleet.sent).To(BeEmpty())
 		fleet.advance(resolveTimeout + step)
 		Expect(node.resolved[ticket].Code).To(Equal(failure.Unavailable))
 		Expect(node.resolved[ticket].RetryAfter).To(BeNumerically(">", 0))
 
-		By("succeeding once the lease has decided")
+		By("succeeding once a view without the holder arrives")
 		fleet.publish("a", "b")
 		Expect(node.resolve(session).Owner.Local).To(BeTrue())
 	})
 
-	It("is answered as transferring by a holder that is behind the requesting node's view", func() {
-		fleet := newFleet(trio...)
-		request := &protocol.LookupSessionRequest{Session: sessionHeldBy(trio, "c", ""), ViewVersion: fleet.version + 1}
-		answer, _, _ := fleet.nodes["c"].directory.ServeLookup(fleet.nodes["c"].at(), request)
+	It("is answered with DIRECTORY_SETTLING by a holder with an older view than the requesting node's", func() {
+		fleet := newFleet(threeNodes...)
+		request := &protocol.LookupSessionRequest{Session: sessionHeldBy(threeNodes, "c", ""), ViewVersion: fleet.version + 1}
+		answer, _, _ := fleet.nodes["c"].directory.ServeLookup(fleet.nodes["c"].moment(), request)
 		Expect(answer.GetStatus()).To(Equal(protocol.DirectoryStatus_DIRECTORY_SETTLING))
 	})
 })
 
 var _ = Describe("a first registration whose answer is lost", func() {
 	It("is completed although the requesting turn was cancelled", func() {
-		fleet := newFleet(trio...)
-		node, session := fleet.nodes["a"], sessionHeldBy(trio, "c", "")
-		lose := true
+		fleet := newFleet(threeNodes...)
+		node, session := fleet.nodes["a"], sessionHeldBy(threeNodes, "c", "")
+		losing := true
 		fleet.intercept = func(_, to string, request *protocol.Request) (*protocol.Response, bool) {
-			if lose && request.GetLookupSession().GetRegistration() != nil {
+			if losing && request.GetLookupSession().GetRegistration() != nil {
 				fleet.nodes[to].serve(request)
 				return nil, true
 			}
-			return nil, lose
+			return nil, losing
 		}
-		ticket := node.request(session)
+		ticket := node.beginResolve(session)
 		node.handle(directory.ResolveCancelled{Ticket: ticket})
 		Expect(node.directory.OnSalvageList(session)).To(BeTrue())
-		lose = false
+		losing = false
 		fleet.settle()
 		Expect(node.directory.OnSalvageList(session)).To(BeFalse())
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
-		code, _ := node.directory.Begin(node.at(), session)
+		code, _ := node.directory.Begin(node.moment(), session)
 		Expect(code).To(BeEmpty())
 	})
 })
 
 var _ = Describe("a stale registration", func() {
-	It("is withdrawn by the node that it names when a turn is forwarded to it", func() {
-		fleet := newFleet(trio...)
-		node, holder, session := fleet.nodes["a"], fleet.nodes["c"], sessionHeldBy(trio, "c", "")
+	It("is withdrawn by the node registered as owner when a turn is forwarded to that node", func() {
+		fleet := newFleet(threeNodes...)
+		node, holder, session := fleet.nodes["a"], fleet.nodes["c"], sessionHeldBy(threeNodes, "c", "")
 		stale := &protocol.RegisterSessionsRequest{
 			ViewVersion: fleet.version, Cause: protocol.RegistrationCause_CAUSE_HAND_OFF, From: "b",
 			Registrations: []*protocol.Registration{{Session: session, Owner: "a", OwnerIncarnation: node.self.Incarnation}},
 		}
 		holder.serve(&protocol.Request{Body: &protocol.Request_RegisterSessions{RegisterSessions: stale}})
 		Expect(fleet.nodes["b"].resolve(session).Owner.Name).To(Equal("a"))
-		code, commands := node.directory.Begin(node.at(), session)
+		code, commands := node.directory.Begin(node.moment(), session)
 		Expect(code).To(Equal(failure.NotOwner))
 		node.execute(commands)
 		Expect(holder.registeredOwner(session)).To(BeEmpty())
@@ -135,9 +135,9 @@
 		Expect(fleet.nodes["b"].resolve(session).Owner.Local).To(BeTrue())
 	})
 
-	It("cannot be made by a late withdrawal of an earlier registration", func() {
-		fleet := newFleet(trio...)
-		holder, session := fleet.nodes["c"], sessionHeldBy(trio, "c", "")
+	It("is not removed by a late withdrawal of an earlier one", func() {
+		fleet := newFleet(threeNodes...)
+		holder, session := fleet.nodes["c"], sessionHeldBy(threeNodes, "c", "")
 		fleet.nodes["a"].resolve(session)
 		registered := holder.directory.Registrations()[0]
 		withdraw := func(sequence uint64) {
