--- a/internal/dataplane/ownership/benchmark_test.go
+++ b/internal/dataplane/ownership/benchmark_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// BenchmarkOwnedTurn is what ownership adds to a turn of a session owned here: resolve, begin, a check and the end.
+// BenchmarkOwnedTurn measures what ownership adds to a turn of a locally owned session: Resolve, Begin, Valid and End.
 func BenchmarkOwnedTurn(b *testing.B) {
 	self := &protocol.Node{Name: "a", Address: "a", Kind: protocol.NodeKind_FRONT, Incarnation: 1}
 	link := &fakeLink{
@@ -32,7 +32,7 @@
 		}
 		grant, err := manager.Begin("session")
 		if err != nil || !grant.Valid() {
-			b.Fatal(err)
+			b.Fatalf("Begin returned the error %v or an invalid grant", err)
 		}
 		grant.End()
 	}
--- a/internal/dataplane/ownership/call_failure.go
+++ b/internal/dataplane/ownership/call_failure.go
@@ -13,12 +13,12 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// stallFactor is how many times its timeout a call may have lasted for the timeout
-// to count as one of the peer's: after more, this process itself was stalled.
+// stallFactor is the ratio of a call's duration to its timeout above which the timeout does not count against the peer,
+// since this process itself must have been stalled.
 const stallFactor = 1.5
 
-// classifyFailure is what the error of a call shows about the peer. A timeout
-// counts against the peer only when timeoutCounts.
+// classifyFailure returns what the error of a call shows about the peer. A timeout counts against the peer only if
+// timeoutCounts is true.
 func classifyFailure(err error, timeoutCounts bool) directory.CallFailure {
 	var unresponsive *wire.UnresponsivePeerError
 	var broken *wire.BrokenError
@@ -31,7 +31,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return directory.CallConnectionRefused
 	case errors.As(err, &unresponsive):
-		// The connection's pings were unanswered for longer than the directory waits for one of its own.
+		// The pings of the connection were unanswered for longer than the directory waits for the answer to its own ping.
 		return directory.CallConnectionRefused
 	case isTimeout(err):
 		if timeoutCounts {
@@ -57,7 +57,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// stalled reports whether a call lasted so much longer than its timeout that this process must have been stalled.
+// stalled reports whether a call exceeded its timeout by so much that this process must have been stalled.
 func stalled(took, timeout time.Duration) bool {
 	return took > time.Duration(stallFactor*float64(timeout))
 }
--- a/internal/dataplane/ownership/drain.go
+++ b/internal/dataplane/ownership/drain.go
@@ -8,27 +8,26 @@
 	"github.com/rosestand/rosestand/internal/failure"
 )
 
-// authorityCheckInterval is how often a drain checks whether authority has ended.
+// authorityCheckInterval is the interval at which a drain checks whether this node still has authority.
 const authorityCheckInterval = 100 * time.Millisecond
 
-// Drain yields this node's sessions, each after its last turn is committed, and
-// hands off its partition. It returns when both are done, or with the context's
-// error. Without authority there is nothing left to hand off, since other nodes treat the
-// sessions and the partition as lost; so Drain returns then, too, as when no core
-// answers any more.
+// Drain yields this node's sessions, each after its last turn is committed, and hands off its partition. It returns
+// when both are done, or with the context's error. It also returns when this node has no authority, for example because
+// no core is reachable: other nodes then treat the sessions and the partition as lost, and there is nothing left to
+// hand off.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.options.Link.SetDraining(true)
 	drained := make(chan struct{})
 	if !m.runAndWait(func(s *shell) { s.drain(drained) }) {
 		return notRun(failure.NotReady, "the directory is not running")
 	}
-	watch := time.NewTicker(authorityCheckInterval)
-	defer watch.Stop()
+	ticker := time.NewTicker(authorityCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-drained:
 			return nil
-		case <-watch.C:
+		case <-ticker.C:
 			if !m.options.Link.Authority().Valid() {
 				return nil
 			}
@@ -56,8 +55,8 @@
 	s.drainWaiters = nil
 }
 
-// handOffTimedOut reports whether the sessions are yielded and the partition
-// could not be handed off in time. The owners register their sessions elsewhere once this process has ended.
+// handOffTimedOut reports whether all sessions are yielded but the partition could not be handed off within
+// HandOffTimeout. The owners register their sessions with other nodes once this process has ended.
 func (s *shell) handOffTimedOut() bool {
 	if s.directory.OwnedCount() > 0 {
 		return false
--- a/internal/dataplane/ownership/effects.go
+++ b/internal/dataplane/ownership/effects.go
@@ -13,13 +13,13 @@
 		case directory.Send:
 			s.send(command)
 		case directory.Resolved:
-			s.resolved(command)
+			s.deliverResolved(command)
 		case directory.Yielded:
 			for _, notify := range s.manager.onYield {
 				notify(command.Session)
 			}
 		case directory.Reregistered:
-			s.manager.metrics.reregistered(command.Waits)
+			s.manager.metrics.observeReregistrations(command.Waits)
 		case directory.TransferCompleted:
 			s.manager.metrics.transferDuration.Observe(command.Took.Seconds())
 		}
@@ -27,20 +27,20 @@
 	s.checkDrained()
 }
 
-func (s *shell) resolved(command directory.Resolved) {
+func (s *shell) deliverResolved(command directory.Resolved) {
 	if answer, found := s.pendingResolves[command.Ticket]; found {
 		delete(s.pendingResolves, command.Ticket)
 		answer <- command
 	}
 }
 
-// sender returns the function that makes a call in a goroutine of its own, which posts the answer. The calls end with
-// the context, which is the owner goroutine's.
+// sender returns a function that makes a call in a goroutine of its own, which posts the outcome as a task. The calls
+// end with the context, which is that of the owner goroutine.
 func (m *Manager) sender(ctx context.Context) func(directory.Send) {
 	return func(command directory.Send) {
 		m.calls.Go(func() {
-			answered := m.call(ctx, command)
-			m.post(func(s *shell) { s.handle(answered) })
+			ended := m.call(ctx, command)
+			m.post(func(s *shell) { s.handle(ended) })
 		})
 	}
 }
@@ -58,7 +58,8 @@
 	return directory.CallEnded{Call: command.Call, Response: response}
 }
 
-// publish copies the counters for the metrics, and logs when the salvage list fills or empties or the suspects change.
+// publish copies the counters to the metrics, and logs when the number of suspects changes and when the salvage list
+// becomes empty or nonempty.
 func (s *shell) publish() {
 	s.manager.metrics.publish(s.directory)
 	if suspects := s.directory.SuspectCount(); suspects != s.loggedSuspects {
--- a/internal/dataplane/ownership/fleet_test.go
+++ b/internal/dataplane/ownership/fleet_test.go
@@ -21,7 +21,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// fakeLink stands in for the connection to the core.
+// fakeLink is a fake of the connection to the core.
 type fakeLink struct {
 	mutex       sync.Mutex
 	view        *corelink.View
@@ -48,14 +48,14 @@
 func (l *fakeLink) SetOwning() {}
 
 func (l *fakeLink) SetDraining(draining bool) {
-	l.change(func(self *protocol.Node, _ *time.Time) { self.Draining = draining })
+	l.updateAuthority(func(self *protocol.Node, _ *time.Time) { self.Draining = draining })
 }
 
-func (l *fakeLink) change(change func(self *protocol.Node, ends *time.Time)) {
+func (l *fakeLink) updateAuthority(update func(self *protocol.Node, expiresAt *time.Time)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	next := &corelink.Authority{Self: proto.CloneOf(l.authority.Self), ExpiresAt: l.authority.ExpiresAt}
-	change(next.Self, &next.ExpiresAt)
+	update(next.Self, &next.ExpiresAt)
 	l.authority = next
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// faultMode is how calls to a node fail.
+// faultMode is the way in which calls to a node fail.
 type faultMode int
 
 const (
@@ -78,25 +78,25 @@
 	unresponsive
 )
 
-// fleet is managers in memory that call each other in virtual time.
+// fleet is a set of managers in one process that call each other in virtual time.
 type fleet struct {
 	g       *WithT
 	mutex   sync.Mutex
 	nodes   map[string]*node
-	down    map[string]faultMode
+	faults  map[string]faultMode
 	version uint64
 	policy  *protocol.RecoveryPolicy
-	// severed are two nodes that do not reach each other.
+	// severed are the names of two nodes that cannot reach each other.
 	severed [2]string
 }
 
-// callerOf is the network as one node has it.
-type callerOf struct {
+// nodeCaller makes the calls of one node.
+type nodeCaller struct {
 	*fleet
 	name string
 }
 
-func (c callerOf) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
+func (c nodeCaller) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
 	c.mutex.Lock()
 	severed := c.severed == [2]string{c.name, address} || c.severed == [2]string{address, c.name}
 	c.mutex.Unlock()
@@ -127,32 +127,32 @@
 		return nil, ctx.Err()
 	}
 	f.mutex.Lock()
-	target, down := f.nodes[address], f.down[address]
+	target, fault := f.nodes[address], f.faults[address]
 	f.mutex.Unlock()
 	switch {
-	case down == connectionsRefused:
+	case fault == connectionsRefused:
 		return nil, &wire.NotSentError{Address: address, Cause: syscall.ECONNREFUSED}
-	case down == unresponsive:
+	case fault == unresponsive:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case target == nil || down == connectionsBroken:
+	case target == nil || fault == connectionsBroken:
 		return nil, &wire.BrokenError{Address: address, Cause: io.ErrUnexpectedEOF}
 	}
 	return target.manager.ServeDirectory(ctx, proto.CloneOf(request))
 }
 
-// given runs a test with a fleet whose nodes have authority for an hour of virtual time and share one view.
-func given(t *testing.T, names []string, then func(f *fleet)) {
+// withFleet runs a test with a fleet whose nodes have authority for one hour of virtual time and share one view.
+func withFleet(t *testing.T, names []string, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{g: NewWithT(t), nodes: make(map[string]*node), down: make(map[string]faultMode), version: 1}
+		f := &fleet{g: NewWithT(t), nodes: make(map[string]*node), faults: make(map[string]faultMode), version: 1}
 		for _, name := range names {
 			f.add(name)
 		}
 		f.publish(names...)
 		defer f.stop()
-		pass(2 * time.Second)
-		then(f)
+		sleep(2 * time.Second)
+		test(f)
 	})
 }
 
@@ -163,7 +163,7 @@
 		authority: &corelink.Authority{Self: self, ExpiresAt: time.Now().Add(time.Hour)},
 	}}
 	added.manager = ownership.New(ownership.Options{
-		Link: added.link, Caller: callerOf{fleet: f, name: name}, Random: rand.New(rand.NewPCG(1, 2)),
+		Link: added.link, Caller: nodeCaller{fleet: f, name: name}, Random: rand.New(rand.NewPCG(1, 2)),
 		Logger: log.New(io.Discard), Registerer: added.registry,
 	})
 	added.manager.OnYield(func(session string) {
@@ -178,7 +178,7 @@
 	return added
 }
 
-// publish puts a view of the nodes named in force at each of them.
+// publish delivers a view of the named nodes to each of them.
 func (f *fleet) publish(names ...string) {
 	f.version++
 	membership := &protocol.MembershipView{Version: f.version}
@@ -194,45 +194,45 @@
 }
 
 func (f *fleet) stop() {
-	for _, each := range f.nodes {
-		f.g.Expect(each.manager.Stop(context.Background())).To(Succeed())
+	for _, node := range f.nodes {
+		f.g.Expect(node.manager.Stop(context.Background())).To(Succeed())
 	}
 }
 
-// lose breaks all connections of a node.
-func (f *fleet) lose(name string) { f.setFault(name, connectionsBroken) }
+// breakConnections makes all calls to a node fail with a broken connection.
+func (f *fleet) breakConnections(name string) { f.setFault(name, connectionsBroken) }
 
-// setFault sets how calls to a node fail.
-func (f *fleet) setFault(name string, how faultMode) {
+// setFault sets the way in which calls to a node fail.
+func (f *fleet) setFault(name string, fault faultMode) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.down[name] = how
+	f.faults[name] = fault
 }
 
-// partition separates two nodes.
+// partition makes calls between two nodes time out.
 func (f *fleet) partition(one, other string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.severed = [2]string{one, other}
 }
 
-// outcome is an owner that was found.
-type outcome struct {
+// resolvedOwner is the result of a Resolve.
+type resolvedOwner struct {
 	f     *fleet
 	owner ownership.Owner
 }
 
-// within resolves and expects an answer within a bound.
-func (f *fleet) within(bound time.Duration, name, session string) outcome {
+// resolveWithin resolves a session and requires an owner within the bound.
+func (f *fleet) resolveWithin(bound time.Duration, name, session string) resolvedOwner {
 	before := time.Now()
 	owner := f.resolve(name, session)
 	f.g.Expect(time.Since(before)).To(BeNumerically("<=", bound))
-	return outcome{f: f, owner: owner}
+	return resolvedOwner{f: f, owner: owner}
 }
 
-func (o outcome) BeLocal() { o.f.g.Expect(o.owner.Local).To(BeTrue()) }
+func (o resolvedOwner) expectLocal() { o.f.g.Expect(o.owner.Local).To(BeTrue()) }
 
-func (o outcome) BeOf(name string) { o.f.g.Expect(o.owner.Name).To(Equal(name)) }
+func (o resolvedOwner) expectName(name string) { o.f.g.Expect(o.owner.Name).To(Equal(name)) }
 
 func (f *fleet) resolve(name, session string) ownership.Owner {
 	owner, err := f.nodes[name].manager.Resolve(context.Background(), session, "program")
@@ -240,7 +240,7 @@
 	return owner
 }
 
-// ownedBy finds sessions that the node named owner owns and whose partition the node named holder has.
+// ownedBy returns count sessions that the owner owns and whose registrations the holder holds.
 func (f *fleet) ownedBy(owner, holder string, count int) []string {
 	var sessions []string
 	for i := 0; len(sessions) < count; i++ {
@@ -258,8 +258,8 @@
 	return append([]string(nil), n.yielded...)
 }
 
-// metric sums the values of a counter or gauge over its labels.
-func (n *node) metric(name string) float64 {
+// metricSum returns the sum of a metric over its labels, for a histogram the number of its observations.
+func (n *node) metricSum(name string) float64 {
 	families, _ := n.registry.Gather()
 	sum := 0.0
 	for _, family := range families {
@@ -275,8 +275,8 @@
 	return sum
 }
 
-// pass lets virtual time go by.
-func pass(duration time.Duration) {
+// sleep advances virtual time and waits until all goroutines are idle.
+func sleep(duration time.Duration) {
 	<-time.After(duration)
 	synctest.Wait()
 }
--- a/internal/dataplane/ownership/grant.go
+++ b/internal/dataplane/ownership/grant.go
@@ -15,15 +15,15 @@
 	ended       atomic.Bool
 }
 
-// Begin admits a turn or call. It fails with `not_owner` when this node does not
-// own the session or is yielding it, and with `no_authority` when it may not act
-// as owner at the moment, both with outcome NOT_RUN. The grant must be ended.
+// Begin admits a turn or call. It fails with `not_owner` when this node does not own the session or is yielding it, and
+// with `no_authority` when it may not act as owner at the moment, both with outcome NOT_RUN. The caller must end the
+// grant.
 func (m *Manager) Begin(session string) (*Grant, error) {
 	var grant *Grant
 	var code failure.Code
-	worked := m.runAndWait(func(s *shell) { grant, code = s.begin(session) })
+	executed := m.runAndWait(func(s *shell) { grant, code = s.begin(session) })
 	switch {
-	case !worked:
+	case !executed:
 		return nil, notRun(failure.NoAuthority, "the directory is not running")
 	case code == failure.NotOwner:
 		return nil, notRun(code, "this node does not own the session")
@@ -34,19 +34,18 @@
 	}
 }
 
-// Valid reports whether the turn may continue. Check it before each request
-// to a back end and before each event that is emitted. It becomes false when authority
-// expires, without any notification, and stays false when authority returns.
+// Valid reports whether the turn may continue. Check it before each request to a back end and before each event that is
+// emitted. It becomes false, without a notification, when authority expires, and remains false when authority returns.
 func (g *Grant) Valid() bool {
 	authority := g.manager.options.Link.Authority()
 	return !g.ended.Load() && authority.Self.GetIncarnation() == g.incarnation && authority.Valid()
 }
 
-// Incarnation is this node's incarnation under which the grant was given; under which an epoch is claimed.
+// Incarnation returns this node's incarnation when the turn or call was admitted, under which an epoch is claimed.
 func (g *Grant) Incarnation() uint64 { return g.incarnation }
 
-// End reports that the turn or call is over, however it ended; a session that is being yielded
-// ends with its last grant. Further calls have no effect.
+// End reports that the turn or call is over, successful or not. Ownership of a session that is being yielded ends with
+// its last grant. Further calls of End have no effect.
 func (g *Grant) End() {
 	if g.ended.Swap(true) {
 		return
--- a/internal/dataplane/ownership/manager.go
+++ b/internal/dataplane/ownership/manager.go
@@ -1,11 +1,9 @@
 // Package ownership is the shell (I/O adapter) of a front node's session directory.
 //
-// It owns one directory.Directory and decides nothing itself. The owner goroutine
-// of a Manager, begun by Start and ended by Stop, executes tasks from a queue and the
-// directory's ticks; it alone touches the shell and the directory. Each
-// request to another front node runs in a goroutine of its own, which posts the
-// answer as a task. Grants admit turns and calls and are valid only
-// while this node has authority.
+// It drives one directory.Directory, which makes all decisions. The owner goroutine of a Manager, started by Start and
+// stopped by Stop, executes tasks from a queue and the directory's ticks; no other goroutine accesses the shell and the
+// directory. Each request to another front node runs in a goroutine of its own, which posts the outcome as a task.
+// Grants admit turns and calls and are valid only while this node has authority.
 package ownership
 
 import (
@@ -25,8 +23,8 @@
 // Owner is the front node that owns a session.
 type Owner = directory.Owner
 
-// Manager is one front node's part in the session directory. Its methods are safe for concurrent use, but OnYield,
-// Start and Stop belong to one goroutine.
+// Manager is one front node's part in the session directory. Its methods are safe for concurrent use, except OnYield,
+// Start and Stop, which must be called from one goroutine.
 type Manager struct {
 	options Options
 	metrics *metrics
@@ -41,7 +39,7 @@
 	onYield []func(session string)
 }
 
-// New returns a manager that has not been started. It subscribes to the link's views.
+// New returns a manager that is not started yet. It subscribes to the views of the link.
 func New(options Options) *Manager {
 	options = withDefaults(options)
 	manager := &Manager{
@@ -51,17 +49,17 @@
 		tasks:   make(chan func(*shell), taskQueueLength),
 		done:    make(chan struct{}),
 	}
-	options.Link.Subscribe(manager.viewChanged)
+	options.Link.Subscribe(manager.handleView)
 	return manager
 }
 
-// OnYield registers a function that is called with each session that is given up, so that
-// cached state of it is dropped. It runs on the owner goroutine and must not block. Call it before Start.
+// OnYield registers a function that is called with each session that is given up, so that its cached state can be
+// dropped. The function runs on the owner goroutine and must not block. OnYield must be called before Start.
 func (m *Manager) OnYield(notify func(session string)) {
 	m.onYield = append(m.onYield, notify)
 }
 
-// Start begins the owner goroutine. The context bounds the start only; Stop ends the goroutine.
+// Start starts the owner goroutine. The context applies to the start only; Stop ends the goroutine.
 func (m *Manager) Start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -74,11 +72,12 @@
 		defer close(m.done)
 		shell.run(running)
 	}()
-	m.viewChanged(m.options.Link.View())
+	m.handleView(m.options.Link.View())
 	return nil
 }
 
-// Stop ends all goroutines, or returns the context's error before that. Drain first to hand off the node's part.
+// Stop ends all goroutines and waits for them, or returns the context's error if that comes first. Call Drain first to
+// hand off the node's sessions and partition.
 func (m *Manager) Stop(ctx context.Context) error {
 	if m.cancel == nil {
 		return nil
@@ -98,7 +97,7 @@
 	}
 }
 
-// post queues a task for the owner goroutine; false when that has ended.
+// post queues a task for the owner goroutine. It returns false if that goroutine has ended.
 func (m *Manager) post(task func(*shell)) bool {
 	select {
 	case m.tasks <- task:
@@ -108,7 +107,7 @@
 	}
 }
 
-// runAndWait queues a task and waits until it was executed; false when the owner goroutine does not run.
+// runAndWait queues a task and waits until it is executed. It returns false if the owner goroutine is not running.
 func (m *Manager) runAndWait(task func(*shell)) bool {
 	if !m.started.Load() {
 		return false
@@ -125,24 +124,24 @@
 	}
 }
 
-// viewChanged puts a view in force before it returns, so that the link may acknowledge it.
-func (m *Manager) viewChanged(view *corelink.View) {
-	m.runAndWait(func(s *shell) { s.viewChanged(view) })
+// handleView returns once the view is applied, so that the link may acknowledge it.
+func (m *Manager) handleView(view *corelink.View) {
+	m.runAndWait(func(s *shell) { s.handleView(view) })
 }
 
-// PeerBroken reports that the connection to an address broke; pass it to wire.Pool.OnBroken.
-// The peer is pinged, and lookups wait for the outcome.
+// PeerBroken reports a broken connection to an address; it is meant for wire.Pool.OnBroken. The peer is pinged, and
+// lookups wait for the outcome.
 func (m *Manager) PeerBroken(address string) {
 	select {
 	case m.tasks <- func(s *shell) { s.handle(directory.PeerBroken{Address: address}) }:
 	default:
-		// The queue is full; further calls to the peer will report their own failures.
+		// The queue is full. Dropping the report is safe: further calls to the peer report their own failures.
 	}
 }
 
-// Resolve finds the owner of a session and registers this node when it has
-// none. It waits no longer than the context and ResolveTimeout allow. Its errors are
-// failures with outcome NOT_RUN and a time after which to retry.
+// Resolve returns the owner of a session, and registers this node as the owner if there is none. It waits no longer
+// than the context and ResolveTimeout allow. Its errors are failures with outcome NOT_RUN and a time after which to
+// retry.
 func (m *Manager) Resolve(ctx context.Context, session, program string) (Owner, error) {
 	deadline := time.Now().Add(m.options.ResolveTimeout)
 	if end, bounded := ctx.Deadline(); bounded && end.Before(deadline) {
@@ -169,27 +168,25 @@
 	}
 }
 
-// Forget drops the cached owner of a session, after that node answered
-// `not_owner` or could not be reached.
+// Forget drops the cached owner of a session, after that node answered `not_owner` or was unreachable.
 func (m *Manager) Forget(session string) {
 	m.post(func(s *shell) { s.handle(directory.OwnerInvalidated{Session: session}) })
 }
 
-// OwnerLost reports that a request could not be forwarded to the owner at an
-// address, or that its connection broke before an answer, with the error of
-// the call. The cached owner is dropped, and the cause decides what follows:
-// a refused connection lets the next Resolve take the session over at once, a
-// broken one after a ping, a timeout after FailureDetectionTimeout. Call it in place
-// of Forget when a forward failed by its connection; answers such as `not_owner` are for Forget.
+// OwnerLost reports the error of a request that could not be forwarded to the owner at an address or whose connection
+// broke before a response. The cached owner is dropped. Depending on the cause, the next Resolve may take over the
+// session at once (refused connection), after a ping (broken connection) or after FailureDetectionTimeout (timeout).
+// Call it instead of Forget when the connection of a forwarded request failed; Forget is for responses such as
+// `not_owner`.
 func (m *Manager) OwnerLost(session, address string, cause error) {
-	evidence := classifyFailure(cause, false)
+	callFailure := classifyFailure(cause, false)
 	m.post(func(s *shell) {
 		s.handle(directory.OwnerInvalidated{Session: session})
-		s.handle(directory.PeerFailed{Address: address, Failure: evidence})
+		s.handle(directory.PeerFailed{Address: address, Failure: callFailure})
 	})
 }
 
-// Fenced yields a session after the ledger rejected this node's epoch of it.
+// Fenced yields a session after the ledger rejected this node's epoch of the session.
 func (m *Manager) Fenced(session string) {
 	m.post(func(s *shell) { s.handle(directory.OwnershipLost{Session: session}) })
 }
--- a/internal/dataplane/ownership/metrics.go
+++ b/internal/dataplane/ownership/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/dataplane/directory"
 )
 
-// metrics exports what the directory did; names begin with rosestand_directory_. The owner goroutine publishes the
-// snapshot, and the registry reads it.
+// metrics exports the directory's counters and gauges under names that begin with rosestand_directory_. The owner
+// goroutine publishes snapshots of them, which the registry reads.
 type metrics struct {
 	snapshot         atomic.Pointer[snapshot]
 	failedCalls      prometheus.Counter
@@ -18,7 +18,7 @@
 	transferDuration prometheus.Histogram
 }
 
-// snapshot is a copy of the directory's counters, taken by its owner.
+// snapshot is a copy of the directory's counters and gauges, taken by the owner goroutine.
 type snapshot struct {
 	directory.Stats
 	owned, partition, salvage, handOff, transferring, suspects int
@@ -51,11 +51,11 @@
 	rejectionsHelp = "Refusals of other directories by status."
 )
 
-// counters are read from the snapshot; yields are beside them, one for each reason.
+// counters are read from the snapshot. The counters of yields, one for each reason, are registered separately.
 var counters = []struct {
 	name, help string
 	labels     prometheus.Labels
-	read       func(*snapshot) uint64
+	value      func(*snapshot) uint64
 }{
 	{
 		"lookups_total", lookupsHelp,
@@ -120,7 +120,7 @@
 // gauges are read from the snapshot.
 var gauges = []struct {
 	name, help string
-	read       func(*snapshot) float64
+	value      func(*snapshot) float64
 }{
 	{"owned_sessions", "Sessions owned.", func(s *snapshot) float64 { return float64(s.owned) }},
 	{"partition_sessions", "Registrations held.", func(s *snapshot) float64 { return float64(s.partition) }},
@@ -144,14 +144,14 @@
 }
 
 func (m *metrics) registerCounters(registerer prometheus.Registerer) {
-	counter := func(name, help string, labels prometheus.Labels, read func(*snapshot) uint64) {
+	counter := func(name, help string, labels prometheus.Labels, value func(*snapshot) uint64) {
 		registerer.MustRegister(prometheus.NewCounterFunc(
 			prometheus.CounterOpts{Name: "rosestand_directory_" + name, Help: help, ConstLabels: labels},
-			func() float64 { return float64(read(m.snapshot.Load())) },
+			func() float64 { return float64(value(m.snapshot.Load())) },
 		))
 	}
 	for _, each := range counters {
-		counter(each.name, each.help, each.labels, each.read)
+		counter(each.name, each.help, each.labels, each.value)
 	}
 	for _, reason := range directory.YieldReasons {
 		counter("yields_total", "Sessions given up by reason.", prometheus.Labels{"reason": string(reason)},
@@ -160,18 +160,18 @@
 }
 
 func (m *metrics) registerGauges(registerer prometheus.Registerer) {
-	gauge := func(name, help string, read func(*snapshot) float64) {
+	gauge := func(name, help string, value func(*snapshot) float64) {
 		registerer.MustRegister(prometheus.NewGaugeFunc(
 			prometheus.GaugeOpts{Name: "rosestand_directory_" + name, Help: help},
-			func() float64 { return read(m.snapshot.Load()) },
+			func() float64 { return value(m.snapshot.Load()) },
 		))
 	}
 	for _, each := range gauges {
-		gauge(each.name, each.help, each.read)
+		gauge(each.name, each.help, each.value)
 	}
 }
 
-// publish copies the counters; only the directory's owner calls it.
+// publish stores a new snapshot. Only the owner goroutine may call it.
 func (m *metrics) publish(d *directory.Directory) {
 	m.snapshot.Store(&snapshot{
 		Stats: d.Stats(), owned: d.OwnedCount(), partition: d.PartitionSize(), salvage: d.SalvageLength(),
@@ -180,7 +180,7 @@
 	})
 }
 
-func (m *metrics) reregistered(waits []time.Duration) {
+func (m *metrics) observeReregistrations(waits []time.Duration) {
 	for _, wait := range waits {
 		m.salvageDuration.Observe(wait.Seconds())
 	}
--- a/internal/dataplane/ownership/options.go
+++ b/internal/dataplane/ownership/options.go
@@ -16,17 +16,17 @@
 const (
 	DefaultResolveTimeout = 2 * time.Second
 	DefaultHandOffTimeout = time.Second
-	// taskQueueLength bounds the tasks that wait for the owner goroutine; who posts a further one waits.
+	// taskQueueLength is the capacity of the owner goroutine's task queue. Posting blocks while the queue is full.
 	taskQueueLength = 1024
-	// minTickInterval and maxTickInterval bound the time between two ticks of the directory: the former bounds the work of
-	// a busy node, the latter how old its published metrics are.
+	// minTickInterval and maxTickInterval bound the time between two ticks of the directory. The minimum limits the work
+	// of a busy node, the maximum the age of its published metrics.
 	minTickInterval = 5 * time.Millisecond
 	maxTickInterval = 250 * time.Millisecond
-	// busyRetryAfter is after how long callers may retry when this node cannot act as owner at the moment.
+	// busyRetryAfter is the retry delay returned to callers when this node cannot act as owner at the moment.
 	busyRetryAfter = time.Second
 )
 
-// Link is what the manager needs of the connection to the core. Its methods are safe for concurrent use.
+// Link is the part of the connection to the core that a Manager uses. Its methods must be safe for concurrent use.
 type Link interface {
 	View() *corelink.View
 	Subscribe(func(*corelink.View))
@@ -45,10 +45,10 @@
 	ResolveTimeout time.Duration
 	// FailureDetectionTimeout is how long a front node may leave calls unanswered before it is suspected.
 	FailureDetectionTimeout time.Duration
-	// HandOffTimeout bounds how long a drain whose sessions are yielded waits to hand off
-	// the partition, as while no view arrives that shows the drain.
+	// HandOffTimeout bounds the time that a drain, once its sessions are yielded, waits for the partition to be handed
+	// off, for example while no view arrives that shows the drain.
 	HandOffTimeout time.Duration
-	// Random jitters delays; nil seeds one.
+	// Random jitters delays; nil means a generator with a random seed.
 	Random *rand.Rand
 
 	Logger     *log.Logger
--- a/internal/dataplane/ownership/serve.go
+++ b/internal/dataplane/ownership/serve.go
@@ -11,14 +11,14 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// reply is the answer to a request of another front node, or the relay to which it is to be forwarded.
+// reply is the response to a request of another front node, or the holder to which the request is to be forwarded.
 type reply struct {
 	response *protocol.Response
 	relay    *directory.Relay
 	err      error
 }
 
-// ServeDirectory answers the requests of other front nodes' directories.
+// ServeDirectory serves the requests of other front nodes' directories.
 func (m *Manager) ServeDirectory(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	answer, err := m.serveOnce(ctx, request)
 	if err != nil || answer.relay == nil {
@@ -32,11 +32,11 @@
 	m.post(func(s *shell) {
 		s.handle(directory.PeerFailed{Address: holder.Address, Failure: cause})
 	})
-	second, err := m.serveOnce(ctx, forwarded)
-	return second.response, err
+	retried, err := m.serveOnce(ctx, forwarded)
+	return retried.response, err
 }
 
-// serveOnce has the owner goroutine serve a request.
+// serveOnce serves a request on the owner goroutine.
 func (m *Manager) serveOnce(ctx context.Context, request *protocol.Request) (reply, error) {
 	answer := make(chan reply, 1)
 	if !m.started.Load() || !m.post(func(s *shell) { answer <- s.serve(request) }) {
@@ -52,14 +52,15 @@
 	}
 }
 
-// relayed is the request for a lookup that must not be forwarded a second time.
+// relayed returns a copy of a lookup request that is marked so that it is not forwarded again.
 func relayed(request *protocol.Request) *protocol.Request {
 	lookup := proto.CloneOf(request.GetLookupSession())
 	lookup.Relayed = true
 	return &protocol.Request{Body: &protocol.Request_LookupSession{LookupSession: lookup}}
 }
 
-// forward queries the holder for a node that cannot reach it. The failure counts only without a response.
+// forward queries the holder on behalf of a node that cannot reach it. The returned failure is meaningful only without
+// a response.
 func (m *Manager) forward(
 	ctx context.Context, to *directory.Relay, request *protocol.Request,
 ) (*protocol.Response, directory.CallFailure) {
@@ -73,25 +74,25 @@
 	return response, directory.CallInconclusive
 }
 
-// serve answers as holder, which this node may do only with authority.
+// serve serves a request as holder, for which this node needs authority.
 func (s *shell) serve(request *protocol.Request) reply {
-	at, _ := s.moment()
-	if !at.Authority {
+	moment, _ := s.moment()
+	if !moment.Authority {
 		return reply{err: notRun(failure.NoAuthority, "this node holds no lease")}
 	}
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_LookupSession:
-		answer, relay, commands := s.directory.ServeLookup(at, body.LookupSession)
+		answer, relay, commands := s.directory.ServeLookup(moment, body.LookupSession)
 		s.execute(commands)
 		return reply{
 			relay: relay, response: &protocol.Response{Body: &protocol.Response_LookupSession{LookupSession: answer}},
 		}
 	case *protocol.Request_RegisterSessions:
-		answer, commands := s.directory.ServeRegister(at, body.RegisterSessions)
+		answer, commands := s.directory.ServeRegister(moment, body.RegisterSessions)
 		s.execute(commands)
 		return reply{response: &protocol.Response{Body: &protocol.Response_RegisterSessions{RegisterSessions: answer}}}
 	case *protocol.Request_UnregisterSessions:
-		answer, commands := s.directory.ServeUnregister(at, body.UnregisterSessions)
+		answer, commands := s.directory.ServeUnregister(moment, body.UnregisterSessions)
 		s.execute(commands)
 		return reply{response: &protocol.Response{Body: &protocol.Response_UnregisterSessions{UnregisterSessions: answer}}}
 	default:
--- a/internal/dataplane/ownership/shell.go
+++ b/internal/dataplane/ownership/shell.go
@@ -11,23 +11,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// shell is the state of the owner goroutine, which alone touches it.
+// shell is the state of the owner goroutine. No other goroutine may access it.
 type shell struct {
 	manager   *Manager
 	directory *directory.Directory
-	// send begins a call to another front node; its answer comes back as a task.
+	// send starts a call to another front node, whose outcome is posted as a task.
 	send            func(directory.Send)
 	pendingResolves map[uint64]chan<- directory.Resolved
 	drainWaiters    []chan struct{}
-	// yieldedAllAt is when a draining node had yielded its last session; zero before.
+	// yieldedAllAt is when a draining node was first seen without owned sessions; zero before.
 	yieldedAllAt time.Time
 	policy       *protocol.RecoveryPolicy
 
 	timer  *time.Timer
 	tickAt time.Time
-	// reportedOwning is true once the link was notified that this process has owned a session.
+	// reportedOwning is true once the link has been notified that this process has owned a session.
 	reportedOwning bool
-	// loggedSalvaging and loggedSuspects are the values of the last log lines on them.
+	// loggedSalvaging and loggedSuspects are the values that were logged last.
 	loggedSalvaging bool
 	loggedSuspects  int
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// tickWithin brings the next tick forward.
+// tickWithin moves the next tick forward if it is due later than after the given wait.
 func (s *shell) tickWithin(wait time.Duration) {
 	if at := time.Now().Add(wait); at.Before(s.tickAt) {
 		s.tickAt = at
@@ -86,25 +86,25 @@
 	s.timer.Reset(wait)
 }
 
-// moment is the time and whether this node has authority. The directory learns of a new incarnation of
-// this node before it handles anything under it.
+// moment returns the time and whether this node has authority. If this node has a new incarnation, the directory first
+// handles the loss of authority, before any event under that incarnation.
 func (s *shell) moment() (directory.Moment, *corelink.Authority) {
 	authority := s.manager.options.Link.Authority()
-	at := directory.Moment{Now: time.Now(), Authority: authority.Valid()}
+	current := directory.Moment{Now: time.Now(), Authority: authority.Valid()}
 	if incarnation := authority.Self.GetIncarnation(); incarnation != s.directory.Self().Incarnation {
 		s.manager.logger.Warn("authority lost", "sessions", s.directory.OwnedCount())
-		s.execute(s.directory.Handle(at, directory.Reincarnated{Incarnation: incarnation}))
+		s.execute(s.directory.Handle(current, directory.Reincarnated{Incarnation: incarnation}))
 	}
-	return at, authority
+	return current, authority
 }
 
 func (s *shell) handle(event directory.Event) {
-	at, _ := s.moment()
-	s.execute(s.directory.Handle(at, event))
+	moment, _ := s.moment()
+	s.execute(s.directory.Handle(moment, event))
 	s.reportOwning()
 }
 
-// reportOwning notifies the link once that the process has owned a session.
+// reportOwning notifies the link, once, that this process has owned a session.
 func (s *shell) reportOwning() {
 	if !s.reportedOwning && s.directory.OwnedCount() > 0 {
 		s.reportedOwning = true
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *shell) viewChanged(view *corelink.View) {
+func (s *shell) handleView(view *corelink.View) {
 	if recovery := view.Configuration.GetActive().GetRecovery(); recovery != s.policy {
 		s.policy = recovery
 		s.handle(directory.PolicyChanged{Policy: directory.NewPolicy(recovery)})
@@ -137,8 +137,8 @@
 }
 
 func (s *shell) begin(session string) (*Grant, failure.Code) {
-	at, authority := s.moment()
-	code, commands := s.directory.Begin(at, session)
+	moment, authority := s.moment()
+	code, commands := s.directory.Begin(moment, session)
 	s.execute(commands)
 	if code != "" {
 		return nil, code
--- a/internal/dataplane/ownership/takeover_test.go
+++ b/internal/dataplane/ownership/takeover_test.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// takeoverAfterRefusedConnection and takeoverAfterTimeout bound a Resolve that has to go round a lost node.
+	// takeoverAfterRefusedConnection and takeoverAfterTimeout bound a Resolve that has to bypass a lost node.
 	takeoverAfterRefusedConnection = 200 * time.Millisecond
 	takeoverAfterTimeout           = 800 * time.Millisecond
 )
 
-func TestGivenALostOwnerWhenAForwardWasRefusedThenTheNextResolveTakesOver(t *testing.T) {
-	given(t, trio, func(f *fleet) {
+func TestTakeoverAfterRefusedForward(t *testing.T) {
+	withFleet(t, threeNodes, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
 		f.setFault("a", connectionsRefused)
 		refused := &wire.NotSentError{Address: "a", Cause: syscall.ECONNREFUSED}
 		f.nodes["b"].manager.OwnerLost(session, "a", refused)
-		f.within(takeoverAfterRefusedConnection, "b", session).BeLocal()
+		f.resolveWithin(takeoverAfterRefusedConnection, "b", session).expectLocal()
 	})
 }
 
-func TestGivenALostOwnerWhenAForwardBrokeThenTheNextResolveTakesOver(t *testing.T) {
-	given(t, trio, func(f *fleet) {
+func TestTakeoverAfterBrokenForward(t *testing.T) {
+	withFleet(t, threeNodes, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
 		f.setFault("a", connectionsRefused)
 		f.nodes["b"].manager.OwnerLost(session, "a", &wire.BrokenError{Address: "a", Cause: io.EOF})
-		f.within(takeoverAfterRefusedConnection, "b", session).BeLocal()
+		f.resolveWithin(takeoverAfterRefusedConnection, "b", session).expectLocal()
 	})
 }
 
-func TestGivenALiveOwnerWhenAConnectionBrokeThenItStaysTheOwner(t *testing.T) {
-	given(t, trio, func(f *fleet) {
+func TestLiveOwnerIsKeptAfterBrokenConnection(t *testing.T) {
+	withFleet(t, threeNodes, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.resolve("b", session)
 		f.nodes["b"].manager.OwnerLost(session, "a", &wire.BrokenError{Address: "a", Cause: syscall.ECONNRESET})
@@ -51,33 +51,33 @@
 	})
 }
 
-func TestGivenALostHolderAndNoNewViewThenAResolveIsAnsweredSoon(t *testing.T) {
+func TestResolveIsFastWithLostHolderAndNoNewView(t *testing.T) {
 	faults := map[string]faultMode{
 		"refusing": connectionsRefused, "broken": connectionsBroken, "unresponsive": unresponsive,
 	}
-	for name, how := range faults {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			given(t, trio, func(f *fleet) {
+			withFleet(t, threeNodes, func(f *fleet) {
 				known := f.ownedBy("a", "c", 1)[0]
-				f.setFault("c", how)
+				f.setFault("c", fault)
 				bound := takeoverAfterRefusedConnection
-				if how == unresponsive {
+				if fault == unresponsive {
 					bound = takeoverAfterTimeout
 				}
 				before := time.Now()
 				owner, err := f.nodes["b"].manager.Resolve(context.Background(), known, "program")
 				f.g.Expect(err).NotTo(HaveOccurred())
 				f.g.Expect(time.Since(before)).To(BeNumerically("<=", bound))
-				if how != unresponsive {
+				if fault != unresponsive {
 					f.g.Expect(owner.Name).To(Equal("a"), "its owner has registered it again")
 				}
-				pass(time.Second)
+				sleep(time.Second)
 				for i := range 20 {
 					before = time.Now()
 					_, err = f.nodes["b"].manager.Resolve(context.Background(), "new-"+time.Duration(i).String(), "program")
 					f.g.Expect(err).NotTo(HaveOccurred())
 					f.g.Expect(time.Since(before)).To(
-						BeNumerically("<=", 10*time.Millisecond), "nothing waits for the lost holder any more",
+						BeNumerically("<=", 10*time.Millisecond), "lookups no longer wait for the lost holder",
 					)
 				}
 			})
@@ -85,35 +85,35 @@
 	}
 }
 
-func TestGivenAHolderThatOneNodeCannotReachThenItIsQueriedThroughAnother(t *testing.T) {
-	given(t, trio, func(f *fleet) {
+func TestHolderUnreachableFromOneNodeIsQueriedThroughAnother(t *testing.T) {
+	withFleet(t, threeNodes, func(f *fleet) {
 		session := f.ownedBy("a", "c", 1)[0]
 		f.partition("b", "c")
-		f.within(takeoverAfterTimeout, "b", session).BeOf("a")
+		f.resolveWithin(takeoverAfterTimeout, "b", session).expectName("a")
 		f.g.Expect(f.nodes["a"].yieldedSessions()).To(BeEmpty())
 	})
 }
 
-func TestGivenALookupWhoseCallerLeavesWhileItIsForwardedThenTheNodeContinues(t *testing.T) {
+func TestNodeContinuesAfterCallerOfForwardedLookupLeaves(t *testing.T) {
 	const fleets = 40
 	left := 0
 	for i := range fleets {
-		given(t, trio, func(f *fleet) {
+		withFleet(t, threeNodes, func(f *fleet) {
 			sessions := f.ownedBy("b", "c", i+1)
 			f.partition("a", "c")
 			if err := f.lookUpBriefly("a", sessions[i], "c"); errors.Is(err, context.DeadlineExceeded) {
 				left++
 			}
-			pass(time.Second)
+			sleep(time.Second)
 			f.g.Expect(f.resolve("a", "another").Name).NotTo(BeEmpty())
 		})
 	}
 	if left == 0 {
-		t.Error("no lookup was forwarded to a holder that did not answer in time")
+		t.Errorf("none of %d lookups was still being forwarded when its caller left", fleets)
 	}
 }
 
-// lookUpBriefly queries a node, for a millisecond, in place of a holder that the requesting node could not reach.
+// lookUpBriefly sends a node a lookup, with a deadline of one millisecond, that names its holder as a suspect.
 func (f *fleet) lookUpBriefly(node, session, suspect string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
