--- a/internal/dataplane/ring/change.go
+++ b/internal/dataplane/ring/change.go
@@ -1,6 +1,6 @@
 package ring
 
-// Range is the keys above After up to and including Through. It wraps around the end of the key space when
+// Range is the set of keys above After up to and including Through. It wraps around the end of the key space when
 // Through is not larger than After, and is the complete ring when they are equal.
 type Range struct {
 	After   uint64
@@ -15,53 +15,54 @@
 	return r.After < key || key <= r.Through
 }
 
-// Change is a range whose holder differs between two rings. From is the zero
-// Member where the former ring was empty, To where the later one is.
+// Change is a range whose holder differs between two rings. From is the zero Member when the former ring is empty, To
+// when the later ring is empty.
 type Change struct {
 	Range
 	From Member
 	To   Member
 }
 
-// Changes lists the ranges that changed hands between two rings, in the order of
-// their bounds; neighbouring ranges with the same members are one. A member that
-// came back under another incarnation is another member. A nil ring is empty.
+// Changes returns the ranges whose holder differs between two rings, in the order of their bounds. Adjacent ranges with
+// the same members are joined. A member that returned under another incarnation is a different member. A nil ring is
+// empty.
 func Changes(former, later *Ring) []Change {
-	bounds := boundsOf(former, later)
-	walkFormer, walkLater := walk{ring: former}, walk{ring: later}
+	bounds := sortedBounds(former, later)
+	formerCursor, laterCursor := cursor{ring: former}, cursor{ring: later}
 	var changes []Change
 	for i, through := range bounds {
-		from, to := walkFormer.holder(through), walkLater.holder(through)
+		from, to := formerCursor.holder(through), laterCursor.holder(through)
 		if from == to {
 			continue
 		}
 		after := bounds[(i+len(bounds)-1)%len(bounds)]
 		changes = appendChange(changes, Change{Range: Range{After: after, Through: through}, From: from, To: to})
 	}
-	return joinEnds(changes)
+	return joinAcrossWrap(changes)
 }
 
-// walk finds the holders of rising keys in one pass over a ring.
-type walk struct {
+// cursor finds the holders of keys in ascending order in one pass over a ring.
+type cursor struct {
 	ring *Ring
 	// below counts the virtual nodes whose hash is below the last key.
 	below int
 }
 
-// holder is the holder of a key not smaller than the one before; the zero Member on an empty ring.
-func (w *walk) holder(key uint64) Member {
-	vnodes := w.ring.virtualNodes()
+// holder returns the holder of a key, which must not be smaller than the previous one; the zero Member on an empty
+// ring.
+func (c *cursor) holder(key uint64) Member {
+	vnodes := c.ring.virtualNodes()
 	if len(vnodes) == 0 {
 		return Member{}
 	}
-	for w.below < len(vnodes) && vnodes[w.below].hash < key {
-		w.below++
+	for c.below < len(vnodes) && vnodes[c.below].hash < key {
+		c.below++
 	}
-	return w.ring.members[vnodes[(w.below+len(vnodes)-1)%len(vnodes)].member]
+	return c.ring.members[vnodes[(c.below+len(vnodes)-1)%len(vnodes)].member]
 }
 
-// boundsOf lists the hashes of the virtual nodes of both rings in their order, each once.
-func boundsOf(former, later *Ring) []uint64 {
+// sortedBounds returns the distinct hashes of the virtual nodes of both rings in ascending order.
+func sortedBounds(former, later *Ring) []uint64 {
 	one, other := former.virtualNodes(), later.virtualNodes()
 	bounds := make([]uint64, 0, len(one)+len(other))
 	for len(one) > 0 || len(other) > 0 {
@@ -78,7 +79,7 @@
 	return bounds
 }
 
-// virtualNodes are the virtual nodes of the ring in their order, none for a nil ring.
+// virtualNodes returns the virtual nodes of the ring in order; none for a nil ring.
 func (r *Ring) virtualNodes() []virtualNode {
 	if r == nil {
 		return nil
@@ -86,25 +87,26 @@
 	return r.vnodes
 }
 
-// appendChange extends the last change where the next one continues it.
+// appendChange appends a change, or extends the last one if the two can be joined.
 func appendChange(changes []Change, next Change) []Change {
-	if last := len(changes) - 1; last >= 0 && joins(changes[last], next) {
+	if last := len(changes) - 1; last >= 0 && canJoin(changes[last], next) {
 		changes[last].Through = next.Through
 		return changes
 	}
 	return append(changes, next)
 }
 
-// joinEnds joins the last range with the first where they meet at the wrap.
-func joinEnds(changes []Change) []Change {
+// joinAcrossWrap joins the last change with the first if they are adjacent across the end of the key space.
+func joinAcrossWrap(changes []Change) []Change {
 	last := len(changes) - 1
-	if last < 1 || !joins(changes[last], changes[0]) {
+	if last < 1 || !canJoin(changes[last], changes[0]) {
 		return changes
 	}
 	changes[0].After = changes[last].After
 	return changes[:last]
 }
 
-func joins(one, next Change) bool {
+// canJoin reports whether two changes have adjacent ranges and the same members.
+func canJoin(one, next Change) bool {
 	return one.Through == next.After && one.From == next.From && one.To == next.To
 }
--- a/internal/dataplane/ring/next_test.go
+++ b/internal/dataplane/ring/next_test.go
@@ -9,8 +9,9 @@
 	"github.com/rosestand/rosestand/internal/dataplane/ring"
 )
 
-// TestNextIsTheRingThatNewBuilds lets members join, leave and come back under other incarnations.
-func TestNextIsTheRingThatNewBuilds(t *testing.T) {
+// TestNextEqualsNew checks that Next and New return equal rings while members join, leave and return under other
+// incarnations.
+func TestNextEqualsNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(12)
 		var former *ring.Ring
@@ -23,19 +24,19 @@
 				}
 			}
 			virtualNodes := rapid.IntRange(1, 3).Draw(t, "virtual nodes")
-			later, wanted := ring.Next(former, present, virtualNodes), ring.New(present, virtualNodes)
-			if changes := ring.Changes(wanted, later); len(changes) > 0 {
-				t.Fatalf("differs from the ring of %v in %v", present, changes)
+			later, rebuilt := ring.Next(former, present, virtualNodes), ring.New(present, virtualNodes)
+			if changes := ring.Changes(rebuilt, later); len(changes) > 0 {
+				t.Fatalf("the rings of Next and New with the members %v differ in %v", present, changes)
 			}
-			if got, want := ring.Changes(former, later), ring.Changes(former, wanted); fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("changes %v, want %v", got, want)
+			if got, want := ring.Changes(former, later), ring.Changes(former, rebuilt); fmt.Sprint(got) != fmt.Sprint(want) {
+				t.Fatalf("Changes from the former ring to that of Next = %v, want %v", got, want)
 			}
 			former = later
 		}
 	})
 }
 
-// BenchmarkOneOfManyLeaves builds the ring of 330 members without one of them.
+// BenchmarkOneOfManyLeaves compares New and Next for the removal of one of 330 members.
 func BenchmarkOneOfManyLeaves(b *testing.B) {
 	all := members(330)
 	full := ring.New(all, ring.DefaultVirtualNodes)
--- a/internal/dataplane/ring/ring.go
+++ b/internal/dataplane/ring/ring.go
@@ -1,18 +1,15 @@
-// Package ring is the hash ring that partitions the session directory over the
-// front nodes (source: docs/SALVAGE.md).
+// Package ring implements the consistent hash ring that partitions the session directory among the front nodes (source:
+// docs/SALVAGE.md).
 //
-// It owns no state beyond the immutable Ring values that it returns, which any
-// number of goroutines may share; it does no I/O.
+// It has no state beyond the immutable Ring values that it returns, which are safe for concurrent use, and does no I/O.
 //
-// Each member has a fixed number of virtual nodes. The position of one is the
-// hash of the member's address and the virtual node's index. The holder of a key is
-// the member of the virtual node with the largest hash strictly below the key.
-// Where there is none, the ring wraps around to the virtual node with the
-// largest hash of all. A virtual node therefore holds the range that begins just
-// after its hash and ends with, and includes, the hash of the next one.
+// Each member has a fixed number of virtual nodes. The position of a virtual node is the hash of the member's address
+// and the virtual node's index. The holder of a key is the member of the virtual node with the largest hash strictly
+// below the key. If there is none, the ring wraps around to the virtual node with the largest hash of all. A virtual
+// node therefore holds the range from its own hash, exclusive, to the hash of the next one, inclusive.
 //
-// Virtual nodes with equal hashes are ordered by address and then by index; the last
-// of them holds the range and the others hold nothing.
+// Virtual nodes with equal hashes are ordered by address and then by index. The last of them holds the range; the
+// others hold nothing.
 package ring
 
 import (
@@ -24,12 +21,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultVirtualNodes is the number of virtual nodes of a member where the settings give none: with 16 at 330 members,
-// no member holds more than 2.2 times its even share.
+// DefaultVirtualNodes is the default number of virtual nodes of a member. With 16 virtual nodes and 330 members, no
+// member holds more than 2.2 times its even share.
 const DefaultVirtualNodes = 16
 
-// Member is one front node on the ring. Its incarnation changes whenever it loses its authority, and with that its
-// directory partition, so that a member that returns is a different one.
+// Member is one front node on the ring. Its incarnation changes whenever it loses its authority, and with it its
+// directory partition, so that a returning member is a different member.
 type Member struct {
 	Name        string
 	Address     string
@@ -39,14 +36,14 @@
 // virtualNode is one position of a member on the ring.
 type virtualNode struct {
 	hash uint64
-	// member is the member's position in Ring.members.
+	// member is the index of the member in Ring.members.
 	member int
 	index  uint32
 }
 
 // Ring is an immutable assignment of keys to members.
 type Ring struct {
-	// members are in the order of their addresses.
+	// members are ordered by address.
 	members []Member
 	// vnodes are the virtual nodes of all members, ordered by compareVirtualNodes.
 	vnodes []virtualNode
@@ -54,14 +51,15 @@
 	vnodesPerMember int
 }
 
-// New builds the ring of the members, which must have distinct addresses; their order does not matter. virtualNodes is
-// the number of virtual nodes of each member; below 1 it is DefaultVirtualNodes.
+// New returns the ring of the members, which must have distinct addresses and may be in any order. virtualNodes is the
+// number of virtual nodes of each member; a value below 1 means DefaultVirtualNodes.
 func New(members []Member, virtualNodes int) *Ring {
 	return Next(nil, members, virtualNodes)
 }
 
-// Next builds the same ring as New from a former one, which may be nil. Only virtual nodes of addresses that the former
-// ring does not have are hashed and sorted, so that a change of one member among many costs one pass over the ring.
+// Next returns the same ring as New, reusing a former ring, which may be nil. Only the virtual nodes of addresses that
+// are not on the former ring are hashed and sorted, so that a change of one member among many costs one pass over the
+// ring.
 func Next(former *Ring, members []Member, virtualNodes int) *Ring {
 	if virtualNodes <= 0 {
 		virtualNodes = DefaultVirtualNodes
@@ -78,11 +76,11 @@
 
 func compareAddresses(a, b Member) int { return cmp.Compare(a.Address, b.Address) }
 
-// absent is the position of a member that the later ring does not have.
+// absent is the position of a member that is not on the later ring.
 const absent = -1
 
-// reusableFor lists the ring's virtual nodes whose addresses are among the members of a later ring, numbered by that
-// ring's members, and reports for each of those members whether its virtual nodes are among them.
+// reusableFor returns the virtual nodes whose addresses are among the members of a later ring, with member indexes of
+// that ring, and reports for each member whether its virtual nodes are among them.
 func (r *Ring) reusableFor(members []Member) (reused []virtualNode, isReused []bool) {
 	isReused = make([]bool, len(members))
 	positions := make([]int, len(r.members))
@@ -104,7 +102,7 @@
 	return reused, isReused
 }
 
-// hashedVirtualNodes hashes and orders the virtual nodes of the members that are not reused.
+// hashedVirtualNodes returns the virtual nodes, hashed and ordered, of the members whose virtual nodes are not reused.
 func hashedVirtualNodes(members []Member, isReused []bool, virtualNodes int) []virtualNode {
 	var hashed []virtualNode
 	for position, member := range members {
@@ -124,7 +122,7 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.member, b.member), cmp.Compare(a.index, b.index))
 }
 
-// merge joins two ordered lists of virtual nodes.
+// merge merges two ordered lists of virtual nodes.
 func merge(one, other []virtualNode) []virtualNode {
 	if len(other) == 0 {
 		return one
@@ -140,18 +138,18 @@
 	return append(append(merged, one...), other...)
 }
 
-// VirtualNodeHash is the position of one virtual node: xxHash64 of the address
-// followed by the index as four big-endian bytes.
+// VirtualNodeHash returns the position of a virtual node: xxHash64 of the address followed by the index as four
+// big-endian bytes.
 func VirtualNodeHash(address string, index uint32) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint32([]byte(address), index))
 }
 
-// Key is the position of a session on the ring: xxHash64 of its id.
+// Key returns the position of a session on the ring: xxHash64 of its id.
 func Key(session string) uint64 {
 	return xxhash.Sum64String(session)
 }
 
-// Members lists the members in the order of their addresses. The caller must not change it.
+// Members returns the members, ordered by address. The caller must not modify the slice.
 func (r *Ring) Members() []Member {
 	return r.members
 }
@@ -164,8 +162,8 @@
 	return r.members[r.vnodes[r.below(key)].member], true
 }
 
-// HolderExcept returns the member that would hold the key if the members that skip accepts
-// were not on the ring; false when no other is left.
+// HolderExcept returns the member that would hold the key if the members for which skip returns true were not on the
+// ring; false if no other member is left.
 func (r *Ring) HolderExcept(key uint64, skip func(Member) bool) (Member, bool) {
 	if len(r.vnodes) == 0 {
 		return Member{}, false
@@ -180,8 +178,8 @@
 	return Member{}, false
 }
 
-// below finds the virtual node with the largest hash strictly below the key, or with the largest of all when there is
-// none.
+// below returns the index of the virtual node with the largest hash strictly below the key, or with the largest hash of
+// all if there is none.
 func (r *Ring) below(key uint64) int {
 	notBelow := sort.Search(len(r.vnodes), func(i int) bool { return r.vnodes[i].hash >= key })
 	if notBelow == 0 {
@@ -190,7 +188,7 @@
 	return notBelow - 1
 }
 
-// Share is the fraction of all keys, from 0 to 1, that the member of that name holds.
+// Share returns the fraction of all keys, from 0 to 1, that the named member holds.
 func (r *Ring) Share(name string) float64 {
 	var share float64
 	for i, vnode := range r.vnodes {
--- a/internal/dataplane/ring/ring_test.go
+++ b/internal/dataplane/ring/ring_test.go
@@ -49,7 +49,7 @@
 
 func TestEmptyRingHasNoHolder(t *testing.T) {
 	if holder, ok := ring.New(nil, 16).Holder(7); ok {
-		t.Fatalf("got %v", holder)
+		t.Fatalf("an empty ring has the holder %v, want none", holder)
 	}
 }
 
@@ -64,32 +64,32 @@
 		a, _ := one.Holder(key)
 		b, _ := other.Holder(key)
 		if a != b {
-			t.Fatalf("key %d: %v and %v", key, a, b)
+			t.Fatalf("key %d has the holder %v, and %v with the members reversed", key, a, b)
 		}
 	}
 }
 
-// Virtual nodes with equal hashes: the last of them by address holds the range.
+// Of virtual nodes with equal hashes the last one by address and index holds the range.
 func TestTiesGoToTheLargerAddress(t *testing.T) {
 	same := []ring.Member{{Name: "a", Address: "same"}, {Name: "b", Address: "same"}}
 	distinct := ring.New([]ring.Member{{Name: "b", Address: "10.0.0.2:1"}, {Name: "a", Address: "10.0.0.1:1"}}, 4)
 	if names := distinct.Members(); names[0].Name != "a" {
-		t.Fatalf("members are not ordered by address: %v", names)
+		t.Fatalf("members %v are not ordered by address", names)
 	}
 	tied := ring.New(same, 1)
 	for _, key := range []uint64{0, 1 << 40, math.MaxUint64} {
 		if holder, _ := tied.Holder(key); holder.Name != "b" {
-			t.Fatalf("key %d has holder %v", key, holder)
+			t.Fatalf("key %d has the holder %v, want b", key, holder)
 		}
 	}
 }
 
 func TestKnownHashesDoNotChange(t *testing.T) {
 	if got := ring.Key("session-1"); got != 0xb098057f22ed07c3 {
-		t.Errorf("key of session-1 is %#x", got)
+		t.Errorf("Key(\"session-1\") = %#x, want 0xb098057f22ed07c3", got)
 	}
 	if got := ring.VirtualNodeHash("127.0.0.1:7000", 3); got != 0x49c929ac9267d27c {
-		t.Errorf("virtual node hash is %#x", got)
+		t.Errorf("VirtualNodeHash(\"127.0.0.1:7000\", 3) = %#x, want 0x49c929ac9267d27c", got)
 	}
 }
 
@@ -103,17 +103,17 @@
 		largest = max(largest, share)
 	}
 	if math.Abs(sum-1) > 1e-9 {
-		t.Fatalf("shares add up to %f", sum)
+		t.Fatalf("shares add up to %f, want 1", sum)
 	}
 	if largest > 2.2/330 {
-		t.Fatalf("one member holds %.2f times its share", largest*330)
+		t.Fatalf("one member holds %.2f times its even share, want at most 2.2", largest*330)
 	}
 	if only := ring.New(fleet[:1], 1).Share(fleet[0].Name); only != 1 {
-		t.Fatalf("a ring of one virtual node has share %f", only)
+		t.Fatalf("the only member of a ring with one virtual node has share %f, want 1", only)
 	}
 }
 
-// drawMembers draws a subset of a fleet with incarnations.
+// drawMembers draws a subset of eight members with incarnations.
 func drawMembers(t *rapid.T, label string) []ring.Member {
 	var drawn []ring.Member
 	for _, member := range members(8) {
@@ -125,7 +125,7 @@
 	return drawn
 }
 
-func TestChangesAreExactlyTheKeysThatChangedHands(t *testing.T) {
+func TestChangesAreExactlyTheKeysWhoseHolderChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		virtualNodes := rapid.IntRange(1, 4).Draw(t, "virtual nodes")
 		former := ring.New(drawMembers(t, "former"), virtualNodes)
@@ -136,12 +136,12 @@
 			keys = append(keys, change.After, change.After+1, change.Through, change.Through+1)
 		}
 		for _, key := range keys {
-			checkKey(t, former, later, changes, key)
+			checkChangesOfKey(t, former, later, changes, key)
 		}
 	})
 }
 
-func checkKey(t *rapid.T, former, later *ring.Ring, changes []ring.Change, key uint64) {
+func checkChangesOfKey(t *rapid.T, former, later *ring.Ring, changes []ring.Change, key uint64) {
 	from, _ := former.Holder(key)
 	to, _ := later.Holder(key)
 	var covering []ring.Change
@@ -152,22 +152,22 @@
 	}
 	switch {
 	case from == to && len(covering) != 0:
-		t.Fatalf("key %d kept its holder and is in %v", key, covering)
+		t.Fatalf("key %d has the same holder on both rings and is in the changes %v", key, covering)
 	case from != to && len(covering) != 1:
-		t.Fatalf("key %d changed hands and is in %d ranges", key, len(covering))
+		t.Fatalf("the holder of key %d changed and the key is in %d changes, want 1", key, len(covering))
 	case from != to && (covering[0].From != from || covering[0].To != to):
-		t.Fatalf("key %d: %v to %v, got %v", key, from, to, covering[0])
+		t.Fatalf("key %d is in the change %v, want one from %v to %v", key, covering[0], from, to)
 	}
 }
 
-func TestChangesFromNoRingCoverTheCompleteRing(t *testing.T) {
+func TestChangesFromNilRingCoverTheWholeRing(t *testing.T) {
 	changes := ring.Changes(nil, ring.New(members(1), 16))
 	if len(changes) != 1 || changes[0].From != (ring.Member{}) ||
 		!changes[0].Contains(0) || !changes[0].Contains(math.MaxUint64) {
-		t.Fatalf("got %v", changes)
+		t.Fatalf("Changes from a nil ring = %v, want one change of the whole ring", changes)
 	}
 	if none := ring.Changes(nil, nil); len(none) != 0 {
-		t.Fatalf("got %v", none)
+		t.Fatalf("Changes between nil rings = %v, want none", none)
 	}
 }
 
@@ -175,7 +175,7 @@
 	fleet := members(20)
 	for _, change := range ring.Changes(ring.New(fleet, 16), ring.New(fleet[1:], 16)) {
 		if change.From != fleet[0] {
-			t.Fatalf("a range of %v moved", change.From)
+			t.Fatalf("a range of %v moved, want only ranges of %v", change.From, fleet[0])
 		}
 	}
 }
