--- a/internal/controlplane/firsttoken/histogram.go
+++ b/internal/controlplane/firsttoken/histogram.go
@@ -1,13 +1,12 @@
-// Package firsttoken has the histogram in which front nodes count the first-token
-// times of roll-out variants, and which the core's guard and operators evaluate. All
-// of them must agree on its buckets, so these are defined here only. The package is
+// Package firsttoken defines the histogram of the first-token times of roll-out
+// variants, which front nodes record and the core's guard and operators evaluate. All
+// of them must use the same buckets, so these are defined here only. The package is
 // pure and safe for concurrent use.
 package firsttoken
 
 import "slices"
 
-// bounds are the upper bounds, in milliseconds, of the histogram buckets
-// in which the samples of roll-out variants count first-token times; the last
+// bounds are the inclusive upper bounds of the buckets in milliseconds; the last
 // bucket has no bound.
 var bounds = []uint32{1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000, 60000}
 
--- a/internal/controlplane/placement/initial.go
+++ b/internal/controlplane/placement/initial.go
@@ -2,9 +2,9 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// InitialSettings of the first placement.
+// InitialSettings configure the first placement.
 type InitialSettings struct {
-	// Epoch is that of each shard.
+	// Epoch is the initial epoch of each shard.
 	Epoch    uint64
 	Shards   uint32
 	Replicas int
@@ -13,11 +13,11 @@
 }
 
 // Initial places all shards on stores, evenly and spread over failure domains. There must be at least as many stores as
-// replicas.
+// replicas of a shard.
 func Initial(stores []*protocol.Node, settings InitialSettings) []*protocol.ShardPlacement {
 	loads := map[string]int{}
 	spread := newSpread(stores, stores, settings.Replicas)
-	spread.overRegions = spread.overRegions && settings.OverRegions
+	spread.distinctRegions = spread.distinctRegions && settings.OverRegions
 	shards := make([]*protocol.ShardPlacement, 0, settings.Shards)
 	for number := range settings.Shards {
 		shard := &protocol.ShardPlacement{Shard: number, Epoch: settings.Epoch}
--- a/internal/controlplane/placement/planner.go
+++ b/internal/controlplane/placement/planner.go
@@ -1,7 +1,7 @@
-// Package placement decides which stores hold the shards of the ledger: the
+// Package placement computes which stores hold the shards of the ledger: the
 // first placement, and the moves that replace lost stores, empty stores, spread
-// replicas over failure domains and balance the load. It is pure; the tables that
-// it reads are not changed.
+// replicas over failure domains and balance the load. It is pure and does not modify
+// the placements that it reads.
 package placement
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Input is what the planner decides from.
+// Input is the state from which Plan computes moves.
 type Input struct {
 	Placement *protocol.Placement
-	// Nodes are those of the membership view; other kinds than stores are ignored.
+	// Nodes are the nodes of the membership view; those that are not stores are ignored.
 	Nodes []*protocol.Node
-	// Lost names the stores that have been without a lease for so long that their shards are to move.
+	// Lost contains the names of the stores that have been without a lease for so long that their shards must move.
 	Lost map[string]bool
-	// MaxMoves bounds the shards that move at one time.
+	// MaxMoves bounds the shards that move concurrently.
 	MaxMoves int
 }
 
 // Plan proposes the next steps, most urgent first: cancel moves to lost stores, empty stores and replace lost ones,
-// separate replicas that share a region, then those that share a zone, then balance. It returns no more steps than
-// MaxMoves allows beside the moves in progress.
+// separate replicas that share a region, then those that share a zone, then balance. Moves in progress count towards
+// MaxMoves; cancellations do not.
 func Plan(input Input) []*protocol.MoveShardCommand {
 	p := newPlan(input)
 	p.cancelMoves()
@@ -40,7 +40,7 @@
 	usable []*protocol.Node
 	spread *spread
 	loads  map[string]int
-	// moving marks the shards that move already or were given a step here.
+	// moving marks the shards that are already moving or have a move in steps.
 	moving         map[uint32]bool
 	remainingMoves int
 	steps          []*protocol.MoveShardCommand
@@ -68,6 +68,7 @@
 	return p
 }
 
+// cancelMoves cancels the moves of shards whose new store is lost.
 func (p *plan) cancelMoves() {
 	for _, shard := range p.input.Placement.GetShards() {
 		for _, replica := range shard.GetNext() {
@@ -78,12 +79,12 @@
 	}
 }
 
-// evacuateStores moves shards off stores that are being emptied or are lost.
+// evacuateStores moves shards from stores that are being emptied or are lost.
 func (p *plan) evacuateStores() {
 	for _, shard := range p.input.Placement.GetShards() {
 		for _, replica := range shard.GetCurrent() {
-			leaving := p.input.Lost[replica.GetStore()] || slices.Contains(p.input.Placement.GetEmptying(), replica.GetStore())
-			if leaving && p.replace(shard, replica.GetStore(), nil) {
+			mustMove := p.input.Lost[replica.GetStore()] || slices.Contains(p.input.Placement.GetEmptying(), replica.GetStore())
+			if mustMove && p.replace(shard, replica.GetStore(), nil) {
 				break
 			}
 		}
@@ -92,7 +93,7 @@
 
 // separateRegions moves a replica that shares its region with another when a store in another region can take it.
 func (p *plan) separateRegions() {
-	if p.spread.overRegions {
+	if p.spread.distinctRegions {
 		p.separate(p.spread.regions)
 	}
 }
@@ -100,8 +101,8 @@
 // separateZones moves a replica that shares its zone with another when a store in another zone can take it.
 func (p *plan) separateZones() { p.separate(p.spread.zones) }
 
-// separate moves a replica that shares its failure domain with another to a domain that no other replica has. The
-// domains are the region or zone of each store.
+// separate moves a replica that shares its failure domain with another one to a domain without a replica. The domains
+// are the region or zone of each store.
 func (p *plan) separate(domains map[string]string) {
 	for _, shard := range p.input.Placement.GetShards() {
 		seen := map[string]bool{}
@@ -115,7 +116,7 @@
 	}
 }
 
-// balance evens out the number of replicas while no replica is rebuilding.
+// balance equalizes the number of replicas per store, unless a replica is rebuilding.
 func (p *plan) balance() {
 	if len(p.usable) < 2 || IsRebuilding(p.input.Placement) {
 		return
@@ -130,7 +131,8 @@
 	}
 }
 
-// moveOneShard moves one shard from the fullest store that can release one to the emptiest that can take it.
+// moveOneShard moves one shard from the most loaded store that can release one to the least loaded store that can take
+// it. It returns false when there is no such move that improves the balance.
 func (p *plan) moveOneShard(byLoad []*protocol.Node) bool {
 	for _, target := range byLoad {
 		for _, source := range slices.Backward(byLoad) {
@@ -147,23 +149,25 @@
 	return false
 }
 
+// canMove reports whether a shard can move from source to target: the target must not be in the zone of another
+// replica, and the replicas must be in no fewer regions than before.
 func (p *plan) canMove(shard *protocol.ShardPlacement, source, target *protocol.Node) bool {
 	if FindReplica(shard.GetCurrent(), source.GetName()) == nil || FindReplica(shard.GetCurrent(),
 		target.GetName()) != nil {
 		return false
 	}
-	remaining := without(shard.GetCurrent(), source.GetName())
+	remaining := withoutStore(shard.GetCurrent(), source.GetName())
 	return !sharesDomain(p.spread.zones, remaining, target.GetName()) && p.spread.preservesRegions(shard.GetCurrent(),
 		source.GetName(), target.GetName())
 }
 
-// replace moves one replica of a shard to the best store. With domains (the region or zone of each store) it demands
-// one that no other replica has, and no fewer regions than before.
+// replace moves one replica of a shard to the best store. With domains (the region or zone of each store) the store
+// must be in a domain without another replica, and the replicas in no fewer regions than before.
 func (p *plan) replace(shard *protocol.ShardPlacement, store string, domains map[string]string) bool {
 	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 {
 		return false
 	}
-	remaining := without(shard.GetCurrent(), store)
+	remaining := withoutStore(shard.GetCurrent(), store)
 	var candidates []*protocol.Node
 	for _, node := range p.usable {
 		fits := domains == nil || !sharesDomain(domains, remaining,
@@ -176,12 +180,12 @@
 	return target != nil && p.addMove(shard, store, target)
 }
 
-// addMove records a move when the replicas that stay are a majority that can vote.
-func (p *plan) addMove(shard *protocol.ShardPlacement, leaving string, target *protocol.Node) bool {
-	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 || !majorityActive(shard, leaving) {
+// addMove adds a move if the remaining replicas include a majority that can vote.
+func (p *plan) addMove(shard *protocol.ShardPlacement, source string, target *protocol.Node) bool {
+	if p.moving[shard.GetShard()] || p.remainingMoves <= 0 || !majorityActive(shard, source) {
 		return false
 	}
-	next := append(without(shard.GetCurrent(), leaving),
+	next := append(withoutStore(shard.GetCurrent(), source),
 		&protocol.Replica{Store: target.GetName(), StorageId: target.GetStorageId()})
 	p.steps = append(p.steps, &protocol.MoveShardCommand{
 		Shard: shard.GetShard(), ExpectedEpoch: shard.GetEpoch(),
@@ -189,11 +193,12 @@
 	})
 	p.moving[shard.GetShard()] = true
 	p.remainingMoves--
-	p.loads[leaving]--
+	p.loads[source]--
 	p.loads[target.GetName()]++
 	return true
 }
 
+// majorityActive reports whether a majority of the replicas of a shard is active without the one on the leaving store.
 func majorityActive(shard *protocol.ShardPlacement, leaving string) bool {
 	active := 0
 	for _, replica := range shard.GetCurrent() {
@@ -204,7 +209,7 @@
 	return active > len(shard.GetCurrent())/2
 }
 
-func without(replicas []*protocol.Replica, store string) []*protocol.Replica {
+func withoutStore(replicas []*protocol.Replica, store string) []*protocol.Replica {
 	remaining := make([]*protocol.Replica, 0, len(replicas)+1)
 	for _, replica := range replicas {
 		if replica.GetStore() != store {
--- a/internal/controlplane/placement/spread.go
+++ b/internal/controlplane/placement/spread.go
@@ -2,14 +2,15 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// spread knows the failure domains of the stores, and which of them the replicas of a shard must not share.
+// spread holds the failure domains of the stores, and whether the replicas of a shard must be in distinct regions.
 type spread struct {
 	zones, regions map[string]string
-	// overRegions is true when the usable stores are in as many regions as a shard has replicas.
-	overRegions bool
+	// distinctRegions is true when the usable stores are in at least as many regions as a shard has replicas.
+	distinctRegions bool
 }
 
-// newSpread takes the stores that may take shards, all nodes that are known, and the number of replicas of a shard.
+// newSpread returns the spread for the stores that may take shards, all nodes of the membership view, and the number of
+// replicas of a shard.
 func newSpread(usable, nodes []*protocol.Node, replicas int) *spread {
 	s := &spread{zones: map[string]string{}, regions: map[string]string{}}
 	for _, node := range nodes {
@@ -17,12 +18,12 @@
 			s.zones[node.GetName()], s.regions[node.GetName()] = node.GetZone(), node.GetRegion()
 		}
 	}
-	s.overRegions = replicas > 1 && countRegions(usable) >= replicas
+	s.distinctRegions = replicas > 1 && countRegions(usable) >= replicas
 	return s
 }
 
-// choose picks among the stores without a replica: one in a region of its own first where there are enough regions,
-// then one in a zone of its own, then that with the least load, then the first.
+// choose returns a store without a replica, or nil when there is none. It prefers a store in a region without a replica
+// where there are enough regions, then one in a zone without a replica, then the least loaded, then the first in order.
 func (s *spread) choose(stores []*protocol.Node, replicas []*protocol.Replica, loads map[string]int) *protocol.Node {
 	var best *protocol.Node
 	minOverlap := 0
@@ -38,10 +39,11 @@
 	return best
 }
 
-// overlap is 0 for a store apart from all replicas, 1 in a shared zone, 2 or 3 in a shared region.
+// overlap ranks the failure domains that a store shares with the replicas: 0 for none, 1 for a zone, 2 for a region, 3
+// for both. Regions count only where there are enough of them.
 func (s *spread) overlap(replicas []*protocol.Replica, store string) int {
 	overlap := 0
-	if s.overRegions && sharesDomain(s.regions, replicas, store) {
+	if s.distinctRegions && sharesDomain(s.regions, replicas, store) {
 		overlap += 2
 	}
 	if sharesDomain(s.zones, replicas, store) {
@@ -50,7 +52,7 @@
 	return overlap
 }
 
-// preservesRegions reports whether the replicas are in as many known regions after the move as before.
+// preservesRegions reports whether the replicas are in at least as many known regions after a move as before.
 func (s *spread) preservesRegions(replicas []*protocol.Replica, leaving, target string) bool {
 	before, after := map[string]bool{}, map[string]bool{s.regions[target]: true}
 	for _, replica := range replicas {
@@ -66,7 +68,7 @@
 	return len(after) >= len(before)
 }
 
-// sharesDomain reports whether a replica is in the same failure domain as the store.
+// sharesDomain reports whether one of the replicas is in the same failure domain as the store.
 func sharesDomain(domains map[string]string, replicas []*protocol.Replica, store string) bool {
 	for _, replica := range replicas {
 		if domain, known := domains[replica.GetStore()]; known && domain == domains[store] {
--- a/internal/controlplane/placement/table.go
+++ b/internal/controlplane/placement/table.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// FindReplica finds the replica on a store; nil when there is none.
+// FindReplica returns the replica on a store, or nil when there is none.
 func FindReplica(replicas []*protocol.Replica, store string) *protocol.Replica {
 	for _, replica := range replicas {
 		if replica.GetStore() == store {
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// HasReplica reports whether a store has a replica of any shard, or gets one by a move.
+// HasReplica reports whether a store has a replica of any shard, or is the target of a move in progress.
 func HasReplica(table *protocol.Placement, store string) bool {
 	for _, shard := range table.GetShards() {
 		if FindReplica(shard.GetCurrent(), store) != nil || FindReplica(shard.GetNext(), store) != nil {
@@ -26,7 +26,7 @@
 	return false
 }
 
-// ReplicaCount is the number of replicas of each shard; zero before the first placement.
+// ReplicaCount returns the number of replicas of each shard, or zero before the first placement.
 func ReplicaCount(table *protocol.Placement) int {
 	if len(table.GetShards()) == 0 {
 		return 0
@@ -46,7 +46,7 @@
 	return false
 }
 
-// UsableStores lists the stores that may take shards, in the order of the nodes.
+// UsableStores returns the stores that may take shards, in the order of nodes.
 func UsableStores(table *protocol.Placement, nodes []*protocol.Node) []*protocol.Node {
 	var stores []*protocol.Node
 	for _, node := range nodes {
@@ -64,7 +64,7 @@
 		!slices.Contains(table.GetEmptied(), node.GetName())
 }
 
-// CountZones is the number of distinct zones of stores.
+// CountZones returns the number of distinct zones of the stores.
 func CountZones(stores []*protocol.Node) int {
 	zones := map[string]bool{}
 	for _, store := range stores {
--- a/internal/controlplane/serverhealth/detector_test.go
+++ b/internal/controlplane/serverhealth/detector_test.go
@@ -8,7 +8,7 @@
 
 var start = time.Unix(1_764_650_000, 0)
 
-// scenario is a detector with the time that a test moves.
+// scenario is a detector with a clock that the test advances.
 type scenario struct {
 	t        *testing.T
 	detector Detector
@@ -17,7 +17,7 @@
 
 func newScenario(t *testing.T) *scenario { return &scenario{t: t, now: start} }
 
-func (s *scenario) pass(by time.Duration) { s.now = s.now.Add(by) }
+func (s *scenario) advance(by time.Duration) { s.now = s.now.Add(by) }
 
 func (s *scenario) report(node, zone string, outcomes Outcomes) {
 	if outcomes.Server == "" {
@@ -29,7 +29,7 @@
 func (s *scenario) expect(zone string, ejected bool, why string) {
 	s.t.Helper()
 	if got := len(s.detector.Ejected(zone, s.now)) > 0; got != ejected {
-		s.t.Errorf("ejected %t in %q: %s", got, zone, why)
+		s.t.Errorf("zone %q: ejected = %t, want %t: %s", zone, got, ejected, why)
 	}
 }
 
@@ -40,16 +40,16 @@
 	}
 	s.expect("z2", false, "too few faults")
 	s.report("f9", "z2", Outcomes{Faults: 1})
-	s.expect("z1", true, "each front node alone saw one fault")
-	s.expect("z3", true, "it is ejected in all zones")
-	s.pass(initialEjection)
-	s.expect("z1", false, "it is tried again")
+	s.expect("z1", true, "several front nodes observed one fault each")
+	s.expect("z3", true, "the ejection applies to all zones")
+	s.advance(initialEjection)
+	s.expect("z1", false, "the ejection ended")
 }
 
 func TestOneFrontNodeAloneEjectsNoServer(t *testing.T) {
 	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Faults: 50, Overdue: 50})
-	s.expect("z1", false, "its own link may be at fault")
+	s.expect("z1", false, "the fault may be in the front node's own link")
 }
 
 func TestFaultsAmongManyAnswersEjectNoServer(t *testing.T) {
@@ -57,16 +57,16 @@
 	for node := range 20 {
 		s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Faults: 1, Answered: 19})
 	}
-	s.expect("z1", false, "one answer in twenty is lost at all servers")
+	s.expect("z1", false, "a share of one fault in twenty outcomes is below faultShare")
 }
 
 func TestFaultsOutsideTheWindowDoNotCount(t *testing.T) {
 	s := newScenario(t)
 	for node := range 2 * minFaults {
 		s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Faults: 1})
-		s.pass(window)
+		s.advance(window)
 	}
-	s.expect("z1", false, "no two faults lie in one window")
+	s.expect("z1", false, "too few faults are within one window")
 }
 
 func TestUnresponsiveServerIsEjectedBeforeAnyRequestFailed(t *testing.T) {
@@ -74,27 +74,27 @@
 	s.report("f1", "z1", Outcomes{Answered: 9})
 	s.report("f1", "z1", Outcomes{Overdue: 2})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
-	s.expect("z1", false, "it answered a moment ago")
-	s.pass(unresponsiveAfter)
+	s.expect("z1", false, "the server answered recently")
+	s.advance(unresponsiveAfter)
 	s.report("f2", "z2", Outcomes{Overdue: 2})
-	s.expect("z1", true, "four requests wait and nothing was answered since")
+	s.expect("z1", true, "four requests are overdue and no answer arrived for unresponsiveAfter")
 }
 
 func TestLateAnswersUnderABurstEjectNoServer(t *testing.T) {
 	s := newScenario(t)
 	for range 10 {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		for node := range 5 {
 			s.report(fmt.Sprintf("f%d", node), "z1", Outcomes{Overdue: 3, Answered: 1})
 		}
-		s.expect("z1", false, "it answers, though late")
+		s.expect("z1", false, "the server answers, although late")
 	}
 }
 
 func TestOverdueRequestsExpireWithoutFurtherReports(t *testing.T) {
 	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Overdue: 3})
-	s.pass(overdueTTL + time.Millisecond)
+	s.advance(overdueTTL + time.Millisecond)
 	s.report("f2", "z1", Outcomes{Overdue: 3})
 	s.expect("z1", false, "the report of f1 is too old")
 }
@@ -107,7 +107,7 @@
 	s.report("f1", "z1", Outcomes{Faults: 2})
 	s.report("f2", "z1", Outcomes{Faults: 2})
 	s.expect("z1", true, "all requests of the zone failed")
-	s.expect("z2", false, "there it answers")
+	s.expect("z2", false, "the server answers in this zone")
 }
 
 func TestServerThatFailsAgainIsEjectedForLonger(t *testing.T) {
@@ -118,35 +118,35 @@
 	}
 	for _, duration := range []time.Duration{initialEjection, 2 * initialEjection, maxEjection, maxEjection} {
 		fail()
-		s.pass(duration - time.Millisecond)
-		s.expect("z1", true, "it failed again soon after it was tried again")
-		s.pass(time.Millisecond)
+		s.advance(duration - time.Millisecond)
+		s.expect("z1", true, "the server failed again soon after its last ejection")
+		s.advance(time.Millisecond)
 		s.expect("z1", false, "the ejection ended")
 	}
-	s.pass(forgiveAfter + time.Millisecond)
+	s.advance(forgiveAfter + time.Millisecond)
 	fail()
-	s.pass(initialEjection)
-	s.expect("z1", false, "former faults are forgiven")
+	s.advance(initialEjection)
+	s.expect("z1", false, "a server without faults for forgiveAfter is ejected for initialEjection again")
 }
 
 func TestNewIncarnationBeginsWithoutFaults(t *testing.T) {
 	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Incarnation: 1, Faults: 2})
 	s.report("f2", "z1", Outcomes{Incarnation: 1, Faults: 2})
-	s.expect("z1", true, "it fails")
+	s.expect("z1", true, "incarnation 1 fails")
 	s.report("f1", "z1", Outcomes{Incarnation: 2, Answered: 1})
-	s.expect("z1", false, "another process answers at its name")
+	s.expect("z1", false, "the ejection was of incarnation 1")
 	s.report("f2", "z1", Outcomes{Incarnation: 1, Faults: 9})
-	s.expect("z1", false, "faults of the former one come late")
+	s.expect("z1", false, "late reports on incarnation 1 do not count")
 }
 
 func TestServersWithoutReportsAreRemoved(t *testing.T) {
 	s := newScenario(t)
 	s.report("f1", "z1", Outcomes{Server: "gone", Faults: 1})
-	s.pass(idleTTL + time.Millisecond)
+	s.advance(idleTTL + time.Millisecond)
 	s.report("f1", "z1", Outcomes{Server: "s1", Answered: 1})
 	if len(s.detector.servers) != 1 {
-		t.Errorf("%d servers have state", len(s.detector.servers))
+		t.Errorf("state of %d servers, want only that of s1", len(s.detector.servers))
 	}
 }
 
@@ -155,7 +155,7 @@
 	s.report("f1", "z1", Outcomes{Answered: 5, ResponseAge: unresponsiveAfter})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.report("f3", "z2", Outcomes{Overdue: 2})
-	s.expect("z1", true, "the answers reported a moment ago are too old")
+	s.expect("z1", true, "the answers arrived unresponsiveAfter ago")
 }
 
 func TestFirstEventsOfStreamsAreResponses(t *testing.T) {
@@ -163,7 +163,7 @@
 	s.report("f1", "z1", Outcomes{Responded: true, ResponseAge: unresponsiveAfter / 2})
 	s.report("f2", "z2", Outcomes{Overdue: 2})
 	s.report("f3", "z2", Outcomes{Overdue: 2})
-	s.expect("z1", false, "a stream began at it a moment ago")
+	s.expect("z1", false, "a stream of the server began recently")
 }
 
 func TestVersionGrowsWithEachEjection(t *testing.T) {
@@ -173,16 +173,16 @@
 		s.report("f2", "z2", Outcomes{Server: server, Faults: 2})
 	}
 	if s.detector.Version() != 0 {
-		t.Errorf("version %d before any ejection", s.detector.Version())
+		t.Errorf("version = %d before any ejection, want 0", s.detector.Version())
 	}
 	fail("s1")
 	first := s.detector.Version()
 	fail("s1")
 	if s.detector.Version() != first || first == 0 {
-		t.Errorf("version %d, then %d while the same server is ejected", first, s.detector.Version())
+		t.Errorf("version = %d, then %d while the same server is ejected; want the same, not 0", first, s.detector.Version())
 	}
 	fail("s2")
 	if s.detector.Version() <= first {
-		t.Errorf("version %d after another ejection, %d before", s.detector.Version(), first)
+		t.Errorf("version = %d after another ejection, want more than %d", s.detector.Version(), first)
 	}
 }
--- a/internal/controlplane/serverhealth/evidence.go
+++ b/internal/controlplane/serverhealth/evidence.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// observation is the outcomes that one front node reported of a server at one time.
+// observation contains the outcomes of one report on a server.
 type observation struct {
-	at time.Time
-	// responded is set when there was a sign of an answer, the newest one at respondedAt.
+	reportedAt time.Time
+	// responded is set when the server responded; the newest response arrived at respondedAt.
 	responded        bool
 	respondedAt      time.Time
 	node, zone       string
 	answered, faults uint32
 }
 
-// overdueReport is the last report of a front node on overdue requests.
+// overdueReport is the last report of a front node that had overdue requests.
 type overdueReport struct {
-	at    time.Time
-	zone  string
-	count uint32
+	reportedAt time.Time
+	zone       string
+	count      uint32
 }
 
 // ejection is the last ejection of a server in one scope.
@@ -29,15 +29,15 @@
 type serverState struct {
 	incarnation uint64
 	reportedAt  time.Time
-	// observations are in the order of time and no older than the window.
+	// observations are in order of time and no older than window.
 	observations []observation
-	// overdue are the last reports of overdue requests, by front node.
+	// overdue maps a front node to its last report of overdue requests.
 	overdue map[string]overdueReport
-	// ejections are by the zone of the reporters, or allZones.
+	// ejections maps a scope, the zone of the reporters or allZones, to its last ejection.
 	ejections map[string]*ejection
 }
 
-func newServer(incarnation uint64) *serverState {
+func newServerState(incarnation uint64) *serverState {
 	return &serverState{incarnation: incarnation, overdue: map[string]overdueReport{}, ejections: map[string]*ejection{}}
 }
 
@@ -48,38 +48,38 @@
 	responded := outcomes.Responded || outcomes.Answered > 0
 	if responded || outcomes.Faults > 0 {
 		s.observations = append(s.observations, observation{
-			at: now, responded: responded, respondedAt: now.Add(-outcomes.ResponseAge), node: report.Node, zone: report.Zone,
-			answered: outcomes.Answered, faults: outcomes.Faults,
+			reportedAt: now, responded: responded, respondedAt: now.Add(-outcomes.ResponseAge),
+			node: report.Node, zone: report.Zone, answered: outcomes.Answered, faults: outcomes.Faults,
 		})
 	}
 	delete(s.overdue, report.Node)
 	if outcomes.Overdue > 0 {
-		s.overdue[report.Node] = overdueReport{at: now, zone: report.Zone, count: outcomes.Overdue}
+		s.overdue[report.Node] = overdueReport{reportedAt: now, zone: report.Zone, count: outcomes.Overdue}
 	}
 	ejected := false
 	for _, scope := range []string{allZones, report.Zone} {
-		if s.evidence(scope, now).isUnhealthy() && s.eject(scope, now) {
+		if s.collectEvidence(scope, now).isUnhealthy() && s.eject(scope, now) {
 			ejected = true
 		}
 	}
 	return ejected
 }
 
-// dropExpired drops what is too old to count.
+// dropExpired drops observations and reports of overdue requests that are too old to count.
 func (s *serverState) dropExpired(now time.Time) {
-	first := 0
-	for first < len(s.observations) && now.Sub(s.observations[first].at) > window {
-		first++
+	firstValid := 0
+	for firstValid < len(s.observations) && now.Sub(s.observations[firstValid].reportedAt) > window {
+		firstValid++
 	}
-	s.observations = s.observations[first:]
+	s.observations = s.observations[firstValid:]
 	for node, reported := range s.overdue {
-		if now.Sub(reported.at) > overdueTTL {
+		if now.Sub(reported.reportedAt) > overdueTTL {
 			delete(s.overdue, node)
 		}
 	}
 }
 
-// eject ejects the server from now on; it reports false when it is already ejected.
+// eject ejects the server in a scope from now on. It returns false if the server is already ejected there.
 func (s *serverState) eject(scope string, now time.Time) bool {
 	current := s.ejections[scope]
 	switch {
@@ -95,7 +95,7 @@
 	}
 	current.until = now.Add(current.duration)
 	if scope == allZones {
-		// Observations count once: after the ejection, new outcomes decide.
+		// Observations count only once: the next ejection requires new outcomes.
 		s.observations, s.overdue = nil, map[string]overdueReport{}
 	}
 	return true
@@ -111,38 +111,38 @@
 	return until
 }
 
-// scopeEvidence is the observations of the front nodes of one scope together.
+// scopeEvidence aggregates the observations of the front nodes of one scope.
 type scopeEvidence struct {
 	answered, faults, overdue        uint32
 	respondedRecently                bool
 	faultReporters, overdueReporters map[string]bool
 }
 
-func (s *serverState) evidence(scope string, now time.Time) scopeEvidence {
-	total := scopeEvidence{faultReporters: map[string]bool{}, overdueReporters: map[string]bool{}}
+func (s *serverState) collectEvidence(scope string, now time.Time) scopeEvidence {
+	evidence := scopeEvidence{faultReporters: map[string]bool{}, overdueReporters: map[string]bool{}}
 	for _, observed := range s.observations {
 		if scope != allZones && observed.zone != scope {
 			continue
 		}
-		total.answered += observed.answered
-		total.respondedRecently = total.respondedRecently || observed.responded &&
+		evidence.answered += observed.answered
+		evidence.respondedRecently = evidence.respondedRecently || observed.responded &&
 			now.Sub(observed.respondedAt) < unresponsiveAfter
-		total.faults += observed.faults
+		evidence.faults += observed.faults
 		if observed.faults > 0 {
-			total.faultReporters[observed.node] = true
+			evidence.faultReporters[observed.node] = true
 		}
 	}
 	for node, reported := range s.overdue {
 		if scope == allZones || reported.zone == scope {
-			total.overdue += reported.count
-			total.overdueReporters[node] = true
+			evidence.overdue += reported.count
+			evidence.overdueReporters[node] = true
 		}
 	}
-	return total
+	return evidence
 }
 
-// isUnhealthy decides. Overdue requests count only where the server does not respond at all: under a burst all
-// servers answer late, and ejecting some of them would make it worse.
+// isUnhealthy reports whether the evidence justifies an ejection. Overdue requests count only while the server does
+// not respond at all: under a burst all servers answer late, and ejecting some of them would make it worse.
 func (e scopeEvidence) isUnhealthy() bool {
 	if e.faults >= minFaults && len(e.faultReporters) >= minReporters {
 		return float64(e.faults) >= faultShare*float64(e.faults+e.answered)
