--- a/internal/dataplane/limit/bucket.go
+++ b/internal/dataplane/limit/bucket.go
@@ -10,13 +10,14 @@
 	filled time.Time
 }
 
-// NewBucket makes a full bucket of rate tokens a second that holds burstSeconds of it, and at least one.
+// NewBucket returns a full bucket that is filled at a rate of tokens per second. It holds the tokens of burstSeconds,
+// and at least one.
 func NewBucket(rate, burstSeconds float64, now time.Time) *Bucket {
 	burst := max(rate*burstSeconds, 1)
 	return &Bucket{rate: rate, burst: burst, level: burst, filled: now}
 }
 
-// SetRate changes the rate, in tokens a second, and lowers the level to the new burst if it is above it.
+// SetRate changes the rate, in tokens per second, and lowers the level to the new burst if it is above that.
 func (b *Bucket) SetRate(rate, burstSeconds float64, now time.Time) {
 	if rate == b.rate {
 		return
@@ -26,8 +27,8 @@
 	b.level = min(b.level, b.burst)
 }
 
-// Take takes amount out unless the bucket is in debt, which may leave it in
-// debt: a turn's tokens are known only afterwards. Otherwise it returns how long to wait.
+// Take takes an amount from the bucket if it holds that amount or at least one token; otherwise it returns how long to
+// wait. A larger amount leaves the bucket in debt, since the number of a turn's tokens is known only afterwards.
 func (b *Bucket) Take(amount float64, now time.Time) (taken bool, wait time.Duration) {
 	if b.rate <= 0 {
 		return true, 0
@@ -40,7 +41,7 @@
 	return true, 0
 }
 
-// Charge takes amount out whatever the level is.
+// Charge takes an amount from the bucket, whatever its level.
 func (b *Bucket) Charge(amount float64, now time.Time) {
 	if b.rate <= 0 {
 		return
--- a/internal/dataplane/limit/concurrency.go
+++ b/internal/dataplane/limit/concurrency.go
@@ -7,23 +7,22 @@
 	DefaultMaxConcurrent = 1024
 
 	minConcurrent = 8
-	// slowLatencyFactor and slowLatencyMargin define when a latency counts as a sign of overload:
-	// above the baseline times the factor plus the margin.
+	// A latency above the baseline times slowLatencyFactor plus slowLatencyMargin counts as a sign of overload.
 	slowLatencyFactor = 4
 	slowLatencyMargin = 250 * time.Millisecond
-	// decreaseFactor is applied at most once in minDecreaseInterval, and to no less than minDecreaseBase of the limit.
+	// decreaseFactor is applied at most once in minDecreaseInterval, to no less than minDecreaseBase of the limit.
 	decreaseFactor      = 0.85
 	minDecreaseBase     = 0.5
 	minDecreaseInterval = 500 * time.Millisecond
-	// baselineGain is the weight of a new sample in the baseline; slower samples
-	// raise it with the smaller baselineSlowGain, since they may be caused by load.
+	// baselineGain is the weight of a new sample in the baseline. Samples above the baseline have the smaller weight
+	// baselineSlowGain, since they may be caused by load.
 	baselineGain     = 0.05
 	baselineSlowGain = 0.002
 )
 
-// Concurrency is a limit on requests in flight that adapts to measured
-// latency: it falls by a factor when answers become slow or are rejections, and
-// rises by one for each limit's worth of good answers.
+// Concurrency is a limit on requests in flight that adapts to measured latency: it is multiplied by a factor below 1
+// when answers become slow or are rejections, and rises by one for each time that as many good answers arrive as the
+// limit.
 type Concurrency struct {
 	maxLimit     float64
 	limit        float64
@@ -31,7 +30,7 @@
 	lastDecrease time.Time
 }
 
-// NewConcurrency makes a limit that begins at its maximum; zero means DefaultMaxConcurrent.
+// NewConcurrency returns a limit that starts at its maximum; 0 means DefaultMaxConcurrent.
 func NewConcurrency(maxLimit uint32) *Concurrency {
 	c := &Concurrency{}
 	c.SetMaxLimit(maxLimit)
@@ -51,12 +50,12 @@
 	}
 }
 
-// Limit is the number of requests that may be in flight now.
+// Limit returns the number of requests that may be in flight now.
 func (c *Concurrency) Limit() int { return int(c.limit) }
 
-// Sample is what one request showed of the back ends.
+// Sample is a sign of the back ends' load from one request.
 type Sample struct {
-	// Latency is the time from issue to the first token; 0 is not measured.
+	// Latency is the time from issue to the first token; 0 means not measured.
 	Latency time.Duration
 	// Rejected is true when a back end answered that it is overloaded.
 	Rejected bool
@@ -90,13 +89,13 @@
 	c.baseline += time.Duration(gain * float64(latency-c.baseline))
 }
 
-// decrease lowers the limit from what is in flight, since a limit that nothing
-// reaches has no effect; the base of one decrease is at least minDecreaseBase of the limit.
+// decrease lowers the limit. It starts from the number of requests in flight if that is lower than the limit, since a
+// limit that is not reached has no effect, but from no less than minDecreaseBase of the limit.
 func (c *Concurrency) decrease(inFlight int, now time.Time) {
 	if now.Sub(c.lastDecrease) < minDecreaseInterval {
 		return
 	}
 	c.lastDecrease = now
-	from := min(c.limit, max(float64(inFlight), c.limit*minDecreaseBase))
-	c.limit = max(min(minConcurrent, c.maxLimit), from*decreaseFactor)
+	base := min(c.limit, max(float64(inFlight), c.limit*minDecreaseBase))
+	c.limit = max(min(minConcurrent, c.maxLimit), base*decreaseFactor)
 }
--- a/internal/dataplane/limit/demand.go
+++ b/internal/dataplane/limit/demand.go
@@ -10,8 +10,9 @@
 // demandTimeConstant is the time constant with which demand decays.
 const demandTimeConstant = 500 * time.Millisecond
 
-// demand is the rate, in tickets a second, of a class's or tenant's requests for slots.
+// demand is the rate, in tickets per second, of a class's or tenant's requests for slots.
 type demand struct {
+	// lastRate is the rate at updatedAt.
 	lastRate  float64
 	updatedAt time.Time
 }
@@ -22,7 +23,7 @@
 	d.updatedAt = now
 }
 
-// rate is the demand as of now.
+// rate returns the demand as of now.
 func (d *demand) rate(now time.Time) float64 {
 	if d.updatedAt.IsZero() {
 		return 0
@@ -33,12 +34,12 @@
 // competitor is a class or tenant that shares a rate with another.
 type competitor struct {
 	weight float64
-	// perSecond is its demand: it gets no more, whatever its weight.
+	// perSecond is its demand, which bounds its share whatever its weight.
 	perSecond float64
 }
 
-// fairRate is the max-min fair part of a rate for a member of the weight with unbounded demand.
-// Competitors whose demand is below their shares leave the rest to the others.
+// fairRate returns the max-min fair share of a rate for a member of that weight with unbounded demand. Competitors
+// whose demand is below their share leave the rest to the others.
 func fairRate(perSecond, weight float64, competitors []competitor) float64 {
 	total := weight
 	for _, other := range competitors {
--- a/internal/dataplane/limit/expected_wait.go
+++ b/internal/dataplane/limit/expected_wait.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// maxExpectedShare is the part of the maximum wait that a request may expect when it
-	// enters. The rest is for estimates that were too low, as at the onset of a
-	// burst, so that few requests wait and are then rejected.
+	// maxExpectedShare is the share of the maximum wait that a request may expect when it enters. The rest is a margin for
+	// estimates that are too low, as at the onset of a burst, so that few requests wait and are then rejected.
 	maxExpectedShare = 0.25
-	// maxExpectedShareFirst is that of a tenant's only request that waits in its class.
+	// maxExpectedShareFirst is the share for a tenant without other waiting requests in the class, and for a request that
+	// was rejected before.
 	maxExpectedShareFirst = 0.5
 	// minSamples is the minimum number of ended requests for a measurement of the service time.
-	minSamples      = 8
+	minSamples = 8
+	// serviceTimeGain is the weight of a measurement in the mean.
 	serviceTimeGain = 0.3
 )
 
-// serviceTime estimates how long a request occupies its slot: the time spent in all
-// slots together, by the number of requests that ended in that time.
+// serviceTime estimates how long a request occupies its slot: the time spent in all slots together, divided by the
+// number of requests that ended in that time.
 type serviceTime struct {
 	mean  time.Duration
 	spent time.Duration
@@ -35,7 +36,7 @@
 	s.since = now
 }
 
-// recordEnd counts one request that gave its slot back while inFlight others are in flight.
+// recordEnd counts one request that released its slot while inFlight others are in flight.
 func (s *serviceTime) recordEnd(inFlight int) {
 	s.ended++
 	if s.ended < max(minSamples, inFlight) {
@@ -49,9 +50,8 @@
 	s.spent, s.ended = 0, 0
 }
 
-// expectedWait is how long a ticket that enters now would wait for a slot; zero
-// when it would not wait or when no service time is known. It assumes that the demand of
-// classes and tenants stays as it is.
+// expectedWait returns how long a ticket that enters now would wait for a slot; 0 if it would not wait or if the
+// service time is unknown. It assumes that the demand of classes and tenants does not change.
 func (q *Queue) expectedWait(class *classQueue, ticket Ticket, now time.Time) time.Duration {
 	if q.inFlight < q.slots || q.slots == 0 || q.service.mean == 0 {
 		return 0
@@ -62,6 +62,7 @@
 	return secondsOf((class.queuedBy(ticket.Tenant) + 1) / perSecond)
 }
 
+// dependableSlots returns the number of slots that expected waits are computed from.
 func (q *Queue) dependableSlots() int {
 	if q.guaranteedSlots > 0 {
 		return min(q.slots, q.guaranteedSlots)
@@ -69,13 +70,13 @@
 	return q.slots
 }
 
-// demandRate is a class's demand in slots a second: tickets that wait, over the wait that is allowed, and those that
-// arrive.
+// demandRate returns a class's demand in slots per second: the rate of arriving tickets, and the waiting tickets
+// divided by the wait that is allowed for them.
 func (q *Queue) demandRate(class *classQueue, now time.Time) float64 {
 	return class.demand.rate(now) + float64(class.count)/(maxExpectedShare*q.maxWait.Seconds())
 }
 
-// competitors are the other classes with their demand.
+// competitors returns the other classes with their weights and demand.
 func (q *Queue) competitors(class *classQueue, now time.Time) []competitor {
 	var competitors []competitor
 	for _, other := range q.classes {
@@ -86,12 +87,13 @@
 	return competitors
 }
 
+// competitors returns the other tenants of the class with their weights and demand.
 func (c *classQueue) competitors(tenant string, now time.Time) []competitor {
 	var competitors []competitor
 	for _, name := range slices.Sorted(maps.Keys(c.tenantDemands)) {
 		if name != tenant {
-			demanded := c.tenantDemands[name]
-			competitors = append(competitors, competitor{weight: demanded.weight, perSecond: demanded.rate(now)})
+			other := c.tenantDemands[name]
+			competitors = append(competitors, competitor{weight: other.weight, perSecond: other.rate(now)})
 		}
 	}
 	return competitors
@@ -103,10 +105,10 @@
 	weight float64
 }
 
-// minDemand is the demand, in tickets a second, below which a tenant is dropped.
+// minDemand is the demand, in tickets per second, below which a tenant's demand is no longer tracked.
 const minDemand = 0.01
 
-// recordDemand counts a ticket in the demand, whatever its verdict.
+// recordDemand counts a ticket in the demand, whether or not it is rejected.
 func (c *classQueue) recordDemand(ticket Ticket, now time.Time) {
 	c.demand.add(now)
 	tenant := c.tenantDemands[ticket.Tenant]
@@ -123,7 +125,7 @@
 	maps.DeleteFunc(c.tenantDemands, func(_ string, tenant *tenantDemand) bool { return tenant.rate(now) < minDemand })
 }
 
-// mustReject reports whether a ticket with the expected wait is to be rejected at once.
+// mustReject reports whether a ticket with that expected wait must be rejected at once.
 func (q *Queue) mustReject(class *classQueue, ticket Ticket, wait time.Duration, now time.Time) bool {
 	if wait == 0 {
 		return false
@@ -146,7 +148,7 @@
 	)
 }
 
-// exceeds reports whether a wait is longer than a bound; 0 is none.
+// exceeds reports whether a wait is longer than a bound; a bound of 0 means none.
 func exceeds(wait, bound time.Duration) bool { return bound > 0 && wait > bound }
 
 // hasLongQueue reports whether more tickets wait than run.
--- a/internal/dataplane/limit/fairness.go
+++ b/internal/dataplane/limit/fairness.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// push adds a ticket. A class or tenant that was idle starts at the
-// current virtual time, so that it gains nothing by having been idle.
-func (q *Queue) push(class *classQueue, w queuedTicket) {
+// push adds a ticket. A class or tenant that was idle starts at the current virtual time, so that it gains nothing by
+// having been idle.
+func (q *Queue) push(class *classQueue, queued queuedTicket) {
 	if class.count == 0 {
 		class.pass = max(class.pass, q.virtualTime)
 	}
-	class.tenant(w.ticket).insert(w)
+	class.tenant(queued.ticket).insert(queued)
 	class.count++
 }
 
+// tenant returns the queue of the ticket's tenant and adds it if necessary.
 func (c *classQueue) tenant(ticket Ticket) *tenantQueue {
 	for _, tenant := range c.tenants {
 		if tenant.name == ticket.Tenant {
@@ -26,16 +27,16 @@
 	return tenant
 }
 
-// insert keeps the most urgent ticket first, and those of equal urgency in the order of arrival.
-func (t *tenantQueue) insert(w queuedTicket) {
+// insert adds a ticket. The most urgent ticket is first, and those of equal urgency are in the order of arrival.
+func (t *tenantQueue) insert(queued queuedTicket) {
 	position := len(t.tickets)
-	for position > 0 && w.urgency.Before(t.tickets[position-1].urgency) {
+	for position > 0 && queued.urgency.Before(t.tickets[position-1].urgency) {
 		position--
 	}
-	t.tickets = slices.Insert(t.tickets, position, w)
+	t.tickets = slices.Insert(t.tickets, position, queued)
 }
 
-// dispatch assigns free slots by weighted turns of classes, then of tenants.
+// dispatch assigns free slots to classes, and within them to tenants, by stride scheduling.
 func (q *Queue) dispatch(now time.Time) []Decision {
 	var decisions []Decision
 	for q.inFlight < q.slots {
@@ -50,11 +51,12 @@
 	return decisions
 }
 
-// stride is the virtual time that one slot costs a class.
+// stride returns the virtual time that one slot costs a class.
 func (q *Queue) stride(class *classQueue, now time.Time) float64 {
 	return strideUnit / q.weight(class, now)
 }
 
+// nextClass returns the class with waiting tickets whose pass is lowest; nil if none waits.
 func (q *Queue) nextClass() *classQueue {
 	var next *classQueue
 	for _, class := range q.classes {
@@ -65,6 +67,7 @@
 	return next
 }
 
+// pop removes the first ticket of the tenant whose pass is lowest.
 func (c *classQueue) pop() queuedTicket {
 	next := c.tenants[0]
 	for _, tenant := range c.tenants[1:] {
@@ -80,12 +83,13 @@
 	return head
 }
 
-// ticketRemoved updates the class after one ticket left the tenant's queue.
+// ticketRemoved updates the class after one ticket was removed from the tenant's queue.
 func (c *classQueue) ticketRemoved(tenant *tenantQueue) {
 	c.count--
 	c.dropEmpty(tenant)
 }
 
+// dropEmpty removes the tenant's queue if it is empty.
 func (c *classQueue) dropEmpty(tenant *tenantQueue) {
 	if len(tenant.tickets) > 0 {
 		return
@@ -98,8 +102,8 @@
 	}
 }
 
-// evictFor evicts the newest ticket of the tenant that is furthest above its
-// fair share, if the new ticket's tenant is below its own; false otherwise.
+// evictFor makes room for a new ticket: it evicts the last ticket of the tenant with the largest share of the queue by
+// weight, unless the new ticket's tenant would have as large a share. It returns false if nothing was evicted.
 func (c *classQueue) evictFor(ticket Ticket) (Ticket, bool) {
 	ownShare := (1 + c.queuedBy(ticket.Tenant)) / float64(max(ticket.Weight, 1))
 	var largest *tenantQueue
@@ -117,7 +121,7 @@
 	return evicted.ticket, true
 }
 
-// queuedBy is the number of the tenant's tickets that wait in the class.
+// queuedBy returns the number of the tenant's tickets that wait in the class.
 func (c *classQueue) queuedBy(name string) float64 {
 	for _, tenant := range c.tenants {
 		if tenant.name == name {
@@ -127,12 +131,12 @@
 	return 0
 }
 
-// share is the tenant's waiting tickets by weight.
+// share returns the number of the tenant's waiting tickets divided by its weight.
 func (t *tenantQueue) share() float64 {
 	return float64(len(t.tickets)) / t.weight
 }
 
-// measureDrain updates the rate, per second, at which slots are given back.
+// measureDrain updates the rate, per second, at which slots are released.
 func (q *Queue) measureDrain(now time.Time) {
 	if q.drainWindowStart.IsZero() {
 		q.drainWindowStart = now
@@ -142,15 +146,15 @@
 	if passed < drainWindow {
 		return
 	}
-	rate := float64(q.leftInWindow) / passed.Seconds()
+	rate := float64(q.releasedInWindow) / passed.Seconds()
 	if q.drainRate == 0 {
 		q.drainRate = rate
 	}
 	q.drainRate += drainGain * (rate - q.drainRate)
-	q.leftInWindow, q.drainWindowStart = 0, now
+	q.releasedInWindow, q.drainWindowStart = 0, now
 }
 
-// retryAfter is the time in which a queue of that length drains.
+// retryAfter returns the time in which a queue of that length drains.
 func (q *Queue) retryAfter(queued int) time.Duration {
 	if q.drainRate <= 0 {
 		return defaultRetryAfter
--- a/internal/dataplane/limit/limit_test.go
+++ b/internal/dataplane/limit/limit_test.go
@@ -12,6 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time that is that long after start.
 func at(after time.Duration) time.Time { return start.Add(after) }
 
 func TestBucketLimitsAndRefills(t *testing.T) {
@@ -23,30 +24,30 @@
 	}
 	taken, wait := bucket.Take(1, start)
 	if taken || wait != 100*time.Millisecond {
-		t.Fatalf("taken %t, wait %v", taken, wait)
+		t.Fatalf("request above the burst: taken %t, wait %v; want a wait of 100ms", taken, wait)
 	}
 	if taken, _ = bucket.Take(1, at(wait)); !taken {
-		t.Fatal("rejected after the wait that it named")
+		t.Fatalf("request rejected after the returned wait of %v", wait)
 	}
 }
 
-func TestBucketInDebtRejectsUntilItIsPaid(t *testing.T) {
+func TestBucketRejectsWhileInDebt(t *testing.T) {
 	bucket := limit.NewBucket(10, 1, start)
 	bucket.Charge(30, start)
 	if taken, _ := bucket.Take(1, at(time.Second)); taken {
-		t.Fatal("taken while in debt")
+		t.Fatal("request taken from a bucket in debt")
 	}
 	if taken, _ := bucket.Take(1, at(2100*time.Millisecond)); !taken {
-		t.Fatal("rejected after the debt was paid")
+		t.Fatal("request rejected after the debt was refilled")
 	}
 	unlimited := limit.NewBucket(0, 1, start)
 	unlimited.Charge(1000, start)
 	if taken, _ := unlimited.Take(1, start); !taken {
-		t.Fatal("a rate of zero must not limit")
+		t.Fatal("request rejected by a bucket with a rate of zero, which means no limit")
 	}
 }
 
-func TestRetriesStayATenthOfTheTraffic(t *testing.T) {
+func TestRetriesAreLimitedToATenthOfTheTraffic(t *testing.T) {
 	budget := limit.NewRetryBudget(0)
 	granted := 0
 	for range 10_000 {
@@ -56,7 +57,7 @@
 		}
 	}
 	if granted < 1000 || granted > 1010 {
-		t.Fatalf("granted %d of 10000", granted)
+		t.Fatalf("granted %d retries for 10000 requests, want 1000 to 1010", granted)
 	}
 }
 
@@ -71,16 +72,16 @@
 	}
 	sample(50*time.Millisecond, 50)
 	if concurrency.Limit() != 100 {
-		t.Fatalf("fell to %d without need", concurrency.Limit())
+		t.Fatalf("limit is %d with fast answers only, want 100", concurrency.Limit())
 	}
 	sample(2*time.Second, 200)
 	low := concurrency.Limit()
 	if low > 50 || low < 8 {
-		t.Fatalf("limit is %d under overload", low)
+		t.Fatalf("limit is %d after slow answers, want 8 to 50", low)
 	}
 	sample(50*time.Millisecond, 20_000)
 	if concurrency.Limit() != 100 {
-		t.Fatalf("recovered to %d", concurrency.Limit())
+		t.Fatalf("limit is %d after the answers became fast again, want 100", concurrency.Limit())
 	}
 }
 
@@ -90,28 +91,29 @@
 		concurrency.Record(limit.Sample{Rejected: true}, 100, start)
 	}
 	if concurrency.Limit() != 85 {
-		t.Fatalf("limit is %d", concurrency.Limit())
+		t.Fatalf("limit is %d after 50 rejections in one interval, want 85", concurrency.Limit())
 	}
 }
 
+// tickets records the tickets that enter a queue and the decisions on them.
 type tickets struct {
 	queue *limit.Queue
-	next  uint64
-	// classOf and ran follow every ticket.
-	classOf  map[uint64]limit.Ticket
+	// lastID is the id of the last ticket, entered has all tickets by id, and ran the ids of those that ran, in order.
+	lastID   uint64
+	entered  map[uint64]limit.Ticket
 	ran      []uint64
 	verdicts map[uint64]limit.Decision
 }
 
 func newTickets(queued uint32, wait time.Duration, slots int) *tickets {
 	return &tickets{
-		queue: limit.NewQueue(queued, wait, slots), classOf: map[uint64]limit.Ticket{}, verdicts: map[uint64]limit.Decision{},
+		queue: limit.NewQueue(queued, wait, slots), entered: map[uint64]limit.Ticket{}, verdicts: map[uint64]limit.Decision{},
 	}
 }
 
 func (s *tickets) record(decisions []limit.Decision) {
 	for _, decision := range decisions {
-		if _, twice := s.verdicts[decision.ID]; twice {
+		if _, decided := s.verdicts[decision.ID]; decided {
 			panic("two verdicts on one ticket")
 		}
 		s.verdicts[decision.ID] = decision
@@ -122,14 +124,14 @@
 }
 
 func (s *tickets) enter(class protocol.Priority, tenant string, weight uint32, now time.Time) uint64 {
-	s.next++
-	ticket := limit.Ticket{ID: s.next, Class: class, Tenant: tenant, Weight: weight}
-	s.classOf[s.next] = ticket
+	s.lastID++
+	ticket := limit.Ticket{ID: s.lastID, Class: class, Tenant: tenant, Weight: weight}
+	s.entered[s.lastID] = ticket
 	s.record(s.queue.Enter(ticket, now))
-	return s.next
+	return s.lastID
 }
 
-// drain gives slots back until count tickets more have run.
+// drain releases slots until count more tickets have run, and returns their ids.
 func (s *tickets) drain(count int, now time.Time) []uint64 {
 	before := len(s.ran)
 	for len(s.ran) < before+count {
@@ -142,7 +144,7 @@
 	return s.ran[before:]
 }
 
-func TestUrgentGoesAheadWithoutStarvingProbes(t *testing.T) {
+func TestUrgentTicketsRunFirstWithoutStarvingProbes(t *testing.T) {
 	s := newTickets(1000, time.Minute, 1)
 	s.enter(protocol.Priority_PROBE, "a", 1, start)
 	for range 300 {
@@ -151,15 +153,15 @@
 	}
 	counts := map[protocol.Priority]int{}
 	for _, id := range s.drain(170, start) {
-		counts[s.classOf[id].Class]++
+		counts[s.entered[id].Class]++
 	}
 	if counts[protocol.Priority_URGENT] < 155 || counts[protocol.Priority_PROBE] < 9 {
-		t.Fatalf("shares %v", counts)
+		t.Fatalf("of 170 tickets %v ran, want at least 155 urgent ones and 9 probes", counts)
 	}
 	s.enter(protocol.Priority_INTERACTIVE, "a", 1, start)
-	if next := s.drain(2, start); s.classOf[next[0]].Class != protocol.Priority_INTERACTIVE &&
-		s.classOf[next[1]].Class != protocol.Priority_INTERACTIVE {
-		t.Fatal("a class that was idle waits behind the others")
+	if next := s.drain(2, start); s.entered[next[0]].Class != protocol.Priority_INTERACTIVE &&
+		s.entered[next[1]].Class != protocol.Priority_INTERACTIVE {
+		t.Fatal("a ticket of a class that was idle is not among the next two to run")
 	}
 }
 
@@ -172,10 +174,10 @@
 	}
 	counts := map[string]int{}
 	for _, id := range s.drain(80, start) {
-		counts[s.classOf[id].Tenant]++
+		counts[s.entered[id].Tenant]++
 	}
 	if counts["heavy"] != 60 || counts["light"] != 20 {
-		t.Fatalf("shares %v", counts)
+		t.Fatalf("of 80 tickets %v ran, want 60 heavy and 20 light", counts)
 	}
 }
 
@@ -192,11 +194,11 @@
 	}
 	rejected := s.verdicts[s.enter(protocol.Priority_PROBE, "a", 1, at(2100*time.Millisecond))]
 	if rejected.Verdict != limit.RejectFull {
-		t.Fatalf("verdict %+v", rejected)
+		t.Fatalf("ticket at a full queue: %+v, want it rejected as full", rejected)
 	}
-	// Ten a second drain, five are ahead or equal: about half a second.
+	// Ten tickets a second drain and four wait ahead: the fifth could run after about half a second.
 	if rejected.RetryAfter < 400*time.Millisecond || rejected.RetryAfter > 600*time.Millisecond {
-		t.Fatalf("retry after %v", rejected.RetryAfter)
+		t.Fatalf("retry after %v, want 400ms to 600ms", rejected.RetryAfter)
 	}
 }
 
@@ -208,45 +210,46 @@
 	}
 	modest := s.enter(protocol.Priority_PROBE, "modest", 1, start)
 	if s.verdicts[last].Verdict != limit.RejectFull || s.verdicts[modest].Verdict != 0 {
-		t.Fatalf("verdicts %+v", s.verdicts)
+		t.Fatalf("verdicts %+v, want the last greedy ticket %d rejected and the modest ticket %d waiting", s.verdicts, last,
+			modest)
 	}
 	again := s.enter(protocol.Priority_PROBE, "greedy", 1, start)
 	if s.verdicts[again].Verdict != limit.RejectFull {
-		t.Fatal("the greedy tenant took the place back")
+		t.Fatal("the greedy tenant's next ticket was not rejected although the queue is full")
 	}
 }
 
 func TestTicketsExpireByWaitOrDeadline(t *testing.T) {
 	s := newTickets(10, time.Second, 0)
-	waits := s.enter(protocol.Priority_URGENT, "a", 1, start)
+	withoutDeadline := s.enter(protocol.Priority_URGENT, "a", 1, start)
 	s.record(
 		s.queue.Enter(
 			limit.Ticket{ID: 77, Class: protocol.Priority_PROBE, Tenant: "a", Deadline: at(300 * time.Millisecond)}, start,
 		),
 	)
 	if next := s.queue.NextExpiry(); !next.Equal(at(300 * time.Millisecond)) {
-		t.Fatalf("next expiry %v", next)
+		t.Fatalf("next expiry %v, want the deadline at %v", next, at(300*time.Millisecond))
 	}
 	s.record(s.queue.Expire(at(300 * time.Millisecond)))
-	if s.verdicts[77].Verdict != limit.RejectLate || s.verdicts[waits].Verdict != 0 {
-		t.Fatalf("verdicts %+v", s.verdicts)
+	if s.verdicts[77].Verdict != limit.RejectLate || s.verdicts[withoutDeadline].Verdict != 0 {
+		t.Fatalf("verdicts %+v at the deadline of ticket 77, want only it rejected as late", s.verdicts)
 	}
 	s.record(s.queue.Expire(at(time.Second)))
-	if s.verdicts[waits].Verdict != limit.RejectLate || !s.queue.NextExpiry().IsZero() {
-		t.Fatalf("verdicts %+v", s.verdicts)
+	if s.verdicts[withoutDeadline].Verdict != limit.RejectLate || !s.queue.NextExpiry().IsZero() {
+		t.Fatalf("verdicts %+v after the maximum wait, want ticket %d rejected as late", s.verdicts, withoutDeadline)
 	}
 }
 
 func TestCancelledTicketsNeverRun(t *testing.T) {
 	s := newTickets(10, time.Second, 0)
-	gone := s.enter(protocol.Priority_URGENT, "a", 1, start)
-	stays := s.enter(protocol.Priority_URGENT, "a", 1, start)
-	if !s.queue.Cancel(gone) || s.queue.Cancel(gone) {
-		t.Fatal("a ticket must be cancelled exactly once")
+	cancelled := s.enter(protocol.Priority_URGENT, "a", 1, start)
+	kept := s.enter(protocol.Priority_URGENT, "a", 1, start)
+	if !s.queue.Cancel(cancelled) || s.queue.Cancel(cancelled) {
+		t.Fatal("Cancel does not report a waiting ticket exactly once")
 	}
 	s.record(s.queue.SetSlots(2))
-	if len(s.ran) != 1 || s.ran[0] != stays {
-		t.Fatalf("ran %v", s.ran)
+	if len(s.ran) != 1 || s.ran[0] != kept {
+		t.Fatalf("ran %v, want only ticket %d", s.ran, kept)
 	}
 }
 
@@ -274,19 +277,19 @@
 				s.record(s.queue.SetSlots(slots))
 			}
 			if running := len(s.ran) - left; running != s.queue.InFlight() {
-				t.Fatalf("%d run, %d counted", running, s.queue.InFlight())
+				t.Fatalf("%d tickets run, but the queue counts %d", running, s.queue.InFlight())
 			}
 		}
 		s.record(s.queue.Expire(now.Add(time.Minute)))
-		if len(s.verdicts) != int(s.next) {
-			t.Fatalf("%d verdicts on %d tickets", len(s.verdicts), s.next)
+		if len(s.verdicts) != int(s.lastID) {
+			t.Fatalf("%d verdicts on %d tickets", len(s.verdicts), s.lastID)
 		}
 		classes := []protocol.Priority{
 			protocol.Priority_URGENT, protocol.Priority_INTERACTIVE, protocol.Priority_PROBE,
 		}
 		for _, class := range classes {
 			if s.queue.Waiting(class) != 0 {
-				t.Fatalf("%d still wait", s.queue.Waiting(class))
+				t.Fatalf("%d tickets of class %v still wait after all expired", s.queue.Waiting(class), class)
 			}
 		}
 	})
--- a/internal/dataplane/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -11,8 +11,9 @@
 
 const serviceTime = 500 * time.Millisecond
 
-// unloaded lets a queue of two slots learn that a request takes half a second.
-func unloaded(s *tickets) time.Time {
+// learnServiceTime runs requests of half a second each in a queue of two slots, and returns the time when they have
+// ended.
+func learnServiceTime(s *tickets) time.Time {
 	now := start
 	for range 10 {
 		s.enter(protocol.Priority_INTERACTIVE, "a", 1, now)
@@ -22,8 +23,8 @@
 	return now
 }
 
-// work gives both slots back every half second and returns the tickets that were rejected late.
-func work(s *tickets, now time.Time, rounds int) (late int) {
+// runRounds releases all slots every half second and returns how many tickets were rejected late.
+func runRounds(s *tickets, now time.Time, rounds int) (late int) {
 	for range rounds {
 		now = now.Add(serviceTime)
 		for running := s.queue.InFlight(); running > 0; running-- {
@@ -38,6 +39,7 @@
 	return late
 }
 
+// count counts the tickets with a verdict among ids.
 func (s *tickets) count(ids []uint64, verdict limit.Verdict) int {
 	count := 0
 	for _, id := range ids {
@@ -50,49 +52,49 @@
 
 func TestRequestThatWouldWaitTooLongIsRejectedAtOnce(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
-	now := unloaded(s)
+	now := learnServiceTime(s)
 	var burst []uint64
 	for range 100 {
 		burst = append(burst, s.enter(protocol.Priority_INTERACTIVE, "a", 1, now))
 	}
 	rejected := s.count(burst, limit.RejectFull)
 	if rejected < 90 || rejected > 96 {
-		t.Fatalf("%d of 100 rejected at once; four a second run, so that two to eight may wait", rejected)
+		t.Fatalf("%d of 100 rejected at once, want 90 to 96: four run per second, so that two to eight may wait", rejected)
 	}
 	if retryAfter := s.verdicts[burst[99]].RetryAfter; retryAfter < 600*time.Millisecond ||
 		retryAfter > 900*time.Millisecond {
-		t.Fatalf("retry after %v", retryAfter)
+		t.Fatalf("retry after %v, want 600ms to 900ms", retryAfter)
 	}
-	if late := work(s, now, 8); late != 0 {
-		t.Fatalf("%d were taken in and rejected late", late)
+	if late := runRounds(s, now, 8); late != 0 {
+		t.Fatalf("%d tickets waited and were rejected late, want none", late)
 	}
 }
 
-func TestClassWaitsByItsOwnShare(t *testing.T) {
+func TestExpectedWaitOfAClassDependsOnItsShare(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
-	now := unloaded(s)
+	now := learnServiceTime(s)
 	for range 100 {
 		s.enter(protocol.Priority_PROBE, "a", 1, now)
 	}
 	urgent := s.enter(protocol.Priority_URGENT, "a", 1, now)
 	if s.verdicts[urgent].Verdict != 0 {
-		t.Fatalf("an urgent request was rejected for probes: %+v", s.verdicts[urgent])
+		t.Fatalf("an urgent ticket was rejected because probes wait: %+v", s.verdicts[urgent])
 	}
 	s.drain(1, now)
 	if s.verdicts[urgent].Verdict != limit.Run {
-		t.Fatal("an urgent request waits behind probes")
+		t.Fatal("an urgent ticket waits behind probes")
 	}
 }
 
-func TestTenantWaitsByItsOwnShare(t *testing.T) {
+func TestExpectedWaitOfATenantDependsOnItsShare(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
-	now := unloaded(s)
+	now := learnServiceTime(s)
 	for range 100 {
 		s.enter(protocol.Priority_INTERACTIVE, "greedy", 1, now)
 	}
 	modest := s.enter(protocol.Priority_INTERACTIVE, "modest", 1, now)
 	if s.verdicts[modest].Verdict != 0 {
-		t.Fatalf("a modest tenant was rejected for a greedy one: %+v", s.verdicts[modest])
+		t.Fatalf("a modest tenant's ticket was rejected because a greedy tenant's wait: %+v", s.verdicts[modest])
 	}
 }
 
@@ -100,12 +102,12 @@
 	s := newTickets(50, 2*time.Second, 2)
 	for range 52 {
 		if id := s.enter(protocol.Priority_PROBE, "a", 1, start); s.verdicts[id].Verdict == limit.RejectFull {
-			t.Fatalf("ticket %d rejected", id)
+			t.Fatalf("ticket %d of 52 rejected although 2 run and 50 may wait", id)
 		}
 	}
 }
 
-func TestLimitFarAboveTheLoadFallsToItInAFewDecreases(t *testing.T) {
+func TestLimitFarAboveTheLoadFallsBelowItInAFewDecreases(t *testing.T) {
 	concurrency := limit.NewConcurrency(1024)
 	now := start
 	for range 5 {
@@ -113,26 +115,26 @@
 		concurrency.Record(limit.Sample{Rejected: true}, 50, now)
 	}
 	if concurrency.Limit() > 50 || concurrency.Limit() < 8 {
-		t.Fatalf("after five rejections half a second apart, with 50 under way, the limit is %d", concurrency.Limit())
+		t.Fatalf("limit is %d after five rejections half a second apart with 50 in flight, want 8 to 50", concurrency.Limit())
 	}
 	single := limit.NewConcurrency(1024)
 	single.Record(limit.Sample{Rejected: true}, 1, start)
 	if single.Limit() < 400 {
-		t.Fatalf("one rejection cut the limit to %d", single.Limit())
+		t.Fatalf("limit is %d after one rejection, want at least 400", single.Limit())
 	}
 }
 
-// overloadQueue offers a queue of six slots ten times what they take, after two light
-// seconds, and gives each slot back when its request took 300 ms.
+// overloadQueue enters ten times as many tickets into a queue of six slots as it can run, after two seconds of low
+// load, and releases each slot when its request has run for 300 ms.
 func overloadQueue(s *tickets, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	ends := map[uint64]time.Time{}
 	finish := func(now time.Time) {
 		for {
-			id, at := uint64(0), now
+			id, endsAt := uint64(0), now
 			for candidate, end := range ends {
-				if end.Before(at) || end.Equal(at) && (id == 0 || candidate < id) {
-					id, at = candidate, end
+				if end.Before(endsAt) || end.Equal(endsAt) && (id == 0 || candidate < id) {
+					id, endsAt = candidate, end
 				}
 			}
 			if id == 0 {
@@ -140,9 +142,9 @@
 			}
 			delete(ends, id)
 			before := len(s.ran)
-			s.record(s.queue.Leave(at))
+			s.record(s.queue.Leave(endsAt))
 			for _, next := range s.ran[before:] {
-				ends[next] = at.Add(300 * time.Millisecond)
+				ends[next] = endsAt.Add(300 * time.Millisecond)
 			}
 		}
 	}
@@ -167,47 +169,49 @@
 	s.record(s.queue.Expire(at(12 * time.Second)))
 }
 
+// pick draws one of the values with these shares.
 func pick[T any](random *rand.Rand, shares []float64, values ...T) T {
-	at := random.Float64()
+	drawn := random.Float64()
 	for i, share := range shares {
-		if at -= share; at < 0 {
+		if drawn -= share; drawn < 0 {
 			return values[i]
 		}
 	}
 	return values[len(values)-1]
 }
 
-func TestInOverloadFewAreRejectedLateAndTheSlotsStayBusy(t *testing.T) {
+func TestUnderOverloadFewAreRejectedLateAndTheSlotsStayBusy(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newTickets(256, 2*time.Second, 6)
 		overloadQueue(s, seed)
 		counts := map[limit.Verdict]int{}
-		classes, offered := map[protocol.Priority]int{}, map[protocol.Priority]int{}
+		ran, offered := map[protocol.Priority]int{}, map[protocol.Priority]int{}
 		for id, decision := range s.verdicts {
 			counts[decision.Verdict]++
-			offered[s.classOf[id].Class]++
+			offered[s.entered[id].Class]++
 			if decision.Verdict == limit.Run {
-				classes[s.classOf[id].Class]++
+				ran[s.entered[id].Class]++
 			}
 		}
 		rejected := counts[limit.RejectFull] + counts[limit.RejectLate]
 		if late := counts[limit.RejectLate]; late*200 > rejected {
-			t.Errorf("seed %d: %d of %d rejections came late", seed, late, rejected)
+			t.Errorf("seed %d: %d of %d rejections were late, want at most one in 200", seed, late, rejected)
 		}
-		// Twenty a second for six seconds, and what ran before.
+		// Twenty per second for six seconds, and those that ran before.
 		if counts[limit.Run] < 130 {
-			t.Errorf("seed %d: only %d ran", seed, counts[limit.Run])
+			t.Errorf("seed %d: %d tickets ran, want at least 130", seed, counts[limit.Run])
 		}
-		if classes[protocol.Priority_URGENT]*10 < offered[protocol.Priority_URGENT]*9 ||
-			classes[protocol.Priority_PROBE] < 8 {
-			t.Errorf("seed %d: classes ran %v of %v", seed, classes, offered)
+		if ran[protocol.Priority_URGENT]*10 < offered[protocol.Priority_URGENT]*9 ||
+			ran[protocol.Priority_PROBE] < 8 {
+			t.Errorf("seed %d: %v of %v tickets ran by class, want 9 in 10 urgent ones and at least 8 probes", seed, ran,
+				offered)
 		}
 	}
 }
 
 func TestExpectedWaitUsesGuaranteedSlots(t *testing.T) {
 	s := newTickets(1000, 2*time.Second, 2)
-	now := unloaded(s)
+	now := learnServiceTime(s)
 	s.queue.SetGuaranteedSlots(2)
 	s.record(s.queue.SetSlots(20))
 	var burst []uint64
@@ -216,6 +220,7 @@
 	}
 	if ran, rejected := s.count(burst, limit.Run), s.count(burst, limit.RejectFull); ran != 20 || rejected < 72 ||
 		rejected > 78 {
-		t.Fatalf("%d ran and %d of 100 were rejected at once: 20 run now, but only two slots stay", ran, rejected)
+		t.Fatalf("%d of 100 ran and %d were rejected at once, want 20 and 72 to 78: only two slots are guaranteed", ran,
+			rejected)
 	}
 }
--- a/internal/dataplane/limit/queue.go
+++ b/internal/dataplane/limit/queue.go
@@ -14,25 +14,25 @@
 	// DefaultMaxWait is the maximum time that a request waits.
 	DefaultMaxWait = 2 * time.Second
 
-	// minRetryAfter and maxRetryAfter bound the RetryAfter of a rejection; defaultRetryAfter is used while no rate is
-	// known.
+	// minRetryAfter and maxRetryAfter bound the RetryAfter of a rejection; defaultRetryAfter is used while the drain rate
+	// is unknown.
 	minRetryAfter     = 100 * time.Millisecond
 	maxRetryAfter     = 30 * time.Second
 	defaultRetryAfter = time.Second
-	// drainWindow and drainGain are the sampling period and smoothing factor of the rate at which slots are given back.
+	// drainWindow and drainGain are the sampling period and smoothing factor of the rate at which slots are released.
 	drainWindow = time.Second
 	drainGain   = 0.3
-	// strideUnit is the virtual time that a turn costs at weight 1.
+	// strideUnit is the virtual time that a slot costs at weight 1.
 	strideUnit = 1.0
 )
 
-// classWeights are the relative shares of slots when all classes wait: urgent work gets
-// most of them without starving the lowest class.
+// classWeights are the relative shares of slots when all classes wait: urgent work gets most of them without starving
+// the lowest class.
 var classWeights = map[protocol.Priority]float64{
 	protocol.Priority_URGENT: 16, protocol.Priority_INTERACTIVE: 4, protocol.Priority_PROBE: 1,
 }
 
-// classes in the order in which ties are decided.
+// classes are ordered from the most to the least urgent; ties go to the more urgent one.
 var classes = []protocol.Priority{protocol.Priority_URGENT, protocol.Priority_INTERACTIVE, protocol.Priority_PROBE}
 
 // Ticket is one request for a slot.
@@ -42,14 +42,14 @@
 	Tenant   string
 	Weight   uint32
 	Deadline time.Time
-	// MaxWait bounds how long the ticket waits if that is less than the queue's bound; 0 is the queue's. A rejection
-	// from which the caller is to recover within its latency target should come within a quarter of that.
+	// MaxWait bounds how long the ticket waits if it is less than the queue's bound; 0 means the queue's bound. To let the
+	// caller recover from a rejection within its latency target, set it to at most a quarter of the target.
 	MaxWait time.Duration
-	// MaxExpectedWait bounds the wait that the ticket may expect when it enters: one that would miss its latency target by
-	// waiting is rejected at once. A ticket that already waits is not rejected for it. 0 is no bound.
+	// MaxExpectedWait bounds the expected wait when the ticket enters: a ticket that would miss its latency target by
+	// waiting is rejected at once. A ticket that already waits is not rejected for it. 0 means no bound.
 	MaxExpectedWait time.Duration
-	// ProgramDeadline is when the program should be complete, and ExpectedWork how long the rest of it is
-	// expected to take without waiting. Of a tenant's tickets those with the least slack run first.
+	// ProgramDeadline is when the program should be complete, and ExpectedWork how long the rest of it is expected to
+	// take without waiting. Among a tenant's tickets, those with the least slack run first.
 	ProgramDeadline time.Time
 	ExpectedWork    time.Duration
 	// Rejections counts the known earlier rejections of the same request.
@@ -61,7 +61,7 @@
 
 // Verdicts on a ticket.
 const (
-	// Run gives the ticket a slot, which Leave gives back.
+	// Run means that the ticket gets a slot, which Leave releases.
 	Run Verdict = iota + 1
 	// RejectFull means that the class's queue is full, or so long that the ticket would wait too long.
 	RejectFull
@@ -69,7 +69,7 @@
 	RejectLate
 )
 
-// Decision is the verdict on one ticket. A rejection is final; RetryAfter is after how long the caller may retry.
+// Decision is the verdict on one ticket. A rejection is final; RetryAfter is the time after which the caller may retry.
 type Decision struct {
 	ID         uint64
 	Verdict    Verdict
@@ -79,22 +79,25 @@
 type queuedTicket struct {
 	ticket  Ticket
 	expires time.Time
-	// urgency is the time by which the ticket should run; the earliest runs first.
+	// urgency is the time by which the ticket should run; the ticket with the earliest runs first.
 	urgency time.Time
 }
 
-// tenantQueue is one tenant's share of a class, most urgent first.
+// tenantQueue holds one tenant's tickets in a class, most urgent first.
 type tenantQueue struct {
 	name   string
 	weight float64
-	// pass is the virtual time of the tenant's next turn; the lowest is next.
+	// pass is the tenant's position in virtual time; the tenant with the lowest pass gets the next slot.
 	pass    float64
 	tickets []queuedTicket
 }
 
+// classQueue holds the tickets of one class by tenant.
 type classQueue struct {
-	class         protocol.Priority
-	pass          float64
+	class protocol.Priority
+	// pass is the class's position in virtual time; the class with the lowest pass gets the next slot.
+	pass float64
+	// virtualTime is the pass of the tenant that got the last slot.
 	virtualTime   float64
 	count         int
 	tenants       []*tenantQueue
@@ -108,26 +111,26 @@
 	maxQueued int
 	maxWait   time.Duration
 	slots     int
-	// guaranteedSlots: see SetGuaranteedSlots.
+	// guaranteedSlots is described at SetGuaranteedSlots.
 	guaranteedSlots int
-	// surplusSlots is how many tickets may run beyond the slots rather than be rejected.
+	// surplusSlots is how many tickets may run in excess of the slots instead of being rejected.
 	surplusSlots int
 	inFlight     int
 	virtualTime  float64
 	classes      []*classQueue
 	service      serviceTime
-	// allClasses is the share of tickets of all classes that got a slot.
+	// allClasses is the share of the tickets of all classes that got a slot.
 	allClasses serviceShare
 
-	// leftInWindow counts the slots given back since drainWindowStart; drainRate is the smoothed rate per second.
-	leftInWindow     int
+	// releasedInWindow counts the slots released since drainWindowStart; drainRate is the smoothed rate per second.
+	releasedInWindow int
 	drainWindowStart time.Time
 	drainRate        float64
-	// lastEvent is the latest time that was passed in.
+	// lastEvent is the time of the latest event.
 	lastEvent time.Time
 }
 
-// NewQueue makes a queue; bounds of 0 mean the defaults.
+// NewQueue returns a queue; bounds of 0 mean the defaults.
 func NewQueue(maxQueued uint32, maxWait time.Duration, slots int) *Queue {
 	q := &Queue{}
 	q.SetBounds(maxQueued, maxWait)
@@ -138,7 +141,7 @@
 	return q
 }
 
-// SetBounds changes the bounds; tickets that already wait stay.
+// SetBounds changes the bounds; waiting tickets are not affected.
 func (q *Queue) SetBounds(maxQueued uint32, maxWait time.Duration) {
 	q.maxQueued = int(cmp.Or(maxQueued, DefaultMaxQueued))
 	q.maxWait = cmp.Or(maxWait, DefaultMaxWait)
@@ -150,21 +153,21 @@
 	return q.dispatch(q.lastEvent)
 }
 
-// SetGuaranteedSlots sets how many of the slots remain when the other front nodes use their shares of
-// a group's capacity; 0 is all of them. Expected waits are computed from no more.
+// SetGuaranteedSlots sets how many of the slots remain when the other front nodes use their shares of a group's
+// capacity; 0 means all of them. Expected waits are computed from no more than these.
 func (q *Queue) SetGuaranteedSlots(slots int) { q.guaranteedSlots = slots }
 
-// SetSurplusSlots sets how many tickets may run beyond the slots while the servers are known to be less than half
-// occupied, so that a rejection would serve no purpose. See SurplusSlots.
+// SetSurplusSlots sets how many tickets may run in excess of the slots while the servers report that they are less than
+// half occupied, so that a rejection would serve no purpose. See SurplusSlots.
 func (q *Queue) SetSurplusSlots(tickets int) { q.surplusSlots = tickets }
 
-// InFlight is the number of slots in use.
+// InFlight returns the number of slots in use.
 func (q *Queue) InFlight() int { return q.inFlight }
 
-// Waiting is the number of tickets that wait in a class.
+// Waiting returns the number of tickets that wait in a class.
 func (q *Queue) Waiting(class protocol.Priority) int { return q.class(class).count }
 
-// WaitingInAllClasses is the number of tickets that wait in all classes.
+// WaitingInAllClasses returns the number of tickets that wait in all classes.
 func (q *Queue) WaitingInAllClasses() int {
 	total := 0
 	for _, class := range q.classes {
@@ -173,6 +176,7 @@
 	return total
 }
 
+// class returns the queue of a class; an unknown class counts as interactive.
 func (q *Queue) class(class protocol.Priority) *classQueue {
 	for _, candidate := range q.classes {
 		if candidate.class == class {
@@ -182,8 +186,7 @@
 	return q.class(protocol.Priority_INTERACTIVE)
 }
 
-// Enter adds a ticket. The decisions may be on this ticket or others; a
-// ticket without a decision waits.
+// Enter adds a ticket. The decisions may be on this ticket or on others; a ticket without a decision waits.
 func (q *Queue) Enter(ticket Ticket, now time.Time) []Decision {
 	decisions := q.Expire(now)
 	class := q.class(ticket.Class)
@@ -205,7 +208,7 @@
 	return append(decisions, q.dispatch(now)...)
 }
 
-// expiry is when a ticket that enters now is rejected if it still waits.
+// expiry returns when a ticket that enters now is rejected if it still waits.
 func (q *Queue) expiry(ticket Ticket, now time.Time) time.Time {
 	expires := now.Add(q.waitLimit(ticket))
 	if !ticket.Deadline.IsZero() && ticket.Deadline.Before(expires) {
@@ -214,6 +217,7 @@
 	return expires
 }
 
+// waitLimit returns how long the ticket may wait.
 func (q *Queue) waitLimit(ticket Ticket) time.Duration {
 	if ticket.MaxWait > 0 {
 		return min(q.maxWait, ticket.MaxWait)
@@ -236,7 +240,7 @@
 	return append(decisions, q.reject(class, ticket, verdict, retryAfter, now))
 }
 
-// reject rejects a ticket, which is final.
+// reject rejects a ticket.
 func (q *Queue) reject(
 	class *classQueue, ticket Ticket, verdict Verdict, retryAfter time.Duration, now time.Time,
 ) Decision {
@@ -245,7 +249,7 @@
 	return Decision{ID: ticket.ID, Verdict: verdict, RetryAfter: retryAfter}
 }
 
-// run gives a ticket a slot.
+// run assigns a slot to a ticket.
 func (q *Queue) run(class *classQueue, ticket Ticket, now time.Time) Decision {
 	q.inFlight++
 	class.service.record(true, now)
@@ -253,20 +257,20 @@
 	return Decision{ID: ticket.ID, Verdict: Run}
 }
 
-// Leave gives a slot back and returns the tickets that may run now.
+// Leave releases a slot and returns the decisions that follow: tickets that may run now or that have expired.
 func (q *Queue) Leave(now time.Time) []Decision {
 	q.service.advance(q.inFlight, now)
 	q.inFlight--
-	q.leftInWindow++
+	q.releasedInWindow++
 	q.service.recordEnd(q.inFlight)
 	return append(q.Expire(now), q.dispatch(now)...)
 }
 
-// Cancel removes a waiting ticket and reports whether it was there.
+// Cancel removes a waiting ticket and reports whether it was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	for _, class := range q.classes {
 		for _, tenant := range class.tenants {
-			position := slices.IndexFunc(tenant.tickets, func(w queuedTicket) bool { return w.ticket.ID == id })
+			position := slices.IndexFunc(tenant.tickets, func(queued queuedTicket) bool { return queued.ticket.ID == id })
 			if position >= 0 {
 				tenant.tickets = slices.Delete(tenant.tickets, position, position+1)
 				class.ticketRemoved(tenant)
@@ -285,11 +289,11 @@
 	var decisions []Decision
 	for _, class := range q.classes {
 		for _, tenant := range slices.Clone(class.tenants) {
-			tenant.tickets = slices.DeleteFunc(tenant.tickets, func(w queuedTicket) bool {
-				late := !now.Before(w.expires)
+			tenant.tickets = slices.DeleteFunc(tenant.tickets, func(queued queuedTicket) bool {
+				late := !now.Before(queued.expires)
 				if late {
 					class.count--
-					decisions = append(decisions, q.runOrReject(class, w.ticket, RejectLate, q.retryAfter(class.count), now)...)
+					decisions = append(decisions, q.runOrReject(class, queued.ticket, RejectLate, q.retryAfter(class.count), now)...)
 				}
 				return late
 			})
@@ -299,14 +303,14 @@
 	return decisions
 }
 
-// NextExpiry is when the next waiting ticket expires; zero when none waits.
+// NextExpiry returns when the next waiting ticket expires; zero if none waits.
 func (q *Queue) NextExpiry() time.Time {
 	var next time.Time
 	for _, class := range q.classes {
 		for _, tenant := range class.tenants {
-			for _, w := range tenant.tickets {
-				if next.IsZero() || w.expires.Before(next) {
-					next = w.expires
+			for _, queued := range tenant.tickets {
+				if next.IsZero() || queued.expires.Before(next) {
+					next = queued.expires
 				}
 			}
 		}
--- a/internal/dataplane/limit/retry_budget.go
+++ b/internal/dataplane/limit/retry_budget.go
@@ -14,14 +14,14 @@
 	balance float64
 }
 
-// NewRetryBudget makes a budget; a percentage of 0 means DefaultRetryPercent.
+// NewRetryBudget returns a budget; a percentage of 0 means DefaultRetryPercent.
 func NewRetryBudget(percent uint32) *RetryBudget {
 	budget := &RetryBudget{balance: retryReserve}
 	budget.SetPercent(percent)
 	return budget
 }
 
-// SetPercent changes the share.
+// SetPercent changes the share; 0 means DefaultRetryPercent.
 func (r *RetryBudget) SetPercent(percent uint32) {
 	if percent == 0 {
 		percent = DefaultRetryPercent
@@ -29,12 +29,12 @@
 	r.percent = float64(percent)
 }
 
-// RecordRequest counts one request of the traffic.
+// RecordRequest counts one request, which adds its share of a retry to the budget.
 func (r *RetryBudget) RecordRequest() {
 	r.balance = min(maxRetryBalance, r.balance+r.percent/100)
 }
 
-// TakeRetry takes one retry out of the budget and reports whether it was there.
+// TakeRetry takes one retry from the budget and reports whether there was one.
 func (r *RetryBudget) TakeRetry() bool {
 	if r.balance < 1 {
 		return false
--- a/internal/dataplane/limit/service_share.go
+++ b/internal/dataplane/limit/service_share.go
@@ -12,13 +12,14 @@
 	minDecisions = 8
 	// starvingShare is the part of the share of all tickets below which a class starves.
 	starvingShare = 0.35
-	// overtakingShare is by how much a class may be served better than a more urgent one.
+	// overtakingShare is how much higher the share of a class may be than that of a more urgent one.
 	overtakingShare = 0.03
-	// weightCorrection is the factor by which either changes the weight of a class.
+	// weightCorrection is the factor by which the weight of a class is raised if it starves, at most, and lowered if it
+	// is served better than a more urgent one.
 	weightCorrection = 4
 )
 
-// serviceShare is the share of the decided tickets that got a slot.
+// serviceShare is the exponentially decayed share of the decided tickets that got a slot.
 type serviceShare struct {
 	ran       float64
 	decided   float64
@@ -35,6 +36,7 @@
 	}
 }
 
+// decay returns the factor by which the counts have decayed since they were updated.
 func (s *serviceShare) decay(now time.Time) float64 {
 	if s.updatedAt.IsZero() {
 		return 0
@@ -42,7 +44,7 @@
 	return math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds() / shareTimeConstant.Seconds())
 }
 
-// share is from 0 to 1, and 1 below minDecisions.
+// share returns the share, from 0 to 1; it is 1 while there are fewer than minDecisions decisions.
 func (s *serviceShare) share(now time.Time) float64 {
 	if s.decided*s.decay(now) < minDecisions {
 		return 1
@@ -50,8 +52,8 @@
 	return s.ran / s.decided
 }
 
-// weight is the class's relative share of contended slots: raised when it starves, lowered while it is served better
-// than a more urgent class.
+// weight returns the class's relative share of contended slots: raised when it starves, lowered while it is served
+// better than a more urgent class.
 func (q *Queue) weight(class *classQueue, now time.Time) float64 {
 	weight := classWeights[class.class]
 	switch {
@@ -63,8 +65,9 @@
 	return weight
 }
 
-// parityWeight is the weight with which a class gets slots as often, by its demand, as the worst served of the more
-// urgent classes. A class that starves gets no more, so that it catches up without passing them in a burst of theirs.
+// parityWeight returns the weight at which a class gets as many slots, relative to its demand, as the worst served of
+// the more urgent classes. It bounds the weight of a class that starves, so that the class catches up without being
+// served better than more urgent ones during their bursts.
 func (q *Queue) parityWeight(class *classQueue, now time.Time) float64 {
 	own, minWeight := q.demandRate(class, now), math.Inf(1)
 	for _, urgent := range q.classes {
@@ -78,7 +81,7 @@
 	return minWeight
 }
 
-// starves reports whether a class gets slots much more rarely than all classes together.
+// starves reports whether a class gets slots much less often than all classes together.
 func (q *Queue) starves(class *classQueue, now time.Time) bool {
 	return class.service.share(now) < starvingShare*q.allClasses.share(now)
 }
--- a/internal/dataplane/limit/surplus.go
+++ b/internal/dataplane/limit/surplus.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// SurplusSlots is how many requests one of so many front nodes may send beyond its slots rather than reject them: its
-// share of what remains until half of the servers' slots are occupied, by their last load reports.
+// SurplusSlots returns how many requests each front node may send in excess of its slots instead of rejecting them: its
+// share of what remains until half of the servers' slots are occupied, according to their last load reports.
 func SurplusSlots(serverSlots, occupied, fronts int) int {
 	return max(serverSlots/2-occupied, 0) / max(fronts, 1)
 }
 
-// spendSurplus spends surplus slots until the class gets one, for a ticket of it that would be rejected otherwise, and
-// reports whether it did. More urgent classes that wait take weighted turns with it, so that a ticket never
-// passes them because it would be rejected. Without such classes the ticket gets the first surplus slot.
+// spendSurplus assigns surplus slots until the class gets one, for a ticket that would be rejected otherwise, and
+// reports whether it did. More urgent classes with waiting tickets share the surplus slots with it by stride
+// scheduling, so that no ticket overtakes them only because it would be rejected. Without such classes the ticket gets
+// the first surplus slot.
 func (q *Queue) spendSurplus(class *classQueue, now time.Time) (decisions []Decision, isGranted bool) {
 	for q.surplusSlots > 0 {
 		q.surplusSlots--
@@ -31,8 +32,8 @@
 	return decisions, false
 }
 
-// moreUrgentWaiting is the class with the next turn among those with waiting tickets that are more urgent than a class;
-// nil without any.
+// moreUrgentWaiting returns the class with the lowest pass among those that are more urgent than a class and have
+// waiting tickets; nil if there is none.
 func (q *Queue) moreUrgentWaiting(class *classQueue) *classQueue {
 	var next *classQueue
 	for _, other := range q.classes {
