--- a/internal/dataplane/promptcache/promptcache_test.go
+++ b/internal/dataplane/promptcache/promptcache_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// prompt makes a prompt of segments of a hundred tokens each.
+// prompt returns a prompt with segments of a hundred tokens each.
 func prompt(ids ...string) promptcache.Prompt {
 	chain := promptcache.NewPromptBuilder("model", len(ids))
 	for _, id := range ids {
@@ -56,20 +56,20 @@
 	expectCached(t, model, "s1", prompt("c"), 100)
 }
 
-func TestSegmentNeverOutlivesOneBeforeIt(t *testing.T) {
+func TestLaterSegmentsOfAPromptAreEvictedFirst(t *testing.T) {
 	model := promptcache.New()
 	model.SetCapacity("s1", 300)
 	model.RecordSent("s1", prompt("a", "a1", "a2", "a3"), start)
 	expectCached(t, model, "s1", prompt("a", "a1", "a2", "a3"), 300)
 }
 
-func TestUnsharedSegmentsCountForTheOtherFrontNodes(t *testing.T) {
+func TestUnsharedSegmentsCountOnceForEachFrontNode(t *testing.T) {
 	model := promptcache.New()
 	model.SetFronts(10)
 	model.SetCapacity("s1", 2500)
 	model.RecordSent("s1", prompt("shared", "a"), start)
 	model.RecordSent("s1", prompt("shared", "b"), start)
-	// Now the first part is known to be shared and counts once.
+	// Two prompts have shared the first segment, so it counts only once now.
 	model.RecordSent("s1", prompt("shared", "c"), start)
 	expectCached(t, model, "s1", prompt("shared", "c"), 200)
 	expectCached(t, model, "s1", prompt("shared", "b"), 200)
@@ -81,11 +81,11 @@
 	model.RecordSent("s1", prompt("shared", "a"), start)
 	model.RecordSent("s1", prompt("shared", "a", "a2"), start)
 	if shared := model.Shared(prompt("shared", "a", "a2")); shared != 0 {
-		t.Fatalf("%d tokens of one session's prompt count as shared", shared)
+		t.Fatalf("%d tokens of one session's prompts count as shared, want 0", shared)
 	}
 	model.RecordSent("s2", prompt("shared", "b"), start)
 	if shared := model.Shared(prompt("shared", "c")); shared != 100 {
-		t.Fatalf("%d tokens shared", shared)
+		t.Fatalf("%d tokens count as shared, want 100", shared)
 	}
 }
 
@@ -96,13 +96,13 @@
 	model.Remove("s1")
 	model.Remove("never known")
 	expectCached(t, model, "s1", prompt("a"), 0)
-	if holders := model.ServersWith(prompt("a").First()); holders != 1 {
-		t.Fatalf("%d servers have the segment cached", holders)
+	if servers := model.ServersWith(prompt("a").First()); servers != 1 {
+		t.Fatalf("%d servers have the segment cached, want 1", servers)
 	}
 	model.Retain(func(server string) bool { return server == "s1" })
 	expectCached(t, model, "s2", prompt("a"), 0)
-	if holders := model.ServersWith(prompt("a").First()); holders != 0 {
-		t.Fatalf("%d servers have the segment cached", holders)
+	if servers := model.ServersWith(prompt("a").First()); servers != 0 {
+		t.Fatalf("%d servers have the segment cached, want none", servers)
 	}
 }
 
@@ -114,42 +114,43 @@
 	here.RecordSent("s2", prompt("shared", "c"), start)
 	digest := here.Digest(start)
 	if len(digest.Prefixes) != 1 || len(digest.Servers) != 2 {
-		t.Fatalf("a digest names only what several prompts share: %+v", digest)
+		t.Fatalf("digest %+v, want only the prefix that several prompts share, at two servers", digest)
 	}
 	there.Merge(digest)
 	expectCached(t, there, "s1", prompt("shared", "d"), 100)
-	// A server that the peer's view does not have stays unknown.
+	// The digest does not add servers that the merging model does not have.
 	expectCached(t, there, "s2", prompt("shared", "d"), 0)
 }
 
-func TestMergedEntriesAreNotReportedOn(t *testing.T) {
+func TestMergedEntriesAreNotInOwnDigests(t *testing.T) {
 	first, second := promptcache.New(), promptcache.New()
 	second.SetCapacity("s1", 1000)
 	first.RecordSent("s1", prompt("shared", "a"), start)
 	first.RecordSent("s1", prompt("shared", "b"), start)
 	second.Merge(first.Digest(start))
 	if digest := second.Digest(start); len(digest.Prefixes) != 0 {
-		t.Fatalf("reported on: %+v", digest)
+		t.Fatalf("digest %+v contains prefixes that were only merged", digest)
 	}
 	second.RecordSent("s2", prompt("shared", "c"), start)
 	if digest := second.Digest(start); len(digest.Prefixes) != 1 || len(digest.Servers) != 1 || digest.Servers[0] != "s2" {
-		t.Fatalf("not just own sends are reported: %+v", digest)
+		t.Fatalf("digest %+v, want only the prefix that the model itself sent to s2", digest)
 	}
 }
 
-func TestDigestIsBoundedAndNamesTheMostRecent(t *testing.T) {
+func TestDigestIsBoundedAndListsTheMostRecentPrefixes(t *testing.T) {
 	model := promptcache.New()
-	for at := range 50 {
-		now := start.Add(time.Duration(at) * time.Second)
-		model.RecordSent("s1", prompt(strconv.Itoa(at), "a"), now)
-		model.RecordSent("s1", prompt(strconv.Itoa(at), "b"), now)
+	for i := range 50 {
+		now := start.Add(time.Duration(i) * time.Second)
+		model.RecordSent("s1", prompt(strconv.Itoa(i), "a"), now)
+		model.RecordSent("s1", prompt(strconv.Itoa(i), "b"), now)
 	}
 	digest := model.Digest(start)
 	if len(digest.Prefixes) != promptcache.MaxDigestPrefixes || digest.Prefixes[0].Prefix != prompt("49").First() {
-		t.Fatalf("%d prefixes, first %x", len(digest.Prefixes), digest.Prefixes[0].Prefix)
+		t.Fatalf("%d prefixes, the first %x; want %d, the first %x", len(digest.Prefixes), digest.Prefixes[0].Prefix,
+			promptcache.MaxDigestPrefixes, prompt("49").First())
 	}
 	if late := model.Digest(start.Add(45 * time.Second)); len(late.Prefixes) != 5 {
-		t.Fatalf("%d prefixes of the last five seconds", len(late.Prefixes))
+		t.Fatalf("%d prefixes of the last five seconds, want 5", len(late.Prefixes))
 	}
 }
 
@@ -163,8 +164,8 @@
 			{Prefix: 2, Parent: 1, Tokens: 10, Servers: []uint32{0}},
 		},
 	})
-	circle := promptcache.Prompt{{Prefix: 1, Tokens: 10}, {Prefix: 2, Tokens: 10}, {Prefix: 1, Tokens: 10}}
-	model.RecordSent("s1", circle, start)
+	cyclic := promptcache.Prompt{{Prefix: 1, Tokens: 10}, {Prefix: 2, Tokens: 10}, {Prefix: 1, Tokens: 10}}
+	model.RecordSent("s1", cyclic, start)
 	model.Digest(start)
 }
 
@@ -172,8 +173,8 @@
 	model := promptcache.New()
 	model.SetCapacity("s1", 100_000)
 	long := promptcache.Digest{Servers: []string{"s1"}}
-	for at := range uint64(2 * promptcache.MaxDigestPrefixes) {
-		long.Prefixes = append(long.Prefixes, promptcache.DigestPrefix{Prefix: at + 1, Tokens: 1, Servers: []uint32{0}})
+	for i := range uint64(2 * promptcache.MaxDigestPrefixes) {
+		long.Prefixes = append(long.Prefixes, promptcache.DigestPrefix{Prefix: i + 1, Tokens: 1, Servers: []uint32{0}})
 	}
 	model.Merge(long)
 	last := promptcache.Prompt{{Prefix: promptcache.MaxDigestPrefixes, Tokens: 1}}
@@ -182,17 +183,17 @@
 	expectCached(t, model, "s1", beyond, 0)
 }
 
-func TestCachedAllocatesNothing(t *testing.T) {
+func TestCachedDoesNotAllocate(t *testing.T) {
 	model := promptcache.New()
 	known := prompt("shared", "a", "b", "c")
 	model.RecordSent("s1", known, start)
 	if allocations := testing.AllocsPerRun(100, func() { model.Cached("s1", known) }); allocations != 0 {
-		t.Fatalf("%v allocations", allocations)
+		t.Fatalf("Cached made %v allocations, want none", allocations)
 	}
 }
 
-// TestModelAgreesWithAPlainList compares with a list of prefixes, most recently used first.
-func TestModelAgreesWithAPlainList(t *testing.T) {
+// TestModelMatchesAReferenceList compares the model with a list of prefixes, most recently used first.
+func TestModelMatchesAReferenceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := promptcache.New()
 		const capacity = 10
@@ -211,6 +212,7 @@
 	})
 }
 
+// cachedIn returns the number of tokens of the prompt's longest prefix that the list has.
 func cachedIn(list []uint64, prompt promptcache.Prompt) uint64 {
 	cached := uint64(0)
 	for _, segment := range prompt {
@@ -226,6 +228,7 @@
 	return cached
 }
 
+// useIn returns the list with the prefixes of the prompt moved to its front.
 func useIn(list []uint64, prompt promptcache.Prompt) []uint64 {
 	var used []uint64
 	for _, segment := range prompt {
--- a/internal/dataplane/promptcache/server_cache.go
+++ b/internal/dataplane/promptcache/server_cache.go
@@ -1,18 +1,18 @@
 package promptcache
 
-// entry is a segment that a server has cached, linked from the most to the least recently used one.
+// entry is a segment that a server has cached, in a list by last use.
 type entry struct {
 	segment Segment
 	// weight is the segment's part of Model.cachedTokens.
 	weight uint64
 	// lastUse is the number of the segment's last use.
 	lastUse uint64
-	// own is true when this front node itself sent the segment there.
+	// own is true if this front node itself sent the segment there.
 	own          bool
 	newer, older *entry
 }
 
-// serverCache is the cache of one server, in the order of use.
+// serverCache is the cache of one server, with its entries in the order of their last use.
 type serverCache struct {
 	capacity     uint64
 	cachedTokens uint64
@@ -28,7 +28,7 @@
 	return cache
 }
 
-// oldest is the least recently used entry; nil when there is none.
+// oldest returns the least recently used entry; nil if there is none.
 func (c *serverCache) oldest() *entry {
 	if c.sentinel.newer == &c.sentinel {
 		return nil
@@ -44,6 +44,7 @@
 	return added
 }
 
+// touch makes an entry the most recently used one.
 func (c *serverCache) touch(used *entry) {
 	c.unlink(used)
 	c.link(used)
@@ -55,6 +56,7 @@
 	c.cachedTokens -= uint64(removed.segment.Tokens)
 }
 
+// link inserts an entry as the most recently used one.
 func (c *serverCache) link(used *entry) {
 	used.newer, used.older = &c.sentinel, c.sentinel.older
 	c.sentinel.older.newer = used
