--- a/internal/dataplane/schedule/schedulesim/ablation.go
+++ b/internal/dataplane/schedule/schedulesim/ablation.go
@@ -6,39 +6,41 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-// Mechanism is a part of a policy that can be disabled, to measure its contribution (an ablation). Its values stand in
+// Mechanism is a part of a policy that can be disabled to measure its contribution (an ablation). Its values appear in
 // reports.
 type Mechanism string
 
 // The mechanisms of EXPECTED_FIRST_TOKEN.
 const (
-	// Digests are the exchange between front nodes of which servers have cached which shared segments.
+	// Digests is the exchange of digests between front nodes, which report which servers have cached which shared
+	// segments.
 	Digests Mechanism = "digests of cached parts"
-	// HomeServer is the program's first server; without it each turn ranks the servers anew.
+	// HomeServer is the first server of a program's order; without it each turn has an order of its own.
 	HomeServer Mechanism = "home server"
-	// LastServer prefers the server of the session's last turn.
+	// LastServer is the preference for the server of the session's last turn.
 	LastServer Mechanism = "session's last server"
-	// OwnZone prefers servers of the front node's zone, in its subset and in its order.
+	// OwnZone is the preference for servers in the front node's zone, in its subset and in a program's order.
 	OwnZone Mechanism = "own zone first"
 	// CachedParts is a front node's model of the servers' prefix caches.
 	CachedParts Mechanism = "known cached parts"
-	// PendingPrompts are the prompts of the front node's own turns that are not prefilled yet.
+	// PendingPrompts is the count of the prompt tokens of the front node's own turns that are yet to be prefilled.
 	PendingPrompts Mechanism = "prompts still to be read"
 	// LearnedSlowness is the estimate of a server's slowness from its answers.
 	LearnedSlowness Mechanism = "learned slowness"
-	// LoadSamples are the load reports that front nodes request.
+	// LoadSamples is the load reports that front nodes request.
 	LoadSamples Mechanism = "samples of the load"
-	// AnswerLoads are the load reports on servers' answers.
+	// AnswerLoads is the load reports that servers send with their answers.
 	AnswerLoads Mechanism = "load on answers"
 )
 
-// Mechanisms lists all mechanisms, in the order of the tables in reports.
+// Mechanisms returns all mechanisms, in the order of the tables in reports.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		Digests, HomeServer, LastServer, OwnZone, CachedParts, PendingPrompts, LearnedSlowness, LoadSamples, AnswerLoads,
 	}
 }
 
+// isDisabled reports whether the simulation runs without a mechanism.
 func (o *Options) isDisabled(mechanism Mechanism) bool { return o.Without == mechanism }
 
 // disableInRequest removes the disabled mechanism's part of a request.
--- a/internal/dataplane/schedule/schedulesim/admission.go
+++ b/internal/dataplane/schedule/schedulesim/admission.go
@@ -8,23 +8,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// AdmissionOptions configure a simulation of front nodes' admission queues before one group of servers.
+// AdmissionOptions configures a simulation of front nodes' admission queues for one group of servers.
 type AdmissionOptions struct {
 	Seed   uint64
 	Fronts int
-	// Slots are those of all servers together, of which each front node has its share.
+	// Slots is the number of slots of all servers together, which the front nodes share equally.
 	Slots int
 	// PerSecond is the rate of calls over the complete fleet.
 	PerSecond float64
-	// Work is the mean time that a call occupies its slot.
+	// Work is the mean time for which a call occupies its slot.
 	Work time.Duration
 	// Objective is the latency target of a call, and Timeout how long its caller retries.
 	Objective time.Duration
 	Timeout   time.Duration
 	// MaxSends is the maximum number of times that a caller sends one call.
 	MaxSends int
-	// MaxWaitShare is the part of the objective that a ticket may wait, MaxExpectedShare the part that it may
-	// expect to wait when it enters; 0 leaves it to the queue.
+	// MaxWaitShare is the part of the objective that a ticket may wait, MaxExpectedShare the part that it may expect to
+	// wait when it enters; 0 means no bound besides the queue's.
 	MaxWaitShare     float64
 	MaxExpectedShare float64
 	Length           time.Duration
@@ -33,15 +33,16 @@
 // AdmissionResult is the result of a simulation.
 type AdmissionResult struct {
 	Calls int
-	// InObjective counts the calls that ended within the objective of their first send, Served those that ended at all.
+	// InObjective counts the calls that ended within the objective after their first send, Served those that ended before
+	// their timeout.
 	InObjective int
 	Served      int
-	// Rejections counts rejections of single sends, LateRejections those after lateRejection.
+	// Rejections counts the rejections of single sends, LateRejections those that took longer than lateRejection.
 	Rejections     int
 	LateRejections int
 }
 
-// lateRejection is the time from which a rejection counts as late.
+// lateRejection is the time after which a rejection counts as late.
 const lateRejection = 50 * time.Millisecond
 
 // Add adds the result of another simulation.
@@ -53,25 +54,27 @@
 	r.LateRejections += other.LateRejections
 }
 
-// ShareOf is a count as a fraction of all calls.
+// ShareOf returns a count as a fraction of all calls.
 func (r *AdmissionResult) ShareOf(count int) float64 {
 	return float64(count) / float64(max(r.Calls, 1))
 }
 
-// admissionFront is one front node's queue with the calls that wait in it.
+// admissionFront is one front node's queue with the calls that wait in it, by the ids of their tickets.
 type admissionFront struct {
 	run     *admissionRun
 	queue   *limit.Queue
 	waiting map[uint64]*admissionCall
 }
 
+// admissionCall is a call with the time of its first send, that of its last one, and the number of sends.
 type admissionCall struct {
-	begun  time.Duration
-	sentAt time.Duration
-	work   time.Duration
-	sends  int
+	startedAt time.Duration
+	sentAt    time.Duration
+	work      time.Duration
+	sends     int
 }
 
+// admissionRun is the state of one simulation.
 type admissionRun struct {
 	options  AdmissionOptions
 	timeline *timeline
@@ -81,95 +84,101 @@
 	result   *AdmissionResult
 }
 
-// SimulateAdmission simulates calls in the admission queues of front nodes.
+// SimulateAdmission simulates calls that pass through the admission queues of front nodes.
 func SimulateAdmission(options AdmissionOptions) *AdmissionResult {
-	p := &admissionRun{
+	r := &admissionRun{
 		options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 3)), result: &AdmissionResult{},
 	}
 	for range options.Fronts {
-		p.fronts = append(p.fronts, &admissionFront{
-			run: p, queue: limit.NewQueue(0, 0, options.Slots/options.Fronts), waiting: map[uint64]*admissionCall{},
+		r.fronts = append(r.fronts, &admissionFront{
+			run: r, queue: limit.NewQueue(0, 0, options.Slots/options.Fronts), waiting: map[uint64]*admissionCall{},
 		})
 	}
-	p.scheduleCall()
-	p.timeline.runUntil(options.Length + options.Timeout)
-	return p.result
+	r.scheduleCall()
+	r.timeline.runUntil(options.Length + options.Timeout)
+	return r.result
 }
 
-func (p *admissionRun) scheduleCall() {
-	wait := time.Duration(p.random.ExpFloat64() / p.options.PerSecond * float64(time.Second))
-	if p.timeline.now+wait > p.options.Length {
+// scheduleCall schedules the next call of a Poisson process and, after it, the following ones.
+func (r *admissionRun) scheduleCall() {
+	wait := time.Duration(r.random.ExpFloat64() / r.options.PerSecond * float64(time.Second))
+	if r.timeline.now+wait > r.options.Length {
 		return
 	}
-	p.timeline.after(wait, func() {
-		p.result.Calls++
-		work := lognormal(p.random, float64(p.options.Work), sizeSigma, 5*float64(p.options.Work))
-		p.send(&admissionCall{begun: p.timeline.now, work: time.Duration(work)})
-		p.scheduleCall()
+	r.timeline.after(wait, func() {
+		r.result.Calls++
+		work := lognormal(r.random, float64(r.options.Work), sizeSigma, 5*float64(r.options.Work))
+		r.send(&admissionCall{startedAt: r.timeline.now, work: time.Duration(work)})
+		r.scheduleCall()
 	})
 }
 
 // send sends a call to a random front node.
-func (p *admissionRun) send(call *admissionCall) {
-	front := p.fronts[p.random.IntN(len(p.fronts))]
-	p.nextID++
-	call.sentAt = p.timeline.now
+func (r *admissionRun) send(call *admissionCall) {
+	front := r.fronts[r.random.IntN(len(r.fronts))]
+	r.nextID++
+	call.sentAt = r.timeline.now
 	call.sends++
-	front.waiting[p.nextID] = call
-	front.decide(front.queue.Enter(p.ticket(call), p.timeline.clock()))
+	front.waiting[r.nextID] = call
+	front.apply(front.queue.Enter(r.ticket(call), r.timeline.clock()))
 	front.scheduleExpiry()
 }
 
-func (p *admissionRun) ticket(call *admissionCall) limit.Ticket {
-	begun := p.timeline.clock().Add(call.begun - p.timeline.now)
+// ticket returns the ticket of a call that is sent now.
+func (r *admissionRun) ticket(call *admissionCall) limit.Ticket {
+	startedAt := r.timeline.clock().Add(call.startedAt - r.timeline.now)
 	return limit.Ticket{
-		ID: p.nextID, Class: protocol.Priority_INTERACTIVE, Weight: 1, Deadline: begun.Add(p.options.Timeout),
-		MaxWait: p.objectiveShare(p.options.MaxWaitShare), MaxExpectedWait: p.objectiveShare(p.options.MaxExpectedShare),
+		ID: r.nextID, Class: protocol.Priority_INTERACTIVE, Weight: 1, Deadline: startedAt.Add(r.options.Timeout),
+		MaxWait: r.objectiveShare(r.options.MaxWaitShare), MaxExpectedWait: r.objectiveShare(r.options.MaxExpectedShare),
 	}
 }
 
-func (p *admissionRun) objectiveShare(share float64) time.Duration {
-	return time.Duration(share * float64(p.options.Objective))
+// objectiveShare returns a share of the objective.
+func (r *admissionRun) objectiveShare(share float64) time.Duration {
+	return time.Duration(share * float64(r.options.Objective))
 }
 
-func (f *admissionFront) decide(decisions []limit.Decision) {
+// apply runs or rejects the calls that were decided on.
+func (f *admissionFront) apply(decisions []limit.Decision) {
 	for _, decision := range decisions {
 		call := f.waiting[decision.ID]
 		delete(f.waiting, decision.ID)
 		if decision.Verdict == limit.Run {
-			f.run.timeline.after(call.work, func() { f.ended(call) })
+			f.run.timeline.after(call.work, func() { f.callEnded(call) })
 			continue
 		}
-		f.run.rejected(call, decision.RetryAfter)
+		f.run.callRejected(call, decision.RetryAfter)
 	}
 }
 
-func (f *admissionFront) ended(call *admissionCall) {
-	took := f.run.timeline.now - call.begun
-	if took <= f.run.options.Timeout {
+// callEnded counts a call that ended and releases its slot.
+func (f *admissionFront) callEnded(call *admissionCall) {
+	duration := f.run.timeline.now - call.startedAt
+	if duration <= f.run.options.Timeout {
 		f.run.result.Served++
 	}
-	if took <= f.run.options.Objective {
+	if duration <= f.run.options.Objective {
 		f.run.result.InObjective++
 	}
-	f.decide(f.queue.Leave(f.run.timeline.clock()))
+	f.apply(f.queue.Leave(f.run.timeline.clock()))
 }
 
-// rejected has the caller retry after the time that the rejection names.
-func (p *admissionRun) rejected(call *admissionCall, retryAfter time.Duration) {
-	p.result.Rejections++
-	if p.timeline.now-call.sentAt > lateRejection {
-		p.result.LateRejections++
+// callRejected counts a rejection and lets the caller retry after retryAfter, within its limits.
+func (r *admissionRun) callRejected(call *admissionCall, retryAfter time.Duration) {
+	r.result.Rejections++
+	if r.timeline.now-call.sentAt > lateRejection {
+		r.result.LateRejections++
 	}
-	if call.sends < p.options.MaxSends && p.timeline.now+retryAfter < call.begun+p.options.Timeout {
-		p.timeline.after(retryAfter, func() { p.send(call) })
+	if call.sends < r.options.MaxSends && r.timeline.now+retryAfter < call.startedAt+r.options.Timeout {
+		r.timeline.after(retryAfter, func() { r.send(call) })
 	}
 }
 
+// scheduleExpiry schedules the expiry of the next waiting ticket.
 func (f *admissionFront) scheduleExpiry() {
 	next := f.queue.NextExpiry()
 	if next.IsZero() {
 		return
 	}
-	f.run.timeline.after(next.Sub(f.run.timeline.clock()), func() { f.decide(f.queue.Expire(f.run.timeline.clock())) })
+	f.run.timeline.after(next.Sub(f.run.timeline.clock()), func() { f.apply(f.queue.Expire(f.run.timeline.clock())) })
 }
--- a/internal/dataplane/schedule/schedulesim/admission_test.go
+++ b/internal/dataplane/schedule/schedulesim/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule/schedulesim"
 )
 
-// admissionCase is one load on the queues of ten front nodes before sixty slots.
+// admissionCase is one load, relative to the capacity, on ten front nodes that share sixty slots.
 type admissionCase struct {
 	load      float64
 	objective time.Duration
@@ -24,19 +24,19 @@
 	{1.5, 800 * time.Millisecond},
 }
 
-// admissionVariant is how tickets are bounded.
+// admissionVariant is a way to bound the waits of tickets.
 type admissionVariant struct {
-	name                  string
-	waitShare, entryShare float64
+	name                     string
+	waitShare, expectedShare float64
 }
 
 var (
 	unbounded       = admissionVariant{name: "unbounded"}
 	boundedWait     = admissionVariant{name: "bounded_wait", waitShare: 0.25}
-	boundedExpected = admissionVariant{name: "bounded_expected_wait", entryShare: 0.25}
+	boundedExpected = admissionVariant{name: "bounded_expected_wait", expectedShare: 0.25}
 )
 
-// simulateAdmission adds up simulations of five seeds.
+// simulateAdmission returns the sum of the results of five seeds.
 func simulateAdmission(c admissionCase, variant admissionVariant) *schedulesim.AdmissionResult {
 	const seeds, slots, work = 5, 60, 100 * time.Millisecond
 	total := &schedulesim.AdmissionResult{}
@@ -44,29 +44,29 @@
 		total.Add(schedulesim.SimulateAdmission(schedulesim.AdmissionOptions{
 			Seed: seed, Fronts: 10, Slots: slots, PerSecond: c.load * slots / work.Seconds(), Work: work,
 			Objective: c.objective, Timeout: 2 * time.Second, MaxSends: 5,
-			MaxWaitShare: variant.waitShare, MaxExpectedShare: variant.entryShare, Length: 12 * time.Second,
+			MaxWaitShare: variant.waitShare, MaxExpectedShare: variant.expectedShare, Length: 12 * time.Second,
 		}))
 	}
 	return total
 }
 
-func TestRejectingCallsThatExpectToMissTheirLatencyTargetServesMoreWithinIt(t *testing.T) {
-	// unservedInstead is the part of calls that may go unserved for it under overload.
-	const unservedInstead = 0.07
+func TestBoundingTheExpectedWaitServesMoreCallsWithinTheirObjective(t *testing.T) {
+	// maxServedLoss is the share of calls by which fewer may be served in return under overload.
+	const maxServedLoss = 0.07
 	for _, c := range admissionCases {
 		before, after := simulateAdmission(c, unbounded), simulateAdmission(c, boundedExpected)
 		if after.ShareOf(after.InObjective) <= before.ShareOf(before.InObjective) {
 			t.Errorf(
-				"%+v: %.3f within the objective, %.3f without the bound", c, after.ShareOf(after.InObjective), before.ShareOf(
-					before.InObjective,
-				),
+				"%+v: %.3f of calls within the objective with the bound, not more than %.3f without it", c,
+				after.ShareOf(after.InObjective), before.ShareOf(before.InObjective),
 			)
 		}
-		if after.ShareOf(after.Served) < before.ShareOf(before.Served)-unservedInstead {
-			t.Errorf("%+v: %.3f served, %.3f without the bound", c, after.ShareOf(after.Served), before.ShareOf(before.Served))
+		if after.ShareOf(after.Served) < before.ShareOf(before.Served)-maxServedLoss {
+			t.Errorf("%+v: %.3f of calls served with the bound, %.3f without it, want at most %.2f fewer", c,
+				after.ShareOf(after.Served), before.ShareOf(before.Served), maxServedLoss)
 		}
 		if after.LateRejections*100 > after.Rejections {
-			t.Errorf("%+v: %d of %d rejections were late", c, after.LateRejections, after.Rejections)
+			t.Errorf("%+v: %d of %d rejections were late, want at most one in 100", c, after.LateRejections, after.Rejections)
 		}
 	}
 }
@@ -75,12 +75,13 @@
 	for _, c := range admissionCases[:3] {
 		got := simulateAdmission(c, boundedWait)
 		if got.LateRejections*20 < got.Rejections {
-			t.Errorf("%+v: %d of %d rejections were late: is this bound better now?", c, got.LateRejections, got.Rejections)
+			t.Errorf("%+v: %d of %d rejections were late, expected at least one in 20; if so few are, reconsider this bound", c,
+				got.LateRejections, got.Rejections)
 		}
 	}
 }
 
-// BenchmarkAdmission gives the figures for bounds on waits of docs/POLICIES.md.
+// BenchmarkAdmission measures the figures for bounds on waits in docs/POLICIES.md.
 func BenchmarkAdmission(b *testing.B) {
 	for _, c := range admissionCases {
 		for _, variant := range []admissionVariant{unbounded, boundedWait, boundedExpected} {
--- a/internal/dataplane/schedule/schedulesim/compare_test.go
+++ b/internal/dataplane/schedule/schedulesim/compare_test.go
@@ -8,8 +8,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// standard is a fleet of twelve servers under a hundred turns a second from ten front nodes.
-func standard(seed uint64) schedulesim.Options {
+// standardOptions returns a fleet of twelve servers and ten front nodes with a hundred turns per second.
+func standardOptions(seed uint64) schedulesim.Options {
 	return schedulesim.Options{
 		Seed: seed, Servers: 12, Fronts: 10, Load: 1,
 		Engine: schedulesim.EngineSpec{
@@ -31,7 +31,7 @@
 	}
 }
 
-// variant is a policy as it would be run.
+// variant is a policy as it is deployed: with or without digests.
 type variant struct {
 	name      string
 	algorithm protocol.SchedulingAlgorithm
@@ -47,6 +47,7 @@
 	{"ROUND_ROBIN", protocol.SchedulingAlgorithm_ROUND_ROBIN, 0},
 }
 
+// scenario is a change to the standard options.
 type scenario struct {
 	name   string
 	change func(*schedulesim.Options)
@@ -82,7 +83,7 @@
 	},
 }
 
-// longerPrograms has larger batches, slower engines and programs of up to 22 turns.
+// longerPrograms sets larger batches, slower engines and programs of up to 22 turns.
 func longerPrograms(o *schedulesim.Options) {
 	o.Engine = schedulesim.EngineSpec{
 		Slots: 64, Queue: 192, CacheTokens: 252_000, StepTime: 6730 * time.Microsecond, PerRequest: 22 * time.Microsecond,
@@ -90,37 +91,37 @@
 	}
 	long := &o.Programs[1]
 	long.PerSecond, long.Turns, long.MaxTurns, long.SubAgents = 4, 11, 22, 0.15
-	for at := range o.Programs {
-		o.Programs[at].ThinkTime = 150 * time.Millisecond
+	for i := range o.Programs {
+		o.Programs[i].ThinkTime = 150 * time.Millisecond
 	}
 }
 
 func simulate(scenario scenario, variant variant, seed uint64) *schedulesim.Result {
-	options := standard(seed)
+	options := standardOptions(seed)
 	options.Algorithm, options.Digests = variant.algorithm, variant.digests
 	scenario.change(&options)
 	return schedulesim.Simulate(options)
 }
 
-// BenchmarkPolicies gives the figures of docs/POLICIES.md: the mean of three seeds.
+// BenchmarkPolicies measures the figures in docs/POLICIES.md: the means of three seeds.
 func BenchmarkPolicies(b *testing.B) {
 	const seeds = 3
 	for _, scenario := range scenarios {
 		for _, variant := range variants {
 			b.Run(scenario.name+"/"+variant.name, func(b *testing.B) {
-				inTime, first, twice := 0.0, 0.0, 0.0
+				inTime, firstToken, repeated := 0.0, 0.0, 0.0
 				for range b.N {
-					inTime, first, twice = 0, 0, 0
+					inTime, firstToken, repeated = 0, 0, 0
 					for seed := range uint64(seeds) {
 						result := simulate(scenario, variant, seed+1)
 						inTime += result.Share() / seeds
-						first += result.Quantile(0.95).Seconds() * 1000 / seeds
-						twice += float64(result.RepeatedTokens) / float64(result.Turns) / seeds
+						firstToken += result.Quantile(0.95).Seconds() * 1000 / seeds
+						repeated += float64(result.RepeatedTokens) / float64(result.Turns) / seeds
 					}
 				}
 				b.ReportMetric(inTime, "programs_in_time")
-				b.ReportMetric(first, "p95_first_token_ms")
-				b.ReportMetric(twice, "tokens_read_twice/turn")
+				b.ReportMetric(firstToken, "p95_first_token_ms")
+				b.ReportMetric(repeated, "tokens_read_twice/turn")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/dataplane/schedule/schedulesim/events.go
+++ b/internal/dataplane/schedule/schedulesim/events.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// event is a function to run at a time; events of one time run in the order in which they were scheduled.
+// event is a function to run at a time; events at the same time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
+// eventHeap is a heap of events, the next one first.
 type eventHeap []event
 
 // Len implements heap.Interface.
@@ -43,13 +44,13 @@
 	events   eventHeap
 }
 
-// after schedules an event.
+// after schedules an event after a time.
 func (t *timeline) after(wait time.Duration, run func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: t.now + max(wait, 0), sequence: t.sequence, run: run})
 }
 
-// runUntil runs the events up to an end.
+// runUntil runs the events up to and including the end time.
 func (t *timeline) runUntil(end time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= end {
 		next := heap.Pop(&t.events).(event)
@@ -58,5 +59,5 @@
 	}
 }
 
-// clock is the virtual time in the form that the decision packages take.
+// clock returns the virtual time as the time.Time that the decision packages take.
 func (t *timeline) clock() time.Time { return time.Unix(1_000_000, 0).Add(t.now) }
--- a/internal/dataplane/schedule/schedulesim/fleet.go
+++ b/internal/dataplane/schedule/schedulesim/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Options configure a simulation.
+// Options configures a simulation.
 type Options struct {
 	Seed      uint64
 	Algorithm protocol.SchedulingAlgorithm
@@ -21,22 +21,22 @@
 	Programs  []ProgramSpec
 	// Load scales the rates of programs.
 	Load float64
-	// Length is the time during which programs begin, GracePeriod how long those may still run.
+	// Length is the time during which programs begin, GracePeriod how long the simulation runs after that.
 	Length      time.Duration
 	GracePeriod time.Duration
-	// SubsetSize is how many of the servers each front node uses; 0 is all.
+	// SubsetSize is how many of the servers each front node uses; 0 means all.
 	SubsetSize uint32
 	// SamplesPerSecond is the rate at which one front node requests load reports.
 	SamplesPerSecond float64
-	// Digests is the interval at which front nodes exchange digests of the servers' caches; 0 is never.
+	// Digests is the interval at which front nodes exchange digests of the servers' caches; 0 means never.
 	Digests time.Duration
-	// LoadOnAnswers has servers report their load with the head of each answer.
+	// LoadOnAnswers makes servers report their load with the head of each answer.
 	LoadOnAnswers bool
-	// Zones is the number of zones of servers and front nodes; 0 is defaultZones.
+	// Zones is the number of zones of servers and front nodes; 0 means defaultZones.
 	Zones int
-	// Without is the disabled mechanism; empty is none.
+	// Without is the disabled mechanism; empty means none.
 	Without Mechanism
-	// Burst, Release and Slow are disturbances; their zero values are none.
+	// Burst, Release and Slow are disturbances; a zero value means none.
 	Burst   Burst
 	Release Release
 	Slow    Slow
@@ -48,7 +48,7 @@
 	Factor    float64
 }
 
-// Release replaces a share of the servers one by one.
+// Release replaces a share of the servers one by one, as a release of new software does.
 type Release struct {
 	From, Gap time.Duration
 	Share     float64
@@ -61,7 +61,7 @@
 	Factor    float64
 }
 
-// Result is the result of a simulation.
+// Result is the result of a simulation of turns.
 type Result struct {
 	Programs int
 	InTarget int
@@ -71,20 +71,22 @@
 	ByKind map[string]float64
 	// FirstTokens are the times to the first token, sorted.
 	FirstTokens []time.Duration
-	// PrefilledTokens counts the prompt tokens that servers prefilled, RepeatedTokens those that some server had prefilled
-	// before.
+	// PrefilledTokens counts the prompt tokens that servers prefilled, RepeatedTokens those of them that some server had
+	// prefilled before.
 	PrefilledTokens uint64
 	RepeatedTokens  uint64
 	Preempted       int
 	Turns           int
-	kinds           map[string][2]int
+	// kinds counts, by kind, the programs that ended within their latency target and all that ended.
+	kinds map[string][2]int
+	// prefilledBefore has the prefixes that some server has prefilled.
 	prefilledBefore map[uint64]bool
 }
 
-// Share is the part of programs that ended within their latency target.
+// Share returns the share of programs that ended within their latency target.
 func (r *Result) Share() float64 { return float64(r.InTarget) / float64(max(r.Programs, 1)) }
 
-// Quantile is the time to the first token that the share of turns, from 0 to 1, did not exceed.
+// Quantile returns the time to the first token that a share of the turns, from 0 to 1, did not exceed.
 func (r *Result) Quantile(share float64) time.Duration {
 	if len(r.FirstTokens) == 0 {
 		return 0
@@ -92,13 +94,14 @@
 	return r.FirstTokens[min(int(share*float64(len(r.FirstTokens))), len(r.FirstTokens)-1)]
 }
 
+// fleet is the state of a simulation of turns.
 type fleet struct {
 	options  Options
 	timeline *timeline
 	engines  []*engine
 	fronts   []*front
 	result   *Result
-	// programRandom draws the programs, so that they are the same for each policy.
+	// programRandom draws the programs and their front nodes, and nothing else, so that they are the same for each policy.
 	programRandom *rand.Rand
 	started       int
 	replaced      int
@@ -107,7 +110,7 @@
 
 const defaultZones = 4
 
-// Simulate simulates a fleet.
+// Simulate simulates programs of turns on a fleet of model servers.
 func Simulate(options Options) *Result {
 	f := &fleet{
 		options: options, timeline: &timeline{}, programRandom: rand.New(rand.NewPCG(options.Seed, 1)),
@@ -116,12 +119,12 @@
 		},
 	}
 	zones := cmp.Or(options.Zones, defaultZones)
-	for at := range options.Servers {
-		f.addEngine(fmt.Sprintf("server-%02d", at), fmt.Sprintf("zone-%d", at%zones))
+	for i := range options.Servers {
+		f.addEngine(fmt.Sprintf("server-%02d", i), fmt.Sprintf("zone-%d", i%zones))
 	}
-	for at := range options.Fronts {
-		random := rand.New(rand.NewPCG(options.Seed, uint64(100+at)))
-		f.fronts = append(f.fronts, newFront(f, fmt.Sprintf("front-%d", at), fmt.Sprintf("zone-%d", at%zones), random))
+	for i := range options.Fronts {
+		random := rand.New(rand.NewPCG(options.Seed, uint64(100+i)))
+		f.fronts = append(f.fronts, newFront(f, fmt.Sprintf("front-%d", i), fmt.Sprintf("zone-%d", i%zones), random))
 	}
 	f.updateViews()
 	f.scheduleEvents()
@@ -137,6 +140,7 @@
 	f.allEngines = append(f.allEngines, added)
 }
 
+// recordPrefill counts the tokens of a segment that a server prefilled.
 func (f *fleet) recordPrefill(segment promptcache.Segment) {
 	f.result.PrefilledTokens += uint64(segment.Tokens)
 	if f.result.prefilledBefore[segment.Prefix] {
@@ -151,16 +155,17 @@
 	}
 }
 
+// scheduleEvents schedules the programs, the recurring events and the disturbances.
 func (f *fleet) scheduleEvents() {
-	for at := range f.options.Programs {
-		f.scheduleProgram(&f.options.Programs[at], at == 0)
+	for i := range f.options.Programs {
+		f.scheduleProgram(&f.options.Programs[i], i == 0)
 	}
-	for at, front := range f.fronts {
+	for i, front := range f.fronts {
 		if f.options.isDisabled(LoadSamples) {
 			break
 		}
 		f.every(
-			time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(at)*time.Millisecond,
+			time.Duration(float64(time.Second)/f.options.SamplesPerSecond), time.Duration(i)*time.Millisecond,
 			front.requestReport,
 		)
 	}
@@ -171,17 +176,19 @@
 	f.scheduleRelease()
 }
 
+// every runs a function at an interval until the simulation ends.
 func (f *fleet) every(interval, offset time.Duration, run func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		run()
 		if f.timeline.now < f.options.Length+f.options.GracePeriod {
-			f.timeline.after(interval, again)
+			f.timeline.after(interval, repeat)
 		}
 	}
-	f.timeline.after(interval+offset, again)
+	f.timeline.after(interval+offset, repeat)
 }
 
+// exchangeDigests merges the digest of each front node of the last ten seconds at all others.
 func (f *fleet) exchangeDigests() {
 	since := f.timeline.clock().Add(-10 * time.Second)
 	for _, from := range f.fronts {
@@ -194,24 +201,26 @@
 	}
 }
 
+// scheduleSlowdown schedules the time during which some servers are slow.
 func (f *fleet) scheduleSlowdown() {
-	for at := range f.options.Slow.Servers {
-		slow := f.engines[(at*5+2)%len(f.engines)]
+	for i := range f.options.Slow.Servers {
+		slow := f.engines[(i*5+2)%len(f.engines)]
 		f.timeline.after(f.options.Slow.From, func() { slow.slowness = f.options.Slow.Factor })
 		f.timeline.after(f.options.Slow.From+f.options.Slow.For, func() { slow.slowness = 1 })
 	}
 }
 
-// scheduleRelease drains one server after the other, each replaced by an empty one.
+// scheduleRelease schedules the replacement of one server after the other.
 func (f *fleet) scheduleRelease() {
 	count := int(f.options.Release.Share * float64(len(f.engines)))
-	for at := range count {
+	for i := range count {
 		f.timeline.after(
-			f.options.Release.From+time.Duration(at)*f.options.Release.Gap, func() { f.replace(f.allEngines[at]) },
+			f.options.Release.From+time.Duration(i)*f.options.Release.Gap, func() { f.replace(f.allEngines[i]) },
 		)
 	}
 }
 
+// replace drains a server and adds one with an empty cache after half of the gap.
 func (f *fleet) replace(old *engine) {
 	old.draining = true
 	f.engines = slices.DeleteFunc(slices.Clone(f.engines), func(e *engine) bool { return e == old })
@@ -225,7 +234,7 @@
 	})
 }
 
-// scheduleProgram lets programs of a kind begin at random times.
+// scheduleProgram schedules the next program of a kind, at a random time, and after it the following ones.
 func (f *fleet) scheduleProgram(spec *ProgramSpec, bursts bool) {
 	rate := spec.PerSecond * f.options.Load
 	now := f.timeline.now
@@ -242,6 +251,7 @@
 	})
 }
 
+// beginProgram plans a program and starts its conversation.
 func (f *fleet) beginProgram(spec *ProgramSpec) {
 	f.started++
 	plan := planProgram(spec, f.programRandom)
@@ -252,12 +262,13 @@
 	p.deadline = p.started + time.Duration(targetFactor*float64(p.unloadedTime)) + targetMargin
 	conversation := &conversation{
 		program: p, session: p.name, front: f.fronts[f.programRandom.IntN(len(f.fronts))],
-		segments: []promptSegment{drawSharedPrefix(spec, f.programRandom)}, done: func() { f.endProgram(p) },
+		segments: []promptSegment{drawSharedPrefix(spec, f.programRandom)}, onDone: func() { f.endProgram(p) },
 	}
 	f.result.Programs++
 	f.runTurns(conversation, plan, 0)
 }
 
+// endProgram counts a program that ended.
 func (f *fleet) endProgram(p *program) {
 	kind := f.result.kinds[p.spec.Name]
 	kind[1]++
@@ -273,10 +284,10 @@
 	f.result.kinds[p.spec.Name] = kind
 }
 
-// runTurns runs the turns of a conversation from one on.
+// runTurns runs the turns of a conversation, starting with the given one.
 func (f *fleet) runTurns(conversation *conversation, plan *conversationPlan, turn int) {
 	if turn == len(plan.turns) || conversation.program.failed {
-		conversation.done()
+		conversation.onDone()
 		return
 	}
 	next := plan.turns[turn]
@@ -302,7 +313,7 @@
 		},
 		onFail: func() {
 			conversation.program.failed = true
-			conversation.done()
+			conversation.onDone()
 		},
 	})
 }
@@ -313,39 +324,41 @@
 	c.segments = append(slices.Clone(c.segments), segment)
 }
 
+// prompt returns the prompt of the conversation's next turn.
 func (c *conversation) prompt() promptcache.Prompt {
-	chain := promptcache.NewPromptBuilder("model", len(c.segments))
+	builder := promptcache.NewPromptBuilder("model", len(c.segments))
 	for _, segment := range c.segments {
-		chain.Add(segment.id, segment.tokens)
+		builder.Add(segment.id, segment.tokens)
 	}
-	return chain.Prompt()
+	return builder.Prompt()
 }
 
-// runSubAgents runs conversations concurrently that continue the parent's, and calls then when all are done.
-func (f *fleet) runSubAgents(parent *conversation, plans []*conversationPlan, then func()) {
+// runSubAgents runs conversations concurrently that continue the parent's, and calls onDone when all are done.
+func (f *fleet) runSubAgents(parent *conversation, plans []*conversationPlan, onDone func()) {
 	if len(plans) == 0 {
-		then()
+		onDone()
 		return
 	}
-	left := len(plans)
-	for at, plan := range plans {
+	running := len(plans)
+	for i, plan := range plans {
 		subConversation := &conversation{
-			program: parent.program, session: fmt.Sprintf("%s.%d.%d", parent.session, len(parent.segments), at),
-			front: f.fronts[(f.started+at)%len(f.fronts)], segments: slices.Clone(parent.segments),
+			program: parent.program, session: fmt.Sprintf("%s.%d.%d", parent.session, len(parent.segments), i),
+			front: f.fronts[(f.started+i)%len(f.fronts)], segments: slices.Clone(parent.segments),
 		}
-		subConversation.done = func() {
-			if left--; left == 0 {
-				then()
+		subConversation.onDone = func() {
+			if running--; running == 0 {
+				onDone()
 			}
 		}
 		f.runTurns(subConversation, plan, 0)
 	}
 }
 
+// finish computes the figures of the result that depend on the complete simulation.
 func (f *fleet) finish() {
 	slices.Sort(f.result.FirstTokens)
 	for _, engine := range f.allEngines {
-		f.result.Preempted += engine.preempted
+		f.result.Preempted += engine.preemptions
 	}
 	for name, kind := range f.result.kinds {
 		f.result.ByKind[name] = float64(kind[0]) / float64(kind[1])
--- a/internal/dataplane/schedule/schedulesim/front.go
+++ b/internal/dataplane/schedule/schedulesim/front.go
@@ -17,27 +17,28 @@
 	reportTTL = 2 * time.Second
 )
 
-// serverState is a front node's state of one server.
+// serverState is what a front node records of one server.
 type serverState struct {
 	engine        *engine
 	inFlight      uint32
 	waiting       uint32
 	pendingTokens uint64
-	// issued are the times at which the requests without a first token were sent.
-	issued   []time.Duration
+	// issuedAt has the times at which the requests without a first token were sent.
+	issuedAt []time.Duration
 	slowness schedule.Slowness
-	report   report
+	report   loadReport
 }
 
-type report struct {
-	at              time.Duration
-	known           bool
+// loadReport is a server's load, with the front node's own waiting requests when it was taken.
+type loadReport struct {
+	takenAt         time.Duration
+	received        bool
 	running, queued int
-	used            uint64
+	usedTokens      uint64
 	waiting         uint32
 }
 
-// front is one front node, which decides on its own information.
+// front is one front node, which chooses servers with only its own information.
 type front struct {
 	fleet    *fleet
 	name     string
@@ -59,7 +60,7 @@
 	return f
 }
 
-// updateView adds the servers that were started.
+// updateView adds the servers that have been started.
 func (f *front) updateView() {
 	for _, server := range f.fleet.engines {
 		if f.servers[server.id] == nil {
@@ -69,21 +70,23 @@
 	}
 }
 
-// requestReport requests a load report of the one of two random servers whose report is older.
+// requestReport requests a load report from one of two random servers: the one whose last report is older.
 func (f *front) requestReport() {
 	servers := f.fleet.engines
-	one, two := f.servers[servers[f.random.IntN(len(servers))].id], f.servers[servers[f.random.IntN(len(servers))].id]
-	if two.report.at < one.report.at {
-		one = two
+	chosen, other := f.servers[servers[f.random.IntN(len(servers))].id], f.servers[servers[f.random.IntN(len(servers))].id]
+	if other.report.takenAt < chosen.report.takenAt {
+		chosen = other
 	}
-	running, queued := one.engine.requestCounts()
-	taken := report{
-		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: one.engine.usedTokens(),
-		waiting: one.waiting,
+	running, queued := chosen.engine.requestCounts()
+	report := loadReport{
+		takenAt: f.fleet.timeline.now, received: true, running: running, queued: queued,
+		usedTokens: chosen.engine.usedTokens(), waiting: chosen.waiting,
 	}
 	f.fleet.timeline.after(reportDelay, func() {
-		one.report = taken
-		f.cache.SetCapacity(one.engine.id, one.engine.spec.CacheTokens-min(one.engine.spec.CacheTokens, taken.used))
+		chosen.report = report
+		f.cache.SetCapacity(
+			chosen.engine.id, chosen.engine.spec.CacheTokens-min(chosen.engine.spec.CacheTokens, report.usedTokens),
+		)
 	})
 }
 
@@ -93,36 +96,38 @@
 		return
 	}
 	running, queued := state.engine.requestCounts()
-	state.report = report{
-		at: f.fleet.timeline.now, known: true, running: running, queued: queued, used: state.report.used,
+	state.report = loadReport{
+		takenAt: f.fleet.timeline.now, received: true, running: running, queued: queued, usedTokens: state.report.usedTokens,
 		waiting: state.waiting,
 	}
 }
 
-// slownessFactor is the server's slowness, from its answers and from the requests without one.
+// slownessFactor returns the server's slowness, from its answers and from the requests that wait for one.
 func (s *serverState) slownessFactor(profile schedule.Profile, timeline *timeline) float64 {
-	if len(s.issued) == 0 {
+	if len(s.issuedAt) == 0 {
 		return s.slowness.Factor(timeline.clock())
 	}
 	expected := profile.FirstToken(s.pendingTokens + uint64(profile.MeanPrompt))
-	return s.slowness.FactorWhileWaiting(expected, timeline.now-slices.Min(s.issued), timeline.clock())
+	return s.slowness.FactorWhileWaiting(expected, timeline.now-slices.Min(s.issuedAt), timeline.clock())
 }
 
-func (s *serverState) recordSent(tokens uint64, at time.Duration) {
+// recordSent records that a request was sent.
+func (s *serverState) recordSent(tokens uint64, issuedAt time.Duration) {
 	s.inFlight++
 	s.waiting++
 	s.pendingTokens += tokens
-	s.issued = append(s.issued, at)
+	s.issuedAt = append(s.issuedAt, issuedAt)
 }
 
-// recordFirstToken records that a request has its first token or was rejected.
-func (s *serverState) recordFirstToken(tokens uint64, at time.Duration) {
+// recordFirstToken records that a request got its first token or was rejected.
+func (s *serverState) recordFirstToken(tokens uint64, issuedAt time.Duration) {
 	s.waiting--
 	s.pendingTokens -= tokens
-	index := slices.Index(s.issued, at)
-	s.issued = slices.Delete(s.issued, index, index+1)
+	index := slices.Index(s.issuedAt, issuedAt)
+	s.issuedAt = slices.Delete(s.issuedAt, index, index+1)
 }
 
+// candidates returns the servers of the fleet as seen by this front node.
 func (f *front) candidates(prompt promptcache.Prompt) []schedule.Candidate {
 	candidates := make([]schedule.Candidate, 0, len(f.fleet.engines))
 	for _, server := range f.fleet.engines {
@@ -133,9 +138,9 @@
 			CachedTokens: f.cache.Cached(server.id, prompt), CacheTokens: server.spec.CacheTokens,
 			Slowness: state.slownessFactor(f.profile.Profile(), f.fleet.timeline),
 		}
-		if age := f.fleet.timeline.now - state.report.at; state.report.known && age < reportTTL {
+		if age := f.fleet.timeline.now - state.report.takenAt; state.report.received && age < reportTTL {
 			candidate.Running, candidate.Queued = uint32(state.report.running), uint32(state.report.queued)
-			candidate.UsedTokens, candidate.ReportAge = state.report.used, age
+			candidate.UsedTokens, candidate.ReportAge = state.report.usedTokens, age
 			candidate.WaitingAtReport = state.report.waiting
 		}
 		f.fleet.options.disableInCandidate(&candidate)
@@ -144,13 +149,13 @@
 	return candidates
 }
 
-// turnRequest is one turn that a front node issues, with what follows from its progress.
+// turnRequest is one turn that a front node issues, with the callbacks for its progress.
 type turnRequest struct {
 	conversation *conversation
 	rank         uint32
 	prompt       promptcache.Prompt
 	output       uint64
-	// avoid are the servers that rejected the turn.
+	// avoid has the servers that rejected the turn.
 	avoid   []string
 	onFirst func()
 	onDone  func()
@@ -166,7 +171,7 @@
 	request := schedule.Request{
 		Algorithm: f.fleet.options.Algorithm, Front: f.name, Zone: f.zone,
 		SubsetSize:  cmp.Or(f.fleet.options.SubsetSize, uint32(len(f.fleet.engines))),
-		AffinityKey: turn.conversation.program.name, LastServer: turn.conversation.last, Avoid: turn.avoid,
+		AffinityKey: turn.conversation.program.name, LastServer: turn.conversation.lastServer, Avoid: turn.avoid,
 		Sequence:     f.sequence,
 		PromptTokens: turn.prompt.Tokens(), SharedTokens: f.cache.Shared(turn.prompt), OutputTokens: turn.output,
 		Profile: f.profile.Profile(),
@@ -175,7 +180,7 @@
 	return f.servers[schedule.Choose(request, f.candidates(turn.prompt), f.random).Chosen]
 }
 
-// issue sends a turn to the server that the policy chooses, and to another when that one is full.
+// issue sends a turn to the server that the policy chooses, and to another if that one is full.
 func (f *front) issue(turn turnRequest) {
 	state := f.choose(turn)
 	if state == nil || len(turn.avoid) >= maxSends {
@@ -203,7 +208,7 @@
 		expected := time.Duration(turn.output) * f.profile.Profile().StepTime
 		state.slowness.Observe(expected, timeline.now-first, timeline.clock())
 		f.profile.ObserveOutput(turn.output, timeline.now-first)
-		turn.conversation.last = state.engine.id
+		turn.conversation.lastServer = state.engine.id
 		turn.onDone()
 	}
 	timeline.after(networkTime/2, func() {
--- a/internal/dataplane/schedule/schedulesim/tools.go
+++ b/internal/dataplane/schedule/schedulesim/tools.go
@@ -10,16 +10,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ToolOptions configure a simulation of tool servers.
+// ToolOptions configures a simulation of tool servers.
 type ToolOptions struct {
 	Seed      uint64
 	Algorithm protocol.SchedulingAlgorithm
 	Fronts    int
-	// Speeds is the factor of each server's service time; Slots and Queue are those of each server.
+	// Speeds has the factor of each server's service time; Slots and Queue are the same for all servers.
 	Speeds []float64
 	Slots  int
 	Queue  int
-	// PerSecond is the rate at which programs call, Concurrent how many calls arrive together.
+	// PerSecond is the rate at which programs make calls, Concurrent the number of calls that arrive together.
 	PerSecond  float64
 	Concurrent int
 	// Work is the mean work of a call on an ordinary server.
@@ -27,17 +27,17 @@
 	Length time.Duration
 }
 
-// ToolResult is the result of a simulation.
+// ToolResult is the result of a simulation of tool calls.
 type ToolResult struct {
 	Calls int
 	// Failed counts calls that three servers rejected, Rejected the single rejections.
 	Failed   int
 	Rejected int
-	// Latencies are the times of calls, sorted.
+	// Latencies has the durations of the calls that ended, sorted.
 	Latencies []time.Duration
 }
 
-// Quantile is the time that the share of calls, from 0 to 1, did not exceed.
+// Quantile returns the duration that a share of the calls, from 0 to 1, did not exceed.
 func (r *ToolResult) Quantile(share float64) time.Duration {
 	if len(r.Latencies) == 0 {
 		return 0
@@ -53,7 +53,7 @@
 	waiting []func()
 }
 
-// toolFront is one front node with its state of each server.
+// toolFront is one front node with what it records of each server.
 type toolFront struct {
 	random   *rand.Rand
 	inFlight map[string]uint32
@@ -62,6 +62,7 @@
 	sequence uint64
 }
 
+// toolFleet is the state of a simulation of tool calls.
 type toolFleet struct {
 	options  ToolOptions
 	timeline *timeline
@@ -71,17 +72,17 @@
 	result   *ToolResult
 }
 
-// SimulateTools simulates calls of tools.
+// SimulateTools simulates tool calls.
 func SimulateTools(options ToolOptions) *ToolResult {
 	f := &toolFleet{
 		options: options, timeline: &timeline{}, random: rand.New(rand.NewPCG(options.Seed, 2)), result: &ToolResult{},
 	}
-	for at, speed := range options.Speeds {
-		f.servers = append(f.servers, &toolServer{id: fmt.Sprintf("tool-%02d", at), speed: speed})
+	for i, speed := range options.Speeds {
+		f.servers = append(f.servers, &toolServer{id: fmt.Sprintf("tool-%02d", i), speed: speed})
 	}
-	for at := range options.Fronts {
+	for i := range options.Fronts {
 		front := &toolFront{
-			random:   rand.New(rand.NewPCG(options.Seed, uint64(200+at))),
+			random:   rand.New(rand.NewPCG(options.Seed, uint64(200+i))),
 			inFlight: make(map[string]uint32), slowness: make(map[string]*schedule.Slowness),
 		}
 		for _, server := range f.servers {
@@ -95,6 +96,7 @@
 	return f.result
 }
 
+// scheduleCalls schedules the next concurrent calls of a program and, after them, the following ones.
 func (f *toolFleet) scheduleCalls() {
 	wait := time.Duration(f.random.ExpFloat64() / f.options.PerSecond * float64(time.Second))
 	if f.timeline.now+wait > f.options.Length {
@@ -112,6 +114,7 @@
 	})
 }
 
+// call sends a call to the server that the policy chooses, and to another if that one is full.
 func (f *toolFleet) call(front *toolFront, key string, work, issued time.Duration, avoid []string) {
 	chosen := f.choose(front, key, avoid)
 	if chosen == nil || len(avoid) >= 3 {
@@ -122,9 +125,9 @@
 	sent := f.timeline.now
 	finish := func() {
 		front.inFlight[chosen.id]--
-		took := f.timeline.now - sent
-		front.slowness[chosen.id].Observe(front.profile.Profile().ServiceTime, took, f.timeline.clock())
-		front.profile.ObserveService(took)
+		duration := f.timeline.now - sent
+		front.slowness[chosen.id].Observe(front.profile.Profile().ServiceTime, duration, f.timeline.clock())
+		front.profile.ObserveService(duration)
 		f.result.Latencies = append(f.result.Latencies, f.timeline.now-issued)
 	}
 	if f.submit(chosen, work, finish) {
@@ -135,6 +138,7 @@
 	f.call(front, key, work, issued, append(avoid, chosen.id))
 }
 
+// choose returns the server that the policy chooses; nil if there is none.
 func (f *toolFleet) choose(front *toolFront, key string, avoid []string) *toolServer {
 	front.sequence++
 	var candidates []schedule.Candidate
@@ -149,14 +153,14 @@
 		Profile: front.profile.Profile(),
 	}
 	decision := schedule.Choose(request, candidates, front.random)
-	at := slices.IndexFunc(f.servers, func(s *toolServer) bool { return s.id == decision.Chosen })
-	if at < 0 {
+	index := slices.IndexFunc(f.servers, func(s *toolServer) bool { return s.id == decision.Chosen })
+	if index < 0 {
 		return nil
 	}
-	return f.servers[at]
+	return f.servers[index]
 }
 
-// submit begins or queues a call; false when the server is full.
+// submit starts or queues a call; it returns false if the server is full.
 func (f *toolFleet) submit(server *toolServer, work time.Duration, finish func()) bool {
 	begin := func() {
 		f.timeline.after(time.Duration(float64(work)*server.speed), func() {
@@ -176,6 +180,7 @@
 	return true
 }
 
+// release starts the next waiting call in a slot or frees the slot.
 func (f *toolFleet) release(server *toolServer) {
 	if len(server.waiting) == 0 {
 		server.running--
