--- a/internal/dataplane/turn/emit.go
+++ b/internal/dataplane/turn/emit.go
@@ -7,12 +7,13 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// ID is the id of the turn that answers a request. It follows from the
+// ID returns the id of the turn that answers a request. It is derived from the
 // program and the request id, so every send of one request has the same turn.
 func ID(program, requestID string) string {
 	return ledger.TurnID(program, requestID)
 }
 
+// emit numbers an event and returns the command that emits it.
 func (m *Machine) emit(event *protocol.TurnEvent) Command {
 	m.sequence++
 	event.Attempt = m.attempt
@@ -35,8 +36,8 @@
 	}}})
 }
 
-// emitEnd emits the end of a generation that is recorded, else a server's complete answer when there is one, else the
-// failure.
+// emitEnd emits the event that ends the answer: the completion of a generation that is being recorded, else the
+// server's complete answer if there is one, else the failure.
 func (m *Machine) emitEnd(f *protocol.Failure) Command {
 	if m.step.recording {
 		return m.emitCompleted()
@@ -56,7 +57,7 @@
 	return m.emit(&protocol.TurnEvent{Body: &protocol.TurnEvent_Failed{Failed: f}})
 }
 
-// Replay lists the events of a retained turn as an attempt of their own.
+// Replay returns the events that emit the answer of a retained turn again, under the attempt number.
 func Replay(retained *protocol.Turn, attempt uint32, owner string, bundleVersion uint64) []*protocol.TurnEvent {
 	var text strings.Builder
 	for _, item := range retained.GetOutput() {
--- a/internal/dataplane/turn/failures.go
+++ b/internal/dataplane/turn/failures.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ledgerFailure is the failure for a status with which the ledger rejected an operation; its outcome is NOT_RUN.
+// ledgerFailure returns the failure for a status with which the ledger rejected an operation; its outcome is NOT_RUN.
 func ledgerFailure(status protocol.LedgerStatus) *protocol.Failure {
 	notRun := protocol.Outcome_NOT_RUN
 	switch status {
@@ -40,7 +40,8 @@
 	}
 }
 
-// faultFailure is the failure that the caller gets unless another attempt succeeds.
+// faultFailure returns the failure that the caller gets unless another attempt succeeds, and records whether the
+// attempt may have run.
 func (m *Machine) faultFailure(fault BackEndFailed) *protocol.Failure {
 	outcome := protocol.Outcome_NOT_RUN
 	switch {
--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -7,22 +7,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// A turn of an HTTP route differs from other turns in three ways. Its request
-// and answer are bytes that are forwarded unchanged. Its request id is used for
-// one send only, so that what was not issued here runs nowhere, and the caller
-// gets the end at once, while the operation at the ledger is still in flight. It may continue any
-// retained turn, which several may do at the same time.
+// A turn of an HTTP route differs from other turns in three ways:
+//
+//   - Its request and answer are bytes that are forwarded unchanged.
+//   - Its request id is used for one send only. A turn that was not issued by this node therefore runs nowhere, and
+//     the caller gets the end of the answer while the ledger operation is still in flight.
+//   - It may continue any retained turn; several turns may continue the same one concurrently.
 
-// programRetentionFactor is how many retentions of a turn the ledger retains the state of an idle program: a
-// program that was stopped may continue within one.
+// programRetentionFactor times the retention of a turn is how long the ledger retains the state of an idle program. A
+// program that was stopped may continue within one retention.
 const programRetentionFactor = 3
 
-// minRetention is the retention for a route that names a shorter one or none.
+// minRetention replaces the retention of a route that configures a shorter one or none.
 const minRetention = time.Minute
 
 func (m *Machine) isHTTP() bool { return m.parameters.Request.GetHttp() != nil }
 
-// isRetained reports whether the turn is retained for others to continue.
+// isRetained reports whether the turn is retained so that other turns can continue it.
 func (m *Machine) isRetained() bool { return m.parameters.Request.GetHttp().GetStateful() }
 
 // UsesLedger reports whether the turn is recorded in the ledger.
@@ -53,7 +54,7 @@
 	}
 }
 
-// httpReserveCommand claims the session's epoch and sets the turn's reservation limit aside in one operation.
+// httpReserveCommand claims the session's epoch and reserves the turn's limit in one operation.
 func (m *Machine) httpReserveCommand() Command {
 	request := m.parameters.Request
 	return Reserve{Operation: &protocol.ReserveTurn{
@@ -80,7 +81,7 @@
 	return []Command{command}
 }
 
-// handleCompleteAnswer ends a turn that the server answered without a stream. It may have run.
+// handleCompleteAnswer ends and charges a turn that the server answered without a stream; it may have run.
 func (m *Machine) handleCompleteAnswer(answer CompleteAnswer, now time.Time) []Command {
 	m.mayHaveRunBefore = true
 	if m.hasTrainingStep() && !m.acceptsCompleteAnswer(answer) {
@@ -91,7 +92,8 @@
 	return m.charge(f, now)
 }
 
-// completeUnretained ends a turn that cannot be continued: its answer does not wait for the charge.
+// completeUnretained completes a turn that is not retained. Unless it belongs to a training step, its answer ends
+// before the ledger has charged it.
 func (m *Machine) completeUnretained(now time.Time) []Command {
 	if m.hasTrainingStep() {
 		return m.recordGeneration(now)
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -13,23 +13,25 @@
 	DefaultAttemptLimit = 4
 
 	// confirmationTimeout is how long a caller waits for the ledger to acknowledge the end of
-	// its turn. The owner continues its attempts as long as it has authority: the next epoch
+	// its turn. The owner keeps retrying as long as it has authority. After that, the next epoch
 	// charges the open reservation at its limit and never runs the turn again.
 	confirmationTimeout = 2 * time.Second
-	// commitAnswerTimeout is the same for a turn that ran: longer, since its caller loses the answer.
+	// commitAnswerTimeout is the confirmation timeout of a turn that ran. It is longer, because the caller loses the
+	// answer when it expires.
 	commitAnswerTimeout = 15 * time.Second
 	// initialBackoff and maxBackoff bound the wait between two attempts of one ledger operation.
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// After these, callers may retry: when turns in flight have reserved the budget, when the ledger is unavailable,
-	// and when a session or server is busy.
+	// The delays after which a caller may retry: when turns in flight have reserved the budget, when the ledger is
+	// unavailable, and when a session or server is busy.
 	reservedRetryAfter = 500 * time.Millisecond
 	ledgerRetryAfter   = time.Second
 	busyRetryAfter     = 500 * time.Millisecond
-	// restartDivisor: a turn that has emitted more than the reservation limit divided by it is not restarted, since the
-	// rest is too little for a complete answer.
+	// A turn that has emitted more than its reservation limit divided by restartDivisor is not restarted, because the
+	// remaining tokens are too few for a complete answer.
 	restartDivisor = 2
-	// minCharge is the minimum of tokens charged for a turn that may have run; a release of 0 says that it did not.
+	// minCharge is the minimum number of tokens charged for a turn that may have run; a release of 0 tokens records that
+	// it did not run.
 	minCharge = 1
 )
 
@@ -41,9 +43,9 @@
 	// Owner and Incarnation name this front node.
 	Owner       string
 	Incarnation uint64
-	// Budget is used when the turn opens its program.
+	// Budget is the program's token budget, used if the turn creates the program.
 	Budget uint64
-	// ReservationLimit is the maximum of output tokens that the turn may emit over all attempts.
+	// ReservationLimit is the maximum number of output tokens that the turn may emit over all attempts.
 	ReservationLimit uint64
 	Retention        time.Duration
 	BundleVersion    uint64
@@ -70,7 +72,7 @@
 	stateDone
 )
 
-// Machine is the state machine of one turn at its owner. The package comment has its states.
+// Machine is the state machine of one turn at its owner. The package comment lists its states.
 type Machine struct {
 	parameters Parameters
 	state      state
@@ -84,7 +86,7 @@
 	// step is the state of a turn of a training step.
 	step     stepProgress
 	reserved bool
-	// mayHaveRunBefore is true once an attempt may have run.
+	// mayHaveRunBefore is true once an attempt may have run the turn.
 	mayHaveRunBefore bool
 
 	attempt        uint32
@@ -95,24 +97,25 @@
 	text           strings.Builder
 	// output is the data of the events of a turn of an HTTP route, a newline behind each.
 	output []byte
-	// attemptTokens are those of this attempt, emittedTokens those of all attempts; maxTokens bounds this attempt.
+	// attemptTokens counts the output tokens of this attempt, emittedTokens those of all attempts; maxTokens bounds this
+	// attempt.
 	attemptTokens uint64
 	emittedTokens uint64
 	maxTokens     uint64
 
 	backEndDone BackEndDone
 	failure     *protocol.Failure
-	// completeAnswer is a server's complete answer in place of a stream.
+	// completeAnswer is the server's complete answer if it did not answer with a stream.
 	completeAnswer *protocol.HttpAnswer
 	answerEnded    bool
 
-	// operation is that of the ledger in flight.
+	// operation times the ledger operation in flight.
 	operation        ledgerOperation
 	commitOperation  *protocol.SettleTurn
 	releaseOperation *protocol.ReleaseTurn
 }
 
-// New makes the machine of one turn.
+// New returns the machine of one turn.
 func New(parameters Parameters) *Machine {
 	if parameters.AttemptLimit == 0 {
 		parameters.AttemptLimit = DefaultAttemptLimit
@@ -123,7 +126,7 @@
 // Done reports whether the machine has finished.
 func (m *Machine) Done() bool { return m.state == stateDone }
 
-// Answered reports whether the last event was emitted.
+// Answered reports whether the event that ends the answer was emitted.
 func (m *Machine) Answered() bool { return m.answerEnded }
 
 // Apply applies one event and returns the next commands, in order. An event that
@@ -275,7 +278,7 @@
 	}
 }
 
-// handleOpenReservation answers when the session has an open reservation: of an
+// handleOpenReservation ends a turn whose session has an open reservation: of an
 // earlier send of this request, which may have run, or of another request.
 func (m *Machine) handleOpenReservation(result *protocol.LedgerResult) []Command {
 	f := failure.New(failure.SessionBusy, protocol.Outcome_UNKNOWN, "another turn of the conversation is under way",
@@ -318,7 +321,7 @@
 	}}
 }
 
-// prepend puts more commands before the given ones, which may end with Finish.
+// prepend returns more followed by commands, so that a Finish at the end of commands stays last.
 func prepend(commands []Command, more ...Command) []Command {
 	return append(more, commands...)
 }
--- a/internal/dataplane/turn/operation.go
+++ b/internal/dataplane/turn/operation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ledgerOperation times the attempts of one operation of the ledger, which is repeated while the ledger is unavailable.
+// ledgerOperation times the attempts of one ledger operation, which is retried while the ledger is unavailable.
 type ledgerOperation struct {
 	startedAt time.Time
 	backoff   time.Duration
@@ -14,7 +14,7 @@
 
 func (o *ledgerOperation) elapsed(now time.Time) time.Duration { return now.Sub(o.startedAt) }
 
-// backOff waits before the next attempt, twice as long each time up to maxBackoff.
+// backOff returns the wait before the next attempt. It doubles with each attempt, up to maxBackoff.
 func (o *ledgerOperation) backOff() []Command {
 	wait := o.backoff
 	o.backoff = min(2*o.backoff, maxBackoff)
@@ -24,7 +24,7 @@
 // slot is true while a turn or call has a slot of its server group.
 type slot bool
 
-// free gives the slot back, once.
+// free returns the command that frees the slot, or none if the slot was freed before or never obtained.
 func (s *slot) free() []Command {
 	if !*s {
 		return nil
--- a/internal/dataplane/turn/release.go
+++ b/internal/dataplane/turn/release.go
@@ -6,7 +6,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// releaseWith ends the reservation and answers the caller by the result.
+// releaseWith releases the reservation and charges the tokens. The caller gets the failure, or an answer that follows
+// from the ledger's result.
 func (m *Machine) releaseWith(f *protocol.Failure, tokens uint64, now time.Time) []Command {
 	m.failure = f
 	if !m.UsesLedger() {
@@ -20,7 +21,8 @@
 	}
 	m.addVersionsToRelease()
 	if m.isHTTP() && !m.answerEnded && !m.step.recording {
-		// A first send that was given up needs no proof by the ledger: no other node may run it.
+		// The request id is used for one send only, so that no other node may run the turn. The caller need not wait for
+		// the ledger's confirmation.
 		return append(m.slot.free(), m.emitEnd(f), Release{Operation: m.releaseOperation})
 	}
 	return append(m.slot.free(), Release{Operation: m.releaseOperation})
@@ -61,8 +63,8 @@
 	return prepend(m.end(m.unprovenFailure()), ForgetSession{Fenced: fenced})
 }
 
-// handleReleaseUnavailable answers the caller after confirmationTimeout and continues its attempts
-// in the background, so that no budget stays reserved.
+// handleReleaseUnavailable answers the caller after confirmationTimeout and keeps retrying in the background, so that
+// no budget stays reserved.
 func (m *Machine) handleReleaseUnavailable(now time.Time) []Command {
 	waited := m.operation.elapsed(now)
 	if waited >= confirmationTimeout && !m.answerEnded {
@@ -72,7 +74,7 @@
 	return m.operation.backOff()
 }
 
-// unprovenFailure is the failure without the claim that nothing ran.
+// unprovenFailure returns the failure with the outcome UNKNOWN in place of NOT_RUN, which the ledger has not confirmed.
 func (m *Machine) unprovenFailure() *protocol.Failure {
 	if m.failure.GetOutcome() == protocol.Outcome_NOT_RUN {
 		m.failure.Outcome = protocol.Outcome_UNKNOWN
--- a/internal/dataplane/turn/stream.go
+++ b/internal/dataplane/turn/stream.go
@@ -75,7 +75,7 @@
 	return append(m.slot.free(), Commit{Operation: m.commitOperation})
 }
 
-// chargeUnreported adds output tokens that the back end counts beyond those of the events that it sent.
+// chargeUnreported adds the output tokens that the back end reports at the end beyond those of its events.
 func (m *Machine) chargeUnreported(done BackEndDone) {
 	if counted := min(done.OutputTokens, m.maxTokens); counted > m.attemptTokens {
 		m.emittedTokens += counted - m.attemptTokens
@@ -99,7 +99,7 @@
 	}
 }
 
-// handleBackEndFailed ends an attempt; another one may follow when the fault allows it.
+// handleBackEndFailed ends an attempt. Another one follows if the fault and the limits allow it.
 func (m *Machine) handleBackEndFailed(fault BackEndFailed, now time.Time) []Command {
 	m.failedBackEnds = append(m.failedBackEnds, m.backEnd)
 	m.failure = m.faultFailure(fault)
@@ -108,7 +108,7 @@
 		return m.giveUp(now)
 	case FaultBroken, FaultMismatch:
 		if m.isHTTP() {
-			// The server may have run it, and it may run at one server only.
+			// The server may have run the turn, and a turn of an HTTP route runs at one server only.
 			return m.giveUp(now)
 		}
 		if m.emittedTokens > m.parameters.ReservationLimit/restartDivisor {
@@ -126,7 +126,7 @@
 	return []Command{RequestRetry{}}
 }
 
-// mayHaveRun reports whether the turn may have run in this attempt, which had the fault, or in an earlier one.
+// mayHaveRun reports whether the turn may have run in this attempt, which failed with the fault, or in an earlier one.
 func (m *Machine) mayHaveRun(fault BackEndFault) bool {
 	return m.mayHaveRunBefore || fault == FaultBroken || fault == FaultMismatch
 }
@@ -146,7 +146,7 @@
 	return m.chooseAnother()
 }
 
-// chooseAnother requests a back end that has not failed this turn.
+// chooseAnother requests a back end at which no attempt of this turn has failed.
 func (m *Machine) chooseAnother() []Command {
 	m.state = stateChoosing
 	return []Command{Choose{Avoid: append([]string(nil), m.failedBackEnds...)}}
--- a/internal/dataplane/turn/tool_call.go
+++ b/internal/dataplane/turn/tool_call.go
@@ -18,16 +18,16 @@
 	Owner       string
 	Incarnation uint64
 	Budget      uint64
-	// Unrecorded calls leave no record in the ledger: their request id is used for one send to one
-	// owner only, so that there is no other copy that must not run.
+	// Unrecorded calls have no record in the ledger: their request id is used for one send to one
+	// owner only, so no other copy exists that must be kept from running.
 	Unrecorded bool
-	// Idempotent calls need no intent and may be retried after a broken answer.
+	// Idempotent calls need no recorded intent and may be retried after a broken answer.
 	Idempotent bool
-	// Attempt is unique to this machine; only the attempt that wrote the intent may issue the call.
+	// Attempt is unique to this machine; only the attempt that recorded the intent may issue the call.
 	Attempt string
 	// AttemptLimit bounds the attempts at back ends; 0 means DefaultAttemptLimit.
 	AttemptLimit uint32
-	// RunLimit bounds the back ends that may have run an idempotent call; with 0 only AttemptLimit does.
+	// RunLimit bounds the number of back ends that may have run an idempotent call; with 0 only AttemptLimit bounds it.
 	RunLimit      uint32
 	BundleVersion uint64
 }
@@ -47,14 +47,15 @@
 	callDone
 )
 
-// CallMachine is the state machine of one tool call at the owner of its session. The package comment has its states.
+// CallMachine is the state machine of one tool call at the owner of its session. The package comment lists its
+// states.
 type CallMachine struct {
 	parameters CallParameters
 	state      callState
 	epoch      uint64
 	slot       slot
 	hasIntent  bool
-	// mayHaveRunBefore is true once an attempt may have run.
+	// mayHaveRunBefore is true once an attempt may have run the call.
 	mayHaveRunBefore bool
 	answered         bool
 	backEnd          string
@@ -64,13 +65,13 @@
 	possibleRuns uint32
 
 	failure *protocol.Failure
-	// operation is that of the ledger in flight.
+	// operation times the ledger operation in flight.
 	operation        ledgerOperation
 	outcomeOperation *protocol.FinishCall
 	response         *protocol.ToolCallResponse
 }
 
-// NewCall makes the machine of one tool call.
+// NewCall returns the machine of one tool call.
 func NewCall(parameters CallParameters) *CallMachine {
 	if parameters.AttemptLimit == 0 {
 		parameters.AttemptLimit = DefaultAttemptLimit
@@ -162,7 +163,7 @@
 	return m.claimSession()
 }
 
-// handleChosen writes the intent once, just before the first issue.
+// handleChosen issues the call. The intent of a non-repeatable call is recorded once, just before the first issue.
 func (m *CallMachine) handleChosen(event Chosen, now time.Time) []Command {
 	if m.state != callChoosing {
 		return nil
@@ -225,7 +226,7 @@
 	}
 }
 
-// answerFromRecord answers a repeated call with the record in the ledger.
+// answerFromRecord answers a repeated call from its record in the ledger.
 func (m *CallMachine) answerFromRecord(record *protocol.CallRecord) []Command {
 	switch {
 	case record.GetState() == protocol.CallState_CALL_NOT_RUN:
@@ -263,8 +264,8 @@
 	return append(m.slot.free(), RecordOutcome{Operation: m.outcomeOperation})
 }
 
-// RecordedAnswer is the answer that the ledger has recorded of a finished call; one that cannot be read becomes a
-// failure.
+// RecordedAnswer returns the answer that the ledger has recorded for a finished call. A recorded failure that cannot be
+// decoded becomes an internal error.
 func RecordedAnswer(record *protocol.CallRecord) *protocol.ToolCallResponse {
 	if record.GetContentType() != FailureContentType {
 		return &protocol.ToolCallResponse{
--- a/internal/dataplane/turn/tool_call_ending.go
+++ b/internal/dataplane/turn/tool_call_ending.go
@@ -46,9 +46,9 @@
 	return []Command{Choose{Avoid: append([]string(nil), m.failedBackEnds...)}}
 }
 
-// giveUp ends a call that will not be issued again. With an intent written and
-// nothing run, the failure itself becomes the recorded outcome, so that every
-// later send is rejected with it.
+// giveUp ends a call that will not be issued again. If the intent is recorded and
+// nothing ran, the failure itself is recorded as the outcome, so that every later
+// send is rejected with it.
 func (m *CallMachine) giveUp(now time.Time) []Command {
 	switch {
 	case m.mayHaveRunBefore:
@@ -68,14 +68,14 @@
 	}
 }
 
-// reject ends a call without an intent of this attempt.
+// reject ends a call for which this attempt has recorded no intent.
 func (m *CallMachine) reject(f *protocol.Failure) []Command {
 	f.Outcome = protocol.Outcome_NOT_RUN
 	if m.parameters.Request.GetFirstSend() && m.state != callRecordingIntent {
 		return m.fail(f)
 	}
 	if m.parameters.Idempotent {
-		// Idempotent calls are not recorded, so that another send of it may have run.
+		// Idempotent calls are not recorded, so another send of this call may have run.
 		f.Outcome = protocol.Outcome_UNKNOWN
 		return m.fail(f)
 	}
@@ -118,8 +118,7 @@
 	}
 }
 
-// handleRecordingUnavailable answers the caller after confirmationTimeout and continues its attempts to record the
-// outcome.
+// handleRecordingUnavailable answers the caller after confirmationTimeout and keeps retrying to record the outcome.
 func (m *CallMachine) handleRecordingUnavailable(now time.Time) []Command {
 	waited := m.operation.elapsed(now)
 	if waited >= confirmationTimeout && !m.answered {
@@ -129,8 +128,8 @@
 	return m.operation.backOff()
 }
 
-// unrecordedResponse is the answer when the outcome may not be durable: a tool's
-// answer is still valid, but a rejection may not hold for later sends.
+// unrecordedResponse returns the answer for an outcome that may not be durable: a tool's
+// answer is still valid, but a rejection may not apply to later sends.
 func (m *CallMachine) unrecordedResponse() *protocol.ToolCallResponse {
 	if f := m.response.GetFailure(); f.GetOutcome() == protocol.Outcome_NOT_RUN {
 		f.Outcome = protocol.Outcome_UNKNOWN
--- a/internal/dataplane/turn/tool_call_messages.go
+++ b/internal/dataplane/turn/tool_call_messages.go
@@ -2,10 +2,10 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// RecordIntent writes the intent of a non-repeatable call; answered by IntentRecorded.
+// RecordIntent records the intent of a non-repeatable call; answered by IntentRecorded.
 type RecordIntent struct{ Operation *protocol.BeginCall }
 
-// RecordOutcome writes the outcome of a non-repeatable call; answered by OutcomeRecorded.
+// RecordOutcome records the outcome of a non-repeatable call; answered by OutcomeRecorded.
 type RecordOutcome struct{ Operation *protocol.FinishCall }
 
 // RejectCall marks a non-repeatable call as one that must never run; answered by CallRejected.
@@ -17,7 +17,7 @@
 	Epoch   uint64
 }
 
-// Answer answers the caller.
+// Answer sends the response to the caller.
 type Answer struct{ Response *protocol.ToolCallResponse }
 
 // IntentRecorded carries the ledger's answer to RecordIntent.
@@ -29,12 +29,12 @@
 // CallRejected carries the ledger's answer to RejectCall.
 type CallRejected struct{ Result *protocol.LedgerResult }
 
-// CallAnswered is the tool server's answer.
+// CallAnswered carries the tool server's answer.
 type CallAnswered struct {
 	Status      uint32
 	Body        []byte
 	ContentType string
-	// Headers are those of the answer to a call of an HTTP route.
+	// Headers are the headers of the answer to a call of an HTTP route.
 	Headers []*protocol.HttpHeader
 }
 
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -10,17 +10,17 @@
 )
 
 // A turn of a training step runs on one version of the weights only, the step's
-// version pin. It resolves the pin before anything else, names it to
-// the ledger with its reservation, and compares the versions that the server names with it
-// before an event of the answer is emitted. The ledger records on which versions
-// the turn ran before a complete answer ends.
+// version pin. It resolves the pin before anything else, passes it to the
+// ledger with its reservation, and compares it with the versions that the server
+// reports before an event of the answer is emitted. The ledger records on which
+// versions the turn ran before a complete answer ends.
 
 const (
 	stepPath = "training_step"
-	// statusOK is the HTTP status of an answer that is no error.
+	// statusOK is the HTTP status of a successful answer.
 	statusOK = 200
-	// stepRetryAfter is after how long callers may retry when no server has the step's version: starting a server or
-	// loading its weights takes seconds.
+	// stepRetryAfter is the delay after which a caller may retry when no server has the step's version: starting a
+	// server or loading its weights takes seconds.
 	stepRetryAfter = time.Second
 )
 
@@ -28,11 +28,11 @@
 type stepProgress struct {
 	// versionPin is the version of the weights that the step is pinned to.
 	versionPin uint64
-	// seenVersions are the versions that the server named, without consecutive repeats.
+	// seenVersions are the versions that the server reported, without consecutive repeats.
 	seenVersions []uint64
 	// recording is true while a complete answer waits for the ledger to record its generation.
 	recording bool
-	// complete is true when all of the answer goes to the caller.
+	// complete is true when the caller gets the whole answer.
 	complete bool
 }
 
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// stepReference names the turn's step and version in a reservation; nil for other turns.
+// stepReference returns the turn's step and its version for a reservation, or nil for a turn of no training step.
 func (m *Machine) stepReference() *protocol.TrainingStepReference {
 	if !m.hasTrainingStep() {
 		return nil
@@ -62,21 +62,21 @@
 	return &protocol.TrainingStepReference{Step: m.parameters.Request.GetTrainingStep(), WeightVersion: m.step.versionPin}
 }
 
-// matchesVersionPin records the versions that a server named and reports whether they
-// all equal the version pin. An answer that names none cannot be traced to a version
+// matchesVersionPin records the versions that a server reported and returns whether they
+// all equal the version pin. An answer without a version cannot be traced to one
 // and does not match. Turns of no training step always match.
-func (m *Machine) matchesVersionPin(named []uint64) bool {
+func (m *Machine) matchesVersionPin(reported []uint64) bool {
 	if !m.hasTrainingStep() {
 		return true
 	}
-	m.recordVersions(named)
+	m.recordVersions(reported)
 	isOther := func(version uint64) bool { return version != m.step.versionPin }
-	return len(named) > 0 && !slices.ContainsFunc(named, isOther)
+	return len(reported) > 0 && !slices.ContainsFunc(reported, isOther)
 }
 
-// recordVersions records the versions that the server named, as many as the ledger accepts.
-func (m *Machine) recordVersions(named []uint64) {
-	for _, version := range named {
+// recordVersions records the versions that the server reported, up to the number that the ledger accepts.
+func (m *Machine) recordVersions(reported []uint64) {
+	for _, version := range reported {
 		count := len(m.step.seenVersions)
 		if count < ledger.MaxWeightVersions && (count == 0 || m.step.seenVersions[count-1] != version) {
 			m.step.seenVersions = append(m.step.seenVersions, version)
@@ -84,8 +84,8 @@
 	}
 }
 
-// acceptsCompleteAnswer reports whether an answer that is not a stream may be emitted. One
-// that reports an error is not a generation, whatever it names.
+// acceptsCompleteAnswer reports whether an answer that is not a stream may be emitted. An
+// error is not a generation and is accepted with any version.
 func (m *Machine) acceptsCompleteAnswer(answer CompleteAnswer) bool {
 	if answer.Answer.GetStatus() != statusOK {
 		m.recordVersions(answer.WeightVersions)
@@ -95,7 +95,8 @@
 	return m.step.complete
 }
 
-// endForVersionChange ends a turn whose server has other weights than the step. Nothing more is emitted.
+// endForVersionChange ends a turn whose server has other weights than those pinned for the step. Nothing more of the
+// answer is emitted.
 func (m *Machine) endForVersionChange(now time.Time) []Command {
 	m.mayHaveRunBefore = true
 	f := failure.New(failure.StepVersionChanged, protocol.Outcome_RAN,
@@ -103,14 +104,14 @@
 	return prepend(m.releaseWith(f, max(m.emittedTokens, minCharge), now), StopBackEnd{})
 }
 
-// recordGeneration has the ledger record a complete answer that is not retained. The answer ends after that.
+// recordGeneration has the ledger record a complete answer that is not retained. The answer ends only after that.
 func (m *Machine) recordGeneration(now time.Time) []Command {
 	m.step.recording, m.step.complete = true, true
 	f := failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "the ledger did not record the generation").Failure
 	return m.charge(f, now)
 }
 
-// discardGeneration makes a generation count as discarded whose caller got a failure.
+// discardGeneration makes the ledger count a generation as discarded because its caller gets a failure.
 func (m *Machine) discardGeneration() {
 	if !m.step.recording {
 		return
@@ -119,7 +120,7 @@
 	m.releaseOperation.Completed = false
 }
 
-// addVersionsToRelease names in a release the versions on which the turn ran.
+// addVersionsToRelease adds to a release the versions on which the turn ran.
 func (m *Machine) addVersionsToRelease() {
 	if !m.hasTrainingStep() || m.releaseOperation.GetTokens() == 0 {
 		return
--- a/internal/dataplane/turn/turn_commands.go
+++ b/internal/dataplane/turn/turn_commands.go
@@ -6,11 +6,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Command is an effect that the shell has to execute.
+// Command is an effect that the shell executes.
 type Command interface{ command() }
 
-// Interruptible reports whether a stop replaces the command, which would
-// begin something. The other commands end or report something and are always executed.
+// Interruptible reports whether a stop takes the place of the command. These
+// commands begin work; the others end or report work and are always executed.
 func Interruptible(command Command) bool {
 	switch command.(type) {
 	case ResolveStep, Claim, ReadHistory, Admit, Reserve, Choose, Issue, RequestRetry, RecordIntent, IssueCall:
@@ -33,10 +33,10 @@
 // Admit requests a slot; answered by Admitted or NotAdmitted.
 type Admit struct{}
 
-// FreeSlot gives the slot back.
+// FreeSlot frees the slot.
 type FreeSlot struct{}
 
-// Reserve sets the turn's reservation limit aside in the ledger; answered by Reserved.
+// Reserve reserves the turn's limit in the ledger; answered by Reserved.
 type Reserve struct{ Operation *protocol.ReserveTurn }
 
 // Choose requests a back end that is not in Avoid; answered by Chosen or NotChosen.
@@ -55,7 +55,7 @@
 // StopBackEnd cancels the attempt in flight.
 type StopBackEnd struct{}
 
-// RequestRetry requests a retry of the retry budget; answered by RetryDecided.
+// RequestRetry requests a retry from the retry budget; answered by RetryDecided.
 type RequestRetry struct{}
 
 // Emit sends an event to the turn's readers.
@@ -70,8 +70,8 @@
 // Reject marks the request as one that must never run; answered by Rejected.
 type Reject struct {
 	Operation *protocol.RefuseRequest
-	// Overload is true for a request that is rejected because of overload: its
-	// answer does not wait long for the ledger.
+	// Overload is true for a request that is rejected because of overload: the
+	// shell waits only briefly for the ledger before it answers.
 	Overload bool
 }
 
--- a/internal/dataplane/turn/turn_ending.go
+++ b/internal/dataplane/turn/turn_ending.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// answerFinished answers a request that ended before as it was answered then.
+// answerFinished repeats the outcome of a request that has already finished.
 func (m *Machine) answerFinished(finished *protocol.FinishedRequest) []Command {
 	switch finished.GetOutcome() {
 	case protocol.RequestOutcome_OUTCOME_SETTLED:
 		if m.isHTTP() {
-			// The head of that answer is not retained, and a caller must use the id only once.
+			// The head of that answer is not retained, and a caller must use a request id only once.
 			return m.end(
 				failure.New(failure.OutcomeUnknown, protocol.Outcome_RAN, "a request under this id was answered before").Failure,
 			)
@@ -108,7 +108,7 @@
 	}
 }
 
-// handleCommitUnavailable answers the caller after a while and continues its attempts in the background.
+// handleCommitUnavailable answers the caller after commitAnswerTimeout and keeps retrying in the background.
 func (m *Machine) handleCommitUnavailable(now time.Time) []Command {
 	if m.operation.elapsed(now) < commitAnswerTimeout || m.answerEnded {
 		return m.operation.backOff()
@@ -135,8 +135,8 @@
 	return append(append(commands, m.slot.free()...), Finish{})
 }
 
-// endLocally answers that this front node may not run the turn. It says nothing
-// of other owners, so the ingress may bring the request to one of them.
+// endLocally ends a turn that this front node may not run. The request gets no
+// tombstone, so the ingress may forward it to another owner.
 func (m *Machine) endLocally(f *protocol.Failure) []Command {
 	return prepend(m.end(f), forgetSessionCommand(f))
 }
@@ -145,7 +145,7 @@
 	return ForgetSession{Fenced: failure.Code(f.GetCode()) == failure.Fenced}
 }
 
-// end emits the failure, once, and finishes.
+// end ends the answer unless it has ended before, and finishes the machine.
 func (m *Machine) end(f *protocol.Failure) []Command {
 	m.state = stateDone
 	commands := m.slot.free()
@@ -155,7 +155,7 @@
 	return append(commands, Finish{})
 }
 
-// giveUp ends a reserved turn: it is released when it provably did not run, and charged otherwise.
+// giveUp ends a reserved turn: it is released without a charge if it provably did not run, and charged otherwise.
 func (m *Machine) giveUp(now time.Time) []Command {
 	if m.mayHaveRunBefore || m.emittedTokens > 0 {
 		return m.charge(m.failure, now)
@@ -165,7 +165,7 @@
 }
 
 // charge ends a reserved turn that ran or may have run. At least minCharge tokens are
-// charged, because a release of 0 says that the request did not run.
+// charged, because a release of 0 tokens records that the request did not run.
 func (m *Machine) charge(f *protocol.Failure, now time.Time) []Command {
 	if m.emittedTokens > 0 {
 		f.Outcome = protocol.Outcome_RAN
--- a/internal/dataplane/turn/turn_events.go
+++ b/internal/dataplane/turn/turn_events.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Event is something that happened to a turn or a tool call.
+// Event is an input of the machine of a turn or a tool call.
 type Event interface{ event() }
 
 // Begun starts the machine.
@@ -15,7 +15,7 @@
 // StepResolved carries the version of the weights that the turn's training step is pinned to.
 type StepResolved struct{ WeightVersion uint64 }
 
-// StepNotResolved carries why the turn's training step has no version at this node.
+// StepNotResolved carries the reason why the turn's training step has no version at this node.
 type StepNotResolved struct{ Failure *protocol.Failure }
 
 // Claimed carries the ledger's answer to Claim.
@@ -27,7 +27,7 @@
 	Tokens uint64
 	// Program is that of the continued turn if it differs from this turn's, else empty.
 	Program string
-	// Status is LEDGER_OK, or why there is no history.
+	// Status is LEDGER_OK, or the reason why there is no history.
 	Status protocol.LedgerStatus
 }
 
@@ -50,20 +50,20 @@
 type Token struct {
 	Text   string
 	Tokens uint32
-	// HasWeightVersion is true when the event names WeightVersion, in turns of training steps only.
+	// HasWeightVersion is true when the event reports a WeightVersion, in turns of training steps only.
 	HasWeightVersion bool
 	// Event and Data are set for a turn of an HTTP route: one complete event of the
 	// server's stream, byte for byte, and its data, which is nil when the event has none.
 	Event []byte
 	Data  []byte
-	// WeightVersion is the version of the weights that the event names.
+	// WeightVersion is the version of the weights that the event reports.
 	WeightVersion uint64
 }
 
 // Head reports that a server began to answer a turn of an HTTP route with a stream.
 type Head struct {
 	Answer *protocol.HttpAnswer
-	// WeightVersions are the versions that the head names, in turns of training steps only.
+	// WeightVersions are the versions that the head reports, in turns of training steps only.
 	WeightVersions []uint64
 }
 
@@ -82,10 +82,10 @@
 	Nonce        string
 }
 
-// BackEndFault is how an attempt at a back end failed.
+// BackEndFault is the way in which an attempt at a back end failed.
 type BackEndFault int
 
-// Faults of an attempt. Only with FaultNotSent, FaultUnavailable and FaultWrongVersion did it provably not run.
+// Faults of an attempt. Only FaultNotSent, FaultUnavailable and FaultWrongVersion prove that it did not run.
 const (
 	// FaultNotSent is a failed connect: the back end did not receive the request.
 	FaultNotSent BackEndFault = iota + 1
@@ -108,7 +108,7 @@
 	return f == FaultNotSent || f == FaultUnavailable || f == FaultWrongVersion
 }
 
-// String names the fault for explanations.
+// String returns the fault's name for metrics and explanations.
 func (f BackEndFault) String() string {
 	names := [...]string{
 		"none", "not sent", "refused", "broken", "mismatched answer", "fenced", "rejected", "other weights",
@@ -138,7 +138,7 @@
 // Rejected carries the ledger's answer to Reject.
 type Rejected struct{ Result *protocol.LedgerResult }
 
-// RetainedTurnRead carries a retained turn, or nil with the reason.
+// RetainedTurnRead carries a retained turn, or nil and the status that explains why there is none.
 type RetainedTurnRead struct {
 	Turn   *protocol.Turn
 	Status protocol.LedgerStatus
@@ -147,7 +147,7 @@
 // BackoffElapsed reports that the wait of a Backoff is over.
 type BackoffElapsed struct{}
 
-// StopReason is why a turn or call is stopped from outside.
+// StopReason is the reason why a turn or call is stopped from outside.
 type StopReason int
 
 // Reasons to stop a turn.
@@ -163,12 +163,12 @@
 // Stopped ends a turn or call from outside.
 type Stopped struct {
 	Reason StopReason
-	// WithoutEffect is true when the command that is not answered yet provably had no effect: it was not executed,
-	// nothing was sent for it, or the back end rejected it.
+	// WithoutEffect is true when the pending command provably had no effect: it was not executed, nothing was sent for
+	// it, or the back end rejected it.
 	WithoutEffect bool
 }
 
-// StoppedWithoutEffect is the stop in place of a command, which is not executed then.
+// StoppedWithoutEffect returns the event that answers a command which is not executed because of a stop.
 func StoppedWithoutEffect(reason StopReason) Stopped {
 	return Stopped{Reason: reason, WithoutEffect: true}
 }
--- a/internal/dataplane/turn/turn_stop.go
+++ b/internal/dataplane/turn/turn_stop.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// endUnreserved stops a turn without a reservation in the ledger.
+// endUnreserved ends a stopped turn that has no reservation in the ledger.
 func (m *Machine) endUnreserved(f *protocol.Failure, reason StopReason) []Command {
 	if reason == StopAuthority {
 		return m.endLocally(f)
@@ -45,8 +45,8 @@
 	return m.reject(f)
 }
 
-// handleStopIssued stops a turn whose attempt was to be issued. When that attempt provably did not run, the earlier
-// attempts decide.
+// handleStopIssued stops a turn that is being issued to a back end. If this attempt provably did not run, the outcome
+// depends on the earlier attempts.
 func (m *Machine) handleStopIssued(f *protocol.Failure, event Stopped, now time.Time) []Command {
 	if event.WithoutEffect && m.sequence == 0 {
 		m.failure = f
