--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -14,7 +14,7 @@
 
 const httpInput = "new input"
 
-// httpRequest is a turn of an HTTP route.
+// httpRequest returns the request of a turn of an HTTP route.
 func httpRequest(stateful bool, budget uint64, previous string) *protocol.TurnRequest {
 	return &protocol.TurnRequest{
 		FirstSend: true, PreviousTurn: previous, ProgramBudget: budget, Input: []*protocol.Item{{Data: []byte(httpInput)}},
@@ -22,6 +22,7 @@
 	}
 }
 
+// httpEvent returns an event of a server's stream.
 func httpEvent(data string) turn.Token {
 	return turn.Token{Tokens: 1, Event: []byte("data: " + data + "\n\n"), Data: []byte(data)}
 }
@@ -40,7 +41,7 @@
 		on("issue", httpHead, httpEvent("a"), turn.Token{Event: []byte(": comment\n\n")}, httpEvent(""), httpDone).
 		run()
 	if s.lastEvent().GetCompleted() == nil || s.count("issue") != 1 {
-		t.Fatalf("ended with %v", s.lastEvent())
+		t.Fatalf("ended with %v after %d issues, want a completed turn after 1", s.lastEvent(), s.count("issue"))
 	}
 	committed := false
 	for _, command := range s.commands {
@@ -48,23 +49,23 @@
 		case turn.Reserve:
 			if !command.Operation.GetFork() || command.Operation.GetClaim() == nil ||
 				command.Operation.GetCeiling() != reservationLimit {
-				t.Fatalf("reserved by %v", command.Operation)
+				t.Fatalf("reserved with %v, want a fork with a claim and a limit of %d", command.Operation, reservationLimit)
 			}
 		case turn.Issue:
 			if len(command.Items) != 2 || string(command.Items[0].GetData()) != "old" ||
 				string(command.Items[1].GetData()) != httpInput {
-				t.Fatalf("issued %v", command.Items)
+				t.Fatalf("issued items %v, want the old item and %q", command.Items, httpInput)
 			}
 		case turn.Commit:
 			committed = true
 			retained := command.Operation.GetTurn()
 			if string(retained.GetOutput()[0].GetData()) != "a\n\n" || retained.GetPreviousProgram() != "p0" ||
 				retained.GetOutputTokens() != 2 {
-				t.Fatalf("retained %v", retained)
+				t.Fatalf("retained %v, want output %q of 2 tokens and previous program p0", retained, "a\n\n")
 			}
 		case turn.Emit:
 			if command.Event.GetCompleted() != nil && !committed {
-				t.Fatal("completed before it was committed")
+				t.Fatal("the turn was completed before it was committed")
 			}
 		}
 	}
@@ -80,7 +81,7 @@
 			s := newScript(httpRequest(false, 0, "")).on("issue", answer...).run()
 			operations := s.count("reserve") + s.count("commit") + s.count("release") + s.count("reject") + s.count("claim")
 			if !s.machine.Done() || operations != 0 {
-				t.Fatalf("commands %v", s.commands)
+				t.Fatalf("done: %t, commands %v; want a done machine and no ledger operation", s.machine.Done(), s.commandNames())
 			}
 		})
 	}
@@ -90,7 +91,8 @@
 	s := newScript(httpRequest(true, 100, "")).on("issue", httpBusy).run()
 	if string(s.lastEvent().GetAnswered().GetBody()) != "busy" || s.releaseOperation().GetTokens() != 1 ||
 		s.count("commit") != 0 {
-		t.Fatalf("ended with %v, released %v", s.lastEvent(), s.releaseOperation())
+		t.Fatalf("ended with %v, released %v, %d commits; want the server's answer, 1 token charged and no commit",
+			s.lastEvent(), s.releaseOperation(), s.count("commit"))
 	}
 }
 
@@ -99,7 +101,8 @@
 		s := newScript(httpRequest(true, 100, "")).on("issue", turn.BackEndFailed{Fault: fault}).run()
 		if s.count("issue") != 1 || s.lastEvent().GetFailed().GetOutcome() != protocol.Outcome_UNKNOWN ||
 			s.releaseOperation().GetTokens() != 1 {
-			t.Fatalf("%v: %d issues, ended with %v, released %v", fault, s.count("issue"), s.lastEvent(), s.releaseOperation())
+			t.Fatalf("%v: %d issues, ended with %v, released %v; want 1 issue, an unknown outcome and 1 token charged",
+				fault, s.count("issue"), s.lastEvent(), s.releaseOperation())
 		}
 	}
 }
@@ -118,7 +121,7 @@
 	s := newScript(httpRequest(true, 9, "")).on("reserve", spent).run()
 	wantFailure(t, s, failure.BudgetSpent, protocol.Outcome_NOT_RUN)
 	if s.count("issue") != 0 {
-		t.Fatal("issued without a reservation")
+		t.Fatal("the turn was issued without a reservation")
 	}
 }
 
@@ -142,13 +145,13 @@
 	case turn.Issue:
 		switch {
 		case o.terminal != nil:
-			o.t.Fatal("issued after its end")
+			o.t.Fatal("the turn was issued after its end")
 		case o.ledgered && !o.reserved:
-			o.t.Fatal("issued without a reservation")
+			o.t.Fatal("the turn was issued without a reservation")
 		case o.mayHaveRun:
-			o.t.Fatal("issued again although it may have run")
+			o.t.Fatal("the turn was issued again although it may have run")
 		case string(command.Items[len(command.Items)-1].GetData()) != httpInput:
-			o.t.Fatalf("issued %v", command.Items)
+			o.t.Fatalf("issued items %v, want the last one to be %q", command.Items, httpInput)
 		}
 		o.attemptInFlight = true
 	case turn.FreeSlot:
@@ -159,21 +162,21 @@
 		o.observeEmitted(command.Event)
 	case turn.Reserve, turn.Commit, turn.Reject:
 		if !o.ledgered {
-			o.t.Fatalf("%T sent to the ledger", command)
+			o.t.Fatalf("%T was sent to the ledger for a turn that does not use it", command)
 		}
 	}
 }
 
 func (o *httpObserver) observeEmitted(event *protocol.TurnEvent) {
 	if o.terminal != nil {
-		o.t.Fatalf("event %v after the last one", event)
+		o.t.Fatalf("event %v was emitted after the end of the answer", event)
 	}
 	o.emittedTokens += uint64(event.GetDelta().GetTokens())
 	if event.GetCompleted() != nil || event.GetFailed() != nil || event.GetAnswered() != nil {
 		o.terminal = event
 	}
 	if event.GetCompleted() != nil && o.stateful && !o.committed {
-		o.t.Fatal("completed before the turn was committed")
+		o.t.Fatal("the turn was completed before it was committed")
 	}
 }
 
@@ -201,27 +204,27 @@
 	f := o.terminal.GetFailed()
 	switch {
 	case o.terminal == nil:
-		o.t.Fatal("the caller was never answered")
+		o.t.Fatal("the caller got no answer")
 	case o.emittedTokens > reservationLimit:
 		o.t.Fatalf("%d tokens emitted under a reservation limit of %d", o.emittedTokens, reservationLimit)
 	case o.slots != 0:
-		o.t.Fatalf("%d slots not given back", o.slots)
+		o.t.Fatalf("%d slots are still held after the end of the turn, want 0", o.slots)
 	case f.GetOutcome() == protocol.Outcome_NOT_RUN && o.mayHaveRun:
 		o.t.Fatalf("reported as not run although it may have run: %v", f)
 	case o.ledgered && o.mayHaveRun && !o.committed && o.released != nil && o.released.GetTokens() < max(o.emittedTokens,
 		1):
-		o.t.Fatalf("%d tokens emitted, %d charged", o.emittedTokens, o.released.GetTokens())
+		o.t.Fatalf("%d tokens charged, want at least %d", o.released.GetTokens(), max(o.emittedTokens, 1))
 	case o.ledgered && !o.mayHaveRun && o.reserved && o.released.GetTokens() != 0:
 		o.t.Fatalf("charged %d tokens although nothing ran", o.released.GetTokens())
 	}
 }
 
-// drawHTTPEvent draws what the server of an HTTP turn may do next; a head comes first of all.
+// drawHTTPEvent draws the next event of the server of an HTTP turn. A stream begins with its head.
 func drawHTTPEvent(t *rapid.T, begun bool) turn.Event {
-	drawn := rapid.IntRange(0, 9).Draw(t, "piece")
+	drawn := rapid.IntRange(0, 9).Draw(t, "event")
 	switch {
 	case begun && drawn == 0:
-		// Once a server began to answer, the answer can only break off or prove foreign.
+		// Once a server has begun to answer, the answer can only break or prove to be another request's.
 		return turn.BackEndFailed{Fault: turn.BackEndFault(rapid.IntRange(3, 4).Draw(t, "late fault")), Detail: "drawn"}
 	case drawn == 0:
 		return turn.BackEndFailed{Fault: turn.BackEndFault(rapid.IntRange(1, 4).Draw(t, "fault")), Detail: "drawn"}
@@ -252,7 +255,7 @@
 		streaming, begun := false, false
 		for step := 0; !s.machine.Done() || len(pending) > 0; step++ {
 			if step > 2000 {
-				t.Fatal("the turn never ends")
+				t.Fatal("the turn did not end within 2000 steps")
 			}
 			var event turn.Event
 			switch {
@@ -260,7 +263,7 @@
 				command := pending[0]
 				pending = pending[1:]
 				if drawInterruption(t, command) {
-					// Nothing is sent, so that it must not be charged either.
+					// The interrupted command is not executed and must not be charged either.
 					pending = s.machine.Apply(drawStoppedWithoutEffect(t), s.now)
 					continue
 				}
@@ -327,7 +330,8 @@
 			}
 		}
 		if runs > runLimit || issues > 6 || answers != 1 {
-			t.Fatalf("%d runs of %d, %d issues, %d answers", runs, runLimit, issues, answers)
+			t.Fatalf("%d runs, %d issues, %d answers; want at most %d runs and 6 issues and exactly 1 answer",
+				runs, issues, answers, runLimit)
 		}
 	})
 }
@@ -338,6 +342,6 @@
 	before.RequestId, before.Session, before.Program, before.Nonce = "r1", "s1", "p1", "n1"
 	newScript(request).on("issue", httpHead, httpEvent("a"), httpDone).run()
 	if !proto.Equal(request, before) {
-		t.Fatalf("changed to %v", request)
+		t.Fatalf("the machine changed the request to %v, want %v", request, before)
 	}
 }
--- a/internal/dataplane/turn/machine_test.go
+++ b/internal/dataplane/turn/machine_test.go
@@ -19,7 +19,8 @@
 
 var okResult = resultWithStatus(protocol.LedgerStatus_LEDGER_OK)
 
-// script answers each command; answers to one kind of command are used up in order, the last one stays.
+// script runs a machine and answers its commands. The answers to one kind of command are used in order, the last one
+// repeatedly. The events of "issue" are all applied to the first attempt.
 type script struct {
 	machine  *turn.Machine
 	now      time.Time
@@ -101,10 +102,10 @@
 		command := pending[0]
 		pending = pending[1:]
 		s.commands = append(s.commands, command)
-		if emit, isEmit := command.(turn.Emit); isEmit {
+		if emit, ok := command.(turn.Emit); ok {
 			s.events = append(s.events, emit.Event)
 		}
-		if backoff, isPause := command.(turn.Backoff); isPause {
+		if backoff, ok := command.(turn.Backoff); ok {
 			s.now = s.now.Add(backoff.For)
 		}
 		if name := commandName(command); name != "" {
@@ -130,7 +131,7 @@
 
 func (s *script) releaseOperation() *protocol.ReleaseTurn {
 	for _, command := range s.commands {
-		if release, isRelease := command.(turn.Release); isRelease {
+		if release, ok := command.(turn.Release); ok {
 			return release.Operation
 		}
 	}
@@ -141,10 +142,10 @@
 	t.Helper()
 	f := s.lastEvent().GetFailed()
 	if f.GetCode() != string(code) || f.GetOutcome() != outcome {
-		t.Fatalf("ended with %v", s.lastEvent())
+		t.Fatalf("the turn ended with %v, want failure %s with outcome %v", s.lastEvent(), code, outcome)
 	}
 	if !s.machine.Done() {
-		t.Fatal("the machine did not finish")
+		t.Fatal("the machine is not done after the end of the turn")
 	}
 }
 
@@ -160,7 +161,7 @@
 	completed := s.lastEvent().GetCompleted()
 	if completed.GetText() != "aa" || completed.GetOutputTokens() != 2 || completed.GetCachedTokens() != 1 ||
 		completed.GetNonce() != "n1" {
-		t.Fatalf("completed %v", completed)
+		t.Fatalf("completed with %v, want text aa, 2 output tokens, 1 cached token and nonce n1", completed)
 	}
 	want := []string{"admit", "claim", "history", "reserve", "choose", "issue", "commit"}
 	var got []string
@@ -170,16 +171,17 @@
 		}
 	}
 	if len(got) != len(want) {
-		t.Fatalf("commands %v", got)
+		t.Fatalf("commands %v, want %v", got, want)
 	}
-	for at := range want {
-		if got[at] != want[at] {
-			t.Fatalf("commands %v", got)
+	for index := range want {
+		if got[index] != want[index] {
+			t.Fatalf("commands %v, want %v", got, want)
 		}
 	}
-	for at, event := range s.events {
-		if event.GetAttempt() != 1 || event.GetSequence() != uint64(at+1) {
-			t.Fatalf("event %d is numbered %d-%d", at, event.GetAttempt(), event.GetSequence())
+	for index, event := range s.events {
+		if event.GetAttempt() != 1 || event.GetSequence() != uint64(index+1) {
+			t.Fatalf("event %d has attempt %d and sequence %d, want attempt 1 and sequence %d",
+				index, event.GetAttempt(), event.GetSequence(), index+1)
 		}
 	}
 }
@@ -195,7 +197,7 @@
 		s := newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: resultWithStatus(rejection)}).run()
 		wantFailure(t, s, code, protocol.Outcome_NOT_RUN)
 		if s.count("reject") != 1 || s.count("issue") != 0 {
-			t.Fatalf("%v: commands %v", rejection, s.commands)
+			t.Fatalf("%v: commands %v, want one reject and no issue", rejection, s.commandNames())
 		}
 	}
 }
@@ -206,7 +208,8 @@
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
 	if s.count("claim")+s.count("reject")+s.count("release") != 0 ||
 		s.lastEvent().GetFailed().GetRetryAfterMillis() != 1000 {
-		t.Fatalf("commands %v", s.commands)
+		t.Fatalf("commands %v, ended with %v; want no ledger operation and a retry after 1000 ms",
+			s.commandNames(), s.lastEvent())
 	}
 }
 
@@ -232,7 +235,8 @@
 		on("reserve", turn.Reserved{Result: finishedResult(protocol.RequestOutcome_OUTCOME_SETTLED)}).
 		on("retained", turn.RetainedTurnRead{Turn: retained}).run()
 	if s.lastEvent().GetCompleted().GetText() != "retained" || s.count("issue") != 0 {
-		t.Fatalf("answered %v", s.lastEvent())
+		t.Fatalf("answered with %v after %d issues, want the retained text without an issue",
+			s.lastEvent(), s.count("issue"))
 	}
 	s = newScript(&protocol.TurnRequest{}).
 		on("reserve", turn.Reserved{Result: finishedResult(protocol.RequestOutcome_OUTCOME_NOT_RUN)}).run()
@@ -246,7 +250,7 @@
 	s := newScript(&protocol.TurnRequest{}).on("issue", busy).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.Overloaded, protocol.Outcome_NOT_RUN)
 	if s.releaseOperation().GetTokens() != 0 || s.lastEvent().GetFailed().GetRetryAfterMillis() != 3000 {
-		t.Fatalf("released %v", s.releaseOperation())
+		t.Fatalf("released %v, ended with %v; want no charge and a retry after 3000 ms", s.releaseOperation(), s.lastEvent())
 	}
 	s = newScript(&protocol.TurnRequest{}).on("issue", broken).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_UNKNOWN)
@@ -256,7 +260,7 @@
 	s = newScript(&protocol.TurnRequest{}).on("issue", token, token, broken).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_RAN)
 	if s.releaseOperation().GetTokens() != 2 {
-		t.Fatalf("released %v", s.releaseOperation())
+		t.Fatalf("released %v, want 2 tokens charged", s.releaseOperation())
 	}
 }
 
@@ -272,20 +276,20 @@
 	s.run()
 	second := s.commands[len(s.commands)-1].(turn.Issue)
 	if second.Attempt != 4 || second.MaxTokens != reservationLimit-1 || second.BackEnd != "b2" {
-		t.Fatalf("second issue %+v", second)
+		t.Fatalf("second issue %+v, want attempt 4 at b2 with at most %d tokens", second, reservationLimit-1)
 	}
 	if s.machine.Apply(turn.BackoffElapsed{}, s.now) != nil {
-		t.Fatal("a late answer was taken")
+		t.Fatal("an event that the state does not await was not ignored")
 	}
 	events := s.machine.Apply(token, s.now)
 	created := events[0].(turn.Emit).Event
 	if created.GetCreated() == nil || created.GetAttempt() != 4 || created.GetSequence() != 1 {
-		t.Fatalf("second attempt begins with %v", created)
+		t.Fatalf("the second attempt begins with %v, want a created event with attempt 4 and sequence 1", created)
 	}
 	commands := s.machine.Apply(turn.BackEndDone{Nonce: "n1", OutputTokens: 1}, s.now)
 	if commit := commands[len(commands)-1].(turn.Commit).Operation; commit.GetTokens() != 2 ||
 		commit.GetTurn().GetOutputTokens() != 1 {
-		t.Fatalf("committed %v", commit)
+		t.Fatalf("committed %v, want 2 tokens charged and 1 output token in the turn", commit)
 	}
 }
 
@@ -297,7 +301,7 @@
 	s := newScript(&protocol.TurnRequest{}).on("issue", events...).run()
 	wantFailure(t, s, failure.BackEndFailed, protocol.Outcome_RAN)
 	if deltas := len(s.events) - 2; deltas != reservationLimit || s.releaseOperation().GetTokens() != reservationLimit {
-		t.Fatalf("%d tokens emitted, released %v", deltas, s.releaseOperation())
+		t.Fatalf("%d tokens emitted, released %v; want %d of both", deltas, s.releaseOperation(), reservationLimit)
 	}
 }
 
@@ -307,7 +311,7 @@
 	s := newScript(&protocol.TurnRequest{}).on("issue", foreign).on("retry", turn.RetryDecided{}).run()
 	wantFailure(t, s, failure.AnswerMismatch, protocol.Outcome_UNKNOWN)
 	if s.count("commit") != 0 {
-		t.Fatal("a foreign answer was committed")
+		t.Fatal("an answer with another request's nonce was committed")
 	}
 }
 
@@ -320,12 +324,12 @@
 		run()
 	wantFailure(t, streaming, failure.NoAuthority, protocol.Outcome_RAN)
 	if streaming.releaseOperation().GetTokens() != 1 {
-		t.Fatalf("released %v", streaming.releaseOperation())
+		t.Fatalf("released %v, want 1 token charged", streaming.releaseOperation())
 	}
 	early := newScript(&protocol.TurnRequest{}).on("history", turn.Stopped{Reason: turn.StopAuthority}).run()
 	wantFailure(t, early, failure.NoAuthority, protocol.Outcome_NOT_RUN)
 	if early.count("reject") != 0 {
-		t.Fatal("a turn that another owner may run got a tombstone")
+		t.Fatal("a turn that another owner may run was rejected with a tombstone")
 	}
 }
 
@@ -334,7 +338,7 @@
 	unsent := newScript(&protocol.TurnRequest{}).on("issue", stopped).run()
 	wantFailure(t, unsent, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
 	if released := unsent.releaseOperation(); released == nil || released.GetTokens() != 0 {
-		t.Fatalf("released %v", released)
+		t.Fatalf("released %v, want a release without a charge", released)
 	}
 	unreserved := newScript(&protocol.TurnRequest{FirstSend: true}).on("reserve", stopped).run()
 	wantFailure(t, unreserved, failure.DeadlineExceeded, protocol.Outcome_NOT_RUN)
@@ -359,12 +363,12 @@
 		on("commit", append(answers, turn.Committed{Result: okResult})...).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_RAN)
 	if s.count("commit") != 16 {
-		t.Fatalf("committed %d times", s.count("commit"))
+		t.Fatalf("committed %d times, want 16", s.count("commit"))
 	}
 	few := newScript(&protocol.TurnRequest{}).on("issue", token, done).
 		on("commit", unavailable, turn.Committed{Result: okResult}).run()
 	if few.lastEvent().GetCompleted() == nil {
-		t.Fatalf("ended with %v", few.lastEvent())
+		t.Fatalf("ended with %v, want a completed turn", few.lastEvent())
 	}
 }
 
@@ -372,14 +376,15 @@
 	s := newScript(&protocol.TurnRequest{}).
 		on("reserve", turn.Reserved{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}).run()
 	wantFailure(t, s, failure.Fenced, protocol.Outcome_NOT_RUN)
-	forgotten := false
+	forgottenAsFenced := false
 	for _, command := range s.commands {
-		if forget, isForget := command.(turn.ForgetSession); isForget {
-			forgotten = forget.Fenced
+		if forget, ok := command.(turn.ForgetSession); ok {
+			forgottenAsFenced = forget.Fenced
 		}
 	}
-	if !forgotten || s.count("reject") != 0 {
-		t.Fatalf("commands %v", s.commands)
+	if !forgottenAsFenced || s.count("reject") != 0 {
+		t.Fatalf("session dropped as fenced: %t, commands %v; want it dropped without a reject",
+			forgottenAsFenced, s.commandNames())
 	}
 	fenced := newScript(&protocol.TurnRequest{}).on("issue", token, done).
 		on("commit", turn.Committed{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}).run()
@@ -391,7 +396,7 @@
 	s := newScript(&protocol.TurnRequest{FirstSend: true}).on("reserve", turn.Reserved{Result: unavailable}).run()
 	wantFailure(t, s, failure.LedgerUnavailable, protocol.Outcome_NOT_RUN)
 	if s.releaseOperation() == nil {
-		t.Fatal("the reservation was forgotten")
+		t.Fatal("a reservation that the ledger may have made was not released")
 	}
 	s = newScript(&protocol.TurnRequest{}).on("reserve", turn.Reserved{Result: unavailable}).
 		on("release", turn.Released{Result: unavailable}).
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -35,29 +35,29 @@
 	return turn.StoppedWithoutEffect(turn.StopReason(rapid.IntRange(1, 3).Draw(t, "reason")))
 }
 
-// drawAnswer answers a command of either machine as a hostile world might.
+// drawAnswer draws the answer to a command of either machine, faults and rejections included.
 func drawAnswer(t *rapid.T, command turn.Command) turn.Event {
 	rejected := failure.New(failure.Overloaded, protocol.Outcome_NOT_RUN, "drawn").Failure
-	yes := rapid.IntRange(0, 3).Draw(t, "yes") > 0
+	granted := rapid.IntRange(0, 3).Draw(t, "granted") > 0
 	switch command.(type) {
 	case turn.Claim:
 		return turn.Claimed{Result: drawResult(t)}
 	case turn.ReadHistory:
 		return turn.HistoryRead{Status: drawResult(t).GetStatus()}
 	case turn.Admit:
-		if yes {
+		if granted {
 			return turn.Admitted{}
 		}
 		return turn.NotAdmitted{Failure: rejected}
 	case turn.Reserve:
 		return turn.Reserved{Result: drawResult(t)}
 	case turn.Choose:
-		if yes {
+		if granted {
 			return turn.Chosen{BackEnd: "b"}
 		}
 		return turn.NotChosen{Failure: rejected}
 	case turn.RequestRetry:
-		return turn.RetryDecided{Granted: yes}
+		return turn.RetryDecided{Granted: granted}
 	case turn.Commit:
 		return turn.Committed{Result: drawResult(t)}
 	case turn.Release:
@@ -78,7 +78,7 @@
 		}
 		return drawFault(t)
 	case turn.Backoff:
-		if yes {
+		if granted {
 			return turn.BackoffElapsed{}
 		}
 		return turn.Stopped{Reason: turn.StopAuthority}
@@ -87,12 +87,12 @@
 	}
 }
 
-// drawInterruption draws whether a stop goes before the command, as the front plane does it.
+// drawInterruption draws whether a stop takes the place of the command, as in the front node's shell.
 func drawInterruption(t *rapid.T, command turn.Command) bool {
 	return turn.Interruptible(command) && rapid.IntRange(0, 40).Draw(t, "stop") == 0
 }
 
-// observer checks what a turn's readers and the ledger see.
+// observer checks what a turn's readers and the ledger observe.
 type observer struct {
 	t             *rapid.T
 	attempt       uint32
@@ -112,7 +112,7 @@
 	switch command := command.(type) {
 	case turn.Issue:
 		if !o.reserved || o.terminal != nil {
-			o.t.Fatalf("issued without a reservation")
+			o.t.Fatalf("the turn was issued without a reservation or after its end")
 		}
 		o.issued++
 	case turn.FreeSlot:
@@ -126,11 +126,12 @@
 
 func (o *observer) observeEmitted(event *protocol.TurnEvent) {
 	if o.terminal != nil {
-		o.t.Fatalf("event %v after the last one", event)
+		o.t.Fatalf("event %v was emitted after the end of the answer", event)
 	}
 	if event.GetAttempt() == o.attempt && event.GetSequence() != o.sequence+1 || event.GetAttempt() < o.attempt ||
 		event.GetAttempt() > o.attempt && event.GetSequence() != 1 {
-		o.t.Fatalf("event %d-%d after %d-%d", event.GetAttempt(), event.GetSequence(), o.attempt, o.sequence)
+		o.t.Fatalf("event with attempt %d and sequence %d was emitted after attempt %d and sequence %d",
+			event.GetAttempt(), event.GetSequence(), o.attempt, o.sequence)
 	}
 	o.attempt, o.sequence = event.GetAttempt(), event.GetSequence()
 	o.emittedTokens += uint64(event.GetDelta().GetTokens())
@@ -159,7 +160,7 @@
 	}
 }
 
-// observeProof notes that the ledger has the request as not run.
+// observeProof records whether the ledger has confirmed that the request did not run.
 func (o *observer) observeProof(result *protocol.LedgerResult) {
 	o.notRunProved = o.notRunProved || result.GetStatus() == protocol.LedgerStatus_LEDGER_OK ||
 		result.GetFinished().GetOutcome() == protocol.RequestOutcome_OUTCOME_NOT_RUN
@@ -176,7 +177,7 @@
 		streaming := false
 		for step := 0; !s.machine.Done() || len(pending) > 0; step++ {
 			if step > 2000 {
-				t.Fatal("the turn never ends")
+				t.Fatal("the turn did not end within 2000 steps")
 			}
 			var event turn.Event
 			if len(pending) > 0 {
@@ -219,7 +220,7 @@
 }
 
 func drawBackEndEvent(t *rapid.T) turn.Event {
-	switch rapid.IntRange(0, 9).Draw(t, "piece") {
+	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
 		return drawFault(t)
 	case 1:
@@ -233,13 +234,13 @@
 
 func checkOutcome(t *rapid.T, o *observer, firstSend bool) {
 	if o.terminal == nil {
-		t.Fatal("the readers were never answered")
+		t.Fatal("the readers got no answer")
 	}
 	if o.emittedTokens > reservationLimit {
 		t.Fatalf("%d tokens emitted under a reservation limit of %d", o.emittedTokens, reservationLimit)
 	}
 	if o.slots != 0 {
-		t.Fatalf("%d slots not given back", o.slots)
+		t.Fatalf("%d slots are still held after the end of the turn, want 0", o.slots)
 	}
 	f := o.terminal.GetFailed()
 	if f.GetOutcome() == protocol.Outcome_NOT_RUN {
@@ -253,10 +254,10 @@
 		}
 	}
 	if o.emittedTokens > 0 && f != nil && f.GetOutcome() != protocol.Outcome_RAN {
-		t.Fatalf("tokens were emitted, yet %v", f)
+		t.Fatalf("%d tokens were emitted, but the failure is %v, want outcome RAN", o.emittedTokens, f)
 	}
 	if o.emittedTokens > 0 && !o.committed && o.released != nil && o.released.GetTokens() < o.emittedTokens {
-		t.Fatalf("%d tokens emitted, %d charged", o.emittedTokens, o.released.GetTokens())
+		t.Fatalf("%d tokens charged, want at least %d", o.released.GetTokens(), o.emittedTokens)
 	}
 }
 
@@ -277,7 +278,7 @@
 			pending = pending[1:]
 			now = now.Add(100 * time.Millisecond)
 			if step > 500 {
-				t.Fatal("the call never ends")
+				t.Fatal("the call did not end within 500 steps")
 			}
 			if drawInterruption(t, command) {
 				pending = machine.Apply(drawStoppedWithoutEffect(t), now)
@@ -285,14 +286,14 @@
 			}
 			if response, answered := command.(turn.Answer); answered {
 				if answer != nil {
-					t.Fatal("answered twice")
+					t.Fatal("the caller was answered twice")
 				}
 				answer = response.Response
 			}
 			event := drawAnswer(t, command)
 			if _, issue := command.(turn.IssueCall); issue {
 				if !intent || mayHaveRun > 0 {
-					t.Fatal("issued again, or without an intent")
+					t.Fatal("the call was issued without a recorded intent, or again after it may have run")
 				}
 				fault, failed := event.(turn.BackEndFailed)
 				if !failed || fault.Fault == turn.FaultBroken || fault.Fault == turn.FaultMismatch {
@@ -300,21 +301,21 @@
 				}
 				_, done = event.(turn.CallAnswered)
 			}
-			if begun, isBegun := event.(turn.IntentRecorded); isBegun {
-				intent = begun.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
+			if recorded, ok := event.(turn.IntentRecorded); ok {
+				intent = recorded.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
 			}
 			if event != nil {
 				pending = append(pending, machine.Apply(event, now)...)
 			}
 		}
 		if answer == nil || !machine.Done() {
-			t.Fatal("the caller was never answered")
+			t.Fatal("the call ended without an answer, or its machine is not done")
 		}
 		if answer.GetFailure().GetOutcome() == protocol.Outcome_NOT_RUN && mayHaveRun > 0 {
 			t.Fatalf("reported as not run although it may have run: %v", answer)
 		}
 		if done && answer.GetFailure() != nil {
-			t.Fatalf("the tool answered, the caller got %v", answer.GetFailure())
+			t.Fatalf("the tool answered, but the caller got the failure %v", answer.GetFailure())
 		}
 	})
 }
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -12,7 +12,8 @@
 
 var toolAnswer = turn.CallAnswered{Status: 200, Body: []byte(`{"a":1}`), ContentType: "application/json"}
 
-// runCall answers each command by its kind; the last answer of a kind stays.
+// runCall runs the machine of a call and returns the response and the number of commands of each kind. The answers to a
+// kind of command are used in order; the last one is repeated.
 func runCall(idempotent bool, answers map[string][]turn.Event) (*protocol.ToolCallResponse, map[string]int) {
 	machine := turn.NewCall(turn.CallParameters{
 		Request: &protocol.ToolCallRequest{RequestId: "r1", Session: "s1", Tool: "valve"}, Owner: "f1", Attempt: "a1",
@@ -84,11 +85,11 @@
 			answers: map[string][]turn.Event{"issue": {broken}}, code: failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN,
 			counts: map[string]int{"issue": 1, "finish": 0},
 		},
-		"is issued again after a certain rejection, under the same intent": {
+		"is issued again under the same intent after a rejection that proves it did not run": {
 			answers: map[string][]turn.Event{"issue": {busy, toolAnswer}},
 			counts:  map[string]int{"begin": 1, "issue": 2, "finish": 1},
 		},
-		"has its rejection recorded once an intent is written": {
+		"records its rejection after the intent was recorded": {
 			answers: map[string][]turn.Event{"issue": {busy}, "retry": {turn.RetryDecided{}}},
 			code:    failure.Overloaded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
 		},
@@ -96,7 +97,7 @@
 			answers: map[string][]turn.Event{"issue": {turn.StoppedWithoutEffect(turn.StopDeadline)}},
 			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
 		},
-		"is unknown when it is stopped while a server may have it": {
+		"is unknown when it is stopped while a server may be running it": {
 			answers: map[string][]turn.Event{"issue": {turn.Stopped{Reason: turn.StopDeadline}}},
 			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"finish": 0},
 		},
@@ -104,22 +105,22 @@
 			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, turn.StoppedWithoutEffect(turn.StopDeadline)}},
 			code: failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 2},
 		},
-		"cannot promise a rejection that was not recorded": {
+		"is unknown when its rejection could not be recorded": {
 			answers: map[string][]turn.Event{
 				"issue": {busy}, "retry": {turn.RetryDecided{}},
 				"finish": {turn.OutcomeRecorded{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}},
 			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
-		"gets a tombstone without a server": {
+		"is rejected with a tombstone when no server can run it": {
 			answers: map[string][]turn.Event{"choose": {none}}, code: failure.NoBackEnd, outcome: protocol.Outcome_NOT_RUN,
 			counts: map[string]int{"begin": 0, "reject": 1},
 		},
-		"is unknown when another attempt holds the intent": {
+		"is unknown when another attempt has recorded the intent": {
 			answers: map[string][]turn.Event{"begin": {turn.IntentRecorded{Result: underWay}}},
 			code:    failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 0},
 		},
-		"answers from the record": {
+		"is answered from the recorded outcome": {
 			answers: map[string][]turn.Event{
 				"begin": {
 					turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})},
@@ -133,7 +134,7 @@
 			},
 			code: failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
-		"writes the same intent again after no answer": {
+		"records the same intent again when the ledger was unavailable": {
 			answers: map[string][]turn.Event{
 				"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: okResult}},
 			},
@@ -149,12 +150,12 @@
 			},
 			counts: map[string]int{"issue": 1, "finish": 3},
 		},
-		"may run again when it is repeatable": {
+		"is issued again after it may have run when it is idempotent": {
 			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, toolAnswer}}, counts: map[string]int{
 				"begin": 0, "issue": 2,
 			},
 		},
-		"is unknown when a repeatable one may have run": {
+		"is unknown when an idempotent one may have run before a rejection": {
 			idempotent: true, answers: map[string][]turn.Event{
 				"issue": {broken, busy}, "retry": {turn.RetryDecided{Granted: true}, turn.RetryDecided{}},
 			},
@@ -165,11 +166,11 @@
 		t.Run(name, func(t *testing.T) {
 			response, counts := runCall(c.idempotent, c.answers)
 			if got := response.GetFailure(); got.GetCode() != string(c.code) || got.GetOutcome() != c.outcome {
-				t.Fatalf("answered %v", response)
+				t.Fatalf("answered with %v, want failure code %q with outcome %v", response, c.code, c.outcome)
 			}
 			for command, want := range c.counts {
 				if counts[command] != want {
-					t.Fatalf("%s %d times, want %d", command, counts[command], want)
+					t.Fatalf("%d commands of kind %q, want %d", counts[command], command, want)
 				}
 			}
 		})
