--- a/internal/dataplane/dialect/dialect.go
+++ b/internal/dataplane/dialect/dialect.go
@@ -1,6 +1,6 @@
-// Package dialect names the HTTP headers in which callers and back ends of
-// HTTP routes state what rosestand needs to know of a request. The product has
-// names of its own (Default); a platform that uses other names supplies its own Dialect.
+// Package dialect defines the names of the HTTP headers in which callers and
+// back ends of HTTP routes pass metadata of a request to rosestand. Default has
+// the product's own names; a platform that uses other names supplies its own Dialect.
 // The forms of the values are the same in every dialect; docs/API-ROUTES.md specifies them.
 // A Dialect is a value without state.
 package dialect
@@ -22,7 +22,7 @@
 	// Program and Session name the program and session that a request belongs to.
 	Program string
 	Session string
-	// TimeLeft is how long the caller still waits, in milliseconds.
+	// TimeLeft is the time for which the caller still waits, in milliseconds.
 	TimeLeft string
 	// ProgramTimeLeft is the time until the program should be complete, in milliseconds.
 	ProgramTimeLeft string
@@ -30,7 +30,7 @@
 	TokenBudget string
 	// TokenUsage is "PROMPT,MOST": the tokens of the prompt and the maximum that the turn generates.
 	TokenUsage string
-	// PromptParts is "ID:TOKENS,..." for the segments of the prompt in order.
+	// PromptParts is "ID:TOKENS,..." for the segments of the prompt, in order.
 	PromptParts string
 	// PreviousTurn is the request id of the turn that this one continues.
 	PreviousTurn string
@@ -43,7 +43,7 @@
 	// LastEventID is the id of the last event that a caller of a resumable stream received.
 	LastEventID string
 
-	// Headers towards servers.
+	// Headers of requests to servers.
 
 	// TargetServer names the server that the request is for; any other one rejects it.
 	TargetServer string
@@ -54,36 +54,36 @@
 
 	// Headers of servers.
 
-	// Signature is on every answer that a server itself gave, and not a proxy before it.
+	// Signature is on every answer that comes from the server itself and not from a proxy in front of it.
 	Signature string
-	// NotExecuted is on answers by which a server states that it did not run the request.
+	// NotExecuted is on answers of a server that did not run the request.
 	NotExecuted string
 	// WeightVersions is the version of the weights that an answer was generated with.
 	WeightVersions string
 
-	// ServerLoad is on answers of servers that report their load with each; DecodeLoad decodes it.
+	// ServerLoad is on answers of servers that report their load with each answer; DecodeLoad decodes it.
 	ServerLoad string
 
 	// ReportPath is the path of a server's load report; empty when it has none.
 	ReportPath string
-	// DecodeReport decodes the body of a load report; nil means that none is requested.
+	// DecodeReport decodes the body of a load report; nil means that no load reports are requested.
 	DecodeReport func(body []byte) (Report, error)
 	// ToolsReport is true when tool servers have load reports, too.
 	ToolsReport bool
 }
 
-// Load is the number of requests that a server reported.
+// Load is the load that a server reported, in requests.
 type Load struct {
 	Running uint32
 	Queued  uint32
-	// Capacity is the maximum number of concurrent requests of the server; 0 means the announced one.
+	// Capacity is the maximum number of concurrent requests of the server; 0 means the announced number.
 	Capacity uint32
 }
 
-// Report is a load report: the load that the server reported with the state of its memory.
+// Report is a load report: the load of a server and the use of its KV cache.
 type Report struct {
 	Load
-	// CacheUsed and CacheTotal are tokens of the KV cache: those that cannot be evicted, and its size.
+	// CacheUsed is the number of tokens in the KV cache that cannot be evicted, CacheTotal its size in tokens.
 	CacheUsed  uint64
 	CacheTotal uint64
 }
@@ -130,7 +130,7 @@
 	return load, known
 }
 
-// loadNames are the names of a load's fields, in the order of the numbers without names.
+// loadNames are the names of a load's fields, in the order of the form without names.
 var loadNames = []string{"running", "queued", "capacity"}
 
 // Default is the dialect with the product's own names.
--- a/internal/dataplane/dialect/dialect_test.go
+++ b/internal/dataplane/dialect/dialect_test.go
@@ -15,12 +15,12 @@
 		"12,1,64,7":                      {Running: 12, Queued: 1, Capacity: 64},
 	} {
 		if got, known := dialect.DecodeLoad(value); !known || got != want {
-			t.Errorf("%q: %+v, %t", value, got, known)
+			t.Errorf("load %q: decoded %+v, %t; want %+v, true", value, got, known, want)
 		}
 	}
 	for _, value := range []string{"", "many", "running=-1", "=3", "-1,-2"} {
 		if got, known := dialect.DecodeLoad(value); known {
-			t.Errorf("%q was accepted: %+v", value, got)
+			t.Errorf("load %q was accepted as %+v, want it rejected", value, got)
 		}
 	}
 }
--- a/internal/dataplane/trainingstep/admission_gate.go
+++ b/internal/dataplane/trainingstep/admission_gate.go
@@ -10,14 +10,14 @@
 	MaxWaiting = 1024
 	// MaxWait is the maximum time that a generation waits at a gate.
 	MaxWait = 10 * time.Second
-	// StarvationTimeout is how long a generation waits behind live requests while none of its version runs from this front
-	// node. Then one is admitted nevertheless, so that a step progresses however busy the fleet is.
+	// StarvationTimeout is how long a generation waits behind live requests while this front node runs no generation of
+	// its version. After that, one generation is admitted anyway, so that a step progresses however busy the fleet is.
 	StarvationTimeout = 2 * time.Second
-	// RejectedRetryAfter is after how long the caller of a rejected generation may retry.
+	// RejectedRetryAfter is the delay after which the caller of a rejected generation may retry.
 	RejectedRetryAfter = time.Second
 )
 
-// Capacity is what the servers of a version can run of this front node's generations.
+// Capacity is the capacity of the servers of a version for the generations of this front node.
 type Capacity struct {
 	// Slots is the maximum number of concurrent generations.
 	Slots int
@@ -25,21 +25,21 @@
 	LiveWaits bool
 }
 
-// Ticket is one generation that requests a slot.
+// Ticket is the request of one generation for a slot.
 type Ticket struct {
 	ID uint64
-	// Deadline is its caller's; zero is none.
+	// Deadline is the deadline of the caller; zero means none.
 	Deadline time.Time
 }
 
-// Verdict is the decision on a ticket; a ticket without one waits.
+// Verdict is the decision on a ticket; a ticket without a verdict waits.
 type Verdict int
 
 // Verdicts on a ticket.
 const (
-	// Run gives a slot, which Leave gives back.
+	// Run admits the ticket to a slot, which Leave frees.
 	Run Verdict = iota + 1
-	// RejectFull means that too many wait.
+	// RejectFull means that too many tickets wait.
 	RejectFull
 	// RejectLate means that the ticket waited too long.
 	RejectLate
@@ -67,10 +67,10 @@
 // Idle reports whether nothing runs or waits.
 func (g *AdmissionGate) Idle() bool { return g.running == 0 && len(g.waiting) == 0 }
 
-// Waiting is the number of tickets that wait.
+// Waiting returns the number of tickets that wait.
 func (g *AdmissionGate) Waiting() int { return len(g.waiting) }
 
-// Enter adds a ticket. Its decisions, like those of Leave and Dispatch, may be on any ticket.
+// Enter adds a ticket. The decisions that it returns, like those of Leave and Dispatch, may concern any ticket.
 func (g *AdmissionGate) Enter(ticket Ticket, capacity Capacity, now time.Time) []Decision {
 	if len(g.waiting) >= MaxWaiting {
 		return append(g.Dispatch(capacity, now), Decision{ID: ticket.ID, Verdict: RejectFull})
@@ -83,13 +83,13 @@
 	return g.Dispatch(capacity, now)
 }
 
-// Leave gives a slot back.
+// Leave frees the slot of a generation that has ended.
 func (g *AdmissionGate) Leave(capacity Capacity, now time.Time) []Decision {
 	g.running--
 	return g.Dispatch(capacity, now)
 }
 
-// Cancel removes a waiting ticket and reports whether it was there.
+// Cancel removes a waiting ticket and reports whether it was waiting.
 func (g *AdmissionGate) Cancel(id uint64) bool {
 	before := len(g.waiting)
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waitingTicket) bool { return w.id == id })
@@ -121,7 +121,8 @@
 	return !capacity.LiveWaits && g.running < capacity.Slots
 }
 
-// NextDispatch is when Dispatch may have an effect without any other event; zero when nothing waits.
+// NextDispatch returns the time from which Dispatch may have an effect without another event, or zero when no ticket
+// waits.
 func (g *AdmissionGate) NextDispatch() time.Time {
 	var next time.Time
 	for index, w := range g.waiting {
--- a/internal/dataplane/trainingstep/admission_gate_test.go
+++ b/internal/dataplane/trainingstep/admission_gate_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// ticketIDs are the tickets with a verdict, in order.
+// ticketIDs lists the tickets with a verdict, in order.
 func ticketIDs(decisions []trainingstep.Decision, verdict trainingstep.Verdict) []uint64 {
 	var ids []uint64
 	for _, decision := range decisions {
@@ -30,10 +30,10 @@
 		ran = append(ran, ticketIDs(gate.Enter(trainingstep.Ticket{ID: id}, capacity, start), trainingstep.Run)...)
 	}
 	if !slices.Equal(ran, []uint64{0, 1}) {
-		t.Fatalf("ran %v", ran)
+		t.Fatalf("admitted tickets %v to 2 slots, want 0 and 1", ran)
 	}
 	if next := ticketIDs(gate.Leave(capacity, start), trainingstep.Run); !slices.Equal(next, []uint64{2}) {
-		t.Fatalf("then %v", next)
+		t.Fatalf("admitted tickets %v after a slot became free, want 2", next)
 	}
 }
 
@@ -41,25 +41,25 @@
 	gate, busy := &trainingstep.AdmissionGate{}, trainingstep.Capacity{Slots: 8, LiveWaits: true}
 	for id := range uint64(3) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, busy, start); len(decisions) > 0 {
-			t.Fatalf("%v before a live request that waits", decisions)
+			t.Fatalf("decided %v while live requests wait, want no decision", decisions)
 		}
 	}
 	if wake := gate.NextDispatch(); !wake.Equal(start.Add(trainingstep.StarvationTimeout)) {
-		t.Fatalf("wakes at %v", wake)
+		t.Fatalf("the next dispatch is at %v, want %v", wake, start.Add(trainingstep.StarvationTimeout))
 	}
 	now := start.Add(trainingstep.StarvationTimeout)
 	if ran := ticketIDs(gate.Dispatch(busy, now), trainingstep.Run); !slices.Equal(ran, []uint64{0}) {
-		t.Fatalf("ran %v", ran)
+		t.Fatalf("admitted tickets %v after the starvation timeout, want 0", ran)
 	}
 	if ran := gate.Dispatch(busy, now.Add(time.Second)); len(ran) > 0 {
-		t.Fatalf("%v beside one that runs", ran)
+		t.Fatalf("decided %v while a generation runs, want no decision", ran)
 	}
 	if ran := ticketIDs(gate.Leave(busy, now.Add(time.Second)), trainingstep.Run); !slices.Equal(ran, []uint64{1}) {
-		t.Fatalf("then %v", ran)
+		t.Fatalf("admitted tickets %v after the running one left, want 1", ran)
 	}
 	late := ticketIDs(gate.Dispatch(busy, start.Add(trainingstep.MaxWait)), trainingstep.RejectLate)
 	if !slices.Equal(late, []uint64{2}) {
-		t.Fatalf("late %v", late)
+		t.Fatalf("rejected tickets %v as late, want 2", late)
 	}
 }
 
@@ -67,15 +67,16 @@
 	gate, none := &trainingstep.AdmissionGate{}, trainingstep.Capacity{}
 	for id := range uint64(trainingstep.MaxWaiting) {
 		if decisions := gate.Enter(trainingstep.Ticket{ID: id}, none, start); len(decisions) > 0 {
-			t.Fatalf("decided %v", decisions)
+			t.Fatalf("decided %v without capacity, want no decision", decisions)
 		}
 	}
 	full := gate.Enter(trainingstep.Ticket{ID: trainingstep.MaxWaiting}, none, start)
 	if !slices.Equal(ticketIDs(full, trainingstep.RejectFull), []uint64{trainingstep.MaxWaiting}) {
-		t.Fatalf("decided %v", full)
+		t.Fatalf("decided %v on a ticket beyond MaxWaiting, want RejectFull", full)
 	}
 	if !gate.Cancel(0) || gate.Cancel(0) || gate.Waiting() != trainingstep.MaxWaiting-1 {
-		t.Fatal("a cancelled ticket waits on")
+		t.Fatalf("%d tickets wait after the cancellation of one, want %d and only one successful cancellation",
+			gate.Waiting(), trainingstep.MaxWaiting-1)
 	}
 }
 
@@ -99,7 +100,7 @@
 				Slots: rapid.IntRange(0, 3).Draw(t, "slots"), LiveWaits: rapid.Bool().Draw(t, "live"),
 			}
 			before := running
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				entered[next] = now
 				record(gate.Enter(trainingstep.Ticket{ID: next}, capacity, now))
@@ -115,15 +116,15 @@
 				record(gate.Dispatch(capacity, now))
 			}
 			if limit := max(before, capacity.Slots, 1); running > limit {
-				t.Fatalf("%d run where %d may", running, limit)
+				t.Fatalf("%d generations run, want at most %d", running, limit)
 			}
 			if capacity.LiveWaits && running > max(before, 1) {
-				t.Fatalf("%d admitted while live requests wait", running-before)
+				t.Fatalf("%d generations admitted while live requests wait, want none beside a running one", running-before)
 			}
 		}
 		record(gate.Dispatch(trainingstep.Capacity{}, now.Add(trainingstep.MaxWait)))
 		if len(decided) != len(entered) {
-			t.Fatalf("%d of %d decided", len(decided), len(entered))
+			t.Fatalf("%d of %d tickets decided after MaxWait, want all", len(decided), len(entered))
 		}
 	})
 }
@@ -135,19 +136,19 @@
 		waits  bool
 		want   int
 	}{
-		"an idle server":                {trainingstep.ServerSlots{Slots: 16}, 1, false, 12},
-		"live requests run there":       {trainingstep.ServerSlots{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
-		"live requests wait":            {trainingstep.ServerSlots{Slots: 16}, 1, true, 4},
-		"other front nodes":             {trainingstep.ServerSlots{Slots: 16}, 3, false, 4},
-		"many other front nodes":        {trainingstep.ServerSlots{Slots: 16}, 330, false, 1},
-		"others fill it":                {trainingstep.ServerSlots{Slots: 16, Others: 12}, 330, false, 0},
-		"others leave one slot":         {trainingstep.ServerSlots{Slots: 16, Others: 11}, 1, false, 1},
-		"unknown slots stand for 8":     {trainingstep.ServerSlots{}, 1, false, 6},
-		"a small server still runs one": {trainingstep.ServerSlots{Slots: 2}, 1, true, 1},
+		"idle server":                 {trainingstep.ServerSlots{Slots: 16}, 1, false, 12},
+		"live requests run there":     {trainingstep.ServerSlots{Slots: 16, Others: 2, Live: 2}, 1, false, 4},
+		"live requests wait":          {trainingstep.ServerSlots{Slots: 16}, 1, true, 4},
+		"other front nodes":           {trainingstep.ServerSlots{Slots: 16}, 3, false, 4},
+		"many other front nodes":      {trainingstep.ServerSlots{Slots: 16}, 330, false, 1},
+		"others use the whole share":  {trainingstep.ServerSlots{Slots: 16, Others: 12}, 330, false, 0},
+		"others leave one slot":       {trainingstep.ServerSlots{Slots: 16, Others: 11}, 1, false, 1},
+		"unknown slots count as 8":    {trainingstep.ServerSlots{}, 1, false, 6},
+		"small server still runs one": {trainingstep.ServerSlots{Slots: 2}, 1, true, 1},
 	}
 	for name, c := range cases {
 		if got := c.server.ForSteps(c.fronts, c.waits); got != c.want {
-			t.Errorf("%s: %d, not %d", name, got, c.want)
+			t.Errorf("%s: got %d slots, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/dataplane/trainingstep/name.go
+++ b/internal/dataplane/trainingstep/name.go
@@ -8,7 +8,7 @@
 // MaxNameBytes is the maximum length, in bytes, of the name of a step and of its model.
 const MaxNameBytes = 128
 
-// NameError is why a text is not the name of a training step or of its model.
+// NameError reports why a text is not a valid name of a training step or of its model.
 type NameError struct{ Reason string }
 
 // Error implements error.
@@ -23,9 +23,9 @@
 	if len(name) > MaxNameBytes {
 		return &NameError{Reason: fmt.Sprintf("is longer than %d bytes", MaxNameBytes)}
 	}
-	for at := range len(name) {
-		if !isNameCharacter(name[at]) {
-			return &NameError{Reason: fmt.Sprintf("holds the character %q", name[at])}
+	for index := range len(name) {
+		if !isNameCharacter(name[index]) {
+			return &NameError{Reason: fmt.Sprintf("holds the character %q", name[index])}
 		}
 	}
 	return nil
--- a/internal/dataplane/trainingstep/weight_version.go
+++ b/internal/dataplane/trainingstep/weight_version.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Announcement is what one ready server of a group announces: the version of
-// the weights of each of its models, by name. 0 is no version.
+// Announcement maps each model of one ready server of a group to the version
+// of its weights that the server announces. 0 means no version.
 type Announcement map[string]uint64
 
-// GroupModel is the model of a group whose routes name none: the one that most
-// servers announce with a version; among equals the first by name. It is empty
-// when no server announces a version.
+// GroupModel returns the model of a group whose routes name none: the one that
+// most servers announce with a version, or the first by name in case of a tie.
+// It is empty when no server announces a version.
 func GroupModel(announcements []Announcement) string {
 	counts := make(map[string]int)
 	for _, announced := range announcements {
@@ -32,9 +32,9 @@
 	return chosen
 }
 
-// ProposeVersion is the version pin for a step that has none: the highest version
-// that at least half of the servers announce for the model; when there is none,
-// the one that most announce, the higher of equals. It is 0 when no server announces any.
+// ProposeVersion returns the version pin for a step that has none: the highest version
+// that at least half of the servers announce for the model, or else the version that
+// most servers announce, the highest in case of a tie. It is 0 when no server announces a version.
 func ProposeVersion(model string, announcements []Announcement) uint64 {
 	counts := make(map[uint64]int)
 	for _, announced := range announcements {
@@ -60,12 +60,12 @@
 	})
 }
 
-// UnknownVersion is the version of an answer or event that names none, or none that can be parsed.
+// UnknownVersion is the version of an answer or event that reports none, or none that can be parsed.
 const UnknownVersion uint64 = 0
 
-// ParseVersions parses the versions that the head of an answer names: numbers
-// separated by commas, in one header or several. One that is not a number
-// becomes UnknownVersion, and a head that names none has UnknownVersion alone.
+// ParseVersions parses the versions that the head of an answer reports: numbers
+// separated by commas, in one header or several. A part that is not a number
+// becomes UnknownVersion; without any header the result is UnknownVersion alone.
 func ParseVersions(values []string) []uint64 {
 	var versions []uint64
 	for _, value := range values {
@@ -87,9 +87,9 @@
 	return version
 }
 
-// ParseEventVersion parses the version that an event of a stream names in its first
-// line, after the header's name in lower case and a colon. It reports false
-// for an event that names none. Blank lines before an event are skipped.
+// ParseEventVersion parses the version that an event of a stream reports in its first
+// line, after the header's name in lower case and a colon. It returns false
+// for an event that reports none. Blank lines before an event are skipped.
 func ParseEventVersion(event []byte, header string) (version uint64, named bool) {
 	line, _, _ := strings.Cut(strings.TrimLeft(string(event), "\r\n"), "\n")
 	name, value, found := strings.Cut(line, ":")
