--- a/internal/dataplane/turn/http_turn.go
+++ b/internal/dataplane/turn/http_turn.go
@@ -18,7 +18,8 @@
 // program that was stopped may continue within one retention.
 const programRetentionFactor = 3
 
-// minRetention replaces the retention of a route that configures a shorter one or none.
+// minRetention is the minimum turn retention from which the retention of a program is computed, for routes that
+// configure a shorter retention or none.
 const minRetention = time.Minute
 
 func (m *Machine) isHTTP() bool { return m.parameters.Request.GetHttp() != nil }
--- a/internal/dataplane/turn/http_turn_test.go
+++ b/internal/dataplane/turn/http_turn_test.go
@@ -128,7 +128,7 @@
 // httpObserver checks what the caller, the servers and the ledger see of one HTTP turn.
 type httpObserver struct {
 	t               *rapid.T
-	ledgered        bool
+	usesLedger      bool
 	stateful        bool
 	reserved        bool
 	committed       bool
@@ -146,7 +146,7 @@
 		switch {
 		case o.terminal != nil:
 			o.t.Fatal("the turn was issued after its end")
-		case o.ledgered && !o.reserved:
+		case o.usesLedger && !o.reserved:
 			o.t.Fatal("the turn was issued without a reservation")
 		case o.mayHaveRun:
 			o.t.Fatal("the turn was issued again although it may have run")
@@ -161,7 +161,7 @@
 	case turn.Emit:
 		o.observeEmitted(command.Event)
 	case turn.Reserve, turn.Commit, turn.Reject:
-		if !o.ledgered {
+		if !o.usesLedger {
 			o.t.Fatalf("%T was sent to the ledger for a turn that does not use it", command)
 		}
 	}
@@ -211,10 +211,10 @@
 		o.t.Fatalf("%d slots are still held after the end of the turn, want 0", o.slots)
 	case f.GetOutcome() == protocol.Outcome_NOT_RUN && o.mayHaveRun:
 		o.t.Fatalf("reported as not run although it may have run: %v", f)
-	case o.ledgered && o.mayHaveRun && !o.committed && o.released != nil && o.released.GetTokens() < max(o.emittedTokens,
+	case o.usesLedger && o.mayHaveRun && !o.committed && o.released != nil && o.released.GetTokens() < max(o.emittedTokens,
 		1):
 		o.t.Fatalf("%d tokens charged, want at least %d", o.released.GetTokens(), max(o.emittedTokens, 1))
-	case o.ledgered && !o.mayHaveRun && o.reserved && o.released.GetTokens() != 0:
+	case o.usesLedger && !o.mayHaveRun && o.reserved && o.released.GetTokens() != 0:
 		o.t.Fatalf("charged %d tokens although nothing ran", o.released.GetTokens())
 	}
 }
@@ -250,7 +250,7 @@
 		stateful, budget := rapid.Bool().Draw(t, "stateful"), rapid.Uint64Range(0, 1).Draw(t, "budget")
 		previous := rapid.SampledFrom([]string{"", "t0"}).Draw(t, "previous")
 		s := newScript(httpRequest(stateful, budget, previous))
-		o := &httpObserver{t: t, stateful: stateful, ledgered: stateful || budget > 0}
+		o := &httpObserver{t: t, stateful: stateful, usesLedger: stateful || budget > 0}
 		pending := s.machine.Apply(turn.Begun{}, s.now)
 		streaming, begun := false, false
 		for step := 0; !s.machine.Done() || len(pending) > 0; step++ {
@@ -297,7 +297,7 @@
 
 func TestIdempotentCallRunsAtNoMoreServersThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		runLimit := rapid.Uint32Range(1, 3).Draw(t, "runs")
+		runLimit := rapid.Uint32Range(1, 3).Draw(t, "run limit")
 		machine := turn.NewCall(turn.CallParameters{
 			Request: &protocol.ToolCallRequest{RequestId: "r1", FirstSend: true, Http: &protocol.HttpRequest{}},
 			Owner:   "f1", Attempt: "a1", Unrecorded: true, Idempotent: true, AttemptLimit: 6, RunLimit: runLimit,
--- a/internal/dataplane/turn/machine.go
+++ b/internal/dataplane/turn/machine.go
@@ -95,7 +95,7 @@
 	backEnd        string
 	failedBackEnds []string
 	text           strings.Builder
-	// output is the data of the events of a turn of an HTTP route, a newline behind each.
+	// output is the data of the events of a turn of an HTTP route, with a newline after each.
 	output []byte
 	// attemptTokens counts the output tokens of this attempt, emittedTokens those of all attempts; maxTokens bounds this
 	// attempt.
--- a/internal/dataplane/turn/properties_test.go
+++ b/internal/dataplane/turn/properties_test.go
@@ -272,7 +272,7 @@
 		now := start
 		pending := machine.Apply(turn.Begun{}, now)
 		var answer *protocol.ToolCallResponse
-		intent, mayHaveRun, done := false, 0, false
+		intentRecorded, possibleRuns, toolAnswered := false, 0, false
 		for step := 0; len(pending) > 0; step++ {
 			command := pending[0]
 			pending = pending[1:]
@@ -292,17 +292,17 @@
 			}
 			event := drawAnswer(t, command)
 			if _, issue := command.(turn.IssueCall); issue {
-				if !intent || mayHaveRun > 0 {
+				if !intentRecorded || possibleRuns > 0 {
 					t.Fatal("the call was issued without a recorded intent, or again after it may have run")
 				}
 				fault, failed := event.(turn.BackEndFailed)
 				if !failed || fault.Fault == turn.FaultBroken || fault.Fault == turn.FaultMismatch {
-					mayHaveRun++
+					possibleRuns++
 				}
-				_, done = event.(turn.CallAnswered)
+				_, toolAnswered = event.(turn.CallAnswered)
 			}
 			if recorded, ok := event.(turn.IntentRecorded); ok {
-				intent = recorded.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
+				intentRecorded = recorded.Result.GetStatus() == protocol.LedgerStatus_LEDGER_OK
 			}
 			if event != nil {
 				pending = append(pending, machine.Apply(event, now)...)
@@ -311,10 +311,10 @@
 		if answer == nil || !machine.Done() {
 			t.Fatal("the call ended without an answer, or its machine is not done")
 		}
-		if answer.GetFailure().GetOutcome() == protocol.Outcome_NOT_RUN && mayHaveRun > 0 {
+		if answer.GetFailure().GetOutcome() == protocol.Outcome_NOT_RUN && possibleRuns > 0 {
 			t.Fatalf("reported as not run although it may have run: %v", answer)
 		}
-		if done && answer.GetFailure() != nil {
+		if toolAnswered && answer.GetFailure() != nil {
 			t.Fatalf("the tool answered, but the caller got the failure %v", answer.GetFailure())
 		}
 	})
--- a/internal/dataplane/turn/tool_call_test.go
+++ b/internal/dataplane/turn/tool_call_test.go
@@ -21,7 +21,7 @@
 	})
 	defaults := map[string][]turn.Event{
 		"claim": {turn.Claimed{Result: okResult}}, "admit": {turn.Admitted{}}, "choose": {turn.Chosen{BackEnd: "b"}},
-		"begin": {turn.IntentRecorded{Result: okResult}}, "finish": {turn.OutcomeRecorded{Result: okResult}},
+		"intent": {turn.IntentRecorded{Result: okResult}}, "outcome": {turn.OutcomeRecorded{Result: okResult}},
 		"reject": {turn.CallRejected{Result: okResult}},
 		"issue":  {toolAnswer}, "retry": {turn.RetryDecided{Granted: true}}, "backoff": {turn.BackoffElapsed{}},
 	}
@@ -54,9 +54,9 @@
 func callCommandName(command turn.Command) string {
 	switch command.(type) {
 	case turn.RecordIntent:
-		return "begin"
+		return "intent"
 	case turn.RecordOutcome:
-		return "finish"
+		return "outcome"
 	case turn.RejectCall:
 		return "reject"
 	case turn.IssueCall:
@@ -80,26 +80,26 @@
 		outcome    protocol.Outcome
 		counts     map[string]int
 	}{
-		"runs once": {counts: map[string]int{"begin": 1, "issue": 1, "finish": 1}},
+		"runs once": {counts: map[string]int{"intent": 1, "issue": 1, "outcome": 1}},
 		"is never issued again after it may have run": {
 			answers: map[string][]turn.Event{"issue": {broken}}, code: failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN,
-			counts: map[string]int{"issue": 1, "finish": 0},
+			counts: map[string]int{"issue": 1, "outcome": 0},
 		},
 		"is issued again under the same intent after a rejection that proves it did not run": {
 			answers: map[string][]turn.Event{"issue": {busy, toolAnswer}},
-			counts:  map[string]int{"begin": 1, "issue": 2, "finish": 1},
+			counts:  map[string]int{"intent": 1, "issue": 2, "outcome": 1},
 		},
 		"records its rejection after the intent was recorded": {
 			answers: map[string][]turn.Event{"issue": {busy}, "retry": {turn.RetryDecided{}}},
-			code:    failure.Overloaded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
+			code:    failure.Overloaded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"outcome": 1},
 		},
 		"did not run when it is stopped before it is issued": {
 			answers: map[string][]turn.Event{"issue": {turn.StoppedWithoutEffect(turn.StopDeadline)}},
-			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"finish": 1},
+			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"outcome": 1},
 		},
 		"is unknown when it is stopped while a server may be running it": {
 			answers: map[string][]turn.Event{"issue": {turn.Stopped{Reason: turn.StopDeadline}}},
-			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"finish": 0},
+			code:    failure.DeadlineExceeded, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"outcome": 0},
 		},
 		"is unknown when it is stopped before it is issued again": {
 			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, turn.StoppedWithoutEffect(turn.StopDeadline)}},
@@ -108,21 +108,21 @@
 		"is unknown when its rejection could not be recorded": {
 			answers: map[string][]turn.Event{
 				"issue": {busy}, "retry": {turn.RetryDecided{}},
-				"finish": {turn.OutcomeRecorded{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}},
+				"outcome": {turn.OutcomeRecorded{Result: resultWithStatus(protocol.LedgerStatus_LEDGER_FENCED)}},
 			},
 			code: failure.Overloaded, outcome: protocol.Outcome_UNKNOWN,
 		},
 		"is rejected with a tombstone when no server can run it": {
 			answers: map[string][]turn.Event{"choose": {none}}, code: failure.NoBackEnd, outcome: protocol.Outcome_NOT_RUN,
-			counts: map[string]int{"begin": 0, "reject": 1},
+			counts: map[string]int{"intent": 0, "reject": 1},
 		},
 		"is unknown when another attempt has recorded the intent": {
-			answers: map[string][]turn.Event{"begin": {turn.IntentRecorded{Result: underWay}}},
+			answers: map[string][]turn.Event{"intent": {turn.IntentRecorded{Result: underWay}}},
 			code:    failure.OutcomeUnknown, outcome: protocol.Outcome_UNKNOWN, counts: map[string]int{"issue": 0},
 		},
 		"is answered from the recorded outcome": {
 			answers: map[string][]turn.Event{
-				"begin": {
+				"intent": {
 					turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_DONE, Status: 200})},
 				},
 			},
@@ -130,29 +130,29 @@
 		},
 		"is rejected by an earlier tombstone": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}},
+				"intent": {turn.IntentRecorded{Result: recorded(&protocol.CallRecord{State: protocol.CallState_CALL_NOT_RUN})}},
 			},
 			code: failure.RequestRejected, outcome: protocol.Outcome_NOT_RUN, counts: map[string]int{"issue": 0},
 		},
 		"records the same intent again when the ledger was unavailable": {
 			answers: map[string][]turn.Event{
-				"begin": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: okResult}},
+				"intent": {turn.IntentRecorded{Result: unavailable}, turn.IntentRecorded{Result: okResult}},
 			},
-			counts: map[string]int{"begin": 2, "issue": 1},
+			counts: map[string]int{"intent": 2, "issue": 1},
 		},
 		"retries to record the outcome until the ledger answers": {
 			answers: map[string][]turn.Event{
-				"finish": {
+				"outcome": {
 					turn.OutcomeRecorded{Result: unavailable},
 					turn.OutcomeRecorded{Result: unavailable},
 					turn.OutcomeRecorded{Result: okResult},
 				},
 			},
-			counts: map[string]int{"issue": 1, "finish": 3},
+			counts: map[string]int{"issue": 1, "outcome": 3},
 		},
 		"is issued again after it may have run when it is idempotent": {
 			idempotent: true, answers: map[string][]turn.Event{"issue": {broken, toolAnswer}}, counts: map[string]int{
-				"begin": 0, "issue": 2,
+				"intent": 0, "issue": 2,
 			},
 		},
 		"is unknown when an idempotent one may have run before a rejection": {
--- a/internal/dataplane/turn/training_step.go
+++ b/internal/dataplane/turn/training_step.go
@@ -32,7 +32,7 @@
 	seenVersions []uint64
 	// recording is true while a complete answer waits for the ledger to record its generation.
 	recording bool
-	// complete is true when the caller gets the whole answer.
+	// complete is true when the caller gets the complete answer.
 	complete bool
 }
 
