--- a/internal/state/ledgerclient/attempt.go
+++ b/internal/state/ledgerclient/attempt.go
@@ -13,28 +13,28 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// attemptOutcome is what is known of an attempt's effect; the package comment has a table.
+// attemptOutcome classifies whether an attempt took effect; see the table in the package comment.
 type attemptOutcome int
 
 const (
-	// attemptAnswered has a final answer, or an error that says that no store applies the operation.
+	// attemptAnswered: the attempt has a final answer, or an error with which every store would reject the operation.
 	attemptAnswered attemptOutcome = iota
-	// attemptNotSent certainly has not taken effect.
+	// attemptNotSent: the attempt certainly did not take effect.
 	attemptNotSent
-	// attemptUnanswered may have taken effect, or may do so later; this replica did not answer.
+	// attemptUnanswered: the replica did not answer; the attempt may have taken effect, or may do so later.
 	attemptUnanswered
-	// attemptUndecided may have taken effect, or may do so later; the replica could not decide now.
+	// attemptUndecided: the replica could not decide; the attempt may have taken effect, or may do so later.
 	attemptUndecided
-	// attemptDeadlineExceeded may have taken effect, or may do so later, and the caller's deadline is over.
+	// attemptDeadlineExceeded: the caller's deadline passed; the attempt may have taken effect, or may do so later.
 	attemptDeadlineExceeded
 )
 
-// attempt sends an operation to one target. It goes on when its caller has the answer of another one meanwhile, so that
-// a replica that does not answer in time is suspected.
+// attempt sends an operation to one target. It continues after the operation has returned the answer of another target,
+// so that a replica that does not answer in time is suspected.
 func (c *Client) attempt(ctx context.Context, to target, operation *protocol.LedgerOperation) attemptResult {
-	began := time.Now()
+	startedAt := time.Now()
 	timeouts := c.timeoutsFor(operation)
-	deadline := began.Add(timeouts.attempt)
+	deadline := startedAt.Add(timeouts.attempt)
 	callerDeadline, bounded := ctx.Deadline()
 	endsWithCaller := bounded && callerDeadline.Before(deadline)
 	if endsWithCaller {
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	suspicion := time.AfterFunc(timeouts.suspectAfter(), func() {
-		if timeouts.marksSuspect && !c.hedgeBudget.changedSince(to.address, began) {
+		if timeouts.marksSuspect && !c.hedgeBudget.changedSince(to.address, startedAt) {
 			c.suspects.add(to.address)
 		}
 	})
@@ -59,19 +59,19 @@
 	return c.handleAttemptAnswer(to, operation, result)
 }
 
-// send calls the target with a copy of the operation under the target's placement epoch.
+// send calls the target with a copy of the operation that has the target's placement epoch.
 func (c *Client) send(
 	ctx context.Context, to target, operation *protocol.LedgerOperation,
 ) (*protocol.LedgerResult, error) {
-	placed := proto.CloneOf(operation)
-	placed.PlacementEpoch = to.epoch
-	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: placed}})
+	clone := proto.CloneOf(operation)
+	clone.PlacementEpoch = to.epoch
+	response, err := c.caller.Call(ctx, to.address, &protocol.Request{Body: &protocol.Request_Ledger{Ledger: clone}})
 	return response.GetLedger(), err
 }
 
-// handleAttemptError suspects a target that failed without an answer of its own.
+// handleAttemptError classifies the error of an attempt and suspects the target unless it returned the error itself.
 func (c *Client) handleAttemptError(to target, err error) attemptResult {
-	if !isAnswer(err) {
+	if !isRemoteFailure(err) {
 		c.suspects.add(to.address)
 	}
 	return attemptResult{outcome: outcomeOf(err), err: err}
@@ -96,15 +96,15 @@
 	}
 }
 
-// isAnswer reports whether an error is a failure that the target answered with.
-func isAnswer(err error) bool {
-	var answered *failure.Error
-	return errors.As(err, &answered)
+// isRemoteFailure reports whether an error is a failure that the target returned.
+func isRemoteFailure(err error) bool {
+	var remote *failure.Error
+	return errors.As(err, &remote)
 }
 
-// recordRelayAnswer records that another front node answered, with a result or a failure.
+// recordRelayAnswer records the answer of a relay: a result or a failure that it returned.
 func (c *Client) recordRelayAnswer(to target, err error) {
-	if to.relay && (err == nil || isAnswer(err)) {
+	if to.isRelay && (err == nil || isRemoteFailure(err)) {
 		c.relayAnswers.record(to.address, time.Now())
 	}
 }
@@ -113,13 +113,12 @@
 func (c *Client) recordAnswer(to target, operation *protocol.LedgerOperation) {
 	shard, now := c.shardOf(operation), time.Now()
 	c.shardOutages.observeAnswer(shard, now)
-	if !to.relay {
+	if !to.isRelay {
 		c.replicaOutages.observeAnswer(shard, now)
 	}
 }
 
-// outcomeOf returns what is known of an attempt that failed. A failure that says that the operation itself is invalid
-// is final.
+// outcomeOf returns the outcome of an attempt that failed. A failure due to an invalid operation is final.
 func outcomeOf(err error) attemptOutcome {
 	var notSent *wire.NotSentError
 	var failed *failure.Error
--- a/internal/state/ledgerclient/client.go
+++ b/internal/state/ledgerclient/client.go
@@ -13,38 +13,39 @@
 
 // Defaults of Options.
 const (
-	// DefaultAttemptTimeout is long against a change, so that few attempts end with an unknown outcome, and short against
-	// DefaultDeadline, so that several fit into it.
+	// DefaultAttemptTimeout is much longer than a change takes, so that few attempts end with an unknown outcome, and much
+	// shorter than DefaultDeadline, so that several attempts fit into it.
 	DefaultAttemptTimeout = time.Second
-	// DefaultHedgeAfter is long against a change, so that hedges are rare while stores are healthy.
+	// DefaultHedgeAfter is much longer than a change takes, so that hedges are rare while stores are healthy.
 	DefaultHedgeAfter = 80 * time.Millisecond
-	// DefaultDeadline bounds operations whose caller sets no deadline, so that none waits for ever.
+	// DefaultDeadline bounds operations whose caller sets no deadline, so that none waits forever.
 	DefaultDeadline = 10 * time.Second
 )
 
 const (
-	// initialBackoff and maxBackoff bound the wait after an undecided attempt: from one change to a change of placement.
+	// initialBackoff and maxBackoff bound the wait after an undecided attempt. They are about as long as one change and as
+	// a change of placement take.
 	initialBackoff = 2 * time.Millisecond
 	maxBackoff     = 250 * time.Millisecond
-	// releaseTimeout is what the tombstone of a rejected reservation may take beyond the caller's deadline.
+	// releaseTimeout bounds the release or tombstone of a rejected reservation, which may outlast the caller's deadline.
 	releaseTimeout = 2 * time.Second
-	// relayedOperationTimeout bounds an operation for another front node, which then requests another relay.
+	// relayedOperationTimeout bounds an operation for another front node, which afterwards tries another relay.
 	relayedOperationTimeout = 300 * time.Millisecond
 )
 
-// Options configure a Client; zero values stand for the defaults.
+// Options configure a Client; zero values mean the defaults.
 type Options struct {
 	// AttemptTimeout bounds one attempt on one replica.
 	AttemptTimeout time.Duration
-	// HedgeAfter is how long one replica may carry out no change before a hedge is sent to the next one, so that a frozen
-	// store does not use up the caller's time.
+	// HedgeAfter is how long a replica may go without carrying out a change before a hedge is sent to the next one, so
+	// that an unresponsive store does not use up the caller's time.
 	HedgeAfter time.Duration
 	// Deadline bounds an operation whose context has none.
 	Deadline time.Duration
 	// Self is this front node. While the replicas of a shard do not answer it, other front nodes relay its operations;
-	// without a Self nobody does.
+	// without Self, operations are not relayed.
 	Self *protocol.Node
-	// Wait returns after the time or when the context ends; tests replace it.
+	// Wait returns after the given time or when the context ends; tests replace it.
 	Wait func(ctx context.Context, wait time.Duration)
 }
 
@@ -64,7 +65,7 @@
 	return o
 }
 
-// Client sends ledger operations. It is safe for concurrent use; each part that changes has a mutex of its own.
+// Client sends ledger operations. It is safe for concurrent use; each mutable part has a mutex of its own.
 type Client struct {
 	caller  wire.Caller
 	view    func() *corelink.View
@@ -72,19 +73,19 @@
 
 	suspects    suspects
 	hedgeBudget *hedgeBudget
-	// replicaOutages are the shards whose replicas do not answer this front node, shardOutages those that do not answer
+	// replicaOutages detects shards whose replicas do not answer this front node, shardOutages those that do not answer
 	// through relays either.
 	replicaOutages *outageDetector
 	shardOutages   *outageDetector
 	relayAnswers   *relayAnswers
 
-	// checking is true while Run checks the health of shards.
+	// checking is true while Run is running.
 	checking atomic.Bool
-	// nextChecked is the first shard of the next round of health checks; the goroutine of Run owns it.
+	// nextChecked is the first shard of the next round of health checks; only the goroutine of Run accesses it.
 	nextChecked uint32
 }
 
-// New returns a client that reads placement and addresses from view.
+// New returns a client that reads the placement and the addresses of nodes from view.
 func New(caller wire.Caller, view func() *corelink.View, options Options) *Client {
 	now := time.Now()
 	return &Client{
@@ -107,26 +108,27 @@
 	}
 }
 
-// Do returns the ledger's answer. It is LEDGER_UNAVAILABLE when no majority answered before the context ended; a change
-// may then have taken effect or not, or take effect later. An error is a *failure.Error for an operation that no store
-// applies.
+// Do sends an operation and returns the ledger's answer. The status is LEDGER_UNAVAILABLE when no majority answered
+// before the context ended; a change may then have taken effect or not, or may do so later. An error is a
+// *failure.Error with which every store would reject the operation.
 //
 // A reservation that is rejected after an attempt with an unknown outcome is marked as not run before Do returns, so
-// that no late copy of it takes effect. Before a turn is committed that continues one of another program, the retention
-// of that one is prolonged to its own.
+// that no late copy of it takes effect. Before a turn is committed that continues a turn of another program, the
+// retention of the latter is prolonged to that of the former.
 func (c *Client) Do(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
 	return c.do(ctx, operation, callOptions{persistent: concludesWork(operation)})
 }
 
-// DoDirectly carries out an operation for another front node: as Do does, but on replicas only. The answer is
-// LEDGER_UNAVAILABLE at once when they do not answer this front node either.
+// DoDirectly sends an operation on behalf of another front node, as Do does, but to replicas only. The status is
+// LEDGER_UNAVAILABLE immediately while the replicas do not answer this front node either.
 func (c *Client) DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayedOperationTimeout)
 	defer cancel()
 	return c.do(ctx, operation, callOptions{replicasOnly: true})
 }
 
-// concludesWork reports whether an operation ends work that has begun, which makes it worth waiting for the ledger.
+// concludesWork reports whether an operation concludes work that has begun. Such an operation waits for an answer until
+// its context ends, even while the shard is unreachable.
 func concludesWork(operation *protocol.LedgerOperation) bool {
 	switch operation.GetBody().(type) {
 	case *protocol.LedgerOperation_SettleTurn, *protocol.LedgerOperation_ReleaseTurn, *protocol.LedgerOperation_FinishCall:
--- a/internal/state/ledgerclient/foreign_chain.go
+++ b/internal/state/ledgerclient/foreign_chain.go
@@ -7,8 +7,8 @@
 )
 
 // prolongForeignChain prolongs the retention of the turns of other programs that a committed turn continues to that of
-// the turn itself. It returns LEDGER_OK also when some of them have expired, which is no reason not to commit a turn
-// that has run.
+// the turn itself. It returns LEDGER_OK also when some of them have expired, since a turn that has run is committed
+// regardless.
 func (c *Client) prolongForeignChain(
 	ctx context.Context, operation *protocol.LedgerOperation, options callOptions,
 ) (protocol.LedgerStatus, error) {
@@ -35,7 +35,7 @@
 	return turn.GetPreviousProgram() != "" && turn.GetPreviousProgram() != turn.GetProgram()
 }
 
-// newProlongation returns an operation that prolongs the chain of the turn before a turn.
+// newProlongation returns an operation that prolongs the chain that ends with the predecessor of a turn.
 func newProlongation(turn *protocol.Turn, untilMillis int64) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: turn.GetPreviousProgram(),
--- a/internal/state/ledgerclient/health_check.go
+++ b/internal/state/ledgerclient/health_check.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// healthCheckInterval is the time between two rounds of health checks; it bounds how late a client notices that a
+	// healthCheckInterval is the time between two rounds of health checks; it bounds how late a client detects that a
 	// shard answers again.
 	healthCheckInterval = 250 * time.Millisecond
-	// healthCheckTimeout bounds one health check. It is longer than relayedOperationTimeout, so that a relay can answer
+	// healthCheckTimeout bounds one health check. It is longer than relayedOperationTimeout, so that a relay can respond
 	// that it reaches no replica either.
 	healthCheckTimeout = 450 * time.Millisecond
-	// maxConcurrentHealthChecks bounds the shards that are out and checked in one round.
+	// maxConcurrentHealthChecks bounds the shards that are down and checked in one round.
 	maxConcurrentHealthChecks = 4
-	// idleCheckAfter is how long no shard has answered before one that is not out is checked.
+	// idleCheckAfter is how long no shard must have answered before one that is not down is checked.
 	idleCheckAfter = time.Second
-	// healthCheckProgramPrefix begins the names of the programs that health checks read; none of them exists.
+	// healthCheckProgramPrefix is the prefix of the names of the programs that health checks read; none of them exists.
 	healthCheckProgramPrefix = "ledger-probe-"
 )
 
-// Run checks the health of shards until the context ends: of those that are out, to find out when they answer again,
-// and of one shard while no other operation is sent. Operations give up early, and programs are reported as
-// unreachable, only while it runs.
+// Run checks the health of shards until the context ends: of those that are down, to detect when they answer again, and
+// of one shard while no other operation is answered. Only while Run is running do operations fail early and programs
+// count as unreachable.
 func (c *Client) Run(ctx context.Context) {
 	c.checking.Store(true)
 	defer c.checking.Store(false)
@@ -43,21 +43,21 @@
 	}
 }
 
-// Unreachable reports whether the shard of a program is out: it has not answered for shardOutageAfter, neither this
-// front node nor a relay.
+// Unreachable reports whether the shard of a program is down: its operations have gone unanswered for shardOutageAfter,
+// both directly and through relays.
 func (c *Client) Unreachable(program string) bool {
 	count := c.shardCount()
-	return count > 0 && c.checking.Load() && c.shardOutages.isOut(ledger.ShardOf(program, count), time.Now())
+	return count > 0 && c.checking.Load() && c.shardOutages.isDown(ledger.ShardOf(program, count), time.Now())
 }
 
-// Isolated reports whether this front node alone, or a minority of them, does not reach the ledger. When most of its
-// relays answer, even if only that they reach no store either, the stores are at fault and not this node.
+// Isolated reports whether this front node alone, or a minority of the front nodes, cannot reach the ledger. When most
+// of its relays answer, even if only that they reach no store either, the stores are at fault and not this node.
 func (c *Client) Isolated() bool {
 	now := time.Now()
 	if !c.checking.Load() || c.shardOutages.sinceLastAnswer(now) < shardOutageAfter {
 		return false
 	}
-	if !c.shardOutages.anyOut(c.shardCount(), now) {
+	if !c.shardOutages.anyDown(c.shardCount(), now) {
 		return false
 	}
 	others := c.relayAddresses()
@@ -66,7 +66,7 @@
 
 func (c *Client) shardCount() int { return len(c.view().Placement.GetShards()) }
 
-// checkDueShards makes one round of health checks.
+// checkDueShards performs one round of health checks.
 func (c *Client) checkDueShards(ctx context.Context) {
 	var checks sync.WaitGroup
 	for _, shard := range c.dueShards() {
@@ -75,52 +75,52 @@
 	checks.Wait()
 }
 
-// dueShards returns the shards to check: some of those that are out, in rotation, and one more when no shard has
+// dueShards returns the shards to check: some of those that are down, in rotation, and one more when no shard has
 // answered recently.
 func (c *Client) dueShards() []uint32 {
 	now := time.Now()
 	count := uint32(c.shardCount())
-	due := c.nextOutShards(count, now)
+	shards := c.nextDownShards(count, now)
 	if c.replicaOutages.sinceLastAnswer(now) < idleCheckAfter {
-		return due
+		return shards
 	}
 	for shard := range count {
-		if !c.isOut(shard, now) {
-			return append(due, shard)
+		if !c.isDown(shard, now) {
+			return append(shards, shard)
 		}
 	}
-	return due
+	return shards
 }
 
-// nextOutShards returns shards that are out, starting behind those of the round before.
-func (c *Client) nextOutShards(count uint32, now time.Time) []uint32 {
-	var out []uint32
+// nextDownShards returns shards that are down, starting after those of the previous round.
+func (c *Client) nextDownShards(count uint32, now time.Time) []uint32 {
+	var down []uint32
 	for step := range count {
 		shard := (c.nextChecked + step) % count
-		if len(out) < maxConcurrentHealthChecks && c.isOut(shard, now) {
-			out = append(out, shard)
+		if len(down) < maxConcurrentHealthChecks && c.isDown(shard, now) {
+			down = append(down, shard)
 		}
 	}
-	if len(out) > 0 {
-		c.nextChecked = out[len(out)-1] + 1
+	if len(down) > 0 {
+		c.nextChecked = down[len(down)-1] + 1
 	}
-	return out
+	return down
 }
 
-func (c *Client) isOut(shard uint32, now time.Time) bool {
-	return c.replicaOutages.isOut(shard, now) || c.shardOutages.isOut(shard, now)
+func (c *Client) isDown(shard uint32, now time.Time) bool {
+	return c.replicaOutages.isDown(shard, now) || c.shardOutages.isDown(shard, now)
 }
 
-// checkShard reads a turn that does not exist: from the replicas, and by relays when those are out.
+// checkShard reads a turn that does not exist from the replicas, and also through relays when the replicas are down.
 func (c *Client) checkShard(ctx context.Context, shard uint32) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	operation := newHealthCheck(shard, c.shardCount())
 	var checks sync.WaitGroup
 	checks.Go(func() { _, _, _ = c.run(ctx, operation, callOptions{replicasOnly: true, persistent: true}) })
-	if c.replicaOutages.isOut(shard, time.Now()) {
+	if c.replicaOutages.isDown(shard, time.Now()) {
 		for _, address := range c.relayAddresses() {
-			checks.Go(func() { c.attempt(ctx, target{address: address, relay: true}, operation) })
+			checks.Go(func() { c.attempt(ctx, target{address: address, isRelay: true}, operation) })
 		}
 	}
 	checks.Wait()
--- a/internal/state/ledgerclient/hedge_budget.go
+++ b/internal/state/ledgerclient/hedge_budget.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// hedgeBurst and hedgesPerSecond bound the hedges of a client. Overloaded stores get no more than that on top of
-	// their load; each hedge makes two stores propose for one program.
+	// hedgeBurst and hedgesPerSecond bound the hedges of a client, and thereby the load that hedges add to overloaded
+	// stores; each hedge makes two stores propose for one program.
 	hedgeBurst      = 64
 	hedgesPerSecond = 20
 )
 
-// hedgeBudget is a token bucket for hedges, with the replicas' last changes, which show a slow one from a frozen one.
+// hedgeBudget is a token bucket for hedges. It also records the last change of each replica, which distinguishes a slow
+// replica from an unresponsive one.
 type hedgeBudget struct {
 	mutex sync.Mutex
-	// lastChange is when each replica, by address, last answered that it carried out a change.
+	// lastChange maps the address of a replica to when it last answered that it carried out a change.
 	lastChange map[string]time.Time
 	tokens     float64
 	refilledAt time.Time
@@ -32,14 +33,14 @@
 	b.lastChange[address] = now
 }
 
-// changedSince reports whether a replica carried out a change after a time.
+// changedSince reports whether a replica carried out a change after the given time.
 func (b *hedgeBudget) changedSince(address string, since time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.lastChange[address].After(since)
 }
 
-// allow reports whether the budget has a token for one more hedge, and takes it.
+// allow takes a token for one more hedge. It returns false when there is none.
 func (b *hedgeBudget) allow(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/state/ledgerclient/hedged_call.go
+++ b/internal/state/ledgerclient/hedged_call.go
@@ -14,7 +14,7 @@
 const maxConcurrentAttempts = 2
 
 // hedgedCall is one operation in progress: usually one attempt after another, with a hedge to another replica while one
-// does not answer. It belongs to the goroutine of run; attempts only send to results.
+// does not answer. Only the goroutine of run accesses it; attempts send to results.
 type hedgedCall struct {
 	callOptions
 	client    *Client
@@ -22,29 +22,29 @@
 	shard     uint32
 
 	results chan attemptResult
-	// ended is closed when the operation returns; attempts that end later drop their result.
-	ended chan struct{}
+	// done is closed when the operation returns; attempts that end later drop their result.
+	done chan struct{}
 	// inFlight counts attempts without a result.
 	inFlight int
-	// attempted are the addresses of the targets that had an attempt since the last backoff.
+	// attempted are the addresses of the targets that have been attempted since the last backoff.
 	attempted []string
-	// outcomeUnknown says that an attempt that ended may have taken effect, or may still do so.
+	// outcomeUnknown is true if an attempt that has ended may have taken effect, or may still do so.
 	outcomeUnknown bool
-	// relayed says that a relay was already requested beside the attempts in flight.
-	relayed bool
+	// relayRequested is true if a relay was already requested in addition to the attempts in flight.
+	relayRequested bool
 	// backoff is the upper bound of the next random wait.
 	backoff time.Duration
 }
 
-// callOptions say how far an operation goes for its answer.
+// callOptions restrict the targets and the duration of an operation.
 type callOptions struct {
-	// replicasOnly sends to replicas only, not to other front nodes.
+	// replicasOnly excludes relays: the operation is sent to replicas only.
 	replicasOnly bool
-	// persistent goes on while the shard is unreachable, until the context ends.
+	// persistent makes the operation continue while the shard is unreachable, until the context ends.
 	persistent bool
 }
 
-// attemptResult is how one attempt ended. Either result or err is set with attemptAnswered.
+// attemptResult is the result of one attempt. With attemptAnswered, either result or err is set.
 type attemptResult struct {
 	result  *protocol.LedgerResult
 	outcome attemptOutcome
@@ -59,18 +59,18 @@
 	stepNextTarget callStep = iota
 	// stepBackOff waits before the next attempt.
 	stepBackOff
-	// stepReturn has the final answer.
+	// stepReturn returns the final answer.
 	stepReturn
 )
 
-// run sends the operation until an answer is final. outcomeUnknown says that an earlier attempt may have taken effect,
-// or may still do so.
+// run sends the operation until an answer is final. outcomeUnknown is true if an attempt other than the final one may
+// have taken effect, or may still do so.
 func (c *Client) run(
 	ctx context.Context, operation *protocol.LedgerOperation, options callOptions,
 ) (result *protocol.LedgerResult, outcomeUnknown bool, err error) {
 	h := &hedgedCall{
 		callOptions: options, client: c, operation: operation, shard: c.shardOf(operation),
-		results: make(chan attemptResult), ended: make(chan struct{}), backoff: initialBackoff,
+		results: make(chan attemptResult), done: make(chan struct{}), backoff: initialBackoff,
 	}
 	h.recordStart()
 	defer h.recordEnd()
@@ -82,18 +82,19 @@
 	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE), h.mayTakeEffect(), nil
 }
 
-// attemptOnce attempts the next target and waits for an answer, and backs off when there is no target or no decision.
+// attemptOnce attempts the next target and waits for a result. It backs off when there is no target or the attempt was
+// undecided.
 func (h *hedgedCall) attemptOnce(ctx context.Context) (callStep, attemptResult) {
-	to, exists := h.nextTarget()
-	if !exists {
+	to, ok := h.nextTarget()
+	if !ok {
 		return h.backOff(ctx)
 	}
 	h.startAttempt(ctx, to)
-	step, answer := h.awaitAnswerOrHedge(ctx, to)
+	step, result := h.awaitResultOrHedge(ctx, to)
 	if step == stepBackOff {
 		return h.backOff(ctx)
 	}
-	return step, answer
+	return step, result
 }
 
 // mayTakeEffect reports whether an attempt other than the final one may have taken effect, or may still do so.
@@ -109,27 +110,28 @@
 	now := time.Now()
 	h.client.replicaOutages.observeEnd(h.shard, now)
 	h.client.shardOutages.observeEnd(h.shard, now)
-	close(h.ended)
+	close(h.done)
 }
 
-// shouldGiveUp reports whether waiting longer is useless: the shard is unreachable, and the work that the operation
-// would begin is better begun later. Without health checks nothing would find out when the shard answers again.
+// shouldGiveUp reports whether to stop waiting: the shard is unreachable, and the work that the operation would begin
+// should rather begin later. It never does so without health checks, since nothing else detects that a shard answers
+// again.
 func (h *hedgedCall) shouldGiveUp() bool {
 	if h.persistent || !h.client.checking.Load() {
 		return false
 	}
 	now := time.Now()
-	return h.client.shardOutages.isOut(h.shard, now) ||
-		h.replicasOnly && h.client.replicaOutages.isOut(h.shard, now)
+	return h.client.shardOutages.isDown(h.shard, now) ||
+		h.replicasOnly && h.client.replicaOutages.isDown(h.shard, now)
 }
 
-// shouldRelay reports, once for an operation, whether a relay is worth a request beside the attempts in flight.
+// shouldRelay reports, at most once per operation, whether to request a relay in addition to the attempts in flight.
 func (h *hedgedCall) shouldRelay() bool {
-	if h.replicasOnly || h.relayed || !h.client.replicaOutages.isOut(h.shard, time.Now()) {
+	if h.replicasOnly || h.relayRequested || !h.client.replicaOutages.isDown(h.shard, time.Now()) {
 		return false
 	}
-	h.relayed = len(h.client.relayAddresses()) > 0
-	return h.relayed
+	h.relayRequested = len(h.client.relayAddresses()) > 0
+	return h.relayRequested
 }
 
 // nextTarget returns the first target without an attempt since the last backoff. When there is none, the next call
@@ -144,50 +146,50 @@
 	return target{}, false
 }
 
-// startAttempt makes an attempt in a goroutine that outlives the operation, so that a replica that does not answer is
-// suspected even when another one did. The attempt timeout ends it.
+// startAttempt starts an attempt in a goroutine that may outlive the operation, so that a replica that does not answer
+// is suspected even when another one did. The attempt timeout ends it.
 func (h *hedgedCall) startAttempt(ctx context.Context, to target) {
 	h.attempted = append(h.attempted, to.address)
 	h.inFlight++
 	go func() {
-		answer := h.client.attempt(ctx, to, h.operation)
+		result := h.client.attempt(ctx, to, h.operation)
 		select {
-		case h.results <- answer:
-		case <-h.ended:
+		case h.results <- result:
+		case <-h.done:
 		}
 	}()
 }
 
-// awaitAnswerOrHedge waits for an answer until the latest target is late enough for a hedge, which the hedge budget
-// must allow.
-func (h *hedgedCall) awaitAnswerOrHedge(ctx context.Context, latest target) (callStep, attemptResult) {
-	began := time.Now()
+// awaitResultOrHedge waits for a result until the latest target is late enough for a hedge and the hedge budget allows
+// one.
+func (h *hedgedCall) awaitResultOrHedge(ctx context.Context, latest target) (callStep, attemptResult) {
+	startedAt := time.Now()
 	for {
 		inFlight := h.inFlight
-		step, answer := h.awaitAnswer(ctx, h.client.timeoutsFor(h.operation).hedgeAfter)
+		step, result := h.awaitResult(ctx, h.client.timeoutsFor(h.operation).hedgeAfter)
 		if step != stepNextTarget || h.inFlight < inFlight || ctx.Err() != nil || h.shouldGiveUp() || h.shouldRelay() {
-			return step, answer
+			return step, result
 		}
-		if h.mayHedge(latest, began) {
+		if h.mayHedge(latest, startedAt) {
 			return stepNextTarget, attemptResult{}
 		}
 	}
 }
 
 // mayHedge reports whether one more attempt may be in flight. A target that carried out a change since the attempt
-// began is slow and not frozen, so a hedge would only add to its load.
-func (h *hedgedCall) mayHedge(latest target, began time.Time) bool {
-	return h.inFlight < maxConcurrentAttempts && !h.client.hedgeBudget.changedSince(latest.address, began) &&
+// started is slow but not unresponsive, so a hedge would only add load.
+func (h *hedgedCall) mayHedge(latest target, startedAt time.Time) bool {
+	return h.inFlight < maxConcurrentAttempts && !h.client.hedgeBudget.changedSince(latest.address, startedAt) &&
 		h.client.hedgeBudget.allow(time.Now())
 }
 
-// awaitAnswer waits for the next result. The step is stepNextTarget when none arrives within the timeout.
-func (h *hedgedCall) awaitAnswer(ctx context.Context, timeout time.Duration) (callStep, attemptResult) {
+// awaitResult waits for the next result. The step is stepNextTarget when none arrives within the timeout.
+func (h *hedgedCall) awaitResult(ctx context.Context, timeout time.Duration) (callStep, attemptResult) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case answer := <-h.results:
-		return h.handleResult(answer)
+	case result := <-h.results:
+		return h.handleResult(result)
 	case <-timer.C:
 		return stepNextTarget, attemptResult{}
 	case <-ctx.Done():
@@ -195,35 +197,35 @@
 	}
 }
 
-func (h *hedgedCall) handleResult(answer attemptResult) (callStep, attemptResult) {
+func (h *hedgedCall) handleResult(result attemptResult) (callStep, attemptResult) {
 	h.inFlight--
-	switch answer.outcome {
+	switch result.outcome {
 	case attemptAnswered:
-		return stepReturn, answer
+		return stepReturn, result
 	case attemptNotSent:
-		return stepNextTarget, answer
+		return stepNextTarget, result
 	case attemptUnanswered:
 		h.outcomeUnknown = true
-		return stepNextTarget, answer
+		return stepNextTarget, result
 	case attemptDeadlineExceeded:
 		h.outcomeUnknown = true
 		return stepReturn, attemptResult{result: ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)}
 	default:
 		h.outcomeUnknown = true
-		return stepBackOff, answer
+		return stepBackOff, result
 	}
 }
 
-// backOff waits for a random time with a doubling bound, and takes in the result of an attempt in flight meanwhile.
+// backOff waits for a random time with a doubling bound, and handles the result of an attempt in flight meanwhile.
 func (h *hedgedCall) backOff(ctx context.Context) (callStep, attemptResult) {
 	wait := h.backoff/2 + rand.N(h.backoff/2+1)
 	h.backoff = min(2*h.backoff, maxBackoff)
 	if h.inFlight > 0 {
-		step, answer := h.awaitAnswer(ctx, wait)
+		step, result := h.awaitResult(ctx, wait)
 		if step == stepBackOff {
 			step = stepNextTarget
 		}
-		return step, answer
+		return step, result
 	}
 	h.client.options.Wait(ctx, wait)
 	return stepNextTarget, attemptResult{}
--- a/internal/state/ledgerclient/outage_detector.go
+++ b/internal/state/ledgerclient/outage_detector.go
@@ -7,36 +7,37 @@
 
 const (
 	// replicaOutageAfter is how long the operations of a shard go without an answer of its replicas before they are
-	// relayed by other front nodes. It leaves time for several attempts and hedges.
+	// relayed by other front nodes. It is long enough for several attempts and hedges.
 	replicaOutageAfter = 500 * time.Millisecond
-	// shardOutageAfter is how long they go without any answer, directly or by relays, before the shard counts as
-	// unreachable. It leaves relays half a second.
+	// shardOutageAfter is how long they go without any answer, direct or through relays, before the shard counts as
+	// unreachable. It leaves half a second for relays to answer.
 	shardOutageAfter = time.Second
-	// maxOperationGap is the longest time between two unanswered operations that count as one unanswered period.
+	// maxOperationGap is the longest time between two unanswered operations that belong to one unanswered period.
 	maxOperationGap = 500 * time.Millisecond
 )
 
-// outageDetector observes for each shard whether its operations are answered. It learns from operations only: a shard
-// without any is never out. It is safe for concurrent use.
+// outageDetector tracks for each shard whether its operations are answered. It observes operations only: a shard
+// without any is never down. It is safe for concurrent use.
 type outageDetector struct {
-	// threshold is how long operations go unanswered before their shard is out.
+	// threshold is how long operations go unanswered before their shard is down.
 	threshold time.Duration
 
 	// mutex guards the fields below and the states that shards points to.
 	mutex  sync.Mutex
 	shards map[uint32]*shardState
-	// answeredAt is when any shard answered last.
+	// answeredAt is when any shard last answered.
 	answeredAt time.Time
 }
 
-// shardState is what the operations of one shard have shown.
+// shardState is the state of one shard as observed through its operations.
 type shardState struct {
-	// inFlight counts the operations in flight; the newest started at startedAt, and the last one ended at endedAt.
+	// inFlight counts the operations in flight; the latest one to start did so at startedAt, the latest one to end at
+	// endedAt.
 	inFlight           int
 	startedAt, endedAt time.Time
 	// unansweredSince is the start of the period without an answer; answeredAt is the time of the last answer.
 	unansweredSince, answeredAt time.Time
-	isOut                       bool
+	down                        bool
 }
 
 func newOutageDetector(threshold time.Duration, now time.Time) *outageDetector {
@@ -75,7 +76,7 @@
 	defer d.mutex.Unlock()
 	d.answeredAt = now
 	if state := d.shards[shard]; state != nil {
-		state.unansweredSince, state.answeredAt, state.isOut = now, now, false
+		state.unansweredSince, state.answeredAt, state.down = now, now, false
 	}
 }
 
@@ -85,8 +86,8 @@
 	return !s.answeredAt.Before(s.startedAt) || now.Sub(s.endedAt) > maxOperationGap
 }
 
-// isOut reports whether the operations of a shard go unanswered. It stays true until the shard answers.
-func (d *outageDetector) isOut(shard uint32, now time.Time) bool {
+// isDown reports whether the operations of a shard go unanswered. It stays true until the shard answers.
+func (d *outageDetector) isDown(shard uint32, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	state := d.shards[shard]
@@ -94,20 +95,20 @@
 		return false
 	}
 	d.update(state, now)
-	return state.isOut
+	return state.down
 }
 
-// update marks a shard as out when its unanswered period exceeds the threshold. The caller has the mutex.
+// update marks a shard as down when its unanswered period reaches the threshold. The caller holds the mutex.
 func (d *outageDetector) update(state *shardState, now time.Time) {
 	if state.inFlight > 0 && now.Sub(state.unansweredSince) >= d.threshold {
-		state.isOut = true
+		state.down = true
 	}
 }
 
-// anyOut reports whether one of the first count shards is out.
-func (d *outageDetector) anyOut(count int, now time.Time) bool {
+// anyDown reports whether one of the first count shards is down.
+func (d *outageDetector) anyDown(count int, now time.Time) bool {
 	for shard := range uint32(count) {
-		if d.isOut(shard, now) {
+		if d.isDown(shard, now) {
 			return true
 		}
 	}
--- a/internal/state/ledgerclient/rejected_reservation.go
+++ b/internal/state/ledgerclient/rejected_reservation.go
@@ -6,8 +6,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// isRejectedReservation reports whether a reservation has not taken effect according to the answer, but a late copy of
-// it might.
+// isRejectedReservation reports whether the answer means that a reservation has not taken effect, while a late copy of
+// it still could.
 func isRejectedReservation(reserve *protocol.ReserveTurn, result *protocol.LedgerResult) bool {
 	if reserve == nil {
 		return false
@@ -33,7 +33,8 @@
 }
 
 // confirmRejection releases the request of a rejected reservation, which marks it as not run, and returns the
-// rejection. When that fails the answer is LEDGER_UNAVAILABLE: nothing may be claimed about the request.
+// rejection. When the release fails, its result or error is returned instead, such as LEDGER_UNAVAILABLE: the outcome
+// of the request is unknown.
 func (c *Client) confirmRejection(
 	ctx context.Context, operation *protocol.LedgerOperation, rejection *protocol.LedgerResult, options callOptions,
 ) (*protocol.LedgerResult, error) {
@@ -42,7 +43,7 @@
 	reserve := operation.GetReserveTurn()
 	released, _, err := c.run(ctx, newRelease(operation.GetProgram(), reserve, rejection.GetEpoch()), options)
 	if err == nil && released.GetStatus() == protocol.LedgerStatus_LEDGER_FENCED && reserve.GetClaim() != nil {
-		// A late copy would claim the session again, so the epoch does not fence it.
+		// A late copy would claim the session again, so the epoch does not fence it. The tombstone ignores the epoch.
 		released, _, err = c.run(ctx, newTombstone(operation.GetProgram(), reserve), options)
 	}
 	if err != nil {
@@ -57,8 +58,8 @@
 }
 
 // confirmMismatch marks a request as not run that was rejected because its program does not belong to the training
-// step. The rejection claimed no session, so no epoch is known. For a request that had ended the rejection holds as
-// well.
+// step. The rejection claimed no session, so no epoch is known and a tombstone is sent instead of a release. A request
+// that has already finished is rejected as well.
 func (c *Client) confirmMismatch(
 	ctx context.Context, operation *protocol.LedgerOperation, rejection *protocol.LedgerResult, options callOptions,
 ) (*protocol.LedgerResult, error) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// newRelease returns an operation that releases a reservation under the epoch that it named, or that its claim
+// newRelease returns an operation that releases a reservation under the epoch that it specified, or that its claim
 // received.
 func newRelease(program string, reserve *protocol.ReserveTurn, claimedEpoch uint64) *protocol.LedgerOperation {
 	epoch := reserve.GetEpoch()
--- a/internal/state/ledgerclient/relays.go
+++ b/internal/state/ledgerclient/relays.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxRelays bounds the other front nodes that relay the operations of this one. Few are enough, since a relay is
-	// needed only while this node does not reach the stores itself.
+	// maxRelays bounds the other front nodes that relay the operations of this one. A few are enough, since a relay is
+	// needed only while this node cannot reach the stores itself.
 	maxRelays = 3
-	// relayAnswerTTL is how long the last answer of another front node counts: several health checks.
+	// relayAnswerTTL is how long the last answer of another front node counts. It spans several health checks.
 	relayAnswerTTL = 2 * time.Second
 )
 
-// relayAnswers records when other front nodes answered last, whatever they answered. It is safe for concurrent use.
+// relayAnswers records when other front nodes last answered, with any result or failure. It is safe for concurrent use.
 type relayAnswers struct {
 	mutex sync.Mutex
-	// lastAnswer is by address.
+	// lastAnswer maps the address of a front node to the time of its last answer.
 	lastAnswer map[string]time.Time
 }
 
@@ -40,15 +40,15 @@
 	defer r.mutex.Unlock()
 	count := 0
 	for _, address := range addresses {
-		if at, known := r.lastAnswer[address]; known && now.Sub(at) < relayAnswerTTL {
+		if answeredAt, ok := r.lastAnswer[address]; ok && now.Sub(answeredAt) < relayAnswerTTL {
 			count++
 		}
 	}
 	return count
 }
 
-// relayAddresses returns the front nodes that may relay operations for this one: always the same few, those of other
-// zones first, because a network partition often isolates a zone. A client without a Self has none.
+// relayAddresses returns the addresses of the front nodes that may relay operations for this one: always the same few,
+// those of other zones first, because a network partition often isolates a zone. A client without Self has none.
 func (c *Client) relayAddresses() []string {
 	self := c.options.Self
 	if self.GetName() == "" {
@@ -78,7 +78,8 @@
 	return addresses
 }
 
-// relayHash spreads the front nodes that need relays over the others.
+// relayHash determines the order of the relays of a front node. It differs between front nodes, which spreads the load
+// of relaying.
 func relayHash(self, other *protocol.Node) uint64 {
 	return xxhash.Sum64String(self.GetName() + "\x00" + other.GetName())
 }
--- a/internal/state/ledgerclient/suspects.go
+++ b/internal/state/ledgerclient/suspects.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// suspectTTL is how long a replica that did not answer is attempted after the others: short, so that a replica that
-// recovers proposes for its programs again.
+// suspectTTL is how long a replica that did not answer is attempted after the others. It is short, so that a replica
+// that recovers soon proposes for its programs again.
 const suspectTTL = 2 * time.Second
 
-// suspects are replicas that did not answer, so that a frozen one costs one operation its time and not all of them. It
-// is safe for concurrent use.
+// suspects are replicas that did not answer recently. They are attempted last, so that an unresponsive replica delays
+// one operation and not all of them. It is safe for concurrent use.
 type suspects struct {
 	mutex sync.Mutex
-	// until is the end of each suspicion, by address.
+	// until maps an address to the end of its suspicion.
 	until map[string]time.Time
 }
 
@@ -33,7 +33,7 @@
 	delete(s.until, address)
 }
 
-// sortLast moves suspected addresses behind the others and keeps the order otherwise.
+// sortLast returns the addresses with the suspected ones last, and otherwise in the same order.
 func (s *suspects) sortLast(addresses []string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/state/ledgerclient/targets.go
+++ b/internal/state/ledgerclient/targets.go
@@ -12,14 +12,14 @@
 // target is the receiver of an attempt: a replica, or another front node that relays to replicas.
 type target struct {
 	address string
-	// epoch is the placement epoch that the operation names; zero for relays, which name their own.
-	epoch uint64
-	relay bool
+	// epoch is the placement epoch to send with the operation; zero for relays, which send their own.
+	epoch   uint64
+	isRelay bool
 }
 
-// targets returns the live replicas for an operation in the order of attempts. All front nodes agree on the order, so
-// that one store proposes for a program. While no replica answers this front node, other front nodes come first, unless
-// only replicas are wanted.
+// targets returns the targets of an operation in the order of attempts. The live replicas are in the same order on all
+// front nodes, so that one store proposes for a program. While no replica answers this front node, relays precede them,
+// unless replicasOnly is set.
 func (c *Client) targets(operation *protocol.LedgerOperation, replicasOnly bool) []target {
 	view := c.view()
 	shards := view.Placement.GetShards()
@@ -29,9 +29,9 @@
 	shard := findShard(view.Placement, c.shardOf(operation))
 	epoch := register.ShardEpoch(view.Placement, shard)
 	var targets []target
-	if !replicasOnly && c.replicaOutages.isOut(c.shardOf(operation), time.Now()) {
+	if !replicasOnly && c.replicaOutages.isDown(c.shardOf(operation), time.Now()) {
 		for _, address := range c.suspects.sortLast(c.relayAddresses()) {
-			targets = append(targets, target{address: address, relay: true})
+			targets = append(targets, target{address: address, isRelay: true})
 		}
 	}
 	for _, address := range c.suspects.sortLast(c.liveReplicas(view, shard)) {
@@ -45,7 +45,8 @@
 	return ledger.ShardOf(shardKey(operation), c.shardCount())
 }
 
-// shardKey returns the text whose shard serves the operation. Any store can find a turn whose program is unknown.
+// shardKey returns the key that determines the shard of an operation. Any store can find a turn whose program is
+// unknown, so such an operation is sharded by the turn.
 func shardKey(operation *protocol.LedgerOperation) string {
 	if find := operation.GetFindTurn(); find != nil {
 		return find.GetTurnId()
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// liveReplicas returns the addresses of the current replicas whose store has a lease, rebuilding ones last.
+// liveReplicas returns the addresses of the current replicas whose store has a lease, with rebuilding ones last.
 func (c *Client) liveReplicas(view *corelink.View, shard *protocol.ShardPlacement) []string {
 	addresses := map[string]string{}
 	for _, node := range view.Membership.GetNodes() {
@@ -72,9 +73,9 @@
 	}
 	var live, rebuilding []string
 	for _, replica := range shard.GetCurrent() {
-		address, known := addresses[replica.GetStore()]
+		address, ok := addresses[replica.GetStore()]
 		switch {
-		case !known:
+		case !ok:
 		case replica.GetState() == protocol.ReplicaState_REPLICA_REBUILDING:
 			rebuilding = append(rebuilding, address)
 		default:
