--- a/internal/state/ledgerclient/hedged_call_test.go
+++ b/internal/state/ledgerclient/hedged_call_test.go
@@ -12,17 +12,17 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// partlyFrozen never answers at some addresses and answers by a function at the others.
-type partlyFrozen struct {
-	frozen map[string]bool
-	answer func(*protocol.LedgerOperation) *protocol.LedgerResult
+// partlyUnresponsiveCaller never answers at the unresponsive addresses and calls answer for the others.
+type partlyUnresponsiveCaller struct {
+	unresponsive map[string]bool
+	answer       func(*protocol.LedgerOperation) *protocol.LedgerResult
 
 	mutex sync.Mutex
 	sent  []*protocol.LedgerOperation
 	calls map[string]int
 }
 
-func (p *partlyFrozen) Call(
+func (p *partlyUnresponsiveCaller) Call(
 	ctx context.Context, address string, request *protocol.Request,
 ) (*protocol.Response, error) {
 	p.mutex.Lock()
@@ -32,87 +32,87 @@
 	p.calls[address]++
 	p.sent = append(p.sent, request.GetLedger())
 	p.mutex.Unlock()
-	if p.frozen[address] {
+	if p.unresponsive[address] {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return &protocol.Response{Body: &protocol.Response_Ledger{Ledger: p.answer(request.GetLedger())}}, nil
 }
 
-func (p *partlyFrozen) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
+func (p *partlyUnresponsiveCaller) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
 	return nil, context.Canceled
 }
 
-func (p *partlyFrozen) count(address string) int {
+func (p *partlyUnresponsiveCaller) callCount(address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.calls[address]
 }
 
 func answerOK(*protocol.LedgerOperation) *protocol.LedgerResult {
-	return &protocol.LedgerResult{Status: ok}
+	return &protocol.LedgerResult{Status: statusOK}
 }
 
-func clientOf(caller wire.Caller, hedgeAfter time.Duration) *ledgerclient.Client {
-	view := viewOf(7, "a", "b", "c")
+func newClient(caller wire.Caller, hedgeAfter time.Duration) *ledgerclient.Client {
+	view := newView(7, "a", "b", "c")
 	return ledgerclient.New(caller, func() *corelink.View { return view }, ledgerclient.Options{HedgeAfter: hedgeAfter})
 }
 
-func TestAFrozenReplicaIsHedged(t *testing.T) {
+func TestAnUnresponsiveReplicaIsHedged(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
+		caller := &partlyUnresponsiveCaller{unresponsive: map[string]bool{"at-a": true}, answer: answerOK}
 		const hedgeAfter = time.Millisecond
-		client := clientOf(caller, hedgeAfter)
-		began := time.Now()
+		client := newClient(caller, hedgeAfter)
+		startedAt := time.Now()
 		result, err := client.Do(t.Context(), reserve)
-		if err != nil || result.GetStatus() != ok {
-			t.Fatalf("got %v, %v", result, err)
+		if err != nil || result.GetStatus() != statusOK {
+			t.Fatalf("Do() = %v, %v; want LEDGER_OK", result, err)
 		}
-		if took := time.Since(began); took != hedgeAfter {
-			t.Fatalf("took %v", took)
+		if elapsed := time.Since(startedAt); elapsed != hedgeAfter {
+			t.Fatalf("Do() took %v, want %v", elapsed, hedgeAfter)
 		}
 	})
 }
 
-func TestAFrozenReplicaIsSuspected(t *testing.T) {
+func TestAnUnresponsiveReplicaIsSuspected(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
-		client := clientOf(caller, time.Millisecond)
-		for ends := time.Now().Add(20 * time.Second); ; {
-			before := caller.count("at-a")
-			if result, err := client.Do(t.Context(), reserve); err != nil || result.GetStatus() != ok {
-				t.Fatalf("got %v, %v", result, err)
+		caller := &partlyUnresponsiveCaller{unresponsive: map[string]bool{"at-a": true}, answer: answerOK}
+		client := newClient(caller, time.Millisecond)
+		for deadline := time.Now().Add(20 * time.Second); ; {
+			before := caller.callCount("at-a")
+			if result, err := client.Do(t.Context(), reserve); err != nil || result.GetStatus() != statusOK {
+				t.Fatalf("Do() = %v, %v; want LEDGER_OK", result, err)
 			}
-			if caller.count("at-a") == before {
+			if caller.callCount("at-a") == before {
 				return
 			}
-			if time.Now().After(ends) {
-				t.Fatal("the frozen replica is still attempted first")
+			if time.Now().After(deadline) {
+				t.Fatal("the unresponsive replica is still attempted first after 20 s")
 			}
 		}
 	})
 }
 
-func TestARejectionBesideAFrozenReplicaIsConfirmed(t *testing.T) {
+func TestARejectionBesideAnUnresponsiveReplicaIsConfirmed(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{
-			frozen: map[string]bool{"at-a": true},
+		caller := &partlyUnresponsiveCaller{
+			unresponsive: map[string]bool{"at-a": true},
 			answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				if operation.GetReserveTurn() != nil {
-					return &protocol.LedgerResult{Status: budgetReserved, Epoch: 4}
+					return &protocol.LedgerResult{Status: statusBudgetHeld, Epoch: 4}
 				}
-				return &protocol.LedgerResult{Status: ok}
+				return &protocol.LedgerResult{Status: statusOK}
 			},
 		}
-		result, err := clientOf(caller, time.Millisecond).Do(t.Context(), reserve)
-		if err != nil || result.GetStatus() != budgetReserved {
-			t.Fatalf("got %v, %v", result, err)
+		result, err := newClient(caller, time.Millisecond).Do(t.Context(), reserve)
+		if err != nil || result.GetStatus() != statusBudgetHeld {
+			t.Fatalf("Do() = %v, %v; want LEDGER_BUDGET_HELD", result, err)
 		}
 		caller.mutex.Lock()
 		defer caller.mutex.Unlock()
 		if release := caller.sent[len(caller.sent)-1].GetReleaseTurn(); release.GetRequestId() != "r" ||
 			release.GetEpoch() != 3 {
-			t.Fatalf("sent %v last", caller.sent[len(caller.sent)-1])
+			t.Fatalf("the last operation was %v, want a release of request r under epoch 3", caller.sent[len(caller.sent)-1])
 		}
 	})
 }
@@ -125,24 +125,24 @@
 	}},
 }
 
-func TestARejectedReservationWithAClaimGetsATombstoneThatNoClaimPasses(t *testing.T) {
+func TestARejectedReservationWithAClaimGetsATombstoneWhenItsReleaseIsFenced(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{
-			frozen: map[string]bool{"at-a": true},
+		caller := &partlyUnresponsiveCaller{
+			unresponsive: map[string]bool{"at-a": true},
 			answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 				switch operation.GetBody().(type) {
 				case *protocol.LedgerOperation_ReserveTurn:
-					return &protocol.LedgerResult{Status: budgetReserved, Epoch: 4}
+					return &protocol.LedgerResult{Status: statusBudgetHeld, Epoch: 4}
 				case *protocol.LedgerOperation_ReleaseTurn:
 					return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_FENCED, Epoch: 5}
 				default:
-					return &protocol.LedgerResult{Status: ok}
+					return &protocol.LedgerResult{Status: statusOK}
 				}
 			},
 		}
-		result, err := clientOf(caller, time.Millisecond).Do(t.Context(), claimingReserve)
-		if err != nil || result.GetStatus() != budgetReserved {
-			t.Fatalf("got %v, %v", result, err)
+		result, err := newClient(caller, time.Millisecond).Do(t.Context(), claimingReserve)
+		if err != nil || result.GetStatus() != statusBudgetHeld {
+			t.Fatalf("Do() = %v, %v; want LEDGER_BUDGET_HELD", result, err)
 		}
 		caller.mutex.Lock()
 		defer caller.mutex.Unlock()
@@ -152,24 +152,24 @@
 			tombstone = tombstone || operation.GetRefuseRequest().GetRequestId() == "r"
 		}
 		if !released || !tombstone {
-			t.Fatalf("sent %v", caller.sent)
+			t.Fatalf("sent %v, want a release under epoch 4 and a tombstone of request r", caller.sent)
 		}
 	})
 }
 
 func TestTurnsOfOtherProgramsAreRetainedAsLongAsOneThatContinuesThem(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
+		caller := &partlyUnresponsiveCaller{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 			if operation.GetProlongTurns() != nil && operation.GetProgram() == "older" {
 				return &protocol.LedgerResult{
-					Status: ok,
+					Status: statusOK,
 					Turns:  []*protocol.Turn{{Program: "older", PreviousProgram: "oldest", PreviousTurn: "t0"}},
 				}
 			}
 			if operation.GetProlongTurns() != nil {
-				return &protocol.LedgerResult{Status: ok, Turns: []*protocol.Turn{{Program: operation.GetProgram()}}}
+				return &protocol.LedgerResult{Status: statusOK, Turns: []*protocol.Turn{{Program: operation.GetProgram()}}}
 			}
-			return &protocol.LedgerResult{Status: ok}
+			return &protocol.LedgerResult{Status: statusOK}
 		}}
 		settle := &protocol.LedgerOperation{
 			Program: "p",
@@ -177,47 +177,49 @@
 				Turn: &protocol.Turn{Program: "p", PreviousProgram: "older", PreviousTurn: "t1", KeepUntilMillis: 99},
 			}},
 		}
-		if result, err := clientOf(caller, time.Minute).Do(t.Context(), settle); err != nil || result.GetStatus() != ok {
-			t.Fatalf("got %v, %v", result, err)
+		if result, err := newClient(caller, time.Minute).Do(t.Context(), settle); err != nil ||
+			result.GetStatus() != statusOK {
+			t.Fatalf("Do() = %v, %v; want LEDGER_OK", result, err)
 		}
 		var programs []string
 		for _, operation := range caller.sent {
 			programs = append(programs, operation.GetProgram())
 			if prolong := operation.GetProlongTurns(); prolong != nil && prolong.GetKeepUntilMillis() != 99 {
-				t.Errorf("prolonged until %d", prolong.GetKeepUntilMillis())
+				t.Errorf("prolonged until %d ms, want 99 ms", prolong.GetKeepUntilMillis())
 			}
 		}
 		if len(programs) != 3 || programs[0] != "older" || programs[1] != "oldest" || programs[2] != "p" {
-			t.Fatalf("sent operations of %v", programs)
+			t.Fatalf("sent operations of the programs %v, want [older oldest p]", programs)
 		}
 	})
 }
 
-func TestACallerWithAShortDeadlineSuspectsNobody(t *testing.T) {
+func TestACallerWithAShortDeadlineSuspectsNoReplica(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &partlyFrozen{frozen: map[string]bool{"at-a": true}, answer: answerOK}
-		client := clientOf(caller, time.Minute)
+		caller := &partlyUnresponsiveCaller{unresponsive: map[string]bool{"at-a": true}, answer: answerOK}
+		client := newClient(caller, time.Minute)
 		for range 2 {
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 			result, err := client.Do(ctx, reserve)
 			cancel()
-			if err != nil || result.GetStatus() != unavailable {
-				t.Fatalf("got %v, %v", result, err)
+			if err != nil || result.GetStatus() != statusUnavailable {
+				t.Fatalf("Do() = %v, %v; want LEDGER_UNAVAILABLE", result, err)
 			}
 		}
-		if calls := caller.count("at-a"); calls != 2 {
-			t.Fatalf("attempted the first replica %d times of 2", calls)
+		if calls := caller.callCount("at-a"); calls != 2 {
+			t.Fatalf("attempted the first replica %d times in 2 operations, want 2", calls)
 		}
 	})
 }
 
-// deadlineExceeded reports at one address that the deadline is over, a moment before the caller's own timer does.
-type deadlineExceeded struct{ partlyFrozen }
+// earlyDeadlineCaller returns context.DeadlineExceeded for one address immediately, before the timer of the operation's
+// own context fires.
+type earlyDeadlineCaller struct{ partlyUnresponsiveCaller }
 
-func (o *deadlineExceeded) Call(
+func (e *earlyDeadlineCaller) Call(
 	ctx context.Context, address string, request *protocol.Request,
 ) (*protocol.Response, error) {
-	response, err := o.partlyFrozen.Call(ctx, address, request)
+	response, err := e.partlyUnresponsiveCaller.Call(ctx, address, request)
 	if address == "at-a" {
 		return nil, context.DeadlineExceeded
 	}
@@ -226,18 +228,18 @@
 
 func TestAnAttemptThatEndsWithItsCallersDeadlineIsTheLastOne(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		caller := &deadlineExceeded{partlyFrozen{answer: answerOK}}
-		client := clientOf(caller, time.Minute)
+		caller := &earlyDeadlineCaller{partlyUnresponsiveCaller{answer: answerOK}}
+		client := newClient(caller, time.Minute)
 		for range 2 {
 			ctx, cancel := context.WithTimeout(t.Context(), ledgerclient.DefaultAttemptTimeout/2)
 			result, err := client.Do(ctx, reserve)
 			cancel()
-			if err != nil || result.GetStatus() != unavailable {
-				t.Fatalf("got %v, %v", result, err)
+			if err != nil || result.GetStatus() != statusUnavailable {
+				t.Fatalf("Do() = %v, %v; want LEDGER_UNAVAILABLE", result, err)
 			}
 		}
-		if calls := caller.count("at-a"); calls != 2 {
-			t.Fatalf("attempted the first replica %d times of 2", calls)
+		if calls := caller.callCount("at-a"); calls != 2 {
+			t.Fatalf("attempted the first replica %d times in 2 operations, want 2", calls)
 		}
 	})
 }
--- a/internal/state/ledgerclient/outage_detector_test.go
+++ b/internal/state/ledgerclient/outage_detector_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// detectedWithin is how soon a front node must detect a partition, and its end.
-	detectedWithin = 1500 * time.Millisecond
-	// immediately is what an answer may take that waits for no timeout.
-	immediately = 20 * time.Millisecond
+	// detectionLimit is how soon a front node must detect a partition, and its end.
+	detectionLimit = 1500 * time.Millisecond
+	// immediateLimit bounds an operation that waits for no timeout.
+	immediateLimit = 20 * time.Millisecond
 	// callTimeout is how long the front plane waits for one operation.
 	callTimeout = 3 * time.Second
 )
 
-// frontFleet is three front nodes and three stores in memory. Messages over a partitioned link are lost.
+// frontFleet consists of three front nodes and three stores in memory. Messages over a partitioned link are lost.
 type frontFleet struct {
 	mutex sync.Mutex
-	// partitioned are the links that lose messages, as "from>to".
+	// partitioned contains the links that lose messages, as "from>to".
 	partitioned map[string]bool
 	// sent counts the messages over each link.
 	sent    map[string]int
 	clients map[string]*ledgerclient.Client
 }
 
-// frontLink is the network as one front node sees it.
+// frontLink is the network from the point of view of one front node.
 type frontLink struct {
 	fleet *frontFleet
 	from  string
@@ -45,7 +45,7 @@
 		partitioned: map[string]bool{}, sent: map[string]int{},
 		clients: map[string]*ledgerclient.Client{},
 	}
-	view := viewOf(7, "a", "b", "c")
+	view := newView(7, "a", "b", "c")
 	for _, name := range []string{"f1", "f2", "f3"} {
 		view.Membership.Nodes = append(view.Membership.Nodes,
 			&protocol.Node{Name: name, Kind: protocol.NodeKind_FRONT, Address: name})
@@ -58,16 +58,16 @@
 	return fleet
 }
 
-// change partitions links or heals them.
-func (f *frontFleet) change(isPartitioned bool, from string, to ...string) {
+// setPartitioned partitions or heals links.
+func (f *frontFleet) setPartitioned(partitioned bool, from string, to ...string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, receiver := range to {
-		f.partitioned[from+">"+receiver] = isPartitioned
+		f.partitioned[from+">"+receiver] = partitioned
 	}
 }
 
-// sentByF1 counts the messages that front node f1 has sent.
+// sentByF1 returns the number of messages that front node f1 has sent to the receivers.
 func (f *frontFleet) sentByF1(to ...string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -82,13 +82,13 @@
 	link := l.from + ">" + address
 	l.fleet.mutex.Lock()
 	l.fleet.sent[link]++
-	isPartitioned := l.fleet.partitioned[link]
+	partitioned := l.fleet.partitioned[link]
 	l.fleet.mutex.Unlock()
-	if isPartitioned {
+	if partitioned {
 		<-ctx.Done()
 		return nil, &wire.BrokenError{Address: address, Cause: ctx.Err()}
 	}
-	result := &protocol.LedgerResult{Status: ok}
+	result := &protocol.LedgerResult{Status: statusOK}
 	if peer := l.fleet.clients[address]; peer != nil {
 		var err error
 		if result, err = peer.DoDirectly(ctx, request.GetLedger()); err != nil {
@@ -99,28 +99,28 @@
 }
 
 func (l *frontLink) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
-	return nil, errors.New("not streamed")
+	return nil, errors.New("streams are not supported")
 }
 
-// do carries out an operation as the front plane does and measures it.
+// do sends an operation as the front plane does, and returns its status and how long it took.
 func (f *frontFleet) do(
 	t *testing.T, name string, operation *protocol.LedgerOperation,
 ) (protocol.LedgerStatus, time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	result, err := f.clients[name].Do(ctx, operation)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return result.GetStatus(), time.Since(began)
+	return result.GetStatus(), time.Since(startedAt)
 }
 
 func (f *frontFleet) expect(t *testing.T, name string, status protocol.LedgerStatus, within time.Duration) {
 	t.Helper()
-	if got, took := f.do(t, name, reserve); got != status || took > within {
-		t.Errorf("%s: got %v after %v, wanted %v within %v", name, got, took, status, within)
+	if got, elapsed := f.do(t, name, reserve); got != status || elapsed > within {
+		t.Errorf("%s: got %v after %v, want %v within %v", name, got, elapsed, status, within)
 	}
 }
 
@@ -128,22 +128,22 @@
 	t.Helper()
 	client := f.clients[name]
 	if client.Unreachable("p") != unreachable || client.Isolated() != isolated {
-		t.Errorf("%s: unreachable %t, isolated %t, wanted %t and %t", name, client.Unreachable("p"), client.Isolated(),
+		t.Errorf("%s: unreachable = %t, isolated = %t, want %t and %t", name, client.Unreachable("p"), client.Isolated(),
 			unreachable, isolated)
 	}
 }
 
-// inFleet runs a story in virtual time.
-func inFleet(t *testing.T, story func(t *testing.T, fleet *frontFleet)) {
+// runWithFleet runs a test with a fleet in virtual time.
+func runWithFleet(t *testing.T, test func(t *testing.T, fleet *frontFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
 			// Attempts outlive their operations; the attempt timeout ends them.
-			pass(callTimeout)
+			sleep(callTimeout)
 		}()
-		story(t, newFrontFleet(ctx))
+		test(t, newFrontFleet(ctx))
 	})
 }
 
@@ -156,144 +156,144 @@
 )
 
 func TestAFrontNodeThatIsPartitionedFromTheStoresUsesARelay(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.expect(t, "f1", ok, immediately)
-		fleet.change(true, "f1", stores...)
-		fleet.expect(t, "f1", ok, detectedWithin)
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
+		fleet.expect(t, "f1", statusOK, immediateLimit)
+		fleet.setPartitioned(true, "f1", stores...)
+		fleet.expect(t, "f1", statusOK, detectionLimit)
 		before := fleet.sentByF1(stores...)
 		for range 5 {
-			fleet.expect(t, "f1", ok, immediately)
+			fleet.expect(t, "f1", statusOK, immediateLimit)
 			fleet.expectState(t, "f1", false, false)
 		}
 		if more := fleet.sentByF1(stores...) - before; more > 0 {
-			t.Errorf("%d more operations were sent over the partition", more)
+			t.Errorf("%d messages were sent over the partition while a relay was used, want 0", more)
 		}
-		pass(10 * time.Second)
-		fleet.expect(t, "f1", ok, immediately)
+		sleep(10 * time.Second)
+		fleet.expect(t, "f1", statusOK, immediateLimit)
 
-		fleet.change(false, "f1", stores...)
-		pass(detectedWithin)
+		fleet.setPartitioned(false, "f1", stores...)
+		sleep(detectionLimit)
 		before = fleet.sentByF1("f2", "f3")
-		fleet.expect(t, "f1", ok, immediately)
+		fleet.expect(t, "f1", statusOK, immediateLimit)
 		if more := fleet.sentByF1("f2", "f3") - before; more > 0 {
-			t.Error("relays after the partition was healed")
+			t.Errorf("%d messages were sent to relays after the partition was healed, want 0", more)
 		}
 	})
 }
 
 func TestAFrontNodeThatReachesNeitherStoresNorRelaysIsIsolated(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.expect(t, "f1", ok, immediately)
-		everybody := append([]string{"f2", "f3"}, stores...)
-		fleet.change(true, "f1", everybody...)
-		fleet.expect(t, "f1", unavailable, detectedWithin)
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
+		fleet.expect(t, "f1", statusOK, immediateLimit)
+		others := append([]string{"f2", "f3"}, stores...)
+		fleet.setPartitioned(true, "f1", others...)
+		fleet.expect(t, "f1", statusUnavailable, detectionLimit)
 		fleet.expectState(t, "f1", true, true)
-		fleet.expect(t, "f1", unavailable, 0)
-		if status, took := fleet.do(t, "f1", settle); status != unavailable || took < callTimeout {
-			t.Errorf("a turn that ran is abandoned with %v after %v", status, took)
+		fleet.expect(t, "f1", statusUnavailable, 0)
+		if status, took := fleet.do(t, "f1", settle); status != statusUnavailable || took < callTimeout {
+			t.Errorf("settling a turn that ran returned %v after %v, want LEDGER_UNAVAILABLE after callTimeout", status, took)
 		}
-		pass(20 * time.Second)
+		sleep(20 * time.Second)
 		fleet.expectState(t, "f1", true, true)
 		fleet.expectState(t, "f2", false, false)
 
-		fleet.change(false, "f1", everybody...)
-		pass(detectedWithin)
+		fleet.setPartitioned(false, "f1", others...)
+		sleep(detectionLimit)
 		fleet.expectState(t, "f1", false, false)
-		fleet.expect(t, "f1", ok, immediately)
+		fleet.expect(t, "f1", statusOK, immediateLimit)
 	})
 }
 
 func TestFrontNodesAreNotIsolatedWhenTheStoresAreDown(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
 		names := []string{"f1", "f2", "f3"}
 		for _, name := range names {
-			fleet.change(true, name, stores...)
+			fleet.setPartitioned(true, name, stores...)
 		}
-		fleet.expect(t, "f1", unavailable, detectedWithin)
+		fleet.expect(t, "f1", statusUnavailable, detectionLimit)
 		for range 40 {
 			for _, name := range names {
 				if fleet.clients[name].Isolated() {
-					t.Fatalf("%s counts as isolated", name)
+					t.Fatalf("%s is isolated although only the stores are down", name)
 				}
 			}
-			pass(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 		}
 		for _, name := range names {
 			fleet.expectState(t, name, true, false)
-			fleet.expect(t, name, unavailable, 0)
+			fleet.expect(t, name, statusUnavailable, 0)
 		}
 		for _, name := range names {
-			fleet.change(false, name, stores...)
+			fleet.setPartitioned(false, name, stores...)
 		}
-		pass(detectedWithin)
+		sleep(detectionLimit)
 		for _, name := range names {
 			fleet.expectState(t, name, false, false)
-			fleet.expect(t, name, ok, immediately)
+			fleet.expect(t, name, statusOK, immediateLimit)
 		}
 	})
 }
 
 func TestAFrontNodeWithoutTrafficDetectsIsolationByFewHealthChecks(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		everybody := append([]string{"f2", "f3"}, stores...)
-		pass(10 * time.Second)
-		if checks := fleet.sentByF1(everybody...); checks < 5 || checks > 10 {
-			t.Errorf("%d health checks in 10 s without traffic", checks)
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
+		others := append([]string{"f2", "f3"}, stores...)
+		sleep(10 * time.Second)
+		if checks := fleet.sentByF1(others...); checks < 5 || checks > 10 {
+			t.Errorf("%d health checks in 10 s without traffic, want 5 to 10", checks)
 		}
-		fleet.change(true, "f1", everybody...)
-		pass(idleDetectedWithin)
+		fleet.setPartitioned(true, "f1", others...)
+		sleep(idleDetectionLimit)
 		fleet.expectState(t, "f1", true, true)
-		before := fleet.sentByF1(everybody...)
-		pass(10 * time.Second)
-		if checks := fleet.sentByF1(everybody...) - before; checks > maxHealthChecks {
-			t.Errorf("%d health checks in 10 s without traffic while isolated", checks)
+		before := fleet.sentByF1(others...)
+		sleep(10 * time.Second)
+		if checks := fleet.sentByF1(others...) - before; checks > maxHealthChecks {
+			t.Errorf("%d health checks in 10 s without traffic while isolated, want at most %d", checks, maxHealthChecks)
 		}
 	})
 }
 
 const (
 	// idleDetectedWithin is how soon a front node without traffic must detect a partition.
-	idleDetectedWithin = 4 * time.Second
+	idleDetectionLimit = 4 * time.Second
 	// maxHealthChecks bounds what a front node without traffic sends in 10 s while it is isolated.
 	maxHealthChecks = 200
 )
 
 func TestTrafficReplacesHealthChecks(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
 		for range 20 {
-			fleet.expect(t, "f1", ok, immediately)
-			pass(500 * time.Millisecond)
+			fleet.expect(t, "f1", statusOK, immediateLimit)
+			sleep(500 * time.Millisecond)
 		}
 		if sent := fleet.sentByF1(stores...); sent != 20 {
-			t.Errorf("%d messages for 20 operations: %v", sent, fleet.sent)
+			t.Errorf("%d messages to stores for 20 operations, want 20: %v", sent, fleet.sent)
 		}
 	})
 }
 
 func TestOneUnresponsiveReplicaCausesNoRelays(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.change(true, "f1", "at-a")
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
+		fleet.setPartitioned(true, "f1", "at-a")
 		for range 100 {
-			fleet.expect(t, "f1", ok, detectedWithin)
+			fleet.expect(t, "f1", statusOK, detectionLimit)
 			fleet.expectState(t, "f1", false, false)
-			pass(50 * time.Millisecond)
+			sleep(50 * time.Millisecond)
 		}
 		if relayed := fleet.sentByF1("f2", "f3"); relayed > 0 {
-			t.Errorf("%d operations were relayed while replicas answered", relayed)
+			t.Errorf("%d messages were sent to relays while replicas answered, want 0", relayed)
 		}
 	})
 }
 
 func TestAShardWithOneReachableReplicaIsServed(t *testing.T) {
-	inFleet(t, func(t *testing.T, fleet *frontFleet) {
-		fleet.change(true, "f1", "at-a", "at-b")
+	runWithFleet(t, func(t *testing.T, fleet *frontFleet) {
+		fleet.setPartitioned(true, "f1", "at-a", "at-b")
 		for range 100 {
-			fleet.expect(t, "f1", ok, detectedWithin)
+			fleet.expect(t, "f1", statusOK, detectionLimit)
 			fleet.expectState(t, "f1", false, false)
-			pass(50 * time.Millisecond)
+			sleep(50 * time.Millisecond)
 		}
 	})
 }
 
-// pass lets virtual time go on.
-func pass(duration time.Duration) { <-time.NewTimer(duration).C }
+// sleep blocks for a duration of virtual time.
+func sleep(duration time.Duration) { <-time.NewTimer(duration).C }
--- a/internal/state/ledgerclient/training_step_test.go
+++ b/internal/state/ledgerclient/training_step_test.go
@@ -14,76 +14,78 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-const mismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
+const statusStepMismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
 
-var traceOfStep = &protocol.LedgerOperation{
+var traceStep = &protocol.LedgerOperation{
 	Program: ledger.TrainingStepProgram("17"),
 	Body:    &protocol.LedgerOperation_TraceTrainingStep{TraceTrainingStep: &protocol.TraceTrainingStep{Step: "17"}},
 }
 
 func TestAMismatchAfterAnAttemptWithAnUnknownOutcomeIsConfirmedByATombstone(t *testing.T) {
-	for name, story := range map[string]struct {
+	for name, test := range map[string]struct {
 		tombstone, want protocol.LedgerStatus
 	}{
-		"the request is marked": {tombstone: ok, want: mismatch},
-		"the request ended before": {
+		"the request is marked as not run": {tombstone: statusOK, want: statusStepMismatch},
+		"the request has already finished": {
 			tombstone: protocol.LedgerStatus_LEDGER_ALREADY_FINISHED,
-			want:      mismatch,
+			want:      statusStepMismatch,
 		},
 		"the earlier attempt took effect after all": {
 			tombstone: protocol.LedgerStatus_LEDGER_ALREADY_RESERVED,
 			want:      protocol.LedgerStatus_LEDGER_ALREADY_RESERVED,
 		},
-		"nothing may be claimed without an answer": {tombstone: unavailable, want: unavailable},
+		"without an answer the outcome is unknown": {tombstone: statusUnavailable, want: statusUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			caller := &scripted{answers: []answer{
-				fails(&wire.BrokenError{Cause: errors.New("reset")}), answers(mismatch), answers(story.tombstone),
+			caller := &scriptedCaller{responses: []response{
+				failWith(&wire.BrokenError{Cause: errors.New("connection reset")}),
+				respondWith(statusStepMismatch), respondWith(test.tombstone),
 			}}
-			view := viewOf(7, "a", "b", "c")
+			view := newView(7, "a", "b", "c")
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			client := ledgerclient.New(caller, func() *corelink.View { return view }, ledgerclient.Options{
 				Wait: func(context.Context, time.Duration) {},
 			})
 			result, err := client.Do(ctx, claimingReserve)
-			if err != nil || result.GetStatus() != story.want {
-				t.Fatalf("got %v, %v", result, err)
+			if err != nil || result.GetStatus() != test.want {
+				t.Fatalf("Do() = %v, %v; want status %v", result, err, test.want)
 			}
 			if tombstone := caller.sent[2].GetRefuseRequest(); tombstone.GetRequestId() != "r" || tombstone.GetSession() != "s" {
-				t.Errorf("sent %v", caller.sent[2])
+				t.Errorf("the third operation was %v, want a tombstone of request r in session s", caller.sent[2])
 			}
 		})
 	}
 }
 
 func TestATraceIsSentToTheShardOfItsStep(t *testing.T) {
-	caller := &scripted{answers: []answer{answers(unavailable), answers(ok)}}
-	view := viewOf(7, "a", "b", "c")
+	caller := &scriptedCaller{responses: []response{respondWith(statusUnavailable), respondWith(statusOK)}}
+	view := newView(7, "a", "b", "c")
 	client := ledgerclient.New(caller, func() *corelink.View { return view },
 		ledgerclient.Options{Wait: func(context.Context, time.Duration) {}})
-	result, err := client.Do(t.Context(), traceOfStep)
-	if err != nil || result.GetStatus() != ok || len(caller.sent) != 2 || caller.sent[1].GetPlacementEpoch() != 7 {
-		t.Fatalf("got %v, %v after %v", result, err, caller.sent)
+	result, err := client.Do(t.Context(), traceStep)
+	if err != nil || result.GetStatus() != statusOK || len(caller.sent) != 2 || caller.sent[1].GetPlacementEpoch() != 7 {
+		t.Fatalf("Do() = %v, %v after sending %v; want LEDGER_OK after 2 operations under placement epoch 7", result, err,
+			caller.sent)
 	}
 }
 
-func TestALongTraceIsNotHedgedAndMakesNoSuspect(t *testing.T) {
+func TestALongTraceIsNotHedgedAndItsReplicaNotSuspected(t *testing.T) {
 	const hedgeAfter = time.Millisecond
 	release := make(chan struct{})
-	caller := &partlyFrozen{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
+	caller := &partlyUnresponsiveCaller{answer: func(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 		if operation.GetTraceTrainingStep() != nil {
 			<-release
 		}
-		return &protocol.LedgerResult{Status: ok}
+		return &protocol.LedgerResult{Status: statusOK}
 	}}
-	client := clientOf(caller, hedgeAfter)
+	client := newClient(caller, hedgeAfter)
 	done := make(chan error, 1)
 	go func() {
-		_, err := client.Do(t.Context(), traceOfStep)
+		_, err := client.Do(t.Context(), traceStep)
 		done <- err
 	}()
-	// Far longer than a replica may take for an ordinary operation.
+	// Much longer than a replica may take for another operation before it is suspected.
 	timer := time.NewTimer(20 * hedgeAfter)
 	defer timer.Stop()
 	<-timer.C
@@ -94,7 +96,7 @@
 	if _, err := client.Do(t.Context(), reserve); err != nil {
 		t.Fatal(err)
 	}
-	if caller.count("at-a") != 2 || caller.count("at-b") != 0 {
-		t.Fatalf("called %v", caller.calls)
+	if caller.callCount("at-a") != 2 || caller.callCount("at-b") != 0 {
+		t.Fatalf("called %v, want 2 calls of at-a and none of at-b", caller.calls)
 	}
 }
