--- a/internal/controlplane/serverhealth/detector.go
+++ b/internal/controlplane/serverhealth/detector.go
@@ -35,7 +35,7 @@
 	initialEjection = 3 * time.Second
 	maxEjection     = 12 * time.Second
 	forgiveAfter    = 10 * time.Second
-	// unresponsiveAfter is how long a server must have been silent towards all front nodes before overdue requests count.
+	// unresponsiveAfter is how long a server must not have responded to any front node before overdue requests count.
 	unresponsiveAfter = 500 * time.Millisecond
 	// idleTTL is how long the state of a server is kept after its last report.
 	idleTTL = time.Minute
