--- a/internal/dataplane/directory/call_answers.go
+++ b/internal/dataplane/directory/call_answers.go
@@ -48,7 +48,7 @@
 	if event.Response == nil {
 		return event.Failure, true
 	}
-	// A later incarnation responded, so the one that was called has ended; a view with the later one will follow.
+	// If a later incarnation responded, the one that was called has ended; a view with the later one will follow.
 	return CallConnectionRefused, incarnation > c.peer.member.Incarnation
 }
 
--- a/internal/dataplane/directory/transfer.go
+++ b/internal/dataplane/directory/transfer.go
@@ -180,9 +180,9 @@
 		t.nextRequestAt = d.moment.Now.Add(d.jitter(t.requestInterval))
 		for _, name := range sortedKeys(t.awaiting) {
 			if front, found := d.view.byName[name]; found {
-				waitedFor := d.peer(front.Member)
-				waitedFor.needsReregistrationRequest = true
-				d.schedule(waitedFor)
+				awaitedPeer := d.peer(front.Member)
+				awaitedPeer.needsReregistrationRequest = true
+				d.schedule(awaitedPeer)
 			}
 		}
 	}
--- a/internal/dataplane/ownership/takeover_test.go
+++ b/internal/dataplane/ownership/takeover_test.go
@@ -58,14 +58,14 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, threeNodes, func(f *fleet) {
-				known := f.ownedBy("a", "c", 1)[0]
+				ownedSession := f.ownedBy("a", "c", 1)[0]
 				f.setFault("c", fault)
 				bound := takeoverAfterRefusedConnection
 				if fault == unresponsive {
 					bound = takeoverAfterTimeout
 				}
 				before := time.Now()
-				owner, err := f.nodes["b"].manager.Resolve(context.Background(), known, "program")
+				owner, err := f.nodes["b"].manager.Resolve(context.Background(), ownedSession, "program")
 				f.g.Expect(err).NotTo(HaveOccurred())
 				f.g.Expect(time.Since(before)).To(BeNumerically("<=", bound))
 				if fault != unresponsive {
