--- a/internal/dataplane/limit/overload_test.go
+++ b/internal/dataplane/limit/overload_test.go
@@ -39,7 +39,7 @@
 	return late
 }
 
-// count counts the tickets with a verdict among ids.
+// count returns how many of the tickets got that verdict.
 func (s *tickets) count(ids []uint64, verdict limit.Verdict) int {
 	count := 0
 	for _, id := range ids {
--- a/internal/dataplane/limit/queue.go
+++ b/internal/dataplane/limit/queue.go
@@ -56,7 +56,7 @@
 	Rejections uint32
 }
 
-// Verdict is the decision on a ticket.
+// Verdict is the kind of a decision: that the ticket runs, or why it is rejected.
 type Verdict int
 
 // Verdicts on a ticket.
@@ -69,7 +69,7 @@
 	RejectLate
 )
 
-// Decision is the verdict on one ticket. A rejection is final; RetryAfter is the time after which the caller may retry.
+// Decision is the result for one ticket. A rejection is final; RetryAfter is the time after which the caller may retry.
 type Decision struct {
 	ID         uint64
 	Verdict    Verdict
--- a/internal/dataplane/schedule/candidate.go
+++ b/internal/dataplane/schedule/candidate.go
@@ -32,7 +32,7 @@
 	// Unreachable is true while connections to the server fail; such a server is readmitted only when there is no other.
 	Unreachable bool
 
-	// The fields up to Slowness are used by EXPECTED_FIRST_TOKEN only.
+	// The fields up to Slowness are used by EXPECTED_FIRST_TOKEN, CachedTokens also for generations of training steps.
 
 	// Waiting counts this front node's own requests at the server without a first token.
 	Waiting uint32
--- a/internal/dataplane/schedule/schedule.go
+++ b/internal/dataplane/schedule/schedule.go
@@ -44,7 +44,7 @@
 	AffinityKey string
 	// LastServer is the back end that ran the session's last turn, if any.
 	LastServer string
-	// Avoid names the back ends that already failed this request.
+	// Avoid lists the back ends that already failed this request.
 	Avoid []string
 	// Sequence counts the front node's requests, for round robin.
 	Sequence uint64
@@ -63,7 +63,8 @@
 	Step *StepWork
 }
 
-// Score explains the decision on one candidate. The scale of Score depends on the policy; the lowest is chosen.
+// Score explains why one candidate was chosen or passed over. The scale of Score depends on the policy; the lowest is
+// chosen.
 type Score struct {
 	ID    string
 	Score float64
@@ -75,7 +76,7 @@
 type Decision struct {
 	Chosen string
 	Scores []Score
-	// Spilled is true when the request left its zone because the zone was full.
+	// Spilled is true if the request left its zone because the zone was full.
 	Spilled bool
 }
 
