--- a/internal/controlplane/consensus/configuration.go
+++ b/internal/controlplane/consensus/configuration.go
@@ -65,10 +65,10 @@
 // configurationHistory holds the configuration of the snapshot and those of the log after it.
 // The newest is in force as soon as it is appended, committed or not. It is never empty.
 type configurationHistory struct {
-	states []configurationState
+	configurations []indexedConfiguration
 }
 
-type configurationState struct {
+type indexedConfiguration struct {
 	index         uint64
 	configuration *protocol.CoreConfiguration
 }
@@ -78,11 +78,12 @@
 	if configuration == nil {
 		configuration = &protocol.CoreConfiguration{}
 	}
-	h.states = []configurationState{{index: snapshot.GetIndex(), configuration: configuration}}
+	h.configurations = []indexedConfiguration{{index: snapshot.GetIndex(), configuration: configuration}}
 }
 
-// observe records the configuration in an appended entry, if it is one. The error is a *StateError.
-func (h *configurationHistory) observe(entry *protocol.Entry) error {
+// appendIfConfiguration appends the configuration that an entry holds, if it is a configuration
+// entry. The error is a *StateError.
+func (h *configurationHistory) appendIfConfiguration(entry *protocol.Entry) error {
 	if entry.GetKind() != protocol.EntryKind_ENTRY_CONFIGURATION {
 		return nil
 	}
@@ -90,34 +91,37 @@
 	if err := proto.Unmarshal(entry.GetData(), configuration); err != nil {
 		return &StateError{Reason: "a configuration entry cannot be read: " + err.Error(), Index: entry.GetIndex()}
 	}
-	h.states = append(h.states, configurationState{index: entry.GetIndex(), configuration: configuration})
+	h.configurations = append(h.configurations,
+		indexedConfiguration{index: entry.GetIndex(), configuration: configuration})
 	return nil
 }
 
 // truncate drops the configurations from index on, as the log does with its entries.
 func (h *configurationHistory) truncate(index uint64) {
-	for len(h.states) > 1 && h.states[len(h.states)-1].index >= index {
-		h.states = h.states[:len(h.states)-1]
+	for len(h.configurations) > 1 && h.configurations[len(h.configurations)-1].index >= index {
+		h.configurations = h.configurations[:len(h.configurations)-1]
 	}
 }
 
 // compact drops the configurations that a later one at or below index replaces.
 func (h *configurationHistory) compact(index uint64) {
-	for len(h.states) > 1 && h.states[1].index <= index {
-		h.states = h.states[1:]
+	for len(h.configurations) > 1 && h.configurations[1].index <= index {
+		h.configurations = h.configurations[1:]
 	}
 }
 
-func (h *configurationHistory) latest() configurationState { return h.states[len(h.states)-1] }
+func (h *configurationHistory) latest() indexedConfiguration {
+	return h.configurations[len(h.configurations)-1]
+}
 
 // at returns the configuration in force at index.
 func (h *configurationHistory) at(index uint64) *protocol.CoreConfiguration {
-	for position := len(h.states) - 1; position > 0; position-- {
-		if h.states[position].index <= index {
-			return h.states[position].configuration
+	for position := len(h.configurations) - 1; position > 0; position-- {
+		if h.configurations[position].index <= index {
+			return h.configurations[position].configuration
 		}
 	}
-	return h.states[0].configuration
+	return h.configurations[0].configuration
 }
 
 func (n *Node) configuration() *protocol.CoreConfiguration {
@@ -132,7 +136,7 @@
 // and only after an entry of the leader's own term is committed. Errors: *NotLeaderError,
 // *TransferringError, *ChangePendingError, *InvalidChangeError.
 func (n *Node) ProposeConfiguration(next *protocol.CoreConfiguration, now time.Time) (index uint64, err error) {
-	if err := n.canPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, err
 	}
 	if pending := max(n.termStart, n.configurations.latest().index); pending > n.log.commit {
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -10,15 +10,15 @@
 	// electionJitterDivisor: deadlines are spread over this part of the election timeout, so that
 	// voters rarely campaign at once.
 	electionJitterDivisor = 2
-	// retryDivisor: a failed campaign is retried after this part of the election timeout, at the earliest.
-	retryDivisor = 4
+	// campaignRetryDivisor: a failed campaign is retried after this part of the election timeout, at the earliest.
+	campaignRetryDivisor = 4
 	// maxQuickRetries is the number of failed campaigns after which a member waits for full election
 	// timeouts again: the others cannot be reached, or reject it for a reason that lasts.
 	maxQuickRetries = 4
-	// resumeDivisor: a member that led before its restart retries after this part of the election
+	// formerLeaderRetryDivisor: a member that led before its restart retries after this part of the election
 	// timeout. It is short, since others that restarted with it vote for nobody else yet, so that
 	// votes are not split.
-	resumeDivisor = 8
+	formerLeaderRetryDivisor = 8
 )
 
 // resetElectionDeadline sets the deadline to an election timeout from now, with jitter.
@@ -31,12 +31,12 @@
 func (n *Node) resetRetryDeadline(now time.Time) {
 	switch {
 	case n.resumesLeadership(now):
-		n.electionDeadline = now.Add(n.config.ElectionTimeout / resumeDivisor)
+		n.electionDeadline = now.Add(n.config.ElectionTimeout / formerLeaderRetryDivisor)
 	case n.failedElections >= maxQuickRetries:
 		n.resetElectionDeadline(now)
 	default:
 		jitter := n.jitter(n.config.ElectionTimeout / electionJitterDivisor)
-		n.electionDeadline = now.Add(n.config.ElectionTimeout/retryDivisor + jitter)
+		n.electionDeadline = now.Add(n.config.ElectionTimeout/campaignRetryDivisor + jitter)
 	}
 }
 
@@ -170,14 +170,14 @@
 func (n *Node) stepPreVote(message *protocol.ConsensusMessage, now time.Time) {
 	grant := message.GetTerm() > n.term && !n.rejectsVotesFrom(message.GetFrom(), now) &&
 		n.log.isUpToDate(message.GetLogIndex(), message.GetLogTerm())
-	answer := &protocol.ConsensusMessage{
+	response := &protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_PRE_VOTE_RESPONSE, To: message.GetFrom(), Reject: !grant,
 	}
 	if grant {
 		// The term that was requested, so that the pre-candidate can match the answer to its request.
-		answer.Term = message.GetTerm()
+		response.Term = message.GetTerm()
 	}
-	n.send(answer)
+	n.send(response)
 	if grant && n.defersTo(message) {
 		n.becomeFollower(n.term, 0, now)
 	}
@@ -209,8 +209,8 @@
 }
 
 func (n *Node) stepPreVoteResponse(message *protocol.ConsensusMessage, now time.Time) {
-	answersCampaign := message.GetReject() || message.GetTerm() == n.term+1
-	if n.role != PreCandidate || !answersCampaign {
+	isForThisCampaign := message.GetReject() || message.GetTerm() == n.term+1
+	if n.role != PreCandidate || !isForThisCampaign {
 		return
 	}
 	n.votes[message.GetFrom()] = !message.GetReject()
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -8,16 +8,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestTwoConcurrentCampaignsDoNotSplitTheVotes(t *testing.T) {
+func TestConcurrentCampaignsDoNotSplitTheVotes(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	lostMember := func(message *protocol.ConsensusMessage) bool {
 		return message.GetTo() == 3 || message.GetFrom() == 3
 	}
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.now = s.now.Add(10 * DefaultElectionTimeout)
 	s.nodes[1].Tick(s.now)
 	s.nodes[2].Tick(s.now)
-	s.run()
+	s.runUntilIdle()
 	// The requests and answers of the two cross each other on the way, step by step.
 	for range 10 {
 		s.undelivered = slices.DeleteFunc(s.undelivered, lostMember)
@@ -28,16 +28,16 @@
 	}
 }
 
-func TestAFailedElectionIsRetriedQuicklyALimitedNumberOfTimes(t *testing.T) {
+func TestNumberOfQuickElectionRetriesIsLimited(t *testing.T) {
 	s := newScriptedCluster(t, 0)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	var campaigns []time.Time
 	const step = 10 * time.Millisecond
 	for range 3000 {
 		s.now = s.now.Add(step)
 		s.nodes[1].Tick(s.now)
 		s.undelivered = nil
-		s.run()
+		s.runUntilIdle()
 		for _, message := range s.undelivered {
 			if message.GetKind() == protocol.ConsensusMessageKind_PRE_VOTE && message.GetTo() == 2 {
 				campaigns = append(campaigns, s.now)
@@ -48,10 +48,10 @@
 		t.Fatalf("campaigned %d times", len(campaigns))
 	}
 	for attempt := 1; attempt < len(campaigns); attempt++ {
-		waited := campaigns[attempt].Sub(campaigns[attempt-1])
+		interval := campaigns[attempt].Sub(campaigns[attempt-1])
 		wantQuick := attempt <= maxQuickRetries
-		if quick := waited < DefaultElectionTimeout; quick != wantQuick {
-			t.Errorf("attempt %d came after %v", attempt, waited)
+		if quick := interval < DefaultElectionTimeout; quick != wantQuick {
+			t.Errorf("attempt %d came after %v", attempt, interval)
 		}
 	}
 }
--- a/internal/controlplane/consensus/leadership_transfer.go
+++ b/internal/controlplane/consensus/leadership_transfer.go
@@ -20,7 +20,7 @@
 // abandoned, or ends this leadership when the target was already asked. Errors: *NotLeaderError,
 // *TransferringError, *InvalidChangeError.
 func (n *Node) Transfer(target uint64, now time.Time) error {
-	if err := n.canPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return err
 	}
 	peer := n.peer(target)
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -28,9 +28,9 @@
 	if heartbeat <= peer.ackedHeartbeat {
 		return
 	}
-	for _, sent := range n.recentHeartbeats {
-		if sent.sequence == heartbeat {
-			peer.ackedHeartbeat, peer.ackedHeartbeatSentAt = heartbeat, sent.sentAt
+	for _, broadcast := range n.recentHeartbeats {
+		if broadcast.sequence == heartbeat {
+			peer.ackedHeartbeat, peer.ackedHeartbeatSentAt = heartbeat, broadcast.sentAt
 		}
 	}
 	n.confirmReads()
--- a/internal/controlplane/consensus/log.go
+++ b/internal/controlplane/consensus/log.go
@@ -137,8 +137,8 @@
 	term, ok := l.term(index)
 	for ok && index > l.commit {
 		index--
-		previous, inMemory := l.term(index)
-		if !inMemory || previous != term {
+		previousTerm, inMemory := l.term(index)
+		if !inMemory || previousTerm != term {
 			break
 		}
 	}
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -112,7 +112,7 @@
 			return &StateError{Reason: "the entries have a gap or a falling term", Index: entry.GetIndex()}
 		}
 		n.log.entries = append(n.log.entries, entry)
-		if err := n.configurations.observe(entry); err != nil {
+		if err := n.configurations.appendIfConfiguration(entry); err != nil {
 			return err
 		}
 	}
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -57,14 +57,14 @@
 func TestVoteIsDurableBeforeItIsSent(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	s.now = s.now.Add(2 * DefaultElectionTimeout)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	// The term is known and durable before the vote is requested.
 	s.deliver(&protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_VOTE_RESPONSE, From: 1, To: 2, Term: 2, Reject: true,
 	})
-	s.carryOut(2)
+	s.processReady(2)
 	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 3, 2))
-	ready := s.carryOut(2)
+	ready := s.processReady(2)
 	durable := ready.MustSync && ready.HardState.GetVotedFor() == 3
 	granted := len(ready.Messages) == 1 && !ready.Messages[0].GetReject()
 	if !durable || !granted {
@@ -78,29 +78,29 @@
 	}
 }
 
-func TestLeaseCountsFromSending(t *testing.T) {
+func TestLeaseStartsWhenTheHeartbeatIsSent(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
-	length := DefaultElectionTimeout - DefaultElectionTimeout/clockDriftDivisor
-	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetFrom() == 1 }
+	leaseDuration := DefaultElectionTimeout - DefaultElectionTimeout/clockDriftDivisor
+	s.shouldDeliver = func(m *protocol.ConsensusMessage) bool { return m.GetFrom() == 1 }
 	s.now = s.now.Add(500 * time.Millisecond)
-	sent := s.now
+	sentAt := s.now
 	leader.Tick(s.now)
-	s.run()
-	if ends := leader.LeaseEnds(s.now); !ends.Before(sent.Add(length)) {
-		t.Errorf("the lease grew before an answer: %v", ends.Sub(sent))
+	s.runUntilIdle()
+	if ends := leader.LeaseEnds(s.now); !ends.Before(sentAt.Add(leaseDuration)) {
+		t.Errorf("the lease grew before an answer: %v", ends.Sub(sentAt))
 	}
 	s.now = s.now.Add(300 * time.Millisecond)
-	s.release()
-	if ends := leader.LeaseEnds(s.now); !ends.Equal(sent.Add(length)) {
-		t.Errorf("the lease ends %v after the sending, want %v", ends.Sub(sent), length)
+	s.resumeDelivery()
+	if ends := leader.LeaseEnds(s.now); !ends.Equal(sentAt.Add(leaseDuration)) {
+		t.Errorf("the lease ends %v after the sending, want %v", ends.Sub(sentAt), leaseDuration)
 	}
 }
 
 func TestLeaderWithoutMajorityStepsDown(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.now = s.now.Add(DefaultElectionTimeout)
 	leader.Tick(s.now)
 	if leader.Role() != Follower {
@@ -111,13 +111,13 @@
 func TestTransferGivesUpTheLeaseForTheTerm(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
-	s.delivers = func(m *protocol.ConsensusMessage) bool {
+	s.shouldDeliver = func(m *protocol.ConsensusMessage) bool {
 		return m.GetKind() != protocol.ConsensusMessageKind_TIMEOUT_NOW
 	}
 	if err := leader.Transfer(2, s.now); err != nil {
 		t.Fatal(err)
 	}
-	s.run()
+	s.runUntilIdle()
 	var transferring *TransferringError
 	if _, _, err := leader.Propose([][]byte{nil}, s.now); !errors.As(err, &transferring) {
 		t.Errorf("a proposal during the transfer gives %v", err)
@@ -130,24 +130,26 @@
 	if leader.Role() != Follower {
 		t.Error("the leader goes on after a transfer that may still succeed")
 	}
-	s.release()
+	s.resumeDelivery()
 	if s.nodes[2].Role() != Leader || s.nodes[2].Term() != 3 {
 		t.Errorf("the target is %v of term %d", s.nodes[2].Role(), s.nodes[2].Term())
 	}
 }
 
-func TestEntriesOfEarlierTermsCommitWithTheLeadersOwn(t *testing.T) {
+func TestEntriesOfEarlierTermsCommitWithAnEntryOfTheLeadersTerm(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	if _, _, err := leader.Propose([][]byte{[]byte("old")}, s.now); err != nil {
 		t.Fatal(err)
 	}
-	s.run()
-	s.undelivered, s.delivers = nil, deliverAll
+	s.runUntilIdle()
+	s.undelivered, s.shouldDeliver = nil, deliverAll
 	old := leader.log.lastIndex()
 	// The same member leads again; its own first entry reaches nobody yet.
-	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
+	s.shouldDeliver = func(m *protocol.ConsensusMessage) bool {
+		return m.GetKind() != protocol.ConsensusMessageKind_APPEND
+	}
 	leader = s.elect(1)
 	term := leader.Term()
 	acknowledge := func(index uint64) {
@@ -156,12 +158,12 @@
 		}, s.now)
 	}
 	acknowledge(old)
-	s.run()
+	s.runUntilIdle()
 	if leader.log.commit >= old {
 		t.Error("an entry of an earlier term was committed by counting")
 	}
 	acknowledge(old + 1)
-	s.run()
+	s.runUntilIdle()
 	if leader.log.commit != old+1 {
 		t.Errorf("commit is %d, want %d", leader.log.commit, old+1)
 	}
@@ -169,7 +171,9 @@
 
 func TestMembershipChangesOneAtATime(t *testing.T) {
 	s := newScriptedCluster(t, 1)
-	s.delivers = func(m *protocol.ConsensusMessage) bool { return m.GetKind() != protocol.ConsensusMessageKind_APPEND }
+	s.shouldDeliver = func(m *protocol.ConsensusMessage) bool {
+		return m.GetKind() != protocol.ConsensusMessageKind_APPEND
+	}
 	leader := s.elect(1)
 	before, _ := leader.Configuration()
 	change := func(edit func(*protocol.CoreConfiguration)) error {
@@ -183,7 +187,7 @@
 	if err := change(promote); !errors.As(err, &pending) {
 		t.Errorf("before an entry of the term is committed: %v", err)
 	}
-	s.release()
+	s.resumeDelivery()
 	var invalid *InvalidChangeError
 	for name, edit := range map[string]func(*protocol.CoreConfiguration){
 		"two voters at once": func(c *protocol.CoreConfiguration) { Member(c, 4).Voter, Member(c, 3).Voter = true, false },
@@ -197,21 +201,21 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	if err := change(promote); err != nil {
 		t.Fatal(err)
 	}
 	if err := change(func(c *protocol.CoreConfiguration) { Member(c, 3).Voter = false }); !errors.As(err, &pending) {
 		t.Errorf("while another change is uncommitted: %v", err)
 	}
-	s.run()
-	s.release()
+	s.runUntilIdle()
+	s.resumeDelivery()
 	if got := len(Voters(s.nodes[4].configuration())); got != 4 {
 		t.Errorf("the new voter knows %d voters", got)
 	}
 }
 
-func TestLeaderLeavesWhenItsRemovalIsCommitted(t *testing.T) {
+func TestLeaderStepsDownWhenItsRemovalIsCommitted(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
 	configuration, _ := leader.Configuration()
@@ -220,7 +224,7 @@
 	if _, err := leader.ProposeConfiguration(next, s.now); err != nil {
 		t.Fatal(err)
 	}
-	s.run()
+	s.runUntilIdle()
 	if leader.Role() != Follower || s.nodes[2].log.commit != s.nodes[2].log.lastIndex() {
 		t.Errorf("the removed leader is %v; member 2 committed %d of %d",
 			leader.Role(), s.nodes[2].log.commit, s.nodes[2].log.lastIndex())
@@ -253,7 +257,7 @@
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
 	leader.config.RetainedEntries = 1
-	s.delivers = func(message *protocol.ConsensusMessage) bool {
+	s.shouldDeliver = func(message *protocol.ConsensusMessage) bool {
 		return message.GetTo() != 3 && message.GetFrom() != 3
 	}
 	compact := func() uint64 {
@@ -262,7 +266,7 @@
 				t.Fatal(err)
 			}
 		}
-		s.run()
+		s.runUntilIdle()
 		metadata := leader.SnapshotMetadata()
 		leader.Compact(metadata)
 		return metadata.GetIndex()
@@ -272,7 +276,7 @@
 	leader.peer(3).becomeProbe(leader.peer(3).match + 1)
 	s.now = s.now.Add(DefaultHeartbeatInterval)
 	leader.Tick(s.now)
-	s.run()
+	s.runUntilIdle()
 	if peer := leader.peer(3); peer.state != stateSnapshot || peer.pendingSnapshot.GetIndex() != first {
 		t.Fatalf("the transfer of snapshot %d did not begin: %+v", first, peer)
 	}
@@ -283,7 +287,7 @@
 	}, s.now); err != nil {
 		t.Fatal(err)
 	}
-	s.run()
+	s.runUntilIdle()
 	for _, message := range s.undelivered {
 		isChunk := message.GetKind() == protocol.ConsensusMessageKind_SNAPSHOT_CHUNK
 		if isChunk && message.GetSnapshot().GetIndex() == newest {
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -9,16 +9,17 @@
 // Quorum is the number of voters that make a majority.
 func Quorum(voters int) int { return voters/2 + 1 }
 
-// quorumValue is the highest value that a majority of the voters has reached: own is this node's,
-// which counts if it is a voter, and of gives that of a peer. It is the zero value without voters.
-func quorumValue[T any](n *Node, own T, of func(*progress) T, compare func(a, b T) int) T {
+// quorumValue returns the highest value that a majority of the voters has reached, or the zero value
+// when there are no voters. own is the value of this node, which counts only if the node is a voter;
+// ofPeer returns the value of a peer.
+func quorumValue[T any](n *Node, own T, ofPeer func(*progress) T, compare func(a, b T) int) T {
 	var values []T
 	if n.isVoter() {
 		values = append(values, own)
 	}
 	for _, peer := range n.peers {
 		if peer.voter {
-			values = append(values, of(peer))
+			values = append(values, ofPeer(peer))
 		}
 	}
 	if len(values) == 0 {
@@ -48,6 +49,6 @@
 
 // quorumActive reports whether a majority, this node included, answered within the election timeout.
 func (n *Node) quorumActive(now time.Time) bool {
-	contact := quorumValue(n, now, func(p *progress) time.Time { return p.lastContact }, time.Time.Compare)
-	return now.Sub(contact) < n.config.ElectionTimeout
+	lastContact := quorumValue(n, now, func(p *progress) time.Time { return p.lastContact }, time.Time.Compare)
+	return now.Sub(lastContact) < n.config.ElectionTimeout
 }
--- a/internal/controlplane/consensus/random_faults_test.go
+++ b/internal/controlplane/consensus/random_faults_test.go
@@ -18,15 +18,15 @@
 			continue
 		}
 		now := member.clock(c.now)
-		c.nextRead++
-		c.reads[c.nextRead] = c.highestApplied
-		_ = member.node.Read(c.nextRead, now)
-		c.command++
-		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.command)}, now)
+		c.lastReadID++
+		c.minReadIndexes[c.lastReadID] = c.highestApplied
+		_ = member.node.Read(c.lastReadID, now)
+		c.lastCommand++
+		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.lastCommand)}, now)
 		if membership {
 			c.changeMembership(member, now)
 		}
-		c.carryOut(member)
+		c.processReady(member)
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	if _, err := leader.node.ProposeConfiguration(next, now); err == nil {
-		c.changes++
+		c.membershipChanges++
 	}
 }
 
@@ -67,7 +67,7 @@
 			c.partitioned[[2]uint64{member.id, id}] = true
 		}
 	case 5:
-		c.slowUntil = c.now + c.random.Int64N(2000)
+		c.slowNetworkUntil = c.now + c.random.Int64N(2000)
 	case 6:
 		for _, id := range ids {
 			if id != member.id && !c.members[id].down {
@@ -134,7 +134,7 @@
 	for _, id := range c.ids() {
 		c.t.Logf("member %d: %+v", id, c.members[id].node.Status())
 	}
-	c.fail("members do not catch up with entry %d after the faults", target)
+	c.fatalf("members do not catch up with entry %d after the faults", target)
 }
 
 func (c *simulatedCluster) allApplied(index uint64) bool {
@@ -146,7 +146,7 @@
 	return true
 }
 
-func TestRandomFaultsKeepTheRules(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	total := simulatedCluster{}
 	for seed := uint64(1); seed <= 60; seed++ {
 		cluster := newSimulatedCluster(t, seed, 3+int(seed%2)*2, 2)
@@ -163,19 +163,19 @@
 		}
 		cluster.awaitConvergence()
 		total.elections += cluster.elections
-		total.installs += cluster.installs
-		total.leaseSteps += cluster.leaseSteps
+		total.snapshotInstalls += cluster.snapshotInstalls
+		total.stepsWithLease += cluster.stepsWithLease
 		total.confirmedReads += cluster.confirmedReads
-		total.changes += cluster.changes
+		total.membershipChanges += cluster.membershipChanges
 		total.restarts += cluster.restarts
 		total.highestApplied += cluster.highestApplied
 	}
 	t.Logf("elections %d, installs %d, steps with a lease %d, reads %d, changes %d, restarts %d, entries %d",
-		total.elections, total.installs, total.leaseSteps, total.confirmedReads,
-		total.changes, total.restarts, total.highestApplied)
+		total.elections, total.snapshotInstalls, total.stepsWithLease, total.confirmedReads,
+		total.membershipChanges, total.restarts, total.highestApplied)
 	for name, count := range map[string]int{
-		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leaseSteps,
-		"reads": total.confirmedReads, "membership changes": total.changes, "restarts": total.restarts,
+		"elections": total.elections, "snapshot installs": total.snapshotInstalls, "steps with a lease": total.stepsWithLease,
+		"reads": total.confirmedReads, "membership changes": total.membershipChanges, "restarts": total.restarts,
 	} {
 		if count < 60 {
 			t.Errorf("the run covered only %d %s", count, name)
--- a/internal/controlplane/consensus/read_only.go
+++ b/internal/controlplane/consensus/read_only.go
@@ -30,8 +30,8 @@
 		n.readResults = append(n.readResults, ReadResult{ID: id, Index: index})
 		return nil
 	}
-	read := pendingRead{id: id, index: index, heartbeatSequence: n.heartbeatSequence + 1}
-	n.pendingReads = append(n.pendingReads, read)
+	pending := pendingRead{id: id, index: index, heartbeatSequence: n.heartbeatSequence + 1}
+	n.pendingReads = append(n.pendingReads, pending)
 	n.broadcastHeartbeat(now)
 	return nil
 }
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -6,8 +6,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// canPropose rejects proposals of a follower, and during a transfer, whose target must catch up.
-func (n *Node) canPropose() error {
+// checkCanPropose rejects proposals unless this node leads, and during a leadership transfer, whose target
+// must catch up with the log.
+func (n *Node) checkCanPropose() error {
 	if n.role != Leader {
 		return &NotLeaderError{Leader: n.leader}
 	}
@@ -21,7 +22,7 @@
 // *NotLeaderError, *TransferringError, *OverloadedError, *CommandSizeError; none of the commands
 // is appended then.
 func (n *Node) Propose(commands [][]byte, now time.Time) (index, term uint64, err error) {
-	if err := n.canPropose(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if err := n.checkUncommittedLimits(commands); err != nil {
@@ -67,7 +68,7 @@
 	n.log.entries = append(n.log.entries, entry)
 	n.uncommittedBytes += len(data)
 	// The configuration was marshalled by ProposeConfiguration, so it can be parsed.
-	_ = n.configurations.observe(entry)
+	_ = n.configurations.appendIfConfiguration(entry)
 	return entry.GetIndex()
 }
 
@@ -142,20 +143,20 @@
 		return err
 	}
 	previous, previousTerm, entries := n.skipCommitted(message)
-	answer := &protocol.ConsensusMessage{
+	response := &protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, To: message.GetFrom(), Round: message.GetRound(),
 	}
 	if !n.log.matches(previous, previousTerm) {
-		answer.Reject, answer.LogIndex, answer.RejectHint = true, previous, n.log.conflictHint(previous)
-		n.send(answer)
+		response.Reject, response.LogIndex, response.RejectHint = true, previous, n.log.conflictHint(previous)
+		n.send(response)
 		return nil
 	}
 	if err := n.storeEntries(entries); err != nil {
 		return err
 	}
-	answer.LogIndex = previous + uint64(len(entries))
-	n.log.commit = max(n.log.commit, min(message.GetCommit(), answer.GetLogIndex()))
-	n.send(answer)
+	response.LogIndex = previous + uint64(len(entries))
+	n.log.commit = max(n.log.commit, min(message.GetCommit(), response.GetLogIndex()))
+	n.send(response)
 	return nil
 }
 
@@ -179,7 +180,7 @@
 	}
 	n.configurations.truncate(first)
 	for _, entry := range n.log.entries[first-n.log.baseIndex-1:] {
-		if err := n.configurations.observe(entry); err != nil {
+		if err := n.configurations.appendIfConfiguration(entry); err != nil {
 			return err
 		}
 	}
@@ -219,13 +220,13 @@
 // handleRejection probes for the last match below a rejected append. Rejections that answer an append
 // from before the present probe are ignored, or it would start over.
 func (n *Node) handleRejection(peer *progress, message *protocol.ConsensusMessage, now time.Time) {
-	rejected := message.GetLogIndex()
-	stale := rejected <= peer.match || peer.state == stateSnapshot ||
-		peer.state == stateProbe && rejected != peer.next-1
+	rejectedIndex := message.GetLogIndex()
+	stale := rejectedIndex <= peer.match || peer.state == stateSnapshot ||
+		peer.state == stateProbe && rejectedIndex != peer.next-1
 	if stale {
 		return
 	}
-	peer.becomeProbe(min(rejected, message.GetRejectHint()+1))
+	peer.becomeProbe(min(rejectedIndex, message.GetRejectHint()+1))
 	n.maybeSendAppend(peer, now)
 }
 
--- a/internal/controlplane/consensus/restart_test.go
+++ b/internal/controlplane/consensus/restart_test.go
@@ -39,13 +39,13 @@
 			leader := s.elect(1)
 			s.restart(2)
 			s.restart(3)
-			s.delivers = deliverNone
+			s.shouldDeliver = deliverNone
 			kind := protocol.ConsensusMessageKind_VOTE
 			if preVote {
 				kind = protocol.ConsensusMessageKind_PRE_VOTE
 			}
 			s.deliver(s.voteRequest(kind, 3, leader.Status().Term+1))
-			s.run()
+			s.runUntilIdle()
 			for _, answer := range s.undelivered {
 				if !answer.GetReject() {
 					t.Fatalf("a member that restarted during the lease of 1 answered %v", answer)
@@ -60,7 +60,7 @@
 
 func TestTheLeaseLeaderIsDurableBeforeItIsAnswered(t *testing.T) {
 	s := newScriptedCluster(t, 0)
-	s.delivers = func(message *protocol.ConsensusMessage) bool {
+	s.shouldDeliver = func(message *protocol.ConsensusMessage) bool {
 		return message.GetKind() != protocol.ConsensusMessageKind_APPEND
 	}
 	s.elect(1)
@@ -84,9 +84,9 @@
 	s.elect(1)
 	s.elect(3)
 	s.restart(2)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, s.nodes[3].Status().Term+1))
-	s.run()
+	s.runUntilIdle()
 	for _, answer := range s.undelivered {
 		if !answer.GetReject() {
 			t.Fatalf("a former leader got %v while another one leads", answer)
@@ -98,10 +98,10 @@
 	s := newScriptedCluster(t, 0)
 	s.elect(2)
 	s.restartAll()
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.now = s.now.Add(time.Millisecond)
 	s.tickAll()
-	s.undelivered, s.delivers = nil, deliverAll
+	s.undelivered, s.shouldDeliver = nil, deliverAll
 	const step = DefaultElectionTimeout / 100
 	for waited := time.Duration(0); s.nodes[2].Role() != Leader; waited += step {
 		if waited > DefaultElectionTimeout/4 {
@@ -116,13 +116,13 @@
 	s := newScriptedCluster(t, 0)
 	s.elect(2)
 	s.restart(2)
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	requests := 0
 	for elapsed := time.Duration(0); elapsed < 10*DefaultElectionTimeout; elapsed += 10 * time.Millisecond {
 		s.now = s.now.Add(10 * time.Millisecond)
 		s.nodes[2].Tick(s.now)
 		s.undelivered = nil
-		s.run()
+		s.runUntilIdle()
 		requests += len(s.undelivered)
 	}
 	// Each of the two others gets some nine requests while it may still reject votes for anybody
--- a/internal/controlplane/consensus/scripted_cluster_test.go
+++ b/internal/controlplane/consensus/scripted_cluster_test.go
@@ -16,9 +16,9 @@
 	now     time.Time
 	nodes   map[uint64]*Node
 	durable map[uint64]*InitialState
-	// delivers decides on each message sent; undelivered has those for which it was false.
-	delivers    func(*protocol.ConsensusMessage) bool
-	undelivered []*protocol.ConsensusMessage
+	// shouldDeliver reports whether a message is delivered; undelivered collects the others.
+	shouldDeliver func(*protocol.ConsensusMessage) bool
+	undelivered   []*protocol.ConsensusMessage
 }
 
 // scriptedVoters is the number of voters of a scriptedCluster.
@@ -26,7 +26,7 @@
 
 func newScriptedCluster(t *testing.T, learners int) *scriptedCluster {
 	s := &scriptedCluster{
-		t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, delivers: deliverAll,
+		t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, shouldDeliver: deliverAll,
 	}
 	configuration, first := initialConfiguration(scriptedVoters, learners)
 	for _, member := range configuration.GetMembers() {
@@ -61,20 +61,21 @@
 	s.nodes[id] = node
 }
 
-// run carries out all output, with the messages that delivers accepts, until nothing is left.
-func (s *scriptedCluster) run() {
+// runUntilIdle processes the output of all members, and delivers the messages that shouldDeliver
+// accepts, until no member has any output.
+func (s *scriptedCluster) runUntilIdle() {
 	for progress := true; progress; {
 		progress = false
 		for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 			for s.nodes[id].HasReady() {
 				progress = true
-				s.carryOut(id)
+				s.processReady(id)
 			}
 		}
 	}
 }
 
-func (s *scriptedCluster) carryOut(id uint64) Ready {
+func (s *scriptedCluster) processReady(id uint64) Ready {
 	ready, disk := s.nodes[id].Ready(), s.durable[id]
 	for _, entry := range ready.Entries {
 		disk.Entries = append(disk.Entries[:entry.GetIndex()-1:entry.GetIndex()-1], entry)
@@ -84,7 +85,7 @@
 	}
 	s.nodes[id].Advance(ready, s.now)
 	for _, message := range ready.Messages {
-		if s.delivers(message) {
+		if s.shouldDeliver(message) {
 			s.deliver(message)
 		} else {
 			s.undelivered = append(s.undelivered, message)
@@ -99,15 +100,15 @@
 	}
 }
 
-// release delivers what is undelivered, and everything from now on.
-func (s *scriptedCluster) release() {
-	s.delivers = deliverAll
+// resumeDelivery delivers all undelivered messages and those sent from now on.
+func (s *scriptedCluster) resumeDelivery() {
+	s.shouldDeliver = deliverAll
 	s.deliverPending()
 }
 
-// deliverOneStep delivers what is undelivered, and nothing that follows from it.
+// deliverOneStep delivers the undelivered messages, but no message sent in response.
 func (s *scriptedCluster) deliverOneStep() {
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.deliverPending()
 }
 
@@ -117,7 +118,7 @@
 	for _, message := range pending {
 		s.deliver(message)
 	}
-	s.run()
+	s.runUntilIdle()
 }
 
 // elect makes a member leader, long after the last contact of the others to one.
@@ -128,7 +129,7 @@
 		s.now = s.now.Add(10 * DefaultElectionTimeout)
 		s.nodes[id].Tick(s.now)
 	}
-	s.run()
+	s.runUntilIdle()
 	if s.nodes[id].Role() != Leader {
 		s.t.Fatalf("member %d is %v", id, s.nodes[id].Role())
 	}
@@ -157,5 +158,5 @@
 	for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 		s.nodes[id].Tick(s.now)
 	}
-	s.run()
+	s.runUntilIdle()
 }
--- a/internal/controlplane/consensus/simulated_cluster_test.go
+++ b/internal/controlplane/consensus/simulated_cluster_test.go
@@ -14,12 +14,12 @@
 
 // simulatedMember is a node with its disk, clock and applied commands.
 type simulatedMember struct {
-	id      uint64
-	node    *Node
-	rate    float64
-	frozen  bool
-	down    bool
-	applied []uint64
+	id        uint64
+	node      *Node
+	clockRate float64
+	frozen    bool
+	down      bool
+	applied   []uint64
 
 	hardState *protocol.HardState
 	snapshot  *protocol.SnapshotMetadata
@@ -48,20 +48,20 @@
 	loss        float64
 	partitioned map[[2]uint64]bool
 
-	leaders        map[uint64]uint64
-	committed      map[uint64]committedEntry
-	logged         map[[2]uint64]committedEntry
-	highestApplied uint64
-	reads          map[uint64]uint64
-	nextRead       uint64
-	command        uint64
-	elections      int
-	installs       int
-	leaseSteps     int
-	confirmedReads int
-	changes        int
-	slowUntil      int64
-	restarts       int
+	leaderByTerm      map[uint64]uint64
+	committedEntries  map[uint64]committedEntry
+	loggedEntries     map[[2]uint64]committedEntry
+	highestApplied    uint64
+	minReadIndexes    map[uint64]uint64
+	lastReadID        uint64
+	lastCommand       uint64
+	elections         int
+	snapshotInstalls  int
+	stepsWithLease    int
+	confirmedReads    int
+	membershipChanges int
+	slowNetworkUntil  int64
+	restarts          int
 }
 
 const simulatedChunkBytes = 256
@@ -71,13 +71,13 @@
 func newSimulatedCluster(t *testing.T, seed uint64, voters, learners int) *simulatedCluster {
 	cluster := &simulatedCluster{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), members: map[uint64]*simulatedMember{},
-		partitioned: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, committed: map[uint64]committedEntry{},
-		reads: map[uint64]uint64{}, logged: map[[2]uint64]committedEntry{},
+		partitioned: map[[2]uint64]bool{}, leaderByTerm: map[uint64]uint64{}, committedEntries: map[uint64]committedEntry{},
+		minReadIndexes: map[uint64]uint64{}, loggedEntries: map[[2]uint64]committedEntry{},
 	}
 	configuration, first := initialConfiguration(voters, learners)
 	for _, configured := range configuration.GetMembers() {
 		member := &simulatedMember{
-			id: configured.GetId(), rate: 0.97 + 0.06*cluster.random.Float64(),
+			id: configured.GetId(), clockRate: 0.97 + 0.06*cluster.random.Float64(),
 			hardState: &protocol.HardState{Term: 1, Commit: 1}, entries: []*protocol.Entry{first},
 		}
 		cluster.members[member.id] = member
@@ -86,13 +86,13 @@
 	return cluster
 }
 
-func (c *simulatedCluster) fail(format string, arguments ...any) {
+func (c *simulatedCluster) fatalf(format string, arguments ...any) {
 	c.t.Helper()
 	c.t.Fatalf("at %d ms: %s", c.now, fmt.Sprintf(format, arguments...))
 }
 
 func (m *simulatedMember) clock(now int64) time.Time {
-	return simulationStart.Add(time.Duration(float64(now) * m.rate * float64(time.Millisecond)))
+	return simulationStart.Add(time.Duration(float64(now) * m.clockRate * float64(time.Millisecond)))
 }
 
 func (c *simulatedCluster) start(member *simulatedMember) {
@@ -101,7 +101,7 @@
 		RetainedEntries: 4, SnapshotChunkBytes: simulatedChunkBytes, MaxInflight: 16,
 	}, InitialState{HardState: member.hardState, Snapshot: member.snapshot, Entries: member.entries}, member.clock(c.now))
 	if err != nil {
-		c.fail("member %d does not start: %v", member.id, err)
+		c.fatalf("member %d does not start: %v", member.id, err)
 	}
 	member.node, member.down = node, false
 	member.applied = decodeState(member.state)
@@ -126,7 +126,7 @@
 			continue
 		}
 		member.node.Tick(member.clock(c.now))
-		c.carryOut(member)
+		c.processReady(member)
 	}
 	c.checkLeases()
 }
@@ -145,9 +145,9 @@
 			continue
 		}
 		if err := member.node.Step(sent.message, member.clock(c.now)); err != nil {
-			c.fail("member %d rejects a message: %v", member.id, err)
+			c.fatalf("member %d rejects a message: %v", member.id, err)
 		}
-		c.carryOut(member)
+		c.processReady(member)
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	for range copies {
 		delay := 1 + c.random.Int64N(10)
-		if c.now < c.slowUntil || c.random.Float64() < 0.02 {
+		if c.now < c.slowNetworkUntil || c.random.Float64() < 0.02 {
 			delay += c.random.Int64N(1500)
 		}
 
@@ -169,24 +169,24 @@
 	}
 }
 
-// carryOut carries out the member's output; it may crash after any write.
-func (c *simulatedCluster) carryOut(member *simulatedMember) {
+// processReady processes the member's output. The member may crash after any write.
+func (c *simulatedCluster) processReady(member *simulatedMember) {
 	for member.node.HasReady() {
 		ready := member.node.Ready()
 		if c.loss > 0 && ready.MustSync && c.random.Float64() < 0.002 {
 			c.crashWhileWriting(member, ready)
 			return
 		}
-		c.checkMatching(member, ready.Entries)
+		c.checkLogMatching(member, ready.Entries)
 		member.persist(ready, len(ready.Entries), true)
 		if ready.Snapshot != nil {
 			member.applied = decodeState(ready.Snapshot.Data)
-			c.installs++
+			c.snapshotInstalls++
 		}
-		var stale []uint64
+		var staleSnapshotPeers []uint64
 		for _, message := range ready.Messages {
 			if !member.fillChunk(message) {
-				stale = append(stale, message.GetTo())
+				staleSnapshotPeers = append(staleSnapshotPeers, message.GetTo())
 				continue
 			}
 			c.send(message)
@@ -198,20 +198,20 @@
 			c.checkRead(member, read)
 		}
 		member.node.Advance(ready, member.clock(c.now))
-		for _, id := range stale {
+		for _, id := range staleSnapshotPeers {
 			member.node.RestartSnapshot(id, member.clock(c.now))
 		}
-		c.checkLeader(member)
+		c.checkNewLeader(member)
 		c.maybeCompact(member)
 	}
 }
 
 // persist makes the snapshot and a prefix of the entries durable, and the hard state if it is to.
-func (m *simulatedMember) persist(ready Ready, entries int, hardState bool) {
+func (m *simulatedMember) persist(ready Ready, entryCount int, hardState bool) {
 	if ready.Snapshot != nil {
 		m.snapshot, m.state, m.entries = ready.Snapshot.Metadata, ready.Snapshot.Data, nil
 	}
-	for _, entry := range ready.Entries[:entries] {
+	for _, entry := range ready.Entries[:entryCount] {
 		position := entry.GetIndex() - m.snapshot.GetIndex() - 1
 		m.entries = append(m.entries[:position:position], entry)
 	}
@@ -268,21 +268,21 @@
 
 // apply checks state machine safety: all members apply the same entry at an index.
 func (c *simulatedCluster) apply(member *simulatedMember, entry *protocol.Entry) {
-	want, known := c.committed[entry.GetIndex()]
+	want, known := c.committedEntries[entry.GetIndex()]
 	got := committedEntry{term: entry.GetTerm(), data: string(entry.GetData())}
 	if known && want != got {
-		c.fail("member %d applies another entry at %d", member.id, entry.GetIndex())
+		c.fatalf("member %d applies another entry at %d", member.id, entry.GetIndex())
 	}
-	c.committed[entry.GetIndex()] = got
+	c.committedEntries[entry.GetIndex()] = got
 	c.highestApplied = max(c.highestApplied, entry.GetIndex())
 	if entry.GetKind() == protocol.EntryKind_ENTRY_COMMAND {
 		member.applied = append(member.applied, binary.BigEndian.Uint64(entry.GetData()))
 	}
 }
 
-// checkMatching checks log matching: entries with one index and term are equal and follow equal
+// checkLogMatching checks log matching: entries with one index and term are equal and follow equal
 // logs, which holds when each follows an entry of the same term.
-func (c *simulatedCluster) checkMatching(member *simulatedMember, entries []*protocol.Entry) {
+func (c *simulatedCluster) checkLogMatching(member *simulatedMember, entries []*protocol.Entry) {
 	for _, entry := range entries {
 		previousTerm, inMemory := member.node.log.term(entry.GetIndex() - 1)
 		if !inMemory {
@@ -290,32 +290,32 @@
 		}
 		position := [2]uint64{entry.GetIndex(), entry.GetTerm()}
 		got := committedEntry{term: previousTerm, data: string(entry.GetData())}
-		if want, known := c.logged[position]; known && want != got {
-			c.fail("member %d logs another entry at %d in term %d", member.id, entry.GetIndex(), entry.GetTerm())
+		if want, known := c.loggedEntries[position]; known && want != got {
+			c.fatalf("member %d logs another entry at %d in term %d", member.id, entry.GetIndex(), entry.GetTerm())
 		}
-		c.logged[position] = got
+		c.loggedEntries[position] = got
 	}
 }
 
-// checkLeader checks election safety and leader completeness.
-func (c *simulatedCluster) checkLeader(member *simulatedMember) {
+// checkNewLeader checks election safety and leader completeness.
+func (c *simulatedCluster) checkNewLeader(member *simulatedMember) {
 	if member.node.Role() != Leader {
 		return
 	}
 	term := member.node.Term()
-	known, seen := c.leaders[term]
-	if seen && known != member.id {
-		c.fail("members %d and %d lead term %d", known, member.id, term)
+	leader, seen := c.leaderByTerm[term]
+	if seen && leader != member.id {
+		c.fatalf("members %d and %d lead term %d", leader, member.id, term)
 	}
 	if seen {
 		return
 	}
-	c.leaders[term] = member.id
+	c.leaderByTerm[term] = member.id
 	c.elections++
-	for index, entry := range c.committed {
+	for index, entry := range c.committedEntries {
 		own, inMemory := member.node.log.term(index)
 		if entry.term < term && index > member.node.log.baseIndex && (!inMemory || own != entry.term) {
-			c.fail("leader %d of term %d lacks committed entry %d", member.id, term, index)
+			c.fatalf("leader %d of term %d lacks committed entry %d", member.id, term, index)
 		}
 	}
 }
@@ -330,12 +330,12 @@
 			continue
 		}
 		if holder != 0 {
-			c.fail("members %d and %d hold the lease", holder, id)
+			c.fatalf("members %d and %d hold the lease", holder, id)
 		}
 		holder = id
 	}
 	if holder != 0 {
-		c.leaseSteps++
+		c.stepsWithLease++
 	}
 }
 
@@ -344,7 +344,8 @@
 		return
 	}
 	c.confirmedReads++
-	if read.Index < c.reads[read.ID] {
-		c.fail("a read at member %d sees %d, but %d was applied before it", member.id, read.Index, c.reads[read.ID])
+	if read.Index < c.minReadIndexes[read.ID] {
+		c.fatalf("a read at member %d sees %d, but %d was applied before it",
+			member.id, read.Index, c.minReadIndexes[read.ID])
 	}
 }
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -93,11 +93,11 @@
 	if !sameSnapshot {
 		*incoming = incomingSnapshot{from: message.GetFrom(), term: n.term, metadata: metadata}
 	}
-	fits := message.GetChunkOffset() == uint64(len(incoming.data))
-	if fits {
+	isNextChunk := message.GetChunkOffset() == uint64(len(incoming.data))
+	if isNextChunk {
 		incoming.data = append(incoming.data, message.GetChunk()...)
 	}
-	if fits && message.GetChunkLast() {
+	if isNextChunk && message.GetChunkLast() {
 		n.installSnapshot(message)
 		return
 	}
--- a/internal/controlplane/consensus/step.go
+++ b/internal/controlplane/consensus/step.go
@@ -83,18 +83,18 @@
 
 // rejectStaleTerm rejects a request of an old term; the answer carries the current one.
 func (n *Node) rejectStaleTerm(message *protocol.ConsensusMessage) {
-	answer := &protocol.ConsensusMessage{To: message.GetFrom(), Reject: true}
+	response := &protocol.ConsensusMessage{To: message.GetFrom(), Reject: true}
 	switch message.GetKind() {
 	case protocol.ConsensusMessageKind_PRE_VOTE:
-		answer.Kind = protocol.ConsensusMessageKind_PRE_VOTE_RESPONSE
+		response.Kind = protocol.ConsensusMessageKind_PRE_VOTE_RESPONSE
 	case protocol.ConsensusMessageKind_VOTE:
-		answer.Kind = protocol.ConsensusMessageKind_VOTE_RESPONSE
+		response.Kind = protocol.ConsensusMessageKind_VOTE_RESPONSE
 	case protocol.ConsensusMessageKind_APPEND, protocol.ConsensusMessageKind_SNAPSHOT_CHUNK:
-		answer.Kind = protocol.ConsensusMessageKind_APPEND_RESPONSE
+		response.Kind = protocol.ConsensusMessageKind_APPEND_RESPONSE
 	default:
 		return
 	}
-	n.send(answer)
+	n.send(response)
 }
 
 // checkEntries rejects an append whose entries have a gap, a falling term or one above the sender's.
