--- a/internal/controlplane/consensus/config.go
+++ b/internal/controlplane/consensus/config.go
@@ -20,41 +20,41 @@
 	defaultRetainedEntries     = 1024
 	defaultRetainedBytes       = 4 << 20
 	defaultMaxSnapshotBytes    = 256 << 20
-	// clockDriftDivisor: by default the lease is shorter than the election timeout by this part of it.
+	// By default the lease is shorter than the election timeout by 1/clockDriftDivisor of it.
 	clockDriftDivisor = 8
 )
 
-// Config of a Node. Zero and negative numbers take the defaults above.
+// Config configures a Node. Zero and negative numbers are replaced by the defaults above.
 type Config struct {
-	// ID of this member; random and never zero, made with its data folder.
+	// ID identifies this member. It is random, never zero, and created together with the data directory.
 	ID uint64
-	// ElectionTimeout is the shortest time without contact to a leader after which a voter
-	// campaigns, and the time for which a member that had such contact rejects votes.
+	// ElectionTimeout is the shortest time without contact with a leader after which a voter
+	// campaigns, and the time for which a member that had such contact rejects vote requests.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the time between two heartbeats of the leader.
+	// HeartbeatInterval is the interval between heartbeats of the leader.
 	HeartbeatInterval time.Duration
-	// ClockDrift is what the lease is shorter than ElectionTimeout, for clocks that run at
-	// different speeds. Default: an eighth of ElectionTimeout.
+	// ClockDrift is the margin by which the lease is shorter than ElectionTimeout, to allow for
+	// clocks that run at different speeds. Default: an eighth of ElectionTimeout.
 	ClockDrift time.Duration
 	// MaxAppendBytes bounds the entries of one append message, in bytes.
 	MaxAppendBytes int
-	// MaxInflight bounds the entries sent to a member and not yet acknowledged.
+	// MaxInflight bounds the number of entries sent to a member but not yet acknowledged.
 	MaxInflight uint64
-	// MaxUncommitted bounds the entries proposed and not yet committed.
+	// MaxUncommitted bounds the number of entries proposed but not yet committed.
 	MaxUncommitted uint64
-	// MaxUncommittedBytes bounds the data of those entries, in bytes.
+	// MaxUncommittedBytes bounds the size of the data of those entries, in bytes.
 	MaxUncommittedBytes int
-	// MaxCommandBytes bounds one command; it must fit into one message of the transport.
+	// MaxCommandBytes bounds the size of a command, which must fit into one message of the transport.
 	MaxCommandBytes int
-	// RetainedEntries are kept in memory below a snapshot, for members that lag a little, as
-	// far as their data fits into RetainedBytes.
+	// RetainedEntries is the number of entries before a snapshot that are kept in memory for
+	// members that lag slightly; fewer are kept if their data exceeds RetainedBytes.
 	RetainedEntries uint64
 	RetainedBytes   int
-	// SnapshotChunkBytes is the size of a chunk of a transferred snapshot.
+	// SnapshotChunkBytes is the size of the chunks in which a snapshot is transferred.
 	SnapshotChunkBytes int
-	// MaxSnapshotBytes bounds a snapshot that is received.
+	// MaxSnapshotBytes bounds the size of a received snapshot.
 	MaxSnapshotBytes int
-	// Random spreads election timeouts; required.
+	// Random supplies the jitter of election timeouts; required.
 	Random *rand.Rand
 }
 
--- a/internal/controlplane/consensus/configuration.go
+++ b/internal/controlplane/consensus/configuration.go
@@ -21,7 +21,7 @@
 	return voters
 }
 
-// Member returns the member of that id, or nil.
+// Member returns the member with the given id, or nil.
 func Member(configuration *protocol.CoreConfiguration, id uint64) *protocol.CoreMember {
 	for _, member := range configuration.GetMembers() {
 		if member.GetId() == id {
@@ -31,7 +31,8 @@
 	return nil
 }
 
-// checkChange rejects a change of more than one member, or one that leaves no voter.
+// checkChange rejects a change that does not change exactly one member, adds a voter directly, has an
+// invalid id or leaves no voter.
 func checkChange(before, after *protocol.CoreConfiguration) error {
 	if len(Voters(after)) == 0 {
 		return &InvalidChangeError{Reason: "no voter is left"}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// configurationHistory holds the configuration of the snapshot and those of the log after it.
-// The newest is in force as soon as it is appended, committed or not. It is never empty.
+// configurationHistory holds the configuration of the snapshot, followed by those in the log after it.
+// The newest one is active as soon as it is appended, committed or not. The history is never empty.
 type configurationHistory struct {
 	configurations []indexedConfiguration
 }
@@ -89,21 +90,21 @@
 	}
 	configuration := &protocol.CoreConfiguration{}
 	if err := proto.Unmarshal(entry.GetData(), configuration); err != nil {
-		return &StateError{Reason: "a configuration entry cannot be read: " + err.Error(), Index: entry.GetIndex()}
+		return &StateError{Reason: "a configuration entry cannot be parsed: " + err.Error(), Index: entry.GetIndex()}
 	}
 	h.configurations = append(h.configurations,
 		indexedConfiguration{index: entry.GetIndex(), configuration: configuration})
 	return nil
 }
 
-// truncate drops the configurations from index on, as the log does with its entries.
+// truncate drops the configurations from index on, like entryLog.truncate.
 func (h *configurationHistory) truncate(index uint64) {
 	for len(h.configurations) > 1 && h.configurations[len(h.configurations)-1].index >= index {
 		h.configurations = h.configurations[:len(h.configurations)-1]
 	}
 }
 
-// compact drops the configurations that a later one at or below index replaces.
+// compact drops the configurations that are superseded by a later one at or below index.
 func (h *configurationHistory) compact(index uint64) {
 	for len(h.configurations) > 1 && h.configurations[1].index <= index {
 		h.configurations = h.configurations[1:]
@@ -114,7 +115,7 @@
 	return h.configurations[len(h.configurations)-1]
 }
 
-// at returns the configuration in force at index.
+// at returns the configuration that is active at index.
 func (h *configurationHistory) at(index uint64) *protocol.CoreConfiguration {
 	for position := len(h.configurations) - 1; position > 0; position-- {
 		if h.configurations[position].index <= index {
@@ -132,9 +133,9 @@
 	return Member(n.configuration(), n.config.ID).GetVoter()
 }
 
-// ProposeConfiguration appends a membership change of one member. Only one may be uncommitted,
-// and only after an entry of the leader's own term is committed. Errors: *NotLeaderError,
-// *TransferringError, *ChangePendingError, *InvalidChangeError.
+// ProposeConfiguration appends a configuration that changes one member. It is rejected while an
+// earlier change is uncommitted, and until an entry of the leader's own term is committed. Errors:
+// *NotLeaderError, *TransferringError, *ChangePendingError, *InvalidChangeError.
 func (n *Node) ProposeConfiguration(next *protocol.CoreConfiguration, now time.Time) (index uint64, err error) {
 	if err := n.checkCanPropose(); err != nil {
 		return 0, err
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -1,22 +1,23 @@
 package consensus
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
 const (
-	// electionJitterDivisor: deadlines are spread over this part of the election timeout, so that
-	// voters rarely campaign at once.
+	// Deadlines have a random jitter of up to 1/electionJitterDivisor of the election timeout, so that voters
+	// rarely campaign at the same time.
 	electionJitterDivisor = 2
-	// campaignRetryDivisor: a failed campaign is retried after this part of the election timeout, at the earliest.
+	// A failed campaign is retried after 1/campaignRetryDivisor of the election timeout at the earliest.
 	campaignRetryDivisor = 4
 	// maxQuickRetries is the number of failed campaigns after which a member waits for full election
-	// timeouts again: the others cannot be reached, or reject it for a reason that lasts.
+	// timeouts again: the others are unreachable, or reject it for a lasting reason.
 	maxQuickRetries = 4
-	// formerLeaderRetryDivisor: a member that led before its restart retries after this part of the election
-	// timeout. It is short, since others that restarted with it vote for nobody else yet, so that
+	// A member that led before its restart retries after 1/formerLeaderRetryDivisor of the election timeout.
+	// The delay is short, since members that restarted with it reject all other candidates at first, so that
 	// votes are not split.
 	formerLeaderRetryDivisor = 8
 )
@@ -26,8 +27,8 @@
 	n.electionDeadline = now.Add(n.config.ElectionTimeout + n.jitter(n.config.ElectionTimeout/electionJitterDivisor))
 }
 
-// resetRetryDeadline sets the deadline for the next campaign after one that starts now. As far as
-// this member knows there is no leader, so after a split vote it need not wait for a full timeout.
+// resetRetryDeadline sets the deadline for the campaign that follows one started now. Since this member has no
+// leader, it need not wait for a full election timeout after a split vote.
 func (n *Node) resetRetryDeadline(now time.Time) {
 	switch {
 	case n.resumesLeadership(now):
@@ -40,8 +41,8 @@
 	}
 }
 
-// resumesLeadership reports whether this member led before its restart, and members that restarted
-// with it may still reject votes for any other.
+// resumesLeadership reports whether this member led before its restart and members that restarted with
+// it may still reject vote requests of all others.
 func (n *Node) resumesLeadership(now time.Time) bool {
 	return n.leaseLeader == n.config.ID && now.Before(n.rejectVotesUntil)
 }
@@ -50,11 +51,11 @@
 	return time.Duration(n.config.Random.Int64N(int64(limit)))
 }
 
-// followLeader handles the sender of an append or a snapshot as the leader of this term. The error
-// is a *StateError at the given index: there can be no other leader in a term that this node leads.
+// followLeader follows the sender of an append or a snapshot, which leads this term. It returns a
+// *StateError at the given index if this node leads the term itself, since a term has at most one leader.
 func (n *Node) followLeader(leader, index uint64, now time.Time) error {
 	if n.role == Leader {
-		return &StateError{Reason: "another leader in the same term", Index: index}
+		return &StateError{Reason: fmt.Sprintf("member %d also leads term %d", leader, n.term), Index: index}
 	}
 	if n.role != Follower {
 		n.becomeFollower(n.term, leader, now)
@@ -63,9 +64,9 @@
 	return nil
 }
 
-// observeLeader records contact to the leader of this term: from now on votes are rejected for an
-// election timeout. The leader's id is durable before the message is answered, since the answer
-// extends the lease.
+// observeLeader records contact with the leader of this term: vote requests are rejected for an election
+// timeout from now. The leader's id is durable before the response is sent, since the response extends
+// the lease.
 func (n *Node) observeLeader(leader uint64, now time.Time) {
 	n.leader, n.leaseLeader = leader, leader
 	n.failedElections = 0
@@ -73,8 +74,8 @@
 	n.resetElectionDeadline(now)
 }
 
-// rejectsVotesFrom reports whether a lease may count on this node that the candidate's election
-// would break. The holder of that lease may be elected: by campaigning it gave the lease up.
+// rejectsVotesFrom reports whether the election of the candidate might violate a lease that relies on this
+// node. The holder of that lease may be elected, since it gave up the lease by campaigning.
 func (n *Node) rejectsVotesFrom(candidate uint64, now time.Time) bool {
 	if n.role == Leader {
 		return now.Before(n.LeaseEnds(now))
@@ -82,8 +83,8 @@
 	return candidate != n.leaseLeader && now.Before(n.rejectVotesUntil)
 }
 
-// becomeFollower follows the leader, which is zero when it is not known, in the term or a newer one.
-// The vote is cleared with a new term only, so that a member never votes twice in one.
+// becomeFollower follows the leader (zero if unknown) in the current or a newer term. The vote is cleared
+// only when the term changes, so that a member never votes twice in a term.
 func (n *Node) becomeFollower(term, leader uint64, now time.Time) {
 	if term > n.term {
 		n.term, n.vote = term, 0
@@ -128,14 +129,14 @@
 	n.tallyVotes(now)
 }
 
-// tallyVotes counts the answers of the voters in the newest configuration and acts on the outcome.
+// tallyVotes counts the responses of the voters in the newest configuration and acts on the outcome.
 func (n *Node) tallyVotes(now time.Time) {
 	voters := Voters(n.configuration())
 	granted, rejected := 0, 0
 	for _, voter := range voters {
-		if grant, answered := n.votes[voter]; grant {
+		if voteGranted, responded := n.votes[voter]; voteGranted {
 			granted++
-		} else if answered {
+		} else if responded {
 			rejected++
 		}
 	}
@@ -150,8 +151,8 @@
 	}
 }
 
-// becomeLeader appends an empty entry of the new term at once: committing it commits what earlier
-// leaders left, and reads wait for it.
+// becomeLeader starts to lead and appends an empty entry of the new term: committing it commits the
+// entries of earlier leaders, and reads wait for it.
 func (n *Node) becomeLeader(now time.Time) {
 	n.role, n.leader, n.votes = Leader, n.config.ID, nil
 	n.leaseLeader = n.config.ID
@@ -165,8 +166,8 @@
 	n.broadcastHeartbeat(now)
 }
 
-// stepPreVote answers whether the sender would get this member's vote. Term and vote stay as they are, so
-// that a member that cannot win does not end a leadership by campaigning.
+// stepPreVote responds whether this member would vote for the sender. The term and the vote do not
+// change, so that a member that cannot win does not depose a leader by campaigning.
 func (n *Node) stepPreVote(message *protocol.ConsensusMessage, now time.Time) {
 	grant := message.GetTerm() > n.term && !n.rejectsVotesFrom(message.GetFrom(), now) &&
 		n.log.isUpToDate(message.GetLogIndex(), message.GetLogTerm())
@@ -174,7 +175,7 @@
 		Kind: protocol.ConsensusMessageKind_PRE_VOTE_RESPONSE, To: message.GetFrom(), Reject: !grant,
 	}
 	if grant {
-		// The term that was requested, so that the pre-candidate can match the answer to its request.
+		// The requested term, so that the pre-candidate can match the response to its request.
 		response.Term = message.GetTerm()
 	}
 	n.send(response)
@@ -183,8 +184,8 @@
 	}
 }
 
-// defersTo reports whether this pre-candidate stops its campaign in favour of another one, so that
-// two that campaign at once do not split the votes: the longer log wins, then the higher id.
+// defersTo reports whether this pre-candidate abandons its campaign in favour of another one, so that
+// concurrent campaigns do not split the votes: the more up-to-date log wins, then the higher id.
 func (n *Node) defersTo(other *protocol.ConsensusMessage) bool {
 	if n.role != PreCandidate || other.GetTerm() != n.term+1 {
 		return false
@@ -193,8 +194,8 @@
 	return !sameLog || other.GetFrom() > n.config.ID
 }
 
-// stepVote grants the one vote of the term to a candidate whose log is up to date. The vote is durable
-// before the answer is sent.
+// stepVote grants this member's vote of the term to a candidate whose log is up to date. The vote is
+// durable before the response is sent.
 func (n *Node) stepVote(message *protocol.ConsensusMessage, now time.Time) {
 	grant := (n.vote == 0 || n.vote == message.GetFrom()) && (n.role == Follower || n.role == PreCandidate) &&
 		n.log.isUpToDate(message.GetLogIndex(), message.GetLogTerm())
--- a/internal/controlplane/consensus/leadership_transfer.go
+++ b/internal/controlplane/consensus/leadership_transfer.go
@@ -7,18 +7,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// transferState is a leadership transfer in progress. Once timeoutNowSent is set the lease is given
-// up for the rest of the term: voters grant the target their votes in spite of the lease.
+// transferState is a leadership transfer in progress. Once timeoutNowSent is set the lease is given up
+// for the rest of the term, since voters grant the target their votes despite the lease.
 type transferState struct {
 	target         uint64
 	deadline       time.Time
 	timeoutNowSent bool
 }
 
-// Transfer hands leadership to a voter: proposals are rejected while it is sent the entries that it
-// lacks and then asked to campaign. A transfer that takes longer than an election timeout is
-// abandoned, or ends this leadership when the target was already asked. Errors: *NotLeaderError,
-// *TransferringError, *InvalidChangeError.
+// Transfer starts a leadership transfer to another voter: the target receives the entries that it lacks
+// and then a request to campaign; proposals are rejected meanwhile. A transfer that takes longer than an
+// election timeout is abandoned; if the request was sent already, this node steps down instead. Errors:
+// *NotLeaderError, *TransferringError, *InvalidChangeError.
 func (n *Node) Transfer(target uint64, now time.Time) error {
 	if err := n.checkCanPropose(); err != nil {
 		return err
@@ -51,8 +51,8 @@
 	n.send(&protocol.ConsensusMessage{Kind: protocol.ConsensusMessageKind_TIMEOUT_NOW, To: peer.id})
 }
 
-// transferExpired reports whether the leader must step down since its target, already asked to
-// campaign, has not taken over. A transfer that did not get so far is abandoned.
+// transferExpired reports whether the leader must step down because the target received the request to
+// campaign but has not taken over in time. It abandons an expired transfer whose request was not sent.
 func (n *Node) transferExpired(now time.Time) bool {
 	if n.transfer.target == 0 || now.Before(n.transfer.deadline) {
 		return false
--- a/internal/controlplane/consensus/lease.go
+++ b/internal/controlplane/consensus/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// heartbeatBroadcast is a heartbeat to all peers and when it was sent.
+// heartbeatBroadcast records when a heartbeat was sent to all peers.
 type heartbeatBroadcast struct {
 	sequence uint64
 	sentAt   time.Time
@@ -22,7 +22,7 @@
 	n.confirmReads()
 }
 
-// recordContact records an answer of a peer and the heartbeat that the answer acknowledges.
+// recordContact records a response of a peer and the heartbeat that it acknowledges.
 func (n *Node) recordContact(peer *progress, heartbeat uint64, now time.Time) {
 	peer.lastContact = now
 	if heartbeat <= peer.ackedHeartbeat {
@@ -36,9 +36,9 @@
 	n.confirmReads()
 }
 
-// LeaseEnds is the time until which no other member can become leader, or the zero time when
-// this node has no lease. It counts from the sending of the newest heartbeat that a majority
-// acknowledged, since each of them rejects votes for an election timeout from its receipt.
+// LeaseEnds returns the time until which no other member can become leader, or the zero time if this
+// node has no lease. The lease starts when the newest heartbeat that a majority acknowledged was sent,
+// since each of these members rejects vote requests for an election timeout after it received the heartbeat.
 func (n *Node) LeaseEnds(now time.Time) time.Time {
 	if n.role != Leader || n.transfer.timeoutNowSent {
 		return time.Time{}
--- a/internal/controlplane/consensus/log.go
+++ b/internal/controlplane/consensus/log.go
@@ -9,17 +9,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// noSizeLimit makes slice return all entries.
+// noSizeLimit makes entryLog.slice return all entries of the range.
 const noSizeLimit = math.MaxInt
 
-// entryLog holds the entries in memory, those after baseIndex. Entries are immutable once appended.
-// It always holds that snapshot index <= applied <= commit <= last index, and stable <= last index;
-// applied is at most stable too, see lastApplicable.
+// entryLog holds the entries after baseIndex, which are kept in memory. Entries are immutable once appended.
+// Invariants: snapshot index <= applied <= commit <= last index, stable <= last index, and applied <= stable
+// (see lastApplicable).
 type entryLog struct {
-	// The entry before the first one in memory.
+	// baseIndex and baseTerm identify the entry before the first one in memory.
 	baseIndex, baseTerm uint64
 	entries             []*protocol.Entry
-	// stable is the last index that is durable here.
+	// stable is the last index that is durable on this member.
 	stable  uint64
 	commit  uint64
 	applied uint64
@@ -27,7 +27,7 @@
 	snapshot *protocol.SnapshotMetadata
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot.
 func (l *entryLog) restore(snapshot *protocol.SnapshotMetadata) {
 	index, term := snapshot.GetIndex(), snapshot.GetTerm()
 	*l = entryLog{
@@ -44,7 +44,7 @@
 	return l.entries[len(l.entries)-1].GetTerm()
 }
 
-// term returns the term of an entry, or false when the entry is not in memory.
+// term returns the term of the entry at index, or false if that term is not in memory.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
@@ -61,14 +61,14 @@
 	return ok && own == term
 }
 
-// isUpToDate reports whether a log that ends with the given entry has all that this one may
-// have committed (section 5.4.1 of the paper).
+// isUpToDate reports whether a log that ends with the given entry is at least as up to date as this
+// one, so that it has all entries that may be committed here (section 5.4.1 of the paper).
 func (l *entryLog) isUpToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// merge stores entries that follow a matching one, in place of those that conflict. It returns the
-// first index that changed, or zero when the log had them all.
+// merge stores entries whose predecessor matches, and replaces those that conflict. It returns the
+// first index that changed, or zero if the log already had all of them.
 func (l *entryLog) merge(entries []*protocol.Entry) uint64 {
 	for position, entry := range entries {
 		if l.matches(entry.GetIndex(), entry.GetTerm()) {
@@ -86,13 +86,13 @@
 	if index > l.lastIndex() {
 		return
 	}
-	// The capacity ends with the length, so that slices returned before are never overwritten.
+	// Clip the capacity, so that appends never overwrite slices returned before.
 	l.entries = slices.Clip(l.entries[:index-l.baseIndex-1])
 	l.stable = min(l.stable, index-1)
 }
 
-// slice returns the entries from index through the given last one: at least one when there is any,
-// else as many as fit into maxBytes.
+// slice returns the entries from index through the given last one, as many as fit into maxBytes, but at
+// least one if the range has any.
 func (l *entryLog) slice(index, through uint64, maxBytes int) []*protocol.Entry {
 	through = min(through, l.lastIndex())
 	if index > through {
@@ -109,7 +109,8 @@
 	return slices.Clip(all)
 }
 
-// compact drops entries below a durable snapshot, but for the newest retained ones.
+// compact drops the entries covered by a durable snapshot, except the newest ones: at most retained
+// entries, with at most retainedBytes of data.
 func (l *entryLog) compact(snapshot *protocol.SnapshotMetadata, retained uint64, retainedBytes int) {
 	l.snapshot = snapshot
 	index := snapshot.GetIndex()
@@ -123,13 +124,13 @@
 		return
 	}
 	term, _ := l.term(index)
-	// A copy, so that the memory of the dropped entries is released.
+	// Copy the slice, so that the memory of the dropped entries is released.
 	l.entries = slices.Clone(l.entries[index-l.baseIndex:])
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// conflictHint is the last index that may match a leader whose log disagrees at index: it skips
-// the entries of the conflicting term, but none that is committed.
+// conflictHint returns the last index that may match the log of a leader that differs at index. It
+// skips the entries of the conflicting term, but no committed entry.
 func (l *entryLog) conflictHint(index uint64) uint64 {
 	if index > l.lastIndex() {
 		return l.lastIndex()
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -1,15 +1,16 @@
 package consensus
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Role of a node in its term.
+// Role is the role of a node in its term.
 type Role int
 
-// Roles. A pre-candidate asks whether it would be elected, without starting a new term.
+// Roles. A pre-candidate finds out whether it would be elected, without starting a new term.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -17,56 +18,56 @@
 	Leader
 )
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// InitialState is what a node recovered from its disk. The zero value is a new member that
-// waits to be added to a cluster.
+// InitialState is the state that was recovered from disk. The zero value is that of a new member,
+// which waits to be added to a cluster.
 type InitialState struct {
 	HardState *protocol.HardState
 	// Snapshot describes the newest durable snapshot, which the state machine has restored.
 	Snapshot *protocol.SnapshotMetadata
-	// Entries follow the snapshot without a gap.
+	// Entries are the log after the snapshot, without a gap.
 	Entries []*protocol.Entry
 }
 
-// Node is one member of the consensus group. It belongs to a single owner goroutine.
+// Node is one member of the consensus group. Only its owner goroutine may call its methods.
 type Node struct {
 	config Config
 	role   Role
 	term   uint64
 	vote   uint64
 	leader uint64
-	// leaseLeader is the last leader whose lease may count on this member to reject votes. It is
-	// durable (HardState.promised_to), since that lease may outlive a restart of this member.
+	// leaseLeader is the last leader whose lease may rely on this member to reject vote requests. It
+	// is durable (HardState.promised_to), since that lease may outlive a restart of this member.
 	leaseLeader uint64
 
 	log            entryLog
 	configurations configurationHistory
 
 	electionDeadline time.Time
-	// failedElections counts the campaigns of this member since its last contact to a leader.
+	// failedElections counts the campaigns of this member since its last contact with a leader.
 	failedElections  int
 	rejectVotesUntil time.Time
-	// votes holds the answers to this member's campaign; true is a granted vote.
+	// votes holds the responses to this member's campaign by voter; true is a granted vote.
 	votes map[uint64]bool
-	// transferCampaign is set while this member campaigns because the leader asked it to.
+	// transferCampaign is set while this member campaigns at the request of the leader.
 	transferCampaign bool
 
-	// What follows, up to pendingReads, is used while this member leads.
+	// The fields up to pendingReads are used only while this member leads.
 
 	// peers are the other members, sorted by id.
 	peers []*progress
-	// termStart is the index of the leader's first entry, which is of its own term.
+	// termStart is the index of the first entry that this leader appended in its term.
 	termStart uint64
-	// uncommittedBytes is the size of the entries of this term that are not committed.
+	// uncommittedBytes is the data size of the entries of this term that are not committed.
 	uncommittedBytes int
 	// heartbeatSequence numbers the heartbeats; messages carry it in their field round, and
-	// answers return it.
+	// responses return it.
 	heartbeatSequence uint64
-	// recentHeartbeats are those of the last election timeout, the oldest first.
+	// recentHeartbeats are the heartbeats of the last election timeout, oldest first.
 	recentHeartbeats []heartbeatBroadcast
 	nextHeartbeat    time.Time
 	transfer         transferState
@@ -74,18 +75,19 @@
 
 	incomingSnapshot incomingSnapshot
 
-	// Output that Ready has not returned yet, and the hard state that is durable.
-	savedHardState   *protocol.HardState
+	// savedHardState is the durable hard state.
+	savedHardState *protocol.HardState
+	// The remaining fields are output that Ready has not returned yet.
 	receivedSnapshot *ReceivedSnapshot
 	messages         []*protocol.ConsensusMessage
 	readResults      []ReadResult
 }
 
-// New builds a node from what its disk holds. The error is a *StateError.
+// New creates a node from its recovered state. The error is a *StateError.
 //
-// A node that starts rejects votes for one election timeout, since a lease may count on that,
-// but not those for the leader of that lease. A node that led campaigns at once: where all
-// members restarted, it is the only one that can be elected before the timeout.
+// For one election timeout the new node rejects vote requests, since a lease may rely on that, except
+// those of the leader that holds the lease. A node that led campaigns at once: if all members restarted,
+// it is the only one that can be elected before the timeout.
 func New(config Config, initial InitialState, now time.Time) (*Node, error) {
 	node := &Node{config: config.withDefaults()}
 	if err := node.restore(initial); err != nil {
@@ -99,17 +101,17 @@
 	return node, nil
 }
 
-// restore builds the log from what the disk holds. The hard state may be older than the
-// entries, since it is written after them: the term is then that of the last entry.
+// restore sets the log, the configurations and the hard state. The recovered hard state may be older
+// than the entries, since it is written after them; the term is then that of the last entry.
 func (n *Node) restore(initial InitialState) error {
 	if n.config.ID == 0 || n.config.Random == nil {
-		return &StateError{Reason: "a node needs an id and a source of randomness"}
+		return &StateError{Reason: "Config.ID and Config.Random are required"}
 	}
 	n.log.restore(initial.Snapshot)
 	n.configurations.restore(initial.Snapshot)
 	for _, entry := range initial.Entries {
 		if entry.GetIndex() != n.log.lastIndex()+1 || entry.GetTerm() < n.log.lastTerm() {
-			return &StateError{Reason: "the entries have a gap or a falling term", Index: entry.GetIndex()}
+			return &StateError{Reason: "the entries have a gap or a decreasing term", Index: entry.GetIndex()}
 		}
 		n.log.entries = append(n.log.entries, entry)
 		if err := n.configurations.appendIfConfiguration(entry); err != nil {
@@ -119,7 +121,10 @@
 	n.log.stable = n.log.lastIndex()
 	hardState := initial.HardState
 	if hardState.GetCommit() > n.log.lastIndex() {
-		return &StateError{Reason: "committed entries are missing", Index: hardState.GetCommit()}
+		return &StateError{
+			Reason: fmt.Sprintf("the commit index is beyond the last entry, which is at index %d", n.log.lastIndex()),
+			Index:  hardState.GetCommit(),
+		}
 	}
 	n.log.commit = max(n.log.commit, hardState.GetCommit())
 	n.term, n.vote = hardState.GetTerm(), hardState.GetVotedFor()
@@ -131,7 +136,7 @@
 	return nil
 }
 
-// Tick passes the time to the node. It must be called several times in each heartbeat interval.
+// Tick passes the current time to the node. It must be called several times per heartbeat interval.
 func (n *Node) Tick(now time.Time) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -152,7 +157,8 @@
 	n.resetElectionDeadline(now)
 }
 
-// tickLeader steps down without a majority in contact, since another leader may exist by then.
+// tickLeader steps down if the leader has lost contact with a majority, since another leader may exist
+// by then, or if a transfer expired; otherwise it sends heartbeats when they are due.
 func (n *Node) tickLeader(now time.Time) {
 	if !n.quorumActive(now) || n.transferExpired(now) {
 		n.becomeFollower(n.term, 0, now)
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -11,50 +11,50 @@
 type progressState int
 
 const (
-	// stateProbe sends one append at a time until one matches.
+	// stateProbe: one append is sent at a time until one matches.
 	stateProbe progressState = iota
-	// stateReplicate sends ahead of acknowledgements.
+	// stateReplicate: entries are sent without waiting for acknowledgements.
 	stateReplicate
-	// stateSnapshot sends a snapshot, chunk by chunk.
+	// stateSnapshot: a snapshot is sent, chunk by chunk.
 	stateSnapshot
 )
 
-// progress is what a leader knows of a peer. It always holds that match < next.
+// progress tracks the replication to a peer. Invariant: match < next.
 type progress struct {
 	id    uint64
 	voter bool
 	state progressState
-	// match is the last index known to be durable there; next is the first to send.
+	// match is the last index that the peer acknowledged as durable; next is the next one to send.
 	match, next uint64
-	// probeSent is set while a probe is unanswered; a heartbeat sends it again.
+	// probeSent is set while a probe awaits its response; a heartbeat sends the probe again.
 	probeSent bool
-	// lastContact is when the member last answered, or when it was first sent to.
+	// lastContact is when the peer last responded, or when its progress was created.
 	lastContact time.Time
-	// ackedHeartbeat is the newest heartbeat that the member acknowledged.
+	// ackedHeartbeat is the newest heartbeat that the peer acknowledged.
 	ackedHeartbeat       uint64
 	ackedHeartbeatSentAt time.Time
-	// pendingSnapshot is the one that is sent in stateSnapshot; the next chunk begins at
+	// pendingSnapshot is the snapshot that is sent in stateSnapshot; its next chunk begins at
 	// pendingSnapshotOffset, in bytes.
 	pendingSnapshot       *protocol.SnapshotMetadata
 	pendingSnapshotOffset uint64
 	lastChunkSentAt       time.Time
 }
 
-// becomeProbe falls back to searching the last match, beginning at next.
+// becomeProbe starts to search for the last matching entry, beginning at next.
 func (p *progress) becomeProbe(next uint64) {
 	p.state, p.probeSent, p.pendingSnapshot = stateProbe, false, nil
 	p.next = max(next, p.match+1)
 }
 
-// becomeReplicate starts to send ahead, after a probe that matched.
+// becomeReplicate starts to send without waiting for acknowledgements, after a probe matched.
 func (p *progress) becomeReplicate() { p.state, p.probeSent = stateReplicate, false }
 
-// becomeSnapshot starts to send the snapshot from its first chunk on.
+// becomeSnapshot starts to send the snapshot from its first chunk.
 func (p *progress) becomeSnapshot(snapshot *protocol.SnapshotMetadata) {
 	p.state, p.pendingSnapshot, p.pendingSnapshotOffset = stateSnapshot, snapshot, 0
 }
 
-// acknowledge raises the match to a durable index and reports whether it advanced.
+// acknowledge raises match to an index that is durable on the peer and reports whether match advanced.
 func (p *progress) acknowledge(index uint64) bool {
 	advanced := index > p.match
 	p.match = max(p.match, index)
@@ -62,8 +62,8 @@
 	return advanced
 }
 
-// snapshotDone reports whether the member needs no more of the snapshot that is sent to it: its
-// log reaches that snapshot, or the first entry of the leader's log.
+// snapshotDone reports whether the peer no longer needs the snapshot that is being sent: its log reaches
+// that snapshot, or the entry before the first one in the leader's memory.
 func (p *progress) snapshotDone(baseIndex uint64) bool {
 	return p.state == stateSnapshot && (p.match >= baseIndex || p.match >= p.pendingSnapshot.GetIndex())
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// syncPeers updates the leader's peers to the newest configuration, sorted by id.
+// syncPeers updates the leader's peers, sorted by id, to the newest configuration.
 func (n *Node) syncPeers(now time.Time) {
 	var peers []*progress
 	for _, member := range n.configuration().GetMembers() {
--- a/internal/controlplane/consensus/read_only.go
+++ b/internal/controlplane/consensus/read_only.go
@@ -4,27 +4,27 @@
 
 // ReadResult is the outcome of a Read.
 type ReadResult struct {
-	// ID is the one passed to Read.
+	// ID is the id that was passed to Read.
 	ID uint64
-	// Index is the entry that must be applied before the state is read.
+	// Index is the index of the entry that must be applied before the state is read.
 	Index uint64
 	// Failed is set when leadership was lost before a majority confirmed it.
 	Failed bool
 }
 
-// pendingRead waits until a majority acknowledges a heartbeat that was sent after the read began.
+// pendingRead is a read that waits until a majority acknowledges a heartbeat sent after the read began.
 type pendingRead struct {
 	id, index, heartbeatSequence uint64
 }
 
-// Read requests a linearizable read (section 6.4 of the dissertation): under the lease it is
-// confirmed at once, else by a heartbeat that is sent now. The result comes with Ready, under the
-// same id. The error is a *NotLeaderError.
+// Read requests a linearizable read (section 6.4 of the dissertation): with a lease it is confirmed
+// immediately, otherwise by a heartbeat that is sent now. Ready returns the result with the same id.
+// The error is a *NotLeaderError.
 func (n *Node) Read(id uint64, now time.Time) error {
 	if n.role != Leader {
 		return &NotLeaderError{Leader: n.leader}
 	}
-	// The leader's first entry follows all that earlier leaders committed.
+	// The leader's first entry comes after all entries that earlier leaders committed.
 	index := max(n.log.commit, n.termStart)
 	if now.Before(n.LeaseEnds(now)) {
 		n.readResults = append(n.readResults, ReadResult{ID: id, Index: index})
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// confirmReads answers the reads whose heartbeat a majority has acknowledged.
+// confirmReads completes the reads whose heartbeat a majority has acknowledged.
 func (n *Node) confirmReads() {
 	if len(n.pendingReads) == 0 {
 		return
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -6,25 +6,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxCommittedBytes bounds the committed entries of one Ready, so that applying them does not hold
-// up the node for long.
+// maxCommittedBytes bounds the committed entries of one Ready, so that applying them does not block
+// the node for long.
 const maxCommittedBytes = 4 << 20
 
-// Ready is a node's output. Its owner must, in this order:
+// Ready is the output of a node. The owner must, in this order:
 //
-//  1. make Snapshot durable, in place of the log and the state, and restore the state machine;
-//  2. write Entries, each in place of any at its index and above, then HardState, and sync when
-//     MustSync is set (a crash may then lose a suffix of these writes, never one from their middle);
-//  3. send Messages; only now, since they acknowledge what steps 1 and 2 made durable;
-//  4. apply Committed and answer Reads;
+//  1. make Snapshot durable, replacing the log and the state, and restore the state machine from it;
+//  2. write Entries, each replacing any entries at its index and above, then HardState, and sync if
+//     MustSync is set (a crash may then lose a suffix of these writes, but never one from the middle);
+//  3. send Messages, not earlier, since they acknowledge what steps 1 and 2 made durable;
+//  4. apply Committed and complete Reads;
 //  5. call Advance, before any other method of the node.
 type Ready struct {
 	Snapshot  *ReceivedSnapshot
 	Entries   []*protocol.Entry
 	HardState *protocol.HardState
 	MustSync  bool
-	// Messages of kind SNAPSHOT_CHUNK carry no chunk: the owner fills in chunk and chunk_last
-	// from its snapshot at chunk_offset. Messages may be lost, delayed or duplicated.
+	// Messages of kind SNAPSHOT_CHUNK carry no chunk: the owner sets chunk and chunk_last from its
+	// snapshot at chunk_offset. Messages may be lost, delayed or duplicated.
 	Messages  []*protocol.ConsensusMessage
 	Committed []*protocol.Entry
 	Reads     []ReadResult
@@ -36,8 +36,8 @@
 		len(n.messages) > 0 || n.log.applied < n.lastApplicable() || len(n.readResults) > 0
 }
 
-// Ready returns the pending work. Messages, reads and a snapshot are returned once only; entries
-// and the hard state again until Advance.
+// Ready returns the pending work. Messages, reads and a snapshot are returned only once, entries and
+// the hard state repeatedly until Advance confirms them.
 func (n *Node) Ready() Ready {
 	ready := Ready{
 		Snapshot: n.receivedSnapshot, Messages: n.messages, Reads: n.readResults,
@@ -52,7 +52,7 @@
 	return ready
 }
 
-// Advance confirms that everything in ready was carried out.
+// Advance confirms that everything in ready was processed.
 func (n *Node) Advance(ready Ready, now time.Time) {
 	if ready.HardState != nil {
 		n.savedHardState = ready.HardState
@@ -71,15 +71,15 @@
 	}
 }
 
-// lastApplicable is the last entry that may be applied: committed, and durable here.
+// lastApplicable returns the last index that may be applied: committed, and durable on this member.
 func (n *Node) lastApplicable() uint64 { return min(n.log.commit, n.log.stable) }
 
 func (n *Node) hardStateChanged() bool {
 	return n.voteStateChanged() || n.savedHardState.GetCommit() != n.log.commit
 }
 
-// voteStateChanged reports whether the term, the vote or the lease leader is not durable yet. The
-// commit index need not be synced: it can be recovered from the other members.
+// voteStateChanged reports whether the current term, vote or lease leader is not durable yet. The commit
+// index need not be synced, since it can be recovered from the other members.
 func (n *Node) voteStateChanged() bool {
 	saved := n.savedHardState
 	return saved.GetTerm() != n.term || saved.GetVotedFor() != n.vote || saved.GetPromisedTo() != n.leaseLeader
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -18,9 +18,9 @@
 	return nil
 }
 
-// Propose appends commands and returns the index of the first one and the term of all. Errors:
-// *NotLeaderError, *TransferringError, *OverloadedError, *CommandSizeError; none of the commands
-// is appended then.
+// Propose appends commands and returns the index of the first one and their term. On an error none of
+// the commands is appended. Errors: *NotLeaderError, *TransferringError, *OverloadedError,
+// *CommandSizeError.
 func (n *Node) Propose(commands [][]byte, now time.Time) (index, term uint64, err error) {
 	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// commitTo raises the leader's commit index and releases the uncommitted bytes of the entries.
+// commitTo raises the leader's commit index and subtracts the newly committed entries from
+// uncommittedBytes.
 func (n *Node) commitTo(index uint64) {
 	for _, entry := range n.log.slice(n.log.commit+1, index, noSizeLimit) {
 		if entry.GetTerm() == n.term {
@@ -61,13 +62,13 @@
 	n.log.commit = index
 }
 
-// appendEntry appends an entry of this leader. This node counts for its commit once the entry is
-// durable here.
+// appendEntry appends an entry of this leader. This node counts towards the commit quorum once the entry
+// is durable on its own disk.
 func (n *Node) appendEntry(kind protocol.EntryKind, data []byte) uint64 {
 	entry := &protocol.Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.entries = append(n.log.entries, entry)
 	n.uncommittedBytes += len(data)
-	// The configuration was marshalled by ProposeConfiguration, so it can be parsed.
+	// ProposeConfiguration marshalled the configuration, so parsing cannot fail.
 	_ = n.configurations.appendIfConfiguration(entry)
 	return entry.GetIndex()
 }
@@ -78,7 +79,7 @@
 	}
 }
 
-// maybeSendAppend sends what the member lacks and flow control allows.
+// maybeSendAppend sends the entries that the peer lacks, as far as flow control allows.
 func (n *Node) maybeSendAppend(peer *progress, now time.Time) {
 	if peer.state == stateSnapshot || peer.state == stateProbe && peer.probeSent {
 		return
@@ -96,9 +97,9 @@
 	return n.log.slice(peer.next, peer.match+n.config.MaxInflight, n.config.MaxAppendBytes)
 }
 
-// sendAppend sends entries from peer.next on, or none, with the entry before them for the check of log
-// matching. Its round names the newest heartbeat, so that an answer to any append acknowledges that one as well: the
-// append was sent no earlier.
+// sendAppend sends entries from peer.next on, possibly none, with the index and term of the entry before
+// them for the log matching check. Its round is the newest heartbeat, so that the response to any append also
+// acknowledges that heartbeat: the append was not sent before it.
 func (n *Node) sendAppend(peer *progress, entries []*protocol.Entry) {
 	previous := peer.next - 1
 	term, _ := n.log.term(previous)
@@ -113,14 +114,14 @@
 	peer.probeSent = true
 }
 
-// sendHeartbeat sends an append in every case, since it renews the lease; it carries entries where
-// the member lacks some and is responsive.
+// sendHeartbeat always sends an append, since it renews the lease. The append carries entries if the peer
+// lacks some and is responsive.
 func (n *Node) sendHeartbeat(peer *progress, now time.Time) {
 	if peer.state != stateSnapshot && peer.next-1 < n.log.baseIndex {
 		n.startSnapshot(peer, now)
 	}
 	if peer.state == stateSnapshot {
-		// Index zero matches any log.
+		// An append after index zero matches any log.
 		n.send(&protocol.ConsensusMessage{
 			Kind: protocol.ConsensusMessageKind_APPEND, To: peer.id, Round: n.heartbeatSequence,
 		})
@@ -129,15 +130,15 @@
 	}
 	var entries []*protocol.Entry
 	if now.Sub(peer.lastContact) < n.config.ElectionTimeout {
-		// An unresponsive member gets entries once it answers: they would pile up in its queue.
+		// An unresponsive peer receives entries only once it responds; until then they would pile up in its queue.
 		entries = n.entriesFor(peer)
 	}
 	n.sendAppend(peer, entries)
 }
 
-// stepAppend stores the entries of the leader if the entry before them matches. The answer, which is sent
-// once they are durable, names the last entry that is known to match the leader's log; only that far may
-// this member commit.
+// stepAppend stores the entries of the leader if the entry before them matches. The response, which is sent
+// once they are durable, contains the last index that is certain to match the leader's log; this member
+// commits no further than that.
 func (n *Node) stepAppend(message *protocol.ConsensusMessage, now time.Time) error {
 	if err := n.followLeader(message.GetFrom(), message.GetLogIndex(), now); err != nil {
 		return err
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// skipCommitted drops the part of an append that this node has committed already: a committed
+// skipCommitted drops the part of an append that this node has already committed, since a committed
 // entry is never replaced.
 func (n *Node) skipCommitted(message *protocol.ConsensusMessage) (index, term uint64, entries []*protocol.Entry) {
 	index, term, entries = message.GetLogIndex(), message.GetLogTerm(), message.GetEntries()
@@ -172,7 +173,7 @@
 	return n.log.commit, term, entries[skipped:]
 }
 
-// storeEntries stores entries that follow a matching one, with the configurations among them.
+// storeEntries stores entries whose predecessor matches, and updates the configuration history.
 func (n *Node) storeEntries(entries []*protocol.Entry) error {
 	first := n.log.merge(entries)
 	if first == 0 {
@@ -204,7 +205,7 @@
 	advanced := peer.acknowledge(message.GetLogIndex())
 	switch {
 	case peer.snapshotDone(n.log.baseIndex):
-		// If the log was compacted beyond that snapshot since, the next append sends the newest one.
+		// If the log has been compacted beyond that snapshot meanwhile, this sends the newest snapshot.
 		peer.becomeProbe(peer.match + 1)
 		n.maybeSendAppend(peer, now)
 	case peer.state == stateProbe && peer.next-1 == message.GetLogIndex():
@@ -217,8 +218,8 @@
 	n.continueTransfer(now)
 }
 
-// handleRejection probes for the last match below a rejected append. Rejections that answer an append
-// from before the present probe are ignored, or it would start over.
+// handleRejection probes for the last matching entry before a rejected append. Rejections of appends
+// sent before the current probe are ignored, since they would restart the search.
 func (n *Node) handleRejection(peer *progress, message *protocol.ConsensusMessage, now time.Time) {
 	rejectedIndex := message.GetLogIndex()
 	stale := rejectedIndex <= peer.match || peer.state == stateSnapshot ||
@@ -230,10 +231,10 @@
 	n.maybeSendAppend(peer, now)
 }
 
-// advanceCommit commits what is durable at a majority, if the last such entry is of this term:
-// replicas of older terms' entries do not count by themselves (section 5.4.2 of the paper). It
-// reports whether the node stepped down, since it committed its own removal. Peers learn the new commit index with the
-// next append or heartbeat.
+// advanceCommit commits the entries that are durable on a majority, if the last of them is of this term:
+// entries of earlier terms must not be committed by counting replicas alone (section 5.4.2 of the paper). It
+// reports whether the node stepped down because it committed its own removal. Peers receive the new commit
+// index with the next append or heartbeat.
 func (n *Node) advanceCommit(now time.Time) bool {
 	index := n.quorumMatch()
 	if term, _ := n.log.term(index); index <= n.log.commit || term != n.term {
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -1,26 +1,28 @@
 package consensus
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ReceivedSnapshot is a complete snapshot of the leader, to be made durable and restored.
+// ReceivedSnapshot is a complete snapshot received from the leader, which the owner must make durable
+// and restore.
 type ReceivedSnapshot struct {
 	Metadata *protocol.SnapshotMetadata
 	Data     []byte
 }
 
-// incomingSnapshot collects the chunks of one leader's snapshot.
+// incomingSnapshot collects the chunks of a snapshot that one leader sends in one term.
 type incomingSnapshot struct {
 	from, term uint64
 	metadata   *protocol.SnapshotMetadata
 	data       []byte
 }
 
-// Compact records that the snapshot with this metadata, which SnapshotMetadata returned, is
-// durable. The entries below it are dropped, but for Config.RetainedEntries.
+// Compact records that the snapshot with this metadata, as returned by SnapshotMetadata, is durable.
+// It drops the entries that the snapshot covers, except the Config.RetainedEntries newest ones.
 func (n *Node) Compact(metadata *protocol.SnapshotMetadata) {
 	if metadata.GetIndex() <= n.log.snapshot.GetIndex() || metadata.GetIndex() > n.log.applied {
 		return
@@ -29,7 +31,7 @@
 	n.configurations.compact(metadata.GetIndex())
 }
 
-// SnapshotMetadata describes a snapshot taken now, of all entries that are applied.
+// SnapshotMetadata returns the metadata of a snapshot of the currently applied state.
 func (n *Node) SnapshotMetadata() *protocol.SnapshotMetadata {
 	term, _ := n.log.term(n.log.applied)
 	return &protocol.SnapshotMetadata{
@@ -37,7 +39,7 @@
 	}
 }
 
-// startSnapshot begins to send the newest snapshot. The owner fills in the chunks.
+// startSnapshot starts to send the newest snapshot. The owner fills in the chunks.
 func (n *Node) startSnapshot(peer *progress, now time.Time) {
 	peer.becomeSnapshot(n.log.snapshot)
 	n.sendChunk(peer, now)
@@ -51,22 +53,22 @@
 	})
 }
 
-// resendChunk repeats a chunk that was not answered within an election timeout.
+// resendChunk sends a chunk again that had no response within an election timeout.
 func (n *Node) resendChunk(peer *progress, now time.Time) {
 	if now.Sub(peer.lastChunkSentAt) >= n.config.ElectionTimeout {
 		n.sendChunk(peer, now)
 	}
 }
 
-// RestartSnapshot sends the newest snapshot to a member in place of the one in progress. The owner
-// calls it when it can no longer read that one.
+// RestartSnapshot sends the newest snapshot to a member instead of the one in progress. The owner calls
+// it when it can no longer read the latter.
 func (n *Node) RestartSnapshot(member uint64, now time.Time) {
 	if peer := n.peer(member); n.role == Leader && peer != nil && peer.state == stateSnapshot {
 		n.startSnapshot(peer, now)
 	}
 }
 
-// stepSnapshotChunk collects the chunks of a snapshot, unless this member has all that it covers.
+// stepSnapshotChunk collects the chunks of a snapshot, unless this member has all entries that it covers.
 func (n *Node) stepSnapshotChunk(message *protocol.ConsensusMessage, now time.Time) error {
 	metadata := message.GetSnapshot()
 	if err := n.followLeader(message.GetFrom(), metadata.GetIndex(), now); err != nil {
@@ -78,14 +80,17 @@
 		return nil
 	}
 	if message.GetChunkOffset()+uint64(len(message.GetChunk())) > uint64(n.config.MaxSnapshotBytes) {
-		return &StateError{Reason: "the snapshot exceeds the size limit of this member", Index: metadata.GetIndex()}
+		return &StateError{
+			Reason: fmt.Sprintf("the snapshot exceeds the size limit of %d bytes", n.config.MaxSnapshotBytes),
+			Index:  metadata.GetIndex(),
+		}
 	}
 	n.appendChunk(message)
 	return nil
 }
 
-// appendChunk stores a chunk and answers with the offset of the next one. A chunk of another
-// snapshot, leader or term restarts the collection.
+// appendChunk stores a chunk and responds with the offset of the next one. A chunk of another snapshot,
+// leader or term discards the chunks collected so far.
 func (n *Node) appendChunk(message *protocol.ConsensusMessage) {
 	metadata, incoming := message.GetSnapshot(), &n.incomingSnapshot
 	sameSnapshot := incoming.from == message.GetFrom() && incoming.term == n.term &&
@@ -107,7 +112,7 @@
 	})
 }
 
-// installSnapshot replaces the log by the complete snapshot, which the next Ready returns.
+// installSnapshot replaces the log with the complete snapshot, which the next Ready returns.
 func (n *Node) installSnapshot(message *protocol.ConsensusMessage) {
 	n.receivedSnapshot = &ReceivedSnapshot{Metadata: n.incomingSnapshot.metadata, Data: n.incomingSnapshot.data}
 	n.log.restore(n.incomingSnapshot.metadata)
@@ -116,8 +121,8 @@
 	n.acknowledgeSnapshot(message)
 }
 
-// acknowledgeSnapshot answers as to an append: when the answer is sent, all up to the commit index is
-// durable here.
+// acknowledgeSnapshot responds as to an append: by the time the response is sent, this member has all
+// entries up to the commit index durably.
 func (n *Node) acknowledgeSnapshot(message *protocol.ConsensusMessage) {
 	n.send(&protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_APPEND_RESPONSE, To: message.GetFrom(),
@@ -135,7 +140,7 @@
 		return
 	}
 	if message.GetChunkOffset() == peer.pendingSnapshotOffset {
-		// A duplicate answer; a chunk that was lost or rejected is sent again with heartbeats.
+		// A duplicate response; heartbeats resend a chunk that was lost or rejected.
 		return
 	}
 	peer.pendingSnapshotOffset = message.GetChunkOffset()
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -14,27 +14,27 @@
 	FirstIndex       uint64
 	LastIndex        uint64
 	SnapshotIndex    uint64
-	// TermStart is the index of the leader's first entry: once it is applied the state machine
-	// has all that earlier leaders committed.
+	// TermStart is the index of the first entry that the leader appended in its term: once it is
+	// applied, the state machine has all entries that earlier leaders committed.
 	TermStart     uint64
 	Transferring  bool
 	Configuration *protocol.CoreConfiguration
-	// ConfigurationIndex is the index of Configuration in the log; it may be uncommitted.
+	// ConfigurationIndex is the index of Configuration in the log, which may be uncommitted.
 	ConfigurationIndex uint64
 	Peers              []PeerStatus
 }
 
-// PeerStatus is what the leader knows of another member.
+// PeerStatus describes the replication from the leader to another member.
 type PeerStatus struct {
 	ID uint64
-	// Match is the last index known to be durable there.
+	// Match is the last index that the member acknowledged as durable.
 	Match uint64
 	Voter bool
-	// LastContact is when it last answered, or when it was first sent to.
+	// LastContact is when the member last responded, or when the leader started to track it.
 	LastContact time.Time
 }
 
-// Status describes the node.
+// Status returns the status of the node.
 func (n *Node) Status() Status {
 	latest := n.configurations.latest()
 	status := Status{
@@ -58,7 +58,7 @@
 	return &protocol.HardState{Term: n.term, VotedFor: n.vote, Commit: n.log.commit, PromisedTo: n.leaseLeader}
 }
 
-// Role returns the role.
+// Role returns the current role.
 func (n *Node) Role() Role { return n.role }
 
 // Term returns the current term.
@@ -67,7 +67,7 @@
 // Leader returns the id of the leader of this term, or zero while none is known.
 func (n *Node) Leader() uint64 { return n.leader }
 
-// Entries returns the entries in memory from index on; they must not be changed.
+// Entries returns the entries in memory from index on. The caller must not modify them.
 func (n *Node) Entries(index uint64) []*protocol.Entry {
 	return n.log.slice(max(index, n.log.baseIndex+1), n.log.lastIndex(), noSizeLimit)
 }
@@ -75,7 +75,7 @@
 // Applied returns the last applied index.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
-// Configuration returns the newest configuration and its index; it may be uncommitted.
+// Configuration returns the newest configuration, which may be uncommitted, and its index.
 func (n *Node) Configuration() (*protocol.CoreConfiguration, uint64) {
 	latest := n.configurations.latest()
 	return latest.configuration, latest.index
--- a/internal/controlplane/consensus/step.go
+++ b/internal/controlplane/consensus/step.go
@@ -1,13 +1,14 @@
 package consensus
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Step handles a message of another member. Messages for another id and of unknown kinds are
-// ignored. The error is a *StateError: the message breaks the rules of the log and nothing changed.
+// Step handles a message from another member. Messages that are addressed to another id, or of an unknown
+// kind, are ignored. The error is a *StateError: the message violates the invariants of the log.
 func (n *Node) Step(message *protocol.ConsensusMessage, now time.Time) error {
 	if message.GetTo() != n.config.ID || message.GetFrom() == n.config.ID || message.GetTerm() == 0 {
 		return nil
@@ -25,8 +26,8 @@
 	return n.dispatch(message, now)
 }
 
-// enterTerm adopts the message's term if the kind of message requires it. It returns false when
-// the message must not be handled.
+// enterTerm adopts the term of the message if the message kind requires it. It returns false if the
+// message must not be handled.
 func (n *Node) enterTerm(message *protocol.ConsensusMessage, now time.Time) bool {
 	newer := message.GetTerm() > n.term
 	switch message.GetKind() {
@@ -39,8 +40,8 @@
 		}
 		return true
 	case protocol.ConsensusMessageKind_VOTE:
-		// A higher term is no reason to vote, or a removed or partitioned member could end a
-		// lease.
+		// A higher term does not override a lease: otherwise a removed or partitioned member could depose
+		// the leader that holds it.
 		if n.rejectsVotesFrom(message.GetFrom(), now) && !message.GetTransfer() {
 			return false
 		}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// rejectStaleTerm rejects a request of an old term; the answer carries the current one.
+// rejectStaleTerm rejects a request of an old term. The response carries the current term.
 func (n *Node) rejectStaleTerm(message *protocol.ConsensusMessage) {
 	response := &protocol.ConsensusMessage{To: message.GetFrom(), Reject: true}
 	switch message.GetKind() {
@@ -97,12 +98,15 @@
 	n.send(response)
 }
 
-// checkEntries rejects an append whose entries have a gap, a falling term or one above the sender's.
+// checkEntries rejects an append whose entries have a gap, a decreasing term or a term above the sender's.
 func checkEntries(message *protocol.ConsensusMessage) error {
 	index, term := message.GetLogIndex(), message.GetLogTerm()
 	for _, entry := range message.GetEntries() {
 		if entry.GetIndex() != index+1 || entry.GetTerm() < term || entry.GetTerm() > message.GetTerm() {
-			return &StateError{Reason: "an append has a gap or a wrong term", Index: entry.GetIndex()}
+			return &StateError{
+				Reason: fmt.Sprintf("the append of member %d has a gap or an invalid term", message.GetFrom()),
+				Index:  entry.GetIndex(),
+			}
 		}
 		index, term = entry.GetIndex(), entry.GetTerm()
 	}
