--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -10,7 +10,7 @@
 
 func TestConcurrentCampaignsDoNotSplitTheVotes(t *testing.T) {
 	s := newScriptedCluster(t, 0)
-	lostMember := func(message *protocol.ConsensusMessage) bool {
+	involvesMember3 := func(message *protocol.ConsensusMessage) bool {
 		return message.GetTo() == 3 || message.GetFrom() == 3
 	}
 	s.shouldDeliver = deliverNone
@@ -18,13 +18,14 @@
 	s.nodes[1].Tick(s.now)
 	s.nodes[2].Tick(s.now)
 	s.runUntilIdle()
-	// The requests and answers of the two cross each other on the way, step by step.
+	// Deliver one step at a time, so that the requests and responses of members 1 and 2 cross.
 	for range 10 {
-		s.undelivered = slices.DeleteFunc(s.undelivered, lostMember)
+		s.undelivered = slices.DeleteFunc(s.undelivered, involvesMember3)
 		s.deliverOneStep()
 	}
 	if s.nodes[1].Role() == Leader || s.nodes[2].Role() != Leader {
-		t.Fatalf("the two are %v and %v", s.nodes[1].Role(), s.nodes[2].Role())
+		t.Fatalf("member 1 is %v and member 2 is %v, want member 2 as the only leader",
+			s.nodes[1].Role(), s.nodes[2].Role())
 	}
 }
 
@@ -45,13 +46,13 @@
 		}
 	}
 	if len(campaigns) < maxQuickRetries+2 {
-		t.Fatalf("campaigned %d times", len(campaigns))
+		t.Fatalf("member 1 campaigned %d times, want at least %d", len(campaigns), maxQuickRetries+2)
 	}
 	for attempt := 1; attempt < len(campaigns); attempt++ {
 		interval := campaigns[attempt].Sub(campaigns[attempt-1])
 		wantQuick := attempt <= maxQuickRetries
 		if quick := interval < DefaultElectionTimeout; quick != wantQuick {
-			t.Errorf("attempt %d came after %v", attempt, interval)
+			t.Errorf("retry %d came after %v, want less than %v: %t", attempt, interval, DefaultElectionTimeout, wantQuick)
 		}
 	}
 }
--- a/internal/controlplane/consensus/fuzz_test.go
+++ b/internal/controlplane/consensus/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// FuzzStep feeds one member any messages: it may reject them, but it never panics, goes back in
-// term, commit or applied index, or commits entries that it does not have.
+// FuzzStep passes arbitrary messages to one member. The member may reject them, but it must not panic,
+// decrease its term, commit index or applied index, or commit entries that it does not have.
 func FuzzStep(f *testing.F) {
 	for kind := range protocol.ConsensusMessageKind_name {
 		message := &protocol.ConsensusMessage{
@@ -22,9 +22,9 @@
 		data, _ := proto.Marshal(message)
 		f.Add(data, data, uint8(3), true)
 	}
-	f.Fuzz(func(t *testing.T, first, second []byte, wait uint8, lead bool) {
+	f.Fuzz(func(t *testing.T, first, second []byte, wait uint8, electFirst bool) {
 		s := newScriptedCluster(t, 0)
-		if lead {
+		if electFirst {
 			s.elect(1)
 		}
 		node := s.nodes[1]
@@ -42,9 +42,9 @@
 				node.Advance(ready, s.now)
 			}
 			after := node.Status()
-			wentBack := after.Term < before.Term || after.Commit < before.Commit || after.Applied < before.Applied
-			if wentBack || after.Commit > after.LastIndex {
-				t.Fatalf("from %+v to %+v", before, after)
+			regressed := after.Term < before.Term || after.Commit < before.Commit || after.Applied < before.Applied
+			if regressed || after.Commit > after.LastIndex {
+				t.Fatalf("message %v changed the status from %+v to %+v", message, before, after)
 			}
 		}
 	})
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -17,7 +17,7 @@
 		wait    time.Duration
 		granted bool
 	}{
-		"right after contact to the leader":    {func(*scriptedCluster) {}, 0, false},
+		"right after contact with the leader":  {func(*scriptedCluster) {}, 0, false},
 		"just before the election timeout":     {func(*scriptedCluster) {}, DefaultElectionTimeout - time.Millisecond, false},
 		"after the election timeout":           {func(*scriptedCluster) {}, DefaultElectionTimeout, true},
 		"right after a restart":                {func(s *scriptedCluster) { s.restart(2) }, 0, false},
@@ -40,15 +40,15 @@
 			for _, kind := range kinds {
 				s.deliver(s.voteRequest(kind, 3, term+1))
 				granted := false
-				for _, answer := range s.nodes[2].Ready().Messages {
-					granted = granted || !answer.GetReject()
+				for _, response := range s.nodes[2].Ready().Messages {
+					granted = granted || !response.GetReject()
 				}
 				if granted != tt.granted {
 					t.Errorf("%v: granted %v, want %v", kind, granted, tt.granted)
 				}
 			}
-			if moved := s.nodes[2].Term() != term; moved != tt.granted {
-				t.Errorf("the term moved from %d to %d", term, s.nodes[2].Term())
+			if changed := s.nodes[2].Term() != term; changed != tt.granted {
+				t.Errorf("term %d after the requests, was %d before; want a change: %t", s.nodes[2].Term(), term, tt.granted)
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	s := newScriptedCluster(t, 0)
 	s.now = s.now.Add(2 * DefaultElectionTimeout)
 	s.shouldDeliver = deliverNone
-	// The term is known and durable before the vote is requested.
+	// Member 2 adopts term 2 and makes it durable before the vote is requested.
 	s.deliver(&protocol.ConsensusMessage{
 		Kind: protocol.ConsensusMessageKind_VOTE_RESPONSE, From: 1, To: 2, Term: 2, Reject: true,
 	})
@@ -68,13 +68,13 @@
 	durable := ready.MustSync && ready.HardState.GetVotedFor() == 3
 	granted := len(ready.Messages) == 1 && !ready.Messages[0].GetReject()
 	if !durable || !granted {
-		t.Fatalf("the vote is not saved with its answer: %+v", ready)
+		t.Fatalf("vote for member 3: durable %t, granted %t, want both; Ready: %+v", durable, granted, ready)
 	}
 	s.restart(2)
 	s.now = s.now.Add(2 * DefaultElectionTimeout)
 	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, 2))
-	if answer := s.nodes[2].Ready().Messages[0]; !answer.GetReject() {
-		t.Error("two votes in one term")
+	if response := s.nodes[2].Ready().Messages[0]; !response.GetReject() {
+		t.Error("member 2 voted for members 3 and 1 in term 2")
 	}
 }
 
@@ -88,12 +88,12 @@
 	leader.Tick(s.now)
 	s.runUntilIdle()
 	if ends := leader.LeaseEnds(s.now); !ends.Before(sentAt.Add(leaseDuration)) {
-		t.Errorf("the lease grew before an answer: %v", ends.Sub(sentAt))
+		t.Errorf("the lease ends %v after an unacknowledged heartbeat, want less than %v", ends.Sub(sentAt), leaseDuration)
 	}
 	s.now = s.now.Add(300 * time.Millisecond)
 	s.resumeDelivery()
 	if ends := leader.LeaseEnds(s.now); !ends.Equal(sentAt.Add(leaseDuration)) {
-		t.Errorf("the lease ends %v after the sending, want %v", ends.Sub(sentAt), leaseDuration)
+		t.Errorf("the lease ends %v after the heartbeat was sent, want %v", ends.Sub(sentAt), leaseDuration)
 	}
 }
 
@@ -104,7 +104,7 @@
 	s.now = s.now.Add(DefaultElectionTimeout)
 	leader.Tick(s.now)
 	if leader.Role() != Follower {
-		t.Errorf("the leader is still %v", leader.Role())
+		t.Errorf("after an election timeout without contact the leader is %v, want %v", leader.Role(), Follower)
 	}
 }
 
@@ -120,19 +120,19 @@
 	s.runUntilIdle()
 	var transferring *TransferringError
 	if _, _, err := leader.Propose([][]byte{nil}, s.now); !errors.As(err, &transferring) {
-		t.Errorf("a proposal during the transfer gives %v", err)
+		t.Errorf("Propose during the transfer returned %v, want a *TransferringError", err)
 	}
 	if !leader.LeaseEnds(s.now).IsZero() {
-		t.Error("the lease goes on after the target was asked to campaign")
+		t.Errorf("after TIMEOUT_NOW was sent the lease ends at %v, want no lease", leader.LeaseEnds(s.now))
 	}
 	s.now = s.now.Add(DefaultElectionTimeout)
 	leader.Tick(s.now)
 	if leader.Role() != Follower {
-		t.Error("the leader goes on after a transfer that may still succeed")
+		t.Errorf("after the transfer expired with TIMEOUT_NOW sent the leader is %v, want %v", leader.Role(), Follower)
 	}
 	s.resumeDelivery()
 	if s.nodes[2].Role() != Leader || s.nodes[2].Term() != 3 {
-		t.Errorf("the target is %v of term %d", s.nodes[2].Role(), s.nodes[2].Term())
+		t.Errorf("the target is %v in term %d, want %v in term 3", s.nodes[2].Role(), s.nodes[2].Term(), Leader)
 	}
 }
 
@@ -146,7 +146,7 @@
 	s.runUntilIdle()
 	s.undelivered, s.shouldDeliver = nil, deliverAll
 	old := leader.log.lastIndex()
-	// The same member leads again; its own first entry reaches nobody yet.
+	// Member 1 leads again, but the first entry of its new term reaches no other member yet.
 	s.shouldDeliver = func(m *protocol.ConsensusMessage) bool {
 		return m.GetKind() != protocol.ConsensusMessageKind_APPEND
 	}
@@ -160,12 +160,13 @@
 	acknowledge(old)
 	s.runUntilIdle()
 	if leader.log.commit >= old {
-		t.Error("an entry of an earlier term was committed by counting")
+		t.Errorf("commit index %d: entry %d of an earlier term was committed by counting replicas alone",
+			leader.log.commit, old)
 	}
 	acknowledge(old + 1)
 	s.runUntilIdle()
 	if leader.log.commit != old+1 {
-		t.Errorf("commit is %d, want %d", leader.log.commit, old+1)
+		t.Errorf("commit index %d, want %d", leader.log.commit, old+1)
 	}
 }
 
@@ -185,7 +186,7 @@
 	promote := func(c *protocol.CoreConfiguration) { Member(c, 4).Voter = true }
 	var pending *ChangePendingError
 	if err := change(promote); !errors.As(err, &pending) {
-		t.Errorf("before an entry of the term is committed: %v", err)
+		t.Errorf("change before an entry of the term is committed: got %v, want a *ChangePendingError", err)
 	}
 	s.resumeDelivery()
 	var invalid *InvalidChangeError
@@ -194,11 +195,11 @@
 		"a new voter": func(c *protocol.CoreConfiguration) {
 			c.Members = append(c.Members, &protocol.CoreMember{Id: 9, Voter: true})
 		},
-		"nothing":     func(*protocol.CoreConfiguration) {},
-		"nobody left": func(c *protocol.CoreConfiguration) { c.Members = nil },
+		"no change":      func(*protocol.CoreConfiguration) {},
+		"no member left": func(c *protocol.CoreConfiguration) { c.Members = nil },
 	} {
 		if err := change(edit); !errors.As(err, &invalid) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want an *InvalidChangeError", name, err)
 		}
 	}
 	s.shouldDeliver = deliverNone
@@ -206,12 +207,12 @@
 		t.Fatal(err)
 	}
 	if err := change(func(c *protocol.CoreConfiguration) { Member(c, 3).Voter = false }); !errors.As(err, &pending) {
-		t.Errorf("while another change is uncommitted: %v", err)
+		t.Errorf("change while another one is uncommitted: got %v, want a *ChangePendingError", err)
 	}
 	s.runUntilIdle()
 	s.resumeDelivery()
 	if got := len(Voters(s.nodes[4].configuration())); got != 4 {
-		t.Errorf("the new voter knows %d voters", got)
+		t.Errorf("the configuration of the new voter has %d voters, want 4", got)
 	}
 }
 
@@ -226,33 +227,39 @@
 	}
 	s.runUntilIdle()
 	if leader.Role() != Follower || s.nodes[2].log.commit != s.nodes[2].log.lastIndex() {
-		t.Errorf("the removed leader is %v; member 2 committed %d of %d",
-			leader.Role(), s.nodes[2].log.commit, s.nodes[2].log.lastIndex())
+		t.Errorf("the removed leader is %v, want %v; member 2 committed up to entry %d, want %d",
+			leader.Role(), Follower, s.nodes[2].log.commit, s.nodes[2].log.lastIndex())
 	}
 	s.now = s.now.Add(20 * DefaultElectionTimeout)
 	leader.Tick(s.now)
 	if leader.Role() != Follower {
-		t.Error("a removed member campaigns")
+		t.Errorf("long after its removal the former leader is %v, want %v", leader.Role(), Follower)
 	}
 }
 
 func TestNewRejectsDamagedState(t *testing.T) {
 	entry := func(index, term uint64) *protocol.Entry { return &protocol.Entry{Index: index, Term: term} }
 	for name, initial := range map[string]InitialState{
-		"gap":            {Entries: []*protocol.Entry{entry(1, 1), entry(3, 1)}},
-		"falling term":   {Entries: []*protocol.Entry{entry(1, 2), entry(2, 1)}},
-		"lost commit":    {Entries: []*protocol.Entry{entry(1, 1)}, HardState: &protocol.HardState{Term: 1, Commit: 2}},
-		"before a start": {Snapshot: &protocol.SnapshotMetadata{Index: 5, Term: 1}, Entries: []*protocol.Entry{entry(5, 1)}},
+		"gap":             {Entries: []*protocol.Entry{entry(1, 1), entry(3, 1)}},
+		"decreasing term": {Entries: []*protocol.Entry{entry(1, 2), entry(2, 1)}},
+		"missing committed entry": {
+			Entries: []*protocol.Entry{entry(1, 1)}, HardState: &protocol.HardState{Term: 1, Commit: 2},
+		},
+		"entry covered by the snapshot": {
+			Snapshot: &protocol.SnapshotMetadata{Index: 5, Term: 1}, Entries: []*protocol.Entry{entry(5, 1)},
+		},
 	} {
 		var damaged *StateError
 		config := Config{ID: 1, Random: rand.New(rand.NewPCG(1, 1))}
 		if _, err := New(config, initial, simulationStart); !errors.As(err, &damaged) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want a *StateError", name, err)
 		}
 	}
 }
 
-// A transfer may take longer than the leader takes to compact past the snapshot that was begun.
+// A snapshot transfer may take so long that the leader meanwhile compacts its log beyond that snapshot. The
+// member must then receive the newest snapshot; it would otherwise never catch up, since the leader no longer
+// has the entries after the old one.
 func TestAMemberThatInstalledAnOldSnapshotGetsTheNewest(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	leader := s.elect(1)
@@ -272,13 +279,13 @@
 		return metadata.GetIndex()
 	}
 	first := compact()
-	// The entries sent ahead are lost, so that the leader probes for the member's last match.
+	// The entries sent to member 3 are lost, so the leader probes for its last matching entry.
 	leader.peer(3).becomeProbe(leader.peer(3).match + 1)
 	s.now = s.now.Add(DefaultHeartbeatInterval)
 	leader.Tick(s.now)
 	s.runUntilIdle()
 	if peer := leader.peer(3); peer.state != stateSnapshot || peer.pendingSnapshot.GetIndex() != first {
-		t.Fatalf("the transfer of snapshot %d did not begin: %+v", first, peer)
+		t.Fatalf("the transfer of snapshot %d to member 3 did not start: progress %+v", first, peer)
 	}
 	newest := compact()
 	s.undelivered = nil
@@ -294,5 +301,5 @@
 			return
 		}
 	}
-	t.Errorf("the member stays at %d for ever, snapshot %d was not begun", first, newest)
+	t.Errorf("member 3 installed snapshot %d, but the leader did not start to send snapshot %d", first, newest)
 }
--- a/internal/controlplane/consensus/random_faults_test.go
+++ b/internal/controlplane/consensus/random_faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// propose submits a command, a read and, if wanted, a change to every member that acts as leader.
+// propose submits a command, a read and optionally a membership change to every running member that leads.
 func (c *simulatedCluster) propose(membership bool) {
 	for _, id := range c.ids() {
 		member := c.members[id]
@@ -30,7 +30,7 @@
 	}
 }
 
-// changeMembership flips the voter flag of a random member, or transfers leadership.
+// changeMembership toggles the voter flag of a random member, or transfers leadership to it.
 func (c *simulatedCluster) changeMembership(leader *simulatedMember, now time.Time) {
 	configuration, _ := leader.node.Configuration()
 	target := configuration.GetMembers()[c.random.IntN(len(configuration.GetMembers()))]
@@ -48,7 +48,7 @@
 	}
 }
 
-// injectFault injects one random fault, or repairs some. Half of the faults hit a leader.
+// injectFault injects a random fault or repairs earlier ones. Half of the time it targets a leader.
 func (c *simulatedCluster) injectFault() {
 	ids := c.ids()
 	member, other := c.members[ids[c.random.IntN(len(ids))]], ids[c.random.IntN(len(ids))]
@@ -91,8 +91,8 @@
 	return member
 }
 
-// resumeAll restarts the members that are down and resumes the frozen ones; those serve requests
-// before they see how much time has passed.
+// resumeAll restarts the members that are down and resumes the frozen ones, which serve requests before
+// they observe how much time has passed.
 func (c *simulatedCluster) resumeAll() {
 	for _, id := range c.ids() {
 		member := c.members[id]
@@ -118,7 +118,7 @@
 	}
 }
 
-// awaitConvergence runs until all members have applied the same entries and a new command besides.
+// awaitConvergence repairs all faults and runs until every member has applied all entries and a new one.
 func (c *simulatedCluster) awaitConvergence() {
 	c.heal()
 	target := c.highestApplied + 1
@@ -134,7 +134,7 @@
 	for _, id := range c.ids() {
 		c.t.Logf("member %d: %+v", id, c.members[id].node.Status())
 	}
-	c.fatalf("members do not catch up with entry %d after the faults", target)
+	c.fatalf("not all members applied entry %d after the faults were repaired", target)
 }
 
 func (c *simulatedCluster) allApplied(index uint64) bool {
@@ -153,7 +153,7 @@
 		cluster.loss = 0.05 * float64(seed%4)
 		for step := 1; step <= 8000 && !t.Failed(); step++ {
 			cluster.step()
-			// A quiet period brings every log up to date, so that any member could be elected.
+			// Quiet periods let every log catch up, so that any member can be elected.
 			if quiet := step/500%2 == 1; step%4 == 0 && !quiet || step%200 == 0 {
 				cluster.propose(step%100 == 0)
 			}
@@ -178,7 +178,7 @@
 		"reads": total.confirmedReads, "membership changes": total.membershipChanges, "restarts": total.restarts,
 	} {
 		if count < 60 {
-			t.Errorf("the run covered only %d %s", count, name)
+			t.Errorf("the run covered %d %s, want at least 60", count, name)
 		}
 	}
 }
--- a/internal/controlplane/consensus/restart_test.go
+++ b/internal/controlplane/consensus/restart_test.go
@@ -14,10 +14,11 @@
 	s.now = s.now.Add(time.Millisecond)
 	s.tickAll()
 	if leader := s.nodes[2]; leader.Role() != Leader || leader.Status().Term <= term {
-		t.Fatalf("the former leader is %v in term %d, led term %d", leader.Role(), leader.Status().Term, term)
+		t.Fatalf("the former leader is %v in term %d, want %v in a term after %d",
+			leader.Role(), leader.Status().Term, Leader, term)
 	}
 	if !s.now.Before(s.nodes[2].LeaseEnds(s.now)) {
-		t.Error("it leads without a lease")
+		t.Error("the restarted leader has no lease")
 	}
 }
 
@@ -28,7 +29,7 @@
 	s.now = s.now.Add(time.Millisecond)
 	s.tickAll()
 	if s.nodes[2].Role() != Leader {
-		t.Fatalf("the former leader is %v", s.nodes[2].Role())
+		t.Fatalf("the former leader is %v, want %v", s.nodes[2].Role(), Leader)
 	}
 }
 
@@ -46,19 +47,19 @@
 			}
 			s.deliver(s.voteRequest(kind, 3, leader.Status().Term+1))
 			s.runUntilIdle()
-			for _, answer := range s.undelivered {
-				if !answer.GetReject() {
-					t.Fatalf("a member that restarted during the lease of 1 answered %v", answer)
+			for _, response := range s.undelivered {
+				if !response.GetReject() {
+					t.Fatalf("member 2, restarted during the lease of member 1, responded %v, want a rejection", response)
 				}
 			}
 			if !s.now.Before(leader.LeaseEnds(s.now)) {
-				t.Fatal("the leader has no lease to protect")
+				t.Fatal("the leader has no lease, so the test checks nothing")
 			}
 		})
 	}
 }
 
-func TestTheLeaseLeaderIsDurableBeforeItIsAnswered(t *testing.T) {
+func TestLeaseLeaderIsDurableBeforeTheResponseIsSent(t *testing.T) {
 	s := newScriptedCluster(t, 0)
 	s.shouldDeliver = func(message *protocol.ConsensusMessage) bool {
 		return message.GetKind() != protocol.ConsensusMessageKind_APPEND
@@ -72,10 +73,11 @@
 	}
 	ready := s.nodes[2].Ready()
 	if !ready.MustSync || ready.HardState.GetPromisedTo() != 1 {
-		t.Errorf("the leader is answered with the hard state %v, synced %t", ready.HardState, ready.MustSync)
+		t.Errorf("hard state %v, MustSync %t with the response; want promised_to 1 and MustSync",
+			ready.HardState, ready.MustSync)
 	}
 	if len(ready.Messages) != 1 || ready.Messages[0].GetKind() != protocol.ConsensusMessageKind_APPEND_RESPONSE {
-		t.Errorf("answers: %v", ready.Messages)
+		t.Errorf("messages %v, want one APPEND_RESPONSE", ready.Messages)
 	}
 }
 
@@ -87,9 +89,9 @@
 	s.shouldDeliver = deliverNone
 	s.deliver(s.voteRequest(protocol.ConsensusMessageKind_VOTE, 1, s.nodes[3].Status().Term+1))
 	s.runUntilIdle()
-	for _, answer := range s.undelivered {
-		if !answer.GetReject() {
-			t.Fatalf("a former leader got %v while another one leads", answer)
+	for _, response := range s.undelivered {
+		if !response.GetReject() {
+			t.Fatalf("member 2 responded %v to the former leader while member 3 leads, want a rejection", response)
 		}
 	}
 }
@@ -105,7 +107,7 @@
 	const step = DefaultElectionTimeout / 100
 	for waited := time.Duration(0); s.nodes[2].Role() != Leader; waited += step {
 		if waited > DefaultElectionTimeout/4 {
-			t.Fatalf("the former leader is %v after %v", s.nodes[2].Role(), waited)
+			t.Fatalf("the former leader is %v after %v, want %v", s.nodes[2].Role(), waited, Leader)
 		}
 		s.now = s.now.Add(step)
 		s.tickAll()
@@ -125,10 +127,10 @@
 		s.runUntilIdle()
 		requests += len(s.undelivered)
 	}
-	// Each of the two others gets some nine requests while it may still reject votes for anybody
-	// else, four soon after, then one in an election timeout.
+	// Each of the two others receives about nine requests while it may still reject all other candidates,
+	// four soon after, and then one per election timeout.
 	const minRequests, maxRequests = 2 * 15, 2 * 30
 	if requests < minRequests || requests > maxRequests {
-		t.Errorf("%d requests in ten election timeouts", requests)
+		t.Errorf("%d vote requests in ten election timeouts, want %d to %d", requests, minRequests, maxRequests)
 	}
 }
--- a/internal/controlplane/consensus/scripted_cluster_test.go
+++ b/internal/controlplane/consensus/scripted_cluster_test.go
@@ -10,7 +10,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// scriptedCluster runs members by hand: the test moves the time and decides which messages arrive.
+// scriptedCluster runs members step by step: the test advances the time and decides which messages are
+// delivered.
 type scriptedCluster struct {
 	t       *testing.T
 	now     time.Time
@@ -21,7 +22,7 @@
 	undelivered   []*protocol.ConsensusMessage
 }
 
-// scriptedVoters is the number of voters of a scriptedCluster.
+// scriptedVoters is the number of voters in a scriptedCluster.
 const scriptedVoters = 3
 
 func newScriptedCluster(t *testing.T, learners int) *scriptedCluster {
@@ -38,8 +39,8 @@
 	return s
 }
 
-// initialConfiguration gives members the ids from 1 on, the voters first, and returns the
-// configuration with the entry of index and term 1 that holds it.
+// initialConfiguration returns a configuration and the entry of index and term 1 that contains it. Ids
+// are assigned from 1 on, to the voters first.
 func initialConfiguration(voters, learners int) (*protocol.CoreConfiguration, *protocol.Entry) {
 	configuration := &protocol.CoreConfiguration{}
 	for id := 1; id <= voters+learners; id++ {
@@ -64,11 +65,11 @@
 // runUntilIdle processes the output of all members, and delivers the messages that shouldDeliver
 // accepts, until no member has any output.
 func (s *scriptedCluster) runUntilIdle() {
-	for progress := true; progress; {
-		progress = false
+	for busy := true; busy; {
+		busy = false
 		for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 			for s.nodes[id].HasReady() {
-				progress = true
+				busy = true
 				s.processReady(id)
 			}
 		}
@@ -121,22 +122,22 @@
 	s.runUntilIdle()
 }
 
-// elect makes a member leader, long after the last contact of the others to one.
+// elect makes a member the leader, long after the last contact of the others with a leader.
 func (s *scriptedCluster) elect(id uint64) *Node {
 	s.t.Helper()
-	// A leader that gets no answers steps down first.
+	// If the member leads already, it steps down first, for lack of responses.
 	for range 2 {
 		s.now = s.now.Add(10 * DefaultElectionTimeout)
 		s.nodes[id].Tick(s.now)
 	}
 	s.runUntilIdle()
 	if s.nodes[id].Role() != Leader {
-		s.t.Fatalf("member %d is %v", id, s.nodes[id].Role())
+		s.t.Fatalf("member %d is %v, want %v", id, s.nodes[id].Role(), Leader)
 	}
 	return s.nodes[id]
 }
 
-// voteRequest is a vote or pre-vote request of a member to member 2.
+// voteRequest returns a vote or pre-vote request from a member to member 2.
 func (s *scriptedCluster) voteRequest(
 	kind protocol.ConsensusMessageKind, from uint64, term uint64,
 ) *protocol.ConsensusMessage {
@@ -153,7 +154,7 @@
 	}
 }
 
-// tickAll passes the time to every member, lowest id first.
+// tickAll passes the time to every member, lowest id first, and runs until all are idle.
 func (s *scriptedCluster) tickAll() {
 	for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 		s.nodes[id].Tick(s.now)
--- a/internal/controlplane/consensus/simulated_cluster_test.go
+++ b/internal/controlplane/consensus/simulated_cluster_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// simulatedMember is a node with its disk, clock and applied commands.
+// simulatedMember is a node with its simulated disk, its clock and the commands that it applied.
 type simulatedMember struct {
 	id        uint64
 	node      *Node
@@ -37,8 +37,8 @@
 	data string
 }
 
-// simulatedCluster runs members over a network that loses, delays, duplicates and partitions, with
-// clocks of different speeds, and checks the invariants of the protocol after each step.
+// simulatedCluster runs members with clocks of different speeds over a network that loses, delays and
+// duplicates messages and may be partitioned. It checks the invariants of the protocol at each step.
 type simulatedCluster struct {
 	t           *testing.T
 	random      *rand.Rand
@@ -101,7 +101,7 @@
 		RetainedEntries: 4, SnapshotChunkBytes: simulatedChunkBytes, MaxInflight: 16,
 	}, InitialState{HardState: member.hardState, Snapshot: member.snapshot, Entries: member.entries}, member.clock(c.now))
 	if err != nil {
-		c.fatalf("member %d does not start: %v", member.id, err)
+		c.fatalf("member %d failed to start: %v", member.id, err)
 	}
 	member.node, member.down = node, false
 	member.applied = decodeState(member.state)
@@ -116,7 +116,7 @@
 	return ids
 }
 
-// step advances the time by five milliseconds and runs everybody.
+// step advances the time by five milliseconds and runs all members that are neither down nor frozen.
 func (c *simulatedCluster) step() {
 	c.now += 5
 	c.deliver()
@@ -135,17 +135,17 @@
 	inFlight := c.network
 	c.network = nil
 	slices.SortStableFunc(inFlight, func(a, b delivery) int { return cmp.Compare(a.due, b.due) })
-	for _, sent := range inFlight {
-		member := c.members[sent.message.GetTo()]
-		if sent.due > c.now || member != nil && member.frozen {
-			c.network = append(c.network, sent)
+	for _, pending := range inFlight {
+		member := c.members[pending.message.GetTo()]
+		if pending.due > c.now || member != nil && member.frozen {
+			c.network = append(c.network, pending)
 			continue
 		}
-		if member == nil || member.down || c.partitioned[[2]uint64{sent.message.GetFrom(), sent.message.GetTo()}] {
+		if member == nil || member.down || c.partitioned[[2]uint64{pending.message.GetFrom(), pending.message.GetTo()}] {
 			continue
 		}
-		if err := member.node.Step(sent.message, member.clock(c.now)); err != nil {
-			c.fatalf("member %d rejects a message: %v", member.id, err)
+		if err := member.node.Step(pending.message, member.clock(c.now)); err != nil {
+			c.fatalf("member %d rejected message %v: %v", member.id, pending.message, err)
 		}
 		c.processReady(member)
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-// persist makes the snapshot and a prefix of the entries durable, and the hard state if it is to.
+// persist makes the snapshot, a prefix of the entries and optionally the hard state durable.
 func (m *simulatedMember) persist(ready Ready, entryCount int, hardState bool) {
 	if ready.Snapshot != nil {
 		m.snapshot, m.state, m.entries = ready.Snapshot.Metadata, ready.Snapshot.Data, nil
@@ -266,12 +266,13 @@
 	return applied
 }
 
-// apply checks state machine safety: all members apply the same entry at an index.
+// apply applies an entry and checks state machine safety: all members apply the same entry at an index.
 func (c *simulatedCluster) apply(member *simulatedMember, entry *protocol.Entry) {
 	want, known := c.committedEntries[entry.GetIndex()]
 	got := committedEntry{term: entry.GetTerm(), data: string(entry.GetData())}
 	if known && want != got {
-		c.fatalf("member %d applies another entry at %d", member.id, entry.GetIndex())
+		c.fatalf("member %d applied data %q of term %d at index %d, but another member applied data %q of term %d",
+			member.id, got.data, got.term, entry.GetIndex(), want.data, want.term)
 	}
 	c.committedEntries[entry.GetIndex()] = got
 	c.highestApplied = max(c.highestApplied, entry.GetIndex())
@@ -280,8 +281,8 @@
 	}
 }
 
-// checkLogMatching checks log matching: entries with one index and term are equal and follow equal
-// logs, which holds when each follows an entry of the same term.
+// checkLogMatching checks log matching: entries of the same index and term are equal, and so are all entries
+// before them, which holds if their predecessors always have the same term.
 func (c *simulatedCluster) checkLogMatching(member *simulatedMember, entries []*protocol.Entry) {
 	for _, entry := range entries {
 		previousTerm, inMemory := member.node.log.term(entry.GetIndex() - 1)
@@ -291,13 +292,14 @@
 		position := [2]uint64{entry.GetIndex(), entry.GetTerm()}
 		got := committedEntry{term: previousTerm, data: string(entry.GetData())}
 		if want, known := c.loggedEntries[position]; known && want != got {
-			c.fatalf("member %d logs another entry at %d in term %d", member.id, entry.GetIndex(), entry.GetTerm())
+			c.fatalf("index %d of term %d: member %d logged %q after term %d, another member %q after term %d",
+				entry.GetIndex(), entry.GetTerm(), member.id, got.data, got.term, want.data, want.term)
 		}
 		c.loggedEntries[position] = got
 	}
 }
 
-// checkNewLeader checks election safety and leader completeness.
+// checkNewLeader checks election safety, and leader completeness once per term.
 func (c *simulatedCluster) checkNewLeader(member *simulatedMember) {
 	if member.node.Role() != Leader {
 		return
@@ -305,7 +307,7 @@
 	term := member.node.Term()
 	leader, seen := c.leaderByTerm[term]
 	if seen && leader != member.id {
-		c.fatalf("members %d and %d lead term %d", leader, member.id, term)
+		c.fatalf("members %d and %d both lead term %d", leader, member.id, term)
 	}
 	if seen {
 		return
@@ -320,7 +322,7 @@
 	}
 }
 
-// checkLeases checks that no two members, frozen ones too, hold a lease at one moment.
+// checkLeases checks that at most one member holds a lease at a time; frozen members count too.
 func (c *simulatedCluster) checkLeases() {
 	var holder uint64
 	for _, id := range c.ids() {
@@ -330,7 +332,7 @@
 			continue
 		}
 		if holder != 0 {
-			c.fatalf("members %d and %d hold the lease", holder, id)
+			c.fatalf("members %d and %d both hold a lease", holder, id)
 		}
 		holder = id
 	}
@@ -345,7 +347,7 @@
 	}
 	c.confirmedReads++
 	if read.Index < c.minReadIndexes[read.ID] {
-		c.fatalf("a read at member %d sees %d, but %d was applied before it",
-			member.id, read.Index, c.minReadIndexes[read.ID])
+		c.fatalf("read %d at member %d has index %d, but entry %d was applied before the read began",
+			read.ID, member.id, read.Index, c.minReadIndexes[read.ID])
 	}
 }
