--- a/internal/controlplane/consensus/random_faults_test.go
+++ b/internal/controlplane/consensus/random_faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// propose submits a command, a read and, if wanted, a change to every member that acts as leader.
+// propose submits a command, a read and optionally a membership change to every running member that leads.
 func (c *simulatedCluster) propose(membership bool) {
 	for _, id := range c.ids() {
 		member := c.members[id]
@@ -18,19 +18,19 @@
 			continue
 		}
 		now := member.clock(c.now)
-		c.nextRead++
-		c.reads[c.nextRead] = c.highestApplied
-		_ = member.node.Read(c.nextRead, now)
-		c.command++
-		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.command)}, now)
+		c.lastReadID++
+		c.minReadIndexes[c.lastReadID] = c.highestApplied
+		_ = member.node.Read(c.lastReadID, now)
+		c.lastCommand++
+		_, _, _ = member.node.Propose([][]byte{binary.BigEndian.AppendUint64(nil, c.lastCommand)}, now)
 		if membership {
 			c.changeMembership(member, now)
 		}
-		c.carryOut(member)
+		c.processReady(member)
 	}
 }
 
-// changeMembership flips the voter flag of a random member, or transfers leadership.
+// changeMembership toggles the voter flag of a random member, or transfers leadership to it.
 func (c *simulatedCluster) changeMembership(leader *simulatedMember, now time.Time) {
 	configuration, _ := leader.node.Configuration()
 	target := configuration.GetMembers()[c.random.IntN(len(configuration.GetMembers()))]
@@ -44,11 +44,11 @@
 		return
 	}
 	if _, err := leader.node.ProposeConfiguration(next, now); err == nil {
-		c.changes++
+		c.membershipChanges++
 	}
 }
 
-// injectFault injects one random fault, or repairs some. Half of the faults hit a leader.
+// injectFault injects a random fault or repairs earlier ones. Half of the time it targets a leader.
 func (c *simulatedCluster) injectFault() {
 	ids := c.ids()
 	member, other := c.members[ids[c.random.IntN(len(ids))]], ids[c.random.IntN(len(ids))]
@@ -67,7 +67,7 @@
 			c.partitioned[[2]uint64{member.id, id}] = true
 		}
 	case 5:
-		c.slowUntil = c.now + c.random.Int64N(2000)
+		c.slowNetworkUntil = c.now + c.random.Int64N(2000)
 	case 6:
 		for _, id := range ids {
 			if id != member.id && !c.members[id].down {
@@ -91,8 +91,8 @@
 	return member
 }
 
-// resumeAll restarts the members that are down and resumes the frozen ones; those serve requests
-// before they see how much time has passed.
+// resumeAll restarts the members that are down and resumes the frozen ones, which serve requests before
+// they observe how much time has passed.
 func (c *simulatedCluster) resumeAll() {
 	for _, id := range c.ids() {
 		member := c.members[id]
@@ -118,7 +118,7 @@
 	}
 }
 
-// awaitConvergence runs until all members have applied the same entries and a new command besides.
+// awaitConvergence repairs all faults and runs until every member has applied all entries and a new one.
 func (c *simulatedCluster) awaitConvergence() {
 	c.heal()
 	target := c.highestApplied + 1
@@ -134,7 +134,7 @@
 	for _, id := range c.ids() {
 		c.t.Logf("member %d: %+v", id, c.members[id].node.Status())
 	}
-	c.fail("members do not catch up with entry %d after the faults", target)
+	c.fatalf("not all members applied entry %d after the faults were repaired", target)
 }
 
 func (c *simulatedCluster) allApplied(index uint64) bool {
@@ -146,14 +146,14 @@
 	return true
 }
 
-func TestRandomFaultsKeepTheRules(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	total := simulatedCluster{}
 	for seed := uint64(1); seed <= 60; seed++ {
 		cluster := newSimulatedCluster(t, seed, 3+int(seed%2)*2, 2)
 		cluster.loss = 0.05 * float64(seed%4)
 		for step := 1; step <= 8000 && !t.Failed(); step++ {
 			cluster.step()
-			// A quiet period brings every log up to date, so that any member could be elected.
+			// Quiet periods let every log catch up, so that any member can be elected.
 			if quiet := step/500%2 == 1; step%4 == 0 && !quiet || step%200 == 0 {
 				cluster.propose(step%100 == 0)
 			}
@@ -163,22 +163,22 @@
 		}
 		cluster.awaitConvergence()
 		total.elections += cluster.elections
-		total.installs += cluster.installs
-		total.leaseSteps += cluster.leaseSteps
+		total.snapshotInstalls += cluster.snapshotInstalls
+		total.stepsWithLease += cluster.stepsWithLease
 		total.confirmedReads += cluster.confirmedReads
-		total.changes += cluster.changes
+		total.membershipChanges += cluster.membershipChanges
 		total.restarts += cluster.restarts
 		total.highestApplied += cluster.highestApplied
 	}
 	t.Logf("elections %d, installs %d, steps with a lease %d, reads %d, changes %d, restarts %d, entries %d",
-		total.elections, total.installs, total.leaseSteps, total.confirmedReads,
-		total.changes, total.restarts, total.highestApplied)
+		total.elections, total.snapshotInstalls, total.stepsWithLease, total.confirmedReads,
+		total.membershipChanges, total.restarts, total.highestApplied)
 	for name, count := range map[string]int{
-		"elections": total.elections, "snapshot installs": total.installs, "steps with a lease": total.leaseSteps,
-		"reads": total.confirmedReads, "membership changes": total.changes, "restarts": total.restarts,
+		"elections": total.elections, "snapshot installs": total.snapshotInstalls, "steps with a lease": total.stepsWithLease,
+		"reads": total.confirmedReads, "membership changes": total.membershipChanges, "restarts": total.restarts,
 	} {
 		if count < 60 {
-			t.Errorf("the run covered only %d %s", count, name)
+			t.Errorf("the run covered %d %s, want at least 60", count, name)
 		}
 	}
 }
--- a/internal/controlplane/consensus/scripted_cluster_test.go
+++ b/internal/controlplane/consensus/scripted_cluster_test.go
@@ -10,23 +10,24 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// scriptedCluster runs members by hand: the test moves the time and decides which messages arrive.
+// scriptedCluster runs members step by step: the test advances the time and decides which messages are
+// delivered.
 type scriptedCluster struct {
 	t       *testing.T
 	now     time.Time
 	nodes   map[uint64]*Node
 	durable map[uint64]*InitialState
-	// delivers decides on each message sent; undelivered has those for which it was false.
-	delivers    func(*protocol.ConsensusMessage) bool
-	undelivered []*protocol.ConsensusMessage
+	// shouldDeliver reports whether a message is delivered; undelivered collects the others.
+	shouldDeliver func(*protocol.ConsensusMessage) bool
+	undelivered   []*protocol.ConsensusMessage
 }
 
-// scriptedVoters is the number of voters of a scriptedCluster.
+// scriptedVoters is the number of voters in a scriptedCluster.
 const scriptedVoters = 3
 
 func newScriptedCluster(t *testing.T, learners int) *scriptedCluster {
 	s := &scriptedCluster{
-		t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, delivers: deliverAll,
+		t: t, now: simulationStart, nodes: map[uint64]*Node{}, durable: map[uint64]*InitialState{}, shouldDeliver: deliverAll,
 	}
 	configuration, first := initialConfiguration(scriptedVoters, learners)
 	for _, member := range configuration.GetMembers() {
@@ -38,8 +39,8 @@
 	return s
 }
 
-// initialConfiguration gives members the ids from 1 on, the voters first, and returns the
-// configuration with the entry of index and term 1 that holds it.
+// initialConfiguration returns a configuration and the entry of index and term 1 that contains it. Ids
+// are assigned from 1 on, to the voters first.
 func initialConfiguration(voters, learners int) (*protocol.CoreConfiguration, *protocol.Entry) {
 	configuration := &protocol.CoreConfiguration{}
 	for id := 1; id <= voters+learners; id++ {
@@ -61,20 +62,21 @@
 	s.nodes[id] = node
 }
 
-// run carries out all output, with the messages that delivers accepts, until nothing is left.
-func (s *scriptedCluster) run() {
-	for progress := true; progress; {
-		progress = false
+// runUntilIdle processes the output of all members, and delivers the messages that shouldDeliver
+// accepts, until no member has any output.
+func (s *scriptedCluster) runUntilIdle() {
+	for busy := true; busy; {
+		busy = false
 		for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 			for s.nodes[id].HasReady() {
-				progress = true
-				s.carryOut(id)
+				busy = true
+				s.processReady(id)
 			}
 		}
 	}
 }
 
-func (s *scriptedCluster) carryOut(id uint64) Ready {
+func (s *scriptedCluster) processReady(id uint64) Ready {
 	ready, disk := s.nodes[id].Ready(), s.durable[id]
 	for _, entry := range ready.Entries {
 		disk.Entries = append(disk.Entries[:entry.GetIndex()-1:entry.GetIndex()-1], entry)
@@ -84,7 +86,7 @@
 	}
 	s.nodes[id].Advance(ready, s.now)
 	for _, message := range ready.Messages {
-		if s.delivers(message) {
+		if s.shouldDeliver(message) {
 			s.deliver(message)
 		} else {
 			s.undelivered = append(s.undelivered, message)
@@ -99,15 +101,15 @@
 	}
 }
 
-// release delivers what is undelivered, and everything from now on.
-func (s *scriptedCluster) release() {
-	s.delivers = deliverAll
+// resumeDelivery delivers all undelivered messages and those sent from now on.
+func (s *scriptedCluster) resumeDelivery() {
+	s.shouldDeliver = deliverAll
 	s.deliverPending()
 }
 
-// deliverOneStep delivers what is undelivered, and nothing that follows from it.
+// deliverOneStep delivers the undelivered messages, but no message sent in response.
 func (s *scriptedCluster) deliverOneStep() {
-	s.delivers = deliverNone
+	s.shouldDeliver = deliverNone
 	s.deliverPending()
 }
 
@@ -117,25 +119,25 @@
 	for _, message := range pending {
 		s.deliver(message)
 	}
-	s.run()
+	s.runUntilIdle()
 }
 
-// elect makes a member leader, long after the last contact of the others to one.
+// elect makes a member the leader, long after the last contact of the others with a leader.
 func (s *scriptedCluster) elect(id uint64) *Node {
 	s.t.Helper()
-	// A leader that gets no answers steps down first.
+	// If the member leads already, it steps down first, for lack of responses.
 	for range 2 {
 		s.now = s.now.Add(10 * DefaultElectionTimeout)
 		s.nodes[id].Tick(s.now)
 	}
-	s.run()
+	s.runUntilIdle()
 	if s.nodes[id].Role() != Leader {
-		s.t.Fatalf("member %d is %v", id, s.nodes[id].Role())
+		s.t.Fatalf("member %d is %v, want %v", id, s.nodes[id].Role(), Leader)
 	}
 	return s.nodes[id]
 }
 
-// voteRequest is a vote or pre-vote request of a member to member 2.
+// voteRequest returns a vote or pre-vote request from a member to member 2.
 func (s *scriptedCluster) voteRequest(
 	kind protocol.ConsensusMessageKind, from uint64, term uint64,
 ) *protocol.ConsensusMessage {
@@ -152,10 +154,10 @@
 	}
 }
 
-// tickAll passes the time to every member, lowest id first.
+// tickAll passes the time to every member, lowest id first, and runs until all are idle.
 func (s *scriptedCluster) tickAll() {
 	for id := uint64(1); id <= uint64(len(s.nodes)); id++ {
 		s.nodes[id].Tick(s.now)
 	}
-	s.run()
+	s.runUntilIdle()
 }
