--- a/internal/controlplane/core/adapter_api.go
+++ b/internal/controlplane/core/adapter_api.go
@@ -61,7 +61,7 @@
 // settings trust operators.
 func (s *Service) ReleaseBundle(ctx context.Context, bundle *protocol.Bundle, expectedVersion uint64) error {
 	if !s.trustOperators {
-		return controllog.Untrusted()
+		return controllog.OperatorsNotTrusted()
 	}
 	_, err := s.proposer.ProposeAccepted(ctx, controllog.ReleaseBundle(bundle, expectedVersion))
 	return err
--- a/internal/controlplane/core/controllog/commands.go
+++ b/internal/controlplane/core/controllog/commands.go
@@ -12,8 +12,8 @@
 	}}
 }
 
-// Untrusted is the failure of a release where the settings do not trust operators.
-func Untrusted() error {
+// OperatorsNotTrusted is the failure of a release where the settings do not trust operators.
+func OperatorsNotTrusted() error {
 	return failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN,
 		"the core signs nothing off by itself unless its settings trust operators")
 }
--- a/internal/controlplane/core/operators/bundles.go
+++ b/internal/controlplane/core/operators/bundles.go
@@ -170,7 +170,7 @@
 // releaseBundle puts a bundle in force at once, signed off by the core itself.
 func (h *Handler) releaseBundle(ctx context.Context, request *operatorRequest) (*response, error) {
 	if !h.trustOperators {
-		return nil, controllog.Untrusted()
+		return nil, controllog.OperatorsNotTrusted()
 	}
 	expected, err := queryNumber(request, baseParameter, 0)
 	if err != nil {
