--- a/internal/controlplane/coremembership/configuration.go
+++ b/internal/controlplane/coremembership/configuration.go
@@ -10,9 +10,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// find returns the member of that name, the newest one if there are several, or of that id in
-// decimal; nil when there is none.
-func find(members []*protocol.CoreMember, name string) *protocol.CoreMember {
+// findMember returns the newest member whose name, or whose id in decimal, equals name; nil when there is none.
+func findMember(members []*protocol.CoreMember, name string) *protocol.CoreMember {
 	for _, member := range slices.Backward(members) {
 		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
 			return member
@@ -21,7 +20,7 @@
 	return nil
 }
 
-// withVoter sets the voter flag of a member.
+// withVoter returns a copy of the configuration in which a member's voter flag is set to voter.
 func withVoter(configuration *protocol.CoreConfiguration, id uint64, voter bool) *protocol.CoreConfiguration {
 	next := proto.CloneOf(configuration)
 	consensus.Member(next, id).Voter = voter
@@ -34,7 +33,8 @@
 	return next
 }
 
-// withMember adds a member as a standby, or replaces what is known of it but not its vote.
+// withMember returns a copy of the configuration that has the member as a standby. A member that is present already
+// gets the new fields and keeps its voter flag.
 func withMember(configuration *protocol.CoreConfiguration, member *protocol.CoreMember) *protocol.CoreConfiguration {
 	next := proto.CloneOf(configuration)
 	added := proto.CloneOf(member)
--- a/internal/controlplane/coremembership/doc.go
+++ b/internal/controlplane/coremembership/doc.go
@@ -1,11 +1,11 @@
-// Package coremembership decides about the members of the core's consensus group: whom the leader
-// admits, removes, promotes to a voter and demotes to a standby.
+// Package coremembership plans changes to the members of the core's consensus group: which members
+// the leader admits, removes, promotes to voters and demotes to standbys.
 //
 // Every function is pure: it takes a View of the group and returns the next Change, which the
-// leader proposes to the log. Changes are of one member each, as consensus demands; the decision
-// after a change is taken on a new View, once the change is committed. Two rules hold throughout:
+// leader proposes to the log. A Change affects one member, as consensus requires; the next one is
+// planned on a new View after the change is committed. Two invariants hold:
 //
-//   - A voter is added before the one that it replaces is removed, so that the group never runs
-//     with fewer voters than wanted while a standby is available.
+//   - A voter is added before the one that it replaces is removed, so that the group never has
+//     fewer voters than its target while a standby is available.
 //   - No voter is removed unless a majority of the remaining voters is alive.
 package coremembership
--- a/internal/controlplane/coremembership/operator.go
+++ b/internal/controlplane/coremembership/operator.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// maxMembers bounds the members of a group, standbys included.
+	// maxMembers is the maximum number of members of a group, including standbys.
 	maxMembers = 64
-	// maxRetired bounds the removed members that a group remembers; the oldest are dropped first.
+	// maxRetired is the maximum number of removed members in a configuration; the oldest are dropped first.
 	maxRetired = 64
 )
 
-// Admit decides the change that adds a member as a standby, or updates its addresses; nil when the
-// configuration has it already. A member that an operator removed is admitted again only by an
-// operator. Errors: *InvalidMemberError, *UnsafeChangeError, *MemberRetiredError, *MemberInUseError.
+// Admit returns the change that adds a member as a standby or updates its fields, or nil when the
+// configuration already has the member as it is. A member that an operator removed is admitted again
+// only by an operator.
+// Errors: *InvalidMemberError, *UnsafeChangeError, *MemberRetiredError, *MemberInUseError.
 func Admit(view *View, member *protocol.CoreMember, byOperator bool) (*Change, error) {
 	if err := checkAdmission(view, member, byOperator); err != nil {
 		return nil, err
@@ -57,27 +58,28 @@
 	return nil
 }
 
-// RemovalStep is the next step towards the removal of a member.
+// RemovalStep is the next step in the removal of a member.
 type RemovalStep int
 
 const (
-	// AlreadyRemoved needs no change.
+	// AlreadyRemoved means that the member was removed earlier; there is no change.
 	AlreadyRemoved RemovalStep = iota
-	// TransferFirst needs a transfer of leadership, since the leader is the member to remove; the next
-	// leader can remove it.
+	// TransferFirst means that the member is the leader itself: leadership must be transferred first, and the
+	// next leader removes the member.
 	TransferFirst
-	// PromoteFirst comes with a change that promotes a standby; the removal follows it.
+	// PromoteFirst means that the change promotes a standby; the removal follows once that is committed.
 	PromoteFirst
-	// RemoveNow comes with the change that removes the member.
+	// RemoveNow means that the change removes the member.
 	RemoveNow
 )
 
-// Remove decides the next step of an operator's removal of the member of that name or id.
+// Remove returns the next step, and its change if any, of the removal of a member by an operator. The member is
+// identified by its name or its id in decimal.
 // Errors: *MemberUnknownError, *UnsafeChangeError.
 func Remove(view *View, name string) (RemovalStep, *Change, error) {
-	member := find(view.Configuration.GetMembers(), name)
+	member := findMember(view.Configuration.GetMembers(), name)
 	switch {
-	case member == nil && find(view.Configuration.GetRetired(), name) == nil:
+	case member == nil && findMember(view.Configuration.GetRetired(), name) == nil:
 		return 0, nil, &MemberUnknownError{Member: name}
 	case member == nil:
 		return AlreadyRemoved, nil, nil
@@ -96,8 +98,9 @@
 	return RemoveNow, &Change{Configuration: next, Reason: "remove " + member.GetName()}, nil
 }
 
-// promotionBeforeRemoval promotes a standby before a voter is removed, so that there are never fewer
-// voters than wanted while a standby is available: two voters could not bear the loss of either.
+// promotionBeforeRemoval returns the promotion of a standby that must precede the removal of a voter, or nil. Without
+// it the group would have fewer voters than its target although a standby is available: a group of two voters does not
+// survive the loss of either.
 func promotionBeforeRemoval(view *View, member *protocol.CoreMember) *Change {
 	if !member.GetVoter() || len(view.voters()) > view.TargetVoters {
 		return nil
@@ -105,11 +108,12 @@
 	return promoteStandby(view)
 }
 
-// TransferTarget is the id of the member of that name or id, or of the live voter with the longest
-// log when name is empty. Errors: *MemberUnknownError, *UnsafeChangeError when no other voter is alive.
+// TransferTarget returns the id of the member that leadership is transferred to: the one with that name or id, or,
+// when name is empty, the live voter with the longest log.
+// Errors: *MemberUnknownError, *UnsafeChangeError when no other voter is alive.
 func TransferTarget(view *View, name string) (uint64, error) {
 	if name != "" {
-		member := find(view.Configuration.GetMembers(), name)
+		member := findMember(view.Configuration.GetMembers(), name)
 		if member == nil {
 			return 0, &MemberUnknownError{Member: name}
 		}
@@ -120,7 +124,7 @@
 		if !peer.Voter || !view.isAlive(peer.ID) {
 			continue
 		}
-		// Of equal logs the lowest id counts, so that the choice is deterministic.
+		// Ties are broken by the lowest id, which makes the choice deterministic.
 		isBetter := peer.Match > best.Match || peer.Match == best.Match && peer.ID < best.ID
 		if best.ID == 0 || isBetter {
 			best = peer
--- a/internal/controlplane/coremembership/operator_test.go
+++ b/internal/controlplane/coremembership/operator_test.go
@@ -11,7 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// groupOf has voters and then standbys, named after their ids; the first one leads.
+// groupOf returns a view of a group whose first members are voters and the rest standbys, named after their ids. The
+// first member is the leader.
 func groupOf(voters, standbys int) *View {
 	var members []testMember
 	for id := 1; id <= voters+standbys; id++ {
@@ -20,7 +21,7 @@
 	return newView(3, members)
 }
 
-func TestAStandbyTakesThePlaceOfAVoterBeforeItIsRemoved(t *testing.T) {
+func TestAStandbyIsPromotedBeforeAVoterIsRemoved(t *testing.T) {
 	cases := []struct {
 		name             string
 		voters, standbys int
@@ -28,18 +29,18 @@
 		wantStep         RemovalStep
 		want             string
 	}{
-		{"a standby is available", 3, 1, "member-2", PromoteFirst, "promote member-4"},
-		{"no standby is available", 3, 0, "member-2", RemoveNow, "remove member-2"},
-		{"there are surplus voters", 4, 1, "member-2", RemoveNow, "remove member-2"},
-		{"a standby is removed", 3, 2, "member-5", RemoveNow, "remove member-5"},
-		{"the member is named by its id", 3, 0, "2", RemoveNow, "remove member-2"},
-		{"the leader is removed", 3, 1, "member-1", TransferFirst, ""},
+		{"voter, with a standby available", 3, 1, "member-2", PromoteFirst, "promote member-4"},
+		{"voter, without a standby", 3, 0, "member-2", RemoveNow, "remove member-2"},
+		{"surplus voter", 4, 1, "member-2", RemoveNow, "remove member-2"},
+		{"standby", 3, 2, "member-5", RemoveNow, "remove member-5"},
+		{"voter identified by its id", 3, 0, "2", RemoveNow, "remove member-2"},
+		{"leader", 3, 1, "member-1", TransferFirst, ""},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			step, change, err := Remove(groupOf(tt.voters, tt.standbys), tt.remove)
 			if err != nil || step != tt.wantStep {
-				t.Errorf("step %d with error %v, want step %d", step, err, tt.wantStep)
+				t.Errorf("Remove(%q) = step %d, error %v; want step %d", tt.remove, step, err, tt.wantStep)
 			}
 			checkReason(t, change, tt.want)
 		})
@@ -55,22 +56,23 @@
 	}
 	view.Configuration = change.Configuration
 	if step, _, err := Remove(view, "member-4"); err != nil || step != AlreadyRemoved {
-		t.Errorf("the second removal: step %d, %v", step, err)
+		t.Errorf("second Remove(member-4) = step %d, error %v; want AlreadyRemoved (%d)", step, err, AlreadyRemoved)
 	}
 	var retired *MemberRetiredError
 	if _, err := Admit(view, removed, false); !errors.As(err, &retired) {
-		t.Errorf("it joins by itself: %v", err)
+		t.Errorf("Admit(member-4) without an operator: error %v, want a *MemberRetiredError", err)
 	}
 	change, err = Admit(view, removed, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if members := change.Configuration.GetMembers(); len(members) != 4 || len(change.Configuration.GetRetired()) != 0 {
-		t.Errorf("members are %v", members)
+		t.Errorf("after Admit(member-4) by an operator: members %v, retired %v; want 4 members and none retired",
+			members, change.Configuration.GetRetired())
 	}
 }
 
-func TestAdmissionIsChecked(t *testing.T) {
+func TestAdmitRejectsInvalidMembers(t *testing.T) {
 	valid := &protocol.CoreMember{Id: 9, Name: "member-9", Address: "member-9:7001"}
 	edited := func(edit func(*protocol.CoreMember)) *protocol.CoreMember {
 		member := proto.CloneOf(valid)
@@ -87,18 +89,18 @@
 		{"without an id", edited(func(m *protocol.CoreMember) { m.Id = 0 }), &invalid},
 		{"without a name", edited(func(m *protocol.CoreMember) { m.Name = "" }), &invalid},
 		{"without an address", edited(func(m *protocol.CoreMember) { m.Address = "" }), &invalid},
-		{"under the name of a live member", edited(func(m *protocol.CoreMember) { m.Name = "member-2" }), &inUse},
+		{"with the name of a live member", edited(func(m *protocol.CoreMember) { m.Name = "member-2" }), &inUse},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := Admit(groupOf(3, 0), tt.member, true); !errors.As(err, tt.want) {
-				t.Errorf("admitted with %v", err)
+				t.Errorf("Admit(%v): error %v, want a %T", tt.member, err, tt.want)
 			}
 		})
 	}
 	view := groupOf(3, 0)
 	if change, err := Admit(view, view.Configuration.GetMembers()[1], false); change != nil || err != nil {
-		t.Errorf("a member that is there changes %v, %v", change, err)
+		t.Errorf("Admit of a present member = %v, error %v; want no change", change, err)
 	}
 }
 
@@ -111,14 +113,14 @@
 		{name: "e"},
 	}
 	if target, err := TransferTarget(newView(3, members), ""); target != 3 || err != nil {
-		t.Errorf("leadership goes to %d, %v", target, err)
+		t.Errorf("TransferTarget = %d, error %v; want 3", target, err)
 	}
 	var unsafe *UnsafeChangeError
 	if _, err := TransferTarget(groupOf(1, 1), ""); !errors.As(err, &unsafe) {
-		t.Errorf("without another voter: %v", err)
+		t.Errorf("TransferTarget without another voter: error %v, want an *UnsafeChangeError", err)
 	}
 	var unknown *MemberUnknownError
-	if _, err := TransferTarget(groupOf(3, 0), "nobody"); !errors.As(err, &unknown) {
-		t.Errorf("to nobody: %v", err)
+	if _, err := TransferTarget(groupOf(3, 0), "unknown"); !errors.As(err, &unknown) {
+		t.Errorf("TransferTarget to an unknown member: error %v, want a *MemberUnknownError", err)
 	}
 }
--- a/internal/controlplane/coremembership/plan.go
+++ b/internal/controlplane/coremembership/plan.go
@@ -4,18 +4,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// removeStandbyFactor is how many times longer than a voter a standby may be unresponsive before it
-// is removed.
-const removeStandbyFactor = 10
+// standbyRemovalFactor is the multiple of View.ReplaceAfter for which a standby may be unresponsive
+// before it is removed.
+const standbyRemovalFactor = 10
 
-// Change is one step of membership.
+// Change is a change of the group's configuration by one member.
 type Change struct {
 	Configuration *protocol.CoreConfiguration
-	// Reason is for logs; it names the member.
+	// Reason is logged; it includes the name of the member.
 	Reason string
 }
 
-// Plan decides the next change that the leader makes of its own accord, or nil.
+// Plan returns the next change that the leader makes without an operator's order, or nil.
 func Plan(view *View) *Change {
 	decisions := []func(*View) *Change{
 		promoteMissingVoter, removeReplacedVoter, removeSupersededStandby, demoteSurplusVoter, removeUnresponsiveStandby,
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// promoteMissingVoter promotes a standby while there are too few voters that are not lost.
+// promoteMissingVoter promotes a standby while there are fewer voters than the target, not counting lost ones.
 func promoteMissingVoter(view *View) *Change {
 	remaining := 0
 	for _, voter := range view.voters() {
@@ -42,8 +42,8 @@
 	return promoteStandby(view)
 }
 
-// promoteStandby promotes a caught-up standby in the region with the fewest voters, and there in
-// the zone with the fewest; nil when there is none.
+// promoteStandby promotes a caught-up standby in the region with the fewest voters and, within it, in
+// the zone with the fewest; nil when no standby is caught up.
 func promoteStandby(view *View) *Change {
 	spread := view.voterSpread()
 	var best *protocol.CoreMember
@@ -63,7 +63,8 @@
 	}
 }
 
-// removeReplacedVoter removes a lost voter once there are enough voters without it.
+// removeReplacedVoter removes a lost voter once there are more voters than the target and a majority of the others is
+// alive.
 func removeReplacedVoter(view *View) *Change {
 	voters := view.voters()
 	if len(voters) <= view.TargetVoters {
@@ -71,41 +72,42 @@
 	}
 	for _, voter := range voters {
 		if view.isLost(voter) && view.hasQuorumWithout(voter.GetId()) {
-			return removal(view, voter, "remove lost voter ")
+			return removeChange(view, voter, "remove lost voter ")
 		}
 	}
 	return nil
 }
 
+// removeSupersededStandby removes an unresponsive standby whose machine joined again as another member.
 func removeSupersededStandby(view *View) *Change {
 	for _, member := range view.Configuration.GetMembers() {
 		if !member.GetVoter() && view.isSuperseded(member) && !view.isAlive(member.GetId()) {
-			return removal(view, member, "remove superseded standby ")
+			return removeChange(view, member, "remove superseded standby ")
 		}
 	}
 	return nil
 }
 
-// removeUnresponsiveStandby removes a standby without contact for very long: its machine was
-// probably replaced by another one. If it returns it joins again.
+// removeUnresponsiveStandby removes a standby that has been unresponsive for standbyRemovalFactor times
+// ReplaceAfter: its machine has probably been replaced by another one. If it comes back, it joins again.
 func removeUnresponsiveStandby(view *View) *Change {
 	for _, member := range view.Configuration.GetMembers() {
-		if !member.GetVoter() && view.sinceContact(member.GetId()) >= removeStandbyFactor*view.ReplaceAfter {
-			return removal(view, member, "remove unresponsive standby ")
+		if !member.GetVoter() && view.sinceContact(member.GetId()) >= standbyRemovalFactor*view.ReplaceAfter {
+			return removeChange(view, member, "remove unresponsive standby ")
 		}
 	}
 	return nil
 }
 
-func removal(view *View, member *protocol.CoreMember, reason string) *Change {
+func removeChange(view *View, member *protocol.CoreMember, reason string) *Change {
 	return &Change{
 		Configuration: withoutMember(view.Configuration, member.GetId()), Reason: reason + member.GetName(),
 	}
 }
 
-// demoteSurplusVoter makes one voter a standby when there are more than wanted and all are alive,
-// as after a lost one returned: one of the region with the most voters, and there of the zone with
-// the most, but never the leader.
+// demoteSurplusVoter demotes one voter to a standby when there are more voters than the target and all of them are
+// alive, as after the return of a lost voter. It selects one in the region with the most voters and, within it, in the
+// zone with the most, but never the leader.
 func demoteSurplusVoter(view *View) *Change {
 	voters := view.voters()
 	if len(voters) <= view.TargetVoters {
--- a/internal/controlplane/coremembership/plan_test.go
+++ b/internal/controlplane/coremembership/plan_test.go
@@ -13,11 +13,12 @@
 	name, region, zone string
 	voter              bool
 	sinceContact       time.Duration
-	// lag is the number of entries that the member lacks.
+	// lag is the number of log entries by which the member is behind the leader.
 	lag uint64
 }
 
-// newView gives the members the ids from 1 on; the first one is the leader.
+// newView returns a view of a group with these members. Ids are assigned in order, starting at 1; member 1 is the
+// leader.
 func newView(targetVoters int, members []testMember) *View {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	view := &View{
@@ -40,7 +41,7 @@
 	return view
 }
 
-// checkReason compares the reason of a change; that of no change is empty.
+// checkReason checks the reason of a change; want is empty if there must be no change.
 func checkReason(t *testing.T, change *Change, want string) {
 	t.Helper()
 	got := ""
@@ -48,7 +49,7 @@
 		got = change.Reason
 	}
 	if got != want {
-		t.Errorf("planned %q, want %q", got, want)
+		t.Errorf("change %q, want %q", got, want)
 	}
 }
 
@@ -63,51 +64,63 @@
 		members []testMember
 		want    string
 	}{
-		{"nothing to do", []testMember{a, b, c}, ""},
-		{"a founder alone stays", []testMember{a}, ""},
-		{"too few voters", []testMember{a, {name: "d", zone: "1"}}, "promote d"},
-		{"a standby that lags is not promoted", []testMember{a, {name: "d", zone: "1", lag: 500}}, ""},
-		{"nor is an unresponsive one", []testMember{a, {name: "d", zone: "1", sinceContact: 3 * time.Second}}, ""},
-		{"nor one without contact for a moment", []testMember{a, {name: "d", zone: "1", sinceContact: time.Second}}, ""},
-		{
-			"a zone without a voter goes first",
+		{"enough live voters", []testMember{a, b, c}, ""},
+		{"single voter without standbys", []testMember{a}, ""},
+		{"too few voters, standby available", []testMember{a, {name: "d", zone: "1"}}, "promote d"},
+		{"lagging standby is not promoted", []testMember{a, {name: "d", zone: "1", lag: 500}}, ""},
+		{"unresponsive standby is not promoted", []testMember{a, {name: "d", zone: "1", sinceContact: 3 * time.Second}}, ""},
+		{
+			"standby without contact for 1 s is not promoted",
+			[]testMember{a, {name: "d", zone: "1", sinceContact: time.Second}},
+			"",
+		},
+		{
+			"standby in a zone without a voter is promoted first",
 			[]testMember{a, b, {name: "d", zone: "1"}, {name: "e", zone: "3"}},
 			"promote e",
 		},
-		{"standbys stay while there are enough voters", []testMember{a, b, c, {name: "d", zone: "3"}}, ""},
+		{"standby stays a standby while there are enough voters", []testMember{a, b, c, {name: "d", zone: "3"}}, ""},
 		{
-			"an unresponsive voter is not replaced yet",
+			"voter unresponsive for less than ReplaceAfter is not replaced",
 			[]testMember{a, b, voterIn("c", "3", 9*time.Second), {name: "d", zone: "3"}},
 			"",
 		},
-		{"a lost voter stays without a standby", []testMember{a, b, lostC}, ""},
-		{"the standby is promoted first", []testMember{a, b, lostC, {name: "d", zone: "3"}}, "promote d"},
-		{"then the lost voter is removed", []testMember{a, b, lostC, voterIn("d", "3", 0)}, "remove lost voter c"},
+		{"lost voter is not removed without a standby", []testMember{a, b, lostC}, ""},
 		{
-			"but not without a live majority of the rest",
+			"standby is promoted before the lost voter is removed",
+			[]testMember{a, b, lostC, {name: "d", zone: "3"}},
+			"promote d",
+		},
+		{"lost voter is removed after the promotion", []testMember{a, b, lostC, voterIn("d", "3", 0)}, "remove lost voter c"},
+		{
+			"lost voter is not removed without a live majority of the others",
 			[]testMember{a, voterIn("b", "", 5*time.Second), lostC, voterIn("d", "", 5*time.Second)},
 			"",
 		},
-		{"a superseded voter is replaced at once", []testMember{a, b, replacedC, {name: "c", zone: "3"}}, "promote c"},
+		{"superseded voter is replaced at once", []testMember{a, b, replacedC, {name: "c", zone: "3"}}, "promote c"},
 		{
-			"a superseded voter is removed when its successor votes",
+			"superseded voter is removed once its successor is a voter",
 			[]testMember{a, b, replacedC, voterIn("c", "3", 0)},
 			"remove lost voter c",
 		},
 		{
-			"a superseded standby is removed",
+			"superseded standby is removed",
 			[]testMember{a, b, c, {name: "d", sinceContact: 3 * time.Second}, {name: "d"}},
 			"remove superseded standby d",
 		},
 		{
-			"a standby that is unresponsive for very long is removed",
+			"standby unresponsive for more than ten times ReplaceAfter is removed",
 			[]testMember{a, b, c, {name: "d", sinceContact: 101 * time.Second}},
 			"remove unresponsive standby d",
 		},
-		{"but stays until then", []testMember{a, b, c, {name: "d", sinceContact: 99 * time.Second}}, ""},
-		{"a live member is never superseded", []testMember{a, b, c, {name: "d"}, {name: "d"}}, ""},
-		{"a surplus voter is demoted, from a shared zone", []testMember{a, b, c, voterIn("d", "2", 0)}, "demote d"},
-		{"nobody is demoted while one is unresponsive", []testMember{a, b, replacedC, voterIn("d", "2", 0)}, ""},
+		{
+			"standby unresponsive for less than ten times ReplaceAfter stays",
+			[]testMember{a, b, c, {name: "d", sinceContact: 99 * time.Second}},
+			"",
+		},
+		{"live standby with the name of a later one stays", []testMember{a, b, c, {name: "d"}, {name: "d"}}, ""},
+		{"surplus voter is demoted in the zone with the most", []testMember{a, b, c, voterIn("d", "2", 0)}, "demote d"},
+		{"no voter is demoted while another is unresponsive", []testMember{a, b, replacedC, voterIn("d", "2", 0)}, ""},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -130,17 +143,17 @@
 		want    string
 	}{
 		{
-			"a region without a voter goes before a zone without one", 3,
+			"region without a voter precedes zone without a voter", 3,
 			[]testMember{voter("m1", "r1", "a"), voter("m2", "r2", "c"), standby("m3", "r1", "b"), standby("m4", "r3", "e")},
 			"promote m4",
 		},
 		{
-			"also when its zone has the name of one with a voter", 3,
+			"region without a voter, zone named like one with a voter in another region", 3,
 			[]testMember{voter("m1", "r1", "a"), voter("m2", "r2", "c"), standby("m3", "r1", "b"), standby("m4", "r3", "a")},
 			"promote m4",
 		},
 		{
-			"then the region with the fewest voters", 5,
+			"region with the fewest voters", 5,
 			[]testMember{
 				voter("m1", "r1", "a"), voter("m2", "r1", "b"), voter("m3", "r2", "c"),
 				standby("m4", "r1", "g"), standby("m5", "r2", "c"),
@@ -148,22 +161,22 @@
 			"promote m5",
 		},
 		{
-			"then a zone without one", 4,
+			"zone without a voter within the region", 4,
 			[]testMember{voter("m1", "r1", "a"), voter("m2", "r2", "c"), standby("m3", "r1", "a"), standby("m4", "r1", "b")},
 			"promote m4",
 		},
 		{
-			"empty regions leave it to the zones", 3,
+			"without regions the zone decides", 3,
 			[]testMember{voter("m1", "", "a"), voter("m2", "", "b"), standby("m3", "", "a"), standby("m4", "", "c")},
 			"promote m4",
 		},
 		{
-			"a surplus voter is of the region with the most", 3,
+			"surplus voter is demoted in the region with the most voters", 3,
 			[]testMember{voter("m1", "r1", "a"), voter("m2", "r2", "c"), voter("m3", "r2", "d"), voter("m4", "r3", "c")},
 			"demote m3",
 		},
 		{
-			"and there of the zone with the most", 4,
+			"surplus voter is demoted in the zone with the most voters of that region", 4,
 			[]testMember{
 				voter("m1", "r2", "d"), voter("m2", "r1", "a"), voter("m3", "r1", "a"),
 				voter("m4", "r1", "b"), voter("m5", "r3", "e"),
@@ -171,7 +184,7 @@
 			"demote m3",
 		},
 		{
-			"but never the leader", 2,
+			"leader is never demoted", 2,
 			[]testMember{voter("m1", "r1", "a"), voter("m2", "r1", "b"), voter("m3", "r2", "c")},
 			"demote m2",
 		},
@@ -183,7 +196,7 @@
 	}
 }
 
-func TestFiveVotersOverThreeRegionsLeaveAMajorityWithoutAnyRegion(t *testing.T) {
+func TestFiveVotersOverThreeRegionsKeepAMajorityAfterTheLossOfAnyRegion(t *testing.T) {
 	view := newView(5, []testMember{
 		{name: "m1", region: "r1", zone: "a", voter: true},
 		{name: "m2", region: "r1", zone: "b"},
@@ -203,6 +216,7 @@
 	}
 	mostInRegion := max(regions["r1"], regions["r2"], regions["r3"])
 	if len(view.voters()) != 5 || len(regions) != 3 || len(zones) != 5 || mostInRegion != 2 {
-		t.Fatalf("voters by region %v, by zone %v", regions, zones)
+		t.Fatalf("voters by region %v and by zone %v; want 5 voters in 3 regions, at most 2 a region, each in its own zone",
+			regions, zones)
 	}
 }
--- a/internal/controlplane/coremembership/spread.go
+++ b/internal/controlplane/coremembership/spread.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// failureDomain is a zone within its region; zones of different regions may have the same name.
+// failureDomain identifies a zone by its region and name, since zones of different regions may have the same name.
 type failureDomain struct{ region, zone string }
 
 func failureDomainOf(member *protocol.CoreMember) failureDomain {
@@ -30,7 +30,7 @@
 	return spread
 }
 
-// compare orders members by the number of voters in their region, then by that in their zone.
+// compare orders members by the number of voters in their region, then by the number in their zone.
 func (s voterSpread) compare(a, b *protocol.CoreMember) int {
 	return cmp.Or(
 		cmp.Compare(s.regions[a.GetRegion()], s.regions[b.GetRegion()]),
