--- a/internal/controlplane/core/controllog/failures.go
+++ b/internal/controlplane/core/controllog/failures.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// RetryAfter is the wait that a failure asks its caller for while the log is not available.
+	// RetryAfter is the retry delay in failures that are returned while the log is unavailable.
 	RetryAfter = time.Second
-	// notLeaderRetryAfter is the wait that a caller is asked for at a member that does not lead.
+	// notLeaderRetryAfter is the retry delay in failures that are returned by a member that is not the leader.
 	notLeaderRetryAfter = 100 * time.Millisecond
 )
 
-// Failure gives an error of the replica its code, and says whether the request was run; it is nil for nil.
+// Failure converts an error of the replica to a failure with a code and the outcome of the request; it returns nil for
+// nil.
 func Failure(err error) error {
 	var notLeader *replica.NotLeaderError
 	var overloaded *replica.OverloadedError
@@ -53,20 +54,20 @@
 	}
 }
 
-// NotLeader is the failure of a request that only the leader serves.
+// NotLeader returns the failure of a request that only the leader serves.
 func NotLeader() error {
 	return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "this core process does not lead",
 		failure.WithRetryAfter(notLeaderRetryAfter))
 }
 
-// NoLeader is the failure of a request while the core has no leader that this process knows.
+// NoLeader returns the failure of a request while this process has observed no leader of the core.
 func NoLeader() error {
 	return failure.New(failure.NoLeader, protocol.Outcome_NOT_RUN, "the core has no leader at present",
 		failure.WithRetryAfter(RetryAfter))
 }
 
-// Interrupted is the failure of a request that ended early: the context's error, else NotLeader since the process
-// stops.
+// Interrupted returns the failure of a request that ended early: the error of the context, or NotLeader if the context
+// is still valid, since then the process is stopping.
 func Interrupted(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return &failure.Error{Failure: failure.From(err)}
@@ -74,7 +75,7 @@
 	return NotLeader()
 }
 
-// Rejection turns a rejected command into a failure; its request was surely not run.
+// Rejection converts the rejection of a command to a failure whose outcome is that the request was not run.
 func Rejection(rejection *protocol.Refusal) error {
 	code := failure.Code(rejection.GetCode())
 	var options []failure.Option
--- a/internal/controlplane/core/controllog/proposer.go
+++ b/internal/controlplane/core/controllog/proposer.go
@@ -1,5 +1,5 @@
-// Package controllog writes commands to the replicated control log and turns
-// the replica's errors into failures that may cross a process boundary.
+// Package controllog writes commands to the replicated control log and converts
+// the replica's errors to failures that may cross a process boundary.
 package controllog
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ProposeTimeout bounds a proposal that no caller waits for.
+// ProposeTimeout is the timeout of a proposal that no caller waits for.
 const ProposeTimeout = 5 * time.Second
 
-// wallClockStep is the unit of a command's time.
+// wallClockStep is the unit of a command's timestamp.
 const wallClockStep = time.Millisecond
 
 // Log replicates commands; *replica.Replica implements it.
@@ -32,31 +32,31 @@
 	clock replica.Clock
 }
 
-// NewProposer makes a proposer that stamps commands with the clock's time.
+// NewProposer returns a proposer that sets the timestamps of commands from the clock.
 func NewProposer(log Log, clock replica.Clock) *Proposer {
 	return &Proposer{log: log, clock: clock}
 }
 
-// Propose returns the result of a command, accepted or rejected, once it is
-// committed and applied here. Errors of the log are failures, as of Failure.
+// Propose proposes a command and returns its result, accepted or rejected, once it is
+// committed and applied here. Errors of the log are converted by Failure.
 func (p *Proposer) Propose(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
 	command.ProposedAtMillis = p.clock.Now().UnixNano() / int64(wallClockStep)
 	encoded, err := proto.Marshal(command)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode command")
 	}
-	answer, _, err := p.log.Propose(ctx, encoded)
+	encodedResult, _, err := p.log.Propose(ctx, encoded)
 	if err != nil {
 		return nil, Failure(err)
 	}
 	result := &protocol.CommandResult{}
-	if err := proto.Unmarshal(answer, result); err != nil {
+	if err := proto.Unmarshal(encodedResult, result); err != nil {
 		return nil, errors.Wrap(err, "decode result")
 	}
 	return result, nil
 }
 
-// ProposeAccepted is Propose for callers to whom a rejected command is an error; it is then a failure, as of Rejection.
+// ProposeAccepted is like Propose, but returns a failure for a rejected command; see Rejection.
 func (p *Proposer) ProposeAccepted(ctx context.Context, command *protocol.Command) (*protocol.CommandResult, error) {
 	result, err := p.Propose(ctx, command)
 	if err != nil {
