--- a/internal/controlplane/core/delivery/metrics.go
+++ b/internal/controlplane/core/delivery/metrics.go
@@ -11,7 +11,7 @@
 	coalesced prometheus.Counter
 }
 
-// newMetrics makes the metrics and registers them where a registerer is given.
+// newMetrics creates the metrics and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	counters := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help},
--- a/internal/controlplane/core/delivery/pacing.go
+++ b/internal/controlplane/core/delivery/pacing.go
@@ -9,23 +9,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// minPacingSweepSize is the number of entries below which none are dropped.
+// minPacingSweepSize is the smallest number of entries at which old ones are dropped.
 const minPacingSweepSize = 1024
 
-// pacing remembers when each node was last sent an update and which, so that a
-// burst of changes becomes few answers. Its mutex guards the fields below it and is
-// held for a map access only; nothing here needs an order between polls.
+// pacing records which update each node was last sent and when, so that a burst of
+// changes is coalesced into few answers. Its mutex guards the fields below it and is
+// held only for accesses to the map; polls need no order among themselves.
 type pacing struct {
 	interval time.Duration
 
 	mutex sync.Mutex
 	sent  map[string]sentAnswer
-	// sweepSize is the size at which old entries are dropped next.
+	// sweepSize is the number of entries at which old ones are dropped next.
 	sweepSize int
 }
 
 type sentAnswer struct {
-	at       time.Time
+	sentAt   time.Time
 	versions *protocol.ControlVersions
 }
 
@@ -33,8 +33,8 @@
 	return &pacing{interval: interval, sent: map[string]sentAnswer{}, sweepSize: minPacingSweepSize}
 }
 
-// remainingWait is how long the answer to a node is delayed. A node that requests again
-// what it was sent already, as after a lost answer, does not wait.
+// remainingWait returns how long the answer to a node must be delayed. A node that requests
+// the versions that it was last sent, as after a lost answer, does not wait.
 func (p *pacing) remainingWait(node string, versions *protocol.ControlVersions, now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,22 +42,22 @@
 	if !known || proto.Equal(last.versions, versions) {
 		return 0
 	}
-	return max(0, min(p.interval, last.at.Add(p.interval).Sub(now)))
+	return max(0, min(p.interval, last.sentAt.Add(p.interval).Sub(now)))
 }
 
-// recordAnswer remembers an answer with an update.
+// recordAnswer records that a node was sent an update, and drops old entries when there are sweepSize of them.
 func (p *pacing) recordAnswer(node string, versions *protocol.ControlVersions, now time.Time) {
 	if node == "" || p.interval <= 0 {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.sent[node] = sentAnswer{at: now, versions: versions}
+	p.sent[node] = sentAnswer{sentAt: now, versions: versions}
 	if len(p.sent) < p.sweepSize {
 		return
 	}
 	for name, last := range p.sent {
-		if now.Sub(last.at) > p.interval {
+		if now.Sub(last.sentAt) > p.interval {
 			delete(p.sent, name)
 		}
 	}
--- a/internal/controlplane/core/delivery/poller.go
+++ b/internal/controlplane/core/delivery/poller.go
@@ -12,17 +12,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MaxPollWait bounds how long a poll may last, whatever the node asks for.
+// MaxPollWait is the longest time that a poll may wait, even if the node requests more.
 const MaxPollWait = 30 * time.Second
 
-// ControlPlane is what polls need of the control plane of their process.
+// ControlPlane is the part of this process's control plane that polls use.
 type ControlPlane interface {
-	// Barrier returns once all that was committed when it was called is applied here.
+	// Barrier returns once every entry that was committed when it was called is applied here.
 	Barrier(ctx context.Context) error
-	// Leadership reports whether this process leads; lost is closed at the end of that leadership.
+	// Leadership reports whether this process is the leader; lost is closed at the end of that leadership.
 	Leadership() (lost <-chan struct{}, isLeader bool)
-	// AcknowledgeVersions records, without waiting, what a node has in force.
-	AcknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions)
+	// AcknowledgeVersions records which versions are active on a node. It does not block.
+	AcknowledgeVersions(holder leases.Holder, active *protocol.ControlVersions)
 }
 
 // Options of a Poller.
@@ -30,7 +30,8 @@
 	ControlPlane ControlPlane
 	Publisher    *Publisher
 	Clock        replica.Clock
-	// CoalesceInterval is the shortest time between two answers with an update to the same node; negative turns it off.
+	// CoalesceInterval is the shortest time between two answers with an update to the same node; a negative value
+	// disables coalescing.
 	CoalesceInterval time.Duration
 	// Registerer may be nil.
 	Registerer prometheus.Registerer
@@ -45,7 +46,7 @@
 	metrics   *metrics
 }
 
-// NewPoller makes a poller.
+// NewPoller returns a poller.
 func NewPoller(options Options) *Poller {
 	return &Poller{
 		control:   options.ControlPlane,
@@ -56,10 +57,9 @@
 	}
 }
 
-// Poll answers with the sections that are newer than those known. With nothing newer it waits for a change, the time
-// requested or the end of this leadership. An update is delayed while the answer before it to the same node is
-// younger than the coalescing interval. A fresh poll is answered at once, from a linearizable read. Errors are
-// failures.
+// Poll returns the sections that are newer than those that the node has. If none is, it waits for a change, the
+// requested time or the end of this leadership. An update is delayed until the coalescing interval has passed since the
+// previous update to the same node. A fresh poll is answered at once, from a linearizable read. Errors are failures.
 func (p *Poller) Poll(
 	ctx context.Context, request *protocol.PollControlRequest,
 ) (*protocol.PollControlResponse, error) {
@@ -103,9 +103,9 @@
 	}
 }
 
-// pollSignals are what a poll waits for; a nil channel never comes.
+// pollSignals are the events that a poll waits for; a nil channel never fires.
 type pollSignals struct {
-	// changed and paceElapsed say that the poll is to be looked at again.
+	// changed and paceElapsed make the poll check for newer sections again.
 	changed     <-chan struct{}
 	paceElapsed <-chan time.Time
 	// expired and leadershipLost end the poll.
@@ -113,7 +113,7 @@
 	leadershipLost <-chan struct{}
 }
 
-// await waits for the first signal; it returns a response or an error when the poll has ended, else neither.
+// await waits for the first signal. It returns a response or an error if that signal ends the poll, else neither.
 func (p *Poller) await(ctx context.Context, signals pollSignals) (*protocol.PollControlResponse, error) {
 	select {
 	case <-signals.changed:
@@ -132,7 +132,7 @@
 	}
 }
 
-// acknowledge records what a poll knows as in force at the node, when it comes from an incarnation with a lease.
+// acknowledge records the versions that a poll reports as active on its node, if the poll names an incarnation.
 func (p *Poller) acknowledge(request *protocol.PollControlRequest) {
 	if request.GetNode() == "" || request.GetIncarnation() == 0 {
 		return
@@ -141,7 +141,7 @@
 	p.control.AcknowledgeVersions(holder, request.GetKnown())
 }
 
-// answer sends the sections that are newer than those known.
+// answer builds the response with the sections that are newer than those that the node has.
 func (p *Poller) answer(current *publication, request *protocol.PollControlRequest) *protocol.PollControlResponse {
 	response := &protocol.PollControlResponse{}
 	for _, answer := range current.answers(request) {
--- a/internal/controlplane/core/delivery/publisher.go
+++ b/internal/controlplane/core/delivery/publisher.go
@@ -1,6 +1,6 @@
-// Package delivery brings the sections of the control state's view to nodes: it
-// publishes each new view, encodes its sections once for all nodes that know the
-// same version, and answers long polls, a node at most once in the coalescing
+// Package delivery delivers the sections of the control state's view to nodes: it
+// publishes each new view, encodes its sections once for all nodes that have the
+// same version, and answers long polls, each node at most once per coalescing
 // interval.
 package delivery
 
@@ -13,41 +13,42 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Publisher holds the newest view. Publish is called by one goroutine, that which applies the control log; View by any.
+// Publisher holds the newest view. Publish may only be called by the goroutine that applies the control log, View by
+// any.
 type Publisher struct {
 	current atomic.Pointer[publication]
 }
 
-// publication is a view together with the signal that a newer one replaced it.
+// publication is a published view, its sections, and the signal that one of these has changed.
 type publication struct {
 	view *controlstate.View
-	// changed is closed when a section of the view has changed.
+	// changed is closed when a view with a changed section is published.
 	changed  chan struct{}
 	sections *sections
 }
 
-// NewPublisher makes a publisher of a first view.
+// NewPublisher returns a publisher with an initial view.
 func NewPublisher(view *controlstate.View) *Publisher {
 	publisher := &Publisher{}
 	publisher.current.Store(&publication{view: view, changed: make(chan struct{}), sections: newSections(view, nil)})
 	return publisher
 }
 
-// View is the newest view.
+// View returns the newest view.
 func (p *Publisher) View() *controlstate.View { return p.current.Load().view }
 
-// Publish replaces the view, and notifies all polls when a section has changed.
+// Publish replaces the view, and notifies all waiting polls if a section has changed.
 func (p *Publisher) Publish(view *controlstate.View) {
-	former := p.current.Load()
-	if proto.Equal(former.view.Versions(), view.Versions()) {
-		p.current.Store(&publication{view: view, changed: former.changed, sections: former.sections})
+	previous := p.current.Load()
+	if proto.Equal(previous.view.Versions(), view.Versions()) {
+		p.current.Store(&publication{view: view, changed: previous.changed, sections: previous.sections})
 		return
 	}
-	p.current.Store(&publication{view: view, changed: make(chan struct{}), sections: newSections(view, former.sections)})
-	close(former.changed)
+	p.current.Store(&publication{view: view, changed: make(chan struct{}), sections: newSections(view, previous.sections)})
+	close(previous.changed)
 }
 
-// newerThan reports whether a section has a higher version than the one known.
+// newerThan reports whether any section has a higher version than the known one.
 func (p *publication) newerThan(known *protocol.ControlVersions) bool {
 	return p.sections.configuration.version > known.GetConfiguration() ||
 		p.sections.membership.version > known.GetMembership() ||
@@ -55,7 +56,7 @@
 		p.sections.placement.version > known.GetPlacement()
 }
 
-// answers are those of the sections with a higher version than the one that the request knows.
+// answers returns the answers of the sections whose versions are higher than those in the request.
 func (p *publication) answers(request *protocol.PollControlRequest) []sectionAnswer {
 	var answers []sectionAnswer
 	known := request.GetKnown()
--- a/internal/controlplane/core/delivery/sections.go
+++ b/internal/controlplane/core/delivery/sections.go
@@ -11,20 +11,22 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// maxCachedAnswers bounds the answers cached for one version of a section; most nodes have one of the same few
-// versions.
+// maxCachedAnswers is the maximum number of answers cached for one version of a section. It can be small, since most
+// nodes have one of the same few versions.
 const maxCachedAnswers = 64
 
-// sectionAnswer is what one section adds to a response: it sets its field, is
-// counted under its kind and takes that many bytes.
+// sectionAnswer is the part of a response that one section contributes.
 type sectionAnswer struct {
+	// kind labels the metrics of the answer.
 	kind  string
 	bytes int
-	set   func(response *protocol.PollControlResponse)
+	// set sets the section's field of the response.
+	set func(response *protocol.PollControlResponse)
 }
 
 // section produces and caches the answers for one version of one section. The
-// mutex guards the cache; the first request produces an answer while later ones wait for it.
+// mutex guards the cache and is held while an answer is produced, so that each answer
+// is produced once and concurrent requests wait for it.
 type section struct {
 	version uint64
 	produce func(request sectionRequest) sectionAnswer
@@ -33,12 +35,12 @@
 	answers map[sectionRequest]sectionAnswer
 }
 
-// sectionRequest is the version known and the forms that the node accepts.
+// sectionRequest is the version that the node has and the encodings that it accepts.
 type sectionRequest struct {
 	known                      uint64
 	acceptsDeltas              bool
 	acceptsPackedConfiguration bool
-	// acceptsPackedViews concerns the sections other than the configuration.
+	// acceptsPackedViews applies to the sections other than the configuration.
 	acceptsPackedViews bool
 }
 
@@ -65,30 +67,32 @@
 	configuration, membership, backEnds, placement *section
 }
 
-// newSections reuses the sections of the former view that did not change.
-func newSections(view *controlstate.View, former *sections) *sections {
-	if former == nil {
-		former = &sections{}
+// newSections returns the sections of a view; those that did not change are taken over from the previous view.
+func newSections(view *controlstate.View, previous *sections) *sections {
+	if previous == nil {
+		previous = &sections{}
 	}
 	versions := view.Versions()
 	return &sections{
-		configuration: reuseOr(former.configuration, versions.GetConfiguration(), configurationSection, view),
-		membership:    reuseOr(former.membership, versions.GetMembership(), membershipSection, view),
-		backEnds:      reuseOr(former.backEnds, versions.GetBackEnds(), backEndSection, view),
-		placement:     reuseOr(former.placement, versions.GetPlacement(), placementSection, view),
+		configuration: reuseSection(previous.configuration, versions.GetConfiguration(), configurationSection, view),
+		membership:    reuseSection(previous.membership, versions.GetMembership(), membershipSection, view),
+		backEnds:      reuseSection(previous.backEnds, versions.GetBackEnds(), backEndSection, view),
+		placement:     reuseSection(previous.placement, versions.GetPlacement(), placementSection, view),
 	}
 }
 
-func reuseOr(
-	former *section, version uint64, newSection func(*controlstate.View) *section, view *controlstate.View,
+// reuseSection returns the previous section if it has that version, else a new one.
+func reuseSection(
+	previous *section, version uint64, newSection func(*controlstate.View) *section, view *controlstate.View,
 ) *section {
-	if former != nil && former.version == version {
-		return former
+	if previous != nil && previous.version == version {
+		return previous
 	}
 	return newSection(view)
 }
 
-// packOnce packs a message at the first call. It gives nil when the message cannot be packed; then it is sent plain.
+// packOnce returns a function that packs a message on its first call. That function returns nil if the message cannot
+// be packed; the section is then sent unpacked.
 func packOnce(message proto.Message) func() []byte {
 	return sync.OnceValue(func() []byte {
 		packed, err := packing.Pack(message)
@@ -185,36 +189,36 @@
 	// kind labels the metrics of the full snapshot; deltas and packed snapshots have a suffix.
 	kind     string
 	snapshot proto.Message
-	// since is the delta from a known version, if there is one.
+	// since returns the delta from a known version, if there is one.
 	since       func(known uint64) (delta D, exists bool)
 	setSnapshot func(*protocol.PollControlResponse)
 	setPacked   func(*protocol.PollControlResponse, []byte)
 	setDelta    func(*protocol.PollControlResponse, D)
 }
 
-// newDeltaSection makes a section that answers with the delta to a node that accepts deltas, while there is one from
-// the version it knows, else with the full snapshot, packed if the node accepts that.
-func newDeltaSection[D proto.Message](described deltaSection[D]) *section {
-	packed := packOnce(described.snapshot)
-	return newSection(described.version, func(request sectionRequest) sectionAnswer {
+// newDeltaSection returns a section that answers with a delta if the node accepts deltas and there is one from its
+// version, else with the full snapshot, packed if the node accepts that.
+func newDeltaSection[D proto.Message](spec deltaSection[D]) *section {
+	packed := packOnce(spec.snapshot)
+	return newSection(spec.version, func(request sectionRequest) sectionAnswer {
 		if request.acceptsDeltas {
-			if delta, exists := described.since(request.known); exists {
+			if delta, exists := spec.since(request.known); exists {
 				return sectionAnswer{
-					kind: described.kind + "_delta", bytes: proto.Size(delta),
+					kind: spec.kind + "_delta", bytes: proto.Size(delta),
 					set: func(response *protocol.PollControlResponse) {
-						described.setDelta(response, delta)
+						spec.setDelta(response, delta)
 					},
 				}
 			}
 		}
 		if request.acceptsPackedViews && packed() != nil {
 			return sectionAnswer{
-				kind: described.kind + "_packed", bytes: len(packed()),
+				kind: spec.kind + "_packed", bytes: len(packed()),
 				set: func(response *protocol.PollControlResponse) {
-					described.setPacked(response, packed())
+					spec.setPacked(response, packed())
 				},
 			}
 		}
-		return sectionAnswer{kind: described.kind, bytes: proto.Size(described.snapshot), set: described.setSnapshot}
+		return sectionAnswer{kind: spec.kind, bytes: proto.Size(spec.snapshot), set: spec.setSnapshot}
 	})
 }
