--- a/internal/controlplane/core/heartbeats/members.go
+++ b/internal/controlplane/core/heartbeats/members.go
@@ -9,25 +9,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// RelayingMembers is what the leader knows of the members that send it batches of heartbeats. It belongs to one
-// goroutine.
+// RelayingMembers tracks, on the leader, the members that send it batches of heartbeats. It is not safe for concurrent
+// use.
 type RelayingMembers struct {
 	// lastBatch is when the last batch of a member was received, by the member's id.
 	lastBatch map[uint64]time.Time
 }
 
-// NewRelayingMembers makes an empty table.
+// NewRelayingMembers returns an empty table.
 func NewRelayingMembers() *RelayingMembers {
 	return &RelayingMembers{lastBatch: map[uint64]time.Time{}}
 }
 
-// Reset forgets all members, as a new leader does.
+// Reset removes all members; a new leader calls it.
 func (m *RelayingMembers) Reset() { clear(m.lastBatch) }
 
 // ObserveBatch records that a member sent a batch.
 func (m *RelayingMembers) ObserveBatch(member uint64, now time.Time) { m.lastBatch[member] = now }
 
-// Reachable lists those of the members that sent a batch recently and have an address that back ends can be given.
+// Reachable returns the members that sent a batch within maxRelayAge and have an HTTP address for back ends.
 func (m *RelayingMembers) Reachable(members []*protocol.CoreMember, now time.Time) []*protocol.CoreMember {
 	var reachable []*protocol.CoreMember
 	for _, member := range members {
@@ -39,13 +39,13 @@
 	return reachable
 }
 
-// ChooseMember picks the member that a back end should send its heartbeats to, one near it if there is any: always
-// the same for the same members; nil when there are none.
+// ChooseMember returns the member that a back end should send its heartbeats to, or nil if there are no members. It
+// prefers members near the back end, and always returns the same one for the same members.
 func ChooseMember(members []*protocol.CoreMember, backEnd *protocol.BackEnd) *protocol.CoreMember {
 	return highestWeight(nearestMembers(members, backEnd), backEnd.GetId())
 }
 
-// nearestMembers are the members in a back end's zone, else those in its region, else all.
+// nearestMembers returns the members in a back end's zone, else those in its region, else all.
 func nearestMembers(members []*protocol.CoreMember, backEnd *protocol.BackEnd) []*protocol.CoreMember {
 	var sameZone, sameRegion []*protocol.CoreMember
 	for _, member := range members {
@@ -66,8 +66,8 @@
 	}
 }
 
-// highestWeight picks by the highest hash of member and back end (rendezvous hashing), so that a member that joins or
-// leaves moves only the back ends that it takes or had.
+// highestWeight returns the member with the highest hash of member and back end (rendezvous hashing), so that a member
+// that joins or leaves reassigns only the back ends that it gains or loses.
 func highestWeight(members []*protocol.CoreMember, backEndID string) *protocol.CoreMember {
 	var chosen *protocol.CoreMember
 	var highest uint64
--- a/internal/controlplane/core/heartbeats/relay.go
+++ b/internal/controlplane/core/heartbeats/relay.go
@@ -1,12 +1,12 @@
-// Package heartbeats keeps what the core's members know of the heartbeats of
-// back ends. A member that does not lead acknowledges those that change nothing
-// and relays them to the leader in batches (Relay); the leader orders them by
-// their sequences (SequenceTable), tells unchanged back ends from changed ones
-// (Changes) and knows which members relay (RelayingMembers), so that back ends
-// can be sent to one of these (ChooseMember).
+// Package heartbeats tracks the heartbeats of back ends on the members of the
+// core. A follower acknowledges heartbeats that change nothing and relays them
+// to the leader in batches (Relay). The leader orders them by their sequences
+// (SequenceTable), distinguishes unchanged back ends from changed ones (Changes)
+// and tracks which members relay (RelayingMembers), so that back ends can be
+// directed to one of these (ChooseMember).
 //
-// The package decides and does no I/O. Its tables know no clock and belong to
-// one goroutine, the owner of the control plane's tables.
+// The package does no I/O and reads no clock. Its tables are not safe for
+// concurrent use; the goroutine that owns the control plane's tables uses them.
 package heartbeats
 
 import (
@@ -19,73 +19,73 @@
 )
 
 const (
-	// MaxBatch bounds the heartbeats of one batch.
+	// MaxBatch is the maximum number of heartbeats in one batch.
 	MaxBatch = 4096
-	// RelayTimeout bounds the sending of one batch, below the election timeout.
+	// RelayTimeout is the timeout for sending one batch; it is below the election timeout.
 	RelayTimeout = 500 * time.Millisecond
 	// relayInterval is the time between two batches of heartbeats to the leader.
 	relayInterval = 200 * time.Millisecond
-	// maxRelayAge is the longest time since the last confirmed batch was sent in which a member acknowledges heartbeats.
+	// maxRelayAge is how long a follower acknowledges heartbeats after it sent the last batch that the leader confirmed.
 	maxRelayAge = time.Second
-	// relayAgesPerLease is how many times the relay's age goes into a back-end lease that is short.
+	// relayAgesPerLease limits that age to this fraction of a back-end lease, for leases that are short.
 	relayAgesPerLease = 4
 )
 
-// Relay holds the heartbeats that a member which does not lead has acknowledged until the leader has them.
+// Relay holds the heartbeats that a follower has acknowledged until they are sent to the leader.
 type Relay struct {
-	// lease is the duration of a back end's lease: an older heartbeat is of no use to the leader.
+	// lease is the duration of a back end's lease. An older heartbeat is dropped, since the leader cannot use it.
 	lease  time.Duration
 	maxAge time.Duration
-	// pending are the newest heartbeats, by back end, that no batch carried yet.
+	// pending holds, by back end, the newest heartbeat that has not been part of a batch.
 	pending map[string]Heartbeat
-	// escalated are the back ends whose next heartbeat goes to the leader, whose view of them differs from this member's.
+	// escalated are the back ends whose next heartbeat must go to the leader, because the leader's view of them differs
+	// from this member's.
 	escalated map[string]bool
-	// leader is the member that batches go to, zero while none is known.
+	// leader is the id of the member that batches are sent to, zero while none is known.
 	leader uint64
-	// lastConfirmed is when the last batch that this leader answered was sent.
+	// lastConfirmed is when the last batch that this leader confirmed was sent.
 	lastConfirmed time.Time
 	nextBatch     time.Time
-	// batchInFlight is true while a batch to this leader is not answered.
+	// batchInFlight is true while a batch to this leader is unanswered.
 	batchInFlight bool
 }
 
-// Heartbeat is one heartbeat that this member acknowledged.
+// Heartbeat is a heartbeat that this member acknowledged.
 type Heartbeat struct {
 	BackEnd  leases.Holder
 	Sequence uint64
-	// ViewVersion is that of the back-end view that the heartbeat was compared with.
+	// ViewVersion is the version of the back-end view that the heartbeat was compared with.
 	ViewVersion uint64
 	ReceivedAt  time.Time
 }
 
-// NewRelay makes an empty relay for back-end leases of a duration.
+// NewRelay returns an empty relay for back-end leases of that duration.
 func NewRelay(lease time.Duration) *Relay {
 	relay := &Relay{lease: lease, maxAge: min(maxRelayAge, lease/relayAgesPerLease)}
 	relay.Reset()
 	return relay
 }
 
-// Reset forgets everything, as at the beginning of this member's own leadership, which gives all back ends a full
-// lease.
+// Reset clears the relay. It is called when this member becomes the leader, which grants all back ends a full lease.
 func (r *Relay) Reset() {
 	r.pending, r.escalated = map[string]Heartbeat{}, map[string]bool{}
 	r.ObserveLeader(0)
 }
 
-// ObserveLeader records which member leads, by id. What another one confirmed does not count, and a new one gets a
-// batch at once.
+// ObserveLeader records the id of the leader. When the leader changes, batches that the previous one confirmed no
+// longer count, and a batch to the new one is due at once.
 func (r *Relay) ObserveLeader(leader uint64) {
 	if r.leader != leader {
 		r.leader, r.lastConfirmed, r.nextBatch, r.batchInFlight = leader, time.Time{}, time.Time{}, false
 	}
 }
 
-// ReachesLeader reports whether the leader answered a batch that was sent recently.
+// ReachesLeader reports whether the leader confirmed a batch that was sent within maxAge.
 func (r *Relay) ReachesLeader(leader uint64, now time.Time) bool {
 	return leader == r.leader && !r.lastConfirmed.IsZero() && now.Sub(r.lastConfirmed) <= r.maxAge
 }
 
-// Add keeps a heartbeat for the next batch unless a later one of the back end is pending.
+// Add adds a heartbeat to the next batch unless a later one of the same back end is pending.
 func (r *Relay) Add(heartbeat Heartbeat) {
 	if last, known := r.pending[heartbeat.BackEnd.Name]; known && !heartbeat.supersedes(last) {
 		return
@@ -93,7 +93,7 @@
 	r.pending[heartbeat.BackEnd.Name] = heartbeat
 }
 
-// supersedes reports whether a heartbeat replaces another one of its back end.
+// supersedes reports whether a heartbeat replaces another one of the same back end.
 func (h Heartbeat) supersedes(other Heartbeat) bool {
 	if h.BackEnd.Incarnation != other.BackEnd.Incarnation {
 		return h.BackEnd.Incarnation > other.BackEnd.Incarnation
@@ -101,8 +101,8 @@
 	return h.Sequence >= other.Sequence && !h.ReceivedAt.Before(other.ReceivedAt)
 }
 
-// BeginBatch takes the heartbeats of the next batch, oldest first; due is false while none is to be sent. A batch may
-// be empty: its answer shows that the leader is reached.
+// BeginBatch removes and returns the heartbeats of the next batch, oldest first; due is false while no batch is to be
+// sent. A batch may be empty: its answer still shows that the leader is reachable.
 func (r *Relay) BeginBatch(now time.Time) (batch []Heartbeat, due bool) {
 	if r.batchInFlight || now.Before(r.nextBatch) {
 		return nil, false
@@ -125,8 +125,8 @@
 	return batch, true
 }
 
-// Confirm records a leader's answer to a batch: when that was sent, and the back ends that the leader does not know
-// as this member does.
+// Confirm records a leader's answer to a batch that was sent at sentAt. The unknown back ends, those of which the
+// leader has a different view than this member, are escalated.
 func (r *Relay) Confirm(leader uint64, sentAt time.Time, unknown []string) {
 	r.endBatch(leader)
 	if leader == r.leader {
@@ -137,7 +137,7 @@
 	}
 }
 
-// Requeue keeps the heartbeats of a batch that a leader did not answer for the next one.
+// Requeue adds the heartbeats of a batch that a leader did not answer to the next batch.
 func (r *Relay) Requeue(leader uint64, batch []Heartbeat) {
 	r.endBatch(leader)
 	for _, heartbeat := range batch {
@@ -145,7 +145,7 @@
 	}
 }
 
-// endBatch allows the next batch once the one to the present leader has ended; one to a former leader delays nothing.
+// endBatch records that a batch to a leader has ended. A batch to a previous leader does not delay the next one.
 func (r *Relay) endBatch(leader uint64) {
 	if leader == r.leader {
 		r.batchInFlight = false
@@ -158,7 +158,8 @@
 // EndEscalation records that the leader acknowledged a heartbeat of a back end.
 func (r *Relay) EndEscalation(id string) { delete(r.escalated, id) }
 
-// DropAbsent ends the escalation of back ends that left the view: their announcements go to the leader in any case.
+// DropAbsent ends the escalation of back ends that are no longer in the view: their announcements go to the leader in
+// any case.
 func (r *Relay) DropAbsent(exists func(id string) bool) {
 	for id := range r.escalated {
 		if !exists(id) {
@@ -167,7 +168,7 @@
 	}
 }
 
-// EncodeBatch writes a batch of a member with the age that each heartbeat has at a time.
+// EncodeBatch encodes a batch of a member, with the age of each heartbeat at now.
 func EncodeBatch(member uint64, batch []Heartbeat, now time.Time) *protocol.RenewBackEndsRequest {
 	encoded := &protocol.RenewBackEndsRequest{Member: member, Heard: make([]*protocol.HeardBackEnd, len(batch))}
 	for i, heartbeat := range batch {
@@ -179,7 +180,7 @@
 	return encoded
 }
 
-// ageMillis rounds an age up, so that no lease gets longer by rounding.
+// ageMillis rounds an age up to milliseconds, so that rounding never extends a lease.
 func ageMillis(age time.Duration) int64 {
 	return (max(age, 0) + time.Millisecond - 1).Milliseconds()
 }
--- a/internal/controlplane/core/heartbeats/relay_test.go
+++ b/internal/controlplane/core/heartbeats/relay_test.go
@@ -34,22 +34,22 @@
 		sentAt   time.Duration
 		want     []heartbeats.Heartbeat
 	}{
-		"the later one": {
+		"later heartbeat": {
 			received: []heartbeats.Heartbeat{heartbeat(1, 1, 0), heartbeat(1, 2, time.Second)},
 			sentAt:   time.Second,
 			want:     []heartbeats.Heartbeat{heartbeat(1, 2, time.Second)},
 		},
-		"not one with a lower sequence": {
+		"heartbeat with the higher sequence, received first": {
 			received: []heartbeats.Heartbeat{heartbeat(1, 2, 0), heartbeat(1, 1, time.Second)},
 			sentAt:   time.Second,
 			want:     []heartbeats.Heartbeat{heartbeat(1, 2, 0)},
 		},
-		"that of the later incarnation": {
+		"heartbeat of the later incarnation": {
 			received: []heartbeats.Heartbeat{heartbeat(1, 9, time.Second), heartbeat(2, 1, 0)},
 			sentAt:   time.Second,
 			want:     []heartbeats.Heartbeat{heartbeat(2, 1, 0)},
 		},
-		"none as old as a lease": {
+		"no heartbeat as old as a lease": {
 			received: []heartbeats.Heartbeat{heartbeat(1, 1, 0)},
 			sentAt:   lease,
 		},
@@ -61,11 +61,11 @@
 			}
 			batch, due := relay.BeginBatch(start.Add(test.sentAt))
 			if !due || len(batch) != len(test.want) {
-				t.Fatalf("due %v: %v", due, batch)
+				t.Fatalf("BeginBatch = %+v, due %v; want %d heartbeats, due", batch, due, len(test.want))
 			}
 			for i, want := range test.want {
 				if batch[i] != want {
-					t.Fatalf("heartbeat %d is %+v, not %+v", i, batch[i], want)
+					t.Fatalf("heartbeat %d is %+v, want %+v", i, batch[i], want)
 				}
 			}
 		})
@@ -77,34 +77,36 @@
 	relay.Add(heartbeat(1, 1, 0))
 	batch, _ := relay.BeginBatch(start)
 	if _, due := relay.BeginBatch(start.Add(time.Second)); due {
-		t.Fatal("a second batch began beside one in flight")
+		t.Fatal("BeginBatch began a second batch while one is in flight")
 	}
 	relay.Requeue(leader, batch)
 	again, due := relay.BeginBatch(start.Add(time.Second))
 	if !due || len(again) != 1 {
-		t.Fatalf("the batch that was not answered is not sent again: due %v, %v", due, again)
+		t.Fatalf("BeginBatch after Requeue = %+v, due %v; want the 1 heartbeat of the unanswered batch, due", again, due)
 	}
 	relay.ObserveLeader(leader + 1)
 	if _, due := relay.BeginBatch(start.Add(time.Second)); !due {
-		t.Fatal("a new leader gets no batch at once")
+		t.Fatal("no batch is due right after a change of leader")
 	}
 }
 
 func TestALeaderIsReachedForASecondAfterABatchThatItAnswered(t *testing.T) {
 	relay := newRelay()
 	if relay.ReachesLeader(leader, start) {
-		t.Fatal("reached before any answer")
+		t.Fatal("ReachesLeader is true before the leader confirmed a batch")
 	}
 	relay.BeginBatch(start)
 	relay.Confirm(leader, start, []string{"server-2"})
 	if !relay.ReachesLeader(leader, start.Add(time.Second)) || relay.ReachesLeader(leader, start.Add(time.Second+1)) {
-		t.Fatal("reached for another time than a second after the batch was sent")
+		t.Fatalf("ReachesLeader is %v 1 s after the confirmed batch was sent and %v 1 ns later; want true and false",
+			relay.ReachesLeader(leader, start.Add(time.Second)), relay.ReachesLeader(leader, start.Add(time.Second+1)))
 	}
 	if relay.ReachesLeader(leader+1, start) {
-		t.Fatal("another leader counts as reached")
+		t.Fatal("ReachesLeader is true for a leader that confirmed no batch")
 	}
 	if !relay.Escalated("server-2") || relay.Escalated("server-1") {
-		t.Fatal("another back end is escalated than the leader did not know")
+		t.Fatalf("escalated: server-1 %v, server-2 %v; want only server-2, which the leader reported as unknown",
+			relay.Escalated("server-1"), relay.Escalated("server-2"))
 	}
 }
 
@@ -122,11 +124,12 @@
 	} {
 		backEnd := leases.Holder{Name: "server-1", Incarnation: test.incarnation}
 		if inOrder := table.Observe(backEnd, test.sequence, start); inOrder != test.inOrder {
-			t.Fatalf("step %d: in order %v", number, inOrder)
+			t.Fatalf("step %d: Observe(incarnation %d, sequence %d) = %v, want %v",
+				number, test.incarnation, test.sequence, inOrder, test.inOrder)
 		}
 	}
 	table.Sweep(start.Add(11 * time.Minute))
 	if !table.Observe(leases.Holder{Name: "server-1", Incarnation: 1}, 1, start) {
-		t.Fatal("a sequence is remembered longer than ten minutes")
+		t.Fatal("Sweep kept a sequence that is older than ten minutes")
 	}
 }
--- a/internal/controlplane/core/heartbeats/sequences.go
+++ b/internal/controlplane/core/heartbeats/sequences.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// sequenceTTL is how long the last sequence of a back end that sends nothing is remembered.
+	// sequenceTTL is how long the last sequence of a back end is kept after its last announcement.
 	sequenceTTL = 10 * time.Minute
 	// sequenceSweepInterval is the time between two sweeps of the table.
 	sequenceSweepInterval = time.Minute
 )
 
-// SequenceTable holds the highest sequence that each back end announced itself with to this leader. The control log
-// holds the sequences of announcements that changed something; this table those that only renewed a lease. It belongs
-// to one goroutine.
+// SequenceTable holds the highest sequence of the announcements that each back end sent to this leader. The control log
+// has the sequences of announcements that changed something; this table also covers those that only renewed a lease. It
+// is not safe for concurrent use.
 type SequenceTable struct {
 	last      map[string]lastSequence
 	nextSweep time.Time
@@ -33,15 +33,16 @@
 	return sequence < l.sequence
 }
 
-// NewSequenceTable makes an empty table.
+// NewSequenceTable returns an empty table.
 func NewSequenceTable() *SequenceTable {
 	return &SequenceTable{last: map[string]lastSequence{}}
 }
 
-// Reset forgets all sequences, as a new leader does.
+// Reset removes all sequences; a new leader calls it.
 func (t *SequenceTable) Reset() { t.last = map[string]lastSequence{} }
 
-// Observe records a sequence; it reports false, and records nothing, when a later one was observed before.
+// Observe records a sequence and returns true. If a later one was observed before, it returns false and records
+// nothing.
 func (t *SequenceTable) Observe(backEnd leases.Holder, sequence uint64, now time.Time) bool {
 	if last, known := t.last[backEnd.Name]; known && last.isAfter(backEnd.Incarnation, sequence) {
 		return false
@@ -50,7 +51,8 @@
 	return true
 }
 
-// Sweep forgets back ends that have sent nothing for long.
+// Sweep removes the back ends whose last announcement is older than sequenceTTL, at most once per
+// sequenceSweepInterval.
 func (t *SequenceTable) Sweep(now time.Time) {
 	if now.Before(t.nextSweep) {
 		return
