--- a/internal/controlplane/bundle/bundle_test.go
+++ b/internal/controlplane/bundle/bundle_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestCheckOfAPartialBundleNamesEntriesOfTheBase(t *testing.T) {
+func TestFaultsOfAPartialBundleNameEntriesOfTheBase(t *testing.T) {
 	base, _ := bundle.Check(nil, bundle.Default(1))
 	_, faults := bundle.Check(base, &protocol.Bundle{
 		Version: 2, BaseVersion: 1, Partial: true,
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestDigestIgnoresOrderAndSeesContent(t *testing.T) {
+func TestDigestDependsOnContentNotOrder(t *testing.T) {
 	first, second := bundle.Default(1), bundle.Default(1)
 	second.Routes[0], second.Routes[1] = second.Routes[1], second.Routes[0]
 	if bundle.Digest(first) != bundle.Digest(second) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestEncodingIsReadableProtobuf keeps the canonical encoding inside the wire format.
-func TestEncodingIsReadableProtobuf(t *testing.T) {
+// TestCanonicalEncodingIsValidProtobuf keeps the canonical encoding inside the wire format.
+func TestCanonicalEncodingIsValidProtobuf(t *testing.T) {
 	original := bundle.Default(9)
 	original.Groups[0].ZoneWeights = map[string]uint32{"z2": 2, "z1": 0, "z3": 9}
 	decoded := &protocol.Bundle{}
@@ -152,34 +152,36 @@
 
 // drawBundle makes a merged bundle out of a small space, so that steps often meet the same names.
 func drawBundle(t *rapid.T, version uint64, label string) *protocol.Bundle {
-	made := &protocol.Bundle{
+	complete := &protocol.Bundle{
 		Version: version, Limits: &protocol.LimitPolicy{MaxQueued: rapid.Uint32Range(0, 2).Draw(t, label+"queued")},
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("g%d", i)
 		weight := rapid.Uint32Range(0, 2).Draw(t, label+name)
-		made.Groups = append(made.Groups, &protocol.ServerGroup{Name: name, ZoneWeights: map[string]uint32{"z": weight}})
+		complete.Groups = append(
+			complete.Groups, &protocol.ServerGroup{Name: name, ZoneWeights: map[string]uint32{"z": weight}},
+		)
 	}
 	for i := range rapid.IntRange(0, 6).Draw(t, label+"routes") {
 		group := fmt.Sprintf("g%d", rapid.IntRange(0, 2).Draw(t, label+"group"))
 		name := fmt.Sprintf("r%d", i+rapid.IntRange(0, 2).Draw(t, label+"shift")*10)
-		made.Routes = append(made.Routes, &protocol.Route{Name: name, Model: name, Group: group})
+		complete.Routes = append(complete.Routes, &protocol.Route{Name: name, Model: name, Group: group})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, label+"http routes") {
 		route := httpRoute(
 			fmt.Sprintf("h%d", i+rapid.IntRange(0, 2).Draw(t, label+"http shift")*10), "host", fmt.Sprintf("/%d/", i),
 		)
 		route.Targets[0].Weight = rapid.Uint32Range(1, 2).Draw(t, label+"http weight")
-		made.HttpRoutes = append(made.HttpRoutes, route)
+		complete.HttpRoutes = append(complete.HttpRoutes, route)
 	}
-	merged, faults := bundle.Check(nil, made)
+	merged, faults := bundle.Check(nil, complete)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	return merged
 }
 
-func TestPartialBundlesAndDeltasLeadToTheConfigurationInForce(t *testing.T) {
+func TestPartialBundlesAndDeltasProduceTheActiveConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawBundle(t, 1, "from"), drawBundle(t, 2, "to")
 		candidate := drawBundle(t, 3, "candidate")
@@ -210,7 +212,7 @@
 	})
 }
 
-func TestDeltaThatDoesNotFitIsRejected(t *testing.T) {
+func TestDeltaWithAnotherBaseOrDigestIsRejected(t *testing.T) {
 	active, _ := bundle.Check(nil, bundle.Default(1))
 	current := &protocol.Configuration{Version: 10, Active: active, ActiveDigest: bundle.Digest(active)}
 	step := &protocol.Bundle{Version: 2, BaseVersion: 1, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: 1}}
--- a/internal/controlplane/bundle/check_references.go
+++ b/internal/controlplane/bundle/check_references.go
@@ -30,21 +30,21 @@
 
 // checkRemovedNames requires the existing names to be sorted.
 func (c *checker) checkRemovedNames(path string, removed, existing, replaced []string) {
-	given := make(map[string]bool, len(replaced))
+	submitted := make(map[string]bool, len(replaced))
 	for _, name := range replaced {
-		given[name] = true
+		submitted[name] = true
 	}
 	seen := map[string]bool{}
 	for i, name := range removed {
-		at := fmt.Sprintf("%s[%d]", path, i)
+		faultPath := fmt.Sprintf("%s[%d]", path, i)
 		if _, exists := slices.BinarySearch(existing, name); !exists {
-			c.addFault(at, fmt.Sprintf("%q is not in the base", name))
+			c.addFault(faultPath, fmt.Sprintf("%q is not in the base", name))
 		}
-		if given[name] {
-			c.addFault(at, fmt.Sprintf("%q is both given and removed", name))
+		if submitted[name] {
+			c.addFault(faultPath, fmt.Sprintf("%q is both given and removed", name))
 		}
 		if seen[name] {
-			c.addFault(at, fmt.Sprintf("%q is removed twice", name))
+			c.addFault(faultPath, fmt.Sprintf("%q is removed twice", name))
 		}
 		seen[name] = true
 	}
--- a/internal/controlplane/bundle/delta.go
+++ b/internal/controlplane/bundle/delta.go
@@ -142,18 +142,18 @@
 // steps are the changes of the active bundle between them. It reports false if the
 // delta would take no fewer bytes than a full snapshot.
 func MakeDelta(
-	base uint64, steps []*protocol.Bundle, inForce *protocol.Configuration,
+	base uint64, steps []*protocol.Bundle, configuration *protocol.Configuration,
 ) (*protocol.ConfigurationDelta, bool) {
 	delta := &protocol.ConfigurationDelta{
-		BaseVersion: base, Version: inForce.GetVersion(),
-		ActiveSteps: steps, ActiveDigest: inForce.GetActiveDigest(),
-		Candidate: inForce.GetCandidate(), CandidateDigest: inForce.GetCandidateDigest(),
-		Rollout: inForce.GetRollout(),
+		BaseVersion: base, Version: configuration.GetVersion(),
+		ActiveSteps: steps, ActiveDigest: configuration.GetActiveDigest(),
+		Candidate: configuration.GetCandidate(), CandidateDigest: configuration.GetCandidateDigest(),
+		Rollout: configuration.GetRollout(),
 	}
-	if inForce.GetCandidate() != nil {
-		if partial, possible := MakePartial(inForce.GetActive(), inForce.GetCandidate()); possible {
+	if configuration.GetCandidate() != nil {
+		if partial, possible := MakePartial(configuration.GetActive(), configuration.GetCandidate()); possible {
 			delta.Candidate = partial
 		}
 	}
-	return delta, proto.Size(delta) < proto.Size(inForce)
+	return delta, proto.Size(delta) < proto.Size(configuration)
 }
--- a/internal/controlplane/bundle/encode_route.go
+++ b/internal/controlplane/bundle/encode_route.go
@@ -41,34 +41,34 @@
 )
 
 func appendHTTPRoute(buffer []byte, route *protocol.HttpRoute) []byte {
-	buffer = appendText(buffer, routeName, route.GetName())
-	buffer = appendText(buffer, routeHost, route.GetHost())
-	buffer = appendText(buffer, routePrefix, route.GetPrefix())
-	buffer = appendNumber(buffer, routeKind, uint64(route.GetKind()))
+	buffer = appendString(buffer, routeName, route.GetName())
+	buffer = appendString(buffer, routeHost, route.GetHost())
+	buffer = appendString(buffer, routePrefix, route.GetPrefix())
+	buffer = appendUint(buffer, routeKind, uint64(route.GetKind()))
 	for _, target := range route.GetTargets() {
 		buffer = appendTarget(buffer, target)
 	}
-	buffer = appendNumber(buffer, routeTimeoutMillis, uint64(route.GetTimeoutMillis()))
-	buffer = appendNumber(buffer, routeLatencyObjectiveMillis, uint64(route.GetLatencyObjectiveMillis()))
-	buffer = appendNumber(buffer, routePauseObjectiveMillis, uint64(route.GetPauseObjectiveMillis()))
-	buffer = appendNumber(buffer, routeRank, uint64(route.GetRank()))
-	buffer = appendNumber(buffer, routeMaxAttempts, uint64(route.GetMaxAttempts()))
-	buffer = appendNumber(buffer, routeStateful, protowire.EncodeBool(route.GetStateful()))
-	buffer = appendNumber(buffer, routeKeepMillis, route.GetKeepMillis())
-	buffer = appendNumber(buffer, routeSticky, protowire.EncodeBool(route.GetSticky()))
-	buffer = appendNumber(buffer, routeResumable, protowire.EncodeBool(route.GetResumable()))
-	buffer = appendTexts(buffer, routeAnnotations, route.GetAnnotations())
-	return appendNumber(buffer, routeSingleTarget, protowire.EncodeBool(route.GetSingleTarget()))
+	buffer = appendUint(buffer, routeTimeoutMillis, uint64(route.GetTimeoutMillis()))
+	buffer = appendUint(buffer, routeLatencyObjectiveMillis, uint64(route.GetLatencyObjectiveMillis()))
+	buffer = appendUint(buffer, routePauseObjectiveMillis, uint64(route.GetPauseObjectiveMillis()))
+	buffer = appendUint(buffer, routeRank, uint64(route.GetRank()))
+	buffer = appendUint(buffer, routeMaxAttempts, uint64(route.GetMaxAttempts()))
+	buffer = appendUint(buffer, routeStateful, protowire.EncodeBool(route.GetStateful()))
+	buffer = appendUint(buffer, routeKeepMillis, route.GetKeepMillis())
+	buffer = appendUint(buffer, routeSticky, protowire.EncodeBool(route.GetSticky()))
+	buffer = appendUint(buffer, routeResumable, protowire.EncodeBool(route.GetResumable()))
+	buffer = appendStringMap(buffer, routeAnnotations, route.GetAnnotations())
+	return appendUint(buffer, routeSingleTarget, protowire.EncodeBool(route.GetSingleTarget()))
 }
 
 func appendTarget(buffer []byte, target *protocol.WeightedGroup) []byte {
-	encoded := appendText(make([]byte, 0, 64), targetGroup, target.GetGroup())
-	encoded = appendNumber(encoded, targetWeight, uint64(target.GetWeight()))
+	encoded := appendString(make([]byte, 0, 64), targetGroup, target.GetGroup())
+	encoded = appendUint(encoded, targetWeight, uint64(target.GetWeight()))
 	buffer = protowire.AppendTag(buffer, routeTargets, protowire.BytesType)
 	return protowire.AppendBytes(buffer, encoded)
 }
 
-func appendText(buffer []byte, number protowire.Number, text string) []byte {
+func appendString(buffer []byte, number protowire.Number, text string) []byte {
 	if text == "" {
 		return buffer
 	}
@@ -76,7 +76,7 @@
 	return protowire.AppendString(buffer, text)
 }
 
-func appendNumber(buffer []byte, field protowire.Number, number uint64) []byte {
+func appendUint(buffer []byte, field protowire.Number, number uint64) []byte {
 	if number == 0 {
 		return buffer
 	}
@@ -84,9 +84,9 @@
 	return protowire.AppendVarint(buffer, number)
 }
 
-// appendTexts appends a map of texts in the order of its keys. Unlike a field, an
+// appendStringMap appends a map of texts in the order of its keys. Unlike a field, an
 // entry has its key and its value even if they are empty.
-func appendTexts(buffer []byte, number protowire.Number, texts map[string]string) []byte {
+func appendStringMap(buffer []byte, number protowire.Number, texts map[string]string) []byte {
 	if len(texts) == 0 {
 		return buffer
 	}
--- a/internal/controlplane/bundle/http_routes_test.go
+++ b/internal/controlplane/bundle/http_routes_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestPartialBundleNamesTheHTTPRouteOfTheBaseThatItBreaks(t *testing.T) {
+func TestFaultsOfAPartialBundleNameHTTPRoutesOfTheBase(t *testing.T) {
 	base, _ := bundle.Check(nil, withHTTPRoutes(1, httpRoute("a", "h.example", "/x/")))
 	_, faults := bundle.Check(base, &protocol.Bundle{
 		Version: 2, BaseVersion: 1, Partial: true, RemovedGroups: []string{"g0"}, RemovedHttpRoutes: []string{"absent"},
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestHTTPRouteOfALongestPrefix(t *testing.T) {
+func TestHTTPRouteHasTheLongestMatchingPrefix(t *testing.T) {
 	merged, faults := bundle.Check(nil, withHTTPRoutes(1,
 		httpRoute("root", "h.example", "/"), httpRoute("a", "h.example", "/a/"), httpRoute("ab", "h.example", "/a/b/"),
 		httpRoute("other", "O.example", "/a/"), httpRoute("six", "[::1]", "/"),
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestEncodingOfHTTPRoutesIsThatOfAnyMessage compares the encoding that is written out with the one by reflection.
-func TestEncodingOfHTTPRoutesIsThatOfAnyMessage(t *testing.T) {
+// TestHTTPRouteEncodingMatchesReflection compares the encoding that is written out with the one by reflection.
+func TestHTTPRouteEncodingMatchesReflection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 3, -1)
 		number := rapid.SampledFrom([]uint32{0, 1, 200, math.MaxUint32})
@@ -277,15 +277,15 @@
 
 // manyHTTPRoutes is a bundle of that many HTTP routes on a few hosts.
 func manyHTTPRoutes(version uint64, count int) *protocol.Bundle {
-	made := withHTTPRoutes(version)
+	complete := withHTTPRoutes(version)
 	for i := range count {
 		route := httpRoute(
 			fmt.Sprintf("route-%05d", i), fmt.Sprintf("host-%d.example", i%7), fmt.Sprintf("/service-%05d/", i),
 		)
 		route.Annotations = map[string]string{"origin": "operator"}
-		made.HttpRoutes = append(made.HttpRoutes, route)
+		complete.HttpRoutes = append(complete.HttpRoutes, route)
 	}
-	return made
+	return complete
 }
 
 func BenchmarkFiveThousandHTTPRoutes(b *testing.B) {
--- a/internal/controlplane/bundle/share.go
+++ b/internal/controlplane/bundle/share.go
@@ -30,14 +30,14 @@
 // returns the previous list itself.
 func shareByName[T namedMessage](previous, merged []T) []T {
 	shared := make([]T, len(merged))
-	at, unchanged := 0, 0
+	position, unchanged := 0, 0
 	for i, entry := range merged {
-		for at < len(previous) && previous[at].GetName() < entry.GetName() {
-			at++
+		for position < len(previous) && previous[position].GetName() < entry.GetName() {
+			position++
 		}
 		shared[i] = entry
-		if at < len(previous) && equal(previous[at], entry) {
-			shared[i] = previous[at]
+		if position < len(previous) && equal(previous[position], entry) {
+			shared[i] = previous[position]
 			unchanged++
 		}
 	}
--- a/internal/controlplane/controlstate/announcements.go
+++ b/internal/controlplane/controlstate/announcements.go
@@ -43,10 +43,10 @@
 }
 
 // withoutExpired drops the back ends that were removed longer than the retention before a time in Unix milliseconds.
-func (a *announcements) withoutExpired(at int64) *announcements {
+func (a *announcements) withoutExpired(nowMillis int64) *announcements {
 	remaining := a.byID.Txn()
 	a.byID.Root().Walk(func(id []byte, last *protocol.BackEndAnnouncement) bool {
-		if removed := last.GetRemovedAtMillis(); removed != 0 && at-removed > announcementRetention.Milliseconds() {
+		if removed := last.GetRemovedAtMillis(); removed != 0 && nowMillis-removed > announcementRetention.Milliseconds() {
 			remaining.Delete(id)
 		}
 		return false
@@ -97,7 +97,7 @@
 // resolveDeparture gives the departure that a command means, of the present
 // incarnation when it names none, and whether the back end was ever known.
 func (s *State) resolveDeparture(
-	command *protocol.RemoveBackEndCommand, at int64,
+	command *protocol.RemoveBackEndCommand, nowMillis int64,
 ) (departure *protocol.BackEndAnnouncement, known bool) {
 	current, last := findBackEnd(s.backEnds, command.GetId()), s.announcements.find(command.GetId())
 	incarnation := command.GetIncarnation()
@@ -105,13 +105,13 @@
 		incarnation = max(current.GetIncarnation(), last.GetIncarnation())
 	}
 	return &protocol.BackEndAnnouncement{
-		Id: command.GetId(), Incarnation: incarnation, Sequence: command.GetSequence(), RemovedAtMillis: at,
+		Id: command.GetId(), Incarnation: incarnation, Sequence: command.GetSequence(), RemovedAtMillis: nowMillis,
 	}, current != nil || last != nil
 }
 
-// recordLeft remembers that an incarnation left. Of a back end that was never
+// recordDeparture remembers that an incarnation left. Of a back end that was never
 // known the departure counts for the announcements up to its sequence, or for all when it has none.
-func (s *State) recordLeft(departure *protocol.BackEndAnnouncement, known bool) {
+func (s *State) recordDeparture(departure *protocol.BackEndAnnouncement, known bool) {
 	if known {
 		departure.Sequence = 0
 	}
@@ -119,24 +119,24 @@
 	s.announcements = s.announcements.with(departure).withoutExpired(departure.GetRemovedAtMillis())
 }
 
-// recordReplaced remembers that another back end has the address of a back end: that one is
+// recordReplacement remembers that another back end has the address of a back end: that one is
 // not accepted again if it numbers its announcements.
-func (s *State) recordReplaced(backEnd *protocol.BackEnd, at int64) {
+func (s *State) recordReplacement(backEnd *protocol.BackEnd, nowMillis int64) {
 	if s.announcements.find(backEnd.GetId()) != nil {
-		s.recordLeft(&protocol.BackEndAnnouncement{
+		s.recordDeparture(&protocol.BackEndAnnouncement{
 			Id: backEnd.GetId(), Incarnation: backEnd.GetIncarnation(),
-			RemovedAtMillis: at,
+			RemovedAtMillis: nowMillis,
 		}, true)
 	}
 }
 
-// recordRemoved remembers when a back end was removed from the view.
-func (s *State) recordRemoved(id string, at int64) {
+// recordRemoval remembers when a back end was removed from the view.
+func (s *State) recordRemoval(id string, nowMillis int64) {
 	last := s.announcements.find(id)
 	if last == nil || last.GetDeparted() {
 		return
 	}
 	removed := proto.CloneOf(last)
-	removed.RemovedAtMillis = at
-	s.announcements = s.announcements.with(removed).withoutExpired(at)
+	removed.RemovedAtMillis = nowMillis
+	s.announcements = s.announcements.with(removed).withoutExpired(nowMillis)
 }
--- a/internal/controlplane/controlstate/back_ends.go
+++ b/internal/controlplane/controlstate/back_ends.go
@@ -18,11 +18,11 @@
 func (v *View) BackEnd(id string) *protocol.BackEnd { return findBackEnd(v.BackEnds, id) }
 
 func findBackEnd(view *protocol.BackEndView, id string) *protocol.BackEnd {
-	at, found := slices.BinarySearchFunc(view.GetBackEnds(), id, compareBackEnds)
+	position, found := slices.BinarySearchFunc(view.GetBackEnds(), id, compareBackEnds)
 	if !found {
 		return nil
 	}
-	return view.GetBackEnds()[at]
+	return view.GetBackEnds()[position]
 }
 
 // withDrainState gives a back end's announcement as the view holds it: an
@@ -45,7 +45,9 @@
 }
 
 // upsertBackEnd applies what a heartbeat announced.
-func (s *State) upsertBackEnd(index uint64, at int64, command *protocol.UpsertBackEndCommand) *protocol.CommandResult {
+func (s *State) upsertBackEnd(
+	index uint64, nowMillis int64, command *protocol.UpsertBackEndCommand,
+) *protocol.CommandResult {
 	announced := command.GetBackEnd()
 	if rejection := checkBackEnd(announced); rejection != nil {
 		return rejection
@@ -71,7 +73,7 @@
 		case other.GetId() == backEnd.GetId():
 		case sameAddress:
 			changed = append(changed, other.GetId())
-			s.recordReplaced(other, at)
+			s.recordReplacement(other, nowMillis)
 		default:
 			list = append(list, other)
 		}
@@ -117,21 +119,23 @@
 }
 
 // removeBackEnd removes a back end whose lease expired or that reported that it left.
-func (s *State) removeBackEnd(index uint64, at int64, command *protocol.RemoveBackEndCommand) *protocol.CommandResult {
+func (s *State) removeBackEnd(
+	index uint64, nowMillis int64, command *protocol.RemoveBackEndCommand,
+) *protocol.CommandResult {
 	incarnation := command.GetIncarnation()
 	if command.GetDeparted() {
-		departure, known := s.resolveDeparture(command, at)
+		departure, known := s.resolveDeparture(command, nowMillis)
 		incarnation = departure.GetIncarnation()
 		if s.announcements.outdated(command.GetId(), incarnation, command.GetSequence()) {
 			return accept(s.backEnds.GetVersion())
 		}
-		s.recordLeft(departure, known)
+		s.recordDeparture(departure, known)
 	}
 	position, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
 	if !found || s.backEnds.GetBackEnds()[position].GetIncarnation() != incarnation {
 		return accept(s.backEnds.GetVersion())
 	}
-	s.recordRemoved(command.GetId(), at)
+	s.recordRemoval(command.GetId(), nowMillis)
 	list := slices.Delete(slices.Clone(s.backEnds.GetBackEnds()), position, position+1)
 	s.backEnds = &protocol.BackEndView{Version: index, BackEnds: list}
 	s.backEndHistory.Add(index, command.GetId())
--- a/internal/controlplane/controlstate/benchmark_test.go
+++ b/internal/controlplane/controlstate/benchmark_test.go
@@ -14,31 +14,31 @@
 // BenchmarkPutAndSign measures an operator's change of one route of 10,000, as a core process applies it.
 func BenchmarkPutAndSign(b *testing.B) {
 	RegisterTestingT(b)
-	w := newWorld()
-	w.accepted("", put(wide(10_000)))
-	w.accepted("", w.sign(1, nil))
+	h := newHarness()
+	h.accepted("", put(manyRoutes(10_000)))
+	h.accepted("", h.sign(1, nil))
 	version := uint64(1)
 	for b.Loop() {
 		version++
-		w.accepted(fmt.Sprintf("put-%d", version), put(oneRoute(version)))
-		w.accepted(fmt.Sprintf("sign-%d", version), w.sign(version, nil))
+		h.accepted(fmt.Sprintf("put-%d", version), put(partialWithRoute(version)))
+		h.accepted(fmt.Sprintf("sign-%d", version), h.sign(version, nil))
 	}
 }
 
 // BenchmarkSnapshot measures a snapshot and its restore with 10,000 routes and a month of orders (1,400 a day).
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
-	w := newWorld()
-	w.accepted("", put(wide(10_000)))
-	w.accepted("", w.sign(1, nil))
-	empty := proto.Size(w.state.Snapshot())
+	h := newHarness()
+	h.accepted("", put(manyRoutes(10_000)))
+	h.accepted("", h.sign(1, nil))
+	empty := proto.Size(h.state.Snapshot())
 	const orders = 30 * 1400
 	for i := range orders {
-		w.accepted(fmt.Sprintf("%08d-0000-4000-8000-000000000000", i), drain("model-1", 0))
+		h.accepted(fmt.Sprintf("%08d-0000-4000-8000-000000000000", i), drain("model-1", 0))
 	}
 	var size int
 	for b.Loop() {
-		encoded, err := proto.Marshal(w.state.Snapshot())
+		encoded, err := proto.Marshal(h.state.Snapshot())
 		Expect(err).NotTo(HaveOccurred())
 		decoded := &protocol.ControlState{}
 		Expect(proto.Unmarshal(encoded, decoded)).To(Succeed())
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -17,21 +17,21 @@
 	maxSteps = 256
 )
 
-func (s *State) record(version uint64) *BundleRecord {
+func (s *State) bundleRecord(version uint64) *BundleRecord {
 	record, _ := s.bundles.Get(versionKey(version))
 	return record
 }
 
-func (s *State) setRecord(version uint64, record *BundleRecord) {
+func (s *State) setBundleRecord(version uint64, record *BundleRecord) {
 	s.bundles, _, _ = s.bundles.Insert(versionKey(version), record)
 }
 
-// setState replaces the status of a version by one in another state.
-func (s *State) setState(version uint64, state protocol.BundleState) {
-	record := s.record(version)
+// setBundleState replaces the status of a version by one in another state.
+func (s *State) setBundleState(version uint64, state protocol.BundleState) {
+	record := s.bundleRecord(version)
 	status := proto.CloneOf(record.Status)
 	status.State = state
-	s.setRecord(version, &BundleRecord{Status: status, Merged: record.Merged})
+	s.setBundleRecord(version, &BundleRecord{Status: status, Merged: record.Merged})
 }
 
 // putBundle accepts a submission under the next number. The same content sent
@@ -39,25 +39,25 @@
 func (s *State) putBundle(index uint64, submitted *protocol.Bundle) *protocol.CommandResult {
 	version := submitted.GetVersion()
 	digest := bundle.Digest(submitted)
-	if winner := s.record(version); winner != nil {
+	if winner := s.bundleRecord(version); winner != nil {
 		if winner.Status.GetSubmittedDigest() == digest {
 			return acceptBundle(winner.Status.GetAcceptedIndex(), winner.Status)
 		}
-		return rejectTaken(winner.Status)
+		return rejectVersionTaken(winner.Status)
 	}
-	faults := s.numberFaults(version)
+	faults := s.checkNextVersion(version)
 	base, baseFault := s.mergeBase(submitted)
 	if baseFault != nil {
 		return reject(codeWrongBase, "the bundle is not built on the newest version", append(faults, baseFault)...)
 	}
 	merged, contentFaults := bundle.Check(base, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
-		return rejectFaulty(faults)
+		return rejectInvalidBundle(faults)
 	}
 	return acceptBundle(index, s.recordSubmission(index, submitted, merged, digest))
 }
 
-func rejectFaulty(faults []*protocol.Fault) *protocol.CommandResult {
+func rejectInvalidBundle(faults []*protocol.Fault) *protocol.CommandResult {
 	return reject(codeInvalidBundle, fmt.Sprintf("the bundle has %d faults", len(faults)), faults...)
 }
 
@@ -74,7 +74,7 @@
 		BaseVersion:     submitted.GetBaseVersion(),
 		AcceptedIndex:   index,
 	}
-	s.setRecord(status.GetVersion(), &BundleRecord{Status: status, Merged: merged})
+	s.setBundleRecord(status.GetVersion(), &BundleRecord{Status: status, Merged: merged})
 	s.retainedVersions = append(s.retainedVersions, status.GetVersion())
 	s.newest = status.GetVersion()
 	return status
@@ -85,16 +85,16 @@
 	if len(s.retainedVersions) == 0 {
 		return nil
 	}
-	return s.record(s.retainedVersions[len(s.retainedVersions)-1]).Merged
+	return s.bundleRecord(s.retainedVersions[len(s.retainedVersions)-1]).Merged
 }
 
-func rejectTaken(winner *protocol.BundleStatus) *protocol.CommandResult {
+func rejectVersionTaken(winner *protocol.BundleStatus) *protocol.CommandResult {
 	result := reject(codeVersionTaken, fmt.Sprintf("version %d was taken by other content", winner.GetVersion()))
 	result.Refusal.Winner = winner
 	return result
 }
 
-func (s *State) numberFaults(version uint64) []*protocol.Fault {
+func (s *State) checkNextVersion(version uint64) []*protocol.Fault {
 	if version == 0 || version == s.newest+1 {
 		return nil
 	}
@@ -114,21 +114,21 @@
 	if base := submitted.GetBaseVersion(); base == 0 || (base != s.newest && base != expected) {
 		return nil, fault("base_version", fmt.Sprintf("is %d, the newest version is %d", base, expected))
 	}
-	return s.record(submitted.GetBaseVersion()).Merged, nil
+	return s.bundleRecord(submitted.GetBaseVersion()).Merged, nil
 }
 
 func (s *State) newestNotWithdrawn() uint64 {
 	for _, v := range slices.Backward(s.retainedVersions) {
-		if s.record(v).Status.GetState() != protocol.BundleState_WITHDRAWN {
+		if s.bundleRecord(v).Status.GetState() != protocol.BundleState_WITHDRAWN {
 			return v
 		}
 	}
 	return s.newest
 }
 
-// keysInForce are those of the bundle in force; when it names none, the last
+// activeKeys are those of the bundle in force; when it names none, the last
 // ones that a bundle in force named, or else the first keys.
-func (s *State) keysInForce() []*protocol.SignOffKey {
+func (s *State) activeKeys() []*protocol.SignOffKey {
 	if keys := s.configuration.GetActive().GetSignOffKeys(); len(keys) > 0 {
 		return keys
 	}
@@ -145,7 +145,7 @@
 
 // signBundle checks a sign-off and puts the bundle in force, or makes it the candidate of a roll-out.
 func (s *State) signBundle(index uint64, command *protocol.SignBundleCommand) *protocol.CommandResult {
-	record := s.record(command.GetVersion())
+	record := s.bundleRecord(command.GetVersion())
 	if record == nil {
 		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", command.GetVersion()),
 			fault("version", "is not taken"))
@@ -155,7 +155,7 @@
 	if status.GetSignature() != "" && sameSignature {
 		return acceptBundle(status.GetSignedIndex(), status)
 	}
-	if err := bundle.Verify(s.keysInForce(), command.GetKeyName(), status.GetMergedDigest(),
+	if err := bundle.Verify(s.activeKeys(), command.GetKeyName(), status.GetMergedDigest(),
 		command.GetSignature()); err != nil {
 		return reject(codeBadSignature, err.Error(), fault("signature", err.Error()))
 	}
@@ -172,9 +172,9 @@
 	signed := proto.CloneOf(status)
 	signed.State = protocol.BundleState_SIGNED
 	signed.SignedBy, signed.Signature, signed.SignedIndex = command.GetKeyName(), command.GetSignature(), index
-	s.setRecord(command.GetVersion(), &BundleRecord{Status: signed, Merged: record.Merged})
+	s.setBundleRecord(command.GetVersion(), &BundleRecord{Status: signed, Merged: record.Merged})
 	if command.GetRollout() == nil {
-		s.putInForce(index, command.GetVersion())
+		s.activateVersion(index, command.GetVersion())
 	} else {
 		s.setCandidate(index, withCandidateVersion(command.GetRollout(), command.GetVersion()))
 	}
@@ -200,25 +200,25 @@
 	return named
 }
 
-// putInForce makes a signed version the active one and ends a roll-out that it
+// activateVersion makes a signed version the active one and ends a roll-out that it
 // overtakes. The keys that were in force stay valid while no bundle in force names others.
-func (s *State) putInForce(index, version uint64) {
+func (s *State) activateVersion(index, version uint64) {
 	former := s.configuration
-	record := s.record(version)
+	record := s.bundleRecord(version)
 	next := &protocol.Configuration{Version: index, Active: record.Merged, ActiveDigest: record.Status.GetMergedDigest()}
 	if candidate := former.GetCandidate(); candidate.GetVersion() > version {
 		next.Candidate, next.CandidateDigest, next.Rollout = candidate, former.GetCandidateDigest(), former.GetRollout()
 	} else if candidate != nil && candidate.GetVersion() < version {
-		s.setState(candidate.GetVersion(), protocol.BundleState_WITHDRAWN)
+		s.setBundleState(candidate.GetVersion(), protocol.BundleState_WITHDRAWN)
 	}
-	s.firstKeys = s.keysInForce()
+	s.firstKeys = s.activeKeys()
 	s.configuration = next
-	s.addStep(former, next)
+	s.appendStep(former, next)
 	s.dropOldBundles(version)
 }
 
-// addStep remembers how the active bundle changed, for deltas.
-func (s *State) addStep(former, next *protocol.Configuration) {
+// appendStep remembers how the active bundle changed, for deltas.
+func (s *State) appendStep(former, next *protocol.Configuration) {
 	step := &protocol.ConfigurationStep{FromVersion: former.GetVersion(), ToVersion: next.GetVersion()}
 	if former.GetActive() != next.GetActive() {
 		if former.GetActive() == nil {
@@ -249,7 +249,7 @@
 		return
 	}
 	for _, version := range s.retainedVersions[:excess] {
-		s.setRecord(version, &BundleRecord{Status: s.record(version).Status})
+		s.setBundleRecord(version, &BundleRecord{Status: s.bundleRecord(version).Status})
 	}
 	s.retainedVersions = slices.Clone(s.retainedVersions[excess:])
 }
--- a/internal/controlplane/controlstate/delivery_test.go
+++ b/internal/controlplane/controlstate/delivery_test.go
@@ -17,21 +17,21 @@
 	return err
 }
 
-// wide is a first bundle with many routes.
-func wide(routes int) *protocol.Bundle {
-	wide := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
+// manyRoutes is a first bundle with many routes.
+func manyRoutes(routes int) *protocol.Bundle {
+	submitted := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range 490 {
-		wide.Tenants = append(wide.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
+		submitted.Tenants = append(submitted.Tenants, &protocol.TenantPolicy{Name: fmt.Sprintf("tenant-%03d", i)})
 	}
 	for i := range routes {
 		tenant, model := fmt.Sprintf("tenant-%03d", i%490), fmt.Sprintf("model-%02d", i/490)
-		wide.Routes = append(wide.Routes,
+		submitted.Routes = append(submitted.Routes,
 			&protocol.Route{Name: tenant + "-" + model, Tenant: tenant, Model: model, Group: "assistants"})
 	}
-	return wide
+	return submitted
 }
 
-func oneRoute(version uint64) *protocol.Bundle {
+func partialWithRoute(version uint64) *protocol.Bundle {
 	name := fmt.Sprintf("extra-%d", version)
 	return &protocol.Bundle{
 		Version: version, BaseVersion: version - 1, Partial: true,
@@ -41,22 +41,22 @@
 
 var _ = Describe("delivery of a bundle of 10,000 routes", func() {
 	It("gives a delta from any earlier version that leads to the full snapshot", func() {
-		w := newWorld()
-		w.accepted("", put(wide(10_000)))
-		w.accepted("", w.sign(1, nil))
-		earlier := []*protocol.Configuration{w.state.View().Configuration}
+		h := newHarness()
+		h.accepted("", put(manyRoutes(10_000)))
+		h.accepted("", h.sign(1, nil))
+		earlier := []*protocol.Configuration{h.state.View().Configuration}
 		for version := uint64(2); version <= 6; version++ {
-			w.accepted("", put(oneRoute(version)))
+			h.accepted("", put(partialWithRoute(version)))
 			if version == 4 {
 				continue // Its content comes into force with the next one.
 			}
-			w.accepted("", w.sign(version, nil))
-			earlier = append(earlier, w.state.View().Configuration)
+			h.accepted("", h.sign(version, nil))
+			earlier = append(earlier, h.state.View().Configuration)
 		}
-		w.accepted("", put(oneRoute(7)))
-		w.accepted("", w.sign(7, &protocol.Rollout{ShareBasisPoints: 100}))
+		h.accepted("", put(partialWithRoute(7)))
+		h.accepted("", h.sign(7, &protocol.Rollout{ShareBasisPoints: 100}))
 		for round := range 2 {
-			view := w.state.View()
+			view := h.state.View()
 			for _, configuration := range earlier {
 				snapshot, delta := view.ConfigurationSince(configuration.GetVersion())
 				Expect(snapshot).To(BeNil(), "round %d", round)
@@ -65,38 +65,38 @@
 				Expect(err).NotTo(HaveOccurred())
 				Expect(proto.Equal(applied, view.Configuration)).To(BeTrue())
 			}
-			w.restart()
+			h.restart()
 		}
-		snapshot, delta := w.state.View().ConfigurationSince(0)
+		snapshot, delta := h.state.View().ConfigurationSince(0)
 		Expect(delta).To(BeNil())
-		Expect(proto.Equal(snapshot, w.state.View().Configuration)).To(BeTrue())
+		Expect(proto.Equal(snapshot, h.state.View().Configuration)).To(BeTrue())
 	})
 
 	It("sends the full snapshot where a delta would be no smaller", func() {
-		w := newWorld()
-		w.accepted("", put(wide(1000)))
-		w.accepted("", w.sign(1, nil))
-		known := w.state.View().Configuration.GetVersion()
-		w.accepted("", put(bundle.Default(2)))
-		w.accepted("", w.sign(2, nil))
-		snapshot, delta := w.state.View().ConfigurationSince(known)
+		h := newHarness()
+		h.accepted("", put(manyRoutes(1000)))
+		h.accepted("", h.sign(1, nil))
+		known := h.state.View().Configuration.GetVersion()
+		h.accepted("", put(bundle.Default(2)))
+		h.accepted("", h.sign(2, nil))
+		snapshot, delta := h.state.View().ConfigurationSince(known)
 		Expect(delta).To(BeNil())
 		Expect(snapshot.GetActive().GetVersion()).To(BeEquivalentTo(2))
 	})
 
 	It("measures what is sent", func() {
-		w := newWorld()
-		w.accepted("", put(wide(10_000)))
-		w.accepted("", w.sign(1, nil))
-		known := w.state.View().Configuration.GetVersion()
-		w.accepted("", put(oneRoute(2)))
-		w.accepted("", w.sign(2, nil))
-		_, delta := w.state.View().ConfigurationSince(known)
+		h := newHarness()
+		h.accepted("", put(manyRoutes(10_000)))
+		h.accepted("", h.sign(1, nil))
+		known := h.state.View().Configuration.GetVersion()
+		h.accepted("", put(partialWithRoute(2)))
+		h.accepted("", h.sign(2, nil))
+		_, delta := h.state.View().ConfigurationSince(known)
 		for i := range 330 {
-			w.accepted("", join(front(i, 1)))
+			h.accepted("", join(front(i, 1)))
 		}
 		for i := range 600 {
-			w.accepted("", upsert(&protocol.BackEnd{
+			h.accepted("", upsert(&protocol.BackEnd{
 				Id: fmt.Sprintf("model-server-%03d", i), Kind: protocol.BackEndKind_MODEL_SERVER,
 				State:   protocol.BackEndState_READY,
 				Address: fmt.Sprintf("10.0.%d.%d:9000", i/200, i%200), Zone: fmt.Sprintf("z%d", i%6),
@@ -105,11 +105,11 @@
 				Incarnation: 1764650000000 + uint64(i), Capacity: 64,
 			}))
 		}
-		view := w.state.View()
+		view := h.state.View()
 		GinkgoWriter.Printf("bytes: delta of one route of 10,000: %d; full snapshot: %d; "+
 			"membership of 330: %d; back ends of 600: %d; control snapshot: %d\n",
 			proto.Size(delta), proto.Size(view.Configuration), proto.Size(view.Membership), proto.Size(view.BackEnds),
-			proto.Size(w.state.Snapshot()))
+			proto.Size(h.state.Snapshot()))
 		Expect(proto.Size(delta)).To(BeNumerically("<", 500))
 		Expect(proto.Size(view.Configuration)).To(BeNumerically("<", 1<<20))
 	})
--- a/internal/controlplane/controlstate/deltas_test.go
+++ b/internal/controlplane/controlstate/deltas_test.go
@@ -49,38 +49,38 @@
 
 	It("lead from every earlier version to the full snapshot, over random commands and restarts", func() {
 		random := rand.New(rand.NewPCG(11, 12))
-		w := newWorld()
+		h := newHarness()
 		for i := range 6 {
-			w.accepted("", join(store(i, 1, "disk")))
+			h.accepted("", join(store(i, 1, "disk")))
 		}
-		w.accepted("", initializePlacement(32, 3))
+		h.accepted("", initializePlacement(32, 3))
 		var earlier []earlierView
 		deltas := 0
 		for step := range 1500 {
 			number, incarnation := random.IntN(30), uint64(step+2)
 			switch random.IntN(7) {
 			case 0, 1:
-				w.apply("", join(front(number, incarnation)))
+				h.apply("", join(front(number, incarnation)))
 			case 2:
 				// Another name at the address of a front ends that one.
 				taking := front(number, incarnation)
 				taking.Name = fmt.Sprintf("taker-%d", number)
-				w.apply("", join(taking))
+				h.apply("", join(taking))
 			case 3:
-				if node := w.state.View().Node(fmt.Sprintf("front-%d", number)); node != nil {
-					w.apply("", removeNode(node.GetName(), node.GetIncarnation()))
+				if node := h.state.View().Node(fmt.Sprintf("front-%d", number)); node != nil {
+					h.apply("", removeNode(node.GetName(), node.GetIncarnation()))
 				}
 			case 4:
-				w.apply("", upsert(&protocol.BackEnd{
+				h.apply("", upsert(&protocol.BackEnd{
 					Id:      fmt.Sprintf("b%d", number),
 					Address: fmt.Sprintf("10.0.0.1:%d", random.IntN(30)), Incarnation: incarnation,
 				}))
 			case 5:
-				w.apply("", drain(fmt.Sprintf("b%d", number), 0))
+				h.apply("", drain(fmt.Sprintf("b%d", number), 0))
 			default:
-				w.apply("", join(store(number%6, incarnation, fmt.Sprintf("disk-%d", random.IntN(3)))))
+				h.apply("", join(store(number%6, incarnation, fmt.Sprintf("disk-%d", random.IntN(3)))))
 			}
-			view := w.state.View()
+			view := h.state.View()
 			if step%25 == 0 {
 				earlier = append(earlier, earlierView{
 					membership: view.Membership, backEnds: view.BackEnds,
@@ -91,7 +91,7 @@
 				deltas += expectDeltas(view, from)
 			}
 			if step%400 == 399 {
-				w.restart()
+				h.restart()
 			}
 		}
 		Expect(deltas).To(BeNumerically(">", 1000))
--- a/internal/controlplane/controlstate/membership.go
+++ b/internal/controlplane/controlstate/membership.go
@@ -18,8 +18,8 @@
 	if rejection := s.checkNode(node); rejection != nil {
 		return rejection
 	}
-	at, found := slices.BinarySearchFunc(s.membership.GetNodes(), node.GetName(), compareNodes)
-	if found && proto.Equal(s.membership.GetNodes()[at], node) {
+	position, found := slices.BinarySearchFunc(s.membership.GetNodes(), node.GetName(), compareNodes)
+	if found && proto.Equal(s.membership.GetNodes()[position], node) {
 		return accept(s.membership.GetVersion())
 	}
 	nodes := make([]*protocol.Node, 0, len(s.membership.GetNodes())+1)
@@ -33,8 +33,8 @@
 			nodes = append(nodes, other)
 		}
 	}
-	at, _ = slices.BinarySearchFunc(nodes, node.GetName(), compareNodes)
-	s.membership = &protocol.MembershipView{Version: index, Nodes: slices.Insert(nodes, at, node)}
+	position, _ = slices.BinarySearchFunc(nodes, node.GetName(), compareNodes)
+	s.membership = &protocol.MembershipView{Version: index, Nodes: slices.Insert(nodes, position, node)}
 	s.nodeHistory.Add(index, changed...)
 	if node.GetKind() == protocol.NodeKind_STORE {
 		s.rebuildLostReplicas(index, node)
@@ -86,11 +86,11 @@
 }
 
 func (s *State) removeNode(index uint64, command *protocol.RemoveNodeCommand) *protocol.CommandResult {
-	at, found := slices.BinarySearchFunc(s.membership.GetNodes(), command.GetName(), compareNodes)
-	if !found || s.membership.GetNodes()[at].GetIncarnation() != command.GetIncarnation() {
+	position, found := slices.BinarySearchFunc(s.membership.GetNodes(), command.GetName(), compareNodes)
+	if !found || s.membership.GetNodes()[position].GetIncarnation() != command.GetIncarnation() {
 		return accept(s.membership.GetVersion())
 	}
-	nodes := slices.Delete(slices.Clone(s.membership.GetNodes()), at, at+1)
+	nodes := slices.Delete(slices.Clone(s.membership.GetNodes()), position, position+1)
 	s.membership = &protocol.MembershipView{Version: index, Nodes: nodes}
 	s.nodeHistory.Add(index, command.GetName())
 	return accept(index)
@@ -100,9 +100,9 @@
 func (v *View) Node(name string) *protocol.Node { return findNode(v.Membership, name) }
 
 func findNode(membership *protocol.MembershipView, name string) *protocol.Node {
-	at, found := slices.BinarySearchFunc(membership.GetNodes(), name, compareNodes)
+	position, found := slices.BinarySearchFunc(membership.GetNodes(), name, compareNodes)
 	if !found {
 		return nil
 	}
-	return membership.GetNodes()[at]
+	return membership.GetNodes()[position]
 }
--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -10,17 +10,17 @@
 
 // Codes of rejections; they are codes of package failure.
 const (
-	codeInvalidOrder    = failure.InvalidOrder
-	codeInvalidBundle   = failure.InvalidBundle
-	codeVersionTaken    = failure.VersionTaken
-	codeWrongBase       = failure.WrongBase
-	codeNotFound        = failure.NotFound
-	codeBadSignature    = failure.BadSignature
-	codeNotSigned       = failure.NotSigned
-	codeChangeUnderWay  = failure.ChangeInProgress
-	codeLeaseRejected   = failure.LeaseRejected
-	codeStoreNotEmptied = failure.StoreNotEmptied
-	codeTooFewStores    = failure.TooFewStores
+	codeInvalidOrder     = failure.InvalidOrder
+	codeInvalidBundle    = failure.InvalidBundle
+	codeVersionTaken     = failure.VersionTaken
+	codeWrongBase        = failure.WrongBase
+	codeNotFound         = failure.NotFound
+	codeBadSignature     = failure.BadSignature
+	codeNotSigned        = failure.NotSigned
+	codeChangeInProgress = failure.ChangeInProgress
+	codeLeaseRejected    = failure.LeaseRejected
+	codeStoreNotEmptied  = failure.StoreNotEmptied
+	codeTooFewStores     = failure.TooFewStores
 )
 
 // contentDigest is the first half of a SHA-256.
--- a/internal/controlplane/controlstate/placement.go
+++ b/internal/controlplane/controlstate/placement.go
@@ -28,10 +28,10 @@
 }
 
 // editShard replaces a shard by a copy under the placement's epoch and returns the copy.
-func editShard(edited *protocol.Placement, at int) *protocol.ShardPlacement {
-	shard := proto.CloneOf(edited.GetShards()[at])
+func editShard(edited *protocol.Placement, position int) *protocol.ShardPlacement {
+	shard := proto.CloneOf(edited.GetShards()[position])
 	shard.Epoch = edited.GetEpoch()
-	edited.Shards[at] = shard
+	edited.Shards[position] = shard
 	return shard
 }
 
@@ -64,37 +64,37 @@
 // moveShard begins one step of a move: the next replicas are the current ones
 // with one replaced. An empty list cancels a move in progress.
 func (s *State) moveShard(index uint64, command *protocol.MoveShardCommand) *protocol.CommandResult {
-	at := int(command.GetShard())
-	if at >= len(s.placement.GetShards()) {
-		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
+	position := int(command.GetShard())
+	if position >= len(s.placement.GetShards()) {
+		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", position), fault("shard", "is unknown"))
 	}
-	shard := s.placement.GetShards()[at]
+	shard := s.placement.GetShards()[position]
 	if command.GetExpectedEpoch() != shard.GetEpoch() {
-		return reject(codeChangeUnderWay, "the shard changed meanwhile",
+		return reject(codeChangeInProgress, "the shard changed meanwhile",
 			fault("expected_epoch", fmt.Sprintf("the shard's epoch is %d", shard.GetEpoch())))
 	}
 	if len(command.GetNext()) == 0 {
-		return s.cancelMove(index, at)
+		return s.cancelMove(index, position)
 	}
 	if len(shard.GetNext()) > 0 {
-		return reject(codeChangeUnderWay, "the shard is being moved")
+		return reject(codeChangeInProgress, "the shard is being moved")
 	}
 	next, rejection := s.nextReplicas(index, shard, command.GetNext())
 	if rejection != nil {
 		return rejection
 	}
 	edited := s.editPlacement(index)
-	editShard(edited, at).Next = next
+	editShard(edited, position).Next = next
 	s.placement = edited
 	return accept(index)
 }
 
-func (s *State) cancelMove(index uint64, at int) *protocol.CommandResult {
-	if len(s.placement.GetShards()[at].GetNext()) == 0 {
+func (s *State) cancelMove(index uint64, position int) *protocol.CommandResult {
+	if len(s.placement.GetShards()[position].GetNext()) == 0 {
 		return accept(s.placement.GetEpoch())
 	}
 	edited := s.editPlacement(index)
-	editShard(edited, at).Next = nil
+	editShard(edited, position).Next = nil
 	s.finishEmptying(edited)
 	s.placement = edited
 	return accept(index)
@@ -102,14 +102,14 @@
 
 // nextReplicas checks a proposed set: as many as now, one of them new, and a majority of it able to vote at once.
 func (s *State) nextReplicas(
-	index uint64, shard *protocol.ShardPlacement, wanted []*protocol.Replica,
+	index uint64, shard *protocol.ShardPlacement, proposed []*protocol.Replica,
 ) ([]*protocol.Replica, *protocol.CommandResult) {
-	if len(wanted) != len(shard.GetCurrent()) {
+	if len(proposed) != len(shard.GetCurrent()) {
 		return nil, reject(codeInvalidOrder, "the number of replicas must stay the same", fault("next", "has another length"))
 	}
-	next := make([]*protocol.Replica, 0, len(wanted))
+	next := make([]*protocol.Replica, 0, len(proposed))
 	added, active := 0, 0
-	for i, replica := range wanted {
+	for i, replica := range proposed {
 		path := fmt.Sprintf("next[%d].store", i)
 		if placement.FindReplica(next, replica.GetStore()) != nil {
 			return nil, reject(codeInvalidOrder, "a store is named twice", fault(path, "is named twice"))
@@ -138,7 +138,7 @@
 		return nil, reject(codeInvalidOrder, "a step replaces exactly one replica", fault("next", "must have one new store"))
 	}
 	if active <= len(next)/2 {
-		return nil, reject(codeChangeUnderWay, "the replicas that stay are no majority yet",
+		return nil, reject(codeChangeInProgress, "the replicas that stay are no majority yet",
 			fault("next", "too many replicas are rebuilding"))
 	}
 	return next, nil
@@ -148,29 +148,29 @@
 // current set do not vote until they are copied; those of the next set join anew and vote.
 func (s *State) rebuildLostReplicas(index uint64, node *protocol.Node) {
 	var edited *protocol.Placement
-	for at, shard := range s.placement.GetShards() {
-		if !lostStorage(shard.GetCurrent(), node) && !lostStorage(shard.GetNext(), node) {
+	for position, shard := range s.placement.GetShards() {
+		if !hasOtherStorage(shard.GetCurrent(), node) && !hasOtherStorage(shard.GetNext(), node) {
 			continue
 		}
 		if edited == nil {
 			edited = s.editPlacement(index)
 		}
-		replaced := editShard(edited, at)
-		rebuild(replaced.GetCurrent(), node, index)
-		rebuild(replaced.GetNext(), node, index)
+		replaced := editShard(edited, position)
+		markRebuilding(replaced.GetCurrent(), node, index)
+		markRebuilding(replaced.GetNext(), node, index)
 	}
 	if edited != nil {
 		s.placement = edited
 	}
 }
 
-func lostStorage(replicas []*protocol.Replica, node *protocol.Node) bool {
+func hasOtherStorage(replicas []*protocol.Replica, node *protocol.Node) bool {
 	replica := placement.FindReplica(replicas, node.GetName())
 	return replica != nil && replica.GetStorageId() != node.GetStorageId()
 }
 
-func rebuild(replicas []*protocol.Replica, node *protocol.Node, index uint64) {
-	if lostStorage(replicas, node) {
+func markRebuilding(replicas []*protocol.Replica, node *protocol.Node, index uint64) {
+	if hasOtherStorage(replicas, node) {
 		replica := placement.FindReplica(replicas, node.GetName())
 		replica.StorageId = node.GetStorageId()
 		replica.State = protocol.ReplicaState_REPLICA_REBUILDING
@@ -181,11 +181,11 @@
 // shardCopied marks a replica as complete. A rebuilt one votes again; a joining one voted already, and its
 // move ends.
 func (s *State) shardCopied(index uint64, command *protocol.ShardCopiedCommand) *protocol.CommandResult {
-	at := int(command.GetShard())
-	if at >= len(s.placement.GetShards()) {
-		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", at), fault("shard", "is unknown"))
+	position := int(command.GetShard())
+	if position >= len(s.placement.GetShards()) {
+		return reject(codeNotFound, fmt.Sprintf("there is no shard %d", position), fault("shard", "is unknown"))
 	}
-	shard := s.placement.GetShards()[at]
+	shard := s.placement.GetShards()[position]
 	replica := placement.FindReplica(shard.GetNext(), command.GetStore())
 	if replica == nil {
 		replica = placement.FindReplica(shard.GetCurrent(), command.GetStore())
@@ -200,9 +200,9 @@
 			fault("epoch", fmt.Sprintf("must be at least %d", replica.GetRebuildingSince())))
 	}
 	edited := s.editPlacement(index)
-	moved := editShard(edited, at)
-	activate(moved.GetCurrent(), command.GetStore())
-	activate(moved.GetNext(), command.GetStore())
+	moved := editShard(edited, position)
+	markActive(moved.GetCurrent(), command.GetStore())
+	markActive(moved.GetNext(), command.GetStore())
 	if moveComplete(moved) {
 		moved.Current, moved.Next = moved.GetNext(), nil
 	}
@@ -211,7 +211,7 @@
 	return accept(index)
 }
 
-func activate(replicas []*protocol.Replica, store string) {
+func markActive(replicas []*protocol.Replica, store string) {
 	if replica := placement.FindReplica(replicas, store); replica != nil {
 		replica.State = protocol.ReplicaState_REPLICA_ACTIVE
 		replica.RebuildingSince = 0
--- a/internal/controlplane/controlstate/property_test.go
+++ b/internal/controlplane/controlstate/property_test.go
@@ -16,14 +16,14 @@
 )
 
 // drawCommand makes any command out of a small space of names and numbers, valid or not.
-func drawCommand(t *rapid.T, w *world) *protocol.Command {
+func drawCommand(t *rapid.T, h *harness) *protocol.Command {
 	number := rapid.IntRange(0, 4)
-	version := func() uint64 { return uint64(rapid.IntRange(0, int(w.state.View().Newest)+2).Draw(t, "version")) }
+	version := func() uint64 { return uint64(rapid.IntRange(0, int(h.state.View().Newest)+2).Draw(t, "version")) }
 	switch rapid.IntRange(0, 17).Draw(t, "kind") {
 	case 14, 15:
-		expected := rapid.SampledFrom([]uint64{w.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t,
+		expected := rapid.SampledFrom([]uint64{h.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t,
 			"expected")
-		submitted := completeBundle(w.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")),
+		submitted := completeBundle(h.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")),
 			uint32(number.Draw(t, "limit")))
 		if rapid.Bool().Draw(t, "partial") {
 			submitted = &protocol.Bundle{Version: submitted.GetVersion(), Partial: true, Limits: submitted.GetLimits()}
@@ -38,42 +38,44 @@
 	case 17:
 		return depart(fmt.Sprintf("b%d", number.Draw(t, "id")), uint64(number.Draw(t, "sequence")))
 	case 0, 1:
-		return put(queued(w.state.View().Newest+1, uint32(number.Draw(t, "limit"))))
+		return put(partialOnPrevious(h.state.View().Newest+1, uint32(number.Draw(t, "limit"))))
 	case 2:
 		return put(completeBundle(version(), uint32(number.Draw(t, "queued"))))
 	case 3, 4:
 		signed := version()
-		if w.state.View().Bundle(signed) == nil {
-			return put(completeBundle(w.state.View().Newest+1, 1))
+		if h.state.View().Bundle(signed) == nil {
+			return put(completeBundle(h.state.View().Newest+1, 1))
 		}
 		var rolled *protocol.Rollout
 		if rapid.Bool().Draw(t, "rolled") {
 			rolled = &protocol.Rollout{ShareBasisPoints: 10}
 		}
-		return w.sign(signed, rolled)
+		return h.sign(signed, rolled)
 	case 5:
 		return rollout(protocol.RolloutAction(rapid.IntRange(0, 3).Draw(t, "action")), version(), 5)
 	case 6:
 		storage := fmt.Sprintf("disk-%d", rapid.IntRange(0, 2).Draw(t, "disk"))
-		return join(store(number.Draw(t, "store"), w.index, storage))
+		return join(store(number.Draw(t, "store"), h.index, storage))
 	case 7:
 		name := fmt.Sprintf("store-%d", number.Draw(t, "store"))
 		return &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
-			Name: name, Incarnation: w.state.View().Node(name).GetIncarnation(),
+			Name: name, Incarnation: h.state.View().Node(name).GetIncarnation(),
 		}}}
 	case 8:
 		return &protocol.Command{Body: &protocol.Command_InitializePlacement{
 			InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 4, ReplicaCount: 3},
 		}}
 	case 9, 10:
-		if steps := w.plan(fmt.Sprintf("store-%d", number.Draw(t, "lost"))); len(steps) > 0 {
+		if steps := h.plan(fmt.Sprintf("store-%d", number.Draw(t, "lost"))); len(steps) > 0 {
 			return &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: steps[0]}}
 		}
 		return emptyStore(fmt.Sprintf("store-%d", number.Draw(t, "store")))
 	case 11:
 		name := fmt.Sprintf("store-%d", number.Draw(t, "store"))
-		epoch := uint64(rapid.IntRange(0, int(w.index)).Draw(t, "epoch"))
-		return copied(name, w.state.View().Node(name).GetStorageId(), uint32(rapid.IntRange(0, 4).Draw(t, "shard")), epoch)
+		epoch := uint64(rapid.IntRange(0, int(h.index)).Draw(t, "epoch"))
+		return shardCopied(
+			name, h.state.View().Node(name).GetStorageId(), uint32(rapid.IntRange(0, 4).Draw(t, "shard")), epoch,
+		)
 	case 12:
 		return retireStore(fmt.Sprintf("store-%d", number.Draw(t, "store")))
 	default:
@@ -92,45 +94,45 @@
 	return limited
 }
 
-// TestAnyCommandsKeepTheRules applies any commands and checks what must hold after each.
-func TestAnyCommandsKeepTheRules(t *testing.T) {
+// TestInvariantsHoldForAnyCommands applies any commands and checks what must hold after each.
+func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		twin, err := controlstate.Restore(w.state.Snapshot())
+		h := newHarness()
+		twin, err := controlstate.Restore(h.state.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
 		first := map[string]*protocol.CommandResult{}
 		sent := map[string]*protocol.Command{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			before := w.state.View()
-			command := drawCommand(t, w)
+			before := h.state.View()
+			command := drawCommand(t, h)
 			order := fmt.Sprintf("order-%d", step)
-			result := w.apply(order, command)
+			result := h.apply(order, command)
 			first[order], sent[order] = proto.CloneOf(result), command
 			command = proto.CloneOf(command)
 			command.OrderId = order
-			if twice := twin.Apply(w.index, command); !proto.Equal(twice, result) {
+			if twice := twin.Apply(h.index, command); !proto.Equal(twice, result) {
 				t.Fatalf("two states answer %v and %v", result, twice)
 			}
-			checkRules(t, before, w.state.View())
+			checkInvariants(t, before, h.state.View())
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				w.restart()
+				h.restart()
 			}
 		}
-		if !proto.Equal(w.state.Snapshot(), twin.Snapshot()) {
+		if !proto.Equal(h.state.Snapshot(), twin.Snapshot()) {
 			t.Fatal("the same commands made two states, one with restarts and one without")
 		}
 		for order, command := range sent {
-			if again := w.apply(order, command); !proto.Equal(again, first[order]) {
+			if again := h.apply(order, command); !proto.Equal(again, first[order]) {
 				t.Fatalf("%s: first %v, then %v", order, first[order], again)
 			}
 		}
 	})
 }
 
-func checkRules(t *rapid.T, before, after *controlstate.View) {
+func checkInvariants(t *rapid.T, before, after *controlstate.View) {
 	activeBefore := before.Configuration.GetActive().GetVersion()
 	if after.Newest < before.Newest || after.Configuration.GetActive().GetVersion() < activeBefore {
 		t.Fatal("a bundle version stepped back")
@@ -148,7 +150,7 @@
 			t.Fatal("a shard is newer than its table")
 		}
 		if len(before.Placement.GetShards()) > 0 {
-			checkStep(t, before.Placement.GetShards()[at], shard)
+			checkReplicasRetained(t, before.Placement.GetShards()[at], shard)
 		}
 	}
 	for _, name := range after.Placement.GetEmptied() {
@@ -185,8 +187,8 @@
 	}
 }
 
-// checkStep sees to it that one change replaces at most one replica of those that serve.
-func checkStep(t *rapid.T, before, after *protocol.ShardPlacement) {
+// checkReplicasRetained sees to it that one change replaces at most one replica of those that serve.
+func checkReplicasRetained(t *rapid.T, before, after *protocol.ShardPlacement) {
 	retained := 0
 	for _, was := range before.GetCurrent() {
 		for _, is := range after.GetCurrent() {
--- a/internal/controlplane/controlstate/regions_test.go
+++ b/internal/controlplane/controlstate/regions_test.go
@@ -11,16 +11,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// regional is a world of 3 regions with 2 zones each.
-type regional struct {
-	*world
+// regionalHarness is a world of 3 regions with 2 zones each.
+type regionalHarness struct {
+	*harness
 	t      *rapid.T
 	stores []*protocol.Node
 	shards int
 }
 
-func newRegional(t *rapid.T, perZone, shards int) *regional {
-	r := &regional{world: newWorld(), t: t, shards: shards}
+func newRegionalHarness(t *rapid.T, perZone, shards int) *regionalHarness {
+	r := &regionalHarness{harness: newHarness(), t: t, shards: shards}
 	for number := range 6 * perZone {
 		node := store(number, 1, "disk")
 		node.Region, node.Zone = fmt.Sprint("r", number%3), fmt.Sprintf("r%d-z%d", number%3, number/3%2)
@@ -29,14 +29,14 @@
 	return r
 }
 
-func (r *regional) must(command *protocol.Command) {
+func (r *regionalHarness) mustApply(command *protocol.Command) {
 	if result := r.apply("", command); !result.GetAccepted() {
 		r.t.Fatalf("rejected: %v", result)
 	}
 }
 
-func (r *regional) initialize(overRegions bool) {
-	r.must(&protocol.Command{Body: &protocol.Command_InitializePlacement{
+func (r *regionalHarness) initialize(overRegions bool) {
+	r.mustApply(&protocol.Command{Body: &protocol.Command_InitializePlacement{
 		InitializePlacement: &protocol.InitializePlacementCommand{
 			ShardCount: uint32(r.shards), ReplicaCount: 3,
 			OverRegions: overRegions,
@@ -44,12 +44,12 @@
 	}})
 }
 
-// lose takes stores out of the membership and returns their names.
-func (r *regional) lose(isLost func(*protocol.Node) bool) (names []string) {
+// removeStores takes stores out of the membership and returns their names.
+func (r *regionalHarness) removeStores(isLost func(*protocol.Node) bool) (names []string) {
 	for _, node := range r.stores {
 		if isLost(node) {
 			names = append(names, node.GetName())
-			r.must(&protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
+			r.mustApply(&protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
 				Name: node.GetName(), Incarnation: node.GetIncarnation(),
 			}}})
 		}
@@ -57,15 +57,15 @@
 	return names
 }
 
-// rest carries moves out, never more than four at a time, until the planner has none; it returns how many there were.
-func (r *regional) rest(lost ...string) (moves int) {
+// rebalance carries out moves, at most four at a time, until the planner has none, and returns their number.
+func (r *regionalHarness) rebalance(lost ...string) (moves int) {
 	for {
 		steps := r.plan(lost...)
 		if len(steps) > 4 {
 			r.t.Fatalf("%d moves at a time", len(steps))
 		}
 		for _, step := range steps {
-			r.must(moveShard(step))
+			r.mustApply(moveShard(step))
 		}
 		moves += len(steps)
 		if copies := r.copyAll(lost...); len(steps)+copies == 0 {
@@ -77,13 +77,13 @@
 	}
 }
 
-func (r *regional) node(name string) *protocol.Node {
+func (r *regionalHarness) node(name string) *protocol.Node {
 	return r.stores[slices.IndexFunc(r.stores, func(n *protocol.Node) bool { return n.GetName() == name })]
 }
 
 // checkSpread fails unless every shard is in 3 regions with all its replicas, and the stores of a region differ by
 // one replica at most.
-func (r *regional) checkSpread(isLost func(*protocol.Node) bool) {
+func (r *regionalHarness) checkSpread(isLost func(*protocol.Node) bool) {
 	loads := map[string]int{}
 	for _, shard := range r.state.View().Placement.GetShards() {
 		regions := map[string]bool{}
@@ -109,7 +109,7 @@
 }
 
 // checkMajority fails unless every shard keeps two of three voting replicas outside the lost stores.
-func (r *regional) checkMajority(lost []string) {
+func (r *regionalHarness) checkMajority(lost []string) {
 	for _, shard := range r.state.View().Placement.GetShards() {
 		left := 0
 		for _, replica := range shard.GetCurrent() {
@@ -123,18 +123,18 @@
 	}
 }
 
-func nobody(*protocol.Node) bool { return false }
+func noStore(*protocol.Node) bool { return false }
 
 func TestShardsSpreadOverRegions(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegional(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards"))
+		r := newRegionalHarness(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards"))
 		for _, node := range r.stores {
-			r.must(join(node))
+			r.mustApply(join(node))
 		}
 		r.initialize(true)
-		r.checkSpread(nobody)
-		if moves := r.rest(); moves > 0 {
+		r.checkSpread(noStore)
+		if moves := r.rebalance(); moves > 0 {
 			t.Fatalf("%d moves after the first placement", moves)
 		}
 		region := fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "region"))
@@ -143,12 +143,12 @@
 		if rapid.Bool().Draw(t, "whole region") {
 			isLost = func(node *protocol.Node) bool { return node.GetRegion() == region }
 		}
-		lost := r.lose(isLost)
+		lost := r.removeStores(isLost)
 		r.checkMajority(lost)
-		if moves := r.rest(); moves > 0 {
+		if moves := r.rebalance(); moves > 0 {
 			t.Fatalf("%d moves before the waiting time is over", moves)
 		}
-		r.rest(lost...)
+		r.rebalance(lost...)
 		r.checkMajority(lost)
 		for _, shard := range r.state.View().Placement.GetShards() {
 			for _, replica := range shard.GetCurrent() {
@@ -161,36 +161,36 @@
 			r.checkSpread(isLost)
 		}
 		for _, name := range lost {
-			r.must(join(r.node(name)))
-			r.rest()
+			r.mustApply(join(r.node(name)))
+			r.rebalance()
 		}
-		r.checkSpread(nobody)
+		r.checkSpread(noStore)
 	})
 }
 
 func TestPlacementImprovesWhenRegionsAppear(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegional(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards"))
+		r := newRegionalHarness(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards"))
 		for _, node := range r.stores {
 			former := store(0, 1, "disk")
 			former.Name, former.Address = node.GetName(), node.GetAddress()
 			former.Zone, former.Region = node.GetZone(), "default"
-			r.must(join(former))
+			r.mustApply(join(former))
 			node.Incarnation = 2
 		}
 		r.initialize(true)
-		if moves := r.rest(); moves > 0 {
+		if moves := r.rebalance(); moves > 0 {
 			t.Fatalf("%d moves in a single region", moves)
 		}
 		for _, at := range rapid.Permutation(r.stores).Draw(t, "order") {
-			r.must(join(at))
+			r.mustApply(join(at))
 			if rapid.Bool().Draw(t, "plan between") {
-				r.rest()
+				r.rebalance()
 			}
 		}
-		r.rest()
-		r.checkSpread(nobody)
+		r.rebalance()
+		r.checkSpread(noStore)
 		if steps := r.plan(); len(steps) > 0 {
 			t.Fatalf("still moves %v", steps)
 		}
@@ -198,17 +198,17 @@
 }
 
 // A log written before regions were known must lead every member to the placement that it led to then.
-func TestFirstPlacementOfAnEarlierLogKeepsToZones(t *testing.T) {
+func TestInitialPlacementFromAnOlderLogIgnoresRegions(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		perZone, shards := rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 40).Draw(t, "shards")
 		placed := func(regions bool) string {
-			r := newRegional(t, perZone, shards)
+			r := newRegionalHarness(t, perZone, shards)
 			for _, node := range r.stores {
 				if !regions {
 					node.Region = ""
 				}
-				r.must(join(node))
+				r.mustApply(join(node))
 			}
 			r.initialize(false)
 			return fmt.Sprint(r.state.View().Placement.GetShards())
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -17,45 +17,45 @@
 // off in the core's own name and puts it in force, all in one step. The same
 // release sent again is acknowledged at any later time, whatever was released after it.
 func (s *State) releaseBundle(index uint64, command *protocol.ReleaseBundleCommand) *protocol.CommandResult {
-	submitted, baseFaults := releaseContent(command)
+	submitted, baseFaults := bundleOnExpectedBase(command)
 	version, digest := submitted.GetVersion(), bundle.Digest(submitted)
-	if winner := s.record(version); winner != nil {
+	if winner := s.bundleRecord(version); winner != nil {
 		if status := winner.Status; status.GetSubmittedDigest() == digest && status.GetSignedBy() == SignedByCore {
 			return acceptBundle(status.GetAcceptedIndex(), status)
 		}
-		return rejectTaken(winner.Status)
+		return rejectVersionTaken(winner.Status)
 	}
 	active := s.configuration.GetActive()
 	if expected := command.GetExpectedVersion(); expected != active.GetVersion() {
 		return s.rejectWrongBase(expected)
 	}
-	faults := slices.Concat(baseFaults, s.releaseNumberFaults(version))
+	faults := slices.Concat(baseFaults, s.checkReleaseVersion(version))
 	merged, contentFaults := bundle.Check(active, submitted)
 	if faults = append(faults, contentFaults...); len(faults) > 0 {
-		return rejectFaulty(faults)
+		return rejectInvalidBundle(faults)
 	}
 	signed := proto.CloneOf(s.recordSubmission(index, submitted, merged, digest))
 	signed.State, signed.SignedBy, signed.SignedIndex = protocol.BundleState_SIGNED, SignedByCore, index
-	s.setRecord(version, &BundleRecord{Status: signed, Merged: s.record(version).Merged})
-	s.putInForce(index, version)
+	s.setBundleRecord(version, &BundleRecord{Status: signed, Merged: s.bundleRecord(version).Merged})
+	s.activateVersion(index, version)
 	return acceptBundle(index, signed)
 }
 
-// releaseContent is the bundle with the expected version as its base, so that
+// bundleOnExpectedBase is the bundle with the expected version as its base, so that
 // its digest covers what it was built on.
-func releaseContent(command *protocol.ReleaseBundleCommand) (*protocol.Bundle, []*protocol.Fault) {
-	given := command.GetBundle()
-	if given == nil {
-		given = &protocol.Bundle{}
+func bundleOnExpectedBase(command *protocol.ReleaseBundleCommand) (*protocol.Bundle, []*protocol.Fault) {
+	requested := command.GetBundle()
+	if requested == nil {
+		requested = &protocol.Bundle{}
 	}
 	submitted := &protocol.Bundle{}
-	proto.Merge(submitted, given)
+	proto.Merge(submitted, requested)
 	submitted.BaseVersion = command.GetExpectedVersion()
-	switch base := given.GetBaseVersion(); {
+	switch base := requested.GetBaseVersion(); {
 	case base != 0 && base != command.GetExpectedVersion():
 		return submitted, []*protocol.Fault{fault("base_version",
 			fmt.Sprintf("is %d, the release names %d", base, command.GetExpectedVersion()))}
-	case given.GetPartial() && command.GetExpectedVersion() == 0:
+	case requested.GetPartial() && command.GetExpectedVersion() == 0:
 		return submitted, []*protocol.Fault{fault("base_version", "there is no bundle yet to build on; send a whole one")}
 	default:
 		return submitted, nil
@@ -66,14 +66,14 @@
 	active := s.configuration.GetActive().GetVersion()
 	result := reject(codeWrongBase, fmt.Sprintf("version %d is in force, not %d", active, expected),
 		fault("expected_version", "is not the version in force"))
-	if record := s.record(active); record != nil {
+	if record := s.bundleRecord(active); record != nil {
 		result.Refusal.Winner = record.Status
 	}
 	return result
 }
 
-// releaseNumberFaults demands a number above all that are in use; that of the bundle in force is among them.
-func (s *State) releaseNumberFaults(version uint64) []*protocol.Fault {
+// checkReleaseVersion demands a number above all that are in use; that of the bundle in force is among them.
+func (s *State) checkReleaseVersion(version uint64) []*protocol.Fault {
 	if version == 0 || version > s.newest {
 		return nil
 	}
--- a/internal/controlplane/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -13,37 +13,37 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// limited is a partial bundle without a base of its own.
-func limited(version uint64, limit uint32) *protocol.Bundle {
+// partialWithoutBase is a partial bundle without a base of its own.
+func partialWithoutBase(version uint64, limit uint32) *protocol.Bundle {
 	return &protocol.Bundle{Version: version, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: limit}}
 }
 
 var _ = Describe("the release of a bundle", func() {
-	var w *world
-	active := func() *protocol.Bundle { return w.state.View().Configuration.GetActive() }
+	var h *harness
+	active := func() *protocol.Bundle { return h.state.View().Configuration.GetActive() }
 	BeforeEach(func() {
-		w = newWorld()
-		w.accepted("", release(completeBundle(5, 50), 0))
+		h = newHarness()
+		h.accepted("", release(completeBundle(5, 50), 0))
 	})
 
 	It("puts a bundle in force in one step, as signed by the core, under any higher number", func() {
 		Expect(active().GetVersion()).To(BeEquivalentTo(5))
-		status := w.accepted("", release(completeBundle(19, 190), 5)).GetBundle()
+		status := h.accepted("", release(completeBundle(19, 190), 5)).GetBundle()
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(190))
 		Expect(status.GetState()).To(Equal(protocol.BundleState_SIGNED))
 		Expect(status.GetSignedBy()).To(Equal(controlstate.SignedByCore))
-		Expect(status.GetSignedIndex()).To(Equal(w.index))
+		Expect(status.GetSignedIndex()).To(Equal(h.index))
 		Expect(status.GetMergedDigest()).To(Equal(bundle.Digest(active())))
-		Expect(w.state.View().Bundle(7)).To(BeNil())
-		Expect(w.state.View().BundleStatuses(0, 10)).To(HaveLen(2))
-		Expect(w.state.View().BundleStatuses(19, 10)).To(HaveLen(1))
+		Expect(h.state.View().Bundle(7)).To(BeNil())
+		Expect(h.state.View().BundleStatuses(0, 10)).To(HaveLen(2))
+		Expect(h.state.View().BundleStatuses(19, 10)).To(HaveLen(1))
 	})
 
 	It("merges a partial one onto the version in force", func() {
-		w.accepted("", release(limited(9, 90), 5))
+		h.accepted("", release(partialWithoutBase(9, 90), 5))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(90))
 		Expect(active().GetRoutes()).To(HaveLen(len(bundle.Default(1).GetRoutes())))
-		w.accepted("", release(&protocol.Bundle{
+		h.accepted("", release(&protocol.Bundle{
 			Version: 12, BaseVersion: 9, Partial: true,
 			RemovedRoutes: []string{"caroni-valve-plan"},
 		}, 9))
@@ -51,49 +51,49 @@
 	})
 
 	It("lets one of two that are built on the same version win, with the same number or another", func() {
-		w.accepted("", release(completeBundle(7, 70), 5))
-		Expect(codes(w.rejected("", release(completeBundle(7, 71), 5)))).To(Equal(string(failure.VersionTaken)))
-		lost := w.rejected("", release(completeBundle(8, 80), 5))
+		h.accepted("", release(completeBundle(7, 70), 5))
+		Expect(codes(h.rejected("", release(completeBundle(7, 71), 5)))).To(Equal(string(failure.VersionTaken)))
+		lost := h.rejected("", release(completeBundle(8, 80), 5))
 		Expect(codes(lost)).To(Equal(string(failure.WrongBase)))
 		Expect(lost.GetWinner().GetVersion()).To(BeEquivalentTo(7))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(70))
 	})
 
 	It("acknowledges the same release for ever, over hundreds of changes and restarts", func() {
-		first := w.accepted("", release(limited(6, 60), 5))
+		first := h.accepted("", release(partialWithoutBase(6, 60), 5))
 		for version := uint64(7); version < 407; version++ {
-			w.accepted("", release(limited(version, uint32(version)), version-1))
+			h.accepted("", release(partialWithoutBase(version, uint32(version)), version-1))
 			if version%100 == 0 {
-				w.restart()
+				h.restart()
 			}
 		}
-		w.restart()
-		before := w.state.View().Versions()
-		again := w.accepted("", release(limited(6, 60), 5))
+		h.restart()
+		before := h.state.View().Versions()
+		again := h.accepted("", release(partialWithoutBase(6, 60), 5))
 		Expect(again.GetBundle().GetMergedDigest()).To(Equal(first.GetBundle().GetMergedDigest()))
 		Expect(again.GetIndex()).To(Equal(first.GetIndex()))
-		Expect(w.accepted("", release(completeBundle(5, 50), 0)).GetBundle().GetVersion()).To(BeEquivalentTo(5))
+		Expect(h.accepted("", release(completeBundle(5, 50), 0)).GetBundle().GetVersion()).To(BeEquivalentTo(5))
 		Expect(active().GetVersion()).To(BeEquivalentTo(406))
-		Expect(proto.Equal(w.state.View().Versions(), before)).To(BeTrue())
+		Expect(proto.Equal(h.state.View().Versions(), before)).To(BeTrue())
 	})
 
 	It("treats the same content under its number, but on another base, as another release", func() {
-		w.accepted("", release(completeBundle(7, 70), 5))
-		Expect(codes(w.rejected("", release(completeBundle(7, 70), 6)))).To(Equal(string(failure.VersionTaken)))
+		h.accepted("", release(completeBundle(7, 70), 5))
+		Expect(codes(h.rejected("", release(completeBundle(7, 70), 6)))).To(Equal(string(failure.VersionTaken)))
 	})
 
 	It("never puts one in force that was rejected, also when it is sent again", func() {
-		w.accepted("", release(completeBundle(7, 70), 5))
-		w.rejected("", release(completeBundle(8, 80), 5))
-		w.accepted("", release(completeBundle(9, 90), 7))
-		w.rejected("", release(completeBundle(8, 80), 5))
-		w.rejected("", release(completeBundle(8, 80), 9))
+		h.accepted("", release(completeBundle(7, 70), 5))
+		h.rejected("", release(completeBundle(8, 80), 5))
+		h.accepted("", release(completeBundle(9, 90), 7))
+		h.rejected("", release(completeBundle(8, 80), 5))
+		h.rejected("", release(completeBundle(8, 80), 9))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(90))
-		Expect(w.state.View().Bundle(8)).To(BeNil())
+		Expect(h.state.View().Bundle(8)).To(BeNil())
 	})
 
 	DescribeTable("rejects as invalid", func(submitted *protocol.Bundle, path string) {
-		rejection := w.rejected("", release(submitted, 5))
+		rejection := h.rejected("", release(submitted, 5))
 		Expect(codes(rejection)).To(Equal(string(failure.InvalidBundle)))
 		Expect(rejection.GetFaults()).To(HaveLen(1))
 		Expect(rejection.GetFaults()[0].GetPath()).To(Equal(path))
@@ -115,33 +115,33 @@
 	)
 
 	It("rejects a first one that is partial, and one without content", func() {
-		w = newWorld()
-		Expect(codes(w.rejected("", release(limited(1, 1), 0)))).To(Equal(string(failure.InvalidBundle)))
-		Expect(codes(w.rejected("", release(nil, 0)))).To(Equal(string(failure.InvalidBundle)))
+		h = newHarness()
+		Expect(codes(h.rejected("", release(partialWithoutBase(1, 1), 0)))).To(Equal(string(failure.InvalidBundle)))
+		Expect(codes(h.rejected("", release(nil, 0)))).To(Equal(string(failure.InvalidBundle)))
 		Expect(active()).To(BeNil())
 	})
 
 	It("overtakes a roll-out and withdraws its candidate", func() {
-		w.accepted("", put(completeBundle(6, 60)))
-		w.accepted("", w.sign(6, &protocol.Rollout{ShareBasisPoints: 100}))
-		Expect(codes(w.rejected("", release(completeBundle(6, 61), 5)))).To(Equal(string(failure.VersionTaken)))
-		w.accepted("", release(completeBundle(7, 70), 5))
-		Expect(w.state.View().Configuration.GetCandidate()).To(BeNil())
-		Expect(w.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
-		w.restart()
-		Expect(w.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
+		h.accepted("", put(completeBundle(6, 60)))
+		h.accepted("", h.sign(6, &protocol.Rollout{ShareBasisPoints: 100}))
+		Expect(codes(h.rejected("", release(completeBundle(6, 61), 5)))).To(Equal(string(failure.VersionTaken)))
+		h.accepted("", release(completeBundle(7, 70), 5))
+		Expect(h.state.View().Configuration.GetCandidate()).To(BeNil())
+		Expect(h.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
+		h.restart()
+		Expect(h.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
 	})
 
 	It("coexists with the submission and sign-off of bundles", func() {
-		w.accepted("", put(completeBundle(6, 60)))
-		w.accepted("", w.sign(6, nil))
-		w.accepted("", release(limited(9, 90), 6))
-		Expect(w.accepted("", put(queued(10, 100))).GetBundle().GetBaseVersion()).To(BeEquivalentTo(9))
-		w.accepted("", w.sign(10, nil))
-		Expect(codes(w.rejected("", release(limited(12, 1), 9)))).To(Equal(string(failure.WrongBase)))
+		h.accepted("", put(completeBundle(6, 60)))
+		h.accepted("", h.sign(6, nil))
+		h.accepted("", release(partialWithoutBase(9, 90), 6))
+		Expect(h.accepted("", put(partialOnPrevious(10, 100))).GetBundle().GetBaseVersion()).To(BeEquivalentTo(9))
+		h.accepted("", h.sign(10, nil))
+		Expect(codes(h.rejected("", release(partialWithoutBase(12, 1), 9)))).To(Equal(string(failure.WrongBase)))
 		By("leaving a released one as it is when a key signs it too")
-		w.accepted("", release(limited(12, 120), 10))
-		again := w.accepted("", w.sign(12, nil))
+		h.accepted("", release(partialWithoutBase(12, 120), 10))
+		again := h.accepted("", h.sign(12, nil))
 		Expect(again.GetBundle().GetSignedBy()).To(Equal(controlstate.SignedByCore))
 	})
 
@@ -158,79 +158,79 @@
 				routes.HttpRoutes[changed].TimeoutMillis = 2000
 				return routes
 			}
-			w.accepted("", release(routes(6, 0), 5))
-			known := w.state.View().Configuration
+			h.accepted("", release(routes(6, 0), 5))
+			known := h.state.View().Configuration
 			for version := uint64(7); version < 17; version++ {
-				w.accepted("", release(routes(version, int(version)), version-1))
+				h.accepted("", release(routes(version, int(version)), version-1))
 			}
-			w.restart()
-			snapshot, delta := w.state.View().ConfigurationSince(known.GetVersion())
+			h.restart()
+			snapshot, delta := h.state.View().ConfigurationSince(known.GetVersion())
 			Expect(snapshot).To(BeNil())
 			Expect(proto.Size(delta)).To(BeNumerically("<", 5000))
 			applied, err := bundle.ApplyDelta(known, delta)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(applied.GetActiveDigest()).To(Equal(w.state.View().Configuration.GetActiveDigest()))
+			Expect(applied.GetActiveDigest()).To(Equal(h.state.View().Configuration.GetActiveDigest()))
 		})
 })
 
 var _ = Describe("numbered announcements of back ends", func() {
-	var w *world
+	var h *harness
 	server := func(state protocol.BackEndState, capacity uint32) *protocol.BackEnd {
 		return &protocol.BackEnd{Id: "s1", Address: "10.0.0.1:1", Incarnation: 1, State: state, Capacity: capacity}
 	}
 	ready, draining := protocol.BackEndState_READY, protocol.BackEndState_DRAINING
-	current := func() *protocol.BackEnd { return w.state.View().BackEnd("s1") }
+	current := func() *protocol.BackEnd { return h.state.View().BackEnd("s1") }
 	BeforeEach(func() {
-		w = newWorld()
-		w.accepted("", announce(server(ready, 4), 10))
+		h = newHarness()
+		h.accepted("", announce(server(ready, 4), 10))
 	})
 
 	It("change nothing when they come after a later one, also after a restart", func() {
-		w.accepted("", announce(server(ready, 6), 12))
-		w.restart()
-		w.accepted("", announce(server(ready, 4), 11))
+		h.accepted("", announce(server(ready, 6), 12))
+		h.restart()
+		h.accepted("", announce(server(ready, 4), 11))
 		Expect(current().GetCapacity()).To(BeEquivalentTo(6))
-		w.accepted("", announce(server(ready, 8), 13))
+		h.accepted("", announce(server(ready, 8), 13))
 		Expect(current().GetCapacity()).To(BeEquivalentTo(8))
 	})
 
 	It("do not make a draining one ready", func() {
-		w.accepted("", announce(server(draining, 4), 12))
-		w.accepted("", announce(server(ready, 4), 13))
+		h.accepted("", announce(server(draining, 4), 12))
+		h.accepted("", announce(server(ready, 4), 13))
 		Expect(current().GetState()).To(Equal(draining))
 	})
 
 	It("do not bring back one that left, whether it is known or not, but a new incarnation", func() {
-		w.accepted("", depart("s1", 0))
-		w.restart()
-		w.accepted("", announce(server(ready, 4), 14))
-		w.accepted("", upsert(server(ready, 4)))
+		h.accepted("", depart("s1", 0))
+		h.restart()
+		h.accepted("", announce(server(ready, 4), 14))
+		h.accepted("", upsert(server(ready, 4)))
 		Expect(current()).To(BeNil())
-		Expect(w.state.View().Removed("s1")).To(BeTrue())
+		Expect(h.state.View().Removed("s1")).To(BeTrue())
 		next := server(ready, 4)
 		next.Incarnation = 2
-		w.accepted("", announce(next, 1))
+		h.accepted("", announce(next, 1))
 		Expect(current()).NotTo(BeNil())
-		w.accepted("", depart("unknown", 0))
-		w.accepted("", announce(&protocol.BackEnd{Id: "unknown", Address: "10.0.0.2:1", State: ready}, 3))
-		Expect(w.state.View().BackEnd("unknown")).To(BeNil())
+		h.accepted("", depart("unknown", 0))
+		h.accepted("", announce(&protocol.BackEnd{Id: "unknown", Address: "10.0.0.2:1", State: ready}, 3))
+		Expect(h.state.View().BackEnd("unknown")).To(BeNil())
 	})
 
 	It("do not bring back one whose address another one has", func() {
 		other := &protocol.BackEnd{Id: "s2", Address: "10.0.0.1:1", Incarnation: 1, State: ready}
-		w.accepted("", announce(other, 1))
+		h.accepted("", announce(other, 1))
 		Expect(current()).To(BeNil())
-		w.accepted("", announce(server(ready, 4), 11))
+		h.accepted("", announce(server(ready, 4), 11))
 		Expect(current()).To(BeNil())
-		Expect(w.state.View().BackEnd("s2")).NotTo(BeNil())
+		Expect(h.state.View().BackEnd("s2")).NotTo(BeNil())
 	})
 
 	It("bring back one whose lease expired, but not when they are outdated", func() {
-		w.accepted("", announce(server(ready, 6), 12))
-		w.accepted("", removeBackEnd("s1", 1))
-		w.accepted("", announce(server(ready, 4), 11))
+		h.accepted("", announce(server(ready, 6), 12))
+		h.accepted("", removeBackEnd("s1", 1))
+		h.accepted("", announce(server(ready, 4), 11))
 		Expect(current()).To(BeNil())
-		w.accepted("", announce(server(ready, 6), 13))
+		h.accepted("", announce(server(ready, 6), 13))
 		Expect(current()).NotTo(BeNil())
 	})
 
@@ -238,14 +238,14 @@
 		at := func(millis int64, command *protocol.Command) {
 			timed := proto.CloneOf(command)
 			timed.ProposedAtMillis = millis
-			w.accepted("", timed)
+			h.accepted("", timed)
 		}
 		at(1_000, depart("s1", 0))
 		at(1_000+3_600_000, depart("s3", 0))
-		Expect(w.state.View().Removed("s1")).To(BeTrue())
+		Expect(h.state.View().Removed("s1")).To(BeTrue())
 		at(1_001+3_600_000, depart("s4", 0))
-		Expect(w.state.View().Removed("s1")).To(BeFalse())
-		Expect(w.state.Snapshot().GetAnnouncements()).To(HaveLen(2))
+		Expect(h.state.View().Removed("s1")).To(BeFalse())
+		Expect(h.state.Snapshot().GetAnnouncements()).To(HaveLen(2))
 	})
 })
 
@@ -258,26 +258,26 @@
 	}
 
 	It("is rejected with too few left, and accepted once one joined", func() {
-		w := newWorld()
+		h := newHarness()
 		for number := range 4 {
-			w.accepted("", join(store(number, 1, "disk")))
+			h.accepted("", join(store(number, 1, "disk")))
 		}
-		w.accepted("", initializePlacement(4, 3))
-		w.accepted("", empty("store-1"))
-		w.accepted("", empty("store-1"))
-		Expect(codes(w.rejected("", empty("store-2")))).To(Equal(string(failure.TooFewStores)))
-		Expect(codes(w.rejected("", empty("store-9")))).To(Equal(string(failure.NotFound)))
-		w.accepted("", join(store(5, 1, "disk")))
-		w.accepted("", empty("store-2"))
+		h.accepted("", initializePlacement(4, 3))
+		h.accepted("", empty("store-1"))
+		h.accepted("", empty("store-1"))
+		Expect(codes(h.rejected("", empty("store-2")))).To(Equal(string(failure.TooFewStores)))
+		Expect(codes(h.rejected("", empty("store-9")))).To(Equal(string(failure.NotFound)))
+		h.accepted("", join(store(5, 1, "disk")))
+		h.accepted("", empty("store-2"))
 	})
 
 	It("counts a store that is absent for a moment", func() {
-		w := newWorld()
+		h := newHarness()
 		for number := range 4 {
-			w.accepted("", join(store(number, 1, "disk")))
+			h.accepted("", join(store(number, 1, "disk")))
 		}
-		w.accepted("", initializePlacement(4, 3))
-		w.accepted("", removeNode("store-3", 1))
-		w.accepted("", empty("store-1"))
+		h.accepted("", initializePlacement(4, 3))
+		h.accepted("", removeNode("store-3", 1))
+		h.accepted("", empty("store-1"))
 	})
 })
--- a/internal/controlplane/controlstate/rollout.go
+++ b/internal/controlplane/controlstate/rollout.go
@@ -14,7 +14,7 @@
 			return rejection
 		}
 		s.setCandidate(index, command.GetRollout())
-		return acceptBundle(index, s.record(command.GetRollout().GetCandidateVersion()).Status)
+		return acceptBundle(index, s.bundleRecord(command.GetRollout().GetCandidateVersion()).Status)
 	case protocol.RolloutAction_ROLLOUT_PROMOTE:
 		return s.promote(index, command.GetRollout().GetCandidateVersion())
 	case protocol.RolloutAction_ROLLOUT_WITHDRAW:
@@ -34,7 +34,7 @@
 	}
 	path := prefix + "candidate_version"
 	version := rollout.GetCandidateVersion()
-	record, active := s.record(version), s.configuration.GetActive()
+	record, active := s.bundleRecord(version), s.configuration.GetActive()
 	switch {
 	case record == nil:
 		return reject(codeNotFound, fmt.Sprintf("there is no bundle %d", version), fault(path, "is not taken"))
@@ -52,7 +52,7 @@
 		return reject(codeNotSigned, fmt.Sprintf("bundle %d is not signed off", version), fault(path, "is not signed off"))
 	}
 	if other := s.configuration.GetCandidate(); other != nil && other.GetVersion() != version {
-		return reject(codeChangeUnderWay,
+		return reject(codeChangeInProgress,
 			fmt.Sprintf("bundle %d is being rolled out; promote or withdraw it first", other.GetVersion()),
 			fault(path, "another candidate is being rolled out"))
 	}
@@ -60,7 +60,7 @@
 }
 
 func (s *State) setCandidate(index uint64, rollout *protocol.Rollout) {
-	record := s.record(rollout.GetCandidateVersion())
+	record := s.bundleRecord(rollout.GetCandidateVersion())
 	s.replaceConfiguration(&protocol.Configuration{
 		Version: index,
 		Active:  s.configuration.GetActive(), ActiveDigest: s.configuration.GetActiveDigest(),
@@ -72,7 +72,7 @@
 func (s *State) replaceConfiguration(next *protocol.Configuration) {
 	former := s.configuration
 	s.configuration = next
-	s.addStep(former, next)
+	s.appendStep(former, next)
 }
 
 // promote puts the candidate in force. A version of zero means whichever is the candidate.
@@ -80,29 +80,29 @@
 	candidate := s.configuration.GetCandidate().GetVersion()
 	if candidate == 0 || (version != 0 && version != candidate) {
 		if version != 0 && version == s.configuration.GetActive().GetVersion() {
-			return acceptBundle(s.configuration.GetVersion(), s.record(version).Status)
+			return acceptBundle(s.configuration.GetVersion(), s.bundleRecord(version).Status)
 		}
 		return s.rejectNoCandidate(version)
 	}
-	s.putInForce(index, candidate)
-	return acceptBundle(index, s.record(candidate).Status)
+	s.activateVersion(index, candidate)
+	return acceptBundle(index, s.bundleRecord(candidate).Status)
 }
 
 // withdraw ends the roll-out; the candidate is never put in force.
 func (s *State) withdraw(index, version uint64) *protocol.CommandResult {
 	candidate := s.configuration.GetCandidate().GetVersion()
 	if candidate == 0 || (version != 0 && version != candidate) {
-		if record := s.record(version); record != nil && record.Status.GetState() == protocol.BundleState_WITHDRAWN {
+		if record := s.bundleRecord(version); record != nil && record.Status.GetState() == protocol.BundleState_WITHDRAWN {
 			return acceptBundle(index, record.Status)
 		}
 		return s.rejectNoCandidate(version)
 	}
-	s.setState(candidate, protocol.BundleState_WITHDRAWN)
+	s.setBundleState(candidate, protocol.BundleState_WITHDRAWN)
 	s.replaceConfiguration(&protocol.Configuration{
 		Version: index,
 		Active:  s.configuration.GetActive(), ActiveDigest: s.configuration.GetActiveDigest(),
 	})
-	return acceptBundle(index, s.record(candidate).Status)
+	return acceptBundle(index, s.bundleRecord(candidate).Status)
 }
 
 func (s *State) rejectNoCandidate(version uint64) *protocol.CommandResult {
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -31,7 +31,7 @@
 		snapshot.Bundles = append(snapshot.Bundles, record.Status)
 		return false
 	})
-	snapshot.MergedBundles = s.encodeMerged()
+	snapshot.MergedBundles = s.encodeMergedBundles()
 	for _, id := range slices.Sorted(maps.Keys(s.orders)) {
 		entry := s.orders[id]
 		snapshot.Orders = append(snapshot.Orders, &protocol.OrderRecord{
@@ -45,11 +45,11 @@
 	return snapshot
 }
 
-func (s *State) encodeMerged() []*protocol.Bundle {
+func (s *State) encodeMergedBundles() []*protocol.Bundle {
 	var encoded []*protocol.Bundle
 	var previous *protocol.Bundle
 	for _, version := range s.retainedVersions {
-		merged := s.record(version).Merged
+		merged := s.bundleRecord(version).Merged
 		stored := merged
 		if previous != nil {
 			if step, possible := bundle.MakePartial(previous, merged); possible {
@@ -74,7 +74,7 @@
 
 // restoreDigests undoes withoutDigests.
 func (s *State) restoreDigests(result *protocol.CommandResult) *protocol.CommandResult {
-	record := s.record(result.GetBundle().GetVersion())
+	record := s.bundleRecord(result.GetBundle().GetVersion())
 	if result.GetBundle() == nil || record == nil {
 		return result
 	}
@@ -102,19 +102,19 @@
 	s.steps = snapshot.GetSteps()
 	s.firstKeys = snapshot.GetFirstKeys()
 	s.memberOrders = decodeMemberOrders(snapshot.GetMemberOrders())
-	s.membership = orEmpty(snapshot.GetMembership())
-	s.backEnds = orEmpty(snapshot.GetBackEnds())
-	s.placement = orEmpty(snapshot.GetPlacement())
+	s.membership = valueOrEmpty(snapshot.GetMembership())
+	s.backEnds = valueOrEmpty(snapshot.GetBackEnds())
+	s.placement = valueOrEmpty(snapshot.GetPlacement())
 	s.nodeHistory = views.NewHistory(s.membership.GetVersion())
 	s.backEndHistory = views.NewHistory(s.backEnds.GetVersion())
 	for _, status := range snapshot.GetBundles() {
-		s.setRecord(status.GetVersion(), &BundleRecord{Status: status})
+		s.setBundleRecord(status.GetVersion(), &BundleRecord{Status: status})
 		s.newest = max(s.newest, status.GetVersion())
 	}
-	if err := s.decodeMerged(snapshot.GetMergedBundles()); err != nil {
+	if err := s.decodeMergedBundles(snapshot.GetMergedBundles()); err != nil {
 		return nil, err
 	}
-	s.configuration = s.shareMerged(orEmpty(snapshot.GetConfiguration()))
+	s.configuration = s.shareMergedBundles(valueOrEmpty(snapshot.GetConfiguration()))
 	for _, order := range snapshot.GetOrders() {
 		if len(order.GetContentDigest()) != len(contentDigest{}) {
 			return nil, &SnapshotError{Reason: fmt.Sprintf("order %q has no digest", order.GetOrderId())}
@@ -133,45 +133,45 @@
 	return s, nil
 }
 
-func orEmpty[T any](message *T) *T {
+func valueOrEmpty[T any](message *T) *T {
 	if message == nil {
 		return new(T)
 	}
 	return message
 }
 
-// decodeMerged rebuilds the merged bundles. The digest of the last one is
+// decodeMergedBundles rebuilds the merged bundles. The digest of the last one is
 // checked, which covers the chain of steps that led to it.
-func (s *State) decodeMerged(stored []*protocol.Bundle) error {
+func (s *State) decodeMergedBundles(stored []*protocol.Bundle) error {
 	var previous *protocol.Bundle
 	for _, step := range stored {
 		merged := bundle.Merge(previous, step)
-		record := s.record(merged.GetVersion())
+		record := s.bundleRecord(merged.GetVersion())
 		if record == nil || (step.GetPartial() && step.GetBaseVersion() != previous.GetVersion()) {
 			return &SnapshotError{Reason: fmt.Sprintf("bundle %d does not follow the one before it", merged.GetVersion())}
 		}
-		s.setRecord(merged.GetVersion(), &BundleRecord{Status: record.Status, Merged: merged})
+		s.setBundleRecord(merged.GetVersion(), &BundleRecord{Status: record.Status, Merged: merged})
 		s.retainedVersions = append(s.retainedVersions, merged.GetVersion())
 		previous = merged
 	}
-	if previous != nil && bundle.Digest(previous) != s.record(previous.GetVersion()).Status.GetMergedDigest() {
+	if previous != nil && bundle.Digest(previous) != s.bundleRecord(previous.GetVersion()).Status.GetMergedDigest() {
 		return &SnapshotError{Reason: fmt.Sprintf("digest of bundle %d differs", previous.GetVersion())}
 	}
 	return nil
 }
 
-// shareMerged makes the configuration refer to the merged bundles of the records.
-func (s *State) shareMerged(stored *protocol.Configuration) *protocol.Configuration {
+// shareMergedBundles makes the configuration refer to the merged bundles of the records.
+func (s *State) shareMergedBundles(stored *protocol.Configuration) *protocol.Configuration {
 	configuration := &protocol.Configuration{
 		Version: stored.GetVersion(),
 		Active:  stored.GetActive(), ActiveDigest: stored.GetActiveDigest(),
 		Candidate: stored.GetCandidate(), CandidateDigest: stored.GetCandidateDigest(),
 		Rollout: stored.GetRollout(),
 	}
-	if record := s.record(stored.GetActive().GetVersion()); record != nil && record.Merged != nil {
+	if record := s.bundleRecord(stored.GetActive().GetVersion()); record != nil && record.Merged != nil {
 		configuration.Active = record.Merged
 	}
-	if record := s.record(stored.GetCandidate().GetVersion()); record != nil && record.Merged != nil {
+	if record := s.bundleRecord(stored.GetCandidate().GetVersion()); record != nil && record.Merged != nil {
 		configuration.Candidate = record.Merged
 	}
 	return configuration
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -70,7 +70,7 @@
 	s.index = index
 	id := command.GetOrderId()
 	if id == "" {
-		return s.change(index, command)
+		return s.dispatch(index, command)
 	}
 	digest := digestContent(command)
 	if first, known := s.orders[id]; known {
@@ -80,12 +80,12 @@
 		}
 		return first.result
 	}
-	result := s.change(index, command)
+	result := s.dispatch(index, command)
 	s.orders[id] = &orderEntry{digest: digest, result: result}
 	return result
 }
 
-func (s *State) change(index uint64, command *protocol.Command) *protocol.CommandResult {
+func (s *State) dispatch(index uint64, command *protocol.Command) *protocol.CommandResult {
 	switch body := command.GetBody().(type) {
 	case *protocol.Command_PutBundle:
 		return s.putBundle(index, body.PutBundle.GetBundle())
@@ -132,10 +132,10 @@
 	BackEnds      *protocol.BackEndView
 	Placement     *protocol.Placement
 	Newest        uint64
-	// KeysInForce are the sign-off keys that are valid at present.
-	KeysInForce []*protocol.SignOffKey
-	FirstKeys   []*protocol.SignOffKey
-	Orders      int
+	// ActiveKeys are the sign-off keys that are valid at present.
+	ActiveKeys []*protocol.SignOffKey
+	FirstKeys  []*protocol.SignOffKey
+	Orders     int
 
 	bundles        *iradix.Tree[*BundleRecord]
 	steps          []*protocol.ConfigurationStep
@@ -154,7 +154,7 @@
 		BackEnds:      s.backEnds,
 		Placement:     s.placement,
 		Newest:        s.newest,
-		KeysInForce:   s.keysInForce(),
+		ActiveKeys:    s.activeKeys(),
 		FirstKeys:     s.firstKeys,
 		Orders:        len(s.orders),
 		bundles:       s.bundles,
--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -75,7 +75,7 @@
 
 // retireStore ends an emptied store for good: its data folder gets no lease again.
 func (s *State) retireStore(index uint64, store string) *protocol.CommandResult {
-	at, emptied := slices.BinarySearch(s.placement.GetEmptied(), store)
+	position, emptied := slices.BinarySearch(s.placement.GetEmptied(), store)
 	if !emptied {
 		if isRetiredName(s.placement, store) {
 			return accept(s.placement.GetEpoch())
@@ -85,7 +85,7 @@
 	}
 	node := findNode(s.membership, store)
 	edited := s.editPlacement(index)
-	edited.Emptied = slices.Delete(edited.Emptied, at, at+1)
+	edited.Emptied = slices.Delete(edited.Emptied, position, position+1)
 	edited.Retired = append(edited.Retired, &protocol.Replica{Store: store, StorageId: node.GetStorageId()})
 	s.placement = edited
 	if node != nil {
--- a/internal/controlplane/controlstate/store_spread_test.go
+++ b/internal/controlplane/controlstate/store_spread_test.go
@@ -19,32 +19,32 @@
 	}}
 }
 
-// newPlacedWorld has a store at each place, "region/zone", and shards of three replicas.
-func newPlacedWorld(places ...string) *world {
-	w := newWorld()
+// newPlacedHarness has a store at each place, "region/zone", and shards of three replicas.
+func newPlacedHarness(places ...string) *harness {
+	h := newHarness()
 	for number, place := range places {
 		node := store(number, 1, "disk")
 		node.Region, node.Zone, _ = strings.Cut(place, "/")
-		w.accepted("", join(node))
+		h.accepted("", join(node))
 	}
-	w.accepted("", &protocol.Command{Body: &protocol.Command_InitializePlacement{
+	h.accepted("", &protocol.Command{Body: &protocol.Command_InitializePlacement{
 		InitializePlacement: &protocol.InitializePlacementCommand{
 			ShardCount: 8, ReplicaCount: 3, OverRegions: true,
 			SharedZones: true,
 		},
 	}})
-	return w
+	return h
 }
 
-func (w *world) remove(number int) {
-	w.accepted("", &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
+func (h *harness) remove(number int) {
+	h.accepted("", &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
 		Name: fmt.Sprint("store-", number), Incarnation: 1,
 	}}})
 }
 
-// TestTheLastStoreOfANeededDomainIsNotEmptied orders stores to be emptied, one after the other, with some of the
+// TestLastStoreOfARequiredFailureDomainIsNotEmptied orders stores to be emptied, one after the other, with some of the
 // others absent.
-func TestTheLastStoreOfANeededDomainIsNotEmptied(t *testing.T) {
+func TestLastStoreOfARequiredFailureDomainIsNotEmptied(t *testing.T) {
 	RegisterTestingT(t)
 	oneRegion := []string{"r/z0", "r/z1", "r/z2", "r/z3"}
 	threeRegions := []string{"a/a0", "a/a1", "b/b0", "b/b1", "c/c0", "c/c1"}
@@ -109,61 +109,61 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			w := newPlacedWorld(test.places...)
+			h := newPlacedHarness(test.places...)
 			for _, number := range test.absent {
-				w.remove(number)
+				h.remove(number)
 			}
 			for _, number := range test.accepted {
-				w.accepted("", emptyKeepingSpread(fmt.Sprint("store-", number)))
+				h.accepted("", emptyKeepingSpread(fmt.Sprint("store-", number)))
 			}
 			for _, number := range test.rejected {
-				rejection := w.rejected("", emptyKeepingSpread(fmt.Sprint("store-", number)))
+				rejection := h.rejected("", emptyKeepingSpread(fmt.Sprint("store-", number)))
 				Expect(codes(rejection)).To(Equal(string(failure.TooFewStores)), "store-%d", number)
 			}
 			// An order sent again is acknowledged again.
 			for _, number := range test.accepted {
-				w.accepted("", emptyKeepingSpread(fmt.Sprint("store-", number)))
+				h.accepted("", emptyKeepingSpread(fmt.Sprint("store-", number)))
 			}
 		})
 	}
 }
 
-func TestALastStoreIsEmptiedOnceItsRegionHasAnother(t *testing.T) {
+func TestLastStoreOfARegionIsEmptiedOnceAnotherJoins(t *testing.T) {
 	RegisterTestingT(t)
-	w := newPlacedWorld("a/a0", "a/a1", "b/b0", "c/c0")
-	w.rejected("", emptyKeepingSpread("store-2"))
+	h := newPlacedHarness("a/a0", "a/a1", "b/b0", "c/c0")
+	h.rejected("", emptyKeepingSpread("store-2"))
 	successor := store(4, 1, "disk")
 	successor.Region, successor.Zone = "b", "b1"
-	w.accepted("", join(successor))
-	w.accepted("", emptyKeepingSpread("store-2"))
-	w.settle()
-	Expect(w.state.View().Placement.GetEmptied()).To(Equal([]string{"store-2"}))
+	h.accepted("", join(successor))
+	h.accepted("", emptyKeepingSpread("store-2"))
+	h.settle()
+	Expect(h.state.View().Placement.GetEmptied()).To(Equal([]string{"store-2"}))
 }
 
 // A log written before the spread was looked at must lead every member to the answer that it led to then.
-func TestAnOrderOfAnEarlierLogIsAcceptedWhateverSpreadIsLost(t *testing.T) {
+func TestEmptyOrderFromAnOlderLogSkipsTheSpreadCheck(t *testing.T) {
 	RegisterTestingT(t)
-	w := newPlacedWorld("a/a0", "a/a1", "b/b0", "c/c0")
+	h := newPlacedHarness("a/a0", "a/a1", "b/b0", "c/c0")
 	empty := &protocol.EmptyStoreCommand{Store: "store-2", StoresToKeep: 3}
-	w.accepted("", &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: empty}})
+	h.accepted("", &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: empty}})
 }
 
-// TestShardsAreInThreeRegionsWhateverStoresAreEmptied empties stores of three regions by any accepted orders.
-func TestShardsAreInThreeRegionsWhateverStoresAreEmptied(t *testing.T) {
+// TestShardsStayInThreeRegionsWhenStoresAreEmptied empties stores of three regions by any accepted orders.
+func TestShardsStayInThreeRegionsWhenStoresAreEmptied(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegional(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 20).Draw(t, "shards"))
+		r := newRegionalHarness(t, rapid.IntRange(1, 3).Draw(t, "stores a zone"), rapid.IntRange(1, 20).Draw(t, "shards"))
 		for _, node := range r.stores {
-			r.must(join(node))
+			r.mustApply(join(node))
 		}
 		r.initialize(true)
 		for _, node := range rapid.Permutation(r.stores).Draw(t, "orders") {
 			r.apply("", emptyKeepingSpread(node.GetName()))
 			if rapid.Bool().Draw(t, "move between") {
-				r.rest()
+				r.rebalance()
 			}
 		}
-		r.rest()
+		r.rebalance()
 		emptied := r.state.View().Placement.GetEmptied()
 		if len(emptied) != len(r.stores)-3 {
 			t.Fatalf("%d of %d stores are empty", len(emptied), len(r.stores))
--- a/internal/controlplane/controlstate/suite_test.go
+++ b/internal/controlplane/controlstate/suite_test.go
@@ -21,54 +21,54 @@
 	RunSpecs(t, "control state")
 }
 
-// world applies commands under rising log indexes.
-type world struct {
+// harness applies commands under rising log indexes.
+type harness struct {
 	state   *controlstate.State
 	index   uint64
 	private ed25519.PrivateKey
 }
 
-// newWorld has the key of ann seeded.
-func newWorld() *world {
+// newHarness has the key of ann seeded.
+func newHarness() *harness {
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{7}))
 	Expect(err).NotTo(HaveOccurred())
-	w := &world{state: controlstate.New(), private: private}
+	h := &harness{state: controlstate.New(), private: private}
 	seed := &protocol.SeedSignOffKeysCommand{
 		Keys: []*protocol.SignOffKey{{Name: "ann", PublicKey: hex.EncodeToString(public)}},
 	}
-	w.apply("", &protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: seed}})
-	return w
+	h.apply("", &protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: seed}})
+	return h
 }
 
-func (w *world) apply(order string, command *protocol.Command) *protocol.CommandResult {
-	w.index++
+func (h *harness) apply(order string, command *protocol.Command) *protocol.CommandResult {
+	h.index++
 	sent := proto.CloneOf(command)
 	sent.OrderId = order
-	return w.state.Apply(w.index, sent)
+	return h.state.Apply(h.index, sent)
 }
 
-func (w *world) accepted(order string, command *protocol.Command) *protocol.CommandResult {
+func (h *harness) accepted(order string, command *protocol.Command) *protocol.CommandResult {
 	GinkgoHelper()
-	result := w.apply(order, command)
+	result := h.apply(order, command)
 	Expect(result.GetAccepted()).To(BeTrue(), result.String())
 	return result
 }
 
-func (w *world) rejected(order string, command *protocol.Command) *protocol.Refusal {
+func (h *harness) rejected(order string, command *protocol.Command) *protocol.Refusal {
 	GinkgoHelper()
-	result := w.apply(order, command)
+	result := h.apply(order, command)
 	Expect(result.GetAccepted()).To(BeFalse(), result.String())
 	return result.GetRefusal()
 }
 
 // restart takes the state through an encoded snapshot.
-func (w *world) restart() {
+func (h *harness) restart() {
 	GinkgoHelper()
-	encoded, err := proto.Marshal(w.state.Snapshot())
+	encoded, err := proto.Marshal(h.state.Snapshot())
 	Expect(err).NotTo(HaveOccurred())
 	decoded := &protocol.ControlState{}
 	Expect(proto.Unmarshal(encoded, decoded)).To(Succeed())
-	w.state, err = controlstate.Restore(decoded)
+	h.state, err = controlstate.Restore(decoded)
 	Expect(err).NotTo(HaveOccurred())
 }
 
@@ -76,8 +76,8 @@
 	return &protocol.Command{Body: &protocol.Command_PutBundle{PutBundle: &protocol.PutBundleCommand{Bundle: submitted}}}
 }
 
-// queued is a partial bundle that only sets one limit.
-func queued(version uint64, limit uint32) *protocol.Bundle {
+// partialOnPrevious is a partial bundle that only sets one limit.
+func partialOnPrevious(version uint64, limit uint32) *protocol.Bundle {
 	return &protocol.Bundle{
 		Version: version, BaseVersion: version - 1, Partial: true,
 		Limits: &protocol.LimitPolicy{MaxQueued: limit},
@@ -85,10 +85,10 @@
 }
 
 // sign signs a version that was put; the roll-out may be nil.
-func (w *world) sign(version uint64, rollout *protocol.Rollout) *protocol.Command {
-	digest := w.state.View().Bundle(version).Status.GetMergedDigest()
+func (h *harness) sign(version uint64, rollout *protocol.Rollout) *protocol.Command {
+	digest := h.state.View().Bundle(version).Status.GetMergedDigest()
 	return &protocol.Command{Body: &protocol.Command_SignBundle{SignBundle: &protocol.SignBundleCommand{
-		Version: version, KeyName: "ann", Signature: bundle.Sign(w.private, digest), Rollout: rollout,
+		Version: version, KeyName: "ann", Signature: bundle.Sign(h.private, digest), Rollout: rollout,
 	}}}
 }
 
