--- a/internal/controlplane/controlstate/announcements.go
+++ b/internal/controlplane/controlstate/announcements.go
@@ -9,12 +9,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// announcementRetention is how long the announcements of a back end are remembered
-// after it was removed; none of them can arrive later than that.
+// announcementRetention is how long the last announcement of a back end is retained after the back end was removed.
+// No announcement arrives later than that.
 const announcementRetention = time.Hour
 
-// announcements holds the last numbered announcement of each back end, and the
-// back ends that left. It is immutable: a change replaces it.
+// announcements has the last numbered announcement of each back end and the departures of back ends. It is immutable:
+// changes return a new value.
 type announcements struct {
 	byID *iradix.Tree[*protocol.BackEndAnnouncement]
 }
@@ -42,7 +42,8 @@
 	return all
 }
 
-// withoutExpired drops the back ends that were removed longer than the retention before a time in Unix milliseconds.
+// withoutExpired drops the back ends that were removed more than announcementRetention before a time in Unix
+// milliseconds.
 func (a *announcements) withoutExpired(nowMillis int64) *announcements {
 	remaining := a.byID.Txn()
 	a.byID.Root().Walk(func(id []byte, last *protocol.BackEndAnnouncement) bool {
@@ -54,8 +55,8 @@
 	return &announcements{byID: remaining.Commit()}
 }
 
-// outdated reports whether an announcement came after a later one of the same
-// back end, or after the back end left. Zero is a sequence that is not numbered.
+// outdated reports whether a later announcement of the same back end, or its departure, was applied before. A sequence
+// of zero means that the announcement is not numbered.
 func (a *announcements) outdated(id string, incarnation, sequence uint64) bool {
 	last := a.find(id)
 	switch {
@@ -72,18 +73,18 @@
 	}
 }
 
-// Outdated reports whether an announcement would change nothing because it came
-// after a later one of the same back end, or after the back end left.
+// Outdated reports whether an announcement would be ignored because a later one of the same back end, or its departure,
+// was applied before.
 func (v *View) Outdated(id string, incarnation, sequence uint64) bool {
 	return v.announcements.outdated(id, incarnation, sequence)
 }
 
-// Removed reports whether a back end has left and is not in the view.
+// Removed reports whether a back end departed and is not in the view.
 func (v *View) Removed(id string) bool {
 	return v.BackEnd(id) == nil && v.announcements.find(id).GetDeparted()
 }
 
-// recordAnnouncement remembers a numbered announcement.
+// recordAnnouncement stores a numbered announcement as the last one of its back end; others are not stored.
 func (s *State) recordAnnouncement(id string, incarnation, sequence uint64) {
 	if sequence == 0 {
 		return
@@ -94,8 +95,8 @@
 	})
 }
 
-// resolveDeparture gives the departure that a command means, of the present
-// incarnation when it names none, and whether the back end was ever known.
+// resolveDeparture returns the departure that a command reports, and whether the state has the back end or an
+// announcement of it. A command without an incarnation means the latest one.
 func (s *State) resolveDeparture(
 	command *protocol.RemoveBackEndCommand, nowMillis int64,
 ) (departure *protocol.BackEndAnnouncement, known bool) {
@@ -109,8 +110,8 @@
 	}, current != nil || last != nil
 }
 
-// recordDeparture remembers that an incarnation left. Of a back end that was never
-// known the departure counts for the announcements up to its sequence, or for all when it has none.
+// recordDeparture stores the departure of an incarnation. For an unknown back end, the departure outdates only the
+// announcements up to its sequence, or all of them when it has no sequence.
 func (s *State) recordDeparture(departure *protocol.BackEndAnnouncement, known bool) {
 	if known {
 		departure.Sequence = 0
@@ -119,8 +120,8 @@
 	s.announcements = s.announcements.with(departure).withoutExpired(departure.GetRemovedAtMillis())
 }
 
-// recordReplacement remembers that another back end has the address of a back end: that one is
-// not accepted again if it numbers its announcements.
+// recordReplacement stores that another back end took over the address of a back end, so that later announcements of
+// the replaced incarnation are outdated. It applies only to back ends that number their announcements.
 func (s *State) recordReplacement(backEnd *protocol.BackEnd, nowMillis int64) {
 	if s.announcements.find(backEnd.GetId()) != nil {
 		s.recordDeparture(&protocol.BackEndAnnouncement{
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordRemoval remembers when a back end was removed from the view.
+// recordRemoval stores when a back end was removed from the view, which starts the retention of its announcement.
 func (s *State) recordRemoval(id string, nowMillis int64) {
 	last := s.announcements.find(id)
 	if last == nil || last.GetDeparted() {
--- a/internal/controlplane/controlstate/back_ends.go
+++ b/internal/controlplane/controlstate/back_ends.go
@@ -14,7 +14,7 @@
 	return cmp.Compare(backEnd.GetId(), id)
 }
 
-// BackEnd finds a back end of the view by id; nil when there is none.
+// BackEnd returns the back end of the view with an id; nil when there is none.
 func (v *View) BackEnd(id string) *protocol.BackEnd { return findBackEnd(v.BackEnds, id) }
 
 func findBackEnd(view *protocol.BackEndView, id string) *protocol.BackEnd {
@@ -25,8 +25,8 @@
 	return view.GetBackEnds()[position]
 }
 
-// withDrainState gives a back end's announcement as the view holds it: an
-// incarnation that was drained stays draining whatever it announces.
+// withDrainState returns a back end with the state that it has in the view: a drained incarnation stays draining,
+// whatever state it announces.
 func (s *State) withDrainState(backEnd *protocol.BackEnd) *protocol.BackEnd {
 	if drained, known := s.drained[backEnd.GetId()]; known && backEnd.GetIncarnation() <= drained {
 		return asDraining(backEnd)
@@ -34,7 +34,7 @@
 	return backEnd
 }
 
-// asDraining gives a back end in the state DRAINING, itself if it is in that state.
+// asDraining returns the back end itself if its state is DRAINING, otherwise a copy in that state.
 func asDraining(backEnd *protocol.BackEnd) *protocol.BackEnd {
 	if backEnd.GetState() == protocol.BackEndState_DRAINING {
 		return backEnd
@@ -44,7 +44,8 @@
 	return draining
 }
 
-// upsertBackEnd applies what a heartbeat announced.
+// upsertBackEnd adds or replaces a back end as announced in a heartbeat. Another back end at the same address is
+// removed unless its incarnation is later.
 func (s *State) upsertBackEnd(
 	index uint64, nowMillis int64, command *protocol.UpsertBackEndCommand,
 ) *protocol.CommandResult {
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// Holds reports whether the view already has what a heartbeat announces; one
-// that was ordered to drain is draining in the view whatever it announces.
+// Holds reports whether the view already contains an announced back end. A draining back end stays draining in the
+// view, so the announced state is ignored for it.
 func (v *View) Holds(announced *protocol.BackEnd) bool {
 	current := v.BackEnd(announced.GetId())
 	if current == nil || current.GetIncarnation() != announced.GetIncarnation() {
@@ -118,7 +119,7 @@
 	s.drained[id] = max(s.drained[id], incarnation)
 }
 
-// removeBackEnd removes a back end whose lease expired or that reported that it left.
+// removeBackEnd removes a back end whose lease expired or that reported its departure.
 func (s *State) removeBackEnd(
 	index uint64, nowMillis int64, command *protocol.RemoveBackEndCommand,
 ) *protocol.CommandResult {
@@ -142,8 +143,8 @@
 	return accept(index)
 }
 
-// drainBackEnd marks a back end as draining; an incarnation of zero means the
-// present one. The index of the result is a view version that has it so.
+// drainBackEnd marks a back end as draining; an incarnation of zero means the current one. The index of the result is
+// a version of the view in which the back end is draining.
 func (s *State) drainBackEnd(index uint64, command *protocol.DrainBackEndCommand) *protocol.CommandResult {
 	position, found := slices.BinarySearchFunc(s.backEnds.GetBackEnds(), command.GetId(), compareBackEnds)
 	if !found {
--- a/internal/controlplane/controlstate/bundles.go
+++ b/internal/controlplane/controlstate/bundles.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxOldBundles is the number of merged bundles retained that are older than the one in force.
+	// maxOldBundles is the number of merged bundles older than the active one that are retained.
 	maxOldBundles = 32
-	// maxSteps is the number of configuration changes that deltas can reach back.
+	// maxSteps is the number of configuration changes that a delta can span.
 	maxSteps = 256
 )
 
@@ -26,7 +26,7 @@
 	s.bundles, _, _ = s.bundles.Insert(versionKey(version), record)
 }
 
-// setBundleState replaces the status of a version by one in another state.
+// setBundleState sets the state of a version in a copy of its status.
 func (s *State) setBundleState(version uint64, state protocol.BundleState) {
 	record := s.bundleRecord(version)
 	status := proto.CloneOf(record.Status)
@@ -34,8 +34,8 @@
 	s.setBundleRecord(version, &BundleRecord{Status: status, Merged: record.Merged})
 }
 
-// putBundle accepts a submission under the next number. The same content sent
-// again under its number is acknowledged again, other content is rejected.
+// putBundle accepts a bundle submitted as the next version. The same content submitted again under its version is
+// acknowledged again; other content under that version is rejected.
 func (s *State) putBundle(index uint64, submitted *protocol.Bundle) *protocol.CommandResult {
 	version := submitted.GetVersion()
 	digest := bundle.Digest(submitted)
@@ -61,7 +61,7 @@
 	return reject(codeInvalidBundle, fmt.Sprintf("the bundle has %d faults", len(faults)), faults...)
 }
 
-// recordSubmission records a bundle without faults under its number, which becomes the newest.
+// recordSubmission stores a valid bundle under its version, which becomes the newest.
 func (s *State) recordSubmission(
 	index uint64, submitted, merged *protocol.Bundle, digest string,
 ) *protocol.BundleStatus {
@@ -80,7 +80,7 @@
 	return status
 }
 
-// newestMerged is the newest merged bundle, nil before the first.
+// newestMerged returns the newest merged bundle; nil before the first.
 func (s *State) newestMerged() *protocol.Bundle {
 	if len(s.retainedVersions) == 0 {
 		return nil
@@ -101,8 +101,8 @@
 	return []*protocol.Fault{fault("version", fmt.Sprintf("the next version is %d", s.newest+1))}
 }
 
-// mergeBase finds the merged bundle that a partial one builds on: the newest, or
-// the newest that was not withdrawn.
+// mergeBase returns the merged bundle that a partial one is based on: the newest, or the newest that was not withdrawn.
+// It returns nil for a complete bundle.
 func (s *State) mergeBase(submitted *protocol.Bundle) (*protocol.Bundle, *protocol.Fault) {
 	if !submitted.GetPartial() {
 		return nil, nil
@@ -126,8 +126,8 @@
 	return s.newest
 }
 
-// activeKeys are those of the bundle in force; when it names none, the last
-// ones that a bundle in force named, or else the first keys.
+// activeKeys returns the sign-off keys of the active bundle. When it has none, these are the keys that were active
+// before it, or the keys from the settings.
 func (s *State) activeKeys() []*protocol.SignOffKey {
 	if keys := s.configuration.GetActive().GetSignOffKeys(); len(keys) > 0 {
 		return keys
@@ -135,7 +135,8 @@
 	return s.firstKeys
 }
 
-// seedKeys takes the first keys from the settings, until a bundle was put in force with them.
+// seedKeys sets the first keys, which the settings contain. It changes nothing once a bundle became active with first
+// keys set.
 func (s *State) seedKeys(index uint64, command *protocol.SeedSignOffKeysCommand) *protocol.CommandResult {
 	if s.configuration.GetActive() == nil || len(s.firstKeys) == 0 {
 		s.firstKeys = command.GetKeys()
@@ -143,7 +144,7 @@
 	return accept(index)
 }
 
-// signBundle checks a sign-off and puts the bundle in force, or makes it the candidate of a roll-out.
+// signBundle verifies a sign-off and makes the bundle active, or the candidate of a roll-out if the command has one.
 func (s *State) signBundle(index uint64, command *protocol.SignBundleCommand) *protocol.CommandResult {
 	record := s.bundleRecord(command.GetVersion())
 	if record == nil {
@@ -181,7 +182,7 @@
 	return acceptBundle(index, signed)
 }
 
-// checkFirstRollout checks the roll-out that comes with a sign-off, if any.
+// checkFirstRollout checks the roll-out in a sign-off, if there is one.
 func (s *State) checkFirstRollout(command *protocol.SignBundleCommand) *protocol.CommandResult {
 	rollout := command.GetRollout()
 	if rollout == nil {
@@ -200,8 +201,8 @@
 	return named
 }
 
-// activateVersion makes a signed version the active one and ends a roll-out that it
-// overtakes. The keys that were in force stay valid while no bundle in force names others.
+// activateVersion makes a signed version the active one and withdraws an older candidate. The keys that were active
+// before stay valid until an active bundle has keys of its own.
 func (s *State) activateVersion(index, version uint64) {
 	former := s.configuration
 	record := s.bundleRecord(version)
@@ -217,7 +218,8 @@
 	s.dropOldBundles(version)
 }
 
-// appendStep remembers how the active bundle changed, for deltas.
+// appendStep records a change of the configuration, for deltas. It drops all steps when the active bundle is the first
+// one, or when its change cannot be expressed by a partial bundle of at most half its size.
 func (s *State) appendStep(former, next *protocol.Configuration) {
 	step := &protocol.ConfigurationStep{FromVersion: former.GetVersion(), ToVersion: next.GetVersion()}
 	if former.GetActive() != next.GetActive() {
@@ -241,7 +243,8 @@
 	s.steps = append(s.steps, step)
 }
 
-// dropOldBundles forgets the content of versions far behind the one in force; their status is never forgotten.
+// dropOldBundles drops the merged bundles of all but the last maxOldBundles versions before the active one. Their
+// statuses are never dropped.
 func (s *State) dropOldBundles(active uint64) {
 	olderCount, _ := slices.BinarySearch(s.retainedVersions, active)
 	excess := olderCount - maxOldBundles
--- a/internal/controlplane/controlstate/member_orders.go
+++ b/internal/controlplane/controlstate/member_orders.go
@@ -7,12 +7,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// memberOrders says which orders were given about members of the core. It is
-// immutable: a change replaces it by a copy, as orders about members are few.
+// memberOrders has the orders that add or remove members of the core. It is immutable: a change copies it, which is
+// cheap because such orders are few.
 type memberOrders struct {
-	// last is the id of the last order about each member.
+	// last maps the id of a member to the id of the last order about it.
 	last map[uint64]string
-	// added holds the members that orders to add one meant, by order id.
+	// added maps the id of an order to the member that it adds.
 	added map[string]*protocol.CoreMember
 }
 
@@ -27,8 +27,8 @@
 	return next
 }
 
-// changeMember remembers which member an order meant. An order seen before does
-// not come here, so that the last order about a member stays the last one.
+// changeMember records the member that an order adds or removes. Apply filters out repeated orders, so a repeated
+// order does not replace a later one as the last order about its member.
 func (s *State) changeMember(
 	index uint64, orderID string, command *protocol.ChangeMemberCommand,
 ) *protocol.CommandResult {
@@ -44,10 +44,10 @@
 	return &protocol.CommandResult{Accepted: true, Index: index, Member: member}
 }
 
-// MemberOrder gives the id of the last order about a core member; empty when there was none.
+// MemberOrder returns the id of the last order about a core member; empty when there was none.
 func (v *View) MemberOrder(memberID uint64) string { return v.memberOrders.last[memberID] }
 
-// MemberAdded gives the member that an order to add one meant; nil for any other order.
+// MemberAdded returns the member that an order adds; nil for any other order.
 func (v *View) MemberAdded(orderID string) *protocol.CoreMember { return v.memberOrders.added[orderID] }
 
 func (s *State) encodeMemberOrders() []*protocol.MemberOrder {
--- a/internal/controlplane/controlstate/membership.go
+++ b/internal/controlplane/controlstate/membership.go
@@ -12,8 +12,8 @@
 
 func compareNodes(node *protocol.Node, name string) int { return cmp.Compare(node.GetName(), name) }
 
-// joinNode adds a node to the view, or its new incarnation or attributes. A
-// new incarnation under the same name or address ends the former one at once.
+// joinNode adds a node to the view, or updates its incarnation and attributes. A new incarnation replaces the node with
+// the same name and any node at the same address.
 func (s *State) joinNode(index uint64, node *protocol.Node) *protocol.CommandResult {
 	if rejection := s.checkNode(node); rejection != nil {
 		return rejection
@@ -96,7 +96,7 @@
 	return accept(index)
 }
 
-// Node finds a node of the view by name; nil when it has no lease.
+// Node returns the node of the view with a name; nil when it has no lease.
 func (v *View) Node(name string) *protocol.Node { return findNode(v.Membership, name) }
 
 func findNode(membership *protocol.MembershipView, name string) *protocol.Node {
--- a/internal/controlplane/controlstate/orders.go
+++ b/internal/controlplane/controlstate/orders.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Codes of rejections; they are codes of package failure.
+// Codes of rejections, from package failure.
 const (
 	codeInvalidOrder     = failure.InvalidOrder
 	codeInvalidBundle    = failure.InvalidBundle
@@ -26,14 +26,15 @@
 // contentDigest is the first half of a SHA-256.
 type contentDigest [16]byte
 
-// orderEntry is an order with its first result. It is never forgotten: operators may send an order again after any
-// number of changes.
+// orderEntry has the content digest of an order and its first result. Entries are never dropped, because operators may
+// repeat an order after any number of changes.
 type orderEntry struct {
 	digest contentDigest
 	result *protocol.CommandResult
 }
 
-// digestContent covers what the order requests, without its id and time and what the leader added to it.
+// digestContent returns the digest of what the order requests, without the order id, the time and the fields that the
+// leader adds.
 func digestContent(command *protocol.Command) contentDigest {
 	var encoded []byte
 	if put := command.GetPutBundle(); put != nil {
--- a/internal/controlplane/controlstate/placement.go
+++ b/internal/controlplane/controlstate/placement.go
@@ -15,7 +15,8 @@
 	maxReplicas = 7
 )
 
-// editPlacement returns a copy of the placement whose epoch is index; its shards are still the former ones.
+// editPlacement returns a copy of the placement whose epoch is index. The shards are shared with the current placement:
+// editShard copies the ones that change.
 func (s *State) editPlacement(index uint64) *protocol.Placement {
 	former := s.placement
 	return &protocol.Placement{
@@ -27,7 +28,7 @@
 	}
 }
 
-// editShard replaces a shard by a copy under the placement's epoch and returns the copy.
+// editShard replaces a shard by a copy with the epoch of the placement and returns the copy.
 func editShard(edited *protocol.Placement, position int) *protocol.ShardPlacement {
 	shard := proto.CloneOf(edited.GetShards()[position])
 	shard.Epoch = edited.GetEpoch()
@@ -35,7 +36,8 @@
 	return shard
 }
 
-// initializePlacement makes the first table once there are enough stores in distinct zones.
+// initializePlacement creates the first placement. It rejects the command until there are enough stores in distinct
+// zones, or enough stores if zones may be shared. It changes nothing once there is a placement.
 func (s *State) initializePlacement(
 	index uint64, command *protocol.InitializePlacementCommand,
 ) *protocol.CommandResult {
@@ -61,8 +63,8 @@
 	return accept(index)
 }
 
-// moveShard begins one step of a move: the next replicas are the current ones
-// with one replaced. An empty list cancels a move in progress.
+// moveShard begins one step of a move: the next replicas are the current ones with one replaced. An empty list cancels
+// the move in progress.
 func (s *State) moveShard(index uint64, command *protocol.MoveShardCommand) *protocol.CommandResult {
 	position := int(command.GetShard())
 	if position >= len(s.placement.GetShards()) {
@@ -100,7 +102,8 @@
 	return accept(index)
 }
 
-// nextReplicas checks a proposed set: as many as now, one of them new, and a majority of it able to vote at once.
+// nextReplicas returns the next replicas of a shard for a proposed set. It rejects the set unless it has as many
+// replicas as the current one, exactly one of them new, and a majority of active replicas that can vote at once.
 func (s *State) nextReplicas(
 	index uint64, shard *protocol.ShardPlacement, proposed []*protocol.Replica,
 ) ([]*protocol.Replica, *protocol.CommandResult) {
@@ -127,8 +130,8 @@
 				fault(path, "is not a store that can take a shard"))
 		}
 		added++
-		// A replica that joins has this state until it is copied, but votes from the start: stores tell it from
-		// a rebuilding one by the list that names it (register.ShardRole).
+		// A joining replica has this state until it is copied, but votes from the start. Stores distinguish it from
+		// a rebuilding one by the list that contains it (register.ShardRole).
 		next = append(next, &protocol.Replica{
 			Store: node.GetName(), StorageId: node.GetStorageId(),
 			State: protocol.ReplicaState_REPLICA_REBUILDING, RebuildingSince: index,
@@ -144,8 +147,8 @@
 	return next, nil
 }
 
-// rebuildLostReplicas marks the replicas of a store that came back with another data folder: those of the
-// current set do not vote until they are copied; those of the next set join anew and vote.
+// rebuildLostReplicas marks the replicas of a store that joins with another data folder as rebuilding. Replicas of a
+// current set do not vote until they are copied; replicas of a next set join again and vote.
 func (s *State) rebuildLostReplicas(index uint64, node *protocol.Node) {
 	var edited *protocol.Placement
 	for position, shard := range s.placement.GetShards() {
@@ -178,8 +181,8 @@
 	}
 }
 
-// shardCopied marks a replica as complete. A rebuilt one votes again; a joining one voted already, and its
-// move ends.
+// shardCopied marks a replica as active. A rebuilt replica votes again. A joining replica already votes, and its move
+// ends.
 func (s *State) shardCopied(index uint64, command *protocol.ShardCopiedCommand) *protocol.CommandResult {
 	position := int(command.GetShard())
 	if position >= len(s.placement.GetShards()) {
@@ -218,7 +221,7 @@
 	}
 }
 
-// moveComplete reports that every replica which the move adds has been copied.
+// moveComplete reports whether the shard is being moved and every replica that the move adds has been copied.
 func moveComplete(shard *protocol.ShardPlacement) bool {
 	for _, replica := range shard.GetNext() {
 		if placement.FindReplica(shard.GetCurrent(),
--- a/internal/controlplane/controlstate/release.go
+++ b/internal/controlplane/controlstate/release.go
@@ -10,12 +10,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// SignedByCore is the name under which the core itself signs off what is released.
+// SignedByCore is the key name in the status of released bundles, which the core signs off itself.
 const SignedByCore = "core"
 
-// releaseBundle accepts a bundle that is built on the version in force, signs it
-// off in the core's own name and puts it in force, all in one step. The same
-// release sent again is acknowledged at any later time, whatever was released after it.
+// releaseBundle accepts a bundle that is based on the active version, signs it off as SignedByCore and makes it active,
+// all in one step. A repeated release is acknowledged again at any later time, whatever was released since.
 func (s *State) releaseBundle(index uint64, command *protocol.ReleaseBundleCommand) *protocol.CommandResult {
 	submitted, baseFaults := bundleOnExpectedBase(command)
 	version, digest := submitted.GetVersion(), bundle.Digest(submitted)
@@ -41,8 +40,8 @@
 	return acceptBundle(index, signed)
 }
 
-// bundleOnExpectedBase is the bundle with the expected version as its base, so that
-// its digest covers what it was built on.
+// bundleOnExpectedBase returns a copy of the bundle with the expected version as its base, so that the digest covers
+// the base.
 func bundleOnExpectedBase(command *protocol.ReleaseBundleCommand) (*protocol.Bundle, []*protocol.Fault) {
 	requested := command.GetBundle()
 	if requested == nil {
@@ -72,7 +71,7 @@
 	return result
 }
 
-// checkReleaseVersion demands a number above all that are in use; that of the bundle in force is among them.
+// checkReleaseVersion requires a version above the newest, and so above the active one.
 func (s *State) checkReleaseVersion(version uint64) []*protocol.Fault {
 	if version == 0 || version > s.newest {
 		return nil
--- a/internal/controlplane/controlstate/report.go
+++ b/internal/controlplane/controlstate/report.go
@@ -19,7 +19,7 @@
 	StoreRetired  = "retired"
 )
 
-// StoreReport describes one store; counts are of shards.
+// StoreReport describes one store. Its numbers count shards.
 type StoreReport struct {
 	Name      string `json:"name"`
 	Zone      string `json:"zone,omitempty"`
@@ -28,14 +28,14 @@
 	State     string `json:"state"`
 	// Present is true while the store has a lease.
 	Present bool `json:"present"`
-	// Shards counts those it serves now, rebuilding ones included.
+	// Shards counts the shards that have a current replica on the store, including rebuilding ones.
 	Shards     int `json:"shards"`
 	Rebuilding int `json:"rebuilding"`
 	Arriving   int `json:"arriving"`
 	Leaving    int `json:"leaving"`
 }
 
-// ReportStores lists all stores that are present, named by the placement or retired, by name.
+// ReportStores returns the reports on all stores that are present, in the placement or retired, sorted by name.
 func (v *View) ReportStores() []StoreReport {
 	reports := map[string]*StoreReport{}
 	find := func(name string) *StoreReport {
@@ -70,7 +70,7 @@
 	return listed
 }
 
-// ReportStore reports on one store; the failure of an unknown one is NotFound.
+// ReportStore returns the report on one store, or a failure.NotFound error for an unknown one.
 func (v *View) ReportStore(name string) (StoreReport, error) {
 	for _, report := range v.ReportStores() {
 		if report.Name == name {
--- a/internal/controlplane/controlstate/rollout.go
+++ b/internal/controlplane/controlstate/rollout.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// checkRollout checks that a roll-out may begin or change; prefix leads the paths of its faults.
+// checkRollout rejects a roll-out that may not begin or change. The paths of its faults start with prefix.
 func (s *State) checkRollout(rollout *protocol.Rollout, prefix string) *protocol.CommandResult {
 	if faults := bundle.CheckRollout(rollout); len(faults) > 0 {
 		for _, invalid := range faults {
@@ -75,7 +75,7 @@
 	s.appendStep(former, next)
 }
 
-// promote puts the candidate in force. A version of zero means whichever is the candidate.
+// promote makes the candidate active. A version of zero means the current candidate.
 func (s *State) promote(index, version uint64) *protocol.CommandResult {
 	candidate := s.configuration.GetCandidate().GetVersion()
 	if candidate == 0 || (version != 0 && version != candidate) {
@@ -88,7 +88,8 @@
 	return acceptBundle(index, s.bundleRecord(candidate).Status)
 }
 
-// withdraw ends the roll-out; the candidate is never put in force.
+// withdraw ends the roll-out and withdraws the candidate, which never becomes active. A version of zero means the
+// current candidate.
 func (s *State) withdraw(index, version uint64) *protocol.CommandResult {
 	candidate := s.configuration.GetCandidate().GetVersion()
 	if candidate == 0 || (version != 0 && version != candidate) {
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -12,9 +12,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Snapshot writes the complete state into one message. Merged bundles are written
-// as steps from the version before them where that is possible, and the
-// results of orders without the digests that their bundle's status has.
+// Snapshot encodes the complete state into one message. Merged bundles are encoded as partial bundles on the version
+// before them where that is possible, and the results of orders without the digests that the bundle statuses have.
 func (s *State) Snapshot() *protocol.ControlState {
 	snapshot := &protocol.ControlState{
 		Index:         s.index,
@@ -62,7 +61,7 @@
 	return encoded
 }
 
-// withoutDigests leaves out of a result what the status of its bundle has as well.
+// withoutDigests returns a result without the digests and the signature that the status of its bundle has.
 func withoutDigests(result *protocol.CommandResult) *protocol.CommandResult {
 	if result.GetBundle() == nil {
 		return result
@@ -72,7 +71,7 @@
 	return short
 }
 
-// restoreDigests undoes withoutDigests.
+// restoreDigests is the inverse of withoutDigests. It changes the result in place.
 func (s *State) restoreDigests(result *protocol.CommandResult) *protocol.CommandResult {
 	record := s.bundleRecord(result.GetBundle().GetVersion())
 	if result.GetBundle() == nil || record == nil {
@@ -86,15 +85,15 @@
 	return result
 }
 
-// SnapshotError says that a snapshot contradicts itself.
+// SnapshotError reports that a snapshot is inconsistent.
 type SnapshotError struct {
 	Reason string
 }
 
 // Error implements error.
-func (e *SnapshotError) Error() string { return "control snapshot is damaged: " + e.Reason }
+func (e *SnapshotError) Error() string { return "inconsistent control state snapshot: " + e.Reason }
 
-// Restore makes a state from a snapshot; the error is a *SnapshotError.
+// Restore returns the state of a snapshot. The error is a *SnapshotError.
 func Restore(snapshot *protocol.ControlState) (*State, error) {
 	s := New()
 	s.index = snapshot.GetIndex()
@@ -117,7 +116,8 @@
 	s.configuration = s.shareMergedBundles(valueOrEmpty(snapshot.GetConfiguration()))
 	for _, order := range snapshot.GetOrders() {
 		if len(order.GetContentDigest()) != len(contentDigest{}) {
-			return nil, &SnapshotError{Reason: fmt.Sprintf("order %q has no digest", order.GetOrderId())}
+			return nil, &SnapshotError{Reason: fmt.Sprintf("content digest of order %q has %d bytes, want %d",
+				order.GetOrderId(), len(order.GetContentDigest()), len(contentDigest{}))}
 		}
 		s.orders[order.GetOrderId()] = &orderEntry{
 			digest: contentDigest(order.GetContentDigest()),
@@ -140,27 +140,32 @@
 	return message
 }
 
-// decodeMergedBundles rebuilds the merged bundles. The digest of the last one is
-// checked, which covers the chain of steps that led to it.
+// decodeMergedBundles restores the merged bundles. It verifies the digest of the last one only, which depends on the
+// partial bundles that it was merged from.
 func (s *State) decodeMergedBundles(stored []*protocol.Bundle) error {
 	var previous *protocol.Bundle
 	for _, step := range stored {
 		merged := bundle.Merge(previous, step)
 		record := s.bundleRecord(merged.GetVersion())
 		if record == nil || (step.GetPartial() && step.GetBaseVersion() != previous.GetVersion()) {
-			return &SnapshotError{Reason: fmt.Sprintf("bundle %d does not follow the one before it", merged.GetVersion())}
+			return &SnapshotError{Reason: fmt.Sprintf(
+				"merged bundle %d has no status or is not based on bundle %d before it",
+				merged.GetVersion(), previous.GetVersion(),
+			)}
 		}
 		s.setBundleRecord(merged.GetVersion(), &BundleRecord{Status: record.Status, Merged: merged})
 		s.retainedVersions = append(s.retainedVersions, merged.GetVersion())
 		previous = merged
 	}
 	if previous != nil && bundle.Digest(previous) != s.bundleRecord(previous.GetVersion()).Status.GetMergedDigest() {
-		return &SnapshotError{Reason: fmt.Sprintf("digest of bundle %d differs", previous.GetVersion())}
+		return &SnapshotError{
+			Reason: fmt.Sprintf("digest of merged bundle %d differs from its status", previous.GetVersion()),
+		}
 	}
 	return nil
 }
 
-// shareMergedBundles makes the configuration refer to the merged bundles of the records.
+// shareMergedBundles returns a configuration that shares the merged bundles of the records.
 func (s *State) shareMergedBundles(stored *protocol.Configuration) *protocol.Configuration {
 	configuration := &protocol.Configuration{
 		Version: stored.GetVersion(),
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -1,7 +1,6 @@
-// Package controlstate is the state machine of the control log: policy bundles
-// and their roll-out, membership, back ends and the placement of shards. It is
-// pure: the same commands in the same order give the same state on every core
-// process. It reads no clock and has one owner.
+// Package controlstate is the state machine of the control log: policy bundles and their roll-out, membership, back
+// ends and the placement of shards. It is deterministic: the same commands in the same order result in the same state
+// on every core process. It reads no clock, and only one goroutine may use a State.
 package controlstate
 
 import (
@@ -15,8 +14,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// State is what the commands applied so far have made. Every message that it gives
-// away is immutable: a change replaces it by a new one.
+// State is the result of the commands applied so far. Every message that it returns is immutable: a change replaces
+// the message by a new one.
 type State struct {
 	index         uint64
 	clusterID     string
@@ -24,25 +23,25 @@
 	membership    *protocol.MembershipView
 	backEnds      *protocol.BackEndView
 	placement     *protocol.Placement
-	// Histories of names that changed, for deltas. They are no part of the
-	// snapshot: after a restore deltas reach back to the versions restored.
+	// nodeHistory and backEndHistory have the names that changed in each version, for deltas. They are not part of the
+	// snapshot: after a restore, deltas reach back to the restored versions.
 	nodeHistory    views.History
 	backEndHistory views.History
 	bundles        *iradix.Tree[*BundleRecord]
 	newest         uint64
-	// retainedVersions are those whose merged bundle is retained, oldest first.
+	// retainedVersions are the versions whose merged bundles are retained, oldest first.
 	retainedVersions []uint64
 	orders           map[string]*orderEntry
 	steps            []*protocol.ConfigurationStep
-	// firstKeys are valid while the bundle in force names no keys: those of the settings, or the last ones in force.
+	// firstKeys are valid while the active bundle has no sign-off keys: the keys of the settings, or the last active ones.
 	firstKeys    []*protocol.SignOffKey
 	drained      map[string]uint64
 	memberOrders *memberOrders
-	// announcements holds the last numbered announcement of each back end, and those that left, by id.
+	// announcements has the last numbered announcement or the departure of each back end, by id.
 	announcements *announcements
 }
 
-// BundleRecord is what is known of one bundle version.
+// BundleRecord has the status of a bundle version and its merged bundle.
 type BundleRecord struct {
 	Status *protocol.BundleStatus
 	// Merged is nil once the version is too old to be retained.
@@ -64,8 +63,8 @@
 	}
 }
 
-// Apply carries out the command at its log index and returns the result. An
-// order whose id was seen before changes nothing and gets its first result.
+// Apply applies the command at its log index and returns the result. A repeated order, recognized by its id, changes
+// nothing and gets the result of the first one; other content under the same id is rejected.
 func (s *State) Apply(index uint64, command *protocol.Command) *protocol.CommandResult {
 	s.index = index
 	id := command.GetOrderId()
@@ -124,7 +123,7 @@
 	}
 }
 
-// View is an immutable copy of the state after one command; it may be read from any goroutine.
+// View is an immutable copy of the state after one command. It is safe for concurrent use.
 type View struct {
 	Index         uint64
 	Configuration *protocol.Configuration
@@ -132,7 +131,7 @@
 	BackEnds      *protocol.BackEndView
 	Placement     *protocol.Placement
 	Newest        uint64
-	// ActiveKeys are the sign-off keys that are valid at present.
+	// ActiveKeys are the sign-off keys that are currently valid.
 	ActiveKeys []*protocol.SignOffKey
 	FirstKeys  []*protocol.SignOffKey
 	Orders     int
@@ -145,7 +144,7 @@
 	announcements  *announcements
 }
 
-// View returns a view of the state as it is now.
+// View returns a view of the current state.
 func (s *State) View() *View {
 	return &View{
 		Index:         s.index,
@@ -167,7 +166,7 @@
 	}
 }
 
-// Versions gives the version of each section.
+// Versions returns the version of each section.
 func (v *View) Versions() *protocol.ControlVersions {
 	return &protocol.ControlVersions{
 		Configuration: v.Configuration.GetVersion(),
@@ -177,13 +176,14 @@
 	}
 }
 
-// Bundle finds the record of a version; nil when there is none.
+// Bundle returns the record of a version; nil when there is none.
 func (v *View) Bundle(version uint64) *BundleRecord {
 	record, _ := v.bundles.Get(versionKey(version))
 	return record
 }
 
-// BundleStatuses lists up to limit statuses of versions below before (zero: from the newest), newest first.
+// BundleStatuses returns up to limit statuses, newest first, of the versions below before, or of all versions if before
+// is zero.
 func (v *View) BundleStatuses(before uint64, limit int) []*protocol.BundleStatus {
 	var statuses []*protocol.BundleStatus
 	records := v.bundles.Root().ReverseIterator()
@@ -200,9 +200,8 @@
 	return statuses
 }
 
-// ConfigurationSince gives what a node with the known configuration version
-// lacks: a delta where one is possible and smaller, else the full snapshot. Both are
-// nil when nothing is newer.
+// ConfigurationSince returns the update for a node with a known configuration version: a delta if there is one that is
+// smaller than the configuration, otherwise the full configuration. Both are nil when the known version is current.
 func (v *View) ConfigurationSince(known uint64) (*protocol.Configuration, *protocol.ConfigurationDelta) {
 	if known >= v.Configuration.GetVersion() {
 		return nil, nil
--- a/internal/controlplane/controlstate/store_emptying.go
+++ b/internal/controlplane/controlstate/store_emptying.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// emptyStore orders that all shards leave a store.
+// emptyStore marks a store as emptying, so that all its shards are moved to other stores.
 func (s *State) emptyStore(index uint64, command *protocol.EmptyStoreCommand) *protocol.CommandResult {
 	store := command.GetStore()
 	switch {
@@ -37,8 +37,8 @@
 	return accept(index)
 }
 
-// remainingStores names the stores that may hold shards once a store is empty: those
-// present and those that are absent but still named by a shard.
+// remainingStores returns the names of the stores that can have shards once a store is empty: the present ones and the
+// absent ones that still have a replica of a shard.
 func (s *State) remainingStores(leaving string) map[string]bool {
 	remaining := map[string]bool{}
 	for _, node := range s.membership.GetNodes() {
@@ -58,8 +58,7 @@
 	return remaining
 }
 
-// finishEmptying marks as emptied each store that no shard names any more, once every shard has its full set of
-// replicas.
+// finishEmptying marks an emptying store as emptied once it has no replica and no shard has a rebuilding one.
 func (s *State) finishEmptying(edited *protocol.Placement) {
 	pending := edited.Emptying[:0]
 	for _, store := range edited.Emptying {
@@ -73,7 +72,7 @@
 	slices.Sort(edited.Emptied)
 }
 
-// retireStore ends an emptied store for good: its data folder gets no lease again.
+// retireStore permanently removes an emptied store: a node with its data folder is never granted a lease again.
 func (s *State) retireStore(index uint64, store string) *protocol.CommandResult {
 	position, emptied := slices.BinarySearch(s.placement.GetEmptied(), store)
 	if !emptied {
@@ -98,8 +97,8 @@
 	return placement.FindReplica(table.GetRetired(), store) != nil
 }
 
-// isRetired reports whether the node runs on a retired data folder; one that
-// was retired while away is known by its name alone.
+// isRetired reports whether the node runs on a retired data folder. A store that was absent when it was retired has no
+// storage id on record and is matched by its name alone.
 func (s *State) isRetired(node *protocol.Node) bool {
 	for _, retired := range s.placement.GetRetired() {
 		sameFolder := retired.GetStorageId() == "" || retired.GetStorageId() == node.GetStorageId()
