--- a/internal/controlplane/controlstate/benchmark_test.go
+++ b/internal/controlplane/controlstate/benchmark_test.go
@@ -11,7 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// BenchmarkPutAndSign measures an operator's change of one route of 10,000, as a core process applies it.
+// BenchmarkPutAndSign measures how long a core process takes to apply an operator's change that adds one route to
+// 10,000.
 func BenchmarkPutAndSign(b *testing.B) {
 	RegisterTestingT(b)
 	h := newHarness()
@@ -25,7 +26,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot and its restore with 10,000 routes and a month of orders (1,400 a day).
+// BenchmarkSnapshot measures encoding and restoring a snapshot with 10,000 routes and a month of orders (1,400 a day).
 func BenchmarkSnapshot(b *testing.B) {
 	RegisterTestingT(b)
 	h := newHarness()
--- a/internal/controlplane/controlstate/bundles_test.go
+++ b/internal/controlplane/controlstate/bundles_test.go
@@ -21,23 +21,23 @@
 	})
 	active := func() uint64 { return h.state.View().Configuration.GetActive().GetVersion() }
 
-	Describe("given two operators who race for one number", func() {
-		It("lets exactly one win and names it to the other", func() {
+	Describe("when two operators submit the same version", func() {
+		It("accepts exactly one bundle and returns its status to the other operator", func() {
 			first := h.accepted("a", put(partialOnPrevious(2, 10)))
 			rejection := h.rejected("b", put(partialOnPrevious(2, 20)))
 			Expect(codes(rejection)).To(Equal("version_taken"))
 			Expect(proto.Equal(rejection.GetWinner(), first.GetBundle())).To(BeTrue())
 		})
 
-		It("acknowledges the same content under another order id", func() {
+		It("acknowledges the same content with another order id", func() {
 			first := h.accepted("a", put(partialOnPrevious(2, 10)))
 			again := h.accepted("b", put(partialOnPrevious(2, 10)))
 			Expect(again.GetIndex()).To(Equal(first.GetIndex()))
 		})
 	})
 
-	Describe("given a bundle that does not fit", func() {
-		It("rejects a gap in the numbers, a wrong base and bad content with every fault", func() {
+	Describe("given an invalid bundle", func() {
+		It("rejects a version gap, a wrong base and invalid content, and lists every fault", func() {
 			gap := partialOnPrevious(9, 10)
 			gap.BaseVersion = 1
 			gap.Limits.RetryPercent = 200
@@ -54,13 +54,13 @@
 			Expect(h.state.View().Newest).To(BeEquivalentTo(2))
 		})
 
-		It("rejects a partial bundle when there is none to build on", func() {
+		It("rejects a partial bundle when there is no bundle to base it on", func() {
 			Expect(codes(newHarness().rejected("a", put(partialOnPrevious(1, 10))))).To(Equal("wrong_base"))
 		})
 	})
 
 	Describe("given a sign-off", func() {
-		It("puts the complete bundle in force and never returns to an older one", func() {
+		It("activates the merged bundle and never returns to an older one", func() {
 			h.accepted("a", put(partialOnPrevious(2, 10)))
 			h.accepted("b", put(partialOnPrevious(3, 20)))
 			h.accepted("sign-3", h.sign(3, nil))
@@ -69,7 +69,7 @@
 			Expect(active()).To(BeEquivalentTo(3))
 		})
 
-		It("rejects a signature over anything else", func() {
+		It("rejects a signature of another version", func() {
 			h.accepted("a", put(partialOnPrevious(2, 10)))
 			forged := h.sign(1, nil)
 			forged.GetSignBundle().Version = 2
@@ -77,7 +77,7 @@
 			Expect(active()).To(BeEquivalentTo(1))
 		})
 
-		It("rotates keys through a bundle and still acknowledges the sign-off that did it", func() {
+		It("rotates the sign-off keys and acknowledges the sign-off of that bundle again", func() {
 			rotated := partialOnPrevious(2, 10)
 			rotated.SignOffKeys = []*protocol.SignOffKey{{Name: "bob", PublicKey: fmt.Sprintf("%064x", 1)}}
 			h.accepted("a", put(rotated))
@@ -95,7 +95,7 @@
 			h.accepted("sign-2", h.sign(2, &protocol.Rollout{ShareBasisPoints: 500}))
 		})
 
-		It("keeps the old bundle in force beside the candidate until it is promoted", func() {
+		It("keeps the old bundle active until the candidate is promoted", func() {
 			Expect(active()).To(BeEquivalentTo(1))
 			Expect(h.state.View().Configuration.GetCandidate().GetVersion()).To(BeEquivalentTo(2))
 			h.accepted("share", rollout(protocol.RolloutAction_ROLLOUT_SET, 2, 5000))
@@ -104,7 +104,7 @@
 			Expect(h.state.View().Configuration.GetCandidate()).To(BeNil())
 		})
 
-		It("never puts a withdrawn candidate in force, and lets the next bundle build on the one before", func() {
+		It("never activates a withdrawn candidate, and accepts a next bundle based on the version before it", func() {
 			h.accepted("withdraw", rollout(protocol.RolloutAction_ROLLOUT_WITHDRAW, 2, 0))
 			Expect(h.state.View().Bundle(2).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
 			Expect(codes(h.rejected("again", rollout(protocol.RolloutAction_ROLLOUT_SET, 2, 1)))).To(Equal("invalid_order"))
@@ -113,7 +113,7 @@
 			h.accepted("b", put(next))
 		})
 
-		It("allows one candidate at a time and rejects one that is not signed off", func() {
+		It("rejects a second candidate and one that is not signed off", func() {
 			h.accepted("b", put(partialOnPrevious(3, 30)))
 			Expect(codes(h.rejected("c", rollout(protocol.RolloutAction_ROLLOUT_SET, 3, 1)))).To(Equal("not_signed"))
 			Expect(codes(h.rejected("d", h.sign(3, &protocol.Rollout{})))).To(Equal("change_under_way"))
@@ -123,14 +123,14 @@
 		})
 	})
 
-	Describe("given an order id that was used", func() {
-		It("rejects it for another order", func() {
+	Describe("given an order id that was used before", func() {
+		It("rejects another order", func() {
 			h.accepted("a", put(partialOnPrevious(2, 10)))
 			Expect(codes(h.rejected("a", put(partialOnPrevious(3, 10))))).To(Equal("invalid_order"))
 			Expect(h.state.View().Newest).To(BeEquivalentTo(2))
 		})
 
-		It("rejects it again although the order would be accepted by now", func() {
+		It("rejects the same order again, although it would be accepted as a new one", func() {
 			h.rejected("early", rollout(protocol.RolloutAction_ROLLOUT_PROMOTE, 2, 0))
 			h.accepted("a", put(partialOnPrevious(2, 10)))
 			h.accepted("sign-2", h.sign(2, &protocol.Rollout{}))
@@ -140,7 +140,7 @@
 	})
 
 	Describe("given orders of every kind, 1,000 later changes and a snapshot", func() {
-		It("acknowledges each again with its first result and keeps the newest bundle", func() {
+		It("returns the first result of each order again and keeps the newest bundle", func() {
 			for number := range 4 {
 				h.accepted("", join(store(number, 1, "disk")))
 			}
@@ -177,7 +177,8 @@
 				before := h.state.View().Versions()
 				for id, order := range orders {
 					again := h.apply(id, order)
-					Expect(proto.Equal(again, results[id])).To(BeTrue(), "round %d, %s: %v, first %v", round, id, again, results[id])
+					Expect(proto.Equal(again, results[id])).To(BeTrue(),
+						"round %d, order %s: got %v, want %v", round, id, again, results[id])
 				}
 				Expect(proto.Equal(before, h.state.View().Versions())).To(BeTrue())
 				Expect(h.state.View().Newest).To(BeEquivalentTo(502))
@@ -187,8 +188,8 @@
 		})
 	})
 
-	Describe("given a snapshot with bundles that wait for their sign-off", func() {
-		It("keeps them all, to be signed later", func() {
+	Describe("given a snapshot with bundles that are not signed off", func() {
+		It("restores all of them, and they can be signed off", func() {
 			for version := uint64(2); version <= 200; version++ {
 				h.accepted("", put(partialOnPrevious(version, uint32(version))))
 			}
@@ -201,7 +202,7 @@
 			Expect(active()).To(BeEquivalentTo(150))
 		})
 
-		It("is rejected when it contradicts itself", func() {
+		It("is rejected when a merged bundle does not match its digest", func() {
 			snapshot := h.state.Snapshot()
 			damaged := proto.CloneOf(snapshot)
 			damaged.MergedBundles[0].Limits.MaxQueued = 4711
--- a/internal/controlplane/controlstate/delivery_test.go
+++ b/internal/controlplane/controlstate/delivery_test.go
@@ -17,7 +17,7 @@
 	return err
 }
 
-// manyRoutes is a first bundle with many routes.
+// manyRoutes returns a bundle of version 1 with a number of routes over 490 tenants.
 func manyRoutes(routes int) *protocol.Bundle {
 	submitted := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range 490 {
@@ -40,7 +40,7 @@
 }
 
 var _ = Describe("delivery of a bundle of 10,000 routes", func() {
-	It("gives a delta from any earlier version that leads to the full snapshot", func() {
+	It("returns a delta from every earlier version that results in the current configuration", func() {
 		h := newHarness()
 		h.accepted("", put(manyRoutes(10_000)))
 		h.accepted("", h.sign(1, nil))
@@ -48,7 +48,7 @@
 		for version := uint64(2); version <= 6; version++ {
 			h.accepted("", put(partialWithRoute(version)))
 			if version == 4 {
-				continue // Its content comes into force with the next one.
+				continue // Version 5 is based on it and activates its content.
 			}
 			h.accepted("", h.sign(version, nil))
 			earlier = append(earlier, h.state.View().Configuration)
@@ -72,7 +72,7 @@
 		Expect(proto.Equal(snapshot, h.state.View().Configuration)).To(BeTrue())
 	})
 
-	It("sends the full snapshot where a delta would be no smaller", func() {
+	It("returns the full configuration when a delta would not be smaller", func() {
 		h := newHarness()
 		h.accepted("", put(manyRoutes(1000)))
 		h.accepted("", h.sign(1, nil))
@@ -84,7 +84,7 @@
 		Expect(snapshot.GetActive().GetVersion()).To(BeEquivalentTo(2))
 	})
 
-	It("measures what is sent", func() {
+	It("keeps the delta of one route below 500 bytes and the configuration below 1 MiB", func() {
 		h := newHarness()
 		h.accepted("", put(manyRoutes(10_000)))
 		h.accepted("", h.sign(1, nil))
--- a/internal/controlplane/controlstate/deltas_test.go
+++ b/internal/controlplane/controlstate/deltas_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// earlierView is what a node may have: the sections of some earlier view.
+// earlierView has the sections of an earlier view, as a node may have them.
 type earlierView struct {
 	membership *protocol.MembershipView
 	backEnds   *protocol.BackEndView
@@ -21,7 +21,8 @@
 }
 
 var _ = Describe("deltas of the views", func() {
-	// expectDeltas checks each section's delta from an earlier version against the full snapshot, and counts them.
+	// expectDeltas checks that the delta of each section from an earlier version, if there is one, results in the
+	// current section. It returns the number of deltas.
 	expectDeltas := func(view *controlstate.View, from earlierView) (deltas int) {
 		GinkgoHelper()
 		if delta := view.MembershipDelta(from.membership.GetVersion(),
@@ -47,7 +48,7 @@
 		return deltas
 	}
 
-	It("lead from every earlier version to the full snapshot, over random commands and restarts", func() {
+	It("result in the current view from every earlier version, over random commands and restarts", func() {
 		random := rand.New(rand.NewPCG(11, 12))
 		h := newHarness()
 		for i := range 6 {
@@ -62,7 +63,7 @@
 			case 0, 1:
 				h.apply("", join(front(number, incarnation)))
 			case 2:
-				// Another name at the address of a front ends that one.
+				// A node with another name at the same address replaces the front node.
 				taking := front(number, incarnation)
 				taking.Name = fmt.Sprintf("taker-%d", number)
 				h.apply("", join(taking))
--- a/internal/controlplane/controlstate/fleet_test.go
+++ b/internal/controlplane/controlstate/fleet_test.go
@@ -22,7 +22,7 @@
 		return listed
 	}
 
-	It("ends the former incarnation of a name and of an address at once, and rejects older ones", func() {
+	It("replaces the node with the same name or address, and rejects earlier incarnations", func() {
 		h.accepted("", join(front(1, 10)))
 		h.accepted("", join(front(1, 20)))
 		Expect(names()).To(Equal([]string{"front-1/20"}))
@@ -34,7 +34,7 @@
 		Expect(codes(h.rejected("", join(front(1, 20))))).To(Equal("lease_refused"))
 	})
 
-	It("keeps the version while nothing changes and removes no later incarnation", func() {
+	It("keeps its version when nothing changes and does not remove a later incarnation", func() {
 		h.accepted("", join(front(1, 10)))
 		version := h.state.View().Membership.GetVersion()
 		h.accepted("", join(front(1, 10)))
@@ -57,7 +57,7 @@
 	})
 	state := func() protocol.BackEndState { return h.state.View().BackEnd("model-1").GetState() }
 
-	It("keeps a drained incarnation draining, also after it was removed and came back, until a new one starts", func() {
+	It("keep a drained incarnation draining, also after its removal and a restart, until a new incarnation joins", func() {
 		h.accepted("", drain("model-1", 5))
 		Expect(state()).To(Equal(protocol.BackEndState_DRAINING))
 		h.accepted("", upsert(server(5)))
@@ -71,7 +71,7 @@
 		Expect(state()).To(Equal(protocol.BackEndState_READY))
 	})
 
-	It("does not drain a later incarnation than the one named", func() {
+	It("do not drain a later incarnation than the one in the order", func() {
 		h.accepted("", upsert(server(6)))
 		h.accepted("", drain("model-1", 5))
 		Expect(state()).To(Equal(protocol.BackEndState_READY))
@@ -79,7 +79,7 @@
 	})
 })
 
-// plan gives the planner's next steps for the present state.
+// plan returns the planner's next steps for the current state when some stores are lost.
 func (h *harness) plan(names ...string) []*protocol.MoveShardCommand {
 	view := h.state.View()
 	lost := map[string]bool{}
@@ -91,7 +91,7 @@
 	})
 }
 
-// settle carries out the planner's moves and the copies they ask for until there are none.
+// settle carries out the planner's moves and their copies until there are none.
 func (h *harness) settle(lost ...string) {
 	GinkgoHelper()
 	for range 2000 {
@@ -104,10 +104,10 @@
 			return
 		}
 	}
-	Fail("the planner does not come to rest")
+	Fail("the planner still has moves or copies after 2000 rounds")
 }
 
-// copyAll reports every rebuilding replica as copied, but those on lost stores.
+// copyAll reports every rebuilding replica as copied, except those on lost stores, and returns their number.
 func (h *harness) copyAll(lost ...string) int {
 	GinkgoHelper()
 	copies := 0
@@ -136,7 +136,7 @@
 	}}}
 }
 
-// joiningStore is the store that a moving shard is copied to.
+// joiningStore returns the store that a shard is being moved to.
 func joiningStore(h *harness, shard uint32) string {
 	GinkgoHelper()
 	for _, placed := range h.state.View().Placement.GetShards() {
@@ -149,11 +149,11 @@
 			}
 		}
 	}
-	Fail("the shard does not move")
+	Fail(fmt.Sprintf("shard %d is not being moved", shard))
 	return ""
 }
 
-// hasReplica reports whether a shard is on a store or moves to it.
+// hasReplica reports whether a shard has a replica on a store or is being moved to it.
 func hasReplica(h *harness, shard uint32, name string) bool {
 	for _, placed := range h.state.View().Placement.GetShards() {
 		for _, replica := range slices.Concat(placed.GetCurrent(), placed.GetNext()) {
@@ -196,7 +196,7 @@
 		}
 	})
 
-	It("waits for stores in distinct zones and then spreads the shards evenly", func() {
+	It("requires stores in distinct zones and spreads the shards evenly over the zones", func() {
 		h = newHarness()
 		for number := range 4 {
 			node := store(number, 1, "disk")
@@ -216,7 +216,7 @@
 		Expect(h.state.View().Placement.GetEpoch()).To(Equal(epoch))
 	})
 
-	It("balances onto a store that was added, a bounded number of shards at a time", func() {
+	It("moves shards to an added store, at most four at a time", func() {
 		h.accepted("", initialize)
 		Expect(h.plan()).To(BeEmpty())
 		h.accepted("", join(store(3, 1, "disk")))
@@ -230,7 +230,7 @@
 		expectWhole()
 	})
 
-	It("acknowledges a store as empty only when every shard has its full set elsewhere, and retires it for good", func() {
+	It("marks a store as emptied once every shard has all its replicas elsewhere, and retires it permanently", func() {
 		h.accepted("", join(store(3, 1, "disk")))
 		h.accepted("", initialize)
 		h.accepted("e", emptyStore("store-1"))
@@ -248,7 +248,7 @@
 		Expect(loads()["store-1"]).To(Equal(48))
 	})
 
-	It("does not acknowledge a store as empty while another replica of a shard is being rebuilt", func() {
+	It("does not mark a store as emptied while a replica of any shard is being rebuilt", func() {
 		h.accepted("", join(store(3, 1, "disk")))
 		h.accepted("", join(store(4, 1, "disk")))
 		h.accepted("", initialize)
@@ -282,13 +282,13 @@
 		Expect(bystander).NotTo(BeEmpty())
 		finish(last)
 		Expect(loads()["store-1"]).To(BeZero())
-		Expect(h.state.View().Placement.GetEmptied()).To(BeEmpty(), "shards of "+bystander+" lack a replica")
+		Expect(h.state.View().Placement.GetEmptied()).To(BeEmpty(), "replicas on "+bystander+" are still being rebuilt")
 		h.settle()
 		expectWhole()
 		Expect(h.state.View().Placement.GetEmptied()).To(Equal([]string{"store-1"}))
 	})
 
-	It("lets a store that lost its folder vote again only after a copy begun since then", func() {
+	It("lets a store that lost its data folder vote again only after a copy that began later", func() {
 		h.accepted("", initialize)
 		before := h.state.View().Placement.GetEpoch()
 		h.accepted("", join(store(1, 2, "other disk")))
@@ -308,7 +308,7 @@
 		expectWhole()
 	})
 
-	It("places the shards of a store lost for good elsewhere and cancels moves towards it", func() {
+	It("moves the shards of a lost store to others and cancels moves to it", func() {
 		h.accepted("", initialize)
 		h.accepted("", join(store(3, 1, "disk")))
 		for _, step := range h.plan() {
@@ -322,7 +322,7 @@
 		}
 	})
 
-	It("rejects a step that would leave no majority able to vote, or that was planned on an older placement", func() {
+	It("rejects a step that leaves no majority able to vote, or that is based on an older epoch of the shard", func() {
 		h.accepted("", initialize)
 		h.accepted("", join(store(3, 1, "disk")))
 		step := h.plan()[0]
--- a/internal/controlplane/controlstate/keys_test.go
+++ b/internal/controlplane/controlstate/keys_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("sign-off keys after a rotation", func() {
-	It("stay in force under a complete bundle that names none, so that a removed key is never valid again", func() {
+	It("stay active under a complete bundle without keys, so that a removed key is never valid again", func() {
 		h := newHarness()
 		h.accepted("", put(bundle.Default(1)))
 		h.accepted("", h.sign(1, nil))
--- a/internal/controlplane/controlstate/property_test.go
+++ b/internal/controlplane/controlstate/property_test.go
@@ -15,7 +15,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drawCommand makes any command out of a small space of names and numbers, valid or not.
+// drawCommand returns any command, valid or not, from few names and numbers so that commands often concern the same
+// entries.
 func drawCommand(t *rapid.T, h *harness) *protocol.Command {
 	number := rapid.IntRange(0, 4)
 	version := func() uint64 { return uint64(rapid.IntRange(0, int(h.state.View().Newest)+2).Draw(t, "version")) }
@@ -87,46 +88,47 @@
 	}
 }
 
-// completeBundle is a complete bundle that differs by one limit.
+// completeBundle returns the default bundle with another queue limit.
 func completeBundle(version uint64, limit uint32) *protocol.Bundle {
 	limited := bundle.Default(version)
 	limited.Limits.MaxQueued = limit
 	return limited
 }
 
-// TestInvariantsHoldForAnyCommands applies any commands and checks what must hold after each.
+// TestInvariantsHoldForAnyCommands applies any commands, checks the invariants after each, and compares the state with
+// a second one that is not restored from snapshots in between.
 func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
-		twin, err := controlstate.Restore(h.state.Snapshot())
+		unrestarted, err := controlstate.Restore(h.state.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := map[string]*protocol.CommandResult{}
-		sent := map[string]*protocol.Command{}
+		firstResults := map[string]*protocol.CommandResult{}
+		commands := map[string]*protocol.Command{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			before := h.state.View()
 			command := drawCommand(t, h)
 			order := fmt.Sprintf("order-%d", step)
 			result := h.apply(order, command)
-			first[order], sent[order] = proto.CloneOf(result), command
+			firstResults[order], commands[order] = proto.CloneOf(result), command
 			command = proto.CloneOf(command)
 			command.OrderId = order
-			if twice := twin.Apply(h.index, command); !proto.Equal(twice, result) {
-				t.Fatalf("two states answer %v and %v", result, twice)
+			if expected := unrestarted.Apply(h.index, command); !proto.Equal(expected, result) {
+				t.Fatalf("%s: the restarted state returned %v, the other one %v", order, result, expected)
 			}
 			checkInvariants(t, before, h.state.View())
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				h.restart()
 			}
 		}
-		if !proto.Equal(h.state.Snapshot(), twin.Snapshot()) {
-			t.Fatal("the same commands made two states, one with restarts and one without")
+		if !proto.Equal(h.state.Snapshot(), unrestarted.Snapshot()) {
+			t.Fatal("the state with restarts differs from the one without restarts")
 		}
-		for order, command := range sent {
-			if again := h.apply(order, command); !proto.Equal(again, first[order]) {
-				t.Fatalf("%s: first %v, then %v", order, first[order], again)
+		for order, command := range commands {
+			if again := h.apply(order, command); !proto.Equal(again, firstResults[order]) {
+				t.Fatalf("%s again: got %v, want the first result %v", order, again, firstResults[order])
 			}
 		}
 	})
@@ -135,44 +137,45 @@
 func checkInvariants(t *rapid.T, before, after *controlstate.View) {
 	activeBefore := before.Configuration.GetActive().GetVersion()
 	if after.Newest < before.Newest || after.Configuration.GetActive().GetVersion() < activeBefore {
-		t.Fatal("a bundle version stepped back")
+		t.Fatalf("a bundle version decreased: newest from %d to %d, active from %d to %d", before.Newest, after.Newest,
+			activeBefore, after.Configuration.GetActive().GetVersion())
 	}
-	old, now := before.Versions(), after.Versions()
-	if now.GetConfiguration() < old.GetConfiguration() || now.GetMembership() < old.GetMembership() ||
-		now.GetBackEnds() < old.GetBackEnds() || now.GetPlacement() < old.GetPlacement() {
-		t.Fatalf("a section stepped back from %v to %v", old, now)
+	former, latest := before.Versions(), after.Versions()
+	if latest.GetConfiguration() < former.GetConfiguration() || latest.GetMembership() < former.GetMembership() ||
+		latest.GetBackEnds() < former.GetBackEnds() || latest.GetPlacement() < former.GetPlacement() {
+		t.Fatalf("the version of a section decreased: from %v to %v", former, latest)
 	}
 	checkBackEnds(t, before, after)
-	for at, shard := range after.Placement.GetShards() {
+	for position, shard := range after.Placement.GetShards() {
 		checkReplicas(t, shard.GetCurrent(), 3)
 		checkReplicas(t, shard.GetNext(), len(shard.GetNext()))
 		if shard.GetEpoch() > after.Placement.GetEpoch() {
-			t.Fatal("a shard is newer than its table")
+			t.Fatalf("shard %d has epoch %d, the placement %d", position, shard.GetEpoch(), after.Placement.GetEpoch())
 		}
 		if len(before.Placement.GetShards()) > 0 {
-			checkReplicasRetained(t, before.Placement.GetShards()[at], shard)
+			checkReplicasRetained(t, before.Placement.GetShards()[position], shard)
 		}
 	}
 	for _, name := range after.Placement.GetEmptied() {
 		for _, report := range after.ReportStores() {
 			if report.Name == name && report.Shards+report.Arriving > 0 {
-				t.Fatalf("%s is emptied and holds shards", name)
+				t.Fatalf("emptied store %s has %d shards, %d are arriving", name, report.Shards, report.Arriving)
 			}
 		}
 	}
 }
 
-// checkBackEnds sees to it that what was draining is not ready again and what left does not come back, in the same
-// incarnation.
+// checkBackEnds fails when a draining incarnation of a back end becomes ready again, or when one that departed returns.
 func checkBackEnds(t *rapid.T, before, after *controlstate.View) {
-	for _, now := range after.BackEnds.GetBackEnds() {
-		was := before.BackEnd(now.GetId())
-		readyAgain := was.GetState() == protocol.BackEndState_DRAINING && now.GetState() == protocol.BackEndState_READY
-		if readyAgain && now.GetIncarnation() <= was.GetIncarnation() {
-			t.Fatalf("%v was draining and is ready", now)
+	for _, current := range after.BackEnds.GetBackEnds() {
+		previous := before.BackEnd(current.GetId())
+		readyAgain := previous.GetState() == protocol.BackEndState_DRAINING &&
+			current.GetState() == protocol.BackEndState_READY
+		if readyAgain && current.GetIncarnation() <= previous.GetIncarnation() {
+			t.Fatalf("incarnation %d was draining and is ready: %v", previous.GetIncarnation(), current)
 		}
-		if was == nil && before.Outdated(now.GetId(), now.GetIncarnation(), math.MaxUint64) {
-			t.Fatalf("%v left and came back", now)
+		if previous == nil && before.Outdated(current.GetId(), current.GetIncarnation(), math.MaxUint64) {
+			t.Fatalf("back end departed and returned in the same incarnation: %v", current)
 		}
 	}
 }
@@ -183,21 +186,21 @@
 		seen[replica.GetStore()] = true
 	}
 	if len(replicas) != count || len(seen) != count {
-		t.Fatalf("replicas %v", replicas)
+		t.Fatalf("got %d replicas on %d stores, want %d: %v", len(replicas), len(seen), count, replicas)
 	}
 }
 
-// checkReplicasRetained sees to it that one change replaces at most one replica of those that serve.
+// checkReplicasRetained fails when a change replaces more than one current replica of a shard.
 func checkReplicasRetained(t *rapid.T, before, after *protocol.ShardPlacement) {
 	retained := 0
-	for _, was := range before.GetCurrent() {
-		for _, is := range after.GetCurrent() {
-			if was.GetStore() == is.GetStore() {
+	for _, previous := range before.GetCurrent() {
+		for _, current := range after.GetCurrent() {
+			if previous.GetStore() == current.GetStore() {
 				retained++
 			}
 		}
 	}
 	if retained < 2 {
-		t.Fatalf("a step led from %v to %v", before, after)
+		t.Fatalf("%d replicas retained, want at least 2: from %v to %v", retained, before, after)
 	}
 }
--- a/internal/controlplane/controlstate/regions_test.go
+++ b/internal/controlplane/controlstate/regions_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// regionalHarness is a world of 3 regions with 2 zones each.
+// regionalHarness is a harness with stores in 3 regions of 2 zones each.
 type regionalHarness struct {
 	*harness
 	t      *rapid.T
@@ -31,7 +31,7 @@
 
 func (r *regionalHarness) mustApply(command *protocol.Command) {
 	if result := r.apply("", command); !result.GetAccepted() {
-		r.t.Fatalf("rejected: %v", result)
+		r.t.Fatalf("%v was rejected: %v", command, result)
 	}
 }
 
@@ -44,7 +44,7 @@
 	}})
 }
 
-// removeStores takes stores out of the membership and returns their names.
+// removeStores removes stores from the membership and returns their names.
 func (r *regionalHarness) removeStores(isLost func(*protocol.Node) bool) (names []string) {
 	for _, node := range r.stores {
 		if isLost(node) {
@@ -62,7 +62,7 @@
 	for {
 		steps := r.plan(lost...)
 		if len(steps) > 4 {
-			r.t.Fatalf("%d moves at a time", len(steps))
+			r.t.Fatalf("%d moves at a time, want at most 4", len(steps))
 		}
 		for _, step := range steps {
 			r.mustApply(moveShard(step))
@@ -72,7 +72,7 @@
 			return moves
 		}
 		if moves > 6*r.shards {
-			r.t.Fatalf("no rest after %d moves of %d shards", moves, r.shards)
+			r.t.Fatalf("still moving after %d moves of %d shards", moves, r.shards)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	return r.stores[slices.IndexFunc(r.stores, func(n *protocol.Node) bool { return n.GetName() == name })]
 }
 
-// checkSpread fails unless every shard is in 3 regions with all its replicas, and the stores of a region differ by
-// one replica at most.
+// checkSpread fails unless every shard has its replicas in 3 regions and is not being moved, and the stores of a region
+// differ by at most one replica.
 func (r *regionalHarness) checkSpread(isLost func(*protocol.Node) bool) {
 	loads := map[string]int{}
 	for _, shard := range r.state.View().Placement.GetShards() {
@@ -92,7 +92,7 @@
 			loads[replica.GetStore()]++
 		}
 		if len(regions) != 3 || len(shard.GetNext()) > 0 {
-			r.t.Fatalf("shard %v is in %v", shard, regions)
+			r.t.Fatalf("shard %v is in regions %v, want 3 regions and no move", shard, regions)
 		}
 	}
 	for _, region := range []string{"r0", "r1", "r2"} {
@@ -103,12 +103,12 @@
 			}
 		}
 		if slices.Max(replicas)-slices.Min(replicas) > 1 {
-			r.t.Fatalf("region %s has %v", region, replicas)
+			r.t.Fatalf("stores of region %s have %v replicas, want a difference of at most 1", region, replicas)
 		}
 	}
 }
 
-// checkMajority fails unless every shard keeps two of three voting replicas outside the lost stores.
+// checkMajority fails unless every shard has two of its three voting replicas outside the lost stores.
 func (r *regionalHarness) checkMajority(lost []string) {
 	for _, shard := range r.state.View().Placement.GetShards() {
 		left := 0
@@ -118,7 +118,7 @@
 			}
 		}
 		if left < 2 {
-			r.t.Fatalf("shard %v keeps %d replicas", shard, left)
+			r.t.Fatalf("shard %v has %d active replicas outside the lost stores, want at least 2", shard, left)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		r.initialize(true)
 		r.checkSpread(noStore)
 		if moves := r.rebalance(); moves > 0 {
-			t.Fatalf("%d moves after the first placement", moves)
+			t.Fatalf("%d moves after the first placement, want none", moves)
 		}
 		region := fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "region"))
 		zone := region + fmt.Sprint("-z", rapid.IntRange(0, 1).Draw(t, "zone"))
@@ -146,14 +146,14 @@
 		lost := r.removeStores(isLost)
 		r.checkMajority(lost)
 		if moves := r.rebalance(); moves > 0 {
-			t.Fatalf("%d moves before the waiting time is over", moves)
+			t.Fatalf("%d moves before the stores count as lost, want none", moves)
 		}
 		r.rebalance(lost...)
 		r.checkMajority(lost)
 		for _, shard := range r.state.View().Placement.GetShards() {
 			for _, replica := range shard.GetCurrent() {
 				if contains(lost, replica.GetStore()) {
-					t.Fatalf("shard %v still names a lost store", shard)
+					t.Fatalf("shard %v still has a replica on lost store %s", shard, replica.GetStore())
 				}
 			}
 		}
@@ -181,10 +181,10 @@
 		}
 		r.initialize(true)
 		if moves := r.rebalance(); moves > 0 {
-			t.Fatalf("%d moves in a single region", moves)
+			t.Fatalf("%d moves in a single region, want none", moves)
 		}
-		for _, at := range rapid.Permutation(r.stores).Draw(t, "order") {
-			r.mustApply(join(at))
+		for _, node := range rapid.Permutation(r.stores).Draw(t, "order") {
+			r.mustApply(join(node))
 			if rapid.Bool().Draw(t, "plan between") {
 				r.rebalance()
 			}
@@ -192,12 +192,13 @@
 		r.rebalance()
 		r.checkSpread(noStore)
 		if steps := r.plan(); len(steps) > 0 {
-			t.Fatalf("still moves %v", steps)
+			t.Fatalf("steps %v after rebalancing, want none", steps)
 		}
 	})
 }
 
-// A log written before regions were known must lead every member to the placement that it led to then.
+// TestInitialPlacementFromAnOlderLogIgnoresRegions replays an InitializePlacement command without over_regions, as logs
+// written before regions existed have it. Every member must compute the placement that it computed then.
 func TestInitialPlacementFromAnOlderLogIgnoresRegions(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -214,7 +215,7 @@
 			return fmt.Sprint(r.state.View().Placement.GetShards())
 		}
 		if placed(true) != placed(false) {
-			t.Fatal("the regions changed a placement that does not ask for them")
+			t.Fatal("regions changed the placement of a command without over_regions")
 		}
 	})
 }
--- a/internal/controlplane/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// partialWithoutBase is a partial bundle without a base of its own.
+// partialWithoutBase returns a partial bundle that sets one limit and has no base version.
 func partialWithoutBase(version uint64, limit uint32) *protocol.Bundle {
 	return &protocol.Bundle{Version: version, Partial: true, Limits: &protocol.LimitPolicy{MaxQueued: limit}}
 }
@@ -26,7 +26,7 @@
 		h.accepted("", release(completeBundle(5, 50), 0))
 	})
 
-	It("puts a bundle in force in one step, as signed by the core, under any higher number", func() {
+	It("activates a bundle in one step, signed off by the core, under any higher version", func() {
 		Expect(active().GetVersion()).To(BeEquivalentTo(5))
 		status := h.accepted("", release(completeBundle(19, 190), 5)).GetBundle()
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(190))
@@ -39,7 +39,7 @@
 		Expect(h.state.View().BundleStatuses(19, 10)).To(HaveLen(1))
 	})
 
-	It("merges a partial one onto the version in force", func() {
+	It("merges a partial bundle onto the active version", func() {
 		h.accepted("", release(partialWithoutBase(9, 90), 5))
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(90))
 		Expect(active().GetRoutes()).To(HaveLen(len(bundle.Default(1).GetRoutes())))
@@ -50,7 +50,7 @@
 		Expect(active().GetRoutes()).To(HaveLen(len(bundle.Default(1).GetRoutes()) - 1))
 	})
 
-	It("lets one of two that are built on the same version win, with the same number or another", func() {
+	It("accepts only one of two bundles based on the same version, with the same version or another", func() {
 		h.accepted("", release(completeBundle(7, 70), 5))
 		Expect(codes(h.rejected("", release(completeBundle(7, 71), 5)))).To(Equal(string(failure.VersionTaken)))
 		lost := h.rejected("", release(completeBundle(8, 80), 5))
@@ -59,7 +59,7 @@
 		Expect(active().GetLimits().GetMaxQueued()).To(BeEquivalentTo(70))
 	})
 
-	It("acknowledges the same release for ever, over hundreds of changes and restarts", func() {
+	It("acknowledges the same release again after hundreds of changes and restarts", func() {
 		first := h.accepted("", release(partialWithoutBase(6, 60), 5))
 		for version := uint64(7); version < 407; version++ {
 			h.accepted("", release(partialWithoutBase(version, uint32(version)), version-1))
@@ -77,12 +77,12 @@
 		Expect(proto.Equal(h.state.View().Versions(), before)).To(BeTrue())
 	})
 
-	It("treats the same content under its number, but on another base, as another release", func() {
+	It("treats the same content and version on another base as another release", func() {
 		h.accepted("", release(completeBundle(7, 70), 5))
 		Expect(codes(h.rejected("", release(completeBundle(7, 70), 6)))).To(Equal(string(failure.VersionTaken)))
 	})
 
-	It("never puts one in force that was rejected, also when it is sent again", func() {
+	It("never activates a bundle that was rejected, also when it is sent again", func() {
 		h.accepted("", release(completeBundle(7, 70), 5))
 		h.rejected("", release(completeBundle(8, 80), 5))
 		h.accepted("", release(completeBundle(9, 90), 7))
@@ -92,20 +92,20 @@
 		Expect(h.state.View().Bundle(8)).To(BeNil())
 	})
 
-	DescribeTable("rejects as invalid", func(submitted *protocol.Bundle, path string) {
+	DescribeTable("rejects as an invalid bundle", func(submitted *protocol.Bundle, path string) {
 		rejection := h.rejected("", release(submitted, 5))
 		Expect(codes(rejection)).To(Equal(string(failure.InvalidBundle)))
 		Expect(rejection.GetFaults()).To(HaveLen(1))
 		Expect(rejection.GetFaults()[0].GetPath()).To(Equal(path))
 		Expect(active().GetVersion()).To(BeEquivalentTo(5))
 	},
-		Entry("a number below the one in force", completeBundle(4, 1), "version"),
-		Entry("no number", completeBundle(0, 1), "version"),
+		Entry("a version below the active one", completeBundle(4, 1), "version"),
+		Entry("no version", completeBundle(0, 1), "version"),
 		Entry("an unknown group", &protocol.Bundle{
 			Version: 6,
 			Routes:  []*protocol.Route{{Name: "a", Model: "m", Group: "absent"}},
 		}, "routes[0].group"),
-		Entry("another base than the release names", &protocol.Bundle{Version: 6, BaseVersion: 3, Partial: true},
+		Entry("a base other than the expected version", &protocol.Bundle{Version: 6, BaseVersion: 3, Partial: true},
 			"base_version"),
 		Entry("an HTTP route without a time-out",
 			&protocol.Bundle{Version: 6, Partial: true, HttpRoutes: []*protocol.HttpRoute{{
@@ -114,14 +114,14 @@
 			}}}, "http_routes[0].timeout_millis"),
 	)
 
-	It("rejects a first one that is partial, and one without content", func() {
+	It("rejects a first bundle that is partial, and one without content", func() {
 		h = newHarness()
 		Expect(codes(h.rejected("", release(partialWithoutBase(1, 1), 0)))).To(Equal(string(failure.InvalidBundle)))
 		Expect(codes(h.rejected("", release(nil, 0)))).To(Equal(string(failure.InvalidBundle)))
 		Expect(active()).To(BeNil())
 	})
 
-	It("overtakes a roll-out and withdraws its candidate", func() {
+	It("withdraws the older candidate of a roll-out", func() {
 		h.accepted("", put(completeBundle(6, 60)))
 		h.accepted("", h.sign(6, &protocol.Rollout{ShareBasisPoints: 100}))
 		Expect(codes(h.rejected("", release(completeBundle(6, 61), 5)))).To(Equal(string(failure.VersionTaken)))
@@ -132,20 +132,20 @@
 		Expect(h.state.View().Bundle(6).Status.GetState()).To(Equal(protocol.BundleState_WITHDRAWN))
 	})
 
-	It("coexists with the submission and sign-off of bundles", func() {
+	It("can be mixed with submitting and signing off bundles", func() {
 		h.accepted("", put(completeBundle(6, 60)))
 		h.accepted("", h.sign(6, nil))
 		h.accepted("", release(partialWithoutBase(9, 90), 6))
 		Expect(h.accepted("", put(partialOnPrevious(10, 100))).GetBundle().GetBaseVersion()).To(BeEquivalentTo(9))
 		h.accepted("", h.sign(10, nil))
 		Expect(codes(h.rejected("", release(partialWithoutBase(12, 1), 9)))).To(Equal(string(failure.WrongBase)))
-		By("leaving a released one as it is when a key signs it too")
+		By("keeping the core as the signer of a released bundle that a key signs, too")
 		h.accepted("", release(partialWithoutBase(12, 120), 10))
 		again := h.accepted("", h.sign(12, nil))
 		Expect(again.GetBundle().GetSignedBy()).To(Equal(controlstate.SignedByCore))
 	})
 
-	It("is a delta for a node with an older version, also when each release was complete with thousands of routes",
+	It("results in a delta for a node with an older version, also when each release was complete and had 3000 routes",
 		func() {
 			routes := func(version uint64, changed int) *protocol.Bundle {
 				routes := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "g"}}}
@@ -185,7 +185,7 @@
 		h.accepted("", announce(server(ready, 4), 10))
 	})
 
-	It("change nothing when they come after a later one, also after a restart", func() {
+	It("change nothing when a later one was applied, also after a restart", func() {
 		h.accepted("", announce(server(ready, 6), 12))
 		h.restart()
 		h.accepted("", announce(server(ready, 4), 11))
@@ -194,13 +194,13 @@
 		Expect(current().GetCapacity()).To(BeEquivalentTo(8))
 	})
 
-	It("do not make a draining one ready", func() {
+	It("do not make a draining back end ready", func() {
 		h.accepted("", announce(server(draining, 4), 12))
 		h.accepted("", announce(server(ready, 4), 13))
 		Expect(current().GetState()).To(Equal(draining))
 	})
 
-	It("do not bring back one that left, whether it is known or not, but a new incarnation", func() {
+	It("do not add a back end that departed, known or unknown before, unless its incarnation is new", func() {
 		h.accepted("", depart("s1", 0))
 		h.restart()
 		h.accepted("", announce(server(ready, 4), 14))
@@ -216,7 +216,7 @@
 		Expect(h.state.View().BackEnd("unknown")).To(BeNil())
 	})
 
-	It("do not bring back one whose address another one has", func() {
+	It("do not add a back end again after another one took over its address", func() {
 		other := &protocol.BackEnd{Id: "s2", Address: "10.0.0.1:1", Incarnation: 1, State: ready}
 		h.accepted("", announce(other, 1))
 		Expect(current()).To(BeNil())
@@ -225,7 +225,7 @@
 		Expect(h.state.View().BackEnd("s2")).NotTo(BeNil())
 	})
 
-	It("bring back one whose lease expired, but not when they are outdated", func() {
+	It("add a back end again after its lease expired, unless they are outdated", func() {
 		h.accepted("", announce(server(ready, 6), 12))
 		h.accepted("", removeBackEnd("s1", 1))
 		h.accepted("", announce(server(ready, 4), 11))
@@ -234,7 +234,7 @@
 		Expect(current()).NotTo(BeNil())
 	})
 
-	It("are forgotten an hour after the back end was removed", func() {
+	It("are dropped an hour after the back end was removed", func() {
 		at := func(millis int64, command *protocol.Command) {
 			timed := proto.CloneOf(command)
 			timed.ProposedAtMillis = millis
@@ -249,7 +249,7 @@
 	})
 })
 
-var _ = Describe("an order to empty a store that demands enough others", func() {
+var _ = Describe("an order to empty a store that requires a number of others", func() {
 	empty := func(name string) *protocol.Command {
 		return &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: &protocol.EmptyStoreCommand{
 			Store:        name,
@@ -257,7 +257,7 @@
 		}}}
 	}
 
-	It("is rejected with too few left, and accepted once one joined", func() {
+	It("is rejected while too few stores remain, and accepted once another joined", func() {
 		h := newHarness()
 		for number := range 4 {
 			h.accepted("", join(store(number, 1, "disk")))
@@ -271,7 +271,7 @@
 		h.accepted("", empty("store-2"))
 	})
 
-	It("counts a store that is absent for a moment", func() {
+	It("counts an absent store that still has shards", func() {
 		h := newHarness()
 		for number := range 4 {
 			h.accepted("", join(store(number, 1, "disk")))
--- a/internal/controlplane/controlstate/store_spread_test.go
+++ b/internal/controlplane/controlstate/store_spread_test.go
@@ -12,14 +12,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// emptyKeepingSpread is the order as operators and adapters give it.
+// emptyKeepingSpread returns an order to empty a store with the options that operators and adapters set.
 func emptyKeepingSpread(name string) *protocol.Command {
 	return &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: name, StoresToKeep: 3, KeepSpread: new(true)},
 	}}
 }
 
-// newPlacedHarness has a store at each place, "region/zone", and shards of three replicas.
+// newPlacedHarness returns a harness with a store at each place, "region/zone", and a placement of three replicas a
+// shard.
 func newPlacedHarness(places ...string) *harness {
 	h := newHarness()
 	for number, place := range places {
@@ -42,8 +43,8 @@
 	}}})
 }
 
-// TestLastStoreOfARequiredFailureDomainIsNotEmptied orders stores to be emptied, one after the other, with some of the
-// others absent.
+// TestLastStoreOfARequiredFailureDomainIsNotEmptied empties stores one after the other while some stores are absent.
+// The last store of a zone or region that the spread of the shards requires must be rejected.
 func TestLastStoreOfARequiredFailureDomainIsNotEmptied(t *testing.T) {
 	RegisterTestingT(t)
 	oneRegion := []string{"r/z0", "r/z1", "r/z2", "r/z3"}
@@ -54,27 +55,27 @@
 		accepted []int
 		rejected []int
 	}{
-		"four zones of one region spare one": {
+		"one of four zones in one region may be emptied": {
 			places: oneRegion, accepted: []int{0},
 			rejected: []int{1, 2, 3},
 		},
-		"a store that restarts keeps its zone": {
+		"an absent store counts as a zone": {
 			places: oneRegion, absent: []int{3}, accepted: []int{0},
 			rejected: []int{1, 2},
 		},
-		"five zones of two stores spare all but three zones": {places: []string{
+		"three of five zones with two stores each keep one store": {places: []string{
 			"r/z0", "r/z1", "r/z2", "r/z3",
 			"r/z4", "r/z0", "r/z1", "r/z2", "r/z3", "r/z4",
 		}, accepted: []int{0, 5, 1, 6, 2, 3, 4}, rejected: []int{7, 8, 9}},
-		"the last store of one of three zones stays": {places: []string{
+		"the last store of one of three zones is kept": {places: []string{
 			"r/z0", "r/z0", "r/z0", "r/z1",
 			"r/z2",
 		}, accepted: []int{1}, rejected: []int{3, 4}},
-		"two zones bear no spread that could be lost": {
+		"two zones have no spread to lose": {
 			places:   []string{"r/z0", "r/z0", "r/z0", "r/z1"},
 			accepted: []int{3},
 		},
-		"a region of three keeps one store": {
+		"one of three regions keeps one store": {
 			places: threeRegions, accepted: []int{2},
 			rejected: []int{3},
 		},
@@ -82,7 +83,7 @@
 			places: threeRegions, accepted: []int{0, 2, 4},
 			rejected: []int{1, 3, 5},
 		},
-		"a fourth region may be given up": {
+		"a fourth region may be emptied": {
 			places:   append([]string{"d/d0"}, threeRegions...),
 			accepted: []int{0, 1}, rejected: []int{2},
 		},
@@ -90,19 +91,19 @@
 			places:   []string{"a/a0", "a/a1", "a/a2", "b/b0"},
 			accepted: []int{3},
 		},
-		"another region that is cut off leaves none to give up": {
+		"no region may be emptied while another one is absent": {
 			places: threeRegions, absent: []int{4, 5},
 			accepted: []int{0}, rejected: []int{1},
 		},
-		"with a store of the same region away the other one stays": {
+		"the only present store of a region is kept": {
 			places: threeRegions, absent: []int{3},
 			rejected: []int{2},
 		},
-		"with a store of another region absent one of two may be emptied": {
+		"one of two stores of a region may be emptied while a store of another region is absent": {
 			places: threeRegions, absent: []int{3},
 			accepted: []int{4}, rejected: []int{5},
 		},
-		"a store that is away may be emptied": {
+		"an absent store may be emptied": {
 			places: threeRegions, absent: []int{2, 3},
 			accepted: []int{2},
 		},
@@ -120,7 +121,7 @@
 				rejection := h.rejected("", emptyKeepingSpread(fmt.Sprint("store-", number)))
 				Expect(codes(rejection)).To(Equal(string(failure.TooFewStores)), "store-%d", number)
 			}
-			// An order sent again is acknowledged again.
+			// A repeated order is acknowledged again.
 			for _, number := range test.accepted {
 				h.accepted("", emptyKeepingSpread(fmt.Sprint("store-", number)))
 			}
@@ -140,7 +141,8 @@
 	Expect(h.state.View().Placement.GetEmptied()).To(Equal([]string{"store-2"}))
 }
 
-// A log written before the spread was looked at must lead every member to the answer that it led to then.
+// TestEmptyOrderFromAnOlderLogSkipsTheSpreadCheck replays an EmptyStore command without keep_spread, as logs written
+// before the spread check existed have it. Every member must return the result that it returned then.
 func TestEmptyOrderFromAnOlderLogSkipsTheSpreadCheck(t *testing.T) {
 	RegisterTestingT(t)
 	h := newPlacedHarness("a/a0", "a/a1", "b/b0", "c/c0")
@@ -148,7 +150,8 @@
 	h.accepted("", &protocol.Command{Body: &protocol.Command_EmptyStore{EmptyStore: empty}})
 }
 
-// TestShardsStayInThreeRegionsWhenStoresAreEmptied empties stores of three regions by any accepted orders.
+// TestShardsStayInThreeRegionsWhenStoresAreEmptied orders all stores of three regions to be emptied, in any sequence.
+// One store a region must be kept, and every shard must stay in three regions.
 func TestShardsStayInThreeRegionsWhenStoresAreEmptied(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -166,7 +169,7 @@
 		r.rebalance()
 		emptied := r.state.View().Placement.GetEmptied()
 		if len(emptied) != len(r.stores)-3 {
-			t.Fatalf("%d of %d stores are empty", len(emptied), len(r.stores))
+			t.Fatalf("%d of %d stores are emptied, want all but 3", len(emptied), len(r.stores))
 		}
 		for _, shard := range r.state.View().Placement.GetShards() {
 			regions := map[string]bool{}
@@ -174,7 +177,7 @@
 				regions[r.node(replica.GetStore()).GetRegion()] = true
 			}
 			if len(regions) != 3 {
-				t.Fatalf("shard %v is in %d regions", shard, len(regions))
+				t.Fatalf("shard %v is in %d regions, want 3", shard, len(regions))
 			}
 		}
 	})
--- a/internal/controlplane/controlstate/suite_test.go
+++ b/internal/controlplane/controlstate/suite_test.go
@@ -21,14 +21,14 @@
 	RunSpecs(t, "control state")
 }
 
-// harness applies commands under rising log indexes.
+// harness applies commands to a state at increasing log indexes.
 type harness struct {
 	state   *controlstate.State
 	index   uint64
 	private ed25519.PrivateKey
 }
 
-// newHarness has the key of ann seeded.
+// newHarness returns a harness with an empty state, except for the sign-off key "ann".
 func newHarness() *harness {
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{7}))
 	Expect(err).NotTo(HaveOccurred())
@@ -61,7 +61,7 @@
 	return result.GetRefusal()
 }
 
-// restart takes the state through an encoded snapshot.
+// restart replaces the state by one restored from its encoded snapshot.
 func (h *harness) restart() {
 	GinkgoHelper()
 	encoded, err := proto.Marshal(h.state.Snapshot())
@@ -76,7 +76,7 @@
 	return &protocol.Command{Body: &protocol.Command_PutBundle{PutBundle: &protocol.PutBundleCommand{Bundle: submitted}}}
 }
 
-// partialOnPrevious is a partial bundle that only sets one limit.
+// partialOnPrevious returns a partial bundle that sets one limit and is based on the previous version.
 func partialOnPrevious(version uint64, limit uint32) *protocol.Bundle {
 	return &protocol.Bundle{
 		Version: version, BaseVersion: version - 1, Partial: true,
@@ -84,7 +84,7 @@
 	}
 }
 
-// sign signs a version that was put; the roll-out may be nil.
+// sign returns the sign-off of a submitted version; the roll-out may be nil.
 func (h *harness) sign(version uint64, rollout *protocol.Rollout) *protocol.Command {
 	digest := h.state.View().Bundle(version).Status.GetMergedDigest()
 	return &protocol.Command{Body: &protocol.Command_SignBundle{SignBundle: &protocol.SignBundleCommand{
