--- a/internal/controlplane/controlstate/property_test.go
+++ b/internal/controlplane/controlstate/property_test.go
@@ -15,15 +15,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drawCommand makes any command out of a small space of names and numbers, valid or not.
-func drawCommand(t *rapid.T, w *world) *protocol.Command {
+// drawCommand returns any command, valid or not, from few names and numbers so that commands often concern the same
+// entries.
+func drawCommand(t *rapid.T, h *harness) *protocol.Command {
 	number := rapid.IntRange(0, 4)
-	version := func() uint64 { return uint64(rapid.IntRange(0, int(w.state.View().Newest)+2).Draw(t, "version")) }
+	version := func() uint64 { return uint64(rapid.IntRange(0, int(h.state.View().Newest)+2).Draw(t, "version")) }
 	switch rapid.IntRange(0, 17).Draw(t, "kind") {
 	case 14, 15:
-		expected := rapid.SampledFrom([]uint64{w.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t,
+		expected := rapid.SampledFrom([]uint64{h.state.View().Configuration.GetActive().GetVersion(), version()}).Draw(t,
 			"expected")
-		submitted := completeBundle(w.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")),
+		submitted := completeBundle(h.state.View().Newest+uint64(rapid.IntRange(0, 3).Draw(t, "skip")),
 			uint32(number.Draw(t, "limit")))
 		if rapid.Bool().Draw(t, "partial") {
 			submitted = &protocol.Bundle{Version: submitted.GetVersion(), Partial: true, Limits: submitted.GetLimits()}
@@ -38,42 +39,44 @@
 	case 17:
 		return depart(fmt.Sprintf("b%d", number.Draw(t, "id")), uint64(number.Draw(t, "sequence")))
 	case 0, 1:
-		return put(queued(w.state.View().Newest+1, uint32(number.Draw(t, "limit"))))
+		return put(partialOnPrevious(h.state.View().Newest+1, uint32(number.Draw(t, "limit"))))
 	case 2:
 		return put(completeBundle(version(), uint32(number.Draw(t, "queued"))))
 	case 3, 4:
 		signed := version()
-		if w.state.View().Bundle(signed) == nil {
-			return put(completeBundle(w.state.View().Newest+1, 1))
+		if h.state.View().Bundle(signed) == nil {
+			return put(completeBundle(h.state.View().Newest+1, 1))
 		}
 		var rolled *protocol.Rollout
 		if rapid.Bool().Draw(t, "rolled") {
 			rolled = &protocol.Rollout{ShareBasisPoints: 10}
 		}
-		return w.sign(signed, rolled)
+		return h.sign(signed, rolled)
 	case 5:
 		return rollout(protocol.RolloutAction(rapid.IntRange(0, 3).Draw(t, "action")), version(), 5)
 	case 6:
 		storage := fmt.Sprintf("disk-%d", rapid.IntRange(0, 2).Draw(t, "disk"))
-		return join(store(number.Draw(t, "store"), w.index, storage))
+		return join(store(number.Draw(t, "store"), h.index, storage))
 	case 7:
 		name := fmt.Sprintf("store-%d", number.Draw(t, "store"))
 		return &protocol.Command{Body: &protocol.Command_RemoveNode{RemoveNode: &protocol.RemoveNodeCommand{
-			Name: name, Incarnation: w.state.View().Node(name).GetIncarnation(),
+			Name: name, Incarnation: h.state.View().Node(name).GetIncarnation(),
 		}}}
 	case 8:
 		return &protocol.Command{Body: &protocol.Command_InitializePlacement{
 			InitializePlacement: &protocol.InitializePlacementCommand{ShardCount: 4, ReplicaCount: 3},
 		}}
 	case 9, 10:
-		if steps := w.plan(fmt.Sprintf("store-%d", number.Draw(t, "lost"))); len(steps) > 0 {
+		if steps := h.plan(fmt.Sprintf("store-%d", number.Draw(t, "lost"))); len(steps) > 0 {
 			return &protocol.Command{Body: &protocol.Command_MoveShard{MoveShard: steps[0]}}
 		}
 		return emptyStore(fmt.Sprintf("store-%d", number.Draw(t, "store")))
 	case 11:
 		name := fmt.Sprintf("store-%d", number.Draw(t, "store"))
-		epoch := uint64(rapid.IntRange(0, int(w.index)).Draw(t, "epoch"))
-		return copied(name, w.state.View().Node(name).GetStorageId(), uint32(rapid.IntRange(0, 4).Draw(t, "shard")), epoch)
+		epoch := uint64(rapid.IntRange(0, int(h.index)).Draw(t, "epoch"))
+		return shardCopied(
+			name, h.state.View().Node(name).GetStorageId(), uint32(rapid.IntRange(0, 4).Draw(t, "shard")), epoch,
+		)
 	case 12:
 		return retireStore(fmt.Sprintf("store-%d", number.Draw(t, "store")))
 	default:
@@ -85,92 +88,94 @@
 	}
 }
 
-// completeBundle is a complete bundle that differs by one limit.
+// completeBundle returns the default bundle with another queue limit.
 func completeBundle(version uint64, limit uint32) *protocol.Bundle {
 	limited := bundle.Default(version)
 	limited.Limits.MaxQueued = limit
 	return limited
 }
 
-// TestAnyCommandsKeepTheRules applies any commands and checks what must hold after each.
-func TestAnyCommandsKeepTheRules(t *testing.T) {
+// TestInvariantsHoldForAnyCommands applies any commands, checks the invariants after each, and compares the state with
+// a second one that is not restored from snapshots in between.
+func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		twin, err := controlstate.Restore(w.state.Snapshot())
+		h := newHarness()
+		unrestarted, err := controlstate.Restore(h.state.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := map[string]*protocol.CommandResult{}
-		sent := map[string]*protocol.Command{}
+		firstResults := map[string]*protocol.CommandResult{}
+		commands := map[string]*protocol.Command{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			before := w.state.View()
-			command := drawCommand(t, w)
+			before := h.state.View()
+			command := drawCommand(t, h)
 			order := fmt.Sprintf("order-%d", step)
-			result := w.apply(order, command)
-			first[order], sent[order] = proto.CloneOf(result), command
+			result := h.apply(order, command)
+			firstResults[order], commands[order] = proto.CloneOf(result), command
 			command = proto.CloneOf(command)
 			command.OrderId = order
-			if twice := twin.Apply(w.index, command); !proto.Equal(twice, result) {
-				t.Fatalf("two states answer %v and %v", result, twice)
+			if expected := unrestarted.Apply(h.index, command); !proto.Equal(expected, result) {
+				t.Fatalf("%s: the restarted state returned %v, the other one %v", order, result, expected)
 			}
-			checkRules(t, before, w.state.View())
+			checkInvariants(t, before, h.state.View())
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				w.restart()
+				h.restart()
 			}
 		}
-		if !proto.Equal(w.state.Snapshot(), twin.Snapshot()) {
-			t.Fatal("the same commands made two states, one with restarts and one without")
+		if !proto.Equal(h.state.Snapshot(), unrestarted.Snapshot()) {
+			t.Fatal("the state with restarts differs from the one without restarts")
 		}
-		for order, command := range sent {
-			if again := w.apply(order, command); !proto.Equal(again, first[order]) {
-				t.Fatalf("%s: first %v, then %v", order, first[order], again)
+		for order, command := range commands {
+			if again := h.apply(order, command); !proto.Equal(again, firstResults[order]) {
+				t.Fatalf("%s again: got %v, want the first result %v", order, again, firstResults[order])
 			}
 		}
 	})
 }
 
-func checkRules(t *rapid.T, before, after *controlstate.View) {
+func checkInvariants(t *rapid.T, before, after *controlstate.View) {
 	activeBefore := before.Configuration.GetActive().GetVersion()
 	if after.Newest < before.Newest || after.Configuration.GetActive().GetVersion() < activeBefore {
-		t.Fatal("a bundle version stepped back")
+		t.Fatalf("a bundle version decreased: newest from %d to %d, active from %d to %d", before.Newest, after.Newest,
+			activeBefore, after.Configuration.GetActive().GetVersion())
 	}
-	old, now := before.Versions(), after.Versions()
-	if now.GetConfiguration() < old.GetConfiguration() || now.GetMembership() < old.GetMembership() ||
-		now.GetBackEnds() < old.GetBackEnds() || now.GetPlacement() < old.GetPlacement() {
-		t.Fatalf("a section stepped back from %v to %v", old, now)
+	former, latest := before.Versions(), after.Versions()
+	if latest.GetConfiguration() < former.GetConfiguration() || latest.GetMembership() < former.GetMembership() ||
+		latest.GetBackEnds() < former.GetBackEnds() || latest.GetPlacement() < former.GetPlacement() {
+		t.Fatalf("the version of a section decreased: from %v to %v", former, latest)
 	}
 	checkBackEnds(t, before, after)
-	for at, shard := range after.Placement.GetShards() {
+	for position, shard := range after.Placement.GetShards() {
 		checkReplicas(t, shard.GetCurrent(), 3)
 		checkReplicas(t, shard.GetNext(), len(shard.GetNext()))
 		if shard.GetEpoch() > after.Placement.GetEpoch() {
-			t.Fatal("a shard is newer than its table")
+			t.Fatalf("shard %d has epoch %d, the placement %d", position, shard.GetEpoch(), after.Placement.GetEpoch())
 		}
 		if len(before.Placement.GetShards()) > 0 {
-			checkStep(t, before.Placement.GetShards()[at], shard)
+			checkReplicasRetained(t, before.Placement.GetShards()[position], shard)
 		}
 	}
 	for _, name := range after.Placement.GetEmptied() {
 		for _, report := range after.ReportStores() {
 			if report.Name == name && report.Shards+report.Arriving > 0 {
-				t.Fatalf("%s is emptied and holds shards", name)
+				t.Fatalf("emptied store %s has %d shards, %d are arriving", name, report.Shards, report.Arriving)
 			}
 		}
 	}
 }
 
-// checkBackEnds sees to it that what was draining is not ready again and what left does not come back, in the same
-// incarnation.
+// checkBackEnds fails when a draining incarnation of a back end becomes ready again, or when one that departed returns.
 func checkBackEnds(t *rapid.T, before, after *controlstate.View) {
-	for _, now := range after.BackEnds.GetBackEnds() {
-		was := before.BackEnd(now.GetId())
-		readyAgain := was.GetState() == protocol.BackEndState_DRAINING && now.GetState() == protocol.BackEndState_READY
-		if readyAgain && now.GetIncarnation() <= was.GetIncarnation() {
-			t.Fatalf("%v was draining and is ready", now)
+	for _, current := range after.BackEnds.GetBackEnds() {
+		previous := before.BackEnd(current.GetId())
+		readyAgain := previous.GetState() == protocol.BackEndState_DRAINING &&
+			current.GetState() == protocol.BackEndState_READY
+		if readyAgain && current.GetIncarnation() <= previous.GetIncarnation() {
+			t.Fatalf("incarnation %d was draining and is ready: %v", previous.GetIncarnation(), current)
 		}
-		if was == nil && before.Outdated(now.GetId(), now.GetIncarnation(), math.MaxUint64) {
-			t.Fatalf("%v left and came back", now)
+		if previous == nil && before.Outdated(current.GetId(), current.GetIncarnation(), math.MaxUint64) {
+			t.Fatalf("back end departed and returned in the same incarnation: %v", current)
 		}
 	}
 }
@@ -181,21 +186,21 @@
 		seen[replica.GetStore()] = true
 	}
 	if len(replicas) != count || len(seen) != count {
-		t.Fatalf("replicas %v", replicas)
+		t.Fatalf("got %d replicas on %d stores, want %d: %v", len(replicas), len(seen), count, replicas)
 	}
 }
 
-// checkStep sees to it that one change replaces at most one replica of those that serve.
-func checkStep(t *rapid.T, before, after *protocol.ShardPlacement) {
+// checkReplicasRetained fails when a change replaces more than one current replica of a shard.
+func checkReplicasRetained(t *rapid.T, before, after *protocol.ShardPlacement) {
 	retained := 0
-	for _, was := range before.GetCurrent() {
-		for _, is := range after.GetCurrent() {
-			if was.GetStore() == is.GetStore() {
+	for _, previous := range before.GetCurrent() {
+		for _, current := range after.GetCurrent() {
+			if previous.GetStore() == current.GetStore() {
 				retained++
 			}
 		}
 	}
 	if retained < 2 {
-		t.Fatalf("a step led from %v to %v", before, after)
+		t.Fatalf("%d replicas retained, want at least 2: from %v to %v", retained, before, after)
 	}
 }
