--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -39,7 +39,7 @@
 	if s.caller == nil || s.owner.isLeader() {
 		return s.announceAtLeader(ctx, backEnd, sequence)
 	}
-	return s.announceAtMember(ctx, backEnd, sequence)
+	return s.announceAtFollower(ctx, backEnd, sequence)
 }
 
 // announceAtLeader handles an announcement, whichever member it came by; it fails with NotLeader at another one.
@@ -120,12 +120,12 @@
 		return failure.New(failure.InvalidOrder, protocol.Outcome_NOT_RUN,
 			"a later announcement says that the back end is ready", failure.WithPath("sequence"))
 	}
-	return s.awaitBackEnds(ctx, view)
+	return s.awaitBackEndView(ctx, view)
 }
 
-// awaitBackEnds waits until every front node under a lease has the back ends of the view in force, at most as long as
+// awaitBackEndView waits until every front node under a lease has the back ends of the view in force, at most as long as
 // a lease lasts.
-func (s *Service) awaitBackEnds(ctx context.Context, view *controlstate.View) error {
+func (s *Service) awaitBackEndView(ctx context.Context, view *controlstate.View) error {
 	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin)
 	defer cancel()
 	return s.owner.awaitDrain(bounded, view.BackEnds.GetVersion())
@@ -150,5 +150,5 @@
 		}
 		s.metrics.backEndLeases.WithLabelValues(eventLeft).Inc()
 	}
-	return s.awaitBackEnds(ctx, s.machine.View())
+	return s.awaitBackEndView(ctx, s.machine.View())
 }
--- a/internal/controlplane/core/api_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -19,15 +19,15 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// limitedBundle is the default bundle with one limit of its own.
-func limitedBundle(version uint64, limit uint32) *protocol.Bundle {
+// bundleWithLimit is the default bundle with one limit of its own.
+func bundleWithLimit(version uint64, limit uint32) *protocol.Bundle {
 	limited := bundle.Default(version)
 	limited.Limits.MaxQueued = limit
 	return limited
 }
 
-// manyRoutes is a complete bundle of HTTP routes of which one has another time-out.
-func manyRoutes(version uint64, changed int) *protocol.Bundle {
+// bundleWithRoutes is a complete bundle of HTTP routes of which one has another time-out.
+func bundleWithRoutes(version uint64, changed int) *protocol.Bundle {
 	routes := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "desk"}}}
 	for number := range 350 {
 		routes.HttpRoutes = append(routes.HttpRoutes, &protocol.HttpRoute{
@@ -72,7 +72,7 @@
 	Describe("releases", func() {
 		It("are in force once acknowledged, at the next leader too", func() {
 			Expect(leader.service.ActiveBundle(ctx)).To(BeNil())
-			Expect(leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
+			Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
 			next := f.lead(f.members[1])
 			active, err := next.service.ActiveBundle(ctx)
 			Expect(err).NotTo(HaveOccurred())
@@ -80,27 +80,27 @@
 		})
 
 		It("say apart that another version is in force, that the bundle is invalid and that another member leads", func() {
-			Expect(leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
-			conflict := leader.service.ReleaseBundle(ctx, limitedBundle(6, 50), 4)
+			Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
+			conflict := leader.service.ReleaseBundle(ctx, bundleWithLimit(6, 50), 4)
 			Expect([]bool{
 				core.IsConflict(conflict), core.IsInvalid(conflict),
 				core.IsNotLeader(conflict),
 			}).To(Equal([]bool{true, false, false}))
-			versionTaken := leader.service.ReleaseBundle(ctx, limitedBundle(5, 51), 0)
+			versionTaken := leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 51), 0)
 			Expect([]bool{
 				core.IsConflict(versionTaken), core.IsInvalid(versionTaken),
 				core.IsNotLeader(versionTaken),
 			}).To(Equal([]bool{true, false, false}))
-			invalid := leader.service.ReleaseBundle(ctx, limitedBundle(3, 50), 5)
+			invalid := leader.service.ReleaseBundle(ctx, bundleWithLimit(3, 50), 5)
 			Expect([]bool{
 				core.IsConflict(invalid), core.IsInvalid(invalid),
 				core.IsNotLeader(invalid),
 			}).To(Equal([]bool{false, true, false}))
 			follower := f.members[1].service
-			elsewhere := follower.ReleaseBundle(ctx, limitedBundle(6, 50), 5)
+			atFollower := follower.ReleaseBundle(ctx, bundleWithLimit(6, 50), 5)
 			Expect([]bool{
-				core.IsConflict(elsewhere), core.IsInvalid(elsewhere),
-				core.IsNotLeader(elsewhere),
+				core.IsConflict(atFollower), core.IsInvalid(atFollower),
+				core.IsNotLeader(atFollower),
 			}).To(Equal([]bool{false, false, true}))
 			_, err := follower.ActiveBundle(ctx)
 			Expect(core.IsNotLeader(err)).To(BeTrue())
@@ -112,20 +112,20 @@
 
 		It("are acknowledged again after a lost answer, hundreds of changes and a restart later", func() {
 			f.set(func() { leader.loseAnswers = true })
-			lost := leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)
+			lost := leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)
 			Expect(failure.From(lost).GetOutcome()).To(Equal(protocol.Outcome_UNKNOWN))
 			Expect([]bool{
 				core.IsConflict(lost), core.IsInvalid(lost),
 				core.IsNotLeader(lost),
 			}).To(Equal([]bool{false, false, false}))
 			f.set(func() { leader.loseAnswers = false })
-			Expect(leader.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
+			Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
 			for version := uint64(6); version < 306; version++ {
-				Expect(leader.service.ReleaseBundle(ctx, limitedBundle(version, uint32(version)), version-1)).To(Succeed())
+				Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(version, uint32(version)), version-1)).To(Succeed())
 			}
 			next := f.lead(f.members[1])
 			next.restart()
-			Expect(next.service.ReleaseBundle(ctx, limitedBundle(5, 50), 0)).To(Succeed())
+			Expect(next.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
 			active, err := next.service.ActiveBundle(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(active.GetVersion()).To(BeEquivalentTo(305))
@@ -136,7 +136,7 @@
 			outcomes := make([]error, 16)
 			for i := range outcomes {
 				group.Go(func() {
-					outcomes[i] = leader.service.ReleaseBundle(ctx, limitedBundle(uint64(5+i%2), uint32(100+i)), 0)
+					outcomes[i] = leader.service.ReleaseBundle(ctx, bundleWithLimit(uint64(5+i%2), uint32(100+i)), 0)
 				})
 			}
 			group.Wait()
@@ -155,7 +155,7 @@
 		It("reach a polling front node as deltas within a coalescing interval, over hundreds of changes", func() {
 			front, configuration := frontNode("f1", 1), &protocol.Configuration{}
 			for version := uint64(1); version <= 300; version++ {
-				Expect(leader.service.ReleaseBundle(ctx, manyRoutes(version, int(version)), version-1)).To(Succeed())
+				Expect(leader.service.ReleaseBundle(ctx, bundleWithRoutes(version, int(version)), version-1)).To(Succeed())
 				f.advance(core.DefaultCoalesceInterval)
 				// The clock does not move: a poll that is delayed does not return before the deadline.
 				waiting, cancel := context.WithTimeout(ctx, 30*time.Second)
@@ -176,7 +176,7 @@
 		It("are forbidden where the settings do not trust operators", func() {
 			strict := newFleet(1, nil)
 			service := strict.lead(strict.members[0]).service
-			Expect(failure.Is(service.ReleaseBundle(ctx, limitedBundle(5, 50), 0), failure.Forbidden)).To(BeTrue())
+			Expect(failure.Is(service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0), failure.Forbidden)).To(BeTrue())
 		})
 	})
 
@@ -358,7 +358,7 @@
 
 		It("releases a bundle and shows it", func() {
 			Expect(send(leader, "GET", "/v1/releases/active", "").Code).To(Equal(http.StatusNotFound))
-			content, err := strictjson.Marshal(limitedBundle(7, 70))
+			content, err := strictjson.Marshal(bundleWithLimit(7, 70))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
 			Expect(send(leader, "PUT", "/v1/releases/7", string(content)).Code).To(Equal(http.StatusOK))
--- a/internal/controlplane/core/coalesce_test.go
+++ b/internal/controlplane/core/coalesce_test.go
@@ -17,36 +17,36 @@
 	var f *fleet
 	var leader *member
 	watcher := frontNode("watcher", 1)
-	// burst is how many other nodes there are.
-	const burst = 40
+	// otherNodes is how many other nodes there are.
+	const otherNodes = 40
 	BeforeEach(func() {
 		f = newFleet(1, nil)
 		leader = f.lead(f.members[0])
 		leader.renew(watcher, nil)
-		for i := range burst {
+		for i := range otherNodes {
 			leader.renew(frontNode(fmt.Sprintf("f%d", i), 1), nil)
 		}
 	})
-	poll := func(known *protocol.ControlVersions, wait uint32, fresh bool) <-chan polled {
-		outcome := make(chan polled, 1)
+	poll := func(known *protocol.ControlVersions, wait uint32, fresh bool) <-chan pollOutcome {
+		outcome := make(chan pollOutcome, 1)
 		go func() {
 			answer, err := leader.call(pollRequest(&protocol.PollControlRequest{
 				Node: watcher.GetName(), Incarnation: 1, Known: known, WaitMillis: wait, AcceptsDeltas: true, Fresh: fresh,
 			}))
-			outcome <- polled{answer: answer.GetPollControl(), err: err}
+			outcome <- pollOutcome{answer: answer.GetPollControl(), err: err}
 		}()
 		return outcome
 	}
 	//nolint:unparam // the contexts below use the result
-	expectAnswer := func(outcome <-chan polled) *protocol.PollControlResponse {
+	expectAnswer := func(outcome <-chan pollOutcome) *protocol.PollControlResponse {
 		GinkgoHelper()
-		var got polled
+		var got pollOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(got.err).NotTo(HaveOccurred())
 		return got.answer
 	}
-	// caughtUp makes the watcher hold all there is, long ago.
-	caughtUp := func() *protocol.ControlVersions {
+	// syncWatcher makes the watcher hold all there is, long ago.
+	syncWatcher := func() *protocol.ControlVersions {
 		GinkgoHelper()
 		expectAnswer(poll(nil, 10_000, false))
 		known := leader.machine.View().Versions()
@@ -55,22 +55,22 @@
 	}
 
 	It("is sent at once when it begins after an idle time, and then once in the coalescing interval", func() {
-		known := caughtUp()
+		known := syncWatcher()
 		first := poll(known, 10_000, false)
-		Eventually(f.clock.waiting).Should(Equal(2))
+		Eventually(f.clock.pendingTimers).Should(Equal(2))
 		leader.renew(frontNode("f1", 2), nil)
-		var got polled
+		var got pollOutcome
 		Eventually(first).Should(Receive(&got))
 		Expect(got.answer.GetMembership()).To(BeNil())
 		Expect(got.answer.GetMembershipDelta().GetUpserted()).To(HaveLen(1))
 
 		known.Membership = got.answer.GetMembershipDelta().GetVersion()
 		second := poll(known, 10_000, false)
-		Eventually(f.clock.waiting).Should(Equal(2))
+		Eventually(f.clock.pendingTimers).Should(Equal(2))
 		for i := range 20 {
 			leader.renew(frontNode(fmt.Sprintf("f%d", i), 3), nil)
 		}
-		Eventually(f.clock.waiting).Should(Equal(3))
+		Eventually(f.clock.pendingTimers).Should(Equal(3))
 		Expect(second).NotTo(Receive())
 		f.advance(100 * time.Millisecond)
 		Eventually(second).Should(Receive(&got))
@@ -81,38 +81,38 @@
 		var known *protocol.ControlVersions
 		var membership *protocol.MembershipView
 		BeforeEach(func() {
-			known = caughtUp()
+			known = syncWatcher()
 			membership = leader.machine.View().Membership
-			Expect(membership.GetNodes()).To(HaveLen(1 + burst))
+			Expect(membership.GetNodes()).To(HaveLen(1 + otherNodes))
 		})
-		// approachEnd stops one tick before the leases of all but the watcher end.
-		approachEnd := func() {
+		// advanceToExpiry stops one tick before the leases of all but the watcher end.
+		advanceToExpiry := func() {
 			GinkgoHelper()
 			for range 4 {
 				f.advance(time.Second)
 				leader.renew(watcher, nil)
 			}
 			f.advance(200 * time.Millisecond)
-			Expect(leader.names()).To(HaveLen(1 + burst))
+			Expect(leader.names()).To(HaveLen(1 + otherNodes))
 		}
-		// endBehindGate ends the leases while no removal reaches the log.
-		endBehindGate := func() *proposalGate {
+		// expireBehindGate ends the leases while no removal reaches the log.
+		expireBehindGate := func() *proposalGate {
 			GinkgoHelper()
-			approachEnd()
-			gate := leader.shutGate()
+			advanceToExpiry()
+			gate := leader.blockProposals()
 			f.clock.step(50 * time.Millisecond)
-			Eventually(gate.waiting).Should(Equal(burst))
+			Eventually(gate.blocked).Should(Equal(otherNodes))
 			return gate
 		}
-		// letThrough lets removals reach the log and waits until it has them.
-		letThrough := func(gate *proposalGate, count int) {
+		// commitRemovals lets removals reach the log and waits until it has them.
+		commitRemovals := func(gate *proposalGate, count int) {
 			GinkgoHelper()
 			left := len(leader.names()) - count
-			gate.let(count)
+			gate.release(count)
 			Eventually(leader.names).Should(HaveLen(left))
 		}
-		// take applies an answer, which is the full snapshot of the membership or a delta.
-		take := func(answer *protocol.PollControlResponse) {
+		// applyAnswer applies an answer, which is the full snapshot of the membership or a delta.
+		applyAnswer := func(answer *protocol.PollControlResponse) {
 			GinkgoHelper()
 			if delta := answer.GetMembershipDelta(); delta != nil {
 				Expect(answer.GetMembership()).To(BeNil())
@@ -131,71 +131,71 @@
 			Expect(membership.GetNodes()).To(HaveLen(nodes))
 			Expect(proto.Equal(membership, leader.machine.View().Membership)).To(BeTrue())
 		}
-		// takeDelayed takes the answer of a poll that is delayed until the coalescing interval has passed.
-		takeDelayed := func(outcome <-chan polled) {
+		// applyDelayed takes the answer of a poll that is delayed until the coalescing interval has passed.
+		applyDelayed := func(outcome <-chan pollOutcome) {
 			GinkgoHelper()
-			Eventually(f.clock.waiting).Should(Equal(3))
+			Eventually(f.clock.pendingTimers).Should(Equal(3))
 			Expect(outcome).NotTo(Receive())
 			f.advance(core.DefaultCoalesceInterval)
-			take(expectAnswer(outcome))
+			applyAnswer(expectAnswer(outcome))
 		}
 
 		It("is sent in two answers", func() {
 			first := poll(known, 30_000, false)
-			Eventually(f.clock.waiting).Should(Equal(2))
-			approachEnd()
+			Eventually(f.clock.pendingTimers).Should(Equal(2))
+			advanceToExpiry()
 			f.advance(100 * time.Millisecond)
 			Expect(leader.names()).To(Equal([]string{"watcher"}))
-			take(expectAnswer(first))
+			applyAnswer(expectAnswer(first))
 			if len(membership.GetNodes()) > 1 {
-				takeDelayed(poll(known, 30_000, false))
+				applyDelayed(poll(known, 30_000, false))
 			}
 			expectCurrent(1)
 		})
 
 		It("wakes a poll at the first of them, and the others are sent in one answer", func() {
 			first := poll(known, 30_000, false)
-			Eventually(f.clock.waiting).Should(Equal(2))
-			gate := endBehindGate()
+			Eventually(f.clock.pendingTimers).Should(Equal(2))
+			gate := expireBehindGate()
 			Expect(first).NotTo(Receive())
-			letThrough(gate, 1)
-			take(expectAnswer(first))
-			expectCurrent(burst)
+			commitRemovals(gate, 1)
+			applyAnswer(expectAnswer(first))
+			expectCurrent(otherNodes)
 			second := poll(known, 30_000, false)
-			letThrough(gate, burst-1)
-			takeDelayed(second)
+			commitRemovals(gate, otherNodes-1)
+			applyDelayed(second)
 			expectCurrent(1)
 		})
 
 		DescribeTable("is sent in two answers however many of them the first has", func(count int) {
-			gate := endBehindGate()
-			letThrough(gate, count)
-			take(expectAnswer(poll(known, 30_000, false)))
-			expectCurrent(1 + burst - count)
+			gate := expireBehindGate()
+			commitRemovals(gate, count)
+			applyAnswer(expectAnswer(poll(known, 30_000, false)))
+			expectCurrent(1 + otherNodes - count)
 			second := poll(known, 30_000, false)
-			letThrough(gate, burst-count)
-			takeDelayed(second)
+			commitRemovals(gate, otherNodes-count)
+			applyDelayed(second)
 			expectCurrent(1)
 		},
 			Entry("one", 1),
-			Entry("half", burst/2),
-			Entry("all but five", burst-5),
-			Entry("all but one", burst-1),
+			Entry("half", otherNodes/2),
+			Entry("all but five", otherNodes-5),
+			Entry("all but one", otherNodes-1),
 		)
 
 		It("is sent in one answer that has all of them", func() {
-			letThrough(endBehindGate(), burst)
-			take(expectAnswer(poll(known, 30_000, false)))
+			commitRemovals(expireBehindGate(), otherNodes)
+			applyAnswer(expectAnswer(poll(known, 30_000, false)))
 			expectCurrent(1)
 			second := poll(known, 1000, false)
-			Eventually(f.clock.waiting).Should(Equal(2))
+			Eventually(f.clock.pendingTimers).Should(Equal(2))
 			f.advance(time.Second)
 			Expect(proto.Equal(expectAnswer(second), &protocol.PollControlResponse{})).To(BeTrue())
 		})
 	})
 
 	It("delays no fresh poll and none that requests again what was sent", func() {
-		known := caughtUp()
+		known := syncWatcher()
 		leader.renew(frontNode("f1", 2), nil)
 		expectAnswer(poll(known, 10_000, false))
 		leader.renew(frontNode("f2", 2), nil)
@@ -204,34 +204,34 @@
 	})
 
 	It("ends a delayed poll when the leadership ends", func() {
-		known := caughtUp()
+		known := syncWatcher()
 		leader.renew(frontNode("f1", 2), nil)
 		expectAnswer(poll(known, 10_000, false))
 		leader.renew(frontNode("f2", 2), nil)
 		delayed := poll(known, 10_000, false)
-		Eventually(f.clock.waiting).Should(Equal(3))
+		Eventually(f.clock.pendingTimers).Should(Equal(3))
 		f.lead(nil)
-		var got polled
+		var got pollOutcome
 		Eventually(delayed).Should(Receive(&got))
 		Expect(got.err).To(HaveOccurred())
 	})
 
 	It("is sent as a full snapshot to a node that accepts no deltas", func() {
-		known := caughtUp()
+		known := syncWatcher()
 		leader.renew(frontNode("f1", 2), nil)
 		answer, err := leader.poll(watcher, known, 10_000)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.GetMembershipDelta()).To(BeNil())
-		Expect(answer.GetMembership().GetNodes()).To(HaveLen(1 + burst))
+		Expect(answer.GetMembership().GetNodes()).To(HaveLen(1 + otherNodes))
 	})
 
 	It("is sent as a full snapshot to a node whose version is older than the leader's history", func() {
-		known := caughtUp()
+		known := syncWatcher()
 		leader.renew(frontNode("f1", 2), nil)
 		leader.restart()
 		leader.renew(frontNode("f2", 2), nil)
-		var got polled
+		var got pollOutcome
 		Eventually(poll(known, 10_000, false)).Should(Receive(&got))
-		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(1 + burst))
+		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(1 + otherNodes))
 	})
 })
--- a/internal/controlplane/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -24,7 +24,7 @@
 	partitioned map[string]bool
 	// loseAnswers are the addresses that send requests but get no answers.
 	loseAnswers map[string]bool
-	arrived     map[string]*traffic
+	received    map[string]*traffic
 	// unresponsive are the addresses that take requests and do not answer until their channel is closed.
 	unresponsive map[string]chan struct{}
 }
@@ -45,7 +45,7 @@
 }
 
 func (l *link) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
-	target, answerLost, unresponsive := l.network.admit(l.from, address, request)
+	target, answerLost, unresponsive := l.network.route(l.from, address, request)
 	if unresponsive != nil {
 		<-unresponsive
 		return nil, errPartitioned
@@ -64,9 +64,9 @@
 	return answer, err
 }
 
-// admit counts a request and finds its receiver, nil when the network is partitioned, and the channel that it waits
+// route counts a request and finds its receiver, nil when the network is partitioned, and the channel that it waits
 // for there.
-func (n *network) admit(
+func (n *network) route(
 	from, address string, request *protocol.Request,
 ) (target *member, loseAnswer bool, unresponsive chan struct{}) {
 	n.mutex.Lock()
@@ -74,7 +74,7 @@
 	if n.partitioned[from] || n.partitioned[address] {
 		return nil, false, nil
 	}
-	counted := n.at(address)
+	counted := n.trafficTo(address)
 	counted.requests++
 	counted.bytes += proto.Size(request)
 	counted.heartbeats += len(request.GetRenewBackEnds().GetHeard())
@@ -84,19 +84,19 @@
 	return n.members[address], n.loseAnswers[from], n.unresponsive[address]
 }
 
-func (n *network) at(address string) *traffic {
-	if n.arrived[address] == nil {
-		n.arrived[address] = &traffic{}
+func (n *network) trafficTo(address string) *traffic {
+	if n.received[address] == nil {
+		n.received[address] = &traffic{}
 	}
-	return n.arrived[address]
+	return n.received[address]
 }
 
-// arrivedAt is what arrived at a member since the last call.
-func (n *network) arrivedAt(m *member) traffic {
+// takeTraffic is what arrived at a member since the last call.
+func (n *network) takeTraffic(m *member) traffic {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	counted := *n.at(m.core.GetAddress())
-	n.arrived = map[string]*traffic{}
+	counted := *n.trafficTo(m.core.GetAddress())
+	n.received = map[string]*traffic{}
 	return counted
 }
 
@@ -125,7 +125,7 @@
 func newConnectedFleet(size int) (*fleet, *network) {
 	n := &network{
 		members: map[string]*member{}, partitioned: map[string]bool{}, loseAnswers: map[string]bool{},
-		arrived: map[string]*traffic{}, unresponsive: map[string]chan struct{}{},
+		received: map[string]*traffic{}, unresponsive: map[string]chan struct{}{},
 	}
 	var all []*protocol.CoreMember
 	f := newFleet(size, func(options *core.Options) {
--- a/internal/controlplane/core/delivery.go
+++ b/internal/controlplane/core/delivery.go
@@ -24,9 +24,9 @@
 
 // AcknowledgeVersions implements delivery.ControlPlane. It drops the update while the queue of the owner is full: the
 // next renewal of the lease acknowledges the same versions.
-func (a pollAccess) AcknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions) {
+func (a pollAccess) AcknowledgeVersions(holder leases.Holder, active *protocol.ControlVersions) {
 	select {
-	case a.owner.queue <- func(now time.Time) { a.owner.acknowledgeVersions(holder, inForce, now) }:
+	case a.owner.queue <- func(now time.Time) { a.owner.acknowledgeVersions(holder, active, now) }:
 	default:
 	}
 }
--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -37,7 +37,7 @@
 // watcher is a node that holds views and applies what it is sent, as the link of a node does.
 type watcher struct {
 	node       *protocol.Node
-	away       bool
+	absent     bool
 	known      *protocol.ControlVersions
 	membership *protocol.MembershipView
 	backEnds   *protocol.BackEndView
@@ -47,20 +47,20 @@
 	answers    int
 }
 
-// delivery is a core with the complete fleet polling it in virtual time.
-type delivery struct {
+// pollingFleet is a core with the complete fleet polling it in virtual time.
+type pollingFleet struct {
 	fleet    *fleet
 	leader   *member
 	watchers []*watcher
 	deltas   bool
 	private  ed25519.PrivateKey
-	sizes    sizes
+	sizes    sizeCache
 }
 
-// sizes remembers how many bytes a section takes in an answer; nodes share the sections they are sent.
-type sizes map[protoreflect.Message]int
+// sizeCache remembers how many bytes a section takes in an answer; nodes share the sections they are sent.
+type sizeCache map[protoreflect.Message]int
 
-func (s sizes) of(section protoreflect.Message) int {
+func (s sizeCache) ofSection(section protoreflect.Message) int {
 	size, known := s[section]
 	if !known {
 		size = protowire.SizeTag(1) + protowire.SizeBytes(proto.Size(section.Interface()))
@@ -70,14 +70,14 @@
 }
 
 // ofAnswer adds up the sections of an answer; their numbers are below 16, so each tag takes one byte.
-func (s sizes) ofAnswer(answer *protocol.PollControlResponse) int {
+func (s sizeCache) ofAnswer(answer *protocol.PollControlResponse) int {
 	total := 0
 	answer.ProtoReflect().Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		if field.Kind() == protoreflect.BytesKind {
 			total += protowire.SizeTag(1) + protowire.SizeBytes(len(value.Bytes()))
 			return true
 		}
-		total += s.of(value.Message())
+		total += s.ofSection(value.Message())
 		return true
 	})
 	return total
@@ -137,7 +137,7 @@
 	return &protocol.Command{Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: command}}
 }
 
-func (d *delivery) propose(command *protocol.Command) {
+func (d *pollingFleet) propose(command *protocol.Command) {
 	GinkgoHelper()
 	encoded, err := proto.Marshal(command)
 	Expect(err).NotTo(HaveOccurred())
@@ -148,8 +148,8 @@
 	Expect(result.GetAccepted()).To(BeTrue(), result.String())
 }
 
-// putInForce hands a bundle in and signs it.
-func (d *delivery) putInForce(submitted *protocol.Bundle) {
+// activateBundle hands a bundle in and signs it.
+func (d *pollingFleet) activateBundle(submitted *protocol.Bundle) {
 	GinkgoHelper()
 	put := &protocol.PutBundleCommand{Bundle: submitted}
 	d.propose(&protocol.Command{Body: &protocol.Command_PutBundle{PutBundle: put}})
@@ -159,13 +159,13 @@
 	}}})
 }
 
-// newDelivery has all nodes, back ends and routes in place, and every watcher knows all of it.
-func newDelivery(snapshot []byte, private ed25519.PrivateKey, before bool) *delivery {
+// newPollingFleet has all nodes, back ends and routes in place, and every watcher knows all of it.
+func newPollingFleet(snapshot []byte, private ed25519.PrivateKey, legacy bool) *pollingFleet {
 	GinkgoHelper()
-	d := &delivery{deltas: !before, private: private, sizes: sizes{}}
+	d := &pollingFleet{deltas: !legacy, private: private, sizes: sizeCache{}}
 	d.fleet = newFleet(1, func(options *core.Options) {
 		options.Lease = 24 * time.Hour
-		if before {
+		if legacy {
 			options.CoalesceInterval = -1
 		}
 		if snapshot != nil {
@@ -189,11 +189,11 @@
 	GinkgoHelper()
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{5}))
 	Expect(err).NotTo(HaveOccurred())
-	d := newDelivery(nil, private, false)
+	d := newPollingFleet(nil, private, false)
 	d.propose(&protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: &protocol.SeedSignOffKeysCommand{
 		Keys: []*protocol.SignOffKey{{Name: "ann", PublicKey: hex.EncodeToString(public)}},
 	}}})
-	d.putInForce(fleetBundle())
+	d.activateBundle(fleetBundle())
 	for i := range fleetFronts + fleetStores {
 		d.propose(joinCommand(fleetNode(i, 1)))
 	}
@@ -208,12 +208,12 @@
 }
 
 // step lets every node poll once, and time go on by one poll step.
-func (d *delivery) step() {
+func (d *pollingFleet) step() {
 	GinkgoHelper()
 	view := d.leader.machine.View()
 	for _, w := range d.watchers {
 		// A poll that knows the newest versions would wait; nothing would be sent.
-		if w.away || w.holds(view) {
+		if w.absent || w.isCurrent(view) {
 			continue
 		}
 		answer, err := d.leader.call(pollRequest(&protocol.PollControlRequest{
@@ -222,13 +222,13 @@
 			AcceptsPackedViews:         d.deltas,
 		}))
 		Expect(err).NotTo(HaveOccurred())
-		w.take(answer.GetPollControl(), d.sizes)
+		w.apply(answer.GetPollControl(), d.sizes)
 	}
 	d.fleet.clock.step(pollStep)
 }
 
 // run makes as many steps as fit into the time; each calls act first.
-func (d *delivery) run(duration time.Duration, act func(step int)) {
+func (d *pollingFleet) run(duration time.Duration, act func(step int)) {
 	GinkgoHelper()
 	for step := range int(duration / pollStep) {
 		act(step)
@@ -236,13 +236,13 @@
 	}
 }
 
-func (w *watcher) holds(view *controlstate.View) bool {
+func (w *watcher) isCurrent(view *controlstate.View) bool {
 	return w.known.GetConfiguration() == view.Configuration.GetVersion() &&
 		w.known.GetMembership() == view.Membership.GetVersion() &&
 		w.known.GetBackEnds() == view.BackEnds.GetVersion() && w.known.GetPlacement() == view.Placement.GetEpoch()
 }
 
-func (w *watcher) take(answer *protocol.PollControlResponse, sizes sizes) {
+func (w *watcher) apply(answer *protocol.PollControlResponse, sizes sizeCache) {
 	GinkgoHelper()
 	size := sizes.ofAnswer(answer)
 	if size == 0 {
@@ -296,28 +296,28 @@
 	}
 }
 
-// comeBack lets a node join under a new incarnation; one that was restarted holds nothing.
-func (d *delivery) comeBack(w *watcher, restarted bool) {
+// rejoin lets a node join under a new incarnation; one that was restarted holds nothing.
+func (d *pollingFleet) rejoin(w *watcher, restarted bool) {
 	GinkgoHelper()
 	w.node = proto.CloneOf(w.node)
 	w.node.Incarnation += 1000
-	w.away = false
+	w.absent = false
 	if restarted {
 		w.known, w.membership, w.backEnds, w.placement = &protocol.ControlVersions{}, nil, nil, nil
 	}
 	d.propose(joinCommand(w.node))
 }
 
-// lose ends the leases of nodes, as one tick of the leader does.
-func (d *delivery) lose(lost []*watcher) {
+// removeNodes ends the leases of nodes, as one tick of the leader does.
+func (d *pollingFleet) removeNodes(lost []*watcher) {
 	GinkgoHelper()
 	for _, w := range lost {
-		w.away = true
+		w.absent = true
 		d.propose(removeCommand(w.node))
 	}
 }
 
-func (d *delivery) inZone(zone string) []*watcher {
+func (d *pollingFleet) inZone(zone string) []*watcher {
 	var watchers []*watcher
 	for _, w := range d.watchers {
 		if w.node.GetZone() == zone {
@@ -327,22 +327,22 @@
 	return watchers
 }
 
-// returning brings nodes back evenly over a second, or gives them nothing to do once all are there.
-func (d *delivery) returning(lost []*watcher, restarted bool) func(step int) {
+// spreadRejoins brings nodes back evenly over a second, or gives them nothing to do once all are there.
+func (d *pollingFleet) spreadRejoins(lost []*watcher, restarted bool) func(step int) {
 	const steps = int(time.Second / pollStep)
 	return func(step int) {
 		for i, w := range lost {
 			if i*steps/len(lost) == step {
-				d.comeBack(w, restarted)
+				d.rejoin(w, restarted)
 			}
 		}
 	}
 }
 
-func quiet(int) {}
+func noAction(int) {}
 
-// settled checks that every node that is there holds what the leader holds.
-func (d *delivery) settled() {
+// expectConverged checks that every node that is there holds what the leader holds.
+func (d *pollingFleet) expectConverged() {
 	GinkgoHelper()
 	view := d.leader.machine.View()
 	membership := views.MembershipChecksum(view.Membership.GetNodes())
@@ -364,8 +364,8 @@
 	}
 }
 
-// total sums up what the leader sent.
-func (d *delivery) total() (bytes, policies, answers, largest int) {
+// totals sums up what the leader sent.
+func (d *pollingFleet) totals() (bytes, policies, answers, largest int) {
 	for _, w := range d.watchers {
 		bytes, policies, answers, largest = bytes+w.bytes, policies+w.policies, answers+w.answers, max(largest, w.bytes)
 	}
@@ -383,62 +383,62 @@
 	})
 
 	DescribeTable("is cheap and complete after",
-		func(name string, factor int, event func(d *delivery)) {
+		func(name string, factor int, event func(d *pollingFleet)) {
 			sent := map[string]int{}
 			for _, mode := range []string{"before", "after"} {
-				d := newDelivery(snapshot, private, mode == "before")
+				d := newPollingFleet(snapshot, private, mode == "before")
 				Expect(d.watchers).To(HaveLen(fleetFronts + fleetStores))
 				event(d)
-				d.run(400*time.Millisecond, quiet)
-				d.settled()
-				total, policies, answers, largest := d.total()
+				d.run(400*time.Millisecond, noAction)
+				d.expectConverged()
+				total, policies, answers, largest := d.totals()
 				sent[mode] = total - policies
 				GinkgoWriter.Printf("%s | %s | %d | %d | %d | %d | %d\n", name, mode, total, policies, total/len(d.watchers),
 					largest, answers)
 			}
 			Expect(sent["after"]*factor).To(BeNumerically("<=", sent["before"]), "views, without the configuration")
 		},
-		Entry("(a) a restart", "(a) one node restarts", 20, func(d *delivery) {
+		Entry("(a) a restart", "(a) one node restarts", 20, func(d *pollingFleet) {
 			lost := d.watchers[:1]
-			d.lose(lost)
-			d.run(500*time.Millisecond, quiet)
-			d.comeBack(lost[0], true)
+			d.removeNodes(lost)
+			d.run(500*time.Millisecond, noAction)
+			d.rejoin(lost[0], true)
 		}),
 		Entry("(b) the loss of a zone", "(b) a zone of 55 lost, 55 processes come back with the views they had", 20,
-			func(d *delivery) {
+			func(d *pollingFleet) {
 				lost := d.inZone("zone-1")
 				Expect(lost).To(HaveLen(55))
-				d.lose(lost)
-				d.run(time.Second, quiet)
-				d.run(time.Second, d.returning(lost, false))
+				d.removeNodes(lost)
+				d.run(time.Second, noAction)
+				d.run(time.Second, d.spreadRejoins(lost, false))
 			}),
-		Entry("(b) the restart of a zone", "(b) a zone of 55 lost, 55 processes started anew", 8, func(d *delivery) {
+		Entry("(b) the restart of a zone", "(b) a zone of 55 lost, 55 processes started anew", 8, func(d *pollingFleet) {
 			lost := d.inZone("zone-1")
-			d.lose(lost)
-			d.run(time.Second, quiet)
-			d.run(time.Second, d.returning(lost, true))
+			d.removeNodes(lost)
+			d.run(time.Second, noAction)
+			d.run(time.Second, d.spreadRejoins(lost, true))
 		}),
-		Entry("(c) the return of all", "(c) all 330 come back at once with the views they had", 4, func(d *delivery) {
-			d.lose(d.watchers)
-			d.run(time.Second, quiet)
-			d.run(time.Second, d.returning(d.watchers, false))
+		Entry("(c) the return of all", "(c) all 330 come back at once with the views they had", 4, func(d *pollingFleet) {
+			d.removeNodes(d.watchers)
+			d.run(time.Second, noAction)
+			d.run(time.Second, d.spreadRejoins(d.watchers, false))
 		}),
-		Entry("(c) the restart of all", "(c) all 330 started anew at once", 2, func(d *delivery) {
-			d.lose(d.watchers)
-			d.run(time.Second, quiet)
-			d.run(time.Second, d.returning(d.watchers, true))
+		Entry("(c) the restart of all", "(c) all 330 started anew at once", 2, func(d *pollingFleet) {
+			d.removeNodes(d.watchers)
+			d.run(time.Second, noAction)
+			d.run(time.Second, d.spreadRejoins(d.watchers, true))
 		}),
-		Entry("(d) a change of a back end", "(d) one back end of 600 changes", 100, func(d *delivery) {
+		Entry("(d) a change of a back end", "(d) one back end of 600 changes", 100, func(d *pollingFleet) {
 			d.propose(upsertCommand(fleetBackEnd(17, 2)))
 		}),
-		Entry("(e) changes of one route", "(e) 20 changes of one route of 10,000", 1, func(d *delivery) {
+		Entry("(e) changes of one route", "(e) 20 changes of one route of 10,000", 1, func(d *pollingFleet) {
 			for version := uint64(2); version < 2+oneRouteChanges; version++ {
 				name := fmt.Sprintf("extra-%d", version)
-				d.putInForce(&protocol.Bundle{
+				d.activateBundle(&protocol.Bundle{
 					Version: version, BaseVersion: version - 1, Partial: true,
 					Routes: []*protocol.Route{{Name: name, Model: name, Group: "assistants"}},
 				})
-				d.run(120*time.Millisecond, quiet)
+				d.run(120*time.Millisecond, noAction)
 			}
 		}),
 	)
--- a/internal/controlplane/core/drain_test.go
+++ b/internal/controlplane/core/drain_test.go
@@ -10,17 +10,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drained is the outcome of a drain that runs beside the test.
-type drained struct {
+// drainOutcome is the outcome of a drain that runs beside the test.
+type drainOutcome struct {
 	Version uint64
 	Err     error
 }
 
-func (m *member) drain(id string) <-chan drained {
-	outcome := make(chan drained, 1)
+func (m *member) drainAsync(id string) <-chan drainOutcome {
+	outcome := make(chan drainOutcome, 1)
 	go func() {
 		answer, err := m.call(drainRequest(&protocol.DrainBackEndRequest{Id: id, Incarnation: 1}))
-		outcome <- drained{Version: answer.GetDrainBackEnd().GetViewVersion(), Err: err}
+		outcome <- drainOutcome{Version: answer.GetDrainBackEnd().GetViewVersion(), Err: err}
 	}()
 	return outcome
 }
@@ -37,10 +37,10 @@
 		leader.renew(f1, leader.machine.View().Versions())
 		leader.renew(f2, leader.machine.View().Versions())
 	})
-	// begin starts a drain and waits until the log has it.
-	begin := func() <-chan drained {
+	// startDrain starts a drain and waits until the log has it.
+	startDrain := func() <-chan drainOutcome {
 		GinkgoHelper()
-		outcome := leader.drain("m1")
+		outcome := leader.drainAsync("m1")
 		state := func() protocol.BackEndState { return leader.machine.View().BackEnd("m1").GetState() }
 		Eventually(state).Should(Equal(protocol.BackEndState_DRAINING))
 		f.advance(50 * time.Millisecond)
@@ -48,20 +48,20 @@
 	}
 
 	It("is acknowledged only when every front node has the view in force", func() {
-		outcome := begin()
+		outcome := startDrain()
 		Expect(outcome).NotTo(Receive())
 		leader.renew(f1, leader.machine.View().Versions())
 		f.advance(50 * time.Millisecond)
 		Expect(outcome).NotTo(Receive())
 		leader.renew(f2, leader.machine.View().Versions())
-		var got drained
+		var got drainOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(got.Err).NotTo(HaveOccurred())
 		Expect(got.Version).To(Equal(leader.machine.View().BackEnds.GetVersion()))
 	})
 
 	It("is acknowledged by a poll of the incarnation with the lease, but not that of another", func() {
-		outcome := begin()
+		outcome := startDrain()
 		leader.renew(f1, leader.machine.View().Versions())
 		_, err := leader.poll(frontNode("f2", 7), leader.machine.View().Versions(), 0)
 		Expect(err).NotTo(HaveOccurred())
@@ -73,7 +73,7 @@
 	})
 
 	It("is acknowledged when the lease of an unresponsive front node has expired", func() {
-		outcome := begin()
+		outcome := startDrain()
 		for range 4 {
 			f.advance(time.Second)
 			leader.renew(f1, leader.machine.View().Versions())
@@ -84,12 +84,12 @@
 	})
 
 	It("waits under a new leader, which knows no acknowledgements", func() {
-		outcome := begin()
+		outcome := startDrain()
 		next := f.lead(f.members[1])
-		var got drained
+		var got drainOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(failure.Is(got.Err, failure.NotLeader)).To(BeTrue())
-		again := next.drain("m1")
+		again := next.drainAsync("m1")
 		next.renew(f1, next.machine.View().Versions())
 		f.advance(time.Second)
 		Expect(again).NotTo(Receive())
@@ -104,6 +104,6 @@
 		Expect(leader.machine.View().BackEnd("m1")).To(BeNil())
 		leader.renew(f1, leader.machine.View().Versions())
 		f.advance(time.Second)
-		Eventually(leader.drain("m1")).Should(Receive(HaveField("Err", BeNil())))
+		Eventually(leader.drainAsync("m1")).Should(Receive(HaveField("Err", BeNil())))
 	})
 })
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -69,7 +69,7 @@
 	if len(o.drains) == 0 || !o.isLeader() {
 		return
 	}
-	acknowledged := o.acknowledgedBackEnds(now)
+	acknowledged := o.lowestAcknowledgedBackEnds(now)
 	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool {
 		if acknowledged < pending.version {
 			return false
@@ -80,8 +80,8 @@
 	})
 }
 
-// acknowledgedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
-func (o *ownerLoop) acknowledgedBackEnds(now time.Time) uint64 {
+// lowestAcknowledgedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
+func (o *ownerLoop) lowestAcknowledgedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
 		holder := leases.NodeHolder(node)
--- a/internal/controlplane/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -124,7 +124,7 @@
 }
 
 func newFleet(size int, configure func(*core.Options)) *fleet {
-	known := goleak.IgnoreCurrent()
+	baseline := goleak.IgnoreCurrent()
 	f := &fleet{clock: newClock()}
 	for i := range size {
 		m := &member{fleet: f, machine: core.NewMachine(nil), core: &protocol.CoreMember{
@@ -144,7 +144,7 @@
 		for _, m := range f.members {
 			m.service.Stop()
 		}
-		Eventually(func() error { return goleak.Find(known) }).Should(Succeed())
+		Eventually(func() error { return goleak.Find(baseline) }).Should(Succeed())
 	})
 	return f
 }
@@ -285,10 +285,10 @@
 }
 
 func (m *member) RemoveMember(_ context.Context, name string) error {
-	for at, member := range m.members {
+	for i, member := range m.members {
 		if member.GetName() == name || strconv.FormatUint(member.GetId(), 10) == name {
 			m.retired = append(m.retired, member)
-			m.members = slices.Delete(slices.Clone(m.members), at, at+1)
+			m.members = slices.Delete(slices.Clone(m.members), i, i+1)
 			return nil
 		}
 	}
--- a/internal/controlplane/core/gate_test.go
+++ b/internal/controlplane/core/gate_test.go
@@ -10,17 +10,17 @@
 // many of those that are made at one time are in the log. It heeds no context:
 // the bound of a proposal is wall-clock time, which must not decide a spec.
 type proposalGate struct {
-	stopped atomic.Int64
-	permits chan struct{}
-	opened  chan struct{}
+	blockedCount atomic.Int64
+	permits      chan struct{}
+	disabled     chan struct{}
 }
 
-// shutGate stops all proposals that a member makes from now on. The gate
+// blockProposals stops all proposals that a member makes from now on. The gate
 // opens for good when the spec ends.
-func (m *member) shutGate() *proposalGate {
-	gate := &proposalGate{permits: make(chan struct{}), opened: make(chan struct{})}
+func (m *member) blockProposals() *proposalGate {
+	gate := &proposalGate{permits: make(chan struct{}), disabled: make(chan struct{})}
 	m.fleet.set(func() { m.gate = gate })
-	DeferCleanup(func() { close(gate.opened) })
+	DeferCleanup(func() { close(gate.disabled) })
 	return gate
 }
 
@@ -29,20 +29,20 @@
 	if g == nil {
 		return
 	}
-	g.stopped.Add(1)
-	defer g.stopped.Add(-1)
+	g.blockedCount.Add(1)
+	defer g.blockedCount.Add(-1)
 	select {
 	case <-g.permits:
-	case <-g.opened:
+	case <-g.disabled:
 	}
 }
 
-// let lets that many of the stopped proposals pass.
-func (g *proposalGate) let(count int) {
+// release lets that many of the stopped proposals pass.
+func (g *proposalGate) release(count int) {
 	for range count {
 		g.permits <- struct{}{}
 	}
 }
 
-// waiting counts the stopped proposals.
-func (g *proposalGate) waiting() int { return int(g.stopped.Load()) }
+// blocked counts the stopped proposals.
+func (g *proposalGate) blocked() int { return int(g.blockedCount.Load()) }
--- a/internal/controlplane/core/heartbeat_address_test.go
+++ b/internal/controlplane/core/heartbeat_address_test.go
@@ -21,12 +21,12 @@
 		leader = f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
 	})
-	// named gives the address for each of many back ends of no zone of the core, as one member names it.
-	named := func(by *member) map[string]string {
+	// addressesFrom returns the address for each of many back ends of no zone of the core, as one member names it.
+	addressesFrom := func(m *member) map[string]string {
 		addresses := map[string]string{}
 		for number := range backEnds {
 			id := fmt.Sprint("server-", number)
-			addresses[id] = by.service.HeartbeatAddress(&protocol.BackEnd{Id: id, Zone: "elsewhere"})
+			addresses[id] = m.service.HeartbeatAddress(&protocol.BackEnd{Id: id, Zone: "elsewhere"})
 		}
 		return addresses
 	}
@@ -40,7 +40,7 @@
 	httpAddress := func(index int) string { return f.members[index].core.GetHttpAddress() }
 
 	It("spreads them over the members that do not lead, and all members name the same", func() {
-		addresses := named(leader)
+		addresses := addressesFrom(leader)
 		counted := counts(addresses)
 		Expect(counted).To(HaveLen(3))
 		Expect(counted).NotTo(HaveKey(httpAddress(0)))
@@ -48,29 +48,29 @@
 			Expect(count).To(BeNumerically("~", backEnds/3, backEnds/30), address)
 		}
 		f.advance(time.Second)
-		for _, by := range f.members {
-			Expect(named(by)).To(Equal(addresses), by.core.GetName())
+		for _, m := range f.members {
+			Expect(addressesFrom(m)).To(Equal(addresses), m.core.GetName())
 		}
 	})
 
 	It("is in the back end's zone, else in its region, while a member there is up", func() {
 		f.members[3].core.Region = "south"
 		for number := range 100 {
-			near := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-c"}
-			Expect(leader.service.HeartbeatAddress(near)).To(Equal(httpAddress(2)))
+			sameZone := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-c"}
+			Expect(leader.service.HeartbeatAddress(sameZone)).To(Equal(httpAddress(2)))
 			sameRegion := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "elsewhere", Region: "south"}
 			Expect(leader.service.HeartbeatAddress(sameRegion)).To(Equal(httpAddress(3)))
-			leaders := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-a"}
-			Expect(leader.service.HeartbeatAddress(leaders)).NotTo(Equal(httpAddress(0)))
+			leaderZone := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-a"}
+			Expect(leader.service.HeartbeatAddress(leaderZone)).NotTo(Equal(httpAddress(0)))
 		}
 	})
 
 	It("moves away from a member that is unreachable, and of the others none moves", func() {
-		before := named(leader)
+		before := addressesFrom(leader)
 		net.setPartitioned(f.members[2], true)
-		f.advance(relayLapse)
-		for _, by := range []*member{leader, f.members[1], f.members[3]} {
-			after := named(by)
+		f.advance(relayExpiry)
+		for _, m := range []*member{leader, f.members[1], f.members[3]} {
+			after := addressesFrom(m)
 			Expect(counts(after)).NotTo(HaveKey(httpAddress(2)))
 			for id, address := range before {
 				if address != httpAddress(2) {
@@ -81,8 +81,8 @@
 		By("bringing it back")
 		net.setPartitioned(f.members[2], false)
 		f.advance(2 * relayInterval)
-		Expect(named(leader)).To(Equal(before))
-		Expect(named(f.members[1])).To(Equal(before))
+		Expect(addressesFrom(leader)).To(Equal(before))
+		Expect(addressesFrom(f.members[1])).To(Equal(before))
 	})
 
 	It("is never that of a member whose address is not known, and none while the leader is alone", func() {
@@ -90,16 +90,16 @@
 		f.members[1].core.HttpAddress = ""
 		leader = f.lead(f.members[0])
 		f.advance(time.Second)
-		Expect(counts(named(leader))).To(Equal(map[string]int{httpAddress(2): backEnds}))
+		Expect(counts(addressesFrom(leader))).To(Equal(map[string]int{httpAddress(2): backEnds}))
 		net.setPartitioned(f.members[2], true)
-		f.advance(relayLapse)
-		Expect(counts(named(leader))).To(Equal(map[string]int{"": backEnds}))
+		f.advance(relayExpiry)
+		Expect(counts(addressesFrom(leader))).To(Equal(map[string]int{"": backEnds}))
 	})
 
 	It("follows the leader: a new one names the former one too", func() {
 		next := f.lead(f.members[1])
 		f.advance(relayInterval)
-		counted := counts(named(next))
+		counted := counts(addressesFrom(next))
 		Expect(counted).To(HaveLen(3))
 		Expect(counted).To(HaveKey(httpAddress(0)))
 		Expect(counted).NotTo(HaveKey(httpAddress(1)))
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -110,10 +110,10 @@
 	if err != nil {
 		return err
 	}
-	group, grouped := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(maxConcurrentUpserts)
 	for _, heartbeat := range changes {
-		group.Go(func() error { return s.upsertBackEnd(grouped, heartbeat.GetBackEnd()) })
+		group.Go(func() error { return s.upsertBackEnd(groupCtx, heartbeat.GetBackEnd()) })
 	}
 	if err := group.Wait(); err != nil {
 		return err
--- a/internal/controlplane/core/heartbeats_test.go
+++ b/internal/controlplane/core/heartbeats_test.go
@@ -17,8 +17,8 @@
 const (
 	// relayInterval is the longest that a heartbeat waits at a member for its batch, with the tick that sends it.
 	relayInterval = 250 * time.Millisecond
-	// relayLapse is longer than a member may acknowledge heartbeats without an answer of the leader.
-	relayLapse = 1300 * time.Millisecond
+	// relayExpiry is longer than a member may acknowledge heartbeats without an answer of the leader.
+	relayExpiry = 1300 * time.Millisecond
 )
 
 var _ = Describe("heartbeats at a member that does not lead", func() {
@@ -33,7 +33,7 @@
 	}
 	draining := proto.CloneOf(server)
 	draining.State = protocol.BackEndState_DRAINING
-	held := func() *protocol.BackEnd { return leader.machine.View().BackEnd("m1") }
+	currentBackEnd := func() *protocol.BackEnd { return leader.machine.View().BackEnd("m1") }
 	logIndex := func() uint64 {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -44,17 +44,17 @@
 		leader, follower, other = f.lead(f.members[0]), f.members[1], f.members[2]
 		f.advance(6 * time.Second)
 		Expect(follower.announce(server, 1)).To(Succeed())
-		Expect(held()).NotTo(BeNil(), "a new back end is in the log before it is acknowledged")
+		Expect(currentBackEnd()).NotTo(BeNil(), "a new back end is in the log before it is acknowledged")
 	})
 
 	It("are acknowledged there when they change nothing, and the leader keeps the lease", func() {
 		before := logIndex()
-		net.arrivedAt(leader)
+		net.takeTraffic(leader)
 		_, err := f.announceEverySecond(follower, server, 1, 12*time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 		Expect(logIndex()).To(Equal(before))
-		arrived := net.arrivedAt(leader)
+		arrived := net.takeTraffic(leader)
 		Expect(arrived.announcements).To(BeZero())
 		Expect(arrived.heartbeats).To(Equal(12))
 	})
@@ -63,9 +63,9 @@
 		_, err := f.announceEverySecond(follower, server, 1, 3*time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		f.advance(core.DefaultBackEndLease - time.Second - 50*time.Millisecond)
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 		f.advance(100 * time.Millisecond)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 	})
 
 	It("reach the leader with their true age when answers or batches were lost on the way", func() {
@@ -76,9 +76,9 @@
 			f.advance(800 * time.Millisecond)
 			lose(follower, false)
 			f.advance(core.DefaultBackEndLease - 850*time.Millisecond)
-			Expect(held()).NotTo(BeNil())
+			Expect(currentBackEnd()).NotTo(BeNil())
 			f.advance(100 * time.Millisecond)
-			Expect(held()).To(BeNil())
+			Expect(currentBackEnd()).To(BeNil())
 			Expect(follower.announce(server, uint64(2*sequence+3))).To(Succeed(), "it comes back by the leader")
 		}
 	})
@@ -90,24 +90,24 @@
 		Expect(leader.announce(server, 0)).To(Succeed())
 		net.setPartitioned(follower, false)
 		f.advance(core.DefaultBackEndLease - 50*time.Millisecond)
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 		f.advance(100 * time.Millisecond)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 	})
 
 	It("are rejected at once while it does not reach the leader, so that the back end goes to another one", func() {
 		net.setPartitioned(follower, true)
 		Expect(follower.announce(server, 2)).To(Succeed(), "the last batch was answered just now")
-		f.advance(relayLapse)
+		f.advance(relayExpiry)
 		for _, announced := range []*protocol.BackEnd{server, withCapacity(7), draining} {
-			refused := follower.announce(announced, 3)
-			Expect(failure.Is(refused, failure.Unavailable)).To(BeTrue(), "%v", refused)
-			Expect(failure.From(refused).GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
-			Expect(failure.From(refused).GetRetryAfterMillis()).NotTo(BeZero())
+			rejected := follower.announce(announced, 3)
+			Expect(failure.Is(rejected, failure.Unavailable)).To(BeTrue(), "%v", rejected)
+			Expect(failure.From(rejected).GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
+			Expect(failure.From(rejected).GetRetryAfterMillis()).NotTo(BeZero())
 		}
 		_, err := f.announceEverySecond(other, server, 3, 8*time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 		By("healing the link")
 		net.setPartitioned(follower, false)
 		f.advance(relayInterval)
@@ -132,9 +132,9 @@
 		release := net.setUnresponsive(leader)
 		DeferCleanup(release)
 		net.setPartitioned(other, true)
-		net.arrivedAt(leader)
+		net.takeTraffic(leader)
 		f.clock.step(relayInterval)
-		Eventually(func() int { return net.arrivedAt(leader).requests }).Should(Equal(1), "the follower's batch")
+		Eventually(func() int { return net.takeTraffic(leader).requests }).Should(Equal(1), "the follower's batch")
 		net.setPartitioned(other, false)
 		f.set(func() { f.leader, other.since = other, f.clock.Now() })
 		Eventually(func() error {
@@ -145,11 +145,11 @@
 
 	It("that change something are in the log before they are acknowledged", func() {
 		Expect(follower.announce(withCapacity(7), 2)).To(Succeed())
-		Expect(held().GetCapacity()).To(BeEquivalentTo(7))
+		Expect(currentBackEnd().GetCapacity()).To(BeEquivalentTo(7))
 		net.setPartitioned(leader, true)
 		lost := follower.announce(withCapacity(8), 3)
 		Expect(failure.From(lost).GetOutcome()).To(Equal(protocol.Outcome_UNKNOWN))
-		Expect(held().GetCapacity()).To(BeEquivalentTo(7))
+		Expect(currentBackEnd().GetCapacity()).To(BeEquivalentTo(7))
 		net.setPartitioned(leader, false)
 		invalid := follower.announce(&protocol.BackEnd{Id: "m2"}, 1)
 		Expect(core.IsInvalid(invalid)).To(BeTrue(), "the leader's refusal comes back: %v", invalid)
@@ -160,7 +160,7 @@
 		leader.renew(front, leader.machine.View().Versions())
 		outcome := make(chan error, 2)
 		go func() { outcome <- follower.announce(draining, 2) }()
-		Eventually(func() protocol.BackEndState { return held().GetState() }).Should(Equal(protocol.BackEndState_DRAINING))
+		Eventually(func() protocol.BackEndState { return currentBackEnd().GetState() }).Should(Equal(protocol.BackEndState_DRAINING))
 		By("sending it again once the member's own view says so")
 		go func() { outcome <- follower.announce(draining, 3) }()
 		f.advance(time.Second)
@@ -169,14 +169,14 @@
 		Eventually(outcome).Should(Receive(BeNil()))
 		Eventually(outcome).Should(Receive(BeNil()))
 		Expect(follower.announce(server, 4)).To(Succeed())
-		Expect(held().GetState()).To(Equal(protocol.BackEndState_DRAINING))
+		Expect(currentBackEnd().GetState()).To(Equal(protocol.BackEndState_DRAINING))
 	})
 
 	It("of draining are not acknowledged by a leader that lost its place", func() {
 		leader.renew(frontNode("f1", 1), leader.machine.View().Versions())
 		outcome := make(chan error, 1)
 		go func() { outcome <- follower.announce(draining, 2) }()
-		Eventually(func() protocol.BackEndState { return held().GetState() }).Should(Equal(protocol.BackEndState_DRAINING))
+		Eventually(func() protocol.BackEndState { return currentBackEnd().GetState() }).Should(Equal(protocol.BackEndState_DRAINING))
 		f.advance(50 * time.Millisecond)
 		f.lead(other)
 		var lost error
@@ -190,7 +190,7 @@
 			Expect(follower.announce(server, 8)).To(Succeed())
 			f.advance(time.Second)
 		}
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 	})
 
 	It("do not bring back one that was removed, also from a member that does not know of it", func() {
@@ -198,13 +198,13 @@
 		Expect(leader.service.RemoveBackEnd(f.context(), "m1", 0)).To(Succeed())
 		Expect(follower.announce(server, 8)).To(Succeed(), "its view still holds the back end")
 		f.advance(time.Second)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 		Expect(follower.announce(server, 9)).To(Succeed())
 		follower.catchUp()
 		before := logIndex()
 		Expect(follower.announce(server, 10)).To(Succeed())
 		f.advance(time.Second)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 		Expect(logIndex()).To(Equal(before))
 	})
 
@@ -213,30 +213,30 @@
 		Expect(other.announce(withCapacity(7), 2)).To(Succeed())
 		Expect(follower.announce(server, 3)).To(Succeed(), "the member cannot know yet")
 		f.advance(relayInterval)
-		Expect(held().GetCapacity()).To(BeEquivalentTo(7))
+		Expect(currentBackEnd().GetCapacity()).To(BeEquivalentTo(7))
 		Expect(follower.announce(server, 4)).To(Succeed())
-		Expect(held().GetCapacity()).To(BeZero())
+		Expect(currentBackEnd().GetCapacity()).To(BeZero())
 		follower.catchUp()
-		net.arrivedAt(leader)
+		net.takeTraffic(leader)
 		Expect(follower.announce(server, 5)).To(Succeed())
-		Expect(net.arrivedAt(leader).announcements).To(BeZero(), "the two agree again")
+		Expect(net.takeTraffic(leader).announcements).To(BeZero(), "the two agree again")
 	})
 
 	It("go to the leader when the lease expired", func() {
 		f.advance(core.DefaultBackEndLease + 100*time.Millisecond)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 		Expect(follower.announce(server, 2)).To(Succeed())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 	})
 
 	It("go to the leader when the lease expired there and the member does not know of it", func() {
 		f.set(func() { follower.lagging = true })
 		f.advance(core.DefaultBackEndLease + 100*time.Millisecond)
-		Expect(held()).To(BeNil())
+		Expect(currentBackEnd()).To(BeNil())
 		Expect(follower.announce(server, 2)).To(Succeed())
 		f.advance(relayInterval)
 		Expect(follower.announce(server, 3)).To(Succeed())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 	})
 
 	It("are kept alive by a new leader, which gives every back end a full lease", func() {
@@ -244,15 +244,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		leader = f.lead(other)
 		f.advance(core.DefaultBackEndLease - 100*time.Millisecond)
-		Expect(held()).NotTo(BeNil(), "before the new leader heard anything")
+		Expect(currentBackEnd()).NotTo(BeNil(), "before the new leader heard anything")
 		sequence, err := f.announceEverySecond(follower, server, 10, 8*time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 		By("making the member itself the leader")
 		leader = f.lead(follower)
 		_, err = f.announceEverySecond(other, server, sequence, 8*time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held()).NotTo(BeNil())
+		Expect(currentBackEnd()).NotTo(BeNil())
 	})
 
 	It("are accepted from members of the core only", func() {
@@ -282,8 +282,8 @@
 var _ = Describe("the traffic of heartbeats at the leader", func() {
 	// interval is the time between two heartbeats of a back end.
 	const interval = time.Second
-	// arrivedIn counts for one interval what arrives at the leader when back ends use the addresses that they are given.
-	arrivedIn := func(backEnds int) (direct int, relayed traffic) {
+	// countTraffic counts for one interval what arrives at the leader when back ends use the addresses that they are given.
+	countTraffic := func(backEnds int) (direct int, relayed traffic) {
 		f, net := newConnectedFleet(4)
 		leader := f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
@@ -295,7 +295,7 @@
 			Expect(leader.announce(modelServer(strconv.Itoa(number)), 1)).To(Succeed())
 		}
 		f.advance(interval)
-		net.arrivedAt(leader)
+		net.takeTraffic(leader)
 		for number := range backEnds {
 			server := modelServer(strconv.Itoa(number))
 			target := addresses[leader.service.HeartbeatAddress(server)]
@@ -305,12 +305,12 @@
 			Expect(target.announce(server, 2)).To(Succeed())
 		}
 		f.advance(interval)
-		return direct, net.arrivedAt(leader)
+		return direct, net.takeTraffic(leader)
 	}
 
 	It("does not grow by one request a back end", func() {
-		directFew, few := arrivedIn(300)
-		directMany, many := arrivedIn(3000)
+		directFew, few := countTraffic(300)
+		directMany, many := countTraffic(3000)
 		Expect(directFew).To(BeZero())
 		Expect(directMany).To(BeZero())
 		Expect(few.heartbeats).To(Equal(300))
--- a/internal/controlplane/core/leadership.go
+++ b/internal/controlplane/core/leadership.go
@@ -33,8 +33,8 @@
 	return current.lost, true
 }
 
-// otherLeader is the leader as far as this member knows; nil when there is none, or this member leads.
-func (o *ownerLoop) otherLeader() *protocol.CoreMember {
+// remoteLeader is the leader as far as this member knows; nil when there is none, or this member leads.
+func (o *ownerLoop) remoteLeader() *protocol.CoreMember {
 	leader := o.consensus.Leader()
 	if leader == nil || leader.GetAddress() == "" || leader.GetId() == o.consensus.Status().GetId() {
 		return nil
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -27,12 +27,12 @@
 	heartbeatForwarded
 )
 
-// announceAtMember handles an announcement at a member that does not lead.
-func (s *Service) announceAtMember(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
+// announceAtFollower handles an announcement at a member that does not lead.
+func (s *Service) announceAtFollower(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	outcome := heartbeatNoLeader
 	leaderAddress := ""
 	executed := s.owner.execute(ctx, func(now time.Time) {
-		leader := s.owner.otherLeader()
+		leader := s.owner.remoteLeader()
 		leaderAddress = leader.GetAddress()
 		outcome = s.owner.classifyHeartbeat(leader, backEnd, sequence, now)
 	})
@@ -114,7 +114,7 @@
 	if o.caller == nil {
 		return
 	}
-	leader := o.otherLeader()
+	leader := o.remoteLeader()
 	o.relay.ObserveLeader(leader.GetId())
 	if leader == nil {
 		return
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -34,7 +34,7 @@
 	heartbeatBatches *prometheus.CounterVec
 	drains           *prometheus.CounterVec
 	reconciled       *prometheus.CounterVec
-	guards           prometheus.Counter
+	guardWithdrawals prometheus.Counter
 	versions         *prometheus.GaugeVec
 	ordersRetained   prometheus.Gauge
 	nodes            prometheus.Gauge
@@ -51,7 +51,7 @@
 			"Batches of heartbeats between core members by what became of them.", "result"),
 		drains:     counters("drains_total", "Drains of back ends by how they ended.", "result"),
 		reconciled: counters("reconciled_total", "Commands of the reconciler by result.", "result"),
-		guards: prometheus.NewCounter(prometheus.CounterOpts{
+		guardWithdrawals: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: metricsNamespace, Name: "guard_withdrawals_total",
 			Help: "Candidates withdrawn by the guard of their roll-out.",
 		}),
@@ -65,7 +65,7 @@
 	}
 	if registerer != nil {
 		registerer.MustRegister(m.leases, m.backEndLeases, m.heartbeatBatches, m.drains,
-			m.reconciled, m.guards, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
+			m.reconciled, m.guardWithdrawals, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
 	}
 	return m
 }
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -44,7 +44,7 @@
 	filesystem storage.Filesystem, clock replica.Clock, logger *log.Logger, registerer prometheus.Registerer,
 ) (*replica.Replica, error) {
 	self := process.Self
-	built, err := replica.New(replica.Options{
+	member, err := replica.New(replica.Options{
 		Self: &protocol.CoreMember{
 			Name: self.GetName(), Address: self.GetAddress(), HttpAddress: self.GetHttpAddress(),
 			Zone: self.GetZone(), Region: self.GetRegion(),
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	process.OnSettings(func(changed *protocol.NodeSettings) { built.SetSeeds(changed.GetSeeds()) })
-	return built, nil
+	process.OnSettings(func(changed *protocol.NodeSettings) { member.SetSeeds(changed.GetSeeds()) })
+	return member, nil
 }
 
 func millis(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
--- a/internal/controlplane/core/node_leases.go
+++ b/internal/controlplane/core/node_leases.go
@@ -105,7 +105,7 @@
 // renewNodeLease counts the lease from the moment at which the owner handles it, and
 // grants it only while the leader lease runs.
 func (o *ownerLoop) renewNodeLease(
-	ctx context.Context, node *protocol.Node, inForce *protocol.ControlVersions,
+	ctx context.Context, node *protocol.Node, active *protocol.ControlVersions,
 ) renewalOutcome {
 	outcome := renewalNotLeader
 	executed := o.execute(ctx, func(now time.Time) {
@@ -127,7 +127,7 @@
 		}
 		outcome = renewalGranted
 		o.metrics.leases.WithLabelValues(eventRenewed).Inc()
-		o.acknowledgeVersions(holder, inForce, now)
+		o.acknowledgeVersions(holder, active, now)
 	})
 	if !executed {
 		return renewalNotLeader
@@ -137,14 +137,14 @@
 
 // acknowledgeVersions records what a node has in force, and checks the drains when that is a newer view of the back
 // ends.
-func (o *ownerLoop) acknowledgeVersions(holder leases.Holder, inForce *protocol.ControlVersions, now time.Time) {
+func (o *ownerLoop) acknowledgeVersions(holder leases.Holder, active *protocol.ControlVersions, now time.Time) {
 	lease := o.nodes.Find(holder)
-	if lease == nil || inForce == nil {
+	if lease == nil || active == nil {
 		return
 	}
-	former := lease.InForce().BackEnds
-	lease.Acknowledge(inForce)
-	if lease.InForce().BackEnds > former {
+	previous := lease.InForce().BackEnds
+	lease.Acknowledge(active)
+	if lease.InForce().BackEnds > previous {
 		o.checkDrains(now)
 	}
 }
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -33,7 +33,7 @@
 	if !executed {
 		return nil, controllog.Interrupted(ctx)
 	}
-	return &protocol.ShareOutcomesResponse{Suspects: describeEjected(ejected)}, nil
+	return &protocol.ShareOutcomesResponse{Suspects: encodeEjected(ejected)}, nil
 }
 
 func decodeReport(request *protocol.ShareOutcomesRequest) serverhealth.Report {
@@ -50,9 +50,9 @@
 
 // mergeOutcomes adds a report and notifies those who watch the ejected servers when it changed them.
 func (o *ownerLoop) mergeOutcomes(report serverhealth.Report, now time.Time) {
-	former := o.serverHealth.Version()
+	previous := o.serverHealth.Version()
 	o.serverHealth.Merge(report, now)
-	if o.serverHealth.Version() == former {
+	if o.serverHealth.Version() == previous {
 		return
 	}
 	close(o.ejectedChanged)
@@ -96,7 +96,7 @@
 		changed = s.owner.ejectedChanged
 		if version := s.owner.serverHealth.Version(); version != request.GetKnown() {
 			ejected := s.owner.serverHealth.Ejected(request.GetZone(), now)
-			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: describeEjected(ejected)}
+			answer = &protocol.WatchSuspectsResponse{Version: version, Suspects: encodeEjected(ejected)}
 		}
 	})
 	if !executed {
@@ -105,7 +105,7 @@
 	return answer, changed, nil
 }
 
-func describeEjected(ejected []serverhealth.EjectedServer) []*protocol.SuspectBackEnd {
+func encodeEjected(ejected []serverhealth.EjectedServer) []*protocol.SuspectBackEnd {
 	described := make([]*protocol.SuspectBackEnd, 0, len(ejected))
 	for _, server := range ejected {
 		described = append(described, &protocol.SuspectBackEnd{
--- a/internal/controlplane/core/owner_loop.go
+++ b/internal/controlplane/core/owner_loop.go
@@ -30,12 +30,12 @@
 
 // ownerLoop runs the goroutine that owns what this process keeps in memory only. Of a
 // leader these are the leases of nodes and back ends, pending drains, the sums
-// of a roll-out's variants, the health of back ends and the state of the
+// ofSection a roll-out's variants, the health of back ends and the state of the
 // reconciler; of another member, the heartbeats that the leader does not have
 // yet. The goroutine works through a queue of commands and a tick, and ends with close.
 //
 // Fields without a remark are set before start and not changed. The methods that
-// take the time as now run on the goroutine; the others may be called by any.
+// apply the time as now run on the goroutine; the others may be called by any.
 type ownerLoop struct {
 	clock     replica.Clock
 	consensus Consensus
--- a/internal/controlplane/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -37,7 +37,7 @@
 
 var _ = Describe("a full snapshot of a view", func() {
 	It("is sent packed to a node that accepts that, and plain to another one", func() {
-		d := &delivery{fleet: newFleet(1, nil)}
+		d := &pollingFleet{fleet: newFleet(1, nil)}
 		d.leader = d.fleet.lead(d.fleet.members[0])
 		for number := range 60 {
 			node := &protocol.Node{
@@ -67,18 +67,18 @@
 })
 
 var _ = Describe("a full snapshot of the configuration", func() {
-	var d *delivery
+	var d *pollingFleet
 	var registry *prometheus.Registry
 	BeforeEach(func() {
 		registry = prometheus.NewRegistry()
 		public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{5}))
 		Expect(err).NotTo(HaveOccurred())
-		d = &delivery{private: private, fleet: newFleet(1, func(options *core.Options) { options.Registerer = registry })}
+		d = &pollingFleet{private: private, fleet: newFleet(1, func(options *core.Options) { options.Registerer = registry })}
 		d.leader = d.fleet.lead(d.fleet.members[0])
 		d.propose(&protocol.Command{Body: &protocol.Command_SeedSignOffKeys{SeedSignOffKeys: &protocol.SeedSignOffKeysCommand{
 			Keys: []*protocol.SignOffKey{{Name: "ann", PublicKey: hex.EncodeToString(public)}},
 		}}})
-		d.putInForce(fleetBundle())
+		d.activateBundle(fleetBundle())
 	})
 	poll := func(name string, known uint64, packed bool) *protocol.PollControlResponse {
 		GinkgoHelper()
@@ -113,7 +113,7 @@
 	It("is packed anew for a new version, and a change is still sent as a delta", func() {
 		known := d.leader.machine.View().Configuration.GetVersion()
 		former := poll("f1", 0, true).GetPackedConfiguration()
-		d.putInForce(&protocol.Bundle{
+		d.activateBundle(&protocol.Bundle{
 			Version: 2, BaseVersion: 1, Partial: true,
 			Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}},
 		})
--- a/internal/controlplane/core/poll_test.go
+++ b/internal/controlplane/core/poll_test.go
@@ -11,16 +11,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-type polled struct {
+type pollOutcome struct {
 	answer *protocol.PollControlResponse
 	err    error
 }
 
-func (m *member) pollBeside(known *protocol.ControlVersions, wait uint32) <-chan polled {
-	outcome := make(chan polled, 1)
+func (m *member) pollAsync(known *protocol.ControlVersions, wait uint32) <-chan pollOutcome {
+	outcome := make(chan pollOutcome, 1)
 	go func() {
 		answer, err := m.poll(frontNode("f1", 1), known, wait)
-		outcome <- polled{answer: answer, err: err}
+		outcome <- pollOutcome{answer: answer, err: err}
 	}()
 	return outcome
 }
@@ -49,10 +49,10 @@
 	})
 
 	It("wait until something changes", func() {
-		outcome := leader.pollBeside(leader.machine.View().Versions(), 10_000)
+		outcome := leader.pollAsync(leader.machine.View().Versions(), 10_000)
 		Consistently(outcome, "20ms").ShouldNot(Receive())
 		leader.renew(frontNode("f2", 1), nil)
-		var got polled
+		var got pollOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(2))
@@ -60,29 +60,29 @@
 
 	It("are answered without sections when the time requested has passed", func() {
 		f.advance(time.Second)
-		outcome := leader.pollBeside(leader.machine.View().Versions(), 2000)
-		Eventually(f.clock.waiting).Should(Equal(3))
+		outcome := leader.pollAsync(leader.machine.View().Versions(), 2000)
+		Eventually(f.clock.pendingTimers).Should(Equal(3))
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(1900 * time.Millisecond)
 		Expect(outcome).NotTo(Receive())
 		f.advance(200 * time.Millisecond)
-		var got polled
+		var got pollOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(proto.Equal(got.answer, &protocol.PollControlResponse{})).To(BeTrue())
 	})
 
 	It("end when the leadership ends", func() {
-		outcome := leader.pollBeside(leader.machine.View().Versions(), 10_000)
-		Eventually(f.clock.waiting).Should(Equal(3))
+		outcome := leader.pollAsync(leader.machine.View().Versions(), 10_000)
+		Eventually(f.clock.pendingTimers).Should(Equal(3))
 		f.lead(f.members[1])
-		var got polled
+		var got pollOutcome
 		Eventually(outcome).Should(Receive(&got))
 		Expect(failure.Is(got.err, failure.NotLeader)).To(BeTrue())
 	})
 })
 
-// waiting counts the timers that have not fired.
-func (c *virtualClock) waiting() int {
+// pendingTimers counts the timers that have not fired.
+func (c *virtualClock) pendingTimers() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.timers)
--- a/internal/controlplane/core/rollouts.go
+++ b/internal/controlplane/core/rollouts.go
@@ -43,7 +43,7 @@
 		return errors.Wrap(err, "withdraw by guard")
 	}
 	if result.GetAccepted() {
-		s.metrics.guards.Inc()
+		s.metrics.guardWithdrawals.Inc()
 		s.logger.Warn("candidate withdrawn", "version", rollout.GetCandidateVersion(), "reason", reason)
 	}
 	return nil
--- a/internal/controlplane/core/successor_test.go
+++ b/internal/controlplane/core/successor_test.go
@@ -15,9 +15,9 @@
 	const step = 50 * time.Millisecond
 	var leader *member
 	var f *fleet
-	// pass lets time pass while the stores named renew their leases and copy what they are to copy.
-	pass := func(span time.Duration, stores ...*protocol.Node) {
-		for range span / step {
+	// advance lets time pass while the stores named renew their leases and copy what they are to copy.
+	advance := func(duration time.Duration, stores ...*protocol.Node) {
+		for range duration / step {
 			for _, store := range stores {
 				leader.renew(store, nil)
 			}
@@ -32,8 +32,8 @@
 		}
 		return nodes
 	}
-	// complete reports whether every shard has three replicas that vote, none of them on a store.
-	complete := func(without string) bool {
+	// fullyReplicated reports whether every shard has three replicas that vote, none of them on a store.
+	fullyReplicated := func(without string) bool {
 		for _, shard := range leader.machine.View().Placement.GetShards() {
 			if len(shard.GetNext()) > 0 || len(shard.GetCurrent()) != core.DefaultReplicaCount {
 				return false
@@ -49,28 +49,28 @@
 	BeforeEach(func() {
 		f = newFleet(1, nil)
 		leader = f.lead(f.members[0])
-		pass(3*time.Second, stores(0, 1, 2, 3)...)
+		advance(3*time.Second, stores(0, 1, 2, 3)...)
 		Expect(leader.machine.View().Placement.GetShards()).To(HaveLen(core.DefaultShardCount))
 	})
 
 	It("are on its successor within four seconds of the successor's start", func() {
-		pass(time.Second, stores(0, 1, 2)...)
+		advance(time.Second, stores(0, 1, 2)...)
 		successor := storeNode("s4", "z3")
-		pass(4*time.Second, append(stores(0, 1, 2), successor)...)
-		Expect(complete("s3")).To(BeTrue())
+		advance(4*time.Second, append(stores(0, 1, 2), successor)...)
+		Expect(fullyReplicated("s3")).To(BeTrue())
 	})
 
 	It("stay where they are while it is unresponsive for as long as a restart takes, and no other store has joined",
 		func() {
 			epoch := leader.machine.View().Placement.GetEpoch()
-			pass(4*time.Second, stores(0, 1, 2)...)
-			pass(time.Second, stores(0, 1, 2, 3)...)
+			advance(4*time.Second, stores(0, 1, 2)...)
+			advance(time.Second, stores(0, 1, 2, 3)...)
 			Expect(leader.machine.View().Placement.GetEpoch()).To(Equal(epoch))
 		})
 
 	It("are on the other stores when no successor comes", func() {
-		pass(40*time.Second, stores(0, 1, 2)...)
-		Expect(complete("s3")).To(BeTrue())
+		advance(40*time.Second, stores(0, 1, 2)...)
+		Expect(fullyReplicated("s3")).To(BeTrue())
 	})
 })
 
--- a/internal/controlplane/core/wire_handler.go
+++ b/internal/controlplane/core/wire_handler.go
@@ -13,14 +13,14 @@
 
 // Serve answers one request of a node or of another core process.
 func (s *Service) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-	response, err := s.answer(ctx, request)
+	response, err := s.dispatch(ctx, request)
 	if err != nil {
 		return err
 	}
 	return send(response)
 }
 
-func (s *Service) answer(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
+func (s *Service) dispatch(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_Consensus, *protocol.Request_JoinCore,
 		*protocol.Request_CoreStatus, *protocol.Request_LocateCore:
@@ -50,7 +50,7 @@
 		drained, err := s.serveDrain(ctx, body.DrainBackEnd)
 		return &protocol.Response{Body: &protocol.Response_DrainBackEnd{DrainBackEnd: drained}}, err
 	case *protocol.Request_ShardCopied:
-		err := s.shardCopied(ctx, body.ShardCopied)
+		err := s.reportShardCopied(ctx, body.ShardCopied)
 		return &protocol.Response{Body: &protocol.Response_ShardCopied{ShardCopied: &protocol.ShardCopiedResponse{}}}, err
 	case *protocol.Request_ReportArms:
 		err := s.reportVariants(ctx, body.ReportArms)
@@ -88,7 +88,7 @@
 	return &protocol.DrainBackEndResponse{ViewVersion: result.GetIndex()}, nil
 }
 
-func (s *Service) shardCopied(ctx context.Context, request *protocol.ShardCopiedRequest) error {
+func (s *Service) reportShardCopied(ctx context.Context, request *protocol.ShardCopiedRequest) error {
 	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_ShardCopied{
 		ShardCopied: &protocol.ShardCopiedCommand{
 			Store: request.GetStore(), StorageId: request.GetStorageId(), Shard: request.GetShard(), Epoch: request.GetEpoch(),
