--- a/internal/controlplane/core/adapter_api.go
+++ b/internal/controlplane/core/adapter_api.go
@@ -10,23 +10,23 @@
 )
 
 // The methods in this file and in announce.go are the control plane's interface for adapters in
-// the same process. Each but AnnounceBackEnd is answered by the leader; at another member it fails
-// so that IsNotLeader holds, and LeaderHTTPAddress says where to ask. Errors are
-// of type *failure.Error; one with the outcome UNKNOWN may or may not have taken
-// effect, and the same call may be made again at any member.
+// the same process. Only the leader serves them, except for AnnounceBackEnd; a follower returns an
+// error for which IsNotLeader is true, and LeaderHTTPAddress returns the address to retry at.
+// Errors are of type *failure.Error. A call that failed with the outcome UNKNOWN may or may not
+// have taken effect; it may be repeated at any member.
 
-// IsNotLeader reports that the call was made at a member that does not lead and did nothing.
+// IsNotLeader reports whether the call failed because this member is not the leader. Such a call had no effect.
 func IsNotLeader(err error) bool {
 	return failure.Is(err, failure.NotLeader) || failure.Is(err, failure.NoLeader)
 }
 
-// IsConflict reports that a release was rejected because another version is in
-// force than the one it was built on, or because its number has other content already.
+// IsConflict reports whether a release was rejected because the active version is not the one that
+// it was built on, or because its version number is taken by a bundle with other content.
 func IsConflict(err error) bool {
 	return failure.Is(err, failure.WrongBase) || failure.Is(err, failure.VersionTaken)
 }
 
-// IsInvalid reports that the request has faults; it is rejected whenever it is sent.
+// IsInvalid reports whether the request itself is invalid, so that repeating it fails again.
 func IsInvalid(err error) bool {
 	for _, code := range []failure.Code{
 		failure.InvalidBundle, failure.InvalidOrder, failure.InvalidField, failure.MissingField,
@@ -39,14 +39,14 @@
 	return false
 }
 
-// IsUnknownStore reports that there is no store of the name.
+// IsUnknownStore reports whether no store has the requested name.
 func IsUnknownStore(err error) bool { return failure.Is(err, failure.NotFound) }
 
-// IsTooFewStores reports that a store cannot be emptied because too few would be left.
+// IsTooFewStores reports whether a store cannot be emptied because too few stores would remain.
 func IsTooFewStores(err error) bool { return failure.Is(err, failure.TooFewStores) }
 
-// LeaderHTTPAddress is the HTTP address (ip:port) of the leader as far as this
-// process knows; empty when it knows none or leads itself.
+// LeaderHTTPAddress returns the HTTP address (ip:port) of the leader known to this process. It is
+// empty if no leader is known or this process leads.
 func (s *Service) LeaderHTTPAddress() string {
 	leader := s.consensus.Leader()
 	if leader == nil || leader.GetId() == s.consensus.Status().GetId() {
@@ -55,10 +55,10 @@
 	return leader.GetHttpAddress()
 }
 
-// ReleaseBundle puts a bundle, complete or partial, in force if the version in force is expectedVersion (zero: none).
-// It returns nil only when the release is on the disks of a majority of the core and applied. The same release made
-// again is acknowledged again, at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden unless the
-// settings trust operators.
+// ReleaseBundle activates a bundle, complete or partial, if the active version is expectedVersion (zero: none). It
+// returns nil only once the release is on the disks of a majority of the core and applied. Releases are idempotent:
+// the same release is acknowledged again at any later time. Failures: IsConflict, IsInvalid, IsNotLeader; Forbidden
+// unless the settings trust operators.
 func (s *Service) ReleaseBundle(ctx context.Context, bundle *protocol.Bundle, expectedVersion uint64) error {
 	if !s.trustOperators {
 		return controllog.Untrusted()
@@ -67,8 +67,8 @@
 	return err
 }
 
-// ActiveBundle is the bundle in force, nil when there is none. The read is linearizable; the bundle must not be
-// changed.
+// ActiveBundle returns the active bundle, or nil if there is none. The read is linearizable; the caller must not modify
+// the bundle.
 func (s *Service) ActiveBundle(ctx context.Context) (*protocol.Bundle, error) {
 	view, err := s.freshView(ctx)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return view.Configuration.GetActive(), nil
 }
 
-// freshView is a view that holds all that was committed when it was called.
+// freshView returns a view that includes every command committed before the call.
 func (s *Service) freshView(ctx context.Context) (*controlstate.View, error) {
 	if err := s.consensus.Barrier(ctx); err != nil {
 		return nil, controllog.Failure(err)
@@ -85,10 +85,10 @@
 	return s.machine.View(), nil
 }
 
-// EmptyStore orders that all shards leave a store. An order given again changes nothing. Failures: IsUnknownStore,
-// IsTooFewStores when fewer stores would be left than a shard has replicas, IsNotLeader. It does not insist on the
-// spread of the replicas, as the operators' interface does: a platform that orders it by an adapter decides about its
-// own machines, and its interface has no field to give the spread up with.
+// EmptyStore orders that all shards be moved off a store. Repeating the order changes nothing. Failures:
+// IsUnknownStore, IsTooFewStores if fewer stores would remain than a shard has replicas, IsNotLeader. Unlike the
+// operators' interface it does not require that the replicas stay spread over zones: a platform that empties a store
+// through an adapter decides about its own machines, and its interface has no field to waive the requirement.
 func (s *Service) EmptyStore(ctx context.Context, store string) error {
 	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_EmptyStore{
 		EmptyStore: &protocol.EmptyStoreCommand{Store: store, StoresToKeep: s.replicaCount},
@@ -96,20 +96,21 @@
 	return err
 }
 
-// StoreState says how far the emptying of a store is.
+// StoreState is the progress of emptying a store.
 type StoreState int
 
-// States of a store. The numbers mean nothing outside the process.
+// States of a store. The numeric values are not used outside the process.
 const (
-	// StoreServing is a store that nobody ordered to be emptied.
+	// StoreServing is the state of a store with no order to empty it.
 	StoreServing StoreState = iota + 1
-	// StoreEmptying is a store that still holds shards or is needed to copy them.
+	// StoreEmptying is the state of a store that still holds shards or is needed to copy them.
 	StoreEmptying
-	// StoreEmptied is a store that may be taken away at once with its disk: every shard has all its replicas elsewhere.
+	// StoreEmptied is the state of a store that may be removed at once with its disk: every shard has all its replicas on
+	// other stores.
 	StoreEmptied
 )
 
-// StoreState reads how far the emptying of a store is, linearizably. Failures: IsUnknownStore, IsNotLeader.
+// StoreState returns the progress of emptying a store. The read is linearizable. Failures: IsUnknownStore, IsNotLeader.
 func (s *Service) StoreState(ctx context.Context, store string) (StoreState, error) {
 	view, err := s.freshView(ctx)
 	if err != nil {
--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -11,27 +11,27 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// announcementOutcome is what the leader decides on a back end's announcement.
+// announcementOutcome is the leader's decision on the announcement of a back end.
 type announcementOutcome int
 
 const (
 	announcementNotLeader announcementOutcome = iota
-	// announcementOutdated came after a later one and changes nothing.
+	// announcementOutdated has no effect, because a later announcement was received before it.
 	announcementOutdated
-	// announcementUnchanged is what the view holds already; the lease was renewed.
+	// announcementUnchanged equals the back end in the view; its lease was renewed.
 	announcementUnchanged
 	// announcementChanged must be written to the log.
 	announcementChanged
 )
 
-// AnnounceBackEnd applies what a back end announces of itself and renews its lease; the log is written only when
-// something changed. The sequence rises with every call of an incarnation: a call with a lower one than was seen
-// before changes nothing, nor does one of a back end that was removed. A back end that was draining stays so. With
-// the state DRAINING it returns nil only once every front node whose lease runs has a view in force that says so,
-// which takes a lease of a front node at most.
+// AnnounceBackEnd applies the announcement of a back end and renews its lease; the log is written only if something
+// changed. The sequence increases with every call of an incarnation: a call with a lower sequence than one received
+// before has no effect, nor has a call for a back end that was removed. A draining back end stays draining. With the
+// state DRAINING the call returns nil only once the active view of every front node with an unexpired lease shows the
+// back end as draining, which takes at most the duration of a front node's lease.
 //
-// Any member takes it. One that does not lead acknowledges what changes nothing and forwards the rest to the leader; it
-// fails with Unavailable while it does not reach the leader.
+// Any member accepts the call. A follower acknowledges an announcement that changes nothing and forwards the others to
+// the leader; it fails with Unavailable while the leader is unreachable.
 func (s *Service) AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	if backEnd.GetId() == "" {
 		return missingField("id")
@@ -42,7 +42,8 @@
 	return s.announceAtFollower(ctx, backEnd, sequence)
 }
 
-// announceAtLeader handles an announcement, whichever member it came by; it fails with NotLeader at another one.
+// announceAtLeader handles an announcement made at the leader or forwarded to it; it fails with NotLeader on a
+// follower.
 func (s *Service) announceAtLeader(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	outcome, err := s.observeAnnouncement(ctx, backEnd, sequence)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return s.awaitDrained(ctx, backEnd.GetId())
 }
 
-// observeAnnouncement decides at the owner, which orders announcements, and renews the lease of a back end that is
-// unchanged.
+// observeAnnouncement classifies an announcement on the owner goroutine, which serializes announcements, and renews the
+// lease of a back end that is unchanged.
 func (s *Service) observeAnnouncement(
 	ctx context.Context, backEnd *protocol.BackEnd, sequence uint64,
 ) (announcementOutcome, error) {
@@ -91,8 +92,8 @@
 	return outcome, nil
 }
 
-// isOutdated records the sequence of an announcement and reports whether it came after a later one, or after the back
-// end left.
+// isOutdated records the sequence of an announcement and reports whether a later announcement was received before it,
+// or the back end was removed.
 func (o *ownerLoop) isOutdated(backEnd leases.Holder, sequence uint64, now time.Time) bool {
 	if o.machine.View().Outdated(backEnd.Name, backEnd.Incarnation, sequence) {
 		return true
@@ -100,7 +101,7 @@
 	return sequence != 0 && !o.sequences.Observe(backEnd, sequence, now)
 }
 
-// writeAnnouncement writes an announcement to the log and begins the lease of what is new in the view.
+// writeAnnouncement writes an announcement to the log and starts the lease of the new or changed back end.
 func (s *Service) writeAnnouncement(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	_, err := s.proposer.ProposeAccepted(ctx, &protocol.Command{Body: &protocol.Command_UpsertBackEnd{
 		UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd, Sequence: sequence},
@@ -113,7 +114,7 @@
 	return err
 }
 
-// awaitDrained returns once no front node sends to a back end any more; it fails when the back end is still ready.
+// awaitDrained returns once no front node sends requests to a back end any more; it fails if the back end is ready.
 func (s *Service) awaitDrained(ctx context.Context, id string) error {
 	view := s.machine.View()
 	if current := view.BackEnd(id); current != nil && current.GetState() != protocol.BackEndState_DRAINING {
@@ -123,17 +124,17 @@
 	return s.awaitBackEndView(ctx, view)
 }
 
-// awaitBackEndView waits until every front node under a lease has the back ends of the view in force, at most as long as
-// a lease lasts.
+// awaitBackEndView waits until every front node with an unexpired lease has activated the back ends of the view, at
+// most for the duration of a lease and its margins.
 func (s *Service) awaitBackEndView(ctx context.Context, view *controlstate.View) error {
 	bounded, cancel := context.WithTimeout(ctx, s.lease+2*leaseMargin)
 	defer cancel()
 	return s.owner.awaitDrain(bounded, view.BackEnds.GetVersion())
 }
 
-// RemoveBackEnd removes a back end that reports that it left: its incarnation is not accepted again. It returns nil
-// once every front node whose lease runs has a view without it in force. Removing one that was removed before is
-// acknowledged.
+// RemoveBackEnd removes a back end that reports its own departure: its incarnation is not accepted again. It returns
+// nil once every front node with an unexpired lease has activated a view without the back end. Removing a back end
+// that was removed before succeeds.
 func (s *Service) RemoveBackEnd(ctx context.Context, id string, sequence uint64) error {
 	if id == "" {
 		return missingField("id")
--- a/internal/controlplane/core/api_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -19,14 +19,14 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// bundleWithLimit is the default bundle with one limit of its own.
+// bundleWithLimit returns the default bundle with another queue limit.
 func bundleWithLimit(version uint64, limit uint32) *protocol.Bundle {
 	limited := bundle.Default(version)
 	limited.Limits.MaxQueued = limit
 	return limited
 }
 
-// bundleWithRoutes is a complete bundle of HTTP routes of which one has another time-out.
+// bundleWithRoutes returns a complete bundle of 350 HTTP routes; the changed one has another time-out.
 func bundleWithRoutes(version uint64, changed int) *protocol.Bundle {
 	routes := &protocol.Bundle{Version: version, Groups: []*protocol.ServerGroup{{Name: "desk"}}}
 	for number := range 350 {
@@ -39,7 +39,7 @@
 	return routes
 }
 
-// pollDeltas polls for what is newer than a version of the configuration.
+// pollDeltas polls for a configuration newer than the given version and accepts deltas.
 func (m *member) pollDeltas(
 	ctx context.Context, node *protocol.Node, configuration uint64,
 ) (*protocol.PollControlResponse, error) {
@@ -55,7 +55,7 @@
 	return answer, err
 }
 
-var _ = Describe("the control plane as an adapter sees it", func() {
+var _ = Describe("the adapter interface of the control plane", func() {
 	var f *fleet
 	var leader *member
 	ctx := context.Background()
@@ -70,7 +70,7 @@
 	}
 
 	Describe("releases", func() {
-		It("are in force once acknowledged, at the next leader too", func() {
+		It("are active once acknowledged, also after a change of leader", func() {
 			Expect(leader.service.ActiveBundle(ctx)).To(BeNil())
 			Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
 			next := f.lead(f.members[1])
@@ -79,7 +79,7 @@
 			Expect(active.GetVersion()).To(BeEquivalentTo(5))
 		})
 
-		It("say apart that another version is in force, that the bundle is invalid and that another member leads", func() {
+		It("distinguish the errors for another active version, an invalid bundle and a follower", func() {
 			Expect(leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)).To(Succeed())
 			conflict := leader.service.ReleaseBundle(ctx, bundleWithLimit(6, 50), 4)
 			Expect([]bool{
@@ -110,7 +110,7 @@
 			Expect(follower.LeaderHTTPAddress()).To(BeEmpty())
 		})
 
-		It("are acknowledged again after a lost answer, hundreds of changes and a restart later", func() {
+		It("are acknowledged again after a lost response, 300 further releases and a restart", func() {
 			f.set(func() { leader.loseAnswers = true })
 			lost := leader.service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0)
 			Expect(failure.From(lost).GetOutcome()).To(Equal(protocol.Outcome_UNKNOWN))
@@ -131,7 +131,7 @@
 			Expect(active.GetVersion()).To(BeEquivalentTo(305))
 		})
 
-		It("let one of many that race win", func() {
+		It("exclude each other: exactly one of 16 concurrent releases is accepted", func() {
 			var group sync.WaitGroup
 			outcomes := make([]error, 16)
 			for i := range outcomes {
@@ -152,12 +152,12 @@
 			Expect(winners).To(Equal(1))
 		})
 
-		It("reach a polling front node as deltas within a coalescing interval, over hundreds of changes", func() {
+		It("reach a polling front node as deltas within a coalescing interval, over 300 changes", func() {
 			front, configuration := frontNode("f1", 1), &protocol.Configuration{}
 			for version := uint64(1); version <= 300; version++ {
 				Expect(leader.service.ReleaseBundle(ctx, bundleWithRoutes(version, int(version)), version-1)).To(Succeed())
 				f.advance(core.DefaultCoalesceInterval)
-				// The clock does not move: a poll that is delayed does not return before the deadline.
+				// The virtual clock stands still, so a poll that is wrongly delayed runs into this deadline.
 				waiting, cancel := context.WithTimeout(ctx, 30*time.Second)
 				answer, err := leader.pollDeltas(waiting, front, configuration.GetVersion())
 				cancel()
@@ -173,7 +173,7 @@
 			}
 		})
 
-		It("are forbidden where the settings do not trust operators", func() {
+		It("are forbidden if the settings do not trust operators", func() {
 			strict := newFleet(1, nil)
 			service := strict.lead(strict.members[0]).service
 			Expect(failure.Is(service.ReleaseBundle(ctx, bundleWithLimit(5, 50), 0), failure.Forbidden)).To(BeTrue())
@@ -194,7 +194,7 @@
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 1)).To(Succeed())
 		})
 
-		It("renew the lease without a write to the log", func() {
+		It("renew the lease without writing to the log", func() {
 			before := logIndex()
 			for sequence := uint64(2); sequence < 12; sequence++ {
 				f.advance(time.Second)
@@ -205,7 +205,7 @@
 			Expect(current()).To(BeNil())
 		})
 
-		It("count a lease of the length in the settings", func() {
+		It("renew the lease for the duration in the settings", func() {
 			short := newFleet(1, func(options *core.Options) { options.BackEndLease = 2 * time.Second })
 			leader := short.lead(short.members[0])
 			short.advance(2 * time.Second)
@@ -216,13 +216,13 @@
 			Expect(leader.machine.View().BackEnd("s1")).To(BeNil())
 		})
 
-		It("change nothing when they are outdated, although the later ones were not written to the log", func() {
+		It("have no effect when they are outdated, even if the later ones were not written to the log", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 6), 2)).To(Succeed())
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 6), 5)).To(Succeed())
 			before := logIndex()
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 4)).To(Succeed())
 			Expect(current().GetCapacity()).To(BeEquivalentTo(6))
-			By("announcing to a new leader, which knows only the log")
+			By("announcing to a new leader, which has only the log")
 			leader = f.lead(f.members[1])
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 1)).To(Succeed())
 			Expect(current().GetCapacity()).To(BeEquivalentTo(6))
@@ -238,7 +238,7 @@
 			Expect(current()).To(BeNil())
 		})
 
-		It("of draining are acknowledged only when every front node has the view in force, again without a write", func() {
+		It("of draining are acknowledged once the view is active on every front node, repeated ones without a write", func() {
 			front := frontNode("f1", 1)
 			leader.renew(front, leader.machine.View().Versions())
 			announce := func(sequence uint64) <-chan error {
@@ -262,7 +262,7 @@
 			Expect(current().GetState()).To(Equal(draining))
 		})
 
-		It("of draining end with the lease of a front node that does not renew it", func() {
+		It("of draining are acknowledged when the lease of an unresponsive front node expires", func() {
 			leader.renew(frontNode("f1", 1), leader.machine.View().Versions())
 			outcome := make(chan error, 1)
 			go func() { outcome <- leader.service.AnnounceBackEnd(ctx, server(draining, 4), 2) }()
@@ -273,14 +273,14 @@
 			Eventually(outcome).Should(Receive(BeNil()))
 		})
 
-		It("of draining that are outdated are not acknowledged while the back end is ready", func() {
+		It("of draining are not acknowledged when they are outdated and the back end is ready", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 7)).To(Succeed())
-			late := leader.service.AnnounceBackEnd(ctx, server(draining, 4), 6)
-			Expect(failure.Is(late, failure.InvalidOrder)).To(BeTrue())
+			outdated := leader.service.AnnounceBackEnd(ctx, server(draining, 4), 6)
+			Expect(failure.Is(outdated, failure.InvalidOrder)).To(BeTrue())
 			Expect(current().GetState()).To(Equal(ready))
 		})
 
-		It("do not bring back one that was removed, which waits for the front nodes too", func() {
+		It("do not restore a removed back end, and its removal waits for the front nodes", func() {
 			front := frontNode("f1", 1)
 			leader.renew(front, leader.machine.View().Versions())
 			outcome := make(chan error, 1)
@@ -297,7 +297,7 @@
 			Expect(logIndex()).To(Equal(before))
 		})
 
-		It("are rejected at a follower and without an id or address", func() {
+		It("are rejected on a follower and without an id or address", func() {
 			follower := f.members[1].service
 			Expect(core.IsNotLeader(follower.AnnounceBackEnd(ctx, server(ready, 4), 2))).To(BeTrue())
 			Expect(core.IsNotLeader(follower.RemoveBackEnd(ctx, "s1", 0))).To(BeTrue())
@@ -306,7 +306,7 @@
 			Expect(core.IsInvalid(leader.service.RemoveBackEnd(ctx, "", 1))).To(BeTrue())
 		})
 
-		It("coexist with those that front nodes relay", func() {
+		It("coexist with the heartbeats that front nodes relay", func() {
 			leader.heartbeat(modelServer("m1"))
 			Expect(leader.service.AnnounceBackEnd(ctx, modelServer("m1"), 3)).To(Succeed())
 			leader.heartbeat(modelServer("m1"))
@@ -317,7 +317,7 @@
 	})
 
 	Describe("the emptying of a store", func() {
-		It("needs to be ordered only once and is known to the next leader", func() {
+		It("continues after a change of leader, and repeating the order changes nothing", func() {
 			for number := range 4 {
 				leader.renew(storeNode(fmt.Sprintf("s%d", number), fmt.Sprintf("z%d", number)), leader.machine.View().Versions())
 			}
@@ -337,7 +337,7 @@
 			Expect(core.IsNotLeader(err)).To(BeTrue())
 		})
 
-		It("takes the last store of a zone while enough stores are left", func() {
+		It("is accepted for the last store of a zone while enough stores remain", func() {
 			for number, zone := range []string{"z0", "z0", "z1", "z2"} {
 				leader.renew(storeNode(fmt.Sprintf("s%d", number), zone), leader.machine.View().Versions())
 			}
@@ -356,7 +356,7 @@
 			return recorder
 		}
 
-		It("releases a bundle and shows it", func() {
+		It("releases a bundle and returns it", func() {
 			Expect(send(leader, "GET", "/v1/releases/active", "").Code).To(Equal(http.StatusNotFound))
 			content, err := strictjson.Marshal(bundleWithLimit(7, 70))
 			Expect(err).NotTo(HaveOccurred())
@@ -370,9 +370,9 @@
 				`{"partial":true}`).Code).To(Equal(http.StatusUnprocessableEntity))
 			Expect(send(leader, "PUT", "/v1/releases/11?base=x", `{}`).Code).To(Equal(http.StatusBadRequest))
 			Expect(send(leader, "GET", "/v1/releases/active", "").Body.String()).To(MatchRegexp(`"max_queued":\s*90`))
-			moved := send(f.members[1], "GET", "/v1/releases/active", "")
-			Expect(moved.Code).To(Equal(http.StatusTemporaryRedirect))
-			Expect(moved.Header().Get("Location")).To(HaveSuffix("/v1/releases/active"))
+			redirected := send(f.members[1], "GET", "/v1/releases/active", "")
+			Expect(redirected.Code).To(Equal(http.StatusTemporaryRedirect))
+			Expect(redirected.Header().Get("Location")).To(HaveSuffix("/v1/releases/active"))
 		})
 
 		It("accepts announcements and removals of back ends", func() {
@@ -391,7 +391,7 @@
 			Expect(send(leader, "GET", "/v1/stores/s0", "").Body.String()).To(ContainSubstring(`"state":"ready"`))
 			Expect(send(leader, "GET", "/v1/stores/s9", "").Code).To(Equal(http.StatusNotFound))
 			Expect(send(leader, "POST", "/v1/stores/s0/empty", `{"stores_to_keep":3}`).Code).To(Equal(http.StatusBadRequest),
-				"an order id is needed")
+				"the order id is missing")
 			ordered := httptest.NewRequest(http.MethodPost, "/v1/stores/s0/empty", strings.NewReader(`{"stores_to_keep":3}`))
 			ordered.Header.Set("Rosestand-Order", "e1")
 			rejected := httptest.NewRecorder()
@@ -400,7 +400,7 @@
 			Expect(rejected.Body.String()).To(ContainSubstring("too_few_stores"))
 		})
 
-		It("rejects all of it where the settings do not trust operators", func() {
+		It("rejects releases and announcements if the settings do not trust operators", func() {
 			strict := newFleet(1, nil)
 			leader := strict.lead(strict.members[0])
 			Expect(send(leader, "PUT", "/v1/releases/7", "{}").Code).To(Equal(http.StatusUnauthorized))
--- a/internal/controlplane/core/coalesce_test.go
+++ b/internal/controlplane/core/coalesce_test.go
@@ -17,7 +17,7 @@
 	var f *fleet
 	var leader *member
 	watcher := frontNode("watcher", 1)
-	// otherNodes is how many other nodes there are.
+	// otherNodes is the number of nodes besides the watcher.
 	const otherNodes = 40
 	BeforeEach(func() {
 		f = newFleet(1, nil)
@@ -45,7 +45,7 @@
 		Expect(got.err).NotTo(HaveOccurred())
 		return got.answer
 	}
-	// syncWatcher makes the watcher hold all there is, long ago.
+	// syncWatcher sends the watcher all sections, lets the coalescing interval pass and returns the versions.
 	syncWatcher := func() *protocol.ControlVersions {
 		GinkgoHelper()
 		expectAnswer(poll(nil, 10_000, false))
@@ -54,7 +54,7 @@
 		return known
 	}
 
-	It("is sent at once when it begins after an idle time, and then once in the coalescing interval", func() {
+	It("is sent at once after an idle period, and then once per coalescing interval", func() {
 		known := syncWatcher()
 		first := poll(known, 10_000, false)
 		Eventually(f.clock.pendingTimers).Should(Equal(2))
@@ -74,10 +74,10 @@
 		Expect(second).NotTo(Receive())
 		f.advance(100 * time.Millisecond)
 		Eventually(second).Should(Receive(&got))
-		Expect(got.answer.GetMembershipDelta().GetUpserted()).To(HaveLen(20), "all of them in one answer")
+		Expect(got.answer.GetMembershipDelta().GetUpserted()).To(HaveLen(20), "changes in one response")
 	})
 
-	Context("of leases that expire at one time", func() {
+	Context("of leases that expire at the same time", func() {
 		var known *protocol.ControlVersions
 		var membership *protocol.MembershipView
 		BeforeEach(func() {
@@ -85,7 +85,7 @@
 			membership = leader.machine.View().Membership
 			Expect(membership.GetNodes()).To(HaveLen(1 + otherNodes))
 		})
-		// advanceToExpiry stops one tick before the leases of all but the watcher end.
+		// advanceToExpiry stops one tick before the leases of all nodes but the watcher expire.
 		advanceToExpiry := func() {
 			GinkgoHelper()
 			for range 4 {
@@ -95,7 +95,7 @@
 			f.advance(200 * time.Millisecond)
 			Expect(leader.names()).To(HaveLen(1 + otherNodes))
 		}
-		// expireBehindGate ends the leases while no removal reaches the log.
+		// expireBehindGate lets the leases expire while a gate keeps the removals from the log.
 		expireBehindGate := func() *proposalGate {
 			GinkgoHelper()
 			advanceToExpiry()
@@ -104,14 +104,14 @@
 			Eventually(gate.blocked).Should(Equal(otherNodes))
 			return gate
 		}
-		// commitRemovals lets removals reach the log and waits until it has them.
+		// commitRemovals releases that many removals from the gate and waits until they are applied.
 		commitRemovals := func(gate *proposalGate, count int) {
 			GinkgoHelper()
 			left := len(leader.names()) - count
 			gate.release(count)
 			Eventually(leader.names).Should(HaveLen(left))
 		}
-		// applyAnswer applies an answer, which is the full snapshot of the membership or a delta.
+		// applyAnswer applies a response, which holds the full snapshot of the membership or a delta.
 		applyAnswer := func(answer *protocol.PollControlResponse) {
 			GinkgoHelper()
 			if delta := answer.GetMembershipDelta(); delta != nil {
@@ -125,13 +125,13 @@
 			}
 			known.Membership = membership.GetVersion()
 		}
-		// expectCurrent checks that the watcher holds the membership that the leader holds, and how many nodes are in it.
+		// expectCurrent checks that the watcher's membership equals the leader's and has that many nodes.
 		expectCurrent := func(nodes int) {
 			GinkgoHelper()
 			Expect(membership.GetNodes()).To(HaveLen(nodes))
 			Expect(proto.Equal(membership, leader.machine.View().Membership)).To(BeTrue())
 		}
-		// applyDelayed takes the answer of a poll that is delayed until the coalescing interval has passed.
+		// applyDelayed applies the response to a poll that is delayed until the coalescing interval has passed.
 		applyDelayed := func(outcome <-chan pollOutcome) {
 			GinkgoHelper()
 			Eventually(f.clock.pendingTimers).Should(Equal(3))
@@ -140,7 +140,7 @@
 			applyAnswer(expectAnswer(outcome))
 		}
 
-		It("is sent in two answers", func() {
+		It("is sent in two responses", func() {
 			first := poll(known, 30_000, false)
 			Eventually(f.clock.pendingTimers).Should(Equal(2))
 			advanceToExpiry()
@@ -153,7 +153,7 @@
 			expectCurrent(1)
 		})
 
-		It("wakes a poll at the first of them, and the others are sent in one answer", func() {
+		It("completes a pending poll at the first removal and is otherwise sent in one response", func() {
 			first := poll(known, 30_000, false)
 			Eventually(f.clock.pendingTimers).Should(Equal(2))
 			gate := expireBehindGate()
@@ -167,7 +167,7 @@
 			expectCurrent(1)
 		})
 
-		DescribeTable("is sent in two answers however many of them the first has", func(count int) {
+		DescribeTable("is sent in two responses however many removals the first one has", func(count int) {
 			gate := expireBehindGate()
 			commitRemovals(gate, count)
 			applyAnswer(expectAnswer(poll(known, 30_000, false)))
@@ -183,7 +183,7 @@
 			Entry("all but one", otherNodes-1),
 		)
 
-		It("is sent in one answer that has all of them", func() {
+		It("is sent in one response if all removals precede the poll", func() {
 			commitRemovals(expireBehindGate(), otherNodes)
 			applyAnswer(expectAnswer(poll(known, 30_000, false)))
 			expectCurrent(1)
@@ -194,7 +194,7 @@
 		})
 	})
 
-	It("delays no fresh poll and none that requests again what was sent", func() {
+	It("does not delay a fresh poll, nor one that requests again what was sent", func() {
 		known := syncWatcher()
 		leader.renew(frontNode("f1", 2), nil)
 		expectAnswer(poll(known, 10_000, false))
--- a/internal/controlplane/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -20,16 +20,16 @@
 type network struct {
 	mutex   sync.Mutex
 	members map[string]*member
-	// partitioned are the addresses whose requests do not get through.
+	// partitioned are the addresses that no request reaches or leaves.
 	partitioned map[string]bool
-	// loseAnswers are the addresses that send requests but get no answers.
+	// loseAnswers are the addresses whose requests are served but whose responses are lost.
 	loseAnswers map[string]bool
 	received    map[string]*traffic
-	// unresponsive are the addresses that take requests and do not answer until their channel is closed.
+	// unresponsive are the addresses that accept requests but send no response until their channel is closed.
 	unresponsive map[string]chan struct{}
 }
 
-// traffic is what arrived at one address.
+// traffic counts the requests that arrived at one address.
 type traffic struct {
 	requests, announcements, heartbeats, bytes int
 }
@@ -64,8 +64,8 @@
 	return answer, err
 }
 
-// route counts a request and finds its receiver, nil when the network is partitioned, and the channel that it waits
-// for there.
+// route counts a request and returns its receiver, nil if the network is partitioned, and the channel that the request
+// blocks on if the receiver is unresponsive.
 func (n *network) route(
 	from, address string, request *protocol.Request,
 ) (target *member, loseAnswer bool, unresponsive chan struct{}) {
@@ -91,7 +91,7 @@
 	return n.received[address]
 }
 
-// takeTraffic is what arrived at a member since the last call.
+// takeTraffic returns the traffic that arrived at a member and resets the counts of all members.
 func (n *network) takeTraffic(m *member) traffic {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -112,7 +112,7 @@
 	n.loseAnswers[m.core.GetAddress()] = lose
 }
 
-// setUnresponsive makes a member answer nothing; release ends that.
+// setUnresponsive makes a member send no responses until release is called.
 func (n *network) setUnresponsive(m *member) (release func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -121,7 +121,7 @@
 	return sync.OnceFunc(func() { close(released) })
 }
 
-// newConnectedFleet makes a fleet whose members reach each other; each is in a zone of its own.
+// newConnectedFleet returns a fleet whose members can call each other; each is in a zone of its own.
 func newConnectedFleet(size int) (*fleet, *network) {
 	n := &network{
 		members: map[string]*member{}, partitioned: map[string]bool{}, loseAnswers: map[string]bool{},
@@ -141,7 +141,7 @@
 	return f, n
 }
 
-// catchUp applies what a lagging member has not applied.
+// catchUp applies the backlog of a lagging member.
 func (m *member) catchUp() {
 	m.fleet.set(func() {
 		for _, entry := range m.backlog {
@@ -158,7 +158,7 @@
 	return m.service.AnnounceBackEnd(ctx, backEnd, sequence)
 }
 
-// announceEverySecond sends heartbeats to a member for a time and returns the last sequence.
+// announceEverySecond sends a heartbeat per second to a member for the duration and returns the last sequence.
 func (f *fleet) announceEverySecond(
 	to *member, backEnd *protocol.BackEnd, sequence uint64, duration time.Duration,
 ) (uint64, error) {
@@ -172,7 +172,7 @@
 	return sequence, nil
 }
 
-// context bounds a call of a spec.
+// context returns a context that bounds the calls of a spec.
 func (f *fleet) context() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	ginkgo.DeferCleanup(cancel)
--- a/internal/controlplane/core/delivery.go
+++ b/internal/controlplane/core/delivery.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// pollAccess is the service as the delivery of views needs it.
+// pollAccess adapts the service to delivery.ControlPlane.
 type pollAccess struct{ *Service }
 
 var _ delivery.ControlPlane = pollAccess{}
@@ -22,8 +22,8 @@
 	return a.owner.currentLeadership()
 }
 
-// AcknowledgeVersions implements delivery.ControlPlane. It drops the update while the queue of the owner is full: the
-// next renewal of the lease acknowledges the same versions.
+// AcknowledgeVersions implements delivery.ControlPlane. It drops the update while the owner's queue is full; the next
+// renewal of the lease acknowledges the same versions.
 func (a pollAccess) AcknowledgeVersions(holder leases.Holder, active *protocol.ControlVersions) {
 	select {
 	case a.owner.queue <- func(now time.Time) { a.owner.acknowledgeVersions(holder, active, now) }:
--- a/internal/controlplane/core/delivery_test.go
+++ b/internal/controlplane/core/delivery_test.go
@@ -22,7 +22,7 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// Sizes of the fleet that delivery is measured with.
+// Sizes of the fleet that delivery is measured on.
 const (
 	fleetFronts   = 324
 	fleetStores   = 6
@@ -34,7 +34,7 @@
 	pollStep = 20 * time.Millisecond
 )
 
-// watcher is a node that holds views and applies what it is sent, as the link of a node does.
+// watcher is a node that holds views and applies the sections that it is sent, as a real node does.
 type watcher struct {
 	node       *protocol.Node
 	absent     bool
@@ -47,7 +47,7 @@
 	answers    int
 }
 
-// pollingFleet is a core with the complete fleet polling it in virtual time.
+// pollingFleet is a core that all nodes of the fleet poll in virtual time.
 type pollingFleet struct {
 	fleet    *fleet
 	leader   *member
@@ -57,7 +57,8 @@
 	sizes    sizeCache
 }
 
-// sizeCache remembers how many bytes a section takes in an answer; nodes share the sections they are sent.
+// sizeCache caches the number of bytes that a section takes in a response; the leader sends the same section to many
+// nodes.
 type sizeCache map[protoreflect.Message]int
 
 func (s sizeCache) ofSection(section protoreflect.Message) int {
@@ -69,7 +70,7 @@
 	return size
 }
 
-// ofAnswer adds up the sections of an answer; their numbers are below 16, so each tag takes one byte.
+// ofAnswer returns the size of a response. The field numbers of its sections are below 16, so each tag takes one byte.
 func (s sizeCache) ofAnswer(answer *protocol.PollControlResponse) int {
 	total := 0
 	answer.ProtoReflect().Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -148,7 +149,7 @@
 	Expect(result.GetAccepted()).To(BeTrue(), result.String())
 }
 
-// activateBundle hands a bundle in and signs it.
+// activateBundle submits a bundle and signs it.
 func (d *pollingFleet) activateBundle(submitted *protocol.Bundle) {
 	GinkgoHelper()
 	put := &protocol.PutBundleCommand{Bundle: submitted}
@@ -159,7 +160,8 @@
 	}}})
 }
 
-// newPollingFleet has all nodes, back ends and routes in place, and every watcher knows all of it.
+// newPollingFleet restores the snapshot, if any, and returns a fleet in which every watcher has the current views. With
+// legacy set, nodes accept neither deltas nor packed sections, and the leader does not coalesce.
 func newPollingFleet(snapshot []byte, private ed25519.PrivateKey, legacy bool) *pollingFleet {
 	GinkgoHelper()
 	d := &pollingFleet{deltas: !legacy, private: private, sizes: sizeCache{}}
@@ -184,7 +186,7 @@
 	return d
 }
 
-// fleetSnapshot is the state that every measurement begins with.
+// fleetSnapshot returns the state that every measurement starts from.
 func fleetSnapshot() ([]byte, ed25519.PrivateKey) {
 	GinkgoHelper()
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{5}))
@@ -207,12 +209,12 @@
 	return snapshot.Bytes(), private
 }
 
-// step lets every node poll once, and time go on by one poll step.
+// step lets every node poll once and advances the clock by one poll step.
 func (d *pollingFleet) step() {
 	GinkgoHelper()
 	view := d.leader.machine.View()
 	for _, w := range d.watchers {
-		// A poll that knows the newest versions would wait; nothing would be sent.
+		// A poll with the newest versions would block and be sent nothing.
 		if w.absent || w.isCurrent(view) {
 			continue
 		}
@@ -227,7 +229,7 @@
 	d.fleet.clock.step(pollStep)
 }
 
-// run makes as many steps as fit into the time; each calls act first.
+// run makes as many steps as fit into the duration; each step calls act first.
 func (d *pollingFleet) run(duration time.Duration, act func(step int)) {
 	GinkgoHelper()
 	for step := range int(duration / pollStep) {
@@ -296,7 +298,7 @@
 	}
 }
 
-// rejoin lets a node join under a new incarnation; one that was restarted holds nothing.
+// rejoin lets a node join under a new incarnation; a restarted node has no views.
 func (d *pollingFleet) rejoin(w *watcher, restarted bool) {
 	GinkgoHelper()
 	w.node = proto.CloneOf(w.node)
@@ -308,7 +310,7 @@
 	d.propose(joinCommand(w.node))
 }
 
-// removeNodes ends the leases of nodes, as one tick of the leader does.
+// removeNodes removes nodes as one tick of the leader does when their leases expire.
 func (d *pollingFleet) removeNodes(lost []*watcher) {
 	GinkgoHelper()
 	for _, w := range lost {
@@ -327,7 +329,7 @@
 	return watchers
 }
 
-// spreadRejoins brings nodes back evenly over a second, or gives them nothing to do once all are there.
+// spreadRejoins returns an action for run that lets nodes rejoin evenly over one second.
 func (d *pollingFleet) spreadRejoins(lost []*watcher, restarted bool) func(step int) {
 	const steps = int(time.Second / pollStep)
 	return func(step int) {
@@ -341,7 +343,7 @@
 
 func noAction(int) {}
 
-// expectConverged checks that every node that is there holds what the leader holds.
+// expectConverged checks that the views of every node equal those of the leader.
 func (d *pollingFleet) expectConverged() {
 	GinkgoHelper()
 	view := d.leader.machine.View()
@@ -349,9 +351,10 @@
 	backEnds := views.BackEndsChecksum(view.BackEnds.GetBackEnds())
 	placement := views.PlacementChecksum(view.Placement)
 	for i, w := range d.watchers {
-		Expect(proto.Equal(w.known, view.Versions())).To(BeTrue(), "%s holds %v of %v", w.node.GetName(), w.known,
+		Expect(proto.Equal(w.known, view.Versions())).To(BeTrue(), "%s has versions %v, want %v", w.node.GetName(), w.known,
 			view.Versions())
-		// The checksums cover every field; they replace the complete comparison, which takes long for each of 330 nodes.
+		// The checksums cover every field. A complete comparison would take too long for each of 330 nodes, so it is made
+		// for every hundredth node only.
 		Expect(views.MembershipChecksum(w.membership.GetNodes())).To(Equal(membership), w.node.GetName())
 		Expect(views.BackEndsChecksum(w.backEnds.GetBackEnds())).To(Equal(backEnds), w.node.GetName())
 		Expect(views.PlacementChecksum(w.placement)).To(Equal(placement), w.node.GetName())
@@ -364,7 +367,7 @@
 	}
 }
 
-// totals sums up what the leader sent.
+// totals sums up the traffic that the leader sent, and returns the largest total of a node.
 func (d *pollingFleet) totals() (bytes, policies, answers, largest int) {
 	for _, w := range d.watchers {
 		bytes, policies, answers, largest = bytes+w.bytes, policies+w.policies, answers+w.answers, max(largest, w.bytes)
@@ -378,15 +381,15 @@
 	const oneRouteChanges = 20
 	BeforeAll(func() {
 		snapshot, private = fleetSnapshot()
-		GinkgoWriter.Println("event | mode | bytes at the leader | of it configuration |",
-			"mean bytes a node | largest node | answers")
+		GinkgoWriter.Println("event | mode | bytes sent by the leader | of these configuration |",
+			"mean bytes per node | largest node | responses")
 	})
 
-	DescribeTable("is cheap and complete after",
+	DescribeTable("costs little and leaves every node with current views after",
 		func(name string, factor int, event func(d *pollingFleet)) {
 			sent := map[string]int{}
-			for _, mode := range []string{"before", "after"} {
-				d := newPollingFleet(snapshot, private, mode == "before")
+			for _, mode := range []string{"snapshots", "deltas"} {
+				d := newPollingFleet(snapshot, private, mode == "snapshots")
 				Expect(d.watchers).To(HaveLen(fleetFronts + fleetStores))
 				event(d)
 				d.run(400*time.Millisecond, noAction)
@@ -396,7 +399,7 @@
 				GinkgoWriter.Printf("%s | %s | %d | %d | %d | %d | %d\n", name, mode, total, policies, total/len(d.watchers),
 					largest, answers)
 			}
-			Expect(sent["after"]*factor).To(BeNumerically("<=", sent["before"]), "views, without the configuration")
+			Expect(sent["deltas"]*factor).To(BeNumerically("<=", sent["snapshots"]), "bytes of views, without the configuration")
 		},
 		Entry("(a) a restart", "(a) one node restarts", 20, func(d *pollingFleet) {
 			lost := d.watchers[:1]
@@ -404,7 +407,7 @@
 			d.run(500*time.Millisecond, noAction)
 			d.rejoin(lost[0], true)
 		}),
-		Entry("(b) the loss of a zone", "(b) a zone of 55 lost, 55 processes come back with the views they had", 20,
+		Entry("(b) the loss of a zone", "(b) a zone of 55 lost, 55 processes rejoin with the views they had", 20,
 			func(d *pollingFleet) {
 				lost := d.inZone("zone-1")
 				Expect(lost).To(HaveLen(55))
@@ -412,18 +415,18 @@
 				d.run(time.Second, noAction)
 				d.run(time.Second, d.spreadRejoins(lost, false))
 			}),
-		Entry("(b) the restart of a zone", "(b) a zone of 55 lost, 55 processes started anew", 8, func(d *pollingFleet) {
+		Entry("(b) the restart of a zone", "(b) a zone of 55 lost, 55 processes restarted", 8, func(d *pollingFleet) {
 			lost := d.inZone("zone-1")
 			d.removeNodes(lost)
 			d.run(time.Second, noAction)
 			d.run(time.Second, d.spreadRejoins(lost, true))
 		}),
-		Entry("(c) the return of all", "(c) all 330 come back at once with the views they had", 4, func(d *pollingFleet) {
+		Entry("(c) the return of all", "(c) all 330 rejoin at once with the views they had", 4, func(d *pollingFleet) {
 			d.removeNodes(d.watchers)
 			d.run(time.Second, noAction)
 			d.run(time.Second, d.spreadRejoins(d.watchers, false))
 		}),
-		Entry("(c) the restart of all", "(c) all 330 started anew at once", 2, func(d *pollingFleet) {
+		Entry("(c) the restart of all", "(c) all 330 restarted at once", 2, func(d *pollingFleet) {
 			d.removeNodes(d.watchers)
 			d.run(time.Second, noAction)
 			d.run(time.Second, d.spreadRejoins(d.watchers, true))
--- a/internal/controlplane/core/drain_test.go
+++ b/internal/controlplane/core/drain_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drainOutcome is the outcome of a drain that runs beside the test.
+// drainOutcome is the outcome of a drain that runs concurrently with the test.
 type drainOutcome struct {
 	Version uint64
 	Err     error
@@ -37,7 +37,7 @@
 		leader.renew(f1, leader.machine.View().Versions())
 		leader.renew(f2, leader.machine.View().Versions())
 	})
-	// startDrain starts a drain and waits until the log has it.
+	// startDrain starts a drain and waits until it is applied.
 	startDrain := func() <-chan drainOutcome {
 		GinkgoHelper()
 		outcome := leader.drainAsync("m1")
@@ -47,7 +47,7 @@
 		return outcome
 	}
 
-	It("is acknowledged only when every front node has the view in force", func() {
+	It("is acknowledged only when the view is active on every front node", func() {
 		outcome := startDrain()
 		Expect(outcome).NotTo(Receive())
 		leader.renew(f1, leader.machine.View().Versions())
@@ -60,7 +60,7 @@
 		Expect(got.Version).To(Equal(leader.machine.View().BackEnds.GetVersion()))
 	})
 
-	It("is acknowledged by a poll of the incarnation with the lease, but not that of another", func() {
+	It("is acknowledged by a poll of the incarnation with the lease, but not by one of another incarnation", func() {
 		outcome := startDrain()
 		leader.renew(f1, leader.machine.View().Versions())
 		_, err := leader.poll(frontNode("f2", 7), leader.machine.View().Versions(), 0)
@@ -83,7 +83,7 @@
 		Eventually(outcome).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("waits under a new leader, which knows no acknowledgements", func() {
+	It("starts over under a new leader, which has no acknowledgements", func() {
 		outcome := startDrain()
 		next := f.lead(f.members[1])
 		var got drainOutcome
@@ -97,7 +97,7 @@
 		Eventually(again).Should(Receive(HaveField("Err", BeNil())))
 	})
 
-	It("of one that is removed waits for the view without it", func() {
+	It("succeeds after its removal when the view without it is active on every front node", func() {
 		f.advance(5 * time.Second)
 		leader.renew(f1, leader.machine.View().Versions())
 		f.advance(200 * time.Millisecond)
--- a/internal/controlplane/core/drains.go
+++ b/internal/controlplane/core/drains.go
@@ -10,16 +10,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// drain waits until no front node with a lease may still send to a back end.
+// drain is a pending call that waits until no front node with a lease may still send requests to a back end.
 type drain struct {
-	// version is that of the back-end view that must be in force.
+	// version is the version of the back-end view that every front node with a lease must have activated.
 	version uint64
 	result  chan error
 }
 
 // drainBackEnd marks a back end as draining and returns once every front node
-// whose lease runs has acknowledged a view that says so. The result is the first
-// one of the order; its index is a view version with the back end draining or removed.
+// with an unexpired lease has acknowledged a view with that state. The result is
+// the first result of the order; at the view version in its index the back end is
+// draining or removed.
 func (s *Service) drainBackEnd(
 	ctx context.Context, orderID string, command *protocol.DrainBackEndCommand,
 ) (*protocol.CommandResult, error) {
@@ -64,7 +65,7 @@
 	o.drains = slices.DeleteFunc(o.drains, func(pending *drain) bool { return pending == removed })
 }
 
-// checkDrains ends the drains whose view every front node with a lease has in force.
+// checkDrains completes the drains whose view is active on every front node with a lease.
 func (o *ownerLoop) checkDrains(now time.Time) {
 	if len(o.drains) == 0 || !o.isLeader() {
 		return
@@ -80,7 +81,8 @@
 	})
 }
 
-// lowestAcknowledgedBackEnds is the oldest version of the back-end view that a front node with a lease may act on.
+// lowestAcknowledgedBackEnds returns the oldest version of the back-end view that a front node with a lease may still
+// use; it is zero if a node with a lease has acknowledged none.
 func (o *ownerLoop) lowestAcknowledgedBackEnds(now time.Time) uint64 {
 	oldest := ^uint64(0)
 	for _, node := range o.machine.View().Membership.GetNodes() {
@@ -97,7 +99,7 @@
 	return oldest
 }
 
-// failDrains ends all drains at the end of a leadership.
+// failDrains fails all pending drains at the end of a leadership.
 func (o *ownerLoop) failDrains() {
 	for _, pending := range o.drains {
 		pending.result <- controllog.NotLeader()
--- a/internal/controlplane/core/export_test.go
+++ b/internal/controlplane/core/export_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Idle reports that the owner has handled the tick at now and that no task that it began is running.
+// Idle reports whether the owner has handled the tick at now and no task of runTask is running.
 func (s *Service) Idle(now time.Time) bool {
 	idle := false
 	s.owner.execute(context.Background(), func(time.Time) {
--- a/internal/controlplane/core/fleet_test.go
+++ b/internal/controlplane/core/fleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// patience bounds the wait for what must come on a machine of any speed.
+// waitTimeout bounds waits in wall-clock time, generously enough for a slow machine.
 const waitTimeout = 30 * time.Second
 
 func TestCore(t *testing.T) {
@@ -29,7 +29,7 @@
 	RunSpecs(t, "core")
 }
 
-// virtualClock moves only by step.
+// virtualClock advances only by step.
 type virtualClock struct {
 	mutex  sync.Mutex
 	now    time.Time
@@ -86,7 +86,7 @@
 	return c.now
 }
 
-// fleet is a core of several members over one log in memory; one of them leads or none does.
+// fleet is a core of several members that share one log in memory; at most one of them leads.
 type fleet struct {
 	clock   *virtualClock
 	mutex   sync.Mutex
@@ -102,18 +102,18 @@
 	machine *core.Machine
 	service *core.Service
 	since   time.Time
-	// loseAnswers makes Propose apply the command and then lose the answer.
+	// loseAnswers makes Propose apply the command and then return an error with an unknown outcome.
 	loseAnswers bool
-	// members are the members of the core, and retired those that were removed.
+	// members are the current members of the core, and retired the removed ones.
 	members, retired []*protocol.CoreMember
-	// reachable are core processes by address.
+	// reachable maps addresses to the core processes that Identify finds there.
 	reachable map[string]*protocol.CoreMember
-	// dropProposals makes Propose lose the command itself.
+	// dropProposals makes Propose drop the command and return an error with an unknown outcome.
 	dropProposals bool
-	// lagging keeps what is committed from this member's machine.
+	// lagging makes committed commands go to the backlog instead of this member's machine.
 	lagging bool
 	backlog []logEntry
-	// gate, if any, stops proposals before they reach the log.
+	// gate, if not nil, blocks proposals before they reach the log.
 	gate *proposalGate
 }
 
@@ -149,7 +149,7 @@
 	return f
 }
 
-// lead makes one member the leader, or none when given nil.
+// lead makes m the leader; with nil no member leads.
 func (f *fleet) lead(m *member) *member {
 	f.mutex.Lock()
 	f.leader = m
@@ -161,7 +161,7 @@
 	return m
 }
 
-// advance moves the clock in steps of the owners' tick and waits until each of them is idle.
+// advance moves the clock in steps of the owners' tick and waits after each step until all owners are idle.
 func (f *fleet) advance(by time.Duration) {
 	GinkgoHelper()
 	for by > 0 {
@@ -171,19 +171,19 @@
 	}
 }
 
-// awaitIdle waits until every owner has handled its tick at now and the tasks that it began.
+// awaitIdle waits until every owner has handled its tick at now and the tasks that the tick started.
 func (f *fleet) awaitIdle(now time.Time) {
 	GinkgoHelper()
 	deadline := time.Now().Add(waitTimeout)
 	for _, m := range f.members {
 		for !m.service.Idle(now) {
-			Expect(time.Now().Before(deadline)).To(BeTrue(), "the owner is not idle")
+			Expect(time.Now().Before(deadline)).To(BeTrue(), "owner of %s not idle after %v", m.core.GetName(), waitTimeout)
 			runtime.Gosched()
 		}
 	}
 }
 
-// set changes members under the lock that proposals take.
+// set runs change under the lock that proposals acquire.
 func (f *fleet) set(change func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -300,7 +300,7 @@
 	return &coremembership.MemberUnknownError{Member: name}
 }
 
-// call makes one request of a node; err is what the peer would get.
+// call makes one request; err is the error that the peer would receive.
 func (m *member) call(request *protocol.Request) (*protocol.Response, error) {
 	var answer *protocol.Response
 	err := m.service.Serve(context.Background(), request, func(response *protocol.Response) error {
@@ -336,7 +336,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// restart takes the member's machine through a snapshot.
+// restart restores the member's machine from a snapshot of itself.
 func (m *member) restart() {
 	GinkgoHelper()
 	var snapshot bytes.Buffer
@@ -373,7 +373,7 @@
 	}
 }
 
-// The functions below make the wire request of a body.
+// The functions below wrap a body in a wire request.
 
 func pollRequest(body *protocol.PollControlRequest) *protocol.Request {
 	return &protocol.Request{Body: &protocol.Request_PollControl{PollControl: body}}
--- a/internal/controlplane/core/gate_test.go
+++ b/internal/controlplane/core/gate_test.go
@@ -6,17 +6,17 @@
 	. "github.com/onsi/ginkgo/v2"
 )
 
-// proposalGate holds the proposals of a member back, so that a spec decides how
-// many of those that are made at one time are in the log. It heeds no context:
-// the bound of a proposal is wall-clock time, which must not decide a spec.
+// proposalGate blocks the proposals of a member, so that a spec decides how many
+// of several concurrent proposals reach the log. It ignores contexts: the timeout
+// of a proposal is wall-clock time, which must not affect the result of a spec.
 type proposalGate struct {
 	blockedCount atomic.Int64
 	permits      chan struct{}
 	disabled     chan struct{}
 }
 
-// blockProposals stops all proposals that a member makes from now on. The gate
-// opens for good when the spec ends.
+// blockProposals blocks all proposals that a member makes from now on. The gate
+// is disabled when the spec ends.
 func (m *member) blockProposals() *proposalGate {
 	gate := &proposalGate{permits: make(chan struct{}), disabled: make(chan struct{})}
 	m.fleet.set(func() { m.gate = gate })
@@ -24,7 +24,7 @@
 	return gate
 }
 
-// pass returns once the proposal is let through.
+// pass blocks until the proposal is released or the gate is disabled.
 func (g *proposalGate) pass() {
 	if g == nil {
 		return
@@ -37,12 +37,12 @@
 	}
 }
 
-// release lets that many of the stopped proposals pass.
+// release unblocks that many proposals.
 func (g *proposalGate) release(count int) {
 	for range count {
 		g.permits <- struct{}{}
 	}
 }
 
-// blocked counts the stopped proposals.
+// blocked returns the number of blocked proposals.
 func (g *proposalGate) blocked() int { return int(g.blockedCount.Load()) }
--- a/internal/controlplane/core/heartbeat_address_test.go
+++ b/internal/controlplane/core/heartbeat_address_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("the address that a back end is to send its heartbeats to", func() {
+var _ = Describe("the heartbeat address of a back end", func() {
 	const backEnds = 3000
 	var f *fleet
 	var net *network
@@ -21,7 +21,7 @@
 		leader = f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
 	})
-	// addressesFrom returns the address for each of many back ends of no zone of the core, as one member names it.
+	// addressesFrom returns the address that a member assigns to each of many back ends outside all zones of the core.
 	addressesFrom := func(m *member) map[string]string {
 		addresses := map[string]string{}
 		for number := range backEnds {
@@ -39,7 +39,7 @@
 	}
 	httpAddress := func(index int) string { return f.members[index].core.GetHttpAddress() }
 
-	It("spreads them over the members that do not lead, and all members name the same", func() {
+	It("is spread evenly over the followers and is the same from every member", func() {
 		addresses := addressesFrom(leader)
 		counted := counts(addresses)
 		Expect(counted).To(HaveLen(3))
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("is in the back end's zone, else in its region, while a member there is up", func() {
+	It("is that of a follower in the back end's zone, else in its region, if there is one", func() {
 		f.members[3].core.Region = "south"
 		for number := range 100 {
 			sameZone := &protocol.BackEnd{Id: strconv.Itoa(number), Zone: "zone-c"}
@@ -65,7 +65,7 @@
 		}
 	})
 
-	It("moves away from a member that is unreachable, and of the others none moves", func() {
+	It("moves away from an unreachable member and otherwise stays the same", func() {
 		before := addressesFrom(leader)
 		net.setPartitioned(f.members[2], true)
 		f.advance(relayExpiry)
@@ -78,14 +78,14 @@
 				}
 			}
 		}
-		By("bringing it back")
+		By("healing the partition")
 		net.setPartitioned(f.members[2], false)
 		f.advance(2 * relayInterval)
 		Expect(addressesFrom(leader)).To(Equal(before))
 		Expect(addressesFrom(f.members[1])).To(Equal(before))
 	})
 
-	It("is never that of a member whose address is not known, and none while the leader is alone", func() {
+	It("is never that of a member without a known address, and is empty while no follower is reachable", func() {
 		f, net = newConnectedFleet(3)
 		f.members[1].core.HttpAddress = ""
 		leader = f.lead(f.members[0])
@@ -96,7 +96,7 @@
 		Expect(counts(addressesFrom(leader))).To(Equal(map[string]int{"": backEnds}))
 	})
 
-	It("follows the leader: a new one names the former one too", func() {
+	It("may be that of the former leader after a change of leader, but not that of the new one", func() {
 		next := f.lead(f.members[1])
 		f.advance(relayInterval)
 		counted := counts(addressesFrom(next))
--- a/internal/controlplane/core/heartbeat_batches.go
+++ b/internal/controlplane/core/heartbeat_batches.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxConcurrentUpserts bounds the changes of one relayed batch that are proposed at a time.
+// maxConcurrentUpserts bounds the concurrent proposals for the changes in one relayed batch.
 const maxConcurrentUpserts = 16
 
-// renewBackEnds renews the leases of back ends whose heartbeats another member acknowledged.
+// renewBackEnds renews the leases of back ends whose heartbeats a follower acknowledged.
 func (s *Service) renewBackEnds(
 	ctx context.Context, request *protocol.RenewBackEndsRequest,
 ) (*protocol.RenewBackEndsResponse, error) {
@@ -37,8 +37,8 @@
 	return answer, err
 }
 
-// mergeBatch renews leases at the leader. Only a member of the core is answered: one that was removed must not go on
-// acknowledging heartbeats by a view that is not updated any more.
+// mergeBatch renews leases at the leader. It rejects senders that are not members of the core: a removed member must
+// not go on acknowledging heartbeats against a view that is no longer updated.
 func (o *ownerLoop) mergeBatch(
 	request *protocol.RenewBackEndsRequest, now time.Time,
 ) (*protocol.RenewBackEndsResponse, error) {
@@ -60,9 +60,9 @@
 	return answer, nil
 }
 
-// mergeHeartbeat renews the lease of a back end, counted from when the member received its heartbeat. It reports
-// false when the member must forward the next announcement to the leader: the back end is not in the view, is being
-// removed, or was changed since the view that the member compared it with.
+// mergeHeartbeat renews the lease of a back end, counted from when the follower received its heartbeat. It returns
+// false if the follower must forward the next announcement to the leader: the back end is not in the view, is being
+// removed, or was changed since the view that the follower compared it with.
 func (o *ownerLoop) mergeHeartbeat(
 	heartbeat *protocol.HeardBackEnd, view *controlstate.View, changes *heartbeats.Changes, now time.Time,
 ) bool {
@@ -83,7 +83,7 @@
 	return !changes.Since(heartbeat.GetBackEndsVersion(), backEnd.Name)
 }
 
-// isMember reports whether the id is that of a present member of the core.
+// isMember reports whether the id belongs to a current member of the core.
 func (o *ownerLoop) isMember(id uint64) bool {
 	return slices.ContainsFunc(o.consensus.Status().GetConfiguration().GetMembers(),
 		func(member *protocol.CoreMember) bool {
@@ -91,14 +91,14 @@
 		})
 }
 
-// updateHeartbeatMembers determines anew which members back ends may be given the address of.
+// updateHeartbeatMembers recomputes and returns the members that back ends may be told to send heartbeats to.
 func (o *ownerLoop) updateHeartbeatMembers(now time.Time) []*protocol.CoreMember {
 	members := o.relayingMembers.Reachable(o.consensus.Status().GetConfiguration().GetMembers(), now)
 	o.setHeartbeatMembers(members)
 	return members
 }
 
-// mergeRelayedHeartbeats renews the leases of back ends that announce nothing new and writes changes to the log.
+// mergeRelayedHeartbeats renews the leases of unchanged back ends and writes the changes of others to the log.
 func (s *Service) mergeRelayedHeartbeats(ctx context.Context, relayed []*protocol.BackEndHeartbeat) error {
 	if err := s.requireLeader(); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return err
 }
 
-// renewUnchanged renews the leases of back ends that the view holds as they were announced, and returns the others.
+// renewUnchanged renews the leases of back ends that equal those in the view, and returns the heartbeats of the others.
 func (s *Service) renewUnchanged(
 	ctx context.Context, relayed []*protocol.BackEndHeartbeat,
 ) ([]*protocol.BackEndHeartbeat, error) {
@@ -147,8 +147,8 @@
 	return changes, nil
 }
 
-// upsertBackEnd writes a change to the log. A rejected announcement, as of an
-// older incarnation, is counted and skipped so that it does not fail the batch.
+// upsertBackEnd writes a change to the log. A rejected announcement, for example of
+// an older incarnation, is counted and skipped so that it does not fail the batch.
 func (s *Service) upsertBackEnd(ctx context.Context, backEnd *protocol.BackEnd) error {
 	result, err := s.proposer.Propose(ctx, &protocol.Command{
 		Body: &protocol.Command_UpsertBackEnd{UpsertBackEnd: &protocol.UpsertBackEndCommand{BackEnd: backEnd}},
@@ -164,9 +164,9 @@
 	return nil
 }
 
-// HeartbeatAddress is the HTTP address (ip:port) of the core member that a back end should send its heartbeats to:
-// always the same while the same members are reachable. It is empty while no member but the leader is known to take
-// them.
+// HeartbeatAddress returns the HTTP address (ip:port) of the core member that a back end should send its heartbeats
+// to. It stays the same while the same members are reachable, and is empty while no follower is known to accept
+// heartbeats.
 func (s *Service) HeartbeatAddress(backEnd *protocol.BackEnd) string {
 	members := s.owner.heartbeatMembers.Load()
 	if members == nil {
@@ -175,7 +175,7 @@
 	return heartbeats.ChooseMember(*members, backEnd).GetHttpAddress()
 }
 
-// setHeartbeatMembers sets the members that back ends may be given the address of.
+// setHeartbeatMembers sets the members that back ends may be told to send heartbeats to.
 func (o *ownerLoop) setHeartbeatMembers(members []*protocol.CoreMember) {
 	o.heartbeatMembers.Store(&members)
 }
--- a/internal/controlplane/core/http_test.go
+++ b/internal/controlplane/core/http_test.go
@@ -26,7 +26,7 @@
 
 const operatorToken = "correct horse battery staple"
 
-// failureBody is the error of an answer.
+// failureBody is the body of a response with an error.
 type failureBody struct {
 	Error struct {
 		Code, Message, Path, Outcome string
@@ -51,7 +51,7 @@
 		leader = f.lead(f.members[0])
 		f.advance(100 * time.Millisecond)
 	})
-	// send makes one request with a good token; an empty order sends no order header.
+	// send makes one request with a valid token; an empty order omits the order header.
 	send := func(to *member, method, path, order string, body any) *httptest.ResponseRecorder {
 		GinkgoHelper()
 		var content []byte
@@ -85,7 +85,7 @@
 		return send(leader, "POST", fmt.Sprintf("/v1/bundles/%d/sign", version), order, body)
 	}
 
-	It("accepts a bundle, its signature, and shows it", func() {
+	It("accepts, returns and activates bundles that are signed off", func() {
 		Expect(send(leader, "PUT", "/v1/bundles/1", "o1", bundle.Default(1)).Code).To(Equal(http.StatusOK))
 		signed := sign(1, "o2", "")
 		Expect(signed.Code).To(Equal(http.StatusOK), signed.Body.String())
@@ -101,7 +101,7 @@
 		Expect(leader.machine.View().Configuration.GetActive().GetVersion()).To(BeEquivalentTo(2))
 	})
 
-	It("acknowledges an order again after a lost answer, at another leader and after a restart", func() {
+	It("acknowledges an order again after a lost response, at another leader and after a restart", func() {
 		f.set(func() { leader.loseAnswers = true })
 		lost := send(leader, "PUT", "/v1/bundles/1", "o1", bundle.Default(1))
 		Expect(lost.Code).To(Equal(http.StatusServiceUnavailable))
@@ -114,7 +114,7 @@
 		Expect(send(next, "PUT", "/v1/bundles/1", "o1", bundle.Default(1)).Body.String()).To(Equal(first.Body.String()))
 	})
 
-	It("lets exactly one of many operators win a number", func() {
+	It("accepts exactly one of 16 concurrent bundles with the same version", func() {
 		var group sync.WaitGroup
 		answers := make([]*httptest.ResponseRecorder, 16)
 		for i := range answers {
@@ -139,7 +139,7 @@
 		Expect(won).To(Equal(1))
 	})
 
-	DescribeTable("rejects bad input with a typed error and changes nothing",
+	DescribeTable("rejects invalid input with a typed error and changes nothing",
 		func(method, path, order, body string, status int, code, faultPath string) {
 			index := f.index
 			answer := send(leader, method, path, order, body)
@@ -151,27 +151,27 @@
 		},
 		Entry("unknown route", "GET", "/v1/nothing", "", "", 404, "unknown_route", "/v1/nothing"),
 		Entry("unknown method", "DELETE", "/v1/bundles", "o", "", 405, "method_not_allowed", "/v1/bundles"),
-		Entry("no order id", "PUT", "/v1/bundles/1", "", "{}", 400, "missing_field", "Rosestand-Order"),
-		Entry("long order id", "PUT", "/v1/bundles/1", strings.Repeat("x", 129), "{}", 400, "invalid_field",
+		Entry("missing order id", "PUT", "/v1/bundles/1", "", "{}", 400, "missing_field", "Rosestand-Order"),
+		Entry("order id too long", "PUT", "/v1/bundles/1", strings.Repeat("x", 129), "{}", 400, "invalid_field",
 			"Rosestand-Order"),
 		Entry("unknown field", "PUT", "/v1/bundles/1", "o", `{"routes":[{"nam":"x"}]}`, 400, "unknown_field",
 			"routes[0].nam"),
 		Entry("not JSON", "PUT", "/v1/bundles/1", "o", `{"routes":`, 400, "invalid_body", "routes"),
-		Entry("other version", "PUT", "/v1/bundles/1", "o", `{"version":2}`, 400, "invalid_field", "version"),
-		Entry("no number", "PUT", "/v1/bundles/x", "o", `{}`, 400, "invalid_field", "version"),
-		Entry("no signature", "POST", "/v1/bundles/1/sign", "o", `{"key_name":"ann"}`, 400, "missing_field", "signature"),
-		Entry("no such bundle", "GET", "/v1/bundles/7", "", "", 404, "not_found", "version"),
+		Entry("version differs from the path", "PUT", "/v1/bundles/1", "o", `{"version":2}`, 400, "invalid_field", "version"),
+		Entry("version not a number", "PUT", "/v1/bundles/x", "o", `{}`, 400, "invalid_field", "version"),
+		Entry("unsigned", "POST", "/v1/bundles/1/sign", "o", `{"key_name":"ann"}`, 400, "missing_field", "signature"),
+		Entry("unknown bundle", "GET", "/v1/bundles/7", "", "", 404, "not_found", "version"),
 		Entry("member without address", "POST", "/v1/core/members", "o", `{}`, 400, "missing_field", "address"),
 	)
 
-	It("lists all faults of a bundle that the state rejects", func() {
+	It("lists all faults of an invalid bundle", func() {
 		answer := send(leader, "PUT", "/v1/bundles/1", "o",
 			`{"routes":[{"name":"a","model":"m","group":"g"}],"limits":{"retry_percent":300}}`)
 		Expect(answer.Code).To(Equal(http.StatusUnprocessableEntity))
 		Expect(failed(answer).Error.Faults).To(HaveLen(2))
 	})
 
-	It("needs a token of an operator", func() {
+	It("requires an operator's token", func() {
 		for _, header := range []string{"", "Bearer ", "Bearer wrong", operatorToken} {
 			request := httptest.NewRequest(http.MethodGet, "/v1/nodes", nil)
 			request.Header.Set("Authorization", header)
@@ -181,7 +181,7 @@
 		}
 	})
 
-	It("redirects operators from a follower to the leader, and reports when there is none", func() {
+	It("redirects operators from a follower to the leader and reports when no leader is known", func() {
 		for _, method := range []string{"GET", "PUT"} {
 			answer := send(f.members[1], method, "/v1/bundles/1?x=y", "o", bundle.Default(1))
 			Expect(answer.Code).To(Equal(http.StatusTemporaryRedirect))
@@ -195,7 +195,7 @@
 		Expect(send(f.members[1], "GET", "/v1/core?local=true", "", nil).Code).To(Equal(http.StatusOK))
 	})
 
-	It("empties the last store of a zone that shards need only when the order gives up the spread", func() {
+	It("empties the last store of a zone that replicas are spread over only if the order waives the spread", func() {
 		for i, zone := range []string{"z0", "z0", "z1", "z2"} {
 			leader.renew(storeNode(fmt.Sprintf("s%d", i), zone), nil)
 		}
@@ -206,7 +206,7 @@
 		Expect(send(leader, "POST", "/v1/stores/s2/empty", "o2", `{"keep_spread":false}`).Code).To(Equal(http.StatusOK))
 	})
 
-	It("shows nodes with what they have in force, back ends and stores, and empties a store", func() {
+	It("lists nodes with their leases, back ends and stores, and empties and retires a store", func() {
 		leader.renew(frontNode("f1", 1), leader.machine.View().Versions())
 		leader.heartbeat(modelServer("m1"))
 		for i := range 4 {
@@ -231,7 +231,7 @@
 		Expect(leader.renew(storeNode("s1", "z1"), nil)).To(BeFalse())
 	})
 
-	It("sums the variants and withdraws the candidate when its guard's limit is crossed", func() {
+	It("sums the samples of the variants and withdraws the candidate when they cross a limit of its guard", func() {
 		send(leader, "PUT", "/v1/bundles/1", "o1", bundle.Default(1))
 		sign(1, "o2", "")
 		send(leader, "PUT", "/v1/bundles/2", "o3", bundle.Default(2))
@@ -255,7 +255,7 @@
 	})
 })
 
-// reportCopies plays the stores: every replica that is to rebuild is reported as copied.
+// reportCopies stands in for the stores and reports every rebuilding replica as copied.
 func (m *member) reportCopies() {
 	GinkgoHelper()
 	for _, shard := range m.machine.View().Placement.GetShards() {
--- a/internal/controlplane/core/leadership.go
+++ b/internal/controlplane/core/leadership.go
@@ -7,16 +7,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// leadership is one unbroken time in which this process leads.
+// leadership is one uninterrupted period in which this process leads.
 type leadership struct {
-	// lost is closed when it ends.
+	// lost is closed when the leadership ends.
 	lost chan struct{}
 }
 
-// isLeader reports whether this process leads at this moment, as the owner and the replica both see it.
+// isLeader reports whether both the owner and the replica currently regard this process as the leader.
 func (o *ownerLoop) isLeader() bool { return o.leadership.Load() != nil && o.consensus.IsLeader() }
 
-// requireLeader fails unless this process leads at this moment.
+// requireLeader returns an error unless this process currently leads.
 func (s *Service) requireLeader() error {
 	if !s.owner.isLeader() {
 		return controllog.NotLeader()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// currentLeadership returns the channel that is closed at the end of the present leadership, if this process leads.
+// currentLeadership returns the channel that is closed at the end of the current leadership, if this process leads.
 func (o *ownerLoop) currentLeadership() (lost <-chan struct{}, isLeader bool) {
 	current := o.leadership.Load()
 	if current == nil || !o.consensus.IsLeader() {
@@ -33,7 +33,7 @@
 	return current.lost, true
 }
 
-// remoteLeader is the leader as far as this member knows; nil when there is none, or this member leads.
+// remoteLeader returns the leader known to this member, or nil if none is known or this member leads.
 func (o *ownerLoop) remoteLeader() *protocol.CoreMember {
 	leader := o.consensus.Leader()
 	if leader == nil || leader.GetAddress() == "" || leader.GetId() == o.consensus.Status().GetId() {
@@ -42,7 +42,8 @@
 	return leader
 }
 
-// observeLeadership detects that leadership began, ended, or ended and began again since the last call.
+// observeLeadership detects that the leadership of this process began, ended, or ended and began again since the last
+// call.
 func (o *ownerLoop) observeLeadership(now time.Time) {
 	isLeader, since := o.consensus.IsLeader(), o.consensus.LeaderSince()
 	current := o.leadership.Load()
@@ -55,8 +56,8 @@
 	}
 }
 
-// beginLeadership resets all tables. That gives every lease its full duration, since this leader does not know when
-// the one before it renewed them.
+// beginLeadership resets all tables. The reset starts every lease with its full duration, because this leader cannot
+// know when its predecessor last renewed them.
 func (o *ownerLoop) beginLeadership(now, since time.Time) {
 	o.leaderSince = since
 	o.nodes.Reset(now)
--- a/internal/controlplane/core/lease_test.go
+++ b/internal/controlplane/core/lease_test.go
@@ -29,7 +29,7 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("outlive the time that the holder counts and expire soon after", func() {
+	It("end at the leader shortly after they end at the holder", func() {
 		f.advance(6 * time.Second)
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(5 * time.Second)
@@ -61,7 +61,7 @@
 		Expect(leader.names()).To(BeEmpty())
 	})
 
-	It("are not ended by a new leader before their full duration has passed since its beginning", func() {
+	It("are not ended by a new leader before it has led for their full duration", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.advance(4 * time.Second)
 		next := f.lead(f.members[1])
@@ -71,7 +71,7 @@
 		Expect(next.names()).To(BeEmpty())
 	})
 
-	It("are given their full duration when the same leader leads again after a gap", func() {
+	It("start with their full duration when the same member leads again after a gap", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.lead(nil)
 		f.advance(20 * time.Second)
@@ -80,7 +80,7 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("are not ended for the time in which the leader itself was stalled", func() {
+	It("are extended after the leader itself was stalled", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.awaitIdle(f.clock.step(30 * time.Second))
 		f.advance(5 * time.Second)
@@ -89,7 +89,7 @@
 		Expect(leader.names()).To(BeEmpty())
 	})
 
-	It("are rejected while it is unknown whether the removal takes effect", func() {
+	It("are rejected while the outcome of the node's removal is unknown", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.set(func() { leader.dropProposals = true })
 		f.advance(5500 * time.Millisecond)
@@ -101,7 +101,7 @@
 		Expect(leader.renew(frontNode("f1", 1), nil)).To(BeTrue())
 	})
 
-	It("are granted again after a removal that took effect although its answer was lost", func() {
+	It("are granted again after a removal that was applied although its response was lost", func() {
 		leader.renew(frontNode("f1", 1), nil)
 		f.set(func() { leader.loseAnswers = true })
 		f.advance(5500 * time.Millisecond)
@@ -112,7 +112,7 @@
 		Expect(leader.names()).To(Equal([]string{"f1"}))
 	})
 
-	It("are rejected with the reason when a later incarnation holds them", func() {
+	It("are rejected with the reason when a later incarnation has one", func() {
 		leader.renew(frontNode("f1", 7), nil)
 		answer, err := leader.call(renewLeaseRequest(&protocol.RenewLeaseRequest{Node: frontNode("f1", 3)}))
 		Expect(err).NotTo(HaveOccurred())
@@ -121,7 +121,7 @@
 		Expect(answer.GetRenewLease().GetRefusal().GetMessage()).To(ContainSubstring("later incarnation"))
 	})
 
-	It("are granted by no follower", func() {
+	It("and other requests for the leader are rejected by followers", func() {
 		for _, request := range []*protocol.Request{
 			{Body: &protocol.Request_RenewLease{RenewLease: &protocol.RenewLeaseRequest{Node: frontNode("f1", 1)}}},
 			{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{}}},
@@ -141,7 +141,7 @@
 })
 
 var _ = Describe("back ends", func() {
-	It("stay while their heartbeats come and go five seconds after the last", func() {
+	It("stay while their heartbeats arrive and are removed five seconds after the last one", func() {
 		f := newFleet(1, nil)
 		leader := f.lead(f.members[0])
 		f.advance(6 * time.Second)
@@ -151,12 +151,12 @@
 			f.advance(time.Second)
 			leader.heartbeat(modelServer("m1"))
 		}
-		Expect(f.index).To(Equal(index+1), "only the loss of m2 is written")
+		Expect(f.index).To(Equal(index+1), "only the removal of m2 is written to the log")
 		Expect(leader.machine.View().BackEnd("m1")).NotTo(BeNil())
 		Expect(leader.machine.View().BackEnd("m2")).To(BeNil())
 	})
 
-	It("are not ended by a new leader before five seconds have passed", func() {
+	It("are not removed by a new leader before it has led for five seconds", func() {
 		f := newFleet(2, nil)
 		f.lead(f.members[0]).heartbeat(modelServer("m1"))
 		f.advance(4 * time.Second)
--- a/internal/controlplane/core/machine.go
+++ b/internal/controlplane/core/machine.go
@@ -15,23 +15,23 @@
 )
 
 // Machine applies the control log to the control state and publishes an
-// immutable view after each command. Apply, Snapshot and Restore are called by
-// the replica's owner goroutine alone; View may be called by any.
+// immutable view after each command. Only the replica's owner goroutine calls
+// Apply, Snapshot and Restore; View is safe for concurrent use.
 type Machine struct {
 	state     *controlstate.State
 	publisher *delivery.Publisher
-	// leading is true while this process leads; only the leader logs what changed.
+	// leading is true while this process leads; only the leader logs changes.
 	leading atomic.Bool
 	logger  *log.Logger
 }
 
-// NewMachine makes a machine with an empty state; logger may be nil.
+// NewMachine returns a machine with an empty state; logger may be nil.
 func NewMachine(logger *log.Logger) *Machine {
 	state := controlstate.New()
 	return &Machine{state: state, publisher: delivery.NewPublisher(state.View()), logger: orDiscard(logger)}
 }
 
-// Apply carries out one committed command and returns its encoded CommandResult.
+// Apply applies one committed command and returns its encoded CommandResult.
 func (m *Machine) Apply(index uint64, command []byte) []byte {
 	decoded := &protocol.Command{}
 	var result *protocol.CommandResult
@@ -56,7 +56,7 @@
 // View returns the newest view.
 func (m *Machine) View() *controlstate.View { return m.publisher.View() }
 
-// Snapshot writes the complete state.
+// Snapshot writes the complete state to the writer.
 func (m *Machine) Snapshot(writer io.Writer) error {
 	encoded, err := proto.Marshal(m.state.Snapshot())
 	if err != nil {
@@ -66,7 +66,7 @@
 	return errors.Wrap(err, "write control state")
 }
 
-// Restore replaces the state by one that Snapshot wrote.
+// Restore replaces the state with a snapshot written by Snapshot.
 func (m *Machine) Restore(reader io.Reader) error {
 	encoded, err := io.ReadAll(reader)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// logChange writes a line for each change that operators care about.
+// logChange logs an accepted command that is relevant to operators, or, at debug level, a rejected one.
 func (m *Machine) logChange(command *protocol.Command, result *protocol.CommandResult) {
 	if !result.GetAccepted() {
 		m.logger.Debug("order rejected", "code", result.GetRefusal().GetCode(), "message", result.GetRefusal().GetMessage())
--- a/internal/controlplane/core/member_heartbeats.go
+++ b/internal/controlplane/core/member_heartbeats.go
@@ -13,13 +13,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// heartbeatOutcome is what a member that does not lead decides on a heartbeat.
+// heartbeatOutcome is a follower's decision on a heartbeat.
 type heartbeatOutcome int
 
 const (
-	// heartbeatNoLeader came while no leader is known.
+	// heartbeatNoLeader is rejected because no leader is known.
 	heartbeatNoLeader heartbeatOutcome = iota
-	// heartbeatLeaderUnreachable came while the leader does not answer this member.
+	// heartbeatLeaderUnreachable is rejected because the leader does not respond to this member.
 	heartbeatLeaderUnreachable
 	// heartbeatAcknowledged changes nothing; the leader receives it with the next batch.
 	heartbeatAcknowledged
@@ -27,7 +27,7 @@
 	heartbeatForwarded
 )
 
-// announceAtFollower handles an announcement at a member that does not lead.
+// announceAtFollower handles an announcement made at a follower.
 func (s *Service) announceAtFollower(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error {
 	outcome := heartbeatNoLeader
 	leaderAddress := ""
@@ -54,8 +54,8 @@
 	}
 }
 
-// classifyHeartbeat decides about a heartbeat and adds it to the next batch when it changes nothing. A drain is
-// acknowledged by the leader alone, which knows what front nodes have in force.
+// classifyHeartbeat decides how to handle a heartbeat and adds it to the next batch if it changes nothing. Only the
+// leader acknowledges a drain, because only the leader tracks which views are active on the front nodes.
 func (o *ownerLoop) classifyHeartbeat(
 	leader *protocol.CoreMember, backEnd *protocol.BackEnd, sequence uint64, now time.Time,
 ) heartbeatOutcome {
@@ -79,7 +79,7 @@
 	return heartbeatAcknowledged
 }
 
-// forwardAnnouncement has the leader acknowledge an announcement.
+// forwardAnnouncement forwards an announcement to the leader and returns the leader's result.
 func (s *Service) forwardAnnouncement(
 	ctx context.Context, leaderAddress string, backEnd *protocol.BackEnd, sequence uint64,
 ) error {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// forwardFailure keeps the leader's own rejection; after anything else it is not known whether the leader applied the
-// announcement.
+// forwardFailure returns the leader's own rejection unchanged. After any other error it is unknown whether the leader
+// applied the announcement.
 func forwardFailure(err error) error {
 	var rejected *failure.Error
 	if errors.As(err, &rejected) {
@@ -108,8 +108,8 @@
 		failure.WithRetryAfter(controllog.RetryAfter))
 }
 
-// sendHeartbeatBatch sends the leader the next batch when it is due, also an empty one: it shows that the leader is
-// reached.
+// sendHeartbeatBatch sends the next batch to the leader when it is due. An empty batch is sent too, because the
+// response shows that the leader is reachable.
 func (o *ownerLoop) sendHeartbeatBatch(now time.Time) {
 	if o.caller == nil {
 		return
--- a/internal/controlplane/core/members_test.go
+++ b/internal/controlplane/core/members_test.go
@@ -41,7 +41,7 @@
 		return send("DELETE", "/v1/core/members/core-7", order, "")
 	}
 
-	It("are rejected as not run and typed where no core process answers", func() {
+	It("are rejected as not run, with a typed error, if no core process responds at the address", func() {
 		leader.reachable = nil
 		answer := add("a1")
 		Expect(answer.Code).To(Equal(http.StatusServiceUnavailable), answer.Body.String())
@@ -49,7 +49,7 @@
 			ContainSubstring(`"outcome":"not_run"`), ContainSubstring(`"path":"address"`)))
 	})
 
-	It("do not remove a member that joined anew under the same name when a removal is sent again", func() {
+	It("do not remove a member that joined again under the same name when a removal is repeated", func() {
 		Expect(add("a1").Code).To(Equal(http.StatusOK))
 		first := remove("r1")
 		Expect(first.Code).To(Equal(http.StatusOK), first.Body.String())
@@ -62,7 +62,7 @@
 		Expect(leader.members).To(BeEmpty())
 	})
 
-	It("do not undo a later order when an earlier one is sent again", func() {
+	It("do not undo a later order when an earlier one is repeated", func() {
 		added := add("a1")
 		Expect(remove("r1").Code).To(Equal(http.StatusOK))
 		Expect(add("a1").Body.String()).To(Equal(added.Body.String()))
@@ -73,7 +73,7 @@
 		Expect(leader.members).To(HaveLen(1), "the second addition came after the removal")
 	})
 
-	It("acknowledge an addition again although the process is not there now, and reject other content", func() {
+	It("are acknowledged again although the process is unreachable by then, and rejected with other content", func() {
 		first := add("a1")
 		leader.reachable = nil
 		Expect(add("a1").Body.String()).To(Equal(first.Body.String()))
@@ -82,7 +82,7 @@
 		Expect(other.Body.String()).To(ContainSubstring(`"code":"invalid_order"`))
 	})
 
-	It("remember a removal that found no member", func() {
+	It("keep the result of a removal that found no member", func() {
 		Expect(remove("r1").Body.String()).To(ContainSubstring(`"removed":false`))
 		Expect(add("a1").Code).To(Equal(http.StatusOK))
 		Expect(remove("r1").Body.String()).To(ContainSubstring(`"removed":false`))
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -4,7 +4,8 @@
 
 const metricsNamespace = "rosestand_core"
 
-// Values of the label event, of leases of nodes and of back ends. Operators' dashboards name them: they do not change.
+// Values of the label event, for the leases of nodes and of back ends. Operators' dashboards match them, so they must
+// not change.
 const (
 	eventRenewed           = "renewed"
 	eventRejected          = "refused"
@@ -30,7 +31,7 @@
 type metrics struct {
 	leases        *prometheus.CounterVec
 	backEndLeases *prometheus.CounterVec
-	// heartbeatBatches counts at both ends.
+	// heartbeatBatches counts batches at the sender and at the receiver.
 	heartbeatBatches *prometheus.CounterVec
 	drains           *prometheus.CounterVec
 	reconciled       *prometheus.CounterVec
@@ -42,7 +43,7 @@
 	leading          prometheus.Gauge
 }
 
-// newMetrics makes the metrics and registers them where a registerer is given.
+// newMetrics creates the metrics and registers them if registerer is not nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
 		leases:        counters("leases_total", "Leases of nodes by event.", "event"),
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -19,11 +19,11 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// dataSubfolder is the folder of the control log and its snapshots inside the data folder.
+// dataSubfolder is the subfolder of the data folder with the control log and its snapshots.
 const dataSubfolder = "core"
 
-// Module assembles the control plane. It needs what package daemon supplies and
-// provides the wire.Handler of the process.
+// Module assembles the control plane. It depends on the types that package daemon
+// supplies and provides the wire.Handler of the process.
 func Module(settings *protocol.CoreSettings) fx.Option {
 	return fx.Module("core",
 		fx.Supply(settings),
@@ -108,7 +108,7 @@
 	}), nil
 }
 
-// serveOperators routes every path that the daemon does not serve to the operators' interface.
+// serveOperators routes every path that the daemon does not serve to the operators' HTTP interface.
 func serveOperators(engine *gin.Engine, service *Service) {
 	engine.NoRoute(gin.WrapH(service))
 }
--- a/internal/controlplane/core/node_leases.go
+++ b/internal/controlplane/core/node_leases.go
@@ -11,20 +11,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// renewalOutcome is what the owner decides on a request to renew.
+// renewalOutcome is the owner's decision on a request to renew a node's lease.
 type renewalOutcome int
 
 const (
 	renewalNotLeader renewalOutcome = iota
 	renewalGranted
-	// renewalNeedsJoin means that the node must be written to the log first.
+	// renewalNeedsJoin means that the node must be written to the log before its lease is granted.
 	renewalNeedsJoin
-	// renewalRemoving means that the node is being removed; it may join again after that.
+	// renewalRemoving means that the node is being removed; it may join again after its removal.
 	renewalRemoving
 )
 
-// renewLease grants or ends a lease. Renewals stay in the leader's memory;
-// only a node that is new, or describes itself otherwise, is written to the log.
+// renewLease grants, renews or releases a lease. Renewals stay in the leader's
+// memory; a node is written to the log only if it is new or its description changed.
 func (s *Service) renewLease(
 	ctx context.Context, request *protocol.RenewLeaseRequest,
 ) (*protocol.RenewLeaseResponse, error) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// joinNode writes a node to the log; it returns the response to a node that is rejected.
+// joinNode writes a node to the log; if the node is rejected, it returns the response to send.
 func (s *Service) joinNode(
 	ctx context.Context, node *protocol.Node,
 ) (rejected *protocol.RenewLeaseResponse, err error) {
@@ -82,7 +82,7 @@
 	return response
 }
 
-// releaseLease ends a lease at once, as a node requests after it drained.
+// releaseLease ends a lease immediately; a node requests this after it has drained.
 func (s *Service) releaseLease(ctx context.Context, node *protocol.Node) (*protocol.RenewLeaseResponse, error) {
 	_, err := s.proposer.Propose(ctx, removeNodeCommand(leases.NodeHolder(node), "released"))
 	if err != nil {
@@ -102,8 +102,8 @@
 	}}}
 }
 
-// renewNodeLease counts the lease from the moment at which the owner handles it, and
-// grants it only while the leader lease runs.
+// renewNodeLease starts the lease at the time at which the owner handles the request,
+// and grants it only while the leader lease has not expired.
 func (o *ownerLoop) renewNodeLease(
 	ctx context.Context, node *protocol.Node, active *protocol.ControlVersions,
 ) renewalOutcome {
@@ -135,8 +135,8 @@
 	return outcome
 }
 
-// acknowledgeVersions records what a node has in force, and checks the drains when that is a newer view of the back
-// ends.
+// acknowledgeVersions records the versions that are active on a node, and checks the drains if the back-end view is
+// newer than before.
 func (o *ownerLoop) acknowledgeVersions(holder leases.Holder, active *protocol.ControlVersions, now time.Time) {
 	lease := o.nodes.Find(holder)
 	if lease == nil || active == nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-// proposeRemoval proposes the command that removes a holder whose removal was begun in its table.
+// proposeRemoval proposes the command that removes a holder that its table has marked for removal.
 func (o *ownerLoop) proposeRemoval(table *leases.Table, holder leases.Holder, removal *protocol.Command) {
 	o.runTask(func(ctx context.Context) error {
 		_, err := o.proposer.Propose(ctx, removal)
@@ -186,7 +186,7 @@
 	})
 }
 
-// dropAbsentLeases forgets the leases of what is not in the view any more.
+// dropAbsentLeases drops the leases of nodes and back ends that are no longer in the view.
 func (o *ownerLoop) dropAbsentLeases() {
 	view := o.machine.View()
 	o.nodes.DropAbsent(func(name string) (uint64, bool) {
--- a/internal/controlplane/core/operators.go
+++ b/internal/controlplane/core/operators.go
@@ -12,12 +12,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// operatorAccess is the service as the operators' HTTP interface needs it.
+// operatorAccess adapts the service to operators.ControlPlane.
 type operatorAccess struct{ *Service }
 
 var _ operators.ControlPlane = operatorAccess{}
 
-// ServeHTTP answers one request of an operator.
+// ServeHTTP handles a request to the operators' HTTP interface.
 func (s *Service) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.operators.ServeHTTP(writer, request)
 }
--- a/internal/controlplane/core/outcomes.go
+++ b/internal/controlplane/core/outcomes.go
@@ -10,11 +10,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxOutcomes bounds the servers of one report; a front node uses some of all servers only.
+// maxOutcomes bounds the servers in one report; a front node uses only some of all servers.
 const maxOutcomes = 4096
 
-// shareOutcomes merges what a front node observed of back ends and answers with those to be avoided. Nothing of it is
-// written to the log: it counts for a few seconds only, and the front nodes report anew after a change of leader.
+// shareOutcomes merges the outcomes that a front node observed at back ends and returns the back ends to avoid. Nothing
+// is written to the log: outcomes count for a few seconds only, and front nodes report again after a change of leader.
 func (s *Service) shareOutcomes(
 	ctx context.Context, request *protocol.ShareOutcomesRequest,
 ) (*protocol.ShareOutcomesResponse, error) {
@@ -48,7 +48,7 @@
 	return report
 }
 
-// mergeOutcomes adds a report and notifies those who watch the ejected servers when it changed them.
+// mergeOutcomes adds a report and notifies the watchers if the set of ejected servers changed.
 func (o *ownerLoop) mergeOutcomes(report serverhealth.Report, now time.Time) {
 	previous := o.serverHealth.Version()
 	o.serverHealth.Merge(report, now)
@@ -59,8 +59,8 @@
 	o.ejectedChanged = make(chan struct{})
 }
 
-// watchEjected answers as soon as there are ejected servers of another version than the one known, or without any at
-// the end of the time requested.
+// watchEjected is a long poll: it returns the ejected servers as soon as their version differs from the one known to
+// the caller, or an empty response after the wait time that the caller requested.
 func (s *Service) watchEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (*protocol.WatchSuspectsResponse, error) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// newlyEjected gives the ejected servers if their version is not the one known, else the channel that is closed at the
-// next change.
+// newlyEjected returns the ejected servers if their version differs from the one known to the caller, and the channel
+// that is closed at their next change.
 func (s *Service) newlyEjected(
 	ctx context.Context, request *protocol.WatchSuspectsRequest,
 ) (answer *protocol.WatchSuspectsResponse, changed <-chan struct{}, err error) {
--- a/internal/controlplane/core/outcomes_test.go
+++ b/internal/controlplane/core/outcomes_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("what front nodes observe of back ends", func() {
+var _ = Describe("the health of back ends", func() {
 	var f *fleet
 	BeforeEach(func() { f = newFleet(2, nil) })
 	share := func(m *member, node string, faults uint32) (*protocol.ShareOutcomesResponse, error) {
@@ -20,7 +20,7 @@
 		return answer.GetShareOutcomes(), err
 	}
 
-	It("is merged by the leader and shared with each node that reports next", func() {
+	It("is merged by the leader from the reports of front nodes and returned to each node that reports next", func() {
 		leader := f.lead(f.members[0])
 		answer, err := share(leader, "f1", 2)
 		Expect(err).NotTo(HaveOccurred())
@@ -34,16 +34,16 @@
 		f.advance(20 * time.Second)
 		answer, err = share(leader, "f3", 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.GetSuspects()).To(BeEmpty(), "it is tried again")
+		Expect(answer.GetSuspects()).To(BeEmpty(), "the ejection must have ended")
 	})
 
-	It("is rejected by a member that does not lead", func() {
+	It("is rejected by a follower", func() {
 		f.lead(f.members[0])
 		_, err := share(f.members[1], "f1", 2)
 		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
 	})
 
-	It("is rejected when it is too much at once", func() {
+	It("is rejected if a report has too many outcomes", func() {
 		leader := f.lead(f.members[0])
 		_, err := leader.call(shareOutcomesRequest(&protocol.ShareOutcomesRequest{
 			Node: "f1", Outcomes: make([]*protocol.BackEndOutcomes, 5000),
@@ -64,12 +64,12 @@
 		return answered
 	}
 
-	It("notifies those who watch at once when one more is suspect", func() {
+	It("is sent to watchers at once when another back end is suspect", func() {
 		leader := f.lead(f.members[0])
 		watched := watch(leader, 0, time.Minute)
 		_, err := share(leader, "f1", 2)
 		Expect(err).NotTo(HaveOccurred())
-		Consistently(watched, "20ms").ShouldNot(Receive(), "one front node alone makes nothing suspect")
+		Consistently(watched, "20ms").ShouldNot(Receive(), "the reports of one front node do not make a back end suspect")
 		_, err = share(leader, "f2", 2)
 		Expect(err).NotTo(HaveOccurred())
 		var answer *protocol.WatchSuspectsResponse
@@ -78,7 +78,7 @@
 		Expect(answer.GetSuspects()[0].GetId()).To(Equal("s1"))
 
 		watched = watch(leader, answer.GetVersion(), 300*time.Millisecond)
-		Consistently(watched, "20ms").ShouldNot(Receive(), "the version is known")
+		Consistently(watched, "20ms").ShouldNot(Receive(), "the watcher has this version already")
 		known := answer.GetVersion()
 		f.advance(time.Second)
 		Eventually(watched, "30s").Should(Receive(&answer))
@@ -86,7 +86,7 @@
 		Expect(answer.GetVersion()).To(Equal(known))
 	})
 
-	It("is not watched at a member that does not lead", func() {
+	It("cannot be watched at a follower", func() {
 		f.lead(f.members[0])
 		_, err := f.members[1].call(watchSuspectsRequest(&protocol.WatchSuspectsRequest{}))
 		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
--- a/internal/controlplane/core/owner_loop.go
+++ b/internal/controlplane/core/owner_loop.go
@@ -21,25 +21,25 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// stallThreshold is how late a tick may be before the owner regards itself as stalled.
+	// stallThreshold is the time between two ticks above which the owner regards itself as stalled.
 	stallThreshold = time.Second
-	// leaseMargin is added to each lease at the leader, so that it outlives the time that its holder counts.
+	// leaseMargin is added to each lease at the leader, so that it ends after the lease that the holder counts.
 	leaseMargin        = 250 * time.Millisecond
 	commandQueueLength = 1024
 )
 
-// ownerLoop runs the goroutine that owns what this process keeps in memory only. Of a
-// leader these are the leases of nodes and back ends, pending drains, the sums
-// ofSection a roll-out's variants, the health of back ends and the state of the
-// reconciler; of another member, the heartbeats that the leader does not have
-// yet. The goroutine works through a queue of commands and a tick, and ends with close.
+// ownerLoop runs the goroutine that owns the state that this process keeps in memory
+// only. On a leader that is the leases of nodes and back ends, pending drains, the
+// sums of a roll-out's variants, the health of back ends and the state of the
+// reconciler; on a follower, the heartbeats that the leader has not confirmed yet.
+// The goroutine processes a queue of commands and a periodic tick until close.
 //
-// Fields without a remark are set before start and not changed. The methods that
-// apply the time as now run on the goroutine; the others may be called by any.
+// Fields without a comment are set before start and do not change. Methods with a
+// parameter now run on the goroutine; the others are safe for concurrent use.
 type ownerLoop struct {
 	clock     replica.Clock
 	consensus Consensus
-	// caller reaches the other core members; it may be nil.
+	// caller sends requests to the other core members; it may be nil.
 	caller   wire.Caller
 	machine  *Machine
 	proposer *controllog.Proposer
@@ -49,11 +49,11 @@
 	queue chan func(now time.Time)
 	ctx   context.Context
 	stop  context.CancelFunc
-	// workers counts the goroutine and the tasks beside it.
+	// workers counts the goroutine and the tasks started by runTask.
 	workers sync.WaitGroup
-	// leadership is that of this process, nil while it does not lead. The goroutine alone stores it.
+	// leadership is the current leadership of this process, nil while it does not lead. Only the goroutine stores it.
 	leadership atomic.Pointer[leadership]
-	// heartbeatMembers are the members that back ends may be given the address of. The goroutine alone stores them.
+	// heartbeatMembers are the members that back ends may be told to send heartbeats to. Only the goroutine stores them.
 	heartbeatMembers atomic.Pointer[[]*protocol.CoreMember]
 
 	// The fields below belong to the goroutine.
@@ -68,11 +68,11 @@
 	drains          []*drain
 	variants        *rollout.VariantTable
 	reconciler      *reconcile.Reconciler
-	// serverHealth is what front nodes observed of back ends; a new leader begins without it.
+	// serverHealth is the health of back ends as observed by front nodes; a new leader starts without observations.
 	serverHealth serverhealth.Detector
 	// ejectedChanged is closed and replaced when the ejected servers change.
 	ejectedChanged chan struct{}
-	// runningTasks counts the tasks of runTask whose end has not been handled.
+	// runningTasks counts the tasks of runTask whose completion has not been handled.
 	runningTasks int
 }
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// execute runs a command on the goroutine and waits for it; it reports false when the context or the owner ended
-// first. The command may run all the same then.
+// execute runs a command on the goroutine and waits until it has run. It returns false if the context or the owner
+// ended first; the command may still run in that case.
 func (o *ownerLoop) execute(ctx context.Context, command func(now time.Time)) bool {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// runTask runs a task beside the goroutine, which must call it; after runs on the goroutine with the error that the
-// task returned.
+// runTask runs a task on a goroutine of its own and then calls after on the owner's goroutine with the task's error.
+// It must be called on the owner's goroutine.
 func (o *ownerLoop) runTask(task func(ctx context.Context) error, after func(now time.Time, err error)) {
 	o.runningTasks++
 	o.workers.Go(func() {
@@ -172,7 +172,7 @@
 	o.recordViewMetrics()
 }
 
-// reconcile proposes the next commands that are due, if any, one after the other.
+// reconcile proposes the reconciler's next commands one after the other, if any are due.
 func (o *ownerLoop) reconcile(now time.Time) {
 	view := o.machine.View()
 	o.reconciler.ObserveStores(view, now)
--- a/internal/controlplane/core/packed_test.go
+++ b/internal/controlplane/core/packed_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// pollBytes reads the bytes counted for a kind of section.
+// pollBytes returns the value of the poll byte counter for a kind of section.
 func pollBytes(registry *prometheus.Registry, kind string) float64 {
 	GinkgoHelper()
 	families, err := registry.Gather()
@@ -36,7 +36,7 @@
 }
 
 var _ = Describe("a full snapshot of a view", func() {
-	It("is sent packed to a node that accepts that, and plain to another one", func() {
+	It("is sent packed to a node that accepts packed views, and plain to others", func() {
 		d := &pollingFleet{fleet: newFleet(1, nil)}
 		d.leader = d.fleet.lead(d.fleet.members[0])
 		for number := range 60 {
@@ -90,7 +90,7 @@
 		return answer.GetPollControl()
 	}
 
-	It("is packed once for all nodes that accept it, and counted as sent", func() {
+	It("is packed once for all nodes that accept it, and its packed size is counted", func() {
 		first, second := poll("f1", 0, true), poll("f2", 0, true)
 		Expect(first.GetConfiguration()).To(BeNil())
 		unpacked := &protocol.Configuration{}
@@ -102,7 +102,7 @@
 		Expect(pollBytes(registry, "configuration")).To(BeZero())
 	})
 
-	It("is sent plain to a node that does not say that it accepts it packed", func() {
+	It("is sent plain to a node that does not accept it packed", func() {
 		Expect(poll("f1", 0, true).GetPackedConfiguration()).NotTo(BeEmpty())
 		plain := poll("f2", 0, false)
 		Expect(plain.GetPackedConfiguration()).To(BeEmpty())
@@ -110,14 +110,14 @@
 		Expect(pollBytes(registry, "configuration")).To(BeEquivalentTo(proto.Size(plain.GetConfiguration())))
 	})
 
-	It("is packed anew for a new version, and a change is still sent as a delta", func() {
+	It("is packed again for a new version, while a change is still sent as a delta", func() {
 		known := d.leader.machine.View().Configuration.GetVersion()
 		former := poll("f1", 0, true).GetPackedConfiguration()
 		d.activateBundle(&protocol.Bundle{
 			Version: 2, BaseVersion: 1, Partial: true,
 			Routes: []*protocol.Route{{Name: "extra", Model: "extra", Group: "assistants"}},
 		})
-		// Another node than before: what f1 was just sent would hold its answer back.
+		// Uses another node, because coalescing would delay the response to f1, which was just sent an update.
 		delta := poll("f2", known, true)
 		Expect(delta.GetConfigurationDelta()).NotTo(BeNil())
 		Expect(delta.GetPackedConfiguration()).To(BeEmpty())
--- a/internal/controlplane/core/poll_test.go
+++ b/internal/controlplane/core/poll_test.go
@@ -34,7 +34,7 @@
 		leader.renew(frontNode("f1", 1), nil)
 	})
 
-	It("are answered at once with every section that is newer, and with no other", func() {
+	It("return at once with the sections that are newer, and no others", func() {
 		leader.heartbeat(modelServer("m1"))
 		answer, err := leader.poll(frontNode("f1", 1), nil, 10_000)
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 		Expect(got.answer.GetMembership().GetNodes()).To(HaveLen(2))
 	})
 
-	It("are answered without sections when the time requested has passed", func() {
+	It("return without sections when the requested wait time has passed", func() {
 		f.advance(time.Second)
 		outcome := leader.pollAsync(leader.machine.View().Versions(), 2000)
 		Eventually(f.clock.pendingTimers).Should(Equal(3))
@@ -81,7 +81,7 @@
 	})
 })
 
-// pendingTimers counts the timers that have not fired.
+// pendingTimers returns the number of timers that have not fired.
 func (c *virtualClock) pendingTimers() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/core/rollouts.go
+++ b/internal/controlplane/core/rollouts.go
@@ -9,7 +9,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// reportVariants sums what front nodes measured and withdraws the candidate when it crossed a limit of its guard.
+// reportVariants adds the samples of a front node to the sums of the variants and withdraws the candidate if it crossed
+// a limit of its guard.
 func (s *Service) reportVariants(ctx context.Context, request *protocol.ReportArmsRequest) error {
 	if err := s.requireLeader(); err != nil {
 		return err
--- a/internal/controlplane/core/service.go
+++ b/internal/controlplane/core/service.go
@@ -1,14 +1,14 @@
-// Package core is the control plane of one core process: it keeps the control
-// state on the replicated log, grants leases to nodes and back ends, delivers
-// configuration and views, places shards on stores and serves operators over
-// HTTP.
+// Package core implements the control plane of one core process: it keeps the
+// control state on the replicated log, grants leases to nodes and back ends,
+// delivers configuration and views, places shards on stores and serves operators
+// over HTTP.
 //
-// One goroutine, the owner, holds what a leader keeps in memory (owner_loop.go); the
-// tables that it decides by are packages of their own: leases, heartbeats,
-// rollout and reconcile. Commands go to the log through controllog, the Machine
-// applies them and publishes views, delivery brings these to nodes, and
-// operators serves the HTTP interface. All but the owner's tables may be used by
-// any goroutine.
+// One goroutine, the owner, holds the leader's in-memory state (owner_loop.go).
+// The tables in it are packages of their own: leases, heartbeats, rollout and
+// reconcile. Package controllog proposes commands to the log, Machine applies
+// them and publishes views, package delivery sends the views to nodes, and
+// package operators serves the HTTP interface. Everything but the owner's tables
+// is safe for concurrent use.
 package core
 
 import (
@@ -38,34 +38,35 @@
 	DefaultBackEndLease     = 5 * time.Second
 )
 
-// Options of a Service. Numbers that are zero take the defaults.
+// Options configures a Service. A number that is zero is replaced by its default.
 type Options struct {
 	Consensus Consensus
 	Machine   *Machine
 	Clock     replica.Clock
-	// Caller reaches the other core members; without it a member that does not lead takes no heartbeats.
+	// Caller sends requests to the other core members. If it is nil, a follower accepts no heartbeats.
 	Caller wire.Caller
 	// Lease is the duration of a node's lease.
 	Lease        time.Duration
 	ShardCount   uint32
 	ReplicaCount uint32
-	// CoalesceInterval is the shortest time between two answers with an update to the same node; negative turns it off.
+	// CoalesceInterval is the shortest time between two responses with an update to the same node; a negative value
+	// disables coalescing.
 	CoalesceInterval time.Duration
-	// FirstKeys are the sign-off keys of the settings.
+	// FirstKeys are the sign-off keys from the settings.
 	FirstKeys []*protocol.SignOffKey
 	// Tokens are the credentials of operators.
 	Tokens *operators.Tokens
-	// TrustOperators takes orders without a token and lets the core sign off what is released.
+	// TrustOperators accepts orders without a token and lets the core sign off the bundles that are released.
 	TrustOperators bool
-	// BackEndLease is how long a back end stays in the view without a heartbeat.
+	// BackEndLease is how long a back end stays in the view after its last heartbeat.
 	BackEndLease time.Duration
 	// Logger and Registerer may be nil.
 	Logger     *log.Logger
 	Registerer prometheus.Registerer
 }
 
-// Service is the control plane of one core process. It answers requests of
-// nodes as a wire.Handler and of operators as an http.Handler.
+// Service is the control plane of one core process. It serves nodes as a
+// wire.Handler and operators as an http.Handler.
 type Service struct {
 	consensus Consensus
 	machine   *Machine
@@ -76,14 +77,14 @@
 	owner     *ownerLoop
 	poller    *delivery.Poller
 	operators *operators.Handler
-	// trustOperators lets ReleaseBundle sign off what it puts in force.
+	// trustOperators lets ReleaseBundle sign off the bundle that it activates.
 	trustOperators bool
 	replicaCount   uint32
 	metrics        *metrics
 	logger         *log.Logger
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with defaults for the fields that are not set.
 func (o Options) withDefaults() Options {
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
@@ -106,7 +107,7 @@
 	return o
 }
 
-// New makes a service; it does nothing before Start.
+// New returns a service that does nothing until Start.
 func New(options Options) *Service {
 	options = options.withDefaults()
 	service := &Service{
@@ -166,8 +167,8 @@
 	}
 }
 
-// Start starts the owner of the leader's tables.
+// Start starts the owner goroutine.
 func (s *Service) Start() { s.owner.start() }
 
-// Stop ends the owner and what waits for it.
+// Stop stops the owner goroutine and fails the calls that wait for it.
 func (s *Service) Stop() { s.owner.close() }
--- a/internal/controlplane/core/successor_test.go
+++ b/internal/controlplane/core/successor_test.go
@@ -11,11 +11,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("the shards of a store that is lost", func() {
+var _ = Describe("the shards of a lost store", func() {
 	const step = 50 * time.Millisecond
 	var leader *member
 	var f *fleet
-	// advance lets time pass while the stores named renew their leases and copy what they are to copy.
+	// advance advances the clock while the stores renew their leases and report rebuilding replicas as copied.
 	advance := func(duration time.Duration, stores ...*protocol.Node) {
 		for range duration / step {
 			for _, store := range stores {
@@ -32,7 +32,7 @@
 		}
 		return nodes
 	}
-	// fullyReplicated reports whether every shard has three replicas that vote, none of them on a store.
+	// fullyReplicated reports whether every shard has three active replicas and none of them is on the excluded store.
 	fullyReplicated := func(without string) bool {
 		for _, shard := range leader.machine.View().Placement.GetShards() {
 			if len(shard.GetNext()) > 0 || len(shard.GetCurrent()) != core.DefaultReplicaCount {
@@ -53,14 +53,14 @@
 		Expect(leader.machine.View().Placement.GetShards()).To(HaveLen(core.DefaultShardCount))
 	})
 
-	It("are on its successor within four seconds of the successor's start", func() {
+	It("are on its successor within four seconds after the successor started", func() {
 		advance(time.Second, stores(0, 1, 2)...)
 		successor := storeNode("s4", "z3")
 		advance(4*time.Second, append(stores(0, 1, 2), successor)...)
 		Expect(fullyReplicated("s3")).To(BeTrue())
 	})
 
-	It("stay where they are while it is unresponsive for as long as a restart takes, and no other store has joined",
+	It("stay in place while the store is unresponsive for the duration of a restart and no other store has joined",
 		func() {
 			epoch := leader.machine.View().Placement.GetEpoch()
 			advance(4*time.Second, stores(0, 1, 2)...)
@@ -68,14 +68,14 @@
 			Expect(leader.machine.View().Placement.GetEpoch()).To(Equal(epoch))
 		})
 
-	It("are on the other stores when no successor comes", func() {
+	It("are on the other stores after 40 seconds without a successor", func() {
 		advance(40*time.Second, stores(0, 1, 2)...)
 		Expect(fullyReplicated("s3")).To(BeTrue())
 	})
 })
 
 var _ = Describe("the first placement", func() {
-	DescribeTable("serves a deployment with few zones or stores as well", func(zones []string, replicas int) {
+	DescribeTable("is made in deployments with few zones or stores as well", func(zones []string, replicas int) {
 		f := newFleet(1, nil)
 		leader := f.lead(f.members[0])
 		for range 100 {
--- a/internal/controlplane/core/wire_handler.go
+++ b/internal/controlplane/core/wire_handler.go
@@ -8,10 +8,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// heartbeatIntervalSeconds is the time between two heartbeats that back ends are asked to keep to.
+// heartbeatIntervalSeconds is the interval at which back ends are requested to send heartbeats.
 const heartbeatIntervalSeconds = 1
 
-// Serve answers one request of a node or of another core process.
+// Serve handles one request of a node or of another core process.
 func (s *Service) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
 	response, err := s.dispatch(ctx, request)
 	if err != nil {
