--- a/internal/controlplane/core/connected_test.go
+++ b/internal/controlplane/core/connected_test.go
@@ -20,16 +20,16 @@
 type network struct {
 	mutex   sync.Mutex
 	members map[string]*member
-	// partitioned are the addresses whose requests do not get through.
+	// partitioned are the addresses that no request reaches or leaves.
 	partitioned map[string]bool
-	// loseAnswers are the addresses that send requests but get no answers.
+	// loseAnswers are the addresses whose requests are served but whose responses are lost.
 	loseAnswers map[string]bool
-	arrived     map[string]*traffic
-	// unresponsive are the addresses that take requests and do not answer until their channel is closed.
+	received    map[string]*traffic
+	// unresponsive are the addresses that accept requests but send no response until their channel is closed.
 	unresponsive map[string]chan struct{}
 }
 
-// traffic is what arrived at one address.
+// traffic counts the requests that arrived at one address.
 type traffic struct {
 	requests, announcements, heartbeats, bytes int
 }
@@ -45,7 +45,7 @@
 }
 
 func (l *link) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
-	target, answerLost, unresponsive := l.network.admit(l.from, address, request)
+	target, answerLost, unresponsive := l.network.route(l.from, address, request)
 	if unresponsive != nil {
 		<-unresponsive
 		return nil, errPartitioned
@@ -64,9 +64,9 @@
 	return answer, err
 }
 
-// admit counts a request and finds its receiver, nil when the network is partitioned, and the channel that it waits
-// for there.
-func (n *network) admit(
+// route counts a request and returns its receiver, nil if the network is partitioned, and the channel that the request
+// blocks on if the receiver is unresponsive.
+func (n *network) route(
 	from, address string, request *protocol.Request,
 ) (target *member, loseAnswer bool, unresponsive chan struct{}) {
 	n.mutex.Lock()
@@ -74,7 +74,7 @@
 	if n.partitioned[from] || n.partitioned[address] {
 		return nil, false, nil
 	}
-	counted := n.at(address)
+	counted := n.trafficTo(address)
 	counted.requests++
 	counted.bytes += proto.Size(request)
 	counted.heartbeats += len(request.GetRenewBackEnds().GetHeard())
@@ -84,19 +84,19 @@
 	return n.members[address], n.loseAnswers[from], n.unresponsive[address]
 }
 
-func (n *network) at(address string) *traffic {
-	if n.arrived[address] == nil {
-		n.arrived[address] = &traffic{}
+func (n *network) trafficTo(address string) *traffic {
+	if n.received[address] == nil {
+		n.received[address] = &traffic{}
 	}
-	return n.arrived[address]
+	return n.received[address]
 }
 
-// arrivedAt is what arrived at a member since the last call.
-func (n *network) arrivedAt(m *member) traffic {
+// takeTraffic returns the traffic that arrived at a member and resets the counts of all members.
+func (n *network) takeTraffic(m *member) traffic {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	counted := *n.at(m.core.GetAddress())
-	n.arrived = map[string]*traffic{}
+	counted := *n.trafficTo(m.core.GetAddress())
+	n.received = map[string]*traffic{}
 	return counted
 }
 
@@ -112,7 +112,7 @@
 	n.loseAnswers[m.core.GetAddress()] = lose
 }
 
-// setUnresponsive makes a member answer nothing; release ends that.
+// setUnresponsive makes a member send no responses until release is called.
 func (n *network) setUnresponsive(m *member) (release func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -121,11 +121,11 @@
 	return sync.OnceFunc(func() { close(released) })
 }
 
-// newConnectedFleet makes a fleet whose members reach each other; each is in a zone of its own.
+// newConnectedFleet returns a fleet whose members can call each other; each is in a zone of its own.
 func newConnectedFleet(size int) (*fleet, *network) {
 	n := &network{
 		members: map[string]*member{}, partitioned: map[string]bool{}, loseAnswers: map[string]bool{},
-		arrived: map[string]*traffic{}, unresponsive: map[string]chan struct{}{},
+		received: map[string]*traffic{}, unresponsive: map[string]chan struct{}{},
 	}
 	var all []*protocol.CoreMember
 	f := newFleet(size, func(options *core.Options) {
@@ -141,7 +141,7 @@
 	return f, n
 }
 
-// catchUp applies what a lagging member has not applied.
+// catchUp applies the backlog of a lagging member.
 func (m *member) catchUp() {
 	m.fleet.set(func() {
 		for _, entry := range m.backlog {
@@ -158,7 +158,7 @@
 	return m.service.AnnounceBackEnd(ctx, backEnd, sequence)
 }
 
-// announceEverySecond sends heartbeats to a member for a time and returns the last sequence.
+// announceEverySecond sends a heartbeat per second to a member for the duration and returns the last sequence.
 func (f *fleet) announceEverySecond(
 	to *member, backEnd *protocol.BackEnd, sequence uint64, duration time.Duration,
 ) (uint64, error) {
@@ -172,7 +172,7 @@
 	return sequence, nil
 }
 
-// context bounds a call of a spec.
+// context returns a context that bounds the calls of a spec.
 func (f *fleet) context() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	ginkgo.DeferCleanup(cancel)
--- a/internal/controlplane/core/metrics.go
+++ b/internal/controlplane/core/metrics.go
@@ -4,7 +4,8 @@
 
 const metricsNamespace = "rosestand_core"
 
-// Values of the label event, of leases of nodes and of back ends. Operators' dashboards name them: they do not change.
+// Values of the label event, for the leases of nodes and of back ends. Operators' dashboards match them, so they must
+// not change.
 const (
 	eventRenewed           = "renewed"
 	eventRejected          = "refused"
@@ -30,11 +31,11 @@
 type metrics struct {
 	leases        *prometheus.CounterVec
 	backEndLeases *prometheus.CounterVec
-	// heartbeatBatches counts at both ends.
+	// heartbeatBatches counts batches at the sender and at the receiver.
 	heartbeatBatches *prometheus.CounterVec
 	drains           *prometheus.CounterVec
 	reconciled       *prometheus.CounterVec
-	guards           prometheus.Counter
+	guardWithdrawals prometheus.Counter
 	versions         *prometheus.GaugeVec
 	ordersRetained   prometheus.Gauge
 	nodes            prometheus.Gauge
@@ -42,7 +43,7 @@
 	leading          prometheus.Gauge
 }
 
-// newMetrics makes the metrics and registers them where a registerer is given.
+// newMetrics creates the metrics and registers them if registerer is not nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
 		leases:        counters("leases_total", "Leases of nodes by event.", "event"),
@@ -51,7 +52,7 @@
 			"Batches of heartbeats between core members by what became of them.", "result"),
 		drains:     counters("drains_total", "Drains of back ends by how they ended.", "result"),
 		reconciled: counters("reconciled_total", "Commands of the reconciler by result.", "result"),
-		guards: prometheus.NewCounter(prometheus.CounterOpts{
+		guardWithdrawals: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: metricsNamespace, Name: "guard_withdrawals_total",
 			Help: "Candidates withdrawn by the guard of their roll-out.",
 		}),
@@ -65,7 +66,7 @@
 	}
 	if registerer != nil {
 		registerer.MustRegister(m.leases, m.backEndLeases, m.heartbeatBatches, m.drains,
-			m.reconciled, m.guards, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
+			m.reconciled, m.guardWithdrawals, m.versions, m.ordersRetained, m.nodes, m.backEnds, m.leading)
 	}
 	return m
 }
--- a/internal/controlplane/core/module.go
+++ b/internal/controlplane/core/module.go
@@ -19,11 +19,11 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// dataSubfolder is the folder of the control log and its snapshots inside the data folder.
+// dataSubfolder is the subfolder of the data folder with the control log and its snapshots.
 const dataSubfolder = "core"
 
-// Module assembles the control plane. It needs what package daemon supplies and
-// provides the wire.Handler of the process.
+// Module assembles the control plane. It depends on the types that package daemon
+// supplies and provides the wire.Handler of the process.
 func Module(settings *protocol.CoreSettings) fx.Option {
 	return fx.Module("core",
 		fx.Supply(settings),
@@ -44,7 +44,7 @@
 	filesystem storage.Filesystem, clock replica.Clock, logger *log.Logger, registerer prometheus.Registerer,
 ) (*replica.Replica, error) {
 	self := process.Self
-	built, err := replica.New(replica.Options{
+	member, err := replica.New(replica.Options{
 		Self: &protocol.CoreMember{
 			Name: self.GetName(), Address: self.GetAddress(), HttpAddress: self.GetHttpAddress(),
 			Zone: self.GetZone(), Region: self.GetRegion(),
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	process.OnSettings(func(changed *protocol.NodeSettings) { built.SetSeeds(changed.GetSeeds()) })
-	return built, nil
+	process.OnSettings(func(changed *protocol.NodeSettings) { member.SetSeeds(changed.GetSeeds()) })
+	return member, nil
 }
 
 func millis(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -108,7 +108,7 @@
 	}), nil
 }
 
-// serveOperators routes every path that the daemon does not serve to the operators' interface.
+// serveOperators routes every path that the daemon does not serve to the operators' HTTP interface.
 func serveOperators(engine *gin.Engine, service *Service) {
 	engine.NoRoute(gin.WrapH(service))
 }
