--- a/internal/controlplane/replica/discovery/survey.go
+++ b/internal/controlplane/replica/discovery/survey.go
@@ -30,10 +30,10 @@
 	queried map[string]bool
 }
 
-// Take queries the given addresses, but for own, and then the core processes that those name. Each
+// TakeSurvey queries the given addresses, but for own, and then the core processes that those name. Each
 // of the two steps lasts for the timeout at most: an address that answers nothing uses up the time
 // of those queried beside it, and must not use up that of the ones queried next.
-func Take(ctx context.Context, caller wire.Caller, own string, addresses []string, timeout time.Duration) *Survey {
+func TakeSurvey(ctx context.Context, caller wire.Caller, own string, addresses []string, timeout time.Duration) *Survey {
 	survey := &Survey{
 		statuses: map[string]*protocol.CoreStatusResponse{}, locations: map[string]*protocol.LocateCoreResponse{},
 		caller: caller, timeout: timeout, queried: map[string]bool{own: true, "": true},
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -56,7 +56,7 @@
 		_ = r.runOnOwner(ctx, func() { r.owner.admit(r.self, false, make(chan proposalResult, 1)) })
 		return
 	}
-	survey := discovery.Take(ctx, r.options.Caller, r.self.GetAddress(), r.knownAddresses(view), timeout)
+	survey := discovery.TakeSurvey(ctx, r.options.Caller, r.self.GetAddress(), r.knownAddresses(view), timeout)
 	r.updateAddresses(ctx, survey, view.clusterID)
 	address, ok := survey.JoinTarget(view.clusterID, r.self)
 	switch {
--- a/internal/controlplane/replica/logstore/recovery.go
+++ b/internal/controlplane/replica/logstore/recovery.go
@@ -10,8 +10,8 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// Recovered is what a data folder holds.
-type Recovered struct {
+// RecoveredState is what a data folder holds.
+type RecoveredState struct {
 	// ClusterID is empty for a member that has neither founded nor joined a cluster.
 	ClusterID string
 	Initial   consensus.InitialState
@@ -21,22 +21,22 @@
 
 // Recover reads the newest snapshot and replays the log. Errors: *CorruptStateError, those of
 // package storage.
-func (s *Store) Recover() (Recovered, error) {
+func (s *Store) Recover() (RecoveredState, error) {
 	snapshot, snapshotState, err := s.LoadSnapshot()
 	if err != nil {
-		return Recovered{}, err
+		return RecoveredState{}, err
 	}
 	state, err := s.replay()
 	if err != nil {
-		return Recovered{}, err
+		return RecoveredState{}, err
 	}
 	if state.baseIndex > snapshot.GetIndex() {
-		return Recovered{}, &CorruptStateError{Reason: "the snapshot under the log is missing"}
+		return RecoveredState{}, &CorruptStateError{Reason: "the snapshot under the log is missing"}
 	}
 	if snapshot != nil {
 		state.applyCompacted(snapshot)
 	}
-	return Recovered{
+	return RecoveredState{
 		ClusterID:     state.clusterID,
 		Initial:       consensus.InitialState{HardState: state.hardState, Snapshot: snapshot, Entries: state.entries},
 		SnapshotState: snapshotState,
