--- a/internal/controlplane/replica/discovery/survey.go
+++ b/internal/controlplane/replica/discovery/survey.go
@@ -1,8 +1,8 @@
-// Package discovery finds out what other processes know of the core, and decides from their answers
-// where a process joins a cluster and whether it may found one.
+// Package discovery queries other processes for the core, and decides from their responses where a process joins
+// a cluster and whether it may found one.
 //
-// A survey does the I/O; the decisions on its result are pure. A survey is taken by one goroutine,
-// which waits for the requests that it sends in parallel.
+// Taking a survey does the I/O; the decisions based on its result are pure. One goroutine takes a survey: it
+// sends the requests in parallel and waits for all of them.
 package discovery
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// Survey is what other processes answered, by their addresses.
+// Survey holds the responses of other processes, by their addresses.
 type Survey struct {
 	// mutex guards the maps while requests are in flight; they do not change afterwards.
 	mutex     sync.Mutex
@@ -30,20 +30,22 @@
 	queried map[string]bool
 }
 
-// TakeSurvey queries the given addresses, but for own, and then the core processes that those name. Each
-// of the two steps lasts for the timeout at most: an address that answers nothing uses up the time
-// of those queried beside it, and must not use up that of the ones queried next.
-func TakeSurvey(ctx context.Context, caller wire.Caller, own string, addresses []string, timeout time.Duration) *Survey {
+// TakeSurvey queries the given addresses except own, and then the addresses of core processes in their
+// responses. Each of the two steps takes at most the timeout: an unresponsive address uses up the time of the
+// step in which it is queried, and must not use up that of the next one.
+func TakeSurvey(
+	ctx context.Context, caller wire.Caller, own string, addresses []string, timeout time.Duration,
+) *Survey {
 	survey := &Survey{
 		statuses: map[string]*protocol.CoreStatusResponse{}, locations: map[string]*protocol.LocateCoreResponse{},
 		caller: caller, timeout: timeout, queried: map[string]bool{own: true, "": true},
 	}
 	survey.query(ctx, addresses)
-	survey.query(ctx, survey.namedAddresses())
+	survey.query(ctx, survey.reportedAddresses())
 	return survey
 }
 
-// query queries all addresses in parallel that were not queried yet.
+// query queries in parallel all addresses that were not queried yet.
 func (s *Survey) query(ctx context.Context, addresses []string) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -81,8 +83,8 @@
 	s.locations[address] = response.GetLocateCore()
 }
 
-// namedAddresses lists the addresses of core processes in the answers, sorted.
-func (s *Survey) namedAddresses() []string {
+// reportedAddresses returns the addresses of core processes in the responses, sorted.
+func (s *Survey) reportedAddresses() []string {
 	var addresses []string
 	for _, location := range s.locations {
 		addresses = append(addresses, location.GetCoreAddresses()...)
@@ -107,9 +109,9 @@
 	return members
 }
 
-// JoinTarget picks the member that is requested to admit self: of the given cluster, or of any if
-// the id is empty; a leader first, else the one with the newest term. It is false without such a
-// member, and when that member's configuration has self as it is.
+// JoinTarget returns the address of the member that is requested to admit self: a member of the given cluster, or
+// of any cluster if the id is empty; preferably a leader, else the one with the newest term. ok is false if there
+// is no such member, and if that member's configuration already contains self unchanged.
 func (s *Survey) JoinTarget(clusterID string, self *protocol.CoreMember) (address string, ok bool) {
 	var best *protocol.CoreStatusResponse
 	for _, candidate := range slices.Sorted(maps.Keys(s.statuses)) {
@@ -124,19 +126,19 @@
 	if best == nil {
 		return "", false
 	}
-	known := consensus.Member(best.GetConfiguration(), self.GetId())
-	return address, known == nil || !SameMember(known, self)
+	configured := consensus.Member(best.GetConfiguration(), self.GetId())
+	return address, configured == nil || !SameMember(configured, self)
 }
 
 func isBetterTarget(status, best *protocol.CoreStatusResponse) bool {
-	if leadership(status) != leadership(best) {
-		return leadership(status) > leadership(best)
+	if leadershipRank(status) != leadershipRank(best) {
+		return leadershipRank(status) > leadershipRank(best)
 	}
 	return status.GetTerm() > best.GetTerm()
 }
 
-// leadership ranks a leader with a lease over a process that knows a leader, and that over others.
-func leadership(status *protocol.CoreStatusResponse) int {
+// leadershipRank ranks a leader with a lease above a process that has a leader, and that above all others.
+func leadershipRank(status *protocol.CoreStatusResponse) int {
 	switch {
 	case status.GetLeaderLease():
 		return 2
@@ -147,11 +149,11 @@
 	}
 }
 
-// CanFound decides whether the empty process at own founds a cluster: it is the founder with the
-// lowest address, every other founder has answered that it is empty, and no answer names a cluster.
-// So a founder that lost its disk never founds a second cluster.
+// CanFound reports whether the empty process at own founds a cluster: it must be the founder with the lowest
+// address, every other founder must have reported that it is empty, and no response may name a cluster. So a
+// founder that lost its disk never founds a second cluster.
 func (s *Survey) CanFound(founders []string, own string) bool {
-	if !slices.Contains(founders, own) || s.namesCluster() {
+	if !slices.Contains(founders, own) || s.reportsCluster() {
 		return false
 	}
 	for _, founder := range founders {
@@ -165,7 +167,7 @@
 	return true
 }
 
-func (s *Survey) namesCluster() bool {
+func (s *Survey) reportsCluster() bool {
 	for _, status := range s.statuses {
 		if status.GetClusterId() != "" {
 			return true
@@ -179,7 +181,7 @@
 	return false
 }
 
-// isLowerAddress compares ip:port addresses by number, and others as text.
+// isLowerAddress compares ip:port addresses numerically, and others as text.
 func isLowerAddress(a, b string) bool {
 	first, firstErr := netip.ParseAddrPort(a)
 	second, secondErr := netip.ParseAddrPort(b)
@@ -189,7 +191,7 @@
 	return first.Compare(second) < 0
 }
 
-// SameMember reports whether two members agree in all but the voter flag.
+// SameMember reports whether two members are equal except for the voter flag.
 func SameMember(a, b *protocol.CoreMember) bool {
 	return a.GetId() == b.GetId() && a.GetAddress() == b.GetAddress() && a.GetName() == b.GetName() &&
 		a.GetZone() == b.GetZone() && a.GetRegion() == b.GetRegion() && a.GetHttpAddress() == b.GetHttpAddress()
--- a/internal/controlplane/replica/logstore/errors.go
+++ b/internal/controlplane/replica/logstore/errors.go
@@ -1,6 +1,6 @@
 package logstore
 
-// CorruptStateError says that the log and the snapshots do not fit together: data was lost.
+// CorruptStateError reports that the log and the snapshots are inconsistent: data was lost.
 type CorruptStateError struct{ Reason string }
 
 // Error implements error.
--- a/internal/controlplane/replica/logstore/recovery.go
+++ b/internal/controlplane/replica/logstore/recovery.go
@@ -10,12 +10,12 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// RecoveredState is what a data folder holds.
+// RecoveredState is the state that was recovered from a data folder.
 type RecoveredState struct {
 	// ClusterID is empty for a member that has neither founded nor joined a cluster.
 	ClusterID string
 	Initial   consensus.InitialState
-	// SnapshotState is the state of the state machine in Initial.Snapshot, which is nil without one.
+	// SnapshotState is the state of the state machine in Initial.Snapshot; both are nil without a snapshot.
 	SnapshotState []byte
 }
 
@@ -55,12 +55,12 @@
 	return state, err
 }
 
-// replayedLog is the state after the records that were replayed so far.
+// replayedLog is the state after the records replayed so far.
 type replayedLog struct {
 	clusterID string
 	hardState *protocol.HardState
 	entries   []*protocol.Entry
-	// baseIndex and baseTerm are of the entry before the first one in entries.
+	// baseIndex and baseTerm are the index and the term of the entry before the first one in entries.
 	baseIndex, baseTerm uint64
 }
 
@@ -84,8 +84,8 @@
 
 func (s *replayedLog) lastIndex() uint64 { return s.baseIndex + uint64(len(s.entries)) }
 
-// applyEntry puts an entry in place of any at its index and above. An entry that is there already
-// is a copy, which Compact wrote, and replaces nothing.
+// applyEntry appends an entry, replacing any entries at its index and above. An entry that the log already has is
+// a copy written by Compact, and replaces nothing.
 func (s *replayedLog) applyEntry(entry *protocol.Entry) error {
 	index := entry.GetIndex()
 	switch {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// applyCompacted drops the entries that a snapshot covers. Those after it stay only if the log has
-// the snapshot's last entry; else they were replaced by the history that the snapshot belongs to.
+// applyCompacted drops the entries that a snapshot covers. Later entries stay only if the log has the snapshot's
+// last entry; otherwise the history that the snapshot belongs to has replaced them.
 func (s *replayedLog) applyCompacted(snapshot *protocol.SnapshotMetadata) {
 	index := snapshot.GetIndex()
 	hasEntry := index > s.baseIndex && index <= s.lastIndex()
--- a/internal/controlplane/replica/logstore/store.go
+++ b/internal/controlplane/replica/logstore/store.go
@@ -1,13 +1,13 @@
 // Package logstore stores the durable state of one core process: its replicated log with the hard
 // state of consensus, and the snapshots of the state machine.
 //
-// A data folder has the log in the segments of "log", as protocol.CoreRecord records, and snapshots
-// in "snapshots", each named by the index of its last entry. The order of writes makes every crash
-// recoverable: a snapshot is durable before the log is compacted under it, and the new segment holds
-// copies of all that the older ones are still needed for before they are removed. Recovery
-// (Store.Recover) replays all segments, in which newer records replace older ones.
+// A data folder contains the log in the segments of "log", as protocol.CoreRecord records, and snapshots in
+// "snapshots", each named by the index of its last entry. The order of writes makes every crash recoverable: a
+// snapshot is durable before the entries that it covers are removed from the log, and the new segment has copies
+// of all records that are still needed of the older segments before those are removed. Recovery (Store.Recover)
+// replays all segments; newer records replace older ones.
 //
-// A Store belongs to the owner goroutine of its replica; SaveSnapshot may run beside it.
+// A Store belongs to the owner goroutine of its replica; SaveSnapshot may run concurrently with it.
 package logstore
 
 import (
@@ -30,15 +30,15 @@
 	maxMetadataBytes = 1 << 20
 )
 
-// Store is the open log and the snapshots of a data folder.
+// Store provides the open log and the snapshots of a data folder.
 type Store struct {
 	filesystem storage.Filesystem
 	log        *storage.Log
 	snapshots  string
 }
 
-// Open opens the log in the folder, makes it if there is none, and removes unfinished snapshots.
-// Errors are those of package storage.
+// Open opens the log in the folder, creates it if there is none, and removes unfinished snapshots. Errors are
+// those of package storage.
 func Open(filesystem storage.Filesystem, folder string) (*Store, error) {
 	path := filepath.Join(folder, logFolder)
 	if err := filesystem.MkdirAll(path); err != nil {
@@ -59,7 +59,7 @@
 func (s *Store) Close() error { return s.log.Close() }
 
 // Save writes the entries of a node's output, then its hard state, and syncs both if the node
-// requires it. After an error nothing more can be written: the store must be opened again.
+// requires it. After an error nothing more can be written until the store is reopened.
 func (s *Store) Save(ready consensus.Ready) error {
 	records := entryRecords(ready.Entries)
 	if ready.HardState != nil {
@@ -71,12 +71,12 @@
 	return s.write(records...)
 }
 
-// SaveClusterID makes the id of the cluster durable that an empty member has joined.
+// SaveClusterID durably stores the id of the cluster that an empty member has joined.
 func (s *Store) SaveClusterID(clusterID string) error {
 	return s.writeAndSync(clusterRecord(clusterID))
 }
 
-// Found makes a new cluster durable and returns the initial state of its only voter.
+// Found durably stores a new cluster and returns the initial state of its only voter.
 func (s *Store) Found(clusterID string, founder *protocol.CoreMember) (consensus.InitialState, error) {
 	entry, err := foundingEntry(founder)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return consensus.InitialState{HardState: foundingHardState(), Entries: []*protocol.Entry{entry}}, nil
 }
 
-// Compact begins a segment with all that the durable snapshot does not cover, which the caller
-// passes in, and removes the older segments and snapshots.
+// Compact starts a segment with the state that the durable snapshot does not cover, which the caller passes in,
+// and removes the older segments and snapshots.
 func (s *Store) Compact(
 	clusterID string, metadata *protocol.SnapshotMetadata, entries []*protocol.Entry, hardState *protocol.HardState,
 ) error {
@@ -109,7 +109,7 @@
 	return storage.RemoveSnapshotsBefore(s.filesystem, s.snapshots, metadata.GetIndex())
 }
 
-// SaveSnapshot makes a snapshot durable. It may run beside the owner goroutine.
+// SaveSnapshot durably stores a snapshot. It may run concurrently with the owner goroutine.
 func (s *Store) SaveSnapshot(metadata *protocol.SnapshotMetadata, state []byte) error {
 	header, err := proto.Marshal(metadata)
 	if err != nil {
--- a/internal/controlplane/replica/logstore/stored_data_test.go
+++ b/internal/controlplane/replica/logstore/stored_data_test.go
@@ -168,7 +168,7 @@
 
 // A form that an older program cannot read would make a downgrade impossible, so what is written stays
 // the same as well.
-func TestACoreIsStoredByteForByteAsBefore(t *testing.T) {
+func TestTheStoredFormatIsUnchanged(t *testing.T) {
 	if *updateStored {
 		must(t, os.RemoveAll(storedData))
 		writeStored(t, storedData)
--- a/internal/controlplane/replica/transport/transport.go
+++ b/internal/controlplane/replica/transport/transport.go
@@ -1,8 +1,8 @@
 // Package transport sends the messages of consensus to the other members of the core.
 //
-// Messages may be lost: the protocol repeats what matters. A queue that is full drops its oldest
-// message, and a message that has been queued for too long is not sent, since old heartbeats would
-// make their receivers reject votes after the leader has stepped down.
+// Messages may be lost: the consensus protocol resends what is still needed. A full queue drops its oldest
+// message, and a message that has been queued for too long is not sent, since old heartbeats would make their
+// receivers reject votes after the leader has stepped down.
 package transport
 
 import (
@@ -16,21 +16,21 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// queueCapacity is the number of messages that wait for one address.
+// queueCapacity is the largest number of messages that are queued for one address.
 const queueCapacity = 128
 
 // Metrics count messages.
 type Metrics struct {
-	// Sent were acknowledged by the receiving process, SendFailures were not.
+	// Sent counts the messages that the receiving process acknowledged, SendFailures those that it did not.
 	Sent, SendFailures prometheus.Counter
-	// Dropped were never sent.
+	// Dropped counts the messages that were never sent.
 	Dropped prometheus.Counter
 }
 
-// Options of a Transport; all are required.
+// Options configure a Transport; all are required.
 type Options struct {
 	Caller wire.Caller
-	// Now is the clock; it must not go back.
+	// Now returns the current time, which must not go backwards.
 	Now func() time.Time
 	// CallTimeout bounds the sending of one message, and MaxQueueTime its time in a queue.
 	CallTimeout, MaxQueueTime time.Duration
@@ -56,7 +56,7 @@
 	queuedAt time.Time
 }
 
-// New makes a transport that knows no member yet.
+// New creates a transport without members.
 func New(options Options) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
@@ -81,9 +81,9 @@
 	}
 }
 
-// SetMembers follows a new configuration: it ends the senders to addresses that no member uses.
+// SetMembers applies a new configuration: it ends the senders to addresses that no member uses.
 func (t *Transport) SetMembers(configuration *protocol.CoreConfiguration) {
-	members, needed := map[uint64]bool{}, map[string]bool{}
+	members, inUse := map[uint64]bool{}, map[string]bool{}
 	for _, member := range configuration.GetMembers() {
 		id, address := member.GetId(), member.GetAddress()
 		if t.addresses[id] == "" || t.configured[id] != address {
@@ -91,7 +91,7 @@
 		}
 		t.configured[id] = address
 		members[id] = true
-		needed[t.addresses[id]] = true
+		inUse[t.addresses[id]] = true
 	}
 	for id := range t.addresses {
 		if !members[id] {
@@ -100,7 +100,7 @@
 		}
 	}
 	for address, queue := range t.queues {
-		if !needed[address] {
+		if !inUse[address] {
 			close(queue)
 			delete(t.queues, address)
 		}
@@ -150,7 +150,7 @@
 	case <-queue:
 		t.options.Metrics.Dropped.Inc()
 	default:
-		// The sender took it meanwhile.
+		// The sender has taken the message in the meantime.
 	}
 }
 
@@ -160,8 +160,8 @@
 		select {
 		case <-t.context.Done():
 			return
-		case queued, open := <-queue:
-			if !open {
+		case queued, ok := <-queue:
+			if !ok {
 				return
 			}
 			if t.options.Now().Sub(queued.queuedAt) > t.options.MaxQueueTime {
--- a/internal/controlplane/replica/transport/transport_test.go
+++ b/internal/controlplane/replica/transport/transport_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestAnObservedAddressHoldsUntilTheConfigurationChanges(t *testing.T) {
+func TestAnObservedAddressIsUsedUntilTheConfigurationChanges(t *testing.T) {
 	runTransport(t, func(transport *Transport, _ *recordingCaller) {
 		configuration := func(address string) *protocol.CoreConfiguration {
 			return &protocol.CoreConfiguration{Members: []*protocol.CoreMember{{Id: peer, Address: address}}}
