--- a/internal/controlplane/replica/caller_test.go
+++ b/internal/controlplane/replica/caller_test.go
@@ -44,11 +44,11 @@
 	if err := proto.Unmarshal(bytes.Clone(data), &copied); err != nil {
 		return nil, err
 	}
-	if err := c.travel(ctx); err != nil {
+	if err := c.delay(ctx); err != nil {
 		return nil, err
 	}
 	answer, err := target.ServeWire(ctx, &copied)
-	if err := c.travel(ctx); err != nil {
+	if err := c.delay(ctx); err != nil {
 		return nil, err
 	}
 	if !answerArrives {
@@ -59,7 +59,7 @@
 }
 
 // travel passes the time of one way.
-func (c *caller) travel(ctx context.Context) error {
+func (c *caller) delay(ctx context.Context) error {
 	if c.fleet.latency == 0 {
 		return nil
 	}
--- a/internal/controlplane/replica/disk_failure_test.go
+++ b/internal/controlplane/replica/disk_failure_test.go
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestACoreWhoseDisksAreAllFullComesBack(t *testing.T) {
+func TestACoreWhoseDisksAreAllFullRecoversWhenThereIsFreeSpace(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.foundCluster(3)
 		acknowledged := f.commit(nil, 60)
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestAReplicaThatWaitsForItsDiskRejectsAsNotRun(t *testing.T) {
+func TestDiskUnavailableErrorsHaveTheOutcomeNotRun(t *testing.T) {
 	answered := Failure(&DiskUnavailableError{Cause: errUnreachable})
 	if answered.Code() != failure.Unavailable || answered.Failure.GetOutcome() != protocol.Outcome_NOT_RUN {
 		t.Errorf("answered %v", answered)
--- a/internal/controlplane/replica/disk_faults_test.go
+++ b/internal/controlplane/replica/disk_faults_test.go
@@ -22,17 +22,17 @@
 
 // injectDiskFault injects one fault of a disk and returns when it is repaired.
 func (d *diskFaults) injectDiskFault() {
-	m := d.machine(d.numbers[d.randomPosition()])
-	down := d.duration(100*time.Millisecond, 6*time.Second)
+	m := d.machine(d.machineNumbers[d.randomPosition()])
+	downtime := d.duration(100*time.Millisecond, 6*time.Second)
 	switch d.random.IntN(4) {
 	case 0:
-		d.fill(m, down)
+		d.fill(m, downtime)
 	case 1:
-		d.fillAndLosePower(m, down)
+		d.fillAndLosePower(m, downtime)
 	case 2:
 		d.faultCounts["stalled"]++
 		m.disk.StallSyncs()
-		d.runFor(down, maxLeaderlessTime)
+		d.runFor(downtime, maxLeaderlessTime)
 		m.disk.ResumeSyncs()
 	default:
 		if d.syncFailed[m] {
@@ -41,29 +41,29 @@
 		d.faultCounts["failed sync"]++
 		d.syncFailed[m] = true
 		m.disk.FailSyncs(d.random.IntN(3), 1)
-		d.runFor(down, maxLeaderlessTime)
+		d.runFor(downtime, maxLeaderlessTime)
 	}
 }
 
-func (d *diskFaults) fill(m *machine, down time.Duration) {
+func (d *diskFaults) fill(m *machine, downtime time.Duration) {
 	d.faultCounts["full"]++
 	m.disk.SetCapacity(m.disk.Used() + d.random.Int64N(maxSlackBytes))
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	m.disk.SetCapacity(0)
 }
 
 // fillAndLosePower loses what a replica that waits for free space has not synced.
-func (d *diskFaults) fillAndLosePower(m *machine, down time.Duration) {
+func (d *diskFaults) fillAndLosePower(m *machine, downtime time.Duration) {
 	d.faultCounts["full and power lost"]++
 	m.disk.SetCapacity(m.disk.Used() + d.random.Int64N(maxSlackBytes))
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	m.crash()
 	m.disk.SetCapacity(0)
 	d.start(m)
 	delete(d.syncFailed, m)
 }
 
-func TestFullStalledAndFailingDisksAreTolerated(t *testing.T) {
+func TestCommandsSurviveFullStalledAndFailingDisks(t *testing.T) {
 	counts, leaderless := map[string]int{}, time.Duration(0)
 	for seed := uint64(1); seed <= diskFaultSeeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -95,7 +95,7 @@
 		leader := f.foundCluster(3)
 		ahead := f.others(leader)[0]
 		err := ahead.replica.runOnOwner(context.Background(), func() {
-			ahead.replica.machineIndex += 2 * f.options.SnapshotEntries
+			ahead.replica.stateMachineIndex += 2 * f.options.SnapshotEntries
 		})
 		if err != nil {
 			f.t.Fatal(err)
--- a/internal/controlplane/replica/disk_recovery.go
+++ b/internal/controlplane/replica/disk_recovery.go
@@ -15,9 +15,9 @@
 	maxNonSpaceFailures = 1
 )
 
-// run is the owner goroutine: it serves until the replica stops or storage fails for good. When the
-// disk was full, or once when a write failed otherwise, it reopens the log as after a crash. That is
-// safe, since nothing was acknowledged that was not synced; the state of the state machine is not lost.
+// run is the body of the owner goroutine: it serves requests until the replica stops or its storage fails
+// permanently. After a full disk, and once after any other failed write, it reopens the log as after a crash.
+// That is safe, since nothing is acknowledged before it is synced; the state machine keeps its state.
 func (r *Replica) run() {
 	defer r.finish()
 	for {
@@ -33,7 +33,7 @@
 	}
 }
 
-// finish answers all that wait when the replica has stopped.
+// finish marks the replica as stopped and fails the callers that still wait.
 func (r *Replica) finish() {
 	close(r.stopped)
 	if r.owner.failure == nil {
@@ -85,7 +85,7 @@
 		case <-timer.C():
 			return true
 		case <-r.inbound:
-			// The protocol repeats what matters.
+			// The message is dropped: the consensus protocol resends what is still needed.
 		case proposal := <-r.proposals:
 			proposal.done <- proposalResult{err: rejection}
 		case request := <-r.requests:
@@ -107,16 +107,16 @@
 		return err
 	}
 	r.store = store
-	former := r.owner.failure
+	formerFailure := r.owner.failure
 	r.owner = ownerLoop{}
 	if err := r.recoverState(); err != nil {
-		r.owner.failure = former
+		r.owner.failure = formerFailure
 		return err
 	}
 	return nil
 }
 
-// reportFatal reports to the process that it must end.
+// reportFatal logs a failure that the replica cannot recover from, and calls OnFatal so that the process ends.
 func (r *Replica) reportFatal(err error) {
 	if r.options.Logger != nil {
 		r.options.Logger.Error("core storage failed", "error", err)
--- a/internal/controlplane/replica/double_faults_test.go
+++ b/internal/controlplane/replica/double_faults_test.go
@@ -25,26 +25,28 @@
 	end   func(d *sequentialFaults, position int)
 }
 
-func restartSame(d *sequentialFaults, position int) { d.start(d.machine(d.numbers[position])) }
+func restartMachine(d *sequentialFaults, position int) {
+	d.start(d.machine(d.machineNumbers[position]))
+}
 
-func startSuccessor(d *sequentialFaults, position int) {
-	d.numbers[position] = d.next
-	d.next++
-	restartSame(d, position)
+func startReplacement(d *sequentialFaults, position int) {
+	d.machineNumbers[position] = d.nextNumber
+	d.nextNumber++
+	restartMachine(d, position)
 }
 
 var losses = []loss{
-	{"power lost", func(_ *sequentialFaults, m *machine) { m.crash() }, restartSame},
-	{"disk lost", func(_ *sequentialFaults, m *machine) { m.crash(); m.disk.Lose() }, restartSame},
-	{"replaced", func(_ *sequentialFaults, m *machine) { m.crash() }, startSuccessor},
+	{"power lost", func(_ *sequentialFaults, m *machine) { m.crash() }, restartMachine},
+	{"disk lost", func(_ *sequentialFaults, m *machine) { m.crash(); m.disk.Lose() }, restartMachine},
+	{"replaced", func(_ *sequentialFaults, m *machine) { m.crash() }, startReplacement},
 	{
 		"frozen", func(_ *sequentialFaults, m *machine) { m.freeze() },
-		func(d *sequentialFaults, position int) { d.machine(d.numbers[position]).resume() },
+		func(d *sequentialFaults, position int) { d.machine(d.machineNumbers[position]).resume() },
 	},
 	{
 		"partitioned", func(d *sequentialFaults, m *machine) { d.setPartitioned(m.address, true) },
 		func(d *sequentialFaults, position int) {
-			d.setPartitioned(d.machine(d.numbers[position]).address, false)
+			d.setPartitioned(d.machine(d.machineNumbers[position]).address, false)
 		},
 	},
 }
@@ -52,8 +54,8 @@
 func newDoubleFaults(f *fleet, seed uint64) *sequentialFaults {
 	f.options.TargetVoters = 5
 	d := &sequentialFaults{
-		faultInjector: newFaultInjector(f, rand.New(rand.NewPCG(seed, 29)), map[string]int{}),
-		numbers:       []int{1, 2, 3, 4, 5}, next: 6, seedNumbers: []int{1, 2, 3, 4, 5},
+		faultInjector:  newFaultInjector(f, rand.New(rand.NewPCG(seed, 29)), map[string]int{}),
+		machineNumbers: []int{1, 2, 3, 4, 5}, nextNumber: 6, seedNumbers: []int{1, 2, 3, 4, 5},
 	}
 	d.members, d.voters = 5, 5
 	d.foundCluster(3)
@@ -68,25 +70,25 @@
 // injectTwoLosses injects two losses at once; at times all others are killed meanwhile and keep their
 // disks.
 func (d *sequentialFaults) injectTwoLosses() {
-	positions := d.random.Perm(len(d.numbers))[:2]
+	positions := d.random.Perm(len(d.machineNumbers))[:2]
 	if leader := d.leader(); leader != nil && d.random.IntN(2) == 0 {
-		positions[0] = slices.IndexFunc(d.numbers, func(number int) bool { return d.machine(number) == leader })
-		positions[1] = (positions[0] + 1 + d.random.IntN(len(d.numbers)-1)) % len(d.numbers)
+		positions[0] = slices.IndexFunc(d.machineNumbers, func(number int) bool { return d.machine(number) == leader })
+		positions[1] = (positions[0] + 1 + d.random.IntN(len(d.machineNumbers)-1)) % len(d.machineNumbers)
 	}
 	chosen := []loss{losses[d.random.IntN(len(losses))], losses[d.random.IntN(len(losses))]}
 	lost := make([]*machine, len(positions))
-	for each, position := range positions {
-		lost[each] = d.machine(d.numbers[position])
-		d.faultCounts[chosen[each].name]++
-		chosen[each].begin(d, lost[each])
+	for i, position := range positions {
+		lost[i] = d.machine(d.machineNumbers[position])
+		d.faultCounts[chosen[i].name]++
+		chosen[i].begin(d, lost[i])
 	}
 	d.runFor(d.duration(100*time.Millisecond, 4*time.Second), maxLeaderlessDouble)
 	if d.random.IntN(4) == 0 {
 		d.faultCounts["the others killed"]++
 		d.killAllBut(lost)
 	}
-	for each, position := range positions {
-		chosen[each].end(d, position)
+	for i, position := range positions {
+		chosen[i].end(d, position)
 	}
 }
 
@@ -106,7 +108,7 @@
 	d.eventually("the others have a leader", func() bool { return d.leader() != nil })
 }
 
-func TestTwoLossesAtOnceAfterEachCatchUpAreTolerated(t *testing.T) {
+func TestCommandsSurviveTwoLossesAfterEachCatchUp(t *testing.T) {
 	counts, leaderless := map[string]int{}, time.Duration(0)
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -116,7 +118,7 @@
 				for range 8 {
 					d.injectTwoLosses()
 					d.runFor(doubleFaultCatchUp+d.duration(0, 300*time.Millisecond), maxLeaderlessDouble)
-					d.seedNumbers = slices.Clone(d.numbers)
+					d.seedNumbers = slices.Clone(d.machineNumbers)
 				}
 				d.losePowerAndTwoDisks()
 				d.checkAcknowledged()
@@ -137,8 +139,8 @@
 	for _, m := range d.running() {
 		m.crash()
 	}
-	for _, position := range d.random.Perm(len(d.numbers))[:2] {
-		d.machine(d.numbers[position]).disk.Lose()
+	for _, position := range d.random.Perm(len(d.machineNumbers))[:2] {
+		d.machine(d.machineNumbers[position]).disk.Lose()
 	}
 	d.startAll(nil)
 }
--- a/internal/controlplane/replica/errors.go
+++ b/internal/controlplane/replica/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// NotLeaderError says that this process does not lead; the request was not run.
+// NotLeaderError reports that this process is not the leader; the request was not run.
 type NotLeaderError struct {
 	// LeaderAddress is the internal address of the leader, or empty when none is known.
 	LeaderAddress string
@@ -18,8 +18,8 @@
 	return "not the leader; the leader is at " + e.LeaderAddress
 }
 
-// UnknownOutcomeError says that a proposal may or may not be committed. Cause is why the wait for it
-// ended.
+// UnknownOutcomeError reports that a proposal may or may not be committed. Cause is the reason why the wait for
+// its result ended.
 type UnknownOutcomeError struct{ Cause error }
 
 // Error implements error.
@@ -38,19 +38,19 @@
 	return fmt.Sprintf("leadership of term %d was lost", e.Term)
 }
 
-// OverloadedError says that a queue of the replica is full; the request was not run.
+// OverloadedError reports that a queue of the replica is full; the request was not run.
 type OverloadedError struct{ Queue string }
 
 // Error implements error.
 func (e *OverloadedError) Error() string { return "queue " + e.Queue + " is full" }
 
-// StoppedError says that the replica is not running; the request was not run.
+// StoppedError reports that the replica is not running; the request was not run.
 type StoppedError struct{}
 
 // Error implements error.
 func (e *StoppedError) Error() string { return "the replica is stopped" }
 
-// DiskUnavailableError says that the replica waits for its disk; the request was not run.
+// DiskUnavailableError reports that the replica waits until its disk can be used again; the request was not run.
 type DiskUnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -61,8 +61,8 @@
 // Unwrap returns the failure of the disk.
 func (e *DiskUnavailableError) Unwrap() error { return e.Cause }
 
-// MemberUnreachableError says that no core process answered at the address of a member to add;
-// nothing was changed.
+// MemberUnreachableError reports that no core process answered at the address of a member to add; nothing was
+// changed.
 type MemberUnreachableError struct {
 	Address string
 	Cause   error
--- a/internal/controlplane/replica/failures.go
+++ b/internal/controlplane/replica/failures.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// retryAfter is the wait before a retry in a failure of a request that may soon succeed.
+	// retryAfter is the delay after which a caller may retry a rejected request that may soon succeed.
 	retryAfter = 200 * time.Millisecond
-	// membershipRetryAfter is that wait when the membership, or contact to a member, must change first.
+	// membershipRetryAfter is that delay when the membership must change, or a member must become reachable, first.
 	membershipRetryAfter = time.Second
 )
 
@@ -67,7 +67,7 @@
 	wait := failure.WithRetryAfter(retryAfter)
 	switch {
 	case errors.As(err, &unreachable):
-		// The cause may be a failure of its own, whose outcome is not that of the command.
+		// The cause may be a failure with an outcome of its own, which is not the outcome of the command.
 		return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, err.Error(),
 			failure.WithPath("address"), failure.WithRetryAfter(membershipRetryAfter))
 	case errors.As(err, &pending):
--- a/internal/controlplane/replica/fleet_test.go
+++ b/internal/controlplane/replica/fleet_test.go
@@ -72,7 +72,7 @@
 	latency time.Duration
 	// syncTime is the time that the sync of a file takes.
 	syncTime time.Duration
-	started  uint64
+	starts   uint64
 }
 
 // runScenario runs a test in a bubble of virtual time that ends when all goroutines have ended.
@@ -127,7 +127,7 @@
 
 func (m *machine) tryStart() error {
 	f := m.fleet
-	f.started++
+	f.starts++
 	options := f.options
 	options.Self = &protocol.CoreMember{Name: m.name, Address: m.address, HttpAddress: "http-" + m.address, Zone: m.zone}
 	options.Founders, options.Seeds = f.founders, f.seeds
@@ -139,7 +139,7 @@
 	state, fatal, clock := &commandLog{}, make(chan error, 1), freezableClock{&simclock.Clock{}}
 	options.Clock = clock
 	options.Machine = state
-	options.Random = rand.New(rand.NewPCG(f.started, 11))
+	options.Random = rand.New(rand.NewPCG(f.starts, 11))
 	options.OnFatal = func(err error) {
 		f.t.Logf("the storage of %s failed: %v", m.name, err)
 		fatal <- err
@@ -280,12 +280,12 @@
 		}
 		f.advance(10 * time.Millisecond)
 	}
-	f.describe()
+	f.logStatuses()
 	f.t.Fatalf("not in a minute: %s", what)
 }
 
 // describe logs what the running machines know; a frozen one answers nothing.
-func (f *fleet) describe() {
+func (f *fleet) logStatuses() {
 	f.t.Helper()
 	for _, m := range f.running() {
 		if !m.clock.IsFrozen() {
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -14,9 +14,8 @@
 // member queries other processes.
 const leaderContactTimeouts = 5
 
-// joinLoop joins or founds a cluster while this member has none, and joins again when the other
-// members do not know it any more, or know it at another address. It runs on a goroutine of its
-// own, which Start begins.
+// joinLoop joins or founds a cluster while this member belongs to none, and joins again when the other
+// members have removed it, or have another address for it. It runs on its own goroutine, which Start starts.
 func (r *Replica) joinLoop(ctx context.Context) {
 	interval := r.options.ElectionTimeout / 2
 	for {
@@ -34,21 +33,21 @@
 	}
 }
 
-// SetSeeds replaces the addresses of other processes that are queried for the core, from the next
-// attempt to join on.
+// SetSeeds replaces the addresses of other processes that are queried for the core. The next attempt to join
+// uses them.
 func (r *Replica) SetSeeds(seeds []string) {
 	own := slices.Clone(seeds)
 	r.seeds.Store(&own)
 }
 
-// ensureJoined makes one attempt to join or found a cluster, if there is need. The timeout bounds
-// each of its steps.
+// ensureJoined makes one attempt to join or found a cluster, if one is needed. The timeout bounds each of its
+// steps.
 func (r *Replica) ensureJoined(ctx context.Context, timeout time.Duration) {
 	view := r.view.Load()
 	sinceContact := r.options.Clock.Now().Sub(view.lastLeaderContact)
 	isOutOfContact := sinceContact >= leaderContactTimeouts*r.options.ElectionTimeout
-	known := consensus.Member(view.status.Configuration, r.self.GetId())
-	hasMoved := known != nil && !discovery.SameMember(known, r.self)
+	configured := consensus.Member(view.status.Configuration, r.self.GetId())
+	hasMoved := configured != nil && !discovery.SameMember(configured, r.self)
 	if view.clusterID != "" && !isOutOfContact && !hasMoved {
 		return
 	}
@@ -67,7 +66,7 @@
 	}
 }
 
-// knownAddresses are those of founders, seeds and members.
+// knownAddresses returns the addresses of the founders, the seeds and the members.
 func (r *Replica) knownAddresses(view *view) []string {
 	addresses := slices.Concat(r.options.Founders, *r.seeds.Load())
 	for _, member := range view.status.Configuration.GetMembers() {
@@ -76,8 +75,8 @@
 	return addresses
 }
 
-// updateAddresses passes the present addresses of this cluster's members to the transport: after a
-// change of all addresses there is no leader that could do so.
+// updateAddresses passes the current addresses of this cluster's members to the transport: after a change of
+// all addresses there is no leader from which it could learn them.
 func (r *Replica) updateAddresses(ctx context.Context, survey *discovery.Survey, clusterID string) {
 	if clusterID == "" {
 		return
@@ -89,7 +88,7 @@
 	})
 }
 
-// requestJoin requests a member to admit this process; the leader sends it the log then.
+// requestJoin sends a member the request to admit this process; the leader then sends this process the log.
 func (r *Replica) requestJoin(ctx context.Context, address string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/controlplane/replica/leadership.go
+++ b/internal/controlplane/replica/leadership.go
@@ -19,7 +19,7 @@
 	if status.Leader != 0 {
 		o.lastLeaderContact = now
 	}
-	o.finishTransfers(&status)
+	o.finishLeadershipTransfers(&status)
 	o.replica.metrics.observe(&status)
 	o.replica.view.Store(&view{
 		clusterID: o.clusterID, status: status, leaseEnds: leaseEnds,
@@ -28,8 +28,8 @@
 	})
 }
 
-// trackLeadership ends a leadership that is over and begins a new one. Both can happen in one
-// iteration of the owner loop.
+// trackLeadership records the end and the start of this member's leadership. Both can happen in one iteration
+// of the owner loop.
 func (o *ownerLoop) trackLeadership(status *consensus.Status) {
 	isLeader := status.Role == consensus.Leader
 	isNewTerm := status.Term != o.leadingTerm
@@ -45,7 +45,7 @@
 	}
 }
 
-// endLeadership drops what a leader has queued when it steps down: its old heartbeats would make their
+// endLeadership drops the queued messages of a leader that steps down: its old heartbeats would make their
 // receivers reject votes for the next leader.
 func (o *ownerLoop) endLeadership(role consensus.Role) {
 	o.leadingSince = time.Time{}
@@ -55,7 +55,7 @@
 	o.wasLeader = false
 }
 
-// leaderAddress is the address from which the leader last sent, or an empty string.
+// leaderAddress returns the newest known address of the leader, or an empty string.
 func (o *ownerLoop) leaderAddress(status *consensus.Status) string {
 	if status.Leader == status.ID {
 		return o.replica.self.GetAddress()
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// aliveElectionTimeouts: a member counts as alive for this many election timeouts after a contact.
+	// aliveElectionTimeouts is the number of election timeouts after a contact for which a member counts as alive.
 	aliveElectionTimeouts = 2
-	// promotableHeartbeats: a standby may become a voter for this many heartbeat intervals after a contact.
+	// promotableHeartbeats is the number of heartbeat intervals after a contact for which a standby may become a
+	// voter.
 	promotableHeartbeats = 3
 	// identifyTimeout bounds the request to a process for its identity.
 	identifyTimeout = 2 * time.Second
@@ -48,11 +49,10 @@
 	return proto.CloneOf(status.GetSelf()), nil
 }
 
-// Admit adds a member as a standby; the leader promotes it when it has caught up and a voter is
-// wanted. It returns when the change is committed; admitting a member that is there succeeds. A
-// member that was removed before is admitted again. Errors: those of Propose,
-// *coremembership.MemberInUseError, *coremembership.InvalidMemberError,
-// *coremembership.UnsafeChangeError, *consensus.ChangePendingError.
+// Admit adds a member as a standby; the leader promotes it when it has caught up and a voter is needed. It
+// returns when the change is committed; admitting an existing member succeeds. A member that was removed before
+// is admitted again. Errors: those of Propose, *coremembership.MemberInUseError,
+// *coremembership.InvalidMemberError, *coremembership.UnsafeChangeError, *consensus.ChangePendingError.
 func (r *Replica) Admit(ctx context.Context, member *protocol.CoreMember) error {
 	return r.admit(ctx, member, true)
 }
@@ -67,18 +67,18 @@
 	if err := r.runOnOwner(ctx, func() { propose(done) }); err != nil {
 		return err
 	}
-	answer, err := r.await(ctx, done)
+	answer, err := r.awaitProposal(ctx, done)
 	if err != nil {
 		return err
 	}
 	return answer.err
 }
 
-// RemoveMember removes the member of that name or id for good: it may not join again by itself. It
-// returns when the change is committed, and succeeds for a member that was removed before. A
-// caught-up standby is promoted in place of a voter first. A leader that is to be removed itself
-// transfers leadership and returns *NotLeaderError: the next leader serves the request then. Errors
-// besides: those of Propose, *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError,
+// RemoveMember permanently removes the member with the given name or id: it cannot join again by itself. It
+// returns when the change is committed, and succeeds for a member that was removed before. Before a voter is
+// removed, a caught-up standby is promoted in its place. A leader that is to be removed itself transfers
+// leadership and returns *NotLeaderError; the next leader then serves the request. Other errors: those of
+// Propose, *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError,
 // *consensus.ChangePendingError.
 func (r *Replica) RemoveMember(ctx context.Context, name string) error {
 	for {
@@ -90,10 +90,10 @@
 	}
 }
 
-// TransferLeadership hands leadership to the voter of that name, or to the live voter with the
-// longest log when name is empty, and returns when this member no longer leads. Errors:
-// *NotLeaderError, *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError when
-// no voter took over within an election timeout, *UnknownOutcomeError.
+// TransferLeadership transfers leadership to the voter with the given name, or to the live voter with the
+// longest log when name is empty, and returns when this member no longer leads. Errors: *NotLeaderError,
+// *coremembership.MemberUnknownError, *coremembership.UnsafeChangeError when no voter took over within an
+// election timeout, *UnknownOutcomeError.
 func (r *Replica) TransferLeadership(ctx context.Context, name string) error {
 	done := make(chan error, 1)
 	if err := r.runOnOwner(ctx, func() { r.owner.transferTo(name, done) }); err != nil {
@@ -112,7 +112,7 @@
 func (o *ownerLoop) proposeChange(change *coremembership.Change, done chan proposalResult) {
 	index, err := o.node.ProposeConfiguration(change.Configuration, o.now())
 	if err != nil {
-		done <- proposalResult{err: o.rejection(err)}
+		done <- proposalResult{err: o.callerError(err)}
 		return
 	}
 	o.replica.metrics.membershipChanges.Inc()
@@ -134,8 +134,8 @@
 	o.proposeChange(change, done)
 }
 
-// removeMember takes the next step of a removal. It reports whether that step is the promotion of a
-// standby, after which the removal is still to be done.
+// removeMember starts the next step of a removal. It reports whether that step is the promotion of a standby,
+// after which the removal itself must still be requested.
 func (o *ownerLoop) removeMember(name string, done chan proposalResult) (promoted bool) {
 	if o.node.Role() != consensus.Leader {
 		done <- proposalResult{err: o.replica.notLeader()}
@@ -165,7 +165,8 @@
 	}
 }
 
-// transferTo starts a transfer of leadership; done receives an error now, or the outcome from finishTransfers.
+// transferTo starts a transfer of leadership; done receives an error at once, or the outcome from
+// finishLeadershipTransfers.
 func (o *ownerLoop) transferTo(name string, done chan error) {
 	if err := o.startTransfer(name); err != nil {
 		done <- err
@@ -183,13 +184,13 @@
 		return err
 	}
 	if err := o.node.Transfer(target, o.now()); err != nil {
-		return o.rejection(err)
+		return o.callerError(err)
 	}
 	return nil
 }
 
-// finishTransfers reports the outcome of a transfer to those that wait for it.
-func (o *ownerLoop) finishTransfers(status *consensus.Status) {
+// finishLeadershipTransfers reports the outcome of a leadership transfer to its waiters.
+func (o *ownerLoop) finishLeadershipTransfers(status *consensus.Status) {
 	var result error
 	switch {
 	case len(o.transferWaiters) == 0:
@@ -220,7 +221,7 @@
 	}
 }
 
-// planMembership proposes the next change that the leader makes of its own accord.
+// planMembership proposes the next membership change that the leader makes without a request.
 func (o *ownerLoop) planMembership() {
 	now := o.now()
 	isActive := o.failure == nil && !o.leadingSince.IsZero() && now.Before(o.node.LeaseEnds(now))
@@ -232,8 +233,8 @@
 	if change == nil {
 		return
 	}
-	// The next step is due as soon as this one is committed: between a promotion and the removal
-	// that follows it, there is one lost voter too many.
+	// The next step is due as soon as this one is committed: between a promotion and the removal that follows it,
+	// the lost voter still counts towards the majority.
 	o.nextPlan = now.Add(o.replica.options.HeartbeatInterval / ticksPerHeartbeat)
 	o.proposeChange(change, make(chan proposalResult, 1))
 }
--- a/internal/controlplane/replica/metrics.go
+++ b/internal/controlplane/replica/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/rosestand/rosestand/internal/controlplane/consensus"
 )
 
-// Metric names begin with these.
+// All metric names begin with these prefixes.
 const (
 	namespace = "rosestand"
 	subsystem = "core"
 )
 
-// metrics are the figures of a replica; collectors are safe for concurrent use.
+// metrics holds the collectors of a replica, which are safe for concurrent use.
 type metrics struct {
 	messagesSent, sendFailures, messagesDropped prometheus.Counter
 	proposals, batches, snapshots               prometheus.Counter
--- a/internal/controlplane/replica/options.go
+++ b/internal/controlplane/replica/options.go
@@ -22,7 +22,7 @@
 	DefaultSnapshotBytes     = 16 << 20
 )
 
-// StateMachine is what the log's commands are applied to. All calls come from the owner goroutine.
+// StateMachine applies the committed commands of the log. All calls come from the owner goroutine.
 type StateMachine interface {
 	// Apply applies one committed command, in log order, and returns its result.
 	Apply(index uint64, command []byte) (result []byte)
@@ -32,7 +32,7 @@
 	Restore(reader io.Reader) error
 }
 
-// Clock gives the time, on a monotonic scale, and timers.
+// Clock provides monotonic time and timers.
 type Clock interface {
 	Now() time.Time
 	// NewTimer returns a timer that fires once after the given time.
@@ -45,10 +45,10 @@
 	Stop()
 }
 
-// Options of a Replica. Zero values of numbers take the defaults named with each.
+// Options configure a Replica. Numbers that are zero take the defaults that their comments state.
 type Options struct {
-	// Self names this process: name, internal address, HTTP address, zone, region. Its id and voter
-	// flag are ignored.
+	// Self describes this process: name, internal address, HTTP address, zone, region. Its id and voter flag are
+	// ignored.
 	Self *protocol.CoreMember
 	// Founders are the internal addresses of the processes that found a new cluster together.
 	Founders []string
@@ -77,17 +77,17 @@
 	Filesystem storage.Filesystem
 	Caller     wire.Caller
 	Machine    StateMachine
-	// Clock defaults to the machine's monotonic clock.
+	// Clock defaults to SystemClock.
 	Clock Clock
 	// Random drives election timeouts, the member's id and the cluster's id. Default: seeded by the
 	// runtime.
 	Random *rand.Rand
 	// Logger may be nil.
 	Logger *log.Logger
-	// Registerer takes the replica's metrics; it may be nil.
+	// Registerer registers the replica's metrics; it may be nil.
 	Registerer prometheus.Registerer
-	// OnFatal is called once, on a goroutine of its own, when storage failed in a way that the replica
-	// cannot recover from: it has stopped, and the process must end.
+	// OnFatal is called once, on its own goroutine, when storage failed in a way that the replica cannot recover
+	// from: the replica has stopped, and the process must end.
 	OnFatal func(error)
 }
 
--- a/internal/controlplane/replica/owner_loop.go
+++ b/internal/controlplane/replica/owner_loop.go
@@ -31,10 +31,11 @@
 	snapshots snapshots
 	slowDisk  slowDiskDetector
 
-	// configurationIndex is that of the configuration which the transport follows.
+	// configurationIndex is the log index of the configuration that the transport uses.
 	configurationIndex uint64
 
-	// leadingTerm is the last term that this member led; wasLeader is its role after the last turn.
+	// leadingTerm is the last term that this member led; wasLeader is true if it led after the last iteration of the
+	// owner loop.
 	leadingTerm uint64
 	wasLeader   bool
 	// leadingSince is when it had the lease and had applied all that earlier leaders committed; zero
@@ -46,7 +47,7 @@
 	transferWaiters   []chan error
 	// nextPlan is when the next change of membership is planned.
 	nextPlan time.Time
-	// failure ends the run of this owner.
+	// failure is the error that ends the owner loop; nil while there is none.
 	failure error
 }
 
@@ -58,7 +59,8 @@
 	return o.buildNode(initial)
 }
 
-// buildNode makes the consensus node, as at the start, after founding or when the log was reopened.
+// buildNode creates the consensus node: at the start, after the founding of a cluster and when the log was
+// reopened.
 func (o *ownerLoop) buildNode(initial consensus.InitialState) error {
 	options := o.replica.options
 	node, err := consensus.New(consensus.Config{
@@ -74,7 +76,7 @@
 	}
 	o.node = node
 	o.lastLeaderContact = o.now()
-	// The node may have messages to send at its first tick, so the transport must know the members.
+	// The node may have messages to send at its first tick, so the transport needs the members before it.
 	o.applyConfiguration()
 	o.publish()
 	return nil
@@ -82,7 +84,7 @@
 
 func (o *ownerLoop) now() time.Time { return o.replica.options.Clock.Now() }
 
-// run is the loop of the owner goroutine: it serves until the replica stops or its storage fails.
+// run is the loop of the owner goroutine: it serves requests until the replica stops or its storage fails.
 func (o *ownerLoop) run() {
 	interval := o.replica.options.HeartbeatInterval / ticksPerHeartbeat
 	timer := o.replica.options.Clock.NewTimer(0)
@@ -111,7 +113,7 @@
 	}
 }
 
-// drainQueues takes what else is queued, up to maxBatch, so that one sync serves all of it.
+// drainQueues processes up to maxBatch more queued items, so that one sync covers all of them.
 func (o *ownerLoop) drainQueues() {
 	for range maxBatch {
 		select {
@@ -127,8 +129,8 @@
 	}
 }
 
-// step passes a message to the node. The time is read after the message was received: with an
-// earlier time this member would stop rejecting votes while the leader still counts on it.
+// step passes a message to the node, with a time that is read after the message was received: with an earlier
+// one this member would stop rejecting votes while the lease of the leader still depends on that.
 func (o *ownerLoop) step(received inboundMessage) {
 	message := received.message
 	if message.GetTo() != o.replica.self.GetId() {
@@ -148,7 +150,7 @@
 	o.transferIfDiskSlow(received)
 }
 
-// adoptCluster joins the cluster whose leader addressed this empty member by its random id.
+// adoptCluster joins the cluster of a leader that sent a message to the random id of this empty member.
 func (o *ownerLoop) adoptCluster(clusterID string) {
 	if clusterID == "" {
 		return
@@ -167,22 +169,21 @@
 	if o.failure == nil {
 		o.maybeSnapshot()
 	}
-	o.restartTransfers()
+	o.restartSnapshotTransfers()
 }
 
-// restartTransfers restarts the snapshot transfers whose snapshot has been removed; their first chunks
-// go out with the next output. It does so once in an iteration of the owner loop, not at once: while a newer
-// snapshot is on the disk that the node does not know of yet, the node goes on to name the one before
-// it, which cannot be read any more.
-func (o *ownerLoop) restartTransfers() {
+// restartSnapshotTransfers restarts the transfers whose snapshot has been removed; their first chunks are sent
+// with the node's next output. It runs once per iteration of the owner loop: while the disk has a newer snapshot
+// of which the node is not yet notified, the node keeps naming the previous one, which can no longer be read, so
+// an immediate restart would repeat without end.
+func (o *ownerLoop) restartSnapshotTransfers() {
 	for _, member := range o.snapshots.staleTransfers {
 		o.node.RestartSnapshot(member, o.now())
 	}
 	o.snapshots.staleTransfers = nil
 }
 
-// processReady carries out the node's output, in the order that consensus.Ready demands, until there is
-// none.
+// processReady carries out the node's output, in the order that consensus.Ready requires, until there is none.
 func (o *ownerLoop) processReady() {
 	for o.failure == nil && o.node.HasReady() {
 		ready := o.node.Ready()
@@ -232,11 +233,11 @@
 func (o *ownerLoop) applyCommitted(entries []*protocol.Entry) {
 	for _, entry := range entries {
 		o.snapshots.appliedBytes += len(entry.GetData())
-		o.waiters.resolveEntry(entry, o.replica.applyToMachine(entry))
+		o.waiters.resolveEntry(entry, o.replica.applyToStateMachine(entry))
 	}
 }
 
-// applyConfiguration lets the transport follow the membership.
+// applyConfiguration passes a new configuration to the transport.
 func (o *ownerLoop) applyConfiguration() {
 	configuration, index := o.node.Configuration()
 	if index != o.configurationIndex {
@@ -266,21 +267,22 @@
 	o.replica.logInfo("cluster founded", "cluster", clusterID)
 }
 
-// fail ends the run of this owner: after a failed write nothing more may be acknowledged.
+// fail records the first failure, which ends the owner loop: after a failed write nothing more may be
+// acknowledged.
 func (o *ownerLoop) fail(err error) {
 	if o.failure == nil {
 		o.failure = err
 	}
 }
 
-// close publishes that this member does not lead, answers all that wait with the cause, and ends the
-// goroutines that send and save.
+// close publishes a view in which this member is not the leader, fails all waiters with the cause, and waits
+// until the goroutines that send messages and save a snapshot have ended.
 func (o *ownerLoop) close(cause error) {
 	o.leadingSince = time.Time{}
-	last := *o.replica.view.Load()
-	last.leaseEnds, last.leadingSince = time.Time{}, time.Time{}
-	last.status.Role, last.status.Leader = consensus.Follower, 0
-	o.replica.view.Store(&last)
+	closedView := *o.replica.view.Load()
+	closedView.leaseEnds, closedView.leadingSince = time.Time{}, time.Time{}
+	closedView.status.Role, closedView.status.Leader = consensus.Follower, 0
+	o.replica.view.Store(&closedView)
 	o.waiters.failAll(cause)
 	for _, waiter := range o.transferWaiters {
 		waiter <- cause
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/coremembership"
 )
 
-// MaxCommandBytes bounds one command, so that it fits into one message with what surrounds it.
+// MaxCommandBytes bounds one command, so that a message with its log entry stays within the size limit.
 const MaxCommandBytes = 8 << 20
 
 // proposal is a command that waits to be appended to the log.
@@ -39,16 +39,16 @@
 	if err := enqueue(r, r.proposals, proposal, proposalQueueName); err != nil {
 		return nil, 0, err
 	}
-	answer, err := r.await(ctx, proposal.done)
+	answer, err := r.awaitProposal(ctx, proposal.done)
 	if err != nil {
 		return nil, 0, err
 	}
 	return answer.data, answer.index, answer.err
 }
 
-// await waits for the result of a proposal. The error is an *UnknownOutcomeError: the proposal may
+// awaitProposal waits for the result of a proposal. The error is an *UnknownOutcomeError: the proposal may
 // still be committed.
-func (r *Replica) await(ctx context.Context, done <-chan proposalResult) (proposalResult, error) {
+func (r *Replica) awaitProposal(ctx context.Context, done <-chan proposalResult) (proposalResult, error) {
 	result, interrupted := waitFor(ctx, r.stopped, done)
 	if interrupted != nil {
 		return proposalResult{}, &UnknownOutcomeError{Cause: interrupted}
@@ -56,7 +56,7 @@
 	return result, nil
 }
 
-// propose appends the proposal and those queued behind it, so that one sync serves them all.
+// propose appends the proposal and those queued behind it, so that one sync covers them all.
 func (o *ownerLoop) propose(first *proposal) {
 	batch := o.batchProposals(first)
 	commands := make([][]byte, 0, len(batch))
@@ -66,7 +66,7 @@
 	index, term, err := o.node.Propose(commands, o.now())
 	if err != nil {
 		for _, proposal := range batch {
-			proposal.done <- proposalResult{err: o.rejection(err)}
+			proposal.done <- proposalResult{err: o.callerError(err)}
 		}
 		return
 	}
@@ -91,8 +91,8 @@
 	return batch
 }
 
-// rejection converts an error of the node, which appended nothing, to one for callers.
-func (o *ownerLoop) rejection(err error) error {
+// callerError converts an error of the node, which appended nothing, to one for callers.
+func (o *ownerLoop) callerError(err error) error {
 	var overloaded *consensus.OverloadedError
 	var pending *consensus.ChangePendingError
 	var invalid *consensus.InvalidChangeError
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -26,14 +26,14 @@
 	requestCapacity  = 1024
 )
 
-// queueTimeDivisor: a message to another member is not sent after this part of the election timeout in
-// a queue.
+// queueTimeDivisor is the part of the election timeout, as its divisor, for which a message to another member may be
+// queued; a message that was queued for longer is not sent.
 const queueTimeDivisor = 2
 
 // Replica is one member of the core's consensus group. It is safe for concurrent use.
 type Replica struct {
-	// What follows is not changed after New, but for store: the owner goroutine replaces it when the
-	// log is reopened.
+	// These fields do not change after New, except store, which the owner goroutine replaces when the log is
+	// reopened.
 	options Options
 	metrics *metrics
 	store   *logstore.Store
@@ -54,12 +54,13 @@
 	view  atomic.Pointer[view]
 	seeds atomic.Pointer[[]string]
 
-	// The rest belongs to the owner goroutine from Start on.
+	// The fields below belong to the owner goroutine after Start.
 
 	owner ownerLoop
-	// machineIndex is the last entry that the state machine has applied, be it by a snapshot. After
-	// the log was reopened it is ahead of what the node applied, since the state machine is not reset.
-	machineIndex uint64
+	// stateMachineIndex is the index of the last entry that the state machine has applied or restored from a
+	// snapshot. After the log was reopened it is ahead of the node's applied index, since the state machine is not
+	// reset.
+	stateMachineIndex uint64
 	// nonSpaceFailures counts the failures of the disk other than a full disk.
 	nonSpaceFailures int
 }
@@ -108,16 +109,16 @@
 		return err
 	}
 	snapshot := recovered.Initial.Snapshot
-	if snapshot.GetIndex() > r.machineIndex {
-		if err := r.restoreMachine(snapshot, recovered.SnapshotState); err != nil {
+	if snapshot.GetIndex() > r.stateMachineIndex {
+		if err := r.restoreStateMachine(snapshot, recovered.SnapshotState); err != nil {
 			return err
 		}
 	}
 	return r.owner.init(r, recovered.ClusterID, recovered.Initial)
 }
 
-// Start starts the goroutines of the replica, which end with Stop. It joins or founds a cluster if the
-// data folder has none. The error of a second start is a *StoppedError.
+// Start starts the goroutines of the replica, which end with Stop. The replica joins or founds a cluster if the
+// data folder has none. A second call returns a *StoppedError.
 func (r *Replica) Start(context.Context) error {
 	if r.started.Swap(true) {
 		return &StoppedError{}
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// Stop ends the replica and closes its log. A leader transfers leadership first, for as long as ctx
-// lasts.
+// Stop stops the replica and closes its log. A leader transfers leadership first, and waits for that until ctx
+// ends.
 func (r *Replica) Stop(ctx context.Context) error {
 	if !r.started.Load() {
 		r.stopOnce.Do(func() { close(r.stop); close(r.stopped) })
@@ -145,23 +146,23 @@
 	return r.store.Close()
 }
 
-// IsLeader reports whether this process leads, has applied all that earlier leaders committed, and has
-// the leader lease now.
+// IsLeader reports whether this process is the leader, has applied all that earlier leaders committed, and now
+// holds the leader lease.
 func (r *Replica) IsLeader() bool {
 	view := r.view.Load()
 	return !view.leadingSince.IsZero() && r.options.Clock.Now().Before(view.leaseEnds)
 }
 
-// LeaderSince is the monotonic time at which this process became a leader that had applied all
-// that earlier leaders committed; zero when it is none.
+// LeaderSince returns the monotonic time at which this process became a leader that had applied all that earlier
+// leaders committed; zero when it is not the leader.
 func (r *Replica) LeaderSince() time.Time { return r.view.Load().leadingSince }
 
-// Leader returns the member that leads as far as this process knows, or nil.
+// Leader returns the leader known to this process, or nil.
 func (r *Replica) Leader() *protocol.CoreMember {
 	return r.view.Load().leader()
 }
 
-// ID returns the random id of this member, made with its data folder.
+// ID returns the random id of this member, which was created with its data folder.
 func (r *Replica) ID() uint64 { return r.self.GetId() }
 
 // memberID derives the id from the identity of the data folder, so that a process with an emptied
@@ -176,7 +177,7 @@
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(name, random.Uint64()))
 }
 
-// newTransport makes a transport for one owner.
+// newTransport creates a transport for one owner loop.
 func (r *Replica) newTransport() *transport.Transport {
 	return transport.New(transport.Options{
 		Caller: r.options.Caller, Now: r.options.Clock.Now, CallTimeout: r.options.ElectionTimeout,
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestPartitionedLeaderStopsBeforeTheNextOne(t *testing.T) {
+func TestPartitionedLeaderStopsLeadingBeforeTheNextOneLeads(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		old := f.foundCluster(3)
 		if err := old.propose("before"); err != nil {
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestBarrierShowsWhatWasCommitted(t *testing.T) {
+func TestBarrierWaitsForCommittedCommands(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		leader := f.foundCluster(3)
 		for number := range 10 {
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestStandbyTakesThePlaceOfALostVoter(t *testing.T) {
+func TestStandbyReplacesALostVoter(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.foundCluster(3)
 		f.seeds = []string{f.machine(2).address}
@@ -301,7 +301,7 @@
 	})
 }
 
-func TestMemberAtANewAddressIsFound(t *testing.T) {
+func TestMemberRejoinsAtANewAddress(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		leader := f.foundCluster(3)
 		moved := f.machine(1)
@@ -326,7 +326,7 @@
 	})
 }
 
-func TestClusterSurvivesNewAddressesEverywhere(t *testing.T) {
+func TestClusterRecoversWhenAllAddressesChange(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.foundCluster(3)
 		if err := f.leader().propose("x"); err != nil {
@@ -358,7 +358,7 @@
 	})
 }
 
-func TestServiceIsBackSoonAfterARestartOfAll(t *testing.T) {
+func TestALeaderIsElectedSoonAfterARestartOfAll(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.foundCluster(3)
 		for range 5 {
--- a/internal/controlplane/replica/requests.go
+++ b/internal/controlplane/replica/requests.go
@@ -16,7 +16,7 @@
 	requestQueueName  = "requests"
 )
 
-// inboundMessage is a message of another member and when this process received it.
+// inboundMessage is a message of another member with the time at which this process received it.
 type inboundMessage struct {
 	message    *protocol.ConsensusMessage
 	receivedAt time.Time
@@ -26,7 +26,7 @@
 // stops first.
 type request struct {
 	run func()
-	// reject is called in place of run while the replica waits for its disk.
+	// reject is called instead of run while the replica waits until its disk can be used again.
 	reject func(err error)
 }
 
@@ -44,8 +44,8 @@
 	return r.waitForError(ctx, done)
 }
 
-// waitForError waits for the owner's answer. Errors besides it: *UnknownOutcomeError when the context
-// ends, *StoppedError.
+// waitForError waits for the result from the owner goroutine and returns it. Other errors: *UnknownOutcomeError
+// when the context ends, *StoppedError.
 func (r *Replica) waitForError(ctx context.Context, done <-chan error) error {
 	answer, interrupted := waitFor(ctx, r.stopped, done)
 	var stopped *StoppedError
@@ -59,8 +59,8 @@
 	}
 }
 
-// waitFor waits for an answer of the owner goroutine. The wait is interrupted by the end of the
-// context, with its error, or when the replica stops without an answer, with a *StoppedError.
+// waitFor waits for an answer from the owner goroutine. The wait is interrupted by the end of the context, with
+// its error, or when the replica stops without an answer, with a *StoppedError.
 func waitFor[T any](ctx context.Context, stopped <-chan struct{}, done <-chan T) (answer T, interrupted error) {
 	select {
 	case answer = <-done:
@@ -69,7 +69,7 @@
 		return answer, ctx.Err()
 	case <-stopped:
 	}
-	// The answer may have come at the same time.
+	// The answer may have arrived at the same time.
 	select {
 	case answer = <-done:
 		return answer, nil
@@ -78,8 +78,8 @@
 	}
 }
 
-// enqueue hands an item to the owner goroutine without waiting; after an error it was not handed
-// over. Errors: *StoppedError, *OverloadedError with the name of the queue.
+// enqueue queues an item for the owner goroutine without blocking; after an error the item is not queued.
+// Errors: *StoppedError, *OverloadedError with the name of the queue.
 func enqueue[T any](r *Replica, queue chan<- T, item T, name string) error {
 	select {
 	case <-r.stopped:
--- a/internal/controlplane/replica/sequential_faults_test.go
+++ b/internal/controlplane/replica/sequential_faults_test.go
@@ -38,8 +38,8 @@
 type sequentialFaults struct {
 	*faultInjector
 	// numbers are those of the present machines; a replacement has a new number, the next one.
-	numbers []int
-	next    int
+	machineNumbers []int
+	nextNumber     int
 	// seedNumbers are the machines that are seeds of a process at its start; a replaced one is among
 	// them for a while.
 	seedNumbers []int
@@ -51,8 +51,8 @@
 
 func newSequentialFaults(f *fleet, seed uint64) *sequentialFaults {
 	d := &sequentialFaults{
-		faultInjector: newFaultInjector(f, rand.New(rand.NewPCG(seed, 23)), map[string]int{}),
-		numbers:       []int{1, 2, 3, 4}, next: 5, seedNumbers: []int{1, 2, 3, 4},
+		faultInjector:  newFaultInjector(f, rand.New(rand.NewPCG(seed, 23)), map[string]int{}),
+		machineNumbers: []int{1, 2, 3, 4}, nextNumber: 5, seedNumbers: []int{1, 2, 3, 4},
 	}
 	d.foundCluster(3)
 	f.founders = nil
@@ -65,18 +65,18 @@
 // runFor passes time with commands every 40 ms and fails when the core is without a leader for too long.
 func (d *sequentialFaults) runFor(duration time.Duration, limit time.Duration) {
 	d.t.Helper()
-	without := time.Duration(0)
+	leaderless := time.Duration(0)
 	const step = 40 * time.Millisecond
 	for ; duration > 0; duration -= step {
 		if d.leader() == nil {
-			without += step
+			leaderless += step
 		} else {
-			without = 0
+			leaderless = 0
 			d.propose()
 		}
-		d.maxLeaderless = max(d.maxLeaderless, without)
-		if without > limit {
-			d.describe()
+		d.maxLeaderless = max(d.maxLeaderless, leaderless)
+		if leaderless > limit {
+			d.logStatuses()
 			d.t.Fatalf("without a leader for more than %v; faults so far %v", limit, d.faultCounts)
 		}
 		d.advance(step)
@@ -94,7 +94,7 @@
 }
 
 // randomPosition picks the leader, a follower or the standby.
-func (d *sequentialFaults) randomPosition() int { return d.random.IntN(len(d.numbers)) }
+func (d *sequentialFaults) randomPosition() int { return d.random.IntN(len(d.machineNumbers)) }
 
 func (d *sequentialFaults) duration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.random.Int64N(int64(to-from)))
@@ -103,57 +103,57 @@
 // injectLoss injects one fault and returns when the machine, or its replacement, runs again.
 func (d *sequentialFaults) injectLoss() {
 	position := d.randomPosition()
-	m := d.machine(d.numbers[position])
-	down := d.duration(100*time.Millisecond, 6*time.Second)
+	m := d.machine(d.machineNumbers[position])
+	downtime := d.duration(100*time.Millisecond, 6*time.Second)
 	switch d.random.IntN(9) {
 	case 0:
-		d.losePower(m, down)
+		d.losePower(m, downtime)
 	case 1, 2:
-		d.loseDisk(m, down)
+		d.loseDisk(m, downtime)
 	case 3:
-		d.partition(m, down)
+		d.partition(m, downtime)
 	case 4:
 		d.replace(m, position)
 	case 5:
-		d.partitionOneWay(m, down)
+		d.partitionOneWay(m, downtime)
 	case 6:
 		d.killAllWhileDown(m)
 	case 8:
-		d.freeze(m, down)
+		d.freeze(m, downtime)
 	default:
 		d.faultCounts["all killed"]++
 		d.killAll(nil)
 	}
 }
 
-func (d *sequentialFaults) losePower(m *machine, down time.Duration) {
+func (d *sequentialFaults) losePower(m *machine, downtime time.Duration) {
 	d.faultCounts["power lost"]++
 	m.crash()
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	d.start(m)
 }
 
-func (d *sequentialFaults) loseDisk(m *machine, down time.Duration) {
+func (d *sequentialFaults) loseDisk(m *machine, downtime time.Duration) {
 	d.faultCounts["disk lost"]++
 	m.crash()
 	m.disk.Lose()
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	d.start(m)
 }
 
-func (d *sequentialFaults) partition(m *machine, down time.Duration) {
+func (d *sequentialFaults) partition(m *machine, downtime time.Duration) {
 	d.faultCounts["partitioned"]++
 	d.setPartitioned(m.address, true)
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	d.setPartitioned(m.address, false)
 }
 
 // partitionOneWay stops what is sent to a machine, or what it sends.
-func (d *sequentialFaults) partitionOneWay(m *machine, down time.Duration) {
+func (d *sequentialFaults) partitionOneWay(m *machine, downtime time.Duration) {
 	d.faultCounts["partitioned one way"]++
 	inbound := d.random.IntN(2) == 0
 	d.setOneWayPartition(m.address, inbound, !inbound)
-	d.runFor(down, maxLeaderlessOneWay)
+	d.runFor(downtime, maxLeaderlessOneWay)
 	d.setOneWayPartition(m.address, false, false)
 }
 
@@ -162,15 +162,15 @@
 	d.faultCounts["replaced"]++
 	m.crash()
 	d.runFor(d.duration(time.Second, 2500*time.Millisecond), maxLeaderlessTime)
-	d.numbers[position] = d.next
-	d.start(d.machine(d.next))
-	d.next++
+	d.machineNumbers[position] = d.nextNumber
+	d.start(d.machine(d.nextNumber))
+	d.nextNumber++
 }
 
-func (d *sequentialFaults) freeze(m *machine, down time.Duration) {
+func (d *sequentialFaults) freeze(m *machine, downtime time.Duration) {
 	d.faultCounts["frozen"]++
 	m.freeze()
-	d.runFor(down, maxLeaderlessTime)
+	d.runFor(downtime, maxLeaderlessTime)
 	m.resume()
 }
 
@@ -198,7 +198,7 @@
 
 func (d *sequentialFaults) startAll(down *machine) {
 	d.t.Helper()
-	for _, number := range d.numbers {
+	for _, number := range d.machineNumbers {
 		if m := d.machine(number); m != down {
 			d.start(m)
 		}
@@ -215,7 +215,7 @@
 	for _, m := range d.running() {
 		m.crash()
 	}
-	d.machine(d.numbers[d.randomPosition()]).disk.Lose()
+	d.machine(d.machineNumbers[d.randomPosition()]).disk.Lose()
 	d.startAll(nil)
 }
 
@@ -229,14 +229,14 @@
 				return false
 			}
 		}
-		return len(d.running()) == len(d.numbers)
+		return len(d.running()) == len(d.machineNumbers)
 	})
 	for _, m := range d.running() {
 		d.checkCommands(m)
 	}
 }
 
-func TestALossAfterEachCatchUpIsTolerated(t *testing.T) {
+func TestCommandsSurviveOneLossAfterEachCatchUp(t *testing.T) {
 	counts, leaderless, restartLeaderless := map[string]int{}, time.Duration(0), time.Duration(0)
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -246,7 +246,7 @@
 				for range 12 {
 					d.injectLoss()
 					d.runFor(catchUpTime+d.duration(0, 300*time.Millisecond), maxLeaderlessTime)
-					d.seedNumbers = slices.Clone(d.numbers)
+					d.seedNumbers = slices.Clone(d.machineNumbers)
 				}
 				d.losePowerAndOneDisk()
 				d.checkAcknowledged()
@@ -277,7 +277,7 @@
 	})
 }
 
-func TestALeaderGoesOnWhileASnapshotIsSavedThatItHasNotNoticed(t *testing.T) {
+func TestALeaderContinuesWhileItsNodeTransfersARemovedSnapshot(t *testing.T) {
 	// More than may be on the way to a member and is retained below a snapshot.
 	const commands = 5400
 	runScenario(t, func(f *fleet) {
@@ -331,12 +331,12 @@
 	m.fleet.mutex.Unlock()
 }
 
-func TestRollingRestartsLeaveNoGapWithoutALeader(t *testing.T) {
+func TestRollingRestartsLeaveOnlyShortTimesWithoutALeader(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		useShortTimeouts(f)
 		d := newSequentialFaults(f, 1)
 		for restart := range 12 {
-			m := d.machine(d.numbers[restart%len(d.numbers)])
+			m := d.machine(d.machineNumbers[restart%len(d.machineNumbers)])
 			if leader := d.leader(); leader != nil && restart%3 == 0 {
 				m = leader
 			}
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	// slowSyncFactor: a sync of the leader is slow if it takes this many times longer than the answer of
-	// the fastest voter.
+	// slowSyncFactor is the number of response times of the fastest voter that a slow sync of the leader exceeds.
 	slowSyncFactor = 2
-	// minSlowSync is the shortest sync that counts as slow; below it a transfer would gain too little.
+	// minSlowSync is the shortest sync that counts as slow; with shorter ones a transfer would gain too little.
 	minSlowSync = 5 * time.Millisecond
-	// syncWindow is the number of syncs after which the leader decides, and minSlowSyncs the number of
+	// syncWindow is the number of syncs after which the leader decides on a transfer, and minSlowSyncs the number of
 	// them that must be slow.
 	syncWindow   = 32
 	minSlowSyncs = 24
@@ -21,47 +20,47 @@
 	minTransferInterval = time.Minute
 )
 
-// slowDiskDetector compares the syncs of a leader with the answers of the other voters, which include
-// their syncs. A leader writes before it sends, so that a slow disk of its own delays every command. A
-// single slow sync means nothing; most of a window do. It belongs to the owner goroutine.
+// slowDiskDetector compares the sync times of a leader with the response times of the other voters, which
+// include their syncs. A leader writes before it sends, so that its own slow disk delays every command. A single
+// slow sync is no evidence of a slow disk; minSlowSyncs in a window are. It belongs to the owner goroutine.
 type slowDiskDetector struct {
-	compared, slow int
-	// ownSync is how long the entries up to index took to be written here; they were sent at sentAt. The
-	// index is zero when no answer is awaited.
-	ownSync time.Duration
-	index   uint64
-	sentAt  time.Time
+	comparedSyncs, slowSyncs int
+	// ownSync is how long the leader took to write the entries up to awaitedIndex, which it sent at sentAt.
+	// awaitedIndex is zero when no response is awaited.
+	ownSync      time.Duration
+	awaitedIndex uint64
+	sentAt       time.Time
 	// nextTransfer is the earliest time of the next transfer.
 	nextTransfer time.Time
 }
 
 // begin starts a comparison, unless one is in progress.
 func (s *slowDiskDetector) begin(index uint64, ownSync time.Duration, now time.Time) {
-	if s.index != 0 {
+	if s.awaitedIndex != 0 {
 		return
 	}
-	s.index, s.ownSync, s.sentAt = index, ownSync, now
+	s.awaitedIndex, s.ownSync, s.sentAt = index, ownSync, now
 }
 
-// observeAnswer ends the comparison at the first answer of a voter, and reports whether the disk of
-// this leader is slow.
+// observeAnswer ends the comparison at the first response of a voter, and reports whether the disk of this
+// leader is slow.
 func (s *slowDiskDetector) observeAnswer(received inboundMessage) bool {
 	answer := received.message
-	awaited := s.index != 0 && answer.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
-		!answer.GetReject() && answer.GetLogIndex() >= s.index
+	awaited := s.awaitedIndex != 0 && answer.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
+		!answer.GetReject() && answer.GetLogIndex() >= s.awaitedIndex
 	if !awaited {
 		return false
 	}
-	s.index = 0
-	s.compared++
+	s.awaitedIndex = 0
+	s.comparedSyncs++
 	if s.ownSync >= minSlowSync && s.ownSync > slowSyncFactor*received.receivedAt.Sub(s.sentAt) {
-		s.slow++
+		s.slowSyncs++
 	}
-	if s.compared < syncWindow {
+	if s.comparedSyncs < syncWindow {
 		return false
 	}
-	isSlow := s.slow >= minSlowSyncs
-	s.compared, s.slow = 0, 0
+	isSlow := s.slowSyncs >= minSlowSyncs
+	s.comparedSyncs, s.slowSyncs = 0, 0
 	return isSlow
 }
 
@@ -77,7 +76,7 @@
 	o.slowDisk.begin(last, written.Sub(began), o.now())
 }
 
-// transferIfDiskSlow transfers leadership to the voter that answered when this disk is much slower.
+// transferIfDiskSlow transfers leadership to the voter that sent the message if the leader's disk is much slower.
 func (o *ownerLoop) transferIfDiskSlow(received inboundMessage) {
 	if o.node.Role() != consensus.Leader {
 		o.slowDisk.reset()
--- a/internal/controlplane/replica/slow_disk_test.go
+++ b/internal/controlplane/replica/slow_disk_test.go
@@ -49,7 +49,7 @@
 
 func (f *fleet) term() uint64 { return f.waitForLeader().replica.Status().GetTerm() }
 
-func TestALeaderWithASlowDiskHandsOverOnce(t *testing.T) {
+func TestALeaderWithASlowDiskTransfersLeadershipOnce(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		slow := leaderWithSlowDisk(f)
 		before := f.meanCommandTime(syncWindow / 2)
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestDisksThatAreAllSlowKeepTheirLeader(t *testing.T) {
+func TestALeaderStaysWhenAllDisksAreSlow(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.latency, f.syncTime = 2*time.Millisecond, slowSync
 		f.foundCluster(3)
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestADiskThatStallsForMomentsKeepsItsLeader(t *testing.T) {
+func TestALeaderWhoseDiskStallsBrieflyStays(t *testing.T) {
 	runScenario(t, func(f *fleet) {
 		f.latency, f.syncTime = 2*time.Millisecond, usualSync
 		leader := f.foundCluster(3)
--- a/internal/controlplane/replica/snapshots.go
+++ b/internal/controlplane/replica/snapshots.go
@@ -17,8 +17,8 @@
 	snapshotRetryInterval = 10 * time.Second
 )
 
-// snapshots are the snapshots that are being saved and transferred. They belong to the owner goroutine;
-// the goroutine that saves one reports on the channel saved.
+// snapshots tracks the snapshots that are being saved and transferred. It belongs to the owner goroutine; the
+// goroutine that saves a snapshot sends its result on the channel saved.
 type snapshots struct {
 	saving         bool
 	saved          chan savedSnapshot
@@ -29,7 +29,7 @@
 	retryAt time.Time
 	// appliedBytes is the size of the entries applied since the last snapshot was taken.
 	appliedBytes int
-	// staleTransfers are the members whose transfer names a snapshot that has been removed.
+	// staleTransfers are the members to which a snapshot is transferred that has been removed.
 	staleTransfers []uint64
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// maybeSnapshot takes a snapshot once enough entries are applied. The owner writes the state to memory;
-// another goroutine writes it to the disk.
+// maybeSnapshot takes a snapshot once enough entries are applied. The owner goroutine serializes the state in
+// memory; another goroutine writes it to the disk.
 func (o *ownerLoop) maybeSnapshot() {
 	o.dropCachedSnapshot()
 	status, options := o.node.Status(), o.replica.options
@@ -57,7 +57,7 @@
 	if o.snapshots.saving || !isDue || o.now().Before(o.snapshots.retryAt) {
 		return
 	}
-	if status.Applied < o.replica.machineIndex {
+	if status.Applied < o.replica.stateMachineIndex {
 		// The log was reopened, and the state machine is ahead of the entry that the snapshot would name.
 		return
 	}
@@ -76,11 +76,11 @@
 	}()
 }
 
-// snapshotSaved compacts the log under a snapshot that has become durable.
+// snapshotSaved removes the entries from the log that a snapshot covers once it is durable.
 func (o *ownerLoop) snapshotSaved(saved savedSnapshot) {
 	o.snapshots.saving = false
 	if storage.IsDiskFull(saved.err) {
-		// No harm is done: the log has all that the snapshot would.
+		// Nothing is lost: the log still has all entries that the snapshot would cover.
 		o.snapshots.retryAt = o.now().Add(snapshotRetryInterval)
 		o.snapshots.appliedBytes += saved.appliedBytes
 		o.replica.logWarning("snapshot not saved: disk full", "error", saved.err)
@@ -107,11 +107,11 @@
 	o.node.Compact(saved.metadata)
 }
 
-// installSnapshot replaces the state by a snapshot of the leader. The state machine restores it first:
-// a state that it cannot restore must not become durable.
+// installSnapshot replaces the state with a snapshot of the leader. The state machine restores it first: a state
+// that it cannot restore must not become durable.
 func (o *ownerLoop) installSnapshot(ready consensus.Ready) error {
 	received := ready.Snapshot
-	if err := o.replica.restoreMachine(received.Metadata, received.Data); err != nil {
+	if err := o.replica.restoreStateMachine(received.Metadata, received.Data); err != nil {
 		return err
 	}
 	if err := o.replica.store.SaveSnapshot(received.Metadata, received.Data); err != nil {
@@ -126,7 +126,7 @@
 	return o.replica.store.Compact(o.clusterID, received.Metadata, nil, hardState)
 }
 
-// fillChunk adds the chunk at the message's offset to it. It returns false when the snapshot that the
+// fillChunk adds the chunk at the message's offset to the message. It returns false when the snapshot that the
 // message names has been removed.
 func (o *ownerLoop) fillChunk(message *protocol.ConsensusMessage) bool {
 	cache := &o.snapshots
--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// copyOfStored gives a disk with a copy of a folder in "core"; damage, when set, may change the content of a file.
-func copyOfStored(t *testing.T, name string, damage func(path string, content []byte)) *simdisk.Disk {
+// copyStoredFolder returns a disk with a copy of a stored folder in "core"; damage, if not nil, may change the content
+// of a file.
+func copyStoredFolder(t *testing.T, name string, damage func(path string, content []byte)) *simdisk.Disk {
 	t.Helper()
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	root := filepath.Join(storedData, name)
@@ -65,7 +66,7 @@
 	return disk
 }
 
-func openStored(filesystem storage.Filesystem, machine StateMachine) (*Replica, error) {
+func openStoredCore(filesystem storage.Filesystem, machine StateMachine) (*Replica, error) {
 	self := &protocol.CoreMember{
 		Name: "core-1", Address: "127.0.0.1:7001", HttpAddress: "127.0.0.1:8001", Zone: "zone-1", Region: "region-1",
 	}
@@ -75,7 +76,7 @@
 	})
 }
 
-func TestAStoredCoreServesItsCommandsAgain(t *testing.T) {
+func TestAStoredCoreRecoversItsCommands(t *testing.T) {
 	for name, expected := range map[string][]string{
 		foundedFolder:   {"first", "second"},
 		compactedFolder: {"first", "second", "third", "fourth", "fifth"},
@@ -83,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				state := &commandLog{}
-				built, err := openStored(copyOfStored(t, name, nil), state)
+				built, err := openStoredCore(copyStoredFolder(t, name, nil), state)
 				must(t, err)
 				if built.ID() != storedMemberID {
 					t.Errorf("the member is %#x", built.ID())
@@ -130,12 +131,12 @@
 				t.Errorf("the file has %d bytes", len(content))
 			}
 			for offset := range content {
-				damaged := copyOfStored(t, stored.folder, func(path string, content []byte) {
+				damaged := copyStoredFolder(t, stored.folder, func(path string, content []byte) {
 					if path == stored.file {
 						content[offset] ^= 0xff
 					}
 				})
-				built, err := openStored(damaged, &commandLog{})
+				built, err := openStoredCore(damaged, &commandLog{})
 				var corrupt *storage.CorruptError
 				rejected := errors.As(err, &corrupt)
 				if torn := stored.tornFrom > 0 && offset >= stored.tornFrom; rejected == torn || torn && err != nil {
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -13,7 +13,7 @@
 // maxLocateWait bounds the wait of a locate_core request; a longer wait_millis is reduced to it.
 const maxLocateWait = time.Second
 
-// view is the state that the owner goroutine publishes for the others; it is immutable.
+// view is the immutable state that the owner goroutine publishes for other goroutines.
 type view struct {
 	clusterID string
 	status    consensus.Status
@@ -22,7 +22,7 @@
 	// leadingSince is when this member had applied all that earlier leaders committed; zero while it
 	// does not lead.
 	leadingSince time.Time
-	// leaderAddress is the address from which the leader last sent, or empty.
+	// leaderAddress is the newest known address of the leader, or empty.
 	leaderAddress string
 	// lastLeaderContact is when this member last followed a leader, or led.
 	lastLeaderContact time.Time
@@ -30,7 +30,7 @@
 	leaderKnown <-chan struct{}
 }
 
-// leader is the member that leads, at its present address, or nil.
+// leader returns the leader with its current address, or nil if none is known.
 func (v *view) leader() *protocol.CoreMember {
 	if v.status.Leader == 0 {
 		return nil
@@ -48,13 +48,13 @@
 func (v *view) notLeader() *NotLeaderError {
 	leader := v.leader()
 	if v.status.Role == consensus.Leader {
-		// It leads without a lease, and knows of no other leader.
+		// This member is the leader but has no lease, and no other leader is known.
 		leader = nil
 	}
 	return &NotLeaderError{LeaderAddress: leader.GetAddress(), LeaderHTTPAddress: leader.GetHttpAddress()}
 }
 
-// Status describes this member.
+// Status returns the status of this member.
 func (r *Replica) Status() *protocol.CoreStatusResponse {
 	view, now := r.view.Load(), r.options.Clock.Now()
 	status := &protocol.CoreStatusResponse{
@@ -72,7 +72,7 @@
 	return status
 }
 
-// locateCoreWithin answers as soon as this member knows a leader, or after the wait.
+// locateCoreWithin returns as soon as a leader is known to this member, or after the wait.
 func (r *Replica) locateCoreWithin(ctx context.Context, wait time.Duration) *protocol.LocateCoreResponse {
 	if wait <= 0 {
 		return r.locateCore()
--- a/internal/controlplane/replica/waiters.go
+++ b/internal/controlplane/replica/waiters.go
@@ -7,16 +7,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// waiters are the callers that wait for an entry or a read. They belong to the owner goroutine. Each
-// channel has space for its one answer, so that answering never blocks.
+// waiters holds the callers that wait for an entry or a read. It belongs to the owner goroutine. Each channel has
+// capacity for its only result, so that sending it never blocks.
 type waiters struct {
-	// proposals wait for the entry at an index, which is of the term in which they were appended.
+	// proposals holds the callers that wait for an entry, by its index; all entries were appended in term.
 	term      uint64
 	proposals map[uint64]chan proposalResult
-	// reads wait for the node's confirmation, by the id given to it.
+	// reads holds the reads that wait for the node's confirmation, by the id that was passed to the node.
 	reads    map[uint64]chan error
 	nextRead uint64
-	// confirmed reads wait until their index is applied.
+	// confirmed holds the confirmed reads, which wait until their index is applied.
 	confirmed []confirmedRead
 }
 
@@ -31,14 +31,14 @@
 
 // Barrier returns once the state machine has applied everything that was committed when Barrier was
 // called: a linearizable read of the state may follow. Leadership is confirmed by the lease or by a
-// heartbeat. Errors: *NotLeaderError, *OverloadedError, *StoppedError, *DiskUnavailableError, ctx's.
+// heartbeat. Errors: *NotLeaderError, *OverloadedError, *StoppedError, *DiskUnavailableError, that of ctx.
 func (r *Replica) Barrier(ctx context.Context) error {
 	if r.view.Load().status.Role != consensus.Leader {
 		return r.notLeader()
 	}
 	done := make(chan error, 1)
 	err := enqueue(r, r.requests, request{
-		run:    func() { r.owner.read(done) },
+		run:    func() { r.owner.startRead(done) },
 		reject: func(err error) { done <- err },
 	}, requestQueueName)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return result
 }
 
-func (o *ownerLoop) read(done chan error) {
+func (o *ownerLoop) startRead(done chan error) {
 	o.waiters.nextRead++
 	id := o.waiters.nextRead
 	if err := o.node.Read(id, o.now()); err != nil {
@@ -61,7 +61,7 @@
 	o.waiters.reads[id] = done
 }
 
-// confirmReads takes the node's answers to reads.
+// confirmReads processes the node's results of reads.
 func (w *waiters) confirmReads(results []consensus.ReadResult) {
 	for _, result := range results {
 		done := w.reads[result.ID]
@@ -77,7 +77,7 @@
 	}
 }
 
-// resolveReads answers the confirmed reads up to the applied index.
+// resolveReads completes the confirmed reads up to the applied index.
 func (w *waiters) resolveReads(index uint64) {
 	remaining := w.confirmed[:0]
 	for _, read := range w.confirmed {
@@ -90,8 +90,8 @@
 	w.confirmed = remaining
 }
 
-// resolveEntry answers the proposal at the index of an applied entry. An entry of another term there
-// means that the proposal was replaced and will never be committed.
+// resolveEntry completes the proposal at the index of an applied entry. If the entry has another term, the
+// proposal was replaced and will never be committed.
 func (w *waiters) resolveEntry(entry *protocol.Entry, result []byte) {
 	index := entry.GetIndex()
 	done := w.proposals[index]
@@ -106,7 +106,7 @@
 	done <- proposalResult{data: result, index: index}
 }
 
-// register lets done wait for the entry at index. Proposals of an earlier term are answered first.
+// register makes done receive the result of the entry at index. Proposals of an earlier term fail first.
 func (w *waiters) register(term, index uint64, done chan proposalResult) {
 	if term != w.term {
 		w.leadershipLost(w.term, &NotLeaderError{})
@@ -115,8 +115,8 @@
 	w.proposals[index] = done
 }
 
-// leadershipLost answers the proposals of a term that this member no longer leads: the next leader
-// may or may not have them. Confirmed reads are rejected, since the caller can retry a read.
+// leadershipLost ends the proposals of a term that this member no longer leads with an unknown outcome: the next
+// leader may or may not have them. Confirmed reads are rejected, since the caller can retry a read.
 func (w *waiters) leadershipLost(term uint64, notLeader error) {
 	for index, done := range w.proposals {
 		delete(w.proposals, index)
@@ -128,7 +128,7 @@
 	w.confirmed = nil
 }
 
-// failAll answers all that wait when the owner ends for a cause.
+// failAll fails all waiting callers with the cause for which the owner loop ended.
 func (w *waiters) failAll(cause error) {
 	for _, done := range w.proposals {
 		done <- proposalResult{err: &UnknownOutcomeError{Cause: cause}}
