--- a/internal/controlplane/bundle/bundle_test.go
+++ b/internal/controlplane/bundle/bundle_test.go
@@ -25,22 +25,22 @@
 	}
 	parsed, err := bundle.Parse(encoded)
 	if err != nil || !proto.Equal(parsed, bundle.Default(3)) {
-		t.Fatalf("got %v, %v", parsed, err)
+		t.Fatalf("got %v, error %v, want %v", parsed, err, bundle.Default(3))
 	}
 }
 
 func TestDefaultBundleHasNoFaults(t *testing.T) {
 	merged, faults := bundle.Check(nil, bundle.Default(1))
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("got faults %v, want none", faults)
 	}
 	index := bundle.NewIndex(merged)
 	if route := index.Tool(bundle.TenantCaroni, bundle.ToolValvePlan); !route.GetNonRepeatable() {
-		t.Fatalf("valve plans must not be repeatable: %v", route)
+		t.Fatalf("route of tool %s is repeatable or absent: %v", bundle.ToolValvePlan, route)
 	}
 	if index.Model(bundle.TenantMenon, bundle.ModelClimateAdvisor) != nil ||
 		!index.KnownModel(bundle.ModelClimateAdvisor) {
-		t.Fatal("a tenant's own route must not serve another tenant")
+		t.Fatalf("model %s must have a route, but not for tenant %s", bundle.ModelClimateAdvisor, bundle.TenantMenon)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	merged, faults := bundle.Check(nil, faulty)
 	if merged != nil {
-		t.Fatal("a faulty bundle was merged")
+		t.Fatalf("got merged bundle %v for one with faults, want none", merged)
 	}
 	faultByPath := map[string]string{}
 	for _, fault := range faults {
@@ -79,7 +79,7 @@
 		"sign_off_keys[0].public_key", "removed_routes",
 	} {
 		if faultByPath[path] == "" {
-			t.Errorf("no fault at %s; got %v", path, faultByPath)
+			t.Errorf("no fault at %s; got faults %v", path, faultByPath)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	text := fmt.Sprint(faults)
 	for _, expected := range []string{"routes[name=caroni-climate-advisor].group", "removed_groups[1]"} {
 		if !strings.Contains(text, expected) {
-			t.Errorf("%s is missing in %s", expected, text)
+			t.Errorf("path %s is missing in faults %s", expected, text)
 		}
 	}
 }
@@ -102,15 +102,15 @@
 	first, second := bundle.Default(1), bundle.Default(1)
 	second.Routes[0], second.Routes[1] = second.Routes[1], second.Routes[0]
 	if bundle.Digest(first) != bundle.Digest(second) {
-		t.Fatal("order changed the digest")
+		t.Fatal("the order of routes changed the digest")
 	}
 	second.Limits.MaxQueued++
 	if bundle.Digest(first) == bundle.Digest(second) {
-		t.Fatal("content did not change the digest")
+		t.Fatal("another limit did not change the digest")
 	}
 }
 
-// TestCanonicalEncodingIsValidProtobuf keeps the canonical encoding inside the wire format.
+// TestCanonicalEncodingIsValidProtobuf checks that the protobuf library decodes the canonical encoding without loss.
 func TestCanonicalEncodingIsValidProtobuf(t *testing.T) {
 	original := bundle.Default(9)
 	original.Groups[0].ZoneWeights = map[string]uint32{"z2": 2, "z1": 0, "z3": 9}
@@ -120,7 +120,7 @@
 	}
 	if bundle.Digest(decoded) != bundle.Digest(original) || len(decoded.GetRoutes()) != len(original.GetRoutes()) ||
 		decoded.GetGroups()[0].GetZoneWeights()["z3"] != 9 {
-		t.Fatalf("lost content: %v", decoded)
+		t.Fatalf("decoded bundle differs: got %v, want %v", decoded, original)
 	}
 }
 
@@ -145,12 +145,12 @@
 	} {
 		var signatureError *bundle.SignatureError
 		if !errors.As(err, &signatureError) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want a SignatureError", name, err)
 		}
 	}
 }
 
-// drawBundle makes a merged bundle out of a small space, so that steps often meet the same names.
+// drawBundle returns a merged bundle with few possible names, so that two bundles often have entries of the same name.
 func drawBundle(t *rapid.T, version uint64, label string) *protocol.Bundle {
 	complete := &protocol.Bundle{
 		Version: version, Limits: &protocol.LimitPolicy{MaxQueued: rapid.Uint32Range(0, 2).Draw(t, label+"queued")},
@@ -187,27 +187,27 @@
 		candidate := drawBundle(t, 3, "candidate")
 		step, possible := bundle.MakePartial(from, to)
 		if !possible {
-			t.Fatal("no step")
+			t.Fatalf("no partial bundle from %v to %v", from, to)
 		}
 		if merged := bundle.Merge(from, step); !proto.Equal(merged, to) {
-			t.Fatalf("step leads to %v, not %v", merged, to)
+			t.Fatalf("partial bundle results in %v, want %v", merged, to)
 		}
-		inForce := &protocol.Configuration{
+		configuration := &protocol.Configuration{
 			Version: 20, Active: to, ActiveDigest: bundle.Digest(to), Candidate: candidate,
 			CandidateDigest: bundle.Digest(candidate),
 			Rollout:         &protocol.Rollout{CandidateVersion: 3},
 		}
-		delta, _ := bundle.MakeDelta(10, []*protocol.Bundle{step}, inForce)
+		delta, _ := bundle.MakeDelta(10, []*protocol.Bundle{step}, configuration)
 		applied, err := bundle.ApplyDelta(
 			&protocol.Configuration{Version: 10, Active: from, ActiveDigest: bundle.Digest(from)}, delta,
 		)
-		if err != nil || !proto.Equal(applied, inForce) {
-			t.Fatalf("delta leads to %v, %v", applied, err)
+		if err != nil || !proto.Equal(applied, configuration) {
+			t.Fatalf("delta results in %v, error %v, want %v", applied, err, configuration)
 		}
 		if difference := bundle.Compare(from, to); difference.Empty() != (bundle.Digest(
 			bundle.Merge(from, &protocol.Bundle{Partial: true, Version: 2}),
 		) == bundle.Digest(to)) {
-			t.Fatalf("difference %v", difference)
+			t.Fatalf("difference is empty: %v, want the opposite: %v", difference.Empty(), difference)
 		}
 	})
 }
@@ -225,12 +225,12 @@
 	} {
 		var deltaError *bundle.DeltaError
 		if _, err := bundle.ApplyDelta(current, delta); !errors.As(err, &deltaError) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want a DeltaError", name, err)
 		}
 	}
 }
 
-// manyRoutes is a merged bundle with a given number of routes, in the shape of Menon's.
+// manyRoutes returns a merged bundle with a given number of routes over 490 tenants, like that of the Menon site.
 func manyRoutes(count int) *protocol.Bundle {
 	complete := &protocol.Bundle{Version: 1, Groups: []*protocol.ServerGroup{{Name: "assistants"}}}
 	for i := range count {
--- a/internal/controlplane/bundle/canonical.go
+++ b/internal/controlplane/bundle/canonical.go
@@ -21,9 +21,9 @@
 
 // Encode returns the canonical encoding: the protobuf wire format with fields in
 // the order of their numbers, map entries sorted by key, named lists sorted by
-// name, and no field at its zero value. Unlike the deterministic mode of the
-// protobuf library, it is the same in all versions of the library, which signed
-// digests depend on.
+// name, and no field at its zero value. Signed digests require that the encoding
+// is the same in all versions of the protobuf library, which its deterministic
+// mode does not guarantee.
 func Encode(b *protocol.Bundle) []byte {
 	return appendMessage(make([]byte, 0, 1024), withSortedLists(b).ProtoReflect())
 }
--- a/internal/controlplane/bundle/check.go
+++ b/internal/controlplane/bundle/check.go
@@ -11,10 +11,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Bounds of a bundle.
+// Limits of the fields of a bundle.
 const (
-	// MaxBytes bounds the canonical encoding of a merged bundle, so that an
-	// active one and a candidate fit one frame of the internal protocol.
+	// MaxBytes bounds the encoded size of a merged bundle, so that an active one
+	// and a candidate fit into one frame of the internal protocol.
 	MaxBytes = 6 << 20
 	// MaxNameBytes bounds every name in a bundle.
 	MaxNameBytes = 128
@@ -22,7 +22,7 @@
 	MaxZoneWeight = 1_000_000
 	// MaxTenantWeight bounds the weight of a tenant.
 	MaxTenantWeight = 10_000
-	// MaxLimit bounds numbers of requests and tokens in the limit policy.
+	// MaxLimit bounds the numbers of requests and of tokens in the limit policy.
 	MaxLimit = 10_000_000
 	// MaxHeaderBytes, MaxBodyBytes and MaxConnectionMillis (a day) bound the limits on callers of HTTP routes.
 	MaxHeaderBytes      = 64 << 20
@@ -49,10 +49,10 @@
 	return merged, nil
 }
 
-// maxFaults bounds the list of faults in one answer.
+// maxFaults bounds the number of faults in one result.
 const maxFaults = 100
 
-// checker collects faults. The texts are for operators; scripts may read them.
+// checker collects faults. Their messages are for operators, and scripts may match them.
 type checker struct {
 	faults []*protocol.Fault
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkSubmission checks the fields as submitted.
+// checkSubmission checks the fields of a submitted bundle, before it is merged.
 func (c *checker) checkSubmission(base, b *protocol.Bundle) {
 	if b.GetVersion() == 0 {
 		c.addFault("version", "must be set")
@@ -99,7 +99,7 @@
 	for i, entry := range entries {
 		path := entryPath{list: list, index: i}
 		c.addFieldFault(path, "name", nameFault(entry.GetName()))
-		if first, twice := seen[entry.GetName()]; twice && entry.GetName() != "" {
+		if first, duplicate := seen[entry.GetName()]; duplicate && entry.GetName() != "" {
 			c.addFieldFault(path, "name", fmt.Sprintf("name %q is already used by %s[%d]", entry.GetName(), list, first))
 			continue
 		}
--- a/internal/controlplane/bundle/check_http_routes.go
+++ b/internal/controlplane/bundle/check_http_routes.go
@@ -7,21 +7,21 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Bounds of HTTP routes.
+// Limits of the fields of an HTTP route.
 const (
 	// MaxHostBytes bounds the host of an HTTP route, as in the domain name system.
 	MaxHostBytes = 255
 	// MaxPrefixBytes bounds the path prefix of an HTTP route.
 	MaxPrefixBytes = 4096
-	// MaxRouteTargets bounds the groups that one HTTP route divides its requests over.
+	// MaxRouteTargets bounds the number of groups that one HTTP route distributes its requests to.
 	MaxRouteTargets = 1000
-	// MaxRouteAttempts bounds the servers that one request may be run at.
+	// MaxRouteAttempts bounds the number of servers that one request may be run on.
 	MaxRouteAttempts = 1000
 	// MaxRetentionMillis bounds the retention of a turn of an HTTP route: ten years.
 	MaxRetentionMillis = MaxTurnRetentionSeconds * 1000
 )
 
-// checkHTTPRoute checks the fields of one HTTP route as submitted.
+// checkHTTPRoute checks the fields of one submitted HTTP route.
 func (c *checker) checkHTTPRoute(path entryPath, route *protocol.HttpRoute) {
 	c.addFieldFault(path, "host", hostFault(route.GetHost()))
 	c.addFieldFault(path, "prefix", prefixFault(route.GetPrefix()))
@@ -43,7 +43,7 @@
 	}
 }
 
-// entryPath is the position of an entry in a list. Its text is made only for a
+// entryPath is the position of an entry in a list. It is formatted only for a
 // fault, because a bundle may have thousands of entries.
 type entryPath struct {
 	list  string
@@ -52,7 +52,7 @@
 
 func (p entryPath) field(name string) string { return fmt.Sprintf("%s[%d].%s", p.list, p.index, name) }
 
-// addFieldFault adds a fault of a field; an empty message is none.
+// addFieldFault adds a fault of a field. An empty message means that there is no fault.
 func (c *checker) addFieldFault(path entryPath, field, message string) {
 	if message != "" {
 		c.addFault(path.field(field), message)
--- a/internal/controlplane/bundle/check_references.go
+++ b/internal/controlplane/bundle/check_references.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkRemovedNames requires the existing names to be sorted.
+// checkRemovedNames checks one list of removed names. The existing names must be sorted.
 func (c *checker) checkRemovedNames(path string, removed, existing, replaced []string) {
 	submitted := make(map[string]bool, len(replaced))
 	for _, name := range replaced {
@@ -59,8 +59,8 @@
 }
 
 // checkReferences checks the references between the entries of the merged bundle.
-// The paths of faults name submitted routes by their index, those of the base by
-// their name.
+// The paths of faults have the index of a submitted route and the name of a route
+// of the base.
 func (c *checker) checkReferences(merged, submitted *protocol.Bundle) {
 	groups, tenants := nameSet(merged.GetGroups()), nameSet(merged.GetTenants())
 	c.checkRouteReferences(merged, groups, tenants, entryPaths("routes", submitted.GetRoutes()))
@@ -75,8 +75,8 @@
 	return names
 }
 
-// entryPaths returns a function that gives the path of an entry of the merged
-// list: its index if it was submitted, otherwise its name.
+// entryPaths returns a function that returns the path of an entry of the merged
+// list, with its index if it was submitted, otherwise with its name.
 func entryPaths[T namedMessage](list string, submitted []T) func(T) string {
 	indexes := make(map[T]int, len(submitted))
 	for i, entry := range submitted {
@@ -121,7 +121,8 @@
 	}
 }
 
-// hostPrefix is what no two HTTP routes may share; the host is in the form of hostKey.
+// hostPrefix is the host and the prefix of an HTTP route, which must be unique in a bundle. The host is normalized by
+// hostKey.
 type hostPrefix struct{ host, prefix string }
 
 func (c *checker) checkHTTPRouteReferences(
--- a/internal/controlplane/bundle/check_rollout.go
+++ b/internal/controlplane/bundle/check_rollout.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// CheckRollout lists the faults of a roll-out's own fields.
+// CheckRollout returns the faults of the fields of a roll-out. It does not check that the candidate exists.
 func CheckRollout(rollout *protocol.Rollout) []*protocol.Fault {
 	c := &checker{}
 	if rollout.GetCandidateVersion() == 0 {
--- a/internal/controlplane/bundle/compare.go
+++ b/internal/controlplane/bundle/compare.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// NamedChanges lists the names of entries of one list that differ between two bundles.
+// NamedChanges has the names of the entries of one list that differ between two bundles.
 type NamedChanges struct {
 	Added   []string `json:"added,omitempty"`
 	Removed []string `json:"removed,omitempty"`
@@ -12,7 +12,7 @@
 // Empty reports whether nothing differs.
 func (c NamedChanges) Empty() bool { return len(c.Added)+len(c.Removed)+len(c.Changed) == 0 }
 
-// Difference is how one merged bundle differs from another. From and To are their versions.
+// Difference has the differences between two merged bundles. From and To are their versions.
 type Difference struct {
 	From              uint64       `json:"from"`
 	To                uint64       `json:"to"`
--- a/internal/controlplane/bundle/default.go
+++ b/internal/controlplane/bundle/default.go
@@ -23,9 +23,9 @@
 	GroupDesk        = "desk"
 )
 
-// Default returns the bundle that a new cluster may begin with: the models, tools
-// and tenants of both sites, prefix affinity, salvage and the default limits. It
-// has no sign-off keys, so that those of the core's settings stay in force.
+// Default returns a bundle for a new cluster: the models, tools and tenants of
+// both sites, prefix affinity, salvage and the default limits. It has no sign-off
+// keys, so that those of the core's settings stay active.
 func Default(version uint64) *protocol.Bundle {
 	return &protocol.Bundle{
 		Version: version,
--- a/internal/controlplane/bundle/delta.go
+++ b/internal/controlplane/bundle/delta.go
@@ -8,9 +8,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MakePartial returns the partial bundle that leads from one merged bundle to
-// another. It reports false if there is none: a partial bundle cannot remove all
-// sign-off keys.
+// MakePartial returns the partial bundle that, merged onto one merged bundle,
+// results in another. It reports false if there is none, because a partial bundle
+// cannot remove all sign-off keys.
 func MakePartial(from, to *protocol.Bundle) (*protocol.Bundle, bool) {
 	if len(to.GetSignOffKeys()) == 0 && len(from.GetSignOffKeys()) > 0 {
 		return nil, false
@@ -35,7 +35,7 @@
 	return partial, true
 }
 
-// equal compares pointers first, because merged bundles share what did not change.
+// equal compares pointers first, because merged bundles share their unchanged entries.
 func equal[T comparableMessage](a, b T) bool {
 	if a == b {
 		return true
@@ -78,20 +78,19 @@
 	return changed, removed
 }
 
-// DeltaError reports that a delta does not apply to the current configuration; the
-// receiver must request a full snapshot, which it does by naming version zero as
-// the one it knows.
+// DeltaError reports that a delta does not apply to the current configuration. The
+// receiver must request a full snapshot, by sending zero as its known version.
 type DeltaError struct {
 	Reason string
 }
 
-// Error names the reason.
+// Error returns the message with the reason.
 func (e *DeltaError) Error() string { return "configuration delta does not apply: " + e.Reason }
 
-// ApplyDelta returns the configuration that a delta leads to from the current one,
-// which stays unchanged, and verifies the digest of each bundle that changed. A
-// candidate that arrives as a partial bundle is merged onto the new active one.
-// The error is a *DeltaError.
+// ApplyDelta applies a delta to a copy of the current configuration, returns the
+// result, and verifies the digest of each bundle that changed. A candidate that
+// arrives as a partial bundle is merged onto the new active one. The error is a
+// *DeltaError.
 func ApplyDelta(current *protocol.Configuration, delta *protocol.ConfigurationDelta) (*protocol.Configuration, error) {
 	if current.GetVersion() != delta.GetBaseVersion() {
 		return nil, &DeltaError{Reason: fmt.Sprintf(
@@ -138,9 +137,9 @@
 	return candidate, nil
 }
 
-// MakeDelta returns the delta from a base version to the configuration in force;
-// steps are the changes of the active bundle between them. It reports false if the
-// delta would take no fewer bytes than a full snapshot.
+// MakeDelta returns the delta from a base version to the configuration; steps are
+// the changes of the active bundle between them. It reports false if the delta is
+// not smaller than the configuration.
 func MakeDelta(
 	base uint64, steps []*protocol.Bundle, configuration *protocol.Configuration,
 ) (*protocol.ConfigurationDelta, bool) {
--- a/internal/controlplane/bundle/doc.go
+++ b/internal/controlplane/bundle/doc.go
@@ -3,9 +3,9 @@
 //
 // A merged bundle is a complete one in normal form: lists sorted by name and
 // every policy message present. Merged bundles are immutable and may be shared
-// between goroutines; they share their routes, groups and tenants with the bundle
-// that they were built on.
+// between goroutines; they share unchanged entries with the bundle that they
+// are based on.
 //
-// The package is pure: it does no I/O and reads no clock. What bundles are for
-// is in the brief ("policy bundles"); their fields are in bundle.proto.
+// The package is pure: it does no I/O and reads no clock. The fields of bundles
+// are documented in bundle.proto.
 package bundle
--- a/internal/controlplane/bundle/encode_route.go
+++ b/internal/controlplane/bundle/encode_route.go
@@ -12,7 +12,7 @@
 
 // A bundle may have thousands of HTTP routes and is encoded at every change on
 // every node, so their canonical encoding is written field by field here rather
-// than by reflection. It gives the same bytes as appendMessage.
+// than by reflection. The result has the same bytes as that of appendMessage.
 
 // Field numbers of HttpRoute and WeightedGroup, as in bundle.proto.
 const (
@@ -84,8 +84,8 @@
 	return protowire.AppendVarint(buffer, number)
 }
 
-// appendStringMap appends a map of texts in the order of its keys. Unlike a field, an
-// entry has its key and its value even if they are empty.
+// appendStringMap appends the entries of a map in the order of their keys. Unlike a
+// field, the key and the value of an entry are encoded even if they are empty.
 func appendStringMap(buffer []byte, number protowire.Number, texts map[string]string) []byte {
 	if len(texts) == 0 {
 		return buffer
--- a/internal/controlplane/bundle/fixed_seed_test.go
+++ b/internal/controlplane/bundle/fixed_seed_test.go
@@ -1,4 +1,4 @@
 package bundle_test
 
-// Property tests draw the same cases on every run.
+// Property tests generate the same cases on every run.
 import _ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed"
--- a/internal/controlplane/bundle/http_index.go
+++ b/internal/controlplane/bundle/http_index.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// hostRoutes are the HTTP routes of one host by their prefixes.
+// hostRoutes has the HTTP routes of one host by their prefixes.
 type hostRoutes struct {
 	byPrefix map[string]*protocol.HttpRoute
 	// maxPrefixBytes is the length of the longest prefix.
@@ -34,7 +34,7 @@
 }
 
 // longestMatch returns the route with the longest prefix of the path. Prefixes end
-// with a slash, so only the beginnings of the path that do are looked up.
+// with a slash, so only the leading parts of the path that do are looked up.
 func (h *hostRoutes) longestMatch(path string) *protocol.HttpRoute {
 	end := min(len(path), h.maxPrefixBytes)
 	for end > 0 {
--- a/internal/controlplane/bundle/http_routes_test.go
+++ b/internal/controlplane/bundle/http_routes_test.go
@@ -15,10 +15,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// httpRoutesField is the number of the HTTP routes in a Bundle.
+// httpRoutesField is the field number of http_routes in a Bundle.
 const httpRoutesField = 14
 
-// httpRoute is an HTTP route without faults to the group g0.
+// httpRoute returns a valid HTTP route to group g0.
 func httpRoute(name, host, prefix string) *protocol.HttpRoute {
 	return &protocol.HttpRoute{
 		Name: name, Host: host, Prefix: prefix, Kind: protocol.HttpRouteKind_HTTP_REPEATABLE, TimeoutMillis: 1000,
@@ -73,7 +73,7 @@
 			test.change(faulty)
 			merged, faults := bundle.Check(nil, withHTTPRoutes(1, httpRoute("a", "h.example", "/a/"), faulty))
 			if merged != nil || fmt.Sprint(pathsOf(faults)) != fmt.Sprint([]string{"http_routes[1]." + test.path}) {
-				t.Fatalf("got %v", faults)
+				t.Fatalf("got faults %v, want one of field %s", faults, test.path)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 		httpRoute("a", "h.example", "/x/"), httpRoute("a", "h.example", "/y/"), httpRoute("c", "H.Example:80", "/x/"),
 	))
 	if got := fmt.Sprint(pathsOf(faults)); got != "[http_routes[1].name http_routes[2]]" {
-		t.Fatalf("got %v", faults)
+		t.Fatalf("got faults %v, want a duplicate name and a duplicate host and prefix", faults)
 	}
 	base, faults := bundle.Check(nil, withHTTPRoutes(1, httpRoute("a", "h.example", "/x/")))
 	if len(faults) > 0 {
@@ -94,11 +94,11 @@
 		Version: 2, BaseVersion: 1, Partial: true, HttpRoutes: []*protocol.HttpRoute{httpRoute("b", "h.example", "/x/")},
 	}
 	if _, faults = bundle.Check(base, partial); len(faults) != 1 {
-		t.Fatalf("a route of the base has the address: %v", faults)
+		t.Fatalf("got faults %v, want one because a route of the base has the same host and prefix", faults)
 	}
 	partial.RemovedHttpRoutes = []string{"a"}
 	if _, faults = bundle.Check(base, partial); len(faults) != 0 {
-		t.Fatalf("the route that had the address is removed: %v", faults)
+		t.Fatalf("got faults %v, want none because the route with the same host and prefix is removed", faults)
 	}
 }
 
@@ -108,7 +108,7 @@
 		Version: 2, BaseVersion: 1, Partial: true, RemovedGroups: []string{"g0"}, RemovedHttpRoutes: []string{"absent"},
 	})
 	if got := fmt.Sprint(pathsOf(faults)); got != "[removed_http_routes[0] http_routes[name=a].targets[0].group]" {
-		t.Fatalf("got %v", faults)
+		t.Fatalf("got faults %v, want one of the removed name and one of the route that uses the removed group", faults)
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	for _, test := range tests {
 		if got := index.HTTPRoute(test.host, test.path).GetName(); got != test.route {
-			t.Errorf("%s%s: got %q, not %q", test.host, test.path, got, test.route)
+			t.Errorf("%s%s: got route %q, want %q", test.host, test.path, got, test.route)
 		}
 	}
 	if bundle.NewIndex(nil).HTTPRoute("h.example", "/") != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestHTTPRouteAgreesWithALinearSearch compares the index with the definition.
+// TestHTTPRouteAgreesWithALinearSearch compares the index with a search of all prefixes.
 func TestHTTPRouteAgreesWithALinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawPath := func(label string) string { return rapid.StringMatching(`(/[ab]{0,2}){0,4}`).Draw(t, label) }
@@ -168,7 +168,7 @@
 			}
 		}
 		if got := bundle.NewIndex(all).HTTPRoute("h", path); got.GetPrefix() != longest {
-			t.Fatalf("%q: got %q, not %q", path, got.GetPrefix(), longest)
+			t.Fatalf("%q: got prefix %q, want %q", path, got.GetPrefix(), longest)
 		}
 	})
 }
@@ -182,18 +182,18 @@
 		group := bundle.PickTarget(route, hash)
 		picked[group]++
 		if again := bundle.PickTarget(proto.CloneOf(route), hash); again != group {
-			t.Fatalf("one hash fell to %q and %q", group, again)
+			t.Fatalf("hash %d resulted in groups %q and %q", hash, group, again)
 		}
 	}
 	if picked["none"] != 0 || picked["old"]+picked["new"] != requests {
-		t.Fatalf("got %v", picked)
+		t.Fatalf("got requests by group %v, want %d in total and none in group none", picked, requests)
 	}
 	if share := float64(picked["new"]) / requests; math.Abs(share-0.1) > 0.005 {
-		t.Fatalf("the share of a tenth is %v", share)
+		t.Fatalf("group of a tenth of the weight got a share of %v, want 0.1 within 0.005", share)
 	}
 	route.Targets[0].Weight, route.Targets[2].Weight = math.MaxUint32, math.MaxUint32
 	if bundle.PickTarget(route, 1) == "" || bundle.PickTarget(&protocol.HttpRoute{}, 1) != "" {
-		t.Fatal("large weights must give a group, none must give none")
+		t.Fatal("got no group for large weights, or a group for a route without targets")
 	}
 }
 
@@ -212,43 +212,43 @@
 	}
 	step, possible := bundle.MakePartial(from, to)
 	if !possible || len(step.GetHttpRoutes()) != 2 || fmt.Sprint(step.GetRemovedHttpRoutes()) != "[b]" {
-		t.Fatalf("step is %v", step)
+		t.Fatalf("got partial bundle %v, want two HTTP routes and b removed", step)
 	}
 	if merged := bundle.Merge(from, step); !proto.Equal(merged, to) {
-		t.Fatalf("step leads to %v", merged)
+		t.Fatalf("partial bundle results in %v, want %v", merged, to)
 	}
 	difference := bundle.Compare(from, to).HTTPRoutes
 	if fmt.Sprint(difference) != fmt.Sprint(
 		bundle.NamedChanges{Added: []string{"c"}, Removed: []string{"b"}, Changed: []string{"a"}},
 	) {
-		t.Fatalf("difference is %v", difference)
+		t.Fatalf("got difference %v, want c added, b removed and a changed", difference)
 	}
 }
 
-// TestHTTPRouteEncodingMatchesReflection compares the encoding that is written out with the one by reflection.
+// TestHTTPRouteEncodingMatchesReflection compares the encoding written field by field with the one by reflection.
 func TestHTTPRouteEncodingMatchesReflection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 3, -1)
 		number := rapid.SampledFrom([]uint32{0, 1, 200, math.MaxUint32})
-		yes := rapid.Bool()
+		flag := rapid.Bool()
 		route := &protocol.HttpRoute{
 			Name: text.Draw(t, "name"), Host: text.Draw(t, "host"), Prefix: text.Draw(t, "prefix"),
 			Kind: protocol.HttpRouteKind(rapid.IntRange(0, 3).Draw(t, "kind")), TimeoutMillis: number.Draw(t, "timeout"),
 			LatencyObjectiveMillis: number.Draw(t, "latency"), PauseObjectiveMillis: number.Draw(t, "pause"),
-			Rank: number.Draw(t, "rank"), MaxAttempts: number.Draw(t, "attempts"), Stateful: yes.Draw(t, "stateful"),
-			KeepMillis: rapid.Uint64().Draw(t, "keep"), Sticky: yes.Draw(t, "sticky"), Resumable: yes.Draw(t, "resumable"),
-			Annotations: rapid.MapOfN(text, text, 0, 3).Draw(t, "annotations"), SingleTarget: yes.Draw(t, "single"),
+			Rank: number.Draw(t, "rank"), MaxAttempts: number.Draw(t, "attempts"), Stateful: flag.Draw(t, "stateful"),
+			KeepMillis: rapid.Uint64().Draw(t, "keep"), Sticky: flag.Draw(t, "sticky"), Resumable: flag.Draw(t, "resumable"),
+			Annotations: rapid.MapOfN(text, text, 0, 3).Draw(t, "annotations"), SingleTarget: flag.Draw(t, "single"),
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "targets") {
 			route.Targets = append(
 				route.Targets, &protocol.WeightedGroup{Group: text.Draw(t, "group"), Weight: number.Draw(t, "weight")},
 			)
 		}
-		writtenOut := bundle.Encode(&protocol.Bundle{HttpRoutes: []*protocol.HttpRoute{route}})
+		byField := bundle.Encode(&protocol.Bundle{HttpRoutes: []*protocol.HttpRoute{route}})
 		byReflection := protowire.AppendTag(nil, httpRoutesField, protowire.BytesType)
 		byReflection = protowire.AppendBytes(byReflection, bundle.EncodeMessage(route))
-		if !bytes.Equal(writtenOut, byReflection) {
-			t.Fatalf("%x, by reflection %x", writtenOut, byReflection)
+		if !bytes.Equal(byField, byReflection) {
+			t.Fatalf("%v: got %x, want %x as by reflection", route, byField, byReflection)
 		}
 	})
 }
@@ -262,7 +262,7 @@
 	merged, _ := bundle.Check(nil, next)
 	shared := bundle.ShareUnchanged(previous, merged)
 	if !proto.Equal(shared, merged) {
-		t.Fatal("sharing changed the bundle")
+		t.Fatalf("sharing changed the bundle: got %v, want %v", shared, merged)
 	}
 	same := 0
 	for i, route := range previous.GetHttpRoutes() {
@@ -271,11 +271,11 @@
 		}
 	}
 	if same != 99 || shared.GetGroups()[0] != previous.GetGroups()[0] || shared.GetLimits() != previous.GetLimits() {
-		t.Fatalf("%d HTTP routes are shared", same)
+		t.Fatalf("%d HTTP routes are shared, want 99, and the groups and limits, too", same)
 	}
 }
 
-// manyHTTPRoutes is a bundle of that many HTTP routes on a few hosts.
+// manyHTTPRoutes returns a bundle with a number of HTTP routes on 7 hosts.
 func manyHTTPRoutes(version uint64, count int) *protocol.Bundle {
 	complete := withHTTPRoutes(version)
 	for i := range count {
--- a/internal/controlplane/bundle/index.go
+++ b/internal/controlplane/bundle/index.go
@@ -2,8 +2,8 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// target is what a route matches: a model or a tool, for one tenant or, if tenant
-// is empty, for all.
+// target is the model or tool that a route matches, for one tenant or, if tenant
+// is empty, for all tenants.
 type target struct {
 	tenant string
 	tool   bool
@@ -16,13 +16,13 @@
 	routes  map[target]*protocol.Route
 	groups  map[string]*protocol.ServerGroup
 	tenants map[string]*protocol.TenantPolicy
-	// targets has the models and tools of all routes, without their tenants.
+	// targets has the models and tools of all routes, with an empty tenant.
 	targets map[target]struct{}
-	// hosts has the HTTP routes by host, in the form of hostKey.
+	// hosts has the HTTP routes by host, normalized by hostKey.
 	hosts map[string]*hostRoutes
 }
 
-// NewIndex returns the index of a merged bundle; that of nil is empty.
+// NewIndex returns the index of a merged bundle. The index of a nil bundle is empty.
 func NewIndex(b *protocol.Bundle) *Index {
 	index := &Index{
 		bundle:  b,
@@ -63,7 +63,8 @@
 	return i.route(target{tenant: tenant, name: model})
 }
 
-// Tool returns the route to a tool, as Model does.
+// Tool returns the route to a tool: the tenant's own one, or else the one for all
+// tenants; nil if there is none.
 func (i *Index) Tool(tenant, tool string) *protocol.Route {
 	return i.route(target{tenant: tenant, tool: true, name: tool})
 }
--- a/internal/controlplane/bundle/merge.go
+++ b/internal/controlplane/bundle/merge.go
@@ -10,8 +10,8 @@
 // Merge applies a partial bundle to its base and returns the merged bundle in
 // normal form; a complete bundle replaces everything and needs no base. Named
 // entries replace those of the same name, a policy message replaces the policy,
-// and sign-off keys, if there are any, replace the list. The inputs are not
-// changed and not checked: see Check.
+// and sign-off keys, if there are any, replace the list. The inputs are neither
+// changed nor checked; Check does that.
 func Merge(base, submitted *protocol.Bundle) *protocol.Bundle {
 	if !submitted.GetPartial() {
 		return normalize(submitted)
@@ -33,7 +33,7 @@
 	return normalize(merged)
 }
 
-// normalize sorts the lists, adds absent policies and removes what belongs to a submission only.
+// normalize returns a copy with sorted lists and all policy messages, without the fields that only submissions have.
 func normalize(b *protocol.Bundle) *protocol.Bundle {
 	normal := withSortedLists(b)
 	normal.BaseVersion, normal.Partial = 0, false
@@ -51,7 +51,8 @@
 	return normal
 }
 
-// mergeNamed requires the base to be sorted by name, as in a merged bundle.
+// mergeNamed returns the base with the changed and removed entries applied, sorted by name. The base must be sorted by
+// name, as in a merged bundle.
 func mergeNamed[T named](base, changed []T, removed []string) []T {
 	if len(changed) == 0 && len(removed) == 0 {
 		return base
--- a/internal/controlplane/bundle/parse_test.go
+++ b/internal/controlplane/bundle/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// FuzzParse checks that any document is rejected or survives a round trip with its digest.
+// FuzzParse checks that any document is either rejected or has the same digest and size after a round trip.
 func FuzzParse(f *testing.F) {
 	seed, err := strictjson.Marshal(bundle.Default(1))
 	if err != nil {
@@ -30,10 +30,10 @@
 		}
 		again, err := bundle.Parse(encoded)
 		if err != nil {
-			t.Fatalf("%v\n%s", err, encoded)
+			t.Fatalf("parsing the encoded bundle: %v\n%s", err, encoded)
 		}
 		if bundle.Digest(parsed) != bundle.Digest(again) || proto.Size(parsed) != proto.Size(again) {
-			t.Fatalf("round trip changed %v to %v", parsed, again)
+			t.Fatalf("encoding and parsing changed %v to %v", parsed, again)
 		}
 	})
 }
--- a/internal/controlplane/bundle/share.go
+++ b/internal/controlplane/bundle/share.go
@@ -26,8 +26,9 @@
 	return merged
 }
 
-// shareByName requires both lists to be sorted by name. If nothing differs, it
-// returns the previous list itself.
+// shareByName returns the merged list with its unchanged entries replaced by the
+// previous ones, or the previous list itself if nothing differs. Both lists must be
+// sorted by name.
 func shareByName[T namedMessage](previous, merged []T) []T {
 	shared := make([]T, len(merged))
 	position, unchanged := 0, 0
--- a/internal/controlplane/bundle/sign.go
+++ b/internal/controlplane/bundle/sign.go
@@ -14,7 +14,7 @@
 	Reason  string
 }
 
-// Error names the key and the reason.
+// Error returns the message with the key name and the reason.
 func (e *SignatureError) Error() string {
 	return fmt.Sprintf("sign-off with key %q: %s", e.KeyName, e.Reason)
 }
@@ -26,8 +26,8 @@
 	return hex.EncodeToString(ed25519.Sign(key, []byte(mergedDigest)))
 }
 
-// Verify verifies a hex signature over the merged digest with the key of that
-// name. The error is a *SignatureError.
+// Verify verifies a hex signature over the merged digest with the key that has the
+// given name. The error is a *SignatureError.
 func Verify(keys []*protocol.SignOffKey, keyName, mergedDigest, signature string) error {
 	for _, key := range keys {
 		if key.GetName() == keyName {
--- a/internal/controlplane/bundle/varint.go
+++ b/internal/controlplane/bundle/varint.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// doubleBits encodes negative zero as zero, which is the field's zero value.
+// doubleBits returns the IEEE 754 bits of a double. Negative zero is encoded as zero, the zero value of the field.
 func doubleBits(value float64) uint64 {
 	if value == 0 {
 		return 0
@@ -15,8 +15,8 @@
 	return math.Float64bits(value)
 }
 
-// varintOf encodes the kinds that messages of this project use besides strings,
-// bytes, messages and doubles.
+// varintOf returns the varint value of a field of the kinds that messages of this
+// project have besides strings, bytes, messages and doubles.
 func varintOf(kind protoreflect.Kind, value protoreflect.Value) uint64 {
 	switch kind {
 	case protoreflect.BoolKind:
