--- a/internal/controlplane/controlstate/deltas_test.go
+++ b/internal/controlplane/controlstate/deltas_test.go
@@ -64,9 +64,9 @@
 				h.apply("", join(front(number, incarnation)))
 			case 2:
 				// A node with another name at the same address replaces the front node.
-				taking := front(number, incarnation)
-				taking.Name = fmt.Sprintf("taker-%d", number)
-				h.apply("", join(taking))
+				replacing := front(number, incarnation)
+				replacing.Name = fmt.Sprintf("taker-%d", number)
+				h.apply("", join(replacing))
 			case 3:
 				if node := h.state.View().Node(fmt.Sprintf("front-%d", number)); node != nil {
 					h.apply("", removeNode(node.GetName(), node.GetIncarnation()))
--- a/internal/controlplane/controlstate/release_test.go
+++ b/internal/controlplane/controlstate/release_test.go
@@ -235,15 +235,15 @@
 	})
 
 	It("are dropped an hour after the back end was removed", func() {
-		at := func(millis int64, command *protocol.Command) {
+		applyAt := func(millis int64, command *protocol.Command) {
 			timed := proto.CloneOf(command)
 			timed.ProposedAtMillis = millis
 			h.accepted("", timed)
 		}
-		at(1_000, depart("s1", 0))
-		at(1_000+3_600_000, depart("s3", 0))
+		applyAt(1_000, depart("s1", 0))
+		applyAt(1_000+3_600_000, depart("s3", 0))
 		Expect(h.state.View().Removed("s1")).To(BeTrue())
-		at(1_001+3_600_000, depart("s4", 0))
+		applyAt(1_001+3_600_000, depart("s4", 0))
 		Expect(h.state.View().Removed("s1")).To(BeFalse())
 		Expect(h.state.Snapshot().GetAnnouncements()).To(HaveLen(2))
 	})
