--- a/internal/controlplane/core/api_test.go
+++ b/internal/controlplane/core/api_test.go
@@ -103,7 +103,7 @@
 				core.IsNotLeader(atFollower),
 			}).To(Equal([]bool{false, false, true}))
 			_, err := follower.ActiveBundle(ctx)
-			Expect(core.IsNotLeader(err)).To(BeTrue())
+			Expect(core.IsNotLeader(err)).To(BeTrue(), "%v", err)
 			Expect(follower.LeaderHTTPAddress()).To(Equal(leader.core.GetHttpAddress()))
 			Expect(leader.service.LeaderHTTPAddress()).To(BeEmpty())
 			f.lead(nil)
@@ -147,7 +147,7 @@
 					Expect(leader.machine.View().Configuration.GetActive().GetLimits().GetMaxQueued()).To(BeEquivalentTo(100 + i))
 					continue
 				}
-				Expect(core.IsConflict(err)).To(BeTrue())
+				Expect(core.IsConflict(err)).To(BeTrue(), "%v", err)
 			}
 			Expect(winners).To(Equal(1))
 		})
@@ -276,7 +276,7 @@
 		It("of draining are not acknowledged when they are outdated and the back end is ready", func() {
 			Expect(leader.service.AnnounceBackEnd(ctx, server(ready, 4), 7)).To(Succeed())
 			outdated := leader.service.AnnounceBackEnd(ctx, server(draining, 4), 6)
-			Expect(failure.Is(outdated, failure.InvalidOrder)).To(BeTrue())
+			Expect(failure.Is(outdated, failure.InvalidOrder)).To(BeTrue(), "%v", outdated)
 			Expect(current().GetState()).To(Equal(ready))
 		})
 
@@ -332,9 +332,9 @@
 			next.restart()
 			Expect(next.service.StoreState(ctx, "s1")).To(Equal(core.StoreEmptying))
 			_, err := next.service.StoreState(ctx, "s9")
-			Expect(core.IsUnknownStore(err)).To(BeTrue())
+			Expect(core.IsUnknownStore(err)).To(BeTrue(), "%v", err)
 			_, err = leader.service.StoreState(ctx, "s1")
-			Expect(core.IsNotLeader(err)).To(BeTrue())
+			Expect(core.IsNotLeader(err)).To(BeTrue(), "%v", err)
 		})
 
 		It("is accepted for the last store of a zone while enough stores remain", func() {
--- a/internal/controlplane/core/drain_test.go
+++ b/internal/controlplane/core/drain_test.go
@@ -88,7 +88,7 @@
 		next := f.lead(f.members[1])
 		var got drainOutcome
 		Eventually(outcome).Should(Receive(&got))
-		Expect(failure.Is(got.Err, failure.NotLeader)).To(BeTrue())
+		Expect(failure.Is(got.Err, failure.NotLeader)).To(BeTrue(), "%v", got.Err)
 		again := next.drainAsync("m1")
 		next.renew(f1, next.machine.View().Versions())
 		f.advance(time.Second)
--- a/internal/controlplane/core/lease_test.go
+++ b/internal/controlplane/core/lease_test.go
@@ -136,7 +136,7 @@
 			Expect(failure.Is(err, failure.NotLeader)).To(BeTrue(), "%v: %v", request, err)
 		}
 		_, err := leader.call(&protocol.Request{Body: &protocol.Request_Ledger{}})
-		Expect(failure.Is(err, failure.UnknownRequest)).To(BeTrue())
+		Expect(failure.Is(err, failure.UnknownRequest)).To(BeTrue(), "%v", err)
 	})
 })
 
--- a/internal/controlplane/core/outcomes_test.go
+++ b/internal/controlplane/core/outcomes_test.go
@@ -40,7 +40,7 @@
 	It("is rejected by a follower", func() {
 		f.lead(f.members[0])
 		_, err := share(f.members[1], "f1", 2)
-		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
+		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue(), "%v", err)
 	})
 
 	It("is rejected if a report has too many outcomes", func() {
@@ -48,7 +48,7 @@
 		_, err := leader.call(shareOutcomesRequest(&protocol.ShareOutcomesRequest{
 			Node: "f1", Outcomes: make([]*protocol.BackEndOutcomes, 5000),
 		}))
-		Expect(failure.Is(err, failure.InvalidField)).To(BeTrue())
+		Expect(failure.Is(err, failure.InvalidField)).To(BeTrue(), "%v", err)
 	})
 
 	watch := func(m *member, known uint64, wait time.Duration) <-chan *protocol.WatchSuspectsResponse {
@@ -89,6 +89,6 @@
 	It("cannot be watched at a follower", func() {
 		f.lead(f.members[0])
 		_, err := f.members[1].call(watchSuspectsRequest(&protocol.WatchSuspectsRequest{}))
-		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue())
+		Expect(failure.Is(err, failure.NotLeader)).To(BeTrue(), "%v", err)
 	})
 })
--- a/internal/controlplane/core/poll_test.go
+++ b/internal/controlplane/core/poll_test.go
@@ -77,7 +77,7 @@
 		f.lead(f.members[1])
 		var got pollOutcome
 		Eventually(outcome).Should(Receive(&got))
-		Expect(failure.Is(got.err, failure.NotLeader)).To(BeTrue())
+		Expect(failure.Is(got.err, failure.NotLeader)).To(BeTrue(), "%v", got.err)
 	})
 })
 
