--- a/internal/controlplane/core/leases/table.go
+++ b/internal/controlplane/core/leases/table.go
@@ -1,9 +1,9 @@
-// Package leases keeps the leases that a leader of the core granted, to nodes
-// and to back ends. A table lives in memory only: a new leader knows no lease
-// and so ends none before its full duration has passed.
+// Package leases tracks the leases that the leader of the core granted to nodes
+// and back ends. Tables are kept in memory only: a new leader starts without
+// leases, and so expires none before its full duration has passed.
 //
-// The package decides and does no I/O. A Table knows no clock and has one owner
-// goroutine, that of the control plane's leader tables.
+// The package does no I/O and reads no clock. A Table is not safe for concurrent
+// use; the goroutine that owns the control plane's leader tables uses it.
 package leases
 
 import (
@@ -12,82 +12,82 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// removalRetryInterval is the wait before a removal is proposed again.
+// removalRetryInterval is the shortest time between two proposals of the same removal.
 const removalRetryInterval = time.Second
 
-// Holder names one incarnation of a node or back end.
+// Holder identifies one incarnation of a node or back end.
 type Holder struct {
 	Name        string
 	Incarnation uint64
 }
 
-// NodeHolder is a node as the holder of a lease.
+// NodeHolder returns the Holder of a node.
 func NodeHolder(node *protocol.Node) Holder {
 	return Holder{Name: node.GetName(), Incarnation: node.GetIncarnation()}
 }
 
-// BackEndHolder is a back end as the holder of a lease.
+// BackEndHolder returns the Holder of a back end.
 func BackEndHolder(backEnd *protocol.BackEnd) Holder {
 	return Holder{Name: backEnd.GetId(), Incarnation: backEnd.GetIncarnation()}
 }
 
-// Versions are the versions of the sections that a node has in force.
+// Versions are the versions of the sections that are active on a node.
 type Versions struct {
 	Configuration, Membership, BackEnds, Placement uint64
 }
 
-// Lease is what a leader knows of one holder.
+// Lease is the state of one holder's lease on the leader.
 type Lease struct {
 	incarnation uint64
 	expiresAt   time.Time
-	// removing is true once the removal was proposed; the lease is not renewed any more.
+	// removing is true once the removal of the holder was proposed; the lease is no longer renewed then.
 	removing bool
-	// proposalInFlight is true while the proposal of the removal has not returned.
+	// proposalInFlight is true until the proposal of the removal returns.
 	proposalInFlight bool
 	nextAttempt      time.Time
-	inForce          Versions
+	active           Versions
 }
 
 // Removing reports whether the removal of the holder was proposed.
 func (l *Lease) Removing() bool { return l.removing }
 
-// InForce are the highest versions that the holder has reported to have in force.
-func (l *Lease) InForce() Versions { return l.inForce }
+// InForce returns the highest versions that the holder has reported as active.
+func (l *Lease) InForce() Versions { return l.active }
 
-// Acknowledge records what the holder reports to have in force; no version steps back.
+// Acknowledge records the versions that the holder reports as active; a lower version than the recorded one is ignored.
 func (l *Lease) Acknowledge(reported *protocol.ControlVersions) {
-	l.inForce = Versions{
-		Configuration: max(l.inForce.Configuration, reported.GetConfiguration()),
-		Membership:    max(l.inForce.Membership, reported.GetMembership()),
-		BackEnds:      max(l.inForce.BackEnds, reported.GetBackEnds()),
-		Placement:     max(l.inForce.Placement, reported.GetPlacement()),
+	l.active = Versions{
+		Configuration: max(l.active.Configuration, reported.GetConfiguration()),
+		Membership:    max(l.active.Membership, reported.GetMembership()),
+		BackEnds:      max(l.active.BackEnds, reported.GetBackEnds()),
+		Placement:     max(l.active.Placement, reported.GetPlacement()),
 	}
 }
 
-// Table holds the leases of one kind of holder, by name. It belongs to one goroutine.
+// Table holds the leases of one kind of holder, keyed by name. It is not safe for concurrent use.
 type Table struct {
 	duration time.Duration
-	// floor is the earliest time at which any lease may end.
+	// floor is the earliest time at which any lease may expire.
 	floor   time.Time
 	entries map[string]*Lease
 }
 
-// NewTable makes an empty table of leases of one duration.
+// NewTable returns an empty table of leases of that duration.
 func NewTable(duration time.Duration) *Table {
 	return &Table{duration: duration, entries: map[string]*Lease{}}
 }
 
-// Reset forgets all leases, as a new leader does, and gives every holder the full duration from now.
+// Reset removes all leases and grants every holder the full duration from now; a new leader calls it.
 func (t *Table) Reset(now time.Time) {
 	t.entries = map[string]*Lease{}
 	t.floor = now.Add(t.duration)
 }
 
-// Extend gives every holder the full duration from now, after this process itself was stalled.
+// Extend grants every holder the full duration from now. It is called after this process itself was stalled.
 func (t *Table) Extend(now time.Time) { t.floor = now.Add(t.duration) }
 
-// Renew extends a lease to its duration after the time at which its holder was
-// last in contact, and never shortens it; it reports false when the holder is being removed.
+// Renew extends a lease to its full duration after the last contact with its holder, and
+// never shortens it. It returns false if the holder is being removed.
 func (t *Table) Renew(holder Holder, lastContact time.Time) bool {
 	lease := t.findOrAdd(holder)
 	if lease.removing {
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// Expiry is when the lease of a holder ends unless it is renewed, also of a holder that this leader has not heard from.
+// Expiry returns when the lease of a holder expires unless it is renewed. For a holder that has not contacted this
+// leader, it is the end of the duration granted by Reset or Extend.
 func (t *Table) Expiry(holder Holder) time.Time {
 	if lease := t.Find(holder); lease != nil && lease.expiresAt.After(t.floor) {
 		return lease.expiresAt
@@ -124,10 +125,11 @@
 	return t.floor
 }
 
-// LastRenewal is when the lease of a holder was last renewed, as far as this leader knows.
+// LastRenewal returns when the lease of a holder was last renewed or granted by this leader.
 func (t *Table) LastRenewal(holder Holder) time.Time { return t.Expiry(holder).Add(-t.duration) }
 
-// BeginRemoval reports whether the removal of a holder whose lease expired is to be proposed now.
+// BeginRemoval reports whether the removal of a holder is to be proposed now: its lease has expired, no proposal is in
+// flight, and the retry interval has passed since the last one. If so, it records the proposal as in flight.
 func (t *Table) BeginRemoval(holder Holder, now time.Time) bool {
 	if now.Before(t.Expiry(holder)) {
 		return false
@@ -141,15 +143,15 @@
 	return true
 }
 
-// EndProposal records that the proposal of a removal returned, with whatever result.
+// EndProposal records that the proposal of a removal returned, whether it succeeded or not.
 func (t *Table) EndProposal(holder Holder) {
 	if lease := t.Find(holder); lease != nil {
 		lease.proposalInFlight = false
 	}
 }
 
-// DropAbsent forgets the leases of holders that are not in the view any more. One whose removal is
-// in flight stays, since a later join must not overtake it.
+// DropAbsent removes the leases of holders that are no longer in the view. A lease whose removal is in flight is kept,
+// so that a later join of the holder cannot overtake the removal.
 func (t *Table) DropAbsent(current func(name string) (incarnation uint64, exists bool)) {
 	for name, lease := range t.entries {
 		incarnation, exists := current(name)
@@ -159,26 +161,26 @@
 	}
 }
 
-// Remove forgets the lease of a holder.
+// Remove removes the lease of a holder.
 func (t *Table) Remove(holder Holder) {
 	if t.Find(holder) != nil {
 		delete(t.entries, holder.Name)
 	}
 }
 
-// Status is what a leader knows of one lease at a time.
+// Status describes a lease at a point in time.
 type Status struct {
 	Holder Holder
-	// Remaining is how long the lease lasts unless it is renewed; negative once it expired.
+	// Remaining is the time until the lease expires unless it is renewed; negative after it has expired.
 	Remaining time.Duration
 	InForce   Versions
 }
 
-// Status describes the lease of a holder, also of one that this leader has not heard from.
+// Status returns the status of a holder's lease, also for a holder that has not contacted this leader.
 func (t *Table) Status(holder Holder, now time.Time) Status {
 	status := Status{Holder: holder, Remaining: t.Expiry(holder).Sub(now)}
 	if lease := t.Find(holder); lease != nil {
-		status.InForce = lease.inForce
+		status.InForce = lease.active
 	}
 	return status
 }
--- a/internal/controlplane/core/leases/table_test.go
+++ b/internal/controlplane/core/leases/table_test.go
@@ -26,25 +26,25 @@
 		prepare func(table *leases.Table)
 		expires time.Duration
 	}{
-		"of a holder that this leader does not know, after its beginning": {
+		"unknown holder, duration counted from Reset": {
 			prepare: func(*leases.Table) {}, expires: duration,
 		},
-		"after a renewal": {
+		"renewed once": {
 			prepare: func(table *leases.Table) { table.Renew(holder, start.Add(2*time.Second)) }, expires: 7 * time.Second,
 		},
-		"after the later of two renewals": {
+		"renewed twice, the earlier contact last": {
 			prepare: func(table *leases.Table) {
 				table.Renew(holder, start.Add(2*time.Second))
 				table.Renew(holder, start.Add(time.Second))
 			}, expires: 7 * time.Second,
 		},
-		"but not before an extension ends": {
+		"renewed, then extended for all holders": {
 			prepare: func(table *leases.Table) {
 				table.Renew(holder, start.Add(time.Second))
 				table.Extend(start.Add(4 * time.Second))
 			}, expires: 9 * time.Second,
 		},
-		"of this incarnation only": {
+		"another incarnation renewed": {
 			prepare: func(table *leases.Table) {
 				table.Renew(leases.Holder{Name: holder.Name, Incarnation: 8}, start.Add(2*time.Second))
 			}, expires: duration,
@@ -54,10 +54,10 @@
 			table := newTable()
 			test.prepare(table)
 			if got := table.Expiry(holder).Sub(start); got != test.expires {
-				t.Fatalf("expires after %v, not %v", got, test.expires)
+				t.Fatalf("the lease expires after %v, want %v", got, test.expires)
 			}
 			if got := table.LastRenewal(holder); !got.Equal(table.Expiry(holder).Add(-duration)) {
-				t.Fatalf("last renewal at %v", got)
+				t.Fatalf("LastRenewal = %v, want %v before the expiry at %v", got, duration, table.Expiry(holder))
 			}
 		})
 	}
@@ -67,24 +67,24 @@
 	table := newTable()
 	table.Renew(holder, start)
 	if table.BeginRemoval(holder, start.Add(duration-1)) {
-		t.Fatal("proposed before the lease expired")
+		t.Fatal("BeginRemoval is true before the lease expired")
 	}
 	expired := start.Add(duration)
 	if !table.BeginRemoval(holder, expired) {
-		t.Fatal("not proposed when the lease expired")
+		t.Fatal("BeginRemoval is false when the lease expired")
 	}
 	if table.Renew(holder, expired) {
-		t.Fatal("renewed while the holder is being removed")
+		t.Fatal("Renew is true while the holder is being removed")
 	}
 	if table.BeginRemoval(holder, expired.Add(time.Hour)) {
-		t.Fatal("proposed again while a proposal is in flight")
+		t.Fatal("BeginRemoval is true while a proposal is in flight")
 	}
 	table.EndProposal(holder)
 	if table.BeginRemoval(holder, expired.Add(time.Second-1)) {
-		t.Fatal("proposed again before the retry interval")
+		t.Fatal("BeginRemoval is true before the retry interval has passed")
 	}
 	if !table.BeginRemoval(holder, expired.Add(time.Second)) {
-		t.Fatal("not proposed again after the retry interval")
+		t.Fatal("BeginRemoval is false after the retry interval")
 	}
 }
 
@@ -111,13 +111,13 @@
 			}
 			table.DropAbsent(test.current)
 			if stays := table.Find(holder) != nil; stays != test.stays {
-				t.Fatalf("stays: %v", stays)
+				t.Fatalf("lease in the table after DropAbsent: %v, want %v", stays, test.stays)
 			}
 		})
 	}
 }
 
-func TestAcknowledgedVersionsNeverStepBack(t *testing.T) {
+func TestAcknowledgedVersionsNeverDecrease(t *testing.T) {
 	table := newTable()
 	table.Renew(holder, start)
 	lease := table.Find(holder)
@@ -125,6 +125,6 @@
 	lease.Acknowledge(&protocol.ControlVersions{Configuration: 5, BackEnds: 8, Placement: 2})
 	want := leases.Versions{Configuration: 5, BackEnds: 9, Placement: 2}
 	if got := table.Status(holder, start).InForce; got != want {
-		t.Fatalf("in force: %+v", got)
+		t.Fatalf("acknowledged versions %+v, want %+v", got, want)
 	}
 }
