--- a/internal/controlplane/core/operators/back_ends.go
+++ b/internal/controlplane/core/operators/back_ends.go
@@ -6,14 +6,15 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// sequenceParameter orders the announcements of one incarnation of a back end.
+// sequenceParameter is the query parameter with the sequence that orders the announcements of one incarnation of a back
+// end.
 const sequenceParameter = "sequence"
 
 func (h *Handler) listBackEnds(context.Context, *operatorRequest) (*response, error) {
 	return protoResponse(h.control.View().BackEnds)
 }
 
-// backEndAcknowledgement acknowledges what a back end announced of itself.
+// backEndAcknowledgement is the response to the announcement or the removal of a back end.
 type backEndAcknowledgement struct {
 	ID string `json:"id"`
 }
@@ -28,7 +29,7 @@
 		return nil, err
 	}
 	id := request.arguments[0]
-	if err := checkNamed(backEnd.GetId(), id, "back end", "id"); err != nil {
+	if err := checkMatchesPath(backEnd.GetId(), id, "back end", "id"); err != nil {
 		return nil, err
 	}
 	backEnd.Id = id
@@ -50,7 +51,7 @@
 	return okResponse(backEndAcknowledgement{ID: id}), nil
 }
 
-// drainAcknowledgement acknowledges that no front node sends to the back end any more.
+// drainAcknowledgement is the response to a drain, once no front node sends to the back end any more.
 type drainAcknowledgement struct {
 	ViewVersion uint64 `json:"view_version"`
 }
@@ -61,7 +62,7 @@
 		return nil, err
 	}
 	id := request.arguments[0]
-	if err := checkNamed(command.GetId(), id, "back end", "id"); err != nil {
+	if err := checkMatchesPath(command.GetId(), id, "back end", "id"); err != nil {
 		return nil, err
 	}
 	command.Id = id
--- a/internal/controlplane/core/operators/bundles.go
+++ b/internal/controlplane/core/operators/bundles.go
@@ -16,11 +16,11 @@
 const (
 	defaultBundlePage = 200
 	maxBundlePage     = 10_000
-	// baseParameter is the version that a release replaces.
+	// baseParameter is the query parameter with the active version that a release replaces.
 	baseParameter = "base"
 )
 
-// bundleList lists bundle versions, newest first.
+// bundleList is a page of bundle versions, newest first.
 type bundleList struct {
 	Newest    uint64            `json:"newest"`
 	Active    uint64            `json:"active"`
@@ -48,7 +48,7 @@
 	}), nil
 }
 
-// bundleDocument is one version: its status and, while it is retained, the merged bundle.
+// bundleDocument is one bundle version: its status and, while it is retained, the merged bundle.
 type bundleDocument struct {
 	Status json.RawMessage `json:"status"`
 	Bundle json.RawMessage `json:"bundle,omitempty"`
@@ -72,7 +72,7 @@
 	return okResponse(document), nil
 }
 
-// findBundle takes a number or one of newest, active and candidate.
+// findBundle returns the bundle that text identifies: a version number, or "newest", "active" or "candidate".
 func findBundle(view *controlstate.View, text string) (*controlstate.BundleRecord, error) {
 	var version uint64
 	switch text {
@@ -111,7 +111,7 @@
 	return okResponse(bundle.Compare(bundles[0], bundles[1])), nil
 }
 
-// readBundle reads a bundle from the body. Its version is that of the path, which the body may repeat.
+// readBundle reads a bundle from the body. Its version is taken from the path; the body may omit or repeat it.
 func readBundle(request *operatorRequest) (*protocol.Bundle, error) {
 	version, err := parseVersion(request.arguments[0])
 	if err != nil {
@@ -121,19 +121,20 @@
 	if err := readBody(request, submitted); err != nil {
 		return nil, err
 	}
-	if err := checkVersion(submitted.GetVersion(), version); err != nil {
+	if err := checkVersionMatchesPath(submitted.GetVersion(), version); err != nil {
 		return nil, err
 	}
 	submitted.Version = version
 	return submitted, nil
 }
 
-// checkVersion rejects a body that names another version than the path; zero names none.
-func checkVersion(named, inPath uint64) error {
-	if named == 0 {
+// checkVersionMatchesPath rejects a body whose version differs from the one in the path; zero means that the body has
+// none.
+func checkVersionMatchesPath(inBody, inPath uint64) error {
+	if inBody == 0 {
 		return nil
 	}
-	return checkNamed(strconv.FormatUint(named, 10), strconv.FormatUint(inPath, 10), "version", "version")
+	return checkMatchesPath(strconv.FormatUint(inBody, 10), strconv.FormatUint(inPath, 10), "version", "version")
 }
 
 func (h *Handler) putBundle(ctx context.Context, request *operatorRequest) (*response, error) {
@@ -155,7 +156,7 @@
 	if err := readBody(request, sign); err != nil {
 		return nil, err
 	}
-	if err := checkVersion(sign.GetVersion(), version); err != nil {
+	if err := checkVersionMatchesPath(sign.GetVersion(), version); err != nil {
 		return nil, err
 	}
 	for path, value := range map[string]string{"key_name": sign.GetKeyName(), "signature": sign.GetSignature()} {
@@ -167,7 +168,7 @@
 	return h.order(ctx, "sign_bundle", request, &protocol.Command{Body: &protocol.Command_SignBundle{SignBundle: sign}})
 }
 
-// releaseBundle puts a bundle in force at once, signed off by the core itself.
+// releaseBundle makes a bundle the active one at once, signed off by the core itself.
 func (h *Handler) releaseBundle(ctx context.Context, request *operatorRequest) (*response, error) {
 	if !h.trustOperators {
 		return nil, controllog.OperatorsNotTrusted()
@@ -183,7 +184,7 @@
 	return h.order(ctx, "release_bundle", request, controllog.ReleaseBundle(submitted, expected))
 }
 
-// showRelease answers with the bundle in force as it is delivered to front nodes.
+// showRelease returns the active bundle as it is delivered to front nodes.
 func (h *Handler) showRelease(context.Context, *operatorRequest) (*response, error) {
 	active := h.control.View().Configuration.GetActive()
 	if active == nil {
--- a/internal/controlplane/core/operators/handler.go
+++ b/internal/controlplane/core/operators/handler.go
@@ -1,9 +1,9 @@
-// Package operators serves the HTTP interface of operators: it authenticates a
-// request, finds its route, reads from the control state or gives an order to
-// the control log, and answers in JSON. Reads are linearizable unless the query
-// says local=true; an order is acknowledged once it is committed and applied.
+// Package operators serves the HTTP API for operators: it authenticates a
+// request, finds its route, reads from the control state or proposes an order to
+// the control log, and responds in JSON. Reads are linearizable unless the query
+// contains local=true; an order is acknowledged once it is committed and applied.
 //
-// A Handler has no state that changes; any number of goroutines may use it.
+// A Handler has no mutable state and is safe for concurrent use.
 package operators
 
 import (
@@ -27,31 +27,31 @@
 	orderHeader     = "Rosestand-Order"
 	maxOrderBytes   = 128
 	operatorTimeout = 15 * time.Second
-	// anySegment is a route's segment that the handler takes as an argument.
+	// anySegment is a route segment that matches any path segment; the handler receives that as an argument.
 	anySegment = "*"
-	// trustedOperator is logged as the name of an operator without a token.
+	// trustedOperator is the name that is logged for an operator without a token.
 	trustedOperator = "trusted"
 )
 
-// ControlPlane is what the handler needs of the control plane of its process. Errors are failures.
+// ControlPlane is the part of this process's control plane that the handler uses. Errors are failures.
 type ControlPlane interface {
-	// View is the newest view of the control state here.
+	// View returns the newest view of the control state in this process.
 	View() *controlstate.View
-	// VariantSums are the samples of the roll-out in force, as far as this leader knows them.
+	// VariantSums returns the sums of the samples of the current roll-out that this leader has received.
 	VariantSums(ctx context.Context) ([]*protocol.ArmSample, error)
-	// NodeLeases are the leases of nodes, in their order.
+	// NodeLeases returns the leases of nodes, in the order of nodes.
 	NodeLeases(ctx context.Context, nodes []*protocol.Node) ([]leases.Status, error)
-	// AnnounceBackEnd applies what a back end announces of itself.
+	// AnnounceBackEnd applies the announcement of a back end.
 	AnnounceBackEnd(ctx context.Context, backEnd *protocol.BackEnd, sequence uint64) error
-	// RemoveBackEnd removes a back end that reports that it left.
+	// RemoveBackEnd removes a back end that reports that it is leaving.
 	RemoveBackEnd(ctx context.Context, id string, sequence uint64) error
-	// DrainBackEnd returns once no front node sends to the back end any more, or with the command rejected.
+	// DrainBackEnd returns once no front node sends to the back end any more, or when the command was rejected.
 	DrainBackEnd(
 		ctx context.Context, orderID string, command *protocol.DrainBackEndCommand,
 	) (*protocol.CommandResult, error)
 }
 
-// Consensus is what the handler needs of the replica of its process.
+// Consensus is the part of this process's replica that the handler uses.
 type Consensus interface {
 	Barrier(ctx context.Context) error
 	Leader() *protocol.CoreMember
@@ -61,20 +61,20 @@
 	RemoveMember(ctx context.Context, name string) error
 }
 
-// Options of a Handler. All but Registerer are needed.
+// Options of a Handler. All but Registerer are required.
 type Options struct {
 	ControlPlane ControlPlane
 	Consensus    Consensus
 	Proposer     *controllog.Proposer
 	// Tokens are the credentials of operators.
 	Tokens *Tokens
-	// TrustOperators takes orders without a token and lets the core sign off what is released.
+	// TrustOperators accepts orders without a token and lets the core itself sign off releases.
 	TrustOperators bool
 	Logger         *log.Logger
 	Registerer     prometheus.Registerer
 }
 
-// Handler is the http.Handler of operators.
+// Handler is the http.Handler of the operators' API.
 type Handler struct {
 	control        ControlPlane
 	consensus      Consensus
@@ -86,7 +86,7 @@
 	routes         []route
 }
 
-// New makes a handler.
+// New returns a handler.
 func New(options Options) *Handler {
 	handler := &Handler{
 		control:        options.ControlPlane,
@@ -104,13 +104,13 @@
 // operatorRequest is an authenticated request with its route's arguments.
 type operatorRequest struct {
 	http *http.Request
-	// arguments are the path segments that the route leaves open.
+	// arguments are the path segments that matched anySegment, in order.
 	arguments []string
 	operator  string
 	orderID   string
 }
 
-// response is what a route answers with.
+// response is the result of a route's handler.
 type response struct {
 	status int
 	// document is encoded as JSON.
@@ -121,12 +121,12 @@
 
 type routeHandler func(ctx context.Context, request *operatorRequest) (*response, error)
 
-// route is one line of the route table.
+// route is one entry of the route table.
 type route struct {
 	method   string
 	segments []string
 	handle   routeHandler
-	// idempotent is true for a change that may be made again without an order id.
+	// idempotent is true for a change that may be repeated and so needs no order id.
 	idempotent bool
 }
 
@@ -166,15 +166,15 @@
 	}
 }
 
-// ServeHTTP answers one request of an operator.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	matched, arguments, err := h.findRoute(request)
 	if err != nil {
 		h.writeError(writer, request, err)
 		return
 	}
-	operator, known := h.authenticate(request)
-	if !known {
+	operator, authenticated := h.authenticate(request)
+	if !authenticated {
 		writer.Header().Set("WWW-Authenticate", "Bearer")
 		h.writeError(writer, request, failure.New(failure.Unauthorized, protocol.Outcome_NOT_RUN,
 			"an operator's bearer token is needed"))
@@ -197,16 +197,17 @@
 	h.writeResponse(writer, result)
 }
 
-// authenticate names the operator of a request; one without a token is known only where operators are trusted.
-func (h *Handler) authenticate(request *http.Request) (name string, known bool) {
-	name, known = h.tokens.operator(request.Header.Get("Authorization"))
-	if !known && h.trustOperators {
+// authenticate returns the name of the operator that sent a request. A request without a valid token is accepted only
+// if operators are trusted.
+func (h *Handler) authenticate(request *http.Request) (name string, authenticated bool) {
+	name, authenticated = h.tokens.findOperator(request.Header.Get("Authorization"))
+	if !authenticated && h.trustOperators {
 		return trustedOperator, true
 	}
-	return name, known
+	return name, authenticated
 }
 
-// serve runs a route, after a barrier where it only reads.
+// serve runs a route's handler; for a read that is not local it waits for a barrier first, which makes it linearizable.
 func (h *Handler) serve(ctx context.Context, matched *route, request *operatorRequest) (*response, error) {
 	if matched.method == http.MethodGet && request.http.URL.Query().Get("local") != "true" {
 		if err := h.consensus.Barrier(ctx); err != nil {
@@ -216,7 +217,7 @@
 	return matched.handle(ctx, request)
 }
 
-// findRoute finds the route of a request and the segments that it leaves open.
+// findRoute returns the route of a request and its arguments.
 func (h *Handler) findRoute(request *http.Request) (*route, []string, error) {
 	segments, err := pathSegments(request.URL)
 	if err != nil {
@@ -269,7 +270,7 @@
 	return arguments, true
 }
 
-// readOrderID reads the order id that every change must carry unless it may be made again without one.
+// readOrderID returns the order id of a request. Every change must have one, except on idempotent routes.
 func readOrderID(matched *route, request *http.Request) (string, error) {
 	id := request.Header.Get(orderHeader)
 	switch {
--- a/internal/controlplane/core/operators/members.go
+++ b/internal/controlplane/core/operators/members.go
@@ -10,13 +10,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Orders about members of the core are written to the control log before they
-// are carried out, with the member that they mean. An order that is sent again
-// means the same member by its id, which is new when a machine joins anew with
-// an empty folder under an old name; and it does nothing more once a later order
-// about that member was given.
+// An order that adds or removes a member of the core is written to the control
+// log, together with that member, before it is carried out. If the order is sent
+// again it applies to the same member, identified by its id: a machine that joins
+// again with an empty folder has a new id under its old name. An order has no
+// further effect once a later order about the same member was accepted.
 
-// addMember admits the core process at an address.
+// addMember admits the core process at the address in the body.
 func (h *Handler) addMember(ctx context.Context, request *operatorRequest) (*response, error) {
 	requested := &protocol.CoreMember{}
 	if err := readBody(request, requested); err != nil {
@@ -50,13 +50,13 @@
 	return protoResponse(recorded)
 }
 
-// removedMember acknowledges that a core member is removed; Removed is false when there was none of that name.
+// removedMember is the response to the removal of a core member; Removed is false if there was no such member.
 type removedMember struct {
 	Member  string `json:"member"`
 	Removed bool   `json:"removed"`
 }
 
-// removeMember removes a core member for good. One that was removed before is acknowledged.
+// removeMember removes a core member permanently. The removal of a member that was removed before is acknowledged too.
 func (h *Handler) removeMember(ctx context.Context, request *operatorRequest) (*response, error) {
 	if err := h.consensus.Barrier(ctx); err != nil {
 		return nil, controllog.Failure(err)
@@ -78,7 +78,8 @@
 	return okResponse(removedMember{Member: name, Removed: removed}), nil
 }
 
-// recordMember writes the order to the log and returns the member that it meant when it was first given.
+// recordMember writes the order to the control log and returns the member that was recorded when the order was first
+// sent.
 func (h *Handler) recordMember(
 	ctx context.Context, kind string, request *operatorRequest, command *protocol.ChangeMemberCommand,
 ) (*protocol.CoreMember, error) {
@@ -91,7 +92,7 @@
 	return result.GetMember(), nil
 }
 
-// isLatestOrder reports that no later order was given about the member.
+// isLatestOrder reports whether the request's order is the latest one about the member.
 func (h *Handler) isLatestOrder(request *operatorRequest, member *protocol.CoreMember) bool {
 	return h.control.View().MemberOrder(member.GetId()) == request.orderID
 }
@@ -103,8 +104,9 @@
 		})
 }
 
-// findMember looks a member up by name, the newest first, or by its id, among
-// the present ones and then among those removed; nil when there is none.
+// findMember returns the newest member with that name, or the one with that id in
+// decimal, among the current members and then among the removed ones; nil if there
+// is none.
 func (h *Handler) findMember(name string) *protocol.CoreMember {
 	configuration := h.consensus.Status().GetConfiguration()
 	for _, members := range [][]*protocol.CoreMember{configuration.GetMembers(), configuration.GetRetired()} {
--- a/internal/controlplane/core/operators/metrics.go
+++ b/internal/controlplane/core/operators/metrics.go
@@ -9,7 +9,7 @@
 	requests *prometheus.CounterVec
 }
 
-// newMetrics makes the metrics and registers them where a registerer is given.
+// newMetrics creates the metrics and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/controlplane/core/operators/nodes.go
+++ b/internal/controlplane/core/operators/nodes.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/controlplane/core/leases"
 )
 
-// nodeList is the membership view with what this leader knows of each lease.
+// nodeList is the membership view with the leases of its nodes as this leader has them.
 type nodeList struct {
 	Version uint64            `json:"version"`
 	Nodes   []json.RawMessage `json:"nodes"`
--- a/internal/controlplane/core/operators/orders.go
+++ b/internal/controlplane/core/operators/orders.go
@@ -16,8 +16,7 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// order proposes an operator's command under its order id and answers with the CommandResult. The kind labels its
-// metrics.
+// order proposes an operator's command under its order id and responds with the CommandResult. kind labels the metrics.
 func (h *Handler) order(
 	ctx context.Context, kind string, request *operatorRequest, command *protocol.Command,
 ) (*response, error) {
@@ -29,7 +28,8 @@
 	return protoResponse(result)
 }
 
-// recordResult counts and logs how an order ended; it returns the error of the proposal, or a *rejectedError.
+// recordResult counts the result of an order, and logs the order if it was accepted. It returns the error of the
+// proposal, or a *rejectedError if the order was rejected.
 func (h *Handler) recordResult(kind string, request *operatorRequest, result *protocol.CommandResult, err error) error {
 	if err != nil {
 		h.metrics.orders.WithLabelValues(kind, failure.From(err).GetCode()).Inc()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// readBody parses the JSON body into a message; an empty body leaves it as it is.
+// readBody parses the JSON body into message; an empty body leaves message unchanged.
 func readBody(request *operatorRequest, message proto.Message) error {
 	content, err := io.ReadAll(request.http.Body)
 	var tooLarge *http.MaxBytesError
@@ -61,9 +61,9 @@
 	return strictjson.Unmarshal(content, message)
 }
 
-// checkNamed rejects a body that names another object than the path; an empty name is none.
-func checkNamed(named, inPath, kind, field string) error {
-	if named == "" || named == inPath {
+// checkMatchesPath rejects a body that names another object than the path; the body may omit the name.
+func checkMatchesPath(inBody, inPath, kind, field string) error {
+	if inBody == "" || inBody == inPath {
 		return nil
 	}
 	return invalidField(field, "the body names another "+kind+" than the path")
@@ -77,7 +77,7 @@
 	return version, nil
 }
 
-// queryNumber reads a number from the query, or the fallback where it is not set.
+// queryNumber returns a number from the query, or fallback if the query does not have it.
 func queryNumber(request *operatorRequest, name string, fallback uint64) (uint64, error) {
 	text := request.http.URL.Query().Get(name)
 	if text == "" {
@@ -98,7 +98,7 @@
 	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
 }
 
-// notFound is the failure of a field that names nothing that exists.
+// notFound returns the failure of a request in which the field at path names an object that does not exist.
 func notFound(path, message string) error {
 	return failure.New(failure.NotFound, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
 }
--- a/internal/controlplane/core/operators/responses.go
+++ b/internal/controlplane/core/operators/responses.go
@@ -18,7 +18,7 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// rejectedError is an order that the control state rejected.
+// rejectedError is the error of an order that the control state rejected.
 type rejectedError struct {
 	rejection *protocol.Refusal
 }
@@ -44,13 +44,13 @@
 	Message string `json:"message"`
 }
 
-// encode writes a protobuf message as JSON with the field names of the .proto files.
+// encode encodes a protobuf message as JSON with the field names of the .proto files.
 func encode(message proto.Message) (json.RawMessage, error) {
 	encoded, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(message)
 	return encoded, errors.Wrap(err, "encode response")
 }
 
-// protoResponse answers with one protobuf message.
+// protoResponse returns a response with one protobuf message.
 func protoResponse(message proto.Message) (*response, error) {
 	document, err := encode(message)
 	if err != nil {
@@ -87,9 +87,9 @@
 	_, _ = writer.Write(append(encoded, '\n'))
 }
 
-// writeError answers with a typed failure; a follower redirects the operator to the leader.
+// writeError responds with a typed failure; a follower redirects the operator to the leader.
 func (h *Handler) writeError(writer http.ResponseWriter, request *http.Request, err error) {
-	detail, status := describe(err)
+	detail, status := describeError(err)
 	if detail.Code == string(failure.NotLeader) {
 		detail, status = h.redirectToLeader(writer, request)
 	}
@@ -100,18 +100,20 @@
 	writeJSON(writer, status, errorBody{Error: detail})
 }
 
-// redirectToLeader sets the leader's address, or reports that there is no leader.
+// redirectToLeader sets the Location header to the leader's address and returns the body and the status of the
+// redirect. If no other member with an HTTP address is the leader, it returns those of the failure NoLeader.
 func (h *Handler) redirectToLeader(writer http.ResponseWriter, request *http.Request) (errorDetail, int) {
 	leader := h.consensus.Leader()
 	own := h.consensus.Status().GetId()
 	if leader.GetHttpAddress() == "" || leader.GetId() == own {
-		return describe(controllog.NoLeader())
+		return describeError(controllog.NoLeader())
 	}
 	writer.Header().Set("Location", "http://"+normalizeHost(leader.GetHttpAddress())+request.URL.RequestURI())
-	detail, _ := describe(failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "the leader is "+leader.GetName()))
+	detail, _ := describeError(failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "the leader is "+leader.GetName()))
 	return detail, http.StatusTemporaryRedirect
 }
 
+// normalizeHost puts an IPv6 host into exactly one pair of brackets.
 func normalizeHost(address string) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -120,8 +122,8 @@
 	return net.JoinHostPort(strings.Trim(host, "[]"), port)
 }
 
-// describe gives the body and the HTTP status of an error.
-func describe(err error) (errorDetail, int) {
+// describeError returns the body and the HTTP status for an error.
+func describeError(err error) (errorDetail, int) {
 	var rejected *rejectedError
 	if errors.As(err, &rejected) {
 		return describeRejection(rejected.rejection)
--- a/internal/controlplane/core/operators/rollouts.go
+++ b/internal/controlplane/core/operators/rollouts.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// rolloutDocument is the roll-out in progress, if any, and what its variants measured so far.
+// rolloutDocument is the current roll-out, if any, with the measurements of its variants so far.
 type rolloutDocument struct {
 	Active   uint64            `json:"active"`
 	Rollout  json.RawMessage   `json:"rollout,omitempty"`
--- a/internal/controlplane/core/operators/stores.go
+++ b/internal/controlplane/core/operators/stores.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// storeList is how far the placement is and what each store holds.
+// storeList is the progress of the placement and a report of each store.
 type storeList struct {
 	PlacementEpoch uint64                     `json:"placement_epoch"`
 	Shards         int                        `json:"shards"`
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	store := request.arguments[0]
-	if err := checkNamed(command.GetStore(), store, "store", "store"); err != nil {
+	if err := checkMatchesPath(command.GetStore(), store, "store", "store"); err != nil {
 		return nil, err
 	}
 	command.Store = store
--- a/internal/controlplane/core/operators/tokens.go
+++ b/internal/controlplane/core/operators/tokens.go
@@ -20,11 +20,12 @@
 }
 
 type tokenEntry struct {
-	name string
-	sum  [sha256.Size]byte
+	name   string
+	digest [sha256.Size]byte
 }
 
-// TokenFileError says which line of the token file is at fault, without its content.
+// TokenFileError reports the malformed line of the token file. It omits the content of the line, which may be a
+// credential.
 type TokenFileError struct {
 	Line   int
 	Reason string
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("operator token file, line %d: %s", e.Line, e.Reason)
 }
 
-// LoadTokens reads a file with one "name token" a line; empty lines and those that begin with # do not count.
+// LoadTokens reads a file with one "name token" per line; empty lines and those that start with # are ignored.
 func LoadTokens(path string) (*Tokens, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return ParseTokens(content)
 }
 
-// ParseTokens reads the content of a token file; the error is a *TokenFileError.
+// ParseTokens parses the content of a token file; it returns a *TokenFileError for a malformed line.
 func ParseTokens(content []byte) (*Tokens, error) {
 	tokens := &Tokens{}
 	lines := bufio.NewScanner(bytes.NewReader(content))
@@ -55,21 +56,21 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) != 2 {
-			return nil, &TokenFileError{Line: number, Reason: "is not \"name token\""}
+			return nil, &TokenFileError{Line: number, Reason: "must have the form \"name token\""}
 		}
-		tokens.entries = append(tokens.entries, tokenEntry{name: fields[0], sum: sha256.Sum256([]byte(fields[1]))})
+		tokens.entries = append(tokens.entries, tokenEntry{name: fields[0], digest: sha256.Sum256([]byte(fields[1]))})
 	}
 	return tokens, errors.Wrap(lines.Err(), "read operator tokens")
 }
 
-// operator finds whose credential an Authorization header carries, in a time
-// that depends neither on the credential nor on where it is in the list.
-func (t *Tokens) operator(header string) (string, bool) {
+// findOperator returns the name of the operator whose credential is in an Authorization header. Its running
+// time depends neither on the credential nor on its position in the list.
+func (t *Tokens) findOperator(header string) (string, bool) {
 	credential, bearer := strings.CutPrefix(header, bearerPrefix)
 	sum := sha256.Sum256([]byte(credential))
 	name, matches := "", 0
 	for _, entry := range t.entries {
-		same := subtle.ConstantTimeCompare(sum[:], entry.sum[:])
+		same := subtle.ConstantTimeCompare(sum[:], entry.digest[:])
 		if same == 1 {
 			name = entry.name
 		}
