--- a/internal/controlplane/core/reconcile/reconciler.go
+++ b/internal/controlplane/core/reconcile/reconciler.go
@@ -1,7 +1,7 @@
-// Package reconcile decides which commands bring the control state towards what
-// the settings and the stores ask for: the first sign-off keys, the first
-// placement, and the replacement of stores that are lost. It does no I/O; the
-// owner of a Reconciler proposes the commands.
+// Package reconcile determines the commands that converge the control state to
+// the settings and the available stores: the first sign-off keys, the first
+// placement, and the replacement of lost stores. It does no I/O; the owner of a
+// Reconciler proposes the commands.
 package reconcile
 
 import (
@@ -18,54 +18,57 @@
 const (
 	// storesUnchangedInterval is how long the set of stores must be unchanged before the first placement.
 	storesUnchangedInterval = time.Second
-	// sharedZonesUnchangedInterval is the same where fewer zones have stores than a shard has replicas: a store of another
-	// zone may yet join. A deployment with few zones, or few stores, is served all the same.
+	// sharedZonesUnchangedInterval is that interval if fewer zones have stores than a shard has replicas. It is longer,
+	// since a store of another zone may still join, but it ends, since a deployment with few zones or few stores must
+	// work too.
 	sharedZonesUnchangedInterval = 4 * time.Second
 	// replaceAbsentAfter is how long a store may be without a lease before its shards are placed elsewhere.
 	replaceAbsentAfter = 20 * time.Second
-	// replaceUnresponsiveAfter is how long a store may fail to renew its lease before its shards are placed on a store
-	// that has none: a new store beside an unresponsive one is its successor. It is above two renewals of a lease.
+	// replaceUnresponsiveAfter is how long a store may fail to renew its lease before its shards are placed on a new
+	// store: one that joined recently while another is unresponsive counts as the successor of that. It is longer than two
+	// renewals of a lease.
 	replaceUnresponsiveAfter = 2500 * time.Millisecond
-	// successorWindow is how long a store that joined counts as the successor of one that becomes unresponsive.
+	// successorWindow is how long after its join a store counts as the successor of one that becomes unresponsive.
 	successorWindow = 15 * time.Second
-	// maxConcurrentMoves bounds the shards that move at one time. A store that is lost, or that is to be emptied, is
-	// replaced within seconds, since the next one may be lost then.
+	// maxConcurrentMoves is the maximum number of shards that move at the same time. It is large enough that a store that
+	// is lost or to be emptied is replaced within seconds, before another store may be lost.
 	maxConcurrentMoves = 24
-	// retryInterval is the wait after a command failed or was rejected.
+	// retryInterval is the wait before new commands are proposed after one failed or was rejected.
 	retryInterval = time.Second
 )
 
 // Settings of a Reconciler.
 type Settings struct {
-	// FirstKeys are the sign-off keys that the settings name.
+	// FirstKeys are the sign-off keys of the settings; the state is seeded with them.
 	FirstKeys    []*protocol.SignOffKey
 	ShardCount   uint32
 	ReplicaCount uint32
 }
 
-// Reconciler decides on a few commands at a time. It belongs to one goroutine.
+// Reconciler determines the next commands from the control state and its own observations. It is not safe for
+// concurrent use.
 type Reconciler struct {
 	settings Settings
 
 	proposalInFlight bool
 	nextAttempt      time.Time
-	// storeNames are the stores at the last observation, and storesSince is since when they are unchanged.
+	// storeNames are the names of the stores at the last observation, one a line; storesSince is when they last changed.
 	storeNames  string
 	storesSince time.Time
-	// absentSince is since when a store that the placement names has had no lease.
+	// absentSince is the time, by store, since which a store in the placement has had no lease.
 	absentSince map[string]time.Time
-	// replaced are the unresponsive stores whose shards go to a successor.
+	// replaced are the unresponsive stores whose shards are moved to a successor.
 	replaced map[string]bool
 	// joinedAt is when each store was first observed by this leader; nil before the first observation.
 	joinedAt map[string]time.Time
 }
 
-// New makes a reconciler that has observed nothing.
+// New returns a reconciler without observations.
 func New(settings Settings) *Reconciler {
 	return &Reconciler{settings: settings, absentSince: map[string]time.Time{}, replaced: map[string]bool{}}
 }
 
-// Reset forgets all observations, as a new leader does. A proposal in flight stays so until EndProposal.
+// Reset clears all observations; a new leader calls it. A proposal in flight remains in flight until EndProposal.
 func (r *Reconciler) Reset() {
 	r.storeNames, r.storesSince = "", time.Time{}
 	r.absentSince = map[string]time.Time{}
@@ -74,7 +77,8 @@
 	r.nextAttempt = time.Time{}
 }
 
-// Due reports whether the next commands may be proposed: none is in flight and no retry is waited for.
+// Due reports whether the next commands may be proposed: none is in flight, and the retry interval after a failure has
+// passed.
 func (r *Reconciler) Due(now time.Time) bool {
 	return !r.proposalInFlight && !now.Before(r.nextAttempt)
 }
@@ -82,7 +86,8 @@
 // BeginProposal records that commands are being proposed.
 func (r *Reconciler) BeginProposal() { r.proposalInFlight = true }
 
-// EndProposal records whether all the commands were accepted; if not, the next ones wait for the retry interval.
+// EndProposal records that the proposal ended. If not all its commands were accepted, the next ones wait for the retry
+// interval.
 func (r *Reconciler) EndProposal(now time.Time, accepted bool) {
 	r.proposalInFlight = false
 	if !accepted {
@@ -90,7 +95,7 @@
 	}
 }
 
-// ObserveStores records since when the set of stores is unchanged and which stores are absent.
+// ObserveStores records when the set of stores last changed and which stores of the placement are absent.
 func (r *Reconciler) ObserveStores(view *controlstate.View, now time.Time) {
 	present := map[string]bool{}
 	var names strings.Builder
@@ -122,7 +127,7 @@
 	r.absentSince = absentSince
 }
 
-// NextCommands are the commands to propose now, in their order, if any. lastRenewal is when a node last renewed its
+// NextCommands returns the commands to propose now, in order, if any. lastRenewal returns when a node last renewed its
 // lease.
 func (r *Reconciler) NextCommands(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
@@ -146,8 +151,8 @@
 	return commands
 }
 
-// lostStores names the stores whose shards are to be placed elsewhere: those without a lease for long, and those that
-// are unresponsive while a store that joined recently can take over.
+// lostStores returns the names of the stores whose shards are to be placed elsewhere: those without a lease for
+// replaceAbsentAfter, and those that are unresponsive while a store that joined recently can take over.
 func (r *Reconciler) lostStores(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
 ) map[string]bool {
@@ -164,8 +169,8 @@
 	return lost
 }
 
-// observeUnresponsive updates the set of stores that are being replaced. A store stays in it until it renews its
-// lease, so that the move to its successor is not left half done.
+// observeUnresponsive updates the set of unresponsive stores that are being replaced. A store stays in the set until it
+// renews its lease, so that the move to its successor is completed even after the successor window.
 func (r *Reconciler) observeUnresponsive(
 	view *controlstate.View, lastRenewal func(*protocol.Node) time.Time, now time.Time,
 ) {
@@ -191,7 +196,7 @@
 	}
 }
 
-// hasSuccessor reports whether a store that joined recently can take shards over.
+// hasSuccessor reports whether a usable, responsive store joined within the successor window.
 func (r *Reconciler) hasSuccessor(view *controlstate.View, unresponsive map[string]bool, now time.Time) bool {
 	for _, node := range placement.UsableStores(view.Placement, view.Membership.GetNodes()) {
 		joinedAt, known := r.joinedAt[node.GetName()]
@@ -202,10 +207,10 @@
 	return false
 }
 
-// observeJoins records when stores joined. Those that were present when this leader
-// began, or before the first placement, succeed none.
+// observeJoins records when stores joined. Stores that were present at this leader's first observation, or
+// before the first placement, get the zero time, so that they never count as successors.
 func (r *Reconciler) observeJoins(view *controlstate.View, now time.Time) {
-	first := r.joinedAt == nil || len(view.Placement.GetShards()) == 0
+	isBaseline := r.joinedAt == nil || len(view.Placement.GetShards()) == 0
 	if r.joinedAt == nil {
 		r.joinedAt = map[string]time.Time{}
 	}
@@ -214,14 +219,14 @@
 			continue
 		}
 		r.joinedAt[node.GetName()] = now
-		if first {
+		if isBaseline {
 			r.joinedAt[node.GetName()] = time.Time{}
 		}
 	}
 }
 
-// firstKeysDiffer reports that the settings of this leader name other first keys than the state while these still
-// count.
+// firstKeysDiffer reports whether the first keys of this leader's settings differ from those of the state and may still
+// replace them: no bundle is active, or the state has no first keys.
 func (r *Reconciler) firstKeysDiffer(view *controlstate.View) bool {
 	keys := r.settings.FirstKeys
 	if len(keys) == 0 || (view.Configuration.GetActive() != nil && len(view.FirstKeys) > 0) {
@@ -238,15 +243,17 @@
 	return false
 }
 
+// firstPlacement returns the command that initializes the placement, or nothing while more stores may still join. If
+// there are too few zones, shards get the largest odd number of replicas that the stores can hold, in shared zones.
 func (r *Reconciler) firstPlacement(view *controlstate.View, now time.Time) []*protocol.Command {
-	unchanged := now.Sub(r.storesSince)
+	unchangedFor := now.Sub(r.storesSince)
 	stores := placement.UsableStores(view.Placement, view.Membership.GetNodes())
 	command := &protocol.InitializePlacementCommand{
 		ShardCount: r.settings.ShardCount, ReplicaCount: r.settings.ReplicaCount, OverRegions: true,
 	}
 	switch {
-	case placement.CountZones(stores) >= int(r.settings.ReplicaCount) && unchanged >= storesUnchangedInterval:
-	case unchanged >= sharedZonesUnchangedInterval:
+	case placement.CountZones(stores) >= int(r.settings.ReplicaCount) && unchangedFor >= storesUnchangedInterval:
+	case unchangedFor >= sharedZonesUnchangedInterval:
 		command.ReplicaCount = maxOddReplicas(len(stores), r.settings.ReplicaCount)
 		command.SharedZones = true
 	default:
@@ -258,7 +265,7 @@
 	return []*protocol.Command{{Body: &protocol.Command_InitializePlacement{InitializePlacement: command}}}
 }
 
-// maxOddReplicas is the largest odd number of replicas that so many stores can hold, at most the number wanted.
+// maxOddReplicas returns the largest odd number of replicas that so many stores can hold, at most the number wanted.
 func maxOddReplicas(stores int, wanted uint32) uint32 {
 	possible := min(uint32(stores), wanted)
 	if possible > 0 && possible%2 == 0 {
