--- a/internal/controlplane/core/rollout/variants.go
+++ b/internal/controlplane/core/rollout/variants.go
@@ -1,6 +1,6 @@
-// Package rollout sums what front nodes measured of the variants of a roll-out
-// and decides when the candidate has crossed a limit of its guard. It does no
-// I/O and knows no clock.
+// Package rollout sums the measurements that front nodes report for the variants
+// of a roll-out and determines whether the candidate has crossed a limit of its
+// guard. It does no I/O and reads no clock.
 package rollout
 
 import (
@@ -21,25 +21,25 @@
 	candidate bool
 }
 
-// VariantTable sums the samples of each variant. It begins anew with each
-// leader and each change of candidate. It belongs to one goroutine.
+// VariantTable sums the samples of each variant. It is reset by a new leader and
+// when the candidate changes. It is not safe for concurrent use.
 type VariantTable struct {
 	candidate uint64
 	sums      map[variant]*protocol.ArmSample
 }
 
-// NewVariantTable makes an empty table.
+// NewVariantTable returns an empty table.
 func NewVariantTable() *VariantTable {
 	return &VariantTable{sums: map[variant]*protocol.ArmSample{}}
 }
 
-// Reset forgets all samples.
+// Reset removes all samples.
 func (t *VariantTable) Reset() {
 	t.candidate = 0
 	t.sums = map[variant]*protocol.ArmSample{}
 }
 
-// Add sums samples of the roll-out in force; samples of other bundles are ignored.
+// Add adds samples of the current roll-out; samples of other bundles are ignored.
 func (t *VariantTable) Add(configuration *protocol.Configuration, samples []*protocol.ArmSample) {
 	if candidate := configuration.GetRollout().GetCandidateVersion(); candidate != t.candidate {
 		t.Reset()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Sums gives copies of the sums, the lower bundle version first.
+// Sums returns copies of the sums, ordered by bundle version.
 func (t *VariantTable) Sums() []*protocol.ArmSample {
 	sums := make([]*protocol.ArmSample, 0, len(t.sums))
 	for _, total := range t.sums {
@@ -92,7 +92,8 @@
 	return sums
 }
 
-// CrossedLimit says which limit of the guard the candidate has crossed; empty when none.
+// CrossedLimit describes the limit of the guard that the candidate has crossed, or returns an empty string if there is
+// none.
 func (t *VariantTable) CrossedLimit(rollout *protocol.Rollout) string {
 	guard := rollout.GetGuard()
 	candidate := t.sums[variant{version: rollout.GetCandidateVersion(), candidate: true}]
--- a/internal/controlplane/core/rollout/variants_test.go
+++ b/internal/controlplane/core/rollout/variants_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// slow is a sample whose first tokens all fall into the last bucket.
-func slow(requests, failed uint64) *protocol.ArmSample {
+// slowSample returns a sample of the candidate whose first tokens all fall into the last bucket.
+func slowSample(requests, failed uint64) *protocol.ArmSample {
 	buckets := make([]uint64, firsttoken.BucketCount())
 	buckets[len(buckets)-1] = requests
 	return &protocol.ArmSample{
@@ -36,36 +36,36 @@
 		sample *protocol.ArmSample
 		limit  string
 	}{
-		"no guard": {sample: slow(1000, 1000)},
+		"no guard": {sample: slowSample(1000, 1000)},
 		"too few samples": {
-			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slow(99, 99),
+			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slowSample(99, 99),
 		},
 		"errors at the limit": {
-			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slow(100, 10),
+			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slowSample(100, 10),
 		},
 		"errors over the limit": {
-			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slow(100, 11),
+			guard: &protocol.RolloutGuard{MinimumSamples: 100, MaxErrorRatio: 0.1}, sample: slowSample(100, 11),
 			limit: "error ratio",
 		},
 		"first tokens over the limit": {
 			guard:  &protocol.RolloutGuard{MinimumSamples: 100, MaxFirstTokenP95Millis: 1},
-			sample: slow(100, 0), limit: "first token p95",
+			sample: slowSample(100, 0), limit: "first token p95",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table, inForce := rollout.NewVariantTable(), configuration(test.guard)
-			table.Add(inForce, []*protocol.ArmSample{test.sample})
-			crossed := table.CrossedLimit(inForce.GetRollout())
+			table, config := rollout.NewVariantTable(), configuration(test.guard)
+			table.Add(config, []*protocol.ArmSample{test.sample})
+			crossed := table.CrossedLimit(config.GetRollout())
 			if (crossed != "") != (test.limit != "") || !strings.Contains(crossed, test.limit) {
-				t.Fatalf("crossed %q", crossed)
+				t.Fatalf("crossed limit %q, want one that contains %q, or none if that is empty", crossed, test.limit)
 			}
 		})
 	}
 }
 
 func TestSamplesOfOtherBundlesAreIgnored(t *testing.T) {
-	table, inForce := rollout.NewVariantTable(), configuration(nil)
-	table.Add(inForce, []*protocol.ArmSample{
+	table, config := rollout.NewVariantTable(), configuration(nil)
+	table.Add(config, []*protocol.ArmSample{
 		{BundleVersion: active, Requests: 3},
 		{BundleVersion: active, Requests: 4},
 		{BundleVersion: candidate, Candidate: true, Requests: 5},
@@ -74,11 +74,11 @@
 	})
 	sums := table.Sums()
 	if len(sums) != 2 || sums[0].GetRequests() != 7 || sums[1].GetRequests() != 5 {
-		t.Fatalf("sums: %v", sums)
+		t.Fatalf("sums %v, want 7 requests of the active bundle and 5 of the candidate", sums)
 	}
-	inForce.Rollout.CandidateVersion = candidate + 1
-	table.Add(inForce, nil)
+	config.Rollout.CandidateVersion = candidate + 1
+	table.Add(config, nil)
 	if sums := table.Sums(); len(sums) != 0 {
-		t.Fatalf("sums of a former candidate: %v", sums)
+		t.Fatalf("sums after a change of candidate: %v, want none", sums)
 	}
 }
