--- a/internal/controlplane/core/delivery/sections.go
+++ b/internal/controlplane/core/delivery/sections.go
@@ -18,7 +18,8 @@
 // sectionAnswer is the part of a response that one section contributes.
 type sectionAnswer struct {
 	// kind labels the metrics of the answer.
-	kind  string
+	kind string
+	// bytes is the encoded size of the answer.
 	bytes int
 	// set sets the section's field of the response.
 	set func(response *protocol.PollControlResponse)
--- a/internal/controlplane/core/heartbeats/relay.go
+++ b/internal/controlplane/core/heartbeats/relay.go
@@ -27,11 +27,12 @@
 	relayInterval = 200 * time.Millisecond
 	// maxRelayAge is how long a follower acknowledges heartbeats after it sent the last batch that the leader confirmed.
 	maxRelayAge = time.Second
-	// relayAgesPerLease limits that age to this fraction of a back-end lease, for leases that are short.
+	// relayAgesPerLease divides the duration of a back-end lease; if the result is below maxRelayAge, as for a short
+	// lease, it is the limit instead.
 	relayAgesPerLease = 4
 )
 
-// Relay holds the heartbeats that a follower has acknowledged until they are sent to the leader.
+// Relay holds the heartbeats that a follower has acknowledged until they have been relayed to the leader.
 type Relay struct {
 	// lease is the duration of a back end's lease. An older heartbeat is dropped, since the leader cannot use it.
 	lease  time.Duration
--- a/internal/controlplane/core/reconcile/reconciler.go
+++ b/internal/controlplane/core/reconcile/reconciler.go
@@ -25,8 +25,8 @@
 	// replaceAbsentAfter is how long a store may be without a lease before its shards are placed elsewhere.
 	replaceAbsentAfter = 20 * time.Second
 	// replaceUnresponsiveAfter is how long a store may fail to renew its lease before its shards are placed on a new
-	// store: one that joined recently while another is unresponsive counts as the successor of that. It is longer than two
-	// renewals of a lease.
+	// store: a store that joined recently counts as the successor of an unresponsive one. It is longer than two renewals
+	// of a lease.
 	replaceUnresponsiveAfter = 2500 * time.Millisecond
 	// successorWindow is how long after its join a store counts as the successor of one that becomes unresponsive.
 	successorWindow = 15 * time.Second
