--- a/internal/controlplane/replica/discovery/survey_test.go
+++ b/internal/controlplane/replica/discovery/survey_test.go
@@ -21,18 +21,18 @@
 		answers answers
 		want    bool
 	}{
-		"the first founder":               {firstFounder, answers{secondFounder: empty}, true},
-		"another founder":                 {secondFounder, answers{firstFounder: empty}, false},
-		"a process that is no founder":    {"127.0.0.1:7003", answers{firstFounder: empty, secondFounder: empty}, false},
-		"no answer of another founder":    {firstFounder, nil, false},
-		"another founder has a cluster":   {firstFounder, answers{secondFounder: member}, false},
-		"a process elsewhere has cluster": {firstFounder, answers{secondFounder: empty, "elsewhere": member}, false},
+		"the first founder":                 {firstFounder, answers{secondFounder: empty}, true},
+		"another founder":                   {secondFounder, answers{firstFounder: empty}, false},
+		"a process that is no founder":      {"127.0.0.1:7003", answers{firstFounder: empty, secondFounder: empty}, false},
+		"no answer of another founder":      {firstFounder, nil, false},
+		"another founder has a cluster":     {firstFounder, answers{secondFounder: member}, false},
+		"a process elsewhere has a cluster": {firstFounder, answers{secondFounder: empty, "elsewhere": member}, false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := surveyOf(tt.answers).CanFound([]string{firstFounder, secondFounder}, tt.own)
 			if got != tt.want {
-				t.Errorf("founds %v, want %v", got, tt.want)
+				t.Errorf("CanFound = %v, want %v", got, tt.want)
 			}
 		})
 	}
@@ -40,10 +40,10 @@
 
 func TestAddressesAreOrderedByNumber(t *testing.T) {
 	if !isLowerAddress("127.0.0.1:7001", "127.0.0.1:10001") || isLowerAddress("127.0.0.1:10001", "127.0.0.1:7001") {
-		t.Error("ports are compared as text")
+		t.Error("the ports of IP addresses are compared as text, want them compared as numbers")
 	}
 	if !isLowerAddress("a:10001", "a:7001") {
-		t.Error("names are not compared as text")
+		t.Error("addresses with host names are not compared as text")
 	}
 }
 
@@ -56,15 +56,15 @@
 	})
 	self := &protocol.CoreMember{Id: 1, Name: "self"}
 	if address, ok := survey.JoinTarget("own", self); address != "leader" || !ok {
-		t.Errorf("joins at %q, %v", address, ok)
+		t.Errorf("JoinTarget = %q, %v, want \"leader\", true", address, ok)
 	}
 	survey.statuses["leader"].Configuration = &protocol.CoreConfiguration{
 		Members: []*protocol.CoreMember{{Id: 1, Name: "self", Voter: true}},
 	}
 	if address, ok := survey.JoinTarget("own", self); ok {
-		t.Errorf("joins again at %q, which knows it", address)
+		t.Errorf("JoinTarget = %q, true with self already a member, want false", address)
 	}
 	if address, ok := surveyOf(nil).JoinTarget("", self); ok {
-		t.Errorf("joins at %q without any answer", address)
+		t.Errorf("JoinTarget = %q, true without any response, want false", address)
 	}
 }
--- a/internal/controlplane/replica/logstore/recovery.go
+++ b/internal/controlplane/replica/logstore/recovery.go
@@ -31,7 +31,7 @@
 		return RecoveredState{}, err
 	}
 	if state.baseIndex > snapshot.GetIndex() {
-		return RecoveredState{}, &CorruptStateError{Reason: "the snapshot under the log is missing"}
+		return RecoveredState{}, &CorruptStateError{Reason: "the newest snapshot ends before the log begins"}
 	}
 	if snapshot != nil {
 		state.applyCompacted(snapshot)
--- a/internal/controlplane/replica/logstore/recovery_test.go
+++ b/internal/controlplane/replica/logstore/recovery_test.go
@@ -55,6 +55,6 @@
 	}
 	state := &replayedLog{}
 	if err := state.applyRecord(entry(2, 1)); err == nil {
-		t.Error("a log with a gap was accepted")
+		t.Error("replaying a log whose first entry has index 2 returned no error")
 	}
 }
--- a/internal/controlplane/replica/logstore/stored_data_test.go
+++ b/internal/controlplane/replica/logstore/stored_data_test.go
@@ -14,10 +14,10 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// The folders under testdata/stored were written once, by the code of that day. A core must be able to
-// read them for ever: "founded" is that of a founder before its first snapshot, "compacted" one with a
-// snapshot and two segments after it. A new form gets a folder of its own beside them; -update-stored is
-// only for the time before a form is released.
+// The folders under testdata/stored were written once, by an earlier version of the code. A core must always be able
+// to read them: "founded" is the folder of a founder before its first snapshot, "compacted" one with a snapshot and
+// two segments after it. A new storage format gets a folder of its own beside them; -update-stored is only for use
+// before a format is released.
 const (
 	storedData      = "testdata/stored"
 	foundedFolder   = "founded"
@@ -28,7 +28,8 @@
 
 var updateStored = flag.Bool("update-stored", false, "write the folders under testdata/stored anew")
 
-// storedMember is the member whose folders these are; its id follows from storedStorageID and may not change either.
+// storedMember is the member to which the folders belong; its id is derived from storedStorageID and must not change
+// either.
 func storedMember() *protocol.CoreMember {
 	return &protocol.CoreMember{
 		Id: 0x91c590476e947df2, Name: "core-1", Address: "127.0.0.1:7001", HttpAddress: "127.0.0.1:8001",
@@ -78,7 +79,7 @@
 	return &protocol.CoreRecord{Body: &protocol.CoreRecord_HardState{HardState: state}}
 }
 
-// foundedRecords are the records of the log of "founded": entry 4 is replaced in a later term.
+// foundedRecords returns the records of the log of "founded": entry 4 is replaced in a later term.
 func foundedRecords(t *testing.T) []*protocol.CoreRecord {
 	founding := &protocol.Founding{ClusterId: storedClusterID, Founder: storedMember()}
 	return []*protocol.CoreRecord{
@@ -93,7 +94,7 @@
 	}
 }
 
-// compactedRecords are the records of the log of "compacted", by segment.
+// compactedRecords returns the records of the log of "compacted", by segment.
 func compactedRecords(t *testing.T) (finished, newest []*protocol.CoreRecord) {
 	finished = []*protocol.CoreRecord{
 		{Body: &protocol.CoreRecord_ClusterId{ClusterId: storedClusterID}},
@@ -117,7 +118,7 @@
 	}
 }
 
-// writeStored fills the folders with the code of today.
+// writeStored writes the folders with the current code.
 func writeStored(t *testing.T, root string) {
 	t.Helper()
 	filesystem := storage.OSFilesystem{}
@@ -130,26 +131,26 @@
 		fill(opened)
 		must(t, opened.Close())
 	}
-	// Each record is synced by itself, so that all but the last are known to be durable.
-	each := func(opened *Store, records []*protocol.CoreRecord) {
+	// Each record is synced separately, so that all records before the last are marked as durable.
+	syncEach := func(opened *Store, records []*protocol.CoreRecord) {
 		for _, record := range records {
 			must(t, opened.writeAndSync(record))
 		}
 	}
-	write(foundedFolder, func(opened *Store) { each(opened, foundedRecords(t)) })
+	write(foundedFolder, func(opened *Store) { syncEach(opened, foundedRecords(t)) })
 	write(compactedFolder, func(opened *Store) {
 		_, newest := compactedRecords(t)
-		each(opened, foundedRecords(t))
+		syncEach(opened, foundedRecords(t))
 		must(t, opened.SaveSnapshot(storedSnapshot(), []byte(storedSnapshotState)))
 		third := []*protocol.Entry{storedEntry(t, 3, 6, "third")}
 		must(t, opened.Compact(storedClusterID, storedSnapshot(), third, storedHardState(3, 6)))
 		_, err := opened.log.Rotate()
 		must(t, err)
-		each(opened, newest)
+		syncEach(opened, newest)
 	})
 }
 
-// filesUnder gives the content of all files by their path under root.
+// filesUnder returns the content of all files by their path under root.
 func filesUnder(t *testing.T, root string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
@@ -166,8 +167,8 @@
 	return files
 }
 
-// A form that an older program cannot read would make a downgrade impossible, so what is written stays
-// the same as well.
+// A format that an older version cannot read would prevent a downgrade, so the written bytes must not change
+// either.
 func TestTheStoredFormatIsUnchanged(t *testing.T) {
 	if *updateStored {
 		must(t, os.RemoveAll(storedData))
@@ -178,11 +179,11 @@
 	written, stored := filesUnder(t, root), filesUnder(t, storedData)
 	for path, content := range stored {
 		if written[path] != content {
-			t.Errorf("%s holds %q\nin place of %q", path, written[path], content)
+			t.Errorf("file %s has the content %q\nwant %q", path, written[path], content)
 		}
 	}
 	if len(written) != len(stored) {
-		t.Errorf("%d files in place of %d", len(written), len(stored))
+		t.Errorf("%d files were written, want %d", len(written), len(stored))
 	}
 }
 
@@ -205,17 +206,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			opened := openCopy(t, name)
-			var read []*protocol.CoreRecord
+			var replayed []*protocol.CoreRecord
 			must(t, opened.log.Replay(storage.Position{}, func(_ storage.Position, data []byte) error {
 				record := &protocol.CoreRecord{}
-				read = append(read, record)
+				replayed = append(replayed, record)
 				return proto.Unmarshal(data, record)
 			}))
-			if !slices.EqualFunc(read, expected, equalMessages[*protocol.CoreRecord]) {
-				t.Errorf("read %v\nin place of %v", read, expected)
+			if !slices.EqualFunc(replayed, expected, equalMessages[*protocol.CoreRecord]) {
+				t.Errorf("the replayed records are %v\nwant %v", replayed, expected)
 			}
 			if opened.log.TruncatedBytes() != 0 {
-				t.Errorf("%d bytes were truncated", opened.log.TruncatedBytes())
+				t.Errorf("%d bytes were truncated, want none", opened.log.TruncatedBytes())
 			}
 			must(t, opened.Close())
 		})
@@ -250,13 +251,15 @@
 			recovered, err := opened.Recover()
 			must(t, err)
 			if !proto.Equal(recovered.Initial.Snapshot, stored.snapshot) || string(recovered.SnapshotState) != stored.state {
-				t.Errorf("the snapshot is %v with %q", recovered.Initial.Snapshot, recovered.SnapshotState)
+				t.Errorf("the snapshot is %v with the state %q, want %v with %q",
+					recovered.Initial.Snapshot, recovered.SnapshotState, stored.snapshot, stored.state)
 			}
 			if recovered.ClusterID != storedClusterID || !proto.Equal(recovered.Initial.HardState, stored.hardState) {
-				t.Errorf("cluster %q with %v", recovered.ClusterID, recovered.Initial.HardState)
+				t.Errorf("the cluster is %q with the hard state %v, want %q with %v",
+					recovered.ClusterID, recovered.Initial.HardState, storedClusterID, stored.hardState)
 			}
 			if !slices.EqualFunc(recovered.Initial.Entries, stored.entries, equalMessages[*protocol.Entry]) {
-				t.Errorf("entries %v\nin place of %v", recovered.Initial.Entries, stored.entries)
+				t.Errorf("the entries are %v\nwant %v", recovered.Initial.Entries, stored.entries)
 			}
 			must(t, opened.Close())
 		})
--- a/internal/controlplane/replica/transport/transport_test.go
+++ b/internal/controlplane/replica/transport/transport_test.go
@@ -28,7 +28,7 @@
 
 func (c *testCounter) Inc() { c.count++ }
 
-// recordingCaller records the log indexes of the messages that it is given, after blocked is closed.
+// recordingCaller records the log indexes of the messages that it receives. Its calls block until blocked is closed.
 type recordingCaller struct {
 	blocked chan struct{}
 	mutex   sync.Mutex
@@ -51,8 +51,7 @@
 	return nil, errors.New("not used")
 }
 
-// runTransport runs a test in virtual time with a transport to one peer; messages block until the
-// test closes blocked.
+// runTransport runs a test in virtual time with a transport to one peer. Calls block until the test closes blocked.
 func runTransport(t *testing.T, run func(*Transport, *recordingCaller)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -84,10 +83,10 @@
 		synctest.Wait()
 		hasOldest := slices.Contains(caller.indexes, 2) || slices.Contains(caller.indexes, 3)
 		if len(caller.indexes) != queueCapacity+1 || hasOldest {
-			t.Errorf("sent %v", caller.indexes)
+			t.Errorf("sent the indexes %v, want %d without 2 and 3", caller.indexes, queueCapacity+1)
 		}
 		if dropped := transport.options.Metrics.Dropped.(*testCounter).count; dropped != 2 {
-			t.Errorf("%d messages were dropped", dropped)
+			t.Errorf("%d messages were dropped, want 2", dropped)
 		}
 	})
 }
@@ -100,7 +99,7 @@
 		close(caller.blocked)
 		synctest.Wait()
 		if !slices.Equal(caller.indexes, []uint64{1, 3}) {
-			t.Errorf("sent %v", caller.indexes)
+			t.Errorf("sent the indexes %v, want 1 and 3", caller.indexes)
 		}
 	})
 }
@@ -112,7 +111,7 @@
 		close(caller.blocked)
 		synctest.Wait()
 		if !slices.Equal(caller.indexes, []uint64{1}) {
-			t.Errorf("sent %v", caller.indexes)
+			t.Errorf("sent the indexes %v, want only 1", caller.indexes)
 		}
 	})
 }
@@ -125,15 +124,15 @@
 		transport.ObserveAddress(peer, "127.0.0.1:8002")
 		transport.SetMembers(configuration(address))
 		if got := transport.Address(peer); got != "127.0.0.1:8002" {
-			t.Errorf("the observed address became %q", got)
+			t.Errorf("the address after ObserveAddress is %q, want the observed 127.0.0.1:8002", got)
 		}
 		transport.SetMembers(configuration("127.0.0.1:9002"))
 		if got := transport.Address(peer); got != "127.0.0.1:9002" {
-			t.Errorf("the configured address is %q", got)
+			t.Errorf("the address after a new configuration is %q, want 127.0.0.1:9002", got)
 		}
 		transport.SetMembers(&protocol.CoreConfiguration{})
 		if got := transport.Address(peer); got != "" {
-			t.Errorf("a removed member is at %q", got)
+			t.Errorf("the address of a removed member is %q, want none", got)
 		}
 	})
 }
