--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// BenchmarkPropose measures commands committed by three members with real files and syncs, on
-// one disk, without a network between them.
+// BenchmarkPropose measures the commands that three members commit per second with real files and syncs, on one
+// disk and without a network.
 func BenchmarkPropose(b *testing.B) {
 	for _, proposers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
@@ -31,12 +31,12 @@
 			defer f.stopAll()
 			leader := waitForVoters(b, f, 3)
 			command := make([]byte, 256)
-			var taken atomic.Int64
+			var started atomic.Int64
 			done := make(chan error, proposers)
 			b.ResetTimer()
 			for range proposers {
 				go func() {
-					for taken.Add(1) <= int64(b.N) {
+					for started.Add(1) <= int64(b.N) {
 						if _, _, err := leader.replica.Propose(context.Background(), command); err != nil {
 							done <- err
 							return
@@ -56,7 +56,7 @@
 	}
 }
 
-// waitForVoters waits, in real time, for a leader with that many voters.
+// waitForVoters waits, in real time, for a leader whose configuration has the given number of voters.
 func waitForVoters(b *testing.B, f *fleet, voters int) *machine {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
@@ -68,6 +68,6 @@
 		}
 		<-ticker.C
 	}
-	b.Fatal("no leader with all voters in 30 s")
+	b.Fatalf("no leader with %d voters within 30 s", voters)
 	return nil
 }
--- a/internal/controlplane/replica/caller_test.go
+++ b/internal/controlplane/replica/caller_test.go
@@ -58,7 +58,7 @@
 	return answer, err
 }
 
-// travel passes the time of one way.
+// delay waits for the one-way latency of the fleet.
 func (c *caller) delay(ctx context.Context) error {
 	if c.fleet.latency == 0 {
 		return nil
@@ -75,7 +75,7 @@
 	return nil, errUnreachable
 }
 
-// unreachableCaller reaches nobody: the member is alone.
+// unreachableCaller fails every request, as if no other process could be reached.
 type unreachableCaller struct{}
 
 func (unreachableCaller) Call(_ context.Context, address string, _ *protocol.Request) (*protocol.Response, error) {
--- a/internal/controlplane/replica/disk_failure_test.go
+++ b/internal/controlplane/replica/disk_failure_test.go
@@ -11,10 +11,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxLeaderlessStall is the longest time without a leader after the disk of the leader has stalled.
+// maxLeaderlessStall is the longest permitted time without a leader after the disk of the leader has stalled.
 const maxLeaderlessStall = 2 * time.Second
 
-// others lists the running machines but one.
+// others returns the running machines except one.
 func (f *fleet) others(without *machine) (others []*machine) {
 	for _, m := range f.running() {
 		if m != without {
@@ -24,7 +24,7 @@
 	return others
 }
 
-// commit has commands acknowledged by whoever leads and adds them to those before.
+// commit proposes new commands to the current leader until each is acknowledged, and appends them to before.
 func (f *fleet) commit(before []string, count int) []string {
 	f.t.Helper()
 	for range count {
@@ -38,8 +38,8 @@
 	return before
 }
 
-// triggerDiskFailure proposes to a machine until its disk has failed; what is not acknowledged may be
-// stored all the same.
+// triggerDiskFailure proposes a command to a machine until its disk has failed. The command must not be
+// acknowledged, but may be stored nevertheless.
 func (f *fleet) triggerDiskFailure(leader *machine) {
 	f.t.Helper()
 	f.eventually("the disk fails", func() bool {
@@ -63,11 +63,11 @@
 	}
 }
 
-// awaitConsistent waits until all running machines have the same commands, those that were acknowledged
-// among them and in their order.
+// awaitConsistent waits until all running machines have the same commands, which include the acknowledged ones
+// in their order.
 func (f *fleet) awaitConsistent(acknowledged []string) {
 	f.t.Helper()
-	f.eventually("all have the same", func() bool {
+	f.eventually("all machines have the same commands", func() bool {
 		running := f.running()
 		first := running[0].state.all()
 		for _, m := range running[1:] {
@@ -91,21 +91,21 @@
 		acknowledged := f.commit(nil, 20)
 		leader.disk.SetCapacity(leader.disk.Used())
 		f.triggerDiskFailure(leader)
-		f.eventually("another one leads", func() bool { return f.leader() != nil && f.leader() != leader })
+		f.eventually("another machine leads", func() bool { return f.leader() != nil && f.leader() != leader })
 		acknowledged = f.commit(acknowledged, 20)
 		f.advance(5 * time.Second)
 
-		err := leader.propose("refused")
+		err := leader.propose("rejected")
 		if _, ok := errors.AsType[*NotLeaderError](err); !ok {
-			t.Errorf("a replica without free space answers %v", err)
+			t.Errorf("a replica without free space returned %v, want a NotLeaderError", err)
 		}
 		join := &protocol.JoinCoreRequest{Member: leader.replica.self}
 		admission := &protocol.Request{Body: &protocol.Request_JoinCore{JoinCore: join}}
 		if _, err := leader.replica.ServeWire(context.Background(), admission); err == nil {
-			t.Error("a replica without free space admits a member")
+			t.Error("a replica without free space admitted a member")
 		}
 		if leader.fatalReported() {
-			t.Error("a full disk ended the process")
+			t.Error("a full disk was reported as a fatal failure")
 		}
 
 		leader.disk.SetCapacity(0)
@@ -115,7 +115,7 @@
 		acknowledged = f.commit(acknowledged, 20)
 		f.awaitConsistent(acknowledged)
 		if leader.fatalReported() {
-			t.Error("a fatal failure was reported after there was free space")
+			t.Error("a fatal failure was reported after the disk had free space again")
 		}
 	})
 }
@@ -130,7 +130,7 @@
 		f.triggerDiskFailure(f.waitForLeader())
 		f.advance(10 * time.Second)
 		for _, m := range f.running() {
-			if m.propose("refused") == nil {
+			if m.propose("rejected") == nil {
 				t.Errorf("%s acknowledged a command without free space", m.name)
 			}
 		}
@@ -153,12 +153,12 @@
 		follower := f.others(leader)[0]
 		acknowledged := f.commit(nil, 20)
 		follower.disk.SetCapacity(follower.disk.Used())
-		// So many that the follower needs a snapshot.
+		// Enough commands that the follower needs a snapshot.
 		acknowledged = f.commit(acknowledged, 200)
 		follower.disk.SetCapacity(0)
 		f.awaitCommands(acknowledged)
 		if follower.fatalReported() {
-			t.Error("a full disk ended the process")
+			t.Error("a full disk was reported as a fatal failure")
 		}
 	})
 }
@@ -172,15 +172,15 @@
 			t.Error("a command was acknowledged after a failed sync")
 		}
 		if leader.replica.IsLeader() {
-			t.Error("it leads after a failed sync")
+			t.Error("the former leader still leads after a failed sync")
 		}
 		acknowledged = f.commit(acknowledged, 20)
 		f.awaitConsistent(acknowledged)
 		if leader.fatalReported() {
-			f.t.Fatal("one failed sync ended the process")
+			f.t.Fatal("one failed sync was reported as a fatal failure")
 		}
 
-		f.eventually("it leads again", func() bool {
+		f.eventually("the former leader leads again", func() bool {
 			former := f.leader()
 			if former != nil && former != leader {
 				_ = former.replica.TransferLeadership(context.Background(), leader.name)
@@ -193,10 +193,10 @@
 		}
 		f.eventually("the fatal failure is reported", leader.fatalReported)
 		if leader.replica.IsLeader() {
-			t.Error("it leads after the second failed sync")
+			t.Error("the former leader still leads after the second failed sync")
 		}
 		if err := leader.propose("again"); err == nil {
-			t.Error("the failed member goes on")
+			t.Error("the failed member still acknowledges commands")
 		}
 	})
 }
@@ -211,32 +211,33 @@
 		defer cancel()
 		_, _, err := leader.replica.Propose(abandoned, []byte("stalled"))
 		if _, ok := errors.AsType[*UnknownOutcomeError](err); !ok {
-			t.Errorf("a command on a stalled disk: %v", err)
+			t.Errorf("a command on a stalled disk returned %v, want an UnknownOutcomeError", err)
 		}
-		f.eventually("another one leads", func() bool { return f.leader() != nil && f.leader() != leader })
+		f.eventually("another machine leads", func() bool { return f.leader() != nil && f.leader() != leader })
 		if waited := time.Since(began); waited > maxLeaderlessStall {
-			t.Errorf("without a leader for %v", waited)
+			t.Errorf("without a leader for %v, want at most %v", waited, maxLeaderlessStall)
 		}
 		queried := time.Now()
 		if leader.replica.IsLeader() || leader.replica.Status().GetLeaderLease() {
 			t.Error("a leader with a stalled disk still leads")
 		}
 		if time.Since(queried) != 0 {
-			t.Error("the answer waited for the disk")
+			t.Error("IsLeader or Status waited for the stalled disk")
 		}
 		acknowledged = f.commit(acknowledged, 20)
 		f.advance(5 * time.Second)
 		leader.disk.ResumeSyncs()
 		f.awaitConsistent(acknowledged)
 		if leader.fatalReported() {
-			t.Error("a stall ended the process")
+			t.Error("a stalled disk was reported as a fatal failure")
 		}
 	})
 }
 
 func TestDiskUnavailableErrorsHaveTheOutcomeNotRun(t *testing.T) {
-	answered := Failure(&DiskUnavailableError{Cause: errUnreachable})
-	if answered.Code() != failure.Unavailable || answered.Failure.GetOutcome() != protocol.Outcome_NOT_RUN {
-		t.Errorf("answered %v", answered)
+	converted := Failure(&DiskUnavailableError{Cause: errUnreachable})
+	if converted.Code() != failure.Unavailable || converted.Failure.GetOutcome() != protocol.Outcome_NOT_RUN {
+		t.Errorf("a DiskUnavailableError is converted to %v, want code %v and outcome NOT_RUN",
+			converted, failure.Unavailable)
 	}
 }
--- a/internal/controlplane/replica/disk_faults_test.go
+++ b/internal/controlplane/replica/disk_faults_test.go
@@ -13,14 +13,14 @@
 	maxSlackBytes     = 4 << 10
 )
 
-// diskFaults is a core whose disks run full, stall and fail.
+// diskFaults injects full, stalled and failing disks into a core.
 type diskFaults struct {
 	*sequentialFaults
-	// syncFailed holds the machines whose process has outlived a failed sync; another one would end it.
+	// syncFailed contains the machines whose process has recovered from a failed sync; a second one is fatal.
 	syncFailed map[*machine]bool
 }
 
-// injectDiskFault injects one fault of a disk and returns when it is repaired.
+// injectDiskFault injects one disk fault and returns when it is repaired.
 func (d *diskFaults) injectDiskFault() {
 	m := d.machine(d.machineNumbers[d.randomPosition()])
 	downtime := d.duration(100*time.Millisecond, 6*time.Second)
@@ -52,7 +52,8 @@
 	m.disk.SetCapacity(0)
 }
 
-// fillAndLosePower loses what a replica that waits for free space has not synced.
+// fillAndLosePower fills a disk and cuts the power while the replica waits for free space, so that what it has not
+// synced is lost.
 func (d *diskFaults) fillAndLosePower(m *machine, downtime time.Duration) {
 	d.faultCounts["full and power lost"]++
 	m.disk.SetCapacity(m.disk.Used() + d.random.Int64N(maxSlackBytes))
@@ -103,10 +104,10 @@
 		f.commit(nil, int(f.options.SnapshotEntries)+10)
 		f.advance(time.Second)
 		if len(leader.disk.Files("core/snapshots")) == 0 {
-			f.t.Fatal("no snapshot was due")
+			f.t.Fatal("the leader saved no snapshot although one was due")
 		}
 		if files := ahead.disk.Files("core/snapshots"); len(files) > 0 {
-			t.Errorf("a snapshot names an entry before the state that it holds: %v", files)
+			t.Errorf("snapshots %v were taken of a state that is ahead of the log, want none", files)
 		}
 	})
 }
--- a/internal/controlplane/replica/disk_space_test.go
+++ b/internal/controlplane/replica/disk_space_test.go
@@ -13,7 +13,7 @@
 
 const (
 	smallDiskBytes = 64 << 20
-	// controlSpaceBytes is what a core may take on its disk with a small state and the default bounds.
+	// controlSpaceBytes is the disk space that a core with a small state may use with the default options.
 	controlSpaceBytes = 32 << 20
 	largeCommandBytes = 256 << 10
 	largeCommands     = 500
@@ -48,9 +48,9 @@
 		if err := built.Stop(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d bytes at most for %d MiB of commands", largest, largeCommands*largeCommandBytes>>20)
+		t.Logf("used at most %d bytes for %d MiB of commands", largest, largeCommands*largeCommandBytes>>20)
 		if largest > controlSpaceBytes {
-			t.Errorf("the replica filled %d bytes, more than %d", largest, int64(controlSpaceBytes))
+			t.Errorf("the replica used %d bytes, want at most %d", largest, int64(controlSpaceBytes))
 		}
 	})
 }
--- a/internal/controlplane/replica/double_faults_test.go
+++ b/internal/controlplane/replica/double_faults_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// The scenarios of this file lose two machines of a core of five voters at once, and the next two as soon
-// as these had their time to catch up.
+// The scenarios of this file lose two machines of a core of five voters at once, and then the next two as soon as
+// the first ones have had time to catch up.
 
 const (
-	// doubleFaultCatchUp is the time that two machines have after their return before the loss of the next two.
+	// doubleFaultCatchUp is the time between the return of two machines and the loss of the next two.
 	doubleFaultCatchUp = 6 * time.Second
-	// maxLeaderlessDouble is the longest time without a leader after two machines were lost at once.
+	// maxLeaderlessDouble is the longest permitted time without a leader after two machines were lost at once.
 	maxLeaderlessDouble = 1200 * time.Millisecond
 )
 
-// loss is a fault of one machine; end repairs it, or starts a replacement at the position.
+// loss is a fault of one machine. begin injects it; end repairs the machine at the position, or starts a
+// replacement for it.
 type loss struct {
 	name  string
 	begin func(d *sequentialFaults, m *machine)
@@ -67,8 +68,8 @@
 	return d
 }
 
-// injectTwoLosses injects two losses at once; at times all others are killed meanwhile and keep their
-// disks.
+// injectTwoLosses injects two losses at once. In one case of four all other machines are killed during them and
+// keep their disks.
 func (d *sequentialFaults) injectTwoLosses() {
 	positions := d.random.Perm(len(d.machineNumbers))[:2]
 	if leader := d.leader(); leader != nil && d.random.IntN(2) == 0 {
--- a/internal/controlplane/replica/filesystem_test.go
+++ b/internal/controlplane/replica/filesystem_test.go
@@ -1,13 +1,14 @@
 package replica
 
 import (
+	"strconv"
 	"sync/atomic"
 	"time"
 
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// slowFilesystem makes each sync of a file take time.
+// slowFilesystem delays each sync of a file by syncTime.
 type slowFilesystem struct {
 	storage.Filesystem
 	syncTime time.Duration
@@ -38,8 +39,8 @@
 	return s.File.Sync()
 }
 
-// openLimiter counts the files that are opened while it is enabled and panics beyond maxOpened, so
-// that a replica that reads for ever ends its test.
+// openLimiter counts the files that are opened while it is enabled. More than maxOpened cause a panic, so that a
+// replica that reads a snapshot in an endless loop fails its test.
 type openLimiter struct {
 	enabled atomic.Bool
 	opened  atomic.Int64
@@ -55,7 +56,7 @@
 
 func (f limitedFilesystem) Open(path string) (storage.File, error) {
 	if f.limiter.enabled.Load() && f.limiter.opened.Add(1) > maxOpened {
-		panic("files are opened for ever")
+		panic("opened more than " + strconv.Itoa(maxOpened) + " files: the replica reads in an endless loop")
 	}
 	return f.Filesystem.Open(path)
 }
--- a/internal/controlplane/replica/fleet_test.go
+++ b/internal/controlplane/replica/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/rosestand/rosestand/internal/testing/lab/simclock"
 )
 
-// maxMachines bounds the numbers of machines.
+// maxMachines is the highest number of a machine.
 const maxMachines = 40
 
 // machine is a core machine: an address, a disk and, while it runs, a replica.
@@ -30,14 +30,14 @@
 	state   *commandLog
 	fatal   chan error
 	clock   freezableClock
-	// openLimiter watches the files that the replica opens.
+	// openLimiter limits the files that the replica opens.
 	openLimiter openLimiter
-	// syncTime is the duration of a file's sync from the next start on; zero stands for that of the fleet.
+	// syncTime is the duration of a file sync after the next start; zero means that of the fleet.
 	syncTime time.Duration
 }
 
-// freezableClock is the clock of a machine that can be frozen: the owner of a replica, which reads it
-// before all that it does, is blocked then.
+// freezableClock is the clock of a machine that can be frozen: reading it then blocks, and with it the owner
+// goroutine of the replica, which reads the clock before each step.
 type freezableClock struct{ *simclock.Clock }
 
 // NewTimer implements Clock.
@@ -64,18 +64,19 @@
 	mutex       sync.Mutex
 	machines    map[string]*machine
 	partitioned map[string]bool
-	// Nothing reaches machines with an inbound partition, and nothing arrives of those with an outbound one.
+	// A machine with an inbound partition receives nothing; of one with an outbound partition nothing arrives.
 	inboundPartitioned, outboundPartitioned map[string]bool
-	// unpowered addresses answer nothing, not even a rejection.
+	// unpowered contains the addresses at which requests are neither answered nor rejected.
 	unpowered map[string]bool
-	// latency is the time that a message takes one way.
+	// latency is the one-way delay of a message.
 	latency time.Duration
-	// syncTime is the time that the sync of a file takes.
+	// syncTime is the duration of a file sync.
 	syncTime time.Duration
-	starts   uint64
+	// starts counts the starts of machines; it seeds their random numbers.
+	starts uint64
 }
 
-// runScenario runs a test in a bubble of virtual time that ends when all goroutines have ended.
+// runScenario runs a test in virtual time, which ends when all goroutines have ended.
 func runScenario(t *testing.T, run func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +103,7 @@
 	return f.machines[address]
 }
 
-// foundCluster starts machines 1 to count as founders and waits until all are voters.
+// foundCluster starts machines 1 to count as founders, waits until all are voters and returns the leader.
 func (f *fleet) foundCluster(count int) *machine {
 	f.t.Helper()
 	for number := 1; number <= count; number++ {
@@ -121,7 +122,7 @@
 func (m *machine) start() {
 	m.fleet.t.Helper()
 	if err := m.tryStart(); err != nil {
-		m.fleet.t.Fatalf("%s does not start: %v", m.name, err)
+		m.fleet.t.Fatalf("%s failed to start: %v", m.name, err)
 	}
 }
 
@@ -154,7 +155,7 @@
 	return replica.Start(context.Background())
 }
 
-// crash ends the process at once and loses what was not synced.
+// crash ends the process immediately and loses what was not synced.
 func (m *machine) crash() {
 	m.fleet.setPartitioned(m.address, true)
 	m.disk.LosePower()
@@ -176,7 +177,7 @@
 	_ = replica.Stop(ended)
 }
 
-// move gives a stopped machine another address.
+// move changes the address of a stopped machine and returns the new one.
 func (m *machine) move(number int) string {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
@@ -186,12 +187,12 @@
 	return m.address
 }
 
-// members are those of the newest configuration that the machine knows.
+// members returns the members in the machine's newest configuration.
 func (m *machine) members() []*protocol.CoreMember {
 	return m.replica.Status().GetConfiguration().GetMembers()
 }
 
-// voters are the names of the voters among the members.
+// voters returns the names of the voters among the members.
 func (m *machine) voters() (names []string) {
 	for _, member := range m.members() {
 		if member.GetVoter() {
@@ -214,14 +215,14 @@
 	f.partitioned[address] = partitioned
 }
 
-// setOneWayPartition partitions one direction of a machine's links.
+// setOneWayPartition partitions the inbound or the outbound direction of a machine's links.
 func (f *fleet) setOneWayPartition(address string, inbound, outbound bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.inboundPartitioned[address], f.outboundPartitioned[address] = inbound, outbound
 }
 
-// reachable reports whether a message from one address to another arrives; it needs the fleet's mutex.
+// reachable reports whether a message from one address to another arrives; the caller holds the fleet's mutex.
 func (f *fleet) reachable(from, to string) bool {
 	return !f.partitioned[from] && !f.partitioned[to] && !f.outboundPartitioned[from] && !f.inboundPartitioned[to]
 }
@@ -238,7 +239,7 @@
 	return running
 }
 
-// leader returns the one machine that leads under its lease, and fails when there are two.
+// leader returns the machine that leads under its lease, or nil, and fails the test when there are two.
 func (f *fleet) leader() *machine {
 	f.t.Helper()
 	var leader *machine
@@ -247,7 +248,7 @@
 			continue
 		}
 		if leader != nil {
-			f.t.Fatalf("%s and %s both lead", leader.name, m.name)
+			f.t.Fatalf("%s and %s are leaders at the same time", leader.name, m.name)
 		}
 		leader = m
 	}
@@ -260,7 +261,7 @@
 	return f.leader()
 }
 
-// advance lets virtual time pass and checks at each step that at most one machine leads.
+// advance advances virtual time and checks at each step that at most one machine leads.
 func (f *fleet) advance(duration time.Duration) {
 	f.t.Helper()
 	const step = 10 * time.Millisecond
@@ -271,7 +272,7 @@
 	}
 }
 
-// eventually passes virtual time until the condition holds, for a minute at most.
+// eventually advances virtual time until the condition holds, and fails the test after a minute.
 func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	for range 6000 {
@@ -281,10 +282,10 @@
 		f.advance(10 * time.Millisecond)
 	}
 	f.logStatuses()
-	f.t.Fatalf("not in a minute: %s", what)
+	f.t.Fatalf("condition not met within a minute: %s", what)
 }
 
-// describe logs what the running machines know; a frozen one answers nothing.
+// logStatuses logs the status of each running machine that is not frozen; reading that of a frozen one blocks.
 func (f *fleet) logStatuses() {
 	f.t.Helper()
 	for _, m := range f.running() {
@@ -297,7 +298,7 @@
 // awaitCommands waits until all running machines have applied exactly these commands.
 func (f *fleet) awaitCommands(commands []string) {
 	f.t.Helper()
-	f.eventually(fmt.Sprintf("all have %d commands", len(commands)), func() bool {
+	f.eventually(fmt.Sprintf("all machines have the %d commands", len(commands)), func() bool {
 		for _, m := range f.running() {
 			if !slices.Equal(m.state.all(), commands) {
 				return false
--- a/internal/controlplane/replica/leader_restart_test.go
+++ b/internal/controlplane/replica/leader_restart_test.go
@@ -26,7 +26,7 @@
 				t.Errorf("%s leads after the restart, %s led before it", leader.name, former.name)
 			}
 			if waited := time.Since(began); waited >= consensus.DefaultElectionTimeout/2 {
-				t.Errorf("no leader for %v", waited)
+				t.Errorf("no leader for %v, want less than %v", waited, consensus.DefaultElectionTimeout/2)
 			}
 		}
 	})
@@ -37,7 +37,7 @@
 		LocateCore: &protocol.LocateCoreRequest{WaitMillis: uint32(wait / time.Millisecond)},
 	}})
 	if err != nil {
-		m.fleet.t.Errorf("locate: %v", err)
+		m.fleet.t.Errorf("a locate_core request to %s failed: %v", m.name, err)
 	}
 	return answer.GetLocateCore()
 }
@@ -52,12 +52,13 @@
 		first := f.machine(1)
 		first.start()
 		if answer := locate(first, 0); answer.GetLeaderAddress() != "" {
-			t.Errorf("a member alone names the leader %q", answer.GetLeaderAddress())
+			t.Errorf("a member whose peers are down reports the leader %q, want none", answer.GetLeaderAddress())
 		}
 		began := time.Now()
 		const wait = 300 * time.Millisecond
 		if answer := locate(first, wait); answer.GetLeaderAddress() != "" || time.Since(began) != wait {
-			t.Errorf("a member alone names the leader %q after %v", answer.GetLeaderAddress(), time.Since(began))
+			t.Errorf("a member whose peers are down reports the leader %q after %v, want none after %v",
+				answer.GetLeaderAddress(), time.Since(began), wait)
 		}
 		answers := make(chan *protocol.LocateCoreResponse, 1)
 		go func() { answers <- locate(first, maxLocateWait) }()
@@ -65,7 +66,7 @@
 		f.machine(3).start()
 		leader := f.waitForLeader()
 		if answer := <-answers; answer.GetLeaderAddress() != leader.address {
-			t.Errorf("the leader is at %s, the answer was %q", leader.address, answer.GetLeaderAddress())
+			t.Errorf("the reported leader is at %q, want %q", answer.GetLeaderAddress(), leader.address)
 		}
 	})
 }
--- a/internal/controlplane/replica/random_faults_test.go
+++ b/internal/controlplane/replica/random_faults_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// faultInjector injects random faults into a fleet and remembers what was acknowledged.
+// faultInjector injects random faults into a fleet and records the acknowledged commands.
 type faultInjector struct {
 	*fleet
 	random         *rand.Rand
@@ -16,11 +16,11 @@
 	commands       int
 	// faultCounts counts the injected faults by kind.
 	faultCounts map[string]int
-	// members and voters are their numbers in a healthy core.
+	// members and voters are the numbers of members and voters in a healthy core.
 	members, voters int
 }
 
-// newFaultInjector is for a core of three voters and a standby.
+// newFaultInjector returns an injector for a core of three voters and a standby.
 func newFaultInjector(f *fleet, random *rand.Rand, counts map[string]int) *faultInjector {
 	return &faultInjector{
 		fleet: f, random: random, unknownOutcome: map[string]bool{}, faultCounts: counts, members: 4, voters: 3,
@@ -41,8 +41,8 @@
 	c.acknowledged = append(c.acknowledged, command)
 }
 
-// injectRandomFault injects one fault, or repairs all. A disk is lost only when every machine runs and is
-// up to date.
+// injectRandomFault injects one fault, or repairs all. A disk is lost only while every machine runs and is up to
+// date.
 func (c *faultInjector) injectRandomFault() {
 	m := c.machine(1 + c.random.IntN(4))
 	switch c.random.IntN(6) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// isHealthy reports whether all machines run, all are members, and every member is up to date.
+// isHealthy reports whether all machines run and are members, and every member is up to date.
 func (c *faultInjector) isHealthy() bool {
 	leader := c.leader()
 	if leader == nil || len(c.running()) != c.members || len(leader.voters()) != c.voters {
@@ -117,18 +117,18 @@
 		if next < len(c.acknowledged) && c.acknowledged[next] == command {
 			next++
 		} else if !c.unknownOutcome[command] {
-			c.t.Fatalf("%s applied %q out of order", m.name, command)
+			c.t.Fatalf("%s applied %q out of order, or it was never proposed", m.name, command)
 		}
 	}
 	if next != len(c.acknowledged) {
-		c.t.Fatalf("%s lacks the acknowledged %q", m.name, c.acknowledged[next])
+		c.t.Fatalf("%s did not apply the acknowledged command %q", m.name, c.acknowledged[next])
 	}
 }
 
-// acknowledgedCount is the count of acknowledged commands among those of faults.
+// acknowledgedCount is the key of the number of acknowledged commands in the counts of faults.
 const acknowledgedCount = "acknowledged"
 
-// addCounts adds what this run covered to the counts of a test.
+// addCounts adds the faults and the acknowledged commands of this run to the counts of a test.
 func (c *faultInjector) addCounts(counts map[string]int) {
 	for kind, count := range c.faultCounts {
 		counts[kind] += count
@@ -136,13 +136,13 @@
 	counts[acknowledgedCount] += len(c.acknowledged)
 }
 
-// checkCounts checks that a test covered each kind of fault often enough to mean something.
+// checkCounts checks that a test injected each kind of fault often enough to be meaningful.
 func checkCounts(t *testing.T, counts map[string]int, kinds ...string) {
 	t.Helper()
 	const minCount = 8
 	for _, kind := range kinds {
 		if counts[kind] < minCount {
-			t.Errorf("only %d of %q", counts[kind], kind)
+			t.Errorf("count of %q = %d, want at least %d", kind, counts[kind], minCount)
 		}
 	}
 }
@@ -167,8 +167,8 @@
 				}
 				c.restartAll()
 				c.waitForLeader()
-				c.eventually("all members caught up", c.isHealthy)
-				c.eventually("all machines applied the same", func() bool {
+				c.eventually("all members have caught up", c.isHealthy)
+				c.eventually("all machines have applied as many commands as the leader", func() bool {
 					leader := c.leader()
 					for _, m := range c.running() {
 						if leader == nil || len(m.state.all()) != len(leader.state.all()) {
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -28,11 +28,12 @@
 		f.awaitCommands(commands)
 		for _, m := range f.running() {
 			if m.replica.Status().GetClusterId() != leader.replica.Status().GetClusterId() {
-				t.Errorf("%s is in another cluster", m.name)
+				t.Errorf("%s is in cluster %q, want that of the leader, %q",
+					m.name, m.replica.Status().GetClusterId(), leader.replica.Status().GetClusterId())
 			}
 			var notLeader *NotLeaderError
 			if err := m.propose("x"); m != leader && (!errors.As(err, &notLeader) || notLeader.LeaderAddress != leader.address) {
-				t.Errorf("%s answers %v", m.name, err)
+				t.Errorf("%s returned %v, want a NotLeaderError with the address %s", m.name, err, leader.address)
 			}
 		}
 	})
@@ -45,10 +46,10 @@
 		f.machine(2).start()
 		f.advance(20 * time.Second)
 		if !f.machine(1).replica.Status().GetEmpty() {
-			t.Error("a founder founded a cluster without an answer of all others")
+			t.Error("a founder founded a cluster without a response of every other founder")
 		}
 		f.machine(3).start()
-		f.eventually("a cluster of three", func() bool { l := f.leader(); return l != nil && len(l.voters()) == 3 })
+		f.eventually("a cluster has three voters", func() bool { l := f.leader(); return l != nil && len(l.voters()) == 3 })
 	})
 }
 
@@ -64,18 +65,19 @@
 		lost.start()
 		f.advance(20 * time.Second)
 		if !lost.replica.Status().GetEmpty() {
-			t.Fatal("the founder founded again while the others were away")
+			t.Fatal("the founder founded a second cluster while the others were down")
 		}
 		f.machine(2).start()
 		f.machine(3).start()
-		f.eventually("it is a voter under a new id", func() bool {
+		f.eventually("the founder is a voter under a new id", func() bool {
 			leader := f.leader()
 			return leader != nil && slices.Equal(sorted(leader.voters()), []string{"core-1", "core-2", "core-3"}) &&
 				len(leader.members()) == 3 &&
 				consensus.Member(leader.replica.Status().GetConfiguration(), former) == nil
 		})
 		if got := lost.replica.Status().GetClusterId(); got != cluster || lost.replica.ID() == former {
-			t.Errorf("cluster %s and id %d, want cluster %s and another id", got, lost.replica.ID(), cluster)
+			t.Errorf("the founder is in cluster %s with id %d, want cluster %s and an id other than %d",
+				got, lost.replica.ID(), cluster, former)
 		}
 	})
 }
@@ -109,7 +111,7 @@
 		f.awaitCommands(acknowledged)
 		status := f.leader().replica.Status()
 		if status.GetFirstIndex() < 200 {
-			t.Errorf("the log still begins at %d", status.GetFirstIndex())
+			t.Errorf("the log begins at index %d, want at least 200 after compaction", status.GetFirstIndex())
 		}
 	})
 }
@@ -123,14 +125,14 @@
 		f.setPartitioned(old.address, true)
 		var unknown *UnknownOutcomeError
 		if err := old.propose("into the partition"); !errors.As(err, &unknown) {
-			t.Errorf("a proposal into the partition gives %v", err)
+			t.Errorf("a proposal to the partitioned leader returned %v, want an UnknownOutcomeError", err)
 		}
 		next := f.waitForLeader()
 		if next == old || old.replica.IsLeader() {
 			t.Fatal("the partitioned leader still leads")
 		}
 		if err := old.replica.Barrier(context.Background()); err == nil {
-			t.Error("the partitioned leader confirms a read")
+			t.Error("the partitioned leader confirmed a read")
 		}
 		if err := next.propose("after"); err != nil {
 			t.Fatal(err)
@@ -153,13 +155,13 @@
 		}
 		next := f.waitForLeader()
 		if next == leader {
-			t.Fatal("leadership did not move")
+			t.Fatalf("%s still leads after a transfer of leadership", leader.name)
 		}
 		if err := next.replica.Barrier(context.Background()); err != nil || len(next.state.all()) != 10 {
-			t.Errorf("barrier %v with %d commands", err, len(next.state.all()))
+			t.Errorf("Barrier returned %v with %d commands applied, want no error and 10", err, len(next.state.all()))
 		}
 		if next.replica.LeaderSince().IsZero() || !leader.replica.LeaderSince().IsZero() {
-			t.Error("LeaderSince does not follow the leader")
+			t.Error("LeaderSince is zero for the new leader or not zero for the former one")
 		}
 	})
 }
@@ -173,12 +175,13 @@
 		lost := f.machine(1)
 		lost.crash()
 		crashed := time.Now()
-		f.eventually("the standby votes", func() bool {
+		f.eventually("the standby is a voter in place of the lost one", func() bool {
 			leader := f.leader()
 			return leader != nil && slices.Equal(sorted(leader.voters()), []string{"core-2", "core-3", "core-4"})
 		})
 		if waited := time.Since(crashed); waited < DefaultReplaceVoterAfter || waited > 2*DefaultReplaceVoterAfter {
-			t.Errorf("the standby took over after %v", waited)
+			t.Errorf("the standby became a voter after %v, want between %v and %v",
+				waited, DefaultReplaceVoterAfter, 2*DefaultReplaceVoterAfter)
 		}
 		lost.start()
 		f.eventually("the lost voter is back as a standby", func() bool {
@@ -186,7 +189,7 @@
 			return leader != nil && len(leader.members()) == 4
 		})
 		if voters := f.leader().voters(); len(voters) != 3 || slices.Contains(voters, lost.name) {
-			t.Errorf("voters are %v", voters)
+			t.Errorf("the voters are %v, want three without %s", voters, lost.name)
 		}
 	})
 }
@@ -209,7 +212,7 @@
 		f.machine(4).start()
 		f.awaitCommands(commands)
 		if leader.replica.Status().GetFirstIndex() == 1 {
-			t.Error("the log was never shortened")
+			t.Error("the log of the leader was never compacted")
 		}
 	})
 }
@@ -221,17 +224,17 @@
 		f.machine(4).start()
 		added, err := f.leader().replica.AddMember(ctx, f.machine(4).address)
 		if err != nil || added.GetName() != "core-4" {
-			t.Fatalf("add: %v, %v", added, err)
+			t.Fatalf("AddMember returned %v and the error %v, want core-4", added, err)
 		}
 		if _, err := f.leader().replica.AddMember(ctx, f.machine(4).address); err != nil {
-			t.Errorf("the same order again: %v", err)
+			t.Errorf("adding the same member again failed: %v", err)
 		}
 		leader := f.leader()
 		var notLeader *NotLeaderError
 		if err := leader.replica.RemoveMember(ctx, leader.name); !errors.As(err, &notLeader) {
-			t.Errorf("removing the leader: %v", err)
+			t.Errorf("removing the leader returned %v, want a NotLeaderError", err)
 		}
-		f.eventually("another leads", func() bool { next := f.leader(); return next != nil && next != leader })
+		f.eventually("another machine leads", func() bool { next := f.leader(); return next != nil && next != leader })
 		for range 2 {
 			if err := f.leader().replica.RemoveMember(ctx, leader.name); err != nil {
 				t.Fatal(err)
@@ -239,14 +242,14 @@
 		}
 		var unknown *coremembership.MemberUnknownError
 		if err := f.leader().replica.RemoveMember(ctx, "nobody"); !errors.As(err, &unknown) {
-			t.Errorf("removing nobody: %v", err)
+			t.Errorf("removing an unknown member returned %v, want a MemberUnknownError", err)
 		}
 		f.advance(30 * time.Second)
 		if members := f.leader().members(); len(members) != 3 || len(f.leader().voters()) != 3 {
-			t.Errorf("members are %v", members)
+			t.Errorf("the members are %v, want three, all voters", members)
 		}
 		if _, err := f.leader().replica.AddMember(ctx, leader.address); err != nil {
-			t.Errorf("an operator takes the member back: %v", err)
+			t.Errorf("adding the removed member again failed: %v", err)
 		}
 	})
 }
@@ -265,7 +268,7 @@
 		f.advance(3 * time.Second)
 		var unsafe *coremembership.UnsafeChangeError
 		if err := leader.replica.RemoveMember(context.Background(), alive.name); !errors.As(err, &unsafe) {
-			t.Errorf("removing the last live follower: %v", err)
+			t.Errorf("removing the only reachable follower returned %v, want an UnsafeChangeError", err)
 		}
 	})
 }
@@ -280,7 +283,7 @@
 		}
 		var unknown *UnknownOutcomeError
 		if err := leader.propose("durable at the leader only"); !errors.As(err, &unknown) {
-			t.Errorf("two failed syncs of three give %v", err)
+			t.Errorf("a command returned %v after the syncs of both followers failed, want an UnknownOutcomeError", err)
 		}
 	})
 }
@@ -295,7 +298,7 @@
 			request := &protocol.Request{Body: &protocol.Request_Consensus{Consensus: message}}
 			_, err := leader.replica.ServeWire(context.Background(), request)
 			if (err != nil) != rejected {
-				t.Errorf("cluster %q: %v", cluster, err)
+				t.Errorf("a message of cluster %q returned the error %v, want rejected = %v", cluster, err, rejected)
 			}
 		}
 	})
@@ -311,7 +314,7 @@
 		moved.crash()
 		address := moved.move(9)
 		moved.start()
-		f.eventually("the configuration names the new address", func() bool {
+		f.eventually("the configuration contains the new address", func() bool {
 			l := f.leader()
 			if l == nil {
 				return false
@@ -342,7 +345,7 @@
 		for _, m := range moved {
 			m.start()
 		}
-		f.eventually("the configuration names the new addresses", func() bool {
+		f.eventually("the configuration contains only the new addresses", func() bool {
 			leader := f.leader()
 			if leader == nil {
 				return false
@@ -371,7 +374,7 @@
 			began := time.Now()
 			f.waitForLeader()
 			if waited := time.Since(began); waited > 6*time.Second {
-				t.Errorf("no leader for %v", waited)
+				t.Errorf("no leader for %v, want at most 6s", waited)
 			}
 		}
 	})
@@ -383,14 +386,14 @@
 		leader := f.foundCluster(1)
 		var size *consensus.CommandSizeError
 		if err := leader.propose(string(make([]byte, MaxCommandBytes+1))); !errors.As(err, &size) {
-			t.Errorf("a command beyond the limit: %v", err)
+			t.Errorf("a command over MaxCommandBytes returned %v, want a CommandSizeError", err)
 		}
 		for range 40 {
 			if err := leader.propose(string(slices.Repeat([]byte("x"), 1<<18))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.eventually("ten megabytes in 40 commands lead to a snapshot", func() bool {
+		f.eventually("a snapshot is taken after 10 MiB in 40 commands", func() bool {
 			return leader.replica.Status().GetFirstIndex() > 1
 		})
 	})
@@ -405,10 +408,10 @@
 		joining.start()
 		f.advance(10 * time.Second)
 		if !joining.replica.Status().GetEmpty() {
-			f.t.Fatal("it joined by seeds that do not exist")
+			f.t.Fatal("the replica joined a cluster although its seeds are unreachable")
 		}
 		joining.replica.SetSeeds([]string{f.machine(13).address, f.machine(2).address})
-		f.eventually("it joins by the new seeds", func() bool {
+		f.eventually("the replica joins through the new seeds", func() bool {
 			leader := f.leader()
 			return leader != nil && !joining.replica.Status().GetEmpty() &&
 				len(leader.members()) == 4
--- a/internal/controlplane/replica/sequential_faults_test.go
+++ b/internal/controlplane/replica/sequential_faults_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// The scenarios of this file lose the machines of a small core one after another, each as soon as the one
-// before it had its time to catch up. The core tolerates the loss of one machine at a time, and that of
-// all processes at once.
+// The scenarios of this file lose the machines of a small core one after another, each as soon as the previous one
+// has had time to catch up. The core tolerates the loss of one machine at a time, and that of all processes at
+// once.
 
 const (
 	// catchUpTime is the time between the return of a machine, or the start of its replacement, and the
 	// loss of the next one.
 	catchUpTime = 4200 * time.Millisecond
-	// maxLeaderlessTime is the longest time without a leader after the loss of one machine.
+	// maxLeaderlessTime is the longest permitted time without a leader after the loss of one machine.
 	maxLeaderlessTime = 800 * time.Millisecond
-	// maxLeaderlessOneWay is that after a partition of one direction: a leader in one steps down first.
+	// maxLeaderlessOneWay is that time after a one-way partition: a partitioned leader must step down first.
 	maxLeaderlessOneWay = 1200 * time.Millisecond
-	// maxLeaderlessRestart is the longest time without a leader after all processes have started again.
+	// maxLeaderlessRestart is the longest permitted time without a leader after a restart of all processes.
 	maxLeaderlessRestart = time.Second
 )
 
@@ -34,18 +34,19 @@
 	f.latency, f.syncTime = 2*time.Millisecond, 2*time.Millisecond
 }
 
-// sequentialFaults is a core of three voters and a standby that loses machines while commands go on.
+// sequentialFaults injects the loss of machines into a core of three voters and a standby, which receives commands
+// meanwhile.
 type sequentialFaults struct {
 	*faultInjector
-	// numbers are those of the present machines; a replacement has a new number, the next one.
+	// machineNumbers are the numbers of the current machines; a replacement takes nextNumber.
 	machineNumbers []int
 	nextNumber     int
-	// seedNumbers are the machines that are seeds of a process at its start; a replaced one is among
-	// them for a while.
+	// seedNumbers are the machines from which the seeds of a starting process are chosen. A replaced machine stays
+	// among them until the next catch-up.
 	seedNumbers []int
-	// maxLeaderless is the longest time without a leader.
+	// maxLeaderless is the longest measured time without a leader.
 	maxLeaderless time.Duration
-	// maxRestartLeaderless is the longest time without a leader after all processes were started again.
+	// maxRestartLeaderless is the longest measured time without a leader after a restart of all processes.
 	maxRestartLeaderless time.Duration
 }
 
@@ -58,11 +59,12 @@
 	f.founders = nil
 	f.seeds = []string{f.machine(1).address, f.machine(2).address, f.machine(3).address}
 	f.machine(4).start()
-	d.eventually("the standby is there", d.isHealthy)
+	d.eventually("the standby has joined", d.isHealthy)
 	return d
 }
 
-// runFor passes time with commands every 40 ms and fails when the core is without a leader for too long.
+// runFor proposes a command every 40 ms for the duration, and fails the test when there is no leader for longer
+// than the limit.
 func (d *sequentialFaults) runFor(duration time.Duration, limit time.Duration) {
 	d.t.Helper()
 	leaderless := time.Duration(0)
@@ -77,13 +79,13 @@
 		d.maxLeaderless = max(d.maxLeaderless, leaderless)
 		if leaderless > limit {
 			d.logStatuses()
-			d.t.Fatalf("without a leader for more than %v; faults so far %v", limit, d.faultCounts)
+			d.t.Fatalf("without a leader for more than %v after the faults %v", limit, d.faultCounts)
 		}
 		d.advance(step)
 	}
 }
 
-// start starts a machine with three seeds, itself perhaps among them.
+// start starts a machine with three random seeds, which may include itself.
 func (d *sequentialFaults) start(m *machine) {
 	d.t.Helper()
 	d.seeds = nil
@@ -93,7 +95,7 @@
 	m.start()
 }
 
-// randomPosition picks the leader, a follower or the standby.
+// randomPosition returns the position of a random machine: the leader, a follower or the standby.
 func (d *sequentialFaults) randomPosition() int { return d.random.IntN(len(d.machineNumbers)) }
 
 func (d *sequentialFaults) duration(from, to time.Duration) time.Duration {
@@ -148,7 +150,7 @@
 	d.setPartitioned(m.address, false)
 }
 
-// partitionOneWay stops what is sent to a machine, or what it sends.
+// partitionOneWay drops either the messages to a machine or those from it.
 func (d *sequentialFaults) partitionOneWay(m *machine, downtime time.Duration) {
 	d.faultCounts["partitioned one way"]++
 	inbound := d.random.IntN(2) == 0
@@ -157,7 +159,7 @@
 	d.setOneWayPartition(m.address, false, false)
 }
 
-// replace starts a new machine in place of one that does not return.
+// replace starts a new machine in place of one that crashed and does not return.
 func (d *sequentialFaults) replace(m *machine, position int) {
 	d.faultCounts["replaced"]++
 	m.crash()
@@ -186,7 +188,7 @@
 	d.start(m)
 }
 
-// killAll ends all processes and starts them again with their disks, except for one that is down.
+// killAll kills all processes and restarts them with their disks, except one that is down.
 func (d *sequentialFaults) killAll(down *machine) {
 	d.t.Helper()
 	for _, other := range d.running() {
@@ -221,7 +223,7 @@
 
 func (d *sequentialFaults) checkAcknowledged() {
 	d.t.Helper()
-	d.eventually("all voters and standbys are members, and no removed one is", d.isHealthy)
+	d.eventually("exactly the current machines are members, and all are up to date", d.isHealthy)
 	d.eventually("all machines have the same commands", func() bool {
 		leader := d.leader()
 		for _, m := range d.running() {
@@ -258,7 +260,7 @@
 	}
 	t.Logf("faults: %v; at most %v without a leader, %v after a restart of all", counts, leaderless, restartLeaderless)
 	if restartLeaderless > maxLeaderlessRestart {
-		t.Errorf("without a leader for %v after a restart of all", restartLeaderless)
+		t.Errorf("without a leader for %v after a restart of all, want at most %v", restartLeaderless, maxLeaderlessRestart)
 	}
 	checkCounts(t, counts, "power lost", "disk lost", "partitioned", "replaced", "partitioned one way", "frozen",
 		"all killed while one is down", "all killed", acknowledgedCount)
@@ -270,15 +272,16 @@
 		former := f.foundCluster(3)
 		f.setOneWayPartition(former.address, true, false)
 		began := time.Now()
-		f.eventually("another one leads", func() bool { next := f.leader(); return next != nil && next != former })
+		f.eventually("another machine leads", func() bool { next := f.leader(); return next != nil && next != former })
 		if waited := time.Since(began); waited > maxLeaderlessOneWay {
-			t.Errorf("its heartbeats delayed the next leader for %v", waited)
+			t.Errorf("the former leader delayed the next one for %v, want at most %v", waited, maxLeaderlessOneWay)
 		}
 	})
 }
 
 func TestALeaderContinuesWhileItsNodeTransfersARemovedSnapshot(t *testing.T) {
-	// More than may be on the way to a member and is retained below a snapshot.
+	// More entries than can be in flight to a member and are retained below a snapshot, so that the lagging member
+	// needs a snapshot.
 	const commands = 5400
 	runScenario(t, func(f *fleet) {
 		useShortTimeouts(f)
@@ -306,7 +309,7 @@
 			}
 			owner.node.RestartSnapshot(id, owner.now())
 			if !owner.node.HasReady() {
-				t.Error("no snapshot is on its way to the lagging member")
+				t.Error("the leader's node has no output for the lagging member, want a snapshot chunk")
 			}
 			owner.advance()
 		})
@@ -314,11 +317,11 @@
 			t.Fatal(err)
 		}
 		lagging.start()
-		f.eventually("the lagging member caught up", func() bool { return len(lagging.state.all()) == commands })
+		f.eventually("the lagging member has caught up", func() bool { return len(lagging.state.all()) == commands })
 	})
 }
 
-// stopGracefully ends the process as a SIGTERM does.
+// stopGracefully stops the process as a SIGTERM does.
 func (m *machine) stopGracefully(grace time.Duration) {
 	m.fleet.mutex.Lock()
 	replica := m.replica
@@ -346,7 +349,7 @@
 			d.runFor(700*time.Millisecond, maxLeaderlessTime)
 		}
 		if d.maxLeaderless > 200*time.Millisecond {
-			t.Errorf("without a leader for %v", d.maxLeaderless)
+			t.Errorf("without a leader for %v, want at most 200ms", d.maxLeaderless)
 		}
 		d.checkAcknowledged()
 	})
--- a/internal/controlplane/replica/slow_disk_test.go
+++ b/internal/controlplane/replica/slow_disk_test.go
@@ -10,11 +10,12 @@
 const (
 	usualSync = 5 * time.Millisecond
 	slowSync  = 5 * usualSync
-	// usualCommand is the longest mean time of a command under a leader whose disk is as quick as others.
+	// maxMeanCommandTime is the longest permitted mean time of a command under a leader whose disk is as fast as
+	// the others.
 	maxMeanCommandTime = 20 * time.Millisecond
 )
 
-// unequalDisks founds a core and gives one machine, which leads then, a slow disk.
+// leaderWithSlowDisk founds a core, restarts one machine with a slow disk and transfers leadership to it.
 func leaderWithSlowDisk(f *fleet) *machine {
 	f.t.Helper()
 	f.latency, f.syncTime = 2*time.Millisecond, usualSync
@@ -25,7 +26,7 @@
 	f.waitForLeader()
 	slow.start()
 	f.advance(2 * time.Second)
-	f.eventually("the slow one leads", func() bool {
+	f.eventually("the machine with the slow disk leads", func() bool {
 		leader := f.leader()
 		if leader != nil && leader != slow {
 			_ = leader.replica.TransferLeadership(context.Background(), slow.name)
@@ -35,7 +36,8 @@
 	return slow
 }
 
-// timedCommands has commands acknowledged one after another and returns the mean time of one.
+// meanCommandTime proposes commands one after another, each until it is acknowledged, and returns the mean time
+// of one.
 func (f *fleet) meanCommandTime(count int) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -55,19 +57,19 @@
 		before := f.meanCommandTime(syncWindow / 2)
 		f.meanCommandTime(2 * syncWindow)
 		if f.waitForLeader() == slow {
-			f.t.Fatal("the slow one still leads")
+			f.t.Fatal("the machine with the slow disk still leads")
 		}
 		after, term := f.meanCommandTime(100), f.term()
-		t.Logf("%v a command under the slow leader, %v after", before, after)
+		t.Logf("a command took %v under the slow leader and %v after the transfer", before, after)
 		if after > maxMeanCommandTime {
-			t.Errorf("%v a command after it handed over", after)
+			t.Errorf("a command took %v after the transfer, want at most %v", after, maxMeanCommandTime)
 		}
 		for range 300 {
 			f.meanCommandTime(10)
 			f.advance(time.Second)
 		}
 		if f.term() != term {
-			t.Errorf("leadership went on to change: term %d became %d", term, f.term())
+			t.Errorf("the leader changed again: the term is %d, want %d", f.term(), term)
 		}
 	})
 }
@@ -80,7 +82,7 @@
 		term := f.term()
 		f.meanCommandTime(20 * syncWindow)
 		if f.term() != term {
-			t.Errorf("term %d became %d", term, f.term())
+			t.Errorf("the leader changed: the term is %d, want %d", f.term(), term)
 		}
 	})
 }
@@ -97,7 +99,7 @@
 			f.meanCommandTime(8)
 		}
 		if f.term() != term {
-			t.Errorf("term %d became %d", term, f.term())
+			t.Errorf("the leader changed: the term is %d, want %d", f.term(), term)
 		}
 	})
 }
--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -17,13 +17,14 @@
 	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
-// The folders of package logstore that a core must be able to read for ever; see its test of the same name.
+// The stored folders of package logstore, which a core must always be able to read; see the test file of the same
+// name there.
 const (
 	storedData      = "logstore/testdata/stored"
 	foundedFolder   = "founded"
 	compactedFolder = "compacted"
 	storedClusterID = "stored-cluster-id"
-	// storedMemberID follows from the storage id in the folders and may not change either.
+	// storedMemberID is derived from the storage id in the folders and must not change either.
 	storedMemberID = 0x91c590476e947df2
 )
 
@@ -87,7 +88,7 @@
 				built, err := openStoredCore(copyStoredFolder(t, name, nil), state)
 				must(t, err)
 				if built.ID() != storedMemberID {
-					t.Errorf("the member is %#x", built.ID())
+					t.Errorf("the member id is %#x, want %#x", built.ID(), uint64(storedMemberID))
 				}
 				must(t, built.Start(t.Context()))
 				for range 100 {
@@ -97,10 +98,10 @@
 					<-time.NewTimer(DefaultReplaceVoterAfter).C
 				}
 				if status := built.Status(); !built.IsLeader() || status.GetClusterId() != storedClusterID {
-					t.Errorf("it does not lead its cluster: %v", status)
+					t.Errorf("the replica does not lead the cluster %q; its status is %v", storedClusterID, status)
 				}
 				if !slices.Equal(state.all(), expected) {
-					t.Errorf("the commands are %q", state.all())
+					t.Errorf("the commands are %q, want %q", state.all(), expected)
 				}
 				must(t, built.Stop(context.Background()))
 			})
@@ -108,8 +109,8 @@
 	}
 }
 
-// Each byte of each file is damaged alone. The last record of the newest segment may be one that a crash
-// tore: the log is truncated there. Damage to anything before it must be rejected.
+// The test damages each byte of each file alone. Damage to the last record of the newest segment looks like a write
+// that a crash interrupted, so the log is truncated there. Damage to anything before it must be rejected.
 func TestDamageToAStoredCoreIsRejected(t *testing.T) {
 	for _, stored := range []struct {
 		folder, file string
@@ -128,7 +129,7 @@
 			content, err := os.ReadFile(filepath.Join(storedData, stored.folder, stored.file))
 			must(t, err)
 			if len(content) != stored.size {
-				t.Errorf("the file has %d bytes", len(content))
+				t.Errorf("the file has %d bytes, want %d", len(content), stored.size)
 			}
 			for offset := range content {
 				damaged := copyStoredFolder(t, stored.folder, func(path string, content []byte) {
@@ -140,7 +141,7 @@
 				var corrupt *storage.CorruptError
 				rejected := errors.As(err, &corrupt)
 				if torn := stored.tornFrom > 0 && offset >= stored.tornFrom; rejected == torn || torn && err != nil {
-					t.Errorf("with byte %d damaged it opens with %v", offset, err)
+					t.Errorf("with byte %d damaged New returned the error %v, want a CorruptError: %v", offset, err, !torn)
 				}
 				if built != nil {
 					must(t, built.Stop(context.Background()))
--- a/internal/controlplane/replica/unreachable_member_test.go
+++ b/internal/controlplane/replica/unreachable_member_test.go
@@ -12,10 +12,10 @@
 		var unreachable *MemberUnreachableError
 		_, err := leader.replica.AddMember(context.Background(), "127.0.0.1:9")
 		if !errors.As(err, &unreachable) || unreachable.Address != "127.0.0.1:9" {
-			t.Errorf("adding an address where nobody listens: %v", err)
+			t.Errorf("adding an address without a process returned %v, want a MemberUnreachableError for it", err)
 		}
 		if members := leader.members(); len(members) != 3 {
-			t.Errorf("members are %v", members)
+			t.Errorf("the members are %v, want three", members)
 		}
 	})
 }
--- a/internal/controlplane/replica/unresponsive_seed_test.go
+++ b/internal/controlplane/replica/unresponsive_seed_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A machine without power answers nothing, not even a rejection: a process that queries all addresses it
-// knows must not wait for that one.
+// A machine without power neither answers nor rejects requests. A process that queries all known addresses must not
+// use up all its time on that one.
 
-// addUnpoweredSeed makes the address of a machine without power one of the seeds.
+// addUnpoweredSeed adds the address of a machine without power to the seeds.
 func addUnpoweredSeed(f *fleet) {
 	address := f.machine(9).address
 	f.unpowered[address] = true
@@ -23,18 +23,18 @@
 		f.foundCluster(3)
 		f.founders, f.seeds = nil, append(f.seeds, f.machine(1).address, f.machine(2).address, f.machine(3).address)
 		f.machine(4).start()
-		f.eventually("the standby is there", d.isHealthy)
-		away := f.leader()
-		f.setPartitioned(away.address, true)
-		f.eventually("the standby has its place", func() bool {
+		f.eventually("the standby has joined", d.isHealthy)
+		replaced := f.leader()
+		f.setPartitioned(replaced.address, true)
+		f.eventually("the standby has replaced the partitioned voter", func() bool {
 			leader := f.leader()
-			return leader != nil && leader != away && len(leader.members()) == 3
+			return leader != nil && leader != replaced && len(leader.members()) == 3
 		})
-		f.setPartitioned(away.address, false)
+		f.setPartitioned(replaced.address, false)
 		began := time.Now()
-		f.eventually("it is the standby", d.isHealthy)
+		f.eventually("the replaced voter is the standby", d.isHealthy)
 		if took := time.Since(began); took > catchUpTime {
-			t.Errorf("joining again took %v", took)
+			t.Errorf("joining again took %v, want at most %v", took, catchUpTime)
 		}
 	})
 }
@@ -48,9 +48,9 @@
 		addUnpoweredSeed(f)
 		f.machine(4).start()
 		began := time.Now()
-		f.eventually("it is the standby", d.isHealthy)
+		f.eventually("the empty machine is the standby", d.isHealthy)
 		if took := time.Since(began); took > catchUpTime {
-			t.Errorf("joining took %v", took)
+			t.Errorf("joining took %v, want at most %v", took, catchUpTime)
 		}
 	})
 }
