--- a/internal/controlplane/replica/caller_test.go
+++ b/internal/controlplane/replica/caller_test.go
@@ -27,7 +27,7 @@
 	if m != nil && c.fleet.reachable(c.from, address) {
 		target = m.replica
 	}
-	answerArrives, unpowered := c.fleet.reachable(address, c.from), c.fleet.unpowered[address]
+	responseReachable, unpowered := c.fleet.reachable(address, c.from), c.fleet.unpowered[address]
 	c.fleet.mutex.Unlock()
 	if unpowered {
 		<-ctx.Done()
@@ -51,7 +51,7 @@
 	if err := c.delay(ctx); err != nil {
 		return nil, err
 	}
-	if !answerArrives {
+	if !responseReachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
--- a/internal/controlplane/replica/disk_failure_test.go
+++ b/internal/controlplane/replica/disk_failure_test.go
@@ -24,18 +24,18 @@
 	return others
 }
 
-// commit proposes new commands to the current leader until each is acknowledged, and appends them to before.
-func (f *fleet) commit(before []string, count int) []string {
+// commit proposes new commands to the current leader until each is acknowledged, and appends them to acknowledged.
+func (f *fleet) commit(acknowledged []string, count int) []string {
 	f.t.Helper()
 	for range count {
-		command := fmt.Sprintf("command %d", len(before))
+		command := fmt.Sprintf("command %d", len(acknowledged))
 		f.eventually("a command is acknowledged", func() bool {
 			leader := f.leader()
 			return leader != nil && leader.propose(command) == nil
 		})
-		before = append(before, command)
+		acknowledged = append(acknowledged, command)
 	}
-	return before
+	return acknowledged
 }
 
 // triggerDiskFailure proposes a command to a machine until its disk has failed. The command must not be
--- a/internal/controlplane/replica/disk_space_test.go
+++ b/internal/controlplane/replica/disk_space_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 		disk.SetCapacity(smallDiskBytes)
-		built, err := New(Options{
+		replica, err := New(Options{
 			Self:     &protocol.CoreMember{Name: "core-1", Address: "127.0.0.1:7001"},
 			Founders: []string{"127.0.0.1:7001"}, Folder: "core", Filesystem: disk, Machine: &lastCommand{},
 			Random:  rand.New(rand.NewPCG(2, 2)),
@@ -32,20 +32,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := built.Start(t.Context()); err != nil {
+		if err := replica.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		for !built.IsLeader() {
+		for !replica.IsLeader() {
 			<-time.NewTimer(DefaultReplaceVoterAfter).C
 		}
 		largest := int64(0)
 		for range largeCommands {
-			if _, _, err := built.Propose(t.Context(), make([]byte, largeCommandBytes)); err != nil {
+			if _, _, err := replica.Propose(t.Context(), make([]byte, largeCommandBytes)); err != nil {
 				t.Fatal(err)
 			}
 			largest = max(largest, disk.Used())
 		}
-		if err := built.Stop(context.Background()); err != nil {
+		if err := replica.Stop(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("used at most %d bytes for %d MiB of commands", largest, largeCommands*largeCommandBytes>>20)
--- a/internal/controlplane/replica/fleet_test.go
+++ b/internal/controlplane/replica/fleet_test.go
@@ -64,7 +64,7 @@
 	mutex       sync.Mutex
 	machines    map[string]*machine
 	partitioned map[string]bool
-	// A machine with an inbound partition receives nothing; of one with an outbound partition nothing arrives.
+	// A machine with an inbound partition receives nothing; what one with an outbound partition sends is lost.
 	inboundPartitioned, outboundPartitioned map[string]bool
 	// unpowered contains the addresses at which requests are neither answered nor rejected.
 	unpowered map[string]bool
--- a/internal/controlplane/replica/leadership.go
+++ b/internal/controlplane/replica/leadership.go
@@ -65,21 +65,21 @@
 
 // leaderSignal notifies goroutines that wait for a leader. It belongs to the owner goroutine.
 type leaderSignal struct {
-	channel chan struct{}
-	known   bool
+	channel   chan struct{}
+	hasLeader bool
 }
 
-// observe records whether a leader is known and returns the channel that is closed while one is.
+// observe records whether a leader is known and returns the channel that is closed while one is known.
 func (s *leaderSignal) observe(known bool) <-chan struct{} {
 	switch {
-	case s.channel == nil || s.known && !known:
+	case s.channel == nil || s.hasLeader && !known:
 		s.channel = make(chan struct{})
 		if known {
 			close(s.channel)
 		}
-	case known && !s.known:
+	case known && !s.hasLeader:
 		close(s.channel)
 	}
-	s.known = known
+	s.hasLeader = known
 	return s.channel
 }
--- a/internal/controlplane/replica/proposals.go
+++ b/internal/controlplane/replica/proposals.go
@@ -39,11 +39,11 @@
 	if err := enqueue(r, r.proposals, proposal, proposalQueueName); err != nil {
 		return nil, 0, err
 	}
-	answer, err := r.awaitProposal(ctx, proposal.done)
+	outcome, err := r.awaitProposal(ctx, proposal.done)
 	if err != nil {
 		return nil, 0, err
 	}
-	return answer.data, answer.index, answer.err
+	return outcome.data, outcome.index, outcome.err
 }
 
 // awaitProposal waits for the result of a proposal. The error is an *UnknownOutcomeError: the proposal may
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -39,14 +39,14 @@
 	store   *logstore.Store
 	self    *protocol.CoreMember
 
-	inbound   chan inboundMessage
-	proposals chan *proposal
-	requests  chan request
-	stop      chan struct{}
-	stopped   chan struct{}
-	stopOnce  sync.Once
-	running   sync.WaitGroup
-	started   atomic.Bool
+	inbound    chan inboundMessage
+	proposals  chan *proposal
+	requests   chan request
+	stop       chan struct{}
+	stopped    chan struct{}
+	stopOnce   sync.Once
+	goroutines sync.WaitGroup
+	started    atomic.Bool
 
 	background context.Context
 	cancel     context.CancelFunc
@@ -124,8 +124,8 @@
 		return &StoppedError{}
 	}
 	r.background, r.cancel = context.WithCancel(context.Background())
-	r.running.Go(r.run)
-	r.running.Go(func() { r.joinLoop(r.background) })
+	r.goroutines.Go(r.run)
+	r.goroutines.Go(func() { r.joinLoop(r.background) })
 	return nil
 }
 
@@ -142,7 +142,7 @@
 	}
 	r.stopOnce.Do(func() { close(r.stop) })
 	r.cancel()
-	r.running.Wait()
+	r.goroutines.Wait()
 	return r.store.Close()
 }
 
--- a/internal/controlplane/replica/slow_disk.go
+++ b/internal/controlplane/replica/slow_disk.go
@@ -42,12 +42,12 @@
 	s.awaitedIndex, s.ownSync, s.sentAt = index, ownSync, now
 }
 
-// observeAnswer ends the comparison at the first response of a voter, and reports whether the disk of this
+// observeResponse ends the comparison at the first response of a voter, and reports whether the disk of this
 // leader is slow.
-func (s *slowDiskDetector) observeAnswer(received inboundMessage) bool {
-	answer := received.message
-	awaited := s.awaitedIndex != 0 && answer.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
-		!answer.GetReject() && answer.GetLogIndex() >= s.awaitedIndex
+func (s *slowDiskDetector) observeResponse(received inboundMessage) bool {
+	response := received.message
+	awaited := s.awaitedIndex != 0 && response.GetKind() == protocol.ConsensusMessageKind_APPEND_RESPONSE &&
+		!response.GetReject() && response.GetLogIndex() >= s.awaitedIndex
 	if !awaited {
 		return false
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	from := received.message.GetFrom()
-	if !o.isVoter(from) || !o.slowDisk.observeAnswer(received) {
+	if !o.isVoter(from) || !o.slowDisk.observeResponse(received) {
 		return
 	}
 	now := o.now()
--- a/internal/controlplane/replica/stored_data_test.go
+++ b/internal/controlplane/replica/stored_data_test.go
@@ -85,25 +85,25 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				state := &commandLog{}
-				built, err := openStoredCore(copyStoredFolder(t, name, nil), state)
+				replica, err := openStoredCore(copyStoredFolder(t, name, nil), state)
 				must(t, err)
-				if built.ID() != storedMemberID {
-					t.Errorf("the member id is %#x, want %#x", built.ID(), uint64(storedMemberID))
+				if replica.ID() != storedMemberID {
+					t.Errorf("the member id is %#x, want %#x", replica.ID(), uint64(storedMemberID))
 				}
-				must(t, built.Start(t.Context()))
+				must(t, replica.Start(t.Context()))
 				for range 100 {
-					if built.IsLeader() {
+					if replica.IsLeader() {
 						break
 					}
 					<-time.NewTimer(DefaultReplaceVoterAfter).C
 				}
-				if status := built.Status(); !built.IsLeader() || status.GetClusterId() != storedClusterID {
+				if status := replica.Status(); !replica.IsLeader() || status.GetClusterId() != storedClusterID {
 					t.Errorf("the replica does not lead the cluster %q; its status is %v", storedClusterID, status)
 				}
 				if !slices.Equal(state.all(), expected) {
 					t.Errorf("the commands are %q, want %q", state.all(), expected)
 				}
-				must(t, built.Stop(context.Background()))
+				must(t, replica.Stop(context.Background()))
 			})
 		})
 	}
@@ -137,14 +137,14 @@
 						content[offset] ^= 0xff
 					}
 				})
-				built, err := openStoredCore(damaged, &commandLog{})
+				replica, err := openStoredCore(damaged, &commandLog{})
 				var corrupt *storage.CorruptError
 				rejected := errors.As(err, &corrupt)
 				if torn := stored.tornFrom > 0 && offset >= stored.tornFrom; rejected == torn || torn && err != nil {
 					t.Errorf("with byte %d damaged New returned the error %v, want a CorruptError: %v", offset, err, !torn)
 				}
-				if built != nil {
-					must(t, built.Stop(context.Background()))
+				if replica != nil {
+					must(t, replica.Stop(context.Background()))
 				}
 			}
 		})
