--- a/internal/controlplane/replica/disk_space_test.go
+++ b/internal/controlplane/replica/disk_space_test.go
@@ -13,7 +13,7 @@
 
 const (
 	smallDiskBytes = 64 << 20
-	// controlSpaceBytes is what a core may take on its disk with a small state and the default bounds.
+	// controlSpaceBytes is the disk space that a core with a small state may use with the default options.
 	controlSpaceBytes = 32 << 20
 	largeCommandBytes = 256 << 10
 	largeCommands     = 500
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 		disk.SetCapacity(smallDiskBytes)
-		built, err := New(Options{
+		replica, err := New(Options{
 			Self:     &protocol.CoreMember{Name: "core-1", Address: "127.0.0.1:7001"},
 			Founders: []string{"127.0.0.1:7001"}, Folder: "core", Filesystem: disk, Machine: &lastCommand{},
 			Random:  rand.New(rand.NewPCG(2, 2)),
@@ -32,25 +32,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := built.Start(t.Context()); err != nil {
+		if err := replica.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		for !built.IsLeader() {
+		for !replica.IsLeader() {
 			<-time.NewTimer(DefaultReplaceVoterAfter).C
 		}
 		largest := int64(0)
 		for range largeCommands {
-			if _, _, err := built.Propose(t.Context(), make([]byte, largeCommandBytes)); err != nil {
+			if _, _, err := replica.Propose(t.Context(), make([]byte, largeCommandBytes)); err != nil {
 				t.Fatal(err)
 			}
 			largest = max(largest, disk.Used())
 		}
-		if err := built.Stop(context.Background()); err != nil {
+		if err := replica.Stop(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d bytes at most for %d MiB of commands", largest, largeCommands*largeCommandBytes>>20)
+		t.Logf("used at most %d bytes for %d MiB of commands", largest, largeCommands*largeCommandBytes>>20)
 		if largest > controlSpaceBytes {
-			t.Errorf("the replica filled %d bytes, more than %d", largest, int64(controlSpaceBytes))
+			t.Errorf("the replica used %d bytes, want at most %d", largest, int64(controlSpaceBytes))
 		}
 	})
 }
