--- a/internal/controlplane/corelink/delta_test.go
+++ b/internal/controlplane/corelink/delta_test.go
@@ -20,20 +20,20 @@
 	return view
 }
 
-// deltaTo adds node-3 to the base 7 and promises the checksum of the view given.
-func deltaTo(view *protocol.MembershipView) *protocol.MembershipDelta {
+// deltaAddingNode3 adds node-3 to the base 7 and promises the checksum of the view given.
+func deltaAddingNode3(view *protocol.MembershipView) *protocol.MembershipDelta {
 	return &protocol.MembershipDelta{
 		BaseVersion: 7, Version: view.GetVersion(), Upserted: membershipView(0, 3).GetNodes(),
 		Count: uint32(len(view.GetNodes())), Checksum: views.MembershipChecksum(view.GetNodes()),
 	}
 }
 
-func TestGivenADeltaOfTheMembershipThenItIsApplied(t *testing.T) {
+func TestGivenAMembershipDeltaThenItIsApplied(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		g.Expect(core.lastPoll().GetAcceptsDeltas()).To(BeTrue())
 		next := membershipView(9, 3)
 		core.publish(func(state *protocol.PollControlResponse) {
-			state.Membership, state.MembershipDelta = next, deltaTo(next)
+			state.Membership, state.MembershipDelta = next, deltaAddingNode3(next)
 		})
 		advance(100 * time.Millisecond)
 		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9))
@@ -46,11 +46,11 @@
 	})
 }
 
-func TestGivenADeltaThatDoesNotFitThenAFullSnapshotIsRequested(t *testing.T) {
+func TestGivenADeltaThatDoesNotApplyThenAFullSnapshotIsRequested(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		next := membershipView(9, 2, 3)
 		core.publish(func(state *protocol.PollControlResponse) {
-			state.Membership, state.MembershipDelta = next, deltaTo(next)
+			state.Membership, state.MembershipDelta = next, deltaAddingNode3(next)
 		})
 		advance(time.Second)
 		g.Expect(link.View().Membership.GetNodes()).To(HaveLen(2))
--- a/internal/controlplane/corelink/fake_core_test.go
+++ b/internal/controlplane/corelink/fake_core_test.go
@@ -136,7 +136,7 @@
 func (c *fakeCore) poll(ctx context.Context, poll *protocol.PollControlRequest) (*protocol.Response, error) {
 	c.mutex.Lock()
 	c.polls = append(c.polls, proto.CloneOf(poll))
-	update, changed, hang := c.newer(poll), c.changed, c.hangPolls
+	update, changed, hang := c.updateFor(poll), c.changed, c.hangPolls
 	c.mutex.Unlock()
 	wait := time.NewTimer(time.Duration(poll.GetWaitMillis()) * time.Millisecond)
 	defer wait.Stop()
@@ -152,7 +152,7 @@
 				return nil, ctx.Err()
 			}
 			c.mutex.Lock()
-			update, changed = c.newer(poll), c.changed
+			update, changed = c.updateFor(poll), c.changed
 			c.mutex.Unlock()
 		}
 	}
@@ -162,8 +162,8 @@
 	return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: update}}, nil
 }
 
-// newer is what a node that polls so does not have; nil when there is nothing.
-func (c *fakeCore) newer(poll *protocol.PollControlRequest) *protocol.PollControlResponse {
+// updateFor is what a node that polls so does not have; nil when there is nothing.
+func (c *fakeCore) updateFor(poll *protocol.PollControlRequest) *protocol.PollControlResponse {
 	known, update, newer := poll.GetKnown(), &protocol.PollControlResponse{}, false
 	if membership := c.latest.GetMembership(); membership.GetVersion() > known.GetMembership() {
 		if delta := c.latest.GetMembershipDelta(); delta != nil && delta.GetBaseVersion() == known.GetMembership() {
@@ -206,10 +206,10 @@
 	change()
 }
 
-func (c *fakeCore) count(what string) int {
+func (c *fakeCore) count(kind string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.counts[what]
+	return c.counts[kind]
 }
 
 func (c *fakeCore) lastRenewal() *protocol.RenewLeaseRequest {
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -151,7 +151,7 @@
 	for _, subscriber := range l.subscribers {
 		subscriber(l.View())
 	}
-	owner := newOwner(l)
+	owner := newOwnerLoop(l)
 	l.workers.Go(func() { l.runNotifier(running) })
 	l.workers.Go(func() {
 		defer close(l.done)
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestGivenSlowAnswersThenAuthorityIsCountedFromTheSending(t *testing.T) {
+func TestGivenSlowAnswersThenAuthorityIsCountedFromTheTimeOfSending(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 800 * time.Millisecond })
 		advance(5 * time.Second)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestGivenAnUnresponsiveCoreThenAuthorityEndsAndComesBackUnderANewIncarnation(t *testing.T) {
+func TestGivenAnUnreachableCoreThenAuthorityEndsAndResumesUnderANewIncarnation(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.down = map[string]bool{firstLeader: true, secondLeader: true} })
 		advance(4900 * time.Millisecond)
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestGivenAnOlderViewThenNothingStepsBack(t *testing.T) {
+func TestGivenAnOlderViewThenTheVersionDoesNotDecrease(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
 		advance(100 * time.Millisecond)
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestGivenAViewThatCannotBeReadThenAuthorityEnds(t *testing.T) {
+func TestGivenASubscriberThatBlocksThenAuthorityEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
@@ -191,7 +191,7 @@
 	return &protocol.Configuration{Version: version, Active: active, ActiveDigest: bundle.Digest(active)}
 }
 
-func TestGivenADeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
+func TestGivenAConfigurationDeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Configuration = configuration(10, "one") })
 		advance(100 * time.Millisecond)
@@ -222,7 +222,7 @@
 	})
 }
 
-func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotPutInForce(t *testing.T) {
+func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotApplied(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = configuration(10, "one")
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestGivenASubscriberThenAViewIsAcknowledgedOnlyWhenItIsInForce(t *testing.T) {
+func TestGivenASubscriberThenAViewIsAcknowledgedOnlyOnceItReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
@@ -277,7 +277,7 @@
 }
 
 // A renewal that is under way must not reach the core after the release.
-func TestGivenARenewalUnderWayWhenStoppedThenTheReleaseComesAfterIt(t *testing.T) {
+func TestGivenARenewalInFlightWhenStoppedThenTheReleaseFollowsIt(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 900 * time.Millisecond })
 		advance(1200 * time.Millisecond)
@@ -292,7 +292,7 @@
 	})
 }
 
-func TestGivenABrokenConnectionThenOnlyWhatIsIdempotentIsSentAgain(t *testing.T) {
+func TestGivenABrokenConnectionThenOnlyIdempotentRequestsAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
--- a/internal/controlplane/corelink/locator.go
+++ b/internal/controlplane/corelink/locator.go
@@ -235,14 +235,14 @@
 		if next.GetClusterId() == "" {
 			next.ClusterId = answer.GetClusterId()
 		}
-		leads := answer.GetLeaderAddress() != "" && answer.GetTerm() >= current.GetTerm()
-		if leads {
+		namesLeader := answer.GetLeaderAddress() != "" && answer.GetTerm() >= current.GetTerm()
+		if namesLeader {
 			next.LeaderAddress = answer.GetLeaderAddress()
 			next.LeaderHttpAddress = answer.GetLeaderHttpAddress()
 			next.Term = answer.GetTerm()
 		}
 		if l.current.CompareAndSwap(current, next) {
-			return leads
+			return namesLeader
 		}
 	}
 }
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// readyAfter bounds the time from when a leader is there until the node is ready.
-const readyAfter = 200 * time.Millisecond
+// maxTimeUntilReady bounds the time from when a leader is there until the node is ready.
+const maxTimeUntilReady = 200 * time.Millisecond
 
 // timeUntilReady advances virtual time until the link is ready, and returns how long that took.
 func timeUntilReady(g *WithT, link *corelink.Link) time.Duration {
@@ -37,7 +37,7 @@
 		withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
 			advance(election)
 			core.set(func() { core.leader = firstLeader })
-			g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+			g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 		})
 	}
 }
@@ -50,7 +50,7 @@
 	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
 		advance(time.Second)
 		core.set(func() { core.leader = firstLeader })
-		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 	})
 }
 
@@ -63,7 +63,7 @@
 		}
 		renewals := core.renewalCount()
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
-		advance(readyAfter)
+		advance(maxTimeUntilReady)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "renewed at once")
 		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically(">", 4*time.Second))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
@@ -78,7 +78,7 @@
 		g.Expect(link.Ready()).To(BeTrue())
 		renewals := core.renewalCount()
 		core.set(func() { core.down = nil })
-		advance(readyAfter)
+		advance(maxTimeUntilReady)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals))
 
 		core.set(func() { core.down = all })
@@ -131,7 +131,7 @@
 	}
 	core.rejectBelow = previous.GetIncarnation() + 1
 	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
-		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", previous.GetIncarnation()))
 	})
 }
--- a/internal/controlplane/corelink/owner_loop.go
+++ b/internal/controlplane/corelink/owner_loop.go
@@ -23,11 +23,11 @@
 
 	// The lease.
 
-	// hasContact is true while answers of the core arrive.
-	hasContact bool
-	renewing   bool
-	renewAgain bool
-	released   bool
+	// coreResponds is true while answers of the core arrive.
+	coreResponds bool
+	renewing     bool
+	renewAgain   bool
+	released     bool
 	// releaseRequest receives the request that releases the lease; nil unless Stop waits for it.
 	releaseRequest chan<- *protocol.Request
 	renewBackoff   time.Duration
@@ -54,7 +54,7 @@
 	pollTimer      *time.Timer
 }
 
-func newOwner(link *Link) *ownerLoop {
+func newOwnerLoop(link *Link) *ownerLoop {
 	self := proto.CloneOf(link.options.Self)
 	return &ownerLoop{
 		link: link,
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -14,8 +14,8 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// packedAs publishes a configuration with the bytes given as its packed form.
-func (c *fakeCore) packedAs(full *protocol.Configuration, packed []byte) {
+// publishPackedConfiguration publishes a configuration with the bytes given as its packed form.
+func (c *fakeCore) publishPackedConfiguration(full *protocol.Configuration, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
 		state.Configuration, state.PackedConfiguration = full, packed
 	})
@@ -34,19 +34,19 @@
 	return count
 }
 
-func TestGivenAPackedConfigurationThenItIsPutInForce(t *testing.T) {
+func TestGivenAPackedConfigurationThenItIsApplied(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		full := configuration(10, "one")
 		packed, err := packing.Pack(full)
 		g.Expect(err).NotTo(HaveOccurred())
-		core.packedAs(full, packed)
+		core.publishPackedConfiguration(full, packed)
 		advance(100 * time.Millisecond)
 		g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
 		g.Expect(core.unpackedPolls()).To(BeZero())
 	})
 }
 
-func TestGivenAPackedConfigurationThatDoesNotFitThenAnUnpackedOneIsRequested(t *testing.T) {
+func TestGivenAPackedConfigurationThatCannotBeAppliedThenAnUnpackedOneIsRequested(t *testing.T) {
 	full := configuration(10, "one")
 	good, err := packing.Pack(full)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -62,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-				core.packedAs(full, packed)
+				core.publishPackedConfiguration(full, packed)
 				advance(time.Second)
 				g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
 				g.Expect(core.unpackedPolls()).To(Equal(1))
@@ -75,14 +75,14 @@
 	}
 }
 
-// membersPackedAs publishes a membership with the bytes given as its packed form.
-func (c *fakeCore) membersPackedAs(full *protocol.MembershipView, packed []byte) {
+// publishPackedMembership publishes a membership with the bytes given as its packed form.
+func (c *fakeCore) publishPackedMembership(full *protocol.MembershipView, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
 		state.Membership, state.PackedMembership = full, packed
 	})
 }
 
-func TestGivenAPackedViewThenItIsPutInForceAndADamagedOneIsRequestedUnpacked(t *testing.T) {
+func TestGivenAPackedViewThenItIsAppliedAndADamagedOneIsRequestedUnpacked(t *testing.T) {
 	full := &protocol.MembershipView{Version: 50, Nodes: []*protocol.Node{{
 		Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 5, Address: "10.0.0.5:1",
 	}}}
@@ -93,15 +93,15 @@
 		unpackedPolls int
 	}{"intact": {good, 0}, "truncated": {good[:len(good)-1], 1}, "damaged": {bytes.Repeat([]byte{7}, 40), 1}} {
 		t.Run(name, func(t *testing.T) {
-			expectPackedMembers(t, full, test.packed, test.unpackedPolls)
+			expectPackedMembership(t, full, test.packed, test.unpackedPolls)
 		})
 	}
 }
 
-func expectPackedMembers(t *testing.T, full *protocol.MembershipView, packed []byte, unpackedPolls int) {
+func expectPackedMembership(t *testing.T, full *protocol.MembershipView, packed []byte, unpackedPolls int) {
 	t.Helper()
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
-		core.membersPackedAs(full, packed)
+		core.publishPackedMembership(full, packed)
 		advance(time.Second)
 		g.Expect(proto.Equal(link.View().Membership, full)).To(BeTrue())
 		g.Expect(core.unpackedPolls()).To(Equal(unpackedPolls))
--- a/internal/controlplane/corelink/renewal.go
+++ b/internal/controlplane/corelink/renewal.go
@@ -25,8 +25,8 @@
 	if expired {
 		o.authorityLost()
 	}
-	if !o.hasContact {
-		o.verifyContact(ctx)
+	if !o.coreResponds {
+		o.probeCore(ctx)
 		return
 	}
 	o.renewing = true
@@ -46,11 +46,11 @@
 	return max(l.options.RenewInterval, minRenewTimeout)
 }
 
-// verifyContact checks that answers of the core arrive before a lease is
+// probeCore checks that answers of the core arrive before a lease is
 // requested. A node whose messages reach the core, but not the answers back,
 // would otherwise keep a lease, and with it its ranges of the ring, without ever
 // acting on it.
-func (o *ownerLoop) verifyContact(ctx context.Context) {
+func (o *ownerLoop) probeCore(ctx context.Context) {
 	o.renewing = true
 	link := o.link
 	sentAt, timeout := time.Now(), link.renewTimeout()
@@ -61,16 +61,16 @@
 		_, err := link.CallCore(callCtx, request)
 		link.post(ctx, func(_ context.Context, o *ownerLoop) {
 			// An answer that was buffered while the process was frozen proves nothing.
-			o.contactVerified(err == nil && time.Since(sentAt) <= timeout)
+			o.probeCompleted(err == nil && time.Since(sentAt) <= timeout)
 		})
 	})
 }
 
-func (o *ownerLoop) contactVerified(answered bool) {
+func (o *ownerLoop) probeCompleted(answered bool) {
 	o.renewing = false
 	o.sendReleaseRequest()
 	if answered {
-		o.hasContact = true
+		o.coreResponds = true
 		o.renewTimer.Reset(0)
 		return
 	}
@@ -91,7 +91,7 @@
 	}
 	o.self = proto.CloneOf(o.self)
 	o.self.Incarnation = o.holder.Incarnation()
-	o.hasContact = false
+	o.coreResponds = false
 	o.link.hasFreshView.Store(false)
 	o.needsFreshView = true
 	o.publishAuthority()
@@ -101,7 +101,7 @@
 	o.renewing = false
 	o.sendReleaseRequest()
 	now := time.Now()
-	o.hasContact = err == nil || o.holder.Valid(now)
+	o.coreResponds = err == nil || o.holder.Valid(now)
 	switch {
 	case o.released:
 		return
--- a/internal/controlplane/views/apply.go
+++ b/internal/controlplane/views/apply.go
@@ -28,12 +28,12 @@
 	current *protocol.MembershipView, delta *protocol.MembershipDelta,
 ) (*protocol.MembershipView, error) {
 	nodes := mergeSorted(current.GetNodes(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.Node).GetName)
-	outcome := &deltaVerification{
+	verification := &deltaVerification{
 		section: "membership", currentVersion: current.GetVersion(), baseVersion: delta.GetBaseVersion(),
 		count: len(nodes), expectedCount: delta.GetCount(), checksum: MembershipChecksum(nodes),
 		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.verify(); err != nil {
+	if err := verification.verify(); err != nil {
 		return nil, err
 	}
 	return &protocol.MembershipView{Version: delta.GetVersion(), Nodes: nodes}, nil
@@ -43,12 +43,12 @@
 // which stays unchanged. The error is a *MismatchError.
 func ApplyBackEnds(current *protocol.BackEndView, delta *protocol.BackEndDelta) (*protocol.BackEndView, error) {
 	backEnds := mergeSorted(current.GetBackEnds(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.BackEnd).GetId)
-	outcome := &deltaVerification{
+	verification := &deltaVerification{
 		section: "back_ends", currentVersion: current.GetVersion(), baseVersion: delta.GetBaseVersion(),
 		count: len(backEnds), expectedCount: delta.GetCount(), checksum: BackEndsChecksum(backEnds),
 		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.verify(); err != nil {
+	if err := verification.verify(); err != nil {
 		return nil, err
 	}
 	return &protocol.BackEndView{Version: delta.GetVersion(), BackEnds: backEnds}, nil
@@ -69,12 +69,12 @@
 		}
 		placement.Shards[shard.GetShard()] = shard
 	}
-	outcome := &deltaVerification{
+	verification := &deltaVerification{
 		section: "placement", currentVersion: current.GetEpoch(), baseVersion: delta.GetBaseEpoch(),
 		count: len(placement.GetShards()), expectedCount: delta.GetCount(), checksum: PlacementChecksum(placement),
 		expectedChecksum: delta.GetChecksum(),
 	}
-	if err := outcome.verify(); err != nil {
+	if err := verification.verify(); err != nil {
 		return nil, err
 	}
 	return placement, nil
--- a/internal/controlplane/views/benchmark_test.go
+++ b/internal/controlplane/views/benchmark_test.go
@@ -10,8 +10,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// backEndsOfAFleet gives a view of 600 back ends and the one after it, with one changed.
-func backEndsOfAFleet() (base, next *protocol.BackEndView) {
+// backEndViews gives a view of 600 back ends and the one after it, with one changed.
+func backEndViews() (base, next *protocol.BackEndView) {
 	base = &protocol.BackEndView{Version: 1}
 	for number := range 600 {
 		base.BackEnds = append(base.BackEnds, &protocol.BackEnd{
@@ -27,7 +27,7 @@
 }
 
 func BenchmarkMakeDeltaOfOneBackEndOf600(b *testing.B) {
-	_, next := backEndsOfAFleet()
+	_, next := backEndViews()
 	history := views.NewHistory(1)
 	history.Add(2, next.GetBackEnds()[300].GetId())
 	for b.Loop() {
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkApplyDeltaOfOneBackEndOf600(b *testing.B) {
-	base, next := backEndsOfAFleet()
+	base, next := backEndViews()
 	history := views.NewHistory(1)
 	history.Add(2, next.GetBackEnds()[300].GetId())
 	delta := views.BackEndDelta(next, &history, 1, views.BackEndsChecksum(next.GetBackEnds()))
--- a/internal/controlplane/views/delta_test.go
+++ b/internal/controlplane/views/delta_test.go
@@ -13,8 +13,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// filled sets every field of a message to something that is not zero.
-func filled(message protoreflect.Message, number uint64) {
+// fillFields sets every field of a message to something that is not zero.
+func fillFields(message protoreflect.Message, number uint64) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
@@ -27,7 +27,7 @@
 		if field.IsList() {
 			list := message.Mutable(field).List()
 			if field.Kind() == protoreflect.MessageKind {
-				filled(list.AppendMutable().Message(), number)
+				fillFields(list.AppendMutable().Message(), number)
 			} else {
 				list.Append(value)
 			}
@@ -90,7 +90,7 @@
 			part: func(m proto.Message) proto.Message { return m.(*protocol.Placement).GetShards()[0].GetNext()[0] },
 		},
 	} {
-		filled(sample.view.ProtoReflect(), 7)
+		fillFields(sample.view.ProtoReflect(), 7)
 		fields := sample.part(sample.view).ProtoReflect().Descriptor().Fields()
 		for i := range fields.Len() {
 			if fields.Get(i).Name() == sample.without {
@@ -123,7 +123,7 @@
 }
 
 // From each earlier version, the delta leads to the latest view, or there is none.
-func TestDeltasLeadFromAnyVersionToTheLatestView(t *testing.T) {
+func TestDeltasFromAnyVersionResultInTheLatestView(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	incarnations := map[int]uint64{}
 	history := views.NewHistory(0)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestAHistoryGivesNoDeltaFromAVersionThatItDoesNotCover(t *testing.T) {
+func TestNoDeltaIsMadeFromAVersionThatTheHistoryDoesNotCover(t *testing.T) {
 	history := views.NewHistory(10)
 	view := viewOf(20_000, map[int]uint64{1: 1, 2: 1, 3: 1})
 	if views.MembershipDelta(view, &history, 9, 0) != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestDeltasOfThePlacementCarryTheShardsThatChanged(t *testing.T) {
+func TestPlacementDeltasContainOnlyTheShardsThatChanged(t *testing.T) {
 	base := &protocol.Placement{Epoch: 5}
 	for number := range uint32(64) {
 		base.Shards = append(
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestADeltaOfBackEndsIsRejectedOnAnotherBase(t *testing.T) {
+func TestBackEndDeltasAreRejectedOnAnotherBase(t *testing.T) {
 	history := views.NewHistory(1)
 	view := &protocol.BackEndView{Version: 2}
 	for number := range 20 {
--- a/internal/transport/httpdrain/loopback_test.go
+++ b/internal/transport/httpdrain/loopback_test.go
@@ -49,7 +49,7 @@
 	if status, _ := caller.receive(); status != http.StatusRequestTimeout {
 		t.Errorf("%d", status)
 	}
-	caller.ended()
+	caller.expectClosed()
 	_ = connection.Close()
 	if err := errors.Join(<-drained, <-served); err != nil {
 		t.Error(err)
--- a/internal/transport/httpdrain/server.go
+++ b/internal/transport/httpdrain/server.go
@@ -27,9 +27,9 @@
 
 // New returns a Server for an http.Server that does not serve yet; it wraps the handler and sets the ConnState hook.
 func New(server *http.Server, listener net.Listener) *Server {
-	tracked := newConnectionTracker()
-	s := &Server{server: server, listener: &trackingListener{Listener: listener, tracker: tracked}, tracker: tracked}
-	server.ConnState = tracked.connStateChanged
+	tracker := newConnectionTracker()
+	s := &Server{server: server, listener: &trackingListener{Listener: listener, tracker: tracker}, tracker: tracker}
+	server.ConnState = tracker.connStateChanged
 	server.Handler = closingHandler(server.Handler, &s.draining)
 	return s
 }
--- a/internal/transport/httpdrain/server_test.go
+++ b/internal/transport/httpdrain/server_test.go
@@ -42,8 +42,8 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// pipeRig is a server over connections in memory, in virtual time.
-type pipeRig struct {
+// pipeServer is a server over connections in memory, in virtual time.
+type pipeServer struct {
 	t       *testing.T
 	server  *httpdrain.Server
 	pipes   *pipeListener
@@ -51,8 +51,8 @@
 	drained chan error
 }
 
-func newPipeRig(t *testing.T, handler http.HandlerFunc) *pipeRig {
-	r := &pipeRig{
+func newPipeServer(t *testing.T, handler http.HandlerFunc) *pipeServer {
+	r := &pipeServer{
 		t: t, pipes: &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})},
 		served: make(chan error, 1), drained: make(chan error, 1),
 	}
@@ -70,7 +70,7 @@
 	reader *bufio.Reader
 }
 
-func (r *pipeRig) connect() *pipeCaller {
+func (r *pipeServer) connect() *pipeCaller {
 	ours, theirs := net.Pipe()
 	r.pipes.connections <- theirs
 	return &pipeCaller{Conn: ours, t: r.t, reader: bufio.NewReader(ours)}
@@ -98,20 +98,20 @@
 	return response.StatusCode, string(content)
 }
 
-// ended fails unless the other side has closed the connection and sends nothing more.
-func (c *pipeCaller) ended() {
+// expectClosed fails unless the other side has closed the connection and sends nothing more.
+func (c *pipeCaller) expectClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
 		c.t.Errorf("%q, %v before the end", rest, err)
 	}
 }
 
-func (r *pipeRig) beginDrain() {
+func (r *pipeServer) beginDrain() {
 	go func() { r.drained <- r.server.Drain(context.Background()) }()
 }
 
 // drain waits until the final read is over.
-func (r *pipeRig) drain() {
+func (r *pipeServer) drain() {
 	synctest.Wait()
 	r.beginDrain()
 	<-time.After(2 * time.Millisecond)
@@ -119,7 +119,7 @@
 }
 
 // finish fails unless the drain ends within a time.
-func (r *pipeRig) finish(within time.Duration) {
+func (r *pipeServer) finish(within time.Duration) {
 	r.t.Helper()
 	start := time.Now()
 	if err := errors.Join(<-r.drained, <-r.served); err != nil {
@@ -151,7 +151,7 @@
 		for _, served := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, served before: %v", name, served), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					r := newPipeRig(t, echo)
+					r := newPipeServer(t, echo)
 					caller := r.connect()
 					if served {
 						caller.send(request)
@@ -165,7 +165,7 @@
 					if status, body := caller.receive(); status != http.StatusOK || body != "complete" {
 						t.Errorf("%d %q", status, body)
 					}
-					caller.ended()
+					caller.expectClosed()
 					r.finish(immediately)
 				})
 			})
@@ -176,7 +176,7 @@
 func TestARequestThatCrossesTheEndOfItsConnectionIsAnsweredAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := false
-		r := newPipeRig(t, func(http.ResponseWriter, *http.Request) { ran = true })
+		r := newPipeServer(t, func(http.ResponseWriter, *http.Request) { ran = true })
 		caller := r.connect()
 		r.drain()
 		sent := make(chan error, 1)
@@ -201,7 +201,7 @@
 
 func TestARequestThatComesJustBeforeItsConnectionIsClosedIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newPipeRig(t, echo)
+		r := newPipeServer(t, echo)
 		caller := r.connect()
 		synctest.Wait()
 		r.beginDrain()
@@ -212,7 +212,7 @@
 		if status, body := caller.receive(); status != http.StatusOK || body != "in time" {
 			t.Errorf("%d %q", status, body)
 		}
-		caller.ended()
+		caller.expectClosed()
 		r.finish(immediately)
 	})
 }
@@ -232,7 +232,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newPipeRig(t, echo)
+				r := newPipeServer(t, echo)
 				callers := []*pipeCaller{r.connect(), r.connect()}
 				request, _ := post("before")
 				callers[0].send(request)
@@ -251,7 +251,7 @@
 func TestAnAnswerInProgressIsCompletedBeforeItsConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		r := newPipeRig(t, func(writer http.ResponseWriter, _ *http.Request) {
+		r := newPipeServer(t, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.WriteHeader(http.StatusOK)
 			_ = http.NewResponseController(writer).Flush()
 			<-release
--- a/internal/transport/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -12,8 +12,8 @@
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
-// once answers the first request of each connection with these bytes and closes it.
-func once(t *testing.T, answer string) *server {
+// newOneAnswerServer answers the first request of each connection with these bytes and closes it.
+func newOneAnswerServer(t *testing.T, answer string) *server {
 	return newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		if request, _ := readRequest(t, reader); request != nil {
 			_, _ = io.WriteString(connection, answer)
@@ -33,7 +33,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(t, serverconn.Options{})
-			_, err := pool.Do(context.Background(), once(t, answer).address(), post("a"))
+			_, err := pool.Do(context.Background(), newOneAnswerServer(t, answer).address(), post("a"))
 			if _, ok := errors.AsType[*serverconn.BrokenError](err); !ok {
 				t.Fatalf("gave %v", err)
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// headOf gives the head of an answer of so many bytes, with a body of two.
-func headOf(size int) string {
+// headOfSize gives the head of an answer of so many bytes, with a body of two.
+func headOfSize(size int) string {
 	const begin, end = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", "\r\n"
 	const name, lineEnd, most = "X: ", "\r\n", 1 << 10
 	var head strings.Builder
@@ -61,34 +61,34 @@
 
 func TestHeadsOfAnswersAreBounded(t *testing.T) {
 	provisional := "HTTP/1.1 103 Early\r\n\r\n"
-	for name, story := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer  string
 		isTaken bool
 	}{
-		"as large as is allowed": {answer: headOf(serverconn.MaxHeadBytes) + "ab", isTaken: true},
-		"a byte larger":          {answer: headOf(serverconn.MaxHeadBytes+1) + "ab"},
+		"as large as is allowed": {answer: headOfSize(serverconn.MaxHeadBytes) + "ab", isTaken: true},
+		"a byte larger":          {answer: headOfSize(serverconn.MaxHeadBytes+1) + "ab"},
 		"one header without an end": {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x",
 			4*serverconn.MaxHeadBytes)},
 		"a status line without an end": {answer: "HTTP/1.1 200 " + strings.Repeat("x", 4*serverconn.MaxHeadBytes)},
 		"provisional answers without an end": {answer: strings.Repeat(provisional,
 			4*serverconn.MaxHeadBytes/len(provisional))},
-		"a large one after a provisional one": {answer: provisional + headOf(serverconn.MaxHeadBytes) + "ab"},
+		"a large one after a provisional one": {answer: provisional + headOfSize(serverconn.MaxHeadBytes) + "ab"},
 		"a small one, and a body that is long": {answer: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x",
 			4*serverconn.MaxHeadBytes), isTaken: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			served := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 				if request, _ := readRequest(t, reader); request != nil {
-					_, _ = io.WriteString(connection, story.answer)
+					_, _ = io.WriteString(connection, test.answer)
 				}
 			})
 			pool := newPool(t, serverconn.Options{})
 			response, err := pool.Do(context.Background(), served.address(), post("a"))
-			if story.isTaken {
+			if test.isTaken {
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := response.ReadAll(int64(len(story.answer))); err != nil {
+				if _, err := response.ReadAll(int64(len(test.answer))); err != nil {
 					t.Error(err)
 				}
 				response.Close()
@@ -110,7 +110,7 @@
 			if request == nil {
 				return
 			}
-			_, _ = io.WriteString(connection, headOf(serverconn.MaxHeadBytes+1)+"ab")
+			_, _ = io.WriteString(connection, headOfSize(serverconn.MaxHeadBytes+1)+"ab")
 		}
 	})
 	pool := newPool(t, serverconn.Options{})
@@ -131,7 +131,7 @@
 			if request == nil {
 				return
 			}
-			_, _ = io.WriteString(connection, headOf(serverconn.MaxHeadBytes)+"ab")
+			_, _ = io.WriteString(connection, headOfSize(serverconn.MaxHeadBytes)+"ab")
 		}
 	})
 	pool := newPool(t, serverconn.Options{})
@@ -146,7 +146,7 @@
 }
 
 func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
-	ending := once(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
+	ending := newOneAnswerServer(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
 	for range 2 {
 		if got := readAll(t, pool, ending.address(), "a"); got != "until the end" {
@@ -186,7 +186,7 @@
 }
 
 func TestAnswerLargerThanTheLimitIsRejected(t *testing.T) {
-	large := once(t, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nlarger body")
+	large := newOneAnswerServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nlarger body")
 	pool := newPool(t, serverconn.Options{})
 	response, err := pool.Do(context.Background(), large.address(), post("a"))
 	if err != nil {
@@ -253,7 +253,7 @@
 }
 
 func TestAnswerWithoutALengthToALargeRequestIsComplete(t *testing.T) {
-	ending := once(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
+	ending := newOneAnswerServer(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
 	// Whether the writer or the reader is done first is the scheduler's choice; both must occur.
 	for range 200 {
--- a/internal/transport/serverconn/connection.go
+++ b/internal/transport/serverconn/connection.go
@@ -55,8 +55,8 @@
 	return count, err
 }
 
-// unreadReporter is a connection that is not a socket and reports itself whether unread bytes have arrived.
-type unreadReporter interface{ HasUnread() bool }
+// unreadChecker is a connection that is not a socket and reports itself whether unread bytes have arrived.
+type unreadChecker interface{ HasUnread() bool }
 
 func (c *connection) close() { _ = c.Close() }
 
@@ -66,7 +66,7 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if simulated, isSimulated := c.Conn.(unreadReporter); isSimulated {
+	if simulated, isSimulated := c.Conn.(unreadChecker); isSimulated {
 		return !simulated.HasUnread()
 	}
 	raw, isSocket := c.Conn.(syscall.Conn)
--- a/internal/transport/serverconn/exchange.go
+++ b/internal/transport/serverconn/exchange.go
@@ -37,10 +37,10 @@
 	Header http.Header
 	Body   io.Reader
 
-	pool       *Pool
-	connection *connection
-	answer     *http.Response
-	stop       func() bool
+	pool             *Pool
+	connection       *connection
+	answer           *http.Response
+	stopContextWatch func() bool
 	// writeResult delivers the result of a concurrent write; writeErr is that result once it was received.
 	writeResult <-chan error
 	writeErr    error
@@ -62,7 +62,7 @@
 		return nil, &NotSentError{Address: address, Cause: err}
 	}
 	response := &Response{pool: p, connection: used}
-	response.stop = context.AfterFunc(ctx, func() { _ = used.SetDeadline(pastDeadline) })
+	response.stopContextWatch = context.AfterFunc(ctx, func() { _ = used.SetDeadline(pastDeadline) })
 	if err := response.exchange(request); err != nil {
 		response.abandon()
 		if cause := ctx.Err(); cause != nil {
@@ -166,17 +166,17 @@
 	if err != io.EOF {
 		return count, err
 	}
-	if !w.response.endProved() {
+	if !w.response.bodyEndVerified() {
 		return count, io.ErrUnexpectedEOF
 	}
 	w.response.complete = true
 	return count, io.EOF
 }
 
-// endProved reports whether the end of the body is the server's own. A body
+// bodyEndVerified reports whether the end of the body is the server's own. A body
 // without a length ends with its connection; while a request is being written, a
 // reset may be reported to the writer alone and look like an end to the reader.
-func (r *Response) endProved() bool {
+func (r *Response) bodyEndVerified() bool {
 	hasLength := r.answer.ContentLength >= 0 || len(r.answer.TransferEncoding) > 0 || r.answer.Body == http.NoBody
 	return hasLength || r.requestWritten()
 }
@@ -207,7 +207,7 @@
 // Close ends the exchange. The connection is reused when the
 // request was written, the answer was read completely and nothing more arrived.
 func (r *Response) Close() {
-	live := r.stop()
+	live := r.stopContextWatch()
 	if !live || !r.reusable() {
 		r.connection.close()
 		return
@@ -219,7 +219,7 @@
 func (r *Response) Discard() { r.abandon() }
 
 func (r *Response) abandon() {
-	r.stop()
+	r.stopContextWatch()
 	r.connection.close()
 }
 
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -130,7 +130,7 @@
 	for name, together := range map[string]bool{"in one piece with the answer": true, "after the answer": false} {
 		t.Run(name, func(t *testing.T) {
 			surplus := make(chan struct{})
-			talkative := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
+			surplusServer := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 				if request, _ := readRequest(t, reader); request == nil {
 					return
 				}
@@ -150,14 +150,14 @@
 				dialed = append(dialed, connection)
 				return connection, err
 			}})
-			if got := readAll(t, pool, talkative.address(), "a"); got != "ok" {
+			if got := readAll(t, pool, surplusServer.address(), "a"); got != "ok" {
 				t.Fatalf("got %q", got)
 			}
 			close(surplus)
 			if !together {
 				awaitBytes(t, dialed[0])
 			}
-			if got := readAll(t, pool, talkative.address(), "b"); got != "ok" || pool.Opened() != 2 {
+			if got := readAll(t, pool, surplusServer.address(), "b"); got != "ok" || pool.Opened() != 2 {
 				t.Fatalf("got %q over %d connections", got, pool.Opened())
 			}
 		})
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestErrorsSayWhetherTheRequestMayHaveRun(t *testing.T) {
+func TestErrorsDistinguishRequestsThatMayHaveRun(t *testing.T) {
 	closed, err := closedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -238,9 +238,9 @@
 	if _, err := pool.Do(context.Background(), closed.Address(), post("a")); !errors.As(err, &notSent) {
 		t.Fatalf("a refused connection gave %v", err)
 	}
-	silent := newServer(t, func(_ net.Conn, reader *bufio.Reader) { readRequest(t, reader) })
+	closing := newServer(t, func(_ net.Conn, reader *bufio.Reader) { readRequest(t, reader) })
 	var broken *serverconn.BrokenError
-	if _, err := pool.Do(context.Background(), silent.address(), post("a")); !errors.As(err, &broken) {
+	if _, err := pool.Do(context.Background(), closing.address(), post("a")); !errors.As(err, &broken) {
 		t.Fatalf("a closed connection gave %v", err)
 	}
 }
--- a/internal/transport/wire/client.go
+++ b/internal/transport/wire/client.go
@@ -69,11 +69,11 @@
 	e := &exchange{id: c.nextID, client: c, ctx: ctx, single: single, notify: make(chan struct{}, 1)}
 	c.exchanges[e.id] = e
 	c.lastUse = time.Now()
-	c.activity.began(c.lastUse, len(c.exchanges) == 1)
+	c.activity.recordExchange(c.lastUse, len(c.exchanges) == 1)
 	c.mutex.Unlock()
 
 	frame := &protocol.Frame{Kind: protocol.FrameKind_FRAME_REQUEST, Id: e.id, Request: request}
-	if deadline, has := ctx.Deadline(); has {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		left := time.Until(deadline)
 		if left <= 0 {
 			c.endExchange(e.id, false)
@@ -91,11 +91,11 @@
 // endExchange drops an exchange and, with cancel, cancels it at the peer.
 func (c *clientConnection) endExchange(id uint64, cancel bool) {
 	c.mutex.Lock()
-	_, known := c.exchanges[id]
+	_, inFlight := c.exchanges[id]
 	delete(c.exchanges, id)
 	c.lastUse = time.Now()
 	c.mutex.Unlock()
-	if known && cancel {
+	if inFlight && cancel {
 		_ = c.writer.write(&protocol.Frame{Kind: protocol.FrameKind_FRAME_CANCEL, Id: id})
 	}
 }
@@ -117,7 +117,7 @@
 
 func (c *clientConnection) deliver(frame *protocol.Frame) {
 	c.mutex.Lock()
-	c.activity.received(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
+	c.activity.recordFrame(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
 	e := c.exchanges[frame.GetId()]
 	c.mutex.Unlock()
 	if e == nil {
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -35,8 +35,8 @@
 
 // readMessage reads one length-prefixed message and rejects a length above the limit before it reads on.
 func readMessage(reader *bufio.Reader, limit uint32, message proto.Message) error {
-	once := frameReader{reader: reader}
-	return once.read(limit, message)
+	single := frameReader{reader: reader}
+	return single.read(limit, message)
 }
 
 // frameReader reads the messages of one connection, with one buffer for all small ones.
--- a/internal/transport/wire/hedged_dial.go
+++ b/internal/transport/wire/hedged_dial.go
@@ -17,8 +17,8 @@
 // dialFunc makes one attempt to connect.
 type dialFunc func(ctx context.Context) (net.Conn, error)
 
-// dialed is the result of one attempt.
-type dialed struct {
+// dialResult is the result of one attempt.
+type dialResult struct {
 	connection net.Conn
 	err        error
 }
@@ -28,41 +28,41 @@
 func dialHedged(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultConnectTimeout)
 	defer cancel()
-	results := make(chan dialed, maxConcurrentDials)
+	results := make(chan dialResult, maxConcurrentDials)
 	pending := 0
-	begin := func() {
+	startAttempt := func() {
 		pending++
 		go func() {
 			connection, err := dial(ctx)
-			results <- dialed{connection: connection, err: err}
+			results <- dialResult{connection: connection, err: err}
 		}()
 	}
-	begin()
-	again := time.NewTicker(hedgeDelay)
-	defer again.Stop()
-	for begun := 1; ; {
+	startAttempt()
+	ticker := time.NewTicker(hedgeDelay)
+	defer ticker.Stop()
+	for attempts := 1; ; {
 		select {
 		case result := <-results:
 			pending--
 			if result.err == nil || ctx.Err() == nil {
 				cancel()
-				go closeLosers(results, pending)
+				go closeLateConnections(results, pending)
 				return result.connection, result.err
 			}
 			if pending == 0 {
 				return nil, result.err
 			}
-		case <-again.C:
-			if begun < maxConcurrentDials {
-				begun++
-				begin()
+		case <-ticker.C:
+			if attempts < maxConcurrentDials {
+				attempts++
+				startAttempt()
 			}
 		}
 	}
 }
 
-// closeLosers closes the connections of attempts that another one overtook.
-func closeLosers(results <-chan dialed, pending int) {
+// closeLateConnections closes the connections of attempts that another one overtook.
+func closeLateConnections(results <-chan dialResult, pending int) {
 	for range pending {
 		if late := <-results; late.connection != nil {
 			_ = late.connection.Close()
--- a/internal/transport/wire/hedged_dial_test.go
+++ b/internal/transport/wire/hedged_dial_test.go
@@ -18,7 +18,7 @@
 	return nil, ctx.Err()
 }
 
-func TestMachineThatGotPowerIsReachedByTheNextAttempt(t *testing.T) {
+func TestMachineThatWasPoweredOnIsReachedByTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
 		begun := time.Now()
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestMachineWithoutPowerTimesOut(t *testing.T) {
+func TestPoweredOffMachineTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
 		begun := time.Now()
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestSecondConnectionIsClosed(t *testing.T) {
+func TestLaterConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, far := net.Pipe()
 		fast, other := net.Pipe()
--- a/internal/transport/wire/peer_activity.go
+++ b/internal/transport/wire/peer_activity.go
@@ -33,16 +33,16 @@
 	pingedAt time.Time
 }
 
-// began records a new exchange. Before the only one in flight the peer owed no answer.
-func (s *peerActivity) began(now time.Time, only bool) {
+// recordExchange records a new exchange. Before the only one in flight the peer owed no answer.
+func (s *peerActivity) recordExchange(now time.Time, only bool) {
 	s.lastActivity = now
 	if only {
 		s.reset(now)
 	}
 }
 
-// received records a frame of the peer.
-func (s *peerActivity) received(now time.Time, answer bool) {
+// recordFrame records a frame of the peer.
+func (s *peerActivity) recordFrame(now time.Time, answer bool) {
 	s.reset(now)
 	if answer {
 		s.lastActivity = now
--- a/internal/transport/wire/peer_activity_test.go
+++ b/internal/transport/wire/peer_activity_test.go
@@ -78,7 +78,7 @@
 }
 
 // withPeer runs a test in virtual time with a server that answers after a wait.
-func withPeer(t *testing.T, answerAfter time.Duration, then func(p *peer)) {
+func withPeer(t *testing.T, answerAfter time.Duration, test func(p *peer)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		p := &peer{listener: newPipeListener()}
@@ -93,7 +93,7 @@
 			}), wire.ServerOptions{Key: testKey})
 		p.server.Start()
 		p.pool = wire.NewPool(wire.PoolOptions{Key: testKey, Node: "test", Dial: p.dial})
-		then(p)
+		test(p)
 		p.pool.Close()
 		p.server.Close()
 	})
@@ -110,7 +110,7 @@
 	return &isolatedConnection{Conn: here, peer: p, closed: make(chan struct{})}, nil
 }
 
-func TestPeerWithoutPowerIsDetectedInLessThanASecond(t *testing.T) {
+func TestPoweredOffPeerIsDetectedInLessThanASecond(t *testing.T) {
 	withPeer(t, time.Hour, func(p *peer) {
 		go func() {
 			<-time.After(10 * time.Second)
@@ -119,7 +119,7 @@
 		<-time.After(10 * time.Second)
 		synctest.Wait()
 		began := time.Now()
-		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
+		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var notSent *wire.NotSentError
 		if !errors.As(err, &notSent) || time.Since(began) > time.Second {
 			t.Fatalf("a dial to it took %s: %v", time.Since(began), err)
@@ -131,7 +131,7 @@
 			p.isolated.Store(true)
 		}()
 		began := time.Now()
-		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
+		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var unresponsive *wire.UnresponsivePeerError
 		if !errors.As(err, &unresponsive) || time.Since(began) > time.Second {
 			t.Fatalf("after %s: %v", time.Since(began), err)
@@ -139,9 +139,9 @@
 	})
 }
 
-func TestSlowAnswerOfALivePeerIsWaitedFor(t *testing.T) {
+func TestPeerThatAnswersSlowlyCountsAsResponsive(t *testing.T) {
 	withPeer(t, 20*time.Second, func(p *peer) {
-		if _, err := p.pool.Call(context.Background(), "peer", explain("x")); err != nil {
+		if _, err := p.pool.Call(context.Background(), "peer", explainRequest("x")); err != nil {
 			t.Fatal(err)
 		}
 		if frames := p.pool.Counters().SentFrames.Load(); frames > 50 {
@@ -153,12 +153,12 @@
 func TestCallWaitsForASharedDialNoLongerThanItsOwnDeadline(t *testing.T) {
 	withPeer(t, 0, func(p *peer) {
 		p.isolated.Store(true)
-		go func() { _, _ = p.pool.Call(context.Background(), "peer", explain("x")) }()
+		go func() { _, _ = p.pool.Call(context.Background(), "peer", explainRequest("x")) }()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		if _, err := p.pool.Call(ctx, "peer", explain("y")); !errors.Is(err, context.DeadlineExceeded) ||
+		if _, err := p.pool.Call(ctx, "peer", explainRequest("y")); !errors.Is(err, context.DeadlineExceeded) ||
 			time.Since(began) > 60*time.Millisecond {
 			t.Fatalf("after %s: %v", time.Since(began), err)
 		}
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -27,7 +27,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-func (o *PoolOptions) fill() {
+func (o *PoolOptions) setDefaults() {
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = defaultIdleTimeout
 	}
@@ -61,8 +61,8 @@
 	dialing      context.Context
 	stopDialing  context.CancelFunc
 	activeSignal chan struct{}
-	// checksOften is true while the connections are checked at activeInterval.
-	checksOften atomic.Bool
+	// frequentChecks is true while the connections are checked at activeInterval.
+	frequentChecks atomic.Bool
 }
 
 // slot holds the connection to one address, or its opening, which concurrent callers share.
@@ -81,7 +81,7 @@
 
 // NewPool makes an empty pool.
 func NewPool(options PoolOptions) *Pool {
-	options.fill()
+	options.setDefaults()
 	p := &Pool{
 		options: options, slots: make(map[string]*slot), open: make(map[*clientConnection]struct{}),
 		stop: make(chan struct{}), activeSignal: make(chan struct{}, 1),
@@ -115,7 +115,7 @@
 
 // Call implements Caller.
 func (p *Pool) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
-	if _, has := ctx.Deadline(); !has {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		bounded, cancel := context.WithTimeout(ctx, defaultCallDeadline)
 		defer cancel()
 		ctx = bounded
@@ -184,7 +184,7 @@
 	if opening == nil {
 		opening = &openingConnection{done: make(chan struct{})}
 		s.opening = opening
-		if !p.begin(func() { p.openSlot(s, address, opening) }) {
+		if !p.startGoroutine(func() { p.openSlot(s, address, opening) }) {
 			s.opening = nil
 			s.mutex.Unlock()
 			return nil, &ClosedError{}
@@ -199,8 +199,8 @@
 	}
 }
 
-// begin runs a goroutine that Close waits for; false when the pool was closed.
-func (p *Pool) begin(run func()) bool {
+// startGoroutine runs a goroutine that Close waits for; false when the pool was closed.
+func (p *Pool) startGoroutine(run func()) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -215,7 +215,7 @@
 	connection, err := dial(p.dialing, address, p.options, &p.counters)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err == nil && !p.adopt(s, connection) {
+	if err == nil && !p.addConnection(s, connection) {
 		_ = connection.connection.Close()
 		connection, err = nil, &ClosedError{}
 	}
@@ -224,8 +224,8 @@
 	close(opening.done)
 }
 
-// adopt begins to read and write on a new connection; false when the pool was closed.
-func (p *Pool) adopt(s *slot, connection *clientConnection) bool {
+// addConnection begins to read and write on a new connection; false when the pool was closed.
+func (p *Pool) addConnection(s *slot, connection *clientConnection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
--- a/internal/transport/wire/purpose_bytes_test.go
+++ b/internal/transport/wire/purpose_bytes_test.go
@@ -8,10 +8,10 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// echoPoll answers polls and lookups with empty answers of their kind.
-type echoPoll struct{}
+// lookupHandler answers polls and lookups with empty answers of their kind.
+type lookupHandler struct{}
 
-func (echoPoll) Serve(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
+func (lookupHandler) Serve(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
 	if request.GetPollControl() != nil {
 		return send(&protocol.Response{Body: &protocol.Response_PollControl{PollControl: &protocol.PollControlResponse{}}})
 	}
@@ -21,7 +21,7 @@
 }
 
 func TestBytesAreCountedByPurpose(t *testing.T) {
-	address, _ := startServer(t, echoPoll{})
+	address, _ := startServer(t, lookupHandler{})
 	pool := startPool(t, testKey)
 	requests := []*protocol.Request{
 		{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{Node: "front-1"}}},
--- a/internal/transport/wire/purpose_test.go
+++ b/internal/transport/wire/purpose_test.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-func TestEveryRequestHasAPurposeOfItsOwnKind(t *testing.T) {
+func TestPurposeOfRequests(t *testing.T) {
 	purposes := map[Purpose]*protocol.Request{
 		PurposeConsensus: {Body: &protocol.Request_Consensus{}},
 		PurposeDirectory: {Body: &protocol.Request_RegisterSessions{}},
@@ -15,11 +15,11 @@
 		PurposeControl:   {Body: &protocol.Request_RenewLease{}},
 	}
 	for purpose, request := range purposes {
-		if found := purposeOf(&protocol.Frame{Request: request}); found != purpose {
-			t.Errorf("%T is for %s, want %s", request.GetBody(), found, purpose)
+		if got := purposeOf(&protocol.Frame{Request: request}); got != purpose {
+			t.Errorf("%T is for %s, want %s", request.GetBody(), got, purpose)
 		}
 	}
-	if found := purposeOf(&protocol.Frame{Kind: protocol.FrameKind_FRAME_PING}); found != PurposeOther {
-		t.Errorf("a ping is for %s", found)
+	if got := purposeOf(&protocol.Frame{Kind: protocol.FrameKind_FRAME_PING}); got != PurposeOther {
+		t.Errorf("a ping is for %s", got)
 	}
 }
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -192,10 +192,10 @@
 
 func (c *servedConnection) read(reader *bufio.Reader) {
 	frames := frameReader{reader: reader, counters: c.writer.counters}
-	var refreshed time.Time
+	var deadlineSetAt time.Time
 	for {
-		if now := time.Now(); now.Sub(refreshed) > deadlineRefresh {
-			refreshed = now
+		if now := time.Now(); now.Sub(deadlineSetAt) > deadlineRefresh {
+			deadlineSetAt = now
 			if err := c.connection.SetReadDeadline(now.Add(serverIdleTimeout)); err != nil {
 				return
 			}
--- a/internal/transport/wire/watch.go
+++ b/internal/transport/wire/watch.go
@@ -20,7 +20,7 @@
 		case <-timer.C:
 			now := time.Now()
 			stalled := now.Sub(last) > stallFactor*interval
-			p.checksOften.Store(false)
+			p.frequentChecks.Store(false)
 			interval, last = p.checkConnections(now, stalled), now
 			timer.Reset(interval)
 		}
@@ -36,14 +36,14 @@
 		}
 	}
 	if interval == activeInterval {
-		p.checksOften.Store(true)
+		p.frequentChecks.Store(true)
 	}
 	return interval
 }
 
 // signalActive has the connections checked at activeInterval from now on.
 func (p *Pool) signalActive() {
-	if p.checksOften.Swap(true) {
+	if p.frequentChecks.Swap(true) {
 		return
 	}
 	select {
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -45,18 +45,18 @@
 	return pool
 }
 
-func explain(id string) *protocol.Request {
+func explainRequest(id string) *protocol.Request {
 	return &protocol.Request{Body: &protocol.Request_Explain{Explain: &protocol.ExplainRequest{RequestId: id}}}
 }
 
-func explained(id string) *protocol.Response {
+func explainResponse(id string) *protocol.Response {
 	return &protocol.Response{Body: &protocol.Response_Explain{Explain: &protocol.ExplainResponse{
 		Explanations: []*protocol.Explanation{{RequestId: id}},
 	}}}
 }
 
 func echo(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-	return send(explained(request.GetExplain().GetRequestId()))
+	return send(explainResponse(request.GetExplain().GetRequestId()))
 }
 
 func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
@@ -66,7 +66,7 @@
 	for i := range 200 {
 		go func() {
 			id := string(rune('a'+i%26)) + time.Duration(i).String()
-			answer, err := pool.Call(context.Background(), address, explain(id))
+			answer, err := pool.Call(context.Background(), address, explainRequest(id))
 			if err == nil && answer.GetExplain().GetExplanations()[0].GetRequestId() != id {
 				err = errors.New("answers crossed")
 			}
@@ -84,13 +84,13 @@
 	address, _ := startServer(t,
 		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			for i := range 1000 {
-				if err := send(explained(time.Duration(i).String())); err != nil {
+				if err := send(explainResponse(time.Duration(i).String())); err != nil {
 					return err
 				}
 			}
 			return nil
 		}))
-	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
+	stream, err := startPool(t, testKey).Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
 			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "ask another")
 		}))
-	_, err := startPool(t, testKey).Call(context.Background(), address, explain("x"))
+	_, err := startPool(t, testKey).Call(context.Background(), address, explainRequest("x"))
 	if !failure.Is(err, failure.NotLeader) {
 		t.Fatalf("got %v", err)
 	}
@@ -126,7 +126,7 @@
 			close(ended)
 			return ctx.Err()
 		}))
-	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
+	stream, err := startPool(t, testKey).Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,9 +144,9 @@
 			return ctx.Err()
 		}))
 	pool := startPool(t, testKey)
-	told := make(chan string, 1)
-	pool.OnBroken(func(broken string) { told <- broken })
-	stream, err := pool.Open(context.Background(), address, explain("x"))
+	notified := make(chan string, 1)
+	pool.OnBroken(func(broken string) { notified <- broken })
+	stream, err := pool.Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,11 +156,11 @@
 	if _, err := stream.Receive(); !errors.As(err, &broken) {
 		t.Fatalf("got %v", err)
 	}
-	if got := <-told; got != address {
+	if got := <-notified; got != address {
 		t.Fatalf("notified of %s", got)
 	}
 	var notSent *wire.NotSentError
-	if _, err := pool.Call(context.Background(), address, explain("y")); !errors.As(err, &notSent) {
+	if _, err := pool.Call(context.Background(), address, explainRequest("y")); !errors.As(err, &notSent) {
 		t.Fatalf("a dead peer gave %v", err)
 	}
 }
@@ -173,7 +173,7 @@
 			return nil
 		}))
 	var notSent *wire.NotSentError
-	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explain("x"))
+	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explainRequest("x"))
 	if !errors.As(err, &notSent) {
 		t.Fatalf("got %v", err)
 	}
@@ -182,13 +182,13 @@
 	}
 }
 
-// record keeps what a client sent, so that it can be replayed.
-type record struct {
+// recordingConnection keeps what a client sent, so that it can be replayed.
+type recordingConnection struct {
 	net.Conn
 	sent []byte
 }
 
-func (r *record) Write(data []byte) (int, error) {
+func (r *recordingConnection) Write(data []byte) (int, error) {
 	r.sent = append(r.sent, data...)
 	return r.Conn.Write(data)
 }
@@ -198,15 +198,15 @@
 	address, server := startServer(t,
 		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			count++
-			return send(explained("x"))
+			return send(explainResponse("x"))
 		}))
-	var recorded *record
+	var recorded *recordingConnection
 	pool := wire.NewPool(wire.PoolOptions{Key: testKey, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		recorded = &record{Conn: connection}
+		recorded = &recordingConnection{Conn: connection}
 		return recorded, err
 	}})
-	if _, err := pool.Call(context.Background(), address, explain("x")); err != nil {
+	if _, err := pool.Call(context.Background(), address, explainRequest("x")); err != nil {
 		t.Fatal(err)
 	}
 	pool.Close()
@@ -242,11 +242,11 @@
 				return errors.New("no deadline")
 			}
 			left <- time.Until(deadline)
-			return send(explained("x"))
+			return send(explainResponse("x"))
 		}))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := startPool(t, testKey).Call(ctx, address, explain("x")); err != nil {
+	if _, err := startPool(t, testKey).Call(ctx, address, explainRequest("x")); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-left; got > time.Minute+time.Second || got <= 0 {
@@ -263,11 +263,11 @@
 			return echo(ctx, request, send)
 		}))
 	pool := startPool(t, testKey)
-	_, err := pool.Call(context.Background(), address, explain("bad"))
+	_, err := pool.Call(context.Background(), address, explainRequest("bad"))
 	if !failure.Is(err, failure.InternalError) || failure.From(err).GetOutcome() != protocol.Outcome_UNKNOWN {
 		t.Fatalf("got %v", err)
 	}
-	if _, err := pool.Call(context.Background(), address, explain("good")); err != nil {
+	if _, err := pool.Call(context.Background(), address, explainRequest("good")); err != nil {
 		t.Fatal(err)
 	}
 	if server.Counters().Panics.Load() != 1 {
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -35,8 +35,8 @@
 	reusable []byte
 	failed   error
 	notify   chan struct{}
-	// refreshed is when the write deadline was last set; only the writing goroutine uses it.
-	refreshed time.Time
+	// deadlineSetAt is when the write deadline was last set; only the writing goroutine uses it.
+	deadlineSetAt time.Time
 }
 
 func newFrameWriter(connection net.Conn, counters *Counters) *frameWriter {
@@ -91,8 +91,8 @@
 	w.reusable = nil
 	w.mutex.Unlock()
 	if len(batch) > 0 {
-		if now := time.Now(); now.Sub(w.refreshed) > deadlineRefresh {
-			w.refreshed = now
+		if now := time.Now(); now.Sub(w.deadlineSetAt) > deadlineRefresh {
+			w.deadlineSetAt = now
 			if err := w.connection.SetWriteDeadline(now.Add(writeTimeout)); err != nil {
 				return err
 			}
