--- a/internal/controlplane/corelink/apply.go
+++ b/internal/controlplane/corelink/apply.go
@@ -12,10 +12,10 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// DigestError reports that a bundle in a full snapshot of the configuration does
-// not have the digest that the snapshot states for it.
+// DigestError reports that the digest of a bundle in a full snapshot of the
+// configuration differs from the one stated in the snapshot.
 type DigestError struct {
-	// Version is that of the configuration.
+	// Version is the version of the configuration.
 	Version uint64
 	// Section is active or candidate.
 	Section string
@@ -23,7 +23,7 @@
 
 // Error names the version of the configuration and the bundle.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("configuration version %d: %s bundle has another digest", e.Version, e.Section)
+	return fmt.Sprintf("configuration version %d: digest of the %s bundle does not match", e.Version, e.Section)
 }
 
 // snapshotRequest names the sections that the next poll requests as full snapshots.
@@ -33,8 +33,8 @@
 	unpacked bool
 }
 
-// resetKnown resets the known versions of these sections, so that a poll with
-// them is answered with full snapshots.
+// resetKnown sets the known versions of these sections to zero, so that the core
+// answers with full snapshots.
 func (r snapshotRequest) resetKnown(known *protocol.ControlVersions) {
 	if r.configuration {
 		known.Configuration = 0
@@ -50,7 +50,7 @@
 	}
 }
 
-// pollResult is what follows from the answer to a poll.
+// pollResult is the result of applying the answer to a poll.
 type pollResult struct {
 	view    *View
 	changed bool
@@ -61,9 +61,9 @@
 }
 
 // applyPoll applies the answer to a poll to the current view. The version of a
-// section never decreases. A section that does not apply, or does not have its
-// digest or checksum, keeps its current state; the other sections are applied
-// all the same.
+// section never decreases. A section whose update does not apply, or whose digest
+// or checksum does not match, keeps its current state; the other sections are
+// still updated.
 func applyPoll(current *View, answer *protocol.PollControlResponse) pollResult {
 	next := *current
 	changed := false
@@ -100,7 +100,7 @@
 	}
 }
 
-// sectionUpdate is what an answer carries for one section: a full snapshot,
+// sectionUpdate is the part of an answer for one section: a full snapshot,
 // packed or not, or a delta, or neither.
 type sectionUpdate[Section, Delta proto.Message] struct {
 	snapshot Section
@@ -116,7 +116,7 @@
 	apply  func(current Section, delta Delta) (Section, error)
 }
 
-// next returns the section that is newer than the current one; nil without error if there is none.
+// next returns the updated section; nil without an error if the answer has nothing newer than the current one.
 func (u sectionUpdate[Section, Delta]) next(current Section) (Section, error) {
 	var none Section
 	snapshot, err := u.unpack()
--- a/internal/controlplane/corelink/backoff.go
+++ b/internal/controlplane/corelink/backoff.go
@@ -12,8 +12,8 @@
 	// maxRejectedBackoff bounds the backoff of a node that the core rejects with a reason.
 	maxRejectedBackoff = 30 * time.Second
 	// maxElectionBackoff bounds the backoff between searches for the leader while
-	// an election may be in progress, which is taken to last electionDuration;
-	// maxOutageBackoff bounds it after that.
+	// an election may be in progress, which is assumed to last at most
+	// electionDuration; maxOutageBackoff bounds it after that.
 	maxElectionBackoff = 100 * time.Millisecond
 	electionDuration   = 3 * time.Second
 	maxOutageBackoff   = 500 * time.Millisecond
--- a/internal/controlplane/corelink/call.go
+++ b/internal/controlplane/corelink/call.go
@@ -11,12 +11,12 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// CallCore sends a request to the leader of the core. If the process does not lead
-// or could not be reached, it searches for the leader again and retries, with
+// CallCore sends a request to the leader of the core. If the called process is not
+// the leader or is unreachable, it searches for the leader again and retries, with
 // jittered backoff, until ctx ends. If the connection broke while the request was
-// in flight, only idempotent requests are retried. The error is the last attempt's,
-// together with that of ctx; any other failure that the leader answers is returned
-// as it is.
+// in flight, only idempotent requests are retried. The error then combines that of
+// the last attempt with that of ctx. Any other failure returned by the leader is
+// returned unchanged.
 func (l *Link) CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	var backoff time.Duration
 	for {
@@ -74,8 +74,9 @@
 	return errors.As(err, &notSent) || errors.As(err, &broken)
 }
 
-// isIdempotent reports whether the core may apply the request twice with the effect
-// of once. Only the counts of roll-out variants would be added twice.
+// isIdempotent reports whether applying the request twice has the same effect as
+// applying it once. Only ReportArms is not idempotent: the counts of roll-out
+// variants would be added twice.
 func isIdempotent(request *protocol.Request) bool {
 	_, counts := request.GetBody().(*protocol.Request_ReportArms)
 	return !counts
--- a/internal/controlplane/corelink/delta_test.go
+++ b/internal/controlplane/corelink/delta_test.go
@@ -20,7 +20,8 @@
 	return view
 }
 
-// deltaAddingNode3 adds node-3 to the base 7 and promises the checksum of the view given.
+// deltaAddingNode3 returns a delta from version 7 that adds node-3, with the version, count and checksum of the
+// given view.
 func deltaAddingNode3(view *protocol.MembershipView) *protocol.MembershipDelta {
 	return &protocol.MembershipDelta{
 		BaseVersion: 7, Version: view.GetVersion(), Upserted: membershipView(0, 3).GetNodes(),
@@ -42,7 +43,7 @@
 			state.Membership, state.MembershipDelta = membershipView(8, 1), &protocol.MembershipDelta{BaseVersion: 9, Version: 8}
 		})
 		advance(15 * time.Second)
-		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9), "it never steps back")
+		g.Expect(link.View().Membership.GetVersion()).To(BeEquivalentTo(9), "the version must not decrease")
 	})
 }
 
--- a/internal/controlplane/corelink/fake_core_test.go
+++ b/internal/controlplane/corelink/fake_core_test.go
@@ -19,13 +19,14 @@
 	leaseMillis  = 5000
 )
 
-// fakeCore is a core in memory. Polls stay pending in virtual time.
+// fakeCore is an in-memory core. Polls stay pending in virtual time.
 type fakeCore struct {
 	mutex  sync.Mutex
 	leader string
 	term   uint64
-	down   map[string]bool
-	// unresponsive addresses do not answer.
+	// down addresses are unreachable.
+	down map[string]bool
+	// unresponsive addresses accept calls and do not answer.
 	unresponsive   map[string]bool
 	delay          time.Duration
 	rejectRenewals bool
@@ -35,7 +36,7 @@
 	rejection *protocol.Refusal
 	latest    *protocol.PollControlResponse
 	changed   chan struct{}
-	// hangPolls leaves pending polls without an answer.
+	// hangPolls leaves polls that start while it is set without an answer once the state changes.
 	hangPolls bool
 	// breakConnections is how many calls lose their connection after they were served.
 	breakConnections int
@@ -73,7 +74,7 @@
 		case <-arrives:
 		case <-ctx.Done():
 			if request.GetPollControl() == nil {
-				// What was sent arrives, whatever became of its sender.
+				// The request still reaches the core after its caller gave up.
 				go func() {
 					<-arrives
 					_, _ = c.serve(context.WithoutCancel(ctx), address, request)
@@ -162,7 +163,7 @@
 	return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: update}}, nil
 }
 
-// updateFor is what a node that polls so does not have; nil when there is nothing.
+// updateFor returns the sections that are newer than the versions known to the poll; nil if there are none.
 func (c *fakeCore) updateFor(poll *protocol.PollControlRequest) *protocol.PollControlResponse {
 	known, update, newer := poll.GetKnown(), &protocol.PollControlResponse{}, false
 	if membership := c.latest.GetMembership(); membership.GetVersion() > known.GetMembership() {
@@ -190,7 +191,7 @@
 	return update
 }
 
-// publish makes a new state known to the pending polls.
+// publish changes the state and wakes the pending polls.
 func (c *fakeCore) publish(change func(*protocol.PollControlResponse)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/corelink/link.go
+++ b/internal/controlplane/corelink/link.go
@@ -5,9 +5,10 @@
 //
 // One goroutine owns the state (owner); calls to the core run in goroutines of
 // their own and post their results to it. A further goroutine calls the
-// subscribers. What other goroutines read is published through atomic pointers to
-// immutable values, so all methods of a Link are safe for concurrent use, except
-// Subscribe, Start and Stop. Package lease decides until when the node may act.
+// subscribers. State that other goroutines read is published through atomic
+// pointers to immutable values, so all methods of a Link are safe for concurrent
+// use, except Subscribe, Start and Stop. Package lease determines how long the node
+// may act.
 package corelink
 
 import (
@@ -51,7 +52,7 @@
 	// Self describes this process. The link clones it, and raises the incarnation
 	// of its clone whenever authority was lost.
 	Self *protocol.Node
-	// Seeds are addresses (host:port) that are asked where the core's leader is.
+	// Seeds are addresses (host:port) of processes that are queried for the core's leader.
 	Seeds  []string
 	Caller wire.Caller
 
@@ -64,12 +65,13 @@
 	// PollWait is how long the core may keep a poll pending.
 	PollWait time.Duration
 
-	// Logger and Registerer default to the standard logger and a registry that nobody reads.
+	// Logger and Registerer default to the standard logger and a registry that is not exposed.
 	Logger     *log.Logger
 	Registerer prometheus.Registerer
 }
 
-// Link is the connection to the core. It is used once: New, Subscribe, Start, Stop.
+// Link is the connection to the core. It cannot be restarted: the order of calls
+// is New, Subscribe, Start, Stop.
 type Link struct {
 	options Options
 	locator *locator
@@ -132,16 +134,16 @@
 }
 
 // Subscribe registers a function that is called with every view in order, from
-// one goroutine; Start calls it with the view at that moment. A view is in force,
-// and acknowledged to the core, once all subscribers have returned. Call it before
-// Start.
+// one goroutine; Start calls it with the view at that moment. A view is applied,
+// and acknowledged to the core, once all subscribers have returned. Call Subscribe
+// before Start.
 func (l *Link) Subscribe(subscriber func(*View)) {
 	l.subscribers = append(l.subscribers, subscriber)
 }
 
-// Start starts to find the core, to renew the lease and to poll. It does not wait
+// Start begins to search for the core, renew the lease and poll. It does not wait
 // for any of these; Ready reports when they have succeeded. The link runs until
-// Stop, also when ctx ends before.
+// Stop, even if ctx ends earlier.
 func (l *Link) Start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -193,7 +195,7 @@
 	}
 }
 
-// View returns the latest view that was received; never nil. Subscribers may not have seen it yet.
+// View returns the latest view that was received; never nil. Subscribers may not have been called with it yet.
 func (l *Link) View() *View {
 	return l.view.Load()
 }
@@ -203,13 +205,13 @@
 	return l.authority.Load()
 }
 
-// Self describes this process under its current incarnation, which is raised
-// whenever authority was lost. The caller must not change it.
+// Self returns the description of this process with its current incarnation,
+// which is raised whenever authority was lost. The caller must not modify it.
 func (l *Link) Self() *protocol.Node {
 	return l.Authority().Self
 }
 
-// AuthorityExpiresAt is when authority ends on the monotonic clock; zero without a lease.
+// AuthorityExpiresAt returns when authority ends on the monotonic clock; zero without a lease.
 func (l *Link) AuthorityExpiresAt() time.Time {
 	return l.Authority().ExpiresAt
 }
@@ -224,19 +226,19 @@
 	return l.hasFreshView.Load() && l.HasAuthority()
 }
 
-// LocateCore returns what is known about the core: the answer of this process to a LocateCoreRequest.
+// LocateCore returns the known leader and processes of the core, as this process answers a LocateCoreRequest.
 func (l *Link) LocateCore() *protocol.LocateCoreResponse {
 	return l.locator.known()
 }
 
-// SetSeeds replaces the seed addresses. Core processes known from answers are
-// still queried, too.
+// SetSeeds replaces the seed addresses. Core processes known from earlier answers
+// are still queried.
 func (l *Link) SetSeeds(seeds []string) {
 	l.locator.setSeeds(seeds)
 }
 
 // SetDraining reports to the core, with a renewal that is sent immediately, whether
-// the process drains.
+// the process is draining.
 func (l *Link) SetDraining(draining bool) {
 	select {
 	case l.commands <- func(ctx context.Context, o *ownerLoop) { o.setDraining(ctx, draining) }:
@@ -253,7 +255,7 @@
 	}
 }
 
-// runNotifier calls the subscribers with each new view, and then has the owner record it as in force.
+// runNotifier calls the subscribers with each new view, and then has the owner record it as applied.
 func (l *Link) runNotifier(ctx context.Context) {
 	for {
 		select {
--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -15,7 +15,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// The tests run in a bubble of virtual time: waiting costs nothing and nothing depends on the wall clock.
+// The tests run in synctest bubbles: waits take no real time, and results do not depend on the wall clock.
 
 // withLink runs a test with a link that was started a second ago; the bubble ends only when all goroutines have.
 func withLink(t *testing.T, test func(g *WithT, core *fakeCore, link *corelink.Link)) {
@@ -38,7 +38,7 @@
 		g.Expect(link.Start(context.Background())).To(Succeed())
 		defer func() {
 			_ = link.Stop(context.Background())
-			// What was sent before the stop arrives in the end.
+			// Requests sent before the stop arrive, with a delay of up to an hour, so that their goroutines end.
 			advance(2 * time.Hour)
 		}()
 		test(g, link)
@@ -102,7 +102,7 @@
 	})
 }
 
-// A node whose messages arrive, but not the answers to them, must not keep its ranges of the ring.
+// A node that can reach the core but receives no answers must not keep its ranges of the ring.
 func TestGivenAnswersThatNeverArriveThenItStopsRequestingALease(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.breakConnections = 1 << 30 })
@@ -151,7 +151,7 @@
 func TestGivenAPollOnADeadConnectionThenTheNewViewIsStillReceived(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.hangPolls = true })
-		// The pending poll began before; one more change makes the next one hang.
+		// The pending poll started before hangPolls was set and returns this change; the next poll hangs.
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
 		advance(100 * time.Millisecond)
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 10} })
@@ -276,7 +276,7 @@
 	})
 }
 
-// A renewal that is under way must not reach the core after the release.
+// A renewal that is in flight must not reach the core after the release.
 func TestGivenARenewalInFlightWhenStoppedThenTheReleaseFollowsIt(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 900 * time.Millisecond })
@@ -287,7 +287,7 @@
 		advance(50 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		advance(5 * time.Second)
-		g.Expect(core.renewalCount()).To(Equal(before+2), "the renewal and the release")
+		g.Expect(core.renewalCount()).To(Equal(before+2), "exactly the renewal in flight and the release must reach the core")
 		g.Expect(core.lastRenewal().GetRelease()).To(BeTrue())
 	})
 }
--- a/internal/controlplane/corelink/locator.go
+++ b/internal/controlplane/corelink/locator.go
@@ -39,7 +39,7 @@
 	caller  wire.Caller
 	self    *protocol.Node
 	metrics *metrics
-	// What seeds and current point to is never changed.
+	// The values that seeds and current point to are immutable.
 	seeds   atomic.Pointer[[]string]
 	current atomic.Pointer[protocol.LocateCoreResponse]
 
@@ -136,7 +136,7 @@
 	close(shared.done)
 }
 
-// maxBackoff bounds the backoff until the next search.
+// maxBackoff returns the limit of the backoff before the next search.
 func (l *locator) maxBackoff() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -147,8 +147,8 @@
 }
 
 // queryAll queries all known processes in parallel, each repeatedly, until one names
-// a leader whose term is not older than the known one, or searchTimeout is over. A
-// process that does not answer, such as one without power, delays none of the others.
+// a leader whose term is not older than the known one, or searchTimeout is over. An
+// unresponsive process, such as one on a powered-off machine, does not delay the others.
 func (l *locator) queryAll(ctx context.Context) (string, error) {
 	l.metrics.leaderSearches.Inc()
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
@@ -219,8 +219,8 @@
 	return response.GetLocateCore()
 }
 
-// mergeAnswer merges an answer into what is known, and reports whether it named a
-// leader whose term is not older than the known one. An answer of an older term
+// mergeAnswer merges an answer into the known state of the core, and reports whether it
+// named a leader whose term is not older than the known one. An answer of an older term
 // still adds core addresses.
 func (l *locator) mergeAnswer(answer *protocol.LocateCoreResponse) bool {
 	for {
--- a/internal/controlplane/corelink/metrics.go
+++ b/internal/controlplane/corelink/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// metrics counts what the link does; names begin with rosestand_link_.
+// metrics are the metrics of the link; their names begin with rosestand_link_.
 type metrics struct {
 	renewals        *prometheus.CounterVec
 	polls           *prometheus.CounterVec
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxTimeUntilReady bounds the time from when a leader is there until the node is ready.
+// maxTimeUntilReady bounds the time from the election of a leader until the node is ready.
 const maxTimeUntilReady = 200 * time.Millisecond
 
 // timeUntilReady advances virtual time until the link is ready, and returns how long that took.
@@ -64,7 +64,7 @@
 		renewals := core.renewalCount()
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
 		advance(maxTimeUntilReady)
-		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "renewed at once")
+		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "must renew immediately at the new leader")
 		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically(">", 4*time.Second))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
 	})
@@ -117,7 +117,7 @@
 		}
 		advance(time.Second)
 		g.Expect(core.count("locates")-before).To(
-			BeNumerically("<=", 20*4), "twenty searches a second of four processes, over all callers",
+			BeNumerically("<=", 20*4), "at most twenty searches per second of four processes, over all callers",
 		)
 	})
 }
@@ -136,7 +136,7 @@
 	})
 }
 
-// Another machine uses the name: the two must not take the lease from each other in turn.
+// Another machine uses the same name: the two must not alternately take the lease from each other.
 func TestGivenTheNameAtAnotherAddressThenTheNodeDoesNotSupersedeIt(t *testing.T) {
 	core := newFakeCore()
 	other := &protocol.Node{Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 1 << 50, Address: "10.0.0.6:1"}
--- a/internal/controlplane/corelink/owner_loop.go
+++ b/internal/controlplane/corelink/owner_loop.go
@@ -10,20 +10,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// command is a step that the owner goroutine runs; ctx ends when the link stops.
+// command is a function that the owner goroutine runs; ctx ends when the link stops.
 type command func(ctx context.Context, o *ownerLoop)
 
-// ownerLoop is the state of a started link. Only the goroutine in run touches it;
+// ownerLoop is the state of a started link. Only the goroutine in run accesses it;
 // calls to the core run in goroutines of their own and post their results to it.
 type ownerLoop struct {
 	link   *Link
 	holder *lease.Holder
-	// self is replaced, never changed: Authority shares it.
+	// self is replaced, never modified, because Authority shares it.
 	self *protocol.Node
 
 	// The lease.
 
-	// coreResponds is true while answers of the core arrive.
+	// coreResponds is true while answers of the core arrive; otherwise it is probed before a renewal.
 	coreResponds bool
 	renewing     bool
 	renewAgain   bool
@@ -111,8 +111,9 @@
 	o.renew(ctx)
 }
 
-// clearOwnedNothing is reported with the next regular renewal: nodes of a fleet
-// that started together would otherwise all report it at the same moment.
+// clearOwnedNothing records that the process has owned a session. It is reported
+// with the next regular renewal, because nodes of a fleet that started together
+// would otherwise all report it at the same time.
 func (o *ownerLoop) clearOwnedNothing() {
 	if !o.self.GetOwnedNothing() {
 		return
--- a/internal/controlplane/corelink/packed_test.go
+++ b/internal/controlplane/corelink/packed_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/transport/packing"
 )
 
-// publishPackedConfiguration publishes a configuration with the bytes given as its packed form.
+// publishPackedConfiguration publishes a configuration with the given bytes as its packed form.
 func (c *fakeCore) publishPackedConfiguration(full *protocol.Configuration, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
 		state.Configuration, state.PackedConfiguration = full, packed
@@ -67,7 +67,7 @@
 				g.Expect(proto.Equal(link.View().Configuration, full)).To(BeTrue())
 				g.Expect(core.unpackedPolls()).To(Equal(1))
 				g.Expect(core.lastPoll().GetAcceptsPackedConfiguration()).To(
-					BeTrue(), "only that one poll requests the unpacked form",
+					BeTrue(), "only one poll must request the unpacked form",
 				)
 				g.Expect(link.HasAuthority()).To(BeTrue())
 			})
@@ -75,7 +75,7 @@
 	}
 }
 
-// publishPackedMembership publishes a membership with the bytes given as its packed form.
+// publishPackedMembership publishes a membership with the given bytes as its packed form.
 func (c *fakeCore) publishPackedMembership(full *protocol.MembershipView, packed []byte) {
 	c.publish(func(state *protocol.PollControlResponse) {
 		state.Membership, state.PackedMembership = full, packed
--- a/internal/controlplane/corelink/polling.go
+++ b/internal/controlplane/corelink/polling.go
@@ -7,9 +7,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// poll starts one long poll, unless one is in flight; its answer arrives at
-// pollCompleted. The next one starts once the view that this one led to is in
-// force, so that the versions that a poll names are those that the node acts on.
+// poll starts one long poll, unless one is in flight; pollCompleted handles its
+// answer. The next poll starts once the view that resulted from this one is
+// applied, so that the versions stated in a poll are those that the node acts on.
 func (o *ownerLoop) poll(ctx context.Context) {
 	if o.polling {
 		return
@@ -35,8 +35,8 @@
 	})
 }
 
-// pollRequest names the versions of the current view. Known is also the acknowledgement. That is
-// sound because no poll starts between receiving a view and viewApplied (polling stays true).
+// pollRequest states the versions of the current view as known. Known is also the acknowledgement.
+// This is safe because no poll starts between receiving a view and viewApplied (polling stays true).
 // Sections reset to 0 acknowledge nothing.
 func (o *ownerLoop) pollRequest(fresh bool) *protocol.Request {
 	known := o.link.View().Versions()
@@ -85,11 +85,11 @@
 	o.link.view.Store(result.view)
 	o.supersedePreviousIncarnation()
 	o.link.metrics.observe(result.view.Versions())
-	// The notifier takes each view before the next poll is sent, so the channel has capacity.
+	// The notifier receives each view before the next poll is sent, so the channel has capacity.
 	o.link.newViews <- result.view
 }
 
-// viewApplied runs when all subscribers have returned from a view.
+// viewApplied records a view as applied once all subscribers have returned from it.
 func (o *ownerLoop) viewApplied(view *View) {
 	o.link.appliedView.Store(view)
 	o.holder.ViewApplied(view.Membership.GetVersion())
--- a/internal/controlplane/corelink/rejection_test.go
+++ b/internal/controlplane/corelink/rejection_test.go
@@ -32,7 +32,7 @@
 		before := core.renewalCount()
 		advance(5 * time.Minute)
 		g.Expect(core.renewalCount()-before).To(
-			And(BeNumerically(">=", 10), BeNumerically("<=", 21)), "every 15 to 30 seconds",
+			And(BeNumerically(">=", 10), BeNumerically("<=", 21)), "renewals must be sent every 15 to 30 seconds",
 		)
 		core.set(func() { core.rejectRenewals, core.rejection = false, nil })
 		advance(31 * time.Second)
@@ -54,7 +54,7 @@
 		"no process listens": func(core *fakeCore) {
 			core.down = map[string]bool{firstLeader: true, secondLeader: true, seedAddress: true, "10.0.0.8:1": true}
 		},
-		"nothing is answered": func(core *fakeCore) { core.delay = time.Hour },
+		"no call is answered": func(core *fakeCore) { core.delay = time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
--- a/internal/controlplane/corelink/renewal.go
+++ b/internal/controlplane/corelink/renewal.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// renew starts one renewal; its answer arrives at renewalCompleted. A renewal that
-// is due while one is in flight follows as soon as that completes.
+// renew starts one renewal; renewalCompleted handles its answer. A renewal that is
+// due while one is in flight follows as soon as that completes.
 func (o *ownerLoop) renew(ctx context.Context) {
 	if o.released {
 		return
@@ -41,15 +41,15 @@
 	})
 }
 
-// renewTimeout bounds a renewal and the check for contact before it.
+// renewTimeout returns the timeout of a renewal and of the probe before it.
 func (l *Link) renewTimeout() time.Duration {
 	return max(l.options.RenewInterval, minRenewTimeout)
 }
 
 // probeCore checks that answers of the core arrive before a lease is
-// requested. A node whose messages reach the core, but not the answers back,
-// would otherwise keep a lease, and with it its ranges of the ring, without ever
-// acting on it.
+// requested. A node that can reach the core but does not receive its answers would
+// otherwise keep a lease, and with it its ranges of the ring, without ever acting
+// on it.
 func (o *ownerLoop) probeCore(ctx context.Context) {
 	o.renewing = true
 	link := o.link
@@ -60,7 +60,7 @@
 		request := &protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}}
 		_, err := link.CallCore(callCtx, request)
 		link.post(ctx, func(_ context.Context, o *ownerLoop) {
-			// An answer that was buffered while the process was frozen proves nothing.
+			// An answer that was buffered while the process was frozen does not count.
 			o.probeCompleted(err == nil && time.Since(sentAt) <= timeout)
 		})
 	})
@@ -125,7 +125,7 @@
 	hadAuthority := o.link.HasAuthority()
 	duration := time.Duration(answer.GetDurationMillis()) * time.Millisecond
 	if !o.holder.Granted(now, renewal, duration, answer.GetLatest().GetMembership()) {
-		// The grant arrived too late to count; renew immediately.
+		// The grant arrived too late to be used; renew immediately.
 		o.link.metrics.renewals.WithLabelValues("late").Inc()
 		o.renewTimer.Reset(0)
 		return
@@ -141,9 +141,9 @@
 	}
 }
 
-// pollIsOverdue reports whether the core has something newer than the view although
-// a poll has been in flight for longer than its answer takes, as when its
-// connection is dead.
+// pollIsOverdue reports whether the core has a newer version than the view although
+// a poll has been in flight for longer than RenewInterval, for example on a dead
+// connection.
 func (o *ownerLoop) pollIsOverdue(now time.Time, latest *protocol.ControlVersions) bool {
 	current := o.link.View().Versions()
 	behind := latest.GetConfiguration() > current.GetConfiguration() ||
@@ -153,9 +153,9 @@
 	return behind && o.polling && now.Sub(o.pollStartedAt) > o.link.options.RenewInterval
 }
 
-// renewalRejected ends authority. A rejection with a reason persists until something
-// else changes, so the node backs off up to maxRejectedBackoff; one without a
-// reason is temporary.
+// renewalRejected ends authority. A rejection with a reason persists until the cause
+// is removed, so the node backs off up to maxRejectedBackoff; one without a reason
+// is temporary.
 func (o *ownerLoop) renewalRejected(now time.Time, renewal lease.Renewal, rejection *protocol.Refusal, err error) {
 	o.link.metrics.renewals.WithLabelValues("refused").Inc()
 	o.holder.Rejected(now, renewal)
@@ -178,11 +178,11 @@
 	o.retryRenewal()
 }
 
-// supersedePreviousIncarnation continues under a larger incarnation if the view
-// has this node, at its own address, under one that is not smaller. Only one
-// process can listen at an address, so that entry is an earlier process of the
-// same node, and the clock that incarnations are taken from was set back. It then
-// requests the lease immediately and reports true.
+// supersedePreviousIncarnation adopts a larger incarnation if the view lists this
+// node, at its own address, with an incarnation that is not smaller. Only one
+// process can listen at an address, so that entry belongs to an earlier process of
+// the same node, and the clock from which incarnations are derived was set back. It
+// then requests the lease immediately and reports true.
 func (o *ownerLoop) supersedePreviousIncarnation() bool {
 	now := time.Now()
 	if !o.rejected || o.holder.Valid(now) {
@@ -217,7 +217,8 @@
 
 // release ends authority and sends the request that releases the lease to the
 // channel, which must have capacity for it. It does so once no renewal is in
-// flight, because one that overtook the release would begin the lease anew.
+// flight, because a renewal that reached the core after the release would start a
+// new lease.
 func (o *ownerLoop) release(request chan<- *protocol.Request) {
 	o.released = true
 	o.holder.Released()
--- a/internal/controlplane/corelink/search_test.go
+++ b/internal/controlplane/corelink/search_test.go
@@ -27,6 +27,6 @@
 		core.down[seedAddress] = false
 		core.mutex.Unlock()
 		advance(200 * time.Millisecond)
-		g.Expect(link.Ready()).To(BeTrue(), "the seed that answers is queried again")
+		g.Expect(link.Ready()).To(BeTrue(), "the seed that answers now must be queried again")
 	})
 }
--- a/internal/controlplane/corelink/view.go
+++ b/internal/controlplane/corelink/view.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// View is the cluster data that a node was sent. It is immutable; a section is nil until it was first received.
+// View is the cluster data that a node received. It is immutable; a section is nil until it was first received.
 type View struct {
 	Configuration *protocol.Configuration
 	Membership    *protocol.MembershipView
@@ -15,7 +15,7 @@
 	Placement     *protocol.Placement
 }
 
-// Versions returns the version of each section; zero for one never received.
+// Versions returns the version of each section; zero for a section that was never received.
 func (v *View) Versions() *protocol.ControlVersions {
 	return &protocol.ControlVersions{
 		Configuration: v.Configuration.GetVersion(),
@@ -27,7 +27,7 @@
 
 // Authority is an immutable snapshot of the state of the lease.
 type Authority struct {
-	// Self describes this process under its current incarnation.
+	// Self describes this process with its current incarnation.
 	Self *protocol.Node
 	// ExpiresAt is when authority ends on the monotonic clock; zero without a lease.
 	ExpiresAt time.Time
--- a/internal/controlplane/views/apply.go
+++ b/internal/controlplane/views/apply.go
@@ -8,9 +8,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MismatchError reports that a delta does not lead from the current view to the
-// one it was made for. The receiver must request a full snapshot of the section,
-// which it does by naming version zero as the one it knows.
+// MismatchError reports that a delta does not apply to the current view: its base
+// or its result differs from what the delta states. The receiver must request a
+// full snapshot of the section, by stating version zero as the known one.
 type MismatchError struct {
 	// Section is membership, back_ends or placement.
 	Section string
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("delta of the section %s does not apply: %s", e.Section, e.Reason)
 }
 
-// ApplyMembership returns the view that a delta leads to from the current one,
-// which stays unchanged. The error is a *MismatchError.
+// ApplyMembership applies a delta to the current view, which is not modified, and
+// returns the result. The error is a *MismatchError.
 func ApplyMembership(
 	current *protocol.MembershipView, delta *protocol.MembershipDelta,
 ) (*protocol.MembershipView, error) {
@@ -39,8 +39,8 @@
 	return &protocol.MembershipView{Version: delta.GetVersion(), Nodes: nodes}, nil
 }
 
-// ApplyBackEnds returns the view that a delta leads to from the current one,
-// which stays unchanged. The error is a *MismatchError.
+// ApplyBackEnds applies a delta to the current view, which is not modified, and
+// returns the result. The error is a *MismatchError.
 func ApplyBackEnds(current *protocol.BackEndView, delta *protocol.BackEndDelta) (*protocol.BackEndView, error) {
 	backEnds := mergeSorted(current.GetBackEnds(), delta.GetUpserted(), delta.GetRemoved(), (*protocol.BackEnd).GetId)
 	verification := &deltaVerification{
@@ -54,8 +54,8 @@
 	return &protocol.BackEndView{Version: delta.GetVersion(), BackEnds: backEnds}, nil
 }
 
-// ApplyPlacement returns the placement that a delta leads to from the current
-// one, which stays unchanged. The error is a *MismatchError.
+// ApplyPlacement applies a delta to the current placement, which is not modified,
+// and returns the result. The error is a *MismatchError.
 func ApplyPlacement(current *protocol.Placement, delta *protocol.PlacementDelta) (*protocol.Placement, error) {
 	placement := &protocol.Placement{
 		Epoch: delta.GetEpoch(), Shards: slices.Clone(current.GetShards()),
@@ -64,7 +64,7 @@
 	for _, shard := range delta.GetShards() {
 		if int(shard.GetShard()) >= len(placement.GetShards()) {
 			return nil, &MismatchError{
-				Section: "placement", Reason: fmt.Sprintf("shard %d is not in the base", shard.GetShard()),
+				Section: "placement", Reason: fmt.Sprintf("shard %d is not in the current placement", shard.GetShard()),
 			}
 		}
 		placement.Shards[shard.GetShard()] = shard
@@ -99,18 +99,18 @@
 		}
 	case c.count != int(c.expectedCount):
 		return &MismatchError{
-			Section: c.section, Reason: fmt.Sprintf("%d entries result, %d are expected", c.count, c.expectedCount),
+			Section: c.section, Reason: fmt.Sprintf("the result has %d entries, want %d", c.count, c.expectedCount),
 		}
 	case c.checksum != c.expectedChecksum:
-		return &MismatchError{Section: c.section, Reason: "the checksum differs"}
+		return &MismatchError{Section: c.section, Reason: "the checksum of the result does not match"}
 	default:
 		return nil
 	}
 }
 
 // mergeSorted returns the base, which is sorted by name, without the removed
-// entries and with the upserted ones inserted or replaced in order. One pass
-// keeps it linear in the size of the fleet.
+// entries and with the upserted ones inserted or replaced in order. It merges in
+// one pass, so the cost is linear in the size of the fleet.
 func mergeSorted[T any](base, upserted []T, removed []string, name func(T) string) []T {
 	upserted = slices.SortedFunc(slices.Values(upserted), func(a, b T) int { return strings.Compare(name(a), name(b)) })
 	removedNames := make(map[string]bool, len(removed))
--- a/internal/controlplane/views/benchmark_test.go
+++ b/internal/controlplane/views/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// backEndViews gives a view of 600 back ends and the one after it, with one changed.
+// backEndViews returns a view of 600 back ends and its successor, in which one back end changed.
 func backEndViews() (base, next *protocol.BackEndView) {
 	base = &protocol.BackEndView{Version: 1}
 	for number := range 600 {
@@ -32,7 +32,7 @@
 	history.Add(2, next.GetBackEnds()[300].GetId())
 	for b.Loop() {
 		if views.BackEndDelta(next, &history, 1, views.BackEndsChecksum(next.GetBackEnds())) == nil {
-			b.Fatal("no delta")
+			b.Fatal("got no delta of one changed back end out of 600")
 		}
 	}
 }
--- a/internal/controlplane/views/checksum.go
+++ b/internal/controlplane/views/checksum.go
@@ -11,7 +11,7 @@
 )
 
 // fieldHasher encodes fields in a fixed order, each text with its length, so that
-// no two lists of fields give the same bytes to hash.
+// different lists of fields never have the same encoding.
 type fieldHasher struct {
 	buffer []byte
 }
@@ -68,7 +68,7 @@
 	return h.sum()
 }
 
-// versions adds a map in the order of its keys.
+// versions encodes a map in the order of its keys.
 func (h *fieldHasher) versions(versions map[string]uint64) {
 	h.number(uint64(len(versions)))
 	for _, name := range slices.Sorted(maps.Keys(versions)) {
--- a/internal/controlplane/views/delta.go
+++ b/internal/controlplane/views/delta.go
@@ -40,7 +40,7 @@
 }
 
 // PlacementDelta returns the changes from the known epoch to the placement, whose
-// checksum the caller supplies. Each shard names the epoch of its last change, so
+// checksum the caller supplies. Each shard records the epoch of its last change, so
 // no history is needed. It is nil if the known epoch is zero or not older than the
 // placement, or if a full snapshot takes no more bytes.
 func PlacementDelta(placement *protocol.Placement, known, checksum uint64) *protocol.PlacementDelta {
--- a/internal/controlplane/views/delta_test.go
+++ b/internal/controlplane/views/delta_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// fillFields sets every field of a message to something that is not zero.
+// fillFields sets every field of a message to a value other than zero, and lists and maps to one entry.
 func fillFields(message protoreflect.Message, number uint64) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A field added to a message later must be added to its checksum too.
+// Guards against a new field of a message that is not added to its checksum.
 func TestChecksumsCoverEveryField(t *testing.T) {
 	membershipSum := func(m proto.Message) uint64 {
 		return views.MembershipChecksum(m.(*protocol.MembershipView).GetNodes())
@@ -99,7 +99,7 @@
 			changed := proto.Clone(sample.view)
 			sample.part(changed).ProtoReflect().Clear(fields.Get(i))
 			if sample.sum(changed) == sample.sum(sample.view) {
-				t.Errorf("%s is not in the checksum", fields.Get(i).FullName())
+				t.Errorf("clearing %s does not change the checksum", fields.Get(i).FullName())
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 	return view
 }
 
-// From each earlier version, the delta leads to the latest view, or there is none.
+// For each earlier version, applying the delta results in the latest view, or no delta is made.
 func TestDeltasFromAnyVersionResultInTheLatestView(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	incarnations := map[int]uint64{}
@@ -153,12 +153,15 @@
 			deltas++
 			applied, err := views.ApplyMembership(base, delta)
 			if err != nil || !proto.Equal(applied, view) {
-				t.Fatalf("from %d to %d: %v", base.GetVersion(), version, err)
+				t.Fatalf(
+					"delta from version %d to %d: got a view of %d nodes and error %v, want the latest view of %d nodes",
+					base.GetVersion(), version, len(applied.GetNodes()), err, len(view.GetNodes()),
+				)
 			}
 		}
 	}
 	if deltas == 0 || snapshots == 0 {
-		t.Errorf("%d deltas, %d snapshots: both must occur", deltas, snapshots)
+		t.Errorf("got %d deltas and %d snapshots, want some of both", deltas, snapshots)
 	}
 }
 
@@ -166,7 +169,7 @@
 	history := views.NewHistory(10)
 	view := viewOf(20_000, map[int]uint64{1: 1, 2: 1, 3: 1})
 	if views.MembershipDelta(view, &history, 9, 0) != nil {
-		t.Error("a delta from before the history began")
+		t.Error("got a delta from version 9, want none: the history begins at 10")
 	}
 	history.Add(11, "node-001")
 	early := history.Copy()
@@ -174,15 +177,15 @@
 		history.Add(version, "node-002")
 	}
 	if views.MembershipDelta(view, &history, 11, 0) != nil {
-		t.Error("a delta from a version that was discarded")
+		t.Error("got a delta from version 11, want none: its changes were discarded")
 	}
 	if views.MembershipDelta(view, &history, 19_000, 0) == nil {
-		t.Error("no delta from a version that is retained")
+		t.Error("got no delta from version 19000, which the history covers")
 	}
 	if delta := views.MembershipDelta(
 		viewOf(11, map[int]uint64{1: 1, 2: 1, 3: 1}), &early, 10, 0,
 	); len(delta.GetUpserted()) != 1 {
-		t.Errorf("a copy of the history changed: %v", delta)
+		t.Errorf("delta from the copied history: got %v, want one upserted node", delta)
 	}
 }
 
@@ -199,23 +202,23 @@
 	next.Shards[3].Epoch, next.Shards[3].Next = 9, []*protocol.Replica{{Store: "s2", StorageId: "d2"}}
 	delta := views.PlacementDelta(next, 5, views.PlacementChecksum(next))
 	if len(delta.GetShards()) != 1 {
-		t.Fatalf("got %v", delta)
+		t.Fatalf("got delta %v, want one with shard 3 alone", delta)
 	}
 	applied, err := views.ApplyPlacement(base, delta)
 	if err != nil || !proto.Equal(applied, next) {
-		t.Fatalf("got %v, %v", applied, err)
+		t.Fatalf("applying the delta: got %v, error %v, want %v", applied, err, next)
 	}
 	if base.GetShards()[3].GetEpoch() != 5 {
-		t.Error("the base was changed")
+		t.Errorf("epoch of shard 3 of the base is %d, want 5: the base was modified", base.GetShards()[3].GetEpoch())
 	}
 	other := proto.CloneOf(base)
 	other.Shards[8].Epoch = 4
 	var mismatch *views.MismatchError
 	if _, err := views.ApplyPlacement(other, delta); !errors.As(err, &mismatch) {
-		t.Errorf("applied to another base: %v", err)
+		t.Errorf("applying the delta to another base: got error %v, want a *MismatchError", err)
 	}
 	if _, err := views.ApplyPlacement(&protocol.Placement{Epoch: 5}, delta); !errors.As(err, &mismatch) {
-		t.Errorf("applied to an empty base: %v", err)
+		t.Errorf("applying the delta to an empty base: got error %v, want a *MismatchError", err)
 	}
 }
 
@@ -232,7 +235,7 @@
 	history.Add(2, "b04")
 	delta := views.BackEndDelta(view, &history, 1, views.BackEndsChecksum(view.GetBackEnds()))
 	if applied, err := views.ApplyBackEnds(base, delta); err != nil || !proto.Equal(applied, view) {
-		t.Fatalf("got %v, %v", applied, err)
+		t.Fatalf("applying the delta: got %v, error %v, want %v", applied, err, view)
 	}
 	for name, damage := range map[string]func(*protocol.BackEndView){
 		"another version":  func(v *protocol.BackEndView) { v.Version = 3 },
@@ -243,7 +246,7 @@
 		damage(damagedView)
 		var mismatch *views.MismatchError
 		if _, err := views.ApplyBackEnds(damagedView, delta); !errors.As(err, &mismatch) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("applying the delta to a base with %s: got error %v, want a *MismatchError", name, err)
 		}
 	}
 }
--- a/internal/controlplane/views/history.go
+++ b/internal/controlplane/views/history.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// MinRetainedChanges is how many changes of names a history retains at least:
-// some days of restarts in a fleet of 330 nodes, and one restart of all of them.
+// MinRetainedChanges is the minimum number of changes that a history retains. It
+// covers a few days of restarts in a fleet of 330 nodes, and one restart of all of them.
 const MinRetainedChanges = 2048
 
 // History records which names changed at which version, so that a delta can be
-// made from any version that it covers. It has one owner; Copy returns one that
-// other goroutines may read.
+// made from any version that it covers. It is not safe for concurrent use; Copy
+// returns a copy that other goroutines may read.
 type History struct {
 	// oldestVersion is the oldest version that deltas can be made from.
 	oldestVersion uint64
@@ -33,8 +33,8 @@
 	}
 }
 
-// discardOldest discards at least count changes: all those of a version or none,
-// since deltas from a version that is covered in part would be incomplete.
+// discardOldest discards at least count changes. It discards all changes of a version
+// or none, because deltas from a partly covered version would be incomplete.
 func (h *History) discardOldest(count int) {
 	if count <= 0 {
 		return
@@ -46,8 +46,8 @@
 	h.changes = append(make([]change, 0, 2*MinRetainedChanges), h.changes[count:]...)
 }
 
-// Copy returns the history at this moment. It shares memory with the original, but
-// later additions to that do not show in it.
+// Copy returns a snapshot of the history. It shares memory with the original, but
+// later additions to the original do not appear in it.
 func (h *History) Copy() History {
 	return History{oldestVersion: h.oldestVersion, changes: slices.Clip(h.changes)}
 }
--- a/internal/transport/packing/pack.go
+++ b/internal/transport/packing/pack.go
@@ -14,17 +14,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxUnpackedBytes bounds the encoding of a packed message. That of any other
-// message is bounded by the frame of the internal protocol, which is as large.
+// MaxUnpackedBytes is the maximum size of the encoding of a packed message. Other
+// messages are limited by the maximum frame of the internal protocol, which has the same size.
 const MaxUnpackedBytes = 16 << 20
 
-// OversizedError reports that the encoding of a message takes more than
-// MaxUnpackedBytes, so that it is neither packed nor unpacked.
+// OversizedError reports that the encoding of a message exceeds MaxUnpackedBytes,
+// so that it is neither packed nor unpacked.
 type OversizedError struct{}
 
-// Error names the bound.
+// Error names the limit.
 func (e *OversizedError) Error() string {
-	return fmt.Sprintf("the message takes more than %d bytes", MaxUnpackedBytes)
+	return fmt.Sprintf("encoded message exceeds %d bytes", MaxUnpackedBytes)
 }
 
 // DamagedError reports that a packed message cannot be unpacked.
@@ -34,7 +34,7 @@
 
 // Error names the cause.
 func (e *DamagedError) Error() string {
-	return "the packed message is damaged: " + e.Cause.Error()
+	return "packed message is damaged: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
@@ -46,7 +46,7 @@
 }
 
 // Error names the cause.
-func (e *PackError) Error() string { return "packing the message: " + e.Cause.Error() }
+func (e *PackError) Error() string { return "pack message: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *PackError) Unwrap() error { return e.Cause }
--- a/internal/transport/packing/pack_test.go
+++ b/internal/transport/packing/pack_test.go
@@ -47,19 +47,21 @@
 	for index := range packed {
 		flipped := bytes.Clone(packed)
 		flipped[index] ^= 0x10
-		// A bit that the format does not use may be flipped; the content is then the same.
+		// Flipping a bit that the format does not use leaves the content unchanged.
 		if unpacked, err := unpackConfiguration(flipped); err == nil {
-			g.Expect(proto.Equal(unpacked, configuration)).To(BeTrue(), "byte %d", index)
+			g.Expect(proto.Equal(unpacked, configuration)).To(BeTrue(), "byte %d flipped: the unpacked content differs", index)
 		} else {
-			g.Expect(isTyped(err)).To(BeTrue(), "byte %d: %v", index, err)
+			g.Expect(isTyped(err)).To(BeTrue(), "byte %d flipped: got %v, want an error of this package", index, err)
 		}
 		if index > 0 {
 			_, err = unpackConfiguration(packed[:index])
-			g.Expect(isTyped(err)).To(BeTrue(), "truncated at %d: %v", index, err)
+			g.Expect(isTyped(err)).To(BeTrue(), "truncated at %d: got %v, want an error of this package", index, err)
 		}
 	}
 	_, err = unpackConfiguration(compressed(t, []byte{0xff, 0xff}))
-	g.Expect(errors.HasType(err, (*packing.DamagedError)(nil))).To(BeTrue(), "no message inside: %v", err)
+	g.Expect(errors.HasType(err, (*packing.DamagedError)(nil))).To(
+		BeTrue(), "bytes that are not a message: got %v, want a *DamagedError", err,
+	)
 }
 
 func TestOversizedMessagesAreRejected(t *testing.T) {
@@ -71,12 +73,12 @@
 	} {
 		_, err := unpackConfiguration(packed)
 		if !errors.HasType(err, (*packing.OversizedError)(nil)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("unpacking an oversized message, %s: got %v, want an *OversizedError", name, err)
 		}
 	}
 	_, err := packing.Pack(&protocol.Configuration{ActiveDigest: string(large)})
 	if !errors.HasType(err, (*packing.OversizedError)(nil)) {
-		t.Errorf("packing: %v", err)
+		t.Errorf("packing an oversized message: got %v, want an *OversizedError", err)
 	}
 }
 
@@ -98,7 +100,7 @@
 	return encoder.EncodeAll(content, nil)
 }
 
-// streamed compresses without the size of the content in the header.
+// streamed compresses content without its size in the frame header.
 func streamed(t *testing.T, content []byte) []byte {
 	t.Helper()
 	var packed bytes.Buffer
--- a/internal/transport/strictjson/decode.go
+++ b/internal/transport/strictjson/decode.go
@@ -19,7 +19,7 @@
 	if len(faults) == 0 {
 		return nil
 	}
-	// The parser stops at the first value of a wrong type, so each field is parsed alone, too.
+	// The parser stops at the first value of a wrong type, so each field is also parsed separately.
 	faults = append(faults, faultsOfFields(document, message.ProtoReflect(), "")...)
 	return sortedDistinct(faults)
 }
--- a/internal/transport/strictjson/scan.go
+++ b/internal/transport/strictjson/scan.go
@@ -14,14 +14,14 @@
 const (
 	// maxFaults bounds the list of faults in one answer.
 	maxFaults = 100
-	// maxDepth bounds the nesting of a document; messages here need far less.
+	// maxDepth is the maximum nesting of a document; the messages of the protocol need far less.
 	maxDepth = 32
 )
 
-// nestingError reports that a document is nested deeper than any message.
+// nestingError reports that a document is nested more than maxDepth levels deep.
 type nestingError struct{}
 
-// Error has a fixed text.
+// Error implements error.
 func (*nestingError) Error() string { return "nested too deeply" }
 
 // documentScan walks a JSON document along with the descriptor of its message, to
--- a/internal/transport/strictjson/unmarshal.go
+++ b/internal/transport/strictjson/unmarshal.go
@@ -33,8 +33,8 @@
 }
 
 // Unmarshal decodes a message from protojson. It rejects unknown and repeated
-// fields, and nesting that no message has. The error is an *Error with the faults
-// that were found before the first value of a wrong type; Decode finds them all.
+// fields, and nesting deeper than maxDepth. The error is an *Error with the faults
+// that were found before the first value of a wrong type; Decode finds all faults.
 func Unmarshal(document []byte, message proto.Message) error {
 	scan := scanDocument(document, message.ProtoReflect().Descriptor())
 	if len(scan.faults) > 0 {
--- a/internal/transport/strictjson/unmarshal_test.go
+++ b/internal/transport/strictjson/unmarshal_test.go
@@ -39,14 +39,17 @@
 			err := strictjson.Unmarshal([]byte(test.document), &protocol.Bundle{})
 			var invalid *strictjson.Error
 			if !errors.As(err, &invalid) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("Unmarshal of %q: got error %v, want a *strictjson.Error", test.document, err)
 			}
 			var paths []string
 			for _, fault := range invalid.Faults {
 				paths = append(paths, fault.GetPath())
 			}
 			if fmt.Sprint(paths) != fmt.Sprint(test.paths) || invalid.Unknown != test.unknown {
-				t.Fatalf("got %q unknown=%v: %v", paths, invalid.Unknown, err)
+				t.Fatalf(
+					"Unmarshal of %q: got paths %q, unknown=%v (%v), want %q, unknown=%v",
+					test.document, paths, invalid.Unknown, err, test.paths, test.unknown,
+				)
 			}
 		})
 	}
@@ -61,10 +64,10 @@
 		err := strictjson.Unmarshal([]byte(document), &protocol.Bundle{})
 		var invalid *strictjson.Error
 		if !errors.As(err, &invalid) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("Unmarshal of %.40q...: got error %v, want a *strictjson.Error", document, err)
 		}
 		if last := invalid.Faults[len(invalid.Faults)-1]; !strings.Contains(last.GetMessage(), "nested too deeply") {
-			t.Fatalf("got %v", invalid.Faults)
+			t.Fatalf("Unmarshal of %.40q...: got faults %v, want nested too deeply as the last", document, invalid.Faults)
 		}
 	}
 }
