--- a/internal/transport/wire/benchmark_test.go
+++ b/internal/transport/wire/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// BenchmarkCall is one lookup of a session over loopback, both sides together.
+// BenchmarkCall measures one lookup of a session over loopback, with client and server in this process.
 func BenchmarkCall(b *testing.B) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/wire/client.go
+++ b/internal/transport/wire/client.go
@@ -11,12 +11,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// readBufferBytes is enough for a few small frames; a larger frame is read past the
-// buffer into its own memory. A node may have a connection to every other one,
-// so the buffer is small.
+// readBufferBytes is enough for a few small frames; a larger frame is read directly
+// into its own memory. The buffer is small because a node may have a connection to
+// every other node.
 const readBufferBytes = 8 << 10
 
-// clientConnection is the calling side of one connection. The mutex guards the fields below it.
+// clientConnection is the client side of one connection. The mutex guards the fields below it.
 type clientConnection struct {
 	address    string
 	connection net.Conn
@@ -32,7 +32,7 @@
 	activity  peerActivity
 }
 
-// dial opens a connection and proves the cluster key.
+// dial opens a connection and runs the handshake, in which both sides prove the cluster key.
 func dial(ctx context.Context, address string, options PoolOptions, counters *Counters) (*clientConnection, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.DialTimeout)
 	defer cancel()
@@ -74,12 +74,12 @@
 
 	frame := &protocol.Frame{Kind: protocol.FrameKind_FRAME_REQUEST, Id: e.id, Request: request}
 	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
-		left := time.Until(deadline)
-		if left <= 0 {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			c.endExchange(e.id, false)
 			return nil, &NotSentError{Address: c.address, Cause: context.DeadlineExceeded}
 		}
-		frame.TimeLeftMillis = uint32(left/time.Millisecond) + 1
+		frame.TimeLeftMillis = uint32(remaining/time.Millisecond) + 1
 	}
 	if err := c.writer.write(frame); err != nil {
 		c.endExchange(e.id, false)
@@ -88,7 +88,7 @@
 	return e, nil
 }
 
-// endExchange drops an exchange and, with cancel, cancels it at the peer.
+// endExchange removes an exchange. If cancel is true, it also cancels the exchange at the peer.
 func (c *clientConnection) endExchange(id uint64, cancel bool) {
 	c.mutex.Lock()
 	_, inFlight := c.exchanges[id]
@@ -100,7 +100,7 @@
 	}
 }
 
-// read delivers frames until the connection ends, and returns why it did.
+// read delivers frames until the connection ends, and returns the cause.
 func (c *clientConnection) read() error {
 	reader := frameReader{reader: c.reader, counters: c.writer.counters}
 	for {
--- a/internal/transport/wire/exchange.go
+++ b/internal/transport/wire/exchange.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// exchange is the calling side of one request: a bounded queue of answers.
+// exchange is the client side of one request, with a bounded queue of answers.
 type exchange struct {
 	id     uint64
 	client *clientConnection
@@ -24,7 +24,7 @@
 	notify  chan struct{}
 }
 
-// deliver queues an answer; it reports false when the receiver fell too far behind.
+// deliver queues an answer; it reports false if maxQueuedAnswers wait already, which ends the exchange.
 func (e *exchange) deliver(answer *protocol.Response) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -13,7 +13,7 @@
 
 const (
 	lengthBytes = 4
-	// initialBufferBytes is enough for a usual small frame.
+	// initialBufferBytes is enough for a typical small frame.
 	initialBufferBytes = 512
 )
 
@@ -33,13 +33,13 @@
 	return buffer, nil
 }
 
-// readMessage reads one length-prefixed message and rejects a length above the limit before it reads on.
+// readMessage reads one length-prefixed message. It rejects a length above the limit before it reads the message.
 func readMessage(reader *bufio.Reader, limit uint32, message proto.Message) error {
 	single := frameReader{reader: reader}
 	return single.read(limit, message)
 }
 
-// frameReader reads the messages of one connection, with one buffer for all small ones.
+// frameReader reads the messages of one connection, with one reused buffer for all small ones.
 type frameReader struct {
 	reader *bufio.Reader
 	// counters, if any, count the frames read.
@@ -48,7 +48,7 @@
 	reusable []byte
 }
 
-// read reads the next message. Decoding copies what the message keeps.
+// read reads the next message. Decoding copies the contents, so that the buffer can be reused.
 func (r *frameReader) read(limit uint32, message proto.Message) error {
 	if _, err := io.ReadFull(r.reader, r.prefix[:]); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// buffer is memory for one body; a large one is not reused.
+// buffer returns a buffer for one body. A buffer above maxReusedBufferBytes is not reused.
 func (r *frameReader) buffer(size int) []byte {
 	if size > maxReusedBufferBytes {
 		return make([]byte, size)
@@ -81,7 +81,7 @@
 	return r.reusable[:size]
 }
 
-// validateFrame checks what every frame must carry.
+// validateFrame checks the kind of a frame, and that a request or response has a body.
 func validateFrame(frame *protocol.Frame) error {
 	switch frame.GetKind() {
 	case protocol.FrameKind_FRAME_REQUEST:
--- a/internal/transport/wire/handshake.go
+++ b/internal/transport/wire/handshake.go
@@ -21,8 +21,8 @@
 	serverProofLabel = "rosestand server"
 )
 
-// proof binds a role and both nonces to the cluster key, so that a recorded
-// handshake can be replayed in neither direction.
+// proof authenticates a role and both nonces with the cluster key, so that a
+// recorded handshake cannot be replayed in either direction.
 func proof(key []byte, label string, clientNonce, serverNonce []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(label))
@@ -62,7 +62,7 @@
 	return hello, nil
 }
 
-// clientHandshake sends a nonce, checks the server's proof over both nonces and answers with its own.
+// clientHandshake sends a nonce, verifies the server's proof over both nonces and answers with its own proof.
 func clientHandshake(connection net.Conn, reader *bufio.Reader, key []byte, node string) error {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return connection.SetDeadline(time.Time{})
 }
 
-// serverHandshake is the other side of clientHandshake; it returns the client's name.
+// serverHandshake is the server side of clientHandshake; it returns the client's name.
 func serverHandshake(connection net.Conn, reader *bufio.Reader, key []byte) (string, error) {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", err
--- a/internal/transport/wire/hedged_dial.go
+++ b/internal/transport/wire/hedged_dial.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// hedgeDelay is how long an attempt to connect may be unanswered before another one begins beside it. The operating
-	// system repeats its SYN packet only after a second; a machine that got power meanwhile answers a new one at once.
+	// hedgeDelay is how long an attempt to connect may be unanswered before another one starts concurrently. The
+	// operating system retransmits a SYN packet only after a second; a machine that was powered on in the meantime
+	// answers a new one immediately.
 	hedgeDelay = 100 * time.Millisecond
 	// maxConcurrentDials is the maximum number of concurrent attempts.
 	maxConcurrentDials = int(defaultConnectTimeout / hedgeDelay)
@@ -23,8 +24,8 @@
 	err        error
 }
 
-// dialHedged connects by several attempts, for defaultConnectTimeout at most. The first connection wins and
-// the others are closed; the first attempt that the peer refused ends all.
+// dialHedged connects with hedged attempts, for defaultConnectTimeout at most. It returns the first connection and
+// closes the others. If an attempt fails before the timeout, as when the peer refuses it, dialHedged fails, too.
 func dialHedged(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultConnectTimeout)
 	defer cancel()
@@ -61,7 +62,7 @@
 	}
 }
 
-// closeLateConnections closes the connections of attempts that another one overtook.
+// closeLateConnections closes the connections of the pending attempts, which another attempt preceded.
 func closeLateConnections(results <-chan dialResult, pending int) {
 	for range pending {
 		if late := <-results; late.connection != nil {
--- a/internal/transport/wire/hedged_dial_test.go
+++ b/internal/transport/wire/hedged_dial_test.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// unansweredDial answers as a machine without power does.
+// unansweredDial fails at the deadline, as a dial to a powered-off machine does.
 func unansweredDial(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -31,7 +31,10 @@
 			return ours, nil
 		})
 		if err != nil || connection != ours || time.Since(begun) != hedgeDelay {
-			t.Errorf("connected to %v after %v: %v", connection, time.Since(begun), err)
+			t.Errorf(
+				"got connection %v, error %v after %v, want that of the second attempt after %v",
+				connection, err, time.Since(begun), hedgeDelay,
+			)
 		}
 		_ = ours.Close()
 		synctest.Wait()
@@ -43,7 +46,7 @@
 		begun := time.Now()
 		_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
 		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) != 0 {
-			t.Errorf("refused after %v: %v", time.Since(begun), err)
+			t.Errorf("got error %v after %v, want %v immediately", err, time.Since(begun), syscall.ECONNREFUSED)
 		}
 	})
 }
@@ -57,7 +60,10 @@
 			return unansweredDial(ctx)
 		})
 		if err == nil || time.Since(begun) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
-			t.Errorf("%d attempts in %v: %v", attempts.Load(), time.Since(begun), err)
+			t.Errorf(
+				"got error %v after %d attempts in %v, want an error after %d attempts in %v",
+				err, attempts.Load(), time.Since(begun), maxConcurrentDials, defaultConnectTimeout,
+			)
 		}
 	})
 }
@@ -76,11 +82,11 @@
 			return fast, nil
 		})
 		if err != nil || connection != fast {
-			t.Fatalf("connected to %v: %v", connection, err)
+			t.Fatalf("got connection %v, error %v, want that of the second attempt", connection, err)
 		}
 		<-time.After(time.Second)
 		if _, err := far.Read(make([]byte, 1)); err == nil {
-			t.Error("the later connection is open")
+			t.Error("the later connection is still open, want it closed")
 		}
 	})
 }
--- a/internal/transport/wire/peer_activity.go
+++ b/internal/transport/wire/peer_activity.go
@@ -6,20 +6,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// How long a peer may be unresponsive while exchanges with it are in flight. A
-// connection is active while an exchange began or an answer arrived recently;
-// one with long polls alone is checked less often.
+// Limits on how long a peer may be unresponsive while exchanges with it are in
+// flight. A connection is active if an exchange began or an answer arrived within
+// activePeriod; one that has only long polls is idle and is checked less often.
 const (
-	// activeFor is how long a connection stays active after the last exchange or answer.
+	// activePeriod is how long a connection stays active after the last exchange or answer.
 	activePeriod = 2 * time.Second
-	// activeInterval and idleInterval are the times between two checks of all connections,
-	// and the time without a frame after which a peer is pinged.
+	// activeInterval and idleInterval are the intervals between two checks of all connections,
+	// and the times without a frame after which a peer is pinged.
 	activeInterval = 150 * time.Millisecond
 	idleInterval   = time.Second
 	// activePingTimeout and idlePingTimeout are how long a ping may be unanswered.
 	activePingTimeout = 450 * time.Millisecond
 	idlePingTimeout   = 2 * time.Second
-	// stallFactor is how many intervals late a check may be before this process itself counts as stalled.
+	// stallFactor is the number of intervals since the last check after which this process itself counts as stalled.
 	stallFactor = 3
 )
 
@@ -33,7 +33,8 @@
 	pingedAt time.Time
 }
 
-// recordExchange records a new exchange. Before the only one in flight the peer owed no answer.
+// recordExchange records a new exchange. If it is the only one in flight, the peer owed no answer before it, so the
+// peer counts as responsive as of now.
 func (s *peerActivity) recordExchange(now time.Time, only bool) {
 	s.lastActivity = now
 	if only {
@@ -41,7 +42,7 @@
 	}
 }
 
-// recordFrame records a frame of the peer.
+// recordFrame records a frame received from the peer.
 func (s *peerActivity) recordFrame(now time.Time, answer bool) {
 	s.reset(now)
 	if answer {
@@ -57,7 +58,7 @@
 
 func (s *peerActivity) active(now time.Time) bool { return now.Sub(s.lastActivity) < activePeriod }
 
-// check decides whether a peer that owes answers is to be pinged, or has been unresponsive for too long; then
+// check reports whether a peer that owes answers is to be pinged. If the peer has been unresponsive for too long,
 // unresponsiveFor is not 0.
 func (s *peerActivity) check(now time.Time) (ping bool, unresponsiveFor time.Duration) {
 	interval, limit := idleInterval, idlePingTimeout
@@ -78,9 +79,9 @@
 	}
 }
 
-// checkActivity is called by the pool at each check: it pings while exchanges are in
-// flight, breaks an unresponsive connection and closes an idle one. It reports whether the
-// connection has to be checked again soon.
+// checkActivity checks the connection for the pool: it pings the peer while exchanges
+// are in flight, breaks the connection of an unresponsive peer, and closes one that was
+// not used for the idle timeout. It reports whether to check again after activeInterval.
 func (c *clientConnection) checkActivity(now time.Time, idle time.Duration, stalled bool) (soon bool) {
 	c.mutex.Lock()
 	busy := len(c.exchanges) > 0
--- a/internal/transport/wire/peer_activity_test.go
+++ b/internal/transport/wire/peer_activity_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// pipeListener accepts connections in memory.
+// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -40,7 +40,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// peer is a server in memory that can lose power.
+// peer is an in-memory server that can be isolated, like a machine that loses power.
 type peer struct {
 	listener *pipeListener
 	server   *wire.Server
@@ -49,7 +49,7 @@
 	dials    atomic.Int64
 }
 
-// isolatedConnection drops what is written and delivers nothing while its peer has no power.
+// isolatedConnection drops written data and delivers nothing while its peer is isolated.
 type isolatedConnection struct {
 	net.Conn
 	peer   *peer
@@ -77,7 +77,7 @@
 	return c.Conn.Close()
 }
 
-// withPeer runs a test in virtual time with a server that answers after a wait.
+// withPeer runs a test in virtual time with a server that answers after a delay.
 func withPeer(t *testing.T, answerAfter time.Duration, test func(p *peer)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -122,7 +122,7 @@
 		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var notSent *wire.NotSentError
 		if !errors.As(err, &notSent) || time.Since(began) > time.Second {
-			t.Fatalf("a dial to it took %s: %v", time.Since(began), err)
+			t.Fatalf("dialing a powered-off peer: got %v after %s, want a *NotSentError within 1s", err, time.Since(began))
 		}
 	})
 	withPeer(t, time.Hour, func(p *peer) {
@@ -134,7 +134,10 @@
 		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var unresponsive *wire.UnresponsivePeerError
 		if !errors.As(err, &unresponsive) || time.Since(began) > time.Second {
-			t.Fatalf("after %s: %v", time.Since(began), err)
+			t.Fatalf(
+				"calling a peer that lost power: got %v after %s, want an *UnresponsivePeerError within 1s",
+				err, time.Since(began),
+			)
 		}
 	})
 }
@@ -145,7 +148,7 @@
 			t.Fatal(err)
 		}
 		if frames := p.pool.Counters().SentFrames.Load(); frames > 50 {
-			t.Fatalf("%d frames for one call that rested", frames)
+			t.Fatalf("%d frames sent for one call with a late answer, want at most 50", frames)
 		}
 	})
 }
@@ -160,10 +163,10 @@
 		began := time.Now()
 		if _, err := p.pool.Call(ctx, "peer", explainRequest("y")); !errors.Is(err, context.DeadlineExceeded) ||
 			time.Since(began) > 60*time.Millisecond {
-			t.Fatalf("after %s: %v", time.Since(began), err)
+			t.Fatalf("got %v after %s, want the deadline exceeded after 50ms", err, time.Since(began))
 		}
 		if p.dials.Load() != 1 {
-			t.Fatalf("%d dials", p.dials.Load())
+			t.Fatalf("got %d dials, want 1 shared by both calls", p.dials.Load())
 		}
 	})
 }
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -17,9 +17,9 @@
 type PoolOptions struct {
 	// Key is the cluster key.
 	Key []byte
-	// Node names the calling process to its peers.
+	// Node is the name of this process, sent to peers in the handshake.
 	Node string
-	// IdleTimeout closes a connection without exchanges.
+	// IdleTimeout is how long a connection may be without exchanges before it is closed.
 	IdleTimeout time.Duration
 	// DialTimeout bounds connecting and the handshake.
 	DialTimeout time.Duration
@@ -44,8 +44,8 @@
 	}
 }
 
-// Pool calls peers over one connection an address, opened on demand. The mutex guards slots, open, onBroken and
-// closed; a slot has its own, which is locked before the pool's.
+// Pool calls peers over one connection per address, opened on demand. The mutex guards slots, open, onBroken and
+// closed; a slot has its own mutex, which is locked before the pool's.
 type Pool struct {
 	options  PoolOptions
 	counters Counters
@@ -57,15 +57,15 @@
 	onBroken []func(address string)
 	closed   bool
 	stop     chan struct{}
-	// dialing is the context of dials, which belong to the pool and not to one caller; it ends with Close.
+	// dialing is the context of dials, which are shared by concurrent callers and end only with Close.
 	dialing      context.Context
 	stopDialing  context.CancelFunc
 	activeSignal chan struct{}
-	// frequentChecks is true while the connections are checked at activeInterval.
+	// frequentChecks is true while the connections are checked every activeInterval.
 	frequentChecks atomic.Bool
 }
 
-// slot holds the connection to one address, or its opening, which concurrent callers share.
+// slot holds the connection to one address, or the one being opened, which concurrent callers share.
 type slot struct {
 	mutex      sync.Mutex
 	connection *clientConnection
@@ -102,11 +102,11 @@
 	return open
 }
 
-// Counters counts the traffic of all connections of the pool.
+// Counters returns the counters of the traffic of all connections of the pool.
 func (p *Pool) Counters() *Counters { return &p.counters }
 
 // OnBroken registers a function that is called with the address of each connection
-// that broke while it was in use or whose peer became unresponsive. It must not block.
+// that broke while it was in use or whose peer became unresponsive. The function must not block.
 func (p *Pool) OnBroken(notify func(address string)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -168,8 +168,8 @@
 	return s, nil
 }
 
-// connect returns the connection to an address, and opens it when there is none.
-// It waits no longer than the context, even when another caller has begun to open it.
+// connect returns the connection to an address, and opens one if there is none.
+// It waits no longer than the context, even if another caller is opening the connection.
 func (p *Pool) connect(ctx context.Context, address string) (*clientConnection, error) {
 	s, err := p.slot(address)
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// startGoroutine runs a goroutine that Close waits for; false when the pool was closed.
+// startGoroutine starts a goroutine that Close waits for. It reports false if the pool is closed.
 func (p *Pool) startGoroutine(run func()) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -210,7 +210,7 @@
 	return true
 }
 
-// openSlot opens the connection of a slot for all that wait for it.
+// openSlot opens the connection of a slot for all callers that wait for it.
 func (p *Pool) openSlot(s *slot, address string, opening *openingConnection) {
 	connection, err := dial(p.dialing, address, p.options, &p.counters)
 	s.mutex.Lock()
@@ -224,7 +224,7 @@
 	close(opening.done)
 }
 
-// addConnection begins to read and write on a new connection; false when the pool was closed.
+// addConnection starts the reader and the writer of a new connection. It reports false if the pool is closed.
 func (p *Pool) addConnection(s *slot, connection *clientConnection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -260,10 +260,10 @@
 		return
 	}
 	p.mutex.Lock()
-	notify := p.onBroken
+	callbacks := p.onBroken
 	p.mutex.Unlock()
-	for _, each := range notify {
-		each(connection.address)
+	for _, callback := range callbacks {
+		callback(connection.address)
 	}
 }
 
--- a/internal/transport/wire/purpose.go
+++ b/internal/transport/wire/purpose.go
@@ -6,7 +6,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Purpose is what a frame is for. Limits on the cost of control at a node count PurposeControl alone.
+// Purpose classifies frames by what they are for. Limits on the control traffic of a node count PurposeControl alone.
 type Purpose int
 
 // The purposes of frames.
@@ -31,7 +31,7 @@
 	PurposeOther, PurposeControl, PurposeConsensus, PurposeDirectory, PurposeLedger, PurposeTraffic,
 }
 
-// String is the purpose's label in metrics.
+// String returns the purpose's label in metrics.
 func (p Purpose) String() string {
 	switch p {
 	case PurposeControl:
@@ -52,7 +52,7 @@
 // purposeBytes counts bytes by purpose.
 type purposeBytes [purposeCount]atomic.Uint64
 
-// Of is the number of bytes for one purpose.
+// Of returns the number of bytes of one purpose.
 func (b *purposeBytes) Of(purpose Purpose) uint64 { return b[purpose].Load() }
 
 func (b *purposeBytes) add(frame *protocol.Frame, size int) {
--- a/internal/transport/wire/purpose_bytes_test.go
+++ b/internal/transport/wire/purpose_bytes_test.go
@@ -33,14 +33,14 @@
 		}
 	}
 	for _, purpose := range wire.Purposes {
-		wanted := purpose == wire.PurposeControl || purpose == wire.PurposeDirectory
-		if sent := pool.Counters().SentFor.Of(purpose); (sent > 0) != wanted {
-			t.Errorf("%d bytes sent for %s", sent, purpose)
+		want := purpose == wire.PurposeControl || purpose == wire.PurposeDirectory
+		if sent := pool.Counters().SentFor.Of(purpose); (sent > 0) != want {
+			t.Errorf("%d bytes counted as sent for %s, want some: %v", sent, purpose, want)
 		}
 	}
 	for _, purpose := range []wire.Purpose{wire.PurposeControl, wire.PurposeDirectory} {
 		if pool.Counters().ReceivedFor.Of(purpose) == 0 {
-			t.Errorf("nothing received for %s", purpose)
+			t.Errorf("no bytes counted as received for %s, want some", purpose)
 		}
 	}
 }
--- a/internal/transport/wire/purpose_test.go
+++ b/internal/transport/wire/purpose_test.go
@@ -16,10 +16,10 @@
 	}
 	for purpose, request := range purposes {
 		if got := purposeOf(&protocol.Frame{Request: request}); got != purpose {
-			t.Errorf("%T is for %s, want %s", request.GetBody(), got, purpose)
+			t.Errorf("purpose of %T is %s, want %s", request.GetBody(), got, purpose)
 		}
 	}
 	if got := purposeOf(&protocol.Frame{Kind: protocol.FrameKind_FRAME_PING}); got != PurposeOther {
-		t.Errorf("a ping is for %s", got)
+		t.Errorf("purpose of a ping is %s, want %s", got, PurposeOther)
 	}
 }
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -16,10 +16,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serverIdleTimeout closes connections without requests and pings; it is longer than any pool's idle timeout.
+// serverIdleTimeout is how long a connection may be without requests and pings before it is closed; it is longer than
+// any pool's idle timeout.
 const serverIdleTimeout = 150 * time.Second
 
-// acceptRetryInterval is the wait after an accept that failed.
+// acceptRetryInterval is the wait after a failed accept.
 const acceptRetryInterval = 50 * time.Millisecond
 
 // ServerOptions configure a Server.
@@ -47,7 +48,7 @@
 	closed      bool
 }
 
-// NewServer makes a server; Start begins to serve.
+// NewServer returns a server that has not been started.
 func NewServer(listener net.Listener, handler Handler, options ServerOptions) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{
@@ -60,7 +61,7 @@
 	}
 }
 
-// Counters counts the traffic of all connections of the server.
+// Counters returns the counters of the traffic of all connections of the server.
 func (s *Server) Counters() *Counters { return &s.counters }
 
 // Start accepts connections in the background until Close.
@@ -150,7 +151,7 @@
 	served.read(reader)
 }
 
-// servedConnection is the serving side of one connection. The mutex guards cancels, by request id.
+// servedConnection is the server side of one connection. The mutex guards cancels, which is keyed by request id.
 type servedConnection struct {
 	server     *Server
 	connection net.Conn
@@ -272,8 +273,8 @@
 	_ = c.end(id, err)
 }
 
-// handle runs the handler; a panic ends this one exchange with an internal
-// error whose outcome is unknown, and no other exchange of the process.
+// handle runs the handler. A panic ends only this exchange, with an internal
+// error whose outcome is unknown.
 func (c *servedConnection) handle(ctx context.Context, id uint64, request *protocol.Request) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/internal/transport/wire/socket.go
+++ b/internal/transport/wire/socket.go
@@ -10,8 +10,8 @@
 // was sent.
 const userTimeoutMillis = 2000
 
-// setUserTimeout has the kernel end a connection to a machine without power.
-// It only backs the pings up, so that its errors are ignored.
+// setUserTimeout makes the kernel end a connection to a powered-off machine. It is
+// only a fallback for the pings, so its errors are ignored.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis)
--- a/internal/transport/wire/watch.go
+++ b/internal/transport/wire/watch.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// watch checks all connections, at activeInterval while one of them is active and at idleInterval otherwise.
+// watch checks all connections, every activeInterval while one of them is active and every idleInterval otherwise.
 func (p *Pool) watch() {
 	defer p.routines.Done()
 	interval, last := idleInterval, time.Now()
@@ -41,7 +41,7 @@
 	return interval
 }
 
-// signalActive has the connections checked at activeInterval from now on.
+// signalActive makes watch check the connections every activeInterval from now on.
 func (p *Pool) signalActive() {
 	if p.frequentChecks.Swap(true) {
 		return
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -1,10 +1,10 @@
-// Package wire is the internal protocol between processes: protobuf messages in
-// length-prefixed frames over TCP. A connection is opened on demand by the Pool
-// of the calling process, proves the cluster key in both directions, carries
+// Package wire implements the internal protocol between processes: protobuf messages
+// in length-prefixed frames over TCP. The Pool of the calling process opens a connection
+// on demand. Both sides prove the cluster key in a handshake; the connection then carries
 // any number of concurrent exchanges and is closed when idle. A Server serves it at the other end.
 //
 // Pool and Server are safe for concurrent use. Each connection has a reading and a
-// writing goroutine at either end, and each request that is served has one of its own; Close
+// writing goroutine at either end, and each request is served by a goroutine of its own; Close
 // ends them all and waits for them. One goroutine of the pool checks all connections: it pings peers that
 // owe answers, and breaks connections whose peers are unresponsive.
 package wire
@@ -18,20 +18,21 @@
 )
 
 const (
-	// ProtocolVersion is that of this process; a peer with another one ends the handshake.
+	// ProtocolVersion is the version that this process uses; the handshake fails if the peer's differs.
 	ProtocolVersion = 1
-	// MaxFrameBytes is the maximum length of a frame; a larger one ends the connection.
+	// MaxFrameBytes is the maximum length of a frame; receiving a larger one ends the connection.
 	MaxFrameBytes = 16 << 20
 
 	handshakeTimeout   = 3 * time.Second
 	writeTimeout       = 10 * time.Second
 	defaultIdleTimeout = 15 * time.Second
-	// defaultConnectTimeout bounds the connecting; a machine without power does not answer.
+	// defaultConnectTimeout bounds connecting, because a powered-off machine does not answer.
 	defaultConnectTimeout = 300 * time.Millisecond
-	// defaultDialTimeout bounds connecting and the handshake; a frozen process accepts and does not answer.
+	// defaultDialTimeout bounds connecting and the handshake, because the kernel accepts connections for a frozen
+	// process, which does not answer the handshake.
 	defaultDialTimeout  = time.Second
 	defaultCallDeadline = 30 * time.Second
-	// deadlineRefresh is how old a deadline of a connection may be before it is renewed.
+	// deadlineRefresh is the interval at which the deadlines of a connection are extended while it is used.
 	deadlineRefresh = time.Second
 	// maxQueuedAnswers is the maximum number of answers of one exchange that wait for its receiver.
 	maxQueuedAnswers = 8192
@@ -52,9 +53,9 @@
 	Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error
 }
 
-// Caller makes requests to peers by their internal address (ip:port). It is safe for concurrent use.
+// Caller sends requests to peers at their internal addresses (ip:port). It is safe for concurrent use.
 type Caller interface {
-	// Call returns the one answer of a request. Its error is a *failure.Error of the peer, a *NotSentError, a
+	// Call sends a request and returns its only answer. The error is a *failure.Error of the peer, a *NotSentError, a
 	// *BrokenError, an *EmptyAnswerError or the context's.
 	Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error)
 	// Open begins an exchange with any number of answers. Its error is a *NotSentError.
@@ -65,7 +66,7 @@
 type Stream interface {
 	// Receive returns the next answer, io.EOF after the last one, or the error that ended the exchange.
 	Receive() (*protocol.Response, error)
-	// Close ends the exchange; it is cancelled at the peer unless it had ended.
+	// Close ends the exchange, and cancels it at the peer unless it has ended.
 	Close()
 }
 
@@ -83,7 +84,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// BrokenError is the error of a request in flight whose connection broke: it may or may not have been served.
+// BrokenError is the error of a request in flight whose connection broke: the request may or may not have been served.
 type BrokenError struct {
 	Address string
 	Cause   error
@@ -114,7 +115,7 @@
 // Error implements error.
 func (e *FrameError) Error() string { return "bad frame: " + e.Reason }
 
-// EmptyAnswerError is the error of an exchange that ended without its one answer.
+// EmptyAnswerError is the error of a call that ended without an answer.
 type EmptyAnswerError struct {
 	Address string
 }
@@ -128,7 +129,8 @@
 // Error implements error.
 func (e *ClosedError) Error() string { return "closed" }
 
-// UnresponsivePeerError breaks a connection whose peer answered neither requests nor pings for that long.
+// UnresponsivePeerError is the cause of breaking a connection whose peer sent nothing, not even answers to pings, for
+// the duration For.
 type UnresponsivePeerError struct {
 	For time.Duration
 }
@@ -136,7 +138,7 @@
 // Error implements error.
 func (e *UnresponsivePeerError) Error() string { return "peer unresponsive for " + e.For.String() }
 
-// IdleError ends a connection that was not used for the idle timeout.
+// IdleError is the cause of closing a connection that was not used for the idle timeout.
 type IdleError struct{}
 
 // Error implements error.
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -68,7 +68,7 @@
 			id := string(rune('a'+i%26)) + time.Duration(i).String()
 			answer, err := pool.Call(context.Background(), address, explainRequest(id))
 			if err == nil && answer.GetExplain().GetExplanations()[0].GetRequestId() != id {
-				err = errors.New("answers crossed")
+				err = errors.Newf("request %s got the answer of another request", id)
 			}
 			failures <- err
 		}()
@@ -98,11 +98,11 @@
 	for i := range 1000 {
 		answer, err := stream.Receive()
 		if err != nil || answer.GetExplain().GetExplanations()[0].GetRequestId() != time.Duration(i).String() {
-			t.Fatalf("answer %d: %v %v", i, answer, err)
+			t.Fatalf("answer %d: got %v, error %v, want the answer %v", i, answer, err, time.Duration(i))
 		}
 	}
 	if _, err := stream.Receive(); !errors.Is(err, io.EOF) {
-		t.Fatalf("expected the end, got %v", err)
+		t.Fatalf("got error %v after the last answer, want io.EOF", err)
 	}
 }
 
@@ -113,7 +113,7 @@
 		}))
 	_, err := startPool(t, testKey).Call(context.Background(), address, explainRequest("x"))
 	if !failure.Is(err, failure.NotLeader) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want the handler's failure %s", err, failure.NotLeader)
 	}
 }
 
@@ -154,14 +154,14 @@
 	server.Close()
 	var broken *wire.BrokenError
 	if _, err := stream.Receive(); !errors.As(err, &broken) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v after the server closed, want a *BrokenError", err)
 	}
 	if got := <-notified; got != address {
-		t.Fatalf("notified of %s", got)
+		t.Fatalf("OnBroken was called with address %s, want %s", got, address)
 	}
 	var notSent *wire.NotSentError
 	if _, err := pool.Call(context.Background(), address, explainRequest("y")); !errors.As(err, &notSent) {
-		t.Fatalf("a dead peer gave %v", err)
+		t.Fatalf("got error %v from a closed server, want a *NotSentError", err)
 	}
 }
 
@@ -175,14 +175,14 @@
 	var notSent *wire.NotSentError
 	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explainRequest("x"))
 	if !errors.As(err, &notSent) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v with the wrong key, want a *NotSentError", err)
 	}
 	if served {
-		t.Fatal("a request was served without the key")
+		t.Fatal("a request with the wrong key was served")
 	}
 }
 
-// recordingConnection keeps what a client sent, so that it can be replayed.
+// recordingConnection records what a client sends, so that it can be replayed.
 type recordingConnection struct {
 	net.Conn
 	sent []byte
@@ -227,7 +227,7 @@
 		_, _ = io.Copy(io.Discard, connection)
 		_ = connection.Close()
 		if count != 1 {
-			t.Fatalf("%s bytes were served", name)
+			t.Fatalf("%d requests served after %s bytes, want 1", count, name)
 		}
 	}
 	server.Close()
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	if got := <-left; got > time.Minute+time.Second || got <= 0 {
-		t.Fatalf("deadline arrived as %v", got)
+		t.Fatalf("the handler's deadline is in %v, want at most a minute", got)
 	}
 }
 
@@ -265,17 +265,17 @@
 	pool := startPool(t, testKey)
 	_, err := pool.Call(context.Background(), address, explainRequest("bad"))
 	if !failure.Is(err, failure.InternalError) || failure.From(err).GetOutcome() != protocol.Outcome_UNKNOWN {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want %s with the outcome unknown", err, failure.InternalError)
 	}
 	if _, err := pool.Call(context.Background(), address, explainRequest("good")); err != nil {
 		t.Fatal(err)
 	}
 	if server.Counters().Panics.Load() != 1 {
-		t.Fatal("the panic was not counted")
+		t.Fatalf("got %d panics counted, want 1", server.Counters().Panics.Load())
 	}
 }
 
-// exhaustedListener fails to accept for ever, as when file descriptors have run out.
+// exhaustedListener always fails to accept, as when file descriptors have run out.
 type exhaustedListener struct {
 	net.Listener
 	tries chan struct{}
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -24,8 +24,7 @@
 }
 
 // frameWriter queues the frames of all exchanges on a connection and writes
-// all queued ones in one call, so that many small frames cost one system call. The mutex guards
-// pending, reusable and failed.
+// all queued frames in one system call. The mutex guards pending, reusable and failed.
 type frameWriter struct {
 	connection net.Conn
 	counters   *Counters
@@ -43,8 +42,8 @@
 	return &frameWriter{connection: connection, counters: counters, notify: make(chan struct{}, 1)}
 }
 
-// write queues one frame. It fails when the connection is broken or the peer
-// reads so slowly that maxPendingBytes wait.
+// write queues one frame. It fails if the connection is broken, or if the peer
+// reads so slowly that more than maxPendingBytes are queued.
 func (w *frameWriter) write(message proto.Message) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
