--- a/internal/transport/httpdrain/closing_writer.go
+++ b/internal/transport/httpdrain/closing_writer.go
@@ -5,22 +5,22 @@
 	"sync/atomic"
 )
 
-// closingHandler makes answers that begin while draining is set the last ones of their connections.
+// closingHandler makes each answer whose header is written while draining is set the last one of its connection.
 func closingHandler(handler http.Handler, draining *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(&closingWriter{ResponseWriter: writer, draining: draining}, request)
 	})
 }
 
-// closingWriter writes an answer, with Connection: close in its header if the server drains by then. It belongs to
-// the handler's goroutine.
+// closingWriter writes an answer, with Connection: close in its header if the server is draining when the header is
+// written. It is used only by the handler's goroutine.
 type closingWriter struct {
 	http.ResponseWriter
 	draining      *atomic.Bool
 	headerWritten bool
 }
 
-// Unwrap gives an http.ResponseController access to the wrapped writer.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -38,7 +38,7 @@
 // Flush implements http.Flusher.
 func (w *closingWriter) Flush() { _ = w.FlushError() }
 
-// FlushError sends what was written, and the header if it was not sent.
+// FlushError sends the buffered content, and the header if it was not sent.
 func (w *closingWriter) FlushError() error {
 	w.setConnectionClose()
 	return http.NewResponseController(w.ResponseWriter).Flush()
--- a/internal/transport/httpdrain/connection.go
+++ b/internal/transport/httpdrain/connection.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// finalReadTimeout is how long an idle connection is read for bytes that have just arrived before it is closed.
+	// finalReadTimeout is how long the server reads an idle connection for bytes that have just arrived before closing it.
 	finalReadTimeout = time.Millisecond
 	// closeTimeout bounds how long the server waits for the caller to close a connection after closingResponse.
 	closeTimeout = 500 * time.Millisecond
 	// headerTimeout bounds how long draining waits for the rest of a request's header.
 	headerTimeout = 2500 * time.Millisecond
-	// closingResponse ends an idle connection (RFC 9110, section 15.5.9): a request that crosses it was not run, and
-	// its caller may repeat it. Clients without a request in flight take it for the end of the connection.
+	// closingResponse announces the end of an idle connection (RFC 9110, section 15.5.9): a request that crosses it was
+	// not run, and its caller may repeat it. Clients without a request in flight treat it as the end of the connection.
 	closingResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// connection is a caller's connection that can be closed while it is idle: only if no byte of a request has arrived,
-// and so that a request that is on its way is answered as not run. The goroutine that serves it reads and writes;
-// closeWhenIdle and setActive may be called from others.
+// connection is a caller's connection that can be closed while it is idle. It is closed only if no byte of a request
+// has arrived, and with a response that answers a request in transit as not run. Only the goroutine that serves the
+// connection reads and writes; closeWhenIdle and setActive may be called from other goroutines.
 type connection struct {
 	net.Conn
 	tracker *connectionTracker
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// active is true from the moment at which a request's header was read until its answer is complete.
+	// active is true from when a request's header was read until its answer is complete.
 	active bool
-	// requestStarted is true if bytes arrived since the last write: a request has begun to arrive.
+	// requestStarted is true if bytes arrived since the last write, so a request has begun to arrive.
 	requestStarted bool
 	// draining is true once the connection is to be closed as soon as it is idle.
 	draining bool
-	// headerDeadline is when the header that has begun to arrive must be complete; zero unless draining.
+	// headerDeadline is when a header that has begun to arrive must be complete; zero unless draining.
 	headerDeadline time.Time
 }
 
@@ -79,7 +79,7 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline implements net.Conn; it never extends headerDeadline.
+// SetReadDeadline implements net.Conn. A deadline after headerDeadline is replaced by headerDeadline.
 func (c *connection) SetReadDeadline(at time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -89,8 +89,8 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// closeWhenIdle lets the connection be closed as soon as it is idle. A request that has begun to arrive may still
-// arrive completely.
+// closeWhenIdle makes the serving goroutine close the connection as soon as it is idle. A request that has begun to
+// arrive has headerTimeout for the rest of its header.
 func (c *connection) closeWhenIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,12 +100,12 @@
 	case c.requestStarted:
 		c.setHeaderDeadline()
 	default:
-		// Wake the goroutine that waits for a request.
+		// Wake the serving goroutine, which waits for a request.
 		_ = c.Conn.SetReadDeadline(time.Now())
 	}
 }
 
-// setActive records whether a request is served. The body of one has the time that the server allows.
+// setActive records whether a request is being served. headerDeadline does not apply to its body.
 func (c *connection) setActive(active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -128,7 +128,8 @@
 	return c.draining && !c.active && !c.requestStarted
 }
 
-// markRequestStarted allows a request that begins to arrive while draining the time to arrive completely.
+// markRequestStarted records that a request has begun to arrive; while draining, its header must be complete by
+// headerDeadline.
 func (c *connection) markRequestStarted() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/transport/httpdrain/connection_tracker.go
+++ b/internal/transport/httpdrain/connection_tracker.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// connectionTracker has the open connections of a server.
+// connectionTracker tracks the open connections of a server.
 type connectionTracker struct {
 	// mutex guards the fields below; it is locked before that of a connection.
 	mutex    sync.Mutex
 	open     map[*connection]struct{}
 	draining bool
-	// drained is closed once the server drains and no connection is left.
+	// drained is closed once the server is draining and no connection is open.
 	drained chan struct{}
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// drain has each connection closed as soon as it is idle; the channel is closed when none is left.
+// drain makes each connection close as soon as it is idle; the returned channel is closed when none is open.
 func (c *connectionTracker) drain() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// trackingListener accepts connections that know whether they are idle.
+// trackingListener adds the connections that it accepts to a tracker.
 type trackingListener struct {
 	net.Listener
 	tracker *connectionTracker
--- a/internal/transport/httpdrain/loopback_test.go
+++ b/internal/transport/httpdrain/loopback_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
-// newLoopbackServer serves echo on a port of loopback.
+// newLoopbackServer serves echo on a loopback port.
 func newLoopbackServer(t *testing.T) (server *httpdrain.Server, address string, served <-chan error) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -37,17 +37,18 @@
 	request, _ := post("before")
 	caller.send(request)
 	if status, body := caller.receive(); status != http.StatusOK || body != "before" {
-		t.Fatalf("%d %q", status, body)
+		t.Fatalf("answer before the drain: got status %d, body %q, want %d, %q", status, body, http.StatusOK, "before")
 	}
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background()) }()
 	if _, err := caller.reader.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	// The server's side is shut, and a request on its way must not reset the connection before its caller has read that.
+	// The server has closed its side. A request in transit must not reset the connection before its caller has read the
+	// closing response.
 	caller.send(request)
 	if status, _ := caller.receive(); status != http.StatusRequestTimeout {
-		t.Errorf("%d", status)
+		t.Errorf("answer to the crossing request: got status %d, want %d", status, http.StatusRequestTimeout)
 	}
 	caller.expectClosed()
 	_ = connection.Close()
@@ -75,6 +76,6 @@
 	}
 	if answer, err := client.Do(request); err == nil {
 		_ = answer.Body.Close()
-		t.Errorf("answered %d by a server that has stopped", answer.StatusCode)
+		t.Errorf("got an answer with status %d from a stopped server, want an error", answer.StatusCode)
 	}
 }
--- a/internal/transport/httpdrain/server.go
+++ b/internal/transport/httpdrain/server.go
@@ -1,8 +1,8 @@
-// Package httpdrain drains an HTTP server without losing requests that reach it at that moment.
+// Package httpdrain drains an HTTP server without losing requests that arrive during the drain.
 //
-// http.Server.Shutdown closes an idle connection even if the first bytes of a request have arrived, or are on their
-// way: the caller cannot tell whether that request ran. Here an idle connection is closed only if no byte has
-// arrived, and with a response that tells the caller of a crossing request that it was not run.
+// http.Server.Shutdown closes an idle connection even if the first bytes of a request have arrived or are in transit:
+// the caller cannot determine whether that request ran. This package closes an idle connection only if no byte of a
+// request has arrived, and sends a response by which the caller of a crossing request learns that it was not run.
 //
 // A Server is safe for concurrent use.
 package httpdrain
@@ -16,12 +16,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server is an HTTP server with the listener that it serves.
+// Server is an HTTP server that serves one listener and can be drained.
 type Server struct {
 	server   *http.Server
 	listener net.Listener
 	tracker  *connectionTracker
-	// draining is set once each answer is to be the last one of its connection.
+	// draining is set by BeginDrain.
 	draining atomic.Bool
 }
 
@@ -43,8 +43,8 @@
 	return err
 }
 
-// BeginDrain makes answers that begin from now on the last ones of their connections. Idle connections stay open and
-// new ones are accepted, because a request may be on its way on each.
+// BeginDrain makes each answer that begins from now on the last one of its connection. Idle connections stay open and
+// new ones are accepted, because a request may be in transit on each.
 func (s *Server) BeginDrain() { s.draining.Store(true) }
 
 // Drain closes the listener and returns when every request that has begun to arrive is answered and every connection is
--- a/internal/transport/httpdrain/server_test.go
+++ b/internal/transport/httpdrain/server_test.go
@@ -16,10 +16,10 @@
 	"github.com/rosestand/rosestand/internal/transport/httpdrain"
 )
 
-// immediately is the time that a drain takes for its final reads when nothing is left to wait for.
+// immediately bounds a drain that waits for nothing but the final reads of its connections.
 const immediately = 10 * time.Millisecond
 
-// pipeListener hands out connections in memory.
+// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -42,7 +42,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// pipeServer is a server over connections in memory, in virtual time.
+// pipeServer is a server with in-memory connections, in virtual time.
 type pipeServer struct {
 	t       *testing.T
 	server  *httpdrain.Server
@@ -79,7 +79,7 @@
 func (c *pipeCaller) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
-		c.t.Fatalf("sending %q: %v", text, err)
+		c.t.Fatalf("send %q: %v", text, err)
 	}
 }
 
@@ -88,21 +88,21 @@
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("read an answer: %v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.t.Fatalf("incomplete answer: %v", err)
+		c.t.Fatalf("read the body of an answer with status %d: %v", response.StatusCode, err)
 	}
 	return response.StatusCode, string(content)
 }
 
-// expectClosed fails unless the other side has closed the connection and sends nothing more.
+// expectClosed fails the test unless the server closes the connection without sending anything more.
 func (c *pipeCaller) expectClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
-		c.t.Errorf("%q, %v before the end", rest, err)
+		c.t.Errorf("got bytes %q, error %v before the end of the connection, want none", rest, err)
 	}
 }
 
@@ -110,7 +110,7 @@
 	go func() { r.drained <- r.server.Drain(context.Background()) }()
 }
 
-// drain waits until the final read is over.
+// drain begins a drain and waits until the final reads are over.
 func (r *pipeServer) drain() {
 	synctest.Wait()
 	r.beginDrain()
@@ -118,7 +118,7 @@
 	synctest.Wait()
 }
 
-// finish fails unless the drain ends within a time.
+// finish fails the test unless the drain ends without an error within a time.
 func (r *pipeServer) finish(within time.Duration) {
 	r.t.Helper()
 	start := time.Now()
@@ -126,7 +126,7 @@
 		r.t.Error(err)
 	}
 	if elapsed := time.Since(start); elapsed > within {
-		r.t.Errorf("the drain took %v more", elapsed)
+		r.t.Errorf("the drain took %v longer, want at most %v", elapsed, within)
 	}
 	if err := r.server.Close(); err != nil {
 		r.t.Error(err)
@@ -137,7 +137,7 @@
 	_, _ = io.Copy(writer, request.Body)
 }
 
-// post is a request whose body is its text; header is the length of its part before the body.
+// post returns a POST request with a body, and the length of its part before the body.
 func post(body string) (request string, header int) {
 	start := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))
 	return start + body, len(start)
@@ -163,7 +163,7 @@
 					<-time.After(time.Second)
 					caller.send(request[arrived:])
 					if status, body := caller.receive(); status != http.StatusOK || body != "complete" {
-						t.Errorf("%d %q", status, body)
+						t.Errorf("got status %d, body %q, want %d, %q", status, body, http.StatusOK, "complete")
 					}
 					caller.expectClosed()
 					r.finish(immediately)
@@ -186,7 +186,7 @@
 			sent <- err
 		}()
 		if status, body := caller.receive(); status != http.StatusRequestTimeout || body != "" {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("got status %d, body %q, want %d without a body", status, body, http.StatusRequestTimeout)
 		}
 		if err := <-sent; err != nil {
 			t.Error(err)
@@ -194,7 +194,7 @@
 		_ = caller.Close()
 		r.finish(immediately)
 		if ran {
-			t.Error("it ran")
+			t.Error("the handler ran for a request that was answered as not run")
 		}
 	})
 }
@@ -210,7 +210,7 @@
 		request, _ := post("in time")
 		caller.send(request)
 		if status, body := caller.receive(); status != http.StatusOK || body != "in time" {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("got status %d, body %q, want %d, %q", status, body, http.StatusOK, "in time")
 		}
 		caller.expectClosed()
 		r.finish(immediately)
@@ -268,10 +268,13 @@
 		r.drain()
 		close(release)
 		if content, err := io.ReadAll(answer.Body); err != nil || string(content) != "slow" {
-			t.Errorf("%q %v", content, err)
+			t.Errorf("got body %q, error %v, want %q", content, err, "slow")
 		}
 		if status, _ := caller.receive(); status != http.StatusRequestTimeout {
-			t.Errorf("%d: the header did not announce the close", status)
+			t.Errorf(
+				"got status %d after an answer whose header did not announce the close, want %d",
+				status, http.StatusRequestTimeout,
+			)
 		}
 		_ = caller.Close()
 		r.finish(immediately)
