--- a/internal/transport/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -12,7 +12,8 @@
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
-// newOneAnswerServer answers the first request of each connection with these bytes and closes it.
+// newOneAnswerServer starts a server that answers the first request of each connection with the given bytes and closes
+// the connection.
 func newOneAnswerServer(t *testing.T, answer string) *server {
 	return newServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		if request, _ := readRequest(t, reader); request != nil {
@@ -23,34 +24,34 @@
 
 func TestMalformedAnswerMeansTheRequestMayHaveRun(t *testing.T) {
 	for name, answer := range map[string]string{
-		"nothing":               "",
-		"no protocol":           "hello\r\n\r\n",
-		"another protocol":      "\x16\x03\x01\x02\x00\x01",
-		"a head cut short":      "HTTP/1.1 200 OK\r\nContent-Le",
-		"a status of no number": "HTTP/1.1 two OK\r\n\r\n",
-		"two lengths":           "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
-		"only provisional ones": "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n",
+		"nothing":                    "",
+		"no protocol":                "hello\r\n\r\n",
+		"another protocol":           "\x16\x03\x01\x02\x00\x01",
+		"a truncated head":           "HTTP/1.1 200 OK\r\nContent-Le",
+		"a status without a number":  "HTTP/1.1 two OK\r\n\r\n",
+		"two lengths":                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+		"only informational answers": "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(t, serverconn.Options{})
 			_, err := pool.Do(context.Background(), newOneAnswerServer(t, answer).address(), post("a"))
 			if _, ok := errors.AsType[*serverconn.BrokenError](err); !ok {
-				t.Fatalf("gave %v", err)
+				t.Fatalf("got error %v, want a *BrokenError", err)
 			}
 		})
 	}
 }
 
-// headOfSize gives the head of an answer of so many bytes, with a body of two.
+// headOfSize returns a head of exactly size bytes for an answer with a body of two bytes.
 func headOfSize(size int) string {
 	const begin, end = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", "\r\n"
-	const name, lineEnd, most = "X: ", "\r\n", 1 << 10
+	const name, lineEnd, maxLine = "X: ", "\r\n", 1 << 10
 	var head strings.Builder
 	head.WriteString(begin)
 	for left := size - len(begin) - len(end); left > 0; {
-		line := min(left, most)
+		line := min(left, maxLine)
 		if rest := left - line; rest > 0 && rest <= len(name)+len(lineEnd) {
-			line -= most / 2
+			line -= maxLine / 2
 		}
 		head.WriteString(name + strings.Repeat("x", line-len(name)-len(lineEnd)) + lineEnd)
 		left -= line
@@ -60,21 +61,21 @@
 }
 
 func TestHeadsOfAnswersAreBounded(t *testing.T) {
-	provisional := "HTTP/1.1 103 Early\r\n\r\n"
+	informational := "HTTP/1.1 103 Early\r\n\r\n"
 	for name, test := range map[string]struct {
-		answer  string
-		isTaken bool
+		answer   string
+		accepted bool
 	}{
-		"as large as is allowed": {answer: headOfSize(serverconn.MaxHeadBytes) + "ab", isTaken: true},
-		"a byte larger":          {answer: headOfSize(serverconn.MaxHeadBytes+1) + "ab"},
+		"as large as allowed": {answer: headOfSize(serverconn.MaxHeadBytes) + "ab", accepted: true},
+		"a byte larger":       {answer: headOfSize(serverconn.MaxHeadBytes+1) + "ab"},
 		"one header without an end": {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x",
 			4*serverconn.MaxHeadBytes)},
 		"a status line without an end": {answer: "HTTP/1.1 200 " + strings.Repeat("x", 4*serverconn.MaxHeadBytes)},
-		"provisional answers without an end": {answer: strings.Repeat(provisional,
-			4*serverconn.MaxHeadBytes/len(provisional))},
-		"a large one after a provisional one": {answer: provisional + headOfSize(serverconn.MaxHeadBytes) + "ab"},
-		"a small one, and a body that is long": {answer: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x",
-			4*serverconn.MaxHeadBytes), isTaken: true},
+		"informational answers without an end": {answer: strings.Repeat(informational,
+			4*serverconn.MaxHeadBytes/len(informational))},
+		"a large head after an informational answer": {answer: informational + headOfSize(serverconn.MaxHeadBytes) + "ab"},
+		"a small head and a long body": {answer: "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x",
+			4*serverconn.MaxHeadBytes), accepted: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			served := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -84,7 +85,7 @@
 			})
 			pool := newPool(t, serverconn.Options{})
 			response, err := pool.Do(context.Background(), served.address(), post("a"))
-			if test.isTaken {
+			if test.accepted {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -97,7 +98,7 @@
 			var broken *serverconn.BrokenError
 			var tooLarge *serverconn.HeadTooLargeError
 			if !errors.As(err, &broken) || !errors.As(err, &tooLarge) || tooLarge.Limit != serverconn.MaxHeadBytes {
-				t.Fatalf("gave %v", err)
+				t.Fatalf("got error %v, want a *BrokenError by a *HeadTooLargeError", err)
 			}
 		})
 	}
@@ -116,11 +117,11 @@
 	pool := newPool(t, serverconn.Options{})
 	for range 2 {
 		if _, err := pool.Do(context.Background(), served.address(), post("a")); err == nil {
-			t.Fatal("the head was taken")
+			t.Fatalf("a head of %d bytes was accepted, want an error", serverconn.MaxHeadBytes+1)
 		}
 	}
 	if pool.Opened() != 2 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2", pool.Opened())
 	}
 }
 
@@ -137,11 +138,11 @@
 	pool := newPool(t, serverconn.Options{})
 	for range 3 {
 		if got := readAll(t, pool, served.address(), "a"); got != "ab" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got body %q, want %q", got, "ab")
 		}
 	}
 	if pool.Opened() != 1 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 1", pool.Opened())
 	}
 }
 
@@ -150,17 +151,17 @@
 	pool := newPool(t, serverconn.Options{})
 	for range 2 {
 		if got := readAll(t, pool, ending.address(), "a"); got != "until the end" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got body %q, want %q", got, "until the end")
 		}
 	}
 	if pool.Opened() != 2 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2", pool.Opened())
 	}
 }
 
 func TestResetAnswerWithoutALengthIsNotComplete(t *testing.T) {
 	resetting := newServer(t, func(connection net.Conn, reader *bufio.Reader) {
-		// The body stays unread, so that closing resets the connection.
+		// The request's body is not read, so closing resets the connection.
 		if _, err := reader.ReadString('\n'); err != nil {
 			return
 		}
@@ -168,19 +169,19 @@
 		_ = connection.(*net.TCPConn).SetLinger(0)
 	})
 	pool := newPool(t, serverconn.Options{})
-	// Whether the writer or the reader gets the reset is the kernel's choice; both must occur.
+	// The kernel reports the reset to the writer or to the reader; with 40 attempts, both cases should occur.
 	for range 40 {
 		response, err := pool.Do(context.Background(), resetting.address(), post(strings.Repeat("x", 1<<20)))
 		if err != nil {
 			if _, ok := errors.AsType[*serverconn.BrokenError](err); !ok {
-				t.Fatalf("gave %v", err)
+				t.Fatalf("got error %v, want a *BrokenError", err)
 			}
 			continue
 		}
 		body, err := response.ReadAll(100)
 		response.Discard()
 		if err == nil {
-			t.Fatalf("%q looks complete", body)
+			t.Fatalf("the truncated body %q was returned as complete, want an error", body)
 		}
 	}
 }
@@ -195,7 +196,7 @@
 	defer response.Discard()
 	var tooLarge *serverconn.TooLargeError
 	if _, err := response.ReadAll(10); !errors.As(err, &tooLarge) {
-		t.Fatalf("gave %v", err)
+		t.Fatalf("got error %v for a body of 11 bytes, want a *TooLargeError", err)
 	}
 }
 
@@ -209,7 +210,7 @@
 	cancel()
 	var notSent *serverconn.NotSentError
 	if _, err := pool.Do(ctx, "server", post("a")); !errors.As(err, &notSent) || dialed {
-		t.Fatalf("gave %v, dialed %t", err, dialed)
+		t.Fatalf("got error %v, dialed %t, want a *NotSentError and no dial", err, dialed)
 	}
 }
 
@@ -230,7 +231,7 @@
 	response.Close()
 	readAll(t, pool, keeping.address(), "b")
 	if pool.Opened() != 2 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2", pool.Opened())
 	}
 }
 
@@ -248,17 +249,17 @@
 	pool.CloseIdle(keeping.address())
 	readAll(t, pool, keeping.address(), "b")
 	if pool.Opened() != 2 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2", pool.Opened())
 	}
 }
 
 func TestAnswerWithoutALengthToALargeRequestIsComplete(t *testing.T) {
 	ending := newOneAnswerServer(t, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 	pool := newPool(t, serverconn.Options{})
-	// Whether the writer or the reader is done first is the scheduler's choice; both must occur.
+	// The scheduler decides whether the writer or the reader finishes first; with 200 attempts, both cases should occur.
 	for range 200 {
 		if got := readAll(t, pool, ending.address(), strings.Repeat("x", 16<<10)); got != "until the end" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got body %q, want %q", got, "until the end")
 		}
 	}
 }
@@ -277,6 +278,6 @@
 		readAll(t, pool, keeping.address(), strings.Repeat("x", 16<<10))
 	}
 	if pool.Opened() != 1 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 1", pool.Opened())
 	}
 }
--- a/internal/transport/serverconn/connection.go
+++ b/internal/transport/serverconn/connection.go
@@ -10,7 +10,7 @@
 
 const readBufferBytes = 4 << 10
 
-// connection is one connection to a server; one exchange uses it at a time.
+// connection is a connection to a server. At most one exchange uses it at a time.
 type connection struct {
 	address string
 	net.Conn
@@ -26,16 +26,17 @@
 	}
 }
 
-// boundedReader reads from a connection, up to a bound while there is one.
+// boundedReader reads from a connection, and limits the number of bytes read while a bound is active.
 type boundedReader struct {
 	source io.Reader
 	active bool
 	left   int64
-	// exceeded is set once more than the bound was requested: readers of lines hide the error of a truncated line.
+	// exceeded is set once more bytes than the bound were requested. It is needed because parsers that read lines may
+	// hide the error at a truncated line.
 	exceeded bool
 }
 
-// bound allows so many more bytes before a *HeadTooLargeError.
+// bound limits the bytes that may be read from now on; reading more returns a *HeadTooLargeError.
 func (s *boundedReader) bound(limit int64) { s.active, s.left = true, limit }
 
 // unbound removes the bound.
@@ -55,13 +56,14 @@
 	return count, err
 }
 
-// unreadChecker is a connection that is not a socket and reports itself whether unread bytes have arrived.
+// unreadChecker is implemented by simulated connections, which are not sockets, to report whether unread bytes have
+// arrived.
 type unreadChecker interface{ HasUnread() bool }
 
 func (c *connection) close() { _ = c.Close() }
 
-// isClean reports whether nothing has arrived on an idle connection: neither
-// its end nor bytes that do not belong to a request.
+// isClean reports whether an idle connection is still open and no unread bytes
+// have arrived on it.
 func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/transport/serverconn/errors.go
+++ b/internal/transport/serverconn/errors.go
@@ -13,7 +13,7 @@
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
 // BrokenError is the error of an exchange that broke after bytes of the request may have
-// reached the server: it may have run.
+// reached the server, so the request may have run.
 type BrokenError struct {
 	Address string
 	Cause   error
--- a/internal/transport/serverconn/exchange.go
+++ b/internal/transport/serverconn/exchange.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// concurrentWriteBytes is the size from which a request is written while the answer is read,
-	// since a server may answer before it has read the complete request.
+	// concurrentWriteBytes is the size from which a request is written concurrently with reading the answer,
+	// because a server may answer before it has read the complete request.
 	concurrentWriteBytes = 8 << 10
 	keepAliveHeader      = "Keep-Alive"
-	// MaxHeadBytes bounds status line and headers of an answer, those of the informational (1xx) answers before it
-	// included.
+	// MaxHeadBytes is the maximum size of the status line and headers of an answer, including those of the
+	// informational (1xx) answers before it.
 	MaxHeadBytes = 64 << 10
 )
 
@@ -37,9 +37,10 @@
 	Header http.Header
 	Body   io.Reader
 
-	pool             *Pool
-	connection       *connection
-	answer           *http.Response
+	pool       *Pool
+	connection *connection
+	answer     *http.Response
+	// stopContextWatch stops ending the exchange with its context; it returns false if the context ended before.
 	stopContextWatch func() bool
 	// writeResult delivers the result of a concurrent write; writeErr is that result once it was received.
 	writeResult <-chan error
@@ -47,12 +48,12 @@
 	complete    bool
 }
 
-// pastDeadline is a deadline that ends reads and writes at once.
+// pastDeadline is a deadline in the past, which ends reads and writes immediately.
 var pastDeadline = time.Unix(1, 0)
 
 // Do sends a request to the server at an address and returns when the head of
 // its answer has arrived. The exchange ends when the context does. The error is a
-// *NotSentError when no byte left, else a *BrokenError.
+// *NotSentError if no byte was sent, otherwise a *BrokenError.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Address: address, Cause: err}
@@ -103,7 +104,8 @@
 	return nil
 }
 
-// readHead skips informational answers. The error is a *HeadTooLargeError when the head exceeds MaxHeadBytes.
+// readHead reads the head of the answer and skips informational answers before it. The error is a *HeadTooLargeError
+// if their heads together exceed MaxHeadBytes.
 func readHead(from *connection, method string) (*http.Response, error) {
 	from.bounded.bound(MaxHeadBytes)
 	defer from.bounded.unbound()
@@ -121,7 +123,7 @@
 	}
 }
 
-// encode writes a request with the length of its body.
+// encode returns a request in HTTP/1.1 with the length of its body.
 func encode(request *Request) []byte {
 	var message bytes.Buffer
 	message.Grow(512 + len(request.Body))
@@ -147,7 +149,7 @@
 	return message.Bytes()
 }
 
-// hasLength reports whether a request names its length, which is so without a body where the method suggests one.
+// hasLength reports whether a request has a Content-Length header: if it has a body, or its method usually has one.
 func hasLength(request *Request) bool {
 	switch request.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -157,7 +159,7 @@
 	}
 }
 
-// bodyReader reads the body and records when it is complete.
+// bodyReader reads the body of an answer and records when it was read completely.
 type bodyReader struct{ response *Response }
 
 // Read implements io.Reader.
@@ -173,9 +175,10 @@
 	return count, io.EOF
 }
 
-// bodyEndVerified reports whether the end of the body is the server's own. A body
-// without a length ends with its connection; while a request is being written, a
-// reset may be reported to the writer alone and look like an end to the reader.
+// bodyEndVerified reports whether the server ended the body, as opposed to a reset
+// of the connection. A body without a length ends with its connection; while a
+// request is being written, a reset may be reported only to the writer and look
+// like the end of the body to the reader.
 func (r *Response) bodyEndVerified() bool {
 	hasLength := r.answer.ContentLength >= 0 || len(r.answer.TransferEncoding) > 0 || r.answer.Body == http.NoBody
 	return hasLength || r.requestWritten()
@@ -192,7 +195,8 @@
 	return r.writeErr == nil
 }
 
-// ReadAll reads the complete body. The error is a *TooLargeError beyond the limit, in bytes, else a *BrokenError.
+// ReadAll reads the complete body. The error is a *TooLargeError if the body exceeds the limit, in bytes, otherwise a
+// *BrokenError.
 func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -204,8 +208,8 @@
 	return body, nil
 }
 
-// Close ends the exchange. The connection is reused when the
-// request was written, the answer was read completely and nothing more arrived.
+// Close ends the exchange. The connection is reused if the request was written
+// and the answer was read completely and no further bytes have arrived.
 func (r *Response) Close() {
 	live := r.stopContextWatch()
 	if !live || !r.reusable() {
@@ -234,11 +238,12 @@
 	return r.connection.SetWriteDeadline(time.Time{}) == nil
 }
 
-// serverIdleTimeout is how long a server keeps an idle connection, by its Keep-Alive header; 0 is unknown.
+// serverIdleTimeout returns how long to reuse an idle connection according to the server's Keep-Alive header, with
+// idleMargin subtracted; 0 if the header has no timeout.
 func serverIdleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get(keepAliveHeader), ",") {
-		name, text, found := strings.Cut(strings.TrimSpace(part), "=")
-		if !found || !strings.EqualFold(name, "timeout") {
+		name, text, hasValue := strings.Cut(strings.TrimSpace(part), "=")
+		if !hasValue || !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		seconds, err := strconv.Atoi(text)
--- a/internal/transport/serverconn/memory_test.go
+++ b/internal/transport/serverconn/memory_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
-// answerOnce answers one request and closes the connection, which it had not announced.
+// answerOnce answers one request and closes the connection without announcing it in the answer.
 func answerOnce(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	if _, err := http.ReadRequest(bufio.NewReader(connection)); err == nil {
@@ -44,13 +44,13 @@
 				t.Fatal(err)
 			}
 			if body, err := response.ReadAll(10); err != nil || string(body) != "ok" {
-				t.Errorf("read %q, %v", body, err)
+				t.Errorf("got body %q, error %v, want %q", body, err, "ok")
 			}
 			response.Close()
 			<-time.After(time.Second)
 		}
 		if pool.Opened() != 3 {
-			t.Errorf("%d connections, must be 3", pool.Opened())
+			t.Errorf("%d connections were opened, want 3", pool.Opened())
 		}
 		pool.Close()
 		network.Close()
--- a/internal/transport/serverconn/pool.go
+++ b/internal/transport/serverconn/pool.go
@@ -10,7 +10,7 @@
 // Defaults of Options.
 const (
 	DefaultDialTimeout = 600 * time.Millisecond
-	// DefaultIdleTimeout is how long a connection may be idle unless its server names a shorter time.
+	// DefaultIdleTimeout is how long a connection may be idle unless its server announces a shorter timeout.
 	DefaultIdleTimeout = 30 * time.Second
 	// idleMargin is subtracted from the time after which a server closes an idle connection.
 	idleMargin = 500 * time.Millisecond
@@ -22,13 +22,13 @@
 type Options struct {
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
-	// Now is the clock by which idle connections expire; time.Now by default.
+	// Now returns the time for the expiry of idle connections; time.Now by default.
 	Now func() time.Time
 	// Dial opens a connection; TCP by default.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool has the idle connections to servers, by address. It is safe for concurrent use; the mutex guards the fields
+// Pool holds the idle connections to servers, by address. It is safe for concurrent use; the mutex guards the fields
 // below it.
 type Pool struct {
 	options Options
@@ -39,7 +39,7 @@
 	opened uint64
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(options Options) *Pool {
 	if options.DialTimeout == 0 {
 		options.DialTimeout = DefaultDialTimeout
@@ -61,21 +61,21 @@
 	return &Pool{options: options, idle: make(map[string][]*connection)}
 }
 
-// Opened is the number of connections opened so far.
+// Opened returns the number of connections opened so far, including attempts that failed.
 func (p *Pool) Opened() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened
 }
 
-// CloseIdle closes the idle connections to an address, whose server was removed.
+// CloseIdle closes the idle connections to an address. Call it when the server at the address was removed.
 func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mutex.Unlock()
-	for _, each := range idle {
-		each.close()
+	for _, unused := range idle {
+		unused.close()
 	}
 }
 
@@ -87,13 +87,13 @@
 	p.idle = make(map[string][]*connection)
 	p.mutex.Unlock()
 	for _, idle := range idleByAddress {
-		for _, each := range idle {
-			each.close()
+		for _, unused := range idle {
+			unused.close()
 		}
 	}
 }
 
-// acquire returns an idle connection that is proved clean, or opens one.
+// acquire returns an idle connection that has not expired and is clean, or opens one.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
 		idle := p.popIdle(address)
@@ -137,7 +137,7 @@
 	return newConnection(address, opened), nil
 }
 
-// release makes a connection idle until it is used again or its server would close it.
+// release returns a connection to the pool, where it stays idle until it is reused or the timeout expires.
 func (p *Pool) release(used *connection, timeout time.Duration) {
 	if timeout <= 0 || timeout > p.options.IdleTimeout {
 		timeout = p.options.IdleTimeout
@@ -152,12 +152,13 @@
 	expired := p.prune(used.address)
 	p.idle[used.address] = append(p.idle[used.address], used)
 	p.mutex.Unlock()
-	for _, each := range expired {
-		each.close()
+	for _, stale := range expired {
+		stale.close()
 	}
 }
 
-// prune removes the expired connections of an address; the least recently used come first.
+// prune removes the expired connections of an address from the pool and returns them. The idle connections are in
+// order of their last use, the oldest first.
 func (p *Pool) prune(address string) []*connection {
 	idle := p.idle[address]
 	now := p.options.Now()
--- a/internal/transport/serverconn/pool_test.go
+++ b/internal/transport/serverconn/pool_test.go
@@ -21,7 +21,7 @@
 	"github.com/rosestand/rosestand/internal/transport/serverconn"
 )
 
-// server answers each connection by a script.
+// server serves each connection with a function of the test.
 type server struct {
 	listener net.Listener
 	group    sync.WaitGroup
@@ -62,12 +62,12 @@
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		t.Errorf("read the body: %v", err)
+		t.Errorf("read the body of a request: %v", err)
 	}
 	return request, string(body)
 }
 
-// dialBound is far above what a dial on loopback needs, also on a busy machine.
+// dialBound is far longer than a dial on loopback takes, even on a busy machine.
 const dialBound = 30 * time.Second
 
 func newPool(t *testing.T, options serverconn.Options) *serverconn.Pool {
@@ -117,12 +117,12 @@
 	})
 	pool := newPool(t, serverconn.Options{})
 	for _, body := range []string{"hello", "", strings.Repeat("long ", 20_000)} {
-		if got, wanted := readAll(t, pool, echo.address(), body), "POST /a%2Fb/?x=1&y example.test 1 "+body; got != wanted {
-			t.Fatalf("got %.80q, wanted %.80q", got, wanted)
+		if got, want := readAll(t, pool, echo.address(), body), "POST /a%2Fb/?x=1&y example.test 1 "+body; got != want {
+			t.Fatalf("the server received %.80q, want %.80q", got, want)
 		}
 	}
 	if pool.Opened() != 1 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 1", pool.Opened())
 	}
 }
 
@@ -151,20 +151,20 @@
 				return connection, err
 			}})
 			if got := readAll(t, pool, surplusServer.address(), "a"); got != "ok" {
-				t.Fatalf("got %q", got)
+				t.Fatalf("first answer: got %q, want %q", got, "ok")
 			}
 			close(surplus)
 			if !together {
 				awaitBytes(t, dialed[0])
 			}
 			if got := readAll(t, pool, surplusServer.address(), "b"); got != "ok" || pool.Opened() != 2 {
-				t.Fatalf("got %q over %d connections", got, pool.Opened())
+				t.Fatalf("second answer: got %q with %d connections opened, want %q with 2", got, pool.Opened(), "ok")
 			}
 		})
 	}
 }
 
-// awaitBytes returns once bytes have arrived on a connection, without taking them.
+// awaitBytes waits until bytes have arrived on a connection, without consuming them.
 func awaitBytes(t *testing.T, connection net.Conn) {
 	t.Helper()
 	raw, err := connection.(syscall.Conn).SyscallConn()
@@ -191,11 +191,11 @@
 	pool := newPool(t, serverconn.Options{})
 	for range 5 {
 		if got := readAll(t, pool, closing.address(), "a"); got != "ok" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got body %q, want %q", got, "ok")
 		}
 	}
 	if pool.Opened() != 5 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 5", pool.Opened())
 	}
 }
 
@@ -214,12 +214,12 @@
 	now = now.Add(time.Second)
 	readAll(t, pool, keeping.address(), "a")
 	if pool.Opened() != 1 {
-		t.Fatalf("a fresh connection was not used again: %d were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 1: one that was idle for 1s of 2s was not reused", pool.Opened())
 	}
 	now = now.Add(1900 * time.Millisecond)
 	readAll(t, pool, keeping.address(), "a")
 	if pool.Opened() != 2 {
-		t.Fatalf("a connection about to be closed was used: %d were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2: one that was idle for 1.9s of 2s was reused", pool.Opened())
 	}
 }
 
@@ -236,12 +236,12 @@
 	pool := newPool(t, serverconn.Options{})
 	var notSent *serverconn.NotSentError
 	if _, err := pool.Do(context.Background(), closed.Address(), post("a")); !errors.As(err, &notSent) {
-		t.Fatalf("a refused connection gave %v", err)
+		t.Fatalf("request to a closed port: got error %v, want a *NotSentError", err)
 	}
 	closing := newServer(t, func(_ net.Conn, reader *bufio.Reader) { readRequest(t, reader) })
 	var broken *serverconn.BrokenError
 	if _, err := pool.Do(context.Background(), closing.address(), post("a")); !errors.As(err, &broken) {
-		t.Fatalf("a closed connection gave %v", err)
+		t.Fatalf("request whose connection closed without an answer: got error %v, want a *BrokenError", err)
 	}
 }
 
@@ -261,11 +261,11 @@
 	}
 	cancel()
 	if _, err := response.ReadAll(100); err == nil {
-		t.Fatal("a cancelled answer was read completely")
+		t.Fatal("the body of a cancelled exchange was read without an error")
 	}
 	response.Close()
 	if err := <-ended; err == nil {
-		t.Fatal("the server was left to work on")
+		t.Fatal("the connection of a cancelled exchange was not closed at the server")
 	}
 }
 
@@ -286,7 +286,7 @@
 			}
 			defer response.Close()
 			if _, err := response.ReadAll(100); err == nil {
-				t.Fatal("a truncated answer passed as complete")
+				t.Fatalf("the truncated answer %q was read without an error", answer)
 			}
 		})
 	}
@@ -302,13 +302,13 @@
 		<-release
 	})
 	pool := newPool(t, serverconn.Options{})
-	// Larger than what the sockets hold, so that the write is under way when the answer comes.
+	// The body exceeds the socket buffers, so that the write is still in progress when the answer arrives.
 	response, err := pool.Do(context.Background(), early.address(), post(strings.Repeat("x", 64<<20)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if response.Status != http.StatusRequestEntityTooLarge {
-		t.Fatalf("status %d", response.Status)
+		t.Fatalf("got status %d, want %d", response.Status, http.StatusRequestEntityTooLarge)
 	}
 	if _, err := response.ReadAll(10); err != nil {
 		t.Fatal(err)
@@ -319,6 +319,6 @@
 		next.Discard()
 	}
 	if pool.Opened() != 2 {
-		t.Fatalf("%d connections were opened", pool.Opened())
+		t.Fatalf("%d connections were opened, want 2", pool.Opened())
 	}
 }
