--- a/internal/controlplane/corelink/fake_core_test.go
+++ b/internal/controlplane/corelink/fake_core_test.go
@@ -163,7 +163,7 @@
 	return &protocol.Response{Body: &protocol.Response_PollControl{PollControl: update}}, nil
 }
 
-// updateFor returns the sections that are newer than the versions known to the poll; nil if there are none.
+// updateFor returns the sections that are newer than the versions stated in the poll; nil if there are none.
 func (c *fakeCore) updateFor(poll *protocol.PollControlRequest) *protocol.PollControlResponse {
 	known, update, newer := poll.GetKnown(), &protocol.PollControlResponse{}, false
 	if membership := c.latest.GetMembership(); membership.GetVersion() > known.GetMembership() {
--- a/internal/controlplane/corelink/locator.go
+++ b/internal/controlplane/corelink/locator.go
@@ -13,14 +13,14 @@
 
 const (
 	searchTimeout = time.Second
-	// leaderWait is how long a core process that knows no leader may keep the request pending until it knows one.
+	// leaderWait is how long a core process without a known leader may keep the request pending until it has one.
 	leaderWait = 400 * time.Millisecond
 	// minSearchInterval is the minimum interval between a failed search and the next one, over all callers.
 	minSearchInterval = 50 * time.Millisecond
 	maxCoreAddresses  = 16
 )
 
-// CoreNotFoundError reports that no queried process knows a leader of the core.
+// CoreNotFoundError reports that no queried process returned the leader of the core.
 type CoreNotFoundError struct {
 	// Queried is the number of processes that were queried; zero if the search was
 	// omitted because another one had just failed, or if there is no address.
--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -16,12 +16,12 @@
 
 // timeUntilReady advances virtual time until the link is ready, and returns how long that took.
 func timeUntilReady(g *WithT, link *corelink.Link) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	for !link.Ready() {
 		advance(5 * time.Millisecond)
-		g.Expect(time.Since(began)).To(BeNumerically("<", 30*time.Second))
+		g.Expect(time.Since(start)).To(BeNumerically("<", 30*time.Second))
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 func TestGivenALeaderWhenStartedThenANodeIsReadyImmediately(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// One seed does not answer; the others know no leader yet.
+// One seed does not answer; the others have no leader yet.
 func TestGivenAnUnresponsiveSeedWhenALeaderIsElectedThenItDelaysNothing(t *testing.T) {
 	core := newFakeCore()
 	core.leader = ""
--- a/internal/controlplane/views/apply.go
+++ b/internal/controlplane/views/apply.go
@@ -90,19 +90,19 @@
 	checksum, expectedChecksum  uint64
 }
 
-func (c *deltaVerification) verify() error {
+func (v *deltaVerification) verify() error {
 	switch {
-	case c.currentVersion != c.baseVersion:
+	case v.currentVersion != v.baseVersion:
 		return &MismatchError{
-			Section: c.section,
-			Reason:  fmt.Sprintf("it is based on version %d, the current version is %d", c.baseVersion, c.currentVersion),
+			Section: v.section,
+			Reason:  fmt.Sprintf("it is based on version %d, the current version is %d", v.baseVersion, v.currentVersion),
 		}
-	case c.count != int(c.expectedCount):
+	case v.count != int(v.expectedCount):
 		return &MismatchError{
-			Section: c.section, Reason: fmt.Sprintf("the result has %d entries, want %d", c.count, c.expectedCount),
+			Section: v.section, Reason: fmt.Sprintf("the result has %d entries, want %d", v.count, v.expectedCount),
 		}
-	case c.checksum != c.expectedChecksum:
-		return &MismatchError{Section: c.section, Reason: "the checksum of the result does not match"}
+	case v.checksum != v.expectedChecksum:
+		return &MismatchError{Section: v.section, Reason: "the checksum of the result does not match"}
 	default:
 		return nil
 	}
--- a/internal/transport/httpdrain/connection.go
+++ b/internal/transport/httpdrain/connection.go
@@ -80,13 +80,13 @@
 }
 
 // SetReadDeadline implements net.Conn. A deadline after headerDeadline is replaced by headerDeadline.
-func (c *connection) SetReadDeadline(at time.Time) error {
+func (c *connection) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.headerDeadline.IsZero() && at.After(c.headerDeadline) {
-		at = c.headerDeadline
+	if !c.headerDeadline.IsZero() && deadline.After(c.headerDeadline) {
+		deadline = c.headerDeadline
 	}
-	return c.Conn.SetReadDeadline(at)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // closeWhenIdle makes the serving goroutine close the connection as soon as it is idle. A request that has begun to
--- a/internal/transport/httpdrain/connection_tracker.go
+++ b/internal/transport/httpdrain/connection_tracker.go
@@ -20,46 +20,46 @@
 	return &connectionTracker{open: map[*connection]struct{}{}, drained: make(chan struct{})}
 }
 
-func (c *connectionTracker) add(accepted net.Conn) *connection {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	added := &connection{Conn: accepted, tracker: c, draining: c.draining}
-	c.open[added] = struct{}{}
+func (t *connectionTracker) add(accepted net.Conn) *connection {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	added := &connection{Conn: accepted, tracker: t, draining: t.draining}
+	t.open[added] = struct{}{}
 	return added
 }
 
-func (c *connectionTracker) remove(closed *connection) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if _, tracked := c.open[closed]; tracked {
-		delete(c.open, closed)
-		c.signalIfDrained()
+func (t *connectionTracker) remove(closed *connection) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if _, tracked := t.open[closed]; tracked {
+		delete(t.open, closed)
+		t.signalIfDrained()
 	}
 }
 
 // drain makes each connection close as soon as it is idle; the returned channel is closed when none is open.
-func (c *connectionTracker) drain() <-chan struct{} {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.draining {
-		return c.drained
+func (t *connectionTracker) drain() <-chan struct{} {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.draining {
+		return t.drained
 	}
-	c.draining = true
-	for open := range c.open {
+	t.draining = true
+	for open := range t.open {
 		open.closeWhenIdle()
 	}
-	c.signalIfDrained()
-	return c.drained
+	t.signalIfDrained()
+	return t.drained
 }
 
-func (c *connectionTracker) signalIfDrained() {
-	if c.draining && len(c.open) == 0 {
-		close(c.drained)
+func (t *connectionTracker) signalIfDrained() {
+	if t.draining && len(t.open) == 0 {
+		close(t.drained)
 	}
 }
 
 // connStateChanged is the ConnState hook of the http.Server.
-func (c *connectionTracker) connStateChanged(served net.Conn, state http.ConnState) {
+func (t *connectionTracker) connStateChanged(served net.Conn, state http.ConnState) {
 	if tracked, isTracked := served.(*connection); isTracked {
 		tracked.setActive(state == http.StateActive)
 	}
--- a/internal/transport/httpdrain/loopback_test.go
+++ b/internal/transport/httpdrain/loopback_test.go
@@ -26,7 +26,7 @@
 	return server, listener.Addr().String(), ended
 }
 
-func TestACallerReadsTheEndOfItsConnectionEvenIfItSendsMore(t *testing.T) {
+func TestACallerReceivesTheClosingResponseEvenIfItSendsMore(t *testing.T) {
 	server, address, served := newLoopbackServer(t)
 	connection, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", address)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAClientHandlesTheEndOfItsConnection(t *testing.T) {
+func TestAnHTTPClientHandlesTheClosingResponse(t *testing.T) {
 	server, address, served := newLoopbackServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
--- a/internal/transport/httpdrain/server_test.go
+++ b/internal/transport/httpdrain/server_test.go
@@ -71,9 +71,9 @@
 }
 
 func (r *pipeServer) connect() *pipeCaller {
-	ours, theirs := net.Pipe()
-	r.pipes.connections <- theirs
-	return &pipeCaller{Conn: ours, t: r.t, reader: bufio.NewReader(ours)}
+	clientEnd, serverEnd := net.Pipe()
+	r.pipes.connections <- serverEnd
+	return &pipeCaller{Conn: clientEnd, t: r.t, reader: bufio.NewReader(clientEnd)}
 }
 
 func (c *pipeCaller) send(text string) {
@@ -143,7 +143,7 @@
 	return start + body, len(start)
 }
 
-func TestARequestThatHasBegunWhenConnectionsAreClosedIsAnsweredCompletely(t *testing.T) {
+func TestARequestThatHasBegunToArriveWhenTheDrainBeginsIsAnsweredCompletely(t *testing.T) {
 	request, header := post("complete")
 	for name, arrived := range map[string]int{
 		"its first byte": 1, "three bytes": 3, "half of its header": header / 2, "its header": header,
@@ -199,7 +199,7 @@
 	})
 }
 
-func TestARequestThatComesJustBeforeItsConnectionIsClosedIsServed(t *testing.T) {
+func TestARequestThatArrivesJustBeforeItsConnectionIsClosedIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPipeServer(t, echo)
 		caller := r.connect()
--- a/internal/transport/serverconn/answers_test.go
+++ b/internal/transport/serverconn/answers_test.go
@@ -48,13 +48,13 @@
 	const name, lineEnd, maxLine = "X: ", "\r\n", 1 << 10
 	var head strings.Builder
 	head.WriteString(begin)
-	for left := size - len(begin) - len(end); left > 0; {
-		line := min(left, maxLine)
-		if rest := left - line; rest > 0 && rest <= len(name)+len(lineEnd) {
+	for remaining := size - len(begin) - len(end); remaining > 0; {
+		line := min(remaining, maxLine)
+		if rest := remaining - line; rest > 0 && rest <= len(name)+len(lineEnd) {
 			line -= maxLine / 2
 		}
 		head.WriteString(name + strings.Repeat("x", line-len(name)-len(lineEnd)) + lineEnd)
-		left -= line
+		remaining -= line
 	}
 	head.WriteString(end)
 	return head.String()
--- a/internal/transport/serverconn/connection.go
+++ b/internal/transport/serverconn/connection.go
@@ -37,22 +37,22 @@
 }
 
 // bound limits the bytes that may be read from now on; reading more returns a *HeadTooLargeError.
-func (s *boundedReader) bound(limit int64) { s.active, s.left = true, limit }
+func (b *boundedReader) bound(limit int64) { b.active, b.left = true, limit }
 
 // unbound removes the bound.
-func (s *boundedReader) unbound() { s.active = false }
+func (b *boundedReader) unbound() { b.active = false }
 
 // Read implements io.Reader.
-func (s *boundedReader) Read(buffer []byte) (int, error) {
-	if !s.active {
-		return s.source.Read(buffer)
+func (b *boundedReader) Read(buffer []byte) (int, error) {
+	if !b.active {
+		return b.source.Read(buffer)
 	}
-	if s.left <= 0 {
-		s.exceeded = true
+	if b.left <= 0 {
+		b.exceeded = true
 		return 0, &HeadTooLargeError{Limit: MaxHeadBytes}
 	}
-	count, err := s.source.Read(buffer[:min(int64(len(buffer)), s.left)])
-	s.left -= int64(count)
+	count, err := b.source.Read(buffer[:min(int64(len(buffer)), b.left)])
+	b.left -= int64(count)
 	return count, err
 }
 
--- a/internal/transport/serverconn/exchange.go
+++ b/internal/transport/serverconn/exchange.go
@@ -163,15 +163,15 @@
 type bodyReader struct{ response *Response }
 
 // Read implements io.Reader.
-func (w *bodyReader) Read(buffer []byte) (int, error) {
-	count, err := w.response.answer.Body.Read(buffer)
+func (b *bodyReader) Read(buffer []byte) (int, error) {
+	count, err := b.response.answer.Body.Read(buffer)
 	if err != io.EOF {
 		return count, err
 	}
-	if !w.response.bodyEndVerified() {
+	if !b.response.bodyEndVerified() {
 		return count, io.ErrUnexpectedEOF
 	}
-	w.response.complete = true
+	b.response.complete = true
 	return count, io.EOF
 }
 
--- a/internal/transport/wire/client.go
+++ b/internal/transport/wire/client.go
@@ -27,9 +27,10 @@
 	mutex     sync.Mutex
 	exchanges map[uint64]*exchange
 	nextID    uint64
-	broken    error
-	lastUse   time.Time
-	activity  peerActivity
+	// cause is the error that broke the connection; nil until then.
+	cause    error
+	lastUse  time.Time
+	activity peerActivity
 }
 
 // dial opens a connection and runs the handshake, in which both sides prove the cluster key.
@@ -61,9 +62,9 @@
 // begin registers an exchange and queues its request.
 func (c *clientConnection) begin(ctx context.Context, request *protocol.Request, single bool) (*exchange, error) {
 	c.mutex.Lock()
-	if c.broken != nil {
+	if c.cause != nil {
 		c.mutex.Unlock()
-		return nil, &NotSentError{Address: c.address, Cause: c.broken}
+		return nil, &NotSentError{Address: c.address, Cause: c.cause}
 	}
 	c.nextID++
 	e := &exchange{id: c.nextID, client: c, ctx: ctx, single: single, notify: make(chan struct{}, 1)}
@@ -141,11 +142,11 @@
 // fail breaks the connection and ends every exchange in flight.
 func (c *clientConnection) fail(cause error) {
 	c.mutex.Lock()
-	if c.broken != nil {
+	if c.cause != nil {
 		c.mutex.Unlock()
 		return
 	}
-	c.broken = cause
+	c.cause = cause
 	exchanges := c.exchanges
 	c.exchanges = make(map[uint64]*exchange)
 	c.mutex.Unlock()
--- a/internal/transport/wire/hedged_dial_test.go
+++ b/internal/transport/wire/hedged_dial_test.go
@@ -21,32 +21,32 @@
 func TestMachineThatWasPoweredOnIsReachedByTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
-		begun := time.Now()
-		ours, theirs := net.Pipe()
-		defer func() { _ = theirs.Close() }()
+		start := time.Now()
+		clientEnd, serverEnd := net.Pipe()
+		defer func() { _ = serverEnd.Close() }()
 		connection, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			if attempts.Add(1) == 1 {
 				return unansweredDial(ctx)
 			}
-			return ours, nil
+			return clientEnd, nil
 		})
-		if err != nil || connection != ours || time.Since(begun) != hedgeDelay {
+		if err != nil || connection != clientEnd || time.Since(start) != hedgeDelay {
 			t.Errorf(
 				"got connection %v, error %v after %v, want that of the second attempt after %v",
-				connection, err, time.Since(begun), hedgeDelay,
+				connection, err, time.Since(start), hedgeDelay,
 			)
 		}
-		_ = ours.Close()
+		_ = clientEnd.Close()
 		synctest.Wait()
 	})
 }
 
 func TestRefusedConnectionEndsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
-		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) != 0 {
-			t.Errorf("got error %v after %v, want %v immediately", err, time.Since(begun), syscall.ECONNREFUSED)
+		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(start) != 0 {
+			t.Errorf("got error %v after %v, want %v immediately", err, time.Since(start), syscall.ECONNREFUSED)
 		}
 	})
 }
@@ -54,15 +54,15 @@
 func TestPoweredOffMachineTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
-		begun := time.Now()
+		start := time.Now()
 		_, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			attempts.Add(1)
 			return unansweredDial(ctx)
 		})
-		if err == nil || time.Since(begun) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
+		if err == nil || time.Since(start) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
 			t.Errorf(
 				"got error %v after %d attempts in %v, want an error after %d attempts in %v",
-				err, attempts.Load(), time.Since(begun), maxConcurrentDials, defaultConnectTimeout,
+				err, attempts.Load(), time.Since(start), maxConcurrentDials, defaultConnectTimeout,
 			)
 		}
 	})
--- a/internal/transport/wire/peer_activity.go
+++ b/internal/transport/wire/peer_activity.go
@@ -35,44 +35,44 @@
 
 // recordExchange records a new exchange. If it is the only one in flight, the peer owed no answer before it, so the
 // peer counts as responsive as of now.
-func (s *peerActivity) recordExchange(now time.Time, only bool) {
-	s.lastActivity = now
+func (a *peerActivity) recordExchange(now time.Time, only bool) {
+	a.lastActivity = now
 	if only {
-		s.reset(now)
+		a.reset(now)
 	}
 }
 
 // recordFrame records a frame received from the peer.
-func (s *peerActivity) recordFrame(now time.Time, answer bool) {
-	s.reset(now)
+func (a *peerActivity) recordFrame(now time.Time, answer bool) {
+	a.reset(now)
 	if answer {
-		s.lastActivity = now
+		a.lastActivity = now
 	}
 }
 
 // reset makes the peer count as responsive as of now.
-func (s *peerActivity) reset(now time.Time) {
-	s.lastReceived = now
-	s.pingedAt = time.Time{}
+func (a *peerActivity) reset(now time.Time) {
+	a.lastReceived = now
+	a.pingedAt = time.Time{}
 }
 
-func (s *peerActivity) active(now time.Time) bool { return now.Sub(s.lastActivity) < activePeriod }
+func (a *peerActivity) active(now time.Time) bool { return now.Sub(a.lastActivity) < activePeriod }
 
 // check reports whether a peer that owes answers is to be pinged. If the peer has been unresponsive for too long,
 // unresponsiveFor is not 0.
-func (s *peerActivity) check(now time.Time) (ping bool, unresponsiveFor time.Duration) {
+func (a *peerActivity) check(now time.Time) (ping bool, unresponsiveFor time.Duration) {
 	interval, limit := idleInterval, idlePingTimeout
-	if s.active(now) {
+	if a.active(now) {
 		interval, limit = activeInterval, activePingTimeout
 	}
 	switch {
-	case !s.pingedAt.IsZero():
-		if now.Sub(s.pingedAt) >= limit {
-			return false, now.Sub(s.lastReceived)
+	case !a.pingedAt.IsZero():
+		if now.Sub(a.pingedAt) >= limit {
+			return false, now.Sub(a.lastReceived)
 		}
 		return false, 0
-	case now.Sub(s.lastReceived) >= interval:
-		s.pingedAt = now
+	case now.Sub(a.lastReceived) >= interval:
+		a.pingedAt = now
 		return true, 0
 	default:
 		return false, 0
--- a/internal/transport/wire/peer_activity_test.go
+++ b/internal/transport/wire/peer_activity_test.go
@@ -118,11 +118,11 @@
 		}()
 		<-time.After(10 * time.Second)
 		synctest.Wait()
-		began := time.Now()
+		start := time.Now()
 		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var notSent *wire.NotSentError
-		if !errors.As(err, &notSent) || time.Since(began) > time.Second {
-			t.Fatalf("dialing a powered-off peer: got %v after %s, want a *NotSentError within 1s", err, time.Since(began))
+		if !errors.As(err, &notSent) || time.Since(start) > time.Second {
+			t.Fatalf("dialing a powered-off peer: got %v after %s, want a *NotSentError within 1s", err, time.Since(start))
 		}
 	})
 	withPeer(t, time.Hour, func(p *peer) {
@@ -130,13 +130,13 @@
 			<-time.After(100 * time.Millisecond)
 			p.isolated.Store(true)
 		}()
-		began := time.Now()
+		start := time.Now()
 		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var unresponsive *wire.UnresponsivePeerError
-		if !errors.As(err, &unresponsive) || time.Since(began) > time.Second {
+		if !errors.As(err, &unresponsive) || time.Since(start) > time.Second {
 			t.Fatalf(
 				"calling a peer that lost power: got %v after %s, want an *UnresponsivePeerError within 1s",
-				err, time.Since(began),
+				err, time.Since(start),
 			)
 		}
 	})
@@ -160,10 +160,10 @@
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		if _, err := p.pool.Call(ctx, "peer", explainRequest("y")); !errors.Is(err, context.DeadlineExceeded) ||
-			time.Since(began) > 60*time.Millisecond {
-			t.Fatalf("got %v after %s, want the deadline exceeded after 50ms", err, time.Since(began))
+			time.Since(start) > 60*time.Millisecond {
+			t.Fatalf("got %v after %s, want the deadline exceeded after 50ms", err, time.Since(start))
 		}
 		if p.dials.Load() != 1 {
 			t.Fatalf("got %d dials, want 1 shared by both calls", p.dials.Load())
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -254,7 +254,7 @@
 	delete(p.open, connection)
 	p.mutex.Unlock()
 	connection.mutex.Lock()
-	cause := connection.broken
+	cause := connection.cause
 	connection.mutex.Unlock()
 	if errors.HasType(cause, (*IdleError)(nil)) || errors.HasType(cause, (*ClosedError)(nil)) {
 		return
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -257,8 +257,8 @@
 }
 
 func (c *servedConnection) requestContext(frame *protocol.Frame) (context.Context, context.CancelFunc) {
-	if left := frame.GetTimeLeftMillis(); left > 0 {
-		return context.WithTimeout(c.ctx, time.Duration(left)*time.Millisecond)
+	if timeLeft := frame.GetTimeLeftMillis(); timeLeft > 0 {
+		return context.WithTimeout(c.ctx, time.Duration(timeLeft)*time.Millisecond)
 	}
 	return context.WithCancel(c.ctx)
 }
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -109,7 +109,7 @@
 func TestFailuresKeepTheirType(t *testing.T) {
 	address, _ := startServer(t,
 		handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
-			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "ask another")
+			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "another process is the leader")
 		}))
 	_, err := startPool(t, testKey).Call(context.Background(), address, explainRequest("x"))
 	if !failure.Is(err, failure.NotLeader) {
@@ -193,7 +193,7 @@
 	return r.Conn.Write(data)
 }
 
-func TestReplayedTruncatedAndOversizedBytesServeNothing(t *testing.T) {
+func TestReplayedTruncatedAndOversizedBytesAreNotServed(t *testing.T) {
 	count := 0
 	address, server := startServer(t,
 		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
@@ -234,14 +234,14 @@
 }
 
 func TestDeadlineIsPropagatedWithTheRequest(t *testing.T) {
-	left := make(chan time.Duration, 1)
+	timeLeft := make(chan time.Duration, 1)
 	address, _ := startServer(t,
 		handlerFunc(func(ctx context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			deadline, has := ctx.Deadline()
 			if !has {
 				return errors.New("no deadline")
 			}
-			left <- time.Until(deadline)
+			timeLeft <- time.Until(deadline)
 			return send(explainResponse("x"))
 		}))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -249,7 +249,7 @@
 	if _, err := startPool(t, testKey).Call(ctx, address, explainRequest("x")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-left; got > time.Minute+time.Second || got <= 0 {
+	if got := <-timeLeft; got > time.Minute+time.Second || got <= 0 {
 		t.Fatalf("the handler's deadline is in %v, want at most a minute", got)
 	}
 }
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -24,7 +24,7 @@
 }
 
 // frameWriter queues the frames of all exchanges on a connection and writes
-// all queued frames in one system call. The mutex guards pending, reusable and failed.
+// all queued frames in one system call. The mutex guards pending, reusable and cause.
 type frameWriter struct {
 	connection net.Conn
 	counters   *Counters
@@ -32,8 +32,9 @@
 	mutex    sync.Mutex
 	pending  []byte
 	reusable []byte
-	failed   error
-	notify   chan struct{}
+	// cause is returned by every write once fail was called; nil until then.
+	cause  error
+	notify chan struct{}
 	// deadlineSetAt is when the write deadline was last set; only the writing goroutine uses it.
 	deadlineSetAt time.Time
 }
@@ -47,8 +48,8 @@
 func (w *frameWriter) write(message proto.Message) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.failed != nil {
-		return w.failed
+	if w.cause != nil {
+		return w.cause
 	}
 	if len(w.pending) > maxPendingBytes {
 		return &FrameError{Reason: "peer reads too slowly"}
@@ -113,8 +114,8 @@
 // fail makes every later write return err.
 func (w *frameWriter) fail(err error) {
 	w.mutex.Lock()
-	if w.failed == nil {
-		w.failed = err
+	if w.cause == nil {
+		w.cause = err
 	}
 	w.mutex.Unlock()
 }
