--- a/internal/controlplane/corelink/link_test.go
+++ b/internal/controlplane/corelink/link_test.go
@@ -15,7 +15,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// The tests run in a bubble of virtual time: waiting costs nothing and nothing depends on the wall clock.
+// The tests run in synctest bubbles: waits take no real time, and results do not depend on the wall clock.
 
 // withLink runs a test with a link that was started a second ago; the bubble ends only when all goroutines have.
 func withLink(t *testing.T, test func(g *WithT, core *fakeCore, link *corelink.Link)) {
@@ -38,7 +38,7 @@
 		g.Expect(link.Start(context.Background())).To(Succeed())
 		defer func() {
 			_ = link.Stop(context.Background())
-			// What was sent before the stop arrives in the end.
+			// Requests sent before the stop arrive, with a delay of up to an hour, so that their goroutines end.
 			advance(2 * time.Hour)
 		}()
 		test(g, link)
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestGivenSlowAnswersThenAuthorityIsCountedFromTheSending(t *testing.T) {
+func TestGivenSlowAnswersThenAuthorityIsCountedFromTheTimeOfSending(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 800 * time.Millisecond })
 		advance(5 * time.Second)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestGivenAnUnresponsiveCoreThenAuthorityEndsAndComesBackUnderANewIncarnation(t *testing.T) {
+func TestGivenAnUnreachableCoreThenAuthorityEndsAndResumesUnderANewIncarnation(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.down = map[string]bool{firstLeader: true, secondLeader: true} })
 		advance(4900 * time.Millisecond)
@@ -102,7 +102,7 @@
 	})
 }
 
-// A node whose messages arrive, but not the answers to them, must not keep its ranges of the ring.
+// A node that can reach the core but receives no answers must not keep its ranges of the ring.
 func TestGivenAnswersThatNeverArriveThenItStopsRequestingALease(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.breakConnections = 1 << 30 })
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestGivenAnOlderViewThenNothingStepsBack(t *testing.T) {
+func TestGivenAnOlderViewThenTheVersionDoesNotDecrease(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
 		advance(100 * time.Millisecond)
@@ -151,7 +151,7 @@
 func TestGivenAPollOnADeadConnectionThenTheNewViewIsStillReceived(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.hangPolls = true })
-		// The pending poll began before; one more change makes the next one hang.
+		// The pending poll started before hangPolls was set and returns this change; the next poll hangs.
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 9} })
 		advance(100 * time.Millisecond)
 		core.publish(func(state *protocol.PollControlResponse) { state.Membership = &protocol.MembershipView{Version: 10} })
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestGivenAViewThatCannotBeReadThenAuthorityEnds(t *testing.T) {
+func TestGivenASubscriberThatBlocksThenAuthorityEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
@@ -191,7 +191,7 @@
 	return &protocol.Configuration{Version: version, Active: active, ActiveDigest: bundle.Digest(active)}
 }
 
-func TestGivenADeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
+func TestGivenAConfigurationDeltaThenItIsAppliedAndAfterAWrongOneAFullSnapshotIsRequested(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) { state.Configuration = configuration(10, "one") })
 		advance(100 * time.Millisecond)
@@ -222,7 +222,7 @@
 	})
 }
 
-func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotPutInForce(t *testing.T) {
+func TestGivenAFullConfigurationWithAnotherDigestThenItIsNotApplied(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.publish(func(state *protocol.PollControlResponse) {
 			state.Configuration = configuration(10, "one")
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestGivenASubscriberThenAViewIsAcknowledgedOnlyWhenItIsInForce(t *testing.T) {
+func TestGivenASubscriberThenAViewIsAcknowledgedOnlyOnceItReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
@@ -276,8 +276,8 @@
 	})
 }
 
-// A renewal that is under way must not reach the core after the release.
-func TestGivenARenewalUnderWayWhenStoppedThenTheReleaseComesAfterIt(t *testing.T) {
+// A renewal that is in flight must not reach the core after the release.
+func TestGivenARenewalInFlightWhenStoppedThenTheReleaseFollowsIt(t *testing.T) {
 	withLink(t, func(g *WithT, core *fakeCore, link *corelink.Link) {
 		core.set(func() { core.delay = 900 * time.Millisecond })
 		advance(1200 * time.Millisecond)
@@ -287,12 +287,12 @@
 		advance(50 * time.Millisecond)
 		g.Expect(link.HasAuthority()).To(BeFalse())
 		advance(5 * time.Second)
-		g.Expect(core.renewalCount()).To(Equal(before+2), "the renewal and the release")
+		g.Expect(core.renewalCount()).To(Equal(before+2), "exactly the renewal in flight and the release must reach the core")
 		g.Expect(core.lastRenewal().GetRelease()).To(BeTrue())
 	})
 }
 
-func TestGivenABrokenConnectionThenOnlyWhatIsIdempotentIsSentAgain(t *testing.T) {
+func TestGivenABrokenConnectionThenOnlyIdempotentRequestsAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, core := NewWithT(t), newFakeCore()
 		link := newLink(core)
--- a/internal/controlplane/corelink/locator.go
+++ b/internal/controlplane/corelink/locator.go
@@ -13,14 +13,14 @@
 
 const (
 	searchTimeout = time.Second
-	// leaderWait is how long a core process that knows no leader may keep the request pending until it knows one.
+	// leaderWait is how long a core process without a known leader may keep the request pending until it has one.
 	leaderWait = 400 * time.Millisecond
 	// minSearchInterval is the minimum interval between a failed search and the next one, over all callers.
 	minSearchInterval = 50 * time.Millisecond
 	maxCoreAddresses  = 16
 )
 
-// CoreNotFoundError reports that no queried process knows a leader of the core.
+// CoreNotFoundError reports that no queried process returned the leader of the core.
 type CoreNotFoundError struct {
 	// Queried is the number of processes that were queried; zero if the search was
 	// omitted because another one had just failed, or if there is no address.
@@ -39,7 +39,7 @@
 	caller  wire.Caller
 	self    *protocol.Node
 	metrics *metrics
-	// What seeds and current point to is never changed.
+	// The values that seeds and current point to are immutable.
 	seeds   atomic.Pointer[[]string]
 	current atomic.Pointer[protocol.LocateCoreResponse]
 
@@ -136,7 +136,7 @@
 	close(shared.done)
 }
 
-// maxBackoff bounds the backoff until the next search.
+// maxBackoff returns the limit of the backoff before the next search.
 func (l *locator) maxBackoff() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -147,8 +147,8 @@
 }
 
 // queryAll queries all known processes in parallel, each repeatedly, until one names
-// a leader whose term is not older than the known one, or searchTimeout is over. A
-// process that does not answer, such as one without power, delays none of the others.
+// a leader whose term is not older than the known one, or searchTimeout is over. An
+// unresponsive process, such as one on a powered-off machine, does not delay the others.
 func (l *locator) queryAll(ctx context.Context) (string, error) {
 	l.metrics.leaderSearches.Inc()
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
@@ -219,8 +219,8 @@
 	return response.GetLocateCore()
 }
 
-// mergeAnswer merges an answer into what is known, and reports whether it named a
-// leader whose term is not older than the known one. An answer of an older term
+// mergeAnswer merges an answer into the known state of the core, and reports whether it
+// named a leader whose term is not older than the known one. An answer of an older term
 // still adds core addresses.
 func (l *locator) mergeAnswer(answer *protocol.LocateCoreResponse) bool {
 	for {
@@ -235,14 +235,14 @@
 		if next.GetClusterId() == "" {
 			next.ClusterId = answer.GetClusterId()
 		}
-		leads := answer.GetLeaderAddress() != "" && answer.GetTerm() >= current.GetTerm()
-		if leads {
+		namesLeader := answer.GetLeaderAddress() != "" && answer.GetTerm() >= current.GetTerm()
+		if namesLeader {
 			next.LeaderAddress = answer.GetLeaderAddress()
 			next.LeaderHttpAddress = answer.GetLeaderHttpAddress()
 			next.Term = answer.GetTerm()
 		}
 		if l.current.CompareAndSwap(current, next) {
-			return leads
+			return namesLeader
 		}
 	}
 }
--- a/internal/transport/wire/hedged_dial.go
+++ b/internal/transport/wire/hedged_dial.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// hedgeDelay is how long an attempt to connect may be unanswered before another one begins beside it. The operating
-	// system repeats its SYN packet only after a second; a machine that got power meanwhile answers a new one at once.
+	// hedgeDelay is how long an attempt to connect may be unanswered before another one starts concurrently. The
+	// operating system retransmits a SYN packet only after a second; a machine that was powered on in the meantime
+	// answers a new one immediately.
 	hedgeDelay = 100 * time.Millisecond
 	// maxConcurrentDials is the maximum number of concurrent attempts.
 	maxConcurrentDials = int(defaultConnectTimeout / hedgeDelay)
@@ -17,52 +18,52 @@
 // dialFunc makes one attempt to connect.
 type dialFunc func(ctx context.Context) (net.Conn, error)
 
-// dialed is the result of one attempt.
-type dialed struct {
+// dialResult is the result of one attempt.
+type dialResult struct {
 	connection net.Conn
 	err        error
 }
 
-// dialHedged connects by several attempts, for defaultConnectTimeout at most. The first connection wins and
-// the others are closed; the first attempt that the peer refused ends all.
+// dialHedged connects with hedged attempts, for defaultConnectTimeout at most. It returns the first connection and
+// closes the others. If an attempt fails before the timeout, as when the peer refuses it, dialHedged fails, too.
 func dialHedged(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultConnectTimeout)
 	defer cancel()
-	results := make(chan dialed, maxConcurrentDials)
+	results := make(chan dialResult, maxConcurrentDials)
 	pending := 0
-	begin := func() {
+	startAttempt := func() {
 		pending++
 		go func() {
 			connection, err := dial(ctx)
-			results <- dialed{connection: connection, err: err}
+			results <- dialResult{connection: connection, err: err}
 		}()
 	}
-	begin()
-	again := time.NewTicker(hedgeDelay)
-	defer again.Stop()
-	for begun := 1; ; {
+	startAttempt()
+	ticker := time.NewTicker(hedgeDelay)
+	defer ticker.Stop()
+	for attempts := 1; ; {
 		select {
 		case result := <-results:
 			pending--
 			if result.err == nil || ctx.Err() == nil {
 				cancel()
-				go closeLosers(results, pending)
+				go closeLateConnections(results, pending)
 				return result.connection, result.err
 			}
 			if pending == 0 {
 				return nil, result.err
 			}
-		case <-again.C:
-			if begun < maxConcurrentDials {
-				begun++
-				begin()
+		case <-ticker.C:
+			if attempts < maxConcurrentDials {
+				attempts++
+				startAttempt()
 			}
 		}
 	}
 }
 
-// closeLosers closes the connections of attempts that another one overtook.
-func closeLosers(results <-chan dialed, pending int) {
+// closeLateConnections closes the connections of the pending attempts, which another attempt preceded.
+func closeLateConnections(results <-chan dialResult, pending int) {
 	for range pending {
 		if late := <-results; late.connection != nil {
 			_ = late.connection.Close()
--- a/internal/transport/wire/hedged_dial_test.go
+++ b/internal/transport/wire/hedged_dial_test.go
@@ -12,57 +12,63 @@
 	"github.com/cockroachdb/errors"
 )
 
-// unansweredDial answers as a machine without power does.
+// unansweredDial fails at the deadline, as a dial to a powered-off machine does.
 func unansweredDial(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func TestMachineThatGotPowerIsReachedByTheNextAttempt(t *testing.T) {
+func TestMachineThatWasPoweredOnIsReachedByTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
-		begun := time.Now()
-		ours, theirs := net.Pipe()
-		defer func() { _ = theirs.Close() }()
+		start := time.Now()
+		clientEnd, serverEnd := net.Pipe()
+		defer func() { _ = serverEnd.Close() }()
 		connection, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			if attempts.Add(1) == 1 {
 				return unansweredDial(ctx)
 			}
-			return ours, nil
+			return clientEnd, nil
 		})
-		if err != nil || connection != ours || time.Since(begun) != hedgeDelay {
-			t.Errorf("connected to %v after %v: %v", connection, time.Since(begun), err)
+		if err != nil || connection != clientEnd || time.Since(start) != hedgeDelay {
+			t.Errorf(
+				"got connection %v, error %v after %v, want that of the second attempt after %v",
+				connection, err, time.Since(start), hedgeDelay,
+			)
 		}
-		_ = ours.Close()
+		_ = clientEnd.Close()
 		synctest.Wait()
 	})
 }
 
 func TestRefusedConnectionEndsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		_, err := dialHedged(t.Context(), func(context.Context) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
-		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) != 0 {
-			t.Errorf("refused after %v: %v", time.Since(begun), err)
+		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(start) != 0 {
+			t.Errorf("got error %v after %v, want %v immediately", err, time.Since(start), syscall.ECONNREFUSED)
 		}
 	})
 }
 
-func TestMachineWithoutPowerTimesOut(t *testing.T) {
+func TestPoweredOffMachineTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int32
-		begun := time.Now()
+		start := time.Now()
 		_, err := dialHedged(t.Context(), func(ctx context.Context) (net.Conn, error) {
 			attempts.Add(1)
 			return unansweredDial(ctx)
 		})
-		if err == nil || time.Since(begun) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
-			t.Errorf("%d attempts in %v: %v", attempts.Load(), time.Since(begun), err)
+		if err == nil || time.Since(start) != defaultConnectTimeout || int(attempts.Load()) != maxConcurrentDials {
+			t.Errorf(
+				"got error %v after %d attempts in %v, want an error after %d attempts in %v",
+				err, attempts.Load(), time.Since(start), maxConcurrentDials, defaultConnectTimeout,
+			)
 		}
 	})
 }
 
-func TestSecondConnectionIsClosed(t *testing.T) {
+func TestLaterConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, far := net.Pipe()
 		fast, other := net.Pipe()
@@ -76,11 +82,11 @@
 			return fast, nil
 		})
 		if err != nil || connection != fast {
-			t.Fatalf("connected to %v: %v", connection, err)
+			t.Fatalf("got connection %v, error %v, want that of the second attempt", connection, err)
 		}
 		<-time.After(time.Second)
 		if _, err := far.Read(make([]byte, 1)); err == nil {
-			t.Error("the later connection is open")
+			t.Error("the later connection is still open, want it closed")
 		}
 	})
 }
--- a/internal/transport/wire/peer_activity_test.go
+++ b/internal/transport/wire/peer_activity_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// pipeListener accepts connections in memory.
+// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -40,7 +40,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// peer is a server in memory that can lose power.
+// peer is an in-memory server that can be isolated, like a machine that loses power.
 type peer struct {
 	listener *pipeListener
 	server   *wire.Server
@@ -49,7 +49,7 @@
 	dials    atomic.Int64
 }
 
-// isolatedConnection drops what is written and delivers nothing while its peer has no power.
+// isolatedConnection drops written data and delivers nothing while its peer is isolated.
 type isolatedConnection struct {
 	net.Conn
 	peer   *peer
@@ -77,8 +77,8 @@
 	return c.Conn.Close()
 }
 
-// withPeer runs a test in virtual time with a server that answers after a wait.
-func withPeer(t *testing.T, answerAfter time.Duration, then func(p *peer)) {
+// withPeer runs a test in virtual time with a server that answers after a delay.
+func withPeer(t *testing.T, answerAfter time.Duration, test func(p *peer)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		p := &peer{listener: newPipeListener()}
@@ -93,7 +93,7 @@
 			}), wire.ServerOptions{Key: testKey})
 		p.server.Start()
 		p.pool = wire.NewPool(wire.PoolOptions{Key: testKey, Node: "test", Dial: p.dial})
-		then(p)
+		test(p)
 		p.pool.Close()
 		p.server.Close()
 	})
@@ -110,7 +110,7 @@
 	return &isolatedConnection{Conn: here, peer: p, closed: make(chan struct{})}, nil
 }
 
-func TestPeerWithoutPowerIsDetectedInLessThanASecond(t *testing.T) {
+func TestPoweredOffPeerIsDetectedInLessThanASecond(t *testing.T) {
 	withPeer(t, time.Hour, func(p *peer) {
 		go func() {
 			<-time.After(10 * time.Second)
@@ -118,11 +118,11 @@
 		}()
 		<-time.After(10 * time.Second)
 		synctest.Wait()
-		began := time.Now()
-		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
+		start := time.Now()
+		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var notSent *wire.NotSentError
-		if !errors.As(err, &notSent) || time.Since(began) > time.Second {
-			t.Fatalf("a dial to it took %s: %v", time.Since(began), err)
+		if !errors.As(err, &notSent) || time.Since(start) > time.Second {
+			t.Fatalf("dialing a powered-off peer: got %v after %s, want a *NotSentError within 1s", err, time.Since(start))
 		}
 	})
 	withPeer(t, time.Hour, func(p *peer) {
@@ -130,22 +130,25 @@
 			<-time.After(100 * time.Millisecond)
 			p.isolated.Store(true)
 		}()
-		began := time.Now()
-		_, err := p.pool.Call(context.Background(), "peer", explain("x"))
+		start := time.Now()
+		_, err := p.pool.Call(context.Background(), "peer", explainRequest("x"))
 		var unresponsive *wire.UnresponsivePeerError
-		if !errors.As(err, &unresponsive) || time.Since(began) > time.Second {
-			t.Fatalf("after %s: %v", time.Since(began), err)
+		if !errors.As(err, &unresponsive) || time.Since(start) > time.Second {
+			t.Fatalf(
+				"calling a peer that lost power: got %v after %s, want an *UnresponsivePeerError within 1s",
+				err, time.Since(start),
+			)
 		}
 	})
 }
 
-func TestSlowAnswerOfALivePeerIsWaitedFor(t *testing.T) {
+func TestPeerThatAnswersSlowlyCountsAsResponsive(t *testing.T) {
 	withPeer(t, 20*time.Second, func(p *peer) {
-		if _, err := p.pool.Call(context.Background(), "peer", explain("x")); err != nil {
+		if _, err := p.pool.Call(context.Background(), "peer", explainRequest("x")); err != nil {
 			t.Fatal(err)
 		}
 		if frames := p.pool.Counters().SentFrames.Load(); frames > 50 {
-			t.Fatalf("%d frames for one call that rested", frames)
+			t.Fatalf("%d frames sent for one call with a late answer, want at most 50", frames)
 		}
 	})
 }
@@ -153,17 +156,17 @@
 func TestCallWaitsForASharedDialNoLongerThanItsOwnDeadline(t *testing.T) {
 	withPeer(t, 0, func(p *peer) {
 		p.isolated.Store(true)
-		go func() { _, _ = p.pool.Call(context.Background(), "peer", explain("x")) }()
+		go func() { _, _ = p.pool.Call(context.Background(), "peer", explainRequest("x")) }()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		began := time.Now()
-		if _, err := p.pool.Call(ctx, "peer", explain("y")); !errors.Is(err, context.DeadlineExceeded) ||
-			time.Since(began) > 60*time.Millisecond {
-			t.Fatalf("after %s: %v", time.Since(began), err)
+		start := time.Now()
+		if _, err := p.pool.Call(ctx, "peer", explainRequest("y")); !errors.Is(err, context.DeadlineExceeded) ||
+			time.Since(start) > 60*time.Millisecond {
+			t.Fatalf("got %v after %s, want the deadline exceeded after 50ms", err, time.Since(start))
 		}
 		if p.dials.Load() != 1 {
-			t.Fatalf("%d dials", p.dials.Load())
+			t.Fatalf("got %d dials, want 1 shared by both calls", p.dials.Load())
 		}
 	})
 }
