--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -13,7 +13,7 @@
 // requestFrom queries one store only, while time passes, and returns its result or why it has surely not begun.
 func (f *fleet) requestFrom(
 	name string, operation *protocol.LedgerOperation,
-) (result *protocol.LedgerResult, refused *failure.Error) {
+) (result *protocol.LedgerResult, rejection *failure.Error) {
 	GinkgoHelper()
 	operation.PlacementEpoch = f.shardEpoch(operation)
 	result = f.await(func() (*protocol.LedgerResult, error) {
@@ -21,20 +21,20 @@
 		defer cancel()
 		response, err := (&network{fleet: f}).Call(ctx, name,
 			&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
-		if errors.As(err, &refused) {
+		if errors.As(err, &rejection) {
 			return nil, nil
 		}
 		return response.GetLedger(), err
 	})
-	return result, refused
+	return result, rejection
 }
 
 func (f *fleet) serving(name string) bool { return f.running(name).Serving() }
 
 // replaced reports whether a store serves that was opened anew after the one given.
-func (f *fleet) replaced(name string, former *store.Store) bool {
-	serving := f.running(name).Running()
-	return serving != nil && serving != former
+func (f *fleet) replaced(name string, previous *store.Store) bool {
+	current := f.running(name).Running()
+	return current != nil && current != previous
 }
 
 func (f *fleet) expectNotReplaced(name string) {
@@ -66,7 +66,7 @@
 		f.expectNotReplaced("a")
 
 		disk.SetCapacity(0)
-		f.until(func() bool { return f.serving("a") && f.inForce() })
+		f.until(func() bool { return f.serving("a") && f.placementApplied() })
 		f.setPartitioned("b", true)
 		for range 20 {
 			p.takeTurn()
@@ -87,7 +87,7 @@
 				return !f.serving(name)
 			})
 			disk.SetCapacity(0)
-			f.until(func() bool { return f.serving(name) && f.inForce() })
+			f.until(func() bool { return f.serving(name) && f.placementApplied() })
 			f.expectNotReplaced(name)
 		}
 		for _, cut := range f.names {
@@ -106,7 +106,7 @@
 		// It is down for a second of the fleet's clock only, which may pass unseen.
 		f.until(func() bool {
 			p.takeTurn()
-			return f.replaced("a", failing) && f.inForce()
+			return f.replaced("a", failing) && f.placementApplied()
 		})
 		f.expectNotReplaced("a")
 		f.setPartitioned("c", true)
--- a/internal/state/store/failed_head_test.go
+++ b/internal/state/store/failed_head_test.go
@@ -42,7 +42,7 @@
 		f := newFleet("a", "b", "c")
 		Expect(f.requestDirectlyFromA(awaitTimeout, newClaim("first")).GetStatus()).To(Equal(ok))
 		f.setPartitioned("a", true)
-		Expect(f.requestDirectlyFromA(shortTime, newClaim("second")).GetStatus()).To(Equal(unavailable))
+		Expect(f.requestDirectlyFromA(shortTimeout, newClaim("second")).GetStatus()).To(Equal(unavailable))
 		Expect(f.request("b", awaitTimeout, newClaim("third")).GetStatus()).To(Equal(ok))
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -24,9 +24,10 @@
 	fleet    *fleet
 	random   *rand.Rand
 	programs []*program
-	// acknowledged has each acknowledged turn with its program.
+	// acknowledged maps each acknowledged turn to its program.
 	acknowledged map[string]*program
-	ordered      []string
+	// turnOrder lists the acknowledged turns, oldest first.
+	turnOrder []string
 	// uncertain has reservations without a clear answer, which may still be made.
 	uncertain []*protocol.LedgerOperation
 	// faulty is the store that is down, empty when none is.
@@ -67,21 +68,21 @@
 	turn := operation.GetSettleTurn().GetTurn().GetId()
 	p.turns = append(p.turns, turn)
 	s.acknowledged[turn] = p
-	s.ordered = append(s.ordered, turn)
+	s.turnOrder = append(s.turnOrder, turn)
 }
 
 // findTurn queries one store for a retained turn, in two ways. It may be unable to answer, but must not deny it.
 func (s *faultScenario) findTurn() {
 	GinkgoHelper()
-	if len(s.ordered) == 0 {
+	if len(s.turnOrder) == 0 {
 		return
 	}
-	turn := s.ordered[s.random.IntN(len(s.ordered))]
+	turn := s.turnOrder[s.random.IntN(len(s.turnOrder))]
 	name := s.fleet.names[s.random.IntN(len(s.fleet.names))]
 	if s.fleet.running(name) == nil || s.fleet.isPartitioned(name) || s.fleet.isSuspended(name) {
 		return
 	}
-	for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), find(turn)} {
+	for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), newFindTurn(turn)} {
 		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn,
 			s.history())
 	}
@@ -89,11 +90,11 @@
 
 // injectFault breaks a store in one of several ways.
 func (s *faultScenario) injectFault() {
-	if s.faulty != "" && s.fleet.isComplete() {
+	if s.faulty != "" && s.fleet.allReplicasActive() {
 		s.moveFrom(s.faulty)
 		return
 	}
-	if s.faulty != "" || !s.fleet.isComplete() || !s.fleet.inForce() {
+	if s.faulty != "" || !s.fleet.allReplicasActive() || !s.fleet.placementApplied() {
 		return
 	}
 	name := s.fleet.names[s.random.IntN(len(s.fleet.names))]
@@ -138,13 +139,13 @@
 }
 
 // moveFrom moves a shard of a store that is down to the one that has none of it.
-func (s *faultScenario) moveFrom(away string) {
+func (s *faultScenario) moveFrom(down string) {
 	for _, placed := range s.fleet.View().Placement.GetShards() {
 		spare := s.fleet.unplacedStore(placed)
-		if spare != away {
-			s.record("move %d from %s, which is away, to %s", placed.GetShard(), away, spare)
-			s.fleet.move(placed.GetShard(), away, spare)
-			s.fleet.until(s.fleet.isComplete)
+		if spare != down {
+			s.record("move %d from %s, which is away, to %s", placed.GetShard(), down, spare)
+			s.fleet.move(placed.GetShard(), down, spare)
+			s.fleet.until(s.fleet.allReplicasActive)
 			return
 		}
 	}
@@ -174,20 +175,20 @@
 // have it too.
 func (s *faultScenario) requestUnderStaleView(name string) {
 	GinkgoHelper()
-	old := s.fleet.viewFor(name)
-	for _, turn := range s.ordered {
-		for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), find(turn)} {
-			answer := s.fleet.attemptUnder(name, placedShard(old, operation).GetEpoch(), operation)
+	staleView := s.fleet.viewFor(name)
+	for _, turn := range s.turnOrder {
+		for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), newFindTurn(turn)} {
+			answer := s.fleet.attemptUnder(name, placedShard(staleView, operation).GetEpoch(), operation)
 			Expect(answer.GetStatus()).NotTo(Equal(missing), "stale %s denies %s: %s", name, turn, s.history())
 		}
 	}
 	for _, p := range s.programs {
 		reserve := p.reserve()
-		before := placedShard(old, reserve)
-		if before.GetEpoch() == s.fleet.shardEpoch(reserve) {
+		stalePlacement := placedShard(staleView, reserve)
+		if stalePlacement.GetEpoch() == s.fleet.shardEpoch(reserve) {
 			continue
 		}
-		answer := s.fleet.attemptUnder(name, before.GetEpoch(), reserve)
+		answer := s.fleet.attemptUnder(name, stalePlacement.GetEpoch(), reserve)
 		if status := answer.GetStatus(); status == unavailable || status == protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT {
 			s.uncertain = append(s.uncertain, reserve)
 		}
@@ -199,7 +200,7 @@
 func (s *faultScenario) losePower() {
 	GinkgoHelper()
 	s.repairFault()
-	s.fleet.until(s.fleet.isComplete)
+	s.fleet.until(s.fleet.allReplicasActive)
 	s.record("power of all")
 	for _, name := range s.fleet.names {
 		s.fleet.stopOne(name, true)
@@ -226,7 +227,7 @@
 		}
 	}
 	s.repairFault()
-	s.fleet.until(s.fleet.isComplete)
+	s.fleet.until(s.fleet.allReplicasActive)
 	for _, p := range s.programs {
 		if len(p.turns) > 0 {
 			p.expectRetained()
@@ -242,11 +243,11 @@
 
 func (f *fleet) unplacedStore(placed *protocol.ShardPlacement) string {
 	for _, name := range f.names {
-		holds := false
+		hasReplica := false
 		for _, replica := range placed.GetCurrent() {
-			holds = holds || replica.GetStore() == name
+			hasReplica = hasReplica || replica.GetStore() == name
 		}
-		if !holds {
+		if !hasReplica {
 			return name
 		}
 	}
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -31,8 +31,8 @@
 	// defaultReplicas are those of each shard of a fleet that bears one loss.
 	defaultReplicas = 3
 	segmentBytes    = 16 << 10
-	// defaultPace makes timers short and leaves a busy machine time for what a deadline of seconds bounds.
-	defaultPace = 5
+	// defaultClockSpeedup makes timers short and leaves a busy machine time for what a deadline of seconds bounds.
+	defaultClockSpeedup = 5
 	// defaultPeerTimeout lets stores continue soon without one that is suspended.
 	defaultPeerTimeout = 100 * time.Millisecond
 	// awaitTimeout bounds how long a test awaits something that must happen.
@@ -54,7 +54,7 @@
 }
 
 type testTimer struct {
-	at  time.Time
+	due time.Time
 	run func()
 }
 
@@ -73,7 +73,7 @@
 	defer c.mutex.Unlock()
 	c.next++
 	number := c.next
-	c.timers[number] = testTimer{at: c.now.Add(wait), run: run}
+	c.timers[number] = testTimer{due: c.now.Add(wait), run: run}
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -86,7 +86,7 @@
 	c.now = c.now.Add(by)
 	var due []int
 	for number, timer := range c.timers {
-		if !timer.at.After(c.now) {
+		if !timer.due.After(c.now) {
 			due = append(due, number)
 		}
 	}
@@ -119,8 +119,8 @@
 	clock   *testClock
 	members map[string]*member
 	names   []string
-	// pace is how much faster than the wall clock the fleet's runs while an operation is awaited.
-	pace time.Duration
+	// clockSpeedup is how much faster than the wall clock the fleet's runs while an operation is awaited.
+	clockSpeedup time.Duration
 	// peerTimeout bounds a request of one store to another by the wall clock.
 	peerTimeout time.Duration
 
@@ -137,31 +137,33 @@
 
 func newFleet(names ...string) *fleet {
 	f := newStoppedFleet(names...)
-	f.found(defaultReplicas)
+	f.bootstrap(defaultReplicas)
 	return f
 }
 
-// newFleetOn puts something between each store and its disk.
-func newFleetOn(wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string) *fleet {
-	return newFleetOf(defaultReplicas, wrap, names...)
+// newFleetWithDisks puts something between each store and its disk.
+func newFleetWithDisks(
+	wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
+) *fleet {
+	return newFleetWithReplicas(defaultReplicas, wrap, names...)
 }
 
-// newFleetOf places each shard on the first stores.
-func newFleetOf(
+// newFleetWithReplicas places each shard on the first stores.
+func newFleetWithReplicas(
 	replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
 ) *fleet {
 	f := newStoppedFleet(names...)
 	f.wrap = wrap
-	f.found(replicas)
+	f.bootstrap(replicas)
 	return f
 }
 
-// newUnhurriedFleet is a fleet whose stores wait for each other as long as a test does, so that none takes another for
-// unresponsive because the machine is busy. It is for what is requested once only.
-func newUnhurriedFleet(names ...string) *fleet {
+// newFleetWithLongTimeouts returns a fleet whose stores wait for each other as long as a test does, so that no store is
+// taken for unresponsive because the machine is busy. It is for requests that the test sends only once.
+func newFleetWithLongTimeouts(names ...string) *fleet {
 	f := newStoppedFleet(names...)
-	f.peerTimeout, f.pace = awaitTimeout, 1
-	f.found(defaultReplicas)
+	f.peerTimeout, f.clockSpeedup = awaitTimeout, 1
+	f.bootstrap(defaultReplicas)
 	return f
 }
 
@@ -171,12 +173,12 @@
 		wrap:  func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem },
 		clock: newTestClock(), members: map[string]*member{}, names: names, partitioned: map[string]bool{},
 		stale: map[string]*corelink.View{}, suspended: map[string]chan struct{}{}, view: &corelink.View{},
-		pace: defaultPace, peerTimeout: defaultPeerTimeout,
+		clockSpeedup: defaultClockSpeedup, peerTimeout: defaultPeerTimeout,
 	}
 }
 
-// found starts the stores, places each shard on the first of them and waits until all act under that.
-func (f *fleet) found(replicas int) {
+// bootstrap starts the stores, places each shard on the first of them and waits until all act under that.
+func (f *fleet) bootstrap(replicas int) {
 	GinkgoHelper()
 	names := f.names
 	for number, name := range names {
@@ -193,7 +195,7 @@
 	}
 	f.publish(placement.GetShards()...)
 	DeferCleanup(f.stop)
-	f.until(f.inForce)
+	f.until(f.placementApplied)
 }
 
 func (f *fleet) replica(name string, state protocol.ReplicaState) *protocol.Replica {
@@ -346,8 +348,8 @@
 func (f *fleet) viewFor(name string) *corelink.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if old := f.stale[name]; old != nil {
-		return old
+	if staleView := f.stale[name]; staleView != nil {
+		return staleView
 	}
 	return f.view
 }
@@ -398,20 +400,20 @@
 // until advances the clock until the condition is met.
 func (f *fleet) until(condition func() bool) {
 	GinkgoHelper()
-	ends := time.Now().Add(awaitTimeout)
+	deadline := time.Now().Add(awaitTimeout)
 	for !condition() {
-		Expect(time.Now().Before(ends)).To(BeTrue(), "it never came")
+		Expect(time.Now().Before(deadline)).To(BeTrue(), "it never came")
 		f.clock.advance(50 * time.Millisecond)
 	}
 }
 
-// inForce reports whether every store that can be reached acts under the placement published last.
-func (f *fleet) inForce() bool { return f.inForceExcept() }
+// placementApplied reports whether every store that can be reached acts under the placement published last.
+func (f *fleet) placementApplied() bool { return f.placementAppliedExcept() }
 
-// inForceExcept is inForce without regard to stores that are down.
-func (f *fleet) inForceExcept(away ...string) bool {
+// placementAppliedExcept is placementApplied without regard to stores that are down.
+func (f *fleet) placementAppliedExcept(down ...string) bool {
 	for name, m := range f.members {
-		if slices.Contains(away, name) || f.partitioned[name] {
+		if slices.Contains(down, name) || f.partitioned[name] {
 			continue
 		}
 		if m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
@@ -421,8 +423,8 @@
 	return true
 }
 
-// isComplete reports whether no shard is copied any more.
-func (f *fleet) isComplete() bool {
+// allReplicasActive reports whether no shard is copied any more.
+func (f *fleet) allReplicasActive() bool {
 	for _, placed := range f.View().Placement.GetShards() {
 		if len(placed.GetNext()) > 0 {
 			return false
@@ -473,7 +475,7 @@
 }
 
 func boundedContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), shortTime)
+	return context.WithTimeout(context.Background(), shortTimeout)
 }
 
 func (f *fleet) await(run func() (*protocol.LedgerResult, error)) *protocol.LedgerResult {
@@ -495,7 +497,7 @@
 			return got.result
 		default:
 			now := time.Now()
-			f.clock.advance(f.pace * now.Sub(last))
+			f.clock.advance(f.clockSpeedup * now.Sub(last))
 			last = now
 		}
 	}
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -41,7 +41,7 @@
 			provideStore,
 			func(s *Supervisor) wire.Handler { return s },
 		),
-		fx.Invoke(run),
+		fx.Invoke(registerHooks),
 	)
 }
 
@@ -108,7 +108,7 @@
 	}, folder, open)
 }
 
-func run(lifecycle fx.Lifecycle, store *Supervisor, link *corelink.Link, process *daemon.Process) {
+func registerHooks(lifecycle fx.Lifecycle, store *Supervisor, link *corelink.Link, process *daemon.Process) {
 	link.Subscribe(func(*corelink.View) { store.ViewChanged() })
 	process.Readiness.AddCheck(readyCondition, func() string {
 		if !link.Ready() {
@@ -118,7 +118,7 @@
 	})
 	process.Readiness.AddCheck(diskCondition, func() string {
 		if !store.Serving() {
-			return waitsForDisk
+			return waitingForDiskReason
 		}
 		return ""
 	})
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -16,35 +16,35 @@
 // blockingDisk delays the syncs of turn segments while it is closed.
 type blockingDisk struct {
 	storage.Filesystem
-	mutex   sync.Mutex
-	opened  chan struct{}
-	blocked chan struct{}
+	mutex     sync.Mutex
+	unblocked chan struct{}
+	waiting   chan struct{}
 }
 
 func newBlockingDisk(filesystem storage.Filesystem) *blockingDisk {
-	return &blockingDisk{Filesystem: filesystem, blocked: make(chan struct{}, 1)}
+	return &blockingDisk{Filesystem: filesystem, waiting: make(chan struct{}, 1)}
 }
 
-func (d *blockingDisk) close() {
+func (d *blockingDisk) blockSyncs() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.opened = make(chan struct{})
+	d.unblocked = make(chan struct{})
 }
 
-func (d *blockingDisk) open() {
+func (d *blockingDisk) unblockSyncs() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	close(d.opened)
-	d.opened = nil
+	close(d.unblocked)
+	d.unblocked = nil
 }
 
-func (d *blockingDisk) pass() {
+func (d *blockingDisk) waitIfBlocked() {
 	d.mutex.Lock()
-	opened := d.opened
+	unblocked := d.unblocked
 	d.mutex.Unlock()
-	if opened != nil {
-		d.blocked <- struct{}{}
-		<-opened
+	if unblocked != nil {
+		d.waiting <- struct{}{}
+		<-unblocked
 	}
 }
 
@@ -71,14 +71,14 @@
 }
 
 func (f *blockingFile) Sync() error {
-	f.disk.pass()
+	f.disk.waitIfBlocked()
 	return f.File.Sync()
 }
 
 var _ = Describe("a turn whose write is in flight while its shard moves", func() {
 	It("given a new placement before the write is durable, when it is, then it counts under no older placement", func() {
 		var disk *blockingDisk
-		f := newFleetOn(func(name string, filesystem storage.Filesystem) storage.Filesystem {
+		f := newFleetWithDisks(func(name string, filesystem storage.Filesystem) storage.Filesystem {
 			if name != "a" {
 				return filesystem
 			}
@@ -87,7 +87,7 @@
 		}, "a", "b", "c", "d")
 		before := f.View().Placement.GetShards()[0].GetEpoch()
 
-		disk.close()
+		disk.blockSyncs()
 		answers := make(chan *protocol.KeepTurnResponse, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -99,10 +99,10 @@
 				return nil
 			})).To(Succeed())
 		}()
-		<-disk.blocked
+		<-disk.waiting
 		f.move(0, "c", "d")
 		f.until(func() bool { return f.running("a").Status().GetPlacementEpoch() > before })
-		disk.open()
+		disk.unblockSyncs()
 
 		Expect((<-answers).GetRefusal()).To(Equal(protocol.ReplicaRefusal_REPLICA_WRONG_PLACEMENT),
 			"a copy made under the newer placement may lack the turn")
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -29,8 +29,8 @@
 
 // maintain writes snapshots, removes what has expired and sets the gauges, at intervals.
 func (s *Store) maintain() {
-	turnsDue := s.options.Clock.Now().Add(turnExpiryInterval)
-	registersDue := s.options.Clock.Now().Add(registerExpiryInterval)
+	nextTurnExpiry := s.options.Clock.Now().Add(turnExpiryInterval)
+	nextRegisterExpiry := s.options.Clock.Now().Add(registerExpiryInterval)
 	for s.lifecycle.Sleep(maintenanceInterval) {
 		s.ViewChanged()
 		total := s.counts()
@@ -40,18 +40,18 @@
 			s.failUnlessStopped(err)
 			return
 		}
-		if now.Before(turnsDue) {
+		if now.Before(nextTurnExpiry) {
 			continue
 		}
-		turnsDue = now.Add(turnExpiryInterval)
+		nextTurnExpiry = now.Add(turnExpiryInterval)
 		if err := s.removeExpiredTurns(now); err != nil {
 			s.failUnlessStopped(err)
 			return
 		}
-		if now.Before(registersDue) {
+		if now.Before(nextRegisterExpiry) {
 			continue
 		}
-		registersDue = now.Add(registerExpiryInterval)
+		nextRegisterExpiry = now.Add(registerExpiryInterval)
 		if err := s.removeExpiredRegisters(now); err != nil {
 			s.failUnlessStopped(err)
 			return
@@ -63,21 +63,21 @@
 // the disk has no space is tried again later: the logs still take records, and have all that
 // the snapshot would.
 func (s *Store) saveSnapshots(total counts, now time.Time) error {
-	if now.Before(s.snapshotsAfter) {
+	if now.Before(s.nextSnapshotAttempt) {
 		return nil
 	}
 	err := s.saveDueSnapshots(total)
 	if !storage.IsDiskFull(err) || s.folder.HasFailedLog() {
 		return err
 	}
-	s.snapshotsAfter = now.Add(snapshotRetryInterval)
+	s.nextSnapshotAttempt = now.Add(snapshotRetryInterval)
 	s.options.Logger.Warn("snapshot postponed: disk full", "error", err)
 	return nil
 }
 
 func (s *Store) saveDueSnapshots(total counts) error {
-	due := max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes)
-	if s.folder.Registers.Size() > due {
+	threshold := max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes)
+	if s.folder.Registers.Size() > threshold {
 		if err := s.saveRegisters(); err != nil {
 			return err
 		}
@@ -101,10 +101,10 @@
 func (s *Store) removeExpiredTurns(now time.Time) error {
 	oldest := s.folder.Turns.FirstSegment()
 	first := s.segments.FirstRetained(oldest, s.folder.Turns.End().Segment, now)
-	if first == oldest && now.Before(s.removeExpiredAt) {
+	if first == oldest && now.Before(s.nextIndexExpiry) {
 		return nil
 	}
-	s.removeExpiredAt = now.Add(maxTurnExpiryInterval)
+	s.nextIndexExpiry = now.Add(maxTurnExpiryInterval)
 	for _, group := range s.groups {
 		if _, err := owner.Call(group, func() bool { group.RemoveExpiredTurns(first, now); return true }); err != nil {
 			return err
@@ -144,13 +144,13 @@
 func (s *Store) counts() counts {
 	var total counts
 	for number, group := range s.groups {
-		each, _ := owner.Call(group, func() counts { return s.countGroup(number) })
-		total.registers += each.registers
-		total.registerBytes += each.registerBytes
-		total.turns += each.turns
-		total.active += each.active
-		total.copying += each.copying
-		total.proposals += each.proposals
+		groupCounts, _ := owner.Call(group, func() counts { return s.countGroup(number) })
+		total.registers += groupCounts.registers
+		total.registerBytes += groupCounts.registerBytes
+		total.turns += groupCounts.turns
+		total.active += groupCounts.active
+		total.copying += groupCounts.copying
+		total.proposals += groupCounts.proposals
 	}
 	return total
 }
--- a/internal/state/store/metrics.go
+++ b/internal/state/store/metrics.go
@@ -9,24 +9,24 @@
 // metrics are the counters and gauges of one store, and of those that replace it after a
 // failure. Any goroutine may use them.
 type metrics struct {
-	changes     prometheus.Counter
-	batched     prometheus.Counter
-	preempted   prometheus.Counter
-	unavailable prometheus.Counter
-	results     *prometheus.CounterVec
-	syncs       *prometheus.CounterVec
-	synced      *prometheus.CounterVec
-	written     *prometheus.CounterVec
-	repaired    *prometheus.CounterVec
-	snapshots   prometheus.Counter
-	scrubs      prometheus.Counter
-	copiedBytes prometheus.Counter
-	copied      prometheus.Counter
-	registers   prometheus.Gauge
-	turns       prometheus.Gauge
-	active      prometheus.Gauge
-	copying     prometheus.Gauge
-	proposals   prometheus.Gauge
+	registerChanges   prometheus.Counter
+	batchedOperations prometheus.Counter
+	preempted         prometheus.Counter
+	unavailable       prometheus.Counter
+	results           *prometheus.CounterVec
+	syncs             *prometheus.CounterVec
+	syncedRequests    *prometheus.CounterVec
+	writtenBytes      *prometheus.CounterVec
+	repaired          *prometheus.CounterVec
+	snapshots         prometheus.Counter
+	scrubs            prometheus.Counter
+	copiedBytes       prometheus.Counter
+	copiedShards      prometheus.Counter
+	registers         prometheus.Gauge
+	turns             prometheus.Gauge
+	active            prometheus.Gauge
+	copying           prometheus.Gauge
+	proposals         prometheus.Gauge
 
 	// The same counts for the status that operators read.
 	repairedCount atomic.Uint64
@@ -35,13 +35,13 @@
 
 // countWritten counts bytes of records given to a log.
 func (m *metrics) countWritten(log string, bytes int) {
-	m.written.WithLabelValues(log).Add(float64(bytes))
+	m.writtenBytes.WithLabelValues(log).Add(float64(bytes))
 }
 
 // ProposalStarted implements proposer.Observer.
 func (m *metrics) ProposalStarted(operations int) {
-	m.changes.Inc()
-	m.batched.Add(float64(operations))
+	m.registerChanges.Inc()
+	m.batchedOperations.Add(float64(operations))
 }
 
 // ProposalPreempted implements proposer.Observer.
@@ -51,7 +51,7 @@
 func (m *metrics) ProposalUnavailable() { m.unavailable.Inc() }
 
 // ShardCopied implements replication.Observer.
-func (m *metrics) ShardCopied() { m.copied.Inc() }
+func (m *metrics) ShardCopied() { m.copiedShards.Inc() }
 
 // BytesCopied implements replication.Observer.
 func (m *metrics) BytesCopied(size uint64) { m.copiedBytes.Add(float64(size)) }
@@ -92,25 +92,25 @@
 		return collector
 	}
 	return &metrics{
-		changes:     counter("register_changes_total", "Register changes begun as proposer."),
-		batched:     counter("batched_operations_total", "Ledger operations that went into register changes."),
-		preempted:   counter("register_preempted_total", "Rounds lost against another proposer."),
-		unavailable: counter("register_unavailable_total", "Rounds without a majority."),
-		results:     labelled("ledger_results_total", "Ledger operations answered.", "status"),
-		syncs:       labelled("syncs_total", "Syncs of a log.", "log"),
-		synced:      labelled("synced_requests_total", "Requests made durable by syncs.", "log"),
-		written: labelled("written_bytes_total", "Bytes of records written to a log, without what snapshots write.",
+		registerChanges:   counter("register_changes_total", "Register changes begun as proposer."),
+		batchedOperations: counter("batched_operations_total", "Ledger operations that went into register changes."),
+		preempted:         counter("register_preempted_total", "Rounds lost against another proposer."),
+		unavailable:       counter("register_unavailable_total", "Rounds without a majority."),
+		results:           labelled("ledger_results_total", "Ledger operations answered.", "status"),
+		syncs:             labelled("syncs_total", "Syncs of a log.", "log"),
+		syncedRequests:    labelled("synced_requests_total", "Requests made durable by syncs.", "log"),
+		writtenBytes: labelled("written_bytes_total", "Bytes of records written to a log, without what snapshots write.",
 			"log"),
-		repaired:    labelled("repaired_total", "What was taken over from another replica by reads and scrubs.", "kind"),
-		snapshots:   counter("snapshots_total", "Snapshots of the registers written."),
-		scrubs:      counter("scrub_rounds_total", "Scrubs of all shards completed."),
-		copiedBytes: counter("copied_bytes_total", "Bytes copied for rebuilds and moves."),
-		copied:      counter("copied_shards_total", "Shards copied in full."),
-		registers:   gauge("registers", "Registers total."),
-		turns:       gauge("turns", "Turns kept."),
-		active:      gauge("shards_active", "Shards served."),
-		copying:     gauge("shards_copying", "Shards being copied."),
-		proposals:   gauge("proposals_under_way", "Registers with a change under way."),
+		repaired:     labelled("repaired_total", "What was taken over from another replica by reads and scrubs.", "kind"),
+		snapshots:    counter("snapshots_total", "Snapshots of the registers written."),
+		scrubs:       counter("scrub_rounds_total", "Scrubs of all shards completed."),
+		copiedBytes:  counter("copied_bytes_total", "Bytes copied for rebuilds and moves."),
+		copiedShards: counter("copied_shards_total", "Shards copied in full."),
+		registers:    gauge("registers", "Registers total."),
+		turns:        gauge("turns", "Turns kept."),
+		active:       gauge("shards_active", "Shards served."),
+		copying:      gauge("shards_copying", "Shards being copied."),
+		proposals:    gauge("proposals_under_way", "Registers with a change under way."),
 	}
 }
 
--- a/internal/state/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -35,7 +35,7 @@
 		intercept(address, request)
 	}
 	if resumed != nil {
-		return n.callLater(ctx, resumed, to, request)
+		return n.callAfterResume(ctx, resumed, to, request)
 	}
 	return serve(ctx, to, request)
 }
@@ -49,8 +49,8 @@
 	return answer, err
 }
 
-// callLater delivers a request once the suspended store resumes, whether or not its caller still waits.
-func (n *network) callLater(
+// callAfterResume delivers a request once the suspended store resumes, whether or not its caller still waits.
+func (n *network) callAfterResume(
 	ctx context.Context, resumed <-chan struct{}, to *store.Supervisor, request *protocol.Request,
 ) (*protocol.Response, error) {
 	type answered struct {
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -62,7 +62,7 @@
 	Seed uint64
 }
 
-func (o *Options) fill() {
+func (o *Options) applyDefaults() {
 	if o.Clock == nil {
 		o.Clock = lifecycle.SystemClock{}
 	}
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -38,7 +38,7 @@
 	return folder
 }
 
-func TestDamagedTurnBehindTheIndexIsFoundWhenRead(t *testing.T) {
+func TestDamagedTurnCoveredByIndexIsDetectedOnRead(t *testing.T) {
 	path := t.TempDir()
 	writeTurns(t, path, 60, 100)
 	damageFirstTurn(t, path)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestDamagedTurnWithoutAnIndexIsFoundAtTheStart(t *testing.T) {
+func TestDamagedTurnWithoutIndexIsDetectedAtStartup(t *testing.T) {
 	path := t.TempDir()
 	writeTurns(t, path, 60, 100)
 	damageFirstTurn(t, path)
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("a replica that is requested to retain a turn twice", func() {
 	It("retains it until the later time requested, also while the first is being written", func() {
-		f := newUnhurriedFleet("a", "b", "c")
+		f := newFleetWithLongTimeouts("a", "b", "c")
 		now := f.clock.Now()
 		shorter := &protocol.Turn{
 			Id: "turn", Program: "p", Session: "p", RequestId: "r",
@@ -34,7 +34,7 @@
 			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.GetStoreBatch().GetResponses()).To(HaveLen(2))
-		found := f.request("a", 5*time.Second, find("turn"))
+		found := f.request("a", 5*time.Second, newFindTurn("turn"))
 		Expect(found.GetTurns()).To(HaveLen(1))
 		Expect(found.GetTurns()[0].GetKeepUntilMillis()).To(Equal(longer.GetKeepUntilMillis()))
 	})
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -21,11 +21,11 @@
 	minRetention = 2 * time.Minute
 )
 
-// pass advances the clock by this much in small steps.
-func (f *fleet) pass(wait time.Duration) {
+// advanceInSteps advances the clock by this much in small steps.
+func (f *fleet) advanceInSteps(wait time.Duration) {
 	GinkgoHelper()
-	ends := f.clock.Now().Add(wait)
-	f.until(func() bool { return !f.clock.Now().Before(ends) })
+	deadline := f.clock.Now().Add(wait)
+	f.until(func() bool { return !f.clock.Now().Before(deadline) })
 }
 
 // turnCounts returns the number of turns that each running store has.
@@ -47,8 +47,8 @@
 	})
 }
 
-// writeSnapshot keeps a program busy until a store has written its registers again.
-func (f *fleet) writeSnapshot(name string, busy *program) {
+// writeUntilSnapshot keeps a program busy until a store has written its registers again.
+func (f *fleet) writeUntilSnapshot(name string, busy *program) {
 	GinkgoHelper()
 	before := f.members[name].disk.Files("data/registers")
 	f.until(func() bool {
@@ -58,17 +58,17 @@
 	})
 }
 
-// expectRetainedWithoutAAtTheEnd reads everything shortly before the retention of the last turn ends, long
+// expectRetainedOnBAndCNearExpiry reads everything shortly before the retention of the last turn ends, long
 // after that of the first turn would have, from stores b and c.
-func (p *program) expectRetainedWithoutAAtTheEnd() {
+func (p *program) expectRetainedOnBAndCNearExpiry() {
 	GinkgoHelper()
 	p.fleet.clock.advance(10 * retentionTwelfth)
-	p.fleet.pass(2 * time.Minute)
+	p.fleet.advanceInSteps(2 * time.Minute)
 	p.fleet.setPartitioned("a", true)
 	p.expectRetained()
 }
 
-func find(turn string) *protocol.LedgerOperation {
+func newFindTurn(turn string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: turn}}}
 }
 
@@ -82,7 +82,7 @@
 		p.takeTurn()
 		f.awaitTurns(2)
 		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		p.expectRetained()
 		Expect(f.turnCounts()).To(HaveEach(BeEquivalentTo(2)))
 		f.clock.advance(2 * retentionTwelfth)
@@ -104,7 +104,7 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.awaitTurns(2)
-		p.expectRetainedWithoutAAtTheEnd()
+		p.expectRetainedOnBAndCNearExpiry()
 	})
 
 	It("is retained in full also when all stores lose power meanwhile", func() {
@@ -114,14 +114,14 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.clock.advance(8 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		for _, name := range f.names {
 			f.stopOne(name, true)
 		}
 		for _, name := range f.names {
 			f.restart(name)
 		}
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		p.expectRetained()
 	})
 
@@ -135,7 +135,7 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.until(func() bool { return f.members["c"].store.Status().GetTurns() == 3 })
-		p.expectRetainedWithoutAAtTheEnd()
+		p.expectRetainedOnBAndCNearExpiry()
 	})
 
 	It("is retained in full by a store that copied it", func() {
@@ -146,9 +146,9 @@
 		p.takeTurn()
 		f.clock.advance(5 * retentionTwelfth)
 		f.loseDisk("c")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		f.loseDisk("b")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		f.stopOne("a", true)
 		p.expectRetained()
 	})
@@ -164,7 +164,7 @@
 		later.takeTurn()
 		later.takeTurn()
 		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		later.expectRetained()
 		read := f.do(later.readTurns(later.last()))
 		Expect(read.GetLastTurn()).To(BeEmpty())
@@ -179,7 +179,7 @@
 	It("is found on any store, and reported missing only when a majority of each shard lacks it", func() {
 		f := newFleet("a", "b", "c", "d")
 		f.move(2, "a", "d")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		var turns []string
 		for _, name := range []string{"p1", "p2", "p3", "p4", "p5", "p6"} {
 			p := f.program(name)
@@ -187,16 +187,16 @@
 			turns = append(turns, p.last())
 		}
 		for _, turn := range turns {
-			found := f.do(find(turn))
+			found := f.do(newFindTurn(turn))
 			Expect(found.GetStatus()).To(Equal(ok))
 			Expect(found.GetTurns()).To(HaveLen(1))
 			Expect(found.GetTurns()[0].GetId()).To(Equal(turn))
 		}
-		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("unheard-of")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("a", true)
-		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("unheard-of")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
-		Expect(f.request("c", shortTime, find("unheard-of")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTimeout, newFindTurn("unheard-of")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("is never reported missing by stores that lost it with their disks", func() {
@@ -206,9 +206,9 @@
 		p.takeTurn()
 		f.setPartitioned("c", false)
 		f.loseDisk("a")
-		Expect(f.request("c", shortTime, find(p.last())).GetStatus()).NotTo(Equal(missing))
-		f.until(f.isComplete)
-		Expect(f.do(find(p.last())).GetStatus()).To(Equal(ok))
+		Expect(f.request("c", shortTimeout, newFindTurn(p.last())).GetStatus()).NotTo(Equal(missing))
+		f.until(f.allReplicasActive)
+		Expect(f.do(newFindTurn(p.last())).GetStatus()).To(Equal(ok))
 	})
 })
 
@@ -226,7 +226,7 @@
 		f.clock.advance(10 * time.Minute)
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 1 })
 		f.clock.advance(time.Hour)
-		f.pass(time.Minute)
+		f.advanceInSteps(time.Minute)
 		lasting.expectRetained()
 		idle.claim("front-2")
 		Expect(idle.epoch).To(BeEquivalentTo(1))
@@ -249,22 +249,22 @@
 		for _, name := range []string{"b", "a"} {
 			// A message that was late by the fast clock may have brought the register back, until it is collected again.
 			f.until(func() bool {
-				f.pass(time.Minute)
-				f.writeSnapshot(name, busy)
+				f.advanceInSteps(time.Minute)
+				f.writeUntilSnapshot(name, busy)
 				f.stopOne(name, false)
 				f.restart(name)
-				f.until(f.inForce)
+				f.until(f.placementApplied)
 				return f.members[name].store.Status().GetRegisters() == 1
 			})
 		}
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		again := f.programWithRetention("p", minRetention)
 		again.requests = 100
 		again.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
 		// The store that returned must not collect on its own what it still has.
-		f.pace = 1
+		f.clockSpeedup = 1
 		again.expectRetained()
 		again.takeTurn()
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -18,12 +18,12 @@
 
 const (
 	smallDiskBytes = 64 << 20
-	// registerSpaceBytes is what registers that are rewritten for ever may take on the disk when they have little content.
-	registerSpaceBytes = 16 << 20
-	valueBytes         = 1 << 10
-	changesASecond     = 2000
-	changedRegisters   = 200
-	secondsOfChanges   = 60
+	// maxDiskBytes is what registers that are rewritten for ever may take on the disk when they have little content.
+	maxDiskBytes     = 16 << 20
+	valueBytes       = 1 << 10
+	changesPerSecond = 2000
+	changedRegisters = 200
+	rewriteSeconds   = 60
 )
 
 // stoppedClock does not move, so that a store does nothing on its own that depends on the time.
@@ -36,22 +36,22 @@
 // rewrite changes registers over and over and waits until all of it is durable.
 func rewrite(t *testing.T, s *Store, second int) {
 	t.Helper()
-	durable := make(chan struct{}, changesASecond)
-	for change := range changesASecond {
+	durable := make(chan struct{}, changesPerSecond)
+	for change := range changesPerSecond {
 		key := shardtable.Key{Program: fmt.Sprintf("program-%d", change%changedRegisters)}
 		group := s.groups.Of(0)
 		group.Post(func() {
 			state := register.State{Value: make([]byte, valueBytes)}
-			state.Accepted.Counter = uint64(second*changesASecond + change)
+			state.Accepted.Counter = uint64(second*changesPerSecond + change)
 			group.Put(0, key, state, func() { durable <- struct{}{} })
 		})
 	}
-	for range changesASecond {
+	for range changesPerSecond {
 		<-durable
 	}
 }
 
-func TestRegistersThatChangeForEverFitASmallDisk(t *testing.T) {
+func TestRepeatedRegisterWritesStayWithinDiskLimit(t *testing.T) {
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	disk.SetCapacity(smallDiskBytes)
 	folder, err := datafolder.Open(disk, "data", DefaultSegmentBytes)
@@ -67,7 +67,7 @@
 	}
 	s.Start()
 	largest := int64(0)
-	for second := range secondsOfChanges {
+	for second := range rewriteSeconds {
 		rewrite(t, s, second)
 		largest = max(largest, disk.Used())
 		if err := s.saveSnapshots(s.counts(), s.options.Clock.Now()); err != nil {
@@ -77,8 +77,8 @@
 	if err := s.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes at most for %d MiB written", largest, secondsOfChanges*changesASecond*valueBytes>>20)
-	if largest > registerSpaceBytes {
-		t.Errorf("the store filled %d bytes, more than %d", largest, int64(registerSpaceBytes))
+	t.Logf("%d bytes at most for %d MiB written", largest, rewriteSeconds*changesPerSecond*valueBytes>>20)
+	if largest > maxDiskBytes {
+		t.Errorf("the store filled %d bytes, more than %d", largest, int64(maxDiskBytes))
 	}
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -48,10 +48,10 @@
 
 	// indexedSegment is the first segment of turns that the index on disk does not cover.
 	indexedSegment uint64
-	// removeExpiredAt is when expired turns are dropped from the index although no segment can be removed.
-	removeExpiredAt time.Time
-	// snapshotsAfter is when a snapshot may be tried again for which the disk had no space.
-	snapshotsAfter time.Time
+	// nextIndexExpiry is when expired turns are dropped from the index although no segment can be removed.
+	nextIndexExpiry time.Time
+	// nextSnapshotAttempt is when a snapshot may be tried again for which the disk had no space.
+	nextSnapshotAttempt time.Time
 
 	// owners are the goroutines of the groups; they end before all others are waited for.
 	owners   sync.WaitGroup
@@ -63,7 +63,7 @@
 
 // New reads what is stored in the folder. The store takes ownership of the folder.
 func New(options Options, folder *datafolder.Folder) (*Store, error) {
-	options.fill()
+	options.applyDefaults()
 	options.Self.StorageId = folder.StorageID
 	s := &Store{
 		options:     options,
@@ -117,8 +117,8 @@
 	})
 	proposerName := newProposerName(name, s.folder)
 	for number, group := range s.groups {
-		waits := backoff.New(s.options.Seed, uint64(number))
-		retainer := s.turns.AddRetainer(group, waits)
+		retryBackoff := backoff.New(s.options.Seed, uint64(number))
+		retainer := s.turns.AddRetainer(group, retryBackoff)
 		s.proposers = append(s.proposers, proposer.New(proposer.Options{
 			Store:    name,
 			Name:     proposerName,
@@ -127,7 +127,7 @@
 			Retainer: retainer,
 			Observer: s.metrics,
 			Clock:    s.options.Clock,
-			Backoff:  waits,
+			Backoff:  retryBackoff,
 			View:     s.shardView,
 			Fail:     s.fail,
 		}))
@@ -190,12 +190,12 @@
 
 func (s *Store) committerOptions(name string) storage.GroupCommitterOptions {
 	syncs := s.metrics.syncs.WithLabelValues(name)
-	shared := s.metrics.synced.WithLabelValues(name)
+	syncedRequests := s.metrics.syncedRequests.WithLabelValues(name)
 	return storage.GroupCommitterOptions{
 		MaxPendingBytes: unboundedPendingBytes,
 		OnSync: func(requests int) {
 			syncs.Inc()
-			shared.Add(float64(requests))
+			syncedRequests.Add(float64(requests))
 		},
 	}
 }
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	ok          = protocol.LedgerStatus_LEDGER_OK
-	fenced      = protocol.LedgerStatus_LEDGER_FENCED
-	missing     = protocol.LedgerStatus_LEDGER_TURN_MISSING
-	unavailable = protocol.LedgerStatus_LEDGER_UNAVAILABLE
-	shortTime   = 300 * time.Millisecond
+	ok           = protocol.LedgerStatus_LEDGER_OK
+	fenced       = protocol.LedgerStatus_LEDGER_FENCED
+	missing      = protocol.LedgerStatus_LEDGER_TURN_MISSING
+	unavailable  = protocol.LedgerStatus_LEDGER_UNAVAILABLE
+	shortTimeout = 300 * time.Millisecond
 )
 
 var _ = Describe("a fleet of stores", func() {
@@ -113,7 +113,7 @@
 			before := f.members[lost].self.GetStorageId()
 			f.loseDisk(lost)
 			Expect(f.members[lost].self.GetStorageId()).NotTo(Equal(before))
-			f.until(f.isComplete)
+			f.until(f.allReplicasActive)
 			programs[0].takeTurn()
 		}
 		for _, p := range programs {
@@ -127,25 +127,25 @@
 		p.takeTurn()
 		f.setPartitioned("b", true)
 		f.loseDisk("a")
-		f.until(f.inForce)
-		Expect(f.request("c", shortTime, p.reserve()).GetStatus()).To(Equal(unavailable))
-		Expect(f.request("c", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
+		f.until(f.placementApplied)
+		Expect(f.request("c", shortTimeout, p.reserve()).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 		p.requests--
 		f.setPartitioned("b", false)
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		p.takeTurn()
 		p.expectRetained()
 	})
 
 	It("given a turn that no store has, then it is reported missing only while a majority answers", func() {
-		f := newUnhurriedFleet("a", "b", "c")
+		f := newFleetWithLongTimeouts("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
 		Expect(f.do(p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
 		Expect(f.request("a", awaitTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("c", true)
-		Expect(f.request("a", shortTime, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", shortTimeout, p.readTurns("turn_never")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("given writers, when every shard moves from one store to another, then no acknowledged turn is lost", func() {
@@ -166,7 +166,7 @@
 		}
 		for shard := range uint32(shardCount) {
 			f.move(shard, "a", "d")
-			f.until(f.isComplete)
+			f.until(f.allReplicasActive)
 		}
 		ended.Store(true)
 		writers.Wait()
@@ -185,7 +185,7 @@
 		shard := ledger.ShardOf("p", shardCount)
 		old := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.loseDisk("c")
-		f.until(func() bool { return f.isComplete() && f.inForce() })
+		f.until(func() bool { return f.allReplicasActive() && f.placementApplied() })
 		operation := p.reserve()
 		operation.PlacementEpoch = old
 		inForce := f.View().Placement.GetShards()[shard].GetEpoch()
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func marshaled(t *testing.T, message proto.Message) []byte {
+func mustMarshal(t *testing.T, message proto.Message) []byte {
 	t.Helper()
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	requireNoError(t, err)
@@ -64,7 +64,7 @@
 }
 
 func storedProgram(t *testing.T, name string, budget uint64) []byte {
-	return marshaled(t, &protocol.ProgramRecord{
+	return mustMarshal(t, &protocol.ProgramRecord{
 		Program: name, Tenant: "tenant", Budget: budget, Settled: 17,
 		Sessions: []*protocol.SessionRecord{
 			{Session: "session", Epoch: 3, Owner: "front-1", OwnerIncarnation: 8, LastTurn: "turn-2", Turns: 2},
@@ -94,13 +94,13 @@
 	state := func(counter uint64, value []byte) register.State {
 		return register.State{Promised: newBallot(counter + 1), Accepted: newBallot(counter), Value: value}
 	}
-	call := marshaled(t, &protocol.CallRecord{
+	call := mustMarshal(t, &protocol.CallRecord{
 		Program: "program-7", RequestId: "call-1", Session: "session", Epoch: 3, Tool: "tool",
 		State:  protocol.CallState_CALL_DONE,
 		Status: 201, Body: []byte("answer\x00"), UpdatedAtMillis: storedMillis, Attempt: "attempt-1",
 		ContentType: "text/plain", KeepingMillis: storedDay,
 	})
-	pin := marshaled(t, &protocol.ProgramRecord{
+	pin := mustMarshal(t, &protocol.ProgramRecord{
 		Program: "step", UpdatedAtMillis: storedMillis,
 		TrainingStepPin: &protocol.TrainingStepPin{
 			Step: "step-7", Model: "model", WeightVersion: 4, PinnedBy: "front-1", PinnedAtMillis: storedMillis,
@@ -151,16 +151,16 @@
 
 // storedTurns are written in three parts: what the index covers, and what is in two segments after it.
 func storedTurns() (covered, finished, newest []storedTurn) {
-	elsewhere := newStoredTurn(5, "turn-5", "turn-1", 1)
-	elsewhere.turn.PreviousProgram = "program-1"
+	crossProgram := newStoredTurn(5, "turn-5", "turn-1", 1)
+	crossProgram.turn.PreviousProgram = "program-1"
 	covered = []storedTurn{newStoredTurn(1, "turn-1", "", 1), newStoredTurn(2, "turn-2", "", 4)}
-	finished = []storedTurn{newStoredTurn(1, "turn-3", "turn-1", 3), elsewhere}
+	finished = []storedTurn{newStoredTurn(1, "turn-3", "turn-1", 3), crossProgram}
 	newest = []storedTurn{newStoredTurn(2, "turn-4", "turn-2", 1), newStoredTurn(6, "turn-6", "", 2)}
 	return covered, finished, newest
 }
 
-// newStored opens a store whose clock is stopped; it is not started.
-func newStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *datafolder.Folder) {
+// openStored opens a store whose clock is stopped; it is not started.
+func openStored(t *testing.T, filesystem storage.Filesystem, path string) (*Store, *datafolder.Folder) {
 	t.Helper()
 	folder, err := datafolder.Open(filesystem, path, DefaultSegmentBytes)
 	requireNoError(t, err)
@@ -180,13 +180,13 @@
 	requireNoError(t, err)
 	// A folder that was begun before must have its logs.
 	for _, name := range []string{datafolder.RegisterLog, datafolder.TurnLog} {
-		begun, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
+		emptyLog, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
 		requireNoError(t, err)
-		requireNoError(t, begun.Close())
+		requireNoError(t, emptyLog.Close())
 	}
-	opened, folder := newStored(t, filesystem, path)
+	opened, folder := openStored(t, filesystem, path)
 	opened.Start()
-	wait := func(shard uint32, write func(g *owner.Group, done func())) {
+	writeAndWait := func(shard uint32, write func(g *owner.Group, done func())) {
 		done := make(chan struct{})
 		g := opened.groups.Of(shard)
 		g.Post(func() { write(g, func() { close(done) }) })
@@ -194,14 +194,14 @@
 	}
 	put := func(registers []storedRegister) {
 		for _, stored := range registers {
-			wait(stored.shard, func(g *owner.Group, done func()) {
+			writeAndWait(stored.shard, func(g *owner.Group, done func()) {
 				g.Put(stored.shard, stored.key, stored.state, done)
 			})
 		}
 	}
 	retain := func(turns []storedTurn) {
 		for _, stored := range turns {
-			wait(stored.shard, func(g *owner.Group, done func()) { g.RetainTurn(stored.shard, stored.turn, done) })
+			writeAndWait(stored.shard, func(g *owner.Group, done func()) { g.RetainTurn(stored.shard, stored.turn, done) })
 		}
 	}
 	coveredRegisters, finishedRegisters, newestRegisters := storedRegisters(t)
@@ -211,7 +211,7 @@
 	requireNoError(t, opened.saveRegisters())
 	requireNoError(t, opened.saveTurnIndex())
 	put(finishedRegisters)
-	wait(3, func(g *owner.Group, done func()) { g.Drop(3, done) })
+	writeAndWait(3, func(g *owner.Group, done func()) { g.Drop(3, done) })
 	retain(finishedTurns)
 	_, err = folder.Registers.Rotate()
 	requireNoError(t, err)
@@ -240,7 +240,7 @@
 }
 
 // A form that an older program cannot read would make a way back impossible, so what is written stays the same as well.
-func TestAStoreIsStoredByteForByteAsBefore(t *testing.T) {
+func TestStoredDataIsByteIdentical(t *testing.T) {
 	if *updateStored {
 		requireNoError(t, os.RemoveAll(storedData))
 		writeStored(t, storedData)
@@ -310,15 +310,15 @@
 	for _, part := range [][]storedTurn{coveredTurns, finishedTurns, newestTurns} {
 		for _, stored := range part {
 			turns++
-			wanted := proto.Clone(stored.turn).(*protocol.Turn)
-			if wanted.GetId() == "turn-1" {
+			want := proto.Clone(stored.turn).(*protocol.Turn)
+			if want.GetId() == "turn-1" {
 				// turn-3 continues it and is retained for longer.
-				wanted.KeepUntilMillis = storedMillis + 3*storedDay
+				want.KeepUntilMillis = storedMillis + 3*storedDay
 			}
-			read, err := opened.turns.Local(stored.shard, wanted.GetProgram(), wanted.GetId())
+			got, err := opened.turns.Local(stored.shard, want.GetProgram(), want.GetId())
 			requireNoError(t, err)
-			if !proto.Equal(read, wanted) {
-				t.Errorf("%s is read as %v", wanted.GetId(), read)
+			if !proto.Equal(got, want) {
+				t.Errorf("%s is read as %v", want.GetId(), got)
 			}
 		}
 	}
@@ -333,9 +333,9 @@
 	requireNoError(t, opened.Stop())
 }
 
-func TestAStoredStoreIsReadBack(t *testing.T) {
+func TestStoredDataIsReadBack(t *testing.T) {
 	files := storedFiles(t, storedData)
-	opened, folder := newStored(t, copyStored(t, files, "", 0), "data")
+	opened, folder := openStored(t, copyStored(t, files, "", 0), "data")
 	if folder.Lost != nil || folder.StorageID != storedStorageID || folder.Starts != 3 {
 		t.Errorf("start %d of %q, with %v lost", folder.Starts, folder.StorageID, folder.Lost)
 	}
@@ -349,7 +349,7 @@
 }
 
 // Each byte of each file is damaged alone.
-func TestDamageToAStoredStoreIsFound(t *testing.T) {
+func TestDamagedByteInStoredDataIsDetected(t *testing.T) {
 	files := storedFiles(t, storedData)
 	for _, stored := range []struct {
 		file string
@@ -387,22 +387,22 @@
 	}
 }
 
-func TestAStoredStoreWithADamagedIndexIsReadBack(t *testing.T) {
+func TestStoredDataWithDamagedIndexIsReadBack(t *testing.T) {
 	const index = "turns/0000000000000002.snapshot"
 	files := storedFiles(t, storedData)
 	for offset := range files[index] {
-		opened, _ := newStored(t, copyStored(t, files, index, offset), "data")
+		opened, _ := openStored(t, copyStored(t, files, index, offset), "data")
 		expectStored(t, opened)
 	}
 }
 
 // A turn that only the index was read for is checked when it is read.
-func TestADamagedTurnOfAStoredStoreIsNotReturned(t *testing.T) {
+func TestDamagedStoredTurnIsNotReturned(t *testing.T) {
 	const segment, header = "turns/0000000000000001.log", 28
 	files := storedFiles(t, storedData)
 	covered, _, _ := storedTurns()
 	for offset := header; offset < len(files[segment]); offset++ {
-		opened, _ := newStored(t, copyStored(t, files, segment, offset), "data")
+		opened, _ := openStored(t, copyStored(t, files, segment, offset), "data")
 		opened.Start()
 		rejected := 0
 		for _, stored := range covered {
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -24,8 +24,8 @@
 	maxOtherFailures = 1
 )
 
-// waitsForDisk is what callers and operators are shown while there is no store.
-const waitsForDisk = "the store waits for its disk"
+// waitingForDiskReason is what callers and operators are shown while there is no store.
+const waitingForDiskReason = "the store waits for its disk"
 
 // FolderOpener opens the folder of a store: at the start of the process and again after a failure.
 type FolderOpener func() (*datafolder.Folder, error)
@@ -58,7 +58,7 @@
 // NewSupervisor returns a supervisor whose first store uses the opened folder; open opens the
 // folder again after a failure.
 func NewSupervisor(options Options, folder *datafolder.Folder, open FolderOpener) (*Supervisor, error) {
-	options.fill()
+	options.applyDefaults()
 	options.Self.StorageId = folder.StorageID
 	s := &Supervisor{
 		options: options, open: open, fatal: options.Fatal, failures: make(chan error, 1),
@@ -165,11 +165,11 @@
 
 // awaitReopen waits before the next attempt; it reports false when the process ends.
 func (s *Supervisor) awaitReopen() bool {
-	passed := make(chan struct{})
-	stop := s.options.Clock.AfterFunc(reopenInterval, func() { close(passed) })
+	elapsed := make(chan struct{})
+	stop := s.options.Clock.AfterFunc(reopenInterval, func() { close(elapsed) })
 	defer stop()
 	select {
-	case <-passed:
+	case <-elapsed:
 		return true
 	case <-s.ctx.Done():
 		return false
@@ -199,8 +199,8 @@
 
 // ViewChanged makes the store read the core's view again; it does not wait.
 func (s *Supervisor) ViewChanged() {
-	if serving := s.current.Load(); serving != nil {
-		serving.ViewChanged()
+	if current := s.current.Load(); current != nil {
+		current.ViewChanged()
 	}
 }
 
@@ -209,13 +209,14 @@
 
 // Serve implements wire.Handler.
 func (s *Supervisor) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-	if serving := s.current.Load(); serving != nil {
-		return serving.Serve(ctx, request, send)
+	if current := s.current.Load(); current != nil {
+		return current.Serve(ctx, request, send)
 	}
 	if response := s.answerWithoutStore(request); response != nil {
 		return send(response)
 	}
-	return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, waitsForDisk, failure.WithRetryAfter(retryAfter))
+	return failure.New(failure.Unavailable, protocol.Outcome_NOT_RUN, waitingForDiskReason,
+		failure.WithRetryAfter(retryAfter))
 }
 
 // answerWithoutStore answers what needs no data; nil to anything else.
@@ -232,8 +233,8 @@
 
 // Status is what the store reports to operators of itself: its name only while it waits for its disk.
 func (s *Supervisor) Status() *protocol.StoreStatusResponse {
-	if serving := s.current.Load(); serving != nil {
-		return serving.Status()
+	if current := s.current.Load(); current != nil {
+		return current.Status()
 	}
 	return &protocol.StoreStatusResponse{Name: s.options.Self.GetName(), StorageId: s.options.Self.GetStorageId()}
 }
--- a/internal/state/store/training_step_trace_test.go
+++ b/internal/state/store/training_step_trace_test.go
@@ -17,21 +17,21 @@
 const (
 	stepUnknown  = protocol.LedgerStatus_LEDGER_STEP_UNKNOWN
 	stepMismatch = protocol.LedgerStatus_LEDGER_STEP_MISMATCH
-	// theStep and pinnedVersion are those of the specs' rollouts.
-	theStep       = "step-17"
+	// rolloutStep and pinnedVersion are those of the specs' rollouts.
+	rolloutStep   = "step-17"
 	pinnedVersion = 4
 )
 
-func newPin(version uint64, owner string) *protocol.LedgerOperation {
+func newPinOperation(version uint64, owner string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
-		Program: ledger.TrainingStepProgram(theStep),
+		Program: ledger.TrainingStepProgram(rolloutStep),
 		Body: &protocol.LedgerOperation_PinTrainingStep{PinTrainingStep: &protocol.PinTrainingStep{
-			Step: theStep, Model: "m", WeightVersion: version, Owner: owner,
+			Step: rolloutStep, Model: "m", WeightVersion: version, Owner: owner,
 		}},
 	}
 }
 
-func newTrace(step string) *protocol.LedgerOperation {
+func newTraceOperation(step string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{
 		Program: ledger.TrainingStepProgram(step),
 		Body:    &protocol.LedgerOperation_TraceTrainingStep{TraceTrainingStep: &protocol.TraceTrainingStep{Step: step}},
@@ -50,7 +50,9 @@
 
 func (p *program) reserveForStep() *protocol.LedgerOperation {
 	reserve := p.reserve()
-	reserve.GetReserveTurn().TrainingStep = &protocol.TrainingStepReference{Step: theStep, WeightVersion: pinnedVersion}
+	reserve.GetReserveTurn().TrainingStep = &protocol.TrainingStepReference{
+		Step: rolloutStep, WeightVersion: pinnedVersion,
+	}
 	return reserve
 }
 
@@ -65,11 +67,11 @@
 	}
 }
 
-// rollouts pins the step and runs programs for it in every shard, the first of which also had a turn on
+// runRollouts pins the step and runs programs for it in every shard, the first of which also had a turn on
 // another version.
-func (f *fleet) rollouts(names ...string) {
+func (f *fleet) runRollouts(names ...string) {
 	GinkgoHelper()
-	Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+	Expect(f.do(newPinOperation(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
 	for number, name := range names {
 		p := f.program(name)
 		p.generate(pinnedVersion)
@@ -81,11 +83,11 @@
 	f.program("live").takeTurn()
 }
 
-func generations(text string) *protocol.TrainingStepMembership {
+func newMembership(text string) *protocol.TrainingStepMembership {
 	GinkgoHelper()
 	membership := &protocol.TrainingStepMembership{}
 	Expect(prototext.Unmarshal([]byte(text), membership)).To(Succeed())
-	membership.Step, membership.WeightVersion = theStep, pinnedVersion
+	membership.Step, membership.WeightVersion = rolloutStep, pinnedVersion
 	return membership
 }
 
@@ -96,7 +98,7 @@
 	GinkgoHelper()
 	Expect(result.GetStatus()).To(Equal(ok))
 	pinned := result.GetTrainingStepTrace().GetPin()
-	Expect(pinned.GetStep()).To(Equal(theStep))
+	Expect(pinned.GetStep()).To(Equal(rolloutStep))
 	Expect(pinned.GetModel()).To(Equal("m"))
 	Expect(pinned.GetWeightVersion()).To(BeEquivalentTo(pinnedVersion))
 	Expect(pinned.GetPinnedBy()).To(Equal("front-1"))
@@ -104,9 +106,9 @@
 	programs := result.GetTrainingStepTrace().GetPrograms()
 	Expect(programs).To(HaveLen(len(names)))
 	for number, traced := range programs {
-		wanted := generations(twoCompleted)
+		wanted := newMembership(twoCompleted)
 		if number == 0 {
-			wanted = generations(twoCompleted + `generations { weight_version: 5 discarded: 1 }`)
+			wanted = newMembership(twoCompleted + `generations { weight_version: 5 discarded: 1 }`)
 		}
 		Expect(traced.GetProgram()).To(Equal(names[number]))
 		Expect(traced.GetTenant()).To(Equal("tenant"))
@@ -130,11 +132,11 @@
 var _ = Describe("a training step", func() {
 	It("given two front nodes that pin it at once by way of different stores, then one version wins everywhere", func() {
 		f := newFleet("a", "b", "c")
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		for round := range 5 {
 			step := fmt.Sprintf("step-%d", round)
 			pinAs := func(version uint64, owner string) *protocol.LedgerOperation {
-				operation := newPin(version, owner)
+				operation := newPinOperation(version, owner)
 				operation.Program = ledger.TrainingStepProgram(step)
 				operation.GetPinTrainingStep().Step = step
 				operation.PlacementEpoch = f.shardEpoch(operation)
@@ -167,29 +169,29 @@
 
 	It("given a pin, when every store loses power, then it is still there", func() {
 		f := newFleet("a", "b", "c")
-		pinned := f.do(newPin(pinnedVersion, "front-1"))
+		pinned := f.do(newPinOperation(pinnedVersion, "front-1"))
 		f.loseAllPower()
-		again := f.do(newPin(5, "front-2"))
+		again := f.do(newPinOperation(5, "front-2"))
 		Expect(again.GetStatus()).To(Equal(ok))
 		Expect(proto.Equal(again.GetTrainingStepPin(), pinned.GetTrainingStepPin())).To(BeTrue())
 	})
 
 	It("is unknown without a pin, to reads and traces", func() {
 		f := newFleet("a", "b", "c")
-		Expect(f.do(newPin(0, "front-1")).GetStatus()).To(Equal(stepUnknown))
-		Expect(f.do(newTrace(theStep)).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newPinOperation(0, "front-1")).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newTraceOperation(rolloutStep)).GetStatus()).To(Equal(stepUnknown))
 	})
 
 	It("leaves turns of other steps and of none out of its programs", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		p := &program{fleet: f, name: "p1", requests: 100}
 		p.claim("front-2")
 		Expect(f.do(p.reserve()).GetStatus()).To(Equal(stepMismatch))
 		live := &program{fleet: f, name: "live", requests: 100}
 		live.claim("front-2")
 		Expect(f.do(live.reserveForStep()).GetStatus()).To(Equal(stepMismatch))
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 })
 
@@ -197,12 +199,12 @@
 // acceptReleaseOnAAlone ends a program's turn by way of store a, which is partitioned from the others by then.
 func (f *fleet) acceptReleaseOnAAlone() *program {
 	GinkgoHelper()
-	f.until(f.inForce)
-	Expect(f.do(newPin(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
+	f.until(f.placementApplied)
+	Expect(f.do(newPinOperation(pinnedVersion, "front-1")).GetStatus()).To(Equal(ok))
 	p := f.program("p")
 	Expect(f.request("a", awaitTimeout, p.reserveForStep()).GetStatus()).To(Equal(ok))
 	f.setPartitioned("a", true)
-	Expect(f.requestDirectlyFromA(shortTime, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
+	Expect(f.requestDirectlyFromA(shortTimeout, p.release(pinnedVersion)).GetStatus()).To(Equal(unavailable))
 	return p
 }
 
@@ -213,133 +215,133 @@
 	for _, name := range f.names {
 		f.restart(name)
 	}
-	f.until(f.inForce)
+	f.until(f.placementApplied)
 }
 
 var _ = Describe("a trace of a training step", func() {
 	It("shows the pin and every program with its counts, whichever store is queried", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		for _, name := range f.names {
-			expectTrace(f.request(name, awaitTimeout, newTrace(theStep)), rolloutNames...)
+			expectTrace(f.request(name, awaitTimeout, newTraceOperation(rolloutStep)), rolloutNames...)
 		}
-		Expect(f.do(newTrace("step-18")).GetStatus()).To(Equal(stepUnknown))
+		Expect(f.do(newTraceOperation("step-18")).GetStatus()).To(Equal(stepUnknown))
 	})
 
 	It("is the same after every store lost power", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		f.loseAllPower()
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is the same from snapshots", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		busy := f.program("busy")
 		for _, name := range f.names {
-			f.writeSnapshot(name, busy)
+			f.writeUntilSnapshot(name, busy)
 		}
 		f.loseAllPower()
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is the same after two disks were lost and rebuilt, from these stores alone", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		for _, name := range []string{"a", "b"} {
 			f.loseDisk(name)
-			f.until(f.isComplete)
+			f.until(f.allReplicasActive)
 		}
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		f.stopOne("c", true)
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("counts no store whose disk was lost until it is rebuilt", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		f.setPartitioned("c", true)
 		f.stopOne("a", true)
 		f.restartEmpty("a")
-		f.until(func() bool { return f.inForceExcept("c") })
-		Expect(f.request("b", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		f.until(func() bool { return f.placementAppliedExcept("c") })
+		Expect(f.request("b", shortTimeout, newTraceOperation(rolloutStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("c", false)
-		f.until(f.isComplete)
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		f.until(f.allReplicasActive)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is complete with a minority down", func() {
 		for _, away := range []string{"a", "b", "c"} {
 			f := newFleet("a", "b", "c")
-			f.rollouts(rolloutNames...)
+			f.runRollouts(rolloutNames...)
 			f.setPartitioned(away, true)
-			expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+			expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 		}
 	})
 
 	It("is complete with a minority that is unresponsive", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		f.suspend("a")
 		defer f.resume("a")
-		expectTrace(f.request("b", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("b", awaitTimeout, newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is unavailable with a majority down, never incomplete", func() {
 		f := newFleet("a", "b", "c")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		f.setPartitioned("b", true)
 		f.setPartitioned("c", true)
-		Expect(f.request("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", shortTimeout, newTraceOperation(rolloutStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("b", false)
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is unavailable when one shard alone lacks a majority", func() {
 		f := newFleet("a", "b", "c", "d")
-		f.rollouts(rolloutNames...)
-		moved := (ledger.ShardOf(ledger.TrainingStepProgram(theStep), shardCount) + 1) % shardCount
+		f.runRollouts(rolloutNames...)
+		moved := (ledger.ShardOf(ledger.TrainingStepProgram(rolloutStep), shardCount) + 1) % shardCount
 		f.move(moved, "a", "d")
-		f.until(f.isComplete)
-		f.until(f.inForce)
+		f.until(f.allReplicasActive)
+		f.until(f.placementApplied)
 		// Programs of the shard that moved are read by way of its stores.
-		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("a", awaitTimeout, newTraceOperation(rolloutStep)), rolloutNames...)
 		f.setPartitioned("d", true)
-		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("a", awaitTimeout, newTraceOperation(rolloutStep)), rolloutNames...)
 		f.setPartitioned("c", true)
-		Expect(f.request("a", shortTime, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
-		Expect(f.request("b", awaitTimeout, newPin(0, "")).GetStatus()).To(Equal(ok))
+		Expect(f.request("a", shortTimeout, newTraceOperation(rolloutStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("b", awaitTimeout, newPinOperation(0, "")).GetStatus()).To(Equal(ok))
 	})
 
 	It("is unavailable, never incomplete, when only a stale replica answers for one shard", func() {
 		f := newFleet("a", "b", "c", "d", "e", "f")
-		moved := (ledger.ShardOf(ledger.TrainingStepProgram(theStep), shardCount) + 1) % shardCount
+		moved := (ledger.ShardOf(ledger.TrainingStepProgram(rolloutStep), shardCount) + 1) % shardCount
 		for from, to := range map[string]string{"a": "d", "b": "e", "c": "f"} {
 			f.move(moved, from, to)
-			f.until(f.isComplete)
+			f.until(f.allReplicasActive)
 		}
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		f.setPartitioned("f", true)
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		f.setPartitioned("d", true)
 		f.setPartitioned("e", true)
-		Expect(f.request("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", awaitTimeout, newTraceOperation(rolloutStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("f", false)
-		Expect(f.request("a", awaitTimeout, newTrace(theStep)).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("a", awaitTimeout, newTraceOperation(rolloutStep)).GetStatus()).To(Equal(unavailable))
 		f.setPartitioned("e", false)
-		expectTrace(f.request("a", awaitTimeout, newTrace(theStep)), rolloutNames...)
+		expectTrace(f.request("a", awaitTimeout, newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("is complete while shards move", func() {
 		f := newFleet("a", "b", "c", "d")
-		f.rollouts(rolloutNames...)
+		f.runRollouts(rolloutNames...)
 		for shard := range uint32(shardCount) {
 			f.move(shard, "a", "d")
 		}
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
-		f.until(f.isComplete)
-		expectTrace(f.do(newTrace(theStep)), rolloutNames...)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
+		f.until(f.allReplicasActive)
+		expectTrace(f.do(newTraceOperation(rolloutStep)), rolloutNames...)
 	})
 
 	It("shows no completed generation that a store accepted alone and a claim charged after", func() {
@@ -350,9 +352,9 @@
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
 		for _, name := range f.names {
-			traced := f.request(name, awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+			traced := f.request(name, awaitTimeout, newTraceOperation(rolloutStep)).GetTrainingStepTrace().GetPrograms()
 			Expect(traced).To(HaveLen(1))
-			Expect(proto.Equal(traced[0].GetMembership(), generations(`generations { discarded: 1 }`))).To(BeTrue(), "%v",
+			Expect(proto.Equal(traced[0].GetMembership(), newMembership(`generations { discarded: 1 }`))).To(BeTrue(), "%v",
 				traced)
 		}
 	})
@@ -362,17 +364,17 @@
 		p := f.acceptReleaseOnAAlone()
 		f.clock.advance(20 * time.Second)
 		f.setPartitioned("a", false)
-		first := f.request("c", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+		first := f.request("c", awaitTimeout, newTraceOperation(rolloutStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(first).To(HaveLen(1))
 		counted := ledger.TotalGenerations(first[0].GetMembership())
 		f.setPartitioned("a", true)
-		second := f.request("b", awaitTimeout, newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+		second := f.request("b", awaitTimeout, newTraceOperation(rolloutStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(second).To(HaveLen(1))
 		Expect(ledger.TotalGenerations(second[0].GetMembership())).To(BeNumerically(">=", counted))
 		f.setPartitioned("a", false)
 		Expect(f.do(p.release(pinnedVersion)).GetStatus()).To(Equal(ok))
-		last := f.do(newTrace(theStep)).GetTrainingStepTrace().GetPrograms()
+		last := f.do(newTraceOperation(rolloutStep)).GetTrainingStepTrace().GetPrograms()
 		Expect(proto.Equal(last[0].GetMembership(),
-			generations(`generations { weight_version: 4 completed: 1 }`))).To(BeTrue(), "%v", last)
+			newMembership(`generations { weight_version: 4 completed: 1 }`))).To(BeTrue(), "%v", last)
 	})
 })
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -14,7 +14,7 @@
 	// replicasForTwoLosses have a majority when two of them are down.
 	replicasForTwoLosses = 5
 	twoLossesRounds      = 6
-	turnsWhileAway       = 5
+	turnsWhileDown       = 5
 	turnsBetweenLosses   = 4
 )
 
@@ -81,34 +81,34 @@
 
 func newTwoLossesScenario(seed uint64) *faultScenario {
 	unwrapped := func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem }
-	return newFaultScenarioOn(newFleetOf(replicasForTwoLosses, unwrapped, "a", "b", "c", "d", "e", "f"), seed)
+	return newFaultScenarioOn(newFleetWithReplicas(replicasForTwoLosses, unwrapped, "a", "b", "c", "d", "e", "f"), seed)
 }
 
 // loseTwo loses two stores at once, in the same way or in two, while programs take turns.
-func (s *faultScenario) loseTwo(provoked map[string]int) {
+func (s *faultScenario) loseTwo(lossCounts map[string]int) {
 	GinkgoHelper()
-	names := s.random.Perm(replicasForTwoLosses)[:2]
-	chosen := []storeLoss{storeLosses[s.random.IntN(len(storeLosses))], storeLosses[s.random.IntN(len(storeLosses))]}
-	for i, number := range names {
-		s.record("%s: %s", s.fleet.names[number], chosen[i].name)
-		provoked[chosen[i].name]++
-		chosen[i].begin(s, s.fleet.names[number])
+	lost := s.random.Perm(replicasForTwoLosses)[:2]
+	losses := []storeLoss{storeLosses[s.random.IntN(len(storeLosses))], storeLosses[s.random.IntN(len(storeLosses))]}
+	for i, number := range lost {
+		s.record("%s: %s", s.fleet.names[number], losses[i].name)
+		lossCounts[losses[i].name]++
+		losses[i].begin(s, s.fleet.names[number])
 	}
-	for range turnsWhileAway {
+	for range turnsWhileDown {
 		s.takeTurn()
 		s.findTurn()
 	}
-	away := []string{s.fleet.names[names[0]], s.fleet.names[names[1]]}
-	for i, number := range names {
+	down := []string{s.fleet.names[lost[0]], s.fleet.names[lost[1]]}
+	for i, number := range lost {
 		// Until the others act under the placement that came with the first return, they rightly serve the one before.
-		s.fleet.until(func() bool { return s.fleet.inForceExcept(away[i:]...) })
-		chosen[i].end(s, s.fleet.names[number])
+		s.fleet.until(func() bool { return s.fleet.placementAppliedExcept(down[i:]...) })
+		losses[i].end(s, s.fleet.names[number])
 	}
 	for range turnsBetweenLosses {
 		s.takeTurn()
 		s.findTurn()
 	}
-	s.fleet.until(func() bool { return s.fleet.isComplete() && s.fleet.inForce() })
+	s.fleet.until(func() bool { return s.fleet.allReplicasActive() && s.fleet.placementApplied() })
 }
 
 // loseAllAndTwoDisks cuts the power of all stores and loses the disks of two.
@@ -126,7 +126,7 @@
 			s.fleet.restart(name)
 		}
 	}
-	s.fleet.until(func() bool { return s.fleet.isComplete() && s.fleet.inForce() })
+	s.fleet.until(func() bool { return s.fleet.allReplicasActive() && s.fleet.placementApplied() })
 }
 
 var _ = Describe("stores that lose two at once", func() {
