--- a/internal/state/store/disk_test.go
+++ b/internal/state/store/disk_test.go
@@ -10,7 +10,8 @@
 	"github.com/rosestand/rosestand/internal/state/store"
 )
 
-// requestFrom queries one store only, while time passes, and returns its result or why it has surely not begun.
+// requestFrom sends an operation to one store only, while the clock advances. It returns the result, or the failure
+// with which the operation was rejected before it began.
 func (f *fleet) requestFrom(
 	name string, operation *protocol.LedgerOperation,
 ) (result *protocol.LedgerResult, rejection *failure.Error) {
@@ -31,7 +32,7 @@
 
 func (f *fleet) serving(name string) bool { return f.running(name).Serving() }
 
-// replaced reports whether a store serves that was opened anew after the one given.
+// replaced reports whether a store other than the previous one serves.
 func (f *fleet) replaced(name string, previous *store.Store) bool {
 	current := f.running(name).Running()
 	return current != nil && current != previous
@@ -39,7 +40,7 @@
 
 func (f *fleet) expectNotReplaced(name string) {
 	GinkgoHelper()
-	Expect(f.members[name].failure).NotTo(Receive(), "the process was told to end")
+	Expect(f.members[name].failure).NotTo(Receive(), "the supervisor of store %s reported a fatal error", name)
 }
 
 var _ = Describe("a store whose disk fails", func() {
@@ -55,10 +56,10 @@
 			p.takeTurn()
 			return !f.serving("a")
 		})
-		_, refused := f.requestFrom("a", p.reserve())
-		Expect(refused).To(HaveOccurred())
-		Expect(refused.Code()).To(Equal(failure.Unavailable))
-		Expect(refused.Failure.GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
+		_, rejection := f.requestFrom("a", p.reserve())
+		Expect(rejection).To(HaveOccurred())
+		Expect(rejection.Code()).To(Equal(failure.Unavailable))
+		Expect(rejection.Failure.GetOutcome()).To(Equal(protocol.Outcome_NOT_RUN))
 		for range 20 {
 			p.takeTurn()
 		}
@@ -97,13 +98,13 @@
 		}
 	})
 
-	It("given one failed sync, then the store continues from what is on disk; given another, the process ends", func() {
+	It("given one failed sync, then the store is reopened from its disk; given another, the process ends", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
 		failing := f.running("a").Running()
 		f.members["a"].disk.FailSyncs(0, 1)
-		// It is down for a second of the fleet's clock only, which may pass unseen.
+		// The store is down for only one second of the fleet's clock, which this loop may miss.
 		f.until(func() bool {
 			p.takeTurn()
 			return f.replaced("a", failing) && f.placementApplied()
@@ -122,7 +123,7 @@
 		Expect(f.serving("a")).To(BeFalse())
 	})
 
-	It("given a disk that stalls, then the store answers what needs no sync, and continues when the disk does", func() {
+	It("given a disk that stalls, then the store answers requests that need no sync, and resumes with the disk", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
--- a/internal/state/store/export_test.go
+++ b/internal/state/store/export_test.go
@@ -1,6 +1,6 @@
 package store
 
-// Running returns the store that serves at this moment, nil when there is none.
+// Running returns the store that serves now, or nil when there is none.
 func (s *Supervisor) Running() *Store { return s.current.Load() }
 
 // ScrubOnce compares all shards with the other replicas once.
--- a/internal/state/store/failure_scenarios_test.go
+++ b/internal/state/store/failure_scenarios_test.go
@@ -14,12 +14,12 @@
 const (
 	scenarioSteps    = 120
 	scenarioPrograms = 5
-	// findsAfterLoss are made while the store that lost its disk is rebuilt.
+	// findsAfterLoss is the number of turns looked up while a store that lost its disk is rebuilt.
 	findsAfterLoss = 20
 )
 
-// faultScenario injects a fault into one store at a time, by a seed, while programs take
-// turns. The next fault is injected only when the store before is complete again, as soon as that.
+// faultScenario injects faults, chosen by a seed, into one store at a time while programs take
+// turns. The next fault may follow as soon as all replicas are active again, but not earlier.
 type faultScenario struct {
 	fleet    *fleet
 	random   *rand.Rand
@@ -28,7 +28,7 @@
 	acknowledged map[string]*program
 	// turnOrder lists the acknowledged turns, oldest first.
 	turnOrder []string
-	// uncertain has reservations without a clear answer, which may still be made.
+	// uncertain lists reservations whose outcome is unknown; they may still take effect.
 	uncertain []*protocol.LedgerOperation
 	// faulty is the store that is down, empty when none is.
 	faulty string
@@ -57,7 +57,7 @@
 
 func (s *faultScenario) history() string { return fmt.Sprint(s.log) }
 
-// takeTurn continues a program; it may be rejected when there is no majority.
+// takeTurn takes a turn of a random program, which must succeed.
 func (s *faultScenario) takeTurn() {
 	GinkgoHelper()
 	p := s.programs[s.random.IntN(len(s.programs))]
@@ -71,7 +71,8 @@
 	s.turnOrder = append(s.turnOrder, turn)
 }
 
-// findTurn queries one store for a retained turn, in two ways. It may be unable to answer, but must not deny it.
+// findTurn requests an acknowledged turn from one store, by its program and by its id alone. The store may be unable to
+// answer, but must not report the turn as missing.
 func (s *faultScenario) findTurn() {
 	GinkgoHelper()
 	if len(s.turnOrder) == 0 {
@@ -83,12 +84,13 @@
 		return
 	}
 	for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), newFindTurn(turn)} {
-		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing), "%s denies %s: %s", name, turn,
-			s.history())
+		Expect(s.fleet.attemptOnce(name, operation).GetStatus()).NotTo(Equal(missing),
+			"store %s reports the acknowledged turn %s as missing: %s", name, turn, s.history())
 	}
 }
 
-// injectFault breaks a store in one of several ways.
+// injectFault begins a random fault in a random store or moves a shard. While a store is down, it moves a shard away
+// from that store.
 func (s *faultScenario) injectFault() {
 	if s.faulty != "" && s.fleet.allReplicasActive() {
 		s.moveFrom(s.faulty)
@@ -114,11 +116,11 @@
 		s.fleet.stopOne(name, false)
 		s.faulty = name
 	case 2:
-		s.record("power %s", name)
+		s.record("power loss of %s", name)
 		s.fleet.stopOne(name, true)
 		s.faulty = name
 	case 3:
-		s.record("disk %s", name)
+		s.record("disk loss of %s", name)
 		s.fleet.loseDisk(name)
 		for range findsAfterLoss {
 			s.findTurn()
@@ -128,22 +130,22 @@
 	}
 }
 
-// move replaces one replica of a shard by a store that has none of it.
+// move moves one replica of a random shard to the store that has none.
 func (s *faultScenario) move() {
 	shard := uint32(s.random.IntN(shardCount))
 	placed := s.fleet.View().Placement.GetShards()[shard]
 	spare := s.fleet.unplacedStore(placed)
 	from := placed.GetCurrent()[s.random.IntN(len(placed.GetCurrent()))].GetStore()
-	s.record("move %d from %s to %s", shard, from, spare)
+	s.record("move shard %d from %s to %s", shard, from, spare)
 	s.fleet.move(shard, from, spare)
 }
 
-// moveFrom moves a shard of a store that is down to the one that has none of it.
+// moveFrom moves one shard of a store that is down to the store that has no replica of it.
 func (s *faultScenario) moveFrom(down string) {
 	for _, placed := range s.fleet.View().Placement.GetShards() {
 		spare := s.fleet.unplacedStore(placed)
 		if spare != down {
-			s.record("move %d from %s, which is away, to %s", placed.GetShard(), down, spare)
+			s.record("move shard %d from %s, which is down, to %s", placed.GetShard(), down, spare)
 			s.fleet.move(placed.GetShard(), down, spare)
 			s.fleet.until(s.fleet.allReplicasActive)
 			return
@@ -171,15 +173,16 @@
 	s.faulty = ""
 }
 
-// requestUnderStaleView queries a store that is back and still has the placement of before, as callers do that
-// have it too.
+// requestUnderStaleView sends requests to a store that is reachable again but still has a stale view, as callers with
+// the same view do. The store must neither report an acknowledged turn as missing nor reserve one under that view.
 func (s *faultScenario) requestUnderStaleView(name string) {
 	GinkgoHelper()
 	staleView := s.fleet.viewFor(name)
 	for _, turn := range s.turnOrder {
 		for _, operation := range []*protocol.LedgerOperation{s.acknowledged[turn].readTurns(turn), newFindTurn(turn)} {
 			answer := s.fleet.attemptUnder(name, placedShard(staleView, operation).GetEpoch(), operation)
-			Expect(answer.GetStatus()).NotTo(Equal(missing), "stale %s denies %s: %s", name, turn, s.history())
+			Expect(answer.GetStatus()).NotTo(Equal(missing),
+				"store %s with a stale view reports the acknowledged turn %s as missing: %s", name, turn, s.history())
 		}
 	}
 	for _, p := range s.programs {
@@ -192,7 +195,7 @@
 		if status := answer.GetStatus(); status == unavailable || status == protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT {
 			s.uncertain = append(s.uncertain, reserve)
 		}
-		Expect(answer.GetStatus()).NotTo(Equal(ok), "stale %s reserved: %s", name, s.history())
+		Expect(answer.GetStatus()).NotTo(Equal(ok), "store %s reserved a turn under a stale placement: %s", name, s.history())
 	}
 }
 
@@ -201,7 +204,7 @@
 	GinkgoHelper()
 	s.repairFault()
 	s.fleet.until(s.fleet.allReplicasActive)
-	s.record("power of all")
+	s.record("power loss of all stores")
 	for _, name := range s.fleet.names {
 		s.fleet.stopOne(name, true)
 	}
@@ -241,6 +244,7 @@
 	return f.partitioned[name]
 }
 
+// unplacedStore returns a store without a replica of the shard.
 func (f *fleet) unplacedStore(placed *protocol.ShardPlacement) string {
 	for _, name := range f.names {
 		hasReplica := false
@@ -254,7 +258,7 @@
 	return ""
 }
 
-// attemptOnce queries one store once and counts a failure as no answer.
+// attemptOnce sends an operation to one store once; a failed request counts as unavailable.
 func (f *fleet) attemptOnce(name string, operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	return f.attemptUnder(name, f.shardEpoch(operation), operation)
 }
--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -28,14 +28,14 @@
 
 const (
 	shardCount = 4
-	// defaultReplicas are those of each shard of a fleet that bears one loss.
+	// defaultReplicas is the number of replicas of each shard; a majority survives the loss of one.
 	defaultReplicas = 3
 	segmentBytes    = 16 << 10
-	// defaultClockSpeedup makes timers short and leaves a busy machine time for what a deadline of seconds bounds.
+	// defaultClockSpeedup shortens timers, but leaves a busy machine time to meet deadlines of seconds.
 	defaultClockSpeedup = 5
-	// defaultPeerTimeout lets stores continue soon without one that is suspended.
+	// defaultPeerTimeout lets stores soon continue without a suspended one.
 	defaultPeerTimeout = 100 * time.Millisecond
-	// awaitTimeout bounds how long a test awaits something that must happen.
+	// awaitTimeout bounds how long a test waits for something that must happen.
 	awaitTimeout = 20 * time.Second
 )
 
@@ -113,24 +113,24 @@
 	starts  uint64
 }
 
-// fleet is an in-memory cluster of stores; it is its own core.
+// fleet is an in-memory cluster of stores; it also acts as their core.
 type fleet struct {
 	wrap    func(name string, filesystem storage.Filesystem) storage.Filesystem
 	clock   *testClock
 	members map[string]*member
 	names   []string
-	// clockSpeedup is how much faster than the wall clock the fleet's runs while an operation is awaited.
+	// clockSpeedup is how many times faster than the wall clock the fleet's clock runs while an operation is awaited.
 	clockSpeedup time.Duration
-	// peerTimeout bounds a request of one store to another by the wall clock.
+	// peerTimeout bounds a request from one store to another, on the wall clock.
 	peerTimeout time.Duration
 
 	mutex sync.Mutex
 	view  *corelink.View
 	// partitioned stores neither send nor receive.
 	partitioned map[string]bool
-	// suspended stores receive and send nothing until the channel is closed; what was sent to them arrives then.
+	// suspended stores neither send nor receive until the channel is closed; requests sent meanwhile arrive then.
 	suspended map[string]chan struct{}
-	// stale has the views of stores that receive no new ones.
+	// stale has the last views of stores that receive no new ones.
 	stale     map[string]*corelink.View
 	intercept func(to string, request *protocol.Request)
 }
@@ -141,14 +141,14 @@
 	return f
 }
 
-// newFleetWithDisks puts something between each store and its disk.
+// newFleetWithDisks returns a fleet whose stores use wrapped filesystems.
 func newFleetWithDisks(
 	wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
 ) *fleet {
 	return newFleetWithReplicas(defaultReplicas, wrap, names...)
 }
 
-// newFleetWithReplicas places each shard on the first stores.
+// newFleetWithReplicas returns a fleet whose shards are on the first stores, one for each replica.
 func newFleetWithReplicas(
 	replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
 ) *fleet {
@@ -167,7 +167,7 @@
 	return f
 }
 
-// newStoppedFleet is a fleet before its stores are started.
+// newStoppedFleet returns a fleet whose stores are not started yet.
 func newStoppedFleet(names ...string) *fleet {
 	return &fleet{
 		wrap:  func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem },
@@ -177,7 +177,8 @@
 	}
 }
 
-// bootstrap starts the stores, places each shard on the first of them and waits until all act under that.
+// bootstrap starts the stores, places each shard on the first of them, one for each replica, and waits until all have
+// applied that placement.
 func (f *fleet) bootstrap(replicas int) {
 	GinkgoHelper()
 	names := f.names
@@ -237,7 +238,7 @@
 	}
 }
 
-// stopOne ends one process; what it had not synced is lost when power is.
+// stopOne ends one process; with a power loss, writes that were not synced are lost.
 func (f *fleet) stopOne(name string, powerLoss bool) {
 	m := f.members[name]
 	f.setPartitioned(name, true)
@@ -257,13 +258,13 @@
 	f.publish()
 }
 
-// loseDisk empties a store's disk and starts it again, and reports it to the core's placement.
+// loseDisk restarts a store with an empty disk and publishes its replicas as rebuilding.
 func (f *fleet) loseDisk(name string) {
 	f.stopOne(name, false)
 	f.restartEmpty(name)
 }
 
-// restartEmpty starts a stopped store with an empty disk.
+// restartEmpty starts a stopped store with an empty disk and publishes its replicas as rebuilding.
 func (f *fleet) restartEmpty(name string) {
 	f.members[name].disk.Lose()
 	f.start(name)
@@ -287,7 +288,7 @@
 	f.partitioned[name] = partitioned
 }
 
-// publish puts a placement with changed shards in force, under the next epoch.
+// publish makes a placement with the changed shards current, under the next epoch.
 func (f *fleet) publish(changed ...*protocol.ShardPlacement) {
 	f.mutex.Lock()
 	before := f.view.Placement
@@ -344,7 +345,7 @@
 	return f.suspended[name] != nil
 }
 
-// viewFor returns the view that a store has.
+// viewFor returns the view that a store receives.
 func (f *fleet) viewFor(name string) *corelink.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -354,7 +355,7 @@
 	return f.view
 }
 
-// setStale withholds new views from a store, or sends it the newest.
+// setStale withholds new views from a store, or delivers the latest one.
 func (f *fleet) setStale(name string, stale bool) {
 	f.mutex.Lock()
 	delete(f.stale, name)
@@ -367,7 +368,7 @@
 	}
 }
 
-// move begins to replace a store by another in one shard.
+// move publishes a placement that begins to move a replica of a shard to another store.
 func (f *fleet) move(shard uint32, from, to string) {
 	placed := proto.CloneOf(f.View().Placement.GetShards()[shard])
 	for _, replica := range placed.GetCurrent() {
@@ -380,7 +381,7 @@
 	f.publish(placed)
 }
 
-// shardCopied does what the core does when a store reports a copied shard.
+// shardCopied acts as the core does when a store reports a copied shard.
 func (f *fleet) shardCopied(copied *protocol.ShardCopiedRequest) {
 	placed := proto.CloneOf(f.View().Placement.GetShards()[copied.GetShard()])
 	if placed.GetEpoch() != copied.GetEpoch() {
@@ -402,15 +403,15 @@
 	GinkgoHelper()
 	deadline := time.Now().Add(awaitTimeout)
 	for !condition() {
-		Expect(time.Now().Before(deadline)).To(BeTrue(), "it never came")
+		Expect(time.Now().Before(deadline)).To(BeTrue(), "condition not met within awaitTimeout")
 		f.clock.advance(50 * time.Millisecond)
 	}
 }
 
-// placementApplied reports whether every store that can be reached acts under the placement published last.
+// placementApplied reports whether every reachable store acts under the latest placement.
 func (f *fleet) placementApplied() bool { return f.placementAppliedExcept() }
 
-// placementAppliedExcept is placementApplied without regard to stores that are down.
+// placementAppliedExcept is placementApplied without the stores that are down.
 func (f *fleet) placementAppliedExcept(down ...string) bool {
 	for name, m := range f.members {
 		if slices.Contains(down, name) || f.partitioned[name] {
@@ -423,7 +424,7 @@
 	return true
 }
 
-// allReplicasActive reports whether no shard is copied any more.
+// allReplicasActive reports whether no shard is being moved or rebuilt.
 func (f *fleet) allReplicasActive() bool {
 	for _, placed := range f.View().Placement.GetShards() {
 		if len(placed.GetNext()) > 0 {
@@ -445,7 +446,7 @@
 	})
 }
 
-// do sends an operation as a front node does, while time passes.
+// do sends an operation as a front node does, while the clock advances.
 func (f *fleet) do(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	GinkgoHelper()
 	return f.await(func() (*protocol.LedgerResult, error) { return f.client().Do(context.Background(), operation) })
@@ -465,7 +466,7 @@
 	})
 }
 
-// shardEpoch returns the epoch of the shard that an operation is about.
+// shardEpoch returns the placement epoch of the shard of an operation's program.
 func (f *fleet) shardEpoch(operation *protocol.LedgerOperation) uint64 {
 	return placedShard(f.View(), operation).GetEpoch()
 }
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -18,13 +18,13 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// ledgerFolder is in the data folder of the process and has all that a store writes.
+// ledgerFolder is the folder, in the data folder of the process, that contains all files of a store.
 const ledgerFolder = "ledger"
 
-// readyCondition is the name under which a store's readiness is shown.
+// readyCondition is the readiness check of a store's link to the core.
 const readyCondition = "core"
 
-// diskCondition is the name under which a store without a usable disk is shown.
+// diskCondition is the readiness check of a store's disk.
 const diskCondition = "disk"
 
 // Module is the store plane. It provides the folder, the link to the core, the
--- a/internal/state/store/late_retain_test.go
+++ b/internal/state/store/late_retain_test.go
@@ -13,12 +13,14 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// blockingDisk delays the syncs of turn segments while it is closed.
+// blockingDisk is a filesystem whose syncs of turn segments can be blocked.
 type blockingDisk struct {
 	storage.Filesystem
-	mutex     sync.Mutex
+	mutex sync.Mutex
+	// unblocked is closed when blocked syncs may continue; nil while syncs are not blocked.
 	unblocked chan struct{}
-	waiting   chan struct{}
+	// waiting receives a value when a sync is blocked.
+	waiting chan struct{}
 }
 
 func newBlockingDisk(filesystem storage.Filesystem) *blockingDisk {
@@ -76,7 +78,7 @@
 }
 
 var _ = Describe("a turn whose write is in flight while its shard moves", func() {
-	It("given a new placement before the write is durable, when it is, then it counts under no older placement", func() {
+	It("given a new placement before the write is durable, then the write is rejected under the old one", func() {
 		var disk *blockingDisk
 		f := newFleetWithDisks(func(name string, filesystem storage.Filesystem) storage.Filesystem {
 			if name != "a" {
@@ -110,31 +112,31 @@
 })
 
 var _ = Describe("a batch of requests to a replica", func() {
-	It("given requests of several shards and one without a replica, then each has its answer at its position", func() {
+	It("given valid and invalid requests, then each response is at the position of its request", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		p.takeTurn()
-		// What is acknowledged is on a majority, which may not have this store in it yet.
+		// An acknowledged change is on a majority, which may not include this store yet.
 		f.until(func() bool { return f.running("a").Status().GetRegisters() == 1 })
 		shard := ledger.ShardOf(p.name, shardCount)
 		epoch := f.View().Placement.GetShards()[shard].GetEpoch()
-		read := &protocol.Request{Body: &protocol.Request_Prepare{Prepare: &protocol.PrepareRequest{
+		prepare := &protocol.Request{Body: &protocol.Request_Prepare{Prepare: &protocol.PrepareRequest{
 			Shard: shard, PlacementEpoch: epoch, Key: &protocol.RegisterKey{Program: p.name},
 		}}}
-		old := &protocol.Request{Body: &protocol.Request_Accept{Accept: &protocol.AcceptRequest{
+		wrongEpoch := &protocol.Request{Body: &protocol.Request_Accept{Accept: &protocol.AcceptRequest{
 			Shard: shard, PlacementEpoch: epoch + 1, Key: &protocol.RegisterKey{Program: p.name}, Value: []byte("x"),
 		}}}
-		turn := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
+		retain := &protocol.Request{Body: &protocol.Request_KeepTurn{KeepTurn: &protocol.KeepTurnRequest{
 			Shard: shard, PlacementEpoch: epoch, Turn: &protocol.Turn{Id: "t", Program: p.name},
 		}}}
-		nameless := &protocol.Request{Body: &protocol.Request_KeepTurn{
+		withoutIdentity := &protocol.Request{Body: &protocol.Request_KeepTurn{
 			KeepTurn: &protocol.KeepTurnRequest{Turn: &protocol.Turn{}},
 		}}
 		status := &protocol.Request{Body: &protocol.Request_StoreStatus{StoreStatus: &protocol.StoreStatusRequest{}}}
 		var answers []*protocol.Response
 		err := f.running("a").Serve(GinkgoT().Context(),
 			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: &protocol.RequestBatch{
-				Requests: []*protocol.Request{read, old, status, turn, nameless},
+				Requests: []*protocol.Request{prepare, wrongEpoch, status, retain, withoutIdentity},
 			}}}, func(response *protocol.Response) error {
 				answers = response.GetStoreBatch().GetResponses()
 				return nil
--- a/internal/state/store/ledger.go
+++ b/internal/state/store/ledger.go
@@ -13,10 +13,10 @@
 	"github.com/rosestand/rosestand/internal/state/store/proposer"
 )
 
-// retryAfter is the advice to callers whom the store cannot serve now.
+// retryAfter is the delay that callers are advised to wait when the store cannot serve them now.
 const retryAfter = 500 * time.Millisecond
 
-// serveLedger applies one operation as proposer.
+// serveLedger validates one operation and passes it to the proposer or the service that applies it.
 func (s *Store) serveLedger(ctx context.Context, message *protocol.LedgerOperation) (*protocol.LedgerResult, error) {
 	if err := ledger.Validate(message); err != nil {
 		var invalid *ledger.InvalidOperationError
@@ -47,7 +47,7 @@
 	}
 }
 
-// Propose hands an operation to the proposer of its shard and waits. The result is
+// Propose posts an operation to the proposer of its shard and waits for the result. The result is
 // LEDGER_UNAVAILABLE when the context ends or the store stops before the result is known.
 func (s *Store) Propose(
 	ctx context.Context, shard register.ShardView, message *protocol.LedgerOperation,
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -14,20 +14,20 @@
 
 const (
 	maintenanceInterval = time.Second
-	// turnExpiryInterval and registerExpiryInterval are the times between two removals of what has expired.
+	// turnExpiryInterval and registerExpiryInterval are the intervals at which expired turns and registers are removed.
 	turnExpiryInterval     = 5 * time.Second
 	registerExpiryInterval = 30 * time.Second
 	// maxTurnExpiryInterval bounds how long expired turns stay in the index when no segment can be removed.
 	maxTurnExpiryInterval = time.Minute
-	// A snapshot of the registers is due when their log has so many segments and is so many
-	// times larger than what is in memory.
+	// A snapshot of the registers is due when their log exceeds snapshotSegments segments and
+	// snapshotGrowth times the size of the registers in memory.
 	snapshotSegments = 2
 	snapshotGrowth   = 4
-	// snapshotRetryInterval is the wait before a snapshot is tried again for which the disk had no space.
+	// snapshotRetryInterval is the wait before a snapshot that failed on a full disk is retried.
 	snapshotRetryInterval = 30 * time.Second
 )
 
-// maintain writes snapshots, removes what has expired and sets the gauges, at intervals.
+// maintain periodically writes snapshots, removes expired turns and registers, and sets the gauges.
 func (s *Store) maintain() {
 	nextTurnExpiry := s.options.Clock.Now().Add(turnExpiryInterval)
 	nextRegisterExpiry := s.options.Clock.Now().Add(registerExpiryInterval)
@@ -59,9 +59,9 @@
 	}
 }
 
-// saveSnapshots writes what a start would otherwise read from long logs. A snapshot for which
-// the disk has no space is tried again later: the logs still take records, and have all that
-// the snapshot would.
+// saveSnapshots writes the snapshots that are due, so that a start need not read long logs. A
+// snapshot that does not fit on the disk is retried later: the logs still accept records, and
+// contain everything that the snapshot would.
 func (s *Store) saveSnapshots(total counts, now time.Time) error {
 	if now.Before(s.nextSnapshotAttempt) {
 		return nil
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// failUnlessStopped ends the store unless the error is that it stops already.
+// failUnlessStopped fails the store unless the error reports that the store is stopping.
 func (s *Store) failUnlessStopped(err error) {
 	var stopped *lifecycle.StoppedError
 	if !errors.As(err, &stopped) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// removeExpiredTurns removes turns whose retention has ended, and log segments without any other.
+// removeExpiredTurns removes turns whose retention has ended, and log segments that contain no other turns.
 func (s *Store) removeExpiredTurns(now time.Time) error {
 	oldest := s.folder.Turns.FirstSegment()
 	first := s.segments.FirstRetained(oldest, s.folder.Turns.End().Segment, now)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// removeExpiredRegisters removes what is past its retention from memory; the next snapshot leaves it out.
+// removeExpiredRegisters removes expired registers from memory; the next snapshot omits them.
 func (s *Store) removeExpiredRegisters(now time.Time) error {
 	for number, group := range s.groups {
 		failed, err := owner.Call(group, func() error {
@@ -129,18 +129,18 @@
 	return nil
 }
 
-// counts is what a store has.
+// counts are the numbers of registers, turns, shards and proposals of a store or of one group.
 type counts struct {
 	registers, turns uint64
 	// registerBytes is the size of all keys and values of registers.
 	registerBytes int64
-	// active and copying are shards that the store serves, and those that catch up.
+	// active and copying count the shards that the store serves, and those that are still being copied.
 	active, copying uint32
-	// proposals are registers with a proposal in progress.
+	// proposals counts the registers with a proposal in progress.
 	proposals int
 }
 
-// counts sums up all groups; those of a store that stops are left out.
+// counts returns the sum over all groups; groups that have stopped are left out.
 func (s *Store) counts() counts {
 	var total counts
 	for number, group := range s.groups {
@@ -155,7 +155,7 @@
 	return total
 }
 
-// countGroup sums up one group, on its goroutine.
+// countGroup returns the counts of one group. It runs on the group's goroutine.
 func (s *Store) countGroup(number int) counts {
 	total := counts{proposals: s.proposers[number].Proposals()}
 	for _, table := range s.groups[number].Tables() {
--- a/internal/state/store/metrics.go
+++ b/internal/state/store/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters and gauges of one store, and of those that replace it after a
+// metrics are the counters and gauges of a store, shared by the stores that replace it after a
 // failure. Any goroutine may use them.
 type metrics struct {
 	registerChanges   prometheus.Counter
@@ -28,12 +28,12 @@
 	copying           prometheus.Gauge
 	proposals         prometheus.Gauge
 
-	// The same counts for the status that operators read.
+	// The status of the store reports these counts, too.
 	repairedCount atomic.Uint64
 	scrubCount    atomic.Uint64
 }
 
-// countWritten counts bytes of records given to a log.
+// countWritten counts bytes of records written to a log.
 func (m *metrics) countWritten(log string, bytes int) {
 	m.writtenBytes.WithLabelValues(log).Add(float64(bytes))
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// observe sets the gauges.
+// observe sets the gauges to the counts of a store.
 func (m *metrics) observe(total counts) {
 	m.registers.Set(float64(total.registers))
 	m.turns.Set(float64(total.turns))
--- a/internal/state/store/network_test.go
+++ b/internal/state/store/network_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// network passes requests to the stores in this process.
+// network delivers requests to the stores of a fleet, within the process.
 type network struct {
 	fleet *fleet
 	from  string
@@ -49,20 +49,20 @@
 	return answer, err
 }
 
-// callAfterResume delivers a request once the suspended store resumes, whether or not its caller still waits.
+// callAfterResume delivers a request once the suspended store resumes, even if its caller has stopped waiting.
 func (n *network) callAfterResume(
 	ctx context.Context, resumed <-chan struct{}, to *store.Supervisor, request *protocol.Request,
 ) (*protocol.Response, error) {
-	type answered struct {
+	type result struct {
 		response *protocol.Response
 		err      error
 	}
-	answers := make(chan answered, 1)
+	answers := make(chan result, 1)
 	copied := proto.CloneOf(request)
-	go func() { //nolint:contextcheck // the request arrives whether or not its caller still waits
+	go func() { //nolint:contextcheck // the request arrives even if its caller has stopped waiting
 		<-resumed
 		response, err := serve(context.Background(), to, copied)
-		answers <- answered{response: response, err: err}
+		answers <- result{response: response, err: err}
 	}()
 	select {
 	case answer := <-answers:
@@ -73,10 +73,10 @@
 }
 
 func (n *network) Open(context.Context, string, *protocol.Request) (wire.Stream, error) {
-	return nil, errors.New("stores are not streamed to")
+	return nil, errors.New("the test network does not support streams")
 }
 
-// link is a store's link to the core, which the fleet plays itself.
+// link is a store's link to the core, which the fleet implements.
 type link struct {
 	fleet *fleet
 	store string
--- a/internal/state/store/options.go
+++ b/internal/state/store/options.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// Core is what a store needs of its link to the core.
+// Core is the part of the link to the core that a store uses.
 type Core interface {
 	View() *corelink.View
 	Ready() bool
@@ -22,7 +22,7 @@
 	LocateCore() *protocol.LocateCoreResponse
 }
 
-// Clock is the store's clock, the machine's by default.
+// Clock is the store's clock; the default is the system clock.
 type Clock = lifecycle.Clock
 
 // Defaults of Options.
@@ -33,11 +33,12 @@
 	DefaultCopyBytesPerSecond = 64 << 20
 	DefaultScrubInterval      = 10 * time.Minute
 	DefaultPeerTimeout        = time.Second
-	// DefaultOperationTimeout bounds an operation whose caller gave no deadline.
+	// DefaultOperationTimeout bounds an operation whose caller set no deadline.
 	DefaultOperationTimeout = 10 * time.Second
 )
 
-// unboundedPendingBytes is out of reach: what waits for a sync is bounded by the requests in flight.
+// unboundedPendingBytes disables the byte limit of a group committer, since the requests in flight already bound what
+// waits for a sync.
 const unboundedPendingBytes = 1 << 40
 
 // Options configure a Store. Self, Caller and Core are required.
@@ -56,9 +57,9 @@
 	Registerer  prometheus.Registerer
 	// Fatal is called with an error that the store cannot survive, such as a failed sync.
 	Fatal func(error)
-	// metrics are counted on in place of new ones when set: a Supervisor's stores share them.
+	// metrics are used in place of new ones when set: the stores of a Supervisor share them.
 	metrics *metrics
-	// Seed makes backoff repeatable in tests.
+	// Seed makes backoff reproducible in tests.
 	Seed uint64
 }
 
--- a/internal/state/store/program_test.go
+++ b/internal/state/store/program_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// program drives one session through its turns.
+// program takes the turns of one session.
 type program struct {
 	fleet    *fleet
 	name     string
@@ -20,9 +20,9 @@
 	requests int
 	// padding lengthens the text of each turn.
 	padding string
-	// retention is how long turns are retained; zero leaves it to the ledger.
+	// retention is how long turns are retained; zero means the ledger's default.
 	retention time.Duration
-	// previousProgram is the program of the turn that the first turn continues.
+	// previousProgram and previousTurn identify the turn of another program that the first turn continues.
 	previousProgram, previousTurn string
 }
 
@@ -31,7 +31,7 @@
 	return f.programWithRetention(name, 0)
 }
 
-// programWithRetention is a program that names how long its turns are retained.
+// programWithRetention claims a session whose turns are retained for the given time.
 func (f *fleet) programWithRetention(name string, retention time.Duration) *program {
 	GinkgoHelper()
 	p := &program{fleet: f, name: name, retention: retention}
@@ -120,7 +120,7 @@
 	}
 }
 
-// expectRetained reads everything that was acknowledged.
+// expectRetained checks that every acknowledged turn can be read.
 func (p *program) expectRetained() {
 	GinkgoHelper()
 	record := p.fleet.do(&protocol.LedgerOperation{Program: p.name, Body: &protocol.LedgerOperation_ReadProgram{}})
--- a/internal/state/store/replica_handler.go
+++ b/internal/state/store/replica_handler.go
@@ -11,10 +11,10 @@
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
-// notRejected is the absence of a rejection.
+// notRejected is the refusal field of a response that is not a rejection.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// serveReplica answers one request of a proposer to this replica.
+// serveReplica answers one request from a proposer to this replica.
 func (s *Store) serveReplica(ctx context.Context, request *protocol.Request) (*protocol.Response, error) {
 	if retain := request.GetKeepTurn(); retain != nil && !hasIdentity(retain.GetTurn()) {
 		return nil, failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "a turn needs an id and a program",
@@ -22,11 +22,11 @@
 	}
 	answers := make(chan *protocol.Response, 1)
 	reply := func(answer *protocol.Response) { answers <- answer }
-	s.postToReplica(request, reply) //nolint:contextcheck // chains outlive their callers
+	s.postToReplica(request, reply) //nolint:contextcheck // copying a chain of turns outlives its caller
 	return lifecycle.Await(ctx, s.lifecycle, answers)
 }
 
-// serveBatch answers once the last request of the batch is answered; most share a sync.
+// serveBatch answers a batch once all its requests are answered; most of them share a sync.
 func (s *Store) serveBatch(ctx context.Context, batch *protocol.RequestBatch) (*protocol.Response, error) {
 	responses := make([]*protocol.Response, len(batch.GetRequests()))
 	answers := make(chan *protocol.Response, 1)
@@ -44,7 +44,7 @@
 			responses[i] = answer
 			release()
 		}
-		s.postToReplica(request, reply) //nolint:contextcheck // chains outlive their callers
+		s.postToReplica(request, reply) //nolint:contextcheck // copying a chain of turns outlives its caller
 	}
 	release()
 	return lifecycle.Await(ctx, s.lifecycle, answers)
@@ -52,8 +52,8 @@
 
 func hasIdentity(turn *protocol.Turn) bool { return turn.GetId() != "" && turn.GetProgram() != "" }
 
-// postToReplica hands a request to the owner of its shard. reply is called once, on the
-// owner's goroutine, or at once with an empty answer to what no replica serves.
+// postToReplica posts a request to the owner of its shard. reply is called once: on the owner's
+// goroutine, or immediately with an empty response if replicas do not serve the request.
 func (s *Store) postToReplica(request *protocol.Request, reply func(*protocol.Response)) {
 	switch body := request.GetBody().(type) {
 	case *protocol.Request_Prepare:
@@ -86,7 +86,7 @@
 	}
 }
 
-// serveFetchShard answers one page of a shard of which this replica is complete.
+// serveFetchShard returns one page of a shard of which this replica is complete.
 func (s *Store) serveFetchShard(request *protocol.FetchShardRequest) (*protocol.Response, error) {
 	after, err := shardtable.DecodeCursor(request.GetAfter())
 	if err != nil {
@@ -105,7 +105,7 @@
 	return &protocol.Response{Body: &protocol.Response_FetchShard{FetchShard: page.Answer}}, nil
 }
 
-// serveShardDigest sums up what this replica has of a shard, by bucket.
+// serveShardDigest returns the digests of this replica's content of a shard, by bucket.
 func (s *Store) serveShardDigest(request *protocol.ShardDigestRequest) (*protocol.Response, error) {
 	if request.GetBuckets() == 0 || request.GetBuckets() > shardtable.MaxBuckets {
 		return nil, failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, "out of range",
--- a/internal/state/store/restart_bench_test.go
+++ b/internal/state/store/restart_bench_test.go
@@ -19,10 +19,10 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// benchTurns is how many turns a program has in benchmarks.
+// benchTurns is the number of turns of each program in the benchmarks.
 const benchTurns = 55
 
-// idleCore has no placement, so that a store under measurement only starts and stops.
+// idleCore has no placement, so that a store in a benchmark only starts and stops.
 type idleCore struct{ Core }
 
 func (idleCore) View() *corelink.View { return &corelink.View{} }
@@ -43,7 +43,7 @@
 	return opened
 }
 
-// writeTurns fills the log of turns as a store does.
+// writeTurns fills the log of turns through a running store.
 func writeTurns(b testing.TB, path string, count, textBytes int) {
 	opened := openStore(b, path)
 	text := strings.Repeat("x", textBytes)
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkRestart reports how long a store reads its turns at the start: many
-// small ones, and fewer large ones with the same index entries each.
+// BenchmarkRestart measures how long a store takes to read its turns at startup: many small
+// ones, and fewer large ones whose index entries have the same size.
 func BenchmarkRestart(b *testing.B) {
 	for _, shape := range []struct{ turns, textBytes int }{{100_000, 100}, {400_000, 100}, {100_000, 4000}} {
 		b.Run(fmt.Sprintf("turns=%d/text=%d", shape.turns, shape.textBytes), func(b *testing.B) {
@@ -87,7 +87,7 @@
 				b.StopTimer()
 				total := opened.counts()
 				if err := opened.Stop(); err != nil || total.turns != uint64(shape.turns) {
-					b.Fatalf("%d turns after the start: %v", total.turns, err)
+					b.Fatalf("%d turns after the restart, want %d; error of the stop: %v", total.turns, shape.turns, err)
 				}
 				b.StartTimer()
 			}
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeRegisterLog changes programs' registers as a store does, without the snapshots that maintenance writes.
+// writeRegisterLog changes registers of programs through a running store, without the snapshots of its maintenance.
 func writeRegisterLog(b testing.TB, path string, programs, changes, valueBytes int) {
 	opened := openStore(b, path)
 	value := make([]byte, valueBytes)
@@ -119,14 +119,14 @@
 	}
 }
 
-// BenchmarkRestartRegisters reports a start with a log of registers as long as it gets before a snapshot is due.
+// BenchmarkRestartRegisters measures a start with the longest log of registers that occurs before a snapshot is due.
 func BenchmarkRestartRegisters(b *testing.B) {
 	path := b.TempDir()
 	writeRegisterLog(b, path, 14_000, 5, 400)
 	for b.Loop() {
 		opened := openStore(b, path)
 		if count := opened.counts().registers; count != 14_000 {
-			b.Fatalf("%d registers", count)
+			b.Fatalf("%d registers after the restart, want 14000", count)
 		}
 		if err := opened.Stop(); err != nil {
 			b.Fatal(err)
--- a/internal/state/store/restart_test.go
+++ b/internal/state/store/restart_test.go
@@ -18,7 +18,7 @@
 func damageFirstTurn(t *testing.T, path string) {
 	files, err := filepath.Glob(filepath.Join(path, datafolder.TurnLog, "*.log"))
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d files of turns, %v", len(files), err)
+		t.Fatalf("%d segments of turns, want at least 2: %v", len(files), err)
 	}
 	content, err := os.ReadFile(files[0])
 	if err != nil {
@@ -38,13 +38,15 @@
 	return folder
 }
 
+// A turn that the index covers is not read at startup, so its damage is detected only when it is requested. No index
+// may then be kept, so that the next start reads the log, detects the damage and replaces the folder.
 func TestDamagedTurnCoveredByIndexIsDetectedOnRead(t *testing.T) {
 	path := t.TempDir()
 	writeTurns(t, path, 60, 100)
 	damageFirstTurn(t, path)
 	folder := reopen(t, path)
 	if folder.Lost != nil {
-		t.Fatalf("read what the index covers: %v", folder.Lost)
+		t.Fatalf("the start read a turn that the index covers: %v", folder.Lost)
 	}
 	var fatal error
 	opened, err := New(Options{
@@ -73,11 +75,11 @@
 		t.Fatal(err)
 	}
 	if damaged != 1 || fatal == nil {
-		t.Fatalf("%d turns were damaged, and the store ended with %v", damaged, fatal)
+		t.Fatalf("%d damaged turns detected, want 1; fatal error %v, want one", damaged, fatal)
 	}
 	replacement := reopen(t, path)
 	if replacement.Lost == nil || replacement.StorageID == folder.StorageID {
-		t.Fatalf("the next start retained the damaged log: %v", replacement.Lost)
+		t.Fatalf("the next start kept the damaged folder; its loss is %v", replacement.Lost)
 	}
 	if err := replacement.Close(); err != nil {
 		t.Fatal(err)
@@ -90,14 +92,14 @@
 	damageFirstTurn(t, path)
 	indexes, err := filepath.Glob(filepath.Join(path, datafolder.TurnLog, "*.snapshot"))
 	if err != nil || len(indexes) != 1 {
-		t.Fatalf("%d indexes, %v", len(indexes), err)
+		t.Fatalf("%d turn indexes, want 1: %v", len(indexes), err)
 	}
 	if err := os.WriteFile(indexes[0], []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	folder := reopen(t, path)
 	if folder.Lost == nil {
-		t.Fatal("the damage was not found")
+		t.Fatal("the damaged turn was not detected at startup")
 	}
 	if err := folder.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/state/store/retain_twice_test.go
+++ b/internal/state/store/retain_twice_test.go
@@ -10,8 +10,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a replica that is requested to retain a turn twice", func() {
-	It("retains it until the later time requested, also while the first is being written", func() {
+var _ = Describe("a replica that receives two requests to retain a turn", func() {
+	It("retains it until the later time requested, even while it is still writing the first", func() {
 		f := newFleetWithLongTimeouts("a", "b", "c")
 		now := f.clock.Now()
 		shorter := &protocol.Turn{
@@ -34,8 +34,8 @@
 			&protocol.Request{Body: &protocol.Request_StoreBatch{StoreBatch: batch}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.GetStoreBatch().GetResponses()).To(HaveLen(2))
-		found := f.request("a", 5*time.Second, newFindTurn("turn"))
-		Expect(found.GetTurns()).To(HaveLen(1))
-		Expect(found.GetTurns()[0].GetKeepUntilMillis()).To(Equal(longer.GetKeepUntilMillis()))
+		result := f.request("a", 5*time.Second, newFindTurn("turn"))
+		Expect(result.GetTurns()).To(HaveLen(1))
+		Expect(result.GetTurns()[0].GetKeepUntilMillis()).To(Equal(longer.GetKeepUntilMillis()))
 	})
 })
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// retention is far more than can pass on the clock of a fleet while something is awaited: fleet.until moves it
-	// 50 ms a look, so a turn that only the scrub brings to a store costs ten minutes, and a slow wait hours.
+	// retention is far longer than the fleet's clock advances during any wait: fleet.until advances it by 50 ms for each
+	// check, so that on this clock a wait for a turn that only the scrub copies takes ten minutes, and a slow wait hours.
 	retention = 30 * 24 * time.Hour
-	// retentionTwelfth is the unit of the jumps within retention, and the least that they leave to what is awaited.
+	// retentionTwelfth is the unit by which specs advance the clock within retention, and the least time left for waits.
 	retentionTwelfth = retention / 12
-	// minRetention is the shortest keeping time.
+	// minRetention is the shortest retention that a session may have.
 	minRetention = 2 * time.Minute
 )
 
-// advanceInSteps advances the clock by this much in small steps.
+// advanceInSteps advances the clock by a duration in small steps.
 func (f *fleet) advanceInSteps(wait time.Duration) {
 	GinkgoHelper()
 	deadline := f.clock.Now().Add(wait)
@@ -39,7 +39,7 @@
 	return counts
 }
 
-// awaitTurns waits until every running store has so many turns: a commit is answered once a majority does.
+// awaitTurns waits until every running store has that many turns: a commit is acknowledged once a majority has it.
 func (f *fleet) awaitTurns(turns uint64) {
 	GinkgoHelper()
 	f.until(func() bool {
@@ -47,7 +47,7 @@
 	})
 }
 
-// writeUntilSnapshot keeps a program busy until a store has written its registers again.
+// writeUntilSnapshot takes turns of a program until a store has written a new snapshot of its registers.
 func (f *fleet) writeUntilSnapshot(name string, busy *program) {
 	GinkgoHelper()
 	before := f.members[name].disk.Files("data/registers")
@@ -58,8 +58,8 @@
 	})
 }
 
-// expectRetainedOnBAndCNearExpiry reads everything shortly before the retention of the last turn ends, long
-// after that of the first turn would have, from stores b and c.
+// expectRetainedOnBAndCNearExpiry reads all turns from stores b and c shortly before the retention of the last turn
+// ends, which is long after that of the first turn would have ended.
 func (p *program) expectRetainedOnBAndCNearExpiry() {
 	GinkgoHelper()
 	p.fleet.clock.advance(10 * retentionTwelfth)
@@ -87,14 +87,14 @@
 		Expect(f.turnCounts()).To(HaveEach(BeEquivalentTo(2)))
 		f.clock.advance(2 * retentionTwelfth)
 		f.until(func() bool {
-			// A look costs a read, so each is given more time than until gives.
+			// Each check costs a read, so the clock advances further for each than it does in until.
 			f.clock.advance(time.Second)
 			return f.do(p.readTurns(p.last())).GetStatus() == missing
 		})
 		f.awaitTurns(0)
 	})
 
-	It("is retained in full by a store that only the scrub brings the first turn", func() {
+	It("is retained in full by a store that receives the first turn from the scrub only", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", retention)
 		f.setPartitioned("c", true)
@@ -107,7 +107,7 @@
 		p.expectRetainedOnBAndCNearExpiry()
 	})
 
-	It("is retained in full also when all stores lose power meanwhile", func() {
+	It("is retained in full when all stores lose power meanwhile", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", retention)
 		p.takeTurn()
@@ -166,9 +166,9 @@
 		f.clock.advance(10 * retentionTwelfth)
 		f.advanceInSteps(2 * time.Minute)
 		later.expectRetained()
-		read := f.do(later.readTurns(later.last()))
-		Expect(read.GetLastTurn()).To(BeEmpty())
-		Expect(read.GetTurns()[1].GetPreviousProgram()).To(Equal("older"))
+		result := f.do(later.readTurns(later.last()))
+		Expect(result.GetLastTurn()).To(BeEmpty())
+		Expect(result.GetTurns()[1].GetPreviousProgram()).To(Equal("older"))
 		history := f.do(older.readTurns(older.last()))
 		Expect(history.GetStatus()).To(Equal(ok))
 		Expect(history.GetTurns()).To(HaveLen(2))
@@ -187,16 +187,16 @@
 			turns = append(turns, p.last())
 		}
 		for _, turn := range turns {
-			found := f.do(newFindTurn(turn))
-			Expect(found.GetStatus()).To(Equal(ok))
-			Expect(found.GetTurns()).To(HaveLen(1))
-			Expect(found.GetTurns()[0].GetId()).To(Equal(turn))
+			result := f.do(newFindTurn(turn))
+			Expect(result.GetStatus()).To(Equal(ok))
+			Expect(result.GetTurns()).To(HaveLen(1))
+			Expect(result.GetTurns()[0].GetId()).To(Equal(turn))
 		}
-		Expect(f.do(newFindTurn("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("turn_unknown")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("a", true)
-		Expect(f.do(newFindTurn("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("turn_unknown")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
-		Expect(f.request("c", shortTimeout, newFindTurn("unheard-of")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTimeout, newFindTurn("turn_unknown")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("is never reported missing by stores that lost it with their disks", func() {
@@ -219,7 +219,7 @@
 		idle.takeTurn()
 		lasting.takeTurn()
 		Expect(f.do(idle.beginCall("call")).GetStatus()).To(Equal(ok))
-		// What is acknowledged is on a majority, which may not have it yet.
+		// An acknowledged change is on a majority, which may not include store a yet.
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 3 })
 		f.clock.advance(5 * time.Minute)
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 2 })
@@ -232,7 +232,7 @@
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
-	It("does not reappear from a store that was down when it was removed and begun again", func() {
+	It("does not reappear from a store that was down when it was removed and created again", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", minRetention)
 		for range 20 {
@@ -245,9 +245,9 @@
 		})
 		busy := f.program("busy")
 		busy.padding = strings.Repeat("x", 1000)
-		// The store that proposes is started last, so that its ballots begin again.
+		// The store that proposes is restarted last, so that its ballots start over.
 		for _, name := range []string{"b", "a"} {
-			// A message that was late by the fast clock may have brought the register back, until it is collected again.
+			// A message delayed in terms of the fast clock may have recreated the register, until it is removed again.
 			f.until(func() bool {
 				f.advanceInSteps(time.Minute)
 				f.writeUntilSnapshot(name, busy)
@@ -258,15 +258,15 @@
 			})
 		}
 		f.until(f.placementApplied)
-		again := f.programWithRetention("p", minRetention)
-		again.requests = 100
-		again.takeTurn()
+		recreated := f.programWithRetention("p", minRetention)
+		recreated.requests = 100
+		recreated.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
-		// The store that returned must not collect on its own what it still has.
+		// The clock slows down so that store c does not remove the expired register on its own.
 		f.clockSpeedup = 1
-		again.expectRetained()
-		again.takeTurn()
+		recreated.expectRetained()
+		recreated.takeTurn()
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 2))
 	})
--- a/internal/state/store/snapshots.go
+++ b/internal/state/store/snapshots.go
@@ -10,20 +10,20 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// The turn index is written beside the log anew when a start would have to read so many segments
-// of turns, and so many times the bytes that the index itself takes.
+// The turn index is written anew when a start would otherwise have to read at least
+// turnIndexSegments segments of turns, and turnIndexGrowth times the size of the index.
 const (
 	turnIndexSegments = 2
 	turnIndexGrowth   = 4
 )
 
-// loadedTurn is a turn of the log whose chain must be retained as long as it is.
+// loadedTurn is a turn from the log; the chain before it must be retained as long as the turn.
 type loadedTurn struct {
 	shard uint32
 	entry turnindex.Entry
 }
 
-// loadTurns rebuilds the index of turns from its copy on disk and the log after it.
+// loadTurns rebuilds the index of turns from its copy on disk and the part of the log that the copy does not cover.
 func (s *Store) loadTurns() error {
 	segment, err := s.loadTurnIndex()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// loadTurnIndex reads the newest index and returns the first segment that it does not cover.
+// loadTurnIndex reads the latest index and returns the first segment that it does not cover.
 func (s *Store) loadTurnIndex() (segment uint64, err error) {
 	segment, found, err := s.folder.LoadTurnIndex(s.loadTurn)
 	if err != nil {
@@ -83,7 +83,8 @@
 	s.groups.Of(shard).LoadTurn(shard, key, entry)
 }
 
-// turnIndexIsDue judges by what the index does not cover and by the number of turns.
+// turnIndexIsDue compares the bytes of the segments that the index does not cover with the size that the index would
+// have for the number of turns.
 func (s *Store) turnIndexIsDue(turns uint64) bool {
 	uncovered := int64(s.folder.Turns.End().Segment-s.indexedSegment) * s.options.segmentBytes()
 	return uncovered >= max(turnIndexSegments*s.options.segmentBytes(), turnIndexGrowth*turnindex.RecordBytes*int64(turns))
@@ -102,7 +103,7 @@
 	return s.folder.RemoveTurnIndexesBefore(segment)
 }
 
-// writeTurnIndex queries one shard at a time, so that no owner is blocked for long.
+// writeTurnIndex requests the turns of one shard at a time from its owner, so that no owner is blocked for long.
 func (s *Store) writeTurnIndex(writer io.Writer) error {
 	if err := turnindex.WriteHeader(writer); err != nil {
 		return err
@@ -125,11 +126,11 @@
 	return nil
 }
 
-// saveRegisters writes a snapshot of all registers. Every change that was logged before is in memory by then.
+// saveRegisters writes a snapshot of all registers. Every change logged before it is in memory by then.
 func (s *Store) saveRegisters() error { return s.folder.SaveRegisters(s.writeRegisters) }
 
-// writeRegisters queries one group after the other for its registers; what it has in memory
-// meanwhile is the registers' states without copies of their values.
+// writeRegisters requests and writes the registers of one group after the other. Meanwhile it
+// keeps the registers' states in memory, but no copies of their values.
 func (s *Store) writeRegisters(writer io.Writer) error {
 	for _, group := range s.groups {
 		stored, err := owner.Call(group, group.RegisterRecords)
--- a/internal/state/store/space_test.go
+++ b/internal/state/store/space_test.go
@@ -18,7 +18,7 @@
 
 const (
 	smallDiskBytes = 64 << 20
-	// maxDiskBytes is what registers that are rewritten for ever may take on the disk when they have little content.
+	// maxDiskBytes is the disk space that registers with little content may use, however often they are rewritten.
 	maxDiskBytes     = 16 << 20
 	valueBytes       = 1 << 10
 	changesPerSecond = 2000
@@ -26,14 +26,14 @@
 	rewriteSeconds   = 60
 )
 
-// stoppedClock does not move, so that a store does nothing on its own that depends on the time.
+// stoppedClock never advances, so that a store starts no timed work.
 type stoppedClock struct{}
 
 func (stoppedClock) Now() time.Time { return time.Unix(1_800_000_000, 0) }
 
 func (stoppedClock) AfterFunc(time.Duration, func()) func() { return func() {} }
 
-// rewrite changes registers over and over and waits until all of it is durable.
+// rewrite changes a few registers repeatedly and waits until all changes are durable.
 func rewrite(t *testing.T, s *Store, second int) {
 	t.Helper()
 	durable := make(chan struct{}, changesPerSecond)
@@ -51,6 +51,7 @@
 	}
 }
 
+// Without snapshots that replace segments of the log, rewritten registers would fill the disk.
 func TestRepeatedRegisterWritesStayWithinDiskLimit(t *testing.T) {
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	disk.SetCapacity(smallDiskBytes)
@@ -77,8 +78,8 @@
 	if err := s.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes at most for %d MiB written", largest, rewriteSeconds*changesPerSecond*valueBytes>>20)
+	t.Logf("at most %d bytes used on the disk for %d MiB written", largest, rewriteSeconds*changesPerSecond*valueBytes>>20)
 	if largest > maxDiskBytes {
-		t.Errorf("the store filled %d bytes, more than %d", largest, int64(maxDiskBytes))
+		t.Errorf("the store used %d bytes on the disk, want at most %d", largest, int64(maxDiskBytes))
 	}
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -24,7 +24,7 @@
 )
 
 // Store is one store process: replicas of some shards, and the proposers for their programs.
-// Its fields are set before Start, but for those that state their goroutine.
+// Its fields do not change after Start, except those that are documented to belong to a goroutine.
 type Store struct {
 	options   Options
 	folder    *datafolder.Folder
@@ -32,7 +32,7 @@
 	watch     *placement.Watch
 	peers     *peers.Client
 	groups    owner.Groups
-	// proposers are those of the groups, in their order; each belongs to the goroutine of its group.
+	// proposers has the proposer of each group, in the order of groups; each belongs to its group's goroutine.
 	proposers   []*proposer.Proposer
 	turns       *turns.Service
 	replication *replication.Service
@@ -44,24 +44,24 @@
 	registerCommits *storage.GroupCommitter
 	turnCommits     *storage.GroupCommitter
 
-	// The goroutine of maintain uses the following fields.
+	// The following fields belong to the goroutine of maintain.
 
 	// indexedSegment is the first segment of turns that the index on disk does not cover.
 	indexedSegment uint64
-	// nextIndexExpiry is when expired turns are dropped from the index although no segment can be removed.
+	// nextIndexExpiry is when expired turns are next removed from the index even if no segment can be removed.
 	nextIndexExpiry time.Time
-	// nextSnapshotAttempt is when a snapshot may be tried again for which the disk had no space.
+	// nextSnapshotAttempt is when a snapshot that failed on a full disk may be retried.
 	nextSnapshotAttempt time.Time
 
-	// owners are the goroutines of the groups; they end before all others are waited for.
+	// owners are the goroutines of the groups; Stop waits for them before it waits for all others.
 	owners   sync.WaitGroup
 	failOnce sync.Once
 	stopOnce sync.Once
-	// viewChanged wakes the goroutine that follows the placement.
+	// viewChanged notifies the goroutine that follows the placement.
 	viewChanged chan struct{}
 }
 
-// New reads what is stored in the folder. The store takes ownership of the folder.
+// New loads a store from its data folder and takes ownership of the folder.
 func New(options Options, folder *datafolder.Folder) (*Store, error) {
 	options.applyDefaults()
 	options.Self.StorageId = folder.StorageID
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-// buildGroups makes the owners of shards.
+// buildGroups creates the groups that own the shards.
 func (s *Store) buildGroups() {
 	for range s.options.Groups {
 		s.groups = append(s.groups, owner.NewGroup(owner.Options{
@@ -99,8 +99,8 @@
 	}
 }
 
-// buildServices makes what uses the owners. A proposer and a retainer of one group share
-// their backoff, since both run on the group's goroutine.
+// buildServices creates the services that use the groups. The proposer and the retainer of a
+// group share a backoff, since both run on the group's goroutine.
 func (s *Store) buildServices() {
 	name := s.options.Self.GetName()
 	s.turns = turns.New(turns.Options{
@@ -157,13 +157,13 @@
 	})
 }
 
-// newProposerName returns a name that is new at every start, whatever the clock says:
+// newProposerName returns a name that is different at every start, without relying on the clock:
 // ballots must never be used twice.
 func newProposerName(name string, folder *datafolder.Folder) string {
 	return name + "/" + folder.StorageID + "/" + strconv.FormatUint(folder.Starts, 36)
 }
 
-// load fills the tables. No goroutine runs yet, so it writes to the groups directly.
+// load fills the tables. No goroutine runs yet, so it accesses the groups directly.
 func (s *Store) load() error {
 	err := s.folder.LoadRegisters(func(record *protocol.StoreRecord) {
 		s.groups.Of(record.GetShard()).Load(record)
@@ -174,7 +174,7 @@
 	return errors.Wrap(s.loadTurns(), "load turns")
 }
 
-// Start sets the goroutines going. Subscribe the store's ViewChanged to the core's views before.
+// Start starts the store's goroutines. Subscribe ViewChanged to the core's views first.
 func (s *Store) Start() {
 	s.registerCommits = storage.NewGroupCommitter(s.folder.Registers, s.committerOptions(datafolder.RegisterLog))
 	s.turnCommits = storage.NewGroupCommitter(s.folder.Turns, s.committerOptions(datafolder.TurnLog))
@@ -200,7 +200,7 @@
 	}
 }
 
-// Stop ends all work; what was acknowledged is durable.
+// Stop ends all work and closes the folder; everything acknowledged is durable.
 func (s *Store) Stop() error {
 	var err error
 	s.stopOnce.Do(func() {
@@ -220,8 +220,8 @@
 	return err
 }
 
-// fail ends the store because of an error that it cannot survive. No success is reported for what waits for the
-// failed write; its callers get LEDGER_UNAVAILABLE or an unknown outcome when the store stops.
+// fail reports an error that the store cannot survive. Requests that wait for the failed write are not reported as
+// successful; their callers receive LEDGER_UNAVAILABLE or an unknown outcome when the store stops.
 func (s *Store) fail(err error) {
 	s.failOnce.Do(func() {
 		s.options.Logger.Error("store failed", "error", err)
@@ -229,10 +229,10 @@
 	})
 }
 
-// shardView returns the view of a shard that is in force.
+// shardView returns the view of a shard under the current placement.
 func (s *Store) shardView(shard uint32) register.ShardView { return s.watch.Current().Shard(shard) }
 
-// addressOf returns the address of a store; an empty one when it has no lease.
+// addressOf returns the address of a store, or an empty string when the store has no lease.
 func (s *Store) addressOf(store string) string { return s.watch.Current().Addresses[store] }
 
 // proposer returns the proposer of a shard.
@@ -240,7 +240,7 @@
 	return s.proposers[s.groups.Index(shard)]
 }
 
-// ViewChanged makes the store read the core's view again; it does not wait.
+// ViewChanged makes the store read the core's view again; it does not block.
 func (s *Store) ViewChanged() {
 	select {
 	case s.viewChanged <- struct{}{}:
@@ -248,7 +248,7 @@
 	}
 }
 
-// followPlacement hands every new placement to the groups.
+// followPlacement posts every new placement to the groups.
 func (s *Store) followPlacement() {
 	for {
 		if current, changed := s.watch.Refresh(); changed {
@@ -266,7 +266,7 @@
 	}
 }
 
-// applyPlacement brings the tables of the group's shards under a new placement, on the group's goroutine.
+// applyPlacement applies a new placement to the tables of the group's shards. It runs on the group's goroutine.
 func (s *Store) applyPlacement(group *owner.Group, current *placement.Topology) {
 	for _, view := range current.Shards {
 		if s.groups.Of(view.Shard) == group {
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -26,7 +26,7 @@
 )
 
 var _ = Describe("a fleet of stores", func() {
-	It("given turns committed, when every store loses power at once, then all that was acknowledged is there", func() {
+	It("given committed turns, when every store loses power at once, then every acknowledged turn is retained", func() {
 		f := newFleet("a", "b", "c")
 		programs := []*program{f.program("p1"), f.program("p2"), f.program("p3")}
 		for range 5 {
@@ -72,7 +72,7 @@
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 121))
 	})
 
-	It("given one store down, then turns continue, and it catches up from what it reads", func() {
+	It("given one store down, then turns continue, and reads repair the store after its return", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		f.stopOne("a", true)
@@ -85,7 +85,7 @@
 		Expect(f.members["a"].store.Status().GetRepaired()).To(BeNumerically(">=", 2))
 	})
 
-	It("given a store that missed changes, when it scrubs, then it has them without a request", func() {
+	It("given a store that missed changes, when it scrubs, then it has them without being read", func() {
 		f := newFleet("a", "b", "c")
 		f.setPartitioned("c", true)
 		for number := range 6 {
@@ -154,12 +154,12 @@
 		for number := range 6 {
 			programs = append(programs, f.program(fmt.Sprintf("p%d", number)))
 		}
-		var ended atomic.Bool
+		var stopWriters atomic.Bool
 		var writers sync.WaitGroup
 		for _, p := range programs {
 			writers.Go(func() {
 				defer GinkgoRecover()
-				for !ended.Load() && len(p.turns) < 200 {
+				for !stopWriters.Load() && len(p.turns) < 200 {
 					p.takeTurn()
 				}
 			})
@@ -168,7 +168,7 @@
 			f.move(shard, "a", "d")
 			f.until(f.allReplicasActive)
 		}
-		ended.Store(true)
+		stopWriters.Store(true)
 		writers.Wait()
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 0 })
 		f.stopOne("a", false)
@@ -179,22 +179,22 @@
 		}
 	})
 
-	It("given an operation planned under another placement, then it is rejected with the epoch in force", func() {
+	It("given an operation sent under an older placement, then it is rejected with the current epoch", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		shard := ledger.ShardOf("p", shardCount)
-		old := f.View().Placement.GetShards()[shard].GetEpoch()
+		oldEpoch := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.loseDisk("c")
 		f.until(func() bool { return f.allReplicasActive() && f.placementApplied() })
 		operation := p.reserve()
-		operation.PlacementEpoch = old
-		inForce := f.View().Placement.GetShards()[shard].GetEpoch()
+		operation.PlacementEpoch = oldEpoch
+		currentEpoch := f.View().Placement.GetShards()[shard].GetEpoch()
 		f.until(func() bool {
 			response, err := (&network{fleet: f}).Call(GinkgoT().Context(), "a",
 				&protocol.Request{Body: &protocol.Request_Ledger{Ledger: operation}})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.GetLedger().GetStatus()).To(Equal(protocol.LedgerStatus_LEDGER_WRONG_PLACEMENT))
-			return response.GetLedger().GetPlacementEpoch() == inForce
+			return response.GetLedger().GetPlacementEpoch() == currentEpoch
 		})
 	})
 
@@ -203,7 +203,7 @@
 		p := f.program("p")
 		f.setPartitioned("b", true)
 		f.members["a"].disk.FailSyncs(0, 1000)
-		// The clock of the fleet runs while an operation is awaited, so one may expire before it is begun.
+		// The fleet's clock advances while an operation is awaited, so an operation may expire before it begins.
 		f.until(func() bool {
 			result, refused := f.requestFrom("a", p.reserve())
 			if refused != nil {
@@ -255,9 +255,9 @@
 	It("given a new owner, then the old owner's call is fenced and leaves no intent", func() {
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
-		late := begin(p, "old")
+		staleCall := begin(p, "old")
 		p.claim("front-2")
-		Expect(f.do(late).GetStatus()).To(Equal(fenced))
+		Expect(f.do(staleCall).GetStatus()).To(Equal(fenced))
 		Expect(f.do(begin(p, "new")).GetStatus()).To(Equal(ok))
 	})
 
@@ -265,7 +265,7 @@
 		f := newFleet("a", "b", "c")
 		p := f.program("p")
 		var once sync.Once
-		var claimed protocol.LedgerStatus
+		var claimStatus protocol.LedgerStatus
 		f.mutex.Lock()
 		f.intercept = func(_ string, request *protocol.Request) {
 			if request.GetAccept().GetKey().GetCall() == "" {
@@ -282,23 +282,23 @@
 						},
 					}})
 				if err == nil {
-					claimed = response.GetLedger().GetStatus()
+					claimStatus = response.GetLedger().GetStatus()
 				}
 			})
 		}
 		f.mutex.Unlock()
 		f.setPartitioned("c", true)
 		Expect(f.request("a", awaitTimeout, begin(p, "old")).GetStatus()).To(Equal(fenced))
-		Expect(claimed).To(Equal(ok))
+		Expect(claimStatus).To(Equal(ok))
 	})
 })
 
 var _ = Describe("the data folder of a store", func() {
 	DescribeTable("given data that is damaged or removed, then the store starts empty under another storage id",
-		func(turns int, harm func(m *member)) {
+		func(turns int, damage func(m *member)) {
 			f := newFleet("a", "b", "c")
 			p := f.program("p")
-			// A turn is committed once two stores have retained it. The damage is a loss only in front of a record that was
+			// A turn is committed once two stores have retained it. Damage counts as a loss only before a record that was
 			// synced later, so this store must sync each turn before the next one: a store that lags writes several in
 			// one batch, whose damage looks like a torn write.
 			for turn := range turns {
@@ -311,7 +311,7 @@
 				f.until(func() bool { return hasSnapshot(m.disk.Files("data/registers")) })
 			}
 			f.stopOne("a", false)
-			harm(m)
+			damage(m)
 			folder, err := datafolder.Open(m.disk, "data", segmentBytes)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(folder.Lost).To(HaveOccurred())
@@ -341,7 +341,7 @@
 	}
 }
 
-// listSegments leaves out the index beside a log.
+// listSegments returns the segments of a log without its index.
 func listSegments(files []string) []string {
 	return slices.DeleteFunc(files, func(file string) bool { return !strings.HasSuffix(file, ".log") })
 }
--- a/internal/state/store/stored_data_test.go
+++ b/internal/state/store/stored_data_test.go
@@ -23,14 +23,14 @@
 	"github.com/rosestand/rosestand/internal/storage/simdisk"
 )
 
-// The folder under testdata/stored was written once, by the code of the day. A store must read it for ever: it has a
+// The folder under testdata/stored was written once, and every later version of the store must read it. It contains a
 // snapshot of registers and an index of turns with two segments after each, and a segment of turns that only the index
-// covers. A new form gets a folder of its own beside it; -update-stored is for the time before a form was
-// released only.
+// covers. A new format gets a folder of its own beside it; use -update-stored only for a format that has not been
+// released.
 const (
 	storedData      = "testdata/stored"
 	storedStorageID = "stored-storage-id"
-	// storedMillis is the time of stoppedClock.
+	// storedMillis is the time of stoppedClock in Unix milliseconds.
 	storedMillis = 1_800_000_000_000
 	storedDay    = 24 * 60 * 60 * 1000
 )
@@ -51,8 +51,8 @@
 	return encoded
 }
 
-// storedRegister is a register with its shard. A snapshot has the registers of one owner in no fixed order,
-// so those in it are of shards of different owners.
+// storedRegister is a register with its shard. A snapshot contains the registers of one owner in no fixed order, so the
+// registers in it belong to shards of different owners.
 type storedRegister struct {
 	shard uint32
 	key   shardtable.Key
@@ -88,8 +88,8 @@
 	})
 }
 
-// storedRegisters are written in three parts: what is in the snapshot, and what is in two segments after it. A later
-// state of a register replaces the earlier one.
+// storedRegisters returns the registers in three parts: those in the snapshot, and those in the two segments after it.
+// A later state of a register replaces the earlier one.
 func storedRegisters(t *testing.T) (covered, finished, newest []storedRegister) {
 	state := func(counter uint64, value []byte) register.State {
 		return register.State{Promised: newBallot(counter + 1), Accepted: newBallot(counter), Value: value}
@@ -149,7 +149,7 @@
 	}}
 }
 
-// storedTurns are written in three parts: what the index covers, and what is in two segments after it.
+// storedTurns returns the turns in three parts: those that the index covers, and those in the two segments after it.
 func storedTurns() (covered, finished, newest []storedTurn) {
 	crossProgram := newStoredTurn(5, "turn-5", "turn-1", 1)
 	crossProgram.turn.PreviousProgram = "program-1"
@@ -172,13 +172,13 @@
 	return opened, folder
 }
 
-// writeStored fills a folder with the code of today, one durable record after the other.
+// writeStored fills a folder with the current code; each record is durable before the next one is written.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	filesystem := storage.OSFilesystem{}
 	_, err := storage.OpenIdentityWith(filesystem, path, func() string { return storedStorageID })
 	requireNoError(t, err)
-	// A folder that was begun before must have its logs.
+	// A folder that already has an identity must have its logs.
 	for _, name := range []string{datafolder.RegisterLog, datafolder.TurnLog} {
 		emptyLog, err := storage.OpenLog(filesystem, filepath.Join(path, name), storage.LogOptions{})
 		requireNoError(t, err)
@@ -222,7 +222,7 @@
 	requireNoError(t, opened.Stop())
 }
 
-// storedFiles returns the content of all files by their path under root.
+// storedFiles returns the contents of all files by their paths under root.
 func storedFiles(t *testing.T, root string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
@@ -239,7 +239,7 @@
 	return files
 }
 
-// A form that an older program cannot read would make a way back impossible, so what is written stays the same as well.
+// A format that an older version cannot read would prevent a downgrade, so the bytes written must not change either.
 func TestStoredDataIsByteIdentical(t *testing.T) {
 	if *updateStored {
 		requireNoError(t, os.RemoveAll(storedData))
@@ -250,15 +250,16 @@
 	written, stored := storedFiles(t, root), storedFiles(t, storedData)
 	for path, content := range stored {
 		if written[path] != content {
-			t.Errorf("%s has %q\ninstead of %q", path, written[path], content)
+			t.Errorf("%s contains %q\nwant %q", path, written[path], content)
 		}
 	}
 	if len(written) != len(stored) {
-		t.Errorf("%d files instead of %d", len(written), len(stored))
+		t.Errorf("%d files written, want %d", len(written), len(stored))
 	}
 }
 
-// copyStored returns a disk with a copy of the folder in "data", with a byte of one file damaged when a file is named.
+// copyStored returns a disk with a copy of the folder in "data". If a damaged file is named, its byte at offset is
+// inverted.
 func copyStored(t *testing.T, files map[string]string, damaged string, offset int) *simdisk.Disk {
 	t.Helper()
 	disk := simdisk.New(rand.New(rand.NewPCG(1, 1)))
@@ -279,7 +280,7 @@
 	return disk
 }
 
-// expectStored reads all that was written from an opened store, which must have nothing else.
+// expectStored checks that an opened store has all registers and turns that were written, and nothing else.
 func expectStored(t *testing.T, opened *Store) {
 	t.Helper()
 	opened.Start()
@@ -302,7 +303,7 @@
 		})
 		requireNoError(t, err)
 		if !proto.Equal(state, stored.state.ToProto(key.ToProto())) {
-			t.Errorf("register %v has %v", key, state)
+			t.Errorf("register %v is %v, want %v", key, state, stored.state.ToProto(key.ToProto()))
 		}
 	}
 	coveredTurns, finishedTurns, newestTurns := storedTurns()
@@ -318,17 +319,17 @@
 			got, err := opened.turns.Local(stored.shard, want.GetProgram(), want.GetId())
 			requireNoError(t, err)
 			if !proto.Equal(got, want) {
-				t.Errorf("%s is read as %v", want.GetId(), got)
+				t.Errorf("turn %s is %v, want %v", want.GetId(), got, want)
 			}
 		}
 	}
 	if total := opened.counts(); total.registers != uint64(len(expected)) || total.turns != uint64(turns) {
-		t.Errorf("%d registers and %d turns were read", total.registers, total.turns)
+		t.Errorf("%d registers and %d turns read, want %d and %d", total.registers, total.turns, len(expected), turns)
 	}
 	chain, err := opened.turns.LocalChain(1, "program-1", "turn-3", 0)
 	requireNoError(t, err)
 	if len(chain) != 2 || chain[0].GetId() != "turn-3" || chain[1].GetId() != "turn-1" {
-		t.Errorf("the conversation is %v", chain)
+		t.Errorf("the chain of turn-3 is %v, want turn-3 and turn-1", chain)
 	}
 	requireNoError(t, opened.Stop())
 }
@@ -337,49 +338,51 @@
 	files := storedFiles(t, storedData)
 	opened, folder := openStored(t, copyStored(t, files, "", 0), "data")
 	if folder.Lost != nil || folder.StorageID != storedStorageID || folder.Starts != 3 {
-		t.Errorf("start %d of %q, with %v lost", folder.Starts, folder.StorageID, folder.Lost)
+		t.Errorf("start %d of storage id %q with loss %v, want start 3 of %q without loss", folder.Starts, folder.StorageID,
+			folder.Lost, storedStorageID)
 	}
 	if opened.indexedSegment != 2 {
-		t.Errorf("the index of turns was not read: it covers what is before segment %d", opened.indexedSegment)
+		t.Errorf("the index of turns was not read: the first segment not covered is %d, want 2", opened.indexedSegment)
 	}
 	if truncated := folder.Registers.TruncatedBytes() + folder.Turns.TruncatedBytes(); truncated != 0 {
-		t.Errorf("%d bytes were truncated", truncated)
+		t.Errorf("%d bytes were truncated, want none", truncated)
 	}
 	expectStored(t, opened)
 }
 
-// Each byte of each file is damaged alone.
+// Each byte of each file is damaged in a run of its own.
 func TestDamagedByteInStoredDataIsDetected(t *testing.T) {
 	files := storedFiles(t, storedData)
 	for _, stored := range []struct {
 		file string
 		size int
-		// rejectedTo is where the part ends of which any damage makes the store abandon the folder.
-		rejectedTo int
+		// rejectEnd is the offset before which a damaged byte makes the store abandon the folder.
+		rejectEnd int
 	}{
 		{"identity", 64, 64},
 		{"registers/0000000000000002.snapshot", 1093, 1093},
 		{"registers/0000000000000002.log", 437, 437},
-		// The last record of a newest segment may be one that a crash tore: it is truncated.
+		// The last record of the newest segment may have been torn by a crash, so it is truncated if damaged.
 		{"registers/0000000000000003.log", 619, 500},
 		// The index covers this segment, so only its header is read at the start.
 		{"turns/0000000000000001.log", 458, 28},
 		{"turns/0000000000000002.log", 486, 486},
 		{"turns/0000000000000003.log", 466, 251},
-		// The log has all that a damaged index had.
+		// A damaged index is rebuilt from the log.
 		{"turns/0000000000000002.snapshot", 132, 0},
 	} {
 		t.Run(stored.file, func(t *testing.T) {
 			if size := len(files[stored.file]); size != stored.size {
-				t.Errorf("the file has %d bytes", size)
+				t.Errorf("the file has %d bytes, want %d", size, stored.size)
 			}
 			for offset := range files[stored.file] {
 				folder, err := datafolder.Open(copyStored(t, files, stored.file, offset), "data", DefaultSegmentBytes)
 				requireNoError(t, err)
 				var corrupt *storage.CorruptError
 				rejected := errors.As(folder.Lost, &corrupt)
-				if rejected != (offset < stored.rejectedTo) || rejected == (folder.StorageID == storedStorageID) {
-					t.Errorf("with byte %d damaged it opens as %q with %v lost", offset, folder.StorageID, folder.Lost)
+				if rejected != (offset < stored.rejectEnd) || rejected == (folder.StorageID == storedStorageID) {
+					t.Errorf("with byte %d damaged the folder opens with storage id %q and loss %v, want a rejection: %t", offset,
+						folder.StorageID, folder.Lost, offset < stored.rejectEnd)
 				}
 				requireNoError(t, folder.Close())
 			}
@@ -396,7 +399,7 @@
 	}
 }
 
-// A turn that only the index was read for is checked when it is read.
+// A turn of which only the index entry is read at startup is verified when the turn is read.
 func TestDamagedStoredTurnIsNotReturned(t *testing.T) {
 	const segment, header = "turns/0000000000000001.log", 28
 	files := storedFiles(t, storedData)
@@ -412,7 +415,7 @@
 			}
 		}
 		if rejected != 1 {
-			t.Errorf("with byte %d damaged %d turns are rejected", offset, rejected)
+			t.Errorf("with byte %d damaged %d turns are rejected, want 1", offset, rejected)
 		}
 		requireNoError(t, opened.Stop())
 	}
--- a/internal/state/store/supervisor.go
+++ b/internal/state/store/supervisor.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// reopenInterval is the wait before each attempt to open the folder of a store that failed.
+	// reopenInterval is the wait before each attempt to reopen the folder of a store that failed.
 	reopenInterval = time.Second
-	// minFreeBytes is the free space that a full disk must have again before its folder is opened.
+	// minFreeBytes is the free space that a full disk must have again before the folder is reopened.
 	minFreeBytes = 1 << 20
-	// maxOtherFailures is how many failures other than a full disk a process survives.
+	// maxOtherFailures is the number of failures other than a full disk that a process survives.
 	maxOtherFailures = 1
 )
 
-// waitingForDiskReason is what callers and operators are shown while there is no store.
+// waitingForDiskReason is reported to callers and operators while no store is open.
 const waitingForDiskReason = "the store waits for its disk"
 
 // FolderOpener opens the folder of a store: at the start of the process and again after a failure.
 type FolderOpener func() (*datafolder.Folder, error)
 
-// Supervisor runs a Store and replaces it by a new one, read from the same folder as after a
-// crash, when its disk was full, or once when a write failed otherwise. Meanwhile it answers
-// that the store is unavailable, and the process continues. What the failed store had not
-// synced was never acknowledged.
+// Supervisor runs a Store. When the disk is full, or once after another failure of a write, it
+// replaces the store by a new one that recovers from the same folder as after a crash. Meanwhile
+// requests fail as unavailable, and the process continues. What the failed store had not synced
+// was never acknowledged.
 //
-// Its goroutine is that of run; other methods may be called by any goroutine.
+// run has a goroutine of its own; the exported methods may be called by any goroutine.
 type Supervisor struct {
 	options Options
 	open    FolderOpener
 	fatal   func(error)
-	// current is the store that serves; nil while there is none.
+	// current is the store that serves requests; nil while there is none.
 	current atomic.Pointer[Store]
-	// otherFailures counts the failures other than a full disk; it belongs to the goroutine of run.
+	// otherFailures is the number of failures other than a full disk; it belongs to the goroutine of run.
 	otherFailures int
 	// failures has the error of the store that failed, until run replaces that store.
 	failures chan error
@@ -51,12 +51,12 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	routines sync.WaitGroup
-	// running is the store to stop at the end; it belongs to the goroutine of run, and to Stop after that has ended.
+	// running is the store that Stop must stop; it belongs to the goroutine of run, and to Stop once run has ended.
 	running *Store
 }
 
-// NewSupervisor returns a supervisor whose first store uses the opened folder; open opens the
-// folder again after a failure.
+// NewSupervisor returns a supervisor whose first store uses the opened folder; open reopens the
+// folder after a failure.
 func NewSupervisor(options Options, folder *datafolder.Folder, open FolderOpener) (*Supervisor, error) {
 	options.applyDefaults()
 	options.Self.StorageId = folder.StorageID
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// build makes a store that reports its first failure to the supervisor.
+// build creates a store that reports its first failure to the supervisor.
 func (s *Supervisor) build(folder *datafolder.Folder) (*Store, error) {
 	options := s.options
 	options.Self = proto.CloneOf(s.options.Self)
@@ -83,7 +83,7 @@
 	return built, err
 }
 
-// handleFailure takes a store out of service at once; run replaces it.
+// handleFailure takes a store out of service immediately; run replaces it.
 func (s *Supervisor) handleFailure(failed *Store, err error) {
 	s.current.CompareAndSwap(failed, nil)
 	select {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Start puts the first store in service. Subscribe ViewChanged to the core's views before.
+// Start puts the first store in service. Subscribe ViewChanged to the core's views first.
 func (s *Supervisor) Start() {
 	s.serveFrom(s.running)
 	s.routines.Go(s.run)
@@ -128,8 +128,8 @@
 	}
 }
 
-// replace ends the failed store and puts a new one in service; it reports false when the
-// process must end, or ends already.
+// replace stops the failed store and puts a new one in service. It returns false when the
+// process must end, or is ending already.
 func (s *Supervisor) replace(failed error) bool {
 	if err := s.running.Stop(); err != nil {
 		s.options.Logger.Warn("failed store closed with an error", "error", err)
@@ -149,7 +149,8 @@
 	return true
 }
 
-// canReopenAfter decides whether the folder is opened again after an error.
+// canReopenAfter reports whether the folder may be reopened after an error. It counts errors that maxOtherFailures
+// limits.
 func (s *Supervisor) canReopenAfter(err error) bool {
 	if storage.IsDiskFull(err) {
 		return true
@@ -163,7 +164,7 @@
 	return s.otherFailures <= maxOtherFailures
 }
 
-// awaitReopen waits before the next attempt; it reports false when the process ends.
+// awaitReopen waits before the next attempt; it returns false when the process ends.
 func (s *Supervisor) awaitReopen() bool {
 	elapsed := make(chan struct{})
 	stop := s.options.Clock.AfterFunc(reopenInterval, func() { close(elapsed) })
@@ -176,7 +177,7 @@
 	}
 }
 
-// reopen reads the folder as after a crash and serves from it.
+// reopen opens the folder as after a crash and puts a store on it in service.
 func (s *Supervisor) reopen() error {
 	if err := s.location.CheckFreeSpace(minFreeBytes); err != nil {
 		return err
@@ -197,14 +198,14 @@
 	return nil
 }
 
-// ViewChanged makes the store read the core's view again; it does not wait.
+// ViewChanged makes the store read the core's view again; it does not block.
 func (s *Supervisor) ViewChanged() {
 	if current := s.current.Load(); current != nil {
 		current.ViewChanged()
 	}
 }
 
-// Serving reports whether a store answers at this moment.
+// Serving reports whether a store serves requests now.
 func (s *Supervisor) Serving() bool { return s.current.Load() != nil }
 
 // Serve implements wire.Handler.
@@ -219,7 +220,7 @@
 		failure.WithRetryAfter(retryAfter))
 }
 
-// answerWithoutStore answers what needs no data; nil to anything else.
+// answerWithoutStore answers requests that need no data; it returns nil for all others.
 func (s *Supervisor) answerWithoutStore(request *protocol.Request) *protocol.Response {
 	switch request.GetBody().(type) {
 	case *protocol.Request_StoreStatus:
@@ -231,7 +232,7 @@
 	}
 }
 
-// Status is what the store reports to operators of itself: its name only while it waits for its disk.
+// Status returns the status that the store reports to operators: only its name and storage id while no store is open.
 func (s *Supervisor) Status() *protocol.StoreStatusResponse {
 	if current := s.current.Load(); current != nil {
 		return current.Status()
--- a/internal/state/store/two_losses_test.go
+++ b/internal/state/store/two_losses_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// replicasForTwoLosses have a majority when two of them are down.
+	// replicasForTwoLosses is the number of replicas of which a majority is left when two are down.
 	replicasForTwoLosses = 5
 	twoLossesRounds      = 6
 	turnsWhileDown       = 5
 	turnsBetweenLosses   = 4
 )
 
-// storeLoss is a way to lose a store and to bring it back.
+// storeLoss is a fault that takes a store out of service, and its repair.
 type storeLoss struct {
 	name       string
 	begin, end func(s *faultScenario, store string)
@@ -37,9 +37,9 @@
 		"disk lost", func(s *faultScenario, store string) { s.fleet.stopOne(store, true) },
 		func(s *faultScenario, store string) { s.fleet.restartEmpty(store) },
 	},
-	{"cut off", beginPartition, endPartition},
+	{"partitioned", beginPartition, endPartition},
 	{
-		"frozen", func(s *faultScenario, store string) { s.fleet.setStale(store, true); s.fleet.suspend(store) },
+		"suspended", func(s *faultScenario, store string) { s.fleet.setStale(store, true); s.fleet.suspend(store) },
 		func(s *faultScenario, store string) { s.fleet.resume(store); s.restore(store) },
 	},
 }
@@ -54,7 +54,7 @@
 	s.restore(store)
 }
 
-// restore sends a store that was down the newest placement, after requests under the one before.
+// restore delivers the latest placement to a store that is reachable again, after requests under the previous one.
 func (s *faultScenario) restore(store string) {
 	GinkgoHelper()
 	s.requestUnderStaleView(store)
@@ -63,7 +63,7 @@
 	s.releaseUncertain()
 }
 
-// releaseUncertain releases what may have been reserved, as a front node does.
+// releaseUncertain releases reservations of unknown outcome, as a front node does.
 func (s *faultScenario) releaseUncertain() {
 	GinkgoHelper()
 	for _, operation := range s.uncertain {
@@ -84,7 +84,7 @@
 	return newFaultScenarioOn(newFleetWithReplicas(replicasForTwoLosses, unwrapped, "a", "b", "c", "d", "e", "f"), seed)
 }
 
-// loseTwo loses two stores at once, in the same way or in two, while programs take turns.
+// loseTwo loses two stores at once, each by a random fault, while programs take turns, and repairs both.
 func (s *faultScenario) loseTwo(lossCounts map[string]int) {
 	GinkgoHelper()
 	lost := s.random.Perm(replicasForTwoLosses)[:2]
@@ -100,7 +100,7 @@
 	}
 	down := []string{s.fleet.names[lost[0]], s.fleet.names[lost[1]]}
 	for i, number := range lost {
-		// Until the others act under the placement that came with the first return, they rightly serve the one before.
+		// Until the other stores apply the placement published with the first repair, they correctly serve the previous one.
 		s.fleet.until(func() bool { return s.fleet.placementAppliedExcept(down[i:]...) })
 		losses[i].end(s, s.fleet.names[number])
 	}
@@ -114,7 +114,7 @@
 // loseAllAndTwoDisks cuts the power of all stores and loses the disks of two.
 func (s *faultScenario) loseAllAndTwoDisks() {
 	GinkgoHelper()
-	s.record("power of all, disks of two")
+	s.record("power loss of all stores, disk loss of two")
 	for _, name := range s.fleet.names {
 		s.fleet.stopOne(name, true)
 	}
@@ -129,13 +129,13 @@
 	s.fleet.until(func() bool { return s.fleet.allReplicasActive() && s.fleet.placementApplied() })
 }
 
-var _ = Describe("stores that lose two at once", func() {
-	provoked := map[string]int{}
+var _ = Describe("a fleet that loses two stores at once", func() {
+	lossCounts := map[string]int{}
 	for seed := range uint64(6) {
-		It(fmt.Sprintf("keep what they acknowledged, seed %d", seed), func() {
+		It(fmt.Sprintf("keeps what it acknowledged, seed %d", seed), func() {
 			scenario := newTwoLossesScenario(seed)
 			for range twoLossesRounds {
-				scenario.loseTwo(provoked)
+				scenario.loseTwo(lossCounts)
 			}
 			scenario.loseAllAndTwoDisks()
 			for _, p := range scenario.programs {
@@ -145,7 +145,7 @@
 			}
 			for _, kind := range storeLosses {
 				if seed == 5 {
-					Expect(provoked[kind.name]).To(BeNumerically(">=", 6), kind.name)
+					Expect(lossCounts[kind.name]).To(BeNumerically(">=", 6), kind.name)
 				}
 			}
 		})
--- a/internal/state/store/wire_handler.go
+++ b/internal/state/store/wire_handler.go
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 )
 
-// Serve implements wire.Handler for everything that a store answers.
+// Serve implements wire.Handler for all requests to a store.
 func (s *Store) Serve(ctx context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
 	response, err := s.answer(ctx, request)
 	var stopped *lifecycle.StoppedError
@@ -79,7 +79,7 @@
 	return &protocol.Response{Body: &protocol.Response_ListTrainingStep{ListTrainingStep: answer}}, nil
 }
 
-// Status is what the store reports to operators of itself.
+// Status returns the status that the store reports to operators.
 func (s *Store) Status() *protocol.StoreStatusResponse {
 	total := s.counts()
 	return &protocol.StoreStatusResponse{
