--- a/internal/state/store/fleet_test.go
+++ b/internal/state/store/fleet_test.go
@@ -28,14 +28,14 @@
 
 const (
 	shardCount = 4
-	// defaultReplicas are those of each shard of a fleet that bears one loss.
+	// defaultReplicas is the number of replicas of each shard; a majority survives the loss of one.
 	defaultReplicas = 3
 	segmentBytes    = 16 << 10
-	// defaultPace makes timers short and leaves a busy machine time for what a deadline of seconds bounds.
-	defaultPace = 5
-	// defaultPeerTimeout lets stores continue soon without one that is suspended.
+	// defaultClockSpeedup shortens timers, but leaves a busy machine time to meet deadlines of seconds.
+	defaultClockSpeedup = 5
+	// defaultPeerTimeout lets stores soon continue without a suspended one.
 	defaultPeerTimeout = 100 * time.Millisecond
-	// awaitTimeout bounds how long a test awaits something that must happen.
+	// awaitTimeout bounds how long a test waits for something that must happen.
 	awaitTimeout = 20 * time.Second
 )
 
@@ -54,7 +54,7 @@
 }
 
 type testTimer struct {
-	at  time.Time
+	due time.Time
 	run func()
 }
 
@@ -73,7 +73,7 @@
 	defer c.mutex.Unlock()
 	c.next++
 	number := c.next
-	c.timers[number] = testTimer{at: c.now.Add(wait), run: run}
+	c.timers[number] = testTimer{due: c.now.Add(wait), run: run}
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -86,7 +86,7 @@
 	c.now = c.now.Add(by)
 	var due []int
 	for number, timer := range c.timers {
-		if !timer.at.After(c.now) {
+		if !timer.due.After(c.now) {
 			due = append(due, number)
 		}
 	}
@@ -113,70 +113,73 @@
 	starts  uint64
 }
 
-// fleet is an in-memory cluster of stores; it is its own core.
+// fleet is an in-memory cluster of stores; it also acts as their core.
 type fleet struct {
 	wrap    func(name string, filesystem storage.Filesystem) storage.Filesystem
 	clock   *testClock
 	members map[string]*member
 	names   []string
-	// pace is how much faster than the wall clock the fleet's runs while an operation is awaited.
-	pace time.Duration
-	// peerTimeout bounds a request of one store to another by the wall clock.
+	// clockSpeedup is how many times faster than the wall clock the fleet's clock runs while an operation is awaited.
+	clockSpeedup time.Duration
+	// peerTimeout bounds a request from one store to another, on the wall clock.
 	peerTimeout time.Duration
 
 	mutex sync.Mutex
 	view  *corelink.View
 	// partitioned stores neither send nor receive.
 	partitioned map[string]bool
-	// suspended stores receive and send nothing until the channel is closed; what was sent to them arrives then.
+	// suspended stores neither send nor receive until the channel is closed; requests sent meanwhile arrive then.
 	suspended map[string]chan struct{}
-	// stale has the views of stores that receive no new ones.
+	// stale has the last views of stores that receive no new ones.
 	stale     map[string]*corelink.View
 	intercept func(to string, request *protocol.Request)
 }
 
 func newFleet(names ...string) *fleet {
 	f := newStoppedFleet(names...)
-	f.found(defaultReplicas)
+	f.bootstrap(defaultReplicas)
 	return f
 }
 
-// newFleetOn puts something between each store and its disk.
-func newFleetOn(wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string) *fleet {
-	return newFleetOf(defaultReplicas, wrap, names...)
+// newFleetWithDisks returns a fleet whose stores use wrapped filesystems.
+func newFleetWithDisks(
+	wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
+) *fleet {
+	return newFleetWithReplicas(defaultReplicas, wrap, names...)
 }
 
-// newFleetOf places each shard on the first stores.
-func newFleetOf(
+// newFleetWithReplicas returns a fleet whose shards are on the first stores, one for each replica.
+func newFleetWithReplicas(
 	replicas int, wrap func(name string, filesystem storage.Filesystem) storage.Filesystem, names ...string,
 ) *fleet {
 	f := newStoppedFleet(names...)
 	f.wrap = wrap
-	f.found(replicas)
+	f.bootstrap(replicas)
 	return f
 }
 
-// newUnhurriedFleet is a fleet whose stores wait for each other as long as a test does, so that none takes another for
-// unresponsive because the machine is busy. It is for what is requested once only.
-func newUnhurriedFleet(names ...string) *fleet {
+// newFleetWithLongTimeouts returns a fleet whose stores wait for each other as long as a test does, so that no store is
+// taken for unresponsive because the machine is busy. It is for requests that the test sends only once.
+func newFleetWithLongTimeouts(names ...string) *fleet {
 	f := newStoppedFleet(names...)
-	f.peerTimeout, f.pace = awaitTimeout, 1
-	f.found(defaultReplicas)
+	f.peerTimeout, f.clockSpeedup = awaitTimeout, 1
+	f.bootstrap(defaultReplicas)
 	return f
 }
 
-// newStoppedFleet is a fleet before its stores are started.
+// newStoppedFleet returns a fleet whose stores are not started yet.
 func newStoppedFleet(names ...string) *fleet {
 	return &fleet{
 		wrap:  func(_ string, filesystem storage.Filesystem) storage.Filesystem { return filesystem },
 		clock: newTestClock(), members: map[string]*member{}, names: names, partitioned: map[string]bool{},
 		stale: map[string]*corelink.View{}, suspended: map[string]chan struct{}{}, view: &corelink.View{},
-		pace: defaultPace, peerTimeout: defaultPeerTimeout,
+		clockSpeedup: defaultClockSpeedup, peerTimeout: defaultPeerTimeout,
 	}
 }
 
-// found starts the stores, places each shard on the first of them and waits until all act under that.
-func (f *fleet) found(replicas int) {
+// bootstrap starts the stores, places each shard on the first of them, one for each replica, and waits until all have
+// applied that placement.
+func (f *fleet) bootstrap(replicas int) {
 	GinkgoHelper()
 	names := f.names
 	for number, name := range names {
@@ -193,7 +196,7 @@
 	}
 	f.publish(placement.GetShards()...)
 	DeferCleanup(f.stop)
-	f.until(f.inForce)
+	f.until(f.placementApplied)
 }
 
 func (f *fleet) replica(name string, state protocol.ReplicaState) *protocol.Replica {
@@ -235,7 +238,7 @@
 	}
 }
 
-// stopOne ends one process; what it had not synced is lost when power is.
+// stopOne ends one process; with a power loss, writes that were not synced are lost.
 func (f *fleet) stopOne(name string, powerLoss bool) {
 	m := f.members[name]
 	f.setPartitioned(name, true)
@@ -255,13 +258,13 @@
 	f.publish()
 }
 
-// loseDisk empties a store's disk and starts it again, and reports it to the core's placement.
+// loseDisk restarts a store with an empty disk and publishes its replicas as rebuilding.
 func (f *fleet) loseDisk(name string) {
 	f.stopOne(name, false)
 	f.restartEmpty(name)
 }
 
-// restartEmpty starts a stopped store with an empty disk.
+// restartEmpty starts a stopped store with an empty disk and publishes its replicas as rebuilding.
 func (f *fleet) restartEmpty(name string) {
 	f.members[name].disk.Lose()
 	f.start(name)
@@ -285,7 +288,7 @@
 	f.partitioned[name] = partitioned
 }
 
-// publish puts a placement with changed shards in force, under the next epoch.
+// publish makes a placement with the changed shards current, under the next epoch.
 func (f *fleet) publish(changed ...*protocol.ShardPlacement) {
 	f.mutex.Lock()
 	before := f.view.Placement
@@ -342,17 +345,17 @@
 	return f.suspended[name] != nil
 }
 
-// viewFor returns the view that a store has.
+// viewFor returns the view that a store receives.
 func (f *fleet) viewFor(name string) *corelink.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if old := f.stale[name]; old != nil {
-		return old
+	if staleView := f.stale[name]; staleView != nil {
+		return staleView
 	}
 	return f.view
 }
 
-// setStale withholds new views from a store, or sends it the newest.
+// setStale withholds new views from a store, or delivers the latest one.
 func (f *fleet) setStale(name string, stale bool) {
 	f.mutex.Lock()
 	delete(f.stale, name)
@@ -365,7 +368,7 @@
 	}
 }
 
-// move begins to replace a store by another in one shard.
+// move publishes a placement that begins to move a replica of a shard to another store.
 func (f *fleet) move(shard uint32, from, to string) {
 	placed := proto.CloneOf(f.View().Placement.GetShards()[shard])
 	for _, replica := range placed.GetCurrent() {
@@ -378,7 +381,7 @@
 	f.publish(placed)
 }
 
-// shardCopied does what the core does when a store reports a copied shard.
+// shardCopied acts as the core does when a store reports a copied shard.
 func (f *fleet) shardCopied(copied *protocol.ShardCopiedRequest) {
 	placed := proto.CloneOf(f.View().Placement.GetShards()[copied.GetShard()])
 	if placed.GetEpoch() != copied.GetEpoch() {
@@ -398,20 +401,20 @@
 // until advances the clock until the condition is met.
 func (f *fleet) until(condition func() bool) {
 	GinkgoHelper()
-	ends := time.Now().Add(awaitTimeout)
+	deadline := time.Now().Add(awaitTimeout)
 	for !condition() {
-		Expect(time.Now().Before(ends)).To(BeTrue(), "it never came")
+		Expect(time.Now().Before(deadline)).To(BeTrue(), "condition not met within awaitTimeout")
 		f.clock.advance(50 * time.Millisecond)
 	}
 }
 
-// inForce reports whether every store that can be reached acts under the placement published last.
-func (f *fleet) inForce() bool { return f.inForceExcept() }
+// placementApplied reports whether every reachable store acts under the latest placement.
+func (f *fleet) placementApplied() bool { return f.placementAppliedExcept() }
 
-// inForceExcept is inForce without regard to stores that are down.
-func (f *fleet) inForceExcept(away ...string) bool {
+// placementAppliedExcept is placementApplied without the stores that are down.
+func (f *fleet) placementAppliedExcept(down ...string) bool {
 	for name, m := range f.members {
-		if slices.Contains(away, name) || f.partitioned[name] {
+		if slices.Contains(down, name) || f.partitioned[name] {
 			continue
 		}
 		if m.store.Status().GetPlacementEpoch() != f.View().Placement.GetEpoch() {
@@ -421,8 +424,8 @@
 	return true
 }
 
-// isComplete reports whether no shard is copied any more.
-func (f *fleet) isComplete() bool {
+// allReplicasActive reports whether no shard is being moved or rebuilt.
+func (f *fleet) allReplicasActive() bool {
 	for _, placed := range f.View().Placement.GetShards() {
 		if len(placed.GetNext()) > 0 {
 			return false
@@ -443,7 +446,7 @@
 	})
 }
 
-// do sends an operation as a front node does, while time passes.
+// do sends an operation as a front node does, while the clock advances.
 func (f *fleet) do(operation *protocol.LedgerOperation) *protocol.LedgerResult {
 	GinkgoHelper()
 	return f.await(func() (*protocol.LedgerResult, error) { return f.client().Do(context.Background(), operation) })
@@ -463,7 +466,7 @@
 	})
 }
 
-// shardEpoch returns the epoch of the shard that an operation is about.
+// shardEpoch returns the placement epoch of the shard of an operation's program.
 func (f *fleet) shardEpoch(operation *protocol.LedgerOperation) uint64 {
 	return placedShard(f.View(), operation).GetEpoch()
 }
@@ -473,7 +476,7 @@
 }
 
 func boundedContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), shortTime)
+	return context.WithTimeout(context.Background(), shortTimeout)
 }
 
 func (f *fleet) await(run func() (*protocol.LedgerResult, error)) *protocol.LedgerResult {
@@ -495,7 +498,7 @@
 			return got.result
 		default:
 			now := time.Now()
-			f.clock.advance(f.pace * now.Sub(last))
+			f.clock.advance(f.clockSpeedup * now.Sub(last))
 			last = now
 		}
 	}
--- a/internal/state/store/maintenance.go
+++ b/internal/state/store/maintenance.go
@@ -14,23 +14,23 @@
 
 const (
 	maintenanceInterval = time.Second
-	// turnExpiryInterval and registerExpiryInterval are the times between two removals of what has expired.
+	// turnExpiryInterval and registerExpiryInterval are the intervals at which expired turns and registers are removed.
 	turnExpiryInterval     = 5 * time.Second
 	registerExpiryInterval = 30 * time.Second
 	// maxTurnExpiryInterval bounds how long expired turns stay in the index when no segment can be removed.
 	maxTurnExpiryInterval = time.Minute
-	// A snapshot of the registers is due when their log has so many segments and is so many
-	// times larger than what is in memory.
+	// A snapshot of the registers is due when their log exceeds snapshotSegments segments and
+	// snapshotGrowth times the size of the registers in memory.
 	snapshotSegments = 2
 	snapshotGrowth   = 4
-	// snapshotRetryInterval is the wait before a snapshot is tried again for which the disk had no space.
+	// snapshotRetryInterval is the wait before a snapshot that failed on a full disk is retried.
 	snapshotRetryInterval = 30 * time.Second
 )
 
-// maintain writes snapshots, removes what has expired and sets the gauges, at intervals.
+// maintain periodically writes snapshots, removes expired turns and registers, and sets the gauges.
 func (s *Store) maintain() {
-	turnsDue := s.options.Clock.Now().Add(turnExpiryInterval)
-	registersDue := s.options.Clock.Now().Add(registerExpiryInterval)
+	nextTurnExpiry := s.options.Clock.Now().Add(turnExpiryInterval)
+	nextRegisterExpiry := s.options.Clock.Now().Add(registerExpiryInterval)
 	for s.lifecycle.Sleep(maintenanceInterval) {
 		s.ViewChanged()
 		total := s.counts()
@@ -40,18 +40,18 @@
 			s.failUnlessStopped(err)
 			return
 		}
-		if now.Before(turnsDue) {
+		if now.Before(nextTurnExpiry) {
 			continue
 		}
-		turnsDue = now.Add(turnExpiryInterval)
+		nextTurnExpiry = now.Add(turnExpiryInterval)
 		if err := s.removeExpiredTurns(now); err != nil {
 			s.failUnlessStopped(err)
 			return
 		}
-		if now.Before(registersDue) {
+		if now.Before(nextRegisterExpiry) {
 			continue
 		}
-		registersDue = now.Add(registerExpiryInterval)
+		nextRegisterExpiry = now.Add(registerExpiryInterval)
 		if err := s.removeExpiredRegisters(now); err != nil {
 			s.failUnlessStopped(err)
 			return
@@ -59,25 +59,25 @@
 	}
 }
 
-// saveSnapshots writes what a start would otherwise read from long logs. A snapshot for which
-// the disk has no space is tried again later: the logs still take records, and have all that
-// the snapshot would.
+// saveSnapshots writes the snapshots that are due, so that a start need not read long logs. A
+// snapshot that does not fit on the disk is retried later: the logs still accept records, and
+// contain everything that the snapshot would.
 func (s *Store) saveSnapshots(total counts, now time.Time) error {
-	if now.Before(s.snapshotsAfter) {
+	if now.Before(s.nextSnapshotAttempt) {
 		return nil
 	}
 	err := s.saveDueSnapshots(total)
 	if !storage.IsDiskFull(err) || s.folder.HasFailedLog() {
 		return err
 	}
-	s.snapshotsAfter = now.Add(snapshotRetryInterval)
+	s.nextSnapshotAttempt = now.Add(snapshotRetryInterval)
 	s.options.Logger.Warn("snapshot postponed: disk full", "error", err)
 	return nil
 }
 
 func (s *Store) saveDueSnapshots(total counts) error {
-	due := max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes)
-	if s.folder.Registers.Size() > due {
+	threshold := max(snapshotSegments*s.options.registerSegmentBytes(), snapshotGrowth*total.registerBytes)
+	if s.folder.Registers.Size() > threshold {
 		if err := s.saveRegisters(); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// failUnlessStopped ends the store unless the error is that it stops already.
+// failUnlessStopped fails the store unless the error reports that the store is stopping.
 func (s *Store) failUnlessStopped(err error) {
 	var stopped *lifecycle.StoppedError
 	if !errors.As(err, &stopped) {
@@ -97,14 +97,14 @@
 	}
 }
 
-// removeExpiredTurns removes turns whose retention has ended, and log segments without any other.
+// removeExpiredTurns removes turns whose retention has ended, and log segments that contain no other turns.
 func (s *Store) removeExpiredTurns(now time.Time) error {
 	oldest := s.folder.Turns.FirstSegment()
 	first := s.segments.FirstRetained(oldest, s.folder.Turns.End().Segment, now)
-	if first == oldest && now.Before(s.removeExpiredAt) {
+	if first == oldest && now.Before(s.nextIndexExpiry) {
 		return nil
 	}
-	s.removeExpiredAt = now.Add(maxTurnExpiryInterval)
+	s.nextIndexExpiry = now.Add(maxTurnExpiryInterval)
 	for _, group := range s.groups {
 		if _, err := owner.Call(group, func() bool { group.RemoveExpiredTurns(first, now); return true }); err != nil {
 			return err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// removeExpiredRegisters removes what is past its retention from memory; the next snapshot leaves it out.
+// removeExpiredRegisters removes expired registers from memory; the next snapshot omits them.
 func (s *Store) removeExpiredRegisters(now time.Time) error {
 	for number, group := range s.groups {
 		failed, err := owner.Call(group, func() error {
@@ -129,33 +129,33 @@
 	return nil
 }
 
-// counts is what a store has.
+// counts are the numbers of registers, turns, shards and proposals of a store or of one group.
 type counts struct {
 	registers, turns uint64
 	// registerBytes is the size of all keys and values of registers.
 	registerBytes int64
-	// active and copying are shards that the store serves, and those that catch up.
+	// active and copying count the shards that the store serves, and those that are still being copied.
 	active, copying uint32
-	// proposals are registers with a proposal in progress.
+	// proposals counts the registers with a proposal in progress.
 	proposals int
 }
 
-// counts sums up all groups; those of a store that stops are left out.
+// counts returns the sum over all groups; groups that have stopped are left out.
 func (s *Store) counts() counts {
 	var total counts
 	for number, group := range s.groups {
-		each, _ := owner.Call(group, func() counts { return s.countGroup(number) })
-		total.registers += each.registers
-		total.registerBytes += each.registerBytes
-		total.turns += each.turns
-		total.active += each.active
-		total.copying += each.copying
-		total.proposals += each.proposals
+		groupCounts, _ := owner.Call(group, func() counts { return s.countGroup(number) })
+		total.registers += groupCounts.registers
+		total.registerBytes += groupCounts.registerBytes
+		total.turns += groupCounts.turns
+		total.active += groupCounts.active
+		total.copying += groupCounts.copying
+		total.proposals += groupCounts.proposals
 	}
 	return total
 }
 
-// countGroup sums up one group, on its goroutine.
+// countGroup returns the counts of one group. It runs on the group's goroutine.
 func (s *Store) countGroup(number int) counts {
 	total := counts{proposals: s.proposers[number].Proposals()}
 	for _, table := range s.groups[number].Tables() {
