--- a/internal/dataplane/front/backends/outcomes.go
+++ b/internal/dataplane/front/backends/outcomes.go
@@ -88,8 +88,8 @@
 // IsEmpty reports whether nothing was observed.
 func (c OutcomeCounts) IsEmpty() bool { return c == OutcomeCounts{} }
 
-// Describe puts the counts into the message for the core's leader.
-func (c OutcomeCounts) Describe(id string, incarnation uint64, now time.Time) *protocol.BackEndOutcomes {
+// ToProto converts the counts to the message sent to the leader of the core.
+func (c OutcomeCounts) ToProto(id string, incarnation uint64, now time.Time) *protocol.BackEndOutcomes {
 	outcomes := &protocol.BackEndOutcomes{
 		Id: id, Incarnation: incarnation, Answered: c.answered, Faults: c.faults, Overdue: c.overdue,
 	}
--- a/internal/dataplane/front/backends/server.go
+++ b/internal/dataplane/front/backends/server.go
@@ -83,8 +83,9 @@
 // MarkReported subtracts outcomes that the core has acknowledged.
 func (b *Server) MarkReported(counts OutcomeCounts) { b.outcomes.markReported(counts) }
 
-// MarkEjected has the server avoided until a time; it reports false when it was avoided already.
-func (b *Server) MarkEjected(until, now time.Time) bool {
+// MarkSuspect excludes the server from scheduling until the given time, unless no other server is usable. It reports
+// whether the server was not suspect before.
+func (b *Server) MarkSuspect(until, now time.Time) bool {
 	former := b.outcomes.suspectedUntil()
 	b.outcomes.markSuspect(until)
 	return !now.Before(former)
--- a/internal/dataplane/front/explain/recorder.go
+++ b/internal/dataplane/front/explain/recorder.go
@@ -25,8 +25,8 @@
 	node  string
 }
 
-// NewStore makes an empty store of the explanations of a front node; Stop ends it.
-func NewStore(clock Clock, node string) *Recorder {
+// NewRecorder returns an empty recorder for a front node and starts its goroutine, which Stop ends.
+func NewRecorder(clock Clock, node string) *Recorder {
 	return &Recorder{
 		loop: commandloop.New(), ring: make([]*Explanation, capacity), byID: make(map[string][]*Explanation),
 		clock: clock, node: node,
--- a/internal/dataplane/front/outcomes/sharer.go
+++ b/internal/dataplane/front/outcomes/sharer.go
@@ -83,7 +83,7 @@
 		}
 		failures = failures || counts.HasFailures()
 		counted[server] = counts
-		report.Outcomes = append(report.Outcomes, counts.Describe(id, server.Description().GetIncarnation(), now))
+		report.Outcomes = append(report.Outcomes, counts.ToProto(id, server.Description().GetIncarnation(), now))
 	}
 	isDue := len(counted) > 0 && now.Sub(reportedAt) >= Interval
 	if !failures && !isDue {
@@ -152,7 +152,7 @@
 			continue
 		}
 		left := time.Duration(suspect.GetLeftMillis()) * time.Millisecond
-		if server.MarkEjected(now.Add(left), now) {
+		if server.MarkSuspect(now.Add(left), now) {
 			s.options.Suspected.Inc()
 		}
 	}
--- a/internal/dataplane/front/sessions/cache.go
+++ b/internal/dataplane/front/sessions/cache.go
@@ -70,8 +70,8 @@
 	at     time.Time
 }
 
-// NewStore makes an empty store; Stop ends it.
-func NewStore(clock Clock) *Cache {
+// NewCache returns an empty cache and starts its goroutine, which Stop ends.
+func NewCache(clock Clock) *Cache {
 	return &Cache{
 		loop: commandloop.New(), clock: clock,
 		bySession: make(map[string]map[string]*sessionState), recency: list.New(),
--- a/internal/dataplane/front/training_step_turn.go
+++ b/internal/dataplane/front/training_step_turn.go
@@ -69,7 +69,7 @@
 
 // resolveStep finds the version of the turn's step, and ends the turn at once when no server has it.
 func (r *turnRun) resolveStep(step string) turn.Event {
-	pin, rejection := r.service.versionPins.Resolve(r.ctx, versionpin.Choice{Step: step, Model: r.request.GetModel()},
+	pin, rejection := r.service.versionPins.Resolve(r.ctx, versionpin.Key{Step: step, Model: r.request.GetModel()},
 		r.route.GetGroup())
 	if rejection != nil {
 		r.explanation.RecordStep("training step refused", step+": "+rejection.GetMessage())
--- a/internal/dataplane/front/versionpin/resolver.go
+++ b/internal/dataplane/front/versionpin/resolver.go
@@ -38,8 +38,9 @@
 	Do(ctx context.Context, operation *protocol.LedgerOperation) *protocol.LedgerResult
 }
 
-// Choice is a step with the model that its turn names; without one the group's model is chosen.
-type Choice struct {
+// Key identifies a pin: a training step and the model that its turn names. An empty Model stands for the model of the
+// group.
+type Key struct {
 	Step  string
 	Model string
 }
@@ -70,20 +71,20 @@
 type Resolver struct {
 	options Options
 	mutex   sync.Mutex
-	entries map[Choice]*entry
+	entries map[Key]*entry
 	// order has the choices from the one that was requested first.
-	order []Choice
+	order []Key
 }
 
 // NewResolver makes a resolver with an empty cache.
 func NewResolver(options Options) *Resolver {
-	return &Resolver{options: options, entries: make(map[Choice]*entry)}
+	return &Resolver{options: options, entries: make(map[Key]*entry)}
 }
 
 // Resolve returns the version that is pinned for a step, or pins the one that the servers of the group
 // announce. Requests of one choice share one operation of the ledger.
 func (r *Resolver) Resolve(
-	ctx context.Context, choice Choice, group string,
+	ctx context.Context, choice Key, group string,
 ) (*backends.VersionPin, *protocol.Failure) {
 	current, made := r.entry(choice)
 	if made {
@@ -103,7 +104,7 @@
 }
 
 // entry returns the entry of a choice, or makes one, which the caller must then finish.
-func (r *Resolver) entry(choice Choice) (current *entry, made bool) {
+func (r *Resolver) entry(choice Key) (current *entry, made bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
@@ -121,7 +122,7 @@
 }
 
 // finish gives the outcome to all who wait for it. A rejection is not cached.
-func (r *Resolver) finish(choice Choice, current *entry, pin *backends.VersionPin, rejection *protocol.Failure) {
+func (r *Resolver) finish(choice Key, current *entry, pin *backends.VersionPin, rejection *protocol.Failure) {
 	current.pin, current.rejection = pin, rejection
 	close(current.resolved)
 	if rejection == nil {
@@ -135,7 +136,7 @@
 }
 
 // remove drops an entry; the caller holds the mutex.
-func (r *Resolver) remove(choice Choice) {
+func (r *Resolver) remove(choice Key) {
 	if r.entries[choice] == nil {
 		return
 	}
@@ -145,7 +146,7 @@
 }
 
 // pin asks the ledger for the pin of a step and proposes a version for a step without one.
-func (r *Resolver) pin(ctx context.Context, choice Choice, group string) (*backends.VersionPin, *protocol.Failure) {
+func (r *Resolver) pin(ctx context.Context, choice Key, group string) (*backends.VersionPin, *protocol.Failure) {
 	announcements := r.options.Servers().Announcements(group)
 	model := cmp.Or(choice.Model, trainingstep.GroupModel(announcements))
 	proposed := trainingstep.ProposeVersion(model, announcements)
