--- a/internal/dataplane/front/admission/controller.go
+++ b/internal/dataplane/front/admission/controller.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// bucketSeconds is how many seconds of its rate a tenant may use at once.
+	// bucketSeconds is the burst that a tenant may use at once, in seconds of its rate.
 	bucketSeconds = 2
-	// expiryResolution is the least time from one look for expired tickets to the next.
+	// expiryResolution is the minimum interval between two checks for expired tickets.
 	expiryResolution = 5 * time.Millisecond
 )
 
-// tenantBuckets are one tenant's rates on this front node.
+// tenantBuckets are the rate limiters of one tenant on this front node.
 type tenantBuckets struct {
 	requests *limit.Bucket
 	tokens   *limit.Bucket
 }
 
-// Clock tells the time and waits.
+// Clock returns the time and provides timers.
 type Clock interface {
 	Now() time.Time
 	After(wait time.Duration) <-chan time.Time
@@ -34,36 +34,36 @@
 // Controller admits requests to server groups. The loop's goroutine owns all its tables; its methods
 // may be called from any goroutine.
 type Controller struct {
-	loop     *commandloop.Loop
-	clock    Clock
-	policy   *protocol.LimitPolicy
-	limiters map[string]*groupLimiter
-	limits   map[string]ConcurrencyLimit
-	retries  *limit.RetryBudget
-	tenants  map[string]*tenantBuckets
-	waiting  map[uint64]chan limit.Decision
-	nextID   uint64
-	alarmSet time.Time
-	// gates admit generations of training steps, behind the requests that the limiters admit.
-	gates *admissionGates
+	loop       *commandloop.Loop
+	clock      Clock
+	policy     *protocol.LimitPolicy
+	limiters   map[string]*groupLimiter
+	limits     map[string]ConcurrencyLimit
+	retries    *limit.RetryBudget
+	tenants    map[string]*tenantBuckets
+	waiting    map[uint64]chan limit.Decision
+	nextID     uint64
+	timerDueAt time.Time
+	// stepGates admit generations of training steps, with lower priority than the requests that the limiters admit.
+	stepGates *admissionGates
 }
 
-// NewController makes a controller without bounds, which Configure sets. stepSlots says how many
-// generations of a training step may run at servers of a key's version; it is called on the loop's goroutine.
-// Stop ends the controller.
+// NewController returns a running controller without limits; Configure sets them and Stop ends it. stepSlots returns
+// how many generations of training steps may run on the servers that have a key's version; it is called on the loop's
+// goroutine.
 func NewController(clock Clock, stepSlots func(key StepKey, liveWaits bool) int) *Controller {
 	return &Controller{
 		loop: commandloop.New(), clock: clock, policy: &protocol.LimitPolicy{},
-		limiters: make(map[string]*groupLimiter),
-		limits:   make(map[string]ConcurrencyLimit),
-		retries:  limit.NewRetryBudget(0),
-		tenants:  make(map[string]*tenantBuckets),
-		waiting:  make(map[uint64]chan limit.Decision),
-		gates:    newAdmissionGates(stepSlots),
+		limiters:  make(map[string]*groupLimiter),
+		limits:    make(map[string]ConcurrencyLimit),
+		retries:   limit.NewRetryBudget(0),
+		tenants:   make(map[string]*tenantBuckets),
+		waiting:   make(map[uint64]chan limit.Decision),
+		stepGates: newAdmissionGates(stepSlots),
 	}
 }
 
-// Configure puts the limits of a bundle in force.
+// Configure applies the limits of a bundle.
 func (a *Controller) Configure(limits *protocol.LimitPolicy) {
 	a.loop.Post(func() {
 		a.policy = limits
@@ -74,7 +74,7 @@
 	})
 }
 
-// SetConcurrencyLimits puts limits in force by group; a group that is not named has none.
+// SetConcurrencyLimits replaces the limits of all groups; a group that is not in the map has no limit.
 func (a *Controller) SetConcurrencyLimits(limits map[string]ConcurrencyLimit) {
 	a.loop.Post(func() {
 		a.limits = limits
@@ -94,65 +94,65 @@
 	return existing
 }
 
-// Stop ends the controller; who waits is rejected.
+// Stop ends the controller; waiting requests are rejected.
 func (a *Controller) Stop() { a.loop.Stop() }
 
-// WaitingLive is how many requests wait for a slot of a group, without generations of training steps.
+// WaitingLive returns how many requests wait for a slot of a group, not counting generations of training steps.
 func (a *Controller) WaitingLive(group string) (count int) {
 	a.loop.Do(func() { count = a.limiter(group).queue.WaitingInAllClasses() })
 	return count
 }
 
-// WaitingSteps is how many generations of training steps wait for a slot of any group.
+// WaitingSteps returns how many generations of training steps wait for a slot, over all groups.
 func (a *Controller) WaitingSteps() (count int) {
-	a.loop.Do(func() { count = len(a.gates.waiting) })
+	a.loop.Do(func() { count = len(a.stepGates.waiting) })
 	return count
 }
 
 func (a *Controller) groups() []string { return slices.Sorted(maps.Keys(a.limiters)) }
 
-// Enter waits for a slot of a server group; the failure says why there is none. A nil one must be
-// followed by Leave.
+// Enter waits for a slot of a server group. It returns nil once the caller has a slot, which it must release with
+// Leave, or the failure with which the request is rejected.
 func (a *Controller) Enter(ctx context.Context, group string, ticket limit.Ticket) *protocol.Failure {
-	decided := make(chan limit.Decision, 1)
-	running := a.loop.Post(func() {
+	decisions := make(chan limit.Decision, 1)
+	posted := a.loop.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
-		a.waiting[ticket.ID] = decided
+		a.waiting[ticket.ID] = decisions
 		a.retries.RecordRequest()
 		a.deliver(a.limiter(group).queue.Enter(ticket, a.clock.Now()))
-		a.setAlarm()
+		a.scheduleTimer()
 	})
-	if !running {
+	if !posted {
 		return StoppingFailure()
 	}
 	select {
-	case decision := <-decided:
+	case decision := <-decisions:
 		return admissionFailure(decision)
 	case <-a.loop.Stopped():
 		return StoppingFailure()
 	case <-ctx.Done():
 	}
-	a.withdraw(group, &ticket, decided)
+	a.withdraw(group, &ticket, decisions)
 	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
 		"the request ended while it waited for a slot").Failure
 }
 
-// withdraw cancels the ticket of a caller that no longer waits.
-func (a *Controller) withdraw(group string, ticket *limit.Ticket, decided chan limit.Decision) {
+// withdraw cancels the ticket of a caller that no longer waits, or releases the slot that it got in the meantime.
+func (a *Controller) withdraw(group string, ticket *limit.Ticket, decisions chan limit.Decision) {
 	a.loop.Post(func() {
 		if a.waiting[ticket.ID] != nil {
 			a.limiter(group).queue.Cancel(ticket.ID)
 			delete(a.waiting, ticket.ID)
 			return
 		}
-		if decision := <-decided; decision.Verdict == limit.Run {
+		if decision := <-decisions; decision.Verdict == limit.Run {
 			a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
 		}
 	})
 }
 
-// Leave gives a slot back.
+// Leave releases a slot that Enter acquired.
 func (a *Controller) Leave(group string) {
 	a.loop.Post(func() {
 		a.deliver(a.limiter(group).queue.Leave(a.clock.Now()))
@@ -160,20 +160,20 @@
 	})
 }
 
-// RecordSample gives the adaptive concurrency limit of a group what one attempt measured.
+// RecordSample feeds the measurements of one attempt into the adaptive concurrency limit of a group.
 func (a *Controller) RecordSample(group string, sample limit.Sample) {
 	a.loop.Post(func() { a.deliver(a.limiter(group).recordSample(sample, a.clock.Now())) })
 }
 
-// Retry takes one retry out of the budget; it reports false when none is left.
+// Retry takes one retry from the retry budget; it returns false when the budget is exhausted.
 func (a *Controller) Retry() bool {
 	granted := false
-	answered := a.loop.Do(func() { granted = a.retries.TakeRetry() })
-	return answered && granted
+	executed := a.loop.Do(func() { granted = a.retries.TakeRetry() })
+	return executed && granted
 }
 
-// AdmitTenant checks a tenant's rates, scaled to this front node's share of the fleet (0 to 1); the
-// failure says when to come back.
+// AdmitTenant checks a request against the tenant's rate limits, scaled to this front node's share of the fleet (0 to
+// 1). It returns nil when the request is admitted, or a failure with the time after which to retry.
 func (a *Controller) AdmitTenant(policy *protocol.TenantPolicy, share float64) *protocol.Failure {
 	if policy.GetRequestsPerSecond() <= 0 && policy.GetTokensPerSecond() <= 0 {
 		return nil
@@ -194,7 +194,7 @@
 		failure.WithRetryAfter(max(wait, time.Millisecond))).Failure
 }
 
-// ChargeTenant counts tokens that were forwarded to a tenant.
+// ChargeTenant charges tokens that were forwarded to a tenant to its token rate.
 func (a *Controller) ChargeTenant(policy *protocol.TenantPolicy, share float64, tokens uint64) {
 	if policy.GetTokensPerSecond() <= 0 || tokens == 0 {
 		return
@@ -229,25 +229,26 @@
 	}
 }
 
-// setAlarm has waiting tickets expire in time. One alarm is set at a time.
-func (a *Controller) setAlarm() {
+// scheduleTimer schedules onTimer for the next expiry of a ticket or dispatch of a gate, unless a timer that fires
+// earlier is pending.
+func (a *Controller) scheduleTimer() {
 	next := a.nextExpiry()
-	if next.IsZero() || !a.alarmSet.IsZero() && !next.Before(a.alarmSet) {
+	if next.IsZero() || !a.timerDueAt.IsZero() && !next.Before(a.timerDueAt) {
 		return
 	}
-	a.alarmSet = next
-	ring := a.clock.After(max(next.Sub(a.clock.Now()), expiryResolution))
+	a.timerDueAt = next
+	fired := a.clock.After(max(next.Sub(a.clock.Now()), expiryResolution))
 	go func() {
 		select {
-		case <-ring:
-			a.loop.Post(a.alarm)
+		case <-fired:
+			a.loop.Post(a.onTimer)
 		case <-a.loop.Stopping():
 		}
 	}()
 }
 
 func (a *Controller) nextExpiry() time.Time {
-	next := a.nextStepWake()
+	next := a.nextStepDispatch()
 	for _, limiter := range a.limiters {
 		if expiry := limiter.queue.NextExpiry(); !expiry.IsZero() && (next.IsZero() || expiry.Before(next)) {
 			next = expiry
@@ -256,13 +257,13 @@
 	return next
 }
 
-func (a *Controller) alarm() {
-	a.alarmSet = time.Time{}
+func (a *Controller) onTimer() {
+	a.timerDueAt = time.Time{}
 	for _, group := range a.groups() {
 		a.deliver(a.limiters[group].queue.Expire(a.clock.Now()))
 	}
 	a.dispatchSteps("")
-	a.setAlarm()
+	a.scheduleTimer()
 }
 
 func admissionFailure(decision limit.Decision) *protocol.Failure {
@@ -278,7 +279,7 @@
 	}
 }
 
-// StoppingFailure is the rejection by a front node that stops.
+// StoppingFailure returns the failure with which a front node that is shutting down rejects requests.
 func StoppingFailure() *protocol.Failure {
 	return failure.New(failure.Draining, protocol.Outcome_NOT_RUN, "the front node is stopping",
 		failure.WithRetryAfter(time.Second)).Failure
--- a/internal/dataplane/front/admission/group_limiter.go
+++ b/internal/dataplane/front/admission/group_limiter.go
@@ -7,20 +7,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ConcurrencyLimit is what the servers of a group can take from this front node, in requests. It
-// bounds nothing unless the capacity is known.
+// ConcurrencyLimit is the number of requests that the servers of a group can run for this front node. It applies only
+// when the capacity is known.
 type ConcurrencyLimit struct {
 	Known bool
-	// guaranteedSlots are this front node's share of the group's capacity.
+	// GuaranteedSlots is this front node's share of the group's capacity.
 	GuaranteedSlots int
-	// headroom is the capacity that other front nodes leave unused, as far as this one knows.
+	// Headroom is the capacity that other front nodes leave unused, according to the load reports received here.
 	Headroom int
-	// surplusSlots is how many requests may run beyond the slots while less than half of the capacity is in use.
+	// SurplusSlots is how many requests may run beyond the slots while less than half of the capacity is in use.
 	SurplusSlots int
 }
 
-// groupLimiter bounds what is in flight to one server group and queues the rest. It belongs to the
-// controller's goroutine.
+// groupLimiter limits the requests in flight to one server group and queues the others. Only the controller's
+// goroutine uses it.
 type groupLimiter struct {
 	queue       *limit.Queue
 	concurrency *limit.Concurrency
@@ -57,13 +57,13 @@
 	return l.queue.SetSlots(l.slots())
 }
 
-// headroomShare is the part of the headroom that one front node uses: others, whose
-// turns have not reached the servers yet, may see the same headroom.
+// headroomShare is the fraction of the headroom that one front node uses: other front nodes, whose turns have not
+// reached the servers yet, may see the same headroom.
 const headroomShare = 0.75
 
-// slots is the smaller of the limit that adapts to latency and of what the servers' capacity allows: the
-// guaranteed slots at least, and most of the headroom. Turns count from their admission on, also while
-// they are still at the ledger.
+// slots returns the smaller of the limit that adapts to latency and the number of requests that the servers' capacity
+// allows, which is the larger of the guaranteed slots and headroomShare of the headroom. A turn occupies its slot from
+// its admission on, also while its ledger operations are pending.
 func (l *groupLimiter) slots() int {
 	slots := l.concurrency.Limit()
 	if l.limit.Known {
--- a/internal/dataplane/front/admission/step_gates.go
+++ b/internal/dataplane/front/admission/step_gates.go
@@ -11,19 +11,19 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// StepKey names the servers of a group that have one version of a model's weights.
+// StepKey identifies the servers of a group that have one version of a model's weights.
 type StepKey struct {
 	Group   string
 	Model   string
 	Version uint64
 }
 
-// admissionGates are the admission gates of the versions that training steps generate on here. They belong
-// to the controller's goroutine, which dispatches them again whenever a live request leaves its slot.
+// admissionGates holds one admission gate for each version of weights that training steps use on this front node. Only
+// the controller's goroutine uses it, which dispatches the gates again whenever a live request releases its slot.
 type admissionGates struct {
 	gates   map[StepKey]*trainingstep.AdmissionGate
 	waiting map[uint64]chan trainingstep.Decision
-	// slots gives how many generations of a version may run.
+	// slots returns how many generations of a version may run.
 	slots func(key StepKey, liveWaits bool) int
 }
 
@@ -43,7 +43,7 @@
 	return gate
 }
 
-// keys names the gates of a group in order; a group of "" means all.
+// keys returns the keys of a group's gates, sorted; the group "" stands for all groups.
 func (s *admissionGates) keys(group string) []StepKey {
 	if len(s.gates) == 0 {
 		return nil
@@ -60,11 +60,12 @@
 	return keys
 }
 
-// stepCapacity is computed only when a generation waits or arrives: it looks at every server of the group.
+// stepCapacity computes the capacity for a key. It is called only when a generation arrives, waits or ends, because it
+// visits every server of the group.
 func (a *Controller) stepCapacity(key StepKey) trainingstep.Capacity {
 	limiter := a.limiters[key.Group]
 	liveWaits := limiter != nil && limiter.queue.WaitingInAllClasses() > 0
-	return trainingstep.Capacity{Slots: a.gates.slots(key, liveWaits), LiveWaits: liveWaits}
+	return trainingstep.Capacity{Slots: a.stepGates.slots(key, liveWaits), LiveWaits: liveWaits}
 }
 
 func (s *admissionGates) deliver(decisions []trainingstep.Decision) {
@@ -76,23 +77,24 @@
 	}
 }
 
-// dispatchSteps admits the generations that may run now; a group of "" means all.
+// dispatchSteps admits the generations of a group that may run now and removes its idle gates; the group "" stands for
+// all groups.
 func (a *Controller) dispatchSteps(group string) {
-	for _, key := range a.gates.keys(group) {
-		gate := a.gates.gates[key]
+	for _, key := range a.stepGates.keys(group) {
+		gate := a.stepGates.gates[key]
 		if gate.Waiting() > 0 {
-			a.gates.deliver(gate.Dispatch(a.stepCapacity(key), a.clock.Now()))
+			a.stepGates.deliver(gate.Dispatch(a.stepCapacity(key), a.clock.Now()))
 		}
 		if gate.Idle() {
-			delete(a.gates.gates, key)
+			delete(a.stepGates.gates, key)
 		}
 	}
 }
 
-// nextStepWake is when the next gate must be dispatched without an event; zero when none must.
-func (a *Controller) nextStepWake() time.Time {
+// nextStepDispatch returns when the next gate must be dispatched even if no event occurs; zero when none must.
+func (a *Controller) nextStepDispatch() time.Time {
 	var next time.Time
-	for _, gate := range a.gates.gates {
+	for _, gate := range a.stepGates.gates {
 		if wake := gate.NextDispatch(); !wake.IsZero() && (next.IsZero() || wake.Before(next)) {
 			next = wake
 		}
@@ -100,55 +102,55 @@
 	return next
 }
 
-// EnterStep waits for a slot of a generation; the failure says why there is none. A nil one must be
-// followed by LeaveStep.
+// EnterStep waits for a slot for a generation of a training step. It returns nil once the caller has a slot, which it
+// must release with LeaveStep, or the failure with which the generation is rejected.
 func (a *Controller) EnterStep(ctx context.Context, key StepKey, deadline time.Time) *protocol.Failure {
-	decided := make(chan trainingstep.Decision, 1)
+	decisions := make(chan trainingstep.Decision, 1)
 	ticket := &trainingstep.Ticket{Deadline: deadline}
-	running := a.loop.Post(func() {
+	posted := a.loop.Post(func() {
 		a.nextID++
 		ticket.ID = a.nextID
-		a.gates.waiting[ticket.ID] = decided
-		a.gates.deliver(a.gates.gate(key).Enter(*ticket, a.stepCapacity(key), a.clock.Now()))
-		a.setAlarm()
+		a.stepGates.waiting[ticket.ID] = decisions
+		a.stepGates.deliver(a.stepGates.gate(key).Enter(*ticket, a.stepCapacity(key), a.clock.Now()))
+		a.scheduleTimer()
 	})
-	if !running {
+	if !posted {
 		return StoppingFailure()
 	}
 	select {
-	case decision := <-decided:
+	case decision := <-decisions:
 		return stepDecisionFailure(decision)
 	case <-a.loop.Stopped():
 		return StoppingFailure()
 	case <-ctx.Done():
 	}
-	a.withdrawStep(key, ticket, decided)
+	a.withdrawStep(key, ticket, decisions)
 	return failure.New(failure.DeadlineExceeded, protocol.Outcome_NOT_RUN,
 		"the request ended while it waited for a place").Failure
 }
 
-// withdrawStep cancels the ticket of a caller that no longer waits.
-func (a *Controller) withdrawStep(key StepKey, ticket *trainingstep.Ticket, decided chan trainingstep.Decision) {
+// withdrawStep cancels the ticket of a caller that no longer waits, or releases the slot that it got in the meantime.
+func (a *Controller) withdrawStep(key StepKey, ticket *trainingstep.Ticket, decisions chan trainingstep.Decision) {
 	a.loop.Post(func() {
-		if a.gates.waiting[ticket.ID] != nil {
-			delete(a.gates.waiting, ticket.ID)
-			a.gates.gate(key).Cancel(ticket.ID)
+		if a.stepGates.waiting[ticket.ID] != nil {
+			delete(a.stepGates.waiting, ticket.ID)
+			a.stepGates.gate(key).Cancel(ticket.ID)
 			a.dispatchSteps(key.Group)
 			return
 		}
-		if decision := <-decided; decision.Verdict == trainingstep.Run {
+		if decision := <-decisions; decision.Verdict == trainingstep.Run {
 			a.releaseStep(key)
 		}
 	})
 }
 
-// LeaveStep gives a slot back.
+// LeaveStep releases a slot that EnterStep acquired.
 func (a *Controller) LeaveStep(key StepKey) {
 	a.loop.Post(func() { a.releaseStep(key) })
 }
 
 func (a *Controller) releaseStep(key StepKey) {
-	a.gates.deliver(a.gates.gate(key).Leave(a.stepCapacity(key), a.clock.Now()))
+	a.stepGates.deliver(a.stepGates.gate(key).Leave(a.stepCapacity(key), a.clock.Now()))
 	a.dispatchSteps(key.Group)
 }
 
--- a/internal/dataplane/front/backends/models.go
+++ b/internal/dataplane/front/backends/models.go
@@ -9,33 +9,33 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Models hold what this front node learned of the servers of each group: the prompts in their caches, the
-// prompt tokens that they still have to prefill, and how fast they are. The mutex guards all of it.
+// Models holds this front node's estimates for the servers of each group: the prompts in their caches, the prompt
+// tokens that they still have to prefill, and their speed. The mutex guards all fields.
 type Models struct {
 	mutex      sync.Mutex
 	frontNodes int
 	groups     map[string]*groupModel
 }
 
-// groupModel is the part of one group; the mutex of Models guards it.
+// groupModel holds the estimates for one group; the mutex of Models guards it.
 type groupModel struct {
 	cache   *promptcache.Model
 	profile schedule.ProfileEstimator
 	servers map[string]*serverModel
 }
 
-// serverModel is what this front node has in flight to one server, and how fast that is.
+// serverModel counts the turns that this front node has in flight to one server, and estimates the server's speed.
 type serverModel struct {
-	// waiting counts the turns without a first token, pendingTokens the tokens of their prompts that are
-	// not in the cache.
+	// waiting is the number of turns without a first token, pendingTokens the number of their prompt tokens that are
+	// not in the server's cache.
 	waiting       uint32
 	pendingTokens uint64
 	slowness      schedule.Slowness
-	// waitingAtReport is waiting as it was when the server last reported its load.
+	// waitingAtReport is the value of waiting when the server last reported its load.
 	waitingAtReport uint32
 }
 
-// NewModels makes models without any group.
+// NewModels returns models without any group.
 func NewModels() *Models {
 	return &Models{frontNodes: 1, groups: make(map[string]*groupModel)}
 }
@@ -59,14 +59,14 @@
 	return model
 }
 
-// Update adds models of new servers and removes those of former ones. cacheTokens is the cache size of a
-// group's servers; zero is a group whose servers have no cache.
-func (m *Models) Update(servers *Set, fronts int, cacheTokens func(group string) uint64) {
+// Update adds models of new servers and removes those of servers that left the set. cacheTokens returns the cache size
+// of a group's servers, or zero for a group whose servers have no cache.
+func (m *Models) Update(servers *Set, frontNodes int, cacheTokens func(group string) uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.frontNodes = fronts
+	m.frontNodes = frontNodes
 	for name, model := range m.groups {
-		model.cache.SetFronts(fronts)
+		model.cache.SetFronts(frontNodes)
 		model.cache.Retain(func(server string) bool { return servers.ByID[server] != nil })
 		for id := range model.servers {
 			if servers.ByID[id] == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// RecordReport records a load report with the state of the server's cache, in tokens.
+// RecordReport records that a load report arrived, with the used and total tokens of the server's cache.
 func (m *Models) RecordReport(group, server string, used, total uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// RecordAnswerLoad records that an answer carried the server's load.
+// RecordAnswerLoad records that the server reported its load in an answer.
 func (m *Models) RecordAnswerLoad(group, server string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -112,15 +112,16 @@
 	load.waitingAtReport = load.waiting
 }
 
-// annotate adds to a decision what is known of its prompt and of the candidates.
+// annotate fills in the estimates for a scheduling decision: the request's prompt tokens and the group's speed profile,
+// and each candidate's waiting turns, cached tokens and slowness.
 func (m *Models) annotate(
 	request *schedule.Request, group string, prompt promptcache.Prompt, candidates []schedule.Candidate, now time.Time,
 ) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
-	for at := range candidates {
-		candidate := &candidates[at]
+	for i := range candidates {
+		candidate := &candidates[i]
 		load := model.server(candidate.ID)
 		candidate.Waiting, candidate.PendingTokens = load.waiting, load.pendingTokens
 		candidate.WaitingAtReport = load.waitingAtReport
@@ -131,7 +132,7 @@
 	request.PromptTokens, request.SharedTokens = prompt.Tokens(), model.cache.Shared(prompt)
 }
 
-// IssuedTurn is a turn in flight to a server. One goroutine uses it.
+// IssuedTurn is a turn in flight to a server. It is not safe for concurrent use.
 type IssuedTurn struct {
 	models         *Models
 	group          string
@@ -139,30 +140,30 @@
 	uncachedTokens uint64
 	tokensAhead    uint64
 	issuedAt       time.Time
-	firstAt        time.Time
+	firstTokenAt   time.Time
 	tokens         uint64
 	waiting        bool
 }
 
-// RecordSent records that a turn goes to a server.
+// RecordSent records that a turn is sent to a server.
 func (m *Models) RecordSent(group, server string, prompt promptcache.Prompt, now time.Time) *IssuedTurn {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	model := m.group(group)
 	load := model.server(server)
-	own := prompt.Tokens() - model.cache.Cached(server, prompt)
+	uncached := prompt.Tokens() - model.cache.Cached(server, prompt)
 	issued := &IssuedTurn{
-		models: m, group: group, server: server, uncachedTokens: own, tokensAhead: load.pendingTokens,
+		models: m, group: group, server: server, uncachedTokens: uncached, tokensAhead: load.pendingTokens,
 		issuedAt: now, waiting: true,
 	}
 	model.cache.RecordSent(server, prompt, now)
 	load.waiting++
-	load.pendingTokens += own
+	load.pendingTokens += uncached
 	return issued
 }
 
-// RecordStepSent records that the prompt of a generation of a training step goes to a server; it returns
-// how many of its tokens are cached there.
+// RecordStepSent records that the prompt of a generation of a training step is sent to a server. It returns how many of
+// its tokens the server has cached.
 func (m *Models) RecordStepSent(group, server string, prompt promptcache.Prompt, now time.Time) (cached uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -172,7 +173,7 @@
 	return cached
 }
 
-// RecordTokens counts output; the first shows that the server has begun to generate.
+// RecordTokens counts output tokens; the first ones end the wait for the first token.
 func (t *IssuedTurn) RecordTokens(count uint64, now time.Time) {
 	if t.tokens == 0 {
 		t.recordFirstToken(now)
@@ -180,20 +181,20 @@
 	t.tokens += count
 }
 
-// recordFirstToken ends the wait for the first token.
+// recordFirstToken ends the wait for the first token and records how long it took.
 func (t *IssuedTurn) recordFirstToken(now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	t.stopWaiting()
-	t.firstAt = now
+	t.firstTokenAt = now
 	model := m.group(t.group)
 	took := now.Sub(t.issuedAt)
 	model.server(t.server).slowness.Observe(model.profile.Profile().FirstToken(t.uncachedTokens+t.tokensAhead), took, now)
 	model.profile.ObserveFirstToken(t.uncachedTokens, t.tokensAhead, took)
 }
 
-// stopWaiting ends the wait for the first token; the caller holds the models' mutex.
+// stopWaiting removes the turn from the server's waiting turns; the caller holds the mutex of Models.
 func (t *IssuedTurn) stopWaiting() {
 	if !t.waiting {
 		return
@@ -204,22 +205,22 @@
 	load.pendingTokens -= min(load.pendingTokens, t.uncachedTokens)
 }
 
-// Finish ends the turn at the server; complete reports that all of its output came.
+// Finish ends the turn. complete is set when all of its output was received; only then is its duration recorded.
 func (t *IssuedTurn) Finish(complete bool, now time.Time) {
 	m := t.models
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	t.stopWaiting()
-	if !complete || t.firstAt.IsZero() {
+	if !complete || t.firstTokenAt.IsZero() {
 		return
 	}
 	model := m.group(t.group)
-	passed := now.Sub(t.firstAt)
-	model.server(t.server).slowness.Observe(time.Duration(t.tokens)*model.profile.Profile().StepTime, passed, now)
-	model.profile.ObserveOutput(t.tokens, passed)
+	elapsed := now.Sub(t.firstTokenAt)
+	model.server(t.server).slowness.Observe(time.Duration(t.tokens)*model.profile.Profile().StepTime, elapsed, now)
+	model.profile.ObserveOutput(t.tokens, elapsed)
 }
 
-// RecordCall records how long a call, which has no prompt, took at a server.
+// RecordCall records the duration of a call, which has no prompt, at a server.
 func (m *Models) RecordCall(group, server string, took time.Duration, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -228,15 +229,15 @@
 	model.profile.ObserveService(took)
 }
 
-// RequestPrompt returns the parts of a request's prompt as servers cache them; nil when it names none.
+// RequestPrompt returns the parts of a request's prompt as servers cache them, or nil when the request names no parts.
 func RequestPrompt(routed *protocol.HttpRequest) promptcache.Prompt {
 	parts := routed.GetPromptParts()
 	if len(parts) == 0 {
 		return nil
 	}
-	chain := promptcache.NewPromptBuilder(routed.GetGroup(), len(parts))
+	builder := promptcache.NewPromptBuilder(routed.GetGroup(), len(parts))
 	for _, part := range parts {
-		chain.Add(part.GetId(), part.GetTokens())
+		builder.Add(part.GetId(), part.GetTokens())
 	}
-	return chain.Prompt()
+	return builder.Prompt()
 }
--- a/internal/dataplane/front/backends/outcomes.go
+++ b/internal/dataplane/front/backends/outcomes.go
@@ -8,51 +8,51 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// serverOutcomes are the outcomes that this front node observed of one server and has not reported to the
-// core yet, and until when the fleet avoids the server. The mutex guards all fields.
+// serverOutcomes holds the outcomes that this front node observed at one server and has not reported to the core yet,
+// and the time until which the server is suspect. The mutex guards all fields.
 type serverOutcomes struct {
 	mutex    sync.Mutex
 	answered uint32
 	faults   uint32
-	// waiting are the requests without a first sign of an answer.
+	// waiting holds the requests without a first sign of an answer.
 	waiting map[*ExpectedAnswer]struct{}
-	// signReceived is set when a sign of an answer came since the last report, the newest one at lastSignAt.
+	// signReceived is set when a sign of an answer arrived since the last report; lastSignAt is the time of the newest.
 	signReceived bool
 	lastSignAt   time.Time
-	// suspectUntil is until when the server is suspect by the outcomes of all front nodes.
+	// suspectUntil is the time until which the server is suspect, as decided by the core from all front nodes' outcomes.
 	suspectUntil time.Time
 }
 
-// ExpectedAnswer is one request that waits for the first sign of its answer. A nil one tracks nothing.
+// ExpectedAnswer tracks one request that waits for the first sign of its answer. A nil ExpectedAnswer tracks nothing.
 type ExpectedAnswer struct {
 	outcomes *serverOutcomes
 	dueAt    time.Time
 }
 
-// expectAnswer tracks a request that should be answered within some time; zero is no bound, and the result
+// expectAnswer tracks a request that should be answered within a duration. Zero means no bound; the result is then
 // nil.
 func (o *serverOutcomes) expectAnswer(within time.Duration, now time.Time) *ExpectedAnswer {
 	if within <= 0 {
 		return nil
 	}
-	awaited := &ExpectedAnswer{outcomes: o, dueAt: now.Add(within)}
+	expected := &ExpectedAnswer{outcomes: o, dueAt: now.Add(within)}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.waiting == nil {
 		o.waiting = map[*ExpectedAnswer]struct{}{}
 	}
-	o.waiting[awaited] = struct{}{}
-	return awaited
+	o.waiting[expected] = struct{}{}
+	return expected
 }
 
-// End ends the wait. One that took too long and ended without an answer counts as a fault.
+// End ends the wait. A wait that ends past its due time without an answer counts as a fault.
 func (a *ExpectedAnswer) End(answered bool, now time.Time) {
 	if a == nil {
 		return
 	}
 	a.outcomes.mutex.Lock()
 	defer a.outcomes.mutex.Unlock()
-	if _, waits := a.outcomes.waiting[a]; !waits {
+	if _, isWaiting := a.outcomes.waiting[a]; !isWaiting {
 		return
 	}
 	delete(a.outcomes.waiting, a)
@@ -78,10 +78,10 @@
 	}
 }
 
-// OutcomeCounts are the figures of one report.
+// OutcomeCounts holds the counts of one report.
 type OutcomeCounts struct {
 	answered, faults, overdue uint32
-	// lastSignAt is when the newest sign of an answer came since the last report; zero when none did.
+	// lastSignAt is when the newest sign of an answer since the last report arrived; zero when none did.
 	lastSignAt time.Time
 }
 
@@ -100,10 +100,10 @@
 	return outcomes
 }
 
-// HasFailures reports whether the other front nodes should learn of the counts at once.
+// HasFailures reports whether there are faults or overdue answers, which are reported without delay.
 func (c OutcomeCounts) HasFailures() bool { return c.faults > 0 || c.overdue > 0 }
 
-// snapshot returns the counts of now.
+// snapshot returns the current counts.
 func (o *serverOutcomes) snapshot(now time.Time) OutcomeCounts {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -111,15 +111,15 @@
 	if o.signReceived {
 		counts.lastSignAt = o.lastSignAt
 	}
-	for awaited := range o.waiting {
-		if now.After(awaited.dueAt) {
+	for expected := range o.waiting {
+		if now.After(expected.dueAt) {
 			counts.overdue++
 		}
 	}
 	return counts
 }
 
-// markReported subtracts what was reported.
+// markReported subtracts the counts that were reported.
 func (o *serverOutcomes) markReported(counts OutcomeCounts) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -130,14 +130,14 @@
 	}
 }
 
-// markSuspect has the server avoided until a time.
+// markSuspect marks the server as suspect until the given time.
 func (o *serverOutcomes) markSuspect(until time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.suspectUntil = until
 }
 
-// suspectedUntil is the time set by markSuspect last.
+// suspectedUntil returns the time that markSuspect set last.
 func (o *serverOutcomes) suspectedUntil() time.Time {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/dataplane/front/backends/request_counts.go
+++ b/internal/dataplane/front/backends/request_counts.go
@@ -2,22 +2,23 @@
 
 import "sync"
 
-// requestCounts count what this front node has in flight to one server: all requests, and the generations of training
-// steps among them. Both are read under one lock: whoever subtracts one from the other needs them of the same moment.
+// requestCounts counts what this front node has in flight to one server: all requests, and the generations of training
+// steps among them. Both are read under one lock, because callers subtract one from the other and need a consistent
+// pair.
 type requestCounts struct {
 	mutex    sync.Mutex
 	inFlight int32
 	steps    int32
 }
 
-// addRequests changes the number of requests that are no generations of steps.
+// addRequests changes the number of requests that are not generations of steps.
 func (c *requestCounts) addRequests(change int32) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.inFlight += change
 }
 
-// addSteps changes the number of generations of steps, which are requests in flight, too.
+// addSteps changes the number of generations of steps, which also count as requests in flight.
 func (c *requestCounts) addSteps(change int32) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/dataplane/front/backends/server_query.go
+++ b/internal/dataplane/front/backends/server_query.go
@@ -9,11 +9,11 @@
 	"github.com/rosestand/rosestand/internal/dataplane/schedule"
 )
 
-// ServerQuery is what the choice of a server for a request depends on.
+// ServerQuery holds the inputs for choosing a server for a request.
 type ServerQuery struct {
 	Key   GroupKey
 	Index *bundle.Index
-	// Affinity is the key of the shared prefix, Last the server of the session's last turn.
+	// Affinity is the key of the shared prefix, Last the id of the server of the session's last turn.
 	Affinity string
 	Last     string
 	Avoid    []string
@@ -23,44 +23,45 @@
 	// FrontNodes is the number of front nodes of the fleet.
 	FrontNodes int
 	Sequence   uint64
-	// Prompt and Output, in tokens, are those of a turn of an HTTP route.
+	// Prompt and Output are the prompt and the maximum output tokens of a turn of an HTTP route.
 	Prompt promptcache.Prompt
 	Output uint64
 	// Step is set for a turn of a training step.
 	Step *StepPlacement
 }
 
-// serving returns the servers of a group that serve a model or tool, or all of them when none is named.
-func (b *Set) serving(key GroupKey) []*Server {
+// serversFor returns the servers of a group that serve a model or tool, or all of them when the key names none.
+func (b *Set) serversFor(key GroupKey) []*Server {
 	if key.Name == "" {
 		return b.ByGroup[key.Group]
 	}
 	return b.groups[key]
 }
 
-// Choose runs the scheduling policy of the placement's bundle.
-func (b *Set) Choose(p ServerQuery, models *Models, now time.Time) schedule.Decision {
-	group := p.Index.Group(p.Key.Group)
-	policy := p.Index.Bundle().GetScheduling()
+// Choose runs the scheduling policy of the query's bundle. Servers without the pinned version of a training step are
+// not candidates; the decision lists them with the reason.
+func (b *Set) Choose(query ServerQuery, models *Models, now time.Time) schedule.Decision {
+	group := query.Index.Group(query.Key.Group)
+	policy := query.Index.Bundle().GetScheduling()
 	request := schedule.Request{
 		Algorithm: policy.GetAlgorithm(), LoadBound: policy.GetLoadBound(), SubsetSize: policy.GetSubsetSize(),
-		Front: p.Front, Zone: p.Zone, Region: p.Region, ZoneLocalFirst: group.GetZoneLocalFirst(),
-		AffinityKey: p.Affinity, LastServer: p.Last, Avoid: p.Avoid, Sequence: p.Sequence,
+		Front: query.Front, Zone: query.Zone, Region: query.Region, ZoneLocalFirst: group.GetZoneLocalFirst(),
+		AffinityKey: query.Affinity, LastServer: query.Last, Avoid: query.Avoid, Sequence: query.Sequence,
 	}
-	servers := b.serving(p.Key)
+	servers := b.serversFor(query.Key)
 	var others []*Server
-	if p.Step != nil {
-		servers, others = p.Step.Pin.split(servers, now)
+	if query.Step != nil {
+		servers, others = query.Step.Pin.split(servers, now)
 	}
 	snapshot := Candidates(servers, group, now)
-	models.annotate(&request, p.Key.Group, p.Prompt, snapshot, now)
-	request.OutputTokens = p.Output
+	models.annotate(&request, query.Key.Group, query.Prompt, snapshot, now)
+	request.OutputTokens = query.Output
 	usedServers := min(schedule.SubsetSize(policy.GetSubsetSize()), len(snapshot))
-	request.FrontsAtServer = float64(frontNodesPerServer(p.FrontNodes, usedServers, len(snapshot)))
-	if p.Step != nil {
-		request.Step = &p.Step.Work
-		used := schedule.Subset(p.Front, p.Zone, policy.GetSubsetSize(), snapshot)
-		b.addStepLoad(snapshot, frontNodesPerServer(p.Step.FrontNodes, len(used), len(snapshot)))
+	request.FrontsAtServer = float64(frontNodesPerServer(query.FrontNodes, usedServers, len(snapshot)))
+	if query.Step != nil {
+		request.Step = &query.Step.Work
+		used := schedule.Subset(query.Front, query.Zone, policy.GetSubsetSize(), snapshot)
+		b.addStepLoad(snapshot, frontNodesPerServer(query.Step.FrontNodes, len(used), len(snapshot)))
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	decision := schedule.Choose(request, snapshot, random)
--- a/internal/dataplane/front/backends/set.go
+++ b/internal/dataplane/front/backends/set.go
@@ -9,23 +9,23 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// GroupKey names what a server can serve: a model or tool within a group.
+// GroupKey identifies a model or tool within a group.
 type GroupKey struct {
 	Group string
 	Tool  bool
 	Name  string
 }
 
-// Set are the servers of the view in force. It is immutable; the servers in it are shared with the next.
+// Set holds the servers of one view. It is immutable, but shares its Servers with the set of the next view.
 type Set struct {
 	Version uint64
 	ByID    map[string]*Server
 	groups  map[GroupKey][]*Server
-	// ByGroup has each server of a group once, whatever it serves.
+	// ByGroup lists each server of a group once, regardless of what it serves.
 	ByGroup map[string][]*Server
 }
 
-// Next builds the set of a newer view from the servers of this one.
+// Next builds the set of a newer view and reuses the servers of this set.
 func (b *Set) Next(view *protocol.BackEndView) *Set {
 	updated := &Set{
 		Version: view.GetVersion(),
@@ -52,7 +52,7 @@
 	return updated
 }
 
-// reuseOrCreate returns the server of the same incarnation with the load known so far, or a new one.
+// reuseOrCreate returns the existing server of the same incarnation, which keeps its load and health, or a new one.
 func (b *Set) reuseOrCreate(description *protocol.BackEnd) *Server {
 	server := b.ByID[description.GetId()]
 	if server == nil || server.description.Load().GetIncarnation() != description.GetIncarnation() {
@@ -63,12 +63,12 @@
 	return server
 }
 
-// Candidates is the snapshot of servers that a scheduling policy decides on.
+// Candidates returns a snapshot of servers for a scheduling policy.
 func Candidates(servers []*Server, group *protocol.ServerGroup, now time.Time) []schedule.Candidate {
 	snapshot := make([]schedule.Candidate, 0, len(servers))
 	for _, server := range servers {
 		description := server.description.Load()
-		known := server.health(now)
+		status := server.health(now)
 		capacity := description.GetCapacity()
 		if reported := server.capacity.Load(); reported > 0 {
 			capacity = reported
@@ -81,18 +81,19 @@
 		inFlight, _ := server.requests.load()
 		snapshot = append(snapshot, schedule.Candidate{
 			ID: description.GetId(), Zone: description.GetZone(), Region: description.GetRegion(),
-			Draining: server.draining.Load(), Ejected: known.ejected,
-			EjectedUntil: known.until, Unreachable: known.unreachable, RecentCalls: known.recent,
+			Draining: server.draining.Load(), Ejected: status.ejected,
+			EjectedUntil: status.ejectedUntil, Unreachable: status.unreachable, RecentCalls: status.recentCalls,
 			ReportAge: age, UsedTokens: server.cacheUsed.Load(), CacheTokens: server.cacheTotal.Load(),
 			Capacity: capacity, InFlight: uint32(max(inFlight, 0)),
-			Running: running, Queued: queued, InFlightAtReport: uint32(max(server.ownAtReport.Load(), 0)),
-			Weight: zoneWeight(group, description.GetZone()) * known.share,
+			Running: running, Queued: queued, InFlightAtReport: uint32(max(server.inFlightAtReport.Load(), 0)),
+			Weight: zoneWeight(group, description.GetZone()) * status.weightShare,
 		})
 	}
 	return snapshot
 }
 
-// IsUsable reports whether requests may be sent to a candidate as long as there is a choice.
+// IsUsable reports whether a candidate is neither draining nor ejected. Other candidates get requests only when none is
+// usable.
 func IsUsable(candidate schedule.Candidate) bool { return !candidate.Draining && !candidate.Ejected }
 
 func zoneWeight(group *protocol.ServerGroup, zone string) float64 {
--- a/internal/dataplane/front/backends/weight_versions.go
+++ b/internal/dataplane/front/backends/weight_versions.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/trainingstep"
 )
 
-// RejectedVersionTTL is how long a server's statement that it lacks a version takes precedence over its
+// RejectedVersionTTL is how long a server's statement that it does not have a version takes precedence over its
 // announcement, which may be older than the statement.
 const RejectedVersionTTL = 5 * time.Second
 
@@ -18,8 +18,7 @@
 	Version uint64
 }
 
-// Announcements are the versions of their weights that the servers of a group announce, without those
-// that drain.
+// Announcements returns the weight versions that the servers of a group announce, without draining servers.
 func (b *Set) Announcements(group string) []trainingstep.Announcement {
 	var all []trainingstep.Announcement
 	for _, server := range b.ByGroup[group] {
@@ -30,31 +29,31 @@
 	return all
 }
 
-// HasVersion reports whether a server of a group that does not drain has the version of a pin.
+// HasVersion reports whether some server of a group that is not draining has the pinned version.
 func (b *Set) HasVersion(group string, pin *VersionPin, now time.Time) bool {
 	return slices.ContainsFunc(b.ByGroup[group], func(server *Server) bool {
 		return !server.draining.Load() && pin.isServedBy(server, now)
 	})
 }
 
-// isServedBy reports whether a server has the pinned version, as far as is known.
+// isServedBy reports whether a server announces the pinned version and has not rejected it recently.
 func (p *VersionPin) isServedBy(server *Server, now time.Time) bool {
 	return server.description.Load().GetModelVersions()[p.Model] == p.Version && !server.hasRejected(p.Version, now)
 }
 
-// split divides servers into those that have the pinned version and the others.
-func (p *VersionPin) split(servers []*Server, now time.Time) (having, others []*Server) {
+// split partitions servers into those that have the pinned version and the others.
+func (p *VersionPin) split(servers []*Server, now time.Time) (pinned, others []*Server) {
 	for _, server := range servers {
 		if p.isServedBy(server, now) {
-			having = append(having, server)
+			pinned = append(pinned, server)
 		} else {
 			others = append(others, server)
 		}
 	}
-	return having, others
+	return pinned, others
 }
 
-// MarkVersionRejected records that the server stated that it lacks a version.
+// MarkVersionRejected records the server's statement that it does not have a version.
 func (b *Server) MarkVersionRejected(version uint64, now time.Time) {
 	b.mutex.Lock()
 	b.rejectedVersion, b.rejectedUntil = version, now.Add(RejectedVersionTTL)
--- a/internal/dataplane/front/callerapi/event_stream.go
+++ b/internal/dataplane/front/callerapi/event_stream.go
@@ -28,7 +28,7 @@
 	controller *http.ResponseController
 	view       TurnView
 	last       sessions.Cursor
-	begun      bool
+	headerSent bool
 	buffer     []byte
 }
 
@@ -63,7 +63,7 @@
 // it becomes an ordinary error answer.
 func (e *EventStream) Send(event *protocol.TurnEvent) error {
 	e.view.Observe(event)
-	if f := event.GetFailed(); f != nil && !e.begun {
+	if f := event.GetFailed(); f != nil && !e.headerSent {
 		return &failure.Error{Failure: f}
 	}
 	header := eventHeader{SequenceNumber: event.GetSequence(), Attempt: event.GetAttempt()}
@@ -96,14 +96,14 @@
 }
 
 // HasBegun reports whether something was sent: an error can be sent as an event only.
-func (e *EventStream) HasBegun() bool { return e.begun }
+func (e *EventStream) HasBegun() bool { return e.headerSent }
 
 // begin sends the header of the stream.
 func (e *EventStream) begin() {
-	if e.begun {
+	if e.headerSent {
 		return
 	}
-	e.begun = true
+	e.headerSent = true
 	e.writer.Header().Set("Content-Type", "text/event-stream")
 	e.writer.Header().Set("Cache-Control", "no-store")
 	e.writer.WriteHeader(http.StatusOK)
--- a/internal/dataplane/front/callerapi/requests.go
+++ b/internal/dataplane/front/callerapi/requests.go
@@ -158,8 +158,8 @@
 		return nil, MissingField("input")
 	}
 	items := make([]*protocol.Item, 0, len(entries))
-	for at, entry := range entries {
-		item, err := parseItem(entry, fmt.Sprintf("input[%d]", at))
+	for i, entry := range entries {
+		item, err := parseItem(entry, fmt.Sprintf("input[%d]", i))
 		if err != nil {
 			return nil, err
 		}
@@ -248,24 +248,24 @@
 }
 
 // TenantOf checks who the caller is: a tenant of the bundle, with its credential when it has one.
-func TenantOf(header http.Header, decided rollout.Variant) (*protocol.TenantPolicy, error) {
+func TenantOf(header http.Header, variant rollout.Variant) (*protocol.TenantPolicy, error) {
 	name := header.Get(headerTenant)
 	if name == "" {
 		return nil, MissingField(headerTenant)
 	}
-	policy := decided.Tenant(name)
+	policy := variant.Tenant(name)
 	if policy == nil {
 		return nil, failure.New(failure.Forbidden, protocol.Outcome_NOT_RUN, "the tenant is not known",
 			failure.WithPath(headerTenant))
 	}
-	wanted := policy.GetCredentialSha256()
-	if wanted == "" {
+	wantedSum := policy.GetCredentialSha256()
+	if wantedSum == "" {
 		return policy, nil
 	}
-	credential, found := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
+	credential, hasBearer := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(credential))
-	matches := subtle.ConstantTimeCompare([]byte(hex.EncodeToString(sum[:])), []byte(wanted)) == 1
-	if !found || !matches {
+	matches := subtle.ConstantTimeCompare([]byte(hex.EncodeToString(sum[:])), []byte(wantedSum)) == 1
+	if !hasBearer || !matches {
 		return nil, failure.New(failure.Unauthorized, protocol.Outcome_NOT_RUN, "the tenant's credential is missing or wrong",
 			failure.WithPath("Authorization"))
 	}
--- a/internal/dataplane/front/explain/recorder.go
+++ b/internal/dataplane/front/explain/recorder.go
@@ -36,9 +36,9 @@
 // Explanation collects the path of one request. Its mutex guards the record, which may be read while
 // the request is in progress.
 type Explanation struct {
-	clock Clock
-	began time.Time
-	id    string
+	clock     Clock
+	startedAt time.Time
+	id        string
 
 	mutex  sync.Mutex
 	record protocol.Explanation
@@ -49,7 +49,7 @@
 
 // Begin starts the explanation of one request; one request may have several on a front node.
 func (s *Recorder) Begin(requestID, session, program string) *Explanation {
-	entry := &Explanation{clock: s.clock, began: s.clock.Now(), id: requestID}
+	entry := &Explanation{clock: s.clock, startedAt: s.clock.Now(), id: requestID}
 	entry.record.RequestId, entry.record.Node = requestID, s.node
 	entry.record.Session, entry.record.Program = session, program
 	s.loop.Post(func() { s.put(entry) })
@@ -57,21 +57,21 @@
 }
 
 func (s *Recorder) put(entry *Explanation) {
-	if former := s.ring[s.next]; former != nil {
-		s.remove(former)
+	if evicted := s.ring[s.next]; evicted != nil {
+		s.remove(evicted)
 	}
 	s.ring[s.next] = entry
 	s.next = (s.next + 1) % len(s.ring)
 	s.byID[entry.id] = append(s.byID[entry.id], entry)
 }
 
-func (s *Recorder) remove(former *Explanation) {
-	entries := s.byID[former.id]
+func (s *Recorder) remove(entry *Explanation) {
+	entries := s.byID[entry.id]
 	if len(entries) <= 1 {
-		delete(s.byID, former.id)
+		delete(s.byID, entry.id)
 		return
 	}
-	s.byID[former.id] = append([]*Explanation(nil), entries[1:]...)
+	s.byID[entry.id] = append([]*Explanation(nil), entries[1:]...)
 }
 
 // Find returns copies of the explanations of a request, oldest first; none once the store is stopped.
@@ -86,11 +86,11 @@
 }
 
 // RecordStep adds a step at the time of the call.
-func (e *Explanation) RecordStep(what, detail string) {
-	at := e.clock.Now().Sub(e.began).Microseconds()
+func (e *Explanation) RecordStep(name, detail string) {
+	elapsedMicros := e.clock.Now().Sub(e.startedAt).Microseconds()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.record.Steps = append(e.record.Steps, &protocol.ExplanationStep{AtMicros: at, What: what, Detail: detail})
+	e.record.Steps = append(e.record.Steps, &protocol.ExplanationStep{AtMicros: elapsedMicros, What: name, Detail: detail})
 }
 
 // Update changes the record's fields under its mutex.
--- a/internal/dataplane/front/heartbeat/relay.go
+++ b/internal/dataplane/front/heartbeat/relay.go
@@ -106,8 +106,8 @@
 
 func (r *Relay) send(ctx context.Context, batch []entry) {
 	request := &protocol.RelayHeartbeatsRequest{}
-	for _, sent := range batch {
-		request.Heartbeats = append(request.Heartbeats, &protocol.BackEndHeartbeat{BackEnd: sent.backEnd})
+	for _, queued := range batch {
+		request.Heartbeats = append(request.Heartbeats, &protocol.BackEndHeartbeat{BackEnd: queued.backEnd})
 	}
 	ctx, cancel := r.clock.WithTimeout(ctx, Timeout)
 	defer cancel()
@@ -118,7 +118,7 @@
 		IntervalSeconds: max(response.GetRelayHeartbeats().GetIntervalSeconds(), minIntervalSeconds), Err: err,
 	}
 	r.relayed.Add(float64(len(batch)))
-	for _, sent := range batch {
-		sent.answer <- answer
+	for _, queued := range batch {
+		queued.answer <- answer
 	}
 }
--- a/internal/dataplane/front/httpheader/header.go
+++ b/internal/dataplane/front/httpheader/header.go
@@ -21,10 +21,10 @@
 // EndToEnd returns the headers that are forwarded, sorted by name, without those named in except.
 // Names are in their canonical form.
 func EndToEnd(header http.Header, except ...string) []*protocol.HttpHeader {
-	named := namedInConnection(header)
+	hopByHop := namedInConnection(header)
 	forwarded := make([]*protocol.HttpHeader, 0, len(header))
 	for name, values := range header {
-		if connectionHeaders[name] || named[name] || slices.Contains(except, name) {
+		if connectionHeaders[name] || hopByHop[name] || slices.Contains(except, name) {
 			continue
 		}
 		for _, value := range values {
@@ -52,11 +52,11 @@
 	if len(values) == 0 {
 		return nil
 	}
-	named := make(map[string]bool)
+	names := make(map[string]bool)
 	for _, value := range values {
 		for name := range strings.SplitSeq(value, ",") {
-			named[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
+			names[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return named
+	return names
 }
--- a/internal/dataplane/front/issue/attempt_error.go
+++ b/internal/dataplane/front/issue/attempt_error.go
@@ -17,7 +17,7 @@
 	retryAfter time.Duration
 	Detail     string
 	// blameless faults show nothing of the server's health, as when the deadline had passed before.
-	blameless bool
+	serverNotAtFault bool
 }
 
 // SurelyDidNotRun reports whether a failed attempt did not run: nothing was sent, or the server rejected it.
@@ -28,7 +28,7 @@
 
 // Outcome is what the attempt shows of the server's health.
 func (e *AttemptError) Outcome() schedule.Outcome {
-	if e.blameless {
+	if e.serverNotAtFault {
 		return schedule.OutcomeNotExecuted
 	}
 	return backends.HealthOutcome(e.Fault)
--- a/internal/dataplane/front/issue/client.go
+++ b/internal/dataplane/front/issue/client.go
@@ -79,7 +79,7 @@
 				if err != nil || stallTimeout == 0 {
 					return connection, err
 				}
-				return &stallGuard{Conn: connection, limit: stallTimeout}, nil
+				return &stallTimeoutConn{Conn: connection, limit: stallTimeout}, nil
 			},
 			MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idlePerServer,
 			IdleConnTimeout: idleConnectionTimeout, DisableCompression: true,
@@ -90,13 +90,13 @@
 
 // stallGuard ends a connection whose peer sends nothing for too long after a request was written to it or
 // since its last bytes.
-type stallGuard struct {
+type stallTimeoutConn struct {
 	net.Conn
 	limit time.Duration
 }
 
 // Read implements net.Conn.
-func (g *stallGuard) Read(buffer []byte) (int, error) {
+func (g *stallTimeoutConn) Read(buffer []byte) (int, error) {
 	if err := g.SetReadDeadline(time.Now().Add(g.limit)); err != nil {
 		return 0, err
 	}
@@ -104,7 +104,7 @@
 }
 
 // Write implements net.Conn.
-func (g *stallGuard) Write(buffer []byte) (int, error) {
+func (g *stallTimeoutConn) Write(buffer []byte) (int, error) {
 	if err := g.SetReadDeadline(time.Now().Add(g.limit)); err != nil {
 		return 0, err
 	}
@@ -133,20 +133,20 @@
 // onceReader hides the kind of the body from net/http. With a body that it can
 // rewind, and an Idempotency-Key, the transport would send a request again
 // after a broken connection, although it may have run.
-type onceReader struct{ io.Reader }
+type nonReplayableReader struct{ io.Reader }
 
 // send issues the request once. A connection that could not be opened is the
 // only failure after which it surely did not arrive.
 func (c *Client) send(ctx context.Context, request Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	prepared, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
-		request.Server.URL(request.Path), onceReader{bytes.NewReader(request.Body)})
+	httpRequest, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
+		request.Server.URL(request.Path), nonReplayableReader{bytes.NewReader(request.Body)})
 	if err != nil {
 		return nil, &AttemptError{Fault: turn.FaultNotSent, Detail: err.Error()}
 	}
-	prepared.ContentLength = int64(len(request.Body))
-	header := prepared.Header
+	httpRequest.ContentLength = int64(len(request.Body))
+	header := httpRequest.Header
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequestID, request.RequestID)
 	header.Set(headerSession, request.Session)
@@ -159,7 +159,7 @@
 	if request.IdempotencyKey != "" {
 		client = c.tools
 	}
-	response, err := client.Do(prepared)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		fault := turn.FaultBroken
 		if !connected {
@@ -167,7 +167,7 @@
 		}
 		return nil, &AttemptError{Fault: fault, Detail: err.Error()}
 	}
-	if load, reported := dialect.DecodeLoad(response.Header.Get(headerLoad)); reported {
+	if load, hasLoad := dialect.DecodeLoad(response.Header.Get(headerLoad)); hasLoad {
 		request.Server.ApplyLoad(load, c.clock.Now())
 	}
 	if echoed := response.Header.Get(HeaderNonce); echoed != "" && echoed != request.Nonce {
@@ -268,7 +268,7 @@
 // Next implements AnswerStream.
 func (g *generation) Next() (turn.Event, error) {
 	for {
-		data, err := g.data()
+		data, err := g.nextData()
 		if err != nil {
 			return nil, err
 		}
@@ -279,14 +279,14 @@
 			g.finished = true
 			return g.done, nil
 		}
-		event, err := g.read(data)
+		event, err := g.parseChunk(data)
 		if event != nil || err != nil {
 			return event, err
 		}
 	}
 }
 
-func (g *generation) read(data []byte) (turn.Event, error) {
+func (g *generation) parseChunk(data []byte) (turn.Event, error) {
 	var received chunk
 	if err := json.Unmarshal(data, &received); err != nil {
 		return nil, &AttemptError{Fault: turn.FaultBroken, Detail: "the answer is not valid: " + err.Error()}
@@ -312,9 +312,9 @@
 }
 
 // data reads up to the next data line of the event stream.
-func (g *generation) data() ([]byte, error) {
+func (g *generation) nextData() ([]byte, error) {
 	for {
-		line, err := g.line()
+		line, err := g.nextLine()
 		if err != nil {
 			return nil, err
 		}
@@ -324,7 +324,7 @@
 	}
 }
 
-func (g *generation) line() ([]byte, error) {
+func (g *generation) nextLine() ([]byte, error) {
 	line, err := g.reader.ReadSlice('\n')
 	if err == nil {
 		return line, nil
@@ -343,9 +343,9 @@
 // Close implements AnswerStream: the server sees the connection end unless the answer was complete.
 func (g *generation) Close() {
 	if g.finished {
-		late := time.AfterFunc(drainTimeout, g.cancel)
+		timeout := time.AfterFunc(drainTimeout, g.cancel)
 		drainBody(g.body)
-		late.Stop()
+		timeout.Stop()
 	}
 	g.cancel()
 	_ = g.body.Close()
--- a/internal/dataplane/front/issue/route_answer.go
+++ b/internal/dataplane/front/issue/route_answer.go
@@ -27,10 +27,10 @@
 
 // httpStream is the answer to a turn of an HTTP route.
 type httpStream struct {
-	response    *serverconn.Response
-	events      *sse.Reader
-	eventTokens uint32
-	headGiven   bool
+	response     *serverconn.Response
+	events       *sse.Reader
+	eventTokens  uint32
+	headReturned bool
 	// versionHeader names the versions of the weights; it is set in turns of training steps, where they are
 	// checked.
 	versionHeader string
@@ -45,8 +45,8 @@
 
 // Next implements AnswerStream.
 func (s *httpStream) Next() (turn.Event, error) {
-	if !s.headGiven {
-		s.headGiven = true
+	if !s.headReturned {
+		s.headReturned = true
 		return s.head()
 	}
 	event, err := s.events.Next()
--- a/internal/dataplane/front/issue/route_client.go
+++ b/internal/dataplane/front/issue/route_client.go
@@ -58,14 +58,14 @@
 
 // send issues a request once. An answer that it returns is the server's to this very request.
 func (c *RouteClient) send(ctx context.Context, request RouteRequest) (*serverconn.Response, error) {
-	left := request.Deadline.Sub(c.clock.Now()).Milliseconds()
-	if left <= 0 {
-		return nil, &AttemptError{Fault: turn.FaultNotSent, Detail: "the deadline has passed", blameless: true}
+	remainingMillis := request.Deadline.Sub(c.clock.Now()).Milliseconds()
+	if remainingMillis <= 0 {
+		return nil, &AttemptError{Fault: turn.FaultNotSent, Detail: "the deadline has passed", serverNotAtFault: true}
 	}
 	description := request.Server.Description()
 	response, err := c.pool.Do(ctx, description.GetAddress(), &serverconn.Request{
 		Method: request.HTTP.GetMethod(), Target: request.HTTP.GetTarget(), Host: request.HTTP.GetHost(),
-		Headers: c.headers(request, description.GetId(), left), Body: request.Body,
+		Headers: c.headers(request, description.GetId(), remainingMillis), Body: request.Body,
 	})
 	if err != nil {
 		fault := turn.FaultBroken
@@ -73,7 +73,7 @@
 			fault = turn.FaultNotSent
 		}
 		return nil, &AttemptError{
-			Fault: fault, Detail: err.Error(), blameless: fault == turn.FaultNotSent && ctx.Err() != nil,
+			Fault: fault, Detail: err.Error(), serverNotAtFault: fault == turn.FaultNotSent && ctx.Err() != nil,
 		}
 	}
 	fault := c.checkAnswer(response, request.RequestID)
@@ -103,27 +103,27 @@
 }
 
 // headers are those of the caller and of the front node; the front node's replace the caller's of a name.
-func (c *RouteClient) headers(request RouteRequest, server string, left int64) []*protocol.HttpHeader {
-	own := []*protocol.HttpHeader{{Name: c.dialect.TimeLeft, Value: strconv.FormatInt(left, 10)}}
+func (c *RouteClient) headers(request RouteRequest, server string, remainingMillis int64) []*protocol.HttpHeader {
+	added := []*protocol.HttpHeader{{Name: c.dialect.TimeLeft, Value: strconv.FormatInt(remainingMillis, 10)}}
 	if c.dialect.ServerRank != "" && request.HTTP.GetKind() == protocol.HttpRouteKind_HTTP_STREAMING {
-		own = append(own, &protocol.HttpHeader{Name: c.dialect.ServerRank, Value: request.serverRank()})
+		added = append(added, &protocol.HttpHeader{Name: c.dialect.ServerRank, Value: request.serverRank()})
 	}
 	if c.dialect.TargetServer != "" {
-		own = append(own, &protocol.HttpHeader{Name: c.dialect.TargetServer, Value: server})
+		added = append(added, &protocol.HttpHeader{Name: c.dialect.TargetServer, Value: server})
 	}
 	if request.Pin != nil && c.dialect.ExpectedWeights != "" {
 		version := strconv.FormatUint(request.Pin.Version, 10)
-		own = append(own, &protocol.HttpHeader{Name: c.dialect.ExpectedWeights, Value: version})
+		added = append(added, &protocol.HttpHeader{Name: c.dialect.ExpectedWeights, Value: version})
 	}
-	given := request.HTTP.GetHeaders()
-	headers := make([]*protocol.HttpHeader, 0, len(given)+len(own))
-	for _, header := range given {
+	received := request.HTTP.GetHeaders()
+	headers := make([]*protocol.HttpHeader, 0, len(received)+len(added))
+	for _, header := range received {
 		isSame := func(other *protocol.HttpHeader) bool { return other.GetName() == header.GetName() }
-		if !slices.ContainsFunc(own, isSame) {
+		if !slices.ContainsFunc(added, isSame) {
 			headers = append(headers, header)
 		}
 	}
-	return append(headers, own...)
+	return append(headers, added...)
 }
 
 const (
@@ -168,7 +168,7 @@
 		response.Discard()
 		return &AttemptError{Fault: turn.FaultBroken, Detail: "the answer has no proof of its server"}
 	}
-	if promisesNotRun(response.Status) {
+	if impliesNotRun(response.Status) {
 		response.Discard()
 		detail := "the server answered " + strconv.Itoa(response.Status) + " without saying that it did not run the request"
 		return &AttemptError{Fault: turn.FaultBroken, Detail: detail}
@@ -177,7 +177,7 @@
 }
 
 // promisesNotRun reports whether callers may conclude from a status that the request did not run.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
--- a/internal/dataplane/front/outcomes/sharer.go
+++ b/internal/dataplane/front/outcomes/sharer.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// Tick is the time between two looks for outcomes to report.
+	// Tick is the interval between checks for outcomes to report.
 	Tick = 200 * time.Millisecond
-	// Interval is the least time between two reports without failures.
+	// Interval is the minimum interval between reports without failures.
 	Interval = time.Second
 
 	reportTimeout = time.Second
-	// pollTimeout bounds a long poll for new suspects, pollSlack is what the front node waits beyond that, and
-	// pollRetryInterval the time until the next poll after a failure.
+	// pollTimeout is how long the leader holds a long poll for new suspects, pollSlack how much longer the front node
+	// waits for the response, and pollRetryInterval the delay before the next poll after a failure.
 	pollTimeout       = 10 * time.Second
 	pollSlack         = time.Second
 	pollRetryInterval = 500 * time.Millisecond
 )
 
-// Core takes requests to the leader of the core.
+// Core sends requests to the leader of the core.
 type Core interface {
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Clock tells the time, waits and bounds contexts.
+// Clock returns the time and provides timers and contexts with time-outs.
 type Clock interface {
 	Now() time.Time
 	After(wait time.Duration) <-chan time.Time
@@ -38,25 +38,25 @@
 
 // Options configure a Sharer; all are required.
 type Options struct {
-	// Node and Zone are those of the front node.
+	// Node and Zone are the name and zone of the front node.
 	Node  string
 	Zone  string
 	Core  Core
 	Clock Clock
-	// Servers are the back ends of the view in force.
+	// Servers returns the back ends of the current view.
 	Servers func() *backends.Set
 	// Suspected counts the servers that became suspect here.
 	Suspected prometheus.Counter
 }
 
-// Sharer exchanges outcomes with the core's leader. Report and Watch run on a goroutine each and share
-// nothing but the servers, which guard themselves.
+// Sharer exchanges outcomes with the core's leader. Report and Watch each run on a goroutine of their own; the only
+// mutable state that they share is the servers, which are safe for concurrent use.
 type Sharer struct{ options Options }
 
-// NewSharer makes a sharer; Report and Watch do its work.
+// NewSharer returns a sharer; the caller runs Report and Watch.
 func NewSharer(options Options) *Sharer { return &Sharer{options: options} }
 
-// Report reports what was observed of servers until the context ends.
+// Report reports the outcomes observed at servers until the context ends.
 func (s *Sharer) Report(ctx context.Context) {
 	reportedAt := s.options.Clock.Now()
 	for {
@@ -69,12 +69,12 @@
 	}
 }
 
-// reportIfDue reports when there is a failure, or when outcomes are due, and returns when it reported last.
-// A front node that sends servers nothing reports nothing.
+// reportIfDue sends a report when there are failures, or when there are outcomes and Interval has passed since the last
+// report. It returns the time of the last report. A front node that sends no requests to servers sends no reports.
 func (s *Sharer) reportIfDue(ctx context.Context, reportedAt time.Time) time.Time {
 	now := s.options.Clock.Now()
 	report := &protocol.ShareOutcomesRequest{Node: s.options.Node, Zone: s.options.Zone}
-	counted := map[*backends.Server]backends.OutcomeCounts{}
+	unreported := map[*backends.Server]backends.OutcomeCounts{}
 	failures := false
 	for id, server := range s.options.Servers().ByID {
 		counts := server.Unreported(now)
@@ -82,21 +82,21 @@
 			continue
 		}
 		failures = failures || counts.HasFailures()
-		counted[server] = counts
+		unreported[server] = counts
 		report.Outcomes = append(report.Outcomes, counts.ToProto(id, server.Description().GetIncarnation(), now))
 	}
-	isDue := len(counted) > 0 && now.Sub(reportedAt) >= Interval
+	isDue := len(unreported) > 0 && now.Sub(reportedAt) >= Interval
 	if !failures && !isDue {
 		return reportedAt
 	}
-	s.send(ctx, report, counted)
+	s.send(ctx, report, unreported)
 	return now
 }
 
-// send reports, and applies the suspects that come back. Counts that the leader may not have received are
+// send sends a report and applies the suspects in the response. Counts that the leader may not have received are
 // reported again.
 func (s *Sharer) send(
-	ctx context.Context, report *protocol.ShareOutcomesRequest, counted map[*backends.Server]backends.OutcomeCounts,
+	ctx context.Context, report *protocol.ShareOutcomesRequest, reported map[*backends.Server]backends.OutcomeCounts,
 ) {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -106,21 +106,21 @@
 	if err != nil {
 		return
 	}
-	for server, counts := range counted {
+	for server, counts := range reported {
 		server.MarkReported(counts)
 	}
-	s.avoid(response.GetShareOutcomes().GetSuspects())
+	s.applySuspects(response.GetShareOutcomes().GetSuspects())
 }
 
-// Watch polls the core's leader for the suspects until the context ends, so that a front node which has
-// observed no failure avoids them at once too.
+// Watch polls the core's leader for suspects until the context ends, so that front nodes that have observed no failure
+// also avoid them at once.
 func (s *Sharer) Watch(ctx context.Context) {
-	known := uint64(0)
+	version := uint64(0)
 	for ctx.Err() == nil {
-		answer, err := s.poll(ctx, known)
+		response, err := s.poll(ctx, version)
 		if err == nil {
-			known = answer.GetVersion()
-			s.avoid(answer.GetSuspects())
+			version = response.GetVersion()
+			s.applySuspects(response.GetSuspects())
 			continue
 		}
 		select {
@@ -130,12 +130,12 @@
 	}
 }
 
-// poll returns the suspects once they are newer than the version known, or after pollTimeout.
-func (s *Sharer) poll(ctx context.Context, known uint64) (*protocol.WatchSuspectsResponse, error) {
+// poll returns the suspects once their version is newer than the given one, or after pollTimeout.
+func (s *Sharer) poll(ctx context.Context, version uint64) (*protocol.WatchSuspectsResponse, error) {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, pollTimeout+pollSlack)
 	defer cancel()
 	request := &protocol.WatchSuspectsRequest{
-		Zone: s.options.Zone, Known: known, WaitMillis: uint32(pollTimeout / time.Millisecond),
+		Zone: s.options.Zone, Known: version, WaitMillis: uint32(pollTimeout / time.Millisecond),
 	}
 	response, err := s.options.Core.CallCore(ctx, &protocol.Request{
 		Body: &protocol.Request_WatchSuspects{WatchSuspects: request},
@@ -143,16 +143,16 @@
 	return response.GetWatchSuspects(), err
 }
 
-// avoid has servers avoided for the time that each is suspect.
-func (s *Sharer) avoid(suspects []*protocol.SuspectBackEnd) {
+// applySuspects marks the suspects' servers for the time that each remains suspect.
+func (s *Sharer) applySuspects(suspects []*protocol.SuspectBackEnd) {
 	servers, now := s.options.Servers(), s.options.Clock.Now()
 	for _, suspect := range suspects {
 		server := servers.ByID[suspect.GetId()]
 		if server == nil || server.Description().GetIncarnation() != suspect.GetIncarnation() {
 			continue
 		}
-		left := time.Duration(suspect.GetLeftMillis()) * time.Millisecond
-		if server.MarkSuspect(now.Add(left), now) {
+		remaining := time.Duration(suspect.GetLeftMillis()) * time.Millisecond
+		if server.MarkSuspect(now.Add(remaining), now) {
 			s.options.Suspected.Inc()
 		}
 	}
--- a/internal/dataplane/front/rollout/counters.go
+++ b/internal/dataplane/front/rollout/counters.go
@@ -9,7 +9,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Counters count what one variant did since the last report. Any goroutine may count.
+// Counters counts the requests of one variant since the last report. It is safe for concurrent use.
 type Counters struct {
 	version   uint64
 	candidate bool
@@ -23,7 +23,8 @@
 	return &Counters{version: version, candidate: candidate, buckets: make([]atomic.Uint64, firsttoken.BucketCount())}
 }
 
-// variantSet are the counters of the variants in force; it is immutable and replaced when a version changes.
+// variantSet holds the counters of the active bundle and of the candidate, if any. It is immutable and replaced when a
+// configuration is applied.
 type variantSet struct {
 	active    *Counters
 	candidate *Counters
@@ -36,7 +37,7 @@
 	return s.active
 }
 
-// nextVariants reuses the counters of versions that stay in force.
+// nextVariants returns the variant set of new policies, with the former counters of variants that did not change.
 func nextVariants(former *variantSet, p *Policies) *variantSet {
 	next := &variantSet{active: reuseVariantCounters(former, p.Active.Bundle().GetVersion(), false)}
 	if p.candidate != nil {
@@ -61,7 +62,7 @@
 	c.buckets[firsttoken.Bucket(uint32(max(after, 0)/time.Millisecond))].Add(1)
 }
 
-// RecordEnd counts one request with the tokens that it was answered; f is nil when it succeeded.
+// RecordEnd counts one request and the tokens of its answer; f is nil when it succeeded.
 func (c *Counters) RecordEnd(tokens uint64, f *protocol.Failure) {
 	c.requests.Add(1)
 	c.tokens.Add(tokens)
@@ -70,7 +71,8 @@
 	}
 }
 
-// isPolicyError reports whether a policy may cause a failure, rather than the caller or the ledger.
+// isPolicyError reports whether a policy may have caused a failure with this code. Failures caused by the caller or the
+// ledger do not count against a variant.
 func isPolicyError(code failure.Code) bool {
 	switch code {
 	case failure.BackEndFailed, failure.NoBackEnd, failure.Overloaded, failure.DeadlineExceeded,
@@ -87,23 +89,23 @@
 		BundleVersion: c.version, Candidate: c.candidate, Requests: c.requests.Swap(0),
 		Errors: c.errors.Swap(0), Tokens: c.tokens.Swap(0), FirstTokenBuckets: make([]uint64, len(c.buckets)),
 	}
-	seen := sample.GetRequests()
-	for at := range c.buckets {
-		sample.FirstTokenBuckets[at] = c.buckets[at].Swap(0)
-		seen += sample.FirstTokenBuckets[at]
+	total := sample.GetRequests()
+	for i := range c.buckets {
+		sample.FirstTokenBuckets[i] = c.buckets[i].Swap(0)
+		total += sample.FirstTokenBuckets[i]
 	}
-	if seen == 0 {
+	if total == 0 {
 		return nil
 	}
 	return sample
 }
 
-// restore adds a sample back that could not be reported.
+// restore adds the counts of a sample that could not be reported.
 func (c *Counters) restore(sample *protocol.ArmSample) {
 	c.requests.Add(sample.GetRequests())
 	c.errors.Add(sample.GetErrors())
 	c.tokens.Add(sample.GetTokens())
-	for at, count := range sample.GetFirstTokenBuckets() {
-		c.buckets[at].Add(count)
+	for i, count := range sample.GetFirstTokenBuckets() {
+		c.buckets[i].Add(count)
 	}
 }
--- a/internal/dataplane/front/rollout/policies.go
+++ b/internal/dataplane/front/rollout/policies.go
@@ -17,11 +17,11 @@
 	defaultProgramBudget        = 1_000_000
 )
 
-// Policies are one configuration, indexed. They are immutable.
+// Policies is one configuration with its bundles indexed. It is immutable.
 type Policies struct {
-	// Version is that of the configuration.
+	// Version is the version of the configuration.
 	Version uint64
-	// Active is the bundle in force; its Bundle is nil before there is one.
+	// Active is the index of the active bundle; its Bundle is nil while there is none.
 	Active    *bundle.Index
 	candidate *bundle.Index
 	rollout   *protocol.Rollout
@@ -39,16 +39,17 @@
 	return p
 }
 
-// Variant is the bundle that decides for one program.
+// Variant is the bundle that applies to one program.
 type Variant struct {
 	*bundle.Index
-	// Candidate is set for the programs of a roll-out's candidate.
+	// Candidate is set when the bundle is the candidate of a roll-out.
 	Candidate bool
-	// Shadow decides too, but nothing is run by it; nil without one.
+	// Shadow is a candidate whose decisions are computed but not carried out; nil when there is none.
 	Shadow *bundle.Index
 }
 
-// VariantFor picks the bundle of a program: the same one as long as the roll-out lasts.
+// VariantFor selects the bundle for a program. A program keeps its bundle for the duration of a roll-out with an
+// unchanged share.
 func (p *Policies) VariantFor(program string) Variant {
 	if p.candidate == nil {
 		return Variant{Index: p.Active}
@@ -63,13 +64,13 @@
 	return Variant{Index: p.Active}
 }
 
-// Version is that of the variant's bundle.
-func (a Variant) Version() uint64 { return a.Bundle().GetVersion() }
+// Version returns the version of the variant's bundle.
+func (v Variant) Version() uint64 { return v.Bundle().GetVersion() }
 
-// ReservationLimit is the most output tokens of a turn whose caller requested a number; zero requests as
-// many as allowed.
-func (a Variant) ReservationLimit(requested uint32) uint64 {
-	maxTokens := a.Bundle().GetLimits().GetMaxOutputTokens()
+// ReservationLimit returns the maximum number of output tokens to reserve for a turn whose caller requested a number of
+// them; zero requests as many as the bundle allows.
+func (v Variant) ReservationLimit(requested uint32) uint64 {
+	maxTokens := v.Bundle().GetLimits().GetMaxOutputTokens()
 	if maxTokens == 0 {
 		maxTokens = DefaultMaxOutputTokens
 	}
@@ -79,20 +80,21 @@
 	return uint64(requested)
 }
 
-// RetentionSeconds is how long the ledger retains turns.
-func (a Variant) RetentionSeconds() uint64 {
-	if seconds := a.Bundle().GetLimits().GetTurnKeepSeconds(); seconds > 0 {
+// RetentionSeconds returns how long the ledger retains turns.
+func (v Variant) RetentionSeconds() uint64 {
+	if seconds := v.Bundle().GetLimits().GetTurnKeepSeconds(); seconds > 0 {
 		return seconds
 	}
 	return defaultTurnRetentionSeconds
 }
 
-// Budget is the token budget with which a program is opened; requested is the caller's, zero for none.
-func (a Variant) Budget(requested uint64, tenant string) uint64 {
+// Budget returns the token budget for opening a program: the one that the caller requested, or the default when
+// requested is zero.
+func (v Variant) Budget(requested uint64, tenant string) uint64 {
 	if requested > 0 {
 		return requested
 	}
-	if budget := a.Tenant(tenant).GetDefaultProgramBudget(); budget > 0 {
+	if budget := v.Tenant(tenant).GetDefaultProgramBudget(); budget > 0 {
 		return budget
 	}
 	return defaultProgramBudget
--- a/internal/dataplane/front/rollout/tracker.go
+++ b/internal/dataplane/front/rollout/tracker.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// ReportInterval is the time between two reports of the variants' counts.
+	// ReportInterval is the interval between reports of the variants' counts.
 	ReportInterval = time.Second
 	reportTimeout  = 2 * time.Second
 )
 
-// Core takes requests to the leader of the core.
+// Core sends requests to the leader of the core.
 type Core interface {
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Clock waits and bounds contexts.
+// Clock provides timers and contexts with time-outs.
 type Clock interface {
 	After(wait time.Duration) <-chan time.Time
 	WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc)
 }
 
-// Tracker holds the policies in force and the counts of their variants. Its methods may be called from
-// any goroutine, Apply from one at a time.
+// Tracker holds the current policies and the counters of their variants. Its methods are safe for concurrent use, but
+// calls of Apply must not overlap.
 type Tracker struct {
 	node     string
 	core     Core
@@ -35,22 +35,23 @@
 	variants atomic.Pointer[variantSet]
 }
 
-// NewTracker makes a tracker of a front node, which has no policies before Apply.
+// NewTracker returns a tracker for a front node. It has no policies before the first Apply.
 func NewTracker(node string, core Core, clock Clock) *Tracker {
 	return &Tracker{node: node, core: core, clock: clock}
 }
 
-// Apply puts a configuration in force.
+// Apply replaces the policies by those of a configuration.
 func (t *Tracker) Apply(configuration *protocol.Configuration) {
 	next := newPolicies(configuration)
 	t.variants.Store(nextVariants(t.variants.Load(), next))
 	t.policies.Store(next)
 }
 
-// Policies are those in force; nil before the first Apply.
+// Policies returns the current policies, or nil before the first Apply.
 func (t *Tracker) Policies() *Policies { return t.policies.Load() }
 
-// Counters are those of a variant in force.
+// Counters returns the counters of the candidate or of the active bundle. Without a candidate they are those of the
+// active bundle.
 func (t *Tracker) Counters(candidate bool) *Counters {
 	return t.variants.Load().counters(candidate)
 }
@@ -69,8 +70,8 @@
 	}
 }
 
-// reportOnce sends what was counted since the last report. Counts that may not have arrived are sent
-// again with the next one.
+// reportOnce sends the counts since the last report. Counts that may not have arrived are sent again with the next
+// report.
 func (t *Tracker) reportOnce(ctx context.Context) {
 	variants := t.variants.Load()
 	report := &protocol.ReportArmsRequest{Node: t.node}
--- a/internal/dataplane/front/sse/reader.go
+++ b/internal/dataplane/front/sse/reader.go
@@ -46,7 +46,7 @@
 // *PartialEventError or *LargeEventError, or that of the stream.
 func (r *Reader) Next() ([]byte, error) {
 	var event []byte
-	lineStart, filled := 0, false
+	lineStart, hasContent := 0, false
 	for {
 		chunk, err := r.lines.ReadSlice('\n')
 		event = append(event, chunk...)
@@ -55,7 +55,7 @@
 			return nil, &LargeEventError{}
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
-		case errors.Is(err, io.EOF) && lineStart == len(event) && !filled && len(event) > 0:
+		case errors.Is(err, io.EOF) && lineStart == len(event) && !hasContent && len(event) > 0:
 			return event, nil
 		case errors.Is(err, io.EOF) && len(event) > 0:
 			return nil, &PartialEventError{}
@@ -63,10 +63,10 @@
 			return nil, err
 		}
 		blank := isBlank(event[lineStart:])
-		if blank && filled {
+		if blank && hasContent {
 			return event, nil
 		}
-		lineStart, filled = len(event), !blank
+		lineStart, hasContent = len(event), !blank
 	}
 }
 
--- a/internal/dataplane/front/sse/reader_test.go
+++ b/internal/dataplane/front/sse/reader_test.go
@@ -47,20 +47,20 @@
 		if complete && len(forwarded) != len(stream) {
 			t.Fatalf("%q looks complete although %q is missing", forwarded, stream[len(forwarded):])
 		}
-		for at, event := range events {
-			last := complete && at == len(events)-1
+		for i, event := range events {
+			last := complete && i == len(events)-1
 			if !bytes.HasSuffix(event, []byte("\n")) || len(bytes.TrimRight(event, "\r\n")) == 0 && !last {
-				t.Fatalf("event %d is %q", at, event)
+				t.Fatalf("event %d is %q", i, event)
 			}
-			if (data[at] != nil) != hasDataLine(event) || bytes.Count(data[at], []byte("\n")) != max(dataLines(event)-1, 0) {
-				t.Fatalf("event %q has the data %q", event, data[at])
+			if (data[i] != nil) != hasDataLine(event) || bytes.Count(data[i], []byte("\n")) != max(dataLines(event)-1, 0) {
+				t.Fatalf("event %q has the data %q", event, data[i])
 			}
 		}
 		// How the bytes arrive makes no difference.
-		again, _, err := readEvents(iotest.OneByteReader(bytes.NewReader(stream)))
-		if len(stream) < 4*sse.BufferBytes && (!bytes.Equal(bytes.Join(again, []byte("|")),
+		byteByByte, _, err := readEvents(iotest.OneByteReader(bytes.NewReader(stream)))
+		if len(stream) < 4*sse.BufferBytes && (!bytes.Equal(bytes.Join(byteByByte, []byte("|")),
 			bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != complete) {
-			t.Fatalf("byte by byte %q gave %q, at once %q", stream, again, events)
+			t.Fatalf("byte by byte %q gave %q, at once %q", stream, byteByByte, events)
 		}
 	})
 }
