--- a/internal/transport/httpdrain/connection.go
+++ b/internal/transport/httpdrain/connection.go
@@ -23,7 +23,7 @@
 )
 
 // connection is a caller's connection that can be closed while it is idle. It is closed only if no byte of a request
-// has arrived, and with a response that answers a request in transit as not run. Only the goroutine that serves the
+// has arrived, and with a response that answers a request in transit as not run. The goroutine that serves the
 // connection reads and writes; closeWhenIdle and setActive may be called from other goroutines.
 type connection struct {
 	net.Conn
@@ -105,7 +105,8 @@
 	}
 }
 
-// setActive records whether a request is being served. headerDeadline does not apply to its body.
+// setActive records whether a request is being served. headerDeadline does not apply to its body, which has the time
+// that the server allows.
 func (c *connection) setActive(active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -57,7 +57,7 @@
 	onBroken []func(address string)
 	closed   bool
 	stop     chan struct{}
-	// dialing is the context of dials, which are shared by concurrent callers and end only with Close.
+	// dialing is the context of dials. It ends with Close, not with a call, because concurrent callers share a dial.
 	dialing      context.Context
 	stopDialing  context.CancelFunc
 	activeSignal chan struct{}
--- a/internal/transport/wire/purpose_bytes_test.go
+++ b/internal/transport/wire/purpose_bytes_test.go
@@ -8,10 +8,10 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// lookupHandler answers polls and lookups with empty answers of their kind.
-type lookupHandler struct{}
+// emptyAnswers is a handler that answers polls and lookups with empty answers of their kind.
+type emptyAnswers struct{}
 
-func (lookupHandler) Serve(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
+func (emptyAnswers) Serve(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
 	if request.GetPollControl() != nil {
 		return send(&protocol.Response{Body: &protocol.Response_PollControl{PollControl: &protocol.PollControlResponse{}}})
 	}
@@ -21,7 +21,7 @@
 }
 
 func TestBytesAreCountedByPurpose(t *testing.T) {
-	address, _ := startServer(t, lookupHandler{})
+	address, _ := startServer(t, emptyAnswers{})
 	pool := startPool(t, testKey)
 	requests := []*protocol.Request{
 		{Body: &protocol.Request_PollControl{PollControl: &protocol.PollControlRequest{Node: "front-1"}}},
