--- a/internal/dataplane/front/ledgerops/client.go
+++ b/internal/dataplane/front/ledgerops/client.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// RepairRetryAfter is what a caller is told to wait while the ledger is out of reach: about the time
-	// in which a lost replica is replaced.
+	// RepairRetryAfter is the retry delay sent to callers while the ledger is unreachable: about the time that it takes
+	// to replace a lost replica.
 	RepairRetryAfter = time.Second
 
 	operationTimeout = 3 * time.Second
-	// conversationTimeout bounds one read of a conversation: its caller is told early when to come back.
+	// conversationTimeout limits one read of a conversation. It is shorter than operationTimeout, so that the caller is
+	// told early to retry.
 	conversationTimeout = time.Second
-	// pageTurns is how many turns one read of a conversation returns at most.
+	// pageTurns is the maximum number of turns that one read of a conversation returns.
 	pageTurns = 128
 )
 
 // Ledger is the client of the program ledger.
 type Ledger interface {
-	// Do carries out one operation; the result is LEDGER_UNAVAILABLE when no majority answered in time.
+	// Do executes one operation; the status is LEDGER_UNAVAILABLE when no majority answered in time.
 	Do(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
-	// DoDirectly carries one operation out for another front node that the stores do not answer.
+	// DoDirectly executes one operation for another front node, which cannot reach the stores itself.
 	DoDirectly(ctx context.Context, operation *protocol.LedgerOperation) (*protocol.LedgerResult, error)
 	// Unreachable reports whether operations on a program have gone unanswered for a while.
 	Unreachable(program string) bool
-	// Isolated reports whether the ledger is out of reach for this front node, but not for most others.
+	// Isolated reports whether the ledger is unreachable from this front node, but not from most others.
 	Isolated() bool
 }
 
-// Client carries out the operations of one front node. It holds no state of its own; its methods may be
-// called from any goroutine.
+// Client executes the ledger operations of one front node. It keeps no state and is safe for concurrent use.
 type Client struct {
 	node    string
 	ledger  Ledger
 	members func() *protocol.MembershipView
 }
 
-// NewClient makes the client of the front node of a name; members returns the membership in force.
+// NewClient returns the client of the front node with a name; members returns the current membership.
 func NewClient(node string, ledger Ledger, members func() *protocol.MembershipView) *Client {
 	return &Client{node: node, ledger: ledger, members: members}
 }
 
-// Do carries out an operation within operationTimeout. It does not end with the caller's context: once
-// sent, a change must be awaited, or its outcome would be unknown. The status is LEDGER_UNAVAILABLE when
-// there was no result.
+// Do executes an operation within operationTimeout. It is not cancelled with the caller's context: once a change has
+// been sent, its result must be awaited, or its outcome would be unknown. The status is LEDGER_UNAVAILABLE when there
+// was no result.
 func (c *Client) Do(ctx context.Context, operation *protocol.LedgerOperation) *protocol.LedgerResult {
-	return c.within(ctx, operationTimeout, operation)
+	return c.doWithTimeout(ctx, operationTimeout, operation)
 }
 
-func (c *Client) within(
+func (c *Client) doWithTimeout(
 	ctx context.Context, timeout time.Duration, operation *protocol.LedgerOperation,
 ) *protocol.LedgerResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
@@ -66,8 +66,8 @@
 	return result
 }
 
-// CheckReachable rejects what needs the ledger while a program's shard is out of reach: nothing has been
-// sent anywhere, and the caller learns at once when to come back. It is nil while the shard answers.
+// CheckReachable returns a failure while a program's shard is unreachable, and nil otherwise. It lets requests that
+// need the ledger be rejected at once with a retry delay, before anything has been sent.
 func (c *Client) CheckReachable(program string) *protocol.Failure {
 	if !c.ledger.Unreachable(program) {
 		return nil
@@ -75,8 +75,9 @@
 	return UnreachableFailure()
 }
 
-// CheckIsolation rejects a turn that needs the ledger while this front node is isolated from it and from
-// the other front nodes: it could not look up the turn's owner either. It is nil otherwise.
+// CheckIsolation returns a failure for a turn that needs the ledger while this front node is isolated, and nil
+// otherwise. An isolated front node reaches neither the ledger nor the other front nodes, so it could not look up the
+// turn's owner either.
 func (c *Client) CheckIsolation(request *protocol.TurnRequest) *protocol.Failure {
 	if !c.ledger.Isolated() || !turn.UsesLedger(request) {
 		return nil
@@ -84,13 +85,13 @@
 	return UnreachableFailure()
 }
 
-// UnreachableFailure is the rejection of what needs the ledger while that is out of reach.
+// UnreachableFailure returns the failure for requests that need the ledger while it is unreachable.
 func UnreachableFailure() *protocol.Failure {
 	return failure.New(failure.LedgerUnavailable, protocol.Outcome_NOT_RUN, "the ledger is out of reach",
 		failure.WithRetryAfter(RepairRetryAfter)).Failure
 }
 
-// Serve carries an operation out for another front node.
+// Serve executes an operation for another front node and sends it the result.
 func (c *Client) Serve(
 	ctx context.Context, operation *protocol.LedgerOperation, send func(*protocol.Response) error,
 ) error {
@@ -101,7 +102,7 @@
 	return send(&protocol.Response{Body: &protocol.Response_Ledger{Ledger: result}})
 }
 
-// ReadTurns reads a conversation of one program up to its last turn, oldest turn first.
+// ReadTurns reads the turns of a conversation within one program up to lastTurn, oldest first.
 func (c *Client) ReadTurns(
 	ctx context.Context, program, lastTurn string,
 ) ([]*protocol.Turn, protocol.LedgerStatus) {
@@ -134,14 +135,14 @@
 	return result.GetTurns()[0], protocol.LedgerStatus_LEDGER_OK
 }
 
-// readTurns reads at most limit turns of a program, from one back to those before it.
+// readTurns returns the operation that reads at most limit turns of a program, from last backwards.
 func readTurns(program, last string, limit uint32) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Program: program, Body: &protocol.LedgerOperation_ReadTurns{
 		ReadTurns: &protocol.ReadTurns{LastTurn: last, Limit: limit},
 	}}
 }
 
-// Reject puts the tombstone of a request, which never runs then.
+// Reject writes the tombstone of a request, which prevents it from ever running.
 func (c *Client) Reject(
 	ctx context.Context, program string, operation *protocol.RefuseRequest,
 ) *protocol.LedgerResult {
--- a/internal/dataplane/front/ledgerops/conversation.go
+++ b/internal/dataplane/front/ledgerops/conversation.go
@@ -7,25 +7,25 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Conversation is a conversation as the ledger retains it.
+// Conversation is a conversation read from the ledger.
 type Conversation struct {
-	// Turns are in the order in which they ran.
+	// Turns are in the order in which they ran, oldest first.
 	Turns []*protocol.Turn
-	// Program is that of the last turn.
+	// Program is the program of the last turn.
 	Program string
 	// Status is LEDGER_OK when the conversation is complete; Turns is empty otherwise.
 	Status protocol.LedgerStatus
 }
 
-// ReadConversation follows a conversation back from its last turn, over programs where a turn continues
-// one of another program. A turn that a program does not have is looked for in all others.
+// ReadConversation reads a conversation backwards from its last turn, across programs where a turn continues one of
+// another program. A turn that is missing in its program is looked up in all programs.
 func (c *Client) ReadConversation(ctx context.Context, program, lastTurn string) Conversation {
 	conversation := Conversation{Program: program, Status: protocol.LedgerStatus_LEDGER_OK}
 	for next := lastTurn; next != ""; {
 		page, status := c.readPage(ctx, program, next)
 		if status == protocol.LedgerStatus_LEDGER_TURN_MISSING ||
 			status == protocol.LedgerStatus_LEDGER_UNKNOWN_PROGRAM {
-			page, status = c.findForeign(ctx, next)
+			page, status = c.findInAllPrograms(ctx, next)
 		}
 		if status != protocol.LedgerStatus_LEDGER_OK {
 			return Conversation{Status: status}
@@ -46,29 +46,30 @@
 
 // readPage reads turns of one program, newest first.
 func (c *Client) readPage(ctx context.Context, program, last string) ([]*protocol.Turn, protocol.LedgerStatus) {
-	return foundTurns(c.within(ctx, conversationTimeout, readTurns(program, last, pageTurns)))
+	return turnsOf(c.doWithTimeout(ctx, conversationTimeout, readTurns(program, last, pageTurns)))
 }
 
-// findForeign looks a turn up in all programs.
-func (c *Client) findForeign(ctx context.Context, id string) ([]*protocol.Turn, protocol.LedgerStatus) {
-	return foundTurns(c.within(ctx, conversationTimeout, &protocol.LedgerOperation{
+// findInAllPrograms looks up a turn in all programs.
+func (c *Client) findInAllPrograms(ctx context.Context, id string) ([]*protocol.Turn, protocol.LedgerStatus) {
+	return turnsOf(c.doWithTimeout(ctx, conversationTimeout, &protocol.LedgerOperation{
 		Program: id, Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: id}},
 	}))
 }
 
-// foundTurns reads a result; one without turns means that the turn is missing.
-func foundTurns(result *protocol.LedgerResult) ([]*protocol.Turn, protocol.LedgerStatus) {
+// turnsOf returns the turns and the status of a result. A successful result without turns means that the turn is
+// missing.
+func turnsOf(result *protocol.LedgerResult) ([]*protocol.Turn, protocol.LedgerStatus) {
 	if result.GetStatus() == protocol.LedgerStatus_LEDGER_OK && len(result.GetTurns()) == 0 {
 		return nil, protocol.LedgerStatus_LEDGER_TURN_MISSING
 	}
 	return result.GetTurns(), result.GetStatus()
 }
 
-// Items joins the inputs and outputs of turns, in the order of the turns.
+// Items concatenates the inputs and outputs of turns, in the order of the turns.
 func Items(turns []*protocol.Turn) []*protocol.Item {
 	var items []*protocol.Item
-	for _, each := range turns {
-		items = append(append(items, each.GetInput()...), each.GetOutput()...)
+	for _, turn := range turns {
+		items = append(append(items, turn.GetInput()...), turn.GetOutput()...)
 	}
 	return items
 }
--- a/internal/dataplane/front/ledgerops/doc.go
+++ b/internal/dataplane/front/ledgerops/doc.go
@@ -1,5 +1,5 @@
-// Package ledgerops carries out what a front node needs of the program ledger:
-// single operations within a time-out, conversations read back over pages and
-// programs, the tombstones of rejected requests, and the end of reservations
-// whose owners were lost. The ledger decides; this package keeps no state.
+// Package ledgerops executes a front node's operations on the program ledger: single
+// operations with a time-out, reads of conversations over several pages and
+// programs, tombstones of rejected requests, and charging of reservations whose
+// owners were lost. It keeps no state; the ledger is authoritative.
 package ledgerops
--- a/internal/dataplane/front/ledgerops/lost_reservations.go
+++ b/internal/dataplane/front/ledgerops/lost_reservations.go
@@ -6,9 +6,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ChargeLostReservations ends the open reservations of a program whose owners are members no more: it
-// claims their sessions for this node's incarnation, at which the ledger charges what was reserved under
-// the former epoch. It reports whether one was charged.
+// ChargeLostReservations charges the open reservations of a program whose owners are no longer members. It claims their
+// sessions for this node's incarnation, whereupon the ledger charges what was reserved under the previous epoch. It
+// reports whether any session was claimed.
 func (c *Client) ChargeLostReservations(
 	ctx context.Context, record *protocol.ProgramRecord, incarnation uint64,
 ) bool {
@@ -24,11 +24,11 @@
 	return charged
 }
 
-// lostSessions names the sessions that have reservations and whose owner is a member no more.
+// lostSessions returns the sessions that have reservations and whose owner is no longer a member.
 func lostSessions(record *protocol.ProgramRecord, members *protocol.MembershipView) []string {
 	reserving := make(map[string]bool)
-	for _, open := range record.GetReservations() {
-		reserving[open.GetSession()] = true
+	for _, reservation := range record.GetReservations() {
+		reserving[reservation.GetSession()] = true
 	}
 	var lost []string
 	for _, session := range record.GetSessions() {
--- a/internal/dataplane/front/sessions/cache.go
+++ b/internal/dataplane/front/sessions/cache.go
@@ -9,65 +9,66 @@
 )
 
 const (
-	// maxHistoryBytes bounds the conversations in the cache.
+	// maxHistoryBytes limits the estimated size of the cached sessions and their conversations.
 	maxHistoryBytes = 64 << 20
-	// maxRecentEvents bounds the events retained of turns that ended, for readers that come back.
+	// maxRecentEvents limits the number of events retained for ended turns, whose readers may reconnect; recentTurnTTL
+	// limits how long they are retained.
 	maxRecentEvents = 100_000
 	recentTurnTTL   = time.Minute
-	sessionBytes    = 512
+	// sessionBytes is the estimated size of one cached session without its history.
+	sessionBytes = 512
 )
 
-// Key names a session of a program.
+// Key identifies a session of a program.
 type Key struct {
 	Session string
 	Program string
 }
 
-// sessionState is what the owner caches of one session. The ledger has the truth: all of it may be dropped
-// at any time.
+// sessionState is the cached state of one session at its owner. The ledger is authoritative, so all of it except a turn
+// in progress may be dropped at any time.
 type sessionState struct {
 	key Key
-	// tenant, incarnation and epoch are those of the claim; an epoch of zero is none.
+	// tenant, incarnation and epoch describe the session's claim; an epoch of zero means that there is none.
 	tenant      string
 	incarnation uint64
 	epoch       uint64
-	// lastTurn is the turn that history leads up to; empty when no history is cached.
-	lastTurn      string
-	history       []*protocol.Item
-	historyTokens uint64
-	historyBytes  int
-	lastBackEnd   string
-	live          *TurnLog
-	used          *list.Element
+	// lastTurn is the last turn of history; empty when no history is cached.
+	lastTurn       string
+	history        []*protocol.Item
+	historyTokens  uint64
+	historyBytes   int
+	lastBackEnd    string
+	inProgress     *TurnLog
+	recencyElement *list.Element
 }
 
-// Claim is a session's epoch as claimed by this process; Known is false without one.
+// Claim is the epoch of a session that this process claimed; Known is false when it has claimed none.
 type Claim struct {
 	Epoch uint64
 	Known bool
 }
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock interface{ Now() time.Time }
 
-// Cache has the sessions that this front node owns and the turns in progress or ended recently. The loop's
-// goroutine owns its tables; its methods may be called from any goroutine. They do nothing once it is
-// stopped.
+// Cache holds the sessions that this front node owns, and the logs of turns that are in progress or ended recently. The
+// loop's goroutine owns its tables; its methods are safe for concurrent use and do nothing once it is stopped.
 type Cache struct {
-	loop       *commandloop.Loop
-	clock      Clock
-	bySession  map[string]map[string]*sessionState
-	recency    *list.List
-	bytes      int
-	recent     map[string]*list.Element
-	ended      *list.List
-	endedTotal int
+	loop        *commandloop.Loop
+	clock       Clock
+	bySession   map[string]map[string]*sessionState
+	recency     *list.List
+	bytes       int
+	ended       map[string]*list.Element
+	endedOrder  *list.List
+	endedEvents int
 }
 
 type endedTurn struct {
-	turn   *TurnLog
-	events int
-	at     time.Time
+	turn    *TurnLog
+	events  int
+	endedAt time.Time
 }
 
 // NewCache returns an empty cache and starts its goroutine, which Stop ends.
@@ -75,14 +76,14 @@
 	return &Cache{
 		loop: commandloop.New(), clock: clock,
 		bySession: make(map[string]map[string]*sessionState), recency: list.New(),
-		recent: make(map[string]*list.Element), ended: list.New(),
+		ended: make(map[string]*list.Element), endedOrder: list.New(),
 	}
 }
 
-// Stop ends the store's goroutine.
+// Stop ends the cache's goroutine.
 func (s *Cache) Stop() { s.loop.Stop() }
 
-// state returns the state of a session as the one used last; it makes one when there is none.
+// state returns the state of a session, which it creates if there is none, and marks it as the most recently used.
 func (s *Cache) state(key Key) *sessionState {
 	programs := s.bySession[key.Session]
 	if programs == nil {
@@ -92,11 +93,11 @@
 	state := programs[key.Program]
 	if state == nil {
 		state = &sessionState{key: key}
-		state.used = s.recency.PushFront(state)
+		state.recencyElement = s.recency.PushFront(state)
 		programs[key.Program] = state
 		s.bytes += sessionBytes
 	}
-	s.recency.MoveToFront(state.used)
+	s.recency.MoveToFront(state.recencyElement)
 	return state
 }
 
@@ -104,29 +105,30 @@
 	return s.bySession[key.Session][key.Program]
 }
 
-// Begin puts a turn in progress in its session. It returns another turn instead when one is in progress,
-// or when the same turn was completed recently; nil once the store is stopped.
+// Begin registers a turn as the one in progress in its session and returns it. If another turn is in progress, or the
+// same turn was completed recently, it returns the log of that one instead and begun is false. The log is nil once the
+// cache is stopped.
 func (s *Cache) Begin(key Key, turn *TurnLog) (current *TurnLog, begun bool) {
 	s.loop.Do(func() {
 		state := s.state(key)
-		if state.live != nil {
-			current = state.live
+		if state.inProgress != nil {
+			current = state.inProgress
 			return
 		}
-		if element := s.recent[turn.TurnID]; element != nil && element.Value.(*endedTurn).turn.last().GetCompleted() != nil {
+		if element := s.ended[turn.TurnID]; element != nil && element.Value.(*endedTurn).turn.last().GetCompleted() != nil {
 			current = element.Value.(*endedTurn).turn
 			return
 		}
-		state.live, current, begun = turn, turn, true
+		state.inProgress, current, begun = turn, turn, true
 	})
 	return current, begun
 }
 
-// Finish takes a turn out of its session and retains its events for readers that come back.
+// Finish removes an ended turn from its session and retains its events for readers that reconnect.
 func (s *Cache) Finish(key Key, turn *TurnLog) {
 	s.loop.Post(func() {
-		if state := s.find(key); state != nil && state.live == turn {
-			state.live = nil
+		if state := s.find(key); state != nil && state.inProgress == turn {
+			state.inProgress = nil
 		}
 		s.retainEnded(turn)
 		s.evict()
@@ -134,16 +136,16 @@
 }
 
 func (s *Cache) retainEnded(turn *TurnLog) {
-	entry := &endedTurn{turn: turn, events: turn.size(), at: s.clock.Now()}
-	if former := s.recent[turn.TurnID]; former != nil {
+	entry := &endedTurn{turn: turn, events: turn.size(), endedAt: s.clock.Now()}
+	if former := s.ended[turn.TurnID]; former != nil {
 		s.evictEnded(former)
 	}
-	s.recent[turn.TurnID] = s.ended.PushBack(entry)
-	s.endedTotal += entry.events
-	for s.ended.Len() > 0 {
-		oldest := s.ended.Front()
+	s.ended[turn.TurnID] = s.endedOrder.PushBack(entry)
+	s.endedEvents += entry.events
+	for s.endedOrder.Len() > 0 {
+		oldest := s.endedOrder.Front()
 		entry := oldest.Value.(*endedTurn)
-		if s.endedTotal <= maxRecentEvents && s.clock.Now().Sub(entry.at) <= recentTurnTTL {
+		if s.endedEvents <= maxRecentEvents && s.clock.Now().Sub(entry.endedAt) <= recentTurnTTL {
 			return
 		}
 		s.evictEnded(oldest)
@@ -152,23 +154,23 @@
 
 func (s *Cache) evictEnded(element *list.Element) {
 	entry := element.Value.(*endedTurn)
-	s.ended.Remove(element)
-	s.endedTotal -= entry.events
-	delete(s.recent, entry.turn.TurnID)
+	s.endedOrder.Remove(element)
+	s.endedEvents -= entry.events
+	delete(s.ended, entry.turn.TurnID)
 }
 
-// FindTurn returns a turn in progress, or ended recently, by its id; nil when there is none.
-func (s *Cache) FindTurn(key Key, turnID string) (live *TurnLog) {
+// FindTurn returns the log of a turn that is in progress or ended recently, or nil when there is none.
+func (s *Cache) FindTurn(key Key, turnID string) (log *TurnLog) {
 	s.loop.Do(func() {
-		if state := s.find(key); state != nil && state.live != nil && state.live.TurnID == turnID {
-			live = state.live
+		if state := s.find(key); state != nil && state.inProgress != nil && state.inProgress.TurnID == turnID {
+			log = state.inProgress
 			return
 		}
-		if element := s.recent[turnID]; element != nil {
-			live = element.Value.(*endedTurn).turn
+		if element := s.ended[turnID]; element != nil {
+			log = element.Value.(*endedTurn).turn
 		}
 	})
-	return live
+	return log
 }
 
 // FindClaim returns the epoch claimed for a session under an incarnation.
@@ -182,7 +184,7 @@
 	return current
 }
 
-// RecordClaim caches an epoch.
+// RecordClaim caches the epoch claimed for a session.
 func (s *Cache) RecordClaim(key Key, tenant string, incarnation, epoch uint64) {
 	s.loop.Post(func() {
 		state := s.state(key)
@@ -190,14 +192,14 @@
 	})
 }
 
-// History is a conversation up to one turn; Known is false when it is not cached.
+// History is a conversation up to and including one turn; Known is false when it is not cached.
 type History struct {
 	Items  []*protocol.Item
 	Tokens uint64
 	Known  bool
 }
 
-// FindHistory returns the cached conversation of a session if it ends with a turn.
+// FindHistory returns the cached conversation of a session if lastTurn is its last turn.
 func (s *Cache) FindHistory(key Key, lastTurn string) (history History) {
 	s.loop.Do(func() {
 		state := s.find(key)
@@ -208,12 +210,12 @@
 	return history
 }
 
-// RecordCommit extends a session's history, which was before, by a retained turn.
-func (s *Cache) RecordCommit(key Key, retained *protocol.Turn, before []*protocol.Item) {
+// RecordCommit caches a session's history: the items before a retained turn, followed by those of the turn.
+func (s *Cache) RecordCommit(key Key, retained *protocol.Turn, previous []*protocol.Item) {
 	s.loop.Post(func() {
 		state := s.state(key)
-		items := make([]*protocol.Item, 0, len(before)+len(retained.GetInput())+len(retained.GetOutput()))
-		items = append(append(append(items, before...), retained.GetInput()...), retained.GetOutput()...)
+		items := make([]*protocol.Item, 0, len(previous)+len(retained.GetInput())+len(retained.GetOutput()))
+		items = append(append(append(items, previous...), retained.GetInput()...), retained.GetOutput()...)
 		s.bytes -= state.historyBytes
 		state.history, state.historyTokens = items, retained.GetHistoryTokens()
 		state.historyBytes = itemBytes(items)
@@ -231,7 +233,7 @@
 	return total
 }
 
-// LastBackEnd is the id of the server of the session's last turn; empty when it is not known.
+// LastBackEnd returns the id of the server of the session's last turn, or "" when it is not cached.
 func (s *Cache) LastBackEnd(key Key) (last string) {
 	s.loop.Do(func() {
 		if state := s.find(key); state != nil {
@@ -241,12 +243,12 @@
 	return last
 }
 
-// Forget drops what is cached of a session of one program, except a turn in progress.
+// Forget drops the cached state of a session of one program, except a turn in progress.
 func (s *Cache) Forget(key Key) {
 	s.loop.Post(func() { s.drop(s.find(key)) })
 }
 
-// Yield drops a session that this front node no longer owns.
+// Yield drops a session that this front node no longer owns, in all programs.
 func (s *Cache) Yield(session string) {
 	s.loop.Post(func() {
 		for _, state := range s.bySession[session] {
@@ -261,11 +263,11 @@
 	}
 	s.bytes -= state.historyBytes
 	state.epoch, state.lastTurn, state.history, state.historyBytes = 0, "", nil, 0
-	if state.live != nil {
+	if state.inProgress != nil {
 		return
 	}
 	s.bytes -= sessionBytes
-	s.recency.Remove(state.used)
+	s.recency.Remove(state.recencyElement)
 	programs := s.bySession[state.key.Session]
 	delete(programs, state.key.Program)
 	if len(programs) == 0 {
@@ -273,12 +275,12 @@
 	}
 }
 
-// evict drops the sessions used longest ago while the cache exceeds its bound.
+// evict drops the least recently used sessions without a turn in progress while the cache exceeds maxHistoryBytes.
 func (s *Cache) evict() {
 	for element := s.recency.Back(); element != nil && s.bytes > maxHistoryBytes; {
 		state := element.Value.(*sessionState)
 		element = element.Prev()
-		if state.live == nil {
+		if state.inProgress == nil {
 			s.drop(state)
 		}
 	}
--- a/internal/dataplane/front/sessions/doc.go
+++ b/internal/dataplane/front/sessions/doc.go
@@ -1,6 +1,6 @@
-// Package sessions holds what the owner of sessions caches of them: claimed
-// epochs, histories, the turn in progress, and the event logs that readers of a
-// turn follow, also for a while after its end. The ledger has the truth; nothing
-// here needs to survive the process. A Store's goroutine owns its tables, a
-// TurnLog has a mutex of its own.
+// Package sessions is the cache of a front node for the sessions that it owns:
+// claimed epochs, conversation histories, the turn in progress, and the event logs
+// that readers of a turn follow, which are kept for some time after the turn's
+// end. The ledger is authoritative; nothing here needs to survive the process. The
+// goroutine of a Cache owns its tables; each TurnLog has a mutex.
 package sessions
--- a/internal/dataplane/front/sessions/stop_error.go
+++ b/internal/dataplane/front/sessions/stop_error.go
@@ -4,7 +4,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/turn"
 )
 
-// StopError is the cause with which a turn's context is cancelled.
+// StopError is the cancellation cause of a turn's context.
 type StopError struct {
 	Reason turn.StopReason
 }
@@ -21,7 +21,7 @@
 	}
 }
 
-// Causes of a cancelled context.
+// Cancellation causes of a turn's context.
 var (
 	ErrCallerDisconnected = &StopError{Reason: turn.StopCallerDisconnected}
 	ErrDeadline           = &StopError{Reason: turn.StopDeadline}
--- a/internal/dataplane/front/sessions/turn_log.go
+++ b/internal/dataplane/front/sessions/turn_log.go
@@ -8,18 +8,18 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// maxReaderLag is how many events a reader may be behind before it is disconnected.
+// maxReaderLag is the number of events that a reader may lag behind before it is disconnected.
 const maxReaderLag = 1024
 
-// TurnLog is a turn in progress, or ended recently, at its owner: the log of its events, which any number
-// of readers follow at their own pace. The mutex guards the log and the readers.
+// TurnLog is the event log of a turn that is in progress or ended recently. Any number of readers follow it at their
+// own pace. The mutex guards the events and the readers.
 type TurnLog struct {
 	TurnID    string
 	RequestID string
 	session   string
 	program   string
 	Tenant    string
-	// background turns go on without readers.
+	// background is set for a turn that continues without readers.
 	background bool
 	cancel     context.CancelCauseFunc
 
@@ -30,15 +30,17 @@
 	changed chan struct{}
 }
 
-// reader follows a turn. The turn's mutex guards its fields.
+// reader is one reader of a TurnLog, whose mutex guards the fields.
 type reader struct {
-	// position is the number of events that it has sent on, or that were there when it was attached.
+	// position is the number of events that the reader has forwarded, but at least the number of events that the log
+	// had when the reader was attached.
 	position int
-	// tooSlow is set when it has fallen too far behind; it gets no more events.
+	// tooSlow is set when the reader lags behind by more than maxReaderLag; it gets no more events.
 	tooSlow bool
 }
 
-// NewTurnLog makes the log of a turn; cancel is called when nobody reads it any more.
+// NewTurnLog returns the log of a turn. cancel is called when the turn has no readers left and is not in the
+// background.
 func NewTurnLog(request *protocol.TurnRequest, turnID string, cancel context.CancelCauseFunc) *TurnLog {
 	return &TurnLog{
 		TurnID: turnID, RequestID: request.GetRequestId(), session: request.GetSession(), program: request.GetProgram(),
@@ -47,8 +49,8 @@
 	}
 }
 
-// Append adds an event; a terminal one ends the turn for its readers. A turn whose readers are all too far
-// behind is cancelled at once, also while one of them blocks in a write.
+// Append adds an event; a terminal event ends the log, and later ones are dropped. A turn whose readers are all too
+// slow is cancelled at once, even while one of them blocks in a write.
 func (l *TurnLog) Append(event *protocol.TurnEvent) {
 	l.mutex.Lock()
 	if l.ended {
@@ -66,7 +68,7 @@
 	}
 }
 
-// markSlow marks the readers that are too far behind and reports whether one was.
+// markSlow marks the readers that lag too far behind and reports whether it marked any.
 func (l *TurnLog) markSlow() bool {
 	marked := false
 	for reader := range l.readers {
@@ -77,8 +79,8 @@
 	return marked
 }
 
-// isAbandoned reports whether a turn goes on without a reader that should have one; the caller holds the
-// mutex.
+// isAbandoned reports whether a turn that needs a reader is still in progress and all its readers have left or are too
+// slow; the caller holds the mutex.
 func (l *TurnLog) isAbandoned() bool {
 	for reader := range l.readers {
 		if !reader.tooSlow {
@@ -88,7 +90,7 @@
 	return !l.ended && !l.background
 }
 
-// End makes sure that readers do not wait for ever.
+// End appends a failure unless the log has a terminal event, so that no reader waits forever.
 func (l *TurnLog) End() {
 	l.mutex.Lock()
 	ended := l.ended
@@ -107,7 +109,7 @@
 	return l.events[len(l.events)-1]
 }
 
-// lostEvent ends a stream whose state machine ended without a terminal event.
+// lostEvent returns the terminal event for a turn whose state machine ended without one.
 func lostEvent(last *protocol.TurnEvent) *protocol.TurnEvent {
 	return &protocol.TurnEvent{
 		Attempt: max(last.GetAttempt(), 1), Sequence: last.GetSequence() + 1,
@@ -130,45 +132,45 @@
 	return added
 }
 
-// detach removes a reader; without any, a turn that is not in the background is cancelled.
-func (l *TurnLog) detach(left *reader) {
+// detach removes a reader. When no reader is left, a turn that is not in the background is cancelled.
+func (l *TurnLog) detach(removed *reader) {
 	l.mutex.Lock()
-	delete(l.readers, left)
-	alone := l.isAbandoned()
+	delete(l.readers, removed)
+	abandoned := l.isAbandoned()
 	l.mutex.Unlock()
-	if alone {
+	if abandoned {
 		l.cancel(ErrCallerDisconnected)
 	}
 }
 
-// advance records that a reader has sent on the events up to a position; it reports false for one that is
-// too slow.
-func (l *TurnLog) advance(by *reader, position int) bool {
+// advance records that a reader has forwarded the events up to a position; it returns false if the reader is too slow.
+func (l *TurnLog) advance(r *reader, position int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	by.position = max(by.position, position)
-	return !by.tooSlow
+	r.position = max(r.position, position)
+	return !r.tooSlow
 }
 
-// eventsFrom returns the events from a position on, and a channel that is closed when there are more.
+// eventsFrom returns the events from a position on, whether the log has ended, and a channel that is closed when an
+// event is added.
 func (l *TurnLog) eventsFrom(position int) (events []*protocol.TurnEvent, ended bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.events[position:len(l.events):len(l.events)], l.ended, l.changed
 }
 
-// size is the number of events in the log.
+// size returns the number of events in the log.
 func (l *TurnLog) size() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.events)
 }
 
-// Follow sends the events after a cursor, one by one, until the turn or the context ends. The error is
-// that of send or of the context, or a SlowReader failure.
+// Follow calls send for each event after a cursor, until the turn or the context ends. The error is that of send or of
+// the context, or a SlowReader failure.
 func (l *TurnLog) Follow(ctx context.Context, after Cursor, send func(*protocol.TurnEvent) error) error {
-	self := l.attach()
-	defer l.detach(self)
+	attached := l.attach()
+	defer l.detach(attached)
 	position := 0
 	for {
 		events, ended, changed := l.eventsFrom(position)
@@ -179,7 +181,7 @@
 				}
 			}
 			position++
-			if !l.advance(self, position) {
+			if !l.advance(attached, position) {
 				return failure.New(failure.SlowReader, protocol.Outcome_RAN, "events were not read in time")
 			}
 		}
@@ -194,13 +196,13 @@
 	}
 }
 
-// Cursor is the position of the last event that a reader has seen; zero is before the first.
+// Cursor is the position of the last event that a reader has received; the zero Cursor is before the first event.
 type Cursor struct {
 	Attempt  uint32
 	Sequence uint64
 }
 
-// Seen reports whether the event lies at or before the cursor.
+// Seen reports whether the event is at or before the cursor.
 func (c Cursor) Seen(event *protocol.TurnEvent) bool {
 	if event.GetAttempt() != c.Attempt {
 		return event.GetAttempt() < c.Attempt
@@ -208,7 +210,7 @@
 	return event.GetSequence() <= c.Sequence
 }
 
-// Follows reports whether the event is the next one: the next of its attempt, or the first of a later one.
+// Follows reports whether the event is the next one: the next of the same attempt, or the first of a later attempt.
 func (c Cursor) Follows(event *protocol.TurnEvent) bool {
 	if event.GetAttempt() == c.Attempt {
 		return event.GetSequence() == c.Sequence+1
--- a/internal/dataplane/front/versionpin/resolver.go
+++ b/internal/dataplane/front/versionpin/resolver.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// StepPath is the path of a failure that concerns the training step of a request.
+	// StepPath is the path in failures that concern the training step of a request.
 	StepPath = "training_step"
 
-	// maxCachedPins bounds the cache, and pinCacheTTL the time until the ledger is asked again.
+	// maxCachedPins limits the number of cached pins, pinCacheTTL the time until a pin is read from the ledger again.
 	maxCachedPins = 1024
 	pinCacheTTL   = 10 * time.Minute
-	// pinRetention is how long the ledger retains the pin of a step that nobody reads.
+	// pinRetention is how long the ledger retains the pin of a step that is no longer read.
 	pinRetention = 7 * 24 * time.Hour
-	// versionRetryAfter is what a caller is told to wait while no server has the version of a step: a server
-	// starts or loads weights in some seconds.
+	// versionRetryAfter is the retry delay sent to callers while no server has the version of a step: a server starts
+	// or loads weights in some seconds.
 	versionRetryAfter = time.Second
 )
 
-// Ledger carries out operations of the program ledger.
+// Ledger executes operations on the program ledger.
 type Ledger interface {
 	CheckReachable(program string) *protocol.Failure
 	Do(ctx context.Context, operation *protocol.LedgerOperation) *protocol.LedgerResult
@@ -47,7 +47,7 @@
 
 // entry is a pin in the cache, or one that is being resolved.
 type entry struct {
-	// resolved is closed once pin or rejection is set.
+	// resolved is closed once either pin or rejection is set.
 	resolved    chan struct{}
 	pin         *backends.VersionPin
 	rejection   *protocol.Failure
@@ -60,36 +60,36 @@
 	Node   string
 	Now    func() time.Time
 	Ledger Ledger
-	// Servers are the back ends of the view in force.
+	// Servers returns the back ends of the current view.
 	Servers func() *backends.Set
-	// Pinned counts the pins that the ledger gave.
+	// Pinned counts the pins that the ledger returned.
 	Pinned prometheus.Counter
 }
 
-// Resolver finds the pins of training steps and caches them. The ledger's register of a step never
-// changes, so that what is cached stays true. The mutex guards the cache.
+// Resolver resolves the pins of training steps and caches them. The ledger's register for a step never changes, so
+// cached pins do not become stale. The mutex guards the cache.
 type Resolver struct {
 	options Options
 	mutex   sync.Mutex
 	entries map[Key]*entry
-	// order has the choices from the one that was requested first.
+	// order lists the keys of entries, oldest first.
 	order []Key
 }
 
-// NewResolver makes a resolver with an empty cache.
+// NewResolver returns a resolver with an empty cache.
 func NewResolver(options Options) *Resolver {
 	return &Resolver{options: options, entries: make(map[Key]*entry)}
 }
 
-// Resolve returns the version that is pinned for a step, or pins the one that the servers of the group
-// announce. Requests of one choice share one operation of the ledger.
+// Resolve returns the version that is pinned for a step. If none is pinned, it pins the one that the servers of the
+// group announce. Concurrent requests for one key share one ledger operation.
 func (r *Resolver) Resolve(
-	ctx context.Context, choice Key, group string,
+	ctx context.Context, key Key, group string,
 ) (*backends.VersionPin, *protocol.Failure) {
-	current, made := r.entry(choice)
-	if made {
-		pin, rejection := r.pin(ctx, choice, group)
-		r.finish(choice, current, pin, rejection)
+	current, created := r.entry(key)
+	if created {
+		pin, rejection := r.pin(ctx, key, group)
+		r.finish(key, current, pin, rejection)
 	}
 	select {
 	case <-current.resolved:
@@ -103,26 +103,26 @@
 	return current.pin, r.checkGroup(current.pin, group)
 }
 
-// entry returns the entry of a choice, or makes one, which the caller must then finish.
-func (r *Resolver) entry(choice Key) (current *entry, made bool) {
+// entry returns the entry of a key. If it reports created, the caller must resolve the entry and call finish.
+func (r *Resolver) entry(key Key) (current *entry, created bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
-	if existing := r.entries[choice]; existing != nil && now.Sub(existing.requestedAt) < pinCacheTTL {
+	if existing := r.entries[key]; existing != nil && now.Sub(existing.requestedAt) < pinCacheTTL {
 		return existing, false
 	}
-	r.remove(choice)
+	r.remove(key)
 	current = &entry{resolved: make(chan struct{}), requestedAt: now}
-	r.entries[choice] = current
-	r.order = append(r.order, choice)
+	r.entries[key] = current
+	r.order = append(r.order, key)
 	if len(r.order) > maxCachedPins {
 		r.remove(r.order[0])
 	}
 	return current, true
 }
 
-// finish gives the outcome to all who wait for it. A rejection is not cached.
-func (r *Resolver) finish(choice Key, current *entry, pin *backends.VersionPin, rejection *protocol.Failure) {
+// finish sets the result of an entry and wakes the requests that wait for it. A rejection is not cached.
+func (r *Resolver) finish(key Key, current *entry, pin *backends.VersionPin, rejection *protocol.Failure) {
 	current.pin, current.rejection = pin, rejection
 	close(current.resolved)
 	if rejection == nil {
@@ -130,54 +130,54 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.entries[choice] == current {
-		r.remove(choice)
+	if r.entries[key] == current {
+		r.remove(key)
 	}
 }
 
-// remove drops an entry; the caller holds the mutex.
-func (r *Resolver) remove(choice Key) {
-	if r.entries[choice] == nil {
+// remove deletes an entry, if there is one; the caller holds the mutex.
+func (r *Resolver) remove(key Key) {
+	if r.entries[key] == nil {
 		return
 	}
-	delete(r.entries, choice)
-	at := slices.Index(r.order, choice)
-	r.order = slices.Delete(r.order, at, at+1)
+	delete(r.entries, key)
+	index := slices.Index(r.order, key)
+	r.order = slices.Delete(r.order, index, index+1)
 }
 
-// pin asks the ledger for the pin of a step and proposes a version for a step without one.
-func (r *Resolver) pin(ctx context.Context, choice Key, group string) (*backends.VersionPin, *protocol.Failure) {
+// pin requests the pin of a step from the ledger and proposes a version in case the step has none.
+func (r *Resolver) pin(ctx context.Context, key Key, group string) (*backends.VersionPin, *protocol.Failure) {
 	announcements := r.options.Servers().Announcements(group)
-	model := cmp.Or(choice.Model, trainingstep.GroupModel(announcements))
+	model := cmp.Or(key.Model, trainingstep.GroupModel(announcements))
 	proposed := trainingstep.ProposeVersion(model, announcements)
 	if proposed == 0 {
 		return nil, notAnnounced(group)
 	}
-	program := ledger.TrainingStepProgram(choice.Step)
+	program := ledger.TrainingStepProgram(key.Step)
 	if rejection := r.options.Ledger.CheckReachable(program); rejection != nil {
 		return nil, rejection
 	}
 	result := r.options.Ledger.Do(ctx, &protocol.LedgerOperation{
 		Program: program, Body: &protocol.LedgerOperation_PinTrainingStep{PinTrainingStep: &protocol.PinTrainingStep{
-			Step: choice.Step, Model: model, WeightVersion: proposed, Owner: r.options.Node,
+			Step: key.Step, Model: model, WeightVersion: proposed, Owner: r.options.Node,
 			KeepingMillis: pinRetention.Milliseconds(),
 		}},
 	})
 	switch result.GetStatus() {
 	case protocol.LedgerStatus_LEDGER_OK, protocol.LedgerStatus_LEDGER_STEP_MISMATCH:
-		// A step of another model may still be of one of the group's models.
+		// A step that is pinned to another model than the proposed one may still use one of the group's models.
 		pin := result.GetTrainingStepPin()
-		if pin == nil || choice.Model != "" && choice.Model != pin.GetModel() {
-			return nil, mismatch()
+		if pin == nil || key.Model != "" && key.Model != pin.GetModel() {
+			return nil, stepMismatch()
 		}
 		r.options.Pinned.Inc()
-		return &backends.VersionPin{Step: choice.Step, Model: pin.GetModel(), Version: pin.GetWeightVersion()}, nil
+		return &backends.VersionPin{Step: key.Step, Model: pin.GetModel(), Version: pin.GetWeightVersion()}, nil
 	default:
 		return nil, ledgerops.UnreachableFailure()
 	}
 }
 
-// checkGroup rejects a step in a group that has other models only.
+// checkGroup returns a failure unless some server of the group announces the pinned model.
 func (r *Resolver) checkGroup(pin *backends.VersionPin, group string) *protocol.Failure {
 	announcements := r.options.Servers().Announcements(group)
 	for _, announced := range announcements {
@@ -186,18 +186,18 @@
 		}
 	}
 	if trainingstep.GroupModel(announcements) != "" {
-		return mismatch()
+		return stepMismatch()
 	}
 	return notAnnounced(group)
 }
 
-// copyFailure lets several turns have one failure: each may change its own.
+// copyFailure returns a copy of a failure that several turns share, because a turn may modify its failure.
 func copyFailure(f *protocol.Failure) *protocol.Failure {
 	return failure.New(failure.Code(f.GetCode()), f.GetOutcome(), f.GetMessage(), failure.WithPath(f.GetPath()),
 		failure.WithRetryAfter(time.Duration(f.GetRetryAfterMillis())*time.Millisecond)).Failure
 }
 
-func mismatch() *protocol.Failure {
+func stepMismatch() *protocol.Failure {
 	return failure.New(failure.StepMismatch, protocol.Outcome_NOT_RUN, "the training step is of another model",
 		failure.WithPath(StepPath)).Failure
 }
@@ -206,7 +206,7 @@
 	return Unavailable(fmt.Sprintf("no server of group %s announces the version of its weights", group))
 }
 
-// Unavailable is the rejection of a generation for whose version there is no server.
+// Unavailable returns the failure for a generation for whose version there is no server.
 func Unavailable(message string) *protocol.Failure {
 	return failure.New(failure.StepVersionUnavailable, protocol.Outcome_NOT_RUN, message, failure.WithPath(StepPath),
 		failure.WithRetryAfter(versionRetryAfter)).Failure
