--- a/internal/dataplane/front/callerapi/answers.go
+++ b/internal/dataplane/front/callerapi/answers.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ResponseObject is a turn as callers see it.
+// ResponseObject is the JSON form of a turn.
 type ResponseObject struct {
 	ID                 string          `json:"id"`
 	Object             string          `json:"object"`
@@ -43,7 +43,7 @@
 	CachedTokens uint64 `json:"cached_tokens"`
 }
 
-// provenance says where an answer comes from.
+// provenance identifies the request and the back end, owner, bundle and attempt that produced an answer.
 type provenance struct {
 	RequestID     string `json:"request_id"`
 	Nonce         string `json:"nonce,omitempty"`
@@ -54,7 +54,7 @@
 	Attempt       uint32 `json:"attempt,omitempty"`
 }
 
-// CallObject is the answer to a tool call.
+// CallObject is the JSON form of the answer to a tool call.
 type CallObject struct {
 	RequestID string          `json:"request_id"`
 	Status    uint32          `json:"status"`
@@ -68,7 +68,7 @@
 	responseKind     = "response"
 )
 
-// TurnView builds the answer to a turn from its events. One goroutine uses it.
+// TurnView builds the answer to a turn from its events. It is not safe for concurrent use.
 type TurnView struct {
 	request *protocol.TurnRequest
 	created *protocol.TurnCreated
@@ -83,10 +83,10 @@
 	}
 }
 
-// NewTurnView makes the view of a turn without events.
+// NewTurnView returns the view of a turn that has no events yet.
 func NewTurnView(request *protocol.TurnRequest) *TurnView { return &TurnView{request: request} }
 
-// InProgressObject is a turn that has no answer yet.
+// InProgressObject returns the object of a turn that has no answer yet.
 func InProgressObject(id, requestID, conversation, program string) ResponseObject {
 	return ResponseObject{
 		ID: id, Object: responseKind, Status: statusInProgress, Conversation: conversation, Program: program,
@@ -94,7 +94,7 @@
 	}
 }
 
-// NewCallObject is the answer of a response without a failure.
+// NewCallObject returns the answer to a tool call that did not fail.
 func NewCallObject(request *protocol.ToolCallRequest, response *protocol.ToolCallResponse) CallObject {
 	return CallObject{
 		RequestID: request.GetRequestId(), Status: response.GetStatus(), Result: resultJSON(response),
@@ -118,7 +118,7 @@
 	}
 }
 
-// Completed is the answer to a completed turn.
+// Completed returns the answer to a completed turn.
 func (v *TurnView) Completed(done *protocol.TurnCompleted) ResponseObject {
 	answer := v.object(statusCompleted)
 	answer.ID = done.GetTurnId()
@@ -139,7 +139,7 @@
 	}
 }
 
-// RetainedObject is a turn that the ledger retains.
+// RetainedObject returns the object of a turn that the ledger retains.
 func RetainedObject(retained *protocol.Turn) ResponseObject {
 	var text strings.Builder
 	for _, item := range retained.GetOutput() {
--- a/internal/dataplane/front/callerapi/decode.go
+++ b/internal/dataplane/front/callerapi/decode.go
@@ -14,10 +14,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// DefaultMaxBodyBytes bounds HTTP bodies unless the settings say otherwise.
+// DefaultMaxBodyBytes is the maximum size of HTTP bodies if the settings specify none.
 const DefaultMaxBodyBytes = 8 << 20
 
-// ReadBody reads a body of at most maxBytes; the error is a failure.
+// ReadBody reads a request body of at most maxBytes. The error is a *failure.Error.
 func ReadBody(request *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxBytes+1))
 	var tooLarge *http.MaxBytesError
@@ -31,7 +31,8 @@
 	return body, nil
 }
 
-// DecodeStrict reads one JSON value without unknown fields; path is put before the names of fields at fault.
+// DecodeStrict decodes a single JSON value and rejects unknown fields. In failures, path is prepended to the names of
+// invalid fields.
 func DecodeStrict(text []byte, path string, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -71,12 +72,12 @@
 	return path + "." + name
 }
 
-// InvalidField is the failure for a field with a value that is not allowed.
+// InvalidField returns the failure for a field with an invalid value.
 func InvalidField(path, message string) error {
 	return failure.New(failure.InvalidField, protocol.Outcome_NOT_RUN, message, failure.WithPath(path))
 }
 
-// MissingField is the failure for a field that is required.
+// MissingField returns the failure for a required field that is missing.
 func MissingField(path string) error {
 	return failure.New(failure.MissingField, protocol.Outcome_NOT_RUN, "is required", failure.WithPath(path))
 }
--- a/internal/dataplane/front/callerapi/doc.go
+++ b/internal/dataplane/front/callerapi/doc.go
@@ -1,5 +1,6 @@
-// Package callerapi has the JSON forms of the front node's HTTP API: it reads and
-// checks the bodies and headers of callers' requests, and writes answers and
-// streams of events. The names of the forms are fixed. It knows nothing of how a
-// request is served; errors are failures with the path of the field at fault.
+// Package callerapi implements the JSON formats of the front node's HTTP API: it
+// parses and validates the bodies and headers of requests, and encodes answers and
+// event streams. The field names are part of the public API. The package does not
+// depend on how requests are served. Its errors are failures with the path of the
+// invalid field.
 package callerapi
--- a/internal/dataplane/front/callerapi/event_stream.go
+++ b/internal/dataplane/front/callerapi/event_stream.go
@@ -11,10 +11,10 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// eventWriteTimeout is how long one event may take to be written to a slow reader.
+// eventWriteTimeout is the maximum time to write one event to a slow reader.
 const eventWriteTimeout = 10 * time.Second
 
-// Types of server-sent events.
+// Types of the server-sent events.
 const (
 	eventCreated   = "response.created"
 	eventDelta     = "response.output_text.delta"
@@ -22,7 +22,7 @@
 	eventFailed    = "response.failed"
 )
 
-// EventStream writes the events of a turn to a caller, flushed one by one. One goroutine uses it.
+// EventStream writes the events of a turn to a caller and flushes after each. It is not safe for concurrent use.
 type EventStream struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
@@ -32,7 +32,7 @@
 	buffer     []byte
 }
 
-// NewEventStream makes the stream of a new turn; nothing is written before the first event.
+// NewEventStream returns the stream of a new turn. Nothing is written before the first event.
 func NewEventStream(writer http.ResponseWriter, request *protocol.TurnRequest) *EventStream {
 	return &EventStream{writer: writer, controller: http.NewResponseController(writer), view: TurnView{request: request}}
 }
@@ -59,8 +59,8 @@
 	Error failure.Detail `json:"error"`
 }
 
-// Send writes one event. A failure before anything was written is not written:
-// it becomes an ordinary error answer.
+// Send writes one event. If the turn fails before anything was written, Send returns the failure instead, so that it
+// can be sent as an ordinary error response.
 func (e *EventStream) Send(event *protocol.TurnEvent) error {
 	e.view.Observe(event)
 	if f := event.GetFailed(); f != nil && !e.headerSent {
@@ -85,7 +85,8 @@
 	return e.write(header, data)
 }
 
-// ResumeEventStream makes the stream of a turn that goes on after the caller's last event, and sends its header.
+// ResumeEventStream returns the stream of a turn that continues after the caller's last event, and sends the HTTP
+// header.
 func ResumeEventStream(
 	writer http.ResponseWriter, request *protocol.TurnRequest, created *protocol.TurnCreated, after sessions.Cursor,
 ) (*EventStream, error) {
@@ -95,10 +96,10 @@
 	return stream, stream.controller.Flush()
 }
 
-// HasBegun reports whether something was sent: an error can be sent as an event only.
+// HasBegun reports whether the HTTP header was sent; from then on, errors can only be sent as events.
 func (e *EventStream) HasBegun() bool { return e.headerSent }
 
-// begin sends the header of the stream.
+// begin sends the HTTP header unless it was sent.
 func (e *EventStream) begin() {
 	if e.headerSent {
 		return
@@ -122,7 +123,7 @@
 	e.buffer = append(append(e.buffer, "\nevent: "...), header.Type...)
 	e.buffer = append(append(e.buffer, "\ndata: "...), text...)
 	e.buffer = append(e.buffer, "\n\n"...)
-	// A writer that knows no deadlines, as in tests, is never slow.
+	// Writers without support for deadlines, as in tests, are not limited.
 	_ = e.controller.SetWriteDeadline(time.Now().Add(eventWriteTimeout))
 	if _, err := e.writer.Write(e.buffer); err != nil {
 		return SlowReader(err)
@@ -134,12 +135,12 @@
 	return nil
 }
 
-// SlowReader is the failure for an event that could not be written.
+// SlowReader returns the failure for an event that could not be written.
 func SlowReader(err error) error {
 	return failure.New(failure.SlowReader, protocol.Outcome_RAN, "the event could not be written: "+err.Error())
 }
 
-// Fail ends a stream that has begun with a typed event.
+// Fail ends a stream that has begun with an event that contains the failure.
 func (e *EventStream) Fail(f *protocol.Failure) {
 	header := eventHeader{Type: eventFailed, SequenceNumber: e.last.Sequence + 1, Attempt: max(e.last.Attempt, 1)}
 	_ = e.write(header, failedEvent{eventHeader: header, Error: failure.NewDetail(f)})
--- a/internal/dataplane/front/callerapi/requests.go
+++ b/internal/dataplane/front/callerapi/requests.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// MaxIdentifierBytes bounds the identifiers that callers choose.
+	// MaxIdentifierBytes is the maximum length of identifiers that callers choose.
 	MaxIdentifierBytes = 128
-	// MaxTimeoutMillis bounds the time-outs that callers request.
+	// MaxTimeoutMillis is the maximum time-out that callers may request.
 	MaxTimeoutMillis = 600_000
 
 	generatedIDBytes = 16
@@ -43,7 +43,7 @@
 	TimeoutMillis      uint32          `json:"timeout_millis"`
 }
 
-// inputItem is one element of a list of input.
+// inputItem is one element of an input list.
 type inputItem struct {
 	Role       string `json:"role"`
 	Content    string `json:"content"`
@@ -68,7 +68,7 @@
 
 var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true, "tool": true}
 
-// ParseTurn reads and checks the body of a turn; the second result says whether it is to be streamed.
+// ParseTurn parses and validates the body of a turn. The second result reports whether the caller requested a stream.
 func ParseTurn(text []byte, header http.Header) (*protocol.TurnRequest, bool, error) {
 	var body responsesBody
 	if err := DecodeStrict(text, "", &body); err != nil {
@@ -98,7 +98,7 @@
 		Background: body.Background,
 	}
 	if request.Session == "" && request.PreviousTurn == "" {
-		// The same request must come to the same conversation when it is sent again.
+		// Derived from the request id, so that a request that is sent again is assigned to the same conversation.
 		request.Session = "conv_" + derivedID(body.Program, id)
 	}
 	request.Nonce, err = nonceOf(header, id)
@@ -124,17 +124,17 @@
 	return nil
 }
 
-// ReservedProgram rejects a name that the ledger reserves for training steps.
+// ReservedProgram returns the failure for a program name that the ledger reserves for training steps.
 func ReservedProgram() error {
 	return InvalidField("program", "is a name that the ledger keeps for itself")
 }
 
-// TooLong is the failure for an identifier of more than MaxIdentifierBytes.
+// TooLong returns the failure for an identifier of more than MaxIdentifierBytes.
 func TooLong(path string) error {
 	return InvalidField(path, fmt.Sprintf("must be at most %d bytes long", MaxIdentifierBytes))
 }
 
-// parseInput reads a text or a list of items.
+// parseInput parses an input, which is a text or a list of items.
 func parseInput(raw json.RawMessage) ([]*protocol.Item, error) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
@@ -179,7 +179,7 @@
 	return &protocol.Item{Role: item.Role, Text: item.Content, ToolCallId: item.ToolCallID, ToolName: item.Name}, nil
 }
 
-// ParseCall reads and checks the body of a tool call.
+// ParseCall parses and validates the body of a tool call.
 func ParseCall(text []byte, tool string, header http.Header) (*protocol.ToolCallRequest, error) {
 	var body toolCallBody
 	if err := DecodeStrict(text, "", &body); err != nil {
@@ -207,7 +207,8 @@
 	return request, err
 }
 
-// requestID is the caller's Idempotency-Key, or a new id; only of the latter no other copy exists (firstSend).
+// requestID returns the caller's Idempotency-Key, or a new random id. firstSend is set for a new id only: a request
+// with a key may have been sent before.
 func requestID(header http.Header) (id string, firstSend bool, err error) {
 	key := header.Get(issue.HeaderIdempotency)
 	switch {
@@ -223,7 +224,8 @@
 
 func isControl(character rune) bool { return character < ' ' || character == 0x7f }
 
-// nonceOf is what back ends echo, so that answers cannot be mixed up.
+// nonceOf returns the nonce that back ends echo, by which answers to other requests are detected: the caller's, or one
+// derived from the request id.
 func nonceOf(header http.Header, requestID string) (string, error) {
 	nonce := header.Get(issue.HeaderNonce)
 	if len(nonce) > MaxIdentifierBytes {
@@ -235,7 +237,7 @@
 	return nonce, nil
 }
 
-// RandomID is a new id.
+// RandomID returns a new random id.
 func RandomID() string {
 	var random [generatedIDBytes]byte
 	_, _ = rand.Read(random[:])
@@ -247,7 +249,8 @@
 	return hex.EncodeToString(sum[:generatedIDBytes])
 }
 
-// TenantOf checks who the caller is: a tenant of the bundle, with its credential when it has one.
+// TenantOf authenticates the caller and returns its tenant policy. The tenant must be in the bundle, and the caller
+// must present the tenant's credential if one is configured.
 func TenantOf(header http.Header, variant rollout.Variant) (*protocol.TenantPolicy, error) {
 	name := header.Get(headerTenant)
 	if name == "" {
--- a/internal/dataplane/front/commandloop/doc.go
+++ b/internal/dataplane/front/commandloop/doc.go
@@ -1,4 +1,4 @@
-// Package commandloop gives a table of the front plane its owner: a goroutine
-// that runs commands one after another, so that what they touch needs no lock.
-// It decides nothing and knows nothing of what the commands do.
+// Package commandloop provides a goroutine that runs commands one after another, so
+// that the data that they access needs no lock. The front node's packages use one
+// loop for each set of tables.
 package commandloop
--- a/internal/dataplane/front/commandloop/loop.go
+++ b/internal/dataplane/front/commandloop/loop.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// commandQueueCapacity is how many commands may wait; a caller of Post blocks beyond that.
+// commandQueueCapacity is the number of commands that may be queued; Post blocks while the queue is full.
 const commandQueueCapacity = 1024
 
-// Loop runs commands one after another on its own goroutine, which owns
-// everything that the commands touch. Its methods may be called from any goroutine.
+// Loop runs commands one after another on its own goroutine, which owns the data that the commands access. Its methods
+// are safe for concurrent use.
 type Loop struct {
 	commands chan func()
 	stopOnce sync.Once
@@ -35,7 +35,7 @@
 	}
 }
 
-// Post queues a command without waiting until it has run; it reports false once the loop stops.
+// Post queues a command without waiting until it has run. It returns false once the loop is stopping.
 func (l *Loop) Post(command func()) bool {
 	select {
 	case l.commands <- command:
@@ -45,8 +45,8 @@
 	}
 }
 
-// Do runs a command and waits for it; it reports false once the loop is stopped.
-// It must not be called from a command.
+// Do queues a command and waits until it has run. It returns false if the loop stopped before. It must not be called
+// from a command, which would deadlock.
 func (l *Loop) Do(command func()) bool {
 	finished := make(chan struct{})
 	if !l.Post(func() { command(); close(finished) }) {
@@ -60,14 +60,15 @@
 	}
 }
 
-// Stop ends the loop and waits for the command that runs; those that are still queued do not run.
+// Stop ends the loop and waits for the running command; commands that are still queued are not guaranteed to
+// run.
 func (l *Loop) Stop() {
 	l.stopOnce.Do(func() { close(l.stopping) })
 	<-l.stopped
 }
 
-// Stopping is closed once Stop was called.
+// Stopping returns a channel that is closed when Stop is called.
 func (l *Loop) Stopping() <-chan struct{} { return l.stopping }
 
-// Stopped is closed once no command runs any more.
+// Stopped returns a channel that is closed once the loop has stopped and no command runs any more.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
--- a/internal/dataplane/front/explain/doc.go
+++ b/internal/dataplane/front/explain/doc.go
@@ -1,5 +1,6 @@
-// Package explain remembers how the newest requests of a front node were
-// served: where they went, what was decided and when. Operators read it with
-// GET /v1/explain/{id}. It decides nothing. A Store's goroutine owns its tables;
-// an Explanation may be written and read from any goroutine.
+// Package explain records how the latest requests of a front node were served:
+// which nodes and back ends they were sent to, which decisions were made and when.
+// Operators read the records with GET /v1/explain/{id}; nothing else depends on
+// them. The goroutine of a Recorder owns its tables; an Explanation is safe for
+// concurrent use.
 package explain
--- a/internal/dataplane/front/explain/recorder.go
+++ b/internal/dataplane/front/explain/recorder.go
@@ -9,13 +9,13 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// capacity is the number of requests whose path a front node remembers; the oldest one goes first.
+// capacity is the number of explanations that a front node keeps; the oldest is evicted first.
 const capacity = 4_096
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock interface{ Now() time.Time }
 
-// Recorder holds the newest explanations of this front node. The loop's goroutine owns its tables.
+// Recorder holds the latest explanations of this front node. The loop's goroutine owns its tables.
 type Recorder struct {
 	loop  *commandloop.Loop
 	ring  []*Explanation
@@ -33,8 +33,8 @@
 	}
 }
 
-// Explanation collects the path of one request. Its mutex guards the record, which may be read while
-// the request is in progress.
+// Explanation records how one request is served. Its mutex guards the record, which may be read while the request is in
+// progress.
 type Explanation struct {
 	clock     Clock
 	startedAt time.Time
@@ -44,10 +44,10 @@
 	record protocol.Explanation
 }
 
-// Stop ends the store's goroutine.
+// Stop ends the recorder's goroutine.
 func (s *Recorder) Stop() { s.loop.Stop() }
 
-// Begin starts the explanation of one request; one request may have several on a front node.
+// Begin starts an explanation of a request; a front node may hold several explanations of one request.
 func (s *Recorder) Begin(requestID, session, program string) *Explanation {
 	entry := &Explanation{clock: s.clock, startedAt: s.clock.Now(), id: requestID}
 	entry.record.RequestId, entry.record.Node = requestID, s.node
@@ -74,7 +74,7 @@
 	s.byID[entry.id] = append([]*Explanation(nil), entries[1:]...)
 }
 
-// Find returns copies of the explanations of a request, oldest first; none once the store is stopped.
+// Find returns copies of the explanations of a request, oldest first, and none once the recorder is stopped.
 func (s *Recorder) Find(requestID string) []*protocol.Explanation {
 	var entries []*Explanation
 	s.loop.Do(func() { entries = append(entries, s.byID[requestID]...) })
@@ -85,7 +85,7 @@
 	return snapshots
 }
 
-// RecordStep adds a step at the time of the call.
+// RecordStep appends a step with the time since the explanation was started.
 func (e *Explanation) RecordStep(name, detail string) {
 	elapsedMicros := e.clock.Now().Sub(e.startedAt).Microseconds()
 	e.mutex.Lock()
@@ -93,14 +93,14 @@
 	e.record.Steps = append(e.record.Steps, &protocol.ExplanationStep{AtMicros: elapsedMicros, What: name, Detail: detail})
 }
 
-// Update changes the record's fields under its mutex.
+// Update calls change on the record while holding its mutex.
 func (e *Explanation) Update(change func(record *protocol.Explanation)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	change(&e.record)
 }
 
-// RecordDecision sets the candidates and the choice of the last scheduling decision.
+// RecordDecision sets the candidates and the chosen server of the latest scheduling decision.
 func (e *Explanation) RecordDecision(decision schedule.Decision) {
 	scores := make([]*protocol.CandidateScore, 0, len(decision.Scores))
 	for _, score := range decision.Scores {
--- a/internal/dataplane/front/heartbeat/doc.go
+++ b/internal/dataplane/front/heartbeat/doc.go
@@ -1,4 +1,5 @@
-// Package heartbeat relays the heartbeats of back ends to the core. A back end
-// sends its own to any front node; the front node sends many at a time, so that
-// the leader's load does not grow with the number of back ends.
+// Package heartbeat relays the heartbeats of back ends to the core. A back end may
+// send its heartbeats to any front node, which sends them to the leader in
+// batches, so that the number of requests to the leader does not grow with the
+// number of back ends.
 package heartbeat
--- a/internal/dataplane/front/heartbeat/relay.go
+++ b/internal/dataplane/front/heartbeat/relay.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// Window is how long a batch waits for further heartbeats.
+	// Window is how long a batch collects further heartbeats before it is sent.
 	Window = 50 * time.Millisecond
-	// Timeout bounds one request to the core.
+	// Timeout limits one request to the core.
 	Timeout = 2 * time.Second
 
 	maxBatch   = 512
 	maxWaiting = 4096
-	// minIntervalSeconds is the interval that a back end is answered when the core names none.
+	// minIntervalSeconds is the minimum interval returned to back ends, also when the core returns none.
 	minIntervalSeconds = 1
 )
 
-// Core takes requests to the leader of the core.
+// Core sends requests to the leader of the core.
 type Core interface {
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Clock waits and bounds contexts.
+// Clock provides timers and contexts with time-outs.
 type Clock interface {
 	After(wait time.Duration) <-chan time.Time
 	WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc)
@@ -36,7 +36,7 @@
 type Answer struct {
 	// IntervalSeconds is the time until the back end's next heartbeat.
 	IntervalSeconds uint32
-	// Err is that of the request to the core, or of the caller's context.
+	// Err is the error of the request to the core, or of the caller's context.
 	Err error
 }
 
@@ -45,8 +45,8 @@
 	answer  chan Answer
 }
 
-// Relay collects heartbeats and sends them to the core in batches. The goroutine of Run alone sends;
-// Relay may be called from any goroutine.
+// Relay collects heartbeats and sends them to the core in batches. Only the goroutine of Run sends; the method Relay is
+// safe for concurrent use.
 type Relay struct {
 	core    Core
 	clock   Clock
@@ -54,12 +54,12 @@
 	waiting chan entry
 }
 
-// NewRelay makes a relay that counts what it relays; Run does its work.
+// NewRelay returns a relay that counts the relayed heartbeats in relayed; the caller runs Run.
 func NewRelay(core Core, clock Clock, relayed prometheus.Counter) *Relay {
 	return &Relay{core: core, clock: clock, relayed: relayed, waiting: make(chan entry, maxWaiting)}
 }
 
-// Relay hands a heartbeat over and waits for the core's answer or the context's end.
+// Relay queues a heartbeat and waits for the core's answer or the end of the context.
 func (r *Relay) Relay(ctx context.Context, backEnd *protocol.BackEnd) Answer {
 	added := entry{backEnd: backEnd, answer: make(chan Answer, 1)}
 	select {
@@ -87,7 +87,7 @@
 	}
 }
 
-// collect waits one window for heartbeats to send along with the first.
+// collect returns a batch of the first heartbeat and those that arrive within Window, up to maxBatch.
 func (r *Relay) collect(ctx context.Context, first entry) []entry {
 	batch := []entry{first}
 	window := r.clock.After(Window)
--- a/internal/dataplane/front/httpheader/doc.go
+++ b/internal/dataplane/front/httpheader/doc.go
@@ -1,4 +1,4 @@
-// Package httpheader tells the headers of HTTP messages that are forwarded end
-// to end from those that concern one connection only (RFC 9110, section 7.6.1).
-// Its functions hold no state.
+// Package httpheader separates the end-to-end headers of HTTP messages, which are
+// forwarded, from the hop-by-hop headers, which concern one connection only (RFC
+// 9110, section 7.6.1).
 package httpheader
--- a/internal/dataplane/front/httpheader/header.go
+++ b/internal/dataplane/front/httpheader/header.go
@@ -18,8 +18,8 @@
 	contentLength: true, "Host": true,
 }
 
-// EndToEnd returns the headers that are forwarded, sorted by name, without those named in except.
-// Names are in their canonical form.
+// EndToEnd returns the headers to forward, sorted by name, without those named in except. Names must be in canonical
+// form.
 func EndToEnd(header http.Header, except ...string) []*protocol.HttpHeader {
 	hopByHop := namedInConnection(header)
 	forwarded := make([]*protocol.HttpHeader, 0, len(header))
@@ -37,8 +37,8 @@
 	return forwarded
 }
 
-// OfAnswer returns the headers of a complete answer that are forwarded. Only in the answer to a HEAD
-// request does the length describe no body that follows, so it is forwarded there.
+// OfAnswer returns the headers to forward of a complete answer. Content-Length is forwarded only in the answer to a
+// HEAD request, where no body follows that determines it.
 func OfAnswer(method string, header http.Header) []*protocol.HttpHeader {
 	forwarded := EndToEnd(header)
 	if length := header.Get(contentLength); method == http.MethodHead && length != "" {
@@ -47,6 +47,7 @@
 	return forwarded
 }
 
+// namedInConnection returns the names of the headers that the Connection header lists as hop-by-hop.
 func namedInConnection(header http.Header) map[string]bool {
 	values := header["Connection"]
 	if len(values) == 0 {
--- a/internal/dataplane/front/issue/attempt_error.go
+++ b/internal/dataplane/front/issue/attempt_error.go
@@ -16,17 +16,18 @@
 	Fault      turn.BackEndFault
 	retryAfter time.Duration
 	Detail     string
-	// blameless faults show nothing of the server's health, as when the deadline had passed before.
+	// serverNotAtFault is set when the attempt does not count for the server's health, for example because the
+	// deadline had passed before anything was sent.
 	serverNotAtFault bool
 }
 
-// SurelyDidNotRun reports whether a failed attempt did not run: nothing was sent, or the server rejected it.
+// SurelyDidNotRun reports whether a failed attempt provably did not run: nothing was sent, or the server rejected it.
 func SurelyDidNotRun(err error) bool {
 	var failed *AttemptError
 	return errors.As(err, &failed) && failed.Fault.SurelyDidNotRun()
 }
 
-// Outcome is what the attempt shows of the server's health.
+// Outcome returns the outcome that the attempt counts as for the server's health.
 func (e *AttemptError) Outcome() schedule.Outcome {
 	if e.serverNotAtFault {
 		return schedule.OutcomeNotExecuted
@@ -37,7 +38,7 @@
 // Error implements error.
 func (e *AttemptError) Error() string { return fmt.Sprintf("%s: %s", e.Fault, e.Detail) }
 
-// Event is the failure as the turn's state machine takes it.
+// Event returns the failure as an event of the turn's state machine.
 func (e *AttemptError) Event() turn.Event {
 	return turn.BackEndFailed{Fault: e.Fault, RetryAfter: e.retryAfter, Detail: e.Detail}
 }
--- a/internal/dataplane/front/issue/client.go
+++ b/internal/dataplane/front/issue/client.go
@@ -32,7 +32,7 @@
 )
 
 const (
-	// DefaultStallTimeout is how long a model server may send nothing while a turn runs.
+	// DefaultStallTimeout is how long a model server may send no bytes while a turn runs.
 	DefaultStallTimeout = 30 * time.Second
 
 	dialTimeout           = 2 * time.Second
@@ -47,16 +47,17 @@
 	drainTimeout          = time.Second
 )
 
-// Client sends turns and tool calls to model and tool servers of OpenAI's interface. Any goroutine may use it.
+// Client sends turns and tool calls to model and tool servers with an OpenAI-compatible API. It is safe for concurrent
+// use.
 type Client struct {
 	models *http.Client
 	tools  *http.Client
 	clock  Clock
 }
 
-// NewClient makes a client that abandons a model server which sends nothing for stallTimeout (zero is
-// DefaultStallTimeout). A tool may send nothing for as long as its caller waits. It connects by dial; nil
-// stands for TCP.
+// NewClient returns a client that abandons a request when the model server sends nothing for stallTimeout (zero means
+// DefaultStallTimeout). Tool servers have no such limit: a tool may take as long as its caller waits. The client
+// connects with dial, or over TCP when dial is nil.
 func NewClient(clock Clock, stallTimeout time.Duration, dial dialFunc) *Client {
 	if stallTimeout == 0 {
 		stallTimeout = DefaultStallTimeout
@@ -64,7 +65,8 @@
 	return &Client{clock: clock, models: newHTTPClient(stallTimeout, dial), tools: newHTTPClient(0, dial)}
 }
 
-// newHTTPClient makes a client that connects by dial; nil stands for TCP.
+// newHTTPClient returns a client that connects with dial, or over TCP when dial is nil. A stallTimeout of zero means no
+// limit.
 func newHTTPClient(stallTimeout time.Duration, dial dialFunc) *http.Client {
 	if dial == nil {
 		dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
@@ -88,8 +90,8 @@
 	}
 }
 
-// stallGuard ends a connection whose peer sends nothing for too long after a request was written to it or
-// since its last bytes.
+// stallTimeoutConn is a connection whose reads fail when the peer sends nothing for longer than limit after the last
+// read or write.
 type stallTimeoutConn struct {
 	net.Conn
 	limit time.Duration
@@ -111,7 +113,7 @@
 	return g.Conn.Write(buffer)
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.models.CloseIdleConnections()
 	c.tools.CloseIdleConnections()
@@ -130,13 +132,13 @@
 	IdempotencyKey string
 }
 
-// onceReader hides the kind of the body from net/http. With a body that it can
-// rewind, and an Idempotency-Key, the transport would send a request again
-// after a broken connection, although it may have run.
+// nonReplayableReader hides the concrete type of the body from net/http. If the transport could rewind the body of a
+// request with an Idempotency-Key, it would send the request again after a broken connection, although the request may
+// have run.
 type nonReplayableReader struct{ io.Reader }
 
-// send issues the request once. A connection that could not be opened is the
-// only failure after which it surely did not arrive.
+// send sends the request once. A failure to open the connection is the only one after which the request surely did not
+// arrive; it is reported as FaultNotSent.
 func (c *Client) send(ctx context.Context, request Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -177,7 +179,8 @@
 	return response, nil
 }
 
-// rejectionFault recognises answers that state that the request was not run; nil for any other.
+// rejectionFault returns the fault for an answer by which the server rejected the request, and nil for any other
+// answer. It leaves the body of other answers readable.
 func rejectionFault(response *http.Response) *AttemptError {
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -207,12 +210,12 @@
 	nonce  string
 	cancel context.CancelFunc
 	done   turn.BackEndDone
-	// usageSeen and finished say how far the answer has come.
+	// usageSeen is set once the answer has reported its token usage, finished once it is complete.
 	usageSeen bool
 	finished  bool
 }
 
-// Generate begins a turn at a model server. The error is an *AttemptError.
+// Generate starts a turn on a model server. The error is an *AttemptError.
 func (c *Client) Generate(ctx context.Context, request Request) (AnswerStream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	response, err := c.send(ctx, request) //nolint:bodyclose // drainBody or generation.close closes it
@@ -239,13 +242,13 @@
 	}, nil
 }
 
-// drainBody reads the rest of a short answer, so that its connection can be used again.
+// drainBody reads the rest of a short answer and closes it, so that its connection can be reused.
 func drainBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxFaultAnswerBytes)
 	_ = body.Close()
 }
 
-// chunk is the part of an OpenAI-compatible stream that is read.
+// chunk holds the fields that are used from one chunk of an OpenAI-compatible stream.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -286,6 +289,7 @@
 	}
 }
 
+// parseChunk returns the event of a chunk, or nil for a chunk without text.
 func (g *generation) parseChunk(data []byte) (turn.Event, error) {
 	var received chunk
 	if err := json.Unmarshal(data, &received); err != nil {
@@ -311,7 +315,7 @@
 	return turn.Token{Text: received.Choices[0].Delta.Content, Tokens: 1}, nil
 }
 
-// data reads up to the next data line of the event stream.
+// nextData returns the content of the next data line of the event stream.
 func (g *generation) nextData() ([]byte, error) {
 	for {
 		line, err := g.nextLine()
@@ -340,7 +344,7 @@
 	return complete, nil
 }
 
-// Close implements AnswerStream: the server sees the connection end unless the answer was complete.
+// Close implements AnswerStream. Unless the answer was complete, it closes the connection, which the server can detect.
 func (g *generation) Close() {
 	if g.finished {
 		timeout := time.AfterFunc(drainTimeout, g.cancel)
@@ -351,7 +355,7 @@
 	_ = g.body.Close()
 }
 
-// Call runs one tool call. The error is an *AttemptError.
+// Call executes one tool call. The error is an *AttemptError.
 func (c *Client) Call(ctx context.Context, request Request) (turn.Event, error) {
 	response, err := c.send(ctx, request)
 	if err != nil {
@@ -393,7 +397,7 @@
 	Name       string `json:"name,omitempty"`
 }
 
-// ChatBody is the body of a turn that continues a conversation.
+// ChatBody returns the body of a chat completion request that continues a conversation.
 func ChatBody(model string, items []*protocol.Item, maxTokens uint64) ([]byte, error) {
 	messages := make([]chatMessage, 0, len(items))
 	for _, item := range items {
--- a/internal/dataplane/front/issue/doc.go
+++ b/internal/dataplane/front/issue/doc.go
@@ -1,9 +1,9 @@
 // Package issue sends turns and calls to back ends and reads their answers. Each
-// request is sent once; a failed attempt is an AttemptError, which says what may
-// be concluded from it: whether the request surely did not run, and what it
-// shows of the server's health. Whether to try again is decided elsewhere.
+// request is sent once. A failed attempt returns an AttemptError, from which the
+// caller can tell whether the request provably did not run and how the attempt
+// counts for the server's health. Retries are decided elsewhere.
 //
-// Client serves the front node's own interface (OpenAI's chat completions and
-// tool calls), RouteClient the HTTP routes, whose requests go out unchanged but
-// for the headers of a dialect.
+// Client serves the front node's own API (OpenAI's chat completions and tool
+// calls), RouteClient the HTTP routes, whose requests are forwarded unchanged
+// except for the headers of a dialect.
 package issue
--- a/internal/dataplane/front/issue/load_report.go
+++ b/internal/dataplane/front/issue/load_report.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// SampleTimeout bounds one request for a load.
+	// SampleTimeout limits one request for a load report.
 	SampleTimeout  = 500 * time.Millisecond
 	maxSampleBytes = 4 << 10
 )
 
-// CanSample reports whether a server answers requests for its load.
+// CanSample reports whether a server provides load reports.
 func (c *RouteClient) CanSample(server *backends.Server) bool {
 	if c.dialect.DecodeReport == nil {
 		return false
@@ -27,12 +27,12 @@
 	return c.dialect.ToolsReport || server.Description().GetKind() == protocol.BackEndKind_MODEL_SERVER
 }
 
-// LoadStatusError reports an answer that is no load report, by its HTTP status.
+// LoadStatusError reports that a server answered the request for a load report with a status other than 200.
 type LoadStatusError struct{ Status int }
 
 // Error implements error.
 func (e *LoadStatusError) Error() string {
-	return fmt.Sprintf("the load report has status %d", e.Status)
+	return fmt.Sprintf("the request for a load report returned HTTP status %d", e.Status)
 }
 
 // SampleLoad requests a server's load at the dialect's report path and applies it to the server and its
@@ -45,19 +45,19 @@
 		Method: http.MethodGet, Target: c.dialect.ReportPath, Host: address,
 	})
 	if err != nil {
-		return errors.Wrap(err, "ask for load")
+		return errors.Wrapf(err, "request load report of server %s", server.ID())
 	}
 	defer response.Close()
 	body, err := response.ReadAll(maxSampleBytes)
 	if err != nil {
-		return errors.Wrap(err, "read load report")
+		return errors.Wrapf(err, "read load report of server %s", server.ID())
 	}
 	if response.Status != http.StatusOK {
 		return &LoadStatusError{Status: response.Status}
 	}
 	report, err := c.dialect.DecodeReport(body)
 	if err != nil {
-		return errors.Wrap(err, "decode load report")
+		return errors.Wrapf(err, "decode load report of server %s", server.ID())
 	}
 	server.ApplyReport(report, c.clock.Now())
 	c.models.RecordReport(server.Description().GetGroup(), server.ID(), report.CacheUsed, report.CacheTotal)
--- a/internal/dataplane/front/issue/route_answer.go
+++ b/internal/dataplane/front/issue/route_answer.go
@@ -17,11 +17,13 @@
 
 const eventStreamType = "text/event-stream"
 
-// AnswerStream is the answer of a server to a turn, in parts. One goroutine uses it.
+// AnswerStream is a server's answer to a turn, read in parts. It is not safe for concurrent use.
 type AnswerStream interface {
-	// Next waits for the next part; the last one is a turn.BackEndDone or a turn.CompleteAnswer.
+	// Next blocks until the next part arrives and returns it; the last part is a turn.BackEndDone or a
+	// turn.CompleteAnswer.
 	Next() (turn.Event, error)
-	// Close abandons the answer, or keeps its connection for the next request when it was read completely.
+	// Close releases the connection: for reuse if the answer was read completely, otherwise it is closed and the answer
+	// abandoned.
 	Close()
 }
 
@@ -31,8 +33,8 @@
 	events       *sse.Reader
 	eventTokens  uint32
 	headReturned bool
-	// versionHeader names the versions of the weights; it is set in turns of training steps, where they are
-	// checked.
+	// versionHeader is the name of the header with the versions of the weights. It is set only in turns of training
+	// steps, in which the versions are checked.
 	versionHeader string
 	done          turn.BackEndDone
 }
@@ -58,7 +60,7 @@
 	}
 	token := turn.Token{Event: event, Data: sse.Data(event)}
 	if token.Data != nil {
-		// A block of comments has no tokens.
+		// A block that has only comments counts no tokens.
 		token.Tokens = s.eventTokens
 	}
 	if s.versionHeader != "" {
@@ -81,7 +83,7 @@
 	return turn.CompleteAnswer{Answer: answer, WeightVersions: s.headVersions()}, nil
 }
 
-// headVersions are the versions of the weights that the answer's head names.
+// headVersions returns the versions of the weights that the headers of the answer state.
 func (s *httpStream) headVersions() []uint64 {
 	if s.versionHeader == "" {
 		return nil
--- a/internal/dataplane/front/issue/route_client.go
+++ b/internal/dataplane/front/issue/route_client.go
@@ -21,23 +21,23 @@
 // dialFunc opens a connection to a back end.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Clock tells the time and bounds contexts.
+// Clock returns the time and creates contexts with time-outs.
 type Clock interface {
 	Now() time.Time
 	WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc)
 }
 
-// RouteClient sends requests of HTTP routes to servers under the header names of a dialect. Any goroutine
-// may use it.
+// RouteClient sends requests of HTTP routes to servers with the header names of a dialect. It is safe for concurrent
+// use.
 type RouteClient struct {
 	dialect dialect.Dialect
 	pool    *serverconn.Pool
 	clock   Clock
-	// models are told of the loads that answers carry.
+	// models records the loads that answers and reports carry.
 	models *backends.Models
 }
 
-// NewRouteClient makes a client that connects by dial; nil stands for TCP.
+// NewRouteClient returns a client that connects with dial, or over TCP when dial is nil.
 func NewRouteClient(routeDialect dialect.Dialect, clock Clock, models *backends.Models, dial dialFunc) *RouteClient {
 	return &RouteClient{
 		dialect: routeDialect, clock: clock, models: models,
@@ -45,18 +45,19 @@
 	}
 }
 
-// RouteRequest is one attempt of a request at one server.
+// RouteRequest is one attempt to run a request on one server.
 type RouteRequest struct {
 	Server    *backends.Server
 	RequestID string
 	HTTP      *protocol.HttpRequest
 	Body      []byte
 	Deadline  time.Time
-	// Pin is set for a turn of a training step: the server must have that version.
+	// Pin is set for a turn of a training step; the server must have the pinned version.
 	Pin *backends.VersionPin
 }
 
-// send issues a request once. An answer that it returns is the server's to this very request.
+// send sends a request once. It returns an answer only if checkAnswer accepts it as the server's answer to this
+// request.
 func (c *RouteClient) send(ctx context.Context, request RouteRequest) (*serverconn.Response, error) {
 	remainingMillis := request.Deadline.Sub(c.clock.Now()).Milliseconds()
 	if remainingMillis <= 0 {
@@ -89,7 +90,7 @@
 	return response, nil
 }
 
-// applyAnswerLoad applies the load that an answer carries.
+// applyAnswerLoad applies the load that an answer carries, if any.
 func (c *RouteClient) applyAnswerLoad(server *backends.Server, header http.Header) {
 	if c.dialect.ServerLoad == "" {
 		return
@@ -102,7 +103,7 @@
 	c.models.RecordAnswerLoad(server.Description().GetGroup(), server.ID())
 }
 
-// headers are those of the caller and of the front node; the front node's replace the caller's of a name.
+// headers returns the caller's headers and those of the front node, which replace the caller's of the same name.
 func (c *RouteClient) headers(request RouteRequest, server string, remainingMillis int64) []*protocol.HttpHeader {
 	added := []*protocol.HttpHeader{{Name: c.dialect.TimeLeft, Value: strconv.FormatInt(remainingMillis, 10)}}
 	if c.dialect.ServerRank != "" && request.HTTP.GetKind() == protocol.HttpRouteKind_HTTP_STREAMING {
@@ -127,14 +128,14 @@
 }
 
 const (
-	// firstServerRank is the rank at servers of the most urgent routes, and rankStep the distance between
-	// ranks; a server takes 5 for a request without a rank.
+	// firstServerRank is the rank at servers of the most urgent routes, rankStep the distance between the ranks of
+	// routes, and lastServerRank the lowest priority. A server assumes 5 for a request without a rank.
 	firstServerRank = 3
 	rankStep        = 2
 	lastServerRank  = 9
 )
 
-// serverRank is the rank that a request has at its server: generations of training steps go last.
+// serverRank returns the rank of a request at its server; generations of training steps have the lowest priority.
 func (r *RouteRequest) serverRank() string {
 	if r.Pin != nil {
 		return strconv.Itoa(lastServerRank)
@@ -147,13 +148,13 @@
 	return strconv.Itoa(int(min(firstServerRank+rankStep*rank, lastServerRank)))
 }
 
-// checkAnswer recognises the answers by which a server states that it did not run the request, and those
-// that are no answer to it. It ends the exchange then.
+// checkAnswer returns a fault for an answer by which the server states that it did not run the request, and for one
+// that is not the server's valid answer to this request. It then also closes the response.
 func (c *RouteClient) checkAnswer(response *serverconn.Response, requestID string) *AttemptError {
 	header := response.Header
 	rejected := response.Status == http.StatusMisdirectedRequest || header.Get(c.dialect.NotExecuted) != ""
 	echoed := header.Get(c.dialect.RequestID)
-	// A rejection may carry no id; one with another id is of another request.
+	// A rejection may carry no id. One with a different id belongs to another request.
 	if echoed != requestID && (echoed != "" || !rejected) {
 		response.Discard()
 		return &AttemptError{Fault: turn.FaultMismatch, Detail: "the answer belongs to request " + strconv.Quote(echoed)}
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// promisesNotRun reports whether callers may conclude from a status that the request did not run.
+// impliesNotRun reports whether callers may conclude from a status that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
@@ -195,8 +196,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Stream issues a turn of an HTTP route to one server and returns its answer, each event of which stands for
-// eventTokens tokens. The error is an *AttemptError.
+// Stream sends a turn of an HTTP route to one server and returns its answer, each event of which counts as eventTokens
+// tokens. The error is an *AttemptError.
 func (c *RouteClient) Stream(ctx context.Context, request RouteRequest, eventTokens uint32) (AnswerStream, error) {
 	response, err := c.send(ctx, request)
 	if err != nil {
@@ -209,8 +210,7 @@
 	return stream, nil
 }
 
-// Call runs a call of an HTTP route at one server and reads its complete answer. The error is an
-// *AttemptError.
+// Call sends a call of an HTTP route to one server and reads its complete answer. The error is an *AttemptError.
 func (c *RouteClient) Call(ctx context.Context, request RouteRequest) (turn.Event, error) {
 	response, err := c.send(ctx, request)
 	if err != nil {
@@ -236,5 +236,5 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *RouteClient) Close() { c.pool.Close() }
--- a/internal/dataplane/front/sse/reader.go
+++ b/internal/dataplane/front/sse/reader.go
@@ -1,5 +1,5 @@
-// Package sse reads streams of server-sent events without changing a byte of
-// them: an event comes back as it was sent. A Reader belongs to one goroutine.
+// Package sse splits streams of server-sent events into events without changing a
+// byte of them. A Reader is not safe for concurrent use.
 package sse
 
 import (
@@ -11,9 +11,9 @@
 )
 
 const (
-	// MaxEventBytes bounds one event; a larger one ends the stream with a LargeEventError.
+	// MaxEventBytes is the maximum size of one event; a larger one ends the stream with a LargeEventError.
 	MaxEventBytes = 1 << 20
-	// BufferBytes is how much of a stream is read at once.
+	// BufferBytes is the size of the read buffer.
 	BufferBytes = 4 << 10
 
 	dataField = "data:"
@@ -24,7 +24,7 @@
 	lines *bufio.Reader
 }
 
-// NewReader reads the events of a stream.
+// NewReader returns a reader of the events of a stream.
 func NewReader(stream io.Reader) *Reader {
 	return &Reader{lines: bufio.NewReaderSize(stream, BufferBytes)}
 }
@@ -41,9 +41,9 @@
 // Error implements error.
 func (*LargeEventError) Error() string { return "an event is too large" }
 
-// Next returns one event with the blank line that ends it. Blank lines before an event, or at the
-// stream's end, belong to it. The error is io.EOF when the stream ended between two events, a
-// *PartialEventError or *LargeEventError, or that of the stream.
+// Next returns the next event, including the blank line that ends it. Blank lines before an event are part of it;
+// blank lines at the end of the stream are returned as an event of their own. The error is io.EOF when the stream
+// ended between two events, a *PartialEventError or *LargeEventError, or that of the stream.
 func (r *Reader) Next() ([]byte, error) {
 	var event []byte
 	lineStart, hasContent := 0, false
@@ -72,7 +72,8 @@
 
 func isBlank(line []byte) bool { return len(line) == 1 || len(line) == 2 && line[0] == '\r' }
 
-// Data joins the data lines of an event; it is nil when the event has none, as a block of comments.
+// Data returns the data lines of an event, joined by newlines. It is nil when the event has none, for example because
+// it consists of comments.
 func Data(event []byte) []byte {
 	var data []byte
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
--- a/internal/dataplane/front/sse/reader_test.go
+++ b/internal/dataplane/front/sse/reader_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/dataplane/front/sse"
 )
 
-// readEvents reads the events of a stream, each with its data, until the stream ends.
+// readEvents reads events and their data until the reader returns an error, and returns that error.
 func readEvents(stream io.Reader) (events, data [][]byte, err error) {
 	reader := sse.NewReader(stream)
 	for {
@@ -24,8 +24,8 @@
 	}
 }
 
-// FuzzStreamEvents reads streams: the events joined are the stream itself, and a stream counts as
-// complete only when nothing of it is left over.
+// FuzzStreamEvents reads arbitrary streams. The concatenated events must be a prefix of the stream, and the whole of it
+// when the reader reports the end of the stream; the result must not depend on how the bytes arrive.
 func FuzzStreamEvents(f *testing.F) {
 	for _, text := range []string{
 		"", "\n", "data: a\n\n", "data: a\r\n\r\n", "data:a\ndata: b\n\nid: 1\n\n", ": comment\n\ndata:\n\n",
@@ -41,26 +41,26 @@
 		events, data, err := readEvents(bytes.NewReader(stream))
 		forwarded := bytes.Join(events, nil)
 		if !bytes.HasPrefix(stream, forwarded) {
-			t.Fatalf("%q was forwarded of %q", forwarded, stream)
+			t.Fatalf("the events joined are %q, want a prefix of the stream %q", forwarded, stream)
 		}
 		complete := errors.Is(err, io.EOF)
 		if complete && len(forwarded) != len(stream) {
-			t.Fatalf("%q looks complete although %q is missing", forwarded, stream[len(forwarded):])
+			t.Fatalf("reader returned io.EOF after %q, but %q is missing", forwarded, stream[len(forwarded):])
 		}
 		for i, event := range events {
 			last := complete && i == len(events)-1
 			if !bytes.HasSuffix(event, []byte("\n")) || len(bytes.TrimRight(event, "\r\n")) == 0 && !last {
-				t.Fatalf("event %d is %q", i, event)
+				t.Fatalf("event %d is %q, want a final newline and, except in the last event, content", i, event)
 			}
 			if (data[i] != nil) != hasDataLine(event) || bytes.Count(data[i], []byte("\n")) != max(dataLines(event)-1, 0) {
-				t.Fatalf("event %q has the data %q", event, data[i])
+				t.Fatalf("event %q with %d data lines has the data %q", event, dataLines(event), data[i])
 			}
 		}
-		// How the bytes arrive makes no difference.
+		// Reading byte by byte must return the same events.
 		byteByByte, _, err := readEvents(iotest.OneByteReader(bytes.NewReader(stream)))
 		if len(stream) < 4*sse.BufferBytes && (!bytes.Equal(bytes.Join(byteByByte, []byte("|")),
 			bytes.Join(events, []byte("|"))) || errors.Is(err, io.EOF) != complete) {
-			t.Fatalf("byte by byte %q gave %q, at once %q", stream, byteByByte, events)
+			t.Fatalf("stream %q read byte by byte has the events %q, want %q as when read at once", stream, byteByByte, events)
 		}
 	})
 }
