--- a/internal/state/store/datafolder/turn_index.go
+++ b/internal/state/store/datafolder/turn_index.go
@@ -72,7 +72,7 @@
 
 func (f *Folder) readTurnIndex(content io.Reader, visit func(uint32, turnindex.Key, turnindex.Entry)) error {
 	err := turnindex.Read(content, visit)
-	if errors.Is(err, turnindex.ErrOtherForm) {
+	if errors.Is(err, turnindex.ErrUnknownFormat) {
 		return &storage.CorruptError{Path: f.turnPath(), Reason: err.Error()}
 	}
 	return err
--- a/internal/state/store/hashtree/hashtree_test.go
+++ b/internal/state/store/hashtree/hashtree_test.go
@@ -24,7 +24,7 @@
 func (k stringKey) Hash() uint64              { return xxhash.Sum64String(string(k)) }
 func (k stringKey) Less(other stringKey) bool { return k < other }
 
-func TestTreeHasTheEntriesOfAMap(t *testing.T) {
+func TestTreeMatchesAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree, wanted := &Tree[narrowKey, int]{}, map[narrowKey]int{}
 		key := rapid.Uint16()
--- a/internal/state/store/lifecycle/lifecycle_test.go
+++ b/internal/state/store/lifecycle/lifecycle_test.go
@@ -13,7 +13,7 @@
 func (stoppedClock) Now() time.Time                                { return time.Unix(1_800_000_000, 0) }
 func (stoppedClock) AfterFunc(time.Duration, func()) (stop func()) { return func() {} }
 
-func TestStopEndsWhatWaits(t *testing.T) {
+func TestStopEndsSleepAndAwait(t *testing.T) {
 	l := New(stoppedClock{})
 	slept := make(chan bool, 1)
 	awaited := make(chan error, 1)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestANotificationEndsASleep(t *testing.T) {
+func TestNotificationEndsSleep(t *testing.T) {
 	l := New(stoppedClock{})
 	defer l.Stop()
 	notified := make(chan struct{}, 1)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestTheDeadlineOfAnOperationIsThatOfItsContextOrTheFallback(t *testing.T) {
+func TestDeadlineIsTheContextsOrTheFallback(t *testing.T) {
 	l := New(stoppedClock{})
 	defer l.Stop()
 	now := l.Clock().Now()
--- a/internal/state/store/mailbox/mailbox_test.go
+++ b/internal/state/store/mailbox/mailbox_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCommandsRunInTheOrderInWhichTheyWerePosted(t *testing.T) {
+func TestCommandsRunInPostingOrder(t *testing.T) {
 	const count = 100
 	m := New()
 	var got []int
--- a/internal/state/store/owner/group.go
+++ b/internal/state/store/owner/group.go
@@ -96,12 +96,12 @@
 
 // Table returns the table of a shard, empty when this store has nothing of it.
 func (g *Group) Table(shard uint32) *shardtable.Table {
-	known := g.tables[shard]
-	if known == nil {
-		known = shardtable.New(shard)
-		g.tables[shard] = known
+	table := g.tables[shard]
+	if table == nil {
+		table = shardtable.New(shard)
+		g.tables[shard] = table
 	}
-	return known
+	return table
 }
 
 // Tables yields all tables, by shard, in no order.
@@ -114,13 +114,13 @@
 // must join the shard anew.
 func (g *Group) ApplyView(view register.ShardView) {
 	table := g.Table(view.Shard)
-	before := table.View
+	previous := table.View
 	table.View = view
 	if view.Role == register.RoleActive {
 		// It concerns joining and rebuilding replicas alone; the next copy of this shard begins anew.
 		table.CaughtUp = false
 	}
-	if view.RequiresReset(before) && (view.Role != register.RoleNone || !table.IsEmpty()) {
+	if view.RequiresReset(previous) && (view.Role != register.RoleNone || !table.IsEmpty()) {
 		g.Drop(view.Shard, func() {})
 	}
 }
--- a/internal/state/store/owner/group_test.go
+++ b/internal/state/store/owner/group_test.go
@@ -30,16 +30,16 @@
 	l.pending = l.pending[count:]
 }
 
-// rig is a group whose commands a test runs on its own goroutine.
-type rig struct {
+// testGroup is a group whose commands a test runs on its own goroutine.
+type testGroup struct {
 	*Group
 	registers, turns manualLog
 	failed           []error
 	stopped          chan struct{}
 }
 
-func newRig() *rig {
-	r := &rig{stopped: make(chan struct{})}
+func newTestGroup() *testGroup {
+	r := &testGroup{stopped: make(chan struct{})}
 	r.Group = NewGroup(Options{
 		Segments: &turnindex.SegmentExpiry{},
 		Stopped:  r.stopped,
@@ -52,7 +52,7 @@
 }
 
 // runPosted runs the commands that wait; the group is of no use after that.
-func (r *rig) runPosted() {
+func (r *testGroup) runPosted() {
 	r.Post(r.Close)
 	r.mailbox.Run()
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-func TestAnAnswerWaitsUntilTheStateThatItShowsIsDurable(t *testing.T) {
-	r := newRig()
+func TestReplyIsHeldUntilItsStateIsDurable(t *testing.T) {
+	r := newTestGroup()
 	var answered []string
 	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { answered = append(answered, "first") })
 	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { answered = append(answered, "repeated") })
@@ -83,8 +83,8 @@
 	}
 }
 
-func TestARequestUnderAnotherPlacementIsRejected(t *testing.T) {
-	r := newRig()
+func TestRequestUnderAnotherPlacementIsRejected(t *testing.T) {
+	r := newTestGroup()
 	request := prepare(1)
 	request.PlacementEpoch = 2
 	var answer *protocol.PrepareResponse
@@ -94,8 +94,8 @@
 	}
 }
 
-func TestATurnIsWrittenOnceForAllThatWaitForIt(t *testing.T) {
-	r := newRig()
+func TestTurnIsWrittenOnceForAllWaiters(t *testing.T) {
+	r := newTestGroup()
 	turn := &protocol.Turn{Id: "turn", Program: "p", KeepUntilMillis: 1_800_000_000_000}
 	retained := 0
 	for range 3 {
@@ -111,8 +111,8 @@
 	}
 }
 
-func TestAFailedWriteFailsTheStoreAndAnswersNothing(t *testing.T) {
-	r := newRig()
+func TestFailedWriteStopsTheStoreWithoutReply(t *testing.T) {
+	r := newTestGroup()
 	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { t.Error("answered a write that failed") })
 	r.registers.sync(1, errors.New("disk failed"))
 	r.runPosted()
@@ -124,8 +124,8 @@
 	}
 }
 
-func TestAShardIsClearedWhenTheStoreMustJoinItAnew(t *testing.T) {
-	r := newRig()
+func TestShardIsClearedWhenTheStoreMustRejoin(t *testing.T) {
+	r := newTestGroup()
 	r.Put(0, shardtable.Key{Program: "p"}, register.State{Value: []byte("x")}, func() {})
 	generation := r.Table(0).Generation
 	r.ApplyView(register.ShardView{Shard: 0, Epoch: 2, Role: register.RoleRebuilding})
@@ -134,8 +134,8 @@
 	}
 }
 
-func TestACallEndsWhenTheStoreStops(t *testing.T) {
-	r := newRig()
+func TestCallFailsWhenTheStoreStops(t *testing.T) {
+	r := newTestGroup()
 	close(r.stopped)
 	_, err := Call(r.Group, func() int { return 1 })
 	if _, stopped := errors.AsType[*lifecycle.StoppedError](err); !stopped {
--- a/internal/state/store/peers/client_test.go
+++ b/internal/state/store/peers/client_test.go
@@ -54,7 +54,7 @@
 	}}}
 }
 
-func TestWaitingRequestsShareABatchAndAreAnsweredInOrder(t *testing.T) {
+func TestWaitingRequestsAreBatchedAndMatchedToTheirAnswers(t *testing.T) {
 	p, caller := newTestClient(t, time.Minute)
 	const count = maxConcurrentBatches + maxBatchRequests + 5
 	answers := make(chan error, count)
--- a/internal/state/store/placement/placement_test.go
+++ b/internal/state/store/placement/placement_test.go
@@ -41,7 +41,7 @@
 	return NewWatch(core, &protocol.Node{Name: "a", StorageId: "storage-a"})
 }
 
-func TestAStoreServesNoShardUntilItsViewIsFresh(t *testing.T) {
+func TestTopologyHasNoShardsUntilTheViewIsFresh(t *testing.T) {
 	core := &source{view: newView(5, 2)}
 	watch := newTestWatch(core)
 	current, changed := watch.Refresh()
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnOlderPlacementDoesNotReplaceTheOneInForce(t *testing.T) {
+func TestOlderPlacementDoesNotReplaceTheCurrentOne(t *testing.T) {
 	core := &source{view: newView(5, 2), ready: true}
 	watch := newTestWatch(core)
 	watch.Refresh()
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestCoverageIsCompleteOnceAMajorityOfEachShardAnsweredUnderItsPlacement(t *testing.T) {
+func TestCoverageNeedsAMajorityOfEachShardUnderItsPlacement(t *testing.T) {
 	watch := newTestWatch(&source{view: newView(5, 2), ready: true})
 	current, _ := watch.Refresh()
 	coverage := NewCoverage(current)
--- a/internal/state/store/proposer/call.go
+++ b/internal/state/store/proposer/call.go
@@ -16,7 +16,7 @@
 // The first one spares a request whose owner is fenced already an intent that nobody would
 // act on; the state of this replica is enough for it when the epoch is in force there.
 func (p *Proposer) beginCall(shard register.ShardView, operation *Operation, begin *protocol.BeginCall) {
-	if record := p.localProgram(shard, operation); isInForce(record, begin) {
+	if record := p.localProgram(shard, operation); isCurrentEpoch(record, begin) {
 		p.writeIntent(shard, operation, begin, record)
 		return
 	}
@@ -38,7 +38,7 @@
 	return record
 }
 
-func isInForce(record *protocol.ProgramRecord, begin *protocol.BeginCall) bool {
+func isCurrentEpoch(record *protocol.ProgramRecord, begin *protocol.BeginCall) bool {
 	return ledger.CheckEpoch(record, begin.GetSession(), begin.GetEpoch()).GetStatus() == protocol.LedgerStatus_LEDGER_OK
 }
 
@@ -64,9 +64,9 @@
 // checkEpoch reads the program's register from a majority and continues when the epoch of the
 // call is in force; else it answers the rejection.
 func (p *Proposer) checkEpoch(
-	shard register.ShardView, operation *Operation, begin *protocol.BeginCall, inForce func(*protocol.ProgramRecord),
+	shard register.ShardView, operation *Operation, begin *protocol.BeginCall, onCurrent func(*protocol.ProgramRecord),
 ) {
-	read := &Operation{
+	readProgram := &Operation{
 		Message: &protocol.LedgerOperation{
 			Program: operation.Message.GetProgram(),
 			Body:    &protocol.LedgerOperation_ReadProgram{ReadProgram: &protocol.ReadProgram{}},
@@ -82,8 +82,8 @@
 				operation.Reply(check)
 				return
 			}
-			inForce(result.GetProgram())
+			onCurrent(result.GetProgram())
 		},
 	}
-	p.propose(shard, programKey(operation), read)
+	p.propose(shard, programKey(operation), readProgram)
 }
--- a/internal/state/store/replication/catch_up.go
+++ b/internal/state/store/replication/catch_up.go
@@ -59,33 +59,33 @@
 // copyShard reads the shard from enough replicas of the current set: the first one in full,
 // and of the others what differs from that.
 func (s *Service) copyShard(view register.ShardView) error {
-	begin, err := s.copyState(view.Shard)
-	if err != nil || begin.caughtUp {
+	state, err := s.copyState(view.Shard)
+	if err != nil || state.caughtUp {
 		return err
 	}
-	left := view.RequiredSources()
+	remaining := view.RequiredSources()
 	var failed error
 	for _, source := range view.Quorum.Current {
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
 		if source == s.options.Store {
 			continue
 		}
 		copyFrom := s.copyDifference
-		if left == view.RequiredSources() {
+		if remaining == view.RequiredSources() {
 			copyFrom = s.copyAll
 		}
-		if err := copyFrom(view.Shard, source, begin.generation); err != nil {
+		if err := copyFrom(view.Shard, source, state.generation); err != nil {
 			failed = errors.CombineErrors(failed, err)
 			continue
 		}
-		left--
+		remaining--
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return errors.CombineErrors(&CopyError{Shard: view.Shard, Reason: "not enough complete replicas"}, failed)
 	}
-	return s.finishCopy(view.Shard, begin.generation)
+	return s.finishCopy(view.Shard, state.generation)
 }
 
 // copyState is how far the copy of a shard is.
@@ -161,7 +161,7 @@
 			return nil
 		}
 		request.After = page.GetNext()
-		wait := s.pace.wait(s.options.Lifecycle.Clock().Now(), size, s.options.BytesPerSecond)
+		wait := s.copyLimiter.wait(s.options.Lifecycle.Clock().Now(), size, s.options.BytesPerSecond)
 		if !s.options.Lifecycle.Sleep(wait) {
 			return &lifecycle.StoppedError{}
 		}
--- a/internal/state/store/replication/progress.go
+++ b/internal/state/store/replication/progress.go
@@ -24,8 +24,8 @@
 
 // report is what the core was last sent of a shard.
 type report struct {
-	epoch uint64
-	at    time.Time
+	epoch  uint64
+	sentAt time.Time
 }
 
 func newProgress() *progress {
@@ -38,7 +38,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	last := p.reported[view.Shard]
-	isReported := last.epoch == view.Epoch && now.Sub(last.at) < reportInterval
+	isReported := last.epoch == view.Epoch && now.Sub(last.sentAt) < reportInterval
 	if p.running[view.Shard] || len(p.running) >= maxConcurrentCopies || isReported {
 		return false
 	}
@@ -52,26 +52,26 @@
 	defer p.mutex.Unlock()
 	delete(p.running, view.Shard)
 	if isReported {
-		p.reported[view.Shard] = report{epoch: view.Epoch, at: now}
+		p.reported[view.Shard] = report{epoch: view.Epoch, sentAt: now}
 	}
 }
 
-// pace spreads the bytes of all copies over time.
-type pace struct {
+// rateLimiter spreads the bytes of all copies over time.
+type rateLimiter struct {
 	mutex sync.Mutex
-	// idleAt is when the bytes taken so far are within the rate.
-	idleAt time.Time
+	// nextFree is when the bytes taken so far are within the rate.
+	nextFree time.Time
 }
 
 // wait counts bytes and returns the wait before more may be copied.
-func (p *pace) wait(now time.Time, size, bytesPerSecond uint64) time.Duration {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.idleAt.Before(now) {
-		p.idleAt = now
+func (l *rateLimiter) wait(now time.Time, size, bytesPerSecond uint64) time.Duration {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	p.idleAt = p.idleAt.Add(transferTime(size, bytesPerSecond))
-	return p.idleAt.Sub(now)
+	l.nextFree = l.nextFree.Add(transferTime(size, bytesPerSecond))
+	return l.nextFree.Sub(now)
 }
 
 func transferTime(size, bytesPerSecond uint64) time.Duration {
--- a/internal/state/store/replication/service.go
+++ b/internal/state/store/replication/service.go
@@ -69,8 +69,8 @@
 type Service struct {
 	options Options
 	// notified wakes the catch-up before its interval is over.
-	notified chan struct{}
-	pace     pace
+	notified    chan struct{}
+	copyLimiter rateLimiter
 }
 
 // New returns a service; RunCatchUp and RunScrub do its work.
--- a/internal/state/store/shardtable/page.go
+++ b/internal/state/store/shardtable/page.go
@@ -40,9 +40,9 @@
 // registerPage is the next registers in order.
 type registerPage struct {
 	states []*protocol.RegisterState
-	// reached is the last register that was looked at.
-	reached Key
-	last    bool
+	// lastScanned is the last register that was looked at.
+	lastScanned Key
+	last        bool
 }
 
 func (t *Table) registersAfter(after Key, limit int, filter bucketFilter) registerPage {
@@ -53,7 +53,7 @@
 			return page
 		}
 		scanned++
-		page.reached = key
+		page.lastScanned = key
 		if register.State.Accepted.IsZero() || !filter.matches(key.bucketHash()) {
 			continue
 		}
@@ -69,9 +69,9 @@
 type turnPage struct {
 	keys    []turnindex.Key
 	entries []turnindex.Entry
-	// reached is the last turn that was looked at.
-	reached turnindex.Key
-	last    bool
+	// lastScanned is the last turn that was looked at.
+	lastScanned turnindex.Key
+	last        bool
 }
 
 func (t *Table) turnsAfter(after turnindex.Key, limit int, filter bucketFilter) turnPage {
@@ -82,7 +82,7 @@
 			return page
 		}
 		scanned++
-		page.reached = key
+		page.lastScanned = key
 		if filter.matches(key.TurnHash) {
 			page.keys = append(page.keys, key)
 			page.entries = append(page.entries, entry)
@@ -119,7 +119,7 @@
 	answer.Registers = registers.states
 	answer.Next = Cursor{InTurns: true}.Encode()
 	if !registers.last {
-		answer.Next = Cursor{Register: registers.reached}.Encode()
+		answer.Next = Cursor{Register: registers.lastScanned}.Encode()
 	}
 	return Page{Answer: answer}
 }
@@ -144,7 +144,7 @@
 	}
 	p.Answer.Last = p.turns.last
 	if !p.turns.last {
-		p.Answer.Next = Cursor{InTurns: true, Turn: p.turns.reached}.Encode()
+		p.Answer.Next = Cursor{InTurns: true, Turn: p.turns.lastScanned}.Encode()
 	}
 	return nil
 }
--- a/internal/state/store/shardtable/page_test.go
+++ b/internal/state/store/shardtable/page_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-func TestPagesHaveEveryEntryOfAShardOnce(t *testing.T) {
+func TestPagesContainEveryEntryOnce(t *testing.T) {
 	table := New(0)
 	for number := range 3 * maxPageScan {
 		key := Key{Program: fmt.Sprintf("program-%d", number/2), Call: []string{"", "call"}[number%2]}
@@ -44,7 +44,7 @@
 			}
 			seen[key] = true
 		}
-		after, last = page.reached, page.last
+		after, last = page.lastScanned, page.last
 	}
 	if len(seen) != wanted {
 		t.Errorf("%d registers in the pages, want %d", len(seen), wanted)
@@ -69,7 +69,7 @@
 			}
 			seen[key] = true
 		}
-		after, last = page.reached, page.last
+		after, last = page.lastScanned, page.last
 	}
 	if len(seen) != wanted {
 		t.Errorf("%d turns in the pages, want %d", len(seen), wanted)
--- a/internal/state/store/shardtable/table.go
+++ b/internal/state/store/shardtable/table.go
@@ -32,12 +32,12 @@
 
 // Register returns a register; a new one is added when there is none.
 func (t *Table) Register(key Key) *Register {
-	known, found := t.Registers.Get(key)
+	entry, found := t.Registers.Get(key)
 	if !found {
-		known = &Register{}
-		t.Registers.Put(key, known)
+		entry = &Register{}
+		t.Registers.Put(key, entry)
 	}
-	return known
+	return entry
 }
 
 // ClearRegisters removes all registers.
--- a/internal/state/store/shardtable/training_step_members_test.go
+++ b/internal/state/store/shardtable/training_step_members_test.go
@@ -50,7 +50,7 @@
 	return members, pages
 }
 
-func TestMembersAreListedInPagesOfBoundedWork(t *testing.T) {
+func TestMemberPagesScanABoundedNumberOfRegisters(t *testing.T) {
 	const programs = 5 * membersPageRegisters
 	table, wanted := newMemberTable(t, programs)
 	members, pages := scanMembers(table, "17")
--- a/internal/state/store/steptrace/members.go
+++ b/internal/state/store/steptrace/members.go
@@ -101,17 +101,17 @@
 
 // memberList is what all stores listed so far.
 type memberList struct {
-	names   map[string]bool
-	covered *placement.Coverage
+	names    map[string]bool
+	coverage *placement.Coverage
 }
 
 func newMemberList(current *placement.Topology) *memberList {
-	return &memberList{names: map[string]bool{}, covered: placement.NewCoverage(current)}
+	return &memberList{names: map[string]bool{}, coverage: placement.NewCoverage(current)}
 }
 
 // merge adds the list of one store; nil is no answer.
 func (l *memberList) merge(store string, answer *protocol.ListTrainingStepResponse) {
-	l.covered.Add(store, answer.GetShards(), answer.GetPlacementEpoch())
+	l.coverage.Add(store, answer.GetShards(), answer.GetPlacementEpoch())
 	for _, program := range answer.GetPrograms() {
 		l.names[program.GetProgram()] = true
 	}
@@ -149,7 +149,7 @@
 	list := newMemberList(current)
 	list.merge(s.options.Store, local)
 	for range others {
-		if list.covered.IsComplete() {
+		if list.coverage.IsComplete() {
 			break
 		}
 		select {
@@ -159,6 +159,6 @@
 			return nil, false, nil
 		}
 	}
-	complete = list.covered.IsComplete() && s.options.Placement.Current().Epoch == current.Epoch
+	complete = list.coverage.IsComplete() && s.options.Placement.Current().Epoch == current.Epoch
 	return slices.Sorted(maps.Keys(list.names)), complete, nil
 }
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -62,7 +62,7 @@
 		}
 		f.stores = append(f.stores, started)
 	}
-	f.core.begin(f.nodes())
+	f.core.publishInitial(f.nodes())
 	for _, started := range f.stores {
 		f.core.subscribe(started.store.ViewChanged)
 	}
@@ -177,7 +177,7 @@
 	changed()
 }
 
-func (c *fixedCore) begin(nodes []*protocol.Node) {
+func (c *fixedCore) publishInitial(nodes []*protocol.Node) {
 	placement := &protocol.Placement{}
 	for shard := range uint32(shardCount) {
 		placed := &protocol.ShardPlacement{Shard: shard}
--- a/internal/state/store/storebench/load.go
+++ b/internal/state/store/storebench/load.go
@@ -121,7 +121,7 @@
 	for number := range options.InFlight {
 		recorders[number] = newRecorder()
 		caller := &caller{
-			fleet: f, recorder: recorders[number], number: number, begins: begins,
+			fleet: f, recorder: recorders[number], number: number, countFrom: begins,
 			text: strings.Repeat("x", options.TurnBytes), turns: options.Turns,
 		}
 		callers.Go(func() { caller.run(ctx, ends) })
@@ -147,7 +147,7 @@
 	moved := 0
 	for shard := range uint32(shardCount) {
 		f.core.moveShard(shard, f.stores[0].self.GetName(), f.stores[len(f.stores)-1].self)
-		for f.core.moving() > 0 {
+		for f.core.movingCount() > 0 {
 			if ctx.Err() != nil || time.Now().After(ends) {
 				return moved
 			}
@@ -181,13 +181,13 @@
 
 // caller drives one program after the other, one operation at a time. It belongs to one goroutine.
 type caller struct {
-	fleet    *fleet
-	recorder *recorder
-	number   int
-	begins   time.Time
-	text     string
-	programs int
-	turns    int
+	fleet     *fleet
+	recorder  *recorder
+	number    int
+	countFrom time.Time
+	text      string
+	programs  int
+	turns     int
 	// retention is how long turns are retained; zero leaves it to the ledger.
 	retention time.Duration
 }
@@ -240,7 +240,7 @@
 	result, err := c.fleet.client.Do(ctx, operation)
 	if err != nil || result.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
 		c.recorder.failed++
-	} else if into != nil && began.After(c.begins) {
+	} else if into != nil && began.After(c.countFrom) {
 		_ = into.RecordValue(min(max(time.Since(began).Microseconds(), 1), maxMicros))
 	}
 	return result
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -67,7 +67,7 @@
 	for number := range recorders {
 		recorders[number] = newRecorder()
 		caller := &caller{
-			fleet: f, recorder: recorders[number], begins: time.Now(), text: strings.Repeat("x", turnBytes), turns: turns,
+			fleet: f, recorder: recorders[number], countFrom: time.Now(), text: strings.Repeat("x", turnBytes), turns: turns,
 		}
 		callers.Go(func() {
 			for program := range numbers {
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -66,7 +66,7 @@
 	before, began := f.usage(), time.Now()
 	f.core.loseDisk(started.self, f.nodes())
 	f.core.subscribe(started.store.ViewChanged)
-	for f.core.rebuilding() > 0 {
+	for f.core.rebuildingCount() > 0 {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -119,8 +119,8 @@
 		placement.GetShards())
 }
 
-// rebuilding returns the number of shards with a replica that is not complete.
-func (c *fixedCore) rebuilding() int {
+// rebuildingCount returns the number of shards with a replica that is not complete.
+func (c *fixedCore) rebuildingCount() int {
 	count := 0
 	for _, placed := range c.View().Placement.GetShards() {
 		for _, replica := range placed.GetCurrent() {
--- a/internal/state/store/storebench/shard_moves.go
+++ b/internal/state/store/storebench/shard_moves.go
@@ -59,8 +59,8 @@
 	c.publish(&corelink.View{Membership: view.Membership, Placement: placement}, []*protocol.ShardPlacement{changed})
 }
 
-// moving returns the number of shards that are being moved.
-func (c *fixedCore) moving() int {
+// movingCount returns the number of shards that are being moved.
+func (c *fixedCore) movingCount() int {
 	count := 0
 	for _, placed := range c.View().Placement.GetShards() {
 		if len(placed.GetNext()) > 0 {
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -84,7 +84,7 @@
 		finished = append(finished, done)
 		go func() {
 			program := &caller{
-				fleet: f, recorder: newRecorder(), begins: ends, text: strings.Repeat("x", options.TurnBytes),
+				fleet: f, recorder: newRecorder(), countFrom: ends, text: strings.Repeat("x", options.TurnBytes),
 				turns: options.TurnsOfProgram, retention: options.Retention,
 			}
 			program.runProgram(ctx, fmt.Sprintf("steady-%d", number), ends.Add(time.Minute))
--- a/internal/state/store/turnindex/codec.go
+++ b/internal/state/store/turnindex/codec.go
@@ -10,19 +10,19 @@
 	"github.com/rosestand/rosestand/internal/state/store/records"
 )
 
-// form begins a stored index; an index that begins otherwise is not read.
-const form = "RSTTIX\x00\x02"
+// header begins a stored index; an index that begins otherwise is not read.
+const header = "RSTTIX\x00\x02"
 
 // RecordBytes is the size of one stored entry: shard, key, segment, offset, end of the
 // retention and key of the previous turn, big-endian.
 const RecordBytes = 4 + 16 + 12 + 16
 
-// ErrOtherForm reports that a stored index is of a form that this program does not read.
-var ErrOtherForm = errors.New("an index of another form")
+// ErrUnknownFormat reports that a stored index is of a form that this program does not read.
+var ErrUnknownFormat = errors.New("an index of another form")
 
 // WriteHeader begins a stored index; what Encode returns for each shard follows.
 func WriteHeader(writer io.Writer) error {
-	_, err := io.WriteString(writer, form)
+	_, err := io.WriteString(writer, header)
 	return err
 }
 
@@ -40,13 +40,13 @@
 	return encoded
 }
 
-// Read visits the entries of a stored index, with their shards. The error is ErrOtherForm,
+// Read visits the entries of a stored index, with their shards. The error is ErrUnknownFormat,
 // or a *records.UnreadableError when the index ends within an entry.
 func Read(content io.Reader, visit func(shard uint32, key Key, entry Entry)) error {
 	reader := bufio.NewReader(content)
-	var header [len(form)]byte
-	if _, err := io.ReadFull(reader, header[:]); err != nil || string(header[:]) != form {
-		return ErrOtherForm
+	var prefix [len(header)]byte
+	if _, err := io.ReadFull(reader, prefix[:]); err != nil || string(prefix[:]) != header {
+		return ErrUnknownFormat
 	}
 	var record [RecordBytes]byte
 	for {
--- a/internal/state/store/turnindex/index_test.go
+++ b/internal/state/store/turnindex/index_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestExtendRetainsATurnAndThoseThatLeadUpToIt(t *testing.T) {
+func TestExtendRetainsATurnAndItsPredecessors(t *testing.T) {
 	var index Index
 	var segments SegmentExpiry
 	addChain(&index, &segments)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestASegmentIsRetainedAsLongAsItsLastTurn(t *testing.T) {
+func TestSegmentIsRetainedAsLongAsItsLastTurn(t *testing.T) {
 	var index Index
 	var segments SegmentExpiry
 	addChain(&index, &segments)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTurnsOfOneIDAreListedWhateverTheirPrograms(t *testing.T) {
+func TestWithIDListsTurnsOfAllPrograms(t *testing.T) {
 	var index Index
 	for _, program := range []string{"p", "q"} {
 		index.Put(NewKey(program, "turn"), Entry{Segment: 1})
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestAnIndexIsReadAsItWasWritten(t *testing.T) {
+func TestEncodedIndexRoundTrips(t *testing.T) {
 	var index, read Index
 	var segments SegmentExpiry
 	addChain(&index, &segments)
@@ -97,7 +97,7 @@
 		}
 	}
 	ignore := func(uint32, Key, Entry) {}
-	if err := Read(bytes.NewReader([]byte("another form")), ignore); !errors.Is(err, ErrOtherForm) {
+	if err := Read(bytes.NewReader([]byte("another form")), ignore); !errors.Is(err, ErrUnknownFormat) {
 		t.Errorf("another form returned %v", err)
 	}
 	err = Read(bytes.NewReader(content[:len(content)-1]), ignore)
--- a/internal/state/store/turns/chain.go
+++ b/internal/state/store/turns/chain.go
@@ -56,7 +56,7 @@
 func (s *Service) ExtendChain(
 	ctx context.Context, shard register.ShardView, program string, extend *protocol.ProlongTurns,
 ) (*protocol.LedgerResult, error) {
-	result := resultWith()
+	result := okResult()
 	for next := extend.GetLastTurn(); next != ""; {
 		page, err := s.ReadChain(ctx, shard, program, &protocol.ReadTurns{LastTurn: next})
 		if err != nil || page.GetStatus() != protocol.LedgerStatus_LEDGER_OK {
--- a/internal/state/store/turns/fetch.go
+++ b/internal/state/store/turns/fetch.go
@@ -50,8 +50,8 @@
 	answers, queried := s.requestFromPeers(shard, &protocol.FetchTurnsRequest{
 		Shard: shard.Shard, PlacementEpoch: shard.Epoch, Program: program, LastTurn: last, Limit: limit,
 	})
-	lacking := map[string]bool{s.options.Store: s.countsAsMissing(shard)}
-	isMissing := func() bool { return shard.Quorum.Reached(func(store string) bool { return lacking[store] }) }
+	missing := map[string]bool{s.options.Store: s.countsAsMissing(shard)}
+	isMissing := func() bool { return shard.Quorum.Reached(func(store string) bool { return missing[store] }) }
 	var late lateAnswers
 	defer late.end()
 	for range queried {
@@ -65,7 +65,7 @@
 			if len(answer.turns) > 0 {
 				return answer.turns, protocol.LedgerStatus_LEDGER_OK
 			}
-			lacking[answer.store] = answer.answered
+			missing[answer.store] = answer.answered
 		case <-ctx.Done():
 			return nil, protocol.LedgerStatus_LEDGER_UNAVAILABLE
 		}
--- a/internal/state/store/turns/find.go
+++ b/internal/state/store/turns/find.go
@@ -67,11 +67,11 @@
 		return nil, err
 	}
 	if local.GetTurn() != nil {
-		return resultWith(local.GetTurn()), nil
+		return okResult(local.GetTurn()), nil
 	}
-	lacking := placement.NewCoverage(current)
-	lacking.Add(s.options.Store, local.GetShards(), local.GetPlacementEpoch())
-	return s.findOnPeers(ctx, find, lacking), nil
+	coverage := placement.NewCoverage(current)
+	coverage.Add(s.options.Store, local.GetShards(), local.GetPlacementEpoch())
+	return s.findOnPeers(ctx, find, coverage), nil
 }
 
 type findAnswer struct {
@@ -81,20 +81,20 @@
 
 // findOnPeers queries the other stores at once. The first answer with the turn counts.
 func (s *Service) findOnPeers(
-	ctx context.Context, find *protocol.FindTurn, lacking *placement.Coverage,
+	ctx context.Context, find *protocol.FindTurn, coverage *placement.Coverage,
 ) *protocol.LedgerResult {
 	body := &protocol.Request_FindTurn{FindTurn: &protocol.FindTurnRequest{TurnId: find.GetTurnId()}}
-	others := lacking.Topology.Stores(s.options.Store)
+	others := coverage.Topology.Stores(s.options.Store)
 	answers := make(chan findAnswer, len(others))
 	for _, store := range others {
 		s.options.Peers.Send(store, &protocol.Request{Body: body}, func(response *protocol.Response, _ error) {
 			answers <- findAnswer{store: store, answer: response.GetFindTurn()}
 		})
 	}
-	if turn := s.awaitTurn(ctx, lacking, answers, len(others)); turn != nil {
-		return resultWith(turn)
+	if turn := s.awaitTurn(ctx, coverage, answers, len(others)); turn != nil {
+		return okResult(turn)
 	}
-	if lacking.IsComplete() && s.options.Placement.Current().Epoch == lacking.Topology.Epoch {
+	if coverage.IsComplete() && s.options.Placement.Current().Epoch == coverage.Topology.Epoch {
 		return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_TURN_MISSING)
 	}
 	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
@@ -102,12 +102,12 @@
 
 // awaitTurn waits until an answer has the turn, all answers have come or the time is over.
 func (s *Service) awaitTurn(
-	ctx context.Context, lacking *placement.Coverage, answers <-chan findAnswer, count int,
+	ctx context.Context, coverage *placement.Coverage, answers <-chan findAnswer, count int,
 ) *protocol.Turn {
 	var late lateAnswers
 	defer late.end()
 	for range count {
-		if lacking.IsComplete() {
+		if coverage.IsComplete() {
 			late.begin(s.options.Lifecycle.Clock())
 		}
 		select {
@@ -115,7 +115,7 @@
 			if turn := received.answer.GetTurn(); turn != nil {
 				return turn
 			}
-			lacking.Add(received.store, received.answer.GetShards(), received.answer.GetPlacementEpoch())
+			coverage.Add(received.store, received.answer.GetShards(), received.answer.GetPlacementEpoch())
 		case <-late.expired:
 			return nil
 		case <-ctx.Done():
--- a/internal/state/store/turns/read.go
+++ b/internal/state/store/turns/read.go
@@ -17,17 +17,17 @@
 	ctx context.Context, shard register.ShardView, program string, read *protocol.ReadTurns,
 ) (*protocol.LedgerResult, error) {
 	limit := boundedLimit(read.GetLimit())
-	result := resultWith()
+	result := okResult()
 	next, size := read.GetLastTurn(), 0
 	for uint32(len(result.Turns)) < limit && next != "" && size < maxTurnBytes {
-		missing := limit - uint32(len(result.Turns))
-		chain, err := s.LocalChain(shard.Shard, program, next, missing)
+		remaining := limit - uint32(len(result.Turns))
+		chain, err := s.LocalChain(shard.Shard, program, next, remaining)
 		if err != nil {
 			return nil, s.FailOnDamage(err)
 		}
 		if len(chain) == 0 {
 			var status protocol.LedgerStatus
-			chain, status = s.fetchFromPeers(ctx, shard, program, next, missing)
+			chain, status = s.fetchFromPeers(ctx, shard, program, next, remaining)
 			if len(chain) == 0 {
 				result.Status = status
 				result.LastTurn = next
--- a/internal/state/store/turns/retain.go
+++ b/internal/state/store/turns/retain.go
@@ -46,7 +46,7 @@
 		}
 		if store == r.retainer.service.options.Store {
 			r.retainer.retainWithChain(r.shard.Shard, r.turn, func(retained bool) {
-				r.handleAnswer(store, attempt, retained && r.isInForce())
+				r.handleAnswer(store, attempt, retained && r.isPlacementCurrent())
 			})
 			continue
 		}
@@ -54,9 +54,9 @@
 	}
 }
 
-// isInForce reports whether this replica still acts under the placement of the retention: a
+// isPlacementCurrent reports whether this replica still acts under the placement of the retention: a
 // copy of the shard made under a newer one may lack the turn.
-func (r *retention) isInForce() bool {
+func (r *retention) isPlacementCurrent() bool {
 	return r.retainer.group.Table(r.shard.Shard).View.Rejection(r.shard.Epoch) == notRejected
 }
 
--- a/internal/state/store/turns/service.go
+++ b/internal/state/store/turns/service.go
@@ -81,6 +81,6 @@
 	return err
 }
 
-func resultWith(turns ...*protocol.Turn) *protocol.LedgerResult {
+func okResult(turns ...*protocol.Turn) *protocol.LedgerResult {
 	return &protocol.LedgerResult{Status: protocol.LedgerStatus_LEDGER_OK, Turns: turns}
 }
