--- a/internal/state/store/owner/doc.go
+++ b/internal/state/store/owner/doc.go
@@ -1,8 +1,8 @@
-// Package owner has the owner goroutines of a store's shards. Shards are divided among
-// groups; the one goroutine of a group works through a queue of commands and is the only one
-// that uses the tables of its shards, as the acceptor of their registers and as the keeper of
-// their turns.
+// Package owner implements the owner goroutines of a store's shards. Shards are divided among
+// groups. Each group has one goroutine that executes a queue of commands and is the only one
+// to access the tables of the group's shards: it is the acceptor of their registers and
+// retains their turns.
 //
-// An answer leaves a group only after what it shows is synced: one group commit of a log
-// serves all answers that wait for it.
+// A group sends a response only after the state that the response shows is synced. One group
+// commit of a log releases all responses that wait for it.
 package owner
--- a/internal/state/store/owner/group.go
+++ b/internal/state/store/owner/group.go
@@ -15,8 +15,8 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// Log makes records durable. done is called on another goroutine; an error means that the
-// log takes no records any more.
+// Log makes records durable. done is called on another goroutine; after an error the log
+// accepts no further records.
 type Log interface {
 	AppendAsync(records [][]byte, done func([]storage.Position, error))
 }
@@ -33,30 +33,30 @@
 	Segments *turnindex.SegmentExpiry
 	// Stopped is closed when the store stops.
 	Stopped <-chan struct{}
-	// Fail ends the store because of an error that it cannot survive.
+	// Fail stops the store after an unrecoverable error.
 	Fail func(error)
-	// Written counts the bytes of records given to a log, by the log's name.
+	// Written counts the bytes of records appended to a log, by the log's name.
 	Written func(log string, bytes int)
 }
 
-// Group owns the tables of some shards. All fields belong to the goroutine that calls Run;
-// others use Post and Call. Methods that say so may be called by any goroutine, the rest
-// belong to commands of the group.
+// Group owns the tables of some shards. Only the goroutine that calls Run accesses its fields;
+// other goroutines use Post and Call. Methods may be called by commands of the group only,
+// unless their comments allow any goroutine.
 type Group struct {
 	options Options
 	mailbox *mailbox.Mailbox
 	logs    Logs
 	tables  map[uint32]*shardtable.Table
-	// unsynced has the registers whose newest state is not durable yet.
+	// unsynced contains the registers whose newest state is not durable yet.
 	unsynced map[*shardtable.Register]*unsyncedWrites
-	// unsyncedTurns has what waits for each turn that is being written.
+	// unsyncedTurns contains the callbacks that wait for each turn that is being written.
 	unsyncedTurns map[turnindex.Key][]func()
-	// proposers has one copy of each proposer's name, since every register names two.
+	// proposers interns the names of proposers, since every register contains two of them.
 	proposers map[string]string
 }
 
-// NewGroup returns a group without tables. Before Run, the goroutine that made it may use
-// it to load what is stored.
+// NewGroup returns a group without tables. Before Run, the goroutine that created the group
+// may load stored records into it.
 func NewGroup(options Options) *Group {
 	return &Group{
 		options:       options,
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run works through the group's commands until Close.
+// Run executes the group's commands until Close.
 func (g *Group) Run(logs Logs) {
 	g.logs = logs
 	g.mailbox.Run()
@@ -80,8 +80,8 @@
 // Close ends Run. Any goroutine may call it.
 func (g *Group) Close() { g.mailbox.Close() }
 
-// Call runs a command on the group's goroutine and waits for what it returns. It must not be
-// called by that goroutine. The error is a *lifecycle.StoppedError.
+// Call runs a command on the group's goroutine and returns its result. That goroutine itself
+// must not use Call, which would deadlock. The error is a *lifecycle.StoppedError.
 func Call[A any](g *Group, command func() A) (A, error) {
 	answers := make(chan A, 1)
 	g.Post(func() { answers <- command() })
@@ -94,7 +94,7 @@
 	}
 }
 
-// Table returns the table of a shard, empty when this store has nothing of it.
+// Table returns the table of a shard, which is empty when this store has no data of the shard.
 func (g *Group) Table(shard uint32) *shardtable.Table {
 	table := g.tables[shard]
 	if table == nil {
@@ -104,20 +104,20 @@
 	return table
 }
 
-// Tables yields all tables, by shard, in no order.
+// Tables yields all tables with their shard numbers, in unspecified order.
 func (g *Group) Tables() iter.Seq2[uint32, *shardtable.Table] { return maps.All(g.tables) }
 
-// Shards returns the numbers of all shards that have a table, in no order.
+// Shards returns the numbers of all shards that have a table, in unspecified order.
 func (g *Group) Shards() []uint32 { return slices.Collect(maps.Keys(g.tables)) }
 
-// ApplyView brings the table of a shard under a new placement. It is cleared when the store
-// must join the shard anew.
+// ApplyView applies a new placement to the table of a shard. The table is cleared when the
+// store must rejoin the shard.
 func (g *Group) ApplyView(view register.ShardView) {
 	table := g.Table(view.Shard)
 	previous := table.View
 	table.View = view
 	if view.Role == register.RoleActive {
-		// It concerns joining and rebuilding replicas alone; the next copy of this shard begins anew.
+		// CaughtUp applies to joining and rebuilding replicas only; the next copy of this shard starts over.
 		table.CaughtUp = false
 	}
 	if view.RequiresReset(previous) && (view.Role != register.RoleNone || !table.IsEmpty()) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Drop clears a shard durably, before the store may join it anew.
+// Drop clears a shard durably, before the store may rejoin it.
 func (g *Group) Drop(shard uint32, done func()) {
 	table := g.Table(shard)
 	table.Clear()
@@ -135,15 +135,15 @@
 	}, done)
 }
 
-// RemoveExpiredTurns drops the turns of segments before first, and expired ones.
+// RemoveExpiredTurns removes the expired turns and those in segments before first.
 func (g *Group) RemoveExpiredTurns(first uint64, now time.Time) {
 	for _, table := range g.tables {
 		table.Turns.RemoveExpired(first, now)
 	}
 }
 
-// RemoveExpiredRegisters removes the registers that nobody may ask for any more, except those
-// in use. The error is a *records.UnreadableError.
+// RemoveExpiredRegisters removes the registers whose retention has ended, except those that
+// are being written and those for which inUse returns true. The error is a *records.UnreadableError.
 func (g *Group) RemoveExpiredRegisters(now time.Time, inUse func(shardtable.Key) bool) error {
 	for _, table := range g.tables {
 		err := table.RemoveExpiredRegisters(now, func(key shardtable.Key, entry *shardtable.Register) bool {
--- a/internal/state/store/owner/group_test.go
+++ b/internal/state/store/owner/group_test.go
@@ -22,7 +22,7 @@
 	l.pending = append(l.pending, done)
 }
 
-// sync ends the oldest writes, so many of them.
+// sync completes the oldest count writes with err.
 func (l *manualLog) sync(count int, err error) {
 	for _, done := range l.pending[:count] {
 		done([]storage.Position{{Segment: 1}}, err)
@@ -30,7 +30,7 @@
 	l.pending = l.pending[count:]
 }
 
-// testGroup is a group whose commands a test runs on its own goroutine.
+// testGroup is a group whose commands run on the goroutine of the test.
 type testGroup struct {
 	*Group
 	registers, turns manualLog
@@ -51,7 +51,7 @@
 	return r
 }
 
-// runPosted runs the commands that wait; the group is of no use after that.
+// runPosted runs the queued commands and closes the group, which cannot run commands afterwards.
 func (r *testGroup) runPosted() {
 	r.Post(r.Close)
 	r.mailbox.Run()
@@ -66,20 +66,20 @@
 
 func TestReplyIsHeldUntilItsStateIsDurable(t *testing.T) {
 	r := newTestGroup()
-	var answered []string
-	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { answered = append(answered, "first") })
-	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { answered = append(answered, "repeated") })
-	r.Prepare(prepare(2), func(*protocol.PrepareResponse) { answered = append(answered, "second") })
-	if len(answered) != 0 {
-		t.Fatalf("%v were answered before their state was durable", answered)
+	var replied []string
+	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { replied = append(replied, "first") })
+	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { replied = append(replied, "repeated") })
+	r.Prepare(prepare(2), func(*protocol.PrepareResponse) { replied = append(replied, "second") })
+	if len(replied) != 0 {
+		t.Fatalf("replies %v were sent before their state was durable", replied)
 	}
 	if len(r.registers.pending) != 2 {
-		t.Fatalf("%d writes, wanted one for each state", len(r.registers.pending))
+		t.Fatalf("%d register writes, want 2: one for each state", len(r.registers.pending))
 	}
 	r.registers.sync(1, nil)
 	r.runPosted()
-	if len(answered) != 1 || answered[0] != "first" {
-		t.Errorf("%v were answered after the first write", answered)
+	if len(replied) != 1 || replied[0] != "first" {
+		t.Errorf("replies after the first write: %v, want [first]", replied)
 	}
 }
 
@@ -90,7 +90,8 @@
 	var answer *protocol.PrepareResponse
 	r.Prepare(request, func(response *protocol.PrepareResponse) { answer = response })
 	if answer.GetRefusal() == notRejected || answer.GetPlacementEpoch() != 1 || len(r.registers.pending) != 0 {
-		t.Errorf("answered %v with %d writes", answer, len(r.registers.pending))
+		t.Errorf("prepare under epoch 2 returned %v after %d writes, want a rejection with epoch 1 and no write",
+			answer, len(r.registers.pending))
 	}
 }
 
@@ -102,25 +103,27 @@
 		r.RetainTurn(0, turn, func() { retained++ })
 	}
 	if len(r.turns.pending) != 1 || retained != 0 || !r.IsWriting(turnindex.KeyOf(turn)) {
-		t.Fatalf("%d writes, %d answers before the sync", len(r.turns.pending), retained)
+		t.Fatalf("before the sync: %d writes and %d callbacks, want 1 write in progress and no callback",
+			len(r.turns.pending), retained)
 	}
 	r.turns.sync(1, nil)
 	r.runPosted()
 	if retained != 3 || len(r.turns.pending) != 0 || r.Table(0).Turns.Len() != 1 {
-		t.Errorf("%d answers, %d more writes, %d turns", retained, len(r.turns.pending), r.Table(0).Turns.Len())
+		t.Errorf("after the sync: %d callbacks, %d more writes, %d turns; want 3, 0 and 1",
+			retained, len(r.turns.pending), r.Table(0).Turns.Len())
 	}
 }
 
 func TestFailedWriteStopsTheStoreWithoutReply(t *testing.T) {
 	r := newTestGroup()
-	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { t.Error("answered a write that failed") })
+	r.Prepare(prepare(1), func(*protocol.PrepareResponse) { t.Error("a reply was sent although the write failed") })
 	r.registers.sync(1, errors.New("disk failed"))
 	r.runPosted()
 	if len(r.failed) != 1 {
-		t.Fatalf("failures: %v", r.failed)
+		t.Fatalf("store failures: %v, want exactly one", r.failed)
 	}
 	if failed, isLog := errors.AsType[*datafolder.LogError](r.failed[0]); !isLog || failed.Log != datafolder.RegisterLog {
-		t.Errorf("failed with %v", r.failed[0])
+		t.Errorf("the store failed with %v, want a LogError of the register log", r.failed[0])
 	}
 }
 
@@ -130,7 +133,8 @@
 	generation := r.Table(0).Generation
 	r.ApplyView(register.ShardView{Shard: 0, Epoch: 2, Role: register.RoleRebuilding})
 	if !r.Table(0).IsEmpty() || r.Table(0).Generation == generation {
-		t.Errorf("empty %v, generation %d after %d", r.Table(0).IsEmpty(), r.Table(0).Generation, generation)
+		t.Errorf("table is empty: %v, generation %d after %d; want an empty table of a new generation",
+			r.Table(0).IsEmpty(), r.Table(0).Generation, generation)
 	}
 }
 
@@ -139,6 +143,6 @@
 	close(r.stopped)
 	_, err := Call(r.Group, func() int { return 1 })
 	if _, stopped := errors.AsType[*lifecycle.StoppedError](err); !stopped {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Call returned error %v, want a StoppedError", err)
 	}
 }
--- a/internal/state/store/owner/registers.go
+++ b/internal/state/store/owner/registers.go
@@ -9,10 +9,10 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// notRejected is the absence of a rejection.
+// notRejected is the rejection of a response that accepts the request.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// unsyncedWrites holds back the answers that show a state of a register which is not durable yet.
+// unsyncedWrites delays the responses that show a state of a register which is not durable yet.
 type unsyncedWrites struct {
 	// inFlight counts the writes that are not durable.
 	inFlight int
@@ -21,7 +21,7 @@
 	released int
 }
 
-// Prepare answers a prepare request through reply, on the group's goroutine.
+// Prepare processes a prepare request and calls reply on the group's goroutine.
 func (g *Group) Prepare(request *protocol.PrepareRequest, reply func(*protocol.PrepareResponse)) {
 	table := g.Table(request.GetShard())
 	if rejection := table.View.Rejection(request.GetPlacementEpoch()); rejection != notRejected {
@@ -46,7 +46,7 @@
 	g.put(table, key, entry, next, func() { reply(answer) })
 }
 
-// Accept answers an accept request through reply, on the group's goroutine.
+// Accept processes an accept request and calls reply on the group's goroutine.
 func (g *Group) Accept(request *protocol.AcceptRequest, reply func(*protocol.AcceptResponse)) {
 	table := g.Table(request.GetShard())
 	if rejection := table.View.Rejection(request.GetPlacementEpoch()); rejection != notRejected {
@@ -64,8 +64,8 @@
 	g.put(table, key, entry, next, func() { reply(answer) })
 }
 
-// Learn takes over what another replica accepted, and calls done with the number of
-// registers that changed once all of them are durable.
+// Learn adopts values that another replica accepted. Once all changes are durable it calls
+// done with the number of registers that changed.
 func (g *Group) Learn(shard uint32, states []*protocol.RegisterState, done func(learned int)) {
 	table := g.Table(shard)
 	learned, pending := 0, 1
@@ -112,9 +112,9 @@
 	g.appendRegister(registerRecord(table.View.Shard, key, entry.State), func() { g.synced(entry, due) })
 }
 
-// synced releases the answers that waited for a write of the register. The answers of a register are numbered from its
-// first unsynced write on, and syncs of one log complete in the order of its writes: a sync releases the answers up to
-// its own write (due), the last write in flight all of them, also those that whenDurable added.
+// synced releases the responses that waited for a write of the register. The responses of a register are numbered from
+// its first unsynced write on, and syncs of one log complete in the order of its writes: a sync releases the responses
+// up to its own write (due); the last write in flight releases all, including those that whenDurable added.
 func (g *Group) synced(entry *shardtable.Register, due int) {
 	writes := g.unsynced[entry]
 	writes.inFlight--
@@ -132,7 +132,7 @@
 	}
 }
 
-// whenDurable calls done once the state that is shown now is durable.
+// whenDurable calls done once the current state of the register is durable.
 func (g *Group) whenDurable(entry *shardtable.Register, done func()) {
 	if writes := g.unsynced[entry]; writes != nil {
 		writes.waiting = append(writes.waiting, done)
@@ -142,7 +142,7 @@
 }
 
 // appendRegister writes a record to the register log and calls done on the group's goroutine
-// once it is durable. A failed log ends the store.
+// once it is durable. A failed log stops the store.
 func (g *Group) appendRegister(record *protocol.StoreRecord, done func()) {
 	encoded, err := records.Encode(record)
 	if err != nil {
@@ -159,7 +159,7 @@
 	})
 }
 
-// Load takes one record of the log or snapshot of registers, before Run.
+// Load applies one record of the register log or of its snapshot. It is called before Run.
 func (g *Group) Load(record *protocol.StoreRecord) {
 	table := g.Table(record.GetShard())
 	switch body := record.GetBody().(type) {
@@ -171,7 +171,7 @@
 	}
 }
 
-// RegisterRecords returns the states of all registers for a snapshot. Values are not copied.
+// RegisterRecords returns the states of all registers, for a snapshot. It does not copy values.
 func (g *Group) RegisterRecords() []*protocol.StoreRecord {
 	var stored []*protocol.StoreRecord
 	for shard, table := range g.tables {
@@ -189,7 +189,7 @@
 	}
 }
 
-// intern shares the names of proposers among all registers.
+// intern replaces the names of proposers by copies that all registers share.
 func (g *Group) intern(state register.State) register.State {
 	state.Promised.Proposer = g.internName(state.Promised.Proposer)
 	state.Accepted.Proposer = g.internName(state.Accepted.Proposer)
@@ -197,10 +197,10 @@
 }
 
 func (g *Group) internName(name string) string {
-	known, found := g.proposers[name]
+	interned, found := g.proposers[name]
 	if !found {
 		g.proposers[name] = name
 		return name
 	}
-	return known
+	return interned
 }
--- a/internal/state/store/owner/turns.go
+++ b/internal/state/store/owner/turns.go
@@ -9,14 +9,14 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// LoadTurn adds an entry to the index of a shard, before Run. An expired turn stays until it
-// is known that no retained turn continues it.
+// LoadTurn adds an entry to the index of a shard, before Run. Expired turns are added too,
+// since a retained turn that is loaded later may continue them.
 func (g *Group) LoadTurn(shard uint32, key turnindex.Key, entry turnindex.Entry) {
 	g.Table(shard).Turns.Put(key, entry)
 	g.options.Segments.Record(entry)
 }
 
-// ClearTurns empties the index of all shards, before Run.
+// ClearTurns clears the index of all shards. It is called before Run.
 func (g *Group) ClearTurns() {
 	for _, table := range g.tables {
 		table.ClearTurns()
@@ -29,12 +29,12 @@
 	return table.Turns.Encode(table.View.Shard)
 }
 
-// ExtendChain retains a turn, and those that lead up to it, at least until a time in Unix seconds.
+// ExtendChain retains a turn and its predecessors at least until a time in Unix seconds.
 func (g *Group) ExtendChain(shard uint32, key turnindex.Key, until uint32) {
 	g.Table(shard).Turns.Extend(key, until, g.options.Segments)
 }
 
-// ExtendChains retains every chain of a shard as long as its last turn.
+// ExtendChains retains every chain of a shard for as long as its last turn.
 func (g *Group) ExtendChains(shard uint32) { g.Table(shard).Turns.ExtendChains(g.options.Segments) }
 
 // IsWriting reports whether a turn is being written.
@@ -43,8 +43,8 @@
 	return writing
 }
 
-// RetainTurn writes a turn and calls done on the group's goroutine once it is durable here.
-// A turn that is retained already, and for as long, is not written again.
+// RetainTurn writes a turn and calls done on the group's goroutine once it is durable on this
+// replica. A turn that is already retained for at least as long is not written again.
 func (g *Group) RetainTurn(shard uint32, turn *protocol.Turn, done func()) {
 	table := g.Table(shard)
 	key := turnindex.KeyOf(turn)
@@ -54,7 +54,7 @@
 		return
 	}
 	if g.IsWriting(key) {
-		// What is being written may be retained for a shorter time.
+		// The write in progress may retain the turn for a shorter time.
 		g.unsyncedTurns[key] = append(g.unsyncedTurns[key], func() { g.RetainTurn(shard, turn, done) })
 		return
 	}
@@ -76,10 +76,10 @@
 	})
 }
 
-// turnSynced adds a durable turn to the index and releases what waited for it.
+// turnSynced adds a durable turn to the index and calls the callbacks that waited for it.
 func (g *Group) turnSynced(table *shardtable.Table, key turnindex.Key, entry turnindex.Entry) {
-	if known, found := table.Turns.Get(key); found {
-		entry.RetainUntil = max(entry.RetainUntil, known.RetainUntil)
+	if existing, found := table.Turns.Get(key); found {
+		entry.RetainUntil = max(entry.RetainUntil, existing.RetainUntil)
 	}
 	table.Turns.Put(key, entry)
 	g.options.Segments.Record(entry)
