--- a/internal/state/store/proposer/batch.go
+++ b/internal/state/store/proposer/batch.go
@@ -12,15 +12,15 @@
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
-// maxBatch bounds the operations that go into one change.
+// maxBatch is the maximum number of operations in one change.
 const maxBatch = 128
 
-// batch is the operations that go into one change of a register.
+// batch contains the operations that are applied by one change of a register.
 type batch struct {
 	key        shardtable.Key
 	clock      lifecycle.Clock
 	operations []*Operation
-	// results are what the last apply decided, by operation.
+	// results are the results of the last apply, by operation.
 	results []*protocol.LedgerResult
 }
 
@@ -34,7 +34,7 @@
 	return true
 }
 
-// isExpired reports whether no caller waits any more.
+// isExpired reports whether the deadlines of all operations have passed.
 func (b *batch) isExpired() bool {
 	now := b.clock.Now()
 	for _, operation := range b.operations {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// apply decides each operation of the batch on the record that the one before left. It may
-// be called again with another value. The error is a *records.UnreadableError or one of encoding.
+// apply applies each operation of the batch to the record that the previous one produced. It may
+// be called again with another value. The error is a *records.UnreadableError or an encoding error.
 func (b *batch) apply(current []byte) (next []byte, changed bool, err error) {
 	if b.key.Call != "" {
 		return applyTo(b, current, records.DecodeCall, ledger.ApplyCall)
@@ -54,8 +54,8 @@
 	return applyTo(b, current, records.DecodeProgram, ledger.Apply)
 }
 
-// applyTo collects the results of the batch and encodes the record that it left. decide
-// returns a nil record when the operation changes nothing.
+// applyTo collects the results of the batch and encodes the resulting record. decide returns
+// a nil record when the operation changes nothing.
 func applyTo[T any, R interface {
 	*T
 	proto.Message
@@ -83,8 +83,8 @@
 	return next, true, err
 }
 
-// result returns what apply decided on an operation; reads are answered from the chosen
-// value. The error is a *records.UnreadableError.
+// result returns the result of an operation: that of the last apply, or for a read one from
+// the chosen value. The error is a *records.UnreadableError.
 func (b *batch) result(i int, operation *Operation, value []byte) (*protocol.LedgerResult, error) {
 	if !ledger.IsRead(operation.Message) {
 		return b.results[i], nil
--- a/internal/state/store/proposer/call.go
+++ b/internal/state/store/proposer/call.go
@@ -10,11 +10,11 @@
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
-// beginCall writes the intent between two checks of the session's epoch. Only the second one
-// decides: it reads the program's register after the intent is chosen, so an answer LEDGER_OK
-// is ordered before every later claim, and an owner that was fenced meanwhile never issues.
-// The first one spares a request whose owner is fenced already an intent that nobody would
-// act on; the state of this replica is enough for it when the epoch is in force there.
+// beginCall writes the intent between two checks of the session's epoch. Only the second check
+// is decisive: it reads the program's register after the intent is chosen, so a result LEDGER_OK
+// is ordered before every later claim, and an owner that was fenced meanwhile never issues the
+// call. The first check avoids writing a useless intent for an owner that is already fenced; the
+// state of this replica suffices for it when the epoch is current there.
 func (p *Proposer) beginCall(shard register.ShardView, operation *Operation, begin *protocol.BeginCall) {
 	if record := p.localProgram(shard, operation); isCurrentEpoch(record, begin) {
 		p.writeIntent(shard, operation, begin, record)
@@ -25,7 +25,7 @@
 	})
 }
 
-// localProgram returns a program's record as this replica has it, which may be old; nil without any.
+// localProgram returns this replica's record of a program, which may be stale, or nil if it has none.
 func (p *Proposer) localProgram(shard register.ShardView, operation *Operation) *protocol.ProgramRecord {
 	entry, found := p.options.Replica.Table(shard.Shard).Registers.Get(programKey(operation))
 	if !found {
@@ -42,7 +42,7 @@
 	return ledger.CheckEpoch(record, begin.GetSession(), begin.GetEpoch()).GetStatus() == protocol.LedgerStatus_LEDGER_OK
 }
 
-// writeIntent writes the intent and permits the call when its epoch is in force after that.
+// writeIntent writes the intent and permits the call if its epoch is still current afterwards.
 func (p *Proposer) writeIntent(
 	shard register.ShardView, operation *Operation, begin *protocol.BeginCall, record *protocol.ProgramRecord,
 ) {
@@ -61,8 +61,8 @@
 	p.propose(shard, key, intent)
 }
 
-// checkEpoch reads the program's register from a majority and continues when the epoch of the
-// call is in force; else it answers the rejection.
+// checkEpoch reads the program's register from a majority. It calls onCurrent if the epoch of
+// the call is current, and replies with the rejection otherwise.
 func (p *Proposer) checkEpoch(
 	shard register.ShardView, operation *Operation, begin *protocol.BeginCall, onCurrent func(*protocol.ProgramRecord),
 ) {
--- a/internal/state/store/proposer/proposal.go
+++ b/internal/state/store/proposer/proposal.go
@@ -8,16 +8,16 @@
 )
 
 // proposal serializes the operations on one register. Operations that wait while a change is
-// in progress go into the next change together.
+// in progress are batched into the next change.
 type proposal struct {
 	proposer *Proposer
 	key      shardtable.Key
 	shard    register.ShardView
 	waiting  []*Operation
-	// batch has the operations of the change in progress; change is nil without one.
+	// batch contains the operations of the change in progress; change is nil when there is none.
 	batch  batch
 	change *register.Change
-	// retries counts the attempts that failed of the change in progress.
+	// retries counts the failed attempts of the change in progress.
 	retries int
 	// backingOff is true while the change waits for its retry.
 	backingOff bool
@@ -39,7 +39,7 @@
 
 func (p *proposal) options() *Options { return &p.proposer.options }
 
-// startNext begins a change for the operations that wait, or ends the proposal when there are none.
+// startNext begins a change for the waiting operations, or removes the proposal when there are none.
 func (p *proposal) startNext() {
 	p.fillBatch()
 	if len(p.batch.operations) == 0 {
@@ -68,7 +68,8 @@
 	p.send(p.change.Start())
 }
 
-// fillBatch makes a batch of the operations whose callers still wait.
+// fillBatch moves up to maxBatch waiting operations into the batch; operations past their
+// deadline are answered LEDGER_UNAVAILABLE instead.
 func (p *proposal) fillBatch() {
 	now := p.options().Clock.Now()
 	p.batch.operations = p.batch.operations[:0]
@@ -88,13 +89,13 @@
 }
 
 // takePrepared lets the change skip its prepare phase when this store made the last change
-// and its own replica still has it.
+// and its own replica still has that state.
 func (p *proposal) takePrepared() register.PreparedProposal {
 	entry, found := p.options().Replica.Table(p.shard.Shard).Registers.Get(p.key)
 	if !found {
 		return register.PreparedProposal{}
 	}
-	// A prepared proposal serves one change: when that one fails, this replica may have a value that is not chosen.
+	// A prepared proposal is valid for one change: if that fails, this replica may have a value that is not chosen.
 	epoch := entry.PreparedEpoch
 	entry.PreparedEpoch = 0
 	name := p.options().Name
@@ -105,7 +106,7 @@
 	return register.PreparedProposal{Epoch: epoch, Ballot: entry.State.Promised, Value: entry.State.Value}
 }
 
-// update applies the batch to a value; it is nil when the batch only reads.
+// update returns a function that applies the batch to a value, or nil when the batch only reads.
 func (p *proposal) update() register.UpdateFunc {
 	if p.batch.isRead() {
 		return nil
@@ -120,7 +121,7 @@
 	}
 }
 
-// send passes messages to the replicas; their answers come back to advance.
+// send sends messages to the replicas; the handlers of their responses call advance.
 func (p *proposal) send(messages []register.Message) {
 	change := p.change
 	for _, message := range messages {
@@ -184,7 +185,7 @@
 	p.send(change.HandleAcceptResponse(message.Store, message.PhaseNumber, answer))
 }
 
-// advance acts on how far the change has come.
+// advance acts on the status of the change.
 func (p *proposal) advance(change *register.Change) {
 	if p.change != change || p.backingOff {
 		return
@@ -204,7 +205,7 @@
 	}
 }
 
-// finish answers the batch once its value is chosen, and remembers whether the next change
+// finish replies to the batch once its value is chosen, and records whether the next change
 // may skip its prepare phase.
 func (p *proposal) finish() {
 	if entry, found := p.options().Replica.Table(p.shard.Shard).Registers.Get(p.key); found {
@@ -242,7 +243,7 @@
 	}
 }
 
-// retryLater retries after a backoff, until no caller waits any more.
+// retryLater schedules a retry after a backoff. Retries end once all operations are past their deadline.
 func (p *proposal) retryLater() {
 	change := p.change
 	p.backingOff = true
--- a/internal/state/store/proposer/proposer.go
+++ b/internal/state/store/proposer/proposer.go
@@ -11,9 +11,9 @@
 	"github.com/rosestand/rosestand/internal/state/store/shardtable"
 )
 
-// Replica is the replica of this store, with the goroutine that owns it.
+// Replica is this store's replica, accessed on its owner's goroutine.
 type Replica interface {
-	// Post runs a command on the owner's goroutine, later.
+	// Post queues a command for the owner's goroutine.
 	Post(command func())
 	Table(shard uint32) *shardtable.Table
 	Prepare(request *protocol.PrepareRequest, reply func(*protocol.PrepareResponse))
@@ -25,19 +25,19 @@
 	Send(store string, request *protocol.Request, done func(*protocol.Response, error))
 }
 
-// Retainer brings a turn onto a majority of the replicas. done is called once, on the
-// owner's goroutine, with LEDGER_OK when that succeeded.
+// Retainer retains a turn on a majority of the replicas. done is called once, on the owner's
+// goroutine, with LEDGER_OK on success.
 type Retainer interface {
 	RetainOnMajority(shard register.ShardView, turn *protocol.Turn, deadline time.Time, done func(protocol.LedgerStatus))
 }
 
-// Observer counts what proposers do.
+// Observer counts the events of proposers.
 type Observer interface {
 	// ProposalStarted is called with the number of operations in a proposal.
 	ProposalStarted(operations int)
-	// ProposalPreempted is called when a proposal lost against a competing proposer.
+	// ProposalPreempted is called when a proposal loses to a competing proposer.
 	ProposalPreempted()
-	// ProposalUnavailable is called when a phase found no majority.
+	// ProposalUnavailable is called when a phase reaches no majority.
 	ProposalUnavailable()
 }
 
@@ -45,7 +45,7 @@
 type Options struct {
 	// Store names this store among the replicas.
 	Store string
-	// Name is the proposer's name in ballots. It must be new at every start.
+	// Name is the proposer's name in ballots. It must differ at every start.
 	Name     string
 	Replica  Replica
 	Peers    Peers
@@ -53,9 +53,9 @@
 	Observer Observer
 	Clock    lifecycle.Clock
 	Backoff  *backoff.Backoff
-	// View returns the view of a shard that is in force.
+	// View returns the current view of a shard.
 	View func(shard uint32) register.ShardView
-	// Fail ends the store because of an error that it cannot survive.
+	// Fail stops the store after an unrecoverable error.
 	Fail func(error)
 }
 
@@ -89,7 +89,7 @@
 // Proposals returns the number of registers with a proposal in progress.
 func (p *Proposer) Proposals() int { return len(p.proposals) }
 
-// Begin starts an operation under the view of its shard that it was planned with.
+// Begin starts an operation under the view of its shard with which it was routed.
 func (p *Proposer) Begin(shard register.ShardView, operation *Operation) {
 	switch body := operation.Message.GetBody().(type) {
 	case *protocol.LedgerOperation_SettleTurn:
@@ -104,7 +104,7 @@
 	}
 }
 
-// commitTurn charges a turn once it is on a majority of the replicas.
+// commitTurn charges a turn once a majority of the replicas retains it.
 func (p *Proposer) commitTurn(shard register.ShardView, operation *Operation, commit *protocol.SettleTurn) {
 	p.options.Retainer.RetainOnMajority(shard, commit.GetTurn(), operation.Deadline, func(status protocol.LedgerStatus) {
 		switch status {
@@ -118,7 +118,7 @@
 	})
 }
 
-// WrongPlacement returns the result of an operation that was planned under another placement
+// WrongPlacement returns the result of an operation that was routed under another placement
 // than the one with this epoch.
 func WrongPlacement(epoch uint64) *protocol.LedgerResult {
 	return &protocol.LedgerResult{
