--- a/internal/state/store/replication/catch_up.go
+++ b/internal/state/store/replication/catch_up.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// retryInterval is the wait before shards that could not be copied are tried again.
+	// retryInterval is the wait before failed copies are retried.
 	retryInterval = 100 * time.Millisecond
-	// idleInterval is the wait when no shard needs a copy; a new placement ends it.
+	// idleInterval is the wait when no shard needs a copy; a new placement ends the wait early.
 	idleInterval  = time.Second
 	reportTimeout = 5 * time.Second
 )
 
-// RunCatchUp copies the shards that this store rebuilds or joins, some side by side, and
-// reports each to the core, again until the placement acknowledges it. A source that does not
-// answer delays the copy of its own shard only. It returns when the store stops.
+// RunCatchUp copies the shards that this store rebuilds or joins, several concurrently, and
+// reports each to the core, repeatedly until the placement acknowledges it. An unresponsive
+// source delays only the copy of its own shard. RunCatchUp returns when the store stops.
 func (s *Service) RunCatchUp() {
 	copies := newProgress()
 	for {
@@ -43,7 +43,7 @@
 	}
 }
 
-// copyAndReport copies one shard; when that succeeds the next one may begin at once.
+// copyAndReport copies one shard and reports it; on success it wakes RunCatchUp, so that the next copy may begin.
 func (s *Service) copyAndReport(copies *progress, view register.ShardView) {
 	err := s.copyShard(view)
 	isReported := err == nil && s.report(view)
@@ -56,8 +56,8 @@
 	}
 }
 
-// copyShard reads the shard from enough replicas of the current set: the first one in full,
-// and of the others what differs from that.
+// copyShard reads the shard from enough replicas of the current set: all of the first one, and
+// from the others only what differs.
 func (s *Service) copyShard(view register.ShardView) error {
 	state, err := s.copyState(view.Shard)
 	if err != nil || state.caughtUp {
@@ -88,7 +88,7 @@
 	return s.finishCopy(view.Shard, state.generation)
 }
 
-// copyState is how far the copy of a shard is.
+// copyState is the state of the copy of a shard.
 type copyState struct {
 	generation uint64
 	caughtUp   bool
@@ -102,7 +102,7 @@
 	})
 }
 
-// finishCopy marks the shard as caught up unless its table was cleared meanwhile.
+// finishCopy marks the shard as caught up unless its table was cleared during the copy.
 func (s *Service) finishCopy(shard uint32, generation uint64) error {
 	g := s.options.Groups.Of(shard)
 	caughtUp, err := owner.Call(g, func() bool {
@@ -125,14 +125,14 @@
 	return &CopyError{Shard: shard, Reason: "the placement changed meanwhile"}
 }
 
-// copyAll reads one replica in full.
+// copyAll reads all pages of one replica.
 func (s *Service) copyAll(shard uint32, source string, generation uint64) error {
 	return s.copyPages(source, generation, &protocol.FetchShardRequest{Shard: shard})
 }
 
-// copyDifference reads from another replica what this one does not have yet. The other one
-// reports its content under the epoch in force, so that nothing is added to it later under an
-// older one.
+// copyDifference reads from another replica the buckets that differ from this one. The digest
+// is requested under the current epoch, so that nothing is added to the other replica under an
+// older epoch afterwards.
 func (s *Service) copyDifference(shard uint32, source string, generation uint64) error {
 	theirs, err := s.fetchDigest(shard, source)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return s.copyPages(source, generation, &protocol.FetchShardRequest{Shard: shard, Buckets: digestBuckets, Only: only})
 }
 
-// copyPages reads one replica page by page, no faster than the settings allow.
+// copyPages reads one replica page by page, at no more than BytesPerSecond.
 func (s *Service) copyPages(source string, generation uint64, request *protocol.FetchShardRequest) error {
 	for {
 		page, err := s.fetchPage(request.GetShard(), source, request)
@@ -187,7 +187,7 @@
 	}
 }
 
-// report sends the core that a shard caught up; the placement shows when the core has acted on it.
+// report notifies the core that a shard has caught up; the placement shows when the core has acted on it.
 func (s *Service) report(view register.ShardView) bool {
 	ctx, cancel := context.WithTimeout(s.options.Lifecycle.Context(), reportTimeout)
 	defer cancel()
--- a/internal/state/store/replication/errors.go
+++ b/internal/state/store/replication/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// CopyError reports that a shard could not be copied now; the copy is retried.
+// CopyError reports that the copy of a shard failed; it is retried.
 type CopyError struct {
 	Shard uint32
-	// Source is the replica that rejected the copy; empty when it failed on this side.
+	// Source is the replica that rejected the copy; empty when the copy failed on this store.
 	Source string
 	Reason string
 }
--- a/internal/state/store/replication/fetch.go
+++ b/internal/state/store/replication/fetch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxPageAttempts bounds the attempts for one page, maxTimedOutAttempts those without any answer.
+	// maxPageAttempts bounds the attempts for one page, maxTimedOutAttempts those that get no response.
 	maxPageAttempts     = 5
 	maxTimedOutAttempts = 2
 	// minPageBackoff is the wait after the first attempt; each further one is four times as long.
@@ -41,7 +41,7 @@
 	}
 }
 
-// differingBuckets returns the buckets in which the other replica has something else.
+// differingBuckets returns the buckets whose digests differ between this replica and another.
 func (s *Service) differingBuckets(shard uint32, theirs *protocol.ShardDigestResponse) ([]uint32, error) {
 	g := s.options.Groups.Of(shard)
 	ours, err := owner.Call(g, func() *protocol.ShardDigestResponse {
@@ -60,7 +60,7 @@
 	return differing, nil
 }
 
-// fetchPage requests a page under the placement epoch in force, again if that changes meanwhile.
+// fetchPage requests a page under the current placement epoch, which it reads anew for each attempt.
 func (s *Service) fetchPage(
 	shard uint32, source string, request *protocol.FetchShardRequest,
 ) (*protocol.FetchShardResponse, error) {
@@ -89,7 +89,7 @@
 	return nil, last
 }
 
-// requestPage returns nil when the answer is of another kind.
+// requestPage makes one request for a page. It returns nil when the response is of another type.
 func (s *Service) requestPage(
 	source string, request *protocol.FetchShardRequest,
 ) (*protocol.FetchShardResponse, error) {
@@ -100,8 +100,8 @@
 	return response.GetFetchShard(), err
 }
 
-// learnPage takes over registers and turns and calls done, once all are durable, with how
-// many of each were new. It runs on the group's goroutine.
+// learnPage adopts the registers and turns of a page. Once all are durable it calls done with
+// the number of new ones of each. It runs on the group's goroutine.
 func (s *Service) learnPage(
 	g *owner.Group, shard uint32, page *protocol.FetchShardResponse, done func(registers, turns int),
 ) {
--- a/internal/state/store/replication/progress.go
+++ b/internal/state/store/replication/progress.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxConcurrentCopies bounds the shards that are copied side by side.
+	// maxConcurrentCopies bounds the shards that are copied concurrently.
 	maxConcurrentCopies = 8
-	// reportInterval is how long the core has to acknowledge a report before it is sent again.
+	// reportInterval is the time the core has to acknowledge a report before it is sent again.
 	reportInterval = time.Second
 )
 
-// progress is which shards are being copied, and which were reported to the core.
+// progress tracks the shards that are being copied and those that were reported to the core.
 type progress struct {
 	// mutex guards all fields.
 	mutex    sync.Mutex
@@ -22,7 +22,7 @@
 	reported map[uint32]report
 }
 
-// report is what the core was last sent of a shard.
+// report is the last report of a shard that was sent to the core.
 type report struct {
 	epoch  uint64
 	sentAt time.Time
@@ -32,8 +32,8 @@
 	return &progress{running: map[uint32]bool{}, reported: map[uint32]report{}}
 }
 
-// begin reports whether the copy of a shard may begin: none of it is running, there is
-// capacity, and it was not reported a short time ago.
+// begin marks the copy of a shard as running and returns true, unless the shard is being copied
+// already, too many copies are running, or the shard was reported within reportInterval.
 func (p *progress) begin(view register.ShardView, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -46,7 +46,7 @@
 	return true
 }
 
-// end makes room for the next copy.
+// end removes a copy from the running ones and records whether its shard was reported.
 func (p *progress) end(view register.ShardView, isReported bool, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -56,14 +56,14 @@
 	}
 }
 
-// rateLimiter spreads the bytes of all copies over time.
+// rateLimiter limits the bytes per second of all copies together.
 type rateLimiter struct {
 	mutex sync.Mutex
-	// nextFree is when the bytes taken so far are within the rate.
+	// nextFree is the time from which on the bytes counted so far are within the rate.
 	nextFree time.Time
 }
 
-// wait counts bytes and returns the wait before more may be copied.
+// wait counts size bytes and returns how long to wait before the next copy.
 func (l *rateLimiter) wait(now time.Time, size, bytesPerSecond uint64) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/state/store/replication/scrub.go
+++ b/internal/state/store/replication/scrub.go
@@ -7,15 +7,15 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
-// RunScrub scrubs at each interval. It returns when the store stops.
+// RunScrub calls Scrub every ScrubInterval. It returns when the store stops.
 func (s *Service) RunScrub() {
 	for s.options.Lifecycle.Sleep(s.options.ScrubInterval) {
 		s.Scrub()
 	}
 }
 
-// Scrub compares all shards that this store serves with the other replicas, and takes over
-// what it lacks. A replica that does not answer is passed over until the next scrub.
+// Scrub compares all shards that this store serves with the other replicas and copies the
+// entries that it lacks. An unresponsive replica is skipped until the next scrub.
 func (s *Service) Scrub() {
 	for _, view := range s.options.Placement.Current().Shards {
 		if view.Role != register.RoleActive {
@@ -48,7 +48,7 @@
 	return s.pullBuckets(view.Shard, peer, only)
 }
 
-// pullBuckets copies what this store lacks of some buckets.
+// pullBuckets copies the entries of some buckets that this store lacks.
 func (s *Service) pullBuckets(shard uint32, peer string, only []uint32) error {
 	var after []byte
 	for {
--- a/internal/state/store/replication/service.go
+++ b/internal/state/store/replication/service.go
@@ -12,34 +12,34 @@
 	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
-// digestBuckets divides a shard so that only what differs is fetched.
+// digestBuckets is the number of buckets of a shard's digest; only buckets that differ are fetched.
 const digestBuckets = 1024
 
-// notRejected is the absence of a rejection.
+// notRejected is the rejection of a response that accepts the request.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// Peers sends requests to other stores and waits for their answers.
+// Peers sends requests to other stores and waits for their responses.
 type Peers interface {
 	Call(ctx context.Context, store string, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Core takes the report of a shard that caught up.
+// Core receives the report of a shard that caught up.
 type Core interface {
 	CallCore(ctx context.Context, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Placement returns the placement in force.
+// Placement returns the current placement.
 type Placement interface {
 	Current() *placement.Topology
 }
 
-// Observer counts what replication does.
+// Observer counts the events of replication.
 type Observer interface {
 	// ShardCopied is called for each shard that caught up.
 	ShardCopied()
-	// BytesCopied is called for each page of a shard that catches up.
+	// BytesCopied is called with the size of each page of a shard that catches up.
 	BytesCopied(size uint64)
-	// Repaired is called with what a scrub took over.
+	// Repaired is called with the numbers of entries that a scrub copied.
 	Repaired(registers, turns int)
 	// ScrubFinished is called when all shards were compared.
 	ScrubFinished()
@@ -68,17 +68,17 @@
 // Service brings the replicas of one store up to date. Its methods may be called by any goroutine.
 type Service struct {
 	options Options
-	// notified wakes the catch-up before its interval is over.
+	// notified ends the wait of the catch-up before its interval has passed.
 	notified    chan struct{}
 	copyLimiter rateLimiter
 }
 
-// New returns a service; RunCatchUp and RunScrub do its work.
+// New returns a service, which the caller runs by RunCatchUp and RunScrub.
 func New(options Options) *Service {
 	return &Service{options: options, notified: make(chan struct{}, 1)}
 }
 
-// Notify makes the catch-up look at the placement now; it does not wait.
+// Notify makes the catch-up read the placement at once. It does not block.
 func (s *Service) Notify() {
 	select {
 	case s.notified <- struct{}{}:
