--- a/internal/state/store/turns/chain.go
+++ b/internal/state/store/turns/chain.go
@@ -13,8 +13,8 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// fetchChain copies the turns that lead up to a turn from other replicas. It succeeds too
-// when a majority reports that the chain ends earlier.
+// fetchChain copies the predecessors of a turn from other replicas. It also succeeds when a
+// majority reports a predecessor as missing, which ends the chain early.
 func (s *Service) fetchChain(view register.ShardView, turn *protocol.Turn) bool {
 	ctx, cancel := context.WithTimeout(s.options.Lifecycle.Context(), s.options.PeerTimeout)
 	defer cancel()
@@ -31,7 +31,8 @@
 	return true
 }
 
-// retainLocally retains turns, newest first, on this replica and reports whether all are durable.
+// retainLocally retains turns, which are ordered newest first, on this replica. It returns false
+// if the store stops before all are durable.
 func (s *Service) retainLocally(shard uint32, chain []*protocol.Turn) bool {
 	g := s.options.Groups.Of(shard)
 	durable := make(chan struct{}, len(chain))
@@ -51,8 +52,9 @@
 	return true
 }
 
-// ExtendChain retains a chain for longer on a majority. The answer shows the oldest turn of
-// the program without its content, so that the caller sees which program continues the chain.
+// ExtendChain extends the retention of a chain on a majority. The result contains the oldest
+// turn of the program without its content, so that the caller learns which program contains the
+// rest of the chain.
 func (s *Service) ExtendChain(
 	ctx context.Context, shard register.ShardView, program string, extend *protocol.ProlongTurns,
 ) (*protocol.LedgerResult, error) {
@@ -76,7 +78,8 @@
 	return result, nil
 }
 
-// extendPage retains turns, newest first, anew with a later end where it is later.
+// extendPage retains turns, which are ordered newest first, until a later time. It skips turns
+// that are already retained for as long.
 func (s *Service) extendPage(
 	ctx context.Context, shard register.ShardView, page []*protocol.Turn, untilMillis int64,
 ) protocol.LedgerStatus {
@@ -88,7 +91,7 @@
 			statuses <- protocol.LedgerStatus_LEDGER_OK
 			continue
 		}
-		// The turn of the page may be on its way to a replica that lacks it.
+		// The page's turn may still be in use by the repair of a replica that lacks it.
 		extended := proto.CloneOf(turn)
 		extended.KeepUntilMillis = untilMillis
 		retainer.group.Post(func() {
--- a/internal/state/store/turns/fetch.go
+++ b/internal/state/store/turns/fetch.go
@@ -9,18 +9,18 @@
 	"github.com/rosestand/rosestand/internal/state/store/lifecycle"
 )
 
-// lateAnswerTimeout is how long the other replicas may still answer after a majority
-// reported that a turn is missing.
+// lateAnswerTimeout is how long to wait for the remaining replicas after a majority reported
+// a turn as missing.
 const lateAnswerTimeout = 100 * time.Millisecond
 
-// lateAnswers bounds the wait for the remaining replicas once a majority decides.
+// lateAnswers bounds the wait for the remaining replicas once a majority has answered.
 type lateAnswers struct {
-	// expired is closed at the end of the wait; nil before the wait began.
+	// expired is closed at the end of the wait; it is nil before the wait begins.
 	expired chan struct{}
 	stop    func()
 }
 
-// begin starts the wait at the first call.
+// begin starts the wait on the first call; further calls have no effect.
 func (l *lateAnswers) begin(clock lifecycle.Clock) {
 	if l.expired == nil {
 		expired := make(chan struct{})
@@ -34,16 +34,17 @@
 	}
 }
 
+// fetchAnswer is the response of one replica to a request for turns.
 type fetchAnswer struct {
 	store string
 	turns []*protocol.Turn
-	// answered is true when the store looked for the turn; without turns it does not have it.
+	// answered is true when the store looked up the turn; if turns is empty then, it lacks the turn.
 	answered bool
 }
 
-// fetchFromPeers queries all other replicas at once and returns the first turns that one of
-// them has. Without any it returns LEDGER_TURN_MISSING when a majority does not have the
-// turn, and LEDGER_UNAVAILABLE otherwise.
+// fetchFromPeers queries all other replicas concurrently and returns the first turns received.
+// If it receives none it returns LEDGER_TURN_MISSING when a majority lacks the turn, and
+// LEDGER_UNAVAILABLE otherwise.
 func (s *Service) fetchFromPeers(
 	ctx context.Context, shard register.ShardView, program, last string, limit uint32,
 ) ([]*protocol.Turn, protocol.LedgerStatus) {
@@ -76,8 +77,8 @@
 	return nil, protocol.LedgerStatus_LEDGER_UNAVAILABLE
 }
 
-// requestFromPeers sends a request to all other replicas and returns the channel of their
-// answers, and how many will come.
+// requestFromPeers sends a request to all other replicas. It returns the channel of their
+// answers and the number of replicas queried, each of which results in one answer.
 func (s *Service) requestFromPeers(
 	shard register.ShardView, fetch *protocol.FetchTurnsRequest,
 ) (<-chan fetchAnswer, int) {
@@ -100,8 +101,8 @@
 	return answers, queried
 }
 
-// countsAsMissing reports whether this replica, which lacks a turn, counts for the turn being
-// missing: it must vote under the placement that the read was planned with.
+// countsAsMissing reports whether this replica, which lacks a turn, counts towards the majority
+// that reports it missing: it must vote under the placement with which the read was routed.
 func (s *Service) countsAsMissing(shard register.ShardView) bool {
 	current := s.options.Placement.Current().Shard(shard.Shard)
 	return current.Epoch == shard.Epoch && current.Role.Votes()
--- a/internal/state/store/turns/find.go
+++ b/internal/state/store/turns/find.go
@@ -10,10 +10,11 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// candidates is what one group has of a turn whose program is not known.
+// candidates is the result of the lookup of a turn id in one group.
 type candidates struct {
+	// entries are the index entries with the hash of the id.
 	entries []turnindex.Entry
-	// shards are those for which the group's answer counts.
+	// shards are those for which the group's answer counts: the replica votes under the current placement.
 	shards []uint32
 }
 
@@ -28,7 +29,7 @@
 	return found
 }
 
-// FindLocally looks for a turn in all shards of this store, under the placement in force.
+// FindLocally looks up a turn in all shards of this store, under the current placement.
 func (s *Service) FindLocally(id string) (*protocol.FindTurnResponse, error) {
 	return s.findLocally(id, s.options.Placement.Current())
 }
@@ -55,8 +56,8 @@
 	return answer, nil
 }
 
-// Find looks for a turn on all stores. It is missing when in each shard a majority that acts
-// under the placement in force does not have it.
+// Find looks up a turn on all stores. The turn is missing when, in each shard, a majority of
+// the current placement lacks it.
 func (s *Service) Find(ctx context.Context, find *protocol.FindTurn) (*protocol.LedgerResult, error) {
 	current := s.options.Placement.Current()
 	if len(current.Shards) == 0 {
@@ -74,12 +75,14 @@
 	return s.findOnPeers(ctx, find, coverage), nil
 }
 
+// findAnswer is the response of one store to the lookup of a turn; answer is nil if there is none.
 type findAnswer struct {
 	store  string
 	answer *protocol.FindTurnResponse
 }
 
-// findOnPeers queries the other stores at once. The first answer with the turn counts.
+// findOnPeers queries the other stores concurrently and returns the first turn received.
+// coverage already includes the answer of this store.
 func (s *Service) findOnPeers(
 	ctx context.Context, find *protocol.FindTurn, coverage *placement.Coverage,
 ) *protocol.LedgerResult {
@@ -100,7 +103,9 @@
 	return ledger.ResultWithStatus(protocol.LedgerStatus_LEDGER_UNAVAILABLE)
 }
 
-// awaitTurn waits until an answer has the turn, all answers have come or the time is over.
+// awaitTurn returns the turn of the first answer that contains it. It returns nil after all
+// answers, at the end of ctx or when the store stops, or lateAnswerTimeout after the coverage
+// is complete.
 func (s *Service) awaitTurn(
 	ctx context.Context, coverage *placement.Coverage, answers <-chan findAnswer, count int,
 ) *protocol.Turn {
--- a/internal/state/store/turns/local.go
+++ b/internal/state/store/turns/local.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// Local reads one turn from the log of this store; nil when it is not here.
+// Local reads one turn from the log of this store; it returns nil if the store does not have it.
 func (s *Service) Local(shard uint32, program, id string) (*protocol.Turn, error) {
 	g := s.options.Groups.Of(shard)
 	key := turnindex.NewKey(program, id)
@@ -32,8 +32,8 @@
 	return turn, err
 }
 
-// Read reads the turn of an index entry, with the end of its retention as it is now. It
-// returns nil when the segment was removed meanwhile, which had expired turns only.
+// Read reads the turn of an index entry and sets the current end of its retention. It returns
+// nil when the segment has been removed, since only segments of expired turns are.
 func (s *Service) Read(entry turnindex.Entry) (*protocol.Turn, error) {
 	encoded, err := s.options.Folder.Turns.Read(entry.Position())
 	var removed *storage.PositionError
@@ -54,8 +54,8 @@
 	return turn, nil
 }
 
-// LocalChain follows the turns that lead up to the last one, newest first, as far as this
-// store has them.
+// LocalChain returns a turn and its predecessors, newest first, up to the first turn that this
+// store lacks, limit turns or about maxTurnBytes.
 func (s *Service) LocalChain(shard uint32, program, last string, limit uint32) ([]*protocol.Turn, error) {
 	limit = boundedLimit(limit)
 	var chain []*protocol.Turn
@@ -79,7 +79,7 @@
 	return limit
 }
 
-// ServeFetch answers another replica with the chain that leads up to a turn, as far as it is here.
+// ServeFetch returns the chain that ends with a turn, as far as this store has it, to another replica.
 func (s *Service) ServeFetch(request *protocol.FetchTurnsRequest) (*protocol.FetchTurnsResponse, error) {
 	view := s.options.Placement.Current().Shard(request.GetShard())
 	answer := &protocol.FetchTurnsResponse{
--- a/internal/state/store/turns/read.go
+++ b/internal/state/store/turns/read.go
@@ -10,9 +10,9 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// ReadChain answers a chain of turns, newest first. A turn that this store lacks is requested
+// ReadChain returns a chain of turns, newest first. A turn that this store lacks is requested
 // from the other replicas and retained here; it is reported as missing only when a majority
-// of the placement in force reports so.
+// of the current placement lacks it.
 func (s *Service) ReadChain(
 	ctx context.Context, shard register.ShardView, program string, read *protocol.ReadTurns,
 ) (*protocol.LedgerResult, error) {
@@ -45,7 +45,7 @@
 	return result, nil
 }
 
-// repair retains turns here that another replica has. It does not wait.
+// repair retains turns that were received from another replica. It does not wait.
 func (s *Service) repair(shard uint32, chain []*protocol.Turn) {
 	g := s.options.Groups.Of(shard)
 	g.Post(func() {
--- a/internal/state/store/turns/retain.go
+++ b/internal/state/store/turns/retain.go
@@ -8,26 +8,26 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
-// retention brings one turn onto a majority of the replicas before it may be charged. It
-// belongs to the group's goroutine.
+// retention retains one turn on a majority of the replicas, as is required before it is
+// charged. It belongs to the group's goroutine.
 type retention struct {
 	retainer *Retainer
 	shard    register.ShardView
 	turn     *protocol.Turn
 	deadline time.Time
-	// attempt counts the attempts; answers of earlier ones count only when they are positive.
+	// attempt counts the attempts; of the answers to earlier ones only positive ones count.
 	attempt  int
 	retained []string
 	failed   []string
 	done     func(protocol.LedgerStatus)
 	ended    bool
-	// backingOff is true while the next attempt is due later.
+	// backingOff is true while the retention waits for its next attempt.
 	backingOff bool
 }
 
 // RetainOnMajority calls done on the group's goroutine: with LEDGER_OK once the turn is
-// durable on a majority of the placement in force, with LEDGER_WRONG_PLACEMENT when that
-// changes meanwhile, and with LEDGER_UNAVAILABLE after the deadline.
+// durable on a majority of the current placement, with LEDGER_WRONG_PLACEMENT when the
+// placement changes meanwhile, and with LEDGER_UNAVAILABLE after the deadline.
 func (r *Retainer) RetainOnMajority(
 	shard register.ShardView, turn *protocol.Turn, deadline time.Time, done func(protocol.LedgerStatus),
 ) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// isPlacementCurrent reports whether this replica still acts under the placement of the retention: a
-// copy of the shard made under a newer one may lack the turn.
+// isPlacementCurrent reports whether this replica still uses the placement of the retention: a
+// copy of the shard that was made under a newer one may lack the turn.
 func (r *retention) isPlacementCurrent() bool {
 	return r.retainer.group.Table(r.shard.Shard).View.Rejection(r.shard.Epoch) == notRejected
 }
--- a/internal/state/store/turns/service.go
+++ b/internal/state/store/turns/service.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxTurns bounds the turns of one answer.
+	// maxTurns bounds the number of turns in one response.
 	maxTurns = 256
-	// maxTurnBytes bounds the turns of one answer, well under a frame.
+	// maxTurnBytes bounds the size of the turns in one response, well below the maximum of a frame.
 	maxTurnBytes = 8 << 20
 )
 
-// notRejected is the absence of a rejection.
+// notRejected is the rejection of a response that accepts the request.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
 // Peers sends requests to other stores. done is called once, on any goroutine.
@@ -29,7 +29,7 @@
 	Send(store string, request *protocol.Request, done func(*protocol.Response, error))
 }
 
-// Placement returns the placement in force.
+// Placement returns the current placement.
 type Placement interface {
 	Current() *placement.Topology
 }
@@ -47,30 +47,31 @@
 	PeerTimeout time.Duration
 	// OperationTimeout bounds an operation whose context has no deadline.
 	OperationTimeout time.Duration
-	// Repaired counts turns that were taken over from another replica.
+	// Repaired counts turns that were copied from another replica.
 	Repaired func(turns int)
-	// Fail ends the store because of an error that it cannot survive.
+	// Fail stops the store after an unrecoverable error.
 	Fail func(error)
 }
 
 // Service serves the retained turns of one store.
 type Service struct {
 	options Options
-	// retainers are those of the groups, in their order.
+	// retainers contains one retainer for each group, in the order of the groups.
 	retainers []*Retainer
-	// damaged is true once the log of turns was found damaged.
+	// damaged is true once damage to the log of turns was detected.
 	damaged atomic.Bool
 }
 
-// New returns a service; AddRetainer completes it.
+// New returns a service without retainers; AddRetainer must be called for each group.
 func New(options Options) *Service { return &Service{options: options} }
 
-// IsDamaged reports whether the log of turns was found damaged, so that no index may spare a
-// start the reading of it.
+// IsDamaged reports whether damage to the log of turns was detected. No index may be written
+// then, so that the next start reads the log in full.
 func (s *Service) IsDamaged() bool { return s.damaged.Load() }
 
-// FailOnDamage ends the store on a damaged log: its content cannot be trusted, and at the next
-// start, which reads the log in full, the store begins anew from its peers. It returns the error.
+// FailOnDamage stops the store if err reports a damaged log, whose content cannot be trusted. The
+// next start reads the log in full, detects the damage and rebuilds the store from its peers.
+// It returns err, combined with that of the removal of the index.
 func (s *Service) FailOnDamage(err error) error {
 	var corrupt *storage.CorruptError
 	if errors.As(err, &corrupt) {
