--- a/internal/state/store/shardtable/cursor.go
+++ b/internal/state/store/shardtable/cursor.go
@@ -8,21 +8,21 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// First bytes of encoded cursors.
+// The first byte of an encoded cursor distinguishes registers and turns.
 const (
 	registerCursor = 'r'
 	turnCursor     = 't'
 )
 
-// Cursor is a position in a shard: registers in the order of their keys' hashes, then turns
-// in the order of theirs. The zero cursor is before all of them.
+// Cursor is a position in a shard: first come registers, ordered by the hashes of their keys,
+// then turns, ordered likewise. The zero cursor precedes all entries.
 type Cursor struct {
 	InTurns  bool
 	Register Key
 	Turn     turnindex.Key
 }
 
-// Encode returns the form in which a cursor goes over the wire.
+// Encode returns the wire format of a cursor.
 func (c Cursor) Encode() []byte {
 	if c.InTurns {
 		return c.Turn.AppendTo([]byte{turnCursor})
@@ -32,7 +32,7 @@
 	return append(encoded, c.Register.Call...)
 }
 
-// DecodeCursor reads an encoded cursor; an empty one is the zero cursor. The error is a
+// DecodeCursor decodes a cursor; no bytes decode to the zero cursor. The error is a
 // *failure.Error that names the field of a FetchShardRequest.
 func DecodeCursor(encoded []byte) (Cursor, error) {
 	switch {
--- a/internal/state/store/shardtable/digest.go
+++ b/internal/state/store/shardtable/digest.go
@@ -8,11 +8,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// MaxBuckets bounds the buckets of a digest.
+// MaxBuckets is the maximum number of buckets of a digest.
 const MaxBuckets = 1 << 16
 
-// Digest sums up the registers by key and ballot, and the turns by key, in so many buckets.
-// What is past its retention is left out, since replicas remove it at different times.
+// Digest returns, for each bucket, the sum of hashes of the registers' keys and ballots and that
+// of the turns' id hashes. Expired entries are left out, since replicas remove them at different
+// times.
 func (t *Table) Digest(buckets uint32, now time.Time) *protocol.ShardDigestResponse {
 	answer := &protocol.ShardDigestResponse{
 		RegisterDigests: make([]uint64, buckets),
--- a/internal/state/store/shardtable/page.go
+++ b/internal/state/store/shardtable/page.go
@@ -11,8 +11,8 @@
 	// defaultPageItems and maxPageBytes bound one page of a shard.
 	defaultPageItems = 512
 	maxPageBytes     = 2 << 20
-	// maxPageScan bounds the entries that the owner of a shard looks at for one page; a
-	// filter may leave out most of them.
+	// maxPageScan bounds the entries that the owner of a shard scans for one page, since a
+	// filter may exclude most of them.
 	maxPageScan = 8192
 )
 
@@ -37,10 +37,10 @@
 	return f.buckets == 0 || f.only[uint32(hash%uint64(f.buckets))]
 }
 
-// registerPage is the next registers in order.
+// registerPage contains the next registers in order.
 type registerPage struct {
 	states []*protocol.RegisterState
-	// lastScanned is the last register that was looked at.
+	// lastScanned is the last register that was scanned, whether or not the page includes it.
 	lastScanned Key
 	last        bool
 }
@@ -65,11 +65,11 @@
 	return page
 }
 
-// turnPage is the next turns in order; they are still on disk.
+// turnPage contains the index entries of the next turns in order; the turns are yet to be read from disk.
 type turnPage struct {
 	keys    []turnindex.Key
 	entries []turnindex.Entry
-	// lastScanned is the last turn that was looked at.
+	// lastScanned is the last turn that was scanned, whether or not the page includes it.
 	lastScanned turnindex.Key
 	last        bool
 }
@@ -92,9 +92,9 @@
 	return page
 }
 
-// Page is one page of a shard as its owner sees it. ReadTurns completes it.
+// Page is one page of a shard as its owner returns it. ReadTurns adds the turns, from disk.
 type Page struct {
-	// Answer has the registers of the page, or a rejection.
+	// Answer contains the registers of the page, or a rejection.
 	Answer *protocol.FetchShardResponse
 	turns  turnPage
 }
@@ -124,8 +124,8 @@
 	return Page{Answer: answer}
 }
 
-// ReadTurns reads the turns of a page of turns from disk into its answer, until the page is
-// full. read returns nil for a turn that was removed meanwhile. Any goroutine may call it.
+// ReadTurns reads the turns of the page from disk into its Answer, until the page is full. read
+// returns nil for a turn that was removed meanwhile. Any goroutine may call ReadTurns.
 func (p Page) ReadTurns(read func(turnindex.Entry) (*protocol.Turn, error)) error {
 	size := 0
 	for i, entry := range p.turns.entries {
--- a/internal/state/store/shardtable/page_bench_test.go
+++ b/internal/state/store/shardtable/page_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// One shard of 64 with 130,000 programs of 55 turns.
+// The benchmarks use the size of one of 64 shards of 130,000 programs with 55 turns each.
 const (
 	benchPrograms = 130_000 / 64
 	benchTurns    = 55
@@ -33,7 +33,7 @@
 }
 
 // BenchmarkFetchShard reports how long the owner of a shard is blocked by one
-// page, registers and turns alike, over the copy of a complete shard.
+// page, averaged over all pages of registers and turns of a shard.
 func BenchmarkFetchShard(b *testing.B) {
 	table := benchTable()
 	pages := 0
--- a/internal/state/store/shardtable/page_test.go
+++ b/internal/state/store/shardtable/page_test.go
@@ -40,14 +40,14 @@
 		for _, state := range page.states {
 			key := KeyFromProto(state.GetKey())
 			if seen[key] || !filter.matches(key.bucketHash()) {
-				t.Fatalf("%v was returned twice or was not requested", key)
+				t.Fatalf("register %v was returned twice or is in no requested bucket", key)
 			}
 			seen[key] = true
 		}
 		after, last = page.lastScanned, page.last
 	}
 	if len(seen) != wanted {
-		t.Errorf("%d registers in the pages, want %d", len(seen), wanted)
+		t.Errorf("the pages contain %d registers, want %d", len(seen), wanted)
 	}
 }
 
@@ -65,13 +65,13 @@
 		for i, key := range page.keys {
 			entry, _ := table.Turns.Get(key)
 			if seen[key] || entry != page.entries[i] || !filter.matches(key.TurnHash) {
-				t.Fatalf("%v was returned twice or was not requested", key)
+				t.Fatalf("turn %v was returned twice, with a wrong entry or is in no requested bucket", key)
 			}
 			seen[key] = true
 		}
 		after, last = page.lastScanned, page.last
 	}
 	if len(seen) != wanted {
-		t.Errorf("%d turns in the pages, want %d", len(seen), wanted)
+		t.Errorf("the pages contain %d turns, want %d", len(seen), wanted)
 	}
 }
--- a/internal/state/store/shardtable/table.go
+++ b/internal/state/store/shardtable/table.go
@@ -7,22 +7,22 @@
 	"github.com/rosestand/rosestand/internal/state/store/turnindex"
 )
 
-// notRejected is the absence of a rejection.
+// notRejected is the rejection of a response that accepts the request.
 const notRejected = protocol.ReplicaRefusal_REPLICA_REFUSAL_UNSPECIFIED
 
-// Table is what this replica has of one shard.
+// Table contains this replica's data of one shard.
 type Table struct {
-	// View is the placement of the shard that the owner acts under.
+	// View is the placement of the shard that the owner has applied.
 	View      register.ShardView
 	Registers hashtree.Tree[Key, *Register]
 	Turns     turnindex.Index
 	// CaughtUp is true once a joining or rebuilding replica is complete and waits for the core to acknowledge it.
 	CaughtUp bool
-	// Generation rises whenever the table is cleared, so that a catch-up in progress is given up.
+	// Generation increases whenever the table is cleared, so that a catch-up in progress is abandoned.
 	Generation uint64
 }
 
-// New returns an empty table that no placement names yet.
+// New returns an empty table of a shard, to which no placement is applied yet.
 func New(shard uint32) *Table {
 	return &Table{View: register.ShardView{Shard: shard}}
 }
@@ -30,7 +30,7 @@
 // IsEmpty reports whether the table has neither registers nor turns.
 func (t *Table) IsEmpty() bool { return t.Registers.Len() == 0 && t.Turns.Len() == 0 }
 
-// Register returns a register; a new one is added when there is none.
+// Register returns the register of a key and adds an empty one if there is none.
 func (t *Table) Register(key Key) *Register {
 	entry, found := t.Registers.Get(key)
 	if !found {
@@ -54,7 +54,7 @@
 	t.Generation++
 }
 
-// RegisterBytes returns the size of all registers' keys and values.
+// RegisterBytes returns the total size of the registers' keys and values.
 func (t *Table) RegisterBytes() int64 {
 	var size int64
 	for key, entry := range t.Registers.All() {
--- a/internal/state/store/shardtable/training_step_members.go
+++ b/internal/state/store/shardtable/training_step_members.go
@@ -7,24 +7,24 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// membersPageRegisters is how many registers end a page of members, which goes on to the end
-// of their leaf; so one page looks at fewer than membersPageRegisters + hashtree.MaxLeafEntries.
+// membersPageRegisters is the number of scanned registers after which a page of members ends. A
+// page includes whole leaves, so it scans fewer than membersPageRegisters + hashtree.MaxLeafEntries.
 const membersPageRegisters = 512
 
-// trainingStepField is the number of ProgramRecord.training_step.
+// trainingStepField is the field number of ProgramRecord.training_step.
 const trainingStepField protowire.Number = 12
 
-// MembersPage has the programs of a training step among some of a table's registers.
+// MembersPage contains the programs of a training step among some of a table's registers.
 type MembersPage struct {
 	Programs []string
-	// Next is the position in the order of hashes at which the following page begins.
+	// Next is the hash at which the following page begins.
 	Next uint64
 	Last bool
 }
 
-// MembersFrom looks for programs of a training step, from a position in the order of hashes
-// on. Of a program without a step it reads a few tags of the encoded value and decodes
-// nothing. A scan in pages sees every register that is there from its begin to its end.
+// MembersFrom returns programs of a training step whose registers' hashes are at least from. For
+// a program without a step it reads a few tags of the encoded value and decodes nothing. A
+// scan in pages visits every register that exists during the whole scan.
 func (t *Table) MembersFrom(step string, from uint64) MembersPage {
 	page := MembersPage{Next: from}
 	for scanned := 0; scanned < membersPageRegisters && !page.Last; {
@@ -40,7 +40,8 @@
 	return page
 }
 
-// isMember reports whether an encoded program record generates for the step. It skips all other fields unread.
+// isMember reports whether an encoded program record is a member of the step. It skips all other
+// fields without decoding them.
 func isMember(value []byte, step string) bool {
 	for len(value) > 0 {
 		number, kind, size := protowire.ConsumeTag(value)
--- a/internal/state/store/shardtable/training_step_members_test.go
+++ b/internal/state/store/shardtable/training_step_members_test.go
@@ -11,8 +11,8 @@
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
-// newMemberTable has so many programs, each tenth of step 17, each eleventh of step 18. It
-// returns the names of those of step 17 as well.
+// newMemberTable returns a table of programs and the names of the members of step 17: every tenth
+// program is a member of step 17, and of the others every eleventh one a member of step 18.
 func newMemberTable(t testing.TB, programs int) (*Table, []string) {
 	t.Helper()
 	table := New(0)
@@ -34,14 +34,14 @@
 			t.Fatal(err)
 		}
 		table.Register(Key{Program: record.GetProgram()}).State.Value = value
-		// A call's register has a record of another kind, whatever its bytes look like.
+		// The register of a call contains another type of record, so it must not be a member even if its bytes match.
 		table.Register(Key{Program: record.GetProgram(), Call: "call"}).State.Value = value
 	}
 	slices.Sort(members)
 	return table, members
 }
 
-// scanMembers returns all members and how many pages that took.
+// scanMembers returns all members and the number of pages of the scan.
 func scanMembers(table *Table, step string) (members []string, pages int) {
 	for page := (MembersPage{}); !page.Last; pages++ {
 		page = table.MembersFrom(step, page.Next)
@@ -56,13 +56,13 @@
 	members, pages := scanMembers(table, "17")
 	slices.Sort(members)
 	if !slices.Equal(members, wanted) {
-		t.Errorf("listed %d of %d members", len(members), len(wanted))
+		t.Errorf("the scan returned %d members of step 17 that differ from the %d wanted", len(members), len(wanted))
 	}
 	if minPages := 2 * programs / (membersPageRegisters + hashtree.MaxLeafEntries); pages < minPages {
-		t.Errorf("%d registers were looked at in %d pages", 2*programs, pages)
+		t.Errorf("%d registers were scanned in %d pages, want at least %d", 2*programs, pages, minPages)
 	}
 	if members, _ := scanMembers(table, "19"); len(members) > 0 {
-		t.Errorf("a step without programs has %v", members)
+		t.Errorf("step 19 without programs has members %v, want none", members)
 	}
 }
 
@@ -75,16 +75,16 @@
 		t.Fatal(err)
 	}
 	if !isMember(value, "17") || isMember(value, "1") || isMember(value, "") || isMember(nil, "17") {
-		t.Error("the step of a record was misread")
+		t.Error("a record of step 17 must be a member of step 17 only, and an empty record of none")
 	}
 	for size := range value {
 		if isMember(value[:size], "17") {
-			t.Errorf("a record truncated to %d of %d bytes is a member", size, len(value))
+			t.Errorf("a record truncated to %d of %d bytes is a member, want none", size, len(value))
 		}
 	}
 }
 
-// BenchmarkListMembers reports how long one page of the scan blocks the owner, and how long a register takes.
+// BenchmarkListMembers reports how long one page of the scan blocks the owner, and the time per register.
 func BenchmarkListMembers(b *testing.B) {
 	table, _ := newMemberTable(b, 65_000)
 	pages := 0
