--- a/internal/state/store/placement/coverage.go
+++ b/internal/state/store/placement/coverage.go
@@ -1,21 +1,22 @@
 package placement
 
-// Coverage collects which stores answered for which shards under one placement. Once it is
-// complete, what all of them lack is known to be nowhere: a majority of each shard meets the
-// majority that acknowledged a change. It belongs to one goroutine.
+// Coverage records which stores answered for which shards under one placement. Once it is
+// complete, an entry that all of these stores lack does not exist: the majority of a shard that
+// answered intersects every majority that acknowledged a change. A Coverage belongs to one
+// goroutine.
 type Coverage struct {
-	// Topology has the placement under which the stores are queried.
+	// Topology contains the placement under which the stores are queried.
 	Topology *Topology
-	// answered names the stores that answered, by shard.
+	// answered contains the names of the stores that answered, by shard.
 	answered map[uint32]map[string]bool
 }
 
-// NewCoverage returns a coverage of no shard yet.
+// NewCoverage returns a coverage without answers.
 func NewCoverage(current *Topology) *Coverage {
 	return &Coverage{Topology: current, answered: map[uint32]map[string]bool{}}
 }
 
-// Add counts the answer of a store for shards. An answer under another placement does not count.
+// Add records the answer of a store for shards. It ignores an answer under another placement.
 func (c *Coverage) Add(store string, shards []uint32, placementEpoch uint64) {
 	if placementEpoch != c.Topology.Epoch {
 		return
--- a/internal/state/store/placement/placement_test.go
+++ b/internal/state/store/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// source is a link to the core that a test sets.
+// source is a link to the core whose view is set by the test.
 type source struct {
 	view  *corelink.View
 	ready bool
@@ -16,7 +16,7 @@
 func (s *source) View() *corelink.View { return s.view }
 func (s *source) Ready() bool          { return s.ready }
 
-// newView has shards on stores a, b and c, under an epoch.
+// newView returns a view of an epoch in which each shard has replicas on stores a, b and c.
 func newView(epoch uint64, shards uint32) *corelink.View {
 	view := &corelink.View{Placement: &protocol.Placement{Epoch: epoch}, Membership: &protocol.MembershipView{}}
 	stores := []string{"a", "b", "c"}
@@ -46,15 +46,17 @@
 	watch := newTestWatch(core)
 	current, changed := watch.Refresh()
 	if changed || len(current.Shards) != 0 || current.Addresses["b"] != "address-b" {
-		t.Errorf("before the view is fresh: %+v, changed %v", current, changed)
+		t.Errorf("before the view is fresh: topology %+v, changed %v; want no shards, addresses and no change",
+			current, changed)
 	}
 	core.ready = true
 	if current, changed = watch.Refresh(); !changed || len(current.Shards) != 2 || current.Epoch != 5 {
-		t.Errorf("once the view is fresh: %+v, changed %v", current, changed)
+		t.Errorf("once the view is fresh: topology %+v, changed %v; want 2 shards of epoch 5 and a change", current, changed)
 	}
 	core.ready = false
 	if current, changed = watch.Refresh(); changed || len(current.Shards) != 2 {
-		t.Errorf("a view that was fresh once: %+v, changed %v", current, changed)
+		t.Errorf("after the core is not ready any more: topology %+v, changed %v; want 2 shards and no change",
+			current, changed)
 	}
 }
 
@@ -64,7 +66,8 @@
 	watch.Refresh()
 	core.view = newView(4, 1)
 	if current, changed := watch.Refresh(); changed || current.Epoch != 5 || watch.Current() != current {
-		t.Errorf("%+v is in force, changed %v", current, changed)
+		t.Errorf("after a view of epoch 4: current topology %+v, changed %v; want the one of epoch 5 and no change",
+			current, changed)
 	}
 }
 
@@ -86,10 +89,10 @@
 	} {
 		coverage.Add(answer.store, answer.shards, answer.epoch)
 		if got := coverage.IsComplete(); got != answer.complete {
-			t.Errorf("after %+v complete is %v", answer, got)
+			t.Errorf("after answer %+v IsComplete returned %v", answer, got)
 		}
 	}
 	if stores := current.Stores("a"); len(stores) != 2 || stores[0] != "b" || stores[1] != "c" {
-		t.Errorf("the other stores are %v", stores)
+		t.Errorf("Stores without a returned %v, want [b c]", stores)
 	}
 }
--- a/internal/state/store/placement/topology.go
+++ b/internal/state/store/placement/topology.go
@@ -9,19 +9,19 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
-// Topology is an immutable summary of a view: which stores serve which shards, and where stores are.
+// Topology is an immutable summary of a view: the stores that serve each shard and the addresses of stores.
 type Topology struct {
-	// Epoch is that of the placement; zero while none is known to be in force.
+	// Epoch is the epoch of the placement; zero until the current placement has been received.
 	Epoch uint64
 	// Shards are indexed by shard number.
 	Shards []register.ShardView
-	// Addresses of the live stores, by name.
+	// Addresses contains the addresses of the live stores, by name.
 	Addresses map[string]string
 }
 
-// newTopology reads the placement and the stores' addresses from a view. As long as the view
-// is not fresh, that is read since the start, the topology has no shards: the placement may
-// be superseded.
+// newTopology reads the placement and the stores' addresses from a view. Unless the view is fresh,
+// that is, read since the start, the topology has no shards, since the placement may be
+// superseded.
 func newTopology(view *corelink.View, self *protocol.Node, fresh bool) *Topology {
 	topology := &Topology{Addresses: map[string]string{}}
 	for _, node := range view.Membership.GetNodes() {
@@ -44,7 +44,7 @@
 	return topology
 }
 
-// Shard returns the view of a shard; one without replicas when there is no such shard.
+// Shard returns the view of a shard. If there is no such shard the view has no replicas.
 func (t *Topology) Shard(shard uint32) register.ShardView {
 	if int(shard) < len(t.Shards) {
 		return t.Shards[shard]
@@ -52,12 +52,12 @@
 	return register.ShardView{Shard: shard}
 }
 
-// ShardOf returns the view of the shard of a program.
+// ShardOf returns the view of a program's shard.
 func (t *Topology) ShardOf(program string) register.ShardView {
 	return t.Shard(ledger.ShardOf(program, len(t.Shards)))
 }
 
-// Stores names every store that has a replica, except one, in a fixed order.
+// Stores returns the names of all stores that have a replica, except one, in a fixed order.
 func (t *Topology) Stores(except string) []string {
 	var stores []string
 	for _, view := range t.Shards {
--- a/internal/state/store/placement/watch.go
+++ b/internal/state/store/placement/watch.go
@@ -7,14 +7,14 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Source is what a Watch needs of the link to the core.
+// Source is the part of the link to the core that a Watch uses.
 type Source interface {
 	View() *corelink.View
 	// Ready reports whether the view was read since the start.
 	Ready() bool
 }
 
-// Watch publishes the topology in force to every goroutine.
+// Watch publishes the current topology to all goroutines.
 type Watch struct {
 	core Source
 	self *protocol.Node
@@ -23,18 +23,18 @@
 	current atomic.Pointer[Topology]
 }
 
-// NewWatch returns a watch with an empty topology. self names the store and its storage id.
+// NewWatch returns a watch with an empty topology. self contains the name and the storage id of the store.
 func NewWatch(core Source, self *protocol.Node) *Watch {
 	w := &Watch{core: core, self: self}
 	w.current.Store(&Topology{Addresses: map[string]string{}})
 	return w
 }
 
-// Current returns the topology in force; it is not nil. Any goroutine may call it.
+// Current returns the current topology, which is not nil. Any goroutine may call it.
 func (w *Watch) Current() *Topology { return w.current.Load() }
 
-// Refresh reads the view and reports whether the placement changed. An older view than the
-// one in force is ignored. It is called from one goroutine only.
+// Refresh reads the view and reports whether the placement changed. A view with an older placement
+// than the current one is ignored. Refresh must be called by one goroutine only.
 func (w *Watch) Refresh() (current *Topology, changed bool) {
 	w.fresh = w.fresh || w.core.Ready()
 	before := w.current.Load()
