--- a/internal/state/store/lifecycle/lifecycle.go
+++ b/internal/state/store/lifecycle/lifecycle.go
@@ -1,5 +1,6 @@
-// Package lifecycle starts and ends the goroutines of one store: a context for their calls,
-// a channel that is closed when the store stops, and waits by the store's clock that end then.
+// Package lifecycle manages the goroutines of one store: it has a context for their calls, a
+// channel that is closed when the store stops, and waits by the store's clock that end at the
+// stop.
 package lifecycle
 
 import (
@@ -11,11 +12,11 @@
 // Clock is a source of time and timers.
 type Clock interface {
 	Now() time.Time
-	// AfterFunc calls run on a goroutine of its own once the time has passed, unless stop was called before.
+	// AfterFunc calls run on a goroutine of its own after the wait, unless stop is called before.
 	AfterFunc(wait time.Duration, run func()) (stop func())
 }
 
-// SystemClock is the Clock of the machine.
+// SystemClock is the system's Clock.
 type SystemClock struct{}
 
 // Now implements Clock.
@@ -27,7 +28,7 @@
 	return func() { timer.Stop() }
 }
 
-// StoppedError reports that the store was stopped while something waited for it.
+// StoppedError reports that the store stopped before a wait or an operation was complete.
 type StoppedError struct{}
 
 // Error implements error.
@@ -42,7 +43,7 @@
 	routines sync.WaitGroup
 }
 
-// New returns the lifecycle of a store that runs.
+// New returns the lifecycle of a running store.
 func New(clock Clock) *Lifecycle {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Lifecycle{clock: clock, ctx: ctx, cancel: cancel, stopped: make(chan struct{})}
@@ -51,28 +52,28 @@
 // Clock returns the store's clock.
 func (l *Lifecycle) Clock() Clock { return l.clock }
 
-// Context ends when the store stops.
+// Context returns a context that is canceled when the store stops.
 func (l *Lifecycle) Context() context.Context { return l.ctx }
 
-// Stopped is closed when the store stops.
+// Stopped returns a channel that is closed when the store stops.
 func (l *Lifecycle) Stopped() <-chan struct{} { return l.stopped }
 
-// Go runs a goroutine for which Wait waits.
+// Go starts a goroutine that Wait waits for.
 func (l *Lifecycle) Go(run func()) { l.routines.Go(run) }
 
-// Stop ends the context and closes Stopped. It is called once.
+// Stop cancels the context and closes the channel of Stopped. It must be called only once.
 func (l *Lifecycle) Stop() {
 	l.cancel()
 	close(l.stopped)
 }
 
-// Wait waits for all goroutines that Go started.
+// Wait waits for all goroutines started by Go.
 func (l *Lifecycle) Wait() { l.routines.Wait() }
 
-// Sleep returns true after the time has passed, or false when the store stops.
+// Sleep returns true after the duration, or false as soon as the store stops.
 func (l *Lifecycle) Sleep(duration time.Duration) bool { return l.SleepOr(duration, nil) }
 
-// SleepOr is Sleep that ends early, with true, when it is notified.
+// SleepOr is like Sleep, but also returns true as soon as it receives from notified.
 func (l *Lifecycle) SleepOr(duration time.Duration, notified <-chan struct{}) bool {
 	passed := make(chan struct{})
 	stop := l.clock.AfterFunc(duration, func() { close(passed) })
@@ -88,8 +89,8 @@
 	}
 }
 
-// Deadline returns the end of an operation by the store's clock: that of its context, or
-// after the fallback when the context has none.
+// Deadline returns the deadline of an operation by the store's clock: that of its context, or
+// the current time plus fallback when the context has none.
 func (l *Lifecycle) Deadline(ctx context.Context, fallback time.Duration) time.Time {
 	left := fallback
 	if end, bounded := ctx.Deadline(); bounded {
@@ -98,8 +99,7 @@
 	return l.clock.Now().Add(left)
 }
 
-// Await waits for an answer that another goroutine sends. The error is that of the context
-// or a *StoppedError.
+// Await returns the next value of a channel. The error is that of the context or a *StoppedError.
 func Await[A any](ctx context.Context, l *Lifecycle, answers <-chan A) (A, error) {
 	var none A
 	select {
--- a/internal/state/store/lifecycle/lifecycle_test.go
+++ b/internal/state/store/lifecycle/lifecycle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stoppedClock never reaches the end of a wait.
+// stoppedClock returns a constant time and never fires a timer.
 type stoppedClock struct{}
 
 func (stoppedClock) Now() time.Time                                { return time.Unix(1_800_000_000, 0) }
@@ -25,13 +25,13 @@
 	l.Stop()
 	l.Wait()
 	if <-slept {
-		t.Error("the sleep ended as if its time had passed")
+		t.Error("Sleep returned true when the store stopped, want false")
 	}
 	if _, stopped := errors.AsType[*StoppedError](<-awaited); !stopped {
-		t.Error("the wait did not end with the store")
+		t.Error("Await did not return a StoppedError when the store stopped")
 	}
 	if l.Context().Err() == nil {
-		t.Error("the context has not ended")
+		t.Error("the context is not canceled after Stop")
 	}
 }
 
@@ -41,7 +41,7 @@
 	notified := make(chan struct{}, 1)
 	notified <- struct{}{}
 	if !l.SleepOr(time.Hour, notified) {
-		t.Error("the sleep ended as if the store stopped")
+		t.Error("SleepOr returned false after a notification, want true")
 	}
 }
 
@@ -50,11 +50,12 @@
 	defer l.Stop()
 	now := l.Clock().Now()
 	if got := l.Deadline(context.Background(), time.Minute); got != now.Add(time.Minute) {
-		t.Errorf("without a deadline it ends at %v", got)
+		t.Errorf("Deadline of a context without deadline: got %v, want one minute after the current time", got)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	if got := l.Deadline(ctx, time.Minute); got.Before(now.Add(59*time.Minute)) || got.After(now.Add(time.Hour)) {
-		t.Errorf("with a deadline in an hour it ends at %v", got)
+		t.Errorf("Deadline of a context that ends in one hour: got %v, want between 59 and 60 minutes after the current time",
+			got)
 	}
 }
