--- a/internal/state/store/turnindex/codec.go
+++ b/internal/state/store/turnindex/codec.go
@@ -10,23 +10,23 @@
 	"github.com/rosestand/rosestand/internal/state/store/records"
 )
 
-// header begins a stored index; an index that begins otherwise is not read.
+// header is the first bytes of a stored index. Read rejects an index with another header.
 const header = "RSTTIX\x00\x02"
 
 // RecordBytes is the size of one stored entry: shard, key, segment, offset, end of the
 // retention and key of the previous turn, big-endian.
 const RecordBytes = 4 + 16 + 12 + 16
 
-// ErrUnknownFormat reports that a stored index is of a form that this program does not read.
-var ErrUnknownFormat = errors.New("an index of another form")
+// ErrUnknownFormat reports that a stored index has a format that this version cannot read.
+var ErrUnknownFormat = errors.New("turn index has an unknown format")
 
-// WriteHeader begins a stored index; what Encode returns for each shard follows.
+// WriteHeader writes the header of a stored index, after which come the results of Encode for all shards.
 func WriteHeader(writer io.Writer) error {
 	_, err := io.WriteString(writer, header)
 	return err
 }
 
-// Encode returns the stored form of a shard's entries.
+// Encode returns a shard's entries in the stored format.
 func (x *Index) Encode(shard uint32) []byte {
 	encoded := make([]byte, 0, x.Len()*RecordBytes)
 	for key, entry := range x.All() {
@@ -40,8 +40,8 @@
 	return encoded
 }
 
-// Read visits the entries of a stored index, with their shards. The error is ErrUnknownFormat,
-// or a *records.UnreadableError when the index ends within an entry.
+// Read calls visit for each entry of a stored index. The error is ErrUnknownFormat, or a
+// *records.UnreadableError when the index ends within an entry.
 func Read(content io.Reader, visit func(shard uint32, key Key, entry Entry)) error {
 	reader := bufio.NewReader(content)
 	var prefix [len(header)]byte
@@ -67,12 +67,12 @@
 // KeyBytes is the size of an encoded key.
 const KeyBytes = 16
 
-// AppendTo appends the key's encoded form, big-endian.
+// AppendTo appends the encoded key, in big-endian order.
 func (k Key) AppendTo(encoded []byte) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(encoded, k.IDHash), k.TurnHash)
 }
 
-// DecodeKey reads a key from the first KeyBytes bytes.
+// DecodeKey decodes a key from the first KeyBytes bytes of encoded.
 func DecodeKey(encoded []byte) Key {
 	return Key{IDHash: binary.BigEndian.Uint64(encoded), TurnHash: binary.BigEndian.Uint64(encoded[8:])}
 }
--- a/internal/state/store/turnindex/entry.go
+++ b/internal/state/store/turnindex/entry.go
@@ -10,14 +10,14 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// expirySlack is how much later than the end of its retention a turn counts as expired, so
-// that replicas whose clocks differ do not disagree on turns that were just readable.
+// expirySlack is the time from the end of a turn's retention until it counts as expired, so that
+// replicas whose clocks differ do not disagree on turns whose retention has just ended.
 const expirySlack = 10 * time.Second
 
-// Key identifies a turn by hashes. Turns of one id are next to each other in the order of an
-// Index, whatever their programs. The zero Key stands for no turn.
+// Key identifies a turn by hashes. Turns of one id are adjacent in the order of an Index, even
+// if their programs differ. The zero Key refers to no turn.
 type Key struct {
-	// IDHash is a hash of the turn's id, TurnHash one of its program and id.
+	// IDHash is a hash of the turn's id, TurnHash a hash of its program and id.
 	IDHash, TurnHash uint64
 }
 
@@ -33,8 +33,8 @@
 // KeyOf returns the key of a turn.
 func KeyOf(turn *protocol.Turn) Key { return NewKey(turn.GetProgram(), turn.GetId()) }
 
-// PreviousKey returns the key of the turn that this one continues; zero when it begins a
-// conversation or continues one of another program, which has another shard.
+// PreviousKey returns the key of the turn that this one continues. It is zero when the turn begins
+// a conversation or continues a turn of another program, which may be in another shard.
 func PreviousKey(turn *protocol.Turn) Key {
 	previous := PreviousInProgram(turn)
 	if previous == "" {
@@ -43,8 +43,8 @@
 	return NewKey(turn.GetProgram(), previous)
 }
 
-// PreviousInProgram returns the id of the turn that this one continues; none when that one
-// is of another program, whose chain is read there.
+// PreviousInProgram returns the id of the turn that this one continues. It is empty when there is
+// none or when it belongs to another program, of which its chain must be read.
 func PreviousInProgram(turn *protocol.Turn) string {
 	if turn.GetPreviousProgram() != "" && turn.GetPreviousProgram() != turn.GetProgram() {
 		return ""
@@ -52,7 +52,7 @@
 	return turn.GetPreviousTurn()
 }
 
-// IsZero reports whether the key stands for no turn.
+// IsZero reports whether the key refers to no turn.
 func (k Key) IsZero() bool { return k == Key{} }
 
 // Hash implements hashtree.Key.
@@ -66,7 +66,7 @@
 	return k.TurnHash < other.TurnHash
 }
 
-// Entry is where a turn is in the log.
+// Entry contains a turn's position in the log and the end of its retention.
 type Entry struct {
 	Segment uint32
 	Offset  uint32
@@ -85,14 +85,14 @@
 	}
 }
 
-// Position returns where the turn's record is in the log of turns.
+// Position returns the position of the turn's record in the log of turns.
 func (e Entry) Position() storage.Position {
 	return storage.Position{Segment: uint64(e.Segment), Offset: int64(e.Offset)}
 }
 
 func (e Entry) isExpired(now time.Time) bool { return IsExpired(e.RetainUntil, now) }
 
-// IsExpired reports whether what is retained until a time in Unix seconds has expired.
+// IsExpired reports whether a turn with this end of retention, in Unix seconds, has expired.
 func IsExpired(retainUntil uint32, now time.Time) bool {
 	return int64(retainUntil) < now.Add(-expirySlack).Unix()
 }
@@ -106,7 +106,7 @@
 	return CeilSeconds(millis)
 }
 
-// CeilSeconds rounds a time in Unix milliseconds up to seconds, within what 32 bits hold.
+// CeilSeconds converts a time in Unix milliseconds to seconds, rounded up and limited to the range of uint32.
 func CeilSeconds(millis int64) uint32 {
 	return uint32(min(max(millis+999, 0)/1000, int64(^uint32(0))))
 }
--- a/internal/state/store/turnindex/index.go
+++ b/internal/state/store/turnindex/index.go
@@ -8,8 +8,8 @@
 	"github.com/rosestand/rosestand/internal/state/store/hashtree"
 )
 
-// Index has the entries of one shard's retained turns. The zero Index is empty. It belongs
-// to one goroutine.
+// Index contains the entries of one shard's retained turns. The zero Index is empty. An Index
+// belongs to one goroutine.
 type Index struct {
 	hashtree.Tree[Key, Entry]
 }
@@ -20,7 +20,7 @@
 	return found && entry.RetainUntil >= until
 }
 
-// WithID returns the entries of all turns of one id, whatever their programs.
+// WithID returns the entries of all turns of one id, of any program.
 func (x *Index) WithID(id string) []Entry {
 	var entries []Entry
 	hash := xxhash.Sum64String(id)
@@ -33,7 +33,7 @@
 	return entries
 }
 
-// Extend retains a turn, and those that lead up to it, at least until a time in Unix seconds.
+// Extend retains a turn and its predecessors at least until a time in Unix seconds.
 func (x *Index) Extend(key Key, until uint32, segments *SegmentExpiry) {
 	for !key.IsZero() {
 		entry, found := x.Get(key)
@@ -49,8 +49,8 @@
 	}
 }
 
-// ExtendChains retains every chain as long as its last turn. Turns that are copied from
-// another replica come in any order, so that Extend could not reach all of a chain then.
+// ExtendChains retains every chain for as long as its last turn. Turns copied from another replica
+// arrive in any order, so Extend may not have reached all turns of a chain when they were added.
 func (x *Index) ExtendChains(segments *SegmentExpiry) {
 	var ends []Entry
 	for _, entry := range x.All() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// RemoveExpired drops the expired entries, and those of segments before first.
+// RemoveExpired removes the expired entries and those in segments before first.
 func (x *Index) RemoveExpired(first uint64, now time.Time) {
 	for key, entry := range x.All() {
 		if uint64(entry.Segment) < first || entry.isExpired(now) {
--- a/internal/state/store/turnindex/index_test.go
+++ b/internal/state/store/turnindex/index_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// addChain adds turns first, second and third of a program, each in a segment of its own and retained for a minute.
+// addChain adds the turns first, second and third of program p, each in its own segment and retained for a minute.
 func addChain(index *Index, segments *SegmentExpiry) {
 	previous := ""
 	for i, id := range []string{"first", "second", "third"} {
@@ -35,15 +35,15 @@
 	index.Extend(NewKey("p", "second"), later, &segments)
 	for id, wanted := range map[string]bool{"first": true, "second": true, "third": false} {
 		if got := index.Retains(NewKey("p", id), later); got != wanted {
-			t.Errorf("%s is retained until then: %v, wanted %v", id, got, wanted)
+			t.Errorf("turn %s is retained for an hour: %v, want %v", id, got, wanted)
 		}
 	}
 	index.RemoveExpired(0, start.Add(2*time.Minute))
 	if index.Len() != 2 {
-		t.Errorf("%d turns are left, wanted 2", index.Len())
+		t.Errorf("%d turns are left after RemoveExpired, want 2", index.Len())
 	}
 	if first := segments.FirstRetained(1, 4, start.Add(2*time.Hour)); first != 4 {
-		t.Errorf("segment %d is retained after the end of all turns", first)
+		t.Errorf("first retained segment after all turns expired: got %d, want 4", first)
 	}
 }
 
@@ -53,10 +53,10 @@
 	addChain(&index, &segments)
 	index.Extend(NewKey("p", "third"), uint32(start.Add(time.Hour).Unix()), &segments)
 	if first := segments.FirstRetained(1, 4, start.Add(30*time.Minute)); first != 1 {
-		t.Errorf("the first segment retained is %d, wanted 1", first)
+		t.Errorf("first retained segment before the last turn expires: got %d, want 1", first)
 	}
 	if first := segments.FirstRetained(1, 4, start.Add(time.Hour+expirySlack+time.Second)); first != 4 {
-		t.Errorf("the first segment retained is %d, wanted 4", first)
+		t.Errorf("first retained segment after the last turn expired: got %d, want 4", first)
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	entries := index.WithID("turn")
 	if len(entries) != 2 || entries[0].Segment != 1 || entries[1].Segment != 1 {
-		t.Errorf("listed %v", entries)
+		t.Errorf("WithID returned %v, want the two entries of segment 1", entries)
 	}
 }
 
@@ -84,24 +84,24 @@
 	content := stored.Bytes()
 	err := Read(bytes.NewReader(content), func(shard uint32, key Key, entry Entry) {
 		if shard != 7 {
-			t.Errorf("an entry of shard %d", shard)
+			t.Errorf("read an entry of shard %d, want 7", shard)
 		}
 		read.Put(key, entry)
 	})
 	if err != nil || read.Len() != index.Len() {
-		t.Fatalf("%d entries read, %v", read.Len(), err)
+		t.Fatalf("Read returned %d entries and error %v, want all entries", read.Len(), err)
 	}
 	for key, entry := range index.All() {
 		if got, _ := read.Get(key); got != entry {
-			t.Errorf("%v was read as %v", entry, got)
+			t.Errorf("entry %v was read as %v", entry, got)
 		}
 	}
 	ignore := func(uint32, Key, Entry) {}
 	if err := Read(bytes.NewReader([]byte("another form")), ignore); !errors.Is(err, ErrUnknownFormat) {
-		t.Errorf("another form returned %v", err)
+		t.Errorf("Read of an unknown format returned error %v, want ErrUnknownFormat", err)
 	}
 	err = Read(bytes.NewReader(content[:len(content)-1]), ignore)
 	if _, unreadable := errors.AsType[*records.UnreadableError](err); !unreadable {
-		t.Errorf("an index truncated within an entry returned %v", err)
+		t.Errorf("Read of an index truncated within an entry returned error %v, want an UnreadableError", err)
 	}
 }
--- a/internal/state/store/turnindex/segment_expiry.go
+++ b/internal/state/store/turnindex/segment_expiry.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// SegmentExpiry remembers until when each segment of the log of turns is retained. The zero
-// value knows no segment.
+// SegmentExpiry records until when each segment of the log of turns is retained. The zero value
+// contains no segments. Any goroutine may use it.
 type SegmentExpiry struct {
+	// mutex guards all fields.
 	mutex sync.Mutex
 	// retainUntil is the latest end of retention, in Unix seconds, by segment.
 	retainUntil map[uint64]uint32
 }
 
-// Record notes a new or changed entry.
+// Record extends the retention of an entry's segment to that of the new or changed entry.
 func (s *SegmentExpiry) Record(entry Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -24,8 +25,8 @@
 	s.retainUntil[segment] = max(s.retainUntil[segment], entry.RetainUntil)
 }
 
-// FirstRetained returns the oldest segment from first on, below newest, that has a turn
-// which is still retained; newest when there is none. Older segments are forgotten.
+// FirstRetained returns the oldest segment from first on, below newest, that contains a turn which
+// is still retained; newest when there is none. It deletes the records of older segments.
 func (s *SegmentExpiry) FirstRetained(first, newest uint64, now time.Time) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
