--- a/internal/state/store/hashtree/hashtree.go
+++ b/internal/state/store/hashtree/hashtree.go
@@ -1,7 +1,7 @@
-// Package hashtree is a map that can be read in the order of its keys' hashes, from any
-// key on, without sorting all of it. The store keeps a shard's registers and its index of
-// retained turns in such trees, since replicas copy and compare shards page by page in
-// that order.
+// Package hashtree implements a map that can be iterated in the order of its keys' hashes, from
+// any key on, without sorting all entries. A store has a shard's registers and its index of
+// retained turns in such trees, since replicas copy and compare shards page by page in that
+// order.
 //
 // A tree is a plain data structure without locks: it belongs to one goroutine.
 package hashtree
@@ -11,13 +11,13 @@
 	"slices"
 )
 
-// MaxLeafEntries is how many entries a leaf takes before it is split in two.
+// MaxLeafEntries is the maximum number of entries of a leaf; a leaf with more is split in two.
 const MaxLeafEntries = 512
 
-// Key is a key of a Tree.
+// Key is the constraint on the keys of a Tree.
 type Key[K any] interface {
 	comparable
-	// Hash is the key's position in the order of the tree. Hashes must spread evenly over all numbers.
+	// Hash is the key's position in the order of the tree. Hashes must be distributed evenly over all uint64 values.
 	Hash() uint64
 	// Less orders keys of equal hash.
 	Less(other K) bool
@@ -31,7 +31,7 @@
 	count int
 }
 
-// node is a leaf as long as it has no branches.
+// node is a leaf while branches is nil, and an inner node otherwise.
 type node[K Key[K], V any] struct {
 	entries  map[K]V
 	branches *[2]node[K, V]
@@ -39,7 +39,7 @@
 
 const hashBits = 64
 
-// branchAt returns the branch of a node depth bits below the root.
+// branchAt returns the index of the branch for a hash in a node depth bits below the root.
 func branchAt(hash uint64, depth int) int { return int(hash >> (hashBits - 1 - depth) & 1) }
 
 // leafOf returns the leaf of a hash and its depth.
@@ -76,7 +76,7 @@
 	}
 }
 
-// Delete removes an entry, if there is one. Leaves are never joined again.
+// Delete removes the entry of a key, if there is one. Leaves are never merged.
 func (t *Tree[K, V]) Delete(key K) {
 	leaf, _ := t.leafOf(key.Hash())
 	before := len(leaf.entries)
@@ -92,7 +92,7 @@
 	n.entries = nil
 }
 
-// All yields every entry, in no order. The entry at hand may be deleted.
+// All yields all entries in unspecified order. The caller may delete the yielded entry.
 func (t *Tree[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) { t.root.visit(yield) }
 }
@@ -109,21 +109,22 @@
 	return true
 }
 
-// Leaf returns the entries of the leaf of a hash, which must not be written to, and the
-// first hash behind that leaf; zero behind the last one. Leaves are only ever split, so a
-// scan that continues at next misses no entry that stays.
+// Leaf returns the entries of the leaf that contains a hash, which the caller must not modify, and
+// the first hash after that leaf, or zero after the last leaf. Leaves are split but never merged,
+// so a scan that continues at next misses no entry that exists throughout the scan.
 func (t *Tree[K, V]) Leaf(hash uint64) (entries map[K]V, next uint64) {
 	leaf, depth := t.leafOf(hash)
 	width := hashBits - depth
 	return leaf.entries, (hash>>width + 1) << width
 }
 
-// After yields the entries behind a key, in order. The tree must not change meanwhile.
+// After yields the entries after a key, in order. The tree must not change during the iteration.
 func (t *Tree[K, V]) After(key K) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) { t.root.visitAfter(key, 0, true, yield) }
 }
 
-// visitAfter skips what lies before the key; bounded is true when the node is on the path from the root to the key.
+// visitAfter visits the entries of the node that come after the key. bounded is true when the node
+// is on the path from the root to the key, so that earlier branches are skipped.
 func (n *node[K, V]) visitAfter(key K, depth int, bounded bool, yield func(K, V) bool) bool {
 	if n.branches != nil {
 		from := 0
--- a/internal/state/store/hashtree/hashtree_test.go
+++ b/internal/state/store/hashtree/hashtree_test.go
@@ -12,13 +12,13 @@
 	_ "github.com/rosestand/rosestand/internal/testing/lab/fixedseed" // Property tests draw the same cases on every run.
 )
 
-// narrowKey has few hashes, so that keys of one hash are met too.
+// narrowKey has few distinct hashes, so that tests include keys of equal hash.
 type narrowKey uint16
 
 func (k narrowKey) Hash() uint64              { return uint64(k>>3) << (hashBits - 13) }
 func (k narrowKey) Less(other narrowKey) bool { return k < other }
 
-// stringKey spreads evenly, as the keys of registers and turns do.
+// stringKey has evenly distributed hashes, like the keys of registers and turns.
 type stringKey string
 
 func (k stringKey) Hash() uint64              { return xxhash.Sum64String(string(k)) }
@@ -30,7 +30,7 @@
 		key := rapid.Uint16()
 		check := func(t *rapid.T) {
 			if got := maps.Collect(tree.All()); !maps.Equal(got, wanted) || tree.Len() != len(wanted) {
-				t.Fatalf("has %d entries and reports %d, want %d", len(got), tree.Len(), len(wanted))
+				t.Fatalf("the tree yields %d entries and Len returns %d, want %d", len(got), tree.Len(), len(wanted))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -60,20 +60,20 @@
 				var got []narrowKey
 				for current, value := range tree.After(from) {
 					if known, found := tree.Get(current); !found || known != value {
-						t.Fatalf("%d is %d when iterated and %d, %v when looked up", current, value, known, found)
+						t.Fatalf("After yields key %d with value %d, but Get returns %d, %v", current, value, known, found)
 					}
 					got = append(got, current)
 				}
 				behind := slices.DeleteFunc(slices.Sorted(maps.Keys(wanted)),
 					func(current narrowKey) bool { return current <= from })
 				if !slices.Equal(got, behind) {
-					t.Fatalf("after %d: %v, wanted %v", from, got, behind)
+					t.Fatalf("After(%d) yields %v, want %v", from, got, behind)
 				}
 			},
 			"": func(t *rapid.T) {
 				for current, value := range wanted {
 					if known, found := tree.Get(current); !found || known != value {
-						t.Fatalf("%d is %d, %v; wanted %d", current, known, found, value)
+						t.Fatalf("Get(%d) returns %d, %v; want %d", current, known, found, value)
 					}
 				}
 				check(t)
@@ -94,7 +94,7 @@
 	for hash, last := uint64(0), false; !last; {
 		entries, next := tree.Leaf(hash)
 		if len(entries) > MaxLeafEntries {
-			t.Fatalf("a leaf has %d entries", len(entries))
+			t.Fatalf("a leaf has %d entries, want at most MaxLeafEntries", len(entries))
 		}
 		for _, number := range entries {
 			seen[number]++
@@ -106,7 +106,7 @@
 	}
 	for number := range stays {
 		if seen[number] != 1 {
-			t.Fatalf("entry %d was seen %d times", number, seen[number])
+			t.Fatalf("the scan visited entry %d %d times, want once", number, seen[number])
 		}
 	}
 }
