--- a/internal/state/store/records/records.go
+++ b/internal/state/store/records/records.go
@@ -1,4 +1,4 @@
-// Package records encodes and decodes what a store writes to its logs and snapshots: store
+// Package records encodes and decodes the contents of a store's logs and snapshots: store
 // records, and the program and call records that are the values of registers.
 package records
 
@@ -10,7 +10,7 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// UnreadableError reports that stored bytes are no record of this program's format.
+// UnreadableError reports that stored bytes are not a valid record in the format of this version.
 type UnreadableError struct {
 	Cause error
 }
@@ -21,14 +21,14 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Encode returns the stored form of a record. Encoding a message that the store made
-// itself cannot fail except for text that is not UTF-8, which is rejected before.
+// Encode returns a record in the stored format. Encoding a message that the store created cannot
+// fail, except for text that is not UTF-8, which is rejected earlier.
 func Encode(record *protocol.StoreRecord) ([]byte, error) {
 	encoded, err := proto.Marshal(record)
 	return encoded, errors.Wrap(err, "encode store record")
 }
 
-// Decode reads a record from its stored form. The error is an *UnreadableError.
+// Decode decodes a record from the stored format. The error is an *UnreadableError.
 func Decode(encoded []byte) (*protocol.StoreRecord, error) {
 	record := &protocol.StoreRecord{}
 	if err := decode(encoded, record); err != nil {
@@ -37,8 +37,8 @@
 	return record, nil
 }
 
-// DecodeProgram reads a program's record from the value of its register; an empty value is
-// no record, nil. The error is an *UnreadableError.
+// DecodeProgram decodes a program's record from the value of its register. It returns nil for an
+// empty value. The error is an *UnreadableError.
 func DecodeProgram(value []byte) (*protocol.ProgramRecord, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -53,8 +53,8 @@
 	return record, nil
 }
 
-// DecodeCall reads a call's record from the value of its register; an empty value is no
-// record, nil. The error is an *UnreadableError.
+// DecodeCall decodes a call's record from the value of its register. It returns nil for an empty
+// value. The error is an *UnreadableError.
 func DecodeCall(value []byte) (*protocol.CallRecord, error) {
 	if len(value) == 0 {
 		return nil, nil
