--- a/internal/state/store/datafolder/doc.go
+++ b/internal/state/store/datafolder/doc.go
@@ -1,6 +1,6 @@
-// Package datafolder is the data folder of a store: its identity, the log of registers with
-// its snapshots, and the log of turns with its index. It knows the names and forms of the
-// files, which must stay readable, and what makes a folder damaged.
+// Package datafolder implements the data folder of a store: its identity, the log of registers
+// with its snapshots, and the log of turns with its index. It defines the names and formats of
+// the files, which must stay readable, and detects a damaged folder.
 //
-// The logs may be used by any goroutine. Snapshots and indexes are written by one goroutine.
+// Any goroutine may use the logs. Snapshots and indexes must be written by one goroutine.
 package datafolder
--- a/internal/state/store/datafolder/errors.go
+++ b/internal/state/store/datafolder/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LogError reports that a log of the store failed, for instance on a full disk; the store must stop.
+// LogError reports that a log of the store failed, for instance because the disk is full. The store must stop.
 type LogError struct {
 	// Log is RegisterLog or TurnLog.
 	Log   string
--- a/internal/state/store/datafolder/folder.go
+++ b/internal/state/store/datafolder/folder.go
@@ -9,34 +9,34 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// The logs of a store, each in a folder of its name.
+// The names of a store's logs and of their folders.
 const (
 	RegisterLog = "registers"
 	TurnLog     = "turns"
 )
 
-// maxRegisterSegmentBytes bounds the segments of the log of registers, which is rewritten as a
-// snapshot when it has grown by two of them.
+// maxRegisterSegmentBytes bounds the size of a segment of the log of registers, which is replaced
+// by a snapshot after it has grown by two segments.
 const maxRegisterSegmentBytes = 4 << 20
 
-// RegisterSegmentBytes returns the size of a segment of registers beside segments of turns of a size.
+// RegisterSegmentBytes returns the size of a segment of registers for a given size of a segment of turns.
 func RegisterSegmentBytes(turnSegmentBytes int64) int64 {
 	return min(turnSegmentBytes, maxRegisterSegmentBytes)
 }
 
-// corruptSuffix marks files of a folder that was found damaged and given up.
+// corruptSuffix is appended to the names of the files of a damaged folder.
 const corruptSuffix = ".corrupt"
 
 // firstSegment is the number of the first segment of a new log.
 const firstSegment = 1
 
-// Location is where a data folder is.
+// Location is the filesystem and the path of a data folder.
 type Location struct {
 	filesystem storage.Filesystem
 	path       string
 }
 
-// CheckFreeSpace returns an error when the disk of the folder has less free space than so many bytes.
+// CheckFreeSpace returns an error when the disk of the folder has less than bytes of free space.
 func (l Location) CheckFreeSpace(bytes int64) error {
 	return storage.CheckFreeSpace(l.filesystem, l.path, bytes)
 }
@@ -46,18 +46,18 @@
 	Location
 	Registers *storage.Log
 	Turns     *storage.Log
-	// StorageID names this incarnation of the folder, and Starts counts the starts in it.
+	// StorageID identifies this incarnation of the folder, and Starts counts its starts.
 	StorageID string
 	Starts    uint64
-	// Lost is the damage that was found when the folder was opened; then its files were moved aside and it
-	// begins empty under a new StorageID.
+	// Lost is the damage that Open detected, nil if there was none. In case of damage the files were renamed
+	// and the folder starts empty under a new StorageID.
 	Lost error
 }
 
-// Open opens the logs of a store; segmentBytes is the size of a segment of turns. A folder
-// that may have lost votes, by a damaged file or by logs that are absent, is moved aside and
-// begun anew under a new storage id, so that the store votes for nothing until it has caught
-// up with its peers.
+// Open opens the logs of a store; segmentBytes is the size of a segment of turns. If the folder
+// may have lost votes, because a file is damaged or a log is missing, Open renames its files and
+// starts an empty folder under a new storage id, so that the store does not vote until it has
+// caught up with its peers.
 func Open(filesystem storage.Filesystem, path string, segmentBytes int64) (*Folder, error) {
 	opened, err := openIntact(filesystem, path, segmentBytes)
 	var corrupt *storage.CorruptError
@@ -100,7 +100,7 @@
 	return folder, nil
 }
 
-// prepareLog checks the folder of a log and removes what an interrupted snapshot left there.
+// prepareLog checks the folder of a log and removes the files of interrupted snapshots.
 func prepareLog(filesystem storage.Filesystem, path string, fresh bool) error {
 	if err := requireFiles(filesystem, path, fresh); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return err
 }
 
-// requireFiles returns a *storage.CorruptError when a folder that was in use has no files any more.
+// requireFiles returns a *storage.CorruptError when the folder of a log that was in use is empty.
 func requireFiles(filesystem storage.Filesystem, path string, fresh bool) error {
 	if err := filesystem.MkdirAll(path); err != nil {
 		return err
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// requireSnapshot returns a *storage.CorruptError when the newest snapshot of the
-// registers is damaged, or when the log does not reach back to it.
+// requireSnapshot returns a *storage.CorruptError when the newest snapshot of the registers is
+// damaged, or when the log does not start at or before it.
 func (f *Folder) requireSnapshot() error {
 	number, _, err := storage.LoadNewestSnapshot(f.filesystem, f.registerPath(), func(_ uint64, content io.Reader) error {
 		_, err := io.Copy(io.Discard, content)
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// moveAside renames every file, so that nothing of the lost incarnation is read again and an
-// operator may still look at it.
+// moveAside renames all files, so that those of the lost incarnation are not read again but
+// remain for inspection by an operator.
 func moveAside(filesystem storage.Filesystem, path string) error {
 	for _, folder := range []string{filepath.Join(path, RegisterLog), filepath.Join(path, TurnLog), path} {
 		entries, err := filesystem.List(folder)
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// HasFailedLog reports whether one of the logs takes no records any more.
+// HasFailedLog reports whether one of the logs has failed and accepts no further records.
 func (f *Folder) HasFailedLog() bool { return f.Registers.Err() != nil || f.Turns.Err() != nil }
 
 func (f *Folder) registerPath() string { return filepath.Join(f.path, RegisterLog) }
--- a/internal/state/store/datafolder/register_snapshot.go
+++ b/internal/state/store/datafolder/register_snapshot.go
@@ -12,12 +12,12 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// maxSnapshotRecordBytes bounds one record of a snapshot when it is read.
+// maxSnapshotRecordBytes bounds the size of one record when a snapshot is read.
 const maxSnapshotRecordBytes = 64 << 20
 
-// SaveRegisters writes a snapshot beside the log of registers and removes what it replaces.
-// write must write every change that was logged before the call, as WriteRecord does. The
-// error is a *LogError, but for one in the removal of old snapshots.
+// SaveRegisters writes a snapshot of the log of registers and removes the segments and snapshots
+// that it replaces. write must include every change that was logged before the call, in the
+// format of WriteRecord. The error is a *LogError, except that of the removal of old snapshots.
 func (f *Folder) SaveRegisters(write func(io.Writer) error) error {
 	segment, err := f.Registers.Rotate()
 	if err != nil {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// LoadRegisters visits the records of the newest snapshot, and then those of the log after it.
+// LoadRegisters calls visit for the records of the newest snapshot and then for those of the log after it.
 func (f *Folder) LoadRegisters(visit func(*protocol.StoreRecord)) error {
 	segment, _, err := storage.LoadNewestSnapshot(f.filesystem, f.registerPath(), func(_ uint64, content io.Reader) error {
 		return readSnapshot(content, visit)
--- a/internal/state/store/datafolder/turn_index.go
+++ b/internal/state/store/datafolder/turn_index.go
@@ -10,9 +10,9 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// indexedBefore returns the segment from which the log of turns must be read, since the
-// index does not cover it; zero without a complete index. What the index covers was intact
-// when it was written; damage done to it since is found when a turn is read.
+// indexedBefore returns the first segment of the log of turns that the index does not cover and
+// that must be read; zero without a complete index. The segments that the index covers were
+// intact when it was written; later damage to them is detected when a turn is read.
 func (f *Folder) indexedBefore() uint64 {
 	number, found, err := storage.LoadNewestSnapshot(f.filesystem, f.turnPath(), func(_ uint64, content io.Reader) error {
 		_, err := io.Copy(io.Discard, content)
@@ -24,9 +24,9 @@
 	return number
 }
 
-// SaveTurnIndex writes the index beside the log of turns, so that a start need not read the
-// turns themselves. It returns the first segment that the index does not cover. Indexes
-// before it stay until RemoveTurnIndexesBefore. The error is a *LogError.
+// SaveTurnIndex writes the index of the log of turns, so that a start need not read the turns
+// themselves. It returns the first segment that the index does not cover. Older indexes remain
+// until RemoveTurnIndexesBefore. The error is a *LogError.
 func (f *Folder) SaveTurnIndex(write func(io.Writer) error) (segment uint64, err error) {
 	segment, err = f.Turns.Rotate()
 	if err != nil {
@@ -38,20 +38,21 @@
 	return segment, nil
 }
 
-// RemoveTurnIndexesBefore removes indexes older than that of a segment.
+// RemoveTurnIndexesBefore removes the indexes that are older than that of a segment.
 func (f *Folder) RemoveTurnIndexesBefore(segment uint64) error {
 	err := storage.RemoveSnapshotsBefore(f.filesystem, f.turnPath(), segment)
 	return errors.Wrap(err, "remove old turn index")
 }
 
-// RemoveTurnIndex makes the next start read the log of turns in full.
+// RemoveTurnIndex removes all indexes, so that the next start reads the log of turns in full.
 func (f *Folder) RemoveTurnIndex() error {
 	return storage.RemoveSnapshotsBefore(f.filesystem, f.turnPath(), math.MaxUint64)
 }
 
-// LoadTurnIndex visits the entries of the newest index and returns the first segment that it
-// does not cover; found is false when there is no index that can be read. A damaged index is
-// no loss, since the log has everything; but some of its entries may have been visited.
+// LoadTurnIndex calls visit for the entries of the newest index and returns the first segment that
+// the index does not cover; found is false when there is no readable index. A damaged index
+// loses no data, since the log contains all turns; but visit may have been called for some of
+// its entries.
 func (f *Folder) LoadTurnIndex(
 	visit func(uint32, turnindex.Key, turnindex.Entry),
 ) (segment uint64, found bool, err error) {
