--- a/internal/state/store/mailbox/mailbox.go
+++ b/internal/state/store/mailbox/mailbox.go
@@ -1,12 +1,12 @@
-// Package mailbox is the queue of commands of an owner goroutine: the goroutine that runs
-// the mailbox is the only one that uses the state that its commands touch.
+// Package mailbox implements the command queue of an owner goroutine: only the goroutine that
+// runs the mailbox accesses the state that its commands use.
 package mailbox
 
 import "sync"
 
-// Mailbox is the queue of commands of one owner goroutine. Posting never blocks, so that
-// goroutines for which the owner waits can notify it of completions. The queue has no bound
-// of its own: it is bounded by the number of requests in flight.
+// Mailbox is the command queue of one owner goroutine. Post never blocks, so that goroutines that
+// the owner waits for can notify it of completions. The queue has no limit of its own: it is
+// bounded by the number of requests in flight.
 type Mailbox struct {
 	// mutex guards all fields.
 	mutex    sync.Mutex
@@ -15,14 +15,14 @@
 	closed   bool
 }
 
-// New returns an open mailbox. Run works through it.
+// New returns an open mailbox, whose commands Run executes.
 func New() *Mailbox {
 	m := &Mailbox{}
 	m.arrived = sync.NewCond(&m.mutex)
 	return m
 }
 
-// Post queues a command; after Close it is dropped.
+// Post queues a command. After Close it drops the command.
 func (m *Mailbox) Post(command func()) {
 	m.mutex.Lock()
 	if !m.closed {
@@ -34,8 +34,8 @@
 	m.mutex.Unlock()
 }
 
-// next waits for commands and returns all of them, or false once closed. The queue
-// reuses the memory of processed, the commands returned before.
+// next waits for commands and returns all of them, or false once the mailbox is closed. The queue
+// reuses the memory of processed, the commands that were returned by the previous call.
 func (m *Mailbox) next(processed []func()) ([]func(), bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return commands, true
 }
 
-// Close ends Run once it is through with the commands that it has begun on; those still
+// Close makes Run return after the commands that it has removed from the queue; commands still
 // queued are dropped.
 func (m *Mailbox) Close() {
 	m.mutex.Lock()
--- a/internal/state/store/mailbox/mailbox_test.go
+++ b/internal/state/store/mailbox/mailbox_test.go
@@ -15,14 +15,14 @@
 	m.Post(m.Close)
 	m.Run()
 	if len(got) != count || !slices.IsSorted(got) {
-		t.Errorf("ran %v", got)
+		t.Errorf("commands ran in order %v, want all %d in the order of posting", got, count)
 	}
 }
 
 func TestCommandsAreDroppedAfterClose(t *testing.T) {
 	m := New()
-	m.Post(func() { t.Error("ran a command that waited when the mailbox was closed") })
+	m.Post(func() { t.Error("a command that was queued before Close ran, want it dropped") })
 	m.Close()
-	m.Post(func() { t.Error("ran a command posted after Close") })
+	m.Post(func() { t.Error("a command that was posted after Close ran, want it dropped") })
 	m.Run()
 }
