--- a/internal/state/store/peers/client.go
+++ b/internal/state/store/peers/client.go
@@ -1,6 +1,6 @@
-// Package peers sends the requests of a store to other stores. Requests that are answered
-// from memory or after one sync share calls while many are in flight, and a store that does
-// not answer can hold up only a bounded number of requests.
+// Package peers sends the requests of a store to other stores. While many requests are in flight,
+// those that are answered from memory or after one sync are sent in batches, and an unresponsive
+// store can delay only a bounded number of requests.
 package peers
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxInFlight bounds the requests to one store that are not answered yet.
+	// maxInFlight bounds the unanswered requests to one store.
 	maxInFlight = 2048
-	// maxConcurrentBatches is how many batches may be in flight to one store; requests that
-	// come meanwhile wait and leave together.
+	// maxConcurrentBatches bounds the batches in flight to one store; requests that arrive
+	// meanwhile wait and are sent in the next batch.
 	maxConcurrentBatches = 4
-	// maxBatchRequests and maxBatchBytes bound what one batch carries.
+	// maxBatchRequests and maxBatchBytes bound the size of one batch.
 	maxBatchRequests = 64
 	maxBatchBytes    = 1 << 20
 )
@@ -32,7 +32,7 @@
 // Options configure a Client. All are required.
 type Options struct {
 	Caller Caller
-	// Address returns the address of a store; an empty one when the store has no lease.
+	// Address returns the address of a store; it is empty when the store has no lease.
 	Address func(store string) string
 	// Timeout bounds the wait of a request for a batch, and then the call of the batch.
 	Timeout time.Duration
@@ -40,20 +40,20 @@
 
 // Client sends requests to other stores. All methods may be called by any goroutine.
 type Client struct {
-	// ctx ends the calls in flight.
+	// ctx cancels the calls in flight.
 	ctx      context.Context
 	options  Options
 	routines sync.WaitGroup
 
-	// mutex guards the queues, with all of their fields, and closed.
+	// mutex guards closed and the queues with all of their fields.
 	mutex  sync.Mutex
 	queues map[string]*queue
 	closed bool
 }
 
-// queue is the traffic to one store.
+// queue contains the requests to one store.
 type queue struct {
-	// inFlight counts the requests that are not answered yet, those that wait included.
+	// inFlight counts the unanswered requests, including those that wait for a batch.
 	inFlight int
 	// senders counts the goroutines that send batches.
 	senders int
@@ -66,14 +66,15 @@
 	done    func(*protocol.Response, error)
 }
 
-// New returns a client; the end of ctx ends its calls.
+// New returns a client. Its calls are canceled with ctx.
 func New(ctx context.Context, options Options) *Client {
 	return &Client{ctx: ctx, options: options, queues: map[string]*queue{}}
 }
 
-// Send makes a request in the background. done is called once, on another goroutine; its
-// error is a *NotLiveError when the request was not sent, an *AnswerError, the caller's, or
-// context.DeadlineExceeded when the store answered none of the requests before it in time.
+// Send sends a request in the background. done is called once, on another goroutine. Its error is
+// a *NotLiveError when the request was not sent, an *AnswerError, the error of the Caller, or
+// context.DeadlineExceeded when the request waited longer than the timeout for a batch because
+// the store did not answer the requests before it.
 func (c *Client) Send(store string, request *protocol.Request, done func(*protocol.Response, error)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// isBatchable holds for requests that are answered from memory or after one sync.
+// isBatchable reports whether a request is answered from memory or after one sync.
 func isBatchable(request *protocol.Request) bool {
 	switch request.GetBody().(type) {
 	case *protocol.Request_Prepare, *protocol.Request_Accept, *protocol.Request_KeepTurn:
@@ -119,7 +120,7 @@
 	return len(request.GetAccept().GetValue())
 }
 
-// sendBatches sends batches until no request waits.
+// sendBatches sends batches until no requests wait.
 func (c *Client) sendBatches(store string, q *queue) {
 	for {
 		batch := c.nextBatch(q)
@@ -131,7 +132,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue; when there is none, its sender ends.
+// nextBatch removes the next batch from the queue. If none is left it returns nil and counts the
+// sender as ended.
 func (c *Client) nextBatch(q *queue) []pendingRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -157,8 +159,8 @@
 	c.mutex.Unlock()
 }
 
-// deliver makes one call for the batch and passes the answers on. Requests that have waited
-// longer than a call may take fail at once: the store does not answer.
+// deliver makes one call for the batch and calls done of each request. Requests that have waited
+// longer than the timeout of a call fail at once, since the store is unresponsive.
 func (c *Client) deliver(store string, batch []pendingRequest) {
 	batch = c.failOverdue(batch)
 	if len(batch) == 0 {
@@ -180,7 +182,7 @@
 	}
 }
 
-// failOverdue fails the requests that waited for longer than the timeout and returns the others.
+// failOverdue fails the requests that have waited longer than the timeout and returns the others.
 func (c *Client) failOverdue(batch []pendingRequest) []pendingRequest {
 	for len(batch) > 0 && time.Since(batch[0].since) > c.options.Timeout {
 		batch[0].done(nil, context.DeadlineExceeded)
@@ -207,8 +209,8 @@
 	return answers, nil
 }
 
-// Call makes a request and waits for its answer. It counts in no bound. The error is a
-// *NotLiveError or that of the caller.
+// Call makes a request and waits for its answer. It is not subject to the limits of Send. The error
+// is a *NotLiveError or that of the Caller.
 func (c *Client) Call(ctx context.Context, store string, request *protocol.Request) (*protocol.Response, error) {
 	address := c.options.Address(store)
 	if address == "" {
@@ -217,7 +219,8 @@
 	return c.options.Caller.Call(ctx, address, request)
 }
 
-// Close rejects further requests and waits for those in flight. End the client's context before.
+// Close rejects further requests and waits for those in flight. The client's context must be
+// canceled first.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
--- a/internal/state/store/peers/client_test.go
+++ b/internal/state/store/peers/client_test.go
@@ -11,11 +11,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// blockingCaller passes each call to the test and waits for its answer or the context.
+// blockingCaller sends each call to the test and waits for its answer or for the end of the context.
 type blockingCaller struct {
 	calls chan blockedCall
 }
 
+// blockedCall is a call that waits until the test sends a response to answer.
 type blockedCall struct {
 	request *protocol.Request
 	answer  chan *protocol.Response
@@ -47,7 +48,7 @@
 	}}}
 }
 
-// echo answers a prepare with its program as value.
+// echo returns a response to a prepare request with the request's program as value.
 func echo(request *protocol.Request) *protocol.Response {
 	return &protocol.Response{Body: &protocol.Response_Prepare{Prepare: &protocol.PrepareResponse{
 		Value: []byte(request.GetPrepare().GetKey().GetProgram()),
@@ -62,7 +63,7 @@
 		program := strconv.Itoa(number)
 		p.Send("b", prepareOf(program), func(response *protocol.Response, err error) {
 			if got := string(response.GetPrepare().GetValue()); err == nil && got != program {
-				err = errors.Newf("%s was answered as %s", program, got)
+				err = errors.Newf("request %s got the answer of %s", program, got)
 			}
 			answers <- err
 		})
@@ -76,14 +77,14 @@
 		send(number)
 	}
 	if len(caller.calls) > 0 {
-		t.Fatalf("more than %d calls in flight", maxConcurrentBatches)
+		t.Fatalf("more than the maximum of %d calls in flight", maxConcurrentBatches)
 	}
 	alone[0].answer <- echo(alone[0].request)
 	for _, wanted := range []int{maxBatchRequests, 5} {
 		call := <-caller.calls
 		batch := call.request.GetStoreBatch().GetRequests()
 		if len(batch) != wanted {
-			t.Fatalf("%d requests were sent together, want %d", len(batch), wanted)
+			t.Fatalf("the batch contains %d requests, want %d", len(batch), wanted)
 		}
 		responses := &protocol.ResponseBatch{}
 		for _, request := range batch {
@@ -101,7 +102,7 @@
 	}
 	p.Close()
 	if inFlight := p.queues["b"].inFlight; inFlight != 0 {
-		t.Fatalf("%d requests still in flight", inFlight)
+		t.Fatalf("%d requests in flight after Close, want none", inFlight)
 	}
 }
 
@@ -120,7 +121,7 @@
 	var wrong *AnswerError
 	for range 2 {
 		if err := <-failed; !errors.As(err, &wrong) {
-			t.Fatalf("ended with %v", err)
+			t.Fatalf("a request of the batch ended with error %v, want an AnswerError", err)
 		}
 	}
 	p.Close()
@@ -134,16 +135,16 @@
 	}
 	for range maxInFlight {
 		if err := <-failed; !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("ended with %v", err)
+			t.Fatalf("a request ended with error %v, want context.DeadlineExceeded", err)
 		}
 	}
 	p.Close()
 	if q := p.queues["b"]; q.inFlight != 0 || q.senders != 0 || len(q.waiting) != 0 {
-		t.Fatalf("left %+v", q)
+		t.Fatalf("queue after Close: %+v, want it empty without senders", q)
 	}
 	p.Send("b", prepareOf("late"), func(_ *protocol.Response, err error) { failed <- err })
 	var closed *NotLiveError
 	if err := <-failed; !errors.As(err, &closed) {
-		t.Fatalf("sent after Close: %v", err)
+		t.Fatalf("Send after Close returned error %v, want a NotLiveError", err)
 	}
 }
--- a/internal/state/store/peers/errors.go
+++ b/internal/state/store/peers/errors.go
@@ -1,6 +1,6 @@
 package peers
 
-// AnswerError reports that a store sent an answer that does not fit the request.
+// AnswerError reports that a store sent an answer that does not match the request.
 type AnswerError struct {
 	Store string
 }
