--- a/internal/state/store/steptrace/members.go
+++ b/internal/state/store/steptrace/members.go
@@ -17,12 +17,12 @@
 const (
 	// listTimeout bounds the wait for the lists of all stores.
 	listTimeout = 5 * time.Second
-	// maxListBytes bounds the names that one answer lists, below what a frame can carry.
+	// maxListBytes bounds the size of the names in one answer, below the maximum of a frame.
 	maxListBytes = 8 << 20
 )
 
 // ListLocally lists the programs of a step in all shards for which this store's list counts.
-// The error is a *failure.Error when they are too many for one answer.
+// The error is a *failure.Error when there are too many for one answer.
 func (s *Service) ListLocally(step string) (*protocol.ListTrainingStepResponse, error) {
 	return s.listLocally(step, s.options.Placement.Current())
 }
@@ -54,15 +54,16 @@
 	return answer, nil
 }
 
-// membersPage is what one command to the owner of a shard returned.
+// membersPage is the result of one command to the owner of a shard.
 type membersPage struct {
 	shardtable.MembersPage
-	// counts is true when the list of this replica counts for the shard, as long as generation stays the same.
+	// counts is true when the list of this replica counts for the shard, provided that generation does not change
+	// during the scan.
 	counts     bool
 	generation uint64
 }
 
-// listShard scans one shard. counts is false when the placement changed meanwhile.
+// listShard scans one shard. counts is false when the placement changed during the scan.
 func (s *Service) listShard(
 	shard uint32, step string, current *placement.Topology,
 ) (programs []string, counts bool, err error) {
@@ -86,7 +87,7 @@
 	return programs, true, nil
 }
 
-// membersFrom looks at the next registers of a shard, on the group's goroutine.
+// membersFrom scans the next registers of a shard, on the group's goroutine.
 func membersFrom(g *owner.Group, shard uint32, step string, from uint64, current *placement.Topology) membersPage {
 	table := g.Table(shard)
 	page := membersPage{
@@ -99,7 +100,7 @@
 	return page
 }
 
-// memberList is what all stores listed so far.
+// memberList is the union of the stores' lists that were received so far.
 type memberList struct {
 	names    map[string]bool
 	coverage *placement.Coverage
@@ -109,7 +110,7 @@
 	return &memberList{names: map[string]bool{}, coverage: placement.NewCoverage(current)}
 }
 
-// merge adds the list of one store; nil is no answer.
+// merge adds the list of one store; answer is nil if the store did not answer.
 func (l *memberList) merge(store string, answer *protocol.ListTrainingStepResponse) {
 	l.coverage.Add(store, answer.GetShards(), answer.GetPlacementEpoch())
 	for _, program := range answer.GetPrograms() {
@@ -117,13 +118,14 @@
 	}
 }
 
+// listAnswer is the list of one store; answer is nil if the store did not answer.
 type listAnswer struct {
 	store  string
 	answer *protocol.ListTrainingStepResponse
 }
 
 // listMembers queries all stores for the programs of a step. complete is false unless a
-// majority of each shard answered under the placement in force.
+// majority of each shard answered under the current placement.
 func (s *Service) listMembers(ctx context.Context, step string) (names []string, complete bool, err error) {
 	current := s.options.Placement.Current()
 	if len(current.Shards) == 0 {
--- a/internal/state/store/steptrace/members_test.go
+++ b/internal/state/store/steptrace/members_test.go
@@ -14,14 +14,14 @@
 	table.View.Role, table.View.Epoch = register.RoleActive, 1
 	current := &placement.Topology{Epoch: 1, Shards: []register.ShardView{table.View}}
 	if !membersFrom(g, 0, "17", 0, current).counts {
-		t.Error("the members of an active replica do not count")
+		t.Error("the members of an active replica under the current epoch do not count, want them counted")
 	}
 	table.View.Epoch = 2
 	if membersFrom(g, 0, "17", 0, current).counts {
-		t.Error("the members of a replica under another epoch count")
+		t.Error("the members of a replica under epoch 2 count, want them ignored under epoch 1")
 	}
 	table.View.Epoch, table.View.Role = 1, register.RoleRebuilding
 	if membersFrom(g, 0, "17", 0, current).counts {
-		t.Error("the members of a replica that is rebuilt count")
+		t.Error("the members of a rebuilding replica count, want them ignored")
 	}
 }
--- a/internal/state/store/steptrace/service.go
+++ b/internal/state/store/steptrace/service.go
@@ -12,12 +12,12 @@
 	"github.com/rosestand/rosestand/internal/state/store/placement"
 )
 
-// Peers sends requests to other stores and waits for their answers.
+// Peers sends requests to other stores and waits for their responses.
 type Peers interface {
 	Call(ctx context.Context, store string, request *protocol.Request) (*protocol.Response, error)
 }
 
-// Placement returns the placement in force.
+// Placement returns the current placement.
 type Placement interface {
 	Current() *placement.Topology
 }
@@ -50,7 +50,7 @@
 // New returns a service.
 func New(options Options) *Service { return &Service{options: options} }
 
-// Trace reads the pin of a step and all its programs. shard is that of the pin.
+// Trace reads the pin of a step and all programs that are members of it. shard is the pin's shard.
 func (s *Service) Trace(
 	ctx context.Context, shard register.ShardView, message *protocol.LedgerOperation,
 ) (*protocol.LedgerResult, error) {
@@ -78,7 +78,7 @@
 	case err != nil:
 		return nil, err
 	case pin.GetStatus() == protocol.LedgerStatus_LEDGER_STEP_UNKNOWN && len(programs) > 0:
-		// The pin expired before the programs.
+		// The pin expired before its programs, which are returned nevertheless.
 	case pin.GetStatus() != protocol.LedgerStatus_LEDGER_OK:
 		return pin, nil
 	}
--- a/internal/state/store/steptrace/trace.go
+++ b/internal/state/store/steptrace/trace.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/state/register"
 )
 
-// maxConcurrentReads bounds the programs of a trace that are read side by side.
+// maxConcurrentReads bounds the programs of a trace that are read concurrently.
 const maxConcurrentReads = 32
 
 // UnreadProgramError reports that no replica of a program's shard could read its record from a majority.
@@ -27,8 +27,8 @@
 	return "program " + e.Program + ": record not read from a majority"
 }
 
-// readMembers reads programs from a majority each, several at once, and returns those that
-// generate for the step, ordered by name. The error is an *UnreadProgramError.
+// readMembers reads each program from a majority, several concurrently, and returns those that
+// are members of the step, ordered by name. The error is an *UnreadProgramError.
 func (s *Service) readMembers(
 	ctx context.Context, step string, names []string,
 ) ([]*protocol.TrainingStepProgram, error) {
@@ -59,17 +59,17 @@
 	return cmp.Compare(a.GetProgram(), b.GetProgram())
 }
 
-// programReader reads programs by way of the store that usually proposes for them, so that
-// reads do not compete with changes in progress. Any goroutine may use it.
+// programReader reads each program through the store that usually proposes for it, so that reads
+// do not compete with changes in progress. Any goroutine may use it.
 type programReader struct {
 	service *Service
-	// unresponsive names stores that did not answer one read; the following reads query them last.
+	// unresponsive contains the stores that did not answer a read; later reads query them last.
 	unresponsive sync.Map
-	// failed ends the reads that have not begun once one could not be made.
+	// failed is set once a program could not be read; the remaining reads then fail without further queries.
 	failed atomic.Bool
 }
 
-// read returns a program's record, nil when it has none. The error is an *UnreadProgramError.
+// read returns a program's record, or nil if it has none. The error is an *UnreadProgramError.
 func (r *programReader) read(ctx context.Context, program string) (*protocol.ProgramRecord, error) {
 	current := r.service.options.Placement.Current()
 	shard := current.ShardOf(program)
