--- a/internal/state/store/storebench/costs.go
+++ b/internal/state/store/storebench/costs.go
@@ -11,15 +11,16 @@
 	"github.com/rosestand/rosestand/internal/state/ledger"
 )
 
-// Cost is what one operation of a kind takes when nothing else is in flight.
+// Cost contains the costs of one kind of operation when no other operation is in flight.
 type Cost struct {
 	Kind   string
 	Median time.Duration
-	// ProcessorTime is that of three stores and the caller.
+	// ProcessorTime is the processor time per operation, of three stores and the caller.
 	ProcessorTime time.Duration
-	// Messages are requests between stores, Syncs those of all logs of all stores.
+	// Messages counts the requests between stores per operation, Syncs the syncs of all logs of all stores.
 	Messages, Syncs float64
-	Failed          int
+	// Failed counts the operations that did not return LEDGER_OK.
+	Failed int
 }
 
 // String implements fmt.Stringer.
@@ -30,7 +31,7 @@
 
 const costsTurn = "turn"
 
-// MeasureCosts makes each kind of operation so many times, one at a time, for programs with one turn each.
+// MeasureCosts makes count operations of each kind, one at a time, for programs with one turn each.
 func MeasureCosts(ctx context.Context, folder string, count int) ([]*Cost, error) {
 	var costs []*Cost
 	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
--- a/internal/state/store/storebench/fleet.go
+++ b/internal/state/store/storebench/fleet.go
@@ -1,5 +1,5 @@
-// Package storebench measures the program ledger: three stores in one process,
-// over real TCP on 127.0.0.1 and real synced files, with only the core faked.
+// Package storebench measures the program ledger on three stores in one process, with TCP
+// connections over 127.0.0.1 and synced files. Only the core is simulated.
 package storebench
 
 import (
@@ -33,7 +33,7 @@
 
 var clusterKey = []byte("storebench cluster key")
 
-// fleet is some stores with a simulated core in front of them. One goroutine starts and stops them.
+// fleet is a set of stores with a simulated core. Only one goroutine may start and stop the stores.
 type fleet struct {
 	core   *fixedCore
 	stores []*node
@@ -50,8 +50,8 @@
 	registry *prometheus.Registry
 }
 
-// startFleet starts stores with data folders under folder. The first replicaCount of them have
-// all shards.
+// startFleet starts stores with data folders under folder. The first replicaCount stores have
+// replicas of all shards.
 func startFleet(folder string, stores int) (*fleet, error) {
 	f := &fleet{core: &fixedCore{}, pool: wire.NewPool(wire.PoolOptions{Key: clusterKey, Node: "bench"})}
 	f.core.view.Store(&corelink.View{})
@@ -70,8 +70,8 @@
 	return f, nil
 }
 
-// withFleet runs a measurement on stores with their data in a temporary folder under folder,
-// and stops them.
+// withFleet starts stores with their data in a temporary folder under folder, runs a measurement
+// on them and stops them.
 func withFleet(folder string, stores int, measure func(f *fleet, data string) error) error {
 	data, err := os.MkdirTemp(folder, "storebench-")
 	if err != nil {
@@ -139,12 +139,12 @@
 	return err
 }
 
-// fixedCore grants every lease and has the placement in memory. It does the steps of a move
-// that a core would do.
+// fixedCore simulates a core: every lease is valid, the placement is in memory, and reports of
+// copied shards complete moves and rebuilds as in a real core.
 type fixedCore struct {
 	view atomic.Pointer[corelink.View]
 
-	// changing is locked while a placement is made from the one before.
+	// changing is locked while a placement is derived from the previous one.
 	changing sync.Mutex
 
 	// mutex guards the following fields.
@@ -195,7 +195,7 @@
 	}, placement.GetShards())
 }
 
-// publish puts a view in force under the next epoch, which is that of the shards that changed.
+// publish makes a view the current one, under the next epoch, which it also sets for the shards that changed.
 func (c *fixedCore) publish(view *corelink.View, changed []*protocol.ShardPlacement) {
 	c.mutex.Lock()
 	c.epoch++
--- a/internal/state/store/storebench/load.go
+++ b/internal/state/store/storebench/load.go
@@ -26,17 +26,17 @@
 
 // Options describe one measurement.
 type Options struct {
-	// Folder is where the data is; a temporary folder of the system when empty.
+	// Folder is the parent of the temporary data folder; the system's temporary folder when empty.
 	Folder string
 	// InFlight is the number of programs with an operation in flight at any time.
 	InFlight int
-	// Warmup is not counted; Duration is.
+	// Warmup precedes the measurement, which lasts for Duration.
 	Warmup, Duration time.Duration
 	// TurnBytes is the size of the text of each retained turn.
 	TurnBytes int
-	// Empty moves all shards of one store to a fourth one during the measurement.
+	// Empty makes all shards of one store move to a fourth one during the measurement.
 	Empty bool
-	// Turns is how many turns a program has before the next one begins.
+	// Turns is the number of turns of each program.
 	Turns int
 }
 
@@ -58,22 +58,22 @@
 	}
 }
 
-// Result is what a measurement found. A reserve and a commit are one register change each.
+// Result is the result of a measurement. A reserve and a commit are one register change each.
 type Result struct {
 	Changes          int64
 	ChangesPerSecond float64
-	// Latency of one change as its caller sees it.
+	// Median, P99 and Max are latencies of one change as measured by its caller.
 	Median, P99, Max time.Duration
 	ReserveP99       time.Duration
 	CommitP99        time.Duration
-	// ProcessorTime is what the whole process took for a change: three stores and the callers.
+	// ProcessorTime is the processor time of the process, with three stores and the callers, per change.
 	ProcessorTime time.Duration
-	// RegisterBytes are the bytes that one store wrote to its log of registers for a change of
-	// which it is a replica; the retained turns, of the size in Options, come on top.
+	// RegisterBytes is the number of bytes that one replica wrote to its log of registers per change. It does not
+	// include the retained turns, whose size is set in Options.
 	RegisterBytes float64
-	// Failed counts operations that did not answer LEDGER_OK.
+	// Failed counts the operations that did not return LEDGER_OK.
 	Failed int64
-	// MovedShards is how many shards were moved while measuring.
+	// MovedShards is the number of shards that were moved during the measurement.
 	MovedShards int
 }
 
@@ -100,7 +100,7 @@
 	return result, err
 }
 
-// recorder collects what one caller measured. It belongs to that caller.
+// recorder collects the measurements of one caller, to which it belongs.
 type recorder struct {
 	reserve, commit *hdrhistogram.Histogram
 	failed          int64
@@ -142,7 +142,8 @@
 	return result
 }
 
-// emptyFirst moves every shard of the first store to the last one, one after the other.
+// emptyFirst moves the shards of the first store to the last one, one at a time, and returns the
+// number of shards moved before ends.
 func (f *fleet) emptyFirst(ctx context.Context, ends time.Time) int {
 	moved := 0
 	for shard := range uint32(shardCount) {
@@ -161,10 +162,10 @@
 func summarize(recorders []*recorder, duration time.Duration, moved int) *Result {
 	total, reserve, commit := newRecorder().reserve, newRecorder().reserve, newRecorder().commit
 	result := &Result{MovedShards: moved}
-	for _, each := range recorders {
-		reserve.Merge(each.reserve)
-		commit.Merge(each.commit)
-		result.Failed += each.failed
+	for _, r := range recorders {
+		reserve.Merge(r.reserve)
+		commit.Merge(r.commit)
+		result.Failed += r.failed
 	}
 	total.Merge(reserve)
 	total.Merge(commit)
@@ -179,16 +180,17 @@
 	return result
 }
 
-// caller drives one program after the other, one operation at a time. It belongs to one goroutine.
+// caller runs programs sequentially, with one operation in flight. It belongs to one goroutine.
 type caller struct {
-	fleet     *fleet
-	recorder  *recorder
-	number    int
+	fleet    *fleet
+	recorder *recorder
+	number   int
+	// countFrom is the end of the warm-up; only operations that begin later are recorded.
 	countFrom time.Time
 	text      string
 	programs  int
 	turns     int
-	// retention is how long turns are retained; zero leaves it to the ledger.
+	// retention is how long turns are retained; zero means the default of the ledger.
 	retention time.Duration
 }
 
@@ -232,7 +234,8 @@
 	}
 }
 
-// do makes one operation and records it when it began after the warm-up.
+// do makes one operation, counts it if it failed, and otherwise records its latency if it began
+// after the warm-up.
 func (c *caller) do(
 	ctx context.Context, into *hdrhistogram.Histogram, operation *protocol.LedgerOperation,
 ) *protocol.LedgerResult {
--- a/internal/state/store/storebench/memory.go
+++ b/internal/state/store/storebench/memory.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Memory is the heap that programs in progress take in a store.
+// Memory contains the heap usage of programs in progress in a store.
 type Memory struct {
 	Programs, Turns int
-	// BytesOfProgram is the heap that one replica of a program takes in one
-	// store, with its register and the index entries of its turns.
+	// BytesOfProgram is the heap usage of one replica of a program: its register and the index
+	// entries of its turns.
 	BytesOfProgram float64
 }
 
@@ -23,11 +23,11 @@
 		m.BytesOfProgram, m.Turns, replicaCount, m.Programs)
 }
 
-// MeasureMemory runs programs of so many turns and compares the heap before and after.
+// MeasureMemory runs programs with a number of turns each and compares the heap before and after.
 func MeasureMemory(ctx context.Context, folder string, programs, turns int) (*Memory, error) {
 	var result *Memory
 	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
-		// The first programs fill the buffers that stay, so that the second half gives the slope.
+		// The first half of the programs fills long-lived buffers, so that only the growth by the second half is measured.
 		failed := f.runPrograms(ctx, "first", programs, turns, defaultTurnBytes)
 		before := heapBytes()
 		failed += f.runPrograms(ctx, "measured", programs, turns, defaultTurnBytes)
@@ -45,7 +45,7 @@
 	return result, err
 }
 
-// FailedOperationsError reports that operations of a measurement were not answered with LEDGER_OK.
+// FailedOperationsError reports that operations of a measurement did not return LEDGER_OK.
 type FailedOperationsError struct {
 	Count int64
 }
@@ -77,8 +77,8 @@
 	}
 	callers.Wait()
 	var failed int64
-	for _, each := range recorders {
-		failed += each.failed
+	for _, r := range recorders {
+		failed += r.failed
 	}
 	return failed
 }
--- a/internal/state/store/storebench/rebuild.go
+++ b/internal/state/store/storebench/rebuild.go
@@ -14,16 +14,16 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Rebuild is what it takes to complete a store again that lost its disk.
+// Rebuild contains the costs of rebuilding a store that lost its disk, and of its restart.
 type Rebuild struct {
 	Turns uint64
-	// Took runs from the placement that names the lost disk until every shard is copied.
+	// Took is the time from the placement with the store's new storage id until every shard is copied.
 	Took time.Duration
-	// ProcessorTime is that of the three stores together.
+	// ProcessorTime is the processor time of the three stores during the rebuild.
 	ProcessorTime time.Duration
-	// Restart is how long the store then takes from the opening of its folder until it serves.
+	// Restart is the time that the rebuilt store takes from opening its folder until it serves requests.
 	Restart time.Duration
-	// RestartProcessorTime is what the process took meanwhile.
+	// RestartProcessorTime is the processor time of the process during the restart.
 	RestartProcessorTime time.Duration
 }
 
@@ -34,8 +34,8 @@
 		r.Restart.Round(time.Millisecond), r.RestartProcessorTime.Round(time.Millisecond))
 }
 
-// MeasureRebuild fills three stores, takes the disk of one away and waits until that store is complete; then
-// it restarts it.
+// MeasureRebuild fills three stores, removes the data of one and waits until that store is rebuilt;
+// then it restarts the store.
 func MeasureRebuild(ctx context.Context, folder string, programs, turns, turnBytes int) (*Rebuild, error) {
 	result := &Rebuild{}
 	err := withFleet(folder, replicaCount, func(f *fleet, data string) error { //nolint:contextcheck // stores outlive it
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// restartFirst stops the first store and opens it again.
+// restartFirst stops and restarts the first store.
 func (f *fleet) restartFirst(data string, result *Rebuild) error {
 	if err := f.stopNode(0); err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return err
 }
 
-// loseDisk names a store under its new storage id in every shard.
+// loseDisk replaces a store's storage id in all shards and marks its replicas as rebuilding.
 func (c *fixedCore) loseDisk(lost *protocol.Node, nodes []*protocol.Node) {
 	placement := &protocol.Placement{}
 	for _, placed := range c.View().Placement.GetShards() {
@@ -119,7 +119,7 @@
 		placement.GetShards())
 }
 
-// rebuildingCount returns the number of shards with a replica that is not complete.
+// rebuildingCount returns the number of replicas that are not complete.
 func (c *fixedCore) rebuildingCount() int {
 	count := 0
 	for _, placed := range c.View().Placement.GetShards() {
--- a/internal/state/store/storebench/shard_moves.go
+++ b/internal/state/store/storebench/shard_moves.go
@@ -7,7 +7,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// moveShard begins to move one shard from one store to another.
+// moveShard starts the move of one shard from one store to another.
 func (c *fixedCore) moveShard(shard uint32, from string, to *protocol.Node) {
 	c.changeShard(shard, func(placed *protocol.ShardPlacement) bool {
 		placed.Next = nil
@@ -24,7 +24,7 @@
 	})
 }
 
-// shardCopied ends the move or the rebuilding of a shard once its new replica is complete.
+// shardCopied completes the move or the rebuild of a shard whose new replica is complete.
 func (c *fixedCore) shardCopied(copied *protocol.ShardCopiedRequest) {
 	c.changeShard(copied.GetShard(), func(placed *protocol.ShardPlacement) bool {
 		for _, replica := range placed.GetCurrent() {
@@ -45,7 +45,8 @@
 	})
 }
 
-// changeShard publishes a placement in which one shard is another.
+// changeShard publishes a placement in which change was applied to a copy of one shard. If change
+// returns false, nothing is published.
 func (c *fixedCore) changeShard(shard uint32, change func(*protocol.ShardPlacement) bool) {
 	c.changing.Lock()
 	defer c.changing.Unlock()
--- a/internal/state/store/storebench/steady.go
+++ b/internal/state/store/storebench/steady.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// SteadyOptions describe a load that lasts for several times its retention.
+// SteadyOptions describe a load whose duration is a multiple of the retention of its turns.
 type SteadyOptions struct {
 	TurnsPerSecond, TurnBytes int
 	Retention, Duration       time.Duration
-	// TurnsOfProgram is how many turns a program has before the next one begins.
+	// TurnsOfProgram is the number of turns of each program.
 	TurnsOfProgram int
 }
 
-// Steady is what stores take over time under a steady load with a short retention.
+// Steady contains the resource usage of stores over time under a steady load with a short retention.
 type Steady struct {
 	Samples []SteadySample
 	Failed  int64
-	// ProcessorShare is the processor time of three stores and their callers by the time it took.
+	// ProcessorShare is the processor time of three stores and their callers divided by the elapsed time.
 	ProcessorShare float64
 }
 
-// SteadySample is taken at one moment.
+// SteadySample contains the resource usage at one point in time.
 type SteadySample struct {
 	After time.Duration
-	// Heap is that of the whole process, with three stores and their callers.
+	// Heap is the heap size of the process, with three stores and their callers.
 	Heap uint64
-	// DiskBytes are those of the logs of one store.
+	// DiskBytes, Turns and Registers are those of one store; DiskBytes is the size of its logs.
 	DiskBytes, Turns, Registers uint64
 }
 
@@ -69,13 +69,14 @@
 		})
 	}
 	result.ProcessorShare = f.usage().since(before).processor.Seconds() / time.Since(began).Seconds()
-	for each := range recorders {
-		result.Failed += each.failed
+	for r := range recorders {
+		result.Failed += r.failed
 	}
 	return result
 }
 
-// beginPrograms begins programs at an even pace, each on its own, and closes the channel once all are over.
+// beginPrograms starts programs at regular intervals, each on its own goroutine, and closes the
+// channel once all have ended.
 func (f *fleet) beginPrograms(ctx context.Context, options SteadyOptions, ends time.Time, recorders chan<- *recorder) {
 	interval := time.Second * time.Duration(options.TurnsOfProgram) / time.Duration(options.TurnsPerSecond)
 	var finished []chan *recorder
--- a/internal/state/store/storebench/storebench_test.go
+++ b/internal/state/store/storebench/storebench_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkLedgerByTurns reports what a change costs for short and long programs.
+// BenchmarkLedgerByTurns reports the cost of a change for short and long programs.
 func BenchmarkLedgerByTurns(b *testing.B) {
 	for _, turns := range []int{1, 10, 55} {
 		b.Run(fmt.Sprintf("turns=%d", turns), func(b *testing.B) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkLedgerWhileEmptying measures the same while every shard of one store moves to another.
+// BenchmarkLedgerWhileEmptying reports register changes while every shard of one store moves to another.
 func BenchmarkLedgerWhileEmptying(b *testing.B) {
 	for b.Loop() {
 		result, err := storebench.Run(b.Context(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap of one replica of a long program.
+// BenchmarkMemory reports the heap usage of one replica of a long program.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		memory, err := storebench.MeasureMemory(b.Context(), b.TempDir(), 500, 55)
@@ -67,7 +67,7 @@
 }
 
 // BenchmarkRebuild reports how long a store that lost its disk takes to copy 6,000 turns of
-// 8 KB, about a minute of 100 turns a second, and to restart with them.
+// 8 KB, which is one minute of load at 100 turns per second, and to restart with them.
 func BenchmarkRebuild(b *testing.B) {
 	for b.Loop() {
 		rebuild, err := storebench.MeasureRebuild(b.Context(), b.TempDir(), 1000, 6, 8000)
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkSteady reports what stores cost under 75 turns a second of 10 KB that are retained for 60 s.
+// BenchmarkSteady reports the resource usage of stores under 75 turns of 10 KB per second that are retained for 60 s.
 func BenchmarkSteady(b *testing.B) {
 	for b.Loop() {
 		steady, err := storebench.MeasureSteady(b.Context(), b.TempDir(), storebench.SteadyOptions{
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkCosts reports what one operation of each kind costs alone.
+// BenchmarkCosts reports the cost of each kind of operation when no other operation is in flight.
 func BenchmarkCosts(b *testing.B) {
 	for b.Loop() {
 		costs, err := storebench.MeasureCosts(b.Context(), b.TempDir(), 500)
@@ -107,7 +107,7 @@
 	}
 }
 
-// BenchmarkTrainingSteps reports what pins and traces cost beside 9,000 programs of no step.
+// BenchmarkTrainingSteps reports the costs of pins and traces with 9,000 programs that are members of no step.
 func BenchmarkTrainingSteps(b *testing.B) {
 	for _, members := range []int{100, 1_000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
--- a/internal/state/store/storebench/training_steps.go
+++ b/internal/state/store/storebench/training_steps.go
@@ -18,7 +18,8 @@
 	pinCount              = 200
 )
 
-// MeasureTrainingSteps pins steps, and traces one with so many programs, beside others of no step, so many times.
+// MeasureTrainingSteps measures pins of steps, and a number of traces of one step with members
+// programs while others programs are members of no step.
 func MeasureTrainingSteps(ctx context.Context, folder string, members, others, traces int) ([]*Cost, error) {
 	var costs []*Cost
 	err := withFleet(folder, replicaCount, func(f *fleet, _ string) error { //nolint:contextcheck // stores outlive calls
@@ -45,7 +46,8 @@
 	return costs, err
 }
 
-// openPrograms carries out one operation for each of so many programs, some at once, and returns how many failed.
+// openPrograms makes one operation for each of count programs, several concurrently, and returns
+// the number of failed ones.
 func (f *fleet) openPrograms(
 	ctx context.Context, count int, operation func(number int) *protocol.LedgerOperation,
 ) int64 {
--- a/internal/state/store/storebench/usage.go
+++ b/internal/state/store/storebench/usage.go
@@ -7,9 +7,9 @@
 	"github.com/rosestand/rosestand/internal/state/store/datafolder"
 )
 
-// usage is what a fleet has consumed so far.
+// usage contains the resources that a fleet has used so far.
 type usage struct {
-	// processor is the time of the whole process.
+	// processor is the processor time of the process.
 	processor time.Duration
 	// changes and registerBytes are sums over all stores.
 	changes       float64
@@ -24,7 +24,7 @@
 	}
 }
 
-// usage sums up the processor time of the process and the counters of its stores.
+// usage returns the processor time of the process and the sums of its stores' counters.
 func (f *fleet) usage() usage {
 	return usage{
 		processor:     processorTime(),
@@ -33,8 +33,8 @@
 	}
 }
 
-// sumCounters adds up a counter of all stores: the series whose first label has a value, or
-// all of them when the value is empty.
+// sumCounters returns the sum of a counter over all stores: of the series whose first label has
+// the value labelValue, or of all series when labelValue is empty.
 func (f *fleet) sumCounters(name, labelValue string) float64 {
 	var total float64
 	for _, started := range f.stores {
