--- a/internal/state/store/shardtable/page.go
+++ b/internal/state/store/shardtable/page.go
@@ -11,8 +11,8 @@
 	// defaultPageItems and maxPageBytes bound one page of a shard.
 	defaultPageItems = 512
 	maxPageBytes     = 2 << 20
-	// maxPageScan bounds the entries that the owner of a shard looks at for one page; a
-	// filter may leave out most of them.
+	// maxPageScan bounds the entries that the owner of a shard scans for one page, since a
+	// filter may exclude most of them.
 	maxPageScan = 8192
 )
 
@@ -37,12 +37,12 @@
 	return f.buckets == 0 || f.only[uint32(hash%uint64(f.buckets))]
 }
 
-// registerPage is the next registers in order.
+// registerPage contains the next registers in order.
 type registerPage struct {
 	states []*protocol.RegisterState
-	// reached is the last register that was looked at.
-	reached Key
-	last    bool
+	// lastScanned is the last register that was scanned, whether or not the page includes it.
+	lastScanned Key
+	last        bool
 }
 
 func (t *Table) registersAfter(after Key, limit int, filter bucketFilter) registerPage {
@@ -53,7 +53,7 @@
 			return page
 		}
 		scanned++
-		page.reached = key
+		page.lastScanned = key
 		if register.State.Accepted.IsZero() || !filter.matches(key.bucketHash()) {
 			continue
 		}
@@ -65,13 +65,13 @@
 	return page
 }
 
-// turnPage is the next turns in order; they are still on disk.
+// turnPage contains the index entries of the next turns in order; the turns are yet to be read from disk.
 type turnPage struct {
 	keys    []turnindex.Key
 	entries []turnindex.Entry
-	// reached is the last turn that was looked at.
-	reached turnindex.Key
-	last    bool
+	// lastScanned is the last turn that was scanned, whether or not the page includes it.
+	lastScanned turnindex.Key
+	last        bool
 }
 
 func (t *Table) turnsAfter(after turnindex.Key, limit int, filter bucketFilter) turnPage {
@@ -82,7 +82,7 @@
 			return page
 		}
 		scanned++
-		page.reached = key
+		page.lastScanned = key
 		if filter.matches(key.TurnHash) {
 			page.keys = append(page.keys, key)
 			page.entries = append(page.entries, entry)
@@ -92,9 +92,9 @@
 	return page
 }
 
-// Page is one page of a shard as its owner sees it. ReadTurns completes it.
+// Page is one page of a shard as its owner returns it. ReadTurns adds the turns, from disk.
 type Page struct {
-	// Answer has the registers of the page, or a rejection.
+	// Answer contains the registers of the page, or a rejection.
 	Answer *protocol.FetchShardResponse
 	turns  turnPage
 }
@@ -119,13 +119,13 @@
 	answer.Registers = registers.states
 	answer.Next = Cursor{InTurns: true}.Encode()
 	if !registers.last {
-		answer.Next = Cursor{Register: registers.reached}.Encode()
+		answer.Next = Cursor{Register: registers.lastScanned}.Encode()
 	}
 	return Page{Answer: answer}
 }
 
-// ReadTurns reads the turns of a page of turns from disk into its answer, until the page is
-// full. read returns nil for a turn that was removed meanwhile. Any goroutine may call it.
+// ReadTurns reads the turns of the page from disk into its Answer, until the page is full. read
+// returns nil for a turn that was removed meanwhile. Any goroutine may call ReadTurns.
 func (p Page) ReadTurns(read func(turnindex.Entry) (*protocol.Turn, error)) error {
 	size := 0
 	for i, entry := range p.turns.entries {
@@ -144,7 +144,7 @@
 	}
 	p.Answer.Last = p.turns.last
 	if !p.turns.last {
-		p.Answer.Next = Cursor{InTurns: true, Turn: p.turns.reached}.Encode()
+		p.Answer.Next = Cursor{InTurns: true, Turn: p.turns.lastScanned}.Encode()
 	}
 	return nil
 }
