--- a/internal/failure/codes.go
+++ b/internal/failure/codes.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Code names a kind of failure. Codes are part of the HTTP API: their texts and meanings never change, also where
-// the Go name has another word.
+// Code identifies a kind of failure. Codes are part of the HTTP API: their values and meanings must never change, even
+// where the Go name differs from the value.
 type Code string
 
-// Codes of any process. DeadlineExceeded and Cancelled leave open whether the request ran, unless the outcome of
-// the failure says so; Unavailable, Draining and NotReady are temporary.
+// Codes that any process returns. With DeadlineExceeded and Cancelled it is unknown whether the request ran, unless the
+// failure's outcome specifies it. Unavailable, Draining and NotReady are temporary.
 const (
 	InternalError    Code = "internal_error"
 	DeadlineExceeded Code = "deadline_exceeded"
@@ -18,7 +18,7 @@
 	NotReady         Code = "not_ready"
 )
 
-// Codes for the form of a request and for the caller's permissions.
+// Codes for invalid requests and missing permissions.
 const (
 	UnknownRoute     Code = "unknown_route"
 	MethodNotAllowed Code = "method_not_allowed"
@@ -57,11 +57,11 @@
 	AnswerMismatch    Code = "answer_mismatch"
 	LedgerUnavailable Code = "ledger_unavailable"
 	StaleView         Code = "stale_view"
-	// StepMismatch: the program generates for another training step or for none, or the step is of another model.
+	// StepMismatch: the program generates for another training step or for none, or the step belongs to another model.
 	StepMismatch Code = "step_mismatch"
-	// StepVersionUnavailable: no server has the version of the weights that is pinned for the training step.
+	// StepVersionUnavailable: no server has the weights version that is pinned for the training step.
 	StepVersionUnavailable Code = "step_version_unavailable"
-	// StepVersionChanged: a server answered with other weights than those pinned for the training step.
+	// StepVersionChanged: a server responded with weights other than those pinned for the training step.
 	StepVersionChanged Code = "step_version_changed"
 )
 
@@ -79,11 +79,11 @@
 	WrongCluster     Code = "wrong_cluster"
 	ChangeInProgress Code = "change_under_way"
 	StoreNotEmptied  Code = "store_not_emptied"
-	// TooFewStores: the store that an order would empty is needed to hold every shard.
+	// TooFewStores: without the store that an order would empty, the remaining stores could not hold every shard.
 	TooFewStores Code = "too_few_stores"
 )
 
-// statusClientClosedRequest is the common status for a request that its caller gave up; no RFC defines it.
+// statusClientClosedRequest is the status commonly used for a request that its client cancelled; no RFC defines it.
 const statusClientClosedRequest = 499
 
 var statusByCode = map[Code]int{
@@ -145,7 +145,7 @@
 	TooFewStores:           http.StatusConflict,
 }
 
-// Status returns the HTTP status of the code; 500 for an unknown one.
+// Status returns the HTTP status of the code, or 500 for an unknown code.
 func (c Code) Status() int {
 	if status, known := statusByCode[c]; known {
 		return status
--- a/internal/failure/detail.go
+++ b/internal/failure/detail.go
@@ -2,7 +2,7 @@
 
 import "github.com/rosestand/rosestand/internal/protocol"
 
-// Detail is a failure in the form of JSON bodies and events.
+// Detail is the JSON form of a failure, used in response bodies and events.
 type Detail struct {
 	Code             string `json:"code"`
 	Message          string `json:"message"`
@@ -11,7 +11,7 @@
 	RetryAfterMillis uint32 `json:"retry_after_millis,omitempty"`
 }
 
-// NewDetail returns the detail of a failure.
+// NewDetail converts a failure to its JSON form.
 func NewDetail(problem *protocol.Failure) Detail {
 	return Detail{
 		Code: problem.GetCode(), Message: problem.GetMessage(), Path: problem.GetPath(),
@@ -19,7 +19,7 @@
 	}
 }
 
-// OutcomeName returns an outcome's name in JSON; an unspecified one counts as unknown.
+// OutcomeName returns the JSON name of an outcome. An unspecified outcome is reported as unknown.
 func OutcomeName(outcome protocol.Outcome) string {
 	switch outcome {
 	case protocol.Outcome_NOT_RUN:
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,11 +1,9 @@
-// Package failure has the typed errors that cross process boundaries. Every
-// failure has a stable code, the outcome of the request (not run, ran, or unknown)
-// and, if a retry makes sense, the minimum delay before it.
+// Package failure defines the typed errors that cross process boundaries. Every failure has a stable code, the outcome
+// of the request (not run, ran, or unknown) and, if a retry makes sense, the minimum delay before it.
 //
-// An outcome of not run is a promise: callers repeat such requests. It is claimed
-// only where it was proved. Failures are immutable after New, and so safe for
-// concurrent use. The wire form is Failure in the .proto files, the JSON form is
-// Detail; both are described in docs/API.md.
+// The outcome "not run" is a guarantee, because callers retry such requests. It must be set only where it is certain
+// that the request did not run. Failures are immutable after New, and therefore safe for concurrent use. The wire
+// format is Failure in the .proto files, the JSON format is Detail; docs/API.md documents both.
 package failure
 
 import (
@@ -18,12 +16,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// Error is a failure as a Go error.
+// Error wraps a failure as a Go error.
 type Error struct {
 	Failure *protocol.Failure
 }
 
-// Error names the code, the path of the field at fault, if any, and the message.
+// Error returns the code, the path of the invalid field, if any, and the message.
 func (e *Error) Error() string {
 	if e.Failure.GetPath() != "" {
 		return fmt.Sprintf("%s: %s: %s", e.Failure.GetCode(), e.Failure.GetPath(), e.Failure.GetMessage())
@@ -39,19 +37,19 @@
 // Option sets an optional field of a failure in New.
 type Option func(*protocol.Failure)
 
-// WithPath sets the path of the field at fault.
+// WithPath sets the path of the invalid field.
 func WithPath(path string) Option {
 	return func(f *protocol.Failure) { f.Path = path }
 }
 
-// WithRetryAfter sets the minimum delay before a retry, rounded up to whole milliseconds.
+// WithRetryAfter sets the minimum delay before a retry, rounded up to full milliseconds.
 func WithRetryAfter(wait time.Duration) Option {
 	return func(f *protocol.Failure) {
 		f.RetryAfterMillis = uint32((wait + time.Millisecond - 1) / time.Millisecond)
 	}
 }
 
-// New returns a failure whose HTTP status follows from its code.
+// New returns a failure with the HTTP status of its code.
 func New(code Code, outcome protocol.Outcome, message string, options ...Option) *Error {
 	f := &protocol.Failure{
 		Code:    string(code),
@@ -65,9 +63,9 @@
 	return &Error{Failure: f}
 }
 
-// From converts any error to a failure. An error that wraps no Error becomes an
-// internal error, or that of a context's end, with an unknown outcome: nothing is
-// claimed that was not proved.
+// From converts any error to a failure. An error that does not wrap an Error becomes DeadlineExceeded or Cancelled if
+// it is the error of an ended context, and InternalError otherwise. Its outcome is unknown, because it is not certain
+// whether the request ran.
 func From(err error) *protocol.Failure {
 	var typed *Error
 	switch {
