--- a/internal/storage/simdisk/disk.go
+++ b/internal/storage/simdisk/disk.go
@@ -13,37 +13,38 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// SectorBytes is the unit that a loss of power persists or drops, as on common disks.
+// SectorBytes is the unit in which a loss of power persists or drops writes, as on common disks.
 const SectorBytes = 512
 
-// StaleHandleError reports the use of a file that was opened before the process was killed or the disk was lost.
+// StaleHandleError reports the use of a file handle that is closed, or that was opened before the process was killed or
+// the disk was lost.
 type StaleHandleError struct{ Path string }
 
 // Error implements error.
 func (e *StaleHandleError) Error() string { return "simdisk: stale handle of " + e.Path }
 
-// SyncFailedError is the injected failure of a sync.
+// SyncFailedError is an injected sync failure.
 type SyncFailedError struct{ Path string }
 
 // Error implements error.
 func (e *SyncFailedError) Error() string { return "simdisk: sync of " + e.Path + " failed" }
 
-// Counters are the operations and faults of a disk so far.
+// Counters counts the operations and faults of a disk.
 type Counters struct {
 	Syncs        int
 	FailedSyncs  int
 	StalledSyncs int
 	PowerLosses  int
-	// TornFiles had writes that were not synced at a loss of power; LostBytes is by how much they became shorter.
+	// TornFiles counts the files with unsynced writes at a loss of power, LostBytes by how much they became shorter.
 	TornFiles  int
 	LostBytes  int64
 	DiskLosses int
-	// FullWrites failed, at least partly, because the disk was full.
+	// FullWrites counts the writes that failed, at least partly, because the disk was full.
 	FullWrites   int
 	DamagedBytes int
 }
 
-// Disk is one simulated disk. It is safe for concurrent use; it is deterministic when one goroutine uses it.
+// Disk is a simulated disk. It is safe for concurrent use, but deterministic only when a single goroutine uses it.
 type Disk struct {
 	// mutex guards all fields and all inodes.
 	mutex  sync.Mutex
@@ -51,24 +52,25 @@
 
 	dirs  map[string]bool
 	names map[string]*inode
-	// durableNames are the names that are on the disk; nameChanges are those made since, in order.
+	// durableNames are the synced directory entries; nameChanges are the changes made to them since, in order.
 	durableNames map[string]*inode
 	nameChanges  []nameChange
 
-	// generation is raised when handles become stale.
+	// generation is incremented to make all open handles stale.
 	generation int
-	// capacity bounds the bytes of all files; zero is no bound.
+	// capacity limits the total bytes of all files; zero means no limit.
 	capacity int64
 	// The next syncsToPass syncs succeed, and the syncsToFail after them fail.
 	syncsToFail int
 	syncsToPass int
-	// resumed is closed when syncs go on; nil while they are not stalled.
+	// resumed is closed when stalled syncs resume. It is nil while syncs are not stalled.
 	resumed    chan struct{}
 	storageIDs int
 	counters   Counters
 }
 
-// nameChange binds a name to a file, or removes it when node is nil. It removes the old name of a renamed file.
+// nameChange is a change of directory entries: it links path to node, or removes path if node is nil. For a rename it
+// also removes oldPath.
 type nameChange struct {
 	path    string
 	node    *inode
@@ -77,7 +79,7 @@
 
 var _ storage.Filesystem = (*Disk)(nil)
 
-// New returns an empty disk without a bound on its size.
+// New returns an empty disk without a capacity limit.
 func New(random *rand.Rand) *Disk {
 	disk := &Disk{random: random}
 	disk.erase()
@@ -92,7 +94,7 @@
 	d.generation++
 }
 
-// NewStorageID returns an identity for storage.OpenIdentityWith that is deterministic for the seed.
+// NewStorageID returns a StorageID for storage.OpenIdentityWith that is deterministic for the seed.
 func (d *Disk) NewStorageID() string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -100,7 +102,7 @@
 	return fmt.Sprintf("disk-%016x-%d", d.random.Uint64(), d.storageIDs)
 }
 
-// MkdirAll creates a directory and its parents durably.
+// MkdirAll durably creates a directory and its parents.
 func (d *Disk) MkdirAll(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -133,7 +135,7 @@
 	return entries, nil
 }
 
-// Create makes an empty file, or truncates an existing one.
+// Create creates an empty file or truncates an existing one.
 func (d *Disk) Create(path string) (storage.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -146,7 +148,7 @@
 		node.truncate(0)
 	} else {
 		node = &inode{}
-		d.change(nameChange{path: path, node: node})
+		d.changeName(nameChange{path: path, node: node})
 	}
 	return d.handle(path, node), nil
 }
@@ -163,7 +165,8 @@
 	return d.handle(path, node), nil
 }
 
-// Rename replaces the file at the new path. A loss of power before SyncDir persists both changes of names or none.
+// Rename renames a file, replacing any file at the new path. A loss of power before SyncDir
+// persists both the removal of the old name and the new name, or neither.
 func (d *Disk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -172,7 +175,7 @@
 	if !exists {
 		return notExist("rename", from)
 	}
-	d.change(nameChange{path: to, node: node, oldPath: from})
+	d.changeName(nameChange{path: to, node: node, oldPath: from})
 	return nil
 }
 
@@ -184,11 +187,11 @@
 	if _, exists := d.names[path]; !exists {
 		return notExist("remove", path)
 	}
-	d.change(nameChange{path: path})
+	d.changeName(nameChange{path: path})
 	return nil
 }
 
-// SyncDir makes the names in a directory durable.
+// SyncDir makes the entries of a directory durable.
 func (d *Disk) SyncDir(path string) error {
 	d.waitWhileStalled()
 	d.mutex.Lock()
@@ -200,26 +203,27 @@
 	if d.syncFails() {
 		return &SyncFailedError{Path: path}
 	}
-	var later []nameChange
+	var remaining []nameChange
 	for _, change := range d.nameChanges {
 		if filepath.Dir(change.path) == path {
 			d.persistName(change)
 		} else {
-			later = append(later, change)
+			remaining = append(remaining, change)
 		}
 	}
-	d.nameChanges = later
+	d.nameChanges = remaining
 	return nil
 }
 
-func (d *Disk) change(change nameChange) {
-	apply(d.names, change)
+// changeName applies a change to the visible names and queues it for the next SyncDir.
+func (d *Disk) changeName(change nameChange) {
+	applyNameChange(d.names, change)
 	d.nameChanges = append(d.nameChanges, change)
 }
 
-func (d *Disk) persistName(change nameChange) { apply(d.durableNames, change) }
+func (d *Disk) persistName(change nameChange) { applyNameChange(d.durableNames, change) }
 
-func apply(names map[string]*inode, change nameChange) {
+func applyNameChange(names map[string]*inode, change nameChange) {
 	if change.oldPath != "" {
 		delete(names, change.oldPath)
 	}
@@ -234,7 +238,7 @@
 	return &handle{disk: d, path: path, node: node, generation: d.generation}
 }
 
-// syncFails counts a sync and reports whether FailSyncs chose it to fail.
+// syncFails counts a sync and reports whether it must fail according to FailSyncs.
 func (d *Disk) syncFails() bool {
 	d.counters.Syncs++
 	if d.syncsToFail == 0 {
@@ -276,7 +280,7 @@
 	return paths
 }
 
-// Counters returns the operations and faults so far.
+// Counters returns the counts of operations and faults so far.
 func (d *Disk) Counters() Counters {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/storage/simdisk/doc.go
+++ b/internal/storage/simdisk/doc.go
@@ -1,10 +1,11 @@
-// Package simdisk is a storage.Filesystem in memory that fails the way disks do, deterministically for a seed: on a
-// loss of power it drops, tears or persists what was not synced, sector by sector; a failed sync loses what it should
-// have made durable while later syncs succeed; syncs stall; the disk runs full; bytes are damaged; the complete disk is
-// lost.
+// Package simdisk implements an in-memory storage.Filesystem that injects disk faults, deterministically for a seed: a
+// loss of power drops, tears or persists unsynced writes, sector by sector; a failed sync loses the data that it should
+// have made durable, while later syncs succeed; syncs stall; the disk runs full; bytes are corrupted; the complete disk
+// is lost.
 //
-// Like the page cache of an operating system, content that was written but not synced survives the end of a process
-// (Kill) and not a loss of power (LosePower).
+// As with the page cache of an operating system, written but unsynced content survives the end of a process (Kill) but
+// not a loss of power (LosePower).
 //
-// A Disk is safe for concurrent use, its faults included; it is deterministic only when one goroutine uses it.
+// A Disk is safe for concurrent use, including its fault injection, but deterministic only when a single goroutine uses
+// it.
 package simdisk
--- a/internal/storage/simdisk/faults.go
+++ b/internal/storage/simdisk/faults.go
@@ -5,15 +5,15 @@
 	"sort"
 )
 
-// Kill ends the process that used the disk: its handles become stale, written content remains.
+// Kill simulates the end of the process that uses the disk: all open handles become stale, written content remains.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// LosePower ends the process and loses what was not synced: a random prefix of the changes of names persists, and
-// random sectors of each file, some of them torn.
+// LosePower simulates a loss of power: all open handles become stale and unsynced changes are lost, except a random
+// prefix of the directory changes and random sectors of each file, some of them torn.
 func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// revertToDurable makes a file what the disk has of it after a loss of power.
+// revertToDurable reverts a file to the content that is on the disk after a loss of power.
 func (d *Disk) revertToDurable(node *inode) {
 	if len(node.dirty) > 0 {
 		d.counters.TornFiles++
@@ -71,7 +71,7 @@
 	}
 }
 
-// tornSize chooses a length between the durable and the written one, often one of both.
+// tornSize returns a random length between the durable and the written one; two times in three it is one of these two.
 func (d *Disk) tornSize(durable, written int) int {
 	low, high := min(durable, written), max(durable, written)
 	switch d.random.IntN(3) {
@@ -92,7 +92,7 @@
 	node.durable = append(node.durable, make([]byte, size-len(node.durable))...)
 }
 
-// Lose loses the complete disk and replaces it by an empty one.
+// Lose simulates the loss of the complete disk and its replacement by an empty one.
 func (d *Disk) Lose() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -101,7 +101,7 @@
 	d.syncsToFail, d.syncsToPass = 0, 0
 }
 
-// FailSyncs lets the next pass syncs of files or directories succeed and the count after them fail.
+// FailSyncs makes the next pass syncs of files or directories succeed and the following count syncs fail.
 func (d *Disk) FailSyncs(pass, count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// ResumeSyncs ends the wait of the syncs that StallSyncs stopped, and of later ones.
+// ResumeSyncs unblocks the syncs that StallSyncs stalled and lets later ones proceed.
 func (d *Disk) ResumeSyncs() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// waitWhileStalled returns once syncs are not stalled. The caller must not hold the mutex.
+// waitWhileStalled blocks while syncs are stalled. The caller must not hold the mutex.
 func (d *Disk) waitWhileStalled() {
 	d.mutex.Lock()
 	resumed := d.resumed
@@ -140,22 +140,22 @@
 	}
 }
 
-// SetCapacity bounds the bytes of all files; zero removes the bound.
+// SetCapacity limits the total bytes of all files; zero removes the limit.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// Used returns the bytes of all files.
+// Used returns the total bytes of all files.
 func (d *Disk) Used() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.used()
 }
 
-// Damage flips the bits of mask in one byte of a file, in its written and its durable content, and reports whether the
-// file has that byte.
+// Damage flips the bits of mask in one byte of a file, in both its written and its durable content, and reports whether
+// the file has a byte at offset.
 func (d *Disk) Damage(path string, offset int64, mask byte) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/storage/simdisk/file.go
+++ b/internal/storage/simdisk/file.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// inode is a file. The mutex of its disk guards it.
+// inode is the content of a file. The disk's mutex guards it.
 type inode struct {
-	// content is what programs read, durable what is on the disk.
+	// content is the written content, which reads return; durable is the content on the disk.
 	content []byte
 	durable []byte
 	// dirty are the sectors in which content may differ from durable.
@@ -60,7 +60,7 @@
 	clear(n.dirty)
 }
 
-// handle is an open file of one incarnation of a process.
+// handle is an open file of one process incarnation.
 type handle struct {
 	disk       *Disk
 	path       string
@@ -69,7 +69,8 @@
 	closed     bool
 }
 
-// lock locks the disk's mutex; the caller must unlock it also after an error.
+// lock locks the disk's mutex, which the caller must unlock even after an error. It returns an error for a stale
+// handle.
 func (h *handle) lock() error {
 	h.disk.mutex.Lock()
 	if h.closed || h.generation != h.disk.generation {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// ReadAt reads what was written, synced or not.
+// ReadAt reads written content, whether it is synced or not.
 func (h *handle) ReadAt(data []byte, offset int64) (int, error) {
 	err := h.lock()
 	defer h.disk.mutex.Unlock()
@@ -88,14 +89,14 @@
 	if offset >= int64(len(h.node.content)) {
 		return 0, io.EOF
 	}
-	read := copy(data, h.node.content[offset:])
-	if read < len(data) {
-		return read, io.EOF
+	count := copy(data, h.node.content[offset:])
+	if count < len(data) {
+		return count, io.EOF
 	}
-	return read, nil
+	return count, nil
 }
 
-// WriteAt writes; on a full disk it writes what fits and returns ENOSPC.
+// WriteAt writes data at offset. On a full disk it writes as many bytes as fit and returns ENOSPC.
 func (h *handle) WriteAt(data []byte, offset int64) (int, error) {
 	err := h.lock()
 	defer h.disk.mutex.Unlock()
@@ -105,10 +106,10 @@
 	growth := offset + int64(len(data)) - int64(len(h.node.content))
 	if h.disk.capacity > 0 && growth > 0 && h.disk.used()+growth > h.disk.capacity {
 		freeBytes := max(h.disk.capacity-h.disk.used(), 0)
-		fits := max(int64(len(data))-growth+freeBytes, 0)
-		h.node.write(data[:fits], offset)
+		writable := max(int64(len(data))-growth+freeBytes, 0)
+		h.node.write(data[:writable], offset)
 		h.disk.counters.FullWrites++
-		return int(fits), syscall.ENOSPC
+		return int(writable), syscall.ENOSPC
 	}
 	h.node.write(data, offset)
 	return len(data), nil
@@ -131,8 +132,8 @@
 	return err
 }
 
-// Sync makes the content durable. A sync that FailSyncs chose to fail clears the dirty sectors, as operating systems
-// do, so that the next one succeeds without them.
+// Sync makes the content durable. A sync that fails because of FailSyncs persists a random part of the dirty sectors
+// and marks all of them clean, as operating systems do, so that the next sync succeeds without writing the rest.
 func (h *handle) Sync() error {
 	h.disk.waitWhileStalled()
 	err := h.lock()
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// Close ends the handle; it syncs nothing.
+// Close closes the handle without a sync.
 func (h *handle) Close() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
