--- a/internal/storage/directory_lock.go
+++ b/internal/storage/directory_lock.go
@@ -12,8 +12,8 @@
 // LockFileName is the name of the lock file in a data directory.
 const LockFileName = "lock"
 
-// LockDir locks the data directory at path, which it creates if absent, for this process. Close releases the lock, and
-// so does the end of the process. It returns *DirLockedError when another process has the lock.
+// LockDir creates the data directory at path if it does not exist and takes an exclusive advisory lock on it. The lock
+// is released by Close and when the process exits. LockDir returns *DirLockedError when another process holds the lock.
 func LockDir(path string) (io.Closer, error) {
 	if err := (OSFilesystem{}).MkdirAll(path); err != nil {
 		return nil, err
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// CorruptError reports that data which had been durable is damaged or absent. The directory must not be used further:
-// the process rebuilds from its replicas.
+// CorruptError reports that data that had been durable is corrupt or missing. The directory must not be used any more:
+// the process has to be rebuilt from the other replicas.
 type CorruptError struct {
 	Path string
-	// Offset is where the damage begins, in bytes.
+	// Offset is the byte offset at which the corruption begins.
 	Offset int64
 	Reason string
 }
@@ -21,13 +21,14 @@
 	return fmt.Sprintf("storage: %s is corrupt at byte %d: %s", e.Path, e.Offset, e.Reason)
 }
 
-// FailedError reports a write or sync that failed. The log that returned it returns it for ever: what was written since
-// the last successful Sync may be lost, and a retry could report success without it.
+// FailedError reports a write or sync that failed. The failure is permanent: all later writes and syncs of the log
+// return the same error, because data written since the last successful Sync may be lost, and a retried sync could
+// report success without having persisted it.
 type FailedError struct {
-	// Operation is what was done to Path, such as "write" or "sync directory of".
+	// Operation is the operation on Path that failed, such as "write" or "sync directory of".
 	Operation string
 	Path      string
-	// Cause is the error of the file system.
+	// Cause is the error returned by the file system.
 	Cause error
 }
 
@@ -36,13 +37,14 @@
 	return fmt.Sprintf("storage: %s %s failed: %v", e.Operation, e.Path, e.Cause)
 }
 
-// Unwrap returns the error of the file system.
+// Unwrap returns the error returned by the file system.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// DiskFull reports whether the disk or its quota was full.
+// DiskFull reports whether the operation failed because the disk was full or its quota exhausted.
 func (e *FailedError) DiskFull() bool { return IsDiskFull(e.Cause) }
 
-// IsDiskFull reports whether an error of this package or of a Filesystem was caused by a full disk or quota.
+// IsDiskFull reports whether an error returned by this package or by a Filesystem was caused by a full disk or an
+// exhausted quota.
 func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
@@ -58,7 +60,7 @@
 	return fmt.Sprintf("storage: record of %d bytes, 1 to %d allowed", e.Size, e.Max)
 }
 
-// PositionError reports a position that names no record of the log.
+// PositionError reports a position at which the log has no record.
 type PositionError struct {
 	Position Position
 }
@@ -74,9 +76,10 @@
 // Error implements error.
 func (e *ClosedError) Error() string { return "storage: closed" }
 
-// QueueFullError reports that too many bytes wait for a sync. Nothing was written.
+// QueueFullError reports that a request was rejected because too many bytes are waiting for a sync. Nothing was
+// written.
 type QueueFullError struct {
-	// PendingBytes were in the queue before the rejected request.
+	// PendingBytes is the size of the queue without the rejected request.
 	PendingBytes int
 	Max          int
 }
@@ -86,7 +89,7 @@
 	return fmt.Sprintf("storage: %d bytes wait for a sync, limit %d", e.PendingBytes, e.Max)
 }
 
-// DirLockedError reports that another process uses the data directory.
+// DirLockedError reports that another process holds the lock of the data directory.
 type DirLockedError struct {
 	Path string
 }
--- a/internal/storage/filesystem.go
+++ b/internal/storage/filesystem.go
@@ -2,27 +2,28 @@
 
 import "io"
 
-// Filesystem is what the storage code needs of a file system. A name that was created, renamed or removed is durable
-// only after SyncDir of its directory, and content only after Sync of its file. Errors for absent files match
-// fs.ErrNotExist and a full disk matches syscall.ENOSPC. Implementations are safe for concurrent use.
+// Filesystem is the set of file system operations that the storage code uses. Creating, renaming or removing a file
+// becomes durable only with SyncDir of its directory, and file content only with Sync of the file. Errors for files
+// that do not exist match fs.ErrNotExist, and errors for a full disk match syscall.ENOSPC. Implementations must be safe
+// for concurrent use.
 type Filesystem interface {
-	// MkdirAll creates a directory and its missing parents durably; an existing directory is no error.
+	// MkdirAll durably creates a directory and its missing parents. It succeeds if the directory exists.
 	MkdirAll(path string) error
 	// List returns the entries of a directory, sorted by name.
 	List(dir string) ([]Entry, error)
-	// Create makes an empty file for reading and writing, and truncates an existing one.
+	// Create opens a file for reading and writing; it creates the file if it does not exist and truncates it otherwise.
 	Create(path string) (File, error)
 	// Open opens an existing file for reading and writing.
 	Open(path string) (File, error)
-	// Rename atomically replaces the file at the new path.
+	// Rename atomically renames a file, replacing any file at the new path.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes earlier changes of the directory's entries durable.
 	SyncDir(path string) error
 }
 
-// File is an open file. It is safe for concurrent use.
+// File is an open file. Implementations must be safe for concurrent use.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -31,11 +32,11 @@
 	Size() (int64, error)
 	// Truncate sets the length in bytes.
 	Truncate(size int64) error
-	// Sync makes all content written before durable.
+	// Sync makes all content written earlier durable.
 	Sync() error
 }
 
-// Entry is one name in a directory.
+// Entry is a directory entry.
 type Entry struct {
 	Name  string
 	IsDir bool
--- a/internal/storage/group_commit.go
+++ b/internal/storage/group_commit.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// DefaultMaxPendingBytes bounds the memory of the records that wait for a sync while a disk stalls.
+// DefaultMaxPendingBytes bounds the memory used by records that are waiting for a sync while the disk stalls.
 const DefaultMaxPendingBytes = 256 << 20
 
-// GroupCommitterOptions are the settings of a group committer; zero values stand for the defaults.
+// GroupCommitterOptions configures a group committer. Zero values select the defaults.
 type GroupCommitterOptions struct {
-	// MaxPendingBytes bounds the queue; a single request may exceed it when the queue is empty.
+	// MaxPendingBytes limits the queue. A single request may exceed it when the queue is empty.
 	MaxPendingBytes int
-	// OnSync, when set, is called after each sync with the number of requests that shared it.
+	// OnSync, when set, is called after each sync with the number of requests that it covered.
 	OnSync func(requests int)
 }
 
-// GroupCommitter shares one sync among all requests that wait for it. Its goroutine writes the records and calls the
-// callbacks in the order of the requests; Close ends it. It is safe for concurrent use.
+// GroupCommitter batches concurrent appends so that one sync covers all waiting requests. Its goroutine writes the
+// records and calls the callbacks in the order of the requests; Close stops it. It is safe for concurrent use.
 type GroupCommitter struct {
 	log     *Log
 	options GroupCommitterOptions
-	// stopped is closed when the goroutine has ended.
+	// stopped is closed when the goroutine has exited.
 	stopped chan struct{}
 
 	// mutex guards the fields below.
@@ -39,7 +39,7 @@
 	done      func([]Position, error)
 }
 
-// NewGroupCommitter starts the goroutine that appends to the log. Close stops it; the log remains open.
+// NewGroupCommitter starts the goroutine that appends to the log. Close stops the goroutine but does not close the log.
 func NewGroupCommitter(log *Log, options GroupCommitterOptions) *GroupCommitter {
 	if options.MaxPendingBytes <= 0 {
 		options.MaxPendingBytes = DefaultMaxPendingBytes
@@ -50,27 +50,29 @@
 	return committer
 }
 
-// Append returns when the records are durable. When the context ends first, the records may or may not become durable.
-// The records must not change until they are written: a caller whose context ended must not reuse their memory.
+// Append appends the records and returns once they are durable. If the context ends first, the records may or may not
+// become durable. They must not be modified until they are written, so a caller whose context ended must not reuse
+// their memory.
 func (c *GroupCommitter) Append(ctx context.Context, records ...[]byte) ([]Position, error) {
-	type outcome struct {
+	type result struct {
 		positions []Position
 		err       error
 	}
-	outcomes := make(chan outcome, 1)
+	results := make(chan result, 1)
 	c.AppendAsync(records, func(positions []Position, err error) {
-		outcomes <- outcome{positions: positions, err: err}
+		results <- result{positions: positions, err: err}
 	})
 	select {
-	case committed := <-outcomes:
+	case committed := <-results:
 		return committed.positions, committed.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// AppendAsync calls done when the records are durable or have failed: on the committer's goroutine, or on the caller's
-// before AppendAsync returns when the request was rejected (*QueueFullError, *ClosedError). done must not block.
+// AppendAsync appends the records and calls done once they are durable or the append has failed. done runs on the
+// committer's goroutine; when the request is rejected (*QueueFullError, *ClosedError) it runs on the caller's goroutine
+// before AppendAsync returns. done must not block.
 func (c *GroupCommitter) AppendAsync(records [][]byte, done func([]Position, error)) {
 	size := 0
 	for _, record := range records {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// Close commits the queue and stops the goroutine.
+// Close commits the queued requests and stops the goroutine.
 func (c *GroupCommitter) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -120,7 +122,7 @@
 }
 
 // takeQueue waits for requests and returns all of them, or none once the committer is closed and its queue is empty.
-// The next queue reuses the given memory.
+// The memory of reusable becomes the next queue.
 func (c *GroupCommitter) takeQueue(reusable []commitRequest) []commitRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -155,7 +157,7 @@
 	}
 }
 
-// write appends the records of one request, or none of them when one has an invalid size.
+// write appends the records of one request. If one of them has an invalid size, it writes none.
 func (c *GroupCommitter) write(request *commitRequest) error {
 	maximum := c.log.options.MaxRecordBytes
 	for _, record := range request.records {
--- a/internal/storage/group_commit_test.go
+++ b/internal/storage/group_commit_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("GroupCommitter", func() {
-	It("given many writers, then all records are durable", func() {
+	It("given many concurrent writers, then all records are durable", func() {
 		disk := newDisk(1)
-		log := open(disk, storage.LogOptions{SegmentBytes: 4000})
+		log := openLog(disk, storage.LogOptions{SegmentBytes: 4000})
 		committer := storage.NewGroupCommitter(log, storage.GroupCommitterOptions{})
 		var writers sync.WaitGroup
 		for writer := range 64 {
@@ -31,42 +31,42 @@
 		writers.Wait()
 		committer.Close()
 		disk.LosePower()
-		Expect(replayed(open(disk, storage.LogOptions{}))).To(HaveLen(64 * 20 * 2))
+		Expect(replayRecords(openLog(disk, storage.LogOptions{}))).To(HaveLen(64 * 20 * 2))
 	})
 
-	It("given requests during a sync, then they share the next one", func() {
-		const later = 9
+	It("given requests that arrive before the first sync ends, then at most one more sync covers the rest", func() {
+		const laterRequests = 9
 		queued := make(chan struct{})
 		var syncs []int
-		committer := storage.NewGroupCommitter(open(newDisk(1), storage.LogOptions{}),
+		committer := storage.NewGroupCommitter(openLog(newDisk(1), storage.LogOptions{}),
 			storage.GroupCommitterOptions{OnSync: func(requests int) {
 				<-queued
 				syncs = append(syncs, requests)
 			}})
-		var answers sync.WaitGroup
-		for range 1 + later {
-			answers.Add(1)
+		var pending sync.WaitGroup
+		for range 1 + laterRequests {
+			pending.Add(1)
 			committer.AppendAsync([][]byte{[]byte("x")}, func(_ []storage.Position, err error) {
-				defer answers.Done()
+				defer pending.Done()
 				defer GinkgoRecover()
 				Expect(err).NotTo(HaveOccurred())
 			})
 		}
 		close(queued)
-		answers.Wait()
+		pending.Wait()
 		committer.Close()
 		Expect(len(syncs)).To(BeNumerically("<=", 2),
-			"the first sync may have covered any part of them, the second covers the rest")
+			"the first sync covers any number of the requests, the second one all others; requests for each sync: %v", syncs)
 		total := 0
 		for _, requests := range syncs {
 			total += requests
 		}
-		Expect(total).To(Equal(1 + later))
+		Expect(total).To(Equal(1+laterRequests), "requests covered by all syncs")
 	})
 
-	It("given a failed sync, then all pending and all later requests fail", func() {
+	It("given a failed sync, then the pending request and all later ones fail", func() {
 		disk := newDisk(1)
-		committer := storage.NewGroupCommitter(open(disk, storage.LogOptions{}), storage.GroupCommitterOptions{})
+		committer := storage.NewGroupCommitter(openLog(disk, storage.LogOptions{}), storage.GroupCommitterOptions{})
 		disk.FailSyncs(0, 1)
 		var failed *storage.FailedError
 		for range 3 {
@@ -78,28 +78,28 @@
 		Expect(err).To(BeAssignableToTypeOf(&storage.ClosedError{}))
 	})
 
-	It("given a request with one invalid record, then none of it is written and others succeed", func() {
+	It("given a request with one invalid record, then writes none of its records and accepts the next request", func() {
 		disk := newDisk(1)
-		log := open(disk, storage.LogOptions{})
+		log := openLog(disk, storage.LogOptions{})
 		committer := storage.NewGroupCommitter(log, storage.GroupCommitterOptions{})
 		_, err := committer.Append(context.Background(), []byte("a"), nil)
 		Expect(err).To(BeAssignableToTypeOf(&storage.RecordSizeError{}))
 		_, err = committer.Append(context.Background(), []byte("b"))
 		Expect(err).NotTo(HaveOccurred())
 		committer.Close()
-		Expect(replayed(log)).To(Equal([]string{"b"}))
+		Expect(replayRecords(log)).To(Equal([]string{"b"}))
 	})
 
-	It("given more pending bytes than allowed, then rejects at once", func() {
+	It("given more pending bytes than allowed, then rejects further requests immediately", func() {
 		disk := newDisk(1)
 		release := make(chan struct{})
 		entered := make(chan struct{}, 8)
-		committer := storage.NewGroupCommitter(open(disk, storage.LogOptions{}), storage.GroupCommitterOptions{
+		committer := storage.NewGroupCommitter(openLog(disk, storage.LogOptions{}), storage.GroupCommitterOptions{
 			MaxPendingBytes: 10,
 			OnSync:          func(int) { entered <- struct{}{}; <-release },
 		})
 		ignore := func([]storage.Position, error) {}
-		committer.AppendAsync([][]byte{[]byte("held")}, ignore)
+		committer.AppendAsync([][]byte{[]byte("first")}, ignore)
 		<-entered
 		committer.AppendAsync([][]byte{[]byte("12345678")}, ignore)
 		_, err := committer.Append(context.Background(), []byte("12345678"))
--- a/internal/storage/identity.go
+++ b/internal/storage/identity.go
@@ -9,10 +9,10 @@
 	"github.com/google/uuid"
 )
 
-// The identity file is text in one line a field, with a CRC32C of the lines before it.
+// The identity file is text with one field per line; the last line is the CRC32C of the lines before it.
 const (
 	identityName = "identity"
-	// maxIdentityBytes is far above the size of a valid file.
+	// maxIdentityBytes limits how much of the file is read; it is far larger than a valid file.
 	maxIdentityBytes  = 1 << 10
 	identityBodyStart = "rosestand-identity 1\nid %s\nstarts %d\n"
 	identityFormat    = identityBodyStart + "crc %08x\n"
@@ -20,21 +20,23 @@
 
 // Identity distinguishes the incarnations of a data directory.
 type Identity struct {
-	// StorageID is made once for an empty directory. A process whose directory was emptied has another one.
+	// StorageID is generated once, for an empty directory. A process whose directory was emptied gets a new one.
 	StorageID string
-	// Fresh is true when this start made the StorageID: the process remembers no vote and no promised ballot.
+	// Fresh is true when this start generated the StorageID: no vote and no promised ballot of the process is stored.
 	Fresh bool
-	// Starts counts the starts on this directory, including this one. It is durable before OpenIdentity returns.
+	// Starts is the number of process starts on this directory, including this one. It is durable before OpenIdentity
+	// returns.
 	Starts uint64
 }
 
-// OpenIdentity reads the identity of a data directory, or makes one with a random StorageID for a directory without log
-// and snapshots, and counts the start. It returns *CorruptError when the identity is damaged, or absent beside data.
+// OpenIdentity reads the identity of a data directory and increments its start counter. For a directory without log
+// segments and snapshots it creates an identity with a random StorageID. It returns *CorruptError when the identity
+// file is damaged, or when it is missing from a directory that contains data.
 func OpenIdentity(filesystem Filesystem, dir string) (Identity, error) {
 	return OpenIdentityWith(filesystem, dir, uuid.NewString)
 }
 
-// OpenIdentityWith is OpenIdentity with a given source of StorageIDs, for deterministic simulations.
+// OpenIdentityWith is like OpenIdentity but generates StorageIDs with newStorageID, for deterministic simulations.
 func OpenIdentityWith(filesystem Filesystem, dir string, newStorageID func() string) (Identity, error) {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return Identity{}, err
@@ -68,7 +70,7 @@
 	}
 	identity, valid := parseIdentity(string(content))
 	if !valid {
-		return Identity{}, false, &CorruptError{Path: path, Reason: "identity is damaged"}
+		return Identity{}, false, &CorruptError{Path: path, Reason: "identity file has an invalid format or checksum"}
 	}
 	return identity, true, nil
 }
@@ -100,7 +102,8 @@
 	return body + fmt.Sprintf("crc %08x\n", checksum([]byte(body)))
 }
 
-// writeIdentity replaces the identity file by rename, so that a crash leaves the old or the new one.
+// writeIdentity replaces the identity file atomically by a rename, so that a crash leaves either the old or the new
+// one.
 func writeIdentity(filesystem Filesystem, dir string, identity Identity) error {
 	path := filepath.Join(dir, identityName)
 	temporary := path + temporarySuffix
@@ -125,7 +128,8 @@
 	return nil
 }
 
-// requireNoData returns *CorruptError when the directory, or one directly below it, contains segments or snapshots.
+// requireNoData returns *CorruptError when the directory contains segments or snapshots. With descend it checks the
+// direct subdirectories, too.
 func requireNoData(filesystem Filesystem, dir string, descend bool) error {
 	entries, err := filesystem.List(dir)
 	if err != nil {
@@ -139,7 +143,7 @@
 			}
 		}
 		if strings.HasSuffix(entry.Name, segmentSuffix) || strings.HasSuffix(entry.Name, snapshotSuffix) {
-			return &CorruptError{Path: path, Reason: "data without an identity file"}
+			return &CorruptError{Path: path, Reason: "directory contains data but no identity file"}
 		}
 	}
 	return nil
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -8,13 +8,14 @@
 
 // Defaults of LogOptions.
 const (
-	// DefaultSegmentBytes keeps segments few, yet small enough to be removed soon after a snapshot.
+	// DefaultSegmentBytes keeps the number of segments low, yet lets them be removed soon after a snapshot.
 	DefaultSegmentBytes = 64 << 20
-	// DefaultMaxRecordBytes is one segment: a record is never split.
+	// DefaultMaxRecordBytes is the default size of a segment, because a record is never split across segments.
 	DefaultMaxRecordBytes = 64 << 20
 )
 
-// maxBufferBytes is how much is buffered before it is given to the file without a Sync; it bounds the memory of a log.
+// maxBufferBytes is the amount of buffered data at which Write writes it to the file, without a sync. It bounds the
+// memory of a log.
 const maxBufferBytes = 1 << 20
 
 // Position identifies a record: its segment and its byte offset in the segment. The zero Position is the beginning of
@@ -24,7 +25,7 @@
 	Offset  int64
 }
 
-// Before orders positions as their records are ordered in the log.
+// Before reports whether p precedes other in the log.
 func (p Position) Before(other Position) bool {
 	if p.Segment != other.Segment {
 		return p.Segment < other.Segment
@@ -32,15 +33,15 @@
 	return p.Offset < other.Offset
 }
 
-// LogOptions are the settings of a log; zero values stand for the defaults.
+// LogOptions configures a log. Zero values select the defaults.
 type LogOptions struct {
-	// SegmentBytes is the size from which Write begins a new segment.
+	// SegmentBytes is the size at which Write begins a new segment.
 	SegmentBytes int64
-	// MaxRecordBytes bounds one record.
+	// MaxRecordBytes is the maximum size of a record.
 	MaxRecordBytes int
-	// VerifiedBefore is the number of a segment; finished ones before it were read completely once and are synced.
-	// OpenLog checks only their headers and lengths, so that it need not read the complete log. Read still verifies each
-	// record.
+	// VerifiedBefore is a segment number. Finished segments with lower numbers have been verified completely before and
+	// are synced, so OpenLog checks only their headers and lengths and need not read the complete log. Read still
+	// verifies each record.
 	VerifiedBefore uint64
 }
 
@@ -54,43 +55,44 @@
 	return o
 }
 
-// Log is an append-only log in segment files. It is safe for concurrent use; reads go on while a Sync runs.
+// Log is an append-only log stored in segment files. It is safe for concurrent use; a Sync does not block readers.
 type Log struct {
 	filesystem Filesystem
 	dir        string
 	options    LogOptions
 
-	// syncing serializes syncs and changes of the set of segments. It is locked before mutex, never while mutex is held.
+	// syncing serializes syncs and changes to the list of segments. It must be locked before mutex, never after.
 	syncing sync.Mutex
 	// mutex guards the fields below; it is not held during a sync.
 	mutex sync.Mutex
 
 	segments []*segmentFile
-	// buffer is the end of the newest segment that is not yet written to the file.
+	// buffer is the tail of the newest segment that is not yet written to its file.
 	buffer []byte
 	// truncated is the number of bytes that OpenLog removed as a torn write; it does not change afterwards.
 	truncated int64
-	err       error
-	closed    bool
-	// sealing is true while the newest segment is finished and the next one created, which may wait for the disk. Writers
-	// wait for sealed meanwhile; readers need not.
+	// err is the first write or sync failure, which all later writes, syncs and replays return.
+	err    error
+	closed bool
+	// sealing is true while the newest segment is being finished and the next one created, which may block on the disk.
+	// Writers wait on sealed until it is false; readers do not.
 	sealing bool
 	sealed  *sync.Cond
 }
 
-// segmentFile is one open segment. The log's mutex guards its counters, in bytes.
+// segmentFile is an open segment. The log's mutex guards its counters, which are in bytes.
 type segmentFile struct {
 	number uint64
 	path   string
 	file   File
-	// written is given to the file, size is that and the buffer, durable is synced.
+	// written has been written to the file, size also includes the log's buffer, and durable has been synced.
 	written int64
 	size    int64
 	durable int64
 }
 
 // Write appends a record and returns its position. The record is durable only after Sync. Write may begin a new
-// segment, which syncs everything before. An error other than *RecordSizeError is final for the log.
+// segment, which first syncs all earlier records. Any error other than *RecordSizeError is permanent for the log.
 func (l *Log) Write(record []byte) (Position, error) {
 	if len(record) == 0 || len(record) > l.options.MaxRecordBytes {
 		return Position{}, &RecordSizeError{Size: len(record), Max: l.options.MaxRecordBytes}
@@ -106,6 +108,7 @@
 	}
 }
 
+// writeToNewest appends a record to the newest segment, or returns full if the segment has no space for it.
 func (l *Log) writeToNewest(record []byte) (position Position, full bool, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -128,14 +131,15 @@
 	return position, false, l.flush()
 }
 
-// Flush writes the buffer to the file without making it durable, so that it outlives the process.
+// Flush writes the buffer to the file without a sync. The records then survive a crash of the process, but not a loss
+// of power.
 func (l *Log) Flush() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.flushUsable()
 }
 
-// flushUsable is flush for a log that may have ended. The caller holds the mutex.
+// flushUsable calls flush, or returns an error if the log is closed or has failed. The caller holds the mutex.
 func (l *Log) flushUsable() error {
 	if err := l.checkUsable(); err != nil {
 		return err
@@ -157,15 +161,15 @@
 	return nil
 }
 
-// Sync makes all records written before it durable. After an error nothing written since the last successful Sync may
-// be considered durable, and the log accepts nothing more.
+// Sync makes all records written earlier durable. After an error, records written since the last successful Sync must
+// not be considered durable, and the log rejects all further writes.
 func (l *Log) Sync() error {
 	l.syncing.Lock()
 	defer l.syncing.Unlock()
 	return l.syncNewest()
 }
 
-// syncNewest syncs the newest segment. The caller holds syncing, which keeps the segment the newest one.
+// syncNewest syncs the newest segment. The caller holds syncing, so no newer segment is created meanwhile.
 func (l *Log) syncNewest() error {
 	l.mutex.Lock()
 	err := l.flushUsable()
@@ -197,7 +201,7 @@
 	return l.segments[0].number
 }
 
-// End returns the position of the next record unless a new segment begins.
+// End returns the position of the next record, unless that record begins a new segment.
 func (l *Log) End() Position {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -205,7 +209,7 @@
 	return Position{Segment: newest.number, Offset: newest.size}
 }
 
-// Size returns the length of all segments in bytes.
+// Size returns the total length of all segments in bytes.
 func (l *Log) Size() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -219,7 +223,7 @@
 // TruncatedBytes returns how many bytes OpenLog removed as a torn write.
 func (l *Log) TruncatedBytes() int64 { return l.truncated }
 
-// Err returns the error that ended the log, or nil.
+// Err returns the failure after which the log rejects all writes, or nil.
 func (l *Log) Err() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -245,7 +249,7 @@
 
 func (l *Log) newest() *segmentFile { return l.segments[len(l.segments)-1] }
 
-// checkUsable returns the error that ended the log, if any. The caller holds the mutex.
+// checkUsable returns an error if the log is closed or has failed. The caller holds the mutex.
 func (l *Log) checkUsable() error {
 	if l.closed {
 		return &ClosedError{}
@@ -253,14 +257,15 @@
 	return l.err
 }
 
-// lockAndRecordFailure is recordFailure for callers that do not hold the mutex.
+// lockAndRecordFailure calls recordFailure with the mutex held.
 func (l *Log) lockAndRecordFailure(operation, path string, cause error) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.recordFailure(operation, path, cause)
 }
 
-// recordFailure ends the log with its first failure, and returns that. The caller holds the mutex.
+// recordFailure marks the log as failed, unless it already is, and returns its first failure. The caller holds the
+// mutex.
 func (l *Log) recordFailure(operation, path string, cause error) error {
 	if l.err == nil {
 		l.err = &FailedError{Operation: operation, Path: path, Cause: cause}
--- a/internal/storage/log_reader.go
+++ b/internal/storage/log_reader.go
@@ -6,10 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// readWindowBytes is how much of a segment is read at once: many records a read, little memory.
+// readWindowBytes is the size of one read from a segment: large enough for many records, small enough to use little
+// memory.
 const readWindowBytes = 256 << 10
 
-// recordReader reads records of one segment through a window that moves forward. It belongs to one goroutine.
+// recordReader reads the records of one segment through a buffer that moves forward. It is not safe for concurrent use.
 type recordReader struct {
 	file           io.ReaderAt
 	number         uint64
@@ -17,7 +18,7 @@
 	maxRecordBytes int
 	window         []byte
 	windowStart    int64
-	// durableOffset is how far the segment was durable when the last valid record was written.
+	// durableOffset is the durable length of the segment when the last valid record was written.
 	durableOffset int64
 }
 
@@ -25,7 +26,7 @@
 	return &recordReader{file: file, number: number, size: size, maxRecordBytes: maximumRecordBytes}
 }
 
-// bytes returns up to length bytes at offset, fewer at the end of the segment. They are valid until the next call.
+// bytes returns length bytes at offset, or fewer at the end of the segment. The slice is valid until the next call.
 func (r *recordReader) bytes(offset int64, length int) ([]byte, error) {
 	length = int(min(int64(length), max(r.size-offset, 0)))
 	start := offset - r.windowStart
@@ -38,7 +39,7 @@
 	return r.window[start : start+int64(length)], nil
 }
 
-// fill moves the window to offset and reads at least length bytes.
+// fill moves the window to offset and reads at least length bytes into it.
 func (r *recordReader) fill(offset int64, length int) error {
 	wanted := int(min(int64(max(length, readWindowBytes)), r.size-offset))
 	if cap(r.window) < wanted {
@@ -46,8 +47,8 @@
 	}
 	r.window = r.window[:wanted]
 	r.windowStart = offset
-	read, err := r.file.ReadAt(r.window, offset)
-	if read == wanted {
+	count, err := r.file.ReadAt(r.window, offset)
+	if count == wanted {
 		return nil
 	}
 	r.window = r.window[:0]
@@ -57,13 +58,13 @@
 	return errors.Wrapf(err, "read %d bytes at %d", wanted, offset)
 }
 
-// record returns the payload at offset, or nil when no valid record is there.
+// record returns the payload of the record at offset, or nil if there is no valid record.
 func (r *recordReader) record(offset int64) ([]byte, error) {
 	data, err := r.bytes(offset, recordHeaderBytes)
 	if err != nil {
 		return nil, err
 	}
-	header, valid := parseHeader(Position{Segment: r.number, Offset: offset}, data)
+	header, valid := parseRecordHeader(Position{Segment: r.number, Offset: offset}, data)
 	if !valid || int64(header.length) > int64(r.maxRecordBytes) {
 		return nil, nil
 	}
@@ -78,10 +79,10 @@
 	return payload, nil
 }
 
-// Read returns the record at a position, durable or not. It returns *PositionError for a
-// position outside the log and *CorruptError when the record is damaged.
+// Read returns the record at a position, whether it is durable or not. It returns *PositionError for a position outside
+// the log and *CorruptError when the record is damaged.
 func (l *Log) Read(position Position) ([]byte, error) {
-	segment, size, err := l.readable(position)
+	segment, size, err := l.locate(position)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +90,7 @@
 	if _, err := segment.file.ReadAt(header[:], position.Offset); err != nil {
 		return nil, errors.Wrapf(err, "read %s", segment.path)
 	}
-	parsed, valid := parseHeader(position, header[:])
+	parsed, valid := parseRecordHeader(position, header[:])
 	if !valid || position.Offset+recordHeaderBytes+int64(parsed.length) > size {
 		return nil, &CorruptError{Path: segment.path, Offset: position.Offset, Reason: "damaged record header"}
 	}
@@ -103,8 +104,9 @@
 	return payload, nil
 }
 
-// readable returns the segment of a position and its size, and flushes the buffer when the position is in it.
-func (l *Log) readable(position Position) (*segmentFile, int64, error) {
+// locate returns the segment of a position and the size of that segment. If the position is still in the buffer, it
+// flushes the buffer first, so that the record can be read from the file.
+func (l *Log) locate(position Position) (*segmentFile, int64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
@@ -126,8 +128,9 @@
 	return segment, segment.size, nil
 }
 
-// Replay visits the records from a position on, up to those written before the call. The zero Position is the first
-// record. The bytes passed to visit are valid during the call only. An error of visit ends the replay and is returned.
+// Replay calls visit for each record from a position on that was written before the call to Replay. The zero Position
+// selects the first record. The bytes passed to visit are valid only during that call. If visit returns an error,
+// Replay stops and returns it.
 func (l *Log) Replay(from Position, visit func(Position, []byte) error) error {
 	views, err := l.views(from.Segment)
 	if err != nil {
@@ -145,12 +148,13 @@
 	return nil
 }
 
-// segmentView is a segment with its size at the start of a replay, in bytes.
+// segmentView is a segment and its size in bytes at the start of a replay.
 type segmentView struct {
 	segment *segmentFile
 	size    int64
 }
 
+// views flushes the buffer and returns the segments numbered from or higher.
 func (l *Log) views(from uint64) ([]segmentView, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/storage/log_recovery.go
+++ b/internal/storage/log_recovery.go
@@ -14,20 +14,20 @@
 
 const (
 	segmentSuffix = ".log"
-	// numberDigits is the length of a number in a file name: hexadecimal, padded so that names sort by number.
+	// numberDigits is the number of hexadecimal digits in a file name, padded with zeros so that names sort by number.
 	numberDigits = 16
 )
 
-// numberedName returns the file name of a segment or snapshot; listNumbered reads it back.
-func numberedName(number uint64, suffix string) string {
+// numberedFileName returns the file name of a segment or snapshot. listNumbered is its inverse.
+func numberedFileName(number uint64, suffix string) string {
 	return fmt.Sprintf("%0*x%s", numberDigits, number, suffix)
 }
 
-func segmentName(number uint64) string { return numberedName(number, segmentSuffix) }
+func segmentName(number uint64) string { return numberedFileName(number, segmentSuffix) }
 
-// OpenLog opens the log in a directory, which it creates if absent. It truncates a torn write, which only records that
-// were never synced can be part of, and returns *CorruptError when a durable record is damaged or a segment is absent.
-// What remains is synced, so a record that was replayed once is durable.
+// OpenLog opens the log in a directory and creates the directory if it does not exist. It truncates a torn write at the
+// end of the log, which affects only records that were never synced, and returns *CorruptError when a durable record is
+// damaged or a segment is missing. It syncs the remaining records, so every record that can be replayed is durable.
 func OpenLog(filesystem Filesystem, dir string, options LogOptions) (*Log, error) {
 	log := &Log{filesystem: filesystem, dir: dir, options: options.withDefaults()}
 	log.sealed = sync.NewCond(&log.mutex)
@@ -44,7 +44,7 @@
 	return log, nil
 }
 
-// listNumbered returns the numbers of the files named by a number and the suffix, in ascending order.
+// listNumbered returns, in ascending order, the numbers of the files whose names are a number followed by suffix.
 func listNumbered(filesystem Filesystem, dir, suffix string) ([]uint64, error) {
 	entries, err := filesystem.List(dir)
 	if err != nil {
@@ -65,12 +65,13 @@
 	return numbers, nil
 }
 
-// openSegments opens the segments, which must be numbered without a gap, and syncs the newest one and its name.
+// openSegments opens the segments, whose numbers must be consecutive, and syncs the newest one and the directory. It
+// creates the first segment of an empty log.
 func (l *Log) openSegments(numbers []uint64) error {
 	for index, number := range numbers {
 		if index > 0 && number != numbers[index-1]+1 {
 			missing := filepath.Join(l.dir, segmentName(numbers[index-1]+1))
-			return &CorruptError{Path: missing, Reason: "segment is absent"}
+			return &CorruptError{Path: missing, Reason: "segment is missing, but later segments exist"}
 		}
 		if err := l.openSegment(number, index == len(numbers)-1); err != nil {
 			return err
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// openSegment opens a segment, checks it and the length of the one before it, and recovers it when it is the last one.
+// openSegment opens and verifies a segment, checks the length of the previous one against the segment's header, and
+// recovers the segment when it is the last one.
 func (l *Log) openSegment(number uint64, last bool) error {
 	path := filepath.Join(l.dir, segmentName(number))
 	file, err := l.filesystem.Open(path)
@@ -110,7 +112,7 @@
 	if len(l.segments) > 0 {
 		previous = l.newest()
 	}
-	// From here on Close closes the file, also after an error.
+	// From here on the file is closed by Log.Close, which OpenLog calls after an error.
 	l.segments = append(l.segments, opened)
 	size, err := file.Size()
 	if err != nil {
@@ -121,7 +123,10 @@
 		return err
 	}
 	if previous != nil && scan.end > 0 && scan.previousLength != previous.size {
-		return &CorruptError{Path: previous.path, Offset: previous.size, Reason: "finished segment has another length"}
+		return &CorruptError{
+			Path: previous.path, Offset: previous.size,
+			Reason: "length differs from the one in the header of the next segment",
+		}
 	}
 	if last {
 		return l.recoverNewest(opened, previous, size, scan)
@@ -133,11 +138,13 @@
 	return nil
 }
 
-// recoverNewest truncates a torn write at the end of the newest segment and rewrites what may not have reached the
-// disk.
+// recoverNewest truncates a torn write at the end of the newest segment and rewrites the records that may not have
+// reached the disk.
 func (l *Log) recoverNewest(opened, previous *segmentFile, size int64, scan segmentScan) error {
-	if scan.damagesDurable {
-		return &CorruptError{Path: opened.path, Offset: scan.end, Reason: "damaged record that had been synced"}
+	if scan.syncedDataDamaged {
+		return &CorruptError{
+			Path: opened.path, Offset: scan.end, Reason: "damaged record that was synced before later records",
+		}
 	}
 	l.truncated += size - scan.end
 	if err := l.truncateTail(opened, scan.end, previous); err != nil {
@@ -146,7 +153,7 @@
 	return l.rewriteTail(opened, scan.knownDurable)
 }
 
-// scan reads a segment completely unless it was verified before.
+// scan reads and verifies a complete segment, or only its header if LogOptions.VerifiedBefore covers it.
 func (l *Log) scan(file File, number uint64, size int64, last bool) (segmentScan, error) {
 	if last || number >= l.options.VerifiedBefore || size < segmentHeaderBytes {
 		return scanSegment(file, number, size, l.options.MaxRecordBytes)
@@ -162,8 +169,9 @@
 	return segmentScan{end: size, knownDurable: size, previousLength: previousLength}, nil
 }
 
-// rewriteTail writes again what no record proves to be durable; the caller syncs it. A sync that failed for a former
-// process may have left content in the page cache that is not on the disk, and that a sync alone would not write again.
+// rewriteTail rewrites the content from start on, which no record header shows to be durable; the caller syncs it.
+// After a sync that failed in an earlier process, the page cache may have content that is not on the disk and is no
+// longer marked dirty, so a sync without the rewrite would not write it.
 func (l *Log) rewriteTail(opened *segmentFile, start int64) error {
 	tail := make([]byte, opened.size-start)
 	if len(tail) == 0 {
@@ -178,8 +186,8 @@
 	return nil
 }
 
-// truncateTail removes what follows end and makes that durable, so that no record of the torn write can follow a new
-// one.
+// truncateTail durably truncates the segment to end, so that no record of the torn write can reappear after a new
+// record. If the segment header itself is damaged, it writes the header again.
 func (l *Log) truncateTail(opened *segmentFile, end int64, previous *segmentFile) error {
 	if size, err := opened.file.Size(); err != nil || size == end && end >= segmentHeaderBytes {
 		opened.written, opened.size, opened.durable = end, end, end
@@ -205,16 +213,17 @@
 	return nil
 }
 
-// segmentScan is what reading a segment showed, in bytes.
+// segmentScan is the result of scanning a segment. Offsets and lengths are in bytes.
 type segmentScan struct {
-	// end is the end of the valid prefix; zero when the segment header is damaged.
+	// end is the end of the valid prefix, or zero when the segment header is damaged.
 	end int64
-	// knownDurable is how far the segment was durable when its last valid record was written.
+	// knownDurable is the durable length of the segment when its last valid record was written.
 	knownDurable int64
-	// previousLength is the length of the segment before, from the segment header.
+	// previousLength is the length of the previous segment according to the segment header.
 	previousLength int64
-	// damagesDurable says that a record after end was written when the bytes at end were already durable.
-	damagesDurable bool
+	// syncedDataDamaged is true when the content at end, which is damaged, was synced before a later record was
+	// written.
+	syncedDataDamaged bool
 }
 
 func scanSegment(file File, number uint64, size int64, maximumRecordBytes int) (segmentScan, error) {
@@ -236,11 +245,11 @@
 	if scan.end == size {
 		return scan, nil
 	}
-	scan.damagesDurable, err = reader.provesDurable(scan.end)
+	scan.syncedDataDamaged, err = reader.wasSynced(scan.end)
 	return scan, err
 }
 
-// validPrefix returns the end of the last record before the first damaged one.
+// validPrefix returns the offset at which the valid records end: at the first damaged record or the end of the segment.
 func (r *recordReader) validPrefix() (int64, error) {
 	offset := int64(segmentHeaderBytes)
 	for {
@@ -252,18 +261,19 @@
 	}
 }
 
-// provesDurable searches each byte after offset for a record header that was written after offset had been synced.
-func (r *recordReader) provesDurable(offset int64) (bool, error) {
+// wasSynced reports whether the content at offset was synced before a later record was written. It tries each byte
+// after offset as a record header, since the boundaries of records after a damaged one are unknown.
+func (r *recordReader) wasSynced(offset int64) (bool, error) {
 	for candidate := max(offset, segmentHeaderBytes); candidate+recordHeaderBytes <= r.size; candidate++ {
 		data, err := r.bytes(candidate, recordHeaderBytes)
 		if err != nil {
 			return false, err
 		}
-		// The cheap test comes first: most bytes are no header.
+		// A cheap check first, since most offsets are not the start of a header.
 		if int64(binary.LittleEndian.Uint64(data[4:])) > candidate {
 			continue
 		}
-		header, valid := parseHeader(Position{Segment: r.number, Offset: candidate}, data)
+		header, valid := parseRecordHeader(Position{Segment: r.number, Offset: candidate}, data)
 		if valid && header.durableOffset > offset {
 			return true, nil
 		}
--- a/internal/storage/log_segments.go
+++ b/internal/storage/log_segments.go
@@ -14,7 +14,7 @@
 	return l.rotate()
 }
 
-// rotateFrom begins a new segment unless another writer already did.
+// rotateFrom begins a new segment unless the newest one is no longer the given one, since another writer rotated first.
 func (l *Log) rotateFrom(number uint64) error {
 	l.syncing.Lock()
 	defer l.syncing.Unlock()
@@ -28,7 +28,7 @@
 	return err
 }
 
-// rotate is Rotate for callers that hold syncing.
+// rotate implements Rotate. The caller holds syncing.
 func (l *Log) rotate() (uint64, error) {
 	if err := l.syncNewest(); err != nil {
 		return 0, err
@@ -49,11 +49,11 @@
 	return created.number, nil
 }
 
-// seal stops writes to the newest segment until rotate has finished it.
+// seal blocks writes until rotate has finished the newest segment, which it returns.
 func (l *Log) seal() (*segmentFile, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	// Records may have been written between the sync and the lock.
+	// Records may have been written between the sync and locking the mutex.
 	if err := l.flushUsable(); err != nil {
 		return nil, err
 	}
@@ -61,8 +61,8 @@
 	return l.newest(), nil
 }
 
-// finishAndCreate syncs the sealed segment and creates the one after it. It does not hold the mutex during a sync, so
-// that a disk that stalls delays no reader.
+// finishAndCreate syncs the sealed segment and creates the next one. It does not hold the mutex during a sync, so that
+// a stalled disk does not block readers.
 func (l *Log) finishAndCreate(newest *segmentFile) (*segmentFile, error) {
 	if newest.written != newest.durable {
 		if err := newest.file.Sync(); err != nil {
@@ -75,14 +75,14 @@
 	return l.createSegment(newest.number+1, newest.size)
 }
 
-// createSegment creates a segment with a durable header and name.
+// createSegment creates a segment and makes its header and directory entry durable.
 func (l *Log) createSegment(number uint64, previousLength int64) (*segmentFile, error) {
 	path := filepath.Join(l.dir, segmentName(number))
 	file, err := l.filesystem.Create(path)
 	if err != nil {
 		return nil, l.lockAndRecordFailure("create", path, err)
 	}
-	if operation, err := l.beginSegment(file, number, previousLength); err != nil {
+	if operation, err := l.initSegment(file, number, previousLength); err != nil {
 		return nil, errors.CombineErrors(l.lockAndRecordFailure(operation, path, err), file.Close())
 	}
 	return &segmentFile{
@@ -91,9 +91,9 @@
 	}, nil
 }
 
-// beginSegment makes the header and the name of a new segment durable; it returns the name of the operation that
-// failed.
-func (l *Log) beginSegment(file File, number uint64, previousLength int64) (operation string, err error) {
+// initSegment writes the header of a new segment and makes the header and the directory entry durable. With an error it
+// returns the name of the operation that failed.
+func (l *Log) initSegment(file File, number uint64, previousLength int64) (operation string, err error) {
 	if _, err := file.WriteAt(segmentHeader(number, previousLength), 0); err != nil {
 		return "write", err
 	}
@@ -103,8 +103,8 @@
 	return "sync directory of", l.filesystem.SyncDir(l.dir)
 }
 
-// RemoveBefore deletes the segments with numbers below segment, oldest first; the newest one always remains. The caller
-// ensures that a durable snapshot covers them.
+// RemoveBefore deletes the segments with numbers below segment, oldest first; it never deletes the newest one. The
+// caller must have a durable snapshot that covers them.
 func (l *Log) RemoveBefore(segment uint64) error {
 	l.syncing.Lock()
 	defer l.syncing.Unlock()
@@ -119,7 +119,8 @@
 	}
 }
 
-// detachBefore takes the oldest segment out of the log when its number is below segment and it is not the newest one.
+// detachBefore removes the oldest segment from the list and returns it, or returns nil when its number is not below
+// segment or it is the only one.
 func (l *Log) detachBefore(segment uint64) (*segmentFile, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -134,7 +135,8 @@
 	return oldest, nil
 }
 
-// removeFile syncs the directory after each file, so that no loss of power leaves a hole between segments.
+// removeFile deletes the file of a segment. It syncs the directory after each file, so that a loss of power cannot
+// leave a gap in the segment numbers.
 func (l *Log) removeFile(oldest *segmentFile) error {
 	if err := oldest.file.Close(); err != nil {
 		return err
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -20,79 +20,79 @@
 	BeforeEach(func() { disk = newDisk(1) })
 
 	It("given records over several segments, when opened again, then replays and reads all of them", func() {
-		log := open(disk, small)
-		expected := written(log, 0, 40)
+		log := openLog(disk, small)
+		expected := writeRecords(log, 0, 40)
 		Expect(log.Sync()).To(Succeed())
 		Expect(log.Close()).To(Succeed())
 
-		log = open(disk, small)
-		Expect(replayed(log)).To(Equal(expected))
+		log = openLog(disk, small)
+		Expect(replayRecords(log)).To(Equal(expected))
 		Expect(len(disk.Files(dir))).To(BeNumerically(">", 3))
 		Expect(log.Replay(storage.Position{}, func(position storage.Position, record []byte) error {
-			read, err := log.Read(position)
+			content, err := log.Read(position)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(read).To(Equal(record))
+			Expect(content).To(Equal(record))
 			return nil
 		})).To(Succeed())
 	})
 
-	It("given a position, when replayed from it, then begins there", func() {
-		log := open(disk, small)
-		written(log, 0, 10)
+	It("given a position, when replayed from it, then begins with the record at that position", func() {
+		log := openLog(disk, small)
+		writeRecords(log, 0, 10)
 		position, err := log.Write([]byte("the eleventh"))
 		Expect(err).NotTo(HaveOccurred())
-		var seen []string
+		var visited []string
 		Expect(log.Replay(position, func(_ storage.Position, record []byte) error {
-			seen = append(seen, string(record))
+			visited = append(visited, string(record))
 			return nil
 		})).To(Succeed())
-		Expect(seen).To(Equal([]string{"the eleventh"}))
+		Expect(visited).To(Equal([]string{"the eleventh"}))
 	})
 
-	It("given an unsynced record, when read, then is found", func() {
-		log := open(disk, small)
-		position, err := log.Write([]byte("fresh"))
+	It("given an unsynced record, when read, then returns it; a position outside the log is an error", func() {
+		log := openLog(disk, small)
+		position, err := log.Write([]byte("unsynced"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(log.Read(position)).To(Equal([]byte("fresh")))
+		Expect(log.Read(position)).To(Equal([]byte("unsynced")))
 		_, err = log.Read(storage.Position{Segment: 9, Offset: 20})
 		Expect(err).To(BeAssignableToTypeOf(&storage.PositionError{}))
 	})
 
-	It("given records of a wrong size, then rejects them and goes on", func() {
-		log := open(disk, small)
+	It("given records of an invalid size, then rejects them and still accepts valid ones", func() {
+		log := openLog(disk, small)
 		_, err := log.Write(nil)
 		Expect(err).To(BeAssignableToTypeOf(&storage.RecordSizeError{}))
 		_, err = log.Write(make([]byte, 1001))
 		Expect(err).To(BeAssignableToTypeOf(&storage.RecordSizeError{}))
-		Expect(written(log, 0, 1)).To(HaveLen(1))
+		Expect(writeRecords(log, 0, 1)).To(HaveLen(1))
 	})
 
-	It("given old segments, when removed and power is lost, then the rest is complete", func() {
+	It("given old segments, when removed and power is lost, then all later records remain", func() {
 		for seed := range uint64(50) {
 			disk := newDisk(seed)
-			log := open(disk, small)
-			written(log, 0, 20)
+			log := openLog(disk, small)
+			writeRecords(log, 0, 20)
 			segment, err := log.Rotate()
 			Expect(err).NotTo(HaveOccurred())
-			synced := written(log, 20, 30)
+			synced := writeRecords(log, 20, 30)
 			Expect(log.Sync()).To(Succeed())
 			Expect(log.RemoveBefore(segment)).To(Succeed())
 			Expect(log.FirstSegment()).To(Equal(segment))
 			disk.LosePower()
-			Expect(replayed(open(disk, small))).To(Equal(synced))
+			Expect(replayRecords(openLog(disk, small))).To(Equal(synced))
 		}
 	})
 
-	It("given syncs between writes, when power is lost, then keeps all synced records and none out of order", func() {
+	It("given syncs between writes, when power is lost, then recovers a prefix with all synced records", func() {
 		for seed := range uint64(400) {
 			disk := newDisk(seed)
 			random := rand.New(rand.NewPCG(seed, 2))
 			var expected []string
 			durable := 0
-			log := open(disk, small)
+			log := openLog(disk, small)
 			for range 4 {
 				for range random.IntN(12) {
-					expected = append(expected, written(log, len(expected), len(expected)+1)...)
+					expected = append(expected, writeRecords(log, len(expected), len(expected)+1)...)
 					if random.IntN(3) == 0 {
 						Expect(log.Sync()).To(Succeed())
 						durable = len(expected)
@@ -102,8 +102,8 @@
 					_, _ = log.Read(storage.Position{Segment: log.End().Segment, Offset: log.End().Offset - 20})
 				}
 				disk.LosePower()
-				log = open(disk, small)
-				records := replayed(log)
+				log = openLog(disk, small)
+				records := replayRecords(log)
 				Expect(len(records)).To(BeNumerically(">=", durable), "seed %d", seed)
 				Expect(slices.Equal(records, expected[:len(records)])).To(BeTrue(), "seed %d", seed)
 				expected, durable = records, len(records)
@@ -111,26 +111,26 @@
 		}
 	})
 
-	It("given a process that was killed, when opened and power is lost, then what was replayed is durable", func() {
+	It("given a killed process, when reopened and power is lost, then all replayed records are durable", func() {
 		for seed := range uint64(50) {
 			disk := newDisk(seed)
-			log := open(disk, small)
-			written(log, 0, 3)
+			log := openLog(disk, small)
+			writeRecords(log, 0, 3)
 			_, err := log.Read(storage.Position{Segment: 1, Offset: 28})
 			Expect(err).NotTo(HaveOccurred())
 			disk.Kill()
-			records := replayed(open(disk, small))
+			records := replayRecords(openLog(disk, small))
 			disk.LosePower()
-			Expect(replayed(open(disk, small))).To(Equal(records))
+			Expect(replayRecords(openLog(disk, small))).To(Equal(records))
 		}
 	})
 
-	It("given a damaged record that was synced before later ones, when opened, then is a loss and not truncated", func() {
-		log := open(disk, storage.LogOptions{})
+	It("given a damaged record that was synced before later ones, then reports corruption without truncation", func() {
+		log := openLog(disk, storage.LogOptions{})
 		position, err := log.Write([]byte("first"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Sync()).To(Succeed())
-		written(log, 0, 2)
+		writeRecords(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
 		Expect(disk.Damage(disk.Files(dir)[0], position.Offset+21, 0x10)).To(BeTrue())
 		_, err = storage.OpenLog(disk, dir, storage.LogOptions{})
@@ -141,9 +141,9 @@
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
 	})
 
-	It("given damage in a finished segment or an absent one, when opened, then is a loss", func() {
-		log := open(disk, small)
-		written(log, 0, 30)
+	It("given a damaged or missing finished segment, when opened, then reports corruption", func() {
+		log := openLog(disk, small)
+		writeRecords(log, 0, 30)
 		Expect(log.Sync()).To(Succeed())
 		files := disk.Files(dir)
 		Expect(disk.Damage(files[1], 100, 1)).To(BeTrue())
@@ -154,11 +154,11 @@
 		Expect(disk.Remove(files[1])).To(Succeed())
 		_, err = storage.OpenLog(disk, dir, small)
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
-		Expect(corrupt.Reason).To(ContainSubstring("absent"))
+		Expect(corrupt.Reason).To(ContainSubstring("segment is missing"))
 	})
 
-	It("given segments that were verified before, when opened, then only their headers and lengths are read", func() {
-		log := open(disk, small)
+	It("given segments that were verified before, when opened, then checks only their headers and lengths", func() {
+		log := openLog(disk, small)
 		var positions []storage.Position
 		for number := range 30 {
 			position, err := log.Write(payload(number))
@@ -185,19 +185,19 @@
 
 		verified.VerifiedBefore = 2
 		_, err = storage.OpenLog(disk, dir, verified)
-		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the damage is behind what was verified")
+		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the damaged segment is not covered by VerifiedBefore")
 
 		verified.VerifiedBefore = newest
 		Expect(disk.Damage(files[2], 10, 1)).To(BeTrue())
 		_, err = storage.OpenLog(disk, dir, verified)
-		Expect(errors.As(err, &corrupt)).To(BeTrue(), "a header is damaged")
+		Expect(errors.As(err, &corrupt)).To(BeTrue(), "the header of a verified segment is damaged")
 	})
 
-	It("given a failed sync, when retried, then fails for ever although the disk works", func() {
-		log := open(disk, small)
-		synced := written(log, 0, 2)
+	It("given a failed sync, when retried, then fails permanently although the disk works again", func() {
+		log := openLog(disk, small)
+		synced := writeRecords(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
-		written(log, 2, 4)
+		writeRecords(log, 2, 4)
 		disk.FailSyncs(0, 1)
 		var failed *storage.FailedError
 		Expect(errors.As(log.Sync(), &failed)).To(BeTrue())
@@ -209,62 +209,62 @@
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		Expect(log.Err()).To(HaveOccurred())
 		disk.LosePower()
-		Expect(replayed(open(disk, small))[:2]).To(Equal(synced))
+		Expect(replayRecords(openLog(disk, small))[:2]).To(Equal(synced))
 	})
 
-	It("given a failed sync, a new process and a loss of power, then what was replayed after it is durable", func() {
+	It("given a failed sync and a restart, then a loss of power keeps all records replayed since the restart", func() {
 		for seed := range uint64(100) {
 			disk := newDisk(seed)
-			log := open(disk, storage.LogOptions{})
-			written(log, 0, 2)
+			log := openLog(disk, storage.LogOptions{})
+			writeRecords(log, 0, 2)
 			Expect(log.Sync()).To(Succeed())
-			written(log, 2, 8)
+			writeRecords(log, 2, 8)
 			disk.FailSyncs(0, 1)
 			Expect(log.Sync()).To(HaveOccurred())
 			disk.Kill()
-			log = open(disk, storage.LogOptions{})
-			records := replayed(log)
-			records = append(records, written(log, 20, 23)...)
+			log = openLog(disk, storage.LogOptions{})
+			records := replayRecords(log)
+			records = append(records, writeRecords(log, 20, 23)...)
 			Expect(log.Sync()).To(Succeed())
 			disk.LosePower()
-			Expect(replayed(open(disk, storage.LogOptions{}))).To(Equal(records), "seed %d", seed)
+			Expect(replayRecords(openLog(disk, storage.LogOptions{}))).To(Equal(records), "seed %d", seed)
 		}
 	})
 
-	It("given a full disk, when written, then fails for ever and keeps what was synced", func() {
-		log := open(disk, small)
-		synced := written(log, 0, 2)
+	It("given a full disk, when written, then fails permanently and keeps the synced records", func() {
+		log := openLog(disk, small)
+		synced := writeRecords(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
 		disk.SetCapacity(disk.Used() + 30)
-		written(log, 2, 4)
+		writeRecords(log, 2, 4)
 		var failed *storage.FailedError
 		Expect(errors.As(log.Sync(), &failed)).To(BeTrue())
 		Expect(failed.DiskFull()).To(BeTrue())
 		Expect(errors.Is(failed, syscall.ENOSPC)).To(BeTrue())
 		disk.SetCapacity(0)
 		Expect(log.Sync()).To(MatchError(failed))
-		log = open(disk, small)
-		Expect(replayed(log)).To(Equal(synced))
+		log = openLog(disk, small)
+		Expect(replayRecords(log)).To(Equal(synced))
 		Expect(log.TruncatedBytes()).To(BeNumerically("==", 30))
 	})
 
-	It("given a lost disk, when opened, then is empty", func() {
-		log := open(disk, small)
-		written(log, 0, 2)
+	It("given a lost disk, when opened, then the log is empty", func() {
+		log := openLog(disk, small)
+		writeRecords(log, 0, 2)
 		Expect(log.Sync()).To(Succeed())
 		disk.Lose()
-		Expect(log.Sync()).To(Succeed(), "nothing was written since")
+		Expect(log.Sync()).To(Succeed(), "no record was written since the last sync")
 		_, err := log.Write([]byte("x"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Sync()).To(HaveOccurred())
-		Expect(replayed(open(disk, small))).To(BeEmpty())
+		Expect(replayRecords(openLog(disk, small))).To(BeEmpty())
 	})
 
-	It("given the file system of the operating system, then behaves the same", func() {
+	It("given the file system of the operating system, then writes, replays and removes as on the simulated disk", func() {
 		path := GinkgoT().TempDir()
 		log, err := storage.OpenLog(storage.OSFilesystem{}, path+"/a/log", small)
 		Expect(err).NotTo(HaveOccurred())
-		expected := written(log, 0, 20)
+		expected := writeRecords(log, 0, 20)
 		Expect(log.Sync()).To(Succeed())
 		segment, err := log.Rotate()
 		Expect(err).NotTo(HaveOccurred())
@@ -272,9 +272,9 @@
 		Expect(log.Sync()).To(BeAssignableToTypeOf(&storage.ClosedError{}))
 		log, err = storage.OpenLog(storage.OSFilesystem{}, path+"/a/log", small)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(replayed(log)).To(Equal(expected))
+		Expect(replayRecords(log)).To(Equal(expected))
 		Expect(log.RemoveBefore(segment)).To(Succeed())
-		Expect(replayed(log)).To(BeEmpty())
+		Expect(replayRecords(log)).To(BeEmpty())
 		Expect(log.Size()).To(BeNumerically("==", 28))
 		Expect(log.Close()).To(Succeed())
 	})
--- a/internal/storage/os_filesystem.go
+++ b/internal/storage/os_filesystem.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Modes of what is created: the process's group may read, others nothing.
+// Modes of created directories and files: the group of the process may read them, others have no access.
 const (
 	dirMode  = 0o750
 	fileMode = 0o640
@@ -19,7 +19,7 @@
 
 var _ Filesystem = OSFilesystem{}
 
-// MkdirAll creates a directory and its parents, and syncs the parent of each one that it creates.
+// MkdirAll creates a directory and its missing parents, and syncs the parent of each directory that it creates.
 func (f OSFilesystem) MkdirAll(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
@@ -49,7 +49,7 @@
 	return entries, nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file or truncates an existing one.
 func (OSFilesystem) Create(path string) (File, error) {
 	return openOSFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
@@ -59,7 +59,7 @@
 	return openOSFile(path, os.O_RDWR)
 }
 
-// Rename replaces the file at the new path.
+// Rename renames a file, replacing any file at the new path.
 func (OSFilesystem) Rename(from, to string) error {
 	return errors.WithStack(os.Rename(from, to))
 }
@@ -69,7 +69,7 @@
 	return errors.WithStack(os.Remove(path))
 }
 
-// SyncDir syncs the names in a directory.
+// SyncDir syncs the entries of a directory.
 func (OSFilesystem) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return info.Size(), nil
 }
 
-// Sync writes content and length to the disk, but not the times of access and change, which would cost a second write.
+// Sync flushes content and length to the disk with fdatasync, which does not flush access and modification times and so
+// saves a second write.
 func (f osFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -12,23 +12,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A snapshot file is magic (8), number (8), content, content length (8) and CRC32C of all before (4), little-endian;
-// sizes are bytes.
+// A snapshot file consists of magic (8), number (8), content, content length (8) and CRC32C of everything before (4).
+// Numbers are little-endian; sizes in parentheses are bytes.
 const (
 	snapshotMagic        = "RSTSNP\x00\x01"
 	snapshotHeaderBytes  = 16
 	snapshotTrailerBytes = 12
 	snapshotSuffix       = ".snapshot"
 	temporarySuffix      = ".tmp"
-	// snapshotBufferBytes is how much is written or read at once.
+	// snapshotBufferBytes is the size of the write and read buffers.
 	snapshotBufferBytes = 256 << 10
 )
 
-func snapshotName(number uint64) string { return numberedName(number, snapshotSuffix) }
+func snapshotName(number uint64) string { return numberedFileName(number, snapshotSuffix) }
 
-// SaveSnapshot writes a snapshot under a temporary name, syncs and renames it, and syncs the directory. After it
-// returns nil the snapshot is durable; after a *FailedError the newest snapshot is either the previous one or this one,
-// complete.
+// SaveSnapshot writes a snapshot to a temporary file, syncs and renames it, and syncs the directory. If it returns nil,
+// the snapshot is durable; after a *FailedError the newest snapshot is either the previous one or this one, and
+// complete in both cases.
 func SaveSnapshot(filesystem Filesystem, dir string, number uint64, write func(io.Writer) error) error {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// checksumWriter writes to a file from its start and keeps the checksum of what it wrote.
+// checksumWriter writes a file sequentially and computes the checksum of the written bytes.
 type checksumWriter struct {
 	file   File
 	offset int64
@@ -107,8 +107,9 @@
 }
 
 // LoadNewestSnapshot verifies the snapshot with the highest number and passes its content to read. It returns
-// *CorruptError when that snapshot is damaged: the log that followed older ones may be removed. In a directory without
-// snapshots, exists is false. It changes no file, so another goroutine may save a snapshot meanwhile.
+// *CorruptError when that snapshot is damaged; it does not fall back to an older one, because the log segments that
+// followed that one may have been removed. In a directory without snapshots, exists is false. LoadNewestSnapshot
+// modifies no file, so another goroutine may save a snapshot at the same time.
 func LoadNewestSnapshot(
 	filesystem Filesystem, dir string, read func(number uint64, content io.Reader) error,
 ) (number uint64, exists bool, err error) {
@@ -119,7 +120,7 @@
 	if err != nil || len(numbers) == 0 {
 		return 0, false, err
 	}
-	// A rename of a killed process may not be durable yet.
+	// If the process that saved the snapshot was killed, its rename may not be durable yet.
 	if err := filesystem.SyncDir(dir); err != nil {
 		return 0, false, err
 	}
@@ -127,8 +128,8 @@
 	return number, true, loadSnapshot(filesystem, filepath.Join(dir, snapshotName(number)), number, read)
 }
 
-// RemoveUnfinishedSnapshots deletes the temporary files that a crash left. It must run before the first snapshot is
-// saved, since it would also delete one that is being written.
+// RemoveUnfinishedSnapshots deletes the temporary files that a crash left behind. It must not run while a snapshot is
+// being saved, because it would delete that one's temporary file, too.
 func RemoveUnfinishedSnapshots(filesystem Filesystem, dir string) error {
 	if err := filesystem.MkdirAll(dir); err != nil {
 		return err
@@ -153,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	length, err := checkSnapshot(file, path, number)
+	length, err := verifySnapshot(file, path, number)
 	if err == nil {
 		content := io.NewSectionReader(file, snapshotHeaderBytes, length)
 		err = read(number, bufio.NewReaderSize(content, snapshotBufferBytes))
@@ -161,8 +162,8 @@
 	return errors.CombineErrors(err, file.Close())
 }
 
-// checkSnapshot verifies a snapshot and returns the length of its content.
-func checkSnapshot(file File, path string, number uint64) (int64, error) {
+// verifySnapshot verifies the header, length and checksum of a snapshot and returns the length of its content.
+func verifySnapshot(file File, path string, number uint64) (int64, error) {
 	size, err := file.Size()
 	if err != nil {
 		return 0, err
--- a/internal/storage/snapshot_test.go
+++ b/internal/storage/snapshot_test.go
@@ -11,14 +11,14 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-func save(filesystem storage.Filesystem, number uint64, content string) error {
+func saveSnapshot(filesystem storage.Filesystem, number uint64, content string) error {
 	return storage.SaveSnapshot(filesystem, dir, number, func(writer io.Writer) error {
 		_, err := io.WriteString(writer, content)
 		return err
 	})
 }
 
-func load(filesystem storage.Filesystem) (number uint64, content string, exists bool, err error) {
+func loadSnapshot(filesystem storage.Filesystem) (number uint64, content string, exists bool, err error) {
 	number, exists, err = storage.LoadNewestSnapshot(filesystem, dir, func(_ uint64, reader io.Reader) error {
 		data, err := io.ReadAll(reader)
 		content = string(data)
@@ -28,35 +28,35 @@
 }
 
 var _ = Describe("Snapshot", func() {
-	It("given an empty directory, then there is none", func() {
-		_, _, exists, err := load(newDisk(1))
+	It("given an empty directory, then there is no snapshot", func() {
+		_, _, exists, err := loadSnapshot(newDisk(1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(exists).To(BeFalse())
 	})
 
-	It("given several, then loads the newest, also after old ones are removed", func() {
+	It("given several snapshots, then loads the newest after the old ones are removed", func() {
 		disk := newDisk(1)
-		Expect(save(disk, 9, "nine")).To(Succeed())
-		Expect(save(disk, 10, "")).To(Succeed())
-		Expect(save(disk, 300, strings.Repeat("long", 100_000))).To(Succeed())
+		Expect(saveSnapshot(disk, 9, "nine")).To(Succeed())
+		Expect(saveSnapshot(disk, 10, "")).To(Succeed())
+		Expect(saveSnapshot(disk, 300, strings.Repeat("long", 100_000))).To(Succeed())
 		Expect(storage.RemoveSnapshotsBefore(disk, dir, 300)).To(Succeed())
 		Expect(disk.Files(dir)).To(HaveLen(1))
-		number, content, exists, err := load(disk)
+		number, content, exists, err := loadSnapshot(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(exists).To(BeTrue())
 		Expect(number).To(BeNumerically("==", 300))
 		Expect(content).To(HaveLen(400_000))
 	})
 
-	It("given a loss of power at any sync, then the newest saved one is complete", func() {
+	It("given a failure of any sync and a loss of power, then the newest snapshot is complete", func() {
 		for seed := range uint64(200) {
 			disk := newDisk(seed)
-			Expect(save(disk, 1, "old")).To(Succeed())
+			Expect(saveSnapshot(disk, 1, "old")).To(Succeed())
 			disk.FailSyncs(int(seed%3), 1)
-			err := save(disk, 2, strings.Repeat("new", 1000))
+			err := saveSnapshot(disk, 2, strings.Repeat("new", 1000))
 			disk.FailSyncs(0, 0)
 			disk.LosePower()
-			number, content, _, loadErr := load(disk)
+			number, content, _, loadErr := loadSnapshot(disk)
 			Expect(loadErr).NotTo(HaveOccurred())
 			if err == nil {
 				Expect(number).To(BeNumerically("==", 2))
@@ -69,101 +69,101 @@
 		}
 	})
 
-	It("given one that is being saved, when the newest is loaded meanwhile, then both succeed", func() {
+	It("given a snapshot that is being saved, when the newest is loaded at the same time, then both succeed", func() {
 		disk := newDisk(1)
-		Expect(save(disk, 1, "old")).To(Succeed())
+		Expect(saveSnapshot(disk, 1, "old")).To(Succeed())
 		var loaded string
 		err := storage.SaveSnapshot(disk, dir, 2, func(writer io.Writer) error {
 			var loadErr error
-			_, loaded, _, loadErr = load(disk)
+			_, loaded, _, loadErr = loadSnapshot(disk)
 			Expect(loadErr).NotTo(HaveOccurred())
 			_, err := io.WriteString(writer, "new")
 			return err
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(loaded).To(Equal("old"))
-		_, newest, _, err := load(disk)
+		_, newest, _, err := loadSnapshot(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(newest).To(Equal("new"))
 	})
 
-	It("given one that a crash truncated, then it is removed at the next start and the previous one is loaded", func() {
+	It("given a temporary file of a crashed process, when removed, then loads the previous snapshot", func() {
 		disk := newDisk(1)
-		Expect(save(disk, 1, "old")).To(Succeed())
+		Expect(saveSnapshot(disk, 1, "old")).To(Succeed())
 		unfinished, err := disk.Create(dir + "/0000000000000002.snapshot.tmp")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(unfinished.Close()).To(Succeed())
 		Expect(storage.RemoveUnfinishedSnapshots(disk, dir)).To(Succeed())
 		Expect(disk.Files(dir)).To(HaveLen(1))
-		_, content, _, err := load(disk)
+		_, content, _, err := loadSnapshot(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).To(Equal("old"))
 	})
 
-	It("given a writer that fails, then retains the previous one and leaves no file", func() {
+	It("given a write callback that fails, then keeps the previous snapshot and leaves no temporary file", func() {
 		disk := newDisk(1)
-		Expect(save(disk, 1, "old")).To(Succeed())
-		broken := errors.New("broken")
-		err := storage.SaveSnapshot(disk, dir, 2, func(io.Writer) error { return broken })
-		Expect(errors.Is(err, broken)).To(BeTrue())
+		Expect(saveSnapshot(disk, 1, "old")).To(Succeed())
+		errWrite := errors.New("write callback failed")
+		err := storage.SaveSnapshot(disk, dir, 2, func(io.Writer) error { return errWrite })
+		Expect(errors.Is(err, errWrite)).To(BeTrue())
 		Expect(disk.Files(dir)).To(HaveLen(1))
 	})
 
-	It("given any flipped byte, then is a typed loss", func() {
+	It("given a flipped bit in any byte, then returns a CorruptError", func() {
 		disk := newDisk(1)
-		Expect(save(disk, 7, "content")).To(Succeed())
+		Expect(saveSnapshot(disk, 7, "content")).To(Succeed())
 		path := disk.Files(dir)[0]
 		for offset := int64(0); disk.Damage(path, offset, 0x40); offset++ {
-			_, _, _, err := load(disk)
+			_, _, _, err := loadSnapshot(disk)
 			var corrupt *storage.CorruptError
 			Expect(errors.As(err, &corrupt)).To(BeTrue(), "byte %d", offset)
 			disk.Damage(path, offset, 0x40)
 		}
-		_, content, _, err := load(disk)
+		_, content, _, err := loadSnapshot(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).To(Equal("content"))
 	})
 })
 
 var _ = Describe("Identity", func() {
-	const home = "/data"
+	const dataDir = "/data"
 
-	It("given restarts and losses of power, then remains and counts starts", func() {
+	It("given restarts with losses of power, then keeps its StorageID and counts the starts", func() {
 		disk := newDisk(3)
-		first, err := storage.OpenIdentity(disk, home)
+		first, err := storage.OpenIdentity(disk, dataDir)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.Fresh).To(BeTrue())
 		for start := uint64(2); start < 20; start++ {
 			disk.LosePower()
-			again, err := storage.OpenIdentity(disk, home)
+			reopened, err := storage.OpenIdentity(disk, dataDir)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(again).To(Equal(storage.Identity{StorageID: first.StorageID, Starts: start}))
+			Expect(reopened).To(Equal(storage.Identity{StorageID: first.StorageID, Starts: start}))
 		}
 	})
 
-	It("given a lost disk, then is another one", func() {
+	It("given a lost disk, then is fresh and has a new StorageID", func() {
 		disk := newDisk(3)
-		first, err := storage.OpenIdentity(disk, home)
+		first, err := storage.OpenIdentity(disk, dataDir)
 		Expect(err).NotTo(HaveOccurred())
 		disk.Lose()
-		second, err := storage.OpenIdentity(disk, home)
+		second, err := storage.OpenIdentity(disk, dataDir)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second.Fresh).To(BeTrue())
 		Expect(second.StorageID).NotTo(Equal(first.StorageID))
 	})
 
-	It("given a log without an identity or a damaged identity, then is a typed loss", func() {
+	It("given a log without an identity file or a damaged identity file, then returns a CorruptError", func() {
 		disk := newDisk(3)
-		open(disk, storage.LogOptions{})
+		openLog(disk, storage.LogOptions{})
 		var corrupt *storage.CorruptError
-		_, err := storage.OpenIdentity(disk, home)
+		_, err := storage.OpenIdentity(disk, dataDir)
 		Expect(errors.As(err, &corrupt)).To(BeTrue())
 
 		disk.Lose()
-		_, err = storage.OpenIdentity(disk, home)
+		_, err = storage.OpenIdentity(disk, dataDir)
 		Expect(err).NotTo(HaveOccurred())
 		for offset := int64(0); disk.Damage("/data/identity", offset, 2); offset++ {
-			_, err = storage.OpenIdentity(disk, home)
+			_, err = storage.OpenIdentity(disk, dataDir)
 			Expect(errors.As(err, &corrupt)).To(BeTrue(), "byte %d", offset)
 			disk.Damage("/data/identity", offset, 2)
 		}
@@ -171,7 +171,7 @@
 })
 
 var _ = Describe("LockDir", func() {
-	It("given a lock, then rejects a second one until it is released", func() {
+	It("given a locked directory, then rejects a second lock until the first is released", func() {
 		path := GinkgoT().TempDir()
 		lock, err := storage.LockDir(path)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/storage/space.go
+++ b/internal/storage/space.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// spaceCheckName is the file that CheckFreeSpace writes; no other file of a data directory has its name.
+	// spaceCheckName is the name of the file that CheckFreeSpace writes. No other file in a data directory uses it.
 	spaceCheckName = "space" + temporarySuffix
-	// spaceCheckChunkBytes is how much CheckFreeSpace writes at once.
+	// spaceCheckChunkBytes is the size of one write of CheckFreeSpace.
 	spaceCheckChunkBytes = 64 << 10
 )
 
-// CheckFreeSpace checks that the disk accepts and syncs so many bytes more: it writes a file in the directory and
-// removes it again. IsDiskFull recognizes the error when it does not.
+// CheckFreeSpace checks that the given number of bytes can be written and synced to the disk. It writes a file of that
+// size in the directory and removes it again. If the space does not suffice, IsDiskFull is true for the error.
 func CheckFreeSpace(filesystem Filesystem, dir string, bytes int64) error {
 	path := filepath.Join(dir, spaceCheckName)
 	file, err := filesystem.Create(path)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// fillFile writes bytes other than zero, which no file system stores as a hole.
+// fillFile writes nonzero bytes, because a file system may store zeros as a hole that uses no space.
 func fillFile(file File, bytes int64) error {
 	chunk := make([]byte, spaceCheckChunkBytes)
 	for index := range chunk {
--- a/internal/storage/stall_test.go
+++ b/internal/storage/stall_test.go
@@ -9,13 +9,13 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// eventuallyWithin bounds the wait for what happens on a machine of any speed.
+// eventuallyWithin is the timeout for expected events. It is long enough for slow machines.
 const eventuallyWithin = 30 * time.Second
 
-var _ = Describe("A disk that stalls or runs full", func() {
-	It("given a new segment that waits for the disk, then the log can be read", func() {
+var _ = Describe("A stalled or full disk", func() {
+	It("given a rotation that waits for a stalled sync, then reads are not blocked", func() {
 		disk := newDisk(21)
-		log := open(disk, storage.LogOptions{})
+		log := openLog(disk, storage.LogOptions{})
 		position, err := log.Write(payload(1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Sync()).To(Succeed())
@@ -27,13 +27,13 @@
 			rotated <- err
 		}()
 		Eventually(func() int { return disk.Counters().StalledSyncs }, eventuallyWithin).Should(BeNumerically(">", 0))
-		read := make(chan string, 1)
+		records := make(chan string, 1)
 		go func() {
 			record, _ := log.Read(position)
 			_, _ = log.Size(), log.End()
-			read <- string(record)
+			records <- string(record)
 		}()
-		Eventually(read, eventuallyWithin).Should(Receive(Equal(string(payload(1)))))
+		Eventually(records, eventuallyWithin).Should(Receive(Equal(string(payload(1)))))
 		Expect(rotated).NotTo(Receive())
 
 		disk.ResumeSyncs()
@@ -41,10 +41,10 @@
 		Expect(log.Close()).To(Succeed())
 	})
 
-	It("given a record written while a new segment waits for the disk, then it is not lost", func() {
+	It("given a record written while a rotation waits for a stalled sync, then it is not lost", func() {
 		disk := newDisk(22)
-		log := open(disk, storage.LogOptions{})
-		expected := written(log, 0, 5)
+		log := openLog(disk, storage.LogOptions{})
+		expected := writeRecords(log, 0, 5)
 		Expect(log.Sync()).To(Succeed())
 		disk.StallSyncs()
 		rotated, wrote := make(chan error, 1), make(chan error, 1)
@@ -62,12 +62,12 @@
 		Eventually(wrote, eventuallyWithin).Should(Receive(BeNil()))
 		Expect(log.Sync()).To(Succeed())
 		Expect(log.Close()).To(Succeed())
-		log = open(disk, storage.LogOptions{})
-		Expect(replayed(log)).To(Equal(append(expected, string(payload(5)))))
+		log = openLog(disk, storage.LogOptions{})
+		Expect(replayRecords(log)).To(Equal(append(expected, string(payload(5)))))
 		Expect(log.Close()).To(Succeed())
 	})
 
-	It("given free space or none, when it is checked, then reports it and leaves no file", func() {
+	It("given sufficient or insufficient free space, when checked, then reports which and leaves no file", func() {
 		disk := newDisk(23)
 		Expect(disk.MkdirAll(dir)).To(Succeed())
 		disk.SetCapacity(100 << 10)
--- a/internal/storage/storage_suite_test.go
+++ b/internal/storage/storage_suite_test.go
@@ -15,7 +15,7 @@
 
 const dir = "/data/log"
 
-// interruptHandler is the goroutine that ginkgo never ends.
+// interruptHandler is a goroutine that ginkgo never stops, so goleak must ignore it.
 const interruptHandler = "github.com/onsi/ginkgo/v2/internal/interrupt_handler." +
 	"(*InterruptHandler).registerForInterrupts.func2"
 
@@ -34,7 +34,8 @@
 	return fmt.Appendf(nil, "record %d of random length %0*d", number, 1+number*37%700, number)
 }
 
-func replayed(log *storage.Log) []string {
+// replayRecords returns the contents of all records in the log.
+func replayRecords(log *storage.Log) []string {
 	var records []string
 	err := log.Replay(storage.Position{}, func(_ storage.Position, record []byte) error {
 		records = append(records, string(record))
@@ -44,7 +45,8 @@
 	return records
 }
 
-func written(log *storage.Log, from, to int) []string {
+// writeRecords appends and returns payload(from) to payload(to-1).
+func writeRecords(log *storage.Log, from, to int) []string {
 	var records []string
 	for number := from; number < to; number++ {
 		_, err := log.Write(payload(number))
@@ -54,7 +56,7 @@
 	return records
 }
 
-func open(filesystem storage.Filesystem, options storage.LogOptions) *storage.Log {
+func openLog(filesystem storage.Filesystem, options storage.LogOptions) *storage.Log {
 	log, err := storage.OpenLog(filesystem, dir, options)
 	Expect(err).NotTo(HaveOccurred())
 	return log
--- a/internal/storage/storagebench/bench.go
+++ b/internal/storage/storagebench/bench.go
@@ -1,5 +1,5 @@
-// Package storagebench measures how many appends a second the segmented log makes durable: with one sync shared by all
-// waiting writers, and with one sync each as the baseline.
+// Package storagebench measures the throughput and latency of durable appends to the segmented log: with group commit,
+// where all waiting writers share one sync, and with one sync per append as the baseline.
 package storagebench
 
 import (
@@ -15,34 +15,34 @@
 	"github.com/rosestand/rosestand/internal/storage"
 )
 
-// WriterCounts are the numbers of waiting writers that the project reports.
+// WriterCounts lists the numbers of concurrent writers for which results are reported.
 var WriterCounts = []int{1, 16, 256}
 
 const (
-	// maxMicros is the longest append that the histogram records, one minute.
+	// maxMicros is the longest append latency that the histogram records: one minute.
 	maxMicros         = 60_000_000
 	significantDigits = 3
 )
 
-// Options say what to measure.
+// Options configures a measurement.
 type Options struct {
-	// Dir is where a log is made and removed again; it decides which disk is measured.
+	// Dir is the directory in which the log is created and removed again. It determines which disk is measured.
 	Dir         string
 	Writers     int
 	RecordBytes int
 	Duration    time.Duration
-	// SyncEach gives each append a sync of its own: the baseline.
+	// SyncEach syncs each append separately, as the baseline, instead of using group commit.
 	SyncEach bool
 }
 
-// Result is one measurement.
+// Result is the result of one measurement.
 type Result struct {
 	Writers          int
 	SyncEach         bool
 	Appends          int64
 	Syncs            int64
 	AppendsPerSecond float64
-	// P50 and P99 are quantiles of the time from an append to its durability.
+	// P50 and P99 are quantiles of the time from the start of an append until the record is durable.
 	P50 time.Duration
 	P99 time.Duration
 }
@@ -68,10 +68,10 @@
 	return run.result(elapsed), run.err
 }
 
-// measurement is one run. Its writers share it.
+// measurement is the state of one run, which its writers share.
 type measurement struct {
 	options Options
-	// syncs is counted by one goroutine at a time: the committer's, or the one that has the baseline's lock.
+	// syncs is incremented by one goroutine at a time: the committer's, or the writer that holds the baseline's lock.
 	syncs int64
 	// mutex guards histogram and err.
 	mutex     sync.Mutex
@@ -79,7 +79,7 @@
 	err       error
 }
 
-// appender returns the function that makes one record durable, and one that ends its goroutine.
+// appender returns a function that durably appends one record, and a function that stops the appender's goroutine.
 func (m *measurement) appender(log *storage.Log) (appendOne func([]byte) error, stop func()) {
 	if m.options.SyncEach {
 		return m.baselineAppender(log), func() {}
@@ -91,7 +91,7 @@
 	}, committer.Close
 }
 
-// baselineAppender gives each append a sync of its own.
+// baselineAppender returns a function that appends and syncs one record at a time.
 func (m *measurement) baselineAppender(log *storage.Log) func([]byte) error {
 	var lock sync.Mutex
 	return func(record []byte) error {
--- a/internal/storage/storagebench/bench_test.go
+++ b/internal/storage/storagebench/bench_test.go
@@ -19,15 +19,16 @@
 			t.Fatal(err)
 		}
 		if result.Appends == 0 || result.Syncs == 0 || result.P99 == 0 {
-			t.Fatalf("nothing measured: %+v", result)
+			t.Fatalf("syncEach=%v: got %+v, want nonzero Appends, Syncs and P99", syncEach, result)
 		}
 		if syncEach && result.Syncs != result.Appends {
-			t.Fatalf("%d syncs for %d appends", result.Syncs, result.Appends)
+			t.Fatalf("syncEach=true: got %d syncs for %d appends, want one per append", result.Syncs, result.Appends)
 		}
 	}
 }
 
-// BenchmarkAppend reports appends/s and p99 for each number of writers; run it with -benchtime=1x.
+// BenchmarkAppend reports appends per second, p99 latency and appends per sync for each number of writers. Run it with
+// -benchtime=1x.
 func BenchmarkAppend(b *testing.B) {
 	for _, syncEach := range []bool{true, false} {
 		for _, writers := range storagebench.WriterCounts {
