--- a/internal/process/daemon/daemon_test.go
+++ b/internal/process/daemon/daemon_test.go
@@ -24,7 +24,7 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-var _ = Describe("a daemon", func() {
+var _ = Describe("daemon", func() {
 	var folder, key string
 
 	BeforeEach(func() {
@@ -42,8 +42,8 @@
 		}, more...)
 	}
 
-	Describe("given valid settings with free ports", func() {
-		It("resolves its addresses, answers health checks, peers and metrics, and shuts down gracefully", func() {
+	Describe("with valid settings and free ports", func() {
+		It("resolves its addresses, serves health checks, peers and metrics, and shuts down gracefully", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			process := running.process()
 			Expect(process.Self.GetAddress()).NotTo(HaveSuffix(":0"))
@@ -57,10 +57,10 @@
 
 			pool := wire.NewPool(wire.PoolOptions{Key: []byte(clusterKey), Node: "test"})
 			defer pool.Close()
-			answer, err := pool.Call(context.Background(), process.Self.GetAddress(),
+			response, err := pool.Call(context.Background(), process.Self.GetAddress(),
 				&protocol.Request{Body: &protocol.Request_CoreStatus{CoreStatus: &protocol.CoreStatusRequest{}}})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.GetCoreStatus().GetName()).To(Equal("store-1"))
+			Expect(response.GetCoreStatus().GetName()).To(Equal("store-1"))
 
 			_, metrics := get(process.Self.GetHttpAddress(), "/metrics")
 			Expect(metrics).To(ContainSubstring("rosestand_ready 1"))
@@ -86,7 +86,7 @@
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("gives reasons while it is not ready", func() {
+		It("reports the unmet conditions while it is not ready", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			process := running.process()
 			process.Readiness.Set("lease", "no lease yet")
@@ -98,7 +98,7 @@
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("survives a panic of a handler, answers it as a failure and counts it", func() {
+		It("recovers from a panic of a handler, returns a failure and counts the panic", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			address := running.process().Self.GetHttpAddress()
 			status, body := get(address, "/panic")
@@ -109,40 +109,40 @@
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("answers unknown routes, other methods and large bodies with failures", func() {
+		It("rejects unknown routes, unsupported methods and large bodies with failures", func() {
 			running := launch(&fakePlane{}, arguments()...)
 			address := running.process().Self.GetHttpAddress()
-			codeOf := func(method, path string, body io.Reader) (int, string) {
+			doRequest := func(method, path string, body io.Reader) (int, string) {
 				request, err := http.NewRequest(method, "http://"+address+path, body)
 				Expect(err).NotTo(HaveOccurred())
-				answer, err := client.Do(request)
+				response, err := client.Do(request)
 				Expect(err).NotTo(HaveOccurred())
-				defer answer.Body.Close()
+				defer response.Body.Close()
 				var document struct {
 					Error struct{ Code, Outcome string }
 				}
-				Expect(json.NewDecoder(answer.Body).Decode(&document)).To(Succeed())
+				Expect(json.NewDecoder(response.Body).Decode(&document)).To(Succeed())
 				Expect(document.Error.Outcome).To(Equal("not_run"))
-				return answer.StatusCode, document.Error.Code
+				return response.StatusCode, document.Error.Code
 			}
-			status, code := codeOf(http.MethodGet, "/nowhere", nil)
+			status, code := doRequest(http.MethodGet, "/nowhere", nil)
 			Expect([]any{status, code}).To(Equal([]any{http.StatusNotFound, "unknown_route"}))
-			status, code = codeOf(http.MethodDelete, "/echo", nil)
+			status, code = doRequest(http.MethodDelete, "/echo", nil)
 			Expect([]any{status, code}).To(Equal([]any{http.StatusMethodNotAllowed, "method_not_allowed"}))
-			status, code = codeOf(http.MethodPost, "/echo", strings.NewReader(strings.Repeat("x", 1<<20)))
+			status, code = doRequest(http.MethodPost, "/echo", strings.NewReader(strings.Repeat("x", 1<<20)))
 			Expect([]any{status, code}).To(Equal([]any{http.StatusRequestEntityTooLarge, "body_too_large"}))
 
-			answer, err := client.Post(
+			response, err := client.Post(
 				"http://"+address+"/echo", "", io.MultiReader(strings.NewReader(strings.Repeat("x", 1<<20))),
 			)
 			Expect(err).NotTo(HaveOccurred())
-			answer.Body.Close()
-			Expect(answer.StatusCode).To(Equal(http.StatusBadRequest), "a chunked body is cut at the bound")
+			response.Body.Close()
+			Expect(response.StatusCode).To(Equal(http.StatusBadRequest), "reading a chunked body must fail at the limit")
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 	})
 
-	Describe("given a plane that takes long to start", func() {
+	Describe("with a plane that is slow to start", func() {
 		It("is live, is not ready and rejects requests until the plane has started", func() {
 			entered, release := make(chan struct{}), make(chan struct{})
 			running := launch(&fakePlane{onStart: func(context.Context) error {
@@ -157,17 +157,17 @@
 			status, body := get(address, "/readyz")
 			Expect(status).To(Equal(http.StatusServiceUnavailable))
 			Expect(body).To(ContainSubstring("the process is starting"))
-			answer, err := client.Post("http://"+address+"/echo", "", nil)
+			response, err := client.Post("http://"+address+"/echo", "", nil)
 			Expect(err).NotTo(HaveOccurred())
-			answer.Body.Close()
-			Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
-			Expect(answer.Header.Get("Retry-After")).To(Equal("1"))
+			response.Body.Close()
+			Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
+			Expect(response.Header.Get("Retry-After")).To(Equal("1"))
 			close(release)
 			running.process()
 			Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
-		It("stops without running when the signal comes during the start", func() {
+		It("stops without draining if the signal arrives during startup", func() {
 			entered := make(chan struct{})
 			running := launch(&fakePlane{onStart: func(ctx context.Context) error {
 				close(entered)
@@ -180,8 +180,8 @@
 		})
 	})
 
-	Describe("given a drain that does not end", func() {
-		stuck := func(entered chan struct{}) daemon.DrainHook {
+	Describe("with a drain hook that does not return", func() {
+		blockingDrain := func(entered chan struct{}) daemon.DrainHook {
 			return func(ctx context.Context) error {
 				close(entered)
 				<-ctx.Done()
@@ -189,9 +189,9 @@
 			}
 		}
 
-		It("is unready immediately and stops immediately at the second signal", func() {
+		It("becomes unready on the first signal and stops immediately on the second", func() {
 			entered := make(chan struct{})
-			running := launch(&fakePlane{drain: stuck(entered)}, arguments("--stop-grace-millis", "600000")...)
+			running := launch(&fakePlane{drain: blockingDrain(entered)}, arguments("--stop-grace-millis", "600000")...)
 			process := running.process()
 			running.signals <- syscall.SIGTERM
 			Eventually(entered, "20s").Should(BeClosed())
@@ -203,15 +203,15 @@
 			Expect(running.errors.String()).To(ContainSubstring("second signal"))
 		})
 
-		It("is interrupted when the grace period has passed", func() {
-			running := launch(&fakePlane{drain: stuck(make(chan struct{}))}, arguments("--stop-grace-millis", "20")...)
+		It("is interrupted when the grace period expires", func() {
+			running := launch(&fakePlane{drain: blockingDrain(make(chan struct{}))}, arguments("--stop-grace-millis", "20")...)
 			running.process()
 			Expect(running.terminate()).To(Equal(daemon.ExitFailure))
-			Expect(running.errors.String()).To(ContainSubstring("the grace has passed"))
+			Expect(running.errors.String()).To(ContainSubstring("grace period expired"))
 		})
 	})
 
-	Describe("given a resource that is in use, or a fault", func() {
+	Describe("with a resource in use or a failing plane", func() {
 		It("exits immediately on a port in use and names the address", func() {
 			first := launch(&fakePlane{}, arguments()...)
 			used := first.process().Self.GetHttpAddress()
@@ -220,7 +220,7 @@
 			Expect(second.errors.String()).To(
 				And(ContainSubstring("node.http_address"), ContainSubstring(used), ContainSubstring("in use")),
 			)
-			Expect(filepath.Join(folder, "other")).NotTo(BeADirectory(), "nothing is written before the ports are open")
+			Expect(filepath.Join(folder, "other")).NotTo(BeADirectory(), "no folder may be created before the ports are open")
 			Expect(first.terminate()).To(Equal(daemon.ExitStopped))
 		})
 
@@ -234,7 +234,7 @@
 			Expect(rejected.plane.recorded()).To(BeEmpty())
 		})
 
-		It("exits with the failure of a plane that cannot start", func() {
+		It("exits with the error of a plane that fails to start", func() {
 			failing := launch(&fakePlane{onStart: func(context.Context) error { return errors.New("no log") }}, arguments()...)
 			Expect(failing.exitCode()).To(Equal(daemon.ExitFailure))
 			Expect(failing.errors.String()).To(ContainSubstring("no log"))
@@ -248,8 +248,8 @@
 		})
 	})
 
-	Describe("given a data folder from an earlier start", func() {
-		It("keeps its identity and takes a larger incarnation even when the clock went back", func() {
+	Describe("with a data folder from an earlier start", func() {
+		It("keeps its identity and uses a larger incarnation even if the clock went back", func() {
 			first := launch(&fakePlane{}, arguments()...)
 			before := first.process().Self
 			Expect(first.terminate()).To(Equal(daemon.ExitStopped))
@@ -265,7 +265,7 @@
 		})
 	})
 
-	Describe("given wrong settings", func() {
+	Describe("with invalid settings", func() {
 		DescribeTable("exits with 2 and starts nothing",
 			func(more []string, text string) {
 				rejected := launch(&fakePlane{}, arguments(more...)...)
@@ -278,10 +278,10 @@
 			Entry("a flag of another type", []string{"--segment-bytes", "many"}, "segment-bytes"),
 			Entry("a positional argument", []string{"now"}, "unknown command"),
 			Entry(
-				"a settings file that is not there", []string{"--settings", "/nonexistent/settings.json"}, "read /nonexistent",
+				"a missing settings file", []string{"--settings", "/nonexistent/settings.json"}, "read /nonexistent",
 			),
-			Entry("a key file that is not there", []string{"--cluster-key-file", "/nonexistent/key"}, "node.cluster_key_file"),
-			Entry("a profiler that others can reach", []string{"--debug-address", "10.0.0.1:6060"}, "node.debug_address"),
+			Entry("a missing key file", []string{"--cluster-key-file", "/nonexistent/key"}, "node.cluster_key_file"),
+			Entry("a profiler address that is not loopback", []string{"--debug-address", "10.0.0.1:6060"}, "node.debug_address"),
 		)
 
 		It("lists the faults of files together with those of the settings", func() {
@@ -298,7 +298,7 @@
 		})
 	})
 
-	Describe("given a request to look at its settings", func() {
+	Describe("with a flag that checks or prints the settings", func() {
 		It("checks them without starting", func() {
 			checked := launch(&fakePlane{}, arguments("--check-config")...)
 			Expect(checked.exitCode()).To(Equal(daemon.ExitStopped))
@@ -311,14 +311,14 @@
 			Expect(printed.exitCode()).To(Equal(daemon.ExitStopped))
 			Expect(printed.output.String()).To(ContainSubstring(`"stop_grace_millis": 20000`))
 			Expect(printed.output.String()).NotTo(ContainSubstring(clusterKey))
-			again, err := settings.Store.Parse([]byte(printed.output.String()))
+			reparsed, err := settings.Store.Parse([]byte(printed.output.String()))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(settings.Store.Complete(again)).To(Succeed())
+			Expect(settings.Store.Complete(reparsed)).To(Succeed())
 		})
 	})
 
-	Describe("given an address for the profiler", func() {
-		It("serves it there and nowhere else", func() {
+	Describe("with an address for the profiler", func() {
+		It("serves the profiler only on that address", func() {
 			running := launch(&fakePlane{}, arguments("--debug-address", "127.0.0.1:0")...)
 			process := running.process()
 			logged := regexp.MustCompile(`profiler.* address=(127\.0\.0\.1:\d+)`).FindStringSubmatch(running.errors.String())
--- a/internal/process/daemon/doc.go
+++ b/internal/process/daemon/doc.go
@@ -3,20 +3,20 @@
 // monitoring routes and the internal protocol, and shuts the process down
 // gracefully on a signal.
 //
-// A plane is an fx.Option. These are in its graph: *protocol.NodeSettings,
+// A plane is an fx.Option. The daemon provides it with *protocol.NodeSettings,
 // *log.Logger, *prometheus.Registry (also as prometheus.Registerer), *wire.Pool
 // (also as wire.Caller), *gin.Engine and *Process. A plane provides a
 // wire.Handler, registers its HTTP routes while the graph is built and starts
 // its work in OnStart hooks. These hooks must not wait for peers, because the
-// internal listener is served only after them; what a plane waits for belongs
-// into Readiness. Requests to its HTTP routes are answered with not_ready until
-// all OnStart hooks have returned.
+// internal listener is served only after they have returned; a plane reports what
+// it still waits for through Readiness. Requests to its HTTP routes fail with
+// not_ready until all OnStart hooks have returned.
 //
 // A graceful shutdown makes the process unready, runs the drain hooks, ends the
 // remaining HTTP requests and runs the OnStop hooks in reverse order. Peers are
-// served until the last OnStop hook has returned, so that leadership or a range
-// can still be handed over there; a handler answers with a failure once what
-// it needs has stopped.
+// served until the last OnStop hook has returned, so that an OnStop hook can
+// still transfer leadership or a range; a handler returns a failure once the
+// components that it needs have stopped.
 //
 // An instance is owned by the goroutine of run. Process and Readiness are shared
 // with the plane and safe for concurrent use.
--- a/internal/process/daemon/errors.go
+++ b/internal/process/daemon/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// ListenError reports that an address could not be listened on.
+// ListenError reports that a listener could not be opened on an address.
 type ListenError struct {
-	// Purpose is the field of the settings that names the address.
+	// Purpose is the path of the settings field that has the address.
 	Purpose string
 	Address string
 	Cause   error
@@ -32,13 +32,13 @@
 // Unwrap returns the cause.
 func (e *DataFolderError) Unwrap() error { return e.Cause }
 
-// stoppedBeforeStartError reports that the process was asked to stop while it waited for disk space.
+// stoppedBeforeStartError reports that the process received a stop signal while it waited for disk space.
 type stoppedBeforeStartError struct{}
 
 // Error implements error.
-func (e *stoppedBeforeStartError) Error() string { return "stopped before the start" }
+func (e *stoppedBeforeStartError) Error() string { return "stopped while waiting for disk space" }
 
-// StageError reports in which stage of a start or stop something failed.
+// StageError reports the stage of a start or stop that failed.
 type StageError struct {
 	Stage string
 	Cause error
@@ -58,8 +58,8 @@
 // Error names the reason.
 func (e *InterruptedStopError) Error() string { return "shutdown interrupted: " + e.Reason }
 
-// ShutdownError reports that a plane ended the process through fx.
+// ShutdownError reports that a plane shut the process down through fx.Shutdowner.
 type ShutdownError struct{}
 
-// Error has a fixed text.
-func (e *ShutdownError) Error() string { return "the plane ended the process" }
+// Error implements error.
+func (e *ShutdownError) Error() string { return "the plane shut the process down" }
--- a/internal/process/daemon/files.go
+++ b/internal/process/daemon/files.go
@@ -21,8 +21,8 @@
 	trustedNetworkKeyLabel = "rosestand trusted network"
 )
 
-// checkFiles adds the faults of the files that the settings name to those of the
-// settings in loadError, and returns the cluster key if there are none.
+// checkFiles checks the files that the settings name and returns the cluster key. Their
+// faults are reported together with those of the settings in loadError.
 func checkFiles(loaded settings.Message, loadError error) ([]byte, error) {
 	var faults []*protocol.Fault
 	var invalid *settings.InvalidError
@@ -48,7 +48,7 @@
 	return key, nil
 }
 
-// clusterKey returns the key of the settings, or the well-known one if the network is trusted.
+// clusterKey returns the key from the file in the settings, or the well-known key if the network is trusted.
 func clusterKey(node *protocol.NodeSettings) (key []byte, reason string) {
 	if node.GetTrustNetwork() {
 		return trustedNetworkKey(), ""
@@ -56,8 +56,8 @@
 	return loadClusterKey(node.GetClusterKeyFile())
 }
 
-// trustedNetworkKey is the key of clusters that trust their network. It is not a
-// secret: it only separates such a cluster from one that has a key.
+// trustedNetworkKey returns the key of clusters that trust their network. It is not a
+// secret: it only keeps such a cluster from connecting to one that has a key.
 func trustedNetworkKey() []byte {
 	derivation := hmac.New(sha256.New, nil)
 	derivation.Write([]byte(trustedNetworkKeyLabel))
@@ -65,8 +65,8 @@
 }
 
 // loadClusterKey loads the key that all processes of a cluster share, or returns
-// why it cannot be used; white space around the key is ignored. The check of the
-// settings reports a missing path.
+// why it cannot be used; white space around the key is ignored. An empty path is not
+// reported here, because the check of the settings reports it.
 func loadClusterKey(path string) (key []byte, reason string) {
 	if path == "" {
 		return nil, ""
@@ -84,8 +84,8 @@
 	return key, ""
 }
 
-// readableByOthers reports whether any account of the machine can read the file.
+// readableByOthers reports whether the permissions give users other than the owner and the group access to the file.
 func readableByOthers(path string) bool {
-	status, err := os.Stat(path)
-	return err == nil && status.Mode().Perm()&othersPermissions != 0
+	info, err := os.Stat(path)
+	return err == nil && info.Mode().Perm()&othersPermissions != 0
 }
--- a/internal/process/daemon/folder.go
+++ b/internal/process/daemon/folder.go
@@ -19,7 +19,7 @@
 	incarnationMode = 0o600
 )
 
-// dataFolder is the locked data folder of a process; the zero value if it has none.
+// dataFolder is the locked data folder of a process, or the zero value if the process has none.
 type dataFolder struct {
 	lock     io.Closer
 	identity storage.Identity
@@ -27,7 +27,7 @@
 
 // openDataFolder locks the folder, waits for free space and reads its identity. An
 // empty path means that the process stores nothing. waitForSpace returns false if
-// the process is asked to stop, which is a *stoppedBeforeStartError.
+// the process receives a stop signal; the error is then a *stoppedBeforeStartError.
 func openDataFolder(path string, waitForSpace func(path string) bool) (*dataFolder, error) {
 	if path == "" {
 		return &dataFolder{}, nil
@@ -53,8 +53,9 @@
 	return f.lock.Close()
 }
 
-// nextIncarnation returns the wall clock in Unix milliseconds, raised above the
-// last incarnation that the folder records, and records it there.
+// nextIncarnation returns the wall clock in Unix milliseconds, or one more than the
+// last incarnation that the folder records if the clock is not past it, and records
+// the result in the folder.
 func nextIncarnation(folder string, now time.Time) (uint64, error) {
 	incarnation := uint64(now.UnixMilli())
 	if folder == "" {
--- a/internal/process/daemon/guard.go
+++ b/internal/process/daemon/guard.go
@@ -13,7 +13,7 @@
 const (
 	bodyTimeout = 30 * time.Second
 	// The rest of a rejected body is read and discarded within these bounds, because
-	// closing a connection with unread data resets it and may lose the answer.
+	// closing a connection with unread data resets it and may lose the response.
 	discardTimeout    = 2 * time.Second
 	maxDiscardedBytes = 64 << 20
 
@@ -21,7 +21,7 @@
 )
 
 // requestGuard wraps the engine: it rejects requests to a plane that has not
-// started, and bounds the size of bodies and the time that reading them takes.
+// started, and limits the size of bodies and the time to read them.
 type requestGuard struct {
 	next     http.Handler
 	started  func() bool
@@ -52,8 +52,8 @@
 	return path == livePath || path == readyPath || path == metricsPath
 }
 
-// timedBody has a read deadline, which it clears once the body was read completely;
-// otherwise a long answer would be cancelled when the deadline passes.
+// timedBody sets a read deadline and clears it once the body was read completely;
+// otherwise the deadline would cancel a request whose response takes long.
 type timedBody struct {
 	io.ReadCloser
 	controller *http.ResponseController
@@ -78,7 +78,7 @@
 // Close leaves closing to the server, so that discardRest can still read.
 func (b *timedBody) Close() error { return nil }
 
-// discardRest sends the answer and discards what the handler left unread.
+// discardRest flushes the response and discards the part of the body that the handler did not read.
 func (b *timedBody) discardRest() {
 	if b.complete {
 		return
--- a/internal/process/daemon/harness_test.go
+++ b/internal/process/daemon/harness_test.go
@@ -40,7 +40,7 @@
 	return b.buffer.String()
 }
 
-// echoHandler answers every request with the name of the node.
+// echoHandler responds to every request with the name of the node.
 type echoHandler struct{ process *daemon.Process }
 
 func (h echoHandler) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
@@ -49,7 +49,7 @@
 	}})
 }
 
-// fakePlane is a plane that records what happens to it.
+// fakePlane is a plane that records the calls of its start, drain and stop hooks.
 type fakePlane struct {
 	mutex   sync.Mutex
 	events  []string
@@ -81,7 +81,7 @@
 					c.Status(http.StatusBadRequest)
 				}
 			})
-			engine.GET("/panic", func(*gin.Context) { panic("a fault") })
+			engine.GET("/panic", func(*gin.Context) { panic("test panic") })
 			process.OnDrain("fake", func(ctx context.Context) error {
 				p.record("drain")
 				if p.drain != nil {
@@ -102,7 +102,7 @@
 		}))
 }
 
-// runningDaemon is a store daemon round a fake plane, in this process.
+// runningDaemon is a store daemon with a fake plane that runs in the test process.
 type runningDaemon struct {
 	plane   *fakePlane
 	signals chan os.Signal
@@ -151,16 +151,16 @@
 	return process
 }
 
-// client keeps no connections, so that none outlives its test.
+// client keeps no idle connections, so that none outlives its test.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second}
 
 func get(address, path string) (int, string) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+path, nil)
 	Expect(err).NotTo(HaveOccurred())
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	Expect(err).NotTo(HaveOccurred())
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return answer.StatusCode, string(body)
+	return response.StatusCode, string(body)
 }
--- a/internal/process/daemon/http.go
+++ b/internal/process/daemon/http.go
@@ -38,7 +38,7 @@
 	Error failure.Detail `json:"error"`
 }
 
-// WriteFailure answers a request with a failure, with Retry-After in seconds, rounded up, if it has one.
+// WriteFailure writes a failure as the response. A retry delay is sent as Retry-After in seconds, rounded up.
 func WriteFailure(writer http.ResponseWriter, problem *protocol.Failure) {
 	body, err := json.Marshal(errorBody{Error: failure.NewDetail(problem)})
 	if err != nil {
@@ -53,8 +53,8 @@
 	_, _ = writer.Write(append(body, '\n'))
 }
 
-// newEngine returns an engine that answers unknown routes and methods with failures.
-// A panic in a handler ends its request only; it is counted and logged with its stack.
+// newEngine returns an engine that responds to unknown routes and methods with failures.
+// A panic in a handler ends only that request; it is counted and logged with its stack.
 func newEngine(logger *log.Logger, registry prometheus.Registerer) *gin.Engine {
 	panics := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "rosestand_http_panics_total",
@@ -86,7 +86,7 @@
 	return engine
 }
 
-// addMonitoringRoutes registers the routes that every daemon has.
+// addMonitoringRoutes registers the routes for health, readiness and metrics.
 func addMonitoringRoutes(engine *gin.Engine, process *Process, registry *prometheus.Registry) {
 	engine.GET(livePath, func(c *gin.Context) {
 		c.JSON(http.StatusOK, gin.H{"status": "live"})
@@ -117,7 +117,7 @@
 	}
 }
 
-// newDebugServer serves the profiler.
+// newDebugServer returns a server for the profiler.
 func newDebugServer(logger *log.Logger) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
@@ -128,10 +128,10 @@
 	return newHTTPServer(mux, logger)
 }
 
-// httpService is an HTTP server that serves in a goroutine of its own until shutDown.
+// httpService runs an HTTP server in a goroutine until shutDown is called.
 type httpService struct {
 	server *httpdrain.Server
-	// done receives the result of serving.
+	// done receives the result of Serve.
 	done chan error
 }
 
@@ -141,7 +141,7 @@
 	return service
 }
 
-// shutDown drains the server, and closes it forcibly if requests outlast the context.
+// shutDown drains the server, and closes it forcibly if requests are still running when the context ends.
 func (s *httpService) shutDown(ctx context.Context) error {
 	err := s.server.Drain(ctx)
 	if err != nil {
--- a/internal/process/daemon/listen.go
+++ b/internal/process/daemon/listen.go
@@ -9,8 +9,8 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// listeners are opened before anything else, so that a port in use ends the start
-// immediately. Those without an address are nil.
+// listeners holds the listeners of a process; those without an address are nil. They
+// are opened before anything else, so that a port in use makes the start fail at once.
 type listeners struct {
 	internal net.Listener
 	http     net.Listener
@@ -21,7 +21,7 @@
 func openListeners(ctx context.Context, settings *protocol.NodeSettings) (*listeners, error) {
 	opened := &listeners{}
 	var config net.ListenConfig
-	wanted := []struct {
+	specs := []struct {
 		purpose string
 		address string
 		target  *net.Listener
@@ -30,16 +30,16 @@
 		{"node.http_address", settings.GetHttpAddress(), &opened.http},
 		{"node.debug_address", settings.GetDebugAddress(), &opened.debug},
 	}
-	for _, each := range wanted {
-		if each.address == "" {
+	for _, spec := range specs {
+		if spec.address == "" {
 			continue
 		}
-		listener, err := config.Listen(ctx, "tcp", each.address)
+		listener, err := config.Listen(ctx, "tcp", spec.address)
 		if err != nil {
-			listenError := &ListenError{Purpose: each.purpose, Address: each.address, Cause: err}
+			listenError := &ListenError{Purpose: spec.purpose, Address: spec.address, Cause: err}
 			return nil, errors.CombineErrors(listenError, opened.close())
 		}
-		*each.target = listener
+		*spec.target = listener
 	}
 	return opened, nil
 }
--- a/internal/process/daemon/logger.go
+++ b/internal/process/daemon/logger.go
@@ -10,11 +10,11 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// newLogger returns the logger of a process; every line has the node's name.
+// newLogger returns the logger of a process, which adds the node's name to every line.
 func newLogger(writer io.Writer, settings *protocol.NodeSettings) (*log.Logger, error) {
 	level, err := log.ParseLevel(settings.GetLogLevel())
 	if err != nil {
-		return nil, errors.Wrap(err, "log level")
+		return nil, errors.Wrap(err, "parse node.log_level")
 	}
 	formatter := log.TextFormatter
 	if settings.GetLogFormat() == "json" {
--- a/internal/process/daemon/main.go
+++ b/internal/process/daemon/main.go
@@ -17,21 +17,21 @@
 
 // Exit codes of every daemon.
 const (
-	// ExitStopped means that the process was asked to stop and shut down gracefully.
+	// ExitStopped means that the process received a stop signal and shut down gracefully.
 	ExitStopped = 0
 	// ExitFailure means that the start failed, that the process could not continue,
-	// or that the shutdown was interrupted by a second signal or the end of the
-	// grace period.
+	// or that the shutdown was interrupted by a second signal or because the grace
+	// period expired.
 	ExitFailure = 1
 	// ExitSettings means that the command line or the settings are invalid; nothing was started.
 	ExitSettings = 2
 )
 
-// Environment is what a daemon gets from the operating system.
+// Environment holds the inputs and outputs that a daemon gets from the operating system.
 type Environment struct {
-	// Arguments are the command line's, without the program's name.
+	// Arguments are the command-line arguments without the program's name.
 	Arguments []string
-	// Output is for results, Errors for faults and the log.
+	// Output receives results, Errors receives errors and the log.
 	Output io.Writer
 	Errors io.Writer
 	// Signals stops the process: gracefully the first time, immediately the second time.
@@ -104,7 +104,7 @@
 	kind.AddFlags(flags)
 	command.PreRun = func(*cobra.Command, []string) { code = ExitStopped }
 	command.RunE = func(*cobra.Command, []string) error {
-		// The stamp is taken first: a change during Load is then seen by the next check.
+		// The stamp is taken before Load, so that the next check detects a change made during Load.
 		stamp := statStamp(file)
 		loaded, err := kind.Load(file, flags)
 		if err == nil && printOnly {
@@ -153,12 +153,13 @@
 	return ExitFailure
 }
 
-// defaultMaxBodyBytes bounds the bodies for a daemon that has monitoring routes only.
+// defaultMaxBodyBytes limits request bodies of daemons whose settings have no max_body_bytes; they serve only
+// monitoring routes.
 const defaultMaxBodyBytes = 64 << 10
 
 func maxBodyBytes(loaded settings.Message) int64 {
-	if bounded, has := loaded.(interface{ GetMaxBodyBytes() uint64 }); has {
-		return int64(bounded.GetMaxBodyBytes())
+	if limited, ok := loaded.(interface{ GetMaxBodyBytes() uint64 }); ok {
+		return int64(limited.GetMaxBodyBytes())
 	}
 	return defaultMaxBodyBytes
 }
--- a/internal/process/daemon/metrics.go
+++ b/internal/process/daemon/metrics.go
@@ -9,31 +9,31 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// newRegistry returns a registry with the metrics of the process itself; planes add theirs.
+// newRegistry returns a registry with the metrics of the process; planes register their own.
 func newRegistry(process *Process) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		buildInformation(process.Self),
+		newBuildInfoMetric(process.Self),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "rosestand_ready",
 			Help: "1 while the process answers /readyz with 200.",
-		}, func() float64 { return boolGauge(process.Readiness.Ready()) }),
+		}, func() float64 { return boolToFloat(process.Readiness.Ready()) }),
 	)
 	return registry
 }
 
-func buildInformation(self *protocol.Node) prometheus.Collector {
-	information := prometheus.NewGaugeVec(prometheus.GaugeOpts{
+func newBuildInfoMetric(self *protocol.Node) prometheus.Collector {
+	info := prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "rosestand_build_info",
 		Help: "Always 1; the labels say what runs here.",
 	}, []string{"version", "kind", "zone", "region"})
-	information.WithLabelValues(version.Number, self.GetKind().String(), self.GetZone(), self.GetRegion()).Set(1)
-	return information
+	info.WithLabelValues(version.Number, self.GetKind().String(), self.GetZone(), self.GetRegion()).Set(1)
+	return info
 }
 
-// registerWireCounters exports the traffic of one side (client or server) of the internal protocol.
+// registerWireCounters registers traffic metrics for one side (client or server) of the internal protocol.
 func registerWireCounters(registry prometheus.Registerer, side string, counters *wire.Counters) error {
 	labels := prometheus.Labels{"side": side}
 	exported := []prometheus.Collector{
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// bytesByPurpose are the bytes of frames by what they are for.
+// bytesByPurpose counts the bytes of the frames of each purpose.
 type bytesByPurpose interface {
 	Of(purpose wire.Purpose) uint64
 }
@@ -81,7 +81,7 @@
 	}, func() float64 { return float64(bytes.Of(purpose)) })
 }
 
-func boolGauge(condition bool) float64 {
+func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/process/daemon/process.go
+++ b/internal/process/daemon/process.go
@@ -11,20 +11,20 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// DrainHook drains one part of a process before it stops. It returns when nothing
-// of that part is in flight any more, or when the context ends.
+// DrainHook drains one component of a process before it stops. It returns when the
+// component has no work in flight, or when the context ends.
 type DrainHook func(context.Context) error
 
-// Process is what a plane knows about the process that it runs in. Its methods may
-// be called from any goroutine; its exported fields are set before the plane is
-// built.
+// Process describes the process that a plane runs in, and lets the plane take part in
+// its shutdown and reloads. Its methods may be called from any goroutine; its exported
+// fields are set before the plane is built.
 type Process struct {
 	// Self describes the process to its peers. Its addresses are resolved: where
 	// the settings have port zero, it has the port in use.
 	Self *protocol.Node
-	// Readiness is what /readyz answers.
+	// Readiness holds the conditions that /readyz reports.
 	Readiness *Readiness
-	// Started is when the process started; it carries a monotonic reading.
+	// Started is the start time of the process, with a monotonic clock reading.
 	Started time.Time
 	// FreshFolder is true if the data folder had no identity before this start.
 	FreshFolder bool
@@ -46,7 +46,7 @@
 	drain DrainHook
 }
 
-// NewProcess returns a process that is not draining; tests of planes use it, too.
+// NewProcess returns a process that is not draining. Tests of planes use it too.
 func NewProcess(self *protocol.Node, started time.Time) *Process {
 	return &Process{
 		Self:      self,
@@ -59,7 +59,7 @@
 
 // OnDrain adds a hook that runs at the beginning of a graceful shutdown, before
 // any OnStop hook. Hooks run one after another in the order in which they were
-// added and share the grace period of the settings.
+// added and share the grace period from the settings.
 func (p *Process) OnDrain(name string, drain DrainHook) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // OnSettings adds a hook that is called with the common part of the settings each
-// time that changed and valid settings were loaded. Only changes of the seeds and
+// time that valid settings with changes are loaded. Only changes of the seeds and
 // the log level take effect; other changes need a restart. Hooks run one after
 // another on a goroutine of the daemon.
 func (p *Process) OnSettings(changed SettingsHook) {
@@ -92,7 +92,7 @@
 }
 
 // Fail stops the process with exit code 1 because of an error after which it cannot
-// continue, such as a failed sync. The first error counts; Fail does not block.
+// continue, such as a failed sync. Only the first error is kept; Fail does not block.
 func (p *Process) Fail(err error) {
 	select {
 	case p.failures <- err:
@@ -104,7 +104,7 @@
 func (p *Process) Failures() <-chan error { return p.failures }
 
 // Drain makes the process unready and runs the hooks of OnDrain one after another
-// until the context ends. The error combines those of the hooks, each a *StageError.
+// until the context ends. It combines the errors of the hooks, each a *StageError.
 func (p *Process) Drain(ctx context.Context) error {
 	var drainError error
 	for _, hook := range p.beginDrain() {
--- a/internal/process/daemon/readiness.go
+++ b/internal/process/daemon/readiness.go
@@ -11,13 +11,13 @@
 	conditionDraining = "draining"
 )
 
-// Reason is why a process is not ready: the condition that is not met, and why.
+// Reason is a condition that is not met, and why; it makes a process not ready.
 type Reason struct {
 	Condition string `json:"condition"`
 	Reason    string `json:"reason"`
 }
 
-// Readiness collects the conditions under which a process may be given work. The
+// Readiness collects the conditions under which a process can accept work. The
 // process is ready if all of them are met. It is safe for concurrent use; its mutex
 // is not held while checks run.
 type Readiness struct {
--- a/internal/process/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -13,26 +13,26 @@
 	"github.com/rosestand/rosestand/internal/process/settings"
 )
 
-// settingsPollInterval is the interval between checks of the settings file for a change without a signal.
+// settingsPollInterval is the interval between checks of the settings file for changes; SIGHUP reloads it at once.
 const settingsPollInterval = time.Second
 
-// reloadableFields are the fields whose changes a running process applies.
-// Founders matter only when a cluster is founded, so that a change needs nothing.
+// reloadableFields are the fields that can change without a restart. Founders are used
+// only when a cluster is founded, so a running process has nothing to apply for them.
 var reloadableFields = []protoreflect.Name{"seeds", "log_level", "founders"}
 
-// settingsSource is where the settings of a process are loaded from.
+// settingsSource loads and reloads the settings of a process.
 type settingsSource struct {
-	// file is the settings file; empty if all settings are flags.
+	// file is the path of the settings file; empty if all settings come from flags.
 	file string
-	// current are the settings in force.
+	// current holds the settings that were loaded last.
 	current settings.Message
-	// load loads the file again, overridden by the flags.
+	// load loads the file again and overrides it by the flags.
 	load func() (settings.Message, error)
 	// lastStamp is the state of the file when it was last loaded.
 	lastStamp fileStamp
 }
 
-// fileStamp distinguishes states of a file without reading it.
+// fileStamp identifies a version of a file by its metadata, without reading its content.
 type fileStamp struct {
 	modified time.Time
 	size     int64
@@ -40,14 +40,14 @@
 }
 
 func statStamp(path string) fileStamp {
-	status, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
 	}
-	return fileStamp{modified: status.ModTime(), size: status.Size(), exists: true}
+	return fileStamp{modified: info.ModTime(), size: info.Size(), exists: true}
 }
 
-// changed reports whether the file exists and differs from the last check, and records its state.
+// changed reports whether the file exists and has changed since the last check, and records its state.
 func (s *settingsSource) changed() bool {
 	stamp := statStamp(s.file)
 	if stamp == s.lastStamp {
@@ -57,8 +57,8 @@
 	return stamp.exists
 }
 
-// startSettingsWatch reloads the settings on a signal or when the file has changed,
-// in a goroutine that stop ends and waits for.
+// startSettingsWatch starts a goroutine that reloads the settings on a signal or when
+// the file has changed; stop ends the goroutine and waits for it.
 func (i *instance) startSettingsWatch(reload <-chan os.Signal) (stop func()) {
 	if i.source.file == "" {
 		return func() {}
@@ -92,7 +92,7 @@
 	}
 }
 
-// reloadSettings applies the reloadable fields of the settings file. An invalid file changes nothing.
+// reloadSettings applies the reloadable fields of the settings file. An invalid file is logged and ignored.
 func (i *instance) reloadSettings() {
 	loaded, err := i.source.load()
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	i.source.current = loaded
 	if fields := fieldsNeedingRestart(before, loaded); len(fields) > 0 {
-		i.logger.Warn("settings changed that need a restart", "fields", fields)
+		i.logger.Warn("some changed settings need a restart", "fields", fields)
 	}
 	node := loaded.GetNode()
 	if level, err := log.ParseLevel(node.GetLogLevel()); err == nil {
@@ -115,7 +115,7 @@
 	i.logger.Info("settings reloaded", "seeds", node.GetSeeds(), "log_level", node.GetLogLevel())
 }
 
-// fieldsNeedingRestart lists the fields that differ and that a running process does not apply.
+// fieldsNeedingRestart lists the changed fields that take effect only after a restart.
 func fieldsNeedingRestart(before, after settings.Message) []string {
 	var fields []string
 	settings.ForEachFieldPair(before, after, func(field protoreflect.FieldDescriptor, old, current protoreflect.Value) {
--- a/internal/process/daemon/reload_test.go
+++ b/internal/process/daemon/reload_test.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-var _ = Describe("a daemon with a settings file", func() {
+var _ = Describe("daemon with a settings file", func() {
 	var folder, file string
 
 	BeforeEach(func() {
@@ -39,7 +39,7 @@
 		return running, received
 	}
 
-	It("notifies the plane of new seeds at SIGHUP, stops nothing, and logs what needs a restart", func() {
+	It("notifies the plane of new seeds on SIGHUP, keeps running and logs the fields that need a restart", func() {
 		running, received := start()
 		write(`"seeds": ["127.0.0.2:7002"], "seed_port": 9, "stop_grace_millis": 1000`)
 		running.reload <- syscall.SIGHUP
@@ -53,12 +53,12 @@
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 	})
 
-	It("detects a changed file without a signal and applies the log level", func() {
+	It("detects a changed file without a signal and applies its log level", func() {
 		running, received := start()
 		write(`"seeds": ["127.0.0.1:7001"], "log_level": "error"`)
 		Eventually(received).Should(Receive())
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
-		Expect(running.errors.String()).NotTo(ContainSubstring("shutdown"), "a log of errors does not mention a shutdown")
+		Expect(running.errors.String()).NotTo(ContainSubstring("shutdown"), "info messages must not be logged at level error")
 	})
 
 	It("keeps its settings while the file is invalid or missing, and applies the next valid one", func() {
@@ -77,7 +77,7 @@
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
 	})
 
-	It("serves peers without a cluster key only when the settings say so, and warns", func() {
+	It("starts without a cluster key only if the settings trust the network, and logs a warning", func() {
 		running, _ := start()
 		Expect(running.errors.String()).To(ContainSubstring("without a cluster key"))
 		Expect(running.terminate()).To(Equal(daemon.ExitStopped))
--- a/internal/process/daemon/run.go
+++ b/internal/process/daemon/run.go
@@ -21,10 +21,10 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// startTimeout bounds the start of a plane, which may read a large data folder.
+// startTimeout limits the start of a plane, which may have to read a large data folder.
 const startTimeout = 10 * time.Minute
 
-// instance is one running daemon. The goroutine of run owns it; the goroutine of
+// instance holds the state of one running daemon. The goroutine of run owns it; the goroutine of
 // startSettingsWatch uses source, logger and process while the plane runs.
 type instance struct {
 	source    *settingsSource
@@ -45,12 +45,12 @@
 
 	httpServer  *http.Server
 	httpService *httpService
-	// debugService serves the profiler; nil without an address for it.
+	// debugService serves the profiler; nil if node.debug_address is empty.
 	debugService *httpService
 	wireServer   *wire.Server
 }
 
-// run opens what the process needs, starts the plane and runs it until it is stopped.
+// run opens the listeners and the data folder, starts the plane and runs it until it is stopped.
 func run(
 	kind protocol.NodeKind, source *settingsSource, key []byte, plane fx.Option, environment Environment,
 ) (runError error) {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	warnOfTrust(logger, source.current)
+	warnAboutTrust(logger, source.current)
 	listeners, err := openListeners(context.Background(), node)
 	if err != nil {
 		return err
@@ -87,21 +87,21 @@
 	return i.runUntilStopped(environment)
 }
 
-// warnOfTrust logs which protections the settings give up.
-func warnOfTrust(logger *log.Logger, loaded settings.Message) {
+// warnAboutTrust logs a warning for each protection that the settings disable.
+func warnAboutTrust(logger *log.Logger, loaded settings.Message) {
 	node := loaded.GetNode()
 	if readableByOthers(node.GetClusterKeyFile()) {
-		logger.Warn("cluster key readable by every account", "file", node.GetClusterKeyFile())
+		logger.Warn("cluster key file is readable by other users", "file", node.GetClusterKeyFile())
 	}
 	if node.GetTrustNetwork() {
-		logger.Warn("internal port trusted without a cluster key", "address", node.GetInternalAddress())
+		logger.Warn("internal port accepts connections without a cluster key", "address", node.GetInternalAddress())
 	}
 	if core, isCore := loaded.(interface{ GetTrustOperators() bool }); isCore && core.GetTrustOperators() {
-		logger.Warn("HTTP port trusted without operators' tokens", "address", node.GetHttpAddress())
+		logger.Warn("HTTP port accepts operator commands without tokens", "address", node.GetHttpAddress())
 	}
 }
 
-// newProcess describes the process under its next incarnation, with resolved addresses.
+// newProcess returns the process with its next incarnation and its resolved addresses.
 func (i *instance) newProcess(kind protocol.NodeKind) (*Process, error) {
 	startedAt := time.Now()
 	incarnation, err := nextIncarnation(i.settings.GetDataFolder(), startedAt)
@@ -122,7 +122,7 @@
 	return process, nil
 }
 
-// assemble builds the graph of the plane and the servers; nothing runs yet.
+// assemble builds the dependency graph of the plane and the servers, without starting them.
 func (i *instance) assemble(plane fx.Option, maxBytes int64) error {
 	i.registry = newRegistry(i.process)
 	i.engine = newEngine(i.logger, i.registry)
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// reportPanic logs a handler's panic; its exchange has ended with an internal error.
+// reportPanic logs the panic of a handler, whose request the server has ended with an internal error.
 func (i *instance) reportPanic(recovered any, stack []byte) {
 	i.logger.Error("internal handler panicked", "cause", recovered, "stack", string(stack))
 }
@@ -199,7 +199,7 @@
 	return i.stop(reason, environment)
 }
 
-// stopReason is why the process stops; a nil cause is a requested stop.
+// stopReason is the reason why the process stops; its cause is nil if the stop was requested.
 type stopReason struct {
 	cause error
 }
@@ -217,10 +217,10 @@
 		}
 	case <-environment.Signals:
 		cancel()
-		return i.abandonStart(result, environment, &stopReason{})
+		return i.abortStart(result, environment, &stopReason{})
 	case err := <-i.process.failures:
 		cancel()
-		return i.abandonStart(result, environment, &stopReason{cause: err})
+		return i.abortStart(result, environment, &stopReason{cause: err})
 	}
 	i.running = true
 	i.wireServer.Start()
@@ -229,13 +229,13 @@
 	return nil
 }
 
-// abandonStart waits for the OnStart hooks to return, or for a second signal.
-func (i *instance) abandonStart(result <-chan error, environment Environment, reason *stopReason) *stopReason {
+// abortStart waits for the OnStart hooks to return, or for a second signal.
+func (i *instance) abortStart(result <-chan error, environment Environment, reason *stopReason) *stopReason {
 	select {
 	case err := <-result:
 		i.running = err == nil
 	case <-environment.Signals:
-		reason.cause = errors.CombineErrors(reason.cause, &InterruptedStopError{Reason: "second signal during the start"})
+		reason.cause = errors.CombineErrors(reason.cause, &InterruptedStopError{Reason: "second signal during startup"})
 	}
 	return reason
 }
@@ -249,8 +249,8 @@
 	}
 }
 
-// shutdowner turns fx's way of ending an application into a failure of the
-// process. Waiting on fx itself would make it handle the signals as well.
+// shutdowner reports a shutdown through fx as a failure of the process. The daemon
+// does not wait on fx itself, because fx would then handle the signals as well.
 type shutdowner struct {
 	process *Process
 }
--- a/internal/process/daemon/space.go
+++ b/internal/process/daemon/space.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// minStartSpaceBytes is the free space that a data folder needs before a process starts on it.
+	// minStartSpaceBytes is the free space that the data folder needs before a process starts.
 	minStartSpaceBytes = 1 << 20
-	// spaceCheckInterval is the interval between checks of a full disk.
+	// spaceCheckInterval is the interval between checks of the free space while the disk is full.
 	spaceCheckInterval = time.Second
 )
 
-// waitForSpace returns true once the folder has enough free space, or if the check
-// fails for another reason, which opening the folder reports better. It returns
-// false if a signal stops the process.
+// waitForSpace waits until the folder has enough free space. It returns true then, and
+// also if the check fails for another reason, because opening the folder reports that
+// failure better. It returns false if a signal stops the process.
 func waitForSpace(filesystem storage.Filesystem, folder string, logger *log.Logger, signals <-chan os.Signal) bool {
 	logged := false
 	for {
@@ -27,7 +27,7 @@
 			return true
 		}
 		if !logged {
-			logger.Warn("start delayed by a full disk", "folder", folder, "error", err)
+			logger.Warn("disk is full, start waits for free space", "folder", folder, "error", err)
 			logged = true
 		}
 		interval := time.NewTimer(spaceCheckInterval)
--- a/internal/process/daemon/space_test.go
+++ b/internal/process/daemon/space_test.go
@@ -16,44 +16,45 @@
 
 const longWait = time.Hour
 
-// startOnFullDisk begins a start on a disk without free space.
-func startOnFullDisk(t *testing.T) (disk *simdisk.Disk, signals chan os.Signal, continues chan bool) {
+// startOnFullDisk calls waitForSpace on a full disk and checks that it still waits after longWait.
+func startOnFullDisk(t *testing.T) (disk *simdisk.Disk, signals chan os.Signal, results chan bool) {
 	t.Helper()
 	disk = simdisk.New(rand.New(rand.NewPCG(1, 1)))
 	if err := disk.MkdirAll("data"); err != nil {
 		t.Fatal(err)
 	}
 	disk.SetCapacity(minStartSpaceBytes - 1)
-	signals, continues = make(chan os.Signal, 1), make(chan bool, 1)
-	go func() { continues <- waitForSpace(disk, "data", log.New(io.Discard), signals) }()
+	signals, results = make(chan os.Signal, 1), make(chan bool, 1)
+	go func() { results <- waitForSpace(disk, "data", log.New(io.Discard), signals) }()
 	<-time.NewTimer(longWait).C
 	synctest.Wait()
-	if len(continues) > 0 {
-		t.Fatal("it did not wait for space")
+	if len(results) > 0 {
+		t.Fatalf("waitForSpace returned %v on a full disk, want it to wait", <-results)
 	}
-	return disk, signals, continues
+	return disk, signals, results
 }
 
-func TestAStartOnAFullDiskContinuesOnceThereIsSpace(t *testing.T) {
+func TestStartOnFullDiskContinuesWhenSpaceIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk, _, continues := startOnFullDisk(t)
+		disk, _, results := startOnFullDisk(t)
 		disk.SetCapacity(minStartSpaceBytes)
 		began := time.Now()
-		if !<-continues || time.Since(began) > spaceCheckInterval {
-			t.Errorf("it continued after %v, or not at all", time.Since(began))
+		if !<-results || time.Since(began) > spaceCheckInterval {
+			t.Errorf("waitForSpace returned false, or took %v after space was freed, want at most %v",
+				time.Since(began), spaceCheckInterval)
 		}
 		if files := disk.Files("data"); len(files) > 0 {
-			t.Errorf("it left %v", files)
+			t.Errorf("files left in the data folder: %v, want none", files)
 		}
 	})
 }
 
-func TestAStartOnAFullDiskCanBeStopped(t *testing.T) {
+func TestStartOnFullDiskStopsOnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, signals, continues := startOnFullDisk(t)
+		_, signals, results := startOnFullDisk(t)
 		signals <- syscall.SIGTERM
-		if <-continues {
-			t.Error("it continued after a signal")
+		if <-results {
+			t.Error("waitForSpace returned true after a signal, want false")
 		}
 	})
 }
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// forcedStopTimeout is how long an interrupted shutdown may still take to close what is open.
+// forcedStopTimeout limits the time in which an interrupted shutdown closes what is still open.
 const forcedStopTimeout = 500 * time.Millisecond
 
-// stop shuts the process down: gracefully within the grace period if it was asked
-// to stop, immediately after a failure, a second signal or the end of the grace
+// stop shuts the process down: gracefully within the grace period if the stop was
+// requested, immediately after a failure, a second signal or the end of the grace
 // period.
 func (i *instance) stop(reason *stopReason, environment Environment) error {
 	grace := time.Duration(i.settings.GetStopGraceMillis()) * time.Millisecond
@@ -25,7 +25,7 @@
 	}
 	result := make(chan error, 1)
 	go func() { result <- i.tearDown(ctx) }()
-	err := i.awaitTearDown(ctx, cancel, result, environment)
+	err := i.waitForTearDown(ctx, cancel, result, environment)
 	if err = errors.CombineErrors(reason.cause, err); err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (i *instance) awaitTearDown(
+func (i *instance) waitForTearDown(
 	ctx context.Context, cancel func(), result <-chan error, environment Environment,
 ) error {
 	var interruption error
@@ -43,7 +43,7 @@
 	case <-environment.Signals:
 		interruption = &InterruptedStopError{Reason: "second signal"}
 	case <-ctx.Done():
-		interruption = &InterruptedStopError{Reason: "the grace has passed"}
+		interruption = &InterruptedStopError{Reason: "grace period expired"}
 	}
 	cancel()
 	limit := time.NewTimer(forcedStopTimeout)
@@ -56,7 +56,7 @@
 	return interruption
 }
 
-// tearDown stops the parts of the process, each before those that it depends on.
+// tearDown stops the components of the process, each before those that it depends on.
 func (i *instance) tearDown(ctx context.Context) error {
 	i.httpService.server.BeginDrain()
 	stopError := i.drain(ctx)
