--- a/internal/process/settings/addresses.go
+++ b/internal/process/settings/addresses.go
@@ -7,9 +7,9 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// replaceSeedPorts replaces the port of each seed and founder by node.seed_port,
-// for a deployment that knows the machines of the core, but not their internal
-// port. Malformed addresses stay as they are, for the check to name them.
+// replaceSeedPorts replaces the port of each seed and founder by node.seed_port, for
+// deployments that configure the addresses of the core's machines without their
+// internal port. Malformed addresses are left unchanged, and the check reports them.
 func replaceSeedPorts(message Message) {
 	node := message.GetNode()
 	if node.GetSeedPort() == 0 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Region returns the region of a zone by the pairs of zone_regions; empty if none names the zone.
+// Region returns the region that the pairs of zone_regions assign to a zone, or "" if no pair has the zone.
 func Region(pairs []string, zone string) string {
 	for _, pair := range pairs {
 		if name, region, isPair := strings.Cut(pair, "="); isPair && name == zone {
--- a/internal/process/settings/check.go
+++ b/internal/process/settings/check.go
@@ -155,7 +155,7 @@
 		check.name(path, zone)
 		check.name(path, region)
 		if seen[zone] {
-			check.addFault(path, "zone %q is there twice", zone)
+			check.addFault(path, "zone %q is listed twice", zone)
 		}
 		seen[zone] = true
 	}
@@ -172,7 +172,7 @@
 		}
 		name := parsed[0].GetName()
 		if seen[name] {
-			check.addFault(path, "%q is there twice", name)
+			check.addFault(path, "%q is listed twice", name)
 		}
 		seen[name] = true
 	}
--- a/internal/process/settings/checker.go
+++ b/internal/process/settings/checker.go
@@ -13,7 +13,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// checker collects faults. Its methods each check one value and name its path.
+// checker collects faults. Each method checks one value and reports a fault with its path.
 type checker struct {
 	faults []*protocol.Fault
 }
@@ -26,7 +26,7 @@
 	c.faults = append(c.faults, &protocol.Fault{Path: path, Message: message})
 }
 
-// name requires a word that is safe in paths, logs and metric labels.
+// name requires a name that is safe in paths, logs and metric labels.
 func (c *checker) name(path, value string) {
 	switch {
 	case value == "":
@@ -44,8 +44,9 @@
 	}
 }
 
-// secretFile requires the path of a file, or the explicit statement that there is
-// no secret and its network or users are trusted, but never both.
+// secretFile requires either the path of a file with a secret, or the setting at
+// trustPath, which declares the network or the operators trusted without one, but
+// not both.
 func (c *checker) secretFile(path, file, trustPath string, trusted bool) {
 	switch {
 	case !trusted:
@@ -55,7 +56,7 @@
 	}
 }
 
-// listener requires an IP:port to listen on that peers can reach; port 0 chooses a free one.
+// listener requires an IP:port to listen on that peers can reach; port 0 selects a free one.
 func (c *checker) listener(path, value string) netip.AddrPort {
 	if value == "" {
 		c.addFault(path, "is missing")
@@ -81,7 +82,7 @@
 			c.addFault(elementPath, "%q has no port", value)
 		}
 		if seen[value] {
-			c.addFault(elementPath, "%q is there twice", value)
+			c.addFault(elementPath, "%q is listed twice", value)
 		}
 		seen[value] = true
 	}
--- a/internal/process/settings/deploy_test.go
+++ b/internal/process/settings/deploy_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// siteLayout is what the example settings of one site say.
+// siteLayout holds the example settings of one site.
 type siteLayout struct {
 	cores  []*protocol.CoreSettings
 	stores []*protocol.StoreSettings
@@ -33,7 +33,7 @@
 	return nodes
 }
 
-// readSite checks every example of a site as --check-config does, but for the files they name.
+// readSite loads every example of a site and checks it as --check-config does, except for the files that it names.
 func readSite(t *testing.T, site string) *siteLayout {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("../../../deploy", site, "*.json"))
@@ -51,7 +51,7 @@
 		case strings.HasPrefix(name, "front-"):
 			layout.fronts = append(layout.fronts, readExample(t, settings.Front, path))
 		default:
-			t.Errorf("%s is of no kind", path)
+			t.Errorf("%s: file name has no prefix core-, store- or front-", path)
 		}
 	}
 	return layout
@@ -71,7 +71,7 @@
 		t.Fatalf("%s: %v", path, err)
 	}
 	if name := strings.TrimSuffix(filepath.Base(path), ".json"); loaded.GetNode().GetName() != name {
-		t.Errorf("%s names the node %s", path, loaded.GetNode().GetName())
+		t.Errorf("%s: node.name is %q, want %q", path, loaded.GetNode().GetName(), name)
 	}
 	return loaded
 }
@@ -90,7 +90,8 @@
 		t.Run(site, func(t *testing.T) {
 			layout := readSite(t, site)
 			if len(layout.cores) != 4 || len(layout.stores) != 4 || len(layout.fronts) != fronts {
-				t.Fatalf("%d cores, %d stores, %d fronts", len(layout.cores), len(layout.stores), len(layout.fronts))
+				t.Fatalf("got %d cores, %d stores and %d front nodes, want 4, 4 and %d",
+					len(layout.cores), len(layout.stores), len(layout.fronts), fronts)
 			}
 			checkAddresses(t, layout)
 			checkReplicaSpread(t, layout)
@@ -99,27 +100,27 @@
 	}
 }
 
-// checkAddresses checks that names and addresses are used once and that seeds are other processes of the site.
+// checkAddresses checks that names and addresses are unique and that seeds are other processes of the site.
 func checkAddresses(t *testing.T, layout *siteLayout) {
 	t.Helper()
 	seen := map[string]bool{}
 	internal := map[string]bool{}
 	for _, node := range layout.nodes() {
-		for _, word := range []string{node.GetName(), node.GetInternalAddress(), node.GetHttpAddress()} {
-			if seen[word] {
-				t.Errorf("%s is used twice", word)
+		for _, value := range []string{node.GetName(), node.GetInternalAddress(), node.GetHttpAddress()} {
+			if seen[value] {
+				t.Errorf("%s is used twice", value)
 			}
-			seen[word] = true
+			seen[value] = true
 		}
 		internal[node.GetInternalAddress()] = true
 	}
 	for _, node := range layout.nodes() {
 		if len(node.GetSeeds()) != 3 {
-			t.Errorf("%s has %d seeds", node.GetName(), len(node.GetSeeds()))
+			t.Errorf("%s has %d seeds, want 3", node.GetName(), len(node.GetSeeds()))
 		}
 		for _, seed := range node.GetSeeds() {
 			if !internal[seed] || seed == node.GetInternalAddress() {
-				t.Errorf("%s: seed %s is no other process of the site", node.GetName(), seed)
+				t.Errorf("%s: seed %s is not the internal address of another process of the site", node.GetName(), seed)
 			}
 		}
 	}
@@ -146,20 +147,21 @@
 		place(store.GetNode(), "store ")
 	}
 	if len(zones) != 8 {
-		t.Errorf("cores and stores are in %v", zones)
+		t.Errorf("cores and stores by zone: %v, want one of each in 4 zones", zones)
 	}
-	withDisk := 0
+	colocated := 0
 	for _, front := range layout.fronts {
 		if machines[machineOf(t, front.GetNode())] != "" {
-			withDisk++
+			colocated++
 		}
 	}
-	if withDisk != 4 {
-		t.Errorf("%d front nodes stand on a machine with a disk", withDisk)
+	if colocated != 4 {
+		t.Errorf("%d front nodes share a machine with a core or a store, want 4", colocated)
 	}
 }
 
-// checkFounders checks that three core processes found the cluster, agree on it, and that the fourth joins.
+// checkFounders checks that three core processes list the same founders, themselves included, and that the fourth
+// lists none and joins.
 func checkFounders(t *testing.T, layout *siteLayout) {
 	t.Helper()
 	founding := 0
@@ -170,10 +172,11 @@
 		}
 		founding++
 		if !slices.Contains(core.GetFounders(), own) || !slices.Equal(core.GetFounders(), layout.cores[0].GetFounders()) {
-			t.Errorf("%s: founders %v", core.GetNode().GetName(), core.GetFounders())
+			t.Errorf("%s: founders %v, want %v including %s",
+				core.GetNode().GetName(), core.GetFounders(), layout.cores[0].GetFounders(), own)
 		}
 	}
 	if founding != 3 {
-		t.Errorf("%d processes found the cluster", founding)
+		t.Errorf("%d core processes have founders, want 3", founding)
 	}
 }
--- a/internal/process/settings/errors.go
+++ b/internal/process/settings/errors.go
@@ -12,7 +12,7 @@
 	Faults []*protocol.Fault
 }
 
-// Error has a line for each fault, with its path.
+// Error returns the number of faults and a line for each fault with its path.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("%d faults in the settings:", len(e.Faults)))
--- a/internal/process/settings/flags.go
+++ b/internal/process/settings/flags.go
@@ -29,7 +29,7 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// AddFlags adds a flag for each field; those for fields of the common part have no prefix.
+// AddFlags adds a flag for each field; flags for fields of the common part have no prefix.
 func (k Kind[S]) AddFlags(flags *pflag.FlagSet) {
 	forEachField(k.newMessage(), func(field protoreflect.FieldDescriptor, _ protoreflect.Message) {
 		help := helpTexts[string(field.Name())]
@@ -115,8 +115,8 @@
 	}
 }
 
-// forEachField visits the fields of the common part and then those of the daemon's
-// kind, each in the order of their declaration.
+// forEachField visits the fields of the common part and then those of the kind of
+// daemon, both in the order of their declaration.
 func forEachField(message proto.Message, visit func(protoreflect.FieldDescriptor, protoreflect.Message)) {
 	reflection := message.ProtoReflect()
 	fields := reflection.Descriptor().Fields()
--- a/internal/process/settings/help.go
+++ b/internal/process/settings/help.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// helpTexts has a help text for each field, by the field's name; a test checks that none is missing.
+// helpTexts maps the name of each field to its help text; a test checks that none is missing.
 var helpTexts = map[string]string{
 	"name":             "name of this process, stable across restarts",
 	"zone":             "zone of the machine",
--- a/internal/process/settings/kind.go
+++ b/internal/process/settings/kind.go
@@ -1,10 +1,10 @@
 // Package settings loads and checks the settings of a process: one JSON file in
 // the protobuf mapping, overridden by one command-line flag for each field.
-// Defaults are set in one place, and all fields are checked before anything
-// starts, so that all faults are listed together with their paths.
+// Defaults are set in one place, and all fields are checked before the process
+// starts, so that all faults are reported together with their paths.
 //
 // The fields and their JSON names are those of settings.proto. The package has no
-// state; it reads the settings file, and nothing else.
+// state and reads no file but the settings file.
 package settings
 
 import (
@@ -14,26 +14,26 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// Message is the settings of one kind of daemon.
+// Message holds the settings of one kind of daemon.
 type Message interface {
 	proto.Message
 	GetNode() *protocol.NodeSettings
 }
 
-// Kind is how the settings of one kind of daemon are created and checked.
+// Kind describes one kind of daemon and creates and checks its settings.
 type Kind[S Message] struct {
 	// Program is the name of the daemon's binary.
 	Program string
-	// Summary is what the daemon does, in one line of its help.
+	// Summary describes the daemon in one line of its help.
 	Summary string
-	// Node is the kind of node the daemon is.
+	// Node is the kind of node that the daemon runs as.
 	Node protocol.NodeKind
 
 	newMessage func() S
 	check      func(S, *checker)
 }
 
-// Front is the settings of front nodes.
+// Front is the kind of front nodes.
 var Front = Kind[*protocol.FrontSettings]{
 	Program:    "rosestand-front",
 	Summary:    "front node: accepts requests, owns sessions and issues their turns",
@@ -42,7 +42,7 @@
 	check:      checkFront,
 }
 
-// Core is the settings of core processes.
+// Core is the kind of core processes.
 var Core = Kind[*protocol.CoreSettings]{
 	Program:    "rosestand-core",
 	Summary:    "core: stores the replicated control state and grants leases",
@@ -51,7 +51,7 @@
 	check:      checkCore,
 }
 
-// Store is the settings of stores.
+// Store is the kind of stores.
 var Store = Kind[*protocol.StoreSettings]{
 	Program:    "rosestand-store",
 	Summary:    "store: stores replicas of the program ledger and of retained turns",
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// ensureNode sets the common part if a document omits it or has null.
+// ensureNode adds an empty common part if a document omits it or sets it to null.
 func ensureNode(message Message) {
 	if message.GetNode() != nil {
 		return
--- a/internal/process/settings/parse_fuzz_test.go
+++ b/internal/process/settings/parse_fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/rosestand/rosestand/internal/transport/strictjson"
 )
 
-// FuzzDecode checks that no document makes the parser panic, that a rejection
-// always has a fault, and that what was accepted survives printing.
+// FuzzDecode checks that no document makes the parser panic, that every fault has a
+// message, and that an accepted document is unchanged after printing and parsing.
 func FuzzDecode(f *testing.F) {
 	examples, err := filepath.Glob("../../../deploy/*/*.json")
 	if err != nil {
@@ -43,7 +43,7 @@
 	faults := strictjson.Decode(document, message)
 	for _, fault := range faults {
 		if fault.GetMessage() == "" {
-			t.Fatalf("a fault at %q without a message", fault.GetPath())
+			t.Fatalf("fault at %q has no message", fault.GetPath())
 		}
 	}
 	if len(faults) > 0 {
@@ -51,13 +51,13 @@
 	}
 	printed, err := settings.Print(message)
 	if err != nil {
-		t.Fatalf("accepted settings cannot be printed: %v", err)
+		t.Fatalf("print %T that was accepted: %v", message, err)
 	}
-	again := message.ProtoReflect().New().Interface()
-	if faults := strictjson.Decode(printed, again); len(faults) > 0 {
-		t.Fatalf("printed settings are rejected: %v", faults)
+	reparsed := message.ProtoReflect().New().Interface()
+	if faults := strictjson.Decode(printed, reparsed); len(faults) > 0 {
+		t.Fatalf("printed %T was rejected: %v", message, faults)
 	}
-	if !proto.Equal(message, again) {
-		t.Fatal("printed settings differ")
+	if !proto.Equal(message, reparsed) {
+		t.Fatalf("printed and parsed again: %v, want %v", reparsed, message)
 	}
 }
--- a/internal/process/settings/print.go
+++ b/internal/process/settings/print.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Print encodes settings as a JSON document that Parse accepts. Settings name the
-// files of keys and tokens, never their content, so the document has no secret.
+// Print encodes settings as a JSON document that Parse accepts. Settings have only the
+// paths of the files with keys and tokens, so the document contains no secret.
 func Print(message proto.Message) ([]byte, error) {
 	document, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -24,7 +24,7 @@
   "sign_off_keys": ["` + testKey + `"]
 }`
 
-// load reads a core's settings as its daemon does.
+// load loads the settings of a core as its daemon does.
 func load(t *testing.T, document string, arguments ...string) (*protocol.CoreSettings, error) {
 	t.Helper()
 	file := ""
@@ -42,7 +42,7 @@
 	return settings.Core.Load(file, flags)
 }
 
-// faultPaths gives the paths of the faults in the order in which they are listed.
+// faultPaths returns the paths of the faults in the order in which they are listed.
 func faultPaths(t *testing.T, err error) []string {
 	t.Helper()
 	var invalid *settings.InvalidError
@@ -59,18 +59,18 @@
 	return paths
 }
 
-func TestDefaultsAreSetAndGivenValuesStay(t *testing.T) {
+func TestDefaultsDoNotReplaceValuesThatAreSet(t *testing.T) {
 	loaded, err := load(t, strings.Replace(validCore, `"founders"`, `"lease_millis": 700, "founders"`, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if loaded.GetLeaseMillis() != 700 || loaded.GetShardCount() != 64 || loaded.GetReplicaCount() != 3 ||
 		loaded.GetNode().GetStopGraceMillis() != 20_000 || loaded.GetNode().GetLogLevel() != "info" {
-		t.Fatalf("wrong defaults: %v", loaded)
+		t.Fatalf("got %v, want lease_millis 700 and the defaults of the other fields", loaded)
 	}
 }
 
-func TestFlagsGoOverTheFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	loaded, err := load(
 		t, validCore, "--name", "core-9", "--founders", "10.0.0.7:7000", "--max-body-bytes", "4096", "--target-voters", "1",
 	)
@@ -78,14 +78,14 @@
 		t.Fatal(err)
 	}
 	if loaded.GetNode().GetName() != "core-9" || loaded.GetNode().GetZone() != "z1" || loaded.GetMaxBodyBytes() != 4096 {
-		t.Fatalf("wrong merge: %v", loaded)
+		t.Fatalf("got %v, want name and max_body_bytes of the flags and the zone of the file", loaded)
 	}
 	if len(loaded.GetFounders()) != 1 || loaded.GetFounders()[0] != "10.0.0.7:7000" {
-		t.Fatalf("a list given by a flag must replace the list of the file: %v", loaded.GetFounders())
+		t.Fatalf("founders are %v, want the list of the flag to replace that of the file", loaded.GetFounders())
 	}
 }
 
-func TestFlagsAloneAreEnough(t *testing.T) {
+func TestSettingsFromFlagsOnly(t *testing.T) {
 	_, err := load(t, "", "--name", "core-1", "--zone", "z1",
 		"--internal-address", "127.0.0.1:0", "--http-address", "127.0.0.1:0",
 		"--data-folder", "data", "--cluster-key-file", "key", "--operator-token-file", "tokens", "--seeds", "127.0.0.1:7001")
@@ -104,12 +104,12 @@
 			}
 		})
 		if flags.Lookup("debug-address") == nil {
-			t.Error("the fields of the common part must have flags")
+			t.Error("flag debug-address of the common part is missing")
 		}
 	}
 }
 
-func TestAllFaultsAreListedTogether(t *testing.T) {
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	_, err := load(t, `{
 	  "node": {"name": "a b", "internal_address": "host:7000", "http_address": "0.0.0.0:8000",
 	           "seeds": ["10.0.0.1:7000", "10.0.0.1:7000", "10.0.0.2:0"], "log_level": "loud", "log_format": "xml",
@@ -143,11 +143,11 @@
 			[]string{"founders", "node.name", "node.zone", "shard_count"},
 		},
 		{"wrong type within a list", `{"founders": ["10.0.0.1:1", 5]}`, []string{"founders[1]"}},
-		{"a field given twice", `{"shard_count": 1, "shard_count": 2}`, []string{"shard_count"}},
+		{"duplicate field", `{"shard_count": 1, "shard_count": 2}`, []string{"shard_count"}},
 		{"a number out of range", `{"shard_count": -1}`, []string{"shard_count"}},
-		{"a list in place of an object", `[]`, []string{""}},
+		{"a list instead of an object", `[]`, []string{""}},
 		{"text after the document", `{} {}`, []string{""}},
-		{"no JSON", `{`, []string{""}},
+		{"incomplete JSON", `{`, []string{""}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -170,17 +170,17 @@
 	storePaths := strings.Join(faultPaths(t, settings.Store.Complete(store)), " ")
 	corePaths := strings.Join(faultPaths(t, settings.Core.Complete(core)), " ")
 	if strings.Contains(frontPaths, "data_folder") || !strings.Contains(frontPaths, "node.seeds") {
-		t.Errorf("a front node needs seeds and no folder: %s", frontPaths)
+		t.Errorf("front node: faults at %s, want node.seeds and not node.data_folder", frontPaths)
 	}
 	if !strings.Contains(storePaths, "node.data_folder") || !strings.Contains(storePaths, "node.seeds") {
-		t.Errorf("a store needs a folder and seeds: %s", storePaths)
+		t.Errorf("store: faults at %s, want node.data_folder and node.seeds", storePaths)
 	}
 	if !strings.Contains(corePaths, "founders") || !strings.Contains(corePaths, "operator_token_file") {
-		t.Errorf("a core needs founders or seeds, and tokens: %s", corePaths)
+		t.Errorf("core: faults at %s, want founders and operator_token_file", corePaths)
 	}
 }
 
-func TestPrintedSettingsAreTheSameSettings(t *testing.T) {
+func TestPrintedSettingsParseToTheSameSettings(t *testing.T) {
 	loaded, err := load(t, validCore)
 	if err != nil {
 		t.Fatal(err)
@@ -189,44 +189,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := settings.Core.Parse(printed)
+	reparsed, err := settings.Core.Parse(printed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !proto.Equal(loaded, again) {
-		t.Fatalf("printed %s", printed)
+	if !proto.Equal(loaded, reparsed) {
+		t.Fatalf("printed settings %s parse to %v, want %v", printed, reparsed, loaded)
 	}
 }
 
-func TestAnUnreadableFileIsNamed(t *testing.T) {
+func TestReadErrorHasPathOfFile(t *testing.T) {
 	flags := pflag.NewFlagSet("test", pflag.ContinueOnError)
 	settings.Core.AddFlags(flags)
 	_, err := settings.Core.Load("/nonexistent/settings.json", flags)
 	var unreadable *settings.ReadError
 	if !errors.As(err, &unreadable) || unreadable.Path != "/nonexistent/settings.json" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a ReadError for /nonexistent/settings.json", err)
 	}
 }
 
 func TestTrustReplacesSecretsOnlyIfExplicit(t *testing.T) {
-	bare := strings.NewReplacer(
+	withoutSecrets := strings.NewReplacer(
 		`, "cluster_key_file": "/etc/rosestand/cluster.key"`, "",
 		`"cluster_key_file": "/etc/rosestand/cluster.key"`, `"log_level": "info"`,
 		`"operator_token_file": "/etc/rosestand/tokens",`, "").Replace(validCore)
-	_, err := load(t, bare)
+	_, err := load(t, withoutSecrets)
 	if got := strings.Join(faultPaths(t, err), " "); got != "node.cluster_key_file operator_token_file" {
-		t.Fatalf("without trust: %s", got)
+		t.Fatalf("without secrets and trust: faults at %s", got)
 	}
-	loaded, err := load(t, bare, "--trust-network", "--trust-operators")
+	loaded, err := load(t, withoutSecrets, "--trust-network", "--trust-operators")
 	if err != nil || !loaded.GetNode().GetTrustNetwork() || !loaded.GetTrustOperators() {
-		t.Fatalf("with trust: %v", err)
+		t.Fatalf("without secrets, with trust: %v", err)
 	}
 	_, err = load(t, validCore, "--trust-network", "--trust-operators=true")
 	if got := strings.Join(faultPaths(t, err), " "); got != "node.cluster_key_file operator_token_file" {
-		t.Fatalf("secrets beside the words: %s", got)
+		t.Fatalf("with secrets and trust: faults at %s", got)
 	}
 	if loaded, err = load(t, validCore, "--trust-network=false"); err != nil || loaded.GetNode().GetTrustNetwork() {
-		t.Fatalf("the word said with false: %v", err)
+		t.Fatalf("with --trust-network=false: %v", err)
 	}
 }
 
@@ -236,10 +236,10 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(loaded.GetNode().GetSeeds(), " "); got != "10.0.0.1:7380 [fd00::1]:7380" {
-		t.Errorf("seeds %s", got)
+		t.Errorf("seeds are %s, want port 7380 for each", got)
 	}
 	if got := strings.Join(loaded.GetFounders(), " "); got != "10.0.0.1:7380 10.0.0.2:7380 10.0.0.3:7380" {
-		t.Errorf("founders %s", got)
+		t.Errorf("founders are %s, want port 7380 for each", got)
 	}
 	_, err = load(t, validCore, "--seed-port", "70000", "--seeds", "10.0.0.1:1,10.0.0.1:2,nonsense")
 	if got := strings.Join(faultPaths(t, err), " "); !strings.Contains(got, "node.seeds[1] node.seeds[2]") ||
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestAKillBoundsTheGraceOfAStop(t *testing.T) {
+func TestKillAfterLimitsStopGrace(t *testing.T) {
 	for arguments, want := range map[string]uint32{
 		"--kill-after-millis=8000":                          6000,
 		"--kill-after-millis=8000 --stop-grace-millis=100":  100,
@@ -259,12 +259,12 @@
 	} {
 		loaded, err := load(t, validCore, strings.Fields(arguments)...)
 		if err != nil || loaded.GetNode().GetStopGraceMillis() != want {
-			t.Errorf("%s: %d, want %d: %v", arguments, loaded.GetNode().GetStopGraceMillis(), want, err)
+			t.Errorf("%s: stop_grace_millis is %d, want %d: %v", arguments, loaded.GetNode().GetStopGraceMillis(), want, err)
 		}
 	}
 }
 
-func TestAddressForTrafficIsAListenerOfItsOwn(t *testing.T) {
+func TestTrafficAddressDiffersFromOtherListeners(t *testing.T) {
 	front := func(traffic string) *protocol.FrontSettings {
 		return &protocol.FrontSettings{TrafficAddress: traffic, Node: &protocol.NodeSettings{
 			Name: "front-1", Zone: "z1", InternalAddress: "10.0.0.1:7100", HttpAddress: "10.0.0.1:8100",
@@ -273,12 +273,12 @@
 	}
 	for _, traffic := range []string{"", "10.0.0.1:8149", "127.0.0.1:0"} {
 		if err := settings.Front.Complete(front(traffic)); err != nil {
-			t.Errorf("%q: %v", traffic, err)
+			t.Errorf("traffic address %q was rejected: %v", traffic, err)
 		}
 	}
 	for _, traffic := range []string{"10.0.0.1:8100", "10.0.0.1:7100", "front:80", "0.0.0.0:80"} {
 		if got := faultPaths(t, settings.Front.Complete(front(traffic))); len(got) != 1 || got[0] != "traffic_address" {
-			t.Errorf("%q: faults at %v", traffic, got)
+			t.Errorf("traffic address %q: faults at %v, want traffic_address only", traffic, got)
 		}
 	}
 }
@@ -290,17 +290,17 @@
 	}
 	for zone, want := range map[string]string{"z1": "r1", "z2": "r2", "z": "", "": ""} {
 		if got := settings.Region(loaded.GetZoneRegions(), zone); got != want {
-			t.Errorf("%s is in %q", zone, got)
+			t.Errorf("zone %q is in region %q, want %q", zone, got, want)
 		}
 	}
 	_, err = load(t, validCore, "--zone-regions", "z1=r1,z1=r2,z3,=r1", "--back-end-lease-millis", "1")
 	want := "zone_regions[1] zone_regions[2] zone_regions[3] back_end_lease_millis"
 	if got := strings.Join(faultPaths(t, err), " "); got != want {
-		t.Errorf("faults at %s", got)
+		t.Errorf("faults at %s, want %s", got, want)
 	}
 }
 
-func TestToleratedLossesDecideVotersAndReplicas(t *testing.T) {
+func TestToleratedLossesSetDefaultsOfVotersAndReplicas(t *testing.T) {
 	zones := "--zone-regions=a=r,b=r,c=r,d=r"
 	for arguments, want := range map[string][2]uint32{
 		"--tolerated-losses=0":                                     {3, 3},
@@ -312,11 +312,12 @@
 	} {
 		loaded, err := load(t, validCore, strings.Fields(arguments)...)
 		if err != nil || loaded.GetTargetVoters() != want[0] || loaded.GetReplicaCount() != want[1] {
-			t.Errorf("%s: %d voters, %d replicas: %v", arguments, loaded.GetTargetVoters(), loaded.GetReplicaCount(), err)
+			t.Errorf("%s: %d voters and %d replicas, want %d and %d: %v",
+				arguments, loaded.GetTargetVoters(), loaded.GetReplicaCount(), want[0], want[1], err)
 		}
 	}
 	_, err := load(t, validCore, "--tolerated-losses", "5")
 	if got := faultPaths(t, err); len(got) != 1 || got[0] != "tolerated_losses" {
-		t.Errorf("faults at %v", got)
+		t.Errorf("faults at %v, want tolerated_losses only", got)
 	}
 }
