--- a/internal/process/settings/signoffkey/sign_off_key.go
+++ b/internal/process/settings/signoffkey/sign_off_key.go
@@ -1,5 +1,5 @@
-// Package signoffkey has the textual form of the public keys with which operators sign bundles off, as settings and
-// bundles name them.
+// Package signoffkey parses and checks the textual form that settings and bundles use for the public keys with which
+// operators sign bundles off.
 package signoffkey
 
 import (
@@ -16,7 +16,7 @@
 	Text string
 }
 
-// Error quotes the text of the setting.
+// Error returns the text of the setting and the expected form.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("sign-off key %q is not \"name hex-public-key\"", e.Text)
 }
@@ -41,7 +41,7 @@
 	return keys, nil
 }
 
-// PublicKeyFault says what is wrong with the hex form of an ed25519 public key; it is empty for a valid one.
+// PublicKeyFault returns why a text is not an ed25519 public key in hex, or "" for a valid key.
 func PublicKeyFault(text string) string {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != ed25519.PublicKeySize {
--- a/internal/process/version/version.go
+++ b/internal/process/version/version.go
@@ -1,4 +1,4 @@
-// Package version says which build of the project a program is.
+// Package version identifies the release and the build of a program.
 package version
 
 import (
@@ -10,7 +10,7 @@
 // -X github.com/rosestand/rosestand/internal/process/version.Number=....
 var Number = "0.1.0-dev"
 
-// String gives the release, the Go version and the platform.
+// String returns the release, the Go version and the platform.
 func String() string {
 	return fmt.Sprintf("%s (%s, %s/%s)", Number, runtime.Version(), runtime.GOOS, runtime.GOARCH)
 }
