--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -23,13 +23,13 @@
 	testTimeout = 30 * time.Second
 )
 
-// seed is a process that answers that it knows no core, and reports that it was queried.
-type seed struct {
+// seedServer is a process that answers that it knows no core, and reports that it was queried.
+type seedServer struct {
 	address string
 	queried chan struct{}
 }
 
-func (s *seed) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+func (s *seedServer) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 	select {
 	case s.queried <- struct{}{}:
 	default:
@@ -37,20 +37,20 @@
 	return send(&protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: &protocol.LocateCoreResponse{}}})
 }
 
-func newSeed(t *testing.T) *seed {
+func newSeed(t *testing.T) *seedServer {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &seed{address: listener.Addr().String(), queried: make(chan struct{}, 1)}
+	s := &seedServer{address: listener.Addr().String(), queried: make(chan struct{}, 1)}
 	server := wire.NewServer(listener, s, wire.ServerOptions{Key: []byte(clusterKey)})
 	server.Start()
 	t.Cleanup(server.Close)
 	return s
 }
 
-func (s *seed) await(t *testing.T) {
+func (s *seedServer) awaitQuery(t *testing.T) {
 	t.Helper()
 	select {
 	case <-s.queried:
@@ -92,10 +92,10 @@
 			Arguments: []string{"--settings", path}, Output: &output, Errors: &output, Signals: signals, Reload: reload,
 		})
 	}()
-	first.await(t)
+	first.awaitQuery(t)
 	writeSettings(t, folder, second.address)
 	reload <- syscall.SIGHUP
-	second.await(t)
+	second.awaitQuery(t)
 	signals <- syscall.SIGTERM
 	select {
 	case code := <-exit:
