--- a/cmd/rosestand-platform/main.go
+++ b/cmd/rosestand-platform/main.go
@@ -1,6 +1,5 @@
-// Command rosestand-platform runs the daemons with the adapter of the users'
-// platform: one subcommand for each daemon, with the daemon's own flags. See
-// docs/PLATFORM.md.
+// Command rosestand-platform runs the daemons with the platform adapter: one subcommand for each daemon, with the
+// daemon's own flags. See docs/PLATFORM.md.
 package main
 
 import (
@@ -37,7 +36,8 @@
 	}
 }
 
-// daemonCommand passes its arguments to the daemon unparsed, with the settings file that the platform names.
+// daemonCommand returns the subcommand of a daemon. It passes the arguments on unparsed and adds the settings file from
+// the environment.
 func daemonCommand[S settings.Message](name string, kind settings.Kind[S], module daemon.Module[S]) *cobra.Command {
 	return &cobra.Command{
 		Use:                name,
--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -23,7 +23,7 @@
 	testTimeout = 30 * time.Second
 )
 
-// seedServer is a process that answers that it knows no core, and reports that it was queried.
+// seedServer is a seed that responds with no core addresses and signals each query.
 type seedServer struct {
 	address string
 	queried chan struct{}
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeSettings atomically replaces the settings file by one with a single seed.
+// writeSettings atomically replaces the settings file with one that contains a single seed.
 func writeSettings(t *testing.T, folder, seedAddress string) string {
 	t.Helper()
 	path := filepath.Join(folder, "settings.json")
@@ -78,7 +78,8 @@
 	return path
 }
 
-// checkNewSeeds starts a daemon with one seed, replaces the seed with SIGHUP, and waits until the new one is queried.
+// checkNewSeeds starts a daemon with one seed, replaces the seed by a reload with SIGHUP, and waits until the new one
+// is queried.
 func checkNewSeeds[S settings.Message](t *testing.T, kind settings.Kind[S], module daemon.Module[S]) {
 	t.Helper()
 	first, second := newSeed(t), newSeed(t)
@@ -100,10 +101,10 @@
 	select {
 	case code := <-exit:
 		if code != daemon.ExitStopped {
-			t.Errorf("exit %d\n%s", code, output.String())
+			t.Errorf("exit code %d, want %d\n%s", code, daemon.ExitStopped, output.String())
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the daemon did not stop")
+		t.Fatalf("the daemon did not stop within %v", testTimeout)
 	}
 }
 
--- a/cmd/rosestand-platform/surface_test.go
+++ b/cmd/rosestand-platform/surface_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The names of the sub-commands are stable; their flags are those of the daemons.
+// TestSubcommands guards the names of the subcommands, which are stable. Their flags are those of the daemons.
 func TestSubcommands(t *testing.T) {
 	arguments, output := os.Args, os.Stdout
 	t.Cleanup(func() { os.Args, os.Stdout = arguments, output })
@@ -31,6 +31,6 @@
 		names = append(names, match[1])
 	}
 	if want := []string{"completion", "core", "front", "help", "store"}; !slices.Equal(names, want) {
-		t.Fatalf("sub-commands %v, want %v:\n%s", names, want, help)
+		t.Fatalf("subcommands %v, want %v:\n%s", names, want, help)
 	}
 }
