--- a/cmd/rosestand-platform/main_test.go
+++ b/cmd/rosestand-platform/main_test.go
@@ -23,13 +23,13 @@
 	testTimeout = 30 * time.Second
 )
 
-// seed is a process that answers that it knows no core, and reports that it was queried.
-type seed struct {
+// seedServer is a seed that responds with no core addresses and signals each query.
+type seedServer struct {
 	address string
 	queried chan struct{}
 }
 
-func (s *seed) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
+func (s *seedServer) Serve(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 	select {
 	case s.queried <- struct{}{}:
 	default:
@@ -37,20 +37,20 @@
 	return send(&protocol.Response{Body: &protocol.Response_LocateCore{LocateCore: &protocol.LocateCoreResponse{}}})
 }
 
-func newSeed(t *testing.T) *seed {
+func newSeed(t *testing.T) *seedServer {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &seed{address: listener.Addr().String(), queried: make(chan struct{}, 1)}
+	s := &seedServer{address: listener.Addr().String(), queried: make(chan struct{}, 1)}
 	server := wire.NewServer(listener, s, wire.ServerOptions{Key: []byte(clusterKey)})
 	server.Start()
 	t.Cleanup(server.Close)
 	return s
 }
 
-func (s *seed) await(t *testing.T) {
+func (s *seedServer) awaitQuery(t *testing.T) {
 	t.Helper()
 	select {
 	case <-s.queried:
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeSettings atomically replaces the settings file by one with a single seed.
+// writeSettings atomically replaces the settings file with one that contains a single seed.
 func writeSettings(t *testing.T, folder, seedAddress string) string {
 	t.Helper()
 	path := filepath.Join(folder, "settings.json")
@@ -78,7 +78,8 @@
 	return path
 }
 
-// checkNewSeeds starts a daemon with one seed, replaces the seed with SIGHUP, and waits until the new one is queried.
+// checkNewSeeds starts a daemon with one seed, replaces the seed by a reload with SIGHUP, and waits until the new one
+// is queried.
 func checkNewSeeds[S settings.Message](t *testing.T, kind settings.Kind[S], module daemon.Module[S]) {
 	t.Helper()
 	first, second := newSeed(t), newSeed(t)
@@ -92,18 +93,18 @@
 			Arguments: []string{"--settings", path}, Output: &output, Errors: &output, Signals: signals, Reload: reload,
 		})
 	}()
-	first.await(t)
+	first.awaitQuery(t)
 	writeSettings(t, folder, second.address)
 	reload <- syscall.SIGHUP
-	second.await(t)
+	second.awaitQuery(t)
 	signals <- syscall.SIGTERM
 	select {
 	case code := <-exit:
 		if code != daemon.ExitStopped {
-			t.Errorf("exit %d\n%s", code, output.String())
+			t.Errorf("exit code %d, want %d\n%s", code, daemon.ExitStopped, output.String())
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the daemon did not stop")
+		t.Fatalf("the daemon did not stop within %v", testTimeout)
 	}
 }
 
