--- a/cmd/rosestand-store/main.go
+++ b/cmd/rosestand-store/main.go
@@ -1,4 +1,4 @@
-// Command rosestand-store runs a store, which has replicas of the program ledger's
+// Command rosestand-store runs a store, which holds replicas of the program ledger's
 // shards and of retained turns. See docs/ARCHITECTURE.md.
 package main
 
--- a/internal/operator/apiclient/attempts.go
+++ b/internal/operator/apiclient/attempts.go
@@ -15,12 +15,12 @@
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// maxRedirects bounds the redirects of one attempt between leaders in a row.
+	// maxRedirects bounds the consecutive redirects that one attempt follows.
 	maxRedirects = 4
 )
 
-// Do sends a request until it is answered finally or Options.Timeout has passed.
-// It goes through the addresses in turn, and backs off after each pass over them.
+// Do sends a request until it receives a final response or Options.Timeout elapses.
+// It tries the addresses in turn and backs off after each pass over them.
 // The error is a *RejectedError, *RedirectError, *UnknownOutcomeError or
 // *UnreachableError.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
@@ -28,10 +28,10 @@
 	defer cancel()
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval, delays.MaxInterval = initialBackoff, maxBackoff
-	attempts := &attempts{client: c, request: request}
+	state := &attempts{client: c, request: request}
 	for number := 0; ; number++ {
 		index := number % len(c.addresses)
-		body, err := attempts.followRedirects(ctx, c.addresses[index])
+		body, err := state.followRedirects(ctx, c.addresses[index])
 		if err == nil {
 			return body, nil
 		}
@@ -39,34 +39,34 @@
 		if !retry {
 			return nil, err
 		}
-		attempts.last = err
+		state.last = err
 		if index == len(c.addresses)-1 && c.sleep(ctx, max(minDelay, delays.NextBackOff())) != nil {
-			return nil, attempts.finalError()
+			return nil, state.finalError()
 		}
 		if ctx.Err() != nil {
-			return nil, attempts.finalError()
+			return nil, state.finalError()
 		}
 	}
 }
 
 // DoOnce sends a request once, to one address, within Options.Timeout. A redirect
-// is a *RedirectError.
+// is returned as a *RedirectError.
 func (c *Client) DoOnce(ctx context.Context, address string, request Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	attempts := &attempts{client: c, request: request}
-	body, leader, err := attempts.attempt(ctx, address)
+	state := &attempts{client: c, request: request}
+	body, leader, err := state.attempt(ctx, address)
 	if err == nil && leader != "" {
 		return nil, &RedirectError{From: address, To: leader}
 	}
 	return body, err
 }
 
-// attempts is the state of one request over all its attempts.
+// attempts holds the state of one request across its attempts.
 type attempts struct {
 	client  *Client
 	request Request
-	// mayHaveRun is true once an attempt ended in a way that leaves its outcome unknown.
+	// mayHaveRun is true once an attempt has failed in a way that leaves its outcome unknown.
 	mayHaveRun bool
 	last       error
 }
@@ -78,7 +78,7 @@
 	return &UnreachableError{Addresses: a.client.addresses, Last: a.last}
 }
 
-// followRedirects makes one attempt, continued at the leader if it is redirected there.
+// followRedirects makes one attempt and follows its redirects to trusted leaders.
 func (a *attempts) followRedirects(ctx context.Context, address string) ([]byte, error) {
 	for range maxRedirects {
 		body, leader, err := a.attempt(ctx, address)
@@ -93,7 +93,7 @@
 	return nil, &attemptError{cause: errors.Newf("sent on more than %d times", maxRedirects)}
 }
 
-// attempt sends the request to one address; leader is set if the answer redirects to it.
+// attempt sends the request to one address; leader is set if the response redirects to it.
 func (a *attempts) attempt(ctx context.Context, address string) (body []byte, leader string, err error) {
 	response, err := a.client.send(ctx, address, a.request)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// retryableCodes are rejections that do not concern the request itself.
+// retryableCodes lists the rejections that are not caused by the request itself, so that a retry may succeed.
 var retryableCodes = []failure.Code{
 	failure.NoLeader, failure.NotLeader, failure.Unavailable, failure.DeadlineExceeded, failure.NotReady,
 	failure.Draining, failure.Overloaded, failure.Cancelled, failure.InternalError,
--- a/internal/operator/apiclient/client.go
+++ b/internal/operator/apiclient/client.go
@@ -27,7 +27,7 @@
 // Client sends requests to core processes, or to a front node.
 type Client struct {
 	addresses []string
-	// trusted are the addresses that may be sent the token.
+	// trusted contains the addresses that the token may be sent to.
 	trusted map[string]bool
 	token   string
 	timeout time.Duration
@@ -41,9 +41,9 @@
 	Addresses []string
 	// Token is the operator's bearer token; none is sent if it is empty.
 	Token string
-	// Timeout bounds one request with all its attempts.
+	// Timeout bounds one request, including all its attempts.
 	Timeout time.Duration
-	// Sleep waits between attempts; it is Sleep of this package if nil.
+	// Sleep waits between attempts; nil means Sleep of this package.
 	Sleep func(ctx context.Context, duration time.Duration) error
 }
 
@@ -73,7 +73,7 @@
 // Close releases idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one request. An order has an id, a read has none.
+// Request is one HTTP request. An order has an order id, a read has none.
 type Request struct {
 	Method  string
 	Path    string
@@ -99,8 +99,8 @@
 	return c.http.Do(httpRequest)
 }
 
-// isTrusted reports whether an address may be sent the token: the operator named
-// it, or the process that redirected the client there lists it as a member.
+// isTrusted reports whether the token may be sent to an address: the operator named
+// it, or the process that redirected the client to it lists it as a member.
 func (c *Client) isTrusted(ctx context.Context, from, to string) bool {
 	if c.trusted[to] {
 		return true
@@ -111,7 +111,7 @@
 	return c.trusted[to]
 }
 
-// listMembers returns the members of the core by one of its processes; nil if that fails.
+// listMembers returns the core's members as listed by one of its processes, or nil if the request fails.
 func (c *Client) listMembers(ctx context.Context, address string) []*protocol.CoreMember {
 	response, err := c.send(ctx, address, Request{Method: http.MethodGet, Path: coreStatusPath})
 	if err != nil {
@@ -133,7 +133,7 @@
 	return io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 }
 
-// closeBody releases the connection; what matters of the body was read.
+// closeBody closes the response body to release its connection. The error is ignored, since the body was read.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
 func redirectHost(location string) string {
@@ -144,7 +144,7 @@
 	return parsed.Host
 }
 
-// Sleep waits for the duration, or until ctx ends, whose error it then returns.
+// Sleep waits for the duration. It returns the error of ctx if ctx ends first.
 func Sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/operator/apiclient/errors.go
+++ b/internal/operator/apiclient/errors.go
@@ -13,7 +13,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ErrorDetail is a process's description of a failure.
+// ErrorDetail is the description of a failure in a response.
 type ErrorDetail struct {
 	Code             string          `json:"code"`
 	Message          string          `json:"message"`
@@ -24,20 +24,20 @@
 	Winner           json.RawMessage `json:"winner"`
 }
 
-// FaultDetail is one fault of what was sent.
+// FaultDetail is one fault in the request's content.
 type FaultDetail struct {
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
 
-// RejectedError is the answer of a process that did not do what was requested.
+// RejectedError reports that a process responded to a request with a failure.
 type RejectedError struct {
 	// Status is the HTTP status.
 	Status int
 	Detail ErrorDetail
 }
 
-// Error has the code, the message, every fault with its path, and what has the version that was requested.
+// Error returns the code, the message, every fault with its path, and what already holds the requested version.
 func (e *RejectedError) Error() string {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, "%s: %s", e.Detail.Code, e.Detail.Message)
@@ -53,7 +53,7 @@
 	return text.String()
 }
 
-// parseRejection parses the body of a failure; one that is not of the API's form leaves the outcome unknown.
+// parseRejection parses the body of a failure response. A body not in the API's format leaves the outcome unknown.
 func parseRejection(status int, body []byte) *RejectedError {
 	var document struct {
 		Error ErrorDetail `json:"error"`
@@ -78,13 +78,13 @@
 // Unwrap returns the last failure.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// UnknownOutcomeError reports that an order was sent and that no answer to it arrived in time.
+// UnknownOutcomeError reports that an order was sent but no response to it arrived in time.
 type UnknownOutcomeError struct {
 	OrderID string
 	Last    error
 }
 
-// Error names the last failure, and the order id under which the order can be sent again.
+// Error names the last failure, and the id under which the order can be resent.
 func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf(
 		"the outcome of the order is unknown (%v); run the same command with --order %s to learn it", e.Last, e.OrderID,
@@ -107,18 +107,18 @@
 	)
 }
 
-// attemptError is the failure of an attempt that may be repeated.
+// attemptError reports that an attempt failed without a valid response; it may be retried.
 type attemptError struct {
 	cause error
 }
 
-// Error is the text of the cause.
+// Error returns the text of the cause.
 func (e *attemptError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.cause }
 
-// isDialError reports whether a request was never sent, because there was no connection.
+// isDialError reports whether a request was never sent because the connection could not be established.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/operator/bundles.go
+++ b/internal/operator/bundles.go
@@ -54,14 +54,14 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.order(ctx, http.MethodPut, bundlePath(strconv.FormatUint(parsed.GetVersion(), 10)), body)
+	response, err := c.order(ctx, http.MethodPut, bundlePath(strconv.FormatUint(parsed.GetVersion(), 10)), body)
 	if err != nil {
 		return err
 	}
-	return c.printResult(answer, fmt.Sprintf("bundle %d was accepted", parsed.GetVersion()))
+	return c.printResult(response, fmt.Sprintf("bundle %d was accepted", parsed.GetVersion()))
 }
 
-// readBundle reads a bundle from a file; a number other than zero replaces its version.
+// readBundle reads a bundle from a file; a nonzero number replaces its version.
 func (c *commandLine) readBundle(path string, number uint64) (*protocol.Bundle, error) {
 	document, err := c.readDocument(path)
 	if err != nil {
@@ -94,13 +94,13 @@
 
 func bundlePath(version string) string { return bundlesPath + "/" + url.PathEscape(version) }
 
-// printResult prints the result of an order; done states what was done.
-func (c *commandLine) printResult(answer []byte, done string) error {
+// printResult prints the result of an order; done is the text that states what was done.
+func (c *commandLine) printResult(response []byte, done string) error {
 	result := &protocol.CommandResult{}
-	if err := decodeProto(answer, result); err != nil {
+	if err := decodeProto(response, result); err != nil {
 		return err
 	}
-	return c.print(answer, func(writer io.Writer) error {
+	return c.print(response, func(writer io.Writer) error {
 		status := result.GetBundle()
 		if status == nil {
 			_, err := fmt.Fprintf(writer, "%s (control log index %d)\n", done, result.GetIndex())
@@ -118,11 +118,11 @@
 		Short: "show a version by its number, or newest, active or candidate",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := c.get(command.Context(), bundlePath(arguments[0]))
+			response, err := c.get(command.Context(), bundlePath(arguments[0]))
 			if err != nil {
 				return err
 			}
-			return printJSON(c.environment.Output, answer)
+			return printJSON(c.environment.Output, response)
 		},
 	}
 }
@@ -141,9 +141,9 @@
 	return command
 }
 
-func renderBundles(writer io.Writer, answer []byte) error {
+func renderBundles(writer io.Writer, response []byte) error {
 	listed := &bundlesResponse{}
-	if err := decode(answer, listed); err != nil {
+	if err := decode(response, listed); err != nil {
 		return err
 	}
 	statuses, err := decodeList[protocol.BundleStatus](listed.Bundles)
@@ -181,9 +181,9 @@
 	}
 }
 
-func renderDifference(writer io.Writer, answer []byte) error {
+func renderDifference(writer io.Writer, response []byte) error {
 	difference := &bundle.Difference{}
-	if err := decode(answer, difference); err != nil {
+	if err := decode(response, difference); err != nil {
 		return err
 	}
 	if difference.Empty() {
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -41,7 +41,7 @@
 Environment: ROSESTAND_CORE, ROSESTAND_TOKEN_FILE and ROSESTAND_FRONT stand in
 for --core, --token-file and --front.`
 
-// Environment is what the client gets from the operating system.
+// Environment holds the client's arguments, streams and environment variables.
 type Environment struct {
 	// Arguments are the command line's, without the program's name.
 	Arguments []string
@@ -51,8 +51,8 @@
 	Errors io.Writer
 	// LookupEnvironment returns the value of an environment variable, or an empty string.
 	LookupEnvironment func(name string) string
-	// Sleep waits between attempts; nil for apiclient.Sleep.
-	Sleep func(ctx context.Context, pause time.Duration) error
+	// Sleep waits between attempts; nil means apiclient.Sleep.
+	Sleep func(ctx context.Context, duration time.Duration) error
 }
 
 // Execute runs one command and returns its exit code.
@@ -68,7 +68,7 @@
 	return ExitCode(err)
 }
 
-// commandLine has the flags that all commands share.
+// commandLine holds the flags that all commands share.
 type commandLine struct {
 	environment Environment
 	// parsed is true once cobra has found the command and accepted its arguments.
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// client returns a client for the core.
+// client returns a client of the core's HTTP API.
 func (c *commandLine) client() (*apiclient.Client, error) {
 	if len(c.cores) == 0 {
 		return nil, &UsageError{Reason: "give the core's addresses with --core or " + coreVariable}
@@ -160,21 +160,21 @@
 	), nil
 }
 
-// get sends one read and returns the answer.
+// get sends one read and returns the response body.
 func (c *commandLine) get(ctx context.Context, path string) ([]byte, error) {
 	return c.send(ctx, apiclient.Request{Method: http.MethodGet, Path: path})
 }
 
-// show sends one read and prints the answer, as it is or rendered.
+// show sends one read and prints the response, as JSON or rendered.
 func (c *commandLine) show(ctx context.Context, path string, render func(io.Writer, []byte) error) error {
-	answer, err := c.get(ctx, path)
+	response, err := c.get(ctx, path)
 	if err != nil {
 		return err
 	}
-	return c.print(answer, func(writer io.Writer) error { return render(writer, answer) })
+	return c.print(response, func(writer io.Writer) error { return render(writer, response) })
 }
 
-// order sends one order under the order id of this run.
+// order sends one order under the order id of this invocation.
 func (c *commandLine) order(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	return c.send(ctx, apiclient.Request{Method: method, Path: path, Body: body, OrderID: c.orderID})
 }
@@ -188,17 +188,17 @@
 	return client.Do(ctx, request)
 }
 
-// print prints an answer as it is with -o json, otherwise rendered.
-func (c *commandLine) print(answer []byte, render func(io.Writer) error) error {
+// print prints a response as JSON with -o json, otherwise rendered.
+func (c *commandLine) print(response []byte, render func(io.Writer) error) error {
 	if c.output == outputJSON {
-		return printJSON(c.environment.Output, answer)
+		return printJSON(c.environment.Output, response)
 	}
 	return render(c.environment.Output)
 }
 
-// printDone prints the answer to an order as it is, or a line that states what was done.
-func (c *commandLine) printDone(answer []byte, format string, arguments ...any) error {
-	return c.print(answer, func(writer io.Writer) error {
+// printDone prints the response to an order as JSON, or a line that states what was done.
+func (c *commandLine) printDone(response []byte, format string, arguments ...any) error {
+	return c.print(response, func(writer io.Writer) error {
 		_, err := fmt.Fprintf(writer, format, arguments...)
 		return err
 	})
--- a/internal/operator/core.go
+++ b/internal/operator/core.go
@@ -40,8 +40,8 @@
 	return command
 }
 
-func renderCore(writer io.Writer, answer []byte) error {
-	status, err := decodeCoreStatus(answer)
+func renderCore(writer io.Writer, response []byte) error {
+	status, err := decodeCoreStatus(response)
 	if err != nil {
 		return err
 	}
@@ -85,11 +85,11 @@
 			if err != nil {
 				return err
 			}
-			answer, err := c.order(command.Context(), http.MethodPost, membersPath, body)
+			response, err := c.order(command.Context(), http.MethodPost, membersPath, body)
 			if err != nil {
 				return err
 			}
-			return c.printDone(answer, "core process %s was added\n", arguments[0])
+			return c.printDone(response, "core process %s was added\n", arguments[0])
 		},
 	}
 }
@@ -100,11 +100,11 @@
 		Short: "remove the core process of this name",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := c.order(command.Context(), http.MethodDelete, membersPath+"/"+url.PathEscape(arguments[0]), nil)
+			response, err := c.order(command.Context(), http.MethodDelete, membersPath+"/"+url.PathEscape(arguments[0]), nil)
 			if err != nil {
 				return err
 			}
-			return c.printDone(answer, "core process %s was removed\n", arguments[0])
+			return c.printDone(response, "core process %s was removed\n", arguments[0])
 		},
 	}
 }
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -26,9 +26,9 @@
 	ExitUnauthorized = 4
 	// ExitUnreachable means that no core process accepted the request in time; it was not run.
 	ExitUnreachable = 5
-	// ExitUnknown means that an order was sent and its answer lost; sending it again under the same id is safe.
+	// ExitUnknown means that an order was sent but its response was lost; resending it under the same id is safe.
 	ExitUnknown = 6
-	// ExitNotFound means that what was named does not exist.
+	// ExitNotFound means that the named object does not exist.
 	ExitNotFound = 7
 	// ExitNotTraced means that a training step does not trace to a single version of the weights.
 	ExitNotTraced = 8
@@ -63,12 +63,12 @@
 	}
 }
 
-// UsageError reports what is wrong with the command line.
+// UsageError reports an invalid command line.
 type UsageError struct {
 	Reason string
 }
 
-// Error is the reason.
+// Error returns the reason.
 func (e *UsageError) Error() string { return e.Reason }
 
 // DocumentError lists the faults of a document, which was not sent.
@@ -77,7 +77,7 @@
 	Faults []*protocol.Fault
 }
 
-// Error has a line for each fault, with its path.
+// Error returns the path of the document and a line for each fault, with the fault's path.
 func (e *DocumentError) Error() string {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, "%s cannot be sent", e.Path)
@@ -99,11 +99,11 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// rejectionExitCode returns the exit code for the answer of a process that rejected a request.
+// rejectionExitCode returns the exit code for a rejected request.
 func rejectionExitCode(rejection *apiclient.RejectedError) int {
 	switch rejection.Status {
 	case http.StatusUnauthorized, http.StatusForbidden:
-		// An order with a wrong signature is rejected for its content.
+		// An invalid signature is a fault of the order's content, not of the operator's token.
 		if rejection.Detail.Code == "bad_signature" {
 			return ExitRejected
 		}
@@ -130,13 +130,13 @@
 	return fmt.Sprintf("bundle %d has the digest %s, not %s; it was not signed", e.Version, e.Actual, e.Expected)
 }
 
-// NotFoundError reports that no process knows what was named.
+// NotFoundError reports that no process has the named object.
 type NotFoundError struct {
-	What string
+	Subject string
 }
 
 // Error names what was not found.
-func (e *NotFoundError) Error() string { return e.What + " was not found" }
+func (e *NotFoundError) Error() string { return e.Subject + " was not found" }
 
 // NotTracedError reports that a training step does not trace to a single version of the weights.
 type NotTracedError struct {
@@ -149,13 +149,13 @@
 	return fmt.Sprintf("training step %s does not trace to a single version: %s", e.Step, e.Reason)
 }
 
-// WaitError reports that a change did not complete in time; it continues without the client.
+// WaitError reports that a change did not complete in time; the cluster continues it without the client.
 type WaitError struct {
-	What  string
-	State string
+	Subject string
+	State   string
 }
 
-// Error names what changes and its state.
+// Error names the object that changes and its state.
 func (e *WaitError) Error() string {
-	return fmt.Sprintf("%s did not end in time (%s); it goes on", e.What, e.State)
+	return fmt.Sprintf("%s did not end in time (%s); it goes on", e.Subject, e.State)
 }
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -20,23 +20,23 @@
 			"Without --front the front nodes are taken from the core.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
-			answer, err := c.queryFronts(command.Context(), frontQuery{
+			response, err := c.queryFronts(command.Context(), frontQuery{
 				path:    explainPath + url.PathEscape(arguments[0]),
 				subject: "request " + arguments[0],
 			})
 			if err != nil {
 				return err
 			}
-			return c.print(answer, func(writer io.Writer) error { return renderExplanations(writer, answer) })
+			return c.print(response, func(writer io.Writer) error { return renderExplanations(writer, response) })
 		},
 	}
 	c.addFrontFlag(command)
 	return command
 }
 
-func renderExplanations(writer io.Writer, answer []byte) error {
+func renderExplanations(writer io.Writer, response []byte) error {
 	explained := &protocol.ExplainResponse{}
-	if err := decodeProto(answer, explained); err != nil {
+	if err := decodeProto(response, explained); err != nil {
 		return err
 	}
 	for _, explanation := range explained.GetExplanations() {
--- a/internal/operator/fake_process_test.go
+++ b/internal/operator/fake_process_test.go
@@ -9,19 +9,19 @@
 	"sync"
 )
 
-// receivedRequest is one request as a fake process received it.
+// receivedRequest records one request to a fake process.
 type receivedRequest struct {
 	method, path, order, authorization, body string
 }
 
-// fakeProcess is a core process or front node that answers from a script.
+// fakeProcess is an HTTP server that stands in for a core process or front node and records its requests.
 type fakeProcess struct {
 	server  *httptest.Server
 	address string
 
 	mutex    sync.Mutex
 	requests []receivedRequest
-	answer   func(writer http.ResponseWriter, request *http.Request, body string)
+	respond  func(writer http.ResponseWriter, request *http.Request, body string)
 }
 
 func newFakeProcess() *fakeProcess {
@@ -39,7 +39,7 @@
 		authorization: request.Header.Get("Authorization"), body: string(body),
 	})
 	f.mutex.Unlock()
-	f.answer(writer, request, string(body))
+	f.respond(writer, request, string(body))
 }
 
 func (f *fakeProcess) received() []receivedRequest {
@@ -48,17 +48,17 @@
 	return append([]receivedRequest(nil), f.requests...)
 }
 
-// always answers every request in the same way.
-func (f *fakeProcess) always(status int, body string) {
-	f.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
+// respondAlways sends the same response to every request.
+func (f *fakeProcess) respondAlways(status int, body string) {
+	f.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) {
 		writer.WriteHeader(status)
 		_, _ = io.WriteString(writer, body)
 	}
 }
 
-// sendTo answers every request but those for the core's members with a redirect.
-func (f *fakeProcess) sendTo(other string, members ...string) {
-	f.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
+// redirectTo redirects every request except those for the core's status, which lists the members.
+func (f *fakeProcess) redirectTo(other string, members ...string) {
+	f.respond = func(writer http.ResponseWriter, request *http.Request, _ string) {
 		if request.URL.Path == "/v1/core" {
 			listed := make([]string, len(members))
 			for i, member := range members {
@@ -72,15 +72,15 @@
 	}
 }
 
-// loseAnswer ends the connection without an answer.
-func loseAnswer(writer http.ResponseWriter) {
+// dropConnection closes the connection without a response.
+func dropConnection(writer http.ResponseWriter) {
 	connection, _, err := writer.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = connection.Close()
 	}
 }
 
-// rejectionBody is the body of a failure whose request was not run.
+// rejectionBody returns the body of a failure whose request was not run.
 func rejectionBody(code string) string {
 	return fmt.Sprintf(`{"error":{"code":%q,"message":"because","outcome":"not_run"}}`, code)
 }
--- a/internal/operator/fronts.go
+++ b/internal/operator/fronts.go
@@ -17,7 +17,7 @@
 // frontQuery is a read that any front node can answer.
 type frontQuery struct {
 	path string
-	// subject names in errors what is read.
+	// subject names the requested object in errors.
 	subject string
 }
 
@@ -25,7 +25,8 @@
 	command.Flags().StringSliceVar(&c.fronts, "front", nil, "HTTP addresses (IP:port) of front nodes, tried in turn")
 }
 
-// frontAddresses returns those of the command line or the environment, or else those that the core lists.
+// frontAddresses returns the addresses set by flag or environment, or else those of the front nodes that the
+// core lists and that are not draining.
 func (c *commandLine) frontAddresses(ctx context.Context) ([]string, error) {
 	if len(c.fronts) == 0 {
 		c.fronts = splitList(c.environment.LookupEnvironment(frontVariable))
@@ -33,12 +34,12 @@
 	if len(c.fronts) > 0 {
 		return c.fronts, checkAddresses("--front", c.fronts)
 	}
-	answer, err := c.get(ctx, nodesPath)
+	response, err := c.get(ctx, nodesPath)
 	if err != nil {
 		return nil, err
 	}
 	listed := &nodesResponse{}
-	if err := decode(answer, listed); err != nil {
+	if err := decode(response, listed); err != nil {
 		return nil, err
 	}
 	nodes, err := decodeList[protocol.Node](listed.Nodes)
@@ -52,35 +53,35 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, &NotFoundError{What: "a front node under a lease"}
+		return nil, &NotFoundError{Subject: "a front node under a lease"}
 	}
 	return addresses, nil
 }
 
-// queryFronts queries one front node after the other until one knows the answer. The token is not sent to them.
+// queryFronts queries the front nodes in turn until one returns a result. The token is not sent to them.
 func (c *commandLine) queryFronts(ctx context.Context, query frontQuery) ([]byte, error) {
 	fronts, err := c.frontAddresses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var last error
-	missing := false
+	var lastErr error
+	notFound := false
 	for _, address := range fronts[:min(len(fronts), maxQueriedFronts)] {
-		answer, err := c.queryFront(ctx, address, query.path)
+		response, err := c.queryFront(ctx, address, query.path)
 		var rejection *apiclient.RejectedError
 		switch {
 		case err == nil:
-			return answer, nil
+			return response, nil
 		case errors.As(err, &rejection) && rejection.Status == http.StatusNotFound:
-			missing = true
+			notFound = true
 		default:
-			last = err
+			lastErr = err
 		}
 	}
-	if missing {
-		return nil, &NotFoundError{What: query.subject}
+	if notFound {
+		return nil, &NotFoundError{Subject: query.subject}
 	}
-	return nil, &apiclient.UnreachableError{Addresses: fronts, Last: last}
+	return nil, &apiclient.UnreachableError{Addresses: fronts, Last: lastErr}
 }
 
 func (c *commandLine) queryFront(ctx context.Context, address, path string) ([]byte, error) {
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -13,7 +13,7 @@
 
 const keyFileMode = 0o600
 
-// KeyFileError reports that a file has no sign-off key. It never shows the content.
+// KeyFileError reports that a file does not contain a sign-off key. Its text never includes the content.
 type KeyFileError struct {
 	Path string
 }
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s holds no ed25519 seed of %d bytes in hex", e.Path, ed25519.SeedSize)
 }
 
-// generateKey writes a new key to a file that must not exist and returns its public half in hex.
+// generateKey writes a new private key to a file that must not exist and returns the public key in hex.
 func generateKey(path string) (string, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
--- a/internal/operator/nodes.go
+++ b/internal/operator/nodes.go
@@ -28,9 +28,9 @@
 	}
 }
 
-func renderNodes(writer io.Writer, answer []byte) error {
+func renderNodes(writer io.Writer, response []byte) error {
 	listed := &nodesResponse{}
-	if err := decode(answer, listed); err != nil {
+	if err := decode(response, listed); err != nil {
 		return err
 	}
 	nodes, err := decodeList[protocol.Node](listed.Nodes)
@@ -49,7 +49,7 @@
 		lease := leases[node.GetName()]
 		rows.add(node.GetName(), strings.ToLower(node.GetKind().String()), node.GetZone(), node.GetRegion(),
 			node.GetAddress(), node.GetHttpAddress(), lease.MillisLeft,
-			lease.InForce.Configuration, lease.InForce.BackEnds, lease.InForce.Placement, node.GetDraining())
+			lease.Active.Configuration, lease.Active.BackEnds, lease.Active.Placement, node.GetDraining())
 	}
 	return rows.print(writer)
 }
@@ -72,9 +72,9 @@
 	return c.show(command.Context(), backEndsPath, renderBackEnds)
 }
 
-func renderBackEnds(writer io.Writer, answer []byte) error {
+func renderBackEnds(writer io.Writer, response []byte) error {
 	view := &protocol.BackEndView{}
-	if err := decodeProto(answer, view); err != nil {
+	if err := decodeProto(response, view); err != nil {
 		return err
 	}
 	rows := newGrid("id", "kind", "state", "address", "zone", "region", "group", "serves", "capacity", "incarnation")
@@ -98,17 +98,17 @@
 			if err != nil {
 				return err
 			}
-			answer, err := c.order(
+			response, err := c.order(
 				command.Context(), http.MethodPost, backEndsPath+"/"+url.PathEscape(arguments[0])+"/drain", body,
 			)
 			if err != nil {
 				return err
 			}
 			drained := &drainResponse{}
-			if err := decode(answer, drained); err != nil {
+			if err := decode(response, drained); err != nil {
 				return err
 			}
-			return c.printDone(answer, "back end %s is drained in view %d\n", arguments[0], drained.ViewVersion)
+			return c.printDone(response, "back end %s is drained in view %d\n", arguments[0], drained.ViewVersion)
 		},
 	}
 	command.Flags().Uint64Var(&incarnation, "incarnation", 0, "incarnation to drain; the present one when absent")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -33,33 +33,33 @@
 var _ = Describe("the operators' client", func() {
 	var (
 		leader, follower *fakeProcess
-		output, faults   *bytes.Buffer
+		output, stderr   *bytes.Buffer
 		folder           string
 		variables        map[string]string
 		sleeps           int
 	)
 
 	BeforeEach(func() {
-		known := goleak.IgnoreCurrent()
-		DeferCleanup(func() { Eventually(func() error { return goleak.Find(known) }).Should(Succeed()) })
+		existing := goleak.IgnoreCurrent()
+		DeferCleanup(func() { Eventually(func() error { return goleak.Find(existing) }).Should(Succeed()) })
 		leader, follower = newFakeProcess(), newFakeProcess()
 		DeferCleanup(leader.server.Close)
 		DeferCleanup(follower.server.Close)
-		leader.always(http.StatusOK, acceptedBody)
-		output, faults = &bytes.Buffer{}, &bytes.Buffer{}
+		leader.respondAlways(http.StatusOK, acceptedBody)
+		output, stderr = &bytes.Buffer{}, &bytes.Buffer{}
 		folder = GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(folder, "token"), []byte(token+"\n"), 0o600)).To(Succeed())
 		variables = map[string]string{"ROSESTAND_TOKEN_FILE": filepath.Join(folder, "token")}
 		sleeps = 0
 	})
 
-	// run runs a command with its core addresses and ends its waiting after three sleeps.
+	// run executes a command with the core addresses; its fourth sleep fails as if the timeout had elapsed.
 	run := func(cores []string, arguments ...string) int {
 		output.Reset()
-		faults.Reset()
+		stderr.Reset()
 		return operator.Execute(context.Background(), operator.Environment{
 			Arguments: append([]string{"--core", strings.Join(cores, ",")}, arguments...),
-			Input:     strings.NewReader(""), Output: output, Errors: faults,
+			Input:     strings.NewReader(""), Output: output, Errors: stderr,
 			LookupEnvironment: func(name string) string { return variables[name] },
 			Sleep: func(context.Context, time.Duration) error {
 				if sleeps++; sleeps > 3 {
@@ -70,7 +70,7 @@
 		})
 	}
 
-	file := func(name, content string) string {
+	writeFile := func(name, content string) string {
 		path := filepath.Join(folder, name)
 		Expect(os.WriteFile(path, []byte(content), 0o600)).To(Succeed())
 		return path
@@ -80,9 +80,10 @@
 		It("delivers a bundle under an order id with the token", func() {
 			Expect(
 				run(
-					[]string{leader.address}, "bundle", "put", file("b.json", `{"version": 4, "base_version": 3, "partial": true}`),
+					[]string{leader.address}, "bundle", "put",
+					writeFile("b.json", `{"version": 4, "base_version": 3, "partial": true}`),
 				),
-			).To(Equal(operator.ExitDone), faults.String())
+			).To(Equal(operator.ExitDone), stderr.String())
 			request := leader.received()[0]
 			Expect(request.method + " " + request.path).To(Equal("PUT /v1/bundles/4"))
 			Expect(request.authorization).To(Equal("Bearer " + token))
@@ -92,21 +93,21 @@
 		})
 
 		It("releases a bundle on the base of the file or of the flag", func() {
-			document := file("b.json", `{"version": 9, "base_version": 7, "partial": true}`)
-			Expect(run([]string{leader.address}, "bundle", "release", document)).To(Equal(operator.ExitDone), faults.String())
+			document := writeFile("b.json", `{"version": 9, "base_version": 7, "partial": true}`)
+			Expect(run([]string{leader.address}, "bundle", "release", document)).To(Equal(operator.ExitDone), stderr.String())
 			Expect(output.String()).To(ContainSubstring("bundle 9 is in force"))
 			Expect(
 				run([]string{leader.address}, "bundle", "release", document, "--base", "8", "--number", "10"),
-			).To(Equal(operator.ExitDone), faults.String())
+			).To(Equal(operator.ExitDone), stderr.String())
 			requests := leader.received()
 			Expect(requests[0].method + " " + requests[0].path).To(Equal("PUT /v1/releases/9?base=7"))
 			Expect(requests[0].body).To(MatchJSON(`{"version":"9","base_version":"7","partial":true}`))
 			Expect(requests[1].path).To(Equal("/v1/releases/10?base=8"))
 			Expect(requests[1].body).To(MatchJSON(`{"version":"10","base_version":"8","partial":true}`))
-			Expect(run([]string{leader.address}, "bundle", "release", file("c.json", `{}`))).To(Equal(operator.ExitUsage))
+			Expect(run([]string{leader.address}, "bundle", "release", writeFile("c.json", `{}`))).To(Equal(operator.ExitUsage))
 		})
 
-		It("gives every order an id of its own, or the requested one", func() {
+		It("sends every order under a new id, or under the requested one", func() {
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
 			Expect(run([]string{leader.address}, "stores", "retire", "store-1", "--order", "mine")).To(Equal(operator.ExitDone))
@@ -118,7 +119,7 @@
 
 		DescribeTable("sends each order to its route",
 			func(want, wantBody string, arguments ...string) {
-				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), faults.String())
+				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), stderr.String())
 				request := leader.received()[0]
 				Expect(request.method + " " + request.path).To(Equal(want))
 				Expect(request.order).NotTo(BeEmpty())
@@ -151,7 +152,7 @@
 			keyFile = filepath.Join(folder, "alice.key")
 			Expect(
 				run(nil, "bundle", "keygen", "--key-name", "alice", "--key-file", keyFile),
-			).To(Equal(operator.ExitDone), faults.String())
+			).To(Equal(operator.ExitDone), stderr.String())
 			public = strings.TrimSpace(strings.TrimPrefix(output.String(), "alice:"))
 		})
 
@@ -161,7 +162,7 @@
 			change(status)
 			document, err := strictjson.Marshal(merged)
 			Expect(err).NotTo(HaveOccurred())
-			leader.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
+			leader.respond = func(writer http.ResponseWriter, request *http.Request, _ string) {
 				if request.Method == http.MethodGet {
 					_, _ = fmt.Fprintf(
 						writer, `{"status":{"version":"6","merged_digest":%q},"bundle":%s}`, status.GetMergedDigest(), document,
@@ -173,12 +174,12 @@
 			return status.GetMergedDigest()
 		}
 
-		It("signs the merged digest so that the public half verifies it, and shows it", func() {
+		It("signs the merged digest so that the public key verifies it, and prints the digest", func() {
 			digest := serveBundle(func(*protocol.BundleStatus) {})
 			Expect(
 				run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile, "--share", "10"),
-			).To(Equal(operator.ExitDone), faults.String())
-			Expect(faults.String()).To(ContainSubstring(digest))
+			).To(Equal(operator.ExitDone), stderr.String())
+			Expect(stderr.String()).To(ContainSubstring(digest))
 			request := leader.received()[1]
 			Expect(request.path).To(Equal("/v1/bundles/6/sign"))
 			var sent struct {
@@ -192,7 +193,7 @@
 			Expect(sent.Rollout.ShareBasisPoints).To(BeEquivalentTo(1000))
 		})
 
-		It("does not sign a digest that the content does not have", func() {
+		It("does not sign a digest that does not match the content", func() {
 			serveBundle(func(status *protocol.BundleStatus) { status.MergedDigest = strings.Repeat("0", 64) })
 			Expect(
 				run([]string{leader.address}, "bundle", "sign", "6", "--key-name", "alice", "--key-file", keyFile),
@@ -200,7 +201,7 @@
 			Expect(leader.received()).To(HaveLen(1))
 		})
 
-		It("does not sign another digest than the operator expects", func() {
+		It("does not sign a digest other than the one the operator expects", func() {
 			serveBundle(func(*protocol.BundleStatus) {})
 			Expect(
 				run(
@@ -210,7 +211,7 @@
 			Expect(leader.received()).To(HaveLen(1))
 		})
 
-		It("makes the private half readable for the owner of the file only and never overwrites it", func() {
+		It("makes the private key readable only by the owner of the file and never overwrites it", func() {
 			status, err := os.Stat(keyFile)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status.Mode().Perm()).To(BeEquivalentTo(0o600))
@@ -224,37 +225,37 @@
 		})
 	})
 
-	Describe("given answers that get lost", func() {
-		It("sends the same order again until it is acknowledged", func() {
+	Describe("given lost responses", func() {
+		It("resends an order under the same id until it is acknowledged", func() {
 			lost := 0
-			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
+			leader.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) {
 				if lost++; lost <= 2 {
-					loseAnswer(writer)
+					dropConnection(writer)
 					return
 				}
 				_, _ = io.WriteString(writer, acceptedBody)
 			}
-			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), faults.String())
+			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), stderr.String())
 			requests := leader.received()
 			Expect(requests).To(HaveLen(3))
 			Expect(requests[1].order).To(Equal(requests[0].order))
 			Expect(requests[2].order).To(Equal(requests[0].order))
 		})
 
-		It("says that the outcome is unknown and names the order when no answer ever comes", func() {
-			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) { loseAnswer(writer) }
+		It("reports an unknown outcome with the order id when no response ever arrives", func() {
+			leader.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) { dropConnection(writer) }
 			Expect(
 				run([]string{leader.address}, "stores", "empty", "store-1", "--order", "order-77"),
 			).To(Equal(operator.ExitUnknown))
-			Expect(faults.String()).To(ContainSubstring("--order order-77"))
+			Expect(stderr.String()).To(ContainSubstring("--order order-77"))
 		})
 
-		It("reports an unknown outcome when the answers after a lost one only report that there is no leader", func() {
+		It("reports an unknown outcome when the responses after a lost one only report that there is no leader", func() {
 			first := true
-			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
+			leader.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) {
 				if first {
 					first = false
-					loseAnswer(writer)
+					dropConnection(writer)
 					return
 				}
 				writer.WriteHeader(http.StatusServiceUnavailable)
@@ -263,8 +264,8 @@
 			Expect(run([]string{leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitUnknown))
 		})
 
-		It("reports a lost read as unreachable, since it changes nothing", func() {
-			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) { loseAnswer(writer) }
+		It("reports a read without a response as unreachable, since a read changes nothing", func() {
+			leader.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) { dropConnection(writer) }
 			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitUnreachable))
 		})
 	})
@@ -273,7 +274,7 @@
 		It("tries the next address when one is down", func() {
 			Expect(
 				run([]string{unusedAddress(), leader.address}, "stores", "empty", "store-1"),
-			).To(Equal(operator.ExitDone), faults.String())
+			).To(Equal(operator.ExitDone), stderr.String())
 		})
 
 		It("reports that nothing was run when all are down", func() {
@@ -281,27 +282,27 @@
 		})
 
 		It("follows a redirect to a known leader with the same order and token", func() {
-			follower.sendTo(leader.address)
+			follower.redirectTo(leader.address)
 			Expect(run([]string{follower.address, leader.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone))
 			Expect(leader.received()[0].order).To(Equal(follower.received()[0].order))
 			Expect(leader.received()[0].authorization).To(Equal("Bearer " + token))
 		})
 
-		It("follows to a leader that the follower lists as a member", func() {
-			follower.sendTo(leader.address, leader.address)
-			Expect(run([]string{follower.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), faults.String())
+		It("follows a redirect to a leader that the follower lists as a member", func() {
+			follower.redirectTo(leader.address, leader.address)
+			Expect(run([]string{follower.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitDone), stderr.String())
 			Expect(leader.received()).To(HaveLen(1))
 		})
 
 		It("sends nothing to an address outside the cluster", func() {
-			follower.sendTo(leader.address, "127.0.0.1:1")
+			follower.redirectTo(leader.address, "127.0.0.1:1")
 			Expect(run([]string{follower.address}, "stores", "empty", "store-1")).To(Equal(operator.ExitFailure))
 			Expect(leader.received()).To(BeEmpty())
 		})
 
-		It("sleeps for a leader while there is none", func() {
+		It("retries while there is no leader", func() {
 			attempts := 0
-			leader.answer = func(writer http.ResponseWriter, _ *http.Request, _ string) {
+			leader.respond = func(writer http.ResponseWriter, _ *http.Request, _ string) {
 				if attempts++; attempts < 3 {
 					writer.WriteHeader(http.StatusServiceUnavailable)
 					_, _ = io.WriteString(writer, rejectionBody("no_leader"))
@@ -317,8 +318,8 @@
 	Describe("given rejections", func() {
 		DescribeTable("exits with the code of the reason after one request",
 			func(status int, body string, want int) {
-				leader.always(status, body)
-				Expect(run([]string{leader.address}, "stores", "retire", "store-1")).To(Equal(want), faults.String())
+				leader.respondAlways(status, body)
+				Expect(run([]string{leader.address}, "stores", "retire", "store-1")).To(Equal(want), stderr.String())
 				Expect(leader.received()).To(HaveLen(1))
 			},
 			Entry("a taken version", http.StatusConflict, rejectionBody("version_taken"), operator.ExitRejected),
@@ -331,28 +332,28 @@
 		)
 
 		It("lists every fault with its path, and the winner", func() {
-			leader.always(http.StatusConflict, `{"error":{"code":"version_taken","message":"taken","outcome":"not_run",
+			leader.respondAlways(http.StatusConflict, `{"error":{"code":"version_taken","message":"taken","outcome":"not_run",
 				"faults":[{"path":"routes[2].group","message":"is missing"}],"winner":{"version":"4"}}}`)
 			Expect(
-				run([]string{leader.address}, "bundle", "put", file("b.json", `{"version":4}`)),
+				run([]string{leader.address}, "bundle", "put", writeFile("b.json", `{"version":4}`)),
 			).To(Equal(operator.ExitRejected))
-			Expect(faults.String()).To(And(ContainSubstring("routes[2].group: is missing"), ContainSubstring(`{"version":"4"}`)))
+			Expect(stderr.String()).To(And(ContainSubstring("routes[2].group: is missing"), ContainSubstring(`{"version":"4"}`)))
 		})
 	})
 
-	Describe("given wrong use", func() {
+	Describe("given invalid usage", func() {
 		DescribeTable("exits with 2 and sends nothing",
 			func(arguments ...string) {
-				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitUsage), faults.String())
+				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitUsage), stderr.String())
 				Expect(leader.received()).To(BeEmpty())
 			},
 			Entry("an unknown command", "nonsense"),
 			Entry("an unknown command of a group", "bundle", "nonsense"),
 			Entry("an unknown flag", "nodes", "--nonsense"),
 			Entry("a missing argument", "bundle", "put"),
-			Entry("an output that does not exist", "nodes", "--output", "xml"),
+			Entry("an unknown output format", "nodes", "--output", "xml"),
 			Entry("a name in place of an IP", "nodes", "--core", "localhost:80"),
-			Entry("no version", "bundle", "promote", "soon"),
+			Entry("an invalid version", "bundle", "promote", "soon"),
 			Entry("a missing key", "bundle", "sign", "3"),
 			Entry("a share over 100", "bundle", "rollout", "3", "--share", "101"),
 		)
@@ -361,19 +362,19 @@
 			Expect(
 				run(
 					[]string{leader.address}, "bundle", "put",
-					file("b.json", `{"version": 1, "nonsense": 1, "routes": [{"nam": ""}]}`),
+					writeFile("b.json", `{"version": 1, "nonsense": 1, "routes": [{"nam": ""}]}`),
 				),
 			).To(Equal(operator.ExitUsage))
-			Expect(faults.String()).To(
+			Expect(stderr.String()).To(
 				And(ContainSubstring("nonsense: unknown field"), ContainSubstring("routes[0].nam: unknown field")),
 			)
 			Expect(leader.received()).To(BeEmpty())
 		})
 
-		It("never writes the token anywhere", func() {
-			leader.always(http.StatusUnauthorized, rejectionBody("unauthorized"))
+		It("never prints the token", func() {
+			leader.respondAlways(http.StatusUnauthorized, rejectionBody("unauthorized"))
 			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitUnauthorized))
-			Expect(output.String() + faults.String()).NotTo(ContainSubstring(token))
+			Expect(output.String() + stderr.String()).NotTo(ContainSubstring(token))
 		})
 	})
 
@@ -382,8 +383,8 @@
 			body := `{"version":"3","nodes":[{"name":"front-1","kind":"FRONT","zone":"z1"}],` +
 				`"leases":[{"name":"front-1","millis_left":4200,"in_force":{"configuration":9}}]}`
 			body = strings.Replace(body, `"version":"3"`, `"version":3`, 1)
-			leader.always(http.StatusOK, body)
-			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitDone), faults.String())
+			leader.respondAlways(http.StatusOK, body)
+			Expect(run([]string{leader.address}, "nodes")).To(Equal(operator.ExitDone), stderr.String())
 			Expect(output.String()).To(MatchRegexp(`front-1\s+front\s+z1.*4200\s+9`))
 			Expect(run([]string{leader.address}, "nodes", "-o", "json")).To(Equal(operator.ExitDone))
 			Expect(output.String()).To(MatchJSON(body))
@@ -391,8 +392,8 @@
 
 		DescribeTable("renders",
 			func(body, want string, arguments ...string) {
-				leader.always(http.StatusOK, body)
-				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), faults.String())
+				leader.respondAlways(http.StatusOK, body)
+				Expect(run([]string{leader.address}, arguments...)).To(Equal(operator.ExitDone), stderr.String())
 				Expect(output.String()).To(MatchRegexp(want))
 			},
 			Entry("bundles", `{"newest":2,"active":1,"bundles":[{"version":"2","state":"ACCEPTED"},`+
@@ -421,9 +422,9 @@
 				`(?s)core-2 +2 +voter.*leads.*core-3 +3 +standby`, "core", "status"),
 		)
 
-		It("sleeps until a store is emptied", func() {
+		It("waits until a store is emptied", func() {
 			shards := 3
-			leader.answer = func(writer http.ResponseWriter, request *http.Request, _ string) {
+			leader.respond = func(writer http.ResponseWriter, request *http.Request, _ string) {
 				if request.Method == http.MethodPost {
 					_, _ = io.WriteString(writer, acceptedBody)
 					return
@@ -436,7 +437,7 @@
 			}
 			Expect(
 				run([]string{leader.address}, "stores", "empty", "store-1", "--wait"),
-			).To(Equal(operator.ExitDone), faults.String())
+			).To(Equal(operator.ExitDone), stderr.String())
 			Expect(output.String()).To(ContainSubstring("store store-1 is emptied"))
 			Expect(sleeps).To(Equal(2))
 		})
@@ -444,12 +445,13 @@
 		It("explains a request through the front nodes that the core lists, without sending them the token", func() {
 			front := newFakeProcess()
 			defer front.server.Close()
-			front.always(http.StatusOK, `{"explanations":[{"request_id":"r 1","node":"front-1","owner":"front-2","epoch":"3",
+			front.respondAlways(http.StatusOK,
+				`{"explanations":[{"request_id":"r 1","node":"front-1","owner":"front-2","epoch":"3",
 				"candidates":[{"back_end":"gpu-1","score":0.5},{"back_end":"gpu-2","score":2,"reason":"over the load bound"}],
 				"steps":[{"at_micros":"1500","what":"lookup"}]}]}`)
-			leader.always(http.StatusOK, fmt.Sprintf(`{"nodes":[{"name":"front-0","kind":"FRONT","http_address":%q},
+			leader.respondAlways(http.StatusOK, fmt.Sprintf(`{"nodes":[{"name":"front-0","kind":"FRONT","http_address":%q},
 				{"name":"front-1","kind":"FRONT","http_address":%q}]}`, unusedAddress(), front.address))
-			Expect(run([]string{leader.address}, "explain", "r 1")).To(Equal(operator.ExitDone), faults.String())
+			Expect(run([]string{leader.address}, "explain", "r 1")).To(Equal(operator.ExitDone), stderr.String())
 			Expect(front.received()[0].path).To(Equal("/v1/explain/r%201"))
 			Expect(front.received()[0].authorization).To(BeEmpty())
 			Expect(output.String()).To(
@@ -457,12 +459,12 @@
 			)
 		})
 
-		It("reports when no front node knows a request", func() {
-			leader.always(http.StatusNotFound, rejectionBody("not_found"))
+		It("exits as not found when no front node has the request", func() {
+			leader.respondAlways(http.StatusNotFound, rejectionBody("not_found"))
 			Expect(run(nil, "explain", "gone", "--front", leader.address)).To(Equal(operator.ExitNotFound))
 		})
 
-		It("prints a default bundle that it would accept", func() {
+		It("prints a default bundle that passes validation", func() {
 			Expect(run(nil, "bundle", "default", "--number", "3")).To(Equal(operator.ExitDone))
 			parsed, err := bundle.Parse(output.Bytes())
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -14,7 +14,7 @@
 	outputJSON  = "json"
 )
 
-// printJSON prints a JSON document, indented but otherwise unchanged.
+// printJSON prints a JSON document with indentation, otherwise unchanged.
 func printJSON(writer io.Writer, document []byte) error {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, bytes.TrimSpace(document), "", "  "); err != nil {
--- a/internal/operator/releases.go
+++ b/internal/operator/releases.go
@@ -13,7 +13,7 @@
 
 const releasesPath = "/v1/releases/"
 
-// bundleReleaseCommand puts a bundle in force without a sign-off, at a core that trusts its operators.
+// bundleReleaseCommand activates a bundle without a sign-off, at a core that trusts its operators.
 func (c *commandLine) bundleReleaseCommand() *cobra.Command {
 	var number, base uint64
 	command := &cobra.Command{
@@ -45,9 +45,9 @@
 		return err
 	}
 	version := strconv.FormatUint(parsed.GetVersion(), 10)
-	answer, err := c.order(ctx, http.MethodPut, releasesPath+version+"?base="+strconv.FormatUint(base, 10), body)
+	response, err := c.order(ctx, http.MethodPut, releasesPath+version+"?base="+strconv.FormatUint(base, 10), body)
 	if err != nil {
 		return err
 	}
-	return c.printResult(answer, fmt.Sprintf("bundle %s is in force", version))
+	return c.printResult(response, fmt.Sprintf("bundle %s is in force", version))
 }
--- a/internal/operator/responses.go
+++ b/internal/operator/responses.go
@@ -11,7 +11,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// ResponseError reports that an answer could not be decoded.
+// ResponseError reports that a response could not be decoded.
 type ResponseError struct {
 	Cause error
 }
@@ -36,7 +36,7 @@
 	Bundle json.RawMessage `json:"bundle"`
 }
 
-// rolloutResponse is the roll-out in progress with the measurements of its variants.
+// rolloutResponse is the roll-out in progress and the metrics of its variants.
 type rolloutResponse struct {
 	Active   uint64            `json:"active"`
 	Rollout  json.RawMessage   `json:"rollout"`
@@ -53,7 +53,7 @@
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	MillisLeft  int64  `json:"millis_left"`
-	InForce     struct {
+	Active      struct {
 		Configuration uint64 `json:"configuration"`
 		Membership    uint64 `json:"membership"`
 		BackEnds      uint64 `json:"back_ends"`
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// decodeProto decodes a message; it ignores fields of newer servers.
+// decodeProto decodes a message; it ignores unknown fields, which newer servers may send.
 func decodeProto(body []byte, message proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, message); err != nil {
 		return &ResponseError{Cause: err}
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -22,7 +22,7 @@
 	firstTokenQuantile    = 0.95
 )
 
-// rolloutFlags describe a roll-out on the command line.
+// rolloutFlags holds the flags that describe a roll-out.
 type rolloutFlags struct {
 	sharePercent     float64
 	shadow           bool
@@ -104,7 +104,8 @@
 	return c.candidateCommand("withdraw VERSION", "take the candidate back", "/withdraw", "was withdrawn")
 }
 
-// candidateCommand names the candidate's version, so that a late order cannot hit the next candidate.
+// candidateCommand returns a command that sends an order about the candidate. The order names the candidate's
+// version, so that a delayed order cannot affect the next candidate.
 func (c *commandLine) candidateCommand(use, short, path, done string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -128,36 +129,36 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.order(ctx, method, path, body)
+	response, err := c.order(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
-	return c.printResult(answer, done)
+	return c.printResult(response, done)
 }
 
 func (c *commandLine) showRollout(ctx context.Context) error {
 	return c.show(ctx, rolloutPath, renderRollout)
 }
 
-func renderRollout(writer io.Writer, answer []byte) error {
-	response := &rolloutResponse{}
-	if err := decode(answer, response); err != nil {
+func renderRollout(writer io.Writer, response []byte) error {
+	current := &rolloutResponse{}
+	if err := decode(response, current); err != nil {
 		return err
 	}
-	if len(response.Rollout) == 0 {
-		_, err := fmt.Fprintf(writer, "no roll-out is under way; bundle %d is in force\n", response.Active)
+	if len(current.Rollout) == 0 {
+		_, err := fmt.Fprintf(writer, "no roll-out is under way; bundle %d is in force\n", current.Active)
 		return err
 	}
 	rollout := &protocol.Rollout{}
-	if err := decodeProto(response.Rollout, rollout); err != nil {
+	if err := decodeProto(current.Rollout, rollout); err != nil {
 		return err
 	}
-	variants, err := decodeList[protocol.ArmSample](response.Variants)
+	variants, err := decodeList[protocol.ArmSample](current.Variants)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(writer, "bundle %d beside %d, %g%% of programs, shadow %t\n",
-		rollout.GetCandidateVersion(), response.Active, float64(
+		rollout.GetCandidateVersion(), current.Active, float64(
 			rollout.GetShareBasisPoints(),
 		)/basisPointsPerPercent, rollout.GetShadow())
 	if err != nil {
--- a/internal/operator/signing.go
+++ b/internal/operator/signing.go
@@ -14,7 +14,7 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// signFlags are those of bundle sign.
+// signFlags holds the flags of bundle sign.
 type signFlags struct {
 	keyName string
 	keyFile string
@@ -53,7 +53,7 @@
 	return command
 }
 
-// signBundle fetches the digest of the merged bundle, shows it and signs it.
+// signBundle fetches the digest of the merged bundle, prints it and signs it.
 func (c *commandLine) signBundle(
 	ctx context.Context, number uint64, options *signFlags, rollout *protocol.Rollout,
 ) error {
@@ -62,11 +62,11 @@
 		return err
 	}
 	version := strconv.FormatUint(number, 10)
-	answer, err := c.get(ctx, bundlePath(version))
+	response, err := c.get(ctx, bundlePath(version))
 	if err != nil {
 		return err
 	}
-	digest, err := digestToSign(answer, number, options.digest)
+	digest, err := digestToSign(response, number, options.digest)
 	if err != nil {
 		return err
 	}
@@ -77,28 +77,28 @@
 	if err != nil {
 		return err
 	}
-	answer, err = c.order(ctx, http.MethodPost, bundlePath(version)+"/sign", body)
+	response, err = c.order(ctx, http.MethodPost, bundlePath(version)+"/sign", body)
 	if err != nil {
 		return err
 	}
-	return c.printResult(answer, fmt.Sprintf("bundle %d was signed off", number))
+	return c.printResult(response, fmt.Sprintf("bundle %d was signed off", number))
 }
 
-// digestToSign returns the merged digest in the answer. It also computes the digest
-// of the content, so that a process cannot have something else signed. The error
-// is a *DigestError or a *ResponseError.
-func digestToSign(answer []byte, number uint64, expected string) (string, error) {
-	response := &bundleResponse{}
-	if err := decode(answer, response); err != nil {
+// digestToSign returns the merged digest in the response. It verifies the digest
+// against the content, if that is present, so that a process cannot obtain a
+// signature of other content. The error is a *DigestError or a *ResponseError.
+func digestToSign(response []byte, number uint64, expected string) (string, error) {
+	fetched := &bundleResponse{}
+	if err := decode(response, fetched); err != nil {
 		return "", err
 	}
 	status := &protocol.BundleStatus{}
-	if err := decodeProto(response.Status, status); err != nil {
+	if err := decodeProto(fetched.Status, status); err != nil {
 		return "", err
 	}
 	digest := status.GetMergedDigest()
-	if len(response.Bundle) > 0 {
-		merged, err := bundle.Parse(response.Bundle)
+	if len(fetched.Bundle) > 0 {
+		merged, err := bundle.Parse(fetched.Bundle)
 		if err != nil {
 			return "", &ResponseError{Cause: err}
 		}
--- a/internal/operator/steps.go
+++ b/internal/operator/steps.go
@@ -33,32 +33,32 @@
 			if step == "" || len(step) > ledger.MaxTrainingStepBytes {
 				return &UsageError{Reason: fmt.Sprintf("STEP must have 1 to %d bytes", ledger.MaxTrainingStepBytes)}
 			}
-			answer, err := c.queryFronts(command.Context(), frontQuery{
+			response, err := c.queryFronts(command.Context(), frontQuery{
 				path:    trainingStepsPath + url.PathEscape(step),
 				subject: "training step " + step,
 			})
 			if err != nil {
 				return err
 			}
-			return c.showTrace(step, answer)
+			return c.showTrace(step, response)
 		},
 	}
 	c.addFrontFlag(command)
 	return command
 }
 
-// showTrace prints a trace. It returns a *NotTracedError if the trace has more than one version, or none.
-func (c *commandLine) showTrace(step string, answer []byte) error {
+// showTrace prints a trace. It returns a *NotTracedError if the step does not trace to a single version.
+func (c *commandLine) showTrace(step string, response []byte) error {
 	trace := &protocol.TrainingStepTrace{}
-	if err := decodeProto(answer, trace); err != nil {
+	if err := decodeProto(response, trace); err != nil {
 		return err
 	}
-	verdict := verifyTrace(step, trace)
-	err := c.print(answer, func(writer io.Writer) error { return renderTrace(writer, step, trace, verdict) })
+	traceErr := verifyTrace(step, trace)
+	err := c.print(response, func(writer io.Writer) error { return renderTrace(writer, step, trace, traceErr) })
 	if err != nil {
 		return err
 	}
-	return verdict
+	return traceErr
 }
 
 // verifyTrace returns a *NotTracedError unless every completed generation of the step ran on its pinned version.
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// untracedReason returns why a program does not trace to the pinned version; empty if it does.
+// untracedReason returns why a program does not trace to the pinned version, or an empty string if it does.
 func untracedReason(program *protocol.TrainingStepProgram, pinnedVersion uint64) string {
 	membership := program.GetMembership()
 	if membership.GetWeightVersion() != pinnedVersion {
@@ -91,7 +91,7 @@
 	return ""
 }
 
-func renderTrace(writer io.Writer, step string, trace *protocol.TrainingStepTrace, verdict error) error {
+func renderTrace(writer io.Writer, step string, trace *protocol.TrainingStepTrace, traceErr error) error {
 	pin := trace.GetPin()
 	facts := newGrid("fact", "value")
 	facts.add("step", step)
@@ -117,8 +117,8 @@
 	if err := programs.print(writer); err != nil {
 		return err
 	}
-	if verdict != nil {
-		_, err := fmt.Fprintln(writer, verdict)
+	if traceErr != nil {
+		_, err := fmt.Fprintln(writer, traceErr)
 		return err
 	}
 	_, err := fmt.Fprintf(writer, "training step %s traces to a single version: "+
@@ -141,7 +141,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// versionName names a version of the weights in tables.
+// versionName returns the printed name of a version of the weights.
 func versionName(version uint64) string {
 	if version == ledger.UnknownWeightVersion {
 		return "unknown"
--- a/internal/operator/steps_test.go
+++ b/internal/operator/steps_test.go
@@ -18,7 +18,7 @@
 const stepPin = `"pin":{"step":"run 3/17","model":"m","weight_version":"4","pinned_by":"front-2",` +
 	`"pinned_at_millis":"1800000000000"}`
 
-// tracedProgram is a program of a trace whose generations are in the form of JSON.
+// tracedProgram returns the JSON of one program of a trace; generations is the JSON of its generation counts.
 func tracedProgram(name string, version int, generations string) string {
 	return fmt.Sprintf(
 		`{"program":%q,"tenant":"t","membership":{"step":"run 3/17","weight_version":"%d","generations":[%s]}}`, name,
@@ -29,27 +29,27 @@
 var _ = Describe("the trace of a training step", func() {
 	var (
 		front          *fakeProcess
-		output, faults *bytes.Buffer
+		output, stderr *bytes.Buffer
 	)
 
 	BeforeEach(func() {
 		front = newFakeProcess()
 		DeferCleanup(front.server.Close)
-		output, faults = &bytes.Buffer{}, &bytes.Buffer{}
+		output, stderr = &bytes.Buffer{}, &bytes.Buffer{}
 	})
 
 	trace := func(arguments ...string) int {
 		output.Reset()
-		faults.Reset()
+		stderr.Reset()
 		return operator.Execute(context.Background(), operator.Environment{
 			Arguments: append([]string{"steps", "trace"}, arguments...),
-			Input:     strings.NewReader(""), Output: output, Errors: faults,
+			Input:     strings.NewReader(""), Output: output, Errors: stderr,
 			LookupEnvironment: func(name string) string { return map[string]string{"ROSESTAND_FRONT": front.address}[name] },
 			Sleep:             func(context.Context, time.Duration) error { return nil },
 		})
 	}
 
-	answer := func(programs ...string) string {
+	traceBody := func(programs ...string) string {
 		return fmt.Sprintf(`{%s,"programs":[%s]}`, stepPin, strings.Join(programs, ","))
 	}
 
@@ -58,14 +58,14 @@
 		return lines[len(lines)-1]
 	}
 
-	It("is shown with the pin, the counts of each program and a verdict", func() {
-		front.always(http.StatusOK, answer(
+	It("is printed with the pin, the counts of each program and the result", func() {
+		front.respondAlways(http.StatusOK, traceBody(
 			tracedProgram(
 				"p1", 4, `{"weight_version":"4","completed":"12","discarded":"1"},{"weight_version":"5","discarded":"2"}`,
 			),
 			tracedProgram("p2", 4, `{"discarded":"1"},{"weight_version":"4","completed":"3"}`),
 			tracedProgram("p3", 4, ``)))
-		Expect(trace("run 3/17")).To(Equal(operator.ExitDone), faults.String())
+		Expect(trace("run 3/17")).To(Equal(operator.ExitDone), stderr.String())
 		Expect(front.received()[0].path).To(Equal("/v1/training-steps/run%203%2F17"))
 		Expect(front.received()[0].authorization).To(BeEmpty())
 		Expect(output.String()).To(And(
@@ -82,50 +82,50 @@
 		)
 	})
 
-	It("is printed as it came with -o json, with the same verdict as exit code", func() {
-		body := answer(tracedProgram("p1", 4, `{"weight_version":"4","completed":"12"}`))
-		front.always(http.StatusOK, body)
-		Expect(trace("run 3/17", "-o", "json")).To(Equal(operator.ExitDone), faults.String())
+	It("is printed unchanged with -o json, with the same exit code", func() {
+		body := traceBody(tracedProgram("p1", 4, `{"weight_version":"4","completed":"12"}`))
+		front.respondAlways(http.StatusOK, body)
+		Expect(trace("run 3/17", "-o", "json")).To(Equal(operator.ExitDone), stderr.String())
 		Expect(output.String()).To(MatchJSON(body))
-		mixed := answer(tracedProgram("p1", 4, `{"weight_version":"5","completed":"1"}`))
-		front.always(http.StatusOK, mixed)
+		mixed := traceBody(tracedProgram("p1", 4, `{"weight_version":"5","completed":"1"}`))
+		front.respondAlways(http.StatusOK, mixed)
 		Expect(trace("run 3/17", "-o", "json")).To(Equal(operator.ExitNotTraced))
 		Expect(output.String()).To(MatchJSON(mixed))
-		Expect(faults.String()).To(ContainSubstring("does not trace to a single version"))
+		Expect(stderr.String()).To(ContainSubstring("does not trace to a single version"))
 	})
 
-	DescribeTable("exits with a code of its own when the step does not trace to a single version",
+	DescribeTable("exits with a separate code when the step does not trace to a single version",
 		func(body, reason string) {
-			front.always(http.StatusOK, body)
+			front.respondAlways(http.StatusOK, body)
 			Expect(trace("run 3/17")).To(Equal(operator.ExitNotTraced))
 			Expect(lastLine()).To(Equal("training step run 3/17 does not trace to a single version: " + reason))
-			Expect(faults.String()).To(ContainSubstring(reason))
+			Expect(stderr.String()).To(ContainSubstring(reason))
 		},
 		Entry("a completed generation on another version",
-			answer(
+			traceBody(
 				tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`),
 				tracedProgram("p2", 4, `{"weight_version":"4","completed":"1"},{"weight_version":"5","completed":"2"}`),
 			),
 			"program p2 completed 2 generations on version 5, pinned is 4"),
 		Entry("a completed generation on no version",
-			answer(tracedProgram("p1", 4, `{"completed":"1"}`)),
+			traceBody(tracedProgram("p1", 4, `{"completed":"1"}`)),
 			"program p1 completed 1 generations on version unknown, pinned is 4"),
 		Entry("a program of another version",
-			answer(tracedProgram("p1", 5, ``)), "program p1 generates on version 5, pinned is 4"),
+			traceBody(tracedProgram("p1", 5, ``)), "program p1 generates on version 5, pinned is 4"),
 		Entry(
 			"no pin", `{"programs":[`+tracedProgram("p1", 4, `{"weight_version":"4","completed":"1"}`)+`]}`,
 			"no version is pinned",
 		),
 	)
 
-	It("is not found when the ledger does not know the step", func() {
-		front.always(http.StatusNotFound, rejectionBody("not_found"))
+	It("exits as not found when the ledger does not have the step", func() {
+		front.respondAlways(http.StatusNotFound, rejectionBody("not_found"))
 		Expect(trace("17")).To(Equal(operator.ExitNotFound))
-		Expect(faults.String()).To(ContainSubstring("training step 17 was not found"))
+		Expect(stderr.String()).To(ContainSubstring("training step 17 was not found"))
 	})
 
-	It("is no answer while the ledger is unavailable", func() {
-		front.always(http.StatusServiceUnavailable, rejectionBody("ledger_unavailable"))
+	It("exits as unreachable without a result while the ledger is unavailable", func() {
+		front.respondAlways(http.StatusServiceUnavailable, rejectionBody("ledger_unavailable"))
 		Expect(trace("17")).To(Equal(operator.ExitUnreachable))
 		Expect(output.String()).To(BeEmpty())
 	})
--- a/internal/operator/stores.go
+++ b/internal/operator/stores.go
@@ -41,9 +41,9 @@
 	return c.show(command.Context(), storesPath, renderStores)
 }
 
-func renderStores(writer io.Writer, answer []byte) error {
+func renderStores(writer io.Writer, response []byte) error {
 	listed := &storesResponse{}
-	if err := decode(answer, listed); err != nil {
+	if err := decode(response, listed); err != nil {
 		return err
 	}
 	rows := newGrid("store", "state", "present", "zone", "address", "shards", "rebuilding", "arriving", "leaving")
@@ -60,8 +60,8 @@
 	return err
 }
 
-// storeCommand returns the command for an order about one store; goal is the state that --wait waits for.
-func (c *commandLine) storeCommand(verb, short, goal string) *cobra.Command {
+// storeCommand returns the command for an order about one store; targetState is the state that --wait waits for.
+func (c *commandLine) storeCommand(verb, short, targetState string) *cobra.Command {
 	var wait bool
 	var waitTimeout time.Duration
 	command := &cobra.Command{
@@ -70,17 +70,17 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			name := arguments[0]
-			answer, err := c.order(command.Context(), http.MethodPost, storesPath+"/"+url.PathEscape(name)+"/"+verb, nil)
+			response, err := c.order(command.Context(), http.MethodPost, storesPath+"/"+url.PathEscape(name)+"/"+verb, nil)
 			if err != nil {
 				return err
 			}
 			if wait {
-				if err := c.waitForStore(command.Context(), name, goal, waitTimeout); err != nil {
+				if err := c.waitForStore(command.Context(), name, targetState, waitTimeout); err != nil {
 					return err
 				}
-				return c.printResult(answer, fmt.Sprintf("store %s is %s", name, goal))
+				return c.printResult(response, fmt.Sprintf("store %s is %s", name, targetState))
 			}
-			return c.printResult(answer, fmt.Sprintf("the order to %s store %s was accepted", verb, name))
+			return c.printResult(response, fmt.Sprintf("the order to %s store %s was accepted", verb, name))
 		},
 	}
 	command.Flags().BoolVar(&wait, "wait", false, "wait until it is done and show the progress")
@@ -88,9 +88,9 @@
 	return command
 }
 
-// waitForStore polls until the store reaches the state, and shows how many of its
-// shards are left. It returns a *WaitError if that takes longer than the timeout.
-func (c *commandLine) waitForStore(ctx context.Context, name, goal string, timeout time.Duration) error {
+// waitForStore polls until the store reaches the target state, and shows how many of
+// its shards are left. It returns a *WaitError if that takes longer than the timeout.
+func (c *commandLine) waitForStore(ctx context.Context, name, targetState string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sleep := c.environment.Sleep
@@ -109,11 +109,11 @@
 		if err := bar.Set(max(bar.GetMax()-report.Shards, 0)); err != nil {
 			return err
 		}
-		if report.State == goal {
+		if report.State == targetState {
 			return bar.Finish()
 		}
 		if sleep(ctx, waitInterval) != nil {
-			return &WaitError{What: name, State: fmt.Sprintf("%s, %d shards left", report.State, report.Shards)}
+			return &WaitError{Subject: name, State: fmt.Sprintf("%s, %d shards left", report.State, report.Shards)}
 		}
 	}
 }
@@ -134,17 +134,17 @@
 	if !isFile {
 		return false
 	}
-	status, err := file.Stat()
-	return err == nil && status.Mode()&os.ModeCharDevice != 0
+	info, err := file.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
 func (c *commandLine) storeReport(ctx context.Context, name string) (*controlstate.StoreReport, error) {
-	answer, err := c.get(ctx, storesPath)
+	response, err := c.get(ctx, storesPath)
 	if err != nil {
 		return nil, err
 	}
 	listed := &storesResponse{}
-	if err := decode(answer, listed); err != nil {
+	if err := decode(response, listed); err != nil {
 		return nil, err
 	}
 	for i := range listed.Stores {
@@ -152,5 +152,5 @@
 			return &listed.Stores[i], nil
 		}
 	}
-	return nil, &NotFoundError{What: "store " + name}
+	return nil, &NotFoundError{Subject: "store " + name}
 }
