--- a/internal/controlplane/corelink/outage_test.go
+++ b/internal/controlplane/corelink/outage_test.go
@@ -11,17 +11,17 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// readyAfter bounds the time from when a leader is there until the node is ready.
-const readyAfter = 200 * time.Millisecond
+// maxTimeUntilReady bounds the time from the election of a leader until the node is ready.
+const maxTimeUntilReady = 200 * time.Millisecond
 
 // timeUntilReady advances virtual time until the link is ready, and returns how long that took.
 func timeUntilReady(g *WithT, link *corelink.Link) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	for !link.Ready() {
 		advance(5 * time.Millisecond)
-		g.Expect(time.Since(began)).To(BeNumerically("<", 30*time.Second))
+		g.Expect(time.Since(start)).To(BeNumerically("<", 30*time.Second))
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 func TestGivenALeaderWhenStartedThenANodeIsReadyImmediately(t *testing.T) {
@@ -37,12 +37,12 @@
 		withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
 			advance(election)
 			core.set(func() { core.leader = firstLeader })
-			g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+			g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 		})
 	}
 }
 
-// One seed does not answer; the others know no leader yet.
+// One seed does not answer; the others have no leader yet.
 func TestGivenAnUnresponsiveSeedWhenALeaderIsElectedThenItDelaysNothing(t *testing.T) {
 	core := newFakeCore()
 	core.leader = ""
@@ -50,7 +50,7 @@
 	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
 		advance(time.Second)
 		core.set(func() { core.leader = firstLeader })
-		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 	})
 }
 
@@ -63,8 +63,8 @@
 		}
 		renewals := core.renewalCount()
 		core.set(func() { core.leader, core.term = secondLeader, 2 })
-		advance(readyAfter)
-		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "renewed at once")
+		advance(maxTimeUntilReady)
+		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals), "must renew immediately at the new leader")
 		g.Expect(time.Until(link.AuthorityExpiresAt())).To(BeNumerically(">", 4*time.Second))
 		g.Expect(link.Self().GetIncarnation()).To(BeEquivalentTo(5))
 	})
@@ -78,7 +78,7 @@
 		g.Expect(link.Ready()).To(BeTrue())
 		renewals := core.renewalCount()
 		core.set(func() { core.down = nil })
-		advance(readyAfter)
+		advance(maxTimeUntilReady)
 		g.Expect(core.renewalCount()).To(BeNumerically(">", renewals))
 
 		core.set(func() { core.down = all })
@@ -117,7 +117,7 @@
 		}
 		advance(time.Second)
 		g.Expect(core.count("locates")-before).To(
-			BeNumerically("<=", 20*4), "twenty searches a second of four processes, over all callers",
+			BeNumerically("<=", 20*4), "at most twenty searches per second of four processes, over all callers",
 		)
 	})
 }
@@ -131,12 +131,12 @@
 	}
 	core.rejectBelow = previous.GetIncarnation() + 1
 	withStartingLink(t, core, func(g *WithT, link *corelink.Link) {
-		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", readyAfter))
+		g.Expect(timeUntilReady(g, link)).To(BeNumerically("<=", maxTimeUntilReady))
 		g.Expect(link.Self().GetIncarnation()).To(BeNumerically(">", previous.GetIncarnation()))
 	})
 }
 
-// Another machine uses the name: the two must not take the lease from each other in turn.
+// Another machine uses the same name: the two must not alternately take the lease from each other.
 func TestGivenTheNameAtAnotherAddressThenTheNodeDoesNotSupersedeIt(t *testing.T) {
 	core := newFakeCore()
 	other := &protocol.Node{Name: "front-1", Kind: protocol.NodeKind_FRONT, Incarnation: 1 << 50, Address: "10.0.0.6:1"}
--- a/internal/state/store/fx.go
+++ b/internal/state/store/fx.go
@@ -18,13 +18,13 @@
 	"github.com/rosestand/rosestand/internal/transport/wire"
 )
 
-// ledgerFolder is in the data folder of the process and has all that a store writes.
+// ledgerFolder is the folder, in the data folder of the process, that contains all files of a store.
 const ledgerFolder = "ledger"
 
-// readyCondition is the name under which a store's readiness is shown.
+// readyCondition is the readiness check of a store's link to the core.
 const readyCondition = "core"
 
-// diskCondition is the name under which a store without a usable disk is shown.
+// diskCondition is the readiness check of a store's disk.
 const diskCondition = "disk"
 
 // Module is the store plane. It provides the folder, the link to the core, the
@@ -41,7 +41,7 @@
 			provideStore,
 			func(s *Supervisor) wire.Handler { return s },
 		),
-		fx.Invoke(run),
+		fx.Invoke(registerHooks),
 	)
 }
 
@@ -108,7 +108,7 @@
 	}, folder, open)
 }
 
-func run(lifecycle fx.Lifecycle, store *Supervisor, link *corelink.Link, process *daemon.Process) {
+func registerHooks(lifecycle fx.Lifecycle, store *Supervisor, link *corelink.Link, process *daemon.Process) {
 	link.Subscribe(func(*corelink.View) { store.ViewChanged() })
 	process.Readiness.AddCheck(readyCondition, func() string {
 		if !link.Ready() {
@@ -118,7 +118,7 @@
 	})
 	process.Readiness.AddCheck(diskCondition, func() string {
 		if !store.Serving() {
-			return waitsForDisk
+			return waitingForDiskReason
 		}
 		return ""
 	})
--- a/internal/state/store/retention_test.go
+++ b/internal/state/store/retention_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// retention is far more than can pass on the clock of a fleet while something is awaited: fleet.until moves it
-	// 50 ms a look, so a turn that only the scrub brings to a store costs ten minutes, and a slow wait hours.
+	// retention is far longer than the fleet's clock advances during any wait: fleet.until advances it by 50 ms for each
+	// check, so that on this clock a wait for a turn that only the scrub copies takes ten minutes, and a slow wait hours.
 	retention = 30 * 24 * time.Hour
-	// retentionTwelfth is the unit of the jumps within retention, and the least that they leave to what is awaited.
+	// retentionTwelfth is the unit by which specs advance the clock within retention, and the least time left for waits.
 	retentionTwelfth = retention / 12
-	// minRetention is the shortest keeping time.
+	// minRetention is the shortest retention that a session may have.
 	minRetention = 2 * time.Minute
 )
 
-// pass advances the clock by this much in small steps.
-func (f *fleet) pass(wait time.Duration) {
+// advanceInSteps advances the clock by a duration in small steps.
+func (f *fleet) advanceInSteps(wait time.Duration) {
 	GinkgoHelper()
-	ends := f.clock.Now().Add(wait)
-	f.until(func() bool { return !f.clock.Now().Before(ends) })
+	deadline := f.clock.Now().Add(wait)
+	f.until(func() bool { return !f.clock.Now().Before(deadline) })
 }
 
 // turnCounts returns the number of turns that each running store has.
@@ -39,7 +39,7 @@
 	return counts
 }
 
-// awaitTurns waits until every running store has so many turns: a commit is answered once a majority does.
+// awaitTurns waits until every running store has that many turns: a commit is acknowledged once a majority has it.
 func (f *fleet) awaitTurns(turns uint64) {
 	GinkgoHelper()
 	f.until(func() bool {
@@ -47,8 +47,8 @@
 	})
 }
 
-// writeSnapshot keeps a program busy until a store has written its registers again.
-func (f *fleet) writeSnapshot(name string, busy *program) {
+// writeUntilSnapshot takes turns of a program until a store has written a new snapshot of its registers.
+func (f *fleet) writeUntilSnapshot(name string, busy *program) {
 	GinkgoHelper()
 	before := f.members[name].disk.Files("data/registers")
 	f.until(func() bool {
@@ -58,17 +58,17 @@
 	})
 }
 
-// expectRetainedWithoutAAtTheEnd reads everything shortly before the retention of the last turn ends, long
-// after that of the first turn would have, from stores b and c.
-func (p *program) expectRetainedWithoutAAtTheEnd() {
+// expectRetainedOnBAndCNearExpiry reads all turns from stores b and c shortly before the retention of the last turn
+// ends, which is long after that of the first turn would have ended.
+func (p *program) expectRetainedOnBAndCNearExpiry() {
 	GinkgoHelper()
 	p.fleet.clock.advance(10 * retentionTwelfth)
-	p.fleet.pass(2 * time.Minute)
+	p.fleet.advanceInSteps(2 * time.Minute)
 	p.fleet.setPartitioned("a", true)
 	p.expectRetained()
 }
 
-func find(turn string) *protocol.LedgerOperation {
+func newFindTurn(turn string) *protocol.LedgerOperation {
 	return &protocol.LedgerOperation{Body: &protocol.LedgerOperation_FindTurn{FindTurn: &protocol.FindTurn{TurnId: turn}}}
 }
 
@@ -82,19 +82,19 @@
 		p.takeTurn()
 		f.awaitTurns(2)
 		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		p.expectRetained()
 		Expect(f.turnCounts()).To(HaveEach(BeEquivalentTo(2)))
 		f.clock.advance(2 * retentionTwelfth)
 		f.until(func() bool {
-			// A look costs a read, so each is given more time than until gives.
+			// Each check costs a read, so the clock advances further for each than it does in until.
 			f.clock.advance(time.Second)
 			return f.do(p.readTurns(p.last())).GetStatus() == missing
 		})
 		f.awaitTurns(0)
 	})
 
-	It("is retained in full by a store that only the scrub brings the first turn", func() {
+	It("is retained in full by a store that receives the first turn from the scrub only", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", retention)
 		f.setPartitioned("c", true)
@@ -104,24 +104,24 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.awaitTurns(2)
-		p.expectRetainedWithoutAAtTheEnd()
+		p.expectRetainedOnBAndCNearExpiry()
 	})
 
-	It("is retained in full also when all stores lose power meanwhile", func() {
+	It("is retained in full when all stores lose power meanwhile", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", retention)
 		p.takeTurn()
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.clock.advance(8 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		for _, name := range f.names {
 			f.stopOne(name, true)
 		}
 		for _, name := range f.names {
 			f.restart(name)
 		}
-		f.until(f.inForce)
+		f.until(f.placementApplied)
 		p.expectRetained()
 	})
 
@@ -135,7 +135,7 @@
 		f.clock.advance(11 * retentionTwelfth)
 		p.takeTurn()
 		f.until(func() bool { return f.members["c"].store.Status().GetTurns() == 3 })
-		p.expectRetainedWithoutAAtTheEnd()
+		p.expectRetainedOnBAndCNearExpiry()
 	})
 
 	It("is retained in full by a store that copied it", func() {
@@ -146,9 +146,9 @@
 		p.takeTurn()
 		f.clock.advance(5 * retentionTwelfth)
 		f.loseDisk("c")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		f.loseDisk("b")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		f.stopOne("a", true)
 		p.expectRetained()
 	})
@@ -164,11 +164,11 @@
 		later.takeTurn()
 		later.takeTurn()
 		f.clock.advance(10 * retentionTwelfth)
-		f.pass(2 * time.Minute)
+		f.advanceInSteps(2 * time.Minute)
 		later.expectRetained()
-		read := f.do(later.readTurns(later.last()))
-		Expect(read.GetLastTurn()).To(BeEmpty())
-		Expect(read.GetTurns()[1].GetPreviousProgram()).To(Equal("older"))
+		result := f.do(later.readTurns(later.last()))
+		Expect(result.GetLastTurn()).To(BeEmpty())
+		Expect(result.GetTurns()[1].GetPreviousProgram()).To(Equal("older"))
 		history := f.do(older.readTurns(older.last()))
 		Expect(history.GetStatus()).To(Equal(ok))
 		Expect(history.GetTurns()).To(HaveLen(2))
@@ -179,7 +179,7 @@
 	It("is found on any store, and reported missing only when a majority of each shard lacks it", func() {
 		f := newFleet("a", "b", "c", "d")
 		f.move(2, "a", "d")
-		f.until(f.isComplete)
+		f.until(f.allReplicasActive)
 		var turns []string
 		for _, name := range []string{"p1", "p2", "p3", "p4", "p5", "p6"} {
 			p := f.program(name)
@@ -187,16 +187,16 @@
 			turns = append(turns, p.last())
 		}
 		for _, turn := range turns {
-			found := f.do(find(turn))
-			Expect(found.GetStatus()).To(Equal(ok))
-			Expect(found.GetTurns()).To(HaveLen(1))
-			Expect(found.GetTurns()[0].GetId()).To(Equal(turn))
+			result := f.do(newFindTurn(turn))
+			Expect(result.GetStatus()).To(Equal(ok))
+			Expect(result.GetTurns()).To(HaveLen(1))
+			Expect(result.GetTurns()[0].GetId()).To(Equal(turn))
 		}
-		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("turn_unknown")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("a", true)
-		Expect(f.do(find("unheard-of")).GetStatus()).To(Equal(missing))
+		Expect(f.do(newFindTurn("turn_unknown")).GetStatus()).To(Equal(missing))
 		f.setPartitioned("b", true)
-		Expect(f.request("c", shortTime, find("unheard-of")).GetStatus()).To(Equal(unavailable))
+		Expect(f.request("c", shortTimeout, newFindTurn("turn_unknown")).GetStatus()).To(Equal(unavailable))
 	})
 
 	It("is never reported missing by stores that lost it with their disks", func() {
@@ -206,9 +206,9 @@
 		p.takeTurn()
 		f.setPartitioned("c", false)
 		f.loseDisk("a")
-		Expect(f.request("c", shortTime, find(p.last())).GetStatus()).NotTo(Equal(missing))
-		f.until(f.isComplete)
-		Expect(f.do(find(p.last())).GetStatus()).To(Equal(ok))
+		Expect(f.request("c", shortTimeout, newFindTurn(p.last())).GetStatus()).NotTo(Equal(missing))
+		f.until(f.allReplicasActive)
+		Expect(f.do(newFindTurn(p.last())).GetStatus()).To(Equal(ok))
 	})
 })
 
@@ -219,20 +219,20 @@
 		idle.takeTurn()
 		lasting.takeTurn()
 		Expect(f.do(idle.beginCall("call")).GetStatus()).To(Equal(ok))
-		// What is acknowledged is on a majority, which may not have it yet.
+		// An acknowledged change is on a majority, which may not include store a yet.
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 3 })
 		f.clock.advance(5 * time.Minute)
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 2 })
 		f.clock.advance(10 * time.Minute)
 		f.until(func() bool { return f.members["a"].store.Status().GetRegisters() == 1 })
 		f.clock.advance(time.Hour)
-		f.pass(time.Minute)
+		f.advanceInSteps(time.Minute)
 		lasting.expectRetained()
 		idle.claim("front-2")
 		Expect(idle.epoch).To(BeEquivalentTo(1))
 	})
 
-	It("does not reappear from a store that was down when it was removed and begun again", func() {
+	It("does not reappear from a store that was down when it was removed and created again", func() {
 		f := newFleet("a", "b", "c")
 		p := f.programWithRetention("p", minRetention)
 		for range 20 {
@@ -245,28 +245,28 @@
 		})
 		busy := f.program("busy")
 		busy.padding = strings.Repeat("x", 1000)
-		// The store that proposes is started last, so that its ballots begin again.
+		// The store that proposes is restarted last, so that its ballots start over.
 		for _, name := range []string{"b", "a"} {
-			// A message that was late by the fast clock may have brought the register back, until it is collected again.
+			// A message delayed in terms of the fast clock may have recreated the register, until it is removed again.
 			f.until(func() bool {
-				f.pass(time.Minute)
-				f.writeSnapshot(name, busy)
+				f.advanceInSteps(time.Minute)
+				f.writeUntilSnapshot(name, busy)
 				f.stopOne(name, false)
 				f.restart(name)
-				f.until(f.inForce)
+				f.until(f.placementApplied)
 				return f.members[name].store.Status().GetRegisters() == 1
 			})
 		}
-		f.until(f.inForce)
-		again := f.programWithRetention("p", minRetention)
-		again.requests = 100
-		again.takeTurn()
+		f.until(f.placementApplied)
+		recreated := f.programWithRetention("p", minRetention)
+		recreated.requests = 100
+		recreated.takeTurn()
 		f.restart("c")
 		f.stopOne("b", false)
-		// The store that returned must not collect on its own what it still has.
-		f.pace = 1
-		again.expectRetained()
-		again.takeTurn()
+		// The clock slows down so that store c does not remove the expired register on its own.
+		f.clockSpeedup = 1
+		recreated.expectRetained()
+		recreated.takeTurn()
 		record := f.do(&protocol.LedgerOperation{Program: "p", Body: &protocol.LedgerOperation_ReadProgram{}}).GetProgram()
 		Expect(record.GetSettled()).To(BeEquivalentTo(7 * 2))
 	})
--- a/internal/transport/wire/client.go
+++ b/internal/transport/wire/client.go
@@ -11,12 +11,12 @@
 	"github.com/rosestand/rosestand/internal/protocol"
 )
 
-// readBufferBytes is enough for a few small frames; a larger frame is read past the
-// buffer into its own memory. A node may have a connection to every other one,
-// so the buffer is small.
+// readBufferBytes is enough for a few small frames; a larger frame is read directly
+// into its own memory. The buffer is small because a node may have a connection to
+// every other node.
 const readBufferBytes = 8 << 10
 
-// clientConnection is the calling side of one connection. The mutex guards the fields below it.
+// clientConnection is the client side of one connection. The mutex guards the fields below it.
 type clientConnection struct {
 	address    string
 	connection net.Conn
@@ -27,12 +27,13 @@
 	mutex     sync.Mutex
 	exchanges map[uint64]*exchange
 	nextID    uint64
-	broken    error
-	lastUse   time.Time
-	activity  peerActivity
+	// cause is the error that broke the connection; nil until then.
+	cause    error
+	lastUse  time.Time
+	activity peerActivity
 }
 
-// dial opens a connection and proves the cluster key.
+// dial opens a connection and runs the handshake, in which both sides prove the cluster key.
 func dial(ctx context.Context, address string, options PoolOptions, counters *Counters) (*clientConnection, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.DialTimeout)
 	defer cancel()
@@ -61,25 +62,25 @@
 // begin registers an exchange and queues its request.
 func (c *clientConnection) begin(ctx context.Context, request *protocol.Request, single bool) (*exchange, error) {
 	c.mutex.Lock()
-	if c.broken != nil {
+	if c.cause != nil {
 		c.mutex.Unlock()
-		return nil, &NotSentError{Address: c.address, Cause: c.broken}
+		return nil, &NotSentError{Address: c.address, Cause: c.cause}
 	}
 	c.nextID++
 	e := &exchange{id: c.nextID, client: c, ctx: ctx, single: single, notify: make(chan struct{}, 1)}
 	c.exchanges[e.id] = e
 	c.lastUse = time.Now()
-	c.activity.began(c.lastUse, len(c.exchanges) == 1)
+	c.activity.recordExchange(c.lastUse, len(c.exchanges) == 1)
 	c.mutex.Unlock()
 
 	frame := &protocol.Frame{Kind: protocol.FrameKind_FRAME_REQUEST, Id: e.id, Request: request}
-	if deadline, has := ctx.Deadline(); has {
-		left := time.Until(deadline)
-		if left <= 0 {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			c.endExchange(e.id, false)
 			return nil, &NotSentError{Address: c.address, Cause: context.DeadlineExceeded}
 		}
-		frame.TimeLeftMillis = uint32(left/time.Millisecond) + 1
+		frame.TimeLeftMillis = uint32(remaining/time.Millisecond) + 1
 	}
 	if err := c.writer.write(frame); err != nil {
 		c.endExchange(e.id, false)
@@ -88,19 +89,19 @@
 	return e, nil
 }
 
-// endExchange drops an exchange and, with cancel, cancels it at the peer.
+// endExchange removes an exchange. If cancel is true, it also cancels the exchange at the peer.
 func (c *clientConnection) endExchange(id uint64, cancel bool) {
 	c.mutex.Lock()
-	_, known := c.exchanges[id]
+	_, inFlight := c.exchanges[id]
 	delete(c.exchanges, id)
 	c.lastUse = time.Now()
 	c.mutex.Unlock()
-	if known && cancel {
+	if inFlight && cancel {
 		_ = c.writer.write(&protocol.Frame{Kind: protocol.FrameKind_FRAME_CANCEL, Id: id})
 	}
 }
 
-// read delivers frames until the connection ends, and returns why it did.
+// read delivers frames until the connection ends, and returns the cause.
 func (c *clientConnection) read() error {
 	reader := frameReader{reader: c.reader, counters: c.writer.counters}
 	for {
@@ -117,7 +118,7 @@
 
 func (c *clientConnection) deliver(frame *protocol.Frame) {
 	c.mutex.Lock()
-	c.activity.received(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
+	c.activity.recordFrame(time.Now(), frame.GetKind() != protocol.FrameKind_FRAME_PING)
 	e := c.exchanges[frame.GetId()]
 	c.mutex.Unlock()
 	if e == nil {
@@ -141,11 +142,11 @@
 // fail breaks the connection and ends every exchange in flight.
 func (c *clientConnection) fail(cause error) {
 	c.mutex.Lock()
-	if c.broken != nil {
+	if c.cause != nil {
 		c.mutex.Unlock()
 		return
 	}
-	c.broken = cause
+	c.cause = cause
 	exchanges := c.exchanges
 	c.exchanges = make(map[uint64]*exchange)
 	c.mutex.Unlock()
--- a/internal/transport/wire/pool.go
+++ b/internal/transport/wire/pool.go
@@ -17,9 +17,9 @@
 type PoolOptions struct {
 	// Key is the cluster key.
 	Key []byte
-	// Node names the calling process to its peers.
+	// Node is the name of this process, sent to peers in the handshake.
 	Node string
-	// IdleTimeout closes a connection without exchanges.
+	// IdleTimeout is how long a connection may be without exchanges before it is closed.
 	IdleTimeout time.Duration
 	// DialTimeout bounds connecting and the handshake.
 	DialTimeout time.Duration
@@ -27,7 +27,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-func (o *PoolOptions) fill() {
+func (o *PoolOptions) setDefaults() {
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = defaultIdleTimeout
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Pool calls peers over one connection an address, opened on demand. The mutex guards slots, open, onBroken and
-// closed; a slot has its own, which is locked before the pool's.
+// Pool calls peers over one connection per address, opened on demand. The mutex guards slots, open, onBroken and
+// closed; a slot has its own mutex, which is locked before the pool's.
 type Pool struct {
 	options  PoolOptions
 	counters Counters
@@ -57,15 +57,15 @@
 	onBroken []func(address string)
 	closed   bool
 	stop     chan struct{}
-	// dialing is the context of dials, which belong to the pool and not to one caller; it ends with Close.
+	// dialing is the context of dials, which are shared by concurrent callers and end only with Close.
 	dialing      context.Context
 	stopDialing  context.CancelFunc
 	activeSignal chan struct{}
-	// checksOften is true while the connections are checked at activeInterval.
-	checksOften atomic.Bool
+	// frequentChecks is true while the connections are checked every activeInterval.
+	frequentChecks atomic.Bool
 }
 
-// slot holds the connection to one address, or its opening, which concurrent callers share.
+// slot holds the connection to one address, or the one being opened, which concurrent callers share.
 type slot struct {
 	mutex      sync.Mutex
 	connection *clientConnection
@@ -81,7 +81,7 @@
 
 // NewPool makes an empty pool.
 func NewPool(options PoolOptions) *Pool {
-	options.fill()
+	options.setDefaults()
 	p := &Pool{
 		options: options, slots: make(map[string]*slot), open: make(map[*clientConnection]struct{}),
 		stop: make(chan struct{}), activeSignal: make(chan struct{}, 1),
@@ -102,11 +102,11 @@
 	return open
 }
 
-// Counters counts the traffic of all connections of the pool.
+// Counters returns the counters of the traffic of all connections of the pool.
 func (p *Pool) Counters() *Counters { return &p.counters }
 
 // OnBroken registers a function that is called with the address of each connection
-// that broke while it was in use or whose peer became unresponsive. It must not block.
+// that broke while it was in use or whose peer became unresponsive. The function must not block.
 func (p *Pool) OnBroken(notify func(address string)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -115,7 +115,7 @@
 
 // Call implements Caller.
 func (p *Pool) Call(ctx context.Context, address string, request *protocol.Request) (*protocol.Response, error) {
-	if _, has := ctx.Deadline(); !has {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		bounded, cancel := context.WithTimeout(ctx, defaultCallDeadline)
 		defer cancel()
 		ctx = bounded
@@ -168,8 +168,8 @@
 	return s, nil
 }
 
-// connect returns the connection to an address, and opens it when there is none.
-// It waits no longer than the context, even when another caller has begun to open it.
+// connect returns the connection to an address, and opens one if there is none.
+// It waits no longer than the context, even if another caller is opening the connection.
 func (p *Pool) connect(ctx context.Context, address string) (*clientConnection, error) {
 	s, err := p.slot(address)
 	if err != nil {
@@ -184,7 +184,7 @@
 	if opening == nil {
 		opening = &openingConnection{done: make(chan struct{})}
 		s.opening = opening
-		if !p.begin(func() { p.openSlot(s, address, opening) }) {
+		if !p.startGoroutine(func() { p.openSlot(s, address, opening) }) {
 			s.opening = nil
 			s.mutex.Unlock()
 			return nil, &ClosedError{}
@@ -199,8 +199,8 @@
 	}
 }
 
-// begin runs a goroutine that Close waits for; false when the pool was closed.
-func (p *Pool) begin(run func()) bool {
+// startGoroutine starts a goroutine that Close waits for. It reports false if the pool is closed.
+func (p *Pool) startGoroutine(run func()) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -210,12 +210,12 @@
 	return true
 }
 
-// openSlot opens the connection of a slot for all that wait for it.
+// openSlot opens the connection of a slot for all callers that wait for it.
 func (p *Pool) openSlot(s *slot, address string, opening *openingConnection) {
 	connection, err := dial(p.dialing, address, p.options, &p.counters)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err == nil && !p.adopt(s, connection) {
+	if err == nil && !p.addConnection(s, connection) {
 		_ = connection.connection.Close()
 		connection, err = nil, &ClosedError{}
 	}
@@ -224,8 +224,8 @@
 	close(opening.done)
 }
 
-// adopt begins to read and write on a new connection; false when the pool was closed.
-func (p *Pool) adopt(s *slot, connection *clientConnection) bool {
+// addConnection starts the reader and the writer of a new connection. It reports false if the pool is closed.
+func (p *Pool) addConnection(s *slot, connection *clientConnection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -254,16 +254,16 @@
 	delete(p.open, connection)
 	p.mutex.Unlock()
 	connection.mutex.Lock()
-	cause := connection.broken
+	cause := connection.cause
 	connection.mutex.Unlock()
 	if errors.HasType(cause, (*IdleError)(nil)) || errors.HasType(cause, (*ClosedError)(nil)) {
 		return
 	}
 	p.mutex.Lock()
-	notify := p.onBroken
+	callbacks := p.onBroken
 	p.mutex.Unlock()
-	for _, each := range notify {
-		each(connection.address)
+	for _, callback := range callbacks {
+		callback(connection.address)
 	}
 }
 
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -45,18 +45,18 @@
 	return pool
 }
 
-func explain(id string) *protocol.Request {
+func explainRequest(id string) *protocol.Request {
 	return &protocol.Request{Body: &protocol.Request_Explain{Explain: &protocol.ExplainRequest{RequestId: id}}}
 }
 
-func explained(id string) *protocol.Response {
+func explainResponse(id string) *protocol.Response {
 	return &protocol.Response{Body: &protocol.Response_Explain{Explain: &protocol.ExplainResponse{
 		Explanations: []*protocol.Explanation{{RequestId: id}},
 	}}}
 }
 
 func echo(_ context.Context, request *protocol.Request, send func(*protocol.Response) error) error {
-	return send(explained(request.GetExplain().GetRequestId()))
+	return send(explainResponse(request.GetExplain().GetRequestId()))
 }
 
 func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
@@ -66,9 +66,9 @@
 	for i := range 200 {
 		go func() {
 			id := string(rune('a'+i%26)) + time.Duration(i).String()
-			answer, err := pool.Call(context.Background(), address, explain(id))
+			answer, err := pool.Call(context.Background(), address, explainRequest(id))
 			if err == nil && answer.GetExplain().GetExplanations()[0].GetRequestId() != id {
-				err = errors.New("answers crossed")
+				err = errors.Newf("request %s got the answer of another request", id)
 			}
 			failures <- err
 		}()
@@ -84,13 +84,13 @@
 	address, _ := startServer(t,
 		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			for i := range 1000 {
-				if err := send(explained(time.Duration(i).String())); err != nil {
+				if err := send(explainResponse(time.Duration(i).String())); err != nil {
 					return err
 				}
 			}
 			return nil
 		}))
-	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
+	stream, err := startPool(t, testKey).Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,22 +98,22 @@
 	for i := range 1000 {
 		answer, err := stream.Receive()
 		if err != nil || answer.GetExplain().GetExplanations()[0].GetRequestId() != time.Duration(i).String() {
-			t.Fatalf("answer %d: %v %v", i, answer, err)
+			t.Fatalf("answer %d: got %v, error %v, want the answer %v", i, answer, err, time.Duration(i))
 		}
 	}
 	if _, err := stream.Receive(); !errors.Is(err, io.EOF) {
-		t.Fatalf("expected the end, got %v", err)
+		t.Fatalf("got error %v after the last answer, want io.EOF", err)
 	}
 }
 
 func TestFailuresKeepTheirType(t *testing.T) {
 	address, _ := startServer(t,
 		handlerFunc(func(context.Context, *protocol.Request, func(*protocol.Response) error) error {
-			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "ask another")
+			return failure.New(failure.NotLeader, protocol.Outcome_NOT_RUN, "another process is the leader")
 		}))
-	_, err := startPool(t, testKey).Call(context.Background(), address, explain("x"))
+	_, err := startPool(t, testKey).Call(context.Background(), address, explainRequest("x"))
 	if !failure.Is(err, failure.NotLeader) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want the handler's failure %s", err, failure.NotLeader)
 	}
 }
 
@@ -126,7 +126,7 @@
 			close(ended)
 			return ctx.Err()
 		}))
-	stream, err := startPool(t, testKey).Open(context.Background(), address, explain("x"))
+	stream, err := startPool(t, testKey).Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,9 +144,9 @@
 			return ctx.Err()
 		}))
 	pool := startPool(t, testKey)
-	told := make(chan string, 1)
-	pool.OnBroken(func(broken string) { told <- broken })
-	stream, err := pool.Open(context.Background(), address, explain("x"))
+	notified := make(chan string, 1)
+	pool.OnBroken(func(broken string) { notified <- broken })
+	stream, err := pool.Open(context.Background(), address, explainRequest("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,14 +154,14 @@
 	server.Close()
 	var broken *wire.BrokenError
 	if _, err := stream.Receive(); !errors.As(err, &broken) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v after the server closed, want a *BrokenError", err)
 	}
-	if got := <-told; got != address {
-		t.Fatalf("notified of %s", got)
+	if got := <-notified; got != address {
+		t.Fatalf("OnBroken was called with address %s, want %s", got, address)
 	}
 	var notSent *wire.NotSentError
-	if _, err := pool.Call(context.Background(), address, explain("y")); !errors.As(err, &notSent) {
-		t.Fatalf("a dead peer gave %v", err)
+	if _, err := pool.Call(context.Background(), address, explainRequest("y")); !errors.As(err, &notSent) {
+		t.Fatalf("got error %v from a closed server, want a *NotSentError", err)
 	}
 }
 
@@ -173,40 +173,40 @@
 			return nil
 		}))
 	var notSent *wire.NotSentError
-	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explain("x"))
+	_, err := startPool(t, []byte("another")).Call(context.Background(), address, explainRequest("x"))
 	if !errors.As(err, &notSent) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v with the wrong key, want a *NotSentError", err)
 	}
 	if served {
-		t.Fatal("a request was served without the key")
+		t.Fatal("a request with the wrong key was served")
 	}
 }
 
-// record keeps what a client sent, so that it can be replayed.
-type record struct {
+// recordingConnection records what a client sends, so that it can be replayed.
+type recordingConnection struct {
 	net.Conn
 	sent []byte
 }
 
-func (r *record) Write(data []byte) (int, error) {
+func (r *recordingConnection) Write(data []byte) (int, error) {
 	r.sent = append(r.sent, data...)
 	return r.Conn.Write(data)
 }
 
-func TestReplayedTruncatedAndOversizedBytesServeNothing(t *testing.T) {
+func TestReplayedTruncatedAndOversizedBytesAreNotServed(t *testing.T) {
 	count := 0
 	address, server := startServer(t,
 		handlerFunc(func(_ context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			count++
-			return send(explained("x"))
+			return send(explainResponse("x"))
 		}))
-	var recorded *record
+	var recorded *recordingConnection
 	pool := wire.NewPool(wire.PoolOptions{Key: testKey, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		recorded = &record{Conn: connection}
+		recorded = &recordingConnection{Conn: connection}
 		return recorded, err
 	}})
-	if _, err := pool.Call(context.Background(), address, explain("x")); err != nil {
+	if _, err := pool.Call(context.Background(), address, explainRequest("x")); err != nil {
 		t.Fatal(err)
 	}
 	pool.Close()
@@ -227,30 +227,30 @@
 		_, _ = io.Copy(io.Discard, connection)
 		_ = connection.Close()
 		if count != 1 {
-			t.Fatalf("%s bytes were served", name)
+			t.Fatalf("%d requests served after %s bytes, want 1", count, name)
 		}
 	}
 	server.Close()
 }
 
 func TestDeadlineIsPropagatedWithTheRequest(t *testing.T) {
-	left := make(chan time.Duration, 1)
+	timeLeft := make(chan time.Duration, 1)
 	address, _ := startServer(t,
 		handlerFunc(func(ctx context.Context, _ *protocol.Request, send func(*protocol.Response) error) error {
 			deadline, has := ctx.Deadline()
 			if !has {
 				return errors.New("no deadline")
 			}
-			left <- time.Until(deadline)
-			return send(explained("x"))
+			timeLeft <- time.Until(deadline)
+			return send(explainResponse("x"))
 		}))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := startPool(t, testKey).Call(ctx, address, explain("x")); err != nil {
+	if _, err := startPool(t, testKey).Call(ctx, address, explainRequest("x")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-left; got > time.Minute+time.Second || got <= 0 {
-		t.Fatalf("deadline arrived as %v", got)
+	if got := <-timeLeft; got > time.Minute+time.Second || got <= 0 {
+		t.Fatalf("the handler's deadline is in %v, want at most a minute", got)
 	}
 }
 
@@ -263,19 +263,19 @@
 			return echo(ctx, request, send)
 		}))
 	pool := startPool(t, testKey)
-	_, err := pool.Call(context.Background(), address, explain("bad"))
+	_, err := pool.Call(context.Background(), address, explainRequest("bad"))
 	if !failure.Is(err, failure.InternalError) || failure.From(err).GetOutcome() != protocol.Outcome_UNKNOWN {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want %s with the outcome unknown", err, failure.InternalError)
 	}
-	if _, err := pool.Call(context.Background(), address, explain("good")); err != nil {
+	if _, err := pool.Call(context.Background(), address, explainRequest("good")); err != nil {
 		t.Fatal(err)
 	}
 	if server.Counters().Panics.Load() != 1 {
-		t.Fatal("the panic was not counted")
+		t.Fatalf("got %d panics counted, want 1", server.Counters().Panics.Load())
 	}
 }
 
-// exhaustedListener fails to accept for ever, as when file descriptors have run out.
+// exhaustedListener always fails to accept, as when file descriptors have run out.
 type exhaustedListener struct {
 	net.Listener
 	tries chan struct{}
--- a/internal/transport/wire/writer.go
+++ b/internal/transport/wire/writer.go
@@ -24,8 +24,7 @@
 }
 
 // frameWriter queues the frames of all exchanges on a connection and writes
-// all queued ones in one call, so that many small frames cost one system call. The mutex guards
-// pending, reusable and failed.
+// all queued frames in one system call. The mutex guards pending, reusable and cause.
 type frameWriter struct {
 	connection net.Conn
 	counters   *Counters
@@ -33,23 +32,24 @@
 	mutex    sync.Mutex
 	pending  []byte
 	reusable []byte
-	failed   error
-	notify   chan struct{}
-	// refreshed is when the write deadline was last set; only the writing goroutine uses it.
-	refreshed time.Time
+	// cause is returned by every write once fail was called; nil until then.
+	cause  error
+	notify chan struct{}
+	// deadlineSetAt is when the write deadline was last set; only the writing goroutine uses it.
+	deadlineSetAt time.Time
 }
 
 func newFrameWriter(connection net.Conn, counters *Counters) *frameWriter {
 	return &frameWriter{connection: connection, counters: counters, notify: make(chan struct{}, 1)}
 }
 
-// write queues one frame. It fails when the connection is broken or the peer
-// reads so slowly that maxPendingBytes wait.
+// write queues one frame. It fails if the connection is broken, or if the peer
+// reads so slowly that more than maxPendingBytes are queued.
 func (w *frameWriter) write(message proto.Message) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.failed != nil {
-		return w.failed
+	if w.cause != nil {
+		return w.cause
 	}
 	if len(w.pending) > maxPendingBytes {
 		return &FrameError{Reason: "peer reads too slowly"}
@@ -91,8 +91,8 @@
 	w.reusable = nil
 	w.mutex.Unlock()
 	if len(batch) > 0 {
-		if now := time.Now(); now.Sub(w.refreshed) > deadlineRefresh {
-			w.refreshed = now
+		if now := time.Now(); now.Sub(w.deadlineSetAt) > deadlineRefresh {
+			w.deadlineSetAt = now
 			if err := w.connection.SetWriteDeadline(now.Add(writeTimeout)); err != nil {
 				return err
 			}
@@ -114,8 +114,8 @@
 // fail makes every later write return err.
 func (w *frameWriter) fail(err error) {
 	w.mutex.Lock()
-	if w.failed == nil {
-		w.failed = err
+	if w.cause == nil {
+		w.cause = err
 	}
 	w.mutex.Unlock()
 }
